--- a/cmd/flaxfront/fleet.go
+++ b/cmd/flaxfront/fleet.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"flaxfront/internal/cluster/fleet"
+	"flaxfront/internal/cluster/controlplane"
 	"flaxfront/internal/cluster/raftlog"
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/server"
@@ -38,7 +38,7 @@
 	return own, ring, err
 }
 
-func (a *asker) ask(verb string, r *fleet.Request, into any) error {
+func (a *asker) ask(verb string, r *controlplane.Request, into any) error {
 	own, ring, err := a.open()
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 		voters[0], voters[i] = voters[i], voters[0]
 		break
 	}
-	return fleet.Ask(ctx, ring, voters, verb, r, into)
+	return controlplane.Ask(ctx, ring, voters, verb, r, into)
 }
 
 func fleetCommand(file *string) *cobra.Command {
@@ -66,11 +66,11 @@
 	root.PersistentFlags().StringVar(&a.at, "at", "", "address of the voter to ask first (default: all in turn)")
 	root.AddCommand(beginCommand(a), statusCommand(a), watchCommand(a), releaseCommand(a), policyCommand(a))
 	for _, v := range []struct{ verb, use, short, done string }{
-		{fleet.VerbHalt, "halt [REASON]", "Halt the release: permits that were not used are void", "halted"},
-		{fleet.VerbBack, "back [REASON]", "Take the release back: what went out by it returns, under the same limits", "the way back is release"},
+		{controlplane.VerbHalt, "halt [REASON]", "Halt the release: permits that were not used are void", "halted"},
+		{controlplane.VerbBack, "back [REASON]", "Take the release back: what went out by it returns, under the same limits", "the way back is release"},
 	} {
 		root.AddCommand(&cobra.Command{Use: v.use, Short: v.short, Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			r := &fleet.Request{Reason: "an operator's word"}
+			r := &controlplane.Request{Reason: "an operator's word"}
 			if len(args) > 0 {
 				r.Reason = args[0]
 			}
@@ -78,36 +78,36 @@
 		}})
 	}
 	root.AddCommand(&cobra.Command{Use: "resume", Short: "Let a halted release go on", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		return a.told(cmd, fleet.VerbResume, &fleet.Request{}, "goes on")
+		return a.told(cmd, controlplane.VerbResume, &controlplane.Request{}, "goes on")
 	}})
 	var reason string
 	drain := &cobra.Command{Use: "drain NODE", Short: "Drain a node: every broker stops sending to it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, fleet.VerbDrain, &fleet.Request{Node: args[0], Reason: reason}, "drain")
+			return a.told(cmd, controlplane.VerbDrain, &controlplane.Request{Node: args[0], Reason: reason}, "drain")
 		}}
 	drain.Flags().StringVar(&reason, "reason", "an operator's word", "why")
 	undrain := &cobra.Command{Use: "undrain NODE", Short: "End a node's drain: what discovery says of it counts again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, fleet.VerbUndrain, &fleet.Request{Node: args[0]}, "ended")
+			return a.told(cmd, controlplane.VerbUndrain, &controlplane.Request{Node: args[0]}, "ended")
 		}}
 	out := &cobra.Command{Use: "out NODE", Short: "Say that a node which a release permits goes out now; only where this succeeds may it be stopped", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, fleet.VerbOut, &fleet.Request{Node: args[0]}, "it may be stopped")
+			return a.told(cmd, controlplane.VerbOut, &controlplane.Request{Node: args[0]}, "it may be stopped")
 		}}
 	returned := &cobra.Command{Use: "returned NODE", Short: "Say that a node which went out serves again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, fleet.VerbReturned, &fleet.Request{Node: args[0]}, "returned")
+			return a.told(cmd, controlplane.VerbReturned, &controlplane.Request{Node: args[0]}, "returned")
 		}}
 	forget := &cobra.Command{Use: "forget BROKER", Short: "Say that a broker never comes back: it counts as out no more", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, fleet.VerbForget, &fleet.Request{Broker: args[0]}, "forgotten")
+			return a.told(cmd, controlplane.VerbForget, &controlplane.Request{Broker: args[0]}, "forgotten")
 		}}
 	root.AddCommand(drain, undrain, out, returned, forget)
 	return root
 }
 
 // told prints that something is agreed.
-func (a *asker) told(cmd *cobra.Command, verb string, r *fleet.Request, done string) error {
+func (a *asker) told(cmd *cobra.Command, verb string, r *controlplane.Request, done string) error {
 	var number uint64
 	err := a.ask(verb, r, &number)
 	if err == nil && number > 0 {
@@ -148,7 +148,7 @@
 }
 
 func releaseCommand(a *asker) *cobra.Command {
-	var w fleet.Wanted
+	var w controlplane.Wanted
 	var batches []uint
 	var pause time.Duration
 	var most, zone, least uint
@@ -161,7 +161,7 @@
 				w.Batches = append(w.Batches, uint32(b))
 			}
 			w.Most, w.MostZone, w.Least, w.PauseMS = uint32(most), uint32(zone), uint32(least), uint64(pause.Milliseconds())
-			return a.told(cmd, fleet.VerbRelease, &fleet.Request{Plan: &w}, "release")
+			return a.told(cmd, controlplane.VerbRelease, &controlplane.Request{Plan: &w}, "release")
 		},
 	}
 	f := c.Flags()
@@ -188,11 +188,11 @@
 			if err != nil {
 				return err
 			}
-			return a.told(cmd, fleet.VerbPolicy, &fleet.Request{Text: string(text)}, "policy")
+			return a.told(cmd, controlplane.VerbPolicy, &controlplane.Request{Text: string(text)}, "policy")
 		}},
 		&cobra.Command{Use: "show", Short: "Print the policy in force", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			var s fleet.Status
-			if err := a.ask(fleet.VerbStatus, &fleet.Request{}, &s); err != nil {
+			var s controlplane.Status
+			if err := a.ask(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
 				return err
 			}
 			if s.Policy == nil {
@@ -205,7 +205,7 @@
 			return nil
 		}},
 		&cobra.Command{Use: "back", Short: "Have the policy before this one agreed anew", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			return a.told(cmd, fleet.VerbPolicyBack, &fleet.Request{}, "policy")
+			return a.told(cmd, controlplane.VerbPolicyBack, &controlplane.Request{}, "policy")
 		}})
 	return c
 }
--- a/cmd/flaxfront/fleetstatus.go
+++ b/cmd/flaxfront/fleetstatus.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 )
 
 func statusCommand(a *asker) *cobra.Command {
@@ -22,8 +22,8 @@
 		Short: "Print what a majority of the voters knows: brokers, the release, drains, the policy",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var s fleet.Status
-			if err := a.ask(fleet.VerbStatus, &fleet.Request{}, &s); err != nil {
+			var s controlplane.Status
+			if err := a.ask(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
 				return err
 			}
 			if asJSON {
@@ -47,9 +47,9 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			last := ""
 			for {
-				var s fleet.Status
+				var s controlplane.Status
 				line := ""
-				if err := a.ask(fleet.VerbStatus, &fleet.Request{}, &s); err != nil {
+				if err := a.ask(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
 					line = "no answer: " + err.Error()
 				} else {
 					line = releaseLine(&s)
@@ -58,7 +58,7 @@
 					fmt.Fprintln(cmd.OutOrStdout(), time.Now().Format(time.TimeOnly), line)
 					last = line
 				}
-				if s.Release != nil && s.Release.Course == ledger.Done {
+				if s.Release != nil && s.Release.Course == statemachine.Done {
 					return nil
 				}
 				time.Sleep(every)
@@ -69,17 +69,17 @@
 	return c
 }
 
-func releaseLine(s *fleet.Status) string {
+func releaseLine(s *controlplane.Status) string {
 	r := s.Release
 	if r == nil {
 		return "no release"
 	}
 	var count [4]int
 	for _, step := range r.Steps {
-		count[min(step.Stage, ledger.Finished)]++
+		count[min(step.Stage, statemachine.Finished)]++
 	}
 	line := fmt.Sprintf("release %d %s to %s: %s, batch %d of %d; %d pending, %d permitted, %d out, %d finished", r.Number, r.Name, r.To, r.Course,
-		r.Batch+1, max(1, len(r.Batches)), count[ledger.Pending], count[ledger.Permitted], count[ledger.Used], count[ledger.Finished])
+		r.Batch+1, max(1, len(r.Batches)), count[statemachine.Pending], count[statemachine.Permitted], count[statemachine.Used], count[statemachine.Finished])
 	if r.BackOf > 0 {
 		line += fmt.Sprintf("; the way back of %d", r.BackOf)
 	}
@@ -89,7 +89,7 @@
 	return line
 }
 
-func printStatus(out io.Writer, s *fleet.Status) error {
+func printStatus(out io.Writer, s *controlplane.Status) error {
 	fmt.Fprintf(out, "%s leads, term %d; entry %d, protocol %d, epoch %d\n%s\n", s.Leader, s.Term, s.Index, s.Protocol, s.Epoch, releaseLine(s))
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "BROKER\tSLOT\tZONE\tVERSION\tSTATE\tPERMIT\tINCARNATION\tLEASE")
--- a/cmd/flaxfront/main.go
+++ b/cmd/flaxfront/main.go
@@ -18,8 +18,8 @@
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/remedy"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/server"
 )
 
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := server.New(start, own, func(t broker.Terms) broker.Decider { return logic.New(t) })
+	s, err := server.New(start, own, func(t decision.Terms) decision.Decider { return routing.New(t) })
 	return start, s, err
 }
 
--- a/cmd/flaxfront/nodesio.go
+++ b/cmd/flaxfront/nodesio.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/discovery/nodelist"
 )
 
@@ -33,14 +33,14 @@
 	Generation uint64    `json:"generation"`
 }
 
-func moment(m trust.Moment) (t time.Time) {
+func moment(m cachedlist.Moment) (t time.Time) {
 	if m > 0 {
 		t = m.Time().UTC()
 	}
 	return t
 }
 
-func writeJSON(w io.Writer, entries []trust.Entry) error {
+func writeJSON(w io.Writer, entries []cachedlist.Entry) error {
 	all := []listed{}
 	for _, e := range entries {
 		all = append(all, listed{e.Name, e.Addr.String(), e.Zone, e.Cell, e.State.String(), moment(e.Started),
@@ -52,7 +52,7 @@
 }
 
 // readEntries reads what export wrote; one wrong entry spoils all.
-func readEntries(path string, stdin io.Reader) (entries []trust.Entry, err error) {
+func readEntries(path string, stdin io.Reader) (entries []cachedlist.Entry, err error) {
 	in := stdin
 	if path != "-" {
 		f, err := os.Open(path)
@@ -68,22 +68,22 @@
 	if err := d.Decode(&all); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	at := func(t time.Time) (m trust.Moment) {
+	at := func(t time.Time) (m cachedlist.Moment) {
 		if !t.IsZero() {
-			m = trust.At(t)
+			m = cachedlist.At(t)
 		}
 		return m
 	}
 	for i, l := range all {
-		e := trust.Entry{Name: l.Name, Zone: l.Zone, Cell: l.Cell, Started: at(l.Started), Confirmed: at(l.Confirmed),
-			By: trust.Imported, Told: at(l.Told), Generation: l.Generation}
-		state := slices.IndexFunc([]trust.State{trust.Ready, trust.Draining, trust.Ended}, func(s trust.State) bool {
+		e := cachedlist.Entry{Name: l.Name, Zone: l.Zone, Cell: l.Cell, Started: at(l.Started), Confirmed: at(l.Confirmed),
+			By: cachedlist.Imported, Told: at(l.Told), Generation: l.Generation}
+		state := slices.IndexFunc([]cachedlist.State{cachedlist.Ready, cachedlist.Draining, cachedlist.Ended}, func(s cachedlist.State) bool {
 			return s.String() == l.State
 		})
-		if e.State = trust.State(max(0, state)); state < 0 {
+		if e.State = cachedlist.State(max(0, state)); state < 0 {
 			return nil, fmt.Errorf("%s: entry %d: state %.40q", path, i, l.State)
 		}
-		if err := e.Addr.UnmarshalText([]byte(l.Addr)); err != nil && e.State != trust.Ended {
+		if err := e.Addr.UnmarshalText([]byte(l.Addr)); err != nil && e.State != cachedlist.Ended {
 			return nil, fmt.Errorf("%s: entry %d: addr %.60q", path, i, l.Addr)
 		}
 		if e.Name == "" || e.Cell < 0 {
@@ -95,9 +95,9 @@
 }
 
 func showNodes(out io.Writer, p listPlace, c *nodelist.Content, names []string, ended, asJSON bool) error {
-	var entries []trust.Entry
+	var entries []cachedlist.Entry
 	for _, e := range c.All() {
-		if len(names) == 0 && (ended || e.State != trust.Ended) || slices.Contains(names, e.Name) {
+		if len(names) == 0 && (ended || e.State != cachedlist.Ended) || slices.Contains(names, e.Name) {
 			entries = append(entries, e)
 		}
 	}
@@ -111,14 +111,14 @@
 		fmt.Fprintln(out, "no list that can be read")
 		return nil
 	}
-	now := trust.At(time.Now())
+	now := cachedlist.At(time.Now())
 	fmt.Fprintf(out, "generation %d of %s, deployment %s, confirmed %s ago\n", c.Head.Generation, c.Head.Service,
 		c.Head.Deployment, now.Since(c.Head.Confirmed).Round(time.Second))
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESS\tZONE\tCELL\tSTATE\tCONFIRMED\tBY\tDOUBT\tSTARTED")
 	t := p.own.Start.Trust
-	book := trust.NewBook(c.Head, c.All())
-	judge := trust.NewJudge(trust.Policy{HalfLife: t.HalfLife, Oldest: t.Oldest, StrikeAt: t.StrikeAt, Parole: t.Parole},
+	book := cachedlist.NewBook(c.Head, c.All())
+	judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: t.HalfLife, Oldest: t.Oldest, StrikeAt: t.StrikeAt, Parole: t.Parole},
 		book, now)
 	for _, e := range entries {
 		confirmed, started := "never", "long ago"
@@ -146,9 +146,9 @@
 	if !c.Found {
 		return errors.New("no list that can be read")
 	}
-	var ready []trust.Entry
+	var ready []cachedlist.Entry
 	for _, e := range c.All() {
-		if e.State == trust.Ready {
+		if e.State == cachedlist.Ready {
 			ready = append(ready, e)
 		}
 	}
@@ -204,7 +204,7 @@
 		fmt.Fprintln(out, "left for the broker that runs; its log tells what it took")
 		return nil
 	}
-	book := trust.NewBook(content.Head, content.All())
+	book := cachedlist.NewBook(content.Head, content.All())
 	fmt.Fprintf(out, "imported %d, forgotten %d\n", book.Import(a.Import), book.Forget(a.Forget))
 	if changes, any := book.Changes(); any {
 		store.Put(changes)
--- a/cmd/flaxlab/live.go
+++ b/cmd/flaxlab/live.go
@@ -19,8 +19,8 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/server"
 )
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := server.New(start, own, func(t broker.Terms) broker.Decider { return logic.New(t) })
+	s, err := server.New(start, own, func(t decision.Terms) decision.Decider { return routing.New(t) })
 	if err == nil {
 		err = s.Open()
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"os"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/protocols/simwire"
 )
 
 func main() {
-	host := simwire.NewHost(func(t broker.Terms) broker.Decider { return logic.New(t) })
+	host := simwire.NewHost(func(t decision.Terms) decision.Decider { return routing.New(t) })
 	if err := host.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
--- a/internal/cluster/policy/check.go
+++ b/internal/cluster/connpolicy/check.go
@@ -1,4 +1,4 @@
-package policy
+package connpolicy
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"cel.dev/cel-go/cel"
 
 	"flaxfront/internal/config/form"
-	"flaxfront/internal/decision/divide"
+	"flaxfront/internal/decision/fairshare"
 )
 
 // compiler turns a file into a policy. Conditions on nodes only choose a class, and all amounts follow from the class: so a
@@ -123,7 +123,7 @@
 		what := "the floors of all brokers at as many nodes as there may be"
 		return c.doc.Fault("pool.budget", &Overcommitted{PoolClass, what, floors, budget})
 	}
-	c.p.Pool = &Class{Name: PoolClass, Budget: budget, Shared: divide.Budget{Units: budget - floors}}
+	c.p.Pool = &Class{Name: PoolClass, Budget: budget, Shared: fairshare.Budget{Units: budget - floors}}
 	return nil
 }
 
--- a/internal/cluster/policy/policy.go
+++ b/internal/cluster/connpolicy/connpolicy.go
@@ -1,19 +1,19 @@
-// Package policy is the language in which operators say how connections are divided: declarations as JSON with comments, with
+// Package connpolicy is the language in which operators say how connections are divided: declarations as JSON with comments, with
 // conditions and amounts as expressions of CEL. It owns the form, the types, the bounds of cost and the check of the whole: a
 // policy that could divide more than there is, starve a guarantee or never settle is refused with line and reason. It must
 // never look at a clock, at a load or at anything else that brokers could see differently: the same text is the same policy
 // on all of them.
 //
-// Depends on config/form, decision/divide. Concurrency: nothing here locks or starts a goroutine; a value
+// Depends on config/form, decision/fairshare. Concurrency: nothing here locks or starts a goroutine; a value
 // is used by one goroutine at a time.
-package policy
+package connpolicy
 
 import (
 	"fmt"
 	"time"
 
 	"flaxfront/internal/config/form"
-	"flaxfront/internal/decision/divide"
+	"flaxfront/internal/decision/fairshare"
 )
 
 // maxText bounds a policy, as it goes to every broker and into every snapshot.
@@ -58,7 +58,7 @@
 	Name   string
 	Budget int // connections of a node
 	Floor  int // of these, each broker's own
-	Shared divide.Budget
+	Shared fairshare.Budget
 	when   *expression // nil: holds
 	index  int         // in the text
 }
--- a/internal/cluster/policy/error.go
+++ b/internal/cluster/connpolicy/error.go
@@ -1,4 +1,4 @@
-package policy
+package connpolicy
 
 import "fmt"
 
--- a/internal/cluster/policy/table.go
+++ b/internal/cluster/connpolicy/table.go
@@ -1,9 +1,9 @@
-package policy
+package connpolicy
 
 import (
 	"fmt"
 
-	"flaxfront/internal/decision/divide"
+	"flaxfront/internal/decision/fairshare"
 )
 
 // table evaluates every tenant in every class, and checks each class as a whole.
@@ -61,7 +61,7 @@
 }
 
 // evaluate finds a tenant's entry for a class, and its amounts.
-func (c *compiler) evaluate(name string, vars map[string]any) (a divide.Amount, at int, err error) {
+func (c *compiler) evaluate(name string, vars map[string]any) (a fairshare.Amount, at int, err error) {
 	for i, t := range c.file.Tenants {
 		if t.Name != name {
 			continue
--- a/internal/cluster/agree/agree.go
+++ b/internal/cluster/consensus/consensus.go
@@ -1,4 +1,4 @@
-// Package agree brings a few voters to one sequence of entries: Raft, by go.etcd.io/raft, driven from outside. It owns the
+// Package consensus brings a few voters to one sequence of entries: Raft, by go.etcd.io/raft, driven from outside. It owns the
 // rules of time around it (elections, the leader's lease, what a process does that was stopped and wakes up), the order
 // of saving and sending, and the limits on what is under way. It has no goroutine, clock, socket or file of its own, so that
 // the same code runs in virtual time. It must never let a message leave before what it vouches for is on disk, and never
@@ -9,7 +9,7 @@
 //
 // Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
 // used by one goroutine at a time.
-package agree
+package consensus
 
 import (
 	"errors"
--- a/internal/cluster/agree/parts.go
+++ b/internal/cluster/consensus/parts.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // This file owns how a snapshot larger than a packet travels: in parts, some a heartbeat, so that it neither exceeds a link's
 // frames nor holds up heartbeats behind it. A part that is lost loses the whole; it is sent again later.
--- a/internal/cluster/agree/reads.go
+++ b/internal/cluster/consensus/reads.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // This file owns linearizable reads: an index that was committed when the read was asked, confirmed by a majority since,
 // and applied here.
--- a/internal/cluster/agree/sim_test.go
+++ b/internal/cluster/consensus/sim_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"flag"
--- a/internal/cluster/agree/simchecks_test.go
+++ b/internal/cluster/consensus/simchecks_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // What must hold, and the register whose history is checked for linearizability.
 
--- a/internal/cluster/agree/simfaults_test.go
+++ b/internal/cluster/consensus/simfaults_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // What breaks: the faults that every voter must bear, and those put in on purpose that the checks must find.
 
--- a/internal/cluster/agree/simworld_test.go
+++ b/internal/cluster/consensus/simworld_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // The world of the simulation: virtual time, voters with the real log on a disk that forgets, and a network that loses,
 // doubles, reorders and cuts.
--- a/internal/cluster/agree/time.go
+++ b/internal/cluster/consensus/time.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // This file owns the rules of time.
 //
--- a/internal/cluster/fleet/client.go
+++ b/internal/cluster/controlplane/client.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns an operator's side: a request, answered by whoever leads.
 
--- a/internal/cluster/fleet/client_test.go
+++ b/internal/cluster/controlplane/client_test.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"flaxfront/internal/cluster/raftlog"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/transport/keys"
 )
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Named(func(text string) (broker.NodeID, bool) { return broker.NodeID{}, false }, broker.NodeID.String)
+	f.Named(func(text string) (decision.NodeID, bool) { return decision.NodeID{}, false }, decision.NodeID.String)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -61,7 +61,7 @@
 	within, stop := context.WithTimeout(ctx, time.Minute)
 	defer stop()
 	var s Status
-	for len(s.Brokers) == 0 || s.Brokers[0].Standing != ledger.In {
+	for len(s.Brokers) == 0 || s.Brokers[0].Standing != statemachine.In {
 		if err := Ask(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil {
 			t.Fatal(err)
 		}
@@ -77,7 +77,7 @@
 	if err := Ask(within, ring("s", "operator"), voters, VerbHalt, &Request{Reason: "enough"}, nil); err != nil {
 		t.Error(err)
 	}
-	if err := Ask(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.Course != ledger.Halted {
+	if err := Ask(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.Course != statemachine.Halted {
 		t.Errorf("%+v, %v", s.Release, err)
 	}
 	brief, stop2 := context.WithTimeout(ctx, 300*time.Millisecond)
--- a/internal/cluster/fleet/cluster_test.go
+++ b/internal/cluster/controlplane/cluster_test.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // A tier in one process, over pipes that can be cut.
 
@@ -15,7 +15,7 @@
 	"time"
 
 	"flaxfront/internal/cluster/raftlog"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/transport/keys"
 )
 
@@ -138,7 +138,7 @@
 }
 
 // propose has an entry agreed through a broker, within a time in which it would be agreed after any fault that tests provoke.
-func (c *tier) propose(name string, e ledger.Entry) (ledger.Result, error) {
+func (c *tier) propose(name string, e statemachine.Entry) (statemachine.Result, error) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 20*time.Second)
 	defer cancel()
 	return c.all[name].Propose(ctx, e)
@@ -177,7 +177,7 @@
 		c.t.Fatal(err)
 	}
 	o := Options{Keys: ring, Voters: []Voter{{"b1", "b1"}, {"b2", "b2"}, {"b3", "b3"}}, Listener: c.w.listen(name), Listen: name,
-		Dial: c.w.dial(name), Slot: ledger.Slot(i), Incarnation: uint64(time.Now().UnixMilli()), Version: "1", Zone: "z",
+		Dial: c.w.dial(name), Slot: statemachine.Slot(i), Incarnation: uint64(time.Now().UnixMilli()), Version: "1", Zone: "z",
 		Lease: 3 * time.Second, Drift: 0.01, Election: 600 * time.Millisecond, Heartbeat: 100 * time.Millisecond, Followers: c.most,
 		Report: time.Second, Seed: uint64(time.Now().UnixNano())}
 	var disk *raftlog.Log
@@ -239,7 +239,7 @@
 
 func (c *tier) connected() bool {
 	for _, f := range c.all {
-		if v := f.View(); !v.Held(f.Now()) || v.Me.Standing != ledger.In {
+		if v := f.View(); !v.Held(f.Now()) || v.Me.Standing != statemachine.In {
 			return false
 		}
 	}
--- a/internal/cluster/fleet/conn.go
+++ b/internal/cluster/controlplane/conn.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns one connection between two brokers, or a broker and an operator: hello, queue, frames, and its end.
 
--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/controlplane/controlplane.go
@@ -1,12 +1,12 @@
-// Package fleet is the I/O of what the brokers of a tier agree on. It owns the connections between them by mutual TLS, the
+// Package controlplane is the I/O of what the brokers of a tier agree on. It owns the connections between them by mutual TLS, the
 // voters' packets, the feed that the other brokers follow, proposals on their way to the leader, sessions with their leases,
 // reports, facts that are shared outside the log, and operators' requests. All runs in goroutines of its own. It must never make
 // the search loop wait, act on a lease that its own clock does not show to be running, or take what one broker says for agreed.
 //
-// Depends on cluster/agree, decision/broker, decision/ledger, decision/release, transport/keys.
+// Depends on cluster/consensus, decision, decision/statemachine, decision/release, transport/keys.
 // Concurrency: goroutines of its own, which the caller's context ends; what they share with callers is
 // behind a lock or an atomic value.
-package fleet
+package controlplane
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 	"sync/atomic"
 	"time"
 
-	"flaxfront/internal/cluster/agree"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/consensus"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/transport/keys"
 )
 
@@ -35,8 +35,8 @@
 	Listener    net.Listener // nil: nobody comes
 	Listen      string       // as others are told
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	Disk        agree.Disk // of a voter
-	Slot        ledger.Slot
+	Disk        consensus.Disk // of a voter
+	Slot        statemachine.Slot
 	Incarnation uint64 // greater than that of any earlier life
 	Version     string
 	Zone        string
@@ -71,17 +71,17 @@
 	topics  []Topic
 	extras  []Extra
 	duties  []Duty
-	find    func(string) (broker.NodeID, bool)
-	nameOf  func(broker.NodeID) string
-	compile func(text string, s *ledger.State) (*ledger.Policy, error) // nil: no budgets are divided
+	find    func(string) (decision.NodeID, bool)
+	nameOf  func(decision.NodeID) string
+	compile func(text string, s *statemachine.State) (*statemachine.Policy, error) // nil: no budgets are divided
 
 	serving, leaving atomic.Bool
 
 	Counts Counts
 
 	// What follows belongs to the goroutine of run.
-	node       *agree.Node
-	state      *ledger.State
+	node       *consensus.Node
+	state      *statemachine.State
 	recent     recent
 	halted     error
 	follow     func() // starts to keep a source
@@ -92,7 +92,7 @@
 	source     *conn            // followed
 	upPath     []string
 	upAt       time.Duration // when the source last had a path
-	via        map[ledger.Slot]*conn
+	via        map[statemachine.Slot]*conn
 	up         up // waits to be sent on
 	upNow      bool
 	inc        uint64
@@ -119,9 +119,9 @@
 		start := time.Now()
 		o.Now = func() time.Duration { return time.Since(start) }
 	}
-	f := &Fleet{o: o, name: o.Keys.ID().Broker, calls: make(chan func(), 256), fresh: make(chan struct{}, 1), state: ledger.New(),
-		conns: map[*conn]bool{}, voters: map[string]*conn{}, via: map[ledger.Slot]*conn{}, inc: o.Incarnation,
-		find: func(string) (id broker.NodeID, ok bool) { return id, false }, nameOf: broker.NodeID.String,
+	f := &Fleet{o: o, name: o.Keys.ID().Broker, calls: make(chan func(), 256), fresh: make(chan struct{}, 1), state: statemachine.New(),
+		conns: map[*conn]bool{}, voters: map[string]*conn{}, via: map[statemachine.Slot]*conn{}, inc: o.Incarnation,
+		find: func(string) (id decision.NodeID, ok bool) { return id, false }, nameOf: decision.NodeID.String,
 		pending: map[uint64]*proposal{}, reads: map[uint64]func(error){}}
 	if len(f.o.Sources) == 0 {
 		for _, v := range o.Voters {
@@ -142,18 +142,18 @@
 		ids = append(ids, uint64(i+1))
 	}
 	var err error
-	f.node, err = agree.New(agree.Config{ID: f.id, Voters: ids, Election: o.Election, Heartbeat: o.Heartbeat, Seed: o.Seed, Disk: o.Disk,
+	f.node, err = consensus.New(consensus.Config{ID: f.id, Voters: ids, Election: o.Election, Heartbeat: o.Heartbeat, Seed: o.Seed, Disk: o.Disk,
 		Machine: machine{f}, MaxEntry: maxEntry}, o.Now())
 	return f, err
 }
 
 // Compile gives the way from a policy's text to its entry, before Run.
-func (f *Fleet) Compile(fn func(text string, s *ledger.State) (*ledger.Policy, error)) {
+func (f *Fleet) Compile(fn func(text string, s *statemachine.State) (*statemachine.Policy, error)) {
 	f.compile = fn
 }
 
 // Named gives nodes' names, as this broker's list has them: the node of a name or address, and the name of a node. Before Run.
-func (f *Fleet) Named(find func(text string) (broker.NodeID, bool), name func(broker.NodeID) string) {
+func (f *Fleet) Named(find func(text string) (decision.NodeID, bool), name func(decision.NodeID) string) {
 	f.find, f.nameOf = find, name
 }
 
@@ -207,7 +207,7 @@
 // stop ends what is in hand.
 func (f *Fleet) stop() {
 	for _, p := range f.pending {
-		p.done(ledger.Result{}, &Uncertain{Why: context.Canceled})
+		p.done(statemachine.Result{}, &Uncertain{Why: context.Canceled})
 	}
 	clear(f.pending)
 }
--- a/internal/cluster/fleet/duty.go
+++ b/internal/cluster/controlplane/duty.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns what the leader does for others: the release, and duties that are handed in. Each only proposes.
 
@@ -8,21 +8,21 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // Moment is what a duty of the leader decides on.
 type Moment struct {
-	State   *ledger.State // must not be changed or kept
+	State   *statemachine.State // must not be changed or kept
 	Term    uint64
 	Now     time.Duration
-	Reports map[ledger.Slot]Heard // must not be changed or kept
+	Reports map[statemachine.Slot]Heard // must not be changed or kept
 
 	lead *lead
 }
 
 // Session is when a broker's lease was last granted by this leader, at the latest; where it has granted none, since when it leads.
-func (m *Moment) Session(b ledger.Broker) time.Duration {
+func (m *Moment) Session(b statemachine.Broker) time.Duration {
 	if s := m.lead.sessions[b.Slot]; s.inc == b.Incarnation {
 		return max(m.lead.from, s.at)
 	}
@@ -33,7 +33,7 @@
 type Duty struct {
 	Name  string
 	Every time.Duration
-	Do    func(Moment) []ledger.Entry
+	Do    func(Moment) []statemachine.Entry
 	due   time.Duration
 	out   int // proposed and not yet applied
 }
@@ -42,7 +42,7 @@
 func (f *Fleet) Leading(d Duty) { f.duties = append(f.duties, d) }
 
 // voter tells whether a permit is that of a broker that votes.
-func (f *Fleet) voter(p *ledger.Permit) bool {
+func (f *Fleet) voter(p *statemachine.Permit) bool {
 	b, _ := f.state.Broker(p.Slot)
 	return !p.OnNode && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name })
 }
@@ -52,7 +52,7 @@
 func (f *Fleet) majority(going int) bool {
 	n := len(f.o.Voters)
 	for _, b := range f.state.Brokers() {
-		if (b.Standing != ledger.In || b.Permit > 0) && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name }) {
+		if (b.Standing != statemachine.In || b.Permit > 0) && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name }) {
 			going++
 		}
 	}
@@ -62,17 +62,17 @@
 // doDuties has the duties propose what is due; one whose last proposals are not applied yet waits.
 func (f *Fleet) doDuties(now time.Duration) {
 	if f.lead.planning == 0 && now >= f.lead.plan {
-		var all []ledger.Entry
+		var all []statemachine.Entry
 		all, f.lead.plan = f.lead.planner.Next(f.state, now)
 		term, going := f.lead.term, 0
 		for _, e := range all {
-			if p, ok := e.(*ledger.Permit); ok && f.voter(p) {
+			if p, ok := e.(*statemachine.Permit); ok && f.voter(p) {
 				if going++; !f.majority(going) {
 					continue // the planner comes back to it
 				}
 			}
 			f.lead.planning++
-			f.start(e, func(r ledger.Result, err error) {
+			f.start(e, func(r statemachine.Result, err error) {
 				if f.lead.term == term {
 					f.lead.planning--
 					f.lead.plan = 0 // the ledger has moved
@@ -89,7 +89,7 @@
 		d.due = now + d.Every
 		for _, e := range d.Do(Moment{f.state, f.lead.term, now, f.lead.reports, &f.lead}) {
 			d.out++
-			f.start(e, func(r ledger.Result, err error) {
+			f.start(e, func(r statemachine.Result, err error) {
 				d.out--
 				if err != nil {
 					slog.Debug("fleet: a leader's entry was not taken", "duty", d.Name, "error", err)
--- a/internal/cluster/fleet/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -1,10 +1,10 @@
-package fleet
+package controlplane
 
 import (
 	"errors"
 	"fmt"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // Unfit refuses to start a voter without what it needs.
@@ -62,7 +62,7 @@
 
 // SlotTaken tells that another broker of the tier has this one's place.
 type SlotTaken struct {
-	Slot ledger.Slot
+	Slot statemachine.Slot
 	By   string
 }
 
@@ -83,7 +83,7 @@
 // Remedy tells what an operator can do.
 func (e *Refusal) Remedy() string { return e.Advice }
 
-func unknown(err error) bool { return errors.As(err, new(*ledger.Unknown)) }
+func unknown(err error) bool { return errors.As(err, new(*statemachine.Unknown)) }
 
 // remedyOf is an error's own advice, if it has some.
 func remedyOf(err error) string {
--- a/internal/cluster/fleet/feed.go
+++ b/internal/cluster/controlplane/feed.go
@@ -1,11 +1,11 @@
-package fleet
+package controlplane
 
 // This file owns the feed: entries as they were agreed, passed on to those that follow, from wherever they stand.
 
 import (
 	"log/slog"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 const (
@@ -91,7 +91,7 @@
 
 // restore begins anew from a snapshot.
 func (f *Fleet) restore(data []byte) error {
-	s, err := ledger.Restore(data)
+	s, err := statemachine.Restore(data)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/fleet/fuzz_test.go
+++ b/internal/cluster/controlplane/fuzz_test.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 import (
 	"bufio"
--- a/internal/cluster/fleet/lead.go
+++ b/internal/cluster/controlplane/lead.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns what the leader does beside Raft: leases of sessions, losses, and the duties that others hand in. A lease is
 // granted only after a majority confirmed, later than the request came, that this broker leads; and a loss is proposed only when
@@ -10,8 +10,8 @@
 	"log/slog"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
 	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
 )
 
 const leadEvery = 100 * time.Millisecond
@@ -22,9 +22,9 @@
 	asked    bool          // its Lead is on its way
 	on       bool          // its Lead is applied
 	from     time.Duration // when that was
-	sessions map[ledger.Slot]held
-	losing   map[ledger.Slot]uint64 // incarnations whose loss is proposed: they are granted nothing more
-	reports  map[ledger.Slot]Heard
+	sessions map[statemachine.Slot]held
+	losing   map[statemachine.Slot]uint64 // incarnations whose loss is proposed: they are granted nothing more
+	reports  map[statemachine.Slot]Heard
 	waiting  []renewal
 	reading  int
 	due      time.Duration
@@ -69,15 +69,15 @@
 		return next
 	}
 	if f.lead.term != f.node.Term() {
-		f.lead = lead{term: f.node.Term(), sessions: map[ledger.Slot]held{}, losing: map[ledger.Slot]uint64{},
-			reports: map[ledger.Slot]Heard{}}
+		f.lead = lead{term: f.node.Term(), sessions: map[statemachine.Slot]held{}, losing: map[statemachine.Slot]uint64{},
+			reports: map[statemachine.Slot]Heard{}}
 		slog.Info("fleet: leads", "term", f.lead.term)
 	}
 	if !f.lead.on && !f.lead.asked && now >= f.lead.due {
 		// It may be refused, as of an earlier life, or given up with an incarnation; without it the term would pass with nothing done.
 		f.lead.asked, f.lead.due = true, now+leadEvery
 		term := f.lead.term
-		f.start(&ledger.Lead{Slot: f.o.Slot, Term: term}, func(ledger.Result, error) {
+		f.start(&statemachine.Lead{Slot: f.o.Slot, Term: term}, func(statemachine.Result, error) {
 			if f.lead.term == term {
 				f.lead.asked = false
 			}
@@ -145,9 +145,9 @@
 		at := f.o.Now()
 		d := down{Lease: int64(f.o.Lease), Leader: f.name}
 		for _, r := range batch {
-			slot := ledger.Slot(r.Slot)
+			slot := statemachine.Slot(r.Slot)
 			b, known := f.state.Broker(slot)
-			if !known || b.Incarnation != r.Inc || b.Standing == ledger.Gone || f.lead.losing[slot] == r.Inc {
+			if !known || b.Incarnation != r.Inc || b.Standing == statemachine.Gone || f.lead.losing[slot] == r.Inc {
 				continue
 			}
 			f.lead.sessions[slot] = held{r.Inc, at}
@@ -158,14 +158,14 @@
 }
 
 // leadApplied takes note of entries that matter to the leader.
-func (f *Fleet) leadApplied(e ledger.Entry, r ledger.Result) {
+func (f *Fleet) leadApplied(e statemachine.Entry, r statemachine.Result) {
 	switch e := e.(type) {
-	case *ledger.Lead:
+	case *statemachine.Lead:
 		if f.lead.term != 0 && e.Slot == f.o.Slot && e.Term == f.lead.term && r.Err == nil {
 			f.lead.on, f.lead.from = true, f.o.Now()
 			f.lead.planner = release.New(f.o.Gates, e.Term, f.lead.from)
 		}
-	case *ledger.Register:
+	case *statemachine.Register:
 		if f.lead.on && r.Err == nil && !r.Again {
 			f.lead.sessions[e.Slot] = held{e.Incarnation, f.o.Now()}
 		}
@@ -177,7 +177,7 @@
 	l := &f.lead
 	surely := f.o.Lease + time.Duration(float64(f.o.Lease)*f.o.Drift)
 	for _, b := range f.state.Brokers() {
-		if b.Standing == ledger.Gone {
+		if b.Standing == statemachine.Gone {
 			continue
 		}
 		last := l.from
@@ -189,7 +189,7 @@
 		}
 		l.losing[b.Slot] = b.Incarnation
 		slog.Warn("fleet: a broker is lost", "broker", b.Name, "slot", b.Slot, "incarnation", b.Incarnation, "silent_for", now-last)
-		f.start(&ledger.Lost{Slot: b.Slot, Incarnation: b.Incarnation, Term: l.term}, func(_ ledger.Result, err error) {
+		f.start(&statemachine.Lost{Slot: b.Slot, Incarnation: b.Incarnation, Term: l.term}, func(_ statemachine.Result, err error) {
 			// Danger: one of which it is not known whether it took effect may do so later, and a lease granted meanwhile stand against it.
 			if f.lead.term != 0 && f.lead.losing[b.Slot] == b.Incarnation && !errors.As(err, new(*Uncertain)) {
 				delete(f.lead.losing, b.Slot)
--- a/internal/cluster/fleet/net.go
+++ b/internal/cluster/controlplane/net.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns the coming and going of connections: a listener within bounds, and dials with a growing, uneven pause.
 
--- a/internal/cluster/fleet/path.go
+++ b/internal/cluster/controlplane/path.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns who follows whom: the path from a voter down to this broker, beats that carry it, and facts with their age.
 
--- a/internal/cluster/fleet/plan.go
+++ b/internal/cluster/controlplane/plan.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns what operators ask about releases and nodes, made entries.
 
@@ -6,39 +6,39 @@
 	"fmt"
 	"slices"
 
-	"flaxfront/internal/decision/ledger"
 	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
 )
 
-func (f *Fleet) wantedNode(verb string, r *Request) (ledger.Entry, error) {
+func (f *Fleet) wantedNode(verb string, r *Request) (statemachine.Entry, error) {
 	id, err := f.nodeID(r.Node)
 	if err != nil {
 		return nil, err
 	}
 	switch verb {
 	case VerbUndrain:
-		return &ledger.Undrain{Node: id}, nil
+		return &statemachine.Undrain{Node: id}, nil
 	case VerbReturned:
 		p, ok := f.state.NodePermit(id)
 		if !ok {
 			return nil, &BadRequest{"no release has let this node go out"}
 		}
-		return &ledger.Return{Incarnation: p.Number, OnNode: true, Node: id}, nil
+		return &statemachine.Return{Incarnation: p.Number, OnNode: true, Node: id}, nil
 	case VerbOut:
 		p, ok := f.state.NodePermit(id)
 		if !ok {
 			return nil, &BadRequest{"no release lets this node go out now"}
 		}
-		return &ledger.Use{Permit: p.Number, Slot: f.o.Slot, Incarnation: f.inc, OnNode: true, Node: id}, nil
+		return &statemachine.Use{Permit: p.Number, Slot: f.o.Slot, Incarnation: f.inc, OnNode: true, Node: id}, nil
 	}
-	return &ledger.DrainNode{Node: id, Reason: r.Reason}, nil
+	return &statemachine.DrainNode{Node: id, Reason: r.Reason}, nil
 }
 
-func (f *Fleet) plan(w *Wanted) (ledger.Entry, error) {
+func (f *Fleet) plan(w *Wanted) (statemachine.Entry, error) {
 	if w == nil || w.To == "" {
 		return nil, &BadRequest{"a release names the version it leads to"}
 	}
-	p := &ledger.Plan{Name: w.Name, From: w.From, To: w.To, Batches: w.Batches, Most: max(1, w.Most), MostZone: w.MostZone, Least: w.Least,
+	p := &statemachine.Plan{Name: w.Name, From: w.From, To: w.To, Batches: w.Batches, Most: max(1, w.Most), MostZone: w.MostZone, Least: w.Least,
 		PauseMS: w.PauseMS, Gates: w.Gates}
 	for _, text := range w.Nodes {
 		id, err := f.nodeID(text)
@@ -60,9 +60,9 @@
 }
 
 // everybody is all brokers in turn by zones; those that vote come last, and of these the one that leads.
-func (f *Fleet) everybody() []ledger.Slot {
+func (f *Fleet) everybody() []statemachine.Slot {
 	slots := release.Order(f.state.Brokers())
-	rank := func(s ledger.Slot) int {
+	rank := func(s statemachine.Slot) int {
 		b, _ := f.state.Broker(s)
 		if b.Name == f.name {
 			return 2
@@ -72,15 +72,15 @@
 		}
 		return 0
 	}
-	slices.SortStableFunc(slots, func(a, b ledger.Slot) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(slots, func(a, b statemachine.Slot) int { return rank(a) - rank(b) })
 	return slots
 }
 
 // slots finds brokers by their names.
-func (f *Fleet) slots(names []string) (all []ledger.Slot, err error) {
+func (f *Fleet) slots(names []string) (all []statemachine.Slot, err error) {
 	roster := f.state.Brokers()
 	for _, name := range names {
-		i := slices.IndexFunc(roster, func(b ledger.Broker) bool { return b.Name == name })
+		i := slices.IndexFunc(roster, func(b statemachine.Broker) bool { return b.Name == name })
 		if i < 0 {
 			return nil, &BadRequest{fmt.Sprintf("no broker %.80q is known", name)}
 		}
--- a/internal/cluster/fleet/propose.go
+++ b/internal/cluster/controlplane/propose.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns proposals: on their way to the leader until they are seen applied here, again and again, with a name by which
 // they take effect once.
@@ -7,8 +7,8 @@
 	"context"
 	"time"
 
-	"flaxfront/internal/cluster/agree"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/consensus"
+	"flaxfront/internal/decision/statemachine"
 )
 
 const (
@@ -22,20 +22,20 @@
 	seq  uint64
 	data []byte
 	sent time.Duration // 0: not yet
-	done func(ledger.Result, error)
+	done func(statemachine.Result, error)
 }
 
 // Propose has an entry agreed, and returns what it came to on this broker's own copy. An error of type *Uncertain tells that it
 // may yet take effect. It must not be called in the fleet's own goroutine.
-func (f *Fleet) Propose(ctx context.Context, e ledger.Entry) (ledger.Result, error) {
+func (f *Fleet) Propose(ctx context.Context, e statemachine.Entry) (statemachine.Result, error) {
 	type end struct {
-		r   ledger.Result
+		r   statemachine.Result
 		err error
 	}
 	ended := make(chan end, 1)
 	var seq uint64
-	if !f.call(ctx, func() { seq = f.start(e, func(r ledger.Result, err error) { ended <- end{r, err} }) }) {
-		return ledger.Result{}, ctx.Err()
+	if !f.call(ctx, func() { seq = f.start(e, func(r statemachine.Result, err error) { ended <- end{r, err} }) }) {
+		return statemachine.Result{}, ctx.Err()
 	}
 	select {
 	case e := <-ended:
@@ -45,17 +45,17 @@
 		case f.calls <- func() { delete(f.pending, seq) }:
 		default:
 		}
-		return ledger.Result{}, &Uncertain{Why: context.Cause(ctx)}
+		return statemachine.Result{}, &Uncertain{Why: context.Cause(ctx)}
 	}
 }
 
 // start begins a proposal; done is called once, in the core's goroutine.
-func (f *Fleet) start(e ledger.Entry, done func(ledger.Result, error)) uint64 {
+func (f *Fleet) start(e statemachine.Entry, done func(statemachine.Result, error)) uint64 {
 	f.seq++
-	data := ledger.Encode(ledger.ID{Slot: f.o.Slot, Incarnation: f.inc, Seq: f.seq}, e)
+	data := statemachine.Encode(statemachine.ID{Slot: f.o.Slot, Incarnation: f.inc, Seq: f.seq}, e)
 	f.Counts.Proposed.Add(1)
 	if len(data) > maxEntry { // no leader would take it, however often it is sent
-		done(ledger.Result{}, &agree.BadEntry{Bytes: len(data), Most: maxEntry})
+		done(statemachine.Result{}, &consensus.BadEntry{Bytes: len(data), Most: maxEntry})
 		return f.seq
 	}
 	f.pending[f.seq] = &proposal{seq: f.seq, data: data, done: done}
@@ -93,8 +93,8 @@
 }
 
 // applied tells whoever waits what its entry came to.
-func (f *Fleet) applied(index uint64, data []byte, r ledger.Result) {
-	id, e, err := ledger.Decode(data)
+func (f *Fleet) applied(index uint64, data []byte, r statemachine.Result) {
+	id, e, err := statemachine.Decode(data)
 	if err != nil {
 		return
 	}
@@ -113,7 +113,7 @@
 func (f *Fleet) abandon(why error) {
 	for seq, p := range f.pending {
 		delete(f.pending, seq)
-		p.done(ledger.Result{}, &Uncertain{Why: why})
+		p.done(statemachine.Result{}, &Uncertain{Why: why})
 	}
 }
 
@@ -164,7 +164,7 @@
 			return
 		}
 		for i := range u.Renewals {
-			f.via[ledger.Slot(u.Renewals[i].Slot)] = c
+			f.via[statemachine.Slot(u.Renewals[i].Slot)] = c
 		}
 	}
 	if leads {
@@ -186,7 +186,7 @@
 
 // admit proposes to Raft what can be read as an entry; what is refused here is sent again by whoever proposed it.
 func (f *Fleet) admit(data []byte, now time.Duration) {
-	if _, _, err := ledger.Decode(data); err != nil {
+	if _, _, err := statemachine.Decode(data); err != nil {
 		return
 	}
 	if err := f.node.Propose(data, now); err != nil {
--- a/internal/cluster/fleet/release_test.go
+++ b/internal/cluster/controlplane/release_test.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
 	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
 )
 
 var rounds = flag.Int("rounds", 4, "seeds of releases under cuts")
@@ -92,7 +92,7 @@
 					go func() {
 						ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 						defer cancel()
-						f.Propose(ctx, &ledger.Use{Permit: n, Slot: f.o.Slot, Incarnation: v.Permit.Incarnation})
+						f.Propose(ctx, &statemachine.Use{Permit: n, Slot: f.o.Slot, Incarnation: v.Permit.Incarnation})
 						tried.Delete(n)
 					}()
 				}
@@ -104,9 +104,9 @@
 		c.start(i + 1)
 	}
 	c.until("all are in", 5*time.Second, c.connected)
-	plan := &ledger.Plan{To: "2", From: "1", Most: uint32(most), Gates: "off"}
+	plan := &statemachine.Plan{To: "2", From: "1", Most: uint32(most), Gates: "off"}
 	for i := range brokers {
-		plan.Slots = append(plan.Slots, ledger.Slot(brokers-i))
+		plan.Slots = append(plan.Slots, statemachine.Slot(brokers-i))
 	}
 	if _, err := c.propose("b7", plan); err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 	back := map[string]time.Time{}
 	for began := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		if time.Since(began) > 3*time.Minute {
-			r, _ := peek(c.all["b1"], func() ledger.Release { r, _ := c.all["b1"].state.Release(); return r }), 0
+			r, _ := peek(c.all["b1"], func() statemachine.Release { r, _ := c.all["b1"].state.Release(); return r }), 0
 			t.Fatalf("the release does not end: %+v", r)
 		}
 		if bad := c.unsafe(); bad != "" {
@@ -144,11 +144,11 @@
 			}
 		}
 		if f := c.all["b1"]; f != nil && len(back) == 0 {
-			r := peek(f, func() ledger.Release { r, _ := f.state.Release(); return r })
-			if r.Course == ledger.Done {
+			r := peek(f, func() statemachine.Release { r, _ := f.state.Release(); return r })
+			if r.Course == statemachine.Done {
 				break
 			}
-			if r.Course == ledger.Halted {
+			if r.Course == statemachine.Halted {
 				t.Fatalf("halted: %s", r.Reason)
 			}
 		}
--- a/internal/cluster/fleet/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -1,12 +1,12 @@
-package fleet
+package controlplane
 
 // This file owns what a broker tells the leader of its own work.
 
 import (
 	"time"
 
-	"flaxfront/internal/decision/ledger"
 	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // Report is what a broker has done since its start; the figures only grow.
@@ -38,7 +38,7 @@
 func (f *Fleet) Tell(e Extra) { f.extras = append(f.extras, e) }
 
 // evidence is a report as a release's gates take it.
-func (r *Report) evidence(b ledger.Broker) release.Report {
+func (r *Report) evidence(b statemachine.Broker) release.Report {
 	e := release.Report{Target: release.Target{Slot: b.Slot}, Incarnation: b.Incarnation, Zone: b.Zone}
 	for i, c := range r.Classes {
 		n := release.Counts{Asked: c.Served + c.Refused + c.Failed + c.Late}
@@ -73,7 +73,7 @@
 // reported takes reports at the leader.
 func (f *Fleet) reported(all []report, now time.Duration) {
 	for _, m := range all {
-		b, known := f.state.Broker(ledger.Slot(m.Slot))
+		b, known := f.state.Broker(statemachine.Slot(m.Slot))
 		if !known || b.Incarnation != m.Inc || len(m.Data) > maxReport || f.lead.reports == nil {
 			continue
 		}
--- a/internal/cluster/fleet/request.go
+++ b/internal/cluster/controlplane/request.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns operators' requests, which the leader answers: what it tells is what a majority knows, and what it proposes is
 // answered when it is agreed.
@@ -8,8 +8,8 @@
 	"fmt"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // The verbs of requests.
@@ -60,38 +60,38 @@
 	Index    uint64
 	Protocol uint64
 	Brokers  []BrokerStatus
-	Release  *ledger.Release `json:",omitempty"`
-	Drains   []DrainStatus   `json:",omitempty"`
-	Policy   *ledger.Policy  `json:",omitempty"`
-	Waiting  *ledger.Policy  `json:",omitempty"`
+	Release  *statemachine.Release `json:",omitempty"`
+	Drains   []DrainStatus         `json:",omitempty"`
+	Policy   *statemachine.Policy  `json:",omitempty"`
+	Waiting  *statemachine.Policy  `json:",omitempty"`
 	Epoch    uint64
 	Nodes    []NodeStatus `json:",omitempty"`
 }
 
 // BrokerStatus is a broker and when the leader heard it.
 type BrokerStatus struct {
-	ledger.Broker
+	statemachine.Broker
 	State string
 	Ago   time.Duration // since its lease was renewed; negative: not under this leader
 }
 
 // NodeStatus is an agreed node.
 type NodeStatus struct {
-	ledger.Node
+	statemachine.Node
 	Name   string
 	Permit uint64 // by which it may go out, or has; 0: none
 }
 
 // DrainStatus is a drain and the brokers that have not acknowledged it.
 type DrainStatus struct {
-	Drain   ledger.Drain
+	Drain   statemachine.Drain
 	Node    string // its name
 	Done    bool
-	Awaited []ledger.Slot
+	Awaited []statemachine.Slot
 }
 
 // nodeID finds a node by the name or address that an operator gives.
-func (f *Fleet) nodeID(text string) (broker.NodeID, error) {
+func (f *Fleet) nodeID(text string) (decision.NodeID, error) {
 	id, ok := f.find(text)
 	if !ok {
 		return id, &BadRequest{fmt.Sprintf("no node %.80q is in the leader's list", text)}
@@ -134,7 +134,7 @@
 	}
 	// What was agreed before this moment counts, such as which release is the present one.
 	f.read(func(err error) {
-		var e ledger.Entry
+		var e statemachine.Entry
 		if err == nil {
 			e, err = f.wanted(m.Verb, &r)
 		}
@@ -142,12 +142,12 @@
 			answer(nil, err)
 			return
 		}
-		c.asks = append(c.asks, f.start(e, func(r ledger.Result, err error) { answer(r.Number, err) }))
+		c.asks = append(c.asks, f.start(e, func(r statemachine.Result, err error) { answer(r.Number, err) }))
 	})
 }
 
 // wanted makes an entry of a request.
-func (f *Fleet) wanted(verb string, r *Request) (ledger.Entry, error) {
+func (f *Fleet) wanted(verb string, r *Request) (statemachine.Entry, error) {
 	release := r.Release
 	if now, ok := f.state.Release(); ok && release == 0 {
 		release = now.Number
@@ -156,11 +156,11 @@
 	case VerbRelease:
 		return f.plan(r.Plan)
 	case VerbHalt:
-		return &ledger.Halt{Release: release, Reason: r.Reason}, nil
+		return &statemachine.Halt{Release: release, Reason: r.Reason}, nil
 	case VerbResume:
-		return &ledger.Resume{Release: release}, nil
+		return &statemachine.Resume{Release: release}, nil
 	case VerbBack:
-		return &ledger.Revert{Release: release, Reason: r.Reason}, nil
+		return &statemachine.Revert{Release: release, Reason: r.Reason}, nil
 	case VerbDrain, VerbUndrain, VerbOut, VerbReturned:
 		return f.wantedNode(verb, r)
 	case VerbForget:
@@ -168,7 +168,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &ledger.Forget{Slot: slots[0]}, nil
+		return &statemachine.Forget{Slot: slots[0]}, nil
 	case VerbPolicy, VerbPolicyBack:
 		if f.compile == nil {
 			return nil, &BadRequest{"this program divides no budgets: fleet.budgets is false"}
--- a/internal/cluster/fleet/session.go
+++ b/internal/cluster/controlplane/session.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns this broker's session: its place in the roster, and the lease that tells it that it is not cut off. It counts
 // from before it asked; the leader counts from after it granted (lead.go).
@@ -8,7 +8,7 @@
 	"log/slog"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 const joinEvery = 200 * time.Millisecond
@@ -60,7 +60,7 @@
 // alive tells whether the ledger has this broker under its present incarnation.
 func (f *Fleet) alive() bool {
 	b, ok := f.state.Broker(f.o.Slot)
-	return ok && b.Name == f.name && b.Incarnation == f.inc && b.Standing != ledger.Gone
+	return ok && b.Name == f.name && b.Incarnation == f.inc && b.Standing != statemachine.Gone
 }
 
 // mustGo tells whether this very process went by a permit, though it may not have heard that this was agreed.
@@ -79,13 +79,13 @@
 	if f.mustGo() { // it comes back as the process that is started next, or not at all
 		return
 	}
-	var e ledger.Entry
+	var e statemachine.Entry
 	switch {
-	case f.alive() && (b.Standing == ledger.Joining || b.Standing == ledger.Back) && f.serving.Load():
-		e = &ledger.Return{Slot: f.o.Slot, Incarnation: f.inc}
+	case f.alive() && (b.Standing == statemachine.Joining || b.Standing == statemachine.Back) && f.serving.Load():
+		e = &statemachine.Return{Slot: f.o.Slot, Incarnation: f.inc}
 	case f.alive():
 		return
-	case known && b.Name != f.name && b.Standing != ledger.Gone && b.Standing != ledger.Out:
+	case known && b.Name != f.name && b.Standing != statemachine.Gone && b.Standing != statemachine.Out:
 		if now-f.lease.said > 10*time.Second || f.lease.said == 0 {
 			f.lease.said = now
 			slog.Error("fleet: not registered", "error", &SlotTaken{f.o.Slot, b.Name})
@@ -97,10 +97,10 @@
 			f.abandon(errors.New("the session was lost"))
 			f.lease.until = 0
 		}
-		e = &ledger.Register{Slot: f.o.Slot, Name: f.name, Incarnation: f.inc, Version: f.o.Version, Zone: f.o.Zone, Protocol: ledger.Protocol}
+		e = &statemachine.Register{Slot: f.o.Slot, Name: f.name, Incarnation: f.inc, Version: f.o.Version, Zone: f.o.Zone, Protocol: statemachine.Protocol}
 	}
 	f.joining = true
-	f.start(e, func(r ledger.Result, err error) {
+	f.start(e, func(r statemachine.Result, err error) {
 		f.joining = false
 		if f.due.renew = 0; err != nil && !errors.As(err, new(*Uncertain)) {
 			slog.Warn("fleet: not registered", "error", err)
@@ -125,9 +125,9 @@
 	}
 	others := map[*conn]*down{}
 	for _, g := range d.Grants {
-		if ledger.Slot(g.Slot) == f.o.Slot {
+		if statemachine.Slot(g.Slot) == f.o.Slot {
 			f.granted(g, d, now)
-		} else if to := f.via[ledger.Slot(g.Slot)]; to != nil && (c == nil || to.follows) {
+		} else if to := f.via[statemachine.Slot(g.Slot)]; to != nil && (c == nil || to.follows) {
 			if others[to] == nil {
 				others[to] = &down{Lease: d.Lease, Leader: d.Leader}
 			}
--- a/internal/cluster/fleet/share_test.go
+++ b/internal/cluster/controlplane/share_test.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 import (
 	"encoding/binary"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // Facts are never older than they are said to be.
@@ -47,7 +47,7 @@
 		for i := range 4 {
 			f := c.start(i + 1)
 			f.call(t.Context(), func() {
-				f.find = func(text string) (id broker.NodeID, ok bool) { return broker.NodeID{Port: 7}, text == "n7" }
+				f.find = func(text string) (id decision.NodeID, ok bool) { return decision.NodeID{Port: 7}, text == "n7" }
 			})
 		}
 		c.until("all are in", 5*time.Second, c.connected)
@@ -61,10 +61,10 @@
 				t.Errorf("%s: %v", r.verb, err)
 			}
 		}
-		if _, err := lead.Propose(t.Context(), &ledger.Epoch{Number: 1, Nodes: []ledger.NodeInfo{{Node: broker.NodeID{Port: 7}}}}); err != nil {
+		if _, err := lead.Propose(t.Context(), &statemachine.Epoch{Number: 1, Nodes: []statemachine.NodeInfo{{Node: decision.NodeID{Port: 7}}}}); err != nil {
 			t.Fatal(err)
 		}
-		e := peek(lead, func() ledger.Entry { e, _ := lead.wanted(VerbDrain, &Request{Node: "n7"}); return e })
+		e := peek(lead, func() statemachine.Entry { e, _ := lead.wanted(VerbDrain, &Request{Node: "n7"}); return e })
 		r, err := lead.Propose(t.Context(), e)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/cluster/fleet/take.go
+++ b/internal/cluster/controlplane/take.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns what connections and their frames lead to.
 
@@ -8,7 +8,7 @@
 	"log/slog"
 	"slices"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // take does what a frame asks for. A side that sends what makes no sense is not trusted further.
@@ -76,10 +76,10 @@
 }
 
 // moves tells whether an entry changes the agreed nodes; what brokers hold of them is not counted.
-func moves(e ledger.Entry) bool {
+func moves(e statemachine.Entry) bool {
 	switch e.(type) {
-	case *ledger.Lead, *ledger.Register, *ledger.Lost, *ledger.DrainAck, *ledger.PolicyAck, *ledger.Grant, *ledger.GrantAck,
-		*ledger.GiveUp, *ledger.Expire:
+	case *statemachine.Lead, *statemachine.Register, *statemachine.Lost, *statemachine.DrainAck, *statemachine.PolicyAck, *statemachine.Grant, *statemachine.GrantAck,
+		*statemachine.GiveUp, *statemachine.Expire:
 		return false
 	}
 	return true
--- a/internal/cluster/fleet/traffic_test.go
+++ b/internal/cluster/controlplane/traffic_test.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 import (
 	"flag"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 var brokers = flag.Int("brokers", 40, "in the tier whose traffic is measured")
@@ -43,7 +43,7 @@
 			for range span * 10 {
 				if busy {
 					entries++
-					if _, err := c.propose("b4", &ledger.Epoch{Number: uint64(entries)}); err != nil {
+					if _, err := c.propose("b4", &statemachine.Epoch{Number: uint64(entries)}); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/internal/cluster/fleet/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns what the search loop sees: one immutable view after another, of which it may miss some.
 
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
 )
 
 const publishEvery = 10 * time.Millisecond
@@ -20,23 +20,23 @@
 	Since       time.Duration // from when on, by Options.Now
 	LeaseEnd    time.Duration // of the session; what is granted holds up to then, by the clock at that moment
 	Leader      string
-	Me          ledger.Broker // zero: not registered
+	Me          statemachine.Broker // zero: not registered
 	Incarnation uint64
 	Drains      []Drain
-	Permit      ledger.Pass // Number 0: none
-	Grant       ledger.Holding
-	Policy      *ledger.Policy // in force; nil: none
-	Waiting     *ledger.Policy
+	Permit      statemachine.Pass // Number 0: none
+	Grant       statemachine.Holding
+	Policy      *statemachine.Policy // in force; nil: none
+	Waiting     *statemachine.Policy
 	PolicyAcked uint64
 	Epoch       uint64
-	Nodes       []ledger.Node
+	Nodes       []statemachine.Node
 	MustGo      bool  // this process has gone out by its permit, and must stop
 	Halted      error // an entry of a newer version: nothing later is known
 }
 
 // Drain is an agreed drain of a node.
 type Drain struct {
-	Node   broker.NodeID
+	Node   decision.NodeID
 	Number uint64
 	Acked  bool // by this broker
 }
@@ -68,7 +68,7 @@
 		v.Grant, _ = s.Grants(f.o.Slot)
 		v.PolicyAcked = s.PolicyAcked(f.o.Slot)
 	}
-	me := ledger.Member{Slot: f.o.Slot, Incarnation: f.inc}
+	me := statemachine.Member{Slot: f.o.Slot, Incarnation: f.inc}
 	for _, d := range s.Drains() {
 		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acks, me)})
 	}
--- a/internal/cluster/fleet/wire.go
+++ b/internal/cluster/controlplane/wire.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 // This file owns the frames: four bytes of length (least significant first), a letter, and a body in CBOR (RFC 8949). Fields
 // have numbers, and those that a side does not know are passed over, so that two versions understand one another.
--- a/internal/cluster/hint/parse.go
+++ b/internal/cluster/readhint/parse.go
@@ -1,4 +1,4 @@
-package hint
+package readhint
 
 import (
 	"strconv"
--- a/internal/cluster/hint/hint.go
+++ b/internal/cluster/readhint/readhint.go
@@ -1,10 +1,10 @@
-// Package hint owns the grammar of the read hint: what application code says in a query about the age of what it reads and the
+// Package readhint owns the grammar of the read hint: what application code says in a query about the age of what it reads and the
 // replica that it reads from. The specification is docs/design/pinned-reads.md. A hint is taken whole or not at all: it must never
 // be half obeyed, and never decide what to do about it.
 //
 // Depends on no package of this module. Concurrency: it keeps no state and starts no goroutine, so that its
 // functions may be called from any goroutine; what they return is the caller's.
-package hint
+package readhint
 
 import (
 	"fmt"
--- a/internal/config/terms/terms.go
+++ b/internal/config/terms/terms.go
@@ -2,7 +2,7 @@
 // the simulator writes as path=value lines and the platform as nested JSON, and the configuration file round it.
 // It must never decide anything, fill in a figure of its own, or let a setting through that it could not read.
 //
-// Depends on decision/broker. Concurrency: it keeps no state and starts no goroutine, so that its functions
+// Depends on decision. Concurrency: it keeps no state and starts no goroutine, so that its functions
 // may be called from any goroutine; what they return is the caller's.
 package terms
 
@@ -18,12 +18,12 @@
 	"strings"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Terms are the settings: the module's, and those that only a front on sockets needs.
 type Terms struct {
-	Module   broker.Terms
+	Module   decision.Terms
 	Types    []string // names, in the order of Module.Types
 	Tenants  []string
 	Zones    []string
@@ -91,7 +91,7 @@
 	if p.sockets && f.Shards == 0 {
 		p.fail("domain.slices", "no shards")
 	}
-	t := broker.Terms{
+	t := decision.Terms{
 		Seed:         seed,
 		Brokers:      max(1, p.count("balancers", false, 1)),
 		Peers:        p.flag("permissions.peers"),
@@ -149,7 +149,7 @@
 	fetches := p.list("domain.fetchParts", n, 0)
 	for i := range n {
 		at := fmt.Sprintf("classes.%d.", i)
-		c := broker.SearchType{
+		c := decision.SearchType{
 			Target:    p.span(at+"aimNs", true),
 			Timeout:   p.span(at+"deadlineNs", true),
 			Value:     p.num(at+"credit", false, 1),
@@ -161,15 +161,15 @@
 		}
 		switch effect := p.text(at+"effect", true); effect {
 		case "read_like":
-			c.Effect = broker.Idempotent
+			c.Effect = decision.Idempotent
 		case "idempotency_key":
-			c.Effect = broker.Tokened
+			c.Effect = decision.Tokened
 		case "non_idempotent":
-			c.Effect = broker.NonIdempotent
+			c.Effect = decision.NonIdempotent
 		default:
 			p.fail(at+"effect", "unknown form %q", effect)
 		}
-		if p.sockets && c.Effect == broker.Tokened && c.Window <= 0 {
+		if p.sockets && c.Effect == decision.Tokened && c.Window <= 0 {
 			p.fail(at+"windowNs", "missing, and nothing tells how long repeats are dropped")
 		}
 		if p.sockets && (c.Floor > c.Need || c.Need > 1) {
@@ -184,7 +184,7 @@
 	for i := range p.size("realms.count", false) {
 		at := fmt.Sprintf("realms.%d.", i)
 		f.Tenants = append(f.Tenants, p.text(at+"name", p.sockets))
-		t.Tenants = append(t.Tenants, broker.Tenant{
+		t.Tenants = append(t.Tenants, decision.Tenant{
 			Portion: p.num(at+"portion", true, 0),
 			Quota:   p.num(at+"quotaPerS", false, 0),
 		})
--- a/internal/config/terms/terms_test.go
+++ b/internal/config/terms/terms_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 const settings = `{"azs":["north","south side"],"balancers":2,"me":1,
@@ -63,7 +63,7 @@
 	if !reflect.DeepEqual(a.Module, b.Module) {
 		t.Errorf("from JSON %+v\nfrom text %+v", a.Module, b.Module)
 	}
-	if a.Module.Types[0].Target != 2*time.Second || a.Module.Types[0].Effect != broker.Idempotent {
+	if a.Module.Types[0].Target != 2*time.Second || a.Module.Types[0].Effect != decision.Idempotent {
 		t.Errorf("type read as %+v", a.Module.Types[0])
 	}
 	if a.Zones[1] != "south side" || a.Tenants[0] != "a, b" || a.Types[0] != "find" || a.Shards != 9 ||
--- a/internal/decision/trust/ask.go
+++ b/internal/decision/cachedlist/ask.go
@@ -1,4 +1,4 @@
-package trust
+package cachedlist
 
 // This file owns when a call to discovery is hedged or given up, and how soon one that failed is made again where no pacer says so.
 // It must never read a clock: draws and times come in.
--- a/internal/decision/trust/ask_test.go
+++ b/internal/decision/cachedlist/ask_test.go
@@ -1,4 +1,4 @@
-package trust
+package cachedlist
 
 import (
 	"testing"
--- a/internal/decision/trust/book.go
+++ b/internal/decision/cachedlist/book.go
@@ -1,11 +1,11 @@
-// Package trust decides what a node list is worth while discovery can't confirm it: which of its entries are used, which
+// Package cachedlist decides what a node list is worth while discovery can't confirm it: which of its entries are used, which
 // of them are eased in, which are struck out on what evidence, and when discovery is asked again. The book owns what was
 // said of each node, when and by whom; the judge owns what follows from that and from what the nodes have shown; the pacer
 // owns the asking. Nothing here does I/O, reads a clock or starts a goroutine: times come in, facts go out.
 //
-// Depends on decision/broker. Concurrency: nothing here locks or starts a goroutine; a value is used by one
+// Depends on decision. Concurrency: nothing here locks or starts a goroutine; a value is used by one
 // goroutine at a time.
-package trust
+package cachedlist
 
 import (
 	"cmp"
--- a/internal/decision/trust/course_test.go
+++ b/internal/decision/cachedlist/course_test.go
@@ -1,4 +1,4 @@
-package trust
+package cachedlist
 
 // This file tests random courses of the book, the pacer, and cost.
 
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Entry by entry the later word counts.
@@ -54,7 +54,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "entries")
 		var all []Entry
-		barred := map[broker.NodeID]bool{}
+		barred := map[decision.NodeID]bool{}
 		for i := range n {
 			e := entry(i, time.Duration(rapid.IntRange(0, 35).Draw(t, "days"))*day)
 			e.State = State(rapid.IntRange(0, 2).Draw(t, "state"))
@@ -63,7 +63,7 @@
 		}
 		book := NewBook(Head{}, all)
 		j := NewJudge(policy, book, began)
-		inUse, cells := map[broker.NodeID]bool{}, map[int]bool{}
+		inUse, cells := map[decision.NodeID]bool{}, map[int]bool{}
 		told := false
 		take := func(facts []Fact) {
 			for _, f := range facts {
@@ -97,7 +97,7 @@
 			case 1:
 				j.Failed()
 			default:
-				j.Showed(id(name), broker.Outcome(rapid.IntRange(0, 7).Draw(t, "how")), time.Second, now)
+				j.Showed(id(name), decision.Outcome(rapid.IntRange(0, 7).Draw(t, "how")), time.Second, now)
 			}
 			facts, _ := j.Tick(now)
 			take(facts)
@@ -200,7 +200,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * time.Millisecond
-				j.Showed(id(fmt.Sprintf("%04x", i%50)), broker.OK, time.Millisecond, now)
+				j.Showed(id(fmt.Sprintf("%04x", i%50)), decision.OK, time.Millisecond, now)
 				j.Tick(now)
 			}
 		})
--- a/internal/decision/trust/entry.go
+++ b/internal/decision/cachedlist/entry.go
@@ -1,4 +1,4 @@
-package trust
+package cachedlist
 
 // This file owns the forms of moments, states and entries of the book.
 
--- a/internal/decision/trust/evidence.go
+++ b/internal/decision/cachedlist/evidence.go
@@ -1,7 +1,7 @@
-package trust
+package cachedlist
 
 import (
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"math"
 	"time"
 )
@@ -32,7 +32,7 @@
 }
 
 // Doubt is how likely a node's entry is wrong, for those who look from outside.
-func (j *Judge) Doubt(id broker.NodeID, now time.Duration) (float64, Standing) {
+func (j *Judge) Doubt(id decision.NodeID, now time.Duration) (float64, Standing) {
 	n := j.nodes[id]
 	if n == nil {
 		return 0, Confirmed
@@ -41,24 +41,24 @@
 }
 
 // weight is what an outcome tells: over 1 against the entry, 0 for it, 1 nothing.
-func weight(how broker.Outcome, took time.Duration) float64 {
+func weight(how decision.Outcome, took time.Duration) float64 {
 	switch how {
-	case broker.OK, broker.Stale:
+	case decision.OK, decision.Stale:
 		return 0
-	case broker.ConnectFailed:
+	case decision.ConnectFailed:
 		return oddsUnreachable
-	case broker.TimedOut:
+	case decision.TimedOut:
 		return oddsSilent
-	case broker.Cancelled:
+	case decision.Cancelled:
 		if took >= silentFrom {
 			return oddsSilent
 		}
 		return 1
-	case broker.Reset:
+	case decision.Reset:
 		return oddsBroken
-	case broker.Errored:
+	case decision.Errored:
 		return oddsErrored
-	case broker.Refused:
+	case decision.Refused:
 		return oddsRefused
 	default:
 		return 1
@@ -67,7 +67,7 @@
 
 // Showed takes what a node has shown: the end of a part that was sent to it. A node that answers earns its place at once.
 // While discovery is heard, what nodes show is the decision module's own matter.
-func (j *Judge) Showed(id broker.NodeID, how broker.Outcome, took, now time.Duration) {
+func (j *Judge) Showed(id decision.NodeID, how decision.Outcome, took, now time.Duration) {
 	w := weight(how, took)
 	if j.told || w == 1 {
 		return
--- a/internal/decision/trust/judge.go
+++ b/internal/decision/cachedlist/judge.go
@@ -1,4 +1,4 @@
-package trust
+package cachedlist
 
 // This file owns the verdicts. What an entry is worth is a probability that it is wrong: that its node is gone, drains,
 // or has changed hands. It starts from the age of the last confirmation and from how the list as a whole has proved, and
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Policy holds what operators may set.
@@ -60,7 +60,7 @@
 
 // Fact is what the decision module is to be told of a node.
 type Fact struct {
-	ID    broker.NodeID
+	ID    decision.NodeID
 	Entry Entry
 	Use   bool // else nothing is sent to it
 	Eased bool // it is not known when it started
@@ -68,7 +68,7 @@
 
 // node is what the judge keeps of one entry that is not ended.
 type node struct {
-	id       broker.NodeID
+	id       decision.NodeID
 	name     string
 	cell     int
 	standing Standing
@@ -90,7 +90,7 @@
 	policy   Policy
 	book     *Book
 	start    Moment
-	nodes    map[broker.NodeID]*node
+	nodes    map[decision.NodeID]*node
 	cells    map[int]int    // entries in use, by cell
 	tried    map[*node]bool // showed something lately
 	suspects map[*node]bool // failed, or struck out
@@ -118,7 +118,7 @@
 
 // NewJudge makes a judge of the entries at a broker's start.
 func NewJudge(p Policy, b *Book, start Moment) *Judge {
-	return &Judge{policy: p, book: b, start: start, nodes: map[broker.NodeID]*node{}, cells: map[int]int{},
+	return &Judge{policy: p, book: b, start: start, nodes: map[decision.NodeID]*node{}, cells: map[int]int{},
 		tried: map[*node]bool{}, suspects: map[*node]bool{}, due: never}
 }
 
@@ -141,7 +141,7 @@
 
 // Begin tells the facts of all entries at the start: those in service that are not too old are used and eased in, as
 // nobody knows when they started; a drain or an end that was told before the start binds after it.
-func (j *Judge) Begin(id func(name string) broker.NodeID) []Fact {
+func (j *Judge) Begin(id func(name string) decision.NodeID) []Fact {
 	for _, e := range j.book.sorted() {
 		if e.State == Ended {
 			continue
--- a/internal/decision/trust/pace.go
+++ b/internal/decision/cachedlist/pace.go
@@ -1,4 +1,4 @@
-package trust
+package cachedlist
 
 // This file owns when discovery is asked again after it could not be. Two things are told apart: a service that takes no
 // connection, which is knocked at often, as that costs it nothing, and one that takes connections but does not answer in
--- a/internal/decision/trust/told.go
+++ b/internal/decision/cachedlist/told.go
@@ -1,8 +1,8 @@
-package trust
+package cachedlist
 
 import (
 	"cmp"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"slices"
 	"time"
 )
@@ -12,7 +12,7 @@
 // Listed takes discovery's word, which binds: from here on nothing is doubtful, struck out or barred but by it. What the
 // list itself names is told to the decision module by the loop; the facts are for those that it leaves out. It returns how
 // many nodes in service a whole list ended, of how many.
-func (j *Judge) Listed(l List, id func(name string) broker.NodeID, now time.Duration) (ended, of int) {
+func (j *Judge) Listed(l List, id func(name string) decision.NodeID, now time.Duration) (ended, of int) {
 	ended, of = j.book.Listed(l, j.moment(now))
 	j.told, j.alike, j.due, j.exposure, j.proved = true, false, never, 0, 0
 	clear(j.cells)
@@ -50,7 +50,7 @@
 
 // Import takes entries from an operator while discovery can't be asked, and returns how many. They are as doubtful as
 // their age says. While it can be asked its word binds, and nothing is taken.
-func (j *Judge) Import(entries []Entry, id func(name string) broker.NodeID, now time.Duration) (took int) {
+func (j *Judge) Import(entries []Entry, id func(name string) decision.NodeID, now time.Duration) (took int) {
 	if j.told {
 		return 0
 	}
@@ -86,7 +86,7 @@
 
 // Forget drops entries that an operator names, and returns how many. While discovery can be asked only ended ones go, as
 // the others are its word.
-func (j *Judge) Forget(names []string, id func(name string) broker.NodeID) (n int) {
+func (j *Judge) Forget(names []string, id func(name string) decision.NodeID) (n int) {
 	for _, name := range names {
 		e, known := j.book.Get(name)
 		if !known || j.told && e.State != Ended {
@@ -102,7 +102,7 @@
 
 // Word takes over what another broker was told by discovery of one node. It binds for that node and says nothing of the others:
 // what was doubtful of a kept list stays so. The decision module has the word already.
-func (j *Judge) Word(name string, at broker.NodeID, state State, started Moment, now time.Duration) {
+func (j *Judge) Word(name string, at decision.NodeID, state State, started Moment, now time.Duration) {
 	e, known := j.book.Get(name)
 	if !known {
 		return
--- a/internal/decision/trust/trust_test.go
+++ b/internal/decision/cachedlist/trust_test.go
@@ -1,4 +1,4 @@
-package trust
+package cachedlist
 
 import (
 	"flag"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // The courses that are drawn are the same in each run; -rapid.seed given on the command line draws others.
@@ -22,7 +22,7 @@
 	addr   = netip.MustParseAddrPort("127.0.0.1:80")
 )
 
-func id(name string) (id broker.NodeID) {
+func id(name string) (id decision.NodeID) {
 	copy(id.Addr[:], name)
 	return id
 }
@@ -45,12 +45,12 @@
 }
 
 // strikes counts how many failures of a kind, a second apart, it takes until an entry is struck out.
-func strikes(age time.Duration, how broker.Outcome) int {
+func strikes(age time.Duration, how decision.Outcome) int {
 	j, _ := judged(8, age)
 	for n := 1; n < 100; n++ {
 		now := time.Duration(n) * time.Second
-		j.Showed(id("n01"), broker.OK, time.Millisecond, now) // the others do well
-		j.Showed(id("n02"), broker.OK, time.Millisecond, now)
+		j.Showed(id("n01"), decision.OK, time.Millisecond, now) // the others do well
+		j.Showed(id("n02"), decision.OK, time.Millisecond, now)
 		j.Showed(id("n00"), how, time.Second, now)
 		facts, _ := j.Tick(now)
 		for _, f := range facts {
@@ -63,7 +63,7 @@
 }
 
 func TestEvidenceWeighsMoreTheOlderTheEntry(t *testing.T) {
-	for _, how := range []broker.Outcome{broker.ConnectFailed, broker.TimedOut, broker.Refused, broker.Reset, broker.Errored} {
+	for _, how := range []decision.Outcome{decision.ConnectFailed, decision.TimedOut, decision.Refused, decision.Reset, decision.Errored} {
 		last := 100
 		for _, age := range []time.Duration{0, time.Hour, day, 7 * day, 29 * day} {
 			n := strikes(age, how)
@@ -76,7 +76,7 @@
 			t.Errorf("kind %d: %d failures for a fresh entry, %d for an old one", how, fresh, old)
 		}
 	}
-	if n := strikes(7*day, broker.ConnectFailed); n > 2 {
+	if n := strikes(7*day, decision.ConnectFailed); n > 2 {
 		t.Errorf("a week-old entry that refuses is struck out after %d", n)
 	}
 }
@@ -85,8 +85,8 @@
 func TestAnswerConfirms(t *testing.T) {
 	j, b := judged(8, 25*day)
 	fail := func(now time.Duration) []Fact {
-		j.Showed(id("n01"), broker.OK, 0, now)
-		j.Showed(id("n00"), broker.ConnectFailed, 0, now)
+		j.Showed(id("n01"), decision.OK, 0, now)
+		j.Showed(id("n00"), decision.ConnectFailed, 0, now)
 		facts, _ := j.Tick(now)
 		return facts
 	}
@@ -105,7 +105,7 @@
 	}
 	_, next = j.Tick(next + 2*time.Second)
 	j.Tick(next)
-	j.Showed(id("n00"), broker.OK, 0, next+time.Second)
+	j.Showed(id("n00"), decision.OK, 0, next+time.Second)
 	if facts, _ = j.Tick(next + time.Second); len(facts) != 1 || !facts[0].Use || !facts[0].Eased {
 		t.Fatalf("answered: %+v", facts)
 	}
@@ -123,7 +123,7 @@
 	for s := range 20 {
 		now := time.Duration(s) * time.Second
 		for i := range 8 {
-			j.Showed(id(fmt.Sprintf("n%02d", i)), broker.ConnectFailed, 0, now)
+			j.Showed(id(fmt.Sprintf("n%02d", i)), decision.ConnectFailed, 0, now)
 		}
 		if facts, _ := j.Tick(now); len(facts) != 0 {
 			t.Fatalf("struck out %+v", facts)
@@ -133,7 +133,7 @@
 		t.Error("not told")
 	}
 	for i := range 7 {
-		j.Showed(id(fmt.Sprintf("n%02d", i)), broker.OK, 0, 21*time.Second)
+		j.Showed(id(fmt.Sprintf("n%02d", i)), decision.OK, 0, 21*time.Second)
 	}
 	if facts, _ := j.Tick(21 * time.Second); len(facts) != 0 || j.Picture(time.Minute).OwnNetwork {
 		t.Errorf("after it ended: %+v", facts)
@@ -142,11 +142,11 @@
 
 // A list that proves worse than its age makes its other entries more doubtful, and one that proves well less so.
 func TestListProves(t *testing.T) {
-	doubt := func(how broker.Outcome) float64 {
+	doubt := func(how decision.Outcome) float64 {
 		j, _ := judged(40, day)
 		for i := range 20 {
 			now := time.Duration(i) * time.Second
-			j.Showed(id("n38"), broker.OK, 0, now)
+			j.Showed(id("n38"), decision.OK, 0, now)
 			for range 9 {
 				now += 110 * time.Millisecond
 				j.Showed(id(fmt.Sprintf("n%02d", i)), how, 0, now)
@@ -158,7 +158,7 @@
 	}
 	j, _ := judged(1, day)
 	plain, _ := j.Doubt(id("n00"), 0)
-	if good, bad := doubt(broker.OK), doubt(broker.ConnectFailed); good >= plain || bad <= 2*plain {
+	if good, bad := doubt(decision.OK), doubt(decision.ConnectFailed); good >= plain || bad <= 2*plain {
 		t.Errorf("doubt %.3f by age, %.3f after a good showing, %.3f after a bad one", plain, good, bad)
 	}
 }
@@ -181,7 +181,7 @@
 		t.Errorf("an entry from the future is doubted by %.2f", d)
 	}
 	for _, name := range []string{"n00", "n02"} {
-		j.Showed(id(name), broker.OK, 0, time.Second)
+		j.Showed(id(name), decision.OK, 0, time.Second)
 	}
 	if facts, _ := j.Tick(time.Second); len(facts) != 0 {
 		t.Errorf("brought back %+v", facts)
--- a/internal/decision/trust/word_test.go
+++ b/internal/decision/cachedlist/word_test.go
@@ -1,11 +1,11 @@
-package trust
+package cachedlist
 
 import (
 	"net/netip"
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Another broker's word on one node takes that one out of use and confirms no other: all else of an old list stays doubtful and
@@ -16,12 +16,12 @@
 	for _, name := range []string{"a", "b", "c"} {
 		entries = append(entries, Entry{Name: name, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Confirmed: start - Moment((7 * 24 * time.Hour).Milliseconds())})
 	}
-	id := func(name string) broker.NodeID { return broker.NodeID{Port: uint16(name[0])} }
+	id := func(name string) decision.NodeID { return decision.NodeID{Port: uint16(name[0])} }
 	j := NewJudge(Policy{HalfLife: 7 * 24 * time.Hour, Oldest: 30 * 24 * time.Hour, StrikeAt: 0.95, Parole: time.Second}, NewBook(Head{}, entries), start)
 	j.Begin(id)
 	j.Failed()
 	for i := range 40 {
-		j.Showed(id("a"), broker.ConnectFailed, time.Millisecond, time.Duration(i)*100*time.Millisecond)
+		j.Showed(id("a"), decision.ConnectFailed, time.Millisecond, time.Duration(i)*100*time.Millisecond)
 	}
 	before, _ := j.Doubt(id("b"), 4*time.Second)
 	j.Word("a", id("a"), Draining, 0, 4*time.Second)
--- a/internal/decision/units/agent_test.go
+++ b/internal/decision/connlease/agent_test.go
@@ -1,17 +1,17 @@
-package units
+package connlease
 
 import (
 	"fmt"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // agent is a broker.
 type agent struct {
 	w           *world
-	slot        ledger.Slot
+	slot        statemachine.Slot
 	incarnation uint64
 	rate        float64 // of its clock
 	holder      *Holder
@@ -153,7 +153,7 @@
 			return
 		}
 		if h, _ := w.state.Grants(a.slot); ack > 0 && h.Number == ack {
-			w.apply(&ledger.GrantAck{Slot: a.slot, Incarnation: born, Number: ack})
+			w.apply(&statemachine.GrantAck{Slot: a.slot, Incarnation: born, Number: ack})
 		}
 		w.granter.Heard(a.slot, born, w.now)
 		w.needs[a.slot] = rows
@@ -163,7 +163,7 @@
 	})
 }
 
-func (a *agent) answer(born uint64, asked time.Duration, ack uint64, h ledger.Holding, inForce, waiting *ledger.Policy) {
+func (a *agent) answer(born uint64, asked time.Duration, ack uint64, h statemachine.Holding, inForce, waiting *statemachine.Policy) {
 	w := a.w
 	if a.stopped { // it waits in the socket
 		w.after(50*time.Millisecond, func() { a.answer(born, asked, ack, h, inForce, waiting) })
@@ -183,7 +183,7 @@
 		}
 		a.holder.Take(h.Number, rows, Ends(asked, lease))
 	}
-	newest, floors := inForce, map[broker.NodeID]int{}
+	newest, floors := inForce, map[decision.NodeID]int{}
 	for _, b := range inForce.Budgets {
 		floors[b.Node] = int(b.Floor)
 	}
@@ -198,7 +198,7 @@
 		if newest.Version > a.floors && a.holder.Settled(a.clock(), true) {
 			a.floors = newest.Version
 			w.after(w.upTo(30*time.Millisecond), func() {
-				w.apply(&ledger.PolicyAck{Slot: a.slot, Incarnation: born, Version: newest.Version})
+				w.apply(&statemachine.PolicyAck{Slot: a.slot, Incarnation: born, Version: newest.Version})
 			})
 		}
 	}
--- a/internal/decision/units/audit_test.go
+++ b/internal/decision/connlease/audit_test.go
@@ -1,4 +1,4 @@
-package units
+package connlease
 
 import (
 	"flag"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 var (
@@ -17,22 +17,22 @@
 )
 
 func play(seed uint64, change func(*world)) *world {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 9)), state: ledger.New(), needs: map[ledger.Slot][]Row{}, count: map[ledger.NodeID]int{}}
+	w := &world{chance: rand.New(rand.NewPCG(seed, 9)), state: statemachine.New(), needs: map[statemachine.Slot][]Row{}, count: map[statemachine.NodeID]int{}}
 	w.linger, w.stalls = 6*time.Second, 40
 	w.plans = []*Plan{newPlan(*nodes, *brokers*2), newPlan(*nodes, *brokers)}
 	if change != nil {
 		change(w)
 	}
 	w.elect()
-	epoch := &ledger.Epoch{Number: 1}
+	epoch := &statemachine.Epoch{Number: 1}
 	for _, id := range w.plans[0].Nodes {
-		epoch.Nodes = append(epoch.Nodes, ledger.NodeInfo{Node: id, Zone: "z"})
+		epoch.Nodes = append(epoch.Nodes, statemachine.NodeInfo{Node: id, Zone: "z"})
 	}
 	w.apply(epoch)
 	version := uint64(1)
 	w.policy(version, *brokers)
 	for i := range *brokers {
-		a := &agent{w: w, slot: ledger.Slot(i), rate: 0.992 + w.chance.Float64()*0.016, want: map[Key]int{}}
+		a := &agent{w: w, slot: statemachine.Slot(i), rate: 0.992 + w.chance.Float64()*0.016, want: map[Key]int{}}
 		w.brokers = append(w.brokers, a)
 		w.start(a)
 	}
--- a/internal/decision/units/baseline_test.go
+++ b/internal/decision/connlease/baseline_test.go
@@ -1,12 +1,12 @@
-package units
+package connlease
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/divide"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/fairshare"
 )
 
 // baseline is one way to share connections, in steps of 100 ms: who wants how many, and who holds what.
@@ -112,9 +112,9 @@
 
 // leased divides every half second. What goes down is free a second later, when it is closed and acknowledged; what goes up waits.
 func leased(plan *Plan, brokers int) func(time.Duration, [][]int, [][]int) {
-	var d divide.Divider
-	granted, freed := divide.NewTable(1, tenants, brokers), []int{} // units on their way back, by step
-	id := broker.NodeID{Port: 1}
+	var d fairshare.Divider
+	granted, freed := fairshare.NewTable(1, tenants, brokers), []int{} // units on their way back, by step
+	id := decision.NodeID{Port: 1}
 	needs := make([]*Needs, brokers)
 	for b := range needs {
 		needs[b] = NewNeeds(time.Second)
@@ -122,19 +122,19 @@
 	return func(at time.Duration, want, hold [][]int) {
 		step := int(at / (100 * time.Millisecond))
 		freed = append(freed, make([]int, step+12-len(freed))...)
-		need := divide.NewTable(1, tenants, brokers)
+		need := fairshare.NewTable(1, tenants, brokers)
 		for b := range want {
 			needs[b].Decay(at)
 			for t := range want[b] {
 				needs[b].See(Key{id, t}, float64(want[b][t]))
 			}
-			for _, r := range needs[b].Rows(map[broker.NodeID]int{id: 1}) {
+			for _, r := range needs[b].Rows(map[decision.NodeID]int{id: 1}) {
 				need.Set(0, r.Tenant, b, r.Units)
 			}
 		}
 		if step%5 == 0 {
-			target := divide.NewTable(1, tenants, brokers)
-			d.Divide(divide.Input{Nodes: plan.Budgets, Need: need, Last: granted}, target)
+			target := fairshare.NewTable(1, tenants, brokers)
+			d.Divide(fairshare.Input{Nodes: plan.Budgets, Need: need, Last: granted}, target)
 			free := plan.Budgets[0].Units
 			for i := step; i < len(freed); i++ {
 				free -= freed[i]
--- a/internal/decision/units/granter.go
+++ b/internal/decision/connlease/granter.go
@@ -1,12 +1,12 @@
-package units
+package connlease
 
 import (
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/divide"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/fairshare"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // mostGrant bounds a grant in bytes, about. Danger: an entry that is too large for the log is never agreed, and its broker would get
@@ -15,9 +15,9 @@
 
 // Plan is a policy over the agreed list of nodes.
 type Plan struct {
-	Nodes   []broker.NodeID // in the ledger's order
-	Budgets []divide.Budget // what is above the floors, by node
-	Pool    *divide.Budget
+	Nodes   []decision.NodeID  // in the ledger's order
+	Budgets []fairshare.Budget // what is above the floors, by node
+	Pool    *fairshare.Budget
 	Tenants []string
 }
 
@@ -26,10 +26,10 @@
 	lease  time.Duration
 	linger time.Duration
 	since  time.Duration // this leader leads, and counts what it has not heard from then
-	heard  map[ledger.Member]time.Duration
+	heard  map[statemachine.Member]time.Duration
 
-	divider           divide.Divider
-	need, last, share *divide.Table
+	divider           fairshare.Divider
+	need, last, share *fairshare.Table
 }
 
 // NewGranter makes the side of a leader. It must be a new one for each leadership, made after its first entry was applied.
@@ -37,17 +37,17 @@
 // closes nothing, its lease is over and its connections are still up; the nodes themselves end them, so long after.
 // It hurts a broker's neighbours, who wait that much longer for the units of one that fell silent; one that answers gives up at once.
 func NewGranter(lease, linger, since time.Duration) *Granter {
-	return &Granter{lease: lease, linger: linger, since: since, heard: map[ledger.Member]time.Duration{}}
+	return &Granter{lease: lease, linger: linger, since: since, heard: map[statemachine.Member]time.Duration{}}
 }
 
 // Heard takes a renewal that was answered at a time.
-func (g *Granter) Heard(slot ledger.Slot, incarnation uint64, at time.Duration) {
-	g.heard[ledger.Member{Slot: slot, Incarnation: incarnation}] = at
+func (g *Granter) Heard(slot statemachine.Slot, incarnation uint64, at time.Duration) {
+	g.heard[statemachine.Member{Slot: slot, Incarnation: incarnation}] = at
 }
 
 // Ends is when what a broker holds has surely run out.
-func (g *Granter) Ends(slot ledger.Slot, incarnation uint64) time.Duration {
-	at, ok := g.heard[ledger.Member{Slot: slot, Incarnation: incarnation}]
+func (g *Granter) Ends(slot statemachine.Slot, incarnation uint64) time.Duration {
+	at, ok := g.heard[statemachine.Member{Slot: slot, Incarnation: incarnation}]
 	if !ok {
 		at = g.since
 	}
@@ -56,15 +56,15 @@
 
 // Next tells what to propose: what has run out, and grants toward the division of the needs. Needs are by slot, by key; a living
 // broker that is not among them keeps what it has.
-func (g *Granter) Next(s *ledger.State, plan *Plan, needs map[ledger.Slot][]Row, term uint64, now time.Duration) (all []ledger.Entry) {
+func (g *Granter) Next(s *statemachine.State, plan *Plan, needs map[statemachine.Slot][]Row, term uint64, now time.Duration) (all []statemachine.Entry) {
 	brokers := s.Brokers()
-	living := map[ledger.Member]bool{}
+	living := map[statemachine.Member]bool{}
 	for _, b := range brokers {
-		living[ledger.Member{Slot: b.Slot, Incarnation: b.Incarnation}] = true
+		living[statemachine.Member{Slot: b.Slot, Incarnation: b.Incarnation}] = true
 		h, _ := s.Grants(b.Slot)
-		living[ledger.Member{Slot: b.Slot, Incarnation: h.Incarnation}] = true
+		living[statemachine.Member{Slot: b.Slot, Incarnation: h.Incarnation}] = true
 		if h.Number > 0 && !h.Ended && now > g.Ends(b.Slot, h.Incarnation) {
-			all = append(all, &ledger.Expire{Slot: b.Slot, Number: h.Number, Term: term})
+			all = append(all, &statemachine.Expire{Slot: b.Slot, Number: h.Number, Term: term})
 		}
 	}
 	for m := range g.heard {
@@ -73,14 +73,14 @@
 		}
 	}
 	g.fill(s, plan, brokers, needs)
-	g.divider.Divide(divide.Input{Nodes: plan.Budgets, Pool: plan.Pool, Need: g.need, Last: g.last}, g.share)
+	g.divider.Divide(fairshare.Input{Nodes: plan.Budgets, Pool: plan.Pool, Need: g.need, Last: g.last}, g.share)
 	return append(all, g.grants(s, plan, brokers)...)
 }
 
 // fill brings the ledger's rows and the reports into tables.
-func (g *Granter) fill(s *ledger.State, plan *Plan, brokers []ledger.Broker, needs map[ledger.Slot][]Row) {
+func (g *Granter) fill(s *statemachine.State, plan *Plan, brokers []statemachine.Broker, needs map[statemachine.Slot][]Row) {
 	if g.need == nil || g.need.Nodes != len(plan.Nodes) || g.need.Tenants != len(plan.Tenants) || g.need.Brokers != len(brokers) {
-		size := func() *divide.Table { return divide.NewTable(len(plan.Nodes), len(plan.Tenants), len(brokers)) }
+		size := func() *fairshare.Table { return fairshare.NewTable(len(plan.Nodes), len(plan.Tenants), len(brokers)) }
 		g.need, g.last, g.share = size(), size(), size()
 	}
 	g.need.Clear()
@@ -98,7 +98,7 @@
 				g.need.Set(n, t, i, int(r.Units))
 			}
 		}
-		if b.Standing == ledger.Gone || b.Standing == ledger.Out {
+		if b.Standing == statemachine.Gone || b.Standing == statemachine.Out {
 			continue
 		}
 		for _, r := range rows {
@@ -109,8 +109,8 @@
 	}
 }
 
-func (p *Plan) node(id broker.NodeID) int {
-	if n, ok := slices.BinarySearchFunc(p.Nodes, id, ledger.Compare); ok {
+func (p *Plan) node(id decision.NodeID) int {
+	if n, ok := slices.BinarySearchFunc(p.Nodes, id, statemachine.Compare); ok {
 		return n
 	}
 	return -1
@@ -118,14 +118,14 @@
 
 // grants goes from what each has to what it shall have: down at once, up as far as units are free. A broker that has not
 // acknowledged its last grant gets no other: until then it counts with the greatest of both, row by row.
-func (g *Granter) grants(s *ledger.State, plan *Plan, brokers []ledger.Broker) (all []ledger.Entry) {
+func (g *Granter) grants(s *statemachine.State, plan *Plan, brokers []statemachine.Broker) (all []statemachine.Entry) {
 	free, pool := g.free(s, plan)
 	for i, b := range brokers {
 		h, _ := s.Grants(b.Slot)
-		if b.Standing == ledger.Gone || b.Standing == ledger.Out || h.Number > 0 && !h.Ended && (!h.Acked || h.Incarnation != b.Incarnation) {
+		if b.Standing == statemachine.Gone || b.Standing == statemachine.Out || h.Number > 0 && !h.Ended && (!h.Acked || h.Incarnation != b.Incarnation) {
 			continue
 		}
-		var rows []ledger.Row
+		var rows []statemachine.Row
 		size, changed := 0, false
 		for n, id := range plan.Nodes {
 			for t, name := range plan.Tenants {
@@ -142,21 +142,21 @@
 				}
 				changed = changed || want != has
 				if want > 0 {
-					rows = append(rows, ledger.Row{Node: id, Tenant: name, Units: uint64(want)})
+					rows = append(rows, statemachine.Row{Node: id, Tenant: name, Units: uint64(want)})
 					size += 12 + len(name)
 				}
 			}
 		}
 		if changed {
-			slices.SortFunc(rows, ledger.CompareRows)
-			all = append(all, &ledger.Grant{Slot: b.Slot, Incarnation: b.Incarnation, Number: h.Number + 1, Rows: rows})
+			slices.SortFunc(rows, statemachine.CompareRows)
+			all = append(all, &statemachine.Grant{Slot: b.Slot, Incarnation: b.Incarnation, Number: h.Number + 1, Rows: rows})
 		}
 	}
 	return all
 }
 
 // free is what may be granted at each node on top of what may still be held, and in the pool.
-func (g *Granter) free(s *ledger.State, plan *Plan) (free []int, pool int) {
+func (g *Granter) free(s *statemachine.State, plan *Plan) (free []int, pool int) {
 	free, pool = make([]int, len(plan.Nodes)), 1<<62
 	if plan.Pool != nil {
 		pool = plan.Pool.Units
@@ -166,8 +166,8 @@
 		n, _ := s.Node(id)
 		units := int64(n.Budget) - int64(n.Floors)
 		if waiting != nil {
-			at, ok := slices.BinarySearchFunc(waiting.Budgets, id, func(b ledger.Budget, id broker.NodeID) int {
-				return ledger.Compare(b.Node, id)
+			at, ok := slices.BinarySearchFunc(waiting.Budgets, id, func(b statemachine.Budget, id decision.NodeID) int {
+				return statemachine.Compare(b.Node, id)
 			})
 			if next := int64(0); ok {
 				next = int64(waiting.Budgets[at].Units) - int64(uint64(waiting.MostBrokers)*waiting.Budgets[at].Floor)
--- a/internal/decision/units/holder.go
+++ b/internal/decision/connlease/holder.go
@@ -1,17 +1,17 @@
-// Package units is who may hold which connections when. It owns both sides of a grant: a broker's, which counts its own
+// Package connlease is who may hold which connections when. It owns both sides of a grant: a broker's, which counts its own
 // connections and closes what it must before a lease ends, and the granter's, which gives a unit to another only when it is
 // surely free. It must never divide (divide does), talk, or look at a clock: times come in.
 //
-// Depends on decision/broker, decision/divide, decision/ledger. Concurrency: nothing here locks or starts a
+// Depends on decision, decision/fairshare, decision/statemachine. Concurrency: nothing here locks or starts a
 // goroutine; a value is used by one goroutine at a time.
-package units
+package connlease
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // drift bounds how far a clock strays: one part in so many. Danger: two clocks that run at different speeds measure different
@@ -26,7 +26,7 @@
 
 // Key is what units are of.
 type Key struct {
-	Node   broker.NodeID
+	Node   decision.NodeID
 	Tenant int
 }
 
@@ -48,13 +48,13 @@
 	acked   uint64
 	until   time.Duration // its lease ends here
 	rows    map[Key]int
-	floors  map[broker.NodeID]int
-	other   int                     // of nodes that are not among them
-	free    bool                    // nothing is divided
-	open    map[Key]int             // those included that were closed and that a node may still count
-	going   map[Key]int             // of these
-	left    []gone                  // the same, in their order
-	atNode  map[broker.NodeID][]int // tenants with connections there
+	floors  map[decision.NodeID]int
+	other   int                       // of nodes that are not among them
+	free    bool                      // nothing is divided
+	open    map[Key]int               // those included that were closed and that a node may still count
+	going   map[Key]int               // of these
+	left    []gone                    // the same, in their order
+	atNode  map[decision.NodeID][]int // tenants with connections there
 }
 
 // gone is a connection that was closed here.
@@ -66,12 +66,12 @@
 // NewHolder makes the side of a broker that holds nothing but floors. Closing is how long a node may take to notice that a
 // connection was closed.
 func NewHolder(closing time.Duration) *Holder {
-	return &Holder{closing: closing, rows: map[Key]int{}, floors: map[broker.NodeID]int{}, open: map[Key]int{},
-		going: map[Key]int{}, atNode: map[broker.NodeID][]int{}}
+	return &Holder{closing: closing, rows: map[Key]int{}, floors: map[decision.NodeID]int{}, open: map[Key]int{},
+		going: map[Key]int{}, atNode: map[decision.NodeID][]int{}}
 }
 
 // Floors sets what may be opened to each node without asking, by all tenants together; other is for nodes that are not named.
-func (h *Holder) Floors(of map[broker.NodeID]int, other int) {
+func (h *Holder) Floors(of map[decision.NodeID]int, other int) {
 	h.floors, h.other, h.free = of, other, false
 }
 
@@ -84,7 +84,7 @@
 // Has tells how many connections a tenant has to a node, those included that the node may still count.
 func (h *Holder) Has(k Key) int { return h.open[k] }
 
-func (h *Holder) floor(node broker.NodeID) int {
+func (h *Holder) floor(node decision.NodeID) int {
 	if n, ok := h.floors[node]; ok {
 		return n
 	}
@@ -113,7 +113,7 @@
 func (h *Holder) Usable(now time.Duration) bool { return now < h.until-2*h.closing }
 
 // above counts what a node may count beyond the units of each tenant.
-func (h *Holder) above(node broker.NodeID, usable bool) (n int) {
+func (h *Holder) above(node decision.NodeID, usable bool) (n int) {
 	for _, tenant := range h.atNode[node] {
 		n += max(0, h.open[Key{node, tenant}]-h.units(Key{node, tenant}, usable))
 	}
--- a/internal/decision/units/need.go
+++ b/internal/decision/connlease/need.go
@@ -1,4 +1,4 @@
-package units
+package connlease
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Needs measures what a broker could use.
@@ -47,7 +47,7 @@
 }
 
 // Rows is the need above the floors, in whole units, by key. Of a node's tenants the one that needs most uses the floor first.
-func (n *Needs) Rows(floors map[broker.NodeID]int) (rows []Row) {
+func (n *Needs) Rows(floors map[decision.NodeID]int) (rows []Row) {
 	for k, d := range n.at {
 		if up := int(math.Ceil(d.value - 0.1)); up > d.told || float64(d.told)-d.value > 1.3 {
 			d.told = up
@@ -102,7 +102,7 @@
 		if len(b) < 8 || len(rows) == mostRows {
 			return 0, nil, false
 		}
-		r := Row{Key: Key{Node: broker.NodeID{Addr: [4]byte(b), Port: binary.BigEndian.Uint16(b[4:])}}}
+		r := Row{Key: Key{Node: decision.NodeID{Addr: [4]byte(b), Port: binary.BigEndian.Uint16(b[4:])}}}
 		b = b[6:]
 		for _, into := range []*int{&r.Tenant, &r.Units} {
 			v, n := binary.Uvarint(b)
--- a/internal/decision/units/need_test.go
+++ b/internal/decision/connlease/need_test.go
@@ -1,15 +1,15 @@
-package units
+package connlease
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(3, []Row{{Key{broker.NodeID{Addr: [4]byte{10, 0, 0, 1}, Port: 7}, 2}, 300}}))
+	f.Add(Encode(3, []Row{{Key{decision.NodeID{Addr: [4]byte{10, 0, 0, 1}, Port: 7}, 2}, 300}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		version, rows, ok := Decode(b)
 		if !ok {
@@ -24,9 +24,9 @@
 
 // TestNeeds has a need rise at once, fall slowly, stay where it shakes, and the floor be used first.
 func TestNeeds(t *testing.T) {
-	n, k := NewNeeds(time.Second), Key{broker.NodeID{Port: 7}, 1}
+	n, k := NewNeeds(time.Second), Key{decision.NodeID{Port: 7}, 1}
 	tell := func(floor int) int {
-		for _, r := range n.Rows(map[broker.NodeID]int{k.Node: floor}) {
+		for _, r := range n.Rows(map[decision.NodeID]int{k.Node: floor}) {
 			return r.Units
 		}
 		return 0
--- a/internal/decision/units/shift_test.go
+++ b/internal/decision/connlease/shift_test.go
@@ -1,10 +1,10 @@
-package units
+package connlease
 
 import (
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/divide"
+	"flaxfront/internal/decision/fairshare"
 )
 
 // TestShift has all demand move at once, and measures three leases later how far what brokers hold is from the ideal: the exact
@@ -30,8 +30,8 @@
 // distance is the share of units that are not where an exact division of what brokers want would have them.
 func (w *world) distance() float64 {
 	plan := w.plans[0]
-	need := divide.NewTable(len(plan.Nodes), tenants, len(w.brokers))
-	ideal := divide.NewTable(len(plan.Nodes), tenants, len(w.brokers))
+	need := fairshare.NewTable(len(plan.Nodes), tenants, len(w.brokers))
+	ideal := fairshare.NewTable(len(plan.Nodes), tenants, len(w.brokers))
 	for b, a := range w.brokers {
 		for n, id := range plan.Nodes {
 			for t := range tenants {
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	new(divide.Divider).Divide(divide.Input{Nodes: plan.Budgets, Need: need}, ideal)
+	new(fairshare.Divider).Divide(fairshare.Input{Nodes: plan.Budgets, Need: need}, ideal)
 	all, away := 0, 0
 	for n, id := range plan.Nodes {
 		for t := range tenants {
--- a/internal/decision/units/surplus.go
+++ b/internal/decision/connlease/surplus.go
@@ -1,4 +1,4 @@
-package units
+package connlease
 
 import (
 	"slices"
--- a/internal/decision/units/world_test.go
+++ b/internal/decision/connlease/world_test.go
@@ -1,4 +1,4 @@
-package units
+package connlease
 
 import (
 	"container/heap"
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/divide"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/fairshare"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // world is a tier in virtual time: brokers with clocks of their own, links that stall, processes that stop, one agreed ledger
@@ -18,14 +18,14 @@
 	now     time.Duration
 	queue   events
 	seq     int
-	state   *ledger.State
+	state   *statemachine.State
 	index   uint64
 	term    uint64
 	granter *Granter
 	plans   []*Plan // by policy version, from 1
-	needs   map[ledger.Slot][]Row
+	needs   map[statemachine.Slot][]Row
 	brokers []*agent
-	count   map[broker.NodeID]int
+	count   map[decision.NodeID]int
 	served  int // connections opened
 	fault   string
 	wrong   bool          // a fault put in on purpose: a lease counted from when the answer came
@@ -76,9 +76,9 @@
 	}
 }
 
-func (w *world) apply(e ledger.Entry) error {
+func (w *world) apply(e statemachine.Entry) error {
 	w.index++
-	return w.state.Apply(w.index, ledger.Encode(ledger.ID{Slot: 4000, Incarnation: 1, Seq: w.index}, e)).Err
+	return w.state.Apply(w.index, statemachine.Encode(statemachine.ID{Slot: 4000, Incarnation: 1, Seq: w.index}, e)).Err
 }
 
 // lead is a turn of whoever leads.
@@ -95,20 +95,20 @@
 
 func (w *world) elect() {
 	w.term++
-	w.apply(&ledger.Lead{Slot: 1, Term: w.term})
+	w.apply(&statemachine.Lead{Slot: 1, Term: w.term})
 	after := w.linger
 	if w.stuck {
 		after = 0
 	}
-	w.granter, w.needs = NewGranter(lease, after, w.now), map[ledger.Slot][]Row{}
+	w.granter, w.needs = NewGranter(lease, after, w.now), map[statemachine.Slot][]Row{}
 }
 
 func (w *world) start(a *agent) {
 	a.incarnation++
 	a.holder, a.needs, a.conns = NewHolder(closing), NewNeeds(time.Second), nil
 	a.stopped, a.floors = false, 0
-	w.apply(&ledger.Register{Slot: a.slot, Name: fmt.Sprint("b", a.slot), Incarnation: a.incarnation, Version: "1", Zone: "z", Protocol: 1})
-	w.apply(&ledger.Return{Slot: a.slot, Incarnation: a.incarnation})
+	w.apply(&statemachine.Register{Slot: a.slot, Name: fmt.Sprint("b", a.slot), Incarnation: a.incarnation, Version: "1", Zone: "z", Protocol: 1})
+	w.apply(&statemachine.Return{Slot: a.slot, Incarnation: a.incarnation})
 	born := a.incarnation
 	w.after(w.upTo(50*time.Millisecond), func() { a.tick(born) })
 	w.after(w.upTo(400*time.Millisecond), func() { a.ask(born) })
@@ -116,11 +116,11 @@
 
 // policy proposes the next version: budgets and floors go up and down in turns.
 func (w *world) policy(version uint64, most int) error {
-	e := &ledger.Policy{Version: version, Text: "t", MostBrokers: uint32(most)}
+	e := &statemachine.Policy{Version: version, Text: "t", MostBrokers: uint32(most)}
 	plan := w.plans[(version-1)%2]
 	for i, id := range plan.Nodes {
 		floor := (version - 1) % 2
-		e.Budgets = append(e.Budgets, ledger.Budget{Node: id, Units: uint64(plan.Budgets[i].Units) + uint64(most)*floor, Floor: floor})
+		e.Budgets = append(e.Budgets, statemachine.Budget{Node: id, Units: uint64(plan.Budgets[i].Units) + uint64(most)*floor, Floor: floor})
 	}
 	return w.apply(e)
 }
@@ -128,8 +128,8 @@
 func newPlan(nodes, units int) *Plan {
 	p := &Plan{Tenants: []string{"a", "b", "c"}}
 	for n := range nodes {
-		p.Nodes = append(p.Nodes, broker.NodeID{Addr: [4]byte{10, 0, 0, byte(n)}, Port: 1})
-		p.Budgets = append(p.Budgets, divide.Budget{Units: units, Amounts: []divide.Amount{
+		p.Nodes = append(p.Nodes, decision.NodeID{Addr: [4]byte{10, 0, 0, byte(n)}, Port: 1})
+		p.Budgets = append(p.Budgets, fairshare.Budget{Units: units, Amounts: []fairshare.Amount{
 			{Guarantee: units / 4, Weight: 3, Most: units}, {Weight: 2, Most: units / 2, Burst: units / 4}, {Weight: 1, Most: units / 2, Burst: units / 4}}})
 	}
 	return p
--- a/internal/decision/broker/broker.go
+++ b/internal/decision/decision.go
@@ -1,9 +1,9 @@
-// Package broker is the boundary between the decision module and whatever carries its traffic.
+// Package decision is the boundary between the decision module and whatever carries its traffic.
 // It holds types only: what a front tells the module, and what the module asks the front to do.
 //
 // Depends on no package of this module. Concurrency: values only; events and actions belong to whoever was
 // handed them.
-package broker
+package decision
 
 import (
 	"fmt"
--- a/internal/decision/divide/divide.go
+++ b/internal/decision/fairshare/fairshare.go
@@ -1,11 +1,11 @@
-// Package divide shares the connections of every node out: a node's budget between tenants, by guarantee, weight, most and
+// Package fairshare shares the connections of every node out: a node's budget between tenants, by guarantee, weight, most and
 // burst, a pool's budget over all nodes between the same tenants, and what a tenant has at a node between brokers, by need.
 // It owns the arithmetic: weighted max-min fairness in whole units, the same for the same input, that moves no unit without
 // cause. It must never share out more than a budget, know what a unit is, or take one from a broker: that is units'.
 //
 // Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
 // used by one goroutine at a time.
-package divide
+package fairshare
 
 // Amount is what a policy allows one tenant of a budget.
 type Amount struct {
--- a/internal/decision/divide/divide_test.go
+++ b/internal/decision/fairshare/fairshare_test.go
@@ -1,4 +1,4 @@
-package divide
+package fairshare
 
 import (
 	"fmt"
--- a/internal/decision/routes/choices_test.go
+++ b/internal/decision/forwarding/choices_test.go
@@ -1,4 +1,4 @@
-package routes
+package forwarding
 
 // This file owns what may happen next in a state of the model.
 
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // choice is one thing that may happen next.
@@ -85,11 +85,11 @@
 			m.end(in.what)
 		}
 	})
-	once := m.effect == broker.NonIdempotent
+	once := m.effect == decision.NonIdempotent
 	add("a far node runs it", m.farRuns && m.ran < 3 && !(once && m.farRan), func() { m.farRan = true; m.run() })
 	add("the far module answers", m.farRuns && m.farRan, func() { m.farEnds(msg{what: "answered"}) })
 	add("the far module fails it", m.farRuns, func() { m.farEnds(msg{what: "failed"}) })
-	add("the far module sheds it", m.farRuns && (!m.farRan || m.effect == broker.Idempotent), func() { m.farEnds(msg{what: "refused"}) })
+	add("the far module sheds it", m.farRuns && (!m.farRan || m.effect == decision.Idempotent), func() { m.farEnds(msg{what: "refused"}) })
 	add("the far process is killed", m.kills < 1, func() {
 		m.kills++
 		m.epoch++
@@ -99,9 +99,9 @@
 	add("a node runs it at home", m.home && m.ran < 3 && !(once && m.homeRan), func() { m.homeRan = true; m.run() })
 	add("home answers", m.home && m.homeRan, func() { m.home = false; m.end("answered") })
 	add("home fails it", m.home, func() { m.home = false; m.end("failed") })
-	add("home sheds it", m.home && (!m.homeRan || m.effect == broker.Idempotent), func() {
+	add("home sheds it", m.home && (!m.homeRan || m.effect == decision.Idempotent), func() {
 		m.home = false
-		if m.risk && m.effect != broker.Idempotent {
+		if m.risk && m.effect != decision.Idempotent {
 			m.end("failed")
 		} else {
 			m.end("shed")
--- a/internal/decision/routes/far.go
+++ b/internal/decision/forwarding/far.go
@@ -1,11 +1,11 @@
-package routes
+package forwarding
 
 // This file owns the side that serves another site's searches: its own come first, and one that comes twice runs once.
 
 import (
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Origin names a near process: the broker's link and the epoch of its process.
@@ -100,7 +100,7 @@
 // is taken, and foreign ones take a stated share of the places at most. A search that is known runs no second time, however
 // often and over whichever link it comes; where there is no room to remember another one it is turned away, as the memory
 // is what keeps an effect from coming twice.
-func (f *Far) Arrive(k Key, link uint64, effect broker.Effect, parts int, left time.Duration, l Load, now time.Duration) Ruling {
+func (f *Far) Arrive(k Key, link uint64, effect decision.Effect, parts int, left time.Duration, l Load, now time.Duration) Ruling {
 	if link < f.links[k.Origin] {
 		return Stale
 	}
@@ -121,7 +121,7 @@
 	}
 	f.Counts.Ran++
 	f.foreign, f.running = f.foreign+places, f.running+1
-	f.known[k] = &memory{until: now + left + remember, places: places, running: true, keep: effect != broker.Idempotent}
+	f.known[k] = &memory{until: now + left + remember, places: places, running: true, keep: effect != decision.Idempotent}
 	f.count()
 	return Run
 }
--- a/internal/decision/routes/routes_test.go
+++ b/internal/decision/forwarding/forwarding_test.go
@@ -1,4 +1,4 @@
-package routes
+package forwarding
 
 import (
 	"flag"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // The courses that are drawn are the same in each run; -rapid.seed given on the command line draws others.
@@ -118,20 +118,20 @@
 // What a lost link leaves, by effect and by what is known.
 func TestLost(t *testing.T) {
 	for what, c := range map[string]struct {
-		effect broker.Effect
+		effect decision.Effect
 		unsent bool
 		then   func(n *Near)
 		want   []Kind
 		risk   bool
 	}{
-		"idempotent":                             {broker.Idempotent, false, func(*Near) {}, []Kind{Home}, false},
-		"never sent, without effect twice":       {broker.NonIdempotent, true, func(*Near) {}, []Kind{Home}, false},
-		"non-idempotent, the link stays away":    {broker.NonIdempotent, false, func(n *Near) { n.Tick(500 * ms) }, []Kind{Fail}, false},
-		"non-idempotent, the same process":       {broker.NonIdempotent, false, func(n *Near) { n.Up(0, 1, 10, 300*ms) }, []Kind{Forward}, false},
-		"non-idempotent, another process":        {broker.NonIdempotent, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Fail}, false},
-		"tokened, another process in its window": {broker.Tokened, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Home}, true},
-		"tokened, past its window":               {broker.Tokened, false, func(n *Near) { n.peers[0].up = false; n.trips[9].Window = 100 * ms; n.Tick(500 * ms) }, []Kind{Fail}, false},
-		"its client goes":                        {broker.NonIdempotent, false, func(n *Near) { n.Gone(9); n.Up(0, 1, 10, 300*ms) }, nil, false},
+		"idempotent":                             {decision.Idempotent, false, func(*Near) {}, []Kind{Home}, false},
+		"never sent, without effect twice":       {decision.NonIdempotent, true, func(*Near) {}, []Kind{Home}, false},
+		"non-idempotent, the link stays away":    {decision.NonIdempotent, false, func(n *Near) { n.Tick(500 * ms) }, []Kind{Fail}, false},
+		"non-idempotent, the same process":       {decision.NonIdempotent, false, func(n *Near) { n.Up(0, 1, 10, 300*ms) }, []Kind{Forward}, false},
+		"non-idempotent, another process":        {decision.NonIdempotent, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Fail}, false},
+		"tokened, another process in its window": {decision.Tokened, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Home}, true},
+		"tokened, past its window":               {decision.Tokened, false, func(n *Near) { n.peers[0].up = false; n.trips[9].Window = 100 * ms; n.Tick(500 * ms) }, []Kind{Fail}, false},
+		"its client goes":                        {decision.NonIdempotent, false, func(n *Near) { n.Gone(9); n.Up(0, 1, 10, 300*ms) }, nil, false},
 	} {
 		n := near(1)
 		n.Offer(Search{ID: 9, Effect: c.effect, Window: 800 * ms, Due: 2 * time.Second}, 10*ms)
@@ -156,7 +156,7 @@
 
 // Whoever waits too long is told while there is time to speak.
 func TestGivenUpInTime(t *testing.T) {
-	for effect, want := range map[broker.Effect]Kind{broker.Idempotent: Shed, broker.Tokened: Fail, broker.NonIdempotent: Fail} {
+	for effect, want := range map[decision.Effect]Kind{decision.Idempotent: Shed, decision.Tokened: Fail, decision.NonIdempotent: Fail} {
 		n := near(1)
 		n.Offer(Search{ID: 9, Effect: effect, Due: time.Second}, 10*ms)
 		n.Acts()
--- a/internal/decision/routes/model_test.go
+++ b/internal/decision/forwarding/model_test.go
@@ -1,4 +1,4 @@
-package routes
+package forwarding
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // This file checks the protocol of one forwarded search over the real Near and Far: every interleaving of what a link, two
@@ -16,7 +16,7 @@
 // model is one state. It is made anew by replaying the choices that lead to it, as the real code can't be copied.
 type model struct {
 	variant string
-	effect  broker.Effect
+	effect  decision.Effect
 	near    *Near
 	far     *Far
 	now     time.Duration
@@ -54,7 +54,7 @@
 var modelPolicy = Policy{Share: 0.1, Burst: 5, MostAbroad: 10, LeastLeft: 20 * time.Millisecond, Speak: 50 * time.Millisecond,
 	Resume: 200 * time.Millisecond, Accept: 0.5, MostRemember: 4}
 
-func newModel(variant string, effect broker.Effect) *model {
+func newModel(variant string, effect decision.Effect) *model {
 	m := &model{variant: variant, effect: effect, near: NewNear(modelPolicy, []string{"far"}), far: NewFar(modelPolicy),
 		epoch: 1, toFar: map[uint64][]msg{}}
 	return m
@@ -69,10 +69,10 @@
 // run is an effect at some node, here or there.
 func (m *model) run() {
 	m.ran++
-	if m.effect == broker.NonIdempotent && m.ran > 1 {
+	if m.effect == decision.NonIdempotent && m.ran > 1 {
 		m.fault("rule 2: it has run %d times", m.ran)
 	}
-	if m.effect == broker.NonIdempotent && m.final == "shed" {
+	if m.effect == decision.NonIdempotent && m.final == "shed" {
 		m.fault("rule 2: it was shed, and has run")
 	}
 }
@@ -85,7 +85,7 @@
 		m.fault("rule 1: %s after %s", how, m.final)
 	}
 	m.final = how
-	if how == "shed" && m.effect != broker.Idempotent && m.ran > 0 {
+	if how == "shed" && m.effect != decision.Idempotent && m.ran > 0 {
 		m.fault("rule 2: shed, though it has run")
 	}
 	if how == "answered" && m.ran == 0 {
@@ -179,7 +179,7 @@
 }
 
 // explore tries everything to a depth and returns the states met and the first fault with the way to it.
-func explore(variant string, effect broker.Effect, depth int) (states int, wrong string) {
+func explore(variant string, effect decision.Effect, depth int) (states int, wrong string) {
 	seen := map[string]bool{}
 	paths := [][]byte{{}}
 	for range depth {
@@ -217,7 +217,7 @@
 
 // Whatever a link, two processes and time do to one forwarded search, the rules hold.
 func TestModel(t *testing.T) {
-	for _, effect := range []broker.Effect{broker.Idempotent, broker.Tokened, broker.NonIdempotent} {
+	for _, effect := range []decision.Effect{decision.Idempotent, decision.Tokened, decision.NonIdempotent} {
 		states, wrong := explore("", effect, modelDepth())
 		if wrong != "" {
 			t.Errorf("effect %d: %s", effect, wrong)
@@ -229,7 +229,7 @@
 // The model finds what is broken on purpose.
 func TestModelFindsBrokenVariants(t *testing.T) {
 	for _, variant := range []string{"a far side that forgets", "old links are heard", "all lost is taken for unsent"} {
-		states, wrong := explore(variant, broker.NonIdempotent, 13)
+		states, wrong := explore(variant, decision.NonIdempotent, 13)
 		if wrong == "" {
 			t.Errorf("%s: not found in %d states", variant, states)
 		}
--- a/internal/decision/routes/near.go
+++ b/internal/decision/forwarding/near.go
@@ -1,18 +1,18 @@
-// Package routes decides what becomes of a search between two sites: whether one that the own site has given up is
+// Package forwarding decides what becomes of a search between two sites: whether one that the own site has given up is
 // forwarded, to whom and with how much time; what a lost link means for it; and at the other end whether a forwarded search
 // is taken, and that one which comes twice runs once. Nothing here does I/O, reads a clock or starts a goroutine.
 //
 // The near side forwards nothing but what the decision module sheds, so that the ordinary path stays as it is, and so that
 // rule 2 holds by the module's own word: it sheds only what may be asked again without harm. A search makes one hop at most.
 //
-// Depends on decision/broker. Concurrency: nothing here locks or starts a goroutine; a value is used by one
+// Depends on decision. Concurrency: nothing here locks or starts a goroutine; a value is used by one
 // goroutine at a time.
-package routes
+package forwarding
 
 import (
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Policy holds what operators may set.
@@ -50,7 +50,7 @@
 // Search is what routes know of one.
 type Search struct {
 	ID      uint64 // unique while this broker runs
-	Effect  broker.Effect
+	Effect  decision.Effect
 	Window  time.Duration // tokened: how long repeats are dropped
 	Due     time.Duration // when its client gives up
 	Shards  []int
--- a/internal/decision/routes/neartime.go
+++ b/internal/decision/forwarding/neartime.go
@@ -1,4 +1,4 @@
-package routes
+package forwarding
 
 // This file owns what time brings to the near side, and its picture for operators.
 
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Tick ends what has run out of time, and tells when to come again.
@@ -26,7 +26,7 @@
 		}
 		n.Counts.GivenUp++
 		n.cancel(t)
-		if t.Effect == broker.Idempotent && now < t.Due {
+		if t.Effect == decision.Idempotent && now < t.Due {
 			n.end(t, Shed)
 		} else {
 			n.end(t, Fail)
--- a/internal/decision/routes/offer.go
+++ b/internal/decision/forwarding/offer.go
@@ -1,4 +1,4 @@
-package routes
+package forwarding
 
 // This file owns whether a search goes to another site, and to which.
 
--- a/internal/decision/routes/random_test.go
+++ b/internal/decision/forwarding/random_test.go
@@ -1,4 +1,4 @@
-package routes
+package forwarding
 
 // This file tests arrivals at the other site, and random courses of both.
 
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // The side that serves puts its own searches first, takes a stated share, and runs each once.
@@ -26,26 +26,26 @@
 		"foreign ones have theirs": {Load{Places: 4}, time.Second, Turn},
 		"too little time":          {Load{Places: 100}, 10 * ms, Turn},
 	} {
-		if got := NewFar(policy).Arrive(key(1), 1, broker.Idempotent, 2, c.left, c.load, 0); got != c.want {
+		if got := NewFar(policy).Arrive(key(1), 1, decision.Idempotent, 2, c.left, c.load, 0); got != c.want {
 			t.Errorf("%s: %v", what, got)
 		}
 	}
 	busy := NewFar(policy)
 	busy.Shed(10 * ms)
-	if busy.Arrive(key(1), 1, broker.Idempotent, 2, time.Second, Load{Places: 100}, 500*ms) != Turn ||
-		busy.Arrive(key(1), 1, broker.Idempotent, 2, time.Second, Load{Places: 100}, 600*ms) != Run {
+	if busy.Arrive(key(1), 1, decision.Idempotent, 2, time.Second, Load{Places: 100}, 500*ms) != Turn ||
+		busy.Arrive(key(1), 1, decision.Idempotent, 2, time.Second, Load{Places: 100}, 600*ms) != Run {
 		t.Error("its own searches do not come first, or for too long")
 	}
 	f := NewFar(policy)
 	roomy := Load{Places: 1000}
 	for id := range uint64(policy.MostRemember) {
-		f.Arrive(key(id), 1, broker.NonIdempotent, 1, time.Second, roomy, 0)
+		f.Arrive(key(id), 1, decision.NonIdempotent, 1, time.Second, roomy, 0)
 	}
-	if got := f.Arrive(key(99), 1, broker.NonIdempotent, 1, time.Second, roomy, 0); got != Turn || f.Room(1000) != 0 {
+	if got := f.Arrive(key(99), 1, decision.NonIdempotent, 1, time.Second, roomy, 0); got != Turn || f.Room(1000) != 0 {
 		t.Errorf("beyond its memory: %v, room %v", got, f.Room(1000))
 	}
-	if !f.Ended(key(3)) || f.Arrive(key(3), 1, broker.NonIdempotent, 1, time.Second, roomy, 0) != Repeat ||
-		f.Arrive(key(4), 1, broker.NonIdempotent, 1, time.Second, roomy, 0) != Join {
+	if !f.Ended(key(3)) || f.Arrive(key(3), 1, decision.NonIdempotent, 1, time.Second, roomy, 0) != Repeat ||
+		f.Arrive(key(4), 1, decision.NonIdempotent, 1, time.Second, roomy, 0) != Join {
 		t.Error("not remembered")
 	}
 	if gone := f.Forget(time.Second); len(gone) != 0 {
@@ -55,7 +55,7 @@
 		t.Errorf("forgot %v", gone)
 	}
 	f.Opened(Origin{"a/n0", 1}, 7)
-	if got := f.Arrive(key(50), 6, broker.NonIdempotent, 1, time.Second, roomy, 0); got != Stale {
+	if got := f.Arrive(key(50), 6, decision.NonIdempotent, 1, time.Second, roomy, 0); got != Stale {
 		t.Errorf("over an older link: %v", got)
 	}
 }
@@ -90,7 +90,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
 				id++
-				s := Search{ID: id, Effect: broker.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: 300 * ms, Due: now + time.Second}
+				s := Search{ID: id, Effect: decision.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: 300 * ms, Due: now + time.Second}
 				if n.Offer(s, now) {
 					due[id] = s.Due
 				}
--- a/internal/decision/routes/trips.go
+++ b/internal/decision/forwarding/trips.go
@@ -1,4 +1,4 @@
-package routes
+package forwarding
 
 // This file owns what becomes of searches that are abroad.
 
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Up takes it that a link stands, to a far process that its epoch names. What was lost over it is asked again there if it
@@ -37,7 +37,7 @@
 			continue
 		}
 		t.risk, t.stage, t.until = true, lost, min(now+n.policy.Resume, t.Due-n.policy.Speak)
-		if t.Effect == broker.Idempotent {
+		if t.Effect == decision.Idempotent {
 			n.settle(t, now) // what can be done again here need not wait
 		}
 	}
@@ -46,9 +46,9 @@
 // settle decides on a search that is known only as "may have run".
 func (n *Near) settle(t *trip, now time.Duration) {
 	switch {
-	case t.Effect == broker.Idempotent:
+	case t.Effect == decision.Idempotent:
 		n.bring(t, now, true)
-	case t.Effect == broker.Tokened && now <= t.sent+t.Window:
+	case t.Effect == decision.Tokened && now <= t.sent+t.Window:
 		n.bring(t, now, false)
 	default:
 		n.end(t, Fail)
--- a/internal/decision/words/words.go
+++ b/internal/decision/gossip/gossip.go
@@ -1,24 +1,24 @@
-// Package words decides what a broker makes of another's word on what discovery told it of a node: whether it counts, whether it is
+// Package gossip decides what a broker makes of another's word on what discovery told it of a node: whether it counts, whether it is
 // passed on, and what newcomers are told again. It never carries an address: those are each broker's own. Nothing here does I/O,
 // reads a clock or starts a goroutine.
 //
-// Depends on decision/broker. Concurrency: nothing here locks or starts a goroutine; a value is used by one
+// Depends on decision. Concurrency: nothing here locks or starts a goroutine; a value is used by one
 // goroutine at a time.
-package words
+package gossip
 
 import (
 	"encoding/binary"
 	"slices"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Word is what discovery told of one node.
 type Word struct {
 	Version uint64 // of the list that told it
 	Service uint32 // names the discovery
-	Node    broker.NodeID
-	State   broker.ListState
+	Node    decision.NodeID
+	State   decision.ListState
 	Started int64 // in Unix time in milliseconds; 0: long ago
 }
 
@@ -36,11 +36,11 @@
 
 // Read decodes one.
 func Read(b []byte) (w Word, ok bool) {
-	if len(b) != size || b[18] > byte(broker.Ready) {
+	if len(b) != size || b[18] > byte(decision.Ready) {
 		return w, false
 	}
-	w = Word{Version: binary.BigEndian.Uint64(b), Service: binary.BigEndian.Uint32(b[8:]), State: broker.ListState(b[18]),
-		Started: int64(binary.BigEndian.Uint64(b[19:])), Node: broker.NodeID{Addr: [4]byte(b[12:]), Port: binary.BigEndian.Uint16(b[16:])}}
+	w = Word{Version: binary.BigEndian.Uint64(b), Service: binary.BigEndian.Uint32(b[8:]), State: decision.ListState(b[18]),
+		Started: int64(binary.BigEndian.Uint64(b[19:])), Node: decision.NodeID{Addr: [4]byte(b[12:]), Port: binary.BigEndian.Uint16(b[16:])}}
 	return w, w.Started >= 0
 }
 
@@ -54,13 +54,13 @@
 type Book struct {
 	Service uint32 // this broker's discovery
 	Counts  Counts
-	told    map[broker.NodeID]uint64
+	told    map[decision.NodeID]uint64
 	left    []Word
 }
 
 // NewBook makes one of a broker that was told nothing.
 func NewBook(service uint32) *Book {
-	return &Book{Service: service, told: map[broker.NodeID]uint64{}}
+	return &Book{Service: service, told: map[decision.NodeID]uint64{}}
 }
 
 // Told notes what discovery told this broker of a node, and tells whether the others are to hear of it: not of whole lists, as
@@ -76,9 +76,9 @@
 
 // Hear tells whether another broker's word counts here, where the node is in such a state. Danger: a word that is late, of another
 // discovery or of a process that has gone would bring a node back that drains. Nothing but a new start makes one ready again.
-func (b *Book) Hear(w Word, known bool, state broker.ListState, started int64) bool {
+func (b *Book) Hear(w Word, known bool, state decision.ListState, started int64) bool {
 	if !known || w.Service != b.Service || w.Version <= b.told[w.Node] ||
-		state == broker.Draining && w.State == broker.Ready && w.Started <= started {
+		state == decision.Draining && w.State == decision.Ready && w.Started <= started {
 		b.Counts.ListStale++
 		return false
 	}
@@ -91,7 +91,7 @@
 // keep remembers which nodes left.
 func (b *Book) keep(w Word) {
 	b.left = slices.DeleteFunc(b.left, func(o Word) bool { return o.Node == w.Node })
-	if w.State != broker.Ready {
+	if w.State != decision.Ready {
 		if len(b.left) == mostLeft {
 			b.left = slices.Delete(b.left, 0, 1)
 		}
@@ -104,7 +104,7 @@
 func (b *Book) Left() []Word { return b.left }
 
 // Forget drops what was told of nodes that are not known any more, by versions before one.
-func (b *Book) Forget(version uint64, known func(broker.NodeID) bool) {
+func (b *Book) Forget(version uint64, known func(decision.NodeID) bool) {
 	for id, v := range b.told {
 		if v < version && !known(id) {
 			delete(b.told, id)
--- a/internal/decision/members/codec.go
+++ b/internal/decision/membership/codec.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // This file owns the form of messages: a head, then items that each say how long they are, so that a peer of another version
 // passes over what it does not know. It must never let through an item that it could not read whole.
--- a/internal/decision/members/members.go
+++ b/internal/decision/membership/membership.go
@@ -1,4 +1,4 @@
-// Package members decides who of a tier of brokers is there: alive, suspected, dead, or gone as planned. It is SWIM (Das, Gupta and
+// Package membership decides who of a tier of brokers is there: alive, suspected, dead, or gone as planned. It is SWIM (Das, Gupta and
 // Motivala, 2002) with the additions of Lifeguard (Dadgar, Phillips and Currey, 2018): one probe at a time, indirect ones before
 // anybody is suspected, news carried by the probes themselves, suspicion that shortens as others agree, and an observer that
 // knows how late it is itself. Messages fit into the bytes that the caller allows. Nothing here does I/O, reads a clock or
@@ -6,7 +6,7 @@
 //
 // Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
 // used by one goroutine at a time.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/decision/members/members_test.go
+++ b/internal/decision/membership/membership_test.go
@@ -1,4 +1,4 @@
-package members_test
+package membership_test
 
 import (
 	"encoding/binary"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/members"
+	"flaxfront/internal/decision/membership"
 	"flaxfront/internal/lab/crew"
 )
 
@@ -68,7 +68,7 @@
 	c.Run(40 * time.Second)
 	for _, b := range c.Brokers[1:] {
 		for _, m := range b.Members.All() {
-			if m.Name == crew.Name(0) && m.State != members.Dead {
+			if m.Name == crew.Name(0) && m.State != membership.Dead {
 				t.Errorf("%v is %v at another that can't hear it", m.Name, m.State)
 			}
 		}
@@ -112,7 +112,7 @@
 	left := 0
 	for _, b := range c.Brokers[:4] {
 		for _, m := range b.Members.All() {
-			if m.Name == crew.Name(4) && m.State == members.Left {
+			if m.Name == crew.Name(4) && m.State == membership.Left {
 				left++
 			}
 		}
@@ -136,10 +136,10 @@
 // Two brokers of one name at two addresses: the first stands, and the two do not fight for ever.
 func TestNameUsedTwice(t *testing.T) {
 	p := crew.Default
-	a := members.New(p, "a", addr(1), 1, 1, nil)
-	twin := members.New(p, "a", addr(2), 1, 1, []netip.AddrPort{addr(3)})
-	b := members.New(p, "b", addr(3), 1, 1, []netip.AddrPort{addr(1)})
-	all := map[netip.AddrPort]*members.Members{addr(1): a, addr(2): twin, addr(3): b}
+	a := membership.New(p, "a", addr(1), 1, 1, nil)
+	twin := membership.New(p, "a", addr(2), 1, 1, []netip.AddrPort{addr(3)})
+	b := membership.New(p, "b", addr(3), 1, 1, []netip.AddrPort{addr(1)})
+	all := map[netip.AddrPort]*membership.Members{addr(1): a, addr(2): twin, addr(3): b}
 	sent := 0
 	for now := time.Duration(1); now < 30*time.Second; now += 10 * time.Millisecond {
 		for _, at := range []netip.AddrPort{addr(1), addr(3), addr(2)} {
@@ -177,7 +177,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		p := crew.Default
 		p.MaxKnown = 3
-		m := members.New(p, "me", addr(1), 1, 1, nil)
+		m := membership.New(p, "me", addr(1), 1, 1, nil)
 		for i := range 4 {
 			m.Take(addr(2), data, time.Duration(i)*time.Second)
 			m.Tick(time.Duration(i) * time.Second)
@@ -197,14 +197,14 @@
 
 // A peer of a later version is understood as far as this one knows it.
 func TestLaterVersion(t *testing.T) {
-	m := members.New(crew.Default, "me", addr(1), 1, 1, nil)
+	m := membership.New(crew.Default, "me", addr(1), 1, 1, nil)
 	name := "you"
 	b := []byte{9, 1, 0, 0, 0, 0, 7}
-	b = binary.BigEndian.AppendUint32(b, uint32(members.IDOf(name)))
+	b = binary.BigEndian.AppendUint32(b, uint32(membership.IDOf(name)))
 	b = append(b, 0, 0, 0, 1, 0, 0, 0, 0)
 	b = append(b, '?', 2, 1, 2)
 	b = append(b, 'A', byte(10+6+len(name)))
-	b = binary.BigEndian.AppendUint32(b, uint32(members.IDOf(name)))
+	b = binary.BigEndian.AppendUint32(b, uint32(membership.IDOf(name)))
 	b = append(b, 0, 0, 0, 1, 1, 4, 10, 0, 0, 2, 0, 7)
 	b = append(b, name...)
 	m.Take(addr(2), b, time.Second)
--- a/internal/decision/members/news.go
+++ b/internal/decision/membership/news.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // This file owns what is told: news carried along, broadcasts, and the exchange of whole views.
 
--- a/internal/decision/members/probe.go
+++ b/internal/decision/membership/probe.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // This file owns the clock of the view: probes, direct and by others, and what an observer that was late makes of it.
 
--- a/internal/decision/members/state.go
+++ b/internal/decision/membership/state.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // This file owns what becomes of a member: alive, suspected, buried, refuted, left.
 
--- a/internal/decision/members/take.go
+++ b/internal/decision/membership/take.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // This file owns what comes in: messages and the items that they carry.
 
--- a/internal/decision/duties/claims.go
+++ b/internal/decision/ownership/claims.go
@@ -1,4 +1,4 @@
-package duties
+package ownership
 
 // This file owns claims: their form, their fencing numbers, which of two counts.
 
--- a/internal/decision/duties/explore_test.go
+++ b/internal/decision/ownership/explore_test.go
@@ -1,4 +1,4 @@
-package duties
+package ownership
 
 // This file walks the states of the model.
 
--- a/internal/decision/duties/model_test.go
+++ b/internal/decision/ownership/model_test.go
@@ -1,4 +1,4 @@
-package duties
+package ownership
 
 import (
 	"fmt"
--- a/internal/decision/duties/duties.go
+++ b/internal/decision/ownership/ownership.go
@@ -1,11 +1,11 @@
-// Package duties decides which broker of a tier does which periodic duty, and when. Each duty belongs to the living member that
+// Package ownership decides which broker of a tier does which periodic duty, and when. Each duty belongs to the living member that
 // rendezvous hashing (Thaler and Ravishankar, 1998), weighted by spare capacity, gives it to. Whoever takes a duty over claims it
 // under a fencing number that only grows; what is done under an older number is refused by whoever receives it. There is no
 // vote: where brokers can't hear one another each side has an owner. Nothing here does I/O, reads a clock or starts a goroutine.
 //
 // Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
 // used by one goroutine at a time.
-package duties
+package ownership
 
 import (
 	"encoding/binary"
--- a/internal/decision/duties/crew_test.go
+++ b/internal/decision/ownership/ownership_test.go
@@ -1,16 +1,16 @@
-package duties_test
+package ownership_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/duties"
-	"flaxfront/internal/decision/members"
+	"flaxfront/internal/decision/membership"
+	"flaxfront/internal/decision/ownership"
 	"flaxfront/internal/lab/crew"
 )
 
-var chores = []duties.Duty{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
+var chores = []ownership.Duty{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
 func tier(seed uint64, brokers int, loss float64) *crew.Crew {
 	return crew.New(crew.Options{Brokers: brokers, Seed: seed, Loss: loss, Delay: 2 * time.Millisecond, Twice: 0.05, Policy: crew.Default,
@@ -127,8 +127,8 @@
 // What a broker reads of claims, and what it refuses.
 func TestClaims(t *testing.T) {
 	p := crew.Lease
-	d := duties.New(p, 7, chores, 0)
-	d.View([]duties.Member{{ID: 7, Weight: 1}}, 0)
+	d := ownership.New(p, 7, chores, 0)
+	d.View([]ownership.Member{{ID: 7, Weight: 1}}, 0)
 	runs, _ := d.Tick(p.Settle)
 	for now := p.Settle; len(runs) == 0 && now < 10*time.Second; now += 50 * time.Millisecond {
 		runs, _ = d.Tick(now)
@@ -136,8 +136,8 @@
 	if len(runs) == 0 || !d.Accept(runs[0].Duty, runs[0].Fence) {
 		t.Fatalf("%v", runs)
 	}
-	later := duties.Claim{Duty: uint8(runs[0].Duty), Fence: runs[0].Fence + 5, Owner: 9, Turn: 3}
-	back, ok := duties.Read(later.Append(nil))
+	later := ownership.Claim{Duty: uint8(runs[0].Duty), Fence: runs[0].Fence + 5, Owner: 9, Turn: 3}
+	back, ok := ownership.Read(later.Append(nil))
 	if !ok || back != later || !d.Take(back, 10*time.Second) || d.Take(back, 10*time.Second) {
 		t.Errorf("%+v, %v", back, ok)
 	}
@@ -145,25 +145,25 @@
 		t.Error("an old number is accepted")
 	}
 	for _, bad := range [][]byte{nil, {1}, make([]byte, 18), append(later.Append(nil), 0)} {
-		if _, ok := duties.Read(bad); ok {
+		if _, ok := ownership.Read(bad); ok {
 			t.Errorf("%x was read", bad)
 		}
 	}
-	if d.Take(duties.Claim{Duty: 200, Fence: 1, Owner: 1}, 0) {
+	if d.Take(ownership.Claim{Duty: 200, Fence: 1, Owner: 1}, 0) {
 		t.Error("a duty that nobody has was taken")
 	}
 }
 
 // Duties are shared by weight: one of three times the others' capacity owns about three times as many.
 func TestWeights(t *testing.T) {
-	var list []duties.Duty
+	var list []ownership.Duty
 	for i := range 3000 {
-		list = append(list, duties.Duty{Name: fmt.Sprint("duty ", i), Period: time.Minute})
+		list = append(list, ownership.Duty{Name: fmt.Sprint("duty ", i), Period: time.Minute})
 	}
-	d := duties.New(crew.Lease, 1, list, 0)
-	var all []duties.Member
+	d := ownership.New(crew.Lease, 1, list, 0)
+	var all []ownership.Member
 	for i := range 5 {
-		all = append(all, duties.Member{ID: uint32(members.IDOf(crew.Name(i))), Weight: 1})
+		all = append(all, ownership.Member{ID: uint32(membership.IDOf(crew.Name(i))), Weight: 1})
 	}
 	all[2].Weight = 3
 	d.View(all, 0)
@@ -183,8 +183,8 @@
 	}
 }
 
-func rankOwner(all []duties.Member, name string) uint32 {
-	d := duties.New(crew.Lease, 1, []duties.Duty{{Name: name, Period: time.Minute}}, 0)
+func rankOwner(all []ownership.Member, name string) uint32 {
+	d := ownership.New(crew.Lease, 1, []ownership.Duty{{Name: name, Period: time.Minute}}, 0)
 	d.View(all, 0)
 	return d.Owner(0)
 }
--- a/internal/decision/pins/choose.go
+++ b/internal/decision/readpin/choose.go
@@ -1,9 +1,9 @@
-package pins
+package readpin
 
 import (
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Ask is what a search wants of its reads.
@@ -36,7 +36,7 @@
 
 // score is the rendezvous weight of a node for a pin's part: the highest comes first. Where a node goes, only the pins that had it
 // first move, each to its own second.
-func score(pin uint64, shard int, id broker.NodeID) uint64 {
+func score(pin uint64, shard int, id decision.NodeID) uint64 {
 	n := uint64(id.Addr[0])<<40 | uint64(id.Addr[1])<<32 | uint64(id.Addr[2])<<24 | uint64(id.Addr[3])<<16 | uint64(id.Port)
 	return mix(mix(pin+uint64(shard)*0x9e3779b97f4a7c15) ^ n*0x9e3779b97f4a7c15)
 }
@@ -82,7 +82,7 @@
 //
 // Danger: a session that moves to another replica would go backwards. The first in a pin's order is taken to have served what it is
 // known to have had, also for a while after it left: whoever answers in its place must have come as far.
-func (b *Book) Choose(now time.Duration, shard int, need uint64, a *Ask, dst []broker.NodeID) (_ []broker.NodeID, m Must, back time.Duration) {
+func (b *Book) Choose(now time.Duration, shard int, need uint64, a *Ask, dst []decision.NodeID) (_ []decision.NodeID, m Must, back time.Duration) {
 	m = Must{need, Never, a.Taken}
 	if shard < 0 || shard >= b.c.Shards {
 		return dst, m, 0
--- a/internal/decision/pins/fact.go
+++ b/internal/decision/readpin/fact.go
@@ -1,9 +1,9 @@
-package pins
+package readpin
 
 import (
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // fact is what is known of one shard at one holder, in moments of this broker's clock.
@@ -37,7 +37,7 @@
 }
 
 // Learn takes what a replica said in an answer to a part that was sent at a moment and answered now.
-func (b *Book) Learn(now time.Duration, id broker.NodeID, shard int, sent time.Duration, r Report) {
+func (b *Book) Learn(now time.Duration, id decision.NodeID, shard int, sent time.Duration, r Report) {
 	at, known := b.byID[id]
 	if !known {
 		return
@@ -116,7 +116,7 @@
 }
 
 // Bound is what a broker may rely on of a holder without asking it: the most by which it may be behind now. Unknown: nothing.
-func (b *Book) Bound(now time.Duration, id broker.NodeID, shard int) time.Duration {
+func (b *Book) Bound(now time.Duration, id decision.NodeID, shard int) time.Duration {
 	if at, known := b.byID[id]; known {
 		if f := b.fact(&b.seats[at], shard); f != nil && f.known && f.asof != never {
 			return b.Staleness(now, f.asof)
--- a/internal/decision/pins/hot.go
+++ b/internal/decision/readpin/hot.go
@@ -1,10 +1,10 @@
-package pins
+package readpin
 
 import (
 	"math"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 const (
@@ -35,7 +35,7 @@
 
 func (m *meter) add(now time.Duration) { m.rate = m.read(now) + 1/memory.Seconds() }
 
-func bucket(pin uint64, id broker.NodeID) int { return int(score(pin, 0, id) % buckets) }
+func bucket(pin uint64, id decision.NodeID) int { return int(score(pin, 0, id) % buckets) }
 
 // full tells whether a pin is at its limit at a holder: so many parts out, or such a share of what the holder is sent.
 func (b *Book) full(now time.Duration, pin uint64, s *seat) bool {
@@ -51,7 +51,7 @@
 }
 
 // Sent counts a part that goes to a node, pinned or not.
-func (b *Book) Sent(now time.Duration, pin uint64, id broker.NodeID) {
+func (b *Book) Sent(now time.Duration, pin uint64, id decision.NodeID) {
 	if at, known := b.byID[id]; known {
 		b.seats[at].flow.add(now)
 	}
@@ -63,7 +63,7 @@
 }
 
 // Ended counts the end of a part that was sent.
-func (b *Book) Ended(pin uint64, id broker.NodeID) {
+func (b *Book) Ended(pin uint64, id decision.NodeID) {
 	if pin != 0 {
 		b.hot[bucket(pin, id)].out--
 	}
--- a/internal/decision/pins/pins.go
+++ b/internal/decision/readpin/readpin.go
@@ -1,18 +1,18 @@
-// Package pins decides which holders of a shard may answer a part whose search is pinned, bounds the age of what it reads or has
+// Package readpin decides which holders of a shard may answer a part whose search is pinned, bounds the age of what it reads or has
 // seen a position, and whether an answer then keeps that promise. It owns what a broker knows of replicas' positions, by its own
 // answers and by other brokers' word, and the order of holders that all brokers compute alike. It must never be optimistic:
 // each error of a clock, each moment that can't be told apart, counts against freshness. It does no I/O, reads no clock and starts
 // no goroutine; which of the eligible holders is sent to is the decision module's to say.
 //
-// Depends on decision/broker. Concurrency: nothing here locks or starts a goroutine; a value is used by one
+// Depends on decision. Concurrency: nothing here locks or starts a goroutine; a value is used by one
 // goroutine at a time.
-package pins
+package readpin
 
 import (
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Config is what a book is kept by.
@@ -46,10 +46,10 @@
 	Counts Counts
 	c      Config
 	number uint64 // of the epoch; 0: none was agreed, and the broker's own list stands in for it
-	epoch  map[broker.NodeID]bool
+	epoch  map[decision.NodeID]bool
 	seats  []seat
 	vacant []int32
-	byID   map[broker.NodeID]int32
+	byID   map[decision.NodeID]int32
 	cells  [][]int32
 	ranked []ranked
 	hot    hot
@@ -67,7 +67,7 @@
 
 // seat is a node.
 type seat struct {
-	id      broker.NodeID
+	id      decision.NodeID
 	cell    int
 	used    bool
 	ready   bool
@@ -79,11 +79,11 @@
 
 // New makes an empty book.
 func New(c Config) *Book {
-	return &Book{c: c, byID: map[broker.NodeID]int32{}, cells: make([][]int32, c.Cells)}
+	return &Book{c: c, byID: map[decision.NodeID]int32{}, cells: make([][]int32, c.Cells)}
 }
 
 // List takes over a list of nodes, or the lines that changed.
-func (b *Book) List(now time.Duration, whole bool, entries []broker.Entry) {
+func (b *Book) List(now time.Duration, whole bool, entries []decision.Entry) {
 	if whole {
 		for i := range b.seats {
 			b.seats[i].leave(now) // those that it names come back below
@@ -92,7 +92,7 @@
 	for i := range entries {
 		e := &entries[i]
 		at, known := b.byID[e.Node]
-		if e.State == broker.Gone {
+		if e.State == decision.Gone {
 			if known {
 				b.seats[at].leave(now)
 			}
@@ -105,7 +105,7 @@
 		if !known {
 			at = b.sit(e.Node, e.Cell%b.c.Cells)
 		}
-		b.seats[at].ready, b.seats[at].left = e.State == broker.Ready, never
+		b.seats[at].ready, b.seats[at].left = e.State == decision.Ready, never
 	}
 	for i := range b.seats {
 		if s := &b.seats[i]; s.used && s.left != never && now-s.left > keep {
@@ -120,7 +120,7 @@
 	}
 }
 
-func (b *Book) sit(id broker.NodeID, cell int) (at int32) {
+func (b *Book) sit(id decision.NodeID, cell int) (at int32) {
 	if n := len(b.vacant); n > 0 {
 		at, b.vacant = b.vacant[n-1], b.vacant[:n-1]
 	} else {
@@ -144,11 +144,11 @@
 }
 
 // Epoch takes over an agreed list: its nodes come first in every pin's order. An older one than that in force is left aside.
-func (b *Book) Epoch(number uint64, nodes []broker.NodeID) {
+func (b *Book) Epoch(number uint64, nodes []decision.NodeID) {
 	if number <= b.number {
 		return
 	}
-	b.number, b.epoch = number, make(map[broker.NodeID]bool, len(nodes))
+	b.number, b.epoch = number, make(map[decision.NodeID]bool, len(nodes))
 	for _, id := range nodes {
 		b.epoch[id] = true
 	}
--- a/internal/decision/pins/pins_test.go
+++ b/internal/decision/readpin/readpin_test.go
@@ -1,4 +1,4 @@
-package pins
+package readpin
 
 import (
 	"math/rand/v2"
@@ -7,13 +7,13 @@
 
 	"pgregory.net/rapid"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 const ms = time.Millisecond
 
-func id(i int) broker.NodeID {
-	return broker.NodeID{Addr: [4]byte{10, 0, byte(i >> 8), byte(i)}, Port: 9}
+func id(i int) decision.NodeID {
+	return decision.NodeID{Addr: [4]byte{10, 0, byte(i >> 8), byte(i)}, Port: 9}
 }
 
 // tier is a book over nodes that hold all of some shards, one cell.
@@ -23,9 +23,9 @@
 	return b
 }
 
-func lines(nodes int) (all []broker.Entry) {
+func lines(nodes int) (all []decision.Entry) {
 	for i := range nodes {
-		all = append(all, broker.Entry{Node: id(i), State: broker.Ready})
+		all = append(all, decision.Entry{Node: id(i), State: decision.Ready})
 	}
 	return all
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-func (b *Book) first(now time.Duration, pin uint64, shard int) broker.NodeID {
+func (b *Book) first(now time.Duration, pin uint64, shard int) decision.NodeID {
 	got, _, _ := b.Choose(now, shard, 0, &Ask{Pin: pin, Taken: now}, nil)
 	return got[0]
 }
@@ -50,8 +50,8 @@
 	for i := range all {
 		b.List(0, false, all[i:i+1])
 	}
-	had := map[broker.NodeID]int{}
-	var before []broker.NodeID
+	had := map[decision.NodeID]int{}
+	var before []decision.NodeID
 	for pin := range uint64(9000) {
 		n := a.first(0, pin+1, 2)
 		must(t, n == b.first(0, pin+1, 2), "brokers differ on pin %d", pin)
@@ -60,7 +60,7 @@
 	for n, pins := range had {
 		must(t, pins > 850 && pins < 1150, "%v has %d of 9000", n, pins)
 	}
-	a.List(0, false, []broker.Entry{{Node: id(4), State: broker.Gone}})
+	a.List(0, false, []decision.Entry{{Node: id(4), State: decision.Gone}})
 	for pin := range uint64(9000) {
 		n := a.first(0, pin+1, 2)
 		must(t, n != id(4) && (n == before[pin] || before[pin] == id(4)), "pin %d moved from %v to %v", pin, before[pin], n)
@@ -70,17 +70,17 @@
 // A node that is listed before the next epoch names it takes no pin over.
 func TestPinsFollowTheEpoch(t *testing.T) {
 	b := tier(4, 1)
-	b.Epoch(7, []broker.NodeID{id(0), id(1), id(2), id(3)})
-	var before []broker.NodeID
+	b.Epoch(7, []decision.NodeID{id(0), id(1), id(2), id(3)})
+	var before []decision.NodeID
 	for pin := range uint64(100) {
 		before = append(before, b.first(0, pin+1, 0))
 	}
-	b.List(0, false, []broker.Entry{{Node: id(9), State: broker.Ready}})
-	b.Epoch(6, []broker.NodeID{id(9)})
+	b.List(0, false, []decision.Entry{{Node: id(9), State: decision.Ready}})
+	b.Epoch(6, []decision.NodeID{id(9)})
 	for pin := range uint64(100) {
 		must(t, b.first(0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
 	}
-	b.Epoch(8, []broker.NodeID{id(0), id(1), id(2), id(3), id(9)})
+	b.Epoch(8, []decision.NodeID{id(0), id(1), id(2), id(3), id(9)})
 	moved := 0
 	for pin := range uint64(100) {
 		if n := b.first(0, pin+1, 0); n != before[pin] {
@@ -123,7 +123,7 @@
 	one, two := all[0], all[1]
 	b.Learn(100*ms, one, 0, 99*ms, Report{90, 0})
 	b.Learn(100*ms, two, 0, 99*ms, Report{80, 0})
-	b.List(101*ms, false, []broker.Entry{{Node: one, State: broker.Gone}})
+	b.List(101*ms, false, []decision.Entry{{Node: one, State: decision.Gone}})
 	got, m, back := b.Choose(101*ms, 0, 0, &a, nil)
 	must(t, len(got) == 0 && back > 0 && m.Pos == 90, "%v, %+v", got, m)
 	b.Learn(120*ms, two, 0, 119*ms, Report{91, 0})
--- a/internal/decision/pins/report.go
+++ b/internal/decision/readpin/report.go
@@ -1,4 +1,4 @@
-package pins
+package readpin
 
 import (
 	"strconv"
--- a/internal/decision/pins/truth_test.go
+++ b/internal/decision/readpin/truth_test.go
@@ -1,4 +1,4 @@
-package pins
+package readpin
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // replica is one that is known from outside: when its state is of, and what it says of that by a clock that is off.
@@ -163,9 +163,9 @@
 
 func benchBook() *Book {
 	b := New(Default(64, 16, 1))
-	var all []broker.Entry
+	var all []decision.Entry
 	for i := range 128 {
-		all = append(all, broker.Entry{Node: id(i), Cell: i % 16, State: broker.Ready})
+		all = append(all, decision.Entry{Node: id(i), Cell: i % 16, State: decision.Ready})
 	}
 	b.List(0, true, all)
 	for i := range 128 {
@@ -178,7 +178,7 @@
 
 // A part's whole way: chosen among eight holders, counted, judged and learned from.
 func BenchmarkPart(b *testing.B) {
-	k, dst := benchBook(), make([]broker.NodeID, 0, 16)
+	k, dst := benchBook(), make([]decision.NodeID, 0, 16)
 	a := Ask{Pin: 9, Taken: time.Second, MaxStale: 250 * ms}
 	r := Report{60, 10 * ms}
 	b.ReportAllocs()
@@ -192,7 +192,7 @@
 }
 
 func TestPartAllocatesNothing(t *testing.T) {
-	k, dst := benchBook(), make([]broker.NodeID, 0, 16)
+	k, dst := benchBook(), make([]decision.NodeID, 0, 16)
 	a := Ask{Pin: 9, Taken: time.Second, MaxStale: 250 * ms}
 	n := testing.AllocsPerRun(1000, func() {
 		got, m, _ := k.Choose(time.Second, 3, 40, &a, dst[:0])
--- a/internal/decision/pins/wire.go
+++ b/internal/decision/readpin/wire.go
@@ -1,11 +1,11 @@
-package pins
+package readpin
 
 import (
 	"encoding/binary"
 	"fmt"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 const (
@@ -73,7 +73,7 @@
 func up(d time.Duration) uint64 { return uint64((max(0, d) + time.Millisecond - 1) / time.Millisecond) }
 
 // appendFact writes moments as ages: those that must not be too late rounded up, the one that must not be too early down.
-func appendFact(out []byte, now time.Duration, id broker.NodeID, shard int, f *fact) []byte {
+func appendFact(out []byte, now time.Duration, id decision.NodeID, shard int, f *fact) []byte {
 	out = binary.BigEndian.AppendUint16(append(out, id.Addr[:]...), id.Port)
 	out = binary.AppendUvarint(out, uint64(shard))
 	out = binary.AppendUvarint(out, f.pos)
@@ -109,7 +109,7 @@
 		if len(rest) < 6 {
 			return &BadFacts{at}
 		}
-		id := broker.NodeID{Addr: [4]byte(rest), Port: binary.BigEndian.Uint16(rest[4:])}
+		id := decision.NodeID{Addr: [4]byte(rest), Port: binary.BigEndian.Uint16(rest[4:])}
 		rest = rest[6:]
 		var v [6]uint64
 		for i := range v {
--- a/internal/decision/release/compare.go
+++ b/internal/decision/release/compare.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // present are the targets that serve, and on which side of the comparison each is.
-func (p *Planner) present(s *ledger.State, r *ledger.Release) map[Target]side {
+func (p *Planner) present(s *statemachine.State, r *statemachine.Release) map[Target]side {
 	all := map[Target]side{}
 	if r.OnNodes {
 		for _, n := range s.Nodes() {
@@ -21,7 +21,7 @@
 		}
 	} else {
 		for _, b := range s.Brokers() {
-			if b.Standing == ledger.In && b.Permit == 0 {
+			if b.Standing == statemachine.In && b.Permit == 0 {
 				all[Target{Slot: b.Slot}] = before
 			}
 		}
@@ -31,7 +31,7 @@
 		if _, ok := all[t]; !ok {
 			continue
 		}
-		if x.Stage == ledger.Finished {
+		if x.Stage == statemachine.Finished {
 			all[t] = neither // had the version before: it says nothing of the way there
 			if x.Touched {
 				all[t] = after
@@ -42,7 +42,7 @@
 }
 
 // compare takes a window of counts into the evidence, and looks at each gate.
-func (p *Planner) compare(s *ledger.State, r *ledger.Release, now time.Duration) {
+func (p *Planner) compare(s *statemachine.State, r *statemachine.Release, now time.Duration) {
 	p.window = now
 	var window []grown
 	zones, classes := map[string]bool{}, 0
@@ -112,11 +112,11 @@
 }
 
 // Order puts brokers in turn by zones, so that no batch falls on one zone.
-func Order(brokers []ledger.Broker) (slots []ledger.Slot) {
+func Order(brokers []statemachine.Broker) (slots []statemachine.Slot) {
 	turn := map[string]int{}
 	type place struct {
 		round int
-		b     ledger.Broker
+		b     statemachine.Broker
 	}
 	var all []place
 	for _, b := range brokers {
--- a/internal/decision/release/evidence.go
+++ b/internal/decision/release/evidence.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // Metric is a way in which a search goes wrong.
@@ -32,9 +32,9 @@
 
 // Target is a broker or a node.
 type Target struct {
-	Slot   ledger.Slot
+	Slot   statemachine.Slot
 	OnNode bool
-	Node   ledger.NodeID
+	Node   statemachine.NodeID
 }
 
 // Report is what one target counted.
--- a/internal/decision/release/list.go
+++ b/internal/decision/release/list.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 const (
@@ -18,8 +18,8 @@
 
 // List is a broker's node list as discovery told it.
 type List struct {
-	Nodes []ledger.NodeInfo // by ledger.Compare
-	Ready map[ledger.NodeID]bool
+	Nodes []statemachine.NodeInfo // by ledger.Compare
+	Ready map[statemachine.NodeID]bool
 	Since time.Duration // since when it stands as it is
 	Told  bool          // discovery has spoken since the start, and in its last call; else the list may be of long ago
 }
@@ -31,29 +31,29 @@
 	}
 }
 
-func alike(a, b ledger.NodeInfo) bool {
+func alike(a, b statemachine.NodeInfo) bool {
 	return a.Node == b.Node && a.Zone == b.Zone && slices.Equal(a.Shards, b.Shards)
 }
 
 // Next is what is to be proposed: the list as an epoch where it differs from the agreed one, else which nodes discovery drains or
 // has back.
-func (l *List) Next(s *ledger.State, now time.Duration) (all []ledger.Entry) {
+func (l *List) Next(s *statemachine.State, now time.Duration) (all []statemachine.Entry) {
 	if !l.Told || len(l.Nodes) == 0 || now-l.Since < listSettles {
 		return nil // Danger: a leader that has no list yet, or one of an earlier life, would end nodes for everybody
 	}
 	agreed := s.Nodes()
-	same := slices.EqualFunc(agreed, l.Nodes, func(a ledger.Node, b ledger.NodeInfo) bool {
+	same := slices.EqualFunc(agreed, l.Nodes, func(a statemachine.Node, b statemachine.NodeInfo) bool {
 		return alike(a.NodeInfo, b)
 	})
 	if !same {
-		return []ledger.Entry{&ledger.Epoch{Number: s.Epoch() + 1, Least: 1, Nodes: l.Nodes}}
+		return []statemachine.Entry{&statemachine.Epoch{Number: s.Epoch() + 1, Least: 1, Nodes: l.Nodes}}
 	}
 	for _, n := range agreed {
 		switch ready := l.Ready[n.Node]; {
 		case !ready && n.Down == 0 && n.Drain == 0 && !n.Used:
-			all = append(all, &ledger.NodeDown{Node: n.Node, Reason: byList})
+			all = append(all, &statemachine.NodeDown{Node: n.Node, Reason: byList})
 		case ready && n.Down > 0 && n.Drain == 0 && !n.Used:
-			all = append(all, &ledger.Return{Incarnation: n.Down, OnNode: true, Node: n.Node})
+			all = append(all, &statemachine.Return{Incarnation: n.Down, OnNode: true, Node: n.Node})
 		}
 	}
 	return all
--- a/internal/decision/release/release.go
+++ b/internal/decision/release/release.go
@@ -6,7 +6,7 @@
 //	p.Take(report, now)                     // whenever a broker's counts come
 //	entries, next := p.Next(state, now)     // to be proposed; call again at next, or when the ledger has moved
 //
-// Depends on decision/ledger. Concurrency: nothing here locks or starts a goroutine; a value is used by one
+// Depends on decision/statemachine. Concurrency: nothing here locks or starts a goroutine; a value is used by one
 // goroutine at a time.
 package release
 
@@ -17,7 +17,7 @@
 	"strings"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // Settings of gates and pace.
@@ -54,7 +54,7 @@
 	window  time.Duration
 	windows int
 	since   map[Target]time.Duration // when a target was first seen as it stands
-	stood   map[Target]ledger.Stage
+	stood   map[Target]statemachine.Stage
 	asked   map[string]time.Duration // what was proposed, and when
 	closed  time.Duration            // when the open batch was first seen finished
 	batch   uint32
@@ -83,14 +83,14 @@
 func (p *Planner) reset(number uint64, now time.Duration) {
 	p.number, p.began, p.window, p.windows, p.failed = number, now, now, 0, nil
 	p.groups, p.closed, p.batch = nil, -1, 0
-	p.since, p.stood, p.asked = map[Target]time.Duration{}, map[Target]ledger.Stage{}, map[string]time.Duration{}
+	p.since, p.stood, p.asked = map[Target]time.Duration{}, map[Target]statemachine.Stage{}, map[string]time.Duration{}
 	for _, s := range p.sources {
 		s.mark = s.last
 	}
 }
 
 // Next returns what to propose now, and when to come again.
-func (p *Planner) Next(s *ledger.State, now time.Duration) (propose []ledger.Entry, next time.Duration) {
+func (p *Planner) Next(s *statemachine.State, now time.Duration) (propose []statemachine.Entry, next time.Duration) {
 	next = now + p.set.Window/4
 	r, ok := s.Release()
 	if !ok {
@@ -102,10 +102,10 @@
 	if r.Number != p.number {
 		p.reset(r.Number, now)
 	}
-	if r.Course == ledger.Halted && p.set.Back && r.BackOf == 0 && strings.HasPrefix(r.Reason, gateFailed) {
-		return p.once(nil, &ledger.Revert{Release: r.Number, Reason: r.Reason}, now), next
+	if r.Course == statemachine.Halted && p.set.Back && r.BackOf == 0 && strings.HasPrefix(r.Reason, gateFailed) {
+		return p.once(nil, &statemachine.Revert{Release: r.Number, Reason: r.Reason}, now), next
 	}
-	if r.Course != ledger.Running {
+	if r.Course != statemachine.Running {
 		p.window = now
 		return nil, next
 	}
@@ -115,9 +115,9 @@
 	}
 	switch {
 	case p.failed != nil && r.Gates != "off":
-		return p.once(nil, &ledger.Halt{Release: r.Number, Reason: gateFailed + p.failed.String()}, now), next
+		return p.once(nil, &statemachine.Halt{Release: r.Number, Reason: gateFailed + p.failed.String()}, now), next
 	case late != "":
-		return p.once(nil, &ledger.Halt{Release: r.Number, Reason: late}, now), next
+		return p.once(nil, &statemachine.Halt{Release: r.Number, Reason: late}, now), next
 	case now-p.began < p.set.Observe || !p.heard(s, &r):
 		return nil, next
 	}
@@ -126,7 +126,7 @@
 			p.closed = now
 		}
 		if int(r.Batch)+1 < len(r.Batches) && now-p.closed >= time.Duration(r.PauseMS)*time.Millisecond && p.judged(s, &r) {
-			propose = p.once(propose, &ledger.Advance{Release: r.Number, Term: p.term, Batch: r.Batch + 1}, now)
+			propose = p.once(propose, &statemachine.Advance{Release: r.Number, Term: p.term, Batch: r.Batch + 1}, now)
 		}
 		return propose, next
 	}
@@ -134,9 +134,9 @@
 }
 
 // once proposes what was not proposed a while ago.
-func (p *Planner) once(all []ledger.Entry, e ledger.Entry, now time.Duration) []ledger.Entry {
+func (p *Planner) once(all []statemachine.Entry, e statemachine.Entry, now time.Duration) []statemachine.Entry {
 	key := fmt.Sprintf("%T %v", e, e)
-	if h, ok := e.(*ledger.Halt); ok {
+	if h, ok := e.(*statemachine.Halt); ok {
 		key = fmt.Sprint("halt ", h.Release)
 	}
 	if at, ok := p.asked[key]; ok && now-at < p.set.Retry {
@@ -147,7 +147,7 @@
 }
 
 // note keeps since when each step stands as it does, and tells what can't be waited for.
-func (p *Planner) note(r *ledger.Release, now time.Duration) (late string) {
+func (p *Planner) note(r *statemachine.Release, now time.Duration) (late string) {
 	if r.Batch != p.batch {
 		p.batch, p.closed = r.Batch, -1
 	}
@@ -157,9 +157,9 @@
 			p.stood[t], p.since[t] = x.Stage, now
 		}
 		switch {
-		case x.Stage == ledger.Used && now-p.since[t] > p.set.Overdue:
+		case x.Stage == statemachine.Used && now-p.since[t] > p.set.Overdue:
 			late = fmt.Sprintf("%v is out for longer than %v", name(t), p.set.Overdue)
-		case x.Stage == ledger.Finished && x.Touched && !r.OnNodes && r.To != "" && x.Version != "" && x.Version != r.To:
+		case x.Stage == statemachine.Finished && x.Touched && !r.OnNodes && r.To != "" && x.Version != "" && x.Version != r.To:
 			late = fmt.Sprintf("%v came back with version %s", name(t), x.Version)
 		}
 	}
@@ -173,13 +173,13 @@
 	return fmt.Sprint("broker of slot ", t.Slot)
 }
 
-func target(r *ledger.Release, x ledger.Step) Target {
+func target(r *statemachine.Release, x statemachine.Step) Target {
 	return Target{Slot: x.Slot, OnNode: r.OnNodes, Node: x.Node}
 }
 
 // heard tells whether most of the targets' counts are known to this leader. Danger: one that sees a tenth of the tier lets go on
 // what that tenth says.
-func (p *Planner) heard(s *ledger.State, r *ledger.Release) bool {
+func (p *Planner) heard(s *statemachine.State, r *statemachine.Release) bool {
 	if r.Gates == "off" {
 		return true
 	}
@@ -194,7 +194,7 @@
 
 // judged tells whether the released have been seen at work for long enough. Where too few are left to hold them against, or
 // were from the start, nothing can be judged, and the pause alone counts.
-func (p *Planner) judged(s *ledger.State, r *ledger.Release) bool {
+func (p *Planner) judged(s *statemachine.State, r *statemachine.Release) bool {
 	controls, released := 0, 0
 	for _, side := range p.present(s, r) {
 		switch side {
@@ -218,23 +218,23 @@
 	return asked >= p.set.Least
 }
 
-func (p *Planner) finished(r *ledger.Release) bool {
-	return !slices.ContainsFunc(r.Steps[:r.Batches[r.Batch]], func(x ledger.Step) bool { return x.Stage != ledger.Finished })
+func (p *Planner) finished(r *statemachine.Release) bool {
+	return !slices.ContainsFunc(r.Steps[:r.Batches[r.Batch]], func(x statemachine.Step) bool { return x.Stage != statemachine.Finished })
 }
 
 // permits proposes as many as there is room for, in the plan's order.
-func (p *Planner) permits(s *ledger.State, r *ledger.Release, now time.Duration) (all []ledger.Entry) {
+func (p *Planner) permits(s *statemachine.State, r *statemachine.Release, now time.Duration) (all []statemachine.Entry) {
 	room := int(r.Most)
 	for _, x := range r.Steps[:r.Batches[r.Batch]] {
-		if x.Stage == ledger.Permitted || x.Stage == ledger.Used {
+		if x.Stage == statemachine.Permitted || x.Stage == statemachine.Used {
 			room--
 		}
 	}
 	for _, x := range r.Steps[:r.Batches[r.Batch]] {
-		if x.Stage != ledger.Pending || room <= 0 {
+		if x.Stage != statemachine.Pending || room <= 0 {
 			continue
 		}
-		e := &ledger.Permit{Release: r.Number, Term: p.term, Slot: x.Slot, OnNode: r.OnNodes, Node: x.Node}
+		e := &statemachine.Permit{Release: r.Number, Term: p.term, Slot: x.Slot, OnNode: r.OnNodes, Node: x.Node}
 		if b, ok := s.Broker(x.Slot); ok && !r.OnNodes {
 			e.Incarnation = b.Incarnation
 		}
--- a/internal/decision/release/release_test.go
+++ b/internal/decision/release/release_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 func seeds(least int) int {
@@ -29,7 +29,7 @@
 		w := newWorld(t, seed, 300, 100, 0.05)
 		number := w.plan(10)
 		r := w.run(10 * time.Minute)
-		if r.Course != ledger.Halted || !strings.HasPrefix(r.Reason, "gate: ") || w.touched(r) >= 30 {
+		if r.Course != statemachine.Halted || !strings.HasPrefix(r.Reason, "gate: ") || w.touched(r) >= 30 {
 			t.Fatalf("seed %d: %v %s, %d touched", seed, r.Course, r.Reason, w.touched(r))
 		}
 		most = max(most, w.touched(r))
@@ -38,8 +38,8 @@
 		for range 20 { // whoever went before comes back
 			w.step()
 		}
-		w.apply(&ledger.Revert{Release: number, Reason: r.Reason})
-		if r = w.run(10 * time.Minute); r.Course != ledger.Done || r.BackOf != number {
+		w.apply(&statemachine.Revert{Release: number, Reason: r.Reason})
+		if r = w.run(10 * time.Minute); r.Course != statemachine.Done || r.BackOf != number {
 			t.Errorf("seed %d: way back %v %s", seed, r.Course, r.Reason)
 		}
 		for _, b := range w.brokers {
@@ -66,17 +66,17 @@
 	for seed := range n {
 		w := newWorld(t, 1000+seed, 300, 100, 0)
 		w.plan(10)
-		var r ledger.Release
-		for r.Course = ledger.Running; r.Course == ledger.Running && w.now < 20*time.Minute; r, _ = w.s.Release() {
+		var r statemachine.Release
+		for r.Course = statemachine.Running; r.Course == statemachine.Running && w.now < 20*time.Minute; r, _ = w.s.Release() {
 			w.step()
 			if w.rng.IntN(200) == 0 {
 				w.lead()
 			}
 		}
-		if r.Course == ledger.Halted {
+		if r.Course == statemachine.Halted {
 			alarms++
 			t.Logf("seed %d: %s", seed, r.Reason)
-		} else if r.Course != ledger.Done {
+		} else if r.Course != statemachine.Done {
 			t.Errorf("seed %d: %v, %d touched", seed, r.Course, w.touched(r))
 		}
 		if w.naive {
@@ -121,7 +121,7 @@
 // A release of nodes over two cells goes to its end though both hold the same shards, two ready holders of each at every moment.
 // Without a least the check finds fewer.
 func TestNodes(t *testing.T) {
-	if fewest, r := nodes(t, 2); r.Course != ledger.Done || fewest < 2 {
+	if fewest, r := nodes(t, 2); r.Course != statemachine.Done || fewest < 2 {
 		t.Errorf("%d ready holders, %v: %+v", fewest, r.Course, r.Steps)
 	}
 	if fewest, _ := nodes(t, 0); fewest >= 2 {
@@ -138,18 +138,18 @@
 	}
 }
 
-func nodes(t *testing.T, least uint32) (fewest int, r ledger.Release) {
+func nodes(t *testing.T, least uint32) (fewest int, r statemachine.Release) {
 	fewest = 9
 	w := newWorld(t, 1, 3, 100, 0)
-	var list []ledger.NodeInfo
-	var nodes []ledger.NodeID
+	var list []statemachine.NodeInfo
+	var nodes []statemachine.NodeID
 	for i := range byte(8) {
-		id := ledger.NodeID{Addr: [4]byte{10, 0, 0, i}, Port: 80}
+		id := statemachine.NodeID{Addr: [4]byte{10, 0, 0, i}, Port: 80}
 		nodes = append(nodes, id)
-		list = append(list, ledger.NodeInfo{Node: id, Zone: fmt.Sprint(i / 4), Shards: []uint32{uint32(i % 4), uint32(i%4+1) % 4}})
+		list = append(list, statemachine.NodeInfo{Node: id, Zone: fmt.Sprint(i / 4), Shards: []uint32{uint32(i % 4), uint32(i%4+1) % 4}})
 	}
-	w.apply(&ledger.Epoch{Number: 1, Least: least, Nodes: list})
-	w.apply(&ledger.Plan{Nodes: nodes, Most: 8, Gates: "off"})
+	w.apply(&statemachine.Epoch{Number: 1, Least: least, Nodes: list})
+	w.apply(&statemachine.Plan{Nodes: nodes, Most: 8, Gates: "off"})
 	for range 400 {
 		w.step()
 		ready := map[uint32]int{0: 0, 1: 0, 2: 0, 3: 0}
@@ -162,12 +162,12 @@
 			p, ok := w.s.NodePermit(n.Node)
 			switch {
 			case ok && p.Used:
-				w.apply(&ledger.Return{OnNode: true, Node: n.Node, Incarnation: p.Number})
+				w.apply(&statemachine.Return{OnNode: true, Node: n.Node, Incarnation: p.Number})
 			case ok && w.s.Drained(n.Node):
-				w.apply(&ledger.Use{Permit: p.Number, OnNode: true, Node: n.Node})
+				w.apply(&statemachine.Use{Permit: p.Number, OnNode: true, Node: n.Node})
 			case ok:
 				for _, slot := range w.s.Awaited(n.Node) {
-					w.apply(&ledger.DrainAck{Slot: slot, Incarnation: 1, Node: n.Node, Number: n.Drain})
+					w.apply(&statemachine.DrainAck{Slot: slot, Incarnation: 1, Node: n.Node, Number: n.Drain})
 				}
 			}
 		}
--- a/internal/decision/release/world_test.go
+++ b/internal/decision/release/world_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // world is a tier in virtual time: what the planner proposes is applied a little later, brokers that may go are away for a while.
 type world struct {
 	t        *testing.T
 	rng      *rand.Rand
-	s        *ledger.State
+	s        *statemachine.State
 	p        *Planner
 	term     uint64
 	now      time.Duration
@@ -33,7 +33,7 @@
 }
 
 type sim struct {
-	slot        ledger.Slot
+	slot        statemachine.Slot
 	incarnation uint64
 	version     string
 	own         float64 // what it fails by itself, for good
@@ -42,9 +42,9 @@
 }
 
 func newWorld(t *testing.T, seed uint64, brokers int, rate, worse float64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), s: ledger.New(), rate: rate, worse: worse, goes: map[[2]uint64]int{}}
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), s: statemachine.New(), rate: rate, worse: worse, goes: map[[2]uint64]int{}}
 	for i := range brokers {
-		b := &sim{slot: ledger.Slot(i), version: "1", own: 0.004 * w.rng.ExpFloat64()}
+		b := &sim{slot: statemachine.Slot(i), version: "1", own: 0.004 * w.rng.ExpFloat64()}
 		w.brokers = append(w.brokers, b)
 		w.join(b)
 	}
@@ -52,28 +52,28 @@
 	return w
 }
 
-func (w *world) apply(e ledger.Entry) ledger.Result {
+func (w *world) apply(e statemachine.Entry) statemachine.Result {
 	w.seq++
-	return w.s.Apply(w.s.Index()+1, ledger.Encode(ledger.ID{Slot: 0, Incarnation: 1, Seq: w.seq}, e))
+	return w.s.Apply(w.s.Index()+1, statemachine.Encode(statemachine.ID{Slot: 0, Incarnation: 1, Seq: w.seq}, e))
 }
 
 func (w *world) join(b *sim) {
 	b.incarnation, b.back, b.counts = b.incarnation+1, 0, Counts{}
 	zone := fmt.Sprint("z", b.slot%3)
-	w.apply(&ledger.Register{Slot: b.slot, Name: fmt.Sprint("b", b.slot), Incarnation: b.incarnation,
+	w.apply(&statemachine.Register{Slot: b.slot, Name: fmt.Sprint("b", b.slot), Incarnation: b.incarnation,
 		Version: b.version, Zone: zone, Protocol: 1})
-	w.apply(&ledger.Return{Slot: b.slot, Incarnation: b.incarnation})
+	w.apply(&statemachine.Return{Slot: b.slot, Incarnation: b.incarnation})
 }
 
 func (w *world) lead() {
 	w.term++
-	w.apply(&ledger.Lead{Slot: 0, Term: w.term})
+	w.apply(&statemachine.Lead{Slot: 0, Term: w.term})
 	set := Defaults()
 	w.p = New(set, w.term, w.now)
 }
 
 func (w *world) plan(most uint32) uint64 {
-	return w.apply(&ledger.Plan{Name: "r", From: "1", To: "2", Slots: Order(w.s.Brokers()),
+	return w.apply(&statemachine.Plan{Name: "r", From: "1", To: "2", Slots: Order(w.s.Brokers()),
 		Batches: Batches(len(w.brokers)), Most: most, PauseMS: 5000}).Number
 }
 
@@ -120,7 +120,7 @@
 		w.p.Take(Report{Target: Target{Slot: b.slot}, Incarnation: b.incarnation,
 			Zone: fmt.Sprint("z", b.slot%3), Classes: []Counts{b.counts}}, w.now)
 		if pass, ok := w.s.Permit(b.slot); ok && !pass.Used {
-			if r := w.apply(&ledger.Use{Permit: pass.Number, Slot: b.slot, Incarnation: b.incarnation}); r.Err == nil {
+			if r := w.apply(&statemachine.Use{Permit: pass.Number, Slot: b.slot, Incarnation: b.incarnation}); r.Err == nil {
 				release, _ := w.s.Release()
 				w.goes[[2]uint64{pass.Release, uint64(b.slot)}]++
 				b.version, b.back = release.To, w.now+2*time.Second
@@ -138,7 +138,7 @@
 		w.propose++
 		w.apply(e)
 	}
-	if r, _ := w.s.Release(); r.Course == ledger.Halted && w.haltedAt == 0 {
+	if r, _ := w.s.Release(); r.Course == statemachine.Halted && w.haltedAt == 0 {
 		w.haltedAt = w.now
 	}
 }
@@ -170,10 +170,10 @@
 	return asked > 0 && wrong-expected > 3.1*math.Sqrt(variance)
 }
 
-func (w *world) run(most time.Duration) ledger.Release {
+func (w *world) run(most time.Duration) statemachine.Release {
 	for end := w.now + most; w.now < end; {
 		w.step()
-		if r, _ := w.s.Release(); r.Course != ledger.Running {
+		if r, _ := w.s.Release(); r.Course != statemachine.Running {
 			return r
 		}
 	}
@@ -181,7 +181,7 @@
 	return r
 }
 
-func (w *world) touched(r ledger.Release) (n int) {
+func (w *world) touched(r statemachine.Release) (n int) {
 	for _, x := range r.Steps {
 		if x.Touched {
 			n++
--- a/internal/decision/sets/answers.go
+++ b/internal/decision/resultset/answers.go
@@ -1,4 +1,4 @@
-package sets
+package resultset
 
 // This file owns one answer and the pages of one set.
 
--- a/internal/decision/sets/sets.go
+++ b/internal/decision/resultset/resultset.go
@@ -1,10 +1,10 @@
-// Package sets decides what becomes of result sets: how many are kept and for how long, which pages they hold, when more has to be
+// Package resultset decides what becomes of result sets: how many are kept and for how long, which pages they hold, when more has to be
 // fetched, and whether what was fetched later is of the same answer. A page never comes from another answer than the one before it.
 // Nothing here does I/O, reads a clock or starts a goroutine.
 //
 // Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
 // used by one goroutine at a time.
-package sets
+package resultset
 
 import (
 	"slices"
--- a/internal/decision/sets/sets_test.go
+++ b/internal/decision/resultset/resultset_test.go
@@ -1,4 +1,4 @@
-package sets
+package resultset
 
 import (
 	"fmt"
--- a/internal/decision/logic/actors.go
+++ b/internal/decision/routing/actors.go
@@ -1,18 +1,18 @@
-// Package logic holds every decision of flaxfront. A front calls New once with the Terms of its start,
+// Package routing holds every decision of flaxfront. A front calls New once with the Terms of its start,
 // then Turn for each batch of events, and carries out the actions that Turn appends, in their order.
 // The interface (events, actions, terms) lives in package broker.
 //
 // Three kinds of actor share the work: the desk (searches in hand), one node actor for each store node
 // (its health) and the keeper (the node list). They talk only by notes; Logic.run empties the inboxes.
 //
-// Depends on decision/broker. Concurrency: one goroutine calls it; the actors inside are no goroutines.
-package logic
+// Depends on decision. Concurrency: one goroutine calls it; the actors inside are no goroutines.
+package routing
 
 // This file owns how notes travel between the actors, and what a front calls. It holds no decision.
 
 import (
 	"encoding/binary"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"fmt"
 	"hash"
 	"hash/fnv"
@@ -37,7 +37,7 @@
 type note struct {
 	kind    noteKind
 	mode    mode
-	outcome broker.Outcome
+	outcome decision.Outcome
 	node    int32
 	took    time.Duration
 	calls   int
@@ -48,8 +48,8 @@
 	sick    bool          // rumour
 	limp    time.Duration // tick: the latency it is held against
 	gap     time.Duration // tick: usual time between two parts that a node is sent
-	ev      *broker.Event
-	entry   broker.Entry
+	ev      *decision.Event
+	entry   decision.Entry
 }
 
 // actor reads the notes of its inbox.
@@ -83,7 +83,7 @@
 }
 
 func (l *Logic) logf(format string, args ...any) {
-	l.out = append(l.out, broker.Action{Kind: broker.Log, Text: fmt.Sprintf(format, args...)})
+	l.out = append(l.out, decision.Action{Kind: decision.Log, Text: fmt.Sprintf(format, args...)})
 }
 
 // rand draws from [0, 1).
@@ -109,15 +109,15 @@
 
 // Logic is one broker's decisions.
 type Logic struct {
-	t       *broker.Terms
+	t       *decision.Terms
 	now     time.Duration
 	armed   time.Duration // the earliest wake asked for and not yet come
-	out     []broker.Action
+	out     []decision.Action
 	ready   []*inbox
 	desk    desk
 	keeper  keeper
 	nodes   []*node
-	byID    map[broker.NodeID]int32
+	byID    map[decision.NodeID]int32
 	vacant  []int32 // places of nodes that the list ended
 	chance  hash.Hash64
 	draw    [16]byte
@@ -128,8 +128,8 @@
 }
 
 // New makes the decisions of one broker.
-func New(t broker.Terms) *Logic {
-	l := &Logic{t: &t, armed: -1, byID: map[broker.NodeID]int32{}, chance: fnv.New64a()}
+func New(t decision.Terms) *Logic {
+	l := &Logic{t: &t, armed: -1, byID: map[decision.NodeID]int32{}, chance: fnv.New64a()}
 	for i := range t.Types {
 		l.longest = max(l.longest, t.Types[i].Timeout)
 	}
@@ -141,7 +141,7 @@
 // Retune has the module go on under new terms. What is in hand ends as the terms say under which it was taken; all that was
 // learned stays, the budget of further sub-requests too. moved: shards lie elsewhere now, or other nodes hold them. Then parts in
 // hand are sent to no other node, and the front empties the node list first.
-func (l *Logic) Retune(t broker.Terms, moved bool) {
+func (l *Logic) Retune(t decision.Terms, moved bool) {
 	t.Seed = l.t.Seed
 	if t.ExtraWindow > l.t.ExtraWindow { // what was sent so long ago is not known: the stated few count as spent
 		l.desk.extras = append(l.desk.extras, slices.Repeat([]time.Duration{l.now}, int(t.ExtraFloor))...)
@@ -154,14 +154,14 @@
 }
 
 // Turn takes one batch of events and appends what is to be done.
-func (l *Logic) Turn(now time.Duration, events []broker.Event, actions []broker.Action) []broker.Action {
+func (l *Logic) Turn(now time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	l.now, l.out = now, actions
 	for i := range events {
 		switch ev := &events[i]; ev.Kind {
-		case broker.ListFull, broker.ListDelta, broker.ListFailed:
+		case decision.ListFull, decision.ListDelta, decision.ListFailed:
 			l.post(&l.keeper.box, note{kind: event, ev: ev})
 			l.run() // parts later in the batch need the list
-		case broker.PeerSaid:
+		case decision.PeerSaid:
 			l.hear(ev.Text)
 		default:
 			l.post(&l.desk.box, note{kind: event, ev: ev})
@@ -187,7 +187,7 @@
 	l.post(&l.desk.box, note{kind: sweep})
 	l.run()
 	if len(l.news) > 0 {
-		l.out = append(l.out, broker.Action{Kind: broker.Tell, Text: string(l.news)})
+		l.out = append(l.out, decision.Action{Kind: decision.Tell, Text: string(l.news)})
 		l.news = l.news[:0]
 	}
 	if l.armed >= 0 && l.armed <= now {
@@ -195,7 +195,7 @@
 	}
 	if at := min(l.desk.next, l.keeper.next); at < never && (l.armed < 0 || at < l.armed) {
 		l.armed = max(at, now+1)
-		l.out = append(l.out, broker.Action{Kind: broker.Wake, At: l.armed})
+		l.out = append(l.out, decision.Action{Kind: decision.Wake, At: l.armed})
 	}
 	actions, l.out = l.out, nil
 	return actions
@@ -210,7 +210,7 @@
 )
 
 // spread keeps a fact for the peers.
-func (l *Logic) spread(kind byte, id broker.NodeID) {
+func (l *Logic) spread(kind byte, id decision.NodeID) {
 	if l.t.Peers && len(l.news) < factsMost*factSize {
 		l.news = append(append(l.news, kind), id.Addr[:]...)
 		l.news = binary.BigEndian.AppendUint16(l.news, id.Port)
@@ -220,7 +220,7 @@
 // hear hands on what a peer told; what makes no sense is skipped.
 func (l *Logic) hear(text []byte) {
 	for ; len(text) >= factSize; text = text[factSize:] {
-		id := broker.NodeID{Addr: [4]byte(text[1:]), Port: binary.BigEndian.Uint16(text[5:])}
+		id := decision.NodeID{Addr: [4]byte(text[1:]), Port: binary.BigEndian.Uint16(text[5:])}
 		if at, known := l.byID[id]; known {
 			l.post(&l.nodes[at].box, note{kind: rumour, sick: text[0] == factSick})
 		}
--- a/internal/decision/logic/asked_test.go
+++ b/internal/decision/routing/asked_test.go
@@ -1,10 +1,10 @@
-package logic
+package routing
 
 import (
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Whatever failed before, the list is asked for again soon. A change counts as told 6 s after discovery had it and could be reached;
@@ -18,10 +18,10 @@
 		l.Turn(now, nil, nil)
 		for failure := range 20 {
 			failed := now
-			events := []broker.Event{{Kind: broker.ListFailed}}
+			events := []decision.Event{{Kind: decision.ListFailed}}
 			for asked := false; !asked; now += terms.Step {
 				for _, a := range l.Turn(now, events, nil) {
-					asked = asked || a.Kind == broker.Subscribe
+					asked = asked || a.Kind == decision.Subscribe
 				}
 				if events = nil; now-failed > most {
 					t.Fatalf("seed %d: not asked again %v after failure %d", seed, now-failed, failure+1)
--- a/internal/decision/logic/board.go
+++ b/internal/decision/routing/board.go
@@ -1,9 +1,9 @@
-package logic
+package routing
 
 // This file owns the board: which nodes there are, in which cells, and how the list's lines reach them. It holds no decision.
 
 import (
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"slices"
 	"time"
 )
@@ -101,7 +101,7 @@
 			d.chill(b)
 		}
 		if b.mode >= cold && n.mode == shut && !n.downed {
-			d.weigh(b, broker.TimedOut, 0)
+			d.weigh(b, decision.TimedOut, 0)
 		}
 		d.tally(b, -1)
 		if c := n.entry.Cell; c != b.cell || !b.placed {
@@ -121,15 +121,15 @@
 		d.sweep()
 	case event:
 		switch n.ev.Kind {
-		case broker.SearchIn:
+		case decision.SearchIn:
 			d.take(n.ev)
-		case broker.PartIn:
+		case decision.PartIn:
 			d.addPart(n.ev)
-		case broker.Ended:
+		case decision.Ended:
 			d.ended(n.ev)
-		case broker.Probed:
+		case decision.Probed:
 			d.probed(n.ev)
-		case broker.Left:
+		case decision.Left:
 			if r, ok := d.find(n.ev.ID); ok && r.part < 0 {
 				d.drop(r.slot)
 			}
@@ -138,14 +138,14 @@
 }
 
 // merge takes over a list, or the lines that changed, and tells the nodes.
-func (k *keeper) merge(ev *broker.Event) {
+func (k *keeper) merge(ev *decision.Event) {
 	l := k.l
 	k.forget()
 	for i := range ev.Entries {
 		e := ev.Entries[i]
 		at, known := l.byID[e.Node]
 		if !known {
-			if e.State == broker.Gone {
+			if e.State == decision.Gone {
 				continue
 			}
 			if n := len(l.vacant); n > 0 {
@@ -155,7 +155,7 @@
 				l.nodes, l.desk.board = append(l.nodes, nil), append(l.desk.board, seat{})
 			}
 			l.byID[e.Node] = at
-			l.nodes[at] = &node{l: l, at: at, id: e.Node, boot: broker.NoBoot, trusted: true, slow: 1}
+			l.nodes[at] = &node{l: l, at: at, id: e.Node, boot: decision.NoBoot, trusted: true, slow: 1}
 			l.nodes[at].box.to = l.nodes[at]
 			l.desk.board[at] = seat{id: e.Node, zone: e.Zone, slow: 1, share: 1, vouched: -time.Hour}
 			for len(l.desk.zones) <= e.Zone {
@@ -163,16 +163,16 @@
 			}
 		}
 		l.nodes[at].named = ev
-		if l.nodes[at].left = never; e.State == broker.Gone {
+		if l.nodes[at].left = never; e.State == decision.Gone {
 			l.nodes[at].left = l.now
 		}
 		l.post(&l.nodes[at].box, note{kind: listed, entry: e})
 	}
-	if ev.Kind == broker.ListFull {
+	if ev.Kind == decision.ListFull {
 		for _, nd := range l.nodes {
 			if k.knows(nd) && nd.named != ev {
 				nd.left = min(nd.left, l.now)
-				l.post(&nd.box, note{kind: listed, entry: broker.Entry{Cell: nd.cell, State: broker.Gone, Boot: nd.boot}})
+				l.post(&nd.box, note{kind: listed, entry: decision.Entry{Cell: nd.cell, State: decision.Gone, Boot: nd.boot}})
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 }
 
 // Trusts tells whether a node is listed and gets work as a matter of course.
-func (l *Logic) Trusts(id broker.NodeID) bool {
+func (l *Logic) Trusts(id decision.NodeID) bool {
 	at, known := l.byID[id]
 	return known && l.desk.board[at].mode >= cold
 }
--- a/internal/decision/logic/books.go
+++ b/internal/decision/routing/books.go
@@ -1,9 +1,9 @@
-package logic
+package routing
 
 // This file owns the desk's books of searches and parts: in, out, called off, counted against the budget. It holds no decision.
 
 import (
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"slices"
 	"time"
 )
@@ -21,12 +21,12 @@
 }
 
 // returned takes a sub-request that has ended off the books; the last result is nil if nobody waits for it.
-func (d *desk) returned(e *broker.Event) (*search, *part, *attempt) {
+func (d *desk) returned(e *decision.Event) (*search, *part, *attempt) {
 	if at, known := d.l.byID[e.Node]; known {
 		d.weigh(&d.board[at], e.Outcome, e.Took)
 		d.board[at].talked = d.l.now
 		d.widen(&d.board[at], e)
-		if e.Outcome == broker.OK || e.Outcome == broker.Stale {
+		if e.Outcome == decision.OK || e.Outcome == decision.Stale {
 			d.board[at].proved = max(d.board[at].proved, d.l.now-e.Took)
 			d.board[at].vouched = max(d.board[at].vouched, d.l.now-e.Took)
 		}
@@ -108,10 +108,10 @@
 }
 
 // admit puts a new search in the slab; one of an unknown type is failed.
-func (d *desk) admit(e *broker.Event) *search {
+func (d *desk) admit(e *decision.Event) *search {
 	if e.Type >= len(d.l.t.Types) {
 		d.l.logf("search of unknown type %d failed", e.Type)
-		d.l.out = append(d.l.out, broker.Action{Kind: broker.Fail, ID: e.ID})
+		d.l.out = append(d.l.out, decision.Action{Kind: decision.Fail, ID: e.ID})
 		return nil
 	}
 	slot, now := d.place(), d.l.now
@@ -156,7 +156,7 @@
 	}
 }
 
-func (d *desk) addPart(e *broker.Event) {
+func (d *desk) addPart(e *decision.Event) {
 	d.count()
 	slot := d.last // as a rule a search's parts follow it at once
 	if s := &d.slab[slot]; !s.inUse || s.serial != e.Serial {
@@ -189,7 +189,7 @@
 		p.risk(a.at)
 		d.lost(p, a)
 		if d.l.t.Cancels {
-			d.l.out = append(d.l.out, broker.Action{Kind: broker.Cancel, ID: p.id, Attempt: uint16(i)})
+			d.l.out = append(d.l.out, decision.Action{Kind: decision.Cancel, ID: p.id, Attempt: uint16(i)})
 		}
 	}
 }
@@ -214,7 +214,7 @@
 // answer ends a search, or its first step.
 func (d *desk) answer(slot int32, whole bool) {
 	s := &d.slab[slot]
-	d.l.out = append(d.l.out, broker.Action{Kind: broker.Answer, ID: s.id, Whole: whole})
+	d.l.out = append(d.l.out, decision.Action{Kind: decision.Answer, ID: s.id, Whole: whole})
 	if s.typ.Fetch > 0 && !s.stage2 {
 		d.clearParts(s)
 		d.places -= s.expect
--- a/internal/decision/logic/choose.go
+++ b/internal/decision/routing/choose.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file owns the choice of a node for each part, and how much a cold or new one gets.
 
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // ride finds a call of this turn that can take the part too, to a node where its row of holders begins, or
@@ -46,7 +46,7 @@
 			full = true
 			continue
 		}
-		due := b.mode == trial && first && s.typ.Effect == broker.Idempotent
+		due := b.mode == trial && first && s.typ.Effect == decision.Idempotent
 		if b.mode <= trial && !due {
 			little := len(b.calls) < 2 || l.now-b.last >= darkPace
 			if little && !b.downed && (bestShut < 0 || len(b.calls) < len(d.board[bestShut].calls)) {
@@ -97,7 +97,7 @@
 		for _, at := range d.holding(s.parts[i].shard) {
 			if b := &d.board[at]; b.mode != gone && !b.probing && d.l.now-b.vouched > vouchFor {
 				b.probing = true
-				d.l.out = append(d.l.out, broker.Action{Kind: broker.Probe, Node: b.id})
+				d.l.out = append(d.l.out, decision.Action{Kind: decision.Probe, Node: b.id})
 			}
 		}
 	}
@@ -136,12 +136,12 @@
 }
 
 // widen lets what an eased node may have out follow what it does. After what it turns away it rests.
-func (d *desk) widen(b *seat, e *broker.Event) {
+func (d *desk) widen(b *seat, e *decision.Event) {
 	switch t := d.l.t; {
 	case b.eased == 0:
-	case e.Outcome == broker.OK || e.Outcome == broker.Stale:
+	case e.Outcome == decision.OK || e.Outcome == decision.Stale:
 		b.window += easeStep * max(0, min(1, t.FallMultiple-1))
-	case e.Outcome != broker.Cancelled || e.Took > d.p95:
+	case e.Outcome != decision.Cancelled || e.Took > d.p95:
 		b.window, b.rest = max(1, b.window/2), d.l.now+d.calm()
 	}
 }
@@ -164,9 +164,9 @@
 		d.flows[b.cell%l.t.Cells].add(l.now, 1/float64(d.warms[b.cell%l.t.Cells]))
 	}
 	if idle := d.book(p, at); idle >= d.idleMost && l.now < d.cutUntil {
-		l.out = append(l.out, broker.Action{Kind: broker.Close, Node: b.id})
+		l.out = append(l.out, decision.Action{Kind: decision.Close, Node: b.id})
 		p.tries[len(p.tries)-1].idle = 0
 	}
-	l.out = append(l.out, broker.Action{Kind: broker.Send, ID: p.id, Node: b.id, Alone: d.alike})
+	l.out = append(l.out, decision.Action{Kind: decision.Send, ID: p.id, Node: b.id, Alone: d.alike})
 	l.post(&l.nodes[at].box, note{kind: sent})
 }
--- a/internal/decision/logic/coldsum_test.go
+++ b/internal/decision/routing/coldsum_test.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Rule 4 by its letter, under the sum of twenty or thirty brokers: a node that comes back cold gets no more than N, and what chance
@@ -23,7 +23,7 @@
 			terms.Seed = uint64(seed)<<20 + uint64(i)<<10 + uint64(now/ms)
 			r := newRig(terms, 6)
 			r.now = now
-			r.list(broker.ListDelta, broker.Entry{Node: cold, State: broker.Ready, Boot: 0})
+			r.list(decision.ListDelta, decision.Entry{Node: cold, State: decision.Ready, Boot: 0})
 			return r
 		}
 		for i := range brokers {
@@ -52,7 +52,7 @@
 				if rnd.Intn(2*brokers) < load {
 					r.ask(0, 3*time.Second, rnd.Intn(4), rnd.Intn(4))
 				}
-				r.endWhere(broker.OK, 80*ms, func(broker.NodeID) bool { return rnd.Intn(8) == 0 })
+				r.endWhere(decision.OK, 80*ms, func(decision.NodeID) bool { return rnd.Intn(8) == 0 })
 				r.step(5 * ms)
 			}
 		}
--- a/internal/decision/logic/eased_test.go
+++ b/internal/decision/routing/eased_test.go
@@ -1,18 +1,18 @@
-package logic
+package routing
 
 import (
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // easedRig is a rig whose nodes are all eased in.
-func easedRig(t broker.Terms, nodes int) *rig {
+func easedRig(t decision.Terms, nodes int) *rig {
 	r := newRig(t, nodes)
 	for i := range nodes {
-		r.list(broker.ListDelta, broker.Entry{Node: nodeID(i), Cell: i % t.Cells, State: broker.Ready,
-			Boot: broker.NoBoot, Eased: true})
+		r.list(decision.ListDelta, decision.Entry{Node: nodeID(i), Cell: i % t.Cells, State: decision.Ready,
+			Boot: decision.NoBoot, Eased: true})
 	}
 	r.step(5 * ms)
 	return r
@@ -29,7 +29,7 @@
 	r.step(5 * ms)
 	must(t, len(r.order) == 2, "%d calls out", len(r.order))
 	for range 100 {
-		r.endWhere(broker.OK, 20*ms, nil)
+		r.endWhere(decision.OK, 20*ms, nil)
 		r.step(5 * ms)
 	}
 	must(t, len(r.searches) == 0 && r.bad == "", "%d searches left, %s", len(r.searches), r.bad)
@@ -47,13 +47,13 @@
 		r.step(5 * ms)
 		must(t, len(r.order) == 1, "search %d: %d calls out", i, len(r.order))
 		r.step(20 * ms)
-		r.endWhere(broker.OK, 0, nil)
+		r.endWhere(decision.OK, 0, nil)
 		r.step(5 * ms)
 	}
 	must(t, b.window == 3, "window %v after eight answers", b.window)
 	r.ask(0, 3*time.Second, 0)
 	r.step(5 * ms)
-	r.endWhere(broker.ConnectFailed, 0, nil)
+	r.endWhere(decision.ConnectFailed, 0, nil)
 	r.step(5 * ms)
 	must(t, b.window == 1.5, "window %v after a failure", b.window)
 	r.step(tm.WarmAfter)
@@ -61,7 +61,7 @@
 		r.ask(0, 3*time.Second, 0)
 		r.step(5 * ms)
 		r.step(20 * ms)
-		r.endWhere(broker.OK, 0, nil)
+		r.endWhere(decision.OK, 0, nil)
 		r.step(5 * ms)
 	}
 	must(t, b.eased == 0, "still eased in after %v", r.now)
--- a/internal/decision/logic/floors_test.go
+++ b/internal/decision/routing/floors_test.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file tests that what is served holds up for each class, for a tenant inside its share, and in each third of a long run.
 
@@ -7,17 +7,17 @@
 	"slices"
 	"testing"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // flood plays 30 s in which four nodes, that serve 50 parts a second each in turn, are asked for a third more and more than they
 // can do, and returns the share served in time by third and class, of the tenant inside its share.
 func flood(own, other int) (share [3][2]float64) {
 	t := smallTerms()
-	t.Brokers, t.Tenants = 1, []broker.Tenant{{Portion: 0.7, Quota: 120}, {Portion: 0.3, Quota: 50}}
+	t.Brokers, t.Tenants = 1, []decision.Tenant{{Portion: 0.7, Quota: 120}, {Portion: 0.3, Quota: 50}}
 	r := newRig(t, 4)
 	type asked struct{ third, typ int }
-	mine, owed := map[uint64]asked{}, map[broker.NodeID]int{}
+	mine, owed := map[uint64]asked{}, map[decision.NodeID]int{}
 	var taken, served [3][2]float64
 	for tick := range 6000 { // of 5 ms
 		third := tick / 2000
@@ -39,11 +39,11 @@
 			at := slices.IndexFunc(r.order, func(k try) bool { s, out := r.out[k]; return out && s.node == id && s.at < r.now })
 			if at >= 0 {
 				owed[id] = 0
-				r.end(r.order[at], broker.OK)
+				r.end(r.order[at], decision.OK)
 			}
 		}
 		for _, a := range r.step(5 * ms) {
-			if m, known := mine[a.ID]; known && a.Kind == broker.Answer {
+			if m, known := mine[a.ID]; known && a.Kind == decision.Answer {
 				served[m.third][m.typ]++
 			}
 		}
--- a/internal/decision/logic/full_test.go
+++ b/internal/decision/routing/full_test.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file tests that a full node is told from a sick one.
 
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // While parts are turned away all over, a node that turned one away is full, not sick: it is shut only for the second without an
@@ -14,23 +14,23 @@
 func TestFullNodeIsNotShut(t *testing.T) {
 	for _, c := range []struct {
 		turned  float64
-		between broker.Outcome // what comes between two refusals
-		trusted [2]bool        // after each of them
+		between decision.Outcome // what comes between two refusals
+		trusted [2]bool          // after each of them
 	}{
-		{0, broker.OK, [2]bool{false, false}},
-		{0.2, broker.OK, [2]bool{true, true}},
-		{0.2, broker.Refused, [2]bool{true, false}},
+		{0, decision.OK, [2]bool{false, false}},
+		{0.2, decision.OK, [2]bool{true, true}},
+		{0.2, decision.Refused, [2]bool{true, false}},
 	} {
-		l := New(broker.Terms{Types: make([]broker.SearchType, 1), Cells: 1, Width: 1})
+		l := New(decision.Terms{Types: make([]decision.SearchType, 1), Cells: 1, Width: 1})
 		n := &node{l: l, trusted: true}
 		l.now, l.desk.turned, l.desk.turnedAt = time.Second, c.turned, time.Second
-		n.ended(&note{outcome: broker.Refused})
+		n.ended(&note{outcome: decision.Refused})
 		first := n.trusted
-		if c.between == broker.OK {
-			n.ended(&note{outcome: broker.OK})
+		if c.between == decision.OK {
+			n.ended(&note{outcome: decision.OK})
 			n.trusted = first
 		}
-		n.ended(&note{outcome: broker.Refused})
+		n.ended(&note{outcome: decision.Refused})
 		if got := [2]bool{first, n.trusted}; got != c.trusted {
 			t.Errorf("%.1f turned away, %v between: trusted %v, want %v", c.turned, c.between, got, c.trusted)
 		}
