--- a/internal/decision/logic/learn.go
+++ b/internal/decision/routing/learn.go
@@ -1,20 +1,20 @@
-package logic
+package routing
 
 // This file owns what the ends of parts and probes teach the desk: latencies, crowds, cuts, zones.
 
 import (
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
-func (d *desk) ended(e *broker.Event) {
+func (d *desk) ended(e *decision.Event) {
 	s, p, a := d.returned(e)
 	if a == nil {
 		return
 	}
 	switch e.Outcome {
-	case broker.OK:
+	case decision.OK:
 		d.full(0)
 		d.stale(a, 0)
 		if p.done {
@@ -25,18 +25,18 @@
 		d.heed(p, a, e.Took)
 		d.cancel(p)
 		return
-	case broker.Refused:
+	case decision.Refused:
 		d.full(1)
-	case broker.ConnectFailed, broker.NeverSent:
+	case decision.ConnectFailed, decision.NeverSent:
 	default:
 		p.risk(a.at)
-		if e.Outcome == broker.Reset && e.Took < d.p50/cutQuick {
+		if e.Outcome == decision.Reset && e.Took < d.p50/cutQuick {
 			d.stale(a, 1)
 		}
 	}
 	// Danger: more answers get lost than the cap pays for, and searches die of it while nodes idle. Where the
 	// holders are not crowded, what broke makes good its own resend. It may hurt where the search harms.
-	if e.Outcome != broker.Refused && !d.crowded(p) {
+	if e.Outcome != decision.Refused && !d.crowded(p) {
 		d.tokens, p.resent = min(capDepth, d.tokens+1), false
 	}
 }
@@ -124,11 +124,11 @@
 }
 
 // probed takes a probe's end.
-func (d *desk) probed(e *broker.Event) {
+func (d *desk) probed(e *decision.Event) {
 	if at, known := d.l.byID[e.Node]; known {
 		b := &d.board[at]
 		b.deaf *= 1 - deafStep
-		if b.probing = false; e.Outcome != broker.OK {
+		if b.probing = false; e.Outcome != decision.OK {
 			b.deaf += deafStep
 		} else {
 			b.vouched = max(b.vouched, d.l.now-e.Took)
@@ -140,11 +140,11 @@
 // weigh adds an outcome to the record of a node's zone. Danger: a data centre that can't be reached, or is
 // sick as a whole, would have to be found out node by node. While most of what goes to it fails, and not so
 // in another, its nodes count as limping. It may hurt where chance gathers the sick nodes in one zone.
-func (d *desk) weigh(b *seat, how broker.Outcome, took time.Duration) {
+func (d *desk) weigh(b *seat, how decision.Outcome, took time.Duration) {
 	z, failed := &d.zones[b.zone], 0.0
-	if how == broker.ConnectFailed || how == broker.TimedOut || how == broker.Cancelled && took >= d.p95 {
+	if how == decision.ConnectFailed || how == decision.TimedOut || how == decision.Cancelled && took >= d.p95 {
 		failed = 1
-	} else if how != broker.OK && how != broker.Stale {
+	} else if how != decision.OK && how != decision.Stale {
 		return
 	}
 	z.doubt, z.at = d.doubt(z)*(1-zoneStep)+zoneStep*failed, d.l.now
--- a/internal/decision/logic/light_test.go
+++ b/internal/decision/routing/light_test.go
@@ -1,10 +1,10 @@
-package logic
+package routing
 
 import (
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // skewed asks for a search of the second type, whose parts count 70, 20, 5 and 5 in a hundred, and returns how many are sent.
@@ -14,7 +14,7 @@
 		e := &r.events[len(r.events)-4+i]
 		e.Weight, r.parts[e.ID].weight = w, w
 	}
-	return len(pick(r.step(5*ms), broker.Send))
+	return len(pick(r.step(5*ms), decision.Send))
 }
 
 // teach has many searches of the first type answered after a time.
@@ -23,7 +23,7 @@
 		r.ask(0, r.t.Types[0].Timeout, 0, 1)
 		r.step(5 * ms)
 		r.step(took - 10*ms)
-		r.endWhere(broker.OK, took-10*ms, nil)
+		r.endWhere(decision.OK, took-10*ms, nil)
 		r.step(5 * ms)
 	}
 }
@@ -34,7 +34,7 @@
 	teach(r, 100*ms)
 	must(t, skewed(r) == 4, "calm: some parts are left out")
 	r.step(100 * ms)
-	r.endWhere(broker.OK, 100*ms, nil)
+	r.endWhere(decision.OK, 100*ms, nil)
 	r.step(5 * ms)
 	teach(r, 550*ms)
 	sent := skewed(r)
@@ -50,7 +50,7 @@
 	must(t, skewed(r) == 4, "some parts are left out")
 	copies := map[uint64]int{}
 	for range 300 {
-		for _, a := range pick(r.step(5*ms), broker.Send) {
+		for _, a := range pick(r.step(5*ms), decision.Send) {
 			copies[a.ID]++
 		}
 	}
@@ -71,12 +71,12 @@
 	for i, w := range []float64{0.9, 0.1} {
 		r.events[len(r.events)-2+i].Weight, r.parts[r.searches[id].parts[i]].weight = w, w
 	}
-	must(t, len(pick(r.step(5*ms), broker.Send)) == 2, "refused though the nodes are idle")
+	must(t, len(pick(r.step(5*ms), decision.Send)) == 2, "refused though the nodes are idle")
 	r.step(100 * ms)
-	r.endWhere(broker.OK, 100*ms, nil)
+	r.endWhere(decision.OK, 100*ms, nil)
 	r.step(5 * ms)
 	teach(r, 200*ms)
 	r.ask(0, 270*ms, 0, 1)
-	must(t, len(pick(r.step(5*ms), broker.Send)) == 0, "not refused though the nodes are crowded")
+	must(t, len(pick(r.step(5*ms), decision.Send)) == 0, "not refused though the nodes are crowded")
 	must(t, r.bad == "", "%s", r.bad)
 }
--- a/internal/decision/logic/logic.go
+++ b/internal/decision/routing/logic.go
@@ -1,11 +1,11 @@
-package logic
+package routing
 
 // This file owns every tuned value, and the course of a search from its arrival to its answer or end.
 
 import (
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 const (
@@ -66,7 +66,7 @@
 	d.p50, d.p95, d.base = least/8, least/2, least/12
 }
 
-func (d *desk) take(e *broker.Event) {
+func (d *desk) take(e *decision.Event) {
 	l, s := d.l, d.admit(e)
 	if s == nil {
 		return
@@ -87,9 +87,9 @@
 // giveUp ends a search that can't be answered: shed with the time to come back in where that is true.
 func (d *desk) giveUp(slot int32) {
 	l, s := d.l, &d.slab[slot]
-	act := broker.Action{Kind: broker.Fail, ID: s.id}
-	if (s.untouched() || s.typ.Effect == broker.Idempotent) && l.now < s.last {
-		act.Kind, act.After = broker.Shed, time.Duration((0.5+0.5*l.rand())*float64(l.t.MaxRetryAfter))
+	act := decision.Action{Kind: decision.Fail, ID: s.id}
+	if (s.untouched() || s.typ.Effect == decision.Idempotent) && l.now < s.last {
+		act.Kind, act.After = decision.Shed, time.Duration((0.5+0.5*l.rand())*float64(l.t.MaxRetryAfter))
 	}
 	l.out = append(l.out, act)
 	d.drop(slot)
--- a/internal/decision/logic/logic_test.go
+++ b/internal/decision/routing/logic_test.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file tests that the rules hold in random runs, that cold nodes are spared, and what an ordinary search costs.
 
@@ -8,7 +8,7 @@
 	"testing/quick"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // All six rules hold after every step of random runs, whatever the order of events.
@@ -17,10 +17,10 @@
 		rnd := rand.New(rand.NewSource(seed))
 		terms := smallTerms()
 		terms.Seed = uint64(seed)
-		further := broker.SearchType{Target: time.Second, Timeout: 2 * time.Second, Value: 1, Floor: 1, Need: 1}
+		further := decision.SearchType{Target: time.Second, Timeout: 2 * time.Second, Value: 1, Floor: 1, Need: 1}
 		tokened, once, twoSteps := further, further, further
-		tokened.Effect, tokened.Window = broker.Tokened, 300*ms
-		once.Effect = broker.NonIdempotent
+		tokened.Effect, tokened.Window = decision.Tokened, 300*ms
+		once.Effect = decision.NonIdempotent
 		twoSteps.Floor, twoSteps.Need, twoSteps.Fetch = 0.4, 0.7, 2
 		terms.Types = append(terms.Types, tokened, once, twoSteps)
 		terms.SecondCopies, terms.Cancels, terms.AskList = rnd.Intn(4) > 0, rnd.Intn(4) > 0, rnd.Intn(2) > 0
@@ -57,14 +57,14 @@
 		for i := range brokers {
 			terms.Seed = uint64(seed) + uint64(i)
 			rigs = append(rigs, newRig(terms, 6))
-			rigs[i].list(broker.ListDelta, broker.Entry{Node: cold, State: broker.Ready, Boot: 0})
+			rigs[i].list(decision.ListDelta, decision.Entry{Node: cold, State: decision.Ready, Boot: 0})
 		}
 		for range 1600 {
 			for _, r := range rigs {
 				if rnd.Intn(brokers) == 0 {
 					r.ask(0, 3*time.Second, rnd.Intn(4), rnd.Intn(4))
 				}
-				r.endWhere(broker.OK, 80*ms, func(broker.NodeID) bool { return rnd.Intn(8) == 0 })
+				r.endWhere(decision.OK, 80*ms, func(decision.NodeID) bool { return rnd.Intn(8) == 0 })
 				r.step(5 * ms)
 			}
 		}
@@ -91,16 +91,16 @@
 }
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	l, actions, now := newRig(smallTerms(), 240).l, make([]broker.Action, 0, 16), time.Duration(0)
-	in := []broker.Event{{Kind: broker.SearchIn, ID: 1, Left: time.Second, Weight: 1},
-		{Kind: broker.PartIn, Weight: 1}}
-	back := []broker.Event{{Kind: broker.Ended, Outcome: broker.OK, Took: 50 * ms}}
+	l, actions, now := newRig(smallTerms(), 240).l, make([]decision.Action, 0, 16), time.Duration(0)
+	in := []decision.Event{{Kind: decision.SearchIn, ID: 1, Left: time.Second, Weight: 1},
+		{Kind: decision.PartIn, Weight: 1}}
+	back := []decision.Event{{Kind: decision.Ended, Outcome: decision.OK, Took: 50 * ms}}
 	round := func() {
 		in[0].ID, in[1].ID, back[0].ID = in[0].ID+2, in[0].ID+3, in[0].ID+3
 		now += 5 * ms
 		actions = l.Turn(now, in, actions[:0])
 		for i := range actions {
-			if actions[i].Kind == broker.Send {
+			if actions[i].Kind == decision.Send {
 				back[0].Node = actions[i].Node
 			}
 		}
@@ -119,10 +119,10 @@
 		r := newRig(smallTerms(), nodes)
 		for i := range 400 {
 			r.ask(i%2, time.Second, 0, 1)
-			odd := broker.Event{Kind: broker.Ended, ID: uint64(i), Attempt: uint16(i % 3), Node: nodeID(i % 9)}
-			r.events = append(r.events, odd, odd, broker.Event{Kind: broker.Left, ID: 1 << 40})
+			odd := decision.Event{Kind: decision.Ended, ID: uint64(i), Attempt: uint16(i % 3), Node: nodeID(i % 9)}
+			r.events = append(r.events, odd, odd, decision.Event{Kind: decision.Left, ID: 1 << 40})
 			if i%50 == 0 && nodes == 1 {
-				r.list(broker.ListDelta, broker.Entry{Node: nodeID(0), State: broker.Ready, Boot: -time.Duration(i) * ms})
+				r.list(decision.ListDelta, decision.Entry{Node: nodeID(0), State: decision.Ready, Boot: -time.Duration(i) * ms})
 			}
 			r.step(5 * ms)
 		}
@@ -136,28 +136,28 @@
 // Nodes that are replaced under new ids all day leave nothing behind, though searches run on; a place that is used
 // again is in the new node's cell alone.
 func TestEndedNodesAreForgotten(t *testing.T) {
-	terms, live := smallTerms(), []broker.Entry{}
+	terms, live := smallTerms(), []decision.Entry{}
 	terms.WarmAfter = time.Minute
 	r := newRig(terms, 6)
 	for i := range 6 {
-		live = append(live, broker.Entry{Node: nodeID(i), Cell: i % 2, State: broker.Ready, Boot: broker.NoBoot})
+		live = append(live, decision.Entry{Node: nodeID(i), Cell: i % 2, State: decision.Ready, Boot: decision.NoBoot})
 	}
 	for i := range 3000 {
 		r.ask(i%2, 3*time.Second, 0, 1)
-		r.endWhere(broker.OK, 50*ms, nil)
+		r.endWhere(decision.OK, 50*ms, nil)
 		if i%50 == 0 {
-			var changes []broker.Entry
+			var changes []decision.Entry
 			for j := range 1 + i/50%3 { // one, two or three at a time
 				e := &live[(i/50+j)%5]
 				old := *e
-				old.State, e.Boot = broker.Gone, r.now
-				e.Node = broker.NodeID{Addr: [4]byte{11, byte(i >> 8), byte(i), byte(j)}, Port: 1}
+				old.State, e.Boot = decision.Gone, r.now
+				e.Node = decision.NodeID{Addr: [4]byte{11, byte(i >> 8), byte(i), byte(j)}, Port: 1}
 				changes = append(changes, old, *e)
 			}
 			if i/50%2 == 0 {
-				r.list(broker.ListFull, live...)
+				r.list(decision.ListFull, live...)
 			} else {
-				r.list(broker.ListDelta, changes...)
+				r.list(decision.ListDelta, changes...)
 			}
 		}
 		r.step(20 * ms)
--- a/internal/decision/logic/lost_test.go
+++ b/internal/decision/routing/lost_test.go
@@ -1,10 +1,10 @@
-package logic
+package routing
 
 import (
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Calls that a node swallowed while it hung tell nothing of it once it answers what it was sent after: it is neither shut as
@@ -19,7 +19,7 @@
 		r.step(5 * ms)
 		r.step(20 * ms)
 		k := r.order[len(r.order)-1] // the newest; what is older stays out
-		r.end(k, broker.OK)
+		r.end(k, decision.OK)
 		r.step(5 * ms)
 	}
 	for range 40 {
@@ -51,11 +51,11 @@
 		r.ask(0, 3*time.Second, 0)
 		r.step(5 * ms)
 		must(t, len(r.order) == 1, "search %d: %d parts out", i, len(r.order))
-		r.end(r.order[0], broker.ConnectFailed)
+		r.end(r.order[0], decision.ConnectFailed)
 		r.step(5 * ms)
 		must(t, len(r.out) == want && r.bad == "", "search %d: %d sent further: %s", i, len(r.out), r.bad)
 		for _, k := range r.order {
-			r.end(k, broker.OK)
+			r.end(k, decision.OK)
 		}
 		r.step(5 * ms)
 	}
--- a/internal/decision/logic/move_test.go
+++ b/internal/decision/routing/move_test.go
@@ -1,10 +1,10 @@
-package logic
+package routing
 
 import (
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Where nodes may be probed, a part waits for a holder that shows life, and goes all the same once it has waited for long
@@ -16,17 +16,17 @@
 		r := newRig(terms, 6)
 		r.ask(0, 3*time.Second, 0)
 		a := r.step(5 * ms)
-		must(t, len(pick(a, broker.Send)) == 0 && len(pick(a, broker.Probe)) == 3, "probes to the three holders: %v", a)
+		must(t, len(pick(a, decision.Send)) == 0 && len(pick(a, decision.Probe)) == 3, "probes to the three holders: %v", a)
 		quick := r.probed[1]
 		if answers {
-			r.show(broker.OK, func(id broker.NodeID) bool { return id == quick })
+			r.show(decision.OK, func(id decision.NodeID) bool { return id == quick })
 			a = r.step(5 * ms)
-			must(t, len(pick(a, broker.Send)) == 1 && a[0].Node == quick, "sent to the one that answered: %v", a)
-			r.endWhere(broker.OK, 0, nil)
+			must(t, len(pick(a, decision.Send)) == 1 && a[0].Node == quick, "sent to the one that answered: %v", a)
+			r.endWhere(decision.OK, 0, nil)
 			r.step(5 * ms)
 			r.ask(0, 3*time.Second, 0)
 			a = r.step(5 * ms)
-			must(t, len(pick(a, broker.Probe)) == 0 && len(pick(a, broker.Send)) == 1, "it was heard just now: %v", a)
+			must(t, len(pick(a, decision.Probe)) == 0 && len(pick(a, decision.Send)) == 1, "it was heard just now: %v", a)
 			continue
 		}
 		for r.now < 5*ms+vouchWait {
@@ -46,9 +46,9 @@
 	for i := range 200 {
 		r.ask(0, 3*time.Second, i%9, (i+1)%9)
 		for range 4 {
-			r.show(broker.TimedOut, func(id broker.NodeID) bool { return id == deaf })
-			r.show(broker.OK, func(broker.NodeID) bool { return true })
-			r.endWhere(broker.OK, 40*ms, nil)
+			r.show(decision.TimedOut, func(id decision.NodeID) bool { return id == deaf })
+			r.show(decision.OK, func(decision.NodeID) bool { return true })
+			r.endWhere(decision.OK, 40*ms, nil)
 			r.step(20 * ms)
 		}
 		r.step(500 * ms)
@@ -66,18 +66,18 @@
 	r.ask(0, 3*time.Second, 0, 1, 2, 3)
 	r.step(5 * ms)
 	for _, k := range r.order[:3] {
-		r.end(k, broker.ConnectFailed)
+		r.end(k, decision.ConnectFailed)
 	}
 	a := r.step(5 * ms)
-	shed := pick(a, broker.Shed)
-	must(t, len(shed) == 1 && shed[0].After > 0 && len(pick(a, broker.Send)) == 0, "given up at once: %v", a)
+	shed := pick(a, decision.Shed)
+	must(t, len(shed) == 1 && shed[0].After > 0 && len(pick(a, decision.Send)) == 0, "given up at once: %v", a)
 	r.step(5 * ms)
 	r.ask(0, 3*time.Second, 0, 1)
 	r.step(5 * ms)
 	for _, k := range r.order {
-		r.end(k, broker.ConnectFailed)
+		r.end(k, decision.ConnectFailed)
 	}
-	must(t, len(pick(r.step(5*ms), broker.Send)) == 2 && r.bad == "", "the next one is sent again: %s", r.bad)
+	must(t, len(pick(r.step(5*ms), decision.Send)) == 2 && r.bad == "", "the next one is sent again: %s", r.bad)
 }
 
 // The first of two steps ends early enough for the second, and the second is not refused.
@@ -87,16 +87,16 @@
 	r := newRig(terms, 6)
 	r.ask(1, 4*time.Second, 0, 1)
 	r.step(0)
-	r.end(r.order[0], broker.OK)
+	r.end(r.order[0], decision.OK)
 	early := r.l.desk.p95
-	for len(pick(r.actions, broker.Answer)) == 0 && r.now < 3*time.Second {
+	for len(pick(r.actions, decision.Answer)) == 0 && r.now < 3*time.Second {
 		r.step(5 * ms)
 	}
 	must(t, r.now <= 2*time.Second-margin-early+5*ms, "the first step ended at %v", r.now)
 	r.l.desk.slopes[0] = slope{of: float64(20 * time.Second), at: r.now}
-	must(t, len(pick(r.step(5*ms), broker.Send)) == 2, "the second step is sent")
-	r.endWhere(broker.OK, 0, nil)
-	a := pick(r.step(5*ms), broker.Answer)
+	must(t, len(pick(r.step(5*ms), decision.Send)) == 2, "the second step is sent")
+	r.endWhere(decision.OK, 0, nil)
+	a := pick(r.step(5*ms), decision.Answer)
 	must(t, len(a) == 1 && !a[0].Whole && r.bad == "", "its answer: %v %s", a, r.bad)
 }
 
@@ -104,7 +104,7 @@
 func TestTokenedCopies(t *testing.T) {
 	for _, window := range []time.Duration{time.Second, 100 * ms} {
 		terms := smallTerms()
-		terms.Types[0].Effect, terms.Types[0].Window = broker.Tokened, window
+		terms.Types[0].Effect, terms.Types[0].Window = decision.Tokened, window
 		r := newRig(terms, 6)
 		r.ask(0, 3*time.Second, 0)
 		r.step(0)
@@ -123,9 +123,9 @@
 		r.ask(0, 3*time.Second, 0)
 		r.step(5 * ms)
 		for _, k := range r.order {
-			r.end(k, broker.ConnectFailed)
+			r.end(k, decision.ConnectFailed)
 		}
-		n := len(pick(r.step(5*ms), broker.Send))
+		n := len(pick(r.step(5*ms), decision.Send))
 		must(t, n == want && r.bad == "", "search %d: %d sent further: %s", i, n, r.bad)
 		r.step(2500 * ms)
 	}
--- a/internal/decision/logic/node.go
+++ b/internal/decision/routing/node.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file owns what is made of each node's health, and when the list is asked for.
 
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 func (k *keeper) read(n *note) {
@@ -14,11 +14,11 @@
 	switch {
 	case n.kind == tick:
 		if k.next = never; l.t.AskList && !k.asked && l.now >= k.due {
-			k.asked, l.out = true, append(l.out, broker.Action{Kind: broker.Subscribe})
+			k.asked, l.out = true, append(l.out, decision.Action{Kind: decision.Subscribe})
 		} else if l.t.AskList && !k.asked {
 			k.next = k.due
 		}
-	case n.ev.Kind == broker.ListFailed:
+	case n.ev.Kind == decision.ListFailed:
 		// Danger: every broker asking again in step keeps a jammed list service jammed.
 		k.due = l.now + time.Duration((0.5+l.rand())*float64(k.backoff))
 		k.asked, k.backoff = false, min(2*k.backoff, askMost)
@@ -32,7 +32,7 @@
 	now := n.l.now
 	switch k.kind {
 	case listed:
-		n.cell, n.ready = k.entry.Cell, k.entry.State == broker.Ready
+		n.cell, n.ready = k.entry.Cell, k.entry.State == decision.Ready
 		n.blame(n.share)
 		if n.eased = 0; k.entry.Eased {
 			n.eased = max(1, now)
@@ -73,7 +73,7 @@
 		n.unheard += time.Duration(k.calls) * min(now-n.ticked, wait)
 		if n.renewed <= n.heard && n.unheard > renewAt*n.l.desk.p95 {
 			n.renewed = now
-			n.l.out = append(n.l.out, broker.Action{Kind: broker.Close, Node: n.id})
+			n.l.out = append(n.l.out, decision.Action{Kind: decision.Close, Node: n.id})
 		}
 		exposed := wait > silentLeast && float64(n.unheard) > silentFactor*float64(k.limp)
 		if n.trusted && (wait > silentMost || exposed) {
@@ -88,7 +88,7 @@
 func (n *node) ended(k *note) {
 	now := n.l.now
 	switch k.outcome {
-	case broker.OK, broker.Stale:
+	case decision.OK, decision.Stale:
 		n.heard, n.unheard, n.refused, n.rumour, n.downed = now, 0, 0, 0, false
 		n.doubt *= 1 - doubtStep
 		n.blame(n.share * (1 - shareStep))
@@ -100,11 +100,11 @@
 				n.l.logf("%v trusted: doubt %.2f", n.id, n.doubt)
 			}
 		}
-	case broker.Cancelled:
+	case decision.Cancelled:
 		if k.took > n.lat {
 			n.learn(k.took) // a loser would have taken longer still
 		}
-	case broker.Errored, broker.Reset:
+	case decision.Errored, decision.Reset:
 		// Danger: where answers break from all nodes alike, each looks sick by turns, and shutting some crowds the
 		// others. A node must stand out from half of the fleet; the parts of one broken connection count once.
 		n.heard, n.unheard = now, 0
@@ -115,14 +115,14 @@
 		if !n.trusted || n.doubt > doubtShut && n.doubt > min(doubtMost, doubtShut+shareOver*n.l.common()) {
 			n.distrust("errors", n.doubt)
 		}
-	case broker.Refused:
+	case decision.Refused:
 		// Danger: where many queues are full, shutting each node that turned one part away crowds the others. There
 		// it is shut for the second without an answer between. It may hurt where many drain and lists come late.
 		n.heard, n.unheard, n.refused = now, 0, n.refused+1
 		if !n.trusted || n.refused > 1 || n.l.desk.away() <= fullStep {
 			n.distrust("refuses", n.doubt)
 		}
-	case broker.ConnectFailed:
+	case decision.ConnectFailed:
 		n.downed = true
 		n.distrust("unreachable", n.doubt)
 	}
--- a/internal/decision/logic/only_test.go
+++ b/internal/decision/routing/only_test.go
@@ -1,24 +1,24 @@
-package logic
+package routing
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // narrow brings a search of one part that only some nodes may be sent.
-func (r *rig) narrow(only *broker.Only) uint64 {
+func (r *rig) narrow(only *decision.Only) uint64 {
 	id := r.ask(0, 3*time.Second, 0)
 	r.events[len(r.events)-1].Only = only
 	return id
 }
 
 // to tells where the parts of a turn were sent.
-func to(actions []broker.Action) (all []broker.NodeID) {
+func to(actions []decision.Action) (all []decision.NodeID) {
 	for _, a := range actions {
-		if a.Kind == broker.Send {
+		if a.Kind == decision.Send {
 			all = append(all, a.Node)
 		}
 	}
@@ -34,21 +34,21 @@
 // A part goes to no other node than it may, whatever is out there: first sends, copies and resends.
 func TestOnlyEligibleHolders(t *testing.T) {
 	r := onlyRig()
-	may := []broker.NodeID{nodeID(1), nodeID(3)}
+	may := []decision.NodeID{nodeID(1), nodeID(3)}
 	for i := range 400 {
 		if i%3 == 0 {
 			r.ask(0, 3*time.Second, 0)
 		} else {
-			r.narrow(&broker.Only{Pinned: i%3 == 1, Nodes: slices.Clone(may)})
+			r.narrow(&decision.Only{Pinned: i%3 == 1, Nodes: slices.Clone(may)})
 		}
 		narrowed := r.nextID
 		for _, a := range r.step(5 * ms) {
-			if a.Kind == broker.Send && a.ID == narrowed && i%3 != 0 {
+			if a.Kind == decision.Send && a.ID == narrowed && i%3 != 0 {
 				must(t, slices.Contains(may, a.Node), "part %d went to %v", a.ID, a.Node)
 			}
 		}
-		r.endWhere(broker.OK, 20*ms, func(n broker.NodeID) bool { return i%7 > 0 })
-		r.endWhere(broker.Reset, 40*ms, nil)
+		r.endWhere(decision.OK, 20*ms, func(n decision.NodeID) bool { return i%7 > 0 })
+		r.endWhere(decision.Reset, 40*ms, nil)
 	}
 	must(t, r.bad == "", "%s", r.bad)
 }
@@ -57,37 +57,37 @@
 // once it is ended by them.
 func TestPinnedOrder(t *testing.T) {
 	r := onlyRig()
-	order := []broker.NodeID{nodeID(4), nodeID(0), nodeID(2)}
+	order := []decision.NodeID{nodeID(4), nodeID(0), nodeID(2)}
 	for range 5 {
-		r.narrow(&broker.Only{Pinned: true, Nodes: order})
+		r.narrow(&decision.Only{Pinned: true, Nodes: order})
 		must(t, slices.Equal(to(r.step(5*ms)), order[:1]), "not to the first")
 	}
-	r.list(broker.ListDelta, broker.Entry{Node: nodeID(4), State: broker.Draining, Boot: broker.NoBoot})
+	r.list(decision.ListDelta, decision.Entry{Node: nodeID(4), State: decision.Draining, Boot: decision.NoBoot})
 	r.step(5 * ms)
-	r.narrow(&broker.Only{Pinned: true, Nodes: order})
+	r.narrow(&decision.Only{Pinned: true, Nodes: order})
 	must(t, slices.Equal(to(r.step(5*ms)), order[1:2]), "not to the second")
-	r.narrow(&broker.Only{Pinned: true})
+	r.narrow(&decision.Only{Pinned: true})
 	must(t, len(to(r.step(5*ms))) == 0 && r.bad == "", "sent where it may not go, %s", r.bad)
 }
 
 // An answer that came too old is one that did not come: the part goes on elsewhere, and its node is none the worse for it.
 func TestStaleAnswer(t *testing.T) {
 	r := onlyRig()
-	only := &broker.Only{Pinned: true, Nodes: []broker.NodeID{nodeID(4), nodeID(0)}}
+	only := &decision.Only{Pinned: true, Nodes: []decision.NodeID{nodeID(4), nodeID(0)}}
 	id := r.narrow(only)
 	r.step(5 * ms)
 	only.Nodes = only.Nodes[1:]
-	r.endWhere(broker.Stale, 0, nil)
+	r.endWhere(decision.Stale, 0, nil)
 	must(t, slices.Equal(to(r.step(20*ms)), only.Nodes), "not sent on")
 	only.Nodes = nil
-	r.endWhere(broker.Stale, 0, nil)
-	shed := pick(r.step(20*ms), broker.Shed)
+	r.endWhere(decision.Stale, 0, nil)
+	shed := pick(r.step(20*ms), decision.Shed)
 	must(t, len(shed) == 1 && shed[0].ID == id, "held on: %v", shed)
 	must(t, r.l.Trusts(nodeID(4)) && r.bad == "", "a node is distrusted for its lag, %s", r.bad)
 	for range 30 {
-		r.narrow(&broker.Only{Nodes: []broker.NodeID{nodeID(1)}})
+		r.narrow(&decision.Only{Nodes: []decision.NodeID{nodeID(1)}})
 		r.step(20 * ms)
-		r.endWhere(broker.Stale, 0, nil)
+		r.endWhere(decision.Stale, 0, nil)
 		r.step(5 * ms)
 	}
 	must(t, r.l.Trusts(nodeID(1)), "a node is distrusted for its lag")
--- a/internal/decision/logic/records.go
+++ b/internal/decision/routing/records.go
@@ -1,9 +1,9 @@
-package logic
+package routing
 
 // This file owns the records that decisions draw on: rates, latencies, shares, votes, sets of places. It holds no decision.
 
 import (
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"math"
 	mathbits "math/bits"
 	"slices"
@@ -135,7 +135,7 @@
 		case p.done || p.dead:
 		case p.live == 0:
 			return
-		case p.live == 1 && !p.copied && !s.light(p) && d.l.t.SecondCopies && s.typ.Effect != broker.NonIdempotent && len(p.tries) < d.l.t.MaxAttempts:
+		case p.live == 1 && !p.copied && !s.light(p) && d.l.t.SecondCopies && s.typ.Effect != decision.NonIdempotent && len(p.tries) < d.l.t.MaxAttempts:
 			s.oldest = min(s.oldest, p.tries[len(p.tries)-1].at)
 		}
 	}
--- a/internal/decision/logic/rules_test.go
+++ b/internal/decision/routing/rules_test.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file owns what the rig holds each action against: the rules, checked with every step.
 
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
-func (r *rig) checkSend(a *broker.Action) {
+func (r *rig) checkSend(a *decision.Action) {
 	p := r.parts[a.ID]
 	if p == nil || p.over {
 		r.fault("rule 1: part %d sent after its end", a.ID)
@@ -22,9 +22,9 @@
 	typ := &r.t.Types[r.searches[p.search].typ]
 	if p.tries > 0 {
 		switch {
-		case typ.Effect == broker.NonIdempotent && (p.ran || p.open > 0):
+		case typ.Effect == decision.NonIdempotent && (p.ran || p.open > 0):
 			r.fault("rule 2: part %d repeated", a.ID)
-		case typ.Effect == broker.Tokened && p.ran && r.now > p.ranAt+typ.Window:
+		case typ.Effect == decision.Tokened && p.ran && r.now > p.ranAt+typ.Window:
 			r.fault("rule 2: part %d repeated outside its window", a.ID)
 		case p.open > 0 && !r.t.SecondCopies:
 			r.fault("two sub-requests of part %d at once", a.ID)
@@ -48,7 +48,7 @@
 	r.sends[a.Node] = append(r.sends[a.Node], r.now)
 }
 
-func (r *rig) checkFinal(a *broker.Action) {
+func (r *rig) checkFinal(a *decision.Action) {
 	h := r.searches[a.ID]
 	if h == nil {
 		r.fault("rule 1: second final answer for %d", a.ID)
@@ -71,15 +71,15 @@
 	switch {
 	case r.now > h.due+20*ms:
 		r.fault("rule 1: search %d answered late", a.ID)
-	case a.Kind == broker.Shed && typ.Effect == broker.NonIdempotent && !clean:
+	case a.Kind == decision.Shed && typ.Effect == decision.NonIdempotent && !clean:
 		r.fault("rule 2: search %d shed though it may have run", a.ID)
-	case a.Kind == broker.Answer && got < floor-1e-4:
+	case a.Kind == decision.Answer && got < floor-1e-4:
 		r.fault("rule 5: answered from %.2f", got)
-	case a.Kind == broker.Answer && a.Whole && (got < need-1e-4 || h.stage2 && !h.whole1):
+	case a.Kind == decision.Answer && a.Whole && (got < need-1e-4 || h.stage2 && !h.whole1):
 		r.fault("rule 5: %.2f marked whole", got)
 	}
 	r.drop(a.ID)
-	if a.Kind == broker.Answer && typ.Fetch > 0 && !h.stage2 {
+	if a.Kind == decision.Answer && typ.Fetch > 0 && !h.stage2 {
 		r.searches[a.ID] = h
 		h.stage2, h.whole1, h.parts = true, a.Whole, nil
 		r.addParts(a.ID, 0, 1)
@@ -94,23 +94,23 @@
 	}
 	for _, k := range r.order {
 		if rnd.Intn(12) == 0 {
-			r.end(k, broker.Outcome(rnd.Intn(8)))
+			r.end(k, decision.Outcome(rnd.Intn(8)))
 		}
 	}
-	r.show([]broker.Outcome{broker.OK, broker.OK, broker.TimedOut}[rnd.Intn(3)], func(broker.NodeID) bool { return rnd.Intn(3) == 0 })
+	r.show([]decision.Outcome{decision.OK, decision.OK, decision.TimedOut}[rnd.Intn(3)], func(decision.NodeID) bool { return rnd.Intn(3) == 0 })
 	if rnd.Intn(20) == 0 {
-		e := broker.Entry{Node: nodeID(rnd.Intn(nodes)), State: broker.ListState(rnd.Intn(3)), Boot: broker.NoBoot}
+		e := decision.Entry{Node: nodeID(rnd.Intn(nodes)), State: decision.ListState(rnd.Intn(3)), Boot: decision.NoBoot}
 		if e.Cell = int(e.Node.Addr[3]) % r.t.Cells; rnd.Intn(2) == 0 {
 			e.Boot = r.now - time.Duration(rnd.Intn(2000))*ms
 		}
 		e.Eased = rnd.Intn(3) == 0
-		r.list([]broker.EventKind{broker.ListDelta, broker.ListFull}[rnd.Intn(8)/7], e)
+		r.list([]decision.EventKind{decision.ListDelta, decision.ListFull}[rnd.Intn(8)/7], e)
 	}
 	if r.asked > 0 || rnd.Intn(30) == 0 {
-		r.events = append(r.events, broker.Event{Kind: broker.ListFailed}, broker.Event{Kind: broker.PeerSaid})
+		r.events = append(r.events, decision.Event{Kind: decision.ListFailed}, decision.Event{Kind: decision.PeerSaid})
 	}
 	if id := uint64(rnd.Int63n(int64(r.nextID + 1))); r.searches[id] != nil {
-		r.events = append(r.events, broker.Event{Kind: broker.Left, ID: id})
+		r.events = append(r.events, decision.Event{Kind: decision.Left, ID: id})
 		r.drop(id)
 	}
 	if rnd.Intn(100) == 0 { // searches whose time a jump of the clock takes are no fault of the module
@@ -129,7 +129,7 @@
 // retune gives the module its terms anew; moved: in another layout, with the nodes in other cells.
 func (r *rig) retune(moved bool) {
 	if moved {
-		r.list(broker.ListFull)
+		r.list(decision.ListFull)
 		r.step(0)
 		r.t.Cells = 5 - r.t.Cells // 2 or 3
 	}
@@ -138,9 +138,9 @@
 		return
 	}
 	r.moved = r.nextID
-	var list []broker.Entry
+	var list []decision.Entry
 	for i := range 6 {
-		list = append(list, broker.Entry{Node: nodeID(i), Cell: i % r.t.Cells, State: broker.Ready, Boot: broker.NoBoot})
+		list = append(list, decision.Entry{Node: nodeID(i), Cell: i % r.t.Cells, State: decision.Ready, Boot: decision.NoBoot})
 	}
-	r.list(broker.ListFull, list...)
+	r.list(decision.ListFull, list...)
 }
--- a/internal/decision/logic/state.go
+++ b/internal/decision/routing/state.go
@@ -1,16 +1,16 @@
-package logic
+package routing
 
 // This file owns the shapes of what the module keeps: nodes, searches, and the desk that holds both. It holds no decision.
 
 import (
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"slices"
 	"time"
 )
 
 // seat is the desk's view of a node.
 type seat struct {
-	id       broker.NodeID
+	id       decision.NodeID
 	cell     int
 	zone     int
 	mode     mode
@@ -59,11 +59,11 @@
 	resent    bool
 	mayRun    bool // a sub-request may have run
 	firstRisk time.Duration
-	only      *broker.Only
+	only      *decision.Only
 }
 
 // rank is a node's place among those that may be sent the part, where the order counts, and 0 else; none: it may not.
-func (p *part) rank(id broker.NodeID, first bool) int {
+func (p *part) rank(id decision.NodeID, first bool) int {
 	if p.only == nil {
 		return 0
 	}
@@ -82,7 +82,7 @@
 	stage2   bool
 	whole1   bool
 	serial   float32
-	typ      *broker.SearchType
+	typ      *decision.SearchType
 	tenant   int
 	expect   int
 	spent    time.Duration // of the client's time before this try, where that shows
@@ -154,7 +154,7 @@
 	l        *Logic
 	box      inbox
 	at       int32
-	id       broker.NodeID
+	id       decision.NodeID
 	cell     int
 	boot     time.Duration
 	ready    bool
@@ -165,9 +165,9 @@
 	lat      time.Duration
 	slow     float64
 	ticked   time.Duration
-	gap      time.Duration // usual time between two parts that a node is sent
-	left     time.Duration // when the list ended it; never: it names it
-	named    *broker.Event // the last list that named it
+	gap      time.Duration   // usual time between two parts that a node is sent
+	left     time.Duration   // when the list ended it; never: it names it
+	named    *decision.Event // the last list that named it
 	doubt    float64
 	share    float64       // of its parts that fail, over a longer time than doubt
 	counted  bool          // share is among those of the listed nodes
--- a/internal/decision/logic/trust_test.go
+++ b/internal/decision/routing/trust_test.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file tests which nodes are trusted: shut, tried anew, shunned by zone or rumour, and what is forgotten of them.
 
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // A node that answers nothing, or refuses at once (incident i06ac50), gets a trial now and then and is
@@ -25,9 +25,9 @@
 				before = len(r.sends[sick])
 			}
 			if i < 800 && quick {
-				r.endWhere(broker.Refused, 0, func(n broker.NodeID) bool { return n == sick })
+				r.endWhere(decision.Refused, 0, func(n decision.NodeID) bool { return n == sick })
 			}
-			r.endWhere(broker.OK, 95*ms, func(n broker.NodeID) bool { return n != sick || i > 800 })
+			r.endWhere(decision.OK, 95*ms, func(n decision.NodeID) bool { return n != sick || i > 800 })
 			r.step(5 * ms)
 			if n := len(r.sends[sick]) - before; i == 800 {
 				must(t, n <= 5, "%d sent to a sick node in 2 s", n)
@@ -46,7 +46,7 @@
 	}
 	for i, want := range []int{2, 2, 2, 2, 2, 2, 0, 2} {
 		id, n := r.ask(0, 3*time.Second, 0, 1), 0
-		for _, a := range pick(r.step([]time.Duration{5 * ms, 600 * ms}[i/7]), broker.Send) {
+		for _, a := range pick(r.step([]time.Duration{5 * ms, 600 * ms}[i/7]), decision.Send) {
 			if r.parts[a.ID].search == id {
 				n++
 			}
@@ -59,8 +59,8 @@
 func TestLoneReset(t *testing.T) {
 	r := newRig(smallTerms(), 6)
 	n := r.l.nodes[0]
-	n.read(&note{kind: ended, outcome: broker.Reset})
-	n.read(&note{kind: ended, outcome: broker.OK, took: 50 * ms})
+	n.read(&note{kind: ended, outcome: decision.Reset})
+	n.read(&note{kind: ended, outcome: decision.OK, took: 50 * ms})
 	must(t, !n.warming && n.trusted, "cold after a lone reset")
 }
 
@@ -72,13 +72,13 @@
 		r.l.desk.board[r.l.byID[e.id]].zone = 1
 	}
 	r.l.desk.zones = make([]zone, 2)
-	sick := func(n broker.NodeID) bool { return n.Addr[3] < 6 }
+	sick := func(n decision.NodeID) bool { return n.Addr[3] < 6 }
 	before := 0
 	for i := range 800 {
 		if i%8 == 0 {
 			r.ask(0, 1500*ms, 0, 1)
 		}
-		r.endWhere(broker.OK, 95*ms, func(n broker.NodeID) bool { return !sick(n) })
+		r.endWhere(decision.OK, 95*ms, func(n decision.NodeID) bool { return !sick(n) })
 		r.step(5 * ms)
 		if i == 400 {
 			before = len(r.sends[nodeID(0)]) + len(r.sends[nodeID(3)])
@@ -104,9 +104,9 @@
 		n := 0
 		for range 3 {
 			r.ask(0, 3*time.Second, 0, 1)
-			n += len(pick(r.step(5*ms), broker.Close))
+			n += len(pick(r.step(5*ms), decision.Close))
 			r.step(50 * ms)
-			r.endWhere(broker.OK, 0, nil)
+			r.endWhere(decision.OK, 0, nil)
 			r.step(5 * ms)
 			r.step(950 * ms)
 		}
@@ -119,9 +119,9 @@
 	terms := smallTerms()
 	terms.Peers = true
 	r := newRig(terms, 6)
-	sick := func(id broker.NodeID) {
+	sick := func(id decision.NodeID) {
 		text := append([]byte{factSick}, id.Addr[:]...)
-		r.events = append(r.events, broker.Event{Kind: broker.PeerSaid, Text: append(text, 0, byte(id.Port), 7)})
+		r.events = append(r.events, decision.Event{Kind: decision.PeerSaid, Text: append(text, 0, byte(id.Port), 7)})
 	}
 	for range 2 {
 		sick(nodeID(0))
@@ -133,7 +133,7 @@
 	r.step(5 * ms)
 	must(t, r.l.nodes[0].slow == 1, "forgotten")
 	r.l.nodes[1].distrust("test", 1)
-	must(t, len(pick(r.step(5*ms), broker.Tell)) == 1 && r.bad == "", "peers are told: %s", r.bad)
+	must(t, len(pick(r.step(5*ms), decision.Tell)) == 1 && r.bad == "", "peers are told: %s", r.bad)
 }
 
 // A node whose trial is due is one candidate among its like: many brokers must not all draw it
@@ -160,8 +160,8 @@
 	r.step(time.Second)
 	slow, dead := r.l.nodes[0], r.l.nodes[2]
 	slow.gap, dead.gap = 10*time.Second, 10*time.Second
-	slow.read(&note{kind: ended, outcome: broker.OK, took: 900 * ms})
-	dead.read(&note{kind: ended, outcome: broker.ConnectFailed})
+	slow.read(&note{kind: ended, outcome: decision.OK, took: 900 * ms})
+	dead.read(&note{kind: ended, outcome: decision.ConnectFailed})
 	r.now += 9 * time.Second
 	r.l.now = r.now
 	slow.read(&note{kind: tick, limp: 100 * ms, gap: 10 * time.Second})
@@ -184,18 +184,18 @@
 			for _, k := range r.order {
 				if s, ok := r.out[k]; ok && r.now-s.at >= 20*ms && i > 400 &&
 					(!alone && rnd.Intn(6) == 0 || alone && s.node == nodeID(2)) {
-					r.end(k, broker.Reset)
+					r.end(k, decision.Reset)
 				}
 			}
-			r.endWhere(broker.OK, 20*ms, nil)
+			r.endWhere(decision.OK, 20*ms, nil)
 			for _, a := range r.step(5 * ms) {
-				if a.Kind == broker.Log && strings.Contains(a.Text, "alike") {
+				if a.Kind == decision.Log && strings.Contains(a.Text, "alike") {
 					said++
 				}
-				if i > 800 && a.Kind == broker.Answer {
+				if i > 800 && a.Kind == decision.Answer {
 					answers++
 				}
-				if i > 800 && (a.Kind == broker.Answer || a.Kind == broker.Shed || a.Kind == broker.Fail) {
+				if i > 800 && (a.Kind == decision.Answer || a.Kind == decision.Shed || a.Kind == decision.Fail) {
 					final++
 				}
 			}
@@ -204,7 +204,7 @@
 					shut++
 				}
 			}
-			if sends := pick(r.actions, broker.Send); i > 800 && len(sends) > 0 {
+			if sends := pick(r.actions, decision.Send); i > 800 && len(sends) > 0 {
 				must(t, sends[0].Alone != alone, "alone %v: a connection of its own: %v", alone, sends[0].Alone)
 			}
 		}
@@ -222,8 +222,8 @@
 	r, mute, closes, shut := newRig(smallTerms(), 6), nodeID(2), 0, 0
 	for i := range 1000 {
 		r.ask(0, 3*time.Second, 0, 1)
-		r.endWhere(broker.OK, 20*ms, func(n broker.NodeID) bool { return n != mute || i < 400 || closes > 0 })
-		for _, a := range pick(r.step(5*ms), broker.Close) {
+		r.endWhere(decision.OK, 20*ms, func(n decision.NodeID) bool { return n != mute || i < 400 || closes > 0 })
+		for _, a := range pick(r.step(5*ms), decision.Close) {
 			must(t, a.Node == mute && i > 400, "a fresh connection to %v at step %d", a.Node, i)
 			closes++
 		}
--- a/internal/decision/logic/worth.go
+++ b/internal/decision/routing/worth.go
@@ -1,4 +1,4 @@
-package logic
+package routing
 
 // This file owns what is worth its work: which searches are refused, what is sent again.
 
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // refuse tells whether a new search should be turned away for lack of time. Danger: under overload all
@@ -166,7 +166,7 @@
 	} else if !p.mayRun {
 		return true
 	}
-	return s.typ.Effect == broker.Idempotent || s.typ.Effect == broker.Tokened && d.l.now <= risk+s.typ.Window
+	return s.typ.Effect == decision.Idempotent || s.typ.Effect == decision.Tokened && d.l.now <= risk+s.typ.Window
 }
 
 // beyond tells whether a search lacks more parts than the budget lets be sent again in time. Danger: what is
--- a/internal/decision/ledger/budget.go
+++ b/internal/decision/statemachine/budget.go
@@ -1,4 +1,4 @@
-package ledger
+package statemachine
 
 const mostUnits = 1 << 32
 
--- a/internal/decision/ledger/entry.go
+++ b/internal/decision/statemachine/entry.go
@@ -1,4 +1,4 @@
-package ledger
+package statemachine
 
 // Slot is a broker's place in the tier: small, given in the operators' file, never that of two brokers at once.
 type Slot uint32
--- a/internal/decision/ledger/kinds.go
+++ b/internal/decision/statemachine/kinds.go
@@ -1,4 +1,4 @@
-package ledger
+package statemachine
 
 type kind uint64
 
--- a/internal/decision/ledger/roster.go
+++ b/internal/decision/statemachine/roster.go
@@ -1,4 +1,4 @@
-package ledger
+package statemachine
 
 import (
 	"cmp"
--- a/internal/decision/ledger/ledger.go
+++ b/internal/decision/statemachine/statemachine.go
@@ -1,4 +1,4 @@
-// Package ledger is what the brokers of a tier agree on: a deterministic state machine of releases and their permits, drains of
+// Package statemachine is what the brokers of a tier agree on: a deterministic state machine of releases and their permits, drains of
 // nodes, grants of a node's units, policies and epochs of the list. Entries come in the agreed order; the same entries give the
 // same bytes on every broker. It has no clock: whoever leads measures, and proposes Lost or Expire. The limits are kept in Apply,
 // so that no leader, however mistaken or late, can break them. It must never do I/O, read a clock or go on after an entry that it
@@ -15,11 +15,11 @@
 //	p, ok := s.Permit(3)              // p.Number fences it; p.Used
 //	same, err := ledger.Restore(s.Snapshot())
 //
-// Depends on decision/broker. Concurrency: nothing here locks or starts a goroutine; a value is used by one
+// Depends on decision. Concurrency: nothing here locks or starts a goroutine; a value is used by one
 // goroutine at a time.
-package ledger
+package statemachine
 
-import "flaxfront/internal/decision/broker"
+import "flaxfront/internal/decision"
 
 // State is the machine. It is not safe for use by several goroutines; what queries return is the caller's own unless they say so.
 type State struct {
@@ -62,4 +62,4 @@
 func (s *State) Gate() uint64 { return s.gate }
 
 // NodeID names a node.
-type NodeID = broker.NodeID
+type NodeID = decision.NodeID
--- a/internal/decision/ledger/view.go
+++ b/internal/decision/statemachine/view.go
@@ -1,4 +1,4 @@
-package ledger
+package statemachine
 
 // Standing is whether a broker serves.
 type Standing uint8
--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -85,7 +85,7 @@
 				c.Move("new", nil)
 				go c.Run(ctx)
 			}
-			time.Sleep(trust.CountsAfterMove)
+			time.Sleep(cachedlist.CountsAfterMove)
 			synctest.Wait()
 			mu.Lock()
 			if len(had) < brokers {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,14 +13,14 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Node is one line of the list.
 type Node struct {
 	Name    string
 	Addr    netip.AddrPort
-	Entry   broker.Entry
+	Entry   decision.Entry
 	Zone    string // as discovery names it
 	Started int64  // its last start in Unix time in milliseconds; 0: long ago
 }
@@ -65,22 +65,22 @@
 	for i, in := range doc.Instances {
 		n := Node{Name: in.InstanceID, Zone: in.Zone, Started: in.StartedAt}
 		e := &n.Entry
-		e.Node, e.Cell, e.Zone, e.Boot = ID(in.InstanceID), in.Cell, rd.Zone(in.Zone), broker.NoBoot
+		e.Node, e.Cell, e.Zone, e.Boot = ID(in.InstanceID), in.Cell, rd.Zone(in.Zone), decision.NoBoot
 		if in.InstanceID == "" || in.Cell < 0 || in.Cell >= rd.Cells {
 			return nil, fmt.Errorf("node list: instances.%d: %q in cell %d of %d", i, in.InstanceID, in.Cell, rd.Cells)
 		}
 		switch in.Lifecycle {
 		case "in_service":
-			e.State = broker.Ready
+			e.State = decision.Ready
 		case "terminating":
-			e.State = broker.Draining
+			e.State = decision.Draining
 		case "terminated":
-			e.State = broker.Gone
+			e.State = decision.Gone
 		default:
 			return nil, fmt.Errorf("node list: instances.%d: lifecycle %.40q", i, in.Lifecycle)
 		}
 		var err error
-		if n.Addr, err = netip.ParseAddrPort(in.HostPort); err != nil && e.State != broker.Gone {
+		if n.Addr, err = netip.ParseAddrPort(in.HostPort); err != nil && e.State != decision.Gone {
 			return nil, fmt.Errorf("node list: instances.%d: hostPort %.60q", i, in.HostPort)
 		}
 		if in.StartedAt < 0 {
@@ -104,7 +104,7 @@
 
 // ID makes a node's id of its name. Addresses differ from one broker to the next, names do not, and what brokers
 // tell one another of nodes must mean the same to all. Hexadecimal digits that end a name show in the id.
-func ID(name string) (id broker.NodeID) {
+func ID(name string) (id decision.NodeID) {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	sum := h.Sum64()
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -35,11 +35,11 @@
 		t.Fatalf("%v, %+v", err, got)
 	}
 	n := got.Nodes[0]
-	want := broker.Entry{Node: ID("s-1"), Cell: 2, Zone: 1, State: broker.Ready, Boot: broker.NoBoot}
+	want := decision.Entry{Node: ID("s-1"), Cell: 2, Zone: 1, State: decision.Ready, Boot: decision.NoBoot}
 	if n.Entry != want || n.Addr != netip.MustParseAddrPort("10.0.0.1:80") {
 		t.Errorf("read as %+v", n)
 	}
-	if e := got.Nodes[1].Entry; e.State != broker.Draining || e.Boot != 2500*time.Millisecond {
+	if e := got.Nodes[1].Entry; e.State != decision.Draining || e.Boot != 2500*time.Millisecond {
 		t.Errorf("read as %+v", e)
 	}
 	// One bad line spoils the list: half a list may hide a drain.
@@ -55,7 +55,7 @@
 
 // Brokers see a node at different addresses, yet must mean the same node when they speak of it.
 func TestIDComesOfTheName(t *testing.T) {
-	seen := map[broker.NodeID]string{}
+	seen := map[decision.NodeID]string{}
 	for _, name := range []string{"s-5be2a07c", "s-5be2a07d", "t-5be2a07c", "s", "node one", "node two"} {
 		if other, twice := seen[ID(name)]; twice {
 			t.Errorf("%s and %s share an id", name, other)
@@ -100,7 +100,7 @@
 		rd := reader()
 		if l, err := rd.Decode(raw); err == nil {
 			for _, n := range l.Nodes {
-				if n.Name == "" || n.Entry.Cell >= 3 || !n.Addr.IsValid() && n.Entry.State != broker.Gone {
+				if n.Name == "" || n.Entry.Cell >= 3 || !n.Addr.IsValid() && n.Entry.State != decision.Gone {
 					t.Errorf("let through %+v", n)
 				}
 			}
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -86,7 +86,7 @@
 				c.Move("new", nil)
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
-				if took := had.Sub(moved); had.IsZero() || took > trust.CountsAfterMove {
+				if took := had.Sub(moved); had.IsZero() || took > cachedlist.CountsAfterMove {
 					t.Errorf("%s, the old one %s: had %v after the move", what, old, took)
 				}
 				cancel()
--- a/internal/discovery/nodelist/asks.go
+++ b/internal/discovery/nodelist/asks.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // Ask is what an operator asks.
 type Ask struct {
-	Import []trust.Entry
+	Import []cachedlist.Entry
 	Forget []string
 }
 
@@ -109,7 +109,7 @@
 		if err := d.Import[i].check(); err != nil {
 			return a, err
 		}
-		a.Import = append(a.Import, trust.Entry(d.Import[i]))
+		a.Import = append(a.Import, cachedlist.Entry(d.Import[i]))
 	}
 	return a, nil
 }
--- a/internal/discovery/nodelist/bench_test.go
+++ b/internal/discovery/nodelist/bench_test.go
@@ -7,7 +7,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 // What it costs to keep one change of a list, in the three ways that the design note compares: the whole list in one file
@@ -15,32 +15,32 @@
 func BenchmarkKeepOneChange(b *testing.B) {
 	ways := []struct {
 		name string
-		open func(b *testing.B, dir string, first trust.Changes) (keep func(trust.Entry) error)
+		open func(b *testing.B, dir string, first cachedlist.Changes) (keep func(cachedlist.Entry) error)
 	}{
-		{"replaced", func(b *testing.B, dir string, first trust.Changes) func(trust.Entry) error {
+		{"replaced", func(b *testing.B, dir string, first cachedlist.Changes) func(cachedlist.Entry) error {
 			s, _ := Open(Options{Dir: dir, Deployment: "x"})
 			s.Put(first)
-			return func(e trust.Entry) error {
+			return func(e cachedlist.Entry) error {
 				s.drop() // a snapshot each time
-				s.Put(trust.Changes{Put: []trust.Entry{e}})
+				s.Put(cachedlist.Changes{Put: []cachedlist.Entry{e}})
 				return s.Flush()
 			}
 		}},
-		{"journal", func(b *testing.B, dir string, first trust.Changes) func(trust.Entry) error {
+		{"journal", func(b *testing.B, dir string, first cachedlist.Changes) func(cachedlist.Entry) error {
 			s, _ := Open(Options{Dir: dir, Deployment: "x"})
 			s.Put(first)
-			return func(e trust.Entry) error {
-				s.Put(trust.Changes{Put: []trust.Entry{e}})
+			return func(e cachedlist.Entry) error {
+				s.Put(cachedlist.Changes{Put: []cachedlist.Entry{e}})
 				return s.Flush()
 			}
 		}},
-		{"bbolt", func(b *testing.B, dir string, first trust.Changes) func(trust.Entry) error {
+		{"bbolt", func(b *testing.B, dir string, first cachedlist.Changes) func(cachedlist.Entry) error {
 			db, err := bbolt.Open(filepath.Join(dir, "db"), 0o600, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.Cleanup(func() { db.Close() })
-			put := func(all ...trust.Entry) error {
+			put := func(all ...cachedlist.Entry) error {
 				return db.Update(func(tx *bbolt.Tx) error {
 					k, err := tx.CreateBucketIfNotExists([]byte("entries"))
 					for i := 0; err == nil && i < len(all); i++ {
@@ -55,7 +55,7 @@
 			if err := put(first.Put...); err != nil {
 				b.Fatal(err)
 			}
-			return func(e trust.Entry) error { return put(e) }
+			return func(e cachedlist.Entry) error { return put(e) }
 		}},
 	}
 	for _, n := range []int{16, 1000, 100_000} {
@@ -68,7 +68,7 @@
 				}
 				for i := 0; b.Loop(); i++ {
 					e := first.Put[i%n]
-					e.Told = trust.Moment(i)
+					e.Told = cachedlist.Moment(i)
 					if err := keep(e); err != nil {
 						b.Fatal(err)
 					}
@@ -97,14 +97,14 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		got := map[string]trust.Entry{}
+		got := map[string]cachedlist.Entry{}
 		db.View(func(tx *bbolt.Tx) error {
 			return tx.Bucket([]byte("entries")).ForEach(func(k, v []byte) error {
 				var e diskEntry
 				if err := decoding.Unmarshal(v, &e); err != nil {
 					return err
 				}
-				got[e.Name] = trust.Entry(e)
+				got[e.Name] = cachedlist.Entry(e)
 				return nil
 			})
 		})
--- a/internal/discovery/nodelist/frame.go
+++ b/internal/discovery/nodelist/frame.go
@@ -16,7 +16,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 const (
@@ -55,24 +55,24 @@
 }
 
 type diskHead struct {
-	Service    string       `cbor:"1,keyasint"`
-	Deployment string       `cbor:"-"`
-	Generation uint64       `cbor:"2,keyasint"`
-	Confirmed  trust.Moment `cbor:"3,keyasint"`
+	Service    string            `cbor:"1,keyasint"`
+	Deployment string            `cbor:"-"`
+	Generation uint64            `cbor:"2,keyasint"`
+	Confirmed  cachedlist.Moment `cbor:"3,keyasint"`
 }
 
 // diskEntry has the fields of trust.Entry, in its order.
 type diskEntry struct {
-	Name       string         `cbor:"1,keyasint"`
-	Addr       netip.AddrPort `cbor:"2,keyasint"`
-	Zone       string         `cbor:"3,keyasint"`
-	Cell       int            `cbor:"4,keyasint"`
-	State      trust.State    `cbor:"5,keyasint,omitempty"`
-	Started    trust.Moment   `cbor:"6,keyasint,omitempty"`
-	Confirmed  trust.Moment   `cbor:"7,keyasint,omitempty"`
-	By         trust.By       `cbor:"8,keyasint,omitempty"`
-	Told       trust.Moment   `cbor:"9,keyasint,omitempty"`
-	Generation uint64         `cbor:"10,keyasint,omitempty"`
+	Name       string            `cbor:"1,keyasint"`
+	Addr       netip.AddrPort    `cbor:"2,keyasint"`
+	Zone       string            `cbor:"3,keyasint"`
+	Cell       int               `cbor:"4,keyasint"`
+	State      cachedlist.State  `cbor:"5,keyasint,omitempty"`
+	Started    cachedlist.Moment `cbor:"6,keyasint,omitempty"`
+	Confirmed  cachedlist.Moment `cbor:"7,keyasint,omitempty"`
+	By         cachedlist.By     `cbor:"8,keyasint,omitempty"`
+	Told       cachedlist.Moment `cbor:"9,keyasint,omitempty"`
+	Generation uint64            `cbor:"10,keyasint,omitempty"`
 }
 
 // change is one frame of a journal.
@@ -164,7 +164,7 @@
 // check refuses what no broker writes.
 func (e *diskEntry) check() error {
 	if e.Name == "" || len(e.Name) > longest || len(e.Zone) > longest || e.Cell < 0 || e.Cell > maxCell ||
-		e.State > trust.Ended || e.By > trust.Imported || e.Confirmed < 0 || e.Started < 0 || e.Told < 0 {
+		e.State > cachedlist.Ended || e.By > cachedlist.Imported || e.Confirmed < 0 || e.Started < 0 || e.Told < 0 {
 		return fmt.Errorf("%w: entry %.40q", errDamaged, e.Name)
 	}
 	return nil
--- a/internal/discovery/nodelist/nodelist.go
+++ b/internal/discovery/nodelist/nodelist.go
@@ -9,7 +9,7 @@
 //	lock                 held by the one process that writes
 //	asks/                what `flaxfront nodes` asks of a broker that runs
 //
-// Depends on decision/trust. Concurrency: it starts no goroutine; what several goroutines may use is behind
+// Depends on decision/cachedlist. Concurrency: it starts no goroutine; what several goroutines may use is behind
 // a lock or an atomic value.
 package nodelist
 
@@ -25,7 +25,7 @@
 	"slices"
 	"strings"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 const (
@@ -38,8 +38,8 @@
 
 // Content is what a directory holds.
 type Content struct {
-	Head    trust.Head
-	Entries map[string]trust.Entry
+	Head    cachedlist.Head
+	Entries map[string]cachedlist.Entry
 	Found   bool // a list was there and could be read
 	Faults  []Fault
 
@@ -54,16 +54,16 @@
 }
 
 // Values are the entries in no order.
-func (c *Content) Values() []trust.Entry { return slices.Collect(maps.Values(c.Entries)) }
+func (c *Content) Values() []cachedlist.Entry { return slices.Collect(maps.Values(c.Entries)) }
 
 // All lists the entries by name.
-func (c *Content) All() []trust.Entry {
-	return slices.SortedFunc(maps.Values(c.Entries), func(x, y trust.Entry) int { return cmp.Compare(x.Name, y.Name) })
+func (c *Content) All() []cachedlist.Entry {
+	return slices.SortedFunc(maps.Values(c.Entries), func(x, y cachedlist.Entry) int { return cmp.Compare(x.Name, y.Name) })
 }
 
 // Read reads a directory and changes nothing in it; a broker may write there meanwhile. deployment "" takes a list of any.
 func Read(disk FS, dir, deployment string) (*Content, error) {
-	c := &Content{Entries: map[string]trust.Entry{}}
+	c := &Content{Entries: map[string]cachedlist.Entry{}}
 	names, err := disk.ReadDir(dir)
 	if err != nil {
 		return c, err
@@ -82,7 +82,7 @@
 		}
 		c.Faults = append(c.Faults, Fault{File: snapName(gen), Err: err})
 		clear(c.Entries)
-		c.Head = trust.Head{}
+		c.Head = cachedlist.Head{}
 	}
 	return c, nil
 }
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	c.Head = trust.Head(o.Head)
+	c.Head = cachedlist.Head(o.Head)
 	c.Head.Deployment = o.Deployment
 	for len(c.Entries) < o.Entries {
 		var put []diskEntry
@@ -140,7 +140,7 @@
 		}
 	}
 	for i := range entries {
-		c.Entries[entries[i].Name] = trust.Entry(entries[i])
+		c.Entries[entries[i].Name] = cachedlist.Entry(entries[i])
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 				delete(c.Entries, name)
 			}
 			deployment := c.Head.Deployment
-			c.Head = trust.Head(ch.Head)
+			c.Head = cachedlist.Head(ch.Head)
 			c.Head.Deployment = deployment
 		}
 	}()
--- a/internal/discovery/nodelist/nodelist_test.go
+++ b/internal/discovery/nodelist/nodelist_test.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"testing"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 func TestMain(m *testing.M) {
@@ -25,9 +25,9 @@
 	os.Exit(m.Run())
 }
 
-func entry(i int) trust.Entry {
-	return trust.Entry{Name: fmt.Sprintf("node-%d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
-		Zone: "a", Cell: i % 4, Confirmed: trust.Moment(1000 + i), Told: 7, Generation: 3}
+func entry(i int) cachedlist.Entry {
+	return cachedlist.Entry{Name: fmt.Sprintf("node-%d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
+		Zone: "a", Cell: i % 4, Confirmed: cachedlist.Moment(1000 + i), Told: 7, Generation: 3}
 }
 
 func options(m *memory) Options {
@@ -36,12 +36,12 @@
 
 // play writes one state after the other until the disk fails. states[i] is what the list held after i changes; kept is how
 // many of them the store said were kept.
-func play(m *memory, s *Store, rnd *rand.Rand, first map[string]trust.Entry, changes int) (states []map[string]trust.Entry, kept int) {
-	now := map[string]trust.Entry{}
+func play(m *memory, s *Store, rnd *rand.Rand, first map[string]cachedlist.Entry, changes int) (states []map[string]cachedlist.Entry, kept int) {
+	now := map[string]cachedlist.Entry{}
 	maps.Copy(now, first)
 	states = append(states, maps.Clone(now))
 	for i := range changes {
-		var c trust.Changes
+		var c cachedlist.Changes
 		c.Head.Generation = uint64(i)
 		for range 1 + rnd.IntN(3) {
 			e := entry(rnd.IntN(12))
@@ -49,7 +49,7 @@
 				c.Removed = append(c.Removed, e.Name)
 				delete(now, e.Name)
 			} else {
-				e.Told = trust.Moment(100 + i)
+				e.Told = cachedlist.Moment(100 + i)
 				c.Put = append(c.Put, e)
 				now[e.Name] = e
 			}
@@ -108,7 +108,7 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	states, _ := play(m, s, rnd, nil, 10)
 	m.full = true
-	s.Put(trust.Changes{Put: []trust.Entry{entry(50)}})
+	s.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(50)}})
 	for range 3 {
 		if err := s.Flush(); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatal(err)
@@ -168,7 +168,7 @@
 	} {
 		dir := t.TempDir()
 		s, _ := Open(Options{Dir: dir, Deployment: "x"})
-		s.Put(trust.Changes{Put: []trust.Entry{entry(1)}})
+		s.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
 		if err := s.Flush(); err != nil {
 			t.Fatal(err)
 		}
@@ -180,7 +180,7 @@
 		if _, err := os.Stat(path + what); err != nil || content.Found || len(content.Entries) > 0 {
 			t.Errorf("%s: %v, %+v", what, err, content)
 		}
-		s.Put(trust.Changes{Put: []trust.Entry{entry(2)}})
+		s.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(2)}})
 		if err := s.Flush(); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
--- a/internal/discovery/nodelist/process_test.go
+++ b/internal/discovery/nodelist/process_test.go
@@ -12,23 +12,23 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 // Two brokers in one directory: the second reads, does not write, and takes over once the first has gone.
 func TestLocked(t *testing.T) {
 	dir := t.TempDir()
 	first, _ := Open(Options{Dir: dir, Deployment: "x"})
-	first.Put(trust.Changes{Put: []trust.Entry{entry(1)}})
+	first.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
 	if err := first.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	second, c := Open(Options{Dir: dir, Deployment: "x"})
-	second.Put(trust.Changes{Put: []trust.Entry{entry(2)}})
+	second.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(2)}})
 	if err := second.Flush(); !errors.Is(err, errLocked) || second.Held() || len(c.Entries) != 1 {
 		t.Fatalf("%v, %+v", err, c.Entries)
 	}
-	if err := Leave(Disk{}, dir, "x", Ask{Forget: []string{"node-1"}, Import: []trust.Entry{entry(3)}}, time.Unix(5, 0)); err != nil {
+	if err := Leave(Disk{}, dir, "x", Ask{Forget: []string{"node-1"}, Import: []cachedlist.Entry{entry(3)}}, time.Unix(5, 0)); err != nil {
 		t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(dir, asksDir, "6.ask"), []byte("no ask"), 0o600)
@@ -50,7 +50,7 @@
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
 	s, c := Open(Options{Dir: filepath.Join(file, "below"), Deployment: "x"})
-	s.Put(trust.Changes{Put: []trust.Entry{entry(1)}})
+	s.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
 	if err := s.Flush(); err == nil || c.Found {
 		t.Errorf("%v, %+v", err, c)
 	}
@@ -62,8 +62,8 @@
 	s, _ := Open(Options{Dir: dir, Deployment: "x", Journal: 2000})
 	for i := range 1 << 20 {
 		e := entry(i % 20)
-		e.Told = trust.Moment(i)
-		s.Put(trust.Changes{Head: trust.Head{Generation: uint64(i)}, Put: []trust.Entry{e}})
+		e.Told = cachedlist.Moment(i)
+		s.Put(cachedlist.Changes{Head: cachedlist.Head{Generation: uint64(i)}, Put: []cachedlist.Entry{e}})
 		if s.Flush() != nil {
 			os.Exit(1)
 		}
@@ -117,14 +117,14 @@
 		m.files[filepath.Join("d", logName(1))] = &memFile{data: log}
 		c, _ := Read(m, "d", "")
 		for name, e := range c.Entries {
-			if name != e.Name || name == "" || e.Cell < 0 || e.State > trust.Ended {
+			if name != e.Name || name == "" || e.Cell < 0 || e.State > cachedlist.Ended {
 				t.Errorf("read %+v", e)
 			}
 		}
 	})
 }
 
-func many(n int) (c trust.Changes) {
+func many(n int) (c cachedlist.Changes) {
 	for i := range n {
 		e := entry(i % 250)
 		e.Name = fmt.Sprintf("node-%08x", i)
--- a/internal/discovery/nodelist/store.go
+++ b/internal/discovery/nodelist/store.go
@@ -14,7 +14,7 @@
 
 	"github.com/gofrs/flock"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 const (
@@ -52,14 +52,14 @@
 	held   bool
 
 	mu      sync.Mutex
-	pending trust.Changes
-	waiting map[string]*trust.Entry // what Pending holds, by name; nil: removed
+	pending cachedlist.Changes
+	waiting map[string]*cachedlist.Entry // what Pending holds, by name; nil: removed
 	any     bool
 	wake    chan struct{}
 
 	// of the writer
-	head    trust.Head
-	entries map[string]trust.Entry
+	head    cachedlist.Head
+	entries map[string]cachedlist.Entry
 	gen     uint64
 	log     File
 	logged  int // bytes in the journal
@@ -71,8 +71,8 @@
 // Open reads a directory and gets ready to write there. It never fails: what is wrong is logged, and Run tries again. The
 // content is what could be read; it is the caller's.
 func Open(o Options) (*Store, *Content) {
-	s := &Store{opts: o, disk: o.Disk, waiting: map[string]*trust.Entry{}, wake: make(chan struct{}, 1),
-		entries: map[string]trust.Entry{}}
+	s := &Store{opts: o, disk: o.Disk, waiting: map[string]*cachedlist.Entry{}, wake: make(chan struct{}, 1),
+		entries: map[string]cachedlist.Entry{}}
 	if s.disk == nil {
 		s.disk = Disk{}
 	}
@@ -141,7 +141,7 @@
 
 // Put leaves changes to be written. It never waits; what comes before the next write goes with it, so that what waits is
 // no more than one state of each entry.
-func (s *Store) Put(c trust.Changes) {
+func (s *Store) Put(c cachedlist.Changes) {
 	s.mu.Lock()
 	s.pending.Head, s.any = c.Head, true
 	for i := range c.Put {
--- a/internal/lab/archive/archive.go
+++ b/internal/lab/archive/archive.go
@@ -1,7 +1,7 @@
 // Package archive is a simulated catalogue: records by shard, what a store node would make of a part of a catalogue search, and a
 // broker over them for the tests of fronts, whose answers can be held back, cut short or spoilt. It owns no socket.
 //
-// Depends on config/terms, decision/broker, protocols/catalogue, server. Concurrency: it starts no
+// Depends on config/terms, decision, protocols/catalogue, server. Concurrency: it starts no
 // goroutine; what several goroutines may use is behind a lock or an atomic value.
 package archive
 
@@ -12,7 +12,7 @@
 	"time"
 
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/protocols/catalogue"
 	"flaxfront/internal/server"
 )
@@ -52,7 +52,7 @@
 // Terms are those of a deployment with one query type.
 func (b *Broker) Terms() *terms.Terms {
 	return &terms.Terms{Types: []string{"find"}, Tenants: []string{"acme"}, Shards: len(b.Store),
-		Module: broker.Terms{Types: []broker.SearchType{{Timeout: 2 * time.Second, Target: time.Second}}}}
+		Module: decision.Terms{Types: []decision.SearchType{{Timeout: 2 * time.Second, Target: time.Second}}}}
 }
 
 // Since is the time since it was made.
--- a/internal/lab/chaos/mesh.go
+++ b/internal/lab/chaos/mesh.go
@@ -2,7 +2,7 @@
 // another, and processes that are killed, stopped, continued and supervised. It owns the faults and the times at which they
 // were put in. It must never look into what it carries, take a broker's word for anything, or touch a process that it did not start.
 //
-// Depends on cluster/fleet, lab, transport/keys. Concurrency: goroutines of its own, which the caller's
+// Depends on cluster/controlplane, lab, transport/keys. Concurrency: goroutines of its own, which the caller's
 // context ends; what they share with callers is behind a lock or an atomic value.
 package chaos
 
--- a/internal/lab/chaos/operate.go
+++ b/internal/lab/chaos/operate.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
+	"flaxfront/internal/cluster/controlplane"
 )
 
 // Command runs `flaxfront fleet ...` as an operator and returns what it prints.
@@ -25,20 +25,20 @@
 }
 
 // Ask puts a request to the voters in turn, first to one of them.
-func (t *Tier) Ask(ctx context.Context, first int, verb string, r *fleet.Request, into any) error {
-	var voters []fleet.Voter
+func (t *Tier) Ask(ctx context.Context, first int, verb string, r *controlplane.Request, into any) error {
+	var voters []controlplane.Voter
 	for i := range t.o.Voters {
 		b := t.Brokers[(first+i)%t.o.Voters]
-		voters = append(voters, fleet.Voter{Name: b.Name, Addr: b.Agrees})
+		voters = append(voters, controlplane.Voter{Name: b.Name, Addr: b.Agrees})
 	}
-	return fleet.Ask(ctx, t.ring, voters, verb, r, into)
+	return controlplane.Ask(ctx, t.ring, voters, verb, r, into)
 }
 
 // Status is what a majority knows, or an error after so long.
-func (t *Tier) Status(within time.Duration) (s fleet.Status, err error) {
+func (t *Tier) Status(within time.Duration) (s controlplane.Status, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	err = t.Ask(ctx, 0, fleet.VerbStatus, &fleet.Request{}, &s)
+	err = t.Ask(ctx, 0, controlplane.VerbStatus, &controlplane.Request{}, &s)
 	return s, err
 }
 
--- a/internal/lab/crew/broker.go
+++ b/internal/lab/crew/broker.go
@@ -6,8 +6,8 @@
 	"net/netip"
 	"time"
 
-	"flaxfront/internal/decision/duties"
-	"flaxfront/internal/decision/members"
+	"flaxfront/internal/decision/membership"
+	"flaxfront/internal/decision/ownership"
 )
 
 func (b *Broker) clock() time.Duration { return b.c.now + b.skew }
@@ -22,8 +22,8 @@
 	for i := range min(3, len(c.Brokers)) {
 		seeds = append(seeds, c.Brokers[i].addr)
 	}
-	b.Members = members.New(p, Name(b.n), b.addr, 1, uint32(b.starts), seeds)
-	b.Duties = duties.New(c.o.Lease, uint32(members.IDOf(Name(b.n))), c.o.Duties, b.clock())
+	b.Members = membership.New(p, Name(b.n), b.addr, 1, uint32(b.starts), seeds)
+	b.Duties = ownership.New(c.o.Lease, uint32(membership.IDOf(Name(b.n))), c.o.Duties, b.clock())
 	b.view = nil
 	b.beats, b.dead = map[int]time.Duration{}, map[int]bool{}
 	if c.o.AllToAll {
@@ -45,16 +45,16 @@
 	now := b.clock()
 	next := b.Members.Tick(now)
 	for _, note := range b.Members.Notes() {
-		if cl, ok := duties.Read(note); ok && b.Duties.Take(cl, now) {
+		if cl, ok := ownership.Read(note); ok && b.Duties.Take(cl, now) {
 			b.Members.Broadcast(uint64(cl.Duty), note)
 		}
 	}
 	changes := b.Members.Changes()
 	for _, ch := range changes {
-		if ch.Member.State == members.Dead {
+		if ch.Member.State == membership.Dead {
 			who := -1
 			for i := range b.c.Brokers {
-				if members.IDOf(Name(i)) == ch.Member.ID {
+				if membership.IDOf(Name(i)) == ch.Member.ID {
 					who = i
 				}
 			}
@@ -65,8 +65,8 @@
 	if b.view == nil || len(changes) > 0 {
 		b.view = b.view[:0]
 		for _, m := range b.Members.All() {
-			if m.State <= members.Suspect {
-				b.view = append(b.view, duties.Member{ID: uint32(m.ID), Weight: m.Weight})
+			if m.State <= membership.Suspect {
+				b.view = append(b.view, ownership.Member{ID: uint32(m.ID), Weight: m.Weight})
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 }
 
 // done is when a run takes effect: the others take it, unless they know of a later owner.
-func (b *Broker) done(r duties.Run) {
+func (b *Broker) done(r ownership.Run) {
 	if !b.Up {
 		return
 	}
--- a/internal/lab/crew/crew.go
+++ b/internal/lab/crew/crew.go
@@ -2,7 +2,7 @@
 // over a simulated network that loses, delays, doubles and reorders datagrams, with brokers that are killed, paused, cut off, slow
 // to get their core, or whose clock jumps. It audits what came of the duties from outside. The same seed gives the same course.
 //
-// Depends on decision/duties, decision/members, lab/queue. Concurrency: it spreads work over goroutines
+// Depends on decision/ownership, decision/membership, lab/queue. Concurrency: it spreads work over goroutines
 // that end with each call; a value is used by one goroutine at a time.
 package crew
 
@@ -12,8 +12,8 @@
 	"net/netip"
 	"time"
 
-	"flaxfront/internal/decision/duties"
-	"flaxfront/internal/decision/members"
+	"flaxfront/internal/decision/membership"
+	"flaxfront/internal/decision/ownership"
 	"flaxfront/internal/lab/queue"
 )
 
@@ -24,20 +24,20 @@
 	Loss     float64
 	Delay    time.Duration // one way, on average
 	Twice    float64       // share of datagrams that come twice
-	Policy   members.Policy
-	Duties   []duties.Duty
-	Lease    duties.Policy
+	Policy   membership.Policy
+	Duties   []ownership.Duty
+	Lease    ownership.Policy
 	AllToAll bool          // heartbeats of each to each instead, for comparison
 	Starve   time.Duration // a starved broker gets its core so late, at times
 	Starved  int           // brokers that are
 }
 
 // Default is what brokers use, with as many bytes as the platform leaves after a seal.
-var Default = members.Policy{Interval: 500 * time.Millisecond, Timeout: 150 * time.Millisecond, Indirect: 3, Suspicion: 5, Longest: 2,
+var Default = membership.Policy{Interval: 500 * time.Millisecond, Timeout: 150 * time.Millisecond, Indirect: 3, Suspicion: 5, Longest: 2,
 	Forget: 10 * time.Minute, Sync: 3 * time.Second, MaxBytes: 220, MaxKnown: 1000}
 
 // Lease is the default of duties.
-var Lease = duties.Policy{Lease: 3 * time.Second, Settle: 400 * time.Millisecond, Renew: time.Second}
+var Lease = ownership.Policy{Lease: 3 * time.Second, Settle: 400 * time.Millisecond, Renew: time.Second}
 
 // Crew is a tier of brokers.
 type Crew struct {
@@ -73,8 +73,8 @@
 	c       *Crew
 	n       int
 	addr    netip.AddrPort
-	Members *members.Members
-	Duties  *duties.Duties
+	Members *membership.Members
+	Duties  *ownership.Duties
 	Up      bool
 	Paused  bool
 	starts  int
@@ -83,7 +83,7 @@
 	woken   time.Duration // when it is to tick
 	beats   map[int]time.Duration
 	dead    map[int]bool
-	view    []duties.Member
+	view    []ownership.Member
 }
 
 // Name is a broker's name.
@@ -162,7 +162,7 @@
 		}
 		living := map[string]bool{}
 		for _, m := range b.Members.All() {
-			if m.State <= members.Suspect {
+			if m.State <= membership.Suspect {
 				living[m.Name] = true
 			}
 		}
--- a/internal/lab/crew/table.go
+++ b/internal/lab/crew/table.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"flaxfront/internal/decision/duties"
-	"flaxfront/internal/decision/members"
+	"flaxfront/internal/decision/membership"
+	"flaxfront/internal/decision/ownership"
 )
 
 // way is one way to know who is there.
@@ -116,7 +116,7 @@
 }
 
 // Chores are the duties that the experiments share out.
-var Chores = []duties.Duty{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
+var Chores = []ownership.Duty{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
 // Kills kills the owner of a duty in many tiers of five and prints what became of all duties.
 func Kills(out io.Writer, seeds int, loss float64) (broken int) {
@@ -125,7 +125,7 @@
 		c := New(Options{Brokers: 5, Seed: uint64(seed), Loss: loss, Delay: 2 * time.Millisecond, Twice: 0.05, Policy: Default, Duties: Chores, Lease: Lease})
 		c.Run(20 * time.Second)
 		for n := range c.Brokers {
-			if uint32(members.IDOf(Name(n))) == c.Brokers[0].Duties.Owner(0) {
+			if uint32(membership.IDOf(Name(n))) == c.Brokers[0].Duties.Owner(0) {
 				c.Kill(n)
 			}
 		}
--- a/internal/lab/emu.go
+++ b/internal/lab/emu.go
@@ -10,9 +10,9 @@
 	"net/netip"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/discovery"
 )
 
@@ -21,9 +21,9 @@
 	now    time.Duration
 	queue  moments
 	seq    int
-	boxes  map[broker.NodeID]*Box
+	boxes  map[decision.NodeID]*Box
 	rnd    *rand.Rand
-	terms  broker.Terms
+	terms  decision.Terms
 	Tally  Tally
 	Broken []string // rules, as seen from outside the brokers
 }
@@ -61,9 +61,9 @@
 // Broker is one emulated broker: the real module, and the real judge where it has one.
 type Broker struct {
 	w        *World
-	module   *logic.Logic
-	judge    *trust.Judge
-	events   []broker.Event
+	module   *routing.Logic
+	judge    *cachedlist.Judge
+	events   []decision.Event
 	turning  bool
 	next     uint64
 	searches map[uint64]*asked
@@ -83,14 +83,14 @@
 	out    map[[2]uint64]func() // cancels, by part and attempt
 }
 
-func (w *World) broker(seed uint64, judge *trust.Judge) *Broker {
+func (w *World) broker(seed uint64, judge *cachedlist.Judge) *Broker {
 	t := w.terms
 	t.Seed = seed
-	return &Broker{w: w, module: logic.New(t), judge: judge, next: 1, searches: map[uint64]*asked{}, parts: map[uint64]*asked{}}
+	return &Broker{w: w, module: routing.New(t), judge: judge, next: 1, searches: map[uint64]*asked{}, parts: map[uint64]*asked{}}
 }
 
 // tell hands the module an event, in a turn with all that happens at the same moment.
-func (b *Broker) tell(e broker.Event) {
+func (b *Broker) tell(e decision.Event) {
 	b.events = append(b.events, e)
 	if !b.turning {
 		b.turning = true
@@ -98,15 +98,15 @@
 	}
 }
 
-func (b *Broker) facts(facts []trust.Fact) {
+func (b *Broker) facts(facts []cachedlist.Fact) {
 	if len(facts) == 0 {
 		return
 	}
-	e := broker.Event{Kind: broker.ListDelta}
+	e := decision.Event{Kind: decision.ListDelta}
 	for _, f := range facts {
-		entry := broker.Entry{Node: f.ID, Cell: f.Entry.Cell, State: broker.Ready, Boot: broker.NoBoot, Eased: f.Eased}
+		entry := decision.Entry{Node: f.ID, Cell: f.Entry.Cell, State: decision.Ready, Boot: decision.NoBoot, Eased: f.Eased}
 		if !f.Use {
-			entry.State = broker.Draining
+			entry.State = decision.Draining
 		}
 		e.Entries = append(e.Entries, entry)
 	}
@@ -119,7 +119,7 @@
 		facts, next := b.judge.Tick(b.w.now)
 		b.facts(facts)
 		if next < time.Hour {
-			b.w.at(next, func() { b.tell(broker.Event{Kind: broker.Woken}) })
+			b.w.at(next, func() { b.tell(decision.Event{Kind: decision.Woken}) })
 		}
 	}
 	events := b.events
@@ -127,18 +127,18 @@
 	b.turning = false
 	for _, a := range b.module.Turn(b.w.now, events, nil) {
 		switch a.Kind {
-		case broker.Send:
+		case decision.Send:
 			b.send(a)
-		case broker.Cancel:
+		case decision.Cancel:
 			if s := b.parts[a.ID]; s != nil {
 				if call := s.out[[2]uint64{a.ID, uint64(a.Attempt)}]; call != nil {
 					call()
 				}
 			}
-		case broker.Answer, broker.Shed, broker.Fail:
+		case decision.Answer, decision.Shed, decision.Fail:
 			b.end(a)
-		case broker.Wake:
-			b.w.at(a.At, func() { b.tell(broker.Event{Kind: broker.Woken}) })
+		case decision.Wake:
+			b.w.at(a.At, func() { b.tell(decision.Event{Kind: decision.Woken}) })
 		}
 	}
 }
@@ -152,11 +152,11 @@
 	b.next += uint64(len(shards)) + 1
 	b.searches[s.id] = s
 	serial := float32(s.id % (1 << 24))
-	b.tell(broker.Event{Kind: broker.SearchIn, ID: s.id, Serial: serial, Type: typ, Left: t.Timeout, Weight: float64(len(shards))})
+	b.tell(decision.Event{Kind: decision.SearchIn, ID: s.id, Serial: serial, Type: typ, Left: t.Timeout, Weight: float64(len(shards))})
 	for i, shard := range shards {
 		id := s.id + 1 + uint64(i)
 		s.shares[id], b.parts[id] = 1/float64(len(shards)), s
-		b.tell(broker.Event{Kind: broker.PartIn, ID: id, Serial: serial, Shard: shard, Weight: s.shares[id]})
+		b.tell(decision.Event{Kind: decision.PartIn, ID: id, Serial: serial, Shard: shard, Weight: s.shares[id]})
 	}
 	w.at(s.due+50*time.Millisecond, func() {
 		if !s.over {
@@ -169,7 +169,7 @@
 	})
 }
 
-func (b *Broker) end(a broker.Action) {
+func (b *Broker) end(a decision.Action) {
 	s, t := b.searches[a.ID], &b.w.Tally
 	if s == nil || s.over {
 		b.w.broke("rule 1: a second answer to search %d", a.ID)
@@ -177,9 +177,9 @@
 	}
 	s.over = true
 	switch a.Kind {
-	case broker.Shed:
+	case decision.Shed:
 		t.Shed++
-	case broker.Fail:
+	case decision.Fail:
 		t.Failed++
 	default:
 		if s.got < s.need-1e-4 || a.Whole && s.got < 1-1e-4 {
@@ -199,6 +199,6 @@
 }
 
 // id makes a box's id as brokers make it.
-func id(name string) broker.NodeID { return discovery.ID(name) }
+func id(name string) decision.NodeID { return discovery.ID(name) }
 
 var anyAddr = netip.MustParseAddrPort("127.0.0.1:1")
--- a/internal/lab/herd.go
+++ b/internal/lab/herd.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 // herd is one return of discovery under one way of asking.
@@ -83,7 +83,7 @@
 
 // knock is a broker with the pacer of package trust.
 func (h *herd) knock(perCall time.Duration, seed uint64) {
-	p := trust.NewPacer(trust.Pace{KnockEvery: 200 * time.Millisecond, PerCall: perCall, MostDelay: 500 * time.Millisecond,
+	p := cachedlist.NewPacer(cachedlist.Pace{KnockEvery: 200 * time.Millisecond, PerCall: perCall, MostDelay: 500 * time.Millisecond,
 		Brokers: h.brokers}, seed)
 	var ask, knock func()
 	knock = func() {
--- a/internal/lab/play/audit.go
+++ b/internal/lab/play/audit.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/lab/script"
 )
@@ -36,16 +36,16 @@
 	d := &directory{version: 1}
 	for n := range w.script.Fleet.Nodes {
 		d.starts = append(d.starts, 0)
-		d.nodes = append(d.nodes, d.line(w, n, broker.Ready, broker.NoBoot))
+		d.nodes = append(d.nodes, d.line(w, n, decision.Ready, decision.NoBoot))
 	}
 	return d
 }
 
-func (d *directory) line(w *world, n int, state broker.ListState, boot time.Duration) discovery.Node {
+func (d *directory) line(w *world, n int, state decision.ListState, boot time.Duration) discovery.Node {
 	name := nodeName(n, d.starts[n])
-	l := discovery.Node{Name: name, Zone: w.terms.Zones[w.script.ZoneOf(n)], Entry: broker.Entry{Node: discovery.ID(name),
+	l := discovery.Node{Name: name, Zone: w.terms.Zones[w.script.ZoneOf(n)], Entry: decision.Entry{Node: discovery.ID(name),
 		Cell: n % w.script.Fleet.Cells, Zone: w.script.ZoneOf(n), State: state, Boot: boot}}
-	if boot != broker.NoBoot {
+	if boot != decision.NoBoot {
 		l.Started = w.epoch.Add(boot).UnixMilli()
 	}
 	return l
@@ -100,23 +100,23 @@
 	tell := func(l discovery.Node) { list.Nodes = append(list.Nodes, l) }
 	switch e.Does {
 	case script.Dies, script.Leaves:
-		if at.State == broker.Gone {
+		if at.State == decision.Gone {
 			return
 		}
-		d.nodes[e.Node] = d.line(d.w, e.Node, broker.Gone, at.Boot)
+		d.nodes[e.Node] = d.line(d.w, e.Node, decision.Gone, at.Boot)
 		tell(d.nodes[e.Node])
 	case script.Drains:
-		if at.State != broker.Ready {
+		if at.State != decision.Ready {
 			return
 		}
-		d.nodes[e.Node] = d.line(d.w, e.Node, broker.Draining, at.Boot)
+		d.nodes[e.Node] = d.line(d.w, e.Node, decision.Draining, at.Boot)
 		tell(d.nodes[e.Node])
 	case script.Returns, script.Arrives:
-		if at.State != broker.Gone { // it had vanished, which discovery does not see
+		if at.State != decision.Gone { // it had vanished, which discovery does not see
 			return
 		}
 		d.starts[e.Node]++
-		d.nodes[e.Node] = d.line(d.w, e.Node, broker.Ready, e.At)
+		d.nodes[e.Node] = d.line(d.w, e.Node, decision.Ready, e.At)
 		tell(d.nodes[e.Node])
 	}
 	d.version++
@@ -157,7 +157,7 @@
 	case kRan:
 		r, known := a.ran[e.a]
 		of, window := e.p.(ran), time.Duration(0)
-		if broker.Effect(e.n) == broker.Tokened { // repeats are dropped for so long
+		if decision.Effect(e.n) == decision.Tokened { // repeats are dropped for so long
 			for i := range a.w.terms.Module.Types {
 				window = max(window, a.w.terms.Module.Types[i].Window)
 			}
@@ -169,7 +169,7 @@
 			a.ran[e.a] = run{of.sent}
 		}
 		search := hashOf(searchOf(of.part))
-		if _, was := a.shed[search]; was && broker.Effect(e.n) == broker.NonIdempotent {
+		if _, was := a.shed[search]; was && decision.Effect(e.n) == decision.NonIdempotent {
 			a.breach(2, "part %s ran, and its search was shed", of.part)
 		}
 		a.ran[search] = run{of.sent}
--- a/internal/lab/play/clients.go
+++ b/internal/lab/play/clients.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/server"
 )
 
@@ -152,7 +152,7 @@
 		f.by.tally.types[q.row].record(took)
 	case v.Shed:
 		kind = 2
-		if f.w.terms.Module.Types[q.typ].Effect == broker.NonIdempotent {
+		if f.w.terms.Module.Types[q.typ].Effect == decision.NonIdempotent {
 			f.send(idAuditor, f.now, kShedOf, 0, hashOf(id), id)
 		}
 		if !f.again(q, v.After) {
@@ -160,7 +160,7 @@
 		}
 	default:
 		kind = 3
-		if f.w.terms.Module.Types[q.typ].Effect != broker.Idempotent || !f.again(q, 0) {
+		if f.w.terms.Module.Types[q.typ].Effect != decision.Idempotent || !f.again(q, 0) {
 			c.Failed++
 		}
 	}
--- a/internal/lab/play/cores.go
+++ b/internal/lab/play/cores.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/transport/store"
 )
 
@@ -68,7 +68,7 @@
 
 // effect tells the auditor of what must not run twice.
 func (n *node) effect(j *job) {
-	if j.effect != broker.Idempotent {
+	if j.effect != decision.Idempotent {
 		n.send(idAuditor, n.now, kRan, int32(j.effect), hashOf(j.id), ran{j.id, j.sent})
 	}
 }
--- a/internal/lab/play/engine.go
+++ b/internal/lab/play/engine.go
@@ -3,8 +3,8 @@
 // play it. It owns what happens outside the brokers and audits the six rules from there, never from a broker's own books. It must
 // never read a clock or let the order of a map matter.
 //
-// Depends on cluster/hint, config/operator, config/terms, decision/broker, decision/logic, decision/pins,
-// decision/trust, discovery, lab/queue, lab/script, server, transport/store. Concurrency: goroutines of its
+// Depends on cluster/readhint, config/operator, config/terms, decision, decision/routing, decision/readpin,
+// decision/cachedlist, discovery, lab/queue, lab/script, server, transport/store. Concurrency: goroutines of its
 // own, which the caller's context ends; what they share with callers is behind a lock or an atomic value.
 package play
 
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"flaxfront/internal/cluster/hint"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/cluster/readhint"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/server"
 	"flaxfront/internal/transport/store"
 )
@@ -49,7 +49,7 @@
 	starts uint64
 	began  time.Duration // its last start
 	core   *server.Core  // nil: it is down
-	book   *trust.Book
+	book   *cachedlist.Book
 	rate   float64 // searches a second that its clients ask in ordinary times
 
 	conns   map[uint64]*conn
@@ -63,7 +63,7 @@
 
 	asks uint64
 	open map[string]*asked
-	ids  []broker.NodeID // of nodes as last listed, for pictures
+	ids  []decision.NodeID // of nodes as last listed, for pictures
 
 	sends  []time.Duration // rule 6: what was sent and asked lately
 	counts []time.Duration
@@ -88,7 +88,7 @@
 	over             bool // the try has its verdict
 	coming           bool // its client asks again
 
-	hint    *hint.Hint
+	hint    *readhint.Hint
 	session *session
 	tried   time.Duration // when it was last put to the broker
 }
@@ -115,7 +115,7 @@
 		}
 	}
 	if f.w.script.Brokers.KeepList {
-		f.book = trust.NewBook(trust.Head{}, nil)
+		f.book = cachedlist.NewBook(cachedlist.Head{}, nil)
 	}
 	f.next()
 	f.share()
--- a/internal/lab/play/node.go
+++ b/internal/lab/play/node.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/lab/queue"
 	"flaxfront/internal/lab/script"
 )
@@ -30,7 +30,7 @@
 	conn   *link
 	id     string // empty: a handshake
 	work   time.Duration
-	effect broker.Effect
+	effect decision.Effect
 	off    bool
 	sent   time.Duration
 	n      uint64
--- a/internal/lab/play/plain.go
+++ b/internal/lab/play/plain.go
@@ -8,19 +8,19 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // foresee tells when a node would have answered a part that it is sent now; false: it would not.
-type foresee func(id broker.NodeID, now time.Duration) (time.Duration, bool)
+type foresee func(id decision.NodeID, now time.Duration) (time.Duration, bool)
 
 // plain is a policy without memory of nodes.
 type plain struct {
-	t      *broker.Terms
+	t      *decision.Terms
 	rnd    *rand.Rand
 	see    foresee
-	list   map[broker.NodeID]broker.Entry
-	cells  [][]broker.NodeID
+	list   map[decision.NodeID]decision.Entry
+	cells  [][]decision.NodeID
 	hand   []*simple
 	byID   map[uint64]*simple
 	owners map[uint64]*simple
@@ -30,7 +30,7 @@
 
 type simple struct {
 	id             uint64
-	typ            *broker.SearchType
+	typ            *decision.SearchType
 	deadline, last time.Duration
 	parts          []piece
 	over           bool
@@ -47,42 +47,42 @@
 	dead   bool
 }
 
-func newPlain(t broker.Terms, rnd *rand.Rand, see foresee) *plain {
-	return &plain{t: &t, rnd: rnd, see: see, list: map[broker.NodeID]broker.Entry{}, cells: make([][]broker.NodeID, t.Cells),
+func newPlain(t decision.Terms, rnd *rand.Rand, see foresee) *plain {
+	return &plain{t: &t, rnd: rnd, see: see, list: map[decision.NodeID]decision.Entry{}, cells: make([][]decision.NodeID, t.Cells),
 		byID: map[uint64]*simple{}, owners: map[uint64]*simple{}}
 }
 
-func (p *plain) Turn(now time.Duration, events []broker.Event, out []broker.Action) []broker.Action {
+func (p *plain) Turn(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	if !p.asked && now >= p.due {
 		p.asked = true
-		out = append(out, broker.Action{Kind: broker.Subscribe})
+		out = append(out, decision.Action{Kind: decision.Subscribe})
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
-		case broker.ListFull, broker.ListDelta:
+		case decision.ListFull, decision.ListDelta:
 			p.relist(e)
-		case broker.ListFailed:
+		case decision.ListFailed:
 			p.asked, p.due = false, now+time.Second
-		case broker.SearchIn:
+		case decision.SearchIn:
 			y := &p.t.Types[e.Type]
 			s := &simple{id: e.ID, typ: y, deadline: now + min(y.Target, e.Left) - 50*time.Millisecond, last: now + e.Left - 15*time.Millisecond}
 			p.hand = append(p.hand, s)
 			p.byID[e.ID] = s
-		case broker.PartIn:
+		case decision.PartIn:
 			s := p.hand[len(p.hand)-1]
 			s.parts = append(s.parts, piece{id: e.ID, shard: e.Shard, weight: e.Weight})
 			p.owners[e.ID] = s
-		case broker.Ended:
+		case decision.Ended:
 			if s := p.owners[e.ID]; s != nil {
 				k := &s.parts[slices.IndexFunc(s.parts, func(k piece) bool { return k.id == e.ID })]
-				if k.out--; e.Outcome == broker.OK && !k.in {
+				if k.out--; e.Outcome == decision.OK && !k.in {
 					k.in, s.got = true, s.got+k.weight
-				} else if e.Outcome != broker.Cancelled {
-					never := e.Outcome == broker.Refused || e.Outcome == broker.ConnectFailed || e.Outcome == broker.NeverSent
-					k.dead = k.tries >= 3 || !never && s.typ.Effect != broker.Idempotent
+				} else if e.Outcome != decision.Cancelled {
+					never := e.Outcome == decision.Refused || e.Outcome == decision.ConnectFailed || e.Outcome == decision.NeverSent
+					k.dead = k.tries >= 3 || !never && s.typ.Effect != decision.Idempotent
 				}
 			}
-		case broker.Left:
+		case decision.Left:
 			if s := p.byID[e.ID]; s != nil {
 				s.over = true
 			}
@@ -112,15 +112,15 @@
 	if !p.asked {
 		next = min(next, max(p.due, now+1))
 	}
-	return append(out, broker.Action{Kind: broker.Wake, At: next})
+	return append(out, decision.Action{Kind: decision.Wake, At: next})
 }
 
-func (p *plain) relist(e *broker.Event) {
-	if e.Kind == broker.ListFull {
+func (p *plain) relist(e *decision.Event) {
+	if e.Kind == decision.ListFull {
 		clear(p.list)
 	}
 	for _, n := range e.Entries {
-		if n.State == broker.Ready {
+		if n.State == decision.Ready {
 			p.list[n.Node] = n
 		} else {
 			delete(p.list, n.Node)
@@ -133,14 +133,14 @@
 		p.cells[n.Cell] = append(p.cells[n.Cell], id)
 	}
 	for i := range p.cells {
-		slices.SortFunc(p.cells[i], func(a, b broker.NodeID) int {
+		slices.SortFunc(p.cells[i], func(a, b decision.NodeID) int {
 			return slices.Compare(append(a.Addr[:], byte(a.Port>>8), byte(a.Port)), append(b.Addr[:], byte(b.Port>>8), byte(b.Port)))
 		})
 	}
 }
 
 // look sends what can be sent of a search and ends it if it can be ended.
-func (p *plain) look(s *simple, now time.Duration, out []broker.Action) []broker.Action {
+func (p *plain) look(s *simple, now time.Duration, out []decision.Action) []decision.Action {
 	hopeful, ran := s.got, false
 	for i := range s.parts {
 		k := &s.parts[i]
@@ -165,14 +165,14 @@
 		}
 		hopeful += k.weight
 		k.out, k.tries, ran = k.out+1, k.tries+1, true
-		out = append(out, broker.Action{Kind: broker.Send, ID: k.id, Node: node})
+		out = append(out, decision.Action{Kind: decision.Send, ID: k.id, Node: node})
 	}
-	end := func(kind broker.ActionKind, whole bool) []broker.Action {
+	end := func(kind decision.ActionKind, whole bool) []decision.Action {
 		s.over = true
-		out = append(out, broker.Action{Kind: kind, ID: s.id, Whole: whole, After: 200 * time.Millisecond})
+		out = append(out, decision.Action{Kind: kind, ID: s.id, Whole: whole, After: 200 * time.Millisecond})
 		for i := range s.parts {
 			if k := &s.parts[i]; k.out > 0 {
-				out = append(out, broker.Action{Kind: broker.Cancel, ID: k.id, Attempt: k.tries - 1})
+				out = append(out, decision.Action{Kind: decision.Cancel, ID: k.id, Attempt: k.tries - 1})
 			}
 		}
 		return out
@@ -180,14 +180,14 @@
 	const eps = 5e-5
 	switch {
 	case s.got >= s.typ.Need-eps:
-		return end(broker.Answer, true)
+		return end(decision.Answer, true)
 	case s.got >= s.typ.Floor-eps && (now >= s.deadline || hopeful-s.got < eps):
-		return end(broker.Answer, false)
+		return end(decision.Answer, false)
 	case hopeful < s.typ.Floor-eps, now >= s.last:
-		if s.typ.Effect == broker.Idempotent && now < s.last || !ran && s.untouched() {
-			return end(broker.Shed, false)
+		if s.typ.Effect == decision.Idempotent && now < s.last || !ran && s.untouched() {
+			return end(decision.Shed, false)
 		}
-		return end(broker.Fail, false)
+		return end(decision.Fail, false)
 	}
 	return out
 }
@@ -197,15 +197,15 @@
 }
 
 // choose takes any holder, or the one that the seer sees answer first, if that is in time.
-func (p *plain) choose(s *simple, k *piece, now time.Duration) (broker.NodeID, bool) {
+func (p *plain) choose(s *simple, k *piece, now time.Duration) (decision.NodeID, bool) {
 	holders := p.cells[k.shard%p.t.Cells]
 	if len(holders) == 0 {
-		return broker.NodeID{}, false
+		return decision.NodeID{}, false
 	}
 	if p.see == nil {
 		return holders[p.rnd.IntN(len(holders))], true
 	}
-	best, at := broker.NodeID{}, never
+	best, at := decision.NodeID{}, never
 	for _, id := range holders {
 		if when, ok := p.see(id, now); ok && when < at {
 			best, at = id, when
@@ -215,7 +215,7 @@
 }
 
 // foresee looks into a node.
-func (w *world) foresee(id broker.NodeID, now time.Duration) (time.Duration, bool) {
+func (w *world) foresee(id decision.NodeID, now time.Duration) (time.Duration, bool) {
 	n := w.byID[id]
 	if n == nil || n.dead || n.fallen || n.gone > 0 || n.hung > 0 || len(n.queue) >= w.script.Fleet.Queue {
 		return 0, false
--- a/internal/lab/play/play_test.go
+++ b/internal/lab/play/play_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/lab/script"
 )
 
@@ -119,11 +119,11 @@
 
 // spoiler breaks a rule on purpose, behind a policy that keeps them.
 type spoiler struct {
-	broker.Decider
-	spoil func(now time.Duration, events []broker.Event, out []broker.Action) []broker.Action
+	decision.Decider
+	spoil func(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action
 }
 
-func (s spoiler) Turn(now time.Duration, events []broker.Event, out []broker.Action) []broker.Action {
+func (s spoiler) Turn(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	return s.spoil(now, events, s.Decider.Turn(now, events, out))
 }
 
@@ -133,12 +133,12 @@
 	for _, c := range []struct {
 		rule   int
 		script string
-		spoil  func(now time.Duration, events []broker.Event, out []broker.Action) []broker.Action
+		spoil  func(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action
 	}{
-		{5, `{"for": "3s", "types": [{"name": "find", "least_parts": 3}]}`, func(now time.Duration, _ []broker.Event, out []broker.Action) []broker.Action {
+		{5, `{"for": "3s", "types": [{"name": "find", "least_parts": 3}]}`, func(now time.Duration, _ []decision.Event, out []decision.Action) []decision.Action {
 			for i := range out {
-				if out[i].Kind == broker.Send { // answered before anything is in
-					return append(out, broker.Action{Kind: broker.Answer, ID: out[i].ID - 1, Whole: true})
+				if out[i].Kind == decision.Send { // answered before anything is in
+					return append(out, decision.Action{Kind: decision.Answer, ID: out[i].ID - 1, Whole: true})
 				}
 			}
 			return out
@@ -159,11 +159,11 @@
 }
 
 // playSpoilt plays a script with a decider that breaks rules: its own spoil, or one that knows no list but the first.
-func playSpoilt(t *testing.T, s *script.Script, spoil func(time.Duration, []broker.Event, []broker.Action) []broker.Action, rule int) *Result {
+func playSpoilt(t *testing.T, s *script.Script, spoil func(time.Duration, []decision.Event, []decision.Action) []decision.Action, rule int) *Result {
 	t.Helper()
 	was := decideInstead
 	defer func() { decideInstead = was }()
-	decideInstead = func(t broker.Terms, f *front) broker.Decider {
+	decideInstead = func(t decision.Terms, f *front) decision.Decider {
 		p := newPlain(t, f.rnd, nil)
 		switch {
 		case spoil != nil:
@@ -182,10 +182,10 @@
 	heard bool
 }
 
-func (d deaf) Turn(now time.Duration, events []broker.Event, out []broker.Action) []broker.Action {
-	var kept []broker.Event
+func (d deaf) Turn(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+	var kept []decision.Event
 	for _, e := range events {
-		if e.Kind != broker.ListDelta {
+		if e.Kind != decision.ListDelta {
 			kept = append(kept, e)
 		}
 	}
@@ -199,17 +199,17 @@
 	w.workers = []*worker{{}}
 	a := &auditor{ran: map[uint64]run{}, shed: map[uint64]time.Duration{}}
 	a.join(w, idAuditor)
-	tell := func(k kind, effect broker.Effect, id string, sent time.Duration) int64 {
+	tell := func(k kind, effect decision.Effect, id string, sent time.Duration) int64 {
 		a.handle(&event{kind: k, n: int32(effect), a: hashOf(id), p: ran{id, sent}})
 		return w.workers[0].tally.broken
 	}
 	steps := []struct {
-		effect broker.Effect
+		effect decision.Effect
 		id     string
 		sent   time.Duration
 		broken int64
-	}{{broker.Tokened, "a.1", 0, 0}, {broker.Tokened, "a.1", time.Second, 0}, {broker.Tokened, "a.1", 1001 * time.Millisecond, 1},
-		{broker.NonIdempotent, "b.1", 0, 1}, {broker.NonIdempotent, "b.2", 0, 1}, {broker.NonIdempotent, "b.1", 1, 2}}
+	}{{decision.Tokened, "a.1", 0, 0}, {decision.Tokened, "a.1", time.Second, 0}, {decision.Tokened, "a.1", 1001 * time.Millisecond, 1},
+		{decision.NonIdempotent, "b.1", 0, 1}, {decision.NonIdempotent, "b.2", 0, 1}, {decision.NonIdempotent, "b.1", 1, 2}}
 	for _, x := range steps {
 		if got := tell(kRan, x.effect, x.id, x.sent); got != x.broken {
 			t.Errorf("%s: %d broken, want %d", fmt.Sprint(x), got, x.broken)
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/cluster/hint"
-	"flaxfront/internal/decision/pins"
+	"flaxfront/internal/cluster/readhint"
+	"flaxfront/internal/decision/readpin"
 	"flaxfront/internal/server"
 )
 
@@ -30,7 +30,7 @@
 	Stated                           int64 // sum of the ages stated, in microseconds
 	Same, Elsewhere                  int64 // parts of pinned sessions: at the node where that shard was last read, or at another
 	Facts                            int64 // bytes of facts between brokers
-	Pins                             pins.Counts
+	Pins                             readpin.Counts
 }
 
 // Add adds another's.
@@ -66,22 +66,22 @@
 		f.begun++
 		q.session = &session{fmt.Sprintf("%d.%d", f.n, f.begun), map[int]uint64{}, map[int]int{}}
 	}
-	h := &hint.Hint{}
+	h := &readhint.Hint{}
 	switch draw := f.rnd.Float64(); {
 	case draw < r.Hot:
-		h.Scope, h.Key = hint.Key, "hot"
+		h.Scope, h.Key = readhint.Key, "hot"
 	case draw < r.Hot+r.Pinned:
-		h.Scope, h.Key = hint.Session, q.session.key
+		h.Scope, h.Key = readhint.Session, q.session.key
 	}
 	if f.rnd.Float64() < r.Fresh {
 		h.MaxStale = (r.Least + time.Duration(f.rnd.Float64()*float64(r.Most-r.Least))).Round(time.Millisecond)
 	}
 	if f.rnd.Float64() < r.Tokens {
 		for _, shard := range slices.Sorted(slices.Values(q.shards)) {
-			h.NotBefore = append(h.NotBefore, hint.Position{Shard: shard, At: q.session.seen[shard]})
+			h.NotBefore = append(h.NotBefore, readhint.Position{Shard: shard, At: q.session.seen[shard]})
 		}
 		if f.rnd.Float64() < r.Own { // it has just written there
-			h.NotBefore = []hint.Position{{Shard: q.shards[0], At: writesBy(r, q.shards[0], f.now)}}
+			h.NotBefore = []readhint.Position{{Shard: q.shards[0], At: writesBy(r, q.shards[0], f.now)}}
 		}
 	}
 	h.OrStale = !h.Empty() && f.rnd.Float64() < r.OrStale
@@ -133,10 +133,10 @@
 			c.Understated++
 			f.breach(7, "search %s states %v: shard %d is at %d, behind %d", q.id, v.Stale, shard, pos, writesBy(r, shard, f.now-v.Stale))
 		}
-		if at := slices.IndexFunc(v.Seen, func(p hint.Position) bool { return p.Shard == shard }); at < 0 || v.Seen[at].At != pos {
+		if at := slices.IndexFunc(v.Seen, func(p readhint.Position) bool { return p.Shard == shard }); at < 0 || v.Seen[at].At != pos {
 			f.breach(7, "search %s: the position of shard %d is told as %v, and is %d", q.id, shard, v.Seen, pos)
 		}
-		if s := q.session; q.hint.Scope == hint.Session {
+		if s := q.session; q.hint.Scope == readhint.Session {
 			if last, known := s.node[shard]; known && last == node {
 				c.Same++
 			} else if known {
--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
 )
 
@@ -25,15 +25,15 @@
 	list := *p.(*discovery.List)
 	list.Nodes = slices.Clone(list.Nodes) // others are told the same one
 	if f.ids == nil {
-		f.ids = make([]broker.NodeID, f.w.script.Fleet.Nodes)
+		f.ids = make([]decision.NodeID, f.w.script.Fleet.Nodes)
 	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
 		number, _ := strconv.Atoi(n.Name[1:6])
-		if n.Entry.Boot != broker.NoBoot {
+		if n.Entry.Boot != decision.NoBoot {
 			n.Entry.Boot -= f.began
 		}
-		if n.Entry.State == broker.Ready {
+		if n.Entry.State == decision.Ready {
 			delete(f.told, n.Name)
 			f.ids[number] = n.Entry.Node
 		} else if _, told := f.told[n.Name]; !told {
--- a/internal/lab/play/world.go
+++ b/internal/lab/play/world.go
@@ -12,8 +12,8 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/lab/script"
 )
@@ -48,7 +48,7 @@
 	halted   bool
 	rows     int // tenants times types
 	nodes    []*node
-	byID     map[broker.NodeID]*node // the process of each name that there ever was, for the seer
+	byID     map[decision.NodeID]*node // the process of each name that there ever was, for the seer
 	epoch    time.Time
 	trace    *json.Encoder
 }
@@ -83,7 +83,7 @@
 
 // build puts a world together; nothing has happened in it.
 func build(s *script.Script, o Options) (*world, []*front, error) {
-	w := &world{script: s, plan: s.Schedule(), terms: s.Terms(), rows: len(s.Tenants) * len(s.Types), byID: map[broker.NodeID]*node{},
+	w := &world{script: s, plan: s.Schedule(), terms: s.Terms(), rows: len(s.Tenants) * len(s.Types), byID: map[decision.NodeID]*node{},
 		ahead: min(s.Network.Hop, s.Network.Cross), epoch: time.UnixMilli(1_700_000_000_000)}
 	cores := o.Cores
 	if cores == 0 {
@@ -137,7 +137,7 @@
 }
 
 // decideInstead lets tests put a decider of their own in random choice's place.
-var decideInstead func(broker.Terms, *front) broker.Decider
+var decideInstead func(decision.Terms, *front) decision.Decider
 
 // operatorsInstead lets tests give brokers another file.
 var operatorsInstead func(*operator.File)
@@ -151,17 +151,17 @@
 }
 
 // decider makes what decides in a broker.
-func (w *world) decider(p Policy, f *front) func(broker.Terms) broker.Decider {
+func (w *world) decider(p Policy, f *front) func(decision.Terms) decision.Decider {
 	switch p {
 	case Random:
 		if decideInstead != nil {
-			return func(t broker.Terms) broker.Decider { return decideInstead(t, f) }
+			return func(t decision.Terms) decision.Decider { return decideInstead(t, f) }
 		}
-		return func(t broker.Terms) broker.Decider { return newPlain(t, f.rnd, nil) }
+		return func(t decision.Terms) decision.Decider { return newPlain(t, f.rnd, nil) }
 	case Seer:
-		return func(t broker.Terms) broker.Decider { return newPlain(t, f.rnd, w.foresee) }
+		return func(t decision.Terms) decision.Decider { return newPlain(t, f.rnd, w.foresee) }
 	default:
-		return func(t broker.Terms) broker.Decider { return logic.New(t) }
+		return func(t decision.Terms) decision.Decider { return routing.New(t) }
 	}
 }
 
--- a/internal/lab/proof/back_test.go
+++ b/internal/lab/proof/back_test.go
@@ -5,17 +5,17 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab/chaos"
 )
 
 // calm waits until nobody is out or about to go, in the ledger and seen from outside, and tells how many steps there were.
 func (c *tier) calm() int {
 	c.t.Helper()
-	c.agreed("nobody is out or may go", func(s *fleet.Status) bool {
+	c.agreed("nobody is out or may go", func(s *controlplane.Status) bool {
 		for _, b := range s.Brokers {
-			if b.Standing != ledger.In || b.Permit > 0 {
+			if b.Standing != statemachine.In || b.Permit > 0 {
 				return false
 			}
 		}
@@ -76,7 +76,7 @@
 	})
 	c.do("release", "--from", "v1", "--to", "v2", "--most", "1", "--batch", "1,7", "--pause", "10s")
 	c.steps(1)
-	s := c.agreed("the gate halts", func(s *fleet.Status) bool { return s.Release != nil && s.Release.Course == ledger.Halted })
+	s := c.agreed("the gate halts", func(s *controlplane.Status) bool { return s.Release != nil && s.Release.Course == statemachine.Halted })
 	n := c.calm()
 	if !strings.HasPrefix(s.Release.Reason, "gate: ") || n != 1 {
 		t.Errorf("halted after %d of 7 went out: %s", n, s.Release.Reason)
--- a/internal/lab/proof/budgets_test.go
+++ b/internal/lab/proof/budgets_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
+	"flaxfront/internal/cluster/controlplane"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/lab/chaos"
 )
@@ -66,7 +66,7 @@
 	all.End()
 	first := c.Clients(400, 3, c.Brokers[0], c.Brokers[1])
 	set(connections)
-	c.agreed("the policy is in force", func(s *fleet.Status) bool { return s.Policy != nil && s.Policy.Version == 1 })
+	c.agreed("the policy is in force", func(s *controlplane.Status) bool { return s.Policy != nil && s.Policy.Version == 1 })
 	time.Sleep(lease + still) // what was open before any policy was agreed is closed by then
 	peak()
 	c.until("all brokers keep to the policy", func() bool { stall(1); return peak() <= budgetOfNode })
--- a/internal/lab/proof/disk_test.go
+++ b/internal/lab/proof/disk_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab/chaos"
 )
 
@@ -61,7 +61,7 @@
 func TestDisks(t *testing.T) {
 	c := begin(t, chaos.Options{Brokers: 4, Voters: 3})
 	c.install("v2")
-	s := c.agreed("a leader", func(s *fleet.Status) bool { return s.Leader != "" })
+	s := c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
 	full := c.Of(s.Leader)
 	if err := full.Limit(uint64(largest(t, directory(full)) + 100)); err != nil {
 		t.Fatal(err)
@@ -75,8 +75,8 @@
 			t.Error(line)
 		}
 	}
-	c.agreed("another leads", func(s *fleet.Status) bool { return s.Leader != full.Name })
-	c.all(ledger.In) // it follows the others from now on: it takes no place in any limit, and hears of drains
+	c.agreed("another leads", func(s *controlplane.Status) bool { return s.Leader != full.Name })
+	c.all(statemachine.In) // it follows the others from now on: it takes no place in any limit, and hears of drains
 	if up, said := full.Up(); !up || !said {
 		t.Error("a broker whose disk is full does not serve")
 	}
@@ -88,9 +88,9 @@
 	if err := c.Start(full); err != nil {
 		t.Fatal(err)
 	}
-	c.all(ledger.In)
+	c.all(statemachine.In)
 
-	other := c.Of(c.agreed("a leader", func(s *fleet.Status) bool { return s.Leader != "" }).Leader)
+	other := c.Of(c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" }).Leader)
 	wrong := c.Brokers[(other.Index+1)%3]
 	c.stop(wrong)
 	keep := filepath.Join(t.TempDir(), "kept")
@@ -122,7 +122,7 @@
 	if err := c.Start(wrong); err != nil {
 		t.Fatal(err)
 	}
-	c.all(ledger.In)
+	c.all(statemachine.In)
 }
 
 // flip changes a byte in the first half of the largest file.
--- a/internal/lab/proof/drain_test.go
+++ b/internal/lab/proof/drain_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/lab/chaos"
 )
@@ -15,14 +15,14 @@
 // listed waits until the tier has agreed on the list of nodes.
 func (c *tier) listed() {
 	c.t.Helper()
-	c.agreed("the nodes are listed", func(s *fleet.Status) bool { return len(s.Nodes) == len(c.Nodes) })
+	c.agreed("the nodes are listed", func(s *controlplane.Status) bool { return len(s.Nodes) == len(c.Nodes) })
 }
 
 // drained waits until a node's drain is done, and returns what was known at that moment.
-func (c *tier) drained(node string) fleet.Status {
+func (c *tier) drained(node string) controlplane.Status {
 	c.t.Helper()
-	return c.agreed(node+" is drained", func(s *fleet.Status) bool {
-		return slices.ContainsFunc(s.Drains, func(d fleet.DrainStatus) bool { return d.Node == node && d.Done })
+	return c.agreed(node+" is drained", func(s *controlplane.Status) bool {
+		return slices.ContainsFunc(s.Drains, func(d controlplane.DrainStatus) bool { return d.Node == node && d.Done })
 	})
 }
 
@@ -80,7 +80,7 @@
 	c.do("drain", name)
 	s := c.drained(name)
 	at := time.Now()
-	if me, _ := standing(&s, b.Name); me.Standing != ledger.Gone {
+	if me, _ := standing(&s, b.Name); me.Standing != statemachine.Gone {
 		t.Errorf("drained while a broker that cannot have heard of it is %v", me.Standing)
 	}
 	var lines []string
@@ -99,7 +99,7 @@
 		t.Errorf("%d parts came to a drained node; %v", x.Parts.Load()-had, out.Broken)
 	}
 	c.Mesh.Heal(true)
-	c.all(ledger.In)
+	c.all(statemachine.In)
 	c.drained(name) // now by its own word
 	again := c.Clients(60, 10)
 	if n := arrived(x, still); n > 0 {
--- a/internal/lab/proof/frozen_test.go
+++ b/internal/lab/proof/frozen_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab/chaos"
 )
 
@@ -23,7 +23,7 @@
 		s, err := c.Status(time.Second)
 		if me, _ := standing(&s, b.Name); err == nil && me.Permit > 0 {
 			return true
-		} else if me.Standing == ledger.Gone {
+		} else if me.Standing == statemachine.Gone {
 			break
 		}
 	}
@@ -40,14 +40,14 @@
 		if provoked = c.holds(b); provoked {
 			b.Freeze()
 		}
-		c.agreed("its loss is known", func(s *fleet.Status) bool {
+		c.agreed("its loss is known", func(s *controlplane.Status) bool {
 			me, _ := standing(s, b.Name)
-			return me.Standing == ledger.Gone && me.Permit == 0
+			return me.Standing == statemachine.Gone && me.Permit == 0
 		})
 		c.do("halt", "trial") // else it would get another permit, and go by that
 		c.Mesh.Heal(false)    // what it said meanwhile arrives now
 		if !provoked {
-			c.all(ledger.In)
+			c.all(statemachine.In)
 		}
 	}
 	if !provoked {
@@ -57,7 +57,7 @@
 		t.Fatal("it has gone before it was stopped")
 	}
 	b.Thaw()
-	c.all(ledger.In)
+	c.all(statemachine.In)
 	time.Sleep(still)
 	if n := len(c.Watch.Steps()); n != 0 || !b.Running() {
 		t.Fatalf("%d went out by a permit that was void", n)
--- a/internal/lab/proof/history_test.go
+++ b/internal/lab/proof/history_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab/chaos"
 )
 
@@ -55,19 +55,19 @@
 		s, in, out := state.(model), input.(operation), output.(told)
 		drained := s.any || s.number > 0
 		switch {
-		case in.verb == fleet.VerbStatus && s.any:
+		case in.verb == controlplane.VerbStatus && s.any:
 			return out.number > 0, model{number: out.number}
-		case in.verb == fleet.VerbStatus:
+		case in.verb == controlplane.VerbStatus:
 			return out.number == s.number, s
-		case in.verb == fleet.VerbDrain && out.kind == 'd':
+		case in.verb == controlplane.VerbDrain && out.kind == 'd':
 			return !drained, model{number: out.number}
-		case in.verb == fleet.VerbUndrain && out.kind == 'd':
+		case in.verb == controlplane.VerbUndrain && out.kind == 'd':
 			return drained, model{}
 		case out.kind == 'r':
-			return drained == (in.verb == fleet.VerbDrain), s
-		case in.verb == fleet.VerbDrain && !drained: // unknown, and it took effect
+			return drained == (in.verb == controlplane.VerbDrain), s
+		case in.verb == controlplane.VerbDrain && !drained: // unknown, and it took effect
 			return true, model{any: true}
-		case in.verb == fleet.VerbUndrain: // unknown
+		case in.verb == controlplane.VerbUndrain: // unknown
 			return true, model{}
 		default:
 			return true, s
@@ -100,12 +100,12 @@
 func (c *tier) operate(ctx context.Context, r *recorder, client int, nodes []string, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, uint64(client)))
 	for ctx.Err() == nil {
-		in := operation{[]string{fleet.VerbStatus, fleet.VerbDrain, fleet.VerbUndrain}[rnd.IntN(3)], nodes[rnd.IntN(len(nodes))]}
+		in := operation{[]string{controlplane.VerbStatus, controlplane.VerbDrain, controlplane.VerbUndrain}[rnd.IntN(3)], nodes[rnd.IntN(len(nodes))]}
 		within, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 		call := time.Now()
-		if in.verb == fleet.VerbStatus {
-			var s fleet.Status
-			if err := c.Ask(within, client, in.verb, &fleet.Request{}, &s); err == nil {
+		if in.verb == controlplane.VerbStatus {
+			var s controlplane.Status
+			if err := c.Ask(within, client, in.verb, &controlplane.Request{}, &s); err == nil {
 				for _, node := range nodes { // one read of each
 					out := told{kind: 'd'}
 					for _, d := range s.Drains {
@@ -118,14 +118,14 @@
 			} // a read without an answer says nothing
 		} else {
 			var number uint64
-			err := c.Ask(within, client, in.verb, &fleet.Request{Node: in.node}, &number)
+			err := c.Ask(within, client, in.verb, &controlplane.Request{Node: in.node}, &number)
 			out := told{'d', number}
-			var no *fleet.Refusal
+			var no *controlplane.Refusal
 			switch {
 			case err == nil:
 			case errors.As(err, &no) && strings.Contains(err.Error(), "refused"):
 				out = told{kind: 'r'}
-			case errors.As(err, new(*fleet.Elsewhere)):
+			case errors.As(err, new(*controlplane.Elsewhere)):
 				out.kind = 0 // it was never sent on
 			default:
 				out = told{kind: 'u'}
@@ -191,7 +191,7 @@
 			if r.sums['d'] < 10 || r.sums['r'] < 1 {
 				t.Error("too little was done")
 			}
-			c.all(ledger.In)
+			c.all(statemachine.In)
 		})
 	}
 }
@@ -201,7 +201,7 @@
 	op := func(from, to int64, verb string, out told) porcupine.Operation {
 		return porcupine.Operation{Input: operation{verb, "n"}, Call: from, Return: to, Output: out}
 	}
-	drain, undrain, read := fleet.VerbDrain, fleet.VerbUndrain, fleet.VerbStatus
+	drain, undrain, read := controlplane.VerbDrain, controlplane.VerbUndrain, controlplane.VerbStatus
 	good := []porcupine.Operation{op(0, 10, drain, told{'d', 7}), op(5, 20, read, told{'d', 7}), op(12, 30, drain, told{kind: 'r'}),
 		op(31, 40, undrain, told{'d', 0}), op(41, math.MaxInt64, drain, told{kind: 'u'}), op(60, 70, read, told{'d', 9}), op(71, 80, read, told{'d', 9})}
 	for name, last := range map[string]porcupine.Operation{
--- a/internal/lab/proof/hunt_test.go
+++ b/internal/lab/proof/hunt_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab/chaos"
 )
 
@@ -69,10 +69,10 @@
 				}
 			})
 			all.Wait()
-			c.agreed("the release is done, or halted as one that was out came back as it was", func(s *fleet.Status) bool {
-				return s.Release != nil && s.Release.Course != ledger.Running
+			c.agreed("the release is done, or halted as one that was out came back as it was", func(s *controlplane.Status) bool {
+				return s.Release != nil && s.Release.Course != statemachine.Running
 			})
-			c.all(ledger.In)
+			c.all(statemachine.In)
 			c.audit(most, clients.End())
 			for _, b := range c.Brokers {
 				if n := planned(b); n > 1 || b.Version != "v2" {
--- a/internal/lab/proof/main_test.go
+++ b/internal/lab/proof/main_test.go
@@ -11,8 +11,8 @@
 
 	"go.uber.org/goleak"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab/chaos"
 )
 
@@ -99,7 +99,7 @@
 	if err := c.StartAll(patient); err != nil {
 		t.Fatal(err)
 	}
-	c.all(ledger.In)
+	c.all(statemachine.In)
 	c.until("the outside view has all serve", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Watch.Serves(b.Name) {
@@ -137,7 +137,7 @@
 }
 
 // agreed waits until what a majority knows satisfies ok.
-func (c *tier) agreed(what string, ok func(*fleet.Status) bool) (s fleet.Status) {
+func (c *tier) agreed(what string, ok func(*controlplane.Status) bool) (s controlplane.Status) {
 	c.t.Helper()
 	c.until(what, func() (good bool) {
 		var err error
@@ -148,9 +148,9 @@
 }
 
 // all waits until all brokers stand as given.
-func (c *tier) all(as ledger.Standing) {
+func (c *tier) all(as statemachine.Standing) {
 	c.t.Helper()
-	c.agreed(fmt.Sprint("all are ", as), func(s *fleet.Status) bool {
+	c.agreed(fmt.Sprint("all are ", as), func(s *controlplane.Status) bool {
 		n := 0
 		for _, b := range s.Brokers {
 			if b.Standing == as {
@@ -162,13 +162,13 @@
 }
 
 // standing is how a broker stands; false: it is not known.
-func standing(s *fleet.Status, name string) (fleet.BrokerStatus, bool) {
+func standing(s *controlplane.Status, name string) (controlplane.BrokerStatus, bool) {
 	for _, b := range s.Brokers {
 		if b.Name == name {
 			return b, true
 		}
 	}
-	return fleet.BrokerStatus{}, false
+	return controlplane.BrokerStatus{}, false
 }
 
 // do runs a command of the program, which must be done.
--- a/internal/lab/proof/majority_test.go
+++ b/internal/lab/proof/majority_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/lab/chaos"
 )
@@ -70,7 +70,7 @@
 	}
 	c.Mesh.Heal(true)
 	at := time.Now()
-	c.agreed("a leader", func(*fleet.Status) bool { return true })
+	c.agreed("a leader", func(*controlplane.Status) bool { return true })
 	t.Logf("a leader speaks for a majority %v after the links were mended; share served %.4f, %.4f in calm", time.Since(at).Round(10*time.Millisecond),
 		share(out), share(calm))
 	for _, b := range sure {
@@ -93,24 +93,24 @@
 // A leader that speaks and hears nothing is no leader for long: the others agree without it.
 func TestDeafLeader(t *testing.T) {
 	c := begin(t, chaos.Options{Brokers: 5, Voters: 3})
-	s := c.agreed("a leader", func(s *fleet.Status) bool { return s.Leader != "" })
+	s := c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
 	deaf := c.Of(s.Leader)
 	c.Mesh.Isolate(deaf.Index, true)
 	at := time.Now()
-	c.agreed("another leads", func(s *fleet.Status) bool { return s.Leader != deaf.Name })
+	c.agreed("another leads", func(s *controlplane.Status) bool { return s.Leader != deaf.Name })
 	t.Logf("another leader speaks for the majority %v after the old one went deaf", time.Since(at).Round(10*time.Millisecond))
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	if err := c.Ask(ctx, (deaf.Index+1)%3, fleet.VerbHalt, &fleet.Request{Release: 1 << 40}, nil); err == nil {
+	if err := c.Ask(ctx, (deaf.Index+1)%3, controlplane.VerbHalt, &controlplane.Request{Release: 1 << 40}, nil); err == nil {
 		t.Error("a release that there is not was halted")
 	}
-	c.agreed("the deaf one is lost", func(s *fleet.Status) bool {
+	c.agreed("the deaf one is lost", func(s *controlplane.Status) bool {
 		b, _ := standing(s, deaf.Name)
-		return b.Standing == ledger.Gone
+		return b.Standing == statemachine.Gone
 	})
 	if up, said := deaf.Up(); !up || !said {
 		t.Error("a broker that hears no other does not serve")
 	}
 	c.Mesh.Heal(false)
-	c.all(ledger.In)
+	c.all(statemachine.In)
 }
--- a/internal/lab/proof/release_test.go
+++ b/internal/lab/proof/release_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/lab/chaos"
 )
@@ -39,10 +39,10 @@
 // done waits until the present release is over, and every broker is in again.
 func (c *tier) done() {
 	c.t.Helper()
-	c.agreed("the release is done", func(s *fleet.Status) bool {
-		return s.Release != nil && s.Release.Course == ledger.Done
+	c.agreed("the release is done", func(s *controlplane.Status) bool {
+		return s.Release != nil && s.Release.Course == statemachine.Done
 	})
-	c.all(ledger.In)
+	c.all(statemachine.In)
 	c.until("the outside view has all serve again", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Watch.Serves(b.Name) {
@@ -97,7 +97,7 @@
 	c.install("v2")
 	c.release()
 	c.steps(2)
-	s := c.agreed("a leader", func(s *fleet.Status) bool { return s.Leader != "" })
+	s := c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
 	leader := c.Of(s.Leader)
 	c.Watch.Fault(leader.Name)
 	leader.Kill()
@@ -105,7 +105,7 @@
 	if !leader.Over(patient) {
 		t.Fatal("a killed process does not end")
 	}
-	c.agreed("another leads", func(s *fleet.Status) bool { return s.Leader != leader.Name })
+	c.agreed("another leads", func(s *controlplane.Status) bool { return s.Leader != leader.Name })
 	t.Logf("another leader answers %v after the kill", time.Since(at).Round(10*time.Millisecond))
 	if err := c.Start(leader); err != nil { // with the version that it had
 		t.Fatal(err)
@@ -132,9 +132,9 @@
 	}
 	c.Watch.Fault(victim.Name)
 	victim.Kill()
-	c.agreed("the crash is known, and all others are in", func(s *fleet.Status) bool {
+	c.agreed("the crash is known, and all others are in", func(s *controlplane.Status) bool {
 		for _, b := range s.Brokers {
-			if b.Name != victim.Name && (b.Standing != ledger.In || b.Permit > 0) || b.Name == victim.Name && b.Standing != ledger.Gone {
+			if b.Name != victim.Name && (b.Standing != statemachine.In || b.Permit > 0) || b.Name == victim.Name && b.Standing != statemachine.Gone {
 				return false
 			}
 		}
--- a/internal/lab/proof/word_test.go
+++ b/internal/lab/proof/word_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/lab/chaos"
 )
 
@@ -17,9 +17,9 @@
 	b := c.Brokers[3]
 	c.Mesh.Lag(b.Index, 400*time.Millisecond)
 	c.release(b)
-	c.agreed("its word is taken", func(s *fleet.Status) bool {
+	c.agreed("its word is taken", func(s *controlplane.Status) bool {
 		me, _ := standing(s, b.Name)
-		return me.Standing == ledger.Out
+		return me.Standing == statemachine.Out
 	})
 	c.Mesh.Isolate(b.Index, true)
 	if time.Sleep(time.Second); !b.Running() {
--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -2,7 +2,7 @@
 // ranges and the contradictions a script may hold, and turns a script into terms for brokers and into a schedule of faults that
 // depends on nothing but the script and its seed. It must never play one.
 //
-// Depends on config/form, config/operator, config/terms, decision/broker. Concurrency: nothing here locks
+// Depends on config/form, config/operator, config/terms, decision. Concurrency: nothing here locks
 // or starts a goroutine; a value is used by one goroutine at a time.
 package script
 
--- a/internal/lab/script/settings.go
+++ b/internal/lab/script/settings.go
@@ -8,7 +8,7 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Terms are the settings that the script's brokers are given.
@@ -20,7 +20,7 @@
 		t.Zones = append(t.Zones, string(rune('a'+z)))
 	}
 	m := &t.Module
-	*m = broker.Terms{Seed: uint64(s.Seed), Brokers: b.Count, Peers: b.Peers, MarksRepeats: true, Step: 5 * time.Millisecond,
+	*m = decision.Terms{Seed: uint64(s.Seed), Brokers: b.Count, Peers: b.Peers, MarksRepeats: true, Step: 5 * time.Millisecond,
 		OverShare: 0.05, Cells: f.Cells, Width: 1, BatchParts: 8, Cancels: true, SecondCopies: true,
 		MaxRetryAfter: 2 * time.Second, MaxAttempts: b.Attempts, MaxOpen: b.MaxOpen, AskList: true, ColdFrom: f.ColdFrom,
 		WarmAfter: f.WarmAfter, FallMultiple: f.FallsAt, FallAfter: f.FallsAfter}
@@ -28,9 +28,9 @@
 		m.ExtraFloor, m.ExtraShare, m.ExtraWindow = 10, b.Budget, 10*time.Second
 	}
 	for _, y := range s.Types {
-		effect := map[string]broker.Effect{"tokened": broker.Tokened, "non_idempotent": broker.NonIdempotent}[y.Effect]
+		effect := map[string]decision.Effect{"tokened": decision.Tokened, "non_idempotent": decision.NonIdempotent}[y.Effect]
 		t.Types = append(t.Types, y.Name)
-		m.Types = append(m.Types, broker.SearchType{Target: y.Target, Timeout: y.Timeout, Value: y.Value, LateShare: y.Late,
+		m.Types = append(m.Types, decision.SearchType{Target: y.Target, Timeout: y.Timeout, Value: y.Value, LateShare: y.Late,
 			Effect: effect, Window: y.Window, Floor: y.Floor, Need: 1})
 	}
 	sum := 0.0
@@ -39,7 +39,7 @@
 	}
 	for _, n := range s.Tenants {
 		t.Tenants = append(t.Tenants, n.Name)
-		m.Tenants = append(m.Tenants, broker.Tenant{Portion: n.Share / sum, Quota: s.Load.Rate * n.Share / sum})
+		m.Tenants = append(m.Tenants, decision.Tenant{Portion: n.Share / sum, Quota: s.Load.Rate * n.Share / sum})
 	}
 	return t
 }
@@ -58,7 +58,7 @@
 	m := &t.Module
 	classes, floors := []map[string]any{}, []float64{}
 	for i, y := range s.Types {
-		effect := [...]string{broker.Idempotent: "read_like", broker.Tokened: "idempotency_key", broker.NonIdempotent: "non_idempotent"}[m.Types[i].Effect]
+		effect := [...]string{decision.Idempotent: "read_like", decision.Tokened: "idempotency_key", decision.NonIdempotent: "non_idempotent"}[m.Types[i].Effect]
 		classes = append(classes, map[string]any{"name": y.Name, "aimNs": y.Target.Nanoseconds(), "deadlineNs": y.Timeout.Nanoseconds(),
 			"effect": effect, "credit": y.Value, "lateShare": y.Late, "windowNs": y.Window.Nanoseconds()})
 		floors = append(floors, y.Floor)
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -10,8 +10,8 @@
 	"text/tabwriter"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/cachedlist"
 )
 
 // Policy is what brokers do with the list that they start with.
@@ -38,19 +38,19 @@
 	For     time.Duration // discovery comes back then
 }
 
-var startTerms = broker.Terms{Step: 5 * time.Millisecond, Cells: 4, Width: 1, BatchParts: 4, OverShare: 1,
-	Types: []broker.SearchType{{Target: time.Second, Timeout: 2 * time.Second, Value: 1, Floor: 1, Need: 1},
+var startTerms = decision.Terms{Step: 5 * time.Millisecond, Cells: 4, Width: 1, BatchParts: 4, OverShare: 1,
+	Types: []decision.SearchType{{Target: time.Second, Timeout: 2 * time.Second, Value: 1, Floor: 1, Need: 1},
 		{Target: 2 * time.Second, Timeout: 4 * time.Second, Value: 1, Floor: 0.5, Need: 1}},
 	Cancels: true, SecondCopies: true, MaxRetryAfter: time.Second, MaxAttempts: 4, MaxOpen: 4096,
 	ColdFrom: 0.3, WarmAfter: 12 * time.Second, FallMultiple: 2, FallAfter: 2 * time.Second}
 
 // RunStart plays one start in virtual time; the world stands as at discovery's return.
 func RunStart(s Start) *World {
-	w := &World{boxes: map[broker.NodeID]*Box{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), terms: startTerms}
+	w := &World{boxes: map[decision.NodeID]*Box{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), terms: startTerms}
 	w.terms.Brokers = s.Brokers
 	warm := Warmth{From: 0.3, Over: 12 * time.Second, Multiple: 2, For: 2 * time.Second}
-	now := trust.Moment(1_700_000_000_000)
-	var entries []trust.Entry
+	now := cachedlist.Moment(1_700_000_000_000)
+	var entries []cachedlist.Entry
 	wrong := w.wrong(s.Nodes, int(s.Wrong*float64(s.Nodes)))
 	for i := range s.Nodes {
 		name := fmt.Sprintf("node-%08x", i)
@@ -59,25 +59,25 @@
 			box.Began = 0
 		}
 		w.boxes[id(name)] = box
-		entries = append(entries, trust.Entry{Name: name, Addr: anyAddr, Cell: box.Cell, Confirmed: now - trust.Moment(s.Age.Milliseconds())})
+		entries = append(entries, cachedlist.Entry{Name: name, Addr: anyAddr, Cell: box.Cell, Confirmed: now - cachedlist.Moment(s.Age.Milliseconds())})
 	}
 	for k, i := range wrong { // gone, left behind, drained or changed hands, hanging
 		w.boxes[id(entries[i].Name)].Mode = []Mode{Dead, Vanished, Draining, Hanging}[k%4]
 	}
 	var brokers []*Broker
 	for range s.Brokers {
-		var judge *trust.Judge
-		list := broker.Event{Kind: broker.ListFull}
+		var judge *cachedlist.Judge
+		list := decision.Event{Kind: decision.ListFull}
 		b := w.broker(w.rnd.Uint64(), nil)
 		switch s.Policy {
 		case Weigh:
-			judge = trust.NewJudge(trust.Policy{HalfLife: 7 * 24 * time.Hour, Oldest: 30 * 24 * time.Hour, StrikeAt: 0.95,
-				Parole: 30 * time.Second}, trust.NewBook(trust.Head{}, append([]trust.Entry(nil), entries...)), now)
+			judge = cachedlist.NewJudge(cachedlist.Policy{HalfLife: 7 * 24 * time.Hour, Oldest: 30 * 24 * time.Hour, StrikeAt: 0.95,
+				Parole: 30 * time.Second}, cachedlist.NewBook(cachedlist.Head{}, append([]cachedlist.Entry(nil), entries...)), now)
 			b.judge = judge
 			b.facts(judge.Begin(id))
 		case BelieveAll:
 			for _, e := range entries {
-				list.Entries = append(list.Entries, broker.Entry{Node: id(e.Name), Cell: e.Cell, State: broker.Ready, Boot: broker.NoBoot})
+				list.Entries = append(list.Entries, decision.Entry{Node: id(e.Name), Cell: e.Cell, State: decision.Ready, Boot: decision.NoBoot})
 			}
 			b.tell(list)
 		default:
--- a/internal/protocols/back/back_test.go
+++ b/internal/protocols/back/back_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/protocols/catalogue"
 	"flaxfront/internal/protocols/query"
 	"flaxfront/internal/protocols/z3950"
@@ -52,7 +52,7 @@
 }
 
 // outcome sends one part to a node and tells how it ended, and of what value.
-func outcome(t *testing.T, addr netip.AddrPort, cancelAfter time.Duration) (how broker.Outcome, value string) {
+func outcome(t *testing.T, addr netip.AddrPort, cancelAfter time.Duration) (how decision.Outcome, value string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -61,13 +61,13 @@
 	now := func() time.Duration { return time.Since(start) }
 	ended := make(chan struct{}, 1)
 	p := store.NewPool(ctx, store.Limits{Streams: 1, Idle: time.Minute, Dial: 200 * time.Millisecond, Silent: time.Second, Conns: 4}, nil, now,
-		func(f func() error) { go f() }, func(e store.Event) { events <- e }, func(_ *store.Part, o broker.Outcome, _ time.Duration, v string) {
+		func(f func() error) { go f() }, func(e store.Event) { events <- e }, func(_ *store.Part, o decision.Outcome, _ time.Duration, v string) {
 			how, value = o, v
 			ended <- struct{}{}
 		})
 	p.Carry(Carrier(ctx, Options{Protocol: "z3950", Database: "d", Dial: 200 * time.Millisecond, Now: now, Post: func(e store.Event) { events <- e }}))
-	id := broker.NodeID{Port: 1}
-	p.Point(id, "n", addr, broker.NoBoot)
+	id := decision.NodeID{Port: 1}
+	p.Point(id, "n", addr, decision.NoBoot)
 	_, rpn, _ := query.ParsePQF("cat")
 	part := &store.Part{ID: "s.0", Text: (&catalogue.Want{Depth: 3, Syntax: "marcxml", Query: rpn}).Statement(), Deadline: 600 * time.Millisecond, Node: id}
 	p.Send(id, []*store.Part{part})
@@ -115,48 +115,48 @@
 		return z3950.Encode(&z3950.PresentResponse{Common: p.Common, Returned: 2, Records: z3950.Records{All: []z3950.Record{record, record}[:min(2, p.Want)]}})
 	}
 	for name, c := range map[string]struct {
-		want   broker.Outcome
+		want   decision.Outcome
 		answer func(n int, m z3950.Message) []byte
 	}{
-		"served": {broker.OK, func(n int, m z3950.Message) []byte { return good(m) }},
-		"busy": {broker.Refused, func(n int, m z3950.Message) []byte {
+		"served": {decision.OK, func(n int, m z3950.Message) []byte { return good(m) }},
+		"busy": {decision.Refused, func(n int, m z3950.Message) []byte {
 			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Records: z3950.Records{Fault: &z3950.Fault{Code: 2}}})
 		}},
-		"a diagnostic": {broker.Errored, func(n int, m z3950.Message) []byte {
+		"a diagnostic": {decision.Errored, func(n int, m z3950.Message) []byte {
 			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Records: z3950.Records{Fault: &z3950.Fault{Code: 114}}})
 		}},
-		"a subset": {broker.Errored, func(n int, m z3950.Message) []byte {
+		"a subset": {decision.Errored, func(n int, m z3950.Message) []byte {
 			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Count: 3, SetStatus: z3950.Subset, Records: z3950.Records{Fault: &z3950.Fault{Code: 2}}})
 		}},
-		"another reference": {broker.Reset, func(n int, m z3950.Message) []byte {
+		"another reference": {decision.Reset, func(n int, m z3950.Message) []byte {
 			return z3950.Encode(&z3950.SearchResponse{Common: z3950.Common{Reference: []byte("99")}, Count: 3, OK: true})
 		}},
-		"another message": {broker.Reset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.DeleteResponse{}) }},
-		"noise":           {broker.Reset, func(n int, m z3950.Message) []byte { return []byte("noise noise noise") }},
-		"a close":         {broker.Reset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.Close{Reason: 1}) }},
-		"dead between search and present": {broker.Reset, func(n int, m z3950.Message) []byte {
+		"another message": {decision.Reset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.DeleteResponse{}) }},
+		"noise":           {decision.Reset, func(n int, m z3950.Message) []byte { return []byte("noise noise noise") }},
+		"a close":         {decision.Reset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.Close{Reason: 1}) }},
+		"dead between search and present": {decision.Reset, func(n int, m z3950.Message) []byte {
 			if n == 2 {
 				return nil
 			}
 			return good(m)
 		}},
-		"more records than asked": {broker.Reset, func(n int, m z3950.Message) []byte {
+		"more records than asked": {decision.Reset, func(n int, m z3950.Message) []byte {
 			if n == 1 {
 				return good(m)
 			}
 			return z3950.Encode(&z3950.PresentResponse{Common: reference(m), Records: z3950.Records{All: []z3950.Record{record, record, record, record}}})
 		}},
-		"an empty page": {broker.Errored, func(n int, m z3950.Message) []byte {
+		"an empty page": {decision.Errored, func(n int, m z3950.Message) []byte {
 			if n == 1 {
 				return good(m)
 			}
 			return z3950.Encode(&z3950.PresentResponse{Common: reference(m)})
 		}},
-		"silence": {broker.TimedOut, func(n int, m z3950.Message) []byte {
+		"silence": {decision.TimedOut, func(n int, m z3950.Message) []byte {
 			time.Sleep(2 * time.Second)
 			return nil
 		}},
-		"not accepted": {broker.ConnectFailed, nil},
+		"not accepted": {decision.ConnectFailed, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -173,13 +173,13 @@
 			if how != c.want {
 				t.Errorf("ended as %v, want %v", how, c.want)
 			}
-			if hits, records, err := catalogue.ParseValue(value); c.want == broker.OK && (err != nil || hits != 5 || len(records) != 3) {
+			if hits, records, err := catalogue.ParseValue(value); c.want == decision.OK && (err != nil || hits != 5 || len(records) != 3) {
 				t.Errorf("%q", value)
 			}
 		})
 	}
 	t.Run("nobody there", func(t *testing.T) {
-		if how, _ := outcome(t, netip.MustParseAddrPort("127.0.0.1:1"), 0); how != broker.ConnectFailed {
+		if how, _ := outcome(t, netip.MustParseAddrPort("127.0.0.1:1"), 0); how != decision.ConnectFailed {
 			t.Errorf("%v", how)
 		}
 	})
@@ -191,7 +191,7 @@
 			time.Sleep(time.Second)
 			return nil
 		})
-		if how, _ := outcome(t, addr, 50*time.Millisecond); how != broker.Cancelled {
+		if how, _ := outcome(t, addr, 50*time.Millisecond); how != decision.Cancelled {
 			t.Errorf("%v", how)
 		}
 	})
--- a/internal/protocols/back/pairs_test.go
+++ b/internal/protocols/back/pairs_test.go
@@ -11,8 +11,8 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/lab/archive"
 	"flaxfront/internal/protocols/front/sru"
@@ -126,7 +126,7 @@
 	if protocol != "frames" {
 		own.Back.Protocol, own.Back.Database = protocol, "x"
 	}
-	if w.s, err = server.New(start, own, func(t broker.Terms) broker.Decider { return logic.New(t) }); err == nil {
+	if w.s, err = server.New(start, own, func(t decision.Terms) decision.Decider { return routing.New(t) }); err == nil {
 		err = w.s.Open()
 	}
 	if err != nil {
--- a/internal/protocols/catalogue/catalogue.go
+++ b/internal/protocols/catalogue/catalogue.go
@@ -1,7 +1,7 @@
 // Package catalogue is the form in which catalogue searches travel inside a search's statement, and their answers inside the values
 // that nodes make of its parts. It owns that form and the merging of parts into one answer. It must never search or keep anything.
 //
-// Depends on decision/sets, protocols/query. Concurrency: it keeps no state and starts no goroutine, so
+// Depends on decision/resultset, protocols/query. Concurrency: it keeps no state and starts no goroutine, so
 // that its functions may be called from any goroutine; what they return is the caller's.
 package catalogue
 
@@ -12,7 +12,7 @@
 	"strconv"
 	"strings"
 
-	"flaxfront/internal/decision/sets"
+	"flaxfront/internal/decision/resultset"
 	"flaxfront/internal/protocols/query"
 )
 
@@ -89,8 +89,8 @@
 
 // Merge makes one answer of the parts that are in. Whole is what the broker said of it. A value that can't be read fails all: what it
 // stands for is not known.
-func Merge(asked []int, depth int, whole bool, shards []int, values []string) (sets.Answer, error) {
-	a := sets.Answer{Whole: whole, Hits: map[int]int{}, First: map[int][][]byte{}, Depth: depth, Shards: asked}
+func Merge(asked []int, depth int, whole bool, shards []int, values []string) (resultset.Answer, error) {
+	a := resultset.Answer{Whole: whole, Hits: map[int]int{}, First: map[int][][]byte{}, Depth: depth, Shards: asked}
 	for i, s := range shards {
 		hits, records, err := ParseValue(values[i])
 		if err != nil {
--- a/internal/protocols/front/front.go
+++ b/internal/protocols/front/front.go
@@ -1,7 +1,7 @@
 // Package front is what the fronts for catalogue clients share: how a catalogue search is put to a broker, and what came of it is
 // counted. It must never hold a connection or anything of a protocol.
 //
-// Depends on config/terms, decision/broker, decision/sets, protocols/catalogue, server. Concurrency: it
+// Depends on config/terms, decision, decision/resultset, protocols/catalogue, server. Concurrency: it
 // starts no goroutine; what several goroutines may use is behind a lock or an atomic value.
 package front
 
@@ -15,8 +15,8 @@
 	"time"
 
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/sets"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/resultset"
 	"flaxfront/internal/protocols/catalogue"
 	"flaxfront/internal/server"
 )
@@ -53,7 +53,7 @@
 		}
 	}
 	y := &t.Module.Types[a.typ]
-	if a.Timeout = y.Timeout; y.Effect != broker.Idempotent { // pages beyond the first are fetched by searching again
+	if a.Timeout = y.Timeout; y.Effect != decision.Idempotent { // pages beyond the first are fetched by searching again
 		return nil, fmt.Errorf("operators' file: %s.type: %s may not run again", field, t.Types[a.typ])
 	}
 	return a, nil
@@ -68,7 +68,7 @@
 
 // Ask is one search. Again tells that it fetches more of an answer that was had before. An error beside an answered verdict is a
 // value that can't be read; without one, the client has gone or the broker stops.
-func (a *Asker) Ask(ctx context.Context, want *catalogue.Want, client uint64, again bool) (sets.Answer, server.Verdict, error) {
+func (a *Asker) Ask(ctx context.Context, want *catalogue.Want, client uint64, again bool) (resultset.Answer, server.Verdict, error) {
 	shards := a.broker.Terms().Shards
 	ask := &server.Ask{ID: server.NewID(), Type: a.typ, Tenant: a.tenant, Client: client, Repeat: again, Timeout: a.Timeout, Text: want.Statement()}
 	for i := range shards {
@@ -81,13 +81,13 @@
 	}
 	switch {
 	case err != nil:
-		return sets.Answer{}, v, err
+		return resultset.Answer{}, v, err
 	case v.Shed:
 		a.Counts.Shed.Add(1)
-		return sets.Answer{}, v, nil
+		return resultset.Answer{}, v, nil
 	case !v.Answered:
 		a.Counts.Failed.Add(1)
-		return sets.Answer{}, v, nil
+		return resultset.Answer{}, v, nil
 	case !v.Whole:
 		a.Counts.Partial.Add(1)
 	}
--- a/internal/protocols/front/sru/front.go
+++ b/internal/protocols/front/sru/front.go
@@ -2,7 +2,7 @@
 // further pages come from the answer of the same client's page one, as long as it is kept. It owns the listener and what is kept.
 // It must never give a page of another answer under the same result set, or call a partial answer whole.
 //
-// Depends on config/operator, decision/sets, protocols/catalogue, protocols/front, protocols/sru, server.
+// Depends on config/operator, decision/resultset, protocols/catalogue, protocols/front, protocols/sru, server.
 // Concurrency: it starts no goroutine; what several goroutines may use is behind a lock or an atomic value.
 package sru
 
@@ -22,7 +22,7 @@
 	"time"
 
 	"flaxfront/internal/config/operator"
-	"flaxfront/internal/decision/sets"
+	"flaxfront/internal/decision/resultset"
 	"flaxfront/internal/protocols/front"
 	"flaxfront/internal/protocols/sru"
 )
@@ -49,12 +49,12 @@
 	places chan struct{} // connections
 
 	mu   sync.Mutex
-	sets *sets.Sets
+	sets *resultset.Sets
 }
 
 // Listen opens a front; an unknown type or tenant is an error.
 func Listen(b front.Broker, o operator.SRU) (*Front, error) {
-	f := &Front{broker: b, o: o, places: make(chan struct{}, o.Clients), sets: sets.New(sets.Limits{Bytes: o.Bytes, PerSession: 8, Sessions: clients, Age: o.Age})}
+	f := &Front{broker: b, o: o, places: make(chan struct{}, o.Clients), sets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: 8, Sessions: clients, Age: o.Age})}
 	var err error
 	if f.ask, err = front.NewAsker(b, "sru", o.Type, o.Tenant); err != nil {
 		return nil, err
--- a/internal/protocols/front/sru/searching.go
+++ b/internal/protocols/front/sru/searching.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"flaxfront/internal/decision/sets"
+	"flaxfront/internal/decision/resultset"
 	"flaxfront/internal/protocols/catalogue"
 	"flaxfront/internal/protocols/sru"
 	"flaxfront/internal/server"
@@ -37,8 +37,8 @@
 	f.mu.Lock()
 	set, why := f.sets.Get(client, name, f.broker.Since())
 	f.mu.Unlock()
-	fresh := q.Start == 1 || why != sets.There && why != sets.Changed
-	if !fresh && why == sets.Changed {
+	fresh := q.Start == 1 || why != resultset.There && why != resultset.Changed
+	if !fresh && why == resultset.Changed {
 		return http.StatusOK, sru.Diagnose(51, "the records have changed since the first page; ask for that again")
 	}
 	if fresh {
@@ -74,7 +74,7 @@
 		f.mu.Lock()
 		set, why = f.sets.Extend(client, name, a, f.broker.Since())
 		f.mu.Unlock()
-		if why != sets.There {
+		if why != resultset.There {
 			return http.StatusOK, sru.Diagnose(51, "the records have changed since the first page; ask for that again")
 		}
 		if page, need, ok = set.Page(q.Start, min(most, out.Count)); need > 0 {
@@ -100,7 +100,7 @@
 }
 
 // put puts a search to the broker, and tells what its client is told if that is not its answer.
-func (f *Front) put(w http.ResponseWriter, r *http.Request, client uint64, want *catalogue.Want, again bool) (a sets.Answer, status int, fault *sru.Diagnostic) {
+func (f *Front) put(w http.ResponseWriter, r *http.Request, client uint64, want *catalogue.Want, again bool) (a resultset.Answer, status int, fault *sru.Diagnostic) {
 	a, v, err := f.ask.Ask(r.Context(), want, client, again)
 	switch {
 	case errors.Is(err, server.ErrStopping):
--- a/internal/protocols/front/z3950/broker_test.go
+++ b/internal/protocols/front/z3950/broker_test.go
@@ -13,8 +13,8 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/lab/archive"
 	sruFront "flaxfront/internal/protocols/front/sru"
@@ -53,7 +53,7 @@
 	}
 	own := operator.Default()
 	own.Z3950.Listen, own.SRU.Listen, own.SRU.Type, own.Z3950.Type = "127.0.0.1:0", "127.0.0.1:0", "report", "report"
-	s, err := server.New(start, own, func(t broker.Terms) broker.Decider { return logic.New(t) })
+	s, err := server.New(start, own, func(t decision.Terms) decision.Decider { return routing.New(t) })
 	if err == nil {
 		err = s.Open()
 	}
--- a/internal/protocols/front/z3950/front.go
+++ b/internal/protocols/front/z3950/front.go
@@ -3,7 +3,7 @@
 // listener, the sessions and their time limits. It must never present a page of another answer than the search's, call a partial
 // answer whole, or hold more of a session than stated.
 //
-// Depends on config/operator, decision/sets, protocols/catalogue, protocols/front, protocols/query,
+// Depends on config/operator, decision/resultset, protocols/catalogue, protocols/front, protocols/query,
 // protocols/z3950, server. Concurrency: goroutines of its own, which the caller's context ends; what they
 // share with callers is behind a lock or an atomic value.
 package z3950
@@ -18,7 +18,7 @@
 	"time"
 
 	"flaxfront/internal/config/operator"
-	"flaxfront/internal/decision/sets"
+	"flaxfront/internal/decision/resultset"
 	"flaxfront/internal/protocols/front"
 	"flaxfront/internal/protocols/z3950"
 )
@@ -51,7 +51,7 @@
 	ln     net.Listener
 
 	mu       sync.Mutex
-	sets     *sets.Sets
+	sets     *resultset.Sets
 	sessions map[uint64]*session
 	last     uint64
 	draining bool
@@ -71,7 +71,7 @@
 
 // Listen opens a front; an unknown type or tenant is an error.
 func Listen(b front.Broker, o operator.Z3950) (*Front, error) {
-	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, sets: sets.New(sets.Limits{Bytes: o.Bytes, PerSession: o.Sets,
+	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, sets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: o.Sets,
 		Sessions: o.Sessions, Age: o.Age})}
 	var err error
 	if f.ask, err = front.NewAsker(b, "z3950", o.Type, o.Tenant); err == nil {
--- a/internal/protocols/front/z3950/present.go
+++ b/internal/protocols/front/z3950/present.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"flaxfront/internal/decision/sets"
+	"flaxfront/internal/decision/resultset"
 	"flaxfront/internal/protocols/catalogue"
 	"flaxfront/internal/protocols/z3950"
 )
@@ -40,7 +40,7 @@
 	f.mu.Lock()
 	set, why := f.sets.Get(s.id, name, f.broker.Since())
 	f.mu.Unlock()
-	if why != sets.There {
+	if why != resultset.There {
 		return fault(lost(why, name))
 	}
 	want, err := catalogue.ParseStatement(set.Query)
@@ -75,7 +75,7 @@
 		f.mu.Lock()
 		set, why = f.sets.Extend(s.id, name, answer, f.broker.Since())
 		f.mu.Unlock()
-		if why != sets.There {
+		if why != resultset.There {
 			return fault(lost(why, name))
 		}
 		if page, need, _ = set.Page(start, count); need > 0 {
@@ -86,20 +86,20 @@
 }
 
 // lost is the diagnostic on a set that is not there.
-func lost(why sets.Why, name string) (int, string, any) {
+func lost(why resultset.Why, name string) (int, string, any) {
 	switch why {
-	case sets.Aged:
+	case resultset.Aged:
 		return setGone, "%s was not used for too long", name
-	case sets.Crowded:
+	case resultset.Crowded:
 		return setGone, "%s gave way to others", name
-	case sets.Changed:
+	case resultset.Changed:
 		return setGone, "the records of %s have changed; search again", name
 	}
 	return noSuchSet, "%s", name
 }
 
 // fill makes records of a page, as many as the client wants in a message.
-func (s *session) fill(page []sets.Record, syntax string) (out z3950.Records, status int, err error) {
+func (s *session) fill(page []resultset.Record, syntax string) (out z3950.Records, status int, err error) {
 	size := 0
 	for i, r := range page {
 		one := z3950.Record{Database: "catalogue", Syntax: cmp.Or(syntax, z3950.MARC21), Body: r.Body}
--- a/internal/protocols/front/z3950/search.go
+++ b/internal/protocols/front/z3950/search.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"flaxfront/internal/decision/sets"
+	"flaxfront/internal/decision/resultset"
 	"flaxfront/internal/protocols/catalogue"
 	"flaxfront/internal/protocols/query"
 	"flaxfront/internal/protocols/z3950"
@@ -43,7 +43,7 @@
 	s.f.mu.Lock()
 	_, why := s.f.sets.Get(s.id, m.ResultSet, s.f.broker.Since())
 	s.f.mu.Unlock()
-	if why == sets.There && !m.Replace {
+	if why == resultset.There && !m.Replace {
 		return fail(21, "%s", m.ResultSet) // result set exists and replace indicator off
 	}
 	if m.Set != "" && m.Set != query.Bib1 {
@@ -113,7 +113,7 @@
 }
 
 // ask puts a search to the broker. While it is in hand the client may go away.
-func (s *session) ask(ctx context.Context, want *catalogue.Want, again bool) (sets.Answer, server.Verdict, error) {
+func (s *session) ask(ctx context.Context, want *catalogue.Want, again bool) (resultset.Answer, server.Verdict, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := s.watch(cancel)
--- a/internal/protocols/simwire/decode.go
+++ b/internal/protocols/simwire/decode.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // slice finds a field's bytes in the tail; its length counts items of the given size.
@@ -32,26 +32,26 @@
 	return nil
 }
 
-func node(b []byte) broker.NodeID {
-	return broker.NodeID{Addr: [4]byte(b), Port: be.Uint16(b[4:])}
+func node(b []byte) decision.NodeID {
+	return decision.NodeID{Addr: [4]byte(b), Port: be.Uint16(b[4:])}
 }
 
 func span(v uint64) time.Duration { return time.Duration(min(v, math.MaxInt64/4)) }
 
 func float(b []byte) float32 { return math.Float32frombits(be.Uint32(b)) }
 
-func decodeEntries(raw []byte, start uint64) ([]broker.Entry, error) {
-	out := make([]broker.Entry, 0, len(raw)/entrySize)
+func decodeEntries(raw []byte, start uint64) ([]decision.Entry, error) {
+	out := make([]decision.Entry, 0, len(raw)/entrySize)
 	for ; len(raw) > 0; raw = raw[entrySize:] {
-		e := broker.Entry{Node: node(raw), Cell: int(be.Uint16(raw[9:])), Zone: int(be.Uint16(raw[6:])),
-			Boot: broker.NoBoot}
+		e := decision.Entry{Node: node(raw), Cell: int(be.Uint16(raw[9:])), Zone: int(be.Uint16(raw[6:])),
+			Boot: decision.NoBoot}
 		switch raw[11] {
 		case 0:
-			e.State = broker.Draining
+			e.State = decision.Draining
 		case 1:
-			e.State = broker.Gone
+			e.State = decision.Gone
 		case 2:
-			e.State = broker.Ready
+			e.State = decision.Ready
 		default:
 			return nil, fmt.Errorf("message Endpoints: entry %d: unknown mode %d", len(out), raw[11])
 		}
--- a/internal/protocols/simwire/encode.go
+++ b/internal/protocols/simwire/encode.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 func (h *Host) reply(clock uint64, w *bufio.Writer) error {
@@ -45,44 +45,44 @@
 	return h.records[n:]
 }
 
-func (h *Host) encode(b *instance, a *broker.Action) {
+func (h *Host) encode(b *instance, a *decision.Action) {
 	switch a.Kind {
-	case broker.Send:
+	case decision.Send:
 		r := h.record(acSend)
 		be.PutUint64(r[1:], a.ID)
 		copy(r[17:], a.Node.Addr[:])
 		be.PutUint16(r[21:], a.Node.Port)
-	case broker.Shed:
+	case decision.Shed:
 		r := h.record(acShed)
 		be.PutUint64(r[1:], a.ID)
 		be.PutUint64(r[9:], uint64(max(0, a.After)))
-	case broker.Fail:
+	case decision.Fail:
 		be.PutUint64(h.record(acFailure)[1:], a.ID)
-	case broker.Answer:
+	case decision.Answer:
 		r := h.record(acRespond)
 		be.PutUint64(r[1:], a.ID)
 		if a.Whole {
 			r[9] = 1
 		}
-	case broker.Cancel:
+	case decision.Cancel:
 		r := h.record(acAbandon)
 		be.PutUint64(r[1:], a.ID)
 		be.PutUint16(r[9:], a.Attempt)
-	case broker.Wake:
+	case decision.Wake:
 		be.PutUint64(h.record(acTimer)[1:], b.start+uint64(max(0, a.At)))
-	case broker.Probe:
+	case decision.Probe:
 		r := h.record(acProbe)
 		copy(r[1:], a.Node.Addr[:])
 		be.PutUint16(r[5:], a.Node.Port)
-	case broker.Close:
+	case decision.Close:
 		r := h.record(acLetGo)
 		copy(r[1:], a.Node.Addr[:])
 		be.PutUint16(r[5:], a.Node.Port)
-	case broker.Subscribe:
+	case decision.Subscribe:
 		h.record(acKeepInformed)[1] = 1
-	case broker.Log:
+	case decision.Log:
 		h.text(h.record(acEmit)[1:], a.Text)
-	case broker.Tell:
+	case decision.Tell:
 		r := h.record(acTell)
 		be.PutUint32(r[1:], math.MaxUint32) // every peer
 		h.text(r[5:], a.Text)
--- a/internal/protocols/simwire/host.go
+++ b/internal/protocols/simwire/host.go
@@ -1,6 +1,6 @@
 // Package simwire speaks the simulator's binary wire and hosts many brokers that share nothing.
 //
-// Depends on config/terms, decision/broker. Concurrency: nothing here locks or starts a goroutine; a value
+// Depends on config/terms, decision. Concurrency: nothing here locks or starts a goroutine; a value
 // is used by one goroutine at a time.
 package simwire
 
@@ -13,7 +13,7 @@
 	"io"
 
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Layout of frames and records.
@@ -41,26 +41,26 @@
 type instance struct {
 	number  uint16
 	start   uint64 // the clock at its start
-	module  broker.Decider
-	events  []broker.Event
+	module  decision.Decider
+	events  []decision.Event
 	touched bool
 }
 
 // Host decodes batches, gives each broker its events and writes their actions.
 type Host struct {
-	newModule func(broker.Terms) broker.Decider
+	newModule func(decision.Terms) decision.Decider
 	brokers   map[uint16]*instance
 	touched   []*instance
 	sheets    [16][]byte
 	held      [16]bool
 	frame     bytes.Buffer
-	actions   []broker.Action
+	actions   []decision.Action
 	records   []byte
 	tail      []byte
 }
 
 // NewHost makes a host whose brokers come from newModule.
-func NewHost(newModule func(broker.Terms) broker.Decider) *Host {
+func NewHost(newModule func(decision.Terms) decision.Decider) *Host {
 	return &Host{newModule: newModule, brokers: map[uint16]*instance{}}
 }
 
@@ -155,18 +155,18 @@
 }
 
 func (h *Host) event(b *instance, r, tail []byte) error {
-	var e broker.Event
+	var e decision.Event
 	switch r[0] {
 	case evEndpoints:
 		switch r[10] {
 		case listFailed:
-			e.Kind = broker.ListFailed
+			e.Kind = decision.ListFailed
 			b.events = append(b.events, e)
 			return nil
 		case listDelta:
-			e.Kind = broker.ListDelta
+			e.Kind = decision.ListDelta
 		case listFull, listCached:
-			e.Kind = broker.ListFull
+			e.Kind = decision.ListFull
 		default:
 			return fmt.Errorf("message Endpoints: unknown mode %d", r[10])
 		}
@@ -178,42 +178,42 @@
 			return err
 		}
 	case evWorkItem:
-		e.Kind, e.ID, e.Left = broker.SearchIn, be.Uint64(r[1:]), span(be.Uint64(r[9:]))
+		e.Kind, e.ID, e.Left = decision.SearchIn, be.Uint64(r[1:]), span(be.Uint64(r[9:]))
 		e.Weight, e.Type = float64(float(r[17:])), int(r[21])
 		e.Tenant, e.Serial, e.Repeat = int(be.Uint16(r[30:])), float(r[45:]), r[36]&flagRepeat != 0
 		if shard := float(r[32:]); shard >= 0 && shard < 1<<24 {
-			e.Kind, e.Shard = broker.PartIn, int(shard)
+			e.Kind, e.Shard = decision.PartIn, int(shard)
 		} else if !(shard < 0) {
 			return fmt.Errorf("WorkItem: shard %v", shard)
 		}
-		if e.Kind == broker.PartIn && !(e.Weight >= 0 && e.Weight <= 1.001) {
+		if e.Kind == decision.PartIn && !(e.Weight >= 0 && e.Weight <= 1.001) {
 			return fmt.Errorf("WorkItem: weight %v", e.Weight)
 		}
 	case evResolved:
-		e.Kind, e.ID, e.Attempt = broker.Ended, be.Uint64(r[1:]), be.Uint16(r[10:])
+		e.Kind, e.ID, e.Attempt = decision.Ended, be.Uint64(r[1:]), be.Uint16(r[10:])
 		e.Took, e.Node = span(be.Uint64(r[12:])), node(r[22:])
 		status := be.Uint16(r[20:])
-		if status > uint16(broker.NeverSent) {
+		if status > uint16(decision.NeverSent) {
 			return fmt.Errorf("message Resolved: unknown outcome %d", status)
 		}
-		e.Outcome = broker.Outcome(status)
+		e.Outcome = decision.Outcome(status)
 	case evHangup:
-		e.Kind, e.ID = broker.Left, be.Uint64(r[1:])
+		e.Kind, e.ID = decision.Left, be.Uint64(r[1:])
 	case evElapsed:
-		e.Kind = broker.Woken
+		e.Kind = decision.Woken
 	case evDatagram:
 		text, err := slice(tail, r[5:], 1)
 		if err != nil {
 			return fmt.Errorf("message Datagram: %w", err)
 		}
-		e.Kind, e.From, e.Text = broker.PeerSaid, be.Uint32(r[1:]), bytes.Clone(text)
+		e.Kind, e.From, e.Text = decision.PeerSaid, be.Uint32(r[1:]), bytes.Clone(text)
 	case evProbeDone:
-		e.Kind, e.Node, e.Took = broker.Probed, node(r[1:]), span(be.Uint64(r[7:]))
+		e.Kind, e.Node, e.Took = decision.Probed, node(r[1:]), span(be.Uint64(r[7:]))
 		status := be.Uint16(r[15:])
-		if status > uint16(broker.NeverSent) {
+		if status > uint16(decision.NeverSent) {
 			return fmt.Errorf("ProbeDone: unknown outcome %d", status)
 		}
-		e.Outcome = broker.Outcome(status)
+		e.Outcome = decision.Outcome(status)
 	case evOpened:
 		return nil // streams are not used
 	}
--- a/internal/protocols/simwire/simwire_test.go
+++ b/internal/protocols/simwire/simwire_test.go
@@ -10,21 +10,21 @@
 	"time"
 
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 const setup = "classes.count=1\nclasses.0.aimNs=1000000000\nclasses.0.deadlineNs=2000000000\n" +
 	"classes.0.effect=read_like\ndomain.cells=2\ndomain.width=1\npermissions.maxAttempts=3\nnot.known=1\n"
 
 // echo answers every search at once and keeps what it was told.
-type echo struct{ seen []broker.Event }
+type echo struct{ seen []decision.Event }
 
-func (e *echo) Turn(now time.Duration, events []broker.Event, out []broker.Action) []broker.Action {
+func (e *echo) Turn(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	e.seen = append(e.seen, events...)
 	for _, ev := range events {
-		if ev.Kind == broker.SearchIn {
-			out = append(out, broker.Action{Kind: broker.Shed, ID: ev.ID, After: time.Second},
-				broker.Action{Kind: broker.Log, Text: "shed"}, broker.Action{Kind: broker.Wake, At: now + time.Second})
+		if ev.Kind == decision.SearchIn {
+			out = append(out, decision.Action{Kind: decision.Shed, ID: ev.ID, After: time.Second},
+				decision.Action{Kind: decision.Log, Text: "shed"}, decision.Action{Kind: decision.Wake, At: now + time.Second})
 		}
 	}
 	return out
@@ -59,7 +59,7 @@
 func serve(input ...[]byte) ([]byte, []*echo, error) {
 	var made []*echo
 	var out bytes.Buffer
-	err := NewHost(func(broker.Terms) broker.Decider {
+	err := NewHost(func(decision.Terms) decision.Decider {
 		made = append(made, &echo{})
 		return made[len(made)-1]
 	}).Serve(bytes.NewReader(bytes.Join(input, nil)), &out)
@@ -75,7 +75,7 @@
 		t.Fatalf("%v, %d brokers", err, len(made))
 	}
 	e := made[0].seen[0].Entries[0]
-	if e.Node.Port != 0x2bc3 || e.Cell != 1 || e.State != broker.Ready || e.Boot != -10 {
+	if e.Node.Port != 0x2bc3 || e.Cell != 1 || e.State != decision.Ready || e.Boot != -10 {
 		t.Errorf("entry read as %+v", e)
 	}
 	if s := made[0].seen[1]; s.ID != 77 || s.Left != 500*time.Millisecond || !s.Repeat {
@@ -135,7 +135,7 @@
 	f.Add(start())
 	f.Add(frame(math.MaxUint64, setup, record(evSelect, uint16(1)), search(1)))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		h := NewHost(func(broker.Terms) broker.Decider { return &echo{} })
+		h := NewHost(func(decision.Terms) decision.Decider { return &echo{} })
 		h.Serve(io.MultiReader(bytes.NewReader(start()), bytes.NewReader(data)), io.Discard)
 	})
 }
--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -12,19 +12,19 @@
 	"strconv"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/cluster/policy"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
-	"flaxfront/internal/decision/units"
+	"flaxfront/internal/cluster/connpolicy"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/connlease"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/discovery"
 )
 
 const grantEvery = 500 * time.Millisecond
 
 // nodeOf is what conditions may ask of a node.
-func nodeOf(n discovery.Node) policy.Node {
-	return policy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Entry.Cell), Machine: n.Addr.Addr().String()}
+func nodeOf(n discovery.Node) connpolicy.Node {
+	return connpolicy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Entry.Cell), Machine: n.Addr.Addr().String()}
 }
 
 // granting is the leader's side.
@@ -33,10 +33,10 @@
 	lease   time.Duration
 	linger  time.Duration
 	term    uint64
-	granter *units.Granter
-	plan    *units.Plan
+	granter *connlease.Granter
+	plan    *connlease.Plan
 	version uint64
-	seen    map[ledger.Slot]uint64 // incarnations, when it last looked
+	seen    map[statemachine.Slot]uint64 // incarnations, when it last looked
 }
 
 // openBudgets has the pool keep to what is agreed, and this broker divide where it leads.
@@ -45,7 +45,7 @@
 	b := newBudgets(s.loop, streams, t.Tenants)
 	s.loop.budgets = b
 	s.loop.pool.Keep(b)
-	b.propose = func(e ledger.Entry) {
+	b.propose = func(e statemachine.Entry) {
 		s.group.Go(func() error {
 			ctx, cancel := context.WithTimeout(s.ctx, askWithin)
 			defer cancel()
@@ -56,35 +56,35 @@
 		})
 	}
 	g := &granting{b: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + longest(t) + plainClose}
-	s.fleet.Compile(func(text string, state *ledger.State) (*ledger.Policy, error) {
+	s.fleet.Compile(func(text string, state *statemachine.State) (*statemachine.Policy, error) {
 		return g.compile(text, state, t.Tenants, o.Lease)
 	})
-	s.fleet.Tell(fleet.Extra{Name: "need", Collect: func() []byte {
+	s.fleet.Tell(controlplane.Extra{Name: "need", Collect: func() []byte {
 		if text := b.report.Load(); text != nil {
 			return *text
 		}
 		return nil
 	}})
-	s.fleet.Leading(fleet.Duty{Name: "budgets", Every: grantEvery, Do: g.do})
+	s.fleet.Leading(controlplane.Duty{Name: "budgets", Every: grantEvery, Do: g.do})
 }
 
 // compile makes a policy's entry: a budget for every node that is known here.
-func (g *granting) compile(text string, state *ledger.State, tenants []string, lease time.Duration) (*ledger.Policy, error) {
-	p, err := policy.Compile("policy", text)
+func (g *granting) compile(text string, state *statemachine.State, tenants []string, lease time.Duration) (*statemachine.Policy, error) {
+	p, err := connpolicy.Compile("policy", text)
 	if err != nil {
 		return nil, err
 	}
 	if p.Lease != lease {
-		return nil, &policy.Restless{Why: fmt.Sprintf("lease: the policy says %v, fleet.lease of the tier is %v", p.Lease, lease)}
+		return nil, &connpolicy.Restless{Why: fmt.Sprintf("lease: the policy says %v, fleet.lease of the tier is %v", p.Lease, lease)}
 	}
 	for _, name := range tenants {
 		if !slices.Contains(p.Tenants, name) {
-			return nil, &policy.Incomplete{Why: fmt.Sprintf("tenant %q of the settings is not named", name)}
+			return nil, &connpolicy.Incomplete{Why: fmt.Sprintf("tenant %q of the settings is not named", name)}
 		}
 	}
 	for _, name := range p.Tenants {
 		if !slices.Contains(tenants, name) {
-			return nil, &policy.Incomplete{Why: fmt.Sprintf("tenant %q is none of the settings", name)}
+			return nil, &connpolicy.Incomplete{Why: fmt.Sprintf("tenant %q is none of the settings", name)}
 		}
 	}
 	nodes := g.b.nodes.Load()
@@ -92,22 +92,22 @@
 		return nil, errors.New("no node is known yet")
 	}
 	if len(*nodes) > p.Nodes {
-		return nil, &policy.Overcommitted{Class: policy.PoolClass, What: "nodes that are known", Sum: len(*nodes), Budget: p.Nodes}
+		return nil, &connpolicy.Overcommitted{Class: connpolicy.PoolClass, What: "nodes that are known", Sum: len(*nodes), Budget: p.Nodes}
 	}
-	e := &ledger.Policy{Version: 1, Text: text, MostBrokers: uint32(p.Brokers)}
+	e := &statemachine.Policy{Version: 1, Text: text, MostBrokers: uint32(p.Brokers)}
 	if inForce, _, _ := state.Policy(); inForce != nil {
 		e.Version = inForce.Version + 1
 	}
 	for id, n := range *nodes {
 		k := p.ClassOf(n)
-		e.Budgets = append(e.Budgets, ledger.Budget{Node: id, Units: uint64(k.Budget), Floor: uint64(k.Floor)})
+		e.Budgets = append(e.Budgets, statemachine.Budget{Node: id, Units: uint64(k.Budget), Floor: uint64(k.Floor)})
 	}
-	slices.SortFunc(e.Budgets, func(a, b ledger.Budget) int { return ledger.Compare(a.Node, b.Node) })
+	slices.SortFunc(e.Budgets, func(a, b statemachine.Budget) int { return statemachine.Compare(a.Node, b.Node) })
 	return e, nil
 }
 
 // do is the leader's duty.
-func (g *granting) do(m fleet.Moment) []ledger.Entry {
+func (g *granting) do(m controlplane.Moment) []statemachine.Entry {
 	inForce, waiting, _ := m.State.Policy()
 	if inForce == nil {
 		return nil
@@ -121,9 +121,9 @@
 		}
 	}
 	if g.granter == nil || g.term != m.Term {
-		g.granter, g.term, g.seen = units.NewGranter(g.lease, g.linger, m.Now), m.Term, map[ledger.Slot]uint64{}
+		g.granter, g.term, g.seen = connlease.NewGranter(g.lease, g.linger, m.Now), m.Term, map[statemachine.Slot]uint64{}
 	}
-	needs, other := map[ledger.Slot][]units.Row{}, uint64(0)
+	needs, other := map[statemachine.Slot][]connlease.Row{}, uint64(0)
 	if waiting != nil {
 		other = g.before(m.State)
 	}
@@ -133,7 +133,7 @@
 		if !ok || r.Incarnation != b.Incarnation {
 			continue
 		}
-		if version, rows, ok := units.Decode(r.Extra["need"]); ok && (version == inForce.Version || version == other && other > 0) {
+		if version, rows, ok := connlease.Decode(r.Extra["need"]); ok && (version == inForce.Version || version == other && other > 0) {
 			needs[b.Slot] = rows
 		}
 	}
@@ -142,7 +142,7 @@
 
 // look takes note of when a broker's lease was renewed. Danger: an incarnation that ended since the last look may have had a lease
 // after that look, and what it held would be another's too early.
-func (g *granting) look(b ledger.Broker, session, now time.Duration) {
+func (g *granting) look(b statemachine.Broker, session, now time.Duration) {
 	if was := g.seen[b.Slot]; was > 0 && was != b.Incarnation {
 		g.granter.Heard(b.Slot, was, now)
 	}
@@ -151,29 +151,29 @@
 }
 
 // before is the version in force, whose tenants reports count while another waits, if both name the same tenants.
-func (g *granting) before(s *ledger.State) uint64 {
+func (g *granting) before(s *statemachine.State) uint64 {
 	inForce, _, _ := s.Policy()
 	if inForce == nil {
 		return 0
 	}
-	if p, err := policy.Compile("agreed", inForce.Text); err == nil && slices.Equal(p.Tenants, g.plan.Tenants) {
+	if p, err := connpolicy.Compile("agreed", inForce.Text); err == nil && slices.Equal(p.Tenants, g.plan.Tenants) {
 		return inForce.Version
 	}
 	return 0
 }
 
 // arrange lays a policy over its nodes.
-func (g *granting) arrange(e *ledger.Policy) bool {
-	p, err := policy.Compile("agreed", e.Text)
+func (g *granting) arrange(e *statemachine.Policy) bool {
+	p, err := connpolicy.Compile("agreed", e.Text)
 	if err != nil {
 		slog.Error("the agreed policy does not compile here: this leader grants nothing", "version", e.Version, "error", err)
 		return false
 	}
-	nodes := map[broker.NodeID]policy.Node{}
+	nodes := map[decision.NodeID]connpolicy.Node{}
 	if known := g.b.nodes.Load(); known != nil {
 		nodes = *known
 	}
-	g.plan, g.version = &units.Plan{Tenants: p.Tenants}, e.Version
+	g.plan, g.version = &connlease.Plan{Tenants: p.Tenants}, e.Version
 	if p.Pool != nil {
 		g.plan.Pool = &p.Pool.Shared
 	}
--- a/internal/server/budgets.go
+++ b/internal/server/budgets.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/cluster/policy"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
-	"flaxfront/internal/decision/units"
+	"flaxfront/internal/cluster/connpolicy"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/connlease"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/transport/store"
 )
 
@@ -25,8 +25,8 @@
 // budgets is the loop's part of it.
 type budgets struct {
 	loop     *loop
-	holder   *units.Holder
-	needs    *units.Needs
+	holder   *connlease.Holder
+	needs    *connlease.Needs
 	streams  int
 	names    []string  // tenants of the settings
 	of       []int     // their places in the policy; -1: it does not name them
@@ -35,21 +35,21 @@
 	newest   uint64    // that is agreed, in force or waiting
 	grantee  uint64    // the incarnation whose grants are held
 	keeps    [2]uint64 // versions of the policies whose floors are kept to, the lower of both
-	floors   map[broker.NodeID]int
+	floors   map[decision.NodeID]int
 	due      time.Duration
-	view     *fleet.View
+	view     *controlplane.View
 	report   atomic.Pointer[[]byte]
-	nodes    atomic.Pointer[map[broker.NodeID]policy.Node]
-	propose  func(e ledger.Entry) // must not wait
-	closing  time.Duration        // within which a node notices a close
-	shut     bool                 // nothing is opened any more
-	holds    bool                 // it was logged that something is held
-	proposed time.Duration        // when something was last, so that it is not proposed with each tick
-	turned   []turned             // by tenant
+	nodes    atomic.Pointer[map[decision.NodeID]connpolicy.Node]
+	propose  func(e statemachine.Entry) // must not wait
+	closing  time.Duration              // within which a node notices a close
+	shut     bool                       // nothing is opened any more
+	holds    bool                       // it was logged that something is held
+	proposed time.Duration              // when something was last, so that it is not proposed with each tick
+	turned   []turned                   // by tenant
 }
 
 func newBudgets(l *loop, streams int, names []string) *budgets {
-	b := &budgets{loop: l, holder: units.NewHolder(plainClose), needs: units.NewNeeds(needHalf), streams: streams, names: names,
+	b := &budgets{loop: l, holder: connlease.NewHolder(plainClose), needs: connlease.NewNeeds(needHalf), streams: streams, names: names,
 		turned: make([]turned, len(names)), closing: plainClose}
 	b.holder.Floors(nil, 1) // until it is known what is agreed
 	b.place(nil)
@@ -73,11 +73,11 @@
 }
 
 // Open answers the pool.
-func (b *budgets) Open(node broker.NodeID, tenant int) store.Leave {
+func (b *budgets) Open(node decision.NodeID, tenant int) store.Leave {
 	if b.shut {
 		return store.No
 	}
-	k, now := units.Key{Node: node, Tenant: tenant}, b.loop.since()
+	k, now := connlease.Key{Node: node, Tenant: tenant}, b.loop.since()
 	own, ok := b.holder.Open(k, now)
 	switch {
 	case !ok:
@@ -91,18 +91,18 @@
 }
 
 // Closed hears of the end of a connection.
-func (b *budgets) Closed(node broker.NodeID, tenant int, byNode bool) {
-	b.holder.Closed(units.Key{Node: node, Tenant: tenant}, byNode, b.loop.since())
+func (b *budgets) Closed(node decision.NodeID, tenant int, byNode bool) {
+	b.holder.Closed(connlease.Key{Node: node, Tenant: tenant}, byNode, b.loop.since())
 }
 
 // see takes over what is agreed.
-func (b *budgets) see(v *fleet.View) {
+func (b *budgets) see(v *controlplane.View) {
 	b.view, b.due = v, 0
 	if v.Index == 0 {
 		return
 	}
 	if p := v.Policy; p != nil && p.Version != b.version {
-		compiled, err := policy.Compile("agreed", p.Text)
+		compiled, err := connpolicy.Compile("agreed", p.Text)
 		if err != nil { // it was agreed by a program that reads it otherwise: the floors of its entry hold, and nothing above them
 			slog.Error("the agreed policy does not compile here: only floors are used", "version", p.Version, "error", err)
 			b.place(nil)
@@ -133,7 +133,7 @@
 
 // bound sets the floors: those of the policy in force and, where another waits, the lower of both. Danger: with no policy known
 // one may have been agreed by brokers that this one can't hear; so it opens freely only while its session's lease runs.
-func (b *budgets) bound(v *fleet.View) {
+func (b *budgets) bound(v *controlplane.View) {
 	if v.Policy == nil {
 		if v.Held(b.loop.since()) {
 			b.holder.Free()
@@ -149,12 +149,12 @@
 	if b.newest = versions[1]; versions == b.keeps && b.floors != nil {
 		return
 	}
-	floors := map[broker.NodeID]int{}
+	floors := map[decision.NodeID]int{}
 	for _, one := range v.Policy.Budgets {
 		floors[one.Node] = int(one.Floor)
 	}
 	if v.Waiting != nil {
-		lower := map[broker.NodeID]int{}
+		lower := map[decision.NodeID]int{}
 		for _, one := range v.Waiting.Budgets {
 			lower[one.Node] = int(one.Floor)
 		}
@@ -167,11 +167,11 @@
 }
 
 // rows are a grant's rows under the settings' tenants.
-func (b *budgets) rows(of []ledger.Row) (rows []units.Row) {
+func (b *budgets) rows(of []statemachine.Row) (rows []connlease.Row) {
 	for _, r := range of {
 		for i, name := range b.names {
 			if name == r.Tenant && b.of[i] >= 0 {
-				rows = append(rows, units.Row{Key: units.Key{Node: r.Node, Tenant: i}, Units: int(r.Units)})
+				rows = append(rows, connlease.Row{Key: connlease.Key{Node: r.Node, Tenant: i}, Units: int(r.Units)})
 			}
 		}
 	}
--- a/internal/server/budgets_test.go
+++ b/internal/server/budgets_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
-	"flaxfront/internal/decision/units"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/connlease"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/transport/store"
 )
 
@@ -15,11 +15,11 @@
 func budgetTrial(t *testing.T) (l *loop, now *time.Duration) {
 	now = new(time.Duration)
 	*now = time.Hour
-	l = newLoop(time.Now(), nil, &broker.Terms{})
+	l = newLoop(time.Now(), nil, &decision.Terms{})
 	l.clock = func() time.Duration { return *now }
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 99}, nil, l.since, nil, nil, nil)
 	l.budgets = newBudgets(l, 1, []string{"acme", "quiet"})
-	l.budgets.propose = func(ledger.Entry) {}
+	l.budgets.propose = func(statemachine.Entry) {}
 	return l, now
 }
 
@@ -28,8 +28,8 @@
 
 func TestBudgetsHeld(t *testing.T) {
 	l, now := budgetTrial(t)
-	b, one, two := l.budgets, broker.NodeID{Port: 1}, broker.NodeID{Port: 2}
-	want := func(what string, node broker.NodeID, leaves ...store.Leave) {
+	b, one, two := l.budgets, decision.NodeID{Port: 1}, decision.NodeID{Port: 2}
+	want := func(what string, node decision.NodeID, leaves ...store.Leave) {
 		t.Helper()
 		for i, want := range leaves {
 			if got := b.Open(node, 0); got != want {
@@ -38,14 +38,14 @@
 		}
 	}
 	want("nothing is known", one, store.Floor, store.No)
-	view := &fleet.View{Index: 5, LeaseEnd: *now + time.Minute, Me: ledger.Broker{Incarnation: 3}}
+	view := &controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: 3}}
 	b.see(view)
 	want("no policy, and the leader in reach", one, store.Floor, store.Floor, store.Floor)
-	policy := &ledger.Policy{Version: 1, Text: budgetText, MostBrokers: 2,
-		Budgets: []ledger.Budget{{Node: one, Units: 20, Floor: 2}, {Node: two, Units: 20, Floor: 2}}}
-	grant := ledger.Holding{Incarnation: 3, Number: 1,
-		Granted: []ledger.Row{{Node: two, Tenant: "acme", Units: 2}, {Node: two, Tenant: "else", Units: 9}}}
-	view = &fleet.View{Index: 6, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Grant: grant}
+	policy := &statemachine.Policy{Version: 1, Text: budgetText, MostBrokers: 2,
+		Budgets: []statemachine.Budget{{Node: one, Units: 20, Floor: 2}, {Node: two, Units: 20, Floor: 2}}}
+	grant := statemachine.Holding{Incarnation: 3, Number: 1,
+		Granted: []statemachine.Row{{Node: two, Tenant: "acme", Units: 2}, {Node: two, Tenant: "else", Units: 9}}}
+	view = &controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Grant: grant}
 	b.see(view)
 	want("more is open than the floor", one, store.No)
 	want("granted, then the floor", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
@@ -56,12 +56,12 @@
 	if surplus, hard := b.holder.Surplus(*now); len(surplus) != 2 || surplus[1].Units != 2 || !hard {
 		t.Errorf("to be closed at the lease's end: %v %t", surplus, hard)
 	}
-	lower := &ledger.Policy{Version: 2, Text: budgetText, MostBrokers: 2, Budgets: []ledger.Budget{{Node: one, Units: 20, Floor: 1}}}
-	b.see(&fleet.View{Index: 7, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Waiting: lower, Grant: grant})
+	lower := &statemachine.Policy{Version: 2, Text: budgetText, MostBrokers: 2, Budgets: []statemachine.Budget{{Node: one, Units: 20, Floor: 1}}}
+	b.see(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Waiting: lower, Grant: grant})
 	if b.floors[one] != 1 || b.floors[two] != 0 || b.newest != 2 {
 		t.Errorf("floors while a lower policy waits: %v", b.floors)
 	}
-	b.see(&fleet.View{Index: 8, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: lower, Grant: grant})
+	b.see(&controlplane.View{Index: 8, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: lower, Grant: grant})
 	if b.version != 2 || b.floors[one] != 1 {
 		t.Errorf("floors of the policy that took over: %v", b.floors)
 	}
@@ -72,11 +72,11 @@
 // A broker that was forgotten and comes back is granted from number 1 on again, and holds what it is granted.
 func TestGrantsNumberedAnew(t *testing.T) {
 	l, now := budgetTrial(t)
-	one := broker.NodeID{Port: 1}
+	one := decision.NodeID{Port: 1}
 	see := func(incarnation, number, units uint64) {
-		l.budgets.see(&fleet.View{Index: 5, LeaseEnd: *now + time.Minute, Me: ledger.Broker{Incarnation: incarnation},
-			Policy: &ledger.Policy{Version: 1, Text: budgetText, MostBrokers: 2, Budgets: []ledger.Budget{{Node: one, Units: 20, Floor: 2}}},
-			Grant:  ledger.Holding{Incarnation: incarnation, Number: number, Granted: []ledger.Row{{Node: one, Tenant: "acme", Units: units}}}})
+		l.budgets.see(&controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: incarnation},
+			Policy: &statemachine.Policy{Version: 1, Text: budgetText, MostBrokers: 2, Budgets: []statemachine.Budget{{Node: one, Units: 20, Floor: 2}}},
+			Grant:  statemachine.Holding{Incarnation: incarnation, Number: number, Granted: []statemachine.Row{{Node: one, Tenant: "acme", Units: units}}}})
 	}
 	see(3, 7, 0)
 	see(3, 6, 1)
@@ -91,10 +91,10 @@
 
 // What an incarnation held that ended between two looks ends a lease after the later of them at the soonest.
 func TestLeaseBetweenLooks(t *testing.T) {
-	g := &granting{granter: units.NewGranter(3*time.Second, time.Second, 0), seen: map[ledger.Slot]uint64{}}
-	g.look(ledger.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
-	g.look(ledger.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
-	if ends := g.granter.Ends(1, 1); ends < 10300*time.Millisecond+units.Over(0, 3*time.Second)+time.Second {
+	g := &granting{granter: connlease.NewGranter(3*time.Second, time.Second, 0), seen: map[statemachine.Slot]uint64{}}
+	g.look(statemachine.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
+	g.look(statemachine.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
+	if ends := g.granter.Ends(1, 1); ends < 10300*time.Millisecond+connlease.Over(0, 3*time.Second)+time.Second {
 		t.Errorf("it ends at %v", ends)
 	}
 }
@@ -103,7 +103,7 @@
 func TestHonestHint(t *testing.T) {
 	l, now := budgetTrial(t)
 	b := l.budgets
-	b.see(&fleet.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &ledger.Policy{Version: 1, Text: budgetText}})
+	b.see(&controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &statemachine.Policy{Version: 1, Text: budgetText}})
 	b.count(0, 40, 30)
 	b.count(1, 400, 30)
 	after, full := b.noRoom(0)
--- a/internal/server/budgettick.go
+++ b/internal/server/budgettick.go
@@ -6,10 +6,10 @@
 import (
 	"time"
 
-	"flaxfront/internal/cluster/policy"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
-	"flaxfront/internal/decision/units"
+	"flaxfront/internal/cluster/connpolicy"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/connlease"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // budgetTick closes, acknowledges and measures; it returns when to come again. Danger: a process that was stopped over its lease
@@ -38,11 +38,11 @@
 	me := b.view.Me
 	if number := b.holder.Ack(now); number > 0 && b.view.Grant.Number == number && !b.view.Grant.Acked {
 		b.proposed = now
-		b.propose(&ledger.GrantAck{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
+		b.propose(&statemachine.GrantAck{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
 	}
 	if b.newest > b.view.PolicyAcked && b.holder.Settled(now, true) {
 		b.proposed = now
-		b.propose(&ledger.PolicyAck{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.newest})
+		b.propose(&statemachine.PolicyAck{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.newest})
 	}
 	return b.due
 }
@@ -50,8 +50,10 @@
 // measure sees what is out to each node, and leaves what is needed for the next report.
 func (b *budgets) measure(now time.Duration) {
 	b.needs.Decay(now)
-	wants := map[units.Key]int{}
-	b.loop.pool.Wants(func(node broker.NodeID, tenant, parts int) { wants[units.Key{Node: node, Tenant: tenant}] += parts })
+	wants := map[connlease.Key]int{}
+	b.loop.pool.Wants(func(node decision.NodeID, tenant, parts int) {
+		wants[connlease.Key{Node: node, Tenant: tenant}] += parts
+	})
 	for k, parts := range wants {
 		b.needs.See(k, float64(parts)/float64(b.streams))
 	}
@@ -66,9 +68,9 @@
 			kept = append(kept, r)
 		}
 	}
-	text := units.Encode(b.version, kept)
+	text := connlease.Encode(b.version, kept)
 	b.report.Store(&text)
-	nodes := make(map[broker.NodeID]policy.Node, len(b.loop.nodes))
+	nodes := make(map[decision.NodeID]connpolicy.Node, len(b.loop.nodes))
 	for id, n := range b.loop.nodes {
 		nodes[id] = nodeOf(n)
 	}
--- a/internal/server/cold_test.go
+++ b/internal/server/cold_test.go
@@ -4,20 +4,20 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/store"
 )
 
 // Parts count as sent to a cold node while it warms up, and not at nodes that started long ago or are not known.
 func TestColdIsCounted(t *testing.T) {
-	l := newLoop(time.Now(), nil, &broker.Terms{})
+	l := newLoop(time.Now(), nil, &decision.Terms{})
 	under := decoded(t)
 	l.under = &under
 	l.agreed = newAgreed(nil)
 	warm := under.Module.WarmAfter
-	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": broker.NoBoot} {
-		n := nodeAt(name, broker.Ready)
+	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": decision.NoBoot} {
+		n := nodeAt(name, decision.Ready)
 		n.Entry.Boot = boot
 		l.nodes[n.Entry.Node] = n
 	}
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -8,11 +8,11 @@
 	"context"
 	"time"
 
-	"flaxfront/internal/cluster/hint"
+	"flaxfront/internal/cluster/readhint"
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/store"
 )
@@ -26,7 +26,7 @@
 	Ask     func()            // discovery
 	Tell    func(text string) // other brokers
 	Log     func(text string) // what the module logs
-	Book    *trust.Book       // the node list as last kept; nil: none is kept
+	Book    *cachedlist.Book  // the node list as last kept; nil: none is kept
 }
 
 // Core is one broker.
@@ -43,7 +43,7 @@
 	Text    string
 	Shards  []int
 	Weights []float64
-	Hint    *hint.Hint // nil: none
+	Hint    *readhint.Hint // nil: none
 }
 
 // Verdict is the final answer to it.
@@ -52,10 +52,10 @@
 	After                 time.Duration
 	Shards                []int // that are in
 	Values                []string
-	Hinted                bool            // the next ones hold
-	Seen                  []hint.Position // by shard
-	Behind                []int           // shards that do not keep what the hint asked for
-	Stale                 time.Duration   // what the answer may lack at the most; under 0: no bound is known
+	Hinted                bool                // the next ones hold
+	Seen                  []readhint.Position // by shard
+	Behind                []int               // shards that do not keep what the hint asked for
+	Stale                 time.Duration       // what the answer may lack at the most; under 0: no bound is known
 }
 
 // Held is a search that was put to a core.
@@ -65,7 +65,7 @@
 func (h Held) Over() bool { return h.s.over }
 
 // NewCore makes a broker; it knows no node until it is told a list.
-func NewCore(t *terms.Terms, file *operator.File, decide func(broker.Terms) broker.Decider, a Around) (*Core, error) {
+func NewCore(t *terms.Terms, file *operator.File, decide func(decision.Terms) decision.Decider, a Around) (*Core, error) {
 	l := newLoop(a.Start, decide(t.Module), &t.Module)
 	l.clock, l.ask, l.tell = a.Now, a.Ask, a.Tell
 	l.say = func(text string, _ time.Duration) { a.Log(text) }
@@ -84,10 +84,10 @@
 	}
 	if a.Book != nil {
 		p := file.Start.Trust
-		judge := trust.NewJudge(trust.Policy{HalfLife: p.HalfLife, Oldest: p.Oldest, StrikeAt: p.StrikeAt, Parole: p.Parole},
-			a.Book, trust.At(a.Start))
+		judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: p.HalfLife, Oldest: p.Oldest, StrikeAt: p.StrikeAt, Parole: p.Parole},
+			a.Book, cachedlist.At(a.Start))
 		reader := discovery.Reader{Zones: t.Zones}
-		l.saved = &saved{book: a.Book, judge: judge, keep: func(trust.Changes) {}, zone: reader.Zone,
+		l.saved = &saved{book: a.Book, judge: judge, keep: func(cachedlist.Changes) {}, zone: reader.Zone,
 			most: file.Start.NodeList.MaxEntries, ended: file.Start.NodeList.KeepEnded, start: a.Start}
 		list := &discovery.List{Whole: true}
 		for _, f := range judge.Begin(discovery.ID) {
@@ -151,7 +151,7 @@
 }
 
 // Trusts tells whether the module gives a node work as a matter of course; for reports only.
-func (c *Core) Trusts(id broker.NodeID) bool {
-	m, tells := c.l.module.(interface{ Trusts(broker.NodeID) bool })
+func (c *Core) Trusts(id decision.NodeID) bool {
+	m, tells := c.l.module.(interface{ Trusts(decision.NodeID) bool })
 	return !tells || m.Trusts(id)
 }
--- a/internal/server/crew.go
+++ b/internal/server/crew.go
@@ -16,11 +16,11 @@
 	kept "flaxfront/internal/cluster/seeds"
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/duties"
-	"flaxfront/internal/decision/members"
-	"flaxfront/internal/decision/trust"
-	"flaxfront/internal/decision/words"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/gossip"
+	"flaxfront/internal/decision/membership"
+	"flaxfront/internal/decision/ownership"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/peers"
 )
@@ -41,12 +41,12 @@
 
 // crew is the loop's part of it.
 type crew struct {
-	members   *members.Members
-	duties    *duties.Duties
+	members   *membership.Members
+	duties    *ownership.Duties
 	meet      func(to netip.AddrPort, data []byte)
 	list      bool // words of discovery are passed on
-	words     *words.Book
-	view      []duties.Member
+	words     *gossip.Book
+	view      []ownership.Member
 	seeds     []netip.AddrPort       // of the living
 	keepSeeds func([]netip.AddrPort) // nil: they are not kept
 }
@@ -94,15 +94,15 @@
 
 func newCrew(o *operator.Crew, t *terms.Terms, name string, at, service netip.AddrPort, seeds []netip.AddrPort, start time.Time, now time.Duration,
 	meet func(netip.AddrPort, []byte)) *crew {
-	policy := members.Policy{Interval: o.Interval, Timeout: o.Timeout, Indirect: 3, Suspicion: o.Suspicion, Longest: o.Longest,
+	policy := membership.Policy{Interval: o.Interval, Timeout: o.Timeout, Indirect: 3, Suspicion: o.Suspicion, Longest: o.Longest,
 		Forget: o.Forget, Sync: 6 * o.Interval, MaxBytes: min(crewBytes, peers.MaxSealed), MaxKnown: mostCrew, Seed: t.Module.Seed}
 	// An incarnation that no earlier life had: the second of the start.
-	m := members.New(policy, name, at, uint8(o.Weight), uint32(start.Unix()), seeds)
+	m := membership.New(policy, name, at, uint8(o.Weight), uint32(start.Unix()), seeds)
 	h := fnv.New32a()
 	io.WriteString(h, service.String())
-	return &crew{members: m, meet: meet, list: o.List, words: words.NewBook(h.Sum32()),
-		duties: duties.New(duties.Policy{Lease: o.Lease, Settle: o.Interval, Renew: 2 * o.Interval}, uint32(m.Self().ID),
-			[]duties.Duty{dutyList: {Name: "refresh the node list", Period: max(time.Second, t.AskEvery/2)},
+	return &crew{members: m, meet: meet, list: o.List, words: gossip.NewBook(h.Sum32()),
+		duties: ownership.New(ownership.Policy{Lease: o.Lease, Settle: o.Interval, Renew: 2 * o.Interval}, uint32(m.Self().ID),
+			[]ownership.Duty{dutyList: {Name: "refresh the node list", Period: max(time.Second, t.AskEvery/2)},
 				dutySummary: {Name: "log the counters", Period: o.Summary}}, now)}
 }
 
@@ -118,7 +118,7 @@
 		slog.Info("member", "name", ch.Member.Name, "at", ch.Member.Addr, "state", ch.Member.State, "was", ch.Was, "new", ch.New,
 			"incarnation", ch.Member.Inc, "living", c.members.Living(), "late", c.members.Counts.Late)
 	}
-	if slices.ContainsFunc(changes, func(ch members.Change) bool { return ch.New }) {
+	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
 		for _, w := range c.words.Left() {
 			c.pass(&w)
 		}
@@ -126,8 +126,8 @@
 	if c.view == nil || len(changes) > 0 {
 		c.view, c.seeds = c.view[:0], c.seeds[:0]
 		for _, m := range c.members.All() {
-			if m.State <= members.Suspect {
-				c.view = append(c.view, duties.Member{ID: uint32(m.ID), Weight: m.Weight})
+			if m.State <= membership.Suspect {
+				c.view = append(c.view, ownership.Member{ID: uint32(m.ID), Weight: m.Weight})
 				if m.ID != c.members.Self().ID {
 					c.seeds = append(c.seeds, m.Addr)
 				}
@@ -178,42 +178,42 @@
 	c := l.crew
 	switch note[0] {
 	case noteClaim:
-		if cl, ok := duties.Read(note[1:]); ok && c.duties.Take(cl, now) {
+		if cl, ok := ownership.Read(note[1:]); ok && c.duties.Take(cl, now) {
 			c.members.Broadcast(uint64(cl.Duty), note)
 		}
 	case noteNode:
-		if w, ok := words.Read(note[1:]); ok && c.list {
+		if w, ok := gossip.Read(note[1:]); ok && c.list {
 			l.heardOf(w)
 		}
 	}
 }
 
 // pass has a word carried to all members.
-func (c *crew) pass(w *words.Word) { c.members.Broadcast(nodeKey(w.Node), w.Append([]byte{noteNode})) }
+func (c *crew) pass(w *gossip.Word) { c.members.Broadcast(nodeKey(w.Node), w.Append([]byte{noteNode})) }
 
 // passOn tells the others the lines that discovery changed.
 func (l *loop) passOn(list *discovery.List) {
 	c := l.crew
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		w := words.Word{Version: list.Version, Service: c.words.Service, Node: n.Entry.Node, State: n.Entry.State, Started: n.Started}
+		w := gossip.Word{Version: list.Version, Service: c.words.Service, Node: n.Entry.Node, State: n.Entry.State, Started: n.Started}
 		if c.words.Told(w, list.Whole || !c.list) {
 			c.pass(&w)
 		}
 	}
-	c.words.Forget(list.Version, func(id broker.NodeID) bool {
+	c.words.Forget(list.Version, func(id decision.NodeID) bool {
 		_, known := l.nodes[id]
 		return known
 	})
 }
 
-func nodeKey(id broker.NodeID) uint64 {
+func nodeKey(id decision.NodeID) uint64 {
 	return 1<<36 | uint64(binary.BigEndian.Uint32(id.Addr[:]))<<16&(1<<36-1) | uint64(id.Port)
 }
 
 // heardOf takes over what another broker was told by discovery of a node that is known here. From then on this broker has been
 // told, as if discovery had.
-func (l *loop) heardOf(w words.Word) {
+func (l *loop) heardOf(w gossip.Word) {
 	n, known := l.nodes[w.Node]
 	if !l.crew.words.Hear(w, known, n.Entry.State, n.Started) {
 		return
@@ -226,8 +226,8 @@
 	slog.Info("node by another broker's word", "node", n.Name, "state", w.State, "version", w.Version)
 	l.relist(&discovery.List{Version: w.Version, Nodes: []discovery.Node{n}})
 	if l.saved != nil {
-		state := [...]trust.State{broker.Draining: trust.Draining, broker.Gone: trust.Ended, broker.Ready: trust.Ready}[w.State]
-		l.saved.judge.Word(n.Name, w.Node, state, trust.Moment(n.Started), l.since())
+		state := [...]cachedlist.State{decision.Draining: cachedlist.Draining, decision.Gone: cachedlist.Ended, decision.Ready: cachedlist.Ready}[w.State]
+		l.saved.judge.Word(n.Name, w.Node, state, cachedlist.Moment(n.Started), l.since())
 	}
 	l.crew.pass(&w)
 }
--- a/internal/server/crew_test.go
+++ b/internal/server/crew_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/members"
-	"flaxfront/internal/decision/words"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/gossip"
+	"flaxfront/internal/decision/membership"
 	"flaxfront/internal/discovery"
 )
 
@@ -55,7 +55,7 @@
 	all, ends := tierOf(t, 4)
 	k := &keeping{t: t}
 	crewOf := func(i int) *CrewState { return all[i].Counters().Searches.Crew }
-	states := func(i int, of members.State) (names string) {
+	states := func(i int, of membership.State) (names string) {
 		for _, m := range crewOf(i).Members {
 			if m.State == of {
 				names += m.Name + " "
@@ -65,7 +65,7 @@
 	}
 	k.until("three know one another", func() bool {
 		for i := range 3 {
-			if states(i, members.Alive) != "n0 n1 n2 " {
+			if states(i, membership.Alive) != "n0 n1 n2 " {
 				return false
 			}
 		}
@@ -80,16 +80,16 @@
 	}
 	owner := 0
 	for i := range 3 {
-		if uint32(members.IDOf(fmt.Sprintf("n%d", i))) == crewOf(i).Duties[0].Owner {
+		if uint32(membership.IDOf(fmt.Sprintf("n%d", i))) == crewOf(i).Duties[0].Owner {
 			owner = i
 		}
 	}
 	ends[owner]()
 	other := (owner + 1) % 3
-	k.until("the stop is known as planned", func() bool { return strings.Contains(states(other, members.Left), fmt.Sprintf("n%d", owner)) })
+	k.until("the stop is known as planned", func() bool { return strings.Contains(states(other, membership.Left), fmt.Sprintf("n%d", owner)) })
 	k.until("the duty has another owner", func() bool {
 		d := crewOf(other).Duties[0]
-		return d.Owner != 0 && d.Owner != uint32(members.IDOf(fmt.Sprintf("n%d", owner))) && d.Fence > 1
+		return d.Owner != 0 && d.Owner != uint32(membership.IDOf(fmt.Sprintf("n%d", owner))) && d.Fence > 1
 	})
 }
 
@@ -117,35 +117,35 @@
 // another service or of a node that is not known changes nothing; nor does another broker's word move an address.
 func TestWordOfAnother(t *testing.T) {
 	l, _ := crewLoop(t)
-	var id broker.NodeID
+	var id decision.NodeID
 	for id = range l.nodes {
 		break
 	}
 	before := l.nodes[id]
 	l.passOn(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
-	say := func(version uint64, service uint32, node broker.NodeID, state broker.ListState, started int64) {
-		w := words.Word{Version: version, Service: service, Node: node, State: state, Started: started}
+	say := func(version uint64, service uint32, node decision.NodeID, state decision.ListState, started int64) {
+		w := gossip.Word{Version: version, Service: service, Node: node, State: state, Started: started}
 		l.noted(w.Append([]byte{noteNode}), l.since())
 	}
-	say(49, l.crew.words.Service, id, broker.Draining, 0)
-	say(51, l.crew.words.Service+1, id, broker.Draining, 0)
-	say(51, l.crew.words.Service, broker.NodeID{Port: 1}, broker.Draining, 0)
+	say(49, l.crew.words.Service, id, decision.Draining, 0)
+	say(51, l.crew.words.Service+1, id, decision.Draining, 0)
+	say(51, l.crew.words.Service, decision.NodeID{Port: 1}, decision.Draining, 0)
 	l.noted([]byte{noteNode, 1, 2}, 0)
 	l.noted([]byte{'?'}, 0)
 	l.noted(nil, 0)
 	if l.nodes[id] != before || l.crew.words.Counts.ListStale != 3 {
 		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.crew.words.Counts)
 	}
-	say(51, l.crew.words.Service, id, broker.Draining, 0)
-	if n := l.nodes[id]; n.Entry.State != broker.Draining || n.Addr != before.Addr || l.crew.words.Counts.ListTaken != 1 {
+	say(51, l.crew.words.Service, id, decision.Draining, 0)
+	if n := l.nodes[id]; n.Entry.State != decision.Draining || n.Addr != before.Addr || l.crew.words.Counts.ListTaken != 1 {
 		t.Errorf("%+v, %+v", n, l.crew.words.Counts)
 	}
-	say(51, l.crew.words.Service, id, broker.Ready, 0) // of the same version: it was heard already
-	say(52, l.crew.words.Service, id, broker.Ready, 0) // nothing makes a draining process ready again
-	if n := l.nodes[id]; n.Entry.State != broker.Draining {
+	say(51, l.crew.words.Service, id, decision.Ready, 0) // of the same version: it was heard already
+	say(52, l.crew.words.Service, id, decision.Ready, 0) // nothing makes a draining process ready again
+	if n := l.nodes[id]; n.Entry.State != decision.Draining {
 		t.Errorf("%+v", n)
 	}
-	say(53, l.crew.words.Service, id, broker.Gone, time.Now().UnixMilli())
+	say(53, l.crew.words.Service, id, decision.Gone, time.Now().UnixMilli())
 	if _, known := l.nodes[id]; known {
 		t.Error("an ended node is still known")
 	}
@@ -155,18 +155,18 @@
 func TestNewcomerHearsWhoLeft(t *testing.T) {
 	old, sent := crewLoop(t)
 	late, answers := crewLoop(t)
-	var id broker.NodeID
+	var id decision.NodeID
 	for id = range old.nodes {
 		break
 	}
 	n := old.nodes[id]
 	old.passOn(&discovery.List{Version: 60, Whole: true, Nodes: []discovery.Node{n}})
-	n.Entry.State = broker.Draining
+	n.Entry.State = decision.Draining
 	gone := &discovery.List{Version: 61, Nodes: []discovery.Node{n}}
 	old.relist(gone)
 	old.passOn(gone)
 	late.crew.words.Service = old.crew.words.Service
-	late.crew.members = members.New(members.Policy{Interval: time.Second, Timeout: 100 * time.Millisecond, Sync: time.Second, Forget: time.Minute, MaxBytes: 220,
+	late.crew.members = membership.New(membership.Policy{Interval: time.Second, Timeout: 100 * time.Millisecond, Sync: time.Second, Forget: time.Minute, MaxBytes: 220,
 		MaxKnown: 10, Suspicion: 5, Longest: 2}, "n1", netip.MustParseAddrPort("127.0.0.1:8"), 1, 1, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7")})
 	for i := range 40 {
 		now := time.Duration(i+1) * 200 * time.Millisecond
@@ -180,7 +180,7 @@
 		}
 		*sent, *answers = nil, nil
 	}
-	if got := late.nodes[id]; got.Entry.State != broker.Draining || late.crew.words.Counts.ListTaken != 1 {
+	if got := late.nodes[id]; got.Entry.State != decision.Draining || late.crew.words.Counts.ListTaken != 1 {
 		t.Errorf("%+v, %+v; %v", got, late.crew.words.Counts, late.crew.members.All())
 	}
 }
@@ -198,7 +198,7 @@
 	}
 	living := func(s *Server) (n int) {
 		for _, m := range s.Counters().Searches.Crew.Members {
-			if m.State == members.Alive {
+			if m.State == membership.Alive {
 				n++
 			}
 		}
--- a/internal/server/crewstate.go
+++ b/internal/server/crewstate.go
@@ -5,19 +5,19 @@
 import (
 	"time"
 
-	"flaxfront/internal/decision/duties"
-	"flaxfront/internal/decision/members"
-	"flaxfront/internal/decision/words"
+	"flaxfront/internal/decision/gossip"
+	"flaxfront/internal/decision/membership"
+	"flaxfront/internal/decision/ownership"
 )
 
 // CrewState is what operators see of the tier.
 type CrewState struct {
 	Self    string
 	Now     time.Duration
-	Members []members.Member
-	Duties  []duties.State
-	Counts  members.Counts
-	List    words.Counts
+	Members []membership.Member
+	Duties  []ownership.State
+	Counts  membership.Counts
+	List    gossip.Counts
 }
 
 func (l *loop) crewState(now time.Duration) *CrewState {
