--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -10,7 +10,7 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/transport/store"
 )
@@ -100,10 +100,10 @@
 // answering is a module that answers a search as soon as a part of it has ended.
 type answering struct{}
 
-func (answering) Turn(_ time.Duration, events []broker.Event, out []broker.Action) []broker.Action {
+func (answering) Turn(_ time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	for i := range events {
-		if e := &events[i]; e.Kind == broker.Ended {
-			out = append(out, broker.Action{Kind: broker.Answer, ID: e.ID - 1, Whole: true})
+		if e := &events[i]; e.Kind == decision.Ended {
+			out = append(out, decision.Action{Kind: decision.Answer, ID: e.ID - 1, Whole: true})
 		}
 	}
 	return out
@@ -111,7 +111,7 @@
 
 // What lies between entry and the turn, and between an answer's arrival and the turn, is not taken for the store's delay.
 func TestLateTurnsAtTheDoor(t *testing.T) {
-	l := newLoop(time.Now(), answering{}, &broker.Terms{MaxOpen: 100, BatchParts: 8})
+	l := newLoop(time.Now(), answering{}, &decision.Terms{MaxOpen: 100, BatchParts: 8})
 	now := time.Duration(0)
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.subrequestEnded)
@@ -125,7 +125,7 @@
 	now = 1300 * time.Millisecond
 	l.step()
 	now = 1640 * time.Millisecond
-	l.subrequestEnded(&store.Part{Part: s.id + 1, Sent: 1300 * time.Millisecond}, broker.OK, 1340*time.Millisecond, "v")
+	l.subrequestEnded(&store.Part{Part: s.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
 	l.step()
 	now = 4 * time.Second
 	l.step()
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -8,17 +8,17 @@
 	"sync/atomic"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
 )
 
 // agreed is the loop's part of the fleet.
 type agreed struct {
-	view    *fleet.View
-	drains  map[broker.NodeID]*drain
-	ack     func(node broker.NodeID, number uint64) // proposes it; must not wait
-	classes []fleet.Class
+	view    *controlplane.View
+	drains  map[decision.NodeID]*drain
+	ack     func(node decision.NodeID, number uint64) // proposes it; must not wait
+	classes []controlplane.Class
 	cold    uint64                   // parts sent to nodes that were still warming up
 	list    *atomic.Pointer[listing] // the node list, for the fleet
 }
@@ -34,31 +34,31 @@
 
 // viewed is a view as it is delivered; unacked that an acknowledgement has to be proposed again.
 type (
-	viewed  struct{ view *fleet.View }
+	viewed  struct{ view *controlplane.View }
 	unacked struct {
-		node   broker.NodeID
+		node   decision.NodeID
 		number uint64
 	}
 )
 
 func newAgreed(types []string) *agreed {
-	a := &agreed{view: &fleet.View{}, drains: map[broker.NodeID]*drain{}}
+	a := &agreed{view: &controlplane.View{}, drains: map[decision.NodeID]*drain{}}
 	for _, name := range types {
-		a.classes = append(a.classes, fleet.Class{Name: name})
+		a.classes = append(a.classes, controlplane.Class{Name: name})
 	}
 	return a
 }
 
 // see takes a view over: new drains are told to the module as discovery's would be, and those that ended give way to what
 // discovery says.
-func (l *loop) see(v *fleet.View) {
+func (l *loop) see(v *controlplane.View) {
 	a := l.agreed
 	a.view = v
 	if l.budgets != nil {
 		l.budgets.see(v)
 	}
-	now := map[broker.NodeID]bool{}
-	var changed []broker.Entry
+	now := map[decision.NodeID]bool{}
+	var changed []decision.Entry
 	for _, d := range v.Drains {
 		now[d.Node] = true
 		have := a.drains[d.Node]
@@ -84,16 +84,16 @@
 	if len(changed) == 0 {
 		return
 	}
-	l.events = append(l.events, broker.Event{Kind: broker.ListDelta, Entries: changed})
+	l.events = append(l.events, decision.Event{Kind: decision.ListDelta, Entries: changed})
 	if l.pins != nil { // else pins would count on a drained node, and pass it by once its drain has ended
 		l.pins.book.List(l.since(), false, changed)
 	}
 }
 
 // overlaid is a line of discovery with the agreed drain over it. What discovery drains or ends stays so.
-func (l *loop) overlaid(e broker.Entry) broker.Entry {
-	if l.agreed != nil && e.State == broker.Ready && l.agreed.drains[e.Node] != nil {
-		e.State = broker.Draining
+func (l *loop) overlaid(e decision.Entry) decision.Entry {
+	if l.agreed != nil && e.State == decision.Ready && l.agreed.drains[e.Node] != nil {
+		e.State = decision.Draining
 	}
 	return e
 }
@@ -164,13 +164,13 @@
 	Leader      string
 	Incarnation uint64
 	Standing    string
-	Permit      ledger.Pass
-	Drains      []fleet.Drain
+	Permit      statemachine.Pass
+	Drains      []controlplane.Drain
 	Shut        int // drained nodes that get nothing
 	Policy      uint64
 	Epoch       uint64
 	Halted      string `json:",omitempty"`
-	Classes     []fleet.Class
+	Classes     []controlplane.Class
 	Cold        uint64 // parts sent to nodes that were still warming up
 }
 
@@ -178,7 +178,7 @@
 	a := l.agreed
 	s := &FleetState{Index: a.view.Index, Connected: a.view.Held(l.since()), Leader: a.view.Leader, Incarnation: a.view.Me.Incarnation,
 		Standing: a.view.Me.Standing.String(), Permit: a.view.Permit, Drains: a.view.Drains, Epoch: a.view.Epoch,
-		Classes: append([]fleet.Class(nil), a.classes...), Cold: a.cold}
+		Classes: append([]controlplane.Class(nil), a.classes...), Cold: a.cold}
 	for _, d := range a.drains {
 		if d.shut {
 			s.Shut++
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -8,35 +8,35 @@
 	"testing/synctest"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
+	"flaxfront/internal/cluster/controlplane"
 	"flaxfront/internal/config/operator"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
-	"flaxfront/internal/decision/pins"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/readpin"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/store"
 )
 
 // listening is a module that keeps what it is told of nodes, and sends what it is given to one of them.
 type listening struct {
-	state map[broker.NodeID]broker.ListState
-	to    broker.NodeID
+	state map[decision.NodeID]decision.ListState
+	to    decision.NodeID
 }
 
-func (m *listening) Turn(_ time.Duration, events []broker.Event, actions []broker.Action) []broker.Action {
+func (m *listening) Turn(_ time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	for _, e := range events {
 		for _, n := range e.Entries {
 			m.state[n.Node] = n.State
 		}
-		if e.Kind == broker.PartIn {
-			actions = append(actions, broker.Action{Kind: broker.Send, ID: e.ID, Node: m.to})
+		if e.Kind == decision.PartIn {
+			actions = append(actions, decision.Action{Kind: decision.Send, ID: e.ID, Node: m.to})
 		}
 	}
 	return actions
 }
 
-func nodeAt(name string, state broker.ListState) discovery.Node {
-	return discovery.Node{Name: name, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Entry: broker.Entry{Node: discovery.ID(name), State: state}}
+func nodeAt(name string, state decision.ListState) discovery.Node {
+	return discovery.Node{Name: name, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Entry: decision.Entry{Node: discovery.ID(name), State: state}}
 }
 
 // An agreed drain lies over what discovery says, is acknowledged once nothing is out, lets nothing through from then on, and gives
@@ -45,8 +45,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		m := &listening{state: map[broker.NodeID]broker.ListState{}}
-		l := newLoop(time.Now(), m, &broker.Terms{MaxOpen: 100, BatchParts: 8})
+		m := &listening{state: map[decision.NodeID]decision.ListState{}}
+		l := newLoop(time.Now(), m, &decision.Terms{MaxOpen: 100, BatchParts: 8})
 		hung := func(ctx context.Context, _ string, _ time.Duration) (store.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -58,14 +58,14 @@
 		l.agreed = newAgreed([]string{"a"})
 		l.agreed.list = &(&fleetPart{}).list
 		l.pins = newPinning(&operator.Fleet{}, &under)
-		hintedTo := func() (to []broker.NodeID) {
-			to, _, _ = l.pins.book.Choose(l.since(), 0, 0, &pins.Ask{}, nil)
+		hintedTo := func() (to []decision.NodeID) {
+			to, _, _ = l.pins.book.Choose(l.since(), 0, 0, &readpin.Ask{}, nil)
 			return to
 		}
 		var acks []uint64
-		l.agreed.ack = func(_ broker.NodeID, number uint64) { acks = append(acks, number) }
+		l.agreed.ack = func(_ decision.NodeID, number uint64) { acks = append(acks, number) }
 		a, b := discovery.ID("a"), discovery.ID("b")
-		l.list(&discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", broker.Ready), nodeAt("b", broker.Ready)}}, nil)
+		l.list(&discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
 		m.to = a
 		admit := func(id string) *search {
 			s := &search{ask: &ask{id: id, parts: []askPart{{name: id + ".0", weight: 1}}}, deadline: l.since() + 5*time.Second,
@@ -78,14 +78,14 @@
 		if l.pool.OutTo(a) != 1 {
 			t.Fatal("nothing is out")
 		}
-		me := ledger.Broker{Incarnation: 1}
-		l.take(viewed{&fleet.View{Me: me, Drains: []fleet.Drain{{Node: a, Number: 5}}}})
+		me := statemachine.Broker{Incarnation: 1}
+		l.take(viewed{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5}}}})
 		l.step()
 		l.step()
 		if slices.Contains(hintedTo(), a) {
 			t.Error("reads with a hint count on a drained node")
 		}
-		if m.state[a] != broker.Draining || m.state[b] != broker.Ready || len(acks) != 0 {
+		if m.state[a] != decision.Draining || m.state[b] != decision.Ready || len(acks) != 0 {
 			t.Fatalf("told %v, acknowledged %v while a part is out", m.state, acks)
 		}
 		time.Sleep(6 * time.Second) // the part runs out of time
@@ -103,15 +103,15 @@
 		if !slices.Equal(acks, []uint64{5, 5}) {
 			t.Errorf("acknowledged %v", acks)
 		}
-		l.take(viewed{&fleet.View{Me: me, Drains: []fleet.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
-		l.list(&discovery.List{Nodes: []discovery.Node{nodeAt("a", broker.Ready), nodeAt("b", broker.Gone)}}, nil)
+		l.take(viewed{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
+		l.list(&discovery.List{Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Gone)}}, nil)
 		l.step()
-		if m.state[a] != broker.Draining || m.state[b] != broker.Gone {
+		if m.state[a] != decision.Draining || m.state[b] != decision.Gone {
 			t.Errorf("told %v: discovery's word on a node does not end its drain, and a drain revives none", m.state)
 		}
-		l.take(viewed{&fleet.View{Me: me}})
+		l.take(viewed{&controlplane.View{Me: me}})
 		l.step()
-		if m.state[a] != broker.Ready || m.state[b] != broker.Gone {
+		if m.state[a] != decision.Ready || m.state[b] != decision.Gone {
 			t.Errorf("after the drains told %v", m.state)
 		}
 		if !slices.Contains(hintedTo(), a) {
--- a/internal/server/epoch.go
+++ b/internal/server/epoch.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
+	"flaxfront/internal/cluster/controlplane"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
 )
 
 const epochLook = 500 * time.Millisecond
@@ -19,8 +19,8 @@
 // listing is a broker's node list for the fleet's goroutine.
 type listing struct {
 	release.List
-	names map[broker.NodeID]string
-	ids   map[string]broker.NodeID // by name and by address
+	names map[decision.NodeID]string
+	ids   map[string]decision.NodeID // by name and by address
 }
 
 // holders are the shards whose holders lie in a cell.
@@ -35,14 +35,14 @@
 
 // relisted leaves the list for the fleet.
 func (l *loop) relisted(to *atomic.Pointer[listing]) {
-	have := &listing{names: map[broker.NodeID]string{}, ids: map[string]broker.NodeID{}}
-	have.Ready, have.Since, have.Told = map[broker.NodeID]bool{}, l.since(), l.tally.ListsTaken > 0 && !l.deaf
+	have := &listing{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
+	have.Ready, have.Since, have.Told = map[decision.NodeID]bool{}, l.since(), l.tally.ListsTaken > 0 && !l.deaf
 	for id, n := range l.nodes {
-		have.Nodes = append(have.Nodes, ledger.NodeInfo{Node: id, Zone: n.Zone, Shards: holders(n.Entry.Cell, l.under)})
+		have.Nodes = append(have.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: holders(n.Entry.Cell, l.under)})
 		have.names[id], have.ids[n.Name], have.ids[n.Addr.String()] = n.Name, id, id
-		have.Ready[id] = n.Entry.State == broker.Ready
+		have.Ready[id] = n.Entry.State == decision.Ready
 	}
-	slices.SortFunc(have.Nodes, func(a, b ledger.NodeInfo) int { return ledger.Compare(a.Node, b.Node) })
+	slices.SortFunc(have.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.Compare(a.Node, b.Node) })
 	if was := to.Load(); was != nil {
 		have.Follow(&was.List)
 	}
@@ -50,8 +50,8 @@
 }
 
 // epochs proposes what the list calls for.
-func epochs(from *atomic.Pointer[listing]) func(fleet.Moment) []ledger.Entry {
-	return func(m fleet.Moment) []ledger.Entry {
+func epochs(from *atomic.Pointer[listing]) func(controlplane.Moment) []statemachine.Entry {
+	return func(m controlplane.Moment) []statemachine.Entry {
 		if have := from.Load(); have != nil {
 			return have.Next(m.State, m.Now)
 		}
--- a/internal/server/epoch_test.go
+++ b/internal/server/epoch_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/store"
 )
@@ -15,7 +15,7 @@
 // A leader agrees on its list once discovery has spoken and the list has stood for a moment, however often it is told the same.
 func TestEpochOfAListThatStands(t *testing.T) {
 	now := time.Hour
-	l := newLoop(time.Now(), nil, &broker.Terms{})
+	l := newLoop(time.Now(), nil, &decision.Terms{})
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 9}, nil, l.since, nil, nil, nil)
 	under := decoded(t)
@@ -23,13 +23,13 @@
 	l.agreed = newAgreed(nil)
 	l.agreed.list = &(&fleetPart{}).list
 	look := epochs(l.agreed.list)
-	proposed := func() int { return len(look(fleet.Moment{State: ledger.New(), Now: now})) }
-	list := discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", broker.Ready)}}
+	proposed := func() int { return len(look(controlplane.Moment{State: statemachine.New(), Now: now})) }
+	list := discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
 	l.relist(&list) // of the configuration
 	if now += time.Minute; proposed() != 0 {
 		t.Error("the list of an earlier life was proposed")
 	}
-	list.Nodes = append(list.Nodes, nodeAt("b", broker.Ready))
+	list.Nodes = append(list.Nodes, nodeAt("b", decision.Ready))
 	l.list(&list, nil)
 	for _, want := range []int{0, 0, 1} { // it is told the same again and again
 		if n := proposed(); n != want {
--- a/internal/server/facts.go
+++ b/internal/server/facts.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
 )
 
 const (
@@ -30,7 +30,7 @@
 func (s *Server) sharePins(p *fleetPart) {
 	var latest atomic.Pointer[collected]
 	in := make(chan came, factsDepth)
-	p.Share(fleet.Topic{Name: "pins",
+	p.Share(controlplane.Topic{Name: "pins",
 		Collect: func() ([]byte, time.Duration) {
 			if c := latest.Load(); c != nil {
 				return c.data, c.at
@@ -63,12 +63,12 @@
 }
 
 // agreePins hands the agreed list on when it is another one.
-func (s *Server) agreePins(v *fleet.View) {
+func (s *Server) agreePins(v *controlplane.View) {
 	if s.loop.pins == nil || v.Epoch == s.fleet.epoch {
 		return
 	}
 	s.fleet.epoch = v.Epoch
-	var nodes []broker.NodeID
+	var nodes []decision.NodeID
 	for _, n := range v.Nodes {
 		nodes = append(nodes, n.Node)
 	}
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -15,12 +15,12 @@
 	"sync/atomic"
 	"time"
 
-	"flaxfront/internal/cluster/fleet"
+	"flaxfront/internal/cluster/controlplane"
 	"flaxfront/internal/cluster/raftlog"
 	"flaxfront/internal/config/operator"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/ledger"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/transport/keys"
 )
 
@@ -31,7 +31,7 @@
 
 // fleetPart is a broker's part of the tier's agreement.
 type fleetPart struct {
-	*fleet.Fleet
+	*controlplane.Fleet
 	keys   *keys.Keyring
 	log    *raftlog.Log // nil: it has no vote
 	leave  chan struct{}
@@ -39,16 +39,16 @@
 	joined chan struct{} // closed once the loop has what was agreed when this process registered
 	heard  sync.Once
 	tried  atomic.Uint64 // the last permit that was to be used
-	count  atomic.Pointer[fleet.Report]
+	count  atomic.Pointer[controlplane.Report]
 	list   atomic.Pointer[listing]
 	epoch  uint64 // handed on to pins
 	starts []func()
 }
 
 // Voters are those of the operators' file.
-func Voters(o *operator.Fleet) (all []fleet.Voter, ids []uint64) {
+func Voters(o *operator.Fleet) (all []controlplane.Voter, ids []uint64) {
 	for i, v := range o.Named() {
-		all = append(all, fleet.Voter{Name: v.Name, Addr: v.Addr.String()})
+		all = append(all, controlplane.Voter{Name: v.Name, Addr: v.Addr.String()})
 		ids = append(ids, uint64(i+1))
 	}
 	return all, ids
@@ -72,7 +72,7 @@
 	if p.keys, err = keys.Open(s.operator.FleetKeys()); err != nil {
 		return err
 	}
-	opts := fleet.Options{Keys: p.keys, Sources: o.Sources, Listen: o.Listen, Slot: ledger.Slot(o.Slot), Incarnation: uint64(time.Now().UnixMilli()),
+	opts := controlplane.Options{Keys: p.keys, Sources: o.Sources, Listen: o.Listen, Slot: statemachine.Slot(o.Slot), Incarnation: uint64(time.Now().UnixMilli()),
 		Version: o.Version, Zone: o.Zone, Lease: o.Lease, Drift: o.Drift, Election: o.Election, Heartbeat: o.Heartbeat, Followers: o.Followers,
 		Report: o.Report, Seed: rand.Uint64(), Now: s.loop.since, Deliver: s.viewed}
 	opts.Voters, _ = Voters(o)
@@ -97,25 +97,25 @@
 		}
 		opts.Listen = opts.Listener.Addr().String()
 	}
-	opts.Count = func() fleet.Report {
+	opts.Count = func() controlplane.Report {
 		if r := p.count.Load(); r != nil {
 			return *r
 		}
-		return fleet.Report{}
+		return controlplane.Report{}
 	}
-	if p.Fleet, err = fleet.New(opts); err != nil {
+	if p.Fleet, err = controlplane.New(opts); err != nil {
 		return err
 	}
 	s.fleet = p
 	s.loop.agreed = newAgreed(s.start.Terms.Types)
 	s.loop.agreed.list = &p.list
-	p.Leading(fleet.Duty{Name: "epoch", Every: epochLook, Do: epochs(&p.list)})
-	p.Named(func(text string) (id broker.NodeID, ok bool) {
+	p.Leading(controlplane.Duty{Name: "epoch", Every: epochLook, Do: epochs(&p.list)})
+	p.Named(func(text string) (id decision.NodeID, ok bool) {
 		if have := p.list.Load(); have != nil {
 			id, ok = have.ids[text]
 		}
 		return id, ok
-	}, func(id broker.NodeID) string {
+	}, func(id decision.NodeID) string {
 		if have := p.list.Load(); have != nil && have.names[id] != "" {
 			return have.names[id]
 		}
@@ -124,7 +124,9 @@
 	if o.Pins {
 		s.sharePins(p)
 	}
-	s.loop.agreed.ack = func(node broker.NodeID, number uint64) { s.group.Go(func() error { s.ack(node, number); return nil }) }
+	s.loop.agreed.ack = func(node decision.NodeID, number uint64) {
+		s.group.Go(func() error { s.ack(node, number); return nil })
+	}
 	slog.Info("fleet: opened", "as", p.keys.ID(), "slot", o.Slot, "votes", p.log != nil, "release", opts.Version)
 	return nil
 }
@@ -153,7 +155,7 @@
 				return nil
 			}
 			if f := s.Counters().Searches.Fleet; f != nil {
-				p.count.Store(&fleet.Report{Classes: f.Classes, Cold: f.Cold})
+				p.count.Store(&controlplane.Report{Classes: f.Classes, Cold: f.Cold})
 			}
 		}
 	})
@@ -166,7 +168,7 @@
 }
 
 // viewed takes a view over from the fleet's goroutine: the loop gets it, and a permit is used.
-func (s *Server) viewed(v *fleet.View) {
+func (s *Server) viewed(v *controlplane.View) {
 	s.deliver(viewed{v})
 	s.agreePins(v)
 	p := s.fleet
@@ -186,10 +188,10 @@
 
 // use goes out by a permit. Danger: a process that was stopped wakes up and believes in a permit that is void by now. So it goes
 // only once an entry that says so is agreed, which a void permit's never is.
-func (s *Server) use(p ledger.Pass) {
+func (s *Server) use(p statemachine.Pass) {
 	ctx, cancel := context.WithTimeout(s.ctx, askWithin)
 	defer cancel()
-	_, err := s.fleet.Propose(ctx, &ledger.Use{Permit: p.Number, Slot: p.Slot, Incarnation: p.Incarnation})
+	_, err := s.fleet.Propose(ctx, &statemachine.Use{Permit: p.Number, Slot: p.Slot, Incarnation: p.Incarnation})
 	if err != nil {
 		slog.Warn("permit not used", "permit", p.Number, "error", err)
 		s.fleet.tried.Store(0) // tried again while it stands, with the next view
@@ -199,7 +201,7 @@
 }
 
 // leave stops this broker as at SIGTERM, once.
-func (s *Server) leave(p ledger.Pass) {
+func (s *Server) leave(p statemachine.Pass) {
 	s.fleet.once.Do(func() {
 		slog.Info("stopping by a permit", "permit", p.Number, "release", p.Release)
 		s.fleet.Leaving()
@@ -208,11 +210,11 @@
 }
 
 // ack says that a node gets nothing more from this broker.
-func (s *Server) ack(node broker.NodeID, number uint64) {
+func (s *Server) ack(node decision.NodeID, number uint64) {
 	ctx, cancel := context.WithTimeout(s.ctx, askWithin)
 	defer cancel()
 	v := s.fleet.View()
-	_, err := s.fleet.Propose(ctx, &ledger.DrainAck{Slot: v.Me.Slot, Incarnation: v.Me.Incarnation, Node: node, Number: number})
+	_, err := s.fleet.Propose(ctx, &statemachine.DrainAck{Slot: v.Me.Slot, Incarnation: v.Me.Incarnation, Node: node, Number: number})
 	if err != nil {
 		slog.Info("a drain's acknowledgement was not taken", "node", node, "error", err)
 	}
--- a/internal/server/foreign.go
+++ b/internal/server/foreign.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/routes"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/forwarding"
 	"flaxfront/internal/transport/link"
 )
 
@@ -28,15 +28,15 @@
 		l.routed()
 		return
 	}
-	origin := routes.Origin{Name: c.Theirs.Site + "/" + c.Theirs.Broker, Epoch: c.Theirs.Epoch}
+	origin := forwarding.Origin{Name: c.Theirs.Site + "/" + c.Theirs.Broker, Epoch: c.Theirs.Epoch}
 	switch {
 	case e.Up != nil:
 		g.far.Opened(origin, c.Serial)
 		c.Say()
 	case e.Ask != nil:
-		l.foreignAsk(c, routes.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
+		l.foreignAsk(c, forwarding.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
 	case e.Cancel != nil:
-		k := routes.Key{Origin: origin, ID: *e.Cancel}
+		k := forwarding.Key{Origin: origin, ID: *e.Cancel}
 		if f := g.foreign[k]; f != nil && g.far.Cancel(k) {
 			l.callOff(f.s)
 		}
@@ -56,7 +56,7 @@
 // near takes what happened on a link that this side has dialled.
 func (l *loop) near(e link.Event) {
 	g, c, now := l.gate, e.Conn, l.since()
-	at := routes.Peer(c.Peer)
+	at := forwarding.Peer(c.Peer)
 	switch {
 	case e.Up != nil:
 		g.conns[c.Peer] = c
@@ -65,7 +65,7 @@
 		g.conns[c.Peer] = nil
 		g.near.Down(at, e.Down.Unsent, now)
 	case e.Heard != nil:
-		g.near.Heard(at, routes.Status{Room: e.Heard.Room, Refusing: e.Heard.Refusing, Stopping: e.Heard.Stopping,
+		g.near.Heard(at, forwarding.Status{Room: e.Heard.Room, Refusing: e.Heard.Refusing, Stopping: e.Heard.Stopping,
 			Lacking: e.Heard.Lacking}, c.RTT(), now)
 	case e.Verdict != nil:
 		l.back(at, e.Verdict)
@@ -73,20 +73,20 @@
 }
 
 // back takes the far side's verdict. It is checked like any other word from outside: an answer must hold what it claims.
-func (l *loop) back(at routes.Peer, v *link.Verdict) {
+func (l *loop) back(at forwarding.Peer, v *link.Verdict) {
 	g := l.gate
 	s := g.abroad[v.ID]
 	if s == nil {
 		return // given up meanwhile
 	}
-	answer, how := result{kind: errored}, routes.Failed
+	answer, how := result{kind: errored}, forwarding.Failed
 	switch v.Kind {
 	case link.Refused:
-		how = routes.Refused
+		how = forwarding.Refused
 		s.after = time.Duration(v.After) * time.Microsecond
 	case link.Answered:
 		if answer = s.answerOf(v, &l.types[s.typ]); answer.kind == answered {
-			how = routes.Answered
+			how = forwarding.Answered
 		} else {
 			slog.Warn("gateway: an answer from the other site does not hold what it claims", "search", s.ask.id)
 		}
@@ -97,7 +97,7 @@
 }
 
 // answerOf makes a verdict of the pieces that came, if they are what they are said to be (rule 5).
-func (s *search) answerOf(v *link.Verdict, t *broker.SearchType) result {
+func (s *search) answerOf(v *link.Verdict, t *decision.SearchType) result {
 	got, out := 0.0, result{kind: answered, whole: v.Whole}
 	for _, p := range v.Pieces {
 		at := slices.IndexFunc(s.ask.parts, func(a askPart) bool { return a.shard == p.Shard })
@@ -114,7 +114,7 @@
 }
 
 // foreignAsk is the arrival of another site's search. It lives in the loop as any other; its verdict goes to the link.
-func (l *loop) foreignAsk(c *link.Conn, k routes.Key, in *link.Ask) {
+func (l *loop) foreignAsk(c *link.Conn, k forwarding.Key, in *link.Ask) {
 	g, now := l.gate, l.since()
 	a, known := g.decode(in)
 	if !known {
@@ -123,19 +123,19 @@
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused})
 		return
 	}
-	load := routes.Load{Places: l.maxOpen, Taken: l.places, Stopping: g.stop(),
+	load := forwarding.Load{Places: l.maxOpen, Taken: l.places, Stopping: g.stop(),
 		Lacking: slices.ContainsFunc(a.parts, func(p askPart) bool { return slices.Contains(g.lacking, p.shard) })}
 	left := time.Duration(in.Left) * time.Microsecond
 	switch g.far.Arrive(k, c.Serial, l.types[a.typ].Effect, len(a.parts), left, load, now) {
-	case routes.Turn:
+	case forwarding.Turn:
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: l.comeBack.Microseconds()})
-	case routes.Join:
+	case forwarding.Join:
 		g.foreign[k].conn = c
-	case routes.Repeat:
+	case forwarding.Repeat:
 		if f := g.foreign[k]; f != nil && f.verdict != nil {
 			c.Verdict(*f.verdict)
 		}
-	case routes.Run:
+	case forwarding.Run:
 		f := &foreigner{conn: c}
 		f.s = &search{ask: a, deadline: now + left, foreign: true}
 		f.s.to = func(v result) { l.foreignEnd(k, f, v) }
@@ -145,7 +145,7 @@
 }
 
 // foreignEnd tells another site the verdict on its search.
-func (l *loop) foreignEnd(k routes.Key, f *foreigner, v result) {
+func (l *loop) foreignEnd(k forwarding.Key, f *foreigner, v result) {
 	out := link.Verdict{ID: k.ID, Whole: v.whole, After: v.after.Microseconds(), Kind: link.Failed}
 	switch v.kind {
 	case answered:
@@ -169,7 +169,7 @@
 // callOff ends another site's search that nobody waits for.
 func (l *loop) callOff(s *search) {
 	if !s.over {
-		l.events = append(l.events, broker.Event{Kind: broker.Left, ID: s.id})
+		l.events = append(l.events, decision.Event{Kind: decision.Left, ID: s.id})
 		l.conclude(s, result{kind: errored})
 		l.finish(s)
 	}
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/routes"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/forwarding"
 	"flaxfront/internal/transport/link"
 )
 
@@ -21,13 +21,13 @@
 
 // gateway is the loop's part of it.
 type gateway struct {
-	near    *routes.Near
-	far     *routes.Far
+	near    *forwarding.Near
+	far     *forwarding.Far
 	links   *link.Links
 	terms   *terms.Terms
 	conns   []*link.Conn       // standing, by peer
 	abroad  map[uint64]*search // by the id that they had when they left
-	foreign map[routes.Key]*foreigner
+	foreign map[forwarding.Key]*foreigner
 	next    time.Duration // when the status is made anew
 	stop    func() bool   // a planned stop is under way
 	lacking []int         // shards without a sound holder
@@ -36,9 +36,9 @@
 // sounding is a module that tells whether a shard has a sound holder.
 type sounding interface{ Sound(shard int) bool }
 
-func newGateway(p routes.Policy, names []string, links *link.Links, t *terms.Terms, stop func() bool) *gateway {
-	return &gateway{near: routes.NewNear(p, names), far: routes.NewFar(p), links: links, terms: t, stop: stop,
-		conns: make([]*link.Conn, len(names)), abroad: map[uint64]*search{}, foreign: map[routes.Key]*foreigner{}}
+func newGateway(p forwarding.Policy, names []string, links *link.Links, t *terms.Terms, stop func() bool) *gateway {
+	return &gateway{near: forwarding.NewNear(p, names), far: forwarding.NewFar(p), links: links, terms: t, stop: stop,
+		conns: make([]*link.Conn, len(names)), abroad: map[uint64]*search{}, foreign: map[forwarding.Key]*foreigner{}}
 }
 
 // offer tells whether a search that the module sheds goes abroad. The module has done with it; so has the loop, but for its
@@ -48,7 +48,7 @@
 	if g == nil || s.pin != nil { // what its reads need is known here alone
 		return false
 	}
-	r := routes.Search{ID: s.id, Effect: l.types[s.typ].Effect, Window: l.types[s.typ].Window, Due: s.deadline,
+	r := forwarding.Search{ID: s.id, Effect: l.types[s.typ].Effect, Window: l.types[s.typ].Window, Due: s.deadline,
 		Foreign: s.foreign, Home: s.home}
 	lacking := false
 	for i := range s.ask.parts {
@@ -76,21 +76,21 @@
 		for _, a := range acts {
 			s := g.abroad[a.ID]
 			switch a.Kind {
-			case routes.Forward:
+			case forwarding.Forward:
 				if s == nil || g.conns[a.Peer] == nil || !g.conns[a.Peer].Ask(g.ask(s, a)) {
-					g.near.Back(a.Peer, a.ID, routes.Refused, l.since()) // it has not left
+					g.near.Back(a.Peer, a.ID, forwarding.Refused, l.since()) // it has not left
 				}
-			case routes.Cancel:
+			case forwarding.Cancel:
 				if c := g.conns[a.Peer]; c != nil {
 					c.Cancel(a.ID)
 				}
-			case routes.Home:
+			case forwarding.Home:
 				l.bringHome(s, a)
-			case routes.Shed:
+			case forwarding.Shed:
 				l.endAbroad(s, a.ID, result{kind: shed, after: max(s.after, l.comeBack)})
-			case routes.Fail:
+			case forwarding.Fail:
 				l.endAbroad(s, a.ID, result{kind: errored})
-			case routes.Log:
+			case forwarding.Log:
 				slog.Info("gateway", "mode", a.Text)
 			}
 		}
@@ -98,7 +98,7 @@
 }
 
 // ask is a search as the link carries it.
-func (g *gateway) ask(s *search, a routes.Act) link.Ask {
+func (g *gateway) ask(s *search, a forwarding.Act) link.Ask {
 	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.terms.Types[s.typ], Repeat: s.repeat,
 		Request: s.ask.id, Text: s.text}
 	if len(g.terms.Tenants) > 0 {
@@ -125,7 +125,7 @@
 }
 
 // bringHome hands a search to the module once more, as a new one with the time that is left.
-func (l *loop) bringHome(s *search, a routes.Act) {
+func (l *loop) bringHome(s *search, a forwarding.Act) {
 	delete(l.gate.abroad, a.ID)
 	s.abroad, s.home, s.risk = false, true, a.Risk
 	if l.places+1+len(s.ask.parts) > l.maxOpen {
@@ -141,7 +141,7 @@
 
 // shedding is the verdict on a search that is shed: one that may have run elsewhere can't say that asking again is harmless.
 func (s *search) shedding(v result, l *loop) result {
-	if v.kind == shed && s.risk && l.types[s.typ].Effect != broker.Idempotent {
+	if v.kind == shed && s.risk && l.types[s.typ].Effect != decision.Idempotent {
 		return result{kind: errored}
 	}
 	return v
@@ -177,7 +177,7 @@
 
 // GatewayState is what operators see of the gateway.
 type GatewayState struct {
-	Near  routes.NearCounts
-	Far   routes.FarCounts
-	Links []routes.PeerState
+	Near  forwarding.NearCounts
+	Far   forwarding.FarCounts
+	Links []forwarding.PeerState
 }
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -14,8 +14,8 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -87,7 +87,7 @@
 		Limits: terms.Limits{Cores: 1, MemoryMB: 192, Sockets: sockets}, Known: []byte(known[:len(known)-1] + "]}")}
 }
 
-func module(t broker.Terms) broker.Decider { return logic.New(t) }
+func module(t decision.Terms) decision.Decider { return routing.New(t) }
 
 // live runs a broker; end stops it as SIGTERM does and gives what Run returned.
 func live(t *testing.T, sockets int) (s *Server, end func() error) {
--- a/internal/server/links.go
+++ b/internal/server/links.go
@@ -10,7 +10,7 @@
 	"net"
 	"time"
 
-	"flaxfront/internal/decision/routes"
+	"flaxfront/internal/decision/forwarding"
 	"flaxfront/internal/transport/keys"
 	"flaxfront/internal/transport/link"
 )
@@ -34,7 +34,7 @@
 		names = append(names, fmt.Sprintf("%s at %s", t.Site, t.Addr))
 	}
 	s.links = link.New(opts)
-	s.loop.gate = newGateway(routes.Policy{Share: o.Share, Burst: o.Burst, MostAbroad: o.MostAbroad, LeastLeft: o.LeastLeft,
+	s.loop.gate = newGateway(forwarding.Policy{Share: o.Share, Burst: o.Burst, MostAbroad: o.MostAbroad, LeastLeft: o.LeastLeft,
 		Speak: o.Speak, Resume: o.Resume, Accept: o.Accept, MostRemember: o.Remember}, names, s.links, &s.start.Terms,
 		s.draining.Load)
 	if o.Listen != "" {
--- a/internal/server/list.go
+++ b/internal/server/list.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"flaxfront/internal/config/remedy"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
 )
 
@@ -23,7 +23,7 @@
 			l.saved.judge.Failed()
 		}
 		slog.Info("list not had", "error", err, "what_to_do", remedy.Of(err))
-		l.events = append(l.events, broker.Event{Kind: broker.ListFailed})
+		l.events = append(l.events, decision.Event{Kind: decision.ListFailed})
 		return
 	}
 	if list.Cells != 0 && list.Cells != l.cells {
@@ -41,10 +41,10 @@
 
 // relist takes over a list, or the lines that changed.
 func (l *loop) relist(list *discovery.List) {
-	e := broker.Event{Kind: broker.ListDelta}
-	named := map[broker.NodeID]bool{}
+	e := decision.Event{Kind: decision.ListDelta}
+	named := map[decision.NodeID]bool{}
 	if list.Whole {
-		e.Kind = broker.ListFull
+		e.Kind = decision.ListFull
 	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
@@ -56,13 +56,13 @@
 		}
 		e.Entries = append(e.Entries, l.overlaid(n.Entry))
 		named[id] = true
-		if n.Entry.State == broker.Gone {
+		if n.Entry.State == decision.Gone {
 			delete(l.nodes, id)
 			l.pool.Drop(id)
 		} else {
 			l.nodes[id] = *n
 			l.pool.Point(id, n.Name, n.Addr, n.Entry.Boot)
-			if e.Entries[len(e.Entries)-1].State != broker.Ready {
+			if e.Entries[len(e.Entries)-1].State != decision.Ready {
 				l.pool.Withhold(id)
 			}
 		}
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"flaxfront/internal/config/terms"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/admission"
-	"flaxfront/internal/decision/broker"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/store"
 )
@@ -24,31 +24,31 @@
 	start    time.Time
 	clock    func() time.Duration        // since start
 	say      func(string, time.Duration) // what the module logs
-	module   broker.Decider
+	module   decision.Decider
 	maxOpen  int
 	comeBack time.Duration // for searches that find no place; 0: clients are not told
 	batch    int
 	in       chan any
 	pool     *store.Pool
-	ask      func()                           // ask discovery
-	tell     func(text string)                // to the other brokers
-	nodes    map[broker.NodeID]discovery.Node // as last listed
-	deaf     bool                             // the last call to discovery failed
+	ask      func()                             // ask discovery
+	tell     func(text string)                  // to the other brokers
+	nodes    map[decision.NodeID]discovery.Node // as last listed
+	deaf     bool                               // the last call to discovery failed
 	next     uint64
 	places   int
 	searches map[uint64]*search
 	owners   map[uint64]*search // of parts
 	ids      map[string]bool    // request ids in hand
-	events   []broker.Event     // for the next turn
-	spare    []broker.Event
-	actions  []broker.Action
+	events   []decision.Event   // for the next turn
+	spare    []decision.Event
+	actions  []decision.Action
 	calls    []call
 	ended    []*search
 	wake     time.Duration // 0: none
 	tally    Tally
 	saved    *saved   // nil: no list is kept
 	gate     *gateway // nil: no other site is known
-	types    []broker.SearchType
+	types    []decision.SearchType
 	under    *terms.Terms // in force, where they can change
 	cells    int
 	door     *doorway // nil: first come, first served
@@ -61,12 +61,12 @@
 
 // tuned is a module that can go on under other terms.
 type tuned interface {
-	Retune(t broker.Terms, moved bool)
+	Retune(t decision.Terms, moved bool)
 }
 
-func newLoop(start time.Time, module broker.Decider, t *broker.Terms) *loop {
+func newLoop(start time.Time, module decision.Decider, t *decision.Terms) *loop {
 	return &loop{start: start, clock: func() time.Duration { return time.Since(start) }, say: logModule, module: module, types: t.Types, cells: t.Cells, maxOpen: t.MaxOpen, comeBack: t.MaxRetryAfter, batch: t.BatchParts,
-		in: make(chan any, queueDepth), nodes: map[broker.NodeID]discovery.Node{}, next: 1,
+		in: make(chan any, queueDepth), nodes: map[decision.NodeID]discovery.Node{}, next: 1,
 		searches: map[uint64]*search{}, owners: map[uint64]*search{}, ids: map[string]bool{},
 		ask: func() {}, tell: func(string) {}}
 }
@@ -128,7 +128,7 @@
 	}
 	if l.wake > 0 && l.wake <= now {
 		l.wake = 0
-		l.events = append(l.events, broker.Event{Kind: broker.Woken})
+		l.events = append(l.events, decision.Event{Kind: decision.Woken})
 	}
 	if len(l.events) > 0 {
 		l.turn(now)
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"flaxfront/internal/config/operator"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/store"
 )
@@ -106,13 +106,13 @@
 		}
 	}
 	var err error
-	if o.core, err = NewCore(&tm, operator.Default(), func(t broker.Terms) broker.Decider { return logic.New(t) }, a); err != nil {
+	if o.core, err = NewCore(&tm, operator.Default(), func(t decision.Terms) decision.Decider { return routing.New(t) }, a); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 2 {
 		name := fmt.Sprint("s-", i)
-		n := nodeAt(name, broker.Ready)
-		n.Entry.Boot = broker.NoBoot
+		n := nodeAt(name, decision.Ready)
+		n.Entry.Boot = decision.NoBoot
 		o.nodes = append(o.nodes, n)
 	}
 	o.core.List(&discovery.List{Whole: true, Nodes: slices.Clone(o.nodes)}, nil)
@@ -179,7 +179,7 @@
 	n := *o.busy()
 	switch h {
 	case drained:
-		n.Entry.State = broker.Draining
+		n.Entry.State = decision.Draining
 		o.barred[n.Name] = true
 		o.core.List(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	case unlisted:
--- a/internal/server/pinfacts.go
+++ b/internal/server/pinfacts.go
@@ -7,7 +7,7 @@
 	"log/slog"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // What is delivered to the loop.
@@ -19,7 +19,7 @@
 	}
 	pinEpoch struct {
 		number uint64
-		nodes  []broker.NodeID
+		nodes  []decision.NodeID
 	}
 )
 
@@ -68,7 +68,7 @@
 }
 
 // AgreePins takes over the agreed list whose nodes pins are dealt out over.
-func (s *Server) AgreePins(number uint64, nodes []broker.NodeID) {
+func (s *Server) AgreePins(number uint64, nodes []decision.NodeID) {
 	if s.loop.pins != nil {
 		s.deliver(pinEpoch{number, nodes})
 	}
--- a/internal/server/pins.go
+++ b/internal/server/pins.go
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"flaxfront/internal/cluster/hint"
+	"flaxfront/internal/cluster/readhint"
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/pins"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/readpin"
 	"flaxfront/internal/transport/httpwire"
 	"flaxfront/internal/transport/store"
 )
@@ -31,36 +31,36 @@
 
 // pinning is a broker's part in pinned reads.
 type pinning struct {
-	book   *pins.Book
-	config pins.Config
+	book   *readpin.Book
+	config readpin.Config
 	wrong  atomic.Uint64 // hints that were ignored
 }
 
 // PinState tells what became of hints.
 type PinState struct {
-	pins.Counts
+	readpin.Counts
 	Wrong uint64 // hints that were ignored
 	Epoch uint64
 }
 
 func newPinning(o *operator.Fleet, t *terms.Terms) *pinning {
-	c := pins.Default(t.Shards, t.Module.Cells, t.Module.Width)
+	c := readpin.Default(t.Shards, t.Module.Cells, t.Module.Width)
 	c.Clock, c.Drift = o.ClockError, o.Drift
-	return &pinning{book: pins.New(c), config: c}
+	return &pinning{book: readpin.New(c), config: c}
 }
 
 // pinned is what a search with a hint has beside.
 type pinned struct {
-	ask   pins.Ask
+	ask   readpin.Ask
 	parts []pinnedPart
 	back  time.Duration // no holder is eligible before
 }
 
 // pinnedPart is who may be sent a part, what an answer must show, and what the one that is in has shown.
 type pinnedPart struct {
-	only  broker.Only
-	must  pins.Must
-	shown pins.Shown
+	only  decision.Only
+	must  readpin.Must
+	shown readpin.Shown
 }
 
 const usualHolders = 4
@@ -71,7 +71,7 @@
 	if times == 0 {
 		return
 	}
-	h, err := hint.Parse(text)
+	h, err := readhint.Parse(text)
 	switch {
 	case times > 1:
 		a.ignored = "said twice"
@@ -88,23 +88,23 @@
 // allows is answered without it, and else it is refused with the time to return.
 func (l *loop) pin(s *search) {
 	h, n := s.ask.hint, len(s.ask.parts)
-	q := &pinned{ask: pins.Ask{Taken: s.arrived, MaxStale: h.MaxStale, OrStale: h.OrStale}, parts: make([]pinnedPart, n)}
-	if h.Scope != hint.None {
-		q.ask.Pin = pins.PinOf(string(h.Scope), h.Key)
+	q := &pinned{ask: readpin.Ask{Taken: s.arrived, MaxStale: h.MaxStale, OrStale: h.OrStale}, parts: make([]pinnedPart, n)}
+	if h.Scope != readhint.None {
+		q.ask.Pin = readpin.PinOf(string(h.Scope), h.Key)
 	}
-	now, nodes := l.since(), make([]broker.NodeID, 0, usualHolders*n)
+	now, nodes := l.since(), make([]decision.NodeID, 0, usualHolders*n)
 	for i := range s.ask.parts {
 		shard, from := s.ask.parts[i].shard, len(nodes)
 		var back time.Duration
 		nodes, q.parts[i].must, back = l.pins.book.Choose(now, shard, h.Needs(shard), &q.ask, nodes)
-		q.parts[i].only = broker.Only{Pinned: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
+		q.parts[i].only = decision.Only{Pinned: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
 		q.back = max(q.back, back)
 	}
 	s.pin = q
 }
 
 // only narrows the holders of a part; nil: any will do.
-func (s *search) only(i int) *broker.Only {
+func (s *search) only(i int) *decision.Only {
 	if s.pin == nil {
 		return nil
 	}
@@ -120,13 +120,13 @@
 }
 
 // pinEnded learns from an answer and tells what it counts as: one that does not keep its search's hint did not come.
-func (l *loop) pinEnded(t *store.Part, how broker.Outcome, at time.Duration) broker.Outcome {
+func (l *loop) pinEnded(t *store.Part, how decision.Outcome, at time.Duration) decision.Outcome {
 	book := l.pins.book
 	book.Ended(t.Tag, t.Node)
-	if how != broker.OK {
+	if how != decision.OK {
 		return how
 	}
-	r, told := pins.ParseReport(t.Report)
+	r, told := readpin.ParseReport(t.Report)
 	if told {
 		book.Learn(at, t.Node, t.Shard, t.Sent, r)
 	}
@@ -140,9 +140,9 @@
 		return how
 	}
 	o := &s.pin.parts[i].only
-	o.Nodes = slices.DeleteFunc(o.Nodes, func(id broker.NodeID) bool { return id == t.Node })
+	o.Nodes = slices.DeleteFunc(o.Nodes, func(id decision.NodeID) bool { return id == t.Node })
 	s.pin.back = max(s.pin.back, l.pins.config.Recheck)
-	return broker.Stale
+	return decision.Stale
 }
 
 // pinVerdict has a verdict say what its client has to know.
@@ -176,16 +176,16 @@
 		shown, shard := &s.pin.parts[i].shown, s.ask.parts[i].shard
 		oldest = min(oldest, shown.AsOf)
 		if shown.Pos > 0 {
-			v.seen = append(v.seen, hint.Position{Shard: shard, At: shown.Pos})
+			v.seen = append(v.seen, readhint.Position{Shard: shard, At: shown.Pos})
 		}
 		if !shown.Fresh {
 			behind = append(behind, shard)
 		}
 	}
-	slices.SortFunc(v.seen, func(a, b hint.Position) int { return a.Shard - b.Shard })
+	slices.SortFunc(v.seen, func(a, b readhint.Position) int { return a.Shard - b.Shard })
 	slices.Sort(behind)
-	v.hinted, v.behind, v.stale = true, behind, pins.Unknown
-	if oldest != pins.Never {
+	v.hinted, v.behind, v.stale = true, behind, readpin.Unknown
+	if oldest != readpin.Never {
 		v.stale = l.pins.book.Staleness(l.since(), oldest)
 	}
 }
@@ -199,10 +199,10 @@
 		return heads
 	}
 	if len(v.seen) > 0 {
-		heads = append(heads, headPosition+hint.Positions(v.seen))
+		heads = append(heads, headPosition+readhint.Positions(v.seen))
 	}
 	stale := "unknown"
-	if v.stale != pins.Unknown {
+	if v.stale != readpin.Unknown {
 		stale = strconv.FormatInt(int64(math.Ceil(float64(v.stale)/float64(time.Millisecond))), 10) + "ms"
 	}
 	heads = append(heads, headStaleness+stale)
--- a/internal/server/pins_test.go
+++ b/internal/server/pins_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/cluster/hint"
+	"flaxfront/internal/cluster/readhint"
 	"flaxfront/internal/config/operator"
 )
 
@@ -98,7 +98,7 @@
 	}
 	c := dial(t, s)
 	for i, text := range []string{"max-stale=1ms; pin=who:am-i", "max-stale=1ms; max-stale=1ms", "max-stale=1ms\r\nX-Read-Hint: max-stale=1ms"} {
-		m := c.say(hinted(fmt.Sprint("a", i), hint.Header+": "+text))
+		m := c.say(hinted(fmt.Sprint("a", i), readhint.Header+": "+text))
 		why, _ := m.Get("x-read-hint-ignored")
 		if _, there := m.Get("x-read-staleness"); m.Status != 200 || why == "" || there > 0 {
 			t.Errorf("%q: %d %q", text, m.Status, why)
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"flaxfront/internal/cluster/hint"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/cluster/readhint"
+	"flaxfront/internal/decision"
 )
 
 // result is the final answer.
@@ -18,9 +18,9 @@
 
 	// answered, where the search had a hint
 	hinted bool
-	seen   []hint.Position // by shard
-	behind []int           // shards that do not keep what it asked for
-	stale  time.Duration   // what the answer may lack at the most; pins.Unknown: no bound is known
+	seen   []readhint.Position // by shard
+	behind []int               // shards that do not keep what it asked for
+	stale  time.Duration       // what the answer may lack at the most; pins.Unknown: no bound is known
 }
 
 type resultKind uint8
@@ -38,11 +38,11 @@
 }
 
 // verdictOf makes the final answer of the module's word and the values that are in.
-func (s *search) verdictOf(a *broker.Action) result {
+func (s *search) verdictOf(a *decision.Action) result {
 	switch a.Kind {
-	case broker.Shed:
+	case decision.Shed:
 		return result{kind: shed, after: a.After}
-	case broker.Fail:
+	case decision.Fail:
 		return result{kind: errored}
 	}
 	v := result{kind: answered, whole: a.Whole}
--- a/internal/server/saved.go
+++ b/internal/server/saved.go
@@ -7,17 +7,17 @@
 	"log/slog"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/discovery/nodelist"
 )
 
 // saved is the loop's part of it.
 type saved struct {
-	book  *trust.Book
-	judge *trust.Judge
-	keep  func(trust.Changes)
+	book  *cachedlist.Book
+	judge *cachedlist.Judge
+	keep  func(cachedlist.Changes)
 	zone  func(name string) int
 	most  int
 	ended time.Duration // how long an ended node is remembered
@@ -37,13 +37,13 @@
 	store, content := nodelist.Open(nodelist.Options{Dir: o.NodeList.Directory, Deployment: t.Fingerprint(),
 		Every: o.NodeList.SaveEvery})
 	s.keeper = store
-	book := trust.NewBook(content.Head, content.Values())
-	now := trust.At(s.loop.start)
+	book := cachedlist.NewBook(content.Head, content.Values())
+	now := cachedlist.At(s.loop.start)
 	if s.known {
 		book.Merge(bookList(s.list, s.asked.String()), now)
 	}
 	book.Bound(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
-	judge := trust.NewJudge(trust.Policy{HalfLife: o.Trust.HalfLife, Oldest: o.Trust.Oldest, StrikeAt: o.Trust.StrikeAt,
+	judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: o.Trust.HalfLife, Oldest: o.Trust.Oldest, StrikeAt: o.Trust.StrikeAt,
 		Parole: o.Trust.Parole}, book, now)
 	list := &discovery.List{Whole: true}
 	s.loop.saved = &saved{book: book, judge: judge, keep: store.Put, zone: s.reader.Zone, most: o.NodeList.MaxEntries,
@@ -52,7 +52,7 @@
 		list.Nodes = append(list.Nodes, s.loop.saved.node(f))
 	}
 	s.list = list
-	pace := trust.NewPacer(trust.Pace{KnockEvery: o.Discovery.KnockEvery, PerCall: o.Discovery.PerCall,
+	pace := cachedlist.NewPacer(cachedlist.Pace{KnockEvery: o.Discovery.KnockEvery, PerCall: o.Discovery.PerCall,
 		MostDelay: o.Discovery.MostDelay, Brokers: t.Module.Brokers}, t.Module.Seed)
 	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.asked.String()
 	s.nodeList.Pace(pace, content.Head.Generation, resume)
@@ -63,16 +63,16 @@
 }
 
 // bookList is a list as the book takes it.
-func bookList(list *discovery.List, service string) trust.List {
-	l := trust.List{Service: service, Generation: list.Version, Whole: list.Whole}
+func bookList(list *discovery.List, service string) cachedlist.List {
+	l := cachedlist.List{Service: service, Generation: list.Version, Whole: list.Whole}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		e := trust.Entry{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Cell: n.Entry.Cell, Started: trust.Moment(n.Started)}
+		e := cachedlist.Entry{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Cell: n.Entry.Cell, Started: cachedlist.Moment(n.Started)}
 		switch n.Entry.State {
-		case broker.Draining:
-			e.State = trust.Draining
-		case broker.Gone:
-			e.State = trust.Ended
+		case decision.Draining:
+			e.State = cachedlist.Draining
+		case decision.Gone:
+			e.State = cachedlist.Ended
 		}
 		l.Entries = append(l.Entries, e)
 	}
@@ -80,13 +80,13 @@
 }
 
 // node is a fact as a line of the list. One that is not to be used is told as draining: it gets nothing new.
-func (s *saved) node(f trust.Fact) discovery.Node {
+func (s *saved) node(f cachedlist.Fact) discovery.Node {
 	e := &f.Entry
 	n := discovery.Node{Name: e.Name, Addr: e.Addr, Zone: e.Zone, Started: int64(e.Started),
-		Entry: broker.Entry{Node: f.ID, Cell: e.Cell, Zone: s.zone(e.Zone), State: broker.Ready, Boot: broker.NoBoot,
+		Entry: decision.Entry{Node: f.ID, Cell: e.Cell, Zone: s.zone(e.Zone), State: decision.Ready, Boot: decision.NoBoot,
 			Eased: f.Eased}}
 	if !f.Use {
-		n.Entry.State = broker.Draining
+		n.Entry.State = decision.Draining
 	}
 	if e.Started > 0 {
 		n.Entry.Boot = e.Started.Time().Sub(s.start)
@@ -102,7 +102,7 @@
 		slog.Warn("discovery's whole list lacks most nodes; it is taken as it is", "ended", ended, "of", of,
 			"listed", len(list.Nodes), "service", list.Service, "generation", list.Version)
 	}
-	if n := s.book.Bound(s.most, s.ended, trust.At(s.start.Add(now))); n > 0 {
+	if n := s.book.Bound(s.most, s.ended, cachedlist.At(s.start.Add(now))); n > 0 {
 		slog.Info("entries dropped from the saved node list", "entries", n)
 	}
 	s.next = now
--- a/internal/server/saved_test.go
+++ b/internal/server/saved_test.go
@@ -10,7 +10,7 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/discovery/nodelist"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/transport/store"
@@ -202,13 +202,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var entries []trust.Entry
+	var entries []cachedlist.Entry
 	for i := range 100_000 {
-		entries = append(entries, trust.Entry{Name: fmt.Sprintf("node-%08x", i), Addr: start.Discovery, Zone: "a", Cell: i % 100,
-			Confirmed: trust.At(time.Now())})
+		entries = append(entries, cachedlist.Entry{Name: fmt.Sprintf("node-%08x", i), Addr: start.Discovery, Zone: "a", Cell: i % 100,
+			Confirmed: cachedlist.At(time.Now())})
 	}
 	kept, _ := nodelist.Open(nodelist.Options{Dir: dir, Deployment: start.Terms.Fingerprint()})
-	kept.Put(trust.Changes{Put: entries})
+	kept.Put(cachedlist.Changes{Put: entries})
 	if err := kept.Flush(); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/server/search.go
+++ b/internal/server/search.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/cluster/hint"
+	"flaxfront/internal/cluster/readhint"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/transport/store"
 )
 
@@ -22,10 +22,10 @@
 	timeout time.Duration
 	text    string
 	parts   []askPart
-	client  uint64       // a hash of the key that its client states; 0: none
-	under   *terms.Terms // the settings by which it was read; nil: those of the start
-	hint    *hint.Hint   // on its reads; nil: there is none
-	ignored string       // why a hint counts for nothing
+	client  uint64         // a hash of the key that its client states; 0: none
+	under   *terms.Terms   // the settings by which it was read; nil: those of the start
+	hint    *readhint.Hint // on its reads; nil: there is none
+	ignored string         // why a hint counts for nothing
 }
 
 type askPart struct {
@@ -138,12 +138,12 @@
 		l.pin(s)
 	}
 	serial := float32(s.id % (1 << 24)) // exact in a float32, and far more ids than can be in hand
-	l.events = append(l.events, broker.Event{Kind: broker.SearchIn, ID: s.id, Serial: serial, Type: s.typ,
+	l.events = append(l.events, decision.Event{Kind: decision.SearchIn, ID: s.id, Serial: serial, Type: s.typ,
 		Tenant: s.tenant, Left: left, Weight: float64(n), Repeat: s.repeat})
 	for i := range s.ask.parts {
 		id := s.id + 1 + uint64(i)
 		l.owners[id] = s
-		l.events = append(l.events, broker.Event{Kind: broker.PartIn, ID: id, Serial: serial,
+		l.events = append(l.events, decision.Event{Kind: decision.PartIn, ID: id, Serial: serial,
 			Shard: s.ask.parts[i].shard, Weight: s.ask.parts[i].weight, Only: s.only(i)})
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -2,10 +2,10 @@
 // between them the loop that alone calls the module. This file owns start and end: what is opened, in which order,
 // which limits bind. It must never drop a search that was taken in time.
 //
-// Depends on cluster/fleet, cluster/hint, cluster/policy, cluster/raftlog, cluster/seeds, config/operator,
-// config/remedy, config/terms, decision/admission, decision/broker, decision/duties, decision/ledger,
-// decision/members, decision/pins, decision/release, decision/routes, decision/trust, decision/units,
-// decision/words, discovery, discovery/nodelist, protocols/back, transport/httpwire, transport/keys,
+// Depends on cluster/controlplane, cluster/readhint, cluster/connpolicy, cluster/raftlog, cluster/seeds, config/operator,
+// config/remedy, config/terms, decision/admission, decision, decision/ownership, decision/statemachine,
+// decision/membership, decision/readpin, decision/release, decision/forwarding, decision/cachedlist, decision/connlease,
+// decision/gossip, discovery, discovery/nodelist, protocols/back, transport/httpwire, transport/keys,
 // transport/link, transport/lookahead, transport/peers, transport/store. Concurrency: one goroutine, the
 // loop, owns every query in hand, the pool and the module; a goroutine a connection and the others only
 // deliver to it.
@@ -26,7 +26,7 @@
 	"flaxfront/internal/cluster/seeds"
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/discovery/nodelist"
 	"flaxfront/internal/protocols/back"
@@ -85,7 +85,7 @@
 }
 
 // New makes a broker of its configuration; nothing is opened yet.
-func New(start *terms.Start, file *operator.File, newModule func(broker.Terms) broker.Decider) (*Server, error) {
+func New(start *terms.Start, file *operator.File, newModule func(decision.Terms) decision.Decider) (*Server, error) {
 	t := &start.Terms
 	s := &Server{start: start, operator: file, asked: start.Discovery, accepted: make(chan struct{}), after: time.After}
 	s.settings.Store(t)
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -5,7 +5,7 @@
 
 import (
 	"flaxfront/internal/config/terms"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/discovery/nodelist"
 	"flaxfront/internal/transport/link"
@@ -62,14 +62,14 @@
 				l.leaveAbroad(d.s, d.s.id)
 				return
 			}
-			l.events = append(l.events, broker.Event{Kind: broker.Left, ID: d.s.id})
+			l.events = append(l.events, decision.Event{Kind: decision.Left, ID: d.s.id})
 			l.finish(d.s)
 			l.unsend(d.s) // now, as a connection may come up in the same moment
 		}
 	case listReceived:
 		l.list(d.list, d.err)
 	case peerMessage:
-		l.events = append(l.events, broker.Event{Kind: broker.PeerSaid, From: uint32(d.from), Text: d.text})
+		l.events = append(l.events, decision.Event{Kind: decision.PeerSaid, From: uint32(d.from), Text: d.text})
 	case viewed:
 		l.see(d.view)
 	case unacked:
--- a/internal/server/tally.go
+++ b/internal/server/tally.go
@@ -3,7 +3,7 @@
 // This file owns the loop's count of what became of searches. Nothing decides by it.
 
 import (
-	"flaxfront/internal/decision/trust"
+	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/transport/store"
 )
 
@@ -18,10 +18,10 @@
 	Nodes, NodeConns                             int // now
 	Out, OutByModule, ShutOut                    int // parts out, on the wire and as the module counts; nodes it shuts out
 	Store                                        store.Counts
-	Trust                                        *trust.Counts `json:",omitempty"` // where a list is kept
-	Door                                         *DoorState    `json:",omitempty"` // where there is one
-	Gateway                                      *GatewayState `json:",omitempty"` // where there is one
-	Crew                                         *CrewState    `json:",omitempty"` // where brokers keep company
-	Fleet                                        *FleetState   `json:",omitempty"` // where brokers agree
-	Pins                                         *PinState     `json:",omitempty"` // where hints on reads are obeyed
+	Trust                                        *cachedlist.Counts `json:",omitempty"` // where a list is kept
+	Door                                         *DoorState         `json:",omitempty"` // where there is one
+	Gateway                                      *GatewayState      `json:",omitempty"` // where there is one
+	Crew                                         *CrewState         `json:",omitempty"` // where brokers keep company
+	Fleet                                        *FleetState        `json:",omitempty"` // where brokers agree
+	Pins                                         *PinState          `json:",omitempty"` // where hints on reads are obeyed
 }
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"flaxfront/internal/transport/store"
 )
 
@@ -17,7 +17,7 @@
 
 // call gathers the parts of one turn to one node.
 type call struct {
-	to    broker.NodeID
+	to    decision.NodeID
 	parts []*store.Part
 }
 
@@ -46,17 +46,17 @@
 	l.ended = l.ended[:0]
 }
 
-func (l *loop) carryOut(a *broker.Action, now time.Duration) {
+func (l *loop) carryOut(a *decision.Action, now time.Duration) {
 	switch a.Kind {
-	case broker.Send:
+	case decision.Send:
 		l.send(a, now)
-	case broker.Cancel:
+	case decision.Cancel:
 		if p, i := l.part(a.ID); p != nil && int(a.Attempt) < len(p.parts[i].tries) {
 			l.pool.Cancel(p.parts[i].tries[a.Attempt])
 		}
-	case broker.Answer, broker.Shed, broker.Fail:
+	case decision.Answer, decision.Shed, decision.Fail:
 		if s := l.searches[a.ID]; s != nil && !s.over && !s.abroad {
-			if a.Kind == broker.Shed && l.offer(s) {
+			if a.Kind == decision.Shed && l.offer(s) {
 				l.routed()
 				return
 			}
@@ -65,24 +65,24 @@
 			l.conclude(s, v)
 			l.finish(s)
 		}
-	case broker.Wake:
+	case decision.Wake:
 		if l.wake == 0 || a.At < l.wake {
 			l.wake = max(1, a.At)
 		}
-	case broker.Close:
+	case decision.Close:
 		l.pool.Retire(a.Node)
-	case broker.Probe:
+	case decision.Probe:
 		l.pool.Probe(a.Node)
-	case broker.Subscribe:
+	case decision.Subscribe:
 		l.ask()
-	case broker.Log:
+	case decision.Log:
 		l.say(a.Text, now)
-	case broker.Tell:
+	case decision.Tell:
 		l.tell(a.Text)
 	}
 }
 
-func (l *loop) send(a *broker.Action, now time.Duration) {
+func (l *loop) send(a *decision.Action, now time.Duration) {
 	s, i := l.part(a.ID)
 	if s == nil {
 		slog.Error("a part that is not in hand was to be sent", "part", a.ID)
@@ -125,16 +125,16 @@
 
 // subrequestEnded makes an event of a sub-request's end. A value counts from here on: the module learns of it in the
 // same turn.
-func (l *loop) subrequestEnded(t *store.Part, how broker.Outcome, at time.Duration, value string) {
+func (l *loop) subrequestEnded(t *store.Part, how decision.Outcome, at time.Duration, value string) {
 	if l.pins != nil {
 		how = l.pinEnded(t, how, at)
 	}
-	if s, i := l.part(t.Part); s != nil && how == broker.OK && !s.parts[i].in {
+	if s, i := l.part(t.Part); s != nil && how == decision.OK && !s.parts[i].in {
 		s.parts[i].in, s.parts[i].value = true, value
 		s.heard, s.heardFor = at, l.tally.Turns+1
 	}
 	took := max(0, at-t.Sent)
-	l.events = append(l.events, broker.Event{Kind: broker.Ended, ID: t.Part, Attempt: t.Attempt, Outcome: how,
+	l.events = append(l.events, decision.Event{Kind: decision.Ended, ID: t.Part, Attempt: t.Attempt, Outcome: how,
 		Took: took, Node: t.Node})
 	if l.saved != nil {
 		l.saved.judge.Showed(t.Node, how, took, l.since())
@@ -142,6 +142,6 @@
 }
 
 // probed takes the end of a probe.
-func (l *loop) probed(id broker.NodeID, how broker.Outcome, took time.Duration) {
-	l.events = append(l.events, broker.Event{Kind: broker.Probed, Node: id, Outcome: how, Took: took})
+func (l *loop) probed(id decision.NodeID, how decision.Outcome, took time.Duration) {
+	l.events = append(l.events, decision.Event{Kind: decision.Probed, Node: id, Outcome: how, Took: took})
 }
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
-	"flaxfront/internal/decision/logic"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/store"
 )
@@ -174,13 +174,13 @@
 
 // checked is the module with the counters checked before each of its turns.
 type checked struct {
-	broker.Decider
+	decision.Decider
 	w *world
 }
 
 func (c checked) Picture() (out, shut int) { return c.Decider.(pictured).Picture() }
 
-func (c checked) Turn(now time.Duration, ev []broker.Event, out []broker.Action) []broker.Action {
+func (c checked) Turn(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
 	if t := c.w.loop.tally; t.Taken != t.Answered+t.Shed+t.Errored+t.Left+t.InHand {
 		c.w.t.Errorf("counters do not add up: %+v", t)
 	}
@@ -196,12 +196,12 @@
 	w := &world{t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 1)), dials: map[string]int{},
 		asked: map[string]*search{}, runs: map[string]bool{},
 		made: map[string]bool{}, downAt: map[string]time.Duration{}}
-	w.loop = newLoop(time.Now(), checked{logic.New(tm.Module), w}, &tm.Module)
+	w.loop = newLoop(time.Now(), checked{routing.New(tm.Module), w}, &tm.Module)
 	for i := range 8 {
 		name := fmt.Sprint("s-", i)
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 80)
-		w.nodes = append(w.nodes, discovery.Node{Name: name, Addr: addr, Entry: broker.Entry{
-			Node: discovery.ID(name), Cell: i % 2, Zone: i / 4, State: broker.Ready, Boot: broker.NoBoot}})
+		w.nodes = append(w.nodes, discovery.Node{Name: name, Addr: addr, Entry: decision.Entry{
+			Node: discovery.ID(name), Cell: i % 2, Zone: i / 4, State: decision.Ready, Boot: decision.NoBoot}})
 	}
 	return w
 }
--- a/internal/transport/store/bench_test.go
+++ b/internal/transport/store/bench_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"fmt"
 	"io"
 	"net/netip"
@@ -89,7 +89,7 @@
 	hold   time.Duration // how long a dial takes
 }
 
-var at = broker.NodeID{Port: 7}
+var at = decision.NodeID{Port: 7}
 
 func run(t *testing.T, limits Limits, test func(b *bench)) {
 	synctest.Test(t, func(t *testing.T) {
@@ -116,13 +116,13 @@
 		}
 		b.Pool = NewPool(ctx, limits, open, func() time.Duration { return time.Since(begin) },
 			func(f func() error) { go f() }, func(e Event) { b.events <- e },
-			func(p *Part, how broker.Outcome, _ time.Duration, value string) {
+			func(p *Part, how decision.Outcome, _ time.Duration, value string) {
 				b.ends = append(b.ends, fmt.Sprintf("%s %d%s", p.ID, how, value))
 			})
-		b.Probed = func(id broker.NodeID, how broker.Outcome, took time.Duration) {
+		b.Probed = func(id decision.NodeID, how decision.Outcome, took time.Duration) {
 			b.ends = append(b.ends, fmt.Sprintf("probe %d %d %v", id.Port, how, took))
 		}
-		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:7"), broker.NoBoot)
+		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:7"), decision.NoBoot)
 		test(b)
 		cancel()
 		synctest.Wait()
--- a/internal/transport/store/budget.go
+++ b/internal/transport/store/budget.go
@@ -3,7 +3,7 @@
 // This file owns how the pool keeps to a budget that is divided between brokers and tenants: none is opened without leave, and
 // what is not held any more is closed, idle connections first. It must never know how budgets are divided.
 
-import "flaxfront/internal/decision/broker"
+import "flaxfront/internal/decision"
 
 // Leave is an answer to whether a connection may be opened.
 type Leave uint8
@@ -16,8 +16,8 @@
 
 // Budget says what may be opened. It is asked in the loop, before each connection, and told of the end of each.
 type Budget interface {
-	Open(node broker.NodeID, tenant int) Leave
-	Closed(node broker.NodeID, tenant int, byNode bool)
+	Open(node decision.NodeID, tenant int) Leave
+	Closed(node decision.NodeID, tenant int, byNode bool)
 }
 
 // Keep has the pool keep to a budget. It is called before anything is sent; without it Limits alone bound.
@@ -52,7 +52,7 @@
 // Shed closes so many of a tenant's connections to a node: those that carry nothing at once, of the others those with the least,
 // which get nothing more; where hard is true all of them at once. Danger: a lease ends while parts are out, and another broker
 // fills the node's place; those parts end as reset, which costs them a resend. It tells how many still carry something.
-func (p *Pool) Shed(id broker.NodeID, tenant, units int, hard bool) (left int) {
+func (p *Pool) Shed(id decision.NodeID, tenant, units int, hard bool) (left int) {
 	n := p.nodes[id]
 	if n == nil {
 		return 0
@@ -96,7 +96,7 @@
 }
 
 // Wants tells how many parts of each tenant are out at each node, or wait for a connection to it.
-func (p *Pool) Wants(each func(node broker.NodeID, tenant, parts int)) {
+func (p *Pool) Wants(each func(node decision.NodeID, tenant, parts int)) {
 	for _, n := range p.order {
 		for _, c := range n.conns {
 			for _, part := range c.out.parts {
--- a/internal/transport/store/budget_test.go
+++ b/internal/transport/store/budget_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // purse is a budget of so many connections: one is the broker's, the others belong to tenant 1.
@@ -15,7 +15,7 @@
 	byNode     int
 }
 
-func (p *purse) Open(_ broker.NodeID, tenant int) Leave {
+func (p *purse) Open(_ decision.NodeID, tenant int) Leave {
 	switch {
 	case tenant == 1 && p.has[1] < p.own:
 		p.has[1]++
@@ -28,7 +28,7 @@
 	return No
 }
 
-func (p *purse) Closed(_ broker.NodeID, tenant int, byNode bool) {
+func (p *purse) Closed(_ decision.NodeID, tenant int, byNode bool) {
 	if p.has[tenant]--; byNode {
 		p.byNode++
 	}
--- a/internal/transport/store/conn.go
+++ b/internal/transport/store/conn.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 type conn struct {
@@ -96,7 +96,7 @@
 }
 
 // Retire ends the connections to a node as soon as they carry nothing, and sends nothing more over them.
-func (p *Pool) Retire(id broker.NodeID) {
+func (p *Pool) Retire(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
 		for _, c := range n.conns {
 			c.retired = true
@@ -107,7 +107,7 @@
 }
 
 // CloseIdle ends the connections to a node that carry nothing.
-func (p *Pool) CloseIdle(id broker.NodeID, reason string) {
+func (p *Pool) CloseIdle(id decision.NodeID, reason string) {
 	if n := p.nodes[id]; n != nil {
 		p.closeWhere(n, reason, func(c *conn) bool { return c.out.len() == 0 })
 	}
@@ -125,7 +125,7 @@
 			c := n.conns[i]
 			for j := c.out.len() - 1; j >= 0; j-- {
 				if part := c.out.parts[j]; part.Deadline <= now {
-					p.finish(part, broker.TimedOut, now, "")
+					p.finish(part, decision.TimedOut, now, "")
 				} else {
 					next = min(next, part.Deadline)
 				}
@@ -175,16 +175,16 @@
 // drop takes a connection off the books; its parts end as the protocol says.
 func (p *Pool) drop(c *conn, at time.Duration, byNode bool) {
 	c.closed = true
-	p.shown(c, broker.ConnectFailed, at)
+	p.shown(c, decision.ConnectFailed, at)
 	p.conns--
 	p.returned(c, byNode)
 	c.node.conns = slices.DeleteFunc(c.node.conns, func(o *conn) bool { return o == c })
 	for c.out.len() > 0 {
 		part := c.out.last()
 		if part.written {
-			p.finish(part, broker.Reset, at, "")
+			p.finish(part, decision.Reset, at, "")
 		} else {
-			p.finish(part, broker.ConnectFailed, at, "")
+			p.finish(part, decision.ConnectFailed, at, "")
 		}
 	}
 }
--- a/internal/transport/store/end.go
+++ b/internal/transport/store/end.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Event is what a connection's goroutine delivers to the loop.
@@ -29,7 +29,7 @@
 )
 
 // shown ends a probe that waits for the connection.
-func (p *Pool) shown(c *conn, how broker.Outcome, at time.Duration) {
+func (p *Pool) shown(c *conn, how decision.Outcome, at time.Duration) {
 	if c.probed {
 		c.probed = false
 		p.Probed(c.node.id, how, at-c.dialed)
@@ -45,7 +45,7 @@
 			return
 		}
 		c.up, c.last = e.up, e.at
-		p.shown(c, broker.OK, e.at)
+		p.shown(c, decision.OK, e.at)
 		queue := c.queue
 		c.queue = nil
 		for _, parts := range queue {
@@ -71,16 +71,16 @@
 		c.last = e.at
 		c.served++
 		part.Report = e.answer.Report
-		how := broker.OK
+		how := decision.OK
 		switch e.answer.End {
 		case Served:
 			p.Counts.Served++
 		case Broke:
 			p.Counts.Broke++
-			how = broker.Errored
+			how = decision.Errored
 		case Skipped:
 			p.Counts.Skipped++
-			how = broker.Refused
+			how = decision.Refused
 		}
 		p.finish(part, how, e.at, e.answer.Value)
 	case down:
@@ -104,7 +104,7 @@
 		return
 	}
 	c, told := part.conn, part.written
-	p.finish(part, broker.Cancelled, p.since(), "")
+	p.finish(part, decision.Cancelled, p.since(), "")
 	if told && !c.closed {
 		p.Counts.Cancels++
 		p.buf = appendCancel(p.buf[:0], part.ID)
@@ -115,17 +115,17 @@
 }
 
 // end gives parts back that were never on a connection.
-func (p *Pool) end(parts []*Part, how broker.Outcome) {
+func (p *Pool) end(parts []*Part, how decision.Outcome) {
 	for _, part := range parts {
 		p.finish(part, how, p.since(), "")
 	}
 }
 
-func (p *Pool) finish(part *Part, how broker.Outcome, at time.Duration, value string) {
+func (p *Pool) finish(part *Part, how decision.Outcome, at time.Duration, value string) {
 	part.over = true
 	if part.conn != nil && part.conn.out.remove(part) {
 		c := part.conn
-		if part.written && (how == broker.Cancelled || how == broker.TimedOut) {
+		if part.written && (how == decision.Cancelled || how == decision.TimedOut) {
 			c.giveUp(part.ID)
 		}
 		if c.out.len() == 0 { // from now on it idles, or was only waited for
@@ -145,7 +145,7 @@
 
 // Withhold ends what waits for connections to a node to come up, as never sent. Danger: a connection may come up long after the call
 // was meant for it; by then the list may have ended or drained the node, or it has started anew and is cold.
-func (p *Pool) Withhold(id broker.NodeID) {
+func (p *Pool) Withhold(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
 		p.withhold(n)
 	}
@@ -156,7 +156,7 @@
 		queue := c.queue
 		c.queue = nil
 		for _, parts := range queue {
-			p.end(slices.DeleteFunc(parts, (*Part).Over), broker.NeverSent)
+			p.end(slices.DeleteFunc(parts, (*Part).Over), decision.NeverSent)
 		}
 	}
 }
--- a/internal/transport/store/ends_test.go
+++ b/internal/transport/store/ends_test.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"fmt"
 	"net/netip"
 	"syscall"
@@ -131,8 +131,8 @@
 		b.ends = nil
 		b.send("b.1")
 		for i := range 100 {
-			id := broker.NodeID{Port: uint16(100 + i)}
-			b.Point(id, "s", netip.MustParseAddrPort("127.0.0.1:9"), broker.NoBoot)
+			id := decision.NodeID{Port: uint16(100 + i)}
+			b.Point(id, "s", netip.MustParseAddrPort("127.0.0.1:9"), decision.NoBoot)
 			b.Drop(id)
 			b.Drop(at)
 			b.Sweep(b.since())
--- a/internal/transport/store/limits_test.go
+++ b/internal/transport/store/limits_test.go
@@ -4,7 +4,7 @@
 	"bufio"
 	"bytes"
 	"errors"
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 	"net"
 	"net/netip"
 	"syscall"
@@ -130,8 +130,8 @@
 // At the limit an idle connection gives way, never one that carries something.
 func TestConnectionLimit(t *testing.T) {
 	run(t, Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 2}, func(b *bench) {
-		other := broker.NodeID{Port: 8}
-		b.Point(other, "s-8", netip.MustParseAddrPort("127.0.0.1:8"), broker.NoBoot)
+		other := decision.NodeID{Port: 8}
+		b.Point(other, "s-8", netip.MustParseAddrPort("127.0.0.1:8"), decision.NoBoot)
 		b.send("a.1")
 		b.send("a.2")
 		b.Send(other, []*Part{{ID: "a.3", Deadline: time.Hour}})
@@ -148,7 +148,7 @@
 		if len(b.pipes) != 3 || !b.pipes[1].closed || b.Open() != 2 {
 			t.Errorf("%d connections, %d open", len(b.pipes), b.Open())
 		}
-		b.Send(broker.NodeID{Port: 9}, []*Part{{ID: "a.6"}}) // never listed
+		b.Send(decision.NodeID{Port: 9}, []*Part{{ID: "a.6"}}) // never listed
 		b.expect("a.6 7")
 	})
 }
@@ -165,14 +165,14 @@
 		b.expect("probe 7 1 20ms")
 		b.Probe(at)
 		b.expect("probe 7 1 0s")
-		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:17"), broker.NoBoot)
+		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:17"), decision.NoBoot)
 		b.hold = 2 * time.Second
 		b.Probe(at)
 		time.Sleep(time.Second)
 		b.settle()
 		b.expect("probe 7 4 1s")
 		b.Probe(at)
-		b.Probe(broker.NodeID{Port: 9}) // never listed
+		b.Probe(decision.NodeID{Port: 9}) // never listed
 		b.Drop(at)
 		b.Sweep(time.Hour)
 		b.expect("probe 7 4 0s", "probe 9 4 0s")
--- a/internal/transport/store/outto.go
+++ b/internal/transport/store/outto.go
@@ -2,10 +2,10 @@
 
 // This file owns what fleets ask of a pool: whether a node has anything in hand, and that it gets nothing.
 
-import "flaxfront/internal/decision/broker"
+import "flaxfront/internal/decision"
 
 // OutTo tells how many parts are out at a node, or wait for a connection to it.
-func (p *Pool) OutTo(id broker.NodeID) (n int) {
+func (p *Pool) OutTo(id decision.NodeID) (n int) {
 	if node := p.nodes[id]; node != nil {
 		for _, c := range node.conns {
 			n += c.out.len()
@@ -15,4 +15,4 @@
 }
 
 // Refuse ends parts that may not be sent.
-func (p *Pool) Refuse(parts []*Part) { p.end(parts, broker.NeverSent) }
+func (p *Pool) Refuse(parts []*Part) { p.end(parts, decision.NeverSent) }
--- a/internal/transport/store/store.go
+++ b/internal/transport/store/store.go
@@ -3,7 +3,7 @@
 // a goroutine a connection dials and reads, and only delivers. It must never choose a node, hold a part back or send
 // one twice, and it never waits for a socket: a node that does not take a frame at once loses the connection.
 //
-// Depends on decision/broker.
+// Depends on decision.
 package store
 
 import (
@@ -12,7 +12,7 @@
 	"net/netip"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // Part is one sub-request. The loop hands it over and gets it back, ended, exactly once.
@@ -25,7 +25,7 @@
 
 	Part    uint64 // what the module calls it
 	Attempt uint16
-	Node    broker.NodeID
+	Node    decision.NodeID
 	Alone   bool   // its call shares a connection with no other while there are descriptors
 	Tenant  int    // whose connections it may use, where they are divided
 	Tag     uint64 // the loop's own
@@ -57,15 +57,15 @@
 // Pool holds the connections to all nodes.
 type Pool struct {
 	Counts Counts
-	Probed func(id broker.NodeID, how broker.Outcome, took time.Duration) // takes the end of each probe
+	Probed func(id decision.NodeID, how decision.Outcome, took time.Duration) // takes the end of each probe
 	ctx    context.Context
 	limits Limits
 	open   Dialer
 	since  func() time.Duration
 	start  func(func() error)
 	post   func(Event)
-	ended  func(p *Part, how broker.Outcome, at time.Duration, value string)
-	nodes  map[broker.NodeID]*node
+	ended  func(p *Part, how decision.Outcome, at time.Duration, value string)
+	nodes  map[decision.NodeID]*node
 	order  []*node // as first listed
 	conns  int
 	buf    []byte
@@ -77,7 +77,7 @@
 }
 
 type node struct {
-	id    broker.NodeID
+	id    decision.NodeID
 	name  string
 	gone  bool // the list ended it; forgotten with its last connection
 	addr  netip.AddrPort
@@ -87,16 +87,16 @@
 
 // NewPool makes a pool. Goroutines run under start and end with ctx; post delivers to the loop, ended tells it.
 func NewPool(ctx context.Context, limits Limits, open Dialer, since func() time.Duration, start func(func() error),
-	post func(Event), ended func(*Part, broker.Outcome, time.Duration, string)) *Pool {
+	post func(Event), ended func(*Part, decision.Outcome, time.Duration, string)) *Pool {
 	return &Pool{ctx: ctx, limits: limits, open: open, since: since, start: start, post: post, ended: ended,
-		nodes: map[broker.NodeID]*node{}}
+		nodes: map[decision.NodeID]*node{}}
 }
 
 // KeepReports has parts come back with what nodes report beside the answer. It is called before anything is sent.
 func (p *Pool) KeepReports() { p.reports = true }
 
 // Point tells where a node listens and when it started. What was opened to an older start or elsewhere is closed.
-func (p *Pool) Point(id broker.NodeID, name string, addr netip.AddrPort, boot time.Duration) {
+func (p *Pool) Point(id decision.NodeID, name string, addr netip.AddrPort, boot time.Duration) {
 	n := p.nodes[id]
 	if n == nil {
 		n = &node{id: id, name: name, addr: addr, boot: boot}
@@ -121,10 +121,10 @@
 
 // Probe asks a node for a sign of life, and Probed tells what came. The protocol has no word for it: a connection that is up,
 // or that comes up, is the sign. Where none may be opened the answer comes at once and tells nothing.
-func (p *Pool) Probe(id broker.NodeID) {
+func (p *Pool) Probe(id decision.NodeID) {
 	n := p.nodes[id]
 	if n == nil {
-		p.Probed(id, broker.ConnectFailed, 0)
+		p.Probed(id, decision.ConnectFailed, 0)
 		return
 	}
 	var rising *conn
@@ -132,20 +132,20 @@
 		switch {
 		case c.addr != n.addr || c.retired:
 		case c.up != nil:
-			p.Probed(id, broker.OK, 0)
+			p.Probed(id, decision.OK, 0)
 			return
 		default:
 			rising = c
 		}
 	}
 	if rising == nil && p.conns >= p.limits.Conns {
-		p.Probed(id, broker.OK, 0)
+		p.Probed(id, decision.OK, 0)
 		return
 	}
 	if rising == nil {
 		leave := p.leave(n, 0)
 		if leave == No {
-			p.Probed(id, broker.OK, 0)
+			p.Probed(id, decision.OK, 0)
 			return
 		}
 		rising = p.dial(n, 0, leave == Floor)
@@ -154,7 +154,7 @@
 }
 
 // Drop takes a node out that the list ended. What is out carries on; then it is forgotten.
-func (p *Pool) Drop(id broker.NodeID) {
+func (p *Pool) Drop(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
 		n.gone, p.due = true, 0
 		p.withhold(n)
@@ -163,20 +163,20 @@
 }
 
 // Send writes the parts to a node as one call. The slice is the pool's from here on.
-func (p *Pool) Send(id broker.NodeID, parts []*Part) {
+func (p *Pool) Send(id decision.NodeID, parts []*Part) {
 	n := p.nodes[id]
 	if n == nil {
-		p.end(parts, broker.NeverSent)
+		p.end(parts, decision.NeverSent)
 		return
 	}
 	for {
 		c := p.choose(n, parts)
 		if c == nil && p.budget != nil {
-			p.end(parts, broker.NeverSent) // the node is not to blame
+			p.end(parts, decision.NeverSent) // the node is not to blame
 			return
 		}
 		if c == nil {
-			p.end(parts, broker.ConnectFailed)
+			p.end(parts, decision.ConnectFailed)
 			return
 		}
 		for _, part := range parts {
--- a/internal/transport/store/withhold_test.go
+++ b/internal/transport/store/withhold_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"flaxfront/internal/decision/broker"
+	"flaxfront/internal/decision"
 )
 
 // What waits for a connection is not written once the list has ended or drained its node, or tells a newer start of it, however late
@@ -21,7 +21,7 @@
 			called := b.send("a.1", "a.2")
 			b.Cancel(called[0])
 			change(b)
-			b.expect("a.1 6", "a.2 "+outcome(broker.NeverSent))
+			b.expect("a.1 6", "a.2 "+outcome(decision.NeverSent))
 			time.Sleep(b.hold)
 			b.settle()
 			for _, p := range b.pipes {
@@ -38,7 +38,7 @@
 			b.send("a.1")
 			time.Sleep(time.Millisecond)
 			if change(b); what == "restarted" {
-				b.expect("a.1 " + outcome(broker.Reset))
+				b.expect("a.1 " + outcome(decision.Reset))
 			} else {
 				b.expect()
 			}
@@ -46,4 +46,4 @@
 	}
 }
 
-func outcome(how broker.Outcome) string { return string(rune('0' + how)) }
+func outcome(how decision.Outcome) string { return string(rune('0' + how)) }
