--- a/cmd/flaxfront/main.go
+++ b/cmd/flaxfront/main.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := server.New(start, own, func(t decision.Terms) decision.Decider { return routing.New(t) })
+	s, err := server.New(start, own, func(t decision.Settings) decision.Router { return routing.New(t) })
 	return start, s, err
 }
 
--- a/cmd/flaxlab/live.go
+++ b/cmd/flaxlab/live.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := server.New(start, own, func(t decision.Terms) decision.Decider { return routing.New(t) })
+	s, err := server.New(start, own, func(t decision.Settings) decision.Router { return routing.New(t) })
 	if err == nil {
 		err = s.Open()
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	host := simwire.NewHost(func(t decision.Terms) decision.Decider { return routing.New(t) })
+	host := simwire.NewHost(func(t decision.Settings) decision.Router { return routing.New(t) })
 	if err := host.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
--- a/internal/config/terms/start.go
+++ b/internal/config/terms/start.go
@@ -85,7 +85,7 @@
 		return at
 	}
 	s.Listen, s.Discovery = address("listen", file.Listen), address("discovery", file.Discovery)
-	if s.Terms.Module.Peers {
+	if s.Terms.Module.GossipAllowed {
 		s.PeerListen, s.PeersAll = address("peer_listen", file.PeerListen), address("peers_all", file.PeersAll)
 		for i, text := range file.Peers {
 			s.Peers = append(s.Peers, address(fmt.Sprintf("peers.%d", i), text))
--- a/internal/config/terms/terms.go
+++ b/internal/config/terms/terms.go
@@ -23,7 +23,7 @@
 
 // Terms are the settings: the module's, and those that only a front on sockets needs.
 type Terms struct {
-	Module   decision.Terms
+	Module   decision.Settings
 	Types    []string // names, in the order of Module.Types
 	Tenants  []string
 	Zones    []string
@@ -39,7 +39,7 @@
 // Fingerprint names the deployment that a node list belongs to: its zones, cells and shards.
 func (t *Terms) Fingerprint() string {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%q %d %d %d", slices.Sorted(slices.Values(t.Zones)), t.Module.Cells, t.Module.Width, t.Shards)
+	fmt.Fprintf(h, "%q %d %d %d", slices.Sorted(slices.Values(t.Zones)), t.Module.Cells, t.Module.CellsPerShard, t.Shards)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
@@ -91,56 +91,56 @@
 	if p.sockets && f.Shards == 0 {
 		p.fail("domain.slices", "no shards")
 	}
-	t := decision.Terms{
-		Seed:         seed,
-		Brokers:      max(1, p.count("balancers", false, 1)),
-		Peers:        p.flag("permissions.peers"),
-		MarksRepeats: p.flag("clients.marksRetry"),
-		Step:         p.span("stepNs", false),
-		OverShare:    p.num("overShareWorth", false, 1),
-		Cells:        p.count("domain.cells", true, 0),
-		Width:        p.count("domain.width", true, 0),
-		BatchParts:   max(1, p.count("domain.partsACall", false, 1)),
+	t := decision.Settings{
+		Seed:               seed,
+		BrokerCount:        max(1, p.count("balancers", false, 1)),
+		GossipAllowed:      p.flag("permissions.peers"),
+		ClientsMarkRetries: p.flag("clients.marksRetry"),
+		ClockStep:          p.span("stepNs", false),
+		OverQuotaWeight:    p.num("overShareWorth", false, 1),
+		Cells:              p.count("domain.cells", true, 0),
+		CellsPerShard:      p.count("domain.width", true, 0),
+		MaxBatch:           max(1, p.count("domain.partsACall", false, 1)),
 
-		Cancels:       p.flag("permissions.cancel"),
-		Probes:        p.flag("permissions.probes"),
-		Idle:          f.Idle,
-		SecondCopies:  p.flag("permissions.secondCopies"),
-		MaxRetryAfter: p.span("permissions.maxRetryAfterNs", false),
-		MaxAttempts:   p.count("permissions.maxAttempts", true, 0),
-		MaxOpen:       p.count("permissions.maxOpen", false, math.MaxInt32),
+		CancelAllowed:       p.flag("permissions.cancel"),
+		HealthChecksAllowed: p.flag("permissions.probes"),
+		ConnIdleTimeout:     f.Idle,
+		HedgingAllowed:      p.flag("permissions.secondCopies"),
+		MaxRetryAfter:       p.span("permissions.maxRetryAfterNs", false),
+		MaxAttempts:         p.count("permissions.maxAttempts", true, 0),
+		MaxInFlight:         p.count("permissions.maxOpen", false, math.MaxInt32),
 
-		ColdFrom:     p.num("safety.coldFrom", false, 1),
-		WarmAfter:    p.span("safety.warmAfterNs", false),
-		FallMultiple: p.num("safety.tipMultiple", false, 1),
-		FallAfter:    p.span("safety.fallNs", false),
+		ColdCapacity:     p.num("safety.coldFrom", false, 1),
+		WarmUpTime:       p.span("safety.warmAfterNs", false),
+		OverloadMultiple: p.num("safety.tipMultiple", false, 1),
+		OverloadAfter:    p.span("safety.fallNs", false),
 
-		ExtraFloor:  p.num("safety.extraFloor", false, 0),
-		ExtraShare:  p.num("safety.furtherRatio", false, 0),
-		ExtraWindow: p.span("safety.lookBackNs", false),
+		ExtraAttemptsMin:    p.num("safety.extraFloor", false, 0),
+		ExtraAttemptsShare:  p.num("safety.furtherRatio", false, 0),
+		ExtraAttemptsWindow: p.span("safety.lookBackNs", false),
 	}
 	switch by := p.text("countedBy", false); by {
 	case "work":
-		t.ByWork = true
+		t.WeightByWork = true
 	case "", "request":
 	default:
 		p.fail("countedBy", "unknown form %q", by)
 	}
-	if p.sockets && t.ExtraWindow == 0 && (t.ExtraFloor > 0 || t.ExtraShare > 0) {
+	if p.sockets && t.ExtraAttemptsWindow == 0 && (t.ExtraAttemptsMin > 0 || t.ExtraAttemptsShare > 0) {
 		p.fail("safety.lookBackNs", "missing, and without it the budget would not hold")
 	}
 	if !p.flag("permissions.retryAfter") {
 		t.MaxRetryAfter = 0
 	}
-	if t.Cells < 1 || t.Width < 1 || t.Width > t.Cells {
-		p.fail("domain.width", "%d of %d cells", t.Width, t.Cells)
+	if t.Cells < 1 || t.CellsPerShard < 1 || t.CellsPerShard > t.Cells {
+		p.fail("domain.width", "%d of %d cells", t.CellsPerShard, t.Cells)
 	}
 	switch mode := p.text("registryMode", false); mode {
 	case "ask":
-		t.AskList = true
+		t.PollList = true
 	case "", "push":
 		f.Pushed = mode == "push"
-		t.AskList = p.sockets // discovery on sockets tells only those who ask
+		t.PollList = p.sockets // discovery on sockets tells only those who ask
 	default:
 		p.fail("registryMode", "unknown form %q", mode)
 	}
@@ -149,44 +149,44 @@
 	fetches := p.list("domain.fetchParts", n, 0)
 	for i := range n {
 		at := fmt.Sprintf("classes.%d.", i)
-		c := decision.SearchType{
-			Target:    p.span(at+"aimNs", true),
-			Timeout:   p.span(at+"deadlineNs", true),
-			Value:     p.num(at+"credit", false, 1),
-			LateShare: p.num(at+"lateShare", false, 0),
-			Window:    p.span(at+"windowNs", false),
-			Floor:     floors[i],
-			Need:      needs[i],
-			Fetch:     int(fetches[i]),
+		c := decision.QueryType{
+			LatencyObjective:    p.span(at+"aimNs", true),
+			Timeout:             p.span(at+"deadlineNs", true),
+			PriorityWeight:      p.num(at+"credit", false, 1),
+			LateWeight:          p.num(at+"lateShare", false, 0),
+			IdempotencyWindow:   p.span(at+"windowNs", false),
+			MinCompleteness:     floors[i],
+			FullCompleteness:    needs[i],
+			SecondPhaseRequests: int(fetches[i]),
 		}
 		switch effect := p.text(at+"effect", true); effect {
 		case "read_like":
-			c.Effect = decision.Idempotent
+			c.Idempotency = decision.Idempotent
 		case "idempotency_key":
-			c.Effect = decision.Tokened
+			c.Idempotency = decision.IdempotencyKeyed
 		case "non_idempotent":
-			c.Effect = decision.NonIdempotent
+			c.Idempotency = decision.NonIdempotent
 		default:
 			p.fail(at+"effect", "unknown form %q", effect)
 		}
-		if p.sockets && c.Effect == decision.Tokened && c.Window <= 0 {
+		if p.sockets && c.Idempotency == decision.IdempotencyKeyed && c.IdempotencyWindow <= 0 {
 			p.fail(at+"windowNs", "missing, and nothing tells how long repeats are dropped")
 		}
-		if p.sockets && (c.Floor > c.Need || c.Need > 1) {
-			p.fail("domain.classFloor", "%v of %v that make a whole answer", c.Floor, c.Need)
+		if p.sockets && (c.MinCompleteness > c.FullCompleteness || c.FullCompleteness > 1) {
+			p.fail("domain.classFloor", "%v of %v that make a whole answer", c.MinCompleteness, c.FullCompleteness)
 		}
-		if p.sockets && (c.Target <= 0 || c.Timeout < c.Target) {
-			p.fail(at+"aimNs", "%v, with a client timeout of %v", c.Target, c.Timeout)
+		if p.sockets && (c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective) {
+			p.fail(at+"aimNs", "%v, with a client timeout of %v", c.LatencyObjective, c.Timeout)
 		}
-		t.Types = append(t.Types, c)
+		t.QueryTypes = append(t.QueryTypes, c)
 		f.Types = append(f.Types, p.text(at+"name", p.sockets))
 	}
 	for i := range p.size("realms.count", false) {
 		at := fmt.Sprintf("realms.%d.", i)
 		f.Tenants = append(f.Tenants, p.text(at+"name", p.sockets))
 		t.Tenants = append(t.Tenants, decision.Tenant{
-			Portion: p.num(at+"portion", true, 0),
-			Quota:   p.num(at+"quotaPerS", false, 0),
+			TrafficShare: p.num(at+"portion", true, 0),
+			Quota:        p.num(at+"quotaPerS", false, 0),
 		})
 	}
 	f.Module = t
--- a/internal/config/terms/terms_test.go
+++ b/internal/config/terms/terms_test.go
@@ -63,8 +63,8 @@
 	if !reflect.DeepEqual(a.Module, b.Module) {
 		t.Errorf("from JSON %+v\nfrom text %+v", a.Module, b.Module)
 	}
-	if a.Module.Types[0].Target != 2*time.Second || a.Module.Types[0].Effect != decision.Idempotent {
-		t.Errorf("type read as %+v", a.Module.Types[0])
+	if a.Module.QueryTypes[0].LatencyObjective != 2*time.Second || a.Module.QueryTypes[0].Idempotency != decision.Idempotent {
+		t.Errorf("type read as %+v", a.Module.QueryTypes[0])
 	}
 	if a.Zones[1] != "south side" || a.Tenants[0] != "a, b" || a.Types[0] != "find" || a.Shards != 9 ||
 		a.Streams != 32 || a.Idle != 30*time.Second || a.Dial != 250*time.Millisecond || a.Me != 1 {
@@ -140,7 +140,7 @@
 	f.Add([]byte(settings))
 	f.Add([]byte(`{"classes":[[{}],{"a":[null]}],"azs":{}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if terms, err := FromJSON(raw, 1); err == nil && (len(terms.Types) != len(terms.Module.Types) ||
+		if terms, err := FromJSON(raw, 1); err == nil && (len(terms.Types) != len(terms.Module.QueryTypes) ||
 			terms.Module.Cells < 1 || terms.Shards < 1) {
 			t.Errorf("let through: %+v", terms)
 		}
--- a/internal/decision/cachedlist/evidence.go
+++ b/internal/decision/cachedlist/evidence.go
@@ -54,11 +54,11 @@
 			return oddsSilent
 		}
 		return 1
-	case decision.Reset:
+	case decision.ConnectionReset:
 		return oddsBroken
 	case decision.Errored:
 		return oddsErrored
-	case decision.Refused:
+	case decision.Rejected:
 		return oddsRefused
 	default:
 		return 1
--- a/internal/decision/cachedlist/trust_test.go
+++ b/internal/decision/cachedlist/trust_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestEvidenceWeighsMoreTheOlderTheEntry(t *testing.T) {
-	for _, how := range []decision.Outcome{decision.ConnectFailed, decision.TimedOut, decision.Refused, decision.Reset, decision.Errored} {
+	for _, how := range []decision.Outcome{decision.ConnectFailed, decision.TimedOut, decision.Rejected, decision.ConnectionReset, decision.Errored} {
 		last := 100
 		for _, age := range []time.Duration{0, time.Hour, day, 7 * day, 29 * day} {
 			n := strikes(age, how)
--- a/internal/decision/forwarding/far.go
+++ b/internal/decision/forwarding/far.go
@@ -100,7 +100,7 @@
 // is taken, and foreign ones take a stated share of the places at most. A search that is known runs no second time, however
 // often and over whichever link it comes; where there is no room to remember another one it is turned away, as the memory
 // is what keeps an effect from coming twice.
-func (f *Far) Arrive(k Key, link uint64, effect decision.Effect, parts int, left time.Duration, l Load, now time.Duration) Ruling {
+func (f *Far) Arrive(k Key, link uint64, effect decision.Idempotency, parts int, left time.Duration, l Load, now time.Duration) Ruling {
 	if link < f.links[k.Origin] {
 		return Stale
 	}
--- a/internal/decision/forwarding/forwarding_test.go
+++ b/internal/decision/forwarding/forwarding_test.go
@@ -118,7 +118,7 @@
 // What a lost link leaves, by effect and by what is known.
 func TestLost(t *testing.T) {
 	for what, c := range map[string]struct {
-		effect decision.Effect
+		effect decision.Idempotency
 		unsent bool
 		then   func(n *Near)
 		want   []Kind
@@ -129,8 +129,8 @@
 		"non-idempotent, the link stays away":    {decision.NonIdempotent, false, func(n *Near) { n.Tick(500 * ms) }, []Kind{Fail}, false},
 		"non-idempotent, the same process":       {decision.NonIdempotent, false, func(n *Near) { n.Up(0, 1, 10, 300*ms) }, []Kind{Forward}, false},
 		"non-idempotent, another process":        {decision.NonIdempotent, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Fail}, false},
-		"tokened, another process in its window": {decision.Tokened, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Home}, true},
-		"tokened, past its window":               {decision.Tokened, false, func(n *Near) { n.peers[0].up = false; n.trips[9].Window = 100 * ms; n.Tick(500 * ms) }, []Kind{Fail}, false},
+		"tokened, another process in its window": {decision.IdempotencyKeyed, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Home}, true},
+		"tokened, past its window":               {decision.IdempotencyKeyed, false, func(n *Near) { n.peers[0].up = false; n.trips[9].Window = 100 * ms; n.Tick(500 * ms) }, []Kind{Fail}, false},
 		"its client goes":                        {decision.NonIdempotent, false, func(n *Near) { n.Gone(9); n.Up(0, 1, 10, 300*ms) }, nil, false},
 	} {
 		n := near(1)
@@ -156,7 +156,7 @@
 
 // Whoever waits too long is told while there is time to speak.
 func TestGivenUpInTime(t *testing.T) {
-	for effect, want := range map[decision.Effect]Kind{decision.Idempotent: Shed, decision.Tokened: Fail, decision.NonIdempotent: Fail} {
+	for effect, want := range map[decision.Idempotency]Kind{decision.Idempotent: Shed, decision.IdempotencyKeyed: Fail, decision.NonIdempotent: Fail} {
 		n := near(1)
 		n.Offer(Search{ID: 9, Effect: effect, Due: time.Second}, 10*ms)
 		n.Acts()
--- a/internal/decision/forwarding/model_test.go
+++ b/internal/decision/forwarding/model_test.go
@@ -16,7 +16,7 @@
 // model is one state. It is made anew by replaying the choices that lead to it, as the real code can't be copied.
 type model struct {
 	variant string
-	effect  decision.Effect
+	effect  decision.Idempotency
 	near    *Near
 	far     *Far
 	now     time.Duration
@@ -54,7 +54,7 @@
 var modelPolicy = Policy{Share: 0.1, Burst: 5, MostAbroad: 10, LeastLeft: 20 * time.Millisecond, Speak: 50 * time.Millisecond,
 	Resume: 200 * time.Millisecond, Accept: 0.5, MostRemember: 4}
 
-func newModel(variant string, effect decision.Effect) *model {
+func newModel(variant string, effect decision.Idempotency) *model {
 	m := &model{variant: variant, effect: effect, near: NewNear(modelPolicy, []string{"far"}), far: NewFar(modelPolicy),
 		epoch: 1, toFar: map[uint64][]msg{}}
 	return m
@@ -179,7 +179,7 @@
 }
 
 // explore tries everything to a depth and returns the states met and the first fault with the way to it.
-func explore(variant string, effect decision.Effect, depth int) (states int, wrong string) {
+func explore(variant string, effect decision.Idempotency, depth int) (states int, wrong string) {
 	seen := map[string]bool{}
 	paths := [][]byte{{}}
 	for range depth {
@@ -217,7 +217,7 @@
 
 // Whatever a link, two processes and time do to one forwarded search, the rules hold.
 func TestModel(t *testing.T) {
-	for _, effect := range []decision.Effect{decision.Idempotent, decision.Tokened, decision.NonIdempotent} {
+	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.IdempotencyKeyed, decision.NonIdempotent} {
 		states, wrong := explore("", effect, modelDepth())
 		if wrong != "" {
 			t.Errorf("effect %d: %s", effect, wrong)
--- a/internal/decision/forwarding/near.go
+++ b/internal/decision/forwarding/near.go
@@ -50,7 +50,7 @@
 // Search is what routes know of one.
 type Search struct {
 	ID      uint64 // unique while this broker runs
-	Effect  decision.Effect
+	Effect  decision.Idempotency
 	Window  time.Duration // tokened: how long repeats are dropped
 	Due     time.Duration // when its client gives up
 	Shards  []int
--- a/internal/decision/forwarding/random_test.go
+++ b/internal/decision/forwarding/random_test.go
@@ -90,7 +90,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
 				id++
-				s := Search{ID: id, Effect: decision.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: 300 * ms, Due: now + time.Second}
+				s := Search{ID: id, Effect: decision.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), Window: 300 * ms, Due: now + time.Second}
 				if n.Offer(s, now) {
 					due[id] = s.Due
 				}
--- a/internal/decision/forwarding/trips.go
+++ b/internal/decision/forwarding/trips.go
@@ -48,7 +48,7 @@
 	switch {
 	case t.Effect == decision.Idempotent:
 		n.bring(t, now, true)
-	case t.Effect == decision.Tokened && now <= t.sent+t.Window:
+	case t.Effect == decision.IdempotencyKeyed && now <= t.sent+t.Window:
 		n.bring(t, now, false)
 	default:
 		n.end(t, Fail)
--- a/internal/decision/gossip/gossip.go
+++ b/internal/decision/gossip/gossip.go
@@ -18,7 +18,7 @@
 	Version uint64 // of the list that told it
 	Service uint32 // names the discovery
 	Node    decision.NodeID
-	State   decision.ListState
+	State   decision.EndpointState
 	Started int64 // in Unix time in milliseconds; 0: long ago
 }
 
@@ -39,7 +39,7 @@
 	if len(b) != size || b[18] > byte(decision.Ready) {
 		return w, false
 	}
-	w = Word{Version: binary.BigEndian.Uint64(b), Service: binary.BigEndian.Uint32(b[8:]), State: decision.ListState(b[18]),
+	w = Word{Version: binary.BigEndian.Uint64(b), Service: binary.BigEndian.Uint32(b[8:]), State: decision.EndpointState(b[18]),
 		Started: int64(binary.BigEndian.Uint64(b[19:])), Node: decision.NodeID{Addr: [4]byte(b[12:]), Port: binary.BigEndian.Uint16(b[16:])}}
 	return w, w.Started >= 0
 }
@@ -76,7 +76,7 @@
 
 // Hear tells whether another broker's word counts here, where the node is in such a state. Danger: a word that is late, of another
 // discovery or of a process that has gone would bring a node back that drains. Nothing but a new start makes one ready again.
-func (b *Book) Hear(w Word, known bool, state decision.ListState, started int64) bool {
+func (b *Book) Hear(w Word, known bool, state decision.EndpointState, started int64) bool {
 	if !known || w.Service != b.Service || w.Version <= b.told[w.Node] ||
 		state == decision.Draining && w.State == decision.Ready && w.Started <= started {
 		b.Counts.ListStale++
--- a/internal/decision/gossip/gossip_test.go
+++ b/internal/decision/gossip/gossip_test.go
@@ -13,12 +13,12 @@
 	for name, c := range map[string]struct {
 		w       Word
 		known   bool
-		state   decision.ListState
+		state   decision.EndpointState
 		started int64
 		want    bool
 	}{
 		"a drain":             {Word{6, 1, node(1), decision.Draining, 0}, true, decision.Ready, 0, true},
-		"an end":              {Word{6, 1, node(1), decision.Gone, 0}, true, decision.Draining, 0, true},
+		"an end":              {Word{6, 1, node(1), decision.Removed, 0}, true, decision.Draining, 0, true},
 		"a new start":         {Word{6, 1, node(1), decision.Ready, 9}, true, decision.Draining, 0, true},
 		"ready again":         {Word{6, 1, node(1), decision.Ready, 0}, true, decision.Draining, 0, false},
 		"an earlier process":  {Word{6, 1, node(1), decision.Ready, 3}, true, decision.Draining, 9, false},
@@ -39,7 +39,7 @@
 func TestBounds(t *testing.T) {
 	b := NewBook(1)
 	for i := range uint16(200) {
-		w := Word{uint64(i) + 1, 1, node(i), decision.Gone, int64(i)}
+		w := Word{uint64(i) + 1, 1, node(i), decision.Removed, int64(i)}
 		if !b.Told(w, false) || b.Told(w, false) || b.Told(w, true) {
 			t.Fatal("a change is told on once, a whole list never")
 		}
--- a/internal/decision/readpin/readpin.go
+++ b/internal/decision/readpin/readpin.go
@@ -83,7 +83,7 @@
 }
 
 // List takes over a list of nodes, or the lines that changed.
-func (b *Book) List(now time.Duration, whole bool, entries []decision.Entry) {
+func (b *Book) List(now time.Duration, whole bool, entries []decision.Endpoint) {
 	if whole {
 		for i := range b.seats {
 			b.seats[i].leave(now) // those that it names come back below
@@ -92,7 +92,7 @@
 	for i := range entries {
 		e := &entries[i]
 		at, known := b.byID[e.Node]
-		if e.State == decision.Gone {
+		if e.State == decision.Removed {
 			if known {
 				b.seats[at].leave(now)
 			}
--- a/internal/decision/readpin/readpin_test.go
+++ b/internal/decision/readpin/readpin_test.go
@@ -23,9 +23,9 @@
 	return b
 }
 
-func lines(nodes int) (all []decision.Entry) {
+func lines(nodes int) (all []decision.Endpoint) {
 	for i := range nodes {
-		all = append(all, decision.Entry{Node: id(i), State: decision.Ready})
+		all = append(all, decision.Endpoint{Node: id(i), State: decision.Ready})
 	}
 	return all
 }
@@ -60,7 +60,7 @@
 	for n, pins := range had {
 		must(t, pins > 850 && pins < 1150, "%v has %d of 9000", n, pins)
 	}
-	a.List(0, false, []decision.Entry{{Node: id(4), State: decision.Gone}})
+	a.List(0, false, []decision.Endpoint{{Node: id(4), State: decision.Removed}})
 	for pin := range uint64(9000) {
 		n := a.first(0, pin+1, 2)
 		must(t, n != id(4) && (n == before[pin] || before[pin] == id(4)), "pin %d moved from %v to %v", pin, before[pin], n)
@@ -75,7 +75,7 @@
 	for pin := range uint64(100) {
 		before = append(before, b.first(0, pin+1, 0))
 	}
-	b.List(0, false, []decision.Entry{{Node: id(9), State: decision.Ready}})
+	b.List(0, false, []decision.Endpoint{{Node: id(9), State: decision.Ready}})
 	b.Epoch(6, []decision.NodeID{id(9)})
 	for pin := range uint64(100) {
 		must(t, b.first(0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
@@ -123,7 +123,7 @@
 	one, two := all[0], all[1]
 	b.Learn(100*ms, one, 0, 99*ms, Report{90, 0})
 	b.Learn(100*ms, two, 0, 99*ms, Report{80, 0})
-	b.List(101*ms, false, []decision.Entry{{Node: one, State: decision.Gone}})
+	b.List(101*ms, false, []decision.Endpoint{{Node: one, State: decision.Removed}})
 	got, m, back := b.Choose(101*ms, 0, 0, &a, nil)
 	must(t, len(got) == 0 && back > 0 && m.Pos == 90, "%v, %+v", got, m)
 	b.Learn(120*ms, two, 0, 119*ms, Report{91, 0})
--- a/internal/decision/readpin/truth_test.go
+++ b/internal/decision/readpin/truth_test.go
@@ -163,9 +163,9 @@
 
 func benchBook() *Book {
 	b := New(Default(64, 16, 1))
-	var all []decision.Entry
+	var all []decision.Endpoint
 	for i := range 128 {
-		all = append(all, decision.Entry{Node: id(i), Cell: i % 16, State: decision.Ready})
+		all = append(all, decision.Endpoint{Node: id(i), Cell: i % 16, State: decision.Ready})
 	}
 	b.List(0, true, all)
 	for i := range 128 {
--- a/internal/decision/routing/actors.go
+++ b/internal/decision/routing/actors.go
@@ -49,7 +49,7 @@
 	limp    time.Duration // tick: the latency it is held against
 	gap     time.Duration // tick: usual time between two parts that a node is sent
 	ev      *decision.Event
-	entry   decision.Entry
+	entry   decision.Endpoint
 }
 
 // actor reads the notes of its inbox.
@@ -83,7 +83,7 @@
 }
 
 func (l *Logic) logf(format string, args ...any) {
-	l.out = append(l.out, decision.Action{Kind: decision.Log, Text: fmt.Sprintf(format, args...)})
+	l.out = append(l.out, decision.Action{Kind: decision.LogMessage, Text: fmt.Sprintf(format, args...)})
 }
 
 // rand draws from [0, 1).
@@ -109,7 +109,7 @@
 
 // Logic is one broker's decisions.
 type Logic struct {
-	t       *decision.Terms
+	t       *decision.Settings
 	now     time.Duration
 	armed   time.Duration // the earliest wake asked for and not yet come
 	out     []decision.Action
@@ -128,10 +128,10 @@
 }
 
 // New makes the decisions of one broker.
-func New(t decision.Terms) *Logic {
+func New(t decision.Settings) *Logic {
 	l := &Logic{t: &t, armed: -1, byID: map[decision.NodeID]int32{}, chance: fnv.New64a()}
-	for i := range t.Types {
-		l.longest = max(l.longest, t.Types[i].Timeout)
+	for i := range t.QueryTypes {
+		l.longest = max(l.longest, t.QueryTypes[i].Timeout)
 	}
 	l.desk.start(l)
 	l.keeper = keeper{l: l, box: inbox{to: &l.keeper}, backoff: askFirst}
@@ -141,28 +141,28 @@
 // Retune has the module go on under new terms. What is in hand ends as the terms say under which it was taken; all that was
 // learned stays, the budget of further sub-requests too. moved: shards lie elsewhere now, or other nodes hold them. Then parts in
 // hand are sent to no other node, and the front empties the node list first.
-func (l *Logic) Retune(t decision.Terms, moved bool) {
+func (l *Logic) Retune(t decision.Settings, moved bool) {
 	t.Seed = l.t.Seed
-	if t.ExtraWindow > l.t.ExtraWindow { // what was sent so long ago is not known: the stated few count as spent
-		l.desk.extras = append(l.desk.extras, slices.Repeat([]time.Duration{l.now}, int(t.ExtraFloor))...)
+	if t.ExtraAttemptsWindow > l.t.ExtraAttemptsWindow { // what was sent so long ago is not known: the stated few count as spent
+		l.desk.extras = append(l.desk.extras, slices.Repeat([]time.Duration{l.now}, int(t.ExtraAttemptsMin))...)
 	}
 	l.t = &t
-	for i := range t.Types {
-		l.longest = max(l.longest, t.Types[i].Timeout)
+	for i := range t.QueryTypes {
+		l.longest = max(l.longest, t.QueryTypes[i].Timeout)
 	}
 	l.desk.relay(moved)
 }
 
-// Turn takes one batch of events and appends what is to be done.
-func (l *Logic) Turn(now time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
+// Step takes one batch of events and appends what is to be done.
+func (l *Logic) Step(now time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	l.now, l.out = now, actions
 	for i := range events {
 		switch ev := &events[i]; ev.Kind {
-		case decision.ListFull, decision.ListDelta, decision.ListFailed:
+		case decision.FullListReceived, decision.ListUpdateReceived, decision.ListPollFailed:
 			l.post(&l.keeper.box, note{kind: event, ev: ev})
 			l.run() // parts later in the batch need the list
-		case decision.PeerSaid:
-			l.hear(ev.Text)
+		case decision.GossipReceived:
+			l.hear(ev.Payload)
 		default:
 			l.post(&l.desk.box, note{kind: event, ev: ev})
 		}
@@ -187,7 +187,7 @@
 	l.post(&l.desk.box, note{kind: sweep})
 	l.run()
 	if len(l.news) > 0 {
-		l.out = append(l.out, decision.Action{Kind: decision.Tell, Text: string(l.news)})
+		l.out = append(l.out, decision.Action{Kind: decision.SendGossip, Text: string(l.news)})
 		l.news = l.news[:0]
 	}
 	if l.armed >= 0 && l.armed <= now {
@@ -195,7 +195,7 @@
 	}
 	if at := min(l.desk.next, l.keeper.next); at < never && (l.armed < 0 || at < l.armed) {
 		l.armed = max(at, now+1)
-		l.out = append(l.out, decision.Action{Kind: decision.Wake, At: l.armed})
+		l.out = append(l.out, decision.Action{Kind: decision.SetTimer, TimerAt: l.armed})
 	}
 	actions, l.out = l.out, nil
 	return actions
@@ -211,7 +211,7 @@
 
 // spread keeps a fact for the peers.
 func (l *Logic) spread(kind byte, id decision.NodeID) {
-	if l.t.Peers && len(l.news) < factsMost*factSize {
+	if l.t.GossipAllowed && len(l.news) < factsMost*factSize {
 		l.news = append(append(l.news, kind), id.Addr[:]...)
 		l.news = binary.BigEndian.AppendUint16(l.news, id.Port)
 	}
--- a/internal/decision/routing/asked_test.go
+++ b/internal/decision/routing/asked_test.go
@@ -13,15 +13,15 @@
 	const most = 1500 * ms
 	for seed := range uint64(100) {
 		terms := smallTerms()
-		terms.Seed, terms.AskList = seed, true
+		terms.Seed, terms.PollList = seed, true
 		l, now := New(terms), time.Duration(0)
-		l.Turn(now, nil, nil)
+		l.Step(now, nil, nil)
 		for failure := range 20 {
 			failed := now
-			events := []decision.Event{{Kind: decision.ListFailed}}
-			for asked := false; !asked; now += terms.Step {
-				for _, a := range l.Turn(now, events, nil) {
-					asked = asked || a.Kind == decision.Subscribe
+			events := []decision.Event{{Kind: decision.ListPollFailed}}
+			for asked := false; !asked; now += terms.ClockStep {
+				for _, a := range l.Step(now, events, nil) {
+					asked = asked || a.Kind == decision.SubscribeList
 				}
 				if events = nil; now-failed > most {
 					t.Fatalf("seed %d: not asked again %v after failure %d", seed, now-failed, failure+1)
--- a/internal/decision/routing/board.go
+++ b/internal/decision/routing/board.go
@@ -12,7 +12,7 @@
 func (d *desk) lay(l *Logic) {
 	d.l, d.box.to, d.next, d.idleMost = l, d, never, never
 	d.refs = map[uint64]ref{}
-	d.lengths = make([]majority, len(l.t.Types))
+	d.lengths = make([]majority, len(l.t.QueryTypes))
 	d.flows = make([]rate, l.t.Cells)
 	d.cells = make([][]int32, l.t.Cells)
 	d.warms = make([]int, l.t.Cells)
@@ -23,7 +23,7 @@
 // relay makes room for what new terms list, with the nodes in the cells that these have.
 func (d *desk) relay(moved bool) {
 	l := d.l
-	d.lengths, d.rates = make([]majority, len(l.t.Types)), make([]rate, len(l.t.Tenants))
+	d.lengths, d.rates = make([]majority, len(l.t.QueryTypes)), make([]rate, len(l.t.Tenants))
 	d.flows, d.slopes = make([]rate, l.t.Cells), make([]slope, l.t.Cells)
 	d.cells, d.warms, d.warm = make([][]int32, l.t.Cells), make([]int, l.t.Cells), 0
 	for i := range d.board {
@@ -45,7 +45,7 @@
 // holding lists the nodes that hold a shard, well or not.
 func (d *desk) holding(shard int) []int32 {
 	d.holders = d.holders[:0]
-	for j := range d.l.t.Width {
+	for j := range d.l.t.CellsPerShard {
 		d.holders = append(d.holders, d.cells[(shard+j)%d.l.t.Cells]...)
 	}
 	return d.holders
@@ -55,7 +55,7 @@
 func (d *desk) kin(cell int) []int32 {
 	d.holders = d.holders[:0]
 	cells := d.l.t.Cells
-	for j := 1 - d.l.t.Width; j < d.l.t.Width; j++ {
+	for j := 1 - d.l.t.CellsPerShard; j < d.l.t.CellsPerShard; j++ {
 		d.holders = append(d.holders, d.cells[((cell+j)%cells+cells)%cells]...)
 	}
 	return d.holders
@@ -63,7 +63,7 @@
 
 // like is how many nodes neither cold nor distrusted hold a shard.
 func (d *desk) like(shard int) (n int) {
-	for j := range d.l.t.Width {
+	for j := range d.l.t.CellsPerShard {
 		n += d.warms[(shard+j)%d.l.t.Cells]
 	}
 	return n
@@ -121,15 +121,15 @@
 		d.sweep()
 	case event:
 		switch n.ev.Kind {
-		case decision.SearchIn:
+		case decision.QueryReceived:
 			d.take(n.ev)
-		case decision.PartIn:
+		case decision.ShardRequestReceived:
 			d.addPart(n.ev)
-		case decision.Ended:
+		case decision.AttemptEnded:
 			d.ended(n.ev)
-		case decision.Probed:
+		case decision.HealthCheckEnded:
 			d.probed(n.ev)
-		case decision.Left:
+		case decision.ClientLeft:
 			if r, ok := d.find(n.ev.ID); ok && r.part < 0 {
 				d.drop(r.slot)
 			}
@@ -141,11 +141,11 @@
 func (k *keeper) merge(ev *decision.Event) {
 	l := k.l
 	k.forget()
-	for i := range ev.Entries {
-		e := ev.Entries[i]
+	for i := range ev.Endpoints {
+		e := ev.Endpoints[i]
 		at, known := l.byID[e.Node]
 		if !known {
-			if e.State == decision.Gone {
+			if e.State == decision.Removed {
 				continue
 			}
 			if n := len(l.vacant); n > 0 {
@@ -155,7 +155,7 @@
 				l.nodes, l.desk.board = append(l.nodes, nil), append(l.desk.board, seat{})
 			}
 			l.byID[e.Node] = at
-			l.nodes[at] = &node{l: l, at: at, id: e.Node, boot: decision.NoBoot, trusted: true, slow: 1}
+			l.nodes[at] = &node{l: l, at: at, id: e.Node, boot: decision.StartedLongAgo, trusted: true, slow: 1}
 			l.nodes[at].box.to = l.nodes[at]
 			l.desk.board[at] = seat{id: e.Node, zone: e.Zone, slow: 1, share: 1, vouched: -time.Hour}
 			for len(l.desk.zones) <= e.Zone {
@@ -163,16 +163,16 @@
 			}
 		}
 		l.nodes[at].named = ev
-		if l.nodes[at].left = never; e.State == decision.Gone {
+		if l.nodes[at].left = never; e.State == decision.Removed {
 			l.nodes[at].left = l.now
 		}
 		l.post(&l.nodes[at].box, note{kind: listed, entry: e})
 	}
-	if ev.Kind == decision.ListFull {
+	if ev.Kind == decision.FullListReceived {
 		for _, nd := range l.nodes {
 			if k.knows(nd) && nd.named != ev {
 				nd.left = min(nd.left, l.now)
-				l.post(&nd.box, note{kind: listed, entry: decision.Entry{Cell: nd.cell, State: decision.Gone, Boot: nd.boot}})
+				l.post(&nd.box, note{kind: listed, entry: decision.Endpoint{Cell: nd.cell, State: decision.Removed, StartedAt: nd.boot}})
 			}
 		}
 	}
--- a/internal/decision/routing/books.go
+++ b/internal/decision/routing/books.go
@@ -23,15 +23,15 @@
 // returned takes a sub-request that has ended off the books; the last result is nil if nobody waits for it.
 func (d *desk) returned(e *decision.Event) (*search, *part, *attempt) {
 	if at, known := d.l.byID[e.Node]; known {
-		d.weigh(&d.board[at], e.Outcome, e.Took)
+		d.weigh(&d.board[at], e.Outcome, e.Elapsed)
 		d.board[at].talked = d.l.now
 		d.widen(&d.board[at], e)
 		if e.Outcome == decision.OK || e.Outcome == decision.Stale {
-			d.board[at].proved = max(d.board[at].proved, d.l.now-e.Took)
-			d.board[at].vouched = max(d.board[at].vouched, d.l.now-e.Took)
+			d.board[at].proved = max(d.board[at].proved, d.l.now-e.Elapsed)
+			d.board[at].vouched = max(d.board[at].vouched, d.l.now-e.Elapsed)
 		}
-		d.unload(&d.board[at], d.l.now-e.Took)
-		d.l.post(&d.l.nodes[at].box, note{kind: ended, outcome: e.Outcome, took: e.Took})
+		d.unload(&d.board[at], d.l.now-e.Elapsed)
+		d.l.post(&d.l.nodes[at].box, note{kind: ended, outcome: e.Outcome, took: e.Elapsed})
 	}
 	r, ok := d.find(e.ID)
 	if !ok || r.part < 0 {
@@ -61,7 +61,7 @@
 	d.stirred.set(at)
 	p.tries = append(p.tries, attempt{node: at, live: true, at: now, load: d.load(p.shard), idle: idle})
 	p.live++
-	if n := len(b.calls); n > 0 && b.calls[n-1].at == now && b.calls[n-1].parts < d.l.t.BatchParts {
+	if n := len(b.calls); n > 0 && b.calls[n-1].at == now && b.calls[n-1].parts < d.l.t.MaxBatch {
 		b.calls[n-1].parts++
 	} else {
 		b.calls = append(b.calls, call{now, 1})
@@ -109,14 +109,14 @@
 
 // admit puts a new search in the slab; one of an unknown type is failed.
 func (d *desk) admit(e *decision.Event) *search {
-	if e.Type >= len(d.l.t.Types) {
+	if e.Type >= len(d.l.t.QueryTypes) {
 		d.l.logf("search of unknown type %d failed", e.Type)
-		d.l.out = append(d.l.out, decision.Action{Kind: decision.Fail, ID: e.ID})
+		d.l.out = append(d.l.out, decision.Action{Kind: decision.FailQuery, ID: e.ID})
 		return nil
 	}
 	slot, now := d.place(), d.l.now
 	s := &d.slab[slot]
-	*s = search{gen: s.gen, id: e.ID, inUse: true, serial: e.Serial, typ: &d.l.t.Types[e.Type],
+	*s = search{gen: s.gen, id: e.ID, inUse: true, serial: e.Serial, typ: &d.l.t.QueryTypes[e.Type],
 		tenant: e.Tenant, expect: int(e.Weight), parts: s.parts[:0]}
 	d.refs[e.ID] = ref{slot, -1, s.gen}
 	d.places += 1 + s.expect
@@ -131,7 +131,7 @@
 }
 
 func (d *desk) count() {
-	if w := d.l.t.ExtraWindow; w > 0 {
+	if w := d.l.t.ExtraAttemptsWindow; w > 0 {
 		d.asks = trim(append(d.asks, d.l.now), d.l.now-w)
 	}
 }
@@ -139,19 +139,19 @@
 // afford is how many further sub-requests the budget leaves by a time (rule 6).
 func (d *desk) afford(by time.Duration) float64 {
 	t, spent := d.l.t, 0
-	d.asks, d.extras = trim(d.asks, d.l.now-t.ExtraWindow), trim(d.extras, d.l.now-t.Step-t.ExtraWindow)
+	d.asks, d.extras = trim(d.asks, d.l.now-t.ExtraAttemptsWindow), trim(d.extras, d.l.now-t.ClockStep-t.ExtraAttemptsWindow)
 	for _, at := range d.extras {
-		if at > by-t.ExtraWindow {
+		if at > by-t.ExtraAttemptsWindow {
 			spent++
 		}
 	}
-	return t.ExtraFloor + t.ExtraShare*float64(len(d.asks)) - float64(spent)
+	return t.ExtraAttemptsMin + t.ExtraAttemptsShare*float64(len(d.asks)) - float64(spent)
 }
 
 // spend books a further sub-request.
 func (d *desk) spend() {
 	d.tokens--
-	if d.l.t.ExtraWindow > 0 {
+	if d.l.t.ExtraAttemptsWindow > 0 {
 		d.extras = append(d.extras, d.l.now)
 	}
 }
@@ -172,7 +172,7 @@
 	} else {
 		s.parts = append(s.parts, part{})
 	}
-	s.parts[n] = part{id: e.ID, shard: e.Shard, weight: e.Weight, only: e.Only, tries: s.parts[n].tries[:0], dead: s.moved}
+	s.parts[n] = part{id: e.ID, shard: e.Shard, weight: e.Weight, only: e.Allowed, tries: s.parts[n].tries[:0], dead: s.moved}
 	s.calm = false
 	d.refs[e.ID] = ref{slot, int32(n), s.gen}
 }
@@ -188,8 +188,8 @@
 		p.live--
 		p.risk(a.at)
 		d.lost(p, a)
-		if d.l.t.Cancels {
-			d.l.out = append(d.l.out, decision.Action{Kind: decision.Cancel, ID: p.id, Attempt: uint16(i)})
+		if d.l.t.CancelAllowed {
+			d.l.out = append(d.l.out, decision.Action{Kind: decision.CancelAttempt, ID: p.id, Attempt: uint16(i)})
 		}
 	}
 }
@@ -214,8 +214,8 @@
 // answer ends a search, or its first step.
 func (d *desk) answer(slot int32, whole bool) {
 	s := &d.slab[slot]
-	d.l.out = append(d.l.out, decision.Action{Kind: decision.Answer, ID: s.id, Whole: whole})
-	if s.typ.Fetch > 0 && !s.stage2 {
+	d.l.out = append(d.l.out, decision.Action{Kind: decision.AnswerQuery, ID: s.id, Complete: whole})
+	if s.typ.SecondPhaseRequests > 0 && !s.stage2 {
 		d.clearParts(s)
 		d.places -= s.expect
 		s.stage2, s.whole1, s.sent, s.got, s.expect = true, whole, false, 0, 0
--- a/internal/decision/routing/choose.go
+++ b/internal/decision/routing/choose.go
@@ -20,7 +20,7 @@
 	for _, at := range among {
 		b := &d.board[at]
 		n := len(b.calls)
-		open := n > 0 && b.calls[n-1].at == d.l.now && b.calls[n-1].parts < d.l.t.BatchParts
+		open := n > 0 && b.calls[n-1].at == d.l.now && b.calls[n-1].parts < d.l.t.MaxBatch
 		if open && b.mode == fit && p.rank(b.id, true) == 0 {
 			return at
 		}
@@ -40,13 +40,13 @@
 			!again && slices.ContainsFunc(p.tries, func(a attempt) bool { return a.node == i }) {
 			continue
 		}
-		stale := l.t.Probes && l.now-b.vouched > vouchFor
+		stale := l.t.HealthChecksAllowed && l.now-b.vouched > vouchFor
 		waits := stale && first && l.now < s.asked+vouchWait && l.now+d.p50 <= s.deadline
 		if waits || b.eased > 0 && !d.mayEase(b) {
 			full = true
 			continue
 		}
-		due := b.mode == trial && first && s.typ.Effect == decision.Idempotent
+		due := b.mode == trial && first && s.typ.Idempotency == decision.Idempotent
 		if b.mode <= trial && !due {
 			little := len(b.calls) < 2 || l.now-b.last >= darkPace
 			if little && !b.downed && (bestShut < 0 || len(b.calls) < len(d.board[bestShut].calls)) {
@@ -65,7 +65,7 @@
 		if len(b.calls) == 0 && slow > 1 && l.rand() < math.Pow(slow, float64(1-d.like(p.shard))) {
 			cost = 1 // where all are idle, a limping node gets fewer parts the more like it there are
 		}
-		if b.talked == 0 || l.now-b.talked >= l.t.Idle {
+		if b.talked == 0 || l.now-b.talked >= l.t.ConnIdleTimeout {
 			cost += tieBreak // a connection would have to be opened
 		}
 		switch cost += pinStep * float64(rank); {
@@ -89,7 +89,7 @@
 // does. Danger: what a broker with little traffic knows of a node is older than most troubles, and a search
 // of many parts meets each of them. It may hurt by a probe a part.
 func (d *desk) ask(s *search) {
-	if !d.l.t.Probes {
+	if !d.l.t.HealthChecksAllowed {
 		return
 	}
 	s.asked = d.l.now
@@ -97,7 +97,7 @@
 		for _, at := range d.holding(s.parts[i].shard) {
 			if b := &d.board[at]; b.mode != gone && !b.probing && d.l.now-b.vouched > vouchFor {
 				b.probing = true
-				d.l.out = append(d.l.out, decision.Action{Kind: decision.Probe, Node: b.id})
+				d.l.out = append(d.l.out, decision.Action{Kind: decision.SendHealthCheck, Node: b.id})
 			}
 		}
 	}
@@ -116,14 +116,14 @@
 }
 
 // pace is the time between parts to a cold node that all brokers can keep within one core's share.
-func (d *desk) pace(b *seat) float64 { return float64(d.l.t.Brokers) * float64(d.base) / b.share }
+func (d *desk) pace(b *seat) float64 { return float64(d.l.t.BrokerCount) * float64(d.base) / b.share }
 
 // mayEase tells whether a node that is eased in may be sent another call. Danger: a saved list does not tell
 // who has just started or left; all brokers that come back together would push cold nodes over, and wait in
 // vain at those that are gone. Such a node has one call out; each answer allows a little more. Where one call
 // from each broker is too much, the first ones are spread.
 func (d *desk) mayEase(b *seat) bool {
-	wait := b.lot * float64(d.calm()-d.l.t.FallAfter)
+	wait := b.lot * float64(d.calm()-d.l.t.OverloadAfter)
 	begun := b.last > b.eased || float64(d.l.now-b.eased) >= wait
 	return begun && d.l.now >= b.rest && float64(len(b.calls)+1) <= b.window
 }
@@ -131,8 +131,8 @@
 // calm is the time between parts to a node that may be cold which all brokers can keep.
 func (d *desk) calm() time.Duration {
 	t := d.l.t
-	share := max(0.01, min(1, coldSafety*t.FallMultiple*t.ColdFrom))
-	return time.Duration(float64(t.Brokers) * float64(d.base) / share)
+	share := max(0.01, min(1, coldSafety*t.OverloadMultiple*t.ColdCapacity))
+	return time.Duration(float64(t.BrokerCount) * float64(d.base) / share)
 }
 
 // widen lets what an eased node may have out follow what it does. After what it turns away it rests.
@@ -140,8 +140,8 @@
 	switch t := d.l.t; {
 	case b.eased == 0:
 	case e.Outcome == decision.OK || e.Outcome == decision.Stale:
-		b.window += easeStep * max(0, min(1, t.FallMultiple-1))
-	case e.Outcome != decision.Cancelled || e.Took > d.p95:
+		b.window += easeStep * max(0, min(1, t.OverloadMultiple-1))
+	case e.Outcome != decision.Cancelled || e.Elapsed > d.p95:
 		b.window, b.rest = max(1, b.window/2), d.l.now+d.calm()
 	}
 }
@@ -164,9 +164,9 @@
 		d.flows[b.cell%l.t.Cells].add(l.now, 1/float64(d.warms[b.cell%l.t.Cells]))
 	}
 	if idle := d.book(p, at); idle >= d.idleMost && l.now < d.cutUntil {
-		l.out = append(l.out, decision.Action{Kind: decision.Close, Node: b.id})
+		l.out = append(l.out, decision.Action{Kind: decision.CloseIdleConnections, Node: b.id})
 		p.tries[len(p.tries)-1].idle = 0
 	}
-	l.out = append(l.out, decision.Action{Kind: decision.Send, ID: p.id, Node: b.id, Alone: d.alike})
+	l.out = append(l.out, decision.Action{Kind: decision.SendAttempt, ID: p.id, Node: b.id, ExclusiveConnection: d.alike})
 	l.post(&l.nodes[at].box, note{kind: sent})
 }
--- a/internal/decision/routing/coldsum_test.go
+++ b/internal/decision/routing/coldsum_test.go
@@ -18,12 +18,12 @@
 		brokers := []int{20, 30}[seed%2]
 		rnd := rand.New(rand.NewSource(seed))
 		terms, rigs, cold := smallTerms(), []*rig(nil), nodeID(0)
-		terms.Brokers = brokers
+		terms.BrokerCount = brokers
 		start := func(i int, now time.Duration) *rig {
 			terms.Seed = uint64(seed)<<20 + uint64(i)<<10 + uint64(now/ms)
 			r := newRig(terms, 6)
 			r.now = now
-			r.list(decision.ListDelta, decision.Entry{Node: cold, State: decision.Ready, Boot: 0})
+			r.list(decision.ListUpdateReceived, decision.Endpoint{Node: cold, State: decision.Ready, StartedAt: 0})
 			return r
 		}
 		for i := range brokers {
@@ -67,7 +67,7 @@
 					n++
 				}
 			}
-			allowed := terms.FallMultiple * have * full * window.Seconds()
+			allowed := terms.OverloadMultiple * have * full * window.Seconds()
 			most := allowed + 2*math.Sqrt(allowed) + 2
 			must(t, float64(n) <= most, "seed %d, %d brokers: %d sent from %v on, limit %.1f", seed, brokers, n, from, most)
 		}
--- a/internal/decision/routing/eased_test.go
+++ b/internal/decision/routing/eased_test.go
@@ -8,11 +8,11 @@
 )
 
 // easedRig is a rig whose nodes are all eased in.
-func easedRig(t decision.Terms, nodes int) *rig {
+func easedRig(t decision.Settings, nodes int) *rig {
 	r := newRig(t, nodes)
 	for i := range nodes {
-		r.list(decision.ListDelta, decision.Entry{Node: nodeID(i), Cell: i % t.Cells, State: decision.Ready,
-			Boot: decision.NoBoot, Eased: true})
+		r.list(decision.ListUpdateReceived, decision.Endpoint{Node: nodeID(i), Cell: i % t.Cells, State: decision.Ready,
+			StartedAt: decision.StartedLongAgo, Unconfirmed: true})
 	}
 	r.step(5 * ms)
 	return r
@@ -21,7 +21,7 @@
 // A node that is eased in has one call out; parts beyond it wait for its answer, and none is lost or shed for that.
 func TestEasedNodeHasOneCallOut(t *testing.T) {
 	tm := smallTerms()
-	tm.Cells, tm.Brokers, tm.FallAfter = 1, 1, 2*time.Second
+	tm.Cells, tm.BrokerCount, tm.OverloadAfter = 1, 1, 2*time.Second
 	r := easedRig(tm, 2)
 	for range 6 {
 		r.ask(0, 3*time.Second, 0)
@@ -39,7 +39,7 @@
 // and must be warm.
 func TestEasedWindow(t *testing.T) {
 	tm := smallTerms()
-	tm.Cells, tm.Brokers, tm.FallAfter = 1, 1, 2*time.Second
+	tm.Cells, tm.BrokerCount, tm.OverloadAfter = 1, 1, 2*time.Second
 	r := easedRig(tm, 1)
 	b := &r.l.desk.board[0]
 	for i := range 8 {
@@ -56,7 +56,7 @@
 	r.endWhere(decision.ConnectFailed, 0, nil)
 	r.step(5 * ms)
 	must(t, b.window == 1.5, "window %v after a failure", b.window)
-	r.step(tm.WarmAfter)
+	r.step(tm.WarmUpTime)
 	for range 3 {
 		r.ask(0, 3*time.Second, 0)
 		r.step(5 * ms)
@@ -73,7 +73,7 @@
 		sent := 0
 		for seed := range 200 {
 			tm := smallTerms()
-			tm.Cells, tm.Brokers, tm.Seed, tm.FallAfter = 1, brokers, uint64(seed), 2*time.Second
+			tm.Cells, tm.BrokerCount, tm.Seed, tm.OverloadAfter = 1, brokers, uint64(seed), 2*time.Second
 			r := easedRig(tm, 1)
 			r.ask(0, 3*time.Second, 0)
 			r.step(5 * ms)
--- a/internal/decision/routing/floors_test.go
+++ b/internal/decision/routing/floors_test.go
@@ -14,7 +14,7 @@
 // can do, and returns the share served in time by third and class, of the tenant inside its share.
 func flood(own, other int) (share [3][2]float64) {
 	t := smallTerms()
-	t.Brokers, t.Tenants = 1, []decision.Tenant{{Portion: 0.7, Quota: 120}, {Portion: 0.3, Quota: 50}}
+	t.BrokerCount, t.Tenants = 1, []decision.Tenant{{TrafficShare: 0.7, Quota: 120}, {TrafficShare: 0.3, Quota: 50}}
 	r := newRig(t, 4)
 	type asked struct{ third, typ int }
 	mine, owed := map[uint64]asked{}, map[decision.NodeID]int{}
@@ -24,7 +24,7 @@
 		for tenant, rate := range []int{own, other} {
 			for range (tick+1)*rate/200 - tick*rate/200 {
 				typ := int(r.nextID) / 2 % 2
-				id := r.ask(typ, t.Types[typ].Timeout, int(r.serial)%2)
+				id := r.ask(typ, t.QueryTypes[typ].Timeout, int(r.serial)%2)
 				r.events[len(r.events)-2].Tenant = tenant
 				if tenant == 0 {
 					mine[id], taken[third][typ] = asked{third, typ}, taken[third][typ]+1
@@ -43,7 +43,7 @@
 			}
 		}
 		for _, a := range r.step(5 * ms) {
-			if m, known := mine[a.ID]; known && a.Kind == decision.Answer {
+			if m, known := mine[a.ID]; known && a.Kind == decision.AnswerQuery {
 				served[m.third][m.typ]++
 			}
 		}
--- a/internal/decision/routing/full_test.go
+++ b/internal/decision/routing/full_test.go
@@ -19,18 +19,18 @@
 	}{
 		{0, decision.OK, [2]bool{false, false}},
 		{0.2, decision.OK, [2]bool{true, true}},
-		{0.2, decision.Refused, [2]bool{true, false}},
+		{0.2, decision.Rejected, [2]bool{true, false}},
 	} {
-		l := New(decision.Terms{Types: make([]decision.SearchType, 1), Cells: 1, Width: 1})
+		l := New(decision.Settings{QueryTypes: make([]decision.QueryType, 1), Cells: 1, CellsPerShard: 1})
 		n := &node{l: l, trusted: true}
 		l.now, l.desk.turned, l.desk.turnedAt = time.Second, c.turned, time.Second
-		n.ended(&note{outcome: decision.Refused})
+		n.ended(&note{outcome: decision.Rejected})
 		first := n.trusted
 		if c.between == decision.OK {
 			n.ended(&note{outcome: decision.OK})
 			n.trusted = first
 		}
-		n.ended(&note{outcome: decision.Refused})
+		n.ended(&note{outcome: decision.Rejected})
 		if got := [2]bool{first, n.trusted}; got != c.trusted {
 			t.Errorf("%.1f turned away, %v between: trusted %v, want %v", c.turned, c.between, got, c.trusted)
 		}
--- a/internal/decision/routing/helpers_test.go
+++ b/internal/decision/routing/helpers_test.go
@@ -14,14 +14,14 @@
 const ms = time.Millisecond
 
 // smallTerms describe a store of two cells.
-func smallTerms() decision.Terms {
-	return decision.Terms{Seed: 7, Brokers: 3, Step: 5 * ms, Cells: 2, Width: 1, BatchParts: 1, OverShare: 0.1,
-		Types: []decision.SearchType{
-			{Target: time.Second, Timeout: 3 * time.Second, Value: 1, LateShare: 0.1, Floor: 1, Need: 1},
-			{Target: 2 * time.Second, Timeout: 4 * time.Second, Value: 2, Floor: 0.5, Need: 1}},
-		Tenants: []decision.Tenant{{Portion: 0.7, Quota: 100}, {Portion: 0.3, Quota: 50}},
-		Cancels: true, SecondCopies: true, MaxRetryAfter: time.Second,
-		MaxAttempts: 4, MaxOpen: 10000, ColdFrom: 0.3, WarmAfter: 8 * time.Second, FallMultiple: 2}
+func smallTerms() decision.Settings {
+	return decision.Settings{Seed: 7, BrokerCount: 3, ClockStep: 5 * ms, Cells: 2, CellsPerShard: 1, MaxBatch: 1, OverQuotaWeight: 0.1,
+		QueryTypes: []decision.QueryType{
+			{LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 1, LateWeight: 0.1, MinCompleteness: 1, FullCompleteness: 1},
+			{LatencyObjective: 2 * time.Second, Timeout: 4 * time.Second, PriorityWeight: 2, MinCompleteness: 0.5, FullCompleteness: 1}},
+		Tenants:       []decision.Tenant{{TrafficShare: 0.7, Quota: 100}, {TrafficShare: 0.3, Quota: 50}},
+		CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: time.Second,
+		MaxAttempts: 4, MaxInFlight: 10000, ColdCapacity: 0.3, WarmUpTime: 8 * time.Second, OverloadMultiple: 2}
 }
 
 func nodeID(i int) decision.NodeID { return decision.NodeID{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 9} }
@@ -56,7 +56,7 @@
 // rig drives one module and keeps books of the six rules of its own; bad names the first rule broken.
 type rig struct {
 	l             *Logic
-	t             decision.Terms
+	t             decision.Settings
 	now           time.Duration
 	nextID        uint64
 	serial        float32
@@ -75,15 +75,15 @@
 	moved         uint64            // the last id given before the layout changed
 }
 
-func newRig(t decision.Terms, nodes int) *rig {
+func newRig(t decision.Settings, nodes int) *rig {
 	r := &rig{t: t, l: New(t), searches: map[uint64]*heldSearch{}, parts: map[uint64]*heldPart{},
 		out: map[try]sentTry{}, ready: map[decision.NodeID]bool{}, sends: map[decision.NodeID][]time.Duration{}}
-	var list []decision.Entry
+	var list []decision.Endpoint
 	for i := range nodes {
-		e := decision.Entry{Node: nodeID(i), Cell: i % t.Cells, State: decision.Ready, Boot: decision.NoBoot}
+		e := decision.Endpoint{Node: nodeID(i), Cell: i % t.Cells, State: decision.Ready, StartedAt: decision.StartedLongAgo}
 		list = append(list, e)
 	}
-	r.list(decision.ListFull, list...)
+	r.list(decision.FullListReceived, list...)
 	r.step(0)
 	return r
 }
@@ -94,14 +94,14 @@
 	}
 }
 
-func (r *rig) list(kind decision.EventKind, entries ...decision.Entry) {
-	if kind == decision.ListFull {
+func (r *rig) list(kind decision.EventKind, entries ...decision.Endpoint) {
+	if kind == decision.FullListReceived {
 		clear(r.ready)
 	}
 	for _, e := range entries {
 		r.ready[e.Node] = e.State == decision.Ready
 	}
-	r.events = append(r.events, decision.Event{Kind: kind, Entries: entries})
+	r.events = append(r.events, decision.Event{Kind: kind, Endpoints: entries})
 }
 
 // ask brings a search with equal parts at the given shards.
@@ -110,8 +110,8 @@
 	r.serial++
 	id := r.nextID
 	r.searches[id] = &heldSearch{typ: typ, serial: r.serial}
-	r.events = append(r.events, decision.Event{Kind: decision.SearchIn, ID: id, Serial: r.serial, Type: typ,
-		Left: left, Weight: float64(len(shards))})
+	r.events = append(r.events, decision.Event{Kind: decision.QueryReceived, ID: id, Serial: r.serial, Type: typ,
+		TimeLeft: left, Weight: float64(len(shards))})
 	r.addParts(id, shards...)
 	return id
 }
@@ -123,7 +123,7 @@
 		w := 1 / float64(len(shards))
 		r.parts[r.nextID] = &heldPart{search: search, weight: w}
 		h.parts = append(h.parts, r.nextID)
-		r.events = append(r.events, decision.Event{Kind: decision.PartIn, ID: r.nextID, Serial: h.serial,
+		r.events = append(r.events, decision.Event{Kind: decision.ShardRequestReceived, ID: r.nextID, Serial: h.serial,
 			Shard: shard, Weight: w})
 	}
 }
@@ -137,15 +137,15 @@
 	delete(r.out, k)
 	p := r.parts[k.id]
 	p.open--
-	proven := how == decision.Refused || how == decision.ConnectFailed || how == decision.NeverSent
+	proven := how == decision.Rejected || how == decision.ConnectFailed || how == decision.NeverSent
 	if !proven && (!p.ran || s.at < p.ranAt) {
 		p.ran, p.ranAt = true, s.at
 	}
 	if how == decision.OK && !p.over {
 		p.in, p.over = true, true
 	}
-	r.events = append(r.events, decision.Event{Kind: decision.Ended, ID: k.id, Attempt: k.no, Outcome: how,
-		Node: s.node, Took: r.now - s.at})
+	r.events = append(r.events, decision.Event{Kind: decision.AttemptEnded, ID: k.id, Attempt: k.no, Outcome: how,
+		Node: s.node, Elapsed: r.now - s.at})
 }
 
 // endWhere ends all that is out for so long, where the node fits.
@@ -168,30 +168,30 @@
 func (r *rig) step(by time.Duration) []decision.Action {
 	r.now += by
 	for _, e := range r.events {
-		if h := r.searches[e.ID]; e.Kind == decision.SearchIn && h != nil {
-			h.due = r.now + e.Left
+		if h := r.searches[e.ID]; e.Kind == decision.QueryReceived && h != nil {
+			h.due = r.now + e.TimeLeft
 		}
-		if e.Kind == decision.SearchIn || e.Kind == decision.PartIn {
+		if e.Kind == decision.QueryReceived || e.Kind == decision.ShardRequestReceived {
 			r.taken = append(r.taken, r.now)
 		}
 	}
 	r.order = slices.DeleteFunc(r.order, func(k try) bool { _, ok := r.out[k]; return !ok })
-	r.actions = r.l.Turn(r.now, r.events, r.actions[:0])
+	r.actions = r.l.Step(r.now, r.events, r.actions[:0])
 	r.events = r.events[:0]
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
-		case decision.Send:
+		case decision.SendAttempt:
 			r.checkSend(a)
-		case decision.Cancel:
+		case decision.CancelAttempt:
 			r.end(try{a.ID, a.Attempt}, decision.Cancelled)
-		case decision.Shed, decision.Fail, decision.Answer:
+		case decision.ShedQuery, decision.FailQuery, decision.AnswerQuery:
 			r.checkFinal(a)
-		case decision.Probe:
+		case decision.SendHealthCheck:
 			if slices.Contains(r.probed, a.Node) {
 				r.fault("%v is probed twice at once", a.Node)
 			}
 			r.probed = append(r.probed, a.Node)
-		case decision.Subscribe:
+		case decision.SubscribeList:
 			if r.now < r.asked+200*ms && r.now > 0 {
 				r.fault("the list is asked again after %v", r.now-r.asked)
 			}
@@ -211,7 +211,7 @@
 	r.probed = slices.DeleteFunc(r.probed, func(id decision.NodeID) bool {
 		over := fits(id)
 		if over {
-			r.events = append(r.events, decision.Event{Kind: decision.Probed, Node: id, Outcome: how, Took: ms})
+			r.events = append(r.events, decision.Event{Kind: decision.HealthCheckEnded, Node: id, Outcome: how, Elapsed: ms})
 		}
 		return over
 	})
--- a/internal/decision/routing/learn.go
+++ b/internal/decision/routing/learn.go
@@ -21,22 +21,22 @@
 			return
 		}
 		p.done, s.got, s.in = true, s.got+p.weight, s.in+1
-		d.record(e.Took)
-		d.heed(p, a, e.Took)
+		d.record(e.Elapsed)
+		d.heed(p, a, e.Elapsed)
 		d.cancel(p)
 		return
-	case decision.Refused:
+	case decision.Rejected:
 		d.full(1)
 	case decision.ConnectFailed, decision.NeverSent:
 	default:
 		p.risk(a.at)
-		if e.Outcome == decision.Reset && e.Took < d.p50/cutQuick {
+		if e.Outcome == decision.ConnectionReset && e.Elapsed < d.p50/cutQuick {
 			d.stale(a, 1)
 		}
 	}
 	// Danger: more answers get lost than the cap pays for, and searches die of it while nodes idle. Where the
 	// holders are not crowded, what broke makes good its own resend. It may hurt where the search harms.
-	if e.Outcome != decision.Refused && !d.crowded(p) {
+	if e.Outcome != decision.Rejected && !d.crowded(p) {
 		d.tokens, p.resent = min(capDepth, d.tokens+1), false
 	}
 }
@@ -131,7 +131,7 @@
 		if b.probing = false; e.Outcome != decision.OK {
 			b.deaf += deafStep
 		} else {
-			b.vouched = max(b.vouched, d.l.now-e.Took)
+			b.vouched = max(b.vouched, d.l.now-e.Elapsed)
 			d.l.post(&d.l.nodes[at].box, note{kind: vouched})
 		}
 	}
--- a/internal/decision/routing/logic.go
+++ b/internal/decision/routing/logic.go
@@ -60,8 +60,8 @@
 	d.lay(l)
 	d.tokens, d.value, d.parts = capDepth/2, 1, 1
 	least := never
-	for i := range l.t.Types {
-		least = min(least, l.t.Types[i].Target)
+	for i := range l.t.QueryTypes {
+		least = min(least, l.t.QueryTypes[i].LatencyObjective)
 	}
 	d.p50, d.p95, d.base = least/8, least/2, least/12
 }
@@ -71,25 +71,25 @@
 	if s == nil {
 		return
 	}
-	s.whole = l.now + min(s.typ.Target, e.Left) - margin
+	s.whole = l.now + min(s.typ.LatencyObjective, e.TimeLeft) - margin
 	s.deadline = s.whole
-	if s.typ.Fetch > 0 { // the second step has to fit in
-		s.deadline -= min(d.p95, s.typ.Target/4)
+	if s.typ.SecondPhaseRequests > 0 { // the second step has to fit in
+		s.deadline -= min(d.p95, s.typ.LatencyObjective/4)
 	}
-	s.last = l.now + e.Left - guardSteps*l.t.Step
+	s.last = l.now + e.TimeLeft - guardSteps*l.t.ClockStep
 	// A repeat shorter than the usual try was cut by its client's timeout, which tells when it first asked.
-	usual := d.lengths[e.Type].vote(e.Left)
-	if (e.Repeat || !l.t.MarksRepeats) && e.Left < usual-repeatSlack {
-		s.spent = max(0, s.typ.Timeout-e.Left)
+	usual := d.lengths[e.Type].vote(e.TimeLeft)
+	if (e.Retry || !l.t.ClientsMarkRetries) && e.TimeLeft < usual-repeatSlack {
+		s.spent = max(0, s.typ.Timeout-e.TimeLeft)
 	}
 }
 
 // giveUp ends a search that can't be answered: shed with the time to come back in where that is true.
 func (d *desk) giveUp(slot int32) {
 	l, s := d.l, &d.slab[slot]
-	act := decision.Action{Kind: decision.Fail, ID: s.id}
-	if (s.untouched() || s.typ.Effect == decision.Idempotent) && l.now < s.last {
-		act.Kind, act.After = decision.Shed, time.Duration((0.5+0.5*l.rand())*float64(l.t.MaxRetryAfter))
+	act := decision.Action{Kind: decision.FailQuery, ID: s.id}
+	if (s.untouched() || s.typ.Idempotency == decision.Idempotent) && l.now < s.last {
+		act.Kind, act.RetryAfter = decision.ShedQuery, time.Duration((0.5+0.5*l.rand())*float64(l.t.MaxRetryAfter))
 	}
 	l.out = append(l.out, act)
 	d.drop(slot)
@@ -99,7 +99,7 @@
 func (d *desk) sweep() {
 	d.next = never
 	d.judge()
-	d.short = float64(d.places) > placesShort*float64(d.l.t.MaxOpen)
+	d.short = float64(d.places) > placesShort*float64(d.l.t.MaxInFlight)
 	for slot := range d.used.all {
 		s := &d.slab[slot]
 		if s.calm && d.still(s) {
--- a/internal/decision/routing/logic_test.go
+++ b/internal/decision/routing/logic_test.go
@@ -17,20 +17,20 @@
 		rnd := rand.New(rand.NewSource(seed))
 		terms := smallTerms()
 		terms.Seed = uint64(seed)
-		further := decision.SearchType{Target: time.Second, Timeout: 2 * time.Second, Value: 1, Floor: 1, Need: 1}
+		further := decision.QueryType{LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1, MinCompleteness: 1, FullCompleteness: 1}
 		tokened, once, twoSteps := further, further, further
-		tokened.Effect, tokened.Window = decision.Tokened, 300*ms
-		once.Effect = decision.NonIdempotent
-		twoSteps.Floor, twoSteps.Need, twoSteps.Fetch = 0.4, 0.7, 2
-		terms.Types = append(terms.Types, tokened, once, twoSteps)
-		terms.SecondCopies, terms.Cancels, terms.AskList = rnd.Intn(4) > 0, rnd.Intn(4) > 0, rnd.Intn(2) > 0
-		terms.Width, terms.BatchParts = 1+rnd.Intn(2), 1+rnd.Intn(3)
-		terms.Probes, terms.ByWork, terms.Idle = rnd.Intn(2) > 0, rnd.Intn(2) > 0, time.Second
+		tokened.Idempotency, tokened.IdempotencyWindow = decision.IdempotencyKeyed, 300*ms
+		once.Idempotency = decision.NonIdempotent
+		twoSteps.MinCompleteness, twoSteps.FullCompleteness, twoSteps.SecondPhaseRequests = 0.4, 0.7, 2
+		terms.QueryTypes = append(terms.QueryTypes, tokened, once, twoSteps)
+		terms.HedgingAllowed, terms.CancelAllowed, terms.PollList = rnd.Intn(4) > 0, rnd.Intn(4) > 0, rnd.Intn(2) > 0
+		terms.CellsPerShard, terms.MaxBatch = 1+rnd.Intn(2), 1+rnd.Intn(3)
+		terms.HealthChecksAllowed, terms.WeightByWork, terms.ConnIdleTimeout = rnd.Intn(2) > 0, rnd.Intn(2) > 0, time.Second
 		if rnd.Intn(2) == 0 {
-			terms.ExtraFloor, terms.ExtraShare, terms.ExtraWindow = 2, 0.05, time.Second
+			terms.ExtraAttemptsMin, terms.ExtraAttemptsShare, terms.ExtraAttemptsWindow = 2, 0.05, time.Second
 		}
 		if rnd.Intn(3) == 0 {
-			terms.MaxOpen = 30
+			terms.MaxInFlight = 30
 		}
 		r := newRig(terms, 6)
 		for i := 0; i < 1200 && r.bad == ""; i++ {
@@ -53,11 +53,11 @@
 		brokers := []int{3, 40}[seed%2]
 		rnd := rand.New(rand.NewSource(seed))
 		terms, rigs, cold := smallTerms(), []*rig(nil), nodeID(0)
-		terms.Brokers = brokers
+		terms.BrokerCount = brokers
 		for i := range brokers {
 			terms.Seed = uint64(seed) + uint64(i)
 			rigs = append(rigs, newRig(terms, 6))
-			rigs[i].list(decision.ListDelta, decision.Entry{Node: cold, State: decision.Ready, Boot: 0})
+			rigs[i].list(decision.ListUpdateReceived, decision.Endpoint{Node: cold, State: decision.Ready, StartedAt: 0})
 		}
 		for range 1600 {
 			for _, r := range rigs {
@@ -83,7 +83,7 @@
 					n++
 				}
 			}
-			limit := terms.FallMultiple * have * full * 1.5
+			limit := terms.OverloadMultiple * have * full * 1.5
 			must(t, float64(n) <= limit+1, "seed %d: %d sent from %v on, limit %.1f", seed, n, from, limit)
 		}
 		must(t, len(sends) > 20, "it must be brought back, not left out")
@@ -92,20 +92,20 @@
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	l, actions, now := newRig(smallTerms(), 240).l, make([]decision.Action, 0, 16), time.Duration(0)
-	in := []decision.Event{{Kind: decision.SearchIn, ID: 1, Left: time.Second, Weight: 1},
-		{Kind: decision.PartIn, Weight: 1}}
-	back := []decision.Event{{Kind: decision.Ended, Outcome: decision.OK, Took: 50 * ms}}
+	in := []decision.Event{{Kind: decision.QueryReceived, ID: 1, TimeLeft: time.Second, Weight: 1},
+		{Kind: decision.ShardRequestReceived, Weight: 1}}
+	back := []decision.Event{{Kind: decision.AttemptEnded, Outcome: decision.OK, Elapsed: 50 * ms}}
 	round := func() {
 		in[0].ID, in[1].ID, back[0].ID = in[0].ID+2, in[0].ID+3, in[0].ID+3
 		now += 5 * ms
-		actions = l.Turn(now, in, actions[:0])
+		actions = l.Step(now, in, actions[:0])
 		for i := range actions {
-			if actions[i].Kind == decision.Send {
+			if actions[i].Kind == decision.SendAttempt {
 				back[0].Node = actions[i].Node
 			}
 		}
-		now += back[0].Took
-		actions = l.Turn(now, back, actions[:0])
+		now += back[0].Elapsed
+		actions = l.Step(now, back, actions[:0])
 	}
 	for range 2000 {
 		round()
@@ -119,10 +119,10 @@
 		r := newRig(smallTerms(), nodes)
 		for i := range 400 {
 			r.ask(i%2, time.Second, 0, 1)
-			odd := decision.Event{Kind: decision.Ended, ID: uint64(i), Attempt: uint16(i % 3), Node: nodeID(i % 9)}
-			r.events = append(r.events, odd, odd, decision.Event{Kind: decision.Left, ID: 1 << 40})
+			odd := decision.Event{Kind: decision.AttemptEnded, ID: uint64(i), Attempt: uint16(i % 3), Node: nodeID(i % 9)}
+			r.events = append(r.events, odd, odd, decision.Event{Kind: decision.ClientLeft, ID: 1 << 40})
 			if i%50 == 0 && nodes == 1 {
-				r.list(decision.ListDelta, decision.Entry{Node: nodeID(0), State: decision.Ready, Boot: -time.Duration(i) * ms})
+				r.list(decision.ListUpdateReceived, decision.Endpoint{Node: nodeID(0), State: decision.Ready, StartedAt: -time.Duration(i) * ms})
 			}
 			r.step(5 * ms)
 		}
@@ -136,28 +136,28 @@
 // Nodes that are replaced under new ids all day leave nothing behind, though searches run on; a place that is used
 // again is in the new node's cell alone.
 func TestEndedNodesAreForgotten(t *testing.T) {
-	terms, live := smallTerms(), []decision.Entry{}
-	terms.WarmAfter = time.Minute
+	terms, live := smallTerms(), []decision.Endpoint{}
+	terms.WarmUpTime = time.Minute
 	r := newRig(terms, 6)
 	for i := range 6 {
-		live = append(live, decision.Entry{Node: nodeID(i), Cell: i % 2, State: decision.Ready, Boot: decision.NoBoot})
+		live = append(live, decision.Endpoint{Node: nodeID(i), Cell: i % 2, State: decision.Ready, StartedAt: decision.StartedLongAgo})
 	}
 	for i := range 3000 {
 		r.ask(i%2, 3*time.Second, 0, 1)
 		r.endWhere(decision.OK, 50*ms, nil)
 		if i%50 == 0 {
-			var changes []decision.Entry
+			var changes []decision.Endpoint
 			for j := range 1 + i/50%3 { // one, two or three at a time
 				e := &live[(i/50+j)%5]
 				old := *e
-				old.State, e.Boot = decision.Gone, r.now
+				old.State, e.StartedAt = decision.Removed, r.now
 				e.Node = decision.NodeID{Addr: [4]byte{11, byte(i >> 8), byte(i), byte(j)}, Port: 1}
 				changes = append(changes, old, *e)
 			}
 			if i/50%2 == 0 {
-				r.list(decision.ListFull, live...)
+				r.list(decision.FullListReceived, live...)
 			} else {
-				r.list(decision.ListDelta, changes...)
+				r.list(decision.ListUpdateReceived, changes...)
 			}
 		}
 		r.step(20 * ms)
--- a/internal/decision/routing/lost_test.go
+++ b/internal/decision/routing/lost_test.go
@@ -45,7 +45,7 @@
 // Where there is a budget its count begins with the broker's start, and it is kept from the first part on.
 func TestBudgetFromTheStart(t *testing.T) {
 	tm := smallTerms()
-	tm.ExtraFloor, tm.ExtraShare, tm.ExtraWindow = 1, 0.1, 2*time.Second
+	tm.ExtraAttemptsMin, tm.ExtraAttemptsShare, tm.ExtraAttemptsWindow = 1, 0.1, 2*time.Second
 	r := newRig(tm, 4)
 	for i, want := range []int{1, 0} {
 		r.ask(0, 3*time.Second, 0)
--- a/internal/decision/routing/move_test.go
+++ b/internal/decision/routing/move_test.go
@@ -11,22 +11,22 @@
 // (memphis-main, sillon-casa).
 func TestHoldersAreProbed(t *testing.T) {
 	terms := smallTerms()
-	terms.Probes = true
+	terms.HealthChecksAllowed = true
 	for _, answers := range []bool{true, false} {
 		r := newRig(terms, 6)
 		r.ask(0, 3*time.Second, 0)
 		a := r.step(5 * ms)
-		must(t, len(pick(a, decision.Send)) == 0 && len(pick(a, decision.Probe)) == 3, "probes to the three holders: %v", a)
+		must(t, len(pick(a, decision.SendAttempt)) == 0 && len(pick(a, decision.SendHealthCheck)) == 3, "probes to the three holders: %v", a)
 		quick := r.probed[1]
 		if answers {
 			r.show(decision.OK, func(id decision.NodeID) bool { return id == quick })
 			a = r.step(5 * ms)
-			must(t, len(pick(a, decision.Send)) == 1 && a[0].Node == quick, "sent to the one that answered: %v", a)
+			must(t, len(pick(a, decision.SendAttempt)) == 1 && a[0].Node == quick, "sent to the one that answered: %v", a)
 			r.endWhere(decision.OK, 0, nil)
 			r.step(5 * ms)
 			r.ask(0, 3*time.Second, 0)
 			a = r.step(5 * ms)
-			must(t, len(pick(a, decision.Probe)) == 0 && len(pick(a, decision.Send)) == 1, "it was heard just now: %v", a)
+			must(t, len(pick(a, decision.SendHealthCheck)) == 0 && len(pick(a, decision.SendAttempt)) == 1, "it was heard just now: %v", a)
 			continue
 		}
 		for r.now < 5*ms+vouchWait {
@@ -40,7 +40,7 @@
 // In a ring each node is a cell of its own; one that leaves probes unanswered is avoided by all shards that it holds.
 func TestRing(t *testing.T) {
 	terms := smallTerms()
-	terms.Probes, terms.Cells, terms.Width = true, 9, 3
+	terms.HealthChecksAllowed, terms.Cells, terms.CellsPerShard = true, 9, 3
 	r := newRig(terms, 9)
 	deaf := nodeID(4)
 	for i := range 200 {
@@ -61,7 +61,7 @@
 // left of the budget goes to one that it can save.
 func TestBeyondTheBudget(t *testing.T) {
 	terms := smallTerms()
-	terms.ExtraFloor, terms.ExtraWindow = 2, 10*time.Second
+	terms.ExtraAttemptsMin, terms.ExtraAttemptsWindow = 2, 10*time.Second
 	r := newRig(terms, 12)
 	r.ask(0, 3*time.Second, 0, 1, 2, 3)
 	r.step(5 * ms)
@@ -69,42 +69,42 @@
 		r.end(k, decision.ConnectFailed)
 	}
 	a := r.step(5 * ms)
-	shed := pick(a, decision.Shed)
-	must(t, len(shed) == 1 && shed[0].After > 0 && len(pick(a, decision.Send)) == 0, "given up at once: %v", a)
+	shed := pick(a, decision.ShedQuery)
+	must(t, len(shed) == 1 && shed[0].RetryAfter > 0 && len(pick(a, decision.SendAttempt)) == 0, "given up at once: %v", a)
 	r.step(5 * ms)
 	r.ask(0, 3*time.Second, 0, 1)
 	r.step(5 * ms)
 	for _, k := range r.order {
 		r.end(k, decision.ConnectFailed)
 	}
-	must(t, len(pick(r.step(5*ms), decision.Send)) == 2 && r.bad == "", "the next one is sent again: %s", r.bad)
+	must(t, len(pick(r.step(5*ms), decision.SendAttempt)) == 2 && r.bad == "", "the next one is sent again: %s", r.bad)
 }
 
 // The first of two steps ends early enough for the second, and the second is not refused.
 func TestTwoStepsInTime(t *testing.T) {
 	terms := smallTerms()
-	terms.Types[1].Fetch = 2
+	terms.QueryTypes[1].SecondPhaseRequests = 2
 	r := newRig(terms, 6)
 	r.ask(1, 4*time.Second, 0, 1)
 	r.step(0)
 	r.end(r.order[0], decision.OK)
 	early := r.l.desk.p95
-	for len(pick(r.actions, decision.Answer)) == 0 && r.now < 3*time.Second {
+	for len(pick(r.actions, decision.AnswerQuery)) == 0 && r.now < 3*time.Second {
 		r.step(5 * ms)
 	}
 	must(t, r.now <= 2*time.Second-margin-early+5*ms, "the first step ended at %v", r.now)
 	r.l.desk.slopes[0] = slope{of: float64(20 * time.Second), at: r.now}
-	must(t, len(pick(r.step(5*ms), decision.Send)) == 2, "the second step is sent")
+	must(t, len(pick(r.step(5*ms), decision.SendAttempt)) == 2, "the second step is sent")
 	r.endWhere(decision.OK, 0, nil)
-	a := pick(r.step(5*ms), decision.Answer)
-	must(t, len(a) == 1 && !a[0].Whole && r.bad == "", "its answer: %v %s", a, r.bad)
+	a := pick(r.step(5*ms), decision.AnswerQuery)
+	must(t, len(a) == 1 && !a[0].Complete && r.bad == "", "its answer: %v %s", a, r.bad)
 }
 
 // A tokened part is copied while repeats of it are dropped, and not after.
 func TestTokenedCopies(t *testing.T) {
 	for _, window := range []time.Duration{time.Second, 100 * ms} {
 		terms := smallTerms()
-		terms.Types[0].Effect, terms.Types[0].Window = decision.Tokened, window
+		terms.QueryTypes[0].Idempotency, terms.QueryTypes[0].IdempotencyWindow = decision.IdempotencyKeyed, window
 		r := newRig(terms, 6)
 		r.ask(0, 3*time.Second, 0)
 		r.step(0)
@@ -117,7 +117,7 @@
 func TestBudgetComesIntoForce(t *testing.T) {
 	terms := smallTerms()
 	r := newRig(terms, 6)
-	r.t.ExtraFloor, r.t.ExtraWindow = 3, 2*time.Second
+	r.t.ExtraAttemptsMin, r.t.ExtraAttemptsWindow = 3, 2*time.Second
 	r.l.Retune(r.t, false)
 	for i, want := range []int{0, 1} {
 		r.ask(0, 3*time.Second, 0)
@@ -125,7 +125,7 @@
 		for _, k := range r.order {
 			r.end(k, decision.ConnectFailed)
 		}
-		n := len(pick(r.step(5*ms), decision.Send))
+		n := len(pick(r.step(5*ms), decision.SendAttempt))
 		must(t, n == want && r.bad == "", "search %d: %d sent further: %s", i, n, r.bad)
 		r.step(2500 * ms)
 	}
--- a/internal/decision/routing/node.go
+++ b/internal/decision/routing/node.go
@@ -13,12 +13,12 @@
 	l := k.l
 	switch {
 	case n.kind == tick:
-		if k.next = never; l.t.AskList && !k.asked && l.now >= k.due {
-			k.asked, l.out = true, append(l.out, decision.Action{Kind: decision.Subscribe})
-		} else if l.t.AskList && !k.asked {
+		if k.next = never; l.t.PollList && !k.asked && l.now >= k.due {
+			k.asked, l.out = true, append(l.out, decision.Action{Kind: decision.SubscribeList})
+		} else if l.t.PollList && !k.asked {
 			k.next = k.due
 		}
-	case n.ev.Kind == decision.ListFailed:
+	case n.ev.Kind == decision.ListPollFailed:
 		// Danger: every broker asking again in step keeps a jammed list service jammed.
 		k.due = l.now + time.Duration((0.5+l.rand())*float64(k.backoff))
 		k.asked, k.backoff = false, min(2*k.backoff, askMost)
@@ -34,12 +34,12 @@
 	case listed:
 		n.cell, n.ready = k.entry.Cell, k.entry.State == decision.Ready
 		n.blame(n.share)
-		if n.eased = 0; k.entry.Eased {
+		if n.eased = 0; k.entry.Unconfirmed {
 			n.eased = max(1, now)
 		}
-		if b := k.entry.Boot; b > n.boot { // a stale list may name an older start
+		if b := k.entry.StartedAt; b > n.boot { // a stale list may name an older start
 			n.boot = b
-			if now-b < n.l.t.WarmAfter {
+			if now-b < n.l.t.WarmUpTime {
 				n.warming, n.since, n.downed, n.trusted, n.doubt = true, b, false, true, 0
 				n.l.logf("%v cold: started %v ago", n.id, now-b)
 			}
@@ -73,7 +73,7 @@
 		n.unheard += time.Duration(k.calls) * min(now-n.ticked, wait)
 		if n.renewed <= n.heard && n.unheard > renewAt*n.l.desk.p95 {
 			n.renewed = now
-			n.l.out = append(n.l.out, decision.Action{Kind: decision.Close, Node: n.id})
+			n.l.out = append(n.l.out, decision.Action{Kind: decision.CloseIdleConnections, Node: n.id})
 		}
 		exposed := wait > silentLeast && float64(n.unheard) > silentFactor*float64(k.limp)
 		if n.trusted && (wait > silentMost || exposed) {
@@ -104,7 +104,7 @@
 		if k.took > n.lat {
 			n.learn(k.took) // a loser would have taken longer still
 		}
-	case decision.Errored, decision.Reset:
+	case decision.Errored, decision.ConnectionReset:
 		// Danger: where answers break from all nodes alike, each looks sick by turns, and shutting some crowds the
 		// others. A node must stand out from half of the fleet; the parts of one broken connection count once.
 		n.heard, n.unheard = now, 0
@@ -115,7 +115,7 @@
 		if !n.trusted || n.doubt > doubtShut && n.doubt > min(doubtMost, doubtShut+shareOver*n.l.common()) {
 			n.distrust("errors", n.doubt)
 		}
-	case decision.Refused:
+	case decision.Rejected:
 		// Danger: where many queues are full, shutting each node that turned one part away crowds the others. There
 		// it is shut for the second without an answer between. It may hurt where many drain and lists come late.
 		n.heard, n.unheard, n.refused = now, 0, n.refused+1
@@ -171,20 +171,20 @@
 
 // tell lets the desk know the node's mode.
 func (n *node) tell() {
-	if n.eased > 0 && n.heard > n.eased && n.l.now-n.eased >= n.l.t.WarmAfter {
+	if n.eased > 0 && n.heard > n.eased && n.l.now-n.eased >= n.l.t.WarmUpTime {
 		n.eased = 0 // it answers, and whenever it started, it is warm by now
 	}
 	k := note{kind: standing, node: n.at, mode: fit, share: 1, slow: n.slow, downed: n.downed, eased: n.eased}
 	if t := n.l.t; n.warming {
 		// Danger (rule 4): all brokers at once push a cold node over. Each keeps to a share of what it sends
 		// a like warm node, by a capacity that grows no slower than evenly, so that their sum holds.
-		if age := n.l.now - n.since; age >= t.WarmAfter {
+		if age := n.l.now - n.since; age >= t.WarmUpTime {
 			n.warming = false
 			n.l.logf("%v warm", n.id)
 		} else {
 			k.mode = cold
-			have := t.ColdFrom + (1-t.ColdFrom)*float64(max(0, age))/float64(t.WarmAfter)
-			k.share = min(1, coldSafety*t.FallMultiple*have)
+			have := t.ColdCapacity + (1-t.ColdCapacity)*float64(max(0, age))/float64(t.WarmUpTime)
+			k.share = min(1, coldSafety*t.OverloadMultiple*have)
 		}
 	}
 	switch {
--- a/internal/decision/routing/records.go
+++ b/internal/decision/routing/records.go
@@ -135,7 +135,7 @@
 		case p.done || p.dead:
 		case p.live == 0:
 			return
-		case p.live == 1 && !p.copied && !s.light(p) && d.l.t.SecondCopies && s.typ.Effect != decision.NonIdempotent && len(p.tries) < d.l.t.MaxAttempts:
+		case p.live == 1 && !p.copied && !s.light(p) && d.l.t.HedgingAllowed && s.typ.Idempotency != decision.NonIdempotent && len(p.tries) < d.l.t.MaxAttempts:
 			s.oldest = min(s.oldest, p.tries[len(p.tries)-1].at)
 		}
 	}
@@ -151,7 +151,7 @@
 	if s.oldest != never && now+d.p50 <= s.deadline {
 		due := s.oldest + d.p95
 		if !d.drew {
-			due = s.oldest + s.typ.Target/2
+			due = s.oldest + s.typ.LatencyObjective/2
 		}
 		if due <= now+poll {
 			return false
--- a/internal/decision/routing/state.go
+++ b/internal/decision/routing/state.go
@@ -59,7 +59,7 @@
 	resent    bool
 	mayRun    bool // a sub-request may have run
 	firstRisk time.Duration
-	only      *decision.Only
+	only      *decision.AllowedReplicas
 }
 
 // rank is a node's place among those that may be sent the part, where the order counts, and 0 else; none: it may not.
@@ -68,7 +68,7 @@
 		return 0
 	}
 	at := slices.Index(p.only.Nodes, id)
-	if at > 0 && !(p.only.Pinned && first) {
+	if at > 0 && !(p.only.Sticky && first) {
 		return 0
 	}
 	return at
@@ -82,7 +82,7 @@
 	stage2   bool
 	whole1   bool
 	serial   float32
-	typ      *decision.SearchType
+	typ      *decision.QueryType
 	tenant   int
 	expect   int
 	spent    time.Duration // of the client's time before this try, where that shows
@@ -107,9 +107,9 @@
 
 // wants is the weight that makes a whole answer of this step, and the least for any answer.
 func (s *search) wants() (need, least float64) {
-	need, least = s.typ.Need, s.typ.Floor
+	need, least = s.typ.FullCompleteness, s.typ.MinCompleteness
 	if s.stage2 {
-		if need = 1; least >= s.typ.Need {
+		if need = 1; least >= s.typ.FullCompleteness {
 			least = 1
 		}
 	}
--- a/internal/decision/routing/trust_test.go
+++ b/internal/decision/routing/trust_test.go
@@ -25,7 +25,7 @@
 				before = len(r.sends[sick])
 			}
 			if i < 800 && quick {
-				r.endWhere(decision.Refused, 0, func(n decision.NodeID) bool { return n == sick })
+				r.endWhere(decision.Rejected, 0, func(n decision.NodeID) bool { return n == sick })
 			}
 			r.endWhere(decision.OK, 95*ms, func(n decision.NodeID) bool { return n != sick || i > 800 })
 			r.step(5 * ms)
@@ -46,7 +46,7 @@
 	}
 	for i, want := range []int{2, 2, 2, 2, 2, 2, 0, 2} {
 		id, n := r.ask(0, 3*time.Second, 0, 1), 0
-		for _, a := range pick(r.step([]time.Duration{5 * ms, 600 * ms}[i/7]), decision.Send) {
+		for _, a := range pick(r.step([]time.Duration{5 * ms, 600 * ms}[i/7]), decision.SendAttempt) {
 			if r.parts[a.ID].search == id {
 				n++
 			}
@@ -59,7 +59,7 @@
 func TestLoneReset(t *testing.T) {
 	r := newRig(smallTerms(), 6)
 	n := r.l.nodes[0]
-	n.read(&note{kind: ended, outcome: decision.Reset})
+	n.read(&note{kind: ended, outcome: decision.ConnectionReset})
 	n.read(&note{kind: ended, outcome: decision.OK, took: 50 * ms})
 	must(t, !n.warming && n.trusted, "cold after a lone reset")
 }
@@ -104,7 +104,7 @@
 		n := 0
 		for range 3 {
 			r.ask(0, 3*time.Second, 0, 1)
-			n += len(pick(r.step(5*ms), decision.Close))
+			n += len(pick(r.step(5*ms), decision.CloseIdleConnections))
 			r.step(50 * ms)
 			r.endWhere(decision.OK, 0, nil)
 			r.step(5 * ms)
@@ -117,11 +117,11 @@
 // What peers say thins a node's traffic, is forgotten, and makes no difference where it makes no sense.
 func TestRumours(t *testing.T) {
 	terms := smallTerms()
-	terms.Peers = true
+	terms.GossipAllowed = true
 	r := newRig(terms, 6)
 	sick := func(id decision.NodeID) {
 		text := append([]byte{factSick}, id.Addr[:]...)
-		r.events = append(r.events, decision.Event{Kind: decision.PeerSaid, Text: append(text, 0, byte(id.Port), 7)})
+		r.events = append(r.events, decision.Event{Kind: decision.GossipReceived, Payload: append(text, 0, byte(id.Port), 7)})
 	}
 	for range 2 {
 		sick(nodeID(0))
@@ -133,7 +133,7 @@
 	r.step(5 * ms)
 	must(t, r.l.nodes[0].slow == 1, "forgotten")
 	r.l.nodes[1].distrust("test", 1)
-	must(t, len(pick(r.step(5*ms), decision.Tell)) == 1 && r.bad == "", "peers are told: %s", r.bad)
+	must(t, len(pick(r.step(5*ms), decision.SendGossip)) == 1 && r.bad == "", "peers are told: %s", r.bad)
 }
 
 // A node whose trial is due is one candidate among its like: many brokers must not all draw it
@@ -184,18 +184,18 @@
 			for _, k := range r.order {
 				if s, ok := r.out[k]; ok && r.now-s.at >= 20*ms && i > 400 &&
 					(!alone && rnd.Intn(6) == 0 || alone && s.node == nodeID(2)) {
-					r.end(k, decision.Reset)
+					r.end(k, decision.ConnectionReset)
 				}
 			}
 			r.endWhere(decision.OK, 20*ms, nil)
 			for _, a := range r.step(5 * ms) {
-				if a.Kind == decision.Log && strings.Contains(a.Text, "alike") {
+				if a.Kind == decision.LogMessage && strings.Contains(a.Text, "alike") {
 					said++
 				}
-				if i > 800 && a.Kind == decision.Answer {
+				if i > 800 && a.Kind == decision.AnswerQuery {
 					answers++
 				}
-				if i > 800 && (a.Kind == decision.Answer || a.Kind == decision.Shed || a.Kind == decision.Fail) {
+				if i > 800 && (a.Kind == decision.AnswerQuery || a.Kind == decision.ShedQuery || a.Kind == decision.FailQuery) {
 					final++
 				}
 			}
@@ -204,8 +204,8 @@
 					shut++
 				}
 			}
-			if sends := pick(r.actions, decision.Send); i > 800 && len(sends) > 0 {
-				must(t, sends[0].Alone != alone, "alone %v: a connection of its own: %v", alone, sends[0].Alone)
+			if sends := pick(r.actions, decision.SendAttempt); i > 800 && len(sends) > 0 {
+				must(t, sends[0].ExclusiveConnection != alone, "alone %v: a connection of its own: %v", alone, sends[0].ExclusiveConnection)
 			}
 		}
 		must(t, r.bad == "" && answers*100 > final*98, "alone %v: %d of %d answered, %s", alone, answers, final, r.bad)
@@ -223,7 +223,7 @@
 	for i := range 1000 {
 		r.ask(0, 3*time.Second, 0, 1)
 		r.endWhere(decision.OK, 20*ms, func(n decision.NodeID) bool { return n != mute || i < 400 || closes > 0 })
-		for _, a := range pick(r.step(5*ms), decision.Close) {
+		for _, a := range pick(r.step(5*ms), decision.CloseIdleConnections) {
 			must(t, a.Node == mute && i > 400, "a fresh connection to %v at step %d", a.Node, i)
 			closes++
 		}
--- a/internal/decision/routing/worth.go
+++ b/internal/decision/routing/worth.go
@@ -13,12 +13,12 @@
 // end late and each retry adds to it. The wait expected of each set is held against the time left; least
 // value for its parts goes first, so does a tenant beyond its share. Parts of crowded sets are left out.
 func (d *desk) refuse(s *search) bool {
-	l, value := d.l, s.typ.Value
+	l, value := d.l, s.typ.PriorityWeight
 	if d.over(s.tenant) {
-		value *= l.t.OverShare
+		value *= l.t.OverQuotaWeight
 	}
 	parts := float64(len(s.parts))
-	if l.t.ByWork {
+	if l.t.WeightByWork {
 		parts = 1 // its value is that of each part
 	}
 	d.weighed++ // the first ones make the mean
@@ -46,7 +46,7 @@
 	// Danger: parts that hardly count for an answer crowd out those that others lack. They give way the more,
 	// the longer parts wait on average. It may hurt where all wait, and not for want of capacity.
 	light := 0.0
-	if s.typ.Floor < s.typ.Need {
+	if s.typ.MinCompleteness < s.typ.FullCompleteness {
 		light = -lightBias * math.Pow(min(1, sum/float64(len(s.parts))/lightFull), 2)
 	}
 	for i := range s.parts {
@@ -65,14 +65,16 @@
 		d.refusing = on
 		l.logf("refusing %v: wait %.2f of the time left, %v", on, worst, left)
 	}
-	return share < s.typ.Floor-eps
+	return share < s.typ.MinCompleteness-eps
 }
 
 // rel is what a part counts, over the mean of its search.
 func (s *search) rel(p *part) float64 { return p.weight * float64(len(s.parts)) }
 
 // light tells whether a part counts less than the mean, and its search can do without it.
-func (s *search) light(p *part) bool { return s.typ.Floor < s.typ.Need && s.rel(p) < 1-eps }
+func (s *search) light(p *part) bool {
+	return s.typ.MinCompleteness < s.typ.FullCompleteness && s.rel(p) < 1-eps
+}
 
 // wait is the latency expected of a part sent to a node: by the record of its holders, and no less than what
 // the second oldest of the node's calls has waited (the oldest may be stuck alone).
@@ -88,13 +90,13 @@
 // over tells whether a tenant sends beyond its share of what this broker carries.
 func (d *desk) over(tenant int) bool {
 	l := d.l
-	if tenant >= len(d.rates) || l.t.OverShare >= 1 {
+	if tenant >= len(d.rates) || l.t.OverQuotaWeight >= 1 {
 		return false
 	}
 	r, q := &d.rates[tenant], &l.t.Tenants[tenant]
 	r.decay(l.now)
 	// Danger: to a broker with little traffic a lone search looks like a burst of its tenant.
-	most := max(q.Quota/float64(l.t.Brokers), overRate*q.Portion*d.total.usual(l.now))
+	most := max(q.Quota/float64(l.t.BrokerCount), overRate*q.TrafficShare*d.total.usual(l.now))
 	return r.fast-1/rateFast.Seconds() > most
 }
 
@@ -106,8 +108,8 @@
 		d.launch(s)
 		d.next = min(d.next, l.now+poll)
 	}
-	over := t.ExtraWindow > 0 && d.beyond(s)
-	dear := t.ExtraWindow > 0 && float64(len(s.parts)-s.in) > d.afford(l.now)
+	over := t.ExtraAttemptsWindow > 0 && d.beyond(s)
+	dear := t.ExtraAttemptsWindow > 0 && float64(len(s.parts)-s.in) > d.afford(l.now)
 	for i := range s.parts {
 		p := &s.parts[i]
 		if p.done || p.dead || over || len(p.tries) == 0 || s.moved {
@@ -123,13 +125,13 @@
 		} else {
 			// Danger: copies of parts that hardly count take from the shared cap, and from the nodes, what others
 			// need. It may hurt where a search just misses being whole.
-			if p.copied || s.light(p) || !inTime || !t.SecondCopies || !d.mayRepeat(s, p) || p.live > 1 {
+			if p.copied || s.light(p) || !inTime || !t.HedgingAllowed || !d.mayRepeat(s, p) || p.live > 1 {
 				continue
 			}
 			a := p.tries[len(p.tries)-1]
 			due, known := a.at+d.p95, d.drew
 			if !known {
-				due = a.at + s.typ.Target/2
+				due = a.at + s.typ.LatencyObjective/2
 			}
 			// Danger: copies made while a whole set, or everything, is slow join the crowd they flee from.
 			// Then only those from distrusted nodes go. It may hurt where half the nodes of a set turn slow.
@@ -166,7 +168,7 @@
 	} else if !p.mayRun {
 		return true
 	}
-	return s.typ.Effect == decision.Idempotent || s.typ.Effect == decision.Tokened && d.l.now <= risk+s.typ.Window
+	return s.typ.Idempotency == decision.Idempotent || s.typ.Idempotency == decision.IdempotencyKeyed && d.l.now <= risk+s.typ.IdempotencyWindow
 }
 
 // beyond tells whether a search lacks more parts than the budget lets be sent again in time. Danger: what is
@@ -184,4 +186,6 @@
 }
 
 // inBudget keeps rule 6: further sub-requests in the window, this one included.
-func (d *desk) inBudget() bool { return d.l.t.ExtraWindow == 0 || d.afford(d.l.now-d.l.t.Step) >= 1 }
+func (d *desk) inBudget() bool {
+	return d.l.t.ExtraAttemptsWindow == 0 || d.afford(d.l.now-d.l.t.ClockStep) >= 1
+}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -20,7 +20,7 @@
 type Node struct {
 	Name    string
 	Addr    netip.AddrPort
-	Entry   decision.Entry
+	Entry   decision.Endpoint
 	Zone    string // as discovery names it
 	Started int64  // its last start in Unix time in milliseconds; 0: long ago
 }
@@ -65,7 +65,7 @@
 	for i, in := range doc.Instances {
 		n := Node{Name: in.InstanceID, Zone: in.Zone, Started: in.StartedAt}
 		e := &n.Entry
-		e.Node, e.Cell, e.Zone, e.Boot = ID(in.InstanceID), in.Cell, rd.Zone(in.Zone), decision.NoBoot
+		e.Node, e.Cell, e.Zone, e.StartedAt = ID(in.InstanceID), in.Cell, rd.Zone(in.Zone), decision.StartedLongAgo
 		if in.InstanceID == "" || in.Cell < 0 || in.Cell >= rd.Cells {
 			return nil, fmt.Errorf("node list: instances.%d: %q in cell %d of %d", i, in.InstanceID, in.Cell, rd.Cells)
 		}
@@ -75,18 +75,18 @@
 		case "terminating":
 			e.State = decision.Draining
 		case "terminated":
-			e.State = decision.Gone
+			e.State = decision.Removed
 		default:
 			return nil, fmt.Errorf("node list: instances.%d: lifecycle %.40q", i, in.Lifecycle)
 		}
 		var err error
-		if n.Addr, err = netip.ParseAddrPort(in.HostPort); err != nil && e.State != decision.Gone {
+		if n.Addr, err = netip.ParseAddrPort(in.HostPort); err != nil && e.State != decision.Removed {
 			return nil, fmt.Errorf("node list: instances.%d: hostPort %.60q", i, in.HostPort)
 		}
 		if in.StartedAt < 0 {
 			return nil, fmt.Errorf("node list: instances.%d: startedAtMs %d", i, in.StartedAt)
 		} else if in.StartedAt > 0 {
-			e.Boot = time.UnixMilli(in.StartedAt).Sub(rd.Start)
+			e.StartedAt = time.UnixMilli(in.StartedAt).Sub(rd.Start)
 		}
 		list.Nodes = append(list.Nodes, n)
 	}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -35,11 +35,11 @@
 		t.Fatalf("%v, %+v", err, got)
 	}
 	n := got.Nodes[0]
-	want := decision.Entry{Node: ID("s-1"), Cell: 2, Zone: 1, State: decision.Ready, Boot: decision.NoBoot}
+	want := decision.Endpoint{Node: ID("s-1"), Cell: 2, Zone: 1, State: decision.Ready, StartedAt: decision.StartedLongAgo}
 	if n.Entry != want || n.Addr != netip.MustParseAddrPort("10.0.0.1:80") {
 		t.Errorf("read as %+v", n)
 	}
-	if e := got.Nodes[1].Entry; e.State != decision.Draining || e.Boot != 2500*time.Millisecond {
+	if e := got.Nodes[1].Entry; e.State != decision.Draining || e.StartedAt != 2500*time.Millisecond {
 		t.Errorf("read as %+v", e)
 	}
 	// One bad line spoils the list: half a list may hide a drain.
@@ -100,7 +100,7 @@
 		rd := reader()
 		if l, err := rd.Decode(raw); err == nil {
 			for _, n := range l.Nodes {
-				if n.Name == "" || n.Entry.Cell >= 3 || !n.Addr.IsValid() && n.Entry.State != decision.Gone {
+				if n.Name == "" || n.Entry.Cell >= 3 || !n.Addr.IsValid() && n.Entry.State != decision.Removed {
 					t.Errorf("let through %+v", n)
 				}
 			}
--- a/internal/lab/archive/archive.go
+++ b/internal/lab/archive/archive.go
@@ -52,7 +52,7 @@
 // Terms are those of a deployment with one query type.
 func (b *Broker) Terms() *terms.Terms {
 	return &terms.Terms{Types: []string{"find"}, Tenants: []string{"acme"}, Shards: len(b.Store),
-		Module: decision.Terms{Types: []decision.SearchType{{Timeout: 2 * time.Second, Target: time.Second}}}}
+		Module: decision.Settings{QueryTypes: []decision.QueryType{{Timeout: 2 * time.Second, LatencyObjective: time.Second}}}}
 }
 
 // Since is the time since it was made.
--- a/internal/lab/emu.go
+++ b/internal/lab/emu.go
@@ -23,7 +23,7 @@
 	seq    int
 	boxes  map[decision.NodeID]*Box
 	rnd    *rand.Rand
-	terms  decision.Terms
+	terms  decision.Settings
 	Tally  Tally
 	Broken []string // rules, as seen from outside the brokers
 }
@@ -102,13 +102,13 @@
 	if len(facts) == 0 {
 		return
 	}
-	e := decision.Event{Kind: decision.ListDelta}
+	e := decision.Event{Kind: decision.ListUpdateReceived}
 	for _, f := range facts {
-		entry := decision.Entry{Node: f.ID, Cell: f.Entry.Cell, State: decision.Ready, Boot: decision.NoBoot, Eased: f.Eased}
+		entry := decision.Endpoint{Node: f.ID, Cell: f.Entry.Cell, State: decision.Ready, StartedAt: decision.StartedLongAgo, Unconfirmed: f.Eased}
 		if !f.Use {
 			entry.State = decision.Draining
 		}
-		e.Entries = append(e.Entries, entry)
+		e.Endpoints = append(e.Endpoints, entry)
 	}
 	b.tell(e)
 }
@@ -119,44 +119,44 @@
 		facts, next := b.judge.Tick(b.w.now)
 		b.facts(facts)
 		if next < time.Hour {
-			b.w.at(next, func() { b.tell(decision.Event{Kind: decision.Woken}) })
+			b.w.at(next, func() { b.tell(decision.Event{Kind: decision.TimerFired}) })
 		}
 	}
 	events := b.events
 	b.events = nil
 	b.turning = false
-	for _, a := range b.module.Turn(b.w.now, events, nil) {
+	for _, a := range b.module.Step(b.w.now, events, nil) {
 		switch a.Kind {
-		case decision.Send:
+		case decision.SendAttempt:
 			b.send(a)
-		case decision.Cancel:
+		case decision.CancelAttempt:
 			if s := b.parts[a.ID]; s != nil {
 				if call := s.out[[2]uint64{a.ID, uint64(a.Attempt)}]; call != nil {
 					call()
 				}
 			}
-		case decision.Answer, decision.Shed, decision.Fail:
+		case decision.AnswerQuery, decision.ShedQuery, decision.FailQuery:
 			b.end(a)
-		case decision.Wake:
-			b.w.at(a.At, func() { b.tell(decision.Event{Kind: decision.Woken}) })
+		case decision.SetTimer:
+			b.w.at(a.TimerAt, func() { b.tell(decision.Event{Kind: decision.TimerFired}) })
 		}
 	}
 }
 
 // Ask puts a search to the broker, with one part for each shard.
 func (b *Broker) ask(typ int, shards []int) {
-	w, t := b.w, &b.w.terms.Types[typ]
+	w, t := b.w, &b.w.terms.QueryTypes[typ]
 	w.Tally.Asked++
-	s := &asked{id: b.next, begun: w.now, due: w.now + t.Timeout, target: t.Target, need: t.Floor,
+	s := &asked{id: b.next, begun: w.now, due: w.now + t.Timeout, target: t.LatencyObjective, need: t.MinCompleteness,
 		shares: map[uint64]float64{}, tries: map[uint64]uint16{}, out: map[[2]uint64]func(){}}
 	b.next += uint64(len(shards)) + 1
 	b.searches[s.id] = s
 	serial := float32(s.id % (1 << 24))
-	b.tell(decision.Event{Kind: decision.SearchIn, ID: s.id, Serial: serial, Type: typ, Left: t.Timeout, Weight: float64(len(shards))})
+	b.tell(decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: typ, TimeLeft: t.Timeout, Weight: float64(len(shards))})
 	for i, shard := range shards {
 		id := s.id + 1 + uint64(i)
 		s.shares[id], b.parts[id] = 1/float64(len(shards)), s
-		b.tell(decision.Event{Kind: decision.PartIn, ID: id, Serial: serial, Shard: shard, Weight: s.shares[id]})
+		b.tell(decision.Event{Kind: decision.ShardRequestReceived, ID: id, Serial: serial, Shard: shard, Weight: s.shares[id]})
 	}
 	w.at(s.due+50*time.Millisecond, func() {
 		if !s.over {
@@ -177,16 +177,16 @@
 	}
 	s.over = true
 	switch a.Kind {
-	case decision.Shed:
+	case decision.ShedQuery:
 		t.Shed++
-	case decision.Fail:
+	case decision.FailQuery:
 		t.Failed++
 	default:
-		if s.got < s.need-1e-4 || a.Whole && s.got < 1-1e-4 {
-			b.w.broke("rule 5: search %d answered with %.2f, whole %v", s.id, s.got, a.Whole)
+		if s.got < s.need-1e-4 || a.Complete && s.got < 1-1e-4 {
+			b.w.broke("rule 5: search %d answered with %.2f, whole %v", s.id, s.got, a.Complete)
 		}
 		t.Answered++
-		if !a.Whole {
+		if !a.Complete {
 			t.Partial++
 		}
 		if b.w.now-s.begun <= s.target {
--- a/internal/lab/emusend.go
+++ b/internal/lab/emusend.go
@@ -29,7 +29,7 @@
 		if b.judge != nil {
 			b.judge.Showed(a.Node, how, w.now-begun, w.now)
 		}
-		b.tell(decision.Event{Kind: decision.Ended, ID: a.ID, Attempt: attempt, Outcome: how, Took: w.now - begun, Node: a.Node})
+		b.tell(decision.Event{Kind: decision.AttemptEnded, ID: a.ID, Attempt: attempt, Outcome: how, Elapsed: w.now - begun, Node: a.Node})
 	}
 	s.out[key] = func() { end(decision.Cancelled) }
 	w.Tally.Parts++
@@ -50,7 +50,7 @@
 				box.Mode, box.Fallen = Hanging, false
 			case box.Mode == Hanging:
 			case !taken:
-				w.at(w.now+hop, func() { end(decision.Refused) })
+				w.at(w.now+hop, func() { end(decision.Rejected) })
 			default:
 				w.at(done+hop, func() { end(decision.OK) })
 			}
--- a/internal/lab/play/audit.go
+++ b/internal/lab/play/audit.go
@@ -36,16 +36,16 @@
 	d := &directory{version: 1}
 	for n := range w.script.Fleet.Nodes {
 		d.starts = append(d.starts, 0)
-		d.nodes = append(d.nodes, d.line(w, n, decision.Ready, decision.NoBoot))
+		d.nodes = append(d.nodes, d.line(w, n, decision.Ready, decision.StartedLongAgo))
 	}
 	return d
 }
 
-func (d *directory) line(w *world, n int, state decision.ListState, boot time.Duration) discovery.Node {
+func (d *directory) line(w *world, n int, state decision.EndpointState, boot time.Duration) discovery.Node {
 	name := nodeName(n, d.starts[n])
-	l := discovery.Node{Name: name, Zone: w.terms.Zones[w.script.ZoneOf(n)], Entry: decision.Entry{Node: discovery.ID(name),
-		Cell: n % w.script.Fleet.Cells, Zone: w.script.ZoneOf(n), State: state, Boot: boot}}
-	if boot != decision.NoBoot {
+	l := discovery.Node{Name: name, Zone: w.terms.Zones[w.script.ZoneOf(n)], Entry: decision.Endpoint{Node: discovery.ID(name),
+		Cell: n % w.script.Fleet.Cells, Zone: w.script.ZoneOf(n), State: state, StartedAt: boot}}
+	if boot != decision.StartedLongAgo {
 		l.Started = w.epoch.Add(boot).UnixMilli()
 	}
 	return l
@@ -100,19 +100,19 @@
 	tell := func(l discovery.Node) { list.Nodes = append(list.Nodes, l) }
 	switch e.Does {
 	case script.Dies, script.Leaves:
-		if at.State == decision.Gone {
+		if at.State == decision.Removed {
 			return
 		}
-		d.nodes[e.Node] = d.line(d.w, e.Node, decision.Gone, at.Boot)
+		d.nodes[e.Node] = d.line(d.w, e.Node, decision.Removed, at.StartedAt)
 		tell(d.nodes[e.Node])
 	case script.Drains:
 		if at.State != decision.Ready {
 			return
 		}
-		d.nodes[e.Node] = d.line(d.w, e.Node, decision.Draining, at.Boot)
+		d.nodes[e.Node] = d.line(d.w, e.Node, decision.Draining, at.StartedAt)
 		tell(d.nodes[e.Node])
 	case script.Returns, script.Arrives:
-		if at.State != decision.Gone { // it had vanished, which discovery does not see
+		if at.State != decision.Removed { // it had vanished, which discovery does not see
 			return
 		}
 		d.starts[e.Node]++
@@ -157,9 +157,9 @@
 	case kRan:
 		r, known := a.ran[e.a]
 		of, window := e.p.(ran), time.Duration(0)
-		if decision.Effect(e.n) == decision.Tokened { // repeats are dropped for so long
-			for i := range a.w.terms.Module.Types {
-				window = max(window, a.w.terms.Module.Types[i].Window)
+		if decision.Idempotency(e.n) == decision.IdempotencyKeyed { // repeats are dropped for so long
+			for i := range a.w.terms.Module.QueryTypes {
+				window = max(window, a.w.terms.Module.QueryTypes[i].IdempotencyWindow)
 			}
 		}
 		if known && (of.sent-r.sent).Abs() > window || known && window == 0 {
@@ -169,7 +169,7 @@
 			a.ran[e.a] = run{of.sent}
 		}
 		search := hashOf(searchOf(of.part))
-		if _, was := a.shed[search]; was && decision.Effect(e.n) == decision.NonIdempotent {
+		if _, was := a.shed[search]; was && decision.Idempotency(e.n) == decision.NonIdempotent {
 			a.breach(2, "part %s ran, and its search was shed", of.part)
 		}
 		a.ran[search] = run{of.sent}
--- a/internal/lab/play/clients.go
+++ b/internal/lab/play/clients.go
@@ -108,7 +108,7 @@
 	q.id, q.over = fmt.Sprintf("%08x%08x", uint32(f.id)*2654435761, uint32(f.asks)), false
 	clear(q.sent)
 	f.open[q.id] = q
-	if f.w.terms.Module.ExtraWindow > 0 {
+	if f.w.terms.Module.ExtraAttemptsWindow > 0 {
 		for range 1 + len(q.shards) {
 			f.counts = append(f.counts, f.now)
 		}
@@ -152,7 +152,7 @@
 		f.by.tally.types[q.row].record(took)
 	case v.Shed:
 		kind = 2
-		if f.w.terms.Module.Types[q.typ].Effect == decision.NonIdempotent {
+		if f.w.terms.Module.QueryTypes[q.typ].Idempotency == decision.NonIdempotent {
 			f.send(idAuditor, f.now, kShedOf, 0, hashOf(id), id)
 		}
 		if !f.again(q, v.After) {
@@ -160,7 +160,7 @@
 		}
 	default:
 		kind = 3
-		if f.w.terms.Module.Types[q.typ].Effect != decision.Idempotent || !f.again(q, 0) {
+		if f.w.terms.Module.QueryTypes[q.typ].Idempotency != decision.Idempotent || !f.again(q, 0) {
 			c.Failed++
 		}
 	}
--- a/internal/lab/play/node.go
+++ b/internal/lab/play/node.go
@@ -30,7 +30,7 @@
 	conn   *link
 	id     string // empty: a handshake
 	work   time.Duration
-	effect decision.Effect
+	effect decision.Idempotency
 	off    bool
 	sent   time.Duration
 	n      uint64
--- a/internal/lab/play/offer.go
+++ b/internal/lab/play/offer.go
@@ -63,5 +63,5 @@
 		n.answer(l, store.Answer{ID: id, End: store.Skipped})
 		return
 	}
-	n.take(&job{conn: l, id: id, work: work, effect: n.w.terms.Module.Types[typ].Effect, sent: written})
+	n.take(&job{conn: l, id: id, work: work, effect: n.w.terms.Module.QueryTypes[typ].Idempotency, sent: written})
 }
--- a/internal/lab/play/plain.go
+++ b/internal/lab/play/plain.go
@@ -16,10 +16,10 @@
 
 // plain is a policy without memory of nodes.
 type plain struct {
-	t      *decision.Terms
+	t      *decision.Settings
 	rnd    *rand.Rand
 	see    foresee
-	list   map[decision.NodeID]decision.Entry
+	list   map[decision.NodeID]decision.Endpoint
 	cells  [][]decision.NodeID
 	hand   []*simple
 	byID   map[uint64]*simple
@@ -30,7 +30,7 @@
 
 type simple struct {
 	id             uint64
-	typ            *decision.SearchType
+	typ            *decision.QueryType
 	deadline, last time.Duration
 	parts          []piece
 	over           bool
@@ -47,42 +47,42 @@
 	dead   bool
 }
 
-func newPlain(t decision.Terms, rnd *rand.Rand, see foresee) *plain {
-	return &plain{t: &t, rnd: rnd, see: see, list: map[decision.NodeID]decision.Entry{}, cells: make([][]decision.NodeID, t.Cells),
+func newPlain(t decision.Settings, rnd *rand.Rand, see foresee) *plain {
+	return &plain{t: &t, rnd: rnd, see: see, list: map[decision.NodeID]decision.Endpoint{}, cells: make([][]decision.NodeID, t.Cells),
 		byID: map[uint64]*simple{}, owners: map[uint64]*simple{}}
 }
 
-func (p *plain) Turn(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+func (p *plain) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	if !p.asked && now >= p.due {
 		p.asked = true
-		out = append(out, decision.Action{Kind: decision.Subscribe})
+		out = append(out, decision.Action{Kind: decision.SubscribeList})
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
-		case decision.ListFull, decision.ListDelta:
+		case decision.FullListReceived, decision.ListUpdateReceived:
 			p.relist(e)
-		case decision.ListFailed:
+		case decision.ListPollFailed:
 			p.asked, p.due = false, now+time.Second
-		case decision.SearchIn:
-			y := &p.t.Types[e.Type]
-			s := &simple{id: e.ID, typ: y, deadline: now + min(y.Target, e.Left) - 50*time.Millisecond, last: now + e.Left - 15*time.Millisecond}
+		case decision.QueryReceived:
+			y := &p.t.QueryTypes[e.Type]
+			s := &simple{id: e.ID, typ: y, deadline: now + min(y.LatencyObjective, e.TimeLeft) - 50*time.Millisecond, last: now + e.TimeLeft - 15*time.Millisecond}
 			p.hand = append(p.hand, s)
 			p.byID[e.ID] = s
-		case decision.PartIn:
+		case decision.ShardRequestReceived:
 			s := p.hand[len(p.hand)-1]
 			s.parts = append(s.parts, piece{id: e.ID, shard: e.Shard, weight: e.Weight})
 			p.owners[e.ID] = s
-		case decision.Ended:
+		case decision.AttemptEnded:
 			if s := p.owners[e.ID]; s != nil {
 				k := &s.parts[slices.IndexFunc(s.parts, func(k piece) bool { return k.id == e.ID })]
 				if k.out--; e.Outcome == decision.OK && !k.in {
 					k.in, s.got = true, s.got+k.weight
 				} else if e.Outcome != decision.Cancelled {
-					never := e.Outcome == decision.Refused || e.Outcome == decision.ConnectFailed || e.Outcome == decision.NeverSent
-					k.dead = k.tries >= 3 || !never && s.typ.Effect != decision.Idempotent
+					never := e.Outcome == decision.Rejected || e.Outcome == decision.ConnectFailed || e.Outcome == decision.NeverSent
+					k.dead = k.tries >= 3 || !never && s.typ.Idempotency != decision.Idempotent
 				}
 			}
-		case decision.Left:
+		case decision.ClientLeft:
 			if s := p.byID[e.ID]; s != nil {
 				s.over = true
 			}
@@ -112,14 +112,14 @@
 	if !p.asked {
 		next = min(next, max(p.due, now+1))
 	}
-	return append(out, decision.Action{Kind: decision.Wake, At: next})
+	return append(out, decision.Action{Kind: decision.SetTimer, TimerAt: next})
 }
 
 func (p *plain) relist(e *decision.Event) {
-	if e.Kind == decision.ListFull {
+	if e.Kind == decision.FullListReceived {
 		clear(p.list)
 	}
-	for _, n := range e.Entries {
+	for _, n := range e.Endpoints {
 		if n.State == decision.Ready {
 			p.list[n.Node] = n
 		} else {
@@ -165,29 +165,29 @@
 		}
 		hopeful += k.weight
 		k.out, k.tries, ran = k.out+1, k.tries+1, true
-		out = append(out, decision.Action{Kind: decision.Send, ID: k.id, Node: node})
+		out = append(out, decision.Action{Kind: decision.SendAttempt, ID: k.id, Node: node})
 	}
 	end := func(kind decision.ActionKind, whole bool) []decision.Action {
 		s.over = true
-		out = append(out, decision.Action{Kind: kind, ID: s.id, Whole: whole, After: 200 * time.Millisecond})
+		out = append(out, decision.Action{Kind: kind, ID: s.id, Complete: whole, RetryAfter: 200 * time.Millisecond})
 		for i := range s.parts {
 			if k := &s.parts[i]; k.out > 0 {
-				out = append(out, decision.Action{Kind: decision.Cancel, ID: k.id, Attempt: k.tries - 1})
+				out = append(out, decision.Action{Kind: decision.CancelAttempt, ID: k.id, Attempt: k.tries - 1})
 			}
 		}
 		return out
 	}
 	const eps = 5e-5
 	switch {
-	case s.got >= s.typ.Need-eps:
-		return end(decision.Answer, true)
-	case s.got >= s.typ.Floor-eps && (now >= s.deadline || hopeful-s.got < eps):
-		return end(decision.Answer, false)
-	case hopeful < s.typ.Floor-eps, now >= s.last:
-		if s.typ.Effect == decision.Idempotent && now < s.last || !ran && s.untouched() {
-			return end(decision.Shed, false)
+	case s.got >= s.typ.FullCompleteness-eps:
+		return end(decision.AnswerQuery, true)
+	case s.got >= s.typ.MinCompleteness-eps && (now >= s.deadline || hopeful-s.got < eps):
+		return end(decision.AnswerQuery, false)
+	case hopeful < s.typ.MinCompleteness-eps, now >= s.last:
+		if s.typ.Idempotency == decision.Idempotent && now < s.last || !ran && s.untouched() {
+			return end(decision.ShedQuery, false)
 		}
-		return end(decision.Fail, false)
+		return end(decision.FailQuery, false)
 	}
 	return out
 }
--- a/internal/lab/play/play_test.go
+++ b/internal/lab/play/play_test.go
@@ -119,12 +119,12 @@
 
 // spoiler breaks a rule on purpose, behind a policy that keeps them.
 type spoiler struct {
-	decision.Decider
+	decision.Router
 	spoil func(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action
 }
 
-func (s spoiler) Turn(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
-	return s.spoil(now, events, s.Decider.Turn(now, events, out))
+func (s spoiler) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+	return s.spoil(now, events, s.Router.Step(now, events, out))
 }
 
 // Each audit finds what it is for: the module is made to break each rule, and the breach is named.
@@ -137,8 +137,8 @@
 	}{
 		{5, `{"for": "3s", "types": [{"name": "find", "least_parts": 3}]}`, func(now time.Duration, _ []decision.Event, out []decision.Action) []decision.Action {
 			for i := range out {
-				if out[i].Kind == decision.Send { // answered before anything is in
-					return append(out, decision.Action{Kind: decision.Answer, ID: out[i].ID - 1, Whole: true})
+				if out[i].Kind == decision.SendAttempt { // answered before anything is in
+					return append(out, decision.Action{Kind: decision.AnswerQuery, ID: out[i].ID - 1, Complete: true})
 				}
 			}
 			return out
@@ -163,7 +163,7 @@
 	t.Helper()
 	was := decideInstead
 	defer func() { decideInstead = was }()
-	decideInstead = func(t decision.Terms, f *front) decision.Decider {
+	decideInstead = func(t decision.Settings, f *front) decision.Router {
 		p := newPlain(t, f.rnd, nil)
 		switch {
 		case spoil != nil:
@@ -182,14 +182,14 @@
 	heard bool
 }
 
-func (d deaf) Turn(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+func (d deaf) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	var kept []decision.Event
 	for _, e := range events {
-		if e.Kind != decision.ListDelta {
+		if e.Kind != decision.ListUpdateReceived {
 			kept = append(kept, e)
 		}
 	}
-	return d.plain.Turn(now, kept, out)
+	return d.plain.Step(now, kept, out)
 }
 
 // Effects: runs of one part count twice only where sent outside of what drops repeats, and a shed search that ran is named.
@@ -199,16 +199,16 @@
 	w.workers = []*worker{{}}
 	a := &auditor{ran: map[uint64]run{}, shed: map[uint64]time.Duration{}}
 	a.join(w, idAuditor)
-	tell := func(k kind, effect decision.Effect, id string, sent time.Duration) int64 {
+	tell := func(k kind, effect decision.Idempotency, id string, sent time.Duration) int64 {
 		a.handle(&event{kind: k, n: int32(effect), a: hashOf(id), p: ran{id, sent}})
 		return w.workers[0].tally.broken
 	}
 	steps := []struct {
-		effect decision.Effect
+		effect decision.Idempotency
 		id     string
 		sent   time.Duration
 		broken int64
-	}{{decision.Tokened, "a.1", 0, 0}, {decision.Tokened, "a.1", time.Second, 0}, {decision.Tokened, "a.1", 1001 * time.Millisecond, 1},
+	}{{decision.IdempotencyKeyed, "a.1", 0, 0}, {decision.IdempotencyKeyed, "a.1", time.Second, 0}, {decision.IdempotencyKeyed, "a.1", 1001 * time.Millisecond, 1},
 		{decision.NonIdempotent, "b.1", 0, 1}, {decision.NonIdempotent, "b.2", 0, 1}, {decision.NonIdempotent, "b.1", 1, 2}}
 	for _, x := range steps {
 		if got := tell(kRan, x.effect, x.id, x.sent); got != x.broken {
--- a/internal/lab/play/sends.go
+++ b/internal/lab/play/sends.go
@@ -56,19 +56,19 @@
 // budget checks rule 6 at a further sub-request.
 func (f *front) budget() {
 	t := &f.w.terms.Module
-	if t.ExtraWindow == 0 {
+	if t.ExtraAttemptsWindow == 0 {
 		return
 	}
 	trim := func(all []time.Duration) []time.Duration {
 		n := 0
-		for n < len(all) && all[n] <= f.now-t.ExtraWindow {
+		for n < len(all) && all[n] <= f.now-t.ExtraAttemptsWindow {
 			n++
 		}
 		return all[n:]
 	}
 	f.sends, f.counts = append(trim(f.sends), f.now), trim(f.counts)
-	if most := t.ExtraFloor + t.ExtraShare*float64(len(f.counts)); float64(len(f.sends)) > most {
-		f.breach(6, "broker %d sent %d further sub-requests in %v, %.1f allowed", f.n, len(f.sends), t.ExtraWindow, most)
+	if most := t.ExtraAttemptsMin + t.ExtraAttemptsShare*float64(len(f.counts)); float64(len(f.sends)) > most {
+		f.breach(6, "broker %d sent %d further sub-requests in %v, %.1f allowed", f.n, len(f.sends), t.ExtraAttemptsWindow, most)
 	}
 }
 
--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -30,8 +30,8 @@
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
 		number, _ := strconv.Atoi(n.Name[1:6])
-		if n.Entry.Boot != decision.NoBoot {
-			n.Entry.Boot -= f.began
+		if n.Entry.StartedAt != decision.StartedLongAgo {
+			n.Entry.StartedAt -= f.began
 		}
 		if n.Entry.State == decision.Ready {
 			delete(f.told, n.Name)
--- a/internal/lab/play/world.go
+++ b/internal/lab/play/world.go
@@ -137,7 +137,7 @@
 }
 
 // decideInstead lets tests put a decider of their own in random choice's place.
-var decideInstead func(decision.Terms, *front) decision.Decider
+var decideInstead func(decision.Settings, *front) decision.Router
 
 // operatorsInstead lets tests give brokers another file.
 var operatorsInstead func(*operator.File)
@@ -151,17 +151,17 @@
 }
 
 // decider makes what decides in a broker.
-func (w *world) decider(p Policy, f *front) func(decision.Terms) decision.Decider {
+func (w *world) decider(p Policy, f *front) func(decision.Settings) decision.Router {
 	switch p {
 	case Random:
 		if decideInstead != nil {
-			return func(t decision.Terms) decision.Decider { return decideInstead(t, f) }
+			return func(t decision.Settings) decision.Router { return decideInstead(t, f) }
 		}
-		return func(t decision.Terms) decision.Decider { return newPlain(t, f.rnd, nil) }
+		return func(t decision.Settings) decision.Router { return newPlain(t, f.rnd, nil) }
 	case Seer:
-		return func(t decision.Terms) decision.Decider { return newPlain(t, f.rnd, w.foresee) }
+		return func(t decision.Settings) decision.Router { return newPlain(t, f.rnd, w.foresee) }
 	default:
-		return func(t decision.Terms) decision.Decider { return routing.New(t) }
+		return func(t decision.Settings) decision.Router { return routing.New(t) }
 	}
 }
 
--- a/internal/lab/script/settings.go
+++ b/internal/lab/script/settings.go
@@ -20,18 +20,18 @@
 		t.Zones = append(t.Zones, string(rune('a'+z)))
 	}
 	m := &t.Module
-	*m = decision.Terms{Seed: uint64(s.Seed), Brokers: b.Count, Peers: b.Peers, MarksRepeats: true, Step: 5 * time.Millisecond,
-		OverShare: 0.05, Cells: f.Cells, Width: 1, BatchParts: 8, Cancels: true, SecondCopies: true,
-		MaxRetryAfter: 2 * time.Second, MaxAttempts: b.Attempts, MaxOpen: b.MaxOpen, AskList: true, ColdFrom: f.ColdFrom,
-		WarmAfter: f.WarmAfter, FallMultiple: f.FallsAt, FallAfter: f.FallsAfter}
+	*m = decision.Settings{Seed: uint64(s.Seed), BrokerCount: b.Count, GossipAllowed: b.Peers, ClientsMarkRetries: true, ClockStep: 5 * time.Millisecond,
+		OverQuotaWeight: 0.05, Cells: f.Cells, CellsPerShard: 1, MaxBatch: 8, CancelAllowed: true, HedgingAllowed: true,
+		MaxRetryAfter: 2 * time.Second, MaxAttempts: b.Attempts, MaxInFlight: b.MaxOpen, PollList: true, ColdCapacity: f.ColdFrom,
+		WarmUpTime: f.WarmAfter, OverloadMultiple: f.FallsAt, OverloadAfter: f.FallsAfter}
 	if b.Budget > 0 {
-		m.ExtraFloor, m.ExtraShare, m.ExtraWindow = 10, b.Budget, 10*time.Second
+		m.ExtraAttemptsMin, m.ExtraAttemptsShare, m.ExtraAttemptsWindow = 10, b.Budget, 10*time.Second
 	}
 	for _, y := range s.Types {
-		effect := map[string]decision.Effect{"tokened": decision.Tokened, "non_idempotent": decision.NonIdempotent}[y.Effect]
+		effect := map[string]decision.Idempotency{"tokened": decision.IdempotencyKeyed, "non_idempotent": decision.NonIdempotent}[y.Effect]
 		t.Types = append(t.Types, y.Name)
-		m.Types = append(m.Types, decision.SearchType{Target: y.Target, Timeout: y.Timeout, Value: y.Value, LateShare: y.Late,
-			Effect: effect, Window: y.Window, Floor: y.Floor, Need: 1})
+		m.QueryTypes = append(m.QueryTypes, decision.QueryType{LatencyObjective: y.Target, Timeout: y.Timeout, PriorityWeight: y.Value, LateWeight: y.Late,
+			Idempotency: effect, IdempotencyWindow: y.Window, MinCompleteness: y.Floor, FullCompleteness: 1})
 	}
 	sum := 0.0
 	for _, n := range s.Tenants {
@@ -39,7 +39,7 @@
 	}
 	for _, n := range s.Tenants {
 		t.Tenants = append(t.Tenants, n.Name)
-		m.Tenants = append(m.Tenants, decision.Tenant{Portion: n.Share / sum, Quota: s.Load.Rate * n.Share / sum})
+		m.Tenants = append(m.Tenants, decision.Tenant{TrafficShare: n.Share / sum, Quota: s.Load.Rate * n.Share / sum})
 	}
 	return t
 }
@@ -58,22 +58,22 @@
 	m := &t.Module
 	classes, floors := []map[string]any{}, []float64{}
 	for i, y := range s.Types {
-		effect := [...]string{decision.Idempotent: "read_like", decision.Tokened: "idempotency_key", decision.NonIdempotent: "non_idempotent"}[m.Types[i].Effect]
+		effect := [...]string{decision.Idempotent: "read_like", decision.IdempotencyKeyed: "idempotency_key", decision.NonIdempotent: "non_idempotent"}[m.QueryTypes[i].Idempotency]
 		classes = append(classes, map[string]any{"name": y.Name, "aimNs": y.Target.Nanoseconds(), "deadlineNs": y.Timeout.Nanoseconds(),
 			"effect": effect, "credit": y.Value, "lateShare": y.Late, "windowNs": y.Window.Nanoseconds()})
 		floors = append(floors, y.Floor)
 	}
 	realms := []map[string]any{}
 	for i, n := range s.Tenants {
-		realms = append(realms, map[string]any{"name": n.Name, "portion": m.Tenants[i].Portion, "quotaPerS": m.Tenants[i].Quota})
+		realms = append(realms, map[string]any{"name": n.Name, "portion": m.Tenants[i].TrafficShare, "quotaPerS": m.Tenants[i].Quota})
 	}
-	return json.Marshal(map[string]any{"azs": t.Zones, "balancers": m.Brokers, "classes": classes, "realms": realms,
-		"overShareWorth": m.OverShare, "registryMode": "ask", "stepNs": m.Step.Nanoseconds(),
-		"clients": map[string]any{"marksRetry": m.MarksRepeats},
-		"domain":  map[string]any{"cells": m.Cells, "classFloor": floors, "partsACall": m.BatchParts, "slices": t.Shards, "width": m.Width},
-		"permissions": map[string]any{"cancel": m.Cancels, "connIdleNs": t.Idle.Nanoseconds(), "connectTimeoutNs": t.Dial.Nanoseconds(),
-			"maxAttempts": m.MaxAttempts, "maxOpen": m.MaxOpen, "maxRetryAfterNs": m.MaxRetryAfter.Nanoseconds(), "multiplex": t.Streams,
-			"retryAfter": true, "secondCopies": m.SecondCopies},
-		"safety": map[string]any{"askWithinNs": t.AskEvery.Nanoseconds(), "coldFrom": m.ColdFrom, "drainGraceNs": s.Fleet.Grace.Nanoseconds(),
-			"fallNs": m.FallAfter.Nanoseconds(), "tipMultiple": m.FallMultiple, "warmAfterNs": m.WarmAfter.Nanoseconds()}})
+	return json.Marshal(map[string]any{"azs": t.Zones, "balancers": m.BrokerCount, "classes": classes, "realms": realms,
+		"overShareWorth": m.OverQuotaWeight, "registryMode": "ask", "stepNs": m.ClockStep.Nanoseconds(),
+		"clients": map[string]any{"marksRetry": m.ClientsMarkRetries},
+		"domain":  map[string]any{"cells": m.Cells, "classFloor": floors, "partsACall": m.MaxBatch, "slices": t.Shards, "width": m.CellsPerShard},
+		"permissions": map[string]any{"cancel": m.CancelAllowed, "connIdleNs": t.Idle.Nanoseconds(), "connectTimeoutNs": t.Dial.Nanoseconds(),
+			"maxAttempts": m.MaxAttempts, "maxOpen": m.MaxInFlight, "maxRetryAfterNs": m.MaxRetryAfter.Nanoseconds(), "multiplex": t.Streams,
+			"retryAfter": true, "secondCopies": m.HedgingAllowed},
+		"safety": map[string]any{"askWithinNs": t.AskEvery.Nanoseconds(), "coldFrom": m.ColdCapacity, "drainGraceNs": s.Fleet.Grace.Nanoseconds(),
+			"fallNs": m.OverloadAfter.Nanoseconds(), "tipMultiple": m.OverloadMultiple, "warmAfterNs": m.WarmUpTime.Nanoseconds()}})
 }
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -38,16 +38,16 @@
 	For     time.Duration // discovery comes back then
 }
 
-var startTerms = decision.Terms{Step: 5 * time.Millisecond, Cells: 4, Width: 1, BatchParts: 4, OverShare: 1,
-	Types: []decision.SearchType{{Target: time.Second, Timeout: 2 * time.Second, Value: 1, Floor: 1, Need: 1},
-		{Target: 2 * time.Second, Timeout: 4 * time.Second, Value: 1, Floor: 0.5, Need: 1}},
-	Cancels: true, SecondCopies: true, MaxRetryAfter: time.Second, MaxAttempts: 4, MaxOpen: 4096,
-	ColdFrom: 0.3, WarmAfter: 12 * time.Second, FallMultiple: 2, FallAfter: 2 * time.Second}
+var startTerms = decision.Settings{ClockStep: 5 * time.Millisecond, Cells: 4, CellsPerShard: 1, MaxBatch: 4, OverQuotaWeight: 1,
+	QueryTypes: []decision.QueryType{{LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1, MinCompleteness: 1, FullCompleteness: 1},
+		{LatencyObjective: 2 * time.Second, Timeout: 4 * time.Second, PriorityWeight: 1, MinCompleteness: 0.5, FullCompleteness: 1}},
+	CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: time.Second, MaxAttempts: 4, MaxInFlight: 4096,
+	ColdCapacity: 0.3, WarmUpTime: 12 * time.Second, OverloadMultiple: 2, OverloadAfter: 2 * time.Second}
 
 // RunStart plays one start in virtual time; the world stands as at discovery's return.
 func RunStart(s Start) *World {
 	w := &World{boxes: map[decision.NodeID]*Box{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), terms: startTerms}
-	w.terms.Brokers = s.Brokers
+	w.terms.BrokerCount = s.Brokers
 	warm := Warmth{From: 0.3, Over: 12 * time.Second, Multiple: 2, For: 2 * time.Second}
 	now := cachedlist.Moment(1_700_000_000_000)
 	var entries []cachedlist.Entry
@@ -67,7 +67,7 @@
 	var brokers []*Broker
 	for range s.Brokers {
 		var judge *cachedlist.Judge
-		list := decision.Event{Kind: decision.ListFull}
+		list := decision.Event{Kind: decision.FullListReceived}
 		b := w.broker(w.rnd.Uint64(), nil)
 		switch s.Policy {
 		case Weigh:
@@ -77,7 +77,7 @@
 			b.facts(judge.Begin(id))
 		case BelieveAll:
 			for _, e := range entries {
-				list.Entries = append(list.Entries, decision.Entry{Node: id(e.Name), Cell: e.Cell, State: decision.Ready, Boot: decision.NoBoot})
+				list.Endpoints = append(list.Endpoints, decision.Endpoint{Node: id(e.Name), Cell: e.Cell, State: decision.Ready, StartedAt: decision.StartedLongAgo})
 			}
 			b.tell(list)
 		default:
--- a/internal/protocols/back/back_test.go
+++ b/internal/protocols/back/back_test.go
@@ -67,7 +67,7 @@
 		})
 	p.Carry(Carrier(ctx, Options{Protocol: "z3950", Database: "d", Dial: 200 * time.Millisecond, Now: now, Post: func(e store.Event) { events <- e }}))
 	id := decision.NodeID{Port: 1}
-	p.Point(id, "n", addr, decision.NoBoot)
+	p.Point(id, "n", addr, decision.StartedLongAgo)
 	_, rpn, _ := query.ParsePQF("cat")
 	part := &store.Part{ID: "s.0", Text: (&catalogue.Want{Depth: 3, Syntax: "marcxml", Query: rpn}).Statement(), Deadline: 600 * time.Millisecond, Node: id}
 	p.Send(id, []*store.Part{part})
@@ -119,7 +119,7 @@
 		answer func(n int, m z3950.Message) []byte
 	}{
 		"served": {decision.OK, func(n int, m z3950.Message) []byte { return good(m) }},
-		"busy": {decision.Refused, func(n int, m z3950.Message) []byte {
+		"busy": {decision.Rejected, func(n int, m z3950.Message) []byte {
 			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Records: z3950.Records{Fault: &z3950.Fault{Code: 2}}})
 		}},
 		"a diagnostic": {decision.Errored, func(n int, m z3950.Message) []byte {
@@ -128,19 +128,19 @@
 		"a subset": {decision.Errored, func(n int, m z3950.Message) []byte {
 			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Count: 3, SetStatus: z3950.Subset, Records: z3950.Records{Fault: &z3950.Fault{Code: 2}}})
 		}},
-		"another reference": {decision.Reset, func(n int, m z3950.Message) []byte {
+		"another reference": {decision.ConnectionReset, func(n int, m z3950.Message) []byte {
 			return z3950.Encode(&z3950.SearchResponse{Common: z3950.Common{Reference: []byte("99")}, Count: 3, OK: true})
 		}},
-		"another message": {decision.Reset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.DeleteResponse{}) }},
-		"noise":           {decision.Reset, func(n int, m z3950.Message) []byte { return []byte("noise noise noise") }},
-		"a close":         {decision.Reset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.Close{Reason: 1}) }},
-		"dead between search and present": {decision.Reset, func(n int, m z3950.Message) []byte {
+		"another message": {decision.ConnectionReset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.DeleteResponse{}) }},
+		"noise":           {decision.ConnectionReset, func(n int, m z3950.Message) []byte { return []byte("noise noise noise") }},
+		"a close":         {decision.ConnectionReset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.Close{Reason: 1}) }},
+		"dead between search and present": {decision.ConnectionReset, func(n int, m z3950.Message) []byte {
 			if n == 2 {
 				return nil
 			}
 			return good(m)
 		}},
-		"more records than asked": {decision.Reset, func(n int, m z3950.Message) []byte {
+		"more records than asked": {decision.ConnectionReset, func(n int, m z3950.Message) []byte {
 			if n == 1 {
 				return good(m)
 			}
--- a/internal/protocols/back/pairs_test.go
+++ b/internal/protocols/back/pairs_test.go
@@ -126,7 +126,7 @@
 	if protocol != "frames" {
 		own.Back.Protocol, own.Back.Database = protocol, "x"
 	}
-	if w.s, err = server.New(start, own, func(t decision.Terms) decision.Decider { return routing.New(t) }); err == nil {
+	if w.s, err = server.New(start, own, func(t decision.Settings) decision.Router { return routing.New(t) }); err == nil {
 		err = w.s.Open()
 	}
 	if err != nil {
--- a/internal/protocols/front/front.go
+++ b/internal/protocols/front/front.go
@@ -52,8 +52,8 @@
 			return nil, fmt.Errorf("operators' file: %s.tenant: no tenant %.40q", field, tenant)
 		}
 	}
-	y := &t.Module.Types[a.typ]
-	if a.Timeout = y.Timeout; y.Effect != decision.Idempotent { // pages beyond the first are fetched by searching again
+	y := &t.Module.QueryTypes[a.typ]
+	if a.Timeout = y.Timeout; y.Idempotency != decision.Idempotent { // pages beyond the first are fetched by searching again
 		return nil, fmt.Errorf("operators' file: %s.type: %s may not run again", field, t.Types[a.typ])
 	}
 	return a, nil
--- a/internal/protocols/front/z3950/cold_test.go
+++ b/internal/protocols/front/z3950/cold_test.go
@@ -53,7 +53,7 @@
 	}
 	own := operator.Default()
 	own.Z3950.Listen, own.Z3950.Type, own.Z3950.Sessions = "127.0.0.1:0", "report", 1000
-	s, err := server.New(start, own, func(t decision.Terms) decision.Decider { return routing.New(t) })
+	s, err := server.New(start, own, func(t decision.Settings) decision.Router { return routing.New(t) })
 	if err == nil {
 		err = s.Open()
 	}
--- a/internal/protocols/simwire/decode.go
+++ b/internal/protocols/simwire/decode.go
@@ -40,23 +40,23 @@
 
 func float(b []byte) float32 { return math.Float32frombits(be.Uint32(b)) }
 
-func decodeEntries(raw []byte, start uint64) ([]decision.Entry, error) {
-	out := make([]decision.Entry, 0, len(raw)/entrySize)
+func decodeEntries(raw []byte, start uint64) ([]decision.Endpoint, error) {
+	out := make([]decision.Endpoint, 0, len(raw)/entrySize)
 	for ; len(raw) > 0; raw = raw[entrySize:] {
-		e := decision.Entry{Node: node(raw), Cell: int(be.Uint16(raw[9:])), Zone: int(be.Uint16(raw[6:])),
-			Boot: decision.NoBoot}
+		e := decision.Endpoint{Node: node(raw), Cell: int(be.Uint16(raw[9:])), Zone: int(be.Uint16(raw[6:])),
+			StartedAt: decision.StartedLongAgo}
 		switch raw[11] {
 		case 0:
 			e.State = decision.Draining
 		case 1:
-			e.State = decision.Gone
+			e.State = decision.Removed
 		case 2:
 			e.State = decision.Ready
 		default:
 			return nil, fmt.Errorf("message Endpoints: entry %d: unknown mode %d", len(out), raw[11])
 		}
 		if boot := be.Uint64(raw[16:]); boot != 0 {
-			e.Boot = time.Duration(boot - start) // wraps to a negative span for an earlier boot
+			e.StartedAt = time.Duration(boot - start) // wraps to a negative span for an earlier boot
 		}
 		out = append(out, e)
 	}
--- a/internal/protocols/simwire/encode.go
+++ b/internal/protocols/simwire/encode.go
@@ -17,7 +17,7 @@
 		if b.module == nil {
 			continue
 		}
-		h.actions = b.module.Turn(time.Duration(clock-b.start), b.events, h.actions[:0])
+		h.actions = b.module.Step(time.Duration(clock-b.start), b.events, h.actions[:0])
 		clear(b.events)
 		b.events = b.events[:0]
 		if len(h.actions) == 0 {
@@ -47,42 +47,42 @@
 
 func (h *Host) encode(b *instance, a *decision.Action) {
 	switch a.Kind {
-	case decision.Send:
+	case decision.SendAttempt:
 		r := h.record(acSend)
 		be.PutUint64(r[1:], a.ID)
 		copy(r[17:], a.Node.Addr[:])
 		be.PutUint16(r[21:], a.Node.Port)
-	case decision.Shed:
+	case decision.ShedQuery:
 		r := h.record(acShed)
 		be.PutUint64(r[1:], a.ID)
-		be.PutUint64(r[9:], uint64(max(0, a.After)))
-	case decision.Fail:
+		be.PutUint64(r[9:], uint64(max(0, a.RetryAfter)))
+	case decision.FailQuery:
 		be.PutUint64(h.record(acFailure)[1:], a.ID)
-	case decision.Answer:
+	case decision.AnswerQuery:
 		r := h.record(acRespond)
 		be.PutUint64(r[1:], a.ID)
-		if a.Whole {
+		if a.Complete {
 			r[9] = 1
 		}
-	case decision.Cancel:
+	case decision.CancelAttempt:
 		r := h.record(acAbandon)
 		be.PutUint64(r[1:], a.ID)
 		be.PutUint16(r[9:], a.Attempt)
-	case decision.Wake:
-		be.PutUint64(h.record(acTimer)[1:], b.start+uint64(max(0, a.At)))
-	case decision.Probe:
+	case decision.SetTimer:
+		be.PutUint64(h.record(acTimer)[1:], b.start+uint64(max(0, a.TimerAt)))
+	case decision.SendHealthCheck:
 		r := h.record(acProbe)
 		copy(r[1:], a.Node.Addr[:])
 		be.PutUint16(r[5:], a.Node.Port)
-	case decision.Close:
+	case decision.CloseIdleConnections:
 		r := h.record(acLetGo)
 		copy(r[1:], a.Node.Addr[:])
 		be.PutUint16(r[5:], a.Node.Port)
-	case decision.Subscribe:
+	case decision.SubscribeList:
 		h.record(acKeepInformed)[1] = 1
-	case decision.Log:
+	case decision.LogMessage:
 		h.text(h.record(acEmit)[1:], a.Text)
-	case decision.Tell:
+	case decision.SendGossip:
 		r := h.record(acTell)
 		be.PutUint32(r[1:], math.MaxUint32) // every peer
 		h.text(r[5:], a.Text)
--- a/internal/protocols/simwire/host.go
+++ b/internal/protocols/simwire/host.go
@@ -41,14 +41,14 @@
 type instance struct {
 	number  uint16
 	start   uint64 // the clock at its start
-	module  decision.Decider
+	module  decision.Router
 	events  []decision.Event
 	touched bool
 }
 
 // Host decodes batches, gives each broker its events and writes their actions.
 type Host struct {
-	newModule func(decision.Terms) decision.Decider
+	newModule func(decision.Settings) decision.Router
 	brokers   map[uint16]*instance
 	touched   []*instance
 	sheets    [16][]byte
@@ -60,7 +60,7 @@
 }
 
 // NewHost makes a host whose brokers come from newModule.
-func NewHost(newModule func(decision.Terms) decision.Decider) *Host {
+func NewHost(newModule func(decision.Settings) decision.Router) *Host {
 	return &Host{newModule: newModule, brokers: map[uint16]*instance{}}
 }
 
@@ -160,13 +160,13 @@
 	case evEndpoints:
 		switch r[10] {
 		case listFailed:
-			e.Kind = decision.ListFailed
+			e.Kind = decision.ListPollFailed
 			b.events = append(b.events, e)
 			return nil
 		case listDelta:
-			e.Kind = decision.ListDelta
+			e.Kind = decision.ListUpdateReceived
 		case listFull, listCached:
-			e.Kind = decision.ListFull
+			e.Kind = decision.FullListReceived
 		default:
 			return fmt.Errorf("message Endpoints: unknown mode %d", r[10])
 		}
@@ -174,41 +174,41 @@
 			return fmt.Errorf("message Endpoints: sheet %d was never given", r[9])
 		}
 		var err error
-		if e.Entries, err = decodeEntries(h.sheets[r[9]], b.start); err != nil {
+		if e.Endpoints, err = decodeEntries(h.sheets[r[9]], b.start); err != nil {
 			return err
 		}
 	case evWorkItem:
-		e.Kind, e.ID, e.Left = decision.SearchIn, be.Uint64(r[1:]), span(be.Uint64(r[9:]))
+		e.Kind, e.ID, e.TimeLeft = decision.QueryReceived, be.Uint64(r[1:]), span(be.Uint64(r[9:]))
 		e.Weight, e.Type = float64(float(r[17:])), int(r[21])
-		e.Tenant, e.Serial, e.Repeat = int(be.Uint16(r[30:])), float(r[45:]), r[36]&flagRepeat != 0
+		e.Tenant, e.Serial, e.Retry = int(be.Uint16(r[30:])), float(r[45:]), r[36]&flagRepeat != 0
 		if shard := float(r[32:]); shard >= 0 && shard < 1<<24 {
-			e.Kind, e.Shard = decision.PartIn, int(shard)
+			e.Kind, e.Shard = decision.ShardRequestReceived, int(shard)
 		} else if !(shard < 0) {
 			return fmt.Errorf("WorkItem: shard %v", shard)
 		}
-		if e.Kind == decision.PartIn && !(e.Weight >= 0 && e.Weight <= 1.001) {
+		if e.Kind == decision.ShardRequestReceived && !(e.Weight >= 0 && e.Weight <= 1.001) {
 			return fmt.Errorf("WorkItem: weight %v", e.Weight)
 		}
 	case evResolved:
-		e.Kind, e.ID, e.Attempt = decision.Ended, be.Uint64(r[1:]), be.Uint16(r[10:])
-		e.Took, e.Node = span(be.Uint64(r[12:])), node(r[22:])
+		e.Kind, e.ID, e.Attempt = decision.AttemptEnded, be.Uint64(r[1:]), be.Uint16(r[10:])
+		e.Elapsed, e.Node = span(be.Uint64(r[12:])), node(r[22:])
 		status := be.Uint16(r[20:])
 		if status > uint16(decision.NeverSent) {
 			return fmt.Errorf("message Resolved: unknown outcome %d", status)
 		}
 		e.Outcome = decision.Outcome(status)
 	case evHangup:
-		e.Kind, e.ID = decision.Left, be.Uint64(r[1:])
+		e.Kind, e.ID = decision.ClientLeft, be.Uint64(r[1:])
 	case evElapsed:
-		e.Kind = decision.Woken
+		e.Kind = decision.TimerFired
 	case evDatagram:
 		text, err := slice(tail, r[5:], 1)
 		if err != nil {
 			return fmt.Errorf("message Datagram: %w", err)
 		}
-		e.Kind, e.From, e.Text = decision.PeerSaid, be.Uint32(r[1:]), bytes.Clone(text)
+		e.Kind, e.From, e.Payload = decision.GossipReceived, be.Uint32(r[1:]), bytes.Clone(text)
 	case evProbeDone:
-		e.Kind, e.Node, e.Took = decision.Probed, node(r[1:]), span(be.Uint64(r[7:]))
+		e.Kind, e.Node, e.Elapsed = decision.HealthCheckEnded, node(r[1:]), span(be.Uint64(r[7:]))
 		status := be.Uint16(r[15:])
 		if status > uint16(decision.NeverSent) {
 			return fmt.Errorf("ProbeDone: unknown outcome %d", status)
--- a/internal/protocols/simwire/simwire_test.go
+++ b/internal/protocols/simwire/simwire_test.go
@@ -19,12 +19,12 @@
 // echo answers every search at once and keeps what it was told.
 type echo struct{ seen []decision.Event }
 
-func (e *echo) Turn(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+func (e *echo) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	e.seen = append(e.seen, events...)
 	for _, ev := range events {
-		if ev.Kind == decision.SearchIn {
-			out = append(out, decision.Action{Kind: decision.Shed, ID: ev.ID, After: time.Second},
-				decision.Action{Kind: decision.Log, Text: "shed"}, decision.Action{Kind: decision.Wake, At: now + time.Second})
+		if ev.Kind == decision.QueryReceived {
+			out = append(out, decision.Action{Kind: decision.ShedQuery, ID: ev.ID, RetryAfter: time.Second},
+				decision.Action{Kind: decision.LogMessage, Text: "shed"}, decision.Action{Kind: decision.SetTimer, TimerAt: now + time.Second})
 		}
 	}
 	return out
@@ -59,7 +59,7 @@
 func serve(input ...[]byte) ([]byte, []*echo, error) {
 	var made []*echo
 	var out bytes.Buffer
-	err := NewHost(func(decision.Terms) decision.Decider {
+	err := NewHost(func(decision.Settings) decision.Router {
 		made = append(made, &echo{})
 		return made[len(made)-1]
 	}).Serve(bytes.NewReader(bytes.Join(input, nil)), &out)
@@ -74,11 +74,11 @@
 	if err != nil || len(made) != 1 || len(made[0].seen) != 2 {
 		t.Fatalf("%v, %d brokers", err, len(made))
 	}
-	e := made[0].seen[0].Entries[0]
-	if e.Node.Port != 0x2bc3 || e.Cell != 1 || e.State != decision.Ready || e.Boot != -10 {
+	e := made[0].seen[0].Endpoints[0]
+	if e.Node.Port != 0x2bc3 || e.Cell != 1 || e.State != decision.Ready || e.StartedAt != -10 {
 		t.Errorf("entry read as %+v", e)
 	}
-	if s := made[0].seen[1]; s.ID != 77 || s.Left != 500*time.Millisecond || !s.Repeat {
+	if s := made[0].seen[1]; s.ID != 77 || s.TimeLeft != 500*time.Millisecond || !s.Retry {
 		t.Errorf("search read as %+v", s)
 	}
 	reply := out[8:] // the first batch brings no action
@@ -135,7 +135,7 @@
 	f.Add(start())
 	f.Add(frame(math.MaxUint64, setup, record(evSelect, uint16(1)), search(1)))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		h := NewHost(func(decision.Terms) decision.Decider { return &echo{} })
+		h := NewHost(func(decision.Settings) decision.Router { return &echo{} })
 		h.Serve(io.MultiReader(bytes.NewReader(start()), bytes.NewReader(data)), io.Discard)
 	})
 }
--- a/internal/server/ask.go
+++ b/internal/server/ask.go
@@ -60,7 +60,7 @@
 	if err != nil || times != 1 || ms <= 0 || ms > absurdTime.Milliseconds() {
 		return nil, no(400, "X-Timeout-Ms %.40q", limit)
 	}
-	a.timeout = min(time.Duration(ms)*time.Millisecond, t.Module.Types[a.typ].Timeout)
+	a.timeout = min(time.Duration(ms)*time.Millisecond, t.Module.QueryTypes[a.typ].Timeout)
 	if cookie, times := m.Get("cookie"); times == 1 {
 		a.client = clientOf(cookie)
 	}
--- a/internal/server/budgets_test.go
+++ b/internal/server/budgets_test.go
@@ -15,7 +15,7 @@
 func budgetTrial(t *testing.T) (l *loop, now *time.Duration) {
 	now = new(time.Duration)
 	*now = time.Hour
-	l = newLoop(time.Now(), nil, &decision.Terms{})
+	l = newLoop(time.Now(), nil, &decision.Settings{})
 	l.clock = func() time.Duration { return *now }
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 99}, nil, l.since, nil, nil, nil)
 	l.budgets = newBudgets(l, 1, []string{"acme", "quiet"})
--- a/internal/server/cold_test.go
+++ b/internal/server/cold_test.go
@@ -11,14 +11,14 @@
 
 // Parts count as sent to a cold node while it warms up, and not at nodes that started long ago or are not known.
 func TestColdIsCounted(t *testing.T) {
-	l := newLoop(time.Now(), nil, &decision.Terms{})
+	l := newLoop(time.Now(), nil, &decision.Settings{})
 	under := decoded(t)
 	l.under = &under
 	l.agreed = newAgreed(nil)
-	warm := under.Module.WarmAfter
-	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": decision.NoBoot} {
+	warm := under.Module.WarmUpTime
+	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": decision.StartedLongAgo} {
 		n := nodeAt(name, decision.Ready)
-		n.Entry.Boot = boot
+		n.Entry.StartedAt = boot
 		l.nodes[n.Entry.Node] = n
 	}
 	for _, c := range []struct {
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -65,7 +65,7 @@
 func (h Held) Over() bool { return h.s.over }
 
 // NewCore makes a broker; it knows no node until it is told a list.
-func NewCore(t *terms.Terms, file *operator.File, decide func(decision.Terms) decision.Decider, a Around) (*Core, error) {
+func NewCore(t *terms.Terms, file *operator.File, decide func(decision.Settings) decision.Router, a Around) (*Core, error) {
 	l := newLoop(a.Start, decide(t.Module), &t.Module)
 	l.clock, l.ask, l.tell = a.Now, a.Ask, a.Tell
 	l.say = func(text string, _ time.Duration) { a.Log(text) }
--- a/internal/server/crew.go
+++ b/internal/server/crew.go
@@ -221,12 +221,12 @@
 	n.Entry.State = w.State
 	if w.Started > n.Started {
 		n.Started = w.Started
-		n.Entry.Boot = time.UnixMilli(w.Started).Sub(l.start)
+		n.Entry.StartedAt = time.UnixMilli(w.Started).Sub(l.start)
 	}
 	slog.Info("node by another broker's word", "node", n.Name, "state", w.State, "version", w.Version)
 	l.relist(&discovery.List{Version: w.Version, Nodes: []discovery.Node{n}})
 	if l.saved != nil {
-		state := [...]cachedlist.State{decision.Draining: cachedlist.Draining, decision.Gone: cachedlist.Ended, decision.Ready: cachedlist.Ready}[w.State]
+		state := [...]cachedlist.State{decision.Draining: cachedlist.Draining, decision.Removed: cachedlist.Ended, decision.Ready: cachedlist.Ready}[w.State]
 		l.saved.judge.Word(n.Name, w.Node, state, cachedlist.Moment(n.Started), l.since())
 	}
 	l.crew.pass(&w)
--- a/internal/server/crew_test.go
+++ b/internal/server/crew_test.go
@@ -41,7 +41,7 @@
 		}
 		path, err := k.Config(fmt.Sprintf("n%d", i), "127.0.0.1:0", k.Discovery.Addr(), true)
 		start, file := planned(t, path, err, fmt.Sprintf(`{"crew": {"on": true, "keys": [%q], "interval": "60ms", "timeout": "25ms", "list": true}}`, key))
-		start.Terms.Module.Peers, start.PeerListen, start.Peers, start.PeersAll = true, at[i], at, at[i]
+		start.Terms.Module.GossipAllowed, start.PeerListen, start.Peers, start.PeersAll = true, at[i], at, at[i]
 		start.Name = fmt.Sprintf("n%d", i)
 		s, end := running(t, start, file)
 		all, ends = append(all, s), append(ends, end)
@@ -123,7 +123,7 @@
 	}
 	before := l.nodes[id]
 	l.passOn(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
-	say := func(version uint64, service uint32, node decision.NodeID, state decision.ListState, started int64) {
+	say := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
 		w := gossip.Word{Version: version, Service: service, Node: node, State: state, Started: started}
 		l.noted(w.Append([]byte{noteNode}), l.since())
 	}
@@ -145,7 +145,7 @@
 	if n := l.nodes[id]; n.Entry.State != decision.Draining {
 		t.Errorf("%+v", n)
 	}
-	say(53, l.crew.words.Service, id, decision.Gone, time.Now().UnixMilli())
+	say(53, l.crew.words.Service, id, decision.Removed, time.Now().UnixMilli())
 	if _, known := l.nodes[id]; known {
 		t.Error("an ended node is still known")
 	}
@@ -193,7 +193,7 @@
 	begin := func(i int, crew string) (*Server, func() error) {
 		path, err := k.Config(fmt.Sprintf("n%d", i), "127.0.0.1:0", k.Discovery.Addr(), true)
 		start, file := planned(t, path, err, `{"crew": {"on": true, "keys": ["00112233445566778899aabbccddeeff"], "interval": "60ms", "timeout": "25ms", `+crew+`}}`)
-		start.Terms.Module.Peers, start.PeerListen, start.Peers, start.PeersAll, start.Name = true, at[i], nil, at[i], fmt.Sprintf("n%d", i)
+		start.Terms.Module.GossipAllowed, start.PeerListen, start.Peers, start.PeersAll, start.Name = true, at[i], nil, at[i], fmt.Sprintf("n%d", i)
 		return running(t, start, file)
 	}
 	living := func(s *Server) (n int) {
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -31,7 +31,7 @@
 		MostHint: t.Module.MaxRetryAfter, Seed: t.Module.Seed}
 	names := t.Tenants
 	for i := range t.Module.Tenants {
-		p.Weights = append(p.Weights, t.Module.Tenants[i].Portion)
+		p.Weights = append(p.Weights, t.Module.Tenants[i].TrafficShare)
 	}
 	if len(names) == 0 {
 		names, p.Weights = []string{"all"}, []float64{1}
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -100,10 +100,10 @@
 // answering is a module that answers a search as soon as a part of it has ended.
 type answering struct{}
 
-func (answering) Turn(_ time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+func (answering) Step(_ time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	for i := range events {
-		if e := &events[i]; e.Kind == decision.Ended {
-			out = append(out, decision.Action{Kind: decision.Answer, ID: e.ID - 1, Whole: true})
+		if e := &events[i]; e.Kind == decision.AttemptEnded {
+			out = append(out, decision.Action{Kind: decision.AnswerQuery, ID: e.ID - 1, Complete: true})
 		}
 	}
 	return out
@@ -111,7 +111,7 @@
 
 // What lies between entry and the turn, and between an answer's arrival and the turn, is not taken for the store's delay.
 func TestLateTurnsAtTheDoor(t *testing.T) {
-	l := newLoop(time.Now(), answering{}, &decision.Terms{MaxOpen: 100, BatchParts: 8})
+	l := newLoop(time.Now(), answering{}, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
 	now := time.Duration(0)
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.subrequestEnded)
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -58,7 +58,7 @@
 		l.budgets.see(v)
 	}
 	now := map[decision.NodeID]bool{}
-	var changed []decision.Entry
+	var changed []decision.Endpoint
 	for _, d := range v.Drains {
 		now[d.Node] = true
 		have := a.drains[d.Node]
@@ -84,14 +84,14 @@
 	if len(changed) == 0 {
 		return
 	}
-	l.events = append(l.events, decision.Event{Kind: decision.ListDelta, Entries: changed})
+	l.events = append(l.events, decision.Event{Kind: decision.ListUpdateReceived, Endpoints: changed})
 	if l.pins != nil { // else pins would count on a drained node, and pass it by once its drain has ended
 		l.pins.book.List(l.since(), false, changed)
 	}
 }
 
 // overlaid is a line of discovery with the agreed drain over it. What discovery drains or ends stays so.
-func (l *loop) overlaid(e decision.Entry) decision.Entry {
+func (l *loop) overlaid(e decision.Endpoint) decision.Endpoint {
 	if l.agreed != nil && e.State == decision.Ready && l.agreed.drains[e.Node] != nil {
 		e.State = decision.Draining
 	}
@@ -134,7 +134,7 @@
 // pressed counts what is sent to a node that has just started, for the gates of a release: a version that loads cold nodes more than
 // the others do pushes them over, which no count of searches shows in time.
 func (l *loop) pressed(c *call, now time.Duration) {
-	if n, known := l.nodes[c.to]; known && now-l.under.Module.WarmAfter < n.Entry.Boot {
+	if n, known := l.nodes[c.to]; known && now-l.under.Module.WarmUpTime < n.Entry.StartedAt {
 		l.agreed.cold += uint64(len(c.parts))
 	}
 }
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -19,24 +19,24 @@
 
 // listening is a module that keeps what it is told of nodes, and sends what it is given to one of them.
 type listening struct {
-	state map[decision.NodeID]decision.ListState
+	state map[decision.NodeID]decision.EndpointState
 	to    decision.NodeID
 }
 
-func (m *listening) Turn(_ time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
+func (m *listening) Step(_ time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	for _, e := range events {
-		for _, n := range e.Entries {
+		for _, n := range e.Endpoints {
 			m.state[n.Node] = n.State
 		}
-		if e.Kind == decision.PartIn {
-			actions = append(actions, decision.Action{Kind: decision.Send, ID: e.ID, Node: m.to})
+		if e.Kind == decision.ShardRequestReceived {
+			actions = append(actions, decision.Action{Kind: decision.SendAttempt, ID: e.ID, Node: m.to})
 		}
 	}
 	return actions
 }
 
-func nodeAt(name string, state decision.ListState) discovery.Node {
-	return discovery.Node{Name: name, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Entry: decision.Entry{Node: discovery.ID(name), State: state}}
+func nodeAt(name string, state decision.EndpointState) discovery.Node {
+	return discovery.Node{Name: name, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Entry: decision.Endpoint{Node: discovery.ID(name), State: state}}
 }
 
 // An agreed drain lies over what discovery says, is acknowledged once nothing is out, lets nothing through from then on, and gives
@@ -45,8 +45,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		m := &listening{state: map[decision.NodeID]decision.ListState{}}
-		l := newLoop(time.Now(), m, &decision.Terms{MaxOpen: 100, BatchParts: 8})
+		m := &listening{state: map[decision.NodeID]decision.EndpointState{}}
+		l := newLoop(time.Now(), m, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
 		hung := func(ctx context.Context, _ string, _ time.Duration) (store.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -104,14 +104,14 @@
 			t.Errorf("acknowledged %v", acks)
 		}
 		l.take(viewed{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
-		l.list(&discovery.List{Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Gone)}}, nil)
+		l.list(&discovery.List{Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Removed)}}, nil)
 		l.step()
-		if m.state[a] != decision.Draining || m.state[b] != decision.Gone {
+		if m.state[a] != decision.Draining || m.state[b] != decision.Removed {
 			t.Errorf("told %v: discovery's word on a node does not end its drain, and a drain revives none", m.state)
 		}
 		l.take(viewed{&controlplane.View{Me: me}})
 		l.step()
-		if m.state[a] != decision.Ready || m.state[b] != decision.Gone {
+		if m.state[a] != decision.Ready || m.state[b] != decision.Removed {
 			t.Errorf("after the drains told %v", m.state)
 		}
 		if !slices.Contains(hintedTo(), a) {
--- a/internal/server/epoch.go
+++ b/internal/server/epoch.go
@@ -26,7 +26,7 @@
 // holders are the shards whose holders lie in a cell.
 func holders(cell int, t *terms.Terms) (shards []uint32) {
 	for s := range t.Shards {
-		if (cell-s%t.Module.Cells+t.Module.Cells)%t.Module.Cells < t.Module.Width {
+		if (cell-s%t.Module.Cells+t.Module.Cells)%t.Module.Cells < t.Module.CellsPerShard {
 			shards = append(shards, uint32(s))
 		}
 	}
--- a/internal/server/epoch_test.go
+++ b/internal/server/epoch_test.go
@@ -15,7 +15,7 @@
 // A leader agrees on its list once discovery has spoken and the list has stood for a moment, however often it is told the same.
 func TestEpochOfAListThatStands(t *testing.T) {
 	now := time.Hour
-	l := newLoop(time.Now(), nil, &decision.Terms{})
+	l := newLoop(time.Now(), nil, &decision.Settings{})
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 9}, nil, l.since, nil, nil, nil)
 	under := decoded(t)
--- a/internal/server/foreign.go
+++ b/internal/server/foreign.go
@@ -97,7 +97,7 @@
 }
 
 // answerOf makes a verdict of the pieces that came, if they are what they are said to be (rule 5).
-func (s *search) answerOf(v *link.Verdict, t *decision.SearchType) result {
+func (s *search) answerOf(v *link.Verdict, t *decision.QueryType) result {
 	got, out := 0.0, result{kind: answered, whole: v.Whole}
 	for _, p := range v.Pieces {
 		at := slices.IndexFunc(s.ask.parts, func(a askPart) bool { return a.shard == p.Shard })
@@ -107,7 +107,7 @@
 		got += s.ask.parts[at].weight
 		out.pieces = append(out.pieces, piece{p.Shard, p.Value})
 	}
-	if got < t.Floor-slip || v.Whole && got < t.Need-slip {
+	if got < t.MinCompleteness-slip || v.Whole && got < t.FullCompleteness-slip {
 		return result{kind: errored}
 	}
 	return out
@@ -126,7 +126,7 @@
 	load := forwarding.Load{Places: l.maxOpen, Taken: l.places, Stopping: g.stop(),
 		Lacking: slices.ContainsFunc(a.parts, func(p askPart) bool { return slices.Contains(g.lacking, p.shard) })}
 	left := time.Duration(in.Left) * time.Microsecond
-	switch g.far.Arrive(k, c.Serial, l.types[a.typ].Effect, len(a.parts), left, load, now) {
+	switch g.far.Arrive(k, c.Serial, l.types[a.typ].Idempotency, len(a.parts), left, load, now) {
 	case forwarding.Turn:
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: l.comeBack.Microseconds()})
 	case forwarding.Join:
@@ -169,7 +169,7 @@
 // callOff ends another site's search that nobody waits for.
 func (l *loop) callOff(s *search) {
 	if !s.over {
-		l.events = append(l.events, decision.Event{Kind: decision.Left, ID: s.id})
+		l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: s.id})
 		l.conclude(s, result{kind: errored})
 		l.finish(s)
 	}
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -48,7 +48,7 @@
 	if g == nil || s.pin != nil { // what its reads need is known here alone
 		return false
 	}
-	r := forwarding.Search{ID: s.id, Effect: l.types[s.typ].Effect, Window: l.types[s.typ].Window, Due: s.deadline,
+	r := forwarding.Search{ID: s.id, Effect: l.types[s.typ].Idempotency, Window: l.types[s.typ].IdempotencyWindow, Due: s.deadline,
 		Foreign: s.foreign, Home: s.home}
 	lacking := false
 	for i := range s.ask.parts {
@@ -141,7 +141,7 @@
 
 // shedding is the verdict on a search that is shed: one that may have run elsewhere can't say that asking again is harmless.
 func (s *search) shedding(v result, l *loop) result {
-	if v.kind == shed && s.risk && l.types[s.typ].Effect != decision.Idempotent {
+	if v.kind == shed && s.risk && l.types[s.typ].Idempotency != decision.Idempotent {
 		return result{kind: errored}
 	}
 	return v
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -87,7 +87,7 @@
 		Limits: terms.Limits{Cores: 1, MemoryMB: 192, Sockets: sockets}, Known: []byte(known[:len(known)-1] + "]}")}
 }
 
-func module(t decision.Terms) decision.Decider { return routing.New(t) }
+func module(t decision.Settings) decision.Router { return routing.New(t) }
 
 // live runs a broker; end stops it as SIGTERM does and gives what Run returned.
 func live(t *testing.T, sockets int) (s *Server, end func() error) {
--- a/internal/server/list.go
+++ b/internal/server/list.go
@@ -23,7 +23,7 @@
 			l.saved.judge.Failed()
 		}
 		slog.Info("list not had", "error", err, "what_to_do", remedy.Of(err))
-		l.events = append(l.events, decision.Event{Kind: decision.ListFailed})
+		l.events = append(l.events, decision.Event{Kind: decision.ListPollFailed})
 		return
 	}
 	if list.Cells != 0 && list.Cells != l.cells {
@@ -41,10 +41,10 @@
 
 // relist takes over a list, or the lines that changed.
 func (l *loop) relist(list *discovery.List) {
-	e := decision.Event{Kind: decision.ListDelta}
+	e := decision.Event{Kind: decision.ListUpdateReceived}
 	named := map[decision.NodeID]bool{}
 	if list.Whole {
-		e.Kind = decision.ListFull
+		e.Kind = decision.FullListReceived
 	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
@@ -54,15 +54,15 @@
 			slog.Error("two nodes share an id", "node", n.Name, "other", last.Name)
 			continue
 		}
-		e.Entries = append(e.Entries, l.overlaid(n.Entry))
+		e.Endpoints = append(e.Endpoints, l.overlaid(n.Entry))
 		named[id] = true
-		if n.Entry.State == decision.Gone {
+		if n.Entry.State == decision.Removed {
 			delete(l.nodes, id)
 			l.pool.Drop(id)
 		} else {
 			l.nodes[id] = *n
-			l.pool.Point(id, n.Name, n.Addr, n.Entry.Boot)
-			if e.Entries[len(e.Entries)-1].State != decision.Ready {
+			l.pool.Point(id, n.Name, n.Addr, n.Entry.StartedAt)
+			if e.Endpoints[len(e.Endpoints)-1].State != decision.Ready {
 				l.pool.Withhold(id)
 			}
 		}
@@ -86,7 +86,7 @@
 		}
 	}
 	if l.pins != nil {
-		l.pins.book.List(l.since(), list.Whole, e.Entries)
+		l.pins.book.List(l.since(), list.Whole, e.Endpoints)
 	}
 	l.events = append(l.events, e)
 	if l.agreed != nil {
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -24,7 +24,7 @@
 	start    time.Time
 	clock    func() time.Duration        // since start
 	say      func(string, time.Duration) // what the module logs
-	module   decision.Decider
+	module   decision.Router
 	maxOpen  int
 	comeBack time.Duration // for searches that find no place; 0: clients are not told
 	batch    int
@@ -48,7 +48,7 @@
 	tally    Tally
 	saved    *saved   // nil: no list is kept
 	gate     *gateway // nil: no other site is known
-	types    []decision.SearchType
+	types    []decision.QueryType
 	under    *terms.Terms // in force, where they can change
 	cells    int
 	door     *doorway // nil: first come, first served
@@ -61,11 +61,11 @@
 
 // tuned is a module that can go on under other terms.
 type tuned interface {
-	Retune(t decision.Terms, moved bool)
+	Retune(t decision.Settings, moved bool)
 }
 
-func newLoop(start time.Time, module decision.Decider, t *decision.Terms) *loop {
-	return &loop{start: start, clock: func() time.Duration { return time.Since(start) }, say: logModule, module: module, types: t.Types, cells: t.Cells, maxOpen: t.MaxOpen, comeBack: t.MaxRetryAfter, batch: t.BatchParts,
+func newLoop(start time.Time, module decision.Router, t *decision.Settings) *loop {
+	return &loop{start: start, clock: func() time.Duration { return time.Since(start) }, say: logModule, module: module, types: t.QueryTypes, cells: t.Cells, maxOpen: t.MaxInFlight, comeBack: t.MaxRetryAfter, batch: t.MaxBatch,
 		in: make(chan any, queueDepth), nodes: map[decision.NodeID]discovery.Node{}, next: 1,
 		searches: map[uint64]*search{}, owners: map[uint64]*search{}, ids: map[string]bool{},
 		ask: func() {}, tell: func(string) {}}
@@ -128,7 +128,7 @@
 	}
 	if l.wake > 0 && l.wake <= now {
 		l.wake = 0
-		l.events = append(l.events, decision.Event{Kind: decision.Woken})
+		l.events = append(l.events, decision.Event{Kind: decision.TimerFired})
 	}
 	if len(l.events) > 0 {
 		l.turn(now)
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -134,10 +134,10 @@
 			l.in <- listReceived{err: io.EOF}
 		case 1:
 			node := &w.nodes[w.rnd.IntN(len(w.nodes))]
-			node.Entry.State = decision.ListState(w.rnd.IntN(3))
+			node.Entry.State = decision.EndpointState(w.rnd.IntN(3))
 			if node.Entry.State == decision.Ready {
 				delete(w.downAt, node.Addr.String())
-				node.Entry.Boot = l.since() - time.Second
+				node.Entry.StartedAt = l.since() - time.Second
 			} else if _, down := w.downAt[node.Addr.String()]; !down {
 				w.downAt[node.Addr.String()] = l.since()
 			}
@@ -147,12 +147,12 @@
 		case 3: // a node is replaced under a new id, which a whole list from elsewhere tells, or the changes
 			i := w.rnd.IntN(len(w.nodes))
 			old := w.nodes[i]
-			old.Entry.State = decision.Gone
+			old.Entry.State = decision.Removed
 			w.downAt[old.Addr.String()] = l.since()
 			node := &w.nodes[i]
 			node.Name = fmt.Sprint("t-", n)
 			node.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(1 + n), byte(i)}), 80)
-			node.Entry.Node, node.Entry.State, node.Entry.Boot = discovery.ID(node.Name), decision.Ready, l.since()
+			node.Entry.Node, node.Entry.State, node.Entry.StartedAt = discovery.ID(node.Name), decision.Ready, l.since()
 			if w.rnd.IntN(2) == 0 {
 				l.in <- listReceived{list: &discovery.List{Nodes: []discovery.Node{old, *node}}}
 			} else {
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -106,13 +106,13 @@
 		}
 	}
 	var err error
-	if o.core, err = NewCore(&tm, operator.Default(), func(t decision.Terms) decision.Decider { return routing.New(t) }, a); err != nil {
+	if o.core, err = NewCore(&tm, operator.Default(), func(t decision.Settings) decision.Router { return routing.New(t) }, a); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 2 {
 		name := fmt.Sprint("s-", i)
 		n := nodeAt(name, decision.Ready)
-		n.Entry.Boot = decision.NoBoot
+		n.Entry.StartedAt = decision.StartedLongAgo
 		o.nodes = append(o.nodes, n)
 	}
 	o.core.List(&discovery.List{Whole: true, Nodes: slices.Clone(o.nodes)}, nil)
@@ -187,7 +187,7 @@
 		o.barred = map[string]bool{n.Name: true} // the others are named as in service
 		o.core.List(&discovery.List{Whole: true, Nodes: others}, nil)
 	case restarted:
-		n.Entry.Boot = max(1, o.now)
+		n.Entry.StartedAt = max(1, o.now)
 		delete(o.barred, n.Name) // it serves again
 		o.core.List(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	}
--- a/internal/server/pins.go
+++ b/internal/server/pins.go
@@ -44,7 +44,7 @@
 }
 
 func newPinning(o *operator.Fleet, t *terms.Terms) *pinning {
-	c := readpin.Default(t.Shards, t.Module.Cells, t.Module.Width)
+	c := readpin.Default(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
 	c.Clock, c.Drift = o.ClockError, o.Drift
 	return &pinning{book: readpin.New(c), config: c}
 }
@@ -58,7 +58,7 @@
 
 // pinnedPart is who may be sent a part, what an answer must show, and what the one that is in has shown.
 type pinnedPart struct {
-	only  decision.Only
+	only  decision.AllowedReplicas
 	must  readpin.Must
 	shown readpin.Shown
 }
@@ -97,14 +97,14 @@
 		shard, from := s.ask.parts[i].shard, len(nodes)
 		var back time.Duration
 		nodes, q.parts[i].must, back = l.pins.book.Choose(now, shard, h.Needs(shard), &q.ask, nodes)
-		q.parts[i].only = decision.Only{Pinned: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
+		q.parts[i].only = decision.AllowedReplicas{Sticky: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
 		q.back = max(q.back, back)
 	}
 	s.pin = q
 }
 
 // only narrows the holders of a part; nil: any will do.
-func (s *search) only(i int) *decision.Only {
+func (s *search) only(i int) *decision.AllowedReplicas {
 	if s.pin == nil {
 		return nil
 	}
--- a/internal/server/pins_test.go
+++ b/internal/server/pins_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	start.Known = []byte(known[:len(known)-1] + "]}")
-	start.Terms.Module.SecondCopies = false // they go to any holder, and come of a stall of the machine alone
+	start.Terms.Module.HedgingAllowed = false // they go to any holder, and come of a stall of the machine alone
 	file := operator.Default()
 	file.Fleet.Pins, file.Fleet.ClockError = true, 0
 	s, _ := running(t, start, file)
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -18,8 +18,8 @@
 // check reads what the configuration file leaves in other forms.
 func check(start *terms.Start, reader discovery.Reader) (list *discovery.List, known bool, err error) {
 	t := &start.Terms
-	for i := range t.Module.Types {
-		if t.Module.Types[i].Fetch > 0 {
+	for i := range t.Module.QueryTypes {
+		if t.Module.QueryTypes[i].SecondPhaseRequests > 0 {
 			return nil, false, fmt.Errorf("configuration: settings: domain.fetchParts: %s has a second step, which "+
 				"the protocol has no form for", t.Types[i])
 		}
@@ -92,7 +92,7 @@
 	o, have := s.operator, s.Terms()
 	plain := !o.Door.On && !o.Crew.On && !o.Linked() && !o.Listed() && !o.Agreed() && o.Back.Protocol == "" && len(s.fronts) == 0 && !o.Fleet.Pins
 	_, able := s.loop.module.(tuned)
-	return able && plain && t.Me == have.Me && t.Module.Peers == have.Module.Peers
+	return able && plain && t.Me == have.Me && t.Module.GossipAllowed == have.Module.GossipAllowed
 }
 
 // retune has all go on under other settings: the loop first, then what clients send. What was read under the old ones and comes
@@ -111,8 +111,8 @@
 
 // longest is how long any client waits.
 func longest(t *terms.Terms) (d time.Duration) {
-	for i := range t.Module.Types {
-		d = max(d, t.Module.Types[i].Timeout)
+	for i := range t.Module.QueryTypes {
+		d = max(d, t.Module.QueryTypes[i].Timeout)
 	}
 	return d
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -32,7 +32,7 @@
 	if _, err := New(bad, operator.Default(), module); err == nil || !strings.Contains(err.Error(), "known") {
 		t.Errorf("bad list: %v", err)
 	}
-	bad.Known, bad.Terms.Module.Types[0].Fetch = nil, 2
+	bad.Known, bad.Terms.Module.QueryTypes[0].SecondPhaseRequests = nil, 2
 	if _, err := New(bad, operator.Default(), module); err == nil || !strings.Contains(err.Error(), "fetchParts") {
 		t.Errorf("second step: %v", err)
 	}
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -40,12 +40,12 @@
 // verdictOf makes the final answer of the module's word and the values that are in.
 func (s *search) verdictOf(a *decision.Action) result {
 	switch a.Kind {
-	case decision.Shed:
-		return result{kind: shed, after: a.After}
-	case decision.Fail:
+	case decision.ShedQuery:
+		return result{kind: shed, after: a.RetryAfter}
+	case decision.FailQuery:
 		return result{kind: errored}
 	}
-	v := result{kind: answered, whole: a.Whole}
+	v := result{kind: answered, whole: a.Complete}
 	for i := range s.parts {
 		if s.parts[i].in {
 			v.pieces = append(v.pieces, piece{s.ask.parts[i].shard, s.parts[i].value})
--- a/internal/server/saved.go
+++ b/internal/server/saved.go
@@ -53,7 +53,7 @@
 	}
 	s.list = list
 	pace := cachedlist.NewPacer(cachedlist.Pace{KnockEvery: o.Discovery.KnockEvery, PerCall: o.Discovery.PerCall,
-		MostDelay: o.Discovery.MostDelay, Brokers: t.Module.Brokers}, t.Module.Seed)
+		MostDelay: o.Discovery.MostDelay, Brokers: t.Module.BrokerCount}, t.Module.Seed)
 	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.asked.String()
 	s.nodeList.Pace(pace, content.Head.Generation, resume)
 	c := judge.Picture(0)
@@ -71,7 +71,7 @@
 		switch n.Entry.State {
 		case decision.Draining:
 			e.State = cachedlist.Draining
-		case decision.Gone:
+		case decision.Removed:
 			e.State = cachedlist.Ended
 		}
 		l.Entries = append(l.Entries, e)
@@ -83,13 +83,13 @@
 func (s *saved) node(f cachedlist.Fact) discovery.Node {
 	e := &f.Entry
 	n := discovery.Node{Name: e.Name, Addr: e.Addr, Zone: e.Zone, Started: int64(e.Started),
-		Entry: decision.Entry{Node: f.ID, Cell: e.Cell, Zone: s.zone(e.Zone), State: decision.Ready, Boot: decision.NoBoot,
-			Eased: f.Eased}}
+		Entry: decision.Endpoint{Node: f.ID, Cell: e.Cell, Zone: s.zone(e.Zone), State: decision.Ready, StartedAt: decision.StartedLongAgo,
+			Unconfirmed: f.Eased}}
 	if !f.Use {
 		n.Entry.State = decision.Draining
 	}
 	if e.Started > 0 {
-		n.Entry.Boot = e.Started.Time().Sub(s.start)
+		n.Entry.StartedAt = e.Started.Time().Sub(s.start)
 	}
 	return n
 }
--- a/internal/server/search.go
+++ b/internal/server/search.go
@@ -138,13 +138,13 @@
 		l.pin(s)
 	}
 	serial := float32(s.id % (1 << 24)) // exact in a float32, and far more ids than can be in hand
-	l.events = append(l.events, decision.Event{Kind: decision.SearchIn, ID: s.id, Serial: serial, Type: s.typ,
-		Tenant: s.tenant, Left: left, Weight: float64(n), Repeat: s.repeat})
+	l.events = append(l.events, decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: s.typ,
+		Tenant: s.tenant, TimeLeft: left, Weight: float64(n), Retry: s.repeat})
 	for i := range s.ask.parts {
 		id := s.id + 1 + uint64(i)
 		l.owners[id] = s
-		l.events = append(l.events, decision.Event{Kind: decision.PartIn, ID: id, Serial: serial,
-			Shard: s.ask.parts[i].shard, Weight: s.ask.parts[i].weight, Only: s.only(i)})
+		l.events = append(l.events, decision.Event{Kind: decision.ShardRequestReceived, ID: id, Serial: serial,
+			Shard: s.ask.parts[i].shard, Weight: s.ask.parts[i].weight, Allowed: s.only(i)})
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -85,7 +85,7 @@
 }
 
 // New makes a broker of its configuration; nothing is opened yet.
-func New(start *terms.Start, file *operator.File, newModule func(decision.Terms) decision.Decider) (*Server, error) {
+func New(start *terms.Start, file *operator.File, newModule func(decision.Settings) decision.Router) (*Server, error) {
 	t := &start.Terms
 	s := &Server{start: start, operator: file, asked: start.Discovery, accepted: make(chan struct{}), after: time.After}
 	s.settings.Store(t)
@@ -121,7 +121,7 @@
 	if s.listener, err = net.Listen("tcp", s.start.Listen.String()); err != nil {
 		return err
 	}
-	if s.start.Terms.Module.Peers {
+	if s.start.Terms.Module.GossipAllowed {
 		if s.link, err = peers.Listen(s.start.PeerListen, s.start.Peers, s.start.PeersAll, s.heard); err != nil {
 			s.listener.Close()
 			return err
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -62,14 +62,14 @@
 				l.leaveAbroad(d.s, d.s.id)
 				return
 			}
-			l.events = append(l.events, decision.Event{Kind: decision.Left, ID: d.s.id})
+			l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: d.s.id})
 			l.finish(d.s)
 			l.unsend(d.s) // now, as a connection may come up in the same moment
 		}
 	case listReceived:
 		l.list(d.list, d.err)
 	case peerMessage:
-		l.events = append(l.events, decision.Event{Kind: decision.PeerSaid, From: uint32(d.from), Text: d.text})
+		l.events = append(l.events, decision.Event{Kind: decision.GossipReceived, From: uint32(d.from), Payload: d.text})
 	case viewed:
 		l.see(d.view)
 	case unacked:
@@ -132,7 +132,7 @@
 	}
 	t := &d.terms.Module
 	l.module.(tuned).Retune(*t, d.moved)
-	l.under, l.types, l.cells, l.maxOpen, l.comeBack, l.batch = d.terms, t.Types, t.Cells, t.MaxOpen, t.MaxRetryAfter, t.BatchParts
+	l.under, l.types, l.cells, l.maxOpen, l.comeBack, l.batch = d.terms, t.QueryTypes, t.Cells, t.MaxInFlight, t.MaxRetryAfter, t.MaxBatch
 	l.pool.Retune(d.terms.Streams, d.terms.Idle, d.terms.Dial, longest(d.terms))
 	if d.list != nil {
 		l.relist(d.list)
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -29,7 +29,7 @@
 	if l.door != nil {
 		l.underway(now)
 	}
-	l.actions = l.module.Turn(now, events, l.actions[:0])
+	l.actions = l.module.Step(now, events, l.actions[:0])
 	clear(events)
 	l.spare = events[:0]
 	for i := range l.actions {
@@ -48,15 +48,15 @@
 
 func (l *loop) carryOut(a *decision.Action, now time.Duration) {
 	switch a.Kind {
-	case decision.Send:
+	case decision.SendAttempt:
 		l.send(a, now)
-	case decision.Cancel:
+	case decision.CancelAttempt:
 		if p, i := l.part(a.ID); p != nil && int(a.Attempt) < len(p.parts[i].tries) {
 			l.pool.Cancel(p.parts[i].tries[a.Attempt])
 		}
-	case decision.Answer, decision.Shed, decision.Fail:
+	case decision.AnswerQuery, decision.ShedQuery, decision.FailQuery:
 		if s := l.searches[a.ID]; s != nil && !s.over && !s.abroad {
-			if a.Kind == decision.Shed && l.offer(s) {
+			if a.Kind == decision.ShedQuery && l.offer(s) {
 				l.routed()
 				return
 			}
@@ -65,19 +65,19 @@
 			l.conclude(s, v)
 			l.finish(s)
 		}
-	case decision.Wake:
-		if l.wake == 0 || a.At < l.wake {
-			l.wake = max(1, a.At)
+	case decision.SetTimer:
+		if l.wake == 0 || a.TimerAt < l.wake {
+			l.wake = max(1, a.TimerAt)
 		}
-	case decision.Close:
+	case decision.CloseIdleConnections:
 		l.pool.Retire(a.Node)
-	case decision.Probe:
+	case decision.SendHealthCheck:
 		l.pool.Probe(a.Node)
-	case decision.Subscribe:
+	case decision.SubscribeList:
 		l.ask()
-	case decision.Log:
+	case decision.LogMessage:
 		l.say(a.Text, now)
-	case decision.Tell:
+	case decision.SendGossip:
 		l.tell(a.Text)
 	}
 }
@@ -90,7 +90,7 @@
 	}
 	p := &s.parts[i]
 	t := &store.Part{ID: s.ask.parts[i].name, Shard: s.ask.parts[i].shard, Text: s.text, Deadline: s.deadline,
-		Sent: now, Part: a.ID, Attempt: uint16(len(p.tries)), Node: a.Node, Alone: a.Alone, Tenant: s.tenant}
+		Sent: now, Part: a.ID, Attempt: uint16(len(p.tries)), Node: a.Node, Alone: a.ExclusiveConnection, Tenant: s.tenant}
 	p.tries = append(p.tries, t)
 	l.tally.Subrequests++
 	if l.budgets != nil {
@@ -134,8 +134,8 @@
 		s.heard, s.heardFor = at, l.tally.Turns+1
 	}
 	took := max(0, at-t.Sent)
-	l.events = append(l.events, decision.Event{Kind: decision.Ended, ID: t.Part, Attempt: t.Attempt, Outcome: how,
-		Took: took, Node: t.Node})
+	l.events = append(l.events, decision.Event{Kind: decision.AttemptEnded, ID: t.Part, Attempt: t.Attempt, Outcome: how,
+		Elapsed: took, Node: t.Node})
 	if l.saved != nil {
 		l.saved.judge.Showed(t.Node, how, took, l.since())
 	}
@@ -143,5 +143,5 @@
 
 // probed takes the end of a probe.
 func (l *loop) probed(id decision.NodeID, how decision.Outcome, took time.Duration) {
-	l.events = append(l.events, decision.Event{Kind: decision.Probed, Node: id, Outcome: how, Took: took})
+	l.events = append(l.events, decision.Event{Kind: decision.HealthCheckEnded, Node: id, Outcome: how, Elapsed: took})
 }
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -174,20 +174,20 @@
 
 // checked is the module with the counters checked before each of its turns.
 type checked struct {
-	decision.Decider
+	decision.Router
 	w *world
 }
 
-func (c checked) Picture() (out, shut int) { return c.Decider.(pictured).Picture() }
+func (c checked) Picture() (out, shut int) { return c.Router.(pictured).Picture() }
 
-func (c checked) Turn(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
+func (c checked) Step(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
 	if t := c.w.loop.tally; t.Taken != t.Answered+t.Shed+t.Errored+t.Left+t.InHand {
 		c.w.t.Errorf("counters do not add up: %+v", t)
 	}
 	if c.w.loop.places > 40 {
 		c.w.t.Errorf("%d places taken", c.w.loop.places)
 	}
-	return c.Decider.Turn(now, ev, out)
+	return c.Router.Step(now, ev, out)
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
@@ -200,8 +200,8 @@
 	for i := range 8 {
 		name := fmt.Sprint("s-", i)
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 80)
-		w.nodes = append(w.nodes, discovery.Node{Name: name, Addr: addr, Entry: decision.Entry{
-			Node: discovery.ID(name), Cell: i % 2, Zone: i / 4, State: decision.Ready, Boot: decision.NoBoot}})
+		w.nodes = append(w.nodes, discovery.Node{Name: name, Addr: addr, Entry: decision.Endpoint{
+			Node: discovery.ID(name), Cell: i % 2, Zone: i / 4, State: decision.Ready, StartedAt: decision.StartedLongAgo}})
 	}
 	return w
 }
--- a/internal/transport/store/bench_test.go
+++ b/internal/transport/store/bench_test.go
@@ -122,7 +122,7 @@
 		b.Probed = func(id decision.NodeID, how decision.Outcome, took time.Duration) {
 			b.ends = append(b.ends, fmt.Sprintf("probe %d %d %v", id.Port, how, took))
 		}
-		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:7"), decision.NoBoot)
+		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:7"), decision.StartedLongAgo)
 		test(b)
 		cancel()
 		synctest.Wait()
--- a/internal/transport/store/conn.go
+++ b/internal/transport/store/conn.go
@@ -182,7 +182,7 @@
 	for c.out.len() > 0 {
 		part := c.out.last()
 		if part.written {
-			p.finish(part, decision.Reset, at, "")
+			p.finish(part, decision.ConnectionReset, at, "")
 		} else {
 			p.finish(part, decision.ConnectFailed, at, "")
 		}
--- a/internal/transport/store/end.go
+++ b/internal/transport/store/end.go
@@ -80,7 +80,7 @@
 			how = decision.Errored
 		case Skipped:
 			p.Counts.Skipped++
-			how = decision.Refused
+			how = decision.Rejected
 		}
 		p.finish(part, how, e.at, e.answer.Value)
 	case down:
--- a/internal/transport/store/ends_test.go
+++ b/internal/transport/store/ends_test.go
@@ -132,7 +132,7 @@
 		b.send("b.1")
 		for i := range 100 {
 			id := decision.NodeID{Port: uint16(100 + i)}
-			b.Point(id, "s", netip.MustParseAddrPort("127.0.0.1:9"), decision.NoBoot)
+			b.Point(id, "s", netip.MustParseAddrPort("127.0.0.1:9"), decision.StartedLongAgo)
 			b.Drop(id)
 			b.Drop(at)
 			b.Sweep(b.since())
--- a/internal/transport/store/limits_test.go
+++ b/internal/transport/store/limits_test.go
@@ -131,7 +131,7 @@
 func TestConnectionLimit(t *testing.T) {
 	run(t, Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 2}, func(b *bench) {
 		other := decision.NodeID{Port: 8}
-		b.Point(other, "s-8", netip.MustParseAddrPort("127.0.0.1:8"), decision.NoBoot)
+		b.Point(other, "s-8", netip.MustParseAddrPort("127.0.0.1:8"), decision.StartedLongAgo)
 		b.send("a.1")
 		b.send("a.2")
 		b.Send(other, []*Part{{ID: "a.3", Deadline: time.Hour}})
@@ -165,7 +165,7 @@
 		b.expect("probe 7 1 20ms")
 		b.Probe(at)
 		b.expect("probe 7 1 0s")
-		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:17"), decision.NoBoot)
+		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:17"), decision.StartedLongAgo)
 		b.hold = 2 * time.Second
 		b.Probe(at)
 		time.Sleep(time.Second)
--- a/internal/transport/store/withhold_test.go
+++ b/internal/transport/store/withhold_test.go
@@ -38,7 +38,7 @@
 			b.send("a.1")
 			time.Sleep(time.Millisecond)
 			if change(b); what == "restarted" {
-				b.expect("a.1 " + outcome(decision.Reset))
+				b.expect("a.1 " + outcome(decision.ConnectionReset))
 			} else {
 				b.expect()
 			}
