--- a/internal/cluster/raftlog/recorded_test.go
+++ b/internal/cluster/raftlog/recorded_test.go
@@ -17,7 +17,7 @@
 const recordedFile = "raft-00000003.log"
 
 func recordedOptions(dir string) Options {
-	return Options{Dir: dir, Cluster: "site-a", ID: 2, Voters: []uint64{3, 1, 2}}
+	return Options{Directory: dir, Cluster: "site-a", VoterID: 2, Voters: []uint64{3, 1, 2}}
 }
 
 func recordedEntry(term, index uint64) *pb.Entry {
@@ -69,7 +69,7 @@
 
 func TestRecordedDamageIsRefused(t *testing.T) {
 	_, err := Open(recordedOptions(copyRecorded(t, "damaged")))
-	var damaged *Damaged
+	var damaged *DamagedError
 	if !errors.As(err, &damaged) {
 		t.Error(err)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := os.ReadFile(filepath.Join(o.Dir, recordedFile)); err != nil || !bytes.Equal(got, want) {
+	if got, err := os.ReadFile(filepath.Join(o.Directory, recordedFile)); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("%x, %v, want %x", got, err, want)
 	}
 }
--- a/internal/cluster/seeds/recorded_test.go
+++ b/internal/cluster/seeds/recorded_test.go
@@ -19,8 +19,8 @@
 		t.Errorf("read %v, %v, want %v", all, err, want)
 	}
 	path := filepath.Join(t.TempDir(), "seeds")
-	k := NewKeeper(path)
-	k.Put(want)
+	k := NewWriter(path)
+	k.Enqueue(want)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := k.Run(ctx); err != nil {
--- a/internal/discovery/nodelist/recorded_test.go
+++ b/internal/discovery/nodelist/recorded_test.go
@@ -76,7 +76,7 @@
 
 func TestRecordedAskIsRead(t *testing.T) {
 	got, err := readAsk(Disk{}, filepath.Join("testdata", "recorded", "whole", recordedAsk), recordedDeployment)
-	want := Ask{Import: []cachedlist.Entry{recordedReady, recordedEnded}, Forget: []string{"node-d", "node-x"}}
+	want := OperatorRequest{Import: []cachedlist.Entry{recordedReady, recordedEnded}, Forget: []string{"node-d", "node-x"}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v, want %+v", got, err, want)
 	}
@@ -97,17 +97,17 @@
 		},
 	}
 	for _, run := range runs {
-		s, _ := Open(Options{Dir: dir, Deployment: recordedDeployment})
+		s, _ := Open(Options{Directory: dir, Deployment: recordedDeployment})
 		for _, c := range run {
-			s.Put(c)
+			s.Enqueue(c)
 			if err := s.Flush(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		s.Close()
 	}
-	ask := Ask{Import: []cachedlist.Entry{recordedReady, recordedEnded}, Forget: []string{"node-d", "node-x"}}
-	if err := Leave(Disk{}, dir, recordedDeployment, ask, time.Unix(1_700_000_400, 5)); err != nil {
+	ask := OperatorRequest{Import: []cachedlist.Entry{recordedReady, recordedEnded}, Forget: []string{"node-d", "node-x"}}
+	if err := SubmitRequest(Disk{}, dir, recordedDeployment, ask, time.Unix(1_700_000_400, 5)); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{snapName(1), logName(1), snapName(2), logName(2), recordedAsk} {
