--- a/cmd/flaxfront/nodes.go
+++ b/cmd/flaxfront/nodes.go
@@ -14,6 +14,7 @@
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/discovery/nodelist"
+	"flaxfront/internal/filesystem"
 )
 
 func configCommand(file *string) *cobra.Command {
@@ -81,7 +82,7 @@
 			if err != nil {
 				return err
 			}
-			c, err := nodelist.Read(nodelist.Disk{}, p.dir, p.deployment)
+			c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
 			if err != nil {
 				return err
 			}
@@ -115,7 +116,7 @@
 			if err != nil {
 				return err
 			}
-			c, err := nodelist.Read(nodelist.Disk{}, p.dir, p.deployment)
+			c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
 			if err == nil {
 				err = writeJSON(cmd.OutOrStdout(), c.SortedByName())
 			}
--- a/cmd/flaxfront/nodesio.go
+++ b/cmd/flaxfront/nodesio.go
@@ -17,6 +17,7 @@
 
 	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/discovery/nodelist"
+	"flaxfront/internal/filesystem"
 )
 
 // listed is an entry as operators read and write it.
@@ -104,7 +105,7 @@
 	if asJSON {
 		return writeJSON(out, entries)
 	}
-	for _, f := range c.Faults {
+	for _, f := range c.FileErrors {
 		fmt.Fprintf(out, "%s: not read whole: %v\n", f.File, f.Err)
 	}
 	if !c.Found {
@@ -136,11 +137,11 @@
 
 // verifyNodes fails where a file is damaged, or where a node that should be in service can't be reached.
 func verifyNodes(out io.Writer, p listPlace, reach time.Duration) error {
-	c, err := nodelist.Read(nodelist.Disk{}, p.dir, p.deployment)
+	c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
 	if err != nil {
 		return err
 	}
-	for _, f := range c.Faults {
+	for _, f := range c.FileErrors {
 		fmt.Fprintf(out, "%s: %v\n", f.File, f.Err)
 	}
 	if !c.Found {
@@ -176,15 +177,15 @@
 			fmt.Fprintf(out, "%s: %v\n", ready[i].Name, err)
 		}
 	}
-	if bad > 0 || len(c.Faults) > 0 {
-		return fmt.Errorf("%d nodes out of reach, %d files not read whole", bad, len(c.Faults))
+	if bad > 0 || len(c.FileErrors) > 0 {
+		return fmt.Errorf("%d nodes out of reach, %d files not read whole", bad, len(c.FileErrors))
 	}
 	return nil
 }
 
 // change carries out an ask: by the broker that holds the directory, or else here.
 func change(out io.Writer, p listPlace, a nodelist.OperatorRequest) error {
-	c, err := nodelist.Read(nodelist.Disk{}, p.dir, p.deployment)
+	c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
 	if err != nil {
 		return err
 	}
@@ -198,7 +199,7 @@
 	store, content := nodelist.Open(nodelist.Options{Directory: p.dir, Deployment: deployment})
 	defer store.Close()
 	if !store.HoldsLock() {
-		if err := nodelist.SubmitRequest(nodelist.Disk{}, p.dir, deployment, a, time.Now()); err != nil {
+		if err := nodelist.SubmitRequest(filesystem.Local{}, p.dir, deployment, a, time.Now()); err != nil {
 			return err
 		}
 		fmt.Fprintln(out, "left for the broker that runs; its log tells what it took")
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -7,7 +7,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"flaxfront/internal/cluster/raftlog/crashfs"
+	"flaxfront/internal/filesystem/crashfs"
 )
 
 // calm is a world in which nothing breaks, with a leader.
--- a/internal/cluster/consensus/simworld_test.go
+++ b/internal/cluster/consensus/simworld_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"flaxfront/internal/cluster/raftlog"
-	"flaxfront/internal/cluster/raftlog/crashfs"
+	"flaxfront/internal/filesystem/crashfs"
 )
 
 const (
--- a/internal/cluster/raftlog/fuzz_test.go
+++ b/internal/cluster/raftlog/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"flaxfront/internal/cluster/raftlog/crashfs"
+	"flaxfront/internal/filesystem/crashfs"
 )
 
 // Whatever a file holds, it is taken or refused with a type of its own; what was taken once reads the same again.
@@ -14,7 +14,7 @@
 		f.Fatal(err)
 	}
 	for _, r := range saves[:5] {
-		l.Save(r.Hard, r.Entries, r.Snap)
+		l.Save(r.hardState, r.entries, r.snapshot)
 	}
 	whole := d.Bytes("d/raft-00000001.log")
 	f.Add(whole)
--- a/internal/cluster/raftlog/lock_test.go
+++ b/internal/cluster/raftlog/lock_test.go
@@ -25,15 +25,15 @@
 	}
 	child := func() string {
 		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "RAFTLOG_CHILD="+l.opts.Directory)
+		c.Env = append(os.Environ(), "RAFTLOG_CHILD="+l.options.Directory)
 		out, _ := c.Output()
 		return string(out)
 	}
-	if got := child(); got != "*raftlog.Locked" {
+	if got := child(); got != "*raftlog.LockedError" {
 		t.Errorf("while it is held: %s", got)
 	}
 	l.Close()
 	if got := child(); got != "<nil>" {
-		t.Errorf("after it was given free: %s", got)
+		t.Errorf("after it was released: %s", got)
 	}
 }
--- a/internal/cluster/raftlog/raftlog.go
+++ b/internal/cluster/raftlog/raftlog.go
@@ -1,18 +1,36 @@
-// Package raftlog keeps on disk what a voter of package agree may not forget: entries, hard state and the last snapshot. It
-// owns the files of one directory. It must never say that something is kept before the disk has said so (fsync of the file,
-// and of the directory where a name changed), take a file of another cluster or voter for its own, pass over a damaged
-// place, or write again after a write or an fsync failed.
+// Package raftlog stores on disk what a voter of package consensus may not forget: log entries, hard state (term, vote, commit
+// index) and the last snapshot.
 //
-//	raft-00000007.log   a generation: what was there when it began, then one frame a Save
-//	raft.new            the next generation, until it lasts
-//	lock                held by the one process that votes from here
+// # Files
 //
-// A generation begins at each start and with each snapshot: it is written whole under another name, fsynced, renamed, and
-// the directory fsynced. So a start finds one file that is whole up to its last frames, and of those only the last, that no
-// Save has vouched for, may be torn.
+// A directory belongs to one voter of one cluster:
 //
-// Depends on discovery/nodelist. Concurrency: nothing here locks or starts a goroutine; a value is used by
-// one goroutine at a time.
+//	raft-00000007.log   generation 7, the only one between a start and the next snapshot:
+//
+//	                    +--------+----------------------+---------+------+------+ -
+//	                    | header | hard state, snapshot | entries | Save | Save | ...
+//	                    +--------+----------------------+---------+------+------+ -
+//	                    '------ written at once, renamed ---------' '- appended -'
+//
+//	raft.new            the next generation while it is being written
+//	lock                locked (flock) by the process that votes from here
+//
+// Each box is a frame with a checksum that continues the one before it. The header frame names cluster, voter and voters, and counts
+// the frames that were written at once.
+//
+//	when                       what is written
+//	Save of entries or state   one frame, then fsync
+//	Save of a snapshot         a new generation: raft.new, fsync, rename, fsync of the directory; then older ones are removed
+//	Open                       a new generation, of what was read
+//
+// # After a crash
+//
+// Whatever a Save that returned nil was given is there. Of the Save under way all of it is there or nothing. Open reads the newest
+// generation whole, and cuts off a last frame that a crash left short or with sectors unwritten. Anything else that does not fit is
+// damage to what was acknowledged: Open refuses it, since a voter that goes on without it could vote twice or lose a committed entry.
+//
+// Open is called at the start of a broker that votes, and by `flaxfront fleet begin`, which alone may begin a log; package consensus
+// then calls Load once and Save before each message that vouches for what is saved. A Log is for one goroutine.
 package raftlog
 
 import (
@@ -25,51 +43,64 @@
 	"github.com/gofrs/flock"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"flaxfront/internal/discovery/nodelist"
+	"flaxfront/internal/filesystem"
 )
 
-// FS is the way to the disk, so that tests can cut it off at every step.
-type FS = nodelist.FS
+const lockName = "lock"
 
-// Options say whose log it is.
+// Options say whose log it is, and where.
 type Options struct {
 	Directory string
-	Cluster   string   // name of the cluster
+	Cluster   string   // its name
 	VoterID   uint64   // of this voter
-	Voters    []uint64 // all of them
-	// Create begins a log where there is none. Danger: a voter whose directory was lost and that begins anew may vote a second
-	// time in a term, or no longer know what it acknowledged. Only the first start of a cluster may set it.
+	Voters    []uint64 // all voters of the cluster, in any order
+	// Create lets Open begin a log in a directory that holds none. Only the first start of a cluster may set it: a voter that begins
+	// anew after its directory was lost may vote a second time in a term, or lack entries that it has acknowledged.
 	Create   bool
-	FS       FS // nil is the machine's
-	Unlocked bool
+	FS       filesystem.FS // nil: the machine's
+	Unlocked bool          // no lock is taken, as on a file system in memory
 }
 
-// Log is an open directory. It is for one goroutine.
+// describe names cluster, voter and voters for an error.
+func (o *Options) describe() string {
+	voters := strings.Trim(fmt.Sprint(o.Voters), "[]")
+	return fmt.Sprintf("cluster %q, voter %d of %s", o.Cluster, o.VoterID, voters)
+}
+
+// logState is the life of a Log: open, then closed, or failed for good.
+type logState uint8
+
+const (
+	logOpen logState = iota
+	logFailed
+	logClosed
+)
+
+// Log is an open directory.
 type Log struct {
-	opts    Options
-	disk    FS
+	options Options
+	fs      filesystem.FS
 	lock    *flock.Flock
-	gen     uint64
-	file    nodelist.File
-	chain   uint32
-	buf     []byte
-	failed  error
-	hard    *pb.HardState
-	snap    *pb.Snapshot
-	entries []*pb.Entry // after snap
-}
 
-func name(gen uint64) string { return fmt.Sprintf("raft-%08d.log", gen) }
+	state   logState
+	failure error // of logFailed
+
+	generation uint64          // that is written; 0: none yet
+	file       filesystem.File // of this generation
+	checksum   uint32          // of the last frame
+	buffer     []byte          // for the next frame
+	contents   contents
+}
 
-// Open reads a directory, refuses what it can't trust and begins a new generation there.
+// Open reads a directory and begins a new generation in it. It returns *MissingError, *DamagedError, *MismatchError,
+// *NewerVersionError or *LockedError for a directory that this voter can't go on from, and *IOError where the disk failed.
 func Open(o Options) (*Log, error) {
-	l := &Log{opts: o, disk: o.FS}
-	l.opts.Voters = slices.Sorted(slices.Values(o.Voters))
-	if l.disk == nil {
-		l.disk = nodelist.Disk{}
+	l := &Log{options: o, fs: o.FS}
+	l.options.Voters = slices.Sorted(slices.Values(o.Voters))
+	if l.fs == nil {
+		l.fs = filesystem.Local{}
 	}
-	err := l.open()
-	if err != nil {
+	if err := l.open(); err != nil {
 		l.Close()
 		return nil, err
 	}
@@ -77,68 +108,93 @@
 }
 
 func (l *Log) open() error {
-	if err := l.disk.MkdirAll(l.opts.Directory); err != nil {
-		return &IOError{"directory", err}
+	directory := l.options.Directory
+	if err := l.fs.MkdirAll(directory); err != nil {
+		return l.ioError("make the directory", err)
 	}
-	if !l.opts.Unlocked {
-		l.lock = flock.New(filepath.Join(l.opts.Directory, "lock"))
-		if ok, err := l.lock.TryLock(); err != nil {
-			return &IOError{"lock", err}
-		} else if !ok {
-			return &LockedError{l.opts.Directory}
-		}
+	if err := l.acquireLock(); err != nil {
+		return err
 	}
-	names, err := l.disk.ReadDir(l.opts.Directory)
+	names, err := l.fs.ReadDir(directory)
 	if err != nil {
-		return &IOError{"directory", err}
+		return l.ioError("list the directory", err)
 	}
-	gens := generations(names)
-	if len(gens) == 0 {
-		if !l.opts.Create {
-			return &MissingError{l.opts.Directory}
-		}
-		return l.begin()
+	generations := generationsOf(names)
+	switch {
+	case len(generations) > 0:
+		l.generation = generations[len(generations)-1]
+		err = l.load()
+	case !l.options.Create:
+		err = &MissingError{Directory: directory}
 	}
-	l.gen = gens[len(gens)-1]
-	cut, err := l.read(filepath.Join(l.opts.Directory, name(l.gen)))
 	if err != nil {
 		return err
 	}
-	if cut > 0 {
-		slog.Warn("the end of a voter's log was torn, as a crash leaves it; what no Save had vouched for is cut off",
-			"dir", l.opts.Directory, "file", name(l.gen), "bytes", cut)
+	return l.beginGeneration()
+}
+
+// acquireLock keeps other processes from voting from this directory.
+func (l *Log) acquireLock() error {
+	if l.options.Unlocked {
+		return nil
 	}
-	return l.begin()
+	l.lock = flock.New(l.path(lockName))
+	acquired, err := l.lock.TryLock()
+	switch {
+	case err != nil:
+		return l.ioError("lock the directory", err)
+	case !acquired:
+		return &LockedError{Directory: l.options.Directory}
+	}
+	return nil
 }
 
-func generations(names []string) (gens []uint64) {
-	for _, n := range names {
-		var gen uint64
-		if k, _ := fmt.Sscanf(n, "raft-%08d.log", &gen); k == 1 && n == name(gen) {
-			gens = append(gens, gen)
-		}
+// load reads the newest generation.
+func (l *Log) load() error {
+	name := generationName(l.generation)
+	tornBytes, err := l.readGeneration(l.path(name))
+	if err != nil {
+		return err
 	}
-	slices.Sort(gens)
-	return gens
+	if tornBytes > 0 { // a crash leaves it so; no Save has vouched for it
+		slog.Warn("torn end of voter's log discarded", "component", "consensus", "directory", l.options.Directory, "file", name,
+			"bytes", tornBytes)
+	}
+	return nil
 }
 
-// Load returns what the directory held when it was opened.
+func (l *Log) ioError(operation string, err error) error {
+	return &IOError{Operation: operation, Directory: l.options.Directory, Err: err}
+}
+
+func (l *Log) path(name string) string { return filepath.Join(l.options.Directory, name) }
+
+// Load returns what the directory held when it was opened, or why the log has failed since.
 func (l *Log) Load() (*pb.HardState, []*pb.Entry, *pb.Snapshot, error) {
-	return l.hard, slices.Clone(l.entries), l.snap, l.failed
+	return l.contents.hardState, slices.Clone(l.contents.entries), l.contents.snapshot, l.failure
+}
+
+// fail ends the log: after a failed fsync the system may have dropped what was to be written and call the next fsync a success.
+func (l *Log) fail(err error) {
+	l.state = logFailed
+	l.failure = err
 }
 
-// Close gives the directory free.
+// Close releases the directory. Save must not be called after it.
 func (l *Log) Close() {
-	if l.file != nil {
-		l.file.Close()
-		l.file = nil
-	}
+	l.closeFile()
 	if l.lock != nil {
 		l.lock.Unlock()
 		l.lock.Close()
 	}
+	if l.state == logOpen {
+		l.state = logClosed
+	}
 }
 
-func (o *Options) who() string {
-	return fmt.Sprintf("cluster %q, voter %d of %s", o.Cluster, o.VoterID, strings.Trim(fmt.Sprint(o.Voters), "[]"))
+func (l *Log) closeFile() {
+	if l.file != nil {
+		l.file.Close()
+		l.file = nil
+	}
 }
--- a/internal/cluster/raftlog/raftlog_test.go
+++ b/internal/cluster/raftlog/raftlog_test.go
@@ -8,10 +8,11 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"flaxfront/internal/cluster/raftlog/crashfs"
+	"flaxfront/internal/filesystem"
+	"flaxfront/internal/filesystem/crashfs"
 )
 
-func options(d FS) Options {
+func options(d filesystem.FS) Options {
 	return Options{Directory: "d", Cluster: "c", VoterID: 1, Voters: []uint64{3, 1, 2}, Create: true, FS: d, Unlocked: true}
 }
 
@@ -29,17 +30,17 @@
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}
 }
 
-// saves is a voter's life: appends, votes, entries taken back, snapshots of its own and a leader's.
+// saves is the life of a voter: appends, votes, entries replaced, snapshots of its own and of a leader.
 var saves = []record{
-	{Hard: hard(1, 1, 0)},
-	{Hard: hard(1, 1, 0), Entries: []*pb.Entry{entry(1, 1), entry(1, 2), entry(1, 3)}},
-	{Hard: hard(1, 1, 2), Entries: []*pb.Entry{entry(1, 4)}},
-	{Hard: hard(2, 3, 2)},
-	{Hard: hard(2, 3, 3), Entries: []*pb.Entry{entry(2, 4), entry(2, 5)}}, // takes 4 back
-	{Hard: hard(2, 3, 5), Snap: snapshot(2, 4)},                           // of its own: 5 stays
-	{Hard: hard(2, 3, 5), Entries: []*pb.Entry{entry(2, 6)}},
-	{Hard: hard(4, 0, 20), Snap: snapshot(4, 20), Entries: []*pb.Entry{entry(4, 21)}}, // a leader's
-	{Hard: hard(4, 0, 21), Entries: []*pb.Entry{entry(4, 22), entry(4, 23)}},
+	{hardState: hard(1, 1, 0)},
+	{hardState: hard(1, 1, 0), entries: []*pb.Entry{entry(1, 1), entry(1, 2), entry(1, 3)}},
+	{hardState: hard(1, 1, 2), entries: []*pb.Entry{entry(1, 4)}},
+	{hardState: hard(2, 3, 2)},
+	{hardState: hard(2, 3, 3), entries: []*pb.Entry{entry(2, 4), entry(2, 5)}}, // replaces 4
+	{hardState: hard(2, 3, 5), snapshot: snapshot(2, 4)},                       // its own: 5 stays
+	{hardState: hard(2, 3, 5), entries: []*pb.Entry{entry(2, 6)}},
+	{hardState: hard(4, 0, 20), snapshot: snapshot(4, 20), entries: []*pb.Entry{entry(4, 21)}}, // of a leader
+	{hardState: hard(4, 0, 21), entries: []*pb.Entry{entry(4, 22), entry(4, 23)}},
 }
 
 // state is what a log holds, as text.
@@ -57,13 +58,14 @@
 
 // states are what a log holds before and after each save.
 func states(t *testing.T) (all []string) {
+	t.Helper()
 	l, err := Open(options(crashfs.New(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	all = append(all, state(l))
 	for _, r := range saves {
-		if err := l.Save(r.Hard, r.Entries, r.Snap); err != nil {
+		if err := l.Save(r.hardState, r.entries, r.snapshot); err != nil {
 			t.Fatal(err)
 		}
 		all = append(all, state(l))
@@ -72,60 +74,63 @@
 }
 
 // play saves until the disk fails and tells how many saves were acknowledged.
-func play(t *testing.T, d FS) (kept int) {
+func play(t *testing.T, d filesystem.FS) (acknowledged int) {
+	t.Helper()
 	l, err := Open(options(d))
 	if err != nil {
 		return 0
 	}
 	failed := false
 	for _, r := range saves {
-		err := l.Save(r.Hard, r.Entries, r.Snap)
+		err := l.Save(r.hardState, r.entries, r.snapshot)
 		if err == nil && failed {
 			t.Fatal("a save was acknowledged after one had failed")
 		}
-		if failed = err != nil; !failed {
-			kept++
+		failed = err != nil
+		if !failed {
+			acknowledged++
 		}
 	}
-	return kept
+	return acknowledged
 }
 
 // holds opens what a crash left and tells whether it is what was acknowledged, or that and the save under way.
-func holds(d FS, want []string, kept int) error {
+func holds(d filesystem.FS, want []string, acknowledged int) error {
 	l, err := Open(options(d))
 	if err != nil {
 		return err
 	}
-	if got := state(l); got != want[kept] && (kept+1 == len(want) || got != want[kept+1]) {
-		return fmt.Errorf("holds %.80q, not %.80q", got, want[kept])
+	if got := state(l); got != want[acknowledged] && (acknowledged+1 == len(want) || got != want[acknowledged+1]) {
+		return fmt.Errorf("holds %.80q, not %.80q", got, want[acknowledged])
 	}
 	return nil
 }
 
 func TestCrashAtEveryStep(t *testing.T) {
-	want, whole := states(t), crashfs.New(1)
-	if kept := play(t, whole); kept != len(saves) {
-		t.Fatal(kept)
+	want := states(t)
+	undisturbed := crashfs.New(1)
+	if acknowledged := play(t, undisturbed); acknowledged != len(saves) {
+		t.Fatal(acknowledged)
 	}
-	tails := 0
-	for step := 1; step <= whole.Steps+1; step++ {
+	sum := 0
+	for step := 1; step <= undisturbed.Steps+1; step++ {
 		for seed := range uint64(40) {
 			d := crashfs.New(seed)
 			d.CrashAt = step
-			kept := play(t, d)
+			acknowledged := play(t, d)
 			after := d.Crash()
-			if err := holds(after, want, kept); err != nil {
-				t.Fatalf("step %d, seed %d: after %d saves: %v", step, seed, kept, err)
+			if err := holds(after, want, acknowledged); err != nil {
+				t.Fatalf("step %d, seed %d: after %d saves: %v", step, seed, acknowledged, err)
 			}
 			again := after.Crash() // what a start has written lasts too
-			if err := holds(again, want, kept); err != nil {
+			if err := holds(again, want, acknowledged); err != nil {
 				t.Fatalf("step %d, seed %d: second start: %v", step, seed, err)
 			}
-			tails += kept
+			sum += acknowledged
 		}
 	}
-	if tails == 0 {
-		t.Fatal("nothing was ever kept")
+	if sum == 0 {
+		t.Fatal("nothing was ever acknowledged")
 	}
 }
 
@@ -138,15 +143,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept := 0
+		acknowledged := 0
 		for _, r := range saves[:5] {
-			l.take(r)
-			b, chain, _ := appendRecord(nil, l.chain, r)
-			l.file.Write(b) // and no Sync
-			l.chain = chain
-			kept++
+			l.contents.apply(r)
+			frame, checksum, _ := appendRecord(nil, l.checksum, r)
+			l.file.Write(frame) // and no Sync
+			l.checksum = checksum
+			acknowledged++
 		}
-		if holds(d.Crash(), want, kept) != nil {
+		if holds(d.Crash(), want, acknowledged) != nil {
 			return
 		}
 	}
@@ -184,7 +189,7 @@
 			if i == 2 {
 				spoil(d)
 			}
-			err := l.Save(r.Hard, r.Entries, r.Snap)
+			err := l.Save(r.hardState, r.entries, r.snapshot)
 			var failed *IOError
 			if (i >= 2) != errors.As(err, &failed) {
 				t.Fatalf("%s: save %d: %v", name, i, err)
--- a/internal/cluster/raftlog/recorded_test.go
+++ b/internal/cluster/raftlog/recorded_test.go
@@ -81,14 +81,14 @@
 	o.Create = true
 	runs := [][]record{
 		{
-			{Hard: hard(1, 2, 0)},
-			{Hard: hard(1, 2, 0), Entries: []*pb.Entry{recordedEntry(1, 1), recordedEntry(1, 2), recordedEntry(1, 3)}},
-			{Hard: hard(2, 3, 2), Entries: []*pb.Entry{recordedEntry(2, 3), recordedEntry(2, 4)}},
-			{Hard: hard(2, 3, 3), Snap: recordedSnapshot()},
+			{hardState: hard(1, 2, 0)},
+			{hardState: hard(1, 2, 0), entries: []*pb.Entry{recordedEntry(1, 1), recordedEntry(1, 2), recordedEntry(1, 3)}},
+			{hardState: hard(2, 3, 2), entries: []*pb.Entry{recordedEntry(2, 3), recordedEntry(2, 4)}},
+			{hardState: hard(2, 3, 3), snapshot: recordedSnapshot()},
 		},
 		{
-			{Hard: hard(3, 1, 4), Entries: []*pb.Entry{recordedEntry(3, 5)}},
-			{Hard: hard(3, 1, 5), Entries: []*pb.Entry{recordedEntry(3, 6), recordedEntry(3, 7)}},
+			{hardState: hard(3, 1, 4), entries: []*pb.Entry{recordedEntry(3, 5)}},
+			{hardState: hard(3, 1, 5), entries: []*pb.Entry{recordedEntry(3, 6), recordedEntry(3, 7)}},
 		},
 	}
 	for _, run := range runs {
@@ -97,7 +97,7 @@
 			t.Fatal(err)
 		}
 		for _, r := range run {
-			if err := l.Save(r.Hard, r.Entries, r.Snap); err != nil {
+			if err := l.Save(r.hardState, r.entries, r.snapshot); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/cluster/raftlog/save.go
+++ b/internal/cluster/raftlog/save.go
@@ -1,132 +1,105 @@
 package raftlog
 
-// This file owns what is written, and when it counts as kept.
-
 import (
-	"errors"
 	"fmt"
-	"path/filepath"
+	"os"
 	"slices"
 
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Save keeps what agree.Disk says. Once it has failed it fails for ever: after a failed fsync the system may have dropped the
-// pages and call the next one a success.
+const maxBufferBytes = 1 << 20 // of a frame's buffer that is kept for the next
+
+// Save makes durable what consensus.Storage says. Once it has failed it returns the same error for ever.
 func (l *Log) Save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
-	if l.failed != nil {
-		return l.failed
+	switch l.state {
+	case logFailed:
+		return l.failure
+	case logClosed:
+		return l.ioError("append a record", os.ErrClosed)
 	}
-	if l.file == nil {
-		return &IOError{"file", errors.New("closed")}
+	if err := l.save(record{hardState: hard, entries: entries, snapshot: snap}); err != nil {
+		l.fail(err)
+		return err
 	}
-	l.failed = l.save(record{Hard: hard, Entries: entries, Snap: snap})
-	return l.failed
+	return nil
 }
 
 func (l *Log) save(r record) error {
-	if err := l.take(r); err != nil {
-		return &IOError{"order", err}
+	if err := l.contents.apply(r); err != nil {
+		return &RecordError{Err: err}
 	}
-	if !raft.IsEmptySnap(r.Snap) {
-		return l.begin()
+	if !raft.IsEmptySnap(r.snapshot) {
+		return l.beginGeneration()
 	}
-	b, chain, err := appendRecord(l.buf[:0], l.chain, r)
+	return l.append(r)
+}
+
+// append writes one frame at the end of this generation.
+func (l *Log) append(r record) error {
+	frame, checksum, err := appendRecord(l.buffer[:0], l.checksum, r)
 	if err != nil {
-		return &IOError{"form", err}
+		return &RecordError{Err: err}
 	}
-	if cap(b) <= 1<<20 {
-		l.buf = b[:0]
+	if cap(frame) <= maxBufferBytes {
+		l.buffer = frame[:0]
 	}
-	if _, err := l.file.Write(b); err != nil {
-		return &IOError{"write", err}
+	if _, err := l.file.Write(frame); err != nil {
+		return l.ioError("append a record", err)
 	}
 	if err := l.file.Sync(); err != nil {
-		return &IOError{"fsync", err}
+		return l.ioError("append a record", err)
 	}
-	l.chain = chain
+	l.checksum = checksum
 	return nil
 }
 
-// take changes what is held as a record says.
-func (l *Log) take(r record) error {
-	if r.Hard != nil {
-		l.hard = r.Hard
-	}
-	if !raft.IsEmptySnap(r.Snap) {
-		meta := r.Snap.GetMetadata()
-		keep := len(l.entries)
-		for i, e := range l.entries {
-			if e.GetIndex() == meta.GetIndex() && e.GetTerm() == meta.GetTerm() {
-				keep = i + 1
-			}
-		}
-		l.snap, l.entries = r.Snap, slices.Clone(l.entries[keep:])
+// contents is what a log holds, in memory.
+type contents struct {
+	hardState *pb.HardState
+	snapshot  *pb.Snapshot
+	entries   []*pb.Entry // after the snapshot, without gaps
+}
+
+// apply makes the changes of a record. After an error some of them are made.
+func (c *contents) apply(r record) error {
+	if r.hardState != nil {
+		c.hardState = r.hardState
 	}
-	if len(r.Entries) == 0 {
-		return nil
+	if !raft.IsEmptySnap(r.snapshot) {
+		c.applySnapshot(r.snapshot)
 	}
-	first, at := l.snap.GetMetadata().GetIndex()+1, r.Entries[0].GetIndex()
-	for i, e := range r.Entries {
-		if e.GetIndex() != at+uint64(i) || at < first || at > first+uint64(len(l.entries)) {
-			return fmt.Errorf("entry %d where %d to %d is held", e.GetIndex(), first, first+uint64(len(l.entries)))
-		}
-	}
-	l.entries = append(l.entries[:at-first], r.Entries...)
-	return nil
+	return c.appendEntries(r.entries)
 }
 
-// begin writes a generation of what is held, and removes those before it once it lasts.
-func (l *Log) begin() error {
-	if l.file != nil {
-		l.file.Close()
-		l.file = nil
-	}
-	records := []record{{Hard: l.hard, Snap: l.snap}}
-	bytes := 0
-	for _, e := range l.entries {
-		if bytes == 0 {
-			records = append(records, record{})
+// applySnapshot replaces the entries up to the snapshot's index, and those after it too unless the log has the entry that the
+// snapshot ends with.
+func (c *contents) applySnapshot(snap *pb.Snapshot) {
+	last := snap.GetMetadata()
+	replaced := len(c.entries)
+	for i, e := range c.entries {
+		if e.GetIndex() == last.GetIndex() && e.GetTerm() == last.GetTerm() {
+			replaced = i + 1
 		}
-		last := &records[len(records)-1]
-		last.Entries = append(last.Entries, e)
-		if bytes += len(e.GetData()) + 32; bytes > 1<<20 {
-			bytes = 0
-		}
-	}
-	b, chain, err := appendOpening(nil, opening{Version: version, Cluster: l.opts.Cluster, ID: l.opts.VoterID, Voters: l.opts.Voters,
-		Head: len(records)})
-	for i := 0; err == nil && i < len(records); i++ {
-		b, chain, err = appendRecord(b, chain, records[i])
-	}
-	if err != nil {
-		return &IOError{"form", err}
-	}
-	next, temp := l.gen+1, filepath.Join(l.opts.Directory, "raft.new")
-	f, err := l.disk.Create(temp)
-	if err != nil {
-		return &IOError{"create", err}
-	}
-	if _, err = f.Write(b); err == nil {
-		err = f.Sync()
 	}
-	if err == nil {
-		err = l.disk.Rename(temp, filepath.Join(l.opts.Directory, name(next)))
-	}
-	if err == nil {
-		err = l.disk.SyncDir(l.opts.Directory)
-	}
-	if err != nil {
-		f.Close()
-		return &IOError{"new generation", err}
+	c.snapshot = snap
+	c.entries = slices.Clone(c.entries[replaced:])
+}
+
+// appendEntries replaces the entries from the first new one's index on.
+func (c *contents) appendEntries(entries []*pb.Entry) error {
+	if len(entries) == 0 {
+		return nil
 	}
-	l.gen, l.chain, l.file = next, chain, f
-	names, _ := l.disk.ReadDir(l.opts.Directory)
-	for _, old := range generations(names) {
-		if old < l.gen {
-			l.disk.Remove(filepath.Join(l.opts.Directory, name(old))) // what can't be removed costs room only
+	start := entries[0].GetIndex()
+	minIndex := c.snapshot.GetMetadata().GetIndex() + 1
+	maxIndex := minIndex + uint64(len(c.entries))
+	for i, e := range entries {
+		if e.GetIndex() != start+uint64(i) || start < minIndex || start > maxIndex {
+			return fmt.Errorf("%w: entry %d, the next one may have index %d to %d", errEntryOrder, e.GetIndex(), minIndex, maxIndex)
 		}
 	}
+	c.entries = append(c.entries[:start-minIndex], entries...)
 	return nil
 }
--- a/internal/cluster/seeds/recorded_test.go
+++ b/internal/cluster/seeds/recorded_test.go
@@ -19,11 +19,11 @@
 		t.Errorf("read %v, %v, want %v", all, err, want)
 	}
 	path := filepath.Join(t.TempDir(), "seeds")
-	k := NewWriter(path)
-	k.Enqueue(want)
+	w := NewWriter(path)
+	w.Enqueue(want)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := k.Run(ctx); err != nil {
+	if err := w.Run(ctx); err != nil {
 		t.Fatal(err)
 	}
 	old, err := os.ReadFile(recorded)
--- a/internal/cluster/seeds/seeds_test.go
+++ b/internal/cluster/seeds/seeds_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -12,23 +13,23 @@
 
 var some = []netip.AddrPort{netip.MustParseAddrPort("192.0.2.1:7946"), netip.MustParseAddrPort("[2001:db8::1]:7946")}
 
-// What was put last is there after a stop, and a start without a file has none.
+// What was enqueued last is there after a stop, and a start without a file has none.
 func TestKept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
 	if all, err := Load(path); err != nil || len(all) > 0 {
 		t.Errorf("%v, %v", all, err)
 	}
-	k := NewWriter(path)
-	k.Enqueue(some[:1])
-	k.Enqueue(some)
-	ctx, cancel := context.WithCancel(context.Background())
+	w := NewWriter(path)
+	w.Enqueue(some[:1])
+	w.Enqueue(some)
+	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	k.Run(ctx)
+	w.Run(ctx)
 	if all, err := Load(path); err != nil || !slices.Equal(all, some) {
 		t.Errorf("%v, %v", all, err)
 	}
-	k.Enqueue(nil)
-	k.Run(ctx)
+	w.Enqueue(nil)
+	w.Run(ctx)
 	if all, err := Load(path); err != nil || len(all) > 0 {
 		t.Errorf("%v, %v", all, err)
 	}
@@ -42,20 +43,21 @@
 func TestSpoilt(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
 	for text, want := range map[string]string{"192.0.2.1:7946\nnoise\n": ":2: \"noise\"", "192.0.2.1:0\n": ":1:", "\x00\x01": ":1:", "a\n\nb\n": ":1:",
-		strings.Repeat("192.0.2.1:7946\n", most+1): "one too many", strings.Repeat("x", maxBytes+1): "at most"} {
+		strings.Repeat("192.0.2.1:7946\n", maxAddresses+1): "one too many", strings.Repeat("x", maxFileBytes+1): "at most"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if all, err := Load(path); err == nil || len(all) > 0 || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		var refused *FileError
+		if all, err := Load(path); !errors.As(err, &refused) || refused.Remedy() == "" || len(all) > 0 || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.30q: %v, %v", text, all, err)
 		}
 	}
 	os.Remove(path)
-	k := NewWriter(filepath.Join(path, "no", "folder"))
-	k.Enqueue(some) // it can't be written, which is said and no more
-	ctx, cancel := context.WithCancel(context.Background())
+	w := NewWriter(filepath.Join(path, "no", "folder"))
+	w.Enqueue(some) // it can't be written, which is said and no more
+	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := k.Run(ctx); err != nil {
+	if err := w.Run(ctx); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/discovery/nodelist/bench_test.go
+++ b/internal/discovery/nodelist/bench_test.go
@@ -21,7 +21,7 @@
 			s, _ := Open(Options{Directory: dir, Deployment: "x"})
 			s.Enqueue(first)
 			return func(e cachedlist.Entry) error {
-				s.drop() // a snapshot each time
+				s.closeJournal() // a snapshot each time
 				s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{e}})
 				return s.Flush()
 			}
@@ -45,7 +45,7 @@
 					k, err := tx.CreateBucketIfNotExists([]byte("entries"))
 					for i := 0; err == nil && i < len(all); i++ {
 						var v []byte
-						if v, err = encoding.Marshal(diskEntry(all[i])); err == nil {
+						if v, err = encoding.Marshal(storeEntry(&all[i])); err == nil {
 							err = k.Put([]byte(all[i].Name), v)
 						}
 					}
@@ -88,7 +88,7 @@
 	err = db.Update(func(tx *bbolt.Tx) error {
 		k, err := tx.CreateBucket([]byte("entries"))
 		for i := 0; err == nil && i < len(all); i++ {
-			v, _ := encoding.Marshal(diskEntry(all[i]))
+			v, _ := encoding.Marshal(storeEntry(&all[i]))
 			err = k.Put([]byte(all[i].Name), v)
 		}
 		return err
@@ -100,11 +100,11 @@
 		got := map[string]cachedlist.Entry{}
 		db.View(func(tx *bbolt.Tx) error {
 			return tx.Bucket([]byte("entries")).ForEach(func(k, v []byte) error {
-				var e diskEntry
+				var e storedEntry
 				if err := decoding.Unmarshal(v, &e); err != nil {
 					return err
 				}
-				got[e.Name] = cachedlist.Entry(e)
+				got[e.Name] = e.decode()
 				return nil
 			})
 		})
--- a/internal/discovery/nodelist/nodelist.go
+++ b/internal/discovery/nodelist/nodelist.go
@@ -1,213 +1,123 @@
-// Package nodelist keeps the node list on disk. It owns the files of one directory: a snapshot, a journal of what changed
-// since, and those of the generation before. It must never decide what an entry is worth, make the loop or a search wait,
-// trust a file that it could not check, or stop a broker from serving: whatever is wrong with the disk is said in one log
-// line and tried again later.
+// Package nodelist stores the endpoint list on disk, so that a broker can start while discovery is down (the cached list). What an
+// entry is worth is decided in package cachedlist.
 //
-//	list-00000007.snap   all entries, written whole, renamed into place
-//	list-00000007.log    what changed since, frame by frame
+// # Files
+//
+// A directory belongs to one broker of one deployment:
+//
+//	list-00000007.snap   generation 7: a header, then all entries sorted by name
+//	list-00000007.log    its journal: a header, then one frame for each write
+//	list-00000006.*      the generation before, kept until the next one
+//	list.new             the next snapshot while it is being written
+//	lock                 locked (flock) by the process that writes
+//	asks/NUMBER.ask      what `flaxfront nodes import` and `forget` ask of the broker that runs
 //	*.damaged, *.other-deployment, *.later-version   files set aside, the four newest
-//	lock                 held by the one process that writes
-//	asks/                what `flaxfront nodes` asks of a broker that runs
 //
-// Depends on decision/cachedlist. Concurrency: it starts no goroutine; what several goroutines may use is behind
-// a lock or an atomic value.
+// Each file is a line of text and then frames with a length and a checksum:
+//
+//	+------------------------+--------+-------+-------+ -
+//	| "flaxfront node list"  | header | frame | frame | ...
+//	+------------------------+--------+-------+-------+ -
+//
+//	when                                        what is written
+//	first write of a process, or after a fault  a new generation: list.new, fsync, rename, the journal, fsync of the directory
+//	journal larger than its bound               a new generation
+//	any other write                             one frame at the end of the journal, then fsync
+//
+// # After a crash
+//
+// A start finds what the last successful write left, or the write under way. Read takes the newest snapshot that is whole and of this
+// deployment, and applies its journal up to the first frame that can't be read. A journal that ends within a frame is what a crash
+// leaves; any other file that can't be read is set aside under a name that says why, and reported.
+//
+// Open is called at the start of a broker whose settings name a directory, and by the commands that change the list; `flaxfront nodes
+// show`, `verify` and `export` only read. Nothing wrong with the disk stops a broker: it is logged once, and tried again later.
+//
+// Store.Enqueue, Counters and Read may be used from any goroutine; the rest of a Store belongs to the goroutine that calls Run.
 package nodelist
 
 import (
-	"bufio"
 	"cmp"
-	"errors"
 	"fmt"
-	"io"
-	"io/fs"
 	"maps"
 	"path/filepath"
 	"slices"
-	"strings"
 
 	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/filesystem"
 )
 
 const (
-	keepAside = 4 // files
-	stem      = "list-"
+	lockName     = "lock"
+	tempSnapshot = "list.new"
+
+	namePrefix    = "list-"
+	snapshotKind  = "snap"
+	journalKind   = "log"
+	nameFormat    = namePrefix + "%08d.%s" // generation and kind
+	nameParts     = 2
+	snapshotAside = "." + snapshotKind + "." // in the name of a snapshot that was set aside
+	journalAside  = "." + journalKind + "."
 )
 
-func snapName(gen uint64) string { return fmt.Sprintf("%s%08d.snap", stem, gen) }
-func logName(gen uint64) string  { return fmt.Sprintf("%s%08d.log", stem, gen) }
+func snapshotName(generation uint64) string { return fmt.Sprintf(nameFormat, generation, snapshotKind) }
+func journalName(generation uint64) string  { return fmt.Sprintf(nameFormat, generation, journalKind) }
+
+// generationsOf lists the generations of which there is any file, oldest first.
+func generationsOf(names []string) (generations []uint64) {
+	for _, name := range names {
+		var generation uint64
+		var kind string
+		n, _ := fmt.Sscanf(name, nameFormat, &generation, &kind)
+		if n == nameParts && (kind == snapshotKind || kind == journalKind) {
+			generations = append(generations, generation)
+		}
+	}
+	slices.Sort(generations)
+	return slices.Compact(generations)
+}
 
 // Content is what a directory holds.
 type Content struct {
-	Head    cachedlist.Head
-	Entries map[string]cachedlist.Entry
-	Found   bool // a list was there and could be read
-	Faults  []Fault
-
-	gen uint64 // the highest one of any file
-}
+	Head       cachedlist.Head
+	Entries    map[string]cachedlist.Entry // by name
+	Found      bool                        // a list was there and could be read
+	FileErrors []FileError                 // of files that could not be read whole
 
-// Fault is a file that could not be read whole.
-type Fault struct {
-	File string
-	Err  error
-	torn bool // as a crash leaves it; nothing of it is lost that was ever there whole
+	generation uint64 // the highest of any file
 }
 
-// Unsorted are the entries in no order.
+// Unsorted returns the entries in any order.
 func (c *Content) Unsorted() []cachedlist.Entry { return slices.Collect(maps.Values(c.Entries)) }
 
-// SortedByName lists the entries by name.
+// SortedByName returns the entries by name.
 func (c *Content) SortedByName() []cachedlist.Entry {
-	return slices.SortedFunc(maps.Values(c.Entries), func(x, y cachedlist.Entry) int { return cmp.Compare(x.Name, y.Name) })
+	byName := func(x, y cachedlist.Entry) int { return cmp.Compare(x.Name, y.Name) }
+	return slices.SortedFunc(maps.Values(c.Entries), byName)
 }
 
-// Read reads a directory and changes nothing in it; a broker may write there meanwhile. deployment "" takes a list of any.
-func Read(disk FS, dir, deployment string) (*Content, error) {
+// Read reads a directory and changes nothing in it; a broker may write there meanwhile. It takes a list of the named deployment only,
+// or of any if deployment is empty. The error is that of listing the directory; what is wrong with files is in the content.
+func Read(fs filesystem.FS, directory, deployment string) (*Content, error) {
 	c := &Content{Entries: map[string]cachedlist.Entry{}}
-	names, err := disk.ReadDir(dir)
+	names, err := fs.ReadDir(directory)
 	if err != nil {
 		return c, err
 	}
-	gens := generations(names)
-	for _, gen := range slices.Backward(gens) {
-		c.gen = max(c.gen, gen)
-		if !slices.Contains(names, snapName(gen)) {
+	for _, generation := range slices.Backward(generationsOf(names)) {
+		c.generation = max(c.generation, generation)
+		if !slices.Contains(names, snapshotName(generation)) {
 			continue
 		}
-		err := c.snapshot(disk, filepath.Join(dir, snapName(gen)), deployment)
+		err := c.readSnapshot(fs, filepath.Join(directory, snapshotName(generation)), deployment)
 		if err == nil {
-			c.journal(disk, filepath.Join(dir, logName(gen)))
+			c.readJournal(fs, filepath.Join(directory, journalName(generation)))
 			c.Found = true
 			return c, nil
 		}
-		c.Faults = append(c.Faults, Fault{File: snapName(gen), Err: err})
+		c.FileErrors = append(c.FileErrors, FileError{File: snapshotName(generation), Err: err})
 		clear(c.Entries)
 		c.Head = cachedlist.Head{}
 	}
 	return c, nil
 }
-
-// generations lists those of which there is any file, in their order.
-func generations(names []string) (gens []uint64) {
-	for _, name := range names {
-		var gen uint64
-		var kind string
-		if n, _ := fmt.Sscanf(name, stem+"%08d.%s", &gen, &kind); n == 2 && (kind == "snap" || kind == "log") {
-			gens = append(gens, gen)
-		}
-	}
-	slices.Sort(gens)
-	return slices.Compact(gens)
-}
-
-func (c *Content) snapshot(disk FS, path, deployment string) error {
-	f, err := disk.Open(path)
-	if err != nil {
-		return err
-	}
-	defer f.Close()
-	r := &reader{in: bufio.NewReaderSize(f, 64<<10)}
-	o, err := r.open(deployment)
-	if err != nil {
-		return err
-	}
-	c.Head = cachedlist.Head(o.Head)
-	c.Head.Deployment = o.Deployment
-	for len(c.Entries) < o.Entries {
-		var put []diskEntry
-		if err := r.next(&put); errors.Is(err, io.EOF) {
-			return errTorn
-		} else if err != nil {
-			return err
-		}
-		if len(put) == 0 {
-			return errDamaged
-		}
-		if err := c.put(put); err != nil {
-			return err
-		}
-	}
-	if err := r.next(new([]diskEntry)); !errors.Is(err, io.EOF) || len(c.Entries) != o.Entries {
-		return fmt.Errorf("%w: more than the %d entries that it names", errDamaged, o.Entries)
-	}
-	return nil
-}
-
-func (c *Content) put(entries []diskEntry) error {
-	for i := range entries {
-		if err := entries[i].check(); err != nil {
-			return err
-		}
-	}
-	for i := range entries {
-		c.Entries[entries[i].Name] = cachedlist.Entry(entries[i])
-	}
-	return nil
-}
-
-// journal applies what changed since the snapshot, as far as it can be read. Each frame is whole or nothing, so that
-// what stands is always what the broker held at some moment.
-func (c *Content) journal(disk FS, path string) {
-	err := func() error {
-		f, err := disk.Open(path)
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		r := &reader{in: bufio.NewReaderSize(f, 64<<10)}
-		if _, err := r.open(c.Head.Deployment); err != nil {
-			return err
-		}
-		for {
-			var ch change
-			if err := r.next(&ch); err != nil {
-				return err
-			}
-			if err := c.put(ch.Put); err != nil {
-				return err
-			}
-			for _, name := range ch.Removed {
-				delete(c.Entries, name)
-			}
-			deployment := c.Head.Deployment
-			c.Head = cachedlist.Head(ch.Head)
-			c.Head.Deployment = deployment
-		}
-	}()
-	if !errors.Is(err, io.EOF) && !errors.Is(err, fs.ErrNotExist) {
-		c.Faults = append(c.Faults, Fault{filepath.Base(path), err, errors.Is(err, errTorn)})
-	}
-}
-
-// setAside renames what could not be read, so that it is neither trusted nor lost, and keeps the newest few of such.
-func setAside(disk FS, dir string, faults []Fault) (lines []string) {
-	for _, f := range faults {
-		suffix := ".damaged"
-		switch {
-		case f.torn:
-			continue // the next snapshot takes its place
-		case errors.Is(f.Err, errOther):
-			suffix = ".other-deployment"
-		case errors.Is(f.Err, errVersion):
-			suffix = ".later-version"
-		case !errors.Is(f.Err, errDamaged) && !errors.Is(f.Err, errTorn):
-			lines = append(lines, fmt.Sprintf("%s could not be read: %v", f.File, f.Err))
-			continue
-		}
-		line := fmt.Sprintf("%s is set aside as %s: %v", f.File, f.File+suffix, f.Err)
-		if err := disk.Rename(filepath.Join(dir, f.File), filepath.Join(dir, f.File+suffix)); err != nil {
-			line = fmt.Sprintf("%s is not used: %v; it could not be set aside: %v", f.File, f.Err, err)
-		}
-		lines = append(lines, line)
-	}
-	names, _ := disk.ReadDir(dir)
-	names = slices.DeleteFunc(names, func(name string) bool {
-		return !strings.HasPrefix(name, stem) || !strings.Contains(name, ".snap.") && !strings.Contains(name, ".log.")
-	})
-	slices.Sort(names)
-	for len(names) > keepAside {
-		disk.Remove(filepath.Join(dir, names[0]))
-		names = names[1:]
-	}
-	return lines
-}
--- a/internal/discovery/nodelist/nodelist_test.go
+++ b/internal/discovery/nodelist/nodelist_test.go
@@ -1,7 +1,6 @@
 package nodelist
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -10,11 +9,14 @@
 	"net/netip"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
 
 	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/filesystem"
+	"flaxfront/internal/filesystem/crashfs"
 )
 
 func TestMain(m *testing.M) {
@@ -30,13 +32,13 @@
 		Zone: "a", Cell: i % 4, Confirmed: cachedlist.Moment(1000 + i), Told: 7, Generation: 3}
 }
 
-func options(m *memory) Options {
-	return Options{Directory: "d", Deployment: "x", FS: m, Unlocked: true, MinJournalBytes: 400}
+func options(d *crashfs.FS) Options {
+	return Options{Directory: "d", Deployment: "x", FS: d, Unlocked: true, MinJournalBytes: 400}
 }
 
-// play writes one state after the other until the disk fails. states[i] is what the list held after i changes; kept is how
-// many of them the store said were kept.
-func play(m *memory, s *Store, rnd *rand.Rand, first map[string]cachedlist.Entry, changes int) (states []map[string]cachedlist.Entry, kept int) {
+// play writes one state after the other until the disk fails. states[i] is what the list held after i changes; acknowledged is how
+// many of them the store said were durable.
+func play(s *Store, rnd *rand.Rand, first map[string]cachedlist.Entry, changes int) (states []map[string]cachedlist.Entry, acknowledged int) {
 	now := map[string]cachedlist.Entry{}
 	maps.Copy(now, first)
 	states = append(states, maps.Clone(now))
@@ -61,83 +63,88 @@
 		states = append(states, maps.Clone(now))
 		s.Enqueue(c)
 		if s.Flush() != nil {
-			return states, kept
+			return states, acknowledged
 		}
-		kept = i + 1
+		acknowledged = i + 1
 	}
-	return states, kept
+	return states, acknowledged
 }
 
-// Killed at any step, the disk holds the last state that was kept, or the one that was being written; and the next start
+// Killed at any step, the disk holds the last state that was acknowledged, or the one that was being written; and the next start
 // goes on from there.
 func TestCrashAtEveryStep(t *testing.T) {
-	for seed := range uint64(3) {
-		for steps := 0; ; steps++ {
-			m, rnd := newMemory(seed*1000+uint64(steps), steps), rand.New(rand.NewPCG(seed, 9))
-			s, _ := Open(options(m))
-			states, kept := play(m, s, rnd, nil, 40)
-			after := m.crash()
-			s, c := Open(options(after))
-			at := -1
-			for i := kept; i < len(states); i++ {
-				if maps.Equal(c.Entries, states[i]) {
-					at = i
+	for name, damage := range map[string]crashfs.Damage{"flipped bit": crashfs.FlippedBit, "unwritten sector": crashfs.UnwrittenSector} {
+		t.Run(name, func(t *testing.T) {
+			for seed := range uint64(3) {
+				for step := 1; crashAtStep(t, seed, step, damage); step++ {
 				}
 			}
-			if at < 0 {
-				t.Fatalf("seed %d, step %d: %d states kept; read %d entries, faults %v", seed, steps, kept, len(c.Entries), c.Faults)
-			}
-			more, kept := play(after, s, rnd, c.Entries, 5)
-			if kept != 5 {
-				t.Fatalf("seed %d, step %d: writing did not go on", seed, steps)
-			}
-			if c, _ := Read(after, "d", "x"); !maps.Equal(c.Entries, more[5]) {
-				t.Fatalf("seed %d, step %d: %v, faults %v", seed, steps, c.Entries, c.Faults)
-			}
-			if m.left >= 0 {
-				break
-			}
-		}
+		})
+	}
+}
+
+// crashAtStep plays one crash; it returns false where the course is over before the step.
+func crashAtStep(t *testing.T, seed uint64, step int, damage crashfs.Damage) bool {
+	t.Helper()
+	disk := crashfs.New(seed*1000 + uint64(step-1))
+	disk.CrashAt = step
+	disk.Damage = damage
+	random := rand.New(rand.NewPCG(seed, 9))
+	s, _ := Open(options(disk))
+	states, acknowledged := play(s, random, nil, 40)
+	after := disk.Crash()
+	s, c := Open(options(after))
+	found := slices.ContainsFunc(states[acknowledged:], func(state map[string]cachedlist.Entry) bool {
+		return maps.Equal(c.Entries, state)
+	})
+	if !found {
+		t.Fatalf("seed %d, step %d: %d states acknowledged; read %d entries, faults %v", seed, step, acknowledged, len(c.Entries), c.FileErrors)
+	}
+	more, acknowledged := play(s, random, c.Entries, 5)
+	if acknowledged != 5 {
+		t.Fatalf("seed %d, step %d: writing did not go on", seed, step)
+	}
+	if c, _ := Read(after, "d", "x"); !maps.Equal(c.Entries, more[5]) {
+		t.Fatalf("seed %d, step %d: %v, faults %v", seed, step, c.Entries, c.FileErrors)
 	}
+	return disk.Steps >= step
 }
 
 // A disk that is full and has room again loses nothing.
 func TestDiskFull(t *testing.T) {
-	m := newMemory(1, 1<<30)
-	s, _ := Open(options(m))
-	rnd := rand.New(rand.NewPCG(1, 1))
-	states, _ := play(m, s, rnd, nil, 10)
-	m.full = true
+	disk := crashfs.New(1)
+	s, _ := Open(options(disk))
+	states, _ := play(s, rand.New(rand.NewPCG(1, 1)), nil, 10)
+	disk.Full = true
 	s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(50)}})
 	for range 3 {
 		if err := s.Flush(); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatal(err)
 		}
-		if c, _ := Read(m, "d", "x"); !maps.Equal(c.Entries, states[10]) {
-			t.Fatalf("while it is full: %v, %v", c.Entries, c.Faults)
+		if c, _ := Read(disk, "d", "x"); !maps.Equal(c.Entries, states[10]) {
+			t.Fatalf("while it is full: %v, %v", c.Entries, c.FileErrors)
 		}
 	}
-	m.full = false
+	disk.Full = false
 	if err := s.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	states[10][entry(50).Name] = entry(50)
-	if c, _ := Read(m, "d", "x"); !maps.Equal(c.Entries, states[10]) || !s.Counters.Saving.Load() {
-		t.Fatalf("after: %v, %v", c.Entries, c.Faults)
+	if c, _ := Read(disk, "d", "x"); !maps.Equal(c.Entries, states[10]) || !s.Counters.Saving.Load() {
+		t.Fatalf("after: %v, %v", c.Entries, c.FileErrors)
 	}
 }
 
-// Any byte turned anywhere: what is read is some state that was kept, or nothing; never anything else, and never a panic.
+// Any byte turned anywhere: what is read is some state that was acknowledged, or nothing; never anything else, and never a panic.
 func TestFlippedBytes(t *testing.T) {
-	m := newMemory(1, 1<<30)
-	s, _ := Open(options(m))
-	states, _ := play(m, s, rand.New(rand.NewPCG(5, 5)), nil, 12)
-	for name, f := range m.files {
-		for i := range f.data {
-			was := f.data
-			f.data = bytes.Clone(was)
-			f.data[i] ^= 0x41
-			c, err := Read(m, "d", "x")
+	disk := crashfs.New(1)
+	s, _ := Open(options(disk))
+	states, _ := play(s, rand.New(rand.NewPCG(5, 5)), nil, 12)
+	for _, name := range disk.Names() {
+		data := disk.Bytes(name)
+		for i := range data {
+			data[i] ^= 0x41
+			c, err := Read(disk, "d", "x")
 			found := !c.Found
 			for _, s := range states {
 				found = found || maps.Equal(c.Entries, s)
@@ -145,10 +152,10 @@
 			if err != nil || !found {
 				t.Fatalf("%s, byte %d: %v, %v", name, i, err, c.Entries)
 			}
-			if len(c.Faults) == 0 && !strings.HasSuffix(name, snapName(s.gen-1)) && !strings.HasSuffix(name, logName(s.gen-1)) {
+			if len(c.FileErrors) == 0 && !strings.HasSuffix(name, snapshotName(s.generation-1)) && !strings.HasSuffix(name, journalName(s.generation-1)) {
 				t.Fatalf("%s, byte %d: not noticed", name, i)
 			}
-			f.data = was
+			data[i] ^= 0x41
 		}
 	}
 }
@@ -162,7 +169,7 @@
 		".other-deployment": {"y", func(b []byte) []byte { return b }},
 		".damaged":          {"x", func(b []byte) []byte { b[len(b)-1] ^= 1; return b }},
 		".later-version": {"x", func([]byte) []byte {
-			b, _ := appendFrame([]byte(magic), opening{Version: 9, Deployment: "x"})
+			b, _ := appendFrame([]byte(fileMagic), fileHeader{Version: 9, Deployment: "x"})
 			return append(b, "whatever later versions hold"...)
 		}},
 	} {
@@ -173,7 +180,7 @@
 			t.Fatal(err)
 		}
 		s.Close()
-		path := filepath.Join(dir, snapName(1))
+		path := filepath.Join(dir, snapshotName(1))
 		b, _ := os.ReadFile(path)
 		os.WriteFile(path, c.spoil(b), 0o600)
 		s, content := Open(Options{Directory: dir, Deployment: c.deployment})
@@ -185,7 +192,7 @@
 			t.Errorf("%s: %v", what, err)
 		}
 		s.Close()
-		if content, _ := Read(Disk{}, dir, c.deployment); len(content.Entries) != 1 || content.Entries["node-2"] != entry(2) {
+		if content, _ := Read(filesystem.Local{}, dir, c.deployment); len(content.Entries) != 1 || content.Entries["node-2"] != entry(2) {
 			t.Errorf("%s: then read %+v", what, content)
 		}
 	}
--- a/internal/discovery/nodelist/process_test.go
+++ b/internal/discovery/nodelist/process_test.go
@@ -1,7 +1,5 @@
 package nodelist
 
-// This file tests directories that are locked or missing, and processes that are killed.
-
 import (
 	"errors"
 	"fmt"
@@ -9,10 +7,13 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"syscall"
 	"testing"
 	"time"
 
 	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/filesystem"
+	"flaxfront/internal/filesystem/crashfs"
 )
 
 // Two brokers in one directory: the second reads, does not write, and takes over once the first has gone.
@@ -25,16 +26,17 @@
 	}
 	second, c := Open(Options{Directory: dir, Deployment: "x"})
 	second.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(2)}})
-	if err := second.Flush(); !errors.Is(err, errLocked) || second.HoldsLock() || len(c.Entries) != 1 {
+	var locked *LockedError
+	if err := second.Flush(); !errors.As(err, &locked) || second.HoldsLock() || len(c.Entries) != 1 {
 		t.Fatalf("%v, %+v", err, c.Entries)
 	}
-	if err := SubmitRequest(Disk{}, dir, "x", OperatorRequest{Forget: []string{"node-1"}, Import: []cachedlist.Entry{entry(3)}}, time.Unix(5, 0)); err != nil {
+	if err := SubmitRequest(filesystem.Local{}, dir, "x", OperatorRequest{Forget: []string{"node-1"}, Import: []cachedlist.Entry{entry(3)}}, time.Unix(5, 0)); err != nil {
 		t.Fatal(err)
 	}
-	os.WriteFile(filepath.Join(dir, asksDir, "6.ask"), []byte("no ask"), 0o600)
+	os.WriteFile(filepath.Join(dir, requestsDirectory, "6.ask"), []byte("no ask"), 0o600)
 	var got []OperatorRequest
-	first.takeAsks(func(a OperatorRequest) { got = append(got, a) })
-	first.takeAsks(func(a OperatorRequest) { got = append(got, a) })
+	first.deliverRequests(func(a OperatorRequest) { got = append(got, a) })
+	first.deliverRequests(func(a OperatorRequest) { got = append(got, a) })
 	if len(got) != 1 || got[0].Forget[0] != "node-1" || got[0].Import[0] != entry(3) {
 		t.Errorf("asked %+v", got)
 	}
@@ -100,22 +102,27 @@
 		cmd.Wait()
 		s, c := Open(Options{Directory: dir, Deployment: "x"})
 		if got := int(c.Head.Generation); got != last && got != last+1 || !s.HoldsLock() {
-			t.Errorf("generation %d, told %d, held %v, %v", got, last, s.HoldsLock(), c.Faults)
+			t.Errorf("generation %d, told %d, held %v, %v", got, last, s.HoldsLock(), c.FileErrors)
 		}
 		s.Close()
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	m := newMemory(1, 1<<30)
-	s, _ := Open(options(m))
-	play(m, s, rand.New(rand.NewPCG(5, 5)), nil, 3)
-	f.Add(m.files[filepath.Join("d", snapName(1))].data, m.files[filepath.Join("d", logName(1))].data)
-	f.Fuzz(func(t *testing.T, snap, log []byte) {
-		m := newMemory(1, 1<<30)
-		m.files[filepath.Join("d", snapName(1))] = &memFile{data: snap}
-		m.files[filepath.Join("d", logName(1))] = &memFile{data: log}
-		c, _ := Read(m, "d", "")
+	disk := crashfs.New(1)
+	s, _ := Open(options(disk))
+	play(s, rand.New(rand.NewPCG(5, 5)), nil, 3)
+	snapshotPath := filepath.Join("d", snapshotName(1))
+	journalPath := filepath.Join("d", journalName(1))
+	f.Add(disk.Bytes(snapshotPath), disk.Bytes(journalPath))
+	f.Fuzz(func(t *testing.T, snapshot, journal []byte) {
+		disk := crashfs.New(1)
+		for path, content := range map[string][]byte{snapshotPath: snapshot, journalPath: journal} {
+			if _, err := filesystem.CreateSynced(disk, path, content); err != nil {
+				t.Fatal(err)
+			}
+		}
+		c, _ := Read(disk, "d", "")
 		for name, e := range c.Entries {
 			if name != e.Name || name == "" || e.Cell < 0 || e.State > cachedlist.Ended {
 				t.Errorf("read %+v", e)
@@ -144,12 +151,34 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if c, err := Read(Disk{}, dir, "x"); err != nil || len(c.Entries) != n {
+				if c, err := Read(filesystem.Local{}, dir, "x"); err != nil || len(c.Entries) != n {
 					b.Fatal(err, len(c.Entries))
 				}
 			}
-			b.ReportMetric(float64(s.snapped), "bytes")
+			b.ReportMetric(float64(s.snapshotBytes), "bytes")
 			s.Close()
 		})
 	}
 }
+
+// Where nobody takes requests, no more than a bounded number wait.
+func TestPendingRequests(t *testing.T) {
+	disk := crashfs.New(1)
+	request := OperatorRequest{Forget: []string{"node-1"}}
+	for i := range maxPendingRequests {
+		if err := SubmitRequest(disk, "d", "x", request, time.Unix(0, int64(i))); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var pending *RequestsPendingError
+	err := SubmitRequest(disk, "d", "x", request, time.Unix(1, 0))
+	if !errors.As(err, &pending) || pending.Pending != maxPendingRequests || pending.Remedy() == "" {
+		t.Error(err)
+	}
+	disk.Full = true
+	var failed *StorageError
+	err = SubmitRequest(disk, "other", "x", request, time.Unix(1, 0))
+	if !errors.As(err, &failed) || !errors.Is(err, syscall.ENOSPC) || failed.Remedy() == "" {
+		t.Error(err)
+	}
+}
--- a/internal/discovery/nodelist/recorded_test.go
+++ b/internal/discovery/nodelist/recorded_test.go
@@ -12,13 +12,14 @@
 	"time"
 
 	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/filesystem"
 )
 
 // testdata/recorded holds directories as commit 1a4b6be wrote them: whole; torn, with the last 3 bytes of the newest journal
 // missing; damaged, with a bit of the newest snapshot turned.
 const (
 	recordedDeployment = "fingerprint"
-	recordedAsk        = "asks/1700000400000000005.ask"
+	recordedRequest    = "asks/1700000400000000005.ask"
 )
 
 var (
@@ -59,12 +60,12 @@
 		{"damaged", recordedHead(22), byName(recordedReady, recordedReturned), []string{"list-00000002.snap"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			content, err := Read(Disk{}, filepath.Join("testdata", "recorded", c.name), recordedDeployment)
+			content, err := Read(filesystem.Local{}, filepath.Join("testdata", "recorded", c.name), recordedDeployment)
 			if err != nil || !content.Found || content.Head != c.head || !maps.Equal(content.Entries, c.entries) {
 				t.Errorf("%+v, %v, want %+v, %+v", content, err, c.head, c.entries)
 			}
 			var faults []string
-			for _, f := range content.Faults {
+			for _, f := range content.FileErrors {
 				faults = append(faults, f.File)
 			}
 			if !slices.Equal(faults, c.faults) {
@@ -74,8 +75,8 @@
 	}
 }
 
-func TestRecordedAskIsRead(t *testing.T) {
-	got, err := readAsk(Disk{}, filepath.Join("testdata", "recorded", "whole", recordedAsk), recordedDeployment)
+func TestRecordedRequestIsRead(t *testing.T) {
+	got, err := readRequest(filesystem.Local{}, filepath.Join("testdata", "recorded", "whole", recordedRequest), recordedDeployment)
 	want := OperatorRequest{Import: []cachedlist.Entry{recordedReady, recordedEnded}, Forget: []string{"node-d", "node-x"}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v, want %+v", got, err, want)
@@ -106,11 +107,11 @@
 		}
 		s.Close()
 	}
-	ask := OperatorRequest{Import: []cachedlist.Entry{recordedReady, recordedEnded}, Forget: []string{"node-d", "node-x"}}
-	if err := SubmitRequest(Disk{}, dir, recordedDeployment, ask, time.Unix(1_700_000_400, 5)); err != nil {
+	request := OperatorRequest{Import: []cachedlist.Entry{recordedReady, recordedEnded}, Forget: []string{"node-d", "node-x"}}
+	if err := SubmitRequest(filesystem.Local{}, dir, recordedDeployment, request, time.Unix(1_700_000_400, 5)); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{snapName(1), logName(1), snapName(2), logName(2), recordedAsk} {
+	for _, name := range []string{snapshotName(1), journalName(1), snapshotName(2), journalName(2), recordedRequest} {
 		want, err := os.ReadFile(filepath.Join("testdata", "recorded", "whole", name))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/discovery/nodelist/store.go
+++ b/internal/discovery/nodelist/store.go
@@ -1,219 +1,219 @@
 package nodelist
 
-// This file owns the writing. One goroutine writes; whoever has something to keep leaves it in Put and goes on.
-
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"maps"
 	"path/filepath"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/gofrs/flock"
 
+	"flaxfront/internal/config/remedy"
 	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/filesystem"
 )
 
 const (
-	logLeast   = 256 << 10 // bytes of a journal before a new snapshot is thought of
-	logFactor  = 2         // times the snapshot: then a new one is written
-	retryFirst = time.Second
-	retryMost  = time.Minute
-	asksEvery  = time.Second
-)
+	component = "cached-list" // in log lines
 
-var errLocked = errors.New("another process writes there")
+	defaultMinJournalBytes = 256 << 10
+	initialRetryDelay      = time.Second
+	maxRetryDelay          = time.Minute
+	requestPollInterval    = time.Second
+)
 
-// Options say where a list is kept and how.
+// Options say where a list is stored and how.
 type Options struct {
 	Directory       string
 	Deployment      string        // a fingerprint of the settings that the list belongs to
-	WriteInterval   time.Duration // least time between two writes
-	FS              FS            // nil: that of the machine
-	Unlocked        bool          // no lock is taken: tests on a file system of their own
-	MinJournalBytes int           // bytes of a journal before a new snapshot is thought of; 0: 256 KiB
+	WriteInterval   time.Duration // between two writes, at least
+	FS              filesystem.FS // nil: the machine's
+	Unlocked        bool          // no lock is taken, as on a file system in memory
+	MinJournalBytes int           // of a journal before a new generation is begun; 0: 256 KiB
 }
 
-// Counters tell what was written; they may be read from any goroutine.
+// Counters tell what was written. They may be read from any goroutine.
 type Counters struct {
-	Writes, Snapshots, Bytes, Failed atomic.Uint64
-	Saving                           atomic.Bool // the last write went well
+	Writes    atomic.Uint64 // frames of journals
+	Snapshots atomic.Uint64
+	Bytes     atomic.Uint64 // of both
+	Failed    atomic.Uint64 // writes that failed
+	Saving    atomic.Bool   // the last write succeeded
 }
 
+// storeState says what the next write does.
+type storeState uint8
+
+const (
+	// storeUnlocked: the lock is not held. The next write tries to acquire it.
+	storeUnlocked storeState = iota
+	// storeSnapshotDue: no journal is open. The next write begins a generation.
+	storeSnapshotDue
+	// storeAppending: the next write appends to the journal, or begins a generation if that has become long.
+	storeAppending
+)
+
 // Store writes a list.
 type Store struct {
 	Counters Counters
-	opts     Options
-	disk     FS
-	lock     *flock.Flock
-	held     bool
-
-	mu      sync.Mutex
-	pending cachedlist.Changes
-	waiting map[string]*cachedlist.Entry // what Pending holds, by name; nil: removed
-	any     bool
-	wake    chan struct{}
-
-	// of the writer
-	head    cachedlist.Head
-	entries map[string]cachedlist.Entry
-	gen     uint64
-	log     File
-	logged  int // bytes in the journal
-	snapped int // bytes in the snapshot
-	said    string
-	buf     []byte
+
+	options Options
+	fs      filesystem.FS
+	lock    *flock.Flock
+	queue   queue
+
+	// Of the goroutine that writes.
+	state         storeState
+	head          cachedlist.Head
+	entries       map[string]cachedlist.Entry // by name, as written or about to be
+	generation    uint64                      // of the last snapshot
+	snapshotBytes int
+	journal       filesystem.File // of storeAppending
+	journalBytes  int
+	buffer        []byte // for the next frame
+	loggedFault   string // empty: the last write succeeded
 }
 
-// Open reads a directory and gets ready to write there. It never fails: what is wrong is logged, and Run tries again. The
-// content is what could be read; it is the caller's.
+// Open reads a directory and prepares to write to it. It does not fail: what is wrong is logged, and Run tries again. The content is
+// what could be read; it is the caller's.
 func Open(o Options) (*Store, *Content) {
-	s := &Store{opts: o, disk: o.FS, waiting: map[string]*cachedlist.Entry{}, wake: make(chan struct{}, 1),
-		entries: map[string]cachedlist.Entry{}}
-	if s.disk == nil {
-		s.disk = Disk{}
+	s := &Store{options: o, fs: o.FS, queue: newQueue()}
+	if s.fs == nil {
+		s.fs = filesystem.Local{}
 	}
-	if s.opts.MinJournalBytes == 0 {
-		s.opts.MinJournalBytes = logLeast
+	if s.options.MinJournalBytes == 0 {
+		s.options.MinJournalBytes = defaultMinJournalBytes
 	}
-	if err := s.disk.MkdirAll(o.Directory); err != nil {
-		s.say("node list is not kept", err)
+	if err := s.fs.MkdirAll(o.Directory); err != nil {
+		s.logFault("cached endpoint list not saved", s.storageError("make the directory", err))
 	}
-	s.acquire()
-	c, err := Read(s.disk, o.Directory, o.Deployment)
-	if err != nil {
-		s.say("saved node list not read", err)
+	if err := s.acquireLock(); err != nil {
+		s.logFault("cached endpoint list not saved", err)
 	}
-	s.gen = c.gen
-	if s.held {
-		for _, line := range setAside(s.disk, o.Directory, c.Faults) {
-			slog.Warn("saved node list", "dir", o.Directory, "fault", line)
-		}
-	} else {
-		for _, f := range c.Faults {
-			slog.Warn("saved node list", "dir", o.Directory, "file", f.File, "not_used", f.Err)
-		}
+	c, err := Read(s.fs, o.Directory, o.Deployment)
+	if err != nil {
+		s.logFault("cached endpoint list not read", s.storageError("list the files", err))
 	}
+	s.handleFileErrors(c.FileErrors)
+	s.generation = c.generation
 	s.head = c.Head
 	s.head.Deployment = o.Deployment
 	s.entries = maps.Clone(c.Entries)
 	return s, c
 }
 
-// acquire takes the lock. Danger: two brokers in one directory would each end what the other wrote. One that does not
-// get it serves all the same; while the other one stops, as in a restart, it tries again.
-func (s *Store) acquire() error {
-	if s.held || s.opts.Unlocked {
-		s.held = true
+// acquireLock takes the lock, if it is not held: two brokers that write to one directory would each end what the other began. A
+// broker without it serves all the same, and tries again at each write.
+func (s *Store) acquireLock() error {
+	if s.state != storeUnlocked {
 		return nil
 	}
-	if s.lock == nil {
-		s.lock = flock.New(filepath.Join(s.opts.Directory, "lock"))
-	}
-	ok, err := s.lock.TryLock()
-	if err == nil && !ok {
-		err = errLocked
-	}
-	if err != nil {
-		s.say("node list is not kept", err)
-		return err
+	if !s.options.Unlocked {
+		if err := s.tryLock(); err != nil {
+			return err
+		}
 	}
-	s.held = true
+	s.state = storeSnapshotDue
 	return nil
 }
 
-// say logs a fault once until it changes or ends.
-func (s *Store) say(what string, err error) {
-	text := ""
+func (s *Store) tryLock() error {
+	if s.lock == nil {
+		s.lock = flock.New(filepath.Join(s.options.Directory, lockName))
+	}
+	acquired, err := s.lock.TryLock()
 	if err != nil {
-		text = what + err.Error()
-		if text != s.said {
-			slog.Warn(what, "dir", s.opts.Directory, "error", err)
-		}
-	} else if s.said != "" {
-		slog.Info(what, "dir", s.opts.Directory)
+		return s.storageError("lock the directory", err)
+	}
+	if !acquired {
+		return &LockedError{Directory: s.options.Directory}
 	}
-	s.said = text
+	return nil
 }
 
-// Enqueue leaves changes to be written. It never waits; what comes before the next write goes with it, so that what waits is
-// no more than one state of each entry.
-func (s *Store) Enqueue(c cachedlist.Changes) {
-	s.mu.Lock()
-	s.pending.Head, s.any = c.Head, true
-	for i := range c.Put {
-		s.waiting[c.Put[i].Name] = &c.Put[i]
-	}
-	for _, name := range c.Removed {
-		s.waiting[name] = nil
-	}
-	s.mu.Unlock()
-	select {
-	case s.wake <- struct{}{}:
-	default:
+// HoldsLock tells whether this process is the one that writes.
+func (s *Store) HoldsLock() bool { return s.state != storeUnlocked }
+
+// closeJournal has the next write begin a generation.
+func (s *Store) closeJournal() {
+	if s.state != storeAppending {
+		return
 	}
+	s.journal.Close()
+	s.journal = nil
+	s.state = storeSnapshotDue
 }
 
-// absorb moves what waits into the writer's own copy.
-func (s *Store) absorb() (c change, any bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.any {
-		return c, false
-	}
-	s.any = false
-	s.head = s.pending.Head
-	s.head.Deployment = s.opts.Deployment
-	c.Head = diskHead(s.head)
-	for name, e := range s.waiting {
-		if e == nil {
-			delete(s.entries, name)
-			c.Removed = append(c.Removed, name)
-		} else {
-			s.entries[name] = *e
-			c.Put = append(c.Put, diskEntry(*e))
-		}
+// Close releases the directory.
+func (s *Store) Close() {
+	s.closeJournal()
+	if s.lock != nil {
+		s.lock.Unlock()
+		s.lock.Close()
 	}
-	clear(s.waiting)
-	return c, true
+	s.state = storeUnlocked
 }
 
-// Run writes until ctx ends, and then what still waits. deliver gets what operators ask of a broker that runs.
+// Enqueue leaves changes to be written, and never waits. What comes before the next write is written with it, so that no more than
+// one state of each entry waits. The changes are the store's from then on.
+func (s *Store) Enqueue(c cachedlist.Changes) { s.queue.add(c) }
+
+// Run writes until ctx ends, and then what still waits. deliver is called with each request of an operator.
 func (s *Store) Run(ctx context.Context, deliver func(OperatorRequest)) error {
 	defer s.Close()
-	retry, failing := retryFirst, false
-	asks := time.NewTicker(asksEvery)
-	defer asks.Stop()
-	var again <-chan time.Time
+	requests := time.NewTicker(requestPollInterval)
+	defer requests.Stop()
+	delay := initialRetryDelay
+	var retry <-chan time.Time // nil: the last write succeeded
 	for {
 		select {
 		case <-ctx.Done():
 			s.Flush()
 			return nil
-		case <-asks.C:
-			if s.held {
-				s.takeAsks(deliver)
+		case <-requests.C:
+			if s.HoldsLock() {
+				s.deliverRequests(deliver)
 			}
 			continue
-		case <-s.wake:
-			if failing {
-				continue // its time comes
+		case <-s.queue.added:
+			if retry != nil {
+				continue // the retry writes it too
 			}
-		case <-again:
+		case <-retry:
 		}
-		again = nil
 		if err := s.Flush(); err != nil {
-			failing, again = true, time.After(retry)
-			retry = min(2*retry, retryMost)
+			retry = time.After(delay)
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
-		failing, retry = false, retryFirst
-		select { // what comes faster is written together
-		case <-time.After(s.opts.WriteInterval):
+		retry = nil
+		delay = initialRetryDelay
+		select { // what comes meanwhile is written together
+		case <-time.After(s.options.WriteInterval):
 		case <-ctx.Done():
 		}
 	}
 }
+
+// logFault logs what is wrong, once until it changes or ends.
+func (s *Store) logFault(message string, err error) {
+	fault := message + err.Error()
+	if fault != s.loggedFault {
+		slog.Warn(message, "component", component, "directory", s.options.Directory, "error", err, "remedy", remedy.Of(err))
+	}
+	s.loggedFault = fault
+}
+
+// logRecovery logs that a fault has ended.
+func (s *Store) logRecovery() {
+	if s.loggedFault != "" {
+		slog.Info("cached endpoint list saved again", "component", component, "directory", s.options.Directory)
+	}
+	s.loggedFault = ""
+}
+
+func (s *Store) storageError(operation string, err error) error {
+	return &StorageError{Operation: operation, Directory: s.options.Directory, Err: err}
+}
--- /dev/null
+++ b/internal/filesystem/crashfs/crashfs_test.go
@@ -0,0 +1,114 @@
+package crashfs
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"slices"
+	"syscall"
+	"testing"
+
+	"flaxfront/internal/filesystem"
+)
+
+const (
+	synced   = "synced and "
+	unsynced = "written after it"
+)
+
+// written is a disk with a durable file, unsynced bytes behind its content, and a file whose name is not durable.
+func written(t *testing.T, seed uint64) *FS {
+	t.Helper()
+	d := New(seed)
+	f, err := filesystem.CreateSynced(d, "dir/old", []byte(synced))
+	if err == nil {
+		err = d.SyncDir("dir")
+	}
+	if err == nil {
+		_, err = f.Write([]byte(unsynced))
+	}
+	if err == nil {
+		_, err = filesystem.CreateSynced(d, "dir/new", []byte(synced))
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+// What was synced is there after each crash; of the rest each outcome that the package names comes about.
+func TestCrash(t *testing.T) {
+	for name, damage := range map[string]Damage{"unwritten sector": UnwrittenSector, "flipped bit": FlippedBit} {
+		t.Run(name, func(t *testing.T) {
+			seen := map[string]bool{}
+			for seed := range uint64(200) {
+				d := written(t, seed)
+				d.Damage = damage
+				after := d.Crash()
+				data := after.Bytes("dir/old")
+				if !bytes.HasPrefix(data, []byte(synced)) {
+					t.Fatalf("seed %d: lost what was synced: %q", seed, data)
+				}
+				rest := data[len(synced):]
+				seen["nothing of the rest"] = seen["nothing of the rest"] || len(rest) == 0
+				seen["all of the rest"] = seen["all of the rest"] || string(rest) == unsynced
+				seen["damaged"] = seen["damaged"] || string(rest) != unsynced[:len(rest)]
+				seen["name lost"] = seen["name lost"] || !slices.Contains(after.Names(), "dir/new")
+				seen["name there"] = seen["name there"] || slices.Contains(after.Names(), "dir/new")
+				if again := after.Crash(); !bytes.Equal(again.Bytes("dir/old"), data) {
+					t.Fatalf("seed %d: a second crash changed what the first had left", seed)
+				}
+			}
+			for _, outcome := range []string{"nothing of the rest", "all of the rest", "damaged", "name lost", "name there"} {
+				if !seen[outcome] {
+					t.Errorf("never seen: %s", outcome)
+				}
+			}
+		})
+	}
+}
+
+// From the chosen step on each call fails.
+func TestCrashAt(t *testing.T) {
+	undisturbed := written(t, 1)
+	for step := 1; step <= undisturbed.Steps; step++ {
+		d := New(1)
+		d.CrashAt = step
+		f, err := filesystem.CreateSynced(d, "dir/old", []byte(synced))
+		if err == nil {
+			err = d.SyncDir("dir")
+		}
+		if err == nil {
+			_, err = f.Write([]byte(unsynced))
+		}
+		if err == nil {
+			_, err = filesystem.CreateSynced(d, "dir/new", []byte(synced))
+		}
+		if !errors.Is(err, ErrCrash) || d.MkdirAll("dir") == nil || d.Remove("dir/old") == nil || d.Rename("dir/old", "dir/x") == nil {
+			t.Errorf("step %d: %v", step, err)
+		}
+	}
+}
+
+func TestFullAndFailingSync(t *testing.T) {
+	d := New(1)
+	f, err := d.Create("dir/file")
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.Full = true
+	if n, err := f.Write([]byte("1234")); n != 2 || !errors.Is(err, syscall.ENOSPC) {
+		t.Errorf("on a full disk: %d, %v", n, err)
+	}
+	d.FailSync = true
+	if err := f.Sync(); !errors.Is(err, syscall.EIO) {
+		t.Errorf("failing sync: %v", err)
+	}
+	r, err := d.Open("dir/file")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, _ := io.ReadAll(r); string(got) != "12" {
+		t.Errorf("read %q", got)
+	}
+}
--- /dev/null
+++ b/internal/filesystem/crashfs/file.go
@@ -0,0 +1,76 @@
+package crashfs
+
+import (
+	"bytes"
+	"syscall"
+)
+
+// sectorBytes is what a disk writes whole.
+const sectorBytes = 512
+
+// handle is a file that is open for writing.
+type handle struct {
+	disk *FS
+	file *file
+}
+
+// Write appends. On a full disk half of the bytes are written, at a crash any number of them.
+func (h *handle) Write(b []byte) (written int, err error) {
+	if h.disk.Full {
+		return h.append(b[:len(b)/2]), syscall.ENOSPC
+	}
+	if err := h.disk.step(); err != nil {
+		return h.append(b[:h.disk.random.IntN(len(b)+1)]), err
+	}
+	return h.append(b), nil
+}
+
+func (h *handle) append(b []byte) (written int) {
+	h.file.data = append(h.file.data, b...)
+	return len(b)
+}
+
+// Sync makes durable what was written.
+func (h *handle) Sync() error {
+	if err := h.disk.step(); err != nil {
+		return err
+	}
+	if h.disk.FailSync {
+		return syscall.EIO
+	}
+	h.file.syncedBytes = len(h.file.data)
+	return nil
+}
+
+// Close does nothing: it makes nothing durable.
+func (h *handle) Close() error { return nil }
+
+// afterCrash is what a crash leaves of a file.
+func (d *FS) afterCrash(f *file) []byte {
+	data := bytes.Clone(f.data[:f.syncedBytes])
+	unsynced := f.data[f.syncedBytes:]
+	if len(unsynced) == 0 {
+		return data
+	}
+	survivors := d.random.IntN(len(unsynced) + 1)
+	data = append(data, unsynced[:survivors]...)
+	switch d.Damage {
+	case UnwrittenSector:
+		if d.random.IntN(2) == 0 && survivors > 0 {
+			d.clearSector(data, f.syncedBytes)
+		}
+	case FlippedBit:
+		if survivors > 0 && d.random.IntN(2) == 0 {
+			data[len(data)-1] ^= 1 << d.random.IntN(8)
+		}
+	}
+	return data
+}
+
+// clearSector zeroes a random sector of those that hold unsynced bytes, without the synced bytes in it.
+func (d *FS) clearSector(data []byte, syncedBytes int) {
+	at := syncedBytes + d.random.IntN(len(data)-syncedBytes)
+	start := at - at%sectorBytes
+	end := min(start+sectorBytes, len(data))
+	clear(data[max(start, syncedBytes):end])
+}
--- /dev/null
+++ b/internal/filesystem/local.go
@@ -0,0 +1,48 @@
+package filesystem
+
+import (
+	"io"
+	"os"
+)
+
+// directoryMode is the mode of directories that Local makes, before the umask.
+const directoryMode = 0o755
+
+// Local is the file system of the machine.
+type Local struct{}
+
+var _ FS = Local{}
+
+// MkdirAll makes a directory and those above it.
+func (Local) MkdirAll(dir string) error { return os.MkdirAll(dir, directoryMode) }
+
+// Open opens a file for reading.
+func (Local) Open(name string) (io.ReadCloser, error) { return os.Open(name) }
+
+// Create makes an empty file.
+func (Local) Create(name string) (File, error) { return os.Create(name) }
+
+// Rename moves a file over another.
+func (Local) Rename(from, to string) error { return os.Rename(from, to) }
+
+// Remove removes a file.
+func (Local) Remove(name string) error { return os.Remove(name) }
+
+// ReadDir lists the names in a directory. With an error it returns those read before it.
+func (Local) ReadDir(dir string) (names []string, err error) {
+	entries, err := os.ReadDir(dir)
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	return names, err
+}
+
+// SyncDir fsyncs a directory.
+func (Local) SyncDir(dir string) error {
+	f, err := os.Open(dir)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	return f.Sync()
+}
--- a/internal/server/saved_test.go
+++ b/internal/server/saved_test.go
@@ -12,6 +12,7 @@
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/discovery/nodelist"
+	"flaxfront/internal/filesystem"
 	"flaxfront/internal/lab"
 	"flaxfront/internal/transport/store"
 )
@@ -115,7 +116,7 @@
 	k.Discovery.Set(k.List[:1])
 	k.until("the short list is taken", func() bool { return s.Counters().Searches.Nodes <= 4 })
 	end()
-	if c, err := nodelist.Read(nodelist.Disk{}, k.dir, ""); err != nil || !c.Found || len(c.Entries) != 8 {
+	if c, err := nodelist.Read(filesystem.Local{}, k.dir, ""); err != nil || !c.Found || len(c.Entries) != 8 {
 		t.Errorf("%v, %+v", err, c)
 	}
 }
@@ -141,7 +142,7 @@
 	k.Discovery.Down()
 	end()
 	s, _ = k.start(false)
-	c, err := nodelist.Read(nodelist.Disk{}, k.dir, "")
+	c, err := nodelist.Read(filesystem.Local{}, k.dir, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,11 +150,11 @@
 	moved.Name, moved.Told = "node-new", moved.Told+1
 	ask := nodelist.OperatorRequest{Forget: []string{"node-00000001"}, Import: c.SortedByName()[:0:0]}
 	ask.Import = append(ask.Import, moved)
-	if err := nodelist.SubmitRequest(nodelist.Disk{}, k.dir, c.Head.Deployment, ask, time.Now()); err != nil {
+	if err := nodelist.SubmitRequest(filesystem.Local{}, k.dir, c.Head.Deployment, ask, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	k.until("the ask is taken", func() bool {
-		c, _ := nodelist.Read(nodelist.Disk{}, k.dir, "")
+		c, _ := nodelist.Read(filesystem.Local{}, k.dir, "")
 		_, old := c.Entries["node-00000001"]
 		_, fresh := c.Entries["node-new"]
 		return !old && fresh
