--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -28,7 +28,7 @@
 func (s *sink) Restore([]byte) error { return nil }
 
 // Three voters on one goroutine, each with its log on the machine's disk, messages without delay: entries of 200 bytes,
-// so many handed in before each Out.
+// so many handed in before each ProcessReady.
 func BenchmarkPropose(b *testing.B) {
 	for _, batch := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(batch), func(b *testing.B) {
@@ -53,7 +53,7 @@
 					busy = false
 					for _, n := range nodes {
 						for _, p := range n.ProcessReady() {
-							nodes[p.To-1].Step(n.cfg.ID, p.Data, n.now)
+							nodes[p.To-1].Step(n.config.ID, p.Data, n.now)
 							busy = true
 						}
 					}
@@ -74,15 +74,15 @@
 			}
 			saves := 0
 			for _, n := range nodes {
-				saves += n.cfg.Storage.(*counted).saves
+				saves += n.config.Storage.(*counted).saves
 			}
 			b.ReportMetric(float64(saves)/float64(b.N), "fsyncs/op")
-			b.ReportMetric(float64(nodes[0].cfg.StateMachine.(*sink).applied)/b.Elapsed().Seconds(), "entries/s")
+			b.ReportMetric(float64(nodes[0].config.StateMachine.(*sink).applied)/b.Elapsed().Seconds(), "entries/s")
 		})
 	}
 }
 
-// How long, in virtual time, a tier is without a leader that has settled after the leader is killed: 1,000 seeds, links of
+// How long, in virtual time, a tier is without a leader that has caught up after the leader is killed: 1,000 seeds, links of
 // 10 ms at most, an election time of 200 ms, heartbeats each 50 ms. Given in election times.
 func BenchmarkFailover(b *testing.B) {
 	for _, size := range []int{3, 5} {
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -12,6 +12,7 @@
 
 // calm is a world in which nothing breaks, with a leader.
 func calm(t *testing.T, size int) (w *world, leader *voter) {
+	t.Helper()
 	w = newWorld(3, size, none)
 	w.until(5 * election)
 	if ids := w.leading(); len(ids) != 1 {
@@ -21,7 +22,7 @@
 }
 
 func packed(m *pb.Message) []byte {
-	b, _ := stable.MarshalAppend([]byte{letterWhole}, m)
+	b, _ := deterministic.MarshalAppend([]byte{packetWhole}, m)
 	return b
 }
 
@@ -29,7 +30,7 @@
 	for _, size := range []int{1, 3, 5} {
 		w, leader := calm(t, size)
 		if !leader.node.IsCaughtUpLeader() {
-			t.Errorf("%d voters: the leader isn't settled", size)
+			t.Errorf("%d voters: the leader isn't caught up", size)
 		}
 		term := leader.node.Term()
 		w.until(w.now + 100*election)
@@ -98,13 +99,13 @@
 	_, leader := calm(t, 3)
 	n := leader.node
 	n.Tick(n.now + 2*election)
-	if n.IsLeader() || n.resigned != 1 {
+	if n.IsLeader() || n.resignations != 1 {
 		t.Fatal("it still leads")
 	}
 }
 
 // A leader that hears from nobody resigns within two elections, while its heartbeats still go out.
-func TestDeafLeaderResigns(t *testing.T) {
+func TestUnreachableLeaderResigns(t *testing.T) {
 	w, leader := calm(t, 3)
 	w.cutWhere(func(_, to uint64) bool { return to == leader.id })
 	w.until(w.now + 2*election + 2*heartbeat)
@@ -117,7 +118,7 @@
 	}
 }
 
-func TestHandOver(t *testing.T) {
+func TestTransferLeadership(t *testing.T) {
 	w, leader := calm(t, 5)
 	to := leader.node.TransferLeadership(leader.local(w.now))
 	w.turn(leader)
@@ -134,7 +135,7 @@
 		b := packed(&pb.Message{Type: kind.Enum(), From: &id, To: &to, Term: &term, Index: &index, Commit: &index})
 		f.Add(b)
 	}
-	f.Add(append([]byte{letterPart, 16: 9}, "some part"...))
+	f.Add(append([]byte{packetChunk, 16: 9}, "some part"...))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		w := newWorld(1, 3, none)
 		v := w.voters[0]
--- a/internal/cluster/consensus/errors.go
+++ b/internal/cluster/consensus/errors.go
@@ -21,10 +21,12 @@
 	return "ask the leader"
 }
 
-// BusyError refuses what exceeds a limit on what is under way, or comes while the lead is handed over.
+// BusyError refuses what exceeds a limit on what is in progress, or comes while leadership is being transferred.
 type BusyError struct{ Limit int }
 
-func (e *BusyError) Error() string { return fmt.Sprintf("too much is under way, %d at most", e.Limit) }
+func (e *BusyError) Error() string {
+	return fmt.Sprintf("too much is in progress, %d at most", e.Limit)
+}
 
 // Remedy tells what an operator can do.
 func (e *BusyError) Remedy() string {
@@ -32,10 +34,13 @@
 }
 
 // EntrySizeError refuses an entry by its size.
-type EntrySizeError struct{ Bytes, Max int }
+type EntrySizeError struct {
+	Bytes int
+	Max   int
+}
 
 func (e *EntrySizeError) Error() string {
-	return fmt.Sprintf("an entry of %d bytes, 1 to %d are taken", e.Bytes, e.Max)
+	return fmt.Sprintf("an entry of %d bytes, 1 to %d are accepted", e.Bytes, e.Max)
 }
 
 // Remedy tells what an operator can do.
@@ -50,10 +55,10 @@
 
 // Remedy tells what an operator can do.
 func (e *ReadTimeoutError) Remedy() string {
-	return "ask again; if it lasts, see that a majority of the voters runs and that they reach each other"
+	return "try again; if it lasts, see that a majority of the voters runs and that they reach each other"
 }
 
-// StoppedError refuses everything, since this voter has stopped. Why is nil after a planned stop.
+// StoppedError refuses everything, since this voter has stopped. Cause is nil after a planned stop.
 type StoppedError struct{ Cause error }
 
 func (e *StoppedError) Error() string {
@@ -73,17 +78,17 @@
 	return "start the broker again"
 }
 
-// StorageError ends a voter whose disk could not keep what it must.
+// StorageError ends a voter whose storage could not save what it must.
 type StorageError struct{ Err error }
 
 func (e *StorageError) Error() string {
-	return fmt.Sprintf("the voter's state could not be kept on disk, it votes no more: %v", e.Err)
+	return fmt.Sprintf("the voter's state could not be saved, it votes no more: %v", e.Err)
 }
 func (e *StorageError) Unwrap() error { return e.Err }
 
 // Remedy tells what an operator can do.
 func (e *StorageError) Remedy() string {
-	return "make room or mend the disk, then start the broker again; it serves searches meanwhile, and the other voters go on " +
+	return "make room or mend the disk, then start the broker again; it serves queries meanwhile, and the other voters go on " +
 		"while they are a majority"
 }
 
@@ -101,7 +106,10 @@
 }
 
 // VotersMismatchError refuses to start with voters other than those that the log was written by.
-type VotersMismatchError struct{ Configured, Stored []uint64 }
+type VotersMismatchError struct {
+	Configured []uint64
+	Stored     []uint64
+}
 
 func (e *VotersMismatchError) Error() string {
 	return fmt.Sprintf("the settings name voters %v, the log is of voters %v", e.Configured, e.Stored)
@@ -115,11 +123,11 @@
 // ConfigError refuses settings.
 type ConfigError struct{ Detail string }
 
-func (e *ConfigError) Error() string { return "the settings of agreement can't be used: " + e.Detail }
+func (e *ConfigError) Error() string { return "the settings of consensus can't be used: " + e.Detail }
 
 // Remedy tells what an operator can do.
 func (e *ConfigError) Remedy() string {
-	return "name 1, 3 or 5 different voters, this broker among them, and an election time of three heartbeats at least"
+	return "name 1, 3 or 5 different voters, this broker among them, and an election timeout of three heartbeat intervals at least"
 }
 
 // InvalidMessageError tells of a message that was dropped.
--- a/internal/cluster/consensus/reads.go
+++ b/internal/cluster/consensus/reads.go
@@ -1,8 +1,5 @@
 package consensus
 
-// This file owns linearizable reads: an index that was committed when the read was asked, confirmed by a majority since,
-// and applied here.
-
 import (
 	"encoding/binary"
 	"slices"
@@ -11,96 +8,112 @@
 	"go.etcd.io/raft/v3"
 )
 
-// ReadResult is the answer to a ReadIndex: Machine may be read now, unless Err tells that it could not be confirmed.
+// readTimeoutElections is how many election timeouts a read may take.
+const readTimeoutElections = 2
+
+// ReadResult is the answer to a ReadIndex: StateMachine may be read now, unless Err tells that it could not be confirmed.
 type ReadResult struct {
-	RequestContext []byte
-	Index          uint64
+	RequestContext []byte // as it was given
+	Index          uint64 // that StateMachine has applied at least
 	Err            error
 }
 
+// reads are the linearizable reads in progress. A read is answered with an index that was committed when it was requested, confirmed
+// by a majority since, and applied here.
 type reads struct {
-	id, birth, seq uint64
-	asked          []askedRead // oldest first
-	done           []ReadResult
+	voterID   uint64
+	start     uint64        // tells the reads of this start from those before, whose answers may still be on the way
+	sequence  uint64        // of the last read
+	pending   []pendingRead // oldest first
+	completed []ReadResult
 }
 
-type askedRead struct {
-	key       string
-	ctx       []byte
-	until     time.Duration
+type pendingRead struct {
+	key       string // for raft
+	context   []byte
+	deadline  time.Duration
 	confirmed bool
-	index     uint64
+	index     uint64 // where it is confirmed
 }
 
-// start sets what tells this start's reads from those of an earlier one: its answers may still be on the way.
-func (r *reads) start(id, birth uint64) { r.id, r.birth = id, birth }
+func newReads(voterID, start uint64) reads { return reads{voterID: voterID, start: start} }
 
-func (r *reads) due() time.Duration {
-	if len(r.asked) == 0 {
+// nextDeadline is when the oldest read expires.
+func (r *reads) nextDeadline() time.Duration {
+	if len(r.pending) == 0 {
 		return Never
 	}
-	return r.asked[0].until
+	return r.pending[0].deadline
 }
 
-// ReadIndex asks for a linearizable read, on any voter; ctx comes back in Reads, within two Elections.
-func (n *Node) ReadIndex(ctx []byte) error {
+// ReadIndex requests a linearizable read, on any voter; requestContext comes back in CompletedReads, within two election timeouts. It
+// returns *StoppedError, *NotLeaderError where no leader is known, or *BusyError.
+func (n *Node) ReadIndex(requestContext []byte) error {
 	switch {
-	case n.failed != nil || n.stopped:
-		return &StoppedError{n.failed}
+	case n.state != running:
+		return &StoppedError{Cause: n.failure}
 	case n.Leader() == 0:
 		return &NotLeaderError{}
-	case len(n.reads.asked) >= n.cfg.MaxPendingReads:
-		return &BusyError{n.cfg.MaxPendingReads}
+	case len(n.reads.pending) >= n.config.MaxPendingReads:
+		return &BusyError{Limit: n.config.MaxPendingReads}
 	}
 	defer n.guard()
-	r := &n.reads
-	r.seq++
-	var key []byte
-	for _, part := range []uint64{r.id, r.birth, r.seq} {
-		key = binary.BigEndian.AppendUint64(key, part)
-	}
-	r.asked = append(r.asked, askedRead{key: string(key), ctx: ctx, until: n.now + 2*n.cfg.ElectionTimeout})
+	key := n.reads.add(requestContext, n.now+readTimeoutElections*n.config.ElectionTimeout)
 	n.raft.ReadIndex(key)
 	return nil
 }
 
-// CompletedReads returns what was answered since the last call. Call it after Out.
+// CompletedReads returns what was answered since the last call. Call it after ProcessReady.
 func (n *Node) CompletedReads() []ReadResult {
-	done := n.reads.done
-	n.reads.done = nil
-	return done
+	completed := n.reads.completed
+	n.reads.completed = nil
+	return completed
+}
+
+// add returns the key under which raft answers a read.
+func (r *reads) add(requestContext []byte, deadline time.Duration) (key []byte) {
+	r.sequence++
+	key = binary.BigEndian.AppendUint64(key, r.voterID)
+	key = binary.BigEndian.AppendUint64(key, r.start)
+	key = binary.BigEndian.AppendUint64(key, r.sequence)
+	r.pending = append(r.pending, pendingRead{key: string(key), context: requestContext, deadline: deadline})
+	return key
 }
 
+// confirm records what a majority has confirmed.
 func (r *reads) confirm(states []raft.ReadState) {
 	for _, s := range states {
-		i := slices.IndexFunc(r.asked, func(a askedRead) bool { return a.key == string(s.RequestCtx) })
+		i := slices.IndexFunc(r.pending, func(p pendingRead) bool { return p.key == string(s.RequestCtx) })
 		if i >= 0 {
-			r.asked[i].confirmed, r.asked[i].index = true, s.Index
+			r.pending[i].confirmed = true
+			r.pending[i].index = s.Index
 		}
 	}
 }
 
-// applied answers what is confirmed and applied.
-func (r *reads) applied(index uint64) {
-	r.asked = slices.DeleteFunc(r.asked, func(a askedRead) bool {
-		ready := a.confirmed && a.index <= index
+// complete answers what is confirmed and applied.
+func (r *reads) complete(appliedIndex uint64) {
+	r.pending = slices.DeleteFunc(r.pending, func(p pendingRead) bool {
+		ready := p.confirmed && p.index <= appliedIndex
 		if ready {
-			r.done = append(r.done, ReadResult{RequestContext: a.ctx, Index: a.index})
+			r.completed = append(r.completed, ReadResult{RequestContext: p.context, Index: p.index})
 		}
 		return ready
 	})
 }
 
+// expire answers what has waited too long.
 func (r *reads) expire(now time.Duration) {
-	for len(r.asked) > 0 && r.asked[0].until <= now {
-		r.done = append(r.done, ReadResult{RequestContext: r.asked[0].ctx, Err: &ReadTimeoutError{}})
-		r.asked = r.asked[1:]
+	for len(r.pending) > 0 && r.pending[0].deadline <= now {
+		r.completed = append(r.completed, ReadResult{RequestContext: r.pending[0].context, Err: &ReadTimeoutError{}})
+		r.pending = r.pending[1:]
 	}
 }
 
-func (r *reads) close(err error) {
-	for _, a := range r.asked {
-		r.done = append(r.done, ReadResult{RequestContext: a.ctx, Err: err})
+// failAll answers all reads with an error.
+func (r *reads) failAll(err error) {
+	for _, p := range r.pending {
+		r.completed = append(r.completed, ReadResult{RequestContext: p.context, Err: err})
 	}
-	r.asked = nil
+	r.pending = nil
 }
--- a/internal/cluster/consensus/sim_test.go
+++ b/internal/cluster/consensus/sim_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	seeds = flag.Uint64("agree.seeds", 200, "seeds that are played for each number of voters")
-	first = flag.Uint64("agree.first", 1, "the first of them")
+	seeds = flag.Uint64("consensus.seeds", 200, "seeds that are played for each number of voters")
+	first = flag.Uint64("consensus.first", 1, "the first of them")
 )
 
 func TestMain(m *testing.M) {
@@ -115,7 +115,7 @@
 func TestSimulationFindsFaults(t *testing.T) {
 	for m, c := range map[mutant]struct {
 		want string
-		from uint64 // where one was found last, so that the search is short
+		from uint64 // where one was found last, to find it soon
 	}{
 		earlyAck:     {"isn't linearizable", 1},
 		careless:     {"applies another entry|can't be right|has leaders", 1},
--- a/internal/cluster/consensus/simfaults_test.go
+++ b/internal/cluster/consensus/simfaults_test.go
@@ -69,7 +69,7 @@
 			return
 		}
 		defer w.fault()
-		v, kinds := w.target(), []string{"crash", "step", "fsync", "full", "pause", "split", "oneway", "deaf", "loss", "hand over",
+		v, kinds := w.target(), []string{"crash", "step", "fsync", "full", "pause", "split", "oneway", "unreachable", "loss", "transfer",
 			"calm", "calm"}
 		kind := kinds[w.rnd.IntN(len(kinds))]
 		w.faults[kind]++
@@ -98,12 +98,12 @@
 			w.cutWhere(func(from, to uint64) bool { return side[from] != side[to] })
 		case "oneway":
 			w.cutWhere(func(from, to uint64) bool { return from != v.id && w.chance(0.3) })
-		case "deaf":
+		case "unreachable":
 			out := w.chance(0.5)
 			w.cutWhere(func(from, to uint64) bool { return out && from == v.id || !out && to == v.id })
 		case "loss":
 			w.loss, w.slow = w.rnd.Float64()*0.4, 5*ms+w.upTo(150*ms)
-		case "hand over":
+		case "transfer":
 			if v.up && !v.paused {
 				v.node.TransferLeadership(v.local(w.now))
 				w.turn(v)
--- a/internal/cluster/consensus/simworld_test.go
+++ b/internal/cluster/consensus/simworld_test.go
@@ -148,7 +148,7 @@
 // kill ends a voter and leaves its disk as a crash leaves it.
 func (w *world) kill(v *voter) {
 	if v.up {
-		w.seen["resigned"] += int(v.node.resigned)
+		w.seen["resigned"] += int(v.node.resignations)
 		v.up, v.disk = false, v.disk.Crash()
 	}
 }
--- /dev/null
+++ b/internal/cluster/consensus/step.go
@@ -0,0 +1,91 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// Why a message is rejected, wrapped in InvalidMessageError.
+var (
+	errNotVoter       = errors.New("the sender is no voter")
+	errWrongSender    = errors.New("sender or receiver do not fit the link")
+	errWrongType      = errors.New("voters do not send such messages")
+	errSnapshotVoters = errors.New("a snapshot of other voters")
+)
+
+// accepted are the messages that voters send each other. Proposals come through Propose only, and what raft sends itself never comes
+// from outside.
+var accepted = []pb.MessageType{
+	pb.MsgApp,
+	pb.MsgAppResp,
+	pb.MsgVote,
+	pb.MsgVoteResp,
+	pb.MsgPreVote,
+	pb.MsgPreVoteResp,
+	pb.MsgHeartbeat,
+	pb.MsgHeartbeatResp,
+	pb.MsgSnap,
+	pb.MsgReadIndex,
+	pb.MsgReadIndexResp,
+	pb.MsgTimeoutNow,
+}
+
+// Step takes a message of another voter; from is who the link says it is. It returns *InvalidMessageError for a message that was
+// dropped, and *StoppedError.
+func (n *Node) Step(from uint64, packet []byte, now time.Duration) error {
+	n.advance(now)
+	if n.state != running {
+		return &StoppedError{Cause: n.failure}
+	}
+	m, err := n.decodeMessage(from, packet)
+	if err != nil {
+		n.RejectedMessages++
+		return &InvalidMessageError{From: from, Err: err}
+	}
+	if m == nil { // a part of one that is not complete
+		return nil
+	}
+	defer n.guard()
+	if err := n.raft.Step(m); err != nil {
+		return &InvalidMessageError{From: from, Err: err}
+	}
+	n.updateRole()
+	n.recordContact(m)
+	return nil
+}
+
+// decodeMessage returns the message that a packet is or completes; nil where more has to come.
+func (n *Node) decodeMessage(from uint64, packet []byte) (*pb.Message, error) {
+	if !slices.Contains(n.config.Voters, from) {
+		return nil, errNotVoter
+	}
+	data, err := n.chunks.assemble(from, packet)
+	if err != nil || data == nil {
+		return nil, err
+	}
+	m := &pb.Message{}
+	if err := proto.Unmarshal(data, m); err != nil {
+		return nil, err
+	}
+	return m, n.checkMessage(from, m)
+}
+
+// checkMessage refuses what no voter sends.
+func (n *Node) checkMessage(from uint64, m *pb.Message) error {
+	if m.GetFrom() != from || m.GetTo() != n.config.ID || from == n.config.ID {
+		return fmt.Errorf("%w: from %d to %d by the link of %d", errWrongSender, m.GetFrom(), m.GetTo(), from)
+	}
+	if !slices.Contains(accepted, m.GetType()) {
+		return fmt.Errorf("%w: type %v", errWrongType, m.GetType())
+	}
+	voters := m.GetSnapshot().GetMetadata().GetConfState().GetVoters()
+	if m.GetType() == pb.MsgSnap && !slices.Equal(voters, n.config.Voters) {
+		return fmt.Errorf("%w: %v", errSnapshotVoters, voters)
+	}
+	return nil
+}
