--- a/internal/cluster/readhint/parse.go
+++ b/internal/cluster/readhint/parse.go
@@ -1,80 +1,92 @@
 package readhint
 
 import (
+	"fmt"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// Parse reads a hint. The error is a *Wrong, and then nothing of the hint holds.
+// Parse reads a hint as the header carries it. On an error, which is a *SyntaxError, no part of the hint is used.
 func Parse(text string) (Hint, error) {
-	var h Hint
 	if len(text) > MaxBytes {
-		return Hint{}, wrong("", "longer than "+strconv.Itoa(MaxBytes)+" bytes")
+		return Hint{}, syntaxError("", fmt.Sprintf("longer than %d bytes", MaxBytes))
 	}
+	var hint Hint
 	seen := map[string]bool{}
 	for directive := range strings.SplitSeq(text, ";") {
 		directive = strings.Trim(directive, " \t")
 		name, value, ok := strings.Cut(directive, "=")
 		if !ok {
-			return Hint{}, wrong(directive, "not NAME=VALUE")
+			return Hint{}, syntaxError(directive, "not NAME=VALUE")
 		}
 		if seen[name] {
-			return Hint{}, wrong(directive, "said twice")
+			return Hint{}, syntaxError(directive, "said twice")
 		}
 		seen[name] = true
-		why := ""
-		switch name {
-		case "pin":
-			why = h.readPin(value)
-		case "max-stale":
-			why = h.readSpan(value)
-		case "not-before":
-			why = h.readPositions(value)
-		case "or-stale":
-			if h.AllowStale = value == "yes"; !h.AllowStale {
-				why = "only yes can be said"
-			}
-		default:
-			why = "no such directive"
-		}
-		if why != "" {
-			return Hint{}, wrong(directive, why)
+		if reason := hint.parseDirective(name, value); reason != "" {
+			return Hint{}, syntaxError(directive, reason)
 		}
 	}
-	if h.IsZero() {
-		return Hint{}, wrong("", "or-stale alone asks for nothing")
+	if hint.IsZero() {
+		return Hint{}, syntaxError("", "or-stale alone asks for nothing")
 	}
-	return h, nil
+	return hint, nil
 }
 
-func (h *Hint) readPin(value string) (why string) {
-	scope, key, _ := strings.Cut(value, ":")
-	if s := Scope(scope); s != ScopeSession && s != ScopeKey {
+// parseDirective reads one directive into the hint. The reason is empty, or says what is wrong with the value.
+func (h *Hint) parseDirective(name, value string) (reason string) {
+	switch name {
+	case "pin":
+		return h.parsePin(value)
+	case "max-stale":
+		return h.parseMaxStaleness(value)
+	case "not-before":
+		return h.parsePositions(value)
+	case "or-stale":
+		return h.parseAllowStale(value)
+	}
+	return "no such directive"
+}
+
+func (h *Hint) parsePin(value string) (reason string) {
+	scopeName, key, _ := strings.Cut(value, ":")
+	scope := Scope(scopeName)
+	if scope != ScopeSession && scope != ScopeKey {
 		return "neither session nor key"
 	}
 	if len(key) == 0 || len(key) > MaxKeyBytes {
-		return "a name has 1 to " + strconv.Itoa(MaxKeyBytes) + " bytes"
+		return fmt.Sprintf("a name has 1 to %d bytes", MaxKeyBytes)
 	}
 	for i := range len(key) {
-		if c := key[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || strings.IndexByte("-_.~", c) >= 0) {
+		if !isKeyByte(key[i]) {
 			return "a byte that no name may have"
 		}
 	}
-	h.Scope, h.Key = Scope(scope), key
+	h.Scope = scope
+	h.Key = key
 	return ""
 }
 
-func (h *Hint) readSpan(value string) (why string) {
+func isKeyByte(c byte) bool {
+	switch {
+	case '0' <= c && c <= '9', 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z':
+		return true
+	}
+	return strings.IndexByte("-_.~", c) >= 0
+}
+
+func (h *Hint) parseMaxStaleness(value string) (reason string) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(value, "ms")
 	if !ok {
 		unit = time.Second
-		if digits, ok = strings.CutSuffix(value, "s"); !ok {
-			return "neither ms nor s"
-		}
+		digits, ok = strings.CutSuffix(value, "s")
+	}
+	if !ok {
+		return "neither ms nor s"
 	}
-	n, ok := number(digits)
+	n, ok := parseNumber(digits)
 	if !ok || n == 0 || n > uint64(LongestStaleness/unit) {
 		return "not a whole number between nothing and " + LongestStaleness.String()
 	}
@@ -82,28 +94,49 @@
 	return ""
 }
 
-func (h *Hint) readPositions(value string) (why string) {
+func (h *Hint) parsePositions(value string) (reason string) {
 	if strings.Count(value, ",") >= MaxPositions {
-		return "more than " + strconv.Itoa(MaxPositions) + " positions"
+		return fmt.Sprintf("more than %d positions", MaxPositions)
 	}
+	previous := -1
 	for pair := range strings.SplitSeq(value, ",") {
-		left, right, _ := strings.Cut(pair, ":")
-		shard, ok1 := number(left)
-		at, ok2 := number(right)
-		if !ok1 || !ok2 || shard > MaxShard {
+		position, ok := parsePosition(pair)
+		if !ok {
 			return "not SHARD:POSITION"
 		}
-		if n := len(h.NotBefore); n > 0 && h.NotBefore[n-1].Shard >= int(shard) {
+		if position.Shard <= previous {
 			return "shards must ascend"
 		}
-		h.NotBefore = append(h.NotBefore, Position{int(shard), at})
+		previous = position.Shard
+		h.NotBefore = append(h.NotBefore, position)
+	}
+	return ""
+}
+
+func parsePosition(pair string) (Position, bool) {
+	shardText, offsetText, _ := strings.Cut(pair, ":")
+	shard, shardOK := parseNumber(shardText)
+	offset, offsetOK := parseNumber(offsetText)
+	if !shardOK || !offsetOK || shard > MaxShard {
+		return Position{}, false
 	}
+	return Position{Shard: int(shard), Offset: offset}, true
+}
+
+func (h *Hint) parseAllowStale(value string) (reason string) {
+	if value != "yes" {
+		return "only yes can be said"
+	}
+	h.AllowStale = true
 	return ""
 }
 
-// number reads digits alone, without signs and leading zeros.
-func number(text string) (uint64, bool) {
-	if len(text) > 1 && text[0] == '0' || text == "" || text[0] == '+' {
+// parseNumber reads digits alone, without a sign or leading zeros.
+func parseNumber(text string) (uint64, bool) {
+	if text == "" || text[0] == '+' {
+		return 0, false
+	}
+	if len(text) > 1 && text[0] == '0' {
 		return 0, false
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
--- a/internal/cluster/readhint/readhint.go
+++ b/internal/cluster/readhint/readhint.go
@@ -1,9 +1,8 @@
-// Package readhint owns the grammar of the read hint: what application code says in a query about the age of what it reads and the
-// replica that it reads from. The specification is docs/design/pinned-reads.md. A hint is taken whole or not at all: it must never
-// be half obeyed, and never decide what to do about it.
+// Package readhint reads and writes the read hint: the header in which an application says how old the data that it reads may be,
+// and which replica it wants to stay with. The grammar is in docs/design/pinned-reads.md. A hint is valid as a whole or ignored as a
+// whole; what to do about one is decided elsewhere (package readpin).
 //
-// Depends on no package of this module. Concurrency: it keeps no state and starts no goroutine, so that its
-// functions may be called from any goroutine; what they return is the caller's.
+// All functions may be called from any goroutine.
 package readhint
 
 import (
@@ -16,7 +15,7 @@
 // Header names the hint in a request over HTTP.
 const Header = "X-Read-Hint"
 
-// Bounds of a hint. What is longer is wrong, whatever it says.
+// The bounds of a hint.
 const (
 	MaxBytes         = 2048 // no hint within the other bounds is longer
 	MaxKeyBytes      = 64
@@ -25,57 +24,62 @@
 	LongestStaleness = 10 * time.Minute
 )
 
-// Scope is what a pin stands for. A session and a key of the same name are two pins.
+// maxQuotedBytes of a wrong directive are repeated in an error.
+const maxQuotedBytes = 40
+
+// Scope is what a query is pinned by. A session and a key of the same name are two pins.
 type Scope string
 
-// The scopes there are.
+// The scopes.
 const (
 	ScopeNone    Scope = ""
 	ScopeSession Scope = "session"
 	ScopeKey     Scope = "key"
 )
 
-// Position is how far a shard's log of writes was seen.
+// Position is how far a client has seen a shard's log of writes.
 type Position struct {
 	Shard  int
-	Offset uint64 // 0: nothing was seen yet, and the answer is to tell
+	Offset uint64 // 0: nothing was seen yet; the answer reports the position
 }
 
 // Hint is what a query says of its reads. The zero value asks for nothing.
 type Hint struct {
-	Scope        Scope         // what the query is pinned by; None: it is not
-	Key          string        // its name
-	MaxStaleness time.Duration // what was acknowledged so long before the search was taken must be in; 0: no bound
+	Scope        Scope         // what the query is pinned by; ScopeNone: it is not pinned
+	Key          string        // the name of the session or key
+	MaxStaleness time.Duration // writes acknowledged so long before the query arrived must be visible; 0: no bound
 	NotBefore    []Position    // by ascending shard: what the client has seen
-	AllowStale   bool          // where that can't be had, an answer that states its age will do
+	AllowStale   bool          // if no replica is fresh enough, an answer that states its staleness will do
 }
 
-// SyntaxError tells why a hint is ignored.
+// SyntaxError says why a hint is ignored.
 type SyntaxError struct {
-	Directive string // the directive that is wrong, at most 40 bytes of it
+	Directive string // the wrong directive, shortened; empty if the hint as a whole is wrong
 	Reason    string
 }
 
-func (w *SyntaxError) Error() string {
-	if w.Directive == "" {
-		return w.Reason
+func (e *SyntaxError) Error() string {
+	if e.Directive == "" {
+		return e.Reason
 	}
-	return w.Reason + ": " + strconv.QuoteToASCII(w.Directive)
+	return e.Reason + ": " + strconv.QuoteToASCII(e.Directive)
 }
 
 // Remedy says what an operator can do.
-func (w *SyntaxError) Remedy() string {
+func (e *SyntaxError) Remedy() string {
 	return "correct the application's " + Header + " by the grammar in docs/design/pinned-reads.md; until then its reads are ordinary ones"
 }
 
-func wrong(part, why string) *SyntaxError { return &SyntaxError{part[:min(len(part), 40)], why} }
+func syntaxError(directive, reason string) *SyntaxError {
+	return &SyntaxError{Directive: directive[:min(len(directive), maxQuotedBytes)], Reason: reason}
+}
 
-// IsZero tells whether a hint asks for nothing.
+// IsZero reports whether the hint asks for nothing.
 func (h *Hint) IsZero() bool {
 	return h.Scope == ScopeNone && h.MaxStaleness == 0 && len(h.NotBefore) == 0
 }
 
-// MinOffset is the position that a shard must have reached; 0: any.
+// MinOffset returns the offset that a replica of the shard must have reached; 0: any.
 func (h *Hint) MinOffset(shard int) uint64 {
 	for _, p := range h.NotBefore {
 		if p.Shard == shard {
@@ -85,20 +89,20 @@
 	return 0
 }
 
-// Validate holds a hint that a program has put together against the bounds of the grammar.
+// Validate checks a hint that a program has put together against the bounds of the grammar. The error is a *SyntaxError.
 func (h *Hint) Validate() error {
 	_, err := Parse(h.String())
 	return err
 }
 
-// String writes a hint as the header carries it.
+// String returns the hint as the header carries it.
 func (h *Hint) String() string {
 	var all []string
 	if h.Scope != ScopeNone || h.Key != "" {
 		all = append(all, "pin="+string(h.Scope)+":"+h.Key)
 	}
 	if h.MaxStaleness != 0 {
-		all = append(all, "max-stale="+span(h.MaxStaleness))
+		all = append(all, "max-stale="+formatDuration(h.MaxStaleness))
 	}
 	if len(h.NotBefore) > 0 {
 		all = append(all, "not-before="+FormatPositions(h.NotBefore))
@@ -109,7 +113,7 @@
 	return strings.Join(all, "; ")
 }
 
-// FormatPositions writes positions as hints and answers carry them.
+// FormatPositions returns positions as hints and answers carry them: SHARD:OFFSET,...
 func FormatPositions(list []Position) string {
 	b := make([]byte, 0, 16*len(list))
 	for i, p := range list {
@@ -122,9 +126,8 @@
 	return string(b)
 }
 
-// span writes a time in whole seconds where it is some, and in milliseconds else. A part of a millisecond fits no hint: it is
-// written so that it is refused.
-func span(d time.Duration) string {
+// formatDuration writes whole seconds or milliseconds. A shorter fraction fits no hint, and is written so that Parse refuses it.
+func formatDuration(d time.Duration) string {
 	switch {
 	case d%time.Second == 0:
 		return fmt.Sprintf("%ds", d/time.Second)
--- a/internal/cluster/readhint/readhint_test.go
+++ b/internal/cluster/readhint/readhint_test.go
@@ -38,9 +38,11 @@
 	}
 }
 
-func draw(t *rapid.T) Hint {
+func drawHint(t *rapid.T) Hint {
+	t.Helper()
 	h := Hint{MaxStaleness: time.Duration(rapid.Int64Range(0, 600_000).Draw(t, "stale")) * time.Millisecond}
-	if h.Scope = rapid.SampledFrom([]Scope{ScopeNone, ScopeSession, ScopeKey}).Draw(t, "scope"); h.Scope != ScopeNone {
+	h.Scope = rapid.SampledFrom([]Scope{ScopeNone, ScopeSession, ScopeKey}).Draw(t, "scope")
+	if h.Scope != ScopeNone {
 		h.Key = rapid.StringMatching(`[0-9A-Za-z._~-]{1,64}`).Draw(t, "key")
 	}
 	shard := -1
@@ -54,7 +56,7 @@
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := draw(t)
+		h := drawHint(t)
 		got, err := Parse(h.String())
 		if h.IsZero() {
 			if err == nil {
