--- a/internal/cluster/connpolicy/error.go
+++ b/internal/cluster/connpolicy/errors.go
@@ -24,12 +24,12 @@
 // FeedbackError is an amount or a condition on what the division moves.
 type FeedbackError struct{ Text, Variable string }
 
-func (u *FeedbackError) Error() string {
-	return fmt.Sprintf("%.80q: %s is moved by the division itself, which would never settle", u.Text, u.Variable)
+func (e *FeedbackError) Error() string {
+	return fmt.Sprintf("%.80q: %s is moved by the division itself, which would never settle", e.Text, e.Variable)
 }
 
 // Remedy says what an operator can do.
-func (u *FeedbackError) Remedy() string {
+func (e *FeedbackError) Remedy() string {
 	return "say it by guarantee, weight, most and burst: units follow the need by themselves"
 }
 
@@ -40,41 +40,41 @@
 	Sum, Budget int
 }
 
-func (o *OvercommittedError) Error() string {
-	return fmt.Sprintf("class %s: %s are %d units of a budget of %d", o.Class, o.Demand, o.Sum, o.Budget)
+func (e *OvercommittedError) Error() string {
+	return fmt.Sprintf("class %s: %s are %d units of a budget of %d", e.Class, e.Demand, e.Sum, e.Budget)
 }
 
 // Remedy says what an operator can do.
-func (o *OvercommittedError) Remedy() string {
+func (e *OvercommittedError) Remedy() string {
 	return "raise the budget, or lower the floors or the guarantees"
 }
 
 // StarvedTenantError is a tenant whose amounts contradict each other, or that would get nothing.
 type StarvedTenantError struct{ Class, Tenant, Reason string }
 
-func (s *StarvedTenantError) Error() string {
-	return fmt.Sprintf("tenant %s in class %s: %s", s.Tenant, s.Class, s.Reason)
+func (e *StarvedTenantError) Error() string {
+	return fmt.Sprintf("tenant %s in class %s: %s", e.Tenant, e.Class, e.Reason)
 }
 
 // Remedy says what an operator can do.
-func (s *StarvedTenantError) Remedy() string {
+func (e *StarvedTenantError) Remedy() string {
 	return "give it a guarantee or a weight, and a most that is no less than its guarantee"
 }
 
 // IncompleteError is a policy that says nothing of some node or tenant, or says it twice.
 type IncompleteError struct{ Reason string }
 
-func (i *IncompleteError) Error() string { return i.Reason }
+func (e *IncompleteError) Error() string { return e.Reason }
 
 // Remedy says what an operator can do.
-func (i *IncompleteError) Remedy() string {
+func (e *IncompleteError) Remedy() string {
 	return "let the last class, and the last entry of each tenant, have no condition, and name each thing"
 }
 
 // ClosingTimeError is a lease under which connections would be closed and opened without end.
 type ClosingTimeError struct{ Reason string }
 
-func (r *ClosingTimeError) Error() string { return r.Reason }
+func (e *ClosingTimeError) Error() string { return e.Reason }
 
 // Remedy says what an operator can do.
-func (r *ClosingTimeError) Remedy() string { return "lengthen the lease, or shorten closing" }
+func (e *ClosingTimeError) Remedy() string { return "lengthen the lease, or shorten closing" }
--- a/internal/cluster/connpolicy/expression.go
+++ b/internal/cluster/connpolicy/expression.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"slices"
 	"sync"
 
@@ -12,67 +11,84 @@
 	"cel.dev/cel-go/common/operators"
 )
 
-// Bounds of one expression. Danger: a policy is compiled by every broker of the tier in one moment.
+// The bounds of one expression. Every broker of the tier compiles a policy at the same moment.
 const (
-	maxNodes = 100 // of its tree
-	maxDepth = 12
-	maxCost  = 1000 // as CEL estimates and counts it: about one for each operator
-	maxUnits = 1 << 24
+	maxExpressionBytes = 4096
+	maxTreeNodes       = 100
+	maxTreeDepth       = 12
+	maxCost            = 1000 // steps, as CEL estimates and counts them: about one for each operator
+	maxAmount          = 1 << 24
+	maxNameBytes       = 255 // of a node's attribute, for the estimate of cost
 )
 
-// moved are names of what the division itself moves. Danger: an amount that follows from what was shared out changes what is
-// shared out next, and so on without end.
-var moved = []string{"need", "held", "granted", "used", "free", "open", "waiting", "load", "demand"}
+// feedbackVariables are what the division itself changes. An amount that followed from them would change what is divided next, and so
+// on without end. They are declared, so that such an expression is told apart from a misspelt name.
+var feedbackVariables = []string{"need", "held", "granted", "used", "free", "open", "waiting", "load", "demand"}
 
-// expression is one that was checked.
+// allowedFunctions are the operators of an expression: no macro that could loop, no function that asks for the time, a time zone or a
+// regular expression.
+var allowedFunctions = []string{
+	operators.Conditional, operators.LogicalAnd, operators.LogicalOr, operators.LogicalNot,
+	operators.Equals, operators.NotEquals, operators.Less, operators.LessEquals, operators.Greater, operators.GreaterEquals,
+	operators.Add, operators.Subtract, operators.Multiply, operators.Divide, operators.Modulo, operators.Negate,
+	operators.In, "startsWith", "endsWith",
+}
+
+// expression is a checked expression.
 type expression struct {
 	text    string
 	program cel.Program
 }
 
-// environment is a set of names with types; there is one for nodes and one for amounts.
+// environment is a set of typed names that expressions may use.
 type environment struct {
 	env   *cel.Env
 	names []string
 }
 
-var environments = sync.OnceValues(func() ([2]*environment, error) {
+type environments struct {
+	node   *environment // of conditions on nodes
+	amount *environment // of amounts, and of conditions on classes
+}
+
+var declareEnvironments = sync.OnceValues(func() (environments, error) {
 	node, err := declare(cel.StringType, "node.name", "node.zone", "node.cell", "node.machine")
 	if err != nil {
-		return [2]*environment{}, err
+		return environments{}, err
 	}
 	amount, err := declare(cel.IntType, "brokers", "nodes", "budget", "floor", "shared")
 	if err != nil {
-		return [2]*environment{}, err
+		return environments{}, err
 	}
 	amount.env, err = amount.env.Extend(cel.Variable("class", cel.StringType))
 	amount.names = append(amount.names, "class")
-	return [2]*environment{node, amount}, err
+	return environments{node: node, amount: amount}, err
 })
 
-// declare makes an environment of the operators alone: no macro that could loop, no function, and so none that asks for the
-// time, a time zone or a regular expression.
-func declare(of *cel.Type, names ...string) (*environment, error) {
+// declare makes an environment of names of one type.
+func declare(nameType *cel.Type, names ...string) (*environment, error) {
 	subset := &env.LibrarySubset{DisableMacros: true}
-	for _, f := range []string{operators.Conditional, operators.LogicalAnd, operators.LogicalOr, operators.LogicalNot, operators.Equals,
-		operators.NotEquals, operators.Less, operators.LessEquals, operators.Greater, operators.GreaterEquals, operators.Add,
-		operators.Subtract, operators.Multiply, operators.Divide, operators.Modulo, operators.Negate, operators.In, "startsWith", "endsWith"} {
-		subset.IncludeFunctions = append(subset.IncludeFunctions, env.NewFunction(f))
-	}
-	opts := []cel.EnvOption{cel.StdLib(cel.StdLibSubset(subset)), cel.ClearMacros(), cel.ParserExpressionSizeLimit(4096),
-		cel.ExpressionNodeLimit(maxNodes), cel.ExpressionNestingDepthLimit(maxDepth)}
-	for _, name := range append(slices.Clone(moved), names...) {
-		kind := of
-		if slices.Contains(moved, name) {
-			kind = cel.IntType // so that it is told apart from a slip of the pen
-		}
-		opts = append(opts, cel.Variable(name, kind))
+	for _, function := range allowedFunctions {
+		subset.IncludeFunctions = append(subset.IncludeFunctions, env.NewFunction(function))
+	}
+	options := []cel.EnvOption{
+		cel.StdLib(cel.StdLibSubset(subset)),
+		cel.ClearMacros(),
+		cel.ParserExpressionSizeLimit(maxExpressionBytes),
+		cel.ExpressionNodeLimit(maxTreeNodes),
+		cel.ExpressionNestingDepthLimit(maxTreeDepth),
 	}
-	e, err := cel.NewCustomEnv(opts...)
-	return &environment{e, names}, err
+	for _, name := range feedbackVariables {
+		options = append(options, cel.Variable(name, cel.IntType))
+	}
+	for _, name := range names {
+		options = append(options, cel.Variable(name, nameType))
+	}
+	celEnv, err := cel.NewCustomEnv(options...)
+	return &environment{env: celEnv, names: names}, err
 }
 
-// compile checks an expression of the wanted type; only names of allowed may be in it.
+// compile checks an expression of the wanted type that uses allowed names only.
 func (e *environment) compile(text string, want *cel.Type, allowed ...string) (*expression, error) {
 	ast, issues := e.env.Compile(text)
 	if issues.Err() != nil {
@@ -82,21 +98,10 @@
 	if !ast.OutputType().IsExactType(want) {
 		return nil, &ExpressionError{text, 0, fmt.Sprintf("is of type %s, %s is wanted", ast.OutputType(), want)}
 	}
-	var names []string
-	for _, ref := range ast.NativeRep().ReferenceMap() {
-		if ref.Name != "" && !slices.Contains(allowed, ref.Name) {
-			names = append(names, ref.Name)
-		}
-	}
-	slices.Sort(names) // the same error everywhere
-	switch {
-	case len(names) == 0:
-	case slices.Contains(moved, names[0]):
-		return nil, &FeedbackError{text, names[0]}
-	default:
-		return nil, &ExpressionError{text, 0, fmt.Sprintf("%s is not known here, only %v", names[0], allowed)}
+	if err := checkNames(text, ast, allowed); err != nil {
+		return nil, err
 	}
-	estimate, err := e.env.EstimateCost(ast, sizes{})
+	estimate, err := e.env.EstimateCost(ast, sizeEstimator{})
 	if err != nil {
 		return nil, &ExpressionError{text, 0, err.Error()}
 	}
@@ -107,45 +112,65 @@
 	if err != nil {
 		return nil, &ExpressionError{text, 0, err.Error()}
 	}
-	return &expression{text, program}, nil
+	return &expression{text: text, program: program}, nil
+}
+
+// checkNames reports the first name, in alphabetical order, that is not allowed: the same error on every broker.
+func checkNames(text string, ast *cel.Ast, allowed []string) error {
+	var names []string
+	for _, ref := range ast.NativeRep().ReferenceMap() {
+		if ref.Name != "" && !slices.Contains(allowed, ref.Name) {
+			names = append(names, ref.Name)
+		}
+	}
+	if len(names) == 0 {
+		return nil
+	}
+	first := slices.Min(names)
+	if slices.Contains(feedbackVariables, first) {
+		return &FeedbackError{text, first}
+	}
+	return &ExpressionError{text, 0, fmt.Sprintf("%s is not known here, only %v", first, allowed)}
 }
 
-// sizes bounds the length of names, which CEL's estimate takes for endless otherwise.
-type sizes struct{}
+// sizeEstimator bounds the length of names, which CEL's estimate would take for unlimited.
+type sizeEstimator struct{}
 
-func (sizes) EstimateSize(element cost.AstNode) *cost.SizeEstimate {
+// EstimateSize implements the estimator of CEL.
+func (sizeEstimator) EstimateSize(element cost.AstNode) *cost.SizeEstimate {
 	if len(element.Path()) > 0 {
-		return &cost.SizeEstimate{Min: 0, Max: 255}
+		return &cost.SizeEstimate{Min: 0, Max: maxNameBytes}
 	}
 	return nil
 }
 
-func (sizes) EstimateCallCost(string, string, *cost.AstNode, []cost.AstNode) *cost.CallEstimate {
+// EstimateCallCost implements the estimator of CEL: calls cost what CEL says.
+func (sizeEstimator) EstimateCallCost(string, string, *cost.AstNode, []cost.AstNode) *cost.CallEstimate {
 	return nil
 }
 
-// truth evaluates a condition; nil holds.
-func (x *expression) truth(vars map[string]any) (bool, error) {
+// evaluateCondition evaluates a condition; a nil expression holds.
+func (x *expression) evaluateCondition(variables map[string]any) (bool, error) {
 	if x == nil {
 		return true, nil
 	}
-	v, _, err := x.program.Eval(vars)
+	value, _, err := x.program.Eval(variables)
 	if err != nil {
 		return false, &ExpressionError{x.text, 0, err.Error()}
 	}
-	yes, ok := v.Value().(bool)
-	return yes && ok, nil
+	holds, ok := value.Value().(bool)
+	return holds && ok, nil
 }
 
-// units evaluates an amount.
-func (x *expression) units(vars map[string]any) (int, error) {
-	v, _, err := x.program.Eval(vars)
+// evaluateNumber evaluates an amount, from 0 to maxAmount.
+func (x *expression) evaluateNumber(variables map[string]any) (int, error) {
+	value, _, err := x.program.Eval(variables)
 	if err != nil {
 		return 0, &ExpressionError{x.text, 0, err.Error()}
 	}
-	n, ok := v.Value().(int64)
-	if !ok || n < 0 || n > min(maxUnits, math.MaxInt) {
-		return 0, &ExpressionError{x.text, 0, fmt.Sprintf("is %v, which is not from 0 to %d", v.Value(), maxUnits)}
+	n, ok := value.Value().(int64)
+	if !ok || n < 0 || n > maxAmount {
+		return 0, &ExpressionError{x.text, 0, fmt.Sprintf("is %v, which is not from 0 to %d", value.Value(), maxAmount)}
 	}
 	return int(n), nil
 }
