--- /dev/null
+++ b/internal/decision/readpin/eligible.go
@@ -0,0 +1,155 @@
+package readpin
+
+import (
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// maxLagWait bounds how much longer than RecheckInterval a replica is left out for its lag.
+const maxLagWait = 2 * time.Second
+
+// Requirement is what a query wants of its reads.
+type Requirement struct {
+	Pin          uint64        // see HashPin; 0: it is not pinned
+	ReceivedAt   time.Duration // when the broker received the query
+	MaxStaleness time.Duration // writes acknowledged so long before that must be visible; 0: any age will do
+	AllowStale   bool          // if no replica is fresh enough, any will do
+}
+
+// EligibleReplicas appends to dst the replicas that may answer a shard request, in the pin's order, and returns what the answer has to
+// show. minOffset is the position that its client has seen; 0: none. If there is no replica, retryAfter is when to try again at the
+// soonest.
+//
+// A replica is left out while it is known to be behind: it was observed a short while ago, and lacked a position or the bound. One of
+// which less is known may have caught up since, and its answer will tell. To go by what this broker knows alone would leave out most
+// of the replicas that are well, and crowd the one that it heard of last. So an eligible replica is likely to keep the promise, and
+// Assess checks it.
+//
+// A session that moves to another replica must not go backwards. The first in a pin's order is taken to have served what it is known
+// to have, also for a while after it was removed: whoever answers in its place has to be as far.
+func (t *Tracker) EligibleReplicas(now time.Duration, shard int, minOffset uint64, r *Requirement, dst []decision.NodeID) (
+	replicas []decision.NodeID, promise Promise, retryAfter time.Duration) {
+	promise = Promise{Offset: minOffset, AsOf: DistantPast, ReceivedAt: r.ReceivedAt}
+	if shard < 0 || shard >= t.config.Shards {
+		return dst, promise, 0
+	}
+	if r.MaxStaleness > 0 {
+		promise.AsOf = r.ReceivedAt - time.Duration(float64(r.MaxStaleness)*(1-t.config.MaxDrift))
+	}
+	order := t.rank(r.Pin, shard)
+	promise.Offset = max(promise.Offset, t.firstOffset(r.Pin, shard, order))
+
+	before := len(dst)
+	dst, retryAfter = t.appendFresh(now, shard, r, &promise, dst)
+	if len(dst) > before {
+		t.Counts.Chosen++
+		t.noteTried(now, shard, r, &promise, dst[before:])
+		return dst, promise, 0
+	}
+	if !r.AllowStale {
+		t.Counts.Refused++
+		return dst, promise, retryAfter
+	}
+	t.Counts.AcceptedStale++
+	for i := range order {
+		n := &t.nodes[order[i].index]
+		if n.ready {
+			dst = append(dst, n.id)
+		}
+	}
+	return dst, promise, retryAfter
+}
+
+// firstOffset is the position that the first replica in a pin's order is known to have; 0: none is known, or there is no pin.
+func (t *Tracker) firstOffset(pin uint64, shard int, order []candidate) uint64 {
+	if pin == 0 || len(order) == 0 {
+		return 0
+	}
+	first := t.position(&t.nodes[order[0].index], shard)
+	if !first.known {
+		return 0
+	}
+	return first.offset
+}
+
+// appendFresh appends the ready replicas of t.order that are not known to be behind. Those at which the pin is at its limit are left
+// out, unless there is no other. retryAfter is when the first that is behind may be tried again; 0: no replica is ready.
+func (t *Tracker) appendFresh(now time.Duration, shard int, r *Requirement, promise *Promise, dst []decision.NodeID) (
+	_ []decision.NodeID, retryAfter time.Duration) {
+	before := len(dst)
+	atLimit := 0
+	retryAfter = distantFuture
+	for i := range t.order {
+		n := &t.nodes[t.order[i].index]
+		if !n.ready {
+			continue
+		}
+		if wait := t.waitFor(now, t.position(n, shard), promise, r); wait > 0 {
+			retryAfter = min(retryAfter, wait)
+			continue
+		}
+		if r.Pin != 0 && t.isAtLimit(now, r.Pin, n) {
+			atLimit++
+			continue
+		}
+		if atLimit > 0 && len(dst) == before {
+			t.Counts.Spilled++
+		}
+		dst = append(dst, n.id)
+	}
+	if len(dst) == before && atLimit > 0 {
+		dst = t.appendAtLimit(now, shard, r, promise, dst)
+	}
+	if retryAfter == distantFuture {
+		retryAfter = 0
+	}
+	return dst, retryAfter
+}
+
+// appendAtLimit appends the replicas that are not known to be behind, whatever their pins' limits.
+func (t *Tracker) appendAtLimit(now time.Duration, shard int, r *Requirement, promise *Promise, dst []decision.NodeID) []decision.NodeID {
+	for i := range t.order {
+		n := &t.nodes[t.order[i].index]
+		if n.ready && t.waitFor(now, t.position(n, shard), promise, r) == 0 {
+			dst = append(dst, n.id)
+		}
+	}
+	return dst
+}
+
+// noteTried notes which replicas are tried although they were behind when last observed: of a pin the first, as the others are for
+// hedges and retries.
+func (t *Tracker) noteTried(now time.Duration, shard int, r *Requirement, promise *Promise, replicas []decision.NodeID) {
+	if r.Pin != 0 {
+		replicas = replicas[:1]
+	}
+	for _, id := range replicas {
+		p := t.position(&t.nodes[t.byID[id]], shard)
+		if p.known && p.isBehind(promise, r) {
+			p.triedAt = now
+		}
+	}
+}
+
+// waitFor is how much longer a replica is left out; 0: it is eligible.
+func (t *Tracker) waitFor(now time.Duration, p *position, promise *Promise, r *Requirement) time.Duration {
+	if !p.known || !p.isBehind(promise, r) {
+		return 0
+	}
+	wait := t.config.RecheckInterval
+	if p.isTooOld(promise, r) && p.lag != UnknownAge {
+		wait += min(max(0, p.lag-r.MaxStaleness)/4, maxLagWait)
+	}
+	return max(0, max(p.observedAfter, p.triedAt)+wait-now)
+}
+
+// isBehind tells whether a replica lacked the promised position or the bound when it was last observed.
+func (p *position) isBehind(promise *Promise, r *Requirement) bool {
+	return p.offset < promise.Offset || p.isTooOld(promise, r)
+}
+
+// isTooOld tells whether a replica was further behind than the bound when it was last observed, or did not report its age.
+func (p *position) isTooOld(promise *Promise, r *Requirement) bool {
+	return p.asOf < promise.AsOf && (p.lag == UnknownAge || p.lag > r.MaxStaleness)
+}
--- /dev/null
+++ b/internal/decision/readpin/encode.go
@@ -0,0 +1,98 @@
+package readpin
+
+import (
+	"encoding/binary"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// A message of positions is a version byte and, for each position: the node's address and port, then as varints shard, offset, age of
+// observedAfter, age of observedBefore, 1 + age of asOf or 0, 1 + lag or 0. Ages are in milliseconds. Those that must not be too low
+// are rounded up, that of observedBefore down.
+const (
+	wireVersion   = 1
+	nodeIDBytes   = 6
+	varintsPerRow = 6
+	longestAge    = time.Hour
+)
+
+// EncodePositions writes what is known of replicas' positions for other brokers, MaxMessageBytes at most: as many as fit, from the
+// node at which the last message ended.
+func (t *Tracker) EncodePositions(now time.Duration) []byte {
+	message := make([]byte, 1, t.config.MaxMessageBytes)
+	message[0] = wireVersion
+	if len(t.nodes) == 0 {
+		return message
+	}
+	index := t.cursor % len(t.nodes)
+	for range len(t.nodes) {
+		n := &t.nodes[index]
+		whole := t.appendNode(message, now, n)
+		if len(whole) > t.config.MaxMessageBytes {
+			isFirst := len(message) == 1
+			if isFirst { // it would never fit
+				message = t.appendFittingPositions(message, now, n)
+				index = (index + 1) % len(t.nodes)
+			}
+			break
+		}
+		message = whole
+		index = (index + 1) % len(t.nodes)
+	}
+	t.cursor = index
+	return message
+}
+
+// appendNode appends all recent positions of a node.
+func (t *Tracker) appendNode(message []byte, now time.Duration, n *node) []byte {
+	for i := range n.positions {
+		p := &n.positions[i]
+		if p.isRecent(now) {
+			message = appendPosition(message, now, n.id, t.shardOf(n, i), p)
+		}
+	}
+	return message
+}
+
+// appendFittingPositions appends as many recent positions of a node as fit.
+func (t *Tracker) appendFittingPositions(message []byte, now time.Duration, n *node) []byte {
+	for i := range n.positions {
+		p := &n.positions[i]
+		if !p.isRecent(now) {
+			continue
+		}
+		longer := appendPosition(message, now, n.id, t.shardOf(n, i), p)
+		if len(longer) <= t.config.MaxMessageBytes {
+			message = longer
+		}
+	}
+	return message
+}
+
+func (p *position) isRecent(now time.Duration) bool {
+	return p.known && now-p.observedAfter < passOnFor
+}
+
+func appendPosition(message []byte, now time.Duration, id decision.NodeID, shard int, p *position) []byte {
+	message = append(message, id.Addr[:]...)
+	message = binary.BigEndian.AppendUint16(message, id.Port)
+	message = binary.AppendUvarint(message, uint64(shard))
+	message = binary.AppendUvarint(message, p.offset)
+	message = binary.AppendUvarint(message, roundUpToMilliseconds(now-p.observedAfter))
+	message = binary.AppendUvarint(message, uint64(min(max(0, now-p.observedBefore), longestAge)/time.Millisecond))
+	asOf := uint64(0)
+	if p.asOf != DistantPast && now-p.asOf < longestAge {
+		asOf = 1 + roundUpToMilliseconds(now-p.asOf)
+	}
+	message = binary.AppendUvarint(message, asOf)
+	lag := uint64(0)
+	if p.lag != UnknownAge {
+		lag = 1 + roundUpToMilliseconds(min(p.lag, longestAge))
+	}
+	return binary.AppendUvarint(message, lag)
+}
+
+func roundUpToMilliseconds(d time.Duration) uint64 {
+	return uint64((max(0, d) + time.Millisecond - 1) / time.Millisecond)
+}
--- a/internal/decision/readpin/golden_test.go
+++ b/internal/decision/readpin/golden_test.go
@@ -50,7 +50,9 @@
 	p.number(int64(id.Port))
 }
 
-func (p *player) span(most time.Duration) time.Duration { return time.Duration(p.rnd.Int64N(int64(most))) }
+func (p *player) span(most time.Duration) time.Duration {
+	return time.Duration(p.rnd.Int64N(int64(most)))
+}
 
 func (p *player) someNode() decision.NodeID {
 	return decision.NodeID{Addr: [4]byte{10, 0, 0, byte(p.rnd.IntN(9))}, Port: 7}
@@ -185,8 +187,8 @@
 	}
 	for _, b := range p.books {
 		c := b.Counts
-		p.number(int64(c.Chosen), int64(c.Refused), int64(c.OrStale), int64(c.Spilled), int64(c.Fresh), int64(c.Old),
-			int64(c.Regressed), int64(c.Facts), int64(c.Bad))
+		p.number(int64(c.Chosen), int64(c.Refused), int64(c.AcceptedStale), int64(c.Spilled), int64(c.Fresh), int64(c.Stale),
+			int64(c.Regressed), int64(c.Merged), int64(c.Malformed))
 	}
 	return p.digest.Sum64()
 }
--- a/internal/decision/readpin/readpin_test.go
+++ b/internal/decision/readpin/readpin_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func (b *Tracker) first(now time.Duration, pin uint64, shard int) decision.NodeID {
+func firstReplica(b *Tracker, now time.Duration, pin uint64, shard int) decision.NodeID {
 	got, _, _ := b.EligibleReplicas(now, shard, 0, &Requirement{Pin: pin, ReceivedAt: now}, nil)
 	return got[0]
 }
@@ -53,8 +53,8 @@
 	had := map[decision.NodeID]int{}
 	var before []decision.NodeID
 	for pin := range uint64(9000) {
-		n := a.first(0, pin+1, 2)
-		must(t, n == b.first(0, pin+1, 2), "brokers differ on pin %d", pin)
+		n := firstReplica(a, 0, pin+1, 2)
+		must(t, n == firstReplica(b, 0, pin+1, 2), "brokers differ on pin %d", pin)
 		before, had[n] = append(before, n), had[n]+1
 	}
 	for n, pins := range had {
@@ -62,7 +62,7 @@
 	}
 	a.UpdateEndpoints(0, false, []decision.Endpoint{{Node: id(4), State: decision.Removed}})
 	for pin := range uint64(9000) {
-		n := a.first(0, pin+1, 2)
+		n := firstReplica(a, 0, pin+1, 2)
 		must(t, n != id(4) && (n == before[pin] || before[pin] == id(4)), "pin %d moved from %v to %v", pin, before[pin], n)
 	}
 }
@@ -73,17 +73,17 @@
 	b.SetEpoch(7, []decision.NodeID{id(0), id(1), id(2), id(3)})
 	var before []decision.NodeID
 	for pin := range uint64(100) {
-		before = append(before, b.first(0, pin+1, 0))
+		before = append(before, firstReplica(b, 0, pin+1, 0))
 	}
 	b.UpdateEndpoints(0, false, []decision.Endpoint{{Node: id(9), State: decision.Ready}})
 	b.SetEpoch(6, []decision.NodeID{id(9)})
 	for pin := range uint64(100) {
-		must(t, b.first(0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
+		must(t, firstReplica(b, 0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
 	}
 	b.SetEpoch(8, []decision.NodeID{id(0), id(1), id(2), id(3), id(9)})
 	moved := 0
 	for pin := range uint64(100) {
-		if n := b.first(0, pin+1, 0); n != before[pin] {
+		if n := firstReplica(b, 0, pin+1, 0); n != before[pin] {
 			moved++
 			must(t, n == id(9), "pin %d moved to an old node", pin)
 		}
@@ -132,7 +132,7 @@
 	must(t, !b.Assess(m, 121*ms, Report{89, 0}, true).Fresh, "a restarted replica counts")
 	b.Observe(130*ms, two, 0, 129*ms, Report{40, 0})
 	must(t, b.Counts.Regressed == 1 && b.StalenessBound(130*ms, two, 0) < 20*ms, "regress not seen")
-	b.merge(b.fact(&b.seats[b.byID[two]], 0), &fact{known: true, pos: 91, lo: 119 * ms, hi: 120 * ms, asof: 119 * ms})
+	b.merge(b.position(&b.nodes[b.byID[two]], 0), &position{known: true, offset: 91, observedAfter: 119 * ms, observedBefore: 120 * ms, asOf: 119 * ms})
 	got, _, _ = b.EligibleReplicas(130*ms, 0, 91, &Requirement{}, nil)
 	must(t, len(got) == 0, "old facts of before the restart count")
 }
@@ -142,17 +142,17 @@
 	b := tier(3, 1)
 	a := Requirement{Pin: 5}
 	all, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
-	for range b.c.MaxInFlight {
+	for range b.config.MaxInFlight {
 		b.AttemptSent(0, 5, all[0])
 	}
 	got, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
 	must(t, len(got) == 2 && got[0] == all[1] && b.Counts.Spilled == 1, "%v", got)
 	b.AttemptEnded(5, all[0])
-	must(t, b.first(0, 5, 0) == all[0], "does not come back")
+	must(t, firstReplica(b, 0, 5, 0) == all[0], "does not come back")
 	now := time.Duration(0)
 	for range 400 { // 200 a second of one pin beside 50 of others
 		now += 5 * ms
-		n := b.first(now, 5, 0)
+		n := firstReplica(b, now, 5, 0)
 		b.AttemptSent(now, 5, n)
 		b.AttemptEnded(5, n)
 		for i := range 3 {
@@ -161,10 +161,10 @@
 			}
 		}
 	}
-	one := b.hot[bucket(5, all[0])].flow.read(now)
+	one := b.hotKeys[bucketOf(5, all[0])].rate.read(now)
 	must(t, one < 80, "%.0f parts a second of one pin at its first", one)
 	for i := range all {
-		for range b.c.MaxInFlight {
+		for range b.config.MaxInFlight {
 			b.AttemptSent(now, 5, all[i])
 		}
 	}
--- a/internal/decision/readpin/truth_test.go
+++ b/internal/decision/readpin/truth_test.go
@@ -72,7 +72,7 @@
 		for i := range reps { // what a broker would rely on without asking holds
 			if bound := b.StalenessBound(now, id(i), 0); bound != UnknownAge && reps[i].stall != 0 {
 				checked++
-				if f := b.fact(&b.seats[i], 0); reps[i].asof < now-bound && writes(reps[i].asof) >= f.pos {
+				if f := b.position(&b.nodes[i], 0); reps[i].asof < now-bound && writes(reps[i].asof) >= f.offset {
 					wrong++
 				}
 			}
@@ -107,7 +107,7 @@
 	must(t, total > 100_000, "%d checked", total)
 	found := 0
 	for seed := range uint64(12) {
-		_, wrong := course(seed, func(b *Tracker) { b.c.ClockError, b.c.MaxDrift = 0, 0 })
+		_, wrong := course(seed, func(b *Tracker) { b.config.ClockError, b.config.MaxDrift = 0, 0 })
 		found += wrong
 	}
 	must(t, found > 0, "an optimistic age is not found")
@@ -123,7 +123,7 @@
 	}
 	for range 60 { // all get there, turn by turn
 		data := b.EncodePositions(now)
-		must(t, len(data) <= b.c.MaxMessageBytes, "%d bytes", len(data))
+		must(t, len(data) <= b.config.MaxMessageBytes, "%d bytes", len(data))
 		must(t, o.MergePositions(now, data, 5*ms) == nil, "not taken")
 	}
 	for i := range 300 {
@@ -138,7 +138,7 @@
 	o.cursor = 0
 	must(t, len(was) > 0 && o.StalenessBound(now, id(299), 3) <= 25*ms, "older news counted")
 	must(t, len(b.EncodePositions(now+11*time.Second)) == 1, "old news passed on")
-	b.c.MaxMessageBytes = 64
+	b.config.MaxMessageBytes = 64
 	must(t, len(b.EncodePositions(now)) > 20, "one node's facts that never fit are never told")
 }
 
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -39,10 +39,7 @@
 	c.Checked, c.Stale, c.Backward = c.Checked+o.Checked, c.Stale+o.Stale, c.Backward+o.Backward
 	c.Understated, c.Behind, c.Stated = c.Understated+o.Understated, c.Behind+o.Behind, c.Stated+o.Stated
 	c.Same, c.Elsewhere, c.Facts = c.Same+o.Same, c.Elsewhere+o.Elsewhere, c.Facts+o.Facts
-	p, q := &c.Pins, &o.Pins
-	p.Chosen, p.Refused, p.OrStale, p.Spilled = p.Chosen+q.Chosen, p.Refused+q.Refused, p.OrStale+q.OrStale, p.Spilled+q.Spilled
-	p.Fresh, p.Old, p.Regressed = p.Fresh+q.Fresh, p.Old+q.Old, p.Regressed+q.Regressed
-	p.Facts, p.Bad = p.Facts+q.Facts, p.Bad+q.Bad
+	c.Pins.Add(&o.Pins)
 }
 
 // session is a client that remembers. It asks one search at a time, at one broker, and moves.
--- a/internal/lab/play/reads_test.go
+++ b/internal/lab/play/reads_test.go
@@ -36,7 +36,7 @@
 	}
 	text, _ := json.Marshal(all)
 	t.Logf("%s", text)
-	if n := int64(*readSeeds); all.Checked < 12_000*n || min(all.Refused, all.Behind, int64(all.Pins.Old)) < 20*n ||
+	if n := int64(*readSeeds); all.Checked < 12_000*n || min(all.Refused, all.Behind, int64(all.Pins.Stale)) < 20*n ||
 		int64(all.Pins.Regressed) < n {
 		t.Errorf("too little was provoked: %s", text)
 	}
@@ -98,7 +98,7 @@
 		parts := func(r *Result) float64 { return float64(r.Work.Parts) / float64(r.Counts.Tries) }
 		t.Logf("%-28s mean %.2f ms (plain %.2f, %.3f times), p99 %v (%v), parts a search %.3f (%.3f), served %.4f (%.4f), same node %.3f, old %d of %d",
 			name, mean(r), mean(plain), mean(r)/mean(plain), r.Latency.Quantile(0.99), plain.Latency.Quantile(0.99), parts(r), parts(plain), r.Counts.Service(), plain.Counts.Service(),
-			float64(r.Reads.Same)/float64(max(1, r.Reads.Same+r.Reads.Elsewhere)), r.Reads.Pins.Old, r.Reads.Pins.Old+r.Reads.Pins.Fresh)
+			float64(r.Reads.Same)/float64(max(1, r.Reads.Same+r.Reads.Elsewhere)), r.Reads.Pins.Stale, r.Reads.Pins.Stale+r.Reads.Pins.Fresh)
 		if mean(r) > 1.1*mean(plain) || parts(r) > 1.1*parts(plain) {
 			t.Errorf("%s: over 1.1 times", name)
 		}
--- a/internal/server/pins_test.go
+++ b/internal/server/pins_test.go
@@ -131,7 +131,7 @@
 	other.AgreePins(3, nil)
 	m := dial(t, other).say(hinted("b", "X-Read-Hint: max-stale=100ms"))
 	p := other.Counters().Searches.Pins
-	if m.Status != 503 || p.Facts == 0 || p.Bad != 1 || p.Epoch != 3 {
+	if m.Status != 503 || p.Merged == 0 || p.Malformed != 1 || p.Epoch != 3 {
 		t.Errorf("%d, %+v", m.Status, p)
 	}
 }
