--- a/cmd/flaxlab/play.go
+++ b/cmd/flaxlab/play.go
@@ -155,7 +155,7 @@
 	if c := r.Reads; c != nil {
 		fmt.Fprintf(out, "hints: %d tries, %d answered, %d refused; %d parts held against the writers: %d stale, %d backward, %d older than stated, %d behind and said so; ",
 			c.Hinted, c.Answered, c.Refused, c.Checked, c.Stale, c.Backward, c.Understated, c.Behind)
-		fmt.Fprintf(out, "%d old answers kept out, %d parts beyond a hot pin's first, %d KB of facts\n", c.Pins.Old, c.Pins.Spilled, c.Facts>>10)
+		fmt.Fprintf(out, "%d old answers kept out, %d parts beyond a hot pin's first, %d KB of facts\n", c.Pins.Stale, c.Pins.Spilled, c.Facts>>10)
 	}
 	fmt.Fprintf(out, "rules broken %d times\n", r.Broken)
 	for i, b := range r.Breaches {
--- a/internal/decision/readpin/readpin_test.go
+++ b/internal/decision/readpin/readpin_test.go
@@ -16,21 +16,21 @@
 	return decision.NodeID{Addr: [4]byte{10, 0, byte(i >> 8), byte(i)}, Port: 9}
 }
 
-// tier is a book over nodes that hold all of some shards, one cell.
-func tier(nodes, shards int) *Tracker {
+// testTracker is a tracker over nodes that hold all of some shards, one cell.
+func testTracker(nodes, shards int) *Tracker {
 	b := NewTracker(DefaultConfig(shards, 1, 1))
-	b.UpdateEndpoints(0, true, lines(nodes))
+	b.UpdateEndpoints(0, true, readyEndpoints(nodes))
 	return b
 }
 
-func lines(nodes int) (all []decision.Endpoint) {
+func readyEndpoints(nodes int) (all []decision.Endpoint) {
 	for i := range nodes {
 		all = append(all, decision.Endpoint{Node: id(i), State: decision.Ready})
 	}
 	return all
 }
 
-func must(t *testing.T, ok bool, format string, args ...any) {
+func require(t *testing.T, ok bool, format string, args ...any) {
 	t.Helper()
 	if !ok {
 		t.Fatalf(format, args...)
@@ -44,8 +44,8 @@
 
 // Where a node goes only what was pinned to it moves; brokers that heard of nodes in another order agree; pins spread evenly.
 func TestPinsMoveByTheLeast(t *testing.T) {
-	a, b := tier(9, 4), NewTracker(DefaultConfig(4, 1, 1))
-	all := lines(9)
+	a, b := testTracker(9, 4), NewTracker(DefaultConfig(4, 1, 1))
+	all := readyEndpoints(9)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(9, func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for i := range all {
 		b.UpdateEndpoints(0, false, all[i:i+1])
@@ -54,22 +54,22 @@
 	var before []decision.NodeID
 	for pin := range uint64(9000) {
 		n := firstReplica(a, 0, pin+1, 2)
-		must(t, n == firstReplica(b, 0, pin+1, 2), "brokers differ on pin %d", pin)
+		require(t, n == firstReplica(b, 0, pin+1, 2), "brokers differ on pin %d", pin)
 		before, had[n] = append(before, n), had[n]+1
 	}
 	for n, pins := range had {
-		must(t, pins > 850 && pins < 1150, "%v has %d of 9000", n, pins)
+		require(t, pins > 850 && pins < 1150, "%v has %d of 9000", n, pins)
 	}
 	a.UpdateEndpoints(0, false, []decision.Endpoint{{Node: id(4), State: decision.Removed}})
 	for pin := range uint64(9000) {
 		n := firstReplica(a, 0, pin+1, 2)
-		must(t, n != id(4) && (n == before[pin] || before[pin] == id(4)), "pin %d moved from %v to %v", pin, before[pin], n)
+		require(t, n != id(4) && (n == before[pin] || before[pin] == id(4)), "pin %d moved from %v to %v", pin, before[pin], n)
 	}
 }
 
 // A node that is listed before the next epoch names it takes no pin over.
 func TestPinsFollowTheEpoch(t *testing.T) {
-	b := tier(4, 1)
+	b := testTracker(4, 1)
 	b.SetEpoch(7, []decision.NodeID{id(0), id(1), id(2), id(3)})
 	var before []decision.NodeID
 	for pin := range uint64(100) {
@@ -78,46 +78,46 @@
 	b.UpdateEndpoints(0, false, []decision.Endpoint{{Node: id(9), State: decision.Ready}})
 	b.SetEpoch(6, []decision.NodeID{id(9)})
 	for pin := range uint64(100) {
-		must(t, firstReplica(b, 0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
+		require(t, firstReplica(b, 0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
 	}
 	b.SetEpoch(8, []decision.NodeID{id(0), id(1), id(2), id(3), id(9)})
 	moved := 0
 	for pin := range uint64(100) {
 		if n := firstReplica(b, 0, pin+1, 0); n != before[pin] {
 			moved++
-			must(t, n == id(9), "pin %d moved to an old node", pin)
+			require(t, n == id(9), "pin %d moved to an old node", pin)
 		}
 	}
-	must(t, moved > 8 && moved < 35, "%d of 100 moved", moved)
+	require(t, moved > 8 && moved < 35, "%d of 100 moved", moved)
 }
 
 // What is known to be behind is left out for a while, and whoever asks is told how long; content with less, it gets what there is.
 func TestRefusal(t *testing.T) {
-	b := tier(2, 1)
+	b := testTracker(2, 1)
 	now := time.Second
 	for i := range 2 {
 		b.Observe(now, id(i), 0, now-2*ms, Report{Offset: 70 + uint64(i), HeadAge: 4 * time.Second})
 	}
 	a := Requirement{ReceivedAt: now, MaxStaleness: 250 * ms}
 	got, _, back := b.EligibleReplicas(now, 0, 0, &a, nil)
-	must(t, len(got) == 0 && back > 500*ms && back < 2*time.Second, "%v, back in %v", got, back)
+	require(t, len(got) == 0 && back > 500*ms && back < 2*time.Second, "%v, back in %v", got, back)
 	a.AllowStale = true
 	got, m, _ := b.EligibleReplicas(now, 0, 0, &a, nil)
-	must(t, len(got) == 2 && !b.Assess(m, now, Report{70, 4 * time.Second}, true).Fresh, "%v", got)
+	require(t, len(got) == 2 && !b.Assess(m, now, Report{70, 4 * time.Second}, true).Fresh, "%v", got)
 	a = Requirement{ReceivedAt: now}
 	got, _, back = b.EligibleReplicas(now, 0, 71, &a, nil)
-	must(t, len(got) == 1 && got[0] == id(1) && back == 0, "%v, back in %v", got, back)
+	require(t, len(got) == 1 && got[0] == id(1) && back == 0, "%v, back in %v", got, back)
 	got, _, back = b.EligibleReplicas(now, 0, 72, &a, nil)
-	must(t, len(got) == 0 && back > 0 && back <= 50*ms, "%v, back in %v", got, back)
+	require(t, len(got) == 0 && back > 0 && back <= 50*ms, "%v, back in %v", got, back)
 	got, _, _ = b.EligibleReplicas(now+back, 0, 72, &a, nil)
-	must(t, len(got) == 2, "not looked at again: %v", got)
+	require(t, len(got) == 2, "not looked at again: %v", got)
 	got, _, _ = b.EligibleReplicas(now+back, 0, 72, &a, nil)
-	must(t, len(got) == 0, "looked at twice at once: %v", got)
+	require(t, len(got) == 0, "looked at twice at once: %v", got)
 }
 
 // The next in order takes over only once it has come as far as the first was known to have come; a restart is no way back.
 func TestHandOver(t *testing.T) {
-	b := tier(2, 1)
+	b := testTracker(2, 1)
 	a := Requirement{Pin: 5}
 	all, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
 	one, two := all[0], all[1]
@@ -125,30 +125,30 @@
 	b.Observe(100*ms, two, 0, 99*ms, Report{80, 0})
 	b.UpdateEndpoints(101*ms, false, []decision.Endpoint{{Node: one, State: decision.Removed}})
 	got, m, back := b.EligibleReplicas(101*ms, 0, 0, &a, nil)
-	must(t, len(got) == 0 && back > 0 && m.Offset == 90, "%v, %+v", got, m)
+	require(t, len(got) == 0 && back > 0 && m.Offset == 90, "%v, %+v", got, m)
 	b.Observe(120*ms, two, 0, 119*ms, Report{91, 0})
 	got, _, _ = b.EligibleReplicas(121*ms, 0, 0, &a, nil)
-	must(t, len(got) == 1 && got[0] == two, "%v", got)
-	must(t, !b.Assess(m, 121*ms, Report{89, 0}, true).Fresh, "a restarted replica counts")
+	require(t, len(got) == 1 && got[0] == two, "%v", got)
+	require(t, !b.Assess(m, 121*ms, Report{89, 0}, true).Fresh, "a restarted replica counts")
 	b.Observe(130*ms, two, 0, 129*ms, Report{40, 0})
-	must(t, b.Counts.Regressed == 1 && b.StalenessBound(130*ms, two, 0) < 20*ms, "regress not seen")
+	require(t, b.Counts.Regressed == 1 && b.StalenessBound(130*ms, two, 0) < 20*ms, "regress not seen")
 	b.merge(b.position(&b.nodes[b.byID[two]], 0), &position{known: true, offset: 91, observedAfter: 119 * ms, observedBefore: 120 * ms, asOf: 119 * ms})
 	got, _, _ = b.EligibleReplicas(130*ms, 0, 91, &Requirement{}, nil)
-	must(t, len(got) == 0, "old facts of before the restart count")
+	require(t, len(got) == 0, "old facts of before the restart count")
 }
 
 // A hot pin goes to the next in order beyond its limit, and comes back; it is never refused for it.
 func TestHotPin(t *testing.T) {
-	b := tier(3, 1)
+	b := testTracker(3, 1)
 	a := Requirement{Pin: 5}
 	all, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
 	for range b.config.MaxInFlight {
 		b.AttemptSent(0, 5, all[0])
 	}
 	got, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
-	must(t, len(got) == 2 && got[0] == all[1] && b.Counts.Spilled == 1, "%v", got)
+	require(t, len(got) == 2 && got[0] == all[1] && b.Counts.Spilled == 1, "%v", got)
 	b.AttemptEnded(5, all[0])
-	must(t, firstReplica(b, 0, 5, 0) == all[0], "does not come back")
+	require(t, firstReplica(b, 0, 5, 0) == all[0], "does not come back")
 	now := time.Duration(0)
 	for range 400 { // 200 a second of one pin beside 50 of others
 		now += 5 * ms
@@ -162,24 +162,24 @@
 		}
 	}
 	one := b.hotKeys[bucketOf(5, all[0])].rate.read(now)
-	must(t, one < 80, "%.0f parts a second of one pin at its first", one)
+	require(t, one < 80, "%.0f parts a second of one pin at its first", one)
 	for i := range all {
 		for range b.config.MaxInFlight {
 			b.AttemptSent(now, 5, all[i])
 		}
 	}
 	got, _, _ = b.EligibleReplicas(now, 0, 0, &a, nil)
-	must(t, len(got) == 3, "refused at its limit: %v", got)
+	require(t, len(got) == 3, "refused at its limit: %v", got)
 }
 
 func TestReport(t *testing.T) {
 	for text, want := range map[string]Report{"p=7;h=12": {7, 12 * ms}, "q=1;h=0;p=9;x": {9, 0}, "p=3": {3, UnknownAge}, "p=3;h=9999999": {3, UnknownAge}} {
 		r, ok := ParseReport(text)
-		must(t, ok && r == want, "%q: %+v", text, r)
+		require(t, ok && r == want, "%q: %+v", text, r)
 	}
 	for _, text := range []string{"-", "", "h=3", "p=", "p=-1", "p=1;p=2", "p=1;h=x", "p=1;h=1;h=1", "p=1;h=-4"} {
 		_, ok := ParseReport(text)
-		must(t, !ok, "%q is read", text)
+		require(t, !ok, "%q is read", text)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		r := Report{rapid.Uint64().Draw(t, "p"), time.Duration(rapid.Int64Range(0, 3600_000).Draw(t, "h")) * ms}
--- a/internal/decision/readpin/truth_test.go
+++ b/internal/decision/readpin/truth_test.go
@@ -27,26 +27,26 @@
 	return Report{writes(r.asof), (max(0, head) + ms - 1) / ms * ms}
 }
 
-// course plays replicas that stall and restart before brokers that answer, share what they know over links that hold it back, and
+// playReplicas plays replicas that stall and restart before brokers that answer, share what they know over links that hold it back, and
 // are audited against the writers' own history. It returns how many judgements were checked and how many were wrong; claims of
 // what is not asked are held to the truth too.
-func course(seed uint64, age func(b *Tracker)) (checked, wrong int) {
+func playReplicas(seed uint64, age func(b *Tracker)) (checked, wrong int) {
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	const nodes, brokers = 4, 3
 	var reps [nodes]replica
 	var books [brokers]*Tracker
 	for i := range books {
-		books[i] = tier(nodes, 1)
+		books[i] = testTracker(nodes, 1)
 		age(books[i])
 	}
 	for i := range reps {
 		reps[i] = replica{slow: rnd.Float64() * 1e-3, off: upTo(rnd, 5*ms)}
 	}
-	type letter struct {
+	type message struct {
 		at, asked time.Duration
 		data      []byte
 	}
-	var mail [brokers][]letter
+	var inbox [brokers][]message
 	for now := time.Second; now < 20*time.Second; now += upTo(rnd, 4*ms) {
 		if rnd.IntN(800) == 0 {
 			reps[rnd.IntN(nodes)].stall = now + upTo(rnd, 3*time.Second)
@@ -59,15 +59,15 @@
 		b := books[at]
 		if rnd.IntN(20) == 0 { // pulled: asked some time ago, written meanwhile, here later
 			asked := now - upTo(rnd, 10*ms)
-			mail[at] = append(mail[at], letter{now + upTo(rnd, 2*time.Second), asked, books[(at+1)%brokers].EncodePositions(now)})
+			inbox[at] = append(inbox[at], message{now + upTo(rnd, 2*time.Second), asked, books[(at+1)%brokers].EncodePositions(now)})
 		}
-		for _, l := range mail[at] {
+		for _, l := range inbox[at] {
 			if l.at <= now && b.MergePositions(now, l.data, now-l.asked) != nil {
 				wrong++
 			}
 		}
-		for len(mail[at]) > 0 && mail[at][0].at <= now {
-			mail[at] = mail[at][1:]
+		for len(inbox[at]) > 0 && inbox[at][0].at <= now {
+			inbox[at] = inbox[at][1:]
 		}
 		for i := range reps { // what a broker would rely on without asking holds
 			if bound := b.StalenessBound(now, id(i), 0); bound != UnknownAge && reps[i].stall != 0 {
@@ -100,21 +100,21 @@
 func TestNeverOptimistic(t *testing.T) {
 	total := 0
 	for seed := range uint64(12) {
-		checked, wrong := course(seed, func(*Tracker) {})
-		must(t, wrong == 0, "seed %d: %d of %d wrong", seed, wrong, checked)
+		checked, wrong := playReplicas(seed, func(*Tracker) {})
+		require(t, wrong == 0, "seed %d: %d of %d wrong", seed, wrong, checked)
 		total += checked
 	}
-	must(t, total > 100_000, "%d checked", total)
+	require(t, total > 100_000, "%d checked", total)
 	found := 0
 	for seed := range uint64(12) {
-		_, wrong := course(seed, func(b *Tracker) { b.config.ClockError, b.config.MaxDrift = 0, 0 })
+		_, wrong := playReplicas(seed, func(b *Tracker) { b.config.ClockError, b.config.MaxDrift = 0, 0 })
 		found += wrong
 	}
-	must(t, found > 0, "an optimistic age is not found")
+	require(t, found > 0, "an optimistic age is not found")
 }
 
-func TestFactsAreBoundedAndMerge(t *testing.T) {
-	b, o := tier(300, 40), tier(300, 40)
+func TestPositionsAreBoundedAndMerge(t *testing.T) {
+	b, o := testTracker(300, 40), testTracker(300, 40)
 	now := time.Minute
 	for i := range 300 {
 		for shard := range 40 {
@@ -123,31 +123,31 @@
 	}
 	for range 60 { // all get there, turn by turn
 		data := b.EncodePositions(now)
-		must(t, len(data) <= b.config.MaxMessageBytes, "%d bytes", len(data))
-		must(t, o.MergePositions(now, data, 5*ms) == nil, "not taken")
+		require(t, len(data) <= b.config.MaxMessageBytes, "%d bytes", len(data))
+		require(t, o.MergePositions(now, data, 5*ms) == nil, "not taken")
 	}
 	for i := range 300 {
 		for shard := range 40 {
 			bound := o.StalenessBound(now, id(i), shard)
-			must(t, bound >= 21*ms && bound <= 25*ms, "node %d, shard %d: %v", i, shard, bound)
+			require(t, bound >= 21*ms && bound <= 25*ms, "node %d, shard %d: %v", i, shard, bound)
 		}
 	}
 	was := o.EncodePositions(now)
 	o.cursor = 0
 	o.MergePositions(now, b.EncodePositions(now-40*time.Second), 5*ms) // older news worsens nothing
 	o.cursor = 0
-	must(t, len(was) > 0 && o.StalenessBound(now, id(299), 3) <= 25*ms, "older news counted")
-	must(t, len(b.EncodePositions(now+11*time.Second)) == 1, "old news passed on")
+	require(t, len(was) > 0 && o.StalenessBound(now, id(299), 3) <= 25*ms, "older news counted")
+	require(t, len(b.EncodePositions(now+11*time.Second)) == 1, "old news passed on")
 	b.config.MaxMessageBytes = 64
-	must(t, len(b.EncodePositions(now)) > 20, "one node's facts that never fit are never told")
+	require(t, len(b.EncodePositions(now)) > 20, "one node's facts that never fit are never told")
 }
 
 func FuzzTake(f *testing.F) {
-	b := tier(3, 2)
+	b := testTracker(3, 2)
 	b.Observe(time.Second, id(1), 1, time.Second-ms, Report{7, 12 * ms})
 	f.Add(b.EncodePositions(time.Second))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		o := tier(3, 2)
+		o := testTracker(3, 2)
 		err := o.MergePositions(time.Minute, data, ms)
 		var bad *MalformedPositionsError
 		if err != nil && (!errors.As(err, &bad) || bad.Remedy() == "" || !bytes.Equal(o.EncodePositions(time.Minute), []byte{wireVersion})) {
@@ -161,7 +161,7 @@
 	})
 }
 
-func benchBook() *Tracker {
+func benchTracker() *Tracker {
 	b := NewTracker(DefaultConfig(64, 16, 1))
 	var all []decision.Endpoint
 	for i := range 128 {
@@ -178,7 +178,7 @@
 
 // A part's whole way: chosen among eight holders, counted, judged and learned from.
 func BenchmarkPart(b *testing.B) {
-	k, dst := benchBook(), make([]decision.NodeID, 0, 16)
+	k, dst := benchTracker(), make([]decision.NodeID, 0, 16)
 	a := Requirement{Pin: 9, ReceivedAt: time.Second, MaxStaleness: 250 * ms}
 	r := Report{60, 10 * ms}
 	b.ReportAllocs()
@@ -192,7 +192,7 @@
 }
 
 func TestPartAllocatesNothing(t *testing.T) {
-	k, dst := benchBook(), make([]decision.NodeID, 0, 16)
+	k, dst := benchTracker(), make([]decision.NodeID, 0, 16)
 	a := Requirement{Pin: 9, ReceivedAt: time.Second, MaxStaleness: 250 * ms}
 	n := testing.AllocsPerRun(1000, func() {
 		got, m, _ := k.EligibleReplicas(time.Second, 3, 40, &a, dst[:0])
@@ -200,7 +200,7 @@
 		k.Assess(m, time.Second, Report{60, 10 * ms}, true)
 		k.AttemptEnded(9, got[0])
 	})
-	must(t, n == 0, "%v allocations", n)
+	require(t, n == 0, "%v allocations", n)
 }
 
 func upTo(rnd *rand.Rand, d time.Duration) time.Duration { return time.Duration(rnd.Int64N(int64(d))) }
