--- a/internal/decision/statemachine/golden_test.go
+++ b/internal/decision/statemachine/golden_test.go
@@ -28,13 +28,13 @@
 	out       io.Writer
 }
 
-func (g *goldenRun) n(most int) uint64     { return uint64(g.rng.IntN(most + 1)) }
-func (g *goldenRun) oneIn(n int) bool      { return g.rng.IntN(n) == 0 }
-func (g *goldenRun) off(v uint64) uint64   { return g.offBy(v, 12) }
-func (g *goldenRun) node() NodeID          { return at(g.rng.IntN(5)) }
-func (g *goldenRun) version() string       { return fmt.Sprint(1 + g.n(1)) }
-func (g *goldenRun) rows() (all []Row)     { return g.rowsOf(int(g.n(4))) }
-func (g *goldenRun) budgets() (l []Budget) { return g.budgetsOf(5) }
+func (g *goldenRun) n(most int) uint64         { return uint64(g.rng.IntN(most + 1)) }
+func (g *goldenRun) oneIn(n int) bool          { return g.rng.IntN(n) == 0 }
+func (g *goldenRun) off(v uint64) uint64       { return g.offBy(v, 12) }
+func (g *goldenRun) node() NodeID              { return at(g.rng.IntN(5)) }
+func (g *goldenRun) version() string           { return fmt.Sprint(1 + g.n(1)) }
+func (g *goldenRun) rows() (all []LeaseRow)    { return g.rowsOf(int(g.n(4))) }
+func (g *goldenRun) budgets() (l []NodeBudget) { return g.budgetsOf(5) }
 
 // offBy is a value, seldom one beside it.
 func (g *goldenRun) offBy(v uint64, seldom int) uint64 {
@@ -44,46 +44,46 @@
 	return v
 }
 
-func (g *goldenRun) rowsOf(n int) (all []Row) {
+func (g *goldenRun) rowsOf(n int) (all []LeaseRow) {
 	for range n {
-		all = append(all, Row{g.node(), string(rune('x' + g.n(1))), 1 + g.n(6)})
+		all = append(all, LeaseRow{g.node(), string(rune('x' + g.n(1))), 1 + g.n(6)})
 	}
 	if !g.oneIn(15) {
 		for i := 0; i < len(all); i++ {
 			for k := i + 1; k < len(all); k++ {
-				if CompareRows(all[k], all[i]) < 0 {
+				if CompareLeaseRows(all[k], all[i]) < 0 {
 					all[i], all[k] = all[k], all[i]
 				}
 			}
-			if i > 0 && CompareRows(all[i-1], all[i]) == 0 {
+			if i > 0 && CompareLeaseRows(all[i-1], all[i]) == 0 {
 				all = append(all[:i], all[i+1:]...)
 				i--
 			}
 		}
 	}
 	if g.oneIn(25) && n > 0 {
-		all[0].Units = []uint64{0, 1 << 32, 1<<32 + 1}[g.n(2)]
+		all[0].Connections = []uint64{0, 1 << 32, 1<<32 + 1}[g.n(2)]
 	}
 	return all
 }
 
-func (g *goldenRun) budgetsOf(n int) (all []Budget) {
+func (g *goldenRun) budgetsOf(n int) (all []NodeBudget) {
 	for i := range n {
 		if !g.oneIn(12) {
-			all = append(all, Budget{at(i), g.n(45), g.n(3)})
+			all = append(all, NodeBudget{at(i), g.n(45), g.n(3)})
 		}
 	}
 	if g.oneIn(25) && len(all) > 1 {
 		all[0], all[1] = all[1], all[0]
 	}
 	if g.oneIn(25) && len(all) > 1 {
-		all[0].Units = 1<<32 + g.n(1)
+		all[0].Connections = 1<<32 + g.n(1)
 	}
 	return all
 }
 
-func (g *goldenRun) plan() *Plan {
-	p := &Plan{Name: "plan", From: g.version(), To: g.version(), Most: uint32(g.n(4)), MostZone: uint32(g.n(2)), Least: uint32(g.n(1)),
+func (g *goldenRun) plan() *ReleasePlan {
+	p := &ReleasePlan{Name: "plan", From: g.version(), To: g.version(), MaxOut: uint32(g.n(4)), MaxOutPerZone: uint32(g.n(2)), MinReadyReplicas: uint32(g.n(1)),
 		PauseMS: g.n(9), Gates: "gates"}
 	size := 1 + int(g.n(4))
 	for i := range size {
@@ -105,8 +105,8 @@
 	return p
 }
 
-func (g *goldenRun) list() *Epoch {
-	e := &Epoch{Number: g.offBy(g.s.Epoch()+1, 8), Least: uint32(g.n(1))}
+func (g *goldenRun) list() *SetNodeList {
+	e := &SetNodeList{Epoch: g.offBy(g.s.Epoch()+1, 8), MinReadyReplicas: uint32(g.n(1))}
 	for i := range 5 {
 		if g.oneIn(8) {
 			continue
@@ -129,10 +129,10 @@
 	r, _ := g.s.Release()
 	_, term := g.s.Leader()
 	n, _ := g.s.Node(node)
-	h, _ := g.s.Grants(slot)
+	h, _ := g.s.Lease(slot)
 	np, _ := g.s.NodePermit(node)
 	term, release, in, number := g.off(term), g.off(r.Number), g.off(m.Incarnation), g.off(h.Number)
-	onNode, permit := r.OnNodes, m.Permit
+	onNode, permit := r.ForNodes, m.Permit
 	if g.oneIn(10) {
 		onNode = !onNode
 	}
@@ -141,68 +141,68 @@
 	}
 	permit = g.off(permit)
 	newest := uint64(0)
-	if now, waiting, _ := g.s.Policy(); waiting != nil {
+	if now, waiting, _ := g.s.Policies(); waiting != nil {
 		newest = waiting.Version
 	} else if now != nil {
 		newest = now.Version
 	}
 	switch g.rng.IntN(52) {
 	case 0:
-		return &Lead{slot, g.offBy(term+1, 6)}
+		return &LeaderElected{slot, g.offBy(term+1, 6)}
 	case 1, 2, 3, 4, 5:
 		name := fmt.Sprint("b", slot)
 		if g.oneIn(30) {
 			name = []string{"", "b0", "b1"}[g.n(2)]
 		}
-		return &Register{slot, name, g.offBy(m.Incarnation+1, 8), g.version(), fmt.Sprint("z", slot%2), g.offBy(1, 30)}
+		return &RegisterBroker{slot, name, g.offBy(m.Incarnation+1, 8), g.version(), fmt.Sprint("z", slot%2), g.offBy(1, 30)}
 	case 6, 7, 8, 9, 10:
-		return &Return{slot, in, false, node}
+		return &ReturnToService{slot, in, false, node}
 	case 11, 12, 13:
-		return &Return{slot, g.off(max(np.Number, n.Down)), true, node}
+		return &ReturnToService{slot, g.off(max(np.Number, n.DownIndex)), true, node}
 	case 14, 15:
-		return &Lost{slot, in, term}
+		return &MarkBrokerLost{slot, in, term}
 	case 16:
-		return &Forget{slot}
+		return &RemoveBroker{slot}
 	case 17, 18:
 		return g.plan()
 	case 19, 20, 21, 22, 23:
-		return &Permit{release, term, slot, in, onNode, node}
+		return &IssuePermit{release, term, slot, in, onNode, node}
 	case 24, 25, 26, 27:
-		return &Use{permit, slot, in, onNode, node}
+		return &UsePermit{permit, slot, in, onNode, node}
 	case 28:
-		return &Advance{release, term, uint32(g.off(uint64(r.Batch + 1)))}
+		return &OpenNextBatch{release, term, uint32(g.off(uint64(r.OpenBatch + 1)))}
 	case 29:
 		if g.oneIn(2) {
-			return &Halt{release, "halted"}
+			return &HaltRelease{release, "halted"}
 		}
-		return &Revert{release, "reverted"}
+		return &RollBackRelease{release, "reverted"}
 	case 30:
-		return &Resume{release}
+		return &ResumeRelease{release}
 	case 31:
 		return &DrainNode{node, "drained"}
 	case 32, 33, 34:
-		return &DrainAck{slot, in, node, g.off(n.Drain)}
+		return &AcknowledgeDrain{slot, in, node, g.off(n.DrainNumber)}
 	case 35:
 		if g.oneIn(2) {
-			return &Undrain{node}
+			return &UndrainNode{node}
 		}
-		return &NodeDown{node, "down"}
+		return &MarkNodeDown{node, "down"}
 	case 36:
-		return &Policy{g.offBy(newest+1, 8), "text", uint32(g.offBy(6, 10)), g.budgets()}
+		return &ConnectionPolicy{g.offBy(newest+1, 8), "text", uint32(g.offBy(6, 10)), g.budgets()}
 	case 37:
-		return &PolicyAck{slot, in, newest - g.n(1)}
+		return &AcknowledgePolicy{slot, in, newest - g.n(1)}
 	case 38, 39:
-		return &Grant{slot, in, g.offBy(h.Number+1, 8), g.rows()}
+		return &GrantLease{slot, in, g.offBy(h.Number+1, 8), g.rows()}
 	case 40:
-		return &GrantAck{slot, in, number}
+		return &AcknowledgeLease{slot, in, number}
 	case 41:
-		return &GiveUp{slot, in, number}
+		return &RelinquishLease{slot, in, number}
 	case 42:
-		return &Expire{slot, number, term}
+		return &ExpireLease{slot, number, term}
 	}
 	switch {
 	case g.oneIn(6):
-		return &Gate{g.offBy(1, 40)}
+		return &RaiseProtocol{g.offBy(1, 40)}
 	case g.oneIn(3):
 		return g.list()
 	}
@@ -213,20 +213,20 @@
 func (g *goldenRun) onNode(term, release uint64) Entry {
 	for _, d := range g.s.Drains() {
 		p, ok := g.s.NodePermit(d.Node)
-		awaited := g.s.Awaited(d.Node)
+		awaited := g.s.MissingDrainAcks(d.Node)
 		switch {
 		case ok && p.Used:
-			return &Return{Incarnation: p.Number, OnNode: true, Node: d.Node}
+			return &ReturnToService{Incarnation: p.Number, ForNode: true, Node: d.Node}
 		case len(awaited) > 0 && !g.oneIn(12):
 			b, _ := g.s.Broker(awaited[0])
-			return &DrainAck{b.Slot, b.Incarnation, d.Node, d.Number}
+			return &AcknowledgeDrain{b.Slot, b.Incarnation, d.Node, d.Number}
 		case ok:
-			return &Use{Permit: p.Number, OnNode: true, Node: d.Node}
+			return &UsePermit{Permit: p.Number, ForNode: true, Node: d.Node}
 		case g.oneIn(3):
-			return &Undrain{d.Node}
+			return &UndrainNode{d.Node}
 		}
 	}
-	return &Permit{release, term, 0, 0, true, g.node()}
+	return &IssuePermit{release, term, 0, 0, true, g.node()}
 }
 
 // proposal is an entry's bytes, seldom those of an earlier one, cut ones or those of a newer version.
@@ -236,18 +236,18 @@
 	}
 	by := g.n(2)
 	g.seq[by]++
-	id := ID{Slot(by), 1 + g.seq[by]/40, g.seq[by]}
+	id := ProposalID{Slot(by), 1 + g.seq[by]/40, g.seq[by]}
 	switch g.rng.IntN(300) {
 	case 0:
-		id.Seq = 0
+		id.Sequence = 0
 	case 1:
 		id.Slot = 4096
 	case 2:
 		id.Incarnation--
 	case 3:
-		id.Seq = max(1, id.Seq-min(id.Seq, 33+g.n(1)))
+		id.Sequence = max(1, id.Sequence-min(id.Sequence, 33+g.n(1)))
 	case 4:
-		id.Seq += 7
+		id.Sequence += 7
 	}
 	data := Encode(id, e)
 	switch g.rng.IntN(400) {
@@ -269,44 +269,44 @@
 func (g *goldenRun) apply(index uint64, data []byte) {
 	r := g.s.Apply(index, data)
 	why, reason := "", Reason(0)
-	var no *Refused
+	var no *RejectedError
 	switch {
 	case errors.As(r.Err, &no):
 		why, reason = "refused", no.Reason
-	case errors.As(r.Err, new(*Unknown)):
+	case errors.As(r.Err, new(*UnknownEntryError)):
 		why = "unknown"
-	case errors.As(r.Err, new(*Malformed)):
+	case errors.As(r.Err, new(*MalformedEntryError)):
 		why = "malformed"
-	case errors.As(r.Err, new(*Replayed)):
+	case errors.As(r.Err, new(*AlreadyAppliedError)):
 		why = "replayed"
 	}
-	fmt.Fprintln(g.out, index, r.Number, r.Again, why, uint8(reason), g.s.Index(), g.s.Stopped() != nil)
+	fmt.Fprintln(g.out, index, r.Number, r.Duplicate, why, uint8(reason), g.s.AppliedIndex(), g.s.StoppedBy() != nil)
 }
 
 // look writes all that queries tell.
 func (g *goldenRun) look() {
 	leader, term := g.s.Leader()
-	fmt.Fprintln(g.out, leader, term, g.s.Gate(), g.s.Epoch(), g.s.Brokers(), g.s.Nodes(), g.s.Drains())
+	fmt.Fprintln(g.out, leader, term, g.s.TierProtocol(), g.s.Epoch(), g.s.Brokers(), g.s.Nodes(), g.s.Drains())
 	r, ok := g.s.Release()
 	fmt.Fprintln(g.out, r, ok)
-	now, waiting, before := g.s.Policy()
-	for _, p := range []*Policy{now, waiting, before} {
+	now, waiting, before := g.s.Policies()
+	for _, p := range []*ConnectionPolicy{now, waiting, before} {
 		if p != nil {
 			fmt.Fprintln(g.out, *p)
 		}
 	}
 	for i := range Slot(6) {
-		p, ok := g.s.Permit(i)
-		h, has := g.s.Grants(i)
-		fmt.Fprintln(g.out, p, ok, h, has, g.s.PolicyAcked(i))
+		p, ok := g.s.BrokerPermit(i)
+		h, has := g.s.Lease(i)
+		fmt.Fprintln(g.out, p, ok, h, has, g.s.AcknowledgedPolicy(i))
 	}
 	for i := range 5 {
 		p, ok := g.s.NodePermit(at(i))
-		fmt.Fprintln(g.out, p, ok, g.s.Drained(at(i)), g.s.Awaited(at(i)))
+		fmt.Fprintln(g.out, p, ok, g.s.IsDrained(at(i)), g.s.MissingDrainAcks(at(i)))
 	}
-	try := &Permit{r.Number, term, 1, 1, r.OnNodes, at(1)}
-	var no *Refused
-	if errors.As(g.s.Try(try), &no) {
+	try := &IssuePermit{r.Number, term, 1, 1, r.ForNodes, at(1)}
+	var no *RejectedError
+	if errors.As(g.s.CheckPermit(try), &no) {
 		fmt.Fprintln(g.out, uint8(no.Reason))
 	}
 }
@@ -314,17 +314,17 @@
 func (g *goldenRun) play(t *testing.T) {
 	if !g.oneIn(10) {
 		for i := range Slot(5) {
-			g.apply(g.s.Index()+1, g.proposal(&Register{i, fmt.Sprint("b", i), 1, "1", fmt.Sprint("z", i%2), 1}))
-			g.apply(g.s.Index()+1, g.proposal(&Return{Slot: i, Incarnation: 1}))
+			g.apply(g.s.AppliedIndex()+1, g.proposal(&RegisterBroker{i, fmt.Sprint("b", i), 1, "1", fmt.Sprint("z", i%2), 1}))
+			g.apply(g.s.AppliedIndex()+1, g.proposal(&ReturnToService{Slot: i, Incarnation: 1}))
 		}
-		g.apply(g.s.Index()+1, g.proposal(&Lead{0, 1}))
-		g.apply(g.s.Index()+1, g.proposal(g.list()))
-		g.apply(g.s.Index()+1, g.proposal(&Policy{1, "one", 6, []Budget{{at(0), 30, 2}, {at(1), 30, 3}, {at(2), 40, 1}, {at(4), 9, 0}}}))
+		g.apply(g.s.AppliedIndex()+1, g.proposal(&LeaderElected{0, 1}))
+		g.apply(g.s.AppliedIndex()+1, g.proposal(g.list()))
+		g.apply(g.s.AppliedIndex()+1, g.proposal(&ConnectionPolicy{1, "one", 6, []NodeBudget{{at(0), 30, 2}, {at(1), 30, 3}, {at(2), 40, 1}, {at(4), 9, 0}}}))
 	}
 	for range goldenEntries {
-		index := g.s.Index() + 1
+		index := g.s.AppliedIndex() + 1
 		if g.oneIn(30) {
-			index = g.s.Index() + g.n(3)
+			index = g.s.AppliedIndex() + g.n(3)
 		}
 		g.apply(index, g.proposal(g.entry()))
 		if g.oneIn(16) {
--- a/internal/decision/statemachine/stored_test.go
+++ b/internal/decision/statemachine/stored_test.go
@@ -13,56 +13,56 @@
 // storedEntries are one entry of each kind, every field with a value of its own, in the order of kinds.
 func storedEntries() []Entry {
 	return []Entry{
-		&Lead{3, 300},
-		&Register{4, "broker-four", 401, "1.4", "zone-a", 1},
-		&Lost{5, 501, 502},
-		&Forget{6},
-		&Return{7, 701, true, at(7)},
-		&Plan{"plan", "1.0", "2.0", []Slot{1, 200}, []NodeID{at(8), at(9)}, []uint32{1, 4}, 11, 12, 13, 14000, "gates"},
-		&Permit{801, 802, 803, 804, true, at(80)},
-		&Use{901, 902, 903, true, at(90)},
-		&Advance{1001, 1002, 1003},
-		&Halt{1101, "worse"},
-		&Resume{1201},
-		&Revert{1301, "back"},
+		&LeaderElected{3, 300},
+		&RegisterBroker{4, "broker-four", 401, "1.4", "zone-a", 1},
+		&MarkBrokerLost{5, 501, 502},
+		&RemoveBroker{6},
+		&ReturnToService{7, 701, true, at(7)},
+		&ReleasePlan{"plan", "1.0", "2.0", []Slot{1, 200}, []NodeID{at(8), at(9)}, []uint32{1, 4}, 11, 12, 13, 14000, "gates"},
+		&IssuePermit{801, 802, 803, 804, true, at(80)},
+		&UsePermit{901, 902, 903, true, at(90)},
+		&OpenNextBatch{1001, 1002, 1003},
+		&HaltRelease{1101, "worse"},
+		&ResumeRelease{1201},
+		&RollBackRelease{1301, "back"},
 		&DrainNode{at(14), "by hand"},
-		&DrainAck{1501, 1502, at(15), 1503},
-		&Undrain{at(16)},
-		&NodeDown{at(17), "killed"},
-		&Policy{1801, "policy text", 1802, []Budget{{at(18), 1803, 1804}, {at(19), 1805, 1806}}},
-		&PolicyAck{1901, 1902, 1903},
-		&Grant{2001, 2002, 2003, []Row{{at(20), "tenant-a", 2004}, {at(21), "tenant-b", 2005}}},
-		&GrantAck{2101, 2102, 2103},
-		&GiveUp{2201, 2202, 2203},
-		&Expire{2301, 2302, 2303},
-		&Epoch{2401, 2402, []NodeInfo{{at(24), "zone-b", []uint32{2403, 2404}}, {at(25), "zone-c", nil}}},
-		&Gate{1},
+		&AcknowledgeDrain{1501, 1502, at(15), 1503},
+		&UndrainNode{at(16)},
+		&MarkNodeDown{at(17), "killed"},
+		&ConnectionPolicy{1801, "policy text", 1802, []NodeBudget{{at(18), 1803, 1804}, {at(19), 1805, 1806}}},
+		&AcknowledgePolicy{1901, 1902, 1903},
+		&GrantLease{2001, 2002, 2003, []LeaseRow{{at(20), "tenant-a", 2004}, {at(21), "tenant-b", 2005}}},
+		&AcknowledgeLease{2101, 2102, 2103},
+		&RelinquishLease{2201, 2202, 2203},
+		&ExpireLease{2301, 2302, 2303},
+		&SetNodeList{2401, 2402, []NodeInfo{{at(24), "zone-b", []uint32{2403, 2404}}, {at(25), "zone-c", nil}}},
+		&RaiseProtocol{1},
 	}
 }
 
 // storedMachine is a machine in which every part of the state has something.
 func storedMachine(t *testing.T) *State {
 	b := newBench(t, 4)
-	b.must(&Epoch{1, 1, []NodeInfo{{at(1), "a", []uint32{1}}, {at(2), "b", []uint32{1, 2}}, {at(3), "a", []uint32{2}}}})
-	b.must(&Policy{1, "one", 8, []Budget{{at(1), 40, 2}, {at(2), 40, 1}}})
-	b.must(&Grant{0, 1, 1, []Row{{at(1), "x", 8}, {at(2), "y", 3}}})
-	b.must(&GrantAck{0, 1, 1})
-	b.must(&Grant{0, 1, 2, []Row{{at(1), "x", 3}}})
-	b.must(&Grant{1, 1, 1, []Row{{at(2), "z", 4}}})
-	b.must(&GiveUp{1, 1, 1})
-	b.must(&Policy{2, "two", 8, []Budget{{at(1), 30, 1}, {at(2), 30, 1}}})
-	b.must(&PolicyAck{0, 1, 2})
-	b.must(&Policy{3, "three", 8, []Budget{{at(1), 9, 1}, {at(2), 9, 1}}})
-	b.must(&NodeDown{at(3), "killed"})
-	b.must(&Return{OnNode: true, Node: at(3), Incarnation: b.s.Index()})
+	b.must(&SetNodeList{1, 1, []NodeInfo{{at(1), "a", []uint32{1}}, {at(2), "b", []uint32{1, 2}}, {at(3), "a", []uint32{2}}}})
+	b.must(&ConnectionPolicy{1, "one", 8, []NodeBudget{{at(1), 40, 2}, {at(2), 40, 1}}})
+	b.must(&GrantLease{0, 1, 1, []LeaseRow{{at(1), "x", 8}, {at(2), "y", 3}}})
+	b.must(&AcknowledgeLease{0, 1, 1})
+	b.must(&GrantLease{0, 1, 2, []LeaseRow{{at(1), "x", 3}}})
+	b.must(&GrantLease{1, 1, 1, []LeaseRow{{at(2), "z", 4}}})
+	b.must(&RelinquishLease{1, 1, 1})
+	b.must(&ConnectionPolicy{2, "two", 8, []NodeBudget{{at(1), 30, 1}, {at(2), 30, 1}}})
+	b.must(&AcknowledgePolicy{0, 1, 2})
+	b.must(&ConnectionPolicy{3, "three", 8, []NodeBudget{{at(1), 9, 1}, {at(2), 9, 1}}})
+	b.must(&MarkNodeDown{at(3), "killed"})
+	b.must(&ReturnToService{ForNode: true, Node: at(3), Incarnation: b.s.AppliedIndex()})
 	b.must(&DrainNode{at(2), "by hand"})
-	b.must(&DrainAck{2, 1, at(2), b.s.Index()})
-	r := b.must(&Plan{Name: "two", From: "1", To: "2", Slots: slots(4), Batches: []uint32{2, 4}, Most: 2, MostZone: 1, Least: 1, PauseMS: 5, Gates: "g"})
-	p := b.must(&Permit{Release: r, Term: 1, Slot: 0, Incarnation: 1})
-	b.must(&Use{Permit: p, Slot: 0, Incarnation: 1})
-	b.must(&Revert{r, "bad"})
-	b.must(&Lost{3, 1, 1})
-	b.refused(Over, &Resume{b.s.Index() - 1})
+	b.must(&AcknowledgeDrain{2, 1, at(2), b.s.AppliedIndex()})
+	r := b.must(&ReleasePlan{Name: "two", From: "1", To: "2", Slots: slots(4), Batches: []uint32{2, 4}, MaxOut: 2, MaxOutPerZone: 1, MinReadyReplicas: 1, PauseMS: 5, Gates: "g"})
+	p := b.must(&IssuePermit{Release: r, Term: 1, Slot: 0, Incarnation: 1})
+	b.must(&UsePermit{Permit: p, Slot: 0, Incarnation: 1})
+	b.must(&RollBackRelease{r, "bad"})
+	b.must(&MarkBrokerLost{3, 1, 1})
+	b.refused(ReasonWrongState, &ResumeRelease{b.s.AppliedIndex() - 1})
 	return b.s
 }
 
@@ -71,7 +71,7 @@
 	storedSnapshotFile = "testdata/snapshot-1a4b6be.bin"
 )
 
-var storedID = ID{12, 34, 56}
+var storedID = ProposalID{12, 34, 56}
 
 // Entries of every kind that commit 1a4b6be wrote are read as what they were, and are written as the same bytes.
 func TestStoredEntries(t *testing.T) {
