--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -130,7 +130,7 @@
 func (c *Core) HandleList(list *discovery.List, err error) { c.l.take(listReceived{list, err}) }
 
 // CollectPositions is what the broker knows of replicas' positions.
-func (c *Core) CollectPositions() []byte { return c.l.pins.book.Collect(c.l.since()) }
+func (c *Core) CollectPositions() []byte { return c.l.pins.book.EncodePositions(c.l.since()) }
 
 // MergePositions hands on what another broker collected; it has grown older by so much at the most.
 func (c *Core) MergePositions(data []byte, older time.Duration) {
@@ -152,6 +152,6 @@
 
 // Trusts tells whether the module gives a node work as a matter of course; for reports only.
 func (c *Core) Trusts(id decision.NodeID) bool {
-	m, tells := c.l.module.(interface{ Trusts(decision.NodeID) bool })
-	return !tells || m.Trusts(id)
+	m, tells := c.l.module.(interface{ IsAvailable(decision.NodeID) bool })
+	return !tells || m.IsAvailable(id)
 }
