--- a/internal/decision/statemachine/entry.go
+++ b/internal/decision/statemachine/entry.go
@@ -60,9 +60,9 @@
 	Slots            []Slot
 	Nodes            []NodeID
 	Batches          []uint32 // how many of the targets, in their order, are in the first batch, the first two, and so on; none: all in one
-	MaxOut           uint32   // out at once over the tier
-	MaxOutPerZone    uint32   // and in a zone; 0: as Most
-	MinReadyReplicas uint32   // ready holders that each shard keeps, for nodes
+	MaxOut           uint32   `json:"Most"`     // out at once over the tier
+	MaxOutPerZone    uint32   `json:"MostZone"` // and in a zone; 0: as Most
+	MinReadyReplicas uint32   `json:"Least"`    // ready holders that each shard keeps, for nodes
 	PauseMS          uint64   // between batches, for the planner
 	Gates            string   // for the planner
 }
@@ -134,15 +134,15 @@
 // NodeBudget is what a node holds, and what each broker may take of it without asking.
 type NodeBudget struct {
 	Node              NodeID
-	Connections       uint64
-	ReservedPerBroker uint64
+	Connections       uint64 `json:"Units"`
+	ReservedPerBroker uint64 `json:"Floor"`
 }
 
 // ConnectionPolicy is a new division. It takes over when all that may still be held fits it.
 type ConnectionPolicy struct {
 	Version    uint64
 	Text       string
-	MaxBrokers uint32 // slots are below this; each has its floors
+	MaxBrokers uint32 `json:"MostBrokers"` // slots are below this; each has its floors
 	Budgets    []NodeBudget
 }
 
--- /dev/null
+++ b/internal/decision/statemachine/reported_test.go
@@ -0,0 +1,47 @@
+package statemachine
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+)
+
+// reported is what the tier's status shows operators of the state, as JSON.
+type reported struct {
+	Broker  Broker
+	Release Release
+	Drain   NodeDrain
+	Policy  ConnectionPolicy
+	Node    Node
+}
+
+func reportedValues() reported {
+	plan := ReleasePlan{"plan", "1.0", "2.0", []Slot{1}, []NodeID{at(1)}, []uint32{1}, 2, 3, 4, 5, "gates"}
+	return reported{
+		Broker:  Broker{1, "broker", 2, "1.0", "zone", 3, BrokerLost, true, 4, 5},
+		Release: Release{1, plan, true, ReleaseHalted, "why", []ReleaseStep{{1, at(2), StepOut, true, true, "2.0"}}, 2, 3, 4},
+		Drain:   NodeDrain{at(3), 1, "why", 2, []BrokerIncarnation{{3, 4}}},
+		Policy:  ConnectionPolicy{1, "text", 2, []NodeBudget{{at(4), 3, 4}}},
+		Node:    Node{NodeInfo{at(5), "zone", []uint32{1}}, 1, 2, true, 3, 4, 5},
+	}
+}
+
+const reportedFile = "testdata/status-1a4b6be.json"
+
+// What operators' programs read of the state has the JSON names that commit 1a4b6be gave it.
+func TestReportedNames(t *testing.T) {
+	want, err := os.ReadFile(reportedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.MarshalIndent(reportedValues(), "", "\t")
+	if err != nil || !bytes.Equal(got, want) {
+		t.Errorf("%v\n%s\nwant\n%s", err, got, want)
+	}
+	var back reported
+	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, reportedValues()) {
+		t.Errorf("%v: read back as %+v", err, back)
+	}
+}
--- a/internal/decision/statemachine/view.go
+++ b/internal/decision/statemachine/view.go
@@ -23,10 +23,10 @@
 	Version     string
 	Zone        string
 	Protocol    uint64
-	Status      BrokerStatus
-	HasServed   bool   // it was in once: it counts where it is not
-	Permit      uint64 // the one it holds; 0: none
-	StatusIndex uint64 // the entry that put it there
+	Status      BrokerStatus `json:"Standing"`
+	HasServed   bool         `json:"Served"` // it was in once: it counts where it is not
+	Permit      uint64       // the one it holds; 0: none
+	StatusIndex uint64       `json:"Since"` // the entry that put it there
 }
 
 // ReleasePermit is a permit.
@@ -71,23 +71,23 @@
 type ReleaseStep struct {
 	Slot          Slot
 	Node          NodeID
-	State         StepState
-	Affected      bool   // it went out by this release, or came back with its version
-	OutAtRollback bool   // on a way back: it was out when that began, and may come back with either version
-	Version       string // that it came back with
+	State         StepState `json:"Stage"`
+	Affected      bool      `json:"Touched"` // it went out by this release, or came back with its version
+	OutAtRollback bool      `json:"Carried"` // on a way back: it was out when that began, and may come back with either version
+	Version       string    // that it came back with
 }
 
 // Release is a plan and how far it is.
 type Release struct {
 	Number uint64
 	ReleasePlan
-	ForNodes     bool
-	State        ReleaseState
-	Reason       string // why it was halted; of a way back, why that began
+	ForNodes     bool         `json:"OnNodes"`
+	State        ReleaseState `json:"Course"`
+	Reason       string       // why it was halted; of a way back, why that began
 	Steps        []ReleaseStep
-	OpenBatch    uint32 // the last that is open, from 0
-	RollbackOf   uint64 // the release that this is the way back of; 0: none
-	ChangedIndex uint64 // the entry that last changed it
+	OpenBatch    uint32 `json:"Batch"`   // the last that is open, from 0
+	RollbackOf   uint64 `json:"BackOf"`  // the release that this is the way back of; 0: none
+	ChangedIndex uint64 `json:"Changed"` // the entry that last changed it
 }
 
 // NodeDrain is an agreed drain of a node.
@@ -96,7 +96,7 @@
 	Number       uint64
 	Reason       string
 	Release      uint64              // 0: an operator's
-	Acknowledged []BrokerIncarnation // who sends nothing more
+	Acknowledged []BrokerIncarnation `json:"Acks"` // who sends nothing more
 }
 
 // BrokerIncarnation is a broker under an incarnation.
@@ -118,10 +118,10 @@
 // Node is an agreed node and how it stands.
 type Node struct {
 	NodeInfo
-	DownIndex   uint64 // not ready, without a permit: the entry that said so
-	DrainNumber uint64 // 0: none
-	OutByPermit bool   // it is out by a permit
-	Leased      uint64 // above the floors, that brokers may hold
-	Reserved    uint64 // reserved for all brokers
+	DownIndex   uint64 `json:"Down"`   // not ready, without a permit: the entry that said so
+	DrainNumber uint64 `json:"Drain"`  // 0: none
+	OutByPermit bool   `json:"Used"`   // it is out by a permit
+	Leased      uint64 `json:"Units"`  // above the floors, that brokers may hold
+	Reserved    uint64 `json:"Floors"` // reserved for all brokers
 	Budget      uint64 // by the policy in force
 }
