--- a/internal/config/terms/terms.go
+++ b/internal/config/terms/terms.go
@@ -43,6 +43,14 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
+// LongestTimeout is the longest time that a client of any query type waits.
+func (t *Terms) LongestTimeout() (longest time.Duration) {
+	for i := range t.Module.QueryTypes {
+		longest = max(longest, t.Module.QueryTypes[i].Timeout)
+	}
+	return longest
+}
+
 // FromText reads the simulator's path=value lines.
 func FromText(setup string, seed uint64) (Terms, error) {
 	p := &pairs{m: map[string][]string{}}
--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -55,7 +55,7 @@
 			return nil
 		})
 	}
-	g := &granting{b: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + longest(t) + plainClose}
+	g := &granting{b: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + t.LongestTimeout() + plainClose}
 	s.fleet.Compile(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
 		return g.compile(text, state, t.Tenants, o.Lease)
 	})
--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"flaxfront/internal/server/ingress"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -56,21 +57,13 @@
 	near, far := tcpPair(t)
 	defer far.Close()
 	s.draining.Store(false)
-	s.clients.mu.Lock()
-	s.clients.closing = false
-	s.clients.mu.Unlock()
+	in := ingress.New(nil, s, ingress.Options{Limits: ingress.Limits{Connections: 100, Used: 100, ReadGrace: s.Settings().Dial}})
 	before := s.Counters().Searches.Taken
 	text := post(id, body)
-	ended := converses(s, near)
-	settled := func(reached func(c *client) bool) {
+	ended := converses(s, in, near)
+	settled := func(reached func(c ingress.ConnectionInfo) bool) {
 		for deadline := time.Now().Add(100 * time.Millisecond); time.Now().Before(deadline); time.Sleep(50 * time.Microsecond) {
-			s.clients.mu.Lock()
-			done := true
-			for c := range s.clients.all {
-				done = done && reached(c)
-			}
-			s.clients.mu.Unlock()
-			if done {
+			if !slices.ContainsFunc(in.Connections(), func(c ingress.ConnectionInfo) bool { return !reached(c) }) {
 				return
 			}
 		}
@@ -81,31 +74,29 @@
 		case begins:
 			_, err := io.WriteString(far, text[:30])
 			closed = closed || err != nil
-			settled(func(c *client) bool { return c.state == reading })
+			settled(func(c ingress.ConnectionInfo) bool { return c.State == ingress.StateReading })
 		case becomes:
 			_, err := io.WriteString(far, text[30:])
 			closed = closed || err != nil
-			settled(func(c *client) bool { return c.used && c.state == idle })
+			settled(func(c ingress.ConnectionInfo) bool { return c.Used && c.State == ingress.StateIdle })
 		case strays:
 			io.WriteString(far, "P")
-			settled(func(c *client) bool { return c.state == reading })
+			settled(func(c ingress.ConnectionInfo) bool { return c.State == ingress.StateReading })
 		case departs:
 			far.(*net.TCPConn).CloseWrite()
-			settled(func(*client) bool { return len(s.clients.all) == 0 })
+			settled(func(ingress.ConnectionInfo) bool { return false })
 		case drains:
 			s.draining.Store(true)
-			s.clients.closeIdle()
-			settled(func(c *client) bool { return c.state != idle })
+			in.CloseIdle()
+			settled(func(c ingress.ConnectionInfo) bool { return c.State != ingress.StateIdle })
 		case spares:
-			s.clients.mu.Lock()
-			s.clients.spare()
-			s.clients.mu.Unlock()
-			settled(func(c *client) bool { return c.state != idle || c.ended == "" })
+			in.ReclaimIdle()
+			settled(func(c ingress.ConnectionInfo) bool { return c.State != ingress.StateIdle || c.Ending == "" })
 		}
 	}
 	far.(*net.TCPConn).CloseWrite()
-	in := httpwire.NewReader(far)
-	m, err := httpwire.ReadResponse(in)
+	answers := httpwire.NewReader(far)
+	m, err := httpwire.ReadResponse(answers)
 	reason := <-ended
 	was := strings.Join(strings.Fields(fmt.Sprint(course)), " ")
 	taken := s.Counters().Searches.Taken - before
@@ -119,10 +110,10 @@
 		t.Errorf("%s: taken and not answered whole (%s): %v", was, reason, err)
 	case asked >= 0 && taken == 0 && err == nil && m.Status < 400:
 		t.Errorf("%s: answered %d with no search", was, m.Status)
-	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]string{"drained", "spare", "client_left"}, reason):
+	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]ingress.Reason{ingress.Drained, ingress.Spare, ingress.ClientLeft}, reason):
 		t.Errorf("%s: neither taken nor closed for a reason: %s", was, reason)
 	}
-	if again, err := httpwire.ReadResponse(in); err == nil && again.Status == 200 {
+	if again, err := httpwire.ReadResponse(answers); err == nil && again.Status == 200 {
 		t.Errorf("%s: two answers", was)
 	}
 }
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -23,14 +23,12 @@
 			t.Fatalf("request %d: %d", i, m.Status)
 		}
 		held = append(held, c)
-		s.clients.mu.Lock()
 		n := 0
-		for c := range s.clients.all {
-			if c.used && c.ended == "" {
+		for _, c := range s.ingress.Connections() {
+			if c.Used && c.Ending == "" {
 				n++
 			}
 		}
-		s.clients.mu.Unlock()
 		if n > 96/3*3/4 {
 			t.Fatalf("%d kept after request %d", n, i)
 		}
@@ -45,23 +43,6 @@
 	}
 }
 
-// What is logged of useless connections is bounded, and what is left out is counted.
-func TestUselessConnectionsLogLittle(t *testing.T) {
-	var l lines
-	at, logged, left := time.Unix(1000, 0), 0, 0
-	for range 50 * linesASecond {
-		ok, n := l.one(at)
-		if left += n; ok {
-			logged++
-		}
-		at = at.Add(10 * time.Second / (50 * linesASecond))
-	}
-	ok, n := l.one(at.Add(time.Second))
-	if logged++; !ok || logged > 12*linesASecond || logged+left+n != 50*linesASecond+1 {
-		t.Errorf("%d logged, %d left out", logged, left+n)
-	}
-}
-
 // A client that goes away frees its place at once; its neighbours feel nothing.
 func TestClientGone(t *testing.T) {
 	s, _ := live(t, 1024)
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -14,6 +14,7 @@
 	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/discovery"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/store"
 )
 
@@ -69,7 +70,7 @@
 	l := newLoop(a.Start, decide(t.Module), &t.Module)
 	l.clock, l.ask, l.tell = a.Now, a.Ask, a.Tell
 	l.say = func(text string, _ time.Duration) { a.Log(text) }
-	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: longest(t),
+	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: t.LongestTimeout(),
 		Conns: max(1, (a.Sockets-spareSockets)/nodesPart)}
 	l.pool = store.NewPool(context.Background(), limits, nil, a.Now, nil, nil, l.subrequestEnded)
 	l.pool.Probed = l.probed
@@ -102,17 +103,17 @@
 
 // Search puts a search to the broker; to gets its one verdict, perhaps before Search returns.
 func (c *Core) Search(a *Query, to func(QueryResult)) Held {
-	q := &ask{id: a.ID, typ: a.Type, tenant: a.Tenant, client: a.Client, repeat: a.Retry, timeout: a.Timeout, text: a.Text, hint: a.Hint,
-		parts: make([]askPart, len(a.Shards))}
+	q := &query.Request{ID: a.ID, Type: a.Type, Tenant: a.Tenant, Client: a.Client, Retry: a.Retry, Timeout: a.Timeout, Text: a.Text, Hint: a.Hint,
+		Shards: make([]query.ShardRequest, len(a.Shards))}
 	for i, shard := range a.Shards {
-		q.parts[i] = askPart{partName(a.ID, shard), shard, a.Weights[i]}
+		q.Shards[i] = query.ShardRequest{Name: query.ShardRequestName(a.ID, shard), Shard: shard, Weight: a.Weights[i]}
 	}
-	s := &search{ask: q, arrived: c.l.since(), deadline: c.l.since() + a.Timeout}
-	s.to = func(v result) {
-		out := QueryResult{Answered: v.kind == answered, Complete: v.whole, Shed: v.kind == shed, RetryAfter: v.after,
-			Hinted: v.hinted, Positions: v.seen, Behind: v.behind, Staleness: v.stale}
-		for _, p := range v.pieces {
-			out.Shards, out.Values = append(out.Shards, p.shard), append(out.Values, p.value)
+	s := &search{Request: q, arrival: c.l.since(), deadline: c.l.since() + a.Timeout}
+	s.onResult = func(v query.Result) {
+		out := QueryResult{Answered: v.Outcome == query.Answered, Complete: v.Complete, Shed: v.Outcome == query.Shed, RetryAfter: v.RetryAfter,
+			Hinted: v.Hinted, Positions: v.Positions, Behind: v.Behind, Staleness: v.Staleness}
+		for _, p := range v.Answers {
+			out.Shards, out.Values = append(out.Shards, p.Shard), append(out.Values, p.Value)
 		}
 		to(out)
 	}
@@ -121,7 +122,13 @@
 }
 
 // Leave tells that a search's client has gone; overdue, that its time is up and a verdict is owed.
-func (c *Core) Leave(h Held, overdue bool) { c.l.take(queryAbandoned{h.s, overdue}) }
+func (c *Core) Leave(h Held, overdue bool) {
+	cause := query.ClientLeft
+	if overdue {
+		cause = query.DeadlinePassed
+	}
+	c.l.take(queryAbandoned{h.s, cause})
+}
 
 // Event hands on what happened to a connection.
 func (c *Core) Event(e store.Event) { c.l.take(e) }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -28,9 +28,11 @@
 		case <-s.ctx.Done():
 		}
 	}
-	cs := &s.clients
-	c.Clients.Accepted, c.Clients.Closed = cs.accepted.Load(), cs.closed.Load()
-	c.Clients.BadRequests, c.Clients.Unwritten = cs.refused.Load(), cs.unwritten.Load()
+	connections := &s.ingress.Counters
+	c.Clients.Accepted = connections.Accepted.Load()
+	c.Clients.Closed = connections.Closed.Load()
+	c.Clients.BadRequests = connections.BadRequests.Load()
+	c.Clients.Unwritten = connections.Unwritten.Load()
 	if s.links != nil {
 		c.Refused = s.links.Refused.Load()
 	}
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"flaxfront/internal/config/operator"
+	"flaxfront/internal/server/ingress"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -34,7 +36,7 @@
 		"a stray byte":      "x",
 		"another search":    hanging("b", "1900"),
 		"many searches":     strings.Repeat(hanging("b", "1900"), 20),
-		"more than is kept": strings.Repeat("x", 4*keptAhead),
+		"more than is kept": strings.Repeat("x", 4*ingress.MaxLookahead),
 	} {
 		for _, reset := range []bool{false, true} {
 			n++
@@ -49,7 +51,7 @@
 				c.Close()
 			}()
 			within(t, s, what, func(c Counters) bool { return c.Searches.Left == n && c.Searches.InHand == 0 })
-			within(t, s, what, func(Counters) bool { return s.clients.closed.Load() == n })
+			within(t, s, what, func(c Counters) bool { return c.Clients.Closed == n })
 			if got := s.Counters().Searches; got.Taken != n || got.Store.Parts > 2*n {
 				t.Errorf("%s, reset %v: %d taken of %d, %d parts sent", what, reset, got.Taken, n, got.Store.Parts)
 			}
@@ -65,7 +67,7 @@
 	near, far := tcpPair(t)
 	io.WriteString(far, post("a", body))
 	far.Close()
-	if reason := <-converses(s, near); reason != "client_left" {
+	if reason := <-converses(s, s.ingress, near); reason != ingress.ClientLeft {
 		t.Errorf("ended as %s", reason)
 	}
 	if n := s.Counters().Searches; n.Taken != 0 || n.Store.Parts != 0 {
@@ -99,7 +101,7 @@
 	} {
 		s, _ := live(t, 1024)
 		c := dial(t, s)
-		io.WriteString(c, text+strings.Repeat("x", 3*keptAhead))
+		io.WriteString(c, text+strings.Repeat("x", 3*ingress.MaxLookahead))
 		if m := c.hear(); !m.Close {
 			t.Errorf("%s: %d, and the connection goes on", what, m.Status)
 		}
@@ -109,13 +111,28 @@
 	}
 }
 
+// stalledListener accepts one connection and stands still with it in its hands until it is released.
+type stalledListener struct {
+	*net.TCPListener
+	release chan struct{}
+}
+
+func (l *stalledListener) Accept() (net.Conn, error) {
+	conn, err := l.TCPListener.Accept()
+	<-l.release
+	return conn, err
+}
+
 // Connections that wait in the kernel when a stop closes the listener are accepted first, and their requests answered.
 func TestStopTakesWhatWaitsToBeAccepted(t *testing.T) {
-	s, end := live(t, 1024)
+	s := opened(t, startAt(t, "127.0.0.1:0", 1024), operator.Default())
+	stalled := &stalledListener{TCPListener: s.listener.(*net.TCPListener), release: make(chan struct{})}
+	s.listener = stalled
+	s.openIngress()
 	enough := make(chan time.Time)
 	s.after = func(time.Duration) <-chan time.Time { return enough }
+	end := serving(t, s)
 	until(s, func(Counters) bool { return true })
-	s.clients.mu.Lock() // nobody is admitted, so that the accepting stands still with one connection in its hands
 	var waiting []*caller
 	for i := range 5 {
 		c := dial(t, s)
@@ -128,13 +145,13 @@
 	}
 	enough <- time.Time{}
 	closed := false
-	for begun := time.Now(); time.Since(begun) < 10*queuedFor && !closed; {
-		conn, err := net.DialTimeout("tcp", s.listener.Addr().String(), queuedFor)
+	for begun := time.Now(); time.Since(begun) < 10*ingress.QueueQuietPeriod && !closed; {
+		conn, err := net.DialTimeout("tcp", s.listener.Addr().String(), ingress.QueueQuietPeriod)
 		if closed = err != nil; !closed {
 			conn.Close()
 		}
 	}
-	s.clients.mu.Unlock()
+	close(stalled.release)
 	for i, c := range waiting {
 		if m, err := httpwire.ReadResponse(c.in); err != nil || m.Status != 200 {
 			t.Errorf("connection %d: %v, %+v", i, err, m)
@@ -148,7 +165,7 @@
 // What comes after SIGTERM has its answer before the kill, whatever time its client gives it; what came before keeps its time.
 func TestAnswerComesBeforeTheKill(t *testing.T) {
 	s, _ := live(t, 1024)
-	patient := longest(s.Settings())
+	patient := s.Settings().LongestTimeout()
 	if by := s.answerBy(time.Second, patient); by != time.Second+patient {
 		t.Errorf("while it serves: by %v", by)
 	}
@@ -189,7 +206,7 @@
 	}
 	begun := time.Now()
 	end()
-	if took := time.Since(begun); took > 5*queuedMost {
+	if took := time.Since(begun); took > 5*stopTaking {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -13,6 +13,7 @@
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision/admission"
+	"flaxfront/internal/server/query"
 )
 
 // doorway is the loop's part of it.
@@ -84,9 +85,9 @@
 func (l *loop) atDoor(s *search) bool {
 	d, now := l.door, l.since()
 	d.last++
-	s.ticket, s.work = d.last, float64(len(s.ask.parts))
-	ruling, hint := d.Arrive(admission.Search{ID: s.ticket, Tenant: s.doorTenant(d), Client: s.client, Work: s.work,
-		Left: s.deadline - now, Repeat: s.repeat}, now)
+	s.ticket, s.work = d.last, float64(len(s.Request.Shards))
+	ruling, hint := d.Arrive(admission.Search{ID: s.ticket, Tenant: s.doorTenant(d), Client: s.Client, Work: s.work,
+		Left: s.deadline - now, Repeat: s.Retry}, now)
 	switch ruling {
 	case admission.Enter:
 		l.letIn(s, now)
@@ -95,15 +96,15 @@
 		s.queued = true
 		d.waiting[s.ticket] = s
 		l.tally.InHand++
-		l.ids[s.ask.id] = true
+		l.ids[s.Request.ID] = true
 	case admission.Turn:
 		l.tally.TurnedAway++
-		l.conclude(s, result{kind: shed, after: hint})
+		l.conclude(s, query.Result{Outcome: query.Shed, RetryAfter: hint})
 	}
 	return false
 }
 
-func (s *search) doorTenant(d *doorway) int { return min(s.tenant, len(d.names)-1) }
+func (s *search) doorTenant(d *doorway) int { return min(s.Tenant, len(d.names)-1) }
 
 // doorTick lets in those that waited, or tells them when to come back; it returns when to come again.
 func (l *loop) doorTick(now time.Duration) time.Duration {
@@ -114,15 +115,15 @@
 		s := l.door.waiting[let.ID]
 		delete(l.door.waiting, let.ID)
 		s.queued = false
-		n := len(s.ask.parts)
+		n := len(s.Request.Shards)
 		switch {
 		case !let.Enter:
 			l.tally.TurnedAway++
-			l.endQueued(s, result{kind: shed, after: let.Hint})
+			l.endQueued(s, query.Result{Outcome: query.Shed, RetryAfter: let.Hint})
 		case l.places+1+n > l.maxOpen:
 			l.letIn(s, now)
 			l.tally.Full++
-			l.endQueued(s, result{kind: shed, after: l.comeBack})
+			l.endQueued(s, query.Result{Outcome: query.Shed, RetryAfter: l.comeBack})
 		default:
 			l.letIn(s, now)
 			l.enter(s, s.deadline-now)
@@ -132,10 +133,10 @@
 }
 
 // endQueued gives a search that waited at the door its verdict.
-func (l *loop) endQueued(s *search, v result) {
+func (l *loop) endQueued(s *search, v query.Result) {
 	l.conclude(s, v)
 	l.tally.InHand--
-	delete(l.ids, s.ask.id)
+	delete(l.ids, s.Request.ID)
 }
 
 // leaveDoor forgets a search that waits, as its client has gone or its time is over.
@@ -144,7 +145,7 @@
 	delete(l.door.waiting, s.ticket)
 	s.queued, s.over = false, true
 	l.tally.InHand--
-	delete(l.ids, s.ask.id)
+	delete(l.ids, s.Request.ID)
 }
 
 // letIn notes that the door let a search in.
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -12,6 +12,7 @@
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision"
 	"flaxfront/internal/lab"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/store"
 )
 
@@ -119,7 +120,7 @@
 	if l.door, err = newDoorway(&operator.Default().Door, &terms.Terms{}); err != nil {
 		t.Fatal(err)
 	}
-	s := &search{ask: &ask{id: "a", parts: []askPart{{name: "a.0", weight: 1}}}, deadline: 5 * time.Second, verdict: make(chan result, 1)}
+	s := &search{Request: &query.Request{ID: "a", Shards: []query.ShardRequest{{Name: "a.0", Weight: 1}}}, deadline: 5 * time.Second, result: make(chan query.Result, 1)}
 	now = 1 * time.Second
 	l.take(queryReceived{s})
 	now = 1300 * time.Millisecond
@@ -129,7 +130,7 @@
 	l.step()
 	now = 4 * time.Second
 	l.step()
-	if d := l.door.State(now); len(s.verdict) != 1 || d.Baseline != 40*time.Millisecond || d.Stretch < 2 || d.InHand != 0 {
+	if d := l.door.State(now); len(s.result) != 1 || d.Baseline != 40*time.Millisecond || d.Stretch < 2 || d.InHand != 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -11,6 +11,7 @@
 	"flaxfront/internal/cluster/controlplane"
 	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/statemachine"
+	"flaxfront/internal/server/query"
 )
 
 // agreed is the loop's part of the fleet.
@@ -140,15 +141,15 @@
 }
 
 // counted adds a verdict to its class.
-func (a *agreed) counted(s *search, v result, now time.Duration) {
-	if s.typ < 0 || s.typ >= len(a.classes) {
+func (a *agreed) counted(s *search, v query.Result, now time.Duration) {
+	if s.Type < 0 || s.Type >= len(a.classes) {
 		return
 	}
-	c := &a.classes[s.typ]
+	c := &a.classes[s.Type]
 	switch {
-	case v.kind == answered:
+	case v.Outcome == query.Answered:
 		c.Served++
-	case v.kind == shed:
+	case v.Outcome == query.Shed:
 		c.Refused++
 	case now >= s.deadline:
 		c.Late++
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -14,6 +14,7 @@
 	"flaxfront/internal/decision/readpin"
 	"flaxfront/internal/decision/statemachine"
 	"flaxfront/internal/discovery"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/store"
 )
 
@@ -68,8 +69,8 @@
 		l.list(&discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
 		m.to = a
 		admit := func(id string) *search {
-			s := &search{ask: &ask{id: id, parts: []askPart{{name: id + ".0", weight: 1}}}, deadline: l.since() + 5*time.Second,
-				verdict: make(chan result, 1)}
+			s := &search{Request: &query.Request{ID: id, Shards: []query.ShardRequest{{Name: id + ".0", Weight: 1}}}, deadline: l.since() + 5*time.Second,
+				result: make(chan query.Result, 1)}
 			l.take(queryReceived{s})
 			l.step()
 			return s
--- a/internal/server/foreign.go
+++ b/internal/server/foreign.go
@@ -10,6 +10,7 @@
 
 	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/forwarding"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/link"
 )
 
@@ -79,16 +80,16 @@
 	if s == nil {
 		return // given up meanwhile
 	}
-	answer, how := result{kind: errored}, forwarding.Failed
+	answer, how := query.Result{Outcome: query.Failed}, forwarding.Failed
 	switch v.Kind {
 	case link.Refused:
 		how = forwarding.Refused
 		s.after = time.Duration(v.After) * time.Microsecond
 	case link.Answered:
-		if answer = s.answerOf(v, &l.types[s.typ]); answer.kind == answered {
+		if answer = s.answerOf(v, &l.types[s.Type]); answer.Outcome == query.Answered {
 			how = forwarding.Answered
 		} else {
-			slog.Warn("gateway: an answer from the other site does not hold what it claims", "search", s.ask.id)
+			slog.Warn("gateway: an answer from the other site does not hold what it claims", "search", s.Request.ID)
 		}
 	}
 	if g.near.Back(at, v.ID, how, l.since()) {
@@ -97,18 +98,18 @@
 }
 
 // answerOf makes a verdict of the pieces that came, if they are what they are said to be (rule 5).
-func (s *search) answerOf(v *link.Verdict, t *decision.QueryType) result {
-	got, out := 0.0, result{kind: answered, whole: v.Whole}
+func (s *search) answerOf(v *link.Verdict, t *decision.QueryType) query.Result {
+	got, out := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
 	for _, p := range v.Pieces {
-		at := slices.IndexFunc(s.ask.parts, func(a askPart) bool { return a.shard == p.Shard })
-		if at < 0 || slices.ContainsFunc(out.pieces, func(o piece) bool { return o.shard == p.Shard }) {
-			return result{kind: errored}
+		at := slices.IndexFunc(s.Request.Shards, func(a query.ShardRequest) bool { return a.Shard == p.Shard })
+		if at < 0 || slices.ContainsFunc(out.Answers, func(o query.ShardAnswer) bool { return o.Shard == p.Shard }) {
+			return query.Result{Outcome: query.Failed}
 		}
-		got += s.ask.parts[at].weight
-		out.pieces = append(out.pieces, piece{p.Shard, p.Value})
+		got += s.Request.Shards[at].Weight
+		out.Answers = append(out.Answers, query.ShardAnswer{Shard: p.Shard, Value: p.Value})
 	}
 	if got < t.MinCompleteness-slip || v.Whole && got < t.FullCompleteness-slip {
-		return result{kind: errored}
+		return query.Result{Outcome: query.Failed}
 	}
 	return out
 }
@@ -124,9 +125,9 @@
 		return
 	}
 	load := forwarding.Load{Places: l.maxOpen, Taken: l.places, Stopping: g.stop(),
-		Lacking: slices.ContainsFunc(a.parts, func(p askPart) bool { return slices.Contains(g.lacking, p.shard) })}
+		Lacking: slices.ContainsFunc(a.Shards, func(p query.ShardRequest) bool { return slices.Contains(g.lacking, p.Shard) })}
 	left := time.Duration(in.Left) * time.Microsecond
-	switch g.far.Arrive(k, c.Serial, l.types[a.typ].Idempotency, len(a.parts), left, load, now) {
+	switch g.far.Arrive(k, c.Serial, l.types[a.Type].Idempotency, len(a.Shards), left, load, now) {
 	case forwarding.Turn:
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: l.comeBack.Microseconds()})
 	case forwarding.Join:
@@ -137,23 +138,23 @@
 		}
 	case forwarding.Run:
 		f := &foreigner{conn: c}
-		f.s = &search{ask: a, deadline: now + left, foreign: true}
-		f.s.to = func(v result) { l.foreignEnd(k, f, v) }
+		f.s = &search{Request: a, deadline: now + left, foreign: true}
+		f.s.onResult = func(v query.Result) { l.foreignEnd(k, f, v) }
 		g.foreign[k] = f
 		l.admit(f.s)
 	}
 }
 
 // foreignEnd tells another site the verdict on its search.
-func (l *loop) foreignEnd(k forwarding.Key, f *foreigner, v result) {
-	out := link.Verdict{ID: k.ID, Whole: v.whole, After: v.after.Microseconds(), Kind: link.Failed}
-	switch v.kind {
-	case answered:
+func (l *loop) foreignEnd(k forwarding.Key, f *foreigner, v query.Result) {
+	out := link.Verdict{ID: k.ID, Whole: v.Complete, After: v.RetryAfter.Microseconds(), Kind: link.Failed}
+	switch v.Outcome {
+	case query.Answered:
 		out.Kind = link.Answered
-		for _, p := range v.pieces {
-			out.Pieces = append(out.Pieces, link.Piece{Shard: p.shard, Value: p.value})
+		for _, p := range v.Answers {
+			out.Pieces = append(out.Pieces, link.Piece{Shard: p.Shard, Value: p.Value})
 		}
-	case shed:
+	case query.Shed:
 		out.Kind = link.Refused // nothing of it has run, or it may be asked again
 	}
 	if f.conn != nil {
@@ -170,20 +171,20 @@
 func (l *loop) callOff(s *search) {
 	if !s.over {
 		l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: s.id})
-		l.conclude(s, result{kind: errored})
+		l.conclude(s, query.Result{Outcome: query.Failed})
 		l.finish(s)
 	}
 }
 
 // decode reads a forwarded search; false: this site has no such type, tenant or shard.
-func (g *gateway) decode(in *link.Ask) (*ask, bool) {
+func (g *gateway) decode(in *link.Ask) (*query.Request, bool) {
 	t := g.terms
-	a := &ask{id: in.Request, typ: slices.Index(t.Types, in.Type), repeat: in.Repeat, text: in.Text,
-		timeout: time.Duration(in.Left) * time.Microsecond}
+	a := &query.Request{ID: in.Request, Type: slices.Index(t.Types, in.Type), Retry: in.Repeat, Text: in.Text,
+		Timeout: time.Duration(in.Left) * time.Microsecond}
 	if len(t.Tenants) > 0 {
-		a.tenant = slices.Index(t.Tenants, in.Tenant)
+		a.Tenant = slices.Index(t.Tenants, in.Tenant)
 	}
-	if a.typ < 0 || a.tenant < 0 || !plainID(in.Request) {
+	if a.Type < 0 || a.Tenant < 0 || !query.ValidID(in.Request) {
 		return nil, false
 	}
 	seen, sum := map[int]bool{}, 0.0
@@ -193,7 +194,7 @@
 		}
 		seen[p.Shard] = true
 		sum += p.Weight
-		a.parts = append(a.parts, askPart{partName(in.Request, p.Shard), p.Shard, p.Weight})
+		a.Shards = append(a.Shards, query.ShardRequest{Name: query.ShardRequestName(in.Request, p.Shard), Shard: p.Shard, Weight: p.Weight})
 	}
-	return a, sum > 1-weightsSumSlip && sum < 1+weightsSumSlip
+	return a, sum > 1-query.WeightTolerance && sum < 1+query.WeightTolerance
 }
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"flaxfront/internal/config/terms"
+	"flaxfront/internal/server/query"
 )
 
 // Front is a listener on another protocol.
@@ -43,10 +44,10 @@
 // Search is the life of a search of another front: from here to its one verdict. When ctx ends its client has gone, and the search is
 // left.
 func (s *Server) Search(ctx context.Context, a *Query) (QueryResult, error) {
-	q := &search{ask: &ask{id: a.ID, typ: a.Type, tenant: a.Tenant, client: a.Client, repeat: a.Retry, timeout: a.Timeout, text: a.Text},
-		arrived: s.loop.since(), deadline: s.loop.since() + a.Timeout, verdict: make(chan result, 1)}
+	q := &search{Request: &query.Request{ID: a.ID, Type: a.Type, Tenant: a.Tenant, Client: a.Client, Retry: a.Retry, Timeout: a.Timeout, Text: a.Text},
+		arrival: s.loop.since(), deadline: s.loop.since() + a.Timeout, result: make(chan query.Result, 1)}
 	for i, shard := range a.Shards {
-		q.ask.parts = append(q.ask.parts, askPart{partName(a.ID, shard), shard, a.Weights[i]})
+		q.Request.Shards = append(q.Request.Shards, query.ShardRequest{Name: query.ShardRequestName(a.ID, shard), Shard: shard, Weight: a.Weights[i]})
 	}
 	if !s.deliver(queryReceived{q}) {
 		return QueryResult{}, ErrStopping
@@ -55,16 +56,16 @@
 	defer overdue.Stop()
 	for {
 		select {
-		case v := <-q.verdict:
-			out := QueryResult{Answered: v.kind == answered, Complete: v.whole, Shed: v.kind == shed, RetryAfter: v.after}
-			for _, p := range v.pieces {
-				out.Shards, out.Values = append(out.Shards, p.shard), append(out.Values, p.value)
+		case v := <-q.result:
+			out := QueryResult{Answered: v.Outcome == query.Answered, Complete: v.Complete, Shed: v.Outcome == query.Shed, RetryAfter: v.RetryAfter}
+			for _, p := range v.Answers {
+				out.Shards, out.Values = append(out.Shards, p.Shard), append(out.Values, p.Value)
 			}
 			return out, nil
 		case <-overdue.C:
-			s.deliver(queryAbandoned{q, true}) // a verdict comes of it
+			s.deliver(queryAbandoned{q, query.DeadlinePassed}) // a verdict comes of it
 		case <-ctx.Done():
-			s.deliver(queryAbandoned{q, false})
+			s.deliver(queryAbandoned{q, query.ClientLeft})
 			return QueryResult{}, ctx.Err()
 		case <-s.ctx.Done():
 			return QueryResult{}, ErrStopping
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -11,6 +11,7 @@
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/forwarding"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/link"
 )
 
@@ -48,12 +49,12 @@
 	if g == nil || s.pin != nil { // what its reads need is known here alone
 		return false
 	}
-	r := forwarding.Search{ID: s.id, Effect: l.types[s.typ].Idempotency, Window: l.types[s.typ].IdempotencyWindow, Due: s.deadline,
+	r := forwarding.Search{ID: s.id, Effect: l.types[s.Type].Idempotency, Window: l.types[s.Type].IdempotencyWindow, Due: s.deadline,
 		Foreign: s.foreign, Home: s.home}
 	lacking := false
-	for i := range s.ask.parts {
-		r.Shards = append(r.Shards, s.ask.parts[i].shard)
-		lacking = lacking || slices.Contains(g.lacking, s.ask.parts[i].shard)
+	for i := range s.Request.Shards {
+		r.Shards = append(r.Shards, s.Request.Shards[i].Shard)
+		lacking = lacking || slices.Contains(g.lacking, s.Request.Shards[i].Shard)
 	}
 	if !s.foreign && !lacking {
 		g.far.Shed(l.since())
@@ -87,9 +88,9 @@
 			case forwarding.Home:
 				l.bringHome(s, a)
 			case forwarding.Shed:
-				l.endAbroad(s, a.ID, result{kind: shed, after: max(s.after, l.comeBack)})
+				l.endAbroad(s, a.ID, query.Result{Outcome: query.Shed, RetryAfter: max(s.after, l.comeBack)})
 			case forwarding.Fail:
-				l.endAbroad(s, a.ID, result{kind: errored})
+				l.endAbroad(s, a.ID, query.Result{Outcome: query.Failed})
 			case forwarding.Log:
 				slog.Info("gateway", "mode", a.Text)
 			}
@@ -99,19 +100,19 @@
 
 // ask is a search as the link carries it.
 func (g *gateway) ask(s *search, a forwarding.Act) link.Ask {
-	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.terms.Types[s.typ], Repeat: s.repeat,
-		Request: s.ask.id, Text: s.text}
+	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.terms.Types[s.Type], Repeat: s.Retry,
+		Request: s.Request.ID, Text: s.Text}
 	if len(g.terms.Tenants) > 0 {
-		out.Tenant = g.terms.Tenants[s.tenant]
+		out.Tenant = g.terms.Tenants[s.Tenant]
 	}
-	for i := range s.ask.parts {
-		out.Parts = append(out.Parts, link.Part{Shard: s.ask.parts[i].shard, Weight: s.ask.parts[i].weight})
+	for i := range s.Request.Shards {
+		out.Parts = append(out.Parts, link.Part{Shard: s.Request.Shards[i].Shard, Weight: s.Request.Shards[i].Weight})
 	}
 	return out
 }
 
 // endAbroad gives a search that was abroad its verdict.
-func (l *loop) endAbroad(s *search, id uint64, v result) {
+func (l *loop) endAbroad(s *search, id uint64, v query.Result) {
 	l.conclude(s, v)
 	l.leaveAbroad(s, id)
 }
@@ -121,28 +122,28 @@
 	s.over = true
 	l.tally.InHand--
 	delete(l.gate.abroad, id)
-	delete(l.ids, s.ask.id)
+	delete(l.ids, s.Request.ID)
 }
 
 // bringHome hands a search to the module once more, as a new one with the time that is left.
 func (l *loop) bringHome(s *search, a forwarding.Act) {
 	delete(l.gate.abroad, a.ID)
 	s.abroad, s.home, s.risk = false, true, a.Risk
-	if l.places+1+len(s.ask.parts) > l.maxOpen {
+	if l.places+1+len(s.Request.Shards) > l.maxOpen {
 		l.tally.InHand--
 		s.over = true
-		delete(l.ids, s.ask.id)
+		delete(l.ids, s.Request.ID)
 		l.tally.Full++
-		l.conclude(s, s.shedding(result{kind: shed, after: l.comeBack}, l))
+		l.conclude(s, s.shedding(query.Result{Outcome: query.Shed, RetryAfter: l.comeBack}, l))
 		return
 	}
 	l.enter(s, a.Left)
 }
 
 // shedding is the verdict on a search that is shed: one that may have run elsewhere can't say that asking again is harmless.
-func (s *search) shedding(v result, l *loop) result {
-	if v.kind == shed && s.risk && l.types[s.typ].Idempotency != decision.Idempotent {
-		return result{kind: errored}
+func (s *search) shedding(v query.Result, l *loop) query.Result {
+	if v.Outcome == query.Shed && s.risk && l.types[s.Type].Idempotency != decision.Idempotent {
+		return query.Result{Outcome: query.Failed}
 	}
 	return v
 }
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -97,6 +97,13 @@
 
 // running is a broker of a configuration and an operators' file, until end or the test's.
 func running(t *testing.T, start *terms.Start, file *operator.File) (s *Server, end func() error) {
+	t.Helper()
+	s = opened(t, start, file)
+	return s, serving(t, s)
+}
+
+// opened is a broker that listens and does not serve yet.
+func opened(t *testing.T, start *terms.Start, file *operator.File) *Server {
 	t.Helper()
 	s, err := New(start, file, module)
 	if err == nil {
@@ -105,6 +112,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return s
+}
+
+// serving runs a broker until end or the test's.
+func serving(t *testing.T, s *Server) (end func() error) {
+	t.Helper()
 	stop, done, ended := make(chan struct{}), make(chan error, 1), false
 	go func() { done <- s.Run(stop) }()
 	end = func() error {
@@ -120,7 +133,7 @@
 		return err
 	}
 	t.Cleanup(func() { end() })
-	return s, end
+	return end
 }
 
 // planned reads what the laboratory wrote for a broker, and the text of an operators' file.
--- /dev/null
+++ b/internal/server/ingress/accept.go
@@ -0,0 +1,66 @@
+package ingress
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"os"
+	"time"
+)
+
+// accept takes connections until the listener is closed, or its queue is empty after StopAccepting.
+func (in *Ingress) accept(ctx context.Context) {
+	defer close(in.acceptEnded)
+	tail := acceptTail{longest: in.options.AcceptTail}
+	for {
+		conn, err := in.listener.Accept()
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			if tail.ended() {
+				return
+			}
+			in.acceptBriefly()
+			continue
+		}
+		tail.accepted()
+		if err != nil {
+			// Such as no descriptor left: one is freed, and the kernel keeps the other clients waiting.
+			slog.Warn("accept failed", "component", "ingress", "error", err)
+			in.ReclaimIdle()
+			if !in.waitForCapacity(ctx) {
+				return
+			}
+			continue
+		}
+		if !in.start(ctx, newConnection(conn, in.broker.Since)) {
+			conn.Close()
+			return
+		}
+	}
+}
+
+// start serves a connection in a goroutine of its own once there is capacity for it; false: ctx has ended before.
+func (in *Ingress) start(ctx context.Context, c *connection) bool {
+	for !in.connections.admit(c) {
+		if !in.waitForCapacity(ctx) {
+			return false
+		}
+	}
+	in.Counters.Accepted.Add(1)
+	in.serving.Go(func() { in.serve(ctx, c) })
+	return true
+}
+
+// waitForCapacity waits until a connection ends or falls idle, or for a short time; false: ctx has ended.
+func (in *Ingress) waitForCapacity(ctx context.Context) bool {
+	select {
+	case <-in.connections.capacity:
+	case <-time.After(in.broker.Settings().Dial):
+	case <-ctx.Done():
+		return false
+	}
+	return true
+}
--- /dev/null
+++ b/internal/server/ingress/answer.go
@@ -0,0 +1,89 @@
+package ingress
+
+import (
+	"context"
+	"io"
+	"time"
+
+	"flaxfront/internal/transport/httpwire"
+)
+
+// The statuses of answers, as the client protocol states them.
+const (
+	statusOK                 = 200
+	statusBadRequest         = 400
+	statusNotFound           = 404
+	statusMethodNotAllowed   = 405
+	statusRequestTimeout     = 408
+	statusConflict           = 409
+	statusServiceUnavailable = 503
+	statusGatewayTimeout     = 504
+)
+
+const contentTypeJSON = "Content-Type: application/json"
+
+// answer answers one request.
+func (in *Ingress) answer(ctx context.Context, c *connection, r request) Reason {
+	r.last = r.last || in.broker.Draining()
+	switch r.Path {
+	case "/alive":
+		return in.writeAnswer(c, httpwire.AppendResponse(c.out[:0], statusOK, r.last, nil), r.last)
+	case "/up":
+		status := statusOK
+		if in.broker.Draining() {
+			status = statusServiceUnavailable // no load balancer should send anything new
+		}
+		return in.writeAnswer(c, httpwire.AppendResponse(c.out[:0], status, r.last, nil), r.last)
+	case "/counters":
+		text := append([]byte(in.broker.CountersJSON()), '\n')
+		return in.writeAnswer(c, httpwire.AppendResponse(c.out[:0], statusOK, r.last, text, contentTypeJSON), r.last)
+	default:
+		return in.answerQuery(ctx, c, r)
+	}
+}
+
+// refuse tells a client that its request is bad, and ends the connection: where the next request begins is not certain.
+func (in *Ingress) refuse(c *connection, err error) Reason {
+	in.Counters.BadRequests.Add(1)
+	in.writeError(c, asRequestError(err))
+	return BadRequest
+}
+
+// writeError writes a last answer that says what was wrong.
+func (in *Ingress) writeError(c *connection, err *RequestError) {
+	response := httpwire.AppendResponse(c.out[:0], err.Status, true, []byte(err.Detail+"\n"))
+	if in.write(c, response) == nil {
+		in.linger(c)
+	}
+}
+
+// writeAnswer writes an answer.
+func (in *Ingress) writeAnswer(c *connection, response []byte, last bool) Reason {
+	if err := in.write(c, response); err != nil {
+		return WriteFailed
+	}
+	if last {
+		return LastAnswer
+	}
+	return goesOn
+}
+
+// write writes a response whole, within the longest time that any client waits.
+func (in *Ingress) write(c *connection, response []byte) error {
+	c.out = response[:0]
+	c.SetWriteDeadline(time.Now().Add(in.broker.Settings().LongestTimeout()))
+	_, err := c.Write(response)
+	return err
+}
+
+// linger closes the sending side after a last answer, and reads and drops for a while what the client still sends. A close over bytes
+// that lie unread would reset the connection, and could take along the answer that was just written. A client that does not close its
+// side holds a descriptor for that long.
+func (in *Ingress) linger(c *connection) {
+	sending, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || c.ahead.Ended() || sending.CloseWrite() != nil {
+		return
+	}
+	c.SetReadDeadline(time.Now().Add(in.broker.Settings().Dial))
+	io.Copy(io.Discard, io.LimitReader(c, httpwire.MaxBody))
+}
--- /dev/null
+++ b/internal/server/ingress/answer_query.go
@@ -0,0 +1,70 @@
+package ingress
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"flaxfront/internal/server/query"
+)
+
+// answerQuery reads a query, submits it, and answers it.
+func (in *Ingress) answerQuery(ctx context.Context, c *connection, r request) Reason {
+	q, err := decodeQuery(r.Message, in.broker.Settings())
+	if err != nil {
+		return in.refuse(c, err)
+	}
+	if in.options.IgnoredReadHints != nil {
+		in.decodeReadHint(r.Message, q)
+	}
+	c.useful = true
+	pending, ok := in.broker.Submit(query.Submission{Request: q, Arrival: r.arrival, ConnectionOverLimit: c.overLimit})
+	if !ok {
+		return Shutdown
+	}
+	c.SetReadDeadline(time.Time{})
+	result, reason := in.awaitResult(ctx, c, pending)
+	if reason != goesOn {
+		return reason
+	}
+	last := r.last || in.broker.Draining()
+	response := appendResult(c.out[:0], result, last, readHintHeaders(q, &result)...)
+	reason = in.writeAnswer(c, response, last)
+	if reason == WriteFailed {
+		in.Counters.Unwritten.Add(1)
+	}
+	slog.Debug("query answered", "component", "ingress", "query", q.ID, "outcome", result.Outcome, "elapsed", in.broker.Since()-r.arrival,
+		"reason", string(reason))
+	return reason
+}
+
+// awaitResult waits for a query's result, and watches meanwhile whether its client leaves, whatever else that has sent.
+func (in *Ingress) awaitResult(ctx context.Context, c *connection, pending query.Pending) (query.Result, Reason) {
+	done := make(chan struct{})
+	ended := make(chan error, 1)
+	watch := func() { ended <- c.ahead.Watch(done) }
+	go watch()
+	deadline := time.NewTimer(pending.Deadline() - in.broker.Since())
+	defer deadline.Stop()
+	for {
+		select {
+		case result := <-pending.Result():
+			close(done)
+			c.SetReadDeadline(past)
+			<-ended
+			return result, goesOn
+		case err := <-ended:
+			if err != nil {
+				pending.Abandon(query.ClientLeft)
+				return query.Result{}, ClientLeft
+			}
+			c.SetReadDeadline(time.Time{}) // the watcher was woken though the connection goes on
+			go watch()
+		case <-deadline.C:
+			pending.Abandon(query.DeadlinePassed) // and a result comes
+		case <-ctx.Done():
+			close(done)
+			return query.Result{}, Shutdown
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/ingress/body.go
@@ -0,0 +1,102 @@
+package ingress
+
+import (
+	"encoding/json"
+	"math"
+	"slices"
+	"unicode/utf8"
+
+	"flaxfront/internal/config/terms"
+	"flaxfront/internal/server/query"
+)
+
+// queryBody is a query's body as it was read. Shards are called tablets and weights fractions there.
+type queryBody struct {
+	shards    []bodyShard
+	statement string
+}
+
+type bodyShard struct {
+	number int
+	weight float64
+}
+
+// decodeBody reads a query's body. The error is a *RequestError.
+func decodeBody(q *query.Request, body []byte, settings *terms.Terms) error {
+	b, ok := scanBody(body)
+	if !ok {
+		var err error
+		if b, err = unmarshalBody(body); err != nil {
+			return err
+		}
+	}
+	return setShards(q, b, settings)
+}
+
+// unmarshalBody reads a body in any form that JSON allows.
+func unmarshalBody(body []byte) (b queryBody, err error) {
+	var doc struct {
+		Tablets []struct {
+			Tablet   *int     `json:"tablet"`
+			Fraction *float64 `json:"fraction"`
+		} `json:"tablets"`
+		Statement *string `json:"statement"`
+	}
+	if err := json.Unmarshal(body, &doc); err != nil {
+		bad := requestError(statusBadRequest, "body: %v", err)
+		bad.Err = err
+		return b, bad
+	}
+	if !utf8.Valid(body) { // the decoder would replace what is not, and nodes must get the text unchanged
+		return b, requestError(statusBadRequest, "body: not UTF-8")
+	}
+	if len(doc.Tablets) == 0 || doc.Statement == nil {
+		return b, requestError(statusBadRequest, "body: %d tablets, statement there: %v", len(doc.Tablets), doc.Statement != nil)
+	}
+	b.statement = *doc.Statement
+	for i, t := range doc.Tablets {
+		if t.Tablet == nil {
+			return b, noSuchTablet(i)
+		}
+		if t.Fraction == nil {
+			return b, badFraction(i)
+		}
+		b.shards = append(b.shards, bodyShard{number: *t.Tablet, weight: *t.Fraction})
+	}
+	return b, nil
+}
+
+// setShards checks what a body says of the shards, and takes it over.
+func setShards(q *query.Request, b queryBody, settings *terms.Terms) error {
+	q.Text = b.statement
+	q.Shards = make([]query.ShardRequest, 0, len(b.shards))
+	sum := 0.0
+	for i, s := range b.shards {
+		if s.number < 0 || s.number >= settings.Shards {
+			return noSuchTablet(i)
+		}
+		if !(s.weight >= 0 && s.weight <= 1+query.WeightTolerance) { // also where it is not a number
+			return badFraction(i)
+		}
+		if slices.ContainsFunc(q.Shards, func(o query.ShardRequest) bool { return o.Shard == s.number }) {
+			return requestError(statusBadRequest, "body: tablet %d twice", s.number)
+		}
+		sum += s.weight
+		q.Shards = append(q.Shards, query.ShardRequest{Name: query.ShardRequestName(q.ID, s.number), Shard: s.number, Weight: s.weight})
+	}
+	if math.Abs(sum-1) > query.WeightTolerance {
+		return requestError(statusBadRequest, "body: fractions add up to %.3f", sum)
+	}
+	for i := range q.Shards { // rounded weights would never add up to a complete answer
+		q.Shards[i].Weight /= sum
+	}
+	return nil
+}
+
+func noSuchTablet(i int) *RequestError {
+	return requestError(statusBadRequest, "body: tablets.%d: no such tablet", i)
+}
+
+func badFraction(i int) *RequestError {
+	return requestError(statusBadRequest, "body: tablets.%d: fraction", i)
+}
--- /dev/null
+++ b/internal/server/ingress/log_limit_test.go
@@ -0,0 +1,23 @@
+package ingress
+
+import (
+	"testing"
+	"time"
+)
+
+// What is logged of useless connections is bounded, and what is left out is counted.
+func TestUselessConnectionsLogLittle(t *testing.T) {
+	var l logLimit
+	at, logged, left := time.Unix(1000, 0), 0, 0
+	for range 50 * maxLinesPerSecond {
+		line := l.allow(at)
+		if left += line.suppressed; line.write {
+			logged++
+		}
+		at = at.Add(10 * time.Second / (50 * maxLinesPerSecond))
+	}
+	line := l.allow(at.Add(time.Second))
+	if logged++; !line.write || logged > 12*maxLinesPerSecond || logged+left+line.suppressed != 50*maxLinesPerSecond+1 {
+		t.Errorf("%d logged, %d left out", logged, left+line.suppressed)
+	}
+}
--- /dev/null
+++ b/internal/server/ingress/read_hint.go
@@ -0,0 +1,70 @@
+package ingress
+
+import (
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"flaxfront/internal/cluster/readhint"
+	"flaxfront/internal/decision/readpin"
+	"flaxfront/internal/server/query"
+	"flaxfront/internal/transport/httpwire"
+)
+
+// Headers of an answer to a query with a read hint.
+const (
+	headerPosition    = "X-Read-Position: "     // positions that the answer shows, to be sent back as not-before
+	headerStaleness   = "X-Read-Staleness: "    // bound on what the answer may lack, or "unknown"
+	headerBehind      = "X-Read-Behind: "       // shards that have not reached what the hint asks for, as it allows
+	headerHintIgnored = "X-Read-Hint-Ignored: " // why the hint counts for nothing
+)
+
+// decodeReadHint reads the hint of a request, or notes why it is ignored.
+func (in *Ingress) decodeReadHint(m *httpwire.Message, q *query.Request) {
+	text, times := m.Get("x-read-hint")
+	if times == 0 {
+		return
+	}
+	h, err := readhint.Parse(text)
+	switch {
+	case times > 1:
+		q.HintIgnored = "said twice"
+	case err != nil:
+		q.HintIgnored = err.Error()
+	default:
+		q.Hint = &h
+		return
+	}
+	in.options.IgnoredReadHints.Add(1)
+}
+
+// readHintHeaders are the headers of an answer that a read hint is owed.
+func readHintHeaders(q *query.Request, r *query.Result) (headers []string) {
+	if q.HintIgnored != "" {
+		headers = append(headers, headerHintIgnored+q.HintIgnored)
+	}
+	if !r.Hinted {
+		return headers
+	}
+	if len(r.Positions) > 0 {
+		headers = append(headers, headerPosition+readhint.FormatPositions(r.Positions))
+	}
+	headers = append(headers, headerStaleness+formatStaleness(r.Staleness))
+	if len(r.Behind) > 0 {
+		shards := make([]string, len(r.Behind))
+		for i, shard := range r.Behind {
+			shards[i] = strconv.Itoa(shard)
+		}
+		headers = append(headers, headerBehind+strings.Join(shards, ","))
+	}
+	return headers
+}
+
+func formatStaleness(staleness time.Duration) string {
+	if staleness == readpin.Unknown {
+		return "unknown"
+	}
+	ms := math.Ceil(float64(staleness) / float64(time.Millisecond))
+	return strconv.FormatInt(int64(ms), 10) + "ms"
+}
--- /dev/null
+++ b/internal/server/ingress/scan.go
@@ -0,0 +1,84 @@
+package ingress
+
+import "strconv"
+
+// scanBody reads a body in the form that nearly all clients write: known keys, each once, in lower case, texts without escapes. It
+// accepts nothing that encoding/json refuses or reads differently; what is out of the ordinary is left to that.
+func scanBody(body []byte) (b queryBody, ok bool) {
+	s := scanner{text: body}
+	tablets := false
+	statement := false
+	s.eachKey(func(key []byte) bool {
+		switch {
+		case string(key) == "tablets" && !tablets:
+			tablets = true
+			b.shards = s.shards()
+		case string(key) == "statement" && !statement:
+			statement = true
+			b.statement = string(s.str())
+		default:
+			return false
+		}
+		return true
+	})
+	s.skipSpace()
+	return b, !s.failed && s.at == len(s.text) && statement && len(b.shards) > 0
+}
+
+// usualShards of a query, as a first guess.
+const usualShards = 8
+
+func (s *scanner) shards() []bodyShard {
+	all := make([]bodyShard, 0, usualShards)
+	s.want('[')
+	for first := true; !s.failed && !s.ends(']'); first = false {
+		if !first {
+			s.want(',')
+		}
+		all = append(all, s.shard())
+	}
+	return all
+}
+
+func (s *scanner) shard() (b bodyShard) {
+	var tablet, fraction, guess, token bool // met
+	s.eachKey(func(key []byte) bool {
+		switch {
+		case string(key) == "tablet" && !tablet:
+			tablet = true
+			b.number = s.integer()
+		case string(key) == "fraction" && !fraction:
+			fraction = true
+			b.weight = s.float()
+		case string(key) == "guess" && !guess:
+			guess = true
+			s.number()
+		case string(key) == "token" && !token:
+			token = true
+			s.str()
+		default:
+			return false
+		}
+		return true
+	})
+	s.failed = s.failed || !tablet || !fraction
+	return b
+}
+
+func (s *scanner) integer() int {
+	n := s.number()
+	value, err := strconv.Atoi(n.text)
+	if err != nil || !n.integer {
+		s.failed = true
+	}
+	return value
+}
+
+func (s *scanner) float() float64 {
+	n := s.number()
+	value, err := strconv.ParseFloat(n.text, 64)
+	if err != nil {
+		s.failed = true
+	}
+	return value
+}
--- a/internal/server/scan_test.go
+++ b/internal/server/ingress/scan_test.go
@@ -1,4 +1,4 @@
-package server
+package ingress
 
 import (
 	"encoding/json"
@@ -7,10 +7,11 @@
 	"unicode/utf8"
 
 	"flaxfront/internal/config/terms"
+	"flaxfront/internal/server/query"
 )
 
-// slowBody is what encoding/json makes of a body, the other way being shut.
-func slowBody(body []byte) (out scanned, ok bool) {
+// withEncodingJSON is what encoding/json makes of a body, the other way being shut.
+func withEncodingJSON(body []byte) (out queryBody, ok bool) {
 	var doc struct {
 		Tablets []struct {
 			Tablet   *int     `json:"tablet"`
@@ -26,9 +27,9 @@
 		if p.Tablet == nil || p.Fraction == nil {
 			return out, false
 		}
-		out.tablets = append(out.tablets, tablet{*p.Tablet, *p.Fraction})
+		out.shards = append(out.shards, bodyShard{*p.Tablet, *p.Fraction})
 	}
-	return out, len(out.tablets) > 0
+	return out, len(out.shards) > 0
 }
 
 // FuzzScan: whatever the quick way takes, encoding/json reads the same; and the other way round what is written reads back.
@@ -42,18 +43,18 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		quick, ok := scanBody(raw)
-		if slow, good := slowBody(raw); ok {
-			if !good || len(slow.tablets) != len(quick.tablets) || slow.statement != quick.statement {
+		if slow, good := withEncodingJSON(raw); ok {
+			if !good || len(slow.shards) != len(quick.shards) || slow.statement != quick.statement {
 				t.Fatalf("%q: %+v, and %+v, %v", raw, quick, slow, good)
 			}
-			for i := range slow.tablets {
-				if slow.tablets[i] != quick.tablets[i] {
+			for i := range slow.shards {
+				if slow.shards[i] != quick.shards[i] {
 					t.Fatalf("%q: %+v, and %+v", raw, quick, slow)
 				}
 			}
 		}
 		var back string
-		if utf8.Valid(raw) && (json.Unmarshal(appendText(nil, string(raw)), &back) != nil || back != string(raw)) {
+		if utf8.Valid(raw) && (json.Unmarshal(appendJSONString(nil, string(raw)), &back) != nil || back != string(raw)) {
 			t.Fatalf("%q reads back as %q", raw, back)
 		}
 	})
@@ -75,14 +76,14 @@
 	b.Run("scanned", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			(&ask{id: "9b1f03aa5c7e2d41"}).readBody(raw, t)
+			decodeBody(&query.Request{ID: "9b1f03aa5c7e2d41"}, raw, t)
 		}
 	})
 	b.Run("encoding/json", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			s, _ := slowBody(raw)
-			(&ask{id: "9b1f03aa5c7e2d41"}).readParts(s, t)
+			s, _ := withEncodingJSON(raw)
+			setShards(&query.Request{ID: "9b1f03aa5c7e2d41"}, s, t)
 		}
 	})
 }
--- /dev/null
+++ b/internal/server/ingress/slow_test.go
@@ -0,0 +1,63 @@
+package ingress
+
+// This file tests that clients that are slow, or send what makes no sense, are told or closed in time.
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"flaxfront/internal/transport/httpwire"
+)
+
+// Whatever a client sends or leaves out, and however slowly, it hears a word or a close within 3 s of connecting.
+func TestOwedWithinThreeSeconds(t *testing.T) {
+	settings := settingsOf(t)
+	for _, c := range []struct {
+		sends string
+		every time.Duration // a byte; 0: all at once
+	}{
+		{"", 0},
+		{"POST /find HTTP/1.1\r\n", 0},
+		{strings.Repeat("x", 9000), 0},
+		{post("x", body), 100 * time.Millisecond},
+		{"POST /find HTTP/1.1\r\n" + strings.Repeat("X-A: "+strings.Repeat("a", 1000)+"\r\n", 60), 0},
+		{strings.Replace(post("x", body), "Content-Length: ", "Content-Length: 9", 1), 0},
+		{strings.Replace(post("x", body), "Content-Length: ", "Content-Length: 60000", 1), 0},
+		{strings.Replace(post("x", body), "Content-Length: ", "Content-Length: -", 1), 0},
+		{fmt.Sprintf(head+"Transfer-Encoding: chunked\r\n\r\nffff\r\nx", "x"), 0},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			in := New(nil, newStandIn(settings), Options{Limits: Limits{Connections: 4, ReadGrace: 250 * time.Millisecond}})
+			here, there := net.Pipe()
+			begun := time.Now()
+			go in.ServeConnection(t.Context(), there)
+			go func() {
+				for i := range c.sends {
+					if c.every == 0 {
+						io.WriteString(here, c.sends)
+						return
+					}
+					if _, err := here.Write([]byte{c.sends[i]}); err != nil {
+						return
+					}
+					time.Sleep(c.every)
+				}
+			}()
+			m, err := httpwire.ReadResponse(httpwire.NewReader(here))
+			if took := time.Since(begun); took >= 3*time.Second || err == nil && (m.Status < 400 || !m.Close) {
+				t.Errorf("%.40q: %v, %v after %v", c.sends, m, err, took)
+			}
+			here.Close()
+			time.Sleep(time.Second)
+			left := len(in.Connections())
+			if left != 0 {
+				t.Errorf("%.40q: the connection is still in the set", c.sends)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/server/ingress_broker.go
@@ -0,0 +1,41 @@
+package server
+
+import (
+	"time"
+
+	"flaxfront/internal/server/ingress"
+	"flaxfront/internal/server/query"
+)
+
+var _ ingress.Broker = (*Server)(nil)
+
+// Submit hands a query to the loop; false: the broker has ended. It waits while the loop's queue is full.
+func (s *Server) Submit(r query.Submission) (query.Pending, bool) {
+	q := &search{
+		Request:             r.Request,
+		arrival:             r.Arrival,
+		deadline:            s.answerBy(r.Arrival, r.Request.Timeout),
+		connectionOverLimit: r.ConnectionOverLimit,
+		result:              make(chan query.Result, 1),
+		server:              s,
+	}
+	if !s.deliver(queryReceived{q}) {
+		return nil, false
+	}
+	return q, true
+}
+
+// Draining tells whether a graceful shutdown has begun.
+func (s *Server) Draining() bool { return s.draining.Load() }
+
+// CountersJSON is the counters as one line of JSON.
+func (s *Server) CountersJSON() string { return s.Counters().String() }
+
+// Result delivers the one result, where no other receiver was named.
+func (s *search) Result() <-chan query.Result { return s.result }
+
+// Deadline is when the query has to be answered, since the broker's start.
+func (s *search) Deadline() time.Duration { return s.deadline }
+
+// Abandon ends the query early.
+func (s *search) Abandon(cause query.AbandonCause) { s.server.deliver(queryAbandoned{s, cause}) }
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -20,6 +20,7 @@
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/store"
 )
 
@@ -48,15 +49,15 @@
 
 // one client asks for one search and checks its answer, or leaves.
 func (w *world) client(n, typ int, leaves bool) {
-	s := &search{ask: &ask{id: fmt.Sprint("s", n), typ: typ, timeout: 2 * time.Second, text: "x"},
-		verdict: make(chan result, 1)}
+	s := &search{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
+		result: make(chan query.Result, 1)}
 	shards := w.rnd.Perm(6)[:1+w.rnd.IntN(6)]
 	for _, shard := range shards {
-		s.ask.parts = append(s.ask.parts, askPart{fmt.Sprintf("%s.%d", s.ask.id, shard), shard, 1 / float64(len(shards))})
+		s.Request.Shards = append(s.Request.Shards, query.ShardRequest{Name: fmt.Sprintf("%s.%d", s.Request.ID, shard), Shard: shard, Weight: 1 / float64(len(shards))})
 	}
-	s.deadline = w.loop.since() + s.timeout
+	s.deadline = w.loop.since() + s.Timeout
 	w.mu.Lock()
-	w.asked[s.ask.id] = s
+	w.asked[s.Request.ID] = s
 	w.mu.Unlock()
 	patience := time.Duration(w10(w.rnd)) * 50 * time.Millisecond
 	w.loop.in <- queryReceived{s}
@@ -66,34 +67,34 @@
 			w.loop.in <- queryAbandoned{s: s}
 			return
 		}
-		v := <-s.verdict
+		v := <-s.result
 		if late := w.loop.since() - s.deadline; late > 50*time.Millisecond {
 			w.t.Errorf("rule 1: answered %v late", late)
 		}
 		w.mu.Lock()
 		seen := map[int]bool{}
-		for _, p := range v.pieces {
-			id := fmt.Sprintf("%s.%d", s.ask.id, p.shard)
-			if !strings.HasPrefix(p.value, id+"@") || !w.made[p.value] || seen[p.shard] {
-				w.t.Errorf("rule 5: %s has the value %q", id, p.value)
+		for _, p := range v.Answers {
+			id := fmt.Sprintf("%s.%d", s.Request.ID, p.Shard)
+			if !strings.HasPrefix(p.Value, id+"@") || !w.made[p.Value] || seen[p.Shard] {
+				w.t.Errorf("rule 5: %s has the value %q", id, p.Value)
 			}
-			seen[p.shard] = true
+			seen[p.Shard] = true
 		}
 		least := []float64{0.5, 1}[typ]
-		if share := float64(len(seen)) / float64(len(shards)); v.kind == answered &&
-			(share < least-1e-4 || v.whole != (len(seen) == len(shards))) {
-			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the parts", v.whole, share)
+		if share := float64(len(seen)) / float64(len(shards)); v.Outcome == query.Answered &&
+			(share < least-1e-4 || v.Complete != (len(seen) == len(shards))) {
+			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the parts", v.Complete, share)
 		}
-		if typ == 1 && v.kind == shed && len(s.parts) > 0 {
-			for _, p := range s.ask.parts {
-				if w.runs[p.name] {
-					w.t.Errorf("rule 2: shed though %s may have run", p.name)
+		if typ == 1 && v.Outcome == query.Shed && len(s.parts) > 0 {
+			for _, p := range s.Request.Shards {
+				if w.runs[p.Name] {
+					w.t.Errorf("rule 2: shed though %s may have run", p.Name)
 				}
 			}
 		}
 		w.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		if len(s.verdict) != 0 {
+		if len(s.result) != 0 {
 			w.t.Errorf("rule 1: a second verdict")
 		}
 	}()
@@ -193,19 +194,19 @@
 		w := newWorld(t, 1)
 		l := w.loop
 		l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.subrequestEnded)
-		var verdicts []resultKind
+		var verdicts []query.Outcome
 		for i, id := range []string{"a", "a", "b", "c"} {
-			s := &search{ask: &ask{id: id, parts: make([]askPart, 15+i)}, verdict: make(chan result, 1)}
+			s := &search{Request: &query.Request{ID: id, Shards: make([]query.ShardRequest, 15+i)}, result: make(chan query.Result, 1)}
 			l.take(queryReceived{s})
-			if len(s.verdict) > 0 {
-				v := <-s.verdict
-				verdicts = append(verdicts, v.kind)
-				if v.kind == shed && v.after != 2*time.Second {
-					t.Errorf("told to come back after %v", v.after)
+			if len(s.result) > 0 {
+				v := <-s.result
+				verdicts = append(verdicts, v.Outcome)
+				if v.Outcome == query.Shed && v.RetryAfter != 2*time.Second {
+					t.Errorf("told to come back after %v", v.RetryAfter)
 				}
 			}
 		}
-		if len(verdicts) != 2 || verdicts[0] != twice || verdicts[1] != shed || l.tally.Full != 1 || l.tally.InHand != 2 {
+		if len(verdicts) != 2 || verdicts[0] != query.Duplicate || verdicts[1] != query.Shed || l.tally.Full != 1 || l.tally.InHand != 2 {
 			t.Errorf("%v, %+v", verdicts, l.tally)
 		}
 	})
--- a/internal/server/pins.go
+++ b/internal/server/pins.go
@@ -5,10 +5,7 @@
 // not show what its hint asks for, unless the hint is content with less and the answer says so.
 
 import (
-	"math"
 	"slices"
-	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -17,18 +14,10 @@
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/readpin"
-	"flaxfront/internal/transport/httpwire"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/store"
 )
 
-// Headers of an answer to a search with a hint.
-const (
-	headPosition  = "X-Read-Position: "     // what the parts that are in have seen, to be sent back as not-before
-	headStaleness = "X-Read-Staleness: "    // most that may lie between what was acknowledged and what is in, or "unknown"
-	headBehind    = "X-Read-Behind: "       // shards that do not keep what the hint asked for, as it allowed
-	headIgnored   = "X-Read-Hint-Ignored: " // why the hint counts for nothing
-)
-
 // pinning is a broker's part in pinned reads.
 type pinning struct {
 	book   *readpin.Book
@@ -65,36 +54,17 @@
 
 const usualHolders = 4
 
-// read takes the hint of a request, or notes why it is ignored.
-func (p *pinning) read(m *httpwire.Message, a *ask) {
-	text, times := m.Get("x-read-hint")
-	if times == 0 {
-		return
-	}
-	h, err := readhint.Parse(text)
-	switch {
-	case times > 1:
-		a.ignored = "said twice"
-	case err != nil:
-		a.ignored = err.Error()
-	default:
-		a.hint = &h
-		return
-	}
-	p.wrong.Add(1)
-}
-
 // pin finds the eligible holders of a search's parts. A part without one is given to the module with none: what the search's floor
 // allows is answered without it, and else it is refused with the time to return.
 func (l *loop) pin(s *search) {
-	h, n := s.ask.hint, len(s.ask.parts)
-	q := &pinned{ask: readpin.Ask{Taken: s.arrived, MaxStale: h.MaxStaleness, OrStale: h.AllowStale}, parts: make([]pinnedPart, n)}
+	h, n := s.Request.Hint, len(s.Request.Shards)
+	q := &pinned{ask: readpin.Ask{Taken: s.arrival, MaxStale: h.MaxStaleness, OrStale: h.AllowStale}, parts: make([]pinnedPart, n)}
 	if h.Scope != readhint.ScopeNone {
 		q.ask.Pin = readpin.PinOf(string(h.Scope), h.Key)
 	}
 	now, nodes := l.since(), make([]decision.NodeID, 0, usualHolders*n)
-	for i := range s.ask.parts {
-		shard, from := s.ask.parts[i].shard, len(nodes)
+	for i := range s.Request.Shards {
+		shard, from := s.Request.Shards[i].Shard, len(nodes)
 		var back time.Duration
 		nodes, q.parts[i].must, back = l.pins.book.Choose(now, shard, h.MinOffset(shard), &q.ask, nodes)
 		q.parts[i].only = decision.AllowedReplicas{Sticky: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
@@ -146,12 +116,12 @@
 }
 
 // pinVerdict has a verdict say what its client has to know.
-func (l *loop) pinVerdict(s *search, v *result) {
+func (l *loop) pinVerdict(s *search, v *query.Result) {
 	switch {
 	case s.pin == nil:
-	case v.kind == shed && v.after > 0 && s.pin.back > 0 && s.unheld():
-		v.after = min(s.pin.back, l.comeBack) // a replica may have come up by then; the module knows of crowds alone
-	case v.kind == answered:
+	case v.Outcome == query.Shed && v.RetryAfter > 0 && s.pin.back > 0 && s.unheld():
+		v.RetryAfter = min(s.pin.back, l.comeBack) // a replica may have come up by then; the module knows of crowds alone
+	case v.Outcome == query.Answered:
 		l.pinAnswer(s, v)
 	}
 }
@@ -167,51 +137,25 @@
 }
 
 // pinAnswer states the positions and the age of what is in.
-func (l *loop) pinAnswer(s *search, v *result) {
+func (l *loop) pinAnswer(s *search, v *query.Result) {
 	oldest, behind := l.since(), []int{}
 	for i := range s.parts {
 		if !s.parts[i].in {
 			continue
 		}
-		shown, shard := &s.pin.parts[i].shown, s.ask.parts[i].shard
+		shown, shard := &s.pin.parts[i].shown, s.Request.Shards[i].Shard
 		oldest = min(oldest, shown.AsOf)
 		if shown.Pos > 0 {
-			v.seen = append(v.seen, readhint.Position{Shard: shard, Offset: shown.Pos})
+			v.Positions = append(v.Positions, readhint.Position{Shard: shard, Offset: shown.Pos})
 		}
 		if !shown.Fresh {
 			behind = append(behind, shard)
 		}
 	}
-	slices.SortFunc(v.seen, func(a, b readhint.Position) int { return a.Shard - b.Shard })
+	slices.SortFunc(v.Positions, func(a, b readhint.Position) int { return a.Shard - b.Shard })
 	slices.Sort(behind)
-	v.hinted, v.behind, v.stale = true, behind, readpin.Unknown
+	v.Hinted, v.Behind, v.Staleness = true, behind, readpin.Unknown
 	if oldest != readpin.Never {
-		v.stale = l.pins.book.Staleness(l.since(), oldest)
-	}
-}
-
-// readHeads are the headers of a verdict that are owed to a hint.
-func readHeads(a *ask, v *result) (heads []string) {
-	if a.ignored != "" {
-		heads = append(heads, headIgnored+a.ignored)
-	}
-	if !v.hinted {
-		return heads
-	}
-	if len(v.seen) > 0 {
-		heads = append(heads, headPosition+readhint.FormatPositions(v.seen))
-	}
-	stale := "unknown"
-	if v.stale != readpin.Unknown {
-		stale = strconv.FormatInt(int64(math.Ceil(float64(v.stale)/float64(time.Millisecond))), 10) + "ms"
-	}
-	heads = append(heads, headStaleness+stale)
-	if len(v.behind) > 0 {
-		shards := make([]string, len(v.behind))
-		for i, shard := range v.behind {
-			shards[i] = strconv.Itoa(shard)
-		}
-		heads = append(heads, headBehind+strings.Join(shards, ","))
+		v.Staleness = l.pins.book.Staleness(l.since(), oldest)
 	}
-	return heads
 }
--- a/internal/server/pins_test.go
+++ b/internal/server/pins_test.go
@@ -11,6 +11,7 @@
 
 	"flaxfront/internal/cluster/readhint"
 	"flaxfront/internal/config/operator"
+	"flaxfront/internal/server/query"
 )
 
 // replicaNode is a store node that reports what it is told to.
@@ -139,7 +140,7 @@
 // A search with a hint is not sent to another site, where nobody would obey it.
 func TestHintsStayAtHome(t *testing.T) {
 	l := &loop{gate: &gateway{}}
-	if l.offer(&search{ask: &ask{}, pin: &pinned{}}) {
+	if l.offer(&search{Request: &query.Request{}, pin: &pinned{}}) {
 		t.Error("offered")
 	}
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"log/slog"
 	"slices"
-	"time"
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/remedy"
@@ -108,11 +107,3 @@
 	case <-s.ctx.Done():
 	}
 }
-
-// longest is how long any client waits.
-func longest(t *terms.Terms) (d time.Duration) {
-	for i := range t.Module.QueryTypes {
-		d = max(d, t.Module.QueryTypes[i].Timeout)
-	}
-	return d
-}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -14,6 +14,7 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -108,7 +109,7 @@
 	was, now := decoded(t), decoded(t)
 	now.Types, now.Tenants = append([]string{"new"}, was.Types...), append([]string{"new"}, was.Tenants...)
 	l := &loop{under: &now}
-	if a := (&ask{under: &was}); !l.fits(a) || a.typ != 1 || a.tenant != 1 || !l.fits(a) {
+	if a := (&query.Request{Settings: &was}); !l.fits(a) || a.Type != 1 || a.Tenant != 1 || !l.fits(a) {
 		t.Errorf("taken as %+v", a)
 	}
 	for _, change := range []func(*terms.Terms){
@@ -119,7 +120,7 @@
 		other := decoded(t)
 		change(&other)
 		l.under = &other
-		if a := (&ask{under: &was}); l.fits(a) {
+		if a := (&query.Request{Settings: &was}); l.fits(a) {
 			t.Errorf("taken under %+v", other)
 		}
 	}
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -3,66 +3,36 @@
 // This file owns the final answer of a search, and how it is made and counted. It must never give a second one.
 
 import (
-	"time"
-
-	"flaxfront/internal/cluster/readhint"
 	"flaxfront/internal/decision"
+	"flaxfront/internal/server/query"
 )
 
-// result is the final answer.
-type result struct {
-	kind   resultKind
-	whole  bool
-	after  time.Duration // shed: when to come back; 0: no advice
-	pieces []piece
-
-	// answered, where the search had a hint
-	hinted bool
-	seen   []readhint.Position // by shard
-	behind []int               // shards that do not keep what it asked for
-	stale  time.Duration       // what the answer may lack at the most; pins.Unknown: no bound is known
-}
-
-type resultKind uint8
-
-const (
-	answered resultKind = iota
-	shed
-	errored
-	twice // a search of that id is in hand
-)
-
-type piece struct {
-	shard int
-	value string
-}
-
 // verdictOf makes the final answer of the module's word and the values that are in.
-func (s *search) verdictOf(a *decision.Action) result {
+func (s *search) verdictOf(a *decision.Action) query.Result {
 	switch a.Kind {
 	case decision.ShedQuery:
-		return result{kind: shed, after: a.RetryAfter}
+		return query.Result{Outcome: query.Shed, RetryAfter: a.RetryAfter}
 	case decision.FailQuery:
-		return result{kind: errored}
+		return query.Result{Outcome: query.Failed}
 	}
-	v := result{kind: answered, whole: a.Complete}
+	v := query.Result{Outcome: query.Answered, Complete: a.Complete}
 	for i := range s.parts {
 		if s.parts[i].in {
-			v.pieces = append(v.pieces, piece{s.ask.parts[i].shard, s.parts[i].value})
+			v.Answers = append(v.Answers, query.ShardAnswer{Shard: s.Request.Shards[i].Shard, Value: s.parts[i].value})
 		}
 	}
 	return v
 }
 
 // conclude gives a search its one verdict and counts it.
-func (l *loop) conclude(s *search, v result) {
-	switch v.kind {
-	case answered:
+func (l *loop) conclude(s *search, v query.Result) {
+	switch v.Outcome {
+	case query.Answered:
 		l.tally.Answered++
-		if !v.whole {
+		if !v.Complete {
 			l.tally.Partial++
 		}
-	case shed:
+	case query.Shed:
 		l.tally.Shed++
 	default:
 		l.tally.Errored++
@@ -71,10 +41,10 @@
 		l.agreed.counted(s, v, l.since())
 	}
 	s.over = true
-	l.outside(s, v.kind == answered, v.kind == shed)
-	if s.to != nil {
-		s.to(v)
+	l.outside(s, v.Outcome == query.Answered, v.Outcome == query.Shed)
+	if s.onResult != nil {
+		s.onResult(v)
 	} else {
-		s.verdict <- v
+		s.result <- v
 	}
 }
--- a/internal/server/search.go
+++ b/internal/server/search.go
@@ -7,41 +7,20 @@
 	"slices"
 	"time"
 
-	"flaxfront/internal/cluster/readhint"
-	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/store"
 )
 
-// ask is a search as a front hands it over, whatever its protocol.
-type ask struct {
-	id      string
-	typ     int
-	tenant  int
-	repeat  bool
-	timeout time.Duration
-	text    string
-	parts   []askPart
-	client  uint64         // a hash of the key that its client states; 0: none
-	under   *terms.Terms   // the settings by which it was read; nil: those of the start
-	hint    *readhint.Hint // on its reads; nil: there is none
-	ignored string         // why a hint counts for nothing
-}
-
-type askPart struct {
-	name   string // the search's id, a dot, the shard
-	shard  int
-	weight float64
-}
-
 // search is one search in hand. The first fields are its life's, the others the loop's.
 type search struct {
-	*ask
-	arrived  time.Duration // when it had come whole
-	deadline time.Duration // when its client gives up
-	crowded  bool          // its front has no room for it
-	verdict  chan result   // holds one; nobody waits to deliver it
-	to       func(result)  // takes the verdict instead, in the loop
+	*query.Request
+	arrival             time.Duration      // when it had come whole
+	deadline            time.Duration      // when its client gives up
+	connectionOverLimit bool               // its client's connection exceeds the limit on connections
+	result              chan query.Result  // holds one; nobody waits to deliver it
+	onResult            func(query.Result) // takes the result instead, in the loop
+	server              *Server            // where a front waits for the result
 
 	// where there is a gateway to other sites
 	foreign bool          // it came over a link
@@ -75,43 +54,43 @@
 
 // fits tells whether a search that was read under other settings can be taken under those in force, and has it say the same
 // under them.
-func (l *loop) fits(a *ask) bool {
-	if a.under == nil || a.under == l.under {
+func (l *loop) fits(a *query.Request) bool {
+	if a.Settings == nil || a.Settings == l.under {
 		return true
 	}
-	was, now := a.under, l.under
-	a.typ = slices.Index(now.Types, was.Types[a.typ])
-	if a.typ < 0 || now.Fingerprint() != was.Fingerprint() {
+	was, now := a.Settings, l.under
+	a.Type = slices.Index(now.Types, was.Types[a.Type])
+	if a.Type < 0 || now.Fingerprint() != was.Fingerprint() {
 		return false
 	}
 	if len(now.Tenants) == 0 {
-		a.tenant = 0
+		a.Tenant = 0
 	} else if len(was.Tenants) > 0 {
-		a.tenant = slices.Index(now.Tenants, was.Tenants[a.tenant])
+		a.Tenant = slices.Index(now.Tenants, was.Tenants[a.Tenant])
 	} else {
-		a.tenant = -1
+		a.Tenant = -1
 	}
-	a.under = now
-	return a.tenant >= 0
+	a.Settings = now
+	return a.Tenant >= 0
 }
 
 // admit hands a search to the module, if there is a place for it and its parts.
 func (l *loop) admit(s *search) {
 	l.tally.Taken++
-	n := len(s.ask.parts)
-	if l.ids[s.ask.id] {
-		l.conclude(s, result{kind: twice})
+	n := len(s.Request.Shards)
+	if l.ids[s.Request.ID] {
+		l.conclude(s, query.Result{Outcome: query.Duplicate})
 		return
 	}
-	if s.crowded || l.places+1+n > l.maxOpen || !l.fits(s.ask) {
+	if s.connectionOverLimit || l.places+1+n > l.maxOpen || !l.fits(s.Request) {
 		l.tally.Full++
-		l.conclude(s, result{kind: shed, after: l.comeBack}) // the longest that the settings let it say
+		l.conclude(s, query.Result{Outcome: query.Shed, RetryAfter: l.comeBack}) // the longest that the settings let it say
 		return
 	}
 	if l.budgets != nil && !s.foreign {
-		if after, full := l.budgets.noRoom(s.tenant); full {
+		if after, full := l.budgets.noRoom(s.Tenant); full {
 			l.tally.TurnedAway++
-			l.conclude(s, result{kind: shed, after: min(after, l.comeBack)})
+			l.conclude(s, query.Result{Outcome: query.Shed, RetryAfter: min(after, l.comeBack)})
 			return
 		}
 	}
@@ -119,7 +98,7 @@
 		return
 	}
 	l.tally.InHand++
-	l.ids[s.ask.id] = true
+	l.ids[s.Request.ID] = true
 	if l.gate != nil && !s.foreign {
 		l.gate.near.Taken()
 	}
@@ -128,23 +107,23 @@
 
 // enter gives a search in hand to the module, with the time that is left to it.
 func (l *loop) enter(s *search, left time.Duration) {
-	n := len(s.ask.parts)
+	n := len(s.Request.Shards)
 	s.id = l.next
 	l.next += 1 + uint64(n)
 	l.places += 1 + n
 	l.searches[s.id] = s
 	s.parts = make([]part, n)
-	if l.pins != nil && s.ask.hint != nil {
+	if l.pins != nil && s.Request.Hint != nil {
 		l.pin(s)
 	}
 	serial := float32(s.id % (1 << 24)) // exact in a float32, and far more ids than can be in hand
-	l.events = append(l.events, decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: s.typ,
-		Tenant: s.tenant, TimeLeft: left, Weight: float64(n), Retry: s.repeat})
-	for i := range s.ask.parts {
+	l.events = append(l.events, decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: s.Type,
+		Tenant: s.Tenant, TimeLeft: left, Weight: float64(n), Retry: s.Retry})
+	for i := range s.Request.Shards {
 		id := s.id + 1 + uint64(i)
 		l.owners[id] = s
 		l.events = append(l.events, decision.Event{Kind: decision.ShardRequestReceived, ID: id, Serial: serial,
-			Shard: s.ask.parts[i].shard, Weight: s.ask.parts[i].weight, Allowed: s.only(i)})
+			Shard: s.Request.Shards[i].Shard, Weight: s.Request.Shards[i].Weight, Allowed: s.only(i)})
 	}
 }
 
@@ -183,6 +162,6 @@
 	}
 	delete(l.searches, s.id)
 	if !s.abroad {
-		delete(l.ids, s.ask.id)
+		delete(l.ids, s.Request.ID)
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -30,6 +30,7 @@
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/discovery/nodelist"
 	"flaxfront/internal/protocols/back"
+	"flaxfront/internal/server/ingress"
 	"flaxfront/internal/transport/keys"
 	"flaxfront/internal/transport/link"
 	"flaxfront/internal/transport/peers"
@@ -48,7 +49,7 @@
 // clients hold a third of all for requests; three quarters of these are kept open between requests.
 const (
 	ownSockets   = 16 // the standard streams, the poller, listener and peers, three requests to discovery, connections that just end
-	spareSockets = ownSockets + overflow
+	spareSockets = ownSockets + ingress.Overflow
 	nodesPart    = 3
 	requestsPart = 3
 )
@@ -64,12 +65,11 @@
 	nodeList *discovery.Client
 	link     *peers.Link
 	listener net.Listener
-	clients  clients
+	ingress  *ingress.Ingress // client connections
 	group    *errgroup.Group
 	ctx      context.Context // of everything that serves
 	cancel   context.CancelFunc
-	serving  sync.WaitGroup // client connections
-	accepted chan struct{}  // closed when no more of them come
+	serving  sync.WaitGroup // fronts of other protocols
 	draining atomic.Bool
 	stopped  atomic.Int64                // when the stop was asked for, since the start
 	settings atomic.Pointer[terms.Terms] // in force
@@ -87,7 +87,7 @@
 // New makes a broker of its configuration; nothing is opened yet.
 func New(start *terms.Start, file *operator.File, newModule func(decision.Settings) decision.Router) (*Server, error) {
 	t := &start.Terms
-	s := &Server{start: start, operator: file, asked: start.Discovery, accepted: make(chan struct{}), after: time.After}
+	s := &Server{start: start, operator: file, asked: start.Discovery, after: time.After}
 	s.settings.Store(t)
 	s.loop = newLoop(time.Now(), newModule(t.Module), &t.Module)
 	s.loop.under = t
@@ -149,29 +149,56 @@
 			return err
 		}
 	}
+	s.openIngress()
 	return nil
 }
 
-// Run serves until stop is told, then answers what it has and returns.
-func (s *Server) Run(stop <-chan struct{}) error {
-	t, l := &s.start.Terms, s.start.Limits
-	sockets := l.Sockets
+// openIngress makes what serves the client connections of the listener.
+func (s *Server) openIngress() {
+	t := &s.start.Terms
+	descriptors := s.shareDescriptors()
+	options := ingress.Options{Limits: ingress.Limits{
+		Connections: descriptors.clients,
+		Used:        descriptors.usedClients,
+		ReadGrace:   t.Dial,
+		AcceptTail:  stopTaking,
+	}}
+	if s.loop.pins != nil {
+		options.IgnoredReadHints = &s.loop.pins.wrong
+	}
+	s.ingress = ingress.New(s.listener, s, options)
+}
+
+// descriptors is how many file descriptors each kind of connection may hold.
+type descriptors struct {
+	nodes       int
+	clients     int
+	usedClients int // that have brought a request
+}
+
+func (s *Server) shareDescriptors() (d descriptors) {
+	sockets := s.start.Limits.Sockets
 	if s.links != nil {
 		sockets -= len(s.operator.Sites.Targets) + s.operator.Sites.MostLinks + 1
 	}
 	if s.fleet != nil {
 		sockets -= 2*s.operator.Fleet.Followers + 2*len(s.operator.Fleet.Voters) + 1
 	}
-	forNodes := max(1, (sockets-spareSockets)/nodesPart)
-	s.clients.all, s.clients.room = map[*client]bool{}, make(chan struct{}, 1)
-	s.clients.moment = t.Dial
-	s.clients.most = max(1, sockets-spareSockets-forNodes)
-	s.clients.kept = max(1, sockets/requestsPart*3/4)
+	d.nodes = max(1, (sockets-spareSockets)/nodesPart)
+	d.clients = max(1, sockets-spareSockets-d.nodes)
+	d.usedClients = max(1, sockets/requestsPart*3/4)
+	return d
+}
+
+// Run serves until stop is told, then answers what it has and returns.
+func (s *Server) Run(stop <-chan struct{}) error {
+	t := &s.start.Terms
+	descriptors := s.shareDescriptors()
 	streams := t.Streams
 	if s.operator.Back.Protocol != "" {
 		streams = 1 // a session does one thing at a time
 	}
-	limits := store.Limits{Streams: streams, Idle: t.Idle, Dial: t.Dial, Silent: longest(t), Conns: forNodes}
+	limits := store.Limits{Streams: streams, Idle: t.Idle, Dial: t.Dial, Silent: t.LongestTimeout(), Conns: descriptors.nodes}
 	s.loop.pool = store.NewPool(s.ctx, limits, store.DialTCP, s.loop.since, s.group.Go,
 		func(e store.Event) { s.deliver(e) }, s.loop.subrequestEnded)
 	s.loop.pool.Probed = s.loop.probed
@@ -211,7 +238,7 @@
 	if s.fleet != nil {
 		s.runFleet()
 	}
-	s.group.Go(func() error { return s.accept(s.ctx) })
+	s.group.Go(func() error { return s.ingress.Run(s.ctx) })
 	for _, f := range s.fronts {
 		s.serving.Add(1)
 		s.group.Go(func() error {
@@ -220,7 +247,7 @@
 		})
 	}
 	slog.Info("serving", "name", s.start.Name, "at", s.listener.Addr(), "nodes", len(s.list.Nodes),
-		"clients", s.clients.most, "node_connections", forNodes)
+		"clients", descriptors.clients, "node_connections", descriptors.nodes)
 	select {
 	case <-stop:
 		s.drain()
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -34,11 +34,12 @@
 	case <-s.ctx.Done():
 		return
 	}
-	s.takeQueued()
+	s.ingress.StopAccepting()
 	for _, f := range s.fronts {
 		f.Drain()
 	}
-	s.clients.closeIdle()
+	s.ingress.CloseIdle()
+	s.ingress.Wait()
 	s.serving.Wait()
 	if s.links != nil {
 		s.drainLinks()
@@ -48,49 +49,6 @@
 	}
 }
 
-// Connections that wait in the kernel at the end are still accepted, until none has come for queuedFor, and no longer than queuedMost.
-// By the protocol none comes any more by then.
-const (
-	queuedFor  = 20 * time.Millisecond
-	queuedMost = stopTaking
-)
-
-// queueEnd tells when the queue of connections that wait in the kernel is empty. Accepting goes on after a deadline, as that may have
-// passed before the kernel was asked.
-type queueEnd struct {
-	since time.Time // the first deadline
-	asked bool      // a deadline has passed with nothing accepted since
-}
-
-// taken notes a connection that was accepted.
-func (q *queueEnd) taken() { q.asked = false }
-
-// empty notes a deadline, and tells whether it was the last.
-func (q *queueEnd) empty() bool {
-	if q.since.IsZero() {
-		q.since = time.Now()
-	}
-	last := q.asked || time.Since(q.since) > queuedMost
-	q.asked = true
-	return last
-}
-
-// acceptQueued has the accepting end once no connection has come for a moment; false: the listener can't.
-func (s *Server) acceptQueued() bool {
-	l, ok := s.listener.(interface{ SetDeadline(time.Time) error })
-	return ok && l.SetDeadline(time.Now().Add(queuedFor)) == nil
-}
-
-// takeQueued ends the accepting of connections. Danger: those that wait in the kernel when the listener closes are reset, with the
-// requests that their clients have sent.
-func (s *Server) takeQueued() {
-	if s.acceptQueued() {
-		<-s.accepted
-	}
-	s.listener.Close()
-	<-s.accepted
-}
-
 // The protocol's kill comes no sooner than the longest time of a client, but at most killWaits, and mustAnswer more after the stop was
 // asked for. An answer has to be on its way some time before.
 const (
@@ -104,7 +62,7 @@
 func (s *Server) answerBy(arrived, timeout time.Duration) time.Duration {
 	by := arrived + timeout
 	if s.draining.Load() {
-		kill := time.Duration(s.stopped.Load()) + min(longest(s.Settings()), killWaits) + mustAnswer
+		kill := time.Duration(s.stopped.Load()) + min(s.Settings().LongestTimeout(), killWaits) + mustAnswer
 		by = min(by, max(arrived+leastAnswer, kill-beforeKill))
 	}
 	return by
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -8,6 +8,7 @@
 	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/discovery/nodelist"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/link"
 	"flaxfront/internal/transport/store"
 )
@@ -16,8 +17,8 @@
 type (
 	queryReceived  struct{ s *search }
 	queryAbandoned struct {
-		s       *search
-		overdue bool // no verdict came in time; else the client has gone
+		s     *search
+		cause query.AbandonCause
 	}
 	listReceived struct {
 		list *discovery.List
@@ -46,8 +47,8 @@
 		l.admit(d.s)
 	case queryAbandoned:
 		if !d.s.over {
-			if d.overdue {
-				l.conclude(d.s, result{kind: errored})
+			if d.cause == query.DeadlinePassed {
+				l.conclude(d.s, query.Result{Outcome: query.Failed})
 			} else {
 				l.tally.Left++
 			}
@@ -133,7 +134,7 @@
 	t := &d.terms.Module
 	l.module.(tuned).Retune(*t, d.moved)
 	l.under, l.types, l.cells, l.maxOpen, l.comeBack, l.batch = d.terms, t.QueryTypes, t.Cells, t.MaxInFlight, t.MaxRetryAfter, t.MaxBatch
-	l.pool.Retune(d.terms.Streams, d.terms.Idle, d.terms.Dial, longest(d.terms))
+	l.pool.Retune(d.terms.Streams, d.terms.Idle, d.terms.Dial, d.terms.LongestTimeout())
 	if d.list != nil {
 		l.relist(d.list)
 	}
--- a/internal/server/terms_test.go
+++ b/internal/server/terms_test.go
@@ -7,10 +7,12 @@
 	"io"
 	"net"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
 	"flaxfront/internal/config/operator"
+	"flaxfront/internal/server/ingress"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -23,25 +25,31 @@
 
 func (c *crossed) SetReadDeadline(at time.Time) error {
 	err := c.Conn.SetReadDeadline(at)
-	if at != past {
+	if time.Since(at) < time.Hour { // others only wake the reader
 		c.n++
 		c.then(c.n)
 	}
 	return err
 }
 
-func converses(s *Server, conn net.Conn) (reason <-chan string) {
-	c := newClient(conn, s.loop.since)
-	s.clients.admit(c)
-	ended := make(chan string, 1)
-	go func() {
-		ended <- s.converse(s.ctx, c)
-		c.Close()
-		s.clients.remove(c)
-	}()
+// converses serves a connection, which stands in the set of connections when it returns or has ended.
+func converses(s *Server, in *ingress.Ingress, conn net.Conn) <-chan ingress.Reason {
+	ended := make(chan ingress.Reason, 1)
+	go func() { ended <- in.ServeConnection(s.ctx, withoutLinger{conn, conn.(syscall.Conn)}) }()
+	for len(in.Connections()) == 0 && len(ended) == 0 {
+		time.Sleep(50 * time.Microsecond)
+	}
 	return ended
 }
 
+// withoutLinger is a connection whose sending side can't be closed alone, so that it ends at once after its last answer.
+type withoutLinger struct {
+	net.Conn
+	raw syscall.Conn
+}
+
+func (c withoutLinger) SyscallConn() (syscall.RawConn, error) { return c.raw.SyscallConn() }
+
 // Clients send after SIGTERM for as long as a connection stays open. What came before the close is answered, also on a
 // connection that nobody had begun to read when the idle ones were closed, and a request that had come in part.
 func TestRequestCrossesTheClose(t *testing.T) {
@@ -63,12 +71,12 @@
 		conn.then = func(n int) {
 			if n == at.set {
 				s.draining.Store(true)
-				s.clients.closeIdle()
+				s.ingress.CloseIdle()
 				close(rest)
 			}
 		}
 		io.WriteString(far, text[:at.sent])
-		ended := converses(s, pendable{conn, near})
+		ended := converses(s, s.ingress, pendable{conn, near})
 		go func() {
 			<-rest
 			io.WriteString(far, text[at.sent:])
@@ -77,7 +85,7 @@
 		if err != nil || m.Status != 200 || !m.Close {
 			t.Errorf("%s: %v, %+v", what, err, m)
 		}
-		if reason := <-ended; reason != "last_answer" {
+		if reason := <-ended; reason != ingress.LastAnswer {
 			t.Errorf("%s: ended as %s", what, reason)
 		}
 	}
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -89,12 +89,12 @@
 		return
 	}
 	p := &s.parts[i]
-	t := &store.Part{ID: s.ask.parts[i].name, Shard: s.ask.parts[i].shard, Text: s.text, Deadline: s.deadline,
-		Sent: now, Part: a.ID, Attempt: uint16(len(p.tries)), Node: a.Node, Alone: a.ExclusiveConnection, Tenant: s.tenant}
+	t := &store.Part{ID: s.Request.Shards[i].Name, Shard: s.Request.Shards[i].Shard, Text: s.Text, Deadline: s.deadline,
+		Sent: now, Part: a.ID, Attempt: uint16(len(p.tries)), Node: a.Node, Alone: a.ExclusiveConnection, Tenant: s.Tenant}
 	p.tries = append(p.tries, t)
 	l.tally.Subrequests++
 	if l.budgets != nil {
-		l.budgets.count(s.tenant, 1, 0)
+		l.budgets.count(s.Tenant, 1, 0)
 	}
 	if l.pins != nil {
 		l.pinSent(s, t, now)
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -117,7 +117,7 @@
 		w.t.Errorf("rule 1: %s was sent after its search's answer", id)
 	case shard%2 != l.cell:
 		w.t.Errorf("%s went to a node of cell %d", id, l.cell)
-	case s.typ == 1 && w.runs[id]:
+	case s.Type == 1 && w.runs[id]:
 		w.t.Errorf("rule 2: %s was sent though it may have run", id)
 	}
 	if at, down := w.downAt[l.addr]; down && w.loop.since() > at+500*time.Millisecond {
