--- a/cmd/flaxfront/fleet.go
+++ b/cmd/flaxfront/fleet.go
@@ -132,8 +132,8 @@
 			if !votes {
 				return fmt.Errorf("%s is none of fleet.voters, or fleet.directory is empty", ring.ID().Broker)
 			}
-			if there, _ := filepath.Glob(filepath.Join(o.Dir, "raft*")); len(there) > 0 {
-				return fmt.Errorf("%s holds a log already, which is begun once", o.Dir)
+			if there, _ := filepath.Glob(filepath.Join(o.Directory, "raft*")); len(there) > 0 {
+				return fmt.Errorf("%s holds a log already, which is begun once", o.Directory)
 			}
 			o.Create = true
 			log, err := raftlog.Open(o)
@@ -141,7 +141,7 @@
 				return err
 			}
 			log.Close()
-			fmt.Fprintf(cmd.OutOrStdout(), "log of voter %d begun in %s\n", o.ID, o.Dir)
+			fmt.Fprintf(cmd.OutOrStdout(), "log of voter %d begun in %s\n", o.VoterID, o.Directory)
 			return nil
 		},
 	}
--- a/cmd/flaxfront/nodes.go
+++ b/cmd/flaxfront/nodes.go
@@ -117,7 +117,7 @@
 			}
 			c, err := nodelist.Read(nodelist.Disk{}, p.dir, p.deployment)
 			if err == nil {
-				err = writeJSON(cmd.OutOrStdout(), c.All())
+				err = writeJSON(cmd.OutOrStdout(), c.SortedByName())
 			}
 			return err
 		},
@@ -136,7 +136,7 @@
 			if err != nil {
 				return err
 			}
-			return change(cmd.OutOrStdout(), p, nodelist.Ask{Import: entries})
+			return change(cmd.OutOrStdout(), p, nodelist.OperatorRequest{Import: entries})
 		},
 	}
 
@@ -149,7 +149,7 @@
 			if err != nil {
 				return err
 			}
-			return change(cmd.OutOrStdout(), p, nodelist.Ask{Forget: names})
+			return change(cmd.OutOrStdout(), p, nodelist.OperatorRequest{Forget: names})
 		},
 	}
 	nodes.AddCommand(show, verify, export, imports, forget)
--- a/cmd/flaxfront/nodesio.go
+++ b/cmd/flaxfront/nodesio.go
@@ -96,7 +96,7 @@
 
 func showNodes(out io.Writer, p listPlace, c *nodelist.Content, names []string, ended, asJSON bool) error {
 	var entries []cachedlist.Entry
-	for _, e := range c.All() {
+	for _, e := range c.SortedByName() {
 		if len(names) == 0 && (ended || e.State != cachedlist.Ended) || slices.Contains(names, e.Name) {
 			entries = append(entries, e)
 		}
@@ -117,7 +117,7 @@
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESS\tZONE\tCELL\tSTATE\tCONFIRMED\tBY\tDOUBT\tSTARTED")
 	t := p.own.Start.Trust
-	book := cachedlist.NewBook(c.Head, c.All())
+	book := cachedlist.NewBook(c.Head, c.SortedByName())
 	judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: t.HalfLife, Oldest: t.Oldest, StrikeAt: t.StrikeAt, Parole: t.Parole},
 		book, now)
 	for _, e := range entries {
@@ -147,7 +147,7 @@
 		return errors.New("no list that can be read")
 	}
 	var ready []cachedlist.Entry
-	for _, e := range c.All() {
+	for _, e := range c.SortedByName() {
 		if e.State == cachedlist.Ready {
 			ready = append(ready, e)
 		}
@@ -183,7 +183,7 @@
 }
 
 // change carries out an ask: by the broker that holds the directory, or else here.
-func change(out io.Writer, p listPlace, a nodelist.Ask) error {
+func change(out io.Writer, p listPlace, a nodelist.OperatorRequest) error {
 	c, err := nodelist.Read(nodelist.Disk{}, p.dir, p.deployment)
 	if err != nil {
 		return err
@@ -195,19 +195,19 @@
 	if deployment == "" {
 		return errors.New("no list there yet; --config tells which deployment it is to belong to")
 	}
-	store, content := nodelist.Open(nodelist.Options{Dir: p.dir, Deployment: deployment})
+	store, content := nodelist.Open(nodelist.Options{Directory: p.dir, Deployment: deployment})
 	defer store.Close()
-	if !store.Held() {
-		if err := nodelist.Leave(nodelist.Disk{}, p.dir, deployment, a, time.Now()); err != nil {
+	if !store.HoldsLock() {
+		if err := nodelist.SubmitRequest(nodelist.Disk{}, p.dir, deployment, a, time.Now()); err != nil {
 			return err
 		}
 		fmt.Fprintln(out, "left for the broker that runs; its log tells what it took")
 		return nil
 	}
-	book := cachedlist.NewBook(content.Head, content.All())
+	book := cachedlist.NewBook(content.Head, content.SortedByName())
 	fmt.Fprintf(out, "imported %d, forgotten %d\n", book.Import(a.Import), book.Forget(a.Forget))
 	if changes, any := book.Changes(); any {
-		store.Put(changes)
+		store.Enqueue(changes)
 	}
 	return store.Flush()
 }
--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -34,15 +34,15 @@
 		b.Run(fmt.Sprint(batch), func(b *testing.B) {
 			var nodes []*Node
 			for id := range uint64(3) {
-				log, err := raftlog.Open(raftlog.Options{Dir: b.TempDir(), Cluster: "b", ID: id + 1, Voters: []uint64{1, 2, 3},
+				log, err := raftlog.Open(raftlog.Options{Directory: b.TempDir(), Cluster: "b", VoterID: id + 1, Voters: []uint64{1, 2, 3},
 					Create: true})
 				if err != nil {
 					b.Fatal(err)
 				}
 				defer log.Close()
 				disk := &counted{Log: log}
-				n, err := New(Config{ID: id + 1, Voters: []uint64{1, 2, 3}, Election: election, Heartbeat: heartbeat, Disk: disk,
-					Machine: &sink{}}, 0)
+				n, err := New(Config{ID: id + 1, Voters: []uint64{1, 2, 3}, ElectionTimeout: election, HeartbeatInterval: heartbeat, Storage: disk,
+					StateMachine: &sink{}}, 0)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -52,7 +52,7 @@
 				for busy := true; busy; {
 					busy = false
 					for _, n := range nodes {
-						for _, p := range n.Out() {
+						for _, p := range n.ProcessReady() {
 							nodes[p.To-1].Step(n.cfg.ID, p.Data, n.now)
 							busy = true
 						}
@@ -61,7 +61,7 @@
 			}
 			nodes[0].Tick(2 * election)
 			settle()
-			if !nodes[0].Settled() {
+			if !nodes[0].IsCaughtUpLeader() {
 				b.Fatal("no leader")
 			}
 			for b.Loop() {
@@ -74,10 +74,10 @@
 			}
 			saves := 0
 			for _, n := range nodes {
-				saves += n.cfg.Disk.(*counted).saves
+				saves += n.cfg.Storage.(*counted).saves
 			}
 			b.ReportMetric(float64(saves)/float64(b.N), "fsyncs/op")
-			b.ReportMetric(float64(nodes[0].cfg.Machine.(*sink).applied)/b.Elapsed().Seconds(), "entries/s")
+			b.ReportMetric(float64(nodes[0].cfg.StateMachine.(*sink).applied)/b.Elapsed().Seconds(), "entries/s")
 		})
 	}
 }
@@ -97,7 +97,7 @@
 					}
 					killed := w.now
 					w.kill(w.voters[w.leading()[0]-1])
-					for ids := w.leading(); len(ids) == 0 || !w.voters[ids[0]-1].node.Settled(); ids = w.leading() {
+					for ids := w.leading(); len(ids) == 0 || !w.voters[ids[0]-1].node.IsCaughtUpLeader(); ids = w.leading() {
 						w.until(w.now + ms)
 					}
 					took = append(took, w.now-killed)
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -23,18 +23,18 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Disk keeps what a voter may not forget. Load is called once, before Save. What Save was given lasts when it returns nil;
+// Storage keeps what a voter may not forget. Load is called once, before Save. What Save was given lasts when it returns nil;
 // once it has failed it fails for ever. hard and snap may be nil. entries follow on each other, and replace from the first
 // one's index on what stood there. A snapshot comes before the entries of the same call: entries up to its index go, and
 // those after it too, unless the log agrees with the snapshot at its index.
-type Disk interface {
+type Storage interface {
 	Load() (hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, err error)
 	Save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error
 }
 
-// Machine is what the entries are for. After a restart it is restored from the last snapshot and gets the entries after it
+// StateMachine is what the entries are for. After a restart it is restored from the last snapshot and gets the entries after it
 // again. The same entries must lead to the same bytes of Snapshot on all voters.
-type Machine interface {
+type StateMachine interface {
 	Apply(index uint64, data []byte)
 	Snapshot() []byte
 	Restore(snapshot []byte) error
@@ -42,22 +42,22 @@
 
 // Config says who agrees, and how. Voters, Election and Heartbeat must be the same on all voters.
 type Config struct {
-	ID                  uint64
-	Voters              []uint64
-	Election, Heartbeat time.Duration // silence that ends a leader's lease; Election is 3 Heartbeat at least
-	Seed                uint64        // another one at each start: it tells the reads of this start from those before
-	Disk                Disk
-	Machine             Machine
+	ID                                 uint64
+	Voters                             []uint64
+	ElectionTimeout, HeartbeatInterval time.Duration // silence that ends a leader's lease; Election is 3 Heartbeat at least
+	Seed                               uint64        // another one at each start: it tells the reads of this start from those before
+	Storage                            Storage
+	StateMachine                       StateMachine
 
 	// Limits; 0 takes what stands behind.
-	SnapshotEvery uint64 // entries applied between two snapshots: 4096
-	SnapshotBytes int    // or so many bytes of them: 16 MiB
-	KeepBehind    uint64 // entries kept in memory behind a snapshot, for followers that lag: 1024
-	MaxInFlight   int    // entries proposed and not committed: 1024
-	MaxEntry      int    // bytes of one: 256 KiB
-	MaxReads      int    // reads not answered: 1024
-	MaxOut        int    // bytes that wait for Out: 64 MiB
-	PartBytes     int    // of a snapshot, sent to a voter at a heartbeat: 512 KiB; no packet is larger than that and MaxEntry
+	SnapshotEntries       uint64 // entries applied between two snapshots: 4096
+	SnapshotBytes         int    // or so many bytes of them: 16 MiB
+	TrailingEntries       uint64 // entries kept in memory behind a snapshot, for followers that lag: 1024
+	MaxUncommittedEntries int    // entries proposed and not committed: 1024
+	MaxEntryBytes         int    // bytes of one: 256 KiB
+	MaxPendingReads       int    // reads not answered: 1024
+	MaxOutboxBytes        int    // bytes that wait for Out: 64 MiB
+	SnapshotChunkBytes    int    // of a snapshot, sent to a voter at a heartbeat: 512 KiB; no packet is larger than that and MaxEntry
 }
 
 // Packet is a message for another voter. Any may be lost, doubled or late.
@@ -84,19 +84,19 @@
 	since                         time.Duration
 	resigned                      uint64 // times that it gave up the lead for having slept
 
-	hard      *pb.HardState
-	added     uint64 // proposed since the last Out
-	applied   uint64
-	snapped   uint64
-	bytes     int // applied since the snapshot
-	snapSent  map[uint64]time.Duration
-	parts     parts
-	out       []Packet
-	outBytes  int
-	reads     reads
-	failed    error
-	stopped   bool
-	DroppedIn uint64 // messages refused by Step
+	hard             *pb.HardState
+	added            uint64 // proposed since the last Out
+	applied          uint64
+	snapped          uint64
+	bytes            int // applied since the snapshot
+	snapSent         map[uint64]time.Duration
+	parts            parts
+	out              []Packet
+	outBytes         int
+	reads            reads
+	failed           error
+	stopped          bool
+	RejectedMessages uint64 // messages refused by Step
 }
 
 // New makes a voter of what Disk holds. now is any clock that doesn't run backwards; the same one is used in all calls.
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	n := &Node{cfg: cfg, log: raft.NewMemoryStorage(), conf: &pb.ConfState{Voters: cfg.Voters}, now: now,
-		rnd: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), ticks: int((cfg.Election + cfg.Heartbeat - 1) / cfg.Heartbeat),
+		rnd: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), ticks: int((cfg.ElectionTimeout + cfg.HeartbeatInterval - 1) / cfg.HeartbeatInterval),
 		snapSent: map[uint64]time.Duration{}, parts: newParts()}
 	if err := n.load(); err != nil {
 		return nil, err
@@ -128,32 +128,32 @@
 func newRaft(c *raft.Config) (r *raft.RawNode, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = &Broken{fmt.Sprint(p)}
+			err = &InconsistentStateError{fmt.Sprint(p)}
 		}
 	}()
 	return raft.NewRawNode(c)
 }
 
 func (c *Config) check() error {
-	limit(&c.SnapshotEvery, 4096)
+	limit(&c.SnapshotEntries, 4096)
 	limit(&c.SnapshotBytes, 16<<20)
-	limit(&c.KeepBehind, 1024)
-	limit(&c.MaxInFlight, 1024)
-	limit(&c.MaxEntry, 256<<10)
-	limit(&c.MaxReads, 1024)
-	limit(&c.MaxOut, 64<<20)
-	limit(&c.PartBytes, 512<<10)
+	limit(&c.TrailingEntries, 1024)
+	limit(&c.MaxUncommittedEntries, 1024)
+	limit(&c.MaxEntryBytes, 256<<10)
+	limit(&c.MaxPendingReads, 1024)
+	limit(&c.MaxOutboxBytes, 64<<20)
+	limit(&c.SnapshotChunkBytes, 512<<10)
 	switch n := len(c.Voters); {
-	case c.Disk == nil || c.Machine == nil:
-		return &BadConfig{"no disk or no machine"}
+	case c.Storage == nil || c.StateMachine == nil:
+		return &ConfigError{"no disk or no machine"}
 	case n != 1 && n != 3 && n != 5:
-		return &BadConfig{fmt.Sprintf("%d voters", n)}
+		return &ConfigError{fmt.Sprintf("%d voters", n)}
 	case slices.Contains(c.Voters, 0) || len(slices.Compact(slices.Clone(c.Voters))) != n:
-		return &BadConfig{"a voter of number 0 or one named twice"}
+		return &ConfigError{"a voter of number 0 or one named twice"}
 	case !slices.Contains(c.Voters, c.ID):
-		return &BadConfig{fmt.Sprintf("%d is not one of the voters", c.ID)}
-	case c.Heartbeat <= 0 || c.Election < 3*c.Heartbeat:
-		return &BadConfig{fmt.Sprintf("election %v, heartbeat %v", c.Election, c.Heartbeat)}
+		return &ConfigError{fmt.Sprintf("%d is not one of the voters", c.ID)}
+	case c.HeartbeatInterval <= 0 || c.ElectionTimeout < 3*c.HeartbeatInterval:
+		return &ConfigError{fmt.Sprintf("election %v, heartbeat %v", c.ElectionTimeout, c.HeartbeatInterval)}
 	}
 	return nil
 }
@@ -166,7 +166,7 @@
 
 // load fills memory and machine with what the disk holds.
 func (n *Node) load() error {
-	hard, entries, snap, err := n.cfg.Disk.Load()
+	hard, entries, snap, err := n.cfg.Storage.Load()
 	if err != nil {
 		return err
 	}
@@ -174,16 +174,16 @@
 	if raft.IsEmptySnap(snap) {
 		snap = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: n.conf}}
 	} else if !slices.Equal(meta.GetConfState().GetVoters(), n.cfg.Voters) {
-		return &OtherVoters{Here: n.cfg.Voters, There: meta.GetConfState().GetVoters()}
-	} else if err := n.cfg.Machine.Restore(snap.GetData()); err != nil {
-		return &Broken{fmt.Sprintf("the snapshot on disk can't be restored: %v", err)}
+		return &VotersMismatchError{Configured: n.cfg.Voters, Stored: meta.GetConfState().GetVoters()}
+	} else if err := n.cfg.StateMachine.Restore(snap.GetData()); err != nil {
+		return &InconsistentStateError{fmt.Sprintf("the snapshot on disk can't be restored: %v", err)}
 	}
 	n.applied, n.snapped = meta.GetIndex(), meta.GetIndex()
 	if err := n.log.ApplySnapshot(snap); err != nil {
-		return &Broken{err.Error()}
+		return &InconsistentStateError{err.Error()}
 	}
 	if err := n.log.Append(entries); err != nil {
-		return &Broken{err.Error()}
+		return &InconsistentStateError{err.Error()}
 	}
 	if hard == nil {
 		hard = &pb.HardState{}
@@ -205,17 +205,17 @@
 	last, _ := n.log.LastIndex()
 	switch {
 	case n.failed != nil || n.stopped:
-		return &Stopped{n.failed}
+		return &StoppedError{n.failed}
 	case !n.lead:
-		return &NotLeader{Leader: n.Leader()}
-	case len(data) == 0 || len(data) > n.cfg.MaxEntry:
-		return &BadEntry{Bytes: len(data), Most: n.cfg.MaxEntry}
-	case last+n.added-commit >= uint64(n.cfg.MaxInFlight):
-		return &Busy{n.cfg.MaxInFlight}
+		return &NotLeaderError{Leader: n.Leader()}
+	case len(data) == 0 || len(data) > n.cfg.MaxEntryBytes:
+		return &EntrySizeError{Bytes: len(data), Max: n.cfg.MaxEntryBytes}
+	case last+n.added-commit >= uint64(n.cfg.MaxUncommittedEntries):
+		return &BusyError{n.cfg.MaxUncommittedEntries}
 	}
 	err := n.raft.Propose(data)
 	if errors.Is(err, raft.ErrProposalDropped) {
-		return &Busy{n.cfg.MaxInFlight} // by bytes, or while the lead is being handed over
+		return &BusyError{n.cfg.MaxUncommittedEntries} // by bytes, or while the lead is being handed over
 	}
 	n.added++
 	return err
@@ -229,22 +229,22 @@
 	return n.raft.BasicStatus().Lead
 }
 
-// Lead tells whether this voter leads as far as it knows. Another may already lead a later term: what must not be done twice
+// IsLeader tells whether this voter leads as far as it knows. Another may already lead a later term: what must not be done twice
 // goes through an entry, what must not be stale through ReadIndex.
-func (n *Node) Lead() bool { return n.lead && n.failed == nil && !n.stopped }
+func (n *Node) IsLeader() bool { return n.lead && n.failed == nil && !n.stopped }
 
-// Settled tells whether this voter leads and has applied all that earlier leaders committed. Only then does its Machine say
+// IsCaughtUpLeader tells whether this voter leads and has applied all that earlier leaders committed. Only then does its Machine say
 // what was agreed before; a leader decides nothing by it earlier.
-func (n *Node) Settled() bool { return n.Lead() && n.appliedTerm == n.Term() }
+func (n *Node) IsCaughtUpLeader() bool { return n.IsLeader() && n.appliedTerm == n.Term() }
 
-// Since is when this voter became leader by its own clock; a leader counts time-outs from then on, not from before.
-func (n *Node) Since() time.Duration { return n.since }
+// LeaderSince is when this voter became leader by its own clock; a leader counts time-outs from then on, not from before.
+func (n *Node) LeaderSince() time.Duration { return n.since }
 
 // Term is the present term: a fencing number that only grows.
 func (n *Node) Term() uint64 { return n.raft.BasicStatus().GetTerm() }
 
-// Applied is the index of the last entry applied; empty entries of raft's own count.
-func (n *Node) Applied() uint64 { return n.applied }
+// AppliedIndex is the index of the last entry applied; empty entries of raft's own count.
+func (n *Node) AppliedIndex() uint64 { return n.applied }
 
-// Failed tells why this voter has stopped for good; nil while it goes on.
-func (n *Node) Failed() error { return n.failed }
+// Err tells why this voter has stopped for good; nil while it goes on.
+func (n *Node) Err() error { return n.failed }
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -28,7 +28,7 @@
 func TestElectionsBegin(t *testing.T) {
 	for _, size := range []int{1, 3, 5} {
 		w, leader := calm(t, size)
-		if !leader.node.Settled() {
+		if !leader.node.IsCaughtUpLeader() {
 			t.Errorf("%d voters: the leader isn't settled", size)
 		}
 		term := leader.node.Term()
@@ -43,15 +43,15 @@
 	w, leader := calm(t, 3)
 	follower := w.voters[leader.id%3]
 	now := func(v *voter) time.Duration { return v.local(w.now) }
-	var not *NotLeader
+	var not *NotLeaderError
 	if err := follower.node.Propose([]byte("0123456789abc"), now(follower)); !errors.As(err, &not) || not.Leader != leader.id {
 		t.Error(err)
 	}
-	var bad *BadEntry
+	var bad *EntrySizeError
 	if err := leader.node.Propose(make([]byte, 257<<10), now(leader)); !errors.As(err, &bad) {
 		t.Error(err)
 	}
-	var busy *Busy
+	var busy *BusyError
 	for i := range 1025 {
 		if err := leader.node.Propose(make([]byte, 13), now(leader)); errors.As(err, &busy) != (i == 1024) {
 			t.Fatal(i, err)
@@ -62,7 +62,7 @@
 			t.Fatal(i, err)
 		}
 	}
-	var msg *BadMessage
+	var msg *InvalidMessageError
 	prop := packed(&pb.Message{Type: pb.MsgProp.Enum(), From: &follower.id, To: &leader.id})
 	for _, m := range [][]byte{prop, []byte("no message"), nil} {
 		if err := leader.node.Step(follower.id, m, now(leader)); !errors.As(err, &msg) {
@@ -83,11 +83,11 @@
 	w.start(v)
 	w.checks.err = nil
 	w.until(w.now + 5*election)
-	var broken *Broken
-	if !errors.As(v.node.Failed(), &broken) || broken.Remedy() == "" {
-		t.Fatal(v.node.Failed())
+	var broken *InconsistentStateError
+	if !errors.As(v.node.Err(), &broken) || broken.Remedy() == "" {
+		t.Fatal(v.node.Err())
 	}
-	var stopped *Stopped
+	var stopped *StoppedError
 	if err := v.node.Propose([]byte("x"), 0); !errors.As(err, &stopped) || stopped.Remedy() != broken.Remedy() {
 		t.Error(err)
 	}
@@ -98,7 +98,7 @@
 	_, leader := calm(t, 3)
 	n := leader.node
 	n.Tick(n.now + 2*election)
-	if n.Lead() || n.resigned != 1 {
+	if n.IsLeader() || n.resigned != 1 {
 		t.Fatal("it still leads")
 	}
 }
@@ -108,7 +108,7 @@
 	w, leader := calm(t, 3)
 	w.cutWhere(func(_, to uint64) bool { return to == leader.id })
 	w.until(w.now + 2*election + 2*heartbeat)
-	if leader.node.Lead() {
+	if leader.node.IsLeader() {
 		t.Fatal("it still leads")
 	}
 	w.until(w.now + 4*election)
@@ -119,7 +119,7 @@
 
 func TestHandOver(t *testing.T) {
 	w, leader := calm(t, 5)
-	to := leader.node.HandOver(leader.local(w.now))
+	to := leader.node.TransferLeadership(leader.local(w.now))
 	w.turn(leader)
 	w.until(w.now + heartbeat*2)
 	if ids := w.leading(); len(ids) != 1 || ids[0] != to {
@@ -139,6 +139,6 @@
 		w := newWorld(1, 3, none)
 		v := w.voters[0]
 		v.node.Step(2, b, v.local(0)+1)
-		v.node.Out()
+		v.node.ProcessReady()
 	})
 }
--- a/internal/cluster/consensus/parts.go
+++ b/internal/cluster/consensus/parts.go
@@ -41,7 +41,7 @@
 		if o == nil {
 			continue
 		}
-		some := o.data[o.at:min(o.at+n.cfg.PartBytes, len(o.data))]
+		some := o.data[o.at:min(o.at+n.cfg.SnapshotChunkBytes, len(o.data))]
 		b := binary.BigEndian.AppendUint64([]byte{letterPart}, o.number)
 		b = binary.BigEndian.AppendUint32(b, uint32(o.at))
 		b = binary.BigEndian.AppendUint32(b, uint32(len(o.data)))
--- a/internal/cluster/consensus/reads.go
+++ b/internal/cluster/consensus/reads.go
@@ -11,17 +11,17 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Read is the answer to a ReadIndex: Machine may be read now, unless Err tells that it could not be confirmed.
-type Read struct {
-	Ctx   []byte
-	Index uint64
-	Err   error
+// ReadResult is the answer to a ReadIndex: Machine may be read now, unless Err tells that it could not be confirmed.
+type ReadResult struct {
+	RequestContext []byte
+	Index          uint64
+	Err            error
 }
 
 type reads struct {
 	id, birth, seq uint64
 	asked          []askedRead // oldest first
-	done           []Read
+	done           []ReadResult
 }
 
 type askedRead struct {
@@ -46,11 +46,11 @@
 func (n *Node) ReadIndex(ctx []byte) error {
 	switch {
 	case n.failed != nil || n.stopped:
-		return &Stopped{n.failed}
+		return &StoppedError{n.failed}
 	case n.Leader() == 0:
-		return &NotLeader{}
-	case len(n.reads.asked) >= n.cfg.MaxReads:
-		return &Busy{n.cfg.MaxReads}
+		return &NotLeaderError{}
+	case len(n.reads.asked) >= n.cfg.MaxPendingReads:
+		return &BusyError{n.cfg.MaxPendingReads}
 	}
 	defer n.guard()
 	r := &n.reads
@@ -59,13 +59,13 @@
 	for _, part := range []uint64{r.id, r.birth, r.seq} {
 		key = binary.BigEndian.AppendUint64(key, part)
 	}
-	r.asked = append(r.asked, askedRead{key: string(key), ctx: ctx, until: n.now + 2*n.cfg.Election})
+	r.asked = append(r.asked, askedRead{key: string(key), ctx: ctx, until: n.now + 2*n.cfg.ElectionTimeout})
 	n.raft.ReadIndex(key)
 	return nil
 }
 
-// Reads returns what was answered since the last call. Call it after Out.
-func (n *Node) Reads() []Read {
+// CompletedReads returns what was answered since the last call. Call it after Out.
+func (n *Node) CompletedReads() []ReadResult {
 	done := n.reads.done
 	n.reads.done = nil
 	return done
@@ -85,7 +85,7 @@
 	r.asked = slices.DeleteFunc(r.asked, func(a askedRead) bool {
 		ready := a.confirmed && a.index <= index
 		if ready {
-			r.done = append(r.done, Read{Ctx: a.ctx, Index: a.index})
+			r.done = append(r.done, ReadResult{RequestContext: a.ctx, Index: a.index})
 		}
 		return ready
 	})
@@ -93,14 +93,14 @@
 
 func (r *reads) expire(now time.Duration) {
 	for len(r.asked) > 0 && r.asked[0].until <= now {
-		r.done = append(r.done, Read{Ctx: r.asked[0].ctx, Err: &Unconfirmed{}})
+		r.done = append(r.done, ReadResult{RequestContext: r.asked[0].ctx, Err: &ReadTimeoutError{}})
 		r.asked = r.asked[1:]
 	}
 }
 
 func (r *reads) close(err error) {
 	for _, a := range r.asked {
-		r.done = append(r.done, Read{Ctx: a.ctx, Err: err})
+		r.done = append(r.done, ReadResult{RequestContext: a.ctx, Err: err})
 	}
 	r.asked = nil
 }
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -24,12 +24,12 @@
 func (n *Node) Step(from uint64, msg []byte, now time.Duration) error {
 	n.advance(now)
 	if n.failed != nil || n.stopped {
-		return &Stopped{n.failed}
+		return &StoppedError{n.failed}
 	}
 	m := &pb.Message{}
 	if !slices.Contains(n.cfg.Voters, from) {
-		n.DroppedIn++
-		return &BadMessage{From: from, Err: errors.New("it is no voter")}
+		n.RejectedMessages++
+		return &InvalidMessageError{From: from, Err: errors.New("it is no voter")}
 	}
 	data, err := n.parts.whole(from, msg)
 	if err == nil && data == nil {
@@ -48,21 +48,21 @@
 		err = fmt.Errorf("a snapshot of voters %v", m.GetSnapshot().GetMetadata().GetConfState().GetVoters())
 	}
 	if err != nil {
-		n.DroppedIn++
-		return &BadMessage{From: from, Err: err}
+		n.RejectedMessages++
+		return &InvalidMessageError{From: from, Err: err}
 	}
 	defer n.guard()
 	if err := n.raft.Step(m); err != nil {
-		return &BadMessage{From: from, Err: err}
+		return &InvalidMessageError{From: from, Err: err}
 	}
 	n.turn()
 	n.heardOf(m)
 	return nil
 }
 
-// Out saves, applies what is committed and returns what is to be sent. After Step, Propose, Tick and ReadIndex it must be
+// ProcessReady saves, applies what is committed and returns what is to be sent. After Step, Propose, Tick and ReadIndex it must be
 // called before the caller waits.
-func (n *Node) Out() []Packet {
+func (n *Node) ProcessReady() []Packet {
 	n.work()
 	out := n.out
 	n.out, n.outBytes = nil, 0
@@ -106,15 +106,15 @@
 	if snap == nil && len(rd.Entries) == 0 && !rd.MustSync {
 		return nil
 	}
-	if err := n.cfg.Disk.Save(n.hard, rd.Entries, snap); err != nil {
-		return &DiskFailed{err}
+	if err := n.cfg.Storage.Save(n.hard, rd.Entries, snap); err != nil {
+		return &StorageError{err}
 	}
 	if snap != nil {
 		if err := n.log.ApplySnapshot(snap); err != nil {
-			return &Broken{err.Error()}
+			return &InconsistentStateError{err.Error()}
 		}
-		if err := n.cfg.Machine.Restore(snap.GetData()); err != nil {
-			return &Broken{fmt.Sprintf("the leader's snapshot can't be restored: %v", err)}
+		if err := n.cfg.StateMachine.Restore(snap.GetData()); err != nil {
+			return &InconsistentStateError{fmt.Sprintf("the leader's snapshot can't be restored: %v", err)}
 		}
 		n.applied, n.snapped = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
 	}
@@ -130,7 +130,7 @@
 	}
 	if m.GetType() == pb.MsgSnap {
 		n.snapSent[m.GetTo()] = n.now
-		if len(data) > n.cfg.PartBytes && len(data) <= mostWhole {
+		if len(data) > n.cfg.SnapshotChunkBytes && len(data) <= mostWhole {
 			n.parts.out[m.GetTo()] = &outgoing{number: n.rnd.Uint64(), data: data[1:]}
 			return
 		}
@@ -140,7 +140,7 @@
 
 // put drops what would exceed the limit, as a network may.
 func (n *Node) put(p Packet) {
-	if n.outBytes+len(p.Data) > n.cfg.MaxOut && len(n.out) > 0 {
+	if n.outBytes+len(p.Data) > n.cfg.MaxOutboxBytes && len(n.out) > 0 {
 		return
 	}
 	n.out = append(n.out, p)
@@ -153,7 +153,7 @@
 			panic(fmt.Sprintf("entry %d of type %v, which no voter writes", e.GetIndex(), e.GetType()))
 		}
 		if len(e.GetData()) > 0 {
-			n.cfg.Machine.Apply(e.GetIndex(), e.GetData())
+			n.cfg.StateMachine.Apply(e.GetIndex(), e.GetData())
 		}
 		n.applied, n.appliedTerm = e.GetIndex(), e.GetTerm()
 		n.bytes += len(e.GetData())
@@ -163,22 +163,22 @@
 // compact replaces the older part of the log by a snapshot.
 func (n *Node) compact() {
 	if n.failed != nil || n.stopped || n.applied == n.snapped ||
-		n.applied-n.snapped < n.cfg.SnapshotEvery && n.bytes < n.cfg.SnapshotBytes {
+		n.applied-n.snapped < n.cfg.SnapshotEntries && n.bytes < n.cfg.SnapshotBytes {
 		return
 	}
 	defer n.guard()
-	snap, err := n.log.CreateSnapshot(n.applied, n.conf, n.cfg.Machine.Snapshot())
+	snap, err := n.log.CreateSnapshot(n.applied, n.conf, n.cfg.StateMachine.Snapshot())
 	if err == nil {
-		err = n.cfg.Disk.Save(n.hard, nil, snap)
+		err = n.cfg.Storage.Save(n.hard, nil, snap)
 	}
 	if err != nil {
-		n.fail(&DiskFailed{err})
+		n.fail(&StorageError{err})
 		return
 	}
 	n.snapped, n.bytes = n.applied, 0
 	first, _ := n.log.FirstIndex()
-	if n.applied > first+n.cfg.KeepBehind {
-		n.log.Compact(n.applied - n.cfg.KeepBehind)
+	if n.applied > first+n.cfg.TrailingEntries {
+		n.log.Compact(n.applied - n.cfg.TrailingEntries)
 	}
 }
 
@@ -186,7 +186,7 @@
 func (n *Node) fail(err error) {
 	if n.failed == nil {
 		n.failed, n.lead, n.out = err, false, nil
-		n.reads.close(&Stopped{err})
+		n.reads.close(&StoppedError{err})
 	}
 }
 
@@ -195,6 +195,6 @@
 // not go on applying either.
 func (n *Node) guard() {
 	if p := recover(); p != nil {
-		n.fail(&Broken{fmt.Sprint(p)})
+		n.fail(&InconsistentStateError{fmt.Sprint(p)})
 	}
 }
--- a/internal/cluster/consensus/sim_test.go
+++ b/internal/cluster/consensus/sim_test.go
@@ -45,8 +45,8 @@
 	}
 	w.until(healed + 10*election + time.Second)
 	for _, v := range w.voters {
-		if w.checks.err == nil && v.node.Applied() < w.checks.last {
-			w.checks.fail("voter %d has %d of %d entries in the end", v.id, v.node.Applied(), w.checks.last)
+		if w.checks.err == nil && v.node.AppliedIndex() < w.checks.last {
+			w.checks.fail("voter %d has %d of %d entries in the end", v.id, v.node.AppliedIndex(), w.checks.last)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.ops.open)) {
@@ -73,7 +73,7 @@
 
 func (w *world) leading() (ids []uint64) {
 	for _, v := range w.voters {
-		if v.up && v.node.Lead() {
+		if v.up && v.node.IsLeader() {
 			ids = append(ids, v.id)
 		}
 	}
--- a/internal/cluster/consensus/simchecks_test.go
+++ b/internal/cluster/consensus/simchecks_test.go
@@ -32,7 +32,7 @@
 
 // leader checks that a term has one leader at most.
 func (c *checks) leader(v *voter) {
-	if !v.node.Lead() {
+	if !v.node.IsLeader() {
 		return
 	}
 	if other, ok := c.leaders[v.node.Term()]; ok && other != v.id {
@@ -160,11 +160,11 @@
 	switch {
 	case read && w.mutant == localRead:
 		o.open[p.id] = p
-		if v.node.Lead() {
+		if v.node.IsLeader() {
 			o.done(w, v, p.id, v.machine.cells[p.in.cell])
 			return
 		}
-		err = &NotLeader{}
+		err = &NotLeaderError{}
 	case read:
 		err = v.node.ReadIndex(key)
 	default:
@@ -206,9 +206,9 @@
 	o.close(p, output{true, old}, int64(w.now))
 }
 
-func (o *ops) answers(w *world, v *voter, reads []Read) {
+func (o *ops) answers(w *world, v *voter, reads []ReadResult) {
 	for _, r := range reads {
-		id := binary.BigEndian.Uint64(r.Ctx)
+		id := binary.BigEndian.Uint64(r.RequestContext)
 		if p := o.open[id]; p != nil && r.Err != nil {
 			o.close(p, output{}, 0)
 		} else if p != nil {
--- a/internal/cluster/consensus/simfaults_test.go
+++ b/internal/cluster/consensus/simfaults_test.go
@@ -105,7 +105,7 @@
 			w.loss, w.slow = w.rnd.Float64()*0.4, 5*ms+w.upTo(150*ms)
 		case "hand over":
 			if v.up && !v.paused {
-				v.node.HandOver(v.local(w.now))
+				v.node.TransferLeadership(v.local(w.now))
 				w.turn(v)
 			}
 		case "calm":
@@ -131,7 +131,7 @@
 	clear(w.cut)
 	w.loss, w.slow = 0, 10*ms
 	for _, v := range w.voters {
-		if !v.up || v.paused || v.node.Failed() != nil || v.disk.FailSync || v.disk.Full || v.disk.CrashAt > 0 {
+		if !v.up || v.paused || v.node.Err() != nil || v.disk.FailSync || v.disk.Full || v.disk.CrashAt > 0 {
 			w.kill(v)
 			v.disk.CrashAt, v.disk.FailSync, v.disk.Full = 0, false, false
 			w.start(v)
--- a/internal/cluster/consensus/simworld_test.go
+++ b/internal/cluster/consensus/simworld_test.go
@@ -115,7 +115,7 @@
 	}
 	v.birth++
 	v.disk.FailSync, v.disk.Full = false, false
-	log, err := raftlog.Open(raftlog.Options{Dir: "d", Cluster: "sim", ID: v.id, Voters: w.ids, Create: true, Disk: v.disk,
+	log, err := raftlog.Open(raftlog.Options{Directory: "d", Cluster: "sim", VoterID: v.id, Voters: w.ids, Create: true, FS: v.disk,
 		Unlocked: true})
 	if errors.Is(err, crashfs.ErrCrash) {
 		v.disk = v.disk.Crash()
@@ -126,7 +126,7 @@
 		return
 	}
 	v.log, v.machine = log, &register{w: w, v: v}
-	var disk Disk = log
+	var disk Storage = log
 	switch w.mutant {
 	case careless:
 		disk = carelessLog{log}
@@ -135,8 +135,8 @@
 	case earlyAck:
 		disk = &lateLog{Log: log}
 	}
-	v.node, err = New(Config{ID: v.id, Voters: w.ids, Election: election, Heartbeat: heartbeat, Seed: w.rnd.Uint64(), Disk: disk,
-		Machine: v.machine, SnapshotEvery: 12, KeepBehind: 4, PartBytes: 30}, v.local(w.now))
+	v.node, err = New(Config{ID: v.id, Voters: w.ids, ElectionTimeout: election, HeartbeatInterval: heartbeat, Seed: w.rnd.Uint64(), Storage: disk,
+		StateMachine: v.machine, SnapshotEntries: 12, TrailingEntries: 4, SnapshotChunkBytes: 30}, v.local(w.now))
 	if err != nil {
 		w.checks.fail("voter %d doesn't start: %v", v.id, err)
 		return
@@ -156,23 +156,23 @@
 // turn lets a voter do what it has to after anything was handed to it.
 func (w *world) turn(v *voter) {
 	next := v.node.Tick(v.local(w.now))
-	for _, p := range v.node.Out() {
+	for _, p := range v.node.ProcessReady() {
 		w.send(v.id, p)
 	}
-	if errors.Is(v.node.Failed(), crashfs.ErrCrash) {
+	if errors.Is(v.node.Err(), crashfs.ErrCrash) {
 		w.seen["killed in a save"]++
 		w.kill(v)
 		w.after(w.upTo(2*time.Second), func() { w.start(v) })
 		return
 	}
-	if v.node.Failed() != nil {
+	if v.node.Err() != nil {
 		w.seen["called after its disk failed"]++
 	}
-	var broken *Broken
-	if errors.As(v.node.Failed(), &broken) {
+	var broken *InconsistentStateError
+	if errors.As(v.node.Err(), &broken) {
 		w.checks.fail("voter %d: %v", v.id, broken)
 	}
-	w.ops.answers(w, v, v.node.Reads())
+	w.ops.answers(w, v, v.node.CompletedReads())
 	w.checks.leader(v)
 	v.timer++
 	if birth, timer := v.birth, v.timer; next != Never {
--- a/internal/cluster/consensus/time.go
+++ b/internal/cluster/consensus/time.go
@@ -24,13 +24,13 @@
 
 // chance is the silence after which this voter asks for the lead.
 func (n *Node) chance() time.Duration {
-	return n.cfg.Election + time.Duration(n.rnd.Int64N(int64(n.cfg.Election)))
+	return n.cfg.ElectionTimeout + time.Duration(n.rnd.Int64N(int64(n.cfg.ElectionTimeout)))
 }
 
 // again is when it asks again if that came to nothing (two asked at once, or a majority still held to the leader): sooner, as
 // nobody leads, yet so late that answers had their time.
 func (n *Node) again() time.Duration {
-	return n.cfg.Election/2 + time.Duration(n.rnd.Int64N(int64(n.cfg.Election/2)))
+	return n.cfg.ElectionTimeout/2 + time.Duration(n.rnd.Int64N(int64(n.cfg.ElectionTimeout/2)))
 }
 
 // Tick takes note of the time and returns when it must be called next, if nothing else calls before.
@@ -49,7 +49,7 @@
 	}
 	at = min(at, n.electAt)
 	if n.raft.BasicStatus().Lead != raft.None {
-		at = min(at, n.heard+n.cfg.Election)
+		at = min(at, n.heard+n.cfg.ElectionTimeout)
 	}
 	return at
 }
@@ -64,7 +64,7 @@
 	// overslept by Election resigns before it reads what waits for it: two rounds of check-quorum without an answer between
 	// them. Others don't campaign before they have read. It hurts where a disk or a pause of the runtime takes that long: then
 	// the lead changes without need.
-	slept := now-n.due() >= n.cfg.Election
+	slept := now-n.due() >= n.cfg.ElectionTimeout
 	n.now = now
 	switch {
 	case slept && n.lead:
@@ -77,14 +77,14 @@
 		n.electAt = now + n.chance()
 	}
 	for n.lead && n.nextTick <= now {
-		n.nextTick += n.cfg.Heartbeat
+		n.nextTick += n.cfg.HeartbeatInterval
 		n.raft.Tick()
 		n.sendParts()
 		n.resendSnapshots()
 		n.turn()
 	}
 	if !n.lead {
-		if n.raft.BasicStatus().Lead != raft.None && now >= n.heard+n.cfg.Election {
+		if n.raft.BasicStatus().Lead != raft.None && now >= n.heard+n.cfg.ElectionTimeout {
 			n.raft.ForgetLeader()
 		}
 		if now >= n.electAt {
@@ -101,7 +101,7 @@
 	lead := n.raft.BasicStatus().RaftState == raft.StateLeader
 	switch {
 	case lead && !n.lead:
-		n.since, n.nextTick = n.now, n.now+n.cfg.Heartbeat
+		n.since, n.nextTick = n.now, n.now+n.cfg.HeartbeatInterval
 		clear(n.snapSent)
 		clear(n.parts.out)
 	case !lead && n.lead:
@@ -134,18 +134,18 @@
 // and sends that follower nothing more. One that is merely slow gets it twice, which is harmless.
 func (n *Node) resendSnapshots() {
 	for _, to := range n.cfg.Voters {
-		if at, sent := n.snapSent[to]; sent && n.parts.out[to] == nil && n.now-at >= 4*n.cfg.Election {
+		if at, sent := n.snapSent[to]; sent && n.parts.out[to] == nil && n.now-at >= 4*n.cfg.ElectionTimeout {
 			delete(n.snapSent, to)
 			n.raft.ReportSnapshot(to, raft.SnapshotFailure)
 		}
 	}
 }
 
-// HandOver starts to give the lead to the voter that is furthest, before a planned stop; 0 where there is none to take it.
+// TransferLeadership starts to give the lead to the voter that is furthest, before a planned stop; 0 where there is none to take it.
 // It is over when Lead is false; after Election it is given up.
-func (n *Node) HandOver(now time.Duration) (to uint64) {
+func (n *Node) TransferLeadership(now time.Duration) (to uint64) {
 	n.advance(now)
-	if !n.Lead() {
+	if !n.IsLeader() {
 		return 0
 	}
 	defer n.guard()
@@ -165,5 +165,5 @@
 // Stop ends this voter as planned. Nothing is sent or saved any more.
 func (n *Node) Stop() {
 	n.stopped = true
-	n.reads.close(&Stopped{})
+	n.reads.close(&StoppedError{})
 }
--- a/internal/cluster/controlplane/client_test.go
+++ b/internal/cluster/controlplane/client_test.go
@@ -32,7 +32,7 @@
 	if err := keys.NewAuthority(filepath.Join(dir, "ca"), "t", time.Hour, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	disk, err := raftlog.Open(raftlog.Options{Dir: filepath.Join(dir, "log"), Cluster: "s", ID: 1, Voters: []uint64{1}, Create: true})
+	disk, err := raftlog.Open(raftlog.Options{Directory: filepath.Join(dir, "log"), Cluster: "s", VoterID: 1, Voters: []uint64{1}, Create: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/controlplane/cluster_test.go
+++ b/internal/cluster/controlplane/cluster_test.go
@@ -130,7 +130,7 @@
 func (c *tier) leader() string {
 	for i := 1; i <= 3; i++ {
 		name := fmt.Sprintf("b%d", i)
-		if f := c.all[name]; f != nil && peek(f, func() bool { return f.node.Lead() && f.lead.on && f.lease.up }) {
+		if f := c.all[name]; f != nil && peek(f, func() bool { return f.node.IsLeader() && f.lead.on && f.lease.up }) {
 			return name
 		}
 	}
@@ -182,7 +182,7 @@
 		Report: time.Second, Seed: uint64(time.Now().UnixNano())}
 	var disk *raftlog.Log
 	if i <= 3 {
-		if disk, err = raftlog.Open(raftlog.Options{Dir: filepath.Join(dir, "log"), Cluster: "s", ID: uint64(i), Voters: []uint64{1, 2, 3}, Create: true}); err != nil {
+		if disk, err = raftlog.Open(raftlog.Options{Directory: filepath.Join(dir, "log"), Cluster: "s", VoterID: uint64(i), Voters: []uint64{1, 2, 3}, Create: true}); err != nil {
 			c.t.Fatal(err)
 		}
 		o.Disk = disk
--- a/internal/cluster/controlplane/controlplane.go
+++ b/internal/cluster/controlplane/controlplane.go
@@ -35,7 +35,7 @@
 	Listener    net.Listener // nil: nobody comes
 	Listen      string       // as others are told
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	Disk        consensus.Disk // of a voter
+	Disk        consensus.Storage // of a voter
 	Slot        statemachine.Slot
 	Incarnation uint64 // greater than that of any earlier life
 	Version     string
@@ -142,8 +142,8 @@
 		ids = append(ids, uint64(i+1))
 	}
 	var err error
-	f.node, err = consensus.New(consensus.Config{ID: f.id, Voters: ids, Election: o.Election, Heartbeat: o.Heartbeat, Seed: o.Seed, Disk: o.Disk,
-		Machine: machine{f}, MaxEntry: maxEntry}, o.Now())
+	f.node, err = consensus.New(consensus.Config{ID: f.id, Voters: ids, ElectionTimeout: o.Election, HeartbeatInterval: o.Heartbeat, Seed: o.Seed, Storage: o.Disk,
+		StateMachine: machine{f}, MaxEntryBytes: maxEntry}, o.Now())
 	return f, err
 }
 
--- a/internal/cluster/controlplane/controlplane_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-var _ consensus.Disk = (*raftlog.Log)(nil)
+var _ consensus.Storage = (*raftlog.Log)(nil)
 
 func TestJoin(t *testing.T) {
 	inside(t, func(t *testing.T, c *tier) {
--- a/internal/cluster/controlplane/faults_test.go
+++ b/internal/cluster/controlplane/faults_test.go
@@ -14,7 +14,7 @@
 
 // failing is a disk that fails from a moment on.
 type failing struct {
-	consensus.Disk
+	consensus.Storage
 	now *atomic.Bool
 }
 
@@ -22,7 +22,7 @@
 	if d.now.Load() {
 		return errors.New("no space left")
 	}
-	return d.Disk.Save(h, e, s)
+	return d.Storage.Save(h, e, s)
 }
 
 // A voter whose disk fails votes no more; it follows the others, and nobody is lost.
--- a/internal/cluster/controlplane/lead.go
+++ b/internal/cluster/controlplane/lead.go
@@ -51,17 +51,17 @@
 func (f *Fleet) vote(now time.Duration) (next time.Duration) {
 	next = f.node.Tick(now)
 	f.sendPackets()
-	if err := f.node.Failed(); err != nil && !f.broken {
+	if err := f.node.Err(); err != nil && !f.broken {
 		f.broken = true
 		slog.Error("fleet: this voter has stopped and only follows; searches go on", "error", err, "remedy", remedyOf(errors.Join(f.halted, err)))
 		f.follow()
 	}
-	if f.leaving.Load() && f.node.Lead() && now >= f.lead.handed {
+	if f.leaving.Load() && f.node.IsLeader() && now >= f.lead.handed {
 		f.lead.handed = now + f.o.Election
-		f.node.HandOver(now)
+		f.node.TransferLeadership(now)
 		f.sendPackets()
 	}
-	if !f.node.Lead() {
+	if !f.node.IsLeader() {
 		if f.lead.term != 0 {
 			slog.Info("fleet: leads no more", "term", f.lead.term)
 			f.lead = lead{}
@@ -94,13 +94,13 @@
 
 // sendPackets saves and sends what Raft has for the others.
 func (f *Fleet) sendPackets() {
-	for _, p := range f.node.Out() {
+	for _, p := range f.node.ProcessReady() {
 		if c := f.voters[f.o.Voters[p.To-1].Name]; c != nil {
 			f.put(c, letterRaft, p.Data)
 		}
 	}
-	for _, r := range f.node.Reads() {
-		id := binary.BigEndian.Uint64(r.Ctx)
+	for _, r := range f.node.CompletedReads() {
+		id := binary.BigEndian.Uint64(r.RequestContext)
 		if fn := f.reads[id]; fn != nil {
 			delete(f.reads, id)
 			fn(r.Err)
@@ -138,7 +138,7 @@
 			return
 		}
 		f.lead.reading--
-		if err != nil || !f.node.Lead() {
+		if err != nil || !f.node.IsLeader() {
 			return
 		}
 		// The granter counts from now, after the request; the holder from before it.
--- a/internal/cluster/controlplane/propose.go
+++ b/internal/cluster/controlplane/propose.go
@@ -55,7 +55,7 @@
 	data := statemachine.Encode(statemachine.ProposalID{Slot: f.o.Slot, Incarnation: f.inc, Sequence: f.seq}, e)
 	f.Counts.Proposed.Add(1)
 	if len(data) > maxEntry { // no leader would take it, however often it is sent
-		done(statemachine.Result{}, &consensus.BadEntry{Bytes: len(data), Most: maxEntry})
+		done(statemachine.Result{}, &consensus.EntrySizeError{Bytes: len(data), Max: maxEntry})
 		return f.seq
 	}
 	f.pending[f.seq] = &proposal{seq: f.seq, data: data, done: done}
@@ -143,7 +143,7 @@
 	if !f.upNow && now < f.due.up {
 		return f.due.up
 	}
-	if f.node != nil && f.node.Lead() {
+	if f.node != nil && f.node.IsLeader() {
 		f.takeUp(nil, *u, now)
 	} else if c := f.upward(); c != nil {
 		f.put(c, letterUp, *u)
@@ -158,7 +158,7 @@
 	if len(u.Renewals) > maxBatch || len(u.Entries) > maxBatch || len(u.Reports) > maxBatch {
 		return
 	}
-	leads := f.node != nil && f.node.Lead()
+	leads := f.node != nil && f.node.IsLeader()
 	if c != nil {
 		if !c.follows && !leads {
 			return
--- a/internal/cluster/controlplane/request.go
+++ b/internal/cluster/controlplane/request.go
@@ -113,7 +113,7 @@
 	if c.peer.Role != roleOperator {
 		return
 	}
-	if f.node == nil || !f.node.Lead() || !f.lead.on {
+	if f.node == nil || !f.node.IsLeader() || !f.lead.on {
 		e := &Elsewhere{}
 		if f.node != nil {
 			if l := f.node.Leader(); l != 0 && l != f.id {
--- a/internal/cluster/raftlog/bench_test.go
+++ b/internal/cluster/raftlog/bench_test.go
@@ -18,7 +18,7 @@
 }
 
 func plain(b *testing.B, dir string) *Log {
-	l, err := Open(Options{Dir: dir, Cluster: "c", ID: 1, Voters: []uint64{1, 2, 3}, Create: true})
+	l, err := Open(Options{Directory: dir, Cluster: "c", VoterID: 1, Voters: []uint64{1, 2, 3}, Create: true})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/cluster/raftlog/frame.go
+++ b/internal/cluster/raftlog/frame.go
@@ -120,12 +120,12 @@
 func (l *Log) read(path string) (cut int, err error) {
 	f, err := l.disk.Open(path)
 	if err != nil {
-		return 0, &Failed{"open", err}
+		return 0, &IOError{"open", err}
 	}
 	defer f.Close()
 	all, err := io.ReadAll(f)
 	if err != nil {
-		return 0, &Failed{"read", err}
+		return 0, &IOError{"read", err}
 	}
 	at, chain, frames, wanted := 0, uint32(0), 0, 1
 	for at < len(all) {
@@ -133,7 +133,7 @@
 		end := at + headLen + length
 		if !ok || end > len(all) || crc32.Update(chain, castagnoli, all[at+headLen:end]) != sum {
 			if frames < wanted || !torn(all[at:], at, ok) {
-				return 0, &Damaged{path, at}
+				return 0, &DamagedError{path, at}
 			}
 			return len(all) - at, nil
 		}
@@ -141,7 +141,7 @@
 		if frames == 0 {
 			wanted, err = l.first(path, body)
 		} else if err = l.next(body); err != nil {
-			err = &Damaged{path, at}
+			err = &DamagedError{path, at}
 		}
 		if err != nil {
 			return 0, err
@@ -150,7 +150,7 @@
 		frames++
 	}
 	if frames < wanted {
-		return 0, &Damaged{path, at}
+		return 0, &DamagedError{path, at}
 	}
 	return 0, nil
 }
@@ -190,14 +190,14 @@
 func (l *Log) first(path string, body []byte) (frames int, err error) {
 	var o opening
 	if err := decoding.Unmarshal(body, &o); err != nil || o.Version < 1 || o.Head < 1 {
-		return 0, &Damaged{path, 0}
+		return 0, &DamagedError{path, 0}
 	}
 	if o.Version > version {
-		return 0, &Later{path, o.Version}
+		return 0, &NewerVersionError{path, o.Version}
 	}
-	if o.Cluster != l.opts.Cluster || o.ID != l.opts.ID || !slices.Equal(o.Voters, l.opts.Voters) {
-		there := Options{Cluster: o.Cluster, ID: o.ID, Voters: o.Voters}
-		return 0, &Other{File: filepath.Base(path), Here: l.opts.who(), There: there.who()}
+	if o.Cluster != l.opts.Cluster || o.ID != l.opts.VoterID || !slices.Equal(o.Voters, l.opts.Voters) {
+		there := Options{Cluster: o.Cluster, VoterID: o.ID, Voters: o.Voters}
+		return 0, &MismatchError{File: filepath.Base(path), Configured: l.opts.who(), Stored: there.who()}
 	}
 	return o.Head + 1, nil
 }
--- a/internal/cluster/raftlog/lock_test.go
+++ b/internal/cluster/raftlog/lock_test.go
@@ -11,7 +11,7 @@
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if dir := os.Getenv("RAFTLOG_CHILD"); dir != "" {
-		_, err := Open(Options{Dir: dir, Cluster: "c", ID: 1, Voters: []uint64{1, 2, 3}})
+		_, err := Open(Options{Directory: dir, Cluster: "c", VoterID: 1, Voters: []uint64{1, 2, 3}})
 		fmt.Printf("%T", err)
 		os.Exit(0)
 	}
@@ -19,13 +19,13 @@
 }
 
 func TestOneProcess(t *testing.T) {
-	l, err := Open(Options{Dir: t.TempDir(), Cluster: "c", ID: 1, Voters: []uint64{1, 2, 3}, Create: true})
+	l, err := Open(Options{Directory: t.TempDir(), Cluster: "c", VoterID: 1, Voters: []uint64{1, 2, 3}, Create: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	child := func() string {
 		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "RAFTLOG_CHILD="+l.opts.Dir)
+		c.Env = append(os.Environ(), "RAFTLOG_CHILD="+l.opts.Directory)
 		out, _ := c.Output()
 		return string(out)
 	}
--- a/internal/cluster/raftlog/raftlog.go
+++ b/internal/cluster/raftlog/raftlog.go
@@ -33,14 +33,14 @@
 
 // Options say whose log it is.
 type Options struct {
-	Dir     string
-	Cluster string   // name of the cluster
-	ID      uint64   // of this voter
-	Voters  []uint64 // all of them
+	Directory string
+	Cluster   string   // name of the cluster
+	VoterID   uint64   // of this voter
+	Voters    []uint64 // all of them
 	// Create begins a log where there is none. Danger: a voter whose directory was lost and that begins anew may vote a second
 	// time in a term, or no longer know what it acknowledged. Only the first start of a cluster may set it.
 	Create   bool
-	Disk     FS // nil is the machine's
+	FS       FS // nil is the machine's
 	Unlocked bool
 }
 
@@ -63,7 +63,7 @@
 
 // Open reads a directory, refuses what it can't trust and begins a new generation there.
 func Open(o Options) (*Log, error) {
-	l := &Log{opts: o, disk: o.Disk}
+	l := &Log{opts: o, disk: o.FS}
 	l.opts.Voters = slices.Sorted(slices.Values(o.Voters))
 	if l.disk == nil {
 		l.disk = nodelist.Disk{}
@@ -77,36 +77,36 @@
 }
 
 func (l *Log) open() error {
-	if err := l.disk.MkdirAll(l.opts.Dir); err != nil {
-		return &Failed{"directory", err}
+	if err := l.disk.MkdirAll(l.opts.Directory); err != nil {
+		return &IOError{"directory", err}
 	}
 	if !l.opts.Unlocked {
-		l.lock = flock.New(filepath.Join(l.opts.Dir, "lock"))
+		l.lock = flock.New(filepath.Join(l.opts.Directory, "lock"))
 		if ok, err := l.lock.TryLock(); err != nil {
-			return &Failed{"lock", err}
+			return &IOError{"lock", err}
 		} else if !ok {
-			return &Locked{l.opts.Dir}
+			return &LockedError{l.opts.Directory}
 		}
 	}
-	names, err := l.disk.ReadDir(l.opts.Dir)
+	names, err := l.disk.ReadDir(l.opts.Directory)
 	if err != nil {
-		return &Failed{"directory", err}
+		return &IOError{"directory", err}
 	}
 	gens := generations(names)
 	if len(gens) == 0 {
 		if !l.opts.Create {
-			return &Missing{l.opts.Dir}
+			return &MissingError{l.opts.Directory}
 		}
 		return l.begin()
 	}
 	l.gen = gens[len(gens)-1]
-	cut, err := l.read(filepath.Join(l.opts.Dir, name(l.gen)))
+	cut, err := l.read(filepath.Join(l.opts.Directory, name(l.gen)))
 	if err != nil {
 		return err
 	}
 	if cut > 0 {
 		slog.Warn("the end of a voter's log was torn, as a crash leaves it; what no Save had vouched for is cut off",
-			"dir", l.opts.Dir, "file", name(l.gen), "bytes", cut)
+			"dir", l.opts.Directory, "file", name(l.gen), "bytes", cut)
 	}
 	return l.begin()
 }
@@ -140,5 +140,5 @@
 }
 
 func (o *Options) who() string {
-	return fmt.Sprintf("cluster %q, voter %d of %s", o.Cluster, o.ID, strings.Trim(fmt.Sprint(o.Voters), "[]"))
+	return fmt.Sprintf("cluster %q, voter %d of %s", o.Cluster, o.VoterID, strings.Trim(fmt.Sprint(o.Voters), "[]"))
 }
--- a/internal/cluster/raftlog/raftlog_test.go
+++ b/internal/cluster/raftlog/raftlog_test.go
@@ -12,7 +12,7 @@
 )
 
 func options(d FS) Options {
-	return Options{Dir: "d", Cluster: "c", ID: 1, Voters: []uint64{3, 1, 2}, Create: true, Disk: d, Unlocked: true}
+	return Options{Directory: "d", Cluster: "c", VoterID: 1, Voters: []uint64{3, 1, 2}, Create: true, FS: d, Unlocked: true}
 }
 
 func entry(term, index uint64) *pb.Entry {
@@ -162,7 +162,7 @@
 		play(t, d)
 		d.Bytes(d.Names()[0])[at] ^= 1 << (at % 8)
 		_, err := Open(options(d))
-		var damaged *Damaged
+		var damaged *DamagedError
 		if !errors.As(err, &damaged) || damaged.Remedy() == "" {
 			t.Fatalf("a bit turned at byte %d of %d: %v", at, size, err)
 		}
@@ -185,7 +185,7 @@
 				spoil(d)
 			}
 			err := l.Save(r.Hard, r.Entries, r.Snap)
-			var failed *Failed
+			var failed *IOError
 			if (i >= 2) != errors.As(err, &failed) {
 				t.Fatalf("%s: save %d: %v", name, i, err)
 			}
@@ -203,19 +203,19 @@
 	play(t, d)
 	for name, change := range map[string]func(*Options){
 		"cluster": func(o *Options) { o.Cluster = "b" },
-		"voter":   func(o *Options) { o.ID = 2 },
+		"voter":   func(o *Options) { o.VoterID = 2 },
 		"voters":  func(o *Options) { o.Voters = []uint64{1, 2, 4} },
 	} {
 		o := options(d)
 		change(&o)
-		var other *Other
+		var other *MismatchError
 		if _, err := Open(o); !errors.As(err, &other) || other.Remedy() == "" {
 			t.Errorf("another %s: %v", name, err)
 		}
 	}
 	o := options(crashfs.New(1))
 	o.Create = false
-	var missing *Missing
+	var missing *MissingError
 	if _, err := Open(o); !errors.As(err, &missing) || missing.Remedy() == "" {
 		t.Error(err)
 	}
--- a/internal/cluster/raftlog/save.go
+++ b/internal/cluster/raftlog/save.go
@@ -19,7 +19,7 @@
 		return l.failed
 	}
 	if l.file == nil {
-		return &Failed{"file", errors.New("closed")}
+		return &IOError{"file", errors.New("closed")}
 	}
 	l.failed = l.save(record{Hard: hard, Entries: entries, Snap: snap})
 	return l.failed
@@ -27,23 +27,23 @@
 
 func (l *Log) save(r record) error {
 	if err := l.take(r); err != nil {
-		return &Failed{"order", err}
+		return &IOError{"order", err}
 	}
 	if !raft.IsEmptySnap(r.Snap) {
 		return l.begin()
 	}
 	b, chain, err := appendRecord(l.buf[:0], l.chain, r)
 	if err != nil {
-		return &Failed{"form", err}
+		return &IOError{"form", err}
 	}
 	if cap(b) <= 1<<20 {
 		l.buf = b[:0]
 	}
 	if _, err := l.file.Write(b); err != nil {
-		return &Failed{"write", err}
+		return &IOError{"write", err}
 	}
 	if err := l.file.Sync(); err != nil {
-		return &Failed{"fsync", err}
+		return &IOError{"fsync", err}
 	}
 	l.chain = chain
 	return nil
@@ -95,37 +95,37 @@
 			bytes = 0
 		}
 	}
-	b, chain, err := appendOpening(nil, opening{Version: version, Cluster: l.opts.Cluster, ID: l.opts.ID, Voters: l.opts.Voters,
+	b, chain, err := appendOpening(nil, opening{Version: version, Cluster: l.opts.Cluster, ID: l.opts.VoterID, Voters: l.opts.Voters,
 		Head: len(records)})
 	for i := 0; err == nil && i < len(records); i++ {
 		b, chain, err = appendRecord(b, chain, records[i])
 	}
 	if err != nil {
-		return &Failed{"form", err}
+		return &IOError{"form", err}
 	}
-	next, temp := l.gen+1, filepath.Join(l.opts.Dir, "raft.new")
+	next, temp := l.gen+1, filepath.Join(l.opts.Directory, "raft.new")
 	f, err := l.disk.Create(temp)
 	if err != nil {
-		return &Failed{"create", err}
+		return &IOError{"create", err}
 	}
 	if _, err = f.Write(b); err == nil {
 		err = f.Sync()
 	}
 	if err == nil {
-		err = l.disk.Rename(temp, filepath.Join(l.opts.Dir, name(next)))
+		err = l.disk.Rename(temp, filepath.Join(l.opts.Directory, name(next)))
 	}
 	if err == nil {
-		err = l.disk.SyncDir(l.opts.Dir)
+		err = l.disk.SyncDir(l.opts.Directory)
 	}
 	if err != nil {
 		f.Close()
-		return &Failed{"new generation", err}
+		return &IOError{"new generation", err}
 	}
 	l.gen, l.chain, l.file = next, chain, f
-	names, _ := l.disk.ReadDir(l.opts.Dir)
+	names, _ := l.disk.ReadDir(l.opts.Directory)
 	for _, old := range generations(names) {
 		if old < l.gen {
-			l.disk.Remove(filepath.Join(l.opts.Dir, name(old))) // what can't be removed costs room only
+			l.disk.Remove(filepath.Join(l.opts.Directory, name(old))) // what can't be removed costs room only
 		}
 	}
 	return nil
--- a/internal/cluster/seeds/seeds.go
+++ b/internal/cluster/seeds/seeds.go
@@ -80,17 +80,17 @@
 	return os.Rename(f.Name(), path)
 }
 
-// Keeper writes what it is given, the latest in place of what was not written yet.
-type Keeper struct {
+// Writer writes what it is given, the latest in place of what was not written yet.
+type Writer struct {
 	path string
 	next chan []netip.AddrPort
 }
 
-// NewKeeper makes one; nothing is written until Run.
-func NewKeeper(path string) *Keeper { return &Keeper{path, make(chan []netip.AddrPort, 1)} }
+// NewWriter makes one; nothing is written until Run.
+func NewWriter(path string) *Writer { return &Writer{path, make(chan []netip.AddrPort, 1)} }
 
-// Put hands over the addresses and never waits. Only one goroutine may call it.
-func (k *Keeper) Put(all []netip.AddrPort) {
+// Enqueue hands over the addresses and never waits. Only one goroutine may call it.
+func (k *Writer) Enqueue(all []netip.AddrPort) {
 	all = slices.Clone(all[:min(len(all), most)])
 	select {
 	case <-k.next: // an older one
@@ -100,7 +100,7 @@
 }
 
 // Run writes until ctx ends, and then what is left.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Writer) Run(ctx context.Context) error {
 	for {
 		select {
 		case all := <-k.next:
@@ -120,7 +120,7 @@
 	}
 }
 
-func (k *Keeper) write(all []netip.AddrPort) {
+func (k *Writer) write(all []netip.AddrPort) {
 	if err := save(k.path, all); err != nil { // the tier goes on without
 		slog.Warn("the members' addresses were not kept", "file", k.path, "error", err)
 	}
--- a/internal/cluster/seeds/seeds_test.go
+++ b/internal/cluster/seeds/seeds_test.go
@@ -18,16 +18,16 @@
 	if all, err := Load(path); err != nil || len(all) > 0 {
 		t.Errorf("%v, %v", all, err)
 	}
-	k := NewKeeper(path)
-	k.Put(some[:1])
-	k.Put(some)
+	k := NewWriter(path)
+	k.Enqueue(some[:1])
+	k.Enqueue(some)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	k.Run(ctx)
 	if all, err := Load(path); err != nil || !slices.Equal(all, some) {
 		t.Errorf("%v, %v", all, err)
 	}
-	k.Put(nil)
+	k.Enqueue(nil)
 	k.Run(ctx)
 	if all, err := Load(path); err != nil || len(all) > 0 {
 		t.Errorf("%v, %v", all, err)
@@ -51,8 +51,8 @@
 		}
 	}
 	os.Remove(path)
-	k := NewKeeper(filepath.Join(path, "no", "folder"))
-	k.Put(some) // it can't be written, which is said and no more
+	k := NewWriter(filepath.Join(path, "no", "folder"))
+	k.Enqueue(some) // it can't be written, which is said and no more
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := k.Run(ctx); err != nil {
--- a/internal/discovery/nodelist/asks.go
+++ b/internal/discovery/nodelist/asks.go
@@ -22,8 +22,8 @@
 	asksMost = 64 // that wait; more are refused
 )
 
-// Ask is what an operator asks.
-type Ask struct {
+// OperatorRequest is what an operator asks.
+type OperatorRequest struct {
 	Import []cachedlist.Entry
 	Forget []string
 }
@@ -33,8 +33,8 @@
 	Forget []string    `cbor:"2,keyasint,omitempty"`
 }
 
-// Leave leaves an ask for the broker that writes in a directory.
-func Leave(disk FS, dir, deployment string, a Ask, now time.Time) error {
+// SubmitRequest leaves an ask for the broker that writes in a directory.
+func SubmitRequest(disk FS, dir, deployment string, a OperatorRequest, now time.Time) error {
 	d := diskAsk{Forget: a.Forget}
 	for _, e := range a.Import {
 		d.Import = append(d.Import, diskEntry(e))
@@ -64,8 +64,8 @@
 }
 
 // takeAsks hands on what waits, oldest first.
-func (s *Store) takeAsks(deliver func(Ask)) {
-	dir := filepath.Join(s.opts.Dir, asksDir)
+func (s *Store) takeAsks(deliver func(OperatorRequest)) {
+	dir := filepath.Join(s.opts.Directory, asksDir)
 	names, err := s.disk.ReadDir(dir)
 	if err != nil {
 		return // nobody asked yet
@@ -88,7 +88,7 @@
 	}
 }
 
-func readAsk(disk FS, path, deployment string) (a Ask, err error) {
+func readAsk(disk FS, path, deployment string) (a OperatorRequest, err error) {
 	f, err := disk.Open(path)
 	if err != nil {
 		return a, err
--- a/internal/discovery/nodelist/bench_test.go
+++ b/internal/discovery/nodelist/bench_test.go
@@ -18,19 +18,19 @@
 		open func(b *testing.B, dir string, first cachedlist.Changes) (keep func(cachedlist.Entry) error)
 	}{
 		{"replaced", func(b *testing.B, dir string, first cachedlist.Changes) func(cachedlist.Entry) error {
-			s, _ := Open(Options{Dir: dir, Deployment: "x"})
-			s.Put(first)
+			s, _ := Open(Options{Directory: dir, Deployment: "x"})
+			s.Enqueue(first)
 			return func(e cachedlist.Entry) error {
 				s.drop() // a snapshot each time
-				s.Put(cachedlist.Changes{Put: []cachedlist.Entry{e}})
+				s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{e}})
 				return s.Flush()
 			}
 		}},
 		{"journal", func(b *testing.B, dir string, first cachedlist.Changes) func(cachedlist.Entry) error {
-			s, _ := Open(Options{Dir: dir, Deployment: "x"})
-			s.Put(first)
+			s, _ := Open(Options{Directory: dir, Deployment: "x"})
+			s.Enqueue(first)
 			return func(e cachedlist.Entry) error {
-				s.Put(cachedlist.Changes{Put: []cachedlist.Entry{e}})
+				s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{e}})
 				return s.Flush()
 			}
 		}},
--- a/internal/discovery/nodelist/nodelist.go
+++ b/internal/discovery/nodelist/nodelist.go
@@ -53,11 +53,11 @@
 	torn bool // as a crash leaves it; nothing of it is lost that was ever there whole
 }
 
-// Values are the entries in no order.
-func (c *Content) Values() []cachedlist.Entry { return slices.Collect(maps.Values(c.Entries)) }
+// Unsorted are the entries in no order.
+func (c *Content) Unsorted() []cachedlist.Entry { return slices.Collect(maps.Values(c.Entries)) }
 
-// All lists the entries by name.
-func (c *Content) All() []cachedlist.Entry {
+// SortedByName lists the entries by name.
+func (c *Content) SortedByName() []cachedlist.Entry {
 	return slices.SortedFunc(maps.Values(c.Entries), func(x, y cachedlist.Entry) int { return cmp.Compare(x.Name, y.Name) })
 }
 
--- a/internal/discovery/nodelist/nodelist_test.go
+++ b/internal/discovery/nodelist/nodelist_test.go
@@ -31,7 +31,7 @@
 }
 
 func options(m *memory) Options {
-	return Options{Dir: "d", Deployment: "x", Disk: m, Unlocked: true, Journal: 400}
+	return Options{Directory: "d", Deployment: "x", FS: m, Unlocked: true, MinJournalBytes: 400}
 }
 
 // play writes one state after the other until the disk fails. states[i] is what the list held after i changes; kept is how
@@ -59,7 +59,7 @@
 			delete(now, name)
 		}
 		states = append(states, maps.Clone(now))
-		s.Put(c)
+		s.Enqueue(c)
 		if s.Flush() != nil {
 			return states, kept
 		}
@@ -108,7 +108,7 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	states, _ := play(m, s, rnd, nil, 10)
 	m.full = true
-	s.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(50)}})
+	s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(50)}})
 	for range 3 {
 		if err := s.Flush(); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatal(err)
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	states[10][entry(50).Name] = entry(50)
-	if c, _ := Read(m, "d", "x"); !maps.Equal(c.Entries, states[10]) || !s.Counts.Saving.Load() {
+	if c, _ := Read(m, "d", "x"); !maps.Equal(c.Entries, states[10]) || !s.Counters.Saving.Load() {
 		t.Fatalf("after: %v, %v", c.Entries, c.Faults)
 	}
 }
@@ -167,8 +167,8 @@
 		}},
 	} {
 		dir := t.TempDir()
-		s, _ := Open(Options{Dir: dir, Deployment: "x"})
-		s.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
+		s, _ := Open(Options{Directory: dir, Deployment: "x"})
+		s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
 		if err := s.Flush(); err != nil {
 			t.Fatal(err)
 		}
@@ -176,11 +176,11 @@
 		path := filepath.Join(dir, snapName(1))
 		b, _ := os.ReadFile(path)
 		os.WriteFile(path, c.spoil(b), 0o600)
-		s, content := Open(Options{Dir: dir, Deployment: c.deployment})
+		s, content := Open(Options{Directory: dir, Deployment: c.deployment})
 		if _, err := os.Stat(path + what); err != nil || content.Found || len(content.Entries) > 0 {
 			t.Errorf("%s: %v, %+v", what, err, content)
 		}
-		s.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(2)}})
+		s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(2)}})
 		if err := s.Flush(); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
--- a/internal/discovery/nodelist/process_test.go
+++ b/internal/discovery/nodelist/process_test.go
@@ -18,23 +18,23 @@
 // Two brokers in one directory: the second reads, does not write, and takes over once the first has gone.
 func TestLocked(t *testing.T) {
 	dir := t.TempDir()
-	first, _ := Open(Options{Dir: dir, Deployment: "x"})
-	first.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
+	first, _ := Open(Options{Directory: dir, Deployment: "x"})
+	first.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
 	if err := first.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	second, c := Open(Options{Dir: dir, Deployment: "x"})
-	second.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(2)}})
-	if err := second.Flush(); !errors.Is(err, errLocked) || second.Held() || len(c.Entries) != 1 {
+	second, c := Open(Options{Directory: dir, Deployment: "x"})
+	second.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(2)}})
+	if err := second.Flush(); !errors.Is(err, errLocked) || second.HoldsLock() || len(c.Entries) != 1 {
 		t.Fatalf("%v, %+v", err, c.Entries)
 	}
-	if err := Leave(Disk{}, dir, "x", Ask{Forget: []string{"node-1"}, Import: []cachedlist.Entry{entry(3)}}, time.Unix(5, 0)); err != nil {
+	if err := SubmitRequest(Disk{}, dir, "x", OperatorRequest{Forget: []string{"node-1"}, Import: []cachedlist.Entry{entry(3)}}, time.Unix(5, 0)); err != nil {
 		t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(dir, asksDir, "6.ask"), []byte("no ask"), 0o600)
-	var got []Ask
-	first.takeAsks(func(a Ask) { got = append(got, a) })
-	first.takeAsks(func(a Ask) { got = append(got, a) })
+	var got []OperatorRequest
+	first.takeAsks(func(a OperatorRequest) { got = append(got, a) })
+	first.takeAsks(func(a OperatorRequest) { got = append(got, a) })
 	if len(got) != 1 || got[0].Forget[0] != "node-1" || got[0].Import[0] != entry(3) {
 		t.Errorf("asked %+v", got)
 	}
@@ -49,8 +49,8 @@
 func TestNoDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
-	s, c := Open(Options{Dir: filepath.Join(file, "below"), Deployment: "x"})
-	s.Put(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
+	s, c := Open(Options{Directory: filepath.Join(file, "below"), Deployment: "x"})
+	s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(1)}})
 	if err := s.Flush(); err == nil || c.Found {
 		t.Errorf("%v, %+v", err, c)
 	}
@@ -59,11 +59,11 @@
 
 // child writes states until it is killed; each is told on standard output once it is kept.
 func child(dir string) {
-	s, _ := Open(Options{Dir: dir, Deployment: "x", Journal: 2000})
+	s, _ := Open(Options{Directory: dir, Deployment: "x", MinJournalBytes: 2000})
 	for i := range 1 << 20 {
 		e := entry(i % 20)
 		e.Told = cachedlist.Moment(i)
-		s.Put(cachedlist.Changes{Head: cachedlist.Head{Generation: uint64(i)}, Put: []cachedlist.Entry{e}})
+		s.Enqueue(cachedlist.Changes{Head: cachedlist.Head{Generation: uint64(i)}, Put: []cachedlist.Entry{e}})
 		if s.Flush() != nil {
 			os.Exit(1)
 		}
@@ -98,9 +98,9 @@
 			}
 		}
 		cmd.Wait()
-		s, c := Open(Options{Dir: dir, Deployment: "x"})
-		if got := int(c.Head.Generation); got != last && got != last+1 || !s.Held() {
-			t.Errorf("generation %d, told %d, held %v, %v", got, last, s.Held(), c.Faults)
+		s, c := Open(Options{Directory: dir, Deployment: "x"})
+		if got := int(c.Head.Generation); got != last && got != last+1 || !s.HoldsLock() {
+			t.Errorf("generation %d, told %d, held %v, %v", got, last, s.HoldsLock(), c.Faults)
 		}
 		s.Close()
 	}
@@ -137,8 +137,8 @@
 	for _, n := range []int{16, 1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			s, _ := Open(Options{Dir: dir, Deployment: "x"})
-			s.Put(many(n))
+			s, _ := Open(Options{Directory: dir, Deployment: "x"})
+			s.Enqueue(many(n))
 			if err := s.Flush(); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/discovery/nodelist/store.go
+++ b/internal/discovery/nodelist/store.go
@@ -29,27 +29,27 @@
 
 // Options say where a list is kept and how.
 type Options struct {
-	Dir        string
-	Deployment string        // a fingerprint of the settings that the list belongs to
-	Every      time.Duration // least time between two writes
-	Disk       FS            // nil: that of the machine
-	Unlocked   bool          // no lock is taken: tests on a file system of their own
-	Journal    int           // bytes of a journal before a new snapshot is thought of; 0: 256 KiB
+	Directory       string
+	Deployment      string        // a fingerprint of the settings that the list belongs to
+	WriteInterval   time.Duration // least time between two writes
+	FS              FS            // nil: that of the machine
+	Unlocked        bool          // no lock is taken: tests on a file system of their own
+	MinJournalBytes int           // bytes of a journal before a new snapshot is thought of; 0: 256 KiB
 }
 
-// Counts tell what was written; they may be read from any goroutine.
-type Counts struct {
+// Counters tell what was written; they may be read from any goroutine.
+type Counters struct {
 	Writes, Snapshots, Bytes, Failed atomic.Uint64
 	Saving                           atomic.Bool // the last write went well
 }
 
 // Store writes a list.
 type Store struct {
-	Counts Counts
-	opts   Options
-	disk   FS
-	lock   *flock.Flock
-	held   bool
+	Counters Counters
+	opts     Options
+	disk     FS
+	lock     *flock.Flock
+	held     bool
 
 	mu      sync.Mutex
 	pending cachedlist.Changes
@@ -71,30 +71,30 @@
 // Open reads a directory and gets ready to write there. It never fails: what is wrong is logged, and Run tries again. The
 // content is what could be read; it is the caller's.
 func Open(o Options) (*Store, *Content) {
-	s := &Store{opts: o, disk: o.Disk, waiting: map[string]*cachedlist.Entry{}, wake: make(chan struct{}, 1),
+	s := &Store{opts: o, disk: o.FS, waiting: map[string]*cachedlist.Entry{}, wake: make(chan struct{}, 1),
 		entries: map[string]cachedlist.Entry{}}
 	if s.disk == nil {
 		s.disk = Disk{}
 	}
-	if s.opts.Journal == 0 {
-		s.opts.Journal = logLeast
+	if s.opts.MinJournalBytes == 0 {
+		s.opts.MinJournalBytes = logLeast
 	}
-	if err := s.disk.MkdirAll(o.Dir); err != nil {
+	if err := s.disk.MkdirAll(o.Directory); err != nil {
 		s.say("node list is not kept", err)
 	}
 	s.acquire()
-	c, err := Read(s.disk, o.Dir, o.Deployment)
+	c, err := Read(s.disk, o.Directory, o.Deployment)
 	if err != nil {
 		s.say("saved node list not read", err)
 	}
 	s.gen = c.gen
 	if s.held {
-		for _, line := range setAside(s.disk, o.Dir, c.Faults) {
-			slog.Warn("saved node list", "dir", o.Dir, "fault", line)
+		for _, line := range setAside(s.disk, o.Directory, c.Faults) {
+			slog.Warn("saved node list", "dir", o.Directory, "fault", line)
 		}
 	} else {
 		for _, f := range c.Faults {
-			slog.Warn("saved node list", "dir", o.Dir, "file", f.File, "not_used", f.Err)
+			slog.Warn("saved node list", "dir", o.Directory, "file", f.File, "not_used", f.Err)
 		}
 	}
 	s.head = c.Head
@@ -111,7 +111,7 @@
 		return nil
 	}
 	if s.lock == nil {
-		s.lock = flock.New(filepath.Join(s.opts.Dir, "lock"))
+		s.lock = flock.New(filepath.Join(s.opts.Directory, "lock"))
 	}
 	ok, err := s.lock.TryLock()
 	if err == nil && !ok {
@@ -131,17 +131,17 @@
 	if err != nil {
 		text = what + err.Error()
 		if text != s.said {
-			slog.Warn(what, "dir", s.opts.Dir, "error", err)
+			slog.Warn(what, "dir", s.opts.Directory, "error", err)
 		}
 	} else if s.said != "" {
-		slog.Info(what, "dir", s.opts.Dir)
+		slog.Info(what, "dir", s.opts.Directory)
 	}
 	s.said = text
 }
 
-// Put leaves changes to be written. It never waits; what comes before the next write goes with it, so that what waits is
+// Enqueue leaves changes to be written. It never waits; what comes before the next write goes with it, so that what waits is
 // no more than one state of each entry.
-func (s *Store) Put(c cachedlist.Changes) {
+func (s *Store) Enqueue(c cachedlist.Changes) {
 	s.mu.Lock()
 	s.pending.Head, s.any = c.Head, true
 	for i := range c.Put {
@@ -182,7 +182,7 @@
 }
 
 // Run writes until ctx ends, and then what still waits. deliver gets what operators ask of a broker that runs.
-func (s *Store) Run(ctx context.Context, deliver func(Ask)) error {
+func (s *Store) Run(ctx context.Context, deliver func(OperatorRequest)) error {
 	defer s.Close()
 	retry, failing := retryFirst, false
 	asks := time.NewTicker(asksEvery)
@@ -212,7 +212,7 @@
 		}
 		failing, retry = false, retryFirst
 		select { // what comes faster is written together
-		case <-time.After(s.opts.Every):
+		case <-time.After(s.opts.WriteInterval):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/discovery/nodelist/writing.go
+++ b/internal/discovery/nodelist/writing.go
@@ -11,7 +11,7 @@
 // Flush writes what waits now. After a fault the journal may end in half a frame, so that a new generation begins.
 func (s *Store) Flush() error {
 	c, any := s.absorb()
-	if !any && (s.log != nil || s.Counts.Failed.Load() == 0) {
+	if !any && (s.log != nil || s.Counters.Failed.Load() == 0) {
 		return nil
 	}
 	err := s.acquire()
@@ -19,13 +19,13 @@
 		err = s.write(c)
 	}
 	if err != nil {
-		s.Counts.Failed.Add(1)
-		s.Counts.Saving.Store(false)
+		s.Counters.Failed.Add(1)
+		s.Counters.Saving.Store(false)
 		s.drop()
 		s.say("node list is not kept", err)
 		return err
 	}
-	s.Counts.Saving.Store(true)
+	s.Counters.Saving.Store(true)
 	s.say("node list is kept again", nil)
 	return nil
 }
@@ -38,7 +38,7 @@
 }
 
 func (s *Store) write(c change) error {
-	if s.log == nil || s.logged > max(s.opts.Journal, logFactor*s.snapped) {
+	if s.log == nil || s.logged > max(s.opts.MinJournalBytes, logFactor*s.snapped) {
 		return s.snapshot()
 	}
 	frame, err := appendFrame(s.buf[:0], c)
@@ -53,8 +53,8 @@
 		return err
 	}
 	s.logged += len(frame)
-	s.Counts.Writes.Add(1)
-	s.Counts.Bytes.Add(uint64(len(frame)))
+	s.Counters.Writes.Add(1)
+	s.Counters.Bytes.Add(uint64(len(frame)))
 	return nil
 }
 
@@ -78,7 +78,7 @@
 			return err
 		}
 	}
-	temp, snap := filepath.Join(s.opts.Dir, "list.new"), filepath.Join(s.opts.Dir, snapName(gen))
+	temp, snap := filepath.Join(s.opts.Directory, "list.new"), filepath.Join(s.opts.Directory, snapName(gen))
 	f, err := s.create(temp, b)
 	if err != nil {
 		return err
@@ -92,15 +92,15 @@
 	if err != nil {
 		return err
 	}
-	if s.log, err = s.create(filepath.Join(s.opts.Dir, logName(gen)), head); err != nil {
+	if s.log, err = s.create(filepath.Join(s.opts.Directory, logName(gen)), head); err != nil {
 		return err
 	}
-	if err := s.disk.SyncDir(s.opts.Dir); err != nil {
+	if err := s.disk.SyncDir(s.opts.Directory); err != nil {
 		return err
 	}
 	s.logged = len(head)
-	s.Counts.Snapshots.Add(1)
-	s.Counts.Bytes.Add(uint64(len(b)))
+	s.Counters.Snapshots.Add(1)
+	s.Counters.Bytes.Add(uint64(len(b)))
 	s.buf = nil // a snapshot may be large
 	s.tidy()
 	return nil
@@ -124,11 +124,11 @@
 
 // tidy removes generations older than the one before. What it can't remove costs room only.
 func (s *Store) tidy() {
-	names, _ := s.disk.ReadDir(s.opts.Dir)
+	names, _ := s.disk.ReadDir(s.opts.Directory)
 	for _, gen := range generations(names) {
 		if gen+1 < s.gen {
-			s.disk.Remove(filepath.Join(s.opts.Dir, snapName(gen)))
-			s.disk.Remove(filepath.Join(s.opts.Dir, logName(gen)))
+			s.disk.Remove(filepath.Join(s.opts.Directory, snapName(gen)))
+			s.disk.Remove(filepath.Join(s.opts.Directory, logName(gen)))
 		}
 	}
 }
@@ -143,5 +143,5 @@
 	s.held = false
 }
 
-// Held tells whether this process is the one that writes.
-func (s *Store) Held() bool { return s.held }
+// HoldsLock tells whether this process is the one that writes.
+func (s *Store) HoldsLock() bool { return s.held }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -37,7 +37,7 @@
 		c.Refused = s.links.Refused.Load()
 	}
 	if s.keeper != nil {
-		n := &s.keeper.Counts
+		n := &s.keeper.Counters
 		c.NodeList = &CachedListCounters{n.Saving.Load(), n.Writes.Load(), n.Snapshots.Load(), n.Bytes.Load(), n.Failed.Load()}
 	}
 	if s.link != nil {
--- a/internal/server/crew.go
+++ b/internal/server/crew.go
@@ -82,11 +82,11 @@
 				seeds = append(slices.Clip(seeds), at)
 			}
 		}
-		s.memory = kept.NewKeeper(o.Keep)
+		s.memory = kept.NewWriter(o.Keep)
 	}
 	s.loop.crew = newCrew(o, &s.start.Terms, s.start.Name, s.start.PeerListen, s.start.Discovery, seeds, s.loop.start, s.loop.since(), s.link.Meet)
 	if s.memory != nil {
-		s.loop.crew.keepSeeds = s.memory.Put
+		s.loop.crew.keepSeeds = s.memory.Enqueue
 	}
 	s.link.Crew(func(from netip.AddrPort, data []byte) { s.deliver(met{from, data}) }, keys)
 	slog.Info("keeping company", "as", s.start.Name, "at", s.start.PeerListen, "seeds", len(seeds), "sealed", len(keys) > 0)
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -59,7 +59,7 @@
 	voters, ids := Voters(o)
 	for i, v := range voters {
 		if v.Name == ring.ID().Broker {
-			return raftlog.Options{Dir: filepath.Clean(o.Directory), Cluster: ring.ID().Site, ID: ids[i], Voters: ids}, o.Directory != ""
+			return raftlog.Options{Directory: filepath.Clean(o.Directory), Cluster: ring.ID().Site, VoterID: ids[i], Voters: ids}, o.Directory != ""
 		}
 	}
 	return raftlog.Options{}, false
--- a/internal/server/saved.go
+++ b/internal/server/saved.go
@@ -34,10 +34,10 @@
 func (s *Server) openSaved() {
 	o, t := s.operator.Start, &s.start.Terms
 	began := time.Now()
-	store, content := nodelist.Open(nodelist.Options{Dir: o.NodeList.Directory, Deployment: t.Fingerprint(),
-		Every: o.NodeList.SaveEvery})
+	store, content := nodelist.Open(nodelist.Options{Directory: o.NodeList.Directory, Deployment: t.Fingerprint(),
+		WriteInterval: o.NodeList.SaveEvery})
 	s.keeper = store
-	book := cachedlist.NewBook(content.Head, content.Values())
+	book := cachedlist.NewBook(content.Head, content.Unsorted())
 	now := cachedlist.At(s.loop.start)
 	if s.known {
 		book.Merge(bookList(s.list, s.asked.String()), now)
@@ -46,7 +46,7 @@
 	judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: o.Trust.HalfLife, Oldest: o.Trust.Oldest, StrikeAt: o.Trust.StrikeAt,
 		Parole: o.Trust.Parole}, book, now)
 	list := &discovery.List{Whole: true}
-	s.loop.saved = &saved{book: book, judge: judge, keep: store.Put, zone: s.reader.Zone, most: o.NodeList.MaxEntries,
+	s.loop.saved = &saved{book: book, judge: judge, keep: store.Enqueue, zone: s.reader.Zone, most: o.NodeList.MaxEntries,
 		ended: o.NodeList.KeepEnded, start: s.loop.start}
 	for _, f := range judge.Begin(discovery.ID) {
 		list.Nodes = append(list.Nodes, s.loop.saved.node(f))
@@ -132,7 +132,7 @@
 }
 
 // asked carries out what an operator asked of a broker that runs.
-func (l *loop) asked(a nodelist.Ask) {
+func (l *loop) asked(a nodelist.OperatorRequest) {
 	s := l.saved
 	took, dropped := s.judge.Import(a.Import, discovery.ID, l.since()), s.judge.Forget(a.Forget, discovery.ID)
 	s.next = l.since()
--- a/internal/server/saved_test.go
+++ b/internal/server/saved_test.go
@@ -147,9 +147,9 @@
 	}
 	moved := c.Entries["node-00000001"]
 	moved.Name, moved.Told = "node-new", moved.Told+1
-	ask := nodelist.Ask{Forget: []string{"node-00000001"}, Import: c.All()[:0:0]}
+	ask := nodelist.OperatorRequest{Forget: []string{"node-00000001"}, Import: c.SortedByName()[:0:0]}
 	ask.Import = append(ask.Import, moved)
-	if err := nodelist.Leave(nodelist.Disk{}, k.dir, c.Head.Deployment, ask, time.Now()); err != nil {
+	if err := nodelist.SubmitRequest(nodelist.Disk{}, k.dir, c.Head.Deployment, ask, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	k.until("the ask is taken", func() bool {
@@ -207,8 +207,8 @@
 		entries = append(entries, cachedlist.Entry{Name: fmt.Sprintf("node-%08x", i), Addr: start.Discovery, Zone: "a", Cell: i % 100,
 			Confirmed: cachedlist.At(time.Now())})
 	}
-	kept, _ := nodelist.Open(nodelist.Options{Dir: dir, Deployment: start.Terms.Fingerprint()})
-	kept.Put(cachedlist.Changes{Put: entries})
+	kept, _ := nodelist.Open(nodelist.Options{Directory: dir, Deployment: start.Terms.Fingerprint()})
+	kept.Enqueue(cachedlist.Changes{Put: entries})
 	if err := kept.Flush(); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -80,7 +80,7 @@
 	linkAt   net.Listener // nil: no broker of another site comes here
 	after    func(time.Duration) <-chan time.Time
 	fronts   []Front
-	memory   *seeds.Keeper // of the tier; nil: none is kept
+	memory   *seeds.Writer // of the tier; nil: none is kept
 	fleet    *fleetPart    // nil: brokers agree on nothing
 }
 
@@ -217,7 +217,7 @@
 	} else {
 		s.loop.relist(s.list)
 		s.group.Go(func() error {
-			return s.keeper.Run(s.ctx, func(a nodelist.Ask) { s.deliver(a) })
+			return s.keeper.Run(s.ctx, func(a nodelist.OperatorRequest) { s.deliver(a) })
 		})
 	}
 	s.group.Go(func() error { return s.loop.run(s.ctx) })
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -87,7 +87,7 @@
 	case stopBegun:
 		l.leaveCrew()
 		close(d.done)
-	case nodelist.Ask:
+	case nodelist.OperatorRequest:
 		l.asked(d)
 	case link.Event:
 		l.linked(d)
