--- a/internal/server/ingress/read_hint.go
+++ b/internal/server/ingress/read_hint.go
@@ -62,7 +62,7 @@
 }
 
 func formatStaleness(staleness time.Duration) string {
-	if staleness == readpin.Unknown {
+	if staleness == readpin.UnknownAge {
 		return "unknown"
 	}
 	ms := math.Ceil(float64(staleness) / float64(time.Millisecond))
