--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -169,9 +169,9 @@
 	if by := s.answerBy(time.Second, patient); by != time.Second+patient {
 		t.Errorf("while it serves: by %v", by)
 	}
-	s.stopped.Store(int64(time.Second))
+	s.stopRequested.Store(int64(time.Second))
 	s.draining.Store(true)
-	kill := time.Second + min(patient, killWaits) + mustAnswer
+	kill := time.Second + min(patient, killWaits) + answerWithin
 	for _, c := range []struct{ arrived, timeout, by time.Duration }{
 		{1500 * time.Millisecond, time.Second, 2500 * time.Millisecond},
 		{1500 * time.Millisecond, time.Minute, kill - beforeKill},
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -108,8 +108,8 @@
 func TestSearchReadBeforeASwitch(t *testing.T) {
 	was, now := decoded(t), decoded(t)
 	now.Types, now.Tenants = append([]string{"new"}, was.Types...), append([]string{"new"}, was.Tenants...)
-	l := &loop{under: &now}
-	if a := (&query.Request{Settings: &was}); !l.fits(a) || a.Type != 1 || a.Tenant != 1 || !l.fits(a) {
+	l := &loop{settings: &now}
+	if a := (&query.Request{Settings: &was}); !l.adapt(a) || a.Type != 1 || a.Tenant != 1 || !l.adapt(a) {
 		t.Errorf("taken as %+v", a)
 	}
 	for _, change := range []func(*terms.Terms){
@@ -119,8 +119,8 @@
 	} {
 		other := decoded(t)
 		change(&other)
-		l.under = &other
-		if a := (&query.Request{Settings: &was}); l.fits(a) {
+		l.settings = &other
+		if a := (&query.Request{Settings: &was}); l.adapt(a) {
 			t.Errorf("taken under %+v", other)
 		}
 	}
@@ -140,8 +140,8 @@
 	bad.Known = []byte("{}")
 	s.Reload(&bad, s.operator, nil)
 	s.Reload(nil, nil, io.ErrUnexpectedEOF)
-	if s.asked != s.start.Discovery {
-		t.Errorf("a bad configuration moved discovery to %v", s.asked)
+	if s.discoveryAddress != s.start.Discovery {
+		t.Errorf("a bad configuration moved discovery to %v", s.discoveryAddress)
 	}
 	s.Reload(&next, s.operator, nil)
 	conn, err := asks.Accept()
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/server/query"
 )
 
-// verdictOf makes the final answer of the module's word and the values that are in.
-func (s *search) verdictOf(a *decision.Action) query.Result {
+// resultOf makes the final answer of the module's word and the values that are in.
+func (s *search) resultOf(a *decision.Action) query.Result {
 	switch a.Kind {
 	case decision.ShedQuery:
 		return query.Result{Outcome: query.Shed, RetryAfter: a.RetryAfter}
@@ -16,32 +16,32 @@
 		return query.Result{Outcome: query.Failed}
 	}
 	v := query.Result{Outcome: query.Answered, Complete: a.Complete}
-	for i := range s.parts {
-		if s.parts[i].in {
-			v.Answers = append(v.Answers, query.ShardAnswer{Shard: s.Request.Shards[i].Shard, Value: s.parts[i].value})
+	for i := range s.requests {
+		if s.requests[i].answered {
+			v.Answers = append(v.Answers, query.ShardAnswer{Shard: s.Request.Shards[i].Shard, Value: s.requests[i].value})
 		}
 	}
 	return v
 }
 
-// conclude gives a search its one verdict and counts it.
-func (l *loop) conclude(s *search, v query.Result) {
+// deliverResult gives a search its one verdict and counts it.
+func (l *loop) deliverResult(s *search, v query.Result) {
 	switch v.Outcome {
 	case query.Answered:
-		l.tally.Answered++
+		l.counters.Answered++
 		if !v.Complete {
-			l.tally.Partial++
+			l.counters.Partial++
 		}
 	case query.Shed:
-		l.tally.Shed++
+		l.counters.Shed++
 	default:
-		l.tally.Errored++
+		l.counters.Errored++
 	}
-	if l.agreed != nil {
-		l.agreed.counted(s, v, l.since())
+	if l.controlPlane != nil {
+		l.controlPlane.countResult(s, v, l.since())
 	}
-	s.over = true
-	l.outside(s, v.Outcome == query.Answered, v.Outcome == query.Shed)
+	s.done = true
+	l.reportDone(s, v.Outcome == query.Answered, v.Outcome == query.Shed)
 	if s.onResult != nil {
 		s.onResult(v)
 	} else {
