--- a/internal/server/foreign.go
+++ b/internal/server/foreign.go
@@ -10,6 +10,7 @@
 
 	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/forwarding"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/link"
 )
 
@@ -79,16 +80,16 @@
 	if s == nil {
 		return // given up meanwhile
 	}
-	answer, how := result{kind: errored}, forwarding.Failed
+	answer, how := query.Result{Outcome: query.Failed}, forwarding.Failed
 	switch v.Kind {
 	case link.Refused:
 		how = forwarding.Refused
 		s.remoteRetryAfter = time.Duration(v.After) * time.Microsecond
 	case link.Answered:
-		if answer = s.verifiedAnswer(v, &l.queryTypes[s.typ]); answer.kind == answered {
+		if answer = s.verifiedAnswer(v, &l.queryTypes[s.Type]); answer.Outcome == query.Answered {
 			how = forwarding.Answered
 		} else {
-			slog.Warn("gateway: an answer from the other site does not hold what it claims", "search", s.ask.id)
+			slog.Warn("gateway: an answer from the other site does not hold what it claims", "search", s.Request.ID)
 		}
 	}
 	if g.outgoing.Back(at, v.ID, how, l.since()) {
@@ -97,18 +98,18 @@
 }
 
 // verifiedAnswer makes a verdict of the pieces that came, if they are what they are said to be (rule 5).
-func (s *search) verifiedAnswer(v *link.Verdict, t *decision.QueryType) result {
-	got, out := 0.0, result{kind: answered, whole: v.Whole}
+func (s *search) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
+	got, out := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
 	for _, p := range v.Pieces {
-		at := slices.IndexFunc(s.ask.parts, func(a askPart) bool { return a.shard == p.Shard })
-		if at < 0 || slices.ContainsFunc(out.pieces, func(o piece) bool { return o.shard == p.Shard }) {
-			return result{kind: errored}
+		at := slices.IndexFunc(s.Request.Shards, func(a query.ShardRequest) bool { return a.Shard == p.Shard })
+		if at < 0 || slices.ContainsFunc(out.Answers, func(o query.ShardAnswer) bool { return o.Shard == p.Shard }) {
+			return query.Result{Outcome: query.Failed}
 		}
-		got += s.ask.parts[at].weight
-		out.pieces = append(out.pieces, piece{p.Shard, p.Value})
+		got += s.Request.Shards[at].Weight
+		out.Answers = append(out.Answers, query.ShardAnswer{Shard: p.Shard, Value: p.Value})
 	}
 	if got < t.MinCompleteness-weightSumTolerance || v.Whole && got < t.FullCompleteness-weightSumTolerance {
-		return result{kind: errored}
+		return query.Result{Outcome: query.Failed}
 	}
 	return out
 }
@@ -124,9 +125,9 @@
 		return
 	}
 	load := forwarding.Load{Places: l.maxInFlight, Taken: l.slotsUsed, Stopping: g.stopping(),
-		Lacking: slices.ContainsFunc(a.parts, func(p askPart) bool { return slices.Contains(g.unhealthyShards, p.shard) })}
+		Lacking: slices.ContainsFunc(a.Shards, func(p query.ShardRequest) bool { return slices.Contains(g.unhealthyShards, p.Shard) })}
 	left := time.Duration(in.Left) * time.Microsecond
-	switch g.incoming.Arrive(k, c.Serial, l.queryTypes[a.typ].Idempotency, len(a.parts), left, load, now) {
+	switch g.incoming.Arrive(k, c.Serial, l.queryTypes[a.Type].Idempotency, len(a.Shards), left, load, now) {
 	case forwarding.Turn:
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: l.maxRetryAfter.Microseconds()})
 	case forwarding.Join:
@@ -137,23 +138,23 @@
 		}
 	case forwarding.Run:
 		f := &remoteQuery{conn: c}
-		f.query = &search{ask: a, deadline: now + left, remote: true}
-		f.query.to = func(v result) { l.sendRemoteResult(k, f, v) }
+		f.query = &search{Request: a, deadline: now + left, remote: true}
+		f.query.onResult = func(v query.Result) { l.sendRemoteResult(k, f, v) }
 		g.remote[k] = f
 		l.receive(f.query)
 	}
 }
 
 // sendRemoteResult tells another site the verdict on its search.
-func (l *loop) sendRemoteResult(k forwarding.Key, f *remoteQuery, v result) {
-	out := link.Verdict{ID: k.ID, Whole: v.whole, After: v.after.Microseconds(), Kind: link.Failed}
-	switch v.kind {
-	case answered:
+func (l *loop) sendRemoteResult(k forwarding.Key, f *remoteQuery, v query.Result) {
+	out := link.Verdict{ID: k.ID, Whole: v.Complete, After: v.RetryAfter.Microseconds(), Kind: link.Failed}
+	switch v.Outcome {
+	case query.Answered:
 		out.Kind = link.Answered
-		for _, p := range v.pieces {
-			out.Pieces = append(out.Pieces, link.Piece{Shard: p.shard, Value: p.value})
+		for _, p := range v.Answers {
+			out.Pieces = append(out.Pieces, link.Piece{Shard: p.Shard, Value: p.Value})
 		}
-	case shed:
+	case query.Shed:
 		out.Kind = link.Refused // nothing of it has run, or it may be asked again
 	}
 	if f.conn != nil {
@@ -170,20 +171,20 @@
 func (l *loop) cancelRemoteQuery(s *search) {
 	if !s.done {
 		l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: s.id})
-		l.deliverResult(s, result{kind: errored})
+		l.deliverResult(s, query.Result{Outcome: query.Failed})
 		l.finish(s)
 	}
 }
 
 // decode reads a forwarded search; false: this site has no such type, tenant or shard.
-func (g *siteGateway) decode(in *link.Ask) (*ask, bool) {
+func (g *siteGateway) decode(in *link.Ask) (*query.Request, bool) {
 	t := g.settings
-	a := &ask{id: in.Request, typ: slices.Index(t.Types, in.Type), repeat: in.Repeat, text: in.Text,
-		timeout: time.Duration(in.Left) * time.Microsecond}
+	a := &query.Request{ID: in.Request, Type: slices.Index(t.Types, in.Type), Retry: in.Repeat, Text: in.Text,
+		Timeout: time.Duration(in.Left) * time.Microsecond}
 	if len(t.Tenants) > 0 {
-		a.tenant = slices.Index(t.Tenants, in.Tenant)
+		a.Tenant = slices.Index(t.Tenants, in.Tenant)
 	}
-	if a.typ < 0 || a.tenant < 0 || !plainID(in.Request) {
+	if a.Type < 0 || a.Tenant < 0 || !query.ValidID(in.Request) {
 		return nil, false
 	}
 	seen, sum := map[int]bool{}, 0.0
@@ -193,7 +194,7 @@
 		}
 		seen[p.Shard] = true
 		sum += p.Weight
-		a.parts = append(a.parts, askPart{partName(in.Request, p.Shard), p.Shard, p.Weight})
+		a.Shards = append(a.Shards, query.ShardRequest{Name: query.ShardRequestName(in.Request, p.Shard), Shard: p.Shard, Weight: p.Weight})
 	}
-	return a, sum > 1-weightsSumSlip && sum < 1+weightsSumSlip
+	return a, sum > 1-query.WeightTolerance && sum < 1+query.WeightTolerance
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"log/slog"
 	"slices"
-	"time"
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/remedy"
@@ -108,11 +107,3 @@
 	case <-s.ctx.Done():
 	}
 }
-
-// longestTimeout is how long any client waits.
-func longestTimeout(t *terms.Terms) (d time.Duration) {
-	for i := range t.Module.QueryTypes {
-		d = max(d, t.Module.QueryTypes[i].Timeout)
-	}
-	return d
-}
