--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -55,7 +55,7 @@
 			return nil
 		})
 	}
-	g := &leaseGranting{leases: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + longestTimeout(t) + defaultClosing}
+	g := &leaseGranting{leases: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + t.LongestTimeout() + defaultClosing}
 	s.controlPlane.SetPolicyCompiler(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
 		return g.compile(text, state, t.Tenants, o.Lease)
 	})
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -11,6 +11,7 @@
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/forwarding"
+	"flaxfront/internal/server/query"
 	"flaxfront/internal/transport/link"
 )
 
@@ -48,12 +49,12 @@
 	if g == nil || s.pin != nil { // what its reads need is known here alone
 		return false
 	}
-	r := forwarding.Search{ID: s.id, Effect: l.queryTypes[s.typ].Idempotency, Window: l.queryTypes[s.typ].IdempotencyWindow, Due: s.deadline,
+	r := forwarding.Search{ID: s.id, Effect: l.queryTypes[s.Type].Idempotency, Window: l.queryTypes[s.Type].IdempotencyWindow, Due: s.deadline,
 		Foreign: s.remote, Home: s.takenBack}
 	lacking := false
-	for i := range s.ask.parts {
-		r.Shards = append(r.Shards, s.ask.parts[i].shard)
-		lacking = lacking || slices.Contains(g.unhealthyShards, s.ask.parts[i].shard)
+	for i := range s.Request.Shards {
+		r.Shards = append(r.Shards, s.Request.Shards[i].Shard)
+		lacking = lacking || slices.Contains(g.unhealthyShards, s.Request.Shards[i].Shard)
 	}
 	if !s.remote && !lacking {
 		g.incoming.Shed(l.since())
@@ -87,9 +88,9 @@
 			case forwarding.Home:
 				l.takeBack(s, a)
 			case forwarding.Shed:
-				l.finishForwarded(s, a.ID, result{kind: shed, after: max(s.remoteRetryAfter, l.maxRetryAfter)})
+				l.finishForwarded(s, a.ID, query.Result{Outcome: query.Shed, RetryAfter: max(s.remoteRetryAfter, l.maxRetryAfter)})
 			case forwarding.Fail:
-				l.finishForwarded(s, a.ID, result{kind: errored})
+				l.finishForwarded(s, a.ID, query.Result{Outcome: query.Failed})
 			case forwarding.Log:
 				slog.Info("gateway", "mode", a.Text)
 			}
@@ -99,19 +100,19 @@
 
 // encode is a search as the link carries it.
 func (g *siteGateway) encode(s *search, a forwarding.Act) link.Ask {
-	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.settings.Types[s.typ], Repeat: s.repeat,
-		Request: s.ask.id, Text: s.text}
+	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.settings.Types[s.Type], Repeat: s.Retry,
+		Request: s.Request.ID, Text: s.Text}
 	if len(g.settings.Tenants) > 0 {
-		out.Tenant = g.settings.Tenants[s.tenant]
+		out.Tenant = g.settings.Tenants[s.Tenant]
 	}
-	for i := range s.ask.parts {
-		out.Parts = append(out.Parts, link.Part{Shard: s.ask.parts[i].shard, Weight: s.ask.parts[i].weight})
+	for i := range s.Request.Shards {
+		out.Parts = append(out.Parts, link.Part{Shard: s.Request.Shards[i].Shard, Weight: s.Request.Shards[i].Weight})
 	}
 	return out
 }
 
 // finishForwarded gives a search that was abroad its verdict.
-func (l *loop) finishForwarded(s *search, id uint64, v result) {
+func (l *loop) finishForwarded(s *search, id uint64, v query.Result) {
 	l.deliverResult(s, v)
 	l.forgetForwarded(s, id)
 }
@@ -121,28 +122,28 @@
 	s.done = true
 	l.counters.InHand--
 	delete(l.gateway.forwarded, id)
-	delete(l.requestIDs, s.ask.id)
+	delete(l.requestIDs, s.Request.ID)
 }
 
 // takeBack hands a search to the module once more, as a new one with the time that is left.
 func (l *loop) takeBack(s *search, a forwarding.Act) {
 	delete(l.gateway.forwarded, a.ID)
 	s.forwarded, s.takenBack, s.mayHaveRun = false, true, a.Risk
-	if l.slotsUsed+1+len(s.ask.parts) > l.maxInFlight {
+	if l.slotsUsed+1+len(s.Request.Shards) > l.maxInFlight {
 		l.counters.InHand--
 		s.done = true
-		delete(l.requestIDs, s.ask.id)
+		delete(l.requestIDs, s.Request.ID)
 		l.counters.Full++
-		l.deliverResult(s, s.shedResult(result{kind: shed, after: l.maxRetryAfter}, l))
+		l.deliverResult(s, s.shedResult(query.Result{Outcome: query.Shed, RetryAfter: l.maxRetryAfter}, l))
 		return
 	}
 	l.submit(s, a.Left)
 }
 
 // shedResult is the verdict on a search that is shed: one that may have run elsewhere can't say that asking again is harmless.
-func (s *search) shedResult(v result, l *loop) result {
-	if v.kind == shed && s.mayHaveRun && l.queryTypes[s.typ].Idempotency != decision.Idempotent {
-		return result{kind: errored}
+func (s *search) shedResult(v query.Result, l *loop) query.Result {
+	if v.Outcome == query.Shed && s.mayHaveRun && l.queryTypes[s.Type].Idempotency != decision.Idempotent {
+		return query.Result{Outcome: query.Failed}
 	}
 	return v
 }
--- a/internal/server/pins_test.go
+++ b/internal/server/pins_test.go
@@ -11,6 +11,7 @@
 
 	"flaxfront/internal/cluster/readhint"
 	"flaxfront/internal/config/operator"
+	"flaxfront/internal/server/query"
 )
 
 // replicaNode is a store node that reports what it is told to.
@@ -131,7 +132,7 @@
 	other.AgreeEpoch(3, nil)
 	m := dial(t, other).say(hinted("b", "X-Read-Hint: max-stale=100ms"))
 	p := other.Counters().Searches.Pins
-	if m.Status != 503 || p.Facts == 0 || p.Bad != 1 || p.Epoch != 3 {
+	if m.Status != 503 || p.Merged == 0 || p.Malformed != 1 || p.Epoch != 3 {
 		t.Errorf("%d, %+v", m.Status, p)
 	}
 }
@@ -139,7 +140,7 @@
 // A search with a hint is not sent to another site, where nobody would obey it.
 func TestHintsStayAtHome(t *testing.T) {
 	l := &loop{gateway: &siteGateway{}}
-	if l.offerToSites(&search{ask: &ask{}, pin: &pinnedQuery{}}) {
+	if l.offerToSites(&search{Request: &query.Request{}, pin: &pinnedQuery{}}) {
 		t.Error("offered")
 	}
 }
