--- a/internal/cluster/controlplane/request.go
+++ b/internal/cluster/controlplane/request.go
@@ -174,7 +174,7 @@
 			return nil, &BadRequest{"this program divides no budgets: fleet.budgets is false"}
 		}
 		if verb == VerbPolicyBack {
-			_, _, before := f.state.Policies()
+			before := f.state.Policies().Previous
 			if before == nil {
 				return nil, &BadRequest{"there is no policy before the one in force"}
 			}
@@ -204,6 +204,7 @@
 	for _, d := range f.state.Drains() {
 		s.Drains = append(s.Drains, DrainStatus{d, f.nameOf(d.Node), f.state.IsDrained(d.Node), f.state.MissingDrainAcks(d.Node)})
 	}
-	s.Policy, s.Waiting, _ = f.state.Policies()
+	policies := f.state.Policies()
+	s.Policy, s.Waiting = policies.InForce, policies.Waiting
 	return s
 }
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -72,7 +72,8 @@
 	for _, d := range s.Drains() {
 		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acknowledged, me)})
 	}
-	v.Policy, v.Waiting, _ = s.Policies()
+	policies := s.Policies()
+	v.Policy, v.Waiting = policies.InForce, policies.Waiting
 	f.view.Store(v)
 	select {
 	case f.fresh <- struct{}{}:
--- a/internal/decision/connlease/agent_test.go
+++ b/internal/decision/connlease/agent_test.go
@@ -105,7 +105,7 @@
 	c.seen = true
 	w.served++
 	w.count[c.key.Node]++
-	p, _, _ := w.state.Policies()
+	p := w.state.Policies().InForce
 	for _, b := range p.Budgets {
 		if b.Node == c.key.Node && w.count[b.Node] > int(b.Connections) {
 			w.fault = fmt.Sprintf("%v: node %v holds %d connections of %d", w.now, b.Node, w.count[b.Node], b.Connections)
@@ -158,7 +158,8 @@
 		w.granter.RecordRenewal(a.slot, born, w.now)
 		w.needs[a.slot] = rows
 		h, _ := w.state.Lease(a.slot)
-		inForce, waiting, _ := w.state.Policies()
+		policies := w.state.Policies()
+		inForce, waiting := policies.InForce, policies.Waiting
 		w.after(back, func() { a.answer(born, asked, ack, h, inForce, waiting) })
 	})
 }
--- a/internal/decision/connlease/audit_test.go
+++ b/internal/decision/connlease/audit_test.go
@@ -94,7 +94,7 @@
 		if w.fault != "" {
 			t.Errorf("seed %d: %s", seed, w.fault)
 		}
-		p, _, _ := w.state.Policies()
+		p := w.state.Policies().InForce
 		opened, versions = opened+w.served, versions+p.Version-1
 	}
 	t.Logf("%d runs of %v, %d brokers, %d nodes: %d connections opened, %d policies took over, never over a budget", *seeds, *span, *brokers,
--- a/internal/decision/connlease/granter.go
+++ b/internal/decision/connlease/granter.go
@@ -161,7 +161,7 @@
 	if plan.Pool != nil {
 		pool = plan.Pool.Units
 	}
-	_, waiting, _ := s.Policies()
+	waiting := s.Policies().Waiting
 	for i, id := range plan.Nodes {
 		n, _ := s.Node(id)
 		units := int64(n.Budget) - int64(n.Reserved)
--- a/internal/decision/connlease/world_test.go
+++ b/internal/decision/connlease/world_test.go
@@ -83,7 +83,8 @@
 
 // lead is a turn of whoever leads.
 func (w *world) lead() {
-	inForce, waiting, _ := w.state.Policies()
+	policies := w.state.Policies()
+	inForce, waiting := policies.InForce, policies.Waiting
 	if waiting != nil {
 		inForce = waiting
 	}
--- a/internal/decision/statemachine/bench_test.go
+++ b/internal/decision/statemachine/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// full is a tier of 300 brokers and 200 nodes with 20,000 rows of grants.
-func full(b *testing.B) (*State, [][]byte) {
+// fullTier is a tier of 300 brokers and 200 nodes with 20,000 rows of grants.
+func fullTier(b *testing.B) (*State, [][]byte) {
 	s, seq := New(), uint64(0)
 	enc := func(e Entry) []byte { seq++; return Encode(ProposalID{0, 1, seq}, e) }
 	apply := func(e Entry) {
@@ -46,7 +46,7 @@
 
 // BenchmarkGrant is a broker's new grant of 66 rows and its acknowledgement, two entries.
 func BenchmarkGrant(b *testing.B) {
-	start, again := full(b)
+	start, again := fullTier(b)
 	base := start.Snapshot()
 	s := start
 	b.SetBytes(int64(len(again[0]) + len(again[1])))
@@ -66,7 +66,7 @@
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	s, _ := full(b)
+	s, _ := fullTier(b)
 	n := 0
 	for b.Loop() {
 		n = len(s.Snapshot())
@@ -75,7 +75,7 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	s, _ := full(b)
+	s, _ := fullTier(b)
 	x := s.Snapshot()
 	for b.Loop() {
 		if _, err := Restore(x); err != nil {
--- a/internal/decision/statemachine/codec.go
+++ b/internal/decision/statemachine/codec.go
@@ -4,83 +4,118 @@
 	"encoding/binary"
 )
 
-// codec writes and reads the same fields by the same code, so that what is written is what is read.
+// codec writes and reads the same fields by the same code, so that what is written is what is read. Numbers are unsigned varints;
+// texts and lists begin with their length.
 type codec struct {
-	b       []byte
+	data    []byte // what was written, or what is left to read
 	reading bool
-	bad     bool
+	failed  bool
 }
 
-func num[T ~uint8 | ~uint16 | ~uint32 | ~uint64](c *codec, v *T) {
+func (c *codec) fail() {
+	c.failed = true
+	c.data = nil
+}
+
+func uintField[T ~uint8 | ~uint16 | ~uint32 | ~uint64](c *codec, v *T) {
 	if !c.reading {
-		c.b = binary.AppendUvarint(c.b, uint64(*v))
+		c.data = binary.AppendUvarint(c.data, uint64(*v))
 		return
 	}
-	x, n := binary.Uvarint(c.b)
+	x, n := binary.Uvarint(c.data)
 	if n <= 0 || uint64(T(x)) != x {
-		c.bad, c.b = true, nil
+		c.fail()
 		return
 	}
-	*v, c.b = T(x), c.b[n:]
+	*v = T(x)
+	c.data = c.data[n:]
 }
 
-func (c *codec) flag(v *bool) {
+func (c *codec) boolField(v *bool) {
 	var x uint8
 	if *v {
 		x = 1
 	}
-	if num(c, &x); x > 1 {
-		c.bad = true
+	uintField(c, &x)
+	if x > 1 {
+		c.failed = true
 	}
 	*v = x == 1
 }
 
-func (c *codec) str(v *string) {
+func (c *codec) stringField(v *string) {
 	n := uint64(len(*v))
-	num(c, &n)
+	uintField(c, &n)
 	if !c.reading {
-		c.b = append(c.b, *v...)
+		c.data = append(c.data, *v...)
 		return
 	}
-	if c.bad || n > uint64(len(c.b)) {
-		c.bad, c.b = true, nil
+	if c.failed || n > uint64(len(c.data)) {
+		c.fail()
 		return
 	}
-	*v, c.b = string(c.b[:n]), c.b[n:]
+	*v = string(c.data[:n])
+	c.data = c.data[n:]
 }
 
-func (c *codec) node(v *NodeID) {
+// nodeIDBytes is an IPv4 address and a port.
+const nodeIDBytes = 6
+
+func (c *codec) nodeField(v *NodeID) {
 	if !c.reading {
-		c.b = binary.BigEndian.AppendUint16(append(c.b, v.Addr[:]...), v.Port)
+		c.data = append(c.data, v.Addr[:]...)
+		c.data = binary.BigEndian.AppendUint16(c.data, v.Port)
 		return
 	}
-	if len(c.b) < 6 {
-		c.bad, c.b = true, nil
+	if len(c.data) < nodeIDBytes {
+		c.fail()
 		return
 	}
-	v.Addr, v.Port, c.b = [4]byte(c.b), binary.BigEndian.Uint16(c.b[4:]), c.b[6:]
+	v.Addr = [4]byte(c.data)
+	v.Port = binary.BigEndian.Uint16(c.data[len(v.Addr):])
+	c.data = c.data[nodeIDBytes:]
 }
 
-// list never makes room by what a length claims: each element takes a byte at least, so that a short text can't ask for much.
-func list[T any](c *codec, l *[]T, each func(*codec, *T)) {
+// listField never allocates by what a length claims: each element takes a byte at least, so that a short text can't ask for much.
+func listField[T any](c *codec, l *[]T, element func(*codec, *T)) {
 	n := uint64(len(*l))
-	num(c, &n)
+	uintField(c, &n)
 	if !c.reading {
 		for i := range *l {
-			each(c, &(*l)[i])
+			element(c, &(*l)[i])
 		}
 		return
 	}
 	*l = nil
-	if n > uint64(len(c.b)) {
-		c.bad, c.b = true, nil
+	if n > uint64(len(c.data)) {
+		c.fail()
 		return
 	}
 	for range n {
 		var x T
-		if each(c, &x); c.bad {
+		element(c, &x)
+		if c.failed {
 			return
 		}
 		*l = append(*l, x)
 	}
 }
+
+// pointerField is a field behind a pointer that is always there.
+func pointerField[T any](element func(*codec, *T)) func(*codec, **T) {
+	return func(c *codec, p **T) {
+		if c.reading {
+			*p = new(T)
+		}
+		element(c, *p)
+	}
+}
+
+// optionalField is a field that may be absent: a nil pointer.
+func optionalField[T any](c *codec, p **T, element func(*codec, *T)) {
+	present := *p != nil
+	c.boolField(&present)
+	if present && !c.failed {
+		pointerField(element)(c, p)
+	}
+}
--- /dev/null
+++ b/internal/decision/statemachine/connection_lease.go
@@ -0,0 +1,149 @@
+package statemachine
+
+// upperBound is what a broker may hold, by all it was granted and has not given back.
+func (l *ConnectionLease) upperBound() []LeaseRow {
+	if l.Ended {
+		return nil
+	}
+	return mergeLeaseRows(l.PossiblyHeld, l.Granted)
+}
+
+// changeLeased changes what a broker may hold, where that keeps every node within its budget; all is checked before any changes.
+func (s *State) changeLeased(before, after []LeaseRow) error {
+	groups := s.acknowledgementGroups()
+	err := forEachNode(before, after, func(c nodeChange) error {
+		if c.after <= c.before {
+			return nil
+		}
+		return s.checkBudget(c.node, c.after-c.before, groups)
+	})
+	if err != nil {
+		return err
+	}
+	s.adjustLeased(before, after)
+	return nil
+}
+
+// checkBudget rejects more connections to a node than the policy in force and the one that waits leave.
+func (s *State) checkBudget(id NodeID, added uint64, groups []acknowledgementGroup) error {
+	leased := added
+	if n := s.findNode(id); n != nil {
+		leased += n.leased
+	}
+	policies := s.Policies()
+	if policies.InForce == nil {
+		return reject(ReasonNotFound, "a policy")
+	}
+	for _, p := range []*ConnectionPolicy{policies.InForce, policies.Waiting} {
+		if p == nil {
+			continue
+		}
+		reserved := s.reservedAt(p, groups, id)
+		budget := p.budgetOf(id).Connections
+		if reserved+leased > budget {
+			return reject(ReasonOverBudget, "node %v, policy %d: floors %d and %d above them, budget %d", id, p.Version, reserved, leased, budget)
+		}
+	}
+	return nil
+}
+
+func (s *State) adjustLeased(before, after []LeaseRow) {
+	_ = forEachNode(before, after, func(c nodeChange) error {
+		n := s.findOrAddNode(c.node)
+		n.leased += c.after - c.before // unsigned arithmetic wraps to the right sum where the difference is below zero
+		return nil
+	})
+}
+
+func (e *GrantLease) apply(s *State) (uint64, error) {
+	b, err := s.brokerWithIncarnation(e.Slot, e.Incarnation)
+	if err != nil {
+		return 0, err
+	}
+	lease := &b.lease
+	before := lease.upperBound()
+	switch {
+	case b.Status == BrokerLost || b.Status == BrokerOut:
+		return 0, reject(ReasonStale, "broker %s is %v", b.Name, b.Status)
+	case e.Number <= lease.Number:
+		return 0, reject(ReasonStale, "grant %d of broker %s, the last is %d", e.Number, b.Name, lease.Number)
+	case len(before) > 0 && lease.Incarnation != e.Incarnation:
+		// The earlier process may only be stopped: it would wake up with the connections that it held.
+		return 0, reject(ReasonBusy, "the lease of units that broker %s held under incarnation %d has not run out", b.Name, lease.Incarnation)
+	}
+	if err := checkLeaseRows(e.Rows); err != nil {
+		return 0, err
+	}
+	if err := s.changeLeased(before, mergeLeaseRows(before, e.Rows)); err != nil {
+		return 0, err
+	}
+	*lease = ConnectionLease{Incarnation: e.Incarnation, Number: e.Number, Granted: e.Rows, PossiblyHeld: before}
+	return e.Number, nil
+}
+
+// currentLease is a broker's newest grant, if that is the one an entry names.
+func (s *State) currentLease(slot Slot, number uint64) (*ConnectionLease, error) {
+	b := s.findBroker(slot)
+	if b == nil {
+		return nil, reject(ReasonNotFound, "broker of slot %d", slot)
+	}
+	lease := &b.lease
+	if lease.Number == number && number > 0 && !lease.Ended {
+		return lease, nil
+	}
+	return nil, reject(ReasonStale, "grant %d of broker %s: the last is %d, ended %t", number, b.Name, lease.Number, lease.Ended)
+}
+
+// ownLease is a broker's newest grant as one of its processes names it.
+func (s *State) ownLease(slot Slot, incarnation, number uint64) (*ConnectionLease, error) {
+	lease, err := s.currentLease(slot, number)
+	if err != nil {
+		return nil, err
+	}
+	if lease.Incarnation != incarnation {
+		return nil, reject(ReasonStale, "incarnation %d, grant %d is of %d", incarnation, number, lease.Incarnation)
+	}
+	return lease, nil
+}
+
+func (e *AcknowledgeLease) apply(s *State) (uint64, error) {
+	lease, err := s.ownLease(e.Slot, e.Incarnation, e.Number)
+	if err != nil {
+		return 0, err
+	}
+	s.adjustLeased(lease.upperBound(), lease.Granted)
+	lease.PossiblyHeld = nil
+	lease.Acknowledged = true
+	s.advancePolicy()
+	return e.Number, nil
+}
+
+func (s *State) endLease(lease *ConnectionLease) {
+	s.adjustLeased(lease.upperBound(), nil)
+	lease.Granted = nil
+	lease.PossiblyHeld = nil
+	lease.Ended = true
+	s.pruneNodes()
+	s.advancePolicy()
+}
+
+func (e *RelinquishLease) apply(s *State) (uint64, error) {
+	lease, err := s.ownLease(e.Slot, e.Incarnation, e.Number)
+	if err != nil {
+		return 0, err
+	}
+	s.endLease(lease)
+	return e.Number, nil
+}
+
+func (e *ExpireLease) apply(s *State) (uint64, error) {
+	if err := s.checkTerm(e.Term); err != nil {
+		return 0, err
+	}
+	lease, err := s.currentLease(e.Slot, e.Number)
+	if err != nil {
+		return 0, err
+	}
+	s.endLease(lease)
+	return e.Number, nil
+}
--- a/internal/decision/statemachine/plants_test.go
+++ b/internal/decision/statemachine/injected_faults_test.go
@@ -5,13 +5,13 @@
 // clone is a copy by which the models go on from one state in several ways. Rows and plans are never changed in place.
 func (s *State) clone() *State {
 	c := *s
-	c.brokers, c.nodes, c.sessions = copies(s.brokers), copies(s.nodes), copies(s.sessions)
+	c.brokers, c.nodes, c.sessions = cloneAll(s.brokers), cloneAll(s.nodes), cloneAll(s.sessions)
 	c.policies = slices.Clone(s.policies)
 	for _, n := range c.nodes {
 		n.drain.Acknowledged = slices.Clone(n.drain.Acknowledged)
 	}
 	for _, x := range c.sessions {
-		x.Past = slices.Clone(x.Past)
+		x.Results = slices.Clone(x.Results)
 	}
 	if s.release != nil {
 		r := *s.release
@@ -21,7 +21,7 @@
 	return &c
 }
 
-func copies[T any](l []*T) []*T {
+func cloneAll[T any](l []*T) []*T {
 	c := make([]*T, len(l))
 	for i, p := range l {
 		x := *p
@@ -30,26 +30,26 @@
 	return c
 }
 
-// modelPlants are faults put into the machine, which the model must find.
-var modelPlants = map[string]plant{
+// releaseFaults are faults put into the machine, which the model must find.
+var releaseFaults = map[string]injectedFault{
 	"limit not kept": func(s *State, e Entry, apply func() Result) Result {
 		if _, ok := e.(*IssuePermit); ok && s.release != nil {
 			s.release.MaxOut = 99
-			defer func() { s.release.MaxOut = modelMost }()
+			defer func() { s.release.MaxOut = modelMaxOut }()
 		}
 		return apply()
 	},
 	"freed by silence": func(s *State, e Entry, apply func() Result) Result {
 		r := apply()
 		if l, ok := e.(*MarkBrokerLost); ok && r.Err == nil {
-			s.member(l.Slot).Status = BrokerServing
+			s.findBroker(l.Slot).Status = BrokerServing
 		}
 		return r
 	},
 	"used twice": func(s *State, e Entry, apply func() Result) Result {
 		if u, ok := e.(*UsePermit); ok {
-			if m := s.member(u.Slot); m.pass.Used {
-				m.pass.Used, m.Status = false, BrokerServing
+			if m := s.findBroker(u.Slot); m.releasePermit.Used {
+				m.releasePermit.Used, m.Status = false, BrokerServing
 			}
 		}
 		return apply()
@@ -58,11 +58,11 @@
 		if _, ok := e.(*HaltRelease); ok {
 			held := map[Slot]ReleasePermit{}
 			for _, m := range s.brokers {
-				held[m.Slot] = m.pass
+				held[m.Slot] = m.releasePermit
 			}
 			r := apply()
 			for _, m := range s.brokers {
-				m.pass, m.Permit = held[m.Slot], held[m.Slot].Number
+				m.releasePermit, m.Permit = held[m.Slot], held[m.Slot].Number
 			}
 			return r
 		}
@@ -82,7 +82,7 @@
 	},
 	"late return taken": func(s *State, e Entry, apply func() Result) Result {
 		if x, ok := e.(*ReturnToService); ok {
-			if m := s.member(x.Slot); m != nil && m.Status == BrokerOut && m.Incarnation == x.Incarnation {
+			if m := s.findBroker(x.Slot); m != nil && m.Status == BrokerOut && m.Incarnation == x.Incarnation {
 				m.Status = BrokerReturning
 			}
 		}
@@ -90,17 +90,17 @@
 	},
 }
 
-// leasePlants are faults put into the machine or into those who hold and grant.
-var leasePlants = map[string]*leasePlant{
+// leaseModelFaults are faults put into the machine or into those who hold and grant.
+var leaseModelFaults = map[string]*leaseFault{
 	"lease counted from the answer": {fromAnswer: true},
 	"expired by silence":            {impatient: true},
 	"acknowledged before it was so": {early: true},
 	"budget not kept": {apply: func(s *State, e Entry, apply func() Result) Result {
-		if _, ok := e.(*GrantLease); ok && s.node(at(1)) != nil {
-			units := s.node(at(1)).units
-			s.node(at(1)).units = 0
+		if _, ok := e.(*GrantLease); ok && s.findNode(testNode(1)) != nil {
+			units := s.findNode(testNode(1)).leased
+			s.findNode(testNode(1)).leased = 0
 			r := apply()
-			s.node(at(1)).units = units
+			s.findNode(testNode(1)).leased = units
 			return r
 		}
 		return apply()
--- /dev/null
+++ b/internal/decision/statemachine/lease_model_test.go
@@ -0,0 +1,251 @@
+package statemachine
+
+import (
+	"fmt"
+	"hash/maphash"
+	"os"
+	"slices"
+	"strconv"
+	"testing"
+)
+
+// A model of leases over the real machine: two holders of one node's units, a leader that renews and expires, and another that
+// takes over from it. Time goes in steps, answers and entries come late, holders are stopped. At no instant do the two together
+// use more than the node has. A holder counts its lease from before it asked, the granter from after it answered.
+
+const (
+	leaseDuration  = 2
+	leaseBudget    = 4 // two floors of one, and two above them
+	leaseMaxFaults = 2
+)
+
+type leaseHolder struct {
+	number      uint64 // the grant it goes by
+	connections uint64
+	expiry      int // of its lease, by its own count
+	requestedAt int // when it sent the ask that is on its way; -1: none
+	answers     []leaseAnswer
+	stopped     bool
+}
+
+type leaseAnswer struct{ requestedAt, sentAt int }
+
+type leaseLeader struct {
+	term     uint64
+	renewed  [2]int    // when it last answered
+	expiring [2]uint64 // grants it has proposed to expire: no more answers for them
+}
+
+type leaseModel struct {
+	state     *State
+	now       int
+	holders   [2]leaseHolder
+	leaders   []leaseLeader
+	inFlight  []modelMessage
+	sequence  uint64
+	faults    int
+	violation string
+}
+
+// leaseFault are the faults that can be put in.
+type leaseFault struct {
+	fromAnswer, impatient, early bool
+	apply                        injectedFault
+}
+
+func (l *leaseModel) clone() *leaseModel {
+	c := *l
+	c.state = l.state.clone()
+	c.leaders, c.inFlight = slices.Clone(l.leaders), slices.Clone(l.inFlight)
+	for i := range c.holders {
+		c.holders[i].answers = slices.Clone(l.holders[i].answers)
+	}
+	return &c
+}
+
+func (l *leaseModel) key(seed maphash.Seed) uint64 {
+	var h maphash.Hash
+	h.SetSeed(seed)
+	h.Write(l.state.Snapshot())
+	fmt.Fprint(&h, l.now, l.holders, l.leaders, l.sequence, l.faults)
+	for _, x := range l.inFlight {
+		fmt.Fprintf(&h, "%T %v %d;", x.entry, x.entry, x.sequence)
+	}
+	return h.Sum64()
+}
+
+func (l *leaseModel) send(e Entry) {
+	l.sequence++
+	l.inFlight = append(l.inFlight, modelMessage{entry: e, sequence: l.sequence})
+}
+
+func (l *leaseModel) deliver(k int, p *leaseFault) {
+	x := l.inFlight[k]
+	l.inFlight = slices.Delete(l.inFlight, k, k+1)
+	p.apply(l.state, x.entry, func() Result {
+		return l.state.Apply(l.state.AppliedIndex()+1, Encode(ProposalID{9, 1, x.sequence}, x.entry))
+	})
+}
+
+// inUse is what the two use at this instant: what they go by until their lease ends, then the floor.
+func (l *leaseModel) inUse() (sum uint64) {
+	for _, h := range l.holders {
+		sum++
+		if l.now < h.expiry {
+			sum += h.connections
+		}
+	}
+	return sum
+}
+
+func (l *leaseModel) successors(p *leaseFault, each func(*leaseModel)) {
+	do := func(what func(*leaseModel)) {
+		c := l.clone()
+		what(c)
+		if sum := c.inUse(); sum > leaseBudget && c.violation == "" {
+			c.violation = fmt.Sprintf("%d units in use of %d", sum, leaseBudget)
+		}
+		each(c)
+	}
+	do(func(c *leaseModel) { c.now++ })
+	for k := range l.inFlight {
+		do(func(c *leaseModel) { c.deliver(k, p) })
+	}
+	_, term := l.state.Leader()
+	for n, x := range l.leaders {
+		leads := term == x.term
+		for i, h := range l.holders {
+			held, _ := l.state.Lease(Slot(i))
+			if leads && h.requestedAt >= 0 && x.expiring[i] != held.Number { // answers
+				do(func(c *leaseModel) {
+					c.holders[i].answers = append(c.holders[i].answers, leaseAnswer{h.requestedAt, c.now})
+					c.holders[i].requestedAt = -1
+					c.leaders[n].renewed[i] = c.now
+				})
+			}
+			if leads && len(l.inFlight) < 2 && !held.Ended && held.Number > 0 && x.expiring[i] != held.Number &&
+				(p.impatient || l.now >= x.renewed[i]+leaseDuration) {
+				do(func(c *leaseModel) {
+					c.leaders[n].expiring[i] = held.Number
+					c.send(&ExpireLease{Slot(i), held.Number, x.term})
+				})
+			}
+			for _, units := range []uint64{1, 2} {
+				if leads && n == len(l.leaders)-1 && len(l.inFlight) < 2 && held.Number < 3 {
+					do(func(c *leaseModel) {
+						c.send(&GrantLease{Slot(i), 1, held.Number + 1, []LeaseRow{{testNode(1), "x", units}}})
+					})
+				}
+			}
+		}
+	}
+	for i, h := range l.holders {
+		if h.stopped {
+			do(func(c *leaseModel) { c.holders[i].stopped = false })
+			continue
+		}
+		if h.requestedAt < 0 && len(h.answers) == 0 {
+			do(func(c *leaseModel) { c.holders[i].requestedAt = c.now })
+		}
+		if len(h.answers) > 0 {
+			do(func(c *leaseModel) {
+				a := c.holders[i].answers[0]
+				c.holders[i].answers = c.holders[i].answers[1:]
+				from := a.requestedAt
+				if p.fromAnswer {
+					from = c.now
+				}
+				c.holders[i].expiry = max(c.holders[i].expiry, from+leaseDuration)
+			})
+		}
+		held, _ := l.state.Lease(Slot(i))
+		if held.Number != h.number || held.Ended && h.connections > 0 { // its replica has come so far
+			if p.early && !held.Ended {
+				do(func(c *leaseModel) { c.send(&AcknowledgeLease{Slot(i), 1, held.Number}) }) // before it keeps to it
+			}
+			do(func(c *leaseModel) {
+				h := &c.holders[i]
+				h.number, h.connections = held.Number, 0
+				for _, r := range held.Granted {
+					h.connections += r.Connections
+				}
+				if !held.Ended {
+					c.send(&AcknowledgeLease{Slot(i), 1, held.Number})
+				}
+			})
+		}
+		if l.faults < leaseMaxFaults {
+			do(func(c *leaseModel) { c.faults++; c.holders[i].stopped = true })
+		}
+	}
+	if l.faults < leaseMaxFaults && len(l.leaders) < 2 {
+		do(func(c *leaseModel) { // it counts from now on, for what another has answered it can't know
+			c.faults++
+			c.leaders = append(c.leaders, leaseLeader{term: 2, renewed: [2]int{c.now + 1, c.now + 1}})
+			c.send(&LeaderElected{0, 2})
+		})
+	}
+}
+
+func exploreLeases(depth, most int, p *leaseFault) (states int, why string) {
+	if p.apply == nil {
+		p.apply = noFault
+	}
+	l := &leaseModel{state: New(), leaders: []leaseLeader{{term: 1}}}
+	for i := range l.holders {
+		l.send(&RegisterBroker{Slot(i), fmt.Sprint(i), 1, "1", "z", 1})
+		l.send(&ReturnToService{Slot: Slot(i), Incarnation: 1})
+	}
+	l.send(&LeaderElected{0, 1})
+	l.send(&ConnectionPolicy{1, "", 2, []NodeBudget{{testNode(1), leaseBudget, 1}}})
+	l.send(&GrantLease{0, 1, 1, []LeaseRow{{testNode(1), "x", 2}}})
+	l.send(&AcknowledgeLease{0, 1, 1})
+	for len(l.inFlight) > 0 {
+		l.deliver(0, p)
+	}
+	// The one asked a moment ago and was answered; the answer is on its way. The other may use what it is granted for long.
+	l.now, l.leaders[0].renewed = 1, [2]int{0, 9}
+	l.holders = [2]leaseHolder{{number: 1, connections: 2, expiry: 1, requestedAt: -1, answers: []leaseAnswer{{0, 0}}}, {expiry: 9, requestedAt: -1}}
+	seed := maphash.MakeSeed()
+	seen := map[uint64]bool{l.key(seed): true}
+	level := []*leaseModel{l}
+	for d := 0; d < depth && len(seen) < most; d++ {
+		var next []*leaseModel
+		for _, x := range level {
+			x.successors(p, func(c *leaseModel) {
+				if c.violation != "" && why == "" {
+					why = fmt.Sprintf("after %d: %s", d+1, c.violation)
+				}
+				if k := c.key(seed); !seen[k] && why == "" {
+					seen[k] = true
+					next = append(next, c)
+				}
+			})
+			if why != "" {
+				return len(seen), why
+			}
+		}
+		level = next
+	}
+	return len(seen), ""
+}
+
+// However late all comes, the two never use more than the node has. Each fault put in is found.
+func TestLeaseModel(t *testing.T) {
+	depth := 6
+	if n, err := strconv.Atoi(os.Getenv("STATEMACHINE_DEPTH")); err == nil {
+		depth = n
+	}
+	states, why := exploreLeases(depth, 1<<30, &leaseFault{})
+	if why != "" {
+		t.Error(why)
+	}
+	t.Logf("%d states to depth %d", states, depth)
+	for name, p := range leaseModelFaults {
+		states, why := exploreLeases(12, 200000, p)
+		if why == "" {
+			t.Errorf("%s was not found in %d states", name, states)
+		}
+		t.Logf("%s: found in %d states, %s", name, states, why)
+	}
+}
--- /dev/null
+++ b/internal/decision/statemachine/lease_rows.go
@@ -0,0 +1,83 @@
+package statemachine
+
+import (
+	"cmp"
+	"slices"
+)
+
+// maxConnections bounds a number of connections in a lease or a budget.
+const maxConnections = 1 << 32
+
+// CompareLeaseRows orders the rows of a grant.
+func CompareLeaseRows(a, b LeaseRow) int {
+	return cmp.Or(CompareNodes(a.Node, b.Node), cmp.Compare(a.Tenant, b.Tenant))
+}
+
+// checkLeaseRows rejects rows that are out of order, name a node and tenant twice, or have no valid number of connections.
+func checkLeaseRows(l []LeaseRow) error {
+	for i, r := range l {
+		if r.Connections == 0 || r.Connections > maxConnections || i > 0 && CompareLeaseRows(l[i-1], r) >= 0 {
+			return reject(ReasonInvalid, "row %d: node %v, tenant %s, %d units", i, r.Node, r.Tenant, r.Connections)
+		}
+	}
+	return nil
+}
+
+// mergeLeaseRows is row by row the greater of two lists.
+func mergeLeaseRows(a, b []LeaseRow) (all []LeaseRow) {
+	if len(a) == 0 || len(b) == 0 {
+		return slices.Concat(a, b)
+	}
+	for len(a) > 0 && len(b) > 0 {
+		switch CompareLeaseRows(a[0], b[0]) {
+		case -1:
+			all = append(all, a[0])
+			a = a[1:]
+		case 1:
+			all = append(all, b[0])
+			b = b[1:]
+		default:
+			row := a[0]
+			row.Connections = max(row.Connections, b[0].Connections)
+			all = append(all, row)
+			a = a[1:]
+			b = b[1:]
+		}
+	}
+	all = append(all, a...)
+	return append(all, b...)
+}
+
+// nodeChange is how many connections to a node two lists of rows have.
+type nodeChange struct {
+	node   NodeID
+	before uint64
+	after  uint64
+}
+
+// forEachNode calls f with every node of two lists of rows, in their order, until f returns an error.
+func forEachNode(before, after []LeaseRow, f func(nodeChange) error) error {
+	for len(before) > 0 || len(after) > 0 {
+		var change nodeChange
+		if len(after) == 0 || len(before) > 0 && CompareNodes(before[0].Node, after[0].Node) <= 0 {
+			change.node = before[0].Node
+		} else {
+			change.node = after[0].Node
+		}
+		change.before, before = splitFirstNode(before, change.node)
+		change.after, after = splitFirstNode(after, change.node)
+		if err := f(change); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// splitFirstNode sums a node's connections at the head of rows, and returns the rows that follow.
+func splitFirstNode(rows []LeaseRow, node NodeID) (sum uint64, rest []LeaseRow) {
+	for len(rows) > 0 && rows[0].Node == node {
+		sum += rows[0].Connections
+		rows = rows[1:]
+	}
+	return sum, rows
+}
--- /dev/null
+++ b/internal/decision/statemachine/queries.go
@@ -0,0 +1,150 @@
+package statemachine
+
+import "slices"
+
+// Brokers is the roster, by slot.
+func (s *State) Brokers() []Broker {
+	all := make([]Broker, len(s.brokers))
+	for i, b := range s.brokers {
+		all[i] = b.Broker
+	}
+	return all
+}
+
+// Broker is a broker of the roster.
+func (s *State) Broker(slot Slot) (broker Broker, ok bool) {
+	if b := s.findBroker(slot); b != nil {
+		return b.Broker, true
+	}
+	return Broker{}, false
+}
+
+// Release is the present release, or the last.
+func (s *State) Release() (r Release, ok bool) {
+	if s.release == nil {
+		return r, false
+	}
+	r = *s.release
+	r.Steps = slices.Clone(r.Steps)
+	return r, true
+}
+
+// BrokerPermit is the permit a broker holds, used or not.
+func (s *State) BrokerPermit(slot Slot) (permit ReleasePermit, ok bool) {
+	if b := s.findBroker(slot); b != nil && b.releasePermit.Number > 0 {
+		return b.releasePermit, true
+	}
+	return ReleasePermit{}, false
+}
+
+// NodePermit is the permit of a node, used or not.
+func (s *State) NodePermit(id NodeID) (permit ReleasePermit, ok bool) {
+	if n := s.findNode(id); n != nil && n.releasePermit.Number > 0 {
+		return n.releasePermit, true
+	}
+	return ReleasePermit{}, false
+}
+
+// Drains are the agreed drains, by node.
+func (s *State) Drains() (all []NodeDrain) {
+	for _, n := range s.nodes {
+		if n.drain.Number > 0 {
+			d := n.drain
+			d.Acknowledged = slices.Clone(d.Acknowledged)
+			all = append(all, d)
+		}
+	}
+	return all
+}
+
+// IsDrained tells whether every broker that is not lost has acknowledged a node's drain.
+func (s *State) IsDrained(id NodeID) bool {
+	n := s.findNode(id)
+	return n != nil && n.drain.Number > 0 && len(s.MissingDrainAcks(id)) == 0
+}
+
+// MissingDrainAcks are the brokers that are not lost and have not acknowledged a node's drain.
+func (s *State) MissingDrainAcks(id NodeID) (slots []Slot) {
+	n := s.findNode(id)
+	if n == nil {
+		return nil
+	}
+	for _, b := range s.brokers {
+		if b.Status != BrokerLost && !slices.Contains(n.drain.Acknowledged, BrokerIncarnation{b.Slot, b.Incarnation}) {
+			slots = append(slots, b.Slot)
+		}
+	}
+	return slots
+}
+
+// Lease is what a broker may hold. Its rows must not be changed; they are not changed here either.
+func (s *State) Lease(slot Slot) (lease ConnectionLease, ok bool) {
+	if b := s.findBroker(slot); b != nil {
+		return b.lease, true
+	}
+	return ConnectionLease{}, false
+}
+
+// Policies are the connection policies that count; each is nil where there is none. They must not be changed.
+type Policies struct {
+	InForce  *ConnectionPolicy
+	Waiting  *ConnectionPolicy // comes into force when what is held fits it
+	Previous *ConnectionPolicy // was in force before
+}
+
+// Policies are the policy in force, the one that waits, and the one before.
+func (s *State) Policies() Policies {
+	all := Policies{Previous: s.previousPolicy}
+	for _, p := range s.policies {
+		if p.Version == s.currentVersion {
+			all.InForce = p
+		} else if p.Version > s.currentVersion {
+			all.Waiting = p
+		}
+	}
+	return all
+}
+
+// AcknowledgedPolicy is the version of the policy that a broker acknowledged last.
+func (s *State) AcknowledgedPolicy(slot Slot) uint64 {
+	if b := s.findBroker(slot); b != nil {
+		return b.acknowledgedPolicy
+	}
+	return 0
+}
+
+// Epoch is the number of the agreed node list.
+func (s *State) Epoch() uint64 { return s.epoch }
+
+// Nodes is the agreed list, by node.
+func (s *State) Nodes() (all []Node) {
+	for _, n := range s.nodes {
+		if n.listed {
+			all = append(all, s.nodeStatus(n))
+		}
+	}
+	return all
+}
+
+// Node is a node of the agreed list, or one that a lease, a drain or a permit still names.
+func (s *State) Node(id NodeID) (node Node, ok bool) {
+	if n := s.findNode(id); n != nil {
+		return s.nodeStatus(n), true
+	}
+	return Node{}, false
+}
+
+func (s *State) nodeStatus(n *nodeRecord) Node {
+	v := Node{
+		NodeInfo:    n.NodeInfo,
+		DownIndex:   n.downIndex,
+		DrainNumber: n.drain.Number,
+		OutByPermit: n.releasePermit.Used,
+		Leased:      n.leased,
+	}
+	if p := s.Policies().InForce; p != nil {
+		v.Reserved = s.reservedAt(p, s.acknowledgementGroups(), n.Node)
+		v.Budget = p.budgetOf(n.Node).Connections
+	}
+	return v
+}
--- /dev/null
+++ b/internal/decision/statemachine/release_model_test.go
@@ -0,0 +1,219 @@
+package statemachine
+
+import (
+	"fmt"
+	"hash/maphash"
+	"slices"
+)
+
+// A model of three brokers under a release over the real machine. In between anything may happen in any order: proposals come
+// late or twice, processes are killed, stopped and started, leaders change and the old one goes on for a while.
+
+// modelMessage is a proposal on its way.
+type modelMessage struct {
+	entry    Entry
+	sequence uint64
+	from     int // of a Use: the process that waits for what becomes of it
+}
+
+type modelProcess struct {
+	incarnation uint64
+	up, stopped bool
+	mayLeave    bool // its Use was applied while it was stopped
+	proposedUse bool // has proposed Use
+}
+
+type model struct {
+	state     *State
+	processes [3]modelProcess
+	inFlight  []modelMessage
+	sequence  uint64
+	term      uint64
+	faults    int
+	// What the model knows by itself, from results alone.
+	out       [3]bool   // lost, went or came back under a new incarnation, and has not returned
+	reserved  [3]uint64 // permit in force
+	voided    []uint64  // permits that a halt has ended
+	accepted  []uint64  // permits of which a Use was accepted
+	leftCount [3]int
+	violation string
+}
+
+const modelMaxOut, modelMaxFaults = 1, 3
+
+func (m *model) clone() *model {
+	c := *m
+	c.state = m.state.clone()
+	c.inFlight, c.voided, c.accepted = slices.Clone(m.inFlight), slices.Clone(m.voided), slices.Clone(m.accepted)
+	return &c
+}
+
+func (m *model) key(seed maphash.Seed) uint64 {
+	var h maphash.Hash
+	h.SetSeed(seed)
+	h.Write(m.state.Snapshot())
+	fmt.Fprint(&h, m.processes, m.sequence, m.term, m.faults, m.out, m.reserved, m.voided, m.accepted, m.leftCount)
+	for _, x := range m.inFlight {
+		fmt.Fprintf(&h, "%T %v %d;", x.entry, x.entry, x.sequence)
+	}
+	return h.Sum64()
+}
+
+func (m *model) send(e Entry, from int) {
+	m.sequence++
+	m.inFlight = append(m.inFlight, modelMessage{e, m.sequence, from})
+}
+
+func (m *model) violated(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
+	}
+}
+
+// injectedFault is a fault put in on purpose: it gets the machine, the entry and what applies it.
+type injectedFault func(s *State, e Entry, apply func() Result) Result
+
+// deliver applies one proposal and holds the result against what the model knows.
+func (m *model) deliver(k int, keep bool, p injectedFault) {
+	x := m.inFlight[k]
+	if !keep {
+		m.inFlight = slices.Delete(m.inFlight, k, k+1)
+	}
+	r := p(m.state, x.entry, func() Result {
+		return m.state.Apply(m.state.AppliedIndex()+1, Encode(ProposalID{9, 1, x.sequence}, x.entry))
+	})
+	if r.Err == nil && !r.Duplicate {
+		m.recordAccepted(x.entry, r.Number)
+	}
+	if _, ok := x.entry.(*UsePermit); ok && r.Err == nil {
+		m.processes[x.from].mayLeave = m.processes[x.from].mayLeave || m.processes[x.from].incarnation == x.entry.(*UsePermit).Incarnation
+		m.leave(x.from)
+	}
+	for i := range m.processes {
+		if b, _ := m.state.Broker(Slot(i)); m.out[i] && b.Status == BrokerServing {
+			m.violated("broker %d counts as in, and nobody has said that it returned", i)
+		}
+	}
+}
+
+func (m *model) recordAccepted(e Entry, number uint64) {
+	switch e := e.(type) {
+	case *IssuePermit:
+		n := 0
+		for i := range m.processes {
+			if m.out[i] || m.reserved[i] > 0 {
+				n++
+			}
+		}
+		if n >= modelMaxOut {
+			m.violated("a permit with %d out", n)
+		}
+		if e.Term != m.term {
+			m.violated("a permit of the leader of term %d in term %d", e.Term, m.term)
+		}
+		m.reserved[e.Slot] = number
+	case *UsePermit:
+		if slices.Contains(m.accepted, e.Permit) {
+			m.violated("permit %d was used twice", e.Permit)
+		}
+		if slices.Contains(m.voided, e.Permit) {
+			m.violated("permit %d was used after the halt", e.Permit)
+		}
+		m.accepted = append(m.accepted, e.Permit)
+		m.out[e.Slot], m.reserved[e.Slot] = true, 0
+	case *MarkBrokerLost:
+		m.out[e.Slot], m.reserved[e.Slot] = true, 0
+	case *RegisterBroker:
+		m.out[e.Slot], m.reserved[e.Slot] = true, 0
+	case *ReturnToService:
+		if b, _ := m.state.Broker(e.Slot); e.Incarnation > 1 && b.Incarnation == e.Incarnation {
+			m.out[e.Slot] = false
+		}
+	case *HaltRelease:
+		for i, p := range m.reserved {
+			if p > 0 {
+				m.voided, m.reserved[i] = append(m.voided, p), 0
+			}
+		}
+	case *LeaderElected:
+		m.term = e.Term
+	}
+}
+
+// leave has a process go that saw its Use applied, if it runs.
+func (m *model) leave(i int) {
+	p := &m.processes[i]
+	if !p.up || p.stopped || !p.mayLeave {
+		return
+	}
+	p.up, p.mayLeave = false, false
+	if m.leftCount[i]++; m.leftCount[i] > 1 {
+		m.violated("broker %d went twice in a release", i)
+	}
+}
+
+// successors are all states that one thing happening leads to.
+func (m *model) successors(p injectedFault, each func(*model)) {
+	do := func(what func(*model)) {
+		c := m.clone()
+		what(c)
+		each(c)
+	}
+	fault := func(what func(*model)) {
+		if m.faults < modelMaxFaults {
+			do(func(c *model) { c.faults++; what(c) })
+		}
+	}
+	for k := range m.inFlight {
+		do(func(c *model) { c.deliver(k, false, p) })
+		fault(func(c *model) { c.deliver(k, true, p) })
+	}
+	r, _ := m.state.Release()
+	send := func(e Entry, from int) {
+		if len(m.inFlight) < 3 {
+			do(func(c *model) { c.send(e, from) })
+		}
+	}
+	for i := range m.processes {
+		x, slot := m.processes[i], Slot(i)
+		b, _ := m.state.Broker(slot)
+		if b.Status == BrokerServing {
+			send(&IssuePermit{Release: r.Number, Term: m.term, Slot: slot, Incarnation: b.Incarnation}, i)
+		}
+		pass, ok := m.state.BrokerPermit(slot)
+		switch {
+		case !x.up:
+			if b.Status != BrokerLost {
+				send(&MarkBrokerLost{slot, b.Incarnation, m.term}, i)
+			}
+			if x.incarnation == b.Incarnation { // starts
+				do(func(c *model) {
+					c.processes[i] = modelProcess{incarnation: x.incarnation + 1, up: true}
+					c.send(&RegisterBroker{slot, b.Name, x.incarnation + 1, "2", "z", 1}, i)
+				})
+			}
+		case x.stopped:
+			if b.Status != BrokerLost {
+				send(&MarkBrokerLost{slot, b.Incarnation, m.term}, i)
+			}
+			do(func(c *model) { c.processes[i].stopped = false; c.leave(i) })
+		default:
+			if b.Status == BrokerReturning && b.Incarnation == x.incarnation {
+				send(&ReturnToService{Slot: slot, Incarnation: x.incarnation}, i)
+			}
+			if ok && pass.Incarnation == x.incarnation && !x.proposedUse { // the second is the same proposal under another number
+				do(func(c *model) {
+					c.processes[i].proposedUse = true
+					c.send(&UsePermit{Permit: pass.Number, Slot: slot, Incarnation: x.incarnation}, i)
+					c.send(&UsePermit{Permit: pass.Number, Slot: slot, Incarnation: x.incarnation}, i)
+				})
+			}
+			fault(func(c *model) { c.processes[i].up = false })
+			fault(func(c *model) { c.processes[i].stopped = true })
+		}
+	}
+	if r.State == ReleaseRunning {
+		send(&HaltRelease{r.Number, ""}, 0)
+	}
+	fault(func(c *model) { c.send(&LeaderElected{1, c.term + 1}, 0) })
+}
--- a/internal/decision/statemachine/same_test.go
+++ b/internal/decision/statemachine/replicas_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// draw is any entry about few brokers and nodes, so that they meet.
-func draw(t *rapid.T, s *State) Entry {
+// drawEntry is any entry about few brokers and nodes, so that they meet.
+func drawEntry(t *rapid.T, s *State) Entry {
 	small := func(label string, most int) uint64 { return uint64(rapid.IntRange(0, most).Draw(t, label)) }
-	slot, node := Slot(small("slot", 4)), at(int(small("node", 3)))
+	slot, node := Slot(small("slot", 4)), testNode(int(small("node", 3)))
 	m, _ := s.Broker(slot)
 	r, _ := s.Release()
 	_, term := s.Leader()
@@ -24,26 +24,29 @@
 	if onNode {
 		permit = np.Number
 	}
-	rows := []LeaseRow{{at(0), "x", 1 + small("units", 9)}, {node, "y", 1 + small("more", 9)}}
+	rows := []LeaseRow{{testNode(0), "x", 1 + small("units", 9)}, {node, "y", 1 + small("more", 9)}}
 	all := []Entry{
 		&LeaderElected{slot, term + small("term", 1)},
 		&RegisterBroker{slot, fmt.Sprint("b", slot), m.Incarnation + 1, fmt.Sprint(small("version", 2)), fmt.Sprint(slot % 2), 1},
 		&ReturnToService{slot, m.Incarnation, false, node}, &ReturnToService{slot, m.Incarnation, false, node},
 		&ReturnToService{slot, max(np.Number, n.DownIndex), true, node},
 		&MarkBrokerLost{slot, in, term}, &RemoveBroker{slot},
-		&ReleasePlan{From: "0", To: "1", Slots: slots(int(small("targets", 4))),
+		&ReleasePlan{From: "0", To: "1", Slots: slotRange(int(small("targets", 4))),
 			Batches: []uint32{1, 4}[small("batches", 2)%2*2:], MaxOut: 1 + uint32(small("most", 2))},
-		&ReleasePlan{Nodes: []NodeID{at(0), at(1), at(2)}, MaxOut: 2},
+		&ReleasePlan{Nodes: []NodeID{testNode(0), testNode(1), testNode(2)}, MaxOut: 2},
 		&IssuePermit{r.Number, term, slot, m.Incarnation, onNode, node}, &IssuePermit{r.Number, term, slot, m.Incarnation, onNode, node},
 		&UsePermit{permit, slot, m.Incarnation, onNode, node}, &UsePermit{permit, slot, m.Incarnation, onNode, node},
 		&OpenNextBatch{r.Number, term, r.OpenBatch + 1}, &HaltRelease{r.Number, "x"}, &ResumeRelease{r.Number}, &RollBackRelease{r.Number, "y"},
 		&DrainNode{node, "z"}, &AcknowledgeDrain{slot, m.Incarnation, node, n.DrainNumber}, &UndrainNode{node}, &MarkNodeDown{node, "w"},
-		&ConnectionPolicy{small("policy", 20), "text", 5, []NodeBudget{{at(0), 10 + small("budget", 30), small("floor", 2)}, {at(1), 20, 1}}},
+		&ConnectionPolicy{small("policy", 20), "text", 5, []NodeBudget{
+			{testNode(0), 10 + small("budget", 30), small("floor", 2)},
+			{testNode(1), 20, 1},
+		}},
 		&AcknowledgePolicy{slot, m.Incarnation, small("acked", 20)},
 		&GrantLease{slot, m.Incarnation, h.Number + 1, rows[small("rows", 1):]}, &AcknowledgeLease{slot, m.Incarnation, h.Number},
 		&RelinquishLease{slot, m.Incarnation, h.Number}, &ExpireLease{slot, h.Number, term},
 		&SetNodeList{s.Epoch() + 1, uint32(small("least", 1)), []NodeInfo{
-			{at(0), "a", []uint32{1}}, {at(1), "b", []uint32{1, 2}}, {at(2), "b", []uint32{2}}}},
+			{testNode(0), "a", []uint32{1}}, {testNode(1), "b", []uint32{1, 2}}, {testNode(2), "b", []uint32{2}}}},
 		&RaiseProtocol{small("gate", 1)},
 	}
 	return all[small("kind", len(all)-1)]
@@ -51,12 +54,12 @@
 
 // Whatever is proposed, each broker comes to the same bytes, one that was restored on the way too; no node's units are over its
 // budget, and no limit is broken by a permit.
-func TestSame(t *testing.T) {
+func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		applied := 0
 		for i := range uint64(rapid.IntRange(1, 150).Draw(t, "entries")) {
-			data := Encode(ProposalID{Slot(i % 3), 1, 1 + i/2}, draw(t, a))
+			data := Encode(ProposalID{Slot(i % 3), 1, 1 + i/2}, drawEntry(t, a))
 			if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
 				var err error
 				if b, err = Restore(b.Snapshot()); err != nil {
@@ -70,16 +73,16 @@
 			if x.Err == nil {
 				applied++
 			}
-			if why := audit(a); why != "" {
+			if why := auditBudgets(a); why != "" {
 				t.Fatal(why)
 			}
 		}
 	})
 }
 
-// audit counts anew, by what the ledger says of each broker, what the nodes' sums come to.
-func audit(s *State) string {
-	p, _, _ := s.Policies()
+// auditBudgets counts anew, by what the machine says of each broker, what the nodes' sums come to.
+func auditBudgets(s *State) string {
+	p := s.Policies().InForce
 	for _, n := range s.nodes {
 		units := uint64(0)
 		for _, b := range s.Brokers() {
@@ -106,17 +109,17 @@
 }
 
 // The audit finds a sum that is wrong, and units over the budget.
-func TestAudit(t *testing.T) {
-	b := newBench(t, 1)
-	b.must(&ConnectionPolicy{1, "", 2, []NodeBudget{{at(1), 10, 1}}})
-	b.must(&GrantLease{0, 1, 1, []LeaseRow{{at(1), "x", 8}}})
-	if why := audit(b.s); why != "" {
+func TestBudgetAudit(t *testing.T) {
+	b := newTestTier(t, 1)
+	b.mustApply(&ConnectionPolicy{1, "", 2, []NodeBudget{{testNode(1), 10, 1}}})
+	b.mustApply(&GrantLease{0, 1, 1, []LeaseRow{{testNode(1), "x", 8}}})
+	if why := auditBudgets(b.state); why != "" {
 		t.Error(why)
 	}
-	b.s.node(at(1)).units = 7
-	sum := audit(b.s)
-	b.s.node(at(1)).units, b.s.policies[0].Budgets[0].ReservedPerBroker = 8, 2
-	if over := audit(b.s); sum == "" || over == "" {
+	b.state.findNode(testNode(1)).leased = 7
+	sum := auditBudgets(b.state)
+	b.state.findNode(testNode(1)).leased, b.state.policies[0].Budgets[0].ReservedPerBroker = 8, 2
+	if over := auditBudgets(b.state); sum == "" || over == "" {
 		t.Errorf("not found: %q, %q", sum, over)
 	}
 }
@@ -124,15 +127,15 @@
 // Bytes of any kind change nothing but the index, or stop it; nothing panics.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{}, []byte{1, 2, 3})
-	for k := range kGate + 1 {
-		if e := blank(k); e != nil {
+	for k := range kindRaiseProtocol + 1 {
+		if e := newEntry(k); e != nil {
 			f.Add(Encode(ProposalID{1, 1, 3}, e), Encode(ProposalID{1, 1, 1}, &RegisterBroker{1, "b", 1, "v", "z", 1}))
 		}
 	}
 	f.Fuzz(func(t *testing.T, a, b []byte) {
 		s := New()
-		s.Apply(1, Encode(ProposalID{1, 1, 1}, &SetNodeList{1, 0, []NodeInfo{{at(0), "z", []uint32{1}}}}))
-		s.Apply(2, Encode(ProposalID{1, 1, 2}, &ConnectionPolicy{1, "", 9, []NodeBudget{{at(0), 100, 1}}}))
+		s.Apply(1, Encode(ProposalID{1, 1, 1}, &SetNodeList{1, 0, []NodeInfo{{testNode(0), "z", []uint32{1}}}}))
+		s.Apply(2, Encode(ProposalID{1, 1, 2}, &ConnectionPolicy{1, "", 9, []NodeBudget{{testNode(0), 100, 1}}}))
 		s.Apply(3, a)
 		s.Apply(4, b)
 		if r, err := Restore(s.Snapshot()); err != nil || !bytes.Equal(r.Snapshot(), s.Snapshot()) {
--- /dev/null
+++ b/internal/decision/statemachine/rollback.go
@@ -0,0 +1,75 @@
+package statemachine
+
+// A rollback is a release over all that another one affected, in one batch, under its limits. What is out at that moment stays out
+// by the permit it used; when it comes back with the version that is taken back it goes out once more.
+func (e *RollBackRelease) apply(s *State) (uint64, error) {
+	old, err := s.numberedRelease(e.Release)
+	if err != nil {
+		return 0, err
+	}
+	s.voidAllPermits()
+	r := s.rollbackOf(old, e.Reason)
+	s.moveUsedPermits(r.Number)
+	s.release = r
+	r.finishIfComplete()
+	return r.Number, nil
+}
+
+func (s *State) rollbackOf(old *Release, reason string) *Release {
+	r := &Release{
+		Number:       s.index,
+		ReleasePlan:  old.ReleasePlan,
+		ForNodes:     old.ForNodes,
+		RollbackOf:   old.Number,
+		Reason:       reason,
+		ChangedIndex: s.index,
+	}
+	r.From = old.To
+	r.To = old.From
+	r.Slots = nil
+	r.Nodes = nil
+	for _, x := range old.Steps {
+		b := s.findBroker(x.Slot)
+		if !x.Affected || !r.ForNodes && b == nil {
+			continue
+		}
+		r.Steps = append(r.Steps, r.rollbackStep(x, b))
+		if r.ForNodes {
+			r.Nodes = append(r.Nodes, x.Node)
+		} else {
+			r.Slots = append(r.Slots, x.Slot)
+		}
+	}
+	r.Batches = []uint32{uint32(len(r.Steps))}
+	return r
+}
+
+// rollbackStep is the step of a rollback for a step of the release that it takes back; b is the broker, where it is one.
+func (r *Release) rollbackStep(old ReleaseStep, b *brokerRecord) ReleaseStep {
+	step := ReleaseStep{Slot: old.Slot, Node: old.Node}
+	switch {
+	case old.State == StepOut:
+		step.State = StepOut
+		step.Affected = true
+		step.OutAtRollback = true
+	case !r.ForNodes && b.Version == r.To && r.To != r.From && b.Status == BrokerServing:
+		step.State = StepFinished
+		step.Version = b.Version
+	}
+	return step
+}
+
+// moveUsedPermits gives the permits that are left, those used, to another release.
+func (s *State) moveUsedPermits(release uint64) {
+	for _, b := range s.brokers {
+		if b.releasePermit.Number > 0 {
+			b.releasePermit.Release = release
+		}
+	}
+	for _, n := range s.nodes {
+		if n.releasePermit.Number > 0 {
+			n.releasePermit.Release = release
+			n.drain.Release = release
+		}
+	}
+}
--- a/internal/decision/statemachine/roster.go
+++ b/internal/decision/statemachine/roster.go
@@ -2,161 +2,147 @@
 
 import (
 	"cmp"
-	"encoding/binary"
 	"slices"
 )
 
-// member is a broker of the roster.
-type member struct {
+// brokerRecord is a broker of the roster with what it holds.
+type brokerRecord struct {
 	Broker
-	pass    ReleasePermit
-	holding ConnectionLease
-	policy  uint64 // the oldest policy whose floors it may use: what it acknowledged last
+	releasePermit      ReleasePermit
+	lease              ConnectionLease
+	acknowledgedPolicy uint64 // the oldest policy whose reserved connections it may use: the one it acknowledged last
 }
 
-// node is one of the agreed list, or one that is still spoken of.
-type node struct {
-	NodeInfo
-	listed bool
-	down   uint64 // the NodeDown by which it is not ready; 0: none
-	pass   ReleasePermit
-	drain  NodeDrain
-	units  uint64 // above the floors: the sum of what all brokers may hold
+func (s *State) brokerPosition(slot Slot) (position int, found bool) {
+	return slices.BinarySearchFunc(s.brokers, slot, func(b *brokerRecord, x Slot) int { return cmp.Compare(b.Slot, x) })
 }
 
-// CompareNodes orders nodes.
-func CompareNodes(a, b NodeID) int {
-	return cmp.Compare(place(a), place(b))
-}
-
-func place(n NodeID) uint64 { return uint64(binary.BigEndian.Uint32(n.Addr[:]))<<16 | uint64(n.Port) }
-
-// CompareLeaseRows orders the rows of a grant.
-func CompareLeaseRows(a, b LeaseRow) int {
-	return cmp.Or(CompareNodes(a.Node, b.Node), cmp.Compare(a.Tenant, b.Tenant))
-}
-
-func (s *State) find(slot Slot) (int, bool) {
-	return slices.BinarySearchFunc(s.brokers, slot, func(m *member, x Slot) int { return cmp.Compare(m.Slot, x) })
-}
-
-func (s *State) member(slot Slot) *member {
-	if i, ok := s.find(slot); ok {
+func (s *State) findBroker(slot Slot) *brokerRecord {
+	if i, found := s.brokerPosition(slot); found {
 		return s.brokers[i]
 	}
 	return nil
 }
 
-func (s *State) findNode(id NodeID) (int, bool) {
-	return slices.BinarySearchFunc(s.nodes, id, func(n *node, x NodeID) int { return CompareNodes(n.Node, x) })
+// brokerWithIncarnation is a broker under the incarnation that an entry names.
+func (s *State) brokerWithIncarnation(slot Slot, incarnation uint64) (*brokerRecord, error) {
+	b := s.findBroker(slot)
+	if b == nil {
+		return nil, reject(ReasonNotFound, "broker of slot %d", slot)
+	}
+	if b.Incarnation != incarnation {
+		return nil, reject(ReasonStale, "incarnation %d of broker %s, the present one is %d", incarnation, b.Name, b.Incarnation)
+	}
+	return b, nil
 }
 
-func (s *State) node(id NodeID) *node {
-	if i, ok := s.findNode(id); ok {
-		return s.nodes[i]
-	}
-	return nil
+func (s *State) setBrokerStatus(b *brokerRecord, status BrokerStatus) {
+	b.Status = status
+	b.StatusIndex = s.index
 }
 
-// at is a broker under the incarnation that an entry speaks of.
-func (s *State) at(slot Slot, incarnation uint64) (*member, error) {
-	m := s.member(slot)
-	if m == nil {
-		return nil, refuse(ReasonNotFound, "broker of slot %d", slot)
+func (e *RegisterBroker) apply(s *State) (uint64, error) {
+	if err := e.check(s); err != nil {
+		return 0, err
 	}
-	if m.Incarnation != incarnation {
-		return nil, refuse(ReasonStale, "incarnation %d of broker %s, the present one is %d", incarnation, m.Name, m.Incarnation)
+	i, found := s.brokerPosition(e.Slot)
+	if !found {
+		// It learns from the state that has this entry which connections are reserved for it, so it can know no older policy.
+		added := &brokerRecord{Broker: Broker{Slot: e.Slot, Name: e.Name}, acknowledgedPolicy: s.currentVersion}
+		s.brokers = slices.Insert(s.brokers, i, added)
+	}
+	b := s.brokers[i]
+	if e.Incarnation <= b.Incarnation {
+		return 0, reject(ReasonStale, "incarnation %d of broker %s, the present one is %d", e.Incarnation, b.Name, b.Incarnation)
+	}
+	s.voidBrokerPermit(b)
+	b.Incarnation = e.Incarnation
+	b.Version = e.Version
+	b.Zone = e.Zone
+	b.Protocol = e.Protocol
+	if b.HasServed {
+		s.setBrokerStatus(b, BrokerReturning)
+	} else {
+		s.setBrokerStatus(b, BrokerJoining)
 	}
-	return m, nil
+	return 0, nil
 }
 
-func (e *RegisterBroker) apply(s *State) (uint64, error) {
-	p, _, _ := s.Policies()
+// check rejects a registration that contradicts the policy, the tier's protocol or the roster.
+func (e *RegisterBroker) check(s *State) error {
+	inForce := s.Policies().InForce
 	switch {
-	case e.Slot >= mostSlot || e.Name == "" || e.Incarnation == 0:
-		return 0, refuse(ReasonInvalid, "broker %q, slot %d, incarnation %d", e.Name, e.Slot, e.Incarnation)
-	case p != nil && e.Slot >= Slot(p.MaxBrokers):
-		return 0, refuse(ReasonOverBudget, "the policy has floors for %d brokers, not for slot %d", p.MaxBrokers, e.Slot)
-	case e.Protocol < s.gate:
-		return 0, refuse(ReasonProtocol, "broker %s reads protocol %d, the tier is at %d", e.Name, e.Protocol, s.gate)
-	}
-	for _, m := range s.brokers {
-		if (m.Name == e.Name) != (m.Slot == e.Slot) {
-			return 0, refuse(ReasonInvalid, "slot %d is broker %s, not slot %d broker %s", m.Slot, m.Name, e.Slot, e.Name)
+	case e.Slot >= slotLimit || e.Name == "" || e.Incarnation == 0:
+		return reject(ReasonInvalid, "broker %q, slot %d, incarnation %d", e.Name, e.Slot, e.Incarnation)
+	case inForce != nil && e.Slot >= Slot(inForce.MaxBrokers):
+		return reject(ReasonOverBudget, "the policy has floors for %d brokers, not for slot %d", inForce.MaxBrokers, e.Slot)
+	case e.Protocol < s.tierProtocol:
+		return reject(ReasonProtocol, "broker %s reads protocol %d, the tier is at %d", e.Name, e.Protocol, s.tierProtocol)
+	}
+	for _, b := range s.brokers {
+		if (b.Name == e.Name) != (b.Slot == e.Slot) {
+			return reject(ReasonInvalid, "slot %d is broker %s, not slot %d broker %s", b.Slot, b.Name, e.Slot, e.Name)
 		}
 	}
-	i, ok := s.find(e.Slot)
-	if !ok {
-		// What floors it may use it learns from the state that has this entry, so that it can have none of an older policy.
-		s.brokers = slices.Insert(s.brokers, i, &member{Broker: Broker{Slot: e.Slot, Name: e.Name}, policy: s.current})
-	}
-	m := s.brokers[i]
-	if e.Incarnation <= m.Incarnation {
-		return 0, refuse(ReasonStale, "incarnation %d of broker %s, the present one is %d", e.Incarnation, m.Name, m.Incarnation)
-	}
-	s.void(m)
-	m.Incarnation, m.Version, m.Zone, m.Protocol = e.Incarnation, e.Version, e.Zone, e.Protocol
-	m.Status, m.StatusIndex = BrokerJoining, s.index
-	if m.HasServed {
-		m.Status = BrokerReturning
-	}
-	return 0, nil
+	return nil
 }
 
 func (e *MarkBrokerLost) apply(s *State) (uint64, error) {
-	if err := s.fenced(e.Term); err != nil {
+	if err := s.checkTerm(e.Term); err != nil {
 		return 0, err
 	}
-	m, err := s.at(e.Slot, e.Incarnation)
+	b, err := s.brokerWithIncarnation(e.Slot, e.Incarnation)
 	if err != nil {
 		return 0, err
 	}
-	s.void(m) // its holder could use it no more: this incarnation has ended. It counts as out as it is lost.
-	if m.Status != BrokerLost {
-		m.Status, m.StatusIndex = BrokerLost, s.index
+	s.voidBrokerPermit(b) // this incarnation has ended and could use it no more; the broker counts as out because it is lost
+	if b.Status != BrokerLost {
+		s.setBrokerStatus(b, BrokerLost)
 	}
 	return 0, nil
 }
 
 func (e *RemoveBroker) apply(s *State) (uint64, error) {
-	i, ok := s.find(e.Slot)
-	if !ok {
-		return 0, refuse(ReasonNotFound, "broker of slot %d", e.Slot)
+	i, found := s.brokerPosition(e.Slot)
+	if !found {
+		return 0, reject(ReasonNotFound, "broker of slot %d", e.Slot)
 	}
-	m := s.brokers[i]
-	if m.Status != BrokerLost {
-		return 0, refuse(ReasonInvalid, "broker %s is not lost", m.Name)
+	b := s.brokers[i]
+	if b.Status != BrokerLost {
+		return 0, reject(ReasonInvalid, "broker %s is not lost", b.Name)
 	}
-	if len(m.holding.Granted)+len(m.holding.PossiblyHeld) > 0 {
-		return 0, refuse(ReasonBusy, "the lease of broker %s's units has not run out", m.Name)
+	if len(b.lease.Granted)+len(b.lease.PossiblyHeld) > 0 {
+		return 0, reject(ReasonBusy, "the lease of broker %s's units has not run out", b.Name)
 	}
 	s.brokers = slices.Delete(s.brokers, i, i+1)
 	if r := s.release; r != nil {
-		if x := r.step(e.Slot, NodeID{}); x != nil {
-			x.State = StepFinished
-			r.end()
+		if step := r.findStep(e.Slot, NodeID{}); step != nil {
+			step.State = StepFinished
+			r.finishIfComplete()
 		}
 	}
-	s.settle()
+	s.advancePolicy()
 	return 0, nil
 }
 
 func (e *ReturnToService) apply(s *State) (uint64, error) {
 	if e.ForNode {
-		return 0, s.nodeBack(e.Node, e.Incarnation)
+		return 0, s.returnNode(e.Node, e.Incarnation)
 	}
-	m, err := s.at(e.Slot, e.Incarnation)
-	switch {
-	case err != nil:
+	b, err := s.brokerWithIncarnation(e.Slot, e.Incarnation)
+	if err != nil {
 		return 0, err
-	case m.Status == BrokerServing:
-		return 0, nil
-	case m.Status != BrokerJoining && m.Status != BrokerReturning:
-		// Danger: what a broker said before it went, or before it was lost, comes late and ends its absence.
-		return 0, refuse(ReasonStale, "broker %s is %v; it comes back under a new incarnation", m.Name, m.Status)
 	}
-	m.Status, m.StatusIndex, m.HasServed = BrokerServing, s.index, true
-	m.pass, m.Permit = ReleasePermit{}, 0
-	s.came(m)
+	switch b.Status {
+	case BrokerServing:
+		return 0, nil
+	case BrokerJoining, BrokerReturning:
+	default: // a message from before the broker went or was lost: it must not end the absence
+		return 0, reject(ReasonStale, "broker %s is %v; it comes back under a new incarnation", b.Name, b.Status)
+	}
+	s.setBrokerStatus(b, BrokerServing)
+	b.HasServed = true
+	b.clearPermit()
+	s.finishBrokerStep(b)
 	return 0, nil
 }
--- a/internal/decision/statemachine/snapshot.go
+++ b/internal/decision/statemachine/snapshot.go
@@ -2,158 +2,150 @@
 
 import "slices"
 
-// format is the version of snapshots.
-const format uint64 = 1
+// snapshotFormat is the version of snapshots.
+const snapshotFormat uint64 = 1
 
 // Snapshot is the whole state: the same bytes on every broker that has applied the same entries.
 func (s *State) Snapshot() []byte {
 	c := &codec{}
 	s.fields(c)
-	return c.b
+	return c.data
 }
 
-// Restore makes a machine of a snapshot. The error is of type *Damaged.
+// Restore makes a machine of a snapshot. The error is of type *SnapshotError.
 func Restore(b []byte) (*State, error) {
-	s, c := &State{}, &codec{b: b, reading: true}
+	s := &State{}
+	c := &codec{data: b, reading: true}
 	s.fields(c)
 	switch {
-	case c.bad || len(c.b) > 0:
+	case c.failed || len(c.data) > 0:
 		return nil, &SnapshotError{Cause: "it is cut, damaged or of another version"}
-	case s.gate == 0 || s.gate > SupportedProtocol:
+	case s.tierProtocol == 0 || s.tierProtocol > SupportedProtocol:
 		return nil, &SnapshotError{Cause: "it is of a newer protocol"}
-	case !slices.IsSortedFunc(s.nodes, func(a, b *node) int { return CompareNodes(a.Node, b.Node) }) ||
-		!slices.IsSortedFunc(s.brokers, func(a, b *member) int { return int(a.Slot) - int(b.Slot) }) ||
-		!slices.IsSortedFunc(s.sessions, func(a, b *session) int { return int(a.Slot) - int(b.Slot) }):
+	case !s.isSorted():
 		return nil, &SnapshotError{Cause: "it is not in order"}
-	case s.release != nil && !s.release.sound():
+	case s.release != nil && !s.release.isConsistent():
 		return nil, &SnapshotError{Cause: "its release contradicts itself"}
 	}
-	s.total()
+	s.recountLeased()
 	return s, nil
 }
 
-func (r *Release) sound() bool {
-	return int(r.OpenBatch) < len(r.Batches) && r.Batches[len(r.Batches)-1] == uint32(len(r.Steps)) && slices.IsSorted(r.Batches)
-}
-
-// total counts anew what all may hold of each node.
-func (s *State) total() {
-	for _, m := range s.brokers {
-		s.shift(nil, m.holding.most())
-	}
+func (s *State) isSorted() bool {
+	return slices.IsSortedFunc(s.nodes, func(a, b *nodeRecord) int { return CompareNodes(a.Node, b.Node) }) &&
+		slices.IsSortedFunc(s.brokers, func(a, b *brokerRecord) int { return int(a.Slot) - int(b.Slot) }) &&
+		slices.IsSortedFunc(s.sessions, func(a, b *session) int { return int(a.Slot) - int(b.Slot) })
 }
 
-func ptr[T any](each func(*codec, *T)) func(*codec, **T) {
-	return func(c *codec, p **T) {
-		if c.reading {
-			*p = new(T)
-		}
-		each(c, *p)
-	}
+func (r *Release) isConsistent() bool {
+	return int(r.OpenBatch) < len(r.Batches) && r.Batches[len(r.Batches)-1] == uint32(len(r.Steps)) && slices.IsSorted(r.Batches)
 }
 
-// some is what may not be there.
-func some[T any](c *codec, p **T, each func(*codec, *T)) {
-	there := *p != nil
-	if c.flag(&there); there && !c.bad {
-		ptr(each)(c, p)
+// recountLeased sums what all brokers may hold of each node, which a snapshot does not store.
+func (s *State) recountLeased() {
+	for _, b := range s.brokers {
+		s.adjustLeased(nil, b.lease.upperBound())
 	}
 }
 
 func (s *State) fields(c *codec) {
-	version := format
-	if num(c, &version); version != format {
-		c.bad = true
+	version := snapshotFormat
+	uintField(c, &version)
+	if version != snapshotFormat {
+		c.failed = true
 	}
-	num(c, &s.index)
-	num(c, &s.term)
-	num(c, &s.leader)
-	num(c, &s.gate)
-	num(c, &s.epoch)
-	num(c, &s.least)
-	num(c, &s.current)
-	list(c, &s.brokers, ptr(func(c *codec, m *member) { m.fields(c) }))
-	list(c, &s.nodes, ptr(func(c *codec, n *node) { n.fields(c) }))
-	list(c, &s.sessions, ptr(func(c *codec, x *session) { x.fields(c) }))
-	list(c, &s.policies, ptr(func(c *codec, p *ConnectionPolicy) { p.fields(c) }))
-	some(c, &s.before, func(c *codec, p *ConnectionPolicy) { p.fields(c) })
-	some(c, &s.release, func(c *codec, r *Release) { r.fields(c) })
+	uintField(c, &s.index)
+	uintField(c, &s.term)
+	uintField(c, &s.leader)
+	uintField(c, &s.tierProtocol)
+	uintField(c, &s.epoch)
+	uintField(c, &s.minReadyReplicas)
+	uintField(c, &s.currentVersion)
+	listField(c, &s.brokers, pointerField(func(c *codec, b *brokerRecord) { b.fields(c) }))
+	listField(c, &s.nodes, pointerField(func(c *codec, n *nodeRecord) { n.fields(c) }))
+	listField(c, &s.sessions, pointerField(func(c *codec, x *session) { x.fields(c) }))
+	listField(c, &s.policies, pointerField(func(c *codec, p *ConnectionPolicy) { p.fields(c) }))
+	optionalField(c, &s.previousPolicy, func(c *codec, p *ConnectionPolicy) { p.fields(c) })
+	optionalField(c, &s.release, func(c *codec, r *Release) { r.fields(c) })
 }
 
-func (m *member) fields(c *codec) {
-	num(c, &m.Slot)
-	c.str(&m.Name)
-	num(c, &m.Incarnation)
-	c.str(&m.Version)
-	c.str(&m.Zone)
-	num(c, &m.Protocol)
-	num(c, &m.Status)
-	c.flag(&m.HasServed)
-	num(c, &m.Permit)
-	num(c, &m.StatusIndex)
-	num(c, &m.policy)
-	m.pass.fields(c)
-	h := &m.holding
-	num(c, &h.Incarnation)
-	num(c, &h.Number)
-	rows(c, &h.Granted)
-	rows(c, &h.PossiblyHeld)
-	c.flag(&h.Acknowledged)
-	c.flag(&h.Ended)
+func (b *brokerRecord) fields(c *codec) {
+	uintField(c, &b.Slot)
+	c.stringField(&b.Name)
+	uintField(c, &b.Incarnation)
+	c.stringField(&b.Version)
+	c.stringField(&b.Zone)
+	uintField(c, &b.Protocol)
+	uintField(c, &b.Status)
+	c.boolField(&b.HasServed)
+	uintField(c, &b.Permit)
+	uintField(c, &b.StatusIndex)
+	uintField(c, &b.acknowledgedPolicy)
+	b.releasePermit.fields(c)
+	lease := &b.lease
+	uintField(c, &lease.Incarnation)
+	uintField(c, &lease.Number)
+	leaseRowsField(c, &lease.Granted)
+	leaseRowsField(c, &lease.PossiblyHeld)
+	c.boolField(&lease.Acknowledged)
+	c.boolField(&lease.Ended)
 }
 
 func (p *ReleasePermit) fields(c *codec) {
-	num(c, &p.Number)
-	num(c, &p.Release)
-	c.flag(&p.ForNode)
-	num(c, &p.Slot)
-	num(c, &p.Incarnation)
-	c.node(&p.Node)
-	c.flag(&p.Used)
+	uintField(c, &p.Number)
+	uintField(c, &p.Release)
+	c.boolField(&p.ForNode)
+	uintField(c, &p.Slot)
+	uintField(c, &p.Incarnation)
+	c.nodeField(&p.Node)
+	c.boolField(&p.Used)
 }
 
-func (n *node) fields(c *codec) {
+func (n *nodeRecord) fields(c *codec) {
 	n.NodeInfo.fields(c)
-	c.flag(&n.listed)
-	num(c, &n.down)
-	n.pass.fields(c)
+	c.boolField(&n.listed)
+	uintField(c, &n.downIndex)
+	n.releasePermit.fields(c)
 	d := &n.drain
-	num(c, &d.Number)
-	c.str(&d.Reason)
-	num(c, &d.Release)
-	list(c, &d.Acknowledged, func(c *codec, m *BrokerIncarnation) { num(c, &m.Slot); num(c, &m.Incarnation) })
+	uintField(c, &d.Number)
+	c.stringField(&d.Reason)
+	uintField(c, &d.Release)
+	listField(c, &d.Acknowledged, func(c *codec, b *BrokerIncarnation) {
+		uintField(c, &b.Slot)
+		uintField(c, &b.Incarnation)
+	})
 	if c.reading && d.Number > 0 {
 		d.Node = n.Node
 	}
 }
 
 func (x *session) fields(c *codec) {
-	num(c, &x.Slot)
-	num(c, &x.Incarnation)
-	num(c, &x.Forgotten)
-	list(c, &x.Past, func(c *codec, p *past) {
-		num(c, &p.Seq)
-		num(c, &p.Number)
-		num(c, &p.Reason)
-		c.str(&p.Detail)
+	uintField(c, &x.Slot)
+	uintField(c, &x.Incarnation)
+	uintField(c, &x.ForgottenThrough)
+	listField(c, &x.Results, func(c *codec, p *proposalResult) {
+		uintField(c, &p.Sequence)
+		uintField(c, &p.Number)
+		uintField(c, &p.Reason)
+		c.stringField(&p.Detail)
 	})
 }
 
 func (r *Release) fields(c *codec) {
-	num(c, &r.Number)
+	uintField(c, &r.Number)
 	r.ReleasePlan.fields(c)
-	c.flag(&r.ForNodes)
-	num(c, &r.State)
-	c.str(&r.Reason)
-	list(c, &r.Steps, func(c *codec, x *ReleaseStep) {
-		num(c, &x.Slot)
-		c.node(&x.Node)
-		num(c, &x.State)
-		c.flag(&x.Affected)
-		c.str(&x.Version)
-		c.flag(&x.OutAtRollback)
+	c.boolField(&r.ForNodes)
+	uintField(c, &r.State)
+	c.stringField(&r.Reason)
+	listField(c, &r.Steps, func(c *codec, x *ReleaseStep) {
+		uintField(c, &x.Slot)
+		c.nodeField(&x.Node)
+		uintField(c, &x.State)
+		c.boolField(&x.Affected)
+		c.stringField(&x.Version)
+		c.boolField(&x.OutAtRollback)
 	})
-	num(c, &r.OpenBatch)
-	num(c, &r.RollbackOf)
-	num(c, &r.ChangedIndex)
+	uintField(c, &r.OpenBatch)
+	uintField(c, &r.RollbackOf)
+	uintField(c, &r.ChangedIndex)
 }
--- a/internal/decision/statemachine/statemachine.go
+++ b/internal/decision/statemachine/statemachine.go
@@ -1,42 +1,60 @@
-// Package statemachine is what the brokers of a tier agree on: a deterministic state machine of releases and their permits, drains of
-// nodes, grants of a node's units, policies and epochs of the list. Entries come in the agreed order; the same entries give the
-// same bytes on every broker. It has no clock: whoever leads measures, and proposes Lost or Expire. The limits are kept in Apply,
-// so that no leader, however mistaken or late, can break them. It must never do I/O, read a clock or go on after an entry that it
-// can't read.
+// Package statemachine is the replicated state machine of a tier: releases and their permits, drains of nodes, connection
+// policies and leases, the agreed node list. Entries of the raft log are applied in their order; the same entries give the same
+// bytes on every broker.
 //
-// A broker comes with Register and, once it serves, Return. A release begins with Plan; each step is a Permit, the holder's Use
-// (only who saw its Use applied without an error may go), Register under a new incarnation, Return. A node's permit is a drain at
-// once; its Use is accepted when every living broker has acknowledged. Halt makes unused permits void. A broker's units are what
-// it may still hold and what it is granted, row by row the greater, until it acknowledges the newest grant or Expire comes.
+//	            State
+//	brokers     status, incarnation, release permit, connection lease, acknowledged policy; by slot
+//	nodes       zone, shards, down or not, release permit, drain, connections leased; by address
+//	release     the plan, its state (running, halted, done) and a state for each step
+//	policies    connection budgets by node: the one in force, the one that waits, older ones still in use
+//	sessions    results of recent proposals by proposing slot, so that a proposal sent twice takes effect once
+//	fences      the leader's term, the epoch of the node list, the tier's protocol
 //
-//	s := ledger.New()
-//	r := s.Apply(index, ledger.Encode(ledger.ID{Slot: 3, Incarnation: 1, Seq: 1}, &ledger.Register{Slot: 3, ...}))
-//	if r.Err != nil { ... }           // *Refused, *Unknown, *Malformed, *Replayed
-//	p, ok := s.Permit(3)              // p.Number fences it; p.Used
-//	same, err := ledger.Restore(s.Snapshot())
+// Invariants, kept by Apply whoever proposes:
 //
-// Depends on decision. Concurrency: nothing here locks or starts a goroutine; a value is used by one
-// goroutine at a time.
+//   - At most as many brokers (or nodes) are out or hold an unused permit as the running release allows, over the tier and in a zone.
+//   - A permit is used at most once, and never after its release was halted or rolled back.
+//   - A broker that went out or was lost counts as out until it returns under a new incarnation.
+//   - A node leaves only when each shard keeps its minimum of ready replicas and each live broker has acknowledged the drain.
+//   - At each node, connections that may be held by leases and those reserved for all brokers stay within the budget.
+//   - Entries that only a leader may propose have no effect under another term than that of the last LeaderElected.
+//
+// The machine has no clock and does no I/O: the leader measures time, and proposes MarkBrokerLost or ExpireLease. After an entry
+// that this program can't read it applies nothing more. Texts in a RejectedError's Detail are part of the state (a repeated
+// proposal is answered with them, and snapshots hold them), so all versions in a tier must write the same ones.
+//
+// A broker comes with RegisterBroker and, once it serves, ReturnToService. A release begins with ReleasePlan; each step is
+// IssuePermit, UsePermit (only who saw it applied without an error may go), RegisterBroker under a new incarnation,
+// ReturnToService. A node's permit is a drain at once; its UsePermit is accepted when every live broker has acknowledged.
+//
+//	s := statemachine.New()
+//	id := statemachine.ProposalID{Slot: 3, Incarnation: 1, Sequence: 1}
+//	r := s.Apply(index, statemachine.Encode(id, &statemachine.RegisterBroker{Slot: 3, ...}))
+//	if r.Err != nil { ... }           // *RejectedError, *UnknownEntryError, *MalformedEntryError, *AlreadyAppliedError
+//	p, ok := s.BrokerPermit(3)        // p.Number fences it; p.Used
+//	same, err := statemachine.Restore(s.Snapshot())
+//
+// Concurrency: nothing here locks or starts a goroutine; a State is used by one goroutine at a time.
 package statemachine
 
 import "flaxfront/internal/decision"
 
 // State is the machine. It is not safe for use by several goroutines; what queries return is the caller's own unless they say so.
 type State struct {
-	index    uint64
-	stopped  *UnknownEntryError
-	term     uint64
-	leader   Slot
-	gate     uint64
-	epoch    uint64
-	least    uint32
-	brokers  []*member // by slot
-	nodes    []*node   // by node
-	sessions []*session
-	release  *Release
-	policies []*ConnectionPolicy // what brokers may still keep the floors of, oldest first
-	current  uint64              // version of the policy in force; a newer one waits
-	before   *ConnectionPolicy   // the one in force before it
+	index            uint64
+	stoppedBy        *UnknownEntryError
+	term             uint64
+	leader           Slot
+	tierProtocol     uint64
+	epoch            uint64
+	minReadyReplicas uint32
+	brokers          []*brokerRecord // by slot
+	nodes            []*nodeRecord   // by node
+	sessions         []*session      // by slot
+	release          *Release
+	policies         []*ConnectionPolicy // those whose reserves brokers may still use, oldest first
+	currentVersion   uint64              // version of the policy in force; a newer one waits
+	previousPolicy   *ConnectionPolicy   // the one in force before it
 }
 
 // Result is what became of an entry.
@@ -47,19 +65,19 @@
 }
 
 // New is a machine that has applied nothing.
-func New() *State { return &State{gate: 1} }
+func New() *State { return &State{tierProtocol: 1} }
 
-// AppliedIndex is the last entry applied.
+// AppliedIndex is the index of the last entry applied.
 func (s *State) AppliedIndex() uint64 { return s.index }
 
 // StoppedBy is the entry that this program could not read, or nil.
-func (s *State) StoppedBy() *UnknownEntryError { return s.stopped }
+func (s *State) StoppedBy() *UnknownEntryError { return s.stoppedBy }
 
-// Leader is who proposed the last Lead, and its term.
-func (s *State) Leader() (Slot, uint64) { return s.leader, s.term }
+// Leader is who proposed the last LeaderElected, and its term.
+func (s *State) Leader() (leader Slot, term uint64) { return s.leader, s.term }
 
-// TierProtocol is the newest protocol that may be proposed.
-func (s *State) TierProtocol() uint64 { return s.gate }
+// TierProtocol is the newest protocol whose entries may be proposed.
+func (s *State) TierProtocol() uint64 { return s.tierProtocol }
 
 // NodeID names a node.
 type NodeID = decision.NodeID
--- a/internal/decision/statemachine/reported_test.go
+++ b/internal/decision/statemachine/status_json_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// reported is what the tier's status shows operators of the state, as JSON.
-type reported struct {
+// reportedTypes is what the tier's status shows operators of the state, as JSON.
+type reportedTypes struct {
 	Broker  Broker
 	Release Release
 	Drain   NodeDrain
@@ -17,14 +17,14 @@
 	Node    Node
 }
 
-func reportedValues() reported {
-	plan := ReleasePlan{"plan", "1.0", "2.0", []Slot{1}, []NodeID{at(1)}, []uint32{1}, 2, 3, 4, 5, "gates"}
-	return reported{
+func reportedValues() reportedTypes {
+	plan := ReleasePlan{"plan", "1.0", "2.0", []Slot{1}, []NodeID{testNode(1)}, []uint32{1}, 2, 3, 4, 5, "gates"}
+	return reportedTypes{
 		Broker:  Broker{1, "broker", 2, "1.0", "zone", 3, BrokerLost, true, 4, 5},
-		Release: Release{1, plan, true, ReleaseHalted, "why", []ReleaseStep{{1, at(2), StepOut, true, true, "2.0"}}, 2, 3, 4},
-		Drain:   NodeDrain{at(3), 1, "why", 2, []BrokerIncarnation{{3, 4}}},
-		Policy:  ConnectionPolicy{1, "text", 2, []NodeBudget{{at(4), 3, 4}}},
-		Node:    Node{NodeInfo{at(5), "zone", []uint32{1}}, 1, 2, true, 3, 4, 5},
+		Release: Release{1, plan, true, ReleaseHalted, "why", []ReleaseStep{{1, testNode(2), StepOut, true, true, "2.0"}}, 2, 3, 4},
+		Drain:   NodeDrain{testNode(3), 1, "why", 2, []BrokerIncarnation{{3, 4}}},
+		Policy:  ConnectionPolicy{1, "text", 2, []NodeBudget{{testNode(4), 3, 4}}},
+		Node:    Node{NodeInfo{testNode(5), "zone", []uint32{1}}, 1, 2, true, 3, 4, 5},
 	}
 }
 
@@ -40,7 +40,7 @@
 	if err != nil || !bytes.Equal(got, want) {
 		t.Errorf("%v\n%s\nwant\n%s", err, got, want)
 	}
-	var back reported
+	var back reportedTypes
 	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, reportedValues()) {
 		t.Errorf("%v: read back as %+v", err, back)
 	}
--- a/internal/decision/statemachine/stored_test.go
+++ b/internal/decision/statemachine/stored_test.go
@@ -17,53 +17,58 @@
 		&RegisterBroker{4, "broker-four", 401, "1.4", "zone-a", 1},
 		&MarkBrokerLost{5, 501, 502},
 		&RemoveBroker{6},
-		&ReturnToService{7, 701, true, at(7)},
-		&ReleasePlan{"plan", "1.0", "2.0", []Slot{1, 200}, []NodeID{at(8), at(9)}, []uint32{1, 4}, 11, 12, 13, 14000, "gates"},
-		&IssuePermit{801, 802, 803, 804, true, at(80)},
-		&UsePermit{901, 902, 903, true, at(90)},
+		&ReturnToService{7, 701, true, testNode(7)},
+		&ReleasePlan{"plan", "1.0", "2.0", []Slot{1, 200}, []NodeID{testNode(8), testNode(9)}, []uint32{1, 4}, 11, 12, 13, 14000, "gates"},
+		&IssuePermit{801, 802, 803, 804, true, testNode(80)},
+		&UsePermit{901, 902, 903, true, testNode(90)},
 		&OpenNextBatch{1001, 1002, 1003},
 		&HaltRelease{1101, "worse"},
 		&ResumeRelease{1201},
 		&RollBackRelease{1301, "back"},
-		&DrainNode{at(14), "by hand"},
-		&AcknowledgeDrain{1501, 1502, at(15), 1503},
-		&UndrainNode{at(16)},
-		&MarkNodeDown{at(17), "killed"},
-		&ConnectionPolicy{1801, "policy text", 1802, []NodeBudget{{at(18), 1803, 1804}, {at(19), 1805, 1806}}},
+		&DrainNode{testNode(14), "by hand"},
+		&AcknowledgeDrain{1501, 1502, testNode(15), 1503},
+		&UndrainNode{testNode(16)},
+		&MarkNodeDown{testNode(17), "killed"},
+		&ConnectionPolicy{1801, "policy text", 1802, []NodeBudget{{testNode(18), 1803, 1804}, {testNode(19), 1805, 1806}}},
 		&AcknowledgePolicy{1901, 1902, 1903},
-		&GrantLease{2001, 2002, 2003, []LeaseRow{{at(20), "tenant-a", 2004}, {at(21), "tenant-b", 2005}}},
+		&GrantLease{2001, 2002, 2003, []LeaseRow{{testNode(20), "tenant-a", 2004}, {testNode(21), "tenant-b", 2005}}},
 		&AcknowledgeLease{2101, 2102, 2103},
 		&RelinquishLease{2201, 2202, 2203},
 		&ExpireLease{2301, 2302, 2303},
-		&SetNodeList{2401, 2402, []NodeInfo{{at(24), "zone-b", []uint32{2403, 2404}}, {at(25), "zone-c", nil}}},
+		&SetNodeList{2401, 2402, []NodeInfo{{testNode(24), "zone-b", []uint32{2403, 2404}}, {testNode(25), "zone-c", nil}}},
 		&RaiseProtocol{1},
 	}
 }
 
 // storedMachine is a machine in which every part of the state has something.
 func storedMachine(t *testing.T) *State {
-	b := newBench(t, 4)
-	b.must(&SetNodeList{1, 1, []NodeInfo{{at(1), "a", []uint32{1}}, {at(2), "b", []uint32{1, 2}}, {at(3), "a", []uint32{2}}}})
-	b.must(&ConnectionPolicy{1, "one", 8, []NodeBudget{{at(1), 40, 2}, {at(2), 40, 1}}})
-	b.must(&GrantLease{0, 1, 1, []LeaseRow{{at(1), "x", 8}, {at(2), "y", 3}}})
-	b.must(&AcknowledgeLease{0, 1, 1})
-	b.must(&GrantLease{0, 1, 2, []LeaseRow{{at(1), "x", 3}}})
-	b.must(&GrantLease{1, 1, 1, []LeaseRow{{at(2), "z", 4}}})
-	b.must(&RelinquishLease{1, 1, 1})
-	b.must(&ConnectionPolicy{2, "two", 8, []NodeBudget{{at(1), 30, 1}, {at(2), 30, 1}}})
-	b.must(&AcknowledgePolicy{0, 1, 2})
-	b.must(&ConnectionPolicy{3, "three", 8, []NodeBudget{{at(1), 9, 1}, {at(2), 9, 1}}})
-	b.must(&MarkNodeDown{at(3), "killed"})
-	b.must(&ReturnToService{ForNode: true, Node: at(3), Incarnation: b.s.AppliedIndex()})
-	b.must(&DrainNode{at(2), "by hand"})
-	b.must(&AcknowledgeDrain{2, 1, at(2), b.s.AppliedIndex()})
-	r := b.must(&ReleasePlan{Name: "two", From: "1", To: "2", Slots: slots(4), Batches: []uint32{2, 4}, MaxOut: 2, MaxOutPerZone: 1, MinReadyReplicas: 1, PauseMS: 5, Gates: "g"})
-	p := b.must(&IssuePermit{Release: r, Term: 1, Slot: 0, Incarnation: 1})
-	b.must(&UsePermit{Permit: p, Slot: 0, Incarnation: 1})
-	b.must(&RollBackRelease{r, "bad"})
-	b.must(&MarkBrokerLost{3, 1, 1})
-	b.refused(ReasonWrongState, &ResumeRelease{b.s.AppliedIndex() - 1})
-	return b.s
+	b := newTestTier(t, 4)
+	b.mustApply(&SetNodeList{1, 1, []NodeInfo{
+		{testNode(1), "a", []uint32{1}},
+		{testNode(2), "b", []uint32{1, 2}},
+		{testNode(3), "a", []uint32{2}},
+	}})
+	b.mustApply(&ConnectionPolicy{1, "one", 8, []NodeBudget{{testNode(1), 40, 2}, {testNode(2), 40, 1}}})
+	b.mustApply(&GrantLease{0, 1, 1, []LeaseRow{{testNode(1), "x", 8}, {testNode(2), "y", 3}}})
+	b.mustApply(&AcknowledgeLease{0, 1, 1})
+	b.mustApply(&GrantLease{0, 1, 2, []LeaseRow{{testNode(1), "x", 3}}})
+	b.mustApply(&GrantLease{1, 1, 1, []LeaseRow{{testNode(2), "z", 4}}})
+	b.mustApply(&RelinquishLease{1, 1, 1})
+	b.mustApply(&ConnectionPolicy{2, "two", 8, []NodeBudget{{testNode(1), 30, 1}, {testNode(2), 30, 1}}})
+	b.mustApply(&AcknowledgePolicy{0, 1, 2})
+	b.mustApply(&ConnectionPolicy{3, "three", 8, []NodeBudget{{testNode(1), 9, 1}, {testNode(2), 9, 1}}})
+	b.mustApply(&MarkNodeDown{testNode(3), "killed"})
+	b.mustApply(&ReturnToService{ForNode: true, Node: testNode(3), Incarnation: b.state.AppliedIndex()})
+	b.mustApply(&DrainNode{testNode(2), "by hand"})
+	b.mustApply(&AcknowledgeDrain{2, 1, testNode(2), b.state.AppliedIndex()})
+	r := b.mustApply(&ReleasePlan{Name: "two", From: "1", To: "2", Slots: slotRange(4), Batches: []uint32{2, 4},
+		MaxOut: 2, MaxOutPerZone: 1, MinReadyReplicas: 1, PauseMS: 5, Gates: "g"})
+	p := b.mustApply(&IssuePermit{Release: r, Term: 1, Slot: 0, Incarnation: 1})
+	b.mustApply(&UsePermit{Permit: p, Slot: 0, Incarnation: 1})
+	b.mustApply(&RollBackRelease{r, "bad"})
+	b.mustApply(&MarkBrokerLost{3, 1, 1})
+	b.mustReject(ReasonWrongState, &ResumeRelease{b.state.AppliedIndex() - 1})
+	return b.state
 }
 
 const (
@@ -100,8 +105,8 @@
 			t.Errorf("line %d: %x is written as %x", seen+1, data, again)
 		}
 	}
-	if seen != int(kGate) || seen != len(want) {
-		t.Errorf("%d kinds of %d", seen, kGate)
+	if seen != int(kindRaiseProtocol) || seen != len(want) {
+		t.Errorf("%d kinds of %d", seen, kindRaiseProtocol)
 	}
 }
 
@@ -123,8 +128,8 @@
 		t.Error("the same entries give another snapshot")
 	}
 	var told, want strings.Builder
-	(&goldenRun{s: s, out: &told}).look()
-	(&goldenRun{s: same, out: &want}).look()
+	(&goldenRun{state: s, out: &told}).writeQueries()
+	(&goldenRun{state: same, out: &want}).writeQueries()
 	if told.String() != want.String() {
 		t.Errorf("queries tell\n%swant\n%s", told.String(), want.String())
 	}
--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -95,7 +95,7 @@
 		return nil, &connpolicy.OvercommittedError{Class: connpolicy.PoolClass, Demand: "nodes that are known", Sum: len(*nodes), Budget: p.Nodes}
 	}
 	e := &statemachine.ConnectionPolicy{Version: 1, Text: text, MaxBrokers: uint32(p.Brokers)}
-	if inForce, _, _ := state.Policies(); inForce != nil {
+	if inForce := state.Policies().InForce; inForce != nil {
 		e.Version = inForce.Version + 1
 	}
 	for id, n := range *nodes {
@@ -108,7 +108,8 @@
 
 // do is the leader's duty.
 func (g *granting) do(m controlplane.Moment) []statemachine.Entry {
-	inForce, waiting, _ := m.State.Policies()
+	policies := m.State.Policies()
+	inForce, waiting := policies.InForce, policies.Waiting
 	if inForce == nil {
 		return nil
 	}
@@ -152,7 +153,7 @@
 
 // before is the version in force, whose tenants reports count while another waits, if both name the same tenants.
 func (g *granting) before(s *statemachine.State) uint64 {
-	inForce, _, _ := s.Policies()
+	inForce := s.Policies().InForce
 	if inForce == nil {
 		return 0
 	}
