--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -89,12 +89,12 @@
 		return
 	}
 	p := &s.requests[i]
-	t := &store.Part{ID: s.ask.parts[i].name, Shard: s.ask.parts[i].shard, Text: s.text, Deadline: s.deadline,
-		Sent: now, Part: a.ID, Attempt: uint16(len(p.attempts)), Node: a.Node, Alone: a.ExclusiveConnection, Tenant: s.tenant}
+	t := &store.Part{ID: s.Request.Shards[i].Name, Shard: s.Request.Shards[i].Shard, Text: s.Text, Deadline: s.deadline,
+		Sent: now, Part: a.ID, Attempt: uint16(len(p.attempts)), Node: a.Node, Alone: a.ExclusiveConnection, Tenant: s.Tenant}
 	p.attempts = append(p.attempts, t)
 	l.counters.Subrequests++
 	if l.connLeases != nil {
-		l.connLeases.countAttempts(s.tenant, 1, 0)
+		l.connLeases.countAttempts(s.Tenant, 1, 0)
 	}
 	if l.readPins != nil {
 		l.countPinnedAttempt(s, t, now)
