--- /dev/null
+++ b/internal/decision/gossip/golden_test.go
@@ -0,0 +1,74 @@
+package gossip
+
+import (
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+
+	"flaxfront/internal/decision"
+)
+
+var record = flag.Bool("record", false, "write the golden file instead of comparing with it")
+
+const goldenFile = "testdata/sequences.golden"
+
+// playSequence plays pseudo-random updates, local and of other brokers, and digests every result by position.
+func playSequence(seed uint64) uint64 {
+	rnd := rand.New(rand.NewPCG(seed, 5))
+	digest := fnv.New64a()
+	b := NewUpdateFilter(uint32(rnd.IntN(2)))
+	someNode := func() decision.NodeID { return decision.NodeID{Addr: [4]byte{1}, Port: uint16(rnd.IntN(90))} }
+	for range 400 {
+		w := EndpointUpdate{uint64(rnd.IntN(40)), uint32(rnd.IntN(2)), someNode(), decision.EndpointState(rnd.IntN(3)), int64(rnd.IntN(5))}
+		data := w.AppendTo(nil)
+		digest.Write(data)
+		data[rnd.IntN(len(data))] ^= byte(1 << rnd.IntN(8))
+		back, ok := Decode(data[:len(data)-rnd.IntN(2)])
+		fmt.Fprintln(digest, back.ListVersion, back.DiscoveryID, back.Node, uint8(back.State), back.StartedAtMS, ok)
+		switch rnd.IntN(8) {
+		case 0, 1, 2:
+			fmt.Fprintln(digest, b.RecordLocal(w, rnd.IntN(3) == 0))
+		case 3:
+			if rnd.IntN(5) == 0 {
+				b.Forget(uint64(rnd.IntN(40)), func(id decision.NodeID) bool { return id.Port < 30 })
+			}
+		default:
+			fmt.Fprintln(digest, b.Accept(w, rnd.IntN(5) > 0, decision.EndpointState(rnd.IntN(3)), int64(rnd.IntN(5))))
+		}
+		for _, l := range b.RecentlyRemoved() {
+			digest.Write(l.AppendTo(nil))
+		}
+	}
+	fmt.Fprintln(digest, b.Counts.ListTold, b.Counts.ListTaken, b.Counts.ListStale)
+	return digest.Sum64()
+}
+
+// The file holds one digest for each sequence, as commit 1a4b6be gave them.
+func TestSequencesAreAsRecorded(t *testing.T) {
+	var lines []string
+	for seed := range uint64(300) {
+		lines = append(lines, fmt.Sprintf("%d %016x", seed, playSequence(seed)))
+	}
+	text := strings.Join(lines, "\n") + "\n"
+	if *record {
+		if err := os.WriteFile(goldenFile, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, line := range strings.Split(string(want), "\n") {
+		if i < len(lines) && lines[i] != line {
+			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+		}
+	}
+	if string(want) != text {
+		t.Error("the file has another number of sequences")
+	}
+}
