--- a/internal/decision/gossip/golden_test.go
+++ b/internal/decision/gossip/golden_test.go
@@ -43,7 +43,7 @@
 			digest.Write(l.AppendTo(nil))
 		}
 	}
-	fmt.Fprintln(digest, b.Counts.ListTold, b.Counts.ListTaken, b.Counts.ListStale)
+	fmt.Fprintln(digest, b.Counts.Sent, b.Counts.Accepted, b.Counts.Ignored)
 	return digest.Sum64()
 }
 
--- a/internal/decision/gossip/gossip.go
+++ b/internal/decision/gossip/gossip.go
@@ -1,9 +1,8 @@
-// Package gossip decides what a broker makes of another's word on what discovery told it of a node: whether it counts, whether it is
-// passed on, and what newcomers are told again. It never carries an address: those are each broker's own. Nothing here does I/O,
-// reads a clock or starts a goroutine.
+// Package gossip decides which endpoint updates from other brokers of the tier count. A broker that discovery tells of a change passes
+// it on; the others take it before discovery tells them, unless it is out of date.
 //
-// Depends on decision. Concurrency: nothing here locks or starts a goroutine; a value is used by one
-// goroutine at a time.
+// An update names version and discovery of the list that it comes from, the node, its state and its start. It never carries an
+// address: each broker knows addresses from its own list. An UpdateFilter is used by one goroutine.
 package gossip
 
 import (
@@ -13,101 +12,124 @@
 	"flaxfront/internal/decision"
 )
 
-// EndpointUpdate is what discovery told of one node.
+// EndpointUpdate is what discovery told a broker of one node.
 type EndpointUpdate struct {
-	ListVersion uint64 // of the list that told it
-	DiscoveryID uint32 // names the discovery
+	ListVersion uint64
+	DiscoveryID uint32 // names the discovery service
 	Node        decision.NodeID
 	State       decision.EndpointState
-	StartedAtMS int64 // in Unix time in milliseconds; 0: long ago
+	StartedAtMS int64 // Unix time in milliseconds; 0: long ago
 }
 
-const size = 27
+// encodedBytes is the length of an update: version (8), discovery (4), address (4), port (2), state (1), start (8), big endian.
+const encodedBytes = 27
 
-// AppendTo encodes a word.
-func (w *EndpointUpdate) AppendTo(b []byte) []byte {
-	b = binary.BigEndian.AppendUint64(b, w.ListVersion)
-	b = binary.BigEndian.AppendUint32(b, w.DiscoveryID)
-	b = append(b, w.Node.Addr[:]...)
-	b = binary.BigEndian.AppendUint16(b, w.Node.Port)
-	b = append(b, byte(w.State))
-	return binary.BigEndian.AppendUint64(b, uint64(w.StartedAtMS))
+const (
+	discoveryOffset = 8
+	addressOffset   = 12
+	portOffset      = 16
+	stateOffset     = 18
+	startOffset     = 19
+)
+
+// AppendTo encodes an update.
+func (u *EndpointUpdate) AppendTo(b []byte) []byte {
+	b = binary.BigEndian.AppendUint64(b, u.ListVersion)
+	b = binary.BigEndian.AppendUint32(b, u.DiscoveryID)
+	b = append(b, u.Node.Addr[:]...)
+	b = binary.BigEndian.AppendUint16(b, u.Node.Port)
+	b = append(b, byte(u.State))
+	return binary.BigEndian.AppendUint64(b, uint64(u.StartedAtMS))
 }
 
-// Decode decodes one.
-func Decode(b []byte) (w EndpointUpdate, ok bool) {
-	if len(b) != size || b[18] > byte(decision.Ready) {
-		return w, false
+// Decode decodes an update. ok is false if the bytes are none.
+func Decode(b []byte) (u EndpointUpdate, ok bool) {
+	if len(b) != encodedBytes || b[stateOffset] > byte(decision.Ready) {
+		return u, false
+	}
+	u = EndpointUpdate{
+		ListVersion: binary.BigEndian.Uint64(b),
+		DiscoveryID: binary.BigEndian.Uint32(b[discoveryOffset:]),
+		Node: decision.NodeID{
+			Addr: [4]byte(b[addressOffset:]),
+			Port: binary.BigEndian.Uint16(b[portOffset:]),
+		},
+		State:       decision.EndpointState(b[stateOffset]),
+		StartedAtMS: int64(binary.BigEndian.Uint64(b[startOffset:])),
 	}
-	w = EndpointUpdate{ListVersion: binary.BigEndian.Uint64(b), DiscoveryID: binary.BigEndian.Uint32(b[8:]), State: decision.EndpointState(b[18]),
-		StartedAtMS: int64(binary.BigEndian.Uint64(b[19:])), Node: decision.NodeID{Addr: [4]byte(b[12:]), Port: binary.BigEndian.Uint16(b[16:])}}
-	return w, w.StartedAtMS >= 0
+	return u, u.StartedAtMS >= 0
 }
 
-// mostLeft bounds the nodes that left which newcomers are told again.
-const mostLeft = 64
+// maxRemoved bounds the removed and draining nodes that newcomers are told of.
+const maxRemoved = 64
 
-// Counts are what operators see.
-type Counts struct{ ListTold, ListTaken, ListStale uint64 }
+// Counts are what operators see. The JSON names are those under /counters.
+type Counts struct {
+	Sent     uint64 `json:"ListTold"`
+	Accepted uint64 `json:"ListTaken"`
+	Ignored  uint64 `json:"ListStale"`
+}
 
-// UpdateFilter is what a broker was told, and by which version.
+// UpdateFilter remembers of each node the newest list version that an update was from.
 type UpdateFilter struct {
-	DiscoveryID uint32 // this broker's discovery
+	DiscoveryID uint32 // of this broker's discovery service
 	Counts      Counts
-	told        map[decision.NodeID]uint64
-	left        []EndpointUpdate
+	versions    map[decision.NodeID]uint64
+	removed     []EndpointUpdate // draining or removed, oldest first
 }
 
-// NewUpdateFilter makes one of a broker that was told nothing.
-func NewUpdateFilter(service uint32) *UpdateFilter {
-	return &UpdateFilter{DiscoveryID: service, told: map[decision.NodeID]uint64{}}
+// NewUpdateFilter returns a filter that has seen no update.
+func NewUpdateFilter(discoveryID uint32) *UpdateFilter {
+	return &UpdateFilter{DiscoveryID: discoveryID, versions: map[decision.NodeID]uint64{}}
 }
 
-// RecordLocal notes what discovery told this broker of a node, and tells whether the others are to hear of it: not of whole lists, as
-// everybody gets those.
-func (b *UpdateFilter) RecordLocal(w EndpointUpdate, whole bool) (tell bool) {
-	if tell = !whole && w.ListVersion > b.told[w.Node]; tell {
-		b.Counts.ListTold++
-		b.keep(w)
+// RecordLocal records what discovery told this broker of a node. It returns whether the other brokers are to be sent the update: not
+// those of full lists, as every broker gets them.
+func (f *UpdateFilter) RecordLocal(u EndpointUpdate, fullList bool) (send bool) {
+	send = !fullList && u.ListVersion > f.versions[u.Node]
+	if send {
+		f.Counts.Sent++
+		f.rememberRemoved(u)
 	}
-	b.told[w.Node] = w.ListVersion
-	return tell
+	f.versions[u.Node] = u.ListVersion
+	return send
 }
 
-// Accept tells whether another broker's word counts here, where the node is in such a state. Danger: a word that is late, of another
-// discovery or of a process that has gone would bring a node back that drains. Nothing but a new start makes one ready again.
-func (b *UpdateFilter) Accept(w EndpointUpdate, known bool, state decision.EndpointState, started int64) bool {
-	if !known || w.DiscoveryID != b.DiscoveryID || w.ListVersion <= b.told[w.Node] ||
-		state == decision.Draining && w.State == decision.Ready && w.StartedAtMS <= started {
-		b.Counts.ListStale++
+// Accept returns whether another broker's update counts here, where the node has the given state and start. One that is late, of
+// another discovery, or of an earlier process would bring a draining node back; only a new start makes one ready again.
+func (f *UpdateFilter) Accept(u EndpointUpdate, known bool, state decision.EndpointState, startedAtMS int64) bool {
+	bringsBack := state == decision.Draining && u.State == decision.Ready && u.StartedAtMS <= startedAtMS
+	outdated := u.ListVersion <= f.versions[u.Node]
+	if !known || u.DiscoveryID != f.DiscoveryID || outdated || bringsBack {
+		f.Counts.Ignored++
 		return false
 	}
-	b.told[w.Node] = w.ListVersion
-	b.Counts.ListTaken++
-	b.keep(w)
+	f.versions[u.Node] = u.ListVersion
+	f.Counts.Accepted++
+	f.rememberRemoved(u)
 	return true
 }
 
-// keep remembers which nodes left.
-func (b *UpdateFilter) keep(w EndpointUpdate) {
-	b.left = slices.DeleteFunc(b.left, func(o EndpointUpdate) bool { return o.Node == w.Node })
-	if w.State != decision.Ready {
-		if len(b.left) == mostLeft {
-			b.left = slices.Delete(b.left, 0, 1)
-		}
-		b.left = append(b.left, w)
+func (f *UpdateFilter) rememberRemoved(u EndpointUpdate) {
+	f.removed = slices.DeleteFunc(f.removed, func(o EndpointUpdate) bool { return o.Node == u.Node })
+	if u.State == decision.Ready {
+		return
+	}
+	if len(f.removed) == maxRemoved {
+		f.removed = slices.Delete(f.removed, 0, 1)
 	}
+	f.removed = append(f.removed, u)
 }
 
-// RecentlyRemoved are the nodes that left lately. Danger: a broker starts on the list that it kept while discovery is down, and goes on using
-// what drained since; it is told these again. It may hurt by some datagrams with each newcomer.
-func (b *UpdateFilter) RecentlyRemoved() []EndpointUpdate { return b.left }
+// RecentlyRemoved returns the nodes that lately began to drain or were removed. A broker that starts while discovery is down uses the
+// list that it cached, and would go on using such nodes; so newcomers are sent these.
+func (f *UpdateFilter) RecentlyRemoved() []EndpointUpdate { return f.removed }
 
-// Forget drops what was told of nodes that are not known any more, by versions before one.
-func (b *UpdateFilter) Forget(version uint64, known func(decision.NodeID) bool) {
-	for id, v := range b.told {
+// Forget drops what is remembered of nodes that are no longer known, from list versions before one.
+func (f *UpdateFilter) Forget(version uint64, known func(decision.NodeID) bool) {
+	for id, v := range f.versions {
 		if v < version && !known(id) {
-			delete(b.told, id)
+			delete(f.versions, id)
 		}
 	}
 }
--- a/internal/decision/gossip/gossip_test.go
+++ b/internal/decision/gossip/gossip_test.go
@@ -8,8 +8,8 @@
 
 func node(n uint16) decision.NodeID { return decision.NodeID{Port: n} }
 
-// Which words count, and which do not.
-func TestHear(t *testing.T) {
+// Which updates of other brokers count, and which do not.
+func TestAccept(t *testing.T) {
 	for name, c := range map[string]struct {
 		w       EndpointUpdate
 		known   bool
@@ -47,12 +47,12 @@
 			t.Fatalf("%+v, %v", back, ok)
 		}
 	}
-	if len(b.RecentlyRemoved()) != mostLeft || b.RecentlyRemoved()[mostLeft-1].Node != node(199) {
+	if len(b.RecentlyRemoved()) != maxRemoved || b.RecentlyRemoved()[maxRemoved-1].Node != node(199) {
 		t.Errorf("%d nodes that left", len(b.RecentlyRemoved()))
 	}
 	b.Forget(101, func(id decision.NodeID) bool { return id.Port < 50 })
-	if len(b.told) != 150 {
-		t.Errorf("%d nodes remembered", len(b.told))
+	if len(b.versions) != 150 {
+		t.Errorf("%d nodes remembered", len(b.versions))
 	}
 	for _, bad := range [][]byte{nil, make([]byte, 26), append(make([]byte, 18), 9, 0, 0, 0, 0, 0, 0, 0, 0), append(make([]byte, 18), 0, 255, 0, 0, 0, 0, 0, 0, 0)} {
 		if _, ok := Decode(bad); ok {
