--- a/internal/decision/gossip/gossip.go
+++ b/internal/decision/gossip/gossip.go
@@ -48,7 +48,11 @@
 const mostLeft = 64
 
 // Counts are what operators see.
-type Counts struct{ ListTold, ListTaken, ListStale uint64 }
+type Counts struct {
+	ListTold  uint64 `json:"ListTold"`
+	ListTaken uint64 `json:"ListTaken"`
+	ListStale uint64 `json:"ListStale"`
+}
 
 // UpdateFilter is what a broker was told, and by which version.
 type UpdateFilter struct {
