--- a/internal/decision/gossip/gossip.go
+++ b/internal/decision/gossip/gossip.go
@@ -49,9 +49,9 @@
 
 // Counts are what operators see.
 type Counts struct {
-	ListTold  uint64 `json:"ListTold"`
-	ListTaken uint64 `json:"ListTaken"`
-	ListStale uint64 `json:"ListStale"`
+	Sent     uint64 `json:"ListTold"`
+	Accepted uint64 `json:"ListTaken"`
+	Ignored  uint64 `json:"ListStale"`
 }
 
 // UpdateFilter is what a broker was told, and by which version.
@@ -71,7 +71,7 @@
 // everybody gets those.
 func (b *UpdateFilter) RecordLocal(w EndpointUpdate, whole bool) (tell bool) {
 	if tell = !whole && w.ListVersion > b.told[w.Node]; tell {
-		b.Counts.ListTold++
+		b.Counts.Sent++
 		b.keep(w)
 	}
 	b.told[w.Node] = w.ListVersion
@@ -83,11 +83,11 @@
 func (b *UpdateFilter) Accept(w EndpointUpdate, known bool, state decision.EndpointState, started int64) bool {
 	if !known || w.DiscoveryID != b.DiscoveryID || w.ListVersion <= b.told[w.Node] ||
 		state == decision.Draining && w.State == decision.Ready && w.StartedAtMS <= started {
-		b.Counts.ListStale++
+		b.Counts.Ignored++
 		return false
 	}
 	b.told[w.Node] = w.ListVersion
-	b.Counts.ListTaken++
+	b.Counts.Accepted++
 	b.keep(w)
 	return true
 }
