--- a/internal/cluster/controlplane/client.go
+++ b/internal/cluster/controlplane/client.go
@@ -14,7 +14,7 @@
 	"flaxfront/internal/transport/keys"
 )
 
-const askEvery = 200 * time.Millisecond
+const requestInterval = 200 * time.Millisecond
 
 // SendRequest has the leader do what a verb says. It goes on asking the voters until one answers or ctx ends. What was asked for is sent on
 // once only: where the connection broke after that, whether it took effect is not known.
@@ -28,8 +28,8 @@
 		addr := voters[i%len(voters)].Addr
 		for hop := 0; addr != "" && hop < 3; hop++ {
 			var sent bool
-			var s *said
-			if s, sent, err = askOne(ctx, ring, addr, verb, body); err != nil {
+			var s *responseFrame
+			if s, sent, err = sendOneRequest(ctx, ring, addr, verb, body); err != nil {
 				if sent && verb != VerbStatus {
 					return &UncertainOutcomeError{Cause: err}
 				}
@@ -37,15 +37,15 @@
 				break
 			}
 			switch {
-			case s.Fault == "":
+			case s.Error == "":
 				if into == nil {
 					return nil
 				}
 				return json.Unmarshal(s.Body, into)
-			case !s.Elsewhere:
-				return &RejectedError{s.Fault, s.Remedy}
+			case !s.NotLeader:
+				return &RejectedError{s.Error, s.Remedy}
 			}
-			last, addr = &RejectedError{s.Fault, s.Remedy}, ""
+			last, addr = &RejectedError{s.Error, s.Remedy}, ""
 			for _, v := range voters { // by this side's own addresses
 				if v.Name == s.Leader {
 					addr = v.Addr
@@ -53,15 +53,15 @@
 			}
 		}
 		select {
-		case <-time.After(askEvery):
+		case <-time.After(requestInterval):
 		case <-ctx.Done():
 			return errors.Join(&NotLeaderError{}, last)
 		}
 	}
 }
 
-func askOne(ctx context.Context, ring *keys.Keyring, addr, verb string, body []byte) (s *said, sent bool, err error) {
-	nc, err := (&net.Dialer{Timeout: handshake}).DialContext(ctx, "tcp", addr)
+func sendOneRequest(ctx context.Context, ring *keys.Keyring, addr, verb string, body []byte) (s *responseFrame, sent bool, err error) {
+	nc, err := (&net.Dialer{Timeout: handshakeTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, false, err
 	}
@@ -69,25 +69,25 @@
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
 	own := ring.ID()
-	c, err := shake(ctx, tls.Client(nc, ring.Client(func(id keys.ID) error {
+	c, err := handshake(ctx, tls.Client(nc, ring.Client(func(id keys.ID) error {
 		if id.Site != own.Site {
 			return fmt.Errorf("%s is not of %s", id, own.Site)
 		}
 		return nil
-	})), hello{Protocol: protocol, Role: roleOperator, Name: own.Broker}, true)
+	})), helloFrame{Protocol: wireProtocol, Role: roleOperator, Name: own.Broker}, true)
 	if err != nil {
 		return nil, false, err
 	}
-	if _, err := c.nc.Write(frame(letterAsk, ask{ID: 1, Verb: verb, Body: body})); err != nil {
+	if _, err := c.netConn.Write(frame(frameRequest, requestFrame{ID: 1, Verb: verb, Body: body})); err != nil {
 		return nil, true, err
 	}
 	for {
-		letter, body, err := readFrame(c.r, maxFrame)
+		letter, body, err := readFrame(c.reader, maxFrameBytes)
 		if err != nil {
 			return nil, true, err
 		}
-		if letter == letterSaid {
-			m, err := decode[said](body)
+		if letter == frameResponse {
+			m, err := decode[responseFrame](body)
 			return &m, true, err
 		}
 	}
--- a/internal/cluster/controlplane/cluster_test.go
+++ b/internal/cluster/controlplane/cluster_test.go
@@ -122,7 +122,7 @@
 // peek looks at a broker's core.
 func peek[T any](f *Participant, look func() T) T {
 	got := make(chan T, 1)
-	f.calls <- func() { got <- look() }
+	f.tasks <- func() { got <- look() }
 	return <-got
 }
 
@@ -130,7 +130,7 @@
 func (c *tier) leader() string {
 	for i := 1; i <= 3; i++ {
 		name := fmt.Sprintf("b%d", i)
-		if f := c.all[name]; f != nil && peek(f, func() bool { return f.node.IsLeader() && f.lead.on && f.lease.up }) {
+		if f := c.all[name]; f != nil && peek(f, func() bool { return f.raft.IsLeader() && f.leadership.established && f.session.connected }) {
 			return name
 		}
 	}
--- a/internal/cluster/controlplane/conn.go
+++ b/internal/cluster/controlplane/conn.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	handshake   = 2 * time.Second
-	beatEvery   = 250 * time.Millisecond
-	silentFor   = 5 * beatEvery
-	writeIn     = silentFor
-	operatorFor = time.Minute // an operator sends no beats
-	queueBytes  = 16 << 20    // that wait to be written; more end the connection
-	raftBytes   = 1 << 20     // with so many waiting, packets of voters are dropped, which Raft expects of a network
+	handshakeTimeout       = 2 * time.Second
+	heartbeatInterval      = 250 * time.Millisecond
+	silenceTimeout         = 5 * heartbeatInterval
+	writeTimeout           = silenceTimeout
+	operatorTimeout        = time.Minute // an operator sends no beats
+	maxQueuedBytes         = 16 << 20    // that wait to be written; more end the connection
+	maxQueuedBeforePackets = 1 << 20     // with so many waiting, packets of voters are dropped, which Raft expects of a network
 )
 
 // conn is one connection. What a side queues never waits.
 type conn struct {
-	nc      net.Conn
-	r       *bufio.Reader
-	peer    hello
+	netConn net.Conn
+	reader  *bufio.Reader
+	peer    helloFrame
 	dialled bool
-	voter   bool // it carries packets to a voter
+	toVoter bool // it carries packets to a voter
 
-	mu     sync.Mutex
-	queue  [][]byte
-	bytes  int
-	closed bool
-	wake   chan struct{}
+	mu          sync.Mutex
+	queue       [][]byte
+	queuedBytes int
+	closed      bool
+	queued      chan struct{}
 
 	// of the core's goroutine alone
-	follows bool   // it is fed by this side
-	sent    uint64 // the last index queued for it
-	room    int
-	token   uint64 // last heard
-	snap    []byte // what is left of a snapshot for it
-	others  []string
-	asks    []uint64 // proposed for an operator
+	isFollower        bool   // it is fed by this side
+	sentIndex         uint64 // the last index queued for it
+	followerRoom      int
+	lastToken         uint64 // last heard
+	snapshotRest      []byte // what is left of a snapshot for it
+	otherSources      []string
+	operatorProposals []uint64 // proposed for an operator
 
-	snapTotal int
+	snapshotBytes int
 }
 
-// shake takes a connection through TLS and the hellos. The name in the hello must be that of the certificate.
-func shake(ctx context.Context, nc *tls.Conn, mine hello, dialled bool) (*conn, error) {
-	nc.SetDeadline(time.Now().Add(handshake))
+// handshake takes a connection through TLS and the hellos. The name in the hello must be that of the certificate.
+func handshake(ctx context.Context, nc *tls.Conn, mine helloFrame, dialled bool) (*conn, error) {
+	nc.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := nc.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
@@ -60,9 +60,9 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{nc: nc, r: bufio.NewReaderSize(nc, 32<<10), dialled: dialled, wake: make(chan struct{}, 1)}
+	c := &conn{netConn: nc, reader: bufio.NewReaderSize(nc, 32<<10), dialled: dialled, queued: make(chan struct{}, 1)}
 	say := func() error {
-		_, err := nc.Write(frame(letterHello, mine))
+		_, err := nc.Write(frame(frameHello, mine))
 		return err
 	}
 	if dialled { // it speaks first
@@ -71,70 +71,70 @@
 	if err != nil {
 		return nil, err
 	}
-	letter, body, err := readFrame(c.r, maxHello)
+	letter, body, err := readFrame(c.reader, maxHelloBytes)
 	if err == nil && !dialled {
 		err = say()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if letter != letterHello {
-		return nil, fmt.Errorf("%w: %q comes first", errFrame, letter)
+	if letter != frameHello {
+		return nil, fmt.Errorf("%w: %q comes first", errMalformedFrame, letter)
 	}
-	if c.peer, err = decode[hello](body); err != nil {
+	if c.peer, err = decode[helloFrame](body); err != nil {
 		return nil, err
 	}
-	if c.peer.Protocol < 1 || c.peer.Name != id.Broker || len(c.peer.Listen) > maxName {
-		return nil, fmt.Errorf("%w: hello of %q, protocol %d, over the certificate of %s", errFrame, c.peer.Name, c.peer.Protocol, id)
+	if c.peer.Protocol < 1 || c.peer.Name != id.Broker || len(c.peer.Listen) > maxNameBytes {
+		return nil, fmt.Errorf("%w: hello of %q, protocol %d, over the certificate of %s", errMalformedFrame, c.peer.Name, c.peer.Protocol, id)
 	}
 	nc.SetDeadline(time.Time{})
 	return c, nil
 }
 
-// put queues a frame; false: it was dropped, or the connection has ended.
-func (c *conn) put(b []byte) bool {
+// enqueue queues a frame; false: it was dropped, or the connection has ended.
+func (c *conn) enqueue(b []byte) bool {
 	c.mu.Lock()
-	full := c.bytes+len(b) > queueBytes || b[4] == letterRaft && c.bytes > raftBytes
+	full := c.queuedBytes+len(b) > maxQueuedBytes || b[4] == framePacket && c.queuedBytes > maxQueuedBeforePackets
 	if c.closed || full {
 		c.mu.Unlock()
-		if full && b[4] != letterRaft { // Danger: a side that does not read takes memory here
+		if full && b[4] != framePacket { // Danger: a side that does not read takes memory here
 			c.close()
 		}
 		return false
 	}
 	c.queue = append(c.queue, b)
-	c.bytes += len(b)
+	c.queuedBytes += len(b)
 	c.mu.Unlock()
 	select {
-	case c.wake <- struct{}{}:
+	case c.queued <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// waiting is how many bytes are queued.
-func (c *conn) waiting() int {
+// backlog is how many bytes are queued.
+func (c *conn) backlog() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return queueBytes
+		return maxQueuedBytes
 	}
-	return c.bytes
+	return c.queuedBytes
 }
 
 func (c *conn) close() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	c.nc.Close()
+	c.netConn.Close()
 	select {
-	case c.wake <- struct{}{}:
+	case c.queued <- struct{}{}:
 	default:
 	}
 }
 
-// write is the writer's goroutine: all that waits in one go.
-func (c *conn) write() {
+// writeLoop is the writer's goroutine: all that waits in one go.
+func (c *conn) writeLoop() {
 	var batch net.Buffers
 	for {
 		c.mu.Lock()
@@ -142,15 +142,15 @@
 			c.mu.Unlock()
 			return
 		}
-		batch, c.queue, c.bytes = append(batch[:0], c.queue...), c.queue[:0], 0
+		batch, c.queue, c.queuedBytes = append(batch[:0], c.queue...), c.queue[:0], 0
 		c.mu.Unlock()
 		if len(batch) == 0 {
-			<-c.wake
+			<-c.queued
 			continue
 		}
-		c.nc.SetWriteDeadline(time.Now().Add(writeIn))
+		c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		for _, b := range batch {
-			if _, err := c.nc.Write(b); err != nil {
+			if _, err := c.netConn.Write(b); err != nil {
 				c.close()
 				return
 			}
@@ -158,16 +158,16 @@
 	}
 }
 
-// read hands frames on until the connection ends. Whatever comes renews the time; a side that is silent is cut off, or half
+// readLoop hands frames on until the connection ends. Whatever comes renews the time; a side that is silent is cut off, or half
 // open.
-func (c *conn) read(take func(letter byte, body []byte) bool) error {
+func (c *conn) readLoop(take func(letter byte, body []byte) bool) error {
 	for {
 		if c.peer.Role == roleOperator {
-			c.nc.SetReadDeadline(time.Now().Add(operatorFor))
+			c.netConn.SetReadDeadline(time.Now().Add(operatorTimeout))
 		} else {
-			c.nc.SetReadDeadline(time.Now().Add(silentFor))
+			c.netConn.SetReadDeadline(time.Now().Add(silenceTimeout))
 		}
-		letter, body, err := readFrame(c.r, maxFrame)
+		letter, body, err := readFrame(c.reader, maxFrameBytes)
 		if err != nil {
 			return err
 		}
--- a/internal/cluster/controlplane/controlplane.go
+++ b/internal/cluster/controlplane/controlplane.go
@@ -56,56 +56,56 @@
 // Counts are figures of the fleet's own work.
 type Counts struct {
 	FramesIn, FramesOut, BytesIn, BytesOut atomic.Uint64
-	Proposed, Resent, Refused              atomic.Uint64
-	Snapshots, Sources                     atomic.Uint64
+	Proposed, Retried, Refused             atomic.Uint64
+	Snapshots, SourceChanges               atomic.Uint64
 }
 
 // Participant is this broker's part of the agreement.
 type Participant struct {
-	o       Options
-	name    string
-	id      uint64 // Raft's; 0: it follows without a vote
-	calls   chan func()
-	view    atomic.Pointer[View]
-	fresh   chan struct{}
-	topics  []Topic
-	extras  []ReportSection
-	duties  []LeaderTask
-	find    func(string) (decision.NodeID, bool)
-	nameOf  func(decision.NodeID) string
-	compile func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error) // nil: no budgets are divided
+	options        Options
+	name           string
+	voterID        uint64 // Raft's; 0: it follows without a vote
+	tasks          chan func()
+	latestView     atomic.Pointer[View]
+	viewChanged    chan struct{}
+	topics         []Topic
+	reportSections []ReportSection
+	leaderTasks    []LeaderTask
+	findNode       func(string) (decision.NodeID, bool)
+	nodeName       func(decision.NodeID) string
+	compilePolicy  func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error) // nil: no budgets are divided
 
 	serving, leaving atomic.Bool
 
 	Counts Counts
 
 	// What follows belongs to the goroutine of run.
-	node       *consensus.Node
-	state      *statemachine.State
-	recent     recent
-	halted     error
-	follow     func() // starts to keep a source
-	changed    bool
-	nodesMoved bool // a line of the agreed list may stand otherwise
-	conns      map[*conn]bool
-	voters     map[string]*conn // dialled
-	source     *conn            // followed
-	upPath     []string
-	upAt       time.Duration // when the source last had a path
-	via        map[statemachine.Slot]*conn
-	up         up // waits to be sent on
-	upNow      bool
-	inc        uint64
-	pending    map[uint64]*proposal
-	seq        uint64
-	lease      lease
-	lead       lead
-	whole      whole
-	joining    bool // a Register or Return is on its way
-	reads      map[uint64]func(error)
-	readID     uint64
-	broken     bool // this voter has stopped; it follows from then on
-	due        struct{ beat, report, renew, up, publish, join time.Duration }
+	raft             *consensus.Node
+	state            *statemachine.State
+	recentEntries    recentEntries
+	haltedBy         error
+	startFollowing   func() // starts to keep a source
+	viewOutdated     bool
+	nodesChanged     bool // a line of the agreed list may stand otherwise
+	connections      map[*conn]bool
+	voterConns       map[string]*conn // dialled
+	source           *conn            // followed
+	sourcePath       []string
+	sourcePathAt     time.Duration // when the source last had a path
+	routes           map[statemachine.Slot]*conn
+	outbox           upstreamFrame // waits to be sent on
+	outboxUrgent     bool
+	incarnation      uint64
+	pending          map[uint64]*proposal
+	lastSequence     uint64
+	session          sessionLease
+	leadership       leadership
+	incomingSnapshot incomingSnapshot
+	registering      bool // a Register or Return is on its way
+	pendingReads     map[uint64]func(error)
+	lastReadID       uint64
+	voterStopped     bool // this voter has stopped; it follows from then on
+	dueAt            struct{ beat, report, renew, up, publish, join time.Duration }
 }
 
 // New makes it; nothing is opened yet. Which voter it is, if any, the certificate says.
@@ -119,16 +119,16 @@
 		start := time.Now()
 		o.Now = func() time.Duration { return time.Since(start) }
 	}
-	f := &Participant{o: o, name: o.Keys.ID().Broker, calls: make(chan func(), 256), fresh: make(chan struct{}, 1), state: statemachine.New(),
-		conns: map[*conn]bool{}, voters: map[string]*conn{}, via: map[statemachine.Slot]*conn{}, inc: o.Incarnation,
-		find: func(string) (id decision.NodeID, ok bool) { return id, false }, nameOf: decision.NodeID.String,
-		pending: map[uint64]*proposal{}, reads: map[uint64]func(error){}}
-	if len(f.o.Sources) == 0 {
+	f := &Participant{options: o, name: o.Keys.ID().Broker, tasks: make(chan func(), 256), viewChanged: make(chan struct{}, 1), state: statemachine.New(),
+		connections: map[*conn]bool{}, voterConns: map[string]*conn{}, routes: map[statemachine.Slot]*conn{}, incarnation: o.Incarnation,
+		findNode: func(string) (id decision.NodeID, ok bool) { return id, false }, nodeName: decision.NodeID.String,
+		pending: map[uint64]*proposal{}, pendingReads: map[uint64]func(error){}}
+	if len(f.options.Sources) == 0 {
 		for _, v := range o.Voters {
-			f.o.Sources = append(f.o.Sources, v.Addr)
+			f.options.Sources = append(f.options.Sources, v.Addr)
 		}
 	}
-	f.view.Store(&View{})
+	f.latestView.Store(&View{})
 	i := slices.IndexFunc(o.Voters, func(v Voter) bool { return v.Name == f.name })
 	if i < 0 {
 		return f, nil
@@ -136,76 +136,76 @@
 	if o.Storage == nil || o.Listener == nil {
 		return nil, &VoterConfigError{Name: f.name}
 	}
-	f.id = uint64(i + 1)
+	f.voterID = uint64(i + 1)
 	var ids []uint64
 	for i := range o.Voters {
 		ids = append(ids, uint64(i+1))
 	}
 	var err error
-	f.node, err = consensus.New(consensus.Config{ID: f.id, Voters: ids, ElectionTimeout: o.ElectionTimeout, HeartbeatInterval: o.HeartbeatInterval, Seed: o.Seed, Storage: o.Storage,
-		StateMachine: machine{f}, MaxEntryBytes: maxEntry}, o.Now())
+	f.raft, err = consensus.New(consensus.Config{ID: f.voterID, Voters: ids, ElectionTimeout: o.ElectionTimeout, HeartbeatInterval: o.HeartbeatInterval, Seed: o.Seed, Storage: o.Storage,
+		StateMachine: appliedMachine{f}, MaxEntryBytes: maxEntryBytes}, o.Now())
 	return f, err
 }
 
 // SetPolicyCompiler gives the way from a policy's text to its entry, before Run.
 func (f *Participant) SetPolicyCompiler(fn func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error)) {
-	f.compile = fn
+	f.compilePolicy = fn
 }
 
 // SetNodeNames gives nodes' names, as this broker's list has them: the node of a name or address, and the name of a node. Before Run.
 func (f *Participant) SetNodeNames(find func(text string) (decision.NodeID, bool), name func(decision.NodeID) string) {
-	f.find, f.nameOf = find, name
+	f.findNode, f.nodeName = find, name
 }
 
 // Run takes part until ctx ends.
 func (f *Participant) Run(ctx context.Context) error {
 	var all sync.WaitGroup
 	defer all.Wait()
-	if f.o.Listener != nil {
-		all.Go(func() { f.serve(ctx) })
+	if f.options.Listener != nil {
+		all.Go(func() { f.acceptConnections(ctx) })
 	}
-	f.follow = func() { all.Go(func() { f.keepSource(ctx) }) }
-	if f.id == 0 {
-		f.follow()
+	f.startFollowing = func() { all.Go(func() { f.followSource(ctx) }) }
+	if f.voterID == 0 {
+		f.startFollowing()
 	}
-	for _, v := range f.o.Voters {
-		if f.id != 0 && v.Name != f.name {
-			all.Go(func() { f.keepVoter(ctx, v) })
+	for _, v := range f.options.Voters {
+		if f.voterID != 0 && v.Name != f.name {
+			all.Go(func() { f.maintainVoterConn(ctx, v) })
 		}
 	}
-	all.Go(func() { f.publish(ctx) })
-	slog.Info("fleet: taking part", "as", f.name, "slot", f.o.Slot, "votes", f.id != 0, "incarnation", f.inc)
+	all.Go(func() { f.deliverViews(ctx) })
+	slog.Info("fleet: taking part", "as", f.name, "slot", f.options.Slot, "votes", f.voterID != 0, "incarnation", f.incarnation)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case fn := <-f.calls:
+		case fn := <-f.tasks:
 			fn()
 		case <-timer.C:
 		case <-ctx.Done():
-			f.stop()
+			f.failPending()
 			return nil
 		}
-		for range len(f.calls) {
-			(<-f.calls)()
+		for range len(f.tasks) {
+			(<-f.tasks)()
 		}
-		now := f.o.Now()
+		now := f.options.Now()
 		timer.Reset(max(0, f.step(now)-now))
 	}
 }
 
-// call has the core's goroutine do something; false: it has ended.
-func (f *Participant) call(ctx context.Context, fn func()) bool {
+// runInLoop has the core's goroutine do something; false: it has ended.
+func (f *Participant) runInLoop(ctx context.Context, fn func()) bool {
 	select {
-	case f.calls <- fn:
+	case f.tasks <- fn:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// stop ends what is in hand.
-func (f *Participant) stop() {
+// failPending ends what is in hand.
+func (f *Participant) failPending() {
 	for _, p := range f.pending {
 		p.done(statemachine.Result{}, &UncertainOutcomeError{Cause: context.Canceled})
 	}
@@ -215,30 +215,30 @@
 // step does what is due and tells when to come again.
 func (f *Participant) step(now time.Duration) (next time.Duration) {
 	next = now + time.Second
-	if f.node != nil {
-		next = min(next, f.vote(now))
-	}
-	next = min(next, f.keepSession(now), f.resend(now))
-	if now >= f.due.beat {
-		f.due.beat = now + beatEvery
-		f.beats(now)
-	}
-	if now >= f.due.report {
-		f.due.report = now + f.o.ReportInterval
-		f.report()
-		f.changed = true // whoever could not act on a view gets another
-	}
-	next = min(next, f.due.beat, f.due.report, f.sendUp(now))
-	f.feedAll()
-	if f.node != nil { // what was proposed just now leaves at once
+	if f.raft != nil {
+		next = min(next, f.advanceRaft(now))
+	}
+	next = min(next, f.maintainSession(now), f.sendPending(now))
+	if now >= f.dueAt.beat {
+		f.dueAt.beat = now + heartbeatInterval
+		f.sendHeartbeats(now)
+	}
+	if now >= f.dueAt.report {
+		f.dueAt.report = now + f.options.ReportInterval
+		f.queueReport()
+		f.viewOutdated = true // whoever could not act on a view gets another
+	}
+	next = min(next, f.dueAt.beat, f.dueAt.report, f.sendOutbox(now))
+	f.feedFollowers()
+	if f.raft != nil { // what was proposed just now leaves at once
 		f.sendPackets()
 	}
-	if f.changed && now >= f.due.publish {
-		f.changed, f.due.publish = false, now+publishEvery
-		f.show(now)
+	if f.viewOutdated && now >= f.dueAt.publish {
+		f.viewOutdated, f.dueAt.publish = false, now+viewInterval
+		f.updateView(now)
 	}
-	if f.changed {
-		next = min(next, f.due.publish)
+	if f.viewOutdated {
+		next = min(next, f.dueAt.publish)
 	}
 	return next
 }
--- a/internal/cluster/controlplane/controlplane_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -43,8 +43,8 @@
 		}
 		check := func() {
 			for name, f := range c.all {
-				n, path := peek(f, f.following), peek(f, f.path)
-				if n > 2 || len(path) > maxDepth || strings.Count(strings.Join(path, " ")+" ", name+" ") > 1 {
+				n, path := peek(f, f.followerCount), peek(f, f.pathFromVoter)
+				if n > 2 || len(path) > maxPathLength || strings.Count(strings.Join(path, " ")+" ", name+" ") > 1 {
 					c.t.Fatalf("%s has %d followers, its path is %v", name, n, path)
 				}
 			}
@@ -62,7 +62,7 @@
 		roster := peek(f, f.state.Brokers)
 		for _, b := range roster {
 			h := c.all[b.Name]
-			if h != nil && b.Status == statemachine.BrokerLost && peek(h, func() bool { return h.inc == b.Incarnation && h.lease.held(h.o.Now()) }) {
+			if h != nil && b.Status == statemachine.BrokerLost && peek(h, func() bool { return h.incarnation == b.Incarnation && h.session.runsAt(h.options.Now()) }) {
 				return fmt.Sprintf("%s holds a lease as %d, and is lost", b.Name, b.Incarnation)
 			}
 		}
@@ -88,7 +88,7 @@
 				if bad := c.unsafe(); bad != "" {
 					c.t.Fatal(bad)
 				}
-				b, _ := peek(other, func() statemachine.Broker { b, _ := other.state.Broker(f.o.Slot); return b }), 0
+				b, _ := peek(other, func() statemachine.Broker { b, _ := other.state.Broker(f.options.Slot); return b }), 0
 				return b.Status == statemachine.BrokerLost
 			})
 			if f.View().Connected {
@@ -163,7 +163,7 @@
 	inside(t, func(t *testing.T, c *tier) {
 		for i := range 4 {
 			f := c.start(i + 1)
-			f.call(t.Context(), func() { f.recent.keep = 8 })
+			f.runInLoop(t.Context(), func() { f.recentEntries.maxEntries = 8 })
 		}
 		c.until("all are in", 5*time.Second, c.connected)
 		for n := range 60 {
--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -83,7 +83,7 @@
 // Remedy tells what an operator can do.
 func (e *RejectedError) Remedy() string { return e.Advice }
 
-func unknown(err error) bool { return errors.As(err, new(*statemachine.UnknownEntryError)) }
+func isUnknownEntry(err error) bool { return errors.As(err, new(*statemachine.UnknownEntryError)) }
 
 // remedyOf is an error's own advice, if it has some.
 func remedyOf(err error) string {
--- a/internal/cluster/controlplane/faults_test.go
+++ b/internal/cluster/controlplane/faults_test.go
@@ -47,7 +47,7 @@
 			}
 		}
 		c.until("the voter follows", 3*time.Second, func() bool {
-			return peek(voter, func() bool { return voter.broken }) && voter.View().Epoch == 20
+			return peek(voter, func() bool { return voter.voterStopped }) && voter.View().Epoch == 20
 		})
 		time.Sleep(10 * time.Second)
 		if v := voter.View(); !c.connected() || v.Incarnation != inc {
@@ -139,13 +139,13 @@
 			follower := c.start(4)
 			c.until("it is followed", 5*time.Second, c.connected)
 			only(false)
-			f.call(t.Context(), func() { // as if this program were older than what comes next
+			f.runInLoop(t.Context(), func() { // as if this program were older than what comes next
 				f.state.Apply(f.state.AppliedIndex()+1, []byte{99, 99})
 			})
 			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: 1}); err != nil {
 				t.Fatal(err)
 			}
-			c.until("it stops", 3*time.Second, func() bool { return peek(f, func() bool { return f.broken && f.halted != nil }) })
+			c.until("it stops", 3*time.Second, func() bool { return peek(f, func() bool { return f.voterStopped && f.haltedBy != nil }) })
 			time.Sleep(10 * time.Second)
 			if v := f.View(); v.Connected || v.Halted == nil || remedyOf(v.Halted) == "" {
 				t.Errorf("it goes on: %+v", v)
--- a/internal/cluster/controlplane/feed.go
+++ b/internal/cluster/controlplane/feed.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	keepEntries = 8192
-	keepBytes   = 8 << 20
-	feedEntries = 512     // in one frame
-	feedBytes   = 1 << 20 // in one frame
-	ahead       = 4 << 20 // bytes queued for one follower, beyond which it waits
+	maxRecentEntries   = 8192
+	maxRecentBytes     = 8 << 20
+	maxFeedEntries     = 512     // in one frame
+	maxFeedBytes       = 1 << 20 // in one frame
+	maxFollowerBacklog = 4 << 20 // bytes queued for one follower, beyond which it waits
 )
 
-// recent are the last entries, without a gap.
-type recent struct {
-	keep    int    // of them; 0: keepEntries
-	prev    uint64 // the index before the first
-	entries []entry
-	bytes   int
+// recentEntries are the last entries, without a gap.
+type recentEntries struct {
+	maxEntries    int    // of them; 0: keepEntries
+	previousIndex uint64 // the index before the first
+	entries       []feedEntry
+	bytes         int
 }
 
-func (r *recent) add(index uint64, data []byte) {
-	r.entries = append(r.entries, entry{index, data})
+func (r *recentEntries) add(index uint64, data []byte) {
+	r.entries = append(r.entries, feedEntry{index, data})
 	r.bytes += len(data)
-	keep := r.keep
+	keep := r.maxEntries
 	if keep == 0 {
-		keep = keepEntries
+		keep = maxRecentEntries
 	}
-	for len(r.entries) > keep || r.bytes > keepBytes && len(r.entries) > 1 {
-		r.prev = r.entries[0].Index
+	for len(r.entries) > keep || r.bytes > maxRecentBytes && len(r.entries) > 1 {
+		r.previousIndex = r.entries[0].Index
 		r.bytes -= len(r.entries[0].Data)
 		r.entries = r.entries[1:]
 	}
 }
 
 // after is what follows an index; false: it is too far back.
-func (r *recent) after(index uint64) (rest []entry, ok bool) {
-	if index < r.prev {
+func (r *recentEntries) after(index uint64) (rest []feedEntry, ok bool) {
+	if index < r.previousIndex {
 		return nil, false
 	}
 	i := len(r.entries)
@@ -50,123 +50,123 @@
 	return r.entries[i:], true
 }
 
-// whole is a snapshot that comes in pieces.
-type whole struct {
+// incomingSnapshot is a snapshot that comes in pieces.
+type incomingSnapshot struct {
 	index uint64
 	data  []byte
 }
 
-// machine is the ledger as agreement drives it.
-type machine struct{ f *Participant }
+// appliedMachine is the ledger as agreement drives it.
+type appliedMachine struct{ participant *Participant }
 
 // Apply ends this voter at an entry that it cannot read. Danger: Raft would count it as applied, and cut the log before the next
 // snapshot off, which a newer program needs to go on from there.
-func (m machine) Apply(index uint64, data []byte) {
-	m.f.apply(index, data)
-	if m.f.halted != nil {
-		panic(m.f.halted)
+func (m appliedMachine) Apply(index uint64, data []byte) {
+	m.participant.applyEntry(index, data)
+	if m.participant.haltedBy != nil {
+		panic(m.participant.haltedBy)
 	}
 }
 
-func (m machine) Snapshot() []byte          { return m.f.state.Snapshot() }
-func (m machine) Restore(data []byte) error { return m.f.restore(data) }
+func (m appliedMachine) Snapshot() []byte          { return m.participant.state.Snapshot() }
+func (m appliedMachine) Restore(data []byte) error { return m.participant.restoreSnapshot(data) }
 
-// apply takes over what was agreed.
-func (f *Participant) apply(index uint64, data []byte) {
-	if f.halted != nil {
+// applyEntry takes over what was agreed.
+func (f *Participant) applyEntry(index uint64, data []byte) {
+	if f.haltedBy != nil {
 		return
 	}
 	r := f.state.Apply(index, data)
-	if unknown(r.Err) {
-		f.halted = r.Err
+	if isUnknownEntry(r.Err) {
+		f.haltedBy = r.Err
 		slog.Error("fleet: stopped before an entry of a newer version; searches go on", "index", index, "error", r.Err)
-		f.changed = true
-		f.sendAway()
+		f.viewOutdated = true
+		f.redirectFollowers()
 		return
 	}
-	f.recent.add(index, data)
-	f.changed = true
-	f.applied(index, data, r)
+	f.recentEntries.add(index, data)
+	f.viewOutdated = true
+	f.completeProposal(index, data, r)
 }
 
-// restore begins anew from a snapshot.
-func (f *Participant) restore(data []byte) error {
+// restoreSnapshot begins anew from a snapshot.
+func (f *Participant) restoreSnapshot(data []byte) error {
 	s, err := statemachine.Restore(data)
 	if err != nil {
 		return err
 	}
-	f.state, f.halted, f.changed, f.nodesMoved = s, nil, true, true
-	f.recent = recent{keep: f.recent.keep, prev: s.AppliedIndex()}
+	f.state, f.haltedBy, f.viewOutdated, f.nodesChanged = s, nil, true, true
+	f.recentEntries = recentEntries{maxEntries: f.recentEntries.maxEntries, previousIndex: s.AppliedIndex()}
 	for _, p := range f.pending { // whether it is in there the ledger tells when it comes again
-		p.sent = 0
+		p.sentAt = 0
 	}
 	return nil
 }
 
-// feedAll gives those that follow what they lack.
-func (f *Participant) feedAll() {
-	for c := range f.conns {
-		if c.follows {
-			f.feed(c)
+// feedFollowers gives those that follow what they lack.
+func (f *Participant) feedFollowers() {
+	for c := range f.connections {
+		if c.isFollower {
+			f.feedFollower(c)
 		}
 	}
 }
 
-func (f *Participant) feed(c *conn) {
-	for c.waiting() < ahead {
-		if len(c.snap) > 0 {
-			n := min(pieceOf, len(c.snap))
-			at := c.snapTotal - len(c.snap)
-			f.put(c, letterPiece, piece{c.sent, c.snapTotal, at, c.snap[:n]})
-			c.snap = c.snap[n:]
+func (f *Participant) feedFollower(c *conn) {
+	for c.backlog() < maxFollowerBacklog {
+		if len(c.snapshotRest) > 0 {
+			n := min(snapshotPieceBytes, len(c.snapshotRest))
+			at := c.snapshotBytes - len(c.snapshotRest)
+			f.send(c, frameSnapshotPiece, snapshotPiece{c.sentIndex, c.snapshotBytes, at, c.snapshotRest[:n]})
+			c.snapshotRest = c.snapshotRest[n:]
 			continue
 		}
-		rest, ok := f.recent.after(c.sent)
+		rest, ok := f.recentEntries.after(c.sentIndex)
 		if !ok {
 			f.Counts.Snapshots.Add(1)
-			c.snap = f.state.Snapshot()
-			c.sent, c.snapTotal = f.state.AppliedIndex(), len(c.snap)
+			c.snapshotRest = f.state.Snapshot()
+			c.sentIndex, c.snapshotBytes = f.state.AppliedIndex(), len(c.snapshotRest)
 			continue
 		}
 		if len(rest) == 0 {
 			return
 		}
 		n, bytes := 0, 0
-		for n < len(rest) && n < feedEntries && (n == 0 || bytes+len(rest[n].Data) <= feedBytes) {
+		for n < len(rest) && n < maxFeedEntries && (n == 0 || bytes+len(rest[n].Data) <= maxFeedBytes) {
 			bytes += len(rest[n].Data)
 			n++
 		}
-		f.put(c, letterFeed, feed{c.sent, rest[:n]})
-		c.sent = rest[n-1].Index
+		f.send(c, frameFeed, feedFrame{c.sentIndex, rest[:n]})
+		c.sentIndex = rest[n-1].Index
 	}
 }
 
-// takeFeed applies what the source passes on. One that leaves something out is asked again, from where this side stands.
-func (f *Participant) takeFeed(c *conn, m feed) {
-	if c != f.source || f.halted != nil {
+// handleFeed applies what the source passes on. One that leaves something out is asked again, from where this side stands.
+func (f *Participant) handleFeed(c *conn, m feedFrame) {
+	if c != f.source || f.haltedBy != nil {
 		return
 	}
-	if m.Prev > f.state.AppliedIndex() {
-		f.put(c, letterFollow, follow{f.state.AppliedIndex()})
+	if m.Previous > f.state.AppliedIndex() {
+		f.send(c, frameFollow, followFrame{f.state.AppliedIndex()})
 		return
 	}
 	for _, e := range m.Entries {
 		if e.Index > f.state.AppliedIndex() {
-			f.apply(e.Index, e.Data)
+			f.applyEntry(e.Index, e.Data)
 		}
 	}
 }
 
-// takePiece gathers a snapshot.
-func (f *Participant) takePiece(c *conn, p piece) {
+// handleSnapshotPiece gathers a snapshot.
+func (f *Participant) handleSnapshotPiece(c *conn, p snapshotPiece) {
 	if c != f.source {
 		return
 	}
-	w := &f.whole
-	if p.At == 0 {
-		*w = whole{index: p.Index}
+	w := &f.incomingSnapshot
+	if p.Offset == 0 {
+		*w = incomingSnapshot{index: p.Index}
 	}
-	if p.Index != w.index || p.At != len(w.data) || p.Total > maxWhole || len(w.data)+len(p.Data) > p.Total {
+	if p.Index != w.index || p.Offset != len(w.data) || p.Total > maxSnapshotBytes || len(w.data)+len(p.Data) > p.Total {
 		c.close()
 		return
 	}
@@ -174,11 +174,11 @@
 		return
 	}
 	data, index := w.data, w.index
-	*w = whole{}
-	if index <= f.state.AppliedIndex() && f.halted == nil {
+	*w = incomingSnapshot{}
+	if index <= f.state.AppliedIndex() && f.haltedBy == nil {
 		return
 	}
-	if err := f.restore(data); err != nil {
+	if err := f.restoreSnapshot(data); err != nil {
 		slog.Error("fleet: a snapshot is not taken", "from", c.peer.Name, "error", err)
 		c.close()
 	}
--- a/internal/cluster/controlplane/fuzz_test.go
+++ b/internal/cluster/controlplane/fuzz_test.go
@@ -24,10 +24,10 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for letter, body := range map[byte]any{letterFollow: follow{7}, letterFeed: feed{0, []entry{{1, []byte{1, 2}}}}, letterPiece: piece{9, 4, 0, []byte{1}},
-		letterUp:   up{Renewals: []renewal{{1, 2, 3}}, Entries: [][]byte{{1}}, Reports: []report{{1, 2, []byte{3}}}},
-		letterDown: down{1, "b", []renewal{{0, 1, 1}}}, letterBeat: beat{Path: []string{"x"}, Token: 1, Echo: 1, Facts: map[string]fact{"t": {[]byte{1}, 2}}},
-		letterOther: other{[]string{"x"}}, letterAsk: ask{1, VerbStatus, nil}} {
+	for letter, body := range map[byte]any{frameFollow: followFrame{7}, frameFeed: feedFrame{0, []feedEntry{{1, []byte{1, 2}}}}, frameSnapshotPiece: snapshotPiece{9, 4, 0, []byte{1}},
+		frameUpstream: upstreamFrame{Renewals: []leaseRenewal{{1, 2, 3}}, Entries: [][]byte{{1}}, Reports: []reportFrame{{1, 2, []byte{3}}}},
+		frameGrants:   grantsFrame{1, "b", []leaseRenewal{{0, 1, 1}}}, frameHeartbeat: heartbeatFrame{Path: []string{"x"}, Token: 1, Echo: 1, Topics: map[string]topicData{"t": {[]byte{1}, 2}}},
+		frameRedirect: redirectFrame{[]string{"x"}}, frameRequest: requestFrame{1, VerbStatus, nil}} {
 		f.Add(frame(letter, body), true)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, source bool) {
@@ -38,19 +38,19 @@
 		here, there := net.Pipe()
 		defer here.Close()
 		defer there.Close()
-		c := &conn{nc: here, wake: make(chan struct{}, 1), dialled: source, peer: hello{Role: roleFollower, Name: "o"}}
-		fl.came(c)
-		fl.upPath = []string{"v"}
+		c := &conn{netConn: here, queued: make(chan struct{}, 1), dialled: source, peer: helloFrame{Role: roleFollower, Name: "o"}}
+		fl.addConn(c)
+		fl.sourcePath = []string{"v"}
 		for r := bufio.NewReader(bytes.NewReader(raw)); ; {
-			letter, body, err := readFrame(r, maxFrame)
+			letter, body, err := readFrame(r, maxFrameBytes)
 			if err != nil {
 				break
 			}
 			if len(body) > len(raw) {
 				t.Fatal("more than came")
 			}
-			fl.take(c, letter, body)
-			fl.step(fl.o.Now())
+			fl.handleFrame(c, letter, body)
+			fl.step(fl.options.Now())
 		}
 	})
 }
--- a/internal/cluster/controlplane/path.go
+++ b/internal/cluster/controlplane/path.go
@@ -16,120 +16,120 @@
 	Merge   func(data []byte, older time.Duration) // older: by how much at most all of it has grown older on the way
 }
 
-// maxFacts bounds a topic's share of a beat.
-const maxFacts = 256 << 10
+// maxTopicBytes bounds a topic's share of a beat.
+const maxTopicBytes = 256 << 10
 
 // AddTopic adds a topic, before Run.
 func (f *Participant) AddTopic(t Topic) { f.topics = append(f.topics, t) }
 
-// votes tells whether this broker is a voter that works.
-func (f *Participant) votes() bool { return f.id != 0 && !f.broken }
+// isVoting tells whether this broker is a voter that works.
+func (f *Participant) isVoting() bool { return f.voterID != 0 && !f.voterStopped }
 
-// path is the way from a voter to this broker; empty: it is cut off, or stands still before an entry that it can't read. Danger:
+// pathFromVoter is the way from a voter to this broker; empty: it is cut off, or stands still before an entry that it can't read. Danger:
 // those that follow it there would hear beats, and nothing that is agreed, for ever.
-func (f *Participant) path() []string {
+func (f *Participant) pathFromVoter() []string {
 	switch {
-	case f.halted != nil, f.votes() && f.node.Leader() == 0, !f.votes() && len(f.upPath) == 0:
+	case f.haltedBy != nil, f.isVoting() && f.raft.Leader() == 0, !f.isVoting() && len(f.sourcePath) == 0:
 		return nil
 	default:
-		return append(slices.Clip(f.upPath), f.name)
+		return append(slices.Clip(f.sourcePath), f.name)
 	}
 }
 
-func (f *Participant) following() (n int) {
-	for c := range f.conns {
-		if c.follows {
+func (f *Participant) followerCount() (n int) {
+	for c := range f.connections {
+		if c.isFollower {
 			n++
 		}
 	}
 	return n
 }
 
-// beats sends one to everybody, with what is known here.
-func (f *Participant) beats(now time.Duration) {
-	b := beat{Path: f.path(), Room: max(0, f.o.MaxFollowers-f.following()), Token: uint64(now) + 1}
-	if f.o.Listener == nil || len(b.Path) == 0 || len(b.Path) >= maxDepth {
-		b.Room = 0
+// sendHeartbeats sends one to everybody, with what is known here.
+func (f *Participant) sendHeartbeats(now time.Duration) {
+	b := heartbeatFrame{Path: f.pathFromVoter(), FollowerRoom: max(0, f.options.MaxFollowers-f.followerCount()), Token: uint64(now) + 1}
+	if f.options.Listener == nil || len(b.Path) == 0 || len(b.Path) >= maxPathLength {
+		b.FollowerRoom = 0
 	}
 	for _, t := range f.topics {
-		if data, at := t.Collect(); len(data) > 0 && len(data) <= maxFacts {
-			if b.Facts == nil {
-				b.Facts = map[string]fact{}
+		if data, at := t.Collect(); len(data) > 0 && len(data) <= maxTopicBytes {
+			if b.Topics == nil {
+				b.Topics = map[string]topicData{}
 			}
-			b.Facts[t.Name] = fact{data, int64(max(0, now-at))}
+			b.Topics[t.Name] = topicData{data, int64(max(0, now-at))}
 		}
 	}
-	for c := range f.conns {
+	for c := range f.connections {
 		if c.peer.Role != roleOperator {
-			b.Echo = c.token
-			f.put(c, letterBeat, b)
+			b.Echo = c.lastToken
+			f.send(c, frameHeartbeat, b)
 		}
 	}
 	// Danger: a voter that lost the others, or a source that follows nobody, would be followed for ever.
-	if f.source != nil && now-f.upAt > silentFor {
+	if f.source != nil && now-f.sourcePathAt > silenceTimeout {
 		f.source.close()
 	}
 }
 
-// takeBeat learns where the other side stands. It sent this after it had the token that it echoes; so what it had collected has
+// handleHeartbeat learns where the other side stands. It sent this after it had the token that it echoes; so what it had collected has
 // grown older by no more than it says it was held, and the time from when that token was sent.
-func (f *Participant) takeBeat(c *conn, b beat, now time.Duration) {
-	c.token, c.room = b.Token, b.Room
+func (f *Participant) handleHeartbeat(c *conn, b heartbeatFrame, now time.Duration) {
+	c.lastToken, c.followerRoom = b.Token, b.FollowerRoom
 	if c == f.source {
 		// Danger: two that are cut off would follow one another. No broker follows one whose path leads through itself.
-		if len(b.Path) > maxDepth || slices.Contains(b.Path, f.name) {
+		if len(b.Path) > maxPathLength || slices.Contains(b.Path, f.name) {
 			c.close()
 			return
 		}
-		f.upPath = b.Path
+		f.sourcePath = b.Path
 		if len(b.Path) > 0 {
-			f.upAt = now
+			f.sourcePathAt = now
 		}
 	}
 	if b.Echo == 0 || b.Echo-1 > uint64(now) {
 		return
 	}
 	older := now - time.Duration(b.Echo-1)
-	older += time.Duration(float64(older) * f.o.MaxClockDrift)
+	older += time.Duration(float64(older) * f.options.MaxClockDrift)
 	for _, t := range f.topics {
-		if m := b.Facts[t.Name]; len(m.Data) > 0 && len(m.Data) <= maxFacts && m.Held >= 0 && m.Held < int64(time.Hour) {
-			held := time.Duration(m.Held)
-			t.Merge(m.Data, older+held+time.Duration(float64(held)*f.o.MaxClockDrift))
+		if m := b.Topics[t.Name]; len(m.Data) > 0 && len(m.Data) <= maxTopicBytes && m.AgeNS >= 0 && m.AgeNS < int64(time.Hour) {
+			held := time.Duration(m.AgeNS)
+			t.Merge(m.Data, older+held+time.Duration(float64(held)*f.options.MaxClockDrift))
 		}
 	}
 }
 
-// takeFollow gives a broker the feed, or names others that have room.
-func (f *Participant) takeFollow(c *conn, at uint64) {
-	path := f.path()
-	full := f.following() >= f.o.MaxFollowers
-	if len(path) == 0 || len(path) >= maxDepth || slices.Contains(path, c.peer.Name) || full {
-		o := other{}
+// handleFollow gives a broker the feed, or names others that have room.
+func (f *Participant) handleFollow(c *conn, at uint64) {
+	path := f.pathFromVoter()
+	full := f.followerCount() >= f.options.MaxFollowers
+	if len(path) == 0 || len(path) >= maxPathLength || slices.Contains(path, c.peer.Name) || full {
+		o := redirectFrame{}
 		if full {
-			o.Addrs = f.others()
+			o.Addrs = f.otherSources()
 		}
-		f.put(c, letterOther, o)
+		f.send(c, frameRedirect, o)
 		return // the other side closes
 	}
-	c.follows, c.sent = true, at
-	f.put(c, letterBeat, beat{Path: path, Token: uint64(f.o.Now()) + 1, Echo: c.token})
+	c.isFollower, c.sentIndex = true, at
+	f.send(c, frameHeartbeat, heartbeatFrame{Path: path, Token: uint64(f.options.Now()) + 1, Echo: c.lastToken})
 }
 
-// sendAway has those that follow this broker look for another source; a newer one of them may know of a better.
-func (f *Participant) sendAway() {
-	for c := range f.conns {
-		if c.follows {
-			f.put(c, letterOther, other{})
+// redirectFollowers has those that follow this broker look for another source; a newer one of them may know of a better.
+func (f *Participant) redirectFollowers() {
+	for c := range f.connections {
+		if c.isFollower {
+			f.send(c, frameRedirect, redirectFrame{})
 		}
 	}
 }
 
-// others names followers with room, or else any, which know more.
-func (f *Participant) others() []string {
+// otherSources names followers with room, or else any, which know more.
+func (f *Participant) otherSources() []string {
 	var room, any []string
-	for _, c := range slices.SortedFunc(maps.Keys(f.conns), func(a, b *conn) int { return b.room - a.room }) {
-		if c.follows && c.peer.Listen != "" {
-			if any = append(any, c.peer.Listen); c.room > 0 {
+	for _, c := range slices.SortedFunc(maps.Keys(f.connections), func(a, b *conn) int { return b.followerRoom - a.followerRoom }) {
+		if c.isFollower && c.peer.Listen != "" {
+			if any = append(any, c.peer.Listen); c.followerRoom > 0 {
 				room = append(room, c.peer.Listen)
 			}
 		}
--- a/internal/cluster/controlplane/plan.go
+++ b/internal/cluster/controlplane/plan.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-func (f *Participant) wantedNode(verb string, r *Request) (statemachine.Entry, error) {
+func (f *Participant) nodeEntryFor(verb string, r *Request) (statemachine.Entry, error) {
 	id, err := f.nodeID(r.Node)
 	if err != nil {
 		return nil, err
@@ -29,12 +29,12 @@
 		if !ok {
 			return nil, &InvalidRequestError{"no release lets this node go out now"}
 		}
-		return &statemachine.UsePermit{Permit: p.Number, Slot: f.o.Slot, Incarnation: f.inc, ForNode: true, Node: id}, nil
+		return &statemachine.UsePermit{Permit: p.Number, Slot: f.options.Slot, Incarnation: f.incarnation, ForNode: true, Node: id}, nil
 	}
 	return &statemachine.DrainNode{Node: id, Reason: r.Reason}, nil
 }
 
-func (f *Participant) plan(w *ReleaseRequest) (statemachine.Entry, error) {
+func (f *Participant) releasePlan(w *ReleaseRequest) (statemachine.Entry, error) {
 	if w == nil || w.To == "" {
 		return nil, &InvalidRequestError{"a release names the version it leads to"}
 	}
@@ -49,9 +49,9 @@
 	}
 	var err error
 	if len(p.Nodes) == 0 && len(w.Brokers) > 0 {
-		p.Slots, err = f.slots(w.Brokers)
+		p.Slots, err = f.slotsByName(w.Brokers)
 	} else if len(p.Nodes) == 0 {
-		p.Slots = f.everybody()
+		p.Slots = f.allSlots()
 	}
 	if len(p.Batches) == 0 {
 		p.Batches = release.Batches(len(p.Slots) + len(p.Nodes))
@@ -59,15 +59,15 @@
 	return p, err
 }
 
-// everybody is all brokers in turn by zones; those that vote come last, and of these the one that leads.
-func (f *Participant) everybody() []statemachine.Slot {
+// allSlots is all brokers in turn by zones; those that vote come last, and of these the one that leads.
+func (f *Participant) allSlots() []statemachine.Slot {
 	slots := release.Order(f.state.Brokers())
 	rank := func(s statemachine.Slot) int {
 		b, _ := f.state.Broker(s)
 		if b.Name == f.name {
 			return 2
 		}
-		if slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name }) {
+		if slices.ContainsFunc(f.options.Voters, func(v Voter) bool { return v.Name == b.Name }) {
 			return 1
 		}
 		return 0
@@ -76,8 +76,8 @@
 	return slots
 }
 
-// slots finds brokers by their names.
-func (f *Participant) slots(names []string) (all []statemachine.Slot, err error) {
+// slotsByName finds brokers by their names.
+func (f *Participant) slotsByName(names []string) (all []statemachine.Slot, err error) {
 	roster := f.state.Brokers()
 	for _, name := range names {
 		i := slices.IndexFunc(roster, func(b statemachine.Broker) bool { return b.Name == name })
--- a/internal/cluster/controlplane/release_test.go
+++ b/internal/cluster/controlplane/release_test.go
@@ -92,7 +92,7 @@
 					go func() {
 						ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 						defer cancel()
-						f.Propose(ctx, &statemachine.UsePermit{Permit: n, Slot: f.o.Slot, Incarnation: v.Permit.Incarnation})
+						f.Propose(ctx, &statemachine.UsePermit{Permit: n, Slot: f.options.Slot, Incarnation: v.Permit.Incarnation})
 						tried.Delete(n)
 					}()
 				}
--- a/internal/cluster/controlplane/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -31,11 +31,13 @@
 	Collect func() []byte
 }
 
-// maxReport bounds a report.
-const maxReport = 64 << 10
+// maxReportBytes bounds a report.
+const maxReportBytes = 64 << 10
 
 // AddReportSection adds to the reports, before Run.
-func (f *Participant) AddReportSection(e ReportSection) { f.extras = append(f.extras, e) }
+func (f *Participant) AddReportSection(e ReportSection) {
+	f.reportSections = append(f.reportSections, e)
+}
 
 // evidence is a report as a release's gates take it.
 func (r *Report) evidence(b statemachine.Broker) release.Report {
@@ -52,12 +54,12 @@
 	return e
 }
 
-func (f *Participant) report() {
-	if f.o.CollectReport == nil || !f.alive() {
+func (f *Participant) queueReport() {
+	if f.options.CollectReport == nil || !f.isRegistered() {
 		return
 	}
-	r := f.o.CollectReport()
-	for _, e := range f.extras {
+	r := f.options.CollectReport()
+	for _, e := range f.reportSections {
 		if data := e.Collect(); len(data) > 0 {
 			if r.Extra == nil {
 				r.Extra = map[string][]byte{}
@@ -65,22 +67,22 @@
 			r.Extra[e.Name] = data
 		}
 	}
-	if data, err := encoding.Marshal(r); err == nil && len(data) <= maxReport {
-		f.up.Reports = append(f.up.Reports, report{uint32(f.o.Slot), f.inc, data})
+	if data, err := encoding.Marshal(r); err == nil && len(data) <= maxReportBytes {
+		f.outbox.Reports = append(f.outbox.Reports, reportFrame{uint32(f.options.Slot), f.incarnation, data})
 	}
 }
 
-// reported takes reports at the leader.
-func (f *Participant) reported(all []report, now time.Duration) {
+// acceptReports takes reports at the leader.
+func (f *Participant) acceptReports(all []reportFrame, now time.Duration) {
 	for _, m := range all {
 		b, known := f.state.Broker(statemachine.Slot(m.Slot))
-		if !known || b.Incarnation != m.Inc || len(m.Data) > maxReport || f.lead.reports == nil {
+		if !known || b.Incarnation != m.Incarnation || len(m.Data) > maxReportBytes || f.leadership.reports == nil {
 			continue
 		}
 		if r, err := decode[Report](m.Data); err == nil && len(r.Classes) <= 64 {
-			f.lead.reports[b.Slot] = ReceivedReport{r, m.Inc, now}
-			if f.lead.planner != nil {
-				f.lead.planner.Take(r.evidence(b), now)
+			f.leadership.reports[b.Slot] = ReceivedReport{r, m.Incarnation, now}
+			if f.leadership.planner != nil {
+				f.leadership.planner.Take(r.evidence(b), now)
 			}
 		}
 	}
--- a/internal/cluster/controlplane/request.go
+++ b/internal/cluster/controlplane/request.go
@@ -92,39 +92,39 @@
 
 // nodeID finds a node by the name or address that an operator gives.
 func (f *Participant) nodeID(text string) (decision.NodeID, error) {
-	id, ok := f.find(text)
+	id, ok := f.findNode(text)
 	if !ok {
 		return id, &InvalidRequestError{fmt.Sprintf("no node %.80q is in the leader's list", text)}
 	}
 	return id, nil
 }
 
-// takeAsk answers an operator, perhaps later.
-func (f *Participant) takeAsk(c *conn, m ask) {
+// handleRequest answers an operator, perhaps later.
+func (f *Participant) handleRequest(c *conn, m requestFrame) {
 	answer := func(body any, err error) {
-		s := said{ID: m.ID}
+		s := responseFrame{ID: m.ID}
 		if err != nil {
-			s.Fault, s.Remedy = err.Error(), remedyOf(err)
+			s.Error, s.Remedy = err.Error(), remedyOf(err)
 		} else if s.Body, err = json.Marshal(body); err != nil {
-			s.Fault = err.Error()
+			s.Error = err.Error()
 		}
-		f.put(c, letterSaid, s)
+		f.send(c, frameResponse, s)
 	}
 	if c.peer.Role != roleOperator {
 		return
 	}
-	if f.node == nil || !f.node.IsLeader() || !f.lead.on {
+	if f.raft == nil || !f.raft.IsLeader() || !f.leadership.established {
 		e := &NotLeaderError{}
-		if f.node != nil {
-			if l := f.node.Leader(); l != 0 && l != f.id {
-				e.Leader = f.o.Voters[l-1].Name
+		if f.raft != nil {
+			if l := f.raft.Leader(); l != 0 && l != f.voterID {
+				e.Leader = f.options.Voters[l-1].Name
 			}
 		}
-		f.put(c, letterSaid, said{ID: m.ID, Fault: e.Error(), Remedy: e.Remedy(), Leader: e.Leader, Elsewhere: true})
+		f.send(c, frameResponse, responseFrame{ID: m.ID, Error: e.Error(), Remedy: e.Remedy(), Leader: e.Leader, NotLeader: true})
 		return
 	}
 	if m.Verb == VerbStatus {
-		f.read(func(err error) { answer(f.status(f.o.Now()), err) })
+		f.confirmedRead(func(err error) { answer(f.status(f.options.Now()), err) })
 		return
 	}
 	var r Request
@@ -133,28 +133,28 @@
 		return
 	}
 	// What was agreed before this moment counts, such as which release is the present one.
-	f.read(func(err error) {
+	f.confirmedRead(func(err error) {
 		var e statemachine.Entry
 		if err == nil {
-			e, err = f.wanted(m.Verb, &r)
+			e, err = f.entryFor(m.Verb, &r)
 		}
-		if err != nil || !f.conns[c] {
+		if err != nil || !f.connections[c] {
 			answer(nil, err)
 			return
 		}
-		c.asks = append(c.asks, f.start(e, func(r statemachine.Result, err error) { answer(r.Number, err) }))
+		c.operatorProposals = append(c.operatorProposals, f.propose(e, func(r statemachine.Result, err error) { answer(r.Number, err) }))
 	})
 }
 
-// wanted makes an entry of a request.
-func (f *Participant) wanted(verb string, r *Request) (statemachine.Entry, error) {
+// entryFor makes an entry of a request.
+func (f *Participant) entryFor(verb string, r *Request) (statemachine.Entry, error) {
 	release := r.Release
 	if now, ok := f.state.Release(); ok && release == 0 {
 		release = now.Number
 	}
 	switch verb {
 	case VerbRelease:
-		return f.plan(r.Plan)
+		return f.releasePlan(r.Plan)
 	case VerbHalt:
 		return &statemachine.HaltRelease{Release: release, Reason: r.Reason}, nil
 	case VerbResume:
@@ -162,15 +162,15 @@
 	case VerbRollBack:
 		return &statemachine.RollBackRelease{Release: release, Reason: r.Reason}, nil
 	case VerbDrain, VerbUndrain, VerbNodeOut, VerbNodeReturned:
-		return f.wantedNode(verb, r)
+		return f.nodeEntryFor(verb, r)
 	case VerbRemoveBroker:
-		slots, err := f.slots([]string{r.Broker})
+		slots, err := f.slotsByName([]string{r.Broker})
 		if err != nil {
 			return nil, err
 		}
 		return &statemachine.RemoveBroker{Slot: slots[0]}, nil
 	case VerbPolicy, VerbRollBackPolicy:
-		if f.compile == nil {
+		if f.compilePolicy == nil {
 			return nil, &InvalidRequestError{"this program divides no budgets: fleet.budgets is false"}
 		}
 		if verb == VerbRollBackPolicy {
@@ -180,29 +180,29 @@
 			}
 			r.Text = before.Text
 		}
-		return f.compile(r.Text, f.state)
+		return f.compilePolicy(r.Text, f.state)
 	}
 	return nil, &InvalidRequestError{fmt.Sprintf("no such verb: %.40q", verb)}
 }
 
 func (f *Participant) status(now time.Duration) *Status {
-	s := &Status{Leader: f.name, Term: f.lead.term, Index: f.state.AppliedIndex(), Protocol: f.state.TierProtocol(), Epoch: f.state.Epoch()}
+	s := &Status{Leader: f.name, Term: f.leadership.term, Index: f.state.AppliedIndex(), Protocol: f.state.TierProtocol(), Epoch: f.state.Epoch()}
 	for _, b := range f.state.Brokers() {
 		ago := time.Duration(-1)
-		if h := f.lead.sessions[b.Slot]; h.inc == b.Incarnation {
-			ago = now - h.at
+		if h := f.leadership.sessions[b.Slot]; h.incarnation == b.Incarnation {
+			ago = now - h.grantedAt
 		}
 		s.Brokers = append(s.Brokers, BrokerStatus{b, b.Status.String(), ago})
 	}
 	for _, n := range f.state.Nodes() {
 		p, _ := f.state.NodePermit(n.Node)
-		s.Nodes = append(s.Nodes, NodeStatus{n, f.nameOf(n.Node), p.Number})
+		s.Nodes = append(s.Nodes, NodeStatus{n, f.nodeName(n.Node), p.Number})
 	}
 	if r, ok := f.state.Release(); ok {
 		s.Release = &r
 	}
 	for _, d := range f.state.Drains() {
-		s.Drains = append(s.Drains, DrainStatus{d, f.nameOf(d.Node), f.state.IsDrained(d.Node), f.state.MissingDrainAcks(d.Node)})
+		s.Drains = append(s.Drains, DrainStatus{d, f.nodeName(d.Node), f.state.IsDrained(d.Node), f.state.MissingDrainAcks(d.Node)})
 	}
 	policies := f.state.Policies()
 	s.Policy, s.Waiting = policies.InForce, policies.Waiting
--- a/internal/cluster/controlplane/share_test.go
+++ b/internal/cluster/controlplane/share_test.go
@@ -19,16 +19,16 @@
 		for i := range 6 {
 			c.most = 1
 			f := c.start(i + 1)
-			f.call(t.Context(), func() {
+			f.runInLoop(t.Context(), func() {
 				f.topics = append(f.topics, Topic{Name: "t",
 					Collect: func() ([]byte, time.Duration) {
-						at := f.o.Now() - 70*time.Millisecond // it has lain for so long
+						at := f.options.Now() - 70*time.Millisecond // it has lain for so long
 						return binary.BigEndian.AppendUint64(nil, uint64(time.Since(start)-70*time.Millisecond)), max(0, at)
 					},
 					Merge: func(data []byte, older time.Duration) {
 						took.Add(1)
 						age := time.Since(start) - time.Duration(binary.BigEndian.Uint64(data))
-						if older < age || older > age+4*beatEvery {
+						if older < age || older > age+4*heartbeatInterval {
 							t.Errorf("told %v older, it is %v", older, age)
 						}
 					}})
@@ -46,8 +46,8 @@
 	inside(t, func(t *testing.T, c *tier) {
 		for i := range 4 {
 			f := c.start(i + 1)
-			f.call(t.Context(), func() {
-				f.find = func(text string) (id decision.NodeID, ok bool) { return decision.NodeID{Port: 7}, text == "n7" }
+			f.runInLoop(t.Context(), func() {
+				f.findNode = func(text string) (id decision.NodeID, ok bool) { return decision.NodeID{Port: 7}, text == "n7" }
 			})
 		}
 		c.until("all are in", 5*time.Second, c.connected)
@@ -56,7 +56,7 @@
 			verb string
 			Request
 		}{{"dance", Request{}}, {VerbDrain, Request{Node: "n8"}}, {VerbRelease, Request{}}, {VerbRemoveBroker, Request{Broker: "b9"}}, {VerbPolicy, Request{}}} {
-			err := peek(lead, func() error { _, err := lead.wanted(r.verb, &r.Request); return err })
+			err := peek(lead, func() error { _, err := lead.entryFor(r.verb, &r.Request); return err })
 			if !errors.As(err, new(*InvalidRequestError)) || remedyOf(err) == "" {
 				t.Errorf("%s: %v", r.verb, err)
 			}
@@ -64,7 +64,7 @@
 		if _, err := lead.Propose(t.Context(), &statemachine.SetNodeList{Epoch: 1, Nodes: []statemachine.NodeInfo{{Node: decision.NodeID{Port: 7}}}}); err != nil {
 			t.Fatal(err)
 		}
-		e := peek(lead, func() statemachine.Entry { e, _ := lead.wanted(VerbDrain, &Request{Node: "n7"}); return e })
+		e := peek(lead, func() statemachine.Entry { e, _ := lead.entryFor(VerbDrain, &Request{Node: "n7"}); return e })
 		r, err := lead.Propose(t.Context(), e)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/cluster/controlplane/take.go
+++ b/internal/cluster/controlplane/take.go
@@ -11,43 +11,43 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// take does what a frame asks for. A side that sends what makes no sense is not trusted further.
-func (f *Participant) take(c *conn, letter byte, body []byte) {
-	if !f.conns[c] {
+// handleFrame does what a frame asks for. A side that sends what makes no sense is not trusted further.
+func (f *Participant) handleFrame(c *conn, letter byte, body []byte) {
+	if !f.connections[c] {
 		return
 	}
 	f.Counts.FramesIn.Add(1)
 	f.Counts.BytesIn.Add(uint64(len(body) + 5))
-	now := f.o.Now()
+	now := f.options.Now()
 	var err error
 	switch {
-	case c.peer.Role == roleOperator && letter != letterAsk:
-		err = fmt.Errorf("%w: letter %q of an operator", errFrame, letter)
-	case letter == letterRaft:
-		f.takePacket(c, body)
-	case letter == letterFollow:
-		err = with(body, func(m follow) { f.takeFollow(c, m.Index) })
-	case letter == letterOther:
-		err = with(body, func(m other) {
+	case c.peer.Role == roleOperator && letter != frameRequest:
+		err = fmt.Errorf("%w: letter %q of an operator", errMalformedFrame, letter)
+	case letter == framePacket:
+		f.handlePacket(c, body)
+	case letter == frameFollow:
+		err = handleDecoded(body, func(m followFrame) { f.handleFollow(c, m.Index) })
+	case letter == frameRedirect:
+		err = handleDecoded(body, func(m redirectFrame) {
 			if c == f.source && len(m.Addrs) <= 64 {
-				c.others = m.Addrs
+				c.otherSources = m.Addrs
 			}
 			c.close()
 		})
-	case letter == letterFeed:
-		err = with(body, func(m feed) { f.takeFeed(c, m) })
-	case letter == letterPiece:
-		err = with(body, func(m piece) { f.takePiece(c, m) })
-	case letter == letterUp:
-		err = with(body, func(m up) { f.takeUp(c, m, now) })
-	case letter == letterDown:
-		err = with(body, func(m down) { f.takeDown(c, m, now) })
-	case letter == letterBeat:
-		err = with(body, func(m beat) { f.takeBeat(c, m, now) })
-	case letter == letterAsk:
-		err = with(body, func(m ask) { f.takeAsk(c, m) })
-	case letter == letterHello:
-		err = fmt.Errorf("%w: a second hello", errFrame)
+	case letter == frameFeed:
+		err = handleDecoded(body, func(m feedFrame) { f.handleFeed(c, m) })
+	case letter == frameSnapshotPiece:
+		err = handleDecoded(body, func(m snapshotPiece) { f.handleSnapshotPiece(c, m) })
+	case letter == frameUpstream:
+		err = handleDecoded(body, func(m upstreamFrame) { f.handleUpstream(c, m, now) })
+	case letter == frameGrants:
+		err = handleDecoded(body, func(m grantsFrame) { f.handleGrants(c, m, now) })
+	case letter == frameHeartbeat:
+		err = handleDecoded(body, func(m heartbeatFrame) { f.handleHeartbeat(c, m, now) })
+	case letter == frameRequest:
+		err = handleDecoded(body, func(m requestFrame) { f.handleRequest(c, m) })
+	case letter == frameHello:
+		err = fmt.Errorf("%w: a second hello", errMalformedFrame)
 	default: // of a newer version
 	}
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-func with[T any](body []byte, do func(T)) error {
+func handleDecoded[T any](body []byte, do func(T)) error {
 	m, err := decode[T](body)
 	if err == nil {
 		do(m)
@@ -64,19 +64,19 @@
 	return err
 }
 
-// takePacket hands Raft what a voter sent.
-func (f *Participant) takePacket(c *conn, body []byte) {
-	i := slices.IndexFunc(f.o.Voters, func(v Voter) bool { return v.Name == c.peer.Name })
-	if i < 0 || f.node == nil {
+// handlePacket hands Raft what a voter sent.
+func (f *Participant) handlePacket(c *conn, body []byte) {
+	i := slices.IndexFunc(f.options.Voters, func(v Voter) bool { return v.Name == c.peer.Name })
+	if i < 0 || f.raft == nil {
 		return
 	}
-	if err := f.node.Step(uint64(i+1), body, f.o.Now()); err != nil {
+	if err := f.raft.Step(uint64(i+1), body, f.options.Now()); err != nil {
 		slog.Debug("fleet: a voter's packet was dropped", "from", c.peer.Name, "error", err)
 	}
 }
 
-// moves tells whether an entry changes the agreed nodes; what brokers hold of them is not counted.
-func moves(e statemachine.Entry) bool {
+// changesNodes tells whether an entry changes the agreed nodes; what brokers hold of them is not counted.
+func changesNodes(e statemachine.Entry) bool {
 	switch e.(type) {
 	case *statemachine.LeaderElected, *statemachine.RegisterBroker, *statemachine.MarkBrokerLost, *statemachine.AcknowledgeDrain, *statemachine.AcknowledgePolicy, *statemachine.GrantLease, *statemachine.AcknowledgeLease,
 		*statemachine.RelinquishLease, *statemachine.ExpireLease:
@@ -85,47 +85,47 @@
 	return true
 }
 
-// came takes a connection over.
-func (f *Participant) came(c *conn) {
-	f.conns[c] = true
+// addConn takes a connection over.
+func (f *Participant) addConn(c *conn) {
+	f.connections[c] = true
 	if !c.dialled {
 		return
 	}
-	if c.voter {
-		f.voters[c.peer.Name] = c
+	if c.toVoter {
+		f.voterConns[c.peer.Name] = c
 		return
 	}
-	f.source, f.upPath, f.upAt = c, nil, f.o.Now()
-	f.whole = whole{}
-	f.Counts.Sources.Add(1)
-	f.put(c, letterFollow, follow{f.state.AppliedIndex()})
+	f.source, f.sourcePath, f.sourcePathAt = c, nil, f.options.Now()
+	f.incomingSnapshot = incomingSnapshot{}
+	f.Counts.SourceChanges.Add(1)
+	f.send(c, frameFollow, followFrame{f.state.AppliedIndex()})
 }
 
-// gone forgets a connection.
-func (f *Participant) gone(c *conn, err error) {
-	delete(f.conns, c)
-	if f.voters[c.peer.Name] == c {
-		delete(f.voters, c.peer.Name)
+// removeConn forgets a connection.
+func (f *Participant) removeConn(c *conn, err error) {
+	delete(f.connections, c)
+	if f.voterConns[c.peer.Name] == c {
+		delete(f.voterConns, c.peer.Name)
 	}
 	if f.source == c {
-		f.source, f.upPath = nil, nil
+		f.source, f.sourcePath = nil, nil
 	}
-	for s, via := range f.via {
+	for s, via := range f.routes {
 		if via == c {
-			delete(f.via, s)
+			delete(f.routes, s)
 		}
 	}
-	for _, seq := range c.asks { // an operator that has gone wants nothing more
+	for _, seq := range c.operatorProposals { // an operator that has gone wants nothing more
 		delete(f.pending, seq)
 	}
-	if errors.Is(err, errFrame) {
+	if errors.Is(err, errMalformedFrame) {
 		slog.Warn("fleet: what came makes no sense", "from", c.peer.Name, "error", err)
 	}
 }
 
-func (f *Participant) put(c *conn, letter byte, body any) bool {
+func (f *Participant) send(c *conn, letter byte, body any) bool {
 	b := frame(letter, body)
 	f.Counts.FramesOut.Add(1)
 	f.Counts.BytesOut.Add(uint64(len(b)))
-	return c.put(b)
+	return c.enqueue(b)
 }
--- a/internal/cluster/controlplane/traffic_test.go
+++ b/internal/cluster/controlplane/traffic_test.go
@@ -58,9 +58,9 @@
 				kind := "follower"
 				if name == lead {
 					kind = "leader"
-				} else if f.id != 0 {
+				} else if f.voterID != 0 {
 					kind = "voter"
-				} else if peek(f, f.following) > 0 {
+				} else if peek(f, f.followerCount) > 0 {
 					kind = "follower with followers"
 				}
 				w := worst[kind]
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-const publishEvery = 10 * time.Millisecond
+const viewInterval = 10 * time.Millisecond
 
 // View is what this broker knows of what is agreed. It is never changed once it is shown.
 type View struct {
@@ -45,50 +45,50 @@
 func (v *View) LeaseHeld(now time.Duration) bool { return now < v.LeaseEnd }
 
 // View is the newest.
-func (f *Participant) View() *View { return f.view.Load() }
+func (f *Participant) View() *View { return f.latestView.Load() }
 
 // Now is the clock of views.
-func (f *Participant) Now() time.Duration { return f.o.Now() }
+func (f *Participant) Now() time.Duration { return f.options.Now() }
 
-// show makes a view.
-func (f *Participant) show(now time.Duration) {
+// updateView makes a view.
+func (f *Participant) updateView(now time.Duration) {
 	s := f.state
-	v := &View{Index: s.AppliedIndex(), Connected: f.lease.held(now), Since: f.lease.since, LeaseEnd: f.lease.until, Leader: f.lease.leader,
-		Incarnation: f.inc, Epoch: s.Epoch(), Halted: f.halted, MustExit: f.mustGo()}
-	old := f.view.Load()
-	if v.Epoch == old.Epoch && v.Epoch != 0 && !f.nodesMoved {
+	v := &View{Index: s.AppliedIndex(), Connected: f.session.runsAt(now), Since: f.session.since, LeaseEnd: f.session.expiresAt, Leader: f.session.leader,
+		Incarnation: f.incarnation, Epoch: s.Epoch(), Halted: f.haltedBy, MustExit: f.mustExit()}
+	old := f.latestView.Load()
+	if v.Epoch == old.Epoch && v.Epoch != 0 && !f.nodesChanged {
 		v.Nodes = old.Nodes
 	} else {
 		v.Nodes = s.Nodes()
 	}
-	f.nodesMoved = false
-	if f.alive() {
-		v.Self, _ = s.Broker(f.o.Slot)
-		v.Permit, _ = s.BrokerPermit(f.o.Slot)
-		v.Lease, _ = s.Lease(f.o.Slot)
-		v.AcknowledgedPolicy = s.AcknowledgedPolicy(f.o.Slot)
+	f.nodesChanged = false
+	if f.isRegistered() {
+		v.Self, _ = s.Broker(f.options.Slot)
+		v.Permit, _ = s.BrokerPermit(f.options.Slot)
+		v.Lease, _ = s.Lease(f.options.Slot)
+		v.AcknowledgedPolicy = s.AcknowledgedPolicy(f.options.Slot)
 	}
-	me := statemachine.BrokerIncarnation{Slot: f.o.Slot, Incarnation: f.inc}
+	me := statemachine.BrokerIncarnation{Slot: f.options.Slot, Incarnation: f.incarnation}
 	for _, d := range s.Drains() {
 		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acknowledged, me)})
 	}
 	policies := s.Policies()
 	v.Policy = policies.InForce
 	v.WaitingPolicy = policies.Waiting
-	f.view.Store(v)
+	f.latestView.Store(v)
 	select {
-	case f.fresh <- struct{}{}:
+	case f.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-// publish hands views over; whoever takes them slowly gets the newest.
-func (f *Participant) publish(ctx context.Context) {
+// deliverViews hands views over; whoever takes them slowly gets the newest.
+func (f *Participant) deliverViews(ctx context.Context) {
 	for {
 		select {
-		case <-f.fresh:
-			if f.o.OnView != nil {
-				f.o.OnView(f.view.Load())
+		case <-f.viewChanged:
+			if f.options.OnView != nil {
+				f.options.OnView(f.latestView.Load())
 			}
 		case <-ctx.Done():
 			return
--- a/internal/cluster/controlplane/wire.go
+++ b/internal/cluster/controlplane/wire.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	protocol  = 1
-	maxFrame  = 4 << 20
-	maxHello  = 4 << 10   // until the hello is read
-	pieceOf   = 256 << 10 // of a snapshot in one frame
-	maxWhole  = 256 << 20 // a snapshot
-	maxName   = 64
-	maxDepth  = 6
-	maxBatch  = 4096 // of anything in one frame
-	maxTopics = 8
+	wireProtocol       = 1
+	maxFrameBytes      = 4 << 20
+	maxHelloBytes      = 4 << 10   // until the hello is read
+	snapshotPieceBytes = 256 << 10 // of a snapshot in one frame
+	maxSnapshotBytes   = 256 << 20 // a snapshot
+	maxNameBytes       = 64
+	maxPathLength      = 6
+	maxBatch           = 4096 // of anything in one frame
+	maxTopics          = 8
 )
 
 // letters of the frames.
 const (
-	letterHello  = 'h'
-	letterRaft   = 'r' // a packet between voters, as it is
-	letterFollow = 'f'
-	letterOther  = 'o' // no room: others that have it
-	letterFeed   = 'e'
-	letterPiece  = 's' // of a snapshot
-	letterUp     = 'u'
-	letterDown   = 'd'
-	letterBeat   = 'b'
-	letterAsk    = 'q'
-	letterSaid   = 'a'
+	frameHello         = 'h'
+	framePacket        = 'r' // a packet between voters, as it is
+	frameFollow        = 'f'
+	frameRedirect      = 'o' // no room: others that have it
+	frameFeed          = 'e'
+	frameSnapshotPiece = 's' // of a snapshot
+	frameUpstream      = 'u'
+	frameGrants        = 'd'
+	frameHeartbeat     = 'b'
+	frameRequest       = 'q'
+	frameResponse      = 'a'
 )
 
 // Role is what a side of a connection came for.
@@ -50,96 +50,96 @@
 	roleOperator
 )
 
-type hello struct {
+type helloFrame struct {
 	Protocol int    `cbor:"1,keyasint"`
 	Role     role   `cbor:"2,keyasint"`
 	Name     string `cbor:"3,keyasint"`
 	Listen   string `cbor:"4,keyasint,omitempty"` // where others may follow this one
 }
 
-type follow struct {
+type followFrame struct {
 	Index uint64 `cbor:"1,keyasint"` // applied already
 }
 
-type other struct {
+type redirectFrame struct {
 	Addrs []string `cbor:"1,keyasint,omitempty"`
 }
 
-type entry struct {
+type feedEntry struct {
 	Index uint64 `cbor:"1,keyasint"`
 	Data  []byte `cbor:"2,keyasint"`
 }
 
-type feed struct {
-	Prev    uint64  `cbor:"1,keyasint"` // the index before the first of them
-	Entries []entry `cbor:"2,keyasint"`
+type feedFrame struct {
+	Previous uint64      `cbor:"1,keyasint"` // the index before the first of them
+	Entries  []feedEntry `cbor:"2,keyasint"`
 }
 
-type piece struct {
-	Index uint64 `cbor:"1,keyasint"` // that the snapshot stands for
-	Total int    `cbor:"2,keyasint"`
-	At    int    `cbor:"3,keyasint"`
-	Data  []byte `cbor:"4,keyasint"`
+type snapshotPiece struct {
+	Index  uint64 `cbor:"1,keyasint"` // that the snapshot stands for
+	Total  int    `cbor:"2,keyasint"`
+	Offset int    `cbor:"3,keyasint"`
+	Data   []byte `cbor:"4,keyasint"`
 }
 
-// renewal asks for the session's lease.
-type renewal struct {
-	Slot  uint32 `cbor:"1,keyasint"`
-	Inc   uint64 `cbor:"2,keyasint"`
-	Token uint64 `cbor:"3,keyasint"`
+// leaseRenewal asks for the session's lease.
+type leaseRenewal struct {
+	Slot        uint32 `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Token       uint64 `cbor:"3,keyasint"`
 }
 
-type report struct {
-	Slot uint32 `cbor:"1,keyasint"`
-	Inc  uint64 `cbor:"2,keyasint"`
-	Data []byte `cbor:"3,keyasint"`
+type reportFrame struct {
+	Slot        uint32 `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Data        []byte `cbor:"3,keyasint"`
 }
 
-type up struct {
-	Renewals []renewal `cbor:"1,keyasint,omitempty"`
-	Entries  [][]byte  `cbor:"2,keyasint,omitempty"` // proposed
-	Reports  []report  `cbor:"3,keyasint,omitempty"`
+type upstreamFrame struct {
+	Renewals []leaseRenewal `cbor:"1,keyasint,omitempty"`
+	Entries  [][]byte       `cbor:"2,keyasint,omitempty"` // proposed
+	Reports  []reportFrame  `cbor:"3,keyasint,omitempty"`
 }
 
-type down struct {
-	Lease  int64     `cbor:"1,keyasint"` // nanoseconds
-	Leader string    `cbor:"2,keyasint"`
-	Grants []renewal `cbor:"3,keyasint"`
+type grantsFrame struct {
+	Lease  int64          `cbor:"1,keyasint"` // nanoseconds
+	Leader string         `cbor:"2,keyasint"`
+	Grants []leaseRenewal `cbor:"3,keyasint"`
 }
 
-type beat struct {
-	Path  []string        `cbor:"1,keyasint,omitempty"` // from a voter down to this side; empty: it follows nobody now
-	Room  int             `cbor:"2,keyasint,omitempty"` // followers that it would take yet
-	Token uint64          `cbor:"3,keyasint,omitempty"`
-	Echo  uint64          `cbor:"4,keyasint,omitempty"` // the last token of the other side's
-	Facts map[string]fact `cbor:"5,keyasint,omitempty"`
+type heartbeatFrame struct {
+	Path         []string             `cbor:"1,keyasint,omitempty"` // from a voter down to this side; empty: it follows nobody now
+	FollowerRoom int                  `cbor:"2,keyasint,omitempty"` // followers that it would take yet
+	Token        uint64               `cbor:"3,keyasint,omitempty"`
+	Echo         uint64               `cbor:"4,keyasint,omitempty"` // the last token of the other side's
+	Topics       map[string]topicData `cbor:"5,keyasint,omitempty"`
 }
 
-type fact struct {
-	Data []byte `cbor:"1,keyasint"`
-	Held int64  `cbor:"2,keyasint,omitempty"` // nanoseconds since it was collected
+type topicData struct {
+	Data  []byte `cbor:"1,keyasint"`
+	AgeNS int64  `cbor:"2,keyasint,omitempty"` // nanoseconds since it was collected
 }
 
-type ask struct {
+type requestFrame struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Verb string `cbor:"2,keyasint"`
 	Body []byte `cbor:"3,keyasint,omitempty"`
 }
 
-type said struct {
+type responseFrame struct {
 	ID     uint64 `cbor:"1,keyasint"`
 	Body   []byte `cbor:"2,keyasint,omitempty"`
-	Fault  string `cbor:"3,keyasint,omitempty"`
+	Error  string `cbor:"3,keyasint,omitempty"`
 	Remedy string `cbor:"4,keyasint,omitempty"`
 	Leader string `cbor:"5,keyasint,omitempty"` // the name of whoever leads
 
-	Elsewhere bool `cbor:"6,keyasint,omitempty"` // this side does not lead; nothing was done
+	NotLeader bool `cbor:"6,keyasint,omitempty"` // this side does not lead; nothing was done
 }
 
 var (
-	errFrame    = errors.New("bad frame")
-	encoding, _ = cbor.EncOptions{}.EncMode()
-	decoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 8}.DecMode()
+	errMalformedFrame = errors.New("bad frame")
+	encoding, _       = cbor.EncOptions{}.EncMode()
+	decoding, _       = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 8}.DecMode()
 )
 
 func frame(letter byte, body any) []byte {
@@ -162,7 +162,7 @@
 	}
 	n := int64(binary.LittleEndian.Uint32(head[:])) - 1
 	if n < 0 || n > int64(most) {
-		return 0, nil, fmt.Errorf("%w: length %d", errFrame, n)
+		return 0, nil, fmt.Errorf("%w: length %d", errMalformedFrame, n)
 	}
 	var b bytes.Buffer
 	if _, err := io.CopyN(&b, r, n); err != nil {
@@ -173,7 +173,7 @@
 
 func decode[T any](b []byte) (v T, err error) {
 	if err = decoding.Unmarshal(b, &v); err != nil {
-		err = fmt.Errorf("%w: %v", errFrame, err)
+		err = fmt.Errorf("%w: %v", errMalformedFrame, err)
 	}
 	return v, err
 }
