--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns the way in for fronts on other protocols: the life of one of their searches, and their start and stop with the
-// broker's. What they ask goes through the same loop, door, module and rules as HTTP's. It must never let one past any of them.
-
 import (
 	"context"
 	"crypto/rand"
@@ -14,61 +11,93 @@
 	"flaxfront/internal/server/query"
 )
 
-// Front is a listener on another protocol.
+// Front is a listener on a protocol other than HTTP. Its queries go through the same loop, admission, router and rules.
 type Front interface {
-	// Serve takes clients until ctx ends or Drain is called, and returns when the last has gone.
+	// Serve accepts clients until ctx ends or Drain is called, and returns when the last has gone.
 	Serve(ctx context.Context) error
-	// Drain takes no more clients, finishes what was asked and ends the others. It may be called once.
+	// Drain accepts no more clients, finishes the queries in flight and closes the other connections. It may be called once.
 	Drain()
 }
 
-// ErrStopping is what a search gets that comes too late.
+// ErrStopping is returned for a query that comes after the broker has ended.
 var ErrStopping = errors.New("the broker is stopping")
 
 // AddFront has a front start and stop with the broker. It comes before Run.
 func (s *Server) AddFront(f Front) { s.fronts = append(s.fronts, f) }
 
-// Settings are the settings in force.
+// Settings are the settings in force. They may be read from any goroutine.
 func (s *Server) Settings() *terms.Terms { return s.settings.Load() }
 
 // Uptime is the time since the broker's start.
 func (s *Server) Uptime() time.Duration { return s.loop.since() }
 
-// NewRequestID makes a search's id.
+const requestIDBytes = 8
+
+// NewRequestID makes a random id for a query.
 func NewRequestID() string {
-	var b [8]byte
+	var b [requestIDBytes]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// RunQuery is the life of a search of another front: from here to its one verdict. When ctx ends its client has gone, and the search is
-// left.
-func (s *Server) RunQuery(ctx context.Context, a *Query) (QueryResult, error) {
-	q := &search{Request: &query.Request{ID: a.ID, Type: a.Type, Tenant: a.Tenant, Client: a.Client, Retry: a.Retry, Timeout: a.Timeout, Text: a.Text},
-		arrival: s.loop.since(), deadline: s.loop.since() + a.Timeout, result: make(chan query.Result, 1)}
-	for i, shard := range a.Shards {
-		q.Request.Shards = append(q.Request.Shards, query.ShardRequest{Name: query.ShardRequestName(a.ID, shard), Shard: shard, Weight: a.Weights[i]})
-	}
-	if !s.deliver(queryReceived{q}) {
+// RunQuery submits the query of another front and waits for its result. The end of ctx abandons the query: its client has left. The error
+// is that of ctx, or ErrStopping.
+func (s *Server) RunQuery(ctx context.Context, q *Query) (QueryResult, error) {
+	arrival := s.loop.since()
+	pending, ok := s.submit(query.Submission{Request: q.request(), Arrival: arrival}, arrival+q.Timeout)
+	if !ok {
 		return QueryResult{}, ErrStopping
 	}
-	overdue := time.NewTimer(a.Timeout)
-	defer overdue.Stop()
+	deadline := time.NewTimer(q.Timeout)
+	defer deadline.Stop()
 	for {
 		select {
-		case v := <-q.result:
-			out := QueryResult{Answered: v.Outcome == query.Answered, Complete: v.Complete, Shed: v.Outcome == query.Shed, RetryAfter: v.RetryAfter}
-			for _, p := range v.Answers {
-				out.Shards, out.Values = append(out.Shards, p.Shard), append(out.Values, p.Value)
-			}
-			return out, nil
-		case <-overdue.C:
-			s.deliver(queryAbandoned{q, query.DeadlinePassed}) // a verdict comes of it
+		case r := <-pending.Result():
+			return newQueryResult(&r), nil
+		case <-deadline.C:
+			pending.Abandon(query.DeadlinePassed) // and a result comes
 		case <-ctx.Done():
-			s.deliver(queryAbandoned{q, query.ClientDeparted})
+			pending.Abandon(query.ClientDeparted)
 			return QueryResult{}, ctx.Err()
 		case <-s.ctx.Done():
 			return QueryResult{}, ErrStopping
 		}
 	}
 }
+
+// request is a query as the loop takes it.
+func (q *Query) request() *query.Request {
+	r := &query.Request{
+		ID:      q.ID,
+		Type:    q.Type,
+		Tenant:  q.Tenant,
+		Client:  q.Client,
+		Retry:   q.Retry,
+		Timeout: q.Timeout,
+		Text:    q.Text,
+		Hint:    q.Hint,
+		Shards:  make([]query.ShardRequest, len(q.Shards)),
+	}
+	for i, shard := range q.Shards {
+		r.Shards[i] = query.ShardRequest{Name: query.ShardRequestName(q.ID, shard), Shard: shard, Weight: q.Weights[i]}
+	}
+	return r
+}
+
+func newQueryResult(r *query.Result) QueryResult {
+	out := QueryResult{
+		Answered:   r.Outcome == query.Answered,
+		Complete:   r.Complete,
+		Shed:       r.Outcome == query.Shed,
+		RetryAfter: r.RetryAfter,
+		Hinted:     r.Hinted,
+		Positions:  r.Positions,
+		Behind:     r.Behind,
+		Staleness:  r.Staleness,
+	}
+	for _, a := range r.Answers {
+		out.Shards = append(out.Shards, a.Shard)
+		out.Values = append(out.Values, a.Value)
+	}
+	return out
+}
--- a/internal/server/ingress/body.go
+++ b/internal/server/ingress/body.go
@@ -26,7 +26,8 @@
 	b, ok := scanBody(body)
 	if !ok {
 		var err error
-		if b, err = unmarshalBody(body); err != nil {
+		b, err = unmarshalBody(body)
+		if err != nil {
 			return err
 		}
 	}
--- a/internal/server/ingress_broker.go
+++ b/internal/server/ingress_broker.go
@@ -9,12 +9,16 @@
 
 var _ ingress.Broker = (*Server)(nil)
 
-// Submit hands a query to the loop; false: the broker has ended. It waits while the loop's queue is full.
+// Submit hands the query of an HTTP client to the loop; false: the broker has ended. It waits while the loop's queue is full.
 func (s *Server) Submit(r query.Submission) (query.Pending, bool) {
+	return s.submit(r, s.answerBy(r.Arrival, r.Request.Timeout))
+}
+
+func (s *Server) submit(r query.Submission, deadline time.Duration) (query.Pending, bool) {
 	q := &search{
 		Request:             r.Request,
 		arrival:             r.Arrival,
-		deadline:            s.answerBy(r.Arrival, r.Request.Timeout),
+		deadline:            deadline,
 		connectionOverLimit: r.ConnectionOverLimit,
 		result:              make(chan query.Result, 1),
 		server:              s,
--- a/internal/server/query/result.go
+++ b/internal/server/query/result.go
@@ -31,6 +31,7 @@
 	Duplicate // another query of the same id is in flight
 )
 
+// String names the outcome, for log lines.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
