--- /dev/null
+++ b/internal/server/ingress/request_error_test.go
@@ -0,0 +1,37 @@
+package ingress
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"flaxfront/internal/server/query"
+	"flaxfront/internal/transport/httpwire"
+)
+
+// Each error of a request has a status, and can be told by its type.
+func TestRequestErrors(t *testing.T) {
+	plain := errors.New("plain")
+	fault := &httpwire.Fault{Status: 413, Why: "too long"}
+	for _, c := range []struct {
+		err    error
+		status int
+		detail string
+	}{
+		{requestError(404, "no query type %.40q", "x"), 404, `no query type "x"`},
+		{fmt.Errorf("read: %w", fault), 413, "too long"},
+		{plain, 400, "plain"},
+	} {
+		bad := asRequestError(c.err)
+		if bad.Status != c.status || bad.Detail != c.detail || bad.Error() != c.detail {
+			t.Errorf("%v: %+v", c.err, bad)
+		}
+	}
+	err := decodeBody(&query.Request{}, []byte(`{"tablets":`), settingsOf(t))
+	syntax, ok := errors.AsType[*json.SyntaxError](err)
+	if !ok || !strings.HasSuffix(err.Error(), syntax.Error()) {
+		t.Errorf("%v does not wrap what encoding/json says", err)
+	}
+}
