--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -72,7 +72,9 @@
 	for _, d := range s.Drains() {
 		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acknowledged, me)})
 	}
-	v.Policy, v.WaitingPolicy, _ = s.Policies()
+	policies := s.Policies()
+	v.Policy = policies.InForce
+	v.WaitingPolicy = policies.Waiting
 	f.view.Store(v)
 	select {
 	case f.fresh <- struct{}{}:
