--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file plays every order in which a client's bytes, its departure, a stop and the want of a descriptor can come to one connection,
+// Every order in which a client's bytes, its departure, a stop and the want of a descriptor can come to one connection,
 // each once the one before has been taken in: docs/acceptance.md.
 
 import (
@@ -103,13 +103,13 @@
 	asked, departed := slices.Index(course, requestCompletes), slices.Index(course, clientDeparts)
 	switch {
 	case asked < 0 && taken > 0:
-		t.Errorf("%s: a search was made of what was not whole", was)
+		t.Errorf("%s: a query was made of what was not whole", was)
 	case taken > 1:
-		t.Errorf("%s: %d searches of one request", was, taken)
+		t.Errorf("%s: %d queries of one request", was, taken)
 	case taken == 1 && (err != nil || m.Status != 200) && departed < 0:
 		t.Errorf("%s: taken and not answered whole (%s): %v", was, reason, err)
 	case asked >= 0 && taken == 0 && err == nil && m.Status < 400:
-		t.Errorf("%s: answered %d with no search", was, m.Status)
+		t.Errorf("%s: answered %d with no query", was, m.Status)
 	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]ingress.Reason{ingress.Drained, ingress.Spare, ingress.ClientDeparted}, reason):
 		t.Errorf("%s: neither taken nor closed for a reason: %s", was, reason)
 	}
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests what becomes of client connections: kept, useless, gone, crowded, and at a stop.
+// Tests of what becomes of client connections: kept, useless, gone, crowded, and at a stop.
 
 import (
 	"fmt"
@@ -56,7 +56,7 @@
 	}
 }
 
-// SIGTERM: what is in hand is answered, who still comes is served, and then it ends without a fault.
+// SIGTERM: what is in flight is answered, who still comes is served, and then it ends without a fault.
 func TestStop(t *testing.T) {
 	s, end := runServer(t, 1024)
 	enough := make(chan time.Time)
@@ -84,7 +84,7 @@
 		t.Errorf("idle connection: %v", err)
 	}
 	if m := busy.readResponse(); m.Status != 504 || !m.Close {
-		t.Errorf("in hand: %d, closed %v", m.Status, m.Close)
+		t.Errorf("in flight: %d, closed %v", m.Status, m.Close)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
@@ -96,7 +96,7 @@
 }
 
 // Where descriptors run short an idle connection gives way, or one whose request does not come, never one with a
-// search in hand.
+// query in flight.
 func TestIdleConnectionsGiveWay(t *testing.T) {
 	s, _ := runServer(t, spareSockets+6) // two for nodes, four for clients
 	busy := dial(t, s)
@@ -117,7 +117,7 @@
 	}
 }
 
-// Every search whose connection was taken gets its answer, however many come at once: a new connection was closed
+// Every query whose connection was taken gets its answer, however many come at once: a new connection was closed
 // for the next before its request was read, and with all busy new ones waited until their clients gave up.
 func TestCrowd(t *testing.T) {
 	s, _ := runServer(t, spareSockets+6)
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests clients that leave, and what lies unread on their connections, in the orders that go wrong: docs/acceptance.md.
+// Tests of clients that leave, and what lies unread on their connections, in the orders that go wrong: docs/acceptance.md.
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// waitASecond waits for a state that must come soon, and well before any deadline of the test's searches.
+// waitASecond waits for a state that must come soon, and well before any deadline of the test's queries.
 func waitASecond(t *testing.T, s *Server, what string, reached func(Counters) bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !reached(s.Counters()); {
@@ -27,15 +27,15 @@
 	}
 }
 
-// A client that has sent more while its search is in hand, and then leaves, is noticed at once, however much it has sent: the search
+// A client that has sent more while its query is in flight, and then leaves, is noticed at once, however much it has sent: the query
 // is left, what was sent behind it is never begun, and a connection that comes up later carries nothing of it.
 func TestDepartureBehindBytesIsSeen(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	n := uint64(0)
 	for what, behind := range map[string]string{
 		"a stray byte":      "x",
-		"another search":    postUnanswered("b", "1900"),
-		"many searches":     strings.Repeat(postUnanswered("b", "1900"), 20),
+		"another query":     postUnanswered("b", "1900"),
+		"many queries":      strings.Repeat(postUnanswered("b", "1900"), 20),
 		"more than is kept": strings.Repeat("x", 4*ingress.MaxLookahead),
 	} {
 		for _, reset := range []bool{false, true} {
@@ -59,7 +59,7 @@
 	}
 }
 
-// A client that has gone before its request is read is not worked for: its connection waited to be accepted, or the process stood
+// A client that has left before its request is read is not worked for: its connection waited to be accepted, or the process stood
 // still meanwhile.
 func TestRequestOfDepartedClientIsNotBegun(t *testing.T) {
 	s, _ := runServer(t, 1024)
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file owns the stand-ins of this package's tests: a node, a caller, a broker started on loopback.
+// The stand-ins of this package's tests: a node, a caller, a broker started on loopback.
 
 import (
 	"bufio"
@@ -188,7 +188,7 @@
 	return fmt.Sprintf(requestHead+"Content-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// postUnanswered is a search that no node answers.
+// postUnanswered is a query that no node answers.
 func postUnanswered(id, ms string) string {
 	return strings.Replace(post(id, strings.Replace(body, "c41e", "hang", 1)), "1900", ms, 1)
 }
--- a/internal/server/ingress/helpers_test.go
+++ b/internal/server/ingress/helpers_test.go
@@ -1,6 +1,6 @@
 package ingress
 
-// This file owns the stand-ins of this package's tests.
+// The stand-ins of this package's tests.
 
 import (
 	"fmt"
--- a/internal/server/ingress/scan_test.go
+++ b/internal/server/ingress/scan_test.go
@@ -32,7 +32,7 @@
 	return out, len(out.shards) > 0
 }
 
-// FuzzScan: whatever the quick way takes, encoding/json reads the same; and the other way round what is written reads back.
+// FuzzScan: whatever the scanner takes, encoding/json reads the same; and the other way round what is written reads back.
 func FuzzScan(f *testing.F) {
 	for _, text := range []string{body, `{"tablets":[{"tablet":0,"fraction":1}],"statement":"c4"}`,
 		"{ \"statement\" : \"a\" , \"tablets\" : [ { \"fraction\" : 1e0 , \"tablet\" : 0 , \"token\" : \"00\" } ] }\n",
@@ -60,7 +60,7 @@
 	})
 }
 
-// The ordinary form goes the quick way.
+// The scanner takes the ordinary form.
 func TestScanTakesTheOrdinary(t *testing.T) {
 	if _, ok := scanBody([]byte(body)); !ok {
 		t.Error("the tests' body goes the slow way")
--- a/internal/server/ingress/slow_test.go
+++ b/internal/server/ingress/slow_test.go
@@ -1,6 +1,6 @@
 package ingress
 
-// This file tests that clients that are slow, or send what makes no sense, are told or closed in time.
+// Tests of clients that are slow or send what makes no sense: they are told or closed in time.
 
 import (
 	"fmt"
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests searches over sockets from end to end: asked, answered, refused, owed in time.
+// Tests of queries over sockets from end to end: asked, answered, refused, owed in time.
 
 import (
 	"encoding/json"
@@ -98,7 +98,7 @@
 		}
 	}
 	if m := dial(t, s).roundTrip(post("good", body)); m.Status != 200 {
-		t.Errorf("an ordinary search: %d %s", m.Status, m.Body)
+		t.Errorf("an ordinary query: %d %s", m.Status, m.Body)
 	}
 	slow, cut := dial(t, s), dial(t, s)
 	io.WriteString(cut, post("x", body)[:100])
