--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -19,10 +19,10 @@
 // admissionControl is the loop's part of it.
 type admissionControl struct {
 	*admission.Door
-	waiting         map[uint64]*search // by ticket
+	waiting         map[uint64]*activeQuery // by ticket
 	lastTicket      uint64
 	tenants         []string
-	admitted        []*search // let in since the last turn
+	admitted        []*activeQuery // let in since the last turn
 	schedulingDelay delayMeter
 }
 
@@ -42,7 +42,7 @@
 			return nil, &InvalidWeightsError{err}
 		}
 	}
-	return &admissionControl{admission.NewDoor(p), map[uint64]*search{}, 0, names, nil, delayMeter{}}, nil
+	return &admissionControl{admission.NewDoor(p), map[uint64]*activeQuery{}, 0, names, nil, delayMeter{}}, nil
 }
 
 // InvalidWeightsError are weights of the operators' file that do not fit the tenants of the settings.
@@ -84,7 +84,7 @@
 }
 
 // requestAdmission asks the door of a search; true: it may enter now.
-func (l *loop) requestAdmission(s *search) bool {
+func (l *loop) requestAdmission(s *activeQuery) bool {
 	d, now := l.admission, l.since()
 	d.lastTicket++
 	s.ticket, s.work = d.lastTicket, float64(len(s.Request.Shards))
@@ -106,7 +106,9 @@
 	return false
 }
 
-func (s *search) admissionTenant(d *admissionControl) int { return min(s.Tenant, len(d.tenants)-1) }
+func (s *activeQuery) admissionTenant(d *admissionControl) int {
+	return min(s.Tenant, len(d.tenants)-1)
+}
 
 // admissionTick lets in those that waited, or tells them when to come back; it returns when to come again.
 func (l *loop) admissionTick(now time.Duration) time.Duration {
@@ -135,14 +137,14 @@
 }
 
 // finishQueued gives a search that waited at the door its verdict.
-func (l *loop) finishQueued(s *search, v query.Result) {
+func (l *loop) finishQueued(s *activeQuery, v query.Result) {
 	l.deliverResult(s, v)
 	l.counters.InHand--
 	delete(l.requestIDs, s.Request.ID)
 }
 
 // abandonQueued forgets a search that waits, as its client has gone or its time is over.
-func (l *loop) abandonQueued(s *search) {
+func (l *loop) abandonQueued(s *activeQuery) {
 	l.admission.Gone(s.admissionTenant(l.admission), s.ticket)
 	delete(l.admission.waiting, s.ticket)
 	s.queued, s.done = false, true
@@ -151,7 +153,7 @@
 }
 
 // markAdmitted notes that the door let a search in.
-func (l *loop) markAdmitted(s *search, now time.Duration) {
+func (l *loop) markAdmitted(s *activeQuery, now time.Duration) {
 	s.admitted, s.admittedAt = true, now
 	l.admission.admitted = append(l.admission.admitted, s)
 }
@@ -168,7 +170,7 @@
 }
 
 // reportDone tells the door that a search which it let in has done; once.
-func (l *loop) reportDone(s *search, answered, refused bool) {
+func (l *loop) reportDone(s *activeQuery, answered, refused bool) {
 	if s.admitted {
 		s.admitted = false
 		now := l.since()
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -120,7 +120,7 @@
 	if l.admission, err = newAdmissionControl(&operator.Default().Door, &terms.Terms{}); err != nil {
 		t.Fatal(err)
 	}
-	s := &search{Request: &query.Request{ID: "a", Shards: []query.ShardRequest{{Name: "a.0", Weight: 1}}}, deadline: 5 * time.Second, result: make(chan query.Result, 1)}
+	s := &activeQuery{Request: &query.Request{ID: "a", Shards: []query.ShardRequest{{Name: "a.0", Weight: 1}}}, deadline: 5 * time.Second, result: make(chan query.Result, 1)}
 	now = 1 * time.Second
 	l.handle(queryReceived{s})
 	now = 1300 * time.Millisecond
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -141,7 +141,7 @@
 }
 
 // countResult adds a verdict to its class.
-func (a *controlPlaneView) countResult(s *search, v query.Result, now time.Duration) {
+func (a *controlPlaneView) countResult(s *activeQuery, v query.Result, now time.Duration) {
 	if s.Type < 0 || s.Type >= len(a.classes) {
 		return
 	}
--- a/internal/server/foreign.go
+++ b/internal/server/foreign.go
@@ -16,7 +16,7 @@
 
 // remoteQuery is a search of another site.
 type remoteQuery struct {
-	query  *search
+	query  *activeQuery
 	conn   *link.Conn // that asked last
 	result *link.Verdict
 }
@@ -98,7 +98,7 @@
 }
 
 // verifiedAnswer makes a verdict of the pieces that came, if they are what they are said to be (rule 5).
-func (s *search) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
+func (s *activeQuery) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
 	got, out := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
 	for _, p := range v.Pieces {
 		at := slices.IndexFunc(s.Request.Shards, func(a query.ShardRequest) bool { return a.Shard == p.Shard })
@@ -138,7 +138,7 @@
 		}
 	case forwarding.Run:
 		f := &remoteQuery{conn: c}
-		f.query = &search{Request: a, deadline: now + left, remote: true}
+		f.query = &activeQuery{Request: a, deadline: now + left, remote: true}
 		f.query.onResult = func(v query.Result) { l.sendRemoteResult(k, f, v) }
 		g.remote[k] = f
 		l.receive(f.query)
@@ -168,7 +168,7 @@
 }
 
 // cancelRemoteQuery ends another site's search that nobody waits for.
-func (l *loop) cancelRemoteQuery(s *search) {
+func (l *loop) cancelRemoteQuery(s *activeQuery) {
 	if !s.done {
 		l.events = append(l.events, decision.Event{Kind: decision.ClientDeparted, ID: s.id})
 		l.deliverResult(s, query.Result{Outcome: query.Failed})
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -26,8 +26,8 @@
 	incoming        *forwarding.Far
 	links           *link.Links
 	settings        *terms.Terms
-	conns           []*link.Conn       // standing, by peer
-	forwarded       map[uint64]*search // by the id that they had when they left
+	conns           []*link.Conn            // standing, by peer
+	forwarded       map[uint64]*activeQuery // by the id that they had when they left
 	remote          map[forwarding.Key]*remoteQuery
 	nextStatus      time.Duration // when the status is made anew
 	stopping        func() bool   // a planned stop is under way
@@ -39,12 +39,12 @@
 
 func newGateway(p forwarding.Policy, names []string, links *link.Links, t *terms.Terms, stop func() bool) *siteGateway {
 	return &siteGateway{outgoing: forwarding.NewNear(p, names), incoming: forwarding.NewFar(p), links: links, settings: t, stopping: stop,
-		conns: make([]*link.Conn, len(names)), forwarded: map[uint64]*search{}, remote: map[forwarding.Key]*remoteQuery{}}
+		conns: make([]*link.Conn, len(names)), forwarded: map[uint64]*activeQuery{}, remote: map[forwarding.Key]*remoteQuery{}}
 }
 
 // offerToSites tells whether a search that the module sheds goes abroad. The module has done with it; so has the loop, but for its
 // client and its id.
-func (l *loop) offerToSites(s *search) bool {
+func (l *loop) offerToSites(s *activeQuery) bool {
 	g := l.gateway
 	if g == nil || s.pin != nil { // what its reads need is known here alone
 		return false
@@ -99,7 +99,7 @@
 }
 
 // encode is a search as the link carries it.
-func (g *siteGateway) encode(s *search, a forwarding.Act) link.Ask {
+func (g *siteGateway) encode(s *activeQuery, a forwarding.Act) link.Ask {
 	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.settings.Types[s.Type], Repeat: s.Retry,
 		Request: s.Request.ID, Text: s.Text}
 	if len(g.settings.Tenants) > 0 {
@@ -112,13 +112,13 @@
 }
 
 // finishForwarded gives a search that was abroad its verdict.
-func (l *loop) finishForwarded(s *search, id uint64, v query.Result) {
+func (l *loop) finishForwarded(s *activeQuery, id uint64, v query.Result) {
 	l.deliverResult(s, v)
 	l.forgetForwarded(s, id)
 }
 
 // forgetForwarded forgets a search that was abroad.
-func (l *loop) forgetForwarded(s *search, id uint64) {
+func (l *loop) forgetForwarded(s *activeQuery, id uint64) {
 	s.done = true
 	l.counters.InHand--
 	delete(l.gateway.forwarded, id)
@@ -126,7 +126,7 @@
 }
 
 // takeBack hands a search to the module once more, as a new one with the time that is left.
-func (l *loop) takeBack(s *search, a forwarding.Act) {
+func (l *loop) takeBack(s *activeQuery, a forwarding.Act) {
 	delete(l.gateway.forwarded, a.ID)
 	s.forwarded, s.takenBack, s.mayHaveRun = false, true, a.Risk
 	if l.slotsUsed+1+len(s.Request.Shards) > l.maxInFlight {
@@ -141,7 +141,7 @@
 }
 
 // shedResult is the verdict on a search that is shed: one that may have run elsewhere can't say that asking again is harmless.
-func (s *search) shedResult(v query.Result, l *loop) query.Result {
+func (s *activeQuery) shedResult(v query.Result, l *loop) query.Result {
 	if v.Outcome == query.Shed && s.mayHaveRun && l.queryTypes[s.Type].Idempotency != decision.Idempotent {
 		return query.Result{Outcome: query.Failed}
 	}
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -36,14 +36,14 @@
 	pollFailed          bool                               // the last call to discovery failed
 	nextID              uint64
 	slotsUsed           int
-	queries             map[uint64]*search
-	queryOfShardRequest map[uint64]*search // of parts
-	requestIDs          map[string]bool    // request ids in hand
-	events              []decision.Event   // for the next turn
+	queries             map[uint64]*activeQuery
+	queryOfShardRequest map[uint64]*activeQuery // of parts
+	requestIDs          map[string]bool         // request ids in hand
+	events              []decision.Event        // for the next turn
 	spareEvents         []decision.Event
 	actions             []decision.Action
 	batches             []batch
-	finished            []*search
+	finished            []*activeQuery
 	timerAt             time.Duration // 0: none
 	counters            QueryCounters
 	cachedList          *cachedEndpointList // nil: no list is kept
@@ -67,7 +67,7 @@
 func newLoop(start time.Time, module decision.Router, t *decision.Settings) *loop {
 	return &loop{start: start, clock: func() time.Duration { return time.Since(start) }, logDecision: logModule, router: module, queryTypes: t.QueryTypes, cells: t.Cells, maxInFlight: t.MaxInFlight, maxRetryAfter: t.MaxRetryAfter, maxBatch: t.MaxBatch,
 		inbox: make(chan any, queueDepth), nodes: map[decision.NodeID]discovery.Node{}, nextID: 1,
-		queries: map[uint64]*search{}, queryOfShardRequest: map[uint64]*search{}, requestIDs: map[string]bool{},
+		queries: map[uint64]*activeQuery{}, queryOfShardRequest: map[uint64]*activeQuery{}, requestIDs: map[string]bool{},
 		pollDiscovery: func() {}, sendGossip: func(string) {}}
 }
 
--- a/internal/server/pins.go
+++ b/internal/server/pins.go
@@ -56,7 +56,7 @@
 
 // pinQuery finds the eligible holders of a search's parts. A part without one is given to the module with none: what the search's floor
 // allows is answered without it, and else it is refused with the time to return.
-func (l *loop) pinQuery(s *search) {
+func (l *loop) pinQuery(s *activeQuery) {
 	h, n := s.Request.Hint, len(s.Request.Shards)
 	q := &pinnedQuery{ask: readpin.Requirement{ReceivedAt: s.arrival, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale}, requests: make([]pinnedRequest, n)}
 	if h.Scope != readhint.ScopeNone {
@@ -74,7 +74,7 @@
 }
 
 // allowedReplicas narrows the holders of a part; nil: any will do.
-func (s *search) allowedReplicas(i int) *decision.AllowedReplicas {
+func (s *activeQuery) allowedReplicas(i int) *decision.AllowedReplicas {
 	if s.pin == nil {
 		return nil
 	}
@@ -82,7 +82,7 @@
 }
 
 // countPinnedAttempt counts a part that goes out.
-func (l *loop) countPinnedAttempt(s *search, t *store.Part, now time.Duration) {
+func (l *loop) countPinnedAttempt(s *activeQuery, t *store.Part, now time.Duration) {
 	if s.pin != nil {
 		t.Tag = s.pin.ask.Pin
 	}
@@ -116,7 +116,7 @@
 }
 
 // annotateResult has a verdict say what its client has to know.
-func (l *loop) annotateResult(s *search, v *query.Result) {
+func (l *loop) annotateResult(s *activeQuery, v *query.Result) {
 	switch {
 	case s.pin == nil:
 	case v.Outcome == query.Shed && v.RetryAfter > 0 && s.pin.eligibleAfter > 0 && s.lacksEligibleReplica():
@@ -127,7 +127,7 @@
 }
 
 // lacksEligibleReplica tells whether a part lacks a holder that is fresh enough.
-func (s *search) lacksEligibleReplica() bool {
+func (s *activeQuery) lacksEligibleReplica() bool {
 	for i := range s.requests {
 		if !s.requests[i].answered && len(s.pin.requests[i].allowed.Nodes) == 0 {
 			return true
@@ -137,7 +137,7 @@
 }
 
 // annotateAnswer states the positions and the age of what is in.
-func (l *loop) annotateAnswer(s *search, v *query.Result) {
+func (l *loop) annotateAnswer(s *activeQuery, v *query.Result) {
 	oldest, behind := l.since(), []int{}
 	for i := range s.requests {
 		if !s.requests[i].answered {
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -8,7 +8,7 @@
 )
 
 // resultOf makes the final answer of the module's word and the values that are in.
-func (s *search) resultOf(a *decision.Action) query.Result {
+func (s *activeQuery) resultOf(a *decision.Action) query.Result {
 	switch a.Kind {
 	case decision.ShedQuery:
 		return query.Result{Outcome: query.Shed, RetryAfter: a.RetryAfter}
@@ -25,7 +25,7 @@
 }
 
 // deliverResult gives a search its one verdict and counts it.
-func (l *loop) deliverResult(s *search, v query.Result) {
+func (l *loop) deliverResult(s *activeQuery, v query.Result) {
 	switch v.Outcome {
 	case query.Answered:
 		l.counters.Answered++
--- a/internal/server/search.go
+++ b/internal/server/search.go
@@ -12,8 +12,8 @@
 	"flaxfront/internal/transport/store"
 )
 
-// search is one search in hand. The first fields are its life's, the others the loop's.
-type search struct {
+// activeQuery is one search in hand. The first fields are its life's, the others the loop's.
+type activeQuery struct {
 	*query.Request
 	arrival             time.Duration      // when it had come whole
 	deadline            time.Duration      // when its client gives up
@@ -75,7 +75,7 @@
 }
 
 // receive hands a search to the module, if there is a place for it and its parts.
-func (l *loop) receive(s *search) {
+func (l *loop) receive(s *activeQuery) {
 	l.counters.Taken++
 	n := len(s.Request.Shards)
 	if l.requestIDs[s.Request.ID] {
@@ -106,7 +106,7 @@
 }
 
 // submit gives a search in hand to the module, with the time that is left to it.
-func (l *loop) submit(s *search, left time.Duration) {
+func (l *loop) submit(s *activeQuery, left time.Duration) {
 	n := len(s.Request.Shards)
 	s.id = l.nextID
 	l.nextID += 1 + uint64(n)
@@ -128,7 +128,7 @@
 }
 
 // findShardRequest finds the search that a part belongs to, and its place there.
-func (l *loop) findShardRequest(id uint64) (*search, int) {
+func (l *loop) findShardRequest(id uint64) (*activeQuery, int) {
 	if s := l.queryOfShardRequest[id]; s != nil {
 		return s, int(id - s.id - 1)
 	}
@@ -136,7 +136,7 @@
 }
 
 // finish takes a search out of hand; it is forgotten once the actions of its last turn are carried out.
-func (l *loop) finish(s *search) {
+func (l *loop) finish(s *activeQuery) {
 	s.done = true
 	l.counters.InHand--
 	l.slotsUsed -= 1 + len(s.requests)
@@ -144,7 +144,7 @@
 }
 
 // cancelUnsent calls off what was not written to a node yet; it never is.
-func (l *loop) cancelUnsent(s *search) {
+func (l *loop) cancelUnsent(s *activeQuery) {
 	for i := range s.requests {
 		for _, t := range s.requests[i].attempts {
 			if !t.Written() {
@@ -155,7 +155,7 @@
 }
 
 // forget drops a search. What was not written to a node by now never is.
-func (l *loop) forget(s *search) {
+func (l *loop) forget(s *activeQuery) {
 	l.cancelUnsent(s)
 	for i := range s.requests {
 		delete(l.queryOfShardRequest, s.id+1+uint64(i))
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -15,9 +15,9 @@
 
 // What is delivered to the loop, beside store.Event.
 type (
-	queryReceived  struct{ s *search }
+	queryReceived  struct{ s *activeQuery }
 	queryAbandoned struct {
-		s     *search
+		s     *activeQuery
 		cause query.AbandonCause
 	}
 	listReceived struct {
