--- a/internal/decision/connlease/audit_test.go
+++ b/internal/decision/connlease/audit_test.go
@@ -10,16 +10,21 @@
 )
 
 var (
-	seeds   = flag.Int("seeds", 6, "runs of the audit")
-	brokers = flag.Int("brokers", 24, "brokers of the audit")
-	nodes   = flag.Int("nodes", 6, "nodes of the audit")
-	span    = flag.Duration("span", 90*time.Second, "virtual time of a run")
+	seedCount   = flag.Int("seeds", 6, "runs of the audit")
+	brokerCount = flag.Int("brokers", 24, "brokers of the audit")
+	nodeCount   = flag.Int("nodes", 6, "nodes of the audit")
+	runSpan     = flag.Duration("span", 90*time.Second, "virtual time of a run")
 )
 
-func play(seed uint64, change func(*world)) *world {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 9)), state: statemachine.New(), needs: map[statemachine.Slot][]ConnectionCount{}, count: map[statemachine.NodeID]int{}}
-	w.linger, w.stalls = 6*time.Second, 40
-	w.plans = []*BudgetPlan{newPlan(*nodes, *brokers*2), newPlan(*nodes, *brokers)}
+func playTier(seed uint64, change func(*simulatedTier)) *simulatedTier {
+	w := &simulatedTier{
+		random:  rand.New(rand.NewPCG(seed, 9)),
+		machine: statemachine.New(),
+		demands: map[statemachine.Slot][]ConnectionCount{},
+		countAt: map[statemachine.NodeID]int{},
+	}
+	w.linger, w.stallEvery = 6*time.Second, 40
+	w.plans = []*BudgetPlan{newPlan(*nodeCount, *brokerCount*2), newPlan(*nodeCount, *brokerCount)}
 	if change != nil {
 		change(w)
 	}
@@ -30,89 +35,89 @@
 	}
 	w.apply(epoch)
 	version := uint64(1)
-	w.policy(version, *brokers)
-	for i := range *brokers {
-		a := &agent{w: w, slot: statemachine.Slot(i), rate: 0.992 + w.chance.Float64()*0.016, want: map[LeaseKey]int{}}
+	w.proposePolicy(version, *brokerCount)
+	for i := range *brokerCount {
+		a := &simulatedBroker{tier: w, slot: statemachine.Slot(i), rate: 0.992 + w.random.Float64()*0.016, wanted: map[LeaseKey]int{}}
 		w.brokers = append(w.brokers, a)
 		w.start(a)
 	}
-	w.after(0, w.lead)
+	w.schedule(0, w.runLeader)
 	var trouble func()
 	trouble = func() {
-		a := w.brokers[w.chance.IntN(len(w.brokers))]
-		switch w.chance.IntN(16) {
+		a := w.brokers[w.random.IntN(len(w.brokers))]
+		switch w.random.IntN(16) {
 		default: // the demand shifts
-			a.shift(0)
+			a.shiftDemand(0)
 		case 0, 1: // stopped, mostly over its lease
 			a.stopped = true
-			w.after(w.upTo(20*time.Second), func() { a.stopped = false })
+			w.schedule(w.upTo(20*time.Second), func() { a.stopped = false })
 		case 2, 3: // cut off
-			a.cut = true
-			w.after(w.upTo(12*time.Second), func() { a.cut = false })
+			a.disconnected = true
+			w.schedule(w.upTo(12*time.Second), func() { a.disconnected = false })
 		case 4: // killed, and started anew
-			for _, c := range a.conns {
-				w.after(w.upTo(closing/2), func() { w.close(c) })
+			for _, c := range a.connections {
+				w.schedule(w.upTo(closeDelay/2), func() { w.close(c) })
 			}
 			a.incarnation++ // what runs ends
-			a.conns = nil
+			a.connections = nil
 			born := a.incarnation
-			w.after(closing+w.upTo(2*time.Second), func() {
+			w.schedule(closeDelay+w.upTo(2*time.Second), func() {
 				if a.incarnation == born {
 					w.start(a)
 				}
 			})
 		}
-		w.after(w.upTo(8*time.Second/time.Duration(len(w.brokers))), trouble)
+		w.schedule(w.upTo(8*time.Second/time.Duration(len(w.brokers))), trouble)
 	}
-	if w.calm {
+	if w.undisturbed {
 		for _, a := range w.brokers {
-			a.shift(5)
+			a.shiftDemand(5)
 		}
-		w.run(*span)
+		w.run(*runSpan)
 		return w
 	}
-	w.after(0, trouble)
+	w.schedule(0, trouble)
 	var agreed func()
 	agreed = func() {
-		if w.chance.IntN(2) == 0 {
+		if w.random.IntN(2) == 0 {
 			w.elect()
-		} else if w.policy(version+1, *brokers) == nil {
+		} else if w.proposePolicy(version+1, *brokerCount) == nil {
 			version++
 		}
-		w.after(5*time.Second+w.upTo(20*time.Second), agreed)
+		w.schedule(5*time.Second+w.upTo(20*time.Second), agreed)
 	}
-	w.after(10*time.Second, agreed)
-	w.run(*span)
+	w.schedule(10*time.Second, agreed)
+	w.run(*runSpan)
 	return w
 }
 
-// TestAudit counts connections at the nodes, at every instant, while everything breaks: never more than the budget.
-func TestAudit(t *testing.T) {
+// TestBudgetAudit counts connections at the nodes, at every instant, while everything breaks: never more than the budget.
+func TestBudgetAudit(t *testing.T) {
 	opened, versions := 0, uint64(0)
-	for seed := range uint64(*seeds) {
-		w := play(seed, nil)
-		if w.fault != "" {
-			t.Errorf("seed %d: %s", seed, w.fault)
+	for seed := range uint64(*seedCount) {
+		w := playTier(seed, nil)
+		if w.violation != "" {
+			t.Errorf("seed %d: %s", seed, w.violation)
 		}
-		p := w.state.Policies().InForce
-		opened, versions = opened+w.served, versions+p.Version-1
+		p := w.machine.Policies().InForce
+		opened, versions = opened+w.openedCount, versions+p.Version-1
 	}
-	t.Logf("%d runs of %v, %d brokers, %d nodes: %d connections opened, %d policies took over, never over a budget", *seeds, *span, *brokers,
-		*nodes, opened, versions)
+	t.Logf("%d runs of %v, %d brokers, %d nodes: %d connections opened, %d policies came into force, never over a budget",
+		*seedCount, *runSpan, *brokerCount, *nodeCount, opened, versions)
 	if opened < 1000 || versions == 0 {
 		t.Errorf("next to nothing happened: %d connections, %d policies", opened, versions)
 	}
 }
 
-// TestAuditFinds puts faults in on purpose: the audit must see what comes of them.
-func TestAuditFinds(t *testing.T) {
-	for name, change := range map[string]func(*world){
-		"a lease counted from the answer":        func(w *world) { w.wrong, w.linger, w.stalls = true, 2*time.Second, 6 },
-		"no wait for what a stopped broker left": func(w *world) { w.stuck = true },
+// TestBudgetAuditFindsFaults puts faults in on purpose: the audit must see what comes of them.
+func TestBudgetAuditFindsFaults(t *testing.T) {
+	for name, change := range map[string]func(*simulatedTier){
+		"a lease counted from the answer":        func(w *simulatedTier) { w.leaseFromAnswer, w.linger, w.stallEvery = true, 2*time.Second, 6 },
+		"no wait for what a stopped broker left": func(w *simulatedTier) { w.noLinger = true },
 	} {
 		found := ""
 		for seed := uint64(0); seed < 20 && found == ""; seed++ {
-			found = play(seed, change).fault
+			found = playTier(seed, change).violation
 		}
 		if t.Logf("%s: %s", name, found); found == "" {
 			t.Errorf("%s: not found in 20 runs", name)
--- a/internal/decision/connlease/baseline_test.go
+++ b/internal/decision/connlease/baseline_test.go
@@ -19,10 +19,10 @@
 // node that holds more than its budget serves as many searches fewer as it holds too many, down to none. One tenant floods.
 func TestBaselines(t *testing.T) {
 	const brokers, budget, steps = 60, 240, 1200
-	plan := newPlan(1, budget-brokers) // with a floor of one each
+	plan := newPlan(1, budget-brokers) // with one reserved for each
 	best := 0.0
 	for _, b := range []baseline{
-		{"divided by policy, under leases", leased(plan, brokers)},
+		{"divided by policy, under leases", leasedBaseline(plan, brokers)},
 		{"equal static split", func(at time.Duration, want, hold [][]int) {
 			chance := rand.New(rand.NewPCG(uint64(at), 5))
 			for b := range want {
@@ -56,7 +56,7 @@
 		}},
 	} {
 		byPolicy := b.name == "divided by policy, under leases"
-		served, quiet, asked, quietAsked, over := run(b, brokers, budget, steps)
+		served, quiet, asked, quietAsked, over := runBaseline(b, brokers, budget, steps)
 		t.Logf("%-32s %5.1f%% of searches served, of the quiet tenant's %5.1f%%; over the budget in %4.1f%% of the time", b.name,
 			100*served/asked, 100*quiet/quietAsked, 100*over/steps)
 		if byPolicy {
@@ -68,7 +68,7 @@
 	}
 }
 
-func run(way baseline, brokers, budget, steps int) (served, quiet, asked, quietAsked, over float64) {
+func runBaseline(way baseline, brokers, budget, steps int) (served, quiet, asked, quietAsked, over float64) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	want, hold := make([][]int, brokers), make([][]int, brokers)
 	for b := range want {
@@ -110,8 +110,8 @@
 	return
 }
 
-// leased divides every half second. What goes down is free a second later, when it is closed and acknowledged; what goes up waits.
-func leased(plan *BudgetPlan, brokers int) func(time.Duration, [][]int, [][]int) {
+// leasedBaseline divides every half second. What goes down is free a second later, when it is closed and acknowledged; what goes up waits.
+func leasedBaseline(plan *BudgetPlan, brokers int) func(time.Duration, [][]int, [][]int) {
 	var d fairshare.Divider
 	granted, freed := fairshare.NewTable(1, tenants, brokers), []int{} // units on their way back, by step
 	id := decision.NodeID{Port: 1}
@@ -158,12 +158,12 @@
 			}
 		}
 		for b := range want {
-			floor := 1
+			reserved := 1
 			for t := range want[b] {
 				hold[b][t] = min(want[b][t], granted.At(0, t, b))
-				if more := min(floor, want[b][t]-hold[b][t]); more > 0 {
+				if more := min(reserved, want[b][t]-hold[b][t]); more > 0 {
 					hold[b][t] += more
-					floor -= more
+					reserved -= more
 				}
 			}
 		}
--- a/internal/decision/connlease/shift_test.go
+++ b/internal/decision/connlease/demand_shift_test.go
@@ -7,18 +7,18 @@
 	"flaxfront/internal/decision/fairshare"
 )
 
-// TestShift has all demand move at once, and measures three leases later how far what brokers hold is from the ideal: the exact
+// TestDemandShift has all demand move at once, and measures three leases later how far what brokers hold is from the ideal: the exact
 // division of the needs with nothing to remember.
-func TestShift(t *testing.T) {
-	defer func(s time.Duration, b int) { *span, *brokers = s, b }(*span, *brokers)
-	*span, *brokers = 20*time.Second, 60
+func TestDemandShift(t *testing.T) {
+	defer func(s time.Duration, b int) { *runSpan, *brokerCount = s, b }(*runSpan, *brokerCount)
+	*runSpan, *brokerCount = 20*time.Second, 60
 	for seed := range uint64(3) {
-		w := play(seed, func(w *world) { w.calm = true })
+		w := playTier(seed, func(w *simulatedTier) { w.undisturbed = true })
 		for _, a := range w.brokers {
-			a.shift(6)
+			a.shiftDemand(6)
 		}
 		before := w.distance()
-		w.run(20*time.Second + 3*lease)
+		w.run(20*time.Second + 3*leaseDuration)
 		after := w.distance()
 		t.Logf("seed %d: %.1f%% of the units away from the ideal at the shift, %.1f%% three leases later", seed, 100*before, 100*after)
 		if before < 0.2 || after > 0.05 {
@@ -28,14 +28,14 @@
 }
 
 // distance is the share of units that are not where an exact division of what brokers want would have them.
-func (w *world) distance() float64 {
+func (w *simulatedTier) distance() float64 {
 	plan := w.plans[0]
 	need := fairshare.NewTable(len(plan.Nodes), tenants, len(w.brokers))
 	ideal := fairshare.NewTable(len(plan.Nodes), tenants, len(w.brokers))
 	for b, a := range w.brokers {
 		for n, id := range plan.Nodes {
 			for t := range tenants {
-				need.Set(n, t, b, a.want[LeaseKey{id, t}])
+				need.Set(n, t, b, a.wanted[LeaseKey{id, t}])
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 			}
 			odd := 0 // units that did not come out even: whose they are is the same
 			for b, a := range w.brokers {
-				want, held := min(need.At(n, t, b), level), a.holder.rows[LeaseKey{id, t}]
+				want, held := min(need.At(n, t, b), level), a.holder.leased[LeaseKey{id, t}]
 				all += ideal.At(n, t, b)
 				away += max(0, want-held)
 				odd += ideal.At(n, t, b) - want - max(0, held-want)
--- /dev/null
+++ b/internal/decision/connlease/grants.go
@@ -0,0 +1,121 @@
+package connlease
+
+import (
+	"slices"
+
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
+)
+
+const (
+	// maxGrantBytes bounds a grant, roughly: an entry that is too large for the log is never agreed, and its broker would get no
+	// other. A broker that needs thousands of pairs of node and tenant has its reserved connections beyond this.
+	maxGrantBytes = 160 << 10
+	rowBytes      = 12 // of a row without the tenant's name, roughly
+
+	unlimitedPool = 1 << 62 // connections
+)
+
+// available is what may be granted on top of what may still be held.
+type available struct {
+	byNode []int
+	pool   int // over all nodes
+}
+
+// raise gives as many of wanted connections at a node as are available.
+func (a *available) raise(node, wanted int) int {
+	n := min(wanted, a.byNode[node], a.pool)
+	if n <= 0 {
+		return 0
+	}
+	a.byNode[node] -= n
+	a.pool -= n
+	return n
+}
+
+// proposeGrants goes from what each broker has to its fair share: down at once, up as far as connections are available.
+func (g *Granter) proposeGrants(s *statemachine.State, plan *BudgetPlan, brokers []statemachine.Broker) (entries []statemachine.Entry) {
+	left := availableFor(s, plan)
+	for i := range brokers {
+		b := &brokers[i]
+		lease, _ := s.Lease(b.Slot)
+		if isAway(b) || isUnacknowledged(&lease, b) {
+			continue
+		}
+		rows, changed := g.grantRows(plan, i, left)
+		if changed {
+			slices.SortFunc(rows, statemachine.CompareLeaseRows)
+			entries = append(entries, &statemachine.GrantLease{
+				Slot:        b.Slot,
+				Incarnation: b.Incarnation,
+				Number:      lease.Number + 1,
+				Rows:        rows,
+			})
+		}
+	}
+	return entries
+}
+
+// isUnacknowledged tells that a broker's last grant still counts and this process has not acknowledged it. It gets no other: until
+// then it counts with the greatest of both, row by row.
+func isUnacknowledged(lease *statemachine.ConnectionLease, b *statemachine.Broker) bool {
+	return lease.Number > 0 && !lease.Ended && (!lease.Acknowledged || lease.Incarnation != b.Incarnation)
+}
+
+// grantRows is a broker's next grant, and whether it differs from what the broker has.
+func (g *Granter) grantRows(plan *BudgetPlan, broker int, left *available) (rows []statemachine.LeaseRow, changed bool) {
+	size := 0
+	for n, id := range plan.Nodes {
+		for t, name := range plan.Tenants {
+			has := g.granted.At(n, t, broker)
+			if size > maxGrantBytes && has == 0 {
+				continue
+			}
+			share := g.division.At(n, t, broker)
+			connections := min(share, has)
+			if share > has {
+				connections = has + left.raise(n, share-has)
+			}
+			changed = changed || connections != has
+			if connections > 0 {
+				rows = append(rows, statemachine.LeaseRow{Node: id, Tenant: name, Connections: uint64(connections)})
+				size += rowBytes + len(name)
+			}
+		}
+	}
+	return rows, changed
+}
+
+// availableFor is what the policy in force and the one that waits leave at each node, and what the plan leaves in the pool.
+func availableFor(s *statemachine.State, plan *BudgetPlan) *available {
+	left := &available{byNode: make([]int, len(plan.Nodes)), pool: unlimitedPool}
+	if plan.Pool != nil {
+		left.pool = plan.Pool.Units
+	}
+	waiting := s.Policies().Waiting
+	for i, id := range plan.Nodes {
+		n, _ := s.Node(id)
+		leasable := int64(n.Budget) - int64(n.Reserved)
+		if waiting != nil {
+			leasable = leasableUnder(waiting, id, leasable)
+		}
+		leased := int(n.Leased)
+		left.byNode[i] = max(0, min(int(leasable)-leased, plan.Budgets[i].Units-leased))
+		left.pool -= leased
+	}
+	left.pool = max(0, left.pool)
+	return left
+}
+
+// leasableUnder lowers what may be leased at a node to what a waiting policy allows: nothing, where it does not name the node.
+func leasableUnder(waiting *statemachine.ConnectionPolicy, id decision.NodeID, leasable int64) int64 {
+	i, found := slices.BinarySearchFunc(waiting.Budgets, id, func(b statemachine.NodeBudget, id decision.NodeID) int {
+		return statemachine.CompareNodes(b.Node, id)
+	})
+	if !found {
+		return 0
+	}
+	b := waiting.Budgets[i]
+	next := int64(b.Connections) - int64(uint64(waiting.MaxBrokers)*b.ReservedPerBroker)
+	return min(leasable, next)
+}
--- /dev/null
+++ b/internal/decision/connlease/simulated_broker_test.go
@@ -0,0 +1,208 @@
+package connlease
+
+import (
+	"fmt"
+	"time"
+
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
+)
+
+// simulatedBroker is a broker.
+type simulatedBroker struct {
+	tier            *simulatedTier
+	slot            statemachine.Slot
+	incarnation     uint64
+	rate            float64 // of its clock
+	holder          *Holder
+	demand          *DemandTracker
+	stopped         bool // SIGSTOP
+	disconnected    bool // from the tier
+	wanted          map[LeaseKey]int
+	connections     []*simulatedConnection
+	reservedVersion uint64 // version of the policy whose reserve it keeps to
+}
+
+// simulatedConnection is a connection. Seen is whether its node counts it.
+type simulatedConnection struct {
+	key            LeaseKey
+	counted, ended bool
+	lastUsed       time.Duration
+}
+
+// shiftDemand moves all that a broker wants; few says for how many of ten pairs of node and tenant it is nothing.
+func (a *simulatedBroker) shiftDemand(few int) {
+	for _, id := range a.tier.plans[0].Nodes {
+		for t := range tenants {
+			a.wanted[LeaseKey{id, t}] = 0
+			if a.tier.random.IntN(10) >= few {
+				a.wanted[LeaseKey{id, t}] = a.tier.random.IntN(7)
+			}
+		}
+	}
+}
+
+func (a *simulatedBroker) clock() time.Duration { return time.Duration(float64(a.tier.now) * a.rate) }
+
+// runLoop is a turn of the broker's loop.
+func (a *simulatedBroker) runLoop(born uint64) {
+	w := a.tier
+	if a.incarnation != born {
+		return
+	}
+	defer w.schedule(50*time.Millisecond, func() { a.runLoop(born) })
+	if a.stopped {
+		return
+	}
+	for i := 0; i < len(a.connections); i++ { // what nodes closed meanwhile
+		if a.connections[i].ended {
+			a.dropConnection(i, true)
+			i--
+		}
+	}
+	now := a.clock()
+	excess := a.holder.ExcessConnections(now)
+	for _, r := range excess.Counts {
+		for i := 0; i < len(a.connections) && r.Connections > 0; i++ {
+			if c := a.connections[i]; c.key == r.LeaseKey && (excess.Immediate || w.random.IntN(3) == 0) {
+				w.schedule(w.upTo(closeDelay/2), func() { w.close(c) })
+				a.dropConnection(i, false)
+				i, r.Connections = i-1, r.Connections-1
+			}
+		}
+	}
+	a.demand.Decay(now)
+	for _, c := range a.connections {
+		c.lastUsed = w.now
+	}
+	for _, b := range w.plans[0].Nodes {
+		for t := range tenants {
+			k := LeaseKey{b, t}
+			if a.demand.Observe(k, float64(a.wanted[k])); a.holder.open[k] < a.wanted[k] && a.tryOpen(k, now) {
+				c := &simulatedConnection{key: k, lastUsed: w.now}
+				a.connections = append(a.connections, c)
+				w.schedule(w.upTo(20*time.Millisecond), func() { w.open(c) })
+			}
+		}
+	}
+}
+
+func (a *simulatedBroker) tryOpen(k LeaseKey, now time.Duration) bool {
+	return a.holder.Open(k, now) != OpenDenied
+}
+
+func (a *simulatedBroker) dropConnection(i int, byNode bool) {
+	a.holder.RecordClosed(a.connections[i].key, byNode, a.clock())
+	a.connections = append(a.connections[:i], a.connections[i+1:]...)
+}
+
+// open is a connection that reaches its node, which counts it and ends it when nothing passed for long.
+func (w *simulatedTier) open(c *simulatedConnection) {
+	if c.ended {
+		return
+	}
+	c.counted = true
+	w.openedCount++
+	w.countAt[c.key.Node]++
+	p := w.machine.Policies().InForce
+	for _, b := range p.Budgets {
+		if b.Node == c.key.Node && w.countAt[b.Node] > int(b.Connections) {
+			w.violation = fmt.Sprintf("%v: node %v holds %d connections of %d", w.now, b.Node, w.countAt[b.Node], b.Connections)
+		}
+	}
+	w.idle(c)
+}
+
+func (w *simulatedTier) idle(c *simulatedConnection) {
+	if c.ended {
+		return
+	}
+	if w.now-c.lastUsed >= w.linger-100*time.Millisecond {
+		w.close(c)
+		return
+	}
+	w.schedule(c.lastUsed+w.linger-100*time.Millisecond-w.now, func() { w.idle(c) })
+}
+
+func (w *simulatedTier) close(c *simulatedConnection) {
+	if !c.ended && c.counted {
+		w.countAt[c.key.Node]--
+	}
+	c.ended = true
+}
+
+// renew is one renewal: the lease of the answer counts from before the question.
+func (a *simulatedBroker) renew(born uint64) {
+	w := a.tier
+	if a.incarnation != born {
+		return
+	}
+	defer w.schedule(400*time.Millisecond, func() { a.renew(born) })
+	if a.stopped || a.disconnected {
+		return
+	}
+	asked, rows := a.clock(), a.demand.AboveReserved(a.holder.reserved)
+	ack := a.holder.PendingAck(asked)
+	way, back := w.upTo(30*time.Millisecond), w.upTo(30*time.Millisecond)
+	if w.random.IntN(w.stallEvery) == 0 {
+		back += w.upTo(5 * time.Second) // a stalled link
+	}
+	w.schedule(way, func() {
+		if a.incarnation != born {
+			return
+		}
+		if h, _ := w.machine.Lease(a.slot); ack > 0 && h.Number == ack {
+			w.apply(&statemachine.AcknowledgeLease{Slot: a.slot, Incarnation: born, Number: ack})
+		}
+		w.granter.RecordRenewal(a.slot, born, w.now)
+		w.demands[a.slot] = rows
+		h, _ := w.machine.Lease(a.slot)
+		policies := w.machine.Policies()
+		inForce, waiting := policies.InForce, policies.Waiting
+		w.schedule(back, func() { a.handleAnswer(born, asked, ack, h, inForce, waiting) })
+	})
+}
+
+func (a *simulatedBroker) handleAnswer(
+	born uint64, asked time.Duration, ack uint64, h statemachine.ConnectionLease, inForce, waiting *statemachine.ConnectionPolicy,
+) {
+	w := a.tier
+	if a.stopped { // it waits in the socket
+		w.schedule(50*time.Millisecond, func() { a.handleAnswer(born, asked, ack, h, inForce, waiting) })
+		return
+	}
+	if a.incarnation != born {
+		return
+	}
+	a.holder.RecordAcked(ack)
+	if w.leaseFromAnswer {
+		asked = a.clock()
+	}
+	if h.Number > 0 && !h.Ended && h.Incarnation == born {
+		var rows []ConnectionCount
+		for _, r := range h.Granted {
+			rows = append(rows, ConnectionCount{LeaseKey{r.Node, int(r.Tenant[0] - 'a')}, int(r.Connections)})
+		}
+		a.holder.AcceptGrant(h.Number, rows, HolderExpiry(asked, leaseDuration))
+	}
+	newest := inForce
+	reserved := map[decision.NodeID]int{}
+	for _, b := range inForce.Budgets {
+		reserved[b.Node] = int(b.ReservedPerBroker)
+	}
+	if waiting != nil {
+		newest = waiting
+		for _, b := range waiting.Budgets {
+			reserved[b.Node] = min(reserved[b.Node], int(b.ReservedPerBroker))
+		}
+	}
+	if newest.Version >= a.reservedVersion {
+		a.holder.SetReserved(reserved, 0)
+		if newest.Version > a.reservedVersion && a.holder.WithinLease(a.clock()) {
+			a.reservedVersion = newest.Version
+			w.schedule(w.upTo(30*time.Millisecond), func() {
+				w.apply(&statemachine.AcknowledgePolicy{Slot: a.slot, Incarnation: born, Version: newest.Version})
+			})
+		}
+	}
+}
--- a/internal/decision/statemachine/connection_lease.go
+++ b/internal/decision/statemachine/connection_lease.go
@@ -5,7 +5,7 @@
 	if l.Ended {
 		return nil
 	}
-	return mergeLeaseRows(l.PossiblyHeld, l.Granted)
+	return mergeLeaseRows(l.Outstanding, l.Granted)
 }
 
 // changeLeased changes what a broker may hold, where that keeps every node within its budget; all is checked before any changes.
@@ -77,7 +77,7 @@
 	if err := s.changeLeased(before, mergeLeaseRows(before, e.Rows)); err != nil {
 		return 0, err
 	}
-	*lease = ConnectionLease{Incarnation: e.Incarnation, Number: e.Number, Granted: e.Rows, PossiblyHeld: before}
+	*lease = ConnectionLease{Incarnation: e.Incarnation, Number: e.Number, Granted: e.Rows, Outstanding: before}
 	return e.Number, nil
 }
 
@@ -112,7 +112,7 @@
 		return 0, err
 	}
 	s.adjustLeased(lease.upperBound(), lease.Granted)
-	lease.PossiblyHeld = nil
+	lease.Outstanding = nil
 	lease.Acknowledged = true
 	s.advancePolicy()
 	return e.Number, nil
@@ -121,7 +121,7 @@
 func (s *State) endLease(lease *ConnectionLease) {
 	s.adjustLeased(lease.upperBound(), nil)
 	lease.Granted = nil
-	lease.PossiblyHeld = nil
+	lease.Outstanding = nil
 	lease.Ended = true
 	s.pruneNodes()
 	s.advancePolicy()
--- a/internal/decision/statemachine/lease_model_test.go
+++ b/internal/decision/statemachine/lease_model_test.go
@@ -205,7 +205,10 @@
 	}
 	// The one asked a moment ago and was answered; the answer is on its way. The other may use what it is granted for long.
 	l.now, l.leaders[0].renewed = 1, [2]int{0, 9}
-	l.holders = [2]leaseHolder{{number: 1, connections: 2, expiry: 1, requestedAt: -1, answers: []leaseAnswer{{0, 0}}}, {expiry: 9, requestedAt: -1}}
+	l.holders = [2]leaseHolder{
+		{number: 1, connections: 2, expiry: 1, requestedAt: -1, answers: []leaseAnswer{{0, 0}}},
+		{expiry: 9, requestedAt: -1},
+	}
 	seed := maphash.MakeSeed()
 	seen := map[uint64]bool{l.key(seed): true}
 	level := []*leaseModel{l}
--- a/internal/decision/statemachine/replicas_test.go
+++ b/internal/decision/statemachine/replicas_test.go
@@ -88,7 +88,7 @@
 		for _, b := range s.Brokers() {
 			h, _ := s.Lease(b.Slot)
 			most := map[string]uint64{}
-			for _, r := range append(append([]LeaseRow{}, h.Granted...), h.PossiblyHeld...) {
+			for _, r := range append(append([]LeaseRow{}, h.Granted...), h.Outstanding...) {
 				if r.Node == n.Node {
 					most[r.Tenant] = max(most[r.Tenant], r.Connections)
 				}
--- a/internal/decision/statemachine/roster.go
+++ b/internal/decision/statemachine/roster.go
@@ -111,7 +111,7 @@
 	if b.Status != BrokerLost {
 		return 0, reject(ReasonInvalid, "broker %s is not lost", b.Name)
 	}
-	if len(b.lease.Granted)+len(b.lease.PossiblyHeld) > 0 {
+	if len(b.lease.Granted)+len(b.lease.Outstanding) > 0 {
 		return 0, reject(ReasonBusy, "the lease of broker %s's units has not run out", b.Name)
 	}
 	s.brokers = slices.Delete(s.brokers, i, i+1)
--- a/internal/decision/statemachine/snapshot.go
+++ b/internal/decision/statemachine/snapshot.go
@@ -86,7 +86,7 @@
 	uintField(c, &lease.Incarnation)
 	uintField(c, &lease.Number)
 	leaseRowsField(c, &lease.Granted)
-	leaseRowsField(c, &lease.PossiblyHeld)
+	leaseRowsField(c, &lease.Outstanding)
 	c.boolField(&lease.Acknowledged)
 	c.boolField(&lease.Ended)
 }
--- a/internal/decision/statemachine/status.go
+++ b/internal/decision/statemachine/status.go
@@ -116,7 +116,7 @@
 	Incarnation  uint64
 	Number       uint64 // of the newest grant; 0: none
 	Granted      []LeaseRow
-	PossiblyHeld []LeaseRow // what it may still hold of older grants, row by row the greatest
+	Outstanding  []LeaseRow // what it may still hold of older grants, row by row the greatest
 	Acknowledged bool
 	Ended        bool // it holds nothing: relinquished or expired
 }
--- a/internal/server/budgets.go
+++ b/internal/server/budgets.go
@@ -78,13 +78,12 @@
 		return store.No
 	}
 	k, now := connlease.LeaseKey{Node: node, Tenant: tenant}, b.loop.since()
-	own, ok := b.holder.Open(k, now)
-	switch {
-	case !ok:
+	switch b.holder.Open(k, now) {
+	case connlease.OpenDenied:
 		b.needs.Observe(k, float64(b.holder.OpenConnections(k)+1))
 		b.countAttempts(tenant, 0, 1)
 		return store.No
-	case own:
+	case connlease.OpenLeased:
 		return store.Own
 	}
 	return store.Floor
--- a/internal/server/budgets_test.go
+++ b/internal/server/budgets_test.go
@@ -49,12 +49,12 @@
 	b.handleView(view)
 	want("more is open than the floor", one, store.No)
 	want("granted, then the floor", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
-	if surplus, hard := b.holder.ExcessConnections(*now); len(surplus) != 1 || surplus[0].Connections != 2 || hard {
-		t.Errorf("to be closed: %v", surplus)
+	if x := b.holder.ExcessConnections(*now); len(x.Counts) != 1 || x.Counts[0].Connections != 2 || x.Immediate {
+		t.Errorf("to be closed: %+v", x)
 	}
 	*now += 59 * time.Second // within the closing time of the lease's end
-	if surplus, hard := b.holder.ExcessConnections(*now); len(surplus) != 2 || surplus[1].Connections != 2 || !hard {
-		t.Errorf("to be closed at the lease's end: %v %t", surplus, hard)
+	if x := b.holder.ExcessConnections(*now); len(x.Counts) != 2 || x.Counts[1].Connections != 2 || !x.Immediate {
+		t.Errorf("to be closed at the lease's end: %+v", x)
 	}
 	lower := &statemachine.ConnectionPolicy{Version: 2, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 1}}}
 	b.handleView(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Waiting: lower, Grant: grant})
--- a/internal/server/budgettick.go
+++ b/internal/server/budgettick.go
@@ -23,9 +23,9 @@
 	if b.view != nil && b.view.Index > 0 {
 		b.updateFloors(b.view)
 	}
-	surplus, hard := b.holder.ExcessConnections(now)
-	for _, r := range surplus {
-		l.pool.Shed(r.Node, r.Tenant, r.Connections, hard)
+	excess := b.holder.ExcessConnections(now)
+	for _, r := range excess.Counts {
+		l.pool.Shed(r.Node, r.Tenant, r.Connections, excess.Immediate)
 	}
 	for i := range b.attempts {
 		b.attempts[i].sent *= attemptDecay
@@ -40,7 +40,7 @@
 		b.proposedAt = now
 		b.proposeEntry(&statemachine.AcknowledgeLease{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
 	}
-	if b.agreedVersion > b.view.PolicyAcked && b.holder.WithinLease(now, true) {
+	if b.agreedVersion > b.view.PolicyAcked && b.holder.WithinLease(now) {
 		b.proposedAt = now
 		b.proposeEntry(&statemachine.AcknowledgePolicy{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.agreedVersion})
 	}
