--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -115,7 +115,7 @@
 			d.enforced = true
 			l.pool.Retire(id)
 		}
-		if l.controlPlane.proposeAck != nil && l.controlPlane.view.Me.Incarnation > 0 && !d.acked {
+		if l.controlPlane.proposeAck != nil && l.controlPlane.view.Self.Incarnation > 0 && !d.acked {
 			d.ackProposed = true
 			l.controlPlane.proposeAck(id, d.number)
 		}
@@ -177,8 +177,8 @@
 
 func (l *loop) controlPlaneState() *ControlPlaneState {
 	a := l.controlPlane
-	s := &ControlPlaneState{Index: a.view.Index, Connected: a.view.Held(l.since()), Leader: a.view.Leader, Incarnation: a.view.Me.Incarnation,
-		Standing: a.view.Me.Status.String(), Permit: a.view.Permit, Drains: a.view.Drains, Epoch: a.view.Epoch,
+	s := &ControlPlaneState{Index: a.view.Index, Connected: a.view.LeaseHeld(l.since()), Leader: a.view.Leader, Incarnation: a.view.Self.Incarnation,
+		Standing: a.view.Self.Status.String(), Permit: a.view.Permit, Drains: a.view.Drains, Epoch: a.view.Epoch,
 		Classes: append([]controlplane.Class(nil), a.classes...), Cold: a.warmingUpAttempts}
 	for _, d := range a.drains {
 		if d.enforced {
--- a/internal/server/epoch.go
+++ b/internal/server/epoch.go
@@ -50,8 +50,8 @@
 }
 
 // epochProposals proposes what the list calls for.
-func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.Moment) []statemachine.Entry {
-	return func(m controlplane.Moment) []statemachine.Entry {
+func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.LeaderContext) []statemachine.Entry {
+	return func(m controlplane.LeaderContext) []statemachine.Entry {
 		if have := from.Load(); have != nil {
 			return have.Next(m.State, m.Now)
 		}
