--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -123,7 +123,7 @@
 
 // Abandon tells that a search's client has gone; overdue, that its time is up and a verdict is owed.
 func (c *Core) Abandon(h PendingQuery, overdue bool) {
-	cause := query.ClientLeft
+	cause := query.ClientDeparted
 	if overdue {
 		cause = query.DeadlinePassed
 	}
