--- a/internal/server/crew.go
+++ b/internal/server/crew.go
@@ -45,7 +45,7 @@
 	ownership      *ownership.Duties
 	sendTo         func(to netip.AddrPort, data []byte)
 	shareEndpoints bool // words of discovery are passed on
-	shared         *gossip.Book
+	shared         *gossip.UpdateFilter
 	ownershipView  []ownership.Member
 	seeds          []netip.AddrPort       // of the living
 	keepSeeds      func([]netip.AddrPort) // nil: they are not kept
@@ -100,7 +100,7 @@
 	m := membership.New(policy, name, at, uint8(o.Weight), uint32(start.Unix()), seeds)
 	h := fnv.New32a()
 	io.WriteString(h, service.String())
-	return &tierMembership{members: m, sendTo: meet, shareEndpoints: o.List, shared: gossip.NewBook(h.Sum32()),
+	return &tierMembership{members: m, sendTo: meet, shareEndpoints: o.List, shared: gossip.NewUpdateFilter(h.Sum32()),
 		ownership: ownership.New(ownership.Policy{Lease: o.Lease, Settle: o.Interval, Renew: 2 * o.Interval}, uint32(m.Self().ID),
 			[]ownership.Duty{jobPollDiscovery: {Name: "refresh the node list", Period: max(time.Second, t.AskEvery/2)},
 				jobLogCounters: {Name: "log the counters", Period: o.Summary}}, now)}
@@ -119,7 +119,7 @@
 			"incarnation", ch.Member.Inc, "living", c.members.Living(), "late", c.members.Counts.Late)
 	}
 	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
-		for _, w := range c.shared.Left() {
+		for _, w := range c.shared.RecentlyRemoved() {
 			c.broadcast(&w)
 		}
 	}
@@ -182,15 +182,15 @@
 			c.members.Broadcast(uint64(cl.Duty), note)
 		}
 	case noteEndpoint:
-		if w, ok := gossip.Read(note[1:]); ok && c.shareEndpoints {
+		if w, ok := gossip.Decode(note[1:]); ok && c.shareEndpoints {
 			l.handleSharedEndpoint(w)
 		}
 	}
 }
 
 // broadcast has a word carried to all members.
-func (c *tierMembership) broadcast(w *gossip.Word) {
-	c.members.Broadcast(broadcastKey(w.Node), w.Append([]byte{noteEndpoint}))
+func (c *tierMembership) broadcast(w *gossip.EndpointUpdate) {
+	c.members.Broadcast(broadcastKey(w.Node), w.AppendTo([]byte{noteEndpoint}))
 }
 
 // shareList tells the others the lines that discovery changed.
@@ -198,8 +198,8 @@
 	c := l.membership
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		w := gossip.Word{Version: list.Version, Service: c.shared.Service, Node: n.Entry.Node, State: n.Entry.State, Started: n.Started}
-		if c.shared.Told(w, list.Whole || !c.shareEndpoints) {
+		w := gossip.EndpointUpdate{ListVersion: list.Version, DiscoveryID: c.shared.DiscoveryID, Node: n.Entry.Node, State: n.Entry.State, StartedAtMS: n.Started}
+		if c.shared.RecordLocal(w, list.Whole || !c.shareEndpoints) {
 			c.broadcast(&w)
 		}
 	}
@@ -215,18 +215,18 @@
 
 // handleSharedEndpoint takes over what another broker was told by discovery of a node that is known here. From then on this broker has been
 // told, as if discovery had.
-func (l *loop) handleSharedEndpoint(w gossip.Word) {
+func (l *loop) handleSharedEndpoint(w gossip.EndpointUpdate) {
 	n, known := l.nodes[w.Node]
-	if !l.membership.shared.Hear(w, known, n.Entry.State, n.Started) {
+	if !l.membership.shared.Accept(w, known, n.Entry.State, n.Started) {
 		return
 	}
 	n.Entry.State = w.State
-	if w.Started > n.Started {
-		n.Started = w.Started
-		n.Entry.StartedAt = time.UnixMilli(w.Started).Sub(l.start)
+	if w.StartedAtMS > n.Started {
+		n.Started = w.StartedAtMS
+		n.Entry.StartedAt = time.UnixMilli(w.StartedAtMS).Sub(l.start)
 	}
-	slog.Info("node by another broker's word", "node", n.Name, "state", w.State, "version", w.Version)
-	l.applyList(&discovery.List{Version: w.Version, Nodes: []discovery.Node{n}})
+	slog.Info("node by another broker's word", "node", n.Name, "state", w.State, "version", w.ListVersion)
+	l.applyList(&discovery.List{Version: w.ListVersion, Nodes: []discovery.Node{n}})
 	if l.cachedList != nil {
 		state := [...]cachedlist.State{decision.Draining: cachedlist.Draining, decision.Removed: cachedlist.Ended, decision.Ready: cachedlist.Ready}[w.State]
 		l.cachedList.judge.Word(n.Name, w.Node, state, cachedlist.Moment(n.Started), l.since())
