--- a/internal/server/foreign.go
+++ b/internal/server/foreign.go
@@ -170,7 +170,7 @@
 // cancelRemoteQuery ends another site's search that nobody waits for.
 func (l *loop) cancelRemoteQuery(s *search) {
 	if !s.done {
-		l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: s.id})
+		l.events = append(l.events, decision.Event{Kind: decision.ClientDeparted, ID: s.id})
 		l.deliverResult(s, query.Result{Outcome: query.Failed})
 		l.finish(s)
 	}
--- a/internal/server/search.go
+++ b/internal/server/search.go
@@ -118,7 +118,7 @@
 	}
 	serial := float32(s.id % (1 << 24)) // exact in a float32, and far more ids than can be in hand
 	l.events = append(l.events, decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: s.Type,
-		Tenant: s.Tenant, TimeLeft: left, Weight: float64(n), Retry: s.Retry})
+		Tenant: s.Tenant, RemainingTime: left, Weight: float64(n), Retry: s.Retry})
 	for i := range s.Request.Shards {
 		id := s.id + 1 + uint64(i)
 		l.queryOfShardRequest[id] = s
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -63,7 +63,7 @@
 				l.forgetForwarded(d.s, d.s.id)
 				return
 			}
-			l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: d.s.id})
+			l.events = append(l.events, decision.Event{Kind: decision.ClientDeparted, ID: d.s.id})
 			l.finish(d.s)
 			l.cancelUnsent(d.s) // now, as a connection may come up in the same moment
 		}
