--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -73,7 +73,8 @@
 		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acknowledged, me)})
 	}
 	policies := s.Policies()
-	v.Policy, v.WaitingPolicy = policies.InForce, policies.Waiting
+	v.Policy = policies.InForce
+	v.WaitingPolicy = policies.Waiting
 	f.view.Store(v)
 	select {
 	case f.fresh <- struct{}{}:
