--- a/internal/decision/connlease/golden_run_test.go
+++ b/internal/decision/connlease/golden_run_test.go
@@ -169,10 +169,10 @@
 			plan.Nodes = append(plan.Nodes, b.Node)
 			budget := fairshare.Budget{Units: int(b.Connections) - (goldenBrokers+1)*int(b.ReservedPerBroker)}
 			for range goldenTenants {
-				budget.Amounts = append(budget.Amounts, fairshare.Amount{
+				budget.Allowances = append(budget.Allowances, fairshare.Allowance{
 					Guarantee: g.upTo(3),
 					Weight:    1 + g.upTo(2),
-					Most:      4 + g.upTo(20),
+					Max:       4 + g.upTo(20),
 					Burst:     g.upTo(9),
 				})
 			}
--- a/internal/decision/connlease/granter.go
+++ b/internal/decision/connlease/granter.go
@@ -69,7 +69,7 @@
 	entries := g.expiredLeases(s, brokers, term, now)
 	g.forgetRenewals(s, brokers)
 	g.fillTables(s, plan, brokers, demands)
-	g.divider.Divide(fairshare.Input{Nodes: plan.Budgets, Pool: plan.Pool, Need: g.demand, Last: g.granted}, g.division)
+	g.divider.Divide(fairshare.Input{Nodes: plan.Budgets, Pool: plan.Pool, Demand: g.demand, Previous: g.granted}, g.division)
 	return append(entries, g.proposeGrants(s, plan, brokers)...)
 }
 
--- a/internal/decision/connlease/grants_test.go
+++ b/internal/decision/connlease/grants_test.go
@@ -23,7 +23,7 @@
 	var counts []ConnectionCount
 	for i := range tenantCount {
 		plan.Tenants = append(plan.Tenants, fmt.Sprintf("%03d", i)+strings.Repeat("x", nameBytes-3))
-		plan.Budgets[0].Amounts = append(plan.Budgets[0].Amounts, fairshare.Amount{Weight: 1, Most: 9})
+		plan.Budgets[0].Allowances = append(plan.Budgets[0].Allowances, fairshare.Allowance{Weight: 1, Max: 9})
 		counts = append(counts, ConnectionCount{LeaseKey{node, i}, 1})
 	}
 	s := statemachine.New()
--- a/internal/decision/fairshare/golden_test.go
+++ b/internal/decision/fairshare/golden_test.go
@@ -21,14 +21,14 @@
 func goldenBudget(rng *rand.Rand, tenants, greatest int) Budget {
 	b := Budget{Units: rng.IntN(greatest + 1)}
 	for range tenants {
-		a := Amount{Weight: rng.IntN(5), Most: rng.IntN(b.Units + 1)}
+		a := Allowance{Weight: rng.IntN(5), Max: rng.IntN(b.Units + 1)}
 		if rng.IntN(3) > 0 {
 			a.Guarantee = rng.IntN(b.Units/tenants + 2)
 		}
 		if rng.IntN(2) == 0 {
 			a.Burst = rng.IntN(b.Units + 1)
 		}
-		b.Amounts = append(b.Amounts, a)
+		b.Allowances = append(b.Allowances, a)
 	}
 	return b
 }
@@ -36,7 +36,7 @@
 // goldenSequence divides several times, as needs move a little or much.
 func goldenSequence(rng *rand.Rand, d *Divider, out io.Writer) {
 	nodes, tenants, brokers := 1+rng.IntN(4), 1+rng.IntN(5), 1+rng.IntN(9)
-	in := Input{Need: NewTable(nodes, tenants, brokers)}
+	in := Input{Demand: NewTable(nodes, tenants, brokers)}
 	for range nodes {
 		in.Nodes = append(in.Nodes, goldenBudget(rng, tenants, 80))
 	}
@@ -50,9 +50,9 @@
 				for b := range brokers {
 					switch rng.IntN(6) {
 					case 0:
-						in.Need.Set(n, t, b, rng.IntN(24))
+						in.Demand.Set(n, t, b, rng.IntN(24))
 					case 1, 2:
-						in.Need.Set(n, t, b, max(0, in.Need.At(n, t, b)+rng.IntN(5)-2))
+						in.Demand.Set(n, t, b, max(0, in.Demand.At(n, t, b)+rng.IntN(5)-2))
 					}
 				}
 			}
@@ -64,8 +64,8 @@
 				fmt.Fprintln(out, share.Row(n, t))
 			}
 		}
-		if in.Last = share; rng.IntN(6) == 0 {
-			in.Last = nil
+		if in.Previous = share; rng.IntN(6) == 0 {
+			in.Previous = nil
 		}
 	}
 }
