--- a/internal/cluster/controlplane/controlplane.go
+++ b/internal/cluster/controlplane/controlplane.go
@@ -148,56 +148,56 @@
 }
 
 // SetPolicyCompiler gives the way from a policy's text to its entry, before Run.
-func (f *Participant) SetPolicyCompiler(fn func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error)) {
-	f.compilePolicy = fn
+func (p *Participant) SetPolicyCompiler(fn func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error)) {
+	p.compilePolicy = fn
 }
 
 // SetNodeNames gives nodes' names, as this broker's list has them: the node of a name or address, and the name of a node. Before Run.
-func (f *Participant) SetNodeNames(find func(text string) (decision.NodeID, bool), name func(decision.NodeID) string) {
-	f.findNode, f.nodeName = find, name
+func (p *Participant) SetNodeNames(find func(text string) (decision.NodeID, bool), name func(decision.NodeID) string) {
+	p.findNode, p.nodeName = find, name
 }
 
 // Run takes part until ctx ends.
-func (f *Participant) Run(ctx context.Context) error {
+func (p *Participant) Run(ctx context.Context) error {
 	var all sync.WaitGroup
 	defer all.Wait()
-	if f.options.Listener != nil {
-		all.Go(func() { f.acceptConnections(ctx) })
+	if p.options.Listener != nil {
+		all.Go(func() { p.acceptConnections(ctx) })
 	}
-	f.startFollowing = func() { all.Go(func() { f.followSource(ctx) }) }
-	if f.voterID == 0 {
-		f.startFollowing()
+	p.startFollowing = func() { all.Go(func() { p.followSource(ctx) }) }
+	if p.voterID == 0 {
+		p.startFollowing()
 	}
-	for _, v := range f.options.Voters {
-		if f.voterID != 0 && v.Name != f.name {
-			all.Go(func() { f.maintainVoterConn(ctx, v) })
+	for _, v := range p.options.Voters {
+		if p.voterID != 0 && v.Name != p.name {
+			all.Go(func() { p.maintainVoterConn(ctx, v) })
 		}
 	}
-	all.Go(func() { f.deliverViews(ctx) })
-	slog.Info("fleet: taking part", "as", f.name, "slot", f.options.Slot, "votes", f.voterID != 0, "incarnation", f.incarnation)
+	all.Go(func() { p.deliverViews(ctx) })
+	slog.Info("fleet: taking part", "as", p.name, "slot", p.options.Slot, "votes", p.voterID != 0, "incarnation", p.incarnation)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case fn := <-f.tasks:
+		case fn := <-p.tasks:
 			fn()
 		case <-timer.C:
 		case <-ctx.Done():
-			f.failPending()
+			p.failPending()
 			return nil
 		}
-		for range len(f.tasks) {
-			(<-f.tasks)()
+		for range len(p.tasks) {
+			(<-p.tasks)()
 		}
-		now := f.options.Now()
-		timer.Reset(max(0, f.step(now)-now))
+		now := p.options.Now()
+		timer.Reset(max(0, p.step(now)-now))
 	}
 }
 
 // runInLoop has the core's goroutine do something; false: it has ended.
-func (f *Participant) runInLoop(ctx context.Context, fn func()) bool {
+func (p *Participant) runInLoop(ctx context.Context, fn func()) bool {
 	select {
-	case f.tasks <- fn:
+	case p.tasks <- fn:
 		return true
 	case <-ctx.Done():
 		return false
@@ -205,40 +205,40 @@
 }
 
 // failPending ends what is in hand.
-func (f *Participant) failPending() {
-	for _, p := range f.pending {
-		p.done(statemachine.Result{}, &UncertainOutcomeError{Cause: context.Canceled})
+func (p *Participant) failPending() {
+	for _, waiting := range p.pending {
+		waiting.done(statemachine.Result{}, &UncertainOutcomeError{Cause: context.Canceled})
 	}
-	clear(f.pending)
+	clear(p.pending)
 }
 
 // step does what is due and tells when to come again.
-func (f *Participant) step(now time.Duration) (next time.Duration) {
+func (p *Participant) step(now time.Duration) (next time.Duration) {
 	next = now + time.Second
-	if f.raft != nil {
-		next = min(next, f.advanceRaft(now))
-	}
-	next = min(next, f.maintainSession(now), f.sendPending(now))
-	if now >= f.dueAt.beat {
-		f.dueAt.beat = now + heartbeatInterval
-		f.sendHeartbeats(now)
-	}
-	if now >= f.dueAt.report {
-		f.dueAt.report = now + f.options.ReportInterval
-		f.queueReport()
-		f.viewOutdated = true // whoever could not act on a view gets another
-	}
-	next = min(next, f.dueAt.beat, f.dueAt.report, f.sendOutbox(now))
-	f.feedFollowers()
-	if f.raft != nil { // what was proposed just now leaves at once
-		f.sendPackets()
-	}
-	if f.viewOutdated && now >= f.dueAt.publish {
-		f.viewOutdated, f.dueAt.publish = false, now+viewInterval
-		f.updateView(now)
-	}
-	if f.viewOutdated {
-		next = min(next, f.dueAt.publish)
+	if p.raft != nil {
+		next = min(next, p.advanceRaft(now))
+	}
+	next = min(next, p.maintainSession(now), p.sendPending(now))
+	if now >= p.dueAt.beat {
+		p.dueAt.beat = now + heartbeatInterval
+		p.sendHeartbeats(now)
+	}
+	if now >= p.dueAt.report {
+		p.dueAt.report = now + p.options.ReportInterval
+		p.queueReport()
+		p.viewOutdated = true // whoever could not act on a view gets another
+	}
+	next = min(next, p.dueAt.beat, p.dueAt.report, p.sendOutbox(now))
+	p.feedFollowers()
+	if p.raft != nil { // what was proposed just now leaves at once
+		p.sendPackets()
+	}
+	if p.viewOutdated && now >= p.dueAt.publish {
+		p.viewOutdated, p.dueAt.publish = false, now+viewInterval
+		p.updateView(now)
+	}
+	if p.viewOutdated {
+		next = min(next, p.dueAt.publish)
 	}
 	return next
 }
--- a/internal/cluster/controlplane/duty.go
+++ b/internal/cluster/controlplane/duty.go
@@ -39,20 +39,20 @@
 }
 
 // AddLeaderTask adds a duty, before Run.
-func (f *Participant) AddLeaderTask(d LeaderTask) { f.leaderTasks = append(f.leaderTasks, d) }
+func (p *Participant) AddLeaderTask(d LeaderTask) { p.leaderTasks = append(p.leaderTasks, d) }
 
 // isVotersPermit tells whether a permit is that of a broker that votes.
-func (f *Participant) isVotersPermit(p *statemachine.IssuePermit) bool {
-	b, _ := f.state.Broker(p.Slot)
-	return !p.ForNode && slices.ContainsFunc(f.options.Voters, func(v Voter) bool { return v.Name == b.Name })
+func (p *Participant) isVotersPermit(permit *statemachine.IssuePermit) bool {
+	b, _ := p.state.Broker(permit.Slot)
+	return !permit.ForNode && slices.ContainsFunc(p.options.Voters, func(v Voter) bool { return v.Name == b.Name })
 }
 
 // keepsMajority tells whether so many more voters may go out. Danger: a release that lets two of three go at once has nobody left to
 // agree that they are back. A single voter goes all the same.
-func (f *Participant) keepsMajority(going int) bool {
-	n := len(f.options.Voters)
-	for _, b := range f.state.Brokers() {
-		if (b.Status != statemachine.BrokerServing || b.Permit > 0) && slices.ContainsFunc(f.options.Voters, func(v Voter) bool { return v.Name == b.Name }) {
+func (p *Participant) keepsMajority(going int) bool {
+	n := len(p.options.Voters)
+	for _, b := range p.state.Brokers() {
+		if (b.Status != statemachine.BrokerServing || b.Permit > 0) && slices.ContainsFunc(p.options.Voters, func(v Voter) bool { return v.Name == b.Name }) {
 			going++
 		}
 	}
@@ -60,36 +60,36 @@
 }
 
 // runLeaderTasks has the duties propose what is due; one whose last proposals are not applied yet waits.
-func (f *Participant) runLeaderTasks(now time.Duration) {
-	if f.leadership.planProposals == 0 && now >= f.leadership.planAt {
+func (p *Participant) runLeaderTasks(now time.Duration) {
+	if p.leadership.planProposals == 0 && now >= p.leadership.planAt {
 		var all []statemachine.Entry
-		all, f.leadership.planAt = f.leadership.planner.Next(f.state, now)
-		term, going := f.leadership.term, 0
+		all, p.leadership.planAt = p.leadership.planner.Next(p.state, now)
+		term, going := p.leadership.term, 0
 		for _, e := range all {
-			if p, ok := e.(*statemachine.IssuePermit); ok && f.isVotersPermit(p) {
-				if going++; !f.keepsMajority(going) {
+			if permit, ok := e.(*statemachine.IssuePermit); ok && p.isVotersPermit(permit) {
+				if going++; !p.keepsMajority(going) {
 					continue // the planner comes back to it
 				}
 			}
-			f.leadership.planProposals++
-			f.propose(e, func(r statemachine.Result, err error) {
-				if f.leadership.term == term {
-					f.leadership.planProposals--
-					f.leadership.planAt = 0 // the ledger has moved
+			p.leadership.planProposals++
+			p.propose(e, func(r statemachine.Result, err error) {
+				if p.leadership.term == term {
+					p.leadership.planProposals--
+					p.leadership.planAt = 0 // the ledger has moved
 				}
 				slog.Info("fleet: release", "step", fmt.Sprintf("%T %+v", e, e), "error", err)
 			})
 		}
 	}
-	for i := range f.leaderTasks {
-		d := &f.leaderTasks[i]
+	for i := range p.leaderTasks {
+		d := &p.leaderTasks[i]
 		if now < d.dueAt || d.proposalsInFlight > 0 {
 			continue
 		}
 		d.dueAt = now + d.Interval
-		for _, e := range d.Propose(LeaderContext{f.state, f.leadership.term, now, f.leadership.reports, &f.leadership}) {
+		for _, e := range d.Propose(LeaderContext{p.state, p.leadership.term, now, p.leadership.reports, &p.leadership}) {
 			d.proposalsInFlight++
-			f.propose(e, func(r statemachine.Result, err error) {
+			p.propose(e, func(r statemachine.Result, err error) {
 				d.proposalsInFlight--
 				if err != nil {
 					slog.Debug("fleet: a leader's entry was not taken", "duty", d.Name, "error", err)
--- a/internal/cluster/controlplane/feed.go
+++ b/internal/cluster/controlplane/feed.go
@@ -72,60 +72,60 @@
 func (m appliedMachine) Restore(data []byte) error { return m.participant.restoreSnapshot(data) }
 
 // applyEntry takes over what was agreed.
-func (f *Participant) applyEntry(index uint64, data []byte) {
-	if f.haltedBy != nil {
+func (p *Participant) applyEntry(index uint64, data []byte) {
+	if p.haltedBy != nil {
 		return
 	}
-	r := f.state.Apply(index, data)
+	r := p.state.Apply(index, data)
 	if isUnknownEntry(r.Err) {
-		f.haltedBy = r.Err
+		p.haltedBy = r.Err
 		slog.Error("fleet: stopped before an entry of a newer version; searches go on", "index", index, "error", r.Err)
-		f.viewOutdated = true
-		f.redirectFollowers()
+		p.viewOutdated = true
+		p.redirectFollowers()
 		return
 	}
-	f.recentEntries.add(index, data)
-	f.viewOutdated = true
-	f.completeProposal(index, data, r)
+	p.recentEntries.add(index, data)
+	p.viewOutdated = true
+	p.completeProposal(index, data, r)
 }
 
 // restoreSnapshot begins anew from a snapshot.
-func (f *Participant) restoreSnapshot(data []byte) error {
+func (p *Participant) restoreSnapshot(data []byte) error {
 	s, err := statemachine.Restore(data)
 	if err != nil {
 		return err
 	}
-	f.state, f.haltedBy, f.viewOutdated, f.nodesChanged = s, nil, true, true
-	f.recentEntries = recentEntries{maxEntries: f.recentEntries.maxEntries, previousIndex: s.AppliedIndex()}
-	for _, p := range f.pending { // whether it is in there the ledger tells when it comes again
-		p.sentAt = 0
+	p.state, p.haltedBy, p.viewOutdated, p.nodesChanged = s, nil, true, true
+	p.recentEntries = recentEntries{maxEntries: p.recentEntries.maxEntries, previousIndex: s.AppliedIndex()}
+	for _, waiting := range p.pending { // whether it is in there the ledger tells when it comes again
+		waiting.sentAt = 0
 	}
 	return nil
 }
 
 // feedFollowers gives those that follow what they lack.
-func (f *Participant) feedFollowers() {
-	for c := range f.connections {
+func (p *Participant) feedFollowers() {
+	for c := range p.connections {
 		if c.isFollower {
-			f.feedFollower(c)
+			p.feedFollower(c)
 		}
 	}
 }
 
-func (f *Participant) feedFollower(c *conn) {
+func (p *Participant) feedFollower(c *conn) {
 	for c.backlog() < maxFollowerBacklog {
 		if len(c.snapshotRest) > 0 {
 			n := min(snapshotPieceBytes, len(c.snapshotRest))
 			at := c.snapshotBytes - len(c.snapshotRest)
-			f.send(c, frameSnapshotPiece, snapshotPiece{c.sentIndex, c.snapshotBytes, at, c.snapshotRest[:n]})
+			p.send(c, frameSnapshotPiece, snapshotPiece{c.sentIndex, c.snapshotBytes, at, c.snapshotRest[:n]})
 			c.snapshotRest = c.snapshotRest[n:]
 			continue
 		}
-		rest, ok := f.recentEntries.after(c.sentIndex)
+		rest, ok := p.recentEntries.after(c.sentIndex)
 		if !ok {
-			f.Counts.Snapshots.Add(1)
-			c.snapshotRest = f.state.Snapshot()
-			c.sentIndex, c.snapshotBytes = f.state.AppliedIndex(), len(c.snapshotRest)
+			p.Counts.Snapshots.Add(1)
+			c.snapshotRest = p.state.Snapshot()
+			c.sentIndex, c.snapshotBytes = p.state.AppliedIndex(), len(c.snapshotRest)
 			continue
 		}
 		if len(rest) == 0 {
@@ -136,49 +136,49 @@
 			bytes += len(rest[n].Data)
 			n++
 		}
-		f.send(c, frameFeed, feedFrame{c.sentIndex, rest[:n]})
+		p.send(c, frameFeed, feedFrame{c.sentIndex, rest[:n]})
 		c.sentIndex = rest[n-1].Index
 	}
 }
 
 // handleFeed applies what the source passes on. One that leaves something out is asked again, from where this side stands.
-func (f *Participant) handleFeed(c *conn, m feedFrame) {
-	if c != f.source || f.haltedBy != nil {
+func (p *Participant) handleFeed(c *conn, m feedFrame) {
+	if c != p.source || p.haltedBy != nil {
 		return
 	}
-	if m.Previous > f.state.AppliedIndex() {
-		f.send(c, frameFollow, followFrame{f.state.AppliedIndex()})
+	if m.Previous > p.state.AppliedIndex() {
+		p.send(c, frameFollow, followFrame{p.state.AppliedIndex()})
 		return
 	}
 	for _, e := range m.Entries {
-		if e.Index > f.state.AppliedIndex() {
-			f.applyEntry(e.Index, e.Data)
+		if e.Index > p.state.AppliedIndex() {
+			p.applyEntry(e.Index, e.Data)
 		}
 	}
 }
 
 // handleSnapshotPiece gathers a snapshot.
-func (f *Participant) handleSnapshotPiece(c *conn, p snapshotPiece) {
-	if c != f.source {
+func (p *Participant) handleSnapshotPiece(c *conn, piece snapshotPiece) {
+	if c != p.source {
 		return
 	}
-	w := &f.incomingSnapshot
-	if p.Offset == 0 {
-		*w = incomingSnapshot{index: p.Index}
+	w := &p.incomingSnapshot
+	if piece.Offset == 0 {
+		*w = incomingSnapshot{index: piece.Index}
 	}
-	if p.Index != w.index || p.Offset != len(w.data) || p.Total > maxSnapshotBytes || len(w.data)+len(p.Data) > p.Total {
+	if piece.Index != w.index || piece.Offset != len(w.data) || piece.Total > maxSnapshotBytes || len(w.data)+len(piece.Data) > piece.Total {
 		c.close()
 		return
 	}
-	if w.data = append(w.data, p.Data...); len(w.data) < p.Total {
+	if w.data = append(w.data, piece.Data...); len(w.data) < piece.Total {
 		return
 	}
 	data, index := w.data, w.index
 	*w = incomingSnapshot{}
-	if index <= f.state.AppliedIndex() && f.haltedBy == nil {
+	if index <= p.state.AppliedIndex() && p.haltedBy == nil {
 		return
 	}
-	if err := f.restoreSnapshot(data); err != nil {
+	if err := p.restoreSnapshot(data); err != nil {
 		slog.Error("fleet: a snapshot is not taken", "from", c.peer.Name, "error", err)
 		c.close()
 	}
--- a/internal/cluster/controlplane/lead.go
+++ b/internal/cluster/controlplane/lead.go
@@ -48,135 +48,135 @@
 }
 
 // advanceRaft does what is due of Raft, and takes the lead up or lays it down.
-func (f *Participant) advanceRaft(now time.Duration) (next time.Duration) {
-	next = f.raft.Tick(now)
-	f.sendPackets()
-	if err := f.raft.Err(); err != nil && !f.voterStopped {
-		f.voterStopped = true
-		slog.Error("fleet: this voter has stopped and only follows; searches go on", "error", err, "remedy", remedyOf(errors.Join(f.haltedBy, err)))
-		f.startFollowing()
+func (p *Participant) advanceRaft(now time.Duration) (next time.Duration) {
+	next = p.raft.Tick(now)
+	p.sendPackets()
+	if err := p.raft.Err(); err != nil && !p.voterStopped {
+		p.voterStopped = true
+		slog.Error("fleet: this voter has stopped and only follows; searches go on", "error", err, "remedy", remedyOf(errors.Join(p.haltedBy, err)))
+		p.startFollowing()
 	}
-	if f.leaving.Load() && f.raft.IsLeader() && now >= f.leadership.transferAfter {
-		f.leadership.transferAfter = now + f.options.ElectionTimeout
-		f.raft.TransferLeadership(now)
-		f.sendPackets()
+	if p.leaving.Load() && p.raft.IsLeader() && now >= p.leadership.transferAfter {
+		p.leadership.transferAfter = now + p.options.ElectionTimeout
+		p.raft.TransferLeadership(now)
+		p.sendPackets()
 	}
-	if !f.raft.IsLeader() {
-		if f.leadership.term != 0 {
-			slog.Info("fleet: leads no more", "term", f.leadership.term)
-			f.leadership = leadership{}
+	if !p.raft.IsLeader() {
+		if p.leadership.term != 0 {
+			slog.Info("fleet: leads no more", "term", p.leadership.term)
+			p.leadership = leadership{}
 		}
 		return next
 	}
-	if f.leadership.term != f.raft.Term() {
-		f.leadership = leadership{term: f.raft.Term(), sessions: map[statemachine.Slot]grantedLease{}, losing: map[statemachine.Slot]uint64{},
+	if p.leadership.term != p.raft.Term() {
+		p.leadership = leadership{term: p.raft.Term(), sessions: map[statemachine.Slot]grantedLease{}, losing: map[statemachine.Slot]uint64{},
 			reports: map[statemachine.Slot]ReceivedReport{}}
-		slog.Info("fleet: leads", "term", f.leadership.term)
+		slog.Info("fleet: leads", "term", p.leadership.term)
 	}
-	if !f.leadership.established && !f.leadership.proposing && now >= f.leadership.dueAt {
+	if !p.leadership.established && !p.leadership.proposing && now >= p.leadership.dueAt {
 		// It may be refused, as of an earlier life, or given up with an incarnation; without it the term would pass with nothing done.
-		f.leadership.proposing, f.leadership.dueAt = true, now+leaderInterval
-		term := f.leadership.term
-		f.propose(&statemachine.LeaderElected{Slot: f.options.Slot, Term: term}, func(statemachine.Result, error) {
-			if f.leadership.term == term {
-				f.leadership.proposing = false
+		p.leadership.proposing, p.leadership.dueAt = true, now+leaderInterval
+		term := p.leadership.term
+		p.propose(&statemachine.LeaderElected{Slot: p.options.Slot, Term: term}, func(statemachine.Result, error) {
+			if p.leadership.term == term {
+				p.leadership.proposing = false
 			}
 		})
 	}
-	if f.leadership.established && now >= f.leadership.dueAt {
-		f.leadership.dueAt = now + leaderInterval
-		f.proposeLosses(now)
-		f.runLeaderTasks(now)
+	if p.leadership.established && now >= p.leadership.dueAt {
+		p.leadership.dueAt = now + leaderInterval
+		p.proposeLosses(now)
+		p.runLeaderTasks(now)
 	}
-	f.grantLeases(now)
+	p.grantLeases(now)
 	return min(next, now+leaderInterval)
 }
 
 // sendPackets saves and sends what Raft has for the others.
-func (f *Participant) sendPackets() {
-	for _, p := range f.raft.ProcessReady() {
-		if c := f.voterConns[f.options.Voters[p.To-1].Name]; c != nil {
-			f.send(c, framePacket, p.Data)
+func (p *Participant) sendPackets() {
+	for _, packet := range p.raft.ProcessReady() {
+		if c := p.voterConns[p.options.Voters[packet.To-1].Name]; c != nil {
+			p.send(c, framePacket, packet.Data)
 		}
 	}
-	for _, r := range f.raft.CompletedReads() {
+	for _, r := range p.raft.CompletedReads() {
 		id := binary.BigEndian.Uint64(r.RequestContext)
-		if fn := f.pendingReads[id]; fn != nil {
-			delete(f.pendingReads, id)
+		if fn := p.pendingReads[id]; fn != nil {
+			delete(p.pendingReads, id)
 			fn(r.Err)
 		}
 	}
 }
 
 // confirmedRead calls fn once this broker's copy is known to hold all that was agreed before this moment.
-func (f *Participant) confirmedRead(fn func(error)) {
-	f.lastReadID++
-	f.pendingReads[f.lastReadID] = fn
-	if err := f.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, f.lastReadID)); err != nil {
-		delete(f.pendingReads, f.lastReadID)
+func (p *Participant) confirmedRead(fn func(error)) {
+	p.lastReadID++
+	p.pendingReads[p.lastReadID] = fn
+	if err := p.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, p.lastReadID)); err != nil {
+		delete(p.pendingReads, p.lastReadID)
 		fn(err)
 	}
 }
 
 // queueRenewals takes requests for a lease.
-func (f *Participant) queueRenewals(all []leaseRenewal, now time.Duration) {
-	if f.leadership.established && len(f.leadership.renewals) < maxBatch {
-		f.leadership.renewals = append(f.leadership.renewals, all...)
+func (p *Participant) queueRenewals(all []leaseRenewal, now time.Duration) {
+	if p.leadership.established && len(p.leadership.renewals) < maxBatch {
+		p.leadership.renewals = append(p.leadership.renewals, all...)
 	}
 }
 
 // grantLeases has a majority confirm that this broker leads, for all requests that wait, and then grants them.
-func (f *Participant) grantLeases(now time.Duration) {
-	l := &f.leadership
+func (p *Participant) grantLeases(now time.Duration) {
+	l := &p.leadership
 	if len(l.renewals) == 0 || l.readsInFlight >= 4 {
 		return
 	}
 	batch, term := l.renewals, l.term
 	l.renewals, l.readsInFlight = nil, l.readsInFlight+1
-	f.confirmedRead(func(err error) {
-		if f.leadership.term != term {
+	p.confirmedRead(func(err error) {
+		if p.leadership.term != term {
 			return
 		}
-		f.leadership.readsInFlight--
-		if err != nil || !f.raft.IsLeader() {
+		p.leadership.readsInFlight--
+		if err != nil || !p.raft.IsLeader() {
 			return
 		}
 		// The granter counts from now, after the request; the holder from before it.
-		at := f.options.Now()
-		d := grantsFrame{Lease: int64(f.options.LeaseDuration), Leader: f.name}
+		at := p.options.Now()
+		d := grantsFrame{Lease: int64(p.options.LeaseDuration), Leader: p.name}
 		for _, r := range batch {
 			slot := statemachine.Slot(r.Slot)
-			b, known := f.state.Broker(slot)
-			if !known || b.Incarnation != r.Incarnation || b.Status == statemachine.BrokerLost || f.leadership.losing[slot] == r.Incarnation {
+			b, known := p.state.Broker(slot)
+			if !known || b.Incarnation != r.Incarnation || b.Status == statemachine.BrokerLost || p.leadership.losing[slot] == r.Incarnation {
 				continue
 			}
-			f.leadership.sessions[slot] = grantedLease{r.Incarnation, at}
+			p.leadership.sessions[slot] = grantedLease{r.Incarnation, at}
 			d.Grants = append(d.Grants, r)
 		}
-		f.handleGrants(nil, d, at)
+		p.handleGrants(nil, d, at)
 	})
 }
 
 // noteAppliedByLeader takes note of entries that matter to the leader.
-func (f *Participant) noteAppliedByLeader(e statemachine.Entry, r statemachine.Result) {
+func (p *Participant) noteAppliedByLeader(e statemachine.Entry, r statemachine.Result) {
 	switch e := e.(type) {
 	case *statemachine.LeaderElected:
-		if f.leadership.term != 0 && e.Slot == f.options.Slot && e.Term == f.leadership.term && r.Err == nil {
-			f.leadership.established, f.leadership.establishedAt = true, f.options.Now()
-			f.leadership.planner = release.New(f.options.ReleaseGates, e.Term, f.leadership.establishedAt)
+		if p.leadership.term != 0 && e.Slot == p.options.Slot && e.Term == p.leadership.term && r.Err == nil {
+			p.leadership.established, p.leadership.establishedAt = true, p.options.Now()
+			p.leadership.planner = release.New(p.options.ReleaseGates, e.Term, p.leadership.establishedAt)
 		}
 	case *statemachine.RegisterBroker:
-		if f.leadership.established && r.Err == nil && !r.Duplicate {
-			f.leadership.sessions[e.Slot] = grantedLease{e.Incarnation, f.options.Now()}
+		if p.leadership.established && r.Err == nil && !r.Duplicate {
+			p.leadership.sessions[e.Slot] = grantedLease{e.Incarnation, p.options.Now()}
 		}
 	}
 }
 
 // proposeLosses proposes that brokers are lost whose lease surely ran out.
-func (f *Participant) proposeLosses(now time.Duration) {
-	l := &f.leadership
-	surely := f.options.LeaseDuration + time.Duration(float64(f.options.LeaseDuration)*f.options.MaxClockDrift)
-	for _, b := range f.state.Brokers() {
+func (p *Participant) proposeLosses(now time.Duration) {
+	l := &p.leadership
+	surely := p.options.LeaseDuration + time.Duration(float64(p.options.LeaseDuration)*p.options.MaxClockDrift)
+	for _, b := range p.state.Brokers() {
 		if b.Status == statemachine.BrokerLost {
 			continue
 		}
@@ -189,10 +189,10 @@
 		}
 		l.losing[b.Slot] = b.Incarnation
 		slog.Warn("fleet: a broker is lost", "broker", b.Name, "slot", b.Slot, "incarnation", b.Incarnation, "silent_for", now-last)
-		f.propose(&statemachine.MarkBrokerLost{Slot: b.Slot, Incarnation: b.Incarnation, Term: l.term}, func(_ statemachine.Result, err error) {
+		p.propose(&statemachine.MarkBrokerLost{Slot: b.Slot, Incarnation: b.Incarnation, Term: l.term}, func(_ statemachine.Result, err error) {
 			// Danger: one of which it is not known whether it took effect may do so later, and a lease granted meanwhile stand against it.
-			if f.leadership.term != 0 && f.leadership.losing[b.Slot] == b.Incarnation && !errors.As(err, new(*UncertainOutcomeError)) {
-				delete(f.leadership.losing, b.Slot)
+			if p.leadership.term != 0 && p.leadership.losing[b.Slot] == b.Incarnation && !errors.As(err, new(*UncertainOutcomeError)) {
+				delete(p.leadership.losing, b.Slot)
 			}
 		})
 	}
--- a/internal/cluster/controlplane/net.go
+++ b/internal/cluster/controlplane/net.go
@@ -26,23 +26,23 @@
 )
 
 // checkSite admits brokers of the own site alone.
-func (f *Participant) checkSite(id keys.ID) error {
-	if own := f.options.Keys.ID(); id.Site != own.Site {
+func (p *Participant) checkSite(id keys.ID) error {
+	if own := p.options.Keys.ID(); id.Site != own.Site {
 		return fmt.Errorf("%s is not of %s", id, own.Site)
 	}
 	return nil
 }
 
 // acceptConnections takes connections until the listener is closed.
-func (f *Participant) acceptConnections(ctx context.Context) {
+func (p *Participant) acceptConnections(ctx context.Context) {
 	var all sync.WaitGroup
 	defer all.Wait()
-	stop := context.AfterFunc(ctx, func() { f.options.Listener.Close() })
+	stop := context.AfterFunc(ctx, func() { p.options.Listener.Close() })
 	defer stop()
-	config := f.options.Keys.Server(f.checkSite)
+	config := p.options.Keys.Server(p.checkSite)
 	var in atomic.Int64
 	for {
-		nc, err := f.options.Listener.Accept()
+		nc, err := p.options.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			if err == nil {
 				nc.Close()
@@ -54,7 +54,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if in.Load() >= int64(2*f.options.MaxFollowers+extraConnections) { // Danger: whoever opens many takes descriptors from clients
+		if in.Load() >= int64(2*p.options.MaxFollowers+extraConnections) { // Danger: whoever opens many takes descriptors from clients
 			nc.Close()
 			continue
 		}
@@ -62,14 +62,14 @@
 		all.Go(func() {
 			defer in.Add(-1)
 			defer nc.Close()
-			c, err := handshake(ctx, tls.Server(nc, config), f.ownHello(), false)
+			c, err := handshake(ctx, tls.Server(nc, config), p.ownHello(), false)
 			if err != nil {
-				f.Counts.Refused.Add(1)
+				p.Counts.Refused.Add(1)
 				slog.Debug("fleet: connection refused", "from", nc.RemoteAddr(), "error", err)
 				return
 			}
 			c.peer.Listen = reachableAddress(c.peer.Listen, nc.RemoteAddr())
-			f.serveConn(ctx, c)
+			p.serveConn(ctx, c)
 		})
 	}
 }
@@ -84,23 +84,23 @@
 	return netip.AddrPortFrom(tcp.AddrPort().Addr().Unmap(), at.Port()).String()
 }
 
-func (f *Participant) ownHello() helloFrame {
-	h := helloFrame{Protocol: wireProtocol, Role: roleFollower, Name: f.name, Listen: f.options.ListenAddr}
-	if f.voterID != 0 {
+func (p *Participant) ownHello() helloFrame {
+	h := helloFrame{Protocol: wireProtocol, Role: roleFollower, Name: p.name, Listen: p.options.ListenAddr}
+	if p.voterID != 0 {
 		h.Role = roleVoter
 	}
 	return h
 }
 
 // dial opens one connection.
-func (f *Participant) dial(ctx context.Context, addr string) (*conn, error) {
+func (p *Participant) dial(ctx context.Context, addr string) (*conn, error) {
 	limit, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	nc, err := f.options.Dial(limit, addr)
+	nc, err := p.options.Dial(limit, addr)
 	if err != nil {
 		return nil, err
 	}
-	c, err := handshake(limit, tls.Client(nc, f.options.Keys.Client(f.checkSite)), f.ownHello(), true)
+	c, err := handshake(limit, tls.Client(nc, p.options.Keys.Client(p.checkSite)), p.ownHello(), true)
 	if err != nil {
 		nc.Close()
 	}
@@ -108,30 +108,30 @@
 }
 
 // serveConn runs a connection that stands, until it ends.
-func (f *Participant) serveConn(ctx context.Context, c *conn) {
+func (p *Participant) serveConn(ctx context.Context, c *conn) {
 	stop := context.AfterFunc(ctx, c.close)
 	defer stop()
 	var w sync.WaitGroup
 	w.Go(c.writeLoop)
-	if f.runInLoop(ctx, func() { f.addConn(c) }) {
+	if p.runInLoop(ctx, func() { p.addConn(c) }) {
 		err := c.readLoop(func(letter byte, body []byte) bool {
-			return f.runInLoop(ctx, func() { f.handleFrame(c, letter, body) })
+			return p.runInLoop(ctx, func() { p.handleFrame(c, letter, body) })
 		})
 		c.close()
-		f.runInLoop(ctx, func() { f.removeConn(c, err) })
+		p.runInLoop(ctx, func() { p.removeConn(c, err) })
 	}
 	c.close()
 	w.Wait()
 }
 
 // maintainVoterConn keeps the connection to another voter.
-func (f *Participant) maintainVoterConn(ctx context.Context, v Voter) {
+func (p *Participant) maintainVoterConn(ctx context.Context, v Voter) {
 	pause := minDialBackoff
 	for ctx.Err() == nil {
 		begun := time.Now()
-		if c, err := f.dial(ctx, v.Addr); err == nil && c.peer.Name == v.Name {
+		if c, err := p.dial(ctx, v.Addr); err == nil && c.peer.Name == v.Name {
 			c.toVoter = true
-			f.serveConn(ctx, c)
+			p.serveConn(ctx, c)
 			if time.Since(begun) > stableAfter {
 				pause = minDialBackoff
 			}
@@ -157,19 +157,19 @@
 }
 
 // followSource keeps one source to follow: those of the settings in a random order, and those that a full one names.
-func (f *Participant) followSource(ctx context.Context) {
+func (p *Participant) followSource(ctx context.Context) {
 	pause := minDialBackoff
 	var next []string
 	for ctx.Err() == nil {
 		if len(next) == 0 {
-			next = append(next, f.options.Sources...)
+			next = append(next, p.options.Sources...)
 			rand.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] })
 		}
 		addr := next[0]
 		next = next[1:]
 		begun := time.Now()
-		if c, err := f.dial(ctx, addr); err == nil {
-			f.serveConn(ctx, c)
+		if c, err := p.dial(ctx, addr); err == nil {
+			p.serveConn(ctx, c)
 			if len(c.otherSources) > 0 { // written by the core before the connection ended
 				next = append(c.otherSources, next...)
 				if len(next) > 64 {
--- a/internal/cluster/controlplane/path.go
+++ b/internal/cluster/controlplane/path.go
@@ -20,24 +20,24 @@
 const maxTopicBytes = 256 << 10
 
 // AddTopic adds a topic, before Run.
-func (f *Participant) AddTopic(t Topic) { f.topics = append(f.topics, t) }
+func (p *Participant) AddTopic(t Topic) { p.topics = append(p.topics, t) }
 
 // isVoting tells whether this broker is a voter that works.
-func (f *Participant) isVoting() bool { return f.voterID != 0 && !f.voterStopped }
+func (p *Participant) isVoting() bool { return p.voterID != 0 && !p.voterStopped }
 
 // pathFromVoter is the way from a voter to this broker; empty: it is cut off, or stands still before an entry that it can't read. Danger:
 // those that follow it there would hear beats, and nothing that is agreed, for ever.
-func (f *Participant) pathFromVoter() []string {
+func (p *Participant) pathFromVoter() []string {
 	switch {
-	case f.haltedBy != nil, f.isVoting() && f.raft.Leader() == 0, !f.isVoting() && len(f.sourcePath) == 0:
+	case p.haltedBy != nil, p.isVoting() && p.raft.Leader() == 0, !p.isVoting() && len(p.sourcePath) == 0:
 		return nil
 	default:
-		return append(slices.Clip(f.sourcePath), f.name)
+		return append(slices.Clip(p.sourcePath), p.name)
 	}
 }
 
-func (f *Participant) followerCount() (n int) {
-	for c := range f.connections {
+func (p *Participant) followerCount() (n int) {
+	for c := range p.connections {
 		if c.isFollower {
 			n++
 		}
@@ -46,12 +46,12 @@
 }
 
 // sendHeartbeats sends one to everybody, with what is known here.
-func (f *Participant) sendHeartbeats(now time.Duration) {
-	b := heartbeatFrame{Path: f.pathFromVoter(), FollowerRoom: max(0, f.options.MaxFollowers-f.followerCount()), Token: uint64(now) + 1}
-	if f.options.Listener == nil || len(b.Path) == 0 || len(b.Path) >= maxPathLength {
+func (p *Participant) sendHeartbeats(now time.Duration) {
+	b := heartbeatFrame{Path: p.pathFromVoter(), FollowerRoom: max(0, p.options.MaxFollowers-p.followerCount()), Token: uint64(now) + 1}
+	if p.options.Listener == nil || len(b.Path) == 0 || len(b.Path) >= maxPathLength {
 		b.FollowerRoom = 0
 	}
-	for _, t := range f.topics {
+	for _, t := range p.topics {
 		if data, at := t.Collect(); len(data) > 0 && len(data) <= maxTopicBytes {
 			if b.Topics == nil {
 				b.Topics = map[string]topicData{}
@@ -59,75 +59,75 @@
 			b.Topics[t.Name] = topicData{data, int64(max(0, now-at))}
 		}
 	}
-	for c := range f.connections {
+	for c := range p.connections {
 		if c.peer.Role != roleOperator {
 			b.Echo = c.lastToken
-			f.send(c, frameHeartbeat, b)
+			p.send(c, frameHeartbeat, b)
 		}
 	}
 	// Danger: a voter that lost the others, or a source that follows nobody, would be followed for ever.
-	if f.source != nil && now-f.sourcePathAt > silenceTimeout {
-		f.source.close()
+	if p.source != nil && now-p.sourcePathAt > silenceTimeout {
+		p.source.close()
 	}
 }
 
 // handleHeartbeat learns where the other side stands. It sent this after it had the token that it echoes; so what it had collected has
 // grown older by no more than it says it was held, and the time from when that token was sent.
-func (f *Participant) handleHeartbeat(c *conn, b heartbeatFrame, now time.Duration) {
+func (p *Participant) handleHeartbeat(c *conn, b heartbeatFrame, now time.Duration) {
 	c.lastToken, c.followerRoom = b.Token, b.FollowerRoom
-	if c == f.source {
+	if c == p.source {
 		// Danger: two that are cut off would follow one another. No broker follows one whose path leads through itself.
-		if len(b.Path) > maxPathLength || slices.Contains(b.Path, f.name) {
+		if len(b.Path) > maxPathLength || slices.Contains(b.Path, p.name) {
 			c.close()
 			return
 		}
-		f.sourcePath = b.Path
+		p.sourcePath = b.Path
 		if len(b.Path) > 0 {
-			f.sourcePathAt = now
+			p.sourcePathAt = now
 		}
 	}
 	if b.Echo == 0 || b.Echo-1 > uint64(now) {
 		return
 	}
 	older := now - time.Duration(b.Echo-1)
-	older += time.Duration(float64(older) * f.options.MaxClockDrift)
-	for _, t := range f.topics {
+	older += time.Duration(float64(older) * p.options.MaxClockDrift)
+	for _, t := range p.topics {
 		if m := b.Topics[t.Name]; len(m.Data) > 0 && len(m.Data) <= maxTopicBytes && m.AgeNS >= 0 && m.AgeNS < int64(time.Hour) {
 			held := time.Duration(m.AgeNS)
-			t.Merge(m.Data, older+held+time.Duration(float64(held)*f.options.MaxClockDrift))
+			t.Merge(m.Data, older+held+time.Duration(float64(held)*p.options.MaxClockDrift))
 		}
 	}
 }
 
 // handleFollow gives a broker the feed, or names others that have room.
-func (f *Participant) handleFollow(c *conn, at uint64) {
-	path := f.pathFromVoter()
-	full := f.followerCount() >= f.options.MaxFollowers
+func (p *Participant) handleFollow(c *conn, at uint64) {
+	path := p.pathFromVoter()
+	full := p.followerCount() >= p.options.MaxFollowers
 	if len(path) == 0 || len(path) >= maxPathLength || slices.Contains(path, c.peer.Name) || full {
 		o := redirectFrame{}
 		if full {
-			o.Addrs = f.otherSources()
+			o.Addrs = p.otherSources()
 		}
-		f.send(c, frameRedirect, o)
+		p.send(c, frameRedirect, o)
 		return // the other side closes
 	}
 	c.isFollower, c.sentIndex = true, at
-	f.send(c, frameHeartbeat, heartbeatFrame{Path: path, Token: uint64(f.options.Now()) + 1, Echo: c.lastToken})
+	p.send(c, frameHeartbeat, heartbeatFrame{Path: path, Token: uint64(p.options.Now()) + 1, Echo: c.lastToken})
 }
 
 // redirectFollowers has those that follow this broker look for another source; a newer one of them may know of a better.
-func (f *Participant) redirectFollowers() {
-	for c := range f.connections {
+func (p *Participant) redirectFollowers() {
+	for c := range p.connections {
 		if c.isFollower {
-			f.send(c, frameRedirect, redirectFrame{})
+			p.send(c, frameRedirect, redirectFrame{})
 		}
 	}
 }
 
 // otherSources names followers with room, or else any, which know more.
-func (f *Participant) otherSources() []string {
+func (p *Participant) otherSources() []string {
 	var room, any []string
-	for _, c := range slices.SortedFunc(maps.Keys(f.connections), func(a, b *conn) int { return b.followerRoom - a.followerRoom }) {
+	for _, c := range slices.SortedFunc(maps.Keys(p.connections), func(a, b *conn) int { return b.followerRoom - a.followerRoom }) {
 		if c.isFollower && c.peer.Listen != "" {
 			if any = append(any, c.peer.Listen); c.followerRoom > 0 {
 				room = append(room, c.peer.Listen)
--- a/internal/cluster/controlplane/plan.go
+++ b/internal/cluster/controlplane/plan.go
@@ -10,8 +10,8 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-func (f *Participant) nodeEntryFor(verb string, r *Request) (statemachine.Entry, error) {
-	id, err := f.nodeID(r.Node)
+func (p *Participant) nodeEntryFor(verb string, r *Request) (statemachine.Entry, error) {
+	id, err := p.nodeID(r.Node)
 	if err != nil {
 		return nil, err
 	}
@@ -19,55 +19,55 @@
 	case VerbUndrain:
 		return &statemachine.UndrainNode{Node: id}, nil
 	case VerbNodeReturned:
-		p, ok := f.state.NodePermit(id)
+		permit, ok := p.state.NodePermit(id)
 		if !ok {
 			return nil, &InvalidRequestError{"no release has let this node go out"}
 		}
-		return &statemachine.ReturnToService{Incarnation: p.Number, ForNode: true, Node: id}, nil
+		return &statemachine.ReturnToService{Incarnation: permit.Number, ForNode: true, Node: id}, nil
 	case VerbNodeOut:
-		p, ok := f.state.NodePermit(id)
+		permit, ok := p.state.NodePermit(id)
 		if !ok {
 			return nil, &InvalidRequestError{"no release lets this node go out now"}
 		}
-		return &statemachine.UsePermit{Permit: p.Number, Slot: f.options.Slot, Incarnation: f.incarnation, ForNode: true, Node: id}, nil
+		return &statemachine.UsePermit{Permit: permit.Number, Slot: p.options.Slot, Incarnation: p.incarnation, ForNode: true, Node: id}, nil
 	}
 	return &statemachine.DrainNode{Node: id, Reason: r.Reason}, nil
 }
 
-func (f *Participant) releasePlan(w *ReleaseRequest) (statemachine.Entry, error) {
+func (p *Participant) releasePlan(w *ReleaseRequest) (statemachine.Entry, error) {
 	if w == nil || w.To == "" {
 		return nil, &InvalidRequestError{"a release names the version it leads to"}
 	}
-	p := &statemachine.ReleasePlan{Name: w.Name, From: w.From, To: w.To, Batches: w.Batches, MaxOut: max(1, w.MaxOut), MaxOutPerZone: w.MaxOutPerZone, MinReadyReplicas: w.MinReadyReplicas,
+	plan := &statemachine.ReleasePlan{Name: w.Name, From: w.From, To: w.To, Batches: w.Batches, MaxOut: max(1, w.MaxOut), MaxOutPerZone: w.MaxOutPerZone, MinReadyReplicas: w.MinReadyReplicas,
 		PauseMS: w.PauseMS, Gates: w.Gates}
 	for _, text := range w.Nodes {
-		id, err := f.nodeID(text)
+		id, err := p.nodeID(text)
 		if err != nil {
 			return nil, err
 		}
-		p.Nodes = append(p.Nodes, id)
+		plan.Nodes = append(plan.Nodes, id)
 	}
 	var err error
-	if len(p.Nodes) == 0 && len(w.Brokers) > 0 {
-		p.Slots, err = f.slotsByName(w.Brokers)
-	} else if len(p.Nodes) == 0 {
-		p.Slots = f.allSlots()
+	if len(plan.Nodes) == 0 && len(w.Brokers) > 0 {
+		plan.Slots, err = p.slotsByName(w.Brokers)
+	} else if len(plan.Nodes) == 0 {
+		plan.Slots = p.allSlots()
 	}
-	if len(p.Batches) == 0 {
-		p.Batches = release.Batches(len(p.Slots) + len(p.Nodes))
+	if len(plan.Batches) == 0 {
+		plan.Batches = release.Batches(len(plan.Slots) + len(plan.Nodes))
 	}
-	return p, err
+	return plan, err
 }
 
 // allSlots is all brokers in turn by zones; those that vote come last, and of these the one that leads.
-func (f *Participant) allSlots() []statemachine.Slot {
-	slots := release.Order(f.state.Brokers())
+func (p *Participant) allSlots() []statemachine.Slot {
+	slots := release.Order(p.state.Brokers())
 	rank := func(s statemachine.Slot) int {
-		b, _ := f.state.Broker(s)
-		if b.Name == f.name {
+		b, _ := p.state.Broker(s)
+		if b.Name == p.name {
 			return 2
 		}
-		if slices.ContainsFunc(f.options.Voters, func(v Voter) bool { return v.Name == b.Name }) {
+		if slices.ContainsFunc(p.options.Voters, func(v Voter) bool { return v.Name == b.Name }) {
 			return 1
 		}
 		return 0
@@ -77,8 +77,8 @@
 }
 
 // slotsByName finds brokers by their names.
-func (f *Participant) slotsByName(names []string) (all []statemachine.Slot, err error) {
-	roster := f.state.Brokers()
+func (p *Participant) slotsByName(names []string) (all []statemachine.Slot, err error) {
+	roster := p.state.Brokers()
 	for _, name := range names {
 		i := slices.IndexFunc(roster, func(b statemachine.Broker) bool { return b.Name == name })
 		if i < 0 {
--- a/internal/cluster/controlplane/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -35,8 +35,8 @@
 const maxReportBytes = 64 << 10
 
 // AddReportSection adds to the reports, before Run.
-func (f *Participant) AddReportSection(e ReportSection) {
-	f.reportSections = append(f.reportSections, e)
+func (p *Participant) AddReportSection(e ReportSection) {
+	p.reportSections = append(p.reportSections, e)
 }
 
 // evidence is a report as a release's gates take it.
@@ -54,12 +54,12 @@
 	return e
 }
 
-func (f *Participant) queueReport() {
-	if f.options.CollectReport == nil || !f.isRegistered() {
+func (p *Participant) queueReport() {
+	if p.options.CollectReport == nil || !p.isRegistered() {
 		return
 	}
-	r := f.options.CollectReport()
-	for _, e := range f.reportSections {
+	r := p.options.CollectReport()
+	for _, e := range p.reportSections {
 		if data := e.Collect(); len(data) > 0 {
 			if r.Extra == nil {
 				r.Extra = map[string][]byte{}
@@ -68,21 +68,21 @@
 		}
 	}
 	if data, err := encoding.Marshal(r); err == nil && len(data) <= maxReportBytes {
-		f.outbox.Reports = append(f.outbox.Reports, reportFrame{uint32(f.options.Slot), f.incarnation, data})
+		p.outbox.Reports = append(p.outbox.Reports, reportFrame{uint32(p.options.Slot), p.incarnation, data})
 	}
 }
 
 // acceptReports takes reports at the leader.
-func (f *Participant) acceptReports(all []reportFrame, now time.Duration) {
+func (p *Participant) acceptReports(all []reportFrame, now time.Duration) {
 	for _, m := range all {
-		b, known := f.state.Broker(statemachine.Slot(m.Slot))
-		if !known || b.Incarnation != m.Incarnation || len(m.Data) > maxReportBytes || f.leadership.reports == nil {
+		b, known := p.state.Broker(statemachine.Slot(m.Slot))
+		if !known || b.Incarnation != m.Incarnation || len(m.Data) > maxReportBytes || p.leadership.reports == nil {
 			continue
 		}
 		if r, err := decode[Report](m.Data); err == nil && len(r.Classes) <= 64 {
-			f.leadership.reports[b.Slot] = ReceivedReport{r, m.Incarnation, now}
-			if f.leadership.planner != nil {
-				f.leadership.planner.Take(r.evidence(b), now)
+			p.leadership.reports[b.Slot] = ReceivedReport{r, m.Incarnation, now}
+			if p.leadership.planner != nil {
+				p.leadership.planner.Take(r.evidence(b), now)
 			}
 		}
 	}
--- a/internal/cluster/controlplane/request.go
+++ b/internal/cluster/controlplane/request.go
@@ -91,8 +91,8 @@
 }
 
 // nodeID finds a node by the name or address that an operator gives.
-func (f *Participant) nodeID(text string) (decision.NodeID, error) {
-	id, ok := f.findNode(text)
+func (p *Participant) nodeID(text string) (decision.NodeID, error) {
+	id, ok := p.findNode(text)
 	if !ok {
 		return id, &InvalidRequestError{fmt.Sprintf("no node %.80q is in the leader's list", text)}
 	}
@@ -100,7 +100,7 @@
 }
 
 // handleRequest answers an operator, perhaps later.
-func (f *Participant) handleRequest(c *conn, m requestFrame) {
+func (p *Participant) handleRequest(c *conn, m requestFrame) {
 	answer := func(body any, err error) {
 		s := responseFrame{ID: m.ID}
 		if err != nil {
@@ -108,23 +108,23 @@
 		} else if s.Body, err = json.Marshal(body); err != nil {
 			s.Error = err.Error()
 		}
-		f.send(c, frameResponse, s)
+		p.send(c, frameResponse, s)
 	}
 	if c.peer.Role != roleOperator {
 		return
 	}
-	if f.raft == nil || !f.raft.IsLeader() || !f.leadership.established {
+	if p.raft == nil || !p.raft.IsLeader() || !p.leadership.established {
 		e := &NotLeaderError{}
-		if f.raft != nil {
-			if l := f.raft.Leader(); l != 0 && l != f.voterID {
-				e.Leader = f.options.Voters[l-1].Name
+		if p.raft != nil {
+			if l := p.raft.Leader(); l != 0 && l != p.voterID {
+				e.Leader = p.options.Voters[l-1].Name
 			}
 		}
-		f.send(c, frameResponse, responseFrame{ID: m.ID, Error: e.Error(), Remedy: e.Remedy(), Leader: e.Leader, NotLeader: true})
+		p.send(c, frameResponse, responseFrame{ID: m.ID, Error: e.Error(), Remedy: e.Remedy(), Leader: e.Leader, NotLeader: true})
 		return
 	}
 	if m.Verb == VerbStatus {
-		f.confirmedRead(func(err error) { answer(f.status(f.options.Now()), err) })
+		p.confirmedRead(func(err error) { answer(p.status(p.options.Now()), err) })
 		return
 	}
 	var r Request
@@ -133,28 +133,28 @@
 		return
 	}
 	// What was agreed before this moment counts, such as which release is the present one.
-	f.confirmedRead(func(err error) {
+	p.confirmedRead(func(err error) {
 		var e statemachine.Entry
 		if err == nil {
-			e, err = f.entryFor(m.Verb, &r)
+			e, err = p.entryFor(m.Verb, &r)
 		}
-		if err != nil || !f.connections[c] {
+		if err != nil || !p.connections[c] {
 			answer(nil, err)
 			return
 		}
-		c.operatorProposals = append(c.operatorProposals, f.propose(e, func(r statemachine.Result, err error) { answer(r.Number, err) }))
+		c.operatorProposals = append(c.operatorProposals, p.propose(e, func(r statemachine.Result, err error) { answer(r.Number, err) }))
 	})
 }
 
 // entryFor makes an entry of a request.
-func (f *Participant) entryFor(verb string, r *Request) (statemachine.Entry, error) {
+func (p *Participant) entryFor(verb string, r *Request) (statemachine.Entry, error) {
 	release := r.Release
-	if now, ok := f.state.Release(); ok && release == 0 {
+	if now, ok := p.state.Release(); ok && release == 0 {
 		release = now.Number
 	}
 	switch verb {
 	case VerbRelease:
-		return f.releasePlan(r.Plan)
+		return p.releasePlan(r.Plan)
 	case VerbHalt:
 		return &statemachine.HaltRelease{Release: release, Reason: r.Reason}, nil
 	case VerbResume:
@@ -162,49 +162,49 @@
 	case VerbRollBack:
 		return &statemachine.RollBackRelease{Release: release, Reason: r.Reason}, nil
 	case VerbDrain, VerbUndrain, VerbNodeOut, VerbNodeReturned:
-		return f.nodeEntryFor(verb, r)
+		return p.nodeEntryFor(verb, r)
 	case VerbRemoveBroker:
-		slots, err := f.slotsByName([]string{r.Broker})
+		slots, err := p.slotsByName([]string{r.Broker})
 		if err != nil {
 			return nil, err
 		}
 		return &statemachine.RemoveBroker{Slot: slots[0]}, nil
 	case VerbPolicy, VerbRollBackPolicy:
-		if f.compilePolicy == nil {
+		if p.compilePolicy == nil {
 			return nil, &InvalidRequestError{"this program divides no budgets: fleet.budgets is false"}
 		}
 		if verb == VerbRollBackPolicy {
-			before := f.state.Policies().Previous
+			before := p.state.Policies().Previous
 			if before == nil {
 				return nil, &InvalidRequestError{"there is no policy before the one in force"}
 			}
 			r.Text = before.Text
 		}
-		return f.compilePolicy(r.Text, f.state)
+		return p.compilePolicy(r.Text, p.state)
 	}
 	return nil, &InvalidRequestError{fmt.Sprintf("no such verb: %.40q", verb)}
 }
 
-func (f *Participant) status(now time.Duration) *Status {
-	s := &Status{Leader: f.name, Term: f.leadership.term, Index: f.state.AppliedIndex(), Protocol: f.state.TierProtocol(), Epoch: f.state.Epoch()}
-	for _, b := range f.state.Brokers() {
+func (p *Participant) status(now time.Duration) *Status {
+	s := &Status{Leader: p.name, Term: p.leadership.term, Index: p.state.AppliedIndex(), Protocol: p.state.TierProtocol(), Epoch: p.state.Epoch()}
+	for _, b := range p.state.Brokers() {
 		ago := time.Duration(-1)
-		if h := f.leadership.sessions[b.Slot]; h.incarnation == b.Incarnation {
+		if h := p.leadership.sessions[b.Slot]; h.incarnation == b.Incarnation {
 			ago = now - h.grantedAt
 		}
 		s.Brokers = append(s.Brokers, BrokerStatus{b, b.Status.String(), ago})
 	}
-	for _, n := range f.state.Nodes() {
-		p, _ := f.state.NodePermit(n.Node)
-		s.Nodes = append(s.Nodes, NodeStatus{n, f.nodeName(n.Node), p.Number})
+	for _, n := range p.state.Nodes() {
+		permit, _ := p.state.NodePermit(n.Node)
+		s.Nodes = append(s.Nodes, NodeStatus{n, p.nodeName(n.Node), permit.Number})
 	}
-	if r, ok := f.state.Release(); ok {
+	if r, ok := p.state.Release(); ok {
 		s.Release = &r
 	}
-	for _, d := range f.state.Drains() {
-		s.Drains = append(s.Drains, DrainStatus{d, f.nodeName(d.Node), f.state.IsDrained(d.Node), f.state.MissingDrainAcks(d.Node)})
+	for _, d := range p.state.Drains() {
+		s.Drains = append(s.Drains, DrainStatus{d, p.nodeName(d.Node), p.state.IsDrained(d.Node), p.state.MissingDrainAcks(d.Node)})
 	}
-	policies := f.state.Policies()
+	policies := p.state.Policies()
 	s.Policy, s.Waiting = policies.InForce, policies.Waiting
 	return s
 }
--- a/internal/cluster/controlplane/traffic_test.go
+++ b/internal/cluster/controlplane/traffic_test.go
@@ -14,8 +14,8 @@
 
 type load struct{ framesIn, framesOut, bytesIn, bytesOut float64 }
 
-func (f *Participant) load() load {
-	c := &f.Counts
+func (p *Participant) load() load {
+	c := &p.Counts
 	return load{float64(c.FramesIn.Load()), float64(c.FramesOut.Load()), float64(c.BytesIn.Load()), float64(c.BytesOut.Load())}
 }
 
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -45,50 +45,50 @@
 func (v *View) LeaseHeld(now time.Duration) bool { return now < v.LeaseEnd }
 
 // View is the newest.
-func (f *Participant) View() *View { return f.latestView.Load() }
+func (p *Participant) View() *View { return p.latestView.Load() }
 
 // Now is the clock of views.
-func (f *Participant) Now() time.Duration { return f.options.Now() }
+func (p *Participant) Now() time.Duration { return p.options.Now() }
 
 // updateView makes a view.
-func (f *Participant) updateView(now time.Duration) {
-	s := f.state
-	v := &View{Index: s.AppliedIndex(), Connected: f.session.runsAt(now), Since: f.session.since, LeaseEnd: f.session.expiresAt, Leader: f.session.leader,
-		Incarnation: f.incarnation, Epoch: s.Epoch(), Halted: f.haltedBy, MustExit: f.mustExit()}
-	old := f.latestView.Load()
-	if v.Epoch == old.Epoch && v.Epoch != 0 && !f.nodesChanged {
+func (p *Participant) updateView(now time.Duration) {
+	s := p.state
+	v := &View{Index: s.AppliedIndex(), Connected: p.session.runsAt(now), Since: p.session.since, LeaseEnd: p.session.expiresAt, Leader: p.session.leader,
+		Incarnation: p.incarnation, Epoch: s.Epoch(), Halted: p.haltedBy, MustExit: p.mustExit()}
+	old := p.latestView.Load()
+	if v.Epoch == old.Epoch && v.Epoch != 0 && !p.nodesChanged {
 		v.Nodes = old.Nodes
 	} else {
 		v.Nodes = s.Nodes()
 	}
-	f.nodesChanged = false
-	if f.isRegistered() {
-		v.Self, _ = s.Broker(f.options.Slot)
-		v.Permit, _ = s.BrokerPermit(f.options.Slot)
-		v.Lease, _ = s.Lease(f.options.Slot)
-		v.AcknowledgedPolicy = s.AcknowledgedPolicy(f.options.Slot)
+	p.nodesChanged = false
+	if p.isRegistered() {
+		v.Self, _ = s.Broker(p.options.Slot)
+		v.Permit, _ = s.BrokerPermit(p.options.Slot)
+		v.Lease, _ = s.Lease(p.options.Slot)
+		v.AcknowledgedPolicy = s.AcknowledgedPolicy(p.options.Slot)
 	}
-	me := statemachine.BrokerIncarnation{Slot: f.options.Slot, Incarnation: f.incarnation}
+	me := statemachine.BrokerIncarnation{Slot: p.options.Slot, Incarnation: p.incarnation}
 	for _, d := range s.Drains() {
 		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acknowledged, me)})
 	}
 	policies := s.Policies()
 	v.Policy = policies.InForce
 	v.WaitingPolicy = policies.Waiting
-	f.latestView.Store(v)
+	p.latestView.Store(v)
 	select {
-	case f.viewChanged <- struct{}{}:
+	case p.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
 // deliverViews hands views over; whoever takes them slowly gets the newest.
-func (f *Participant) deliverViews(ctx context.Context) {
+func (p *Participant) deliverViews(ctx context.Context) {
 	for {
 		select {
-		case <-f.viewChanged:
-			if f.options.OnView != nil {
-				f.options.OnView(f.latestView.Load())
+		case <-p.viewChanged:
+			if p.options.OnView != nil {
+				p.options.OnView(p.latestView.Load())
 			}
 		case <-ctx.Done():
 			return
