--- a/internal/cluster/controlplane/conn.go
+++ b/internal/cluster/controlplane/conn.go
@@ -1,30 +1,25 @@
 package controlplane
 
-// This file owns one connection between two brokers, or a broker and an operator: hello, queue, frames, and its end.
-
 import (
 	"bufio"
-	"context"
-	"crypto/tls"
-	"fmt"
 	"net"
 	"sync"
 	"time"
-
-	"flaxfront/internal/transport/keys"
 )
 
 const (
-	handshakeTimeout       = 2 * time.Second
 	heartbeatInterval      = 250 * time.Millisecond
 	silenceTimeout         = 5 * heartbeatInterval
 	writeTimeout           = silenceTimeout
-	operatorTimeout        = time.Minute // an operator sends no beats
-	maxQueuedBytes         = 16 << 20    // that wait to be written; more end the connection
-	maxQueuedBeforePackets = 1 << 20     // with so many waiting, packets of voters are dropped, which Raft expects of a network
+	operatorTimeout        = time.Minute // an operator sends no heartbeats
+	maxQueuedBytes         = 16 << 20    // more end the connection
+	maxQueuedBeforePackets = 1 << 20     // with more queued, raft packets are dropped, which raft expects of a network
 )
 
-// conn is one connection. What a side queues never waits.
+// conn is one connection. Queuing a frame never blocks.
+//
+// A conn is opened by handshake, served by serveConn (one goroutine reads, one writes), and closed by whoever wants to end it; both
+// goroutines then end.
 type conn struct {
 	netConn net.Conn
 	reader  *bufio.Reader
@@ -36,80 +31,42 @@
 	queue       [][]byte
 	queuedBytes int
 	closed      bool
-	queued      chan struct{}
-
-	// of the core's goroutine alone
-	isFollower        bool   // it is fed by this side
-	sentIndex         uint64 // the last index queued for it
-	followerRoom      int
-	lastToken         uint64 // last heard
-	snapshotRest      []byte // what is left of a snapshot for it
-	otherSources      []string
-	operatorProposals []uint64 // proposed for an operator
+	wakeWriter  chan struct{}
 
-	snapshotBytes int
+	connState // of the loop's goroutine alone
 }
 
-// handshake takes a connection through TLS and the hellos. The name in the hello must be that of the certificate.
-func handshake(ctx context.Context, nc *tls.Conn, mine helloFrame, dialled bool) (*conn, error) {
-	nc.SetDeadline(time.Now().Add(handshakeTimeout))
-	if err := nc.HandshakeContext(ctx); err != nil {
-		return nil, err
-	}
-	id, err := keys.PeerID(nc.ConnectionState())
-	if err != nil {
-		return nil, err
-	}
-	c := &conn{netConn: nc, reader: bufio.NewReaderSize(nc, 32<<10), dialled: dialled, queued: make(chan struct{}, 1)}
-	say := func() error {
-		_, err := nc.Write(frame(frameHello, mine))
-		return err
-	}
-	if dialled { // it speaks first
-		err = say()
-	}
-	if err != nil {
-		return nil, err
-	}
-	letter, body, err := readFrame(c.reader, maxHelloBytes)
-	if err == nil && !dialled {
-		err = say()
-	}
-	if err != nil {
-		return nil, err
-	}
-	if letter != frameHello {
-		return nil, fmt.Errorf("%w: %q comes first", errMalformedFrame, letter)
-	}
-	if c.peer, err = decode[helloFrame](body); err != nil {
-		return nil, err
-	}
-	if c.peer.Protocol < 1 || c.peer.Name != id.Broker || len(c.peer.Listen) > maxNameBytes {
-		return nil, fmt.Errorf("%w: hello of %q, protocol %d, over the certificate of %s", errMalformedFrame, c.peer.Name, c.peer.Protocol, id)
-	}
-	nc.SetDeadline(time.Time{})
-	return c, nil
+// connState is what only the participant's loop uses.
+type connState struct {
+	isFollower        bool   // this side feeds it
+	sentIndex         uint64 // the last one queued for it
+	snapshotRest      []byte // what is left to send of a snapshot
+	snapshotBytes     int
+	followerRoom      int
+	lastToken         uint64
+	otherSources      []string // that it named
+	operatorProposals []uint64
 }
 
-// enqueue queues a frame; false: it was dropped, or the connection has ended.
-func (c *conn) enqueue(b []byte) bool {
+// enqueue queues a frame. It is dropped if the connection has ended, or ends for it.
+func (c *conn) enqueue(frame []byte) {
+	isPacket := frame[lengthBytes] == framePacket
 	c.mu.Lock()
-	full := c.queuedBytes+len(b) > maxQueuedBytes || b[4] == framePacket && c.queuedBytes > maxQueuedBeforePackets
-	if c.closed || full {
+	isFull := c.queuedBytes+len(frame) > maxQueuedBytes
+	if isPacket && c.queuedBytes > maxQueuedBeforePackets {
+		isFull = true
+	}
+	if c.closed || isFull {
 		c.mu.Unlock()
-		if full && b[4] != framePacket { // Danger: a side that does not read takes memory here
+		if isFull && !isPacket { // a side that does not read would take memory here
 			c.close()
 		}
-		return false
+		return
 	}
-	c.queue = append(c.queue, b)
-	c.queuedBytes += len(b)
+	c.queue = append(c.queue, frame)
+	c.queuedBytes += len(frame)
 	c.mu.Unlock()
-	select {
-	case c.queued <- struct{}{}:
-	default:
-	}
-	return true
+	c.wake()
 }
 
 // backlog is how many bytes are queued.
@@ -127,30 +84,45 @@
 	c.closed = true
 	c.mu.Unlock()
 	c.netConn.Close()
+	c.wake()
+}
+
+func (c *conn) wake() {
 	select {
-	case c.queued <- struct{}{}:
+	case c.wakeWriter <- struct{}{}:
 	default:
 	}
 }
 
-// writeLoop is the writer's goroutine: all that waits in one go.
+// takeQueue returns all queued frames; false: the connection is closed.
+func (c *conn) takeQueue(batch [][]byte) ([][]byte, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return nil, false
+	}
+	batch = append(batch[:0], c.queue...)
+	c.queue = c.queue[:0]
+	c.queuedBytes = 0
+	return batch, true
+}
+
+// writeLoop writes what is queued until the connection is closed.
 func (c *conn) writeLoop() {
-	var batch net.Buffers
+	var batch [][]byte
 	for {
-		c.mu.Lock()
-		if c.closed {
-			c.mu.Unlock()
+		frames, open := c.takeQueue(batch)
+		if !open {
 			return
 		}
-		batch, c.queue, c.queuedBytes = append(batch[:0], c.queue...), c.queue[:0], 0
-		c.mu.Unlock()
+		batch = frames
 		if len(batch) == 0 {
-			<-c.queued
+			<-c.wakeWriter
 			continue
 		}
 		c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		for _, b := range batch {
-			if _, err := c.netConn.Write(b); err != nil {
+		for _, frame := range batch {
+			if _, err := c.netConn.Write(frame); err != nil {
 				c.close()
 				return
 			}
@@ -158,20 +130,20 @@
 	}
 }
 
-// readLoop hands frames on until the connection ends. Whatever comes renews the time; a side that is silent is cut off, or half
-// open.
-func (c *conn) readLoop(take func(letter byte, body []byte) bool) error {
+// readLoop hands frames on until the connection ends or handle returns false. Any frame renews the deadline; a side that is silent is cut
+// off, or half open.
+func (c *conn) readLoop(handle func(kind byte, body []byte) bool) error {
+	timeout := silenceTimeout
+	if c.peer.Role == roleOperator {
+		timeout = operatorTimeout
+	}
 	for {
-		if c.peer.Role == roleOperator {
-			c.netConn.SetReadDeadline(time.Now().Add(operatorTimeout))
-		} else {
-			c.netConn.SetReadDeadline(time.Now().Add(silenceTimeout))
-		}
-		letter, body, err := readFrame(c.reader, maxFrameBytes)
+		c.netConn.SetReadDeadline(time.Now().Add(timeout))
+		kind, body, err := readFrame(c.reader, maxFrameBytes)
 		if err != nil {
 			return err
 		}
-		if !take(letter, body) {
+		if !handle(kind, body) {
 			return nil
 		}
 	}
--- a/internal/cluster/controlplane/feed.go
+++ b/internal/cluster/controlplane/feed.go
@@ -1,11 +1,7 @@
 package controlplane
 
-// This file owns the feed: entries as they were agreed, passed on to those that follow, from wherever they stand.
-
 import (
 	"log/slog"
-
-	"flaxfront/internal/decision/statemachine"
 )
 
 const (
@@ -16,29 +12,29 @@
 	maxFollowerBacklog = 4 << 20 // bytes queued for one follower, beyond which it waits
 )
 
-// recentEntries are the last entries, without a gap.
+// recentEntries are the last applied entries, without a gap.
 type recentEntries struct {
-	maxEntries    int    // of them; 0: keepEntries
+	maxEntries    int    // 0: maxRecentEntries
 	previousIndex uint64 // the index before the first
 	entries       []feedEntry
 	bytes         int
 }
 
 func (r *recentEntries) add(index uint64, data []byte) {
-	r.entries = append(r.entries, feedEntry{index, data})
+	r.entries = append(r.entries, feedEntry{Index: index, Data: data})
 	r.bytes += len(data)
-	keep := r.maxEntries
-	if keep == 0 {
-		keep = maxRecentEntries
+	maxEntries := r.maxEntries
+	if maxEntries == 0 {
+		maxEntries = maxRecentEntries
 	}
-	for len(r.entries) > keep || r.bytes > maxRecentBytes && len(r.entries) > 1 {
+	for len(r.entries) > maxEntries || r.bytes > maxRecentBytes && len(r.entries) > 1 {
 		r.previousIndex = r.entries[0].Index
 		r.bytes -= len(r.entries[0].Data)
 		r.entries = r.entries[1:]
 	}
 }
 
-// after is what follows an index; false: it is too far back.
+// after returns the entries after an index; false: it is too far back.
 func (r *recentEntries) after(index uint64) (rest []feedEntry, ok bool) {
 	if index < r.previousIndex {
 		return nil, false
@@ -50,17 +46,11 @@
 	return r.entries[i:], true
 }
 
-// incomingSnapshot is a snapshot that comes in pieces.
-type incomingSnapshot struct {
-	index uint64
-	data  []byte
-}
-
-// appliedMachine is the ledger as agreement drives it.
+// appliedMachine is the state machine as raft drives it.
 type appliedMachine struct{ participant *Participant }
 
-// Apply ends this voter at an entry that it cannot read. Danger: Raft would count it as applied, and cut the log before the next
-// snapshot off, which a newer program needs to go on from there.
+// Apply applies an entry, and ends this voter at one that it cannot read. Raft would count it as applied, and cut the log before the next
+// snapshot, which a newer program needs to go on from there.
 func (m appliedMachine) Apply(index uint64, data []byte) {
 	m.participant.applyEntry(index, data)
 	if m.participant.haltedBy != nil {
@@ -68,42 +58,31 @@
 	}
 }
 
-func (m appliedMachine) Snapshot() []byte          { return m.participant.state.Snapshot() }
+// Snapshot implements consensus.StateMachine.
+func (m appliedMachine) Snapshot() []byte { return m.participant.state.Snapshot() }
+
+// Restore implements consensus.StateMachine.
 func (m appliedMachine) Restore(data []byte) error { return m.participant.restoreSnapshot(data) }
 
-// applyEntry takes over what was agreed.
+// applyEntry applies what was agreed. It stops for good before an entry of a newer version.
 func (p *Participant) applyEntry(index uint64, data []byte) {
 	if p.haltedBy != nil {
 		return
 	}
-	r := p.state.Apply(index, data)
-	if isUnknownEntry(r.Err) {
-		p.haltedBy = r.Err
-		slog.Error("fleet: stopped before an entry of a newer version; searches go on", "index", index, "error", r.Err)
-		p.viewOutdated = true
+	result := p.state.Apply(index, data)
+	p.viewOutdated = true
+	if isUnknownEntry(result.Err) {
+		p.haltedBy = result.Err
+		slog.Error("stopped before an entry of a newer version", "component", component, "index", index,
+			"error", result.Err, "remedy", remedyOf(result.Err))
 		p.redirectFollowers()
 		return
 	}
 	p.recentEntries.add(index, data)
-	p.viewOutdated = true
-	p.completeProposal(index, data, r)
-}
-
-// restoreSnapshot begins anew from a snapshot.
-func (p *Participant) restoreSnapshot(data []byte) error {
-	s, err := statemachine.Restore(data)
-	if err != nil {
-		return err
-	}
-	p.state, p.haltedBy, p.viewOutdated, p.nodesChanged = s, nil, true, true
-	p.recentEntries = recentEntries{maxEntries: p.recentEntries.maxEntries, previousIndex: s.AppliedIndex()}
-	for _, waiting := range p.pending { // whether it is in there the ledger tells when it comes again
-		waiting.sentAt = 0
-	}
-	return nil
+	p.completeProposal(data, result)
 }
 
-// feedFollowers gives those that follow what they lack.
+// feedFollowers sends the followers what they lack.
 func (p *Participant) feedFollowers() {
 	for c := range p.connections {
 		if c.isFollower {
@@ -115,71 +94,48 @@
 func (p *Participant) feedFollower(c *conn) {
 	for c.backlog() < maxFollowerBacklog {
 		if len(c.snapshotRest) > 0 {
-			n := min(snapshotPieceBytes, len(c.snapshotRest))
-			at := c.snapshotBytes - len(c.snapshotRest)
-			p.send(c, frameSnapshotPiece, snapshotPiece{c.sentIndex, c.snapshotBytes, at, c.snapshotRest[:n]})
-			c.snapshotRest = c.snapshotRest[n:]
+			p.sendSnapshotPiece(c)
 			continue
 		}
 		rest, ok := p.recentEntries.after(c.sentIndex)
 		if !ok {
-			p.Counts.Snapshots.Add(1)
-			c.snapshotRest = p.state.Snapshot()
-			c.sentIndex, c.snapshotBytes = p.state.AppliedIndex(), len(c.snapshotRest)
+			p.startSnapshot(c)
 			continue
 		}
 		if len(rest) == 0 {
 			return
 		}
-		n, bytes := 0, 0
-		for n < len(rest) && n < maxFeedEntries && (n == 0 || bytes+len(rest[n].Data) <= maxFeedBytes) {
-			bytes += len(rest[n].Data)
-			n++
-		}
-		p.send(c, frameFeed, feedFrame{c.sentIndex, rest[:n]})
-		c.sentIndex = rest[n-1].Index
+		batch := rest[:feedBatchLength(rest)]
+		p.send(c, frameFeed, feedFrame{Previous: c.sentIndex, Entries: batch})
+		c.sentIndex = batch[len(batch)-1].Index
 	}
 }
 
-// handleFeed applies what the source passes on. One that leaves something out is asked again, from where this side stands.
-func (p *Participant) handleFeed(c *conn, m feedFrame) {
-	if c != p.source || p.haltedBy != nil {
-		return
-	}
-	if m.Previous > p.state.AppliedIndex() {
-		p.send(c, frameFollow, followFrame{p.state.AppliedIndex()})
-		return
-	}
-	for _, e := range m.Entries {
-		if e.Index > p.state.AppliedIndex() {
-			p.applyEntry(e.Index, e.Data)
+// feedBatchLength is how many entries, one at least, fit one frame.
+func feedBatchLength(entries []feedEntry) (length int) {
+	bytes := 0
+	for _, entry := range entries[:min(len(entries), maxFeedEntries)] {
+		bytes += len(entry.Data)
+		if length > 0 && bytes > maxFeedBytes {
+			break
 		}
+		length++
 	}
+	return length
 }
 
-// handleSnapshotPiece gathers a snapshot.
-func (p *Participant) handleSnapshotPiece(c *conn, piece snapshotPiece) {
-	if c != p.source {
-		return
-	}
-	w := &p.incomingSnapshot
-	if piece.Offset == 0 {
-		*w = incomingSnapshot{index: piece.Index}
-	}
-	if piece.Index != w.index || piece.Offset != len(w.data) || piece.Total > maxSnapshotBytes || len(w.data)+len(piece.Data) > piece.Total {
-		c.close()
-		return
-	}
-	if w.data = append(w.data, piece.Data...); len(w.data) < piece.Total {
+// handleFeed applies what the source sends. A feed with a gap is asked for again, from where this side stands.
+func (p *Participant) handleFeed(c *conn, feed feedFrame) {
+	if c != p.source || p.haltedBy != nil {
 		return
 	}
-	data, index := w.data, w.index
-	*w = incomingSnapshot{}
-	if index <= p.state.AppliedIndex() && p.haltedBy == nil {
+	if feed.Previous > p.state.AppliedIndex() {
+		p.send(c, frameFollow, followFrame{Index: p.state.AppliedIndex()})
 		return
 	}
-	if err := p.restoreSnapshot(data); err != nil {
-		slog.Error("fleet: a snapshot is not taken", "from", c.peer.Name, "error", err)
-		c.close()
+	for _, entry := range feed.Entries {
+		if entry.Index > p.state.AppliedIndex() {
+			p.applyEntry(entry.Index, entry.Data)
+		}
 	}
 }
--- a/internal/cluster/controlplane/fuzz_test.go
+++ b/internal/cluster/controlplane/fuzz_test.go
@@ -24,11 +24,11 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for letter, body := range map[byte]any{frameFollow: followFrame{7}, frameFeed: feedFrame{0, []feedEntry{{1, []byte{1, 2}}}}, frameSnapshotPiece: snapshotPiece{9, 4, 0, []byte{1}},
+	for kind, body := range map[byte]any{frameFollow: followFrame{7}, frameFeed: feedFrame{0, []feedEntry{{1, []byte{1, 2}}}}, frameSnapshotPiece: snapshotPiece{9, 4, 0, []byte{1}},
 		frameUpstream: upstreamFrame{Renewals: []leaseRenewal{{1, 2, 3}}, Entries: [][]byte{{1}}, Reports: []reportFrame{{1, 2, []byte{3}}}},
 		frameGrants:   grantsFrame{1, "b", []leaseRenewal{{0, 1, 1}}}, frameHeartbeat: heartbeatFrame{Path: []string{"x"}, Token: 1, Echo: 1, Topics: map[string]topicData{"t": {[]byte{1}, 2}}},
 		frameRedirect: redirectFrame{[]string{"x"}}, frameRequest: requestFrame{1, VerbStatus, nil}} {
-		f.Add(frame(letter, body), true)
+		f.Add(encodeFrame(kind, body), true)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, source bool) {
 		fl, err := New(Options{Keys: ring, Voters: []Voter{{"v", "v"}}, LeaseDuration: time.Second, MaxFollowers: 1, ReportInterval: time.Second})
@@ -42,14 +42,14 @@
 		fl.addConn(c)
 		fl.sourcePath = []string{"v"}
 		for r := bufio.NewReader(bytes.NewReader(raw)); ; {
-			letter, body, err := readFrame(r, maxFrameBytes)
+			kind, body, err := readFrame(r, maxFrameBytes)
 			if err != nil {
 				break
 			}
 			if len(body) > len(raw) {
 				t.Fatal("more than came")
 			}
-			fl.handleFrame(c, letter, body)
+			fl.handleFrame(c, kind, body)
 			fl.step(fl.options.Now())
 		}
 	})
--- /dev/null
+++ b/internal/cluster/controlplane/handshake.go
@@ -0,0 +1,96 @@
+package controlplane
+
+import (
+	"bufio"
+	"context"
+	"crypto/tls"
+	"fmt"
+	"time"
+
+	"flaxfront/internal/transport/keys"
+)
+
+const (
+	handshakeTimeout = 2 * time.Second
+	readBufferBytes  = 32 << 10
+)
+
+// side is who opened a connection. The dialling side sends the first hello.
+type side uint8
+
+const (
+	dialling side = iota
+	accepting
+)
+
+// handshake takes a connection through TLS and the hellos.
+func handshake(ctx context.Context, netConn *tls.Conn, own helloFrame, s side) (*conn, error) {
+	netConn.SetDeadline(time.Now().Add(handshakeTimeout))
+	if err := netConn.HandshakeContext(ctx); err != nil {
+		return nil, err
+	}
+	id, err := keys.PeerID(netConn.ConnectionState())
+	if err != nil {
+		return nil, err
+	}
+	c := &conn{
+		netConn:    netConn,
+		reader:     bufio.NewReaderSize(netConn, readBufferBytes),
+		dialled:    s == dialling,
+		wakeWriter: make(chan struct{}, 1),
+	}
+	if err := c.exchangeHellos(own); err != nil {
+		return nil, err
+	}
+	if err := c.checkPeer(id); err != nil {
+		return nil, err
+	}
+	netConn.SetDeadline(time.Time{})
+	return c, nil
+}
+
+func (c *conn) exchangeHellos(own helloFrame) error {
+	if c.dialled {
+		if err := c.sendHello(own); err != nil {
+			return err
+		}
+	}
+	kind, body, err := readFrame(c.reader, maxHelloBytes)
+	if err != nil {
+		return err
+	}
+	if !c.dialled {
+		if err := c.sendHello(own); err != nil {
+			return err
+		}
+	}
+	if kind != frameHello {
+		return &FrameError{Reason: fmt.Sprintf("kind %q comes first", kind)}
+	}
+	c.peer, err = decode[helloFrame](body)
+	return err
+}
+
+func (c *conn) sendHello(own helloFrame) error {
+	_, err := c.netConn.Write(encodeFrame(frameHello, own))
+	return err
+}
+
+// checkPeer compares the hello with the certificate.
+func (c *conn) checkPeer(id keys.ID) error {
+	if c.peer.Protocol < 1 || c.peer.Name != id.Broker || len(c.peer.Listen) > maxNameBytes {
+		return &FrameError{Reason: fmt.Sprintf("hello of %q, protocol %d, with the certificate of %s", c.peer.Name, c.peer.Protocol, id)}
+	}
+	return nil
+}
+
+// siteCheck admits brokers of the own site alone.
+func siteCheck(ring *keys.Keyring) func(keys.ID) error {
+	return func(id keys.ID) error {
+		own := ring.ID()
+		if id.Site != own.Site {
+			return &OtherSiteError{Peer: id, Own: own}
+		}
+		return nil
+	}
+}
--- a/internal/cluster/controlplane/session.go
+++ b/internal/cluster/controlplane/session.go
@@ -1,8 +1,5 @@
 package controlplane
 
-// This file owns this broker's session: its place in the roster, and the lease that tells it that it is not cut off. It counts
-// from before it asked; the leader counts from after it granted (lead.go).
-
 import (
 	"errors"
 	"log/slog"
@@ -11,63 +8,95 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-const registerInterval = 200 * time.Millisecond
+const (
+	registerInterval    = 200 * time.Millisecond
+	conflictLogInterval = 10 * time.Second
+)
 
-// sessionLease is what was granted to this broker.
+// sessionLease is the lease that tells a broker that it is not cut off from the majority. It counts from before it was asked for.
 type sessionLease struct {
-	expiresAt        time.Duration // on this clock; holds only if now is before it
-	connected        bool          // as told last
-	since            time.Duration
+	expiresAt        time.Duration // by this broker's clock
+	connected        bool          // the lease ran when it was last looked at
+	since            time.Duration // when connected last changed
 	leader           string
-	conflictLoggedAt time.Duration // a conflict was logged
+	conflictLoggedAt time.Duration // 0: never
 }
 
-// runsAt tells whether the lease runs at this moment. Danger: a process that was stopped and wakes up believes what was true when
-// it fell asleep; so whoever acts asks here, with the time just read.
+// runsAt reports whether the lease runs. A process that was stopped and resumes knows what was true before; so whoever acts on the lease
+// asks here, with the time just read.
 func (l *sessionLease) runsAt(now time.Duration) bool { return now < l.expiresAt }
 
-// maintainSession does what is due for it.
+// maintainSession registers and renews as due, and returns when to come again.
 func (p *Participant) maintainSession(now time.Duration) (next time.Duration) {
-	if up := p.session.runsAt(now); up != p.session.connected {
-		p.session.connected, p.session.since, p.viewOutdated = up, now, true
-		p.dueAt.publish = 0
-		if up {
-			slog.Info("fleet: connected to the majority", "leader", p.session.leader, "index", p.state.AppliedIndex(), "incarnation", p.incarnation)
-		} else {
-			slog.Warn("fleet: cut off from the majority; searches go on with what this broker holds, and it takes no permit")
-		}
-	}
-	if now >= p.dueAt.join {
-		p.dueAt.join = now + registerInterval
+	p.noteConnected(p.session.runsAt(now), now)
+	if now >= p.dueAt.register {
+		p.dueAt.register = now + registerInterval
 		p.registerIfNeeded(now)
 	}
-	if now >= p.dueAt.renew {
-		p.dueAt.renew = now + p.options.LeaseDuration/4
-		if !p.session.runsAt(now + p.options.LeaseDuration/2) { // it is late: ask more often
-			p.dueAt.renew = now + p.options.LeaseDuration/10
-		}
-		if p.isRegistered() && p.haltedBy == nil { // one that sees no drain any more must not have others wait for its word
-			p.outbox.Renewals = append(p.outbox.Renewals, leaseRenewal{uint32(p.options.Slot), p.incarnation, uint64(now) + 1})
-		}
+	if now >= p.dueAt.renewal {
+		p.renewSession(now)
 	}
-	next = min(p.dueAt.join, p.dueAt.renew)
+	next = min(p.dueAt.register, p.dueAt.renewal)
 	if p.session.connected {
 		next = min(next, p.session.expiresAt)
 	}
 	return next
 }
 
-// isRegistered tells whether the ledger has this broker under its present incarnation.
+func (p *Participant) noteConnected(connected bool, now time.Duration) {
+	if connected == p.session.connected {
+		return
+	}
+	p.session.connected = connected
+	p.session.since = now
+	p.viewOutdated = true
+	p.dueAt.view = 0
+	if connected {
+		slog.Info("connected to the majority", "component", component, "leader", p.session.leader,
+			"index", p.state.AppliedIndex(), "incarnation", p.incarnation)
+	} else {
+		slog.Warn("cut off from the majority", "component", component, "leader", p.session.leader)
+	}
+}
+
+// renewSession asks for the lease anew: four times in its duration, or ten times once half of it has passed.
+func (p *Participant) renewSession(now time.Duration) {
+	lease := p.options.LeaseDuration
+	p.dueAt.renewal = now + lease/4
+	if !p.session.runsAt(now + lease/2) {
+		p.dueAt.renewal = now + lease/10
+	}
+	// A broker that stands still before an entry no longer sees drains, and must not have others wait for its acknowledgement.
+	if !p.isRegistered() || p.haltedBy != nil {
+		return
+	}
+	renewal := leaseRenewal{Slot: uint32(p.options.Slot), Incarnation: p.incarnation, Token: tokenAt(now)}
+	p.outbox.Renewals = append(p.outbox.Renewals, renewal)
+}
+
+// tokenAt makes a token of a moment, never 0. Only the broker that sent it reads it.
+func tokenAt(now time.Duration) uint64 { return uint64(now) + 1 }
+
+// tokenTime is the moment of a token that came back; false: this broker can't have sent it.
+func tokenTime(token uint64, now time.Duration) (sentAt time.Duration, ok bool) {
+	if token == 0 || token-1 > uint64(now) {
+		return 0, false
+	}
+	return time.Duration(token - 1), true
+}
+
+// isRegistered reports whether the state machine has this broker under its present incarnation.
 func (p *Participant) isRegistered() bool {
-	b, ok := p.state.Broker(p.options.Slot)
-	return ok && b.Name == p.name && b.Incarnation == p.incarnation && b.Status != statemachine.BrokerLost
+	broker, known := p.state.Broker(p.options.Slot)
+	return known && broker.Name == p.name && broker.Incarnation == p.incarnation && broker.Status != statemachine.BrokerLost
 }
 
-// mustExit tells whether this very process went by a permit, though it may not have heard that this was agreed.
+// mustExit reports whether this very process went out by a permit, though it may not have heard that this was agreed.
 func (p *Participant) mustExit() bool {
-	b, known := p.state.Broker(p.options.Slot)
+	broker, known := p.state.Broker(p.options.Slot)
 	permit, holds := p.state.BrokerPermit(p.options.Slot)
-	return known && holds && permit.Used && b.Name == p.name && b.Incarnation == p.incarnation && permit.Incarnation == p.incarnation
+	isOwn := known && broker.Name == p.name && broker.Incarnation == p.incarnation
+	return isOwn && holds && permit.Used && permit.Incarnation == p.incarnation
 }
 
 // registerIfNeeded proposes what this broker's line in the roster lacks.
@@ -75,77 +104,108 @@
 	if p.registering || p.haltedBy != nil || p.leaving.Load() {
 		return
 	}
-	b, known := p.state.Broker(p.options.Slot)
-	if p.mustExit() { // it comes back as the process that is started next, or not at all
+	if p.mustExit() { // it returns as the process that is started next, or not at all
 		return
 	}
-	var e statemachine.Entry
-	switch {
-	case p.isRegistered() && (b.Status == statemachine.BrokerJoining || b.Status == statemachine.BrokerReturning) && p.serving.Load():
-		e = &statemachine.ReturnToService{Slot: p.options.Slot, Incarnation: p.incarnation}
-	case p.isRegistered():
+	entry := p.registration(now)
+	if entry == nil {
 		return
-	case known && b.Name != p.name && b.Status != statemachine.BrokerLost && b.Status != statemachine.BrokerOut:
-		if now-p.session.conflictLoggedAt > 10*time.Second || p.session.conflictLoggedAt == 0 {
-			p.session.conflictLoggedAt = now
-			slog.Error("fleet: not registered", "error", &SlotTakenError{p.options.Slot, b.Name})
-		}
-		return
-	default:
-		if known && b.Incarnation >= p.incarnation { // lost while it lived: it comes back as a new one
-			p.incarnation = b.Incarnation + 1
-			p.failProposals(errors.New("the session was lost"))
-			p.session.expiresAt = 0
-		}
-		e = &statemachine.RegisterBroker{Slot: p.options.Slot, Name: p.name, Incarnation: p.incarnation, Version: p.options.Version, Zone: p.options.Zone, Protocol: statemachine.SupportedProtocol}
 	}
 	p.registering = true
-	p.propose(e, func(r statemachine.Result, err error) {
-		p.registering = false
-		if p.dueAt.renew = 0; err != nil && !errors.As(err, new(*UncertainOutcomeError)) {
-			slog.Warn("fleet: not registered", "error", err)
-		}
-		p.dueAt.join = 0
-		if err != nil {
-			p.dueAt.join = p.options.Now() + registerInterval
+	p.propose(entry, func(_ statemachine.Result, err error) { p.noteRegistered(err) })
+}
+
+// registration is the entry that this broker's line in the roster lacks; nil: none.
+func (p *Participant) registration(now time.Duration) statemachine.Entry {
+	broker, known := p.state.Broker(p.options.Slot)
+	if p.isRegistered() {
+		isBack := broker.Status == statemachine.BrokerJoining || broker.Status == statemachine.BrokerReturning
+		if isBack && p.serving.Load() {
+			return &statemachine.ReturnToService{Slot: p.options.Slot, Incarnation: p.incarnation}
 		}
-	})
+		return nil
+	}
+	isGone := broker.Status == statemachine.BrokerLost || broker.Status == statemachine.BrokerOut
+	if known && broker.Name != p.name && !isGone {
+		p.logSlotTaken(broker.Name, now)
+		return nil
+	}
+	if known && broker.Incarnation >= p.incarnation { // lost while it lived: it returns as a new one
+		p.incarnation = broker.Incarnation + 1
+		p.failProposals(errSessionLost)
+		p.session.expiresAt = 0
+	}
+	return &statemachine.RegisterBroker{
+		Slot:        p.options.Slot,
+		Name:        p.name,
+		Incarnation: p.incarnation,
+		Version:     p.options.Version,
+		Zone:        p.options.Zone,
+		Protocol:    statemachine.SupportedProtocol,
+	}
 }
 
-// SetServing says that this broker takes searches: it counts as back.
-func (p *Participant) SetServing() { p.serving.Store(true) }
+func (p *Participant) logSlotTaken(holder string, now time.Duration) {
+	last := p.session.conflictLoggedAt
+	if last != 0 && now-last <= conflictLogInterval {
+		return
+	}
+	p.session.conflictLoggedAt = now
+	err := &SlotTakenError{Slot: p.options.Slot, Holder: holder}
+	slog.Error("registration rejected", "component", component, "error", err, "remedy", err.Remedy())
+}
 
-// SetLeaving says that it stops: it does not come back by itself.
-func (p *Participant) SetLeaving() { p.leaving.Store(true) }
+func (p *Participant) noteRegistered(err error) {
+	p.registering = false
+	p.dueAt.renewal = 0
+	p.dueAt.register = 0
+	if err == nil {
+		return
+	}
+	p.dueAt.register = p.options.Now() + registerInterval
+	if !errors.As(err, new(*UncertainOutcomeError)) {
+		slog.Warn("registration rejected", "component", component, "error", err, "remedy", remedyOf(err))
+	}
+}
 
-// handleGrants takes leases that the leader granted, and passes on those of others: to any, where it leads, else to those that follow.
-func (p *Participant) handleGrants(c *conn, d grantsFrame, now time.Duration) {
-	if c != nil && c != p.source && c.peer.Role != roleVoter || d.Lease <= 0 || len(d.Grants) > maxBatch {
+// handleGrants takes leases that the leader granted, and passes on those of others: all of them where this broker leads, else those of its
+// followers.
+func (p *Participant) handleGrants(c *conn, granted grantsFrame, now time.Duration) {
+	isTrusted := c == nil || c == p.source || c.peer.Role == roleVoter
+	if !isTrusted || granted.LeaseNS <= 0 || len(granted.Grants) > maxBatch {
 		return
 	}
 	others := map[*conn]*grantsFrame{}
-	for _, g := range d.Grants {
-		if statemachine.Slot(g.Slot) == p.options.Slot {
-			p.acceptGrant(g, d, now)
-		} else if to := p.routes[statemachine.Slot(g.Slot)]; to != nil && (c == nil || to.isFollower) {
-			if others[to] == nil {
-				others[to] = &grantsFrame{Lease: d.Lease, Leader: d.Leader}
-			}
-			others[to].Grants = append(others[to].Grants, g)
+	for _, grant := range granted.Grants {
+		slot := statemachine.Slot(grant.Slot)
+		if slot == p.options.Slot {
+			p.acceptGrant(grant, granted, now)
+			continue
+		}
+		to := p.routes[slot]
+		if to == nil || c != nil && !to.isFollower {
+			continue
+		}
+		if others[to] == nil {
+			others[to] = &grantsFrame{LeaseNS: granted.LeaseNS, Leader: granted.Leader}
 		}
+		others[to].Grants = append(others[to].Grants, grant)
 	}
-	for to, d := range others {
-		p.send(to, frameGrants, *d)
+	for to, grants := range others {
+		p.send(to, frameGrants, *grants)
 	}
 }
 
-// acceptGrant counts from when this broker asked, and takes the drift of clocks off.
-func (p *Participant) acceptGrant(g leaseRenewal, d grantsFrame, now time.Duration) {
-	if g.Incarnation != p.incarnation || g.Token == 0 || g.Token-1 > uint64(now) || !p.isRegistered() {
+// acceptGrant counts the lease from when this broker asked for it, less the drift of clocks.
+func (p *Participant) acceptGrant(grant leaseRenewal, granted grantsFrame, now time.Duration) {
+	askedAt, ok := tokenTime(grant.Token, now)
+	if !ok || grant.Incarnation != p.incarnation || !p.isRegistered() {
 		return
 	}
-	until := time.Duration(g.Token-1) + time.Duration(float64(d.Lease)*(1-p.options.MaxClockDrift))
-	if until > p.session.expiresAt {
-		p.session.expiresAt, p.session.leader, p.viewOutdated = until, d.Leader, true
+	expiresAt := askedAt + time.Duration(float64(granted.LeaseNS)*(1-p.options.MaxClockDrift))
+	if expiresAt > p.session.expiresAt {
+		p.session.expiresAt = expiresAt
+		p.session.leader = granted.Leader
+		p.viewOutdated = true
 	}
 }
--- /dev/null
+++ b/internal/cluster/controlplane/snapshot_transfer.go
@@ -0,0 +1,83 @@
+package controlplane
+
+import (
+	"log/slog"
+
+	"flaxfront/internal/decision/statemachine"
+)
+
+// incomingSnapshot is a snapshot that arrives in pieces.
+type incomingSnapshot struct {
+	index uint64 // of its last entry
+	data  []byte
+}
+
+// startSnapshot begins to send a follower a snapshot.
+func (p *Participant) startSnapshot(c *conn) {
+	p.Counts.Snapshots.Add(1)
+	c.snapshotRest = p.state.Snapshot()
+	c.snapshotBytes = len(c.snapshotRest)
+	c.sentIndex = p.state.AppliedIndex()
+}
+
+func (p *Participant) sendSnapshotPiece(c *conn) {
+	length := min(snapshotPieceBytes, len(c.snapshotRest))
+	p.send(c, frameSnapshotPiece, snapshotPiece{
+		Index:  c.sentIndex,
+		Total:  c.snapshotBytes,
+		Offset: c.snapshotBytes - len(c.snapshotRest),
+		Data:   c.snapshotRest[:length],
+	})
+	c.snapshotRest = c.snapshotRest[length:]
+}
+
+// handleSnapshotPiece gathers a snapshot from the source, and restores it once it is whole.
+func (p *Participant) handleSnapshotPiece(c *conn, piece snapshotPiece) {
+	if c != p.source {
+		return
+	}
+	incoming := &p.incomingSnapshot
+	if piece.Offset == 0 {
+		*incoming = incomingSnapshot{index: piece.Index}
+	}
+	if !incoming.continuesWith(&piece) {
+		c.close()
+		return
+	}
+	incoming.data = append(incoming.data, piece.Data...)
+	if len(incoming.data) < piece.Total {
+		return
+	}
+	snapshot := *incoming
+	*incoming = incomingSnapshot{}
+	if snapshot.index <= p.state.AppliedIndex() && p.haltedBy == nil {
+		return
+	}
+	if err := p.restoreSnapshot(snapshot.data); err != nil {
+		slog.Error("snapshot rejected", "component", component, "broker", c.peer.Name, "error", err, "remedy", remedyOf(err))
+		c.close()
+	}
+}
+
+func (s *incomingSnapshot) continuesWith(piece *snapshotPiece) bool {
+	isNext := piece.Index == s.index && piece.Offset == len(s.data)
+	isWithinBounds := piece.Total <= maxSnapshotBytes && len(s.data)+len(piece.Data) <= piece.Total
+	return isNext && isWithinBounds
+}
+
+// restoreSnapshot replaces the state machine.
+func (p *Participant) restoreSnapshot(data []byte) error {
+	state, err := statemachine.Restore(data)
+	if err != nil {
+		return err
+	}
+	p.state = state
+	p.haltedBy = nil
+	p.viewOutdated = true
+	p.nodesChanged = true
+	p.recentEntries = recentEntries{maxEntries: p.recentEntries.maxEntries, previousIndex: state.AppliedIndex()}
+	for _, pending := range p.pending { // sent again; the state machine knows whether it has taken effect
+		pending.sentAt = 0
+	}
+	return nil
+}
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -1,7 +1,5 @@
 package controlplane
 
-// This file owns what the search loop sees: one immutable view after another, of which it may miss some.
-
 import (
 	"context"
 	"slices"
@@ -11,14 +9,15 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
+// viewInterval bounds how often views are made.
 const viewInterval = 10 * time.Millisecond
 
-// View is what this broker knows of what is agreed. It is never changed once it is shown.
+// View is what this broker knows of what is agreed. It is immutable. Times are by Options.Now.
 type View struct {
 	Index              uint64
-	Connected          bool          // the session's lease ran when it was made
-	Since              time.Duration // from when on, by Options.Now
-	LeaseEnd           time.Duration // of the session; what is granted holds up to then, by the clock at that moment
+	Connected          bool          // the session's lease ran when the view was made
+	Since              time.Duration // when Connected last changed
+	LeaseEnd           time.Duration // of the session; what is granted holds until then, by the clock at that moment
 	Leader             string
 	Self               statemachine.Broker // zero: not registered
 	Incarnation        uint64
@@ -30,7 +29,7 @@
 	AcknowledgedPolicy uint64
 	Epoch              uint64
 	Nodes              []statemachine.Node
-	MustExit           bool  // this process has gone out by its permit, and must stop
+	MustExit           bool  // this process went out by its permit, and must stop
 	Halted             error // an entry of a newer version: nothing later is known
 }
 
@@ -41,48 +40,66 @@
 	Acked  bool // by this broker
 }
 
-// LeaseHeld tells whether the session's lease runs at this moment.
+// LeaseHeld reports whether the session's lease runs.
 func (v *View) LeaseHeld(now time.Duration) bool { return now < v.LeaseEnd }
 
-// View is the newest.
+// View returns the newest view.
 func (p *Participant) View() *View { return p.latestView.Load() }
 
-// Now is the clock of views.
-func (p *Participant) Now() time.Duration { return p.options.Now() }
-
-// updateView makes a view.
+// updateView makes a view and has it delivered.
 func (p *Participant) updateView(now time.Duration) {
-	s := p.state
-	v := &View{Index: s.AppliedIndex(), Connected: p.session.runsAt(now), Since: p.session.since, LeaseEnd: p.session.expiresAt, Leader: p.session.leader,
-		Incarnation: p.incarnation, Epoch: s.Epoch(), Halted: p.haltedBy, MustExit: p.mustExit()}
-	old := p.latestView.Load()
-	if v.Epoch == old.Epoch && v.Epoch != 0 && !p.nodesChanged {
-		v.Nodes = old.Nodes
-	} else {
-		v.Nodes = s.Nodes()
+	view := p.newView(now)
+	p.latestView.Store(view)
+	select {
+	case p.viewChanged <- struct{}{}:
+	default:
 	}
-	p.nodesChanged = false
+}
+
+func (p *Participant) newView(now time.Duration) *View {
+	policies := p.state.Policies()
+	view := &View{
+		Index:         p.state.AppliedIndex(),
+		Connected:     p.session.runsAt(now),
+		Since:         p.session.since,
+		LeaseEnd:      p.session.expiresAt,
+		Leader:        p.session.leader,
+		Incarnation:   p.incarnation,
+		Epoch:         p.state.Epoch(),
+		Nodes:         p.agreedNodes(),
+		Policy:        policies.InForce,
+		WaitingPolicy: policies.Waiting,
+		Halted:        p.haltedBy,
+		MustExit:      p.mustExit(),
+	}
+	slot := p.options.Slot
 	if p.isRegistered() {
-		v.Self, _ = s.Broker(p.options.Slot)
-		v.Permit, _ = s.BrokerPermit(p.options.Slot)
-		v.Lease, _ = s.Lease(p.options.Slot)
-		v.AcknowledgedPolicy = s.AcknowledgedPolicy(p.options.Slot)
+		view.Self, _ = p.state.Broker(slot)
+		view.Permit, _ = p.state.BrokerPermit(slot)
+		view.Lease, _ = p.state.Lease(slot)
+		view.AcknowledgedPolicy = p.state.AcknowledgedPolicy(slot)
 	}
-	me := statemachine.BrokerIncarnation{Slot: p.options.Slot, Incarnation: p.incarnation}
-	for _, d := range s.Drains() {
-		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acknowledged, me)})
+	self := statemachine.BrokerIncarnation{Slot: slot, Incarnation: p.incarnation}
+	for _, drain := range p.state.Drains() {
+		acknowledged := slices.Contains(drain.Acknowledged, self)
+		view.Drains = append(view.Drains, Drain{Node: drain.Node, Number: drain.Number, Acked: acknowledged})
 	}
-	policies := s.Policies()
-	v.Policy = policies.InForce
-	v.WaitingPolicy = policies.Waiting
-	p.latestView.Store(v)
-	select {
-	case p.viewChanged <- struct{}{}:
-	default:
+	return view
+}
+
+// agreedNodes is the agreed node list. The last view's is used again if nothing in it can have changed.
+func (p *Participant) agreedNodes() []statemachine.Node {
+	last := p.latestView.Load()
+	epoch := p.state.Epoch()
+	isSame := epoch == last.Epoch && epoch != 0 && !p.nodesChanged
+	p.nodesChanged = false
+	if isSame {
+		return last.Nodes
 	}
+	return p.state.Nodes()
 }
 
-// deliverViews hands views over; whoever takes them slowly gets the newest.
+// deliverViews hands views to Options.OnView. If that is slow, it gets the newest.
 func (p *Participant) deliverViews(ctx context.Context) {
 	for {
 		select {
