--- a/internal/cluster/controlplane/evidence.go
+++ b/internal/cluster/controlplane/evidence.go
@@ -15,7 +15,7 @@
 	for i, class := range r.Classes {
 		counts := class.counts()
 		if i == 0 {
-			counts.Wrong[release.Cold] = min(r.WarmingUp, counts.Asked)
+			counts.Bad[release.MetricSentToWarmingUp] = min(r.WarmingUp, counts.Queries)
 		}
 		evidence.Classes = append(evidence.Classes, counts)
 	}
@@ -24,10 +24,10 @@
 
 func (c *Class) counts() release.Counts {
 	unserved := c.Refused + c.Failed + c.Late
-	counts := release.Counts{Asked: c.Served + unserved}
-	counts.Wrong[release.Unserved] = unserved
-	counts.Wrong[release.Refused] = c.Refused
-	counts.Wrong[release.Failed] = c.Failed
-	counts.Wrong[release.Late] = c.Late
+	counts := release.Counts{Queries: c.Served + unserved}
+	counts.Bad[release.MetricUnserved] = unserved
+	counts.Bad[release.MetricRejected] = c.Refused
+	counts.Bad[release.MetricFailed] = c.Failed
+	counts.Bad[release.MetricLate] = c.Late
 	return counts
 }
--- a/internal/cluster/controlplane/leader_tasks.go
+++ b/internal/cluster/controlplane/leader_tasks.go
@@ -73,7 +73,7 @@
 
 // advanceRelease proposes the next steps of the release.
 func (p *Participant) advanceRelease(now time.Duration) {
-	entries, planAt := p.leadership.planner.Next(p.state, now)
+	entries, planAt := p.leadership.planner.NextEntries(p.state, now)
 	p.leadership.planAt = planAt
 	term := p.leadership.term
 	votersGoing := 0
--- a/internal/cluster/controlplane/leadership.go
+++ b/internal/cluster/controlplane/leadership.go
@@ -120,7 +120,7 @@
 		if l.term != 0 && e.Slot == p.options.Slot && e.Term == l.term && r.Err == nil {
 			l.established = true
 			l.establishedAt = p.options.Now()
-			l.planner = release.New(p.options.ReleaseGates, e.Term, l.establishedAt)
+			l.planner = release.NewPlanner(p.options.ReleaseGates, e.Term, l.establishedAt)
 		}
 	case *statemachine.RegisterBroker:
 		if l.established && r.Err == nil && !r.Duplicate {
--- a/internal/cluster/controlplane/release_request.go
+++ b/internal/cluster/controlplane/release_request.go
@@ -54,7 +54,7 @@
 		plan.Slots = slots
 	}
 	if len(plan.Batches) == 0 {
-		plan.Batches = release.Batches(len(plan.Slots) + len(plan.Nodes))
+		plan.Batches = release.DefaultBatches(len(plan.Slots) + len(plan.Nodes))
 	}
 	return plan, nil
 }
@@ -84,7 +84,7 @@
 		}
 		return follower
 	}
-	slots := release.Order(p.state.Brokers())
+	slots := release.OrderByZone(p.state.Brokers())
 	slices.SortStableFunc(slots, func(a, b statemachine.Slot) int { return rank(a) - rank(b) })
 	return slots
 }
--- a/internal/cluster/controlplane/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -82,7 +82,7 @@
 		}
 		p.leadership.reports[broker.Slot] = ReceivedReport{Report: r, Incarnation: frame.Incarnation, ReceivedAt: now}
 		if p.leadership.planner != nil {
-			p.leadership.planner.Take(r.evidence(broker), now)
+			p.leadership.planner.RecordReport(r.evidence(broker), now)
 		}
 	}
 }
--- a/internal/lab/proof/disk_test.go
+++ b/internal/lab/proof/disk_test.go
@@ -68,9 +68,9 @@
 	}
 	c.until("it says that its disk is full", func() bool {
 		c.Command("forget", "b3", "--within", "1s") // something to write; it is refused, as that one lives
-		return len(full.Logged(0, "fleet: this voter has stopped")) > 0
+		return len(full.Logged(0, "voter stopped")) > 0
 	})
-	for _, line := range full.Logged(0, "fleet: this voter has stopped") {
+	for _, line := range full.Logged(0, "voter stopped") {
 		if !strings.Contains(line, "file too large") || !strings.Contains(line, "make room") {
 			t.Error(line)
 		}
@@ -81,7 +81,7 @@
 		t.Error("a broker whose disk is full does not serve")
 	}
 	time.Sleep(still)
-	if n := len(full.Logged(0, "fleet: this voter has stopped")); n != 1 {
+	if n := len(full.Logged(0, "voter stopped")); n != 1 {
 		t.Errorf("said %d times", n)
 	}
 	c.stop(full)
--- a/internal/lab/proof/majority_test.go
+++ b/internal/lab/proof/majority_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	cutOff    = "fleet: cut off from the majority"
-	connected = "fleet: connected to the majority"
+	cutOff    = "cut off from the majority"
+	connected = "connected to the majority"
 )
 
 func share(o *lab.Outcome) float64 { return float64(o.Answered) / float64(max(1, o.Asked)) }
