--- a/internal/cluster/controlplane/conn.go
+++ b/internal/cluster/controlplane/conn.go
@@ -1,156 +1,128 @@
 package controlplane
 
-// This file owns one connection between two brokers, or a broker and an operator: hello, queue, frames, and its end.
-
 import (
 	"bufio"
-	"context"
-	"crypto/tls"
-	"fmt"
 	"net"
 	"sync"
 	"time"
-
-	"flaxfront/internal/transport/keys"
 )
 
 const (
-	handshake   = 2 * time.Second
-	beatEvery   = 250 * time.Millisecond
-	silentFor   = 5 * beatEvery
-	writeIn     = silentFor
-	operatorFor = time.Minute // an operator sends no beats
-	queueBytes  = 16 << 20    // that wait to be written; more end the connection
-	raftBytes   = 1 << 20     // with so many waiting, packets of voters are dropped, which Raft expects of a network
+	heartbeatInterval      = 250 * time.Millisecond
+	silenceTimeout         = 5 * heartbeatInterval
+	writeTimeout           = silenceTimeout
+	operatorTimeout        = time.Minute // an operator sends no heartbeats
+	maxQueuedBytes         = 16 << 20    // more end the connection
+	maxQueuedBeforePackets = 1 << 20     // with more queued, raft packets are dropped, which raft expects of a network
 )
 
-// conn is one connection. What a side queues never waits.
+// conn is one connection. Queuing a frame never blocks.
+//
+// A conn is opened by handshake, served by serveConn (one goroutine reads, one writes), and closed by whoever wants to end it; both
+// goroutines then end.
 type conn struct {
-	nc      net.Conn
-	r       *bufio.Reader
-	peer    hello
+	netConn net.Conn
+	reader  *bufio.Reader
+	peer    helloFrame
 	dialled bool
-	voter   bool // it carries packets to a voter
+	toVoter bool // it carries packets to a voter
 
-	mu     sync.Mutex
-	queue  [][]byte
-	bytes  int
-	closed bool
-	wake   chan struct{}
+	mu          sync.Mutex
+	queue       [][]byte
+	queuedBytes int
+	closed      bool
+	wakeWriter  chan struct{}
 
-	// of the core's goroutine alone
-	follows bool   // it is fed by this side
-	sent    uint64 // the last index queued for it
-	room    int
-	token   uint64 // last heard
-	snap    []byte // what is left of a snapshot for it
-	others  []string
-	asks    []uint64 // proposed for an operator
-
-	snapTotal int
+	connState // of the loop's goroutine alone
 }
 
-// shake takes a connection through TLS and the hellos. The name in the hello must be that of the certificate.
-func shake(ctx context.Context, nc *tls.Conn, mine hello, dialled bool) (*conn, error) {
-	nc.SetDeadline(time.Now().Add(handshake))
-	if err := nc.HandshakeContext(ctx); err != nil {
-		return nil, err
-	}
-	id, err := keys.PeerID(nc.ConnectionState())
-	if err != nil {
-		return nil, err
-	}
-	c := &conn{nc: nc, r: bufio.NewReaderSize(nc, 32<<10), dialled: dialled, wake: make(chan struct{}, 1)}
-	say := func() error {
-		_, err := nc.Write(frame(letterHello, mine))
-		return err
-	}
-	if dialled { // it speaks first
-		err = say()
-	}
-	if err != nil {
-		return nil, err
-	}
-	letter, body, err := readFrame(c.r, maxHello)
-	if err == nil && !dialled {
-		err = say()
-	}
-	if err != nil {
-		return nil, err
-	}
-	if letter != letterHello {
-		return nil, fmt.Errorf("%w: %q comes first", errFrame, letter)
-	}
-	if c.peer, err = decode[hello](body); err != nil {
-		return nil, err
-	}
-	if c.peer.Protocol < 1 || c.peer.Name != id.Broker || len(c.peer.Listen) > maxName {
-		return nil, fmt.Errorf("%w: hello of %q, protocol %d, over the certificate of %s", errFrame, c.peer.Name, c.peer.Protocol, id)
-	}
-	nc.SetDeadline(time.Time{})
-	return c, nil
+// connState is what only the participant's loop uses.
+type connState struct {
+	isFollower        bool   // this side feeds it
+	sentIndex         uint64 // the last one queued for it
+	snapshotRest      []byte // what is left to send of a snapshot
+	snapshotBytes     int
+	followerRoom      int
+	lastToken         uint64
+	otherSources      []string // that it named
+	operatorProposals []uint64
 }
 
-// put queues a frame; false: it was dropped, or the connection has ended.
-func (c *conn) put(b []byte) bool {
+// enqueue queues a frame. It is dropped if the connection has ended, or ends for it.
+func (c *conn) enqueue(frame []byte) {
+	isPacket := frame[lengthBytes] == framePacket
 	c.mu.Lock()
-	full := c.bytes+len(b) > queueBytes || b[4] == letterRaft && c.bytes > raftBytes
-	if c.closed || full {
+	isFull := c.queuedBytes+len(frame) > maxQueuedBytes
+	if isPacket && c.queuedBytes > maxQueuedBeforePackets {
+		isFull = true
+	}
+	if c.closed || isFull {
 		c.mu.Unlock()
-		if full && b[4] != letterRaft { // Danger: a side that does not read takes memory here
+		if isFull && !isPacket { // a side that does not read would take memory here
 			c.close()
 		}
-		return false
+		return
 	}
-	c.queue = append(c.queue, b)
-	c.bytes += len(b)
+	c.queue = append(c.queue, frame)
+	c.queuedBytes += len(frame)
 	c.mu.Unlock()
-	select {
-	case c.wake <- struct{}{}:
-	default:
-	}
-	return true
+	c.wake()
 }
 
-// waiting is how many bytes are queued.
-func (c *conn) waiting() int {
+// backlog is how many bytes are queued.
+func (c *conn) backlog() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return queueBytes
+		return maxQueuedBytes
 	}
-	return c.bytes
+	return c.queuedBytes
 }
 
 func (c *conn) close() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	c.nc.Close()
+	c.netConn.Close()
+	c.wake()
+}
+
+func (c *conn) wake() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeWriter <- struct{}{}:
 	default:
 	}
 }
 
-// write is the writer's goroutine: all that waits in one go.
-func (c *conn) write() {
-	var batch net.Buffers
+// takeQueue returns all queued frames; false: the connection is closed.
+func (c *conn) takeQueue(batch [][]byte) ([][]byte, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return nil, false
+	}
+	batch = append(batch[:0], c.queue...)
+	c.queue = c.queue[:0]
+	c.queuedBytes = 0
+	return batch, true
+}
+
+// writeLoop writes what is queued until the connection is closed.
+func (c *conn) writeLoop() {
+	var batch [][]byte
 	for {
-		c.mu.Lock()
-		if c.closed {
-			c.mu.Unlock()
+		frames, open := c.takeQueue(batch)
+		if !open {
 			return
 		}
-		batch, c.queue, c.bytes = append(batch[:0], c.queue...), c.queue[:0], 0
-		c.mu.Unlock()
+		batch = frames
 		if len(batch) == 0 {
-			<-c.wake
+			<-c.wakeWriter
 			continue
 		}
-		c.nc.SetWriteDeadline(time.Now().Add(writeIn))
-		for _, b := range batch {
-			if _, err := c.nc.Write(b); err != nil {
+		c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		for _, frame := range batch {
+			if _, err := c.netConn.Write(frame); err != nil {
 				c.close()
 				return
 			}
@@ -158,20 +130,20 @@
 	}
 }
 
-// read hands frames on until the connection ends. Whatever comes renews the time; a side that is silent is cut off, or half
-// open.
-func (c *conn) read(take func(letter byte, body []byte) bool) error {
+// readLoop hands frames on until the connection ends or handle returns false. Any frame renews the deadline; a side that is silent is cut
+// off, or half open.
+func (c *conn) readLoop(handle func(kind byte, body []byte) bool) error {
+	timeout := silenceTimeout
+	if c.peer.Role == roleOperator {
+		timeout = operatorTimeout
+	}
 	for {
-		if c.peer.Role == roleOperator {
-			c.nc.SetReadDeadline(time.Now().Add(operatorFor))
-		} else {
-			c.nc.SetReadDeadline(time.Now().Add(silentFor))
-		}
-		letter, body, err := readFrame(c.r, maxFrame)
+		c.netConn.SetReadDeadline(time.Now().Add(timeout))
+		kind, body, err := readFrame(c.reader, maxFrameBytes)
 		if err != nil {
 			return err
 		}
-		if !take(letter, body) {
+		if !handle(kind, body) {
 			return nil
 		}
 	}
--- a/internal/cluster/controlplane/traffic_test.go
+++ b/internal/cluster/controlplane/traffic_test.go
@@ -14,8 +14,8 @@
 
 type load struct{ framesIn, framesOut, bytesIn, bytesOut float64 }
 
-func (f *Participant) load() load {
-	c := &f.Counts
+func (p *Participant) load() load {
+	c := &p.Counts
 	return load{float64(c.FramesIn.Load()), float64(c.FramesOut.Load()), float64(c.BytesIn.Load()), float64(c.BytesOut.Load())}
 }
 
@@ -58,9 +58,9 @@
 				kind := "follower"
 				if name == lead {
 					kind = "leader"
-				} else if f.id != 0 {
+				} else if f.voterID != 0 {
 					kind = "voter"
-				} else if peek(f, f.following) > 0 {
+				} else if peek(f, f.followerCount) > 0 {
 					kind = "follower with followers"
 				}
 				w := worst[kind]
