--- a/internal/decision/release/golden_test.go
+++ b/internal/decision/release/golden_test.go
@@ -44,7 +44,7 @@
 	term     uint64
 	sequence uint64
 	worse    float64 // share that version 2 fails on top
-	list     List
+	list     NodeList
 }
 
 func (g *goldenRun) oneIn(n int) bool { return g.rng.IntN(n) == 0 }
@@ -58,7 +58,7 @@
 func (g *goldenRun) elect() {
 	g.term++
 	g.apply(&statemachine.LeaderElected{Slot: 0, Term: g.term})
-	g.planner = New(g.settings, g.term, g.now)
+	g.planner = NewPlanner(g.settings, g.term, g.now)
 }
 
 func (g *goldenRun) join(b *goldenBroker) {
@@ -76,10 +76,10 @@
 
 func (g *goldenRun) start() {
 	g.settings = Defaults()
-	g.settings.Least = float64(g.rng.IntN(3) * 200)
-	g.settings.Controls = 1 + g.rng.IntN(3)
-	g.settings.Overdue = time.Duration(3+g.rng.IntN(20)) * time.Second
-	g.settings.Back = g.oneIn(2)
+	g.settings.MinQueries = float64(g.rng.IntN(3) * 200)
+	g.settings.MinControls = 1 + g.rng.IntN(3)
+	g.settings.OverdueAfter = time.Duration(3+g.rng.IntN(20)) * time.Second
+	g.settings.AutoRollback = g.oneIn(2)
 	g.worse = []float64{0, 0.02, 0.2}[g.rng.IntN(3)]
 	classes := 1 + g.rng.IntN(2)
 	for i := range 6 + g.rng.IntN(8) {
@@ -106,9 +106,9 @@
 			p.Nodes = append(p.Nodes, goldenNode(i))
 		}
 	} else {
-		p.Slots = Order(g.state.Brokers())
+		p.Slots = OrderByZone(g.state.Brokers())
 	}
-	p.Batches = Batches(len(p.Slots) + len(p.Nodes))
+	p.Batches = DefaultBatches(len(p.Slots) + len(p.Nodes))
 	fmt.Fprintln(g.out, p.Slots, p.Batches, g.apply(p))
 }
 
@@ -116,24 +116,24 @@
 	for i := range b.classes {
 		c := &b.classes[i]
 		n := uint64(10 + g.rng.IntN(30))
-		c.Asked += n
+		c.Queries += n
 		share := b.failing
 		if b.version == "2" {
 			share += g.worse
 		}
 		for range n {
 			if g.rng.Float64() < share {
-				c.Wrong[Failed]++
-				c.Wrong[Unserved]++
+				c.Bad[MetricFailed]++
+				c.Bad[MetricUnserved]++
 			}
 		}
-		c.Wrong[Late] += uint64(g.rng.IntN(2))
-		c.Wrong[Cold] += uint64(g.rng.IntN(2))
+		c.Bad[MetricLate] += uint64(g.rng.IntN(2))
+		c.Bad[MetricSentToWarmingUp] += uint64(g.rng.IntN(2))
 	}
 	if !g.oneIn(12) {
 		r := Report{Target: Target{Slot: b.slot}, Incarnation: b.incarnation, Zone: fmt.Sprint("z", b.slot%2)}
 		r.Classes = append(r.Classes, b.classes...)
-		g.planner.Take(r, g.now)
+		g.planner.RecordReport(r, g.now)
 	}
 }
 
@@ -175,9 +175,9 @@
 				g.apply(&statemachine.AcknowledgeDrain{Slot: slot, Incarnation: b.Incarnation, Node: id, Number: p.Number})
 			}
 		}
-		if r := (Report{Target: Target{OnNode: true, Node: id}, Incarnation: 1, Zone: "z"}); !g.oneIn(10) {
-			r.Classes = []Counts{{Asked: uint64(g.now / time.Millisecond)}}
-			g.planner.Take(r, g.now)
+		if r := (Report{Target: Target{ForNode: true, Node: id}, Incarnation: 1, Zone: "z"}); !g.oneIn(10) {
+			r.Classes = []Counts{{Queries: uint64(g.now / time.Millisecond)}}
+			g.planner.RecordReport(r, g.now)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 func (g *goldenRun) follow() {
 	before := g.list
 	if g.list.Nodes == nil || g.oneIn(25) {
-		g.list = List{Since: g.now, Told: !g.oneIn(5), Ready: map[statemachine.NodeID]bool{}}
+		g.list = NodeList{StableSince: g.now, Confirmed: !g.oneIn(5), Ready: map[statemachine.NodeID]bool{}}
 		for i := range goldenNodes {
 			if g.oneIn(15) {
 				continue
@@ -195,10 +195,10 @@
 			g.list.Ready[goldenNode(i)] = !g.oneIn(6)
 		}
 	} else {
-		g.list.Since = g.now
+		g.list.StableSince = g.now
 	}
-	g.list.Follow(&before)
-	g.propose(g.list.Next(g.state, g.now))
+	g.list.KeepStableSince(&before)
+	g.propose(g.list.NextEntries(g.state, g.now))
 }
 
 func (g *goldenRun) propose(all []statemachine.Entry) {
@@ -221,10 +221,10 @@
 		if g.oneIn(2) {
 			g.follow()
 		}
-		all, next := g.planner.Next(g.state, g.now)
+		all, next := g.planner.NextEntries(g.state, g.now)
 		g.propose(all)
 		fmt.Fprintln(g.out, next)
-		if v := g.planner.Failed(); v != nil {
+		if v := g.planner.FailedGate(); v != nil {
 			fmt.Fprintln(g.out, v.Group, v.Metric, v)
 		}
 		r, _ := g.state.Release()
