--- /dev/null
+++ b/internal/decision/release/batches.go
@@ -0,0 +1,46 @@
+package release
+
+import (
+	"cmp"
+	"slices"
+
+	"flaxfront/internal/decision/statemachine"
+)
+
+// OrderByZone puts brokers in turn by zones, so that no batch falls on one zone.
+func OrderByZone(brokers []statemachine.Broker) (slots []statemachine.Slot) {
+	type place struct {
+		round  int // the broker's place among those of its zone
+		broker statemachine.Broker
+	}
+	seen := map[string]int{}
+	var places []place
+	for _, b := range brokers {
+		places = append(places, place{round: seen[b.Zone], broker: b})
+		seen[b.Zone]++
+	}
+	slices.SortStableFunc(places, func(x, y place) int {
+		return cmp.Or(
+			cmp.Compare(x.round, y.round),
+			cmp.Compare(x.broker.Zone, y.broker.Zone),
+			cmp.Compare(x.broker.Slot, y.broker.Slot),
+		)
+	})
+	for _, x := range places {
+		slots = append(slots, x.broker.Slot)
+	}
+	return slots
+}
+
+// DefaultBatches are the usual ones for so many targets: a hundredth (one at least), a thirtieth, a tenth, a third and all.
+func DefaultBatches(targets int) (batches []uint32) {
+	last := uint32(0)
+	for _, n := range []int{max(1, targets/100), targets / 30, targets / 10, targets / 3, targets} {
+		size := uint32(max(0, min(n, targets)))
+		if size > last {
+			batches = append(batches, size)
+			last = size
+		}
+	}
+	return batches
+}
--- /dev/null
+++ b/internal/decision/release/permits.go
@@ -0,0 +1,41 @@
+package release
+
+import (
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision/statemachine"
+)
+
+// openSteps are those of the batches that are open.
+func openSteps(r *statemachine.Release) []statemachine.ReleaseStep {
+	return r.Steps[:r.Batches[r.OpenBatch]]
+}
+
+func openBatchesFinished(r *statemachine.Release) bool {
+	return !slices.ContainsFunc(openSteps(r), func(x statemachine.ReleaseStep) bool { return x.State != statemachine.StepFinished })
+}
+
+// proposePermits proposes as many permits as the plan's limit leaves, in the plan's order.
+func (p *Planner) proposePermits(s *statemachine.State, r *statemachine.Release, now time.Duration) (entries []statemachine.Entry) {
+	left := int(r.MaxOut)
+	for _, x := range openSteps(r) {
+		if x.State == statemachine.StepPermitted || x.State == statemachine.StepOut {
+			left--
+		}
+	}
+	for _, x := range openSteps(r) {
+		if x.State != statemachine.StepPending || left <= 0 {
+			continue
+		}
+		e := &statemachine.IssuePermit{Release: r.Number, Term: p.term, Slot: x.Slot, ForNode: r.ForNodes, Node: x.Node}
+		if b, ok := s.Broker(x.Slot); ok && !r.ForNodes {
+			e.Incarnation = b.Incarnation
+		}
+		if s.CheckPermit(e) == nil {
+			left--
+			entries = p.proposeOnce(entries, e, now)
+		}
+	}
+	return entries
+}
--- a/internal/decision/release/release_test.go
+++ b/internal/decision/release/release_test.go
@@ -12,29 +12,29 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-func seeds(least int) int {
+func seeds(fewest int) int {
 	if n, err := strconv.Atoi(os.Getenv("RELEASE_SEEDS")); err == nil {
 		return n
 	}
-	return least
+	return fewest
 }
 
-// A version that fails five searches of a hundred more is halted while under a tenth of 300 brokers have it, within five seconds
+// A version that fails five queries of a hundred more is halted while under a tenth of 300 brokers have it, within five seconds
 // of the evidence, and in half the seeds of the first search that counts (where all fails at the time it takes more to be sure).
 // All that have it are brought back; never are more out than may be, nobody goes twice.
 func TestBadVersion(t *testing.T) {
 	var took []time.Duration
 	most, after := 0, time.Duration(0)
 	for seed := range uint64(seeds(10)) {
-		w := newWorld(t, seed, 300, 100, 0.05)
+		w := newSimulatedTier(t, seed, 300, 100, 0.05)
 		number := w.plan(10)
 		r := w.run(10 * time.Minute)
-		if r.State != statemachine.ReleaseHalted || !strings.HasPrefix(r.Reason, "gate: ") || w.touched(r) >= 30 {
-			t.Fatalf("seed %d: %v %s, %d touched", seed, r.State, r.Reason, w.touched(r))
+		if r.State != statemachine.ReleaseHalted || !strings.HasPrefix(r.Reason, "gate: ") || w.affected(r) >= 30 {
+			t.Fatalf("seed %d: %v %s, %d touched", seed, r.State, r.Reason, w.affected(r))
 		}
-		most = max(most, w.touched(r))
-		after = max(after, w.haltedAt-w.enough)
-		took = append(took, w.haltedAt-w.first)
+		most = max(most, w.affected(r))
+		after = max(after, w.haltedAt-w.evidenceAt)
+		took = append(took, w.haltedAt-w.firstBadAt)
 		for range 20 { // whoever went before comes back
 			w.step()
 		}
@@ -47,7 +47,7 @@
 				t.Errorf("seed %d: broker %d has version %s", seed, b.slot, b.version)
 			}
 		}
-		w.check(10)
+		w.checkLimits(10)
 	}
 	slices.Sort(took)
 	half, worst := took[len(took)/2], took[len(took)-1]
@@ -59,31 +59,31 @@
 }
 
 // The same version again: brokers differ for good, noise comes and goes, everything fails for a while, leaders change. No gate
-// fails. A test that takes all searches for independent throws raises false alarms here.
+// fails. A test that takes all queries for independent throws raises false alarms here.
 func TestSameVersion(t *testing.T) {
 	alarms, naive, longest := 0, 0, time.Duration(0)
 	n := uint64(seeds(10))
 	for seed := range n {
-		w := newWorld(t, 1000+seed, 300, 100, 0)
+		w := newSimulatedTier(t, 1000+seed, 300, 100, 0)
 		w.plan(10)
 		var r statemachine.Release
-		for r.State = statemachine.ReleaseRunning; r.State == statemachine.ReleaseRunning && w.now < 20*time.Minute; r, _ = w.s.Release() {
+		for r.State = statemachine.ReleaseRunning; r.State == statemachine.ReleaseRunning && w.now < 20*time.Minute; r, _ = w.state.Release() {
 			w.step()
 			if w.rng.IntN(200) == 0 {
-				w.lead()
+				w.elect()
 			}
 		}
 		if r.State == statemachine.ReleaseHalted {
 			alarms++
 			t.Logf("seed %d: %s", seed, r.Reason)
 		} else if r.State != statemachine.ReleaseDone {
-			t.Errorf("seed %d: %v, %d touched", seed, r.State, w.touched(r))
+			t.Errorf("seed %d: %v, %d touched", seed, r.State, w.affected(r))
 		}
-		if w.naive {
+		if w.naiveAlarm {
 			naive++
 		}
 		longest = max(longest, w.now)
-		w.check(10)
+		w.checkLimits(10)
 	}
 	t.Logf("%d false alarms in %d releases of 300 brokers, by independent throws %d; the longest took %v", alarms, n, naive, longest)
 	if alarms > int(n)/100 || naive == 0 {
@@ -93,15 +93,16 @@
 
 // A new leader lets nobody go before it has watched by itself, and before it knows the counts of nearly all.
 func TestNewLeader(t *testing.T) {
-	w := newWorld(t, 1, 20, 100, 0)
+	w := newSimulatedTier(t, 1, 20, 100, 0)
 	w.plan(2)
 	b := w.brokers[3]
 	for began := w.now; ; {
 		w.now += 250 * time.Millisecond
 		for _, o := range w.brokers[:17] {
-			w.p.RecordReport(Report{Target: Target{Slot: o.slot}, Incarnation: 1, Classes: []Counts{{Queries: uint64(w.now / time.Millisecond)}}}, w.now)
+			counts := Counts{Queries: uint64(w.now / time.Millisecond)}
+			w.planner.RecordReport(Report{Target: Target{Slot: o.slot}, Incarnation: 1, Classes: []Counts{counts}}, w.now)
 		}
-		if all, _ := w.p.NextEntries(w.s, w.now); len(all) > 0 {
+		if all, _ := w.planner.NextEntries(w.state, w.now); len(all) > 0 {
 			t.Fatalf("it proposes %v after %v, with 17 of 20 known", all, w.now-began)
 		}
 		if w.now-began > 20*time.Second {
@@ -109,8 +110,8 @@
 		}
 	}
 	began := w.now
-	w.lead()
-	for w.propose == 0 && w.now < began+time.Minute {
+	w.elect()
+	for w.proposals == 0 && w.now < began+time.Minute {
 		w.step()
 	}
 	if took := w.now - began; took < Defaults().ObserveTime || took > Defaults().ObserveTime+2*time.Second || b.incarnation != 1 {
@@ -118,29 +119,29 @@
 	}
 }
 
-// A release of nodes over two cells goes to its end though both hold the same shards, two ready holders of each at every moment.
-// Without a least the check finds fewer.
-func TestNodes(t *testing.T) {
-	if fewest, r := nodes(t, 2); r.State != statemachine.ReleaseDone || fewest < 2 {
-		t.Errorf("%d ready holders, %v: %+v", fewest, r.State, r.Steps)
+// A release of nodes over two cells goes to its end though both hold the same shards, two ready replicas of each at every moment.
+// Without a minimum the check finds fewer.
+func TestNodeRelease(t *testing.T) {
+	if fewest, r := releaseNodes(t, 2); r.State != statemachine.ReleaseDone || fewest < 2 {
+		t.Errorf("%d ready replicas, %v: %+v", fewest, r.State, r.Steps)
 	}
-	if fewest, _ := nodes(t, 0); fewest >= 2 {
-		t.Errorf("%d ready holders where no least is kept", fewest)
+	if fewest, _ := releaseNodes(t, 0); fewest >= 2 {
+		t.Errorf("%d ready replicas where no minimum is kept", fewest)
 	}
 }
 
 // More out at once than may be are seen.
 func TestMostOut(t *testing.T) {
-	w := newWorld(t, 1, 60, 100, 0)
+	w := newSimulatedTier(t, 1, 60, 100, 0)
 	w.plan(12)
-	if w.run(10 * time.Minute); w.most <= 10 {
-		t.Errorf("%d out at once where 12 may be", w.most)
+	if w.run(10 * time.Minute); w.maxOut <= 10 {
+		t.Errorf("%d out at once where 12 may be", w.maxOut)
 	}
 }
 
-func nodes(t *testing.T, least uint32) (fewest int, r statemachine.Release) {
+func releaseNodes(t *testing.T, least uint32) (fewest int, r statemachine.Release) {
 	fewest = 9
-	w := newWorld(t, 1, 3, 100, 0)
+	w := newSimulatedTier(t, 1, 3, 100, 0)
 	var list []statemachine.NodeInfo
 	var nodes []statemachine.NodeID
 	for i := range byte(8) {
@@ -153,20 +154,20 @@
 	for range 400 {
 		w.step()
 		ready := map[uint32]int{0: 0, 1: 0, 2: 0, 3: 0}
-		for _, n := range w.s.Nodes() {
+		for _, n := range w.state.Nodes() {
 			for _, shard := range n.Shards {
 				if n.DrainNumber == 0 {
 					ready[shard]++
 				}
 			}
-			p, ok := w.s.NodePermit(n.Node)
+			p, ok := w.state.NodePermit(n.Node)
 			switch {
 			case ok && p.Used:
 				w.apply(&statemachine.ReturnToService{ForNode: true, Node: n.Node, Incarnation: p.Number})
-			case ok && w.s.IsDrained(n.Node):
+			case ok && w.state.IsDrained(n.Node):
 				w.apply(&statemachine.UsePermit{Permit: p.Number, ForNode: true, Node: n.Node})
 			case ok:
-				for _, slot := range w.s.MissingDrainAcks(n.Node) {
+				for _, slot := range w.state.MissingDrainAcks(n.Node) {
 					w.apply(&statemachine.AcknowledgeDrain{Slot: slot, Incarnation: 1, Node: n.Node, Number: n.DrainNumber})
 				}
 			}
@@ -175,6 +176,6 @@
 			fewest = min(fewest, n)
 		}
 	}
-	r, _ = w.s.Release()
+	r, _ = w.state.Release()
 	return fewest, r
 }
--- /dev/null
+++ b/internal/decision/release/simulated_tier_test.go
@@ -0,0 +1,207 @@
+package release
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"flaxfront/internal/decision/statemachine"
+)
+
+// simulatedTier is a tier in virtual time: what the planner proposes is applied a little later, brokers that may go are away for a while.
+type simulatedTier struct {
+	t              *testing.T
+	rng            *rand.Rand
+	state          *statemachine.State
+	planner        *Planner
+	term           uint64
+	now            time.Duration
+	sequence       uint64
+	brokers        []*simulatedBroker
+	rate           float64 // queries of a broker in a second
+	extraFailures  float64 // share that the new version fails on top
+	commonFailures float64 // what fails everywhere just now
+	naiveAlarm     bool    // queries taken for independent throws, and no account of looks, would have raised an alarm
+	maxOut         int     // were out at once
+	leaves         map[[2]uint64]int
+	firstBadAt     time.Duration // when a broker of the new version first failed on top
+	evidenceAt     time.Duration // when a gate, had it looked in each window, would have failed first
+	haltedAt       time.Duration
+	proposals      int
+}
+
+type simulatedBroker struct {
+	slot        statemachine.Slot
+	incarnation uint64
+	version     string
+	own         float64 // what it fails by itself, for good
+	counts      Counts
+	back        time.Duration // when it comes back; 0: it is there
+}
+
+func newSimulatedTier(t *testing.T, seed uint64, brokers int, rate, worse float64) *simulatedTier {
+	w := &simulatedTier{
+		t: t, rng: rand.New(rand.NewPCG(seed, 7)), state: statemachine.New(),
+		rate: rate, extraFailures: worse, leaves: map[[2]uint64]int{},
+	}
+	for i := range brokers {
+		b := &simulatedBroker{slot: statemachine.Slot(i), version: "1", own: 0.004 * w.rng.ExpFloat64()}
+		w.brokers = append(w.brokers, b)
+		w.join(b)
+	}
+	w.elect()
+	return w
+}
+
+func (w *simulatedTier) apply(e statemachine.Entry) statemachine.Result {
+	w.sequence++
+	id := statemachine.ProposalID{Slot: 0, Incarnation: 1, Sequence: w.sequence}
+	return w.state.Apply(w.state.AppliedIndex()+1, statemachine.Encode(id, e))
+}
+
+func (w *simulatedTier) join(b *simulatedBroker) {
+	b.incarnation, b.back, b.counts = b.incarnation+1, 0, Counts{}
+	zone := fmt.Sprint("z", b.slot%3)
+	w.apply(&statemachine.RegisterBroker{Slot: b.slot, Name: fmt.Sprint("b", b.slot), Incarnation: b.incarnation,
+		Version: b.version, Zone: zone, Protocol: 1})
+	w.apply(&statemachine.ReturnToService{Slot: b.slot, Incarnation: b.incarnation})
+}
+
+func (w *simulatedTier) elect() {
+	w.term++
+	w.apply(&statemachine.LeaderElected{Slot: 0, Term: w.term})
+	set := Defaults()
+	w.planner = NewPlanner(set, w.term, w.now)
+}
+
+func (w *simulatedTier) plan(most uint32) uint64 {
+	return w.apply(&statemachine.ReleasePlan{Name: "r", From: "1", To: "2", Slots: OrderByZone(w.state.Brokers()),
+		Batches: DefaultBatches(len(w.brokers)), MaxOut: most, PauseMS: 5000}).Number
+}
+
+// drawFailures draws how many of n go wrong.
+func (w *simulatedTier) drawFailures(n, share float64) uint64 {
+	mean, sd := n*share, math.Sqrt(n*share*(1-share))
+	if mean > 30 {
+		return uint64(max(0, min(n, math.Round(mean+sd*w.rng.NormFloat64()))))
+	}
+	k, p, u := 0, math.Exp(-mean), w.rng.Float64() // Poisson
+	for ; u > p && k < 100; k++ {
+		u -= p
+		p *= mean / float64(k+1)
+	}
+	return uint64(min(n, float64(k)))
+}
+
+// step is a quarter of a second.
+func (w *simulatedTier) step() {
+	w.now += 250 * time.Millisecond
+	if w.rng.IntN(40) == 0 {
+		w.commonFailures = []float64{0, 0, 0.02, 0.1}[w.rng.IntN(4)]
+	}
+	out := 0
+	for _, b := range w.brokers {
+		if b.back > 0 {
+			if out++; w.now >= b.back {
+				w.join(b)
+			}
+			continue
+		}
+		share := b.own + w.commonFailures
+		if b.version == "2" {
+			if share += w.extraFailures; w.firstBadAt == 0 {
+				w.firstBadAt = w.now
+			}
+		}
+		share += 0.002 * w.rng.ExpFloat64() // noise that comes and goes
+		n := math.Round(w.rate / 4 * (0.8 + 0.4*w.rng.Float64()))
+		x := w.drawFailures(n, min(1, share))
+		b.counts.Queries += uint64(n)
+		b.counts.Bad[MetricFailed] += x
+		b.counts.Bad[MetricUnserved] += x
+		w.planner.RecordReport(Report{Target: Target{Slot: b.slot}, Incarnation: b.incarnation,
+			Zone: fmt.Sprint("z", b.slot%3), Classes: []Counts{b.counts}}, w.now)
+		if pass, ok := w.state.BrokerPermit(b.slot); ok && !pass.Used {
+			if r := w.apply(&statemachine.UsePermit{Permit: pass.Number, Slot: b.slot, Incarnation: b.incarnation}); r.Err == nil {
+				release, _ := w.state.Release()
+				w.leaves[[2]uint64{pass.Release, uint64(b.slot)}]++
+				b.version, b.back = release.To, w.now+2*time.Second
+				out++
+			}
+		}
+	}
+	w.maxOut = max(w.maxOut, out)
+	w.naiveAlarm = w.naiveAlarm || w.planner.naiveTestFails()
+	all, _ := w.planner.NextEntries(w.state, w.now)
+	if w.evidenceAt == 0 && (w.planner.FailedGate() != nil || w.planner.someGateWouldFail()) {
+		w.evidenceAt = w.now
+	}
+	for _, e := range all {
+		w.proposals++
+		w.apply(e)
+	}
+	if r, _ := w.state.Release(); r.State == statemachine.ReleaseHalted && w.haltedAt == 0 {
+		w.haltedAt = w.now
+	}
+}
+
+// someGateWouldFail tells whether some gate would fail if it looked now, by the threshold of its next look.
+func (p *Planner) someGateWouldFail() bool {
+	for _, g := range p.groups {
+		for m := range metricCount {
+			c := *g
+			c.queriesAtLook = [metricCount]float64{}
+			if _, fails := c.check(m, p.settings.Tolerance, p.settings.FalseAlarmRate/float64(len(p.groups)*int(metricCount))); fails {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// naiveTestFails is the planted fault: the usual test of two shares, at one in a thousand, at each look.
+func (p *Planner) naiveTestFails() bool {
+	var asked, wrong, expected, variance float64
+	for _, g := range p.groups[:min(1, len(p.groups))] {
+		for _, t := range g.samples[MetricUnserved] {
+			if t.side == sideReleased {
+				asked, wrong, expected, variance = asked+t.queries, wrong+t.bad, expected+t.expected, variance+t.variance
+			}
+		}
+	}
+	return asked > 0 && wrong-expected > 3.1*math.Sqrt(variance)
+}
+
+func (w *simulatedTier) run(most time.Duration) statemachine.Release {
+	for end := w.now + most; w.now < end; {
+		w.step()
+		if r, _ := w.state.Release(); r.State != statemachine.ReleaseRunning {
+			return r
+		}
+	}
+	r, _ := w.state.Release()
+	return r
+}
+
+func (w *simulatedTier) affected(r statemachine.Release) (n int) {
+	for _, x := range r.Steps {
+		if x.Affected {
+			n++
+		}
+	}
+	return n
+}
+
+func (w *simulatedTier) checkLimits(most int) {
+	w.t.Helper()
+	if w.maxOut > most {
+		w.t.Errorf("%d out at once", w.maxOut)
+	}
+	for k, n := range w.leaves {
+		if n > 1 {
+			w.t.Errorf("broker %d went %d times in release %d", k[1], n, k[0])
+		}
+	}
+}
--- /dev/null
+++ b/internal/decision/release/window.go
@@ -0,0 +1,126 @@
+package release
+
+import (
+	"bytes"
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision/statemachine"
+)
+
+// servingTargets are the targets that serve, and on which side of the comparison each is.
+func (p *Planner) servingTargets(s *statemachine.State, r *statemachine.Release) map[Target]releaseSide {
+	sides := map[Target]releaseSide{}
+	if r.ForNodes {
+		for _, n := range s.Nodes() {
+			if n.DownIndex == 0 && n.DrainNumber == 0 {
+				sides[Target{ForNode: true, Node: n.Node}] = sideControl
+			}
+		}
+	} else {
+		for _, b := range s.Brokers() {
+			if b.Status == statemachine.BrokerServing && b.Permit == 0 {
+				sides[Target{Slot: b.Slot}] = sideControl
+			}
+		}
+	}
+	for _, x := range r.Steps {
+		t := targetOf(r, x)
+		if _, serves := sides[t]; !serves || x.State != statemachine.StepFinished {
+			continue
+		}
+		if x.Affected {
+			sides[t] = sideReleased
+		} else {
+			sides[t] = sideExcluded // had the version before: it says nothing of the way there
+		}
+	}
+	return sides
+}
+
+// compareWindow takes a window of counts into the evidence, and checks each gate.
+func (p *Planner) compareWindow(s *statemachine.State, r *statemachine.Release, now time.Duration) {
+	p.windowStart = now
+	window := p.collectWindow(s, r, now)
+	if len(window) == 0 {
+		return
+	}
+	p.comparedWindows++
+	p.addGroups(window)
+	for _, g := range p.groups {
+		g.addWindow(window, p.settings.MinControls)
+	}
+	p.checkGates()
+}
+
+// collectWindow is what the targets' counts grew by since the last window. One that has just returned warms up and is left out.
+func (p *Planner) collectWindow(s *statemachine.State, r *statemachine.Release, now time.Duration) (window []growth) {
+	for t, side := range p.servingTargets(s, r) {
+		src := p.sources[t]
+		if src == nil || !src.fresh {
+			continue
+		}
+		w := src.countGrowth(t, side)
+		if side == sideReleased && now-p.stateSince[t] < p.settings.WarmUpTime {
+			continue
+		}
+		window = append(window, w)
+	}
+	slices.SortFunc(window, func(a, b growth) int { // sums of floats must not depend on the order of a map
+		return cmp.Or(cmp.Compare(a.Slot, b.Slot), bytes.Compare(a.Node.Addr[:], b.Node.Addr[:]), cmp.Compare(a.Node.Port, b.Node.Port))
+	})
+	return window
+}
+
+// countGrowth is what the counts grew by; it counts once.
+func (s *source) countGrowth(t Target, side releaseSide) growth {
+	w := growth{Target: t, zone: s.latest.Zone, side: side}
+	for i, c := range s.latest.Classes {
+		w.classes = append(w.classes, subtractCounts(c, s.counted.Classes[i]))
+	}
+	s.counted = s.latest
+	s.fresh = false
+	return w
+}
+
+func (p *Planner) checkGates() {
+	rate := p.settings.FalseAlarmRate / float64(len(p.groups)*int(metricCount))
+	for _, g := range p.groups {
+		for m := range metricCount {
+			v, fails := g.check(m, p.settings.Tolerance, rate)
+			if fails && (p.failedGate == nil || v.excess() > p.failedGate.excess()) {
+				p.failedGate = &v
+			}
+		}
+	}
+}
+
+// addGroups makes the groups that a window shows: all queries, each class, each zone.
+func (p *Planner) addGroups(window []growth) {
+	zones := map[string]bool{}
+	classes := 0
+	for _, w := range window {
+		zones[w.zone] = true
+		classes = max(classes, len(w.classes))
+	}
+	p.addGroup(&group{name: "all", class: allClasses})
+	for i := range classes {
+		if classes > 1 {
+			p.addGroup(&group{name: fmt.Sprint("class ", i), class: i})
+		}
+	}
+	for _, z := range slices.Sorted(maps.Keys(zones)) {
+		if len(zones) > 1 && z != "" {
+			p.addGroup(&group{name: "zone " + z, class: allClasses, zone: z})
+		}
+	}
+}
+
+func (p *Planner) addGroup(added *group) {
+	if !slices.ContainsFunc(p.groups, func(g *group) bool { return g.name == added.name }) {
+		p.groups = append(p.groups, added)
+	}
+}
