--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -134,7 +134,7 @@
 		if !ok || r.Incarnation != b.Incarnation {
 			continue
 		}
-		if version, rows, err := connlease.DecodeDemand(r.Extra["need"]); err == nil && (version == inForce.Version || version == other && other > 0) {
+		if version, rows, err := connlease.DecodeDemand(r.Sections["need"]); err == nil && (version == inForce.Version || version == other && other > 0) {
 			needs[b.Slot] = rows
 		}
 	}
