--- a/internal/server/epoch.go
+++ b/internal/server/epoch.go
@@ -18,7 +18,7 @@
 
 // endpointSnapshot is a broker's node list for the fleet's goroutine.
 type endpointSnapshot struct {
-	release.List
+	release.NodeList
 	names map[decision.NodeID]string
 	ids   map[string]decision.NodeID // by name and by address
 }
@@ -36,7 +36,7 @@
 // publishEndpoints leaves the list for the fleet.
 func (l *loop) publishEndpoints(to *atomic.Pointer[endpointSnapshot]) {
 	have := &endpointSnapshot{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
-	have.Ready, have.Since, have.Told = map[decision.NodeID]bool{}, l.since(), l.counters.ListsTaken > 0 && !l.pollFailed
+	have.Ready, have.StableSince, have.Confirmed = map[decision.NodeID]bool{}, l.since(), l.counters.ListsTaken > 0 && !l.pollFailed
 	for id, n := range l.nodes {
 		have.Nodes = append(have.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
 		have.names[id], have.ids[n.Name], have.ids[n.Addr.String()] = n.Name, id, id
@@ -44,7 +44,7 @@
 	}
 	slices.SortFunc(have.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.CompareNodes(a.Node, b.Node) })
 	if was := to.Load(); was != nil {
-		have.Follow(&was.List)
+		have.KeepStableSince(&was.NodeList)
 	}
 	to.Store(have)
 }
@@ -53,7 +53,7 @@
 func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.LeaderContext) []statemachine.Entry {
 	return func(m controlplane.LeaderContext) []statemachine.Entry {
 		if have := from.Load(); have != nil {
-			return have.Next(m.State, m.Now)
+			return have.NextEntries(m.State, m.Now)
 		}
 		return nil
 	}
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -78,8 +78,8 @@
 	opts.Voters, _ = Voters(o)
 	opts.ReleaseGates = release.Defaults()
 	g := &o.Gates
-	opts.ReleaseGates.Observe, opts.ReleaseGates.Warm, opts.ReleaseGates.Overdue, opts.ReleaseGates.Least = g.Observe, g.Warm, g.Overdue, float64(g.Least)
-	opts.ReleaseGates.Tolerance, opts.ReleaseGates.Alpha, opts.ReleaseGates.Back = g.Tolerance, g.Alpha, g.Back
+	opts.ReleaseGates.ObserveTime, opts.ReleaseGates.WarmUpTime, opts.ReleaseGates.OverdueAfter, opts.ReleaseGates.MinQueries = g.Observe, g.Warm, g.Overdue, float64(g.Least)
+	opts.ReleaseGates.Tolerance, opts.ReleaseGates.FalseAlarmRate, opts.ReleaseGates.AutoRollback = g.Tolerance, g.Alpha, g.Back
 	if opts.Version == "" {
 		if info, ok := debug.ReadBuildInfo(); ok {
 			opts.Version = info.Main.Version
