--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -134,7 +134,7 @@
 		if !ok || r.Incarnation != b.Incarnation {
 			continue
 		}
-		if version, rows, ok := connlease.DecodeDemand(r.Extra["need"]); ok && (version == inForce.Version || version == other && other > 0) {
+		if version, rows, ok := connlease.DecodeDemand(r.Sections["need"]); ok && (version == inForce.Version || version == other && other > 0) {
 			needs[b.Slot] = rows
 		}
 	}
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -155,7 +155,7 @@
 				return nil
 			}
 			if f := s.Counters().Searches.Fleet; f != nil {
-				p.report.Store(&controlplane.Report{Classes: f.Classes, Cold: f.Cold})
+				p.report.Store(&controlplane.Report{Classes: f.Classes, WarmingUp: f.Cold})
 			}
 		}
 	})
