--- /dev/null
+++ b/internal/server/ingress/reason_test.go
@@ -0,0 +1,29 @@
+package ingress
+
+import (
+	"os"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// Every reason of a connection's end is explained on the on-call page.
+func TestReasonsAreOnTheOnCallPage(t *testing.T) {
+	source, err := os.ReadFile("reason.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	page, err := os.ReadFile("../../../docs/oncall.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	reasons := regexp.MustCompile(`Reason += "([a-z_]+)"`).FindAllStringSubmatch(string(source), -1)
+	if len(reasons) < 12 {
+		t.Fatalf("%d reasons found in reason.go", len(reasons))
+	}
+	for _, r := range reasons {
+		if !strings.Contains(string(page), "`"+r[1]+"`") {
+			t.Errorf("docs/oncall.md does not explain the reason %s", r[1])
+		}
+	}
+}
