--- a/internal/lab/proof/history_test.go
+++ b/internal/lab/proof/history_test.go
@@ -123,7 +123,7 @@
 			var no *controlplane.RejectedError
 			switch {
 			case err == nil:
-			case errors.As(err, &no) && strings.Contains(err.Error(), "refused"):
+			case errors.As(err, &no) && strings.Contains(err.Error(), "rejected"):
 				out = told{kind: 'r'}
 			case errors.As(err, new(*controlplane.NotLeaderError)):
 				out.kind = 0 // it was never sent on
