--- a/internal/decision/connlease/baseline_test.go
+++ b/internal/decision/connlease/baseline_test.go
@@ -16,7 +16,7 @@
 }
 
 // TestBaselines compares ways to share one node's connections while demand shifts: each held connection serves one search a step; a
-// node that holds more than its budget serves as many searches fewer as it holds too many, down to none. One tenant floods.
+// node that holds more than its budget serves as many queries fewer as it holds too many, down to none. One tenant floods.
 func TestBaselines(t *testing.T) {
 	const brokers, budget, steps = 60, 240, 1200
 	plan := newPlan(1, budget-brokers) // with one reserved for each
@@ -57,13 +57,13 @@
 	} {
 		byPolicy := b.name == "divided by policy, under leases"
 		served, quiet, asked, quietAsked, over := runBaseline(b, brokers, budget, steps)
-		t.Logf("%-32s %5.1f%% of searches served, of the quiet tenant's %5.1f%%; over the budget in %4.1f%% of the time", b.name,
+		t.Logf("%-32s %5.1f%% of queries served, of the quiet tenant's %5.1f%%; over the budget in %4.1f%% of the time", b.name,
 			100*served/asked, 100*quiet/quietAsked, 100*over/steps)
 		if byPolicy {
 			best = quiet
 		}
 		if byPolicy && over > 0 || !byPolicy && quiet > best {
-			t.Errorf("%s: over the budget in %v steps, %v of the quiet tenant's searches served", b.name, over, quiet)
+			t.Errorf("%s: over the budget in %v steps, %v of the quiet tenant's queries served", b.name, over, quiet)
 		}
 	}
 }
--- a/internal/decision/connlease/demand_report.go
+++ b/internal/decision/connlease/demand_report.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxReportRows     = 6000    // a report tells; of more the smallest keys are told
+	maxReportRows     = 6000    // in a report; of more rows those with the smallest keys
 	maxReportedDemand = 1 << 20 // connections, or a tenant's number, in a row: a broken report must not fill the leader's memory
 	minRowBytes       = 8       // a node, a tenant and a number
 	nodeBytes         = 6       // address and port
--- a/internal/decision/fairshare/fairshare_test.go
+++ b/internal/decision/fairshare/fairshare_test.go
@@ -106,7 +106,7 @@
 			}
 		}
 		if sum != given || sum != min(total, sums[1]) {
-			t.Fatalf("%d units given, %d told, of %d", sum, given, total)
+			t.Fatalf("%d units given, %d returned, of %d", sum, given, total)
 		}
 	})
 }
--- a/internal/decision/release/release_test.go
+++ b/internal/decision/release/release_test.go
@@ -40,7 +40,7 @@
 		}
 		w.apply(&statemachine.RollBackRelease{Release: number, Reason: r.Reason})
 		if r = w.run(10 * time.Minute); r.State != statemachine.ReleaseDone || r.RollbackOf != number {
-			t.Errorf("seed %d: way back %v %s", seed, r.State, r.Reason)
+			t.Errorf("seed %d: rollback %v %s", seed, r.State, r.Reason)
 		}
 		for _, b := range w.brokers {
 			if b.version != "1" {
--- a/internal/decision/statemachine/injected_faults_test.go
+++ b/internal/decision/statemachine/injected_faults_test.go
@@ -72,7 +72,7 @@
 		}
 		return apply()
 	},
-	"old leaders heard": func(s *State, e Entry, apply func() Result) Result {
+	"old leaders accepted": func(s *State, e Entry, apply func() Result) Result {
 		if p, ok := e.(*IssuePermit); ok {
 			term := s.term
 			s.term = p.Term
@@ -80,7 +80,7 @@
 		}
 		return apply()
 	},
-	"late return taken": func(s *State, e Entry, apply func() Result) Result {
+	"late return accepted": func(s *State, e Entry, apply func() Result) Result {
 		if x, ok := e.(*ReturnToService); ok {
 			if m := s.findBroker(x.Slot); m != nil && m.Status == BrokerOut && m.Incarnation == x.Incarnation {
 				m.Status = BrokerReturning
--- a/internal/decision/statemachine/lease_model_test.go
+++ b/internal/decision/statemachine/lease_model_test.go
@@ -15,7 +15,7 @@
 
 const (
 	leaseDuration  = 2
-	leaseBudget    = 4 // two floors of one, and two above them
+	leaseBudget    = 4 // two reserved, and two above them
 	leaseMaxFaults = 2
 )
 
@@ -87,7 +87,7 @@
 	})
 }
 
-// inUse is what the two use at this instant: what they go by until their lease ends, then the floor.
+// inUse is what the two use at this instant: what their lease grants until it ends, then the reserve.
 func (l *leaseModel) inUse() (sum uint64) {
 	for _, h := range l.holders {
 		sum++
--- a/internal/decision/statemachine/replicas_test.go
+++ b/internal/decision/statemachine/replicas_test.go
@@ -102,7 +102,7 @@
 			return fmt.Sprintf("node %v: %d units, counted %d", n.Node, v.Leased, units)
 		}
 		if p != nil && v.Leased+v.Reserved > v.Budget {
-			return fmt.Sprintf("node %v: %d and %d floors over %d", n.Node, v.Leased, v.Reserved, v.Budget)
+			return fmt.Sprintf("node %v: %d and %d reserved, over %d", n.Node, v.Leased, v.Reserved, v.Budget)
 		}
 	}
 	return ""
--- a/internal/decision/statemachine/statemachine_test.go
+++ b/internal/decision/statemachine/statemachine_test.go
@@ -89,7 +89,7 @@
 	p1 = b.mustApply(&IssuePermit{Release: r, Term: 1, Slot: 1, Incarnation: 1})
 	b.mustApply(&UsePermit{Permit: p1, Slot: 1, Incarnation: 1})
 	back := b.mustApply(&RollBackRelease{r, "bad after all"})
-	b.join(1, 2, "2") // out when the way back began: it came back with what is taken back, and goes once more
+	b.join(1, 2, "2") // out when the rollback began: it came back with the version that is taken back, and goes out once more
 	for _, slot := range slotRange(2) {
 		p := b.mustApply(&IssuePermit{Release: back, Term: 1, Slot: slot, Incarnation: 2})
 		b.mustReject(ReasonAlreadyUsed, &IssuePermit{Release: back, Term: 1, Slot: slot, Incarnation: 2})
@@ -98,7 +98,7 @@
 	}
 	x, _ := b.state.Release()
 	if x.State != ReleaseDone || x.RollbackOf != r || len(x.Steps) != 2 {
-		t.Errorf("way back: %+v", x)
+		t.Errorf("rollback: %+v", x)
 	}
 	b.mustReject(ReasonWrongState, &HaltRelease{back, ""})
 }
@@ -136,13 +136,13 @@
 	b.mustApply(&UndrainNode{testNode(2)})
 }
 
-// A policy that leaves less than is held waits; floors of a broker that did not acknowledge count on.
+// A policy that leaves less than is held waits; the reserve of a broker that did not acknowledge still counts.
 func TestConnectionPolicy(t *testing.T) {
 	b := newTestTier(t, 2)
 	n := testNode(1)
 	b.mustReject(ReasonNotFound, &GrantLease{1, 1, 1, []LeaseRow{{n, "x", 1}}})
 	b.mustReject(ReasonOverBudget, &ConnectionPolicy{1, "", 4, []NodeBudget{{n, 10, 3}}})
-	b.mustApply(&ConnectionPolicy{1, "one", 4, []NodeBudget{{n, 20, 2}}}) // 8 are floors, 12 may be granted
+	b.mustApply(&ConnectionPolicy{1, "one", 4, []NodeBudget{{n, 20, 2}}}) // 8 are reserved, 12 may be granted
 	b.mustApply(&GrantLease{0, 1, 1, []LeaseRow{{n, "x", 8}}})
 	b.mustApply(&AcknowledgeLease{0, 1, 1})
 	b.mustApply(&GrantLease{0, 1, 2, []LeaseRow{{n, "x", 3}}})
--- a/internal/decision/statemachine/stored_test.go
+++ b/internal/decision/statemachine/stored_test.go
@@ -127,10 +127,10 @@
 	if !bytes.Equal(same.Snapshot(), data) {
 		t.Error("the same entries give another snapshot")
 	}
-	var told, want strings.Builder
-	(&goldenRun{state: s, out: &told}).writeQueries()
+	var got, want strings.Builder
+	(&goldenRun{state: s, out: &got}).writeQueries()
 	(&goldenRun{state: same, out: &want}).writeQueries()
-	if told.String() != want.String() {
-		t.Errorf("queries tell\n%swant\n%s", told.String(), want.String())
+	if got.String() != want.String() {
+		t.Errorf("queries return\n%swant\n%s", got.String(), want.String())
 	}
 }
