--- a/internal/cluster/controlplane/session.go
+++ b/internal/cluster/controlplane/session.go
@@ -1,8 +1,5 @@
 package controlplane
 
-// This file owns this broker's session: its place in the roster, and the lease that tells it that it is not cut off. It counts
-// from before it asked; the leader counts from after it granted (lead.go).
-
 import (
 	"errors"
 	"log/slog"
@@ -11,141 +8,204 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-const joinEvery = 200 * time.Millisecond
+const (
+	registerInterval    = 200 * time.Millisecond
+	conflictLogInterval = 10 * time.Second
+)
 
-// lease is what was granted to this broker.
-type lease struct {
-	until  time.Duration // on this clock; holds only if now is before it
-	up     bool          // as told last
-	since  time.Duration
-	leader string
-	said   time.Duration // a conflict was logged
+// sessionLease is the lease that tells a broker that it is not cut off from the majority. It counts from before it was asked for.
+type sessionLease struct {
+	expiresAt        time.Duration // by this broker's clock
+	connected        bool          // the lease ran when it was last looked at
+	since            time.Duration // when connected last changed
+	leader           string
+	conflictLoggedAt time.Duration // 0: never
 }
 
-// held tells whether the lease runs at this moment. Danger: a process that was stopped and wakes up believes what was true when
-// it fell asleep; so whoever acts asks here, with the time just read.
-func (l *lease) held(now time.Duration) bool { return now < l.until }
-
-// keepSession does what is due for it.
-func (f *Participant) keepSession(now time.Duration) (next time.Duration) {
-	if up := f.lease.held(now); up != f.lease.up {
-		f.lease.up, f.lease.since, f.changed = up, now, true
-		f.due.publish = 0
-		if up {
-			slog.Info("fleet: connected to the majority", "leader", f.lease.leader, "index", f.state.AppliedIndex(), "incarnation", f.inc)
-		} else {
-			slog.Warn("fleet: cut off from the majority; searches go on with what this broker holds, and it takes no permit")
-		}
-	}
-	if now >= f.due.join {
-		f.due.join = now + joinEvery
-		f.join(now)
+// runsAt reports whether the lease runs. A process that was stopped and resumes knows what was true before; so whoever acts on the lease
+// asks here, with the time just read.
+func (l *sessionLease) runsAt(now time.Duration) bool { return now < l.expiresAt }
+
+// maintainSession registers and renews as due, and returns when to come again.
+func (p *Participant) maintainSession(now time.Duration) (next time.Duration) {
+	p.noteConnected(p.session.runsAt(now), now)
+	if now >= p.dueAt.register {
+		p.dueAt.register = now + registerInterval
+		p.registerIfNeeded(now)
 	}
-	if now >= f.due.renew {
-		f.due.renew = now + f.o.LeaseDuration/4
-		if !f.lease.held(now + f.o.LeaseDuration/2) { // it is late: ask more often
-			f.due.renew = now + f.o.LeaseDuration/10
-		}
-		if f.alive() && f.halted == nil { // one that sees no drain any more must not have others wait for its word
-			f.up.Renewals = append(f.up.Renewals, renewal{uint32(f.o.Slot), f.inc, uint64(now) + 1})
-		}
+	if now >= p.dueAt.renewal {
+		p.renewSession(now)
 	}
-	next = min(f.due.join, f.due.renew)
-	if f.lease.up {
-		next = min(next, f.lease.until)
+	next = min(p.dueAt.register, p.dueAt.renewal)
+	if p.session.connected {
+		next = min(next, p.session.expiresAt)
 	}
 	return next
 }
 
-// alive tells whether the ledger has this broker under its present incarnation.
-func (f *Participant) alive() bool {
-	b, ok := f.state.Broker(f.o.Slot)
-	return ok && b.Name == f.name && b.Incarnation == f.inc && b.Status != statemachine.BrokerLost
+func (p *Participant) noteConnected(connected bool, now time.Duration) {
+	if connected == p.session.connected {
+		return
+	}
+	p.session.connected = connected
+	p.session.since = now
+	p.viewOutdated = true
+	p.dueAt.view = 0
+	if connected {
+		slog.Info("connected to the majority", "component", component, "leader", p.session.leader,
+			"index", p.state.AppliedIndex(), "incarnation", p.incarnation)
+	} else {
+		slog.Warn("cut off from the majority", "component", component, "leader", p.session.leader)
+	}
 }
 
-// mustGo tells whether this very process went by a permit, though it may not have heard that this was agreed.
-func (f *Participant) mustGo() bool {
-	b, known := f.state.Broker(f.o.Slot)
-	p, holds := f.state.BrokerPermit(f.o.Slot)
-	return known && holds && p.Used && b.Name == f.name && b.Incarnation == f.inc && p.Incarnation == f.inc
+// renewSession asks for the lease anew: four times in its duration, or ten times once half of it has passed.
+func (p *Participant) renewSession(now time.Duration) {
+	lease := p.options.LeaseDuration
+	p.dueAt.renewal = now + lease/4
+	if !p.session.runsAt(now + lease/2) {
+		p.dueAt.renewal = now + lease/10
+	}
+	// A broker that stands still before an entry no longer sees drains, and must not have others wait for its acknowledgement.
+	if !p.isRegistered() || p.haltedBy != nil {
+		return
+	}
+	renewal := leaseRenewal{Slot: uint32(p.options.Slot), Incarnation: p.incarnation, Token: tokenAt(now)}
+	p.outbox.Renewals = append(p.outbox.Renewals, renewal)
 }
 
-// join proposes what this broker's line in the roster lacks.
-func (f *Participant) join(now time.Duration) {
-	if f.joining || f.halted != nil || f.leaving.Load() {
-		return
+// tokenAt makes a token of a moment, never 0. Only the broker that sent it reads it.
+func tokenAt(now time.Duration) uint64 { return uint64(now) + 1 }
+
+// tokenTime is the moment of a token that came back; false: this broker can't have sent it.
+func tokenTime(token uint64, now time.Duration) (sentAt time.Duration, ok bool) {
+	if token == 0 || token-1 > uint64(now) {
+		return 0, false
 	}
-	b, known := f.state.Broker(f.o.Slot)
-	if f.mustGo() { // it comes back as the process that is started next, or not at all
+	return time.Duration(token - 1), true
+}
+
+// isRegistered reports whether the state machine has this broker under its present incarnation.
+func (p *Participant) isRegistered() bool {
+	broker, known := p.state.Broker(p.options.Slot)
+	return known && broker.Name == p.name && broker.Incarnation == p.incarnation && broker.Status != statemachine.BrokerLost
+}
+
+// mustExit reports whether this very process went out by a permit, though it may not have heard that this was agreed.
+func (p *Participant) mustExit() bool {
+	broker, known := p.state.Broker(p.options.Slot)
+	permit, holds := p.state.BrokerPermit(p.options.Slot)
+	isOwn := known && broker.Name == p.name && broker.Incarnation == p.incarnation
+	return isOwn && holds && permit.Used && permit.Incarnation == p.incarnation
+}
+
+// registerIfNeeded proposes what this broker's line in the roster lacks.
+func (p *Participant) registerIfNeeded(now time.Duration) {
+	if p.registering || p.haltedBy != nil || p.leaving.Load() {
 		return
 	}
-	var e statemachine.Entry
-	switch {
-	case f.alive() && (b.Status == statemachine.BrokerJoining || b.Status == statemachine.BrokerReturning) && f.serving.Load():
-		e = &statemachine.ReturnToService{Slot: f.o.Slot, Incarnation: f.inc}
-	case f.alive():
+	if p.mustExit() { // it returns as the process that is started next, or not at all
 		return
-	case known && b.Name != f.name && b.Status != statemachine.BrokerLost && b.Status != statemachine.BrokerOut:
-		if now-f.lease.said > 10*time.Second || f.lease.said == 0 {
-			f.lease.said = now
-			slog.Error("fleet: not registered", "error", &SlotTakenError{f.o.Slot, b.Name})
-		}
+	}
+	entry := p.registration(now)
+	if entry == nil {
 		return
-	default:
-		if known && b.Incarnation >= f.inc { // lost while it lived: it comes back as a new one
-			f.inc = b.Incarnation + 1
-			f.abandon(errors.New("the session was lost"))
-			f.lease.until = 0
-		}
-		e = &statemachine.RegisterBroker{Slot: f.o.Slot, Name: f.name, Incarnation: f.inc, Version: f.o.Version, Zone: f.o.Zone, Protocol: statemachine.SupportedProtocol}
 	}
-	f.joining = true
-	f.start(e, func(r statemachine.Result, err error) {
-		f.joining = false
-		if f.due.renew = 0; err != nil && !errors.As(err, new(*UncertainOutcomeError)) {
-			slog.Warn("fleet: not registered", "error", err)
-		}
-		f.due.join = 0
-		if err != nil {
-			f.due.join = f.o.Now() + joinEvery
+	p.registering = true
+	p.propose(entry, func(_ statemachine.Result, err error) { p.noteRegistered(err) })
+}
+
+// registration is the entry that this broker's line in the roster lacks; nil: none.
+func (p *Participant) registration(now time.Duration) statemachine.Entry {
+	broker, known := p.state.Broker(p.options.Slot)
+	if p.isRegistered() {
+		isBack := broker.Status == statemachine.BrokerJoining || broker.Status == statemachine.BrokerReturning
+		if isBack && p.serving.Load() {
+			return &statemachine.ReturnToService{Slot: p.options.Slot, Incarnation: p.incarnation}
 		}
-	})
+		return nil
+	}
+	isGone := broker.Status == statemachine.BrokerLost || broker.Status == statemachine.BrokerOut
+	if known && broker.Name != p.name && !isGone {
+		p.logSlotTaken(broker.Name, now)
+		return nil
+	}
+	if known && broker.Incarnation >= p.incarnation { // lost while it lived: it returns as a new one
+		p.incarnation = broker.Incarnation + 1
+		p.failProposals(errSessionLost)
+		p.session.expiresAt = 0
+	}
+	return &statemachine.RegisterBroker{
+		Slot:        p.options.Slot,
+		Name:        p.name,
+		Incarnation: p.incarnation,
+		Version:     p.options.Version,
+		Zone:        p.options.Zone,
+		Protocol:    statemachine.SupportedProtocol,
+	}
 }
 
-// SetServing says that this broker takes searches: it counts as back.
-func (f *Participant) SetServing() { f.serving.Store(true) }
+func (p *Participant) logSlotTaken(holder string, now time.Duration) {
+	last := p.session.conflictLoggedAt
+	if last != 0 && now-last <= conflictLogInterval {
+		return
+	}
+	p.session.conflictLoggedAt = now
+	err := &SlotTakenError{Slot: p.options.Slot, Holder: holder}
+	slog.Error("registration rejected", "component", component, "error", err, "remedy", err.Remedy())
+}
 
-// SetLeaving says that it stops: it does not come back by itself.
-func (f *Participant) SetLeaving() { f.leaving.Store(true) }
+func (p *Participant) noteRegistered(err error) {
+	p.registering = false
+	p.dueAt.renewal = 0
+	p.dueAt.register = 0
+	if err == nil {
+		return
+	}
+	p.dueAt.register = p.options.Now() + registerInterval
+	if !errors.As(err, new(*UncertainOutcomeError)) {
+		slog.Warn("registration rejected", "component", component, "error", err, "remedy", remedyOf(err))
+	}
+}
 
-// takeDown takes leases that the leader granted, and passes on those of others: to any, where it leads, else to those that follow.
-func (f *Participant) takeDown(c *conn, d down, now time.Duration) {
-	if c != nil && c != f.source && c.peer.Role != roleVoter || d.Lease <= 0 || len(d.Grants) > maxBatch {
+// handleGrants takes leases that the leader granted, and passes on those of others: all of them where this broker leads, else those of its
+// followers.
+func (p *Participant) handleGrants(c *conn, granted grantsFrame, now time.Duration) {
+	isTrusted := c == nil || c == p.source || c.peer.Role == roleVoter
+	if !isTrusted || granted.LeaseNS <= 0 || len(granted.Grants) > maxBatch {
 		return
 	}
-	others := map[*conn]*down{}
-	for _, g := range d.Grants {
-		if statemachine.Slot(g.Slot) == f.o.Slot {
-			f.granted(g, d, now)
-		} else if to := f.via[statemachine.Slot(g.Slot)]; to != nil && (c == nil || to.follows) {
-			if others[to] == nil {
-				others[to] = &down{Lease: d.Lease, Leader: d.Leader}
-			}
-			others[to].Grants = append(others[to].Grants, g)
+	others := map[*conn]*grantsFrame{}
+	for _, grant := range granted.Grants {
+		slot := statemachine.Slot(grant.Slot)
+		if slot == p.options.Slot {
+			p.acceptGrant(grant, granted, now)
+			continue
+		}
+		to := p.routes[slot]
+		if to == nil || c != nil && !to.isFollower {
+			continue
+		}
+		if others[to] == nil {
+			others[to] = &grantsFrame{LeaseNS: granted.LeaseNS, Leader: granted.Leader}
 		}
+		others[to].Grants = append(others[to].Grants, grant)
 	}
-	for to, d := range others {
-		f.put(to, letterDown, *d)
+	for to, grants := range others {
+		p.send(to, frameGrants, *grants)
 	}
 }
 
-// granted counts from when this broker asked, and takes the drift of clocks off.
-func (f *Participant) granted(g renewal, d down, now time.Duration) {
-	if g.Inc != f.inc || g.Token == 0 || g.Token-1 > uint64(now) || !f.alive() {
+// acceptGrant counts the lease from when this broker asked for it, less the drift of clocks.
+func (p *Participant) acceptGrant(grant leaseRenewal, granted grantsFrame, now time.Duration) {
+	askedAt, ok := tokenTime(grant.Token, now)
+	if !ok || grant.Incarnation != p.incarnation || !p.isRegistered() {
 		return
 	}
-	until := time.Duration(g.Token-1) + time.Duration(float64(d.Lease)*(1-f.o.MaxClockDrift))
-	if until > f.lease.until {
-		f.lease.until, f.lease.leader, f.changed = until, d.Leader, true
+	expiresAt := askedAt + time.Duration(float64(granted.LeaseNS)*(1-p.options.MaxClockDrift))
+	if expiresAt > p.session.expiresAt {
+		p.session.expiresAt = expiresAt
+		p.session.leader = granted.Leader
+		p.viewOutdated = true
 	}
 }
