--- a/internal/decision/ownership/ownership.go
+++ b/internal/decision/ownership/ownership.go
@@ -208,19 +208,20 @@
 	d.left = true
 }
 
-// State is what operators see of a duty.
+// State is what operators see of a duty. The JSON names are those under /counters.
 type State struct {
-	Name      string
-	Period    time.Duration
-	Owner     uint32
-	Fence     uint32
-	Since     time.Duration // that its owner has been heard of as such
-	Ran       time.Duration
-	Turn      uint32        // runs that are known of
-	Next      time.Duration // here, where this broker owns it
-	Runs      uint64        // here
-	Refused   uint64        // done under an older number, by others
-	Mine, Due bool
+	Name    string
+	Period  time.Duration
+	Owner   uint32
+	Fence   uint32
+	Since   time.Duration `json:"Since"` // that its owner has been heard of as such
+	Ran     time.Duration `json:"Ran"`
+	Turn    uint32        `json:"Turn"`    // runs that are known of
+	Next    time.Duration `json:"Next"`    // here, where this broker owns it
+	Runs    uint64        `json:"Runs"`    // here
+	Refused uint64        `json:"Refused"` // done under an older number, by others
+	Mine    bool          `json:"Mine"`
+	Due     bool          `json:"Due"`
 }
 
 // States are all duties, as this broker knows them.
