--- a/internal/decision/ownership/claims.go
+++ b/internal/decision/ownership/claims.go
@@ -1,30 +1,38 @@
 package ownership
 
-// This file owns claims: their form, their fencing numbers, which of two counts.
-
 import (
 	"encoding/binary"
 	"math"
 	"time"
 )
 
-// Claim is what brokers tell one another of a duty.
+// Claim is what brokers send one another of a job. Ages travel, not moments: clocks need not agree.
 type Claim struct {
 	Job          uint8
 	Fence        uint32
 	Owner        uint32
-	RunCount     uint32        // how many runs are known of
-	SinceLastRun time.Duration // how long ago the last of them began, by whoever made it
+	RunCount     uint32        // runs that are known of
+	SinceLastRun time.Duration // since the last of them began, whoever made it
 	Released     bool          // the owner gives it up
 }
 
-const claimSize = 18
+// An encoded claim is job (1), flags (1), fence (4), owner (4), run count (4), milliseconds since the last run (4), big endian.
+const (
+	claimBytes         = 18
+	flagsOffset        = 1
+	fenceOffset        = 2
+	ownerOffset        = 6
+	runCountOffset     = 10
+	sinceLastRunOffset = 14
+
+	flagReleased = 1
+)
 
-// AppendTo encodes a claim. Ages travel, not moments: clocks need not agree.
+// AppendTo encodes a claim.
 func (c *Claim) AppendTo(b []byte) []byte {
 	flags := byte(0)
 	if c.Released {
-		flags = 1
+		flags = flagReleased
 	}
 	b = append(b, c.Job, flags)
 	b = binary.BigEndian.AppendUint32(b, c.Fence)
@@ -33,73 +41,108 @@
 	return binary.BigEndian.AppendUint32(b, uint32(min(c.SinceLastRun.Milliseconds(), math.MaxUint32)))
 }
 
-// DecodeClaim decodes a claim.
+// DecodeClaim decodes a claim. ok is false if the bytes are none.
 func DecodeClaim(b []byte) (c Claim, ok bool) {
-	if len(b) != claimSize || b[1] > 1 {
+	if len(b) != claimBytes || b[flagsOffset] > flagReleased {
 		return c, false
 	}
-	c = Claim{Job: b[0], Released: b[1] == 1, Fence: binary.BigEndian.Uint32(b[2:]), Owner: binary.BigEndian.Uint32(b[6:]),
-		RunCount: binary.BigEndian.Uint32(b[10:]), SinceLastRun: time.Duration(binary.BigEndian.Uint32(b[14:])) * time.Millisecond}
+	c = Claim{
+		Job:          b[0],
+		Fence:        binary.BigEndian.Uint32(b[fenceOffset:]),
+		Owner:        binary.BigEndian.Uint32(b[ownerOffset:]),
+		RunCount:     binary.BigEndian.Uint32(b[runCountOffset:]),
+		SinceLastRun: time.Duration(binary.BigEndian.Uint32(b[sinceLastRunOffset:])) * time.Millisecond,
+		Released:     b[flagsOffset] == flagReleased,
+	}
 	return c, c.Owner != 0
 }
 
-// HandleClaim takes over another broker's claim and tells whether it was news, to be told on.
-func (d *Coordinator) HandleClaim(c Claim, now time.Duration) (fresh bool) {
-	if int(c.Job) >= len(d.all) {
-		return false // of a version that has more duties
+// HandleClaim takes another broker's claim. It returns whether the claim was news, to be passed on.
+func (c *Coordinator) HandleClaim(claim Claim, now time.Duration) (news bool) {
+	if int(claim.Job) >= len(c.jobs) {
+		return false // of a version that has more jobs
 	}
-	s := &d.all[c.Job]
-	if c.RunCount > s.turn {
-		// Danger: a run is told late, or under an older number, and would be made again. Whoever made it, it was made. That it is
-		// told by its number keeps word that goes round for long from making it look later each time.
-		s.turn, s.ran, fresh = c.RunCount, max(s.ran, now-c.SinceLastRun), true
+	s := &c.jobs[claim.Job]
+	if claim.RunCount > s.runCount {
+		// A run counts under whatever number and whenever it is reported, or it would be made again. That it is known by its count
+		// keeps a claim that goes round for long from making the run look later each time.
+		s.runCount = claim.RunCount
+		s.lastRunAt = max(s.lastRunAt, now-claim.SinceLastRun)
+		news = true
 	}
-	switch {
-	case c.Fence < s.fence, c.Fence == s.fence && c.Owner > s.owner && s.owner != 0:
-		// An older one, or of two at once the one that gives way. Danger: whoever claims it has missed the later one, perhaps of
-		// an owner that is dead by now, and all it does is refused for good. It is told.
-		if now-s.echoed >= d.policy.SettleTime && s.owner != 0 {
-			s.echoed = now
-			d.claims = append(d.claims, Claim{Job: c.Job, Fence: s.fence, Owner: s.owner, RunCount: s.turn, SinceLastRun: max(0, now-s.ran), Released: s.free})
-		}
-		return fresh
-	case c.Fence == s.fence && c.Owner == s.owner:
-		s.heard = now
-		if c.Released && !s.free {
-			s.free, fresh = true, true
+	if s.outdates(&claim) {
+		c.correct(claim.Job, now)
+		return news
+	}
+	if claim.Fence == s.fence && claim.Owner == s.owner {
+		s.ownerSeenAt = now
+		if claim.Released && !s.released {
+			s.released = true
+			news = true
 		}
-		return fresh
+		return news
 	}
-	if s.owner == d.self {
-		s.running = false // what it does from now on is refused
+	if s.owner == c.self {
+		s.running = false // what it does from now on is rejected
 	}
-	s.fence, s.owner, s.free, s.heard = c.Fence, c.Owner, c.Released, now
+	s.fence = claim.Fence
+	s.owner = claim.Owner
+	s.released = claim.Released
+	s.ownerSeenAt = now
 	return true
 }
 
-// AcceptFence tells whether what somebody did of a duty under a fencing number is to be taken. Danger: an owner that was paused
-// wakes up and carries on as if nothing had happened. A number that was accepted counts as known: the model found an owner that
-// took the work of its successor and went on with its own.
-func (d *Coordinator) AcceptFence(duty int, fence uint32) bool {
-	s := &d.all[duty]
+// outdates reports whether a claim is older than the known one, or of two under one number the one that gives way.
+func (s *jobState) outdates(claim *Claim) bool {
+	return claim.Fence < s.fence || claim.Fence == s.fence && claim.Owner > s.owner && s.owner != 0
+}
+
+// correct tells an outdated claimant of the present claim. It has missed that, perhaps of an owner that is dead by now, and all it does
+// would be rejected for good.
+func (c *Coordinator) correct(job uint8, now time.Duration) {
+	s := &c.jobs[job]
+	if s.owner == 0 || now-s.correctedAt < c.policy.SettleTime {
+		return
+	}
+	s.correctedAt = now
+	c.claims = append(c.claims, s.claim(job, s.owner, now))
+}
+
+// AcceptFence reports whether work on a job under a fencing number is to be taken. An owner that was paused carries on as if nothing had
+// happened. A number that was accepted counts as known: else an owner could take its successor's work and go on with its own.
+func (c *Coordinator) AcceptFence(job int, fence uint32) bool {
+	s := &c.jobs[job]
 	if fence < s.fence {
-		s.refused++
+		s.rejectedCount++
 		return false
 	}
-	if fence > s.fence { // the claim itself has not come yet, or never will
-		s.fence, s.owner, s.free, s.running = fence, 0, false, false
+	if fence > s.fence { // the claim itself has not arrived yet, or never will
+		s.fence = fence
+		s.owner = 0
+		s.released = false
+		s.running = false
 	}
 	return true
 }
 
-func (d *Coordinator) claim(i int, now time.Duration) {
-	s := &d.all[i]
-	d.claims = append(d.claims, Claim{Job: uint8(i), Fence: s.fence, Owner: d.self, RunCount: s.turn, SinceLastRun: max(0, now-s.ran), Released: s.free})
+func (c *Coordinator) queueClaim(job int, now time.Duration) {
+	c.claims = append(c.claims, c.jobs[job].claim(uint8(job), c.self, now))
+}
+
+func (s *jobState) claim(job uint8, owner uint32, now time.Duration) Claim {
+	return Claim{
+		Job:          job,
+		Fence:        s.fence,
+		Owner:        owner,
+		RunCount:     s.runCount,
+		SinceLastRun: max(0, now-s.lastRunAt),
+		Released:     s.released,
+	}
 }
 
-// DrainClaims returns what is to be told to the others.
-func (d *Coordinator) DrainClaims() []Claim {
-	c := d.claims
-	d.claims = nil
-	return c
+// DrainClaims returns the claims to be sent to the other brokers since the last call.
+func (c *Coordinator) DrainClaims() []Claim {
+	claims := c.claims
+	c.claims = nil
+	return claims
 }
--- a/internal/decision/ownership/golden_test.go
+++ b/internal/decision/ownership/golden_test.go
@@ -28,7 +28,9 @@
 	mail    [][]byte
 }
 
-func (p *player) span(most time.Duration) time.Duration { return time.Duration(p.rnd.Int64N(int64(most))) }
+func (p *player) span(most time.Duration) time.Duration {
+	return time.Duration(p.rnd.Int64N(int64(most)))
+}
 
 func (p *player) start(i int) {
 	policy := Policy{Lease: 2 * time.Second, SettleTime: 500 * time.Millisecond, RenewInterval: time.Second}
@@ -112,7 +114,7 @@
 	default:
 		p.tick(i)
 	}
-	for _, s := range p.brokers[i].Snapshot(p.now) {
+	for _, s := range p.brokers[i].Snapshot() {
 		fmt.Fprintln(p.digest, s.Owner, s.Fence, int64(s.OwnerHeardAt), int64(s.LastRunAt), s.RunCount, int64(s.DueAt), s.OwnRuns, s.RejectedRuns, s.Owned, s.Running)
 	}
 }
--- a/internal/decision/ownership/model_test.go
+++ b/internal/decision/ownership/model_test.go
@@ -35,10 +35,12 @@
 	owner int
 }
 
-func (d *Coordinator) clone() *Coordinator {
-	c := *d
-	c.all, c.members, c.claims = slices.Clone(d.all), slices.Clone(d.members), slices.Clone(d.claims)
-	return &c
+func (c *Coordinator) clone() *Coordinator {
+	clone := *c
+	clone.jobs = slices.Clone(c.jobs)
+	clone.members = slices.Clone(c.members)
+	clone.claims = slices.Clone(c.claims)
+	return &clone
 }
 
 func (s *modelState) clone() *modelState {
@@ -58,7 +60,7 @@
 	fmt.Fprint(&h, s.now, s.faults, s.claims, s.accepts)
 	for i := range s.brokers {
 		b := &s.brokers[i]
-		fmt.Fprint(&h, b.paused, b.sees, b.due, b.d.all, b.d.since, b.d.last, b.d.contact)
+		fmt.Fprint(&h, b.paused, b.sees, b.due, b.d.jobs, b.d.activeFrom, b.d.lastTick, b.d.lastContactAt)
 	}
 	return h.Sum64()
 }
@@ -145,11 +147,11 @@
 			if b.paused {
 				return ""
 			}
-			before := b.d.all[0].fence
+			before := b.d.jobs[0].fence
 			b.d.HandleClaim(m.c, c.now)
 			c.tell(m.to)
-			if b.d.all[0].fence < before {
-				return fmt.Sprintf("broker %d went from number %d back to %d", m.to, before, b.d.all[0].fence)
+			if b.d.jobs[0].fence < before {
+				return fmt.Sprintf("broker %d went from number %d back to %d", m.to, before, b.d.jobs[0].fence)
 			}
 			return ""
 		})
--- a/internal/decision/ownership/ownership.go
+++ b/internal/decision/ownership/ownership.go
@@ -1,235 +1,217 @@
-// Package ownership decides which broker of a tier does which periodic duty, and when. Each duty belongs to the living member that
-// rendezvous hashing (Thaler and Ravishankar, 1998), weighted by spare capacity, gives it to. Whoever takes a duty over claims it
-// under a fencing number that only grows; what is done under an older number is refused by whoever receives it. There is no
-// vote: where brokers can't hear one another each side has an owner. Nothing here does I/O, reads a clock or starts a goroutine.
+// Package ownership decides which broker of a tier does which periodic job, and when.
 //
-// Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
-// used by one goroutine at a time.
+// Each job belongs to the live member that weighted rendezvous hashing (Thaler and Ravishankar, 1998) gives it to. A member that takes a job
+// over claims it under a fencing number, which only grows; work done under an older number is rejected by whoever receives it. There is
+// no vote: where brokers can't reach one another, each side has an owner.
+//
+//	not the owner ──claim──► owner, settling ──due──► running ──RunEnded──► owner, waiting for the period
+//	      ▲                                                                   │
+//	      └── a later claim, a newer fence, a better rank, a pause, ReleaseAll ┘
+//
+// Times are spans since the broker's start. A Coordinator is used by one goroutine.
 package ownership
 
 import (
-	"encoding/binary"
-	"hash/fnv"
 	"math"
 	"slices"
 	"time"
 )
 
-// Job is something that has to be done once in a period by one of the brokers.
+const (
+	longAgo     time.Duration = math.MinInt64 / 2
+	releasedFor               = time.Hour // until a coordinator that released all jobs is called again
+)
+
+// Job is something that one of the brokers has to do once in a period.
 type Job struct {
 	Name   string
 	Period time.Duration
 }
 
-// Member is a broker that may own duties.
+// Member is a broker that may own jobs.
 type Member struct {
 	ID     uint32
-	Weight uint8
+	Weight uint8 // by spare capacity; 0 counts as 1
 }
 
-// Policy holds the times.
+// Policy holds the times of ownership.
 type Policy struct {
-	Lease         time.Duration // an owner that heard nobody for so long does nothing
-	SettleTime    time.Duration // between a take-over and the first run: word of a run that was just made may still come
-	RenewInterval time.Duration // an owner says again so often that it owns
+	Lease         time.Duration // an owner that has heard nobody for so long does nothing
+	SettleTime    time.Duration // between a take-over and the first run: news of a run just made may still arrive
+	RenewInterval time.Duration // an owner repeats its claim so often
 }
 
-// Run is a duty that is to be done now.
+// Run is a job to be done now, under a fencing number.
 type Run struct {
 	Job   int
 	Fence uint32
 }
 
-// state is what a broker knows of a duty.
-type state struct {
+// jobState is what a broker knows of a job.
+type jobState struct {
 	Job
-	fence   uint32
-	owner   uint32 // who claimed it last; 0: nobody
-	free    bool   // its owner gave it up
-	turn    uint32 // runs that are known of
-	ran     time.Duration
-	taken   time.Duration // when this broker claimed it
-	heard   time.Duration // when its owner was last heard of
-	said    time.Duration // when this broker last said that it owns it
-	running bool
-	runs    uint64
-	echoed  time.Duration // when a late claimant was last told of this one
-	refused uint64
-	begun   time.Duration
-}
-
-// Coordinator is one broker's part in them.
+	fence         uint32
+	owner         uint32 // who claimed it last; 0: nobody
+	ownerSeenAt   time.Duration
+	released      bool   // its owner gave it up
+	runCount      uint32 // runs that are known of
+	lastRunAt     time.Duration
+	claimedAt     time.Duration // by this broker
+	renewedAt     time.Duration // this broker last repeated its claim
+	correctedAt   time.Duration // an outdated claimant was last told of the present claim
+	running       bool
+	runBegunAt    time.Duration
+	ownRuns       uint64
+	rejectedCount uint64 // runs of others under an older number
+}
+
+// Coordinator is one broker's part in the jobs of a tier.
 type Coordinator struct {
-	policy  Policy
-	self    uint32
-	all     []state
-	members []Member
-	contact time.Duration // when another member was last heard
-	alone   bool          // there is no other member
-	since   time.Duration // since when it may do anything: not right after a start or a pause
-	last    time.Duration
-	left    bool
-	claims  []Claim
-}
-
-// NewCoordinator makes a broker's part; it owns nothing yet.
-func NewCoordinator(p Policy, self uint32, list []Job, now time.Duration) *Coordinator {
-	d := &Coordinator{policy: p, self: self, since: now + p.SettleTime, alone: true, contact: math.MinInt64 / 2}
-	for _, x := range list {
-		d.all = append(d.all, state{Job: x})
+	policy        Policy
+	self          uint32
+	jobs          []jobState
+	members       []Member
+	lastContactAt time.Duration // when another member was last heard from
+	alone         bool          // there is no other member
+	activeFrom    time.Duration // nothing is done before: not right after a start or a pause
+	lastTick      time.Duration
+	releasedAll   bool
+	claims        []Claim
+}
+
+// NewCoordinator returns a coordinator that owns nothing yet.
+func NewCoordinator(policy Policy, self uint32, jobs []Job, now time.Duration) *Coordinator {
+	c := &Coordinator{
+		policy:        policy,
+		self:          self,
+		activeFrom:    now + policy.SettleTime,
+		alone:         true,
+		lastContactAt: longAgo,
 	}
-	return d
-}
-
-// SetMembers tells who may own duties: the members that are neither dead nor gone, the broker itself included; and when another
-// one was last heard.
-func (d *Coordinator) SetMembers(members []Member, contact time.Duration) {
-	d.members = append(d.members[:0], members...)
-	d.contact = contact
-	d.alone = !slices.ContainsFunc(members, func(m Member) bool { return m.ID != d.self })
+	for _, job := range jobs {
+		c.jobs = append(c.jobs, jobState{Job: job})
+	}
+	return c
 }
 
-// rank is how strongly a duty is a member's: the highest has it.
-func rank(name string, m Member) float64 {
-	h := fnv.New64a()
-	var id [4]byte
-	binary.BigEndian.PutUint32(id[:], m.ID)
-	h.Write(id[:])
-	h.Write([]byte(name))
-	x := h.Sum64() // the low bits of short inputs are poor: mixed once more
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	u := (float64(x>>11) + 0.5) / (1 << 53)
-	return -float64(max(1, m.Weight)) / math.Log(u)
+// SetMembers sets who may own jobs: the live members, the broker itself included; and when another one was last heard from.
+func (c *Coordinator) SetMembers(members []Member, lastContactAt time.Duration) {
+	c.members = append(c.members[:0], members...)
+	c.lastContactAt = lastContactAt
+	c.alone = !slices.ContainsFunc(members, func(m Member) bool { return m.ID != c.self })
 }
 
-// Owner is the member that a duty belongs to.
-func (d *Coordinator) Owner(duty int) (id uint32) {
-	best := math.Inf(-1)
-	for _, m := range d.members {
-		if r := rank(d.all[duty].Name, m); r > best || r == best && m.ID < id {
-			best, id = r, m.ID
-		}
+// Tick returns the runs that are due, and when to call it again. DrainClaims has what is to be sent to the other brokers.
+func (c *Coordinator) Tick(now time.Duration) (runs []Run, next time.Duration) {
+	c.forgetAfterPause(now)
+	c.lastTick = now
+	if c.releasedAll {
+		return nil, now + releasedFor
 	}
-	return id
-}
-
-// Tick returns what is to be done now, and when to come again. Claims has what is to be told.
-func (d *Coordinator) Tick(now time.Duration) (runs []Run, next time.Duration) {
-	if d.last > 0 && now-d.last > d.policy.Lease { // paused, or starved: whatever it owned it must claim again, once it has heard of others
-		d.since = now + d.policy.SettleTime
-		for i := range d.all {
-			if s := &d.all[i]; s.owner == d.self {
-				s.owner, s.running = 0, false
-			}
+	next = now + c.policy.RenewInterval
+	if now < c.activeFrom || c.isCutOff(now) {
+		if len(c.jobs) > 0 {
+			next = min(next, max(c.activeFrom, now+c.policy.SettleTime/4))
 		}
+		return nil, next
 	}
-	d.last = now
-	next = now + d.policy.RenewInterval
-	if d.left {
-		return nil, now + time.Hour
-	}
-	cut := !d.alone && now-d.contact > d.policy.Lease
-	for i := range d.all {
-		s := &d.all[i]
-		mine := d.Owner(i) == d.self
-		switch {
-		case now < d.since || cut:
-			next = min(next, max(d.since, now+d.policy.SettleTime/4))
+	for i := range c.jobs {
+		c.updateClaim(i, now)
+		s := &c.jobs[i]
+		if c.Owner(i) != c.self || s.owner != c.self || s.running {
 			continue
-		case mine && s.owner != d.self:
-			// Whoever had it is dead, has left, or ranks lower by now: it hears of this claim and stops.
-			s.fence, s.owner, s.free = s.fence+1, d.self, false
-			s.taken, s.said = now, now
-			d.claim(i, now)
-		case mine && now-s.said >= d.policy.RenewInterval:
-			s.said = now
-			d.claim(i, now)
-		case !mine && s.owner == d.self && !s.free:
-			s.free = true // it belongs to another member now
-			d.claim(i, now)
 		}
-		if !mine || s.owner != d.self || s.running {
+		dueAt := s.dueAt(&c.policy)
+		if dueAt > now {
+			next = min(next, dueAt)
 			continue
 		}
-		due := d.due(s)
-		if due <= now {
-			s.running, s.begun = true, now
-			runs = append(runs, Run{i, s.fence})
-			continue
-		}
-		next = min(next, due)
+		s.running = true
+		s.runBegunAt = now
+		runs = append(runs, Run{Job: i, Fence: s.fence})
 	}
 	return runs, next
 }
 
-// due is when an owner does a duty: a period after it was last done, and never right after a take-over. Danger: after an outage
-// all that was missed would be made good at once; it is done once, at a moment of the duty's own.
-func (d *Coordinator) due(s *state) time.Duration {
-	settled := s.taken + d.policy.SettleTime
-	if s.turn == 0 {
-		return settled + time.Duration(d.offset(s)*float64(min(s.Period, d.policy.Lease))/4)
+// forgetAfterPause gives up what was owned before a pause, or before the process was starved: it has to be claimed again, once news of the
+// others has arrived.
+func (c *Coordinator) forgetAfterPause(now time.Duration) {
+	if c.lastTick == 0 || now-c.lastTick <= c.policy.Lease {
+		return
+	}
+	c.activeFrom = now + c.policy.SettleTime
+	for i := range c.jobs {
+		s := &c.jobs[i]
+		if s.owner == c.self {
+			s.owner = 0
+			s.running = false
+		}
+	}
+}
+
+func (c *Coordinator) isCutOff(now time.Duration) bool {
+	return !c.alone && now-c.lastContactAt > c.policy.Lease
+}
+
+// updateClaim claims, renews or releases a job.
+func (c *Coordinator) updateClaim(job int, now time.Duration) {
+	s := &c.jobs[job]
+	belongsHere := c.Owner(job) == c.self
+	isClaimed := s.owner == c.self
+	switch {
+	case belongsHere && !isClaimed:
+		// Whoever had it is dead, has left, or ranks lower by now: it receives this claim and stops.
+		s.fence++
+		s.owner = c.self
+		s.released = false
+		s.claimedAt = now
+		s.renewedAt = now
+		c.queueClaim(job, now)
+	case belongsHere && now-s.renewedAt >= c.policy.RenewInterval:
+		s.renewedAt = now
+		c.queueClaim(job, now)
+	case !belongsHere && isClaimed && !s.released:
+		s.released = true
+		c.queueClaim(job, now)
 	}
-	return max(s.ran+s.Period, settled)
 }
 
-// offset spreads first runs: the same for a duty at every broker.
-func (d *Coordinator) offset(s *state) float64 {
-	h := fnv.New32a()
-	h.Write([]byte(s.Name))
-	return float64(h.Sum32()%1000) / 1000
+// dueAt is when an owner does a job: a period after it was last done, and never right after a take-over. What was missed in an outage is
+// done once, not as often as it was missed.
+func (s *jobState) dueAt(policy *Policy) time.Duration {
+	settledAt := s.claimedAt + policy.SettleTime
+	if s.runCount == 0 {
+		spread := min(s.Period, policy.Lease)
+		return settledAt + time.Duration(s.firstRunOffset()*float64(spread)/4)
+	}
+	return max(s.lastRunAt+s.Period, settledAt)
 }
 
-// RunEnded tells that a run is over; ok false means that it is to be tried again after a tenth of its period.
-func (d *Coordinator) RunEnded(r Run, ok bool, now time.Duration) {
-	s := &d.all[r.Job]
-	if s.fence != r.Fence || s.owner != d.self {
+// RunEnded tells that a run is over. One that failed is repeated after a tenth of its period.
+func (c *Coordinator) RunEnded(r Run, succeeded bool, now time.Duration) {
+	s := &c.jobs[r.Job]
+	if s.fence != r.Fence || s.owner != c.self {
 		return // it was taken over meanwhile
 	}
 	s.running = false
-	s.ran = s.begun
-	s.turn++
-	if !ok {
-		s.ran -= s.Period * 9 / 10
+	s.lastRunAt = s.runBegunAt
+	if !succeeded {
+		s.lastRunAt -= s.Period * 9 / 10
 	}
-	s.runs++
-	d.claim(r.Job, now)
-}
-
-// ReleaseAll gives up all that the broker owns, as it stops: the next owners take over at once.
-func (d *Coordinator) ReleaseAll(now time.Duration) {
-	for i := range d.all {
-		if s := &d.all[i]; s.owner == d.self {
-			s.free, s.running = true, false
-			d.claim(i, now)
+	s.runCount++
+	s.ownRuns++
+	c.queueClaim(r.Job, now)
+}
+
+// ReleaseAll gives up all jobs, as the broker stops: the next owners take over at once.
+func (c *Coordinator) ReleaseAll(now time.Duration) {
+	for i := range c.jobs {
+		s := &c.jobs[i]
+		if s.owner == c.self {
+			s.released = true
+			s.running = false
+			c.queueClaim(i, now)
 		}
 	}
-	d.left = true
-}
-
-// State is what operators see of a duty. The JSON names are those under /counters.
-type State struct {
-	Name         string
-	Period       time.Duration
-	Owner        uint32
-	Fence        uint32
-	OwnerHeardAt time.Duration `json:"Since"` // that its owner has been heard of as such
-	LastRunAt    time.Duration `json:"Ran"`
-	RunCount     uint32        `json:"Turn"`    // runs that are known of
-	DueAt        time.Duration `json:"Next"`    // here, where this broker owns it
-	OwnRuns      uint64        `json:"Runs"`    // here
-	RejectedRuns uint64        `json:"Refused"` // done under an older number, by others
-	Owned        bool          `json:"Mine"`
-	Running      bool          `json:"Due"`
-}
-
-// Snapshot are all duties, as this broker knows them.
-func (d *Coordinator) Snapshot(now time.Duration) (all []State) {
-	for i := range d.all {
-		s := &d.all[i]
-		all = append(all, State{Name: s.Name, Period: s.Period, Owner: s.owner, Fence: s.fence, OwnerHeardAt: s.heard, LastRunAt: s.ran, RunCount: s.turn,
-			DueAt: d.due(s), OwnRuns: s.runs, RejectedRuns: s.refused, Owned: s.owner == d.self, Running: s.running})
-	}
-	return all
+	c.releasedAll = true
 }
