--- /dev/null
+++ b/internal/decision/routing/golden_arrivals_test.go
@@ -0,0 +1,200 @@
+package routing_test
+
+import (
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// arrivals brings queries with their shard requests, and clients that leave.
+func (s *sequence) arrivals() {
+	g := &s.random
+	for range g.below(s.perTick + 1) {
+		s.query()
+	}
+	if len(s.queries) > 0 && g.oneIn(25) {
+		at := g.below(len(s.queries))
+		s.add(decision.Event{Kind: decision.ClientLeft, ID: s.queries[at].id})
+		s.queries = slices.Delete(s.queries, at, at+1)
+	}
+}
+
+func (s *sequence) query() {
+	g := &s.random
+	s.nextID++
+	s.serial++
+	q := openQuery{id: s.nextID, serial: s.serial, queryType: g.below(len(s.settings.QueryTypes))}
+	shards := choose(g, 1, 1, 2, 3, 6)
+	e := decision.Event{Kind: decision.QueryReceived, ID: q.id, Serial: q.serial, Type: q.queryType, Weight: float64(shards),
+		TimeLeft: s.settings.QueryTypes[q.queryType].Timeout}
+	if len(s.settings.Tenants) > 0 {
+		e.Tenant = min(g.below(8), len(s.settings.Tenants)-1+g.below(2))
+	}
+	if g.oneIn(5) {
+		e.TimeLeft = g.duration(e.TimeLeft)
+		e.Retry = g.oneIn(2)
+	}
+	if g.oneIn(400) {
+		e.Type = len(s.settings.QueryTypes)
+		s.add(e)
+		return
+	}
+	s.add(e)
+	s.queries = append(s.queries, q)
+	s.shardRequests(q, shards)
+}
+
+// shardRequests brings the shard requests of a query, equal in weight or skewed.
+func (s *sequence) shardRequests(q openQuery, count int) {
+	g := &s.random
+	weights := make([]float64, count)
+	sum := 0.0
+	skewed := g.oneIn(2)
+	for i := range weights {
+		weights[i] = 1
+		if skewed {
+			weights[i] = 0.05 + g.share()*g.share()
+		}
+		sum += weights[i]
+	}
+	for i := range weights {
+		s.nextID++
+		e := decision.Event{Kind: decision.ShardRequestReceived, ID: s.nextID, Serial: q.serial, Shard: g.below(2 * s.settings.Cells),
+			Weight: weights[i] / sum, Allowed: s.allowedReplicas()}
+		s.allowed[e.ID] = e.Allowed
+		s.add(e)
+	}
+	if g.oneIn(300) { // of a query that is not known
+		s.nextID++
+		s.add(decision.Event{Kind: decision.ShardRequestReceived, ID: s.nextID, Serial: -1, Weight: 1})
+	}
+}
+
+// allowedReplicas narrows one shard request in ten to a few nodes.
+func (s *sequence) allowedReplicas() *decision.AllowedReplicas {
+	g := &s.random
+	if !g.oneIn(10) {
+		return nil
+	}
+	a := &decision.AllowedReplicas{Sticky: g.oneIn(2)}
+	for range g.below(6) {
+		if n := s.nodes[g.below(len(s.nodes))].endpoint.Node; !slices.Contains(a.Nodes, n) {
+			a.Nodes = append(a.Nodes, n)
+		}
+	}
+	return a
+}
+
+// accidents change the conditions of nodes, the list, and what other brokers say.
+func (s *sequence) accidents() {
+	g := &s.random
+	if g.oneIn(15) {
+		s.changeConditions()
+	}
+	if g.oneIn(20) {
+		s.changeList()
+	}
+	if g.oneIn(30) {
+		s.gossip()
+	}
+	if g.oneIn(200) {
+		s.reconfigure()
+	}
+	if g.oneIn(60) { // an end that is not known, or is told twice
+		s.add(decision.Event{Kind: decision.AttemptEnded, ID: uint64(g.below(int(s.nextID) + 1)), Attempt: uint16(g.below(3)),
+			Outcome: choose(g, decision.OK, decision.Errored, decision.Cancelled), Node: nodeNumber(g.below(s.started + 1)),
+			Elapsed: g.duration(500 * time.Millisecond)})
+	}
+}
+
+// changeConditions has single nodes, a whole zone or all nodes fall ill or recover.
+func (s *sequence) changeConditions() {
+	g := &s.random
+	ill := condition(g.below(int(conditionCount)))
+	zone := g.below(3)
+	scope := g.below(6)
+	for _, n := range s.nodes {
+		switch {
+		case scope == 0 && n.endpoint.Zone == zone, scope == 1:
+			n.condition = ill
+		case scope > 1 && g.oneIn(s.troubled):
+			n.condition = condition(g.below(int(conditionCount)))
+		case g.oneIn(2):
+			n.condition = healthy
+		}
+	}
+}
+
+func (s *sequence) changeList() {
+	g := &s.random
+	if g.oneIn(5) {
+		s.fullList()
+		return
+	}
+	if g.oneIn(8) {
+		s.add(decision.Event{Kind: decision.ListPollFailed})
+		return
+	}
+	at := g.below(len(s.nodes))
+	n := s.nodes[at]
+	switch g.below(6) {
+	case 0:
+		n.endpoint.StartedAt = s.now - g.duration(time.Second)
+		n.endpoint.Unconfirmed = false
+	case 1:
+		n.endpoint.State = choose(g, decision.Draining, decision.Ready)
+	case 2:
+		n.endpoint.Unconfirmed = !n.endpoint.Unconfirmed
+	case 3:
+		n.endpoint.Cell = g.below(s.settings.Cells)
+	default: // replaced by a new node; its entry is removed by an update, or by its absence from a full list
+		s.nodes = slices.Delete(s.nodes, at, at+1)
+		fresh := s.startNode()
+		fresh.endpoint.StartedAt = choose(g, decision.StartedLongAgo, s.now)
+		if g.oneIn(2) {
+			s.fullList()
+			return
+		}
+		n.endpoint.State = decision.Removed
+		s.add(decision.Event{Kind: decision.ListUpdateReceived, Endpoints: []decision.Endpoint{n.endpoint, fresh.endpoint}})
+		return
+	}
+	s.add(decision.Event{Kind: decision.ListUpdateReceived, Endpoints: []decision.Endpoint{n.endpoint}})
+}
+
+// gossip brings a message of another broker: entries of seven bytes, and at times a few bytes too many.
+func (s *sequence) gossip() {
+	g := &s.random
+	var payload []byte
+	for range 1 + g.below(3) {
+		id := nodeNumber(g.below(s.started + 1))
+		payload = append(payload, choose(g, byte('s'), 's', 'w'))
+		payload = append(payload, id.Addr[:]...)
+		payload = append(payload, byte(id.Port>>8), byte(id.Port))
+	}
+	payload = append(payload, make([]byte, g.below(3))...)
+	for range 1 + g.below(3) {
+		s.add(decision.Event{Kind: decision.GossipReceived, From: uint32(g.below(5)), Payload: payload})
+	}
+}
+
+// reconfigure gives the router other settings; in half of the cases the shards move, and the list is emptied before and sent anew.
+func (s *sequence) reconfigure() {
+	g := &s.random
+	changeSettings(g, &s.settings)
+	moved := g.oneIn(2)
+	if moved {
+		s.add(decision.Event{Kind: decision.FullListReceived})
+		s.step()
+		s.settings.Cells = 1 + g.below(5)
+		s.settings.CellsPerShard = 1 + g.below(min(3, s.settings.Cells))
+		for _, n := range s.nodes {
+			n.endpoint.Cell %= s.settings.Cells
+		}
+	}
+	s.router.Reconfigure(s.settings, moved)
+	if moved {
+		s.fullList()
+	}
+}
--- /dev/null
+++ b/internal/decision/routing/golden_sequence_test.go
@@ -0,0 +1,208 @@
+package routing_test
+
+import (
+	"fmt"
+	"time"
+
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/routing"
+)
+
+const stepsOfSequence = 260
+
+// openQuery is a query without a result.
+type openQuery struct {
+	id          uint64
+	serial      float32
+	queryType   int
+	secondPhase bool
+}
+
+// sequence is one pseudo-random course: a router, the store and the clients around it.
+type sequence struct {
+	random    generator
+	settings  decision.Settings
+	router    *routing.Router
+	digest    *digest
+	now       time.Duration
+	tick      time.Duration // usual time between two steps
+	perTick   int           // most queries that arrive in one
+	troubled  int           // one node in so many changes its condition at a time
+	nodes     []*storeNode
+	byID      map[decision.NodeID]*storeNode
+	started   int // nodes ever
+	service   time.Duration
+	nextID    uint64
+	serial    float32
+	queries   []openQuery
+	sent      map[uint64]uint16 // attempts of each shard request
+	allowed   map[uint64]*decision.AllowedReplicas
+	open      []openAttempt
+	checks    []openAttempt
+	timerAt   time.Duration
+	listAsked bool
+	events    []decision.Event
+	actions   []decision.Action
+}
+
+// playSequence plays a sequence to its end and returns the digest of its actions.
+func playSequence(number uint64) string {
+	s := &sequence{
+		random:  generator(number * 0x632be59bd9b4e019),
+		digest:  newDigest(),
+		byID:    map[decision.NodeID]*storeNode{},
+		sent:    map[uint64]uint16{},
+		allowed: map[uint64]*decision.AllowedReplicas{},
+	}
+	g := &s.random
+	s.settings = randomSettings(g)
+	s.router = routing.New(s.settings)
+	s.tick = choose(g, 5*time.Millisecond, 20*time.Millisecond, 60*time.Millisecond, 250*time.Millisecond)
+	s.perTick = choose(g, 1, 2, 4, 9)
+	s.troubled = choose(g, 2, 5, 40)
+	s.service = choose(g, 0, time.Millisecond, 8*time.Millisecond, 40*time.Millisecond)
+	for range choose(g, 1, 4, 9, 18) {
+		s.startNode()
+	}
+	s.fullList()
+	for range stepsOfSequence {
+		s.arrivals()
+		s.accidents()
+		s.step()
+	}
+	inFlight, ejected := s.router.Snapshot()
+	summary := fmt.Sprint(inFlight, ejected, s.router.HasAvailableReplica(0))
+	for _, n := range s.nodes {
+		summary += fmt.Sprint(s.router.IsAvailable(n.endpoint.Node))
+	}
+	s.digest.sum.Write([]byte(summary))
+	return s.digest.String()
+}
+
+func (s *sequence) add(e decision.Event) { s.events = append(s.events, e) }
+
+func (s *sequence) startNode() *storeNode {
+	n := newStoreNode(&s.random, &s.settings, s.started, s.service)
+	s.started++
+	s.nodes = append(s.nodes, n)
+	s.byID[n.endpoint.Node] = n
+	return n
+}
+
+func (s *sequence) fullList() {
+	s.add(decision.Event{Kind: decision.FullListReceived, Endpoints: s.endpoints()})
+}
+
+func (s *sequence) endpoints() []decision.Endpoint {
+	var all []decision.Endpoint
+	for _, n := range s.nodes {
+		all = append(all, n.endpoint)
+	}
+	return all
+}
+
+// step lets time pass until the next timer or the next tick, delivers what ends meanwhile and carries out what the router wants.
+func (s *sequence) step() {
+	g := &s.random
+	until := s.now + s.settings.ClockStep + g.duration(2*s.tick)
+	switch {
+	case g.oneIn(150):
+		until += g.duration(6 * time.Second)
+	case s.timerAt > s.now && s.timerAt < until && !g.oneIn(6):
+		until = s.timerAt
+		s.add(decision.Event{Kind: decision.TimerFired})
+	}
+	s.now = until
+	s.endAttempts()
+	s.endChecks()
+	if s.listAsked && g.oneIn(4) {
+		s.listAsked = false
+		if g.oneIn(2) {
+			s.add(decision.Event{Kind: decision.ListPollFailed})
+		} else {
+			s.fullList()
+		}
+	}
+	s.actions = s.router.Step(s.now, s.events, s.actions[:0])
+	s.digest.step(s.now, s.actions)
+	s.events = s.events[:0]
+	for i := range s.actions {
+		s.carryOut(&s.actions[i])
+	}
+}
+
+func (s *sequence) endAttempts() {
+	remaining := s.open[:0]
+	for _, a := range s.open {
+		if a.endsAt > s.now {
+			remaining = append(remaining, a)
+			continue
+		}
+		if a.allowed != nil && a.outcome == decision.Stale && len(a.allowed.Nodes) > 0 {
+			a.allowed.Nodes = a.allowed.Nodes[1:]
+		}
+		s.add(decision.Event{Kind: decision.AttemptEnded, ID: a.id, Attempt: a.number, Outcome: a.outcome, Node: a.node,
+			Elapsed: min(a.endsAt, s.now) - a.sentAt})
+	}
+	s.open = remaining
+}
+
+func (s *sequence) endChecks() {
+	remaining := s.checks[:0]
+	for _, c := range s.checks {
+		if c.endsAt > s.now {
+			remaining = append(remaining, c)
+			continue
+		}
+		s.add(decision.Event{Kind: decision.HealthCheckEnded, Node: c.node, Outcome: c.outcome, Elapsed: c.endsAt - c.sentAt})
+	}
+	s.checks = remaining
+}
+
+// carryOut does what an action says.
+func (s *sequence) carryOut(a *decision.Action) {
+	g := &s.random
+	switch a.Kind {
+	case decision.SendAttempt:
+		out := openAttempt{id: a.ID, number: s.sent[a.ID], node: a.Node, sentAt: s.now, allowed: s.allowed[a.ID]}
+		out.endsAt, out.outcome = s.byID[a.Node].attempt(g, s.now)
+		s.sent[a.ID]++
+		s.open = append(s.open, out)
+	case decision.SendHealthCheck:
+		out := openAttempt{node: a.Node, sentAt: s.now}
+		out.endsAt, out.outcome = s.byID[a.Node].healthCheck(g, s.now)
+		s.checks = append(s.checks, out)
+	case decision.CancelAttempt:
+		for i := range s.open {
+			if o := &s.open[i]; o.id == a.ID && o.number == a.Attempt && !g.oneIn(10) {
+				o.endsAt, o.outcome = s.now, decision.Cancelled
+			}
+		}
+	case decision.AnswerQuery, decision.ShedQuery, decision.FailQuery:
+		s.finish(a)
+	case decision.SetTimer:
+		s.timerAt = a.TimerAt
+	case decision.SubscribeList:
+		s.listAsked = true
+	}
+}
+
+// finish removes a query that has its result, or brings the shard requests of its second phase.
+func (s *sequence) finish(a *decision.Action) {
+	for i := range s.queries {
+		q := s.queries[i]
+		if q.id != a.ID {
+			continue
+		}
+		s.queries = append(s.queries[:i], s.queries[i+1:]...)
+		second := s.settings.QueryTypes[q.queryType].SecondPhaseRequests
+		if a.Kind == decision.AnswerQuery && second > 0 && !q.secondPhase {
+			q.secondPhase = true
+			s.queries = append(s.queries, q)
+			if !s.random.oneIn(30) {
+				s.shardRequests(q, second)
+			}
+		}
+		return
+	}
+}
