--- /dev/null
+++ b/internal/decision/routing/confirmation_test.go
@@ -0,0 +1,84 @@
+package routing
+
+import (
+	"testing"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// unconfirmedRig is a rig whose nodes are all unconfirmed.
+func unconfirmedRig(t decision.Settings, nodes int) *rig {
+	r := newRig(t, nodes)
+	for i := range nodes {
+		r.list(decision.ListUpdateReceived, decision.Endpoint{Node: nodeID(i), Cell: i % t.Cells, State: decision.Ready,
+			StartedAt: decision.StartedLongAgo, Unconfirmed: true})
+	}
+	r.step(5 * ms)
+	return r
+}
+
+// A node that is unconfirmed has one call in flight; shard requests beyond it wait for its answer, and none is lost or shed for that.
+func TestUnconfirmedNodeHasOneCallInFlight(t *testing.T) {
+	settings := smallSettings()
+	settings.Cells, settings.BrokerCount, settings.OverloadAfter = 1, 1, 2*time.Second
+	r := unconfirmedRig(settings, 2)
+	for range 6 {
+		r.query(0, 3*time.Second, 0)
+	}
+	r.step(5 * ms)
+	require(t, len(r.order) == 2, "%d calls in flight", len(r.order))
+	for range 100 {
+		r.endAttempts(decision.OK, 20*ms, nil)
+		r.step(5 * ms)
+	}
+	require(t, len(r.queries) == 0 && r.violation == "", "%d queries left, %s", len(r.queries), r.violation)
+}
+
+// What an unconfirmed node may have in flight grows with its answers, falls when it goes silent, and it is confirmed once it answers
+// and must be warmed up.
+func TestConfirmationWindow(t *testing.T) {
+	settings := smallSettings()
+	settings.Cells, settings.BrokerCount, settings.OverloadAfter = 1, 1, 2*time.Second
+	r := unconfirmedRig(settings, 1)
+	e := &r.router.dispatcher.endpoints.all[0]
+	for i := range 8 {
+		r.query(0, 3*time.Second, 0)
+		r.step(5 * ms)
+		require(t, len(r.order) == 1, "query %d: %d calls in flight", i, len(r.order))
+		r.step(20 * ms)
+		r.endAttempts(decision.OK, 0, nil)
+		r.step(5 * ms)
+	}
+	require(t, e.confirmation.window == 3, "window %v after eight answers", e.confirmation.window)
+	r.query(0, 3*time.Second, 0)
+	r.step(5 * ms)
+	r.endAttempts(decision.ConnectFailed, 0, nil)
+	r.step(5 * ms)
+	require(t, e.confirmation.window == 1.5, "window %v after a failure", e.confirmation.window)
+	r.step(settings.WarmUpTime)
+	for range 3 {
+		r.query(0, 3*time.Second, 0)
+		r.step(5 * ms)
+		r.step(20 * ms)
+		r.endAttempts(decision.OK, 0, nil)
+		r.step(5 * ms)
+	}
+	require(t, e.confirmation.since == 0, "still unconfirmed after %v", r.now)
+}
+
+// Many brokers spread their first calls, so that those alone overload no node; a few send theirs at once.
+func TestFirstCallsOfManyBrokersAreSpread(t *testing.T) {
+	for brokers, within := range map[int][2]int{2: {200, 200}, 300: {0, 20}} {
+		sent := 0
+		for seed := range 200 {
+			settings := smallSettings()
+			settings.Cells, settings.BrokerCount, settings.Seed, settings.OverloadAfter = 1, brokers, uint64(seed), 2*time.Second
+			r := unconfirmedRig(settings, 1)
+			r.query(0, 3*time.Second, 0)
+			r.step(5 * ms)
+			sent += len(r.order)
+		}
+		require(t, sent >= within[0] && sent <= within[1], "%d of %d brokers sent at once", sent, 200)
+	}
+}
--- /dev/null
+++ b/internal/decision/routing/dispatcher.go
@@ -0,0 +1,217 @@
+package routing
+
+import (
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// dispatcher holds the queries in flight and sends their shard requests.
+type dispatcher struct {
+	router             *Router
+	inbox              inbox
+	next               time.Duration // when there is something to do; never: nothing
+	endpoints          endpointTable
+	queries            queryTable
+	tableCrowded       bool       // queries take most of the places
+	usualRemainingTime []majority // by query type
+	latency            fleetLatency
+	shardLatencies     []shardLatency // by cell
+	flows              nodeFlows
+	extraBudget        extraBudget
+	shedding           loadShedding
+	zones              zoneTable
+	failuresAlike      bool // attempts fail at all nodes alike
+	idleConnections    idleConnections
+}
+
+func (d *dispatcher) initialise(r *Router) {
+	d.router = r
+	d.inbox.to = d
+	d.next = never
+	d.queries.references = map[uint64]reference{}
+	d.idleConnections.shortestCut = never
+	d.extraBudget.credit = initialCredit
+	d.shedding.meanValue = 1
+	d.shedding.meanRequests = 1
+	d.allocate()
+	shortest := never
+	for i := range r.settings.QueryTypes {
+		shortest = min(shortest, r.settings.QueryTypes[i].LatencyObjective)
+	}
+	d.latency.assume(shortest)
+}
+
+// allocate empties what the settings give a size.
+func (d *dispatcher) allocate() {
+	s := d.router.settings
+	d.usualRemainingTime = make([]majority, len(s.QueryTypes))
+	d.shedding.tenantArrivals = make([]rate, len(s.Tenants))
+	d.flows.byCell = make([]rate, s.Cells)
+	d.shardLatencies = make([]shardLatency, s.Cells)
+	d.endpoints.resize(s.Cells, s.CellsPerShard)
+}
+
+// reconfigure follows the router's settings; moved as for Router.Reconfigure.
+func (d *dispatcher) reconfigure(moved bool) {
+	d.allocate()
+	d.endpoints.replaceAll()
+	if !moved {
+		return
+	}
+	for slot := range d.queries.used.all {
+		q := &d.queries.slots[slot]
+		q.moved = true
+		q.quiet = false
+		for i := range q.requests {
+			sr := &q.requests[i]
+			sr.abandoned = sr.abandoned || len(sr.attempts) == 0
+		}
+	}
+}
+
+// noteDue asks for a step at a time.
+func (d *dispatcher) noteDue(at time.Duration) { d.next = min(d.next, at) }
+
+func (d *dispatcher) handle(m *message) {
+	switch m.kind {
+	case statusChanged:
+		d.handleStatus(m.node, &m.status)
+	case sweepDue:
+		d.sweep()
+	case eventReceived:
+		d.handleEvent(m.event)
+	}
+}
+
+func (d *dispatcher) handleEvent(e *decision.Event) {
+	switch e.Kind {
+	case decision.QueryReceived:
+		d.handleQuery(e)
+	case decision.ShardRequestReceived:
+		d.extraBudget.noteReceived(d.router.settings, d.router.now)
+		d.queries.addShardRequest(e)
+	case decision.AttemptEnded:
+		d.handleAttemptEnded(e)
+	case decision.HealthCheckEnded:
+		d.handleHealthCheckEnded(e)
+	case decision.ClientLeft:
+		if ref, known := d.queries.find(e.ID); known && ref.request == wholeQuery {
+			d.remove(ref.slot)
+		}
+	}
+}
+
+// handleStatus takes what a node's health allows.
+func (d *dispatcher) handleStatus(index nodeIndex, s *endpointStatus) {
+	t := &d.endpoints
+	e := &t.all[index]
+	if e.slowStart.share == 1 && s.capacityShare < 1 {
+		e.slowStart.share = s.capacityShare
+		d.beginSlowStart(e)
+	}
+	if e.available() && s.mode == modeEjected && !s.unreachable {
+		d.observeZone(e, decision.TimedOut, 0)
+	}
+	t.countWarmedUp(e, -1)
+	t.move(index, s.cell)
+	if e.confirmation.since != s.unconfirmedSince {
+		e.confirmation.since = s.unconfirmedSince
+		e.confirmation.window = initialWindow
+		e.confirmation.spread = d.router.random.share()
+	}
+	t.changing.set(int32(index))
+	e.mode = s.mode
+	e.cell = s.cell
+	e.slowStart.share = s.capacityShare
+	e.costFactor = s.costFactor
+	e.unreachable = s.unreachable
+	t.countWarmedUp(e, 1)
+}
+
+// handleQuery takes a query; one of an unknown type fails.
+func (d *dispatcher) handleQuery(e *decision.Event) {
+	r := d.router
+	if e.Type >= len(r.settings.QueryTypes) {
+		r.log(logUnknownQueryType, e.Type)
+		r.act(decision.Action{Kind: decision.FailQuery, ID: e.ID})
+		return
+	}
+	q := d.queries.add(e, &r.settings.QueryTypes[e.Type])
+	d.shedding.countArrival(q.tenant, r.now)
+	d.extraBudget.noteReceived(r.settings, r.now)
+	d.setDeadlines(q, e)
+	d.noteRetryingClient(q, e)
+}
+
+// sweep looks at every query in flight: what was answered, what is due, what is new.
+func (d *dispatcher) sweep() {
+	d.next = never
+	d.detectFailuresAlike()
+	d.avoidZones()
+	d.tableCrowded = float64(d.queries.places) > crowdedTableShare*float64(d.router.settings.MaxInFlight)
+	for slot := range d.queries.used.all {
+		q := &d.queries.slots[slot]
+		if q.quiet && d.staysQuiet(q) {
+			continue
+		}
+		d.advance(slot)
+		if q.inUse {
+			d.noteDue(q.guardAt)
+			if q.deadline > d.router.now {
+				d.noteDue(q.deadline)
+			}
+		}
+	}
+}
+
+// advance does for one query what is due.
+func (d *dispatcher) advance(slot int32) {
+	q := &d.queries.slots[slot]
+	if q.dispatched {
+		d.completeIfReady(slot)
+	}
+	if !q.inUse {
+		return
+	}
+	if q.dispatched {
+		d.sendHedgesAndRetries(q)
+		d.completeIfReady(slot)
+		d.noteQuiet(q)
+		return
+	}
+	if !q.secondPhase || len(q.requests) > 0 || d.router.now >= q.guardAt {
+		d.dispatch(slot)
+	}
+}
+
+// dispatch sends the shard requests of a query's phase, or sheds the query.
+func (d *dispatcher) dispatch(slot int32) {
+	q := &d.queries.slots[slot]
+	q.dispatched = true
+	if d.router.now >= q.guardAt || !q.secondPhase && d.shed(q) {
+		d.abandon(slot)
+		return
+	}
+	d.checkReplicas(q)
+	d.sendUnsent(q)
+	d.completeIfReady(slot)
+}
+
+// sendUnsent sends the first attempts of shard requests that had none.
+func (d *dispatcher) sendUnsent(q *query) {
+	for i := range q.requests {
+		sr := &q.requests[i]
+		if sr.abandoned || len(sr.attempts) > 0 {
+			continue
+		}
+		index := d.selectForFirst(q, sr)
+		sr.abandoned = index == noReplica
+		if index < 0 {
+			q.waiting = q.waiting || index == replicaLater
+			continue
+		}
+		d.send(sr, index)
+		d.extraBudget.earn()
+	}
+}
--- /dev/null
+++ b/internal/decision/routing/endpoint_list.go
@@ -0,0 +1,129 @@
+package routing
+
+import (
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// listWatcher keeps the endpoint list current.
+type listWatcher struct {
+	router     *Router
+	inbox      inbox
+	subscribed bool          // a poll or watch is out
+	pollAt     time.Duration // not before
+	next       time.Duration // when there is something to do; never: nothing
+	backoff    time.Duration
+}
+
+func (w *listWatcher) handle(m *message) {
+	switch {
+	case m.kind == ticked:
+		w.subscribeIfDue()
+	case m.event.Kind == decision.ListPollFailed:
+		w.pollFailed()
+	default:
+		w.backoff = initialPollBackoff
+		w.merge(m.event)
+	}
+}
+
+// merge takes a full list, or the lines that changed, and tells the nodes.
+func (w *listWatcher) merge(e *decision.Event) {
+	r := w.router
+	w.forgetUnlisted()
+	for i := range e.Endpoints {
+		line := e.Endpoints[i]
+		index, known := r.indexes[line.Node]
+		if !known {
+			if line.State == decision.Removed {
+				continue
+			}
+			index = w.addNode(line)
+		}
+		n := r.nodes[index]
+		n.namedBy = e
+		n.unlistedAt = never
+		if line.State == decision.Removed {
+			n.unlistedAt = r.now
+		}
+		r.post(&n.inbox, message{kind: endpointListed, endpoint: line})
+	}
+	if e.Kind == decision.FullListReceived {
+		w.removeUnnamed(e)
+	}
+	for _, n := range r.nodes {
+		n.namedBy = nil // the event belongs to the caller of Step
+	}
+}
+
+func (w *listWatcher) addNode(line decision.Endpoint) nodeIndex {
+	r := w.router
+	d := &r.dispatcher
+	index := w.freeIndex()
+	r.indexes[line.Node] = index
+	n := &nodeHealth{router: r, index: index, id: line.Node, startedAt: decision.StartedLongAgo, costFactor: 1}
+	n.inbox.to = n
+	r.nodes[index] = n
+	d.endpoints.all[index] = endpoint{
+		id:         line.Node,
+		zone:       line.Zone,
+		costFactor: 1,
+		slowStart:  slowStart{share: 1},
+		health:     healthCheckState{lastAliveAt: -time.Hour},
+	}
+	d.zones.grow(line.Zone + 1)
+	return index
+}
+
+// freeIndex is the index of a node that was forgotten, or a new one.
+func (w *listWatcher) freeIndex() nodeIndex {
+	r := w.router
+	if n := len(r.freeIndexes); n > 0 {
+		index := r.freeIndexes[n-1]
+		r.freeIndexes = r.freeIndexes[:n-1]
+		return index
+	}
+	index := nodeIndex(len(r.nodes))
+	r.nodes = append(r.nodes, nil)
+	r.dispatcher.endpoints.all = append(r.dispatcher.endpoints.all, endpoint{})
+	return index
+}
+
+// removeUnnamed tells the nodes that a full list does not name.
+func (w *listWatcher) removeUnnamed(e *decision.Event) {
+	r := w.router
+	for _, n := range r.nodes {
+		if !w.isKnown(n) || n.namedBy == e {
+			continue
+		}
+		n.unlistedAt = min(n.unlistedAt, r.now)
+		r.post(&n.inbox, message{
+			kind:     endpointListed,
+			endpoint: decision.Endpoint{Cell: n.cell, State: decision.Removed, StartedAt: n.startedAt},
+		})
+	}
+}
+
+// isKnown reports whether a node was not forgotten.
+func (w *listWatcher) isKnown(n *nodeHealth) bool {
+	index, known := w.router.indexes[n.id]
+	return known && index == n.index
+}
+
+// forgetUnlisted frees the indexes of nodes that left the list so long ago that no query in flight can name them. Nodes are replaced
+// under new ids all the time, and their state would add up.
+func (w *listWatcher) forgetUnlisted() {
+	r := w.router
+	t := &r.dispatcher.endpoints
+	for _, n := range r.nodes {
+		if !w.isKnown(n) || n.unlistedAt == never || r.now-n.unlistedAt <= r.longestTimeout {
+			continue
+		}
+		e := &t.all[n.index]
+		t.cell(e.cell).remove(n.index)
+		delete(r.indexes, n.id)
+		*e = endpoint{costFactor: 1, slowStart: slowStart{share: 1}}
+		r.freeIndexes = append(r.freeIndexes, n.index)
+	}
+}
--- a/internal/decision/routing/floors_test.go
+++ b/internal/decision/routing/fairness_test.go
@@ -1,7 +1,5 @@
 package routing
 
-// This file tests that what is served holds up for each class, for a tenant inside its share, and in each third of a long run.
-
 import (
 	"fmt"
 	"slices"
@@ -10,21 +8,21 @@
 	"flaxfront/internal/decision"
 )
 
-// flood plays 30 s in which four nodes, that serve 50 parts a second each in turn, are asked for a third more and more than they
+// flood plays 30 s in which four nodes, that serve 50 shard requests a second each in turn, are asked for a third more and more than they
 // can do, and returns the share served in time by third and class, of the tenant inside its share.
 func flood(own, other int) (share [3][2]float64) {
-	t := smallTerms()
+	t := smallSettings()
 	t.BrokerCount, t.Tenants = 1, []decision.Tenant{{TrafficShare: 0.7, Quota: 120}, {TrafficShare: 0.3, Quota: 50}}
 	r := newRig(t, 4)
 	type asked struct{ third, typ int }
-	mine, owed := map[uint64]asked{}, map[decision.NodeID]int{}
+	mine, pending := map[uint64]asked{}, map[decision.NodeID]int{}
 	var taken, served [3][2]float64
 	for tick := range 6000 { // of 5 ms
 		third := tick / 2000
 		for tenant, rate := range []int{own, other} {
 			for range (tick+1)*rate/200 - tick*rate/200 {
 				typ := int(r.nextID) / 2 % 2
-				id := r.ask(typ, t.QueryTypes[typ].Timeout, int(r.serial)%2)
+				id := r.query(typ, t.QueryTypes[typ].Timeout, int(r.serial)%2)
 				r.events[len(r.events)-2].Tenant = tenant
 				if tenant == 0 {
 					mine[id], taken[third][typ] = asked{third, typ}, taken[third][typ]+1
@@ -33,13 +31,13 @@
 		}
 		for i := range 4 { // each serves the oldest in its queue, one in 20 ms
 			id := nodeID(i)
-			if owed[id]++; owed[id] < 4 {
+			if pending[id]++; pending[id] < 4 {
 				continue
 			}
-			at := slices.IndexFunc(r.order, func(k try) bool { s, out := r.out[k]; return out && s.node == id && s.at < r.now })
+			at := slices.IndexFunc(r.order, func(k attemptKey) bool { s, out := r.inFlight[k]; return out && s.node == id && s.at < r.now })
 			if at >= 0 {
-				owed[id] = 0
-				r.end(r.order[at], decision.OK)
+				pending[id] = 0
+				r.endAttempt(r.order[at], decision.OK)
 			}
 		}
 		for _, a := range r.step(5 * ms) {
@@ -53,15 +51,15 @@
 			share[third][typ] = served[third][typ] / taken[third][typ]
 		}
 	}
-	if r.bad != "" {
-		panic(r.bad)
+	if r.violation != "" {
+		panic(r.violation)
 	}
 	return share
 }
 
 // A tenant inside its share is served while another floods, every class of it, from the first third to the last; and where all
 // ask for more than can be done no class starves for one of more worth.
-func TestFloorsOfClassesAndTenants(t *testing.T) {
+func TestFairnessOfQueryTypesAndTenants(t *testing.T) {
 	for what, c := range map[string]struct {
 		own, other int
 		least      float64
@@ -73,7 +71,7 @@
 		t.Log(what, fmt.Sprintf("%.2f", got))
 		for third := range got {
 			for typ, share := range got[third] {
-				must(t, share >= c.least, "%s: third %d, class %d: %.2f served", what, third, typ, share)
+				require(t, share >= c.least, "%s: third %d, class %d: %.2f served", what, third, typ, share)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/decision/routing/hedging.go
@@ -0,0 +1,115 @@
+package routing
+
+import (
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+const (
+	recheckInterval = 10 * time.Millisecond // until what could not be sent is looked at again
+	// Until the p95 is known, an attempt is hedged after the latency objective over this.
+	assumedHedgeShare = 2
+)
+
+// sendHedgesAndRetries sends the extra attempts that are due within the budget, and first attempts that had to wait.
+func (d *dispatcher) sendHedgesAndRetries(q *query) {
+	if q.waiting {
+		q.waiting = false
+		d.sendUnsent(q)
+		d.noteDue(d.router.now + recheckInterval)
+	}
+	outlook := d.budgetOutlook(q)
+	for i := range q.requests {
+		sr := &q.requests[i]
+		if sr.answered || sr.abandoned || outlook.hopeless || len(sr.attempts) == 0 || q.moved {
+			sr.abandoned = sr.abandoned || outlook.hopeless || q.moved && sr.inFlight == 0
+			continue
+		}
+		if sr.inFlight == 0 {
+			d.retry(q, sr)
+		} else {
+			d.hedge(q, sr, outlook)
+		}
+	}
+}
+
+// hedge sends a second attempt beside the one in flight if that is due.
+func (d *dispatcher) hedge(q *query, sr *shardRequest, outlook budgetOutlook) {
+	due := d.hedgeDueAt(q, sr, outlook)
+	if due > d.router.now {
+		d.noteDue(due)
+		return
+	}
+	index := d.selectReplica(q, sr, extraAttempt)
+	if index >= 0 && d.mayAffordExtra(q, sr, index) {
+		sr.hedged = true
+		d.sendExtra(sr, index)
+		return
+	}
+	d.noteDue(d.router.now + recheckInterval)
+}
+
+// hedgeDueAt is when a shard request with attempts in flight may be hedged; never if it may not.
+func (d *dispatcher) hedgeDueAt(q *query, sr *shardRequest, outlook budgetOutlook) time.Duration {
+	if sr.inFlight > 1 || !d.mayHedge(q, sr) || !d.hasTimeForExtra(q, sr) || !d.mayRunTwice(q, sr) {
+		return never
+	}
+	a := sr.attempts[len(sr.attempts)-1]
+	due := a.sentAt + d.hedgeDelay(q)
+	// Where all replicas are slow, a hedge joins the queue that it is meant to avoid; from an ejected node it goes all the same.
+	crowded := d.latency.known && d.endpoints.all[a.node].available() && d.isCrowded(sr)
+	if outlook.scarce || crowded {
+		return max(due, d.router.now+recheckInterval)
+	}
+	return due
+}
+
+// mayHedge reports whether a shard request may be hedged at all. One that counts less than the mean of its query is not: its hedge
+// would take budget and capacity from those that decide the result.
+func (d *dispatcher) mayHedge(q *query, sr *shardRequest) bool {
+	return d.router.settings.HedgingAllowed && !sr.hedged && !q.isLowWeight(sr)
+}
+
+// hedgeDelay is how long an attempt is in flight before it is hedged.
+func (d *dispatcher) hedgeDelay(q *query) time.Duration {
+	if !d.latency.known {
+		return q.queryType.LatencyObjective / assumedHedgeShare
+	}
+	return d.latency.p95
+}
+
+// hasTimeForExtra reports whether an extra attempt may be answered in time and within the limit on attempts.
+func (d *dispatcher) hasTimeForExtra(q *query, sr *shardRequest) bool {
+	return d.router.now+d.latency.p50 <= q.deadline && len(sr.attempts) < d.router.settings.MaxAttempts
+}
+
+// mayAffordExtra reports whether the budget allows an extra attempt to a node and its answer is expected in time.
+func (d *dispatcher) mayAffordExtra(q *query, sr *shardRequest, index nodeIndex) bool {
+	r := d.router
+	return d.extraBudget.allows(r.settings, r.now) && r.now+time.Duration(d.expectedWait(sr, index)) <= q.deadline
+}
+
+func (d *dispatcher) sendExtra(sr *shardRequest, index nodeIndex) {
+	d.extraBudget.spend(d.router.settings, d.router.now)
+	d.send(sr, index)
+}
+
+// mayRunTwice reports whether a shard request may be sent again beside what is in flight, or after all attempts have ended.
+func (d *dispatcher) mayRunTwice(q *query, sr *shardRequest) bool {
+	if sr.inFlight == 0 && !sr.mayHaveRun {
+		return true
+	}
+	firstRunAt := sr.mayHaveRunAt
+	if sr.inFlight > 0 {
+		firstRunAt = sr.attempts[0].sentAt
+	}
+	switch q.queryType.Idempotency {
+	case decision.Idempotent:
+		return true
+	case decision.IdempotencyKeyed:
+		return d.router.now <= firstRunAt+q.queryType.IdempotencyWindow
+	default:
+		return false
+	}
+}
--- /dev/null
+++ b/internal/decision/routing/idle_connections_test.go
@@ -0,0 +1,43 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+func TestIdleConnectionsObserve(t *testing.T) {
+	type observation struct {
+		idle   time.Duration
+		failed attemptError
+	}
+	cut := observation{time.Second, attemptFailed}
+	for name, test := range map[string]struct {
+		observations []observation
+		begins       int // at which observation closing begins, from 1; 0: it does not
+	}{
+		"idle ones fail, fresh ones do not": {[]observation{cut, cut, cut, cut, cut, cut, cut, cut}, 7},
+		"fewer fail":                        {[]observation{cut, cut, cut, cut, cut, cut}, 0},
+		"fresh ones fail alike": {[]observation{cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut,
+			{0, attemptFailed}, cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut}, 0},
+		"what was idle for a moment counts as fresh": {[]observation{{minIdleTime - 1, attemptFailed}, cut, cut, cut, cut, cut, cut, cut}, 8},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := idleConnections{shortestCut: never}
+			begins := 0
+			for i, o := range test.observations {
+				if c.observe(o.idle, o.failed, time.Second) {
+					begins = i + 1
+				}
+			}
+			if begins != test.begins {
+				t.Errorf("closing begins at %d, want %d (error rates %.2f, fresh %.2f)", begins, test.begins, c.errorRate, c.freshErrorRate)
+			}
+			if got := c.closeBeforeUse(time.Second, 2*time.Second); got != (test.begins > 0) {
+				t.Errorf("closed before use: %v", got)
+			}
+			if c.closeBeforeUse(999*ms, 2*time.Second) || c.closeBeforeUse(time.Second, time.Second+closeIdleFor) {
+				t.Error("closed before use though idle for less, or long after")
+			}
+		})
+	}
+}
--- a/internal/decision/routing/asked_test.go
+++ b/internal/decision/routing/list_polling_test.go
@@ -9,18 +9,18 @@
 
 // Whatever failed before, the list is asked for again soon. A change counts as told 6 s after discovery had it and could be reached;
 // one pause and a call that discovery works through in its turn have to fit in twice, as the first call may be refused.
-func TestListIsAskedForAgainInTime(t *testing.T) {
+func TestListIsPolledAgainInTime(t *testing.T) {
 	const most = 1500 * ms
 	for seed := range uint64(100) {
-		terms := smallTerms()
-		terms.Seed, terms.PollList = seed, true
-		l, now := New(terms), time.Duration(0)
-		l.Step(now, nil, nil)
+		settings := smallSettings()
+		settings.Seed, settings.PollList = seed, true
+		router, now := New(settings), time.Duration(0)
+		router.Step(now, nil, nil)
 		for failure := range 20 {
 			failed := now
 			events := []decision.Event{{Kind: decision.ListPollFailed}}
-			for asked := false; !asked; now += terms.ClockStep {
-				for _, a := range l.Step(now, events, nil) {
+			for asked := false; !asked; now += settings.ClockStep {
+				for _, a := range router.Step(now, events, nil) {
 					asked = asked || a.Kind == decision.SubscribeList
 				}
 				if events = nil; now-failed > most {
--- /dev/null
+++ b/internal/decision/routing/module.go
@@ -0,0 +1,179 @@
+// Package routing makes the routing decisions of one broker: which replica gets a shard request, when a hedge or a retry is sent,
+// which queries are shed, which nodes are ejected, warming up or degraded, and when a query gets its result.
+//
+// A front end calls New with the settings of the deployment, then Router.Step with each batch of events, and carries out the actions
+// that Step appends, in their order. Events, actions and settings are types of package decision. The package does no I/O and reads
+// no clock; every random draw depends on Settings.Seed and the draws before it alone, so that equal events lead to equal actions.
+//
+// A Router is used by one goroutine. Inside it the work is shared by the dispatcher (the queries in flight), one nodeHealth for each
+// store node and the listWatcher (the endpoint list). They exchange messages, which Router.deliver hands over in the order in which
+// they were sent. Each decision has a file of its own with its constants; the files that only hold state are dispatcher.go,
+// query_table.go, attempts.go, quiet.go, node_health.go, endpoint_table.go, endpoint_list.go, gossip.go, log_messages.go, messages.go, this
+// one, and those of small data structures. deploy/balancer.toml lists the others under policy.
+package routing
+
+import (
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// never is a time that does not come.
+const never = time.Duration(1<<63 - 1)
+
+// Router makes the decisions of one broker. It implements decision.Router.
+type Router struct {
+	settings       *decision.Settings
+	now            time.Duration
+	timerAt        time.Duration // the earliest timer asked for that has not fired; negative: none
+	actions        []decision.Action
+	pending        []*inbox // those with messages
+	dispatcher     dispatcher
+	list           listWatcher
+	nodes          []*nodeHealth
+	indexes        map[decision.NodeID]nodeIndex
+	freeIndexes    []nodeIndex // of nodes that were forgotten
+	random         randomSource
+	failureShares  shareRanking // of the listed nodes
+	longestTimeout time.Duration
+	gossip         []byte // sent at the end of the step
+}
+
+var _ decision.Router = (*Router)(nil)
+
+// New returns the router of one broker, without endpoints or queries.
+func New(settings decision.Settings) *Router {
+	r := &Router{
+		settings: &settings,
+		timerAt:  -1,
+		indexes:  map[decision.NodeID]nodeIndex{},
+		random:   newRandomSource(settings.Seed),
+	}
+	r.noteTimeouts()
+	r.dispatcher.initialise(r)
+	r.list = listWatcher{router: r, backoff: initialPollBackoff}
+	r.list.inbox.to = &r.list
+	return r
+}
+
+// Reconfigure has the router go on under other settings. Queries in flight end as the settings say under which they came; what was
+// learned stays, as does the budget of extra attempts. moved says that shards are on other cells now, or other nodes in them: then
+// shard requests in flight are sent to no other node, and the front end has emptied the endpoint list before.
+func (r *Router) Reconfigure(settings decision.Settings, moved bool) {
+	settings.Seed = r.settings.Seed
+	if settings.ExtraAttemptsWindow > r.settings.ExtraAttemptsWindow {
+		r.dispatcher.extraBudget.extendWindow(r.now, int(settings.ExtraAttemptsMin))
+	}
+	r.settings = &settings
+	r.noteTimeouts()
+	r.dispatcher.reconfigure(moved)
+}
+
+func (r *Router) noteTimeouts() {
+	for i := range r.settings.QueryTypes {
+		r.longestTimeout = max(r.longestTimeout, r.settings.QueryTypes[i].Timeout)
+	}
+}
+
+// Step takes all events since the last call, in their order of arrival, and appends the actions they lead to.
+func (r *Router) Step(now time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
+	r.now = now
+	r.actions = actions
+	for i := range events {
+		r.handleEvent(&events[i])
+	}
+	r.deliver()
+	r.post(&r.list.inbox, message{kind: ticked})
+	r.tickNodes()
+	r.deliver()
+	r.post(&r.dispatcher.inbox, message{kind: sweepDue})
+	r.deliver()
+	r.sendGossip()
+	r.setTimer()
+	actions = r.actions
+	r.actions = nil
+	return actions
+}
+
+func (r *Router) handleEvent(e *decision.Event) {
+	switch e.Kind {
+	case decision.FullListReceived, decision.ListUpdateReceived, decision.ListPollFailed:
+		r.post(&r.list.inbox, message{kind: eventReceived, event: e})
+		r.deliver() // shard requests later in the batch need the list
+	case decision.GossipReceived:
+		r.handleGossip(e.Payload)
+	default:
+		r.post(&r.dispatcher.inbox, message{kind: eventReceived, event: e})
+	}
+}
+
+// tickNodes tells the nodes that time alone may change how much time has passed.
+func (r *Router) tickNodes() {
+	d := &r.dispatcher
+	sendInterval := time.Duration(float64(time.Second) / max(1e-3, d.flows.fleet.usual(r.now)))
+	for i := range d.endpoints.changing.all {
+		index := nodeIndex(i)
+		n := r.nodes[index]
+		e := &d.endpoints.all[index]
+		settled := e.mode == modeUnlisted || e.mode == modeWarmedUp && e.costFactor == 1
+		if len(e.calls) == 0 && settled {
+			d.endpoints.changing.clear(i)
+			continue
+		}
+		pending := e.pendingCalls()
+		m := message{kind: ticked, calls: len(pending), usualLatency: r.usualLatency(n), sendInterval: sendInterval}
+		if len(pending) > 0 {
+			m.elapsed = max(1, r.now-pending[0].sentAt)
+		}
+		r.post(&n.inbox, m)
+	}
+}
+
+func (r *Router) sendGossip() {
+	if len(r.gossip) == 0 {
+		return
+	}
+	r.act(decision.Action{Kind: decision.SendGossip, Text: string(r.gossip)})
+	r.gossip = r.gossip[:0]
+}
+
+// setTimer asks for a timer at the next time at which something may be due.
+func (r *Router) setTimer() {
+	if r.timerAt >= 0 && r.timerAt <= r.now {
+		r.timerAt = -1
+	}
+	next := min(r.dispatcher.next, r.list.next)
+	if next < never && (r.timerAt < 0 || next < r.timerAt) {
+		r.timerAt = max(next, r.now+1)
+		r.act(decision.Action{Kind: decision.SetTimer, TimerAt: r.timerAt})
+	}
+}
+
+// act appends an action.
+func (r *Router) act(a decision.Action) { r.actions = append(r.actions, a) }
+
+// Snapshot returns how many attempts are in flight and how many listed nodes are ejected.
+func (r *Router) Snapshot() (inFlight, ejected int) {
+	for i, n := range r.nodes {
+		for _, c := range r.dispatcher.endpoints.all[i].calls {
+			inFlight += c.attempts
+		}
+		if n.listed && n.ejected {
+			ejected++
+		}
+	}
+	return inFlight, ejected
+}
+
+// IsAvailable reports whether a node is listed and not ejected.
+func (r *Router) IsAvailable(id decision.NodeID) bool {
+	index, known := r.indexes[id]
+	return known && r.dispatcher.endpoints.all[index].available()
+}
+
+// HasAvailableReplica reports whether a node that holds the shard is listed and not ejected.
+func (r *Router) HasAvailableReplica(shard int) bool {
+	t := &r.dispatcher.endpoints
+	return slices.ContainsFunc(t.replicas(shard), func(i nodeIndex) bool { return t.all[i].available() })
+}
--- /dev/null
+++ b/internal/decision/routing/quiet.go
@@ -0,0 +1,47 @@
+package routing
+
+import "flaxfront/internal/decision"
+
+// noteQuiet notes, after a query was looked at in full, whether only time can change what becomes of it until an attempt of it ends;
+// then it is not looked at in each step. It must not say so where completeIfReady or sendHedgesAndRetries would look at anything else.
+func (d *dispatcher) noteQuiet(q *query) {
+	if !q.inUse || !q.dispatched || q.waiting {
+		return
+	}
+	q.oldestHedgeable = never
+	for i := range q.requests {
+		sr := &q.requests[i]
+		if sr.answered || sr.abandoned {
+			continue
+		}
+		if sr.inFlight == 0 {
+			return
+		}
+		if sr.inFlight == 1 && d.mayEverHedge(q, sr) {
+			q.oldestHedgeable = min(q.oldestHedgeable, sr.attempts[len(sr.attempts)-1].sentAt)
+		}
+	}
+	q.quiet = true
+}
+
+func (d *dispatcher) mayEverHedge(q *query, sr *shardRequest) bool {
+	repeatable := q.queryType.Idempotency != decision.NonIdempotent
+	return repeatable && d.mayHedge(q, sr) && len(sr.attempts) < d.router.settings.MaxAttempts
+}
+
+// staysQuiet reports whether a quiet query has nothing due, and notes when it will.
+func (d *dispatcher) staysQuiet(q *query) bool {
+	now := d.router.now
+	if now >= q.deadline || now >= q.guardAt {
+		return false
+	}
+	if q.oldestHedgeable != never && now+d.latency.p50 <= q.deadline {
+		due := q.oldestHedgeable + d.hedgeDelay(q)
+		if due <= now+recheckInterval {
+			return false
+		}
+		d.noteDue(due)
+	}
+	d.noteDue(min(q.guardAt, q.deadline))
+	return true
+}
--- /dev/null
+++ b/internal/decision/routing/rejection_test.go
@@ -0,0 +1,38 @@
+package routing
+
+import (
+	"testing"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// While shard requests are rejected all over, a node that turned one away is full, not sick: it is ejected only for the second without an
+// answer between. One that alone turns shard requests away is ejected at once, as it may drain.
+func TestFullNodeIsNotEjected(t *testing.T) {
+	for _, c := range []struct {
+		rejections float64
+		between    decision.Outcome // what comes between two refusals
+		inService  [2]bool          // after each of them
+	}{
+		{0, decision.OK, [2]bool{false, false}},
+		{0.2, decision.OK, [2]bool{true, true}},
+		{0.2, decision.Rejected, [2]bool{true, false}},
+	} {
+		router := New(decision.Settings{QueryTypes: make([]decision.QueryType, 1), Cells: 1, CellsPerShard: 1})
+		n := &nodeHealth{router: router}
+		router.now = time.Second
+		router.dispatcher.shedding.rejectionRate = c.rejections
+		router.dispatcher.shedding.rejectionAt = time.Second
+		n.handleAttemptEnded(decision.Rejected, 0)
+		first := !n.ejected
+		if c.between == decision.OK {
+			n.handleAttemptEnded(decision.OK, 0)
+			n.ejected = !first
+		}
+		n.handleAttemptEnded(decision.Rejected, 0)
+		if got := [2]bool{first, !n.ejected}; got != c.inService {
+			t.Errorf("%.1f rejected, %v between: in service %v, want %v", c.rejections, c.between, got, c.inService)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decision/routing/rig_test.go
@@ -0,0 +1,237 @@
+package routing
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+const ms = time.Millisecond
+
+// smallSettings describe a store of two cells.
+func smallSettings() decision.Settings {
+	return decision.Settings{Seed: 7, BrokerCount: 3, ClockStep: 5 * ms, Cells: 2, CellsPerShard: 1, MaxBatch: 1, OverQuotaWeight: 0.1,
+		QueryTypes: []decision.QueryType{
+			{LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 1, LateWeight: 0.1, MinCompleteness: 1, FullCompleteness: 1},
+			{LatencyObjective: 2 * time.Second, Timeout: 4 * time.Second, PriorityWeight: 2, MinCompleteness: 0.5, FullCompleteness: 1}},
+		Tenants:       []decision.Tenant{{TrafficShare: 0.7, Quota: 100}, {TrafficShare: 0.3, Quota: 50}},
+		CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: time.Second,
+		MaxAttempts: 4, MaxInFlight: 10000, ColdCapacity: 0.3, WarmUpTime: 8 * time.Second, OverloadMultiple: 2}
+}
+
+func nodeID(i int) decision.NodeID { return decision.NodeID{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 9} }
+
+// attemptKey names one attempt.
+type attemptKey struct {
+	id     uint64 // of the shard request
+	number uint16
+}
+
+type sentAttempt struct {
+	node decision.NodeID
+	at   time.Duration
+}
+
+// openRequest is what the rig notes of a shard request.
+type openRequest struct {
+	query    uint64
+	weight   float64
+	answered bool
+	over     bool          // no attempt may follow
+	ran      bool          // an attempt may have run
+	ranAt    time.Duration // when the first such was sent
+	attempts uint16
+	inFlight uint16
+}
+
+// openQuery is what the rig notes of a query.
+type openQuery struct {
+	queryType     int
+	serial        float32
+	due           time.Duration
+	secondPhase   bool
+	firstComplete bool
+	requests      []uint64
+}
+
+// rig drives one router with a store and clients of a few lines, and checks six rules by books of its own.
+type rig struct {
+	router         *Router
+	settings       decision.Settings
+	now            time.Duration
+	nextID         uint64
+	serial         float32
+	events         []decision.Event
+	actions        []decision.Action
+	queries        map[uint64]*openQuery
+	requests       map[uint64]*openRequest
+	inFlight       map[attemptKey]sentAttempt
+	order          []attemptKey // of sending
+	ready          map[decision.NodeID]bool
+	sends          map[decision.NodeID][]time.Duration
+	received       []time.Duration // queries and shard requests
+	extra          []time.Duration // extra attempts
+	polledAt       time.Duration
+	violation      string            // the first rule broken
+	checks         []decision.NodeID // health checks in flight
+	lastBeforeMove uint64            // the last id given before the shards moved
+}
+
+func newRig(settings decision.Settings, nodes int) *rig {
+	r := &rig{settings: settings, router: New(settings), queries: map[uint64]*openQuery{}, requests: map[uint64]*openRequest{},
+		inFlight: map[attemptKey]sentAttempt{}, ready: map[decision.NodeID]bool{}, sends: map[decision.NodeID][]time.Duration{}}
+	var list []decision.Endpoint
+	for i := range nodes {
+		e := decision.Endpoint{Node: nodeID(i), Cell: i % settings.Cells, State: decision.Ready, StartedAt: decision.StartedLongAgo}
+		list = append(list, e)
+	}
+	r.list(decision.FullListReceived, list...)
+	r.step(0)
+	return r
+}
+
+func (r *rig) violate(format string, args ...any) {
+	if r.violation == "" {
+		r.violation = fmt.Sprintf("%v: ", r.now) + fmt.Sprintf(format, args...)
+	}
+}
+
+func (r *rig) list(kind decision.EventKind, entries ...decision.Endpoint) {
+	if kind == decision.FullListReceived {
+		clear(r.ready)
+	}
+	for _, e := range entries {
+		r.ready[e.Node] = e.State == decision.Ready
+	}
+	r.events = append(r.events, decision.Event{Kind: kind, Endpoints: entries})
+}
+
+// ask brings a query with equal shard requests at the given shards.
+func (r *rig) query(queryType int, left time.Duration, shards ...int) uint64 {
+	r.nextID++
+	r.serial++
+	id := r.nextID
+	r.queries[id] = &openQuery{queryType: queryType, serial: r.serial}
+	r.events = append(r.events, decision.Event{Kind: decision.QueryReceived, ID: id, Serial: r.serial, Type: queryType,
+		TimeLeft: left, Weight: float64(len(shards))})
+	r.addRequests(id, shards...)
+	return id
+}
+
+func (r *rig) addRequests(query uint64, shards ...int) {
+	h := r.queries[query]
+	for _, shard := range shards {
+		r.nextID++
+		w := 1 / float64(len(shards))
+		r.requests[r.nextID] = &openRequest{query: query, weight: w}
+		h.requests = append(h.requests, r.nextID)
+		r.events = append(r.events, decision.Event{Kind: decision.ShardRequestReceived, ID: r.nextID, Serial: h.serial,
+			Shard: shard, Weight: w})
+	}
+}
+
+// end brings the outcome of a attempts that is out.
+func (r *rig) endAttempt(k attemptKey, how decision.Outcome) {
+	s, ok := r.inFlight[k]
+	if !ok {
+		return
+	}
+	delete(r.inFlight, k)
+	p := r.requests[k.id]
+	p.inFlight--
+	proven := how == decision.Rejected || how == decision.ConnectFailed || how == decision.NeverSent
+	if !proven && (!p.ran || s.at < p.ranAt) {
+		p.ran = true
+		p.ranAt = s.at
+	}
+	if how == decision.OK && !p.over {
+		p.answered = true
+		p.over = true
+	}
+	r.events = append(r.events, decision.Event{Kind: decision.AttemptEnded, ID: k.id, Attempt: k.number, Outcome: how,
+		Node: s.node, Elapsed: r.now - s.at})
+}
+
+// endAttempts ends all that is out for so long, where the node fits.
+func (r *rig) endAttempts(how decision.Outcome, age time.Duration, fits func(decision.NodeID) bool) {
+	for _, k := range r.order {
+		if s, ok := r.inFlight[k]; ok && r.now-s.at >= age && (fits == nil || fits(s.node)) {
+			r.endAttempt(k, how)
+		}
+	}
+}
+
+func (r *rig) forget(id uint64) {
+	for _, p := range r.queries[id].requests {
+		r.requests[p].over = true
+	}
+	delete(r.queries, id)
+}
+
+// step lets time pass, hands over what has gathered and checks what comes back.
+func (r *rig) step(by time.Duration) []decision.Action {
+	r.now += by
+	for _, e := range r.events {
+		if h := r.queries[e.ID]; e.Kind == decision.QueryReceived && h != nil {
+			h.due = r.now + e.TimeLeft
+		}
+		if e.Kind == decision.QueryReceived || e.Kind == decision.ShardRequestReceived {
+			r.received = append(r.received, r.now)
+		}
+	}
+	r.order = slices.DeleteFunc(r.order, func(k attemptKey) bool { _, ok := r.inFlight[k]; return !ok })
+	r.actions = r.router.Step(r.now, r.events, r.actions[:0])
+	r.events = r.events[:0]
+	for i := range r.actions {
+		switch a := &r.actions[i]; a.Kind {
+		case decision.SendAttempt:
+			r.checkSend(a)
+		case decision.CancelAttempt:
+			r.endAttempt(attemptKey{a.ID, a.Attempt}, decision.Cancelled)
+		case decision.ShedQuery, decision.FailQuery, decision.AnswerQuery:
+			r.checkFinal(a)
+		case decision.SendHealthCheck:
+			if slices.Contains(r.checks, a.Node) {
+				r.violate("%v is health-checked twice at once", a.Node)
+			}
+			r.checks = append(r.checks, a.Node)
+		case decision.SubscribeList:
+			if r.now < r.polledAt+200*ms && r.now > 0 {
+				r.violate("the list is asked again after %v", r.now-r.polledAt)
+			}
+			r.polledAt = r.now
+		}
+	}
+	for id, h := range r.queries {
+		if r.now > h.due+20*ms {
+			r.violate("rule 1: query %d unanswered", id)
+		}
+	}
+	return r.actions
+}
+
+// endChecks ends the health checks that are out where the node fits; the others stay out.
+func (r *rig) endChecks(how decision.Outcome, fits func(decision.NodeID) bool) {
+	r.checks = slices.DeleteFunc(r.checks, func(id decision.NodeID) bool {
+		over := fits(id)
+		if over {
+			r.events = append(r.events, decision.Event{Kind: decision.HealthCheckEnded, Node: id, Outcome: how, Elapsed: ms})
+		}
+		return over
+	})
+}
+
+func require(t *testing.T, ok bool, format string, args ...any) {
+	t.Helper()
+	if !ok {
+		t.Fatalf(format, args...)
+	}
+}
+
+// actionsOf returns the actions of a kind.
+func actionsOf(actions []decision.Action, kind decision.ActionKind) []decision.Action {
+	return slices.DeleteFunc(slices.Clone(actions), func(a decision.Action) bool { return a.Kind != kind })
+}
--- a/internal/decision/routing/coldsum_test.go
+++ b/internal/decision/routing/slow_start_brokers_test.go
@@ -12,16 +12,16 @@
 // Rule 4 by its letter, under the sum of twenty or thirty brokers: a node that comes back cold gets no more than N, and what chance
 // adds, in the time that the settings name, N being what it can do then. Half of the brokers are started anew meanwhile and know
 // nothing of what the others send, and a burst comes.
-func TestColdNodeUnderManyBrokers(t *testing.T) {
+func TestWarmingUpNodeUnderManyBrokers(t *testing.T) {
 	const window, wave = 1500 * ms, 2500 * ms
 	for seed := range int64(6) {
 		brokers := []int{20, 30}[seed%2]
 		rnd := rand.New(rand.NewSource(seed))
-		terms, rigs, cold := smallTerms(), []*rig(nil), nodeID(0)
-		terms.BrokerCount = brokers
+		settings, rigs, cold := smallSettings(), []*rig(nil), nodeID(0)
+		settings.BrokerCount = brokers
 		start := func(i int, now time.Duration) *rig {
-			terms.Seed = uint64(seed)<<20 + uint64(i)<<10 + uint64(now/ms)
-			r := newRig(terms, 6)
+			settings.Seed = uint64(seed)<<20 + uint64(i)<<10 + uint64(now/ms)
+			r := newRig(settings, 6)
 			r.now = now
 			r.list(decision.ListUpdateReceived, decision.Endpoint{Node: cold, State: decision.Ready, StartedAt: 0})
 			return r
@@ -50,9 +50,9 @@
 			}
 			for _, r := range rigs {
 				if rnd.Intn(2*brokers) < load {
-					r.ask(0, 3*time.Second, rnd.Intn(4), rnd.Intn(4))
+					r.query(0, 3*time.Second, rnd.Intn(4), rnd.Intn(4))
 				}
-				r.endWhere(decision.OK, 80*ms, func(decision.NodeID) bool { return rnd.Intn(8) == 0 })
+				r.endAttempts(decision.OK, 80*ms, func(decision.NodeID) bool { return rnd.Intn(8) == 0 })
 				r.step(5 * ms)
 			}
 		}
@@ -67,10 +67,10 @@
 					n++
 				}
 			}
-			allowed := terms.OverloadMultiple * have * full * window.Seconds()
+			allowed := settings.OverloadMultiple * have * full * window.Seconds()
 			most := allowed + 2*math.Sqrt(allowed) + 2
-			must(t, float64(n) <= most, "seed %d, %d brokers: %d sent from %v on, limit %.1f", seed, brokers, n, from, most)
+			require(t, float64(n) <= most, "seed %d, %d brokers: %d sent from %v on, limit %.1f", seed, brokers, n, from, most)
 		}
-		must(t, len(sends) > 20, "it must be brought back, not left out")
+		require(t, len(sends) > 20, "it must be brought back, not left out")
 	}
 }
--- /dev/null
+++ b/internal/decision/routing/slow_start_test.go
@@ -0,0 +1,71 @@
+package routing
+
+import (
+	"testing"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+func TestCapacityShareGrowsOverWarmUp(t *testing.T) {
+	settings := &decision.Settings{ColdCapacity: 0.25, WarmUpTime: 8 * time.Second, OverloadMultiple: 1}
+	for age, want := range map[time.Duration]float64{
+		-time.Second:     slowStartSafety * 0.25,
+		0:                slowStartSafety * 0.25,
+		4 * time.Second:  slowStartSafety * 0.625,
+		8 * time.Second:  slowStartSafety,
+		40 * time.Second: 1,
+	} {
+		if got := capacityShare(settings, age); got != want {
+			t.Errorf("share %v at %v, want %v", got, age, want)
+		}
+	}
+}
+
+func TestSlowStartAllowance(t *testing.T) {
+	s := slowStart{share: 0.5}
+	s.grow(4, 250*ms)
+	if s.allowance != 0.5 {
+		t.Errorf("allowance %v after a quarter second of two attempts a second, want 0.5", s.allowance)
+	}
+	s.grow(4, 10*time.Second)
+	if s.allowance != maxUnusedAllowance {
+		t.Errorf("allowance %v after a long time, want %v", s.allowance, maxUnusedAllowance)
+	}
+	for range 5 {
+		s.spend()
+	}
+	if s.allowance != minUnusedAllowance {
+		t.Errorf("allowance %v after five attempts, want %v", s.allowance, minUnusedAllowance)
+	}
+	warmedUp := slowStart{share: 1}
+	warmedUp.spend()
+	if warmedUp.allowance != 0 {
+		t.Errorf("a warmed-up node has spent its allowance: %v", warmedUp.allowance)
+	}
+}
+
+func TestConfirmationAdmits(t *testing.T) {
+	const interval, overloadAfter = 4 * time.Second, time.Second
+	for name, test := range map[string]struct {
+		confirmation confirmation
+		calls        int
+		lastSentAt   time.Duration
+		now          time.Duration
+		admits       bool
+	}{
+		"the first call":               {confirmation{since: 1, window: 1}, 0, 0, 2, true},
+		"one is in flight":             {confirmation{since: 1, window: 1.75}, 1, 2, 3, false},
+		"the window is two":            {confirmation{since: 1, window: 2}, 1, 2, 3, true},
+		"a pause":                      {confirmation{since: 1, window: 1, backoffUntil: 5}, 0, 2, 4, false},
+		"the pause is over":            {confirmation{since: 1, window: 1, backoffUntil: 5}, 0, 2, 5, true},
+		"before its place in time":     {confirmation{since: 1, window: 1, spread: 0.5}, 0, 0, 1500 * ms, false},
+		"at its place in time":         {confirmation{since: 1, window: 1, spread: 0.5}, 0, 0, 1500*ms + 1, true},
+		"it has sent something before": {confirmation{since: 1, window: 1, spread: 0.5}, 0, 2, 3, true},
+	} {
+		e := &endpoint{calls: make([]call, test.calls), lastSentAt: test.lastSentAt}
+		if got := test.confirmation.admits(e, test.now, interval, overloadAfter); got != test.admits {
+			t.Errorf("%s: admits %v, want %v", name, got, test.admits)
+		}
+	}
+}
