--- a/internal/decision/routing/log_messages.go
+++ b/internal/decision/routing/log_messages.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"flaxfront/internal/decision"
 )
@@ -28,24 +29,29 @@
 	logMessageCount
 )
 
+// logFormats are in the terms of docs/glossary.md. Whoever rewords one adds the wording that digests of the simulator are taken of, in
+// internal/lab/play/digest.go, and changes the page.
 var logFormats = [logMessageCount]string{
-	logEjectedUnresponsive: "%v shut: silent (%.2f)",
-	logEjectedErrors:       "%v shut: errors (%.2f)",
-	logEjectedRejecting:    "%v shut: refuses (%.2f)",
-	logEjectedUnreachable:  "%v shut: unreachable (%.2f)",
-	logReinstated:          "%v trusted: doubt %.2f",
-	logWarmingUp:           "%v cold: started %v ago",
-	logWarmedUp:            "%v warm",
-	logZoneAvoided:         "zone %d shunned true: doubt %.2f",
-	logZoneUsedAgain:       "zone %d shunned false: doubt %.2f",
-	logFailuresAlike:       "parts fail at all nodes alike true: %.2f",
-	logFailuresAlikeEnded:  "parts fail at all nodes alike false: %.2f",
-	logIdleConnectionsCut:  "idle connections are cut: %.2f fail after %v, %.2f of fresh",
-	logSheddingStarted:     "refusing true: wait %.2f of the time left, %v",
-	logSheddingEnded:       "refusing false: wait %.2f of the time left, %v",
-	logUnknownQueryType:    "search of unknown type %d failed",
+	logEjectedUnresponsive: "%v ejected: unresponsive (no answer for %.2f s)",
+	logEjectedErrors:       "%v ejected: errors (error rate %.2f)",
+	logEjectedRejecting:    "%v ejected: rejects attempts (error rate %.2f)",
+	logEjectedUnreachable:  "%v ejected: unreachable (error rate %.2f)",
+	logReinstated:          "%v reinstated: error rate %.2f",
+	logWarmingUp:           "%v warming up: started %v ago",
+	logWarmedUp:            "%v warmed up",
+	logZoneAvoided:         "zone %d avoided: error rate %.2f",
+	logZoneUsedAgain:       "zone %d used again: error rate %.2f",
+	logFailuresAlike:       "attempts fail at all nodes alike: error rate %.2f",
+	logFailuresAlikeEnded:  "attempts no longer fail at all nodes alike: error rate %.2f",
+	logIdleConnectionsCut:  "idle connections are cut: error rate %.2f after %v idle, %.2f over fresh connections",
+	logSheddingStarted:     "shedding load: expected wait %.2f of the time left, %v",
+	logSheddingEnded:       "shedding ended: expected wait %.2f of the time left, %v",
+	logUnknownQueryType:    "query of unknown type %d failed",
 }
 
+// LogFormats returns the formats of all log lines that a router may write.
+func LogFormats() []string { return slices.Clone(logFormats[:]) }
+
 func (r *Router) log(m logMessage, args ...any) {
 	r.act(decision.Action{Kind: decision.LogMessage, Text: fmt.Sprintf(logFormats[m], args...)})
 }
--- /dev/null
+++ b/internal/lab/play/digest.go
@@ -0,0 +1,67 @@
+package play
+
+import (
+	"regexp"
+	"strings"
+)
+
+// digestWordings hold, for each format of the router's log lines, the format that digests of a course are taken of: the one of the
+// version with which digests are compared. So digests stay comparable when a line is reworded. Whoever rewords a line changes its row
+// here; the figures and their order have to stay.
+var digestWordings = []struct{ format, digested string }{
+	{"%v ejected: unresponsive (no answer for %.2f s)", "%v shut: silent (%.2f)"},
+	{"%v ejected: errors (error rate %.2f)", "%v shut: errors (%.2f)"},
+	{"%v ejected: rejects attempts (error rate %.2f)", "%v shut: refuses (%.2f)"},
+	{"%v ejected: unreachable (error rate %.2f)", "%v shut: unreachable (%.2f)"},
+	{"%v reinstated: error rate %.2f", "%v trusted: doubt %.2f"},
+	{"%v warming up: started %v ago", "%v cold: started %v ago"},
+	{"%v warmed up", "%v warm"},
+	{"zone %d avoided: error rate %.2f", "zone %d shunned true: doubt %.2f"},
+	{"zone %d used again: error rate %.2f", "zone %d shunned false: doubt %.2f"},
+	{"attempts fail at all nodes alike: error rate %.2f", "parts fail at all nodes alike true: %.2f"},
+	{"attempts no longer fail at all nodes alike: error rate %.2f", "parts fail at all nodes alike false: %.2f"},
+	{"idle connections are cut: error rate %.2f after %v idle, %.2f over fresh connections",
+		"idle connections are cut: %.2f fail after %v, %.2f of fresh"},
+	{"shedding load: expected wait %.2f of the time left, %v", "refusing true: wait %.2f of the time left, %v"},
+	{"shedding ended: expected wait %.2f of the time left, %v", "refusing false: wait %.2f of the time left, %v"},
+	{"query of unknown type %d failed", "search of unknown type %d failed"},
+}
+
+// formatVerb is a verb of the formats above.
+var formatVerb = regexp.MustCompile(`%(\.2f|v|d)`)
+
+// rewording finds the lines of a format, with their figures as groups, and what is put in their place.
+type rewording struct {
+	lines       *regexp.Regexp
+	replacement string
+}
+
+var digestRewordings = rewordings()
+
+func rewordings() []rewording {
+	var all []rewording
+	for _, w := range digestWordings {
+		constant := formatVerb.Split(w.format, -1)
+		for i := range constant {
+			constant[i] = regexp.QuoteMeta(constant[i])
+		}
+		group := 0
+		replacement := formatVerb.ReplaceAllStringFunc(w.digested, func(string) string {
+			group++
+			return "${" + string(rune('0'+group)) + "}"
+		})
+		lines := regexp.MustCompile("^" + strings.Join(constant, "(.+?)") + "$")
+		all = append(all, rewording{lines: lines, replacement: replacement})
+	}
+	return all
+}
+
+// digestedLine is a log line in the wording that digests are taken of; a line of no known format is returned as it is.
+func digestedLine(line string) string {
+	for _, r := range digestRewordings {
+		if r.lines.MatchString(line) {
+			return r.lines.ReplaceAllString(line, r.replacement)
+		}
+	}
+	return line
+}
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -147,7 +147,7 @@
 	if f.lines++; f.lines <= mostLines/f.w.script.Brokers.Count {
 		f.by.tally.lines = append(f.by.tally.lines, Line{f.now, f.n, text})
 	}
-	f.mark(hashOf(text))
+	f.mark(hashOf(digestedLine(text)))
 }
 
 func (f *front) tell(text string) {
