--- a/internal/decision/routing/bench_test.go
+++ b/internal/decision/routing/bench_test.go
@@ -16,7 +16,7 @@
 			MinCompleteness: 1, FullCompleteness: 1}},
 		Tenants:       []decision.Tenant{{TrafficShare: 1, Quota: 100}},
 		CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: time.Second, ConnIdleTimeout: time.Minute,
-		MaxAttempts: 4, MaxInFlight: 10000, ColdCapacity: 0.3, WarmUpTime: 8 * time.Second, OverloadMultiple: 2,
+		MaxAttempts: 4, MaxInFlight: 10000, InitialCapacity: 0.3, WarmUpTime: 8 * time.Second, OverloadMultiple: 2,
 		ExtraAttemptsMin: 2, ExtraAttemptsShare: 0.05, ExtraAttemptsWindow: time.Second,
 	}
 	router := routing.New(settings)
@@ -31,7 +31,7 @@
 	arrival := make([]decision.Event, 3)
 	ends := make([]decision.Event, 0, 2)
 	round := func() {
-		arrival[0] = decision.Event{Kind: decision.QueryReceived, ID: nextID, TimeLeft: 3 * time.Second, Weight: 2}
+		arrival[0] = decision.Event{Kind: decision.QueryReceived, ID: nextID, RemainingTime: 3 * time.Second, Weight: 2}
 		arrival[1] = decision.Event{Kind: decision.ShardRequestReceived, ID: nextID + 1, Shard: 0, Weight: 0.5}
 		arrival[2] = decision.Event{Kind: decision.ShardRequestReceived, ID: nextID + 2, Shard: 1, Weight: 0.5}
 		nextID += 3
--- a/internal/decision/routing/completion.go
+++ b/internal/decision/routing/completion.go
@@ -19,21 +19,21 @@
 // setDeadlines sets when a query that came is answered with what there is, and when it must have a result.
 func (d *dispatcher) setDeadlines(q *query, e *decision.Event) {
 	r := d.router
-	q.wholeDeadline = r.now + min(q.queryType.LatencyObjective, e.TimeLeft) - deadlineMargin
+	q.wholeDeadline = r.now + min(q.queryType.LatencyObjective, e.RemainingTime) - deadlineMargin
 	q.deadline = q.wholeDeadline
 	if q.queryType.SecondPhaseRequests > 0 {
 		q.deadline -= min(d.latency.p95, q.queryType.LatencyObjective/maxSecondPhaseReserve)
 	}
-	q.guardAt = r.now + e.TimeLeft - guardSteps*r.settings.ClockStep
+	q.guardAt = r.now + e.RemainingTime - guardSteps*r.settings.ClockStep
 }
 
 // noteRetryingClient sets how much of its time the client of a query has spent before. A retry that leaves less time than usual was cut
 // short by its client's timeout, which tells when the client asked first.
 func (d *dispatcher) noteRetryingClient(q *query, e *decision.Event) {
-	usual := d.usualRemainingTime[e.Type].vote(e.TimeLeft)
+	usual := d.usualRemainingTime[e.Type].vote(e.RemainingTime)
 	mayBeRetry := e.Retry || !d.router.settings.ClientsMarkRetries
-	if mayBeRetry && e.TimeLeft < usual-majoritySlack {
-		q.spent = max(0, q.queryType.Timeout-e.TimeLeft)
+	if mayBeRetry && e.RemainingTime < usual-majoritySlack {
+		q.spent = max(0, q.queryType.Timeout-e.RemainingTime)
 	}
 }
 
--- a/internal/decision/routing/dispatcher.go
+++ b/internal/decision/routing/dispatcher.go
@@ -95,7 +95,7 @@
 		d.handleAttemptEnded(e)
 	case decision.HealthCheckEnded:
 		d.handleHealthCheckEnded(e)
-	case decision.ClientLeft:
+	case decision.ClientDeparted:
 		if ref, known := d.queries.find(e.ID); known && ref.request == wholeQuery {
 			d.remove(ref.slot)
 		}
--- a/internal/decision/routing/golden_arrivals_test.go
+++ b/internal/decision/routing/golden_arrivals_test.go
@@ -15,7 +15,7 @@
 	}
 	if len(s.queries) > 0 && g.oneIn(25) {
 		at := g.below(len(s.queries))
-		s.add(decision.Event{Kind: decision.ClientLeft, ID: s.queries[at].id})
+		s.add(decision.Event{Kind: decision.ClientDeparted, ID: s.queries[at].id})
 		s.queries = slices.Delete(s.queries, at, at+1)
 	}
 }
@@ -27,12 +27,12 @@
 	q := openQuery{id: s.nextID, serial: s.serial, queryType: g.below(len(s.settings.QueryTypes))}
 	shards := choose(g, 1, 1, 2, 3, 6)
 	e := decision.Event{Kind: decision.QueryReceived, ID: q.id, Serial: q.serial, Type: q.queryType, Weight: float64(shards),
-		TimeLeft: s.settings.QueryTypes[q.queryType].Timeout}
+		RemainingTime: s.settings.QueryTypes[q.queryType].Timeout}
 	if len(s.settings.Tenants) > 0 {
 		e.Tenant = min(g.below(8), len(s.settings.Tenants)-1+g.below(2))
 	}
 	if g.oneIn(5) {
-		e.TimeLeft = g.duration(e.TimeLeft)
+		e.RemainingTime = g.duration(e.RemainingTime)
 		e.Retry = g.oneIn(2)
 	}
 	if g.oneIn(400) {
--- a/internal/decision/routing/golden_settings_test.go
+++ b/internal/decision/routing/golden_settings_test.go
@@ -26,7 +26,7 @@
 		MaxAttempts:         choose(g, 2, 3, 4),
 		MaxInFlight:         choose(g, 10+g.below(90), 10000),
 		PollList:            g.oneIn(2),
-		ColdCapacity:        choose(g, 0.05, 0.3, 0.8),
+		InitialCapacity:     choose(g, 0.05, 0.3, 0.8),
 		WarmUpTime:          choose(g, 2*time.Second, 8*time.Second, 30*time.Second),
 		OverloadMultiple:    choose(g, 1.2, 2, 4),
 		OverloadAfter:       choose(g, 500*time.Millisecond, 2*time.Second),
--- a/internal/decision/routing/slow_start.go
+++ b/internal/decision/routing/slow_start.go
@@ -45,7 +45,7 @@
 // capacityShare is the share of its usual load that a node may get so long after its start. All brokers at once would overload a node
 // that is warming up; if each keeps to this share of what it sends a warmed-up node, by a capacity that grows evenly, so does their sum.
 func capacityShare(s *decision.Settings, age time.Duration) float64 {
-	capacity := s.ColdCapacity + (1-s.ColdCapacity)*float64(max(0, age))/float64(s.WarmUpTime)
+	capacity := s.InitialCapacity + (1-s.InitialCapacity)*float64(max(0, age))/float64(s.WarmUpTime)
 	return min(1, slowStartSafety*s.OverloadMultiple*capacity)
 }
 
@@ -140,7 +140,7 @@
 // unconfirmedInterval is the time between attempts that all brokers can keep to a node that may be cold.
 func (d *dispatcher) unconfirmedInterval() time.Duration {
 	s := d.router.settings
-	share := max(minUnconfirmedShare, min(1, slowStartSafety*s.OverloadMultiple*s.ColdCapacity))
+	share := max(minUnconfirmedShare, min(1, slowStartSafety*s.OverloadMultiple*s.InitialCapacity))
 	return time.Duration(float64(s.BrokerCount) * float64(d.latency.lowPoint) / share)
 }
 
--- a/internal/decision/routing/slow_start_test.go
+++ b/internal/decision/routing/slow_start_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCapacityShareGrowsOverWarmUp(t *testing.T) {
-	settings := &decision.Settings{ColdCapacity: 0.25, WarmUpTime: 8 * time.Second, OverloadMultiple: 1}
+	settings := &decision.Settings{InitialCapacity: 0.25, WarmUpTime: 8 * time.Second, OverloadMultiple: 1}
 	for age, want := range map[time.Duration]float64{
 		-time.Second:     slowStartSafety * 0.25,
 		0:                slowStartSafety * 0.25,
