--- a/internal/decision/routing/allowed_replicas_test.go
+++ b/internal/decision/routing/allowed_replicas_test.go
@@ -27,7 +27,9 @@
 
 func oneCellRig() *rig {
 	settings := smallSettings()
-	settings.Cells, settings.BrokerCount, settings.HedgingAllowed = 1, 1, true
+	settings.Cells = 1
+	settings.BrokerCount = 1
+	settings.HedgingAllowed = true
 	return newRig(settings, 5)
 }
 
--- a/internal/decision/routing/confirmation_test.go
+++ b/internal/decision/routing/confirmation_test.go
@@ -21,7 +21,9 @@
 // A node that is unconfirmed has one call in flight; shard requests beyond it wait for its answer, and none is lost or shed for that.
 func TestUnconfirmedNodeHasOneCallInFlight(t *testing.T) {
 	settings := smallSettings()
-	settings.Cells, settings.BrokerCount, settings.OverloadAfter = 1, 1, 2*time.Second
+	settings.Cells = 1
+	settings.BrokerCount = 1
+	settings.OverloadAfter = 2 * time.Second
 	r := unconfirmedRig(settings, 2)
 	for range 6 {
 		r.query(0, 3*time.Second, 0)
@@ -39,7 +41,9 @@
 // and must be warmed up.
 func TestConfirmationWindow(t *testing.T) {
 	settings := smallSettings()
-	settings.Cells, settings.BrokerCount, settings.OverloadAfter = 1, 1, 2*time.Second
+	settings.Cells = 1
+	settings.BrokerCount = 1
+	settings.OverloadAfter = 2 * time.Second
 	r := unconfirmedRig(settings, 1)
 	e := &r.router.dispatcher.endpoints.all[0]
 	for i := range 8 {
@@ -73,7 +77,10 @@
 		sent := 0
 		for seed := range 200 {
 			settings := smallSettings()
-			settings.Cells, settings.BrokerCount, settings.Seed, settings.OverloadAfter = 1, brokers, uint64(seed), 2*time.Second
+			settings.Cells = 1
+			settings.BrokerCount = brokers
+			settings.Seed = uint64(seed)
+			settings.OverloadAfter = 2 * time.Second
 			r := unconfirmedRig(settings, 1)
 			r.query(0, 3*time.Second, 0)
 			r.step(5 * ms)
--- a/internal/decision/routing/course_test.go
+++ b/internal/decision/routing/course_test.go
@@ -68,7 +68,10 @@
 
 	// Hedges in a general slowdown join the crowd (kisumu-leases big-1).
 	d := &r.router.dispatcher.latency
-	d.known, d.p50, d.p95, d.lowPoint = true, 300*ms, 350*ms, 100*ms
+	d.known = true
+	d.p50 = 300 * ms
+	d.p95 = 350 * ms
+	d.lowPoint = 100 * ms
 	r.query(0, 3*time.Second, 0)
 	for end := r.now + 395*ms; r.now < end; {
 		require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) <= 1, "hedged at %v", r.now)
@@ -160,7 +163,8 @@
 		r.step(5 * ms)
 		ref, ok := r.router.dispatcher.queries.find(id)
 		require(t, ok, "query %d not in flight", i)
-		spent, want := r.router.dispatcher.queries.slots[ref.slot].spent, []time.Duration{0, 1800 * ms}[i/5]
+		spent := r.router.dispatcher.queries.slots[ref.slot].spent
+		want := []time.Duration{0, 1800 * ms}[i/5]
 		require(t, spent == want, "query %d: spent %v", i, spent)
 	}
 }
--- a/internal/decision/routing/ejection_test.go
+++ b/internal/decision/routing/ejection_test.go
@@ -14,7 +14,8 @@
 func TestUnresponsiveOrRejectingNode(t *testing.T) {
 	for _, quick := range []bool{false, true} {
 		r := newRig(smallSettings(), 6)
-		sick, before := nodeID(2), 0
+		sick := nodeID(2)
+		before := 0
 		for i := range 1700 {
 			if i%8 == 0 {
 				r.query(0, 3*time.Second, 0, 1)
@@ -43,7 +44,8 @@
 		n.nextTrialAt = time.Hour
 	}
 	for i, want := range []int{2, 2, 2, 2, 2, 2, 0, 2} {
-		id, n := r.query(0, 3*time.Second, 0, 1), 0
+		id := r.query(0, 3*time.Second, 0, 1)
+		n := 0
 		for _, a := range actionsOf(r.step([]time.Duration{5 * ms, 600 * ms}[i/7]), decision.SendAttempt) {
 			if r.requests[a.ID].query == id {
 				n++
@@ -126,7 +128,7 @@
 		sick(nodeID(99))
 	}
 	r.step(5 * ms)
-	require(t, r.router.nodes[0].costFactor == maxCostFactor && !r.router.nodes[0].ejected, "two peers' word: limping, not shut")
+	require(t, r.router.nodes[0].costFactor == maxCostFactor && !r.router.nodes[0].ejected, "two peers' word: limping, not ejectedSteps")
 	r.step(4 * gossipMemory)
 	r.step(5 * ms)
 	require(t, r.router.nodes[0].costFactor == 1, "forgotten")
@@ -156,8 +158,10 @@
 func TestNodesWithLittleTraffic(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	r.step(time.Second)
-	slow, dead := r.router.nodes[0], r.router.nodes[2]
-	slow.sendInterval, dead.sendInterval = 10*time.Second, 10*time.Second
+	slow := r.router.nodes[0]
+	dead := r.router.nodes[2]
+	slow.sendInterval = 10 * time.Second
+	dead.sendInterval = 10 * time.Second
 	slow.handle(&message{kind: attemptEnded, outcome: decision.OK, elapsed: 900 * ms})
 	dead.handle(&message{kind: attemptEnded, outcome: decision.ConnectFailed})
 	r.now += 9 * time.Second
@@ -171,10 +175,15 @@
 // Where answers break on the way from all nodes alike, no node is ejected for it and queries are still answered; one
 // node that fails alone is ejected (the churn day, answers lost).
 func TestFailuresAlikeAtAllNodes(t *testing.T) {
-	shuts := 0 // where all nodes fail alike
+	ejectedStepsOfAll := 0 // where all nodes fail alike
 	for run := range 6 {
 		alone := run == 5
-		r, rnd, answers, final, shut, said := newRig(smallSettings(), 12), rand.New(rand.NewSource(int64(1+run))), 0, 0, 0, 0
+		r := newRig(smallSettings(), 12)
+		rnd := rand.New(rand.NewSource(int64(1 + run)))
+		answers := 0
+		final := 0
+		ejectedSteps := 0
+		logged := 0
 		for i := range 4000 {
 			if i%2 == 0 {
 				r.query(0, 3*time.Second, 0, 1)
@@ -188,7 +197,7 @@
 			r.endAttempts(decision.OK, 20*ms, nil)
 			for _, a := range r.step(5 * ms) {
 				if a.Kind == decision.LogMessage && strings.Contains(a.Text, "alike") {
-					said++
+					logged++
 				}
 				if i > 800 && a.Kind == decision.AnswerQuery {
 					answers++
@@ -199,7 +208,7 @@
 			}
 			for _, n := range r.router.nodes {
 				if i > 800 && n.ejected {
-					shut++
+					ejectedSteps++
 				}
 			}
 			if sends := actionsOf(r.actions, decision.SendAttempt); i > 800 && len(sends) > 0 {
@@ -207,17 +216,20 @@
 			}
 		}
 		require(t, r.violation == "" && answers*100 > final*98, "alone %v: %d of %d answered, %s", alone, answers, final, r.violation)
-		require(t, alone && said == 0 || !alone && said == 1, "alone %v: %d changes of mode", alone, said)
-		if require(t, !alone || shut > 2000, "shut for %d steps", shut); !alone {
-			shuts += shut
+		require(t, alone && logged == 0 || !alone && logged == 1, "alone %v: %d changes of mode", alone, logged)
+		if require(t, !alone || ejectedSteps > 2000, "ejected for %d steps", ejectedSteps); !alone {
+			ejectedStepsOfAll += ejectedSteps
 		}
 	}
-	require(t, shuts < 5*2000, "shut for %d steps in five runs", shuts)
+	require(t, ejectedStepsOfAll < 5*2000, "ejected for %d steps in five runs", ejectedStepsOfAll)
 }
 
 // A node that owes answers for long is tried over a fresh connection, once until it is heard, before it is ejected.
 func TestSilentConnectionIsRenewed(t *testing.T) {
-	r, mute, closes, shut := newRig(smallSettings(), 6), nodeID(2), 0, 0
+	r := newRig(smallSettings(), 6)
+	mute := nodeID(2)
+	closes := 0
+	ejectedSteps := 0
 	for i := range 1000 {
 		r.query(0, 3*time.Second, 0, 1)
 		r.endAttempts(decision.OK, 20*ms, func(n decision.NodeID) bool { return n != mute || i < 400 || closes > 0 })
@@ -226,8 +238,8 @@
 			closes++
 		}
 		if r.router.nodes[2].ejected {
-			shut++
+			ejectedSteps++
 		}
 	}
-	require(t, closes == 1 && shut == 0, "%d fresh connections, shut for %d steps", closes, shut)
+	require(t, closes == 1 && ejectedSteps == 0, "%d fresh connections, ejected for %d steps", closes, ejectedSteps)
 }
--- a/internal/decision/routing/fairness_test.go
+++ b/internal/decision/routing/fairness_test.go
@@ -12,10 +12,12 @@
 // can do, and returns the share served in time by third and class, of the tenant inside its share.
 func flood(own, other int) (share [3][2]float64) {
 	t := smallSettings()
-	t.BrokerCount, t.Tenants = 1, []decision.Tenant{{TrafficShare: 0.7, Quota: 120}, {TrafficShare: 0.3, Quota: 50}}
+	t.BrokerCount = 1
+	t.Tenants = []decision.Tenant{{TrafficShare: 0.7, Quota: 120}, {TrafficShare: 0.3, Quota: 50}}
 	r := newRig(t, 4)
 	type asked struct{ third, typ int }
-	mine, pending := map[uint64]asked{}, map[decision.NodeID]int{}
+	mine := map[uint64]asked{}
+	pending := map[decision.NodeID]int{}
 	var taken, served [3][2]float64
 	for tick := range 6000 { // of 5 ms
 		third := tick / 2000
--- a/internal/decision/routing/golden_sequence_test.go
+++ b/internal/decision/routing/golden_sequence_test.go
@@ -175,7 +175,8 @@
 	case decision.CancelAttempt:
 		for i := range s.open {
 			if o := &s.open[i]; o.id == a.ID && o.number == a.Attempt && !g.oneIn(10) {
-				o.endsAt, o.outcome = s.now, decision.Cancelled
+				o.endsAt = s.now
+				o.outcome = decision.Cancelled
 			}
 		}
 	case decision.AnswerQuery, decision.ShedQuery, decision.FailQuery:
--- a/internal/decision/routing/invariants_test.go
+++ b/internal/decision/routing/invariants_test.go
@@ -15,18 +15,30 @@
 		rnd := rand.New(rand.NewSource(seed))
 		settings := smallSettings()
 		settings.Seed = uint64(seed)
-		further := decision.QueryType{LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1, MinCompleteness: 1,
+		ordinary := decision.QueryType{LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1, MinCompleteness: 1,
 			FullCompleteness: 1}
-		tokened, once, twoSteps := further, further, further
-		tokened.Idempotency, tokened.IdempotencyWindow = decision.IdempotencyKeyed, 300*ms
+		keyed := ordinary
+		once := ordinary
+		twoPhases := ordinary
+		keyed.Idempotency = decision.IdempotencyKeyed
+		keyed.IdempotencyWindow = 300 * ms
 		once.Idempotency = decision.NonIdempotent
-		twoSteps.MinCompleteness, twoSteps.FullCompleteness, twoSteps.SecondPhaseRequests = 0.4, 0.7, 2
-		settings.QueryTypes = append(settings.QueryTypes, tokened, once, twoSteps)
-		settings.HedgingAllowed, settings.CancelAllowed, settings.PollList = rnd.Intn(4) > 0, rnd.Intn(4) > 0, rnd.Intn(2) > 0
-		settings.CellsPerShard, settings.MaxBatch = 1+rnd.Intn(2), 1+rnd.Intn(3)
-		settings.HealthChecksAllowed, settings.WeightByWork, settings.ConnIdleTimeout = rnd.Intn(2) > 0, rnd.Intn(2) > 0, time.Second
+		twoPhases.MinCompleteness = 0.4
+		twoPhases.FullCompleteness = 0.7
+		twoPhases.SecondPhaseRequests = 2
+		settings.QueryTypes = append(settings.QueryTypes, keyed, once, twoPhases)
+		settings.HedgingAllowed = rnd.Intn(4) > 0
+		settings.CancelAllowed = rnd.Intn(4) > 0
+		settings.PollList = rnd.Intn(2) > 0
+		settings.CellsPerShard = 1 + rnd.Intn(2)
+		settings.MaxBatch = 1 + rnd.Intn(3)
+		settings.HealthChecksAllowed = rnd.Intn(2) > 0
+		settings.WeightByWork = rnd.Intn(2) > 0
+		settings.ConnIdleTimeout = time.Second
 		if rnd.Intn(2) == 0 {
-			settings.ExtraAttemptsMin, settings.ExtraAttemptsShare, settings.ExtraAttemptsWindow = 2, 0.05, time.Second
+			settings.ExtraAttemptsMin = 2
+			settings.ExtraAttemptsShare = 0.05
+			settings.ExtraAttemptsWindow = time.Second
 		}
 		if rnd.Intn(3) == 0 {
 			settings.MaxInFlight = 30
@@ -51,7 +63,9 @@
 	for seed := range int64(6) {
 		brokers := []int{3, 40}[seed%2]
 		rnd := rand.New(rand.NewSource(seed))
-		settings, rigs, cold := smallSettings(), []*rig(nil), nodeID(0)
+		settings := smallSettings()
+		rigs := []*rig(nil)
+		cold := nodeID(0)
 		settings.BrokerCount = brokers
 		for i := range brokers {
 			settings.Seed = uint64(seed) + uint64(i)
@@ -67,7 +81,8 @@
 				r.step(5 * ms)
 			}
 		}
-		sends, warm := []time.Duration(nil), 0
+		sends := []time.Duration(nil)
+		warm := 0
 		for _, r := range rigs {
 			sends = append(sends, r.sends[cold]...)
 			for i := 1; i < 6; i++ {
@@ -76,7 +91,8 @@
 		}
 		full := float64(warm) / 5 / 8 // parts a second that a warm node is sent, taken for all it can do
 		for from := time.Duration(0); from < 8*time.Second; from += 100 * ms {
-			n, have := 0, 0.3+0.7*from.Seconds()/8
+			n := 0
+			have := 0.3 + 0.7*from.Seconds()/8
 			for _, at := range sends {
 				if at >= from && at < from+1500*ms {
 					n++
@@ -90,7 +106,9 @@
 }
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	router, actions, now := newRig(smallSettings(), 240).router, make([]decision.Action, 0, 16), time.Duration(0)
+	router := newRig(smallSettings(), 240).router
+	actions := make([]decision.Action, 0, 16)
+	now := time.Duration(0)
 	in := []decision.Event{{Kind: decision.QueryReceived, ID: 1, RemainingTime: time.Second, Weight: 1},
 		{Kind: decision.ShardRequestReceived, Weight: 1}}
 	back := []decision.Event{{Kind: decision.AttemptEnded, Outcome: decision.OK, Elapsed: 50 * ms}}
@@ -135,7 +153,8 @@
 // Nodes that are replaced under new ids all day leave nothing behind, though queries run on; a place that is used
 // again is in the new node's cell alone.
 func TestUnlistedNodesAreForgotten(t *testing.T) {
-	settings, live := smallSettings(), []decision.Endpoint{}
+	settings := smallSettings()
+	live := []decision.Endpoint{}
 	settings.WarmUpTime = time.Minute
 	r := newRig(settings, 6)
 	for i := range 6 {
@@ -149,7 +168,8 @@
 			for j := range 1 + i/50%3 { // one, two or three at a time
 				e := &live[(i/50+j)%5]
 				old := *e
-				old.State, e.StartedAt = decision.Removed, r.now
+				old.State = decision.Removed
+				e.StartedAt = r.now
 				e.Node = decision.NodeID{Addr: [4]byte{11, byte(i >> 8), byte(i), byte(j)}, Port: 1}
 				changes = append(changes, old, *e)
 			}
--- a/internal/decision/routing/list_polling_test.go
+++ b/internal/decision/routing/list_polling_test.go
@@ -13,8 +13,10 @@
 	const most = 1500 * ms
 	for seed := range uint64(100) {
 		settings := smallSettings()
-		settings.Seed, settings.PollList = seed, true
-		router, now := New(settings), time.Duration(0)
+		settings.Seed = seed
+		settings.PollList = true
+		router := New(settings)
+		now := time.Duration(0)
 		router.Step(now, nil, nil)
 		for failure := range 20 {
 			failed := now
--- a/internal/decision/routing/lost_calls_test.go
+++ b/internal/decision/routing/lost_calls_test.go
@@ -46,7 +46,9 @@
 // Where there is a budget its count begins with the broker's start, and it is kept from the first shard request on.
 func TestBudgetFromTheStart(t *testing.T) {
 	settings := smallSettings()
-	settings.ExtraAttemptsMin, settings.ExtraAttemptsShare, settings.ExtraAttemptsWindow = 1, 0.1, 2*time.Second
+	settings.ExtraAttemptsMin = 1
+	settings.ExtraAttemptsShare = 0.1
+	settings.ExtraAttemptsWindow = 2 * time.Second
 	r := newRig(settings, 4)
 	for i, want := range []int{1, 0} {
 		r.query(0, 3*time.Second, 0)
--- a/internal/decision/routing/low_weight_test.go
+++ b/internal/decision/routing/low_weight_test.go
@@ -12,7 +12,8 @@
 	r.query(1, r.settings.QueryTypes[1].Timeout, 0, 1, 0, 1)
 	for i, w := range []float64{0.7, 0.2, 0.05, 0.05} {
 		e := &r.events[len(r.events)-4+i]
-		e.Weight, r.requests[e.ID].weight = w, w
+		e.Weight = w
+		r.requests[e.ID].weight = w
 	}
 	return len(actionsOf(r.step(5*ms), decision.SendAttempt))
 }
--- a/internal/decision/routing/replicas_test.go
+++ b/internal/decision/routing/replicas_test.go
@@ -42,7 +42,9 @@
 // In a ring each node is a cell of its own; one that leaves health checks unanswered is avoided by all shards that it holds.
 func TestCellsInRing(t *testing.T) {
 	settings := smallSettings()
-	settings.HealthChecksAllowed, settings.Cells, settings.CellsPerShard = true, 9, 3
+	settings.HealthChecksAllowed = true
+	settings.Cells = 9
+	settings.CellsPerShard = 3
 	r := newRig(settings, 9)
 	deaf := nodeID(4)
 	for i := range 200 {
@@ -64,7 +66,8 @@
 // left of the budget goes to one that it can save.
 func TestQueryBeyondBudgetIsShed(t *testing.T) {
 	settings := smallSettings()
-	settings.ExtraAttemptsMin, settings.ExtraAttemptsWindow = 2, 10*time.Second
+	settings.ExtraAttemptsMin = 2
+	settings.ExtraAttemptsWindow = 10 * time.Second
 	r := newRig(settings, 12)
 	r.query(0, 3*time.Second, 0, 1, 2, 3)
 	r.step(5 * ms)
@@ -107,7 +110,8 @@
 func TestIdempotencyKeyedHedges(t *testing.T) {
 	for _, window := range []time.Duration{time.Second, 100 * ms} {
 		settings := smallSettings()
-		settings.QueryTypes[0].Idempotency, settings.QueryTypes[0].IdempotencyWindow = decision.IdempotencyKeyed, window
+		settings.QueryTypes[0].Idempotency = decision.IdempotencyKeyed
+		settings.QueryTypes[0].IdempotencyWindow = window
 		r := newRig(settings, 6)
 		r.query(0, 3*time.Second, 0)
 		r.step(0)
@@ -121,7 +125,8 @@
 func TestBudgetComesIntoForce(t *testing.T) {
 	settings := smallSettings()
 	r := newRig(settings, 6)
-	r.settings.ExtraAttemptsMin, r.settings.ExtraAttemptsWindow = 3, 2*time.Second
+	r.settings.ExtraAttemptsMin = 3
+	r.settings.ExtraAttemptsWindow = 2 * time.Second
 	r.router.Reconfigure(r.settings, false)
 	for i, want := range []int{0, 1} {
 		r.query(0, 3*time.Second, 0)
--- a/internal/decision/routing/rig_rules_test.go
+++ b/internal/decision/routing/rig_rules_test.go
@@ -52,7 +52,9 @@
 		r.violate("rule 1: second final answer for %d", a.ID)
 		return
 	}
-	queryType, got, clean := &r.settings.QueryTypes[h.queryType], 0.0, true
+	queryType := &r.settings.QueryTypes[h.queryType]
+	got := 0.0
+	clean := true
 	for _, id := range h.requests {
 		p := r.requests[id]
 		if p.answered {
@@ -60,7 +62,8 @@
 		}
 		clean = clean && !p.ran && p.inFlight == 0
 	}
-	need, floor := queryType.FullCompleteness, queryType.MinCompleteness
+	need := queryType.FullCompleteness
+	floor := queryType.MinCompleteness
 	if h.secondPhase {
 		if need = 1; floor >= queryType.FullCompleteness {
 			floor = 1
--- a/internal/decision/routing/slow_start_brokers_test.go
+++ b/internal/decision/routing/slow_start_brokers_test.go
@@ -17,7 +17,9 @@
 	for seed := range int64(6) {
 		brokers := []int{20, 30}[seed%2]
 		rnd := rand.New(rand.NewSource(seed))
-		settings, rigs, cold := smallSettings(), []*rig(nil), nodeID(0)
+		settings := smallSettings()
+		rigs := []*rig(nil)
+		cold := nodeID(0)
 		settings.BrokerCount = brokers
 		start := func(i int, now time.Duration) *rig {
 			settings.Seed = uint64(seed)<<20 + uint64(i)<<10 + uint64(now/ms)
@@ -29,7 +31,8 @@
 		for i := range brokers {
 			rigs = append(rigs, start(i, 0))
 		}
-		sends, warm := []time.Duration(nil), 0
+		sends := []time.Duration(nil)
+		warm := 0
 		counted := func(r *rig) {
 			sends = append(sends, r.sends[cold]...)
 			for i := 1; i < 6; i++ {
@@ -61,7 +64,8 @@
 		}
 		full := float64(warm) / 5 / 8 // parts a second that a warm node is sent, taken for all it can do
 		for from := time.Duration(0); from < 8*time.Second; from += 50 * ms {
-			n, have := 0, 0.3+0.7*from.Seconds()/8
+			n := 0
+			have := 0.3 + 0.7*from.Seconds()/8
 			for _, at := range sends {
 				if at >= from && at < from+window {
 					n++
--- a/internal/decision/routing/zone_health_test.go
+++ b/internal/decision/routing/zone_health_test.go
@@ -3,7 +3,8 @@
 import "testing"
 
 func TestZoneErrorRate(t *testing.T) {
-	start, weight := 0.8, zoneErrorWeight
+	start := 0.8
+	weight := zoneErrorWeight
 	z := zoneHealth{errorRate: start}
 	z.observe(1, 0)
 	failed := start*(1-weight) + weight
@@ -14,7 +15,8 @@
 	if want := failed * (1 - weight); z.errorRate != want {
 		t.Errorf("error rate %v after an answer, want %v", z.errorRate, want)
 	}
-	now, later := z.current(0), z.current(zoneErrorMemory)
+	now := z.current(0)
+	later := z.current(zoneErrorMemory)
 	if later >= now/2 || later <= now/3 {
 		t.Errorf("error rate %v fades to %v in one time constant, want 1/e of it", now, later)
 	}
