--- a/internal/decision/routing/ejection.go
+++ b/internal/decision/routing/ejection.go
@@ -84,7 +84,7 @@
 }
 
 // noteFailure takes an attempt that failed at the node. The attempts that fail at one time, with one connection, count once. Where
-// attempts fail at all nodes alike each looks sick in turn, and ejecting some would crowd the others: a node has to stand out.
+// attempts fail at all nodes alike each looks faulty in turn, and ejecting some would crowd the others: a node has to stand out.
 func (n *nodeHealth) noteFailure() {
 	now := n.router.now
 	n.noteResponse()
@@ -122,7 +122,7 @@
 }
 
 // judgeSilence ejects a node that takes attempts and answers none: its calls together have waited several times what is usual. Before
-// that, once until it is heard again, fresh connections are tried, as one connection may be dead and not its node.
+// that, once until it answers again, fresh connections are tried, as one connection may be dead and not its node.
 func (n *nodeHealth) judgeSilence(m *message) {
 	r := n.router
 	now := r.now
--- a/internal/decision/routing/ejection_test.go
+++ b/internal/decision/routing/ejection_test.go
@@ -9,27 +9,27 @@
 	"flaxfront/internal/decision"
 )
 
-// A node that answers nothing, or refuses at once (incident i06ac50), gets a trial now and then and is
+// A node that answers nothing, or rejects at once (incident i06ac50), gets a trial now and then and is
 // reinstated once it answers.
 func TestUnresponsiveOrRejectingNode(t *testing.T) {
 	for _, quick := range []bool{false, true} {
 		r := newRig(smallSettings(), 6)
-		sick := nodeID(2)
+		faulty := nodeID(2)
 		before := 0
 		for i := range 1700 {
 			if i%8 == 0 {
 				r.query(0, 3*time.Second, 0, 1)
 			}
 			if i == 400 {
-				before = len(r.sends[sick])
+				before = len(r.sends[faulty])
 			}
 			if i < 800 && quick {
-				r.endAttempts(decision.Rejected, 0, func(n decision.NodeID) bool { return n == sick })
+				r.endAttempts(decision.Rejected, 0, func(n decision.NodeID) bool { return n == faulty })
 			}
-			r.endAttempts(decision.OK, 95*ms, func(n decision.NodeID) bool { return n != sick || i > 800 })
+			r.endAttempts(decision.OK, 95*ms, func(n decision.NodeID) bool { return n != faulty || i > 800 })
 			r.step(5 * ms)
-			if n := len(r.sends[sick]) - before; i == 800 {
-				require(t, n <= 5, "%d sent to a sick node in 2 s", n)
+			if n := len(r.sends[faulty]) - before; i == 800 {
+				require(t, n <= 5, "%d sent to a faulty node in 2 s", n)
 			}
 		}
 		require(t, !r.router.nodes[2].ejected && r.violation == "", "it answers again and is in service: %s", r.violation)
@@ -61,10 +61,10 @@
 	n := r.router.nodes[0]
 	n.handle(&message{kind: attemptEnded, outcome: decision.ConnectionReset})
 	n.handle(&message{kind: attemptEnded, outcome: decision.OK, elapsed: 50 * ms})
-	require(t, !n.warmingUp && !n.ejected, "cold after a lone reset")
+	require(t, !n.warmingUp && !n.ejected, "warming up after a lone reset")
 }
 
-// A data centre that answers nothing is found out as one (incident if2893d); one sick node is not held
+// A data centre that answers nothing is found out as one (incident if2893d); one faulty node is not held
 // against its zone, and nothing is avoided where all zones fail alike.
 func TestZoneAvoided(t *testing.T) {
 	r := newRig(smallSettings(), 12)
@@ -72,13 +72,13 @@
 		r.router.dispatcher.endpoints.all[r.router.indexes[e.id]].zone = 1
 	}
 	r.router.dispatcher.zones = make(zoneTable, 2)
-	sick := func(n decision.NodeID) bool { return n.Addr[3] < 6 }
+	faulty := func(n decision.NodeID) bool { return n.Addr[3] < 6 }
 	before := 0
 	for i := range 800 {
 		if i%8 == 0 {
 			r.query(0, 1500*ms, 0, 1)
 		}
-		r.endAttempts(decision.OK, 95*ms, func(n decision.NodeID) bool { return !sick(n) })
+		r.endAttempts(decision.OK, 95*ms, func(n decision.NodeID) bool { return !faulty(n) })
 		r.step(5 * ms)
 		if i == 400 {
 			before = len(r.sends[nodeID(0)]) + len(r.sends[nodeID(3)])
@@ -114,26 +114,26 @@
 	}
 }
 
-// What peers say thins a node's traffic, is forgotten, and makes no difference where it makes no sense.
+// What other brokers say thins a node's traffic, is forgotten, and makes no difference where it makes no sense.
 func TestGossip(t *testing.T) {
 	settings := smallSettings()
 	settings.GossipAllowed = true
 	r := newRig(settings, 6)
-	sick := func(id decision.NodeID) {
+	faulty := func(id decision.NodeID) {
 		text := append([]byte{gossipEjected}, id.Addr[:]...)
 		r.events = append(r.events, decision.Event{Kind: decision.GossipReceived, Payload: append(text, 0, byte(id.Port), 7)})
 	}
 	for range 2 {
-		sick(nodeID(0))
-		sick(nodeID(99))
+		faulty(nodeID(0))
+		faulty(nodeID(99))
 	}
 	r.step(5 * ms)
-	require(t, r.router.nodes[0].costFactor == maxCostFactor && !r.router.nodes[0].ejected, "two peers' word: limping, not ejectedSteps")
+	require(t, r.router.nodes[0].costFactor == maxCostFactor && !r.router.nodes[0].ejected, "two brokers' word: degraded, not ejected")
 	r.step(4 * gossipMemory)
 	r.step(5 * ms)
 	require(t, r.router.nodes[0].costFactor == 1, "forgotten")
 	r.router.nodes[1].eject(logEjectedErrors, 1)
-	require(t, len(actionsOf(r.step(5*ms), decision.SendGossip)) == 1 && r.violation == "", "peers are told: %s", r.violation)
+	require(t, len(actionsOf(r.step(5*ms), decision.SendGossip)) == 1 && r.violation == "", "other brokers are notified: %s", r.violation)
 }
 
 // A node whose trial is due is one candidate among its like: many brokers must not all draw it
@@ -217,24 +217,25 @@
 		}
 		require(t, r.violation == "" && answers*100 > final*98, "alone %v: %d of %d answered, %s", alone, answers, final, r.violation)
 		require(t, alone && logged == 0 || !alone && logged == 1, "alone %v: %d changes of mode", alone, logged)
-		if require(t, !alone || ejectedSteps > 2000, "ejected for %d steps", ejectedSteps); !alone {
+		require(t, !alone || ejectedSteps > 2000, "ejected for %d steps", ejectedSteps)
+		if !alone {
 			ejectedStepsOfAll += ejectedSteps
 		}
 	}
 	require(t, ejectedStepsOfAll < 5*2000, "ejected for %d steps in five runs", ejectedStepsOfAll)
 }
 
-// A node that owes answers for long is tried over a fresh connection, once until it is heard, before it is ejected.
+// A node that gives no answer for long is tried over a fresh connection, once until it answers, before it is ejected.
 func TestSilentConnectionIsRenewed(t *testing.T) {
 	r := newRig(smallSettings(), 6)
-	mute := nodeID(2)
+	unresponsive := nodeID(2)
 	closes := 0
 	ejectedSteps := 0
 	for i := range 1000 {
 		r.query(0, 3*time.Second, 0, 1)
-		r.endAttempts(decision.OK, 20*ms, func(n decision.NodeID) bool { return n != mute || i < 400 || closes > 0 })
+		r.endAttempts(decision.OK, 20*ms, func(n decision.NodeID) bool { return n != unresponsive || i < 400 || closes > 0 })
 		for _, a := range actionsOf(r.step(5*ms), decision.CloseIdleConnections) {
-			require(t, a.Node == mute && i > 400, "a fresh connection to %v at step %d", a.Node, i)
+			require(t, a.Node == unresponsive && i > 400, "a fresh connection to %v at step %d", a.Node, i)
 			closes++
 		}
 		if r.router.nodes[2].ejected {
--- a/internal/decision/routing/fairness_test.go
+++ b/internal/decision/routing/fairness_test.go
@@ -33,7 +33,8 @@
 		}
 		for i := range 4 { // each serves the oldest in its queue, one in 20 ms
 			id := nodeID(i)
-			if pending[id]++; pending[id] < 4 {
+			pending[id]++
+			if pending[id] < 4 {
 				continue
 			}
 			at := slices.IndexFunc(r.order, func(k attemptKey) bool { s, out := r.inFlight[k]; return out && s.node == id && s.at < r.now })
--- a/internal/decision/routing/invariants_test.go
+++ b/internal/decision/routing/invariants_test.go
@@ -65,12 +65,12 @@
 		rnd := rand.New(rand.NewSource(seed))
 		settings := smallSettings()
 		rigs := []*rig(nil)
-		cold := nodeID(0)
+		warmingUp := nodeID(0)
 		settings.BrokerCount = brokers
 		for i := range brokers {
 			settings.Seed = uint64(seed) + uint64(i)
 			rigs = append(rigs, newRig(settings, 6))
-			rigs[i].list(decision.ListUpdateReceived, decision.Endpoint{Node: cold, State: decision.Ready, StartedAt: 0})
+			rigs[i].list(decision.ListUpdateReceived, decision.Endpoint{Node: warmingUp, State: decision.Ready, StartedAt: 0})
 		}
 		for range 1600 {
 			for _, r := range rigs {
@@ -84,12 +84,12 @@
 		sends := []time.Duration(nil)
 		warm := 0
 		for _, r := range rigs {
-			sends = append(sends, r.sends[cold]...)
+			sends = append(sends, r.sends[warmingUp]...)
 			for i := 1; i < 6; i++ {
 				warm += len(r.sends[nodeID(i)])
 			}
 		}
-		full := float64(warm) / 5 / 8 // parts a second that a warm node is sent, taken for all it can do
+		full := float64(warm) / 5 / 8 // attempts a second that a warmed-up node is sent, taken for all it can do
 		for from := time.Duration(0); from < 8*time.Second; from += 100 * ms {
 			n := 0
 			have := 0.3 + 0.7*from.Seconds()/8
--- a/internal/decision/routing/list_polling_test.go
+++ b/internal/decision/routing/list_polling_test.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision"
 )
 
-// Whatever failed before, the list is asked for again soon. A change counts as told 6 s after discovery had it and could be reached;
-// one pause and a call that discovery works through in its turn have to fit in twice, as the first call may be refused.
+// Whatever failed before, the list is polled again soon. A change counts as known 6 s after discovery had it and could be reached;
+// one pause and a call that discovery works through in its turn have to fit in twice, as the first call may be rejected.
 func TestListIsPolledAgainInTime(t *testing.T) {
 	const most = 1500 * ms
 	for seed := range uint64(100) {
@@ -25,7 +25,8 @@
 				for _, a := range router.Step(now, events, nil) {
 					asked = asked || a.Kind == decision.SubscribeList
 				}
-				if events = nil; now-failed > most {
+				events = nil
+				if now-failed > most {
 					t.Fatalf("seed %d: not asked again %v after failure %d", seed, now-failed, failure+1)
 				}
 			}
--- a/internal/decision/routing/lost_calls_test.go
+++ b/internal/decision/routing/lost_calls_test.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/decision"
 )
 
-// Calls that a node swallowed while it hung tell nothing of it once it answers what it was sent after: it is neither shut as
+// Calls that a node swallowed while it hung tell nothing of it once it answers what it was sent after: it is neither ejected as
 // silent again, nor taken for slow or crowded.
 func TestLostCallsAreNotHeldAgainstNode(t *testing.T) {
 	settings := smallSettings()
--- a/internal/decision/routing/low_weight_test.go
+++ b/internal/decision/routing/low_weight_test.go
@@ -49,14 +49,14 @@
 	teach(r, 100*ms)
 	r.router.dispatcher.extraBudget.credit = maxCredit // the lessons have used some
 	require(t, skewed(r) == 4, "some shard requests are left out")
-	copies := map[uint64]int{}
+	hedges := map[uint64]int{}
 	for range 300 {
 		for _, a := range actionsOf(r.step(5*ms), decision.SendAttempt) {
-			copies[a.ID]++
+			hedges[a.ID]++
 		}
 	}
-	require(t, len(copies) == 1, "%d shard requests hedged, want the one that counts more than the mean", len(copies))
-	for id := range copies {
+	require(t, len(hedges) == 1, "%d shard requests hedged, want the one that counts more than the mean", len(hedges))
+	for id := range hedges {
 		require(t, r.requests[id].weight == 0.7, "a shard request of weight %v is hedged", r.requests[id].weight)
 	}
 	require(t, r.violation == "", "%s", r.violation)
@@ -68,7 +68,7 @@
 	settings.ClientsMarkRetries = true
 	r := newRig(settings, 4)
 	teach(r, 100*ms)
-	id := r.query(0, 170*ms, 0, 1) // it needs both parts, however little one of them counts
+	id := r.query(0, 170*ms, 0, 1) // it needs both shard requests, however little one of them counts
 	for i, w := range []float64{0.9, 0.1} {
 		r.events[len(r.events)-2+i].Weight, r.requests[r.queries[id].requests[i]].weight = w, w
 	}
--- a/internal/decision/routing/node_health.go
+++ b/internal/decision/routing/node_health.go
@@ -14,10 +14,10 @@
 	id               decision.NodeID
 	cell             int
 	listed           bool            // and ready
-	startedAt        time.Duration   // the latest start that a list told
+	startedAt        time.Duration   // the latest start that a list named
 	unlistedAt       time.Duration   // when it left the list; never: it is in it
 	namedBy          *decision.Event // the list being merged, if it names the node
-	reported         endpointStatus  // the last that the dispatcher was told
+	reported         endpointStatus  // the last that the dispatcher was sent
 	warmingUp        bool
 	unconfirmedSince time.Duration // 0: it is confirmed
 	unreachable      bool          // the last connection failed
--- a/internal/decision/routing/rejection_test.go
+++ b/internal/decision/routing/rejection_test.go
@@ -7,12 +7,12 @@
 	"flaxfront/internal/decision"
 )
 
-// While shard requests are rejected all over, a node that turned one away is full, not sick: it is ejected only for the second without an
+// While shard requests are rejected all over, a node that rejected one is full, not faulty: it is ejected only for the second without an
 // answer between. One that alone turns shard requests away is ejected at once, as it may drain.
 func TestFullNodeIsNotEjected(t *testing.T) {
 	for _, c := range []struct {
 		rejections float64
-		between    decision.Outcome // what comes between two refusals
+		between    decision.Outcome // what comes between two rejections
 		inService  [2]bool          // after each of them
 	}{
 		{0, decision.OK, [2]bool{false, false}},
--- a/internal/decision/routing/replicas_test.go
+++ b/internal/decision/routing/replicas_test.go
@@ -46,20 +46,20 @@
 	settings.Cells = 9
 	settings.CellsPerShard = 3
 	r := newRig(settings, 9)
-	deaf := nodeID(4)
+	unresponsive := nodeID(4)
 	for i := range 200 {
 		r.query(0, 3*time.Second, i%9, (i+1)%9)
 		for range 4 {
-			r.endChecks(decision.TimedOut, func(id decision.NodeID) bool { return id == deaf })
+			r.endChecks(decision.TimedOut, func(id decision.NodeID) bool { return id == unresponsive })
 			r.endChecks(decision.OK, func(decision.NodeID) bool { return true })
 			r.endAttempts(decision.OK, 40*ms, nil)
 			r.step(20 * ms)
 		}
 		r.step(500 * ms)
 	}
-	require(t, len(r.sends[deaf]) < len(r.sends[nodeID(7)])/4 && r.violation == "",
+	require(t, len(r.sends[unresponsive]) < len(r.sends[nodeID(7)])/4 && r.violation == "",
 		"%d sent to a node that answers no health check, %d to another: %s",
-		len(r.sends[deaf]), len(r.sends[nodeID(7)]), r.violation)
+		len(r.sends[unresponsive]), len(r.sends[nodeID(7)]), r.violation)
 }
 
 // A query that lacks more shard requests than the budget lets be sent again gets its answer at once, with a time to come back, and what is
@@ -86,7 +86,7 @@
 	require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) == 2 && r.violation == "", "the next one is sent again: %s", r.violation)
 }
 
-// The first of two steps ends early enough for the second, and the second is not refused.
+// The first of two phases ends early enough for the second, and the second is not shed.
 func TestTwoPhasesInTime(t *testing.T) {
 	settings := smallSettings()
 	settings.QueryTypes[1].SecondPhaseRequests = 2
--- a/internal/decision/routing/rig_rules_test.go
+++ b/internal/decision/routing/rig_rules_test.go
@@ -65,7 +65,8 @@
 	need := queryType.FullCompleteness
 	floor := queryType.MinCompleteness
 	if h.secondPhase {
-		if need = 1; floor >= queryType.FullCompleteness {
+		need = 1
+		if floor >= queryType.FullCompleteness {
 			floor = 1
 		}
 	}
@@ -104,7 +105,8 @@
 	r.endChecks(outcome, func(decision.NodeID) bool { return rnd.Intn(3) == 0 })
 	if rnd.Intn(20) == 0 {
 		e := decision.Endpoint{Node: nodeID(rnd.Intn(nodes)), State: decision.EndpointState(rnd.Intn(3)), StartedAt: decision.StartedLongAgo}
-		if e.Cell = int(e.Node.Addr[3]) % r.settings.Cells; rnd.Intn(2) == 0 {
+		e.Cell = int(e.Node.Addr[3]) % r.settings.Cells
+		if rnd.Intn(2) == 0 {
 			e.StartedAt = r.now - time.Duration(rnd.Intn(2000))*ms
 		}
 		e.Unconfirmed = rnd.Intn(3) == 0
--- a/internal/decision/routing/shedding.go
+++ b/internal/decision/routing/shedding.go
@@ -185,10 +185,10 @@
 		return false
 	}
 	arrivals := &s.tenantArrivals[tenant]
-	terms := &r.settings.Tenants[tenant]
+	share := &r.settings.Tenants[tenant]
 	arrivals.decay(r.now)
-	quota := terms.Quota / float64(r.settings.BrokerCount)
-	limit := max(quota, maxTenantRate*terms.TrafficShare*s.arrivals.usual(r.now))
+	quota := share.Quota / float64(r.settings.BrokerCount)
+	limit := max(quota, maxTenantRate*share.TrafficShare*s.arrivals.usual(r.now))
 	oneQuery := 1 / fastRateMemory.Seconds() // to a broker with little traffic one query looks like a burst
 	return arrivals.fast-oneQuery > limit
 }
--- a/internal/decision/routing/slow_start_brokers_test.go
+++ b/internal/decision/routing/slow_start_brokers_test.go
@@ -19,13 +19,13 @@
 		rnd := rand.New(rand.NewSource(seed))
 		settings := smallSettings()
 		rigs := []*rig(nil)
-		cold := nodeID(0)
+		warmingUp := nodeID(0)
 		settings.BrokerCount = brokers
 		start := func(i int, now time.Duration) *rig {
 			settings.Seed = uint64(seed)<<20 + uint64(i)<<10 + uint64(now/ms)
 			r := newRig(settings, 6)
 			r.now = now
-			r.list(decision.ListUpdateReceived, decision.Endpoint{Node: cold, State: decision.Ready, StartedAt: 0})
+			r.list(decision.ListUpdateReceived, decision.Endpoint{Node: warmingUp, State: decision.Ready, StartedAt: 0})
 			return r
 		}
 		for i := range brokers {
@@ -34,7 +34,7 @@
 		sends := []time.Duration(nil)
 		warm := 0
 		counted := func(r *rig) {
-			sends = append(sends, r.sends[cold]...)
+			sends = append(sends, r.sends[warmingUp]...)
 			for i := 1; i < 6; i++ {
 				warm += len(r.sends[nodeID(i)])
 			}
@@ -62,7 +62,7 @@
 		for _, r := range rigs {
 			counted(r)
 		}
-		full := float64(warm) / 5 / 8 // parts a second that a warm node is sent, taken for all it can do
+		full := float64(warm) / 5 / 8 // attempts a second that a warmed-up node is sent, taken for all it can do
 		for from := time.Duration(0); from < 8*time.Second; from += 50 * ms {
 			n := 0
 			have := 0.3 + 0.7*from.Seconds()/8
