--- a/internal/decision/routing/query_table.go
+++ b/internal/decision/routing/query_table.go
@@ -23,8 +23,8 @@
 	weight       float64
 	expectedWait float64 // over the time left
 	attempts     []attempt
-	inFlight     int  // attempts
-	answered     bool //
+	inFlight     int // attempts
+	answered     bool
 	abandoned    bool // no further attempt is made
 	hedged       bool
 	retried      bool
