--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -10,7 +10,7 @@
 	FullListReceived     EventKind = iota + 1 // Endpoints: the whole list
 	ListUpdateReceived                        // Endpoints: the lines that changed
 	ListPollFailed                            // a poll of discovery failed, or its watch broke
-	QueryReceived                             // ID, Serial, Type, Tenant, TimeLeft, Retry
+	QueryReceived                             // ID, Serial, Type, Tenant, RemainingTime, Retry
 	ShardRequestReceived                      // ID, Serial, Shard, Weight, Allowed
 	AttemptEnded                              // ID, Attempt, Outcome, Elapsed, Node
 	TimerFired                                // a timer that SetTimer asked for
