--- a/internal/cluster/readhint/parse.go
+++ b/internal/cluster/readhint/parse.go
@@ -9,8 +9,8 @@
 // Parse reads a hint. The error is a *Wrong, and then nothing of the hint holds.
 func Parse(text string) (Hint, error) {
 	var h Hint
-	if len(text) > MostBytes {
-		return Hint{}, wrong("", "longer than "+strconv.Itoa(MostBytes)+" bytes")
+	if len(text) > MaxBytes {
+		return Hint{}, wrong("", "longer than "+strconv.Itoa(MaxBytes)+" bytes")
 	}
 	seen := map[string]bool{}
 	for directive := range strings.SplitSeq(text, ";") {
@@ -32,7 +32,7 @@
 		case "not-before":
 			why = h.readPositions(value)
 		case "or-stale":
-			if h.OrStale = value == "yes"; !h.OrStale {
+			if h.AllowStale = value == "yes"; !h.AllowStale {
 				why = "only yes can be said"
 			}
 		default:
@@ -42,7 +42,7 @@
 			return Hint{}, wrong(directive, why)
 		}
 	}
-	if h.Empty() {
+	if h.IsZero() {
 		return Hint{}, wrong("", "or-stale alone asks for nothing")
 	}
 	return h, nil
@@ -50,11 +50,11 @@
 
 func (h *Hint) readPin(value string) (why string) {
 	scope, key, _ := strings.Cut(value, ":")
-	if s := Scope(scope); s != Session && s != Key {
+	if s := Scope(scope); s != ScopeSession && s != ScopeKey {
 		return "neither session nor key"
 	}
-	if len(key) == 0 || len(key) > MostKey {
-		return "a name has 1 to " + strconv.Itoa(MostKey) + " bytes"
+	if len(key) == 0 || len(key) > MaxKeyBytes {
+		return "a name has 1 to " + strconv.Itoa(MaxKeyBytes) + " bytes"
 	}
 	for i := range len(key) {
 		if c := key[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || strings.IndexByte("-_.~", c) >= 0) {
@@ -75,22 +75,22 @@
 		}
 	}
 	n, ok := number(digits)
-	if !ok || n == 0 || n > uint64(MostStale/unit) {
-		return "not a whole number between nothing and " + MostStale.String()
+	if !ok || n == 0 || n > uint64(LongestStaleness/unit) {
+		return "not a whole number between nothing and " + LongestStaleness.String()
 	}
-	h.MaxStale = time.Duration(n) * unit
+	h.MaxStaleness = time.Duration(n) * unit
 	return ""
 }
 
 func (h *Hint) readPositions(value string) (why string) {
-	if strings.Count(value, ",") >= MostPositions {
-		return "more than " + strconv.Itoa(MostPositions) + " positions"
+	if strings.Count(value, ",") >= MaxPositions {
+		return "more than " + strconv.Itoa(MaxPositions) + " positions"
 	}
 	for pair := range strings.SplitSeq(value, ",") {
 		left, right, _ := strings.Cut(pair, ":")
 		shard, ok1 := number(left)
 		at, ok2 := number(right)
-		if !ok1 || !ok2 || shard > MostShard {
+		if !ok1 || !ok2 || shard > MaxShard {
 			return "not SHARD:POSITION"
 		}
 		if n := len(h.NotBefore); n > 0 && h.NotBefore[n-1].Shard >= int(shard) {
--- a/internal/cluster/readhint/readhint.go
+++ b/internal/cluster/readhint/readhint.go
@@ -18,11 +18,11 @@
 
 // Bounds of a hint. What is longer is wrong, whatever it says.
 const (
-	MostBytes     = 2048 // no hint within the other bounds is longer
-	MostKey       = 64
-	MostPositions = 64
-	MostShard     = 1<<20 - 1
-	MostStale     = 10 * time.Minute
+	MaxBytes         = 2048 // no hint within the other bounds is longer
+	MaxKeyBytes      = 64
+	MaxPositions     = 64
+	MaxShard         = 1<<20 - 1
+	LongestStaleness = 10 * time.Minute
 )
 
 // Scope is what a pin stands for. A session and a key of the same name are two pins.
@@ -30,63 +30,63 @@
 
 // The scopes there are.
 const (
-	None    Scope = ""
-	Session Scope = "session"
-	Key     Scope = "key"
+	ScopeNone    Scope = ""
+	ScopeSession Scope = "session"
+	ScopeKey     Scope = "key"
 )
 
 // Position is how far a shard's log of writes was seen.
 type Position struct {
-	Shard int
-	At    uint64 // 0: nothing was seen yet, and the answer is to tell
+	Shard  int
+	Offset uint64 // 0: nothing was seen yet, and the answer is to tell
 }
 
 // Hint is what a query says of its reads. The zero value asks for nothing.
 type Hint struct {
-	Scope     Scope         // what the query is pinned by; None: it is not
-	Key       string        // its name
-	MaxStale  time.Duration // what was acknowledged so long before the search was taken must be in; 0: no bound
-	NotBefore []Position    // by ascending shard: what the client has seen
-	OrStale   bool          // where that can't be had, an answer that states its age will do
+	Scope        Scope         // what the query is pinned by; None: it is not
+	Key          string        // its name
+	MaxStaleness time.Duration // what was acknowledged so long before the search was taken must be in; 0: no bound
+	NotBefore    []Position    // by ascending shard: what the client has seen
+	AllowStale   bool          // where that can't be had, an answer that states its age will do
 }
 
-// Wrong tells why a hint is ignored.
-type Wrong struct {
-	Part string // the directive that is wrong, at most 40 bytes of it
-	Why  string
+// SyntaxError tells why a hint is ignored.
+type SyntaxError struct {
+	Directive string // the directive that is wrong, at most 40 bytes of it
+	Reason    string
 }
 
-func (w *Wrong) Error() string {
-	if w.Part == "" {
-		return w.Why
+func (w *SyntaxError) Error() string {
+	if w.Directive == "" {
+		return w.Reason
 	}
-	return w.Why + ": " + strconv.QuoteToASCII(w.Part)
+	return w.Reason + ": " + strconv.QuoteToASCII(w.Directive)
 }
 
 // Remedy says what an operator can do.
-func (w *Wrong) Remedy() string {
+func (w *SyntaxError) Remedy() string {
 	return "correct the application's " + Header + " by the grammar in docs/design/pinned-reads.md; until then its reads are ordinary ones"
 }
 
-func wrong(part, why string) *Wrong { return &Wrong{part[:min(len(part), 40)], why} }
+func wrong(part, why string) *SyntaxError { return &SyntaxError{part[:min(len(part), 40)], why} }
 
-// Empty tells whether a hint asks for nothing.
-func (h *Hint) Empty() bool {
-	return h.Scope == None && h.MaxStale == 0 && len(h.NotBefore) == 0
+// IsZero tells whether a hint asks for nothing.
+func (h *Hint) IsZero() bool {
+	return h.Scope == ScopeNone && h.MaxStaleness == 0 && len(h.NotBefore) == 0
 }
 
-// Needs is the position that a shard must have reached; 0: any.
-func (h *Hint) Needs(shard int) uint64 {
+// MinOffset is the position that a shard must have reached; 0: any.
+func (h *Hint) MinOffset(shard int) uint64 {
 	for _, p := range h.NotBefore {
 		if p.Shard == shard {
-			return p.At
+			return p.Offset
 		}
 	}
 	return 0
 }
 
-// Check holds a hint that a program has put together against the bounds of the grammar.
-func (h *Hint) Check() error {
+// Validate holds a hint that a program has put together against the bounds of the grammar.
+func (h *Hint) Validate() error {
 	_, err := Parse(h.String())
 	return err
 }
@@ -94,30 +94,30 @@
 // String writes a hint as the header carries it.
 func (h *Hint) String() string {
 	var all []string
-	if h.Scope != None || h.Key != "" {
+	if h.Scope != ScopeNone || h.Key != "" {
 		all = append(all, "pin="+string(h.Scope)+":"+h.Key)
 	}
-	if h.MaxStale != 0 {
-		all = append(all, "max-stale="+span(h.MaxStale))
+	if h.MaxStaleness != 0 {
+		all = append(all, "max-stale="+span(h.MaxStaleness))
 	}
 	if len(h.NotBefore) > 0 {
-		all = append(all, "not-before="+Positions(h.NotBefore))
+		all = append(all, "not-before="+FormatPositions(h.NotBefore))
 	}
-	if h.OrStale {
+	if h.AllowStale {
 		all = append(all, "or-stale=yes")
 	}
 	return strings.Join(all, "; ")
 }
 
-// Positions writes positions as hints and answers carry them.
-func Positions(list []Position) string {
+// FormatPositions writes positions as hints and answers carry them.
+func FormatPositions(list []Position) string {
 	b := make([]byte, 0, 16*len(list))
 	for i, p := range list {
 		if i > 0 {
 			b = append(b, ',')
 		}
 		b = append(strconv.AppendInt(b, int64(p.Shard), 10), ':')
-		b = strconv.AppendUint(b, p.At, 10)
+		b = strconv.AppendUint(b, p.Offset, 10)
 	}
 	return string(b)
 }
--- a/internal/cluster/readhint/readhint_test.go
+++ b/internal/cluster/readhint/readhint_test.go
@@ -12,11 +12,11 @@
 
 func TestParse(t *testing.T) {
 	h, err := Parse("pin=session:abc; max-stale=250ms;not-before=3:10482,9:77 ;\tor-stale=yes")
-	want := Hint{Session, "abc", 250 * time.Millisecond, []Position{{3, 10482}, {9, 77}}, true}
+	want := Hint{ScopeSession, "abc", 250 * time.Millisecond, []Position{{3, 10482}, {9, 77}}, true}
 	if err != nil || !reflect.DeepEqual(h, want) {
 		t.Fatalf("%+v, %v", h, err)
 	}
-	if h.Needs(9) != 77 || h.Needs(4) != 0 {
+	if h.MinOffset(9) != 77 || h.MinOffset(4) != 0 {
 		t.Fatal("positions")
 	}
 }
@@ -29,9 +29,9 @@
 		"not-before=3", "not-before=3:", "not-before=3:1,", "not-before=3:1,3:2", "not-before=9:1,3:2",
 		"not-before=1048576:1", "not-before=3:18446744073709551616", "not-before=3:1, 4:1", "or-stale=yes", "or-stale=no;pin=key:a",
 		"pin=key:a;pin=key:a", "pin=key:a;", "PIN=key:a", "pin =key:a", "pin=key:a;fresh=yes", "pin=key:a\n",
-		"pin=key:a" + strings.Repeat(" ", MostBytes), "not-before=" + strings.Repeat("1:1,", MostPositions) + "1:1"} {
+		"pin=key:a" + strings.Repeat(" ", MaxBytes), "not-before=" + strings.Repeat("1:1,", MaxPositions) + "1:1"} {
 		h, err := Parse(text)
-		var w *Wrong
+		var w *SyntaxError
 		if !errors.As(err, &w) || !reflect.DeepEqual(h, Hint{}) || w.Remedy() == "" || len(w.Error()) > 250 {
 			t.Errorf("%.60q: %+v, %v", text, h, err)
 		}
@@ -39,16 +39,16 @@
 }
 
 func draw(t *rapid.T) Hint {
-	h := Hint{MaxStale: time.Duration(rapid.Int64Range(0, 600_000).Draw(t, "stale")) * time.Millisecond}
-	if h.Scope = rapid.SampledFrom([]Scope{None, Session, Key}).Draw(t, "scope"); h.Scope != None {
+	h := Hint{MaxStaleness: time.Duration(rapid.Int64Range(0, 600_000).Draw(t, "stale")) * time.Millisecond}
+	if h.Scope = rapid.SampledFrom([]Scope{ScopeNone, ScopeSession, ScopeKey}).Draw(t, "scope"); h.Scope != ScopeNone {
 		h.Key = rapid.StringMatching(`[0-9A-Za-z._~-]{1,64}`).Draw(t, "key")
 	}
 	shard := -1
-	for range rapid.IntRange(0, MostPositions).Draw(t, "positions") {
+	for range rapid.IntRange(0, MaxPositions).Draw(t, "positions") {
 		shard += rapid.IntRange(1, 1000).Draw(t, "step")
 		h.NotBefore = append(h.NotBefore, Position{shard, rapid.Uint64().Draw(t, "at")})
 	}
-	h.OrStale = !h.Empty() && rapid.Bool().Draw(t, "or")
+	h.AllowStale = !h.IsZero() && rapid.Bool().Draw(t, "or")
 	return h
 }
 
@@ -56,7 +56,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := draw(t)
 		got, err := Parse(h.String())
-		if h.Empty() {
+		if h.IsZero() {
 			if err == nil {
 				t.Fatal("nothing is no hint")
 			}
@@ -76,7 +76,7 @@
 			return
 		}
 		again, err := Parse(h.String())
-		if err != nil || !reflect.DeepEqual(h, again) || h.Check() != nil {
+		if err != nil || !reflect.DeepEqual(h, again) || h.Validate() != nil {
 			t.Fatalf("%q became %q: %v", text, h.String(), err)
 		}
 	})
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -69,23 +69,23 @@
 	h := &readhint.Hint{}
 	switch draw := f.rnd.Float64(); {
 	case draw < r.Hot:
-		h.Scope, h.Key = readhint.Key, "hot"
+		h.Scope, h.Key = readhint.ScopeKey, "hot"
 	case draw < r.Hot+r.Pinned:
-		h.Scope, h.Key = readhint.Session, q.session.key
+		h.Scope, h.Key = readhint.ScopeSession, q.session.key
 	}
 	if f.rnd.Float64() < r.Fresh {
-		h.MaxStale = (r.Least + time.Duration(f.rnd.Float64()*float64(r.Most-r.Least))).Round(time.Millisecond)
+		h.MaxStaleness = (r.Least + time.Duration(f.rnd.Float64()*float64(r.Most-r.Least))).Round(time.Millisecond)
 	}
 	if f.rnd.Float64() < r.Tokens {
 		for _, shard := range slices.Sorted(slices.Values(q.shards)) {
-			h.NotBefore = append(h.NotBefore, readhint.Position{Shard: shard, At: q.session.seen[shard]})
+			h.NotBefore = append(h.NotBefore, readhint.Position{Shard: shard, Offset: q.session.seen[shard]})
 		}
 		if f.rnd.Float64() < r.Own { // it has just written there
-			h.NotBefore = []readhint.Position{{Shard: q.shards[0], At: writesBy(r, q.shards[0], f.now)}}
+			h.NotBefore = []readhint.Position{{Shard: q.shards[0], Offset: writesBy(r, q.shards[0], f.now)}}
 		}
 	}
-	h.OrStale = !h.Empty() && f.rnd.Float64() < r.OrStale
-	if !h.Empty() {
+	h.AllowStale = !h.IsZero() && f.rnd.Float64() < r.OrStale
+	if !h.IsZero() {
 		q.hint = h
 	}
 }
@@ -116,27 +116,27 @@
 	for i, shard := range v.Shards {
 		_, pos, node := versionOf(v.Values[i])
 		c.Checked++
-		stale := q.hint.MaxStale > 0 && pos < writesBy(r, shard, q.tried-q.hint.MaxStale)
-		backward := pos < q.hint.Needs(shard)
-		said := q.hint.OrStale && slices.Contains(v.Behind, shard)
+		stale := q.hint.MaxStaleness > 0 && pos < writesBy(r, shard, q.tried-q.hint.MaxStaleness)
+		backward := pos < q.hint.MinOffset(shard)
+		said := q.hint.AllowStale && slices.Contains(v.Behind, shard)
 		switch {
 		case (stale || backward) && said:
 			c.Behind++
 		case stale:
 			c.Stale++
-			f.breach(7, "search %s, bound %v: shard %d is at %d, %d was due", q.id, q.hint.MaxStale, shard, pos, writesBy(r, shard, q.tried-q.hint.MaxStale))
+			f.breach(7, "search %s, bound %v: shard %d is at %d, %d was due", q.id, q.hint.MaxStaleness, shard, pos, writesBy(r, shard, q.tried-q.hint.MaxStaleness))
 		case backward:
 			c.Backward++
-			f.breach(7, "search %s goes backward: shard %d is at %d, %d was seen", q.id, shard, pos, q.hint.Needs(shard))
+			f.breach(7, "search %s goes backward: shard %d is at %d, %d was seen", q.id, shard, pos, q.hint.MinOffset(shard))
 		}
 		if v.Stale >= 0 && pos < writesBy(r, shard, f.now-v.Stale) {
 			c.Understated++
 			f.breach(7, "search %s states %v: shard %d is at %d, behind %d", q.id, v.Stale, shard, pos, writesBy(r, shard, f.now-v.Stale))
 		}
-		if at := slices.IndexFunc(v.Seen, func(p readhint.Position) bool { return p.Shard == shard }); at < 0 || v.Seen[at].At != pos {
+		if at := slices.IndexFunc(v.Seen, func(p readhint.Position) bool { return p.Shard == shard }); at < 0 || v.Seen[at].Offset != pos {
 			f.breach(7, "search %s: the position of shard %d is told as %v, and is %d", q.id, shard, v.Seen, pos)
 		}
-		if s := q.session; q.hint.Scope == readhint.Session {
+		if s := q.session; q.hint.Scope == readhint.ScopeSession {
 			if last, known := s.node[shard]; known && last == node {
 				c.Same++
 			} else if known {
--- a/internal/server/pins.go
+++ b/internal/server/pins.go
@@ -88,15 +88,15 @@
 // allows is answered without it, and else it is refused with the time to return.
 func (l *loop) pin(s *search) {
 	h, n := s.ask.hint, len(s.ask.parts)
-	q := &pinned{ask: readpin.Ask{Taken: s.arrived, MaxStale: h.MaxStale, OrStale: h.OrStale}, parts: make([]pinnedPart, n)}
-	if h.Scope != readhint.None {
+	q := &pinned{ask: readpin.Ask{Taken: s.arrived, MaxStale: h.MaxStaleness, OrStale: h.AllowStale}, parts: make([]pinnedPart, n)}
+	if h.Scope != readhint.ScopeNone {
 		q.ask.Pin = readpin.PinOf(string(h.Scope), h.Key)
 	}
 	now, nodes := l.since(), make([]decision.NodeID, 0, usualHolders*n)
 	for i := range s.ask.parts {
 		shard, from := s.ask.parts[i].shard, len(nodes)
 		var back time.Duration
-		nodes, q.parts[i].must, back = l.pins.book.Choose(now, shard, h.Needs(shard), &q.ask, nodes)
+		nodes, q.parts[i].must, back = l.pins.book.Choose(now, shard, h.MinOffset(shard), &q.ask, nodes)
 		q.parts[i].only = decision.AllowedReplicas{Sticky: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
 		q.back = max(q.back, back)
 	}
@@ -176,7 +176,7 @@
 		shown, shard := &s.pin.parts[i].shown, s.ask.parts[i].shard
 		oldest = min(oldest, shown.AsOf)
 		if shown.Pos > 0 {
-			v.seen = append(v.seen, readhint.Position{Shard: shard, At: shown.Pos})
+			v.seen = append(v.seen, readhint.Position{Shard: shard, Offset: shown.Pos})
 		}
 		if !shown.Fresh {
 			behind = append(behind, shard)
@@ -199,7 +199,7 @@
 		return heads
 	}
 	if len(v.seen) > 0 {
-		heads = append(heads, headPosition+readhint.Positions(v.seen))
+		heads = append(heads, headPosition+readhint.FormatPositions(v.seen))
 	}
 	stale := "unknown"
 	if v.stale != readpin.Unknown {
