--- a/cmd/flaxfront/fleetstatus.go
+++ b/cmd/flaxfront/fleetstatus.go
@@ -58,7 +58,7 @@
 					fmt.Fprintln(cmd.OutOrStdout(), time.Now().Format(time.TimeOnly), line)
 					last = line
 				}
-				if s.Release != nil && s.Release.Course == statemachine.Done {
+				if s.Release != nil && s.Release.State == statemachine.ReleaseDone {
 					return nil
 				}
 				time.Sleep(every)
@@ -76,12 +76,12 @@
 	}
 	var count [4]int
 	for _, step := range r.Steps {
-		count[min(step.Stage, statemachine.Finished)]++
+		count[min(step.State, statemachine.StepFinished)]++
 	}
-	line := fmt.Sprintf("release %d %s to %s: %s, batch %d of %d; %d pending, %d permitted, %d out, %d finished", r.Number, r.Name, r.To, r.Course,
-		r.Batch+1, max(1, len(r.Batches)), count[statemachine.Pending], count[statemachine.Permitted], count[statemachine.Used], count[statemachine.Finished])
-	if r.BackOf > 0 {
-		line += fmt.Sprintf("; the way back of %d", r.BackOf)
+	line := fmt.Sprintf("release %d %s to %s: %s, batch %d of %d; %d pending, %d permitted, %d out, %d finished", r.Number, r.Name, r.To, r.State,
+		r.OpenBatch+1, max(1, len(r.Batches)), count[statemachine.StepPending], count[statemachine.StepPermitted], count[statemachine.StepOut], count[statemachine.StepFinished])
+	if r.RollbackOf > 0 {
+		line += fmt.Sprintf("; the way back of %d", r.RollbackOf)
 	}
 	if r.Reason != "" {
 		line += "; " + r.Reason
@@ -105,11 +105,11 @@
 	}
 	for _, n := range s.Nodes {
 		switch {
-		case n.Permit > 0 && n.Used:
+		case n.Permit > 0 && n.OutByPermit:
 			fmt.Fprintf(out, "node %s is out by permit %d\n", n.Name, n.Permit)
 		case n.Permit > 0:
 			fmt.Fprintf(out, "node %s may go out by permit %d, once it is drained\n", n.Name, n.Permit)
-		case n.Down > 0:
+		case n.DownIndex > 0:
 			fmt.Fprintf(out, "node %s is not ready\n", n.Name)
 		}
 	}
--- a/internal/cluster/controlplane/client_test.go
+++ b/internal/cluster/controlplane/client_test.go
@@ -61,7 +61,7 @@
 	within, stop := context.WithTimeout(ctx, time.Minute)
 	defer stop()
 	var s Status
-	for len(s.Brokers) == 0 || s.Brokers[0].Standing != statemachine.In {
+	for len(s.Brokers) == 0 || s.Brokers[0].Status != statemachine.BrokerServing {
 		if err := Ask(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil {
 			t.Fatal(err)
 		}
@@ -77,7 +77,7 @@
 	if err := Ask(within, ring("s", "operator"), voters, VerbHalt, &Request{Reason: "enough"}, nil); err != nil {
 		t.Error(err)
 	}
-	if err := Ask(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.Course != statemachine.Halted {
+	if err := Ask(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.State != statemachine.ReleaseHalted {
 		t.Errorf("%+v, %v", s.Release, err)
 	}
 	brief, stop2 := context.WithTimeout(ctx, 300*time.Millisecond)
--- a/internal/cluster/controlplane/cluster_test.go
+++ b/internal/cluster/controlplane/cluster_test.go
@@ -239,7 +239,7 @@
 
 func (c *tier) connected() bool {
 	for _, f := range c.all {
-		if v := f.View(); !v.Held(f.Now()) || v.Me.Standing != statemachine.In {
+		if v := f.View(); !v.Held(f.Now()) || v.Me.Status != statemachine.BrokerServing {
 			return false
 		}
 	}
--- a/internal/cluster/controlplane/controlplane.go
+++ b/internal/cluster/controlplane/controlplane.go
@@ -73,7 +73,7 @@
 	duties  []Duty
 	find    func(string) (decision.NodeID, bool)
 	nameOf  func(decision.NodeID) string
-	compile func(text string, s *statemachine.State) (*statemachine.Policy, error) // nil: no budgets are divided
+	compile func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error) // nil: no budgets are divided
 
 	serving, leaving atomic.Bool
 
@@ -148,7 +148,7 @@
 }
 
 // Compile gives the way from a policy's text to its entry, before Run.
-func (f *Fleet) Compile(fn func(text string, s *statemachine.State) (*statemachine.Policy, error)) {
+func (f *Fleet) Compile(fn func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error)) {
 	f.compile = fn
 }
 
--- a/internal/cluster/controlplane/controlplane_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -62,7 +62,7 @@
 		roster := peek(f, f.state.Brokers)
 		for _, b := range roster {
 			h := c.all[b.Name]
-			if h != nil && b.Standing == statemachine.Gone && peek(h, func() bool { return h.inc == b.Incarnation && h.lease.held(h.o.Now()) }) {
+			if h != nil && b.Status == statemachine.BrokerLost && peek(h, func() bool { return h.inc == b.Incarnation && h.lease.held(h.o.Now()) }) {
 				return fmt.Sprintf("%s holds a lease as %d, and is lost", b.Name, b.Incarnation)
 			}
 		}
@@ -89,7 +89,7 @@
 					c.t.Fatal(bad)
 				}
 				b, _ := peek(other, func() statemachine.Broker { b, _ := other.state.Broker(f.o.Slot); return b }), 0
-				return b.Standing == statemachine.Gone
+				return b.Status == statemachine.BrokerLost
 			})
 			if f.View().Connected {
 				t.Errorf("%s does not know that it is cut off", name)
@@ -149,7 +149,7 @@
 				c.stop[name]()
 				c.start(i)
 			}
-			r, err := c.all["b5"].Propose(ctx, &statemachine.Epoch{Number: uint64(n + 1)})
+			r, err := c.all["b5"].Propose(ctx, &statemachine.SetNodeList{Epoch: uint64(n + 1)})
 			if err != nil || r.Number != uint64(n+1) {
 				t.Fatalf("epoch %d: %+v, %v", n+1, r, err)
 			}
@@ -167,7 +167,7 @@
 		}
 		c.until("all are in", 5*time.Second, c.connected)
 		for n := range 60 {
-			if _, err := c.propose("b4", &statemachine.Epoch{Number: uint64(n + 1)}); err != nil {
+			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: uint64(n + 1)}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/cluster/controlplane/duty.go
+++ b/internal/cluster/controlplane/duty.go
@@ -42,9 +42,9 @@
 func (f *Fleet) Leading(d Duty) { f.duties = append(f.duties, d) }
 
 // voter tells whether a permit is that of a broker that votes.
-func (f *Fleet) voter(p *statemachine.Permit) bool {
+func (f *Fleet) voter(p *statemachine.IssuePermit) bool {
 	b, _ := f.state.Broker(p.Slot)
-	return !p.OnNode && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name })
+	return !p.ForNode && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name })
 }
 
 // majority tells whether so many more voters may go out. Danger: a release that lets two of three go at once has nobody left to
@@ -52,7 +52,7 @@
 func (f *Fleet) majority(going int) bool {
 	n := len(f.o.Voters)
 	for _, b := range f.state.Brokers() {
-		if (b.Standing != statemachine.In || b.Permit > 0) && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name }) {
+		if (b.Status != statemachine.BrokerServing || b.Permit > 0) && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name }) {
 			going++
 		}
 	}
@@ -66,7 +66,7 @@
 		all, f.lead.plan = f.lead.planner.Next(f.state, now)
 		term, going := f.lead.term, 0
 		for _, e := range all {
-			if p, ok := e.(*statemachine.Permit); ok && f.voter(p) {
+			if p, ok := e.(*statemachine.IssuePermit); ok && f.voter(p) {
 				if going++; !f.majority(going) {
 					continue // the planner comes back to it
 				}
--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -83,7 +83,7 @@
 // Remedy tells what an operator can do.
 func (e *Refusal) Remedy() string { return e.Advice }
 
-func unknown(err error) bool { return errors.As(err, new(*statemachine.Unknown)) }
+func unknown(err error) bool { return errors.As(err, new(*statemachine.UnknownEntryError)) }
 
 // remedyOf is an error's own advice, if it has some.
 func remedyOf(err error) string {
--- a/internal/cluster/controlplane/faults_test.go
+++ b/internal/cluster/controlplane/faults_test.go
@@ -42,7 +42,7 @@
 		inc := voter.View().Incarnation
 		full.Store(true)
 		for n := range 20 {
-			if _, err := c.propose("b4", &statemachine.Epoch{Number: uint64(n + 1)}); err != nil {
+			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: uint64(n + 1)}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -66,13 +66,13 @@
 		dead := c.leader()
 		c.isolate(dead, true)
 		began := time.Now()
-		if _, err := c.propose("b6", &statemachine.Epoch{Number: 1}); err != nil || time.Since(began) > 3*time.Second {
+		if _, err := c.propose("b6", &statemachine.SetNodeList{Epoch: 1}); err != nil || time.Since(began) > 3*time.Second {
 			t.Fatalf("agreed after %v: %v", time.Since(began), err)
 		}
 		time.Sleep(10 * time.Second)
 		for _, b := range peek(c.all["b6"], c.all["b6"].state.Brokers) {
-			if (b.Standing == statemachine.Gone) != (b.Name == dead) {
-				t.Errorf("%s is %v", b.Name, b.Standing)
+			if (b.Status == statemachine.BrokerLost) != (b.Name == dead) {
+				t.Errorf("%s is %v", b.Name, b.Status)
 			}
 		}
 	})
@@ -98,7 +98,7 @@
 		})
 		done := make(chan error, 1)
 		go func() {
-			_, err := c.propose("b5", &statemachine.Epoch{Number: 1})
+			_, err := c.propose("b5", &statemachine.SetNodeList{Epoch: 1})
 			done <- err
 		}()
 		time.Sleep(5 * time.Second)
@@ -140,9 +140,9 @@
 			c.until("it is followed", 5*time.Second, c.connected)
 			only(false)
 			f.call(t.Context(), func() { // as if this program were older than what comes next
-				f.state.Apply(f.state.Index()+1, []byte{99, 99})
+				f.state.Apply(f.state.AppliedIndex()+1, []byte{99, 99})
 			})
-			if _, err := c.propose("b4", &statemachine.Epoch{Number: 1}); err != nil {
+			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: 1}); err != nil {
 				t.Fatal(err)
 			}
 			c.until("it stops", 3*time.Second, func() bool { return peek(f, func() bool { return f.broken && f.halted != nil }) })
@@ -150,7 +150,7 @@
 			if v := f.View(); v.Connected || v.Halted == nil || remedyOf(v.Halted) == "" {
 				t.Errorf("it goes on: %+v", v)
 			}
-			if _, err := c.propose("b4", &statemachine.Epoch{Number: 2}); err != nil {
+			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: 2}); err != nil {
 				t.Fatal(err)
 			}
 			if v := follower.View(); !v.Connected {
--- a/internal/cluster/controlplane/feed.go
+++ b/internal/cluster/controlplane/feed.go
@@ -96,7 +96,7 @@
 		return err
 	}
 	f.state, f.halted, f.changed, f.nodesMoved = s, nil, true, true
-	f.recent = recent{keep: f.recent.keep, prev: s.Index()}
+	f.recent = recent{keep: f.recent.keep, prev: s.AppliedIndex()}
 	for _, p := range f.pending { // whether it is in there the ledger tells when it comes again
 		p.sent = 0
 	}
@@ -125,7 +125,7 @@
 		if !ok {
 			f.Counts.Snapshots.Add(1)
 			c.snap = f.state.Snapshot()
-			c.sent, c.snapTotal = f.state.Index(), len(c.snap)
+			c.sent, c.snapTotal = f.state.AppliedIndex(), len(c.snap)
 			continue
 		}
 		if len(rest) == 0 {
@@ -146,12 +146,12 @@
 	if c != f.source || f.halted != nil {
 		return
 	}
-	if m.Prev > f.state.Index() {
-		f.put(c, letterFollow, follow{f.state.Index()})
+	if m.Prev > f.state.AppliedIndex() {
+		f.put(c, letterFollow, follow{f.state.AppliedIndex()})
 		return
 	}
 	for _, e := range m.Entries {
-		if e.Index > f.state.Index() {
+		if e.Index > f.state.AppliedIndex() {
 			f.apply(e.Index, e.Data)
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 	data, index := w.data, w.index
 	*w = whole{}
-	if index <= f.state.Index() && f.halted == nil {
+	if index <= f.state.AppliedIndex() && f.halted == nil {
 		return
 	}
 	if err := f.restore(data); err != nil {
--- a/internal/cluster/controlplane/lead.go
+++ b/internal/cluster/controlplane/lead.go
@@ -77,7 +77,7 @@
 		// It may be refused, as of an earlier life, or given up with an incarnation; without it the term would pass with nothing done.
 		f.lead.asked, f.lead.due = true, now+leadEvery
 		term := f.lead.term
-		f.start(&statemachine.Lead{Slot: f.o.Slot, Term: term}, func(statemachine.Result, error) {
+		f.start(&statemachine.LeaderElected{Slot: f.o.Slot, Term: term}, func(statemachine.Result, error) {
 			if f.lead.term == term {
 				f.lead.asked = false
 			}
@@ -147,7 +147,7 @@
 		for _, r := range batch {
 			slot := statemachine.Slot(r.Slot)
 			b, known := f.state.Broker(slot)
-			if !known || b.Incarnation != r.Inc || b.Standing == statemachine.Gone || f.lead.losing[slot] == r.Inc {
+			if !known || b.Incarnation != r.Inc || b.Status == statemachine.BrokerLost || f.lead.losing[slot] == r.Inc {
 				continue
 			}
 			f.lead.sessions[slot] = held{r.Inc, at}
@@ -160,13 +160,13 @@
 // leadApplied takes note of entries that matter to the leader.
 func (f *Fleet) leadApplied(e statemachine.Entry, r statemachine.Result) {
 	switch e := e.(type) {
-	case *statemachine.Lead:
+	case *statemachine.LeaderElected:
 		if f.lead.term != 0 && e.Slot == f.o.Slot && e.Term == f.lead.term && r.Err == nil {
 			f.lead.on, f.lead.from = true, f.o.Now()
 			f.lead.planner = release.New(f.o.Gates, e.Term, f.lead.from)
 		}
-	case *statemachine.Register:
-		if f.lead.on && r.Err == nil && !r.Again {
+	case *statemachine.RegisterBroker:
+		if f.lead.on && r.Err == nil && !r.Duplicate {
 			f.lead.sessions[e.Slot] = held{e.Incarnation, f.o.Now()}
 		}
 	}
@@ -177,7 +177,7 @@
 	l := &f.lead
 	surely := f.o.Lease + time.Duration(float64(f.o.Lease)*f.o.Drift)
 	for _, b := range f.state.Brokers() {
-		if b.Standing == statemachine.Gone {
+		if b.Status == statemachine.BrokerLost {
 			continue
 		}
 		last := l.from
@@ -189,7 +189,7 @@
 		}
 		l.losing[b.Slot] = b.Incarnation
 		slog.Warn("fleet: a broker is lost", "broker", b.Name, "slot", b.Slot, "incarnation", b.Incarnation, "silent_for", now-last)
-		f.start(&statemachine.Lost{Slot: b.Slot, Incarnation: b.Incarnation, Term: l.term}, func(_ statemachine.Result, err error) {
+		f.start(&statemachine.MarkBrokerLost{Slot: b.Slot, Incarnation: b.Incarnation, Term: l.term}, func(_ statemachine.Result, err error) {
 			// Danger: one of which it is not known whether it took effect may do so later, and a lease granted meanwhile stand against it.
 			if f.lead.term != 0 && f.lead.losing[b.Slot] == b.Incarnation && !errors.As(err, new(*Uncertain)) {
 				delete(f.lead.losing, b.Slot)
--- a/internal/cluster/controlplane/plan.go
+++ b/internal/cluster/controlplane/plan.go
@@ -17,19 +17,19 @@
 	}
 	switch verb {
 	case VerbUndrain:
-		return &statemachine.Undrain{Node: id}, nil
+		return &statemachine.UndrainNode{Node: id}, nil
 	case VerbReturned:
 		p, ok := f.state.NodePermit(id)
 		if !ok {
 			return nil, &BadRequest{"no release has let this node go out"}
 		}
-		return &statemachine.Return{Incarnation: p.Number, OnNode: true, Node: id}, nil
+		return &statemachine.ReturnToService{Incarnation: p.Number, ForNode: true, Node: id}, nil
 	case VerbOut:
 		p, ok := f.state.NodePermit(id)
 		if !ok {
 			return nil, &BadRequest{"no release lets this node go out now"}
 		}
-		return &statemachine.Use{Permit: p.Number, Slot: f.o.Slot, Incarnation: f.inc, OnNode: true, Node: id}, nil
+		return &statemachine.UsePermit{Permit: p.Number, Slot: f.o.Slot, Incarnation: f.inc, ForNode: true, Node: id}, nil
 	}
 	return &statemachine.DrainNode{Node: id, Reason: r.Reason}, nil
 }
@@ -38,7 +38,7 @@
 	if w == nil || w.To == "" {
 		return nil, &BadRequest{"a release names the version it leads to"}
 	}
-	p := &statemachine.Plan{Name: w.Name, From: w.From, To: w.To, Batches: w.Batches, Most: max(1, w.Most), MostZone: w.MostZone, Least: w.Least,
+	p := &statemachine.ReleasePlan{Name: w.Name, From: w.From, To: w.To, Batches: w.Batches, MaxOut: max(1, w.Most), MaxOutPerZone: w.MostZone, MinReadyReplicas: w.Least,
 		PauseMS: w.PauseMS, Gates: w.Gates}
 	for _, text := range w.Nodes {
 		id, err := f.nodeID(text)
--- a/internal/cluster/controlplane/propose.go
+++ b/internal/cluster/controlplane/propose.go
@@ -52,7 +52,7 @@
 // start begins a proposal; done is called once, in the core's goroutine.
 func (f *Fleet) start(e statemachine.Entry, done func(statemachine.Result, error)) uint64 {
 	f.seq++
-	data := statemachine.Encode(statemachine.ID{Slot: f.o.Slot, Incarnation: f.inc, Seq: f.seq}, e)
+	data := statemachine.Encode(statemachine.ProposalID{Slot: f.o.Slot, Incarnation: f.inc, Sequence: f.seq}, e)
 	f.Counts.Proposed.Add(1)
 	if len(data) > maxEntry { // no leader would take it, however often it is sent
 		done(statemachine.Result{}, &consensus.BadEntry{Bytes: len(data), Most: maxEntry})
@@ -103,8 +103,8 @@
 	if id.Slot != f.o.Slot || id.Incarnation != f.inc {
 		return
 	}
-	if p := f.pending[id.Seq]; p != nil {
-		delete(f.pending, id.Seq)
+	if p := f.pending[id.Sequence]; p != nil {
+		delete(f.pending, id.Sequence)
 		p.done(r, r.Err)
 	}
 }
--- a/internal/cluster/controlplane/release_test.go
+++ b/internal/cluster/controlplane/release_test.go
@@ -92,7 +92,7 @@
 					go func() {
 						ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 						defer cancel()
-						f.Propose(ctx, &statemachine.Use{Permit: n, Slot: f.o.Slot, Incarnation: v.Permit.Incarnation})
+						f.Propose(ctx, &statemachine.UsePermit{Permit: n, Slot: f.o.Slot, Incarnation: v.Permit.Incarnation})
 						tried.Delete(n)
 					}()
 				}
@@ -104,7 +104,7 @@
 		c.start(i + 1)
 	}
 	c.until("all are in", 5*time.Second, c.connected)
-	plan := &statemachine.Plan{To: "2", From: "1", Most: uint32(most), Gates: "off"}
+	plan := &statemachine.ReleasePlan{To: "2", From: "1", MaxOut: uint32(most), Gates: "off"}
 	for i := range brokers {
 		plan.Slots = append(plan.Slots, statemachine.Slot(brokers-i))
 	}
@@ -145,10 +145,10 @@
 		}
 		if f := c.all["b1"]; f != nil && len(back) == 0 {
 			r := peek(f, func() statemachine.Release { r, _ := f.state.Release(); return r })
-			if r.Course == statemachine.Done {
+			if r.State == statemachine.ReleaseDone {
 				break
 			}
-			if r.Course == statemachine.Halted {
+			if r.State == statemachine.ReleaseHalted {
 				t.Fatalf("halted: %s", r.Reason)
 			}
 		}
--- a/internal/cluster/controlplane/request.go
+++ b/internal/cluster/controlplane/request.go
@@ -60,10 +60,10 @@
 	Index    uint64
 	Protocol uint64
 	Brokers  []BrokerStatus
-	Release  *statemachine.Release `json:",omitempty"`
-	Drains   []DrainStatus         `json:",omitempty"`
-	Policy   *statemachine.Policy  `json:",omitempty"`
-	Waiting  *statemachine.Policy  `json:",omitempty"`
+	Release  *statemachine.Release          `json:",omitempty"`
+	Drains   []DrainStatus                  `json:",omitempty"`
+	Policy   *statemachine.ConnectionPolicy `json:",omitempty"`
+	Waiting  *statemachine.ConnectionPolicy `json:",omitempty"`
 	Epoch    uint64
 	Nodes    []NodeStatus `json:",omitempty"`
 }
@@ -84,7 +84,7 @@
 
 // DrainStatus is a drain and the brokers that have not acknowledged it.
 type DrainStatus struct {
-	Drain   statemachine.Drain
+	Drain   statemachine.NodeDrain
 	Node    string // its name
 	Done    bool
 	Awaited []statemachine.Slot
@@ -156,11 +156,11 @@
 	case VerbRelease:
 		return f.plan(r.Plan)
 	case VerbHalt:
-		return &statemachine.Halt{Release: release, Reason: r.Reason}, nil
+		return &statemachine.HaltRelease{Release: release, Reason: r.Reason}, nil
 	case VerbResume:
-		return &statemachine.Resume{Release: release}, nil
+		return &statemachine.ResumeRelease{Release: release}, nil
 	case VerbBack:
-		return &statemachine.Revert{Release: release, Reason: r.Reason}, nil
+		return &statemachine.RollBackRelease{Release: release, Reason: r.Reason}, nil
 	case VerbDrain, VerbUndrain, VerbOut, VerbReturned:
 		return f.wantedNode(verb, r)
 	case VerbForget:
@@ -168,13 +168,13 @@
 		if err != nil {
 			return nil, err
 		}
-		return &statemachine.Forget{Slot: slots[0]}, nil
+		return &statemachine.RemoveBroker{Slot: slots[0]}, nil
 	case VerbPolicy, VerbPolicyBack:
 		if f.compile == nil {
 			return nil, &BadRequest{"this program divides no budgets: fleet.budgets is false"}
 		}
 		if verb == VerbPolicyBack {
-			_, _, before := f.state.Policy()
+			_, _, before := f.state.Policies()
 			if before == nil {
 				return nil, &BadRequest{"there is no policy before the one in force"}
 			}
@@ -186,13 +186,13 @@
 }
 
 func (f *Fleet) status(now time.Duration) *Status {
-	s := &Status{Leader: f.name, Term: f.lead.term, Index: f.state.Index(), Protocol: f.state.Gate(), Epoch: f.state.Epoch()}
+	s := &Status{Leader: f.name, Term: f.lead.term, Index: f.state.AppliedIndex(), Protocol: f.state.TierProtocol(), Epoch: f.state.Epoch()}
 	for _, b := range f.state.Brokers() {
 		ago := time.Duration(-1)
 		if h := f.lead.sessions[b.Slot]; h.inc == b.Incarnation {
 			ago = now - h.at
 		}
-		s.Brokers = append(s.Brokers, BrokerStatus{b, b.Standing.String(), ago})
+		s.Brokers = append(s.Brokers, BrokerStatus{b, b.Status.String(), ago})
 	}
 	for _, n := range f.state.Nodes() {
 		p, _ := f.state.NodePermit(n.Node)
@@ -202,8 +202,8 @@
 		s.Release = &r
 	}
 	for _, d := range f.state.Drains() {
-		s.Drains = append(s.Drains, DrainStatus{d, f.nameOf(d.Node), f.state.Drained(d.Node), f.state.Awaited(d.Node)})
+		s.Drains = append(s.Drains, DrainStatus{d, f.nameOf(d.Node), f.state.IsDrained(d.Node), f.state.MissingDrainAcks(d.Node)})
 	}
-	s.Policy, s.Waiting, _ = f.state.Policy()
+	s.Policy, s.Waiting, _ = f.state.Policies()
 	return s
 }
--- a/internal/cluster/controlplane/session.go
+++ b/internal/cluster/controlplane/session.go
@@ -32,7 +32,7 @@
 		f.lease.up, f.lease.since, f.changed = up, now, true
 		f.due.publish = 0
 		if up {
-			slog.Info("fleet: connected to the majority", "leader", f.lease.leader, "index", f.state.Index(), "incarnation", f.inc)
+			slog.Info("fleet: connected to the majority", "leader", f.lease.leader, "index", f.state.AppliedIndex(), "incarnation", f.inc)
 		} else {
 			slog.Warn("fleet: cut off from the majority; searches go on with what this broker holds, and it takes no permit")
 		}
@@ -60,13 +60,13 @@
 // alive tells whether the ledger has this broker under its present incarnation.
 func (f *Fleet) alive() bool {
 	b, ok := f.state.Broker(f.o.Slot)
-	return ok && b.Name == f.name && b.Incarnation == f.inc && b.Standing != statemachine.Gone
+	return ok && b.Name == f.name && b.Incarnation == f.inc && b.Status != statemachine.BrokerLost
 }
 
 // mustGo tells whether this very process went by a permit, though it may not have heard that this was agreed.
 func (f *Fleet) mustGo() bool {
 	b, known := f.state.Broker(f.o.Slot)
-	p, holds := f.state.Permit(f.o.Slot)
+	p, holds := f.state.BrokerPermit(f.o.Slot)
 	return known && holds && p.Used && b.Name == f.name && b.Incarnation == f.inc && p.Incarnation == f.inc
 }
 
@@ -81,11 +81,11 @@
 	}
 	var e statemachine.Entry
 	switch {
-	case f.alive() && (b.Standing == statemachine.Joining || b.Standing == statemachine.Back) && f.serving.Load():
-		e = &statemachine.Return{Slot: f.o.Slot, Incarnation: f.inc}
+	case f.alive() && (b.Status == statemachine.BrokerJoining || b.Status == statemachine.BrokerReturning) && f.serving.Load():
+		e = &statemachine.ReturnToService{Slot: f.o.Slot, Incarnation: f.inc}
 	case f.alive():
 		return
-	case known && b.Name != f.name && b.Standing != statemachine.Gone && b.Standing != statemachine.Out:
+	case known && b.Name != f.name && b.Status != statemachine.BrokerLost && b.Status != statemachine.BrokerOut:
 		if now-f.lease.said > 10*time.Second || f.lease.said == 0 {
 			f.lease.said = now
 			slog.Error("fleet: not registered", "error", &SlotTaken{f.o.Slot, b.Name})
@@ -97,7 +97,7 @@
 			f.abandon(errors.New("the session was lost"))
 			f.lease.until = 0
 		}
-		e = &statemachine.Register{Slot: f.o.Slot, Name: f.name, Incarnation: f.inc, Version: f.o.Version, Zone: f.o.Zone, Protocol: statemachine.Protocol}
+		e = &statemachine.RegisterBroker{Slot: f.o.Slot, Name: f.name, Incarnation: f.inc, Version: f.o.Version, Zone: f.o.Zone, Protocol: statemachine.SupportedProtocol}
 	}
 	f.joining = true
 	f.start(e, func(r statemachine.Result, err error) {
--- a/internal/cluster/controlplane/share_test.go
+++ b/internal/cluster/controlplane/share_test.go
@@ -61,7 +61,7 @@
 				t.Errorf("%s: %v", r.verb, err)
 			}
 		}
-		if _, err := lead.Propose(t.Context(), &statemachine.Epoch{Number: 1, Nodes: []statemachine.NodeInfo{{Node: decision.NodeID{Port: 7}}}}); err != nil {
+		if _, err := lead.Propose(t.Context(), &statemachine.SetNodeList{Epoch: 1, Nodes: []statemachine.NodeInfo{{Node: decision.NodeID{Port: 7}}}}); err != nil {
 			t.Fatal(err)
 		}
 		e := peek(lead, func() statemachine.Entry { e, _ := lead.wanted(VerbDrain, &Request{Node: "n7"}); return e })
--- a/internal/cluster/controlplane/take.go
+++ b/internal/cluster/controlplane/take.go
@@ -78,8 +78,8 @@
 // moves tells whether an entry changes the agreed nodes; what brokers hold of them is not counted.
 func moves(e statemachine.Entry) bool {
 	switch e.(type) {
-	case *statemachine.Lead, *statemachine.Register, *statemachine.Lost, *statemachine.DrainAck, *statemachine.PolicyAck, *statemachine.Grant, *statemachine.GrantAck,
-		*statemachine.GiveUp, *statemachine.Expire:
+	case *statemachine.LeaderElected, *statemachine.RegisterBroker, *statemachine.MarkBrokerLost, *statemachine.AcknowledgeDrain, *statemachine.AcknowledgePolicy, *statemachine.GrantLease, *statemachine.AcknowledgeLease,
+		*statemachine.RelinquishLease, *statemachine.ExpireLease:
 		return false
 	}
 	return true
@@ -98,7 +98,7 @@
 	f.source, f.upPath, f.upAt = c, nil, f.o.Now()
 	f.whole = whole{}
 	f.Counts.Sources.Add(1)
-	f.put(c, letterFollow, follow{f.state.Index()})
+	f.put(c, letterFollow, follow{f.state.AppliedIndex()})
 }
 
 // gone forgets a connection.
--- a/internal/cluster/controlplane/traffic_test.go
+++ b/internal/cluster/controlplane/traffic_test.go
@@ -43,7 +43,7 @@
 			for range span * 10 {
 				if busy {
 					entries++
-					if _, err := c.propose("b4", &statemachine.Epoch{Number: uint64(entries)}); err != nil {
+					if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: uint64(entries)}); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -23,10 +23,10 @@
 	Me          statemachine.Broker // zero: not registered
 	Incarnation uint64
 	Drains      []Drain
-	Permit      statemachine.Pass // Number 0: none
-	Grant       statemachine.Holding
-	Policy      *statemachine.Policy // in force; nil: none
-	Waiting     *statemachine.Policy
+	Permit      statemachine.ReleasePermit // Number 0: none
+	Grant       statemachine.ConnectionLease
+	Policy      *statemachine.ConnectionPolicy // in force; nil: none
+	Waiting     *statemachine.ConnectionPolicy
 	PolicyAcked uint64
 	Epoch       uint64
 	Nodes       []statemachine.Node
@@ -53,7 +53,7 @@
 // show makes a view.
 func (f *Fleet) show(now time.Duration) {
 	s := f.state
-	v := &View{Index: s.Index(), Connected: f.lease.held(now), Since: f.lease.since, LeaseEnd: f.lease.until, Leader: f.lease.leader,
+	v := &View{Index: s.AppliedIndex(), Connected: f.lease.held(now), Since: f.lease.since, LeaseEnd: f.lease.until, Leader: f.lease.leader,
 		Incarnation: f.inc, Epoch: s.Epoch(), Halted: f.halted, MustGo: f.mustGo()}
 	old := f.view.Load()
 	if v.Epoch == old.Epoch && v.Epoch != 0 && !f.nodesMoved {
@@ -64,15 +64,15 @@
 	f.nodesMoved = false
 	if f.alive() {
 		v.Me, _ = s.Broker(f.o.Slot)
-		v.Permit, _ = s.Permit(f.o.Slot)
-		v.Grant, _ = s.Grants(f.o.Slot)
-		v.PolicyAcked = s.PolicyAcked(f.o.Slot)
+		v.Permit, _ = s.BrokerPermit(f.o.Slot)
+		v.Grant, _ = s.Lease(f.o.Slot)
+		v.PolicyAcked = s.AcknowledgedPolicy(f.o.Slot)
 	}
-	me := statemachine.Member{Slot: f.o.Slot, Incarnation: f.inc}
+	me := statemachine.BrokerIncarnation{Slot: f.o.Slot, Incarnation: f.inc}
 	for _, d := range s.Drains() {
-		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acks, me)})
+		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acknowledged, me)})
 	}
-	v.Policy, v.Waiting, _ = s.Policy()
+	v.Policy, v.Waiting, _ = s.Policies()
 	f.view.Store(v)
 	select {
 	case f.fresh <- struct{}{}:
--- a/internal/decision/connlease/agent_test.go
+++ b/internal/decision/connlease/agent_test.go
@@ -15,17 +15,17 @@
 	incarnation uint64
 	rate        float64 // of its clock
 	holder      *Holder
-	needs       *Needs
+	needs       *DemandTracker
 	stopped     bool // SIGSTOP
 	cut         bool // from the tier
-	want        map[Key]int
+	want        map[LeaseKey]int
 	conns       []*socket
 	floors      uint64 // version of the policy whose floors it keeps to
 }
 
 // socket is a connection. Seen is whether its node counts it.
 type socket struct {
-	key        Key
+	key        LeaseKey
 	seen, gone bool
 	last       time.Duration
 }
@@ -34,9 +34,9 @@
 func (a *agent) shift(few int) {
 	for _, id := range a.w.plans[0].Nodes {
 		for t := range tenants {
-			a.want[Key{id, t}] = 0
+			a.want[LeaseKey{id, t}] = 0
 			if a.w.chance.IntN(10) >= few {
-				a.want[Key{id, t}] = a.w.chance.IntN(7)
+				a.want[LeaseKey{id, t}] = a.w.chance.IntN(7)
 			}
 		}
 	}
@@ -61,13 +61,13 @@
 		}
 	}
 	now := a.clock()
-	rows, hard := a.holder.Surplus(now)
+	rows, hard := a.holder.ExcessConnections(now)
 	for _, r := range rows {
-		for i := 0; i < len(a.conns) && r.Units > 0; i++ {
-			if c := a.conns[i]; c.key == r.Key && (hard || w.chance.IntN(3) == 0) {
+		for i := 0; i < len(a.conns) && r.Connections > 0; i++ {
+			if c := a.conns[i]; c.key == r.LeaseKey && (hard || w.chance.IntN(3) == 0) {
 				w.after(w.upTo(closing/2), func() { w.close(c) })
 				a.drop(i, false)
-				i, r.Units = i-1, r.Units-1
+				i, r.Connections = i-1, r.Connections-1
 			}
 		}
 	}
@@ -77,8 +77,8 @@
 	}
 	for _, b := range w.plans[0].Nodes {
 		for t := range tenants {
-			k := Key{b, t}
-			if a.needs.See(k, float64(a.want[k])); a.holder.open[k] < a.want[k] && a.opens(k, now) {
+			k := LeaseKey{b, t}
+			if a.needs.Observe(k, float64(a.want[k])); a.holder.open[k] < a.want[k] && a.opens(k, now) {
 				c := &socket{key: k, last: w.now}
 				a.conns = append(a.conns, c)
 				w.after(w.upTo(20*time.Millisecond), func() { w.open(c) })
@@ -87,13 +87,13 @@
 	}
 }
 
-func (a *agent) opens(k Key, now time.Duration) bool {
+func (a *agent) opens(k LeaseKey, now time.Duration) bool {
 	_, ok := a.holder.Open(k, now)
 	return ok
 }
 
 func (a *agent) drop(i int, byNode bool) {
-	a.holder.Closed(a.conns[i].key, byNode, a.clock())
+	a.holder.RecordClosed(a.conns[i].key, byNode, a.clock())
 	a.conns = append(a.conns[:i], a.conns[i+1:]...)
 }
 
@@ -105,10 +105,10 @@
 	c.seen = true
 	w.served++
 	w.count[c.key.Node]++
-	p, _, _ := w.state.Policy()
+	p, _, _ := w.state.Policies()
 	for _, b := range p.Budgets {
-		if b.Node == c.key.Node && w.count[b.Node] > int(b.Units) {
-			w.fault = fmt.Sprintf("%v: node %v holds %d connections of %d", w.now, b.Node, w.count[b.Node], b.Units)
+		if b.Node == c.key.Node && w.count[b.Node] > int(b.Connections) {
+			w.fault = fmt.Sprintf("%v: node %v holds %d connections of %d", w.now, b.Node, w.count[b.Node], b.Connections)
 		}
 	}
 	w.idle(c)
@@ -142,8 +142,8 @@
 	if a.stopped || a.cut {
 		return
 	}
-	asked, rows := a.clock(), a.needs.Rows(a.holder.floors)
-	ack := a.holder.Ack(asked)
+	asked, rows := a.clock(), a.needs.AboveReserved(a.holder.floors)
+	ack := a.holder.PendingAck(asked)
 	way, back := w.upTo(30*time.Millisecond), w.upTo(30*time.Millisecond)
 	if w.chance.IntN(w.stalls) == 0 {
 		back += w.upTo(5 * time.Second) // a stalled link
@@ -152,18 +152,18 @@
 		if a.incarnation != born {
 			return
 		}
-		if h, _ := w.state.Grants(a.slot); ack > 0 && h.Number == ack {
-			w.apply(&statemachine.GrantAck{Slot: a.slot, Incarnation: born, Number: ack})
+		if h, _ := w.state.Lease(a.slot); ack > 0 && h.Number == ack {
+			w.apply(&statemachine.AcknowledgeLease{Slot: a.slot, Incarnation: born, Number: ack})
 		}
-		w.granter.Heard(a.slot, born, w.now)
+		w.granter.RecordRenewal(a.slot, born, w.now)
 		w.needs[a.slot] = rows
-		h, _ := w.state.Grants(a.slot)
-		inForce, waiting, _ := w.state.Policy()
+		h, _ := w.state.Lease(a.slot)
+		inForce, waiting, _ := w.state.Policies()
 		w.after(back, func() { a.answer(born, asked, ack, h, inForce, waiting) })
 	})
 }
 
-func (a *agent) answer(born uint64, asked time.Duration, ack uint64, h statemachine.Holding, inForce, waiting *statemachine.Policy) {
+func (a *agent) answer(born uint64, asked time.Duration, ack uint64, h statemachine.ConnectionLease, inForce, waiting *statemachine.ConnectionPolicy) {
 	w := a.w
 	if a.stopped { // it waits in the socket
 		w.after(50*time.Millisecond, func() { a.answer(born, asked, ack, h, inForce, waiting) })
@@ -172,33 +172,33 @@
 	if a.incarnation != born {
 		return
 	}
-	a.holder.Acked(ack)
+	a.holder.RecordAcked(ack)
 	if w.wrong {
 		asked = a.clock()
 	}
 	if h.Number > 0 && !h.Ended && h.Incarnation == born {
-		var rows []Row
+		var rows []ConnectionCount
 		for _, r := range h.Granted {
-			rows = append(rows, Row{Key{r.Node, int(r.Tenant[0] - 'a')}, int(r.Units)})
+			rows = append(rows, ConnectionCount{LeaseKey{r.Node, int(r.Tenant[0] - 'a')}, int(r.Connections)})
 		}
-		a.holder.Take(h.Number, rows, Ends(asked, lease))
+		a.holder.AcceptGrant(h.Number, rows, HolderExpiry(asked, lease))
 	}
 	newest, floors := inForce, map[decision.NodeID]int{}
 	for _, b := range inForce.Budgets {
-		floors[b.Node] = int(b.Floor)
+		floors[b.Node] = int(b.ReservedPerBroker)
 	}
 	if waiting != nil {
 		newest = waiting
 		for _, b := range waiting.Budgets {
-			floors[b.Node] = min(floors[b.Node], int(b.Floor))
+			floors[b.Node] = min(floors[b.Node], int(b.ReservedPerBroker))
 		}
 	}
 	if newest.Version >= a.floors {
-		a.holder.Floors(floors, 0)
-		if newest.Version > a.floors && a.holder.Settled(a.clock(), true) {
+		a.holder.SetReserved(floors, 0)
+		if newest.Version > a.floors && a.holder.WithinLease(a.clock(), true) {
 			a.floors = newest.Version
 			w.after(w.upTo(30*time.Millisecond), func() {
-				w.apply(&statemachine.PolicyAck{Slot: a.slot, Incarnation: born, Version: newest.Version})
+				w.apply(&statemachine.AcknowledgePolicy{Slot: a.slot, Incarnation: born, Version: newest.Version})
 			})
 		}
 	}
--- a/internal/decision/connlease/audit_test.go
+++ b/internal/decision/connlease/audit_test.go
@@ -17,14 +17,14 @@
 )
 
 func play(seed uint64, change func(*world)) *world {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 9)), state: statemachine.New(), needs: map[statemachine.Slot][]Row{}, count: map[statemachine.NodeID]int{}}
+	w := &world{chance: rand.New(rand.NewPCG(seed, 9)), state: statemachine.New(), needs: map[statemachine.Slot][]ConnectionCount{}, count: map[statemachine.NodeID]int{}}
 	w.linger, w.stalls = 6*time.Second, 40
-	w.plans = []*Plan{newPlan(*nodes, *brokers*2), newPlan(*nodes, *brokers)}
+	w.plans = []*BudgetPlan{newPlan(*nodes, *brokers*2), newPlan(*nodes, *brokers)}
 	if change != nil {
 		change(w)
 	}
 	w.elect()
-	epoch := &statemachine.Epoch{Number: 1}
+	epoch := &statemachine.SetNodeList{Epoch: 1}
 	for _, id := range w.plans[0].Nodes {
 		epoch.Nodes = append(epoch.Nodes, statemachine.NodeInfo{Node: id, Zone: "z"})
 	}
@@ -32,7 +32,7 @@
 	version := uint64(1)
 	w.policy(version, *brokers)
 	for i := range *brokers {
-		a := &agent{w: w, slot: statemachine.Slot(i), rate: 0.992 + w.chance.Float64()*0.016, want: map[Key]int{}}
+		a := &agent{w: w, slot: statemachine.Slot(i), rate: 0.992 + w.chance.Float64()*0.016, want: map[LeaseKey]int{}}
 		w.brokers = append(w.brokers, a)
 		w.start(a)
 	}
@@ -94,7 +94,7 @@
 		if w.fault != "" {
 			t.Errorf("seed %d: %s", seed, w.fault)
 		}
-		p, _, _ := w.state.Policy()
+		p, _, _ := w.state.Policies()
 		opened, versions = opened+w.served, versions+p.Version-1
 	}
 	t.Logf("%d runs of %v, %d brokers, %d nodes: %d connections opened, %d policies took over, never over a budget", *seeds, *span, *brokers,
--- a/internal/decision/connlease/baseline_test.go
+++ b/internal/decision/connlease/baseline_test.go
@@ -111,13 +111,13 @@
 }
 
 // leased divides every half second. What goes down is free a second later, when it is closed and acknowledged; what goes up waits.
-func leased(plan *Plan, brokers int) func(time.Duration, [][]int, [][]int) {
+func leased(plan *BudgetPlan, brokers int) func(time.Duration, [][]int, [][]int) {
 	var d fairshare.Divider
 	granted, freed := fairshare.NewTable(1, tenants, brokers), []int{} // units on their way back, by step
 	id := decision.NodeID{Port: 1}
-	needs := make([]*Needs, brokers)
+	needs := make([]*DemandTracker, brokers)
 	for b := range needs {
-		needs[b] = NewNeeds(time.Second)
+		needs[b] = NewDemandTracker(time.Second)
 	}
 	return func(at time.Duration, want, hold [][]int) {
 		step := int(at / (100 * time.Millisecond))
@@ -126,10 +126,10 @@
 		for b := range want {
 			needs[b].Decay(at)
 			for t := range want[b] {
-				needs[b].See(Key{id, t}, float64(want[b][t]))
+				needs[b].Observe(LeaseKey{id, t}, float64(want[b][t]))
 			}
-			for _, r := range needs[b].Rows(map[decision.NodeID]int{id: 1}) {
-				need.Set(0, r.Tenant, b, r.Units)
+			for _, r := range needs[b].AboveReserved(map[decision.NodeID]int{id: 1}) {
+				need.Set(0, r.Tenant, b, r.Connections)
 			}
 		}
 		if step%5 == 0 {
--- a/internal/decision/connlease/need_test.go
+++ b/internal/decision/connlease/need_test.go
@@ -9,13 +9,13 @@
 )
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(3, []Row{{Key{decision.NodeID{Addr: [4]byte{10, 0, 0, 1}, Port: 7}, 2}, 300}}))
+	f.Add(EncodeDemand(3, []ConnectionCount{{LeaseKey{decision.NodeID{Addr: [4]byte{10, 0, 0, 1}, Port: 7}, 2}, 300}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		version, rows, ok := Decode(b)
+		version, rows, ok := DecodeDemand(b)
 		if !ok {
 			return
 		}
-		again, same, ok := Decode(Encode(version, rows))
+		again, same, ok := DecodeDemand(EncodeDemand(version, rows))
 		if !ok || again != version || !slices.Equal(rows, same) {
 			t.Errorf("%v was read again as %v", rows, same)
 		}
@@ -24,14 +24,14 @@
 
 // TestNeeds has a need rise at once, fall slowly, stay where it shakes, and the floor be used first.
 func TestNeeds(t *testing.T) {
-	n, k := NewNeeds(time.Second), Key{decision.NodeID{Port: 7}, 1}
+	n, k := NewDemandTracker(time.Second), LeaseKey{decision.NodeID{Port: 7}, 1}
 	tell := func(floor int) int {
-		for _, r := range n.Rows(map[decision.NodeID]int{k.Node: floor}) {
-			return r.Units
+		for _, r := range n.AboveReserved(map[decision.NodeID]int{k.Node: floor}) {
+			return r.Connections
 		}
 		return 0
 	}
-	n.See(k, 4.2)
+	n.Observe(k, 4.2)
 	if got := tell(0); got != 5 {
 		t.Errorf("a need of 4.2 is told as %d", got)
 	}
@@ -40,7 +40,7 @@
 	}
 	for i := range 40 { // it shakes between 3.8 and 4.2
 		n.Decay(time.Duration(i) * 100 * time.Millisecond)
-		n.See(k, 3.8+0.4*float64(i%2))
+		n.Observe(k, 3.8+0.4*float64(i%2))
 		if got := tell(0); got != 5 {
 			t.Fatalf("a need that shakes is told as %d", got)
 		}
--- a/internal/decision/connlease/shift_test.go
+++ b/internal/decision/connlease/shift_test.go
@@ -35,7 +35,7 @@
 	for b, a := range w.brokers {
 		for n, id := range plan.Nodes {
 			for t := range tenants {
-				need.Set(n, t, b, a.want[Key{id, t}])
+				need.Set(n, t, b, a.want[LeaseKey{id, t}])
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 			}
 			odd := 0 // units that did not come out even: whose they are is the same
 			for b, a := range w.brokers {
-				want, held := min(need.At(n, t, b), level), a.holder.rows[Key{id, t}]
+				want, held := min(need.At(n, t, b), level), a.holder.rows[LeaseKey{id, t}]
 				all += ideal.At(n, t, b)
 				away += max(0, want-held)
 				odd += ideal.At(n, t, b) - want - max(0, held-want)
--- a/internal/decision/connlease/world_test.go
+++ b/internal/decision/connlease/world_test.go
@@ -22,8 +22,8 @@
 	index   uint64
 	term    uint64
 	granter *Granter
-	plans   []*Plan // by policy version, from 1
-	needs   map[statemachine.Slot][]Row
+	plans   []*BudgetPlan // by policy version, from 1
+	needs   map[statemachine.Slot][]ConnectionCount
 	brokers []*agent
 	count   map[decision.NodeID]int
 	served  int // connections opened
@@ -78,16 +78,16 @@
 
 func (w *world) apply(e statemachine.Entry) error {
 	w.index++
-	return w.state.Apply(w.index, statemachine.Encode(statemachine.ID{Slot: 4000, Incarnation: 1, Seq: w.index}, e)).Err
+	return w.state.Apply(w.index, statemachine.Encode(statemachine.ProposalID{Slot: 4000, Incarnation: 1, Sequence: w.index}, e)).Err
 }
 
 // lead is a turn of whoever leads.
 func (w *world) lead() {
-	inForce, waiting, _ := w.state.Policy()
+	inForce, waiting, _ := w.state.Policies()
 	if waiting != nil {
 		inForce = waiting
 	}
-	for _, e := range w.granter.Next(w.state, w.plans[(inForce.Version-1)%2], w.needs, w.term, w.now) {
+	for _, e := range w.granter.NextEntries(w.state, w.plans[(inForce.Version-1)%2], w.needs, w.term, w.now) {
 		w.apply(e)
 	}
 	w.after(500*time.Millisecond, w.lead)
@@ -95,20 +95,20 @@
 
 func (w *world) elect() {
 	w.term++
-	w.apply(&statemachine.Lead{Slot: 1, Term: w.term})
+	w.apply(&statemachine.LeaderElected{Slot: 1, Term: w.term})
 	after := w.linger
 	if w.stuck {
 		after = 0
 	}
-	w.granter, w.needs = NewGranter(lease, after, w.now), map[statemachine.Slot][]Row{}
+	w.granter, w.needs = NewGranter(lease, after, w.now), map[statemachine.Slot][]ConnectionCount{}
 }
 
 func (w *world) start(a *agent) {
 	a.incarnation++
-	a.holder, a.needs, a.conns = NewHolder(closing), NewNeeds(time.Second), nil
+	a.holder, a.needs, a.conns = NewHolder(closing), NewDemandTracker(time.Second), nil
 	a.stopped, a.floors = false, 0
-	w.apply(&statemachine.Register{Slot: a.slot, Name: fmt.Sprint("b", a.slot), Incarnation: a.incarnation, Version: "1", Zone: "z", Protocol: 1})
-	w.apply(&statemachine.Return{Slot: a.slot, Incarnation: a.incarnation})
+	w.apply(&statemachine.RegisterBroker{Slot: a.slot, Name: fmt.Sprint("b", a.slot), Incarnation: a.incarnation, Version: "1", Zone: "z", Protocol: 1})
+	w.apply(&statemachine.ReturnToService{Slot: a.slot, Incarnation: a.incarnation})
 	born := a.incarnation
 	w.after(w.upTo(50*time.Millisecond), func() { a.tick(born) })
 	w.after(w.upTo(400*time.Millisecond), func() { a.ask(born) })
@@ -116,17 +116,17 @@
 
 // policy proposes the next version: budgets and floors go up and down in turns.
 func (w *world) policy(version uint64, most int) error {
-	e := &statemachine.Policy{Version: version, Text: "t", MostBrokers: uint32(most)}
+	e := &statemachine.ConnectionPolicy{Version: version, Text: "t", MaxBrokers: uint32(most)}
 	plan := w.plans[(version-1)%2]
 	for i, id := range plan.Nodes {
 		floor := (version - 1) % 2
-		e.Budgets = append(e.Budgets, statemachine.Budget{Node: id, Units: uint64(plan.Budgets[i].Units) + uint64(most)*floor, Floor: floor})
+		e.Budgets = append(e.Budgets, statemachine.NodeBudget{Node: id, Connections: uint64(plan.Budgets[i].Units) + uint64(most)*floor, ReservedPerBroker: floor})
 	}
 	return w.apply(e)
 }
 
-func newPlan(nodes, units int) *Plan {
-	p := &Plan{Tenants: []string{"a", "b", "c"}}
+func newPlan(nodes, units int) *BudgetPlan {
+	p := &BudgetPlan{Tenants: []string{"a", "b", "c"}}
 	for n := range nodes {
 		p.Nodes = append(p.Nodes, decision.NodeID{Addr: [4]byte{10, 0, 0, byte(n)}, Port: 1})
 		p.Budgets = append(p.Budgets, fairshare.Budget{Units: units, Amounts: []fairshare.Amount{
--- a/internal/decision/release/compare.go
+++ b/internal/decision/release/compare.go
@@ -13,15 +13,15 @@
 // present are the targets that serve, and on which side of the comparison each is.
 func (p *Planner) present(s *statemachine.State, r *statemachine.Release) map[Target]side {
 	all := map[Target]side{}
-	if r.OnNodes {
+	if r.ForNodes {
 		for _, n := range s.Nodes() {
-			if n.Down == 0 && n.Drain == 0 {
+			if n.DownIndex == 0 && n.DrainNumber == 0 {
 				all[Target{OnNode: true, Node: n.Node}] = before
 			}
 		}
 	} else {
 		for _, b := range s.Brokers() {
-			if b.Standing == statemachine.In && b.Permit == 0 {
+			if b.Status == statemachine.BrokerServing && b.Permit == 0 {
 				all[Target{Slot: b.Slot}] = before
 			}
 		}
@@ -31,9 +31,9 @@
 		if _, ok := all[t]; !ok {
 			continue
 		}
-		if x.Stage == statemachine.Finished {
+		if x.State == statemachine.StepFinished {
 			all[t] = neither // had the version before: it says nothing of the way there
-			if x.Touched {
+			if x.Affected {
 				all[t] = after
 			}
 		}
--- a/internal/decision/release/list.go
+++ b/internal/decision/release/list.go
@@ -46,14 +46,14 @@
 		return alike(a.NodeInfo, b)
 	})
 	if !same {
-		return []statemachine.Entry{&statemachine.Epoch{Number: s.Epoch() + 1, Least: 1, Nodes: l.Nodes}}
+		return []statemachine.Entry{&statemachine.SetNodeList{Epoch: s.Epoch() + 1, MinReadyReplicas: 1, Nodes: l.Nodes}}
 	}
 	for _, n := range agreed {
 		switch ready := l.Ready[n.Node]; {
-		case !ready && n.Down == 0 && n.Drain == 0 && !n.Used:
-			all = append(all, &statemachine.NodeDown{Node: n.Node, Reason: byList})
-		case ready && n.Down > 0 && n.Drain == 0 && !n.Used:
-			all = append(all, &statemachine.Return{Incarnation: n.Down, OnNode: true, Node: n.Node})
+		case !ready && n.DownIndex == 0 && n.DrainNumber == 0 && !n.OutByPermit:
+			all = append(all, &statemachine.MarkNodeDown{Node: n.Node, Reason: byList})
+		case ready && n.DownIndex > 0 && n.DrainNumber == 0 && !n.OutByPermit:
+			all = append(all, &statemachine.ReturnToService{Incarnation: n.DownIndex, ForNode: true, Node: n.Node})
 		}
 	}
 	return all
--- a/internal/decision/release/release.go
+++ b/internal/decision/release/release.go
@@ -54,7 +54,7 @@
 	window  time.Duration
 	windows int
 	since   map[Target]time.Duration // when a target was first seen as it stands
-	stood   map[Target]statemachine.Stage
+	stood   map[Target]statemachine.StepState
 	asked   map[string]time.Duration // what was proposed, and when
 	closed  time.Duration            // when the open batch was first seen finished
 	batch   uint32
@@ -83,7 +83,7 @@
 func (p *Planner) reset(number uint64, now time.Duration) {
 	p.number, p.began, p.window, p.windows, p.failed = number, now, now, 0, nil
 	p.groups, p.closed, p.batch = nil, -1, 0
-	p.since, p.stood, p.asked = map[Target]time.Duration{}, map[Target]statemachine.Stage{}, map[string]time.Duration{}
+	p.since, p.stood, p.asked = map[Target]time.Duration{}, map[Target]statemachine.StepState{}, map[string]time.Duration{}
 	for _, s := range p.sources {
 		s.mark = s.last
 	}
@@ -102,10 +102,10 @@
 	if r.Number != p.number {
 		p.reset(r.Number, now)
 	}
-	if r.Course == statemachine.Halted && p.set.Back && r.BackOf == 0 && strings.HasPrefix(r.Reason, gateFailed) {
-		return p.once(nil, &statemachine.Revert{Release: r.Number, Reason: r.Reason}, now), next
+	if r.State == statemachine.ReleaseHalted && p.set.Back && r.RollbackOf == 0 && strings.HasPrefix(r.Reason, gateFailed) {
+		return p.once(nil, &statemachine.RollBackRelease{Release: r.Number, Reason: r.Reason}, now), next
 	}
-	if r.Course != statemachine.Running {
+	if r.State != statemachine.ReleaseRunning {
 		p.window = now
 		return nil, next
 	}
@@ -115,9 +115,9 @@
 	}
 	switch {
 	case p.failed != nil && r.Gates != "off":
-		return p.once(nil, &statemachine.Halt{Release: r.Number, Reason: gateFailed + p.failed.String()}, now), next
+		return p.once(nil, &statemachine.HaltRelease{Release: r.Number, Reason: gateFailed + p.failed.String()}, now), next
 	case late != "":
-		return p.once(nil, &statemachine.Halt{Release: r.Number, Reason: late}, now), next
+		return p.once(nil, &statemachine.HaltRelease{Release: r.Number, Reason: late}, now), next
 	case now-p.began < p.set.Observe || !p.heard(s, &r):
 		return nil, next
 	}
@@ -125,8 +125,8 @@
 		if p.closed < 0 {
 			p.closed = now
 		}
-		if int(r.Batch)+1 < len(r.Batches) && now-p.closed >= time.Duration(r.PauseMS)*time.Millisecond && p.judged(s, &r) {
-			propose = p.once(propose, &statemachine.Advance{Release: r.Number, Term: p.term, Batch: r.Batch + 1}, now)
+		if int(r.OpenBatch)+1 < len(r.Batches) && now-p.closed >= time.Duration(r.PauseMS)*time.Millisecond && p.judged(s, &r) {
+			propose = p.once(propose, &statemachine.OpenNextBatch{Release: r.Number, Term: p.term, Batch: r.OpenBatch + 1}, now)
 		}
 		return propose, next
 	}
@@ -136,7 +136,7 @@
 // once proposes what was not proposed a while ago.
 func (p *Planner) once(all []statemachine.Entry, e statemachine.Entry, now time.Duration) []statemachine.Entry {
 	key := fmt.Sprintf("%T %v", e, e)
-	if h, ok := e.(*statemachine.Halt); ok {
+	if h, ok := e.(*statemachine.HaltRelease); ok {
 		key = fmt.Sprint("halt ", h.Release)
 	}
 	if at, ok := p.asked[key]; ok && now-at < p.set.Retry {
@@ -148,18 +148,18 @@
 
 // note keeps since when each step stands as it does, and tells what can't be waited for.
 func (p *Planner) note(r *statemachine.Release, now time.Duration) (late string) {
-	if r.Batch != p.batch {
-		p.batch, p.closed = r.Batch, -1
+	if r.OpenBatch != p.batch {
+		p.batch, p.closed = r.OpenBatch, -1
 	}
 	for _, x := range r.Steps {
 		t := target(r, x)
-		if stood, ok := p.stood[t]; !ok || stood != x.Stage {
-			p.stood[t], p.since[t] = x.Stage, now
+		if stood, ok := p.stood[t]; !ok || stood != x.State {
+			p.stood[t], p.since[t] = x.State, now
 		}
 		switch {
-		case x.Stage == statemachine.Used && now-p.since[t] > p.set.Overdue:
+		case x.State == statemachine.StepOut && now-p.since[t] > p.set.Overdue:
 			late = fmt.Sprintf("%v is out for longer than %v", name(t), p.set.Overdue)
-		case x.Stage == statemachine.Finished && x.Touched && !r.OnNodes && r.To != "" && x.Version != "" && x.Version != r.To:
+		case x.State == statemachine.StepFinished && x.Affected && !r.ForNodes && r.To != "" && x.Version != "" && x.Version != r.To:
 			late = fmt.Sprintf("%v came back with version %s", name(t), x.Version)
 		}
 	}
@@ -173,8 +173,8 @@
 	return fmt.Sprint("broker of slot ", t.Slot)
 }
 
-func target(r *statemachine.Release, x statemachine.Step) Target {
-	return Target{Slot: x.Slot, OnNode: r.OnNodes, Node: x.Node}
+func target(r *statemachine.Release, x statemachine.ReleaseStep) Target {
+	return Target{Slot: x.Slot, OnNode: r.ForNodes, Node: x.Node}
 }
 
 // heard tells whether most of the targets' counts are known to this leader. Danger: one that sees a tenth of the tier lets go on
@@ -204,7 +204,7 @@
 			released++
 		}
 	}
-	if r.Gates == "off" || r.BackOf > 0 || released == 0 || controls < p.set.Controls {
+	if r.Gates == "off" || r.RollbackOf > 0 || released == 0 || controls < p.set.Controls {
 		return true
 	}
 	asked := 0.0
@@ -219,26 +219,26 @@
 }
 
 func (p *Planner) finished(r *statemachine.Release) bool {
-	return !slices.ContainsFunc(r.Steps[:r.Batches[r.Batch]], func(x statemachine.Step) bool { return x.Stage != statemachine.Finished })
+	return !slices.ContainsFunc(r.Steps[:r.Batches[r.OpenBatch]], func(x statemachine.ReleaseStep) bool { return x.State != statemachine.StepFinished })
 }
 
 // permits proposes as many as there is room for, in the plan's order.
 func (p *Planner) permits(s *statemachine.State, r *statemachine.Release, now time.Duration) (all []statemachine.Entry) {
-	room := int(r.Most)
-	for _, x := range r.Steps[:r.Batches[r.Batch]] {
-		if x.Stage == statemachine.Permitted || x.Stage == statemachine.Used {
+	room := int(r.MaxOut)
+	for _, x := range r.Steps[:r.Batches[r.OpenBatch]] {
+		if x.State == statemachine.StepPermitted || x.State == statemachine.StepOut {
 			room--
 		}
 	}
-	for _, x := range r.Steps[:r.Batches[r.Batch]] {
-		if x.Stage != statemachine.Pending || room <= 0 {
+	for _, x := range r.Steps[:r.Batches[r.OpenBatch]] {
+		if x.State != statemachine.StepPending || room <= 0 {
 			continue
 		}
-		e := &statemachine.Permit{Release: r.Number, Term: p.term, Slot: x.Slot, OnNode: r.OnNodes, Node: x.Node}
-		if b, ok := s.Broker(x.Slot); ok && !r.OnNodes {
+		e := &statemachine.IssuePermit{Release: r.Number, Term: p.term, Slot: x.Slot, ForNode: r.ForNodes, Node: x.Node}
+		if b, ok := s.Broker(x.Slot); ok && !r.ForNodes {
 			e.Incarnation = b.Incarnation
 		}
-		if s.Try(e) == nil {
+		if s.CheckPermit(e) == nil {
 			room--
 			all = p.once(all, e, now)
 		}
--- a/internal/decision/release/release_test.go
+++ b/internal/decision/release/release_test.go
@@ -29,8 +29,8 @@
 		w := newWorld(t, seed, 300, 100, 0.05)
 		number := w.plan(10)
 		r := w.run(10 * time.Minute)
-		if r.Course != statemachine.Halted || !strings.HasPrefix(r.Reason, "gate: ") || w.touched(r) >= 30 {
-			t.Fatalf("seed %d: %v %s, %d touched", seed, r.Course, r.Reason, w.touched(r))
+		if r.State != statemachine.ReleaseHalted || !strings.HasPrefix(r.Reason, "gate: ") || w.touched(r) >= 30 {
+			t.Fatalf("seed %d: %v %s, %d touched", seed, r.State, r.Reason, w.touched(r))
 		}
 		most = max(most, w.touched(r))
 		after = max(after, w.haltedAt-w.enough)
@@ -38,9 +38,9 @@
 		for range 20 { // whoever went before comes back
 			w.step()
 		}
-		w.apply(&statemachine.Revert{Release: number, Reason: r.Reason})
-		if r = w.run(10 * time.Minute); r.Course != statemachine.Done || r.BackOf != number {
-			t.Errorf("seed %d: way back %v %s", seed, r.Course, r.Reason)
+		w.apply(&statemachine.RollBackRelease{Release: number, Reason: r.Reason})
+		if r = w.run(10 * time.Minute); r.State != statemachine.ReleaseDone || r.RollbackOf != number {
+			t.Errorf("seed %d: way back %v %s", seed, r.State, r.Reason)
 		}
 		for _, b := range w.brokers {
 			if b.version != "1" {
@@ -67,17 +67,17 @@
 		w := newWorld(t, 1000+seed, 300, 100, 0)
 		w.plan(10)
 		var r statemachine.Release
-		for r.Course = statemachine.Running; r.Course == statemachine.Running && w.now < 20*time.Minute; r, _ = w.s.Release() {
+		for r.State = statemachine.ReleaseRunning; r.State == statemachine.ReleaseRunning && w.now < 20*time.Minute; r, _ = w.s.Release() {
 			w.step()
 			if w.rng.IntN(200) == 0 {
 				w.lead()
 			}
 		}
-		if r.Course == statemachine.Halted {
+		if r.State == statemachine.ReleaseHalted {
 			alarms++
 			t.Logf("seed %d: %s", seed, r.Reason)
-		} else if r.Course != statemachine.Done {
-			t.Errorf("seed %d: %v, %d touched", seed, r.Course, w.touched(r))
+		} else if r.State != statemachine.ReleaseDone {
+			t.Errorf("seed %d: %v, %d touched", seed, r.State, w.touched(r))
 		}
 		if w.naive {
 			naive++
@@ -121,8 +121,8 @@
 // A release of nodes over two cells goes to its end though both hold the same shards, two ready holders of each at every moment.
 // Without a least the check finds fewer.
 func TestNodes(t *testing.T) {
-	if fewest, r := nodes(t, 2); r.Course != statemachine.Done || fewest < 2 {
-		t.Errorf("%d ready holders, %v: %+v", fewest, r.Course, r.Steps)
+	if fewest, r := nodes(t, 2); r.State != statemachine.ReleaseDone || fewest < 2 {
+		t.Errorf("%d ready holders, %v: %+v", fewest, r.State, r.Steps)
 	}
 	if fewest, _ := nodes(t, 0); fewest >= 2 {
 		t.Errorf("%d ready holders where no least is kept", fewest)
@@ -148,26 +148,26 @@
 		nodes = append(nodes, id)
 		list = append(list, statemachine.NodeInfo{Node: id, Zone: fmt.Sprint(i / 4), Shards: []uint32{uint32(i % 4), uint32(i%4+1) % 4}})
 	}
-	w.apply(&statemachine.Epoch{Number: 1, Least: least, Nodes: list})
-	w.apply(&statemachine.Plan{Nodes: nodes, Most: 8, Gates: "off"})
+	w.apply(&statemachine.SetNodeList{Epoch: 1, MinReadyReplicas: least, Nodes: list})
+	w.apply(&statemachine.ReleasePlan{Nodes: nodes, MaxOut: 8, Gates: "off"})
 	for range 400 {
 		w.step()
 		ready := map[uint32]int{0: 0, 1: 0, 2: 0, 3: 0}
 		for _, n := range w.s.Nodes() {
 			for _, shard := range n.Shards {
-				if n.Drain == 0 {
+				if n.DrainNumber == 0 {
 					ready[shard]++
 				}
 			}
 			p, ok := w.s.NodePermit(n.Node)
 			switch {
 			case ok && p.Used:
-				w.apply(&statemachine.Return{OnNode: true, Node: n.Node, Incarnation: p.Number})
-			case ok && w.s.Drained(n.Node):
-				w.apply(&statemachine.Use{Permit: p.Number, OnNode: true, Node: n.Node})
+				w.apply(&statemachine.ReturnToService{ForNode: true, Node: n.Node, Incarnation: p.Number})
+			case ok && w.s.IsDrained(n.Node):
+				w.apply(&statemachine.UsePermit{Permit: p.Number, ForNode: true, Node: n.Node})
 			case ok:
-				for _, slot := range w.s.Awaited(n.Node) {
-					w.apply(&statemachine.DrainAck{Slot: slot, Incarnation: 1, Node: n.Node, Number: n.Drain})
+				for _, slot := range w.s.MissingDrainAcks(n.Node) {
+					w.apply(&statemachine.AcknowledgeDrain{Slot: slot, Incarnation: 1, Node: n.Node, Number: n.DrainNumber})
 				}
 			}
 		}
--- a/internal/decision/release/world_test.go
+++ b/internal/decision/release/world_test.go
@@ -54,27 +54,27 @@
 
 func (w *world) apply(e statemachine.Entry) statemachine.Result {
 	w.seq++
-	return w.s.Apply(w.s.Index()+1, statemachine.Encode(statemachine.ID{Slot: 0, Incarnation: 1, Seq: w.seq}, e))
+	return w.s.Apply(w.s.AppliedIndex()+1, statemachine.Encode(statemachine.ProposalID{Slot: 0, Incarnation: 1, Sequence: w.seq}, e))
 }
 
 func (w *world) join(b *sim) {
 	b.incarnation, b.back, b.counts = b.incarnation+1, 0, Counts{}
 	zone := fmt.Sprint("z", b.slot%3)
-	w.apply(&statemachine.Register{Slot: b.slot, Name: fmt.Sprint("b", b.slot), Incarnation: b.incarnation,
+	w.apply(&statemachine.RegisterBroker{Slot: b.slot, Name: fmt.Sprint("b", b.slot), Incarnation: b.incarnation,
 		Version: b.version, Zone: zone, Protocol: 1})
-	w.apply(&statemachine.Return{Slot: b.slot, Incarnation: b.incarnation})
+	w.apply(&statemachine.ReturnToService{Slot: b.slot, Incarnation: b.incarnation})
 }
 
 func (w *world) lead() {
 	w.term++
-	w.apply(&statemachine.Lead{Slot: 0, Term: w.term})
+	w.apply(&statemachine.LeaderElected{Slot: 0, Term: w.term})
 	set := Defaults()
 	w.p = New(set, w.term, w.now)
 }
 
 func (w *world) plan(most uint32) uint64 {
-	return w.apply(&statemachine.Plan{Name: "r", From: "1", To: "2", Slots: Order(w.s.Brokers()),
-		Batches: Batches(len(w.brokers)), Most: most, PauseMS: 5000}).Number
+	return w.apply(&statemachine.ReleasePlan{Name: "r", From: "1", To: "2", Slots: Order(w.s.Brokers()),
+		Batches: Batches(len(w.brokers)), MaxOut: most, PauseMS: 5000}).Number
 }
 
 // some draws how many of n go wrong.
@@ -119,8 +119,8 @@
 		b.counts.Wrong[Unserved] += x
 		w.p.Take(Report{Target: Target{Slot: b.slot}, Incarnation: b.incarnation,
 			Zone: fmt.Sprint("z", b.slot%3), Classes: []Counts{b.counts}}, w.now)
-		if pass, ok := w.s.Permit(b.slot); ok && !pass.Used {
-			if r := w.apply(&statemachine.Use{Permit: pass.Number, Slot: b.slot, Incarnation: b.incarnation}); r.Err == nil {
+		if pass, ok := w.s.BrokerPermit(b.slot); ok && !pass.Used {
+			if r := w.apply(&statemachine.UsePermit{Permit: pass.Number, Slot: b.slot, Incarnation: b.incarnation}); r.Err == nil {
 				release, _ := w.s.Release()
 				w.goes[[2]uint64{pass.Release, uint64(b.slot)}]++
 				b.version, b.back = release.To, w.now+2*time.Second
@@ -138,7 +138,7 @@
 		w.propose++
 		w.apply(e)
 	}
-	if r, _ := w.s.Release(); r.Course == statemachine.Halted && w.haltedAt == 0 {
+	if r, _ := w.s.Release(); r.State == statemachine.ReleaseHalted && w.haltedAt == 0 {
 		w.haltedAt = w.now
 	}
 }
@@ -173,7 +173,7 @@
 func (w *world) run(most time.Duration) statemachine.Release {
 	for end := w.now + most; w.now < end; {
 		w.step()
-		if r, _ := w.s.Release(); r.Course != statemachine.Running {
+		if r, _ := w.s.Release(); r.State != statemachine.ReleaseRunning {
 			return r
 		}
 	}
@@ -183,7 +183,7 @@
 
 func (w *world) touched(r statemachine.Release) (n int) {
 	for _, x := range r.Steps {
-		if x.Touched {
+		if x.Affected {
 			n++
 		}
 	}
--- a/internal/decision/statemachine/bench_test.go
+++ b/internal/decision/statemachine/bench_test.go
@@ -9,35 +9,35 @@
 // full is a tier of 300 brokers and 200 nodes with 20,000 rows of grants.
 func full(b *testing.B) (*State, [][]byte) {
 	s, seq := New(), uint64(0)
-	enc := func(e Entry) []byte { seq++; return Encode(ID{0, 1, seq}, e) }
+	enc := func(e Entry) []byte { seq++; return Encode(ProposalID{0, 1, seq}, e) }
 	apply := func(e Entry) {
-		if r := s.Apply(s.Index()+1, enc(e)); r.Err != nil {
+		if r := s.Apply(s.AppliedIndex()+1, enc(e)); r.Err != nil {
 			b.Fatal(r.Err)
 		}
 	}
-	var budgets []Budget
+	var budgets []NodeBudget
 	for i := range 200 {
-		budgets = append(budgets, Budget{NodeID{Addr: [4]byte{10, 0, 1, byte(i)}, Port: 80}, 1000, 1})
+		budgets = append(budgets, NodeBudget{NodeID{Addr: [4]byte{10, 0, 1, byte(i)}, Port: 80}, 1000, 1})
 	}
 	for i := range 300 {
-		apply(&Register{Slot(i), fmt.Sprint("b", i), 1, "1", fmt.Sprint("z", i%3), 1})
-		apply(&Return{Slot: Slot(i), Incarnation: 1})
+		apply(&RegisterBroker{Slot(i), fmt.Sprint("b", i), 1, "1", fmt.Sprint("z", i%3), 1})
+		apply(&ReturnToService{Slot: Slot(i), Incarnation: 1})
 	}
-	apply(&Policy{1, "text", 300, budgets})
+	apply(&ConnectionPolicy{1, "text", 300, budgets})
 	var again [][]byte
 	for number := range uint64(2) {
 		for i := range 300 {
-			var l []Row
+			var l []LeaseRow
 			for j := range 66 {
-				l = append(l, Row{budgets[(i+j*3)%200].Node, fmt.Sprint("tenant", j%50), 1 + number})
+				l = append(l, LeaseRow{budgets[(i+j*3)%200].Node, fmt.Sprint("tenant", j%50), 1 + number})
 			}
-			slices.SortFunc(l, CompareRows)
-			g := &Grant{Slot(i), 1, number + 1, l}
+			slices.SortFunc(l, CompareLeaseRows)
+			g := &GrantLease{Slot(i), 1, number + 1, l}
 			if number == 0 {
 				apply(g)
-				apply(&GrantAck{Slot(i), 1, 1})
+				apply(&AcknowledgeLease{Slot(i), 1, 1})
 			} else {
-				again = append(again, enc(g), enc(&GrantAck{Slot(i), 1, 2}))
+				again = append(again, enc(g), enc(&AcknowledgeLease{Slot(i), 1, 2}))
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 			b.StartTimer()
 		}
 		for _, data := range again[k : k+2] {
-			if r := s.Apply(s.Index()+1, data); r.Err != nil {
+			if r := s.Apply(s.AppliedIndex()+1, data); r.Err != nil {
 				b.Fatal(r.Err)
 			}
 		}
--- a/internal/decision/statemachine/drain.go
+++ b/internal/decision/statemachine/drain.go
@@ -37,24 +37,24 @@
 			}
 		}
 		if left < max(least, s.least) {
-			return refuse(HoldersFew, "shard %d without node %v: %d, at least %d", shard, n.Node, left, max(least, s.least))
+			return refuse(ReasonTooFewReplicas, "shard %d without node %v: %d, at least %d", shard, n.Node, left, max(least, s.least))
 		}
 	}
 	return nil
 }
 
-func (e *Epoch) apply(s *State) (uint64, error) {
-	if e.Number <= s.epoch {
-		return 0, refuse(Stale, "epoch %d, the present one is %d", e.Number, s.epoch)
+func (e *SetNodeList) apply(s *State) (uint64, error) {
+	if e.Epoch <= s.epoch {
+		return 0, refuse(ReasonStale, "epoch %d, the present one is %d", e.Epoch, s.epoch)
 	}
 	list := slices.Clone(e.Nodes)
-	slices.SortFunc(list, func(a, b NodeInfo) int { return Compare(a.Node, b.Node) })
+	slices.SortFunc(list, func(a, b NodeInfo) int { return CompareNodes(a.Node, b.Node) })
 	for i := range list {
 		if i > 0 && list[i].Node == list[i-1].Node {
-			return 0, refuse(Wrong, "node %v is there twice", list[i].Node)
+			return 0, refuse(ReasonInvalid, "node %v is there twice", list[i].Node)
 		}
 	}
-	s.epoch, s.least = e.Number, e.Least
+	s.epoch, s.least = e.Epoch, e.MinReadyReplicas
 	for _, n := range s.nodes {
 		n.listed = false
 	}
@@ -63,60 +63,60 @@
 		n.NodeInfo, n.listed = info, true
 	}
 	s.prune()
-	return e.Number, nil
+	return e.Epoch, nil
 }
 
 func (e *DrainNode) apply(s *State) (uint64, error) {
 	n := s.node(e.Node)
 	if n == nil || !n.listed {
-		return 0, refuse(Absent, "node %v", e.Node)
+		return 0, refuse(ReasonNotFound, "node %v", e.Node)
 	}
 	if n.drain.Number > 0 {
-		return 0, refuse(Busy, "node %v is drained by entry %d", e.Node, n.drain.Number)
+		return 0, refuse(ReasonBusy, "node %v is drained by entry %d", e.Node, n.drain.Number)
 	}
 	if err := s.holders(n, 0); err != nil {
 		return 0, err
 	}
-	n.drain = Drain{Node: e.Node, Number: s.index, Reason: e.Reason}
+	n.drain = NodeDrain{Node: e.Node, Number: s.index, Reason: e.Reason}
 	return s.index, nil
 }
 
-func (e *DrainAck) apply(s *State) (uint64, error) {
+func (e *AcknowledgeDrain) apply(s *State) (uint64, error) {
 	m, err := s.at(e.Slot, e.Incarnation)
 	if err != nil {
 		return 0, err
 	}
 	n := s.node(e.Node)
 	if n == nil || n.drain.Number == 0 || n.drain.Number != e.Number {
-		return 0, refuse(Stale, "drain %d of node %v", e.Number, e.Node)
+		return 0, refuse(ReasonStale, "drain %d of node %v", e.Number, e.Node)
 	}
-	a := Member{m.Slot, m.Incarnation}
-	i, ok := slices.BinarySearchFunc(n.drain.Acks, a, func(x, y Member) int { return cmp.Compare(x.Slot, y.Slot) })
+	a := BrokerIncarnation{m.Slot, m.Incarnation}
+	i, ok := slices.BinarySearchFunc(n.drain.Acknowledged, a, func(x, y BrokerIncarnation) int { return cmp.Compare(x.Slot, y.Slot) })
 	if ok {
-		n.drain.Acks[i] = a
+		n.drain.Acknowledged[i] = a
 	} else {
-		n.drain.Acks = slices.Insert(n.drain.Acks, i, a)
+		n.drain.Acknowledged = slices.Insert(n.drain.Acknowledged, i, a)
 	}
 	return e.Number, nil
 }
 
-func (e *Undrain) apply(s *State) (uint64, error) {
+func (e *UndrainNode) apply(s *State) (uint64, error) {
 	n := s.node(e.Node)
 	if n == nil || n.drain.Number == 0 {
-		return 0, refuse(Absent, "drain of node %v", e.Node)
+		return 0, refuse(ReasonNotFound, "drain of node %v", e.Node)
 	}
 	if n.pass.Number > 0 {
-		return 0, refuse(Over, "node %v is drained by release %d; halt that", e.Node, n.pass.Release)
+		return 0, refuse(ReasonWrongState, "node %v is drained by release %d; halt that", e.Node, n.pass.Release)
 	}
-	n.drain = Drain{}
+	n.drain = NodeDrain{}
 	s.prune()
 	return 0, nil
 }
 
-func (e *NodeDown) apply(s *State) (uint64, error) {
+func (e *MarkNodeDown) apply(s *State) (uint64, error) {
 	n := s.node(e.Node)
 	if n == nil || !n.listed {
-		return 0, refuse(Absent, "node %v", e.Node)
+		return 0, refuse(ReasonNotFound, "node %v", e.Node)
 	}
 	if n.down == 0 {
 		n.down = s.index
@@ -128,16 +128,16 @@
 func (s *State) mayNode(r *Release, id NodeID) error {
 	n := s.node(id)
 	if n == nil || !n.listed {
-		return refuse(Absent, "node %v", id)
+		return refuse(ReasonNotFound, "node %v", id)
 	}
 	if n.drain.Number > 0 {
-		return refuse(Busy, "node %v is drained by entry %d", id, n.drain.Number)
+		return refuse(ReasonBusy, "node %v is drained by entry %d", id, n.drain.Number)
 	}
 	tier, here := s.nodeCounts(n.Zone)
 	if n.down > 0 { // it counts already
 		tier, here = tier-1, here-1
 	}
-	return cmp.Or(s.room(r, tier, here, n.Zone), s.holders(n, r.Least))
+	return cmp.Or(s.room(r, tier, here, n.Zone), s.holders(n, r.MinReadyReplicas))
 }
 
 func (s *State) voidNode(n *node) {
@@ -145,22 +145,22 @@
 		return
 	}
 	if r := s.release; r != nil {
-		if x := r.step(0, n.Node); x != nil && x.Stage == Permitted {
-			x.Stage, r.Changed = Pending, s.index
+		if x := r.step(0, n.Node); x != nil && x.State == StepPermitted {
+			x.State, r.ChangedIndex = StepPending, s.index
 		}
 	}
-	n.pass, n.drain = Pass{}, Drain{}
+	n.pass, n.drain = ReleasePermit{}, NodeDrain{}
 }
 
 func (s *State) useNode(id NodeID, permit uint64) error {
 	n := s.node(id)
 	switch {
 	case n == nil || n.pass.Number == 0 || n.pass.Number != permit:
-		return refuse(Absent, "permit %d of node %v", permit, id)
+		return refuse(ReasonNotFound, "permit %d of node %v", permit, id)
 	case n.pass.Used:
-		return refuse(Spent, "permit %d of node %v", permit, id)
-	case !s.Drained(id):
-		return refuse(Undrained, "node %v: %d brokers", id, len(s.Awaited(id)))
+		return refuse(ReasonAlreadyUsed, "permit %d of node %v", permit, id)
+	case !s.IsDrained(id):
+		return refuse(ReasonNotDrained, "node %v: %d brokers", id, len(s.MissingDrainAcks(id)))
 	}
 	r, err := s.running(n.pass.Release)
 	if err != nil {
@@ -176,14 +176,14 @@
 	n := s.node(id)
 	switch {
 	case n == nil || number == 0:
-		return refuse(Absent, "node %v", id)
+		return refuse(ReasonNotFound, "node %v", id)
 	case n.pass.Used && n.pass.Number == number:
-		n.pass, n.drain, n.down = Pass{}, Drain{}, 0
+		n.pass, n.drain, n.down = ReleasePermit{}, NodeDrain{}, 0
 		if r := s.release; r != nil {
-			if x := r.step(0, id); x != nil && x.Stage == Used {
-				x.Stage, r.Changed = Finished, s.index
-				if x.Carried { // whether it is what was taken back can't be told of a node: it goes once more
-					x.Stage, x.Carried = Pending, false
+			if x := r.step(0, id); x != nil && x.State == StepOut {
+				x.State, r.ChangedIndex = StepFinished, s.index
+				if x.OutAtRollback { // whether it is what was taken back can't be told of a node: it goes once more
+					x.State, x.OutAtRollback = StepPending, false
 				}
 				r.end()
 			}
@@ -191,7 +191,7 @@
 	case n.down == number:
 		n.down = 0
 	default:
-		return refuse(Stale, "number %d of node %v", number, id)
+		return refuse(ReasonStale, "number %d of node %v", number, id)
 	}
 	s.prune()
 	return nil
--- a/internal/decision/statemachine/explore_test.go
+++ b/internal/decision/statemachine/explore_test.go
@@ -13,16 +13,16 @@
 	m := &model{s: New(), term: 1}
 	for i := range m.procs {
 		m.procs[i] = modelProc{incarnation: 1, up: true}
-		m.send(&Register{Slot(i), fmt.Sprint(i), 1, "1", "z", 1}, i)
-		m.send(&Return{Slot: Slot(i), Incarnation: 1}, i)
+		m.send(&RegisterBroker{Slot(i), fmt.Sprint(i), 1, "1", "z", 1}, i)
+		m.send(&ReturnToService{Slot: Slot(i), Incarnation: 1}, i)
 	}
-	m.send(&Lead{0, 1}, 0)
-	m.send(&Plan{From: "1", To: "2", Slots: slots(3), Most: modelMost}, 0)
+	m.send(&LeaderElected{0, 1}, 0)
+	m.send(&ReleasePlan{From: "1", To: "2", Slots: slots(3), MaxOut: modelMost}, 0)
 	for len(m.flight) > 0 {
 		m.deliver(0, false, p)
 	}
 	m.out, m.why = [3]bool{}, ""
-	m.send(&Return{Slot: 0, Incarnation: 1}, 0) // said again as it came, and still on its way
+	m.send(&ReturnToService{Slot: 0, Incarnation: 1}, 0) // said again as it came, and still on its way
 	seed := maphash.MakeSeed()
 	seen := map[uint64]bool{m.key(seed): true}
 	level := []*model{m}
--- a/internal/decision/statemachine/lease_test.go
+++ b/internal/decision/statemachine/lease_test.go
@@ -82,7 +82,7 @@
 func (l *lease) deliver(k int, p *leasePlant) {
 	x := l.flight[k]
 	l.flight = slices.Delete(l.flight, k, k+1)
-	p.apply(l.s, x.e, func() Result { return l.s.Apply(l.s.Index()+1, Encode(ID{9, 1, x.seq}, x.e)) })
+	p.apply(l.s, x.e, func() Result { return l.s.Apply(l.s.AppliedIndex()+1, Encode(ProposalID{9, 1, x.seq}, x.e)) })
 }
 
 // use is what the two use at this instant: what they go by until their lease ends, then the floor.
@@ -113,7 +113,7 @@
 	for n, x := range l.leaders {
 		leads := term == x.term
 		for i, h := range l.holders {
-			held, _ := l.s.Grants(Slot(i))
+			held, _ := l.s.Lease(Slot(i))
 			if leads && h.asked >= 0 && x.ending[i] != held.Number { // answers
 				do(func(c *lease) {
 					c.holders[i].answers = append(c.holders[i].answers, leaseAnswer{h.asked, c.now})
@@ -123,11 +123,14 @@
 			}
 			if leads && len(l.flight) < 2 && !held.Ended && held.Number > 0 && x.ending[i] != held.Number &&
 				(p.impatient || l.now >= x.renewed[i]+leaseFor) {
-				do(func(c *lease) { c.leaders[n].ending[i] = held.Number; c.send(&Expire{Slot(i), held.Number, x.term}) })
+				do(func(c *lease) {
+					c.leaders[n].ending[i] = held.Number
+					c.send(&ExpireLease{Slot(i), held.Number, x.term})
+				})
 			}
 			for _, units := range []uint64{1, 2} {
 				if leads && n == len(l.leaders)-1 && len(l.flight) < 2 && held.Number < 3 {
-					do(func(c *lease) { c.send(&Grant{Slot(i), 1, held.Number + 1, []Row{{at(1), "x", units}}}) })
+					do(func(c *lease) { c.send(&GrantLease{Slot(i), 1, held.Number + 1, []LeaseRow{{at(1), "x", units}}}) })
 				}
 			}
 		}
@@ -151,19 +154,19 @@
 				c.holders[i].end = max(c.holders[i].end, from+leaseFor)
 			})
 		}
-		held, _ := l.s.Grants(Slot(i))
+		held, _ := l.s.Lease(Slot(i))
 		if held.Number != h.number || held.Ended && h.units > 0 { // its replica has come so far
 			if p.early && !held.Ended {
-				do(func(c *lease) { c.send(&GrantAck{Slot(i), 1, held.Number}) }) // before it keeps to it
+				do(func(c *lease) { c.send(&AcknowledgeLease{Slot(i), 1, held.Number}) }) // before it keeps to it
 			}
 			do(func(c *lease) {
 				h := &c.holders[i]
 				h.number, h.units = held.Number, 0
 				for _, r := range held.Granted {
-					h.units += r.Units
+					h.units += r.Connections
 				}
 				if !held.Ended {
-					c.send(&GrantAck{Slot(i), 1, held.Number})
+					c.send(&AcknowledgeLease{Slot(i), 1, held.Number})
 				}
 			})
 		}
@@ -175,7 +178,7 @@
 		do(func(c *lease) { // it counts from now on, for what another has answered it can't know
 			c.faults++
 			c.leaders = append(c.leaders, leaseLeader{term: 2, renewed: [2]int{c.now + 1, c.now + 1}})
-			c.send(&Lead{0, 2})
+			c.send(&LeaderElected{0, 2})
 		})
 	}
 }
@@ -186,13 +189,13 @@
 	}
 	l := &lease{s: New(), leaders: []leaseLeader{{term: 1}}}
 	for i := range l.holders {
-		l.send(&Register{Slot(i), fmt.Sprint(i), 1, "1", "z", 1})
-		l.send(&Return{Slot: Slot(i), Incarnation: 1})
+		l.send(&RegisterBroker{Slot(i), fmt.Sprint(i), 1, "1", "z", 1})
+		l.send(&ReturnToService{Slot: Slot(i), Incarnation: 1})
 	}
-	l.send(&Lead{0, 1})
-	l.send(&Policy{1, "", 2, []Budget{{at(1), leaseUnits, 1}}})
-	l.send(&Grant{0, 1, 1, []Row{{at(1), "x", 2}}})
-	l.send(&GrantAck{0, 1, 1})
+	l.send(&LeaderElected{0, 1})
+	l.send(&ConnectionPolicy{1, "", 2, []NodeBudget{{at(1), leaseUnits, 1}}})
+	l.send(&GrantLease{0, 1, 1, []LeaseRow{{at(1), "x", 2}}})
+	l.send(&AcknowledgeLease{0, 1, 1})
 	for len(l.flight) > 0 {
 		l.deliver(0, p)
 	}
--- a/internal/decision/statemachine/model_test.go
+++ b/internal/decision/statemachine/model_test.go
@@ -79,16 +79,16 @@
 	if !keep {
 		m.flight = slices.Delete(m.flight, k, k+1)
 	}
-	r := p(m.s, x.e, func() Result { return m.s.Apply(m.s.Index()+1, Encode(ID{9, 1, x.seq}, x.e)) })
-	if r.Err == nil && !r.Again {
+	r := p(m.s, x.e, func() Result { return m.s.Apply(m.s.AppliedIndex()+1, Encode(ProposalID{9, 1, x.seq}, x.e)) })
+	if r.Err == nil && !r.Duplicate {
 		m.done(x.e, r.Number)
 	}
-	if _, ok := x.e.(*Use); ok && r.Err == nil {
-		m.procs[x.from].mayGo = m.procs[x.from].mayGo || m.procs[x.from].incarnation == x.e.(*Use).Incarnation
+	if _, ok := x.e.(*UsePermit); ok && r.Err == nil {
+		m.procs[x.from].mayGo = m.procs[x.from].mayGo || m.procs[x.from].incarnation == x.e.(*UsePermit).Incarnation
 		m.goes(x.from)
 	}
 	for i := range m.procs {
-		if b, _ := m.s.Broker(Slot(i)); m.out[i] && b.Standing == In {
+		if b, _ := m.s.Broker(Slot(i)); m.out[i] && b.Status == BrokerServing {
 			m.broken("broker %d counts as in, and nobody has said that it returned", i)
 		}
 	}
@@ -96,7 +96,7 @@
 
 func (m *model) done(e Entry, number uint64) {
 	switch e := e.(type) {
-	case *Permit:
+	case *IssuePermit:
 		n := 0
 		for i := range m.procs {
 			if m.out[i] || m.reserved[i] > 0 {
@@ -110,7 +110,7 @@
 			m.broken("a permit of the leader of term %d in term %d", e.Term, m.term)
 		}
 		m.reserved[e.Slot] = number
-	case *Use:
+	case *UsePermit:
 		if slices.Contains(m.accepted, e.Permit) {
 			m.broken("permit %d was used twice", e.Permit)
 		}
@@ -119,21 +119,21 @@
 		}
 		m.accepted = append(m.accepted, e.Permit)
 		m.out[e.Slot], m.reserved[e.Slot] = true, 0
-	case *Lost:
+	case *MarkBrokerLost:
 		m.out[e.Slot], m.reserved[e.Slot] = true, 0
-	case *Register:
+	case *RegisterBroker:
 		m.out[e.Slot], m.reserved[e.Slot] = true, 0
-	case *Return:
+	case *ReturnToService:
 		if b, _ := m.s.Broker(e.Slot); e.Incarnation > 1 && b.Incarnation == e.Incarnation {
 			m.out[e.Slot] = false
 		}
-	case *Halt:
+	case *HaltRelease:
 		for i, p := range m.reserved {
 			if p > 0 {
 				m.voided, m.reserved[i] = append(m.voided, p), 0
 			}
 		}
-	case *Lead:
+	case *LeaderElected:
 		m.term = e.Term
 	}
 }
@@ -175,43 +175,43 @@
 	for i := range m.procs {
 		x, slot := m.procs[i], Slot(i)
 		b, _ := m.s.Broker(slot)
-		if b.Standing == In {
-			send(&Permit{Release: r.Number, Term: m.term, Slot: slot, Incarnation: b.Incarnation}, i)
+		if b.Status == BrokerServing {
+			send(&IssuePermit{Release: r.Number, Term: m.term, Slot: slot, Incarnation: b.Incarnation}, i)
 		}
-		pass, ok := m.s.Permit(slot)
+		pass, ok := m.s.BrokerPermit(slot)
 		switch {
 		case !x.up:
-			if b.Standing != Gone {
-				send(&Lost{slot, b.Incarnation, m.term}, i)
+			if b.Status != BrokerLost {
+				send(&MarkBrokerLost{slot, b.Incarnation, m.term}, i)
 			}
 			if x.incarnation == b.Incarnation { // starts
 				do(func(c *model) {
 					c.procs[i] = modelProc{incarnation: x.incarnation + 1, up: true}
-					c.send(&Register{slot, b.Name, x.incarnation + 1, "2", "z", 1}, i)
+					c.send(&RegisterBroker{slot, b.Name, x.incarnation + 1, "2", "z", 1}, i)
 				})
 			}
 		case x.stopped:
-			if b.Standing != Gone {
-				send(&Lost{slot, b.Incarnation, m.term}, i)
+			if b.Status != BrokerLost {
+				send(&MarkBrokerLost{slot, b.Incarnation, m.term}, i)
 			}
 			do(func(c *model) { c.procs[i].stopped = false; c.goes(i) })
 		default:
-			if b.Standing == Back && b.Incarnation == x.incarnation {
-				send(&Return{Slot: slot, Incarnation: x.incarnation}, i)
+			if b.Status == BrokerReturning && b.Incarnation == x.incarnation {
+				send(&ReturnToService{Slot: slot, Incarnation: x.incarnation}, i)
 			}
 			if ok && pass.Incarnation == x.incarnation && !x.used { // the second is the same proposal under another number
 				do(func(c *model) {
 					c.procs[i].used = true
-					c.send(&Use{Permit: pass.Number, Slot: slot, Incarnation: x.incarnation}, i)
-					c.send(&Use{Permit: pass.Number, Slot: slot, Incarnation: x.incarnation}, i)
+					c.send(&UsePermit{Permit: pass.Number, Slot: slot, Incarnation: x.incarnation}, i)
+					c.send(&UsePermit{Permit: pass.Number, Slot: slot, Incarnation: x.incarnation}, i)
 				})
 			}
 			fault(func(c *model) { c.procs[i].up = false })
 			fault(func(c *model) { c.procs[i].stopped = true })
 		}
 	}
-	if r.Course == Running {
-		send(&Halt{r.Number, ""}, 0)
+	if r.State == ReleaseRunning {
+		send(&HaltRelease{r.Number, ""}, 0)
 	}
-	fault(func(c *model) { c.send(&Lead{1, c.term + 1}, 0) })
+	fault(func(c *model) { c.send(&LeaderElected{1, c.term + 1}, 0) })
 }
--- a/internal/decision/statemachine/plants_test.go
+++ b/internal/decision/statemachine/plants_test.go
@@ -8,7 +8,7 @@
 	c.brokers, c.nodes, c.sessions = copies(s.brokers), copies(s.nodes), copies(s.sessions)
 	c.policies = slices.Clone(s.policies)
 	for _, n := range c.nodes {
-		n.drain.Acks = slices.Clone(n.drain.Acks)
+		n.drain.Acknowledged = slices.Clone(n.drain.Acknowledged)
 	}
 	for _, x := range c.sessions {
 		x.Past = slices.Clone(x.Past)
@@ -33,30 +33,30 @@
 // modelPlants are faults put into the machine, which the model must find.
 var modelPlants = map[string]plant{
 	"limit not kept": func(s *State, e Entry, apply func() Result) Result {
-		if _, ok := e.(*Permit); ok && s.release != nil {
-			s.release.Most = 99
-			defer func() { s.release.Most = modelMost }()
+		if _, ok := e.(*IssuePermit); ok && s.release != nil {
+			s.release.MaxOut = 99
+			defer func() { s.release.MaxOut = modelMost }()
 		}
 		return apply()
 	},
 	"freed by silence": func(s *State, e Entry, apply func() Result) Result {
 		r := apply()
-		if l, ok := e.(*Lost); ok && r.Err == nil {
-			s.member(l.Slot).Standing = In
+		if l, ok := e.(*MarkBrokerLost); ok && r.Err == nil {
+			s.member(l.Slot).Status = BrokerServing
 		}
 		return r
 	},
 	"used twice": func(s *State, e Entry, apply func() Result) Result {
-		if u, ok := e.(*Use); ok {
+		if u, ok := e.(*UsePermit); ok {
 			if m := s.member(u.Slot); m.pass.Used {
-				m.pass.Used, m.Standing = false, In
+				m.pass.Used, m.Status = false, BrokerServing
 			}
 		}
 		return apply()
 	},
 	"halt leaves permits": func(s *State, e Entry, apply func() Result) Result {
-		if _, ok := e.(*Halt); ok {
-			held := map[Slot]Pass{}
+		if _, ok := e.(*HaltRelease); ok {
+			held := map[Slot]ReleasePermit{}
 			for _, m := range s.brokers {
 				held[m.Slot] = m.pass
 			}
@@ -66,14 +66,14 @@
 			}
 			return r
 		}
-		if _, ok := e.(*Use); ok && s.release.Course == Halted {
-			s.release.Course = Running
-			defer func() { s.release.Course = Halted }()
+		if _, ok := e.(*UsePermit); ok && s.release.State == ReleaseHalted {
+			s.release.State = ReleaseRunning
+			defer func() { s.release.State = ReleaseHalted }()
 		}
 		return apply()
 	},
 	"old leaders heard": func(s *State, e Entry, apply func() Result) Result {
-		if p, ok := e.(*Permit); ok {
+		if p, ok := e.(*IssuePermit); ok {
 			term := s.term
 			s.term = p.Term
 			defer func() { s.term = term }()
@@ -81,9 +81,9 @@
 		return apply()
 	},
 	"late return taken": func(s *State, e Entry, apply func() Result) Result {
-		if x, ok := e.(*Return); ok {
-			if m := s.member(x.Slot); m != nil && m.Standing == Out && m.Incarnation == x.Incarnation {
-				m.Standing = Back
+		if x, ok := e.(*ReturnToService); ok {
+			if m := s.member(x.Slot); m != nil && m.Status == BrokerOut && m.Incarnation == x.Incarnation {
+				m.Status = BrokerReturning
 			}
 		}
 		return apply()
@@ -96,7 +96,7 @@
 	"expired by silence":            {impatient: true},
 	"acknowledged before it was so": {early: true},
 	"budget not kept": {apply: func(s *State, e Entry, apply func() Result) Result {
-		if _, ok := e.(*Grant); ok && s.node(at(1)) != nil {
+		if _, ok := e.(*GrantLease); ok && s.node(at(1)) != nil {
 			units := s.node(at(1)).units
 			s.node(at(1)).units = 0
 			r := apply()
--- a/internal/decision/statemachine/query.go
+++ b/internal/decision/statemachine/query.go
@@ -29,8 +29,8 @@
 	return r, true
 }
 
-// Permit is the permit a broker holds, used or not.
-func (s *State) Permit(slot Slot) (p Pass, ok bool) {
+// BrokerPermit is the permit a broker holds, used or not.
+func (s *State) BrokerPermit(slot Slot) (p ReleasePermit, ok bool) {
 	if m := s.member(slot); m != nil && m.pass.Number > 0 {
 		return m.pass, true
 	}
@@ -38,7 +38,7 @@
 }
 
 // NodePermit is the permit of a node.
-func (s *State) NodePermit(id NodeID) (p Pass, ok bool) {
+func (s *State) NodePermit(id NodeID) (p ReleasePermit, ok bool) {
 	if n := s.node(id); n != nil && n.pass.Number > 0 {
 		return n.pass, true
 	}
@@ -46,47 +46,47 @@
 }
 
 // Drains are the agreed drains, by node.
-func (s *State) Drains() (all []Drain) {
+func (s *State) Drains() (all []NodeDrain) {
 	for _, n := range s.nodes {
 		if n.drain.Number > 0 {
 			d := n.drain
-			d.Acks = slices.Clone(d.Acks)
+			d.Acknowledged = slices.Clone(d.Acknowledged)
 			all = append(all, d)
 		}
 	}
 	return all
 }
 
-// Drained tells whether every living broker has acknowledged a node's drain.
-func (s *State) Drained(id NodeID) bool {
+// IsDrained tells whether every living broker has acknowledged a node's drain.
+func (s *State) IsDrained(id NodeID) bool {
 	n := s.node(id)
-	return n != nil && n.drain.Number > 0 && len(s.Awaited(id)) == 0
+	return n != nil && n.drain.Number > 0 && len(s.MissingDrainAcks(id)) == 0
 }
 
-// Awaited are the living brokers that have not acknowledged a node's drain.
-func (s *State) Awaited(id NodeID) (all []Slot) {
+// MissingDrainAcks are the living brokers that have not acknowledged a node's drain.
+func (s *State) MissingDrainAcks(id NodeID) (all []Slot) {
 	n := s.node(id)
 	if n == nil {
 		return nil
 	}
 	for _, m := range s.brokers {
-		if m.Standing != Gone && !slices.Contains(n.drain.Acks, Member{m.Slot, m.Incarnation}) {
+		if m.Status != BrokerLost && !slices.Contains(n.drain.Acknowledged, BrokerIncarnation{m.Slot, m.Incarnation}) {
 			all = append(all, m.Slot)
 		}
 	}
 	return all
 }
 
-// Grants is what a broker may hold. Its rows must not be changed; they are not changed here either.
-func (s *State) Grants(slot Slot) (h Holding, ok bool) {
+// Lease is what a broker may hold. Its rows must not be changed; they are not changed here either.
+func (s *State) Lease(slot Slot) (h ConnectionLease, ok bool) {
 	if m := s.member(slot); m != nil {
 		return m.holding, true
 	}
 	return h, false
 }
 
-// Policy is the policy in force, the one that waits, and the one before; nil where there is none. They must not be changed.
-func (s *State) Policy() (inForce, waiting, before *Policy) {
+// Policies is the policy in force, the one that waits, and the one before; nil where there is none. They must not be changed.
+func (s *State) Policies() (inForce, waiting, before *ConnectionPolicy) {
 	for _, p := range s.policies {
 		if p.Version == s.current {
 			inForce = p
@@ -97,8 +97,8 @@
 	return inForce, waiting, s.before
 }
 
-// PolicyAcked is the policy whose floors a broker said last that it keeps to.
-func (s *State) PolicyAcked(slot Slot) uint64 {
+// AcknowledgedPolicy is the policy whose floors a broker said last that it keeps to.
+func (s *State) AcknowledgedPolicy(slot Slot) uint64 {
 	if m := s.member(slot); m != nil {
 		return m.policy
 	}
--- a/internal/decision/statemachine/same_test.go
+++ b/internal/decision/statemachine/same_test.go
@@ -16,7 +16,7 @@
 	r, _ := s.Release()
 	_, term := s.Leader()
 	n, _ := s.Node(node)
-	h, _ := s.Grants(slot)
+	h, _ := s.Lease(slot)
 	in := m.Incarnation + 1 - small("old", 1)
 	onNode := small("on node", 2) == 0
 	np, _ := s.NodePermit(node)
@@ -24,27 +24,27 @@
 	if onNode {
 		permit = np.Number
 	}
-	rows := []Row{{at(0), "x", 1 + small("units", 9)}, {node, "y", 1 + small("more", 9)}}
+	rows := []LeaseRow{{at(0), "x", 1 + small("units", 9)}, {node, "y", 1 + small("more", 9)}}
 	all := []Entry{
-		&Lead{slot, term + small("term", 1)},
-		&Register{slot, fmt.Sprint("b", slot), m.Incarnation + 1, fmt.Sprint(small("version", 2)), fmt.Sprint(slot % 2), 1},
-		&Return{slot, m.Incarnation, false, node}, &Return{slot, m.Incarnation, false, node},
-		&Return{slot, max(np.Number, n.Down), true, node},
-		&Lost{slot, in, term}, &Forget{slot},
-		&Plan{From: "0", To: "1", Slots: slots(int(small("targets", 4))),
-			Batches: []uint32{1, 4}[small("batches", 2)%2*2:], Most: 1 + uint32(small("most", 2))},
-		&Plan{Nodes: []NodeID{at(0), at(1), at(2)}, Most: 2},
-		&Permit{r.Number, term, slot, m.Incarnation, onNode, node}, &Permit{r.Number, term, slot, m.Incarnation, onNode, node},
-		&Use{permit, slot, m.Incarnation, onNode, node}, &Use{permit, slot, m.Incarnation, onNode, node},
-		&Advance{r.Number, term, r.Batch + 1}, &Halt{r.Number, "x"}, &Resume{r.Number}, &Revert{r.Number, "y"},
-		&DrainNode{node, "z"}, &DrainAck{slot, m.Incarnation, node, n.Drain}, &Undrain{node}, &NodeDown{node, "w"},
-		&Policy{small("policy", 20), "text", 5, []Budget{{at(0), 10 + small("budget", 30), small("floor", 2)}, {at(1), 20, 1}}},
-		&PolicyAck{slot, m.Incarnation, small("acked", 20)},
-		&Grant{slot, m.Incarnation, h.Number + 1, rows[small("rows", 1):]}, &GrantAck{slot, m.Incarnation, h.Number},
-		&GiveUp{slot, m.Incarnation, h.Number}, &Expire{slot, h.Number, term},
-		&Epoch{s.Epoch() + 1, uint32(small("least", 1)), []NodeInfo{
+		&LeaderElected{slot, term + small("term", 1)},
+		&RegisterBroker{slot, fmt.Sprint("b", slot), m.Incarnation + 1, fmt.Sprint(small("version", 2)), fmt.Sprint(slot % 2), 1},
+		&ReturnToService{slot, m.Incarnation, false, node}, &ReturnToService{slot, m.Incarnation, false, node},
+		&ReturnToService{slot, max(np.Number, n.DownIndex), true, node},
+		&MarkBrokerLost{slot, in, term}, &RemoveBroker{slot},
+		&ReleasePlan{From: "0", To: "1", Slots: slots(int(small("targets", 4))),
+			Batches: []uint32{1, 4}[small("batches", 2)%2*2:], MaxOut: 1 + uint32(small("most", 2))},
+		&ReleasePlan{Nodes: []NodeID{at(0), at(1), at(2)}, MaxOut: 2},
+		&IssuePermit{r.Number, term, slot, m.Incarnation, onNode, node}, &IssuePermit{r.Number, term, slot, m.Incarnation, onNode, node},
+		&UsePermit{permit, slot, m.Incarnation, onNode, node}, &UsePermit{permit, slot, m.Incarnation, onNode, node},
+		&OpenNextBatch{r.Number, term, r.OpenBatch + 1}, &HaltRelease{r.Number, "x"}, &ResumeRelease{r.Number}, &RollBackRelease{r.Number, "y"},
+		&DrainNode{node, "z"}, &AcknowledgeDrain{slot, m.Incarnation, node, n.DrainNumber}, &UndrainNode{node}, &MarkNodeDown{node, "w"},
+		&ConnectionPolicy{small("policy", 20), "text", 5, []NodeBudget{{at(0), 10 + small("budget", 30), small("floor", 2)}, {at(1), 20, 1}}},
+		&AcknowledgePolicy{slot, m.Incarnation, small("acked", 20)},
+		&GrantLease{slot, m.Incarnation, h.Number + 1, rows[small("rows", 1):]}, &AcknowledgeLease{slot, m.Incarnation, h.Number},
+		&RelinquishLease{slot, m.Incarnation, h.Number}, &ExpireLease{slot, h.Number, term},
+		&SetNodeList{s.Epoch() + 1, uint32(small("least", 1)), []NodeInfo{
 			{at(0), "a", []uint32{1}}, {at(1), "b", []uint32{1, 2}}, {at(2), "b", []uint32{2}}}},
-		&Gate{small("gate", 1)},
+		&RaiseProtocol{small("gate", 1)},
 	}
 	return all[small("kind", len(all)-1)]
 }
@@ -56,7 +56,7 @@
 		a, b := New(), New()
 		applied := 0
 		for i := range uint64(rapid.IntRange(1, 150).Draw(t, "entries")) {
-			data := Encode(ID{Slot(i % 3), 1, 1 + i/2}, draw(t, a))
+			data := Encode(ProposalID{Slot(i % 3), 1, 1 + i/2}, draw(t, a))
 			if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
 				var err error
 				if b, err = Restore(b.Snapshot()); err != nil {
@@ -79,15 +79,15 @@
 
 // audit counts anew, by what the ledger says of each broker, what the nodes' sums come to.
 func audit(s *State) string {
-	p, _, _ := s.Policy()
+	p, _, _ := s.Policies()
 	for _, n := range s.nodes {
 		units := uint64(0)
 		for _, b := range s.Brokers() {
-			h, _ := s.Grants(b.Slot)
+			h, _ := s.Lease(b.Slot)
 			most := map[string]uint64{}
-			for _, r := range append(append([]Row{}, h.Granted...), h.Held...) {
+			for _, r := range append(append([]LeaseRow{}, h.Granted...), h.PossiblyHeld...) {
 				if r.Node == n.Node {
-					most[r.Tenant] = max(most[r.Tenant], r.Units)
+					most[r.Tenant] = max(most[r.Tenant], r.Connections)
 				}
 			}
 			for _, u := range most {
@@ -95,11 +95,11 @@
 			}
 		}
 		v, _ := s.Node(n.Node)
-		if v.Units != units {
-			return fmt.Sprintf("node %v: %d units, counted %d", n.Node, v.Units, units)
+		if v.Leased != units {
+			return fmt.Sprintf("node %v: %d units, counted %d", n.Node, v.Leased, units)
 		}
-		if p != nil && v.Units+v.Floors > v.Budget {
-			return fmt.Sprintf("node %v: %d and %d floors over %d", n.Node, v.Units, v.Floors, v.Budget)
+		if p != nil && v.Leased+v.Reserved > v.Budget {
+			return fmt.Sprintf("node %v: %d and %d floors over %d", n.Node, v.Leased, v.Reserved, v.Budget)
 		}
 	}
 	return ""
@@ -108,14 +108,14 @@
 // The audit finds a sum that is wrong, and units over the budget.
 func TestAudit(t *testing.T) {
 	b := newBench(t, 1)
-	b.must(&Policy{1, "", 2, []Budget{{at(1), 10, 1}}})
-	b.must(&Grant{0, 1, 1, []Row{{at(1), "x", 8}}})
+	b.must(&ConnectionPolicy{1, "", 2, []NodeBudget{{at(1), 10, 1}}})
+	b.must(&GrantLease{0, 1, 1, []LeaseRow{{at(1), "x", 8}}})
 	if why := audit(b.s); why != "" {
 		t.Error(why)
 	}
 	b.s.node(at(1)).units = 7
 	sum := audit(b.s)
-	b.s.node(at(1)).units, b.s.policies[0].Budgets[0].Floor = 8, 2
+	b.s.node(at(1)).units, b.s.policies[0].Budgets[0].ReservedPerBroker = 8, 2
 	if over := audit(b.s); sum == "" || over == "" {
 		t.Errorf("not found: %q, %q", sum, over)
 	}
@@ -126,20 +126,20 @@
 	f.Add([]byte{}, []byte{1, 2, 3})
 	for k := range kGate + 1 {
 		if e := blank(k); e != nil {
-			f.Add(Encode(ID{1, 1, 3}, e), Encode(ID{1, 1, 1}, &Register{1, "b", 1, "v", "z", 1}))
+			f.Add(Encode(ProposalID{1, 1, 3}, e), Encode(ProposalID{1, 1, 1}, &RegisterBroker{1, "b", 1, "v", "z", 1}))
 		}
 	}
 	f.Fuzz(func(t *testing.T, a, b []byte) {
 		s := New()
-		s.Apply(1, Encode(ID{1, 1, 1}, &Epoch{1, 0, []NodeInfo{{at(0), "z", []uint32{1}}}}))
-		s.Apply(2, Encode(ID{1, 1, 2}, &Policy{1, "", 9, []Budget{{at(0), 100, 1}}}))
+		s.Apply(1, Encode(ProposalID{1, 1, 1}, &SetNodeList{1, 0, []NodeInfo{{at(0), "z", []uint32{1}}}}))
+		s.Apply(2, Encode(ProposalID{1, 1, 2}, &ConnectionPolicy{1, "", 9, []NodeBudget{{at(0), 100, 1}}}))
 		s.Apply(3, a)
 		s.Apply(4, b)
 		if r, err := Restore(s.Snapshot()); err != nil || !bytes.Equal(r.Snapshot(), s.Snapshot()) {
 			t.Errorf("%v", err)
 		}
 		if r, err := Restore(a); err == nil {
-			r.Apply(r.Index()+1, b)
+			r.Apply(r.AppliedIndex()+1, b)
 		}
 		if id, e, err := Decode(a); err == nil {
 			if id2, e2, err := Decode(Encode(id, e)); err != nil || id2 != id || fmt.Sprint(e2) != fmt.Sprint(e) {
--- a/internal/decision/statemachine/session.go
+++ b/internal/decision/statemachine/session.go
@@ -33,13 +33,13 @@
 		return Result{Err: s.stopped}
 	}
 	if index <= s.index {
-		return Result{Err: &Replayed{index, s.index}}
+		return Result{Err: &AlreadyAppliedError{index, s.index}}
 	}
 	id, e, err := Decode(data)
-	if g, ok := e.(*Gate); ok && g.Protocol > Protocol {
-		err = &Unknown{Version: g.Protocol, Kind: uint64(kGate)} // what follows it can't be read here
+	if g, ok := e.(*RaiseProtocol); ok && g.Protocol > SupportedProtocol {
+		err = &UnknownEntryError{Version: g.Protocol, Kind: uint64(kGate)} // what follows it can't be read here
 	}
-	var u *Unknown
+	var u *UnknownEntryError
 	if errors.As(err, &u) {
 		u.Index = index
 		s.stopped = u
@@ -49,17 +49,17 @@
 	switch {
 	case err != nil:
 		return Result{Err: err}
-	case len(data) > mostSize || id.Slot >= mostSlot || id.Seq == 0:
-		return Result{Err: refuse(Wrong, "slot %d, proposal %d, %d bytes", id.Slot, id.Seq, len(data))}
+	case len(data) > mostSize || id.Slot >= mostSlot || id.Sequence == 0:
+		return Result{Err: refuse(ReasonInvalid, "slot %d, proposal %d, %d bytes", id.Slot, id.Sequence, len(data))}
 	case since(e.kind()) > s.gate:
-		return Result{Err: refuse(Behind, "the tier is at protocol %d", s.gate)}
+		return Result{Err: refuse(ReasonProtocol, "the tier is at protocol %d", s.gate)}
 	}
 	return s.once(id, e)
 }
 
 // once applies a proposal that was not applied before. Danger: a link breaks between a proposal and its answer, it is sent again,
 // and a permit is given or a grant numbered twice.
-func (s *State) once(id ID, e Entry) (r Result) {
+func (s *State) once(id ProposalID, e Entry) (r Result) {
 	i, ok := slices.BinarySearchFunc(s.sessions, id.Slot, func(x *session, slot Slot) int { return cmp.Compare(x.Slot, slot) })
 	if !ok {
 		s.sessions = slices.Insert(s.sessions, i, &session{Slot: id.Slot, Incarnation: id.Incarnation})
@@ -68,20 +68,20 @@
 	if id.Incarnation > x.Incarnation {
 		*x = session{Slot: id.Slot, Incarnation: id.Incarnation}
 	}
-	if id.Incarnation < x.Incarnation || id.Seq <= x.Forgotten {
-		return Result{Again: true, Err: refuse(Repeated, "proposal %d of slot %d, incarnation %d", id.Seq, id.Slot, id.Incarnation)}
+	if id.Incarnation < x.Incarnation || id.Sequence <= x.Forgotten {
+		return Result{Duplicate: true, Err: refuse(ReasonForgotten, "proposal %d of slot %d, incarnation %d", id.Sequence, id.Slot, id.Incarnation)}
 	}
-	at, ok := slices.BinarySearchFunc(x.Past, id.Seq, func(p past, seq uint64) int { return cmp.Compare(p.Seq, seq) })
+	at, ok := slices.BinarySearchFunc(x.Past, id.Sequence, func(p past, seq uint64) int { return cmp.Compare(p.Seq, seq) })
 	if ok {
 		p := x.Past[at]
-		if r = (Result{Number: p.Number, Again: true}); p.Reason > 0 {
-			r.Err = &Refused{p.Reason, p.Detail}
+		if r = (Result{Number: p.Number, Duplicate: true}); p.Reason > 0 {
+			r.Err = &RejectedError{p.Reason, p.Detail}
 		}
 		return r
 	}
 	r.Number, r.Err = e.apply(s)
-	p := past{Seq: id.Seq, Number: r.Number}
-	var no *Refused
+	p := past{Seq: id.Sequence, Number: r.Number}
+	var no *RejectedError
 	if errors.As(r.Err, &no) {
 		p.Reason, p.Detail = no.Reason, no.Detail
 	}
@@ -93,9 +93,9 @@
 	return r
 }
 
-func (e *Lead) apply(s *State) (uint64, error) {
+func (e *LeaderElected) apply(s *State) (uint64, error) {
 	if e.Term <= s.term {
-		return 0, refuse(Fenced, "term %d, the present one is %d", e.Term, s.term)
+		return 0, refuse(ReasonFenced, "term %d, the present one is %d", e.Term, s.term)
 	}
 	s.term, s.leader = e.Term, e.Slot
 	return e.Term, nil
@@ -103,15 +103,15 @@
 
 func (s *State) fenced(term uint64) error {
 	if term != s.term || term == 0 {
-		return refuse(Fenced, "term %d, the present one is %d", term, s.term)
+		return refuse(ReasonFenced, "term %d, the present one is %d", term, s.term)
 	}
 	return nil
 }
 
-func (e *Gate) apply(s *State) (uint64, error) {
+func (e *RaiseProtocol) apply(s *State) (uint64, error) {
 	for _, m := range s.brokers {
 		if m.Protocol < e.Protocol {
-			return 0, refuse(Behind, "broker %s reads protocol %d", m.Name, m.Protocol)
+			return 0, refuse(ReasonProtocol, "broker %s reads protocol %d", m.Name, m.Protocol)
 		}
 	}
 	s.gate = max(s.gate, e.Protocol)
--- a/internal/decision/statemachine/snapshot.go
+++ b/internal/decision/statemachine/snapshot.go
@@ -18,22 +18,22 @@
 	s.fields(c)
 	switch {
 	case c.bad || len(c.b) > 0:
-		return nil, &Damaged{Why: "it is cut, damaged or of another version"}
-	case s.gate == 0 || s.gate > Protocol:
-		return nil, &Damaged{Why: "it is of a newer protocol"}
-	case !slices.IsSortedFunc(s.nodes, func(a, b *node) int { return Compare(a.Node, b.Node) }) ||
+		return nil, &SnapshotError{Cause: "it is cut, damaged or of another version"}
+	case s.gate == 0 || s.gate > SupportedProtocol:
+		return nil, &SnapshotError{Cause: "it is of a newer protocol"}
+	case !slices.IsSortedFunc(s.nodes, func(a, b *node) int { return CompareNodes(a.Node, b.Node) }) ||
 		!slices.IsSortedFunc(s.brokers, func(a, b *member) int { return int(a.Slot) - int(b.Slot) }) ||
 		!slices.IsSortedFunc(s.sessions, func(a, b *session) int { return int(a.Slot) - int(b.Slot) }):
-		return nil, &Damaged{Why: "it is not in order"}
+		return nil, &SnapshotError{Cause: "it is not in order"}
 	case s.release != nil && !s.release.sound():
-		return nil, &Damaged{Why: "its release contradicts itself"}
+		return nil, &SnapshotError{Cause: "its release contradicts itself"}
 	}
 	s.total()
 	return s, nil
 }
 
 func (r *Release) sound() bool {
-	return int(r.Batch) < len(r.Batches) && r.Batches[len(r.Batches)-1] == uint32(len(r.Steps)) && slices.IsSorted(r.Batches)
+	return int(r.OpenBatch) < len(r.Batches) && r.Batches[len(r.Batches)-1] == uint32(len(r.Steps)) && slices.IsSorted(r.Batches)
 }
 
 // total counts anew what all may hold of each node.
@@ -75,8 +75,8 @@
 	list(c, &s.brokers, ptr(func(c *codec, m *member) { m.fields(c) }))
 	list(c, &s.nodes, ptr(func(c *codec, n *node) { n.fields(c) }))
 	list(c, &s.sessions, ptr(func(c *codec, x *session) { x.fields(c) }))
-	list(c, &s.policies, ptr(func(c *codec, p *Policy) { p.fields(c) }))
-	some(c, &s.before, func(c *codec, p *Policy) { p.fields(c) })
+	list(c, &s.policies, ptr(func(c *codec, p *ConnectionPolicy) { p.fields(c) }))
+	some(c, &s.before, func(c *codec, p *ConnectionPolicy) { p.fields(c) })
 	some(c, &s.release, func(c *codec, r *Release) { r.fields(c) })
 }
 
@@ -87,25 +87,25 @@
 	c.str(&m.Version)
 	c.str(&m.Zone)
 	num(c, &m.Protocol)
-	num(c, &m.Standing)
-	c.flag(&m.Served)
+	num(c, &m.Status)
+	c.flag(&m.HasServed)
 	num(c, &m.Permit)
-	num(c, &m.Since)
+	num(c, &m.StatusIndex)
 	num(c, &m.policy)
 	m.pass.fields(c)
 	h := &m.holding
 	num(c, &h.Incarnation)
 	num(c, &h.Number)
 	rows(c, &h.Granted)
-	rows(c, &h.Held)
-	c.flag(&h.Acked)
+	rows(c, &h.PossiblyHeld)
+	c.flag(&h.Acknowledged)
 	c.flag(&h.Ended)
 }
 
-func (p *Pass) fields(c *codec) {
+func (p *ReleasePermit) fields(c *codec) {
 	num(c, &p.Number)
 	num(c, &p.Release)
-	c.flag(&p.OnNode)
+	c.flag(&p.ForNode)
 	num(c, &p.Slot)
 	num(c, &p.Incarnation)
 	c.node(&p.Node)
@@ -121,7 +121,7 @@
 	num(c, &d.Number)
 	c.str(&d.Reason)
 	num(c, &d.Release)
-	list(c, &d.Acks, func(c *codec, m *Member) { num(c, &m.Slot); num(c, &m.Incarnation) })
+	list(c, &d.Acknowledged, func(c *codec, m *BrokerIncarnation) { num(c, &m.Slot); num(c, &m.Incarnation) })
 	if c.reading && d.Number > 0 {
 		d.Node = n.Node
 	}
@@ -141,19 +141,19 @@
 
 func (r *Release) fields(c *codec) {
 	num(c, &r.Number)
-	r.Plan.fields(c)
-	c.flag(&r.OnNodes)
-	num(c, &r.Course)
+	r.ReleasePlan.fields(c)
+	c.flag(&r.ForNodes)
+	num(c, &r.State)
 	c.str(&r.Reason)
-	list(c, &r.Steps, func(c *codec, x *Step) {
+	list(c, &r.Steps, func(c *codec, x *ReleaseStep) {
 		num(c, &x.Slot)
 		c.node(&x.Node)
-		num(c, &x.Stage)
-		c.flag(&x.Touched)
+		num(c, &x.State)
+		c.flag(&x.Affected)
 		c.str(&x.Version)
-		c.flag(&x.Carried)
+		c.flag(&x.OutAtRollback)
 	})
-	num(c, &r.Batch)
-	num(c, &r.BackOf)
-	num(c, &r.Changed)
+	num(c, &r.OpenBatch)
+	num(c, &r.RollbackOf)
+	num(c, &r.ChangedIndex)
 }
--- a/internal/decision/statemachine/statemachine.go
+++ b/internal/decision/statemachine/statemachine.go
@@ -24,7 +24,7 @@
 // State is the machine. It is not safe for use by several goroutines; what queries return is the caller's own unless they say so.
 type State struct {
 	index    uint64
-	stopped  *Unknown
+	stopped  *UnknownEntryError
 	term     uint64
 	leader   Slot
 	gate     uint64
@@ -34,32 +34,32 @@
 	nodes    []*node   // by node
 	sessions []*session
 	release  *Release
-	policies []*Policy // what brokers may still keep the floors of, oldest first
-	current  uint64    // version of the policy in force; a newer one waits
-	before   *Policy   // the one in force before it
+	policies []*ConnectionPolicy // what brokers may still keep the floors of, oldest first
+	current  uint64              // version of the policy in force; a newer one waits
+	before   *ConnectionPolicy   // the one in force before it
 }
 
 // Result is what became of an entry.
 type Result struct {
-	Number uint64 // of the release, permit, drain or grant; else 0
-	Again  bool   // the proposal had been applied before: this is the result it had
-	Err    error
+	Number    uint64 // of the release, permit, drain or grant; else 0
+	Duplicate bool   // the proposal had been applied before: this is the result it had
+	Err       error
 }
 
 // New is a machine that has applied nothing.
 func New() *State { return &State{gate: 1} }
 
-// Index is the last entry applied.
-func (s *State) Index() uint64 { return s.index }
+// AppliedIndex is the last entry applied.
+func (s *State) AppliedIndex() uint64 { return s.index }
 
-// Stopped is the entry that this program could not read, or nil.
-func (s *State) Stopped() *Unknown { return s.stopped }
+// StoppedBy is the entry that this program could not read, or nil.
+func (s *State) StoppedBy() *UnknownEntryError { return s.stopped }
 
 // Leader is who proposed the last Lead, and its term.
 func (s *State) Leader() (Slot, uint64) { return s.leader, s.term }
 
-// Gate is the newest protocol that may be proposed.
-func (s *State) Gate() uint64 { return s.gate }
+// TierProtocol is the newest protocol that may be proposed.
+func (s *State) TierProtocol() uint64 { return s.gate }
 
 // NodeID names a node.
 type NodeID = decision.NodeID
--- a/internal/lab/proof/back_test.go
+++ b/internal/lab/proof/back_test.go
@@ -15,7 +15,7 @@
 	c.t.Helper()
 	c.agreed("nobody is out or may go", func(s *controlplane.Status) bool {
 		for _, b := range s.Brokers {
-			if b.Standing != statemachine.In || b.Permit > 0 {
+			if b.Status != statemachine.BrokerServing || b.Permit > 0 {
 				return false
 			}
 		}
@@ -76,7 +76,9 @@
 	})
 	c.do("release", "--from", "v1", "--to", "v2", "--most", "1", "--batch", "1,7", "--pause", "10s")
 	c.steps(1)
-	s := c.agreed("the gate halts", func(s *controlplane.Status) bool { return s.Release != nil && s.Release.Course == statemachine.Halted })
+	s := c.agreed("the gate halts", func(s *controlplane.Status) bool {
+		return s.Release != nil && s.Release.State == statemachine.ReleaseHalted
+	})
 	n := c.calm()
 	if !strings.HasPrefix(s.Release.Reason, "gate: ") || n != 1 {
 		t.Errorf("halted after %d of 7 went out: %s", n, s.Release.Reason)
--- a/internal/lab/proof/drain_test.go
+++ b/internal/lab/proof/drain_test.go
@@ -80,8 +80,8 @@
 	c.do("drain", name)
 	s := c.drained(name)
 	at := time.Now()
-	if me, _ := standing(&s, b.Name); me.Standing != statemachine.Gone {
-		t.Errorf("drained while a broker that cannot have heard of it is %v", me.Standing)
+	if me, _ := standing(&s, b.Name); me.Status != statemachine.BrokerLost {
+		t.Errorf("drained while a broker that cannot have heard of it is %v", me.Status)
 	}
 	var lines []string
 	c.until("the broker that is cut off says so", func() bool {
@@ -99,7 +99,7 @@
 		t.Errorf("%d parts came to a drained node; %v", x.Parts.Load()-had, out.Broken)
 	}
 	c.Mesh.Heal(true)
-	c.all(statemachine.In)
+	c.all(statemachine.BrokerServing)
 	c.drained(name) // now by its own word
 	again := c.Clients(60, 10)
 	if n := arrived(x, still); n > 0 {
--- a/internal/lab/proof/frozen_test.go
+++ b/internal/lab/proof/frozen_test.go
@@ -23,7 +23,7 @@
 		s, err := c.Status(time.Second)
 		if me, _ := standing(&s, b.Name); err == nil && me.Permit > 0 {
 			return true
-		} else if me.Standing == statemachine.Gone {
+		} else if me.Status == statemachine.BrokerLost {
 			break
 		}
 	}
@@ -42,12 +42,12 @@
 		}
 		c.agreed("its loss is known", func(s *controlplane.Status) bool {
 			me, _ := standing(s, b.Name)
-			return me.Standing == statemachine.Gone && me.Permit == 0
+			return me.Status == statemachine.BrokerLost && me.Permit == 0
 		})
 		c.do("halt", "trial") // else it would get another permit, and go by that
 		c.Mesh.Heal(false)    // what it said meanwhile arrives now
 		if !provoked {
-			c.all(statemachine.In)
+			c.all(statemachine.BrokerServing)
 		}
 	}
 	if !provoked {
@@ -57,7 +57,7 @@
 		t.Fatal("it has gone before it was stopped")
 	}
 	b.Thaw()
-	c.all(statemachine.In)
+	c.all(statemachine.BrokerServing)
 	time.Sleep(still)
 	if n := len(c.Watch.Steps()); n != 0 || !b.Running() {
 		t.Fatalf("%d went out by a permit that was void", n)
--- a/internal/lab/proof/history_test.go
+++ b/internal/lab/proof/history_test.go
@@ -191,7 +191,7 @@
 			if r.sums['d'] < 10 || r.sums['r'] < 1 {
 				t.Error("too little was done")
 			}
-			c.all(statemachine.In)
+			c.all(statemachine.BrokerServing)
 		})
 	}
 }
--- a/internal/lab/proof/hunt_test.go
+++ b/internal/lab/proof/hunt_test.go
@@ -70,9 +70,9 @@
 			})
 			all.Wait()
 			c.agreed("the release is done, or halted as one that was out came back as it was", func(s *controlplane.Status) bool {
-				return s.Release != nil && s.Release.Course != statemachine.Running
+				return s.Release != nil && s.Release.State != statemachine.ReleaseRunning
 			})
-			c.all(statemachine.In)
+			c.all(statemachine.BrokerServing)
 			c.audit(most, clients.End())
 			for _, b := range c.Brokers {
 				if n := planned(b); n > 1 || b.Version != "v2" {
--- a/internal/lab/proof/main_test.go
+++ b/internal/lab/proof/main_test.go
@@ -99,7 +99,7 @@
 	if err := c.StartAll(patient); err != nil {
 		t.Fatal(err)
 	}
-	c.all(statemachine.In)
+	c.all(statemachine.BrokerServing)
 	c.until("the outside view has all serve", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Watch.Serves(b.Name) {
@@ -148,12 +148,12 @@
 }
 
 // all waits until all brokers stand as given.
-func (c *tier) all(as statemachine.Standing) {
+func (c *tier) all(as statemachine.BrokerStatus) {
 	c.t.Helper()
 	c.agreed(fmt.Sprint("all are ", as), func(s *controlplane.Status) bool {
 		n := 0
 		for _, b := range s.Brokers {
-			if b.Standing == as {
+			if b.Status == as {
 				n++
 			}
 		}
--- a/internal/lab/proof/majority_test.go
+++ b/internal/lab/proof/majority_test.go
@@ -106,11 +106,11 @@
 	}
 	c.agreed("the deaf one is lost", func(s *controlplane.Status) bool {
 		b, _ := standing(s, deaf.Name)
-		return b.Standing == statemachine.Gone
+		return b.Status == statemachine.BrokerLost
 	})
 	if up, said := deaf.Up(); !up || !said {
 		t.Error("a broker that hears no other does not serve")
 	}
 	c.Mesh.Heal(false)
-	c.all(statemachine.In)
+	c.all(statemachine.BrokerServing)
 }
--- a/internal/lab/proof/release_test.go
+++ b/internal/lab/proof/release_test.go
@@ -40,9 +40,9 @@
 func (c *tier) done() {
 	c.t.Helper()
 	c.agreed("the release is done", func(s *controlplane.Status) bool {
-		return s.Release != nil && s.Release.Course == statemachine.Done
+		return s.Release != nil && s.Release.State == statemachine.ReleaseDone
 	})
-	c.all(statemachine.In)
+	c.all(statemachine.BrokerServing)
 	c.until("the outside view has all serve again", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Watch.Serves(b.Name) {
@@ -134,7 +134,7 @@
 	victim.Kill()
 	c.agreed("the crash is known, and all others are in", func(s *controlplane.Status) bool {
 		for _, b := range s.Brokers {
-			if b.Name != victim.Name && (b.Standing != statemachine.In || b.Permit > 0) || b.Name == victim.Name && b.Standing != statemachine.Gone {
+			if b.Name != victim.Name && (b.Status != statemachine.BrokerServing || b.Permit > 0) || b.Name == victim.Name && b.Status != statemachine.BrokerLost {
 				return false
 			}
 		}
--- a/internal/lab/proof/word_test.go
+++ b/internal/lab/proof/word_test.go
@@ -19,7 +19,7 @@
 	c.release(b)
 	c.agreed("its word is taken", func(s *controlplane.Status) bool {
 		me, _ := standing(s, b.Name)
-		return me.Standing == statemachine.Out
+		return me.Status == statemachine.BrokerOut
 	})
 	c.Mesh.Isolate(b.Index, true)
 	if time.Sleep(time.Second); !b.Running() {
--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -34,7 +34,7 @@
 	linger  time.Duration
 	term    uint64
 	granter *connlease.Granter
-	plan    *connlease.Plan
+	plan    *connlease.BudgetPlan
 	version uint64
 	seen    map[statemachine.Slot]uint64 // incarnations, when it last looked
 }
@@ -56,7 +56,7 @@
 		})
 	}
 	g := &granting{b: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + longest(t) + plainClose}
-	s.fleet.Compile(func(text string, state *statemachine.State) (*statemachine.Policy, error) {
+	s.fleet.Compile(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
 		return g.compile(text, state, t.Tenants, o.Lease)
 	})
 	s.fleet.Tell(controlplane.Extra{Name: "need", Collect: func() []byte {
@@ -69,7 +69,7 @@
 }
 
 // compile makes a policy's entry: a budget for every node that is known here.
-func (g *granting) compile(text string, state *statemachine.State, tenants []string, lease time.Duration) (*statemachine.Policy, error) {
+func (g *granting) compile(text string, state *statemachine.State, tenants []string, lease time.Duration) (*statemachine.ConnectionPolicy, error) {
 	p, err := connpolicy.Compile("policy", text)
 	if err != nil {
 		return nil, err
@@ -94,21 +94,21 @@
 	if len(*nodes) > p.Nodes {
 		return nil, &connpolicy.Overcommitted{Class: connpolicy.PoolClass, What: "nodes that are known", Sum: len(*nodes), Budget: p.Nodes}
 	}
-	e := &statemachine.Policy{Version: 1, Text: text, MostBrokers: uint32(p.Brokers)}
-	if inForce, _, _ := state.Policy(); inForce != nil {
+	e := &statemachine.ConnectionPolicy{Version: 1, Text: text, MaxBrokers: uint32(p.Brokers)}
+	if inForce, _, _ := state.Policies(); inForce != nil {
 		e.Version = inForce.Version + 1
 	}
 	for id, n := range *nodes {
 		k := p.ClassOf(n)
-		e.Budgets = append(e.Budgets, statemachine.Budget{Node: id, Units: uint64(k.Budget), Floor: uint64(k.Floor)})
+		e.Budgets = append(e.Budgets, statemachine.NodeBudget{Node: id, Connections: uint64(k.Budget), ReservedPerBroker: uint64(k.Floor)})
 	}
-	slices.SortFunc(e.Budgets, func(a, b statemachine.Budget) int { return statemachine.Compare(a.Node, b.Node) })
+	slices.SortFunc(e.Budgets, func(a, b statemachine.NodeBudget) int { return statemachine.CompareNodes(a.Node, b.Node) })
 	return e, nil
 }
 
 // do is the leader's duty.
 func (g *granting) do(m controlplane.Moment) []statemachine.Entry {
-	inForce, waiting, _ := m.State.Policy()
+	inForce, waiting, _ := m.State.Policies()
 	if inForce == nil {
 		return nil
 	}
@@ -123,7 +123,7 @@
 	if g.granter == nil || g.term != m.Term {
 		g.granter, g.term, g.seen = connlease.NewGranter(g.lease, g.linger, m.Now), m.Term, map[statemachine.Slot]uint64{}
 	}
-	needs, other := map[statemachine.Slot][]connlease.Row{}, uint64(0)
+	needs, other := map[statemachine.Slot][]connlease.ConnectionCount{}, uint64(0)
 	if waiting != nil {
 		other = g.before(m.State)
 	}
@@ -133,26 +133,26 @@
 		if !ok || r.Incarnation != b.Incarnation {
 			continue
 		}
-		if version, rows, ok := connlease.Decode(r.Extra["need"]); ok && (version == inForce.Version || version == other && other > 0) {
+		if version, rows, ok := connlease.DecodeDemand(r.Extra["need"]); ok && (version == inForce.Version || version == other && other > 0) {
 			needs[b.Slot] = rows
 		}
 	}
-	return g.granter.Next(m.State, g.plan, needs, m.Term, m.Now)
+	return g.granter.NextEntries(m.State, g.plan, needs, m.Term, m.Now)
 }
 
 // look takes note of when a broker's lease was renewed. Danger: an incarnation that ended since the last look may have had a lease
 // after that look, and what it held would be another's too early.
 func (g *granting) look(b statemachine.Broker, session, now time.Duration) {
 	if was := g.seen[b.Slot]; was > 0 && was != b.Incarnation {
-		g.granter.Heard(b.Slot, was, now)
+		g.granter.RecordRenewal(b.Slot, was, now)
 	}
 	g.seen[b.Slot] = b.Incarnation
-	g.granter.Heard(b.Slot, b.Incarnation, session)
+	g.granter.RecordRenewal(b.Slot, b.Incarnation, session)
 }
 
 // before is the version in force, whose tenants reports count while another waits, if both name the same tenants.
 func (g *granting) before(s *statemachine.State) uint64 {
-	inForce, _, _ := s.Policy()
+	inForce, _, _ := s.Policies()
 	if inForce == nil {
 		return 0
 	}
@@ -163,7 +163,7 @@
 }
 
 // arrange lays a policy over its nodes.
-func (g *granting) arrange(e *statemachine.Policy) bool {
+func (g *granting) arrange(e *statemachine.ConnectionPolicy) bool {
 	p, err := connpolicy.Compile("agreed", e.Text)
 	if err != nil {
 		slog.Error("the agreed policy does not compile here: this leader grants nothing", "version", e.Version, "error", err)
@@ -173,13 +173,13 @@
 	if known := g.b.nodes.Load(); known != nil {
 		nodes = *known
 	}
-	g.plan, g.version = &connlease.Plan{Tenants: p.Tenants}, e.Version
+	g.plan, g.version = &connlease.BudgetPlan{Tenants: p.Tenants}, e.Version
 	if p.Pool != nil {
 		g.plan.Pool = &p.Pool.Shared
 	}
 	for _, b := range e.Budgets {
 		shared := p.ClassOf(nodes[b.Node]).Shared
-		shared.Units = min(shared.Units, int(b.Units)-int(b.Floor)*p.Brokers)
+		shared.Units = min(shared.Units, int(b.Connections)-int(b.ReservedPerBroker)*p.Brokers)
 		g.plan.Nodes = append(g.plan.Nodes, b.Node)
 		g.plan.Budgets = append(g.plan.Budgets, shared)
 	}
--- a/internal/server/budgets.go
+++ b/internal/server/budgets.go
@@ -26,7 +26,7 @@
 type budgets struct {
 	loop     *loop
 	holder   *connlease.Holder
-	needs    *connlease.Needs
+	needs    *connlease.DemandTracker
 	streams  int
 	names    []string  // tenants of the settings
 	of       []int     // their places in the policy; -1: it does not name them
@@ -49,9 +49,9 @@
 }
 
 func newBudgets(l *loop, streams int, names []string) *budgets {
-	b := &budgets{loop: l, holder: connlease.NewHolder(plainClose), needs: connlease.NewNeeds(needHalf), streams: streams, names: names,
+	b := &budgets{loop: l, holder: connlease.NewHolder(plainClose), needs: connlease.NewDemandTracker(needHalf), streams: streams, names: names,
 		turned: make([]turned, len(names)), closing: plainClose}
-	b.holder.Floors(nil, 1) // until it is known what is agreed
+	b.holder.SetReserved(nil, 1) // until it is known what is agreed
 	b.place(nil)
 	return b
 }
@@ -77,11 +77,11 @@
 	if b.shut {
 		return store.No
 	}
-	k, now := connlease.Key{Node: node, Tenant: tenant}, b.loop.since()
+	k, now := connlease.LeaseKey{Node: node, Tenant: tenant}, b.loop.since()
 	own, ok := b.holder.Open(k, now)
 	switch {
 	case !ok:
-		b.needs.See(k, float64(b.holder.Has(k)+1))
+		b.needs.Observe(k, float64(b.holder.OpenConnections(k)+1))
 		b.count(tenant, 0, 1)
 		return store.No
 	case own:
@@ -92,7 +92,7 @@
 
 // Closed hears of the end of a connection.
 func (b *budgets) Closed(node decision.NodeID, tenant int, byNode bool) {
-	b.holder.Closed(connlease.Key{Node: node, Tenant: tenant}, byNode, b.loop.since())
+	b.holder.RecordClosed(connlease.LeaseKey{Node: node, Tenant: tenant}, byNode, b.loop.since())
 }
 
 // see takes over what is agreed.
@@ -109,7 +109,7 @@
 		} else {
 			b.place(compiled.Tenants)
 			b.closing = compiled.Closing
-			b.holder.Closing(b.closing)
+			b.holder.SetCloseDelay(b.closing)
 		}
 		b.version = p.Version
 	}
@@ -117,14 +117,14 @@
 	if h := v.Grant; h.Number > 0 && !h.Ended && h.Incarnation == v.Me.Incarnation && v.Me.Incarnation > 0 && v.Policy != nil {
 		if h.Incarnation != b.grantee { // one that was forgotten and came back: its grants are numbered anew
 			b.grantee = h.Incarnation
-			b.holder.Anew()
+			b.holder.AcceptAnyNumber()
 		}
-		if rows := b.rows(h.Granted); b.holder.Take(h.Number, rows, v.LeaseEnd) && len(rows) > 0 && !b.holds {
+		if rows := b.rows(h.Granted); b.holder.AcceptGrant(h.Number, rows, v.LeaseEnd) && len(rows) > 0 && !b.holds {
 			b.holds = true
 			slog.Info("fleet: holds connections above the floors", "number", h.Number, "rows", len(rows))
 		}
-		if h.Acked {
-			b.holder.Acked(h.Number)
+		if h.Acknowledged {
+			b.holder.RecordAcked(h.Number)
 		}
 	} else {
 		b.holds = false
@@ -136,9 +136,9 @@
 func (b *budgets) bound(v *controlplane.View) {
 	if v.Policy == nil {
 		if v.Held(b.loop.since()) {
-			b.holder.Free()
+			b.holder.SetUnlimited()
 		} else {
-			b.holder.Floors(nil, 1)
+			b.holder.SetReserved(nil, 1)
 		}
 		return
 	}
@@ -151,27 +151,27 @@
 	}
 	floors := map[decision.NodeID]int{}
 	for _, one := range v.Policy.Budgets {
-		floors[one.Node] = int(one.Floor)
+		floors[one.Node] = int(one.ReservedPerBroker)
 	}
 	if v.Waiting != nil {
 		lower := map[decision.NodeID]int{}
 		for _, one := range v.Waiting.Budgets {
-			lower[one.Node] = int(one.Floor)
+			lower[one.Node] = int(one.ReservedPerBroker)
 		}
 		for id, floor := range floors {
 			floors[id] = min(floor, lower[id])
 		}
 	}
 	b.floors, b.keeps = floors, versions
-	b.holder.Floors(floors, 1)
+	b.holder.SetReserved(floors, 1)
 }
 
 // rows are a grant's rows under the settings' tenants.
-func (b *budgets) rows(of []statemachine.Row) (rows []connlease.Row) {
+func (b *budgets) rows(of []statemachine.LeaseRow) (rows []connlease.ConnectionCount) {
 	for _, r := range of {
 		for i, name := range b.names {
 			if name == r.Tenant && b.of[i] >= 0 {
-				rows = append(rows, connlease.Row{Key: connlease.Key{Node: r.Node, Tenant: i}, Units: int(r.Units)})
+				rows = append(rows, connlease.ConnectionCount{LeaseKey: connlease.LeaseKey{Node: r.Node, Tenant: i}, Connections: int(r.Connections)})
 			}
 		}
 	}
--- a/internal/server/budgets_test.go
+++ b/internal/server/budgets_test.go
@@ -41,22 +41,22 @@
 	view := &controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: 3}}
 	b.see(view)
 	want("no policy, and the leader in reach", one, store.Floor, store.Floor, store.Floor)
-	policy := &statemachine.Policy{Version: 1, Text: budgetText, MostBrokers: 2,
-		Budgets: []statemachine.Budget{{Node: one, Units: 20, Floor: 2}, {Node: two, Units: 20, Floor: 2}}}
-	grant := statemachine.Holding{Incarnation: 3, Number: 1,
-		Granted: []statemachine.Row{{Node: two, Tenant: "acme", Units: 2}, {Node: two, Tenant: "else", Units: 9}}}
+	policy := &statemachine.ConnectionPolicy{Version: 1, Text: budgetText, MaxBrokers: 2,
+		Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}, {Node: two, Connections: 20, ReservedPerBroker: 2}}}
+	grant := statemachine.ConnectionLease{Incarnation: 3, Number: 1,
+		Granted: []statemachine.LeaseRow{{Node: two, Tenant: "acme", Connections: 2}, {Node: two, Tenant: "else", Connections: 9}}}
 	view = &controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Grant: grant}
 	b.see(view)
 	want("more is open than the floor", one, store.No)
 	want("granted, then the floor", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
-	if surplus, hard := b.holder.Surplus(*now); len(surplus) != 1 || surplus[0].Units != 2 || hard {
+	if surplus, hard := b.holder.ExcessConnections(*now); len(surplus) != 1 || surplus[0].Connections != 2 || hard {
 		t.Errorf("to be closed: %v", surplus)
 	}
 	*now += 59 * time.Second // within the closing time of the lease's end
-	if surplus, hard := b.holder.Surplus(*now); len(surplus) != 2 || surplus[1].Units != 2 || !hard {
+	if surplus, hard := b.holder.ExcessConnections(*now); len(surplus) != 2 || surplus[1].Connections != 2 || !hard {
 		t.Errorf("to be closed at the lease's end: %v %t", surplus, hard)
 	}
-	lower := &statemachine.Policy{Version: 2, Text: budgetText, MostBrokers: 2, Budgets: []statemachine.Budget{{Node: one, Units: 20, Floor: 1}}}
+	lower := &statemachine.ConnectionPolicy{Version: 2, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 1}}}
 	b.see(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Waiting: lower, Grant: grant})
 	if b.floors[one] != 1 || b.floors[two] != 0 || b.newest != 2 {
 		t.Errorf("floors while a lower policy waits: %v", b.floors)
@@ -75,8 +75,8 @@
 	one := decision.NodeID{Port: 1}
 	see := func(incarnation, number, units uint64) {
 		l.budgets.see(&controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: incarnation},
-			Policy: &statemachine.Policy{Version: 1, Text: budgetText, MostBrokers: 2, Budgets: []statemachine.Budget{{Node: one, Units: 20, Floor: 2}}},
-			Grant:  statemachine.Holding{Incarnation: incarnation, Number: number, Granted: []statemachine.Row{{Node: one, Tenant: "acme", Units: units}}}})
+			Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}}},
+			Grant:  statemachine.ConnectionLease{Incarnation: incarnation, Number: number, Granted: []statemachine.LeaseRow{{Node: one, Tenant: "acme", Connections: units}}}})
 	}
 	see(3, 7, 0)
 	see(3, 6, 1)
@@ -84,7 +84,7 @@
 		t.Error("an older grant is held")
 	}
 	see(9, 1, 5)
-	if l.budgets.Open(one, 0) != store.Own || l.budgets.holder.Ack(*now) != 1 {
+	if l.budgets.Open(one, 0) != store.Own || l.budgets.holder.PendingAck(*now) != 1 {
 		t.Error("the first grant of a new incarnation is not held")
 	}
 }
@@ -94,7 +94,7 @@
 	g := &granting{granter: connlease.NewGranter(3*time.Second, time.Second, 0), seen: map[statemachine.Slot]uint64{}}
 	g.look(statemachine.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
 	g.look(statemachine.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
-	if ends := g.granter.Ends(1, 1); ends < 10300*time.Millisecond+connlease.Over(0, 3*time.Second)+time.Second {
+	if ends := g.granter.Expiry(1, 1); ends < 10300*time.Millisecond+connlease.GranterExpiry(0, 3*time.Second)+time.Second {
 		t.Errorf("it ends at %v", ends)
 	}
 }
@@ -103,7 +103,7 @@
 func TestHonestHint(t *testing.T) {
 	l, now := budgetTrial(t)
 	b := l.budgets
-	b.see(&controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &statemachine.Policy{Version: 1, Text: budgetText}})
+	b.see(&controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText}})
 	b.count(0, 40, 30)
 	b.count(1, 400, 30)
 	after, full := b.noRoom(0)
--- a/internal/server/budgetstop.go
+++ b/internal/server/budgetstop.go
@@ -26,7 +26,7 @@
 func (b *budgets) yield() held {
 	b.shut = true
 	b.loop.pool.End("stopping")
-	nothing := connlease.Encode(b.version, nil)
+	nothing := connlease.EncodeDemand(b.version, nil)
 	b.report.Store(&nothing) // else it would be granted more
 	if b.view == nil || b.view.Grant.Ended || b.view.Grant.Incarnation != b.view.Me.Incarnation {
 		return held{}
@@ -58,15 +58,15 @@
 	ctx, cancel := context.WithTimeout(s.ctx, time.Second)
 	defer cancel()
 	for {
-		e := &statemachine.GiveUp{Slot: statemachine.Slot(s.operator.Fleet.Slot), Incarnation: h.incarnation, Number: h.number}
+		e := &statemachine.RelinquishLease{Slot: statemachine.Slot(s.operator.Fleet.Slot), Incarnation: h.incarnation, Number: h.number}
 		_, err := s.fleet.Propose(ctx, e)
 		if err == nil {
 			break
 		}
 		// A grant came meanwhile. It is as void as the one before it, since nothing is opened any more.
-		var no *statemachine.Refused
+		var no *statemachine.RejectedError
 		g := s.fleet.View().Grant
-		if !errors.As(err, &no) || no.Reason != statemachine.Stale || g.Incarnation != h.incarnation || g.Ended || ctx.Err() != nil {
+		if !errors.As(err, &no) || no.Reason != statemachine.ReasonStale || g.Incarnation != h.incarnation || g.Ended || ctx.Err() != nil {
 			slog.Info("fleet: what this broker held is not given up; its lease ends it", "error", err)
 			return
 		}
--- a/internal/server/budgettick.go
+++ b/internal/server/budgettick.go
@@ -19,13 +19,13 @@
 	if now < b.due {
 		return b.due
 	}
-	b.due = min(now+budgetEvery, b.holder.Wake(now))
+	b.due = min(now+budgetEvery, b.holder.NextTimer(now))
 	if b.view != nil && b.view.Index > 0 {
 		b.bound(b.view)
 	}
-	surplus, hard := b.holder.Surplus(now)
+	surplus, hard := b.holder.ExcessConnections(now)
 	for _, r := range surplus {
-		l.pool.Shed(r.Node, r.Tenant, r.Units, hard)
+		l.pool.Shed(r.Node, r.Tenant, r.Connections, hard)
 	}
 	for i := range b.turned {
 		b.turned[i].sent *= turnedKeep
@@ -36,13 +36,13 @@
 		return b.due
 	}
 	me := b.view.Me
-	if number := b.holder.Ack(now); number > 0 && b.view.Grant.Number == number && !b.view.Grant.Acked {
+	if number := b.holder.PendingAck(now); number > 0 && b.view.Grant.Number == number && !b.view.Grant.Acknowledged {
 		b.proposed = now
-		b.propose(&statemachine.GrantAck{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
+		b.propose(&statemachine.AcknowledgeLease{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
 	}
-	if b.newest > b.view.PolicyAcked && b.holder.Settled(now, true) {
+	if b.newest > b.view.PolicyAcked && b.holder.WithinLease(now, true) {
 		b.proposed = now
-		b.propose(&statemachine.PolicyAck{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.newest})
+		b.propose(&statemachine.AcknowledgePolicy{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.newest})
 	}
 	return b.due
 }
@@ -50,14 +50,14 @@
 // measure sees what is out to each node, and leaves what is needed for the next report.
 func (b *budgets) measure(now time.Duration) {
 	b.needs.Decay(now)
-	wants := map[connlease.Key]int{}
+	wants := map[connlease.LeaseKey]int{}
 	b.loop.pool.Wants(func(node decision.NodeID, tenant, parts int) {
-		wants[connlease.Key{Node: node, Tenant: tenant}] += parts
+		wants[connlease.LeaseKey{Node: node, Tenant: tenant}] += parts
 	})
 	for k, parts := range wants {
-		b.needs.See(k, float64(parts)/float64(b.streams))
+		b.needs.Observe(k, float64(parts)/float64(b.streams))
 	}
-	rows := b.needs.Rows(b.floors)
+	rows := b.needs.AboveReserved(b.floors)
 	if b.shut {
 		rows = nil
 	}
@@ -68,7 +68,7 @@
 			kept = append(kept, r)
 		}
 	}
-	text := connlease.Encode(b.version, kept)
+	text := connlease.EncodeDemand(b.version, kept)
 	b.report.Store(&text)
 	nodes := make(map[decision.NodeID]connpolicy.Node, len(b.loop.nodes))
 	for id, n := range b.loop.nodes {
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -164,7 +164,7 @@
 	Leader      string
 	Incarnation uint64
 	Standing    string
-	Permit      statemachine.Pass
+	Permit      statemachine.ReleasePermit
 	Drains      []controlplane.Drain
 	Shut        int // drained nodes that get nothing
 	Policy      uint64
@@ -177,7 +177,7 @@
 func (l *loop) fleetState() *FleetState {
 	a := l.agreed
 	s := &FleetState{Index: a.view.Index, Connected: a.view.Held(l.since()), Leader: a.view.Leader, Incarnation: a.view.Me.Incarnation,
-		Standing: a.view.Me.Standing.String(), Permit: a.view.Permit, Drains: a.view.Drains, Epoch: a.view.Epoch,
+		Standing: a.view.Me.Status.String(), Permit: a.view.Permit, Drains: a.view.Drains, Epoch: a.view.Epoch,
 		Classes: append([]controlplane.Class(nil), a.classes...), Cold: a.cold}
 	for _, d := range a.drains {
 		if d.shut {
--- a/internal/server/epoch.go
+++ b/internal/server/epoch.go
@@ -42,7 +42,7 @@
 		have.names[id], have.ids[n.Name], have.ids[n.Addr.String()] = n.Name, id, id
 		have.Ready[id] = n.Entry.State == decision.Ready
 	}
-	slices.SortFunc(have.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.Compare(a.Node, b.Node) })
+	slices.SortFunc(have.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.CompareNodes(a.Node, b.Node) })
 	if was := to.Load(); was != nil {
 		have.Follow(&was.List)
 	}
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -188,10 +188,10 @@
 
 // use goes out by a permit. Danger: a process that was stopped wakes up and believes in a permit that is void by now. So it goes
 // only once an entry that says so is agreed, which a void permit's never is.
-func (s *Server) use(p statemachine.Pass) {
+func (s *Server) use(p statemachine.ReleasePermit) {
 	ctx, cancel := context.WithTimeout(s.ctx, askWithin)
 	defer cancel()
-	_, err := s.fleet.Propose(ctx, &statemachine.Use{Permit: p.Number, Slot: p.Slot, Incarnation: p.Incarnation})
+	_, err := s.fleet.Propose(ctx, &statemachine.UsePermit{Permit: p.Number, Slot: p.Slot, Incarnation: p.Incarnation})
 	if err != nil {
 		slog.Warn("permit not used", "permit", p.Number, "error", err)
 		s.fleet.tried.Store(0) // tried again while it stands, with the next view
@@ -201,7 +201,7 @@
 }
 
 // leave stops this broker as at SIGTERM, once.
-func (s *Server) leave(p statemachine.Pass) {
+func (s *Server) leave(p statemachine.ReleasePermit) {
 	s.fleet.once.Do(func() {
 		slog.Info("stopping by a permit", "permit", p.Number, "release", p.Release)
 		s.fleet.Leaving()
@@ -214,7 +214,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, askWithin)
 	defer cancel()
 	v := s.fleet.View()
-	_, err := s.fleet.Propose(ctx, &statemachine.DrainAck{Slot: v.Me.Slot, Incarnation: v.Me.Incarnation, Node: node, Number: number})
+	_, err := s.fleet.Propose(ctx, &statemachine.AcknowledgeDrain{Slot: v.Me.Slot, Incarnation: v.Me.Incarnation, Node: node, Number: number})
 	if err != nil {
 		slog.Info("a drain's acknowledgement was not taken", "node", node, "error", err)
 	}
