--- a/cmd/flaxfront/fronts.go
+++ b/cmd/flaxfront/fronts.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			return err
 		}
-		s.Add(f)
+		s.AddFront(f)
 		slog.Info("speaking Z39.50", "at", f.Addr())
 	}
 	if own.SRU.Listen != "" {
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		s.Add(f)
+		s.AddFront(f)
 		slog.Info("speaking SRU", "at", f.Addr())
 	}
 	return nil
--- a/cmd/flaxfront/search.go
+++ b/cmd/flaxfront/search.go
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set("X-Request-ID", server.NewID())
+	req.Header.Set("X-Request-ID", server.NewRequestID())
 	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(a.timeout.Milliseconds(), 10))
 	if a.tenant != "" {
 		req.Header.Set("X-Tenant-Id", a.tenant)
--- a/internal/lab/archive/archive.go
+++ b/internal/lab/archive/archive.go
@@ -21,10 +21,10 @@
 type Broker struct {
 	mu       sync.Mutex
 	Store    [][]string
-	Missing  int             // this shard does not answer; -1: all do
-	Verdict  *server.Verdict // instead of an answer
-	Hold     chan struct{}   // searches wait for it
-	Left     chan error      // told how a search that was held ended, if its client went
+	Missing  int                 // this shard does not answer; -1: all do
+	Verdict  *server.QueryResult // instead of an answer
+	Hold     chan struct{}       // searches wait for it
+	Left     chan error          // told how a search that was held ended, if its client went
 	Searches int
 	start    time.Time
 }
@@ -49,8 +49,8 @@
 	return fmt.Sprintf(`<dc xmlns="http://purl.org/dc/elements/1.1/"><title>%s</title></dc>`, Plain(shard, record))
 }
 
-// Terms are those of a deployment with one query type.
-func (b *Broker) Terms() *terms.Terms {
+// Settings are those of a deployment with one query type.
+func (b *Broker) Settings() *terms.Terms {
 	return &terms.Terms{Types: []string{"find"}, Tenants: []string{"acme"}, Shards: len(b.Store),
 		Module: decision.Settings{QueryTypes: []decision.QueryType{{Timeout: 2 * time.Second, LatencyObjective: time.Second}}}}
 }
@@ -73,7 +73,7 @@
 }
 
 // Search answers as a broker would.
-func (b *Broker) Search(ctx context.Context, a *server.Ask) (server.Verdict, error) {
+func (b *Broker) Search(ctx context.Context, a *server.Query) (server.QueryResult, error) {
 	b.mu.Lock()
 	hold, verdict := b.Hold, b.Verdict
 	b.Searches++
@@ -83,7 +83,7 @@
 		case <-hold:
 		case <-ctx.Done():
 			b.Left <- ctx.Err()
-			return server.Verdict{}, ctx.Err()
+			return server.QueryResult{}, ctx.Err()
 		}
 	}
 	if verdict != nil {
@@ -91,7 +91,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	v := server.Verdict{Answered: true, Whole: b.Missing < 0}
+	v := server.QueryResult{Answered: true, Complete: b.Missing < 0}
 	for _, s := range a.Shards {
 		if value, ok := Value(b.Store[s], a.Text); ok && s != b.Missing {
 			v.Shards, v.Values = append(v.Shards, s), append(v.Values, value)
--- a/internal/lab/play/clients.go
+++ b/internal/lab/play/clients.go
@@ -114,8 +114,8 @@
 		}
 	}
 	id := q.id
-	q.held = f.core.Search(&server.Ask{ID: id, Type: q.typ, Tenant: q.tenant, Client: q.client, Repeat: q.tries > 1,
-		Timeout: q.due - f.now, Text: q.text, Shards: q.shards, Weights: q.weights, Hint: q.hint}, func(v server.Verdict) { f.verdict(q, id, v) })
+	q.held = f.core.Search(&server.Query{ID: id, Type: q.typ, Tenant: q.tenant, Client: q.client, Retry: q.tries > 1,
+		Timeout: q.due - f.now, Text: q.text, Shards: q.shards, Weights: q.weights, Hint: q.hint}, func(v server.QueryResult) { f.verdict(q, id, v) })
 	if !q.over {
 		f.send(f.id, q.due, kOverdue, q.tries, 0, q)
 	}
@@ -123,7 +123,7 @@
 }
 
 // verdict is the broker's answer to a try.
-func (f *front) verdict(q *asked, id string, v server.Verdict) {
+func (f *front) verdict(q *asked, id string, v server.QueryResult) {
 	if q.over || q.id != id {
 		f.breach(1, "broker %d gave a second answer to search %s", f.n, id)
 		return
@@ -137,7 +137,7 @@
 	case v.Answered:
 		share := f.honest(q, id, &v)
 		worth := micro(y.Value)
-		if !v.Whole {
+		if !v.Complete {
 			c.Partial++
 			worth = int64(math.Round(float64(worth) * share * partialWorth))
 		}
@@ -155,7 +155,7 @@
 		if f.w.terms.Module.QueryTypes[q.typ].Idempotency == decision.NonIdempotent {
 			f.send(idAuditor, f.now, kShedOf, 0, hashOf(id), id)
 		}
-		if !f.again(q, v.After) {
+		if !f.again(q, v.RetryAfter) {
 			c.Shed++
 		}
 	default:
@@ -183,12 +183,12 @@
 			Whole   bool    `json:"whole,omitempty"`
 			Took    float64 `json:"took"`
 		}{f.now.Seconds(), f.n, id, f.w.script.Tenants[q.tenant].Name, y.Name, q.tries,
-			[]string{"", "answered", "shed", "failed"}[kind], v.Whole, took.Seconds()})
+			[]string{"", "answered", "shed", "failed"}[kind], v.Complete, took.Seconds()})
 	}
 }
 
 // honest checks an answer against what nodes make of its parts, and tells which share of it there is.
-func (f *front) honest(q *asked, id string, v *server.Verdict) (share float64) {
+func (f *front) honest(q *asked, id string, v *server.QueryResult) (share float64) {
 	y := &f.w.script.Types[q.typ]
 	seen := map[int]bool{}
 	for i, shard := range v.Shards {
@@ -206,8 +206,8 @@
 		seen[shard] = true
 		share += q.weights[at]
 	}
-	if v.Whole && len(seen) < len(q.shards) || share < y.Floor-1e-4 {
-		f.breach(5, "search %s was answered with %.3f of it, whole %v", id, share, v.Whole)
+	if v.Complete && len(seen) < len(q.shards) || share < y.Floor-1e-4 {
+		f.breach(5, "search %s was answered with %.3f of it, whole %v", id, share, v.Complete)
 	}
 	return share
 }
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -91,7 +91,7 @@
 }
 
 // checkReads holds an answer to a try against the writers' history.
-func (f *front) checkReads(q *asked, v *server.Verdict) {
+func (f *front) checkReads(q *asked, v *server.QueryResult) {
 	c, r := &f.by.tally.reads, &f.w.script.Reads
 	if q.hint == nil {
 		return
@@ -110,8 +110,8 @@
 		f.breach(7, "search %s was answered without a word on its reads", q.id)
 		return
 	}
-	if v.Stale >= 0 {
-		c.Stated += v.Stale.Microseconds()
+	if v.Staleness >= 0 {
+		c.Stated += v.Staleness.Microseconds()
 	}
 	for i, shard := range v.Shards {
 		_, pos, node := versionOf(v.Values[i])
@@ -129,12 +129,12 @@
 			c.Backward++
 			f.breach(7, "search %s goes backward: shard %d is at %d, %d was seen", q.id, shard, pos, q.hint.MinOffset(shard))
 		}
-		if v.Stale >= 0 && pos < writesBy(r, shard, f.now-v.Stale) {
+		if v.Staleness >= 0 && pos < writesBy(r, shard, f.now-v.Staleness) {
 			c.Understated++
-			f.breach(7, "search %s states %v: shard %d is at %d, behind %d", q.id, v.Stale, shard, pos, writesBy(r, shard, f.now-v.Stale))
+			f.breach(7, "search %s states %v: shard %d is at %d, behind %d", q.id, v.Staleness, shard, pos, writesBy(r, shard, f.now-v.Staleness))
 		}
-		if at := slices.IndexFunc(v.Seen, func(p readhint.Position) bool { return p.Shard == shard }); at < 0 || v.Seen[at].Offset != pos {
-			f.breach(7, "search %s: the position of shard %d is told as %v, and is %d", q.id, shard, v.Seen, pos)
+		if at := slices.IndexFunc(v.Positions, func(p readhint.Position) bool { return p.Shard == shard }); at < 0 || v.Positions[at].Offset != pos {
+			f.breach(7, "search %s: the position of shard %d is told as %v, and is %d", q.id, shard, v.Positions, pos)
 		}
 		if s := q.session; q.hint.Scope == readhint.ScopeSession {
 			if last, known := s.node[shard]; known && last == node {
--- a/internal/protocols/back/pairs_test.go
+++ b/internal/protocols/back/pairs_test.go
@@ -138,8 +138,8 @@
 	if w.sru, err = sru.Listen(w.s, own.SRU); err != nil {
 		t.Fatal(err)
 	}
-	w.s.Add(w.z3950)
-	w.s.Add(w.sru)
+	w.s.AddFront(w.z3950)
+	w.s.AddFront(w.sru)
 	stop, done := make(chan struct{}), make(chan error, 1)
 	go func() { done <- w.s.Run(stop) }()
 	t.Cleanup(func() {
--- a/internal/protocols/back/pairsfronts_test.go
+++ b/internal/protocols/back/pairsfronts_test.go
@@ -84,7 +84,7 @@
 	statement, _ := json.Marshal(want.Statement())
 	body := `{"tablets":[{"tablet":0,"fraction":0.25},{"tablet":1,"fraction":0.25},{"tablet":2,"fraction":0.25},{"tablet":3,"fraction":0.25}],"statement":` + string(statement) + `}`
 	req, _ := http.NewRequest("POST", "http://"+w.http+"/report", strings.NewReader(body))
-	req.Header.Set("X-Request-ID", server.NewID())
+	req.Header.Set("X-Request-ID", server.NewRequestID())
 	req.Header.Set("X-Tenant-Id", "acme")
 	req.Header.Set("X-Timeout-Ms", "3000")
 	resp, err := http.DefaultClient.Do(req)
--- a/internal/protocols/front/front.go
+++ b/internal/protocols/front/front.go
@@ -23,8 +23,8 @@
 
 // Broker is what a front needs of one.
 type Broker interface {
-	Search(ctx context.Context, a *server.Ask) (server.Verdict, error)
-	Terms() *terms.Terms
+	Search(ctx context.Context, a *server.Query) (server.QueryResult, error)
+	Settings() *terms.Terms
 	Since() time.Duration
 }
 
@@ -42,7 +42,7 @@
 
 // NewAsker finds a query type and a tenant by their names, the first where there is none. Field names the front in errors.
 func NewAsker(b Broker, field, typ, tenant string) (*Asker, error) {
-	t := b.Terms()
+	t := b.Settings()
 	a := &Asker{broker: b}
 	if a.typ = slices.Index(t.Types, cmp.Or(typ, t.Types[0])); a.typ < 0 {
 		return nil, fmt.Errorf("operators' file: %s.type: no query type %.40q", field, typ)
@@ -68,9 +68,9 @@
 
 // Ask is one search. Again tells that it fetches more of an answer that was had before. An error beside an answered verdict is a
 // value that can't be read; without one, the client has gone or the broker stops.
-func (a *Asker) Ask(ctx context.Context, want *catalogue.Want, client uint64, again bool) (resultset.Answer, server.Verdict, error) {
-	shards := a.broker.Terms().Shards
-	ask := &server.Ask{ID: server.NewID(), Type: a.typ, Tenant: a.tenant, Client: client, Repeat: again, Timeout: a.Timeout, Text: want.Statement()}
+func (a *Asker) Ask(ctx context.Context, want *catalogue.Want, client uint64, again bool) (resultset.Answer, server.QueryResult, error) {
+	shards := a.broker.Settings().Shards
+	ask := &server.Query{ID: server.NewRequestID(), Type: a.typ, Tenant: a.tenant, Client: client, Retry: again, Timeout: a.Timeout, Text: want.Statement()}
 	for i := range shards {
 		ask.Shards, ask.Weights = append(ask.Shards, i), append(ask.Weights, 1/float64(shards))
 	}
@@ -88,9 +88,9 @@
 	case !v.Answered:
 		a.Counts.Failed.Add(1)
 		return resultset.Answer{}, v, nil
-	case !v.Whole:
+	case !v.Complete:
 		a.Counts.Partial.Add(1)
 	}
-	answer, err := catalogue.Merge(ask.Shards, want.Depth, v.Whole, v.Shards, v.Values)
+	answer, err := catalogue.Merge(ask.Shards, want.Depth, v.Complete, v.Shards, v.Values)
 	return answer, v, err
 }
--- a/internal/protocols/front/sru/front_test.go
+++ b/internal/protocols/front/sru/front_test.go
@@ -140,8 +140,8 @@
 	if a, _ := get(t, f, "version=1.2&operation=searchRetrieve&query=cat"); len(a.Diagnostics) != 1 || len(a.Records) != 10 {
 		t.Errorf("partial: %+v", a)
 	}
-	for status, v := range map[int]server.Verdict{503: {Shed: true, After: 1200 * time.Millisecond}, 504: {},
-		502: {Answered: true, Whole: true, Shards: []int{0}, Values: []string{"z1 9 9\n"}}} {
+	for status, v := range map[int]server.QueryResult{503: {Shed: true, RetryAfter: 1200 * time.Millisecond}, 504: {},
+		502: {Answered: true, Complete: true, Shards: []int{0}, Values: []string{"z1 9 9\n"}}} {
 		b.Set(func(b *archive.Broker) { b.Verdict = &v })
 		a, resp := get(t, f, "query=dog")
 		if resp.StatusCode != status || len(a.Diagnostics) != 1 || a.Count != 0 || len(a.Records) > 0 {
--- a/internal/protocols/front/sru/searching.go
+++ b/internal/protocols/front/sru/searching.go
@@ -110,10 +110,10 @@
 	case err != nil:
 		return a, 0, nil
 	case v.Shed:
-		if v.After > 0 {
-			w.Header().Set("Retry-After", fmt.Sprint(int((v.After+time.Second-1)/time.Second)))
+		if v.RetryAfter > 0 {
+			w.Header().Set("Retry-After", fmt.Sprint(int((v.RetryAfter+time.Second-1)/time.Second)))
 		}
-		return a, http.StatusServiceUnavailable, sru.Diagnose(2, "try again in %.1f seconds", max(v.After, 100*time.Millisecond).Seconds())
+		return a, http.StatusServiceUnavailable, sru.Diagnose(2, "try again in %.1f seconds", max(v.RetryAfter, 100*time.Millisecond).Seconds())
 	case !v.Answered:
 		return a, http.StatusGatewayTimeout, sru.Diagnose(1, "no answer in time")
 	}
--- a/internal/protocols/front/z3950/broker_test.go
+++ b/internal/protocols/front/z3950/broker_test.go
@@ -68,8 +68,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Add(z)
-	s.Add(u)
+	s.AddFront(z)
+	s.AddFront(u)
 	stop, done := make(chan struct{}), make(chan error, 1)
 	go func() { done <- s.Run(stop) }()
 
--- a/internal/protocols/front/z3950/cold_test.go
+++ b/internal/protocols/front/z3950/cold_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Add(z)
+	s.AddFront(z)
 	stop, done := make(chan struct{}), make(chan error, 1)
 	go func() { done <- s.Run(stop) }()
 	_, rpn, _ := query.ParsePQF("cat")
--- a/internal/protocols/front/z3950/front_test.go
+++ b/internal/protocols/front/z3950/front_test.go
@@ -158,7 +158,7 @@
 	if p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 2}).(*z3950.PresentResponse); p.Status != z3950.Success || len(p.Records.All) != 2 {
 		t.Errorf("records of a partial answer: %+v", p)
 	}
-	for code, v := range map[int]server.Verdict{resourcesShort: {Shed: true, After: 1500 * time.Millisecond}, systemError: {}} {
+	for code, v := range map[int]server.QueryResult{resourcesShort: {Shed: true, RetryAfter: 1500 * time.Millisecond}, systemError: {}} {
 		b.Set(func(b *archive.Broker) { b.Verdict = &v })
 		r := c.say(search(t, "b", "cat")).(*z3950.SearchResponse)
 		if r.OK || r.Count != 0 || r.Records.Fault == nil || r.Records.Fault.Code != code || r.SetStatus != z3950.NoSet {
@@ -166,7 +166,7 @@
 		}
 	}
 	b.Set(func(b *archive.Broker) {
-		b.Verdict = &server.Verdict{Answered: true, Whole: true, Shards: []int{0, 1, 2}, Values: []string{"noise", "", "x"}}
+		b.Verdict = &server.QueryResult{Answered: true, Complete: true, Shards: []int{0, 1, 2}, Values: []string{"noise", "", "x"}}
 	})
 	if r := c.say(search(t, "b", "cat")).(*z3950.SearchResponse); r.OK || r.Records.Fault.Code != systemError {
 		t.Errorf("values that can't be read: %+v", r)
--- a/internal/protocols/front/z3950/present.go
+++ b/internal/protocols/front/z3950/present.go
@@ -68,7 +68,7 @@
 		case err != nil:
 			return fault(systemError, "%s", text(err))
 		case v.Shed:
-			return fault(resourcesShort, "try again in %.1f seconds", max(v.After, 100*time.Millisecond).Seconds())
+			return fault(resourcesShort, "try again in %.1f seconds", max(v.RetryAfter, 100*time.Millisecond).Seconds())
 		case !v.Answered:
 			return fault(systemError, "no answer in time")
 		}
--- a/internal/protocols/front/z3950/search.go
+++ b/internal/protocols/front/z3950/search.go
@@ -66,7 +66,7 @@
 	case err != nil:
 		return out, err
 	case v.Shed:
-		return fail(resourcesShort, "try again in %.1f seconds", max(v.After, 100*time.Millisecond).Seconds())
+		return fail(resourcesShort, "try again in %.1f seconds", max(v.RetryAfter, 100*time.Millisecond).Seconds())
 	case !v.Answered:
 		return fail(systemError, "no answer in time")
 	}
@@ -113,7 +113,7 @@
 }
 
 // ask puts a search to the broker. While it is in hand the client may go away.
-func (s *session) ask(ctx context.Context, want *catalogue.Want, again bool) (resultset.Answer, server.Verdict, error) {
+func (s *session) ask(ctx context.Context, want *catalogue.Want, again bool) (resultset.Answer, server.QueryResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := s.watch(cancel)
--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -56,7 +56,7 @@
 func (s *Server) waitForRoom(ctx context.Context) bool {
 	select {
 	case <-s.clients.room:
-	case <-time.After(s.Terms().Dial):
+	case <-time.After(s.Settings().Dial):
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/server/answer.go
+++ b/internal/server/answer.go
@@ -82,7 +82,7 @@
 // write sends a response whole, within the longest time that any client waits.
 func (s *Server) write(c *client, b []byte) error {
 	c.out = b[:0]
-	c.SetWriteDeadline(time.Now().Add(longest(s.Terms())))
+	c.SetWriteDeadline(time.Now().Add(longest(s.Settings())))
 	_, err := c.Write(b)
 	return err
 }
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -66,7 +66,7 @@
 	if c.requests == 0 {
 		c.SetReadDeadline(c.opened.Add(wholeWithin))
 	} else {
-		c.SetReadDeadline(time.Now().Add(s.Terms().Idle))
+		c.SetReadDeadline(time.Now().Add(s.Settings().Idle))
 	}
 	if ended := s.clients.turn(c, idle); ended != "" && !c.pending() {
 		return "", ended // before it was waited on
@@ -120,7 +120,7 @@
 	case c.requests == 0:
 		return c.opened.Add(max(wholeWithin, time.Since(c.opened)+s.clients.moment)) // what came late gets a moment
 	default:
-		return time.Now().Add(min(longest(s.Terms()), wholeWithin))
+		return time.Now().Add(min(longest(s.Settings()), wholeWithin))
 	}
 }
 
@@ -146,7 +146,7 @@
 	if !ok || c.ahead.Ended() || half.CloseWrite() != nil {
 		return
 	}
-	c.SetReadDeadline(time.Now().Add(s.Terms().Dial))
+	c.SetReadDeadline(time.Now().Add(s.Settings().Dial))
 	io.Copy(io.Discard, io.LimitReader(c, httpwire.MaxBody))
 }
 
@@ -165,7 +165,7 @@
 		text := append([]byte(s.Counters().String()), '\n')
 		return s.reply(c, httpwire.AppendResponse(c.out[:0], 200, last, text, "Content-Type: application/json"), last)
 	}
-	a, bad := decodeAsk(m, s.Terms())
+	a, bad := decodeAsk(m, s.Settings())
 	if bad != nil { // whoever sends such a one gets no second try on the same connection
 		s.clients.refused.Add(1)
 		s.part(c, bad.status, bad.why)
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -32,13 +32,13 @@
 // Core is one broker.
 type Core struct{ l *loop }
 
-// Ask is a search as it is put to a core.
-type Ask struct {
+// Query is a search as it is put to a core.
+type Query struct {
 	ID      string
 	Type    int
 	Tenant  int
 	Client  uint64
-	Repeat  bool
+	Retry   bool
 	Timeout time.Duration
 	Text    string
 	Shards  []int
@@ -46,16 +46,16 @@
 	Hint    *readhint.Hint // nil: none
 }
 
-// Verdict is the final answer to it.
-type Verdict struct {
-	Answered, Whole, Shed bool // neither answered nor shed: errored
-	After                 time.Duration
-	Shards                []int // that are in
-	Values                []string
-	Hinted                bool                // the next ones hold
-	Seen                  []readhint.Position // by shard
-	Behind                []int               // shards that do not keep what the hint asked for
-	Stale                 time.Duration       // what the answer may lack at the most; under 0: no bound is known
+// QueryResult is the final answer to it.
+type QueryResult struct {
+	Answered, Complete, Shed bool // neither answered nor shed: errored
+	RetryAfter               time.Duration
+	Shards                   []int // that are in
+	Values                   []string
+	Hinted                   bool                // the next ones hold
+	Positions                []readhint.Position // by shard
+	Behind                   []int               // shards that do not keep what the hint asked for
+	Staleness                time.Duration       // what the answer may lack at the most; under 0: no bound is known
 }
 
 // Held is a search that was put to a core.
@@ -101,16 +101,16 @@
 }
 
 // Search puts a search to the broker; to gets its one verdict, perhaps before Search returns.
-func (c *Core) Search(a *Ask, to func(Verdict)) Held {
-	q := &ask{id: a.ID, typ: a.Type, tenant: a.Tenant, client: a.Client, repeat: a.Repeat, timeout: a.Timeout, text: a.Text, hint: a.Hint,
+func (c *Core) Search(a *Query, to func(QueryResult)) Held {
+	q := &ask{id: a.ID, typ: a.Type, tenant: a.Tenant, client: a.Client, repeat: a.Retry, timeout: a.Timeout, text: a.Text, hint: a.Hint,
 		parts: make([]askPart, len(a.Shards))}
 	for i, shard := range a.Shards {
 		q.parts[i] = askPart{partName(a.ID, shard), shard, a.Weights[i]}
 	}
 	s := &search{ask: q, arrived: c.l.since(), deadline: c.l.since() + a.Timeout}
 	s.to = func(v result) {
-		out := Verdict{Answered: v.kind == answered, Whole: v.whole, Shed: v.kind == shed, After: v.after,
-			Hinted: v.hinted, Seen: v.seen, Behind: v.behind, Stale: v.stale}
+		out := QueryResult{Answered: v.kind == answered, Complete: v.whole, Shed: v.kind == shed, RetryAfter: v.after,
+			Hinted: v.hinted, Positions: v.seen, Behind: v.behind, Staleness: v.stale}
 		for _, p := range v.pieces {
 			out.Shards, out.Values = append(out.Shards, p.shard), append(out.Values, p.value)
 		}
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -148,7 +148,7 @@
 // What comes after SIGTERM has its answer before the kill, whatever time its client gives it; what came before keeps its time.
 func TestAnswerComesBeforeTheKill(t *testing.T) {
 	s, _ := live(t, 1024)
-	patient := longest(s.Terms())
+	patient := longest(s.Settings())
 	if by := s.answerBy(time.Second, patient); by != time.Second+patient {
 		t.Errorf("while it serves: by %v", by)
 	}
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -24,17 +24,17 @@
 // ErrStopping is what a search gets that comes too late.
 var ErrStopping = errors.New("the broker is stopping")
 
-// Add has a front start and stop with the broker. It comes before Run.
-func (s *Server) Add(f Front) { s.fronts = append(s.fronts, f) }
+// AddFront has a front start and stop with the broker. It comes before Run.
+func (s *Server) AddFront(f Front) { s.fronts = append(s.fronts, f) }
 
-// Terms are the settings in force.
-func (s *Server) Terms() *terms.Terms { return s.settings.Load() }
+// Settings are the settings in force.
+func (s *Server) Settings() *terms.Terms { return s.settings.Load() }
 
 // Since is the time since the broker's start.
 func (s *Server) Since() time.Duration { return s.loop.since() }
 
-// NewID makes a search's id.
-func NewID() string {
+// NewRequestID makes a search's id.
+func NewRequestID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -42,21 +42,21 @@
 
 // Search is the life of a search of another front: from here to its one verdict. When ctx ends its client has gone, and the search is
 // left.
-func (s *Server) Search(ctx context.Context, a *Ask) (Verdict, error) {
-	q := &search{ask: &ask{id: a.ID, typ: a.Type, tenant: a.Tenant, client: a.Client, repeat: a.Repeat, timeout: a.Timeout, text: a.Text},
+func (s *Server) Search(ctx context.Context, a *Query) (QueryResult, error) {
+	q := &search{ask: &ask{id: a.ID, typ: a.Type, tenant: a.Tenant, client: a.Client, repeat: a.Retry, timeout: a.Timeout, text: a.Text},
 		arrived: s.loop.since(), deadline: s.loop.since() + a.Timeout, verdict: make(chan result, 1)}
 	for i, shard := range a.Shards {
 		q.ask.parts = append(q.ask.parts, askPart{partName(a.ID, shard), shard, a.Weights[i]})
 	}
 	if !s.deliver(queryReceived{q}) {
-		return Verdict{}, ErrStopping
+		return QueryResult{}, ErrStopping
 	}
 	overdue := time.NewTimer(a.Timeout)
 	defer overdue.Stop()
 	for {
 		select {
 		case v := <-q.verdict:
-			out := Verdict{Answered: v.kind == answered, Whole: v.whole, Shed: v.kind == shed, After: v.after}
+			out := QueryResult{Answered: v.kind == answered, Complete: v.whole, Shed: v.kind == shed, RetryAfter: v.after}
 			for _, p := range v.pieces {
 				out.Shards, out.Values = append(out.Shards, p.shard), append(out.Values, p.value)
 			}
@@ -65,9 +65,9 @@
 			s.deliver(queryAbandoned{q, true}) // a verdict comes of it
 		case <-ctx.Done():
 			s.deliver(queryAbandoned{q, false})
-			return Verdict{}, ctx.Err()
+			return QueryResult{}, ctx.Err()
 		case <-s.ctx.Done():
-			return Verdict{}, ErrStopping
+			return QueryResult{}, ErrStopping
 		}
 	}
 }
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -133,8 +133,8 @@
 	switch h {
 	case asked:
 		o.put, o.due = true, o.now+time.Second
-		o.held = o.core.Search(&Ask{ID: "a", Timeout: time.Second, Text: "x", Shards: []int{0}, Weights: []float64{1}},
-			func(Verdict) { o.answers++ })
+		o.held = o.core.Search(&Query{ID: "a", Timeout: time.Second, Text: "x", Shards: []int{0}, Weights: []float64{1}},
+			func(QueryResult) { o.answers++ })
 	case left:
 		if o.put {
 			o.core.Leave(o.held, false)
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -50,7 +50,7 @@
 		return
 	}
 	have := *s.start
-	have.Terms = *s.Terms()
+	have.Terms = *s.Settings()
 	fixed := have.Differs(start)
 	at := slices.Index(fixed, "settings")
 	switched := at >= 0 && s.tunable(&start.Terms)
@@ -89,7 +89,7 @@
 // tunable tells whether other settings can be taken over without a restart. What the operators' own file switches on holds to
 // the settings of the start, and so do the addresses at which brokers talk.
 func (s *Server) tunable(t *terms.Terms) bool {
-	o, have := s.operator, s.Terms()
+	o, have := s.operator, s.Settings()
 	plain := !o.Door.On && !o.Crew.On && !o.Linked() && !o.Listed() && !o.Agreed() && o.Back.Protocol == "" && len(s.fronts) == 0 && !o.Fleet.Pins
 	_, able := s.loop.module.(tuned)
 	return able && plain && t.Me == have.Me && t.Module.GossipAllowed == have.Module.GossipAllowed
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -71,7 +71,7 @@
 		sent := s.Counters().Searches.Subrequests
 		if _, err := terms.FromJSON([]byte(strings.Replace(ringSettings, `"work"`, `"hour"`, 1)), 1); err == nil {
 			t.Fatal(text, "a bad value passed")
-		} else if s.Reload(nil, s.operator, err); s.Terms().Types[0] != "find" {
+		} else if s.Reload(nil, s.operator, err); s.Settings().Types[0] != "find" {
 			t.Fatalf("%s: a bad configuration changed the settings", text)
 		}
 		s.Reload(&ring, s.operator, nil)
@@ -150,7 +150,7 @@
 	if m, err := httpwire.ReadRequest(httpwire.NewReader(conn)); err != nil || m.Path != "/discovery/hosts" || m.Query != "" {
 		t.Errorf("the new service was asked %+v, %v", m, err)
 	}
-	if m := dial(t, s).say(post("r3", body)); m.Status != 200 || s.Terms().Module.MaxRetryAfter != 5*time.Second {
+	if m := dial(t, s).say(post("r3", body)); m.Status != 200 || s.Settings().Module.MaxRetryAfter != 5*time.Second {
 		t.Errorf("with another time to come back, on the list held: %d", m.Status)
 	}
 	if got := strings.Join(s.start.Differs(&next), " "); got != "limits settings" {
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -104,7 +104,7 @@
 func (s *Server) answerBy(arrived, timeout time.Duration) time.Duration {
 	by := arrived + timeout
 	if s.draining.Load() {
-		kill := time.Duration(s.stopped.Load()) + min(longest(s.Terms()), killWaits) + mustAnswer
+		kill := time.Duration(s.stopped.Load()) + min(longest(s.Settings()), killWaits) + mustAnswer
 		by = min(by, max(arrived+leastAnswer, kill-beforeKill))
 	}
 	return by
