--- a/internal/cluster/connpolicy/check.go
+++ b/internal/cluster/connpolicy/check.go
@@ -24,7 +24,7 @@
 func (c *compiler) run() error {
 	both, err := environments()
 	if err != nil {
-		return &Expression{Why: err.Error()}
+		return &ExpressionError{Reason: err.Error()}
 	}
 	c.node, c.amount = both[0], both[1]
 	for _, step := range []func() error{c.bounds, c.classes, c.tenants, c.table, c.pool} {
@@ -40,15 +40,15 @@
 	f := c.file
 	switch {
 	case f.Brokers < 1:
-		return c.doc.Fault("brokers", &Incomplete{"it is not said how many brokers there are at most"})
+		return c.doc.Fault("brokers", &IncompleteError{"it is not said how many brokers there are at most"})
 	case f.Nodes < 1:
-		return c.doc.Fault("nodes", &Incomplete{"it is not said how many nodes there are at most"})
+		return c.doc.Fault("nodes", &IncompleteError{"it is not said how many nodes there are at most"})
 	case len(f.Classes) == 0 || len(f.Classes) > most:
-		return c.doc.Fault("classes", &Incomplete{fmt.Sprintf("%d classes of nodes, 1 to %d are wanted", len(f.Classes), most)})
+		return c.doc.Fault("classes", &IncompleteError{fmt.Sprintf("%d classes of nodes, 1 to %d are wanted", len(f.Classes), most)})
 	case len(f.Tenants) == 0 || len(f.Tenants) > most*2:
-		return c.doc.Fault("tenants", &Incomplete{fmt.Sprintf("%d entries of tenants, 1 to %d are wanted", len(f.Tenants), 2*most)})
+		return c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("%d entries of tenants, 1 to %d are wanted", len(f.Tenants), 2*most)})
 	case f.Closing > f.Lease/3:
-		return c.doc.Fault("closing", &Restless{fmt.Sprintf("closing takes %v of a lease of %v: more than a third, so that "+
+		return c.doc.Fault("closing", &ClosingTimeError{fmt.Sprintf("closing takes %v of a lease of %v: more than a third, so that "+
 			"one late renewal closes what the next opens again", f.Closing, f.Lease)})
 	}
 	return nil
@@ -77,11 +77,11 @@
 	for i, k := range c.file.Classes {
 		field := func(name string) string { return fmt.Sprintf("classes.%d.%s", i, name) }
 		if k.Name == "" || named[k.Name] {
-			return c.doc.Fault(field("name"), &Incomplete{fmt.Sprintf("%q is no name of its own for a class", k.Name)})
+			return c.doc.Fault(field("name"), &IncompleteError{fmt.Sprintf("%q is no name of its own for a class", k.Name)})
 		}
 		named[k.Name] = true
 		if last := i == len(c.file.Classes)-1; last != (k.When == "") {
-			return c.doc.Fault(field("when"), &Incomplete{"the last class, and it alone, takes every node and has no condition"})
+			return c.doc.Fault(field("when"), &IncompleteError{"the last class, and it alone, takes every node and has no condition"})
 		}
 		one := Class{Name: k.Name, index: i}
 		var err error
@@ -99,10 +99,10 @@
 			return err
 		}
 		if one.Floor < 1 {
-			return c.doc.Fault(field("floor"), &Incomplete{"a floor of 0: a broker that is cut off, or that starts, could serve nothing"})
+			return c.doc.Fault(field("floor"), &IncompleteError{"a floor of 0: a broker that is cut off, or that starts, could serve nothing"})
 		}
 		if floors := one.Floor * c.p.Brokers; floors > one.Budget {
-			return c.doc.Fault(field("floor"), &Overcommitted{k.Name, "the floors of all brokers", floors, one.Budget})
+			return c.doc.Fault(field("floor"), &OvercommittedError{k.Name, "the floors of all brokers", floors, one.Budget})
 		} else {
 			one.Shared.Units = one.Budget - floors
 		}
@@ -121,7 +121,7 @@
 	}
 	if floors > budget {
 		what := "the floors of all brokers at as many nodes as there may be"
-		return c.doc.Fault("pool.budget", &Overcommitted{PoolClass, what, floors, budget})
+		return c.doc.Fault("pool.budget", &OvercommittedError{PoolClass, what, floors, budget})
 	}
 	c.p.Pool = &Class{Name: PoolClass, Budget: budget, Shared: fairshare.Budget{Units: budget - floors}}
 	return nil
@@ -133,7 +133,7 @@
 	for i, t := range c.file.Tenants {
 		field := func(name string) string { return fmt.Sprintf("tenants.%d.%s", i, name) }
 		if t.Name == "" || open[t.Name] {
-			return c.doc.Fault(field("name"), &Incomplete{fmt.Sprintf("tenant %q has no name, or an entry before takes all of it", t.Name)})
+			return c.doc.Fault(field("name"), &IncompleteError{fmt.Sprintf("tenant %q has no name, or an entry before takes all of it", t.Name)})
 		}
 		open[t.Name] = t.When == ""
 		if !slices.Contains(c.p.Tenants, t.Name) {
@@ -157,7 +157,7 @@
 	}
 	for i, t := range c.file.Tenants {
 		if !open[t.Name] {
-			return c.doc.Fault(fmt.Sprintf("tenants.%d.name", i), &Incomplete{fmt.Sprintf("tenant %q has no entry without a condition", t.Name)})
+			return c.doc.Fault(fmt.Sprintf("tenants.%d.name", i), &IncompleteError{fmt.Sprintf("tenant %q has no entry without a condition", t.Name)})
 		}
 	}
 	return nil
--- a/internal/cluster/connpolicy/error.go
+++ b/internal/cluster/connpolicy/error.go
@@ -2,79 +2,79 @@
 
 import "fmt"
 
-// Expression is an expression that can't be used. Errors of this package come inside a form.Error, which names the line.
-type Expression struct {
+// ExpressionError is an expression that can't be used. Errors of this package come inside a form.Error, which names the line.
+type ExpressionError struct {
 	Text   string
 	Column int // 0: the whole
-	Why    string
+	Reason string
 }
 
-func (e *Expression) Error() string {
+func (e *ExpressionError) Error() string {
 	if e.Column > 0 {
-		return fmt.Sprintf("%.80q: column %d: %s", e.Text, e.Column, e.Why)
+		return fmt.Sprintf("%.80q: column %d: %s", e.Text, e.Column, e.Reason)
 	}
-	return fmt.Sprintf("%.80q: %s", e.Text, e.Why)
+	return fmt.Sprintf("%.80q: %s", e.Text, e.Reason)
 }
 
 // Remedy says what an operator can do.
-func (e *Expression) Remedy() string {
+func (e *ExpressionError) Remedy() string {
 	return "correct the expression; names and operators are in docs/operations/connection-budgets.md"
 }
 
-// Unsettled is an amount or a condition on what the division moves.
-type Unsettled struct{ Text, Name string }
+// FeedbackError is an amount or a condition on what the division moves.
+type FeedbackError struct{ Text, Variable string }
 
-func (u *Unsettled) Error() string {
-	return fmt.Sprintf("%.80q: %s is moved by the division itself, which would never settle", u.Text, u.Name)
+func (u *FeedbackError) Error() string {
+	return fmt.Sprintf("%.80q: %s is moved by the division itself, which would never settle", u.Text, u.Variable)
 }
 
 // Remedy says what an operator can do.
-func (u *Unsettled) Remedy() string {
+func (u *FeedbackError) Remedy() string {
 	return "say it by guarantee, weight, most and burst: units follow the need by themselves"
 }
 
-// Overcommitted is a policy that could divide more than there is.
-type Overcommitted struct {
+// OvercommittedError is a policy that could divide more than there is.
+type OvercommittedError struct {
 	Class       string
-	What        string
+	Demand      string
 	Sum, Budget int
 }
 
-func (o *Overcommitted) Error() string {
-	return fmt.Sprintf("class %s: %s are %d units of a budget of %d", o.Class, o.What, o.Sum, o.Budget)
+func (o *OvercommittedError) Error() string {
+	return fmt.Sprintf("class %s: %s are %d units of a budget of %d", o.Class, o.Demand, o.Sum, o.Budget)
 }
 
 // Remedy says what an operator can do.
-func (o *Overcommitted) Remedy() string {
+func (o *OvercommittedError) Remedy() string {
 	return "raise the budget, or lower the floors or the guarantees"
 }
 
-// Starved is a tenant whose amounts contradict each other, or that would get nothing.
-type Starved struct{ Class, Tenant, Why string }
+// StarvedTenantError is a tenant whose amounts contradict each other, or that would get nothing.
+type StarvedTenantError struct{ Class, Tenant, Reason string }
 
-func (s *Starved) Error() string {
-	return fmt.Sprintf("tenant %s in class %s: %s", s.Tenant, s.Class, s.Why)
+func (s *StarvedTenantError) Error() string {
+	return fmt.Sprintf("tenant %s in class %s: %s", s.Tenant, s.Class, s.Reason)
 }
 
 // Remedy says what an operator can do.
-func (s *Starved) Remedy() string {
+func (s *StarvedTenantError) Remedy() string {
 	return "give it a guarantee or a weight, and a most that is no less than its guarantee"
 }
 
-// Incomplete is a policy that says nothing of some node or tenant, or says it twice.
-type Incomplete struct{ Why string }
+// IncompleteError is a policy that says nothing of some node or tenant, or says it twice.
+type IncompleteError struct{ Reason string }
 
-func (i *Incomplete) Error() string { return i.Why }
+func (i *IncompleteError) Error() string { return i.Reason }
 
 // Remedy says what an operator can do.
-func (i *Incomplete) Remedy() string {
+func (i *IncompleteError) Remedy() string {
 	return "let the last class, and the last entry of each tenant, have no condition, and name each thing"
 }
 
-// Restless is a lease under which connections would be closed and opened without end.
-type Restless struct{ Why string }
+// ClosingTimeError is a lease under which connections would be closed and opened without end.
+type ClosingTimeError struct{ Reason string }
 
-func (r *Restless) Error() string { return r.Why }
+func (r *ClosingTimeError) Error() string { return r.Reason }
 
 // Remedy says what an operator can do.
-func (r *Restless) Remedy() string { return "lengthen the lease, or shorten closing" }
+func (r *ClosingTimeError) Remedy() string { return "lengthen the lease, or shorten closing" }
--- a/internal/cluster/connpolicy/expression.go
+++ b/internal/cluster/connpolicy/expression.go
@@ -77,10 +77,10 @@
 	ast, issues := e.env.Compile(text)
 	if issues.Err() != nil {
 		first := issues.Errors()[0]
-		return nil, &Expression{text, first.Location.Column() + 1, first.Message}
+		return nil, &ExpressionError{text, first.Location.Column() + 1, first.Message}
 	}
 	if !ast.OutputType().IsExactType(want) {
-		return nil, &Expression{text, 0, fmt.Sprintf("is of type %s, %s is wanted", ast.OutputType(), want)}
+		return nil, &ExpressionError{text, 0, fmt.Sprintf("is of type %s, %s is wanted", ast.OutputType(), want)}
 	}
 	var names []string
 	for _, ref := range ast.NativeRep().ReferenceMap() {
@@ -92,20 +92,20 @@
 	switch {
 	case len(names) == 0:
 	case slices.Contains(moved, names[0]):
-		return nil, &Unsettled{text, names[0]}
+		return nil, &FeedbackError{text, names[0]}
 	default:
-		return nil, &Expression{text, 0, fmt.Sprintf("%s is not known here, only %v", names[0], allowed)}
+		return nil, &ExpressionError{text, 0, fmt.Sprintf("%s is not known here, only %v", names[0], allowed)}
 	}
 	estimate, err := e.env.EstimateCost(ast, sizes{})
 	if err != nil {
-		return nil, &Expression{text, 0, err.Error()}
+		return nil, &ExpressionError{text, 0, err.Error()}
 	}
 	if estimate.Max > maxCost {
-		return nil, &Expression{text, 0, fmt.Sprintf("could cost %d steps, %d at most", estimate.Max, maxCost)}
+		return nil, &ExpressionError{text, 0, fmt.Sprintf("could cost %d steps, %d at most", estimate.Max, maxCost)}
 	}
 	program, err := e.env.Program(ast, cel.CostLimit(maxCost))
 	if err != nil {
-		return nil, &Expression{text, 0, err.Error()}
+		return nil, &ExpressionError{text, 0, err.Error()}
 	}
 	return &expression{text, program}, nil
 }
@@ -131,7 +131,7 @@
 	}
 	v, _, err := x.program.Eval(vars)
 	if err != nil {
-		return false, &Expression{x.text, 0, err.Error()}
+		return false, &ExpressionError{x.text, 0, err.Error()}
 	}
 	yes, ok := v.Value().(bool)
 	return yes && ok, nil
@@ -141,11 +141,11 @@
 func (x *expression) units(vars map[string]any) (int, error) {
 	v, _, err := x.program.Eval(vars)
 	if err != nil {
-		return 0, &Expression{x.text, 0, err.Error()}
+		return 0, &ExpressionError{x.text, 0, err.Error()}
 	}
 	n, ok := v.Value().(int64)
 	if !ok || n < 0 || n > min(maxUnits, math.MaxInt) {
-		return 0, &Expression{x.text, 0, fmt.Sprintf("is %v, which is not from 0 to %d", v.Value(), maxUnits)}
+		return 0, &ExpressionError{x.text, 0, fmt.Sprintf("is %v, which is not from 0 to %d", v.Value(), maxUnits)}
 	}
 	return int(n), nil
 }
--- a/internal/cluster/connpolicy/table.go
+++ b/internal/cluster/connpolicy/table.go
@@ -9,7 +9,7 @@
 // table evaluates every tenant in every class, and checks each class as a whole.
 func (c *compiler) table() error {
 	if len(c.p.Tenants) > most {
-		return c.doc.Fault("tenants", &Incomplete{fmt.Sprintf("%d tenants, %d at most", len(c.p.Tenants), most)})
+		return c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("%d tenants, %d at most", len(c.p.Tenants), most)})
 	}
 	for i := range c.p.Classes {
 		if err := c.fill(&c.p.Classes[i]); err != nil {
@@ -34,11 +34,11 @@
 		k.Shared.Amounts = append(k.Shared.Amounts, a)
 		field := func(part string) string { return fmt.Sprintf("tenants.%d.%s", at, part) }
 		starved := func(part, format string, args ...any) error {
-			return c.doc.Fault(field(part), &Starved{k.Name, name, fmt.Sprintf(format, args...)})
+			return c.doc.Fault(field(part), &StarvedTenantError{k.Name, name, fmt.Sprintf(format, args...)})
 		}
 		if sum += a.Guarantee; sum > k.Shared.Units {
 			what := "the guarantees, above the floors of all brokers,"
-			return c.doc.Fault(field("guarantee"), &Overcommitted{k.Name, what, sum, k.Shared.Units})
+			return c.doc.Fault(field("guarantee"), &OvercommittedError{k.Name, what, sum, k.Shared.Units})
 		}
 		switch {
 		case a.Most < a.Guarantee:
@@ -54,7 +54,7 @@
 			if a.Most > k.Shared.Units {
 				part = "most"
 			}
-			return c.doc.Fault(field(part), &Overcommitted{k.Name, "most and burst of " + name, a.Most + a.Burst, k.Shared.Units})
+			return c.doc.Fault(field(part), &OvercommittedError{k.Name, "most and burst of " + name, a.Most + a.Burst, k.Shared.Units})
 		}
 	}
 	return nil
@@ -80,7 +80,7 @@
 		}
 		return a, i, nil
 	}
-	return a, 0, c.doc.Fault("tenants", &Incomplete{fmt.Sprintf("tenant %q has no entry that holds", name)})
+	return a, 0, c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("tenant %q has no entry that holds", name)})
 }
 
 // pool checks that what nodes guarantee is there: as many nodes as there may be, all of the class that guarantees most.
@@ -100,7 +100,7 @@
 	}
 	if worst > c.p.Pool.Shared.Units {
 		what := "the guarantees at as many nodes of class " + class + " as there may be, above the floors,"
-		return c.doc.Fault("pool.budget", &Overcommitted{PoolClass, what, worst, c.p.Pool.Shared.Units})
+		return c.doc.Fault("pool.budget", &OvercommittedError{PoolClass, what, worst, c.p.Pool.Shared.Units})
 	}
 	return nil
 }
--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -75,16 +75,16 @@
 		return nil, err
 	}
 	if p.Lease != lease {
-		return nil, &connpolicy.Restless{Why: fmt.Sprintf("lease: the policy says %v, fleet.lease of the tier is %v", p.Lease, lease)}
+		return nil, &connpolicy.ClosingTimeError{Reason: fmt.Sprintf("lease: the policy says %v, fleet.lease of the tier is %v", p.Lease, lease)}
 	}
 	for _, name := range tenants {
 		if !slices.Contains(p.Tenants, name) {
-			return nil, &connpolicy.Incomplete{Why: fmt.Sprintf("tenant %q of the settings is not named", name)}
+			return nil, &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q of the settings is not named", name)}
 		}
 	}
 	for _, name := range p.Tenants {
 		if !slices.Contains(tenants, name) {
-			return nil, &connpolicy.Incomplete{Why: fmt.Sprintf("tenant %q is none of the settings", name)}
+			return nil, &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q is none of the settings", name)}
 		}
 	}
 	nodes := g.b.nodes.Load()
@@ -92,7 +92,7 @@
 		return nil, errors.New("no node is known yet")
 	}
 	if len(*nodes) > p.Nodes {
-		return nil, &connpolicy.Overcommitted{Class: connpolicy.PoolClass, What: "nodes that are known", Sum: len(*nodes), Budget: p.Nodes}
+		return nil, &connpolicy.OvercommittedError{Class: connpolicy.PoolClass, Demand: "nodes that are known", Sum: len(*nodes), Budget: p.Nodes}
 	}
 	e := &statemachine.ConnectionPolicy{Version: 1, Text: text, MaxBrokers: uint32(p.Brokers)}
 	if inForce, _, _ := state.Policies(); inForce != nil {
