--- a/cmd/flaxfront/crew.go
+++ b/cmd/flaxfront/crew.go
@@ -13,7 +13,7 @@
 	"flaxfront/internal/server"
 )
 
-func crewOf(config, at string) (*server.CrewState, error) {
+func crewOf(config, at string) (*server.MembershipState, error) {
 	counters, err := countersOf(config, at)
 	if err != nil {
 		return nil, err
--- a/internal/lab/play/clients.go
+++ b/internal/lab/play/clients.go
@@ -114,7 +114,7 @@
 		}
 	}
 	id := q.id
-	q.held = f.core.Search(&server.Query{ID: id, Type: q.typ, Tenant: q.tenant, Client: q.client, Retry: q.tries > 1,
+	q.held = f.core.Submit(&server.Query{ID: id, Type: q.typ, Tenant: q.tenant, Client: q.client, Retry: q.tries > 1,
 		Timeout: q.due - f.now, Text: q.text, Shards: q.shards, Weights: q.weights, Hint: q.hint}, func(v server.QueryResult) { f.verdict(q, id, v) })
 	if !q.over {
 		f.send(f.id, q.due, kOverdue, q.tries, 0, q)
--- a/internal/lab/play/conns.go
+++ b/internal/lab/play/conns.go
@@ -28,7 +28,7 @@
 
 func (f *front) happened(e store.Event) {
 	if f.core != nil {
-		f.core.Event(e)
+		f.core.HandleConnection(e)
 		f.kick()
 	}
 }
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -84,7 +84,7 @@
 	repeats          bool // it comes back at once
 	id               string
 	sent             []uint8 // by shard
-	held             server.Held
+	held             server.PendingQuery
 	over             bool // the try has its verdict
 	coming           bool // its client asks again
 
@@ -129,12 +129,12 @@
 	f.began = f.now
 	t := *f.w.terms
 	t.Module.Seed = f.rnd.Uint64()
-	f.core, err = server.NewCore(&t, f.w.operators(), f.w.decider(f.policy, f), server.Around{
-		Now: f.since, Start: f.w.epoch.Add(f.began), Sockets: f.w.script.Brokers.Sockets, Carry: f.dial,
-		Ask: func() {
+	f.core, err = server.NewCore(&t, f.w.operators(), f.w.decider(f.policy, f), server.Environment{
+		Now: f.since, Start: f.w.epoch.Add(f.began), Sockets: f.w.script.Brokers.Sockets, Carrier: f.dial,
+		PollDiscovery: func() {
 			f.send(idDiscovery, f.now+f.w.script.Network.Hop, kAskList, 0, uint64(f.id), nil)
 		},
-		Tell: f.tell, Log: f.log, Book: f.book})
+		SendGossip: f.tell, Log: f.log, CachedList: f.book})
 	f.kick()
 	return err
 }
@@ -223,7 +223,7 @@
 		f.listed(e.p)
 	case kSaid:
 		if f.core != nil {
-			f.core.Said(int(e.n), e.p.([]byte))
+			f.core.HandleGossip(int(e.n), e.p.([]byte))
 			f.kick()
 		}
 	case kArrive:
@@ -232,7 +232,7 @@
 		f.try(e.p.(*asked))
 	case kOverdue:
 		if q := e.p.(*asked); q.tries == e.n && !q.over && f.core != nil {
-			f.core.Leave(q.held, true)
+			f.core.Abandon(q.held, true)
 			f.kick()
 		}
 	case kKill:
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -185,13 +185,13 @@
 		f.sessions = append(f.sessions, e.p.(*session))
 	case kPull:
 		if took, lost, held := f.way(f.zone, int(e.n)%f.w.script.Fleet.Zones); f.core != nil && !lost && held == 0 {
-			data := f.core.CollectPins()
+			data := f.core.CollectPositions()
 			f.by.tally.reads.Facts += int64(len(data))
 			f.send(uint32(idBrokers)+uint32(e.n), f.now+took, kFacts, 0, e.a, data)
 		}
 	case kFacts:
 		if asked := time.Duration(e.a); f.core != nil && asked >= f.began {
-			f.core.TakePins(e.p.([]byte), f.now-asked)
+			f.core.MergePositions(e.p.([]byte), f.now-asked)
 			f.kick()
 		}
 	}
@@ -200,7 +200,7 @@
 // sumPins counts what a broker counted of hints in its life.
 func (f *front) sumPins() {
 	if f.core != nil && f.w.script.Reads.On {
-		if p := f.core.Tally().Pins; p != nil {
+		if p := f.core.Counters().Pins; p != nil {
 			f.by.tally.reads.Add(&ReadCounts{Pins: p.Counts})
 		}
 	}
--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if err, failed := p.(error); failed {
-		f.core.List(nil, err)
+		f.core.HandleList(nil, err)
 		f.kick()
 		return
 	}
@@ -40,7 +40,7 @@
 			f.told[n.Name] = f.now
 		}
 	}
-	f.core.List(&list, nil)
+	f.core.HandleList(&list, nil)
 	f.kick()
 }
 
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -17,16 +17,16 @@
 	"flaxfront/internal/transport/store"
 )
 
-// Around is what a core needs of the world round it.
-type Around struct {
-	Now     func() time.Duration // since Start
-	Start   time.Time
-	Sockets int // descriptors
-	Carry   store.Carrier
-	Ask     func()            // discovery
-	Tell    func(text string) // other brokers
-	Log     func(text string) // what the module logs
-	Book    *cachedlist.Book  // the node list as last kept; nil: none is kept
+// Environment is what a core needs of the world round it.
+type Environment struct {
+	Now           func() time.Duration // since Start
+	Start         time.Time
+	Sockets       int // descriptors
+	Carrier       store.Carrier
+	PollDiscovery func()            // discovery
+	SendGossip    func(text string) // other brokers
+	Log           func(text string) // what the module logs
+	CachedList    *cachedlist.Book  // the node list as last kept; nil: none is kept
 }
 
 // Core is one broker.
@@ -58,22 +58,22 @@
 	Staleness                time.Duration       // what the answer may lack at the most; under 0: no bound is known
 }
 
-// Held is a search that was put to a core.
-type Held struct{ s *search }
+// PendingQuery is a search that was put to a core.
+type PendingQuery struct{ s *search }
 
-// Over tells whether it has its verdict, or was left.
-func (h Held) Over() bool { return h.s.over }
+// Done tells whether it has its verdict, or was left.
+func (h PendingQuery) Done() bool { return h.s.over }
 
 // NewCore makes a broker; it knows no node until it is told a list.
-func NewCore(t *terms.Terms, file *operator.File, decide func(decision.Settings) decision.Router, a Around) (*Core, error) {
+func NewCore(t *terms.Terms, file *operator.File, decide func(decision.Settings) decision.Router, a Environment) (*Core, error) {
 	l := newLoop(a.Start, decide(t.Module), &t.Module)
-	l.clock, l.ask, l.tell = a.Now, a.Ask, a.Tell
+	l.clock, l.ask, l.tell = a.Now, a.PollDiscovery, a.SendGossip
 	l.say = func(text string, _ time.Duration) { a.Log(text) }
 	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: longest(t),
 		Conns: max(1, (a.Sockets-spareSockets)/nodesPart)}
 	l.pool = store.NewPool(context.Background(), limits, nil, a.Now, nil, nil, l.subrequestEnded)
 	l.pool.Probed = l.probed
-	l.pool.Carry(a.Carry)
+	l.pool.Carry(a.Carrier)
 	if file.Fleet.Pins {
 		l.pins = newPinning(&file.Fleet, t)
 		l.pool.KeepReports()
@@ -82,12 +82,12 @@
 	if file.Door.On {
 		l.door, err = newDoorway(&file.Door, t)
 	}
-	if a.Book != nil {
+	if a.CachedList != nil {
 		p := file.Start.Trust
 		judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: p.HalfLife, Oldest: p.Oldest, StrikeAt: p.StrikeAt, Parole: p.Parole},
-			a.Book, cachedlist.At(a.Start))
+			a.CachedList, cachedlist.At(a.Start))
 		reader := discovery.Reader{Zones: t.Zones}
-		l.saved = &saved{book: a.Book, judge: judge, keep: func(cachedlist.Changes) {}, zone: reader.Zone,
+		l.saved = &saved{book: a.CachedList, judge: judge, keep: func(cachedlist.Changes) {}, zone: reader.Zone,
 			most: file.Start.NodeList.MaxEntries, ended: file.Start.NodeList.KeepEnded, start: a.Start}
 		list := &discovery.List{Whole: true}
 		for _, f := range judge.Begin(discovery.ID) {
@@ -100,8 +100,8 @@
 	return &Core{l}, err
 }
 
-// Search puts a search to the broker; to gets its one verdict, perhaps before Search returns.
-func (c *Core) Search(a *Query, to func(QueryResult)) Held {
+// Submit puts a search to the broker; to gets its one verdict, perhaps before Search returns.
+func (c *Core) Submit(a *Query, to func(QueryResult)) PendingQuery {
 	q := &ask{id: a.ID, typ: a.Type, tenant: a.Tenant, client: a.Client, repeat: a.Retry, timeout: a.Timeout, text: a.Text, hint: a.Hint,
 		parts: make([]askPart, len(a.Shards))}
 	for i, shard := range a.Shards {
@@ -117,35 +117,35 @@
 		to(out)
 	}
 	c.l.take(queryReceived{s})
-	return Held{s}
+	return PendingQuery{s}
 }
 
-// Leave tells that a search's client has gone; overdue, that its time is up and a verdict is owed.
-func (c *Core) Leave(h Held, overdue bool) { c.l.take(queryAbandoned{h.s, overdue}) }
+// Abandon tells that a search's client has gone; overdue, that its time is up and a verdict is owed.
+func (c *Core) Abandon(h PendingQuery, overdue bool) { c.l.take(queryAbandoned{h.s, overdue}) }
 
-// Event hands on what happened to a connection.
-func (c *Core) Event(e store.Event) { c.l.take(e) }
+// HandleConnection hands on what happened to a connection.
+func (c *Core) HandleConnection(e store.Event) { c.l.take(e) }
 
-// List hands on what discovery told, or that a call failed.
-func (c *Core) List(list *discovery.List, err error) { c.l.take(listReceived{list, err}) }
+// HandleList hands on what discovery told, or that a call failed.
+func (c *Core) HandleList(list *discovery.List, err error) { c.l.take(listReceived{list, err}) }
 
-// CollectPins is what the broker knows of replicas' positions.
-func (c *Core) CollectPins() []byte { return c.l.pins.book.Collect(c.l.since()) }
+// CollectPositions is what the broker knows of replicas' positions.
+func (c *Core) CollectPositions() []byte { return c.l.pins.book.Collect(c.l.since()) }
 
-// TakePins hands on what another broker collected; it has grown older by so much at the most.
-func (c *Core) TakePins(data []byte, older time.Duration) {
+// MergePositions hands on what another broker collected; it has grown older by so much at the most.
+func (c *Core) MergePositions(data []byte, older time.Duration) {
 	c.l.take(pinFacts{data, c.l.since() - older})
 }
 
-// Said hands on a message of another broker.
-func (c *Core) Said(from int, text []byte) { c.l.take(peerMessage{from, text}) }
+// HandleGossip hands on a message of another broker.
+func (c *Core) HandleGossip(from int, text []byte) { c.l.take(peerMessage{from, text}) }
 
 // Step takes a turn if anything happened and tells when to come again.
 func (c *Core) Step() time.Duration { return c.l.step() }
 
-// Tally is what the broker counts.
-func (c *Core) Tally() Tally {
-	r := tallyWanted{make(chan Tally, 1)}
+// Counters is what the broker counts.
+func (c *Core) Counters() QueryCounters {
+	r := tallyWanted{make(chan QueryCounters, 1)}
 	c.l.take(r)
 	return <-r.to
 }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -6,22 +6,22 @@
 
 // Counters are what a broker counts.
 type Counters struct {
-	Searches Tally
+	Searches QueryCounters
 	Clients  struct{ Accepted, Closed, BadRequests, Unwritten uint64 }
 	Peers    struct{ Sent, Heard, Strangers, TooLong, Dropped, Unsealed uint64 }
-	NodeList *ListCounts `json:",omitempty"` // where one is kept
-	Refused  uint64      `json:",omitempty"` // links that got no further than the handshake
+	NodeList *CachedListCounters `json:",omitempty"` // where one is kept
+	Refused  uint64              `json:",omitempty"` // links that got no further than the handshake
 }
 
-// ListCounts tell of the writing of the node list.
-type ListCounts struct {
+// CachedListCounters tell of the writing of the node list.
+type CachedListCounters struct {
 	Saving                           bool // the last write went well
 	Writes, Snapshots, Bytes, Failed uint64
 }
 
 // Counters asks the loop for its figures and adds the others.
 func (s *Server) Counters() (c Counters) {
-	r := tallyWanted{make(chan Tally, 1)}
+	r := tallyWanted{make(chan QueryCounters, 1)}
 	if s.deliver(r) {
 		select {
 		case c.Searches = <-r.to:
@@ -36,7 +36,7 @@
 	}
 	if s.keeper != nil {
 		n := &s.keeper.Counts
-		c.NodeList = &ListCounts{n.Saving.Load(), n.Writes.Load(), n.Snapshots.Load(), n.Bytes.Load(), n.Failed.Load()}
+		c.NodeList = &CachedListCounters{n.Saving.Load(), n.Writes.Load(), n.Snapshots.Load(), n.Bytes.Load(), n.Failed.Load()}
 	}
 	if s.link != nil {
 		p := &s.link.Counts
--- a/internal/server/crew_test.go
+++ b/internal/server/crew_test.go
@@ -54,7 +54,7 @@
 func TestCrewOnSockets(t *testing.T) {
 	all, ends := tierOf(t, 4)
 	k := &keeping{t: t}
-	crewOf := func(i int) *CrewState { return all[i].Counters().Searches.Crew }
+	crewOf := func(i int) *MembershipState { return all[i].Counters().Searches.Crew }
 	states := func(i int, of membership.State) (names string) {
 		for _, m := range crewOf(i).Members {
 			if m.State == of {
--- a/internal/server/crewstate.go
+++ b/internal/server/crewstate.go
@@ -10,8 +10,8 @@
 	"flaxfront/internal/decision/ownership"
 )
 
-// CrewState is what operators see of the tier.
-type CrewState struct {
+// MembershipState is what operators see of the tier.
+type MembershipState struct {
 	Self    string
 	Now     time.Duration
 	Members []membership.Member
@@ -20,7 +20,7 @@
 	List    gossip.Counts
 }
 
-func (l *loop) crewState(now time.Duration) *CrewState {
+func (l *loop) crewState(now time.Duration) *MembershipState {
 	c := l.crew
-	return &CrewState{c.members.Self().Name, now, c.members.All(), c.duties.States(now), c.members.Counts, c.words.Counts}
+	return &MembershipState{c.members.Self().Name, now, c.members.All(), c.duties.States(now), c.members.Counts, c.words.Counts}
 }
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -38,21 +38,23 @@
 	}
 	if len(o.Weights) > 0 {
 		if err := weigh(p.Weights, names, o.Weights); err != nil {
-			return nil, &BadWeights{err}
+			return nil, &InvalidWeightsError{err}
 		}
 	}
 	return &doorway{admission.NewDoor(p), map[uint64]*search{}, 0, names, nil, pulse{}}, nil
 }
 
-// BadWeights are weights of the operators' file that do not fit the tenants of the settings.
-type BadWeights struct{ Err error }
+// InvalidWeightsError are weights of the operators' file that do not fit the tenants of the settings.
+type InvalidWeightsError struct{ Err error }
 
-func (e *BadWeights) Error() string { return fmt.Sprintf("operators' file: door.weights: %v", e.Err) }
+func (e *InvalidWeightsError) Error() string {
+	return fmt.Sprintf("operators' file: door.weights: %v", e.Err)
+}
 
-func (e *BadWeights) Unwrap() error { return e.Err }
+func (e *InvalidWeightsError) Unwrap() error { return e.Err }
 
 // Remedy is what an operator can do.
-func (e *BadWeights) Remedy() string {
+func (e *InvalidWeightsError) Remedy() string {
 	return "name each tenant of the settings once in door.weights, as NAME=WEIGHT, so that the weights add up to 1; or leave it empty"
 }
 
@@ -177,8 +179,8 @@
 	}
 }
 
-// DoorState is what operators see of the door.
-type DoorState struct {
+// AdmissionState is what operators see of the door.
+type AdmissionState struct {
 	admission.State
 	Names []string
 }
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// FleetState is what operators see of what the tier agreed, as this broker has it.
-type FleetState struct {
+// ControlPlaneState is what operators see of what the tier agreed, as this broker has it.
+type ControlPlaneState struct {
 	Index       uint64
 	Connected   bool
 	Leader      string
@@ -174,9 +174,9 @@
 	Cold        uint64 // parts sent to nodes that were still warming up
 }
 
-func (l *loop) fleetState() *FleetState {
+func (l *loop) fleetState() *ControlPlaneState {
 	a := l.agreed
-	s := &FleetState{Index: a.view.Index, Connected: a.view.Held(l.since()), Leader: a.view.Leader, Incarnation: a.view.Me.Incarnation,
+	s := &ControlPlaneState{Index: a.view.Index, Connected: a.view.Held(l.since()), Leader: a.view.Leader, Incarnation: a.view.Me.Incarnation,
 		Standing: a.view.Me.Status.String(), Permit: a.view.Permit, Drains: a.view.Drains, Epoch: a.view.Epoch,
 		Classes: append([]controlplane.Class(nil), a.classes...), Cold: a.cold}
 	for _, d := range a.drains {
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -45,7 +45,7 @@
 	calls    []call
 	ended    []*search
 	wake     time.Duration // 0: none
-	tally    Tally
+	tally    QueryCounters
 	saved    *saved   // nil: no list is kept
 	gate     *gateway // nil: no other site is known
 	types    []decision.QueryType
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -162,7 +162,7 @@
 			w.client(n, w.rnd.IntN(2), w.rnd.IntN(8) == 0)
 		}
 		synctest.Wait()
-		r := tallyWanted{make(chan Tally, 1)}
+		r := tallyWanted{make(chan QueryCounters, 1)}
 		l.in <- r
 		if now := <-r.to; now.OutByModule != now.Out {
 			w.t.Errorf("step %d: the module takes %d parts to be out, %d are", n, now.OutByModule, now.Out)
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -42,7 +42,7 @@
 	nodes   []discovery.Node
 	open    []*orderLink
 	events  []store.Event // that the wire brings
-	held    Held
+	held    PendingQuery
 	put     bool
 	gone    bool            // the client has left and the loop has heard of it
 	barred  map[string]bool // nodes that the loop has been told to send nothing
@@ -93,9 +93,9 @@
 func newOrder(t *testing.T) *order {
 	o := &order{t: t, barred: map[string]bool{}}
 	tm := decoded(t)
-	a := Around{Now: func() time.Duration { return o.now }, Start: time.Unix(0, 0), Sockets: 64, Ask: func() {}, Tell: func(string) {},
+	a := Environment{Now: func() time.Duration { return o.now }, Start: time.Unix(0, 0), Sockets: 64, PollDiscovery: func() {}, SendGossip: func(string) {},
 		Log: func(string) {}}
-	a.Carry = func(node string, _ netip.AddrPort, h store.Handle) func() {
+	a.Carrier = func(node string, _ netip.AddrPort, h store.Handle) func() {
 		l := &orderLink{o: o, node: node, handle: h}
 		o.open = append(o.open, l)
 		return func() {
@@ -115,7 +115,7 @@
 		n.Entry.StartedAt = decision.StartedLongAgo
 		o.nodes = append(o.nodes, n)
 	}
-	o.core.List(&discovery.List{Whole: true, Nodes: slices.Clone(o.nodes)}, nil)
+	o.core.HandleList(&discovery.List{Whole: true, Nodes: slices.Clone(o.nodes)}, nil)
 	o.core.Step()
 	return o
 }
@@ -133,29 +133,29 @@
 	switch h {
 	case asked:
 		o.put, o.due = true, o.now+time.Second
-		o.held = o.core.Search(&Query{ID: "a", Timeout: time.Second, Text: "x", Shards: []int{0}, Weights: []float64{1}},
+		o.held = o.core.Submit(&Query{ID: "a", Timeout: time.Second, Text: "x", Shards: []int{0}, Weights: []float64{1}},
 			func(QueryResult) { o.answers++ })
 	case left:
 		if o.put {
-			o.core.Leave(o.held, false)
+			o.core.Abandon(o.held, false)
 			o.gone = true
 		}
 	case drained, unlisted, restarted:
 		o.lists(h)
 	case failed:
-		o.core.List(nil, fmt.Errorf("no list"))
+		o.core.HandleList(nil, fmt.Errorf("no list"))
 	case rises:
 		for _, l := range slices.Clone(o.open) {
 			if !l.up && !l.down {
 				l.up = true
-				o.core.Event(l.handle.Up(o.now, l))
+				o.core.HandleConnection(l.handle.Up(o.now, l))
 			}
 		}
 	case served:
 		for _, l := range slices.Clone(o.open) {
 			for _, id := range l.out {
 				if !l.down {
-					o.core.Event(l.handle.Answered(o.now, store.Answer{ID: id, Value: "v"}))
+					o.core.HandleConnection(l.handle.Answered(o.now, store.Answer{ID: id, Value: "v"}))
 				}
 			}
 			l.out = nil
@@ -164,13 +164,13 @@
 		for _, l := range slices.Clone(o.open) {
 			if l.up && !l.down {
 				l.down = true
-				o.core.Event(l.handle.Down(o.now, fmt.Errorf("reset")))
+				o.core.HandleConnection(l.handle.Down(o.now, fmt.Errorf("reset")))
 			}
 		}
 	case passes:
 		if o.now += time.Second; o.put {
 			o.now = o.due
-			o.core.Leave(o.held, true)
+			o.core.Abandon(o.held, true)
 		}
 	}
 }
@@ -181,15 +181,15 @@
 	case drained:
 		n.Entry.State = decision.Draining
 		o.barred[n.Name] = true
-		o.core.List(&discovery.List{Nodes: []discovery.Node{n}}, nil)
+		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	case unlisted:
 		others := slices.DeleteFunc(slices.Clone(o.nodes), func(x discovery.Node) bool { return x.Name == n.Name })
 		o.barred = map[string]bool{n.Name: true} // the others are named as in service
-		o.core.List(&discovery.List{Whole: true, Nodes: others}, nil)
+		o.core.HandleList(&discovery.List{Whole: true, Nodes: others}, nil)
 	case restarted:
 		n.Entry.StartedAt = max(1, o.now)
 		delete(o.barred, n.Name) // it serves again
-		o.core.List(&discovery.List{Nodes: []discovery.Node{n}}, nil)
+		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	}
 }
 
@@ -197,7 +197,7 @@
 func (o *order) settle() {
 	for range 3 {
 		for _, e := range o.events {
-			o.core.Event(e)
+			o.core.HandleConnection(e)
 		}
 		o.events = nil
 		o.core.Step()
@@ -208,13 +208,13 @@
 func (o *order) ends() {
 	for _, step := range []time.Duration{5 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second} {
 		if o.now += step; o.now >= o.due && o.put {
-			o.core.Leave(o.held, true)
+			o.core.Abandon(o.held, true)
 		}
 		o.settle()
 	}
-	switch n := o.core.Tally(); {
+	switch n := o.core.Counters(); {
 	case !o.put:
-	case !o.held.Over():
+	case !o.held.Done():
 		o.fail("the search has no end")
 	case o.answers > 1:
 		o.fail("%d answers", o.answers)
--- a/internal/server/pinfacts.go
+++ b/internal/server/pinfacts.go
@@ -42,8 +42,8 @@
 }
 
 // pinState is what the counters tell.
-func (l *loop) pinState() *PinState {
-	return &PinState{l.pins.book.Counts, l.pins.wrong.Load(), l.pins.book.Number()}
+func (l *loop) pinState() *ReadPinState {
+	return &ReadPinState{l.pins.book.Counts, l.pins.wrong.Load(), l.pins.book.Number()}
 }
 
 // CollectPins is what this broker knows of replicas' positions, ages inside; nil: pins are off, or it ends.
--- a/internal/server/pins.go
+++ b/internal/server/pins.go
@@ -36,8 +36,8 @@
 	wrong  atomic.Uint64 // hints that were ignored
 }
 
-// PinState tells what became of hints.
-type PinState struct {
+// ReadPinState tells what became of hints.
+type ReadPinState struct {
 	readpin.Counts
 	Wrong uint64 // hints that were ignored
 	Epoch uint64
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -27,7 +27,7 @@
 		from int
 		text []byte
 	}
-	tallyWanted     struct{ to chan Tally }
+	tallyWanted     struct{ to chan QueryCounters }
 	stopBegun       struct{ done chan struct{} } // the broker stops: the tier is told
 	settingsChanged struct {                     // other settings come into force
 		terms *terms.Terms
@@ -112,7 +112,7 @@
 			t.Fleet = l.fleetState()
 		}
 		if l.door != nil {
-			t.Door = &DoorState{l.door.State(l.since()), l.door.names}
+			t.Door = &AdmissionState{l.door.State(l.since()), l.door.names}
 		}
 		if l.pins != nil {
 			t.Pins = l.pinState()
--- a/internal/server/tally.go
+++ b/internal/server/tally.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/transport/store"
 )
 
-// Tally counts searches: Taken = Answered + Shed + Errored + Left + InHand.
-type Tally struct {
+// QueryCounters counts searches: Taken = Answered + Shed + Errored + Left + InHand.
+type QueryCounters struct {
 	Taken, Answered, Shed, Errored, Left, InHand uint64
 	Partial                                      uint64 // of those answered
 	TurnedAway                                   uint64 `json:",omitempty"` // of those shed: by the door
@@ -19,9 +19,9 @@
 	Out, OutByModule, ShutOut                    int // parts out, on the wire and as the module counts; nodes it shuts out
 	Store                                        store.Counts
 	Trust                                        *cachedlist.Counts `json:",omitempty"` // where a list is kept
-	Door                                         *DoorState         `json:",omitempty"` // where there is one
+	Door                                         *AdmissionState    `json:",omitempty"` // where there is one
 	Gateway                                      *GatewayState      `json:",omitempty"` // where there is one
-	Crew                                         *CrewState         `json:",omitempty"` // where brokers keep company
-	Fleet                                        *FleetState        `json:",omitempty"` // where brokers agree
-	Pins                                         *PinState          `json:",omitempty"` // where hints on reads are obeyed
+	Crew                                         *MembershipState   `json:",omitempty"` // where brokers keep company
+	Fleet                                        *ControlPlaneState `json:",omitempty"` // where brokers agree
+	Pins                                         *ReadPinState      `json:",omitempty"` // where hints on reads are obeyed
 }
