--- a/internal/decision/statemachine/view.go
+++ b/internal/decision/statemachine/view.go
@@ -33,7 +33,7 @@
 type ReleasePermit struct {
 	Number      uint64
 	Release     uint64
-	ForNode     bool
+	ForNode     bool `json:"OnNode"`
 	Slot        Slot // of a broker's permit
 	Incarnation uint64
 	Node        NodeID // of a node's
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -1,22 +1,75 @@
 package server
 
-// This file owns what the broker tells of itself in numbers. It must never read what is the loop's but through the loop.
+import (
+	"encoding/json"
 
-import "encoding/json"
+	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/transport/store"
+)
 
-// Counters are what a broker counts.
+// Counters are a broker's counters for operators. The JSON names are read by operators' programs and stay.
 type Counters struct {
-	Searches QueryCounters
-	Clients  struct{ Accepted, Closed, BadRequests, Unwritten uint64 }
-	Peers    struct{ Sent, Heard, Strangers, TooLong, Dropped, Unsealed uint64 }
-	NodeList *CachedListCounters `json:",omitempty"` // where one is kept
-	Refused  uint64              `json:",omitempty"` // links that got no further than the handshake
+	Searches QueryCounters       `json:"Searches"`
+	Clients  ClientCounters      `json:"Clients"`
+	Peers    GossipCounters      `json:"Peers"`
+	NodeList *CachedListCounters `json:"NodeList,omitempty"` // where a cached list is kept
+	Refused  uint64              `json:"Refused,omitempty"`  // site links that failed in the handshake
 }
 
-// CachedListCounters tell of the writing of the node list.
+// ClientCounters count client connections.
+type ClientCounters struct {
+	Accepted    uint64
+	Closed      uint64
+	BadRequests uint64
+	Unwritten   uint64 // answers that could not be written
+}
+
+// GossipCounters count datagrams between brokers.
+type GossipCounters struct {
+	Sent      uint64
+	Heard     uint64 `json:"Heard"`
+	Strangers uint64 `json:"Strangers"` // from addresses of no broker
+	TooLong   uint64
+	Dropped   uint64
+	Unsealed  uint64 `json:"Unsealed"` // under none of the keys
+}
+
+// CachedListCounters count writes of the cached endpoint list.
 type CachedListCounters struct {
-	Saving                           bool // the last write went well
-	Writes, Snapshots, Bytes, Failed uint64
+	Saving    bool `json:"Saving"` // the last write succeeded
+	Writes    uint64
+	Snapshots uint64
+	Bytes     uint64
+	Failed    uint64
+}
+
+// QueryCounters count what became of queries: Received = Answered + Shed + Failed + Abandoned + InFlight. Nothing decides by them.
+type QueryCounters struct {
+	Taken       uint64             `json:"Taken"`
+	Answered    uint64             `json:"Answered"`
+	Shed        uint64             `json:"Shed"`
+	Errored     uint64             `json:"Errored"`
+	Left        uint64             `json:"Left"`
+	InHand      uint64             `json:"InHand"`
+	Partial     uint64             `json:"Partial"`              // of those answered
+	TurnedAway  uint64             `json:"TurnedAway,omitempty"` // of those shed: by admission
+	Full        uint64             `json:"Full"`                 // of those shed: no slot or descriptor was left
+	Turns       uint64             `json:"Turns"`
+	Subrequests uint64             `json:"Subrequests"`
+	ListsTaken  uint64             `json:"ListsTaken"`
+	ListsFailed uint64             `json:"ListsFailed"`
+	Nodes       int                `json:"Nodes"`       // now
+	NodeConns   int                `json:"NodeConns"`   // now
+	Out         int                `json:"Out"`         // attempts in flight, on the wire
+	OutByModule int                `json:"OutByModule"` // the same, as the router counts them
+	ShutOut     int                `json:"ShutOut"`     // nodes that are ejected
+	Store       store.Counts       `json:"Store"`
+	Trust       *cachedlist.Counts `json:"Trust,omitempty"`   // with a cached list
+	Door        *AdmissionState    `json:"Door,omitempty"`    // with admission
+	Gateway     *GatewayState      `json:"Gateway,omitempty"` // with links to other sites
+	Crew        *MembershipState   `json:"Crew,omitempty"`    // with membership
+	Fleet       *ControlPlaneState `json:"Fleet,omitempty"`   // with a control plane
+	Pins        *ReadPinState      `json:"Pins,omitempty"`    // with read pins
 }
 
 // Counters asks the loop for its figures and adds the others.
