--- a/internal/decision/readpin/choose.go
+++ b/internal/decision/readpin/choose.go
@@ -6,16 +6,16 @@
 	"flaxfront/internal/decision"
 )
 
-// Ask is what a search wants of its reads.
-type Ask struct {
-	Pin      uint64        // see PinOf; 0: it is not pinned
-	Taken    time.Duration // when the broker took it
-	MaxStale time.Duration // what was acknowledged so long before that must be in; 0: any age will do
-	OrStale  bool          // where that can't be had, what there is will do
+// Requirement is what a search wants of its reads.
+type Requirement struct {
+	Pin          uint64        // see PinOf; 0: it is not pinned
+	ReceivedAt   time.Duration // when the broker took it
+	MaxStaleness time.Duration // what was acknowledged so long before that must be in; 0: any age will do
+	AllowStale   bool          // where that can't be had, what there is will do
 }
 
-// PinOf numbers a pin; all brokers number it alike.
-func PinOf(scope, key string) uint64 {
+// HashPin numbers a pin; all brokers number it alike.
+func HashPin(scope, key string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(scope) {
 		h = (h ^ uint64(scope[i])) * 1099511628211
@@ -56,9 +56,9 @@
 }
 
 // rank puts the holders of a shard in a pin's order, those included that left a short while ago. There are few.
-func (b *Book) rank(pin uint64, shard int) []ranked {
+func (b *Tracker) rank(pin uint64, shard int) []ranked {
 	b.ranked = b.ranked[:0]
-	for j := range b.c.Width {
+	for j := range b.c.CellsPerShard {
 		for _, at := range b.cells[(shard+j)%b.c.Cells] {
 			s := &b.seats[at]
 			r := ranked{at: at, inEpoch: s.inEpoch, score: score(pin, shard, s.id)}
@@ -73,7 +73,7 @@
 	return b.ranked
 }
 
-// Choose appends the holders that may answer a part, in the pin's order, and tells what the answer must show. need is the position
+// EligibleReplicas appends the holders that may answer a part, in the pin's order, and tells what the answer must show. need is the position
 // that its client has seen; 0: none. Where there is no holder, back is when to come again at the soonest.
 //
 // A holder is left out while it is known to be behind: it was looked at a short while ago, and lacked a position or the bound. One
@@ -82,18 +82,18 @@
 //
 // Danger: a session that moves to another replica would go backwards. The first in a pin's order is taken to have served what it is
 // known to have had, also for a while after it left: whoever answers in its place must have come as far.
-func (b *Book) Choose(now time.Duration, shard int, need uint64, a *Ask, dst []decision.NodeID) (_ []decision.NodeID, m Must, back time.Duration) {
-	m = Must{need, Never, a.Taken}
+func (b *Tracker) EligibleReplicas(now time.Duration, shard int, need uint64, a *Requirement, dst []decision.NodeID) (_ []decision.NodeID, m Promise, back time.Duration) {
+	m = Promise{need, DistantPast, a.ReceivedAt}
 	if shard < 0 || shard >= b.c.Shards {
 		return dst, m, 0
 	}
-	if a.MaxStale > 0 {
-		m.AsOf = a.Taken - time.Duration(float64(a.MaxStale)*(1-b.c.Drift))
+	if a.MaxStaleness > 0 {
+		m.AsOf = a.ReceivedAt - time.Duration(float64(a.MaxStaleness)*(1-b.c.MaxDrift))
 	}
 	all := b.rank(a.Pin, shard)
 	if a.Pin != 0 && len(all) > 0 {
 		if f := b.fact(&b.seats[all[0].at], shard); f.known {
-			m.Pos = max(m.Pos, f.pos)
+			m.Offset = max(m.Offset, f.pos)
 		}
 	}
 	from, over := len(dst), 0
@@ -125,7 +125,7 @@
 		}
 	}
 	for _, id := range dst[from:] {
-		if f := b.fact(&b.seats[b.byID[id]], shard); f.known && (f.pos < m.Pos || b.late(f, &m, a)) {
+		if f := b.fact(&b.seats[b.byID[id]], shard); f.known && (f.pos < m.Offset || b.late(f, &m, a)) {
 			f.tried = now
 		}
 		if a.Pin != 0 {
@@ -136,7 +136,7 @@
 	case len(dst) > from:
 		b.Counts.Chosen++
 		return dst, m, 0
-	case a.OrStale:
+	case a.AllowStale:
 		b.Counts.OrStale++
 		for i := range all {
 			if s := &b.seats[all[i].at]; s.ready {
@@ -153,19 +153,19 @@
 }
 
 // late tells whether a holder was further behind than the bound when it was last looked at, or did not say.
-func (b *Book) late(f *fact, m *Must, a *Ask) bool {
-	return f.asof < m.AsOf && (f.lag == Unknown || f.lag > a.MaxStale)
+func (b *Tracker) late(f *fact, m *Promise, a *Requirement) bool {
+	return f.asof < m.AsOf && (f.lag == UnknownAge || f.lag > a.MaxStaleness)
 }
 
 // behind is how long a holder is left out still; 0: it is eligible.
-func (b *Book) behind(now time.Duration, f *fact, m *Must, a *Ask) time.Duration {
+func (b *Tracker) behind(now time.Duration, f *fact, m *Promise, a *Requirement) time.Duration {
 	late := f.known && b.late(f, m, a)
-	if !f.known || f.pos >= m.Pos && !late {
+	if !f.known || f.pos >= m.Offset && !late {
 		return 0
 	}
-	hold := b.c.Recheck
-	if late && f.lag != Unknown {
-		hold += min(max(0, f.lag-a.MaxStale)/4, 2*time.Second)
+	hold := b.c.RecheckInterval
+	if late && f.lag != UnknownAge {
+		hold += min(max(0, f.lag-a.MaxStaleness)/4, 2*time.Second)
 	}
 	return max(0, max(f.lo, f.tried)+hold-now)
 }
--- a/internal/decision/readpin/fact.go
+++ b/internal/decision/readpin/fact.go
@@ -18,26 +18,26 @@
 }
 
 // age is the most that lies behind a head's age as a replica states it: its clock may run slow, and it may be wrong.
-func (b *Book) age(head time.Duration) time.Duration {
-	return b.long(head + b.c.Clock)
+func (b *Tracker) age(head time.Duration) time.Duration {
+	return b.long(head + b.c.ClockError)
 }
 
 // long is the most that a span may be that a clock measured.
-func (b *Book) long(span time.Duration) time.Duration {
-	return time.Duration(float64(span) / (1 - b.c.Drift))
+func (b *Tracker) long(span time.Duration) time.Duration {
+	return time.Duration(float64(span) / (1 - b.c.MaxDrift))
 }
 
 // asOf is the latest moment of which it is sure that all that was acknowledged by then is in an answer. The replica read no
 // sooner than the part was sent; that it may have read later counts for nothing.
-func (b *Book) asOf(sent time.Duration, r Report) time.Duration {
-	if r.Head == Unknown {
+func (b *Tracker) asOf(sent time.Duration, r Report) time.Duration {
+	if r.HeadAge == UnknownAge {
 		return never
 	}
-	return sent - b.age(r.Head)
+	return sent - b.age(r.HeadAge)
 }
 
-// Learn takes what a replica said in an answer to a part that was sent at a moment and answered now.
-func (b *Book) Learn(now time.Duration, id decision.NodeID, shard int, sent time.Duration, r Report) {
+// Observe takes what a replica said in an answer to a part that was sent at a moment and answered now.
+func (b *Tracker) Observe(now time.Duration, id decision.NodeID, shard int, sent time.Duration, r Report) {
 	at, known := b.byID[id]
 	if !known {
 		return
@@ -46,7 +46,7 @@
 	if f == nil {
 		return
 	}
-	n := fact{known: true, pos: r.Pos, lo: sent, hi: now, asof: b.asOf(sent, r), lag: Unknown, tried: never}
+	n := fact{known: true, pos: r.Offset, lo: sent, hi: now, asof: b.asOf(sent, r), lag: UnknownAge, tried: never}
 	if n.asof != never {
 		n.lag = sent - n.asof
 	}
@@ -55,7 +55,7 @@
 
 // merge keeps the best of two looks at a holder. A replica never goes back but by a restart: one that was surely looked at later
 // and had less has restarted, and what was known before it holds no longer.
-func (b *Book) merge(f, n *fact) {
+func (b *Tracker) merge(f, n *fact) {
 	switch {
 	case !f.known:
 		*f = *n
@@ -76,32 +76,32 @@
 	f.asof = max(f.asof, n.asof)
 }
 
-// Must is what an answer has to show before it counts as in.
-type Must struct {
-	Pos   uint64
-	AsOf  time.Duration // Never: any age will do
-	Taken time.Duration // when the broker took the search
+// Promise is what an answer has to show before it counts as in.
+type Promise struct {
+	Offset     uint64
+	AsOf       time.Duration // Never: any age will do
+	ReceivedAt time.Duration // when the broker took the search
 }
 
-// Never is the moment that every answer reaches.
-const Never = never
+// DistantPast is the moment that every answer reaches.
+const DistantPast = never
 
-// Shown is what an answer has shown.
-type Shown struct {
-	Fresh bool          // it keeps what it must
-	Pos   uint64        // 0: it did not say
-	AsOf  time.Duration // what was acknowledged by then is in; Never: nothing is sure
+// Assessment is what an answer has shown.
+type Assessment struct {
+	Fresh  bool          // it keeps what it must
+	Offset uint64        // 0: it did not say
+	AsOf   time.Duration // what was acknowledged by then is in; Never: nothing is sure
 }
 
-// Judge holds the report of an answer against what it must show; told is false where there was none. The answer's own word decides,
+// Assess holds the report of an answer against what it must show; told is false where there was none. The answer's own word decides,
 // never what was known before: a replica may have restarted since.
-func (b *Book) Judge(m Must, sent time.Duration, r Report, told bool) (s Shown) {
-	s.AsOf = Never
+func (b *Tracker) Assess(m Promise, sent time.Duration, r Report, told bool) (s Assessment) {
+	s.AsOf = DistantPast
 	if told {
-		s.Pos, s.AsOf = r.Pos, b.asOf(sent, r)
+		s.Offset, s.AsOf = r.Offset, b.asOf(sent, r)
 	}
-	drifted := b.long(sent-m.Taken) - (sent - m.Taken)
-	if s.Fresh = s.Pos >= m.Pos && (m.AsOf == Never || s.AsOf-drifted >= m.AsOf); s.Fresh {
+	drifted := b.long(sent-m.ReceivedAt) - (sent - m.ReceivedAt)
+	if s.Fresh = s.Offset >= m.Offset && (m.AsOf == DistantPast || s.AsOf-drifted >= m.AsOf); s.Fresh {
 		b.Counts.Fresh++
 	} else {
 		b.Counts.Old++
@@ -110,17 +110,17 @@
 }
 
 // Staleness is the most by which an answer that leaves now may lack what was acknowledged, rounded up to a millisecond.
-func (b *Book) Staleness(now, asof time.Duration) time.Duration {
+func (b *Tracker) Staleness(now, asof time.Duration) time.Duration {
 	old := b.long(now - asof)
 	return (old + time.Millisecond - 1) / time.Millisecond * time.Millisecond
 }
 
-// Bound is what a broker may rely on of a holder without asking it: the most by which it may be behind now. Unknown: nothing.
-func (b *Book) Bound(now time.Duration, id decision.NodeID, shard int) time.Duration {
+// StalenessBound is what a broker may rely on of a holder without asking it: the most by which it may be behind now. Unknown: nothing.
+func (b *Tracker) StalenessBound(now time.Duration, id decision.NodeID, shard int) time.Duration {
 	if at, known := b.byID[id]; known {
 		if f := b.fact(&b.seats[at], shard); f != nil && f.known && f.asof != never {
 			return b.Staleness(now, f.asof)
 		}
 	}
-	return Unknown
+	return UnknownAge
 }
--- a/internal/decision/readpin/hot.go
+++ b/internal/decision/readpin/hot.go
@@ -38,20 +38,20 @@
 func bucket(pin uint64, id decision.NodeID) int { return int(score(pin, 0, id) % buckets) }
 
 // full tells whether a pin is at its limit at a holder: so many parts out, or such a share of what the holder is sent.
-func (b *Book) full(now time.Duration, pin uint64, s *seat) bool {
+func (b *Tracker) full(now time.Duration, pin uint64, s *seat) bool {
 	h := &b.hot[bucket(pin, s.id)]
-	if int(h.out) >= b.c.MostOut {
+	if int(h.out) >= b.c.MaxInFlight {
 		return true
 	}
-	if h.flow.rate <= b.c.Calm { // it has only faded since
+	if h.flow.rate <= b.c.SafeRate { // it has only faded since
 		return false
 	}
 	rate := h.flow.read(now)
-	return rate > b.c.Calm && rate > b.c.MostShare*s.flow.read(now)
+	return rate > b.c.SafeRate && rate > b.c.MaxShare*s.flow.read(now)
 }
 
-// Sent counts a part that goes to a node, pinned or not.
-func (b *Book) Sent(now time.Duration, pin uint64, id decision.NodeID) {
+// AttemptSent counts a part that goes to a node, pinned or not.
+func (b *Tracker) AttemptSent(now time.Duration, pin uint64, id decision.NodeID) {
 	if at, known := b.byID[id]; known {
 		b.seats[at].flow.add(now)
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// Ended counts the end of a part that was sent.
-func (b *Book) Ended(pin uint64, id decision.NodeID) {
+// AttemptEnded counts the end of a part that was sent.
+func (b *Tracker) AttemptEnded(pin uint64, id decision.NodeID) {
 	if pin != 0 {
 		b.hot[bucket(pin, id)].out--
 	}
--- a/internal/decision/readpin/readpin.go
+++ b/internal/decision/readpin/readpin.go
@@ -17,20 +17,20 @@
 
 // Config is what a book is kept by.
 type Config struct {
-	Shards, Cells, Width int           // a shard's holders lie in Width cells, from its number on
-	Clock                time.Duration // the most that a replica's measure of its head's age may be too low, beside drift
-	Drift                float64       // the most by which the rates of two clocks differ
-	Recheck              time.Duration // a holder known to be behind is looked at again after this, or somewhat more
-	MostOut              int           // parts of one pin that may be out at one holder from this broker
-	MostShare            float64       // the most of a holder's parts from this broker that one pin may be
-	Calm                 float64       // parts a second of one pin that are never too many
-	MostBytes            int           // of a Collect
+	Shards, Cells, CellsPerShard int           // a shard's holders lie in Width cells, from its number on
+	ClockError                   time.Duration // the most that a replica's measure of its head's age may be too low, beside drift
+	MaxDrift                     float64       // the most by which the rates of two clocks differ
+	RecheckInterval              time.Duration // a holder known to be behind is looked at again after this, or somewhat more
+	MaxInFlight                  int           // parts of one pin that may be out at one holder from this broker
+	MaxShare                     float64       // the most of a holder's parts from this broker that one pin may be
+	SafeRate                     float64       // parts a second of one pin that are never too many
+	MaxMessageBytes              int           // of a Collect
 }
 
-// Default are the settings for a layout.
-func Default(shards, cells, width int) Config {
-	return Config{Shards: shards, Cells: cells, Width: width, Clock: 5 * time.Millisecond, Drift: 1e-3, Recheck: 50 * time.Millisecond,
-		MostOut: 16, MostShare: 0.5, Calm: 50, MostBytes: 8 << 10}
+// DefaultConfig are the settings for a layout.
+func DefaultConfig(shards, cells, width int) Config {
+	return Config{Shards: shards, Cells: cells, CellsPerShard: width, ClockError: 5 * time.Millisecond, MaxDrift: 1e-3, RecheckInterval: 50 * time.Millisecond,
+		MaxInFlight: 16, MaxShare: 0.5, SafeRate: 50, MaxMessageBytes: 8 << 10}
 }
 
 const (
@@ -41,8 +41,8 @@
 	always = time.Duration(1)<<62 - 1 // nor so far ahead
 )
 
-// Book is what one broker knows. One goroutine calls it.
-type Book struct {
+// Tracker is what one broker knows. One goroutine calls it.
+type Tracker struct {
 	Counts Counts
 	c      Config
 	number uint64 // of the epoch; 0: none was agreed, and the broker's own list stands in for it
@@ -77,13 +77,13 @@
 	flow    meter
 }
 
-// New makes an empty book.
-func New(c Config) *Book {
-	return &Book{c: c, byID: map[decision.NodeID]int32{}, cells: make([][]int32, c.Cells)}
+// NewTracker makes an empty book.
+func NewTracker(c Config) *Tracker {
+	return &Tracker{c: c, byID: map[decision.NodeID]int32{}, cells: make([][]int32, c.Cells)}
 }
 
-// List takes over a list of nodes, or the lines that changed.
-func (b *Book) List(now time.Duration, whole bool, entries []decision.Endpoint) {
+// UpdateEndpoints takes over a list of nodes, or the lines that changed.
+func (b *Tracker) UpdateEndpoints(now time.Duration, whole bool, entries []decision.Endpoint) {
 	if whole {
 		for i := range b.seats {
 			b.seats[i].leave(now) // those that it names come back below
@@ -120,7 +120,7 @@
 	}
 }
 
-func (b *Book) sit(id decision.NodeID, cell int) (at int32) {
+func (b *Tracker) sit(id decision.NodeID, cell int) (at int32) {
 	if n := len(b.vacant); n > 0 {
 		at, b.vacant = b.vacant[n-1], b.vacant[:n-1]
 	} else {
@@ -129,13 +129,13 @@
 	}
 	rows := (b.c.Shards + b.c.Cells - 1) / b.c.Cells
 	b.seats[at] = seat{id: id, cell: cell, used: true, inEpoch: b.number == 0 || b.epoch[id], left: never,
-		facts: make([]fact, rows*b.c.Width)}
+		facts: make([]fact, rows*b.c.CellsPerShard)}
 	b.byID[id] = at
 	b.cells[cell] = append(b.cells[cell], at)
 	return at
 }
 
-func (b *Book) free(at int32) {
+func (b *Tracker) free(at int32) {
 	s := &b.seats[at]
 	b.cells[s.cell] = slices.DeleteFunc(b.cells[s.cell], func(i int32) bool { return i == at })
 	delete(b.byID, s.id)
@@ -143,8 +143,8 @@
 	b.vacant = append(b.vacant, at)
 }
 
-// Epoch takes over an agreed list: its nodes come first in every pin's order. An older one than that in force is left aside.
-func (b *Book) Epoch(number uint64, nodes []decision.NodeID) {
+// SetEpoch takes over an agreed list: its nodes come first in every pin's order. An older one than that in force is left aside.
+func (b *Tracker) SetEpoch(number uint64, nodes []decision.NodeID) {
 	if number <= b.number {
 		return
 	}
@@ -157,27 +157,27 @@
 	}
 }
 
-// Number is that of the epoch in force.
-func (b *Book) Number() uint64 { return b.number }
+// EpochNumber is that of the epoch in force.
+func (b *Tracker) EpochNumber() uint64 { return b.number }
 
-// Retune has the book go on under other settings; with another layout all that was learned is forgotten.
-func (b *Book) Retune(c Config) {
-	if c.Shards != b.c.Shards || c.Cells != b.c.Cells || c.Width != b.c.Width {
+// Reconfigure has the book go on under other settings; with another layout all that was learned is forgotten.
+func (b *Tracker) Reconfigure(c Config) {
+	if c.Shards != b.c.Shards || c.Cells != b.c.Cells || c.CellsPerShard != b.c.CellsPerShard {
 		number, epoch, counts := b.number, b.epoch, b.Counts
-		*b = *New(c)
+		*b = *NewTracker(c)
 		b.number, b.epoch, b.Counts = number, epoch, counts
 	}
 	b.c = c
 }
 
 // fact is what is known of a shard at a seat; nil: the node does not hold it.
-func (b *Book) fact(s *seat, shard int) *fact {
+func (b *Tracker) fact(s *seat, shard int) *fact {
 	if shard < 0 || shard >= b.c.Shards {
 		return nil
 	}
 	j := (s.cell - shard%b.c.Cells + b.c.Cells) % b.c.Cells
-	if j >= b.c.Width {
+	if j >= b.c.CellsPerShard {
 		return nil
 	}
-	return &s.facts[shard/b.c.Cells*b.c.Width+j]
+	return &s.facts[shard/b.c.Cells*b.c.CellsPerShard+j]
 }
--- a/internal/decision/readpin/readpin_test.go
+++ b/internal/decision/readpin/readpin_test.go
@@ -17,9 +17,9 @@
 }
 
 // tier is a book over nodes that hold all of some shards, one cell.
-func tier(nodes, shards int) *Book {
-	b := New(Default(shards, 1, 1))
-	b.List(0, true, lines(nodes))
+func tier(nodes, shards int) *Tracker {
+	b := NewTracker(DefaultConfig(shards, 1, 1))
+	b.UpdateEndpoints(0, true, lines(nodes))
 	return b
 }
 
@@ -37,18 +37,18 @@
 	}
 }
 
-func (b *Book) first(now time.Duration, pin uint64, shard int) decision.NodeID {
-	got, _, _ := b.Choose(now, shard, 0, &Ask{Pin: pin, Taken: now}, nil)
+func (b *Tracker) first(now time.Duration, pin uint64, shard int) decision.NodeID {
+	got, _, _ := b.EligibleReplicas(now, shard, 0, &Requirement{Pin: pin, ReceivedAt: now}, nil)
 	return got[0]
 }
 
 // Where a node goes only what was pinned to it moves; brokers that heard of nodes in another order agree; pins spread evenly.
 func TestPinsMoveByTheLeast(t *testing.T) {
-	a, b := tier(9, 4), New(Default(4, 1, 1))
+	a, b := tier(9, 4), NewTracker(DefaultConfig(4, 1, 1))
 	all := lines(9)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(9, func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for i := range all {
-		b.List(0, false, all[i:i+1])
+		b.UpdateEndpoints(0, false, all[i:i+1])
 	}
 	had := map[decision.NodeID]int{}
 	var before []decision.NodeID
@@ -60,7 +60,7 @@
 	for n, pins := range had {
 		must(t, pins > 850 && pins < 1150, "%v has %d of 9000", n, pins)
 	}
-	a.List(0, false, []decision.Endpoint{{Node: id(4), State: decision.Removed}})
+	a.UpdateEndpoints(0, false, []decision.Endpoint{{Node: id(4), State: decision.Removed}})
 	for pin := range uint64(9000) {
 		n := a.first(0, pin+1, 2)
 		must(t, n != id(4) && (n == before[pin] || before[pin] == id(4)), "pin %d moved from %v to %v", pin, before[pin], n)
@@ -70,17 +70,17 @@
 // A node that is listed before the next epoch names it takes no pin over.
 func TestPinsFollowTheEpoch(t *testing.T) {
 	b := tier(4, 1)
-	b.Epoch(7, []decision.NodeID{id(0), id(1), id(2), id(3)})
+	b.SetEpoch(7, []decision.NodeID{id(0), id(1), id(2), id(3)})
 	var before []decision.NodeID
 	for pin := range uint64(100) {
 		before = append(before, b.first(0, pin+1, 0))
 	}
-	b.List(0, false, []decision.Endpoint{{Node: id(9), State: decision.Ready}})
-	b.Epoch(6, []decision.NodeID{id(9)})
+	b.UpdateEndpoints(0, false, []decision.Endpoint{{Node: id(9), State: decision.Ready}})
+	b.SetEpoch(6, []decision.NodeID{id(9)})
 	for pin := range uint64(100) {
 		must(t, b.first(0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
 	}
-	b.Epoch(8, []decision.NodeID{id(0), id(1), id(2), id(3), id(9)})
+	b.SetEpoch(8, []decision.NodeID{id(0), id(1), id(2), id(3), id(9)})
 	moved := 0
 	for pin := range uint64(100) {
 		if n := b.first(0, pin+1, 0); n != before[pin] {
@@ -96,84 +96,84 @@
 	b := tier(2, 1)
 	now := time.Second
 	for i := range 2 {
-		b.Learn(now, id(i), 0, now-2*ms, Report{Pos: 70 + uint64(i), Head: 4 * time.Second})
+		b.Observe(now, id(i), 0, now-2*ms, Report{Offset: 70 + uint64(i), HeadAge: 4 * time.Second})
 	}
-	a := Ask{Taken: now, MaxStale: 250 * ms}
-	got, _, back := b.Choose(now, 0, 0, &a, nil)
+	a := Requirement{ReceivedAt: now, MaxStaleness: 250 * ms}
+	got, _, back := b.EligibleReplicas(now, 0, 0, &a, nil)
 	must(t, len(got) == 0 && back > 500*ms && back < 2*time.Second, "%v, back in %v", got, back)
-	a.OrStale = true
-	got, m, _ := b.Choose(now, 0, 0, &a, nil)
-	must(t, len(got) == 2 && !b.Judge(m, now, Report{70, 4 * time.Second}, true).Fresh, "%v", got)
-	a = Ask{Taken: now}
-	got, _, back = b.Choose(now, 0, 71, &a, nil)
+	a.AllowStale = true
+	got, m, _ := b.EligibleReplicas(now, 0, 0, &a, nil)
+	must(t, len(got) == 2 && !b.Assess(m, now, Report{70, 4 * time.Second}, true).Fresh, "%v", got)
+	a = Requirement{ReceivedAt: now}
+	got, _, back = b.EligibleReplicas(now, 0, 71, &a, nil)
 	must(t, len(got) == 1 && got[0] == id(1) && back == 0, "%v, back in %v", got, back)
-	got, _, back = b.Choose(now, 0, 72, &a, nil)
+	got, _, back = b.EligibleReplicas(now, 0, 72, &a, nil)
 	must(t, len(got) == 0 && back > 0 && back <= 50*ms, "%v, back in %v", got, back)
-	got, _, _ = b.Choose(now+back, 0, 72, &a, nil)
+	got, _, _ = b.EligibleReplicas(now+back, 0, 72, &a, nil)
 	must(t, len(got) == 2, "not looked at again: %v", got)
-	got, _, _ = b.Choose(now+back, 0, 72, &a, nil)
+	got, _, _ = b.EligibleReplicas(now+back, 0, 72, &a, nil)
 	must(t, len(got) == 0, "looked at twice at once: %v", got)
 }
 
 // The next in order takes over only once it has come as far as the first was known to have come; a restart is no way back.
 func TestHandOver(t *testing.T) {
 	b := tier(2, 1)
-	a := Ask{Pin: 5}
-	all, _, _ := b.Choose(0, 0, 0, &a, nil)
+	a := Requirement{Pin: 5}
+	all, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
 	one, two := all[0], all[1]
-	b.Learn(100*ms, one, 0, 99*ms, Report{90, 0})
-	b.Learn(100*ms, two, 0, 99*ms, Report{80, 0})
-	b.List(101*ms, false, []decision.Endpoint{{Node: one, State: decision.Removed}})
-	got, m, back := b.Choose(101*ms, 0, 0, &a, nil)
-	must(t, len(got) == 0 && back > 0 && m.Pos == 90, "%v, %+v", got, m)
-	b.Learn(120*ms, two, 0, 119*ms, Report{91, 0})
-	got, _, _ = b.Choose(121*ms, 0, 0, &a, nil)
+	b.Observe(100*ms, one, 0, 99*ms, Report{90, 0})
+	b.Observe(100*ms, two, 0, 99*ms, Report{80, 0})
+	b.UpdateEndpoints(101*ms, false, []decision.Endpoint{{Node: one, State: decision.Removed}})
+	got, m, back := b.EligibleReplicas(101*ms, 0, 0, &a, nil)
+	must(t, len(got) == 0 && back > 0 && m.Offset == 90, "%v, %+v", got, m)
+	b.Observe(120*ms, two, 0, 119*ms, Report{91, 0})
+	got, _, _ = b.EligibleReplicas(121*ms, 0, 0, &a, nil)
 	must(t, len(got) == 1 && got[0] == two, "%v", got)
-	must(t, !b.Judge(m, 121*ms, Report{89, 0}, true).Fresh, "a restarted replica counts")
-	b.Learn(130*ms, two, 0, 129*ms, Report{40, 0})
-	must(t, b.Counts.Regressed == 1 && b.Bound(130*ms, two, 0) < 20*ms, "regress not seen")
+	must(t, !b.Assess(m, 121*ms, Report{89, 0}, true).Fresh, "a restarted replica counts")
+	b.Observe(130*ms, two, 0, 129*ms, Report{40, 0})
+	must(t, b.Counts.Regressed == 1 && b.StalenessBound(130*ms, two, 0) < 20*ms, "regress not seen")
 	b.merge(b.fact(&b.seats[b.byID[two]], 0), &fact{known: true, pos: 91, lo: 119 * ms, hi: 120 * ms, asof: 119 * ms})
-	got, _, _ = b.Choose(130*ms, 0, 91, &Ask{}, nil)
+	got, _, _ = b.EligibleReplicas(130*ms, 0, 91, &Requirement{}, nil)
 	must(t, len(got) == 0, "old facts of before the restart count")
 }
 
 // A hot pin goes to the next in order beyond its limit, and comes back; it is never refused for it.
 func TestHotPin(t *testing.T) {
 	b := tier(3, 1)
-	a := Ask{Pin: 5}
-	all, _, _ := b.Choose(0, 0, 0, &a, nil)
-	for range b.c.MostOut {
-		b.Sent(0, 5, all[0])
+	a := Requirement{Pin: 5}
+	all, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
+	for range b.c.MaxInFlight {
+		b.AttemptSent(0, 5, all[0])
 	}
-	got, _, _ := b.Choose(0, 0, 0, &a, nil)
+	got, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
 	must(t, len(got) == 2 && got[0] == all[1] && b.Counts.Spilled == 1, "%v", got)
-	b.Ended(5, all[0])
+	b.AttemptEnded(5, all[0])
 	must(t, b.first(0, 5, 0) == all[0], "does not come back")
 	now := time.Duration(0)
 	for range 400 { // 200 a second of one pin beside 50 of others
 		now += 5 * ms
 		n := b.first(now, 5, 0)
-		b.Sent(now, 5, n)
-		b.Ended(5, n)
+		b.AttemptSent(now, 5, n)
+		b.AttemptEnded(5, n)
 		for i := range 3 {
 			if now%(60*ms) == time.Duration(i)*20*ms {
-				b.Sent(now, 0, all[i])
+				b.AttemptSent(now, 0, all[i])
 			}
 		}
 	}
 	one := b.hot[bucket(5, all[0])].flow.read(now)
 	must(t, one < 80, "%.0f parts a second of one pin at its first", one)
 	for i := range all {
-		for range b.c.MostOut {
-			b.Sent(now, 5, all[i])
+		for range b.c.MaxInFlight {
+			b.AttemptSent(now, 5, all[i])
 		}
 	}
-	got, _, _ = b.Choose(now, 0, 0, &a, nil)
+	got, _, _ = b.EligibleReplicas(now, 0, 0, &a, nil)
 	must(t, len(got) == 3, "refused at its limit: %v", got)
 }
 
 func TestReport(t *testing.T) {
-	for text, want := range map[string]Report{"p=7;h=12": {7, 12 * ms}, "q=1;h=0;p=9;x": {9, 0}, "p=3": {3, Unknown}, "p=3;h=9999999": {3, Unknown}} {
+	for text, want := range map[string]Report{"p=7;h=12": {7, 12 * ms}, "q=1;h=0;p=9;x": {9, 0}, "p=3": {3, UnknownAge}, "p=3;h=9999999": {3, UnknownAge}} {
 		r, ok := ParseReport(text)
 		must(t, ok && r == want, "%q: %+v", text, r)
 	}
--- a/internal/decision/readpin/report.go
+++ b/internal/decision/readpin/report.go
@@ -8,12 +8,12 @@
 
 // Report is what a replica says in an answer of how far it has come.
 type Report struct {
-	Pos  uint64        // the last write of the part's shard that it has applied
-	Head time.Duration // all that was acknowledged so long before it read is in, by its own measure; Unknown: it does not say
+	Offset  uint64        // the last write of the part's shard that it has applied
+	HeadAge time.Duration // all that was acknowledged so long before it read is in, by its own measure; Unknown: it does not say
 }
 
-// Unknown stands in Report.Head where a replica does not know, or does not say, when it was last current.
-const Unknown = time.Duration(-1)
+// UnknownAge stands in Report.Head where a replica does not know, or does not say, when it was last current.
+const UnknownAge = time.Duration(-1)
 
 const longestHead = time.Hour // what is older is as good as unknown
 
@@ -21,7 +21,7 @@
 // in milliseconds, rounded up. Other fields are another's. ok tells whether there is a position; a field that makes no sense
 // makes the whole report none.
 func ParseReport(text string) (r Report, ok bool) {
-	r.Head = Unknown
+	r.HeadAge = UnknownAge
 	for len(text) > 0 {
 		field, rest, _ := strings.Cut(text, ";")
 		text = rest
@@ -31,12 +31,12 @@
 		}
 		n, err := strconv.ParseUint(value, 10, 64)
 		switch {
-		case err != nil || name == "p" && ok || name == "h" && r.Head != Unknown:
-			return Report{Head: Unknown}, false
+		case err != nil || name == "p" && ok || name == "h" && r.HeadAge != UnknownAge:
+			return Report{HeadAge: UnknownAge}, false
 		case name == "p":
-			r.Pos, ok = n, true
+			r.Offset, ok = n, true
 		case n <= uint64(longestHead/time.Millisecond):
-			r.Head = time.Duration(n) * time.Millisecond
+			r.HeadAge = time.Duration(n) * time.Millisecond
 		}
 	}
 	return r, ok
@@ -44,9 +44,9 @@
 
 // AppendReport writes a report as replicas do. The age is rounded up.
 func AppendReport(b []byte, r Report) []byte {
-	b = strconv.AppendUint(append(b, "p="...), r.Pos, 10)
-	if r.Head != Unknown {
-		b = strconv.AppendInt(append(b, ";h="...), int64((r.Head+time.Millisecond-1)/time.Millisecond), 10)
+	b = strconv.AppendUint(append(b, "p="...), r.Offset, 10)
+	if r.HeadAge != UnknownAge {
+		b = strconv.AppendInt(append(b, ";h="...), int64((r.HeadAge+time.Millisecond-1)/time.Millisecond), 10)
 	}
 	return b
 }
--- a/internal/decision/readpin/truth_test.go
+++ b/internal/decision/readpin/truth_test.go
@@ -30,11 +30,11 @@
 // course plays replicas that stall and restart before brokers that answer, share what they know over links that hold it back, and
 // are audited against the writers' own history. It returns how many judgements were checked and how many were wrong; claims of
 // what is not asked are held to the truth too.
-func course(seed uint64, age func(b *Book)) (checked, wrong int) {
+func course(seed uint64, age func(b *Tracker)) (checked, wrong int) {
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	const nodes, brokers = 4, 3
 	var reps [nodes]replica
-	var books [brokers]*Book
+	var books [brokers]*Tracker
 	for i := range books {
 		books[i] = tier(nodes, 1)
 		age(books[i])
@@ -59,10 +59,10 @@
 		b := books[at]
 		if rnd.IntN(20) == 0 { // pulled: asked some time ago, written meanwhile, here later
 			asked := now - upTo(rnd, 10*ms)
-			mail[at] = append(mail[at], letter{now + upTo(rnd, 2*time.Second), asked, books[(at+1)%brokers].Collect(now)})
+			mail[at] = append(mail[at], letter{now + upTo(rnd, 2*time.Second), asked, books[(at+1)%brokers].EncodePositions(now)})
 		}
 		for _, l := range mail[at] {
-			if l.at <= now && b.Take(now, l.data, now-l.asked) != nil {
+			if l.at <= now && b.MergePositions(now, l.data, now-l.asked) != nil {
 				wrong++
 			}
 		}
@@ -70,26 +70,26 @@
 			mail[at] = mail[at][1:]
 		}
 		for i := range reps { // what a broker would rely on without asking holds
-			if bound := b.Bound(now, id(i), 0); bound != Unknown && reps[i].stall != 0 {
+			if bound := b.StalenessBound(now, id(i), 0); bound != UnknownAge && reps[i].stall != 0 {
 				checked++
 				if f := b.fact(&b.seats[i], 0); reps[i].asof < now-bound && writes(reps[i].asof) >= f.pos {
 					wrong++
 				}
 			}
 		}
-		a := Ask{Taken: now - upTo(rnd, 30*ms), MaxStale: 20*ms + upTo(rnd, 400*ms)}
+		a := Requirement{ReceivedAt: now - upTo(rnd, 30*ms), MaxStaleness: 20*ms + upTo(rnd, 400*ms)}
 		need := writes(now - upTo(rnd, time.Second))
-		got, m, _ := b.Choose(now, 0, need, &a, nil)
+		got, m, _ := b.EligibleReplicas(now, 0, need, &a, nil)
 		if len(got) == 0 {
 			continue
 		}
 		i := rnd.IntN(len(got))
 		node := int(b.byID[got[i]])
 		r := reps[node].read(now + upTo(rnd, 2*ms))
-		s := b.Judge(m, now, r, true)
-		b.Learn(now+3*ms, got[i], 0, now, r)
+		s := b.Assess(m, now, r, true)
+		b.Observe(now+3*ms, got[i], 0, now, r)
 		checked++
-		if r := &reps[node]; s.Fresh && (r.asof < a.Taken-a.MaxStale || writes(r.asof) < need) || s.AsOf > r.asof {
+		if r := &reps[node]; s.Fresh && (r.asof < a.ReceivedAt-a.MaxStaleness || writes(r.asof) < need) || s.AsOf > r.asof {
 			wrong++
 		}
 	}
@@ -100,14 +100,14 @@
 func TestNeverOptimistic(t *testing.T) {
 	total := 0
 	for seed := range uint64(12) {
-		checked, wrong := course(seed, func(*Book) {})
+		checked, wrong := course(seed, func(*Tracker) {})
 		must(t, wrong == 0, "seed %d: %d of %d wrong", seed, wrong, checked)
 		total += checked
 	}
 	must(t, total > 100_000, "%d checked", total)
 	found := 0
 	for seed := range uint64(12) {
-		_, wrong := course(seed, func(b *Book) { b.c.Clock, b.c.Drift = 0, 0 })
+		_, wrong := course(seed, func(b *Tracker) { b.c.ClockError, b.c.MaxDrift = 0, 0 })
 		found += wrong
 	}
 	must(t, found > 0, "an optimistic age is not found")
@@ -118,59 +118,59 @@
 	now := time.Minute
 	for i := range 300 {
 		for shard := range 40 {
-			b.Learn(now, id(i), shard, now-ms, Report{uint64(i + 1), 10 * ms})
+			b.Observe(now, id(i), shard, now-ms, Report{uint64(i + 1), 10 * ms})
 		}
 	}
 	for range 60 { // all get there, turn by turn
-		data := b.Collect(now)
-		must(t, len(data) <= b.c.MostBytes, "%d bytes", len(data))
-		must(t, o.Take(now, data, 5*ms) == nil, "not taken")
+		data := b.EncodePositions(now)
+		must(t, len(data) <= b.c.MaxMessageBytes, "%d bytes", len(data))
+		must(t, o.MergePositions(now, data, 5*ms) == nil, "not taken")
 	}
 	for i := range 300 {
 		for shard := range 40 {
-			bound := o.Bound(now, id(i), shard)
+			bound := o.StalenessBound(now, id(i), shard)
 			must(t, bound >= 21*ms && bound <= 25*ms, "node %d, shard %d: %v", i, shard, bound)
 		}
 	}
-	was := o.Collect(now)
+	was := o.EncodePositions(now)
 	o.cursor = 0
-	o.Take(now, b.Collect(now-40*time.Second), 5*ms) // older news worsens nothing
+	o.MergePositions(now, b.EncodePositions(now-40*time.Second), 5*ms) // older news worsens nothing
 	o.cursor = 0
-	must(t, len(was) > 0 && o.Bound(now, id(299), 3) <= 25*ms, "older news counted")
-	must(t, len(b.Collect(now+11*time.Second)) == 1, "old news passed on")
-	b.c.MostBytes = 64
-	must(t, len(b.Collect(now)) > 20, "one node's facts that never fit are never told")
+	must(t, len(was) > 0 && o.StalenessBound(now, id(299), 3) <= 25*ms, "older news counted")
+	must(t, len(b.EncodePositions(now+11*time.Second)) == 1, "old news passed on")
+	b.c.MaxMessageBytes = 64
+	must(t, len(b.EncodePositions(now)) > 20, "one node's facts that never fit are never told")
 }
 
 func FuzzTake(f *testing.F) {
 	b := tier(3, 2)
-	b.Learn(time.Second, id(1), 1, time.Second-ms, Report{7, 12 * ms})
-	f.Add(b.Collect(time.Second))
+	b.Observe(time.Second, id(1), 1, time.Second-ms, Report{7, 12 * ms})
+	f.Add(b.EncodePositions(time.Second))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		o := tier(3, 2)
-		err := o.Take(time.Minute, data, ms)
-		var bad *BadFacts
-		if err != nil && (!errors.As(err, &bad) || bad.Remedy() == "" || !bytes.Equal(o.Collect(time.Minute), []byte{wireVersion})) {
+		err := o.MergePositions(time.Minute, data, ms)
+		var bad *MalformedPositionsError
+		if err != nil && (!errors.As(err, &bad) || bad.Remedy() == "" || !bytes.Equal(o.EncodePositions(time.Minute), []byte{wireVersion})) {
 			t.Fatalf("half taken: %v", err)
 		}
 		for i := range 3 {
-			if bound := o.Bound(time.Minute, id(i), 1); bound != Unknown && bound < ms {
+			if bound := o.StalenessBound(time.Minute, id(i), 1); bound != UnknownAge && bound < ms {
 				t.Fatalf("%v out of a message that was on its way so long", bound)
 			}
 		}
 	})
 }
 
-func benchBook() *Book {
-	b := New(Default(64, 16, 1))
+func benchBook() *Tracker {
+	b := NewTracker(DefaultConfig(64, 16, 1))
 	var all []decision.Endpoint
 	for i := range 128 {
 		all = append(all, decision.Endpoint{Node: id(i), Cell: i % 16, State: decision.Ready})
 	}
-	b.List(0, true, all)
+	b.UpdateEndpoints(0, true, all)
 	for i := range 128 {
 		for s := range 64 {
-			b.Learn(time.Second, id(i), s, time.Second-ms, Report{50, 10 * ms})
+			b.Observe(time.Second, id(i), s, time.Second-ms, Report{50, 10 * ms})
 		}
 	}
 	return b
@@ -179,26 +179,26 @@
 // A part's whole way: chosen among eight holders, counted, judged and learned from.
 func BenchmarkPart(b *testing.B) {
 	k, dst := benchBook(), make([]decision.NodeID, 0, 16)
-	a := Ask{Pin: 9, Taken: time.Second, MaxStale: 250 * ms}
+	a := Requirement{Pin: 9, ReceivedAt: time.Second, MaxStaleness: 250 * ms}
 	r := Report{60, 10 * ms}
 	b.ReportAllocs()
 	for i := range b.N {
-		got, m, _ := k.Choose(time.Second, i&63, 40, &a, dst[:0])
-		k.Sent(time.Second, 9, got[0])
-		k.Judge(m, time.Second, r, true)
-		k.Learn(time.Second+ms, got[0], i&63, time.Second, r)
-		k.Ended(9, got[0])
+		got, m, _ := k.EligibleReplicas(time.Second, i&63, 40, &a, dst[:0])
+		k.AttemptSent(time.Second, 9, got[0])
+		k.Assess(m, time.Second, r, true)
+		k.Observe(time.Second+ms, got[0], i&63, time.Second, r)
+		k.AttemptEnded(9, got[0])
 	}
 }
 
 func TestPartAllocatesNothing(t *testing.T) {
 	k, dst := benchBook(), make([]decision.NodeID, 0, 16)
-	a := Ask{Pin: 9, Taken: time.Second, MaxStale: 250 * ms}
+	a := Requirement{Pin: 9, ReceivedAt: time.Second, MaxStaleness: 250 * ms}
 	n := testing.AllocsPerRun(1000, func() {
-		got, m, _ := k.Choose(time.Second, 3, 40, &a, dst[:0])
-		k.Sent(time.Second, 9, got[0])
-		k.Judge(m, time.Second, Report{60, 10 * ms}, true)
-		k.Ended(9, got[0])
+		got, m, _ := k.EligibleReplicas(time.Second, 3, 40, &a, dst[:0])
+		k.AttemptSent(time.Second, 9, got[0])
+		k.Assess(m, time.Second, Report{60, 10 * ms}, true)
+		k.AttemptEnded(9, got[0])
 	})
 	must(t, n == 0, "%v allocations", n)
 }
--- a/internal/lab/play/replica.go
+++ b/internal/lab/play/replica.go
@@ -56,7 +56,7 @@
 	pos := writesBy(s, shard, r.of)
 	head := time.Duration(float64(n.now-r.of)*(1-r.slow)) - r.low
 	return "@" + strconv.FormatUint(pos, 10) + "@" + strconv.Itoa(n.n),
-		string(readpin.AppendReport(nil, readpin.Report{Pos: pos, Head: max(0, head)}))
+		string(readpin.AppendReport(nil, readpin.Report{Offset: pos, HeadAge: max(0, head)}))
 }
 
 // versionOf takes the version off a value.
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -130,7 +130,7 @@
 func (c *Core) HandleList(list *discovery.List, err error) { c.l.take(listReceived{list, err}) }
 
 // CollectPositions is what the broker knows of replicas' positions.
-func (c *Core) CollectPositions() []byte { return c.l.pins.book.Collect(c.l.since()) }
+func (c *Core) CollectPositions() []byte { return c.l.pins.book.EncodePositions(c.l.since()) }
 
 // MergePositions hands on what another broker collected; it has grown older by so much at the most.
 func (c *Core) MergePositions(data []byte, older time.Duration) {
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -86,7 +86,7 @@
 	}
 	l.events = append(l.events, decision.Event{Kind: decision.ListUpdateReceived, Endpoints: changed})
 	if l.pins != nil { // else pins would count on a drained node, and pass it by once its drain has ended
-		l.pins.book.List(l.since(), false, changed)
+		l.pins.book.UpdateEndpoints(l.since(), false, changed)
 	}
 }
 
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -59,7 +59,7 @@
 		l.agreed.list = &(&fleetPart{}).list
 		l.pins = newPinning(&operator.Fleet{}, &under)
 		hintedTo := func() (to []decision.NodeID) {
-			to, _, _ = l.pins.book.Choose(l.since(), 0, 0, &readpin.Ask{}, nil)
+			to, _, _ = l.pins.book.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
 			return to
 		}
 		var acks []uint64
--- a/internal/server/list.go
+++ b/internal/server/list.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if l.pins != nil {
-		l.pins.book.List(l.since(), list.Whole, e.Endpoints)
+		l.pins.book.UpdateEndpoints(l.since(), list.Whole, e.Endpoints)
 	}
 	l.events = append(l.events, e)
 	if l.agreed != nil {
--- a/internal/server/pinfacts.go
+++ b/internal/server/pinfacts.go
@@ -27,14 +27,14 @@
 func (l *loop) pinTold(d any) bool {
 	switch d := d.(type) {
 	case pinCollect:
-		d.to <- l.pins.book.Collect(l.since())
+		d.to <- l.pins.book.EncodePositions(l.since())
 	case pinFacts:
 		now := l.since()
-		if err := l.pins.book.Take(now, d.data, now-d.oldest); err != nil {
+		if err := l.pins.book.MergePositions(now, d.data, now-d.oldest); err != nil {
 			slog.Debug("positions of another broker not taken", "error", err)
 		}
 	case pinEpoch:
-		l.pins.book.Epoch(d.number, d.nodes)
+		l.pins.book.SetEpoch(d.number, d.nodes)
 	default:
 		return false
 	}
@@ -43,7 +43,7 @@
 
 // pinState is what the counters tell.
 func (l *loop) pinState() *ReadPinState {
-	return &ReadPinState{l.pins.book.Counts, l.pins.wrong.Load(), l.pins.book.Number()}
+	return &ReadPinState{l.pins.book.Counts, l.pins.wrong.Load(), l.pins.book.EpochNumber()}
 }
 
 // CollectPins is what this broker knows of replicas' positions, ages inside; nil: pins are off, or it ends.
--- a/internal/server/pins.go
+++ b/internal/server/pins.go
@@ -31,7 +31,7 @@
 
 // pinning is a broker's part in pinned reads.
 type pinning struct {
-	book   *readpin.Book
+	book   *readpin.Tracker
 	config readpin.Config
 	wrong  atomic.Uint64 // hints that were ignored
 }
@@ -44,14 +44,14 @@
 }
 
 func newPinning(o *operator.Fleet, t *terms.Terms) *pinning {
-	c := readpin.Default(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
-	c.Clock, c.Drift = o.ClockError, o.Drift
-	return &pinning{book: readpin.New(c), config: c}
+	c := readpin.DefaultConfig(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
+	c.ClockError, c.MaxDrift = o.ClockError, o.Drift
+	return &pinning{book: readpin.NewTracker(c), config: c}
 }
 
 // pinned is what a search with a hint has beside.
 type pinned struct {
-	ask   readpin.Ask
+	ask   readpin.Requirement
 	parts []pinnedPart
 	back  time.Duration // no holder is eligible before
 }
@@ -59,8 +59,8 @@
 // pinnedPart is who may be sent a part, what an answer must show, and what the one that is in has shown.
 type pinnedPart struct {
 	only  decision.AllowedReplicas
-	must  readpin.Must
-	shown readpin.Shown
+	must  readpin.Promise
+	shown readpin.Assessment
 }
 
 const usualHolders = 4
@@ -88,15 +88,15 @@
 // allows is answered without it, and else it is refused with the time to return.
 func (l *loop) pin(s *search) {
 	h, n := s.ask.hint, len(s.ask.parts)
-	q := &pinned{ask: readpin.Ask{Taken: s.arrived, MaxStale: h.MaxStaleness, OrStale: h.AllowStale}, parts: make([]pinnedPart, n)}
+	q := &pinned{ask: readpin.Requirement{ReceivedAt: s.arrived, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale}, parts: make([]pinnedPart, n)}
 	if h.Scope != readhint.ScopeNone {
-		q.ask.Pin = readpin.PinOf(string(h.Scope), h.Key)
+		q.ask.Pin = readpin.HashPin(string(h.Scope), h.Key)
 	}
 	now, nodes := l.since(), make([]decision.NodeID, 0, usualHolders*n)
 	for i := range s.ask.parts {
 		shard, from := s.ask.parts[i].shard, len(nodes)
 		var back time.Duration
-		nodes, q.parts[i].must, back = l.pins.book.Choose(now, shard, h.MinOffset(shard), &q.ask, nodes)
+		nodes, q.parts[i].must, back = l.pins.book.EligibleReplicas(now, shard, h.MinOffset(shard), &q.ask, nodes)
 		q.parts[i].only = decision.AllowedReplicas{Sticky: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
 		q.back = max(q.back, back)
 	}
@@ -116,32 +116,32 @@
 	if s.pin != nil {
 		t.Tag = s.pin.ask.Pin
 	}
-	l.pins.book.Sent(now, t.Tag, t.Node)
+	l.pins.book.AttemptSent(now, t.Tag, t.Node)
 }
 
 // pinEnded learns from an answer and tells what it counts as: one that does not keep its search's hint did not come.
 func (l *loop) pinEnded(t *store.Part, how decision.Outcome, at time.Duration) decision.Outcome {
 	book := l.pins.book
-	book.Ended(t.Tag, t.Node)
+	book.AttemptEnded(t.Tag, t.Node)
 	if how != decision.OK {
 		return how
 	}
 	r, told := readpin.ParseReport(t.Report)
 	if told {
-		book.Learn(at, t.Node, t.Shard, t.Sent, r)
+		book.Observe(at, t.Node, t.Shard, t.Sent, r)
 	}
 	s, i := l.part(t.Part)
 	if s == nil || s.pin == nil || s.parts[i].in {
 		return how
 	}
-	shown := book.Judge(s.pin.parts[i].must, t.Sent, r, told)
-	if shown.Fresh || s.pin.ask.OrStale {
+	shown := book.Assess(s.pin.parts[i].must, t.Sent, r, told)
+	if shown.Fresh || s.pin.ask.AllowStale {
 		s.pin.parts[i].shown = shown
 		return how
 	}
 	o := &s.pin.parts[i].only
 	o.Nodes = slices.DeleteFunc(o.Nodes, func(id decision.NodeID) bool { return id == t.Node })
-	s.pin.back = max(s.pin.back, l.pins.config.Recheck)
+	s.pin.back = max(s.pin.back, l.pins.config.RecheckInterval)
 	return decision.Stale
 }
 
@@ -175,8 +175,8 @@
 		}
 		shown, shard := &s.pin.parts[i].shown, s.ask.parts[i].shard
 		oldest = min(oldest, shown.AsOf)
-		if shown.Pos > 0 {
-			v.seen = append(v.seen, readhint.Position{Shard: shard, Offset: shown.Pos})
+		if shown.Offset > 0 {
+			v.seen = append(v.seen, readhint.Position{Shard: shard, Offset: shown.Offset})
 		}
 		if !shown.Fresh {
 			behind = append(behind, shard)
@@ -184,8 +184,8 @@
 	}
 	slices.SortFunc(v.seen, func(a, b readhint.Position) int { return a.Shard - b.Shard })
 	slices.Sort(behind)
-	v.hinted, v.behind, v.stale = true, behind, readpin.Unknown
-	if oldest != readpin.Never {
+	v.hinted, v.behind, v.stale = true, behind, readpin.UnknownAge
+	if oldest != readpin.DistantPast {
 		v.stale = l.pins.book.Staleness(l.since(), oldest)
 	}
 }
@@ -202,7 +202,7 @@
 		heads = append(heads, headPosition+readhint.FormatPositions(v.seen))
 	}
 	stale := "unknown"
-	if v.stale != readpin.Unknown {
+	if v.stale != readpin.UnknownAge {
 		stale = strconv.FormatInt(int64(math.Ceil(float64(v.stale)/float64(time.Millisecond))), 10) + "ms"
 	}
 	heads = append(heads, headStaleness+stale)
