--- a/internal/decision/routing/actors.go
+++ b/internal/decision/routing/actors.go
@@ -63,7 +63,7 @@
 	queued bool
 }
 
-func (l *Logic) post(b *inbox, n note) {
+func (l *Router) post(b *inbox, n note) {
 	b.notes = append(b.notes, n)
 	if !b.queued {
 		b.queued = true
@@ -71,7 +71,7 @@
 	}
 }
 
-func (l *Logic) run() {
+func (l *Router) run() {
 	for i := 0; i < len(l.ready); i++ {
 		b := l.ready[i]
 		for j := 0; j < len(b.notes); j++ {
@@ -82,12 +82,12 @@
 	l.ready = l.ready[:0]
 }
 
-func (l *Logic) logf(format string, args ...any) {
+func (l *Router) logf(format string, args ...any) {
 	l.out = append(l.out, decision.Action{Kind: decision.LogMessage, Text: fmt.Sprintf(format, args...)})
 }
 
 // rand draws from [0, 1).
-func (l *Logic) rand() float64 {
+func (l *Router) rand() float64 {
 	l.counter++
 	binary.BigEndian.PutUint64(l.draw[:], l.counter)
 	binary.BigEndian.PutUint64(l.draw[8:], l.t.Seed)
@@ -107,8 +107,8 @@
 	fit
 )
 
-// Logic is one broker's decisions.
-type Logic struct {
+// Router is one broker's decisions.
+type Router struct {
 	t       *decision.Settings
 	now     time.Duration
 	armed   time.Duration // the earliest wake asked for and not yet come
@@ -128,8 +128,8 @@
 }
 
 // New makes the decisions of one broker.
-func New(t decision.Settings) *Logic {
-	l := &Logic{t: &t, armed: -1, byID: map[decision.NodeID]int32{}, chance: fnv.New64a()}
+func New(t decision.Settings) *Router {
+	l := &Router{t: &t, armed: -1, byID: map[decision.NodeID]int32{}, chance: fnv.New64a()}
 	for i := range t.QueryTypes {
 		l.longest = max(l.longest, t.QueryTypes[i].Timeout)
 	}
@@ -138,10 +138,10 @@
 	return l
 }
 
-// Retune has the module go on under new terms. What is in hand ends as the terms say under which it was taken; all that was
+// Reconfigure has the module go on under new terms. What is in hand ends as the terms say under which it was taken; all that was
 // learned stays, the budget of further sub-requests too. moved: shards lie elsewhere now, or other nodes hold them. Then parts in
 // hand are sent to no other node, and the front empties the node list first.
-func (l *Logic) Retune(t decision.Settings, moved bool) {
+func (l *Router) Reconfigure(t decision.Settings, moved bool) {
 	t.Seed = l.t.Seed
 	if t.ExtraAttemptsWindow > l.t.ExtraAttemptsWindow { // what was sent so long ago is not known: the stated few count as spent
 		l.desk.extras = append(l.desk.extras, slices.Repeat([]time.Duration{l.now}, int(t.ExtraAttemptsMin))...)
@@ -154,7 +154,7 @@
 }
 
 // Step takes one batch of events and appends what is to be done.
-func (l *Logic) Step(now time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
+func (l *Router) Step(now time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	l.now, l.out = now, actions
 	for i := range events {
 		switch ev := &events[i]; ev.Kind {
@@ -210,7 +210,7 @@
 )
 
 // spread keeps a fact for the peers.
-func (l *Logic) spread(kind byte, id decision.NodeID) {
+func (l *Router) spread(kind byte, id decision.NodeID) {
 	if l.t.GossipAllowed && len(l.news) < factsMost*factSize {
 		l.news = append(append(l.news, kind), id.Addr[:]...)
 		l.news = binary.BigEndian.AppendUint16(l.news, id.Port)
@@ -218,7 +218,7 @@
 }
 
 // hear hands on what a peer told; what makes no sense is skipped.
-func (l *Logic) hear(text []byte) {
+func (l *Router) hear(text []byte) {
 	for ; len(text) >= factSize; text = text[factSize:] {
 		id := decision.NodeID{Addr: [4]byte(text[1:]), Port: binary.BigEndian.Uint16(text[5:])}
 		if at, known := l.byID[id]; known {
--- a/internal/decision/routing/board.go
+++ b/internal/decision/routing/board.go
@@ -9,7 +9,7 @@
 )
 
 // lay makes room for what the terms list.
-func (d *desk) lay(l *Logic) {
+func (d *desk) lay(l *Router) {
 	d.l, d.box.to, d.next, d.idleMost = l, d, never, never
 	d.refs = map[uint64]ref{}
 	d.lengths = make([]majority, len(l.t.QueryTypes))
@@ -204,8 +204,8 @@
 	}
 }
 
-// Picture is what the module takes to be so: how many parts are out, and how many listed nodes it shuts out.
-func (l *Logic) Picture() (out, shut int) {
+// Snapshot is what the module takes to be so: how many parts are out, and how many listed nodes it shuts out.
+func (l *Router) Snapshot() (out, shut int) {
 	for i, n := range l.nodes {
 		for _, c := range l.desk.board[i].calls {
 			out += c.parts
@@ -217,13 +217,13 @@
 	return out, shut
 }
 
-// Trusts tells whether a node is listed and gets work as a matter of course.
-func (l *Logic) Trusts(id decision.NodeID) bool {
+// IsAvailable tells whether a node is listed and gets work as a matter of course.
+func (l *Router) IsAvailable(id decision.NodeID) bool {
 	at, known := l.byID[id]
 	return known && l.desk.board[at].mode >= cold
 }
 
-// Sound tells whether a shard has a holder that is listed and trusted.
-func (l *Logic) Sound(shard int) bool {
+// HasAvailableReplica tells whether a shard has a holder that is listed and trusted.
+func (l *Router) HasAvailableReplica(shard int) bool {
 	return slices.ContainsFunc(l.desk.holding(shard), func(i int32) bool { return l.desk.board[i].mode >= cold })
 }
--- a/internal/decision/routing/helpers_test.go
+++ b/internal/decision/routing/helpers_test.go
@@ -55,7 +55,7 @@
 
 // rig drives one module and keeps books of the six rules of its own; bad names the first rule broken.
 type rig struct {
-	l             *Logic
+	l             *Router
 	t             decision.Settings
 	now           time.Duration
 	nextID        uint64
--- a/internal/decision/routing/logic.go
+++ b/internal/decision/routing/logic.go
@@ -56,7 +56,7 @@
 	vouchFor, vouchWait = 500 * time.Millisecond, 200 * time.Millisecond // a sign of life holds; is waited for
 )
 
-func (d *desk) start(l *Logic) {
+func (d *desk) start(l *Router) {
 	d.lay(l)
 	d.tokens, d.value, d.parts = capDepth/2, 1, 1
 	least := never
--- a/internal/decision/routing/move_test.go
+++ b/internal/decision/routing/move_test.go
@@ -118,7 +118,7 @@
 	terms := smallTerms()
 	r := newRig(terms, 6)
 	r.t.ExtraAttemptsMin, r.t.ExtraAttemptsWindow = 3, 2*time.Second
-	r.l.Retune(r.t, false)
+	r.l.Reconfigure(r.t, false)
 	for i, want := range []int{0, 1} {
 		r.ask(0, 3*time.Second, 0)
 		r.step(5 * ms)
--- a/internal/decision/routing/node.go
+++ b/internal/decision/routing/node.go
@@ -203,7 +203,7 @@
 
 // usual is the latency that a node is held against: the fleet's p50, or that of its like where that is longer
 // (danger: in a crowded set all nodes look sick, and shutting some crowds the others).
-func (l *Logic) usual(n *node) time.Duration {
+func (l *Router) usual(n *node) time.Duration {
 	sum, like := time.Duration(0), time.Duration(0)
 	for _, at := range l.desk.kin(n.cell) {
 		if o := l.nodes[at]; o != n && o.told.mode == fit {
--- a/internal/decision/routing/only_test.go
+++ b/internal/decision/routing/only_test.go
@@ -83,12 +83,12 @@
 	r.endWhere(decision.Stale, 0, nil)
 	shed := pick(r.step(20*ms), decision.ShedQuery)
 	must(t, len(shed) == 1 && shed[0].ID == id, "held on: %v", shed)
-	must(t, r.l.Trusts(nodeID(4)) && r.bad == "", "a node is distrusted for its lag, %s", r.bad)
+	must(t, r.l.IsAvailable(nodeID(4)) && r.bad == "", "a node is distrusted for its lag, %s", r.bad)
 	for range 30 {
 		r.narrow(&decision.AllowedReplicas{Nodes: []decision.NodeID{nodeID(1)}})
 		r.step(20 * ms)
 		r.endWhere(decision.Stale, 0, nil)
 		r.step(5 * ms)
 	}
-	must(t, r.l.Trusts(nodeID(1)), "a node is distrusted for its lag")
+	must(t, r.l.IsAvailable(nodeID(1)), "a node is distrusted for its lag")
 }
--- a/internal/decision/routing/records.go
+++ b/internal/decision/routing/records.go
@@ -55,7 +55,7 @@
 }
 
 // common is the share of failed parts that half of the listed nodes reach.
-func (l *Logic) common() float64 {
+func (l *Router) common() float64 {
 	if len(l.shares) == 0 {
 		return 0
 	}
--- a/internal/decision/routing/rules_test.go
+++ b/internal/decision/routing/rules_test.go
@@ -133,7 +133,7 @@
 		r.step(0)
 		r.t.Cells = 5 - r.t.Cells // 2 or 3
 	}
-	r.l.Retune(r.t, moved)
+	r.l.Reconfigure(r.t, moved)
 	if !moved {
 		return
 	}
--- a/internal/decision/routing/state.go
+++ b/internal/decision/routing/state.go
@@ -141,7 +141,7 @@
 
 // keeper keeps the node list current.
 type keeper struct {
-	l       *Logic
+	l       *Router
 	box     inbox
 	asked   bool // a watch is held or asked for
 	due     time.Duration
@@ -151,7 +151,7 @@
 
 // node judges the health of one store node.
 type node struct {
-	l        *Logic
+	l        *Router
 	box      inbox
 	at       int32
 	id       decision.NodeID
@@ -188,7 +188,7 @@
 
 // desk holds the searches in hand and sends their parts.
 type desk struct {
-	l            *Logic
+	l            *Router
 	box          inbox
 	board        []seat
 	cells        [][]int32 // nodes of each cell
--- a/internal/lab/emu.go
+++ b/internal/lab/emu.go
@@ -61,7 +61,7 @@
 // Broker is one emulated broker: the real module, and the real judge where it has one.
 type Broker struct {
 	w        *World
-	module   *routing.Logic
+	module   *routing.Router
 	judge    *cachedlist.Judge
 	events   []decision.Event
 	turning  bool
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -152,6 +152,6 @@
 
 // Trusts tells whether the module gives a node work as a matter of course; for reports only.
 func (c *Core) Trusts(id decision.NodeID) bool {
-	m, tells := c.l.module.(interface{ Trusts(decision.NodeID) bool })
-	return !tells || m.Trusts(id)
+	m, tells := c.l.module.(interface{ IsAvailable(decision.NodeID) bool })
+	return !tells || m.IsAvailable(id)
 }
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -34,7 +34,7 @@
 }
 
 // sounding is a module that tells whether a shard has a sound holder.
-type sounding interface{ Sound(shard int) bool }
+type sounding interface{ HasAvailableReplica(shard int) bool }
 
 func newGateway(p forwarding.Policy, names []string, links *link.Links, t *terms.Terms, stop func() bool) *gateway {
 	return &gateway{near: forwarding.NewNear(p, names), far: forwarding.NewFar(p), links: links, terms: t, stop: stop,
@@ -157,7 +157,7 @@
 		g.lacking = g.lacking[:0]
 		if m, tells := l.module.(sounding); tells {
 			for shard := range g.terms.Shards {
-				if !m.Sound(shard) {
+				if !m.HasAvailableReplica(shard) {
 					g.lacking = append(g.lacking, shard)
 				}
 			}
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -61,7 +61,7 @@
 
 // tuned is a module that can go on under other terms.
 type tuned interface {
-	Retune(t decision.Settings, moved bool)
+	Reconfigure(t decision.Settings, moved bool)
 }
 
 func newLoop(start time.Time, module decision.Router, t *decision.Settings) *loop {
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -100,7 +100,7 @@
 		}
 		t.Store, t.Nodes, t.NodeConns, t.Out = l.pool.Counts, l.pool.Nodes(), l.pool.Open(), l.pool.Out()
 		if m, tells := l.module.(pictured); tells {
-			t.OutByModule, t.ShutOut = m.Picture()
+			t.OutByModule, t.ShutOut = m.Snapshot()
 		}
 		if l.gate != nil {
 			t.Gateway = &GatewayState{l.gate.near.Counts, l.gate.far.Counts, l.gate.near.State(l.since())}
@@ -131,7 +131,7 @@
 		l.turn(l.since())
 	}
 	t := &d.terms.Module
-	l.module.(tuned).Retune(*t, d.moved)
+	l.module.(tuned).Reconfigure(*t, d.moved)
 	l.under, l.types, l.cells, l.maxOpen, l.comeBack, l.batch = d.terms, t.QueryTypes, t.Cells, t.MaxInFlight, t.MaxRetryAfter, t.MaxBatch
 	l.pool.Retune(d.terms.Streams, d.terms.Idle, d.terms.Dial, longest(d.terms))
 	if d.list != nil {
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -13,7 +13,7 @@
 )
 
 // pictured is a module that tells what it takes to be so, to be held against the wire.
-type pictured interface{ Picture() (out, shut int) }
+type pictured interface{ Snapshot() (out, shut int) }
 
 // call gathers the parts of one turn to one node.
 type call struct {
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -178,7 +178,7 @@
 	w *world
 }
 
-func (c checked) Picture() (out, shut int) { return c.Router.(pictured).Picture() }
+func (c checked) Snapshot() (out, shut int) { return c.Router.(pictured).Snapshot() }
 
 func (c checked) Step(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
 	if t := c.w.loop.tally; t.Taken != t.Answered+t.Shed+t.Errored+t.Left+t.InHand {
