--- a/internal/server/answer.go
+++ b/internal/server/answer.go
@@ -22,7 +22,7 @@
 		return reason
 	}
 	last = last || s.draining.Load()
-	reason = s.reply(c, appendVerdict(c.out[:0], v, last, readHeads(a, &v)...), last)
+	reason = s.reply(c, appendVerdict(c.out[:0], v, last, readHeaders(a, &v)...), last)
 	if reason == writeFailed {
 		s.clients.unwritten.Add(1)
 	}
@@ -82,7 +82,7 @@
 // write sends a response whole, within the longest time that any client waits.
 func (s *Server) write(c *client, b []byte) error {
 	c.out = b[:0]
-	c.SetWriteDeadline(time.Now().Add(longest(s.Settings())))
+	c.SetWriteDeadline(time.Now().Add(longestTimeout(s.Settings())))
 	_, err := c.Write(b)
 	return err
 }
--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -20,56 +20,56 @@
 	"flaxfront/internal/discovery"
 )
 
-const grantEvery = 500 * time.Millisecond
+const grantInterval = 500 * time.Millisecond
 
-// nodeOf is what conditions may ask of a node.
-func nodeOf(n discovery.Node) connpolicy.Node {
+// policyNode is what conditions may ask of a node.
+func policyNode(n discovery.Node) connpolicy.Node {
 	return connpolicy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Entry.Cell), Machine: n.Addr.Addr().String()}
 }
 
-// granting is the leader's side.
-type granting struct {
-	b       *budgets
-	lease   time.Duration
-	linger  time.Duration
-	term    uint64
-	granter *connlease.Granter
-	plan    *connlease.BudgetPlan
-	version uint64
-	seen    map[statemachine.Slot]uint64 // incarnations, when it last looked
+// leaseGranting is the leader's side.
+type leaseGranting struct {
+	leases       *connectionLeases
+	lease        time.Duration
+	linger       time.Duration
+	term         uint64
+	granter      *connlease.Granter
+	plan         *connlease.BudgetPlan
+	version      uint64
+	incarnations map[statemachine.Slot]uint64 // incarnations, when it last looked
 }
 
-// openBudgets has the pool keep to what is agreed, and this broker divide where it leads.
-func (s *Server) openBudgets(streams int) {
+// openConnLeases has the pool keep to what is agreed, and this broker divide where it leads.
+func (s *Server) openConnLeases(streams int) {
 	t, o := &s.start.Terms, &s.operator.Fleet
-	b := newBudgets(s.loop, streams, t.Tenants)
-	s.loop.budgets = b
+	b := newConnectionLeases(s.loop, streams, t.Tenants)
+	s.loop.connLeases = b
 	s.loop.pool.Keep(b)
-	b.propose = func(e statemachine.Entry) {
+	b.proposeEntry = func(e statemachine.Entry) {
 		s.group.Go(func() error {
-			ctx, cancel := context.WithTimeout(s.ctx, askWithin)
+			ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
 			defer cancel()
-			if _, err := s.fleet.Propose(ctx, e); err != nil {
+			if _, err := s.controlPlane.Propose(ctx, e); err != nil {
 				slog.Debug("fleet: budgets: not taken", "entry", fmt.Sprintf("%T", e), "error", err)
 			}
 			return nil
 		})
 	}
-	g := &granting{b: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + longest(t) + plainClose}
-	s.fleet.Compile(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
+	g := &leaseGranting{leases: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + longestTimeout(t) + defaultClosing}
+	s.controlPlane.Compile(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
 		return g.compile(text, state, t.Tenants, o.Lease)
 	})
-	s.fleet.Tell(controlplane.Extra{Name: "need", Collect: func() []byte {
+	s.controlPlane.Tell(controlplane.Extra{Name: "need", Collect: func() []byte {
 		if text := b.report.Load(); text != nil {
 			return *text
 		}
 		return nil
 	}})
-	s.fleet.Leading(controlplane.Duty{Name: "budgets", Every: grantEvery, Do: g.do})
+	s.controlPlane.Leading(controlplane.Duty{Name: "budgets", Every: grantInterval, Do: g.proposeGrants})
 }
 
 // compile makes a policy's entry: a budget for every node that is known here.
-func (g *granting) compile(text string, state *statemachine.State, tenants []string, lease time.Duration) (*statemachine.ConnectionPolicy, error) {
+func (g *leaseGranting) compile(text string, state *statemachine.State, tenants []string, lease time.Duration) (*statemachine.ConnectionPolicy, error) {
 	p, err := connpolicy.Compile("policy", text)
 	if err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 			return nil, &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q is none of the settings", name)}
 		}
 	}
-	nodes := g.b.nodes.Load()
+	nodes := g.leases.nodes.Load()
 	if nodes == nil || len(*nodes) == 0 {
 		return nil, errors.New("no node is known yet")
 	}
@@ -106,8 +106,8 @@
 	return e, nil
 }
 
-// do is the leader's duty.
-func (g *granting) do(m controlplane.Moment) []statemachine.Entry {
+// proposeGrants is the leader's duty.
+func (g *leaseGranting) proposeGrants(m controlplane.Moment) []statemachine.Entry {
 	inForce, waiting, _ := m.State.Policies()
 	if inForce == nil {
 		return nil
@@ -116,19 +116,19 @@
 		inForce = waiting
 	}
 	if g.plan == nil || g.version != inForce.Version {
-		if !g.arrange(inForce) {
+		if !g.buildPlan(inForce) {
 			return nil
 		}
 	}
 	if g.granter == nil || g.term != m.Term {
-		g.granter, g.term, g.seen = connlease.NewGranter(g.lease, g.linger, m.Now), m.Term, map[statemachine.Slot]uint64{}
+		g.granter, g.term, g.incarnations = connlease.NewGranter(g.lease, g.linger, m.Now), m.Term, map[statemachine.Slot]uint64{}
 	}
 	needs, other := map[statemachine.Slot][]connlease.ConnectionCount{}, uint64(0)
 	if waiting != nil {
-		other = g.before(m.State)
+		other = g.previousVersion(m.State)
 	}
 	for _, b := range m.State.Brokers() {
-		g.look(b, m.Session(b), m.Now)
+		g.noteSession(b, m.Session(b), m.Now)
 		r, ok := m.Reports[b.Slot]
 		if !ok || r.Incarnation != b.Incarnation {
 			continue
@@ -140,18 +140,18 @@
 	return g.granter.NextEntries(m.State, g.plan, needs, m.Term, m.Now)
 }
 
-// look takes note of when a broker's lease was renewed. Danger: an incarnation that ended since the last look may have had a lease
+// noteSession takes note of when a broker's lease was renewed. Danger: an incarnation that ended since the last look may have had a lease
 // after that look, and what it held would be another's too early.
-func (g *granting) look(b statemachine.Broker, session, now time.Duration) {
-	if was := g.seen[b.Slot]; was > 0 && was != b.Incarnation {
+func (g *leaseGranting) noteSession(b statemachine.Broker, session, now time.Duration) {
+	if was := g.incarnations[b.Slot]; was > 0 && was != b.Incarnation {
 		g.granter.RecordRenewal(b.Slot, was, now)
 	}
-	g.seen[b.Slot] = b.Incarnation
+	g.incarnations[b.Slot] = b.Incarnation
 	g.granter.RecordRenewal(b.Slot, b.Incarnation, session)
 }
 
-// before is the version in force, whose tenants reports count while another waits, if both name the same tenants.
-func (g *granting) before(s *statemachine.State) uint64 {
+// previousVersion is the version in force, whose tenants reports count while another waits, if both name the same tenants.
+func (g *leaseGranting) previousVersion(s *statemachine.State) uint64 {
 	inForce, _, _ := s.Policies()
 	if inForce == nil {
 		return 0
@@ -162,15 +162,15 @@
 	return 0
 }
 
-// arrange lays a policy over its nodes.
-func (g *granting) arrange(e *statemachine.ConnectionPolicy) bool {
+// buildPlan lays a policy over its nodes.
+func (g *leaseGranting) buildPlan(e *statemachine.ConnectionPolicy) bool {
 	p, err := connpolicy.Compile("agreed", e.Text)
 	if err != nil {
 		slog.Error("the agreed policy does not compile here: this leader grants nothing", "version", e.Version, "error", err)
 		return false
 	}
 	nodes := map[decision.NodeID]connpolicy.Node{}
-	if known := g.b.nodes.Load(); known != nil {
+	if known := g.leases.nodes.Load(); known != nil {
 		nodes = *known
 	}
 	g.plan, g.version = &connlease.BudgetPlan{Tenants: p.Tenants}, e.Version
--- a/internal/server/budgets_test.go
+++ b/internal/server/budgets_test.go
@@ -18,8 +18,8 @@
 	l = newLoop(time.Now(), nil, &decision.Settings{})
 	l.clock = func() time.Duration { return *now }
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 99}, nil, l.since, nil, nil, nil)
-	l.budgets = newBudgets(l, 1, []string{"acme", "quiet"})
-	l.budgets.propose = func(statemachine.Entry) {}
+	l.connLeases = newConnectionLeases(l, 1, []string{"acme", "quiet"})
+	l.connLeases.proposeEntry = func(statemachine.Entry) {}
 	return l, now
 }
 
@@ -28,7 +28,7 @@
 
 func TestBudgetsHeld(t *testing.T) {
 	l, now := budgetTrial(t)
-	b, one, two := l.budgets, decision.NodeID{Port: 1}, decision.NodeID{Port: 2}
+	b, one, two := l.connLeases, decision.NodeID{Port: 1}, decision.NodeID{Port: 2}
 	want := func(what string, node decision.NodeID, leaves ...store.Leave) {
 		t.Helper()
 		for i, want := range leaves {
@@ -39,14 +39,14 @@
 	}
 	want("nothing is known", one, store.Floor, store.No)
 	view := &controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: 3}}
-	b.see(view)
+	b.handleView(view)
 	want("no policy, and the leader in reach", one, store.Floor, store.Floor, store.Floor)
 	policy := &statemachine.ConnectionPolicy{Version: 1, Text: budgetText, MaxBrokers: 2,
 		Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}, {Node: two, Connections: 20, ReservedPerBroker: 2}}}
 	grant := statemachine.ConnectionLease{Incarnation: 3, Number: 1,
 		Granted: []statemachine.LeaseRow{{Node: two, Tenant: "acme", Connections: 2}, {Node: two, Tenant: "else", Connections: 9}}}
 	view = &controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Grant: grant}
-	b.see(view)
+	b.handleView(view)
 	want("more is open than the floor", one, store.No)
 	want("granted, then the floor", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
 	if surplus, hard := b.holder.ExcessConnections(*now); len(surplus) != 1 || surplus[0].Connections != 2 || hard {
@@ -57,15 +57,15 @@
 		t.Errorf("to be closed at the lease's end: %v %t", surplus, hard)
 	}
 	lower := &statemachine.ConnectionPolicy{Version: 2, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 1}}}
-	b.see(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Waiting: lower, Grant: grant})
-	if b.floors[one] != 1 || b.floors[two] != 0 || b.newest != 2 {
+	b.handleView(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Waiting: lower, Grant: grant})
+	if b.floors[one] != 1 || b.floors[two] != 0 || b.agreedVersion != 2 {
 		t.Errorf("floors while a lower policy waits: %v", b.floors)
 	}
-	b.see(&controlplane.View{Index: 8, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: lower, Grant: grant})
+	b.handleView(&controlplane.View{Index: 8, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: lower, Grant: grant})
 	if b.version != 2 || b.floors[one] != 1 {
 		t.Errorf("floors of the policy that took over: %v", b.floors)
 	}
-	b.yield()
+	b.release()
 	want("it stops", two, store.No)
 }
 
@@ -74,26 +74,26 @@
 	l, now := budgetTrial(t)
 	one := decision.NodeID{Port: 1}
 	see := func(incarnation, number, units uint64) {
-		l.budgets.see(&controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: incarnation},
+		l.connLeases.handleView(&controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: incarnation},
 			Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}}},
 			Grant:  statemachine.ConnectionLease{Incarnation: incarnation, Number: number, Granted: []statemachine.LeaseRow{{Node: one, Tenant: "acme", Connections: units}}}})
 	}
 	see(3, 7, 0)
 	see(3, 6, 1)
-	if l.budgets.Open(one, 0) != store.Floor {
+	if l.connLeases.Open(one, 0) != store.Floor {
 		t.Error("an older grant is held")
 	}
 	see(9, 1, 5)
-	if l.budgets.Open(one, 0) != store.Own || l.budgets.holder.PendingAck(*now) != 1 {
+	if l.connLeases.Open(one, 0) != store.Own || l.connLeases.holder.PendingAck(*now) != 1 {
 		t.Error("the first grant of a new incarnation is not held")
 	}
 }
 
 // What an incarnation held that ended between two looks ends a lease after the later of them at the soonest.
 func TestLeaseBetweenLooks(t *testing.T) {
-	g := &granting{granter: connlease.NewGranter(3*time.Second, time.Second, 0), seen: map[statemachine.Slot]uint64{}}
-	g.look(statemachine.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
-	g.look(statemachine.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
+	g := &leaseGranting{granter: connlease.NewGranter(3*time.Second, time.Second, 0), incarnations: map[statemachine.Slot]uint64{}}
+	g.noteSession(statemachine.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
+	g.noteSession(statemachine.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
 	if ends := g.granter.Expiry(1, 1); ends < 10300*time.Millisecond+connlease.GranterExpiry(0, 3*time.Second)+time.Second {
 		t.Errorf("it ends at %v", ends)
 	}
@@ -102,23 +102,23 @@
 // TestHonestHint has a tenant turned away, and let in again exactly when it was told.
 func TestHonestHint(t *testing.T) {
 	l, now := budgetTrial(t)
-	b := l.budgets
-	b.see(&controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText}})
-	b.count(0, 40, 30)
-	b.count(1, 400, 30)
-	after, full := b.noRoom(0)
-	if _, other := b.noRoom(1); !full || other || after < budgetEvery {
+	b := l.connLeases
+	b.handleView(&controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText}})
+	b.countAttempts(0, 40, 30)
+	b.countAttempts(1, 400, 30)
+	after, full := b.overloaded(0)
+	if _, other := b.overloaded(1); !full || other || after < leaseInterval {
 		t.Fatalf("told %v, full %t, the other tenant %t", after, full, other)
 	}
 	for told := *now + after; *now < told; {
-		if _, full = b.noRoom(0); !full {
+		if _, full = b.overloaded(0); !full {
 			t.Errorf("let in %v before it was told", told-*now)
 		}
 		b.due = 0
-		l.budgetTick(*now)
-		*now += budgetEvery
+		l.connLeaseTick(*now)
+		*now += leaseInterval
 	}
-	if _, full = b.noRoom(0); full {
+	if _, full = b.overloaded(0); full {
 		t.Error("turned away at the time it was told to come back")
 	}
 }
--- a/internal/server/budgetstop.go
+++ b/internal/server/budgetstop.go
@@ -13,35 +13,35 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// yielded asks the loop to close all connections to nodes, for good. All searches are over by then.
-type yielded struct{ holds chan held }
+// leaseReleaseRequested asks the loop to close all connections to nodes, for good. All searches are over by then.
+type leaseReleaseRequested struct{ holds chan heldLease }
 
-// held is what is to be given up; number 0: nothing.
-type held struct {
+// heldLease is what is to be given up; number 0: nothing.
+type heldLease struct {
 	incarnation, number uint64
 	closing             time.Duration
 }
 
-// yield closes what is open and opens nothing any more.
-func (b *budgets) yield() held {
-	b.shut = true
+// release closes what is open and opens nothing any more.
+func (b *connectionLeases) release() heldLease {
+	b.stopped = true
 	b.loop.pool.End("stopping")
 	nothing := connlease.EncodeDemand(b.version, nil)
 	b.report.Store(&nothing) // else it would be granted more
 	if b.view == nil || b.view.Grant.Ended || b.view.Grant.Incarnation != b.view.Me.Incarnation {
-		return held{}
+		return heldLease{}
 	}
-	return held{b.view.Me.Incarnation, b.view.Grant.Number, b.closing}
+	return heldLease{b.view.Me.Incarnation, b.view.Grant.Number, b.closing}
 }
 
-// giveUp waits until nodes have noticed, and says it. Danger: with each restart of a release a broker's units would lie idle for a
+// releaseLeases waits until nodes have noticed, and says it. Danger: with each restart of a release a broker's units would lie idle for a
 // lease and the nodes' idle time. It hurts a stop by the closing time, and by a second where nobody takes the word.
-func (s *Server) giveUp() {
-	d := yielded{make(chan held, 1)}
+func (s *Server) releaseLeases() {
+	d := leaseReleaseRequested{make(chan heldLease, 1)}
 	if !s.deliver(d) {
 		return
 	}
-	var h held
+	var h heldLease
 	select {
 	case h = <-d.holds:
 	case <-s.ctx.Done():
@@ -59,13 +59,13 @@
 	defer cancel()
 	for {
 		e := &statemachine.RelinquishLease{Slot: statemachine.Slot(s.operator.Fleet.Slot), Incarnation: h.incarnation, Number: h.number}
-		_, err := s.fleet.Propose(ctx, e)
+		_, err := s.controlPlane.Propose(ctx, e)
 		if err == nil {
 			break
 		}
 		// A grant came meanwhile. It is as void as the one before it, since nothing is opened any more.
 		var no *statemachine.RejectedError
-		g := s.fleet.View().Grant
+		g := s.controlPlane.View().Grant
 		if !errors.As(err, &no) || no.Reason != statemachine.ReasonStale || g.Incarnation != h.incarnation || g.Ended || ctx.Err() != nil {
 			slog.Info("fleet: what this broker held is not given up; its lease ends it", "error", err)
 			return
--- a/internal/server/budgettick.go
+++ b/internal/server/budgettick.go
@@ -12,43 +12,43 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// budgetTick closes, acknowledges and measures; it returns when to come again. Danger: a process that was stopped over its lease
+// connLeaseTick closes, acknowledges and measures; it returns when to come again. Danger: a process that was stopped over its lease
 // wakes with its connections, and units that another broker has by now; so this is asked before each turn, with the present time.
-func (l *loop) budgetTick(now time.Duration) (next time.Duration) {
-	b := l.budgets
+func (l *loop) connLeaseTick(now time.Duration) (next time.Duration) {
+	b := l.connLeases
 	if now < b.due {
 		return b.due
 	}
-	b.due = min(now+budgetEvery, b.holder.NextTimer(now))
+	b.due = min(now+leaseInterval, b.holder.NextTimer(now))
 	if b.view != nil && b.view.Index > 0 {
-		b.bound(b.view)
+		b.updateFloors(b.view)
 	}
 	surplus, hard := b.holder.ExcessConnections(now)
 	for _, r := range surplus {
 		l.pool.Shed(r.Node, r.Tenant, r.Connections, hard)
 	}
-	for i := range b.turned {
-		b.turned[i].sent *= turnedKeep
-		b.turned[i].refused *= turnedKeep
+	for i := range b.attempts {
+		b.attempts[i].sent *= attemptDecay
+		b.attempts[i].refused *= attemptDecay
 	}
 	b.measure(now)
-	if b.view == nil || b.view.Me.Incarnation == 0 || now < b.proposed+300*time.Millisecond {
+	if b.view == nil || b.view.Me.Incarnation == 0 || now < b.proposedAt+300*time.Millisecond {
 		return b.due
 	}
 	me := b.view.Me
 	if number := b.holder.PendingAck(now); number > 0 && b.view.Grant.Number == number && !b.view.Grant.Acknowledged {
-		b.proposed = now
-		b.propose(&statemachine.AcknowledgeLease{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
+		b.proposedAt = now
+		b.proposeEntry(&statemachine.AcknowledgeLease{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
 	}
-	if b.newest > b.view.PolicyAcked && b.holder.WithinLease(now, true) {
-		b.proposed = now
-		b.propose(&statemachine.AcknowledgePolicy{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.newest})
+	if b.agreedVersion > b.view.PolicyAcked && b.holder.WithinLease(now, true) {
+		b.proposedAt = now
+		b.proposeEntry(&statemachine.AcknowledgePolicy{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.agreedVersion})
 	}
 	return b.due
 }
 
 // measure sees what is out to each node, and leaves what is needed for the next report.
-func (b *budgets) measure(now time.Duration) {
+func (b *connectionLeases) measure(now time.Duration) {
 	b.needs.Decay(now)
 	wants := map[connlease.LeaseKey]int{}
 	b.loop.pool.Wants(func(node decision.NodeID, tenant, parts int) {
@@ -58,13 +58,13 @@
 		b.needs.Observe(k, float64(parts)/float64(b.streams))
 	}
 	rows := b.needs.AboveReserved(b.floors)
-	if b.shut {
+	if b.stopped {
 		rows = nil
 	}
 	kept := rows[:0]
 	for _, r := range rows {
-		if r.Tenant >= 0 && r.Tenant < len(b.of) && b.of[r.Tenant] >= 0 {
-			r.Tenant = b.of[r.Tenant]
+		if r.Tenant >= 0 && r.Tenant < len(b.policyTenant) && b.policyTenant[r.Tenant] >= 0 {
+			r.Tenant = b.policyTenant[r.Tenant]
 			kept = append(kept, r)
 		}
 	}
@@ -72,40 +72,40 @@
 	b.report.Store(&text)
 	nodes := make(map[decision.NodeID]connpolicy.Node, len(b.loop.nodes))
 	for id, n := range b.loop.nodes {
-		nodes[id] = nodeOf(n)
+		nodes[id] = policyNode(n)
 	}
 	b.nodes.Store(&nodes)
 }
 
-// turned counts a tenant's parts of late, and those that got no connection.
-type turned struct{ sent, refused float64 }
+// attemptShares counts a tenant's parts of late, and those that got no connection.
+type attemptShares struct{ sent, refused float64 }
 
 const (
-	turnedKeep  = 0.8  // of these counts after each tick
-	turnedShare = 0.25 // of the parts: beyond, searches are turned away
-	turnedLeast = 5    // parts
+	attemptDecay    = 0.8  // of these counts after each tick
+	maxRefusedShare = 0.25 // of the parts: beyond, searches are turned away
+	minRefused      = 5    // parts
 )
 
-func (b *budgets) count(tenant int, sent, refused float64) {
-	if tenant >= 0 && tenant < len(b.turned) {
-		b.turned[tenant].sent += sent
-		b.turned[tenant].refused += refused
+func (b *connectionLeases) countAttempts(tenant int, sent, refused float64) {
+	if tenant >= 0 && tenant < len(b.attempts) {
+		b.attempts[tenant].sent += sent
+		b.attempts[tenant].refused += refused
 	}
 }
 
-// noRoom tells whether so many of a tenant's parts got no connection of late that its next search is turned away before it takes
+// overloaded tells whether so many of a tenant's parts got no connection of late that its next search is turned away before it takes
 // a place, and when to come back: that is when the next one is let in. Danger: parts that get no connection are sent elsewhere, and
 // elsewhere again, while the search's time runs out, and searches that would have had room lose theirs.
-func (b *budgets) noRoom(tenant int) (after time.Duration, full bool) {
-	if tenant < 0 || tenant >= len(b.turned) || b.view == nil || b.view.Policy == nil {
+func (b *connectionLeases) overloaded(tenant int) (after time.Duration, full bool) {
+	if tenant < 0 || tenant >= len(b.attempts) || b.view == nil || b.view.Policy == nil {
 		return 0, false
 	}
-	t := b.turned[tenant]
-	if t.refused < turnedLeast || t.refused < turnedShare*t.sent {
+	t := b.attempts[tenant]
+	if t.refused < minRefused || t.refused < maxRefusedShare*t.sent {
 		return 0, false
 	}
-	for n := t.refused; n >= turnedLeast; n *= turnedKeep {
-		after += budgetEvery
+	for n := t.refused; n >= minRefused; n *= attemptDecay {
+		after += leaseInterval
 	}
 	return after, true
 }
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -120,7 +120,7 @@
 	case c.requests == 0:
 		return c.opened.Add(max(wholeWithin, time.Since(c.opened)+s.clients.moment)) // what came late gets a moment
 	default:
-		return time.Now().Add(min(longest(s.Settings()), wholeWithin))
+		return time.Now().Add(min(longestTimeout(s.Settings()), wholeWithin))
 	}
 }
 
@@ -171,8 +171,8 @@
 		s.part(c, bad.status, bad.why)
 		return "bad_request"
 	}
-	if s.loop.pins != nil {
-		s.loop.pins.read(m, a)
+	if s.loop.readPins != nil {
+		s.loop.readPins.readHint(m, a)
 	}
 	c.useful = true
 	return s.search(ctx, c, a, arrived, last)
--- a/internal/server/cold_test.go
+++ b/internal/server/cold_test.go
@@ -13,8 +13,8 @@
 func TestColdIsCounted(t *testing.T) {
 	l := newLoop(time.Now(), nil, &decision.Settings{})
 	under := decoded(t)
-	l.under = &under
-	l.agreed = newAgreed(nil)
+	l.settings = &under
+	l.controlPlane = newControlPlaneView(nil)
 	warm := under.Module.WarmUpTime
 	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": decision.StartedLongAgo} {
 		n := nodeAt(name, decision.Ready)
@@ -32,12 +32,12 @@
 		{"new", time.Minute + warm, 2},
 		{"new", time.Minute + warm - 1, 4},
 	} {
-		l.pressed(&call{discovery.ID(c.node), make([]*store.Part, 2)}, c.at)
-		if l.agreed.cold != c.want {
-			t.Errorf("%s at %v: %d parts sent to cold nodes, want %d", c.node, c.at, l.agreed.cold, c.want)
+		l.countWarmingUp(&batch{discovery.ID(c.node), make([]*store.Part, 2)}, c.at)
+		if l.controlPlane.warmingUpAttempts != c.want {
+			t.Errorf("%s at %v: %d parts sent to cold nodes, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
 		}
 	}
-	if got := l.fleetState().Cold; got != 4 {
+	if got := l.controlPlaneState().Cold; got != 4 {
 		t.Errorf("operators and reports see %d", got)
 	}
 }
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -62,40 +62,40 @@
 type PendingQuery struct{ s *search }
 
 // Done tells whether it has its verdict, or was left.
-func (h PendingQuery) Done() bool { return h.s.over }
+func (h PendingQuery) Done() bool { return h.s.done }
 
 // NewCore makes a broker; it knows no node until it is told a list.
 func NewCore(t *terms.Terms, file *operator.File, decide func(decision.Settings) decision.Router, a Environment) (*Core, error) {
 	l := newLoop(a.Start, decide(t.Module), &t.Module)
-	l.clock, l.ask, l.tell = a.Now, a.PollDiscovery, a.SendGossip
-	l.say = func(text string, _ time.Duration) { a.Log(text) }
-	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: longest(t),
-		Conns: max(1, (a.Sockets-spareSockets)/nodesPart)}
-	l.pool = store.NewPool(context.Background(), limits, nil, a.Now, nil, nil, l.subrequestEnded)
-	l.pool.Probed = l.probed
+	l.clock, l.pollDiscovery, l.sendGossip = a.Now, a.PollDiscovery, a.SendGossip
+	l.logDecision = func(text string, _ time.Duration) { a.Log(text) }
+	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: longestTimeout(t),
+		Conns: max(1, (a.Sockets-spareSockets)/nodeSocketsDivisor)}
+	l.pool = store.NewPool(context.Background(), limits, nil, a.Now, nil, nil, l.attemptEnded)
+	l.pool.Probed = l.healthCheckEnded
 	l.pool.Carry(a.Carrier)
 	if file.Fleet.Pins {
-		l.pins = newPinning(&file.Fleet, t)
+		l.readPins = newReadPinning(&file.Fleet, t)
 		l.pool.KeepReports()
 	}
 	var err error
 	if file.Door.On {
-		l.door, err = newDoorway(&file.Door, t)
+		l.admission, err = newAdmissionControl(&file.Door, t)
 	}
 	if a.CachedList != nil {
 		p := file.Start.Trust
 		judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: p.HalfLife, Oldest: p.Oldest, StrikeAt: p.StrikeAt, Parole: p.Parole},
 			a.CachedList, cachedlist.At(a.Start))
 		reader := discovery.Reader{Zones: t.Zones}
-		l.saved = &saved{book: a.CachedList, judge: judge, keep: func(cachedlist.Changes) {}, zone: reader.Zone,
-			most: file.Start.NodeList.MaxEntries, ended: file.Start.NodeList.KeepEnded, start: a.Start}
+		l.cachedList = &cachedEndpointList{book: a.CachedList, judge: judge, store: func(cachedlist.Changes) {}, zone: reader.Zone,
+			maxEntries: file.Start.NodeList.MaxEntries, keepEnded: file.Start.NodeList.KeepEnded, start: a.Start}
 		list := &discovery.List{Whole: true}
 		for _, f := range judge.Begin(discovery.ID) {
-			list.Nodes = append(list.Nodes, l.saved.node(f))
+			list.Nodes = append(list.Nodes, l.cachedList.node(f))
 		}
-		l.relist(list)
+		l.applyList(list)
 	} else {
-		l.relist(&discovery.List{Whole: true})
+		l.applyList(&discovery.List{Whole: true})
 	}
 	return &Core{l}, err
 }
@@ -116,42 +116,42 @@
 		}
 		to(out)
 	}
-	c.l.take(queryReceived{s})
+	c.l.handle(queryReceived{s})
 	return PendingQuery{s}
 }
 
 // Abandon tells that a search's client has gone; overdue, that its time is up and a verdict is owed.
-func (c *Core) Abandon(h PendingQuery, overdue bool) { c.l.take(queryAbandoned{h.s, overdue}) }
+func (c *Core) Abandon(h PendingQuery, overdue bool) { c.l.handle(queryAbandoned{h.s, overdue}) }
 
 // HandleConnection hands on what happened to a connection.
-func (c *Core) HandleConnection(e store.Event) { c.l.take(e) }
+func (c *Core) HandleConnection(e store.Event) { c.l.handle(e) }
 
 // HandleList hands on what discovery told, or that a call failed.
-func (c *Core) HandleList(list *discovery.List, err error) { c.l.take(listReceived{list, err}) }
+func (c *Core) HandleList(list *discovery.List, err error) { c.l.handle(listReceived{list, err}) }
 
 // CollectPositions is what the broker knows of replicas' positions.
-func (c *Core) CollectPositions() []byte { return c.l.pins.book.EncodePositions(c.l.since()) }
+func (c *Core) CollectPositions() []byte { return c.l.readPins.positions.EncodePositions(c.l.since()) }
 
 // MergePositions hands on what another broker collected; it has grown older by so much at the most.
 func (c *Core) MergePositions(data []byte, older time.Duration) {
-	c.l.take(pinFacts{data, c.l.since() - older})
+	c.l.handle(positionsReceived{data, c.l.since() - older})
 }
 
 // HandleGossip hands on a message of another broker.
-func (c *Core) HandleGossip(from int, text []byte) { c.l.take(peerMessage{from, text}) }
+func (c *Core) HandleGossip(from int, text []byte) { c.l.handle(gossipReceived{from, text}) }
 
 // Step takes a turn if anything happened and tells when to come again.
-func (c *Core) Step() time.Duration { return c.l.step() }
+func (c *Core) Step() time.Duration { return c.l.advance() }
 
 // Counters is what the broker counts.
 func (c *Core) Counters() QueryCounters {
-	r := tallyWanted{make(chan QueryCounters, 1)}
-	c.l.take(r)
+	r := countersRequested{make(chan QueryCounters, 1)}
+	c.l.handle(r)
 	return <-r.to
 }
 
 // Trusts tells whether the module gives a node work as a matter of course; for reports only.
 func (c *Core) Trusts(id decision.NodeID) bool {
-	m, tells := c.l.module.(interface{ IsAvailable(decision.NodeID) bool })
+	m, tells := c.l.router.(interface{ IsAvailable(decision.NodeID) bool })
 	return !tells || m.IsAvailable(id)
 }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -74,7 +74,7 @@
 
 // Counters asks the loop for its figures and adds the others.
 func (s *Server) Counters() (c Counters) {
-	r := tallyWanted{make(chan QueryCounters, 1)}
+	r := countersRequested{make(chan QueryCounters, 1)}
 	if s.deliver(r) {
 		select {
 		case c.Searches = <-r.to:
@@ -84,15 +84,15 @@
 	cs := &s.clients
 	c.Clients.Accepted, c.Clients.Closed = cs.accepted.Load(), cs.closed.Load()
 	c.Clients.BadRequests, c.Clients.Unwritten = cs.refused.Load(), cs.unwritten.Load()
-	if s.links != nil {
-		c.Refused = s.links.Refused.Load()
+	if s.siteLinks != nil {
+		c.Refused = s.siteLinks.Refused.Load()
 	}
-	if s.keeper != nil {
-		n := &s.keeper.Counters
+	if s.listStore != nil {
+		n := &s.listStore.Counters
 		c.NodeList = &CachedListCounters{n.Saving.Load(), n.Writes.Load(), n.Snapshots.Load(), n.Bytes.Load(), n.Failed.Load()}
 	}
-	if s.link != nil {
-		p := &s.link.Counts
+	if s.gossip != nil {
+		p := &s.gossip.Counts
 		c.Peers.Sent, c.Peers.Heard, c.Peers.Strangers = p.Sent.Load(), p.Heard.Load(), p.Strangers.Load()
 		c.Peers.TooLong, c.Peers.Dropped, c.Peers.Unsealed = p.TooLong.Load(), p.Dropped.Load(), p.Unsealed.Load()
 	}
--- a/internal/server/crew.go
+++ b/internal/server/crew.go
@@ -27,38 +27,38 @@
 
 // The duties of a tier, by their numbers in claims: a later version may add some at the end.
 const (
-	dutyList    = iota // discovery is asked anew, and what it tells is passed on
-	dutySummary        // the owner's counters are logged
+	jobPollDiscovery = iota // discovery is asked anew, and what it tells is passed on
+	jobLogCounters          // the owner's counters are logged
 )
 
 const (
-	noteClaim = 'c'
-	noteNode  = 'n'
+	noteOwnership = 'c'
+	noteEndpoint  = 'n'
 
-	crewBytes = 220 // fits into a sealed datagram
-	mostCrew  = 1000
+	maxDatagram = 220 // fits into a sealed datagram
+	maxMembers  = 1000
 )
 
-// crew is the loop's part of it.
-type crew struct {
-	members   *membership.Members
-	duties    *ownership.Duties
-	meet      func(to netip.AddrPort, data []byte)
-	list      bool // words of discovery are passed on
-	words     *gossip.Book
-	view      []ownership.Member
-	seeds     []netip.AddrPort       // of the living
-	keepSeeds func([]netip.AddrPort) // nil: they are not kept
+// tierMembership is the loop's part of it.
+type tierMembership struct {
+	members        *membership.Members
+	ownership      *ownership.Duties
+	sendTo         func(to netip.AddrPort, data []byte)
+	shareEndpoints bool // words of discovery are passed on
+	shared         *gossip.Book
+	ownershipView  []ownership.Member
+	seeds          []netip.AddrPort       // of the living
+	keepSeeds      func([]netip.AddrPort) // nil: they are not kept
 }
 
-// met is what a member said, as it is delivered to the loop.
-type met struct {
+// memberDatagram is what a member said, as it is delivered to the loop.
+type memberDatagram struct {
 	from netip.AddrPort
 	data []byte
 }
 
-// openCrew makes the tier's part of a broker; the socket between brokers is open.
-func (s *Server) openCrew() {
+// openMembership makes the tier's part of a broker; the socket between brokers is open.
+func (s *Server) openMembership() {
 	o := &s.operator.Crew
 	var keys [][]byte
 	for _, k := range o.Keys {
@@ -82,36 +82,36 @@
 				seeds = append(slices.Clip(seeds), at)
 			}
 		}
-		s.memory = kept.NewWriter(o.Keep)
+		s.seedStore = kept.NewWriter(o.Keep)
 	}
-	s.loop.crew = newCrew(o, &s.start.Terms, s.start.Name, s.start.PeerListen, s.start.Discovery, seeds, s.loop.start, s.loop.since(), s.link.Meet)
-	if s.memory != nil {
-		s.loop.crew.keepSeeds = s.memory.Enqueue
+	s.loop.membership = newTierMembership(o, &s.start.Terms, s.start.Name, s.start.PeerListen, s.start.Discovery, seeds, s.loop.start, s.loop.since(), s.gossip.Meet)
+	if s.seedStore != nil {
+		s.loop.membership.keepSeeds = s.seedStore.Enqueue
 	}
-	s.link.Crew(func(from netip.AddrPort, data []byte) { s.deliver(met{from, data}) }, keys)
+	s.gossip.Crew(func(from netip.AddrPort, data []byte) { s.deliver(memberDatagram{from, data}) }, keys)
 	slog.Info("keeping company", "as", s.start.Name, "at", s.start.PeerListen, "seeds", len(seeds), "sealed", len(keys) > 0)
 }
 
-func newCrew(o *operator.Crew, t *terms.Terms, name string, at, service netip.AddrPort, seeds []netip.AddrPort, start time.Time, now time.Duration,
-	meet func(netip.AddrPort, []byte)) *crew {
+func newTierMembership(o *operator.Crew, t *terms.Terms, name string, at, service netip.AddrPort, seeds []netip.AddrPort, start time.Time, now time.Duration,
+	meet func(netip.AddrPort, []byte)) *tierMembership {
 	policy := membership.Policy{Interval: o.Interval, Timeout: o.Timeout, Indirect: 3, Suspicion: o.Suspicion, Longest: o.Longest,
-		Forget: o.Forget, Sync: 6 * o.Interval, MaxBytes: min(crewBytes, peers.MaxSealed), MaxKnown: mostCrew, Seed: t.Module.Seed}
+		Forget: o.Forget, Sync: 6 * o.Interval, MaxBytes: min(maxDatagram, peers.MaxSealed), MaxKnown: maxMembers, Seed: t.Module.Seed}
 	// An incarnation that no earlier life had: the second of the start.
 	m := membership.New(policy, name, at, uint8(o.Weight), uint32(start.Unix()), seeds)
 	h := fnv.New32a()
 	io.WriteString(h, service.String())
-	return &crew{members: m, meet: meet, list: o.List, words: gossip.NewBook(h.Sum32()),
-		duties: ownership.New(ownership.Policy{Lease: o.Lease, Settle: o.Interval, Renew: 2 * o.Interval}, uint32(m.Self().ID),
-			[]ownership.Duty{dutyList: {Name: "refresh the node list", Period: max(time.Second, t.AskEvery/2)},
-				dutySummary: {Name: "log the counters", Period: o.Summary}}, now)}
+	return &tierMembership{members: m, sendTo: meet, shareEndpoints: o.List, shared: gossip.NewBook(h.Sum32()),
+		ownership: ownership.New(ownership.Policy{Lease: o.Lease, Settle: o.Interval, Renew: 2 * o.Interval}, uint32(m.Self().ID),
+			[]ownership.Duty{jobPollDiscovery: {Name: "refresh the node list", Period: max(time.Second, t.AskEvery/2)},
+				jobLogCounters: {Name: "log the counters", Period: o.Summary}}, now)}
 }
 
-// crewTick does what is due of it and tells when to come again.
-func (l *loop) crewTick(now time.Duration) time.Duration {
-	c := l.crew
+// membershipTick does what is due of it and tells when to come again.
+func (l *loop) membershipTick(now time.Duration) time.Duration {
+	c := l.membership
 	next := c.members.Tick(now)
 	for _, note := range c.members.Notes() {
-		l.noted(note, now)
+		l.handleNote(note, now)
 	}
 	changes := c.members.Changes()
 	for _, ch := range changes {
@@ -119,15 +119,15 @@
 			"incarnation", ch.Member.Inc, "living", c.members.Living(), "late", c.members.Counts.Late)
 	}
 	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
-		for _, w := range c.words.Left() {
-			c.pass(&w)
+		for _, w := range c.shared.Left() {
+			c.broadcast(&w)
 		}
 	}
-	if c.view == nil || len(changes) > 0 {
-		c.view, c.seeds = c.view[:0], c.seeds[:0]
+	if c.ownershipView == nil || len(changes) > 0 {
+		c.ownershipView, c.seeds = c.ownershipView[:0], c.seeds[:0]
 		for _, m := range c.members.All() {
 			if m.State <= membership.Suspect {
-				c.view = append(c.view, ownership.Member{ID: uint32(m.ID), Weight: m.Weight})
+				c.ownershipView = append(c.ownershipView, ownership.Member{ID: uint32(m.ID), Weight: m.Weight})
 				if m.ID != c.members.Self().ID {
 					c.seeds = append(c.seeds, m.Addr)
 				}
@@ -137,85 +137,87 @@
 			c.keepSeeds(c.seeds)
 		}
 	}
-	c.duties.View(c.view, c.members.Heard())
-	runs, at := c.duties.Tick(now)
+	c.ownership.View(c.ownershipView, c.members.Heard())
+	runs, at := c.ownership.Tick(now)
 	for _, r := range runs {
 		slog.Debug("duty", "number", r.Duty, "fence", r.Fence)
 		switch r.Duty {
-		case dutyList:
-			l.ask()
-		case dutySummary:
-			slog.Info("duty: counters of the owner", "taken", l.tally.Taken, "answered", l.tally.Answered, "shed", l.tally.Shed,
-				"errored", l.tally.Errored, "in_hand", l.tally.InHand, "living", c.members.Living())
+		case jobPollDiscovery:
+			l.pollDiscovery()
+		case jobLogCounters:
+			slog.Info("duty: counters of the owner", "taken", l.counters.Taken, "answered", l.counters.Answered, "shed", l.counters.Shed,
+				"errored", l.counters.Errored, "in_hand", l.counters.InHand, "living", c.members.Living())
 		}
-		c.duties.Done(r, true, now)
+		c.ownership.Done(r, true, now)
 	}
 	c.flush()
 	return min(next, at)
 }
 
 // flush sends what is to be told.
-func (c *crew) flush() {
-	for _, cl := range c.duties.Claims() {
-		c.members.Broadcast(uint64(cl.Duty), cl.Append([]byte{noteClaim}))
+func (c *tierMembership) flush() {
+	for _, cl := range c.ownership.Claims() {
+		c.members.Broadcast(uint64(cl.Duty), cl.Append([]byte{noteOwnership}))
 	}
 	for _, p := range c.members.Out() {
-		c.meet(p.To, p.Data)
+		c.sendTo(p.To, p.Data)
 	}
 }
 
-// metOne takes what a member said.
-func (l *loop) metOne(d met) {
-	l.crew.members.Take(d.from, d.data, l.since())
-	l.crew.flush()
+// handleMemberDatagram takes what a member said.
+func (l *loop) handleMemberDatagram(d memberDatagram) {
+	l.membership.members.Take(d.from, d.data, l.since())
+	l.membership.flush()
 }
 
-// noted takes over a note, and passes it on where it is news.
-func (l *loop) noted(note []byte, now time.Duration) {
+// handleNote takes over a note, and passes it on where it is news.
+func (l *loop) handleNote(note []byte, now time.Duration) {
 	if len(note) == 0 {
 		return
 	}
-	c := l.crew
+	c := l.membership
 	switch note[0] {
-	case noteClaim:
-		if cl, ok := ownership.Read(note[1:]); ok && c.duties.Take(cl, now) {
+	case noteOwnership:
+		if cl, ok := ownership.Read(note[1:]); ok && c.ownership.Take(cl, now) {
 			c.members.Broadcast(uint64(cl.Duty), note)
 		}
-	case noteNode:
-		if w, ok := gossip.Read(note[1:]); ok && c.list {
-			l.heardOf(w)
+	case noteEndpoint:
+		if w, ok := gossip.Read(note[1:]); ok && c.shareEndpoints {
+			l.handleSharedEndpoint(w)
 		}
 	}
 }
 
-// pass has a word carried to all members.
-func (c *crew) pass(w *gossip.Word) { c.members.Broadcast(nodeKey(w.Node), w.Append([]byte{noteNode})) }
+// broadcast has a word carried to all members.
+func (c *tierMembership) broadcast(w *gossip.Word) {
+	c.members.Broadcast(broadcastKey(w.Node), w.Append([]byte{noteEndpoint}))
+}
 
-// passOn tells the others the lines that discovery changed.
-func (l *loop) passOn(list *discovery.List) {
-	c := l.crew
+// shareList tells the others the lines that discovery changed.
+func (l *loop) shareList(list *discovery.List) {
+	c := l.membership
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		w := gossip.Word{Version: list.Version, Service: c.words.Service, Node: n.Entry.Node, State: n.Entry.State, Started: n.Started}
-		if c.words.Told(w, list.Whole || !c.list) {
-			c.pass(&w)
+		w := gossip.Word{Version: list.Version, Service: c.shared.Service, Node: n.Entry.Node, State: n.Entry.State, Started: n.Started}
+		if c.shared.Told(w, list.Whole || !c.shareEndpoints) {
+			c.broadcast(&w)
 		}
 	}
-	c.words.Forget(list.Version, func(id decision.NodeID) bool {
+	c.shared.Forget(list.Version, func(id decision.NodeID) bool {
 		_, known := l.nodes[id]
 		return known
 	})
 }
 
-func nodeKey(id decision.NodeID) uint64 {
+func broadcastKey(id decision.NodeID) uint64 {
 	return 1<<36 | uint64(binary.BigEndian.Uint32(id.Addr[:]))<<16&(1<<36-1) | uint64(id.Port)
 }
 
-// heardOf takes over what another broker was told by discovery of a node that is known here. From then on this broker has been
+// handleSharedEndpoint takes over what another broker was told by discovery of a node that is known here. From then on this broker has been
 // told, as if discovery had.
-func (l *loop) heardOf(w gossip.Word) {
+func (l *loop) handleSharedEndpoint(w gossip.Word) {
 	n, known := l.nodes[w.Node]
-	if !l.crew.words.Hear(w, known, n.Entry.State, n.Started) {
+	if !l.membership.shared.Hear(w, known, n.Entry.State, n.Started) {
 		return
 	}
 	n.Entry.State = w.State
@@ -224,19 +226,19 @@
 		n.Entry.StartedAt = time.UnixMilli(w.Started).Sub(l.start)
 	}
 	slog.Info("node by another broker's word", "node", n.Name, "state", w.State, "version", w.Version)
-	l.relist(&discovery.List{Version: w.Version, Nodes: []discovery.Node{n}})
-	if l.saved != nil {
+	l.applyList(&discovery.List{Version: w.Version, Nodes: []discovery.Node{n}})
+	if l.cachedList != nil {
 		state := [...]cachedlist.State{decision.Draining: cachedlist.Draining, decision.Removed: cachedlist.Ended, decision.Ready: cachedlist.Ready}[w.State]
-		l.saved.judge.Word(n.Name, w.Node, state, cachedlist.Moment(n.Started), l.since())
+		l.cachedList.judge.Word(n.Name, w.Node, state, cachedlist.Moment(n.Started), l.since())
 	}
-	l.crew.pass(&w)
+	l.membership.broadcast(&w)
 }
 
-// leaveCrew tells the others that the broker stops, as planned.
-func (l *loop) leaveCrew() {
+// leaveTier tells the others that the broker stops, as planned.
+func (l *loop) leaveTier() {
 	now := l.since()
-	l.crew.duties.Leave(now)
-	l.crew.flush()
-	l.crew.members.Leave(now)
-	l.crew.flush()
+	l.membership.ownership.Leave(now)
+	l.membership.flush()
+	l.membership.members.Leave(now)
+	l.membership.flush()
 }
--- a/internal/server/crew_test.go
+++ b/internal/server/crew_test.go
@@ -107,9 +107,9 @@
 	l.pool = poolOf(s)
 	sent := &[][]byte{}
 	at := netip.MustParseAddrPort("127.0.0.1:7")
-	l.crew = newCrew(&file.Crew, &start.Terms, "n0", at, start.Discovery, nil, l.start, 0, func(_ netip.AddrPort, b []byte) { *sent = append(*sent, b) })
-	l.relist(s.list)
-	l.turn(l.since())
+	l.membership = newTierMembership(&file.Crew, &start.Terms, "n0", at, start.Discovery, nil, l.start, 0, func(_ netip.AddrPort, b []byte) { *sent = append(*sent, b) })
+	l.applyList(s.initialList)
+	l.stepRouter(l.since())
 	return l, sent
 }
 
@@ -122,30 +122,30 @@
 		break
 	}
 	before := l.nodes[id]
-	l.passOn(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
+	l.shareList(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
 	say := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
 		w := gossip.Word{Version: version, Service: service, Node: node, State: state, Started: started}
-		l.noted(w.Append([]byte{noteNode}), l.since())
-	}
-	say(49, l.crew.words.Service, id, decision.Draining, 0)
-	say(51, l.crew.words.Service+1, id, decision.Draining, 0)
-	say(51, l.crew.words.Service, decision.NodeID{Port: 1}, decision.Draining, 0)
-	l.noted([]byte{noteNode, 1, 2}, 0)
-	l.noted([]byte{'?'}, 0)
-	l.noted(nil, 0)
-	if l.nodes[id] != before || l.crew.words.Counts.ListStale != 3 {
-		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.crew.words.Counts)
-	}
-	say(51, l.crew.words.Service, id, decision.Draining, 0)
-	if n := l.nodes[id]; n.Entry.State != decision.Draining || n.Addr != before.Addr || l.crew.words.Counts.ListTaken != 1 {
-		t.Errorf("%+v, %+v", n, l.crew.words.Counts)
-	}
-	say(51, l.crew.words.Service, id, decision.Ready, 0) // of the same version: it was heard already
-	say(52, l.crew.words.Service, id, decision.Ready, 0) // nothing makes a draining process ready again
+		l.handleNote(w.Append([]byte{noteEndpoint}), l.since())
+	}
+	say(49, l.membership.shared.Service, id, decision.Draining, 0)
+	say(51, l.membership.shared.Service+1, id, decision.Draining, 0)
+	say(51, l.membership.shared.Service, decision.NodeID{Port: 1}, decision.Draining, 0)
+	l.handleNote([]byte{noteEndpoint, 1, 2}, 0)
+	l.handleNote([]byte{'?'}, 0)
+	l.handleNote(nil, 0)
+	if l.nodes[id] != before || l.membership.shared.Counts.ListStale != 3 {
+		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.shared.Counts)
+	}
+	say(51, l.membership.shared.Service, id, decision.Draining, 0)
+	if n := l.nodes[id]; n.Entry.State != decision.Draining || n.Addr != before.Addr || l.membership.shared.Counts.ListTaken != 1 {
+		t.Errorf("%+v, %+v", n, l.membership.shared.Counts)
+	}
+	say(51, l.membership.shared.Service, id, decision.Ready, 0) // of the same version: it was heard already
+	say(52, l.membership.shared.Service, id, decision.Ready, 0) // nothing makes a draining process ready again
 	if n := l.nodes[id]; n.Entry.State != decision.Draining {
 		t.Errorf("%+v", n)
 	}
-	say(53, l.crew.words.Service, id, decision.Removed, time.Now().UnixMilli())
+	say(53, l.membership.shared.Service, id, decision.Removed, time.Now().UnixMilli())
 	if _, known := l.nodes[id]; known {
 		t.Error("an ended node is still known")
 	}
@@ -160,28 +160,28 @@
 		break
 	}
 	n := old.nodes[id]
-	old.passOn(&discovery.List{Version: 60, Whole: true, Nodes: []discovery.Node{n}})
+	old.shareList(&discovery.List{Version: 60, Whole: true, Nodes: []discovery.Node{n}})
 	n.Entry.State = decision.Draining
 	gone := &discovery.List{Version: 61, Nodes: []discovery.Node{n}}
-	old.relist(gone)
-	old.passOn(gone)
-	late.crew.words.Service = old.crew.words.Service
-	late.crew.members = membership.New(membership.Policy{Interval: time.Second, Timeout: 100 * time.Millisecond, Sync: time.Second, Forget: time.Minute, MaxBytes: 220,
+	old.applyList(gone)
+	old.shareList(gone)
+	late.membership.shared.Service = old.membership.shared.Service
+	late.membership.members = membership.New(membership.Policy{Interval: time.Second, Timeout: 100 * time.Millisecond, Sync: time.Second, Forget: time.Minute, MaxBytes: 220,
 		MaxKnown: 10, Suspicion: 5, Longest: 2}, "n1", netip.MustParseAddrPort("127.0.0.1:8"), 1, 1, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7")})
 	for i := range 40 {
 		now := time.Duration(i+1) * 200 * time.Millisecond
-		old.crewTick(now)
-		late.crewTick(now)
+		old.membershipTick(now)
+		late.membershipTick(now)
 		for _, b := range *sent {
-			late.metOne(met{netip.MustParseAddrPort("127.0.0.1:7"), b})
+			late.handleMemberDatagram(memberDatagram{netip.MustParseAddrPort("127.0.0.1:7"), b})
 		}
 		for _, b := range *answers {
-			old.metOne(met{netip.MustParseAddrPort("127.0.0.1:8"), b})
+			old.handleMemberDatagram(memberDatagram{netip.MustParseAddrPort("127.0.0.1:8"), b})
 		}
 		*sent, *answers = nil, nil
 	}
-	if got := late.nodes[id]; got.Entry.State != decision.Draining || late.crew.words.Counts.ListTaken != 1 {
-		t.Errorf("%+v, %+v; %v", got, late.crew.words.Counts, late.crew.members.All())
+	if got := late.nodes[id]; got.Entry.State != decision.Draining || late.membership.shared.Counts.ListTaken != 1 {
+		t.Errorf("%+v, %+v; %v", got, late.membership.shared.Counts, late.membership.members.All())
 	}
 }
 
--- a/internal/server/crewstate.go
+++ b/internal/server/crewstate.go
@@ -20,7 +20,7 @@
 	List    gossip.Counts
 }
 
-func (l *loop) crewState(now time.Duration) *MembershipState {
-	c := l.crew
-	return &MembershipState{c.members.Self().Name, now, c.members.All(), c.duties.States(now), c.members.Counts, c.words.Counts}
+func (l *loop) membershipState(now time.Duration) *MembershipState {
+	c := l.membership
+	return &MembershipState{c.members.Self().Name, now, c.members.All(), c.ownership.States(now), c.members.Counts, c.shared.Counts}
 }
--- a/internal/server/deliver.go
+++ b/internal/server/deliver.go
@@ -5,15 +5,15 @@
 // deliver hands something to the loop and waits while its queue is full; false: it takes no more.
 func (s *Server) deliver(d any) bool {
 	select {
-	case s.loop.in <- d:
+	case s.loop.inbox <- d:
 		return true
 	case <-s.ctx.Done():
 		return false
 	}
 }
 
-func (s *Server) heard(from int, text []byte) {
+func (s *Server) receiveGossip(from int, text []byte) {
 	if from != s.start.Terms.Me {
-		s.deliver(peerMessage{from, text})
+		s.deliver(gossipReceived{from, text})
 	}
 }
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -148,13 +148,13 @@
 // What comes after SIGTERM has its answer before the kill, whatever time its client gives it; what came before keeps its time.
 func TestAnswerComesBeforeTheKill(t *testing.T) {
 	s, _ := live(t, 1024)
-	patient := longest(s.Settings())
+	patient := longestTimeout(s.Settings())
 	if by := s.answerBy(time.Second, patient); by != time.Second+patient {
 		t.Errorf("while it serves: by %v", by)
 	}
-	s.stopped.Store(int64(time.Second))
+	s.stopRequested.Store(int64(time.Second))
 	s.draining.Store(true)
-	kill := time.Second + min(patient, killWaits) + mustAnswer
+	kill := time.Second + min(patient, killWaits) + answerWithin
 	for _, c := range []struct{ arrived, timeout, by time.Duration }{
 		{1500 * time.Millisecond, time.Second, 2500 * time.Millisecond},
 		{1500 * time.Millisecond, time.Minute, kill - beforeKill},
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -15,18 +15,18 @@
 	"flaxfront/internal/decision/admission"
 )
 
-// doorway is the loop's part of it.
-type doorway struct {
+// admissionControl is the loop's part of it.
+type admissionControl struct {
 	*admission.Door
-	waiting map[uint64]*search // by ticket
-	last    uint64
-	names   []string
-	fresh   []*search // let in since the last turn
-	pulse   pulse
+	waiting         map[uint64]*search // by ticket
+	lastTicket      uint64
+	tenants         []string
+	admitted        []*search // let in since the last turn
+	schedulingDelay delayMeter
 }
 
-// newDoorway makes the door of the operators' file and the settings.
-func newDoorway(o *operator.Door, t *terms.Terms) (*doorway, error) {
+// newAdmissionControl makes the door of the operators' file and the settings.
+func newAdmissionControl(o *operator.Door, t *terms.Terms) (*admissionControl, error) {
 	p := admission.Policy{WaitShare: o.WaitShare, MostWait: o.MostWait, LeastWork: float64(o.LeastWork), Repeats: o.Repeats,
 		MostHint: t.Module.MaxRetryAfter, Seed: t.Module.Seed}
 	names := t.Tenants
@@ -37,11 +37,11 @@
 		names, p.Weights = []string{"all"}, []float64{1}
 	}
 	if len(o.Weights) > 0 {
-		if err := weigh(p.Weights, names, o.Weights); err != nil {
+		if err := parseWeights(p.Weights, names, o.Weights); err != nil {
 			return nil, &InvalidWeightsError{err}
 		}
 	}
-	return &doorway{admission.NewDoor(p), map[uint64]*search{}, 0, names, nil, pulse{}}, nil
+	return &admissionControl{admission.NewDoor(p), map[uint64]*search{}, 0, names, nil, delayMeter{}}, nil
 }
 
 // InvalidWeightsError are weights of the operators' file that do not fit the tenants of the settings.
@@ -58,8 +58,8 @@
 	return "name each tenant of the settings once in door.weights, as NAME=WEIGHT, so that the weights add up to 1; or leave it empty"
 }
 
-// weigh reads TENANT=WEIGHT texts, which must name each tenant once and add up to 1.
-func weigh(weights []float64, names, texts []string) error {
+// parseWeights reads TENANT=WEIGHT texts, which must name each tenant once and add up to 1.
+func parseWeights(weights []float64, names, texts []string) error {
 	sum, said := 0.0, map[string]bool{}
 	for _, text := range texts {
 		name, value, _ := strings.Cut(text, "=")
@@ -82,100 +82,100 @@
 	return nil
 }
 
-// atDoor asks the door of a search; true: it may enter now.
-func (l *loop) atDoor(s *search) bool {
-	d, now := l.door, l.since()
-	d.last++
-	s.ticket, s.work = d.last, float64(len(s.ask.parts))
-	ruling, hint := d.Arrive(admission.Search{ID: s.ticket, Tenant: s.doorTenant(d), Client: s.client, Work: s.work,
+// requestAdmission asks the door of a search; true: it may enter now.
+func (l *loop) requestAdmission(s *search) bool {
+	d, now := l.admission, l.since()
+	d.lastTicket++
+	s.ticket, s.work = d.lastTicket, float64(len(s.ask.parts))
+	ruling, hint := d.Arrive(admission.Search{ID: s.ticket, Tenant: s.admissionTenant(d), Client: s.client, Work: s.work,
 		Left: s.deadline - now, Repeat: s.repeat}, now)
 	switch ruling {
 	case admission.Enter:
-		l.letIn(s, now)
+		l.markAdmitted(s, now)
 		return true
 	case admission.Wait:
 		s.queued = true
 		d.waiting[s.ticket] = s
-		l.tally.InHand++
-		l.ids[s.ask.id] = true
+		l.counters.InHand++
+		l.requestIDs[s.ask.id] = true
 	case admission.Turn:
-		l.tally.TurnedAway++
-		l.conclude(s, result{kind: shed, after: hint})
+		l.counters.TurnedAway++
+		l.deliverResult(s, result{kind: shed, after: hint})
 	}
 	return false
 }
 
-func (s *search) doorTenant(d *doorway) int { return min(s.tenant, len(d.names)-1) }
+func (s *search) admissionTenant(d *admissionControl) int { return min(s.tenant, len(d.tenants)-1) }
 
-// doorTick lets in those that waited, or tells them when to come back; it returns when to come again.
-func (l *loop) doorTick(now time.Duration) time.Duration {
-	l.door.Lag(l.door.pulse.Late())
-	lets, next := l.door.Tick(now, l.lets[:0])
+// admissionTick lets in those that waited, or tells them when to come back; it returns when to come again.
+func (l *loop) admissionTick(now time.Duration) time.Duration {
+	l.admission.Lag(l.admission.schedulingDelay.Average())
+	lets, next := l.admission.Tick(now, l.lets[:0])
 	l.lets = lets
 	for _, let := range lets {
-		s := l.door.waiting[let.ID]
-		delete(l.door.waiting, let.ID)
+		s := l.admission.waiting[let.ID]
+		delete(l.admission.waiting, let.ID)
 		s.queued = false
 		n := len(s.ask.parts)
 		switch {
 		case !let.Enter:
-			l.tally.TurnedAway++
-			l.endQueued(s, result{kind: shed, after: let.Hint})
-		case l.places+1+n > l.maxOpen:
-			l.letIn(s, now)
-			l.tally.Full++
-			l.endQueued(s, result{kind: shed, after: l.comeBack})
+			l.counters.TurnedAway++
+			l.finishQueued(s, result{kind: shed, after: let.Hint})
+		case l.slotsUsed+1+n > l.maxInFlight:
+			l.markAdmitted(s, now)
+			l.counters.Full++
+			l.finishQueued(s, result{kind: shed, after: l.maxRetryAfter})
 		default:
-			l.letIn(s, now)
-			l.enter(s, s.deadline-now)
+			l.markAdmitted(s, now)
+			l.submit(s, s.deadline-now)
 		}
 	}
 	return next
 }
 
-// endQueued gives a search that waited at the door its verdict.
-func (l *loop) endQueued(s *search, v result) {
-	l.conclude(s, v)
-	l.tally.InHand--
-	delete(l.ids, s.ask.id)
+// finishQueued gives a search that waited at the door its verdict.
+func (l *loop) finishQueued(s *search, v result) {
+	l.deliverResult(s, v)
+	l.counters.InHand--
+	delete(l.requestIDs, s.ask.id)
 }
 
-// leaveDoor forgets a search that waits, as its client has gone or its time is over.
-func (l *loop) leaveDoor(s *search) {
-	l.door.Gone(s.doorTenant(l.door), s.ticket)
-	delete(l.door.waiting, s.ticket)
-	s.queued, s.over = false, true
-	l.tally.InHand--
-	delete(l.ids, s.ask.id)
+// abandonQueued forgets a search that waits, as its client has gone or its time is over.
+func (l *loop) abandonQueued(s *search) {
+	l.admission.Gone(s.admissionTenant(l.admission), s.ticket)
+	delete(l.admission.waiting, s.ticket)
+	s.queued, s.done = false, true
+	l.counters.InHand--
+	delete(l.requestIDs, s.ask.id)
 }
 
-// letIn notes that the door let a search in.
-func (l *loop) letIn(s *search, now time.Duration) {
-	s.inside, s.entered = true, now
-	l.door.fresh = append(l.door.fresh, s)
+// markAdmitted notes that the door let a search in.
+func (l *loop) markAdmitted(s *search, now time.Duration) {
+	s.admitted, s.admittedAt = true, now
+	l.admission.admitted = append(l.admission.admitted, s)
 }
 
-// underway books how late the turn came for those let in since the last one. Danger: on cores that have too much to do a broker's
+// recordStepDelay books how late the turn came for those let in since the last one. Danger: on cores that have too much to do a broker's
 // own delays, before a part is written and after an answer is in, are many times the store's; taken for the store's they have the
 // door refuse a quiet tenant while the store idles.
-func (l *loop) underway(now time.Duration) {
-	for _, s := range l.door.fresh {
-		s.late = now - s.entered
+func (l *loop) recordStepDelay(now time.Duration) {
+	for _, s := range l.admission.admitted {
+		s.stepDelay = now - s.admittedAt
 	}
-	clear(l.door.fresh)
-	l.door.fresh = l.door.fresh[:0]
+	clear(l.admission.admitted)
+	l.admission.admitted = l.admission.admitted[:0]
 }
 
-// outside tells the door that a search which it let in has done; once.
-func (l *loop) outside(s *search, answered, refused bool) {
-	if s.inside {
-		s.inside = false
+// reportDone tells the door that a search which it let in has done; once.
+func (l *loop) reportDone(s *search, answered, refused bool) {
+	if s.admitted {
+		s.admitted = false
 		now := l.since()
-		own := s.late
-		if s.heardFor == l.tally.Turns { // this turn ends it, by what came in before it
-			own += now - s.heard
+		own := s.stepDelay
+		if s.lastAnswerStep == l.counters.Turns { // this turn ends it, by what came in before it
+			own += now - s.lastAnswerAt
 		}
-		l.door.Done(admission.End{Work: s.work, Took: now - s.entered, Own: own, Answered: answered, Shed: refused}, now)
+		l.admission.Done(admission.End{Work: s.work, Took: now - s.admittedAt, Own: own, Answered: answered, Shed: refused}, now)
 	}
 }
 
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -90,7 +90,7 @@
 		"acme=0.5 quiet=0.5": "", "acme=0 quiet=1": "", "acme=0.5": "1 of 2 tenants", "acme=0.5 quiet=0.6": "add up to 1.1",
 		"acme=0.5 quite=0.5": "quite=0.5", "acme=0.5 acme=0.5": "named once", "acme=x quiet=1": "acme=x", "acme=-1 quiet=1": "acme=-1",
 	} {
-		err := weigh([]float64{0.3, 0.3}, []string{"acme", "quiet"}, strings.Fields(text))
+		err := parseWeights([]float64{0.3, 0.3}, []string{"acme", "quiet"}, strings.Fields(text))
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", text, err)
 		}
@@ -114,22 +114,22 @@
 	l := newLoop(time.Now(), answering{}, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
 	now := time.Duration(0)
 	l.clock = func() time.Duration { return now }
-	l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.subrequestEnded)
+	l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
 	var err error
-	if l.door, err = newDoorway(&operator.Default().Door, &terms.Terms{}); err != nil {
+	if l.admission, err = newAdmissionControl(&operator.Default().Door, &terms.Terms{}); err != nil {
 		t.Fatal(err)
 	}
 	s := &search{ask: &ask{id: "a", parts: []askPart{{name: "a.0", weight: 1}}}, deadline: 5 * time.Second, verdict: make(chan result, 1)}
 	now = 1 * time.Second
-	l.take(queryReceived{s})
+	l.handle(queryReceived{s})
 	now = 1300 * time.Millisecond
-	l.step()
+	l.advance()
 	now = 1640 * time.Millisecond
-	l.subrequestEnded(&store.Part{Part: s.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
-	l.step()
+	l.attemptEnded(&store.Part{Part: s.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
+	l.advance()
 	now = 4 * time.Second
-	l.step()
-	if d := l.door.State(now); len(s.verdict) != 1 || d.Baseline != 40*time.Millisecond || d.Stretch < 2 || d.InHand != 0 {
+	l.advance()
+	if d := l.admission.State(now); len(s.verdict) != 1 || d.Baseline != 40*time.Millisecond || d.Stretch < 2 || d.InHand != 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -13,49 +13,49 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// agreed is the loop's part of the fleet.
-type agreed struct {
-	view    *controlplane.View
-	drains  map[decision.NodeID]*drain
-	ack     func(node decision.NodeID, number uint64) // proposes it; must not wait
-	classes []controlplane.Class
-	cold    uint64                   // parts sent to nodes that were still warming up
-	list    *atomic.Pointer[listing] // the node list, for the fleet
+// controlPlaneView is the loop's part of the fleet.
+type controlPlaneView struct {
+	view              *controlplane.View
+	drains            map[decision.NodeID]*agreedDrain
+	proposeAck        func(node decision.NodeID, number uint64) // proposes it; must not wait
+	classes           []controlplane.Class
+	warmingUpAttempts uint64                            // parts sent to nodes that were still warming up
+	endpoints         *atomic.Pointer[endpointSnapshot] // the node list, for the fleet
 }
 
-// drain is an agreed drain as this broker carries it out.
-type drain struct {
-	number uint64
-	turn   uint64 // the module has been told before this turn
-	shut   bool   // nothing is sent any more
-	asked  bool   // the acknowledgement is on its way
-	acked  bool
+// agreedDrain is an agreed drain as this broker carries it out.
+type agreedDrain struct {
+	number      uint64
+	routerStep  uint64 // the module has been told before this turn
+	enforced    bool   // nothing is sent any more
+	ackProposed bool   // the acknowledgement is on its way
+	acked       bool
 }
 
-// viewed is a view as it is delivered; unacked that an acknowledgement has to be proposed again.
+// viewReceived is a view as it is delivered; unacked that an acknowledgement has to be proposed again.
 type (
-	viewed  struct{ view *controlplane.View }
-	unacked struct {
+	viewReceived   struct{ view *controlplane.View }
+	drainAckFailed struct {
 		node   decision.NodeID
 		number uint64
 	}
 )
 
-func newAgreed(types []string) *agreed {
-	a := &agreed{view: &controlplane.View{}, drains: map[decision.NodeID]*drain{}}
+func newControlPlaneView(types []string) *controlPlaneView {
+	a := &controlPlaneView{view: &controlplane.View{}, drains: map[decision.NodeID]*agreedDrain{}}
 	for _, name := range types {
 		a.classes = append(a.classes, controlplane.Class{Name: name})
 	}
 	return a
 }
 
-// see takes a view over: new drains are told to the module as discovery's would be, and those that ended give way to what
+// handleView takes a view over: new drains are told to the module as discovery's would be, and those that ended give way to what
 // discovery says.
-func (l *loop) see(v *controlplane.View) {
-	a := l.agreed
+func (l *loop) handleView(v *controlplane.View) {
+	a := l.controlPlane
 	a.view = v
-	if l.budgets != nil {
-		l.budgets.see(v)
+	if l.connLeases != nil {
+		l.connLeases.handleView(v)
 	}
 	now := map[decision.NodeID]bool{}
 	var changed []decision.Endpoint
@@ -63,11 +63,11 @@
 		now[d.Node] = true
 		have := a.drains[d.Node]
 		if have == nil || have.number != d.Number {
-			have = &drain{number: d.Number, turn: l.tally.Turns + 1}
+			have = &agreedDrain{number: d.Number, routerStep: l.counters.Turns + 1}
 			a.drains[d.Node] = have
 			slog.Info("node drained by agreement", "node", d.Node, "number", d.Number)
 			if n, known := l.nodes[d.Node]; known {
-				changed = append(changed, l.overlaid(n.Entry))
+				changed = append(changed, l.withAgreedDrain(n.Entry))
 			}
 		}
 		have.acked = d.Acked
@@ -85,62 +85,62 @@
 		return
 	}
 	l.events = append(l.events, decision.Event{Kind: decision.ListUpdateReceived, Endpoints: changed})
-	if l.pins != nil { // else pins would count on a drained node, and pass it by once its drain has ended
-		l.pins.book.UpdateEndpoints(l.since(), false, changed)
+	if l.readPins != nil { // else pins would count on a drained node, and pass it by once its drain has ended
+		l.readPins.positions.UpdateEndpoints(l.since(), false, changed)
 	}
 }
 
-// overlaid is a line of discovery with the agreed drain over it. What discovery drains or ends stays so.
-func (l *loop) overlaid(e decision.Endpoint) decision.Endpoint {
-	if l.agreed != nil && e.State == decision.Ready && l.agreed.drains[e.Node] != nil {
+// withAgreedDrain is a line of discovery with the agreed drain over it. What discovery drains or ends stays so.
+func (l *loop) withAgreedDrain(e decision.Endpoint) decision.Endpoint {
+	if l.controlPlane != nil && e.State == decision.Ready && l.controlPlane.drains[e.Node] != nil {
 		e.State = decision.Draining
 	}
 	return e
 }
 
-// acknowledge shuts a drained node once nothing is out to it, and says so. From then on it gets nothing, whatever the module
+// acknowledgeDrains shuts a drained node once nothing is out to it, and says so. From then on it gets nothing, whatever the module
 // decides. Danger: an acknowledgement counts for ever, and a node stopped on its strength would take a search with it.
-func (l *loop) acknowledge(now time.Duration) (next time.Duration) {
+func (l *loop) acknowledgeDrains(now time.Duration) (next time.Duration) {
 	next = now + time.Second
-	for id, d := range l.agreed.drains {
-		if d.acked && d.shut || d.asked {
+	for id, d := range l.controlPlane.drains {
+		if d.acked && d.enforced || d.ackProposed {
 			continue
 		}
-		if l.tally.Turns < d.turn || l.pool.OutTo(id) > 0 {
+		if l.counters.Turns < d.routerStep || l.pool.OutTo(id) > 0 {
 			next = min(next, now+20*time.Millisecond)
 			continue
 		}
-		if !d.shut {
-			d.shut = true
+		if !d.enforced {
+			d.enforced = true
 			l.pool.Retire(id)
 		}
-		if l.agreed.ack != nil && l.agreed.view.Me.Incarnation > 0 && !d.acked {
-			d.asked = true
-			l.agreed.ack(id, d.number)
+		if l.controlPlane.proposeAck != nil && l.controlPlane.view.Me.Incarnation > 0 && !d.acked {
+			d.ackProposed = true
+			l.controlPlane.proposeAck(id, d.number)
 		}
 	}
 	return next
 }
 
-// refused ends parts for a node that was acknowledged as drained; false: they may go.
-func (l *loop) refused(c *call) bool {
-	if d := l.agreed.drains[c.to]; d == nil || !d.shut {
+// refuseDrained ends parts for a node that was acknowledged as drained; false: they may go.
+func (l *loop) refuseDrained(c *batch) bool {
+	if d := l.controlPlane.drains[c.node]; d == nil || !d.enforced {
 		return false
 	}
-	l.pool.Refuse(c.parts)
+	l.pool.Refuse(c.attempts)
 	return true
 }
 
-// pressed counts what is sent to a node that has just started, for the gates of a release: a version that loads cold nodes more than
+// countWarmingUp counts what is sent to a node that has just started, for the gates of a release: a version that loads cold nodes more than
 // the others do pushes them over, which no count of searches shows in time.
-func (l *loop) pressed(c *call, now time.Duration) {
-	if n, known := l.nodes[c.to]; known && now-l.under.Module.WarmUpTime < n.Entry.StartedAt {
-		l.agreed.cold += uint64(len(c.parts))
+func (l *loop) countWarmingUp(c *batch, now time.Duration) {
+	if n, known := l.nodes[c.node]; known && now-l.settings.Module.WarmUpTime < n.Entry.StartedAt {
+		l.controlPlane.warmingUpAttempts += uint64(len(c.attempts))
 	}
 }
 
-// counted adds a verdict to its class.
-func (a *agreed) counted(s *search, v result, now time.Duration) {
+// countResult adds a verdict to its class.
+func (a *controlPlaneView) countResult(s *search, v result, now time.Duration) {
 	if s.typ < 0 || s.typ >= len(a.classes) {
 		return
 	}
@@ -174,13 +174,13 @@
 	Cold        uint64 // parts sent to nodes that were still warming up
 }
 
-func (l *loop) fleetState() *ControlPlaneState {
-	a := l.agreed
+func (l *loop) controlPlaneState() *ControlPlaneState {
+	a := l.controlPlane
 	s := &ControlPlaneState{Index: a.view.Index, Connected: a.view.Held(l.since()), Leader: a.view.Leader, Incarnation: a.view.Me.Incarnation,
 		Standing: a.view.Me.Status.String(), Permit: a.view.Permit, Drains: a.view.Drains, Epoch: a.view.Epoch,
-		Classes: append([]controlplane.Class(nil), a.classes...), Cold: a.cold}
+		Classes: append([]controlplane.Class(nil), a.classes...), Cold: a.warmingUpAttempts}
 	for _, d := range a.drains {
-		if d.shut {
+		if d.enforced {
 			s.Shut++
 		}
 	}
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -52,26 +52,26 @@
 			return nil, ctx.Err()
 		}
 		l.pool = store.NewPool(ctx, store.Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 9}, hung, l.since,
-			func(fn func() error) { go fn() }, func(store.Event) {}, l.subrequestEnded)
+			func(fn func() error) { go fn() }, func(store.Event) {}, l.attemptEnded)
 		under := decoded(t)
-		l.under = &under
-		l.agreed = newAgreed([]string{"a"})
-		l.agreed.list = &(&fleetPart{}).list
-		l.pins = newPinning(&operator.Fleet{}, &under)
+		l.settings = &under
+		l.controlPlane = newControlPlaneView([]string{"a"})
+		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
+		l.readPins = newReadPinning(&operator.Fleet{}, &under)
 		hintedTo := func() (to []decision.NodeID) {
-			to, _, _ = l.pins.book.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
+			to, _, _ = l.readPins.positions.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
 			return to
 		}
 		var acks []uint64
-		l.agreed.ack = func(_ decision.NodeID, number uint64) { acks = append(acks, number) }
+		l.controlPlane.proposeAck = func(_ decision.NodeID, number uint64) { acks = append(acks, number) }
 		a, b := discovery.ID("a"), discovery.ID("b")
-		l.list(&discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
+		l.handleList(&discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
 		m.to = a
 		admit := func(id string) *search {
 			s := &search{ask: &ask{id: id, parts: []askPart{{name: id + ".0", weight: 1}}}, deadline: l.since() + 5*time.Second,
 				verdict: make(chan result, 1)}
-			l.take(queryReceived{s})
-			l.step()
+			l.handle(queryReceived{s})
+			l.advance()
 			return s
 		}
 		admit("x")
@@ -79,9 +79,9 @@
 			t.Fatal("nothing is out")
 		}
 		me := statemachine.Broker{Incarnation: 1}
-		l.take(viewed{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5}}}})
-		l.step()
-		l.step()
+		l.handle(viewReceived{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5}}}})
+		l.advance()
+		l.advance()
 		if slices.Contains(hintedTo(), a) {
 			t.Error("reads with a hint count on a drained node")
 		}
@@ -89,8 +89,8 @@
 			t.Fatalf("told %v, acknowledged %v while a part is out", m.state, acks)
 		}
 		time.Sleep(6 * time.Second) // the part runs out of time
-		l.step()
-		l.step()
+		l.advance()
+		l.advance()
 		if !slices.Equal(acks, []uint64{5}) {
 			t.Fatalf("acknowledged %v", acks)
 		}
@@ -98,19 +98,19 @@
 		if l.pool.OutTo(a) != 0 {
 			t.Error("a part went to a node that was acknowledged as drained")
 		}
-		l.take(unacked{a, 5}) // the proposal was lost
-		l.step()
+		l.handle(drainAckFailed{a, 5}) // the proposal was lost
+		l.advance()
 		if !slices.Equal(acks, []uint64{5, 5}) {
 			t.Errorf("acknowledged %v", acks)
 		}
-		l.take(viewed{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
-		l.list(&discovery.List{Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Removed)}}, nil)
-		l.step()
+		l.handle(viewReceived{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
+		l.handleList(&discovery.List{Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Removed)}}, nil)
+		l.advance()
 		if m.state[a] != decision.Draining || m.state[b] != decision.Removed {
 			t.Errorf("told %v: discovery's word on a node does not end its drain, and a drain revives none", m.state)
 		}
-		l.take(viewed{&controlplane.View{Me: me}})
-		l.step()
+		l.handle(viewReceived{&controlplane.View{Me: me}})
+		l.advance()
 		if m.state[a] != decision.Ready || m.state[b] != decision.Removed {
 			t.Errorf("after the drains told %v", m.state)
 		}
--- a/internal/server/epoch.go
+++ b/internal/server/epoch.go
@@ -14,17 +14,17 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-const epochLook = 500 * time.Millisecond
+const epochInterval = 500 * time.Millisecond
 
-// listing is a broker's node list for the fleet's goroutine.
-type listing struct {
+// endpointSnapshot is a broker's node list for the fleet's goroutine.
+type endpointSnapshot struct {
 	release.List
 	names map[decision.NodeID]string
 	ids   map[string]decision.NodeID // by name and by address
 }
 
-// holders are the shards whose holders lie in a cell.
-func holders(cell int, t *terms.Terms) (shards []uint32) {
+// shardsOfCell are the shards whose holders lie in a cell.
+func shardsOfCell(cell int, t *terms.Terms) (shards []uint32) {
 	for s := range t.Shards {
 		if (cell-s%t.Module.Cells+t.Module.Cells)%t.Module.Cells < t.Module.CellsPerShard {
 			shards = append(shards, uint32(s))
@@ -33,12 +33,12 @@
 	return shards
 }
 
-// relisted leaves the list for the fleet.
-func (l *loop) relisted(to *atomic.Pointer[listing]) {
-	have := &listing{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
-	have.Ready, have.Since, have.Told = map[decision.NodeID]bool{}, l.since(), l.tally.ListsTaken > 0 && !l.deaf
+// publishEndpoints leaves the list for the fleet.
+func (l *loop) publishEndpoints(to *atomic.Pointer[endpointSnapshot]) {
+	have := &endpointSnapshot{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
+	have.Ready, have.Since, have.Told = map[decision.NodeID]bool{}, l.since(), l.counters.ListsTaken > 0 && !l.pollFailed
 	for id, n := range l.nodes {
-		have.Nodes = append(have.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: holders(n.Entry.Cell, l.under)})
+		have.Nodes = append(have.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
 		have.names[id], have.ids[n.Name], have.ids[n.Addr.String()] = n.Name, id, id
 		have.Ready[id] = n.Entry.State == decision.Ready
 	}
@@ -49,8 +49,8 @@
 	to.Store(have)
 }
 
-// epochs proposes what the list calls for.
-func epochs(from *atomic.Pointer[listing]) func(controlplane.Moment) []statemachine.Entry {
+// epochProposals proposes what the list calls for.
+func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.Moment) []statemachine.Entry {
 	return func(m controlplane.Moment) []statemachine.Entry {
 		if have := from.Load(); have != nil {
 			return have.Next(m.State, m.Now)
--- a/internal/server/epoch_test.go
+++ b/internal/server/epoch_test.go
@@ -19,31 +19,31 @@
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 9}, nil, l.since, nil, nil, nil)
 	under := decoded(t)
-	l.under = &under
-	l.agreed = newAgreed(nil)
-	l.agreed.list = &(&fleetPart{}).list
-	look := epochs(l.agreed.list)
+	l.settings = &under
+	l.controlPlane = newControlPlaneView(nil)
+	l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
+	look := epochProposals(l.controlPlane.endpoints)
 	proposed := func() int { return len(look(controlplane.Moment{State: statemachine.New(), Now: now})) }
 	list := discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
-	l.relist(&list) // of the configuration
+	l.applyList(&list) // of the configuration
 	if now += time.Minute; proposed() != 0 {
 		t.Error("the list of an earlier life was proposed")
 	}
 	list.Nodes = append(list.Nodes, nodeAt("b", decision.Ready))
-	l.list(&list, nil)
+	l.handleList(&list, nil)
 	for _, want := range []int{0, 0, 1} { // it is told the same again and again
 		if n := proposed(); n != want {
-			t.Errorf("%d proposed of a list that has stood since %v, %v", n, l.agreed.list.Load().Since, now)
+			t.Errorf("%d proposed of a list that has stood since %v, %v", n, l.controlPlane.endpoints.Load().Since, now)
 		}
 		now += time.Second
-		l.list(&discovery.List{}, nil)
+		l.handleList(&discovery.List{}, nil)
 	}
 	// Danger: while discovery is silent the tier moves on, and an old list of one leader would come back for all.
-	l.list(nil, errors.New("silent"))
+	l.handleList(nil, errors.New("silent"))
 	if now += time.Minute; proposed() != 0 {
 		t.Error("a list was proposed that discovery no longer speaks for")
 	}
-	l.list(&discovery.List{}, nil)
+	l.handleList(&discovery.List{}, nil)
 	if proposed() != 1 {
 		t.Error("nothing is proposed after discovery's return")
 	}
--- a/internal/server/facts.go
+++ b/internal/server/facts.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	collectEvery = 200 * time.Millisecond
-	factsDepth   = 64
+	collectInterval = 200 * time.Millisecond
+	positionsQueue  = 64
 )
 
-type collected struct {
+type localPositions struct {
 	data []byte
 	at   time.Duration
 }
 
-type came struct {
-	data   []byte
-	oldest time.Duration
+type remotePositions struct {
+	data        []byte
+	collectedAt time.Duration
 }
 
-// sharePins has replicas' positions shared, and their list agreed.
-func (s *Server) sharePins(p *fleetPart) {
-	var latest atomic.Pointer[collected]
-	in := make(chan came, factsDepth)
+// sharePositions has replicas' positions shared, and their list agreed.
+func (s *Server) sharePositions(p *tierControlPlane) {
+	var latest atomic.Pointer[localPositions]
+	in := make(chan remotePositions, positionsQueue)
 	p.Share(controlplane.Topic{Name: "pins",
 		Collect: func() ([]byte, time.Duration) {
 			if c := latest.Load(); c != nil {
@@ -39,21 +39,21 @@
 		},
 		Take: func(data []byte, older time.Duration) {
 			select {
-			case in <- came{data, s.loop.since() - older}:
+			case in <- remotePositions{data, s.loop.since() - older}:
 			default:
 			}
 		}})
-	p.starts = append(p.starts, func() {
+	p.background = append(p.background, func() {
 		s.group.Go(func() error {
-			tick := time.NewTicker(collectEvery)
+			tick := time.NewTicker(collectInterval)
 			defer tick.Stop()
 			for {
 				select {
 				case c := <-in:
-					s.TakePins(c.data, s.loop.since()-c.oldest)
+					s.MergePositions(c.data, s.loop.since()-c.collectedAt)
 				case <-tick.C:
 					at := s.loop.since()
-					latest.Store(&collected{s.CollectPins(), at})
+					latest.Store(&localPositions{s.CollectPositions(), at})
 				case <-s.ctx.Done():
 					return nil
 				}
@@ -62,15 +62,15 @@
 	})
 }
 
-// agreePins hands the agreed list on when it is another one.
-func (s *Server) agreePins(v *controlplane.View) {
-	if s.loop.pins == nil || v.Epoch == s.fleet.epoch {
+// shareEpoch hands the agreed list on when it is another one.
+func (s *Server) shareEpoch(v *controlplane.View) {
+	if s.loop.readPins == nil || v.Epoch == s.controlPlane.epoch {
 		return
 	}
-	s.fleet.epoch = v.Epoch
+	s.controlPlane.epoch = v.Epoch
 	var nodes []decision.NodeID
 	for _, n := range v.Nodes {
 		nodes = append(nodes, n.Node)
 	}
-	s.AgreePins(v.Epoch, nodes)
+	s.AgreeEpoch(v.Epoch, nodes)
 }
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -25,24 +25,24 @@
 )
 
 const (
-	askWithin  = 5 * time.Second
-	joinWithin = time.Second // a broker that starts waits so long at most to hear what is agreed
+	proposalTimeout = 5 * time.Second
+	joinTimeout     = time.Second // a broker that starts waits so long at most to hear what is agreed
 )
 
-// fleetPart is a broker's part of the tier's agreement.
-type fleetPart struct {
+// tierControlPlane is a broker's part of the tier's agreement.
+type tierControlPlane struct {
 	*controlplane.Fleet
-	keys   *keys.Keyring
-	log    *raftlog.Log // nil: it has no vote
-	leave  chan struct{}
-	once   sync.Once
-	joined chan struct{} // closed once the loop has what was agreed when this process registered
-	heard  sync.Once
-	tried  atomic.Uint64 // the last permit that was to be used
-	count  atomic.Pointer[controlplane.Report]
-	list   atomic.Pointer[listing]
-	epoch  uint64 // handed on to pins
-	starts []func()
+	keys        *keys.Keyring
+	log         *raftlog.Log // nil: it has no vote
+	released    chan struct{}
+	leaveOnce   sync.Once
+	joined      chan struct{} // closed once the loop has what was agreed when this process registered
+	joinOnce    sync.Once
+	triedPermit atomic.Uint64 // the last permit that was to be used
+	report      atomic.Pointer[controlplane.Report]
+	endpoints   atomic.Pointer[endpointSnapshot]
+	epoch       uint64 // handed on to pins
+	background  []func()
 }
 
 // Voters are those of the operators' file.
@@ -65,16 +65,16 @@
 	return raftlog.Options{}, false
 }
 
-// openFleet opens what the fleet needs.
-func (s *Server) openFleet() (err error) {
+// openControlPlane opens what the fleet needs.
+func (s *Server) openControlPlane() (err error) {
 	o := &s.operator.Fleet
-	p := &fleetPart{leave: make(chan struct{}), joined: make(chan struct{})}
+	p := &tierControlPlane{released: make(chan struct{}), joined: make(chan struct{})}
 	if p.keys, err = keys.Open(s.operator.FleetKeys()); err != nil {
 		return err
 	}
 	opts := controlplane.Options{Keys: p.keys, Sources: o.Sources, Listen: o.Listen, Slot: statemachine.Slot(o.Slot), Incarnation: uint64(time.Now().UnixMilli()),
 		Version: o.Version, Zone: o.Zone, Lease: o.Lease, Drift: o.Drift, Election: o.Election, Heartbeat: o.Heartbeat, Followers: o.Followers,
-		Report: o.Report, Seed: rand.Uint64(), Now: s.loop.since, Deliver: s.viewed}
+		Report: o.Report, Seed: rand.Uint64(), Now: s.loop.since, Deliver: s.receiveView}
 	opts.Voters, _ = Voters(o)
 	opts.Gates = release.Defaults()
 	g := &o.Gates
@@ -98,7 +98,7 @@
 		opts.Listen = opts.Listener.Addr().String()
 	}
 	opts.Count = func() controlplane.Report {
-		if r := p.count.Load(); r != nil {
+		if r := p.report.Load(); r != nil {
 			return *r
 		}
 		return controlplane.Report{}
@@ -106,35 +106,35 @@
 	if p.Fleet, err = controlplane.New(opts); err != nil {
 		return err
 	}
-	s.fleet = p
-	s.loop.agreed = newAgreed(s.start.Terms.Types)
-	s.loop.agreed.list = &p.list
-	p.Leading(controlplane.Duty{Name: "epoch", Every: epochLook, Do: epochs(&p.list)})
+	s.controlPlane = p
+	s.loop.controlPlane = newControlPlaneView(s.start.Terms.Types)
+	s.loop.controlPlane.endpoints = &p.endpoints
+	p.Leading(controlplane.Duty{Name: "epoch", Every: epochInterval, Do: epochProposals(&p.endpoints)})
 	p.Named(func(text string) (id decision.NodeID, ok bool) {
-		if have := p.list.Load(); have != nil {
+		if have := p.endpoints.Load(); have != nil {
 			id, ok = have.ids[text]
 		}
 		return id, ok
 	}, func(id decision.NodeID) string {
-		if have := p.list.Load(); have != nil && have.names[id] != "" {
+		if have := p.endpoints.Load(); have != nil && have.names[id] != "" {
 			return have.names[id]
 		}
 		return id.String()
 	})
 	if o.Pins {
-		s.sharePins(p)
+		s.sharePositions(p)
 	}
-	s.loop.agreed.ack = func(node decision.NodeID, number uint64) {
-		s.group.Go(func() error { s.ack(node, number); return nil })
+	s.loop.controlPlane.proposeAck = func(node decision.NodeID, number uint64) {
+		s.group.Go(func() error { s.acknowledgeDrain(node, number); return nil })
 	}
 	slog.Info("fleet: opened", "as", p.keys.ID(), "slot", o.Slot, "votes", p.log != nil, "release", opts.Version)
 	return nil
 }
 
-// runFleet takes part until the broker ends. It returns once this process knows what is agreed. Danger: one that takes searches
+// runControlPlane takes part until the broker ends. It returns once this process knows what is agreed. Danger: one that takes searches
 // before sends them to nodes that the tier drained, and that were stopped since. It delays a start without a majority by a second.
-func (s *Server) runFleet() {
-	p := s.fleet
+func (s *Server) runControlPlane() {
+	p := s.controlPlane
 	s.group.Go(func() error {
 		err := p.Run(s.ctx)
 		if p.log != nil {
@@ -142,7 +142,7 @@
 		}
 		return err
 	})
-	for _, start := range p.starts {
+	for _, start := range p.background {
 		start()
 	}
 	s.group.Go(func() error {
@@ -155,66 +155,66 @@
 				return nil
 			}
 			if f := s.Counters().Searches.Fleet; f != nil {
-				p.count.Store(&controlplane.Report{Classes: f.Classes, Cold: f.Cold})
+				p.report.Store(&controlplane.Report{Classes: f.Classes, Cold: f.Cold})
 			}
 		}
 	})
 	select {
 	case <-p.joined:
-	case <-s.after(joinWithin):
+	case <-s.after(joinTimeout):
 	case <-s.ctx.Done():
 	}
 	p.Serving()
 }
 
-// viewed takes a view over from the fleet's goroutine: the loop gets it, and a permit is used.
-func (s *Server) viewed(v *controlplane.View) {
-	s.deliver(viewed{v})
-	s.agreePins(v)
-	p := s.fleet
+// receiveView takes a view over from the fleet's goroutine: the loop gets it, and a permit is used.
+func (s *Server) receiveView(v *controlplane.View) {
+	s.deliver(viewReceived{v})
+	s.shareEpoch(v)
+	p := s.controlPlane
 	if v.Me.Incarnation > 0 {
-		p.heard.Do(func() { close(p.joined) })
+		p.joinOnce.Do(func() { close(p.joined) })
 	}
 	if v.MustGo { // its answer was lost, or the process was stopped before it came
-		s.leave(v.Permit)
+		s.leaveByPermit(v.Permit)
 	}
-	if n := v.Permit.Number; s.operator.Fleet.Exit && n > 0 && !v.Permit.Used && p.tried.Swap(n) != n {
+	if n := v.Permit.Number; s.operator.Fleet.Exit && n > 0 && !v.Permit.Used && p.triedPermit.Swap(n) != n {
 		s.group.Go(func() error {
-			s.use(v.Permit)
+			s.usePermit(v.Permit)
 			return nil
 		})
 	}
 }
 
-// use goes out by a permit. Danger: a process that was stopped wakes up and believes in a permit that is void by now. So it goes
+// usePermit goes out by a permit. Danger: a process that was stopped wakes up and believes in a permit that is void by now. So it goes
 // only once an entry that says so is agreed, which a void permit's never is.
-func (s *Server) use(p statemachine.ReleasePermit) {
-	ctx, cancel := context.WithTimeout(s.ctx, askWithin)
+func (s *Server) usePermit(p statemachine.ReleasePermit) {
+	ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
 	defer cancel()
-	_, err := s.fleet.Propose(ctx, &statemachine.UsePermit{Permit: p.Number, Slot: p.Slot, Incarnation: p.Incarnation})
+	_, err := s.controlPlane.Propose(ctx, &statemachine.UsePermit{Permit: p.Number, Slot: p.Slot, Incarnation: p.Incarnation})
 	if err != nil {
 		slog.Warn("permit not used", "permit", p.Number, "error", err)
-		s.fleet.tried.Store(0) // tried again while it stands, with the next view
+		s.controlPlane.triedPermit.Store(0) // tried again while it stands, with the next view
 		return
 	}
-	s.leave(p)
+	s.leaveByPermit(p)
 }
 
-// leave stops this broker as at SIGTERM, once.
-func (s *Server) leave(p statemachine.ReleasePermit) {
-	s.fleet.once.Do(func() {
+// leaveByPermit stops this broker as at SIGTERM, once.
+func (s *Server) leaveByPermit(p statemachine.ReleasePermit) {
+	s.controlPlane.leaveOnce.Do(func() {
 		slog.Info("stopping by a permit", "permit", p.Number, "release", p.Release)
-		s.fleet.Leaving()
-		close(s.fleet.leave)
+		s.controlPlane.Leaving()
+		close(s.controlPlane.released)
 	})
 }
 
-// ack says that a node gets nothing more from this broker.
-func (s *Server) ack(node decision.NodeID, number uint64) {
-	ctx, cancel := context.WithTimeout(s.ctx, askWithin)
+// acknowledgeDrain says that a node gets nothing more from this broker.
+func (s *Server) acknowledgeDrain(node decision.NodeID, number uint64) {
+	ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
 	defer cancel()
-	v := s.fleet.View()
-	_, err := s.fleet.Propose(ctx, &statemachine.AcknowledgeDrain{Slot: v.Me.Slot, Incarnation: v.Me.Incarnation, Node: node, Number: number})
+	v := s.controlPlane.View()
+	_, err := s.controlPlane.Propose(ctx, &statemachine.AcknowledgeDrain{Slot: v.Me.Slot, Incarnation: v.Me.Incarnation, Node: node, Number: number})
 	if err != nil {
 		slog.Info("a drain's acknowledgement was not taken", "node", node, "error", err)
 	}
@@ -222,13 +222,13 @@
 	case <-time.After(200 * time.Millisecond):
 	case <-s.ctx.Done():
 	}
-	s.deliver(unacked{node, number}) // if the next view does not show it, it is proposed again
+	s.deliver(drainAckFailed{node, number}) // if the next view does not show it, it is proposed again
 }
 
-// permitted is closed when a release lets this broker go; nil, which waits for ever, where there is no fleet.
-func (s *Server) permitted() <-chan struct{} {
-	if s.fleet == nil {
+// permitUsed is closed when a release lets this broker go; nil, which waits for ever, where there is no fleet.
+func (s *Server) permitUsed() <-chan struct{} {
+	if s.controlPlane == nil {
 		return nil
 	}
-	return s.fleet.leave
+	return s.controlPlane.released
 }
--- a/internal/server/foreign.go
+++ b/internal/server/foreign.go
@@ -13,69 +13,69 @@
 	"flaxfront/internal/transport/link"
 )
 
-// foreigner is a search of another site.
-type foreigner struct {
-	s       *search
-	conn    *link.Conn // that asked last
-	verdict *link.Verdict
+// remoteQuery is a search of another site.
+type remoteQuery struct {
+	query  *search
+	conn   *link.Conn // that asked last
+	result *link.Verdict
 }
 
-// linked takes what happened on a link.
-func (l *loop) linked(e link.Event) {
-	g, c, now := l.gate, e.Conn, l.since()
+// handleLink takes what happened on a link.
+func (l *loop) handleLink(e link.Event) {
+	g, c, now := l.gateway, e.Conn, l.since()
 	if c.Peer >= 0 {
-		l.near(e)
-		l.routed()
+		l.handleDialledLink(e)
+		l.executeForwarding()
 		return
 	}
 	origin := forwarding.Origin{Name: c.Theirs.Site + "/" + c.Theirs.Broker, Epoch: c.Theirs.Epoch}
 	switch {
 	case e.Up != nil:
-		g.far.Opened(origin, c.Serial)
+		g.incoming.Opened(origin, c.Serial)
 		c.Say()
 	case e.Ask != nil:
-		l.foreignAsk(c, forwarding.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
+		l.receiveRemoteQuery(c, forwarding.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
 	case e.Cancel != nil:
 		k := forwarding.Key{Origin: origin, ID: *e.Cancel}
-		if f := g.foreign[k]; f != nil && g.far.Cancel(k) {
-			l.callOff(f.s)
+		if f := g.remote[k]; f != nil && g.incoming.Cancel(k) {
+			l.cancelRemoteQuery(f.query)
 		}
 	case e.Down != nil:
-		g.far.Closed(origin, c.Serial, now)
-		for k, f := range g.foreign {
+		g.incoming.Closed(origin, c.Serial, now)
+		for k, f := range g.remote {
 			if f.conn == c {
 				f.conn = nil
-				if g.far.Cut(k) {
-					l.callOff(f.s)
+				if g.incoming.Cut(k) {
+					l.cancelRemoteQuery(f.query)
 				}
 			}
 		}
 	}
 }
 
-// near takes what happened on a link that this side has dialled.
-func (l *loop) near(e link.Event) {
-	g, c, now := l.gate, e.Conn, l.since()
+// handleDialledLink takes what happened on a link that this side has dialled.
+func (l *loop) handleDialledLink(e link.Event) {
+	g, c, now := l.gateway, e.Conn, l.since()
 	at := forwarding.Peer(c.Peer)
 	switch {
 	case e.Up != nil:
 		g.conns[c.Peer] = c
-		g.near.Up(at, e.Up.Epoch, e.Up.Credit, now)
+		g.outgoing.Up(at, e.Up.Epoch, e.Up.Credit, now)
 	case e.Down != nil:
 		g.conns[c.Peer] = nil
-		g.near.Down(at, e.Down.Unsent, now)
+		g.outgoing.Down(at, e.Down.Unsent, now)
 	case e.Heard != nil:
-		g.near.Heard(at, forwarding.Status{Room: e.Heard.Room, Refusing: e.Heard.Refusing, Stopping: e.Heard.Stopping,
+		g.outgoing.Heard(at, forwarding.Status{Room: e.Heard.Room, Refusing: e.Heard.Refusing, Stopping: e.Heard.Stopping,
 			Lacking: e.Heard.Lacking}, c.RTT(), now)
 	case e.Verdict != nil:
-		l.back(at, e.Verdict)
+		l.handleRemoteResult(at, e.Verdict)
 	}
 }
 
-// back takes the far side's verdict. It is checked like any other word from outside: an answer must hold what it claims.
-func (l *loop) back(at forwarding.Peer, v *link.Verdict) {
-	g := l.gate
-	s := g.abroad[v.ID]
+// handleRemoteResult takes the far side's verdict. It is checked like any other word from outside: an answer must hold what it claims.
+func (l *loop) handleRemoteResult(at forwarding.Peer, v *link.Verdict) {
+	g := l.gateway
+	s := g.forwarded[v.ID]
 	if s == nil {
 		return // given up meanwhile
 	}
@@ -83,21 +83,21 @@
 	switch v.Kind {
 	case link.Refused:
 		how = forwarding.Refused
-		s.after = time.Duration(v.After) * time.Microsecond
+		s.remoteRetryAfter = time.Duration(v.After) * time.Microsecond
 	case link.Answered:
-		if answer = s.answerOf(v, &l.types[s.typ]); answer.kind == answered {
+		if answer = s.verifiedAnswer(v, &l.queryTypes[s.typ]); answer.kind == answered {
 			how = forwarding.Answered
 		} else {
 			slog.Warn("gateway: an answer from the other site does not hold what it claims", "search", s.ask.id)
 		}
 	}
-	if g.near.Back(at, v.ID, how, l.since()) {
-		l.endAbroad(s, v.ID, answer)
+	if g.outgoing.Back(at, v.ID, how, l.since()) {
+		l.finishForwarded(s, v.ID, answer)
 	}
 }
 
-// answerOf makes a verdict of the pieces that came, if they are what they are said to be (rule 5).
-func (s *search) answerOf(v *link.Verdict, t *decision.QueryType) result {
+// verifiedAnswer makes a verdict of the pieces that came, if they are what they are said to be (rule 5).
+func (s *search) verifiedAnswer(v *link.Verdict, t *decision.QueryType) result {
 	got, out := 0.0, result{kind: answered, whole: v.Whole}
 	for _, p := range v.Pieces {
 		at := slices.IndexFunc(s.ask.parts, func(a askPart) bool { return a.shard == p.Shard })
@@ -107,15 +107,15 @@
 		got += s.ask.parts[at].weight
 		out.pieces = append(out.pieces, piece{p.Shard, p.Value})
 	}
-	if got < t.MinCompleteness-slip || v.Whole && got < t.FullCompleteness-slip {
+	if got < t.MinCompleteness-weightSumTolerance || v.Whole && got < t.FullCompleteness-weightSumTolerance {
 		return result{kind: errored}
 	}
 	return out
 }
 
-// foreignAsk is the arrival of another site's search. It lives in the loop as any other; its verdict goes to the link.
-func (l *loop) foreignAsk(c *link.Conn, k forwarding.Key, in *link.Ask) {
-	g, now := l.gate, l.since()
+// receiveRemoteQuery is the arrival of another site's search. It lives in the loop as any other; its verdict goes to the link.
+func (l *loop) receiveRemoteQuery(c *link.Conn, k forwarding.Key, in *link.Ask) {
+	g, now := l.gateway, l.since()
 	a, known := g.decode(in)
 	if !known {
 		slog.Warn("gateway: a search of another site makes no sense here", "site", c.Theirs.Site, "type", in.Type,
@@ -123,29 +123,29 @@
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused})
 		return
 	}
-	load := forwarding.Load{Places: l.maxOpen, Taken: l.places, Stopping: g.stop(),
-		Lacking: slices.ContainsFunc(a.parts, func(p askPart) bool { return slices.Contains(g.lacking, p.shard) })}
+	load := forwarding.Load{Places: l.maxInFlight, Taken: l.slotsUsed, Stopping: g.stopping(),
+		Lacking: slices.ContainsFunc(a.parts, func(p askPart) bool { return slices.Contains(g.unhealthyShards, p.shard) })}
 	left := time.Duration(in.Left) * time.Microsecond
-	switch g.far.Arrive(k, c.Serial, l.types[a.typ].Idempotency, len(a.parts), left, load, now) {
+	switch g.incoming.Arrive(k, c.Serial, l.queryTypes[a.typ].Idempotency, len(a.parts), left, load, now) {
 	case forwarding.Turn:
-		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: l.comeBack.Microseconds()})
+		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: l.maxRetryAfter.Microseconds()})
 	case forwarding.Join:
-		g.foreign[k].conn = c
+		g.remote[k].conn = c
 	case forwarding.Repeat:
-		if f := g.foreign[k]; f != nil && f.verdict != nil {
-			c.Verdict(*f.verdict)
+		if f := g.remote[k]; f != nil && f.result != nil {
+			c.Verdict(*f.result)
 		}
 	case forwarding.Run:
-		f := &foreigner{conn: c}
-		f.s = &search{ask: a, deadline: now + left, foreign: true}
-		f.s.to = func(v result) { l.foreignEnd(k, f, v) }
-		g.foreign[k] = f
-		l.admit(f.s)
+		f := &remoteQuery{conn: c}
+		f.query = &search{ask: a, deadline: now + left, remote: true}
+		f.query.to = func(v result) { l.sendRemoteResult(k, f, v) }
+		g.remote[k] = f
+		l.receive(f.query)
 	}
 }
 
-// foreignEnd tells another site the verdict on its search.
-func (l *loop) foreignEnd(k forwarding.Key, f *foreigner, v result) {
+// sendRemoteResult tells another site the verdict on its search.
+func (l *loop) sendRemoteResult(k forwarding.Key, f *remoteQuery, v result) {
 	out := link.Verdict{ID: k.ID, Whole: v.whole, After: v.after.Microseconds(), Kind: link.Failed}
 	switch v.kind {
 	case answered:
@@ -159,25 +159,25 @@
 	if f.conn != nil {
 		f.conn.Verdict(out)
 	}
-	if l.gate.far.Ended(k) {
-		f.verdict = &out
+	if l.gateway.incoming.Ended(k) {
+		f.result = &out
 	} else {
-		delete(l.gate.foreign, k)
+		delete(l.gateway.remote, k)
 	}
 }
 
-// callOff ends another site's search that nobody waits for.
-func (l *loop) callOff(s *search) {
-	if !s.over {
+// cancelRemoteQuery ends another site's search that nobody waits for.
+func (l *loop) cancelRemoteQuery(s *search) {
+	if !s.done {
 		l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: s.id})
-		l.conclude(s, result{kind: errored})
+		l.deliverResult(s, result{kind: errored})
 		l.finish(s)
 	}
 }
 
 // decode reads a forwarded search; false: this site has no such type, tenant or shard.
-func (g *gateway) decode(in *link.Ask) (*ask, bool) {
-	t := g.terms
+func (g *siteGateway) decode(in *link.Ask) (*ask, bool) {
+	t := g.settings
 	a := &ask{id: in.Request, typ: slices.Index(t.Types, in.Type), repeat: in.Repeat, text: in.Text,
 		timeout: time.Duration(in.Left) * time.Microsecond}
 	if len(t.Tenants) > 0 {
--- a/internal/server/list.go
+++ b/internal/server/list.go
@@ -13,14 +13,14 @@
 	"flaxfront/internal/discovery"
 )
 
-func (l *loop) list(list *discovery.List, err error) {
-	if l.deaf = err != nil; l.deaf {
-		l.tally.ListsFailed++
-		if l.agreed != nil {
-			l.relisted(l.agreed.list)
+func (l *loop) handleList(list *discovery.List, err error) {
+	if l.pollFailed = err != nil; l.pollFailed {
+		l.counters.ListsFailed++
+		if l.controlPlane != nil {
+			l.publishEndpoints(l.controlPlane.endpoints)
 		}
-		if l.saved != nil {
-			l.saved.judge.Failed()
+		if l.cachedList != nil {
+			l.cachedList.judge.Failed()
 		}
 		slog.Info("list not had", "error", err, "what_to_do", remedy.Of(err))
 		l.events = append(l.events, decision.Event{Kind: decision.ListPollFailed})
@@ -29,18 +29,18 @@
 	if list.Cells != 0 && list.Cells != l.cells {
 		return // read before the layout changed; the whole list of the new one is asked for
 	}
-	l.tally.ListsTaken++
-	l.relist(list)
-	if l.crew != nil {
-		l.passOn(list)
+	l.counters.ListsTaken++
+	l.applyList(list)
+	if l.membership != nil {
+		l.shareList(list)
 	}
-	if l.saved != nil {
-		l.confirm(list)
+	if l.cachedList != nil {
+		l.confirmList(list)
 	}
 }
 
-// relist takes over a list, or the lines that changed.
-func (l *loop) relist(list *discovery.List) {
+// applyList takes over a list, or the lines that changed.
+func (l *loop) applyList(list *discovery.List) {
 	e := decision.Event{Kind: decision.ListUpdateReceived}
 	named := map[decision.NodeID]bool{}
 	if list.Whole {
@@ -54,7 +54,7 @@
 			slog.Error("two nodes share an id", "node", n.Name, "other", last.Name)
 			continue
 		}
-		e.Endpoints = append(e.Endpoints, l.overlaid(n.Entry))
+		e.Endpoints = append(e.Endpoints, l.withAgreedDrain(n.Entry))
 		named[id] = true
 		if n.Entry.State == decision.Removed {
 			delete(l.nodes, id)
@@ -85,11 +85,11 @@
 			l.pool.Drop(n.Entry.Node)
 		}
 	}
-	if l.pins != nil {
-		l.pins.book.UpdateEndpoints(l.since(), list.Whole, e.Endpoints)
+	if l.readPins != nil {
+		l.readPins.positions.UpdateEndpoints(l.since(), list.Whole, e.Endpoints)
 	}
 	l.events = append(l.events, e)
-	if l.agreed != nil {
-		l.relisted(l.agreed.list)
+	if l.controlPlane != nil {
+		l.publishEndpoints(l.controlPlane.endpoints)
 	}
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -21,54 +21,54 @@
 const queueDepth = 1024
 
 type loop struct {
-	start    time.Time
-	clock    func() time.Duration        // since start
-	say      func(string, time.Duration) // what the module logs
-	module   decision.Router
-	maxOpen  int
-	comeBack time.Duration // for searches that find no place; 0: clients are not told
-	batch    int
-	in       chan any
-	pool     *store.Pool
-	ask      func()                             // ask discovery
-	tell     func(text string)                  // to the other brokers
-	nodes    map[decision.NodeID]discovery.Node // as last listed
-	deaf     bool                               // the last call to discovery failed
-	next     uint64
-	places   int
-	searches map[uint64]*search
-	owners   map[uint64]*search // of parts
-	ids      map[string]bool    // request ids in hand
-	events   []decision.Event   // for the next turn
-	spare    []decision.Event
-	actions  []decision.Action
-	calls    []call
-	ended    []*search
-	wake     time.Duration // 0: none
-	tally    QueryCounters
-	saved    *saved   // nil: no list is kept
-	gate     *gateway // nil: no other site is known
-	types    []decision.QueryType
-	under    *terms.Terms // in force, where they can change
-	cells    int
-	door     *doorway // nil: first come, first served
-	pins     *pinning // nil: hints on reads are not looked at
-	lets     []admission.Let
-	crew     *crew    // nil: no other broker of the tier is known
-	agreed   *agreed  // nil: brokers agree on nothing
-	budgets  *budgets // nil: connections are not divided
+	start               time.Time
+	clock               func() time.Duration        // since start
+	logDecision         func(string, time.Duration) // what the module logs
+	router              decision.Router
+	maxInFlight         int
+	maxRetryAfter       time.Duration // for searches that find no place; 0: clients are not told
+	maxBatch            int
+	inbox               chan any
+	pool                *store.Pool
+	pollDiscovery       func()                             // ask discovery
+	sendGossip          func(text string)                  // to the other brokers
+	nodes               map[decision.NodeID]discovery.Node // as last listed
+	pollFailed          bool                               // the last call to discovery failed
+	nextID              uint64
+	slotsUsed           int
+	queries             map[uint64]*search
+	queryOfShardRequest map[uint64]*search // of parts
+	requestIDs          map[string]bool    // request ids in hand
+	events              []decision.Event   // for the next turn
+	spareEvents         []decision.Event
+	actions             []decision.Action
+	batches             []batch
+	finished            []*search
+	timerAt             time.Duration // 0: none
+	counters            QueryCounters
+	cachedList          *cachedEndpointList // nil: no list is kept
+	gateway             *siteGateway        // nil: no other site is known
+	queryTypes          []decision.QueryType
+	settings            *terms.Terms // in force, where they can change
+	cells               int
+	admission           *admissionControl // nil: first come, first served
+	readPins            *readPinning      // nil: hints on reads are not looked at
+	lets                []admission.Let
+	membership          *tierMembership   // nil: no other broker of the tier is known
+	controlPlane        *controlPlaneView // nil: brokers agree on nothing
+	connLeases          *connectionLeases // nil: connections are not divided
 }
 
-// tuned is a module that can go on under other terms.
-type tuned interface {
+// reconfigurable is a module that can go on under other terms.
+type reconfigurable interface {
 	Reconfigure(t decision.Settings, moved bool)
 }
 
 func newLoop(start time.Time, module decision.Router, t *decision.Settings) *loop {
-	return &loop{start: start, clock: func() time.Duration { return time.Since(start) }, say: logModule, module: module, types: t.QueryTypes, cells: t.Cells, maxOpen: t.MaxInFlight, comeBack: t.MaxRetryAfter, batch: t.MaxBatch,
-		in: make(chan any, queueDepth), nodes: map[decision.NodeID]discovery.Node{}, next: 1,
-		searches: map[uint64]*search{}, owners: map[uint64]*search{}, ids: map[string]bool{},
-		ask: func() {}, tell: func(string) {}}
+	return &loop{start: start, clock: func() time.Duration { return time.Since(start) }, logDecision: logModule, router: module, queryTypes: t.QueryTypes, cells: t.Cells, maxInFlight: t.MaxInFlight, maxRetryAfter: t.MaxRetryAfter, maxBatch: t.MaxBatch,
+		inbox: make(chan any, queueDepth), nodes: map[decision.NodeID]discovery.Node{}, nextID: 1,
+		queries: map[uint64]*search{}, queryOfShardRequest: map[uint64]*search{}, requestIDs: map[string]bool{},
+		pollDiscovery: func() {}, sendGossip: func(string) {}}
 }
 
 func (l *loop) since() time.Duration { return l.clock() }
@@ -82,65 +82,65 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-l.in:
-			l.take(d)
+		case d := <-l.inbox:
+			l.handle(d)
 		case <-timer.C:
 		}
-		l.drain()
-		next := l.step()
+		l.drainInbox()
+		next := l.advance()
 		timer.Reset(max(0, next-l.since()))
 	}
 }
 
-// drain takes what else is queued, one queue's length at most, so that a turn comes in any case.
-func (l *loop) drain() {
+// drainInbox takes what else is queued, one queue's length at most, so that a turn comes in any case.
+func (l *loop) drainInbox() {
 	for range queueDepth {
 		select {
-		case d := <-l.in:
-			l.take(d)
+		case d := <-l.inbox:
+			l.handle(d)
 		default:
 			return
 		}
 	}
 }
 
-// step takes a turn if anything happened and tells when to come again.
-func (l *loop) step() (next time.Duration) {
+// advance takes a turn if anything happened and tells when to come again.
+func (l *loop) advance() (next time.Duration) {
 	now := l.since()
 	next = l.pool.Sweep(now)
-	if l.budgets != nil {
-		next = min(next, l.budgetTick(now))
+	if l.connLeases != nil {
+		next = min(next, l.connLeaseTick(now))
 	}
-	if l.saved != nil {
-		next = min(next, l.weigh(now))
+	if l.cachedList != nil {
+		next = min(next, l.judgeCachedList(now))
 	}
-	if l.gate != nil {
-		next = min(next, l.gateTick(now))
+	if l.gateway != nil {
+		next = min(next, l.gatewayTick(now))
 	}
-	if l.door != nil {
-		next = min(next, l.doorTick(now))
+	if l.admission != nil {
+		next = min(next, l.admissionTick(now))
 	}
-	if l.crew != nil {
-		next = min(next, l.crewTick(now))
+	if l.membership != nil {
+		next = min(next, l.membershipTick(now))
 	}
-	if l.agreed != nil {
-		next = min(next, l.acknowledge(now))
+	if l.controlPlane != nil {
+		next = min(next, l.acknowledgeDrains(now))
 	}
-	if l.wake > 0 && l.wake <= now {
-		l.wake = 0
+	if l.timerAt > 0 && l.timerAt <= now {
+		l.timerAt = 0
 		l.events = append(l.events, decision.Event{Kind: decision.TimerFired})
 	}
 	if len(l.events) > 0 {
-		l.turn(now)
-		if l.door != nil { // what has ended makes room
-			next = min(next, l.doorTick(now))
+		l.stepRouter(now)
+		if l.admission != nil { // what has ended makes room
+			next = min(next, l.admissionTick(now))
 		}
 	}
 	if len(l.events) > 0 { // such as the ends of what was called off
 		return now
 	}
-	if l.wake > 0 {
-		next = min(next, l.wake)
+	if l.timerAt > 0 {
+		next = min(next, l.timerAt)
 	}
 	return next
 }
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -59,11 +59,11 @@
 	w.asked[s.ask.id] = s
 	w.mu.Unlock()
 	patience := time.Duration(w10(w.rnd)) * 50 * time.Millisecond
-	w.loop.in <- queryReceived{s}
+	w.loop.inbox <- queryReceived{s}
 	go func() {
 		if leaves {
 			time.Sleep(patience)
-			w.loop.in <- queryAbandoned{s: s}
+			w.loop.inbox <- queryAbandoned{s: s}
 			return
 		}
 		v := <-s.verdict
@@ -84,7 +84,7 @@
 			(share < least-1e-4 || v.whole != (len(seen) == len(shards))) {
 			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the parts", v.whole, share)
 		}
-		if typ == 1 && v.kind == shed && len(s.parts) > 0 {
+		if typ == 1 && v.kind == shed && len(s.requests) > 0 {
 			for _, p := range s.ask.parts {
 				if w.runs[p.name] {
 					w.t.Errorf("rule 2: shed though %s may have run", p.name)
@@ -116,11 +116,11 @@
 	l.pool = store.NewPool(ctx, store.Limits{Streams: 8, Idle: 30 * time.Second, Dial: 250 * time.Millisecond, Conns: 20},
 		w.dial, l.since, func(f func() error) { go f() }, func(e store.Event) {
 			select {
-			case l.in <- e:
+			case l.inbox <- e:
 			case <-ctx.Done():
 			}
-		}, l.subrequestEnded)
-	l.list(&discovery.List{Whole: true, Nodes: w.nodes}, nil)
+		}, l.attemptEnded)
+	l.handleList(&discovery.List{Whole: true, Nodes: w.nodes}, nil)
 	ended := make(chan struct{})
 	go func() {
 		l.run(ctx)
@@ -131,7 +131,7 @@
 		synctest.Wait() // from here on nothing else runs
 		switch w.rnd.IntN(12) {
 		case 0:
-			l.in <- listReceived{err: io.EOF}
+			l.inbox <- listReceived{err: io.EOF}
 		case 1:
 			node := &w.nodes[w.rnd.IntN(len(w.nodes))]
 			node.Entry.State = decision.EndpointState(w.rnd.IntN(3))
@@ -141,9 +141,9 @@
 			} else if _, down := w.downAt[node.Addr.String()]; !down {
 				w.downAt[node.Addr.String()] = l.since()
 			}
-			l.in <- listReceived{list: &discovery.List{Nodes: []discovery.Node{*node}}}
+			l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{*node}}}
 		case 2:
-			l.in <- peerMessage{1, []byte("nonsense that no peer says")}
+			l.inbox <- gossipReceived{1, []byte("nonsense that no peer says")}
 		case 3: // a node is replaced under a new id, which a whole list from elsewhere tells, or the changes
 			i := w.rnd.IntN(len(w.nodes))
 			old := w.nodes[i]
@@ -154,16 +154,16 @@
 			node.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(1 + n), byte(i)}), 80)
 			node.Entry.Node, node.Entry.State, node.Entry.StartedAt = discovery.ID(node.Name), decision.Ready, l.since()
 			if w.rnd.IntN(2) == 0 {
-				l.in <- listReceived{list: &discovery.List{Nodes: []discovery.Node{old, *node}}}
+				l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{old, *node}}}
 			} else {
-				l.in <- listReceived{list: &discovery.List{Whole: true, Nodes: slices.Clone(w.nodes)}}
+				l.inbox <- listReceived{list: &discovery.List{Whole: true, Nodes: slices.Clone(w.nodes)}}
 			}
 		default:
 			w.client(n, w.rnd.IntN(2), w.rnd.IntN(8) == 0)
 		}
 		synctest.Wait()
-		r := tallyWanted{make(chan QueryCounters, 1)}
-		l.in <- r
+		r := countersRequested{make(chan QueryCounters, 1)}
+		l.inbox <- r
 		if now := <-r.to; now.OutByModule != now.Out {
 			w.t.Errorf("step %d: the module takes %d parts to be out, %d are", n, now.OutByModule, now.Out)
 		}
@@ -172,8 +172,8 @@
 	synctest.Wait()
 	cancel()
 	<-ended // the loop is nobody's now
-	if t := l.tally; t.InHand != 0 || l.places != 0 || len(l.owners)+len(l.ids)+len(l.searches) != 0 || t.Answered == 0 {
-		w.t.Errorf("at the end: %+v, %d places, %d parts", t, l.places, len(l.owners))
+	if t := l.counters; t.InHand != 0 || l.slotsUsed != 0 || len(l.queryOfShardRequest)+len(l.requestIDs)+len(l.queries) != 0 || t.Answered == 0 {
+		w.t.Errorf("at the end: %+v, %d places, %d parts", t, l.slotsUsed, len(l.queryOfShardRequest))
 	}
 	listing := 0 // what the loop still keeps of nodes
 	for i := range w.nodes {
@@ -192,11 +192,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1)
 		l := w.loop
-		l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.subrequestEnded)
+		l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
 		var verdicts []resultKind
 		for i, id := range []string{"a", "a", "b", "c"} {
 			s := &search{ask: &ask{id: id, parts: make([]askPart, 15+i)}, verdict: make(chan result, 1)}
-			l.take(queryReceived{s})
+			l.handle(queryReceived{s})
 			if len(s.verdict) > 0 {
 				v := <-s.verdict
 				verdicts = append(verdicts, v.kind)
@@ -205,8 +205,8 @@
 				}
 			}
 		}
-		if len(verdicts) != 2 || verdicts[0] != twice || verdicts[1] != shed || l.tally.Full != 1 || l.tally.InHand != 2 {
-			t.Errorf("%v, %+v", verdicts, l.tally)
+		if len(verdicts) != 2 || verdicts[0] != twice || verdicts[1] != shed || l.counters.Full != 1 || l.counters.InHand != 2 {
+			t.Errorf("%v, %+v", verdicts, l.counters)
 		}
 	})
 }
--- a/internal/server/pinfacts.go
+++ b/internal/server/pinfacts.go
@@ -12,44 +12,44 @@
 
 // What is delivered to the loop.
 type (
-	pinCollect struct{ to chan []byte }
-	pinFacts   struct {
-		data   []byte
-		oldest time.Duration // the moment, by the loop's clock, since which they have grown older at the most
+	positionsRequested struct{ to chan []byte }
+	positionsReceived  struct {
+		data        []byte
+		collectedAt time.Duration // the moment, by the loop's clock, since which they have grown older at the most
 	}
-	pinEpoch struct {
+	epochAgreed struct {
 		number uint64
 		nodes  []decision.NodeID
 	}
 )
 
-// pinTold takes one of those, and tells whether it was one.
-func (l *loop) pinTold(d any) bool {
+// handlePositions takes one of those, and tells whether it was one.
+func (l *loop) handlePositions(d any) bool {
 	switch d := d.(type) {
-	case pinCollect:
-		d.to <- l.pins.book.EncodePositions(l.since())
-	case pinFacts:
+	case positionsRequested:
+		d.to <- l.readPins.positions.EncodePositions(l.since())
+	case positionsReceived:
 		now := l.since()
-		if err := l.pins.book.MergePositions(now, d.data, now-d.oldest); err != nil {
+		if err := l.readPins.positions.MergePositions(now, d.data, now-d.collectedAt); err != nil {
 			slog.Debug("positions of another broker not taken", "error", err)
 		}
-	case pinEpoch:
-		l.pins.book.SetEpoch(d.number, d.nodes)
+	case epochAgreed:
+		l.readPins.positions.SetEpoch(d.number, d.nodes)
 	default:
 		return false
 	}
 	return true
 }
 
-// pinState is what the counters tell.
-func (l *loop) pinState() *ReadPinState {
-	return &ReadPinState{l.pins.book.Counts, l.pins.wrong.Load(), l.pins.book.EpochNumber()}
+// readPinState is what the counters tell.
+func (l *loop) readPinState() *ReadPinState {
+	return &ReadPinState{l.readPins.positions.Counts, l.readPins.ignoredHints.Load(), l.readPins.positions.EpochNumber()}
 }
 
-// CollectPins is what this broker knows of replicas' positions, ages inside; nil: pins are off, or it ends.
-func (s *Server) CollectPins() []byte {
-	c := pinCollect{make(chan []byte, 1)}
-	if s.loop.pins == nil || !s.deliver(c) {
+// CollectPositions is what this broker knows of replicas' positions, ages inside; nil: pins are off, or it ends.
+func (s *Server) CollectPositions() []byte {
+	c := positionsRequested{make(chan []byte, 1)}
+	if s.loop.readPins == nil || !s.deliver(c) {
 		return nil
 	}
 	select {
@@ -60,16 +60,16 @@
 	}
 }
 
-// TakePins takes what another broker collected; older is the most by which it has grown older on the way.
-func (s *Server) TakePins(data []byte, older time.Duration) {
-	if s.loop.pins != nil {
-		s.deliver(pinFacts{data, s.loop.since() - older})
+// MergePositions takes what another broker collected; older is the most by which it has grown older on the way.
+func (s *Server) MergePositions(data []byte, older time.Duration) {
+	if s.loop.readPins != nil {
+		s.deliver(positionsReceived{data, s.loop.since() - older})
 	}
 }
 
-// AgreePins takes over the agreed list whose nodes pins are dealt out over.
-func (s *Server) AgreePins(number uint64, nodes []decision.NodeID) {
-	if s.loop.pins != nil {
-		s.deliver(pinEpoch{number, nodes})
+// AgreeEpoch takes over the agreed list whose nodes pins are dealt out over.
+func (s *Server) AgreeEpoch(number uint64, nodes []decision.NodeID) {
+	if s.loop.readPins != nil {
+		s.deliver(epochAgreed{number, nodes})
 	}
 }
--- a/internal/server/pins.go
+++ b/internal/server/pins.go
@@ -23,17 +23,17 @@
 
 // Headers of an answer to a search with a hint.
 const (
-	headPosition  = "X-Read-Position: "     // what the parts that are in have seen, to be sent back as not-before
-	headStaleness = "X-Read-Staleness: "    // most that may lie between what was acknowledged and what is in, or "unknown"
-	headBehind    = "X-Read-Behind: "       // shards that do not keep what the hint asked for, as it allowed
-	headIgnored   = "X-Read-Hint-Ignored: " // why the hint counts for nothing
+	positionHeader    = "X-Read-Position: "     // what the parts that are in have seen, to be sent back as not-before
+	stalenessHeader   = "X-Read-Staleness: "    // most that may lie between what was acknowledged and what is in, or "unknown"
+	behindHeader      = "X-Read-Behind: "       // shards that do not keep what the hint asked for, as it allowed
+	hintIgnoredHeader = "X-Read-Hint-Ignored: " // why the hint counts for nothing
 )
 
-// pinning is a broker's part in pinned reads.
-type pinning struct {
-	book   *readpin.Tracker
-	config readpin.Config
-	wrong  atomic.Uint64 // hints that were ignored
+// readPinning is a broker's part in pinned reads.
+type readPinning struct {
+	positions    *readpin.Tracker
+	config       readpin.Config
+	ignoredHints atomic.Uint64 // hints that were ignored
 }
 
 // ReadPinState tells what became of hints.
@@ -43,30 +43,30 @@
 	Epoch uint64
 }
 
-func newPinning(o *operator.Fleet, t *terms.Terms) *pinning {
+func newReadPinning(o *operator.Fleet, t *terms.Terms) *readPinning {
 	c := readpin.DefaultConfig(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
 	c.ClockError, c.MaxDrift = o.ClockError, o.Drift
-	return &pinning{book: readpin.NewTracker(c), config: c}
+	return &readPinning{positions: readpin.NewTracker(c), config: c}
 }
 
-// pinned is what a search with a hint has beside.
-type pinned struct {
-	ask   readpin.Requirement
-	parts []pinnedPart
-	back  time.Duration // no holder is eligible before
+// pinnedQuery is what a search with a hint has beside.
+type pinnedQuery struct {
+	ask           readpin.Requirement
+	requests      []pinnedRequest
+	eligibleAfter time.Duration // no holder is eligible before
 }
 
-// pinnedPart is who may be sent a part, what an answer must show, and what the one that is in has shown.
-type pinnedPart struct {
-	only  decision.AllowedReplicas
-	must  readpin.Promise
-	shown readpin.Assessment
+// pinnedRequest is who may be sent a part, what an answer must show, and what the one that is in has shown.
+type pinnedRequest struct {
+	allowed  decision.AllowedReplicas
+	required readpin.Promise
+	shown    readpin.Assessment
 }
 
-const usualHolders = 4
+const usualReplicas = 4
 
-// read takes the hint of a request, or notes why it is ignored.
-func (p *pinning) read(m *httpwire.Message, a *ask) {
+// readHint takes the hint of a request, or notes why it is ignored.
+func (p *readPinning) readHint(m *httpwire.Message, a *ask) {
 	text, times := m.Get("x-read-hint")
 	if times == 0 {
 		return
@@ -81,47 +81,47 @@
 		a.hint = &h
 		return
 	}
-	p.wrong.Add(1)
+	p.ignoredHints.Add(1)
 }
 
-// pin finds the eligible holders of a search's parts. A part without one is given to the module with none: what the search's floor
+// pinQuery finds the eligible holders of a search's parts. A part without one is given to the module with none: what the search's floor
 // allows is answered without it, and else it is refused with the time to return.
-func (l *loop) pin(s *search) {
+func (l *loop) pinQuery(s *search) {
 	h, n := s.ask.hint, len(s.ask.parts)
-	q := &pinned{ask: readpin.Requirement{ReceivedAt: s.arrived, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale}, parts: make([]pinnedPart, n)}
+	q := &pinnedQuery{ask: readpin.Requirement{ReceivedAt: s.arrived, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale}, requests: make([]pinnedRequest, n)}
 	if h.Scope != readhint.ScopeNone {
 		q.ask.Pin = readpin.HashPin(string(h.Scope), h.Key)
 	}
-	now, nodes := l.since(), make([]decision.NodeID, 0, usualHolders*n)
+	now, nodes := l.since(), make([]decision.NodeID, 0, usualReplicas*n)
 	for i := range s.ask.parts {
 		shard, from := s.ask.parts[i].shard, len(nodes)
 		var back time.Duration
-		nodes, q.parts[i].must, back = l.pins.book.EligibleReplicas(now, shard, h.MinOffset(shard), &q.ask, nodes)
-		q.parts[i].only = decision.AllowedReplicas{Sticky: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
-		q.back = max(q.back, back)
+		nodes, q.requests[i].required, back = l.readPins.positions.EligibleReplicas(now, shard, h.MinOffset(shard), &q.ask, nodes)
+		q.requests[i].allowed = decision.AllowedReplicas{Sticky: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
+		q.eligibleAfter = max(q.eligibleAfter, back)
 	}
 	s.pin = q
 }
 
-// only narrows the holders of a part; nil: any will do.
-func (s *search) only(i int) *decision.AllowedReplicas {
+// allowedReplicas narrows the holders of a part; nil: any will do.
+func (s *search) allowedReplicas(i int) *decision.AllowedReplicas {
 	if s.pin == nil {
 		return nil
 	}
-	return &s.pin.parts[i].only
+	return &s.pin.requests[i].allowed
 }
 
-// pinSent counts a part that goes out.
-func (l *loop) pinSent(s *search, t *store.Part, now time.Duration) {
+// countPinnedAttempt counts a part that goes out.
+func (l *loop) countPinnedAttempt(s *search, t *store.Part, now time.Duration) {
 	if s.pin != nil {
 		t.Tag = s.pin.ask.Pin
 	}
-	l.pins.book.AttemptSent(now, t.Tag, t.Node)
+	l.readPins.positions.AttemptSent(now, t.Tag, t.Node)
 }
 
-// pinEnded learns from an answer and tells what it counts as: one that does not keep its search's hint did not come.
-func (l *loop) pinEnded(t *store.Part, how decision.Outcome, at time.Duration) decision.Outcome {
-	book := l.pins.book
+// pinnedAttemptEnded learns from an answer and tells what it counts as: one that does not keep its search's hint did not come.
+func (l *loop) pinnedAttemptEnded(t *store.Part, how decision.Outcome, at time.Duration) decision.Outcome {
+	book := l.readPins.positions
 	book.AttemptEnded(t.Tag, t.Node)
 	if how != decision.OK {
 		return how
@@ -130,50 +130,50 @@
 	if told {
 		book.Observe(at, t.Node, t.Shard, t.Sent, r)
 	}
-	s, i := l.part(t.Part)
-	if s == nil || s.pin == nil || s.parts[i].in {
+	s, i := l.findShardRequest(t.Part)
+	if s == nil || s.pin == nil || s.requests[i].answered {
 		return how
 	}
-	shown := book.Assess(s.pin.parts[i].must, t.Sent, r, told)
+	shown := book.Assess(s.pin.requests[i].required, t.Sent, r, told)
 	if shown.Fresh || s.pin.ask.AllowStale {
-		s.pin.parts[i].shown = shown
+		s.pin.requests[i].shown = shown
 		return how
 	}
-	o := &s.pin.parts[i].only
+	o := &s.pin.requests[i].allowed
 	o.Nodes = slices.DeleteFunc(o.Nodes, func(id decision.NodeID) bool { return id == t.Node })
-	s.pin.back = max(s.pin.back, l.pins.config.RecheckInterval)
+	s.pin.eligibleAfter = max(s.pin.eligibleAfter, l.readPins.config.RecheckInterval)
 	return decision.Stale
 }
 
-// pinVerdict has a verdict say what its client has to know.
-func (l *loop) pinVerdict(s *search, v *result) {
+// annotateResult has a verdict say what its client has to know.
+func (l *loop) annotateResult(s *search, v *result) {
 	switch {
 	case s.pin == nil:
-	case v.kind == shed && v.after > 0 && s.pin.back > 0 && s.unheld():
-		v.after = min(s.pin.back, l.comeBack) // a replica may have come up by then; the module knows of crowds alone
+	case v.kind == shed && v.after > 0 && s.pin.eligibleAfter > 0 && s.lacksEligibleReplica():
+		v.after = min(s.pin.eligibleAfter, l.maxRetryAfter) // a replica may have come up by then; the module knows of crowds alone
 	case v.kind == answered:
-		l.pinAnswer(s, v)
+		l.annotateAnswer(s, v)
 	}
 }
 
-// unheld tells whether a part lacks a holder that is fresh enough.
-func (s *search) unheld() bool {
-	for i := range s.parts {
-		if !s.parts[i].in && len(s.pin.parts[i].only.Nodes) == 0 {
+// lacksEligibleReplica tells whether a part lacks a holder that is fresh enough.
+func (s *search) lacksEligibleReplica() bool {
+	for i := range s.requests {
+		if !s.requests[i].answered && len(s.pin.requests[i].allowed.Nodes) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// pinAnswer states the positions and the age of what is in.
-func (l *loop) pinAnswer(s *search, v *result) {
+// annotateAnswer states the positions and the age of what is in.
+func (l *loop) annotateAnswer(s *search, v *result) {
 	oldest, behind := l.since(), []int{}
-	for i := range s.parts {
-		if !s.parts[i].in {
+	for i := range s.requests {
+		if !s.requests[i].answered {
 			continue
 		}
-		shown, shard := &s.pin.parts[i].shown, s.ask.parts[i].shard
+		shown, shard := &s.pin.requests[i].shown, s.ask.parts[i].shard
 		oldest = min(oldest, shown.AsOf)
 		if shown.Offset > 0 {
 			v.seen = append(v.seen, readhint.Position{Shard: shard, Offset: shown.Offset})
@@ -186,32 +186,32 @@
 	slices.Sort(behind)
 	v.hinted, v.behind, v.stale = true, behind, readpin.UnknownAge
 	if oldest != readpin.DistantPast {
-		v.stale = l.pins.book.Staleness(l.since(), oldest)
+		v.stale = l.readPins.positions.Staleness(l.since(), oldest)
 	}
 }
 
-// readHeads are the headers of a verdict that are owed to a hint.
-func readHeads(a *ask, v *result) (heads []string) {
+// readHeaders are the headers of a verdict that are owed to a hint.
+func readHeaders(a *ask, v *result) (heads []string) {
 	if a.ignored != "" {
-		heads = append(heads, headIgnored+a.ignored)
+		heads = append(heads, hintIgnoredHeader+a.ignored)
 	}
 	if !v.hinted {
 		return heads
 	}
 	if len(v.seen) > 0 {
-		heads = append(heads, headPosition+readhint.FormatPositions(v.seen))
+		heads = append(heads, positionHeader+readhint.FormatPositions(v.seen))
 	}
 	stale := "unknown"
 	if v.stale != readpin.UnknownAge {
 		stale = strconv.FormatInt(int64(math.Ceil(float64(v.stale)/float64(time.Millisecond))), 10) + "ms"
 	}
-	heads = append(heads, headStaleness+stale)
+	heads = append(heads, stalenessHeader+stale)
 	if len(v.behind) > 0 {
 		shards := make([]string, len(v.behind))
 		for i, shard := range v.behind {
 			shards[i] = strconv.Itoa(shard)
 		}
-		heads = append(heads, headBehind+strings.Join(shards, ","))
+		heads = append(heads, behindHeader+strings.Join(shards, ","))
 	}
 	return heads
 }
--- a/internal/server/pins_test.go
+++ b/internal/server/pins_test.go
@@ -126,9 +126,9 @@
 	for i := range 12 {
 		dial(t, one).say(hinted(fmt.Sprint("a", i), "X-Read-Hint: max-stale=1ms; or-stale=yes"))
 	}
-	other.TakePins([]byte("spoilt"), 0)
-	other.TakePins(one.CollectPins(), time.Millisecond)
-	other.AgreePins(3, nil)
+	other.MergePositions([]byte("spoilt"), 0)
+	other.MergePositions(one.CollectPositions(), time.Millisecond)
+	other.AgreeEpoch(3, nil)
 	m := dial(t, other).say(hinted("b", "X-Read-Hint: max-stale=100ms"))
 	p := other.Counters().Searches.Pins
 	if m.Status != 503 || p.Facts == 0 || p.Bad != 1 || p.Epoch != 3 {
@@ -138,8 +138,8 @@
 
 // A search with a hint is not sent to another site, where nobody would obey it.
 func TestHintsStayAtHome(t *testing.T) {
-	l := &loop{gate: &gateway{}}
-	if l.offer(&search{ask: &ask{}, pin: &pinned{}}) {
+	l := &loop{gateway: &siteGateway{}}
+	if l.offerToSites(&search{ask: &ask{}, pin: &pinnedQuery{}}) {
 		t.Error("offered")
 	}
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -15,8 +15,8 @@
 	"flaxfront/internal/discovery"
 )
 
-// check reads what the configuration file leaves in other forms.
-func check(start *terms.Start, reader discovery.Reader) (list *discovery.List, known bool, err error) {
+// checkConfiguration reads what the configuration file leaves in other forms.
+func checkConfiguration(start *terms.Start, reader discovery.Reader) (list *discovery.List, known bool, err error) {
 	t := &start.Terms
 	for i := range t.Module.QueryTypes {
 		if t.Module.QueryTypes[i].SecondPhaseRequests > 0 {
@@ -43,7 +43,7 @@
 	var reader discovery.Reader
 	if err == nil {
 		reader = discovery.Reader{Zones: start.Terms.Zones, Cells: start.Terms.Module.Cells, Start: s.loop.start}
-		list, known, err = check(start, reader)
+		list, known, err = checkConfiguration(start, reader)
 	}
 	if err != nil {
 		slog.Error("configuration not taken; the old one stays in force", "error", err, "what_to_do", remedy.Of(err))
@@ -53,51 +53,51 @@
 	have.Terms = *s.Settings()
 	fixed := have.Differs(start)
 	at := slices.Index(fixed, "settings")
-	switched := at >= 0 && s.tunable(&start.Terms)
+	switched := at >= 0 && s.canReconfigure(&start.Terms)
 	var asked *discovery.Terms
 	if switched {
 		fixed = slices.Delete(fixed, at, at+1)
-		elsewhere := s.asked != start.Discovery && !slices.Equal(have.Terms.Types, start.Terms.Types)
+		elsewhere := s.discoveryAddress != start.Discovery && !slices.Equal(have.Terms.Types, start.Terms.Types)
 		moved := elsewhere || have.Terms.Fingerprint() != start.Terms.Fingerprint()
 		if !known || !moved {
 			list = nil
 		}
-		s.retune(&start.Terms, moved, list)
+		s.reconfigure(&start.Terms, moved, list)
 		if moved || have.Terms.AskEvery != start.Terms.AskEvery || have.Terms.Pushed != start.Terms.Pushed {
 			asked = &discovery.Terms{Reader: reader, Wait: start.Terms.AskEvery, Pushed: start.Terms.Pushed}
 		}
 	}
-	if fixed = append(fixed, s.operator.Differs(file)...); s.asked != start.Discovery || asked != nil {
-		s.asked = start.Discovery
-		s.nodeList.Move(start.Discovery.String(), asked)
+	if fixed = append(fixed, s.operator.Differs(file)...); s.discoveryAddress != start.Discovery || asked != nil {
+		s.discoveryAddress = start.Discovery
+		s.discoveryClient.Move(start.Discovery.String(), asked)
 	}
-	if s.keys != nil {
-		if err := s.keys.Reload(); err != nil {
+	if s.siteKeys != nil {
+		if err := s.siteKeys.Reload(); err != nil {
 			slog.Error("keys not taken; the old ones stay in force", "error", err)
 		} else {
-			slog.Info("keys taken", "broker", s.keys.ID(), "expires", s.keys.Ends())
+			slog.Info("keys taken", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Ends())
 		}
 	}
-	if s.fleet != nil {
-		if err := s.fleet.keys.Reload(); err != nil {
+	if s.controlPlane != nil {
+		if err := s.controlPlane.keys.Reload(); err != nil {
 			slog.Error("the fleet's keys not taken; the old ones stay in force", "error", err)
 		}
 	}
 	slog.Info("configuration taken", "discovery", start.Discovery, "settings_switched", switched, "needs_restart", fixed)
 }
 
-// tunable tells whether other settings can be taken over without a restart. What the operators' own file switches on holds to
+// canReconfigure tells whether other settings can be taken over without a restart. What the operators' own file switches on holds to
 // the settings of the start, and so do the addresses at which brokers talk.
-func (s *Server) tunable(t *terms.Terms) bool {
+func (s *Server) canReconfigure(t *terms.Terms) bool {
 	o, have := s.operator, s.Settings()
 	plain := !o.Door.On && !o.Crew.On && !o.Linked() && !o.Listed() && !o.Agreed() && o.Back.Protocol == "" && len(s.fronts) == 0 && !o.Fleet.Pins
-	_, able := s.loop.module.(tuned)
+	_, able := s.loop.router.(reconfigurable)
 	return able && plain && t.Me == have.Me && t.Module.GossipAllowed == have.Module.GossipAllowed
 }
 
-// retune has all go on under other settings: the loop first, then what clients send. What was read under the old ones and comes
+// reconfigure has all go on under other settings: the loop first, then what clients send. What was read under the old ones and comes
 // to the loop later is translated there.
-func (s *Server) retune(t *terms.Terms, moved bool, list *discovery.List) {
+func (s *Server) reconfigure(t *terms.Terms, moved bool, list *discovery.List) {
 	r := settingsChanged{t, moved, list, make(chan struct{})}
 	if !s.deliver(r) {
 		return
@@ -109,8 +109,8 @@
 	}
 }
 
-// longest is how long any client waits.
-func longest(t *terms.Terms) (d time.Duration) {
+// longestTimeout is how long any client waits.
+func longestTimeout(t *terms.Terms) (d time.Duration) {
 	for i := range t.Module.QueryTypes {
 		d = max(d, t.Module.QueryTypes[i].Timeout)
 	}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -107,8 +107,8 @@
 func TestSearchReadBeforeASwitch(t *testing.T) {
 	was, now := decoded(t), decoded(t)
 	now.Types, now.Tenants = append([]string{"new"}, was.Types...), append([]string{"new"}, was.Tenants...)
-	l := &loop{under: &now}
-	if a := (&ask{under: &was}); !l.fits(a) || a.typ != 1 || a.tenant != 1 || !l.fits(a) {
+	l := &loop{settings: &now}
+	if a := (&ask{under: &was}); !l.adapt(a) || a.typ != 1 || a.tenant != 1 || !l.adapt(a) {
 		t.Errorf("taken as %+v", a)
 	}
 	for _, change := range []func(*terms.Terms){
@@ -118,8 +118,8 @@
 	} {
 		other := decoded(t)
 		change(&other)
-		l.under = &other
-		if a := (&ask{under: &was}); l.fits(a) {
+		l.settings = &other
+		if a := (&ask{under: &was}); l.adapt(a) {
 			t.Errorf("taken under %+v", other)
 		}
 	}
@@ -139,8 +139,8 @@
 	bad.Known = []byte("{}")
 	s.Reload(&bad, s.operator, nil)
 	s.Reload(nil, nil, io.ErrUnexpectedEOF)
-	if s.asked != s.start.Discovery {
-		t.Errorf("a bad configuration moved discovery to %v", s.asked)
+	if s.discoveryAddress != s.start.Discovery {
+		t.Errorf("a bad configuration moved discovery to %v", s.discoveryAddress)
 	}
 	s.Reload(&next, s.operator, nil)
 	conn, err := asks.Accept()
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -37,8 +37,8 @@
 	value string
 }
 
-// verdictOf makes the final answer of the module's word and the values that are in.
-func (s *search) verdictOf(a *decision.Action) result {
+// resultOf makes the final answer of the module's word and the values that are in.
+func (s *search) resultOf(a *decision.Action) result {
 	switch a.Kind {
 	case decision.ShedQuery:
 		return result{kind: shed, after: a.RetryAfter}
@@ -46,32 +46,32 @@
 		return result{kind: errored}
 	}
 	v := result{kind: answered, whole: a.Complete}
-	for i := range s.parts {
-		if s.parts[i].in {
-			v.pieces = append(v.pieces, piece{s.ask.parts[i].shard, s.parts[i].value})
+	for i := range s.requests {
+		if s.requests[i].answered {
+			v.pieces = append(v.pieces, piece{s.ask.parts[i].shard, s.requests[i].value})
 		}
 	}
 	return v
 }
 
-// conclude gives a search its one verdict and counts it.
-func (l *loop) conclude(s *search, v result) {
+// deliverResult gives a search its one verdict and counts it.
+func (l *loop) deliverResult(s *search, v result) {
 	switch v.kind {
 	case answered:
-		l.tally.Answered++
+		l.counters.Answered++
 		if !v.whole {
-			l.tally.Partial++
+			l.counters.Partial++
 		}
 	case shed:
-		l.tally.Shed++
+		l.counters.Shed++
 	default:
-		l.tally.Errored++
+		l.counters.Errored++
 	}
-	if l.agreed != nil {
-		l.agreed.counted(s, v, l.since())
+	if l.controlPlane != nil {
+		l.controlPlane.countResult(s, v, l.since())
 	}
-	s.over = true
-	l.outside(s, v.kind == answered, v.kind == shed)
+	s.done = true
+	l.reportDone(s, v.kind == answered, v.kind == shed)
 	if s.to != nil {
 		s.to(v)
 	} else {
--- a/internal/server/saved.go
+++ b/internal/server/saved.go
@@ -13,49 +13,49 @@
 	"flaxfront/internal/discovery/nodelist"
 )
 
-// saved is the loop's part of it.
-type saved struct {
-	book  *cachedlist.Book
-	judge *cachedlist.Judge
-	keep  func(cachedlist.Changes)
-	zone  func(name string) int
-	most  int
-	ended time.Duration // how long an ended node is remembered
-	next  time.Duration // when the book is looked at again for what is to be kept
-	start time.Time
+// cachedEndpointList is the loop's part of it.
+type cachedEndpointList struct {
+	book       *cachedlist.Book
+	judge      *cachedlist.Judge
+	store      func(cachedlist.Changes)
+	zone       func(name string) int
+	maxEntries int
+	keepEnded  time.Duration // how long an ended node is remembered
+	nextStore  time.Duration // when the book is looked at again for what is to be kept
+	start      time.Time
 }
 
 const (
-	keepEvery = time.Second
-	mostOfAll = 2 // a whole list that ends more than one in so many nodes is warned of
+	storeInterval      = time.Second
+	endedWarningFactor = 2 // a whole list that ends more than one in so many nodes is warned of
 )
 
-// openSaved reads the list on disk and makes of it, and of the one in the configuration, the list to start with.
-func (s *Server) openSaved() {
+// openCachedList reads the list on disk and makes of it, and of the one in the configuration, the list to start with.
+func (s *Server) openCachedList() {
 	o, t := s.operator.Start, &s.start.Terms
 	began := time.Now()
 	store, content := nodelist.Open(nodelist.Options{Directory: o.NodeList.Directory, Deployment: t.Fingerprint(),
 		WriteInterval: o.NodeList.SaveEvery})
-	s.keeper = store
+	s.listStore = store
 	book := cachedlist.NewBook(content.Head, content.Unsorted())
 	now := cachedlist.At(s.loop.start)
-	if s.known {
-		book.Merge(bookList(s.list, s.asked.String()), now)
+	if s.listGiven {
+		book.Merge(bookList(s.initialList, s.discoveryAddress.String()), now)
 	}
 	book.Bound(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
 	judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: o.Trust.HalfLife, Oldest: o.Trust.Oldest, StrikeAt: o.Trust.StrikeAt,
 		Parole: o.Trust.Parole}, book, now)
 	list := &discovery.List{Whole: true}
-	s.loop.saved = &saved{book: book, judge: judge, keep: store.Enqueue, zone: s.reader.Zone, most: o.NodeList.MaxEntries,
-		ended: o.NodeList.KeepEnded, start: s.loop.start}
+	s.loop.cachedList = &cachedEndpointList{book: book, judge: judge, store: store.Enqueue, zone: s.reader.Zone, maxEntries: o.NodeList.MaxEntries,
+		keepEnded: o.NodeList.KeepEnded, start: s.loop.start}
 	for _, f := range judge.Begin(discovery.ID) {
-		list.Nodes = append(list.Nodes, s.loop.saved.node(f))
+		list.Nodes = append(list.Nodes, s.loop.cachedList.node(f))
 	}
-	s.list = list
+	s.initialList = list
 	pace := cachedlist.NewPacer(cachedlist.Pace{KnockEvery: o.Discovery.KnockEvery, PerCall: o.Discovery.PerCall,
 		MostDelay: o.Discovery.MostDelay, Brokers: t.Module.BrokerCount}, t.Module.Seed)
-	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.asked.String()
-	s.nodeList.Pace(pace, content.Head.Generation, resume)
+	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.discoveryAddress.String()
+	s.discoveryClient.Pace(pace, content.Head.Generation, resume)
 	c := judge.Picture(0)
 	slog.Info("saved node list", "dir", o.NodeList.Directory, "found", content.Found, "entries", book.Len(),
 		"used", c.Doubtful, "barred", c.Barred, "age", c.ListAge.Round(time.Second), "service", content.Head.Service,
@@ -80,7 +80,7 @@
 }
 
 // node is a fact as a line of the list. One that is not to be used is told as draining: it gets nothing new.
-func (s *saved) node(f cachedlist.Fact) discovery.Node {
+func (s *cachedEndpointList) node(f cachedlist.Fact) discovery.Node {
 	e := &f.Entry
 	n := discovery.Node{Name: e.Name, Addr: e.Addr, Zone: e.Zone, Started: int64(e.Started),
 		Entry: decision.Endpoint{Node: f.ID, Cell: e.Cell, Zone: s.zone(e.Zone), State: decision.Ready, StartedAt: decision.StartedLongAgo,
@@ -94,47 +94,47 @@
 	return n
 }
 
-// confirm takes discovery's word into the book; the module has it already.
-func (l *loop) confirm(list *discovery.List) {
-	s, now := l.saved, l.since()
+// confirmList takes discovery's word into the book; the module has it already.
+func (l *loop) confirmList(list *discovery.List) {
+	s, now := l.cachedList, l.since()
 	ended, of := s.judge.Listed(bookList(list, list.Service), discovery.ID, now)
-	if list.Whole && mostOfAll*ended > of {
+	if list.Whole && endedWarningFactor*ended > of {
 		slog.Warn("discovery's whole list lacks most nodes; it is taken as it is", "ended", ended, "of", of,
 			"listed", len(list.Nodes), "service", list.Service, "generation", list.Version)
 	}
-	if n := s.book.Bound(s.most, s.ended, cachedlist.At(s.start.Add(now))); n > 0 {
+	if n := s.book.Bound(s.maxEntries, s.keepEnded, cachedlist.At(s.start.Add(now))); n > 0 {
 		slog.Info("entries dropped from the saved node list", "entries", n)
 	}
-	s.next = now
+	s.nextStore = now
 }
 
-// weigh asks the judge what follows from what nodes have shown, and tells the module. It returns when to come again.
-func (l *loop) weigh(now time.Duration) time.Duration {
-	s := l.saved
+// judgeCachedList asks the judge what follows from what nodes have shown, and tells the module. It returns when to come again.
+func (l *loop) judgeCachedList(now time.Duration) time.Duration {
+	s := l.cachedList
 	facts, next := s.judge.Tick(now)
 	if len(facts) > 0 {
 		list := &discovery.List{}
 		for _, f := range facts {
 			list.Nodes = append(list.Nodes, s.node(f))
 		}
-		l.relist(list)
+		l.applyList(list)
 	}
 	for _, line := range s.judge.Lines() {
 		slog.Info("saved node list", "verdict", line, "at", now.Round(time.Millisecond))
 	}
-	if now >= s.next {
-		s.next = now + keepEvery
+	if now >= s.nextStore {
+		s.nextStore = now + storeInterval
 		if c, any := s.book.Changes(); any {
-			s.keep(c)
+			s.store(c)
 		}
 	}
 	return next
 }
 
-// asked carries out what an operator asked of a broker that runs.
-func (l *loop) asked(a nodelist.OperatorRequest) {
-	s := l.saved
+// handleOperatorRequest carries out what an operator asked of a broker that runs.
+func (l *loop) handleOperatorRequest(a nodelist.OperatorRequest) {
+	s := l.cachedList
 	took, dropped := s.judge.Import(a.Import, discovery.ID, l.since()), s.judge.Forget(a.Forget, discovery.ID)
-	s.next = l.since()
+	s.nextStore = l.since()
 	slog.Info("saved node list", "asked", "by an operator", "imported", took, "forgotten", dropped)
 }
--- a/internal/server/saved_test.go
+++ b/internal/server/saved_test.go
@@ -225,16 +225,16 @@
 		b.StopTimer()
 		s.loop.pool = poolOf(s)
 		b.StartTimer()
-		s.loop.relist(s.list)
-		s.loop.turn(s.loop.since())
+		s.loop.applyList(s.initialList)
+		s.loop.stepRouter(s.loop.since())
 		b.StopTimer()
 		s.listener.Close()
-		s.keeper.Close()
+		s.listStore.Close()
 		b.StartTimer()
 	}
 }
 
 func poolOf(s *Server) *store.Pool {
 	return store.NewPool(s.ctx, store.Limits{Conns: 1, Streams: 1}, store.DialTCP, s.loop.since, s.group.Go,
-		func(store.Event) {}, s.loop.subrequestEnded)
+		func(store.Event) {}, s.loop.attemptEnded)
 }
--- a/internal/server/search.go
+++ b/internal/server/search.go
@@ -44,42 +44,42 @@
 	to       func(result)  // takes the verdict instead, in the loop
 
 	// where there is a gateway to other sites
-	foreign bool          // it came over a link
-	abroad  bool          // it is forwarded; the module has done with it
-	home    bool          // it was brought back
-	risk    bool          // and may have run abroad
-	after   time.Duration // when the other side wants it back
+	remote           bool          // it came over a link
+	forwarded        bool          // it is forwarded; the module has done with it
+	takenBack        bool          // it was brought back
+	mayHaveRun       bool          // and may have run abroad
+	remoteRetryAfter time.Duration // when the other side wants it back
 
 	// where there is fair queuing at the door
-	ticket   uint64
-	work     float64
-	queued   bool // it waits there
-	inside   bool // the door let it in, and has not been told that it is done
-	entered  time.Duration
-	late     time.Duration // the turn that took it came so long after
-	heard    time.Duration // when its last answer came in
-	heardFor uint64        // the turn that is to take it
-
-	pin *pinned // nil: its reads are ordinary ones
-
-	id    uint64 // as the module knows it; its parts have the numbers that follow
-	over  bool
-	parts []part
+	ticket         uint64
+	work           float64
+	queued         bool // it waits there
+	admitted       bool // the door let it in, and has not been told that it is done
+	admittedAt     time.Duration
+	stepDelay      time.Duration // the turn that took it came so long after
+	lastAnswerAt   time.Duration // when its last answer came in
+	lastAnswerStep uint64        // the turn that is to take it
+
+	pin *pinnedQuery // nil: its reads are ordinary ones
+
+	id       uint64 // as the module knows it; its parts have the numbers that follow
+	done     bool
+	requests []shardRequest
 }
 
-type part struct {
-	in    bool
-	value string
-	tries []*store.Part
+type shardRequest struct {
+	answered bool
+	value    string
+	attempts []*store.Part
 }
 
-// fits tells whether a search that was read under other settings can be taken under those in force, and has it say the same
+// adapt tells whether a search that was read under other settings can be taken under those in force, and has it say the same
 // under them.
-func (l *loop) fits(a *ask) bool {
-	if a.under == nil || a.under == l.under {
+func (l *loop) adapt(a *ask) bool {
+	if a.under == nil || a.under == l.settings {
 		return true
 	}
-	was, now := a.under, l.under
+	was, now := a.under, l.settings
 	a.typ = slices.Index(now.Types, was.Types[a.typ])
 	if a.typ < 0 || now.Fingerprint() != was.Fingerprint() {
 		return false
@@ -95,62 +95,62 @@
 	return a.tenant >= 0
 }
 
-// admit hands a search to the module, if there is a place for it and its parts.
-func (l *loop) admit(s *search) {
-	l.tally.Taken++
+// receive hands a search to the module, if there is a place for it and its parts.
+func (l *loop) receive(s *search) {
+	l.counters.Taken++
 	n := len(s.ask.parts)
-	if l.ids[s.ask.id] {
-		l.conclude(s, result{kind: twice})
+	if l.requestIDs[s.ask.id] {
+		l.deliverResult(s, result{kind: twice})
 		return
 	}
-	if s.crowded || l.places+1+n > l.maxOpen || !l.fits(s.ask) {
-		l.tally.Full++
-		l.conclude(s, result{kind: shed, after: l.comeBack}) // the longest that the settings let it say
+	if s.crowded || l.slotsUsed+1+n > l.maxInFlight || !l.adapt(s.ask) {
+		l.counters.Full++
+		l.deliverResult(s, result{kind: shed, after: l.maxRetryAfter}) // the longest that the settings let it say
 		return
 	}
-	if l.budgets != nil && !s.foreign {
-		if after, full := l.budgets.noRoom(s.tenant); full {
-			l.tally.TurnedAway++
-			l.conclude(s, result{kind: shed, after: min(after, l.comeBack)})
+	if l.connLeases != nil && !s.remote {
+		if after, full := l.connLeases.overloaded(s.tenant); full {
+			l.counters.TurnedAway++
+			l.deliverResult(s, result{kind: shed, after: min(after, l.maxRetryAfter)})
 			return
 		}
 	}
-	if l.door != nil && !s.foreign && !l.atDoor(s) {
+	if l.admission != nil && !s.remote && !l.requestAdmission(s) {
 		return
 	}
-	l.tally.InHand++
-	l.ids[s.ask.id] = true
-	if l.gate != nil && !s.foreign {
-		l.gate.near.Taken()
+	l.counters.InHand++
+	l.requestIDs[s.ask.id] = true
+	if l.gateway != nil && !s.remote {
+		l.gateway.outgoing.Taken()
 	}
-	l.enter(s, s.deadline-l.since())
+	l.submit(s, s.deadline-l.since())
 }
 
-// enter gives a search in hand to the module, with the time that is left to it.
-func (l *loop) enter(s *search, left time.Duration) {
+// submit gives a search in hand to the module, with the time that is left to it.
+func (l *loop) submit(s *search, left time.Duration) {
 	n := len(s.ask.parts)
-	s.id = l.next
-	l.next += 1 + uint64(n)
-	l.places += 1 + n
-	l.searches[s.id] = s
-	s.parts = make([]part, n)
-	if l.pins != nil && s.ask.hint != nil {
-		l.pin(s)
+	s.id = l.nextID
+	l.nextID += 1 + uint64(n)
+	l.slotsUsed += 1 + n
+	l.queries[s.id] = s
+	s.requests = make([]shardRequest, n)
+	if l.readPins != nil && s.ask.hint != nil {
+		l.pinQuery(s)
 	}
 	serial := float32(s.id % (1 << 24)) // exact in a float32, and far more ids than can be in hand
 	l.events = append(l.events, decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: s.typ,
 		Tenant: s.tenant, TimeLeft: left, Weight: float64(n), Retry: s.repeat})
 	for i := range s.ask.parts {
 		id := s.id + 1 + uint64(i)
-		l.owners[id] = s
+		l.queryOfShardRequest[id] = s
 		l.events = append(l.events, decision.Event{Kind: decision.ShardRequestReceived, ID: id, Serial: serial,
-			Shard: s.ask.parts[i].shard, Weight: s.ask.parts[i].weight, Allowed: s.only(i)})
+			Shard: s.ask.parts[i].shard, Weight: s.ask.parts[i].weight, Allowed: s.allowedReplicas(i)})
 	}
 }
 
-// part finds the search that a part belongs to, and its place there.
-func (l *loop) part(id uint64) (*search, int) {
-	if s := l.owners[id]; s != nil {
+// findShardRequest finds the search that a part belongs to, and its place there.
+func (l *loop) findShardRequest(id uint64) (*search, int) {
+	if s := l.queryOfShardRequest[id]; s != nil {
 		return s, int(id - s.id - 1)
 	}
 	return nil, 0
@@ -158,16 +158,16 @@
 
 // finish takes a search out of hand; it is forgotten once the actions of its last turn are carried out.
 func (l *loop) finish(s *search) {
-	s.over = true
-	l.tally.InHand--
-	l.places -= 1 + len(s.parts)
-	l.ended = append(l.ended, s)
+	s.done = true
+	l.counters.InHand--
+	l.slotsUsed -= 1 + len(s.requests)
+	l.finished = append(l.finished, s)
 }
 
-// unsend calls off what was not written to a node yet; it never is.
-func (l *loop) unsend(s *search) {
-	for i := range s.parts {
-		for _, t := range s.parts[i].tries {
+// cancelUnsent calls off what was not written to a node yet; it never is.
+func (l *loop) cancelUnsent(s *search) {
+	for i := range s.requests {
+		for _, t := range s.requests[i].attempts {
 			if !t.Written() {
 				l.pool.Cancel(t)
 			}
@@ -177,12 +177,12 @@
 
 // forget drops a search. What was not written to a node by now never is.
 func (l *loop) forget(s *search) {
-	l.unsend(s)
-	for i := range s.parts {
-		delete(l.owners, s.id+1+uint64(i))
+	l.cancelUnsent(s)
+	for i := range s.requests {
+		delete(l.queryOfShardRequest, s.id+1+uint64(i))
 	}
-	delete(l.searches, s.id)
-	if !s.abroad {
-		delete(l.ids, s.ask.id)
+	delete(l.queries, s.id)
+	if !s.forwarded {
+		delete(l.requestIDs, s.ask.id)
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -39,79 +39,79 @@
 // The protocol's times of a planned stop: new connections go on coming for 400 ms, and what comes later than 700 ms
 // must be answered before the kill. Between the two the broker stops taking more.
 const (
-	newConnsFor = 400 * time.Millisecond
-	mustAnswer  = 700 * time.Millisecond
-	stopTaking  = (newConnsFor + mustAnswer) / 2
+	newConnectionsFor = 400 * time.Millisecond
+	answerWithin      = 700 * time.Millisecond
+	stopTaking        = (newConnectionsFor + answerWithin) / 2
 )
 
 // Of the descriptors some are kept for what is neither a client's nor a node's; nodes get a third of the others. The protocol lets
 // clients hold a third of all for requests; three quarters of these are kept open between requests.
 const (
-	ownSockets   = 16 // the standard streams, the poller, listener and peers, three requests to discovery, connections that just end
-	spareSockets = ownSockets + overflow
-	nodesPart    = 3
-	requestsPart = 3
+	reservedSockets      = 16 // the standard streams, the poller, listener and peers, three requests to discovery, connections that just end
+	spareSockets         = reservedSockets + overflow
+	nodeSocketsDivisor   = 3
+	clientSocketsDivisor = 3
 )
 
 // Server is one broker.
 type Server struct {
-	start    *terms.Start
-	asked    netip.AddrPort // where discovery is
-	reader   discovery.Reader
-	list     *discovery.List // that it starts with
-	known    bool            // it was given one
-	loop     *loop
-	nodeList *discovery.Client
-	link     *peers.Link
-	listener net.Listener
-	clients  clients
-	group    *errgroup.Group
-	ctx      context.Context // of everything that serves
-	cancel   context.CancelFunc
-	serving  sync.WaitGroup // client connections
-	accepted chan struct{}  // closed when no more of them come
-	draining atomic.Bool
-	stopped  atomic.Int64                // when the stop was asked for, since the start
-	settings atomic.Pointer[terms.Terms] // in force
-	operator *operator.File
-	keeper   *nodelist.Store // nil: no list is kept
-	keys     *keys.Keyring   // nil: there is no gateway
-	links    *link.Links
-	linkAt   net.Listener // nil: no broker of another site comes here
-	after    func(time.Duration) <-chan time.Time
-	fronts   []Front
-	memory   *seeds.Writer // of the tier; nil: none is kept
-	fleet    *fleetPart    // nil: brokers agree on nothing
+	start            *terms.Start
+	discoveryAddress netip.AddrPort // where discovery is
+	reader           discovery.Reader
+	initialList      *discovery.List // that it starts with
+	listGiven        bool            // it was given one
+	loop             *loop
+	discoveryClient  *discovery.Client
+	gossip           *peers.Link
+	listener         net.Listener
+	clients          clients
+	group            *errgroup.Group
+	ctx              context.Context // of everything that serves
+	cancel           context.CancelFunc
+	serving          sync.WaitGroup // client connections
+	accepted         chan struct{}  // closed when no more of them come
+	draining         atomic.Bool
+	stopRequested    atomic.Int64                // when the stop was asked for, since the start
+	settings         atomic.Pointer[terms.Terms] // in force
+	operator         *operator.File
+	listStore        *nodelist.Store // nil: no list is kept
+	siteKeys         *keys.Keyring   // nil: there is no gateway
+	siteLinks        *link.Links
+	siteListener     net.Listener // nil: no broker of another site comes here
+	after            func(time.Duration) <-chan time.Time
+	fronts           []Front
+	seedStore        *seeds.Writer     // of the tier; nil: none is kept
+	controlPlane     *tierControlPlane // nil: brokers agree on nothing
 }
 
 // New makes a broker of its configuration; nothing is opened yet.
 func New(start *terms.Start, file *operator.File, newModule func(decision.Settings) decision.Router) (*Server, error) {
 	t := &start.Terms
-	s := &Server{start: start, operator: file, asked: start.Discovery, accepted: make(chan struct{}), after: time.After}
+	s := &Server{start: start, operator: file, discoveryAddress: start.Discovery, accepted: make(chan struct{}), after: time.After}
 	s.settings.Store(t)
 	s.loop = newLoop(time.Now(), newModule(t.Module), &t.Module)
-	s.loop.under = t
+	s.loop.settings = t
 	s.reader = discovery.Reader{Zones: t.Zones, Cells: t.Module.Cells, Start: s.loop.start}
 	var err error
-	if s.list, s.known, err = check(start, s.reader); err != nil {
+	if s.initialList, s.listGiven, err = checkConfiguration(start, s.reader); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.group, s.ctx = errgroup.WithContext(ctx)
-	s.nodeList = discovery.NewClient(start.Discovery.String(), s.reader, t.AskEvery, s.list.Version, s.known,
+	s.discoveryClient = discovery.NewClient(start.Discovery.String(), s.reader, t.AskEvery, s.initialList.Version, s.listGiven,
 		func(list *discovery.List, err error) { s.deliver(listReceived{list, err}) })
 	if t.Pushed {
-		s.nodeList.Pushed()
+		s.discoveryClient.Pushed()
 	}
-	s.loop.ask = s.nodeList.Ask
+	s.loop.pollDiscovery = s.discoveryClient.Ask
 	if file.Door.On {
-		if s.loop.door, err = newDoorway(&file.Door, t); err != nil {
+		if s.loop.admission, err = newAdmissionControl(&file.Door, t); err != nil {
 			return nil, err
 		}
 	}
 	if file.Fleet.Pins {
-		s.loop.pins = newPinning(&file.Fleet, t)
+		s.loop.readPins = newReadPinning(&file.Fleet, t)
 	}
 	return s, nil
 }
@@ -122,29 +122,29 @@
 		return err
 	}
 	if s.start.Terms.Module.GossipAllowed {
-		if s.link, err = peers.Listen(s.start.PeerListen, s.start.Peers, s.start.PeersAll, s.heard); err != nil {
+		if s.gossip, err = peers.Listen(s.start.PeerListen, s.start.Peers, s.start.PeersAll, s.receiveGossip); err != nil {
 			s.listener.Close()
 			return err
 		}
-		s.loop.tell = s.link.Tell
+		s.loop.sendGossip = s.gossip.Tell
 		if s.operator.Crew.On {
-			s.openCrew()
+			s.openMembership()
 		}
 	} else if s.operator.Crew.On {
 		s.listener.Close()
 		return errors.New("operators' file: crew.on: the settings do not let brokers talk (permissions.peers)")
 	}
 	if s.operator.Listed() {
-		s.openSaved()
+		s.openCachedList()
 	}
 	if s.operator.Linked() {
-		if err := s.openLinks(); err != nil {
+		if err := s.openSiteLinks(); err != nil {
 			s.listener.Close()
 			return err
 		}
 	}
 	if s.operator.Agreed() {
-		if err := s.openFleet(); err != nil {
+		if err := s.openControlPlane(); err != nil {
 			s.listener.Close()
 			return err
 		}
@@ -156,60 +156,60 @@
 func (s *Server) Run(stop <-chan struct{}) error {
 	t, l := &s.start.Terms, s.start.Limits
 	sockets := l.Sockets
-	if s.links != nil {
+	if s.siteLinks != nil {
 		sockets -= len(s.operator.Sites.Targets) + s.operator.Sites.MostLinks + 1
 	}
-	if s.fleet != nil {
+	if s.controlPlane != nil {
 		sockets -= 2*s.operator.Fleet.Followers + 2*len(s.operator.Fleet.Voters) + 1
 	}
-	forNodes := max(1, (sockets-spareSockets)/nodesPart)
+	forNodes := max(1, (sockets-spareSockets)/nodeSocketsDivisor)
 	s.clients.all, s.clients.room = map[*client]bool{}, make(chan struct{}, 1)
 	s.clients.moment = t.Dial
 	s.clients.most = max(1, sockets-spareSockets-forNodes)
-	s.clients.kept = max(1, sockets/requestsPart*3/4)
+	s.clients.kept = max(1, sockets/clientSocketsDivisor*3/4)
 	streams := t.Streams
 	if s.operator.Back.Protocol != "" {
 		streams = 1 // a session does one thing at a time
 	}
-	limits := store.Limits{Streams: streams, Idle: t.Idle, Dial: t.Dial, Silent: longest(t), Conns: forNodes}
+	limits := store.Limits{Streams: streams, Idle: t.Idle, Dial: t.Dial, Silent: longestTimeout(t), Conns: forNodes}
 	s.loop.pool = store.NewPool(s.ctx, limits, store.DialTCP, s.loop.since, s.group.Go,
-		func(e store.Event) { s.deliver(e) }, s.loop.subrequestEnded)
-	s.loop.pool.Probed = s.loop.probed
-	if s.fleet != nil && s.operator.Fleet.Budgets {
-		s.openBudgets(streams)
+		func(e store.Event) { s.deliver(e) }, s.loop.attemptEnded)
+	s.loop.pool.Probed = s.loop.healthCheckEnded
+	if s.controlPlane != nil && s.operator.Fleet.Budgets {
+		s.openConnLeases(streams)
 	}
-	if s.loop.pins != nil {
+	if s.loop.readPins != nil {
 		s.loop.pool.KeepReports()
 	}
 	if s.operator.Back.Protocol != "" {
 		s.loop.pool.Carry(back.Carrier(s.ctx, back.Options{Protocol: s.operator.Back.Protocol, Database: s.operator.Back.Database, Dial: t.Dial,
 			Now: s.loop.since, Post: func(e store.Event) { s.deliver(e) }}))
 	}
-	if s.loop.saved == nil {
-		s.loop.list(s.list, nil)
+	if s.loop.cachedList == nil {
+		s.loop.handleList(s.initialList, nil)
 	} else {
-		s.loop.relist(s.list)
+		s.loop.applyList(s.initialList)
 		s.group.Go(func() error {
-			return s.keeper.Run(s.ctx, func(a nodelist.OperatorRequest) { s.deliver(a) })
+			return s.listStore.Run(s.ctx, func(a nodelist.OperatorRequest) { s.deliver(a) })
 		})
 	}
 	s.group.Go(func() error { return s.loop.run(s.ctx) })
-	if s.loop.door != nil {
-		s.group.Go(func() error { return s.loop.door.pulse.run(s.ctx) })
+	if s.loop.admission != nil {
+		s.group.Go(func() error { return s.loop.admission.schedulingDelay.run(s.ctx) })
 	}
-	s.group.Go(func() error { return s.nodeList.Run(s.ctx) })
-	if s.link != nil {
-		s.group.Go(func() error { return s.link.Send(s.ctx) })
-		s.group.Go(func() error { return s.link.Hear(s.ctx) })
+	s.group.Go(func() error { return s.discoveryClient.Run(s.ctx) })
+	if s.gossip != nil {
+		s.group.Go(func() error { return s.gossip.Send(s.ctx) })
+		s.group.Go(func() error { return s.gossip.Hear(s.ctx) })
 	}
-	if s.memory != nil {
-		s.group.Go(func() error { return s.memory.Run(s.ctx) })
+	if s.seedStore != nil {
+		s.group.Go(func() error { return s.seedStore.Run(s.ctx) })
 	}
-	if s.links != nil {
-		s.runLinks()
+	if s.siteLinks != nil {
+		s.runSiteLinks()
 	}
-	if s.fleet != nil {
-		s.runFleet()
+	if s.controlPlane != nil {
+		s.runControlPlane()
 	}
 	s.group.Go(func() error { return s.accept(s.ctx) })
 	for _, f := range s.fronts {
@@ -219,12 +219,12 @@
 			return f.Serve(s.ctx)
 		})
 	}
-	slog.Info("serving", "name", s.start.Name, "at", s.listener.Addr(), "nodes", len(s.list.Nodes),
+	slog.Info("serving", "name", s.start.Name, "at", s.listener.Addr(), "nodes", len(s.initialList.Nodes),
 		"clients", s.clients.most, "node_connections", forNodes)
 	select {
 	case <-stop:
 		s.drain()
-	case <-s.permitted():
+	case <-s.permitUsed():
 		s.drain()
 	case <-s.ctx.Done():
 	}
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -12,10 +12,10 @@
 // drain goes on serving for as long as clients may come, then until all that was taken is answered.
 func (s *Server) drain() {
 	slog.Info("stopping", "in_hand", s.Counters().Searches.InHand)
-	s.stopped.Store(int64(s.loop.since()))
+	s.stopRequested.Store(int64(s.loop.since()))
 	s.draining.Store(true)
-	if s.loop.crew != nil { // before anything else: duties are taken over at once
-		d := stopBegun{make(chan struct{})}
+	if s.loop.membership != nil { // before anything else: duties are taken over at once
+		d := shutdownStarted{make(chan struct{})}
 		if s.deliver(d) {
 			select {
 			case <-d.done:
@@ -23,11 +23,11 @@
 			}
 		}
 	}
-	if s.fleet != nil {
-		s.fleet.Leaving()
+	if s.controlPlane != nil {
+		s.controlPlane.Leaving()
 	}
-	if s.links != nil {
-		s.links.Say(link.Status{Stopping: true}, true) // nothing new from other sites; what is in hand is finished
+	if s.siteLinks != nil {
+		s.siteLinks.Say(link.Status{Stopping: true}, true) // nothing new from other sites; what is in hand is finished
 	}
 	select {
 	case <-s.after(stopTaking):
@@ -40,11 +40,11 @@
 	}
 	s.clients.closeIdle()
 	s.serving.Wait()
-	if s.links != nil {
-		s.drainLinks()
+	if s.siteLinks != nil {
+		s.drainSiteLinks()
 	}
-	if s.loop.budgets != nil {
-		s.giveUp()
+	if s.loop.connLeases != nil {
+		s.releaseLeases()
 	}
 }
 
@@ -104,7 +104,7 @@
 func (s *Server) answerBy(arrived, timeout time.Duration) time.Duration {
 	by := arrived + timeout
 	if s.draining.Load() {
-		kill := time.Duration(s.stopped.Load()) + min(longest(s.Settings()), killWaits) + mustAnswer
+		kill := time.Duration(s.stopRequested.Load()) + min(longestTimeout(s.Settings()), killWaits) + answerWithin
 		by = min(by, max(arrived+leastAnswer, kill-beforeKill))
 	}
 	return by
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -23,13 +23,13 @@
 		list *discovery.List
 		err  error
 	}
-	peerMessage struct {
+	gossipReceived struct {
 		from int
 		text []byte
 	}
-	tallyWanted     struct{ to chan QueryCounters }
-	stopBegun       struct{ done chan struct{} } // the broker stops: the tier is told
-	settingsChanged struct {                     // other settings come into force
+	countersRequested struct{ to chan QueryCounters }
+	shutdownStarted   struct{ done chan struct{} } // the broker stops: the tier is told
+	settingsChanged   struct {                     // other settings come into force
 		terms *terms.Terms
 		moved bool            // with other shards, or other nodes
 		list  *discovery.List // the nodes there, as far as known; nil: not at all
@@ -37,104 +37,104 @@
 	}
 )
 
-// take turns what was delivered into events for the module.
-func (l *loop) take(d any) {
+// handle turns what was delivered into events for the module.
+func (l *loop) handle(d any) {
 	switch d := d.(type) {
 	case store.Event:
 		l.pool.Handle(d)
 	case queryReceived:
-		l.admit(d.s)
+		l.receive(d.s)
 	case queryAbandoned:
-		if !d.s.over {
+		if !d.s.done {
 			if d.overdue {
-				l.conclude(d.s, result{kind: errored})
+				l.deliverResult(d.s, result{kind: errored})
 			} else {
-				l.tally.Left++
+				l.counters.Left++
 			}
 			if d.s.queued {
-				l.leaveDoor(d.s)
+				l.abandonQueued(d.s)
 				return
 			}
-			l.outside(d.s, false, false)
-			if d.s.abroad {
-				l.gate.near.Gone(d.s.id)
-				l.routed()
-				l.leaveAbroad(d.s, d.s.id)
+			l.reportDone(d.s, false, false)
+			if d.s.forwarded {
+				l.gateway.outgoing.Gone(d.s.id)
+				l.executeForwarding()
+				l.forgetForwarded(d.s, d.s.id)
 				return
 			}
 			l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: d.s.id})
 			l.finish(d.s)
-			l.unsend(d.s) // now, as a connection may come up in the same moment
+			l.cancelUnsent(d.s) // now, as a connection may come up in the same moment
 		}
 	case listReceived:
-		l.list(d.list, d.err)
-	case peerMessage:
+		l.handleList(d.list, d.err)
+	case gossipReceived:
 		l.events = append(l.events, decision.Event{Kind: decision.GossipReceived, From: uint32(d.from), Payload: d.text})
-	case viewed:
-		l.see(d.view)
-	case unacked:
-		if have := l.agreed.drains[d.node]; have != nil && have.number == d.number {
-			have.asked = false
+	case viewReceived:
+		l.handleView(d.view)
+	case drainAckFailed:
+		if have := l.controlPlane.drains[d.node]; have != nil && have.number == d.number {
+			have.ackProposed = false
 		}
-	case met:
-		l.metOne(d)
+	case memberDatagram:
+		l.handleMemberDatagram(d)
 	case settingsChanged:
-		l.retune(d)
+		l.applySettings(d)
 		close(d.done)
-	case yielded:
-		d.holds <- l.budgets.yield()
-	case stopBegun:
-		l.leaveCrew()
+	case leaseReleaseRequested:
+		d.holds <- l.connLeases.release()
+	case shutdownStarted:
+		l.leaveTier()
 		close(d.done)
 	case nodelist.OperatorRequest:
-		l.asked(d)
+		l.handleOperatorRequest(d)
 	case link.Event:
-		l.linked(d)
-	case pinCollect, pinFacts, pinEpoch:
-		l.pinTold(d)
-	case tallyWanted:
-		t := l.tally
-		if l.saved != nil {
-			c := l.saved.judge.Picture(l.since())
+		l.handleLink(d)
+	case positionsRequested, positionsReceived, epochAgreed:
+		l.handlePositions(d)
+	case countersRequested:
+		t := l.counters
+		if l.cachedList != nil {
+			c := l.cachedList.judge.Picture(l.since())
 			t.Trust = &c
 		}
 		t.Store, t.Nodes, t.NodeConns, t.Out = l.pool.Counts, l.pool.Nodes(), l.pool.Open(), l.pool.Out()
-		if m, tells := l.module.(pictured); tells {
+		if m, tells := l.router.(inspectable); tells {
 			t.OutByModule, t.ShutOut = m.Snapshot()
 		}
-		if l.gate != nil {
-			t.Gateway = &GatewayState{l.gate.near.Counts, l.gate.far.Counts, l.gate.near.State(l.since())}
+		if l.gateway != nil {
+			t.Gateway = &GatewayState{l.gateway.outgoing.Counts, l.gateway.incoming.Counts, l.gateway.outgoing.State(l.since())}
 		}
-		if l.crew != nil {
-			t.Crew = l.crewState(l.since())
+		if l.membership != nil {
+			t.Crew = l.membershipState(l.since())
 		}
-		if l.agreed != nil {
-			t.Fleet = l.fleetState()
+		if l.controlPlane != nil {
+			t.Fleet = l.controlPlaneState()
 		}
-		if l.door != nil {
-			t.Door = &AdmissionState{l.door.State(l.since()), l.door.names}
+		if l.admission != nil {
+			t.Door = &AdmissionState{l.admission.State(l.since()), l.admission.tenants}
 		}
-		if l.pins != nil {
-			t.Pins = l.pinState()
+		if l.readPins != nil {
+			t.Pins = l.readPinState()
 		}
 		d.to <- t
 	}
 }
 
-// retune has the loop, the pool and the module go on under other settings. What came before is taken under the old ones, and what
+// applySettings has the loop, the pool and the module go on under other settings. What came before is taken under the old ones, and what
 // is in hand ends by them. Where shards or nodes are others now, the nodes known so far get nothing more.
-func (l *loop) retune(d settingsChanged) {
+func (l *loop) applySettings(d settingsChanged) {
 	if d.moved {
-		l.relist(&discovery.List{Whole: true})
+		l.applyList(&discovery.List{Whole: true})
 	}
 	if len(l.events) > 0 {
-		l.turn(l.since())
+		l.stepRouter(l.since())
 	}
 	t := &d.terms.Module
-	l.module.(tuned).Reconfigure(*t, d.moved)
-	l.under, l.types, l.cells, l.maxOpen, l.comeBack, l.batch = d.terms, t.QueryTypes, t.Cells, t.MaxInFlight, t.MaxRetryAfter, t.MaxBatch
-	l.pool.Retune(d.terms.Streams, d.terms.Idle, d.terms.Dial, longest(d.terms))
+	l.router.(reconfigurable).Reconfigure(*t, d.moved)
+	l.settings, l.queryTypes, l.cells, l.maxInFlight, l.maxRetryAfter, l.maxBatch = d.terms, t.QueryTypes, t.Cells, t.MaxInFlight, t.MaxRetryAfter, t.MaxBatch
+	l.pool.Retune(d.terms.Streams, d.terms.Idle, d.terms.Dial, longestTimeout(d.terms))
 	if d.list != nil {
-		l.relist(d.list)
+		l.applyList(d.list)
 	}
 }
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -12,136 +12,138 @@
 	"flaxfront/internal/transport/store"
 )
 
-// pictured is a module that tells what it takes to be so, to be held against the wire.
-type pictured interface{ Snapshot() (out, shut int) }
+// inspectable is a module that tells what it takes to be so, to be held against the wire.
+type inspectable interface{ Snapshot() (out, shut int) }
 
-// call gathers the parts of one turn to one node.
-type call struct {
-	to    decision.NodeID
-	parts []*store.Part
+// batch gathers the parts of one turn to one node.
+type batch struct {
+	node     decision.NodeID
+	attempts []*store.Part
 }
 
-// turn calls the module and carries its actions out, in their order; the parts for one node leave together.
-func (l *loop) turn(now time.Duration) {
+// stepRouter calls the module and carries its actions out, in their order; the parts for one node leave together.
+func (l *loop) stepRouter(now time.Duration) {
 	events := l.events
-	l.events = l.spare[:0]
-	l.tally.Turns++
-	if l.door != nil {
-		l.underway(now)
+	l.events = l.spareEvents[:0]
+	l.counters.Turns++
+	if l.admission != nil {
+		l.recordStepDelay(now)
 	}
-	l.actions = l.module.Step(now, events, l.actions[:0])
+	l.actions = l.router.Step(now, events, l.actions[:0])
 	clear(events)
-	l.spare = events[:0]
+	l.spareEvents = events[:0]
 	for i := range l.actions {
-		l.carryOut(&l.actions[i], now)
+		l.execute(&l.actions[i], now)
 	}
-	for i := range l.calls {
-		l.flush(&l.calls[i])
+	for i := range l.batches {
+		l.sendBatch(&l.batches[i])
 	}
-	l.calls = l.calls[:0]
-	for _, s := range l.ended {
+	l.batches = l.batches[:0]
+	for _, s := range l.finished {
 		l.forget(s)
 	}
-	clear(l.ended)
-	l.ended = l.ended[:0]
+	clear(l.finished)
+	l.finished = l.finished[:0]
 }
 
-func (l *loop) carryOut(a *decision.Action, now time.Duration) {
+func (l *loop) execute(a *decision.Action, now time.Duration) {
 	switch a.Kind {
 	case decision.SendAttempt:
-		l.send(a, now)
+		l.sendAttempt(a, now)
 	case decision.CancelAttempt:
-		if p, i := l.part(a.ID); p != nil && int(a.Attempt) < len(p.parts[i].tries) {
-			l.pool.Cancel(p.parts[i].tries[a.Attempt])
+		if p, i := l.findShardRequest(a.ID); p != nil && int(a.Attempt) < len(p.requests[i].attempts) {
+			l.pool.Cancel(p.requests[i].attempts[a.Attempt])
 		}
 	case decision.AnswerQuery, decision.ShedQuery, decision.FailQuery:
-		if s := l.searches[a.ID]; s != nil && !s.over && !s.abroad {
-			if a.Kind == decision.ShedQuery && l.offer(s) {
-				l.routed()
+		if s := l.queries[a.ID]; s != nil && !s.done && !s.forwarded {
+			if a.Kind == decision.ShedQuery && l.offerToSites(s) {
+				l.executeForwarding()
 				return
 			}
-			v := s.shedding(s.verdictOf(a), l)
-			l.pinVerdict(s, &v)
-			l.conclude(s, v)
+			v := s.shedResult(s.resultOf(a), l)
+			l.annotateResult(s, &v)
+			l.deliverResult(s, v)
 			l.finish(s)
 		}
 	case decision.SetTimer:
-		if l.wake == 0 || a.TimerAt < l.wake {
-			l.wake = max(1, a.TimerAt)
+		if l.timerAt == 0 || a.TimerAt < l.timerAt {
+			l.timerAt = max(1, a.TimerAt)
 		}
 	case decision.CloseIdleConnections:
 		l.pool.Retire(a.Node)
 	case decision.SendHealthCheck:
 		l.pool.Probe(a.Node)
 	case decision.SubscribeList:
-		l.ask()
+		l.pollDiscovery()
 	case decision.LogMessage:
-		l.say(a.Text, now)
+		l.logDecision(a.Text, now)
 	case decision.SendGossip:
-		l.tell(a.Text)
+		l.sendGossip(a.Text)
 	}
 }
 
-func (l *loop) send(a *decision.Action, now time.Duration) {
-	s, i := l.part(a.ID)
+func (l *loop) sendAttempt(a *decision.Action, now time.Duration) {
+	s, i := l.findShardRequest(a.ID)
 	if s == nil {
 		slog.Error("a part that is not in hand was to be sent", "part", a.ID)
 		return
 	}
-	p := &s.parts[i]
+	p := &s.requests[i]
 	t := &store.Part{ID: s.ask.parts[i].name, Shard: s.ask.parts[i].shard, Text: s.text, Deadline: s.deadline,
-		Sent: now, Part: a.ID, Attempt: uint16(len(p.tries)), Node: a.Node, Alone: a.ExclusiveConnection, Tenant: s.tenant}
-	p.tries = append(p.tries, t)
-	l.tally.Subrequests++
-	if l.budgets != nil {
-		l.budgets.count(s.tenant, 1, 0)
+		Sent: now, Part: a.ID, Attempt: uint16(len(p.attempts)), Node: a.Node, Alone: a.ExclusiveConnection, Tenant: s.tenant}
+	p.attempts = append(p.attempts, t)
+	l.counters.Subrequests++
+	if l.connLeases != nil {
+		l.connLeases.countAttempts(s.tenant, 1, 0)
 	}
-	if l.pins != nil {
-		l.pinSent(s, t, now)
+	if l.readPins != nil {
+		l.countPinnedAttempt(s, t, now)
 	}
-	for j := range l.calls {
-		if c := &l.calls[j]; c.to == a.Node && len(c.parts) < l.batch {
-			c.parts = append(c.parts, t)
+	for j := range l.batches {
+		if c := &l.batches[j]; c.node == a.Node && len(c.attempts) < l.maxBatch {
+			c.attempts = append(c.attempts, t)
 			return
 		}
 	}
-	l.calls = append(l.calls, call{a.Node, []*store.Part{t}})
+	l.batches = append(l.batches, batch{a.Node, []*store.Part{t}})
 }
 
-// flush sends a call, but for parts called off, or whose search ended, in the same turn; forget ends the latter.
-func (l *loop) flush(c *call) {
-	parts := slices.DeleteFunc(c.parts, func(t *store.Part) bool { return t.Over() || l.owners[t.Part].over || l.owners[t.Part].abroad })
-	if l.agreed != nil {
-		left := call{c.to, parts}
-		if l.refused(&left) {
+// sendBatch sends a call, but for parts called off, or whose search ended, in the same turn; forget ends the latter.
+func (l *loop) sendBatch(c *batch) {
+	parts := slices.DeleteFunc(c.attempts, func(t *store.Part) bool {
+		return t.Over() || l.queryOfShardRequest[t.Part].done || l.queryOfShardRequest[t.Part].forwarded
+	})
+	if l.controlPlane != nil {
+		left := batch{c.node, parts}
+		if l.refuseDrained(&left) {
 			return
 		}
-		l.pressed(&left, l.since())
+		l.countWarmingUp(&left, l.since())
 	}
 	if len(parts) > 0 {
-		l.pool.Send(c.to, parts)
+		l.pool.Send(c.node, parts)
 	}
 }
 
-// subrequestEnded makes an event of a sub-request's end. A value counts from here on: the module learns of it in the
+// attemptEnded makes an event of a sub-request's end. A value counts from here on: the module learns of it in the
 // same turn.
-func (l *loop) subrequestEnded(t *store.Part, how decision.Outcome, at time.Duration, value string) {
-	if l.pins != nil {
-		how = l.pinEnded(t, how, at)
+func (l *loop) attemptEnded(t *store.Part, how decision.Outcome, at time.Duration, value string) {
+	if l.readPins != nil {
+		how = l.pinnedAttemptEnded(t, how, at)
 	}
-	if s, i := l.part(t.Part); s != nil && how == decision.OK && !s.parts[i].in {
-		s.parts[i].in, s.parts[i].value = true, value
-		s.heard, s.heardFor = at, l.tally.Turns+1
+	if s, i := l.findShardRequest(t.Part); s != nil && how == decision.OK && !s.requests[i].answered {
+		s.requests[i].answered, s.requests[i].value = true, value
+		s.lastAnswerAt, s.lastAnswerStep = at, l.counters.Turns+1
 	}
 	took := max(0, at-t.Sent)
 	l.events = append(l.events, decision.Event{Kind: decision.AttemptEnded, ID: t.Part, Attempt: t.Attempt, Outcome: how,
 		Elapsed: took, Node: t.Node})
-	if l.saved != nil {
-		l.saved.judge.Showed(t.Node, how, took, l.since())
+	if l.cachedList != nil {
+		l.cachedList.judge.Showed(t.Node, how, took, l.since())
 	}
 }
 
-// probed takes the end of a probe.
-func (l *loop) probed(id decision.NodeID, how decision.Outcome, took time.Duration) {
+// healthCheckEnded takes the end of a probe.
+func (l *loop) healthCheckEnded(id decision.NodeID, how decision.Outcome, took time.Duration) {
 	l.events = append(l.events, decision.Event{Kind: decision.HealthCheckEnded, Node: id, Outcome: how, Elapsed: took})
 }
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -113,7 +113,7 @@
 	defer w.mu.Unlock()
 	s := w.asked[id[:strings.IndexByte(id, '.')]]
 	switch {
-	case s.over:
+	case s.done:
 		w.t.Errorf("rule 1: %s was sent after its search's answer", id)
 	case shard%2 != l.cell:
 		w.t.Errorf("%s went to a node of cell %d", id, l.cell)
@@ -178,14 +178,14 @@
 	w *world
 }
 
-func (c checked) Snapshot() (out, shut int) { return c.Router.(pictured).Snapshot() }
+func (c checked) Snapshot() (out, shut int) { return c.Router.(inspectable).Snapshot() }
 
 func (c checked) Step(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
-	if t := c.w.loop.tally; t.Taken != t.Answered+t.Shed+t.Errored+t.Left+t.InHand {
+	if t := c.w.loop.counters; t.Taken != t.Answered+t.Shed+t.Errored+t.Left+t.InHand {
 		c.w.t.Errorf("counters do not add up: %+v", t)
 	}
-	if c.w.loop.places > 40 {
-		c.w.t.Errorf("%d places taken", c.w.loop.places)
+	if c.w.loop.slotsUsed > 40 {
+		c.w.t.Errorf("%d places taken", c.w.loop.slotsUsed)
 	}
 	return c.Router.Step(now, ev, out)
 }
