--- a/cmd/flaxfront/crew.go
+++ b/cmd/flaxfront/crew.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if counters.Searches.Crew == nil {
+	if counters.Queries.Membership == nil {
 		return nil, errors.New("the broker keeps no company: crew.on is false")
 	}
-	return counters.Searches.Crew, nil
+	return counters.Queries.Membership, nil
 }
 
 func membersCommand(config *string) *cobra.Command {
@@ -68,7 +68,7 @@
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "DUTY\tEVERY\tOWNER\tNUMBER\tLAST RUN\tNEXT\tRUNS HERE\tREFUSED HERE")
-			for _, d := range s.Duties {
+			for _, d := range s.Ownership {
 				owner, last, next := names[d.Owner], "never", "-"
 				if owner == "" {
 					owner = "nobody yet"
--- a/cmd/flaxfront/keys.go
+++ b/cmd/flaxfront/keys.go
@@ -173,7 +173,7 @@
 			if err != nil {
 				return err
 			}
-			g := counters.Searches.Gateway
+			g := counters.Queries.Gateway
 			if g == nil {
 				return fmt.Errorf("the broker has no gateway: sites.keys is empty")
 			}
@@ -190,11 +190,11 @@
 			if err := w.Flush(); err != nil {
 				return err
 			}
-			n, f := &g.Near, &g.Far
+			n, f := &g.Outgoing, &g.Incoming
 			fmt.Fprintf(cmd.OutOrStdout(), "from here: forwarded %d, answered %d, refused there %d, failed %d; lost with a link %d, resumed %d, brought home %d, given up %d\n"+
 				"not forwarded: no budget %d, no link %d, no time %d\nto here: came %d, run %d, turned away %d, came again %d, called off %d; in hand %d, remembered %d; refused handshakes %d\n",
 				n.Forwarded, n.Answered, n.RefusedThere, n.FailedThere, n.Lost, n.Resumed, n.BroughtHome, n.GivenUp, n.NoBudget, n.NoPeer,
-				n.NoTime, f.Came, f.Ran, f.TurnedAway, f.Joined+f.Repeated, f.CalledOff, f.InHand, f.Remembered, counters.Refused)
+				n.NoTime, f.Came, f.Ran, f.TurnedAway, f.Joined+f.Repeated, f.CalledOff, f.InHand, f.Remembered, counters.RejectedLinks)
 			return nil
 		},
 	}
--- a/cmd/flaxfront/tenants.go
+++ b/cmd/flaxfront/tenants.go
@@ -21,7 +21,7 @@
 			if err != nil {
 				return err
 			}
-			d := counters.Searches.Door
+			d := counters.Queries.Admission
 			if d == nil {
 				return fmt.Errorf("the broker has no door: door.on is false")
 			}
@@ -39,7 +39,7 @@
 			fmt.Fprintln(w, "TENANT\tSHARE\tENTERED\tWAITED\tWAIT NOW\tTURNED AWAY\tRAN OUT\tREPEATS")
 			for _, i := range d.Top() {
 				t := &d.Tenants[i]
-				fmt.Fprintf(w, "%s\t%.1f%%\t%d\t%d\t%d\t%d\t%d\t%d\n", d.Names[i], 100*t.Work/max(1, total), t.Entered, t.Waited, t.Waiting,
+				fmt.Fprintf(w, "%s\t%.1f%%\t%d\t%d\t%d\t%d\t%d\t%d\n", d.TenantNames[i], 100*t.Work/max(1, total), t.Entered, t.Waited, t.Waiting,
 					t.TurnedAway, t.RanOut, t.Repeats)
 			}
 			return w.Flush()
--- a/cmd/flaxlab/flood.go
+++ b/cmd/flaxlab/flood.go
@@ -117,7 +117,7 @@
 	q := func(p float64) float64 { return float64(o.Latency.ValueAtQuantile(p)) / 1000 }
 	fmt.Fprintf(out, "%-22s  %-9d  %4d, %5.1f%%, %6.1f ms, %7.1f ms    %6.1f, %d; rules broken %d\n", door, conns, o.Asked,
 		100*float64(o.Answered)/float64(o.Asked), q(50), q(99), float64(served)/last.Seconds(), turned, len(o.Broken))
-	if d := l.Counters().Searches.Door; d != nil {
+	if d := l.Counters().Queries.Admission; d != nil {
 		fmt.Fprintf(out, "  limit %.0f parts, %.0f a second, baseline %v\n", d.Limit, d.Rate, d.Baseline.Round(time.Millisecond))
 	}
 	return l.end()
--- a/cmd/flaxlab/sites.go
+++ b/cmd/flaxlab/sites.go
@@ -143,8 +143,8 @@
 			audit := &lab.Audit{Fleet: []*lab.Fleet{p.sites[0].Fleet, p.sites[1].Fleet}}
 			o := p.load(0, day.rate, 6*time.Second, 7, audit)
 			forwarded := uint64(0)
-			if g := p.live[0].Counters().Searches.Gateway; g != nil {
-				forwarded = g.Near.Forwarded
+			if g := p.live[0].Counters().Queries.Gateway; g != nil {
+				forwarded = g.Outgoing.Forwarded
 			}
 			time.Sleep(300 * time.Millisecond)
 			broken, _ := audit.Check()
@@ -225,8 +225,8 @@
 		broken, audited = append(append(broken, why...), o.Broken...), audited+n
 		sum.Asked, sum.Answered, sum.Shed = sum.Asked+o.Asked, sum.Answered+o.Answered, sum.Shed+o.Shed
 		sum.Failed, sum.Unanswered, sum.InTarget = sum.Failed+o.Failed, sum.Unanswered+o.Unanswered, sum.InTarget+o.InTarget
-		c := p.live[0].Counters().Searches.Gateway.Near
-		far := p.live[1].Counters().Searches.Gateway.Far
+		c := p.live[0].Counters().Queries.Gateway.Outgoing
+		far := p.live[1].Counters().Queries.Gateway.Incoming
 		for i, v := range []uint64{c.Forwarded, c.Answered, c.Lost, c.Resumed, c.BroughtHome, c.GivenUp, far.Joined + far.Repeated, far.CalledOff} {
 			gate[i] += v
 		}
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -200,7 +200,7 @@
 // sumPins counts what a broker counted of hints in its life.
 func (f *front) sumPins() {
 	if f.core != nil && f.w.script.Reads.On {
-		if p := f.core.Counters().Pins; p != nil {
+		if p := f.core.Counters().ReadPins; p != nil {
 			f.by.tally.reads.Add(&ReadCounts{Pins: p.Counts})
 		}
 	}
--- a/internal/protocols/back/pairs_test.go
+++ b/internal/protocols/back/pairs_test.go
@@ -176,7 +176,7 @@
 					t.Errorf("%s before %s, half dead: whole %v, %d records, %d of them there", name, protocol, f.whole, f.count, len(f.records))
 				}
 			}
-			if c := w.s.Counters().Searches; c.Taken != 6 || c.Answered != 6 || c.Partial != 3 || c.InHand != 0 {
+			if c := w.s.Counters().Queries; c.Received != 6 || c.Answered != 6 || c.Partial != 3 || c.InFlight != 0 {
 				t.Errorf("%+v", c)
 			}
 		})
--- a/internal/protocols/front/z3950/broker_test.go
+++ b/internal/protocols/front/z3950/broker_test.go
@@ -138,7 +138,7 @@
 	if count, _, diagnostics := get("query=dc.title+%3D+cat"); count != 20 || diagnostics != 1 {
 		t.Errorf("half of the store is gone: %d records, %d diagnostics", count, diagnostics)
 	}
-	if c := s.Counters().Searches; c.Partial != 2 || c.Taken != c.Answered {
+	if c := s.Counters().Queries; c.Partial != 2 || c.Received != c.Answered {
 		t.Errorf("%+v", c)
 	}
 	close(stop)
--- a/internal/protocols/front/z3950/cold_test.go
+++ b/internal/protocols/front/z3950/cold_test.go
@@ -111,7 +111,7 @@
 			t.Error("a cold node was pushed over")
 		}
 	}
-	if c := s.Counters().Searches; c.Taken != sessions || c.InHand != 0 || c.Taken != c.Answered+c.Shed+c.Errored+c.Left {
+	if c := s.Counters().Queries; c.Received != sessions || c.InFlight != 0 || c.Received != c.Answered+c.Shed+c.Failed+c.Abandoned {
 		t.Errorf("%+v", c)
 	}
 	t.Logf("%v", seen)
--- a/internal/server/door.go
+++ b/internal/server/admission.go
@@ -96,10 +96,10 @@
 	case admission.Wait:
 		s.queued = true
 		d.waiting[s.ticket] = s
-		l.counters.InHand++
+		l.counters.InFlight++
 		l.requestIDs[s.ask.id] = true
 	case admission.Turn:
-		l.counters.TurnedAway++
+		l.counters.RejectedByAdmission++
 		l.deliverResult(s, result{kind: shed, after: hint})
 	}
 	return false
@@ -119,11 +119,11 @@
 		n := len(s.ask.parts)
 		switch {
 		case !let.Enter:
-			l.counters.TurnedAway++
+			l.counters.RejectedByAdmission++
 			l.finishQueued(s, result{kind: shed, after: let.Hint})
 		case l.slotsUsed+1+n > l.maxInFlight:
 			l.markAdmitted(s, now)
-			l.counters.Full++
+			l.counters.NoCapacity++
 			l.finishQueued(s, result{kind: shed, after: l.maxRetryAfter})
 		default:
 			l.markAdmitted(s, now)
@@ -136,7 +136,7 @@
 // finishQueued gives a search that waited at the door its verdict.
 func (l *loop) finishQueued(s *search, v result) {
 	l.deliverResult(s, v)
-	l.counters.InHand--
+	l.counters.InFlight--
 	delete(l.requestIDs, s.ask.id)
 }
 
@@ -145,7 +145,7 @@
 	l.admission.Gone(s.admissionTenant(l.admission), s.ticket)
 	delete(l.admission.waiting, s.ticket)
 	s.queued, s.done = false, true
-	l.counters.InHand--
+	l.counters.InFlight--
 	delete(l.requestIDs, s.ask.id)
 }
 
@@ -172,7 +172,7 @@
 		s.admitted = false
 		now := l.since()
 		own := s.stepDelay
-		if s.lastAnswerStep == l.counters.Turns { // this turn ends it, by what came in before it
+		if s.lastAnswerStep == l.counters.Steps { // this turn ends it, by what came in before it
 			own += now - s.lastAnswerAt
 		}
 		l.admission.Done(admission.End{Work: s.work, Took: now - s.admittedAt, Own: own, Answered: answered, Shed: refused}, now)
@@ -182,5 +182,5 @@
 // AdmissionState is what operators see of the door.
 type AdmissionState struct {
 	admission.State
-	Names []string
+	TenantNames []string `json:"Names"` // of the tenants
 }
--- a/internal/server/door_test.go
+++ b/internal/server/admission_test.go
@@ -42,9 +42,9 @@
 	if quiet.Answered < quiet.Asked*9/10 || len(quiet.Broken)+len(flood.Broken) > 0 || flood.Shed == 0 || flood.Answered == 0 {
 		t.Errorf("quiet %v\nflood %v\n%v", quiet, flood, append(quiet.Broken, flood.Broken...))
 	}
-	c := s.Counters().Searches
-	if c.Taken != c.Answered+c.Shed+c.Errored+c.Left+c.InHand || c.InHand != 0 || c.TurnedAway == 0 || c.Door.InHand > 1e-6 {
-		t.Errorf("%+v, %+v", c, c.Door)
+	c := s.Counters().Queries
+	if c.Received != c.Answered+c.Shed+c.Failed+c.Abandoned+c.InFlight || c.InFlight != 0 || c.RejectedByAdmission == 0 || c.Admission.InHand > 1e-6 {
+		t.Errorf("%+v, %+v", c, c.Admission)
 	}
 	var last *lab.Outcome
 	both.Go(func() { last = doorLoad(s, "acme", 400, 300*time.Millisecond, 3) })
@@ -75,13 +75,13 @@
 		c.Close()
 	}
 	(&keeping{t: t}).until("all are gone", func() bool {
-		c := s.Counters().Searches
+		c := s.Counters().Queries
 		waiting := 0
-		for _, n := range c.Door.Tenants {
+		for _, n := range c.Admission.Tenants {
 			waiting += n.Waiting
 		}
-		return c.Taken == 80 && c.InHand == 0 && waiting == 0 && c.Door.InHand < 1e-6 &&
-			c.Taken == c.Answered+c.Shed+c.Errored+c.Left
+		return c.Received == 80 && c.InFlight == 0 && waiting == 0 && c.Admission.InHand < 1e-6 &&
+			c.Received == c.Answered+c.Shed+c.Failed+c.Abandoned
 	})
 }
 
--- a/internal/server/saved_test.go
+++ b/internal/server/cached_list_test.go
@@ -68,7 +68,7 @@
 	k.List[0].Lifecycle = "terminating"
 	k.Discovery.Set(k.List)
 	s, end := k.start(false)
-	k.until("the list is kept", func() bool { return s.Counters().NodeList.Snapshots > 0 && s.Counters().Searches.ListsTaken > 0 })
+	k.until("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
 	k.Discovery.Down()
 	end()
 	drained := k.Nodes[0].Parts.Load()
@@ -91,7 +91,7 @@
 	if n := k.Nodes[0].Parts.Load(); n != drained {
 		t.Errorf("%d parts went to a node whose drain was told before the restart", n-drained)
 	}
-	c := s.Counters().Searches.Trust
+	c := s.Counters().Queries.CachedList
 	if other.Wrong.Load() == 0 || other.Wrong.Load() > 10 {
 		t.Errorf("%d parts went to what answers at the address of another", other.Wrong.Load())
 	}
@@ -103,17 +103,17 @@
 	if err := k.Discovery.Up(""); err != nil {
 		t.Fatal(err)
 	}
-	k.until("the list is taken", func() bool { return s.Counters().Searches.ListsTaken > 0 })
+	k.until("the list is taken", func() bool { return s.Counters().Queries.ListsReceived > 0 })
 	after := k.Nodes[4].Parts.Load()
 	if o := k.load(s, 700*time.Millisecond); len(o.Broken) > 0 {
 		t.Error(o.Broken)
 	}
-	if c := s.Counters().Searches.Trust; c.Confirmed != 8 || k.Nodes[4].Parts.Load() != after || k.Nodes[0].Parts.Load() == drained {
+	if c := s.Counters().Queries.CachedList; c.Confirmed != 8 || k.Nodes[4].Parts.Load() != after || k.Nodes[0].Parts.Load() == drained {
 		t.Errorf("%+v; %d and %d parts", c, k.Nodes[4].Parts.Load()-after, k.Nodes[0].Parts.Load()-drained)
 	}
 	// Discovery comes back from its next outage with a list that lacks most nodes: it is taken as the protocol says.
 	k.Discovery.Set(k.List[:1])
-	k.until("the short list is taken", func() bool { return s.Counters().Searches.Nodes <= 4 })
+	k.until("the short list is taken", func() bool { return s.Counters().Queries.Nodes <= 4 })
 	end()
 	if c, err := nodelist.Read(nodelist.Disk{}, k.dir, ""); err != nil || !c.Found || len(c.Entries) != 8 {
 		t.Errorf("%v, %+v", err, c)
@@ -137,7 +137,7 @@
 func TestAskedOfARunningBroker(t *testing.T) {
 	k := newKeeping(t, 4)
 	s, end := k.start(false)
-	k.until("the list is kept", func() bool { return s.Counters().NodeList.Snapshots > 0 && s.Counters().Searches.ListsTaken > 0 })
+	k.until("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
 	k.Discovery.Down()
 	end()
 	s, _ = k.start(false)
@@ -161,7 +161,7 @@
 	if o := k.load(s, 300*time.Millisecond); len(o.Broken) > 0 || o.Answered < o.Asked*9/10 {
 		t.Errorf("%v, %v", o, o.Broken)
 	}
-	if c := s.Counters().Searches.Trust; c.Confirmed+c.Doubtful != 4 {
+	if c := s.Counters().Queries.CachedList; c.Confirmed+c.Doubtful != 4 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -59,7 +59,7 @@
 	s.clients.mu.Lock()
 	s.clients.closing = false
 	s.clients.mu.Unlock()
-	before := s.Counters().Searches.Taken
+	before := s.Counters().Queries.Received
 	text := post(id, body)
 	ended := converses(s, near)
 	settled := func(reached func(c *client) bool) {
@@ -108,7 +108,7 @@
 	m, err := httpwire.ReadResponse(in)
 	reason := <-ended
 	was := strings.Join(strings.Fields(fmt.Sprint(course)), " ")
-	taken := s.Counters().Searches.Taken - before
+	taken := s.Counters().Queries.Received - before
 	asked, departed := slices.Index(course, becomes), slices.Index(course, departs)
 	switch {
 	case asked < 0 && taken > 0:
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -67,9 +67,9 @@
 	s, _ := live(t, 1024)
 	gone, stays := dial(t, s), dial(t, s)
 	io.WriteString(gone, hanging("a", "1900"))
-	until(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	until(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	gone.Close()
-	until(s, func(c Counters) bool { return c.Searches.Left == 1 && c.Searches.InHand == 0 })
+	until(s, func(c Counters) bool { return c.Queries.Abandoned == 1 && c.Queries.InFlight == 0 })
 	if m := stays.say(post("b", body)); m.Status != 200 {
 		t.Errorf("%d", m.Status)
 	}
@@ -84,7 +84,7 @@
 	idle.say(post("a", body))
 	again.say(post("a2", body))
 	io.WriteString(busy, hanging("b", "900"))
-	until(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	until(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	done := make(chan error, 1)
 	go func() { done <- end() }()
 	for !s.draining.Load() {
@@ -120,7 +120,7 @@
 	s, _ := live(t, spareSockets+6) // two for nodes, four for clients
 	busy := dial(t, s)
 	io.WriteString(busy, hanging("a", "900"))
-	until(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	until(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	for range 3 { // requests that never come whole hold no place for ever
 		io.WriteString(dial(t, s), post("x", body)[:50])
 	}
--- a/internal/server/fleet.go
+++ b/internal/server/control_plane.go
@@ -154,8 +154,8 @@
 			case <-s.ctx.Done():
 				return nil
 			}
-			if f := s.Counters().Searches.Fleet; f != nil {
-				p.report.Store(&controlplane.Report{Classes: f.Classes, Cold: f.Cold})
+			if f := s.Counters().Queries.ControlPlane; f != nil {
+				p.report.Store(&controlplane.Report{Classes: f.Classes, Cold: f.WarmingUpAttempts})
 			}
 		}
 	})
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -9,11 +9,11 @@
 
 // Counters are a broker's counters for operators. The JSON names are read by operators' programs and stay.
 type Counters struct {
-	Searches QueryCounters       `json:"Searches"`
-	Clients  ClientCounters      `json:"Clients"`
-	Peers    GossipCounters      `json:"Peers"`
-	NodeList *CachedListCounters `json:"NodeList,omitempty"` // where a cached list is kept
-	Refused  uint64              `json:"Refused,omitempty"`  // site links that failed in the handshake
+	Queries       QueryCounters       `json:"Searches"`
+	Clients       ClientCounters      `json:"Clients"`
+	Peers         GossipCounters      `json:"Peers"`
+	CachedList    *CachedListCounters `json:"NodeList,omitempty"` // where a cached list is kept
+	RejectedLinks uint64              `json:"Refused,omitempty"`  // site links that failed in the handshake
 }
 
 // ClientCounters count client connections.
@@ -26,50 +26,50 @@
 
 // GossipCounters count datagrams between brokers.
 type GossipCounters struct {
-	Sent      uint64
-	Heard     uint64 `json:"Heard"`
-	Strangers uint64 `json:"Strangers"` // from addresses of no broker
-	TooLong   uint64
-	Dropped   uint64
-	Unsealed  uint64 `json:"Unsealed"` // under none of the keys
+	Sent            uint64
+	Received        uint64 `json:"Heard"`
+	UnknownSender   uint64 `json:"Strangers"` // from addresses of no broker
+	TooLong         uint64
+	Dropped         uint64
+	Unauthenticated uint64 `json:"Unsealed"` // under none of the keys
 }
 
 // CachedListCounters count writes of the cached endpoint list.
 type CachedListCounters struct {
-	Saving    bool `json:"Saving"` // the last write succeeded
-	Writes    uint64
-	Snapshots uint64
-	Bytes     uint64
-	Failed    uint64
+	LastWriteOK bool `json:"Saving"` // the last write succeeded
+	Writes      uint64
+	Snapshots   uint64
+	Bytes       uint64
+	Failed      uint64
 }
 
 // QueryCounters count what became of queries: Received = Answered + Shed + Failed + Abandoned + InFlight. Nothing decides by them.
 type QueryCounters struct {
-	Taken       uint64             `json:"Taken"`
-	Answered    uint64             `json:"Answered"`
-	Shed        uint64             `json:"Shed"`
-	Errored     uint64             `json:"Errored"`
-	Left        uint64             `json:"Left"`
-	InHand      uint64             `json:"InHand"`
-	Partial     uint64             `json:"Partial"`              // of those answered
-	TurnedAway  uint64             `json:"TurnedAway,omitempty"` // of those shed: by admission
-	Full        uint64             `json:"Full"`                 // of those shed: no slot or descriptor was left
-	Turns       uint64             `json:"Turns"`
-	Subrequests uint64             `json:"Subrequests"`
-	ListsTaken  uint64             `json:"ListsTaken"`
-	ListsFailed uint64             `json:"ListsFailed"`
-	Nodes       int                `json:"Nodes"`       // now
-	NodeConns   int                `json:"NodeConns"`   // now
-	Out         int                `json:"Out"`         // attempts in flight, on the wire
-	OutByModule int                `json:"OutByModule"` // the same, as the router counts them
-	ShutOut     int                `json:"ShutOut"`     // nodes that are ejected
-	Store       store.Counts       `json:"Store"`
-	Trust       *cachedlist.Counts `json:"Trust,omitempty"`   // with a cached list
-	Door        *AdmissionState    `json:"Door,omitempty"`    // with admission
-	Gateway     *GatewayState      `json:"Gateway,omitempty"` // with links to other sites
-	Crew        *MembershipState   `json:"Crew,omitempty"`    // with membership
-	Fleet       *ControlPlaneState `json:"Fleet,omitempty"`   // with a control plane
-	Pins        *ReadPinState      `json:"Pins,omitempty"`    // with read pins
+	Received            uint64             `json:"Taken"`
+	Answered            uint64             `json:"Answered"`
+	Shed                uint64             `json:"Shed"`
+	Failed              uint64             `json:"Errored"`
+	Abandoned           uint64             `json:"Left"`
+	InFlight            uint64             `json:"InHand"`
+	Partial             uint64             `json:"Partial"`              // of those answered
+	RejectedByAdmission uint64             `json:"TurnedAway,omitempty"` // of those shed: by admission
+	NoCapacity          uint64             `json:"Full"`                 // of those shed: no slot or descriptor was left
+	Steps               uint64             `json:"Turns"`
+	Attempts            uint64             `json:"Subrequests"`
+	ListsReceived       uint64             `json:"ListsTaken"`
+	ListsFailed         uint64             `json:"ListsFailed"`
+	Nodes               int                `json:"Nodes"`       // now
+	NodeConnections     int                `json:"NodeConns"`   // now
+	AttemptsInFlight    int                `json:"Out"`         // attempts in flight, on the wire
+	AttemptsByRouter    int                `json:"OutByModule"` // the same, as the router counts them
+	EjectedNodes        int                `json:"ShutOut"`     // nodes that are ejected
+	Store               store.Counts       `json:"Store"`
+	CachedList          *cachedlist.Counts `json:"Trust,omitempty"`   // with a cached list
+	Admission           *AdmissionState    `json:"Door,omitempty"`    // with admission
+	Gateway             *GatewayState      `json:"Gateway,omitempty"` // with links to other sites
+	Membership          *MembershipState   `json:"Crew,omitempty"`    // with membership
+	ControlPlane        *ControlPlaneState `json:"Fleet,omitempty"`   // with a control plane
+	ReadPins            *ReadPinState      `json:"Pins,omitempty"`    // with read pins
 }
 
 // Counters asks the loop for its figures and adds the others.
@@ -77,7 +77,7 @@
 	r := countersRequested{make(chan QueryCounters, 1)}
 	if s.deliver(r) {
 		select {
-		case c.Searches = <-r.to:
+		case c.Queries = <-r.to:
 		case <-s.ctx.Done():
 		}
 	}
@@ -85,16 +85,16 @@
 	c.Clients.Accepted, c.Clients.Closed = cs.accepted.Load(), cs.closed.Load()
 	c.Clients.BadRequests, c.Clients.Unwritten = cs.refused.Load(), cs.unwritten.Load()
 	if s.siteLinks != nil {
-		c.Refused = s.siteLinks.Refused.Load()
+		c.RejectedLinks = s.siteLinks.Refused.Load()
 	}
 	if s.listStore != nil {
 		n := &s.listStore.Counters
-		c.NodeList = &CachedListCounters{n.Saving.Load(), n.Writes.Load(), n.Snapshots.Load(), n.Bytes.Load(), n.Failed.Load()}
+		c.CachedList = &CachedListCounters{n.Saving.Load(), n.Writes.Load(), n.Snapshots.Load(), n.Bytes.Load(), n.Failed.Load()}
 	}
 	if s.gossip != nil {
 		p := &s.gossip.Counts
-		c.Peers.Sent, c.Peers.Heard, c.Peers.Strangers = p.Sent.Load(), p.Heard.Load(), p.Strangers.Load()
-		c.Peers.TooLong, c.Peers.Dropped, c.Peers.Unsealed = p.TooLong.Load(), p.Dropped.Load(), p.Unsealed.Load()
+		c.Peers.Sent, c.Peers.Received, c.Peers.UnknownSender = p.Sent.Load(), p.Heard.Load(), p.Strangers.Load()
+		c.Peers.TooLong, c.Peers.Dropped, c.Peers.Unauthenticated = p.TooLong.Load(), p.Dropped.Load(), p.Unsealed.Load()
 	}
 	return c
 }
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	for end := time.Now().Add(time.Second); !reached(s.Counters()); {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within a second: %+v", what, s.Counters().Searches)
+			t.Fatalf("%s: not within a second: %+v", what, s.Counters().Queries)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 			n++
 			c := dial(t, s)
 			io.WriteString(c, hanging("a", "1900"))
-			within(t, s, what, func(c Counters) bool { return c.Searches.InHand == 1 })
+			within(t, s, what, func(c Counters) bool { return c.Queries.InFlight == 1 })
 			go func() {
 				io.WriteString(c, behind)
 				if reset {
@@ -48,10 +48,10 @@
 				}
 				c.Close()
 			}()
-			within(t, s, what, func(c Counters) bool { return c.Searches.Left == n && c.Searches.InHand == 0 })
+			within(t, s, what, func(c Counters) bool { return c.Queries.Abandoned == n && c.Queries.InFlight == 0 })
 			within(t, s, what, func(Counters) bool { return s.clients.closed.Load() == n })
-			if got := s.Counters().Searches; got.Taken != n || got.Store.Parts > 2*n {
-				t.Errorf("%s, reset %v: %d taken of %d, %d parts sent", what, reset, got.Taken, n, got.Store.Parts)
+			if got := s.Counters().Queries; got.Received != n || got.Store.Parts > 2*n {
+				t.Errorf("%s, reset %v: %d taken of %d, %d parts sent", what, reset, got.Received, n, got.Store.Parts)
 			}
 		}
 	}
@@ -68,8 +68,8 @@
 	if reason := <-converses(s, near); reason != "client_left" {
 		t.Errorf("ended as %s", reason)
 	}
-	if n := s.Counters().Searches; n.Taken != 0 || n.Store.Parts != 0 {
-		t.Errorf("%d taken, %d parts sent", n.Taken, n.Store.Parts)
+	if n := s.Counters().Queries; n.Received != 0 || n.Store.Parts != 0 {
+		t.Errorf("%d taken, %d parts sent", n.Received, n.Store.Parts)
 	}
 }
 
@@ -78,7 +78,7 @@
 	s, _ := live(t, 1024)
 	c := dial(t, s)
 	io.WriteString(c, hanging("a", "900"))
-	within(t, s, "first", func(c Counters) bool { return c.Searches.InHand == 1 })
+	within(t, s, "first", func(c Counters) bool { return c.Queries.InFlight == 1 })
 	begun := time.Now()
 	io.WriteString(c, hanging("b", "1000"))
 	for _, id := range []string{"a", "b"} {
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -63,7 +63,7 @@
 		now[d.Node] = true
 		have := a.drains[d.Node]
 		if have == nil || have.number != d.Number {
-			have = &agreedDrain{number: d.Number, routerStep: l.counters.Turns + 1}
+			have = &agreedDrain{number: d.Number, routerStep: l.counters.Steps + 1}
 			a.drains[d.Node] = have
 			slog.Info("node drained by agreement", "node", d.Node, "number", d.Number)
 			if n, known := l.nodes[d.Node]; known {
@@ -106,7 +106,7 @@
 		if d.acked && d.enforced || d.ackProposed {
 			continue
 		}
-		if l.counters.Turns < d.routerStep || l.pool.OutTo(id) > 0 {
+		if l.counters.Steps < d.routerStep || l.pool.OutTo(id) > 0 {
 			next = min(next, now+20*time.Millisecond)
 			continue
 		}
@@ -159,33 +159,33 @@
 
 // ControlPlaneState is what operators see of what the tier agreed, as this broker has it.
 type ControlPlaneState struct {
-	Index       uint64
-	Connected   bool
-	Leader      string
-	Incarnation uint64
-	Standing    string
-	Permit      statemachine.ReleasePermit
-	Drains      []controlplane.Drain
-	Shut        int // drained nodes that get nothing
-	Policy      uint64
-	Epoch       uint64
-	Halted      string `json:",omitempty"`
-	Classes     []controlplane.Class
-	Cold        uint64 // parts sent to nodes that were still warming up
+	Index             uint64
+	Connected         bool
+	Leader            string
+	Incarnation       uint64
+	Standing          string
+	Permit            statemachine.ReleasePermit
+	Drains            []controlplane.Drain
+	EnforcedDrains    int    `json:"Shut"` // drained nodes that get nothing
+	PolicyVersion     uint64 `json:"Policy"`
+	Epoch             uint64
+	Halted            string `json:",omitempty"`
+	Classes           []controlplane.Class
+	WarmingUpAttempts uint64 `json:"Cold"` // attempts sent to nodes that were still warming up
 }
 
 func (l *loop) controlPlaneState() *ControlPlaneState {
 	a := l.controlPlane
 	s := &ControlPlaneState{Index: a.view.Index, Connected: a.view.Held(l.since()), Leader: a.view.Leader, Incarnation: a.view.Me.Incarnation,
 		Standing: a.view.Me.Status.String(), Permit: a.view.Permit, Drains: a.view.Drains, Epoch: a.view.Epoch,
-		Classes: append([]controlplane.Class(nil), a.classes...), Cold: a.warmingUpAttempts}
+		Classes: append([]controlplane.Class(nil), a.classes...), WarmingUpAttempts: a.warmingUpAttempts}
 	for _, d := range a.drains {
 		if d.enforced {
-			s.Shut++
+			s.EnforcedDrains++
 		}
 	}
 	if p := a.view.Policy; p != nil {
-		s.Policy = p.Version
+		s.PolicyVersion = p.Version
 	}
 	if a.view.Halted != nil {
 		s.Halted = a.view.Halted.Error()
--- a/internal/server/list.go
+++ b/internal/server/endpoint_list.go
@@ -29,7 +29,7 @@
 	if list.Cells != 0 && list.Cells != l.cells {
 		return // read before the layout changed; the whole list of the new one is asked for
 	}
-	l.counters.ListsTaken++
+	l.counters.ListsReceived++
 	l.applyList(list)
 	if l.membership != nil {
 		l.shareList(list)
--- a/internal/server/epoch.go
+++ b/internal/server/endpoint_snapshot.go
@@ -36,7 +36,7 @@
 // publishEndpoints leaves the list for the fleet.
 func (l *loop) publishEndpoints(to *atomic.Pointer[endpointSnapshot]) {
 	have := &endpointSnapshot{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
-	have.Ready, have.Since, have.Told = map[decision.NodeID]bool{}, l.since(), l.counters.ListsTaken > 0 && !l.pollFailed
+	have.Ready, have.Since, have.Told = map[decision.NodeID]bool{}, l.since(), l.counters.ListsReceived > 0 && !l.pollFailed
 	for id, n := range l.nodes {
 		have.Nodes = append(have.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
 		have.names[id], have.ids[n.Name], have.ids[n.Addr.String()] = n.Name, id, id
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -119,7 +119,7 @@
 // forgetForwarded forgets a search that was abroad.
 func (l *loop) forgetForwarded(s *search, id uint64) {
 	s.done = true
-	l.counters.InHand--
+	l.counters.InFlight--
 	delete(l.gateway.forwarded, id)
 	delete(l.requestIDs, s.ask.id)
 }
@@ -129,10 +129,10 @@
 	delete(l.gateway.forwarded, a.ID)
 	s.forwarded, s.takenBack, s.mayHaveRun = false, true, a.Risk
 	if l.slotsUsed+1+len(s.ask.parts) > l.maxInFlight {
-		l.counters.InHand--
+		l.counters.InFlight--
 		s.done = true
 		delete(l.requestIDs, s.ask.id)
-		l.counters.Full++
+		l.counters.NoCapacity++
 		l.deliverResult(s, s.shedResult(result{kind: shed, after: l.maxRetryAfter}, l))
 		return
 	}
@@ -177,7 +177,7 @@
 
 // GatewayState is what operators see of the gateway.
 type GatewayState struct {
-	Near  forwarding.NearCounts
-	Far   forwarding.FarCounts
-	Links []forwarding.PeerState
+	Outgoing forwarding.NearCounts `json:"Near"`
+	Incoming forwarding.FarCounts  `json:"Far"`
+	Links    []forwarding.PeerState
 }
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -71,7 +71,7 @@
 	(&keeping{t: w.t}).until(what, so)
 }
 
-func (w *twin) near(i int) *GatewayState { return w.live[i].Counters().Searches.Gateway }
+func (w *twin) near(i int) *GatewayState { return w.live[i].Counters().Queries.Gateway }
 
 // lose ends the nodes of a cell at a site.
 func (w *twin) lose(site, cell int) {
@@ -98,13 +98,13 @@
 // What the first site has no holders for is served at the second, within the client's time and with the second's values.
 func TestForwarding(t *testing.T) {
 	w := newTwin(t, 40*time.Millisecond)
-	if o := w.load(100, 300*time.Millisecond); w.near(0).Near.Forwarded > 0 || o.Answered < o.Asked*9/10 {
-		t.Errorf("on a calm day %+v, %v", w.near(0).Near, o)
+	if o := w.load(100, 300*time.Millisecond); w.near(0).Outgoing.Forwarded > 0 || o.Answered < o.Asked*9/10 {
+		t.Errorf("on a calm day %+v, %v", w.near(0).Outgoing, o)
 	}
 	w.lose(0, 0)
 	o := w.load(100, 700*time.Millisecond)
-	n := w.near(0).Near
-	if n.Forwarded == 0 || n.Answered == 0 || o.Answered < o.Asked*9/10 || w.near(1).Far.Ran != n.Forwarded {
+	n := w.near(0).Outgoing
+	if n.Forwarded == 0 || n.Answered == 0 || o.Answered < o.Asked*9/10 || w.near(1).Incoming.Ran != n.Forwarded {
 		t.Errorf("%+v, %v", n, o)
 	}
 	// The second site drains a box while forwarded searches are on their way.
@@ -119,15 +119,15 @@
 	// Neither site has holders: searches are shed at once, and nothing goes back and forth.
 	w.lose(1, 0)
 	w.load(100, 500*time.Millisecond)
-	w.until("that is known", func() bool { return w.near(1).Far.InHand == 0 })
+	w.until("that is known", func() bool { return w.near(1).Incoming.InHand == 0 })
 	time.Sleep(300 * time.Millisecond)
-	forwarded := w.near(0).Near.Forwarded
+	forwarded := w.near(0).Outgoing.Forwarded
 	w.load(60, 300*time.Millisecond)
-	if n := w.near(0).Near.Forwarded - forwarded; n > 5 {
+	if n := w.near(0).Outgoing.Forwarded - forwarded; n > 5 {
 		t.Errorf("%d searches were forwarded to a site that has no holders either", n)
 	}
-	if w.near(1).Near.Forwarded > 0 {
-		t.Errorf("the second site sent searches on: %+v", w.near(1).Near)
+	if w.near(1).Outgoing.Forwarded > 0 {
+		t.Errorf("the second site sent searches on: %+v", w.near(1).Outgoing)
 	}
 }
 
@@ -146,7 +146,7 @@
 		}
 	}()
 	o := w.load(150, 2*time.Second)
-	n := w.near(0).Near
+	n := w.near(0).Outgoing
 	if o.Unanswered > 0 || n.Forwarded == 0 || n.Abroad != 0 {
 		t.Errorf("%v, %+v", o, n)
 	}
@@ -169,14 +169,14 @@
 		t.Error(o)
 	}
 	<-ended
-	if n := w.near(0).Near; n.Lost > 0 {
+	if n := w.near(0).Outgoing; n.Lost > 0 {
 		t.Errorf("searches were lost with a planned stop: %+v", n)
 	}
 	w.start(1)
 	w.until("the link stands again", func() bool { return w.near(0).Links[0].Usable })
-	answered := w.near(0).Near.Answered
+	answered := w.near(0).Outgoing.Answered
 	w.load(100, 300*time.Millisecond)
-	if w.near(0).Near.Answered == answered {
+	if w.near(0).Outgoing.Answered == answered {
 		t.Error("the new broker was not used")
 	}
 }
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -164,15 +164,15 @@
 		synctest.Wait()
 		r := countersRequested{make(chan QueryCounters, 1)}
 		l.inbox <- r
-		if now := <-r.to; now.OutByModule != now.Out {
-			w.t.Errorf("step %d: the module takes %d parts to be out, %d are", n, now.OutByModule, now.Out)
+		if now := <-r.to; now.AttemptsByRouter != now.AttemptsInFlight {
+			w.t.Errorf("step %d: the module takes %d parts to be out, %d are", n, now.AttemptsByRouter, now.AttemptsInFlight)
 		}
 	}
 	time.Sleep(10 * time.Second)
 	synctest.Wait()
 	cancel()
 	<-ended // the loop is nobody's now
-	if t := l.counters; t.InHand != 0 || l.slotsUsed != 0 || len(l.queryOfShardRequest)+len(l.requestIDs)+len(l.queries) != 0 || t.Answered == 0 {
+	if t := l.counters; t.InFlight != 0 || l.slotsUsed != 0 || len(l.queryOfShardRequest)+len(l.requestIDs)+len(l.queries) != 0 || t.Answered == 0 {
 		w.t.Errorf("at the end: %+v, %d places, %d parts", t, l.slotsUsed, len(l.queryOfShardRequest))
 	}
 	listing := 0 // what the loop still keeps of nodes
@@ -205,7 +205,7 @@
 				}
 			}
 		}
-		if len(verdicts) != 2 || verdicts[0] != twice || verdicts[1] != shed || l.counters.Full != 1 || l.counters.InHand != 2 {
+		if len(verdicts) != 2 || verdicts[0] != twice || verdicts[1] != shed || l.counters.NoCapacity != 1 || l.counters.InFlight != 2 {
 			t.Errorf("%v, %+v", verdicts, l.counters)
 		}
 	})
--- a/internal/server/crew.go
+++ b/internal/server/membership.go
@@ -145,8 +145,8 @@
 		case jobPollDiscovery:
 			l.pollDiscovery()
 		case jobLogCounters:
-			slog.Info("duty: counters of the owner", "taken", l.counters.Taken, "answered", l.counters.Answered, "shed", l.counters.Shed,
-				"errored", l.counters.Errored, "in_hand", l.counters.InHand, "living", c.members.Living())
+			slog.Info("duty: counters of the owner", "taken", l.counters.Received, "answered", l.counters.Answered, "shed", l.counters.Shed,
+				"errored", l.counters.Failed, "in_hand", l.counters.InFlight, "living", c.members.Living())
 		}
 		c.ownership.Done(r, true, now)
 	}
--- a/internal/server/crewstate.go
+++ b/internal/server/membership_state.go
@@ -12,12 +12,12 @@
 
 // MembershipState is what operators see of the tier.
 type MembershipState struct {
-	Self    string
-	Now     time.Duration
-	Members []membership.Member
-	Duties  []ownership.State
-	Counts  membership.Counts
-	List    gossip.Counts
+	Self            string
+	Now             time.Duration
+	Members         []membership.Member
+	Ownership       []ownership.State `json:"Duties"`
+	Counts          membership.Counts
+	SharedEndpoints gossip.Counts `json:"List"`
 }
 
 func (l *loop) membershipState(now time.Duration) *MembershipState {
--- a/internal/server/crew_test.go
+++ b/internal/server/membership_test.go
@@ -54,7 +54,7 @@
 func TestCrewOnSockets(t *testing.T) {
 	all, ends := tierOf(t, 4)
 	k := &keeping{t: t}
-	crewOf := func(i int) *MembershipState { return all[i].Counters().Searches.Crew }
+	crewOf := func(i int) *MembershipState { return all[i].Counters().Queries.Membership }
 	states := func(i int, of membership.State) (names string) {
 		for _, m := range crewOf(i).Members {
 			if m.State == of {
@@ -72,15 +72,15 @@
 		return true
 	})
 	k.until("a duty has one owner", func() bool {
-		a, b, c := crewOf(0).Duties[0], crewOf(1).Duties[0], crewOf(2).Duties[0]
+		a, b, c := crewOf(0).Ownership[0], crewOf(1).Ownership[0], crewOf(2).Ownership[0]
 		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.Turn > 0
 	})
-	if c := all[0].Counters(); c.Peers.Unsealed == 0 && all[3].Counters().Peers.Unsealed == 0 {
+	if c := all[0].Counters(); c.Peers.Unauthenticated == 0 && all[3].Counters().Peers.Unauthenticated == 0 {
 		t.Error("nobody counted what the fourth said under another secret")
 	}
 	owner := 0
 	for i := range 3 {
-		if uint32(membership.IDOf(fmt.Sprintf("n%d", i))) == crewOf(i).Duties[0].Owner {
+		if uint32(membership.IDOf(fmt.Sprintf("n%d", i))) == crewOf(i).Ownership[0].Owner {
 			owner = i
 		}
 	}
@@ -88,7 +88,7 @@
 	other := (owner + 1) % 3
 	k.until("the stop is known as planned", func() bool { return strings.Contains(states(other, membership.Left), fmt.Sprintf("n%d", owner)) })
 	k.until("the duty has another owner", func() bool {
-		d := crewOf(other).Duties[0]
+		d := crewOf(other).Ownership[0]
 		return d.Owner != 0 && d.Owner != uint32(membership.IDOf(fmt.Sprintf("n%d", owner))) && d.Fence > 1
 	})
 }
@@ -197,7 +197,7 @@
 		return running(t, start, file)
 	}
 	living := func(s *Server) (n int) {
-		for _, m := range s.Counters().Searches.Crew.Members {
+		for _, m := range s.Counters().Queries.Membership.Members {
 			if m.State == membership.Alive {
 				n++
 			}
--- a/internal/server/take.go
+++ b/internal/server/messages.go
@@ -49,7 +49,7 @@
 			if d.overdue {
 				l.deliverResult(d.s, result{kind: errored})
 			} else {
-				l.counters.Left++
+				l.counters.Abandoned++
 			}
 			if d.s.queued {
 				l.abandonQueued(d.s)
@@ -96,26 +96,26 @@
 		t := l.counters
 		if l.cachedList != nil {
 			c := l.cachedList.judge.Picture(l.since())
-			t.Trust = &c
+			t.CachedList = &c
 		}
-		t.Store, t.Nodes, t.NodeConns, t.Out = l.pool.Counts, l.pool.Nodes(), l.pool.Open(), l.pool.Out()
+		t.Store, t.Nodes, t.NodeConnections, t.AttemptsInFlight = l.pool.Counts, l.pool.Nodes(), l.pool.Open(), l.pool.Out()
 		if m, tells := l.router.(inspectable); tells {
-			t.OutByModule, t.ShutOut = m.Snapshot()
+			t.AttemptsByRouter, t.EjectedNodes = m.Snapshot()
 		}
 		if l.gateway != nil {
 			t.Gateway = &GatewayState{l.gateway.outgoing.Counts, l.gateway.incoming.Counts, l.gateway.outgoing.State(l.since())}
 		}
 		if l.membership != nil {
-			t.Crew = l.membershipState(l.since())
+			t.Membership = l.membershipState(l.since())
 		}
 		if l.controlPlane != nil {
-			t.Fleet = l.controlPlaneState()
+			t.ControlPlane = l.controlPlaneState()
 		}
 		if l.admission != nil {
-			t.Door = &AdmissionState{l.admission.State(l.since()), l.admission.tenants}
+			t.Admission = &AdmissionState{l.admission.State(l.since()), l.admission.tenants}
 		}
 		if l.readPins != nil {
-			t.Pins = l.readPinState()
+			t.ReadPins = l.readPinState()
 		}
 		d.to <- t
 	}
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -218,9 +218,9 @@
 		o.fail("the search has no end")
 	case o.answers > 1:
 		o.fail("%d answers", o.answers)
-	case n.Taken != n.Answered+n.Shed+n.Errored+n.Left || n.InHand != 0 || n.Out != 0:
+	case n.Received != n.Answered+n.Shed+n.Failed+n.Abandoned || n.InFlight != 0 || n.AttemptsInFlight != 0:
 		o.fail("%+v", n)
-	case o.answers == 0 && n.Left != 1:
+	case o.answers == 0 && n.Abandoned != 1:
 		o.fail("neither an answer nor a departure")
 	}
 }
--- a/internal/server/search.go
+++ b/internal/server/query.go
@@ -97,20 +97,20 @@
 
 // receive hands a search to the module, if there is a place for it and its parts.
 func (l *loop) receive(s *search) {
-	l.counters.Taken++
+	l.counters.Received++
 	n := len(s.ask.parts)
 	if l.requestIDs[s.ask.id] {
 		l.deliverResult(s, result{kind: twice})
 		return
 	}
 	if s.crowded || l.slotsUsed+1+n > l.maxInFlight || !l.adapt(s.ask) {
-		l.counters.Full++
+		l.counters.NoCapacity++
 		l.deliverResult(s, result{kind: shed, after: l.maxRetryAfter}) // the longest that the settings let it say
 		return
 	}
 	if l.connLeases != nil && !s.remote {
 		if after, full := l.connLeases.overloaded(s.tenant); full {
-			l.counters.TurnedAway++
+			l.counters.RejectedByAdmission++
 			l.deliverResult(s, result{kind: shed, after: min(after, l.maxRetryAfter)})
 			return
 		}
@@ -118,7 +118,7 @@
 	if l.admission != nil && !s.remote && !l.requestAdmission(s) {
 		return
 	}
-	l.counters.InHand++
+	l.counters.InFlight++
 	l.requestIDs[s.ask.id] = true
 	if l.gateway != nil && !s.remote {
 		l.gateway.outgoing.Taken()
@@ -159,7 +159,7 @@
 // finish takes a search out of hand; it is forgotten once the actions of its last turn are carried out.
 func (l *loop) finish(s *search) {
 	s.done = true
-	l.counters.InHand--
+	l.counters.InFlight--
 	l.slotsUsed -= 1 + len(s.requests)
 	l.finished = append(l.finished, s)
 }
--- a/internal/server/pins.go
+++ b/internal/server/read_pins.go
@@ -39,8 +39,8 @@
 // ReadPinState tells what became of hints.
 type ReadPinState struct {
 	readpin.Counts
-	Wrong uint64 // hints that were ignored
-	Epoch uint64
+	IgnoredHints uint64 `json:"Wrong"` // hints that were ignored
+	Epoch        uint64
 }
 
 func newReadPinning(o *operator.Fleet, t *terms.Terms) *readPinning {
--- a/internal/server/pins_test.go
+++ b/internal/server/read_pins_test.go
@@ -104,12 +104,12 @@
 			t.Errorf("%q: %d %q", text, m.Status, why)
 		}
 	}
-	if p := s.Counters().Searches.Pins; p.Wrong != 3 || p.Chosen+p.Refused > 0 {
+	if p := s.Counters().Queries.ReadPins; p.IgnoredHints != 3 || p.Chosen+p.Refused > 0 {
 		t.Errorf("%+v", p)
 	}
 	plain, _ := live(t, 1024) // where hints are not obeyed nothing of them is read
 	m := dial(t, plain).say(hinted("a", "X-Read-Hint: nonsense"))
-	if _, there := m.Get("x-read-hint-ignored"); m.Status != 200 || there > 0 || plain.Counters().Searches.Pins != nil {
+	if _, there := m.Get("x-read-hint-ignored"); m.Status != 200 || there > 0 || plain.Counters().Queries.ReadPins != nil {
 		t.Errorf("%d", m.Status)
 	}
 }
@@ -130,7 +130,7 @@
 	other.MergePositions(one.CollectPositions(), time.Millisecond)
 	other.AgreeEpoch(3, nil)
 	m := dial(t, other).say(hinted("b", "X-Read-Hint: max-stale=100ms"))
-	p := other.Counters().Searches.Pins
+	p := other.Counters().Queries.ReadPins
 	if m.Status != 503 || p.Facts == 0 || p.Bad != 1 || p.Epoch != 3 {
 		t.Errorf("%d, %+v", m.Status, p)
 	}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -67,8 +67,8 @@
 	for round, text := range []string{"hang", "hang again"} {
 		ask := strings.NewReplacer("c41e", "hang", "1900", "900").Replace(post(fmt.Sprint("held", round), body))
 		io.WriteString(held, ask)
-		until(s, func(n Counters) bool { return n.Searches.InHand == 1 })
-		sent := s.Counters().Searches.Subrequests
+		until(s, func(n Counters) bool { return n.Queries.InFlight == 1 })
+		sent := s.Counters().Queries.Attempts
 		if _, err := terms.FromJSON([]byte(strings.Replace(ringSettings, `"work"`, `"hour"`, 1)), 1); err == nil {
 			t.Fatal(text, "a bad value passed")
 		} else if s.Reload(nil, s.operator, err); s.Settings().Types[0] != "find" {
@@ -86,7 +86,7 @@
 		if m := held.hear(); m.Status != 503 && m.Status != 504 {
 			t.Errorf("%s: the search in hand: %d", text, m.Status)
 		}
-		if n := s.Counters().Searches.Subrequests; n != sent+[]uint64{2, 0}[round] {
+		if n := s.Counters().Queries.Attempts; n != sent+[]uint64{2, 0}[round] {
 			t.Errorf("%s: %d sub-requests", text, n-sent)
 		}
 		ring.Known = nil
@@ -94,7 +94,7 @@
 		if m := c.say(post(fmt.Sprint("back", round), body)); m.Status != 200 || string(m.Body) != whole {
 			t.Errorf("%s: back again: %d %s", text, m.Status, m.Body)
 		}
-		if got := s.Counters().Searches; got.InHand != 0 || got.Taken != got.Answered+got.Shed+got.Errored {
+		if got := s.Counters().Queries; got.InFlight != 0 || got.Received != got.Answered+got.Shed+got.Failed {
 			t.Errorf("%s: %+v", text, got)
 		}
 	}
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -65,7 +65,7 @@
 	case shed:
 		l.counters.Shed++
 	default:
-		l.counters.Errored++
+		l.counters.Failed++
 	}
 	if l.controlPlane != nil {
 		l.controlPlane.countResult(s, v, l.since())
--- a/internal/server/turn.go
+++ b/internal/server/router_step.go
@@ -25,7 +25,7 @@
 func (l *loop) stepRouter(now time.Duration) {
 	events := l.events
 	l.events = l.spareEvents[:0]
-	l.counters.Turns++
+	l.counters.Steps++
 	if l.admission != nil {
 		l.recordStepDelay(now)
 	}
@@ -92,7 +92,7 @@
 	t := &store.Part{ID: s.ask.parts[i].name, Shard: s.ask.parts[i].shard, Text: s.text, Deadline: s.deadline,
 		Sent: now, Part: a.ID, Attempt: uint16(len(p.attempts)), Node: a.Node, Alone: a.ExclusiveConnection, Tenant: s.tenant}
 	p.attempts = append(p.attempts, t)
-	l.counters.Subrequests++
+	l.counters.Attempts++
 	if l.connLeases != nil {
 		l.connLeases.countAttempts(s.tenant, 1, 0)
 	}
@@ -133,7 +133,7 @@
 	}
 	if s, i := l.findShardRequest(t.Part); s != nil && how == decision.OK && !s.requests[i].answered {
 		s.requests[i].answered, s.requests[i].value = true, value
-		s.lastAnswerAt, s.lastAnswerStep = at, l.counters.Turns+1
+		s.lastAnswerAt, s.lastAnswerStep = at, l.counters.Steps+1
 	}
 	took := max(0, at-t.Sent)
 	l.events = append(l.events, decision.Event{Kind: decision.AttemptEnded, ID: t.Part, Attempt: t.Attempt, Outcome: how,
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -49,8 +49,8 @@
 	}
 	var counters Counters
 	m := c.say("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
-	if err := json.Unmarshal(m.Body, &counters); err != nil || counters.Searches.Answered != 6 ||
-		counters.Searches.Taken != 6 || counters.Searches.Store.Parts != 12 {
+	if err := json.Unmarshal(m.Body, &counters); err != nil || counters.Queries.Answered != 6 ||
+		counters.Queries.Received != 6 || counters.Queries.Store.Parts != 12 {
 		t.Errorf("%v, %+v", err, counters)
 	}
 }
@@ -112,7 +112,7 @@
 	if m := slow.say(post("x", body)[:100]); m.Status != 408 || !m.Close {
 		t.Errorf("a request that does not come whole: %d", m.Status)
 	}
-	if n := s.Counters().Searches; n.Taken != n.Answered || n.Store.Parts != 2*n.Taken {
+	if n := s.Counters().Queries; n.Received != n.Answered || n.Store.Parts != 2*n.Received {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/server/links.go
+++ b/internal/server/site_links.go
@@ -78,7 +78,7 @@
 
 // drainSiteLinks waits until the searches of other sites are answered, for as long as any client waits at most.
 func (s *Server) drainSiteLinks() {
-	for end := time.Now().Add(longestTimeout(s.Settings())); time.Now().Before(end) && s.Counters().Searches.InHand > 0; {
+	for end := time.Now().Add(longestTimeout(s.Settings())); time.Now().Before(end) && s.Counters().Queries.InFlight > 0; {
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-s.ctx.Done():
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -11,7 +11,7 @@
 
 // drain goes on serving for as long as clients may come, then until all that was taken is answered.
 func (s *Server) drain() {
-	slog.Info("stopping", "in_hand", s.Counters().Searches.InHand)
+	slog.Info("stopping", "in_hand", s.Counters().Queries.InFlight)
 	s.stopRequested.Store(int64(s.loop.since()))
 	s.draining.Store(true)
 	if s.loop.membership != nil { // before anything else: duties are taken over at once
--- a/internal/server/terms_test.go
+++ b/internal/server/terms_test.go
@@ -132,7 +132,7 @@
 	owed := fmt.Sprintf(`{"generation":2,"reset":false,"instances":[{"instanceId":"s-0","hostPort":%q,"zone":"a","cell":0,`+
 		`"lifecycle":"terminating"}]}`, "127.0.0.1:9")
 	conn.Write(httpwire.AppendResponse(nil, 200, false, []byte(owed)))
-	until(s, func(c Counters) bool { return c.Searches.ListsTaken == 2 }) // the configuration's, and this
+	until(s, func(c Counters) bool { return c.Queries.ListsReceived == 2 }) // the configuration's, and this
 	if m := dial(t, s).say(post("a", body)); strings.Contains(string(m.Body), `"tablet":0`) {
 		t.Errorf("served through a draining node: %d %s", m.Status, m.Body)
 	}
--- a/internal/server/cold_test.go
+++ b/internal/server/warming_up_test.go
@@ -37,7 +37,7 @@
 			t.Errorf("%s at %v: %d parts sent to cold nodes, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
 		}
 	}
-	if got := l.controlPlaneState().Cold; got != 4 {
+	if got := l.controlPlaneState().WarmingUpAttempts; got != 4 {
 		t.Errorf("operators and reports see %d", got)
 	}
 }
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -181,7 +181,7 @@
 func (c checked) Snapshot() (out, shut int) { return c.Router.(inspectable).Snapshot() }
 
 func (c checked) Step(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
-	if t := c.w.loop.counters; t.Taken != t.Answered+t.Shed+t.Errored+t.Left+t.InHand {
+	if t := c.w.loop.counters; t.Received != t.Answered+t.Shed+t.Failed+t.Abandoned+t.InFlight {
 		c.w.t.Errorf("counters do not add up: %+v", t)
 	}
 	if c.w.loop.slotsUsed > 40 {
