--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -13,6 +13,7 @@
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision/admission"
+	"flaxfront/internal/server/query"
 )
 
 // admissionControl is the loop's part of it.
@@ -86,9 +87,9 @@
 func (l *loop) requestAdmission(s *search) bool {
 	d, now := l.admission, l.since()
 	d.lastTicket++
-	s.ticket, s.work = d.lastTicket, float64(len(s.ask.parts))
-	ruling, hint := d.Arrive(admission.Search{ID: s.ticket, Tenant: s.admissionTenant(d), Client: s.client, Work: s.work,
-		Left: s.deadline - now, Repeat: s.repeat}, now)
+	s.ticket, s.work = d.lastTicket, float64(len(s.Request.Shards))
+	ruling, hint := d.Arrive(admission.Search{ID: s.ticket, Tenant: s.admissionTenant(d), Client: s.Client, Work: s.work,
+		Left: s.deadline - now, Repeat: s.Retry}, now)
 	switch ruling {
 	case admission.Enter:
 		l.markAdmitted(s, now)
@@ -97,15 +98,15 @@
 		s.queued = true
 		d.waiting[s.ticket] = s
 		l.counters.InFlight++
-		l.requestIDs[s.ask.id] = true
+		l.requestIDs[s.Request.ID] = true
 	case admission.Turn:
 		l.counters.RejectedByAdmission++
-		l.deliverResult(s, result{kind: shed, after: hint})
+		l.deliverResult(s, query.Result{Outcome: query.Shed, RetryAfter: hint})
 	}
 	return false
 }
 
-func (s *search) admissionTenant(d *admissionControl) int { return min(s.tenant, len(d.tenants)-1) }
+func (s *search) admissionTenant(d *admissionControl) int { return min(s.Tenant, len(d.tenants)-1) }
 
 // admissionTick lets in those that waited, or tells them when to come back; it returns when to come again.
 func (l *loop) admissionTick(now time.Duration) time.Duration {
@@ -116,15 +117,15 @@
 		s := l.admission.waiting[let.ID]
 		delete(l.admission.waiting, let.ID)
 		s.queued = false
-		n := len(s.ask.parts)
+		n := len(s.Request.Shards)
 		switch {
 		case !let.Enter:
 			l.counters.RejectedByAdmission++
-			l.finishQueued(s, result{kind: shed, after: let.Hint})
+			l.finishQueued(s, query.Result{Outcome: query.Shed, RetryAfter: let.Hint})
 		case l.slotsUsed+1+n > l.maxInFlight:
 			l.markAdmitted(s, now)
 			l.counters.NoCapacity++
-			l.finishQueued(s, result{kind: shed, after: l.maxRetryAfter})
+			l.finishQueued(s, query.Result{Outcome: query.Shed, RetryAfter: l.maxRetryAfter})
 		default:
 			l.markAdmitted(s, now)
 			l.submit(s, s.deadline-now)
@@ -134,10 +135,10 @@
 }
 
 // finishQueued gives a search that waited at the door its verdict.
-func (l *loop) finishQueued(s *search, v result) {
+func (l *loop) finishQueued(s *search, v query.Result) {
 	l.deliverResult(s, v)
 	l.counters.InFlight--
-	delete(l.requestIDs, s.ask.id)
+	delete(l.requestIDs, s.Request.ID)
 }
 
 // abandonQueued forgets a search that waits, as its client has gone or its time is over.
@@ -146,7 +147,7 @@
 	delete(l.admission.waiting, s.ticket)
 	s.queued, s.done = false, true
 	l.counters.InFlight--
-	delete(l.requestIDs, s.ask.id)
+	delete(l.requestIDs, s.Request.ID)
 }
 
 // markAdmitted notes that the door let a search in.
