--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -1,187 +1,186 @@
 package server
 
-// This file owns the loop's part of fair queuing: own searches come by the door before they take a place, and wait there or
-// are turned away as it rules. It must never hold one that the door has given up, or let the door see what it let in.
-
 import (
-	"fmt"
-	"math"
-	"strconv"
-	"strings"
 	"time"
 
-	"flaxfront/internal/config/operator"
-	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision/admission"
 	"flaxfront/internal/server/query"
 )
 
-// admissionControl is the loop's part of it.
+// admissionHost is what admission may use of the loop.
+type admissionHost interface {
+	host
+	hasCapacity(q *search) bool
+	hold(q *search)
+	release(q *search)
+	submit(q *search, left time.Duration)
+	deliverResult(q *search, r query.Result)
+	shedResult() query.Result
+}
+
+// admissionControl is the extension for fair queuing: a client's query enters, waits or is shed before it takes slots. A query of another
+// site passes it by.
 type admissionControl struct {
 	*admission.Door
+	loop            admissionHost
 	waiting         map[uint64]*search // by ticket
 	lastTicket      uint64
 	tenants         []string
-	admitted        []*search // let in since the last turn
+	admitted        []*search // since the last step
+	releases        []admission.Let
 	schedulingDelay delayMeter
 }
 
-// newAdmissionControl makes the door of the operators' file and the settings.
-func newAdmissionControl(o *operator.Door, t *terms.Terms) (*admissionControl, error) {
-	p := admission.Policy{WaitShare: o.WaitShare, MostWait: o.MostWait, LeastWork: float64(o.LeastWork), Repeats: o.Repeats,
-		MostHint: t.Module.MaxRetryAfter, Seed: t.Module.Seed}
-	names := t.Tenants
-	for i := range t.Module.Tenants {
-		p.Weights = append(p.Weights, t.Module.Tenants[i].TrafficShare)
-	}
-	if len(names) == 0 {
-		names, p.Weights = []string{"all"}, []float64{1}
-	}
-	if len(o.Weights) > 0 {
-		if err := parseWeights(p.Weights, names, o.Weights); err != nil {
-			return nil, &InvalidWeightsError{err}
-		}
-	}
-	return &admissionControl{admission.NewDoor(p), map[uint64]*search{}, 0, names, nil, delayMeter{}}, nil
+// admissionState is what admission keeps of a query.
+type admissionState struct {
+	ticket         uint64
+	work           float64
+	queued         bool // it waits
+	admitted       bool // it was let in, and admission has not been told that it is done
+	admittedAt     time.Duration
+	stepDelay      time.Duration // from its admission to the step that took it
+	lastAnswerAt   time.Duration // when its last answer came in
+	lastAnswerStep uint64        // the step that takes that answer
 }
 
-// InvalidWeightsError are weights of the operators' file that do not fit the tenants of the settings.
-type InvalidWeightsError struct{ Err error }
-
-func (e *InvalidWeightsError) Error() string {
-	return fmt.Sprintf("operators' file: door.weights: %v", e.Err)
+// useAdmission attaches admission to the loop.
+func (l *loop) useAdmission(a *admissionControl) {
+	a.loop = l
+	l.admission = a
+	l.extensions[admissionExtension] = a
 }
 
-func (e *InvalidWeightsError) Unwrap() error { return e.Err }
-
-// Remedy is what an operator can do.
-func (e *InvalidWeightsError) Remedy() string {
-	return "name each tenant of the settings once in door.weights, as NAME=WEIGHT, so that the weights add up to 1; or leave it empty"
-}
+// handle takes no message: queries come by request.
+func (a *admissionControl) handle(message) bool { return false }
 
-// parseWeights reads TENANT=WEIGHT texts, which must name each tenant once and add up to 1.
-func parseWeights(weights []float64, names, texts []string) error {
-	sum, said := 0.0, map[string]bool{}
-	for _, text := range texts {
-		name, value, _ := strings.Cut(text, "=")
-		at := -1
-		for i, n := range names {
-			if n == name {
-				at = i
-			}
-		}
-		w, err := strconv.ParseFloat(value, 64)
-		if at < 0 || said[name] || err != nil || !(w >= 0 && w <= 1) {
-			return fmt.Errorf("%.60q is not TENANT=WEIGHT of a tenant of the settings, named once, from 0 to 1", text)
-		}
-		said[name], weights[at] = true, w
-		sum += w
-	}
-	if len(said) != len(names) || math.Abs(sum-1) > 0.001 {
-		return fmt.Errorf("%d of %d tenants are named, and their weights add up to %v instead of 1", len(said), len(names), sum)
+// request asks for a query to be let in; true: it may enter now. Otherwise it waits, or has its result. Without admission all may enter.
+func (a *admissionControl) request(q *search) bool {
+	if a == nil {
+		return true
 	}
-	return nil
-}
-
-// requestAdmission asks the door of a search; true: it may enter now.
-func (l *loop) requestAdmission(s *search) bool {
-	d, now := l.admission, l.since()
-	d.lastTicket++
-	s.ticket, s.work = d.lastTicket, float64(len(s.Request.Shards))
-	ruling, hint := d.Arrive(admission.Search{ID: s.ticket, Tenant: s.admissionTenant(d), Client: s.Client, Work: s.work,
-		Left: s.deadline - now, Repeat: s.Retry}, now)
+	now := a.loop.since()
+	a.lastTicket++
+	q.admission.ticket = a.lastTicket
+	q.admission.work = float64(len(q.Request.Shards))
+	ruling, retryAfter := a.Arrive(admission.Search{
+		ID:     q.admission.ticket,
+		Tenant: a.tenantOf(q),
+		Client: q.Client,
+		Work:   q.admission.work,
+		Left:   q.deadline - now,
+		Repeat: q.Retry,
+	}, now)
 	switch ruling {
 	case admission.Enter:
-		l.markAdmitted(s, now)
+		a.markAdmitted(q, now)
 		return true
 	case admission.Wait:
-		s.queued = true
-		d.waiting[s.ticket] = s
-		l.counters.InFlight++
-		l.requestIDs[s.Request.ID] = true
+		q.admission.queued = true
+		a.waiting[q.admission.ticket] = q
+		a.loop.hold(q)
 	case admission.Turn:
-		l.counters.RejectedByAdmission++
-		l.deliverResult(s, query.Result{Outcome: query.Shed, RetryAfter: hint})
+		a.loop.stats().RejectedByAdmission++
+		a.loop.deliverResult(q, query.Result{Outcome: query.Shed, RetryAfter: retryAfter})
 	}
 	return false
 }
 
-func (s *search) admissionTenant(d *admissionControl) int { return min(s.Tenant, len(d.tenants)-1) }
-
-// admissionTick lets in those that waited, or tells them when to come back; it returns when to come again.
-func (l *loop) admissionTick(now time.Duration) time.Duration {
-	l.admission.Lag(l.admission.schedulingDelay.Average())
-	lets, next := l.admission.Tick(now, l.lets[:0])
-	l.lets = lets
-	for _, let := range lets {
-		s := l.admission.waiting[let.ID]
-		delete(l.admission.waiting, let.ID)
-		s.queued = false
-		n := len(s.Request.Shards)
+func (a *admissionControl) tenantOf(q *search) int { return min(q.Tenant, len(a.tenants)-1) }
+
+// tick lets in those that waited, or sheds them.
+func (a *admissionControl) tick(now time.Duration) time.Duration {
+	a.Lag(a.schedulingDelay.Average())
+	releases, next := a.Tick(now, a.releases[:0])
+	a.releases = releases
+	for _, r := range releases {
+		q := a.waiting[r.ID]
+		delete(a.waiting, r.ID)
+		q.admission.queued = false
 		switch {
-		case !let.Enter:
-			l.counters.RejectedByAdmission++
-			l.finishQueued(s, query.Result{Outcome: query.Shed, RetryAfter: let.Hint})
-		case l.slotsUsed+1+n > l.maxInFlight:
-			l.markAdmitted(s, now)
-			l.counters.NoCapacity++
-			l.finishQueued(s, query.Result{Outcome: query.Shed, RetryAfter: l.maxRetryAfter})
+		case !r.Enter:
+			a.loop.stats().RejectedByAdmission++
+			a.finishQueued(q, query.Result{Outcome: query.Shed, RetryAfter: r.Hint})
+		case !a.loop.hasCapacity(q):
+			a.markAdmitted(q, now)
+			a.loop.stats().NoCapacity++
+			a.finishQueued(q, a.loop.shedResult())
 		default:
-			l.markAdmitted(s, now)
-			l.submit(s, s.deadline-now)
+			a.markAdmitted(q, now)
+			a.loop.submit(q, q.deadline-now)
 		}
 	}
 	return next
 }
 
-// finishQueued gives a search that waited at the door its verdict.
-func (l *loop) finishQueued(s *search, v query.Result) {
-	l.deliverResult(s, v)
-	l.counters.InFlight--
-	delete(l.requestIDs, s.Request.ID)
+// finishQueued gives a query that waited its result.
+func (a *admissionControl) finishQueued(q *search, r query.Result) {
+	a.loop.deliverResult(q, r)
+	a.loop.release(q)
 }
 
-// abandonQueued forgets a search that waits, as its client has gone or its time is over.
-func (l *loop) abandonQueued(s *search) {
-	l.admission.Gone(s.admissionTenant(l.admission), s.ticket)
-	delete(l.admission.waiting, s.ticket)
-	s.queued, s.done = false, true
-	l.counters.InFlight--
-	delete(l.requestIDs, s.Request.ID)
+// abandon forgets a query that waits, as its client has gone or its time is up.
+func (a *admissionControl) abandon(q *search) {
+	a.Gone(a.tenantOf(q), q.admission.ticket)
+	delete(a.waiting, q.admission.ticket)
+	q.admission.queued = false
+	q.done = true
+	a.loop.release(q)
 }
 
-// markAdmitted notes that the door let a search in.
-func (l *loop) markAdmitted(s *search, now time.Duration) {
-	s.admitted, s.admittedAt = true, now
-	l.admission.admitted = append(l.admission.admitted, s)
+func (a *admissionControl) markAdmitted(q *search, now time.Duration) {
+	q.admission.admitted = true
+	q.admission.admittedAt = now
+	a.admitted = append(a.admitted, q)
 }
 
-// recordStepDelay books how late the turn came for those let in since the last one. Danger: on cores that have too much to do a broker's
-// own delays, before a part is written and after an answer is in, are many times the store's; taken for the store's they have the
-// door refuse a quiet tenant while the store idles.
-func (l *loop) recordStepDelay(now time.Duration) {
-	for _, s := range l.admission.admitted {
-		s.stepDelay = now - s.admittedAt
+// beforeStep records how late the router's step comes for the queries admitted since the last one. On busy cores a broker's own delays,
+// before an attempt is written and after an answer is in, are many times the store's; counted as the store's they would have a quiet
+// tenant's queries shed while the store idles.
+func (a *admissionControl) beforeStep(now time.Duration) {
+	if a == nil {
+		return
+	}
+	for _, q := range a.admitted {
+		q.admission.stepDelay = now - q.admission.admittedAt
 	}
-	clear(l.admission.admitted)
-	l.admission.admitted = l.admission.admitted[:0]
+	clear(a.admitted)
+	a.admitted = a.admitted[:0]
 }
 
-// reportDone tells the door that a search which it let in has done; once.
-func (l *loop) reportDone(s *search, answered, refused bool) {
-	if s.admitted {
-		s.admitted = false
-		now := l.since()
-		own := s.stepDelay
-		if s.lastAnswerStep == l.counters.Steps { // this turn ends it, by what came in before it
-			own += now - s.lastAnswerAt
-		}
-		l.admission.Done(admission.End{Work: s.work, Took: now - s.admittedAt, Own: own, Answered: answered, Shed: refused}, now)
+// afterStep lets in queries for which those that ended have made room, and returns when to tick.
+func (a *admissionControl) afterStep(now time.Duration) time.Duration {
+	if a == nil {
+		return notDue
 	}
+	return a.tick(now)
 }
 
-// AdmissionState is what operators see of the door.
+// done tells admission, once, that a query which it let in has ended.
+func (a *admissionControl) done(q *search, outcome query.Outcome) {
+	if !q.admission.admitted {
+		return
+	}
+	q.admission.admitted = false
+	now := a.loop.since()
+	own := q.admission.stepDelay
+	if q.admission.lastAnswerStep == a.loop.stats().Steps { // this step ends it, by what came in before it
+		own += now - q.admission.lastAnswerAt
+	}
+	a.Done(admission.End{
+		Work:     q.admission.work,
+		Took:     now - q.admission.admittedAt,
+		Own:      own,
+		Answered: outcome == query.Answered,
+		Shed:     outcome == query.Shed,
+	}, now)
+}
+
+// AdmissionState is what operators see of admission.
 type AdmissionState struct {
 	admission.State
-	TenantNames []string `json:"Names"` // of the tenants
+	TenantNames []string `json:"Names"`
+}
+
+func (a *admissionControl) report(c *QueryCounters) {
+	c.Admission = &AdmissionState{a.State(a.loop.since()), a.tenants}
 }
--- /dev/null
+++ b/internal/server/admission_open.go
@@ -0,0 +1,77 @@
+package server
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+
+	"flaxfront/internal/config/operator"
+	"flaxfront/internal/config/terms"
+	"flaxfront/internal/decision/admission"
+)
+
+// weightSumSlip is how far tenants' weights may be from adding up to 1.
+const weightSumSlip = 0.001
+
+// newAdmissionControl makes admission by the operators' file and the settings. Its errors are InvalidWeightsError.
+func newAdmissionControl(o *operator.Door, t *terms.Terms) (*admissionControl, error) {
+	p := admission.Policy{
+		WaitShare: o.WaitShare,
+		MostWait:  o.MostWait,
+		LeastWork: float64(o.LeastWork),
+		Repeats:   o.Repeats,
+		MostHint:  t.Module.MaxRetryAfter,
+		Seed:      t.Module.Seed,
+	}
+	tenants := t.Tenants
+	for i := range t.Module.Tenants {
+		p.Weights = append(p.Weights, t.Module.Tenants[i].TrafficShare)
+	}
+	if len(tenants) == 0 {
+		tenants = []string{"all"}
+		p.Weights = []float64{1}
+	}
+	if len(o.Weights) > 0 {
+		if err := parseWeights(p.Weights, tenants, o.Weights); err != nil {
+			return nil, &InvalidWeightsError{err}
+		}
+	}
+	return &admissionControl{Door: admission.NewDoor(p), waiting: map[uint64]*search{}, tenants: tenants}, nil
+}
+
+// InvalidWeightsError tells that weights of the operators' file do not fit the tenants of the settings.
+type InvalidWeightsError struct{ Err error }
+
+func (e *InvalidWeightsError) Error() string {
+	return fmt.Sprintf("operators' file: door.weights: %v", e.Err)
+}
+
+func (e *InvalidWeightsError) Unwrap() error { return e.Err }
+
+// Remedy is what an operator can do.
+func (e *InvalidWeightsError) Remedy() string {
+	return "name each tenant of the settings once in door.weights, as NAME=WEIGHT, so that the weights add up to 1; or leave it empty"
+}
+
+// parseWeights reads TENANT=WEIGHT texts into weights, which must name each tenant once and add up to 1.
+func parseWeights(weights []float64, tenants, texts []string) error {
+	sum := 0.0
+	named := map[string]bool{}
+	for _, text := range texts {
+		name, value, _ := strings.Cut(text, "=")
+		at := slices.Index(tenants, name)
+		weight, err := strconv.ParseFloat(value, 64)
+		if at < 0 || named[name] || err != nil || !(weight >= 0 && weight <= 1) {
+			return fmt.Errorf("%.60q is not TENANT=WEIGHT of a tenant of the settings, named once, from 0 to 1", text)
+		}
+		named[name] = true
+		weights[at] = weight
+		sum += weight
+	}
+	if len(named) != len(tenants) || math.Abs(sum-1) > weightSumSlip {
+		return fmt.Errorf("%d of %d tenants are named, and their weights add up to %v instead of 1", len(named), len(tenants), sum)
+	}
+	return nil
+}
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -116,10 +116,11 @@
 	now := time.Duration(0)
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
-	var err error
-	if l.admission, err = newAdmissionControl(&operator.Default().Door, &terms.Terms{}); err != nil {
+	admission, err := newAdmissionControl(&operator.Default().Door, &terms.Terms{})
+	if err != nil {
 		t.Fatal(err)
 	}
+	l.useAdmission(admission)
 	s := &search{Request: &query.Request{ID: "a", Shards: []query.ShardRequest{{Name: "a.0", Weight: 1}}}, deadline: 5 * time.Second, result: make(chan query.Result, 1)}
 	now = 1 * time.Second
 	l.handle(queryReceived{s})
--- /dev/null
+++ b/internal/server/attempts.go
@@ -0,0 +1,86 @@
+package server
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision"
+	"flaxfront/internal/transport/store"
+)
+
+// batch gathers the attempts of one step to one node.
+type batch struct {
+	node     decision.NodeID
+	attempts []*store.Part
+}
+
+// sendAttempt adds an attempt to its node's batch.
+func (l *loop) sendAttempt(a *decision.Action, now time.Duration) {
+	q, i := l.findShardRequest(a.ID)
+	if q == nil {
+		slog.Error("attempt of an unknown shard request not sent", "component", "routing", "shard_request", a.ID)
+		return
+	}
+	r := &q.Request.Shards[i]
+	attempt := &store.Part{
+		ID:       r.Name,
+		Shard:    r.Shard,
+		Text:     q.Text,
+		Deadline: q.deadline,
+		Sent:     now,
+		Part:     a.ID,
+		Attempt:  uint16(len(q.requests[i].attempts)),
+		Node:     a.Node,
+		Alone:    a.ExclusiveConnection,
+		Tenant:   q.Tenant,
+	}
+	q.requests[i].attempts = append(q.requests[i].attempts, attempt)
+	l.counters.Attempts++
+	l.connLeases.countAttempts(q.Tenant, 1, 0)
+	l.readPins.attemptSent(q, attempt, now)
+	for j := range l.batches {
+		if b := &l.batches[j]; b.node == a.Node && len(b.attempts) < l.maxBatch {
+			b.attempts = append(b.attempts, attempt)
+			return
+		}
+	}
+	l.batches = append(l.batches, batch{a.Node, []*store.Part{attempt}})
+}
+
+func (l *loop) cancelAttempt(a *decision.Action) {
+	q, i := l.findShardRequest(a.ID)
+	if q != nil && int(a.Attempt) < len(q.requests[i].attempts) {
+		l.pool.Cancel(q.requests[i].attempts[a.Attempt])
+	}
+}
+
+// sendBatch sends the attempts to one node, but for those cancelled, or whose query ended, in the same step; forget ends the latter.
+func (l *loop) sendBatch(b *batch) {
+	attempts := slices.DeleteFunc(b.attempts, func(attempt *store.Part) bool {
+		q := l.queryOfShardRequest[attempt.Part]
+		return attempt.Over() || q.done || q.forwarding.forwarded
+	})
+	if l.controlPlane.refuse(b.node, attempts) {
+		return
+	}
+	l.controlPlane.countAttempts(b.node, len(attempts))
+	if len(attempts) > 0 {
+		l.pool.Send(b.node, attempts)
+	}
+}
+
+// attemptEnded is told by the pool how an attempt ended. An answer counts from here on: the router learns of it in the same step.
+func (l *loop) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration, value string) {
+	outcome = l.readPins.attemptEnded(attempt, outcome, at)
+	if q, i := l.findShardRequest(attempt.Part); q != nil && outcome == decision.OK && !q.requests[i].answered {
+		q.requests[i].answered = true
+		q.requests[i].value = value
+		q.admission.lastAnswerAt = at
+		q.admission.lastAnswerStep = l.counters.Steps + 1
+	}
+	took := max(0, at-attempt.Sent)
+	l.post(decision.Event{Kind: decision.AttemptEnded, ID: attempt.Part, Attempt: attempt.Attempt, Outcome: outcome, Elapsed: took,
+		Node: attempt.Node})
+	l.cachedList.attemptEnded(attempt.Node, outcome, took)
+}
--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns the loop's part of connection budgets: which connections the pool may open by what this broker holds, what it
-// needs, and what it must close. It must never open one that is not held, or take the fleet's goroutine's time.
-
 import (
 	"log/slog"
 	"sync/atomic"
@@ -22,41 +19,70 @@
 	defaultClosing = time.Second     // a node notices a close within that, where no policy says otherwise
 )
 
-// connectionLeases is the loop's part of it.
+// connectionLeases is the extension that divides connections to nodes among brokers: which ones the pool may open by the leases that this
+// broker holds, how many it needs, and which it has to close.
 type connectionLeases struct {
-	loop             *loop
+	loop             endpointHost
 	holder           *connlease.Holder
 	needs            *connlease.DemandTracker
-	streams          int
-	names            []string  // tenants of the settings
-	policyTenant     []int     // their places in the policy; -1: it does not name them
-	settingsTenant   []int     // and back
-	version          uint64    // of the policy whose tenants these are
-	agreedVersion    uint64    // that is agreed, in force or waiting
-	grantIncarnation uint64    // the incarnation whose grants are held
-	floorVersions    [2]uint64 // versions of the policies whose floors are kept to, the lower of both
-	floors           map[decision.NodeID]int
-	due              time.Duration
-	view             *controlplane.View
-	report           atomic.Pointer[[]byte]
-	nodes            atomic.Pointer[map[decision.NodeID]connpolicy.Node]
-	proposeEntry     func(e statemachine.Entry) // must not wait
-	closing          time.Duration              // within which a node notices a close
-	stopped          bool                       // nothing is opened any more
-	holdsLogged      bool                       // it was logged that something is held
-	proposedAt       time.Duration              // when something was last, so that it is not proposed with each tick
-	attempts         []attemptShares            // by tenant
+	streams          int                                                 // attempts that a connection carries at once
+	names            []string                                            // tenants of the settings
+	policyTenant     []int                                               // index in the policy by index in the settings; -1: the policy does not name it
+	settingsTenant   []int                                               // index in the settings by index in the policy
+	version          uint64                                              // of the policy that the tenants' indices belong to
+	agreedVersion    uint64                                              // newest policy, in force or waiting
+	grantIncarnation uint64                                              // incarnation whose grants are held
+	floorVersions    [2]uint64                                           // policies whose floors are kept to, the lower of both
+	floors           map[decision.NodeID]int                             // connections to a node that need no lease
+	due              time.Duration                                       // the next tick that does anything
+	view             *controlplane.View                                  // nil: none was received
+	needReport       atomic.Pointer[[]byte]                              // for load reports
+	nodes            atomic.Pointer[map[decision.NodeID]connpolicy.Node] // for the leader's goroutine
+	proposeEntry     func(e statemachine.Entry)                          // must not wait
+	closing          time.Duration                                       // within which a node notices a close
+	stopped          bool                                                // nothing is opened any more
+	holdsLogged      bool                                                // it was logged that leases are held
+	proposedAt       time.Duration                                       // when an entry was last proposed, so that it is not proposed with each tick
+	attempts         []attemptShares                                     // by tenant
 }
 
-func newConnectionLeases(l *loop, streams int, names []string) *connectionLeases {
-	b := &connectionLeases{loop: l, holder: connlease.NewHolder(defaultClosing), needs: connlease.NewDemandTracker(needHalfLife), streams: streams, names: names,
-		attempts: make([]attemptShares, len(names)), closing: defaultClosing}
+func newConnectionLeases(streams int, tenants []string) *connectionLeases {
+	b := &connectionLeases{
+		holder:   connlease.NewHolder(defaultClosing),
+		needs:    connlease.NewDemandTracker(needHalfLife),
+		streams:  streams,
+		names:    tenants,
+		attempts: make([]attemptShares, len(tenants)),
+		closing:  defaultClosing,
+	}
 	b.holder.SetReserved(nil, 1) // until it is known what is agreed
 	b.mapTenants(nil)
 	return b
 }
 
-// mapTenants finds the settings' tenants in a policy.
+// useConnectionLeases attaches connection leases to the loop.
+func (l *loop) useConnectionLeases(b *connectionLeases) {
+	b.loop = l
+	l.connLeases = b
+	l.extensions[connectionLeasesExtension] = b
+}
+
+func (b *connectionLeases) handle(m message) bool {
+	switch m := m.(type) {
+	case viewReceived:
+		b.handleView(m.view)
+		return false // the control plane has to see it too
+	case leaseReleaseRequested:
+		m.holds <- b.release()
+		return true
+	}
+	return false
+}
+
+// report adds nothing: what is held is in the control plane's view.
+func (b *connectionLeases) report(*QueryCounters) {}
+
+// mapTenants finds the tenants of the settings in a policy.
 func (b *connectionLeases) mapTenants(tenants []string) {
 	b.policyTenant, b.settingsTenant = make([]int, len(b.names)), make([]int, len(tenants))
 	for i := range b.policyTenant {
@@ -72,7 +98,7 @@
 	}
 }
 
-// Open answers the pool.
+// Open tells the pool whether it may open a connection to a node for a tenant, and by which right.
 func (b *connectionLeases) Open(node decision.NodeID, tenant int) store.Leave {
 	if b.stopped {
 		return store.No
@@ -90,12 +116,12 @@
 	return store.Floor
 }
 
-// Closed hears of the end of a connection.
+// Closed is told by the pool that a connection has ended.
 func (b *connectionLeases) Closed(node decision.NodeID, tenant int, byNode bool) {
 	b.holder.RecordClosed(connlease.LeaseKey{Node: node, Tenant: tenant}, byNode, b.loop.since())
 }
 
-// handleView takes over what is agreed.
+// handleView applies the policy and the grants of a view.
 func (b *connectionLeases) handleView(v *controlplane.View) {
 	b.view, b.due = v, 0
 	if v.Index == 0 {
--- a/internal/server/connection_leases_test.go
+++ b/internal/server/connection_leases_test.go
@@ -18,7 +18,7 @@
 	l = newLoop(time.Now(), nil, &decision.Settings{})
 	l.clock = func() time.Duration { return *now }
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 99}, nil, l.since, nil, nil, nil)
-	l.connLeases = newConnectionLeases(l, 1, []string{"acme", "quiet"})
+	l.useConnectionLeases(newConnectionLeases(1, []string{"acme", "quiet"}))
 	l.connLeases.proposeEntry = func(statemachine.Entry) {}
 	return l, now
 }
@@ -115,7 +115,7 @@
 			t.Errorf("let in %v before it was told", told-*now)
 		}
 		b.due = 0
-		l.connLeaseTick(*now)
+		l.connLeases.tick(*now)
 		*now += leaseInterval
 	}
 	if _, full = b.overloaded(0); full {
--- a/internal/server/control_plane.go
+++ b/internal/server/control_plane.go
@@ -107,7 +107,7 @@
 		return err
 	}
 	s.controlPlane = p
-	s.loop.controlPlane = newControlPlaneView(s.start.Terms.Types)
+	s.loop.useControlPlane(newControlPlaneView(s.start.Terms.Types))
 	s.loop.controlPlane.endpoints = &p.endpoints
 	p.Leading(controlplane.Duty{Name: "epoch", Every: epochInterval, Do: epochProposals(&p.endpoints)})
 	p.Named(func(text string) (id decision.NodeID, ok bool) {
--- /dev/null
+++ b/internal/server/control_plane_view.go
@@ -0,0 +1,140 @@
+package server
+
+import (
+	"sync/atomic"
+	"time"
+
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/statemachine"
+	"flaxfront/internal/server/query"
+)
+
+// controlPlaneHost is what the control plane's view may use of the loop.
+type controlPlaneHost interface {
+	endpointHost
+	updateEndpoints(changed []decision.Endpoint)
+	warmUpTime() time.Duration
+}
+
+// controlPlaneView is the extension for what the tier agreed: drains of nodes, and counts of results that load reports carry.
+type controlPlaneView struct {
+	loop              controlPlaneHost
+	view              *controlplane.View
+	drains            map[decision.NodeID]*agreedDrain
+	proposeAck        func(node decision.NodeID, number uint64) // must not wait
+	classes           []controlplane.Class
+	warmingUpAttempts uint64                            // sent to nodes that were still warming up
+	endpoints         *atomic.Pointer[endpointSnapshot] // for the control plane's goroutine
+}
+
+// newControlPlaneView makes the extension for a deployment's query types.
+func newControlPlaneView(types []string) *controlPlaneView {
+	v := &controlPlaneView{view: &controlplane.View{}, drains: map[decision.NodeID]*agreedDrain{}}
+	for _, name := range types {
+		v.classes = append(v.classes, controlplane.Class{Name: name})
+	}
+	return v
+}
+
+// useControlPlane attaches the control plane's view to the loop.
+func (l *loop) useControlPlane(v *controlPlaneView) {
+	v.loop = l
+	l.controlPlane = v
+	l.extensions[controlPlaneExtension] = v
+}
+
+func (v *controlPlaneView) handle(m message) bool {
+	switch m := m.(type) {
+	case viewReceived:
+		v.view = m.view
+		v.updateDrains(m.view.Drains)
+	case drainAckFailed:
+		v.retryAck(m)
+	default:
+		return false
+	}
+	return true
+}
+
+// publishEndpoints leaves the loop's endpoints for the control plane's goroutine.
+func (v *controlPlaneView) publishEndpoints(s *endpointSnapshot) {
+	if previous := v.endpoints.Load(); previous != nil {
+		s.Follow(&previous.List)
+	}
+	v.endpoints.Store(s)
+}
+
+// countAttempts counts attempts sent to a node that is still warming up, for the gates of a release: a version that loads such nodes more
+// than the others do overloads them, which no count of queries shows in time.
+func (v *controlPlaneView) countAttempts(node decision.NodeID, n int) {
+	if v == nil {
+		return
+	}
+	now := v.loop.since()
+	if endpoint, known := v.loop.endpoints()[node]; known && now-v.loop.warmUpTime() < endpoint.Entry.StartedAt {
+		v.warmingUpAttempts += uint64(n)
+	}
+}
+
+// countResult adds a result to its query type's counts.
+func (v *controlPlaneView) countResult(q *search, outcome query.Outcome) {
+	if v == nil || q.Type < 0 || q.Type >= len(v.classes) {
+		return
+	}
+	c := &v.classes[q.Type]
+	switch {
+	case outcome == query.Answered:
+		c.Served++
+	case outcome == query.Shed:
+		c.Refused++
+	case v.loop.since() >= q.deadline:
+		c.Late++
+	default:
+		c.Failed++
+	}
+}
+
+// ControlPlaneState is what operators see of what the tier agreed, as this broker knows it.
+type ControlPlaneState struct {
+	Index             uint64
+	Connected         bool
+	Leader            string
+	Incarnation       uint64
+	Standing          string
+	Permit            statemachine.ReleasePermit
+	Drains            []controlplane.Drain
+	EnforcedDrains    int    `json:"Shut"` // of nodes that get nothing
+	PolicyVersion     uint64 `json:"Policy"`
+	Epoch             uint64
+	Halted            string `json:",omitempty"`
+	Classes           []controlplane.Class
+	WarmingUpAttempts uint64 `json:"Cold"` // attempts sent to nodes that were still warming up
+}
+
+func (v *controlPlaneView) report(c *QueryCounters) {
+	s := &ControlPlaneState{
+		Index:             v.view.Index,
+		Connected:         v.view.Held(v.loop.since()),
+		Leader:            v.view.Leader,
+		Incarnation:       v.view.Me.Incarnation,
+		Standing:          v.view.Me.Status.String(),
+		Permit:            v.view.Permit,
+		Drains:            v.view.Drains,
+		Epoch:             v.view.Epoch,
+		Classes:           append([]controlplane.Class(nil), v.classes...),
+		WarmingUpAttempts: v.warmingUpAttempts,
+	}
+	for _, d := range v.drains {
+		if d.enforced {
+			s.EnforcedDrains++
+		}
+	}
+	if p := v.view.Policy; p != nil {
+		s.PolicyVersion = p.Version
+	}
+	if v.view.Halted != nil {
+		s.Halted = v.view.Halted.Error()
+	}
+	c.ControlPlane = s
+}
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -1,9 +1,5 @@
 package server
 
-// This file owns the loop for whoever brings the time and the network: the laboratory, which plays many brokers in virtual time.
-// It is the same loop, module, door and pool as in service, without goroutines, clients' connections and sockets. It must never
-// be used by what serves, or decide anything.
-
 import (
 	"context"
 	"time"
@@ -18,27 +14,29 @@
 	"flaxfront/internal/transport/store"
 )
 
-// Environment is what a core needs of the world round it.
+// Environment is what a core needs of the world around it.
 type Environment struct {
 	Now           func() time.Duration // since Start
 	Start         time.Time
-	Sockets       int // descriptors
+	Sockets       int // file descriptors
 	Carrier       store.Carrier
-	PollDiscovery func()            // discovery
-	SendGossip    func(text string) // other brokers
-	Log           func(text string) // what the module logs
-	CachedList    *cachedlist.Book  // the node list as last kept; nil: none is kept
+	PollDiscovery func()
+	SendGossip    func(text string) // to the other brokers
+	Log           func(text string) // what the router logs
+	CachedList    *cachedlist.Book  // the endpoint list as last stored; nil: none is
 }
 
-// Core is one broker.
+// Core is one broker for whoever brings the time and the network: the simulation, which plays many of them in virtual time. It has the loop,
+// the router, admission and the pool of a broker in service, without goroutines, client connections and sockets. Its methods must not be
+// called concurrently.
 type Core struct{ l *loop }
 
-// Query is a search as it is put to a core.
+// Query is a query as it is put to a core.
 type Query struct {
 	ID      string
 	Type    int
 	Tenant  int
-	Client  uint64
+	Client  uint64 // a hash of the key that the client states; 0: none
 	Retry   bool
 	Timeout time.Duration
 	Text    string
@@ -49,60 +47,67 @@
 
 // QueryResult is the final answer to it.
 type QueryResult struct {
-	Answered, Complete, Shed bool // neither answered nor shed: errored
-	RetryAfter               time.Duration
-	Shards                   []int // that are in
-	Values                   []string
-	Hinted                   bool                // the next ones hold
-	Positions                []readhint.Position // by shard
-	Behind                   []int               // shards that do not keep what the hint asked for
-	Staleness                time.Duration       // what the answer may lack at the most; under 0: no bound is known
+	Answered   bool // neither answered nor shed: failed
+	Complete   bool
+	Shed       bool
+	RetryAfter time.Duration
+	Shards     []int // that are answered
+	Values     []string
+	Hinted     bool                // the next ones hold
+	Positions  []readhint.Position // by shard
+	Behind     []int               // shards that have not reached what the hint asks for
+	Staleness  time.Duration       // bound on what the answer may lack; under 0: none is known
 }
 
-// PendingQuery is a search that was put to a core.
+// PendingQuery is a query that was put to a core.
 type PendingQuery struct{ s *search }
 
-// Done tells whether it has its verdict, or was left.
-func (h PendingQuery) Done() bool { return h.s.done }
-
-// NewCore makes a broker; it knows no node until it is told a list.
-func NewCore(t *terms.Terms, file *operator.File, decide func(decision.Settings) decision.Router, a Environment) (*Core, error) {
-	l := newLoop(a.Start, decide(t.Module), &t.Module)
-	l.clock, l.pollDiscovery, l.sendGossip = a.Now, a.PollDiscovery, a.SendGossip
-	l.logDecision = func(text string, _ time.Duration) { a.Log(text) }
-	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: t.LongestTimeout(),
-		Conns: max(1, (a.Sockets-spareSockets)/nodeSocketsDivisor)}
-	l.pool = store.NewPool(context.Background(), limits, nil, a.Now, nil, nil, l.attemptEnded)
+// Done tells whether it has its result, or was abandoned.
+func (p PendingQuery) Done() bool { return p.s.done }
+
+// NewCore makes a broker; it knows no node until it is given a list. The error is an InvalidWeightsError.
+func NewCore(t *terms.Terms, file *operator.File, newRouter func(decision.Settings) decision.Router, e Environment) (*Core, error) {
+	l := newLoop(e.Start, newRouter(t.Module), &t.Module)
+	l.clock = e.Now
+	l.pollDiscovery = e.PollDiscovery
+	l.sendGossip = e.SendGossip
+	l.logDecision = func(text string, _ time.Duration) { e.Log(text) }
+	limits := store.Limits{
+		Streams: t.Streams,
+		Idle:    t.Idle,
+		Dial:    t.Dial,
+		Silent:  t.LongestTimeout(),
+		Conns:   max(1, (e.Sockets-spareSockets)/nodeSocketsDivisor),
+	}
+	l.pool = store.NewPool(context.Background(), limits, nil, e.Now, nil, nil, l.attemptEnded)
 	l.pool.Probed = l.healthCheckEnded
-	l.pool.Carry(a.Carrier)
+	l.pool.Carry(e.Carrier)
 	if file.Fleet.Pins {
-		l.readPins = newReadPinning(&file.Fleet, t)
+		l.useReadPins(newReadPinning(&file.Fleet, t))
 		l.pool.KeepReports()
 	}
 	var err error
 	if file.Door.On {
-		l.admission, err = newAdmissionControl(&file.Door, t)
+		var admission *admissionControl
+		if admission, err = newAdmissionControl(&file.Door, t); err == nil {
+			l.useAdmission(admission)
+		}
 	}
-	if a.CachedList != nil {
-		p := file.Start.Trust
-		judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: p.HalfLife, Oldest: p.Oldest, StrikeAt: p.StrikeAt, Parole: p.Parole},
-			a.CachedList, cachedlist.At(a.Start))
+	list := &discovery.List{Whole: true}
+	if e.CachedList != nil {
+		cached := newCachedList(&file.Start, e.CachedList, e.Start)
+		cached.store = func(cachedlist.Changes) {}
 		reader := discovery.Reader{Zones: t.Zones}
-		l.cachedList = &cachedEndpointList{book: a.CachedList, judge: judge, store: func(cachedlist.Changes) {}, zone: reader.Zone,
-			maxEntries: file.Start.NodeList.MaxEntries, keepEnded: file.Start.NodeList.KeepEnded, start: a.Start}
-		list := &discovery.List{Whole: true}
-		for _, f := range judge.Begin(discovery.ID) {
-			list.Nodes = append(list.Nodes, l.cachedList.node(f))
-		}
-		l.applyList(list)
-	} else {
-		l.applyList(&discovery.List{Whole: true})
+		cached.zone = reader.Zone
+		l.useCachedList(cached)
+		list = cached.initialList()
 	}
+	l.applyList(list)
 	return &Core{l}, err
 }
 
-// Submit puts a search to the broker; to gets its one verdict, perhaps before Search returns.
-func (c *Core) Submit(a *Query, to func(QueryResult)) PendingQuery {
+// Submit puts a query to the broker; deliver gets its one result, perhaps before Submit returns.
+func (c *Core) Submit(a *Query, deliver func(QueryResult)) PendingQuery {
 	q := &query.Request{ID: a.ID, Type: a.Type, Tenant: a.Tenant, Client: a.Client, Retry: a.Retry, Timeout: a.Timeout, Text: a.Text, Hint: a.Hint,
 		Shards: make([]query.ShardRequest, len(a.Shards))}
 	for i, shard := range a.Shards {
@@ -115,50 +120,50 @@
 		for _, p := range v.Answers {
 			out.Shards, out.Values = append(out.Shards, p.Shard), append(out.Values, p.Value)
 		}
-		to(out)
+		deliver(out)
 	}
 	c.l.handle(queryReceived{s})
 	return PendingQuery{s}
 }
 
-// Abandon tells that a search's client has gone; overdue, that its time is up and a verdict is owed.
-func (c *Core) Abandon(h PendingQuery, overdue bool) {
+// Abandon tells that a query's client has left; overdue, that its time is up and a result is owed.
+func (c *Core) Abandon(p PendingQuery, overdue bool) {
 	cause := query.ClientLeft
 	if overdue {
 		cause = query.DeadlinePassed
 	}
-	c.l.handle(queryAbandoned{h.s, cause})
+	c.l.handle(queryAbandoned{p.s, cause})
 }
 
-// HandleConnection hands on what happened to a connection.
-func (c *Core) HandleConnection(e store.Event) { c.l.handle(e) }
+// HandleConnection takes what happened to a connection.
+func (c *Core) HandleConnection(e store.Event) { c.l.handle(connectionEvent{e}) }
 
-// HandleList hands on what discovery told, or that a call failed.
+// HandleList takes what a poll of discovery returned.
 func (c *Core) HandleList(list *discovery.List, err error) { c.l.handle(listReceived{list, err}) }
 
 // CollectPositions is what the broker knows of replicas' positions.
 func (c *Core) CollectPositions() []byte { return c.l.readPins.positions.EncodePositions(c.l.since()) }
 
-// MergePositions hands on what another broker collected; it has grown older by so much at the most.
+// MergePositions takes what another broker collected; older is the most by which it has aged on the way.
 func (c *Core) MergePositions(data []byte, older time.Duration) {
 	c.l.handle(positionsReceived{data, c.l.since() - older})
 }
 
-// HandleGossip hands on a message of another broker.
+// HandleGossip takes a message of another broker.
 func (c *Core) HandleGossip(from int, text []byte) { c.l.handle(gossipReceived{from, text}) }
 
-// Step takes a turn if anything happened and tells when to come again.
+// Step advances the loop and returns when to be called again.
 func (c *Core) Step() time.Duration { return c.l.advance() }
 
-// Counters is what the broker counts.
+// Counters are the broker's counters.
 func (c *Core) Counters() QueryCounters {
 	r := countersRequested{make(chan QueryCounters, 1)}
 	c.l.handle(r)
 	return <-r.to
 }
 
-// Trusts tells whether the module gives a node work as a matter of course; for reports only.
+// Trusts tells whether the router gives a node ordinary work; for reports only.
 func (c *Core) Trusts(id decision.NodeID) bool {
-	m, tells := c.l.router.(interface{ IsAvailable(decision.NodeID) bool })
-	return !tells || m.IsAvailable(id)
+	r, ok := c.l.router.(interface{ IsAvailable(decision.NodeID) bool })
+	return !ok || r.IsAvailable(id)
 }
--- a/internal/server/deliver.go
+++ b/internal/server/deliver.go
@@ -3,9 +3,9 @@
 // This file owns the way to the loop for every goroutine but its own.
 
 // deliver hands something to the loop and waits while its queue is full; false: it takes no more.
-func (s *Server) deliver(d any) bool {
+func (s *Server) deliver(m message) bool {
 	select {
-	case s.loop.inbox <- d:
+	case s.loop.inbox <- m:
 		return true
 	case <-s.ctx.Done():
 		return false
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -56,9 +56,9 @@
 			func(fn func() error) { go fn() }, func(store.Event) {}, l.attemptEnded)
 		under := decoded(t)
 		l.settings = &under
-		l.controlPlane = newControlPlaneView([]string{"a"})
+		l.useControlPlane(newControlPlaneView([]string{"a"}))
 		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
-		l.readPins = newReadPinning(&operator.Fleet{}, &under)
+		l.useReadPins(newReadPinning(&operator.Fleet{}, &under))
 		hintedTo := func() (to []decision.NodeID) {
 			to, _, _ = l.readPins.positions.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
 			return to
--- a/internal/server/endpoint_list.go
+++ b/internal/server/endpoint_list.go
@@ -1,95 +1,114 @@
 package server
 
-// This file owns how a node list reaches the module and the pool. It must never point the pool at a node that
-// the module is not told of.
-
 import (
 	"log/slog"
 	"slices"
 	"strings"
+	"time"
 
 	"flaxfront/internal/config/remedy"
 	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
 )
 
+// handleList takes what a poll of discovery returned.
 func (l *loop) handleList(list *discovery.List, err error) {
-	if l.pollFailed = err != nil; l.pollFailed {
+	l.pollFailed = err != nil
+	if err != nil {
 		l.counters.ListsFailed++
-		if l.controlPlane != nil {
-			l.publishEndpoints(l.controlPlane.endpoints)
-		}
-		if l.cachedList != nil {
-			l.cachedList.judge.Failed()
-		}
-		slog.Info("list not had", "error", err, "what_to_do", remedy.Of(err))
-		l.events = append(l.events, decision.Event{Kind: decision.ListPollFailed})
+		l.publishEndpoints()
+		l.cachedList.pollFailed()
+		slog.Info("endpoint list poll failed", "component", "discovery", "error", err, "remedy", remedy.Of(err))
+		l.post(decision.Event{Kind: decision.ListPollFailed})
 		return
 	}
 	if list.Cells != 0 && list.Cells != l.cells {
-		return // read before the layout changed; the whole list of the new one is asked for
+		return // read before the layout changed; the full list of the new one is polled
 	}
 	l.counters.ListsReceived++
 	l.applyList(list)
-	if l.membership != nil {
-		l.shareList(list)
-	}
-	if l.cachedList != nil {
-		l.confirmList(list)
-	}
+	l.membership.shareList(list)
+	l.cachedList.confirmList(list)
 }
 
-// applyList takes over a list, or the lines that changed.
+// applyList gives a full list, or the endpoints that changed, to the pool and the router. The pool never has a node that the router is not
+// told of.
 func (l *loop) applyList(list *discovery.List) {
 	e := decision.Event{Kind: decision.ListUpdateReceived}
-	named := map[decision.NodeID]bool{}
 	if list.Whole {
 		e.Kind = decision.FullListReceived
 	}
+	listed := map[decision.NodeID]bool{}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		id := n.Entry.Node
-		last, known := l.nodes[id]
-		if known && last.Name != n.Name {
-			slog.Error("two nodes share an id", "node", n.Name, "other", last.Name)
+		previous, known := l.nodes[n.Entry.Node]
+		if known && previous.Name != n.Name {
+			slog.Error("two nodes share an id", "component", "discovery", "node", n.Name, "other_node", previous.Name)
 			continue
 		}
-		e.Endpoints = append(e.Endpoints, l.withAgreedDrain(n.Entry))
-		named[id] = true
-		if n.Entry.State == decision.Removed {
-			delete(l.nodes, id)
-			l.pool.Drop(id)
-		} else {
-			l.nodes[id] = *n
-			l.pool.Point(id, n.Name, n.Addr, n.Entry.StartedAt)
-			if e.Endpoints[len(e.Endpoints)-1].State != decision.Ready {
-				l.pool.Withhold(id)
-			}
-		}
-		if !known || last != *n {
-			slog.Info("node listed", "node", n.Name, "id", id, "addr", n.Addr, "state", n.Entry.State,
-				"zone", n.Entry.Zone, "cell", n.Entry.Cell)
+		endpoint := l.controlPlane.withAgreedDrain(n.Entry)
+		e.Endpoints = append(e.Endpoints, endpoint)
+		listed[n.Entry.Node] = true
+		l.applyEndpoint(n, endpoint.State)
+		if !known || previous != *n {
+			slog.Info("node listed", "component", "discovery", "node", n.Name, "id", n.Entry.Node, "address", n.Addr,
+				"state", n.Entry.State, "zone", n.Entry.Zone, "cell", n.Entry.Cell)
 		}
 	}
 	if list.Whole {
-		var unlisted []discovery.Node
-		for id, n := range l.nodes {
-			if !named[id] {
-				unlisted = append(unlisted, n)
-			}
-		}
-		slices.SortFunc(unlisted, func(a, b discovery.Node) int { return strings.Compare(a.Name, b.Name) })
-		for _, n := range unlisted {
-			slog.Info("node unlisted", "node", n.Name, "id", n.Entry.Node)
-			delete(l.nodes, n.Entry.Node)
-			l.pool.Drop(n.Entry.Node)
-		}
+		l.dropUnlisted(listed)
+	}
+	l.readPins.updateEndpoints(list.Whole, e.Endpoints)
+	l.post(e)
+	l.publishEndpoints()
+}
+
+// applyEndpoint has the pool connect to a node, or drop it. state is that of the endpoint with an agreed drain over it.
+func (l *loop) applyEndpoint(n *discovery.Node, state decision.EndpointState) {
+	id := n.Entry.Node
+	if n.Entry.State == decision.Removed {
+		delete(l.nodes, id)
+		l.pool.Drop(id)
+		return
+	}
+	l.nodes[id] = *n
+	l.pool.Point(id, n.Name, n.Addr, n.Entry.StartedAt)
+	if state != decision.Ready {
+		l.pool.Withhold(id)
 	}
-	if l.readPins != nil {
-		l.readPins.positions.UpdateEndpoints(l.since(), list.Whole, e.Endpoints)
+}
+
+// dropUnlisted drops the nodes that a full list lacks, in the order of their names.
+func (l *loop) dropUnlisted(listed map[decision.NodeID]bool) {
+	var unlisted []discovery.Node
+	for id, n := range l.nodes {
+		if !listed[id] {
+			unlisted = append(unlisted, n)
+		}
 	}
-	l.events = append(l.events, e)
-	if l.controlPlane != nil {
-		l.publishEndpoints(l.controlPlane.endpoints)
+	slices.SortFunc(unlisted, func(a, b discovery.Node) int { return strings.Compare(a.Name, b.Name) })
+	for _, n := range unlisted {
+		slog.Info("node unlisted", "component", "discovery", "node", n.Name, "id", n.Entry.Node)
+		delete(l.nodes, n.Entry.Node)
+		l.pool.Drop(n.Entry.Node)
 	}
 }
+
+// updateEndpoints tells the router of endpoints whose state changed without discovery, and read pins, which would otherwise count on a
+// drained node, or pass it by once its drain has ended.
+func (l *loop) updateEndpoints(changed []decision.Endpoint) {
+	l.post(decision.Event{Kind: decision.ListUpdateReceived, Endpoints: changed})
+	l.readPins.updateEndpoints(false, changed)
+}
+
+// requestList polls discovery.
+func (l *loop) requestList() { l.pollDiscovery() }
+
+// confirmByGossip tells the cached list of an endpoint's state that discovery told another broker.
+func (l *loop) confirmByGossip(n *discovery.Node) { l.cachedList.confirmByGossip(n) }
+
+// startTime is when the broker started.
+func (l *loop) startTime() time.Time { return l.start }
+
+// warmUpTime is how long a node that has just started is warming up.
+func (l *loop) warmUpTime() time.Duration { return l.settings.Module.WarmUpTime }
--- a/internal/server/endpoint_snapshot.go
+++ b/internal/server/endpoint_snapshot.go
@@ -1,7 +1,5 @@
 package server
 
-// This file owns the way of a broker's node list to the fleet; what a leader makes of it is decide/release's to say.
-
 import (
 	"slices"
 	"sync/atomic"
@@ -16,14 +14,14 @@
 
 const epochInterval = 500 * time.Millisecond
 
-// endpointSnapshot is a broker's node list for the fleet's goroutine.
+// endpointSnapshot is a copy of a broker's endpoints for the control plane's goroutine.
 type endpointSnapshot struct {
 	release.List
 	names map[decision.NodeID]string
 	ids   map[string]decision.NodeID // by name and by address
 }
 
-// shardsOfCell are the shards whose holders lie in a cell.
+// shardsOfCell are the shards whose replicas lie in a cell.
 func shardsOfCell(cell int, t *terms.Terms) (shards []uint32) {
 	for s := range t.Shards {
 		if (cell-s%t.Module.Cells+t.Module.Cells)%t.Module.Cells < t.Module.CellsPerShard {
@@ -33,23 +31,27 @@
 	return shards
 }
 
-// publishEndpoints leaves the list for the fleet.
-func (l *loop) publishEndpoints(to *atomic.Pointer[endpointSnapshot]) {
-	have := &endpointSnapshot{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
-	have.Ready, have.Since, have.Told = map[decision.NodeID]bool{}, l.since(), l.counters.ListsReceived > 0 && !l.pollFailed
-	for id, n := range l.nodes {
-		have.Nodes = append(have.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
-		have.names[id], have.ids[n.Name], have.ids[n.Addr.String()] = n.Name, id, id
-		have.Ready[id] = n.Entry.State == decision.Ready
+// publishEndpoints leaves the endpoints for the control plane's goroutine.
+func (l *loop) publishEndpoints() {
+	if l.controlPlane == nil {
+		return
 	}
-	slices.SortFunc(have.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.CompareNodes(a.Node, b.Node) })
-	if was := to.Load(); was != nil {
-		have.Follow(&was.List)
+	s := &endpointSnapshot{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
+	s.Ready = map[decision.NodeID]bool{}
+	s.Since = l.since()
+	s.Told = l.counters.ListsReceived > 0 && !l.pollFailed
+	for id, n := range l.nodes {
+		s.Nodes = append(s.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
+		s.names[id] = n.Name
+		s.ids[n.Name] = id
+		s.ids[n.Addr.String()] = id
+		s.Ready[id] = n.Entry.State == decision.Ready
 	}
-	to.Store(have)
+	slices.SortFunc(s.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.CompareNodes(a.Node, b.Node) })
+	l.controlPlane.publishEndpoints(s)
 }
 
-// epochProposals proposes what the list calls for.
+// epochProposals is the leader's job that proposes what the endpoints call for.
 func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.Moment) []statemachine.Entry {
 	return func(m controlplane.Moment) []statemachine.Entry {
 		if have := from.Load(); have != nil {
--- a/internal/server/endpoint_snapshot_test.go
+++ b/internal/server/endpoint_snapshot_test.go
@@ -20,7 +20,7 @@
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 9}, nil, l.since, nil, nil, nil)
 	under := decoded(t)
 	l.settings = &under
-	l.controlPlane = newControlPlaneView(nil)
+	l.useControlPlane(newControlPlaneView(nil))
 	l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
 	look := epochProposals(l.controlPlane.endpoints)
 	proposed := func() int { return len(look(controlplane.Moment{State: statemachine.New(), Now: now})) }
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns the loop's part of the gateway to other sites: what the module sheds is offered to the routes. It must
-// never forward a search that came from another site, or decide itself where one goes.
-
 import (
 	"log/slog"
 	"slices"
@@ -16,164 +13,237 @@
 )
 
 const (
-	statusInterval     = 200 * time.Millisecond // the status that heartbeats carry is made anew
-	weightSumTolerance = 1e-4                   // sums of weights may fall so far short
+	statusInterval  = 200 * time.Millisecond // between two statuses for heartbeats
+	weightTolerance = 1e-4                   // sums of weights may fall so far short
 )
 
-// siteGateway is the loop's part of it.
+// gatewayHost is what the gateway may use of the loop.
+type gatewayHost interface {
+	host
+	receive(q *search)
+	hasCapacity(q *search) bool
+	capacity() (used, limit int)
+	submit(q *search, left time.Duration)
+	finish(q *search)
+	detach(q *search)
+	release(q *search)
+	deliverResult(q *search, r query.Result)
+	shedResult() query.Result
+	retryAfterLimit() time.Duration
+	admissionDone(q *search, outcome query.Outcome)
+	typeOf(r *query.Request) *decision.QueryType
+	hasAvailableReplica(shard int) bool
+}
+
+// siteGateway is the extension for other sites: what the router sheds is offered to the forwarding decisions, and what other sites forward
+// is received. A query that came from another site is never forwarded.
 type siteGateway struct {
+	loop            gatewayHost
 	outgoing        *forwarding.Near
 	incoming        *forwarding.Far
 	links           *link.Links
 	settings        *terms.Terms
-	conns           []*link.Conn       // standing, by peer
-	forwarded       map[uint64]*search // by the id that they had when they left
+	conns           []*link.Conn       // established, by peer
+	forwarded       map[uint64]*search // by the id that they had when they were forwarded
 	remote          map[forwarding.Key]*remoteQuery
-	nextStatus      time.Duration // when the status is made anew
-	stopping        func() bool   // a planned stop is under way
-	unhealthyShards []int         // shards without a sound holder
+	nextStatus      time.Duration
+	stopping        func() bool // a graceful shutdown is under way
+	unhealthyShards []int       // without an available replica
+}
+
+// forwardingState is what the gateway keeps of a query.
+type forwardingState struct {
+	remote     bool          // a broker of another site sent it
+	forwarded  bool          // another site has it; the router has done with it
+	takenBack  bool          // it came back
+	mayHaveRun bool          // and may have run at the other site
+	retryAfter time.Duration // when the other site wants it back
+}
+
+func newGateway(p forwarding.Policy, names []string, links *link.Links, t *terms.Terms, stopping func() bool) *siteGateway {
+	return &siteGateway{
+		outgoing:  forwarding.NewNear(p, names),
+		incoming:  forwarding.NewFar(p),
+		links:     links,
+		settings:  t,
+		stopping:  stopping,
+		conns:     make([]*link.Conn, len(names)),
+		forwarded: map[uint64]*search{},
+		remote:    map[forwarding.Key]*remoteQuery{},
+	}
 }
 
-// shardHealth is a module that tells whether a shard has a sound holder.
+// useGateway attaches the gateway to the loop.
+func (l *loop) useGateway(g *siteGateway) {
+	g.loop = l
+	l.gateway = g
+	l.extensions[gatewayExtension] = g
+}
+
+// shardHealth is a router that tells whether a shard has an available replica.
 type shardHealth interface{ HasAvailableReplica(shard int) bool }
 
-func newGateway(p forwarding.Policy, names []string, links *link.Links, t *terms.Terms, stop func() bool) *siteGateway {
-	return &siteGateway{outgoing: forwarding.NewNear(p, names), incoming: forwarding.NewFar(p), links: links, settings: t, stopping: stop,
-		conns: make([]*link.Conn, len(names)), forwarded: map[uint64]*search{}, remote: map[forwarding.Key]*remoteQuery{}}
+// hasAvailableReplica tells whether the router has a replica for a shard; one that can't tell has.
+func (l *loop) hasAvailableReplica(shard int) bool {
+	r, ok := l.router.(shardHealth)
+	return !ok || r.HasAvailableReplica(shard)
 }
 
-// offerToSites tells whether a search that the module sheds goes abroad. The module has done with it; so has the loop, but for its
-// client and its id.
-func (l *loop) offerToSites(s *search) bool {
-	g := l.gateway
-	if g == nil || s.pin != nil { // what its reads need is known here alone
+// admissionDone tells admission that a query which it let in has ended here.
+func (l *loop) admissionDone(q *search, outcome query.Outcome) { l.admission.done(q, outcome) }
+
+func (g *siteGateway) handle(m message) bool {
+	e, ok := m.(linkEvent)
+	if !ok {
 		return false
 	}
-	r := forwarding.Search{ID: s.id, Effect: l.queryTypes[s.Type].Idempotency, Window: l.queryTypes[s.Type].IdempotencyWindow, Due: s.deadline,
-		Foreign: s.remote, Home: s.takenBack}
+	if e.Conn.Peer >= 0 {
+		g.handleDialledLink(e.Event)
+		g.execute()
+	} else {
+		g.handleAcceptedLink(e.Event)
+	}
+	return true
+}
+
+// tick lets time act on what is forwarded, and makes the status anew.
+func (g *siteGateway) tick(now time.Duration) time.Duration {
+	next := g.outgoing.Tick(now)
+	g.execute()
+	if now >= g.nextStatus {
+		g.nextStatus = now + statusInterval
+		g.unhealthyShards = g.unhealthyShards[:0]
+		for shard := range g.settings.Shards {
+			if !g.loop.hasAvailableReplica(shard) {
+				g.unhealthyShards = append(g.unhealthyShards, shard)
+			}
+		}
+		for _, k := range g.incoming.Forget(now) {
+			delete(g.remote, k)
+		}
+		g.links.Say(g.status(now), false)
+	}
+	return min(next, g.nextStatus)
+}
+
+func (g *siteGateway) status(now time.Duration) link.Status {
+	_, limit := g.loop.capacity()
+	return link.Status{
+		Room:     g.incoming.Room(limit),
+		Refusing: g.incoming.Refusing(now),
+		Stopping: g.stopping(),
+		Lacking:  slices.Clone(g.unhealthyShards),
+	}
+}
+
+// queryAccepted counts a client's query, by which the share of forwarded ones is bounded.
+func (g *siteGateway) queryAccepted() {
+	if g != nil {
+		g.outgoing.Taken()
+	}
+}
+
+// offer tells whether a query that the router sheds is forwarded. The loop keeps its client and its id only. A query with read pins is
+// not: the positions that its reads need are known here alone.
+func (g *siteGateway) offer(q *search) bool {
+	if g == nil || q.pin != nil {
+		return false
+	}
+	t := g.loop.typeOf(q.Request)
+	offered := forwarding.Search{ID: q.id, Effect: t.Idempotency, Window: t.IdempotencyWindow, Due: q.deadline,
+		Foreign: q.forwarding.remote, Home: q.forwarding.takenBack}
 	lacking := false
-	for i := range s.Request.Shards {
-		r.Shards = append(r.Shards, s.Request.Shards[i].Shard)
-		lacking = lacking || slices.Contains(g.unhealthyShards, s.Request.Shards[i].Shard)
+	for i := range q.Request.Shards {
+		shard := q.Request.Shards[i].Shard
+		offered.Shards = append(offered.Shards, shard)
+		lacking = lacking || slices.Contains(g.unhealthyShards, shard)
 	}
-	if !s.remote && !lacking {
-		g.incoming.Shed(l.since())
+	if !q.forwarding.remote && !lacking {
+		g.incoming.Shed(g.loop.since())
 	}
-	if !g.outgoing.Offer(r, l.since()) {
+	if !g.outgoing.Offer(offered, g.loop.since()) {
 		return false
 	}
-	l.reportDone(s, false, true)
-	s.forwarded = true
-	g.forwarded[s.id] = s
-	l.slotsUsed -= 1 + len(s.requests)
-	l.finished = append(l.finished, s)
+	g.loop.admissionDone(q, query.Shed)
+	q.forwarding.forwarded = true
+	g.forwarded[q.id] = q
+	g.loop.detach(q)
+	g.execute()
 	return true
 }
 
-// executeForwarding carries out what the routes decided.
-func (l *loop) executeForwarding() {
-	g := l.gateway
+// abandon forgets a forwarded query that nobody waits for any more.
+func (g *siteGateway) abandon(q *search) {
+	g.outgoing.Gone(q.id)
+	g.execute()
+	g.forget(q, q.id)
+}
+
+// execute carries out what the forwarding decisions ask for.
+func (g *siteGateway) execute() {
 	for acts := g.outgoing.Acts(); len(acts) > 0; acts = g.outgoing.Acts() {
 		for _, a := range acts {
-			s := g.forwarded[a.ID]
-			switch a.Kind {
-			case forwarding.Forward:
-				if s == nil || g.conns[a.Peer] == nil || !g.conns[a.Peer].Ask(g.encode(s, a)) {
-					g.outgoing.Back(a.Peer, a.ID, forwarding.Refused, l.since()) // it has not left
-				}
-			case forwarding.Cancel:
-				if c := g.conns[a.Peer]; c != nil {
-					c.Cancel(a.ID)
-				}
-			case forwarding.Home:
-				l.takeBack(s, a)
-			case forwarding.Shed:
-				l.finishForwarded(s, a.ID, query.Result{Outcome: query.Shed, RetryAfter: max(s.remoteRetryAfter, l.maxRetryAfter)})
-			case forwarding.Fail:
-				l.finishForwarded(s, a.ID, query.Result{Outcome: query.Failed})
-			case forwarding.Log:
-				slog.Info("gateway", "mode", a.Text)
-			}
+			g.executeOne(g.forwarded[a.ID], a)
 		}
 	}
 }
 
-// encode is a search as the link carries it.
-func (g *siteGateway) encode(s *search, a forwarding.Act) link.Ask {
-	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.settings.Types[s.Type], Repeat: s.Retry,
-		Request: s.Request.ID, Text: s.Text}
-	if len(g.settings.Tenants) > 0 {
-		out.Tenant = g.settings.Tenants[s.Tenant]
-	}
-	for i := range s.Request.Shards {
-		out.Parts = append(out.Parts, link.Part{Shard: s.Request.Shards[i].Shard, Weight: s.Request.Shards[i].Weight})
+func (g *siteGateway) executeOne(q *search, a forwarding.Act) {
+	switch a.Kind {
+	case forwarding.Forward:
+		if q == nil || g.conns[a.Peer] == nil || !g.conns[a.Peer].Ask(g.encode(q, a)) {
+			g.outgoing.Back(a.Peer, a.ID, forwarding.Refused, g.loop.since()) // it has not left
+		}
+	case forwarding.Cancel:
+		if c := g.conns[a.Peer]; c != nil {
+			c.Cancel(a.ID)
+		}
+	case forwarding.Home:
+		g.takeBack(q, a)
+	case forwarding.Shed:
+		g.finish(q, a.ID, query.Result{Outcome: query.Shed, RetryAfter: max(q.forwarding.retryAfter, g.loop.retryAfterLimit())})
+	case forwarding.Fail:
+		g.finish(q, a.ID, query.Result{Outcome: query.Failed})
+	case forwarding.Log:
+		slog.Info("forwarding mode changed", "component", "gateway", "mode", a.Text)
 	}
-	return out
 }
 
-// finishForwarded gives a search that was abroad its verdict.
-func (l *loop) finishForwarded(s *search, id uint64, v query.Result) {
-	l.deliverResult(s, v)
-	l.forgetForwarded(s, id)
+// finish gives a forwarded query its result.
+func (g *siteGateway) finish(q *search, id uint64, r query.Result) {
+	g.loop.deliverResult(q, r)
+	g.forget(q, id)
 }
 
-// forgetForwarded forgets a search that was abroad.
-func (l *loop) forgetForwarded(s *search, id uint64) {
-	s.done = true
-	l.counters.InFlight--
-	delete(l.gateway.forwarded, id)
-	delete(l.requestIDs, s.Request.ID)
+// forget drops a forwarded query.
+func (g *siteGateway) forget(q *search, id uint64) {
+	q.done = true
+	delete(g.forwarded, id)
+	g.loop.release(q)
 }
 
-// takeBack hands a search to the module once more, as a new one with the time that is left.
-func (l *loop) takeBack(s *search, a forwarding.Act) {
-	delete(l.gateway.forwarded, a.ID)
-	s.forwarded, s.takenBack, s.mayHaveRun = false, true, a.Risk
-	if l.slotsUsed+1+len(s.Request.Shards) > l.maxInFlight {
-		l.counters.InFlight--
-		s.done = true
-		delete(l.requestIDs, s.Request.ID)
-		l.counters.NoCapacity++
-		l.deliverResult(s, s.shedResult(query.Result{Outcome: query.Shed, RetryAfter: l.maxRetryAfter}, l))
+// takeBack submits a forwarded query to the router once more, as a new one with the time that is left.
+func (g *siteGateway) takeBack(q *search, a forwarding.Act) {
+	delete(g.forwarded, a.ID)
+	q.forwarding.forwarded = false
+	q.forwarding.takenBack = true
+	q.forwarding.mayHaveRun = a.Risk
+	if g.loop.hasCapacity(q) {
+		g.loop.submit(q, a.Left)
 		return
 	}
-	l.submit(s, a.Left)
+	q.done = true
+	g.loop.release(q)
+	g.loop.stats().NoCapacity++
+	g.loop.deliverResult(q, g.safeResult(q, g.loop.shedResult()))
 }
 
-// shedResult is the verdict on a search that is shed: one that may have run elsewhere can't say that asking again is harmless.
-func (s *search) shedResult(v query.Result, l *loop) query.Result {
-	if v.Outcome == query.Shed && s.mayHaveRun && l.queryTypes[s.Type].Idempotency != decision.Idempotent {
+// safeResult is the result of a query that is shed: one that may have run at another site can't promise that sending it again is harmless.
+func (g *siteGateway) safeResult(q *search, r query.Result) query.Result {
+	if r.Outcome == query.Shed && q.forwarding.mayHaveRun && g.loop.typeOf(q.Request).Idempotency != decision.Idempotent {
 		return query.Result{Outcome: query.Failed}
 	}
-	return v
-}
-
-// gatewayTick lets time act on what is abroad, and makes the status anew; it returns when to come again.
-func (l *loop) gatewayTick(now time.Duration) time.Duration {
-	g := l.gateway
-	next := g.outgoing.Tick(now)
-	l.executeForwarding()
-	if now >= g.nextStatus {
-		g.nextStatus = now + statusInterval
-		g.unhealthyShards = g.unhealthyShards[:0]
-		if m, tells := l.router.(shardHealth); tells {
-			for shard := range g.settings.Shards {
-				if !m.HasAvailableReplica(shard) {
-					g.unhealthyShards = append(g.unhealthyShards, shard)
-				}
-			}
-		}
-		for _, k := range g.incoming.Forget(now) {
-			delete(g.remote, k)
-		}
-		g.links.Say(g.status(l, now), false)
-	}
-	return min(next, g.nextStatus)
-}
-
-func (g *siteGateway) status(l *loop, now time.Duration) link.Status {
-	return link.Status{Room: g.incoming.Room(l.maxInFlight), Refusing: g.incoming.Refusing(now), Stopping: g.stopping(),
-		Lacking: slices.Clone(g.unhealthyShards)}
+	return r
 }
 
 // GatewayState is what operators see of the gateway.
@@ -182,3 +252,7 @@
 	Incoming forwarding.FarCounts  `json:"Far"`
 	Links    []forwarding.PeerState
 }
+
+func (g *siteGateway) report(c *QueryCounters) {
+	c.Gateway = &GatewayState{g.outgoing.Counts, g.incoming.Counts, g.outgoing.State(g.loop.since())}
+}
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -42,8 +42,8 @@
 // openConnLeases has the pool keep to what is agreed, and this broker divide where it leads.
 func (s *Server) openConnLeases(streams int) {
 	t, o := &s.start.Terms, &s.operator.Fleet
-	b := newConnectionLeases(s.loop, streams, t.Tenants)
-	s.loop.connLeases = b
+	b := newConnectionLeases(streams, t.Tenants)
+	s.loop.useConnectionLeases(b)
 	s.loop.pool.Keep(b)
 	b.proposeEntry = func(e statemachine.Entry) {
 		s.group.Go(func() error {
@@ -60,7 +60,7 @@
 		return g.compile(text, state, t.Tenants, o.Lease)
 	})
 	s.controlPlane.Tell(controlplane.Extra{Name: "need", Collect: func() []byte {
-		if text := b.report.Load(); text != nil {
+		if text := b.needReport.Load(); text != nil {
 			return *text
 		}
 		return nil
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns how a broker that stops in good order gives up what it holds, so that nobody waits for its lease. It must never
-// give up what a node may still count.
-
 import (
 	"context"
 	"errors"
@@ -13,9 +10,6 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// leaseReleaseRequested asks the loop to close all connections to nodes, for good. All searches are over by then.
-type leaseReleaseRequested struct{ holds chan heldLease }
-
 // heldLease is what is to be given up; number 0: nothing.
 type heldLease struct {
 	incarnation, number uint64
@@ -25,9 +19,9 @@
 // release closes what is open and opens nothing any more.
 func (b *connectionLeases) release() heldLease {
 	b.stopped = true
-	b.loop.pool.End("stopping")
+	b.loop.connections().End("stopping")
 	nothing := connlease.EncodeDemand(b.version, nil)
-	b.report.Store(&nothing) // else it would be granted more
+	b.needReport.Store(&nothing) // else it would be granted more
 	if b.view == nil || b.view.Grant.Ended || b.view.Grant.Incarnation != b.view.Me.Incarnation {
 		return heldLease{}
 	}
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns what budgets have the loop do by themselves: close what is not held any more, say so, and measure needs. It must
-// never wait, and it comes before anything is sent in a turn.
-
 import (
 	"time"
 
@@ -12,10 +9,13 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// connLeaseTick closes, acknowledges and measures; it returns when to come again. Danger: a process that was stopped over its lease
-// wakes with its connections, and units that another broker has by now; so this is asked before each turn, with the present time.
-func (l *loop) connLeaseTick(now time.Duration) (next time.Duration) {
-	b := l.connLeases
+const (
+	proposalInterval = 300 * time.Millisecond // between two proposals of entries
+)
+
+// tick closes surplus connections, acknowledges grants and measures needs. It is called before each step, with the present time: a process
+// that was stopped for longer than its lease resumes with connections that another broker holds by now.
+func (b *connectionLeases) tick(now time.Duration) time.Duration {
 	if now < b.due {
 		return b.due
 	}
@@ -25,14 +25,14 @@
 	}
 	surplus, hard := b.holder.ExcessConnections(now)
 	for _, r := range surplus {
-		l.pool.Shed(r.Node, r.Tenant, r.Connections, hard)
+		b.loop.connections().Shed(r.Node, r.Tenant, r.Connections, hard)
 	}
 	for i := range b.attempts {
 		b.attempts[i].sent *= attemptDecay
 		b.attempts[i].refused *= attemptDecay
 	}
 	b.measure(now)
-	if b.view == nil || b.view.Me.Incarnation == 0 || now < b.proposedAt+300*time.Millisecond {
+	if b.view == nil || b.view.Me.Incarnation == 0 || now < b.proposedAt+proposalInterval {
 		return b.due
 	}
 	me := b.view.Me
@@ -51,7 +51,7 @@
 func (b *connectionLeases) measure(now time.Duration) {
 	b.needs.Decay(now)
 	wants := map[connlease.LeaseKey]int{}
-	b.loop.pool.Wants(func(node decision.NodeID, tenant, parts int) {
+	b.loop.connections().Wants(func(node decision.NodeID, tenant, parts int) {
 		wants[connlease.LeaseKey{Node: node, Tenant: tenant}] += parts
 	})
 	for k, parts := range wants {
@@ -69,9 +69,10 @@
 		}
 	}
 	text := connlease.EncodeDemand(b.version, kept)
-	b.report.Store(&text)
-	nodes := make(map[decision.NodeID]connpolicy.Node, len(b.loop.nodes))
-	for id, n := range b.loop.nodes {
+	b.needReport.Store(&text)
+	endpoints := b.loop.endpoints()
+	nodes := make(map[decision.NodeID]connpolicy.Node, len(endpoints))
+	for id, n := range endpoints {
 		nodes[id] = policyNode(n)
 	}
 	b.nodes.Store(&nodes)
@@ -87,7 +88,7 @@
 )
 
 func (b *connectionLeases) countAttempts(tenant int, sent, refused float64) {
-	if tenant >= 0 && tenant < len(b.attempts) {
+	if b != nil && tenant >= 0 && tenant < len(b.attempts) {
 		b.attempts[tenant].sent += sent
 		b.attempts[tenant].refused += refused
 	}
@@ -97,7 +98,7 @@
 // a place, and when to come back: that is when the next one is let in. Danger: parts that get no connection are sent elsewhere, and
 // elsewhere again, while the search's time runs out, and searches that would have had room lose theirs.
 func (b *connectionLeases) overloaded(tenant int) (after time.Duration, full bool) {
-	if tenant < 0 || tenant >= len(b.attempts) || b.view == nil || b.view.Policy == nil {
+	if b == nil || tenant < 0 || tenant >= len(b.attempts) || b.view == nil || b.view.Policy == nil {
 		return 0, false
 	}
 	t := b.attempts[tenant]
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -1,9 +1,5 @@
 package server
 
-// This file owns the one goroutine that calls the module. Everything that happens is delivered to it; it hands all
-// that is queued to the module as one turn and carries the actions out. It must never wait for a socket or for a
-// client, and it takes no decision: what it refuses itself (no place left, an id in hand twice) the settings say.
-
 import (
 	"context"
 	"log/slog"
@@ -11,79 +7,110 @@
 
 	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision"
-	"flaxfront/internal/decision/admission"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/transport/store"
 )
 
-// queueDepth bounds what is delivered and not yet taken. Whoever delivers more waits, so that bytes stay in the
-// kernel and the network slows down whoever sends them.
+// queueDepth bounds the messages that are delivered and not yet handled. Whoever delivers more waits, so that bytes stay in the kernel and
+// the network slows down whoever sends them.
 const queueDepth = 1024
 
+// loop is the event loop: the one goroutine that calls the router and the extensions, and owns all queries in flight and the pool of
+// connections to nodes. It hands what was delivered to the router as one step and executes the actions. It never waits for a socket or a
+// client.
 type loop struct {
-	start               time.Time
-	clock               func() time.Duration        // since start
-	logDecision         func(string, time.Duration) // what the module logs
-	router              decision.Router
-	maxInFlight         int
-	maxRetryAfter       time.Duration // for searches that find no place; 0: clients are not told
-	maxBatch            int
-	inbox               chan any
-	pool                *store.Pool
-	pollDiscovery       func()                             // ask discovery
-	sendGossip          func(text string)                  // to the other brokers
-	nodes               map[decision.NodeID]discovery.Node // as last listed
-	pollFailed          bool                               // the last call to discovery failed
+	start       time.Time
+	clock       func() time.Duration // since start
+	inbox       chan message
+	router      decision.Router
+	pool        *store.Pool
+	counters    QueryCounters
+	logDecision func(text string, at time.Duration) // what the router logs
+
+	// settings in force
+	settings      *terms.Terms // where they can change
+	queryTypes    []decision.QueryType
+	cells         int
+	maxInFlight   int           // queries and shard requests
+	maxRetryAfter time.Duration // for queries that find no slot; 0: clients are not told
+	maxBatch      int           // attempts to one node in one call
+
+	// endpoints
+	nodes         map[decision.NodeID]discovery.Node // as last listed
+	pollFailed    bool                               // the last poll of discovery failed
+	pollDiscovery func()
+	sendGossip    func(text string) // to the other brokers
+
+	// queries in flight
 	nextID              uint64
 	slotsUsed           int
 	queries             map[uint64]*search
-	queryOfShardRequest map[uint64]*search // of parts
-	requestIDs          map[string]bool    // request ids in hand
-	events              []decision.Event   // for the next turn
-	spareEvents         []decision.Event
-	actions             []decision.Action
-	batches             []batch
-	finished            []*search
-	timerAt             time.Duration // 0: none
-	counters            QueryCounters
-	cachedList          *cachedEndpointList // nil: no list is kept
-	gateway             *siteGateway        // nil: no other site is known
-	queryTypes          []decision.QueryType
-	settings            *terms.Terms // in force, where they can change
-	cells               int
-	admission           *admissionControl // nil: first come, first served
-	readPins            *readPinning      // nil: hints on reads are not looked at
-	lets                []admission.Let
-	membership          *tierMembership   // nil: no other broker of the tier is known
-	controlPlane        *controlPlaneView // nil: brokers agree on nothing
-	connLeases          *connectionLeases // nil: connections are not divided
+	queryOfShardRequest map[uint64]*search
+	requestIDs          map[string]bool
+	finished            []*search // in this step
+
+	// the next step
+	events      []decision.Event
+	spareEvents []decision.Event
+	actions     []decision.Action
+	batches     []batch
+	timerAt     time.Duration // that the router asked for; 0: none
+
+	// extensions, each nil where it is off: its methods then do nothing
+	extensions   [extensionCount]extension
+	cachedList   *cachedEndpointList
+	gateway      *siteGateway
+	admission    *admissionControl
+	readPins     *readPinning
+	membership   *tierMembership
+	controlPlane *controlPlaneView
+	connLeases   *connectionLeases
 }
 
-// reconfigurable is a module that can go on under other terms.
-type reconfigurable interface {
-	Reconfigure(t decision.Settings, moved bool)
+func newLoop(start time.Time, router decision.Router, t *decision.Settings) *loop {
+	l := &loop{
+		start:               start,
+		clock:               func() time.Duration { return time.Since(start) },
+		inbox:               make(chan message, queueDepth),
+		router:              router,
+		logDecision:         logDecision,
+		nodes:               map[decision.NodeID]discovery.Node{},
+		pollDiscovery:       func() {},
+		sendGossip:          func(string) {},
+		nextID:              1,
+		queries:             map[uint64]*search{},
+		queryOfShardRequest: map[uint64]*search{},
+		requestIDs:          map[string]bool{},
+	}
+	l.applyLimits(t)
+	return l
 }
 
-func newLoop(start time.Time, module decision.Router, t *decision.Settings) *loop {
-	return &loop{start: start, clock: func() time.Duration { return time.Since(start) }, logDecision: logModule, router: module, queryTypes: t.QueryTypes, cells: t.Cells, maxInFlight: t.MaxInFlight, maxRetryAfter: t.MaxRetryAfter, maxBatch: t.MaxBatch,
-		inbox: make(chan any, queueDepth), nodes: map[decision.NodeID]discovery.Node{}, nextID: 1,
-		queries: map[uint64]*search{}, queryOfShardRequest: map[uint64]*search{}, requestIDs: map[string]bool{},
-		pollDiscovery: func() {}, sendGossip: func(string) {}}
+func (l *loop) applyLimits(t *decision.Settings) {
+	l.queryTypes = t.QueryTypes
+	l.cells = t.Cells
+	l.maxInFlight = t.MaxInFlight
+	l.maxRetryAfter = t.MaxRetryAfter
+	l.maxBatch = t.MaxBatch
 }
 
-func (l *loop) since() time.Duration { return l.clock() }
+func logDecision(text string, at time.Duration) {
+	slog.Info(text, "component", "routing", "at", at.Round(time.Millisecond))
+}
 
-func logModule(text string, at time.Duration) { slog.Info(text, "at", at.Round(time.Millisecond)) }
+// since is the time since the broker's start.
+func (l *loop) since() time.Duration { return l.clock() }
 
-// run takes turns until ctx ends.
+// run handles messages and advances until ctx ends.
 func (l *loop) run(ctx context.Context) error {
 	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-l.inbox:
-			l.handle(d)
+		case m := <-l.inbox:
+			l.handle(m)
 		case <-timer.C:
 		}
 		l.drainInbox()
@@ -92,51 +119,36 @@
 	}
 }
 
-// drainInbox takes what else is queued, one queue's length at most, so that a turn comes in any case.
+// drainInbox handles what else is queued, one queue's length at most, so that a step comes in any case.
 func (l *loop) drainInbox() {
 	for range queueDepth {
 		select {
-		case d := <-l.inbox:
-			l.handle(d)
+		case m := <-l.inbox:
+			l.handle(m)
 		default:
 			return
 		}
 	}
 }
 
-// advance takes a turn if anything happened and tells when to come again.
+// advance does what is due, steps the router if anything happened, and returns when to be called again.
 func (l *loop) advance() (next time.Duration) {
 	now := l.since()
 	next = l.pool.Sweep(now)
-	if l.connLeases != nil {
-		next = min(next, l.connLeaseTick(now))
-	}
-	if l.cachedList != nil {
-		next = min(next, l.judgeCachedList(now))
-	}
-	if l.gateway != nil {
-		next = min(next, l.gatewayTick(now))
-	}
-	if l.admission != nil {
-		next = min(next, l.admissionTick(now))
-	}
-	if l.membership != nil {
-		next = min(next, l.membershipTick(now))
-	}
-	if l.controlPlane != nil {
-		next = min(next, l.acknowledgeDrains(now))
+	for _, e := range &l.extensions {
+		if e != nil {
+			next = min(next, e.tick(now))
+		}
 	}
 	if l.timerAt > 0 && l.timerAt <= now {
 		l.timerAt = 0
-		l.events = append(l.events, decision.Event{Kind: decision.TimerFired})
+		l.post(decision.Event{Kind: decision.TimerFired})
 	}
 	if len(l.events) > 0 {
 		l.stepRouter(now)
-		if l.admission != nil { // what has ended makes room
-			next = min(next, l.admissionTick(now))
-		}
+		next = min(next, l.admission.afterStep(now))
 	}
-	if len(l.events) > 0 { // such as the ends of what was called off
+	if len(l.events) > 0 { // such as the ends of attempts that were cancelled
 		return now
 	}
 	if l.timerAt > 0 {
@@ -144,3 +156,74 @@
 	}
 	return next
 }
+
+// handle turns a message into events for the router's next step, or hands it to the extension that it is for.
+func (l *loop) handle(m message) {
+	switch m := m.(type) {
+	case connectionEvent:
+		l.pool.Handle(m.Event)
+	case queryReceived:
+		l.receive(m.s)
+	case queryAbandoned:
+		l.abandon(m)
+	case listReceived:
+		l.handleList(m.list, m.err)
+	case gossipReceived:
+		l.post(decision.Event{Kind: decision.GossipReceived, From: uint32(m.from), Payload: m.text})
+	case settingsChanged:
+		l.applySettings(m)
+		close(m.done)
+	case countersRequested:
+		m.to <- l.snapshot()
+	default:
+		for _, e := range &l.extensions {
+			if e != nil && e.handle(m) {
+				return
+			}
+		}
+	}
+}
+
+// inspectable is a router that tells what it holds to be so, for comparison with the wire.
+type inspectable interface{ Snapshot() (out, shut int) }
+
+// snapshot is a copy of the counters with the state of the pool, the router and the extensions.
+func (l *loop) snapshot() QueryCounters {
+	c := l.counters
+	c.Store = l.pool.Counts
+	c.Nodes = l.pool.Nodes()
+	c.NodeConnections = l.pool.Open()
+	c.AttemptsInFlight = l.pool.Out()
+	if r, ok := l.router.(inspectable); ok {
+		c.AttemptsByRouter, c.EjectedNodes = r.Snapshot()
+	}
+	for _, e := range &l.extensions {
+		if e != nil {
+			e.report(&c)
+		}
+	}
+	return c
+}
+
+// reconfigurable is a router that can go on under other settings.
+type reconfigurable interface {
+	Reconfigure(t decision.Settings, moved bool)
+}
+
+// applySettings has the loop, the pool and the router go on under other settings. What came before is handed to the router under the old
+// ones, and what is in flight ends by them. Where shards or nodes are others now, the nodes known so far get nothing more.
+func (l *loop) applySettings(m settingsChanged) {
+	if m.moved {
+		l.applyList(&discovery.List{Whole: true})
+	}
+	if len(l.events) > 0 {
+		l.stepRouter(l.since())
+	}
+	l.router.(reconfigurable).Reconfigure(m.terms.Module, m.moved)
+	l.settings = m.terms
+	l.applyLimits(&m.terms.Module)
+	l.pool.Retune(m.terms.Streams, m.terms.Idle, m.terms.Dial, m.terms.LongestTimeout())
+	if m.list != nil {
+		l.applyList(m.list)
+	}
+}
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -117,7 +117,7 @@
 	l.pool = store.NewPool(ctx, store.Limits{Streams: 8, Idle: 30 * time.Second, Dial: 250 * time.Millisecond, Conns: 20},
 		w.dial, l.since, func(f func() error) { go f() }, func(e store.Event) {
 			select {
-			case l.inbox <- e:
+			case l.inbox <- connectionEvent{e}:
 			case <-ctx.Done():
 			}
 		}, l.attemptEnded)
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -1,244 +1,204 @@
 package server
 
-// This file owns the loop's part of the tier: which brokers are there, duties that are shared, and words of discovery passed on.
-// It must never decide who owns what, or take a node's address from another broker: addresses differ from one to the next.
-
 import (
 	"encoding/binary"
-	"encoding/hex"
-	"hash/fnv"
-	"io"
 	"log/slog"
 	"net/netip"
 	"slices"
 	"time"
 
-	kept "flaxfront/internal/cluster/seeds"
-	"flaxfront/internal/config/operator"
-	"flaxfront/internal/config/terms"
 	"flaxfront/internal/decision"
-	"flaxfront/internal/decision/cachedlist"
 	"flaxfront/internal/decision/gossip"
 	"flaxfront/internal/decision/membership"
 	"flaxfront/internal/decision/ownership"
 	"flaxfront/internal/discovery"
-	"flaxfront/internal/transport/peers"
-)
-
-// The duties of a tier, by their numbers in claims: a later version may add some at the end.
-const (
-	jobPollDiscovery = iota // discovery is asked anew, and what it tells is passed on
-	jobLogCounters          // the owner's counters are logged
 )
 
-const (
-	noteOwnership = 'c'
-	noteEndpoint  = 'n'
-
-	maxDatagram = 220 // fits into a sealed datagram
-	maxMembers  = 1000
-)
+// membershipHost is what membership may use of the loop.
+type membershipHost interface {
+	endpointHost
+	requestList()
+	startTime() time.Time
+	confirmByGossip(n *discovery.Node)
+}
 
-// tierMembership is the loop's part of it.
+// tierMembership is the extension for the brokers of a tier: who is alive, which of them runs a periodic job, and endpoint changes passed on.
+// It never takes a node's address from another broker, since addresses differ from one to the next.
 type tierMembership struct {
+	loop           membershipHost
 	members        *membership.Members
 	ownership      *ownership.Duties
 	sendTo         func(to netip.AddrPort, data []byte)
-	shareEndpoints bool // words of discovery are passed on
+	shareEndpoints bool // endpoint changes are passed on
 	shared         *gossip.Book
 	ownershipView  []ownership.Member
 	seeds          []netip.AddrPort       // of the living
-	keepSeeds      func([]netip.AddrPort) // nil: they are not kept
+	keepSeeds      func([]netip.AddrPort) // nil: they are not stored
 }
 
-// memberDatagram is what a member said, as it is delivered to the loop.
-type memberDatagram struct {
-	from netip.AddrPort
-	data []byte
+// useMembership attaches membership to the loop.
+func (l *loop) useMembership(m *tierMembership) {
+	m.loop = l
+	l.membership = m
+	l.extensions[membershipExtension] = m
 }
 
-// openMembership makes the tier's part of a broker; the socket between brokers is open.
-func (s *Server) openMembership() {
-	o := &s.operator.Crew
-	var keys [][]byte
-	for _, k := range o.Keys {
-		key, _ := hex.DecodeString(k) // checked when the file was read
-		keys = append(keys, key)
-	}
-	seeds := s.start.Peers
-	if len(o.Seeds) > 0 {
-		seeds = nil
-		for _, text := range o.Seeds {
-			seeds = append(seeds, netip.MustParseAddrPort(text)) // so were these
-		}
+func (m *tierMembership) handle(received message) bool {
+	switch received := received.(type) {
+	case memberDatagram:
+		m.members.Take(received.from, received.data, m.loop.since())
+		m.flush()
+	case shutdownStarted:
+		m.leave()
+		close(received.done)
+	default:
+		return false
+	}
+	return true
+}
+
+func (m *tierMembership) tick(now time.Duration) time.Duration {
+	next := m.members.Tick(now)
+	for _, note := range m.members.Notes() {
+		m.handleNote(note, now)
 	}
-	if o.Keep != "" {
-		known, err := kept.Load(o.Keep)
-		if err != nil {
-			slog.Warn("the members' addresses that were kept are not used", "error", err)
-		}
-		for _, at := range known {
-			if !slices.Contains(seeds, at) {
-				seeds = append(slices.Clip(seeds), at)
-			}
+	changes := m.members.Changes()
+	m.logChanges(changes)
+	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
+		for _, w := range m.shared.Left() {
+			m.broadcast(&w)
 		}
-		s.seedStore = kept.NewWriter(o.Keep)
 	}
-	s.loop.membership = newTierMembership(o, &s.start.Terms, s.start.Name, s.start.PeerListen, s.start.Discovery, seeds, s.loop.start, s.loop.since(), s.gossip.Meet)
-	if s.seedStore != nil {
-		s.loop.membership.keepSeeds = s.seedStore.Enqueue
+	if m.ownershipView == nil || len(changes) > 0 {
+		m.updateView()
 	}
-	s.gossip.Crew(func(from netip.AddrPort, data []byte) { s.deliver(memberDatagram{from, data}) }, keys)
-	slog.Info("keeping company", "as", s.start.Name, "at", s.start.PeerListen, "seeds", len(seeds), "sealed", len(keys) > 0)
-}
-
-func newTierMembership(o *operator.Crew, t *terms.Terms, name string, at, service netip.AddrPort, seeds []netip.AddrPort, start time.Time, now time.Duration,
-	meet func(netip.AddrPort, []byte)) *tierMembership {
-	policy := membership.Policy{Interval: o.Interval, Timeout: o.Timeout, Indirect: 3, Suspicion: o.Suspicion, Longest: o.Longest,
-		Forget: o.Forget, Sync: 6 * o.Interval, MaxBytes: min(maxDatagram, peers.MaxSealed), MaxKnown: maxMembers, Seed: t.Module.Seed}
-	// An incarnation that no earlier life had: the second of the start.
-	m := membership.New(policy, name, at, uint8(o.Weight), uint32(start.Unix()), seeds)
-	h := fnv.New32a()
-	io.WriteString(h, service.String())
-	return &tierMembership{members: m, sendTo: meet, shareEndpoints: o.List, shared: gossip.NewBook(h.Sum32()),
-		ownership: ownership.New(ownership.Policy{Lease: o.Lease, Settle: o.Interval, Renew: 2 * o.Interval}, uint32(m.Self().ID),
-			[]ownership.Duty{jobPollDiscovery: {Name: "refresh the node list", Period: max(time.Second, t.AskEvery/2)},
-				jobLogCounters: {Name: "log the counters", Period: o.Summary}}, now)}
+	m.ownership.View(m.ownershipView, m.members.Heard())
+	runs, nextRun := m.ownership.Tick(now)
+	for _, run := range runs {
+		m.runJob(run, now)
+	}
+	m.flush()
+	return min(next, nextRun)
 }
 
-// membershipTick does what is due of it and tells when to come again.
-func (l *loop) membershipTick(now time.Duration) time.Duration {
-	c := l.membership
-	next := c.members.Tick(now)
-	for _, note := range c.members.Notes() {
-		l.handleNote(note, now)
-	}
-	changes := c.members.Changes()
+func (m *tierMembership) logChanges(changes []membership.Change) {
 	for _, ch := range changes {
-		slog.Info("member", "name", ch.Member.Name, "at", ch.Member.Addr, "state", ch.Member.State, "was", ch.Was, "new", ch.New,
-			"incarnation", ch.Member.Inc, "living", c.members.Living(), "late", c.members.Counts.Late)
-	}
-	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
-		for _, w := range c.shared.Left() {
-			c.broadcast(&w)
-		}
+		slog.Info("member state changed", "component", "membership", "broker", ch.Member.Name, "address", ch.Member.Addr,
+			"state", ch.Member.State, "previous_state", ch.Was, "new", ch.New, "incarnation", ch.Member.Inc,
+			"living", m.members.Living(), "late", m.members.Counts.Late)
 	}
-	if c.ownershipView == nil || len(changes) > 0 {
-		c.ownershipView, c.seeds = c.ownershipView[:0], c.seeds[:0]
-		for _, m := range c.members.All() {
-			if m.State <= membership.Suspect {
-				c.ownershipView = append(c.ownershipView, ownership.Member{ID: uint32(m.ID), Weight: m.Weight})
-				if m.ID != c.members.Self().ID {
-					c.seeds = append(c.seeds, m.Addr)
-				}
-			}
+}
+
+// updateView makes the lists of the living anew, and stores their addresses. The last ones that a broker knew stay while it is alone.
+func (m *tierMembership) updateView() {
+	m.ownershipView = m.ownershipView[:0]
+	m.seeds = m.seeds[:0]
+	for _, member := range m.members.All() {
+		if member.State > membership.Suspect {
+			continue
 		}
-		if c.keepSeeds != nil && len(c.seeds) > 0 { // of a broker that is alone the last ones it knew stay
-			c.keepSeeds(c.seeds)
+		m.ownershipView = append(m.ownershipView, ownership.Member{ID: uint32(member.ID), Weight: member.Weight})
+		if member.ID != m.members.Self().ID {
+			m.seeds = append(m.seeds, member.Addr)
 		}
 	}
-	c.ownership.View(c.ownershipView, c.members.Heard())
-	runs, at := c.ownership.Tick(now)
-	for _, r := range runs {
-		slog.Debug("duty", "number", r.Duty, "fence", r.Fence)
-		switch r.Duty {
-		case jobPollDiscovery:
-			l.pollDiscovery()
-		case jobLogCounters:
-			slog.Info("duty: counters of the owner", "taken", l.counters.Received, "answered", l.counters.Answered, "shed", l.counters.Shed,
-				"errored", l.counters.Failed, "in_hand", l.counters.InFlight, "living", c.members.Living())
-		}
-		c.ownership.Done(r, true, now)
+	if m.keepSeeds != nil && len(m.seeds) > 0 {
+		m.keepSeeds(m.seeds)
 	}
-	c.flush()
-	return min(next, at)
 }
 
-// flush sends what is to be told.
-func (c *tierMembership) flush() {
-	for _, cl := range c.ownership.Claims() {
-		c.members.Broadcast(uint64(cl.Duty), cl.Append([]byte{noteOwnership}))
-	}
-	for _, p := range c.members.Out() {
-		c.sendTo(p.To, p.Data)
-	}
+// runJob runs a periodic job that this broker owns.
+func (m *tierMembership) runJob(run ownership.Run, now time.Duration) {
+	slog.Debug("periodic job run", "component", "membership", "number", run.Duty, "fence", run.Fence)
+	switch run.Duty {
+	case jobPollDiscovery:
+		m.loop.requestList()
+	case jobLogCounters:
+		c := m.loop.stats()
+		slog.Info("counters of the owner", "component", "membership", "received", c.Received, "answered", c.Answered, "shed", c.Shed,
+			"failed", c.Failed, "in_flight", c.InFlight, "living", m.members.Living())
+	}
+	m.ownership.Done(run, true, now)
 }
 
-// handleMemberDatagram takes what a member said.
-func (l *loop) handleMemberDatagram(d memberDatagram) {
-	l.membership.members.Take(d.from, d.data, l.since())
-	l.membership.flush()
+// flush sends what the other members have to be told.
+func (m *tierMembership) flush() {
+	for _, claim := range m.ownership.Claims() {
+		m.members.Broadcast(uint64(claim.Duty), claim.Append([]byte{noteOwnership}))
+	}
+	for _, packet := range m.members.Out() {
+		m.sendTo(packet.To, packet.Data)
+	}
 }
 
-// handleNote takes over a note, and passes it on where it is news.
-func (l *loop) handleNote(note []byte, now time.Duration) {
+// handleNote takes a note that came with a datagram, and passes it on where it is news.
+func (m *tierMembership) handleNote(note []byte, now time.Duration) {
 	if len(note) == 0 {
 		return
 	}
-	c := l.membership
 	switch note[0] {
 	case noteOwnership:
-		if cl, ok := ownership.Read(note[1:]); ok && c.ownership.Take(cl, now) {
-			c.members.Broadcast(uint64(cl.Duty), note)
+		if claim, ok := ownership.Read(note[1:]); ok && m.ownership.Take(claim, now) {
+			m.members.Broadcast(uint64(claim.Duty), note)
 		}
 	case noteEndpoint:
-		if w, ok := gossip.Read(note[1:]); ok && c.shareEndpoints {
-			l.handleSharedEndpoint(w)
+		if w, ok := gossip.Read(note[1:]); ok && m.shareEndpoints {
+			m.handleSharedEndpoint(w)
 		}
 	}
 }
 
-// broadcast has a word carried to all members.
-func (c *tierMembership) broadcast(w *gossip.Word) {
-	c.members.Broadcast(broadcastKey(w.Node), w.Append([]byte{noteEndpoint}))
+// broadcast has an endpoint change carried to all members.
+func (m *tierMembership) broadcast(w *gossip.Word) {
+	m.members.Broadcast(broadcastKey(w.Node), w.Append([]byte{noteEndpoint}))
+}
+
+func broadcastKey(id decision.NodeID) uint64 {
+	return 1<<36 | uint64(binary.BigEndian.Uint32(id.Addr[:]))<<16&(1<<36-1) | uint64(id.Port)
 }
 
-// shareList tells the others the lines that discovery changed.
-func (l *loop) shareList(list *discovery.List) {
-	c := l.membership
+// shareList tells the other members what discovery changed. Without membership it does nothing.
+func (m *tierMembership) shareList(list *discovery.List) {
+	if m == nil {
+		return
+	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		w := gossip.Word{Version: list.Version, Service: c.shared.Service, Node: n.Entry.Node, State: n.Entry.State, Started: n.Started}
-		if c.shared.Told(w, list.Whole || !c.shareEndpoints) {
-			c.broadcast(&w)
+		w := gossip.Word{Version: list.Version, Service: m.shared.Service, Node: n.Entry.Node, State: n.Entry.State, Started: n.Started}
+		if m.shared.Told(w, list.Whole || !m.shareEndpoints) {
+			m.broadcast(&w)
 		}
 	}
-	c.shared.Forget(list.Version, func(id decision.NodeID) bool {
-		_, known := l.nodes[id]
+	endpoints := m.loop.endpoints()
+	m.shared.Forget(list.Version, func(id decision.NodeID) bool {
+		_, known := endpoints[id]
 		return known
 	})
 }
 
-func broadcastKey(id decision.NodeID) uint64 {
-	return 1<<36 | uint64(binary.BigEndian.Uint32(id.Addr[:]))<<16&(1<<36-1) | uint64(id.Port)
-}
-
-// handleSharedEndpoint takes over what another broker was told by discovery of a node that is known here. From then on this broker has been
-// told, as if discovery had.
-func (l *loop) handleSharedEndpoint(w gossip.Word) {
-	n, known := l.nodes[w.Node]
-	if !l.membership.shared.Hear(w, known, n.Entry.State, n.Started) {
+// handleSharedEndpoint takes a change that discovery told another broker, of a node that is known here. From then on it counts as if
+// discovery had told this broker.
+func (m *tierMembership) handleSharedEndpoint(w gossip.Word) {
+	n, known := m.loop.endpoints()[w.Node]
+	if !m.shared.Hear(w, known, n.Entry.State, n.Started) {
 		return
 	}
 	n.Entry.State = w.State
 	if w.Started > n.Started {
 		n.Started = w.Started
-		n.Entry.StartedAt = time.UnixMilli(w.Started).Sub(l.start)
-	}
-	slog.Info("node by another broker's word", "node", n.Name, "state", w.State, "version", w.Version)
-	l.applyList(&discovery.List{Version: w.Version, Nodes: []discovery.Node{n}})
-	if l.cachedList != nil {
-		state := [...]cachedlist.State{decision.Draining: cachedlist.Draining, decision.Removed: cachedlist.Ended, decision.Ready: cachedlist.Ready}[w.State]
-		l.cachedList.judge.Word(n.Name, w.Node, state, cachedlist.Moment(n.Started), l.since())
+		n.Entry.StartedAt = time.UnixMilli(w.Started).Sub(m.loop.startTime())
 	}
-	l.membership.broadcast(&w)
+	slog.Info("node state received by gossip", "component", "membership", "node", n.Name, "state", w.State, "version", w.Version)
+	m.loop.applyList(&discovery.List{Version: w.Version, Nodes: []discovery.Node{n}})
+	m.loop.confirmByGossip(&n)
+	m.broadcast(&w)
 }
 
-// leaveTier tells the others that the broker stops, as planned.
-func (l *loop) leaveTier() {
-	now := l.since()
-	l.membership.ownership.Leave(now)
-	l.membership.flush()
-	l.membership.members.Leave(now)
-	l.membership.flush()
+// leave tells the other members that this broker shuts down.
+func (m *tierMembership) leave() {
+	now := m.loop.since()
+	m.ownership.Leave(now)
+	m.flush()
+	m.members.Leave(now)
+	m.flush()
 }
--- /dev/null
+++ b/internal/server/membership_open.go
@@ -0,0 +1,128 @@
+package server
+
+import (
+	"encoding/hex"
+	"hash/fnv"
+	"io"
+	"log/slog"
+	"net/netip"
+	"slices"
+	"time"
+
+	"flaxfront/internal/cluster/seeds"
+	"flaxfront/internal/config/operator"
+	"flaxfront/internal/config/terms"
+	"flaxfront/internal/decision/gossip"
+	"flaxfront/internal/decision/membership"
+	"flaxfront/internal/decision/ownership"
+	"flaxfront/internal/transport/peers"
+)
+
+// The periodic jobs of a tier, by their numbers in claims: a later version may add some at the end.
+const (
+	jobPollDiscovery = iota // discovery is polled, and what it tells is passed on
+	jobLogCounters          // the owner's counters are logged
+)
+
+// The first byte of a note says what it is.
+const (
+	noteOwnership = 'c'
+	noteEndpoint  = 'n'
+)
+
+const (
+	maxDatagram          = 220 // bytes: fits into a sealed datagram
+	maxMembers           = 1000
+	indirectProbes       = 3
+	syncIntervals        = 6 // probe intervals between two full exchanges
+	renewIntervals       = 2 // probe intervals between two renewals of a claim
+	minListRefreshPeriod = time.Second
+)
+
+// openMembership starts membership; the socket between brokers is open.
+func (s *Server) openMembership() {
+	o := &s.operator.Crew
+	var keys [][]byte
+	for _, k := range o.Keys {
+		key, _ := hex.DecodeString(k) // checked when the file was read
+		keys = append(keys, key)
+	}
+	addresses := s.seedAddresses(o)
+	s.loop.useMembership(newTierMembership(o, &s.start.Terms, tierIdentity{name: s.start.Name, address: s.start.PeerListen,
+		service: s.start.Discovery, start: s.loop.start}, addresses, s.loop.since(), s.gossip.Meet))
+	if s.seedStore != nil {
+		s.loop.membership.keepSeeds = s.seedStore.Enqueue
+	}
+	s.gossip.Crew(func(from netip.AddrPort, data []byte) { s.deliver(memberDatagram{from, data}) }, keys)
+	slog.Info("membership started", "component", "membership", "broker", s.start.Name, "address", s.start.PeerListen,
+		"seeds", len(addresses), "sealed", len(keys) > 0)
+}
+
+// seedAddresses are the members' addresses that the configuration names, and those that were stored.
+func (s *Server) seedAddresses(o *operator.Crew) []netip.AddrPort {
+	addresses := s.start.Peers
+	if len(o.Seeds) > 0 {
+		addresses = nil
+		for _, text := range o.Seeds {
+			addresses = append(addresses, netip.MustParseAddrPort(text)) // checked when the file was read
+		}
+	}
+	if o.Keep == "" {
+		return addresses
+	}
+	stored, err := seeds.Load(o.Keep)
+	if err != nil {
+		slog.Warn("stored seed addresses not used", "component", "membership", "file", o.Keep, "error", err)
+	}
+	for _, at := range stored {
+		if !slices.Contains(addresses, at) {
+			addresses = append(slices.Clip(addresses), at)
+		}
+	}
+	s.seedStore = seeds.NewWriter(o.Keep)
+	return addresses
+}
+
+// tierIdentity is who this broker is among the members.
+type tierIdentity struct {
+	name    string
+	address netip.AddrPort
+	service netip.AddrPort // of discovery: brokers of another one are no source of endpoint changes
+	start   time.Time
+}
+
+func newTierMembership(o *operator.Crew, t *terms.Terms, self tierIdentity, seeds []netip.AddrPort, now time.Duration,
+	sendTo func(netip.AddrPort, []byte)) *tierMembership {
+	policy := membership.Policy{
+		Interval:  o.Interval,
+		Timeout:   o.Timeout,
+		Indirect:  indirectProbes,
+		Suspicion: o.Suspicion,
+		Longest:   o.Longest,
+		Forget:    o.Forget,
+		Sync:      syncIntervals * o.Interval,
+		MaxBytes:  min(maxDatagram, peers.MaxSealed),
+		MaxKnown:  maxMembers,
+		Seed:      t.Module.Seed,
+	}
+	incarnation := uint32(self.start.Unix()) // no earlier process had it
+	members := membership.New(policy, self.name, self.address, uint8(o.Weight), incarnation, seeds)
+	jobs := []ownership.Duty{
+		jobPollDiscovery: {Name: "refresh the node list", Period: max(minListRefreshPeriod, t.AskEvery/2)},
+		jobLogCounters:   {Name: "log the counters", Period: o.Summary},
+	}
+	claims := ownership.Policy{Lease: o.Lease, Settle: o.Interval, Renew: renewIntervals * o.Interval}
+	return &tierMembership{
+		members:        members,
+		sendTo:         sendTo,
+		shareEndpoints: o.List,
+		shared:         gossip.NewBook(serviceHash(self.service)),
+		ownership:      ownership.New(claims, uint32(members.Self().ID), jobs, now),
+	}
+}
+
+func serviceHash(service netip.AddrPort) uint32 {
+	h := fnv.New32a()
+	io.WriteString(h, service.String())
+	return h.Sum32()
+}
--- a/internal/server/membership_state.go
+++ b/internal/server/membership_state.go
@@ -1,7 +1,5 @@
 package server
 
-// This file owns what operators see of the tier.
-
 import (
 	"time"
 
@@ -20,7 +18,14 @@
 	SharedEndpoints gossip.Counts `json:"List"`
 }
 
-func (l *loop) membershipState(now time.Duration) *MembershipState {
-	c := l.membership
-	return &MembershipState{c.members.Self().Name, now, c.members.All(), c.ownership.States(now), c.members.Counts, c.shared.Counts}
+func (m *tierMembership) report(c *QueryCounters) {
+	now := m.loop.since()
+	c.Membership = &MembershipState{
+		Self:            m.members.Self().Name,
+		Now:             now,
+		Members:         m.members.All(),
+		Ownership:       m.ownership.States(now),
+		Counts:          m.members.Counts,
+		SharedEndpoints: m.shared.Counts,
+	}
 }
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -107,7 +107,8 @@
 	l.pool = poolOf(s)
 	sent := &[][]byte{}
 	at := netip.MustParseAddrPort("127.0.0.1:7")
-	l.membership = newTierMembership(&file.Crew, &start.Terms, "n0", at, start.Discovery, nil, l.start, 0, func(_ netip.AddrPort, b []byte) { *sent = append(*sent, b) })
+	self := tierIdentity{name: "n0", address: at, service: start.Discovery, start: l.start}
+	l.useMembership(newTierMembership(&file.Crew, &start.Terms, self, nil, 0, func(_ netip.AddrPort, b []byte) { *sent = append(*sent, b) }))
 	l.applyList(s.initialList)
 	l.stepRouter(l.since())
 	return l, sent
@@ -122,17 +123,17 @@
 		break
 	}
 	before := l.nodes[id]
-	l.shareList(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
+	l.membership.shareList(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
 	say := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
 		w := gossip.Word{Version: version, Service: service, Node: node, State: state, Started: started}
-		l.handleNote(w.Append([]byte{noteEndpoint}), l.since())
+		l.membership.handleNote(w.Append([]byte{noteEndpoint}), l.since())
 	}
 	say(49, l.membership.shared.Service, id, decision.Draining, 0)
 	say(51, l.membership.shared.Service+1, id, decision.Draining, 0)
 	say(51, l.membership.shared.Service, decision.NodeID{Port: 1}, decision.Draining, 0)
-	l.handleNote([]byte{noteEndpoint, 1, 2}, 0)
-	l.handleNote([]byte{'?'}, 0)
-	l.handleNote(nil, 0)
+	l.membership.handleNote([]byte{noteEndpoint, 1, 2}, 0)
+	l.membership.handleNote([]byte{'?'}, 0)
+	l.membership.handleNote(nil, 0)
 	if l.nodes[id] != before || l.membership.shared.Counts.ListStale != 3 {
 		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.shared.Counts)
 	}
@@ -160,23 +161,23 @@
 		break
 	}
 	n := old.nodes[id]
-	old.shareList(&discovery.List{Version: 60, Whole: true, Nodes: []discovery.Node{n}})
+	old.membership.shareList(&discovery.List{Version: 60, Whole: true, Nodes: []discovery.Node{n}})
 	n.Entry.State = decision.Draining
 	gone := &discovery.List{Version: 61, Nodes: []discovery.Node{n}}
 	old.applyList(gone)
-	old.shareList(gone)
+	old.membership.shareList(gone)
 	late.membership.shared.Service = old.membership.shared.Service
 	late.membership.members = membership.New(membership.Policy{Interval: time.Second, Timeout: 100 * time.Millisecond, Sync: time.Second, Forget: time.Minute, MaxBytes: 220,
 		MaxKnown: 10, Suspicion: 5, Longest: 2}, "n1", netip.MustParseAddrPort("127.0.0.1:8"), 1, 1, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7")})
 	for i := range 40 {
 		now := time.Duration(i+1) * 200 * time.Millisecond
-		old.membershipTick(now)
-		late.membershipTick(now)
+		old.membership.tick(now)
+		late.membership.tick(now)
 		for _, b := range *sent {
-			late.handleMemberDatagram(memberDatagram{netip.MustParseAddrPort("127.0.0.1:7"), b})
+			late.handle(memberDatagram{netip.MustParseAddrPort("127.0.0.1:7"), b})
 		}
 		for _, b := range *answers {
-			old.handleMemberDatagram(memberDatagram{netip.MustParseAddrPort("127.0.0.1:8"), b})
+			old.handle(memberDatagram{netip.MustParseAddrPort("127.0.0.1:8"), b})
 		}
 		*sent, *answers = nil, nil
 	}
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns a search in hand: how it comes in, the verdict that it gets, and how it is forgotten. Only the loop calls it. It
-// must never wait for a client.
-
 import (
 	"slices"
 	"time"
@@ -12,7 +9,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// search is one search in hand. The first fields are its life's, the others the loop's.
+// search is a query in flight. Only the loop uses it, but for the methods that make it a query.Pending.
 type search struct {
 	*query.Request
 	arrival             time.Duration      // when it had come whole
@@ -22,146 +19,196 @@
 	onResult            func(query.Result) // takes the result instead, in the loop
 	server              *Server            // where a front waits for the result
 
-	// where there is a gateway to other sites
-	remote           bool          // it came over a link
-	forwarded        bool          // it is forwarded; the module has done with it
-	takenBack        bool          // it was brought back
-	mayHaveRun       bool          // and may have run abroad
-	remoteRetryAfter time.Duration // when the other side wants it back
-
-	// where there is fair queuing at the door
-	ticket         uint64
-	work           float64
-	queued         bool // it waits there
-	admitted       bool // the door let it in, and has not been told that it is done
-	admittedAt     time.Duration
-	stepDelay      time.Duration // the turn that took it came so long after
-	lastAnswerAt   time.Duration // when its last answer came in
-	lastAnswerStep uint64        // the turn that is to take it
-
-	pin *pinnedQuery // nil: its reads are ordinary ones
-
-	id       uint64 // as the module knows it; its parts have the numbers that follow
+	id       uint64 // as the router knows it; its shard requests have the numbers that follow
 	done     bool
 	requests []shardRequest
+
+	pin        *pinnedQuery // nil: its reads are ordinary ones
+	admission  admissionState
+	forwarding forwardingState
 }
 
+// shardRequest is what one shard contributes to a query.
 type shardRequest struct {
 	answered bool
 	value    string
 	attempts []*store.Part
 }
 
-// adapt tells whether a search that was read under other settings can be taken under those in force, and has it say the same
-// under them.
-func (l *loop) adapt(a *query.Request) bool {
-	if a.Settings == nil || a.Settings == l.settings {
-		return true
-	}
-	was, now := a.Settings, l.settings
-	a.Type = slices.Index(now.Types, was.Types[a.Type])
-	if a.Type < 0 || now.Fingerprint() != was.Fingerprint() {
-		return false
-	}
-	if len(now.Tenants) == 0 {
-		a.Tenant = 0
-	} else if len(was.Tenants) > 0 {
-		a.Tenant = slices.Index(now.Tenants, was.Tenants[a.Tenant])
-	} else {
-		a.Tenant = -1
-	}
-	a.Settings = now
-	return a.Tenant >= 0
-}
+// slots is how many of the slots for queries and shard requests in flight a query takes.
+func (q *search) slots() int { return 1 + len(q.Request.Shards) }
 
-// receive hands a search to the module, if there is a place for it and its parts.
-func (l *loop) receive(s *search) {
+// fromOtherSite tells whether a broker of another site sent the query.
+func (q *search) fromOtherSite() bool { return q.forwarding.remote }
+
+// receive hands a query to the router, if there are slots for it and its shard requests and admission lets it enter at once.
+func (l *loop) receive(q *search) {
 	l.counters.Received++
-	n := len(s.Request.Shards)
-	if l.requestIDs[s.Request.ID] {
-		l.deliverResult(s, query.Result{Outcome: query.Duplicate})
+	if l.requestIDs[q.Request.ID] {
+		l.deliverResult(q, query.Result{Outcome: query.Duplicate})
 		return
 	}
-	if s.connectionOverLimit || l.slotsUsed+1+n > l.maxInFlight || !l.adapt(s.Request) {
+	if q.connectionOverLimit || !l.hasCapacity(q) || !l.adapt(q.Request) {
 		l.counters.NoCapacity++
-		l.deliverResult(s, query.Result{Outcome: query.Shed, RetryAfter: l.maxRetryAfter}) // the longest that the settings let it say
+		l.deliverResult(q, l.shedResult())
 		return
 	}
-	if l.connLeases != nil && !s.remote {
-		if after, full := l.connLeases.overloaded(s.Tenant); full {
-			l.counters.RejectedByAdmission++
-			l.deliverResult(s, query.Result{Outcome: query.Shed, RetryAfter: min(after, l.maxRetryAfter)})
-			return
-		}
-	}
-	if l.admission != nil && !s.remote && !l.requestAdmission(s) {
+	if !q.fromOtherSite() && !l.admit(q) {
 		return
 	}
-	l.counters.InFlight++
-	l.requestIDs[s.Request.ID] = true
-	if l.gateway != nil && !s.remote {
-		l.gateway.outgoing.Taken()
+	l.hold(q)
+	if !q.fromOtherSite() {
+		l.gateway.queryAccepted()
+	}
+	l.submit(q, q.deadline-l.since())
+}
+
+// admit tells whether a client's query may go to the router now. Otherwise it waits for admission, or has its result.
+func (l *loop) admit(q *search) bool {
+	if retryAfter, overloaded := l.connLeases.overloaded(q.Tenant); overloaded {
+		l.counters.RejectedByAdmission++
+		l.deliverResult(q, query.Result{Outcome: query.Shed, RetryAfter: min(retryAfter, l.maxRetryAfter)})
+		return false
 	}
-	l.submit(s, s.deadline-l.since())
+	return l.admission.request(q)
+}
+
+// hasCapacity tells whether there are slots for a query and its shard requests.
+func (l *loop) hasCapacity(q *search) bool { return l.slotsUsed+q.slots() <= l.maxInFlight }
+
+// capacity is how many slots are used, and how many there are.
+func (l *loop) capacity() (used, limit int) { return l.slotsUsed, l.maxInFlight }
+
+// shedResult is the result of a query that finds no slot: the client is told the longest time that the settings allow.
+func (l *loop) shedResult() query.Result {
+	return query.Result{Outcome: query.Shed, RetryAfter: l.maxRetryAfter}
+}
+
+// retryAfterLimit is the longest time after which a client may be told to return.
+func (l *loop) retryAfterLimit() time.Duration { return l.maxRetryAfter }
+
+// typeOf is the settings' entry for a query's type.
+func (l *loop) typeOf(r *query.Request) *decision.QueryType { return &l.queryTypes[r.Type] }
+
+// hold counts a query as in flight, so that another of its id is a duplicate.
+func (l *loop) hold(q *search) {
+	l.counters.InFlight++
+	l.requestIDs[q.Request.ID] = true
+}
+
+// release takes a query out of flight that the router does not have.
+func (l *loop) release(q *search) {
+	l.counters.InFlight--
+	delete(l.requestIDs, q.Request.ID)
 }
 
-// submit gives a search in hand to the module, with the time that is left to it.
-func (l *loop) submit(s *search, left time.Duration) {
-	n := len(s.Request.Shards)
-	s.id = l.nextID
-	l.nextID += 1 + uint64(n)
-	l.slotsUsed += 1 + n
-	l.queries[s.id] = s
-	s.requests = make([]shardRequest, n)
-	if l.readPins != nil && s.Request.Hint != nil {
-		l.pinQuery(s)
-	}
-	serial := float32(s.id % (1 << 24)) // exact in a float32, and far more ids than can be in hand
-	l.events = append(l.events, decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: s.Type,
-		Tenant: s.Tenant, TimeLeft: left, Weight: float64(n), Retry: s.Retry})
-	for i := range s.Request.Shards {
-		id := s.id + 1 + uint64(i)
-		l.queryOfShardRequest[id] = s
-		l.events = append(l.events, decision.Event{Kind: decision.ShardRequestReceived, ID: id, Serial: serial,
-			Shard: s.Request.Shards[i].Shard, Weight: s.Request.Shards[i].Weight, Allowed: s.allowedReplicas(i)})
+// submit gives a query in flight to the router, with the time that is left to it.
+func (l *loop) submit(q *search, left time.Duration) {
+	q.id = l.nextID
+	l.nextID += uint64(q.slots())
+	l.slotsUsed += q.slots()
+	l.queries[q.id] = q
+	q.requests = make([]shardRequest, len(q.Request.Shards))
+	l.readPins.pinQuery(q)
+	serial := float32(q.id % (1 << 24)) // exact in a float32, and far more ids than can be in flight
+	l.post(decision.Event{Kind: decision.QueryReceived, ID: q.id, Serial: serial, Type: q.Type, Tenant: q.Tenant, TimeLeft: left,
+		Weight: float64(len(q.requests)), Retry: q.Retry})
+	for i := range q.Request.Shards {
+		r := &q.Request.Shards[i]
+		id := q.id + 1 + uint64(i)
+		l.queryOfShardRequest[id] = q
+		l.post(decision.Event{Kind: decision.ShardRequestReceived, ID: id, Serial: serial, Shard: r.Shard, Weight: r.Weight,
+			Allowed: q.allowedReplicas(i)})
 	}
 }
 
-// findShardRequest finds the search that a part belongs to, and its place there.
+// findShardRequest finds the query of a shard request, and its index there; nil: it is not in flight.
 func (l *loop) findShardRequest(id uint64) (*search, int) {
-	if s := l.queryOfShardRequest[id]; s != nil {
-		return s, int(id - s.id - 1)
+	if q := l.queryOfShardRequest[id]; q != nil {
+		return q, int(id - q.id - 1)
 	}
 	return nil, 0
 }
 
-// finish takes a search out of hand; it is forgotten once the actions of its last turn are carried out.
-func (l *loop) finish(s *search) {
-	s.done = true
+// abandon ends a query that nobody waits for any more, or whose time is up.
+func (l *loop) abandon(m queryAbandoned) {
+	q := m.s
+	if q.done {
+		return
+	}
+	if m.cause == query.DeadlinePassed {
+		l.deliverResult(q, query.Result{Outcome: query.Failed})
+	} else {
+		l.counters.Abandoned++
+	}
+	if q.admission.queued {
+		l.admission.abandon(q)
+		return
+	}
+	l.admission.done(q, query.Failed)
+	if q.forwarding.forwarded {
+		l.gateway.abandon(q)
+		return
+	}
+	l.post(decision.Event{Kind: decision.ClientLeft, ID: q.id})
+	l.finish(q)
+	l.cancelUnsent(q) // now, as a connection may come up in the same moment
+}
+
+// finish takes a query out of flight; it is forgotten once the actions of its last step are executed.
+func (l *loop) finish(q *search) {
+	q.done = true
 	l.counters.InFlight--
-	l.slotsUsed -= 1 + len(s.requests)
-	l.finished = append(l.finished, s)
+	l.detach(q)
 }
 
-// cancelUnsent calls off what was not written to a node yet; it never is.
-func (l *loop) cancelUnsent(s *search) {
-	for i := range s.requests {
-		for _, t := range s.requests[i].attempts {
-			if !t.Written() {
-				l.pool.Cancel(t)
+// detach frees the slots of a query that the router has ended.
+func (l *loop) detach(q *search) {
+	l.slotsUsed -= q.slots()
+	l.finished = append(l.finished, q)
+}
+
+// cancelUnsent cancels the attempts that were not written to a node yet; they never are.
+func (l *loop) cancelUnsent(q *search) {
+	for i := range q.requests {
+		for _, attempt := range q.requests[i].attempts {
+			if !attempt.Written() {
+				l.pool.Cancel(attempt)
 			}
 		}
 	}
 }
 
-// forget drops a search. What was not written to a node by now never is.
-func (l *loop) forget(s *search) {
-	l.cancelUnsent(s)
-	for i := range s.requests {
-		delete(l.queryOfShardRequest, s.id+1+uint64(i))
+// forget drops a query that the router has ended. What was not written to a node by now never is.
+func (l *loop) forget(q *search) {
+	l.cancelUnsent(q)
+	for i := range q.requests {
+		delete(l.queryOfShardRequest, q.id+1+uint64(i))
+	}
+	delete(l.queries, q.id)
+	if !q.forwarding.forwarded {
+		delete(l.requestIDs, q.Request.ID)
+	}
+}
+
+// adapt translates a query that was read under other settings to those in force; false: they can't serve it.
+func (l *loop) adapt(r *query.Request) bool {
+	if r.Settings == nil || r.Settings == l.settings {
+		return true
+	}
+	was, now := r.Settings, l.settings
+	r.Type = slices.Index(now.Types, was.Types[r.Type])
+	if r.Type < 0 || now.Fingerprint() != was.Fingerprint() {
+		return false
 	}
-	delete(l.queries, s.id)
-	if !s.forwarded {
-		delete(l.requestIDs, s.Request.ID)
+	switch {
+	case len(now.Tenants) == 0:
+		r.Tenant = 0
+	case len(was.Tenants) > 0:
+		r.Tenant = slices.Index(now.Tenants, was.Tenants[r.Tenant])
+	default:
+		r.Tenant = -1
 	}
+	r.Settings = now
+	return r.Tenant >= 0
 }
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -1,10 +1,7 @@
 package server
 
-// This file owns what a hint on reads changes on the way of a search: which holders its parts may go to, whether an answer keeps
-// the promise, and what the client is told of it. Without fleet.pins nothing of it runs. It must never let a value count that does
-// not show what its hint asks for, unless the hint is content with less and the answer says so.
-
 import (
+	"log/slog"
 	"slices"
 	"sync/atomic"
 	"time"
@@ -18,144 +15,212 @@
 	"flaxfront/internal/transport/store"
 )
 
-// readPinning is a broker's part in pinned reads.
-type readPinning struct {
-	positions    *readpin.Tracker
-	config       readpin.Config
-	ignoredHints atomic.Uint64 // hints that were ignored
-}
+// usualReplicas is how many eligible replicas of a shard there is room for without another allocation.
+const usualReplicas = 4
 
-// ReadPinState tells what became of hints.
-type ReadPinState struct {
-	readpin.Counts
-	IgnoredHints uint64 `json:"Wrong"` // hints that were ignored
-	Epoch        uint64
+// readPinsHost is what read pins may use of the loop.
+type readPinsHost interface {
+	host
+	findShardRequest(id uint64) (*search, int)
+	retryAfterLimit() time.Duration
 }
 
-func newReadPinning(o *operator.Fleet, t *terms.Terms) *readPinning {
-	c := readpin.DefaultConfig(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
-	c.ClockError, c.MaxDrift = o.ClockError, o.Drift
-	return &readPinning{positions: readpin.NewTracker(c), config: c}
+// readPinning is the extension for hints on reads: which replicas a shard request may go to, whether an answer keeps what the hint asks
+// for, and what the client is told of it. An answer that does not keep it does not count, unless the hint allows it, and then the result
+// says so.
+type readPinning struct {
+	loop         readPinsHost
+	positions    *readpin.Tracker
+	config       readpin.Config
+	ignoredHints atomic.Uint64
 }
 
-// pinnedQuery is what a search with a hint has beside.
+// pinnedQuery is what read pins keep of a query with a hint.
 type pinnedQuery struct {
 	ask           readpin.Requirement
 	requests      []pinnedRequest
-	eligibleAfter time.Duration // no holder is eligible before
+	eligibleAfter time.Duration // no replica is eligible before
 }
 
-// pinnedRequest is who may be sent a part, what an answer must show, and what the one that is in has shown.
+// pinnedRequest is which replicas a shard request may go to, what an answer has to show, and what the one that came has shown.
 type pinnedRequest struct {
 	allowed  decision.AllowedReplicas
 	required readpin.Promise
 	shown    readpin.Assessment
 }
 
-const usualReplicas = 4
+func newReadPinning(o *operator.Fleet, t *terms.Terms) *readPinning {
+	c := readpin.DefaultConfig(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
+	c.ClockError = o.ClockError
+	c.MaxDrift = o.Drift
+	return &readPinning{positions: readpin.NewTracker(c), config: c}
+}
+
+// useReadPins attaches read pins to the loop.
+func (l *loop) useReadPins(p *readPinning) {
+	p.loop = l
+	l.readPins = p
+	l.extensions[readPinsExtension] = p
+}
+
+// handle takes positions of replicas and the agreed list that pins are spread over. What waits before the loop grows older, and that counts.
+func (p *readPinning) handle(m message) bool {
+	switch m := m.(type) {
+	case positionsRequested:
+		m.to <- p.positions.EncodePositions(p.loop.since())
+	case positionsReceived:
+		now := p.loop.since()
+		if err := p.positions.MergePositions(now, m.data, now-m.collectedAt); err != nil {
+			slog.Debug("malformed positions rejected", "component", "read-pins", "error", err)
+		}
+	case epochAgreed:
+		p.positions.SetEpoch(m.number, m.nodes)
+	default:
+		return false
+	}
+	return true
+}
+
+// tick has nothing to do.
+func (p *readPinning) tick(time.Duration) time.Duration { return notDue }
+
+// ReadPinState tells what became of hints.
+type ReadPinState struct {
+	readpin.Counts
+	IgnoredHints uint64 `json:"Wrong"`
+	Epoch        uint64
+}
+
+func (p *readPinning) report(c *QueryCounters) {
+	c.ReadPins = &ReadPinState{p.positions.Counts, p.ignoredHints.Load(), p.positions.EpochNumber()}
+}
+
+// updateEndpoints tells read pins of a full list of endpoints, or of those that changed.
+func (p *readPinning) updateEndpoints(full bool, endpoints []decision.Endpoint) {
+	if p != nil {
+		p.positions.UpdateEndpoints(p.loop.since(), full, endpoints)
+	}
+}
 
-// pinQuery finds the eligible holders of a search's parts. A part without one is given to the module with none: what the search's floor
-// allows is answered without it, and else it is refused with the time to return.
-func (l *loop) pinQuery(s *search) {
-	h, n := s.Request.Hint, len(s.Request.Shards)
-	q := &pinnedQuery{ask: readpin.Requirement{ReceivedAt: s.arrival, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale}, requests: make([]pinnedRequest, n)}
+// pinQuery finds the eligible replicas of a query's shard requests. A shard request without one is given to the router with none: what the
+// query type's minimum allows is answered without it, and else the query is shed with the time to return.
+func (p *readPinning) pinQuery(q *search) {
+	if p == nil || q.Hint == nil {
+		return
+	}
+	h, n := q.Hint, len(q.Request.Shards)
+	pin := &pinnedQuery{
+		ask:      readpin.Requirement{ReceivedAt: q.arrival, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale},
+		requests: make([]pinnedRequest, n),
+	}
 	if h.Scope != readhint.ScopeNone {
-		q.ask.Pin = readpin.HashPin(string(h.Scope), h.Key)
+		pin.ask.Pin = readpin.HashPin(string(h.Scope), h.Key)
 	}
-	now, nodes := l.since(), make([]decision.NodeID, 0, usualReplicas*n)
-	for i := range s.Request.Shards {
-		shard, from := s.Request.Shards[i].Shard, len(nodes)
-		var back time.Duration
-		nodes, q.requests[i].required, back = l.readPins.positions.EligibleReplicas(now, shard, h.MinOffset(shard), &q.ask, nodes)
-		q.requests[i].allowed = decision.AllowedReplicas{Sticky: q.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
-		q.eligibleAfter = max(q.eligibleAfter, back)
+	now := p.loop.since()
+	nodes := make([]decision.NodeID, 0, usualReplicas*n)
+	for i := range q.Request.Shards {
+		shard, from := q.Request.Shards[i].Shard, len(nodes)
+		var eligibleAfter time.Duration
+		nodes, pin.requests[i].required, eligibleAfter = p.positions.EligibleReplicas(now, shard, h.MinOffset(shard), &pin.ask, nodes)
+		pin.requests[i].allowed = decision.AllowedReplicas{Sticky: pin.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
+		pin.eligibleAfter = max(pin.eligibleAfter, eligibleAfter)
 	}
-	s.pin = q
+	q.pin = pin
 }
 
-// allowedReplicas narrows the holders of a part; nil: any will do.
-func (s *search) allowedReplicas(i int) *decision.AllowedReplicas {
-	if s.pin == nil {
+// allowedReplicas are the replicas that a shard request may go to; nil: any.
+func (q *search) allowedReplicas(i int) *decision.AllowedReplicas {
+	if q.pin == nil {
 		return nil
 	}
-	return &s.pin.requests[i].allowed
+	return &q.pin.requests[i].allowed
 }
 
-// countPinnedAttempt counts a part that goes out.
-func (l *loop) countPinnedAttempt(s *search, t *store.Part, now time.Duration) {
-	if s.pin != nil {
-		t.Tag = s.pin.ask.Pin
+// attemptSent counts an attempt.
+func (p *readPinning) attemptSent(q *search, attempt *store.Part, now time.Duration) {
+	if p == nil {
+		return
+	}
+	if q.pin != nil {
+		attempt.Tag = q.pin.ask.Pin
 	}
-	l.readPins.positions.AttemptSent(now, t.Tag, t.Node)
+	p.positions.AttemptSent(now, attempt.Tag, attempt.Node)
 }
 
-// pinnedAttemptEnded learns from an answer and tells what it counts as: one that does not keep its search's hint did not come.
-func (l *loop) pinnedAttemptEnded(t *store.Part, how decision.Outcome, at time.Duration) decision.Outcome {
-	book := l.readPins.positions
-	book.AttemptEnded(t.Tag, t.Node)
-	if how != decision.OK {
-		return how
+// attemptEnded learns from an answer and returns what it counts as: one that does not keep its query's hint is stale.
+func (p *readPinning) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration) decision.Outcome {
+	if p == nil {
+		return outcome
 	}
-	r, told := readpin.ParseReport(t.Report)
-	if told {
-		book.Observe(at, t.Node, t.Shard, t.Sent, r)
+	p.positions.AttemptEnded(attempt.Tag, attempt.Node)
+	if outcome != decision.OK {
+		return outcome
 	}
-	s, i := l.findShardRequest(t.Part)
-	if s == nil || s.pin == nil || s.requests[i].answered {
-		return how
+	report, reported := readpin.ParseReport(attempt.Report)
+	if reported {
+		p.positions.Observe(at, attempt.Node, attempt.Shard, attempt.Sent, report)
 	}
-	shown := book.Assess(s.pin.requests[i].required, t.Sent, r, told)
-	if shown.Fresh || s.pin.ask.AllowStale {
-		s.pin.requests[i].shown = shown
-		return how
+	q, i := p.loop.findShardRequest(attempt.Part)
+	if q == nil || q.pin == nil || q.requests[i].answered {
+		return outcome
 	}
-	o := &s.pin.requests[i].allowed
-	o.Nodes = slices.DeleteFunc(o.Nodes, func(id decision.NodeID) bool { return id == t.Node })
-	s.pin.eligibleAfter = max(s.pin.eligibleAfter, l.readPins.config.RecheckInterval)
+	request := &q.pin.requests[i]
+	shown := p.positions.Assess(request.required, attempt.Sent, report, reported)
+	if shown.Fresh || q.pin.ask.AllowStale {
+		request.shown = shown
+		return outcome
+	}
+	request.allowed.Nodes = slices.DeleteFunc(request.allowed.Nodes, func(id decision.NodeID) bool { return id == attempt.Node })
+	q.pin.eligibleAfter = max(q.pin.eligibleAfter, p.config.RecheckInterval)
 	return decision.Stale
 }
 
-// annotateResult has a verdict say what its client has to know.
-func (l *loop) annotateResult(s *search, v *query.Result) {
+// annotateResult adds to a result what its client has to know.
+func (p *readPinning) annotateResult(q *search, r *query.Result) {
+	if q.pin == nil {
+		return
+	}
 	switch {
-	case s.pin == nil:
-	case v.Outcome == query.Shed && v.RetryAfter > 0 && s.pin.eligibleAfter > 0 && s.lacksEligibleReplica():
-		v.RetryAfter = min(s.pin.eligibleAfter, l.maxRetryAfter) // a replica may have come up by then; the module knows of crowds alone
-	case v.Outcome == query.Answered:
-		l.annotateAnswer(s, v)
+	case r.Outcome == query.Shed && r.RetryAfter > 0 && q.pin.eligibleAfter > 0 && q.lacksEligibleReplica():
+		// A replica may have caught up by then; the router knows of load alone.
+		r.RetryAfter = min(q.pin.eligibleAfter, p.loop.retryAfterLimit())
+	case r.Outcome == query.Answered:
+		p.annotateAnswer(q, r)
 	}
 }
 
-// lacksEligibleReplica tells whether a part lacks a holder that is fresh enough.
-func (s *search) lacksEligibleReplica() bool {
-	for i := range s.requests {
-		if !s.requests[i].answered && len(s.pin.requests[i].allowed.Nodes) == 0 {
+// lacksEligibleReplica tells whether a shard request that is not answered has no eligible replica.
+func (q *search) lacksEligibleReplica() bool {
+	for i := range q.requests {
+		if !q.requests[i].answered && len(q.pin.requests[i].allowed.Nodes) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// annotateAnswer states the positions and the age of what is in.
-func (l *loop) annotateAnswer(s *search, v *query.Result) {
-	oldest, behind := l.since(), []int{}
-	for i := range s.requests {
-		if !s.requests[i].answered {
+// annotateAnswer states the positions and the age of the answers.
+func (p *readPinning) annotateAnswer(q *search, r *query.Result) {
+	oldest, behind := p.loop.since(), []int{}
+	for i := range q.requests {
+		if !q.requests[i].answered {
 			continue
 		}
-		shown, shard := &s.pin.requests[i].shown, s.Request.Shards[i].Shard
+		shown, shard := &q.pin.requests[i].shown, q.Request.Shards[i].Shard
 		oldest = min(oldest, shown.AsOf)
 		if shown.Offset > 0 {
-			v.Positions = append(v.Positions, readhint.Position{Shard: shard, Offset: shown.Offset})
+			r.Positions = append(r.Positions, readhint.Position{Shard: shard, Offset: shown.Offset})
 		}
 		if !shown.Fresh {
 			behind = append(behind, shard)
 		}
 	}
-	slices.SortFunc(v.Positions, func(a, b readhint.Position) int { return a.Shard - b.Shard })
+	slices.SortFunc(r.Positions, func(a, b readhint.Position) int { return a.Shard - b.Shard })
 	slices.Sort(behind)
-	v.Hinted, v.Behind, v.Staleness = true, behind, readpin.UnknownAge
+	r.Hinted = true
+	r.Behind = behind
+	r.Staleness = readpin.UnknownAge
 	if oldest != readpin.DistantPast {
-		v.Staleness = l.readPins.positions.Staleness(l.since(), oldest)
+		r.Staleness = p.positions.Staleness(p.loop.since(), oldest)
 	}
 }
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns the other side of the gateway: what comes over the links; a search of another site is handed to the module
-// like any other. It must never forward one.
-
 import (
 	"log/slog"
 	"slices"
@@ -14,177 +11,200 @@
 	"flaxfront/internal/transport/link"
 )
 
-// remoteQuery is a search of another site.
+// remoteQuery is a query of another site.
 type remoteQuery struct {
 	query  *search
-	conn   *link.Conn // that asked last
+	conn   *link.Conn // that sent it last; nil: down
 	result *link.Verdict
 }
 
-// handleLink takes what happened on a link.
-func (l *loop) handleLink(e link.Event) {
-	g, c, now := l.gateway, e.Conn, l.since()
-	if c.Peer >= 0 {
-		l.handleDialledLink(e)
-		l.executeForwarding()
-		return
-	}
+// handleAcceptedLink takes what happened on a link that another site has dialled.
+func (g *siteGateway) handleAcceptedLink(e link.Event) {
+	c := e.Conn
 	origin := forwarding.Origin{Name: c.Theirs.Site + "/" + c.Theirs.Broker, Epoch: c.Theirs.Epoch}
 	switch {
 	case e.Up != nil:
 		g.incoming.Opened(origin, c.Serial)
 		c.Say()
 	case e.Ask != nil:
-		l.receiveRemoteQuery(c, forwarding.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
+		g.receive(c, forwarding.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
 	case e.Cancel != nil:
 		k := forwarding.Key{Origin: origin, ID: *e.Cancel}
-		if f := g.remote[k]; f != nil && g.incoming.Cancel(k) {
-			l.cancelRemoteQuery(f.query)
+		if r := g.remote[k]; r != nil && g.incoming.Cancel(k) {
+			g.cancelRemote(r.query)
 		}
 	case e.Down != nil:
-		g.incoming.Closed(origin, c.Serial, now)
-		for k, f := range g.remote {
-			if f.conn == c {
-				f.conn = nil
-				if g.incoming.Cut(k) {
-					l.cancelRemoteQuery(f.query)
-				}
-			}
+		g.incoming.Closed(origin, c.Serial, g.loop.since())
+		g.dropLink(c)
+	}
+}
+
+// dropLink cancels the queries that came over a link which is down, unless they may go on without it.
+func (g *siteGateway) dropLink(c *link.Conn) {
+	for k, r := range g.remote {
+		if r.conn != c {
+			continue
+		}
+		r.conn = nil
+		if g.incoming.Cut(k) {
+			g.cancelRemote(r.query)
 		}
 	}
 }
 
-// handleDialledLink takes what happened on a link that this side has dialled.
-func (l *loop) handleDialledLink(e link.Event) {
-	g, c, now := l.gateway, e.Conn, l.since()
-	at := forwarding.Peer(c.Peer)
+// handleDialledLink takes what happened on a link that this site has dialled.
+func (g *siteGateway) handleDialledLink(e link.Event) {
+	c, now := e.Conn, g.loop.since()
+	peer := forwarding.Peer(c.Peer)
 	switch {
 	case e.Up != nil:
 		g.conns[c.Peer] = c
-		g.outgoing.Up(at, e.Up.Epoch, e.Up.Credit, now)
+		g.outgoing.Up(peer, e.Up.Epoch, e.Up.Credit, now)
 	case e.Down != nil:
 		g.conns[c.Peer] = nil
-		g.outgoing.Down(at, e.Down.Unsent, now)
+		g.outgoing.Down(peer, e.Down.Unsent, now)
 	case e.Heard != nil:
-		g.outgoing.Heard(at, forwarding.Status{Room: e.Heard.Room, Refusing: e.Heard.Refusing, Stopping: e.Heard.Stopping,
-			Lacking: e.Heard.Lacking}, c.RTT(), now)
+		status := forwarding.Status{Room: e.Heard.Room, Refusing: e.Heard.Refusing, Stopping: e.Heard.Stopping, Lacking: e.Heard.Lacking}
+		g.outgoing.Heard(peer, status, c.RTT(), now)
 	case e.Verdict != nil:
-		l.handleRemoteResult(at, e.Verdict)
+		g.handleRemoteResult(peer, e.Verdict)
 	}
 }
 
-// handleRemoteResult takes the far side's verdict. It is checked like any other word from outside: an answer must hold what it claims.
-func (l *loop) handleRemoteResult(at forwarding.Peer, v *link.Verdict) {
-	g := l.gateway
-	s := g.forwarded[v.ID]
-	if s == nil {
-		return // given up meanwhile
-	}
-	answer, how := query.Result{Outcome: query.Failed}, forwarding.Failed
+// handleRemoteResult takes the other site's result of a forwarded query. It is verified like all that comes from outside.
+func (g *siteGateway) handleRemoteResult(peer forwarding.Peer, v *link.Verdict) {
+	q := g.forwarded[v.ID]
+	if q == nil {
+		return // abandoned meanwhile
+	}
+	result, outcome := query.Result{Outcome: query.Failed}, forwarding.Failed
 	switch v.Kind {
 	case link.Refused:
-		how = forwarding.Refused
-		s.remoteRetryAfter = time.Duration(v.After) * time.Microsecond
+		outcome = forwarding.Refused
+		q.forwarding.retryAfter = time.Duration(v.After) * time.Microsecond
 	case link.Answered:
-		if answer = s.verifiedAnswer(v, &l.queryTypes[s.Type]); answer.Outcome == query.Answered {
-			how = forwarding.Answered
+		result = q.verifiedAnswer(v, g.loop.typeOf(q.Request))
+		if result.Outcome == query.Answered {
+			outcome = forwarding.Answered
 		} else {
-			slog.Warn("gateway: an answer from the other site does not hold what it claims", "search", s.Request.ID)
+			slog.Warn("answer of another site rejected: it lacks what it claims", "component", "gateway", "query", q.Request.ID)
 		}
 	}
-	if g.outgoing.Back(at, v.ID, how, l.since()) {
-		l.finishForwarded(s, v.ID, answer)
+	if g.outgoing.Back(peer, v.ID, outcome, g.loop.since()) {
+		g.finish(q, v.ID, result)
 	}
 }
 
-// verifiedAnswer makes a verdict of the pieces that came, if they are what they are said to be (rule 5).
-func (s *search) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
-	got, out := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
+// verifiedAnswer makes a result of another site's answers; failed if they are not what they claim to be.
+func (q *search) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
+	invalid := query.Result{Outcome: query.Failed}
+	completeness, r := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
 	for _, p := range v.Pieces {
-		at := slices.IndexFunc(s.Request.Shards, func(a query.ShardRequest) bool { return a.Shard == p.Shard })
-		if at < 0 || slices.ContainsFunc(out.Answers, func(o query.ShardAnswer) bool { return o.Shard == p.Shard }) {
-			return query.Result{Outcome: query.Failed}
+		at := slices.IndexFunc(q.Request.Shards, func(s query.ShardRequest) bool { return s.Shard == p.Shard })
+		twice := slices.ContainsFunc(r.Answers, func(a query.ShardAnswer) bool { return a.Shard == p.Shard })
+		if at < 0 || twice {
+			return invalid
 		}
-		got += s.Request.Shards[at].Weight
-		out.Answers = append(out.Answers, query.ShardAnswer{Shard: p.Shard, Value: p.Value})
+		completeness += q.Request.Shards[at].Weight
+		r.Answers = append(r.Answers, query.ShardAnswer{Shard: p.Shard, Value: p.Value})
 	}
-	if got < t.MinCompleteness-weightSumTolerance || v.Whole && got < t.FullCompleteness-weightSumTolerance {
-		return query.Result{Outcome: query.Failed}
+	if completeness < t.MinCompleteness-weightTolerance || v.Whole && completeness < t.FullCompleteness-weightTolerance {
+		return invalid
 	}
-	return out
+	return r
 }
 
-// receiveRemoteQuery is the arrival of another site's search. It lives in the loop as any other; its verdict goes to the link.
-func (l *loop) receiveRemoteQuery(c *link.Conn, k forwarding.Key, in *link.Ask) {
-	g, now := l.gateway, l.since()
-	a, known := g.decode(in)
+// receive takes another site's query. The loop has it like any other; its result goes to the link.
+func (g *siteGateway) receive(c *link.Conn, k forwarding.Key, in *link.Ask) {
+	now := g.loop.since()
+	request, known := g.decode(in)
 	if !known {
-		slog.Warn("gateway: a search of another site makes no sense here", "site", c.Theirs.Site, "type", in.Type,
+		slog.Warn("malformed query of another site rejected", "component", "gateway", "site", c.Theirs.Site, "query_type", in.Type,
 			"tenant", in.Tenant)
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused})
 		return
 	}
-	load := forwarding.Load{Places: l.maxInFlight, Taken: l.slotsUsed, Stopping: g.stopping(),
-		Lacking: slices.ContainsFunc(a.Shards, func(p query.ShardRequest) bool { return slices.Contains(g.unhealthyShards, p.Shard) })}
+	used, limit := g.loop.capacity()
+	lacking := slices.ContainsFunc(request.Shards, func(s query.ShardRequest) bool { return slices.Contains(g.unhealthyShards, s.Shard) })
+	load := forwarding.Load{Places: limit, Taken: used, Stopping: g.stopping(), Lacking: lacking}
 	left := time.Duration(in.Left) * time.Microsecond
-	switch g.incoming.Arrive(k, c.Serial, l.queryTypes[a.Type].Idempotency, len(a.Shards), left, load, now) {
+	switch g.incoming.Arrive(k, c.Serial, g.loop.typeOf(request).Idempotency, len(request.Shards), left, load, now) {
 	case forwarding.Turn:
-		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: l.maxRetryAfter.Microseconds()})
+		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: g.loop.retryAfterLimit().Microseconds()})
 	case forwarding.Join:
 		g.remote[k].conn = c
 	case forwarding.Repeat:
-		if f := g.remote[k]; f != nil && f.result != nil {
-			c.Verdict(*f.result)
+		if r := g.remote[k]; r != nil && r.result != nil {
+			c.Verdict(*r.result)
 		}
 	case forwarding.Run:
-		f := &remoteQuery{conn: c}
-		f.query = &search{Request: a, deadline: now + left, remote: true}
-		f.query.onResult = func(v query.Result) { l.sendRemoteResult(k, f, v) }
-		g.remote[k] = f
-		l.receive(f.query)
+		r := &remoteQuery{conn: c, query: &search{Request: request, deadline: now + left}}
+		r.query.forwarding.remote = true
+		r.query.onResult = func(result query.Result) { g.sendResult(k, r, result) }
+		g.remote[k] = r
+		g.loop.receive(r.query)
 	}
 }
 
-// sendRemoteResult tells another site the verdict on its search.
-func (l *loop) sendRemoteResult(k forwarding.Key, f *remoteQuery, v query.Result) {
-	out := link.Verdict{ID: k.ID, Whole: v.Complete, After: v.RetryAfter.Microseconds(), Kind: link.Failed}
-	switch v.Outcome {
+// sendResult sends another site the result of its query.
+func (g *siteGateway) sendResult(k forwarding.Key, r *remoteQuery, result query.Result) {
+	out := link.Verdict{ID: k.ID, Whole: result.Complete, After: result.RetryAfter.Microseconds(), Kind: link.Failed}
+	switch result.Outcome {
 	case query.Answered:
 		out.Kind = link.Answered
-		for _, p := range v.Answers {
-			out.Pieces = append(out.Pieces, link.Piece{Shard: p.Shard, Value: p.Value})
+		for _, a := range result.Answers {
+			out.Pieces = append(out.Pieces, link.Piece{Shard: a.Shard, Value: a.Value})
 		}
 	case query.Shed:
-		out.Kind = link.Refused // nothing of it has run, or it may be asked again
+		out.Kind = link.Refused // nothing of it has run, or it may be sent again
 	}
-	if f.conn != nil {
-		f.conn.Verdict(out)
+	if r.conn != nil {
+		r.conn.Verdict(out)
 	}
-	if l.gateway.incoming.Ended(k) {
-		f.result = &out
+	if g.incoming.Ended(k) {
+		r.result = &out
 	} else {
-		delete(l.gateway.remote, k)
+		delete(g.remote, k)
+	}
+}
+
+// cancelRemote ends another site's query that nobody waits for.
+func (g *siteGateway) cancelRemote(q *search) {
+	if q.done {
+		return
 	}
+	g.loop.post(decision.Event{Kind: decision.ClientLeft, ID: q.id})
+	g.loop.deliverResult(q, query.Result{Outcome: query.Failed})
+	g.loop.finish(q)
 }
 
-// cancelRemoteQuery ends another site's search that nobody waits for.
-func (l *loop) cancelRemoteQuery(s *search) {
-	if !s.done {
-		l.events = append(l.events, decision.Event{Kind: decision.ClientLeft, ID: s.id})
-		l.deliverResult(s, query.Result{Outcome: query.Failed})
-		l.finish(s)
+// encode makes of a query what the link carries.
+func (g *siteGateway) encode(q *search, a forwarding.Act) link.Ask {
+	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
+		Request: q.Request.ID, Text: q.Text}
+	if len(g.settings.Tenants) > 0 {
+		out.Tenant = g.settings.Tenants[q.Tenant]
+	}
+	for i := range q.Request.Shards {
+		out.Parts = append(out.Parts, link.Part{Shard: q.Request.Shards[i].Shard, Weight: q.Request.Shards[i].Weight})
 	}
+	return out
 }
 
-// decode reads a forwarded search; false: this site has no such type, tenant or shard.
+// decode reads a forwarded query; false: this site has no such type, tenant or shard.
 func (g *siteGateway) decode(in *link.Ask) (*query.Request, bool) {
 	t := g.settings
-	a := &query.Request{ID: in.Request, Type: slices.Index(t.Types, in.Type), Retry: in.Repeat, Text: in.Text,
-		Timeout: time.Duration(in.Left) * time.Microsecond}
+	r := &query.Request{
+		ID:      in.Request,
+		Type:    slices.Index(t.Types, in.Type),
+		Retry:   in.Repeat,
+		Text:    in.Text,
+		Timeout: time.Duration(in.Left) * time.Microsecond,
+	}
 	if len(t.Tenants) > 0 {
-		a.Tenant = slices.Index(t.Tenants, in.Tenant)
+		r.Tenant = slices.Index(t.Tenants, in.Tenant)
 	}
-	if a.Type < 0 || a.Tenant < 0 || !query.ValidID(in.Request) {
+	if r.Type < 0 || r.Tenant < 0 || !query.ValidID(in.Request) {
 		return nil, false
 	}
 	seen, sum := map[int]bool{}, 0.0
@@ -194,7 +214,7 @@
 		}
 		seen[p.Shard] = true
 		sum += p.Weight
-		a.Shards = append(a.Shards, query.ShardRequest{Name: query.ShardRequestName(in.Request, p.Shard), Shard: p.Shard, Weight: p.Weight})
+		r.Shards = append(r.Shards, query.ShardRequest{Name: query.ShardRequestName(in.Request, p.Shard), Shard: p.Shard, Weight: p.Weight})
 	}
-	return a, sum > 1-query.WeightTolerance && sum < 1+query.WeightTolerance
+	return r, sum > 1-query.WeightTolerance && sum < 1+query.WeightTolerance
 }
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -1,35 +1,33 @@
 package server
 
-// This file owns the final answer of a search, and how it is made and counted. It must never give a second one.
-
 import (
 	"flaxfront/internal/decision"
 	"flaxfront/internal/server/query"
 )
 
-// resultOf makes the final answer of the module's word and the values that are in.
-func (s *search) resultOf(a *decision.Action) query.Result {
+// resultOf makes the result of the router's action and the answers that have come.
+func (q *search) resultOf(a *decision.Action) query.Result {
 	switch a.Kind {
 	case decision.ShedQuery:
 		return query.Result{Outcome: query.Shed, RetryAfter: a.RetryAfter}
 	case decision.FailQuery:
 		return query.Result{Outcome: query.Failed}
 	}
-	v := query.Result{Outcome: query.Answered, Complete: a.Complete}
-	for i := range s.requests {
-		if s.requests[i].answered {
-			v.Answers = append(v.Answers, query.ShardAnswer{Shard: s.Request.Shards[i].Shard, Value: s.requests[i].value})
+	r := query.Result{Outcome: query.Answered, Complete: a.Complete}
+	for i := range q.requests {
+		if q.requests[i].answered {
+			r.Answers = append(r.Answers, query.ShardAnswer{Shard: q.Request.Shards[i].Shard, Value: q.requests[i].value})
 		}
 	}
-	return v
+	return r
 }
 
-// deliverResult gives a search its one verdict and counts it.
-func (l *loop) deliverResult(s *search, v query.Result) {
-	switch v.Outcome {
+// deliverResult gives a query its one result and counts it.
+func (l *loop) deliverResult(q *search, r query.Result) {
+	switch r.Outcome {
 	case query.Answered:
 		l.counters.Answered++
-		if !v.Complete {
+		if !r.Complete {
 			l.counters.Partial++
 		}
 	case query.Shed:
@@ -37,14 +35,12 @@
 	default:
 		l.counters.Failed++
 	}
-	if l.controlPlane != nil {
-		l.controlPlane.countResult(s, v, l.since())
-	}
-	s.done = true
-	l.reportDone(s, v.Outcome == query.Answered, v.Outcome == query.Shed)
-	if s.onResult != nil {
-		s.onResult(v)
+	l.controlPlane.countResult(q, r.Outcome)
+	q.done = true
+	l.admission.done(q, r.Outcome)
+	if q.onResult != nil {
+		q.onResult(r)
 	} else {
-		s.result <- v
+		q.result <- r
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -106,12 +106,14 @@
 	}
 	s.loop.pollDiscovery = s.discoveryClient.Ask
 	if file.Door.On {
-		if s.loop.admission, err = newAdmissionControl(&file.Door, t); err != nil {
+		admission, err := newAdmissionControl(&file.Door, t)
+		if err != nil {
 			return nil, err
 		}
+		s.loop.useAdmission(admission)
 	}
 	if file.Fleet.Pins {
-		s.loop.readPins = newReadPinning(&file.Fleet, t)
+		s.loop.useReadPins(newReadPinning(&file.Fleet, t))
 	}
 	return s, nil
 }
@@ -200,7 +202,7 @@
 	}
 	limits := store.Limits{Streams: streams, Idle: t.Idle, Dial: t.Dial, Silent: t.LongestTimeout(), Conns: descriptors.nodes}
 	s.loop.pool = store.NewPool(s.ctx, limits, store.DialTCP, s.loop.since, s.group.Go,
-		func(e store.Event) { s.deliver(e) }, s.loop.attemptEnded)
+		func(e store.Event) { s.deliver(connectionEvent{e}) }, s.loop.attemptEnded)
 	s.loop.pool.Probed = s.loop.healthCheckEnded
 	if s.controlPlane != nil && s.operator.Fleet.Budgets {
 		s.openConnLeases(streams)
@@ -210,14 +212,14 @@
 	}
 	if s.operator.Back.Protocol != "" {
 		s.loop.pool.Carry(back.Carrier(s.ctx, back.Options{Protocol: s.operator.Back.Protocol, Database: s.operator.Back.Database, Dial: t.Dial,
-			Now: s.loop.since, Post: func(e store.Event) { s.deliver(e) }}))
+			Now: s.loop.since, Post: func(e store.Event) { s.deliver(connectionEvent{e}) }}))
 	}
 	if s.loop.cachedList == nil {
 		s.loop.handleList(s.initialList, nil)
 	} else {
 		s.loop.applyList(s.initialList)
 		s.group.Go(func() error {
-			return s.listStore.Run(s.ctx, func(a nodelist.OperatorRequest) { s.deliver(a) })
+			return s.listStore.Run(s.ctx, func(r nodelist.OperatorRequest) { s.deliver(operatorRequest{r}) })
 		})
 	}
 	s.group.Go(func() error { return s.loop.run(s.ctx) })
--- a/internal/server/site_links.go
+++ b/internal/server/site_links.go
@@ -27,16 +27,16 @@
 		return err
 	}
 	opts := link.Options{Keys: s.siteKeys, Epoch: rand.Uint64(), Credit: o.Credit, Sites: o.Allow, MostIn: o.MostLinks,
-		Post: func(e link.Event) { s.deliver(e) }}
+		Post: func(e link.Event) { s.deliver(linkEvent{e}) }}
 	var names []string
 	for _, t := range o.Dialled() {
 		opts.Targets = append(opts.Targets, link.Target{Site: t.Site, Addr: t.Addr.String()})
 		names = append(names, fmt.Sprintf("%s at %s", t.Site, t.Addr))
 	}
 	s.siteLinks = link.New(opts)
-	s.loop.gateway = newGateway(forwarding.Policy{Share: o.Share, Burst: o.Burst, MostAbroad: o.MostAbroad, LeastLeft: o.LeastLeft,
+	s.loop.useGateway(newGateway(forwarding.Policy{Share: o.Share, Burst: o.Burst, MostAbroad: o.MostAbroad, LeastLeft: o.LeastLeft,
 		Speak: o.Speak, Resume: o.Resume, Accept: o.Accept, MostRemember: o.Remember}, names, s.siteLinks, &s.start.Terms,
-		s.draining.Load)
+		s.draining.Load))
 	if o.Listen != "" {
 		if s.siteListener, err = net.Listen("tcp", o.Listen); err != nil {
 			return err
--- a/internal/server/warming_up_test.go
+++ b/internal/server/warming_up_test.go
@@ -6,15 +6,16 @@
 
 	"flaxfront/internal/decision"
 	"flaxfront/internal/discovery"
-	"flaxfront/internal/transport/store"
 )
 
 // Parts count as sent to a cold node while it warms up, and not at nodes that started long ago or are not known.
 func TestColdIsCounted(t *testing.T) {
 	l := newLoop(time.Now(), nil, &decision.Settings{})
+	var now time.Duration
+	l.clock = func() time.Duration { return now }
 	under := decoded(t)
 	l.settings = &under
-	l.controlPlane = newControlPlaneView(nil)
+	l.useControlPlane(newControlPlaneView(nil))
 	warm := under.Module.WarmUpTime
 	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": decision.StartedLongAgo} {
 		n := nodeAt(name, decision.Ready)
@@ -32,12 +33,15 @@
 		{"new", time.Minute + warm, 2},
 		{"new", time.Minute + warm - 1, 4},
 	} {
-		l.countWarmingUp(&batch{discovery.ID(c.node), make([]*store.Part, 2)}, c.at)
+		now = c.at
+		l.controlPlane.countAttempts(discovery.ID(c.node), 2)
 		if l.controlPlane.warmingUpAttempts != c.want {
 			t.Errorf("%s at %v: %d parts sent to cold nodes, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
 		}
 	}
-	if got := l.controlPlaneState().WarmingUpAttempts; got != 4 {
+	var counters QueryCounters
+	l.controlPlane.report(&counters)
+	if got := counters.ControlPlane.WarmingUpAttempts; got != 4 {
 		t.Errorf("operators and reports see %d", got)
 	}
 }
