--- a/cmd/flaxfront/fleet.go
+++ b/cmd/flaxfront/fleet.go
@@ -53,7 +53,7 @@
 		voters[0], voters[i] = voters[i], voters[0]
 		break
 	}
-	return controlplane.Ask(ctx, ring, voters, verb, r, into)
+	return controlplane.SendRequest(ctx, ring, voters, verb, r, into)
 }
 
 func fleetCommand(file *string) *cobra.Command {
@@ -67,7 +67,7 @@
 	root.AddCommand(beginCommand(a), statusCommand(a), watchCommand(a), releaseCommand(a), policyCommand(a))
 	for _, v := range []struct{ verb, use, short, done string }{
 		{controlplane.VerbHalt, "halt [REASON]", "Halt the release: permits that were not used are void", "halted"},
-		{controlplane.VerbBack, "back [REASON]", "Take the release back: what went out by it returns, under the same limits", "the way back is release"},
+		{controlplane.VerbRollBack, "back [REASON]", "Take the release back: what went out by it returns, under the same limits", "the way back is release"},
 	} {
 		root.AddCommand(&cobra.Command{Use: v.use, Short: v.short, Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			r := &controlplane.Request{Reason: "an operator's word"}
@@ -92,15 +92,15 @@
 		}}
 	out := &cobra.Command{Use: "out NODE", Short: "Say that a node which a release permits goes out now; only where this succeeds may it be stopped", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, controlplane.VerbOut, &controlplane.Request{Node: args[0]}, "it may be stopped")
+			return a.told(cmd, controlplane.VerbNodeOut, &controlplane.Request{Node: args[0]}, "it may be stopped")
 		}}
 	returned := &cobra.Command{Use: "returned NODE", Short: "Say that a node which went out serves again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, controlplane.VerbReturned, &controlplane.Request{Node: args[0]}, "returned")
+			return a.told(cmd, controlplane.VerbNodeReturned, &controlplane.Request{Node: args[0]}, "returned")
 		}}
 	forget := &cobra.Command{Use: "forget BROKER", Short: "Say that a broker never comes back: it counts as out no more", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, controlplane.VerbForget, &controlplane.Request{Broker: args[0]}, "forgotten")
+			return a.told(cmd, controlplane.VerbRemoveBroker, &controlplane.Request{Broker: args[0]}, "forgotten")
 		}}
 	root.AddCommand(drain, undrain, out, returned, forget)
 	return root
@@ -148,7 +148,7 @@
 }
 
 func releaseCommand(a *asker) *cobra.Command {
-	var w controlplane.Wanted
+	var w controlplane.ReleaseRequest
 	var batches []uint
 	var pause time.Duration
 	var most, zone, least uint
@@ -160,7 +160,7 @@
 			for _, b := range batches {
 				w.Batches = append(w.Batches, uint32(b))
 			}
-			w.Most, w.MostZone, w.Least, w.PauseMS = uint32(most), uint32(zone), uint32(least), uint64(pause.Milliseconds())
+			w.MaxOut, w.MaxOutPerZone, w.MinReadyReplicas, w.PauseMS = uint32(most), uint32(zone), uint32(least), uint64(pause.Milliseconds())
 			return a.told(cmd, controlplane.VerbRelease, &controlplane.Request{Plan: &w}, "release")
 		},
 	}
@@ -205,7 +205,7 @@
 			return nil
 		}},
 		&cobra.Command{Use: "back", Short: "Have the policy before this one agreed anew", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			return a.told(cmd, controlplane.VerbPolicyBack, &controlplane.Request{}, "policy")
+			return a.told(cmd, controlplane.VerbRollBackPolicy, &controlplane.Request{}, "policy")
 		}})
 	return c
 }
--- a/internal/cluster/controlplane/client.go
+++ b/internal/cluster/controlplane/client.go
@@ -16,9 +16,9 @@
 
 const askEvery = 200 * time.Millisecond
 
-// Ask has the leader do what a verb says. It goes on asking the voters until one answers or ctx ends. What was asked for is sent on
+// SendRequest has the leader do what a verb says. It goes on asking the voters until one answers or ctx ends. What was asked for is sent on
 // once only: where the connection broke after that, whether it took effect is not known.
-func Ask(ctx context.Context, ring *keys.Keyring, voters []Voter, verb string, r *Request, into any) error {
+func SendRequest(ctx context.Context, ring *keys.Keyring, voters []Voter, verb string, r *Request, into any) error {
 	body, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -31,7 +31,7 @@
 			var s *said
 			if s, sent, err = askOne(ctx, ring, addr, verb, body); err != nil {
 				if sent && verb != VerbStatus {
-					return &Uncertain{Why: err}
+					return &UncertainOutcomeError{Cause: err}
 				}
 				last = fmt.Errorf("%s: %w", addr, err)
 				break
@@ -43,9 +43,9 @@
 				}
 				return json.Unmarshal(s.Body, into)
 			case !s.Elsewhere:
-				return &Refusal{s.Fault, s.Remedy}
+				return &RejectedError{s.Fault, s.Remedy}
 			}
-			last, addr = &Refusal{s.Fault, s.Remedy}, ""
+			last, addr = &RejectedError{s.Fault, s.Remedy}, ""
 			for _, v := range voters { // by this side's own addresses
 				if v.Name == s.Leader {
 					addr = v.Addr
@@ -55,7 +55,7 @@
 		select {
 		case <-time.After(askEvery):
 		case <-ctx.Done():
-			return errors.Join(&Elsewhere{}, last)
+			return errors.Join(&NotLeaderError{}, last)
 		}
 	}
 }
--- a/internal/cluster/controlplane/client_test.go
+++ b/internal/cluster/controlplane/client_test.go
@@ -41,13 +41,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := New(Options{Keys: ring("s", "b1"), Voters: []Voter{{"b1", ln.Addr().String()}}, Listener: ln, Listen: ln.Addr().String(), Disk: disk,
-		Slot: 1, Incarnation: 1, Version: "1", Lease: time.Second, Drift: 0.01, Election: 60 * time.Millisecond, Heartbeat: 10 * time.Millisecond,
-		Followers: 2, Report: time.Second, Seed: 1})
+	f, err := New(Options{Keys: ring("s", "b1"), Voters: []Voter{{"b1", ln.Addr().String()}}, Listener: ln, ListenAddr: ln.Addr().String(), Storage: disk,
+		Slot: 1, Incarnation: 1, Version: "1", LeaseDuration: time.Second, MaxClockDrift: 0.01, ElectionTimeout: 60 * time.Millisecond, HeartbeatInterval: 10 * time.Millisecond,
+		MaxFollowers: 2, ReportInterval: time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Named(func(text string) (decision.NodeID, bool) { return decision.NodeID{}, false }, decision.NodeID.String)
+	f.SetNodeNames(func(text string) (decision.NodeID, bool) { return decision.NodeID{}, false }, decision.NodeID.String)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -55,34 +55,34 @@
 		f.Run(ctx)
 	}()
 	defer func() { cancel(); <-ended }()
-	f.Serving()
+	f.SetServing()
 	nobody := Voter{"b0", "127.0.0.1:1"}
 	voters := []Voter{nobody, {"b1", ln.Addr().String()}}
 	within, stop := context.WithTimeout(ctx, time.Minute)
 	defer stop()
 	var s Status
 	for len(s.Brokers) == 0 || s.Brokers[0].Status != statemachine.BrokerServing {
-		if err := Ask(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil {
+		if err := SendRequest(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var refusal *Refusal
-	if err := Ask(within, ring("s", "operator"), voters, VerbDrain, &Request{Node: "x"}, nil); !errors.As(err, &refusal) || refusal.Remedy() == "" {
+	var refusal *RejectedError
+	if err := SendRequest(within, ring("s", "operator"), voters, VerbDrain, &Request{Node: "x"}, nil); !errors.As(err, &refusal) || refusal.Remedy() == "" {
 		t.Errorf("drain of a node that nobody knows: %v", err)
 	}
 	var number uint64
-	if err := Ask(within, ring("s", "operator"), voters, VerbRelease, &Request{Plan: &Wanted{To: "2"}}, &number); err != nil || number == 0 {
+	if err := SendRequest(within, ring("s", "operator"), voters, VerbRelease, &Request{Plan: &ReleaseRequest{To: "2"}}, &number); err != nil || number == 0 {
 		t.Errorf("release %d, %v", number, err)
 	}
-	if err := Ask(within, ring("s", "operator"), voters, VerbHalt, &Request{Reason: "enough"}, nil); err != nil {
+	if err := SendRequest(within, ring("s", "operator"), voters, VerbHalt, &Request{Reason: "enough"}, nil); err != nil {
 		t.Error(err)
 	}
-	if err := Ask(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.State != statemachine.ReleaseHalted {
+	if err := SendRequest(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.State != statemachine.ReleaseHalted {
 		t.Errorf("%+v, %v", s.Release, err)
 	}
 	brief, stop2 := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer stop2()
-	if err := Ask(brief, ring("other", "operator"), voters[1:], VerbStatus, &Request{}, &s); !errors.As(err, new(*Elsewhere)) {
+	if err := SendRequest(brief, ring("other", "operator"), voters[1:], VerbStatus, &Request{}, &s); !errors.As(err, new(*NotLeaderError)) {
 		t.Errorf("somebody of another site: %v", err)
 	}
 }
--- a/internal/cluster/controlplane/cluster_test.go
+++ b/internal/cluster/controlplane/cluster_test.go
@@ -120,7 +120,7 @@
 }
 
 // peek looks at a broker's core.
-func peek[T any](f *Fleet, look func() T) T {
+func peek[T any](f *Participant, look func() T) T {
 	got := make(chan T, 1)
 	f.calls <- func() { got <- look() }
 	return <-got
@@ -149,7 +149,7 @@
 	t    *testing.T
 	w    *wires
 	dir  string
-	all  map[string]*Fleet
+	all  map[string]*Participant
 	stop map[string]func()
 	most int
 	set  func(*Options) // nil: nothing
@@ -158,7 +158,7 @@
 func newTier(t *testing.T) *tier {
 	slog.SetDefault(slog.New(slog.NewTextHandler(logs(), &slog.HandlerOptions{Level: slog.LevelDebug})))
 	c := &tier{t: t, w: &wires{at: map[string]chan net.Conn{}, apart: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}}, dir: t.TempDir(),
-		all: map[string]*Fleet{}, stop: map[string]func(){}, most: 32}
+		all: map[string]*Participant{}, stop: map[string]func(){}, most: 32}
 	if err := keys.NewAuthority(filepath.Join(c.dir, "ca"), "test", 24*time.Hour, time.Now()); err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 }
 
 // start starts a broker; the first three vote.
-func (c *tier) start(i int) *Fleet {
+func (c *tier) start(i int) *Participant {
 	name := fmt.Sprintf("b%d", i)
 	dir := filepath.Join(c.dir, name)
 	if _, err := keys.Issue(filepath.Join(c.dir, "ca"), dir, keys.ID{Site: "s", Broker: name}, time.Hour, time.Now()); err != nil {
@@ -176,16 +176,16 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	o := Options{Keys: ring, Voters: []Voter{{"b1", "b1"}, {"b2", "b2"}, {"b3", "b3"}}, Listener: c.w.listen(name), Listen: name,
+	o := Options{Keys: ring, Voters: []Voter{{"b1", "b1"}, {"b2", "b2"}, {"b3", "b3"}}, Listener: c.w.listen(name), ListenAddr: name,
 		Dial: c.w.dial(name), Slot: statemachine.Slot(i), Incarnation: uint64(time.Now().UnixMilli()), Version: "1", Zone: "z",
-		Lease: 3 * time.Second, Drift: 0.01, Election: 600 * time.Millisecond, Heartbeat: 100 * time.Millisecond, Followers: c.most,
-		Report: time.Second, Seed: uint64(time.Now().UnixNano())}
+		LeaseDuration: 3 * time.Second, MaxClockDrift: 0.01, ElectionTimeout: 600 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond, MaxFollowers: c.most,
+		ReportInterval: time.Second, Seed: uint64(time.Now().UnixNano())}
 	var disk *raftlog.Log
 	if i <= 3 {
 		if disk, err = raftlog.Open(raftlog.Options{Directory: filepath.Join(dir, "log"), Cluster: "s", VoterID: uint64(i), Voters: []uint64{1, 2, 3}, Create: true}); err != nil {
 			c.t.Fatal(err)
 		}
-		o.Disk = disk
+		o.Storage = disk
 	}
 	if c.set != nil {
 		c.set(&o)
@@ -214,7 +214,7 @@
 		c.mu.Unlock()
 		delete(c.stop, name)
 	}
-	f.Serving()
+	f.SetServing()
 	return f
 }
 
@@ -239,7 +239,7 @@
 
 func (c *tier) connected() bool {
 	for _, f := range c.all {
-		if v := f.View(); !v.Held(f.Now()) || v.Me.Status != statemachine.BrokerServing {
+		if v := f.View(); !v.LeaseHeld(f.Now()) || v.Self.Status != statemachine.BrokerServing {
 			return false
 		}
 	}
--- a/internal/cluster/controlplane/controlplane.go
+++ b/internal/cluster/controlplane/controlplane.go
@@ -29,28 +29,28 @@
 
 // Options say who this broker is and how it takes part.
 type Options struct {
-	Keys        *keys.Keyring
-	Voters      []Voter      // the same on every broker, in the same order
-	Sources     []string     // to follow
-	Listener    net.Listener // nil: nobody comes
-	Listen      string       // as others are told
-	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	Disk        consensus.Storage // of a voter
-	Slot        statemachine.Slot
-	Incarnation uint64 // greater than that of any earlier life
-	Version     string
-	Zone        string
-	Lease       time.Duration
-	Drift       float64
-	Election    time.Duration
-	Heartbeat   time.Duration
-	Followers   int
-	Report      time.Duration
-	Gates       release.Settings
-	Seed        uint64
-	Deliver     func(*View)          // takes a view over; may wait
-	Count       func() Report        // what this broker has served; called in the fleet's goroutine, must not wait
-	Now         func() time.Duration // monotonic; goes on while the process is stopped
+	Keys              *keys.Keyring
+	Voters            []Voter      // the same on every broker, in the same order
+	Sources           []string     // to follow
+	Listener          net.Listener // nil: nobody comes
+	ListenAddr        string       // as others are told
+	Dial              func(ctx context.Context, addr string) (net.Conn, error)
+	Storage           consensus.Storage // of a voter
+	Slot              statemachine.Slot
+	Incarnation       uint64 // greater than that of any earlier life
+	Version           string
+	Zone              string
+	LeaseDuration     time.Duration
+	MaxClockDrift     float64
+	ElectionTimeout   time.Duration
+	HeartbeatInterval time.Duration
+	MaxFollowers      int
+	ReportInterval    time.Duration
+	ReleaseGates      release.Settings
+	Seed              uint64
+	OnView            func(*View)          // takes a view over; may wait
+	CollectReport     func() Report        // what this broker has served; called in the fleet's goroutine, must not wait
+	Now               func() time.Duration // monotonic; goes on while the process is stopped
 }
 
 // Counts are figures of the fleet's own work.
@@ -60,8 +60,8 @@
 	Snapshots, Sources                     atomic.Uint64
 }
 
-// Fleet is this broker's part of the agreement.
-type Fleet struct {
+// Participant is this broker's part of the agreement.
+type Participant struct {
 	o       Options
 	name    string
 	id      uint64 // Raft's; 0: it follows without a vote
@@ -69,8 +69,8 @@
 	view    atomic.Pointer[View]
 	fresh   chan struct{}
 	topics  []Topic
-	extras  []Extra
-	duties  []Duty
+	extras  []ReportSection
+	duties  []LeaderTask
 	find    func(string) (decision.NodeID, bool)
 	nameOf  func(decision.NodeID) string
 	compile func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error) // nil: no budgets are divided
@@ -109,7 +109,7 @@
 }
 
 // New makes it; nothing is opened yet. Which voter it is, if any, the certificate says.
-func New(o Options) (*Fleet, error) {
+func New(o Options) (*Participant, error) {
 	if o.Dial == nil {
 		o.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -119,7 +119,7 @@
 		start := time.Now()
 		o.Now = func() time.Duration { return time.Since(start) }
 	}
-	f := &Fleet{o: o, name: o.Keys.ID().Broker, calls: make(chan func(), 256), fresh: make(chan struct{}, 1), state: statemachine.New(),
+	f := &Participant{o: o, name: o.Keys.ID().Broker, calls: make(chan func(), 256), fresh: make(chan struct{}, 1), state: statemachine.New(),
 		conns: map[*conn]bool{}, voters: map[string]*conn{}, via: map[statemachine.Slot]*conn{}, inc: o.Incarnation,
 		find: func(string) (id decision.NodeID, ok bool) { return id, false }, nameOf: decision.NodeID.String,
 		pending: map[uint64]*proposal{}, reads: map[uint64]func(error){}}
@@ -133,8 +133,8 @@
 	if i < 0 {
 		return f, nil
 	}
-	if o.Disk == nil || o.Listener == nil {
-		return nil, &Unfit{Name: f.name}
+	if o.Storage == nil || o.Listener == nil {
+		return nil, &VoterConfigError{Name: f.name}
 	}
 	f.id = uint64(i + 1)
 	var ids []uint64
@@ -142,23 +142,23 @@
 		ids = append(ids, uint64(i+1))
 	}
 	var err error
-	f.node, err = consensus.New(consensus.Config{ID: f.id, Voters: ids, ElectionTimeout: o.Election, HeartbeatInterval: o.Heartbeat, Seed: o.Seed, Storage: o.Disk,
+	f.node, err = consensus.New(consensus.Config{ID: f.id, Voters: ids, ElectionTimeout: o.ElectionTimeout, HeartbeatInterval: o.HeartbeatInterval, Seed: o.Seed, Storage: o.Storage,
 		StateMachine: machine{f}, MaxEntryBytes: maxEntry}, o.Now())
 	return f, err
 }
 
-// Compile gives the way from a policy's text to its entry, before Run.
-func (f *Fleet) Compile(fn func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error)) {
+// SetPolicyCompiler gives the way from a policy's text to its entry, before Run.
+func (f *Participant) SetPolicyCompiler(fn func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error)) {
 	f.compile = fn
 }
 
-// Named gives nodes' names, as this broker's list has them: the node of a name or address, and the name of a node. Before Run.
-func (f *Fleet) Named(find func(text string) (decision.NodeID, bool), name func(decision.NodeID) string) {
+// SetNodeNames gives nodes' names, as this broker's list has them: the node of a name or address, and the name of a node. Before Run.
+func (f *Participant) SetNodeNames(find func(text string) (decision.NodeID, bool), name func(decision.NodeID) string) {
 	f.find, f.nameOf = find, name
 }
 
 // Run takes part until ctx ends.
-func (f *Fleet) Run(ctx context.Context) error {
+func (f *Participant) Run(ctx context.Context) error {
 	var all sync.WaitGroup
 	defer all.Wait()
 	if f.o.Listener != nil {
@@ -195,7 +195,7 @@
 }
 
 // call has the core's goroutine do something; false: it has ended.
-func (f *Fleet) call(ctx context.Context, fn func()) bool {
+func (f *Participant) call(ctx context.Context, fn func()) bool {
 	select {
 	case f.calls <- fn:
 		return true
@@ -205,15 +205,15 @@
 }
 
 // stop ends what is in hand.
-func (f *Fleet) stop() {
+func (f *Participant) stop() {
 	for _, p := range f.pending {
-		p.done(statemachine.Result{}, &Uncertain{Why: context.Canceled})
+		p.done(statemachine.Result{}, &UncertainOutcomeError{Cause: context.Canceled})
 	}
 	clear(f.pending)
 }
 
 // step does what is due and tells when to come again.
-func (f *Fleet) step(now time.Duration) (next time.Duration) {
+func (f *Participant) step(now time.Duration) (next time.Duration) {
 	next = now + time.Second
 	if f.node != nil {
 		next = min(next, f.vote(now))
@@ -224,7 +224,7 @@
 		f.beats(now)
 	}
 	if now >= f.due.report {
-		f.due.report = now + f.o.Report
+		f.due.report = now + f.o.ReportInterval
 		f.report()
 		f.changed = true // whoever could not act on a view gets another
 	}
--- a/internal/cluster/controlplane/controlplane_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -108,7 +108,7 @@
 	inside(t, func(t *testing.T, c *tier) {
 		c.set = func(o *Options) {
 			if o.Slot <= 3 {
-				o.Drift = -0.8 // the leader takes a lease for over when a fifth of it is
+				o.MaxClockDrift = -0.8 // the leader takes a lease for over when a fifth of it is
 			}
 		}
 		for i := range 4 {
--- a/internal/cluster/controlplane/duty.go
+++ b/internal/cluster/controlplane/duty.go
@@ -11,45 +11,45 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// Moment is what a duty of the leader decides on.
-type Moment struct {
+// LeaderContext is what a duty of the leader decides on.
+type LeaderContext struct {
 	State   *statemachine.State // must not be changed or kept
 	Term    uint64
 	Now     time.Duration
-	Reports map[statemachine.Slot]Heard // must not be changed or kept
+	Reports map[statemachine.Slot]ReceivedReport // must not be changed or kept
 
 	lead *lead
 }
 
-// Session is when a broker's lease was last granted by this leader, at the latest; where it has granted none, since when it leads.
-func (m *Moment) Session(b statemachine.Broker) time.Duration {
+// LastLeaseGrant is when a broker's lease was last granted by this leader, at the latest; where it has granted none, since when it leads.
+func (m *LeaderContext) LastLeaseGrant(b statemachine.Broker) time.Duration {
 	if s := m.lead.sessions[b.Slot]; s.inc == b.Incarnation {
 		return max(m.lead.from, s.at)
 	}
 	return m.lead.from
 }
 
-// Duty is a thing that the leader does. It runs in the fleet's goroutine, says what to propose, and must not wait.
-type Duty struct {
-	Name  string
-	Every time.Duration
-	Do    func(Moment) []statemachine.Entry
-	due   time.Duration
-	out   int // proposed and not yet applied
+// LeaderTask is a thing that the leader does. It runs in the fleet's goroutine, says what to propose, and must not wait.
+type LeaderTask struct {
+	Name     string
+	Interval time.Duration
+	Propose  func(LeaderContext) []statemachine.Entry
+	due      time.Duration
+	out      int // proposed and not yet applied
 }
 
-// Leading adds a duty, before Run.
-func (f *Fleet) Leading(d Duty) { f.duties = append(f.duties, d) }
+// AddLeaderTask adds a duty, before Run.
+func (f *Participant) AddLeaderTask(d LeaderTask) { f.duties = append(f.duties, d) }
 
 // voter tells whether a permit is that of a broker that votes.
-func (f *Fleet) voter(p *statemachine.IssuePermit) bool {
+func (f *Participant) voter(p *statemachine.IssuePermit) bool {
 	b, _ := f.state.Broker(p.Slot)
 	return !p.ForNode && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name })
 }
 
 // majority tells whether so many more voters may go out. Danger: a release that lets two of three go at once has nobody left to
 // agree that they are back. A single voter goes all the same.
-func (f *Fleet) majority(going int) bool {
+func (f *Participant) majority(going int) bool {
 	n := len(f.o.Voters)
 	for _, b := range f.state.Brokers() {
 		if (b.Status != statemachine.BrokerServing || b.Permit > 0) && slices.ContainsFunc(f.o.Voters, func(v Voter) bool { return v.Name == b.Name }) {
@@ -60,7 +60,7 @@
 }
 
 // doDuties has the duties propose what is due; one whose last proposals are not applied yet waits.
-func (f *Fleet) doDuties(now time.Duration) {
+func (f *Participant) doDuties(now time.Duration) {
 	if f.lead.planning == 0 && now >= f.lead.plan {
 		var all []statemachine.Entry
 		all, f.lead.plan = f.lead.planner.Next(f.state, now)
@@ -86,8 +86,8 @@
 		if now < d.due || d.out > 0 {
 			continue
 		}
-		d.due = now + d.Every
-		for _, e := range d.Do(Moment{f.state, f.lead.term, now, f.lead.reports, &f.lead}) {
+		d.due = now + d.Interval
+		for _, e := range d.Propose(LeaderContext{f.state, f.lead.term, now, f.lead.reports, &f.lead}) {
 			d.out++
 			f.start(e, func(r statemachine.Result, err error) {
 				d.out--
--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -7,35 +7,35 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// Unfit refuses to start a voter without what it needs.
-type Unfit struct{ Name string }
+// VoterConfigError refuses to start a voter without what it needs.
+type VoterConfigError struct{ Name string }
 
-func (e *Unfit) Error() string {
+func (e *VoterConfigError) Error() string {
 	return fmt.Sprintf("%s is one of fleet.voters, but has no fleet.directory or no fleet.listen", e.Name)
 }
 
 // Remedy tells what an operator can do.
-func (e *Unfit) Remedy() string {
+func (e *VoterConfigError) Remedy() string {
 	return "give this broker both; the directory lasts over restarts and is of this broker alone"
 }
 
-// Uncertain ends a proposal of which it is not known whether it took effect.
-type Uncertain struct{ Why error }
+// UncertainOutcomeError ends a proposal of which it is not known whether it took effect.
+type UncertainOutcomeError struct{ Cause error }
 
-func (e *Uncertain) Error() string {
-	return fmt.Sprintf("not agreed in time (%v); it may yet take effect", e.Why)
+func (e *UncertainOutcomeError) Error() string {
+	return fmt.Sprintf("not agreed in time (%v); it may yet take effect", e.Cause)
 }
-func (e *Uncertain) Unwrap() error { return e.Why }
+func (e *UncertainOutcomeError) Unwrap() error { return e.Cause }
 
 // Remedy tells what an operator can do.
-func (e *Uncertain) Remedy() string {
+func (e *UncertainOutcomeError) Remedy() string {
 	return "look at `flaxfront fleet status` before asking again; if it lasts, see that a majority of the voters runs"
 }
 
-// Elsewhere refuses what only the leader may answer.
-type Elsewhere struct{ Leader string } // its name; empty: none is known
+// NotLeaderError refuses what only the leader may answer.
+type NotLeaderError struct{ Leader string } // its name; empty: none is known
 
-func (e *Elsewhere) Error() string {
+func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
 		return "no leader is known here"
 	}
@@ -43,45 +43,45 @@
 }
 
 // Remedy tells what an operator can do.
-func (e *Elsewhere) Remedy() string {
+func (e *NotLeaderError) Remedy() string {
 	if e.Leader == "" {
 		return "see that a majority of the voters runs and that they reach one another; searches go on meanwhile"
 	}
 	return "ask there"
 }
 
-// BadRequest refuses what an operator asked for.
-type BadRequest struct{ What string }
+// InvalidRequestError refuses what an operator asked for.
+type InvalidRequestError struct{ Reason string }
 
-func (e *BadRequest) Error() string { return e.What }
+func (e *InvalidRequestError) Error() string { return e.Reason }
 
 // Remedy tells what an operator can do.
-func (e *BadRequest) Remedy() string {
+func (e *InvalidRequestError) Remedy() string {
 	return "correct the request; `flaxfront fleet --help` tells the verbs"
 }
 
-// SlotTaken tells that another broker of the tier has this one's place.
-type SlotTaken struct {
-	Slot statemachine.Slot
-	By   string
+// SlotTakenError tells that another broker of the tier has this one's place.
+type SlotTakenError struct {
+	Slot   statemachine.Slot
+	Holder string
 }
 
-func (e *SlotTaken) Error() string {
-	return fmt.Sprintf("slot %d is that of %s, which lives", e.Slot, e.By)
+func (e *SlotTakenError) Error() string {
+	return fmt.Sprintf("slot %d is that of %s, which lives", e.Slot, e.Holder)
 }
 
 // Remedy tells what an operator can do.
-func (e *SlotTaken) Remedy() string {
+func (e *SlotTakenError) Remedy() string {
 	return "give each broker a fleet.slot of its own, and restart the one that has the wrong one"
 }
 
-// Refusal is a fault as it came over the wire.
-type Refusal struct{ Fault, Advice string }
+// RejectedError is a fault as it came over the wire.
+type RejectedError struct{ Message, Advice string }
 
-func (e *Refusal) Error() string { return e.Fault }
+func (e *RejectedError) Error() string { return e.Message }
 
 // Remedy tells what an operator can do.
-func (e *Refusal) Remedy() string { return e.Advice }
+func (e *RejectedError) Remedy() string { return e.Advice }
 
 func unknown(err error) bool { return errors.As(err, new(*statemachine.UnknownEntryError)) }
 
--- a/internal/cluster/controlplane/faults_test.go
+++ b/internal/cluster/controlplane/faults_test.go
@@ -31,7 +31,7 @@
 		var full atomic.Bool
 		c.set = func(o *Options) {
 			if o.Slot == 2 {
-				o.Disk = failing{o.Disk, &full}
+				o.Storage = failing{o.Storage, &full}
 			}
 		}
 		for i := range 4 {
--- a/internal/cluster/controlplane/feed.go
+++ b/internal/cluster/controlplane/feed.go
@@ -57,7 +57,7 @@
 }
 
 // machine is the ledger as agreement drives it.
-type machine struct{ f *Fleet }
+type machine struct{ f *Participant }
 
 // Apply ends this voter at an entry that it cannot read. Danger: Raft would count it as applied, and cut the log before the next
 // snapshot off, which a newer program needs to go on from there.
@@ -72,7 +72,7 @@
 func (m machine) Restore(data []byte) error { return m.f.restore(data) }
 
 // apply takes over what was agreed.
-func (f *Fleet) apply(index uint64, data []byte) {
+func (f *Participant) apply(index uint64, data []byte) {
 	if f.halted != nil {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // restore begins anew from a snapshot.
-func (f *Fleet) restore(data []byte) error {
+func (f *Participant) restore(data []byte) error {
 	s, err := statemachine.Restore(data)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 }
 
 // feedAll gives those that follow what they lack.
-func (f *Fleet) feedAll() {
+func (f *Participant) feedAll() {
 	for c := range f.conns {
 		if c.follows {
 			f.feed(c)
@@ -112,7 +112,7 @@
 	}
 }
 
-func (f *Fleet) feed(c *conn) {
+func (f *Participant) feed(c *conn) {
 	for c.waiting() < ahead {
 		if len(c.snap) > 0 {
 			n := min(pieceOf, len(c.snap))
@@ -142,7 +142,7 @@
 }
 
 // takeFeed applies what the source passes on. One that leaves something out is asked again, from where this side stands.
-func (f *Fleet) takeFeed(c *conn, m feed) {
+func (f *Participant) takeFeed(c *conn, m feed) {
 	if c != f.source || f.halted != nil {
 		return
 	}
@@ -158,7 +158,7 @@
 }
 
 // takePiece gathers a snapshot.
-func (f *Fleet) takePiece(c *conn, p piece) {
+func (f *Participant) takePiece(c *conn, p piece) {
 	if c != f.source {
 		return
 	}
--- a/internal/cluster/controlplane/fuzz_test.go
+++ b/internal/cluster/controlplane/fuzz_test.go
@@ -31,7 +31,7 @@
 		f.Add(frame(letter, body), true)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, source bool) {
-		fl, err := New(Options{Keys: ring, Voters: []Voter{{"v", "v"}}, Lease: time.Second, Followers: 1, Report: time.Second})
+		fl, err := New(Options{Keys: ring, Voters: []Voter{{"v", "v"}}, LeaseDuration: time.Second, MaxFollowers: 1, ReportInterval: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cluster/controlplane/lead.go
+++ b/internal/cluster/controlplane/lead.go
@@ -24,7 +24,7 @@
 	from     time.Duration // when that was
 	sessions map[statemachine.Slot]held
 	losing   map[statemachine.Slot]uint64 // incarnations whose loss is proposed: they are granted nothing more
-	reports  map[statemachine.Slot]Heard
+	reports  map[statemachine.Slot]ReceivedReport
 	waiting  []renewal
 	reading  int
 	due      time.Duration
@@ -40,15 +40,15 @@
 	at  time.Duration
 }
 
-// Heard is a broker's last report, as it came to the leader.
-type Heard struct {
+// ReceivedReport is a broker's last report, as it came to the leader.
+type ReceivedReport struct {
 	Report
 	Incarnation uint64
-	At          time.Duration
+	ReceivedAt  time.Duration
 }
 
 // vote does what is due of Raft, and takes the lead up or lays it down.
-func (f *Fleet) vote(now time.Duration) (next time.Duration) {
+func (f *Participant) vote(now time.Duration) (next time.Duration) {
 	next = f.node.Tick(now)
 	f.sendPackets()
 	if err := f.node.Err(); err != nil && !f.broken {
@@ -57,7 +57,7 @@
 		f.follow()
 	}
 	if f.leaving.Load() && f.node.IsLeader() && now >= f.lead.handed {
-		f.lead.handed = now + f.o.Election
+		f.lead.handed = now + f.o.ElectionTimeout
 		f.node.TransferLeadership(now)
 		f.sendPackets()
 	}
@@ -70,7 +70,7 @@
 	}
 	if f.lead.term != f.node.Term() {
 		f.lead = lead{term: f.node.Term(), sessions: map[statemachine.Slot]held{}, losing: map[statemachine.Slot]uint64{},
-			reports: map[statemachine.Slot]Heard{}}
+			reports: map[statemachine.Slot]ReceivedReport{}}
 		slog.Info("fleet: leads", "term", f.lead.term)
 	}
 	if !f.lead.on && !f.lead.asked && now >= f.lead.due {
@@ -93,7 +93,7 @@
 }
 
 // sendPackets saves and sends what Raft has for the others.
-func (f *Fleet) sendPackets() {
+func (f *Participant) sendPackets() {
 	for _, p := range f.node.ProcessReady() {
 		if c := f.voters[f.o.Voters[p.To-1].Name]; c != nil {
 			f.put(c, letterRaft, p.Data)
@@ -109,7 +109,7 @@
 }
 
 // read calls fn once this broker's copy is known to hold all that was agreed before this moment.
-func (f *Fleet) read(fn func(error)) {
+func (f *Participant) read(fn func(error)) {
 	f.readID++
 	f.reads[f.readID] = fn
 	if err := f.node.ReadIndex(binary.BigEndian.AppendUint64(nil, f.readID)); err != nil {
@@ -119,14 +119,14 @@
 }
 
 // renewals takes requests for a lease.
-func (f *Fleet) renewals(all []renewal, now time.Duration) {
+func (f *Participant) renewals(all []renewal, now time.Duration) {
 	if f.lead.on && len(f.lead.waiting) < maxBatch {
 		f.lead.waiting = append(f.lead.waiting, all...)
 	}
 }
 
 // grantLeases has a majority confirm that this broker leads, for all requests that wait, and then grants them.
-func (f *Fleet) grantLeases(now time.Duration) {
+func (f *Participant) grantLeases(now time.Duration) {
 	l := &f.lead
 	if len(l.waiting) == 0 || l.reading >= 4 {
 		return
@@ -143,7 +143,7 @@
 		}
 		// The granter counts from now, after the request; the holder from before it.
 		at := f.o.Now()
-		d := down{Lease: int64(f.o.Lease), Leader: f.name}
+		d := down{Lease: int64(f.o.LeaseDuration), Leader: f.name}
 		for _, r := range batch {
 			slot := statemachine.Slot(r.Slot)
 			b, known := f.state.Broker(slot)
@@ -158,12 +158,12 @@
 }
 
 // leadApplied takes note of entries that matter to the leader.
-func (f *Fleet) leadApplied(e statemachine.Entry, r statemachine.Result) {
+func (f *Participant) leadApplied(e statemachine.Entry, r statemachine.Result) {
 	switch e := e.(type) {
 	case *statemachine.LeaderElected:
 		if f.lead.term != 0 && e.Slot == f.o.Slot && e.Term == f.lead.term && r.Err == nil {
 			f.lead.on, f.lead.from = true, f.o.Now()
-			f.lead.planner = release.New(f.o.Gates, e.Term, f.lead.from)
+			f.lead.planner = release.New(f.o.ReleaseGates, e.Term, f.lead.from)
 		}
 	case *statemachine.RegisterBroker:
 		if f.lead.on && r.Err == nil && !r.Duplicate {
@@ -173,9 +173,9 @@
 }
 
 // losses proposes that brokers are lost whose lease surely ran out.
-func (f *Fleet) losses(now time.Duration) {
+func (f *Participant) losses(now time.Duration) {
 	l := &f.lead
-	surely := f.o.Lease + time.Duration(float64(f.o.Lease)*f.o.Drift)
+	surely := f.o.LeaseDuration + time.Duration(float64(f.o.LeaseDuration)*f.o.MaxClockDrift)
 	for _, b := range f.state.Brokers() {
 		if b.Status == statemachine.BrokerLost {
 			continue
@@ -191,7 +191,7 @@
 		slog.Warn("fleet: a broker is lost", "broker", b.Name, "slot", b.Slot, "incarnation", b.Incarnation, "silent_for", now-last)
 		f.start(&statemachine.MarkBrokerLost{Slot: b.Slot, Incarnation: b.Incarnation, Term: l.term}, func(_ statemachine.Result, err error) {
 			// Danger: one of which it is not known whether it took effect may do so later, and a lease granted meanwhile stand against it.
-			if f.lead.term != 0 && f.lead.losing[b.Slot] == b.Incarnation && !errors.As(err, new(*Uncertain)) {
+			if f.lead.term != 0 && f.lead.losing[b.Slot] == b.Incarnation && !errors.As(err, new(*UncertainOutcomeError)) {
 				delete(f.lead.losing, b.Slot)
 			}
 		})
--- a/internal/cluster/controlplane/net.go
+++ b/internal/cluster/controlplane/net.go
@@ -26,7 +26,7 @@
 )
 
 // mine admits brokers of the own site alone.
-func (f *Fleet) mine(id keys.ID) error {
+func (f *Participant) mine(id keys.ID) error {
 	if own := f.o.Keys.ID(); id.Site != own.Site {
 		return fmt.Errorf("%s is not of %s", id, own.Site)
 	}
@@ -34,7 +34,7 @@
 }
 
 // serve takes connections until the listener is closed.
-func (f *Fleet) serve(ctx context.Context) {
+func (f *Participant) serve(ctx context.Context) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	stop := context.AfterFunc(ctx, func() { f.o.Listener.Close() })
@@ -54,7 +54,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if in.Load() >= int64(2*f.o.Followers+spareConns) { // Danger: whoever opens many takes descriptors from clients
+		if in.Load() >= int64(2*f.o.MaxFollowers+spareConns) { // Danger: whoever opens many takes descriptors from clients
 			nc.Close()
 			continue
 		}
@@ -84,8 +84,8 @@
 	return netip.AddrPortFrom(tcp.AddrPort().Addr().Unmap(), at.Port()).String()
 }
 
-func (f *Fleet) hello() hello {
-	h := hello{Protocol: protocol, Role: roleFollower, Name: f.name, Listen: f.o.Listen}
+func (f *Participant) hello() hello {
+	h := hello{Protocol: protocol, Role: roleFollower, Name: f.name, Listen: f.o.ListenAddr}
 	if f.id != 0 {
 		h.Role = roleVoter
 	}
@@ -93,7 +93,7 @@
 }
 
 // dial opens one connection.
-func (f *Fleet) dial(ctx context.Context, addr string) (*conn, error) {
+func (f *Participant) dial(ctx context.Context, addr string) (*conn, error) {
 	limit, cancel := context.WithTimeout(ctx, handshake)
 	defer cancel()
 	nc, err := f.o.Dial(limit, addr)
@@ -108,7 +108,7 @@
 }
 
 // carry runs a connection that stands, until it ends.
-func (f *Fleet) carry(ctx context.Context, c *conn) {
+func (f *Participant) carry(ctx context.Context, c *conn) {
 	stop := context.AfterFunc(ctx, c.close)
 	defer stop()
 	var w sync.WaitGroup
@@ -125,7 +125,7 @@
 }
 
 // keepVoter keeps the connection to another voter.
-func (f *Fleet) keepVoter(ctx context.Context, v Voter) {
+func (f *Participant) keepVoter(ctx context.Context, v Voter) {
 	pause := pauseFirst
 	for ctx.Err() == nil {
 		begun := time.Now()
@@ -157,7 +157,7 @@
 }
 
 // keepSource keeps one source to follow: those of the settings in a random order, and those that a full one names.
-func (f *Fleet) keepSource(ctx context.Context) {
+func (f *Participant) keepSource(ctx context.Context) {
 	pause := pauseFirst
 	var next []string
 	for ctx.Err() == nil {
--- a/internal/cluster/controlplane/path.go
+++ b/internal/cluster/controlplane/path.go
@@ -13,21 +13,21 @@
 type Topic struct {
 	Name    string
 	Collect func() (data []byte, at time.Duration) // what was known here at that moment, with the ages of it inside; nil: nothing
-	Take    func(data []byte, older time.Duration) // older: by how much at most all of it has grown older on the way
+	Merge   func(data []byte, older time.Duration) // older: by how much at most all of it has grown older on the way
 }
 
 // maxFacts bounds a topic's share of a beat.
 const maxFacts = 256 << 10
 
-// Share adds a topic, before Run.
-func (f *Fleet) Share(t Topic) { f.topics = append(f.topics, t) }
+// AddTopic adds a topic, before Run.
+func (f *Participant) AddTopic(t Topic) { f.topics = append(f.topics, t) }
 
 // votes tells whether this broker is a voter that works.
-func (f *Fleet) votes() bool { return f.id != 0 && !f.broken }
+func (f *Participant) votes() bool { return f.id != 0 && !f.broken }
 
 // path is the way from a voter to this broker; empty: it is cut off, or stands still before an entry that it can't read. Danger:
 // those that follow it there would hear beats, and nothing that is agreed, for ever.
-func (f *Fleet) path() []string {
+func (f *Participant) path() []string {
 	switch {
 	case f.halted != nil, f.votes() && f.node.Leader() == 0, !f.votes() && len(f.upPath) == 0:
 		return nil
@@ -36,7 +36,7 @@
 	}
 }
 
-func (f *Fleet) following() (n int) {
+func (f *Participant) following() (n int) {
 	for c := range f.conns {
 		if c.follows {
 			n++
@@ -46,8 +46,8 @@
 }
 
 // beats sends one to everybody, with what is known here.
-func (f *Fleet) beats(now time.Duration) {
-	b := beat{Path: f.path(), Room: max(0, f.o.Followers-f.following()), Token: uint64(now) + 1}
+func (f *Participant) beats(now time.Duration) {
+	b := beat{Path: f.path(), Room: max(0, f.o.MaxFollowers-f.following()), Token: uint64(now) + 1}
 	if f.o.Listener == nil || len(b.Path) == 0 || len(b.Path) >= maxDepth {
 		b.Room = 0
 	}
@@ -73,7 +73,7 @@
 
 // takeBeat learns where the other side stands. It sent this after it had the token that it echoes; so what it had collected has
 // grown older by no more than it says it was held, and the time from when that token was sent.
-func (f *Fleet) takeBeat(c *conn, b beat, now time.Duration) {
+func (f *Participant) takeBeat(c *conn, b beat, now time.Duration) {
 	c.token, c.room = b.Token, b.Room
 	if c == f.source {
 		// Danger: two that are cut off would follow one another. No broker follows one whose path leads through itself.
@@ -90,19 +90,19 @@
 		return
 	}
 	older := now - time.Duration(b.Echo-1)
-	older += time.Duration(float64(older) * f.o.Drift)
+	older += time.Duration(float64(older) * f.o.MaxClockDrift)
 	for _, t := range f.topics {
 		if m := b.Facts[t.Name]; len(m.Data) > 0 && len(m.Data) <= maxFacts && m.Held >= 0 && m.Held < int64(time.Hour) {
 			held := time.Duration(m.Held)
-			t.Take(m.Data, older+held+time.Duration(float64(held)*f.o.Drift))
+			t.Merge(m.Data, older+held+time.Duration(float64(held)*f.o.MaxClockDrift))
 		}
 	}
 }
 
 // takeFollow gives a broker the feed, or names others that have room.
-func (f *Fleet) takeFollow(c *conn, at uint64) {
+func (f *Participant) takeFollow(c *conn, at uint64) {
 	path := f.path()
-	full := f.following() >= f.o.Followers
+	full := f.following() >= f.o.MaxFollowers
 	if len(path) == 0 || len(path) >= maxDepth || slices.Contains(path, c.peer.Name) || full {
 		o := other{}
 		if full {
@@ -116,7 +116,7 @@
 }
 
 // sendAway has those that follow this broker look for another source; a newer one of them may know of a better.
-func (f *Fleet) sendAway() {
+func (f *Participant) sendAway() {
 	for c := range f.conns {
 		if c.follows {
 			f.put(c, letterOther, other{})
@@ -125,7 +125,7 @@
 }
 
 // others names followers with room, or else any, which know more.
-func (f *Fleet) others() []string {
+func (f *Participant) others() []string {
 	var room, any []string
 	for _, c := range slices.SortedFunc(maps.Keys(f.conns), func(a, b *conn) int { return b.room - a.room }) {
 		if c.follows && c.peer.Listen != "" {
--- a/internal/cluster/controlplane/plan.go
+++ b/internal/cluster/controlplane/plan.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-func (f *Fleet) wantedNode(verb string, r *Request) (statemachine.Entry, error) {
+func (f *Participant) wantedNode(verb string, r *Request) (statemachine.Entry, error) {
 	id, err := f.nodeID(r.Node)
 	if err != nil {
 		return nil, err
@@ -18,27 +18,27 @@
 	switch verb {
 	case VerbUndrain:
 		return &statemachine.UndrainNode{Node: id}, nil
-	case VerbReturned:
+	case VerbNodeReturned:
 		p, ok := f.state.NodePermit(id)
 		if !ok {
-			return nil, &BadRequest{"no release has let this node go out"}
+			return nil, &InvalidRequestError{"no release has let this node go out"}
 		}
 		return &statemachine.ReturnToService{Incarnation: p.Number, ForNode: true, Node: id}, nil
-	case VerbOut:
+	case VerbNodeOut:
 		p, ok := f.state.NodePermit(id)
 		if !ok {
-			return nil, &BadRequest{"no release lets this node go out now"}
+			return nil, &InvalidRequestError{"no release lets this node go out now"}
 		}
 		return &statemachine.UsePermit{Permit: p.Number, Slot: f.o.Slot, Incarnation: f.inc, ForNode: true, Node: id}, nil
 	}
 	return &statemachine.DrainNode{Node: id, Reason: r.Reason}, nil
 }
 
-func (f *Fleet) plan(w *Wanted) (statemachine.Entry, error) {
+func (f *Participant) plan(w *ReleaseRequest) (statemachine.Entry, error) {
 	if w == nil || w.To == "" {
-		return nil, &BadRequest{"a release names the version it leads to"}
+		return nil, &InvalidRequestError{"a release names the version it leads to"}
 	}
-	p := &statemachine.ReleasePlan{Name: w.Name, From: w.From, To: w.To, Batches: w.Batches, MaxOut: max(1, w.Most), MaxOutPerZone: w.MostZone, MinReadyReplicas: w.Least,
+	p := &statemachine.ReleasePlan{Name: w.Name, From: w.From, To: w.To, Batches: w.Batches, MaxOut: max(1, w.MaxOut), MaxOutPerZone: w.MaxOutPerZone, MinReadyReplicas: w.MinReadyReplicas,
 		PauseMS: w.PauseMS, Gates: w.Gates}
 	for _, text := range w.Nodes {
 		id, err := f.nodeID(text)
@@ -60,7 +60,7 @@
 }
 
 // everybody is all brokers in turn by zones; those that vote come last, and of these the one that leads.
-func (f *Fleet) everybody() []statemachine.Slot {
+func (f *Participant) everybody() []statemachine.Slot {
 	slots := release.Order(f.state.Brokers())
 	rank := func(s statemachine.Slot) int {
 		b, _ := f.state.Broker(s)
@@ -77,12 +77,12 @@
 }
 
 // slots finds brokers by their names.
-func (f *Fleet) slots(names []string) (all []statemachine.Slot, err error) {
+func (f *Participant) slots(names []string) (all []statemachine.Slot, err error) {
 	roster := f.state.Brokers()
 	for _, name := range names {
 		i := slices.IndexFunc(roster, func(b statemachine.Broker) bool { return b.Name == name })
 		if i < 0 {
-			return nil, &BadRequest{fmt.Sprintf("no broker %.80q is known", name)}
+			return nil, &InvalidRequestError{fmt.Sprintf("no broker %.80q is known", name)}
 		}
 		all = append(all, roster[i].Slot)
 	}
--- a/internal/cluster/controlplane/propose.go
+++ b/internal/cluster/controlplane/propose.go
@@ -27,7 +27,7 @@
 
 // Propose has an entry agreed, and returns what it came to on this broker's own copy. An error of type *Uncertain tells that it
 // may yet take effect. It must not be called in the fleet's own goroutine.
-func (f *Fleet) Propose(ctx context.Context, e statemachine.Entry) (statemachine.Result, error) {
+func (f *Participant) Propose(ctx context.Context, e statemachine.Entry) (statemachine.Result, error) {
 	type end struct {
 		r   statemachine.Result
 		err error
@@ -45,12 +45,12 @@
 		case f.calls <- func() { delete(f.pending, seq) }:
 		default:
 		}
-		return statemachine.Result{}, &Uncertain{Why: context.Cause(ctx)}
+		return statemachine.Result{}, &UncertainOutcomeError{Cause: context.Cause(ctx)}
 	}
 }
 
 // start begins a proposal; done is called once, in the core's goroutine.
-func (f *Fleet) start(e statemachine.Entry, done func(statemachine.Result, error)) uint64 {
+func (f *Participant) start(e statemachine.Entry, done func(statemachine.Result, error)) uint64 {
 	f.seq++
 	data := statemachine.Encode(statemachine.ProposalID{Slot: f.o.Slot, Incarnation: f.inc, Sequence: f.seq}, e)
 	f.Counts.Proposed.Add(1)
@@ -63,7 +63,7 @@
 }
 
 // resend sends what has not been seen applied.
-func (f *Fleet) resend(now time.Duration) (next time.Duration) {
+func (f *Participant) resend(now time.Duration) (next time.Duration) {
 	next = now + time.Second
 	first := f.firstPending()
 	for seq := first; seq <= f.seq && seq < first+inFlight; seq++ {
@@ -84,7 +84,7 @@
 	return next
 }
 
-func (f *Fleet) firstPending() uint64 {
+func (f *Participant) firstPending() uint64 {
 	first := f.seq + 1
 	for seq := range f.pending {
 		first = min(first, seq)
@@ -93,7 +93,7 @@
 }
 
 // applied tells whoever waits what its entry came to.
-func (f *Fleet) applied(index uint64, data []byte, r statemachine.Result) {
+func (f *Participant) applied(index uint64, data []byte, r statemachine.Result) {
 	id, e, err := statemachine.Decode(data)
 	if err != nil {
 		return
@@ -110,15 +110,15 @@
 }
 
 // abandon ends what was proposed under an earlier incarnation.
-func (f *Fleet) abandon(why error) {
+func (f *Participant) abandon(why error) {
 	for seq, p := range f.pending {
 		delete(f.pending, seq)
-		p.done(statemachine.Result{}, &Uncertain{Why: why})
+		p.done(statemachine.Result{}, &UncertainOutcomeError{Cause: why})
 	}
 }
 
 // upward is the connection towards the leader; nil: there is none, or this broker leads.
-func (f *Fleet) upward() *conn {
+func (f *Participant) upward() *conn {
 	if !f.votes() {
 		if len(f.upPath) == 0 {
 			return nil
@@ -132,7 +132,7 @@
 }
 
 // sendUp passes on what waits, at once where there are proposals, else in batches.
-func (f *Fleet) sendUp(now time.Duration) (next time.Duration) {
+func (f *Participant) sendUp(now time.Duration) (next time.Duration) {
 	u := &f.up
 	if len(u.Renewals)+len(u.Entries)+len(u.Reports) == 0 {
 		return now + time.Second
@@ -154,7 +154,7 @@
 
 // takeUp takes what comes from below: the leader acts on it, others pass it on, but only from those that follow them. Danger: a
 // voter that took another for the leader would be sent what it passed on by one that has stopped and now follows it, for ever.
-func (f *Fleet) takeUp(c *conn, u up, now time.Duration) {
+func (f *Participant) takeUp(c *conn, u up, now time.Duration) {
 	if len(u.Renewals) > maxBatch || len(u.Entries) > maxBatch || len(u.Reports) > maxBatch {
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // admit proposes to Raft what can be read as an entry; what is refused here is sent again by whoever proposed it.
-func (f *Fleet) admit(data []byte, now time.Duration) {
+func (f *Participant) admit(data []byte, now time.Duration) {
 	if _, _, err := statemachine.Decode(data); err != nil {
 		return
 	}
--- a/internal/cluster/controlplane/release_test.go
+++ b/internal/cluster/controlplane/release_test.go
@@ -70,19 +70,19 @@
 	version := map[string]string{}
 	goers := make(chan string, 64)
 	c.set = func(opt *Options) {
-		name := opt.Listen
+		name := opt.ListenAddr
 		opt.Version = max("1", version[name])
-		opt.Gates = release.Defaults()
-		opt.Gates.Observe = time.Second
-		var f *Fleet
+		opt.ReleaseGates = release.Defaults()
+		opt.ReleaseGates.Observe = time.Second
+		var f *Participant
 		var tried sync.Map
-		opt.Deliver = func(v *View) {
+		opt.OnView = func(v *View) {
 			if f == nil {
 				c.mu.Lock()
 				f = c.all[name]
 				c.mu.Unlock()
 			}
-			if v.MustGo {
+			if v.MustExit {
 				if _, again := tried.LoadOrStore("gone", true); !again {
 					o.goes(name, true)
 					goers <- name
--- a/internal/cluster/controlplane/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -25,8 +25,8 @@
 	Late    uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Extra is more that reports carry, such as what a broker needs. Collect runs in the fleet's goroutine and must not wait.
-type Extra struct {
+// ReportSection is more that reports carry, such as what a broker needs. Collect runs in the fleet's goroutine and must not wait.
+type ReportSection struct {
 	Name    string
 	Collect func() []byte
 }
@@ -34,8 +34,8 @@
 // maxReport bounds a report.
 const maxReport = 64 << 10
 
-// Tell adds to the reports, before Run.
-func (f *Fleet) Tell(e Extra) { f.extras = append(f.extras, e) }
+// AddReportSection adds to the reports, before Run.
+func (f *Participant) AddReportSection(e ReportSection) { f.extras = append(f.extras, e) }
 
 // evidence is a report as a release's gates take it.
 func (r *Report) evidence(b statemachine.Broker) release.Report {
@@ -52,11 +52,11 @@
 	return e
 }
 
-func (f *Fleet) report() {
-	if f.o.Count == nil || !f.alive() {
+func (f *Participant) report() {
+	if f.o.CollectReport == nil || !f.alive() {
 		return
 	}
-	r := f.o.Count()
+	r := f.o.CollectReport()
 	for _, e := range f.extras {
 		if data := e.Collect(); len(data) > 0 {
 			if r.Extra == nil {
@@ -71,14 +71,14 @@
 }
 
 // reported takes reports at the leader.
-func (f *Fleet) reported(all []report, now time.Duration) {
+func (f *Participant) reported(all []report, now time.Duration) {
 	for _, m := range all {
 		b, known := f.state.Broker(statemachine.Slot(m.Slot))
 		if !known || b.Incarnation != m.Inc || len(m.Data) > maxReport || f.lead.reports == nil {
 			continue
 		}
 		if r, err := decode[Report](m.Data); err == nil && len(r.Classes) <= 64 {
-			f.lead.reports[b.Slot] = Heard{r, m.Inc, now}
+			f.lead.reports[b.Slot] = ReceivedReport{r, m.Inc, now}
 			if f.lead.planner != nil {
 				f.lead.planner.Take(r.evidence(b), now)
 			}
--- a/internal/cluster/controlplane/request.go
+++ b/internal/cluster/controlplane/request.go
@@ -14,43 +14,43 @@
 
 // The verbs of requests.
 const (
-	VerbStatus     = "status"
-	VerbRelease    = "release"
-	VerbHalt       = "halt"
-	VerbResume     = "resume"
-	VerbBack       = "back"
-	VerbDrain      = "drain"
-	VerbUndrain    = "undrain"
-	VerbOut        = "out"
-	VerbReturned   = "returned"
-	VerbForget     = "forget"
-	VerbPolicy     = "policy"
-	VerbPolicyBack = "policy-back"
+	VerbStatus         = "status"
+	VerbRelease        = "release"
+	VerbHalt           = "halt"
+	VerbResume         = "resume"
+	VerbRollBack       = "back"
+	VerbDrain          = "drain"
+	VerbUndrain        = "undrain"
+	VerbNodeOut        = "out"
+	VerbNodeReturned   = "returned"
+	VerbRemoveBroker   = "forget"
+	VerbPolicy         = "policy"
+	VerbRollBackPolicy = "policy-back"
 )
 
 // Request is what an operator asks for.
 type Request struct {
-	Node    string  `json:"node,omitempty"` // by name or ADDRESS:PORT
-	Broker  string  `json:"broker,omitempty"`
-	Release uint64  `json:"release,omitempty"` // 0: the present one
-	Reason  string  `json:"reason,omitempty"`
-	Text    string  `json:"text,omitempty"` // of a policy
-	Plan    *Wanted `json:"plan,omitempty"`
+	Node    string          `json:"node,omitempty"` // by name or ADDRESS:PORT
+	Broker  string          `json:"broker,omitempty"`
+	Release uint64          `json:"release,omitempty"` // 0: the present one
+	Reason  string          `json:"reason,omitempty"`
+	Text    string          `json:"text,omitempty"` // of a policy
+	Plan    *ReleaseRequest `json:"plan,omitempty"`
 }
 
-// Wanted is a release as an operator asks for it.
-type Wanted struct {
-	Name     string   `json:"name"`
-	From     string   `json:"from"`
-	To       string   `json:"to"`
-	Brokers  []string `json:"brokers,omitempty"` // none, and no nodes: all, those that vote last
-	Nodes    []string `json:"nodes,omitempty"`
-	Batches  []uint32 `json:"batches,omitempty"`
-	Most     uint32   `json:"most"`
-	MostZone uint32   `json:"most_zone,omitempty"`
-	Least    uint32   `json:"least,omitempty"`
-	PauseMS  uint64   `json:"pause_ms,omitempty"`
-	Gates    string   `json:"gates,omitempty"`
+// ReleaseRequest is a release as an operator asks for it.
+type ReleaseRequest struct {
+	Name             string   `json:"name"`
+	From             string   `json:"from"`
+	To               string   `json:"to"`
+	Brokers          []string `json:"brokers,omitempty"` // none, and no nodes: all, those that vote last
+	Nodes            []string `json:"nodes,omitempty"`
+	Batches          []uint32 `json:"batches,omitempty"`
+	MaxOut           uint32   `json:"most"`
+	MaxOutPerZone    uint32   `json:"most_zone,omitempty"`
+	MinReadyReplicas uint32   `json:"least,omitempty"`
+	PauseMS          uint64   `json:"pause_ms,omitempty"`
+	Gates            string   `json:"gates,omitempty"`
 }
 
 // Status is what there is.
@@ -91,16 +91,16 @@
 }
 
 // nodeID finds a node by the name or address that an operator gives.
-func (f *Fleet) nodeID(text string) (decision.NodeID, error) {
+func (f *Participant) nodeID(text string) (decision.NodeID, error) {
 	id, ok := f.find(text)
 	if !ok {
-		return id, &BadRequest{fmt.Sprintf("no node %.80q is in the leader's list", text)}
+		return id, &InvalidRequestError{fmt.Sprintf("no node %.80q is in the leader's list", text)}
 	}
 	return id, nil
 }
 
 // takeAsk answers an operator, perhaps later.
-func (f *Fleet) takeAsk(c *conn, m ask) {
+func (f *Participant) takeAsk(c *conn, m ask) {
 	answer := func(body any, err error) {
 		s := said{ID: m.ID}
 		if err != nil {
@@ -114,7 +114,7 @@
 		return
 	}
 	if f.node == nil || !f.node.IsLeader() || !f.lead.on {
-		e := &Elsewhere{}
+		e := &NotLeaderError{}
 		if f.node != nil {
 			if l := f.node.Leader(); l != 0 && l != f.id {
 				e.Leader = f.o.Voters[l-1].Name
@@ -129,7 +129,7 @@
 	}
 	var r Request
 	if err := json.Unmarshal(m.Body, &r); err != nil {
-		answer(nil, &BadRequest{"the request cannot be read: " + err.Error()})
+		answer(nil, &InvalidRequestError{"the request cannot be read: " + err.Error()})
 		return
 	}
 	// What was agreed before this moment counts, such as which release is the present one.
@@ -147,7 +147,7 @@
 }
 
 // wanted makes an entry of a request.
-func (f *Fleet) wanted(verb string, r *Request) (statemachine.Entry, error) {
+func (f *Participant) wanted(verb string, r *Request) (statemachine.Entry, error) {
 	release := r.Release
 	if now, ok := f.state.Release(); ok && release == 0 {
 		release = now.Number
@@ -159,33 +159,33 @@
 		return &statemachine.HaltRelease{Release: release, Reason: r.Reason}, nil
 	case VerbResume:
 		return &statemachine.ResumeRelease{Release: release}, nil
-	case VerbBack:
+	case VerbRollBack:
 		return &statemachine.RollBackRelease{Release: release, Reason: r.Reason}, nil
-	case VerbDrain, VerbUndrain, VerbOut, VerbReturned:
+	case VerbDrain, VerbUndrain, VerbNodeOut, VerbNodeReturned:
 		return f.wantedNode(verb, r)
-	case VerbForget:
+	case VerbRemoveBroker:
 		slots, err := f.slots([]string{r.Broker})
 		if err != nil {
 			return nil, err
 		}
 		return &statemachine.RemoveBroker{Slot: slots[0]}, nil
-	case VerbPolicy, VerbPolicyBack:
+	case VerbPolicy, VerbRollBackPolicy:
 		if f.compile == nil {
-			return nil, &BadRequest{"this program divides no budgets: fleet.budgets is false"}
+			return nil, &InvalidRequestError{"this program divides no budgets: fleet.budgets is false"}
 		}
-		if verb == VerbPolicyBack {
+		if verb == VerbRollBackPolicy {
 			_, _, before := f.state.Policies()
 			if before == nil {
-				return nil, &BadRequest{"there is no policy before the one in force"}
+				return nil, &InvalidRequestError{"there is no policy before the one in force"}
 			}
 			r.Text = before.Text
 		}
 		return f.compile(r.Text, f.state)
 	}
-	return nil, &BadRequest{fmt.Sprintf("no such verb: %.40q", verb)}
+	return nil, &InvalidRequestError{fmt.Sprintf("no such verb: %.40q", verb)}
 }
 
-func (f *Fleet) status(now time.Duration) *Status {
+func (f *Participant) status(now time.Duration) *Status {
 	s := &Status{Leader: f.name, Term: f.lead.term, Index: f.state.AppliedIndex(), Protocol: f.state.TierProtocol(), Epoch: f.state.Epoch()}
 	for _, b := range f.state.Brokers() {
 		ago := time.Duration(-1)
--- a/internal/cluster/controlplane/session.go
+++ b/internal/cluster/controlplane/session.go
@@ -27,7 +27,7 @@
 func (l *lease) held(now time.Duration) bool { return now < l.until }
 
 // keepSession does what is due for it.
-func (f *Fleet) keepSession(now time.Duration) (next time.Duration) {
+func (f *Participant) keepSession(now time.Duration) (next time.Duration) {
 	if up := f.lease.held(now); up != f.lease.up {
 		f.lease.up, f.lease.since, f.changed = up, now, true
 		f.due.publish = 0
@@ -42,9 +42,9 @@
 		f.join(now)
 	}
 	if now >= f.due.renew {
-		f.due.renew = now + f.o.Lease/4
-		if !f.lease.held(now + f.o.Lease/2) { // it is late: ask more often
-			f.due.renew = now + f.o.Lease/10
+		f.due.renew = now + f.o.LeaseDuration/4
+		if !f.lease.held(now + f.o.LeaseDuration/2) { // it is late: ask more often
+			f.due.renew = now + f.o.LeaseDuration/10
 		}
 		if f.alive() && f.halted == nil { // one that sees no drain any more must not have others wait for its word
 			f.up.Renewals = append(f.up.Renewals, renewal{uint32(f.o.Slot), f.inc, uint64(now) + 1})
@@ -58,20 +58,20 @@
 }
 
 // alive tells whether the ledger has this broker under its present incarnation.
-func (f *Fleet) alive() bool {
+func (f *Participant) alive() bool {
 	b, ok := f.state.Broker(f.o.Slot)
 	return ok && b.Name == f.name && b.Incarnation == f.inc && b.Status != statemachine.BrokerLost
 }
 
 // mustGo tells whether this very process went by a permit, though it may not have heard that this was agreed.
-func (f *Fleet) mustGo() bool {
+func (f *Participant) mustGo() bool {
 	b, known := f.state.Broker(f.o.Slot)
 	p, holds := f.state.BrokerPermit(f.o.Slot)
 	return known && holds && p.Used && b.Name == f.name && b.Incarnation == f.inc && p.Incarnation == f.inc
 }
 
 // join proposes what this broker's line in the roster lacks.
-func (f *Fleet) join(now time.Duration) {
+func (f *Participant) join(now time.Duration) {
 	if f.joining || f.halted != nil || f.leaving.Load() {
 		return
 	}
@@ -88,7 +88,7 @@
 	case known && b.Name != f.name && b.Status != statemachine.BrokerLost && b.Status != statemachine.BrokerOut:
 		if now-f.lease.said > 10*time.Second || f.lease.said == 0 {
 			f.lease.said = now
-			slog.Error("fleet: not registered", "error", &SlotTaken{f.o.Slot, b.Name})
+			slog.Error("fleet: not registered", "error", &SlotTakenError{f.o.Slot, b.Name})
 		}
 		return
 	default:
@@ -102,7 +102,7 @@
 	f.joining = true
 	f.start(e, func(r statemachine.Result, err error) {
 		f.joining = false
-		if f.due.renew = 0; err != nil && !errors.As(err, new(*Uncertain)) {
+		if f.due.renew = 0; err != nil && !errors.As(err, new(*UncertainOutcomeError)) {
 			slog.Warn("fleet: not registered", "error", err)
 		}
 		f.due.join = 0
@@ -112,14 +112,14 @@
 	})
 }
 
-// Serving says that this broker takes searches: it counts as back.
-func (f *Fleet) Serving() { f.serving.Store(true) }
+// SetServing says that this broker takes searches: it counts as back.
+func (f *Participant) SetServing() { f.serving.Store(true) }
 
-// Leaving says that it stops: it does not come back by itself.
-func (f *Fleet) Leaving() { f.leaving.Store(true) }
+// SetLeaving says that it stops: it does not come back by itself.
+func (f *Participant) SetLeaving() { f.leaving.Store(true) }
 
 // takeDown takes leases that the leader granted, and passes on those of others: to any, where it leads, else to those that follow.
-func (f *Fleet) takeDown(c *conn, d down, now time.Duration) {
+func (f *Participant) takeDown(c *conn, d down, now time.Duration) {
 	if c != nil && c != f.source && c.peer.Role != roleVoter || d.Lease <= 0 || len(d.Grants) > maxBatch {
 		return
 	}
@@ -140,11 +140,11 @@
 }
 
 // granted counts from when this broker asked, and takes the drift of clocks off.
-func (f *Fleet) granted(g renewal, d down, now time.Duration) {
+func (f *Participant) granted(g renewal, d down, now time.Duration) {
 	if g.Inc != f.inc || g.Token == 0 || g.Token-1 > uint64(now) || !f.alive() {
 		return
 	}
-	until := time.Duration(g.Token-1) + time.Duration(float64(d.Lease)*(1-f.o.Drift))
+	until := time.Duration(g.Token-1) + time.Duration(float64(d.Lease)*(1-f.o.MaxClockDrift))
 	if until > f.lease.until {
 		f.lease.until, f.lease.leader, f.changed = until, d.Leader, true
 	}
--- a/internal/cluster/controlplane/share_test.go
+++ b/internal/cluster/controlplane/share_test.go
@@ -25,7 +25,7 @@
 						at := f.o.Now() - 70*time.Millisecond // it has lain for so long
 						return binary.BigEndian.AppendUint64(nil, uint64(time.Since(start)-70*time.Millisecond)), max(0, at)
 					},
-					Take: func(data []byte, older time.Duration) {
+					Merge: func(data []byte, older time.Duration) {
 						took.Add(1)
 						age := time.Since(start) - time.Duration(binary.BigEndian.Uint64(data))
 						if older < age || older > age+4*beatEvery {
@@ -55,9 +55,9 @@
 		for _, r := range []struct {
 			verb string
 			Request
-		}{{"dance", Request{}}, {VerbDrain, Request{Node: "n8"}}, {VerbRelease, Request{}}, {VerbForget, Request{Broker: "b9"}}, {VerbPolicy, Request{}}} {
+		}{{"dance", Request{}}, {VerbDrain, Request{Node: "n8"}}, {VerbRelease, Request{}}, {VerbRemoveBroker, Request{Broker: "b9"}}, {VerbPolicy, Request{}}} {
 			err := peek(lead, func() error { _, err := lead.wanted(r.verb, &r.Request); return err })
-			if !errors.As(err, new(*BadRequest)) || remedyOf(err) == "" {
+			if !errors.As(err, new(*InvalidRequestError)) || remedyOf(err) == "" {
 				t.Errorf("%s: %v", r.verb, err)
 			}
 		}
--- a/internal/cluster/controlplane/take.go
+++ b/internal/cluster/controlplane/take.go
@@ -12,7 +12,7 @@
 )
 
 // take does what a frame asks for. A side that sends what makes no sense is not trusted further.
-func (f *Fleet) take(c *conn, letter byte, body []byte) {
+func (f *Participant) take(c *conn, letter byte, body []byte) {
 	if !f.conns[c] {
 		return
 	}
@@ -65,7 +65,7 @@
 }
 
 // takePacket hands Raft what a voter sent.
-func (f *Fleet) takePacket(c *conn, body []byte) {
+func (f *Participant) takePacket(c *conn, body []byte) {
 	i := slices.IndexFunc(f.o.Voters, func(v Voter) bool { return v.Name == c.peer.Name })
 	if i < 0 || f.node == nil {
 		return
@@ -86,7 +86,7 @@
 }
 
 // came takes a connection over.
-func (f *Fleet) came(c *conn) {
+func (f *Participant) came(c *conn) {
 	f.conns[c] = true
 	if !c.dialled {
 		return
@@ -102,7 +102,7 @@
 }
 
 // gone forgets a connection.
-func (f *Fleet) gone(c *conn, err error) {
+func (f *Participant) gone(c *conn, err error) {
 	delete(f.conns, c)
 	if f.voters[c.peer.Name] == c {
 		delete(f.voters, c.peer.Name)
@@ -123,7 +123,7 @@
 	}
 }
 
-func (f *Fleet) put(c *conn, letter byte, body any) bool {
+func (f *Participant) put(c *conn, letter byte, body any) bool {
 	b := frame(letter, body)
 	f.Counts.FramesOut.Add(1)
 	f.Counts.BytesOut.Add(uint64(len(b)))
--- a/internal/cluster/controlplane/traffic_test.go
+++ b/internal/cluster/controlplane/traffic_test.go
@@ -14,7 +14,7 @@
 
 type load struct{ framesIn, framesOut, bytesIn, bytesOut float64 }
 
-func (f *Fleet) load() load {
+func (f *Participant) load() load {
 	c := &f.Counts
 	return load{float64(c.FramesIn.Load()), float64(c.FramesOut.Load()), float64(c.BytesIn.Load()), float64(c.BytesOut.Load())}
 }
@@ -24,7 +24,7 @@
 func TestTraffic(t *testing.T) {
 	inside(t, func(t *testing.T, c *tier) {
 		c.set = func(o *Options) {
-			o.Count = func() Report {
+			o.CollectReport = func() Report {
 				return Report{Classes: []Class{{"a", 123456, 789, 12, 3}, {"b", 123456, 789, 12, 3}, {"c", 123456, 789, 12, 3}}}
 			}
 		}
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -15,23 +15,23 @@
 
 // View is what this broker knows of what is agreed. It is never changed once it is shown.
 type View struct {
-	Index       uint64
-	Connected   bool          // the session's lease ran when it was made
-	Since       time.Duration // from when on, by Options.Now
-	LeaseEnd    time.Duration // of the session; what is granted holds up to then, by the clock at that moment
-	Leader      string
-	Me          statemachine.Broker // zero: not registered
-	Incarnation uint64
-	Drains      []Drain
-	Permit      statemachine.ReleasePermit // Number 0: none
-	Grant       statemachine.ConnectionLease
-	Policy      *statemachine.ConnectionPolicy // in force; nil: none
-	Waiting     *statemachine.ConnectionPolicy
-	PolicyAcked uint64
-	Epoch       uint64
-	Nodes       []statemachine.Node
-	MustGo      bool  // this process has gone out by its permit, and must stop
-	Halted      error // an entry of a newer version: nothing later is known
+	Index              uint64
+	Connected          bool          // the session's lease ran when it was made
+	Since              time.Duration // from when on, by Options.Now
+	LeaseEnd           time.Duration // of the session; what is granted holds up to then, by the clock at that moment
+	Leader             string
+	Self               statemachine.Broker // zero: not registered
+	Incarnation        uint64
+	Drains             []Drain
+	Permit             statemachine.ReleasePermit // Number 0: none
+	Lease              statemachine.ConnectionLease
+	Policy             *statemachine.ConnectionPolicy // in force; nil: none
+	WaitingPolicy      *statemachine.ConnectionPolicy
+	AcknowledgedPolicy uint64
+	Epoch              uint64
+	Nodes              []statemachine.Node
+	MustExit           bool  // this process has gone out by its permit, and must stop
+	Halted             error // an entry of a newer version: nothing later is known
 }
 
 // Drain is an agreed drain of a node.
@@ -41,20 +41,20 @@
 	Acked  bool // by this broker
 }
 
-// Held tells whether the session's lease runs at this moment.
-func (v *View) Held(now time.Duration) bool { return now < v.LeaseEnd }
+// LeaseHeld tells whether the session's lease runs at this moment.
+func (v *View) LeaseHeld(now time.Duration) bool { return now < v.LeaseEnd }
 
 // View is the newest.
-func (f *Fleet) View() *View { return f.view.Load() }
+func (f *Participant) View() *View { return f.view.Load() }
 
 // Now is the clock of views.
-func (f *Fleet) Now() time.Duration { return f.o.Now() }
+func (f *Participant) Now() time.Duration { return f.o.Now() }
 
 // show makes a view.
-func (f *Fleet) show(now time.Duration) {
+func (f *Participant) show(now time.Duration) {
 	s := f.state
 	v := &View{Index: s.AppliedIndex(), Connected: f.lease.held(now), Since: f.lease.since, LeaseEnd: f.lease.until, Leader: f.lease.leader,
-		Incarnation: f.inc, Epoch: s.Epoch(), Halted: f.halted, MustGo: f.mustGo()}
+		Incarnation: f.inc, Epoch: s.Epoch(), Halted: f.halted, MustExit: f.mustGo()}
 	old := f.view.Load()
 	if v.Epoch == old.Epoch && v.Epoch != 0 && !f.nodesMoved {
 		v.Nodes = old.Nodes
@@ -63,16 +63,16 @@
 	}
 	f.nodesMoved = false
 	if f.alive() {
-		v.Me, _ = s.Broker(f.o.Slot)
+		v.Self, _ = s.Broker(f.o.Slot)
 		v.Permit, _ = s.BrokerPermit(f.o.Slot)
-		v.Grant, _ = s.Lease(f.o.Slot)
-		v.PolicyAcked = s.AcknowledgedPolicy(f.o.Slot)
+		v.Lease, _ = s.Lease(f.o.Slot)
+		v.AcknowledgedPolicy = s.AcknowledgedPolicy(f.o.Slot)
 	}
 	me := statemachine.BrokerIncarnation{Slot: f.o.Slot, Incarnation: f.inc}
 	for _, d := range s.Drains() {
 		v.Drains = append(v.Drains, Drain{d.Node, d.Number, slices.Contains(d.Acknowledged, me)})
 	}
-	v.Policy, v.Waiting, _ = s.Policies()
+	v.Policy, v.WaitingPolicy, _ = s.Policies()
 	f.view.Store(v)
 	select {
 	case f.fresh <- struct{}{}:
@@ -81,12 +81,12 @@
 }
 
 // publish hands views over; whoever takes them slowly gets the newest.
-func (f *Fleet) publish(ctx context.Context) {
+func (f *Participant) publish(ctx context.Context) {
 	for {
 		select {
 		case <-f.fresh:
-			if f.o.Deliver != nil {
-				f.o.Deliver(f.view.Load())
+			if f.o.OnView != nil {
+				f.o.OnView(f.view.Load())
 			}
 		case <-ctx.Done():
 			return
--- a/internal/lab/chaos/operate.go
+++ b/internal/lab/chaos/operate.go
@@ -31,7 +31,7 @@
 		b := t.Brokers[(first+i)%t.o.Voters]
 		voters = append(voters, controlplane.Voter{Name: b.Name, Addr: b.Agrees})
 	}
-	return controlplane.Ask(ctx, t.ring, voters, verb, r, into)
+	return controlplane.SendRequest(ctx, t.ring, voters, verb, r, into)
 }
 
 // Status is what a majority knows, or an error after so long.
--- a/internal/lab/proof/history_test.go
+++ b/internal/lab/proof/history_test.go
@@ -120,12 +120,12 @@
 			var number uint64
 			err := c.Ask(within, client, in.verb, &controlplane.Request{Node: in.node}, &number)
 			out := told{'d', number}
-			var no *controlplane.Refusal
+			var no *controlplane.RejectedError
 			switch {
 			case err == nil:
 			case errors.As(err, &no) && strings.Contains(err.Error(), "refused"):
 				out = told{kind: 'r'}
-			case errors.As(err, new(*controlplane.Elsewhere)):
+			case errors.As(err, new(*controlplane.NotLeaderError)):
 				out.kind = 0 // it was never sent on
 			default:
 				out = told{kind: 'u'}
--- a/internal/server/agreed_drains.go
+++ b/internal/server/agreed_drains.go
@@ -82,7 +82,7 @@
 			d.enforced = true
 			pool.Retire(id)
 		}
-		if v.proposeAck != nil && v.view.Me.Incarnation > 0 && !d.acked {
+		if v.proposeAck != nil && v.view.Self.Incarnation > 0 && !d.acked {
 			d.ackProposed = true
 			v.proposeAck(id, d.number)
 		}
--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -140,7 +140,7 @@
 		b.version = p.Version
 	}
 	b.updateFloors(v)
-	if h := v.Grant; h.Number > 0 && !h.Ended && h.Incarnation == v.Me.Incarnation && v.Me.Incarnation > 0 && v.Policy != nil {
+	if h := v.Lease; h.Number > 0 && !h.Ended && h.Incarnation == v.Self.Incarnation && v.Self.Incarnation > 0 && v.Policy != nil {
 		if h.Incarnation != b.grantIncarnation { // one that was forgotten and came back: its grants are numbered anew
 			b.grantIncarnation = h.Incarnation
 			b.holder.AcceptAnyNumber()
@@ -161,7 +161,7 @@
 // one may have been agreed by brokers that this one can't hear; so it opens freely only while its session's lease runs.
 func (b *connectionLeases) updateFloors(v *controlplane.View) {
 	if v.Policy == nil {
-		if v.Held(b.loop.since()) {
+		if v.LeaseHeld(b.loop.since()) {
 			b.holder.SetUnlimited()
 		} else {
 			b.holder.SetReserved(nil, 1)
@@ -169,8 +169,8 @@
 		return
 	}
 	versions := [2]uint64{v.Policy.Version, v.Policy.Version}
-	if v.Waiting != nil {
-		versions[1] = v.Waiting.Version
+	if v.WaitingPolicy != nil {
+		versions[1] = v.WaitingPolicy.Version
 	}
 	if b.agreedVersion = versions[1]; versions == b.floorVersions && b.floors != nil {
 		return
@@ -179,9 +179,9 @@
 	for _, one := range v.Policy.Budgets {
 		floors[one.Node] = int(one.ReservedPerBroker)
 	}
-	if v.Waiting != nil {
+	if v.WaitingPolicy != nil {
 		lower := map[decision.NodeID]int{}
-		for _, one := range v.Waiting.Budgets {
+		for _, one := range v.WaitingPolicy.Budgets {
 			lower[one.Node] = int(one.ReservedPerBroker)
 		}
 		for id, floor := range floors {
--- a/internal/server/connection_leases_test.go
+++ b/internal/server/connection_leases_test.go
@@ -38,14 +38,14 @@
 		}
 	}
 	want("nothing is known", one, store.Floor, store.No)
-	view := &controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: 3}}
+	view := &controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Self: statemachine.Broker{Incarnation: 3}}
 	b.handleView(view)
 	want("no policy, and the leader in reach", one, store.Floor, store.Floor, store.Floor)
 	policy := &statemachine.ConnectionPolicy{Version: 1, Text: budgetText, MaxBrokers: 2,
 		Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}, {Node: two, Connections: 20, ReservedPerBroker: 2}}}
 	grant := statemachine.ConnectionLease{Incarnation: 3, Number: 1,
 		Granted: []statemachine.LeaseRow{{Node: two, Tenant: "acme", Connections: 2}, {Node: two, Tenant: "else", Connections: 9}}}
-	view = &controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Grant: grant}
+	view = &controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: policy, Lease: grant}
 	b.handleView(view)
 	want("more is open than the floor", one, store.No)
 	want("granted, then the floor", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
@@ -57,11 +57,11 @@
 		t.Errorf("to be closed at the lease's end: %v %t", surplus, hard)
 	}
 	lower := &statemachine.ConnectionPolicy{Version: 2, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 1}}}
-	b.handleView(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: policy, Waiting: lower, Grant: grant})
+	b.handleView(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: policy, WaitingPolicy: lower, Lease: grant})
 	if b.floors[one] != 1 || b.floors[two] != 0 || b.agreedVersion != 2 {
 		t.Errorf("floors while a lower policy waits: %v", b.floors)
 	}
-	b.handleView(&controlplane.View{Index: 8, LeaseEnd: *now + time.Minute, Me: view.Me, Policy: lower, Grant: grant})
+	b.handleView(&controlplane.View{Index: 8, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: lower, Lease: grant})
 	if b.version != 2 || b.floors[one] != 1 {
 		t.Errorf("floors of the policy that took over: %v", b.floors)
 	}
@@ -74,9 +74,9 @@
 	l, now := budgetTrial(t)
 	one := decision.NodeID{Port: 1}
 	see := func(incarnation, number, units uint64) {
-		l.connLeases.handleView(&controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Me: statemachine.Broker{Incarnation: incarnation},
+		l.connLeases.handleView(&controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Self: statemachine.Broker{Incarnation: incarnation},
 			Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}}},
-			Grant:  statemachine.ConnectionLease{Incarnation: incarnation, Number: number, Granted: []statemachine.LeaseRow{{Node: one, Tenant: "acme", Connections: units}}}})
+			Lease:  statemachine.ConnectionLease{Incarnation: incarnation, Number: number, Granted: []statemachine.LeaseRow{{Node: one, Tenant: "acme", Connections: units}}}})
 	}
 	see(3, 7, 0)
 	see(3, 6, 1)
--- a/internal/server/control_plane.go
+++ b/internal/server/control_plane.go
@@ -31,7 +31,7 @@
 
 // tierControlPlane is a broker's part of the tier's agreement.
 type tierControlPlane struct {
-	*controlplane.Fleet
+	*controlplane.Participant
 	keys        *keys.Keyring
 	log         *raftlog.Log // nil: it has no vote
 	released    chan struct{}
@@ -72,14 +72,14 @@
 	if p.keys, err = keys.Open(s.operator.FleetKeys()); err != nil {
 		return err
 	}
-	opts := controlplane.Options{Keys: p.keys, Sources: o.Sources, Listen: o.Listen, Slot: statemachine.Slot(o.Slot), Incarnation: uint64(time.Now().UnixMilli()),
-		Version: o.Version, Zone: o.Zone, Lease: o.Lease, Drift: o.Drift, Election: o.Election, Heartbeat: o.Heartbeat, Followers: o.Followers,
-		Report: o.Report, Seed: rand.Uint64(), Now: s.loop.since, Deliver: s.receiveView}
+	opts := controlplane.Options{Keys: p.keys, Sources: o.Sources, ListenAddr: o.Listen, Slot: statemachine.Slot(o.Slot), Incarnation: uint64(time.Now().UnixMilli()),
+		Version: o.Version, Zone: o.Zone, LeaseDuration: o.Lease, MaxClockDrift: o.Drift, ElectionTimeout: o.Election, HeartbeatInterval: o.Heartbeat, MaxFollowers: o.Followers,
+		ReportInterval: o.Report, Seed: rand.Uint64(), Now: s.loop.since, OnView: s.receiveView}
 	opts.Voters, _ = Voters(o)
-	opts.Gates = release.Defaults()
+	opts.ReleaseGates = release.Defaults()
 	g := &o.Gates
-	opts.Gates.Observe, opts.Gates.Warm, opts.Gates.Overdue, opts.Gates.Least = g.Observe, g.Warm, g.Overdue, float64(g.Least)
-	opts.Gates.Tolerance, opts.Gates.Alpha, opts.Gates.Back = g.Tolerance, g.Alpha, g.Back
+	opts.ReleaseGates.Observe, opts.ReleaseGates.Warm, opts.ReleaseGates.Overdue, opts.ReleaseGates.Least = g.Observe, g.Warm, g.Overdue, float64(g.Least)
+	opts.ReleaseGates.Tolerance, opts.ReleaseGates.Alpha, opts.ReleaseGates.Back = g.Tolerance, g.Alpha, g.Back
 	if opts.Version == "" {
 		if info, ok := debug.ReadBuildInfo(); ok {
 			opts.Version = info.Main.Version
@@ -89,28 +89,28 @@
 		if p.log, err = raftlog.Open(log); err != nil {
 			return fmt.Errorf("fleet.directory: %w", err)
 		}
-		opts.Disk = p.log
+		opts.Storage = p.log
 	}
 	if o.Listen != "" {
 		if opts.Listener, err = net.Listen("tcp", o.Listen); err != nil {
 			return err
 		}
-		opts.Listen = opts.Listener.Addr().String()
+		opts.ListenAddr = opts.Listener.Addr().String()
 	}
-	opts.Count = func() controlplane.Report {
+	opts.CollectReport = func() controlplane.Report {
 		if r := p.report.Load(); r != nil {
 			return *r
 		}
 		return controlplane.Report{}
 	}
-	if p.Fleet, err = controlplane.New(opts); err != nil {
+	if p.Participant, err = controlplane.New(opts); err != nil {
 		return err
 	}
 	s.controlPlane = p
 	s.loop.useControlPlane(newControlPlaneView(s.start.Terms.Types))
 	s.loop.controlPlane.endpoints = &p.endpoints
-	p.Leading(controlplane.Duty{Name: "epoch", Every: epochInterval, Do: epochProposals(&p.endpoints)})
-	p.Named(func(text string) (id decision.NodeID, ok bool) {
+	p.AddLeaderTask(controlplane.LeaderTask{Name: "epoch", Interval: epochInterval, Propose: epochProposals(&p.endpoints)})
+	p.SetNodeNames(func(text string) (id decision.NodeID, ok bool) {
 		if have := p.endpoints.Load(); have != nil {
 			id, ok = have.ids[text]
 		}
@@ -164,7 +164,7 @@
 	case <-s.after(joinTimeout):
 	case <-s.ctx.Done():
 	}
-	p.Serving()
+	p.SetServing()
 }
 
 // receiveView takes a view over from the fleet's goroutine: the loop gets it, and a permit is used.
@@ -172,10 +172,10 @@
 	s.deliver(viewReceived{v})
 	s.shareEpoch(v)
 	p := s.controlPlane
-	if v.Me.Incarnation > 0 {
+	if v.Self.Incarnation > 0 {
 		p.joinOnce.Do(func() { close(p.joined) })
 	}
-	if v.MustGo { // its answer was lost, or the process was stopped before it came
+	if v.MustExit { // its answer was lost, or the process was stopped before it came
 		s.leaveByPermit(v.Permit)
 	}
 	if n := v.Permit.Number; s.operator.Fleet.Exit && n > 0 && !v.Permit.Used && p.triedPermit.Swap(n) != n {
@@ -204,7 +204,7 @@
 func (s *Server) leaveByPermit(p statemachine.ReleasePermit) {
 	s.controlPlane.leaveOnce.Do(func() {
 		slog.Info("stopping by a permit", "permit", p.Number, "release", p.Release)
-		s.controlPlane.Leaving()
+		s.controlPlane.SetLeaving()
 		close(s.controlPlane.released)
 	})
 }
@@ -214,7 +214,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
 	defer cancel()
 	v := s.controlPlane.View()
-	_, err := s.controlPlane.Propose(ctx, &statemachine.AcknowledgeDrain{Slot: v.Me.Slot, Incarnation: v.Me.Incarnation, Node: node, Number: number})
+	_, err := s.controlPlane.Propose(ctx, &statemachine.AcknowledgeDrain{Slot: v.Self.Slot, Incarnation: v.Self.Incarnation, Node: node, Number: number})
 	if err != nil {
 		slog.Info("a drain's acknowledgement was not taken", "node", node, "error", err)
 	}
--- a/internal/server/control_plane_view.go
+++ b/internal/server/control_plane_view.go
@@ -115,10 +115,10 @@
 func (v *controlPlaneView) report(c *QueryCounters) {
 	s := &ControlPlaneState{
 		Index:             v.view.Index,
-		Connected:         v.view.Held(v.loop.since()),
+		Connected:         v.view.LeaseHeld(v.loop.since()),
 		Leader:            v.view.Leader,
-		Incarnation:       v.view.Me.Incarnation,
-		Standing:          v.view.Me.Status.String(),
+		Incarnation:       v.view.Self.Incarnation,
+		Standing:          v.view.Self.Status.String(),
 		Permit:            v.view.Permit,
 		Drains:            v.view.Drains,
 		Epoch:             v.view.Epoch,
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -80,7 +80,7 @@
 			t.Fatal("nothing is out")
 		}
 		me := statemachine.Broker{Incarnation: 1}
-		l.handle(viewReceived{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5}}}})
+		l.handle(viewReceived{&controlplane.View{Self: me, Drains: []controlplane.Drain{{Node: a, Number: 5}}}})
 		l.advance()
 		l.advance()
 		if slices.Contains(hintedTo(), a) {
@@ -104,13 +104,13 @@
 		if !slices.Equal(acks, []uint64{5, 5}) {
 			t.Errorf("acknowledged %v", acks)
 		}
-		l.handle(viewReceived{&controlplane.View{Me: me, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
+		l.handle(viewReceived{&controlplane.View{Self: me, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
 		l.handleList(&discovery.List{Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Removed)}}, nil)
 		l.advance()
 		if m.state[a] != decision.Draining || m.state[b] != decision.Removed {
 			t.Errorf("told %v: discovery's word on a node does not end its drain, and a drain revives none", m.state)
 		}
-		l.handle(viewReceived{&controlplane.View{Me: me}})
+		l.handle(viewReceived{&controlplane.View{Self: me}})
 		l.advance()
 		if m.state[a] != decision.Ready || m.state[b] != decision.Removed {
 			t.Errorf("after the drains told %v", m.state)
--- a/internal/server/endpoint_snapshot.go
+++ b/internal/server/endpoint_snapshot.go
@@ -52,8 +52,8 @@
 }
 
 // epochProposals is the leader's job that proposes what the endpoints call for.
-func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.Moment) []statemachine.Entry {
-	return func(m controlplane.Moment) []statemachine.Entry {
+func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.LeaderContext) []statemachine.Entry {
+	return func(m controlplane.LeaderContext) []statemachine.Entry {
 		if have := from.Load(); have != nil {
 			return have.Next(m.State, m.Now)
 		}
--- a/internal/server/endpoint_snapshot_test.go
+++ b/internal/server/endpoint_snapshot_test.go
@@ -23,7 +23,7 @@
 	l.useControlPlane(newControlPlaneView(nil))
 	l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
 	look := epochProposals(l.controlPlane.endpoints)
-	proposed := func() int { return len(look(controlplane.Moment{State: statemachine.New(), Now: now})) }
+	proposed := func() int { return len(look(controlplane.LeaderContext{State: statemachine.New(), Now: now})) }
 	list := discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
 	l.applyList(&list) // of the configuration
 	if now += time.Minute; proposed() != 0 {
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -56,16 +56,16 @@
 		})
 	}
 	g := &leaseGranting{leases: b, lease: o.Lease + time.Duration(float64(o.Lease)*o.Drift), linger: t.Idle + t.LongestTimeout() + defaultClosing}
-	s.controlPlane.Compile(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
+	s.controlPlane.SetPolicyCompiler(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
 		return g.compile(text, state, t.Tenants, o.Lease)
 	})
-	s.controlPlane.Tell(controlplane.Extra{Name: "need", Collect: func() []byte {
+	s.controlPlane.AddReportSection(controlplane.ReportSection{Name: "need", Collect: func() []byte {
 		if text := b.needReport.Load(); text != nil {
 			return *text
 		}
 		return nil
 	}})
-	s.controlPlane.Leading(controlplane.Duty{Name: "budgets", Every: grantInterval, Do: g.proposeGrants})
+	s.controlPlane.AddLeaderTask(controlplane.LeaderTask{Name: "budgets", Interval: grantInterval, Propose: g.proposeGrants})
 }
 
 // compile makes a policy's entry: a budget for every node that is known here.
@@ -107,7 +107,7 @@
 }
 
 // proposeGrants is the leader's duty.
-func (g *leaseGranting) proposeGrants(m controlplane.Moment) []statemachine.Entry {
+func (g *leaseGranting) proposeGrants(m controlplane.LeaderContext) []statemachine.Entry {
 	inForce, waiting, _ := m.State.Policies()
 	if inForce == nil {
 		return nil
@@ -128,7 +128,7 @@
 		other = g.previousVersion(m.State)
 	}
 	for _, b := range m.State.Brokers() {
-		g.noteSession(b, m.Session(b), m.Now)
+		g.noteSession(b, m.LastLeaseGrant(b), m.Now)
 		r, ok := m.Reports[b.Slot]
 		if !ok || r.Incarnation != b.Incarnation {
 			continue
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -22,10 +22,10 @@
 	b.loop.connections().End("stopping")
 	nothing := connlease.EncodeDemand(b.version, nil)
 	b.needReport.Store(&nothing) // else it would be granted more
-	if b.view == nil || b.view.Grant.Ended || b.view.Grant.Incarnation != b.view.Me.Incarnation {
+	if b.view == nil || b.view.Lease.Ended || b.view.Lease.Incarnation != b.view.Self.Incarnation {
 		return heldLease{}
 	}
-	return heldLease{b.view.Me.Incarnation, b.view.Grant.Number, b.closing}
+	return heldLease{b.view.Self.Incarnation, b.view.Lease.Number, b.closing}
 }
 
 // releaseLeases waits until nodes have noticed, and says it. Danger: with each restart of a release a broker's units would lie idle for a
@@ -59,7 +59,7 @@
 		}
 		// A grant came meanwhile. It is as void as the one before it, since nothing is opened any more.
 		var no *statemachine.RejectedError
-		g := s.controlPlane.View().Grant
+		g := s.controlPlane.View().Lease
 		if !errors.As(err, &no) || no.Reason != statemachine.ReasonStale || g.Incarnation != h.incarnation || g.Ended || ctx.Err() != nil {
 			slog.Info("fleet: what this broker held is not given up; its lease ends it", "error", err)
 			return
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -32,15 +32,15 @@
 		b.attempts[i].refused *= attemptDecay
 	}
 	b.measure(now)
-	if b.view == nil || b.view.Me.Incarnation == 0 || now < b.proposedAt+proposalInterval {
+	if b.view == nil || b.view.Self.Incarnation == 0 || now < b.proposedAt+proposalInterval {
 		return b.due
 	}
-	me := b.view.Me
-	if number := b.holder.PendingAck(now); number > 0 && b.view.Grant.Number == number && !b.view.Grant.Acknowledged {
+	me := b.view.Self
+	if number := b.holder.PendingAck(now); number > 0 && b.view.Lease.Number == number && !b.view.Lease.Acknowledged {
 		b.proposedAt = now
 		b.proposeEntry(&statemachine.AcknowledgeLease{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
 	}
-	if b.agreedVersion > b.view.PolicyAcked && b.holder.WithinLease(now, true) {
+	if b.agreedVersion > b.view.AcknowledgedPolicy && b.holder.WithinLease(now, true) {
 		b.proposedAt = now
 		b.proposeEntry(&statemachine.AcknowledgePolicy{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.agreedVersion})
 	}
--- a/internal/server/position_exchange.go
+++ b/internal/server/position_exchange.go
@@ -30,14 +30,14 @@
 func (s *Server) sharePositions(p *tierControlPlane) {
 	var latest atomic.Pointer[localPositions]
 	in := make(chan remotePositions, positionsQueue)
-	p.Share(controlplane.Topic{Name: "pins",
+	p.AddTopic(controlplane.Topic{Name: "pins",
 		Collect: func() ([]byte, time.Duration) {
 			if c := latest.Load(); c != nil {
 				return c.data, c.at
 			}
 			return nil, 0
 		},
-		Take: func(data []byte, older time.Duration) {
+		Merge: func(data []byte, older time.Duration) {
 			select {
 			case in <- remotePositions{data, s.loop.since() - older}:
 			default:
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -24,7 +24,7 @@
 		}
 	}
 	if s.controlPlane != nil {
-		s.controlPlane.Leaving()
+		s.controlPlane.SetLeaving()
 	}
 	if s.siteLinks != nil {
 		s.siteLinks.Say(link.Status{Stopping: true}, true) // nothing new from other sites; what is in hand is finished
