--- a/internal/lab/archive/archive.go
+++ b/internal/lab/archive/archive.go
@@ -55,8 +55,8 @@
 		Module: decision.Settings{QueryTypes: []decision.QueryType{{Timeout: 2 * time.Second, LatencyObjective: time.Second}}}}
 }
 
-// Since is the time since it was made.
-func (b *Broker) Since() time.Duration { return time.Since(b.start) }
+// Uptime is the time since it was made.
+func (b *Broker) Uptime() time.Duration { return time.Since(b.start) }
 
 // Set changes it between two searches.
 func (b *Broker) Set(do func(*Broker)) {
@@ -72,8 +72,8 @@
 	return b.Searches
 }
 
-// Search answers as a broker would.
-func (b *Broker) Search(ctx context.Context, a *server.Query) (server.QueryResult, error) {
+// RunQuery answers as a broker would.
+func (b *Broker) RunQuery(ctx context.Context, a *server.Query) (server.QueryResult, error) {
 	b.mu.Lock()
 	hold, verdict := b.Hold, b.Verdict
 	b.Searches++
--- a/internal/protocols/front/front.go
+++ b/internal/protocols/front/front.go
@@ -23,9 +23,9 @@
 
 // Broker is what a front needs of one.
 type Broker interface {
-	Search(ctx context.Context, a *server.Query) (server.QueryResult, error)
+	RunQuery(ctx context.Context, a *server.Query) (server.QueryResult, error)
 	Settings() *terms.Terms
-	Since() time.Duration
+	Uptime() time.Duration
 }
 
 // Counts are what operators see of a front's searches; they may be read from any goroutine.
@@ -74,7 +74,7 @@
 	for i := range shards {
 		ask.Shards, ask.Weights = append(ask.Shards, i), append(ask.Weights, 1/float64(shards))
 	}
-	v, err := a.broker.Search(ctx, ask)
+	v, err := a.broker.RunQuery(ctx, ask)
 	a.Counts.Searches.Add(1)
 	if again {
 		a.Counts.Refetched.Add(1)
--- a/internal/protocols/front/sru/searching.go
+++ b/internal/protocols/front/sru/searching.go
@@ -35,7 +35,7 @@
 	want := catalogue.Want{Depth: min(catalogue.MaxDepth, max(most, 1)), Syntax: schemas[schema][0], Query: rpn}
 	client, name := clientOf(r), schemas[schema][0]+" "+rpn.PQF()
 	f.mu.Lock()
-	set, why := f.sets.Get(client, name, f.broker.Since())
+	set, why := f.sets.Get(client, name, f.broker.Uptime())
 	f.mu.Unlock()
 	fresh := q.Start == 1 || why != resultset.There && why != resultset.Changed
 	if !fresh && why == resultset.Changed {
@@ -47,8 +47,8 @@
 			return status, fault
 		}
 		f.mu.Lock()
-		kept := f.sets.Put(client, name, want.Statement(), a, f.broker.Since())
-		set, _ = f.sets.Get(client, name, f.broker.Since())
+		kept := f.sets.Put(client, name, want.Statement(), a, f.broker.Uptime())
+		set, _ = f.sets.Get(client, name, f.broker.Uptime())
 		f.mu.Unlock()
 		if !kept {
 			return http.StatusOK, sru.Diagnose(1, "the answer is too large to be kept; ask for fewer records")
@@ -72,7 +72,7 @@
 			return status, fault
 		}
 		f.mu.Lock()
-		set, why = f.sets.Extend(client, name, a, f.broker.Since())
+		set, why = f.sets.Extend(client, name, a, f.broker.Uptime())
 		f.mu.Unlock()
 		if why != resultset.There {
 			return http.StatusOK, sru.Diagnose(51, "the records have changed since the first page; ask for that again")
--- a/internal/protocols/front/z3950/present.go
+++ b/internal/protocols/front/z3950/present.go
@@ -38,7 +38,7 @@
 	}
 	f := s.f
 	f.mu.Lock()
-	set, why := f.sets.Get(s.id, name, f.broker.Since())
+	set, why := f.sets.Get(s.id, name, f.broker.Uptime())
 	f.mu.Unlock()
 	if why != resultset.There {
 		return fault(lost(why, name))
@@ -73,7 +73,7 @@
 			return fault(systemError, "no answer in time")
 		}
 		f.mu.Lock()
-		set, why = f.sets.Extend(s.id, name, answer, f.broker.Since())
+		set, why = f.sets.Extend(s.id, name, answer, f.broker.Uptime())
 		f.mu.Unlock()
 		if why != resultset.There {
 			return fault(lost(why, name))
--- a/internal/protocols/front/z3950/search.go
+++ b/internal/protocols/front/z3950/search.go
@@ -41,7 +41,7 @@
 		return fail(badName, "%d bytes", len(m.ResultSet))
 	}
 	s.f.mu.Lock()
-	_, why := s.f.sets.Get(s.id, m.ResultSet, s.f.broker.Since())
+	_, why := s.f.sets.Get(s.id, m.ResultSet, s.f.broker.Uptime())
 	s.f.mu.Unlock()
 	if why == resultset.There && !m.Replace {
 		return fail(21, "%s", m.ResultSet) // result set exists and replace indicator off
@@ -71,7 +71,7 @@
 		return fail(systemError, "no answer in time")
 	}
 	s.f.mu.Lock()
-	kept := s.f.sets.Put(s.id, m.ResultSet, want.Statement(), answer, s.f.broker.Since())
+	kept := s.f.sets.Put(s.id, m.ResultSet, want.Statement(), answer, s.f.broker.Uptime())
 	s.f.mu.Unlock()
 	out.Count, out.OK, out.SetStatus = answer.Count(), true, 0
 	if !kept {
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -128,7 +128,7 @@
 
 // Abandon tells that a query's client has left; overdue, that its time is up and a result is owed.
 func (c *Core) Abandon(p PendingQuery, overdue bool) {
-	cause := query.ClientLeft
+	cause := query.ClientDeparted
 	if overdue {
 		cause = query.DeadlinePassed
 	}
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -67,7 +67,7 @@
 	near, far := tcpPair(t)
 	io.WriteString(far, post("a", body))
 	far.Close()
-	if reason := <-converses(s, s.ingress, near); reason != ingress.ClientLeft {
+	if reason := <-converses(s, s.ingress, near); reason != ingress.ClientDeparted {
 		t.Errorf("ended as %s", reason)
 	}
 	if n := s.Counters().Queries; n.Received != 0 || n.Store.Parts != 0 {
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -31,8 +31,8 @@
 // Settings are the settings in force.
 func (s *Server) Settings() *terms.Terms { return s.settings.Load() }
 
-// Since is the time since the broker's start.
-func (s *Server) Since() time.Duration { return s.loop.since() }
+// Uptime is the time since the broker's start.
+func (s *Server) Uptime() time.Duration { return s.loop.since() }
 
 // NewRequestID makes a search's id.
 func NewRequestID() string {
@@ -41,9 +41,9 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Search is the life of a search of another front: from here to its one verdict. When ctx ends its client has gone, and the search is
+// RunQuery is the life of a search of another front: from here to its one verdict. When ctx ends its client has gone, and the search is
 // left.
-func (s *Server) Search(ctx context.Context, a *Query) (QueryResult, error) {
+func (s *Server) RunQuery(ctx context.Context, a *Query) (QueryResult, error) {
 	q := &search{Request: &query.Request{ID: a.ID, Type: a.Type, Tenant: a.Tenant, Client: a.Client, Retry: a.Retry, Timeout: a.Timeout, Text: a.Text},
 		arrival: s.loop.since(), deadline: s.loop.since() + a.Timeout, result: make(chan query.Result, 1)}
 	for i, shard := range a.Shards {
@@ -65,7 +65,7 @@
 		case <-overdue.C:
 			s.deliver(queryAbandoned{q, query.DeadlinePassed}) // a verdict comes of it
 		case <-ctx.Done():
-			s.deliver(queryAbandoned{q, query.ClientLeft})
+			s.deliver(queryAbandoned{q, query.ClientDeparted})
 			return QueryResult{}, ctx.Err()
 		case <-s.ctx.Done():
 			return QueryResult{}, ErrStopping
--- a/internal/server/ingress/answer_query.go
+++ b/internal/server/ingress/answer_query.go
@@ -33,7 +33,7 @@
 	if reason == WriteFailed {
 		in.Counters.Unwritten.Add(1)
 	}
-	slog.Debug("query answered", "component", "ingress", "query", q.ID, "outcome", result.Outcome, "elapsed", in.broker.Since()-r.arrival,
+	slog.Debug("query answered", "component", "ingress", "query", q.ID, "outcome", result.Outcome, "elapsed", in.broker.Uptime()-r.arrival,
 		"reason", string(reason))
 	return reason
 }
@@ -44,7 +44,7 @@
 	ended := make(chan error, 1)
 	watch := func() { ended <- c.ahead.Watch(done) }
 	go watch()
-	deadline := time.NewTimer(pending.Deadline() - in.broker.Since())
+	deadline := time.NewTimer(pending.Deadline() - in.broker.Uptime())
 	defer deadline.Stop()
 	for {
 		select {
@@ -55,8 +55,8 @@
 			return result, goesOn
 		case err := <-ended:
 			if err != nil {
-				pending.Abandon(query.ClientLeft)
-				return query.Result{}, ClientLeft
+				pending.Abandon(query.ClientDeparted)
+				return query.Result{}, ClientDeparted
 			}
 			c.SetReadDeadline(time.Time{}) // the watcher was woken though the connection goes on
 			go watch()
--- a/internal/server/ingress/helpers_test.go
+++ b/internal/server/ingress/helpers_test.go
@@ -58,6 +58,6 @@
 
 func (b *standIn) Submit(query.Submission) (query.Pending, bool) { return nil, false }
 func (b *standIn) Settings() *terms.Terms                        { return b.settings }
-func (b *standIn) Since() time.Duration                          { return time.Since(b.start) }
+func (b *standIn) Uptime() time.Duration                         { return time.Since(b.start) }
 func (b *standIn) Draining() bool                                { return false }
 func (b *standIn) CountersJSON() string                          { return "{}" }
--- a/internal/server/ingress/ingress.go
+++ b/internal/server/ingress/ingress.go
@@ -18,7 +18,7 @@
 	// Settings are those in force.
 	Settings() *terms.Terms
 	// Since is the time since the broker's start.
-	Since() time.Duration
+	Uptime() time.Duration
 	// Draining tells whether a graceful shutdown has begun.
 	Draining() bool
 	// CountersJSON is the broker's counters as one line of JSON.
--- a/internal/server/ingress/serve.go
+++ b/internal/server/ingress/serve.go
@@ -21,7 +21,7 @@
 
 // ServeConnection serves a connection that was accepted elsewhere until its end, whether or not there is capacity for it.
 func (in *Ingress) ServeConnection(ctx context.Context, conn net.Conn) Reason {
-	c := newConnection(conn, in.broker.Since)
+	c := newConnection(conn, in.broker.Uptime)
 	in.connections.admit(c)
 	return in.serve(ctx, c)
 }
@@ -59,7 +59,7 @@
 		r.last = ending != goesOn || m.Close || c.overLimit
 		// A request that came while another was being answered, or before the connection was accepted, may be of a client that has left.
 		if c.ahead.Look() {
-			return ClientLeft
+			return ClientDeparted
 		}
 		c.requests++
 		if reason := in.answer(ctx, c, r); reason != goesOn {
--- a/internal/server/query/submission.go
+++ b/internal/server/query/submission.go
@@ -15,7 +15,7 @@
 
 // The causes.
 const (
-	ClientLeft     AbandonCause = iota // no result is delivered any more
+	ClientDeparted AbandonCause = iota // no result is delivered any more
 	DeadlinePassed                     // a failed result is delivered, unless one has been
 )
 
