--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -21,8 +21,8 @@
 	k := newKeeping(t, 4)
 	k.Pace(40 * time.Millisecond) // 200 parts a second
 	path, err := k.Config("n0", "127.0.0.1:0", k.Discovery.Addr(), true)
-	start, file := planned(t, path, err, `{"door": {"on": true, "weights": ["acme=0.2", "quiet=0.8"]}}`)
-	return running(t, start, file)
+	start, file := readLabConfiguration(t, path, err, `{"door": {"on": true, "weights": ["acme=0.2", "quiet=0.8"]}}`)
+	return runConfigured(t, start, file)
 }
 
 func doorLoad(s *Server, tenant string, rate float64, last time.Duration, seed uint64) *lab.Outcome {
--- a/internal/server/cached_list_test.go
+++ b/internal/server/cached_list_test.go
@@ -40,8 +40,8 @@
 func (k *keeping) start(known bool) (s *Server, end func() error) {
 	k.t.Helper()
 	path, err := k.Config("n0", k.listen, k.Discovery.Addr(), known)
-	start, file := planned(k.t, path, err, fmt.Sprintf(`{"start": {"node_list": {"directory": %q, "save_every": "10ms"}}}`, k.dir))
-	return running(k.t, start, file)
+	start, file := readLabConfiguration(k.t, path, err, fmt.Sprintf(`{"start": {"node_list": {"directory": %q, "save_every": "10ms"}}}`, k.dir))
+	return runConfigured(k.t, start, file)
 }
 
 func (k *keeping) load(s *Server, last time.Duration) *lab.Outcome {
@@ -215,7 +215,7 @@
 	kept.Close()
 	file, _ := operator.Decode("f", fmt.Appendf(nil, `{"start": {"node_list": {"directory": %q}}}`, dir))
 	for b.Loop() {
-		s, err := New(start, file, module)
+		s, err := New(start, file, newRouter)
 		if err == nil {
 			err = s.Open()
 		}
--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -16,33 +16,33 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// step is one thing that comes to a connection.
-type step string
+// connectionStep is one thing that comes to a connection.
+type connectionStep string
 
 const (
-	begins  step = "begins"  // the first bytes of a request
-	becomes step = "becomes" // the others
-	strays  step = "strays"  // a byte of another request
-	departs step = "departs"
-	drains  step = "drains" // a stop: answers say that they are the last, and idle connections are closed
-	spares  step = "spares" // another client needs the descriptor
+	requestBegins    connectionStep = "begins"  // the first bytes of a request
+	requestCompletes connectionStep = "becomes" // the others
+	strayByte        connectionStep = "strays"  // a byte of another request
+	clientDeparts    connectionStep = "departs"
+	serverDrains     connectionStep = "drains" // a stop: answers say that they are the last, and idle connections are closed
+	descriptorNeeded connectionStep = "spares" // another client needs the descriptor
 )
 
 // Every order of steps: a request that came whole has one whole answer, unless its client departed or the connection was closed with
 // nothing of it read; one whose client departed before it was read is not begun; and the connection ends.
 func TestEveryOrderOfAConnection(t *testing.T) {
-	s, _ := live(t, 1024)
-	until(s, func(Counters) bool { return true })
+	s, _ := runServer(t, 1024)
+	waitUntil(s, func(Counters) bool { return true })
 	orders := 0
-	var extend func(course []step)
-	extend = func(course []step) {
+	var extend func(course []connectionStep)
+	extend = func(course []connectionStep) {
 		if len(course) > 0 {
 			orders++
 			playConnection(t, s, course, fmt.Sprint("a", orders))
 		}
-		for _, next := range []step{begins, becomes, strays, departs, drains, spares} {
-			behind := slices.Contains(course, departs) && (next == begins || next == becomes || next == strays)
-			early := next == becomes && !slices.Contains(course, begins) || next == strays && !slices.Contains(course, becomes)
+		for _, next := range []connectionStep{requestBegins, requestCompletes, strayByte, clientDeparts, serverDrains, descriptorNeeded} {
+			behind := slices.Contains(course, clientDeparts) && (next == requestBegins || next == requestCompletes || next == strayByte)
+			early := next == requestCompletes && !slices.Contains(course, requestBegins) || next == strayByte && !slices.Contains(course, requestCompletes)
 			if !slices.Contains(course, next) && !behind && !early {
 				extend(append(slices.Clone(course), next))
 			}
@@ -52,7 +52,7 @@
 	t.Logf("%d orders", orders)
 }
 
-func playConnection(t *testing.T, s *Server, course []step, id string) {
+func playConnection(t *testing.T, s *Server, course []connectionStep, id string) {
 	t.Helper()
 	near, far := tcpPair(t)
 	defer far.Close()
@@ -60,7 +60,7 @@
 	in := ingress.New(nil, s, ingress.Options{Limits: ingress.Limits{Connections: 100, Used: 100, ReadGrace: s.Settings().Dial}})
 	before := s.Counters().Queries.Received
 	text := post(id, body)
-	ended := converses(s, in, near)
+	ended := serveConnection(s, in, near)
 	settled := func(reached func(c ingress.ConnectionInfo) bool) {
 		for deadline := time.Now().Add(100 * time.Millisecond); time.Now().Before(deadline); time.Sleep(50 * time.Microsecond) {
 			if !slices.ContainsFunc(in.Connections(), func(c ingress.ConnectionInfo) bool { return !reached(c) }) {
@@ -71,25 +71,25 @@
 	closed := false
 	for _, next := range course {
 		switch next {
-		case begins:
+		case requestBegins:
 			_, err := io.WriteString(far, text[:30])
 			closed = closed || err != nil
 			settled(func(c ingress.ConnectionInfo) bool { return c.State == ingress.StateReading })
-		case becomes:
+		case requestCompletes:
 			_, err := io.WriteString(far, text[30:])
 			closed = closed || err != nil
 			settled(func(c ingress.ConnectionInfo) bool { return c.Used && c.State == ingress.StateIdle })
-		case strays:
+		case strayByte:
 			io.WriteString(far, "P")
 			settled(func(c ingress.ConnectionInfo) bool { return c.State == ingress.StateReading })
-		case departs:
+		case clientDeparts:
 			far.(*net.TCPConn).CloseWrite()
 			settled(func(ingress.ConnectionInfo) bool { return false })
-		case drains:
+		case serverDrains:
 			s.draining.Store(true)
 			in.CloseIdle()
 			settled(func(c ingress.ConnectionInfo) bool { return c.State != ingress.StateIdle })
-		case spares:
+		case descriptorNeeded:
 			in.ReclaimIdle()
 			settled(func(c ingress.ConnectionInfo) bool { return c.State != ingress.StateIdle || c.Ending == "" })
 		}
@@ -100,7 +100,7 @@
 	reason := <-ended
 	was := strings.Join(strings.Fields(fmt.Sprint(course)), " ")
 	taken := s.Counters().Queries.Received - before
-	asked, departed := slices.Index(course, becomes), slices.Index(course, departs)
+	asked, departed := slices.Index(course, requestCompletes), slices.Index(course, clientDeparts)
 	switch {
 	case asked < 0 && taken > 0:
 		t.Errorf("%s: a search was made of what was not whole", was)
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -17,8 +17,8 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// within waits for a state that must come soon, and well before any deadline of the test's searches.
-func within(t *testing.T, s *Server, what string, reached func(Counters) bool) {
+// waitASecond waits for a state that must come soon, and well before any deadline of the test's searches.
+func waitASecond(t *testing.T, s *Server, what string, reached func(Counters) bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !reached(s.Counters()); {
 		if time.Now().After(end) {
@@ -30,19 +30,19 @@
 // A client that has sent more while its search is in hand, and then leaves, is noticed at once, however much it has sent: the search
 // is left, what was sent behind it is never begun, and a connection that comes up later carries nothing of it.
 func TestDepartureBehindBytesIsSeen(t *testing.T) {
-	s, _ := live(t, 1024)
+	s, _ := runServer(t, 1024)
 	n := uint64(0)
 	for what, behind := range map[string]string{
 		"a stray byte":      "x",
-		"another search":    hanging("b", "1900"),
-		"many searches":     strings.Repeat(hanging("b", "1900"), 20),
+		"another search":    postUnanswered("b", "1900"),
+		"many searches":     strings.Repeat(postUnanswered("b", "1900"), 20),
 		"more than is kept": strings.Repeat("x", 4*ingress.MaxLookahead),
 	} {
 		for _, reset := range []bool{false, true} {
 			n++
 			c := dial(t, s)
-			io.WriteString(c, hanging("a", "1900"))
-			within(t, s, what, func(c Counters) bool { return c.Queries.InFlight == 1 })
+			io.WriteString(c, postUnanswered("a", "1900"))
+			waitASecond(t, s, what, func(c Counters) bool { return c.Queries.InFlight == 1 })
 			go func() {
 				io.WriteString(c, behind)
 				if reset {
@@ -50,8 +50,8 @@
 				}
 				c.Close()
 			}()
-			within(t, s, what, func(c Counters) bool { return c.Queries.Abandoned == n && c.Queries.InFlight == 0 })
-			within(t, s, what, func(c Counters) bool { return c.Clients.Closed == n })
+			waitASecond(t, s, what, func(c Counters) bool { return c.Queries.Abandoned == n && c.Queries.InFlight == 0 })
+			waitASecond(t, s, what, func(c Counters) bool { return c.Clients.Closed == n })
 			if got := s.Counters().Queries; got.Received != n || got.Store.Parts > 2*n {
 				t.Errorf("%s, reset %v: %d taken of %d, %d parts sent", what, reset, got.Received, n, got.Store.Parts)
 			}
@@ -62,12 +62,12 @@
 // A client that has gone before its request is read is not worked for: its connection waited to be accepted, or the process stood
 // still meanwhile.
 func TestRequestOfDepartedClientIsNotBegun(t *testing.T) {
-	s, _ := live(t, 1024)
-	until(s, func(Counters) bool { return true })
+	s, _ := runServer(t, 1024)
+	waitUntil(s, func(Counters) bool { return true })
 	near, far := tcpPair(t)
 	io.WriteString(far, post("a", body))
 	far.Close()
-	if reason := <-converses(s, s.ingress, near); reason != ingress.ClientDeparted {
+	if reason := <-serveConnection(s, s.ingress, near); reason != ingress.ClientDeparted {
 		t.Errorf("ended as %s", reason)
 	}
 	if n := s.Counters().Queries; n.Received != 0 || n.Store.Parts != 0 {
@@ -77,14 +77,14 @@
 
 // A request that was sent ahead counts from when it came: its nodes are told what is left to its client, not its whole time.
 func TestTimeCountsFromWhenARequestCame(t *testing.T) {
-	s, _ := live(t, 1024)
+	s, _ := runServer(t, 1024)
 	c := dial(t, s)
-	io.WriteString(c, hanging("a", "900"))
-	within(t, s, "first", func(c Counters) bool { return c.Queries.InFlight == 1 })
+	io.WriteString(c, postUnanswered("a", "900"))
+	waitASecond(t, s, "first", func(c Counters) bool { return c.Queries.InFlight == 1 })
 	begun := time.Now()
-	io.WriteString(c, hanging("b", "1000"))
+	io.WriteString(c, postUnanswered("b", "1000"))
 	for _, id := range []string{"a", "b"} {
-		if m := c.hear(); m.Status != 504 && m.Status != 503 {
+		if m := c.readResponse(); m.Status != 504 && m.Status != 503 {
 			t.Errorf("%s: %d", id, m.Status)
 		}
 	}
@@ -99,10 +99,10 @@
 		"asked to close": strings.Replace(post("a", body), "\r\n", "\r\nConnection: close\r\n", 1),
 		"bad request":    strings.Replace(post("a", body), "acme", "nobody", 1),
 	} {
-		s, _ := live(t, 1024)
+		s, _ := runServer(t, 1024)
 		c := dial(t, s)
 		io.WriteString(c, text+strings.Repeat("x", 3*ingress.MaxLookahead))
-		if m := c.hear(); !m.Close {
+		if m := c.readResponse(); !m.Close {
 			t.Errorf("%s: %d, and the connection goes on", what, m.Status)
 		}
 		if _, err := c.in.ReadByte(); err != io.EOF {
@@ -114,26 +114,26 @@
 // stalledListener accepts one connection and stands still with it in its hands until it is released.
 type stalledListener struct {
 	*net.TCPListener
-	release chan struct{}
+	released chan struct{}
 }
 
 func (l *stalledListener) Accept() (net.Conn, error) {
 	conn, err := l.TCPListener.Accept()
-	<-l.release
+	<-l.released
 	return conn, err
 }
 
 // Connections that wait in the kernel when a stop closes the listener are accepted first, and their requests answered.
 func TestStopTakesWhatWaitsToBeAccepted(t *testing.T) {
-	s := opened(t, startAt(t, "127.0.0.1:0", 1024), operator.Default())
-	stalled := &stalledListener{TCPListener: s.listener.(*net.TCPListener), release: make(chan struct{})}
+	s := openServer(t, startConfiguration(t, "127.0.0.1:0", 1024), operator.Default())
+	stalled := &stalledListener{TCPListener: s.listener.(*net.TCPListener), released: make(chan struct{})}
 	s.listener = stalled
 	s.openIngress()
 	enough := make(chan time.Time)
 	s.after = func(time.Duration) <-chan time.Time { return enough }
-	end := serving(t, s)
-	until(s, func(Counters) bool { return true })
-	var waiting []*caller
+	end := serveUntilEnd(t, s)
+	waitUntil(s, func(Counters) bool { return true })
+	var waiting []*testClient
 	for i := range 5 {
 		c := dial(t, s)
 		io.WriteString(c, post(fmt.Sprint("a", i), body))
@@ -151,7 +151,7 @@
 			conn.Close()
 		}
 	}
-	close(stalled.release)
+	close(stalled.released)
 	for i, c := range waiting {
 		if m, err := httpwire.ReadResponse(c.in); err != nil || m.Status != 200 {
 			t.Errorf("connection %d: %v, %+v", i, err, m)
@@ -164,7 +164,7 @@
 
 // What comes after SIGTERM has its answer before the kill, whatever time its client gives it; what came before keeps its time.
 func TestAnswerComesBeforeTheKill(t *testing.T) {
-	s, _ := live(t, 1024)
+	s, _ := runServer(t, 1024)
 	patient := s.Settings().LongestTimeout()
 	if by := s.answerBy(time.Second, patient); by != time.Second+patient {
 		t.Errorf("while it serves: by %v", by)
@@ -185,9 +185,9 @@
 
 // A stop ends in time though clients go on connecting: what comes without end is no queue.
 func TestStopEndsThoughClientsGoOnConnecting(t *testing.T) {
-	s, end := live(t, 1024)
+	s, end := runServer(t, 1024)
 	s.after = func(time.Duration) <-chan time.Time { return time.After(0) }
-	until(s, func(Counters) bool { return true })
+	waitUntil(s, func(Counters) bool { return true })
 	at, stop := s.listener.Addr().String(), make(chan struct{})
 	defer close(stop)
 	for range 4 {
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -62,8 +62,8 @@
 	text := fmt.Sprintf(`{"sites": {"keys": %q, "listen": %q, "allow": [%q], "targets": [%q], "share": 1, "burst": 500, "accept": 0.5}}`,
 		filepath.Join(w.dir, site), w.at[i], other, target)
 	path, err := w.fleet[i].Config("n0", "127.0.0.1:0", w.fleet[i].Discovery.Addr(), true)
-	start, file := planned(w.t, path, err, text)
-	w.live[i], w.stop[i] = running(w.t, start, file)
+	start, file := readLabConfiguration(w.t, path, err, text)
+	w.live[i], w.stop[i] = runConfigured(w.t, start, file)
 }
 
 func (w *twin) until(what string, so func() bool) {
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -19,9 +19,9 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// standNode is a store node on loopback. It serves each part at once, but none whose text is "hang".
-func standNode(t *testing.T) string {
-	return sayingNode(t, func(id string, shard int, text string) string {
+// stubNode is a store node on loopback. It serves each part at once, but none whose text is "hang".
+func stubNode(t *testing.T) string {
+	return answeringNode(t, func(id string, shard int, text string) string {
 		if text == "hang" {
 			return ""
 		}
@@ -29,8 +29,8 @@
 	})
 }
 
-// sayingNode is a store node on loopback that answers each part as it is told; "" is no answer.
-func sayingNode(t *testing.T, say func(id string, shard int, text string) string) string {
+// answeringNode is a store node on loopback that answers each part as it is told; "" is no answer.
+func answeringNode(t *testing.T, say func(id string, shard int, text string) string) string {
 	ln := listen(t)
 	go func() {
 		for {
@@ -76,36 +76,36 @@
 	return ln
 }
 
-func startAt(t *testing.T, listen string, sockets int) *terms.Start {
+func startConfiguration(t *testing.T, listen string, sockets int) *terms.Start {
 	none := netip.MustParseAddrPort("127.0.0.1:1") // where nobody listens
 	known := `{"generation":1,"reset":true,"instances":[`
 	for cell := range 2 {
 		known += fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"zone":"a","cell":%d,"lifecycle":"in_service"},`,
-			cell, standNode(t), cell)
+			cell, stubNode(t), cell)
 	}
 	return &terms.Start{Name: "n0", Listen: netip.MustParseAddrPort(listen), Discovery: none, Terms: decoded(t),
 		Limits: terms.Limits{Cores: 1, MemoryMB: 192, Sockets: sockets}, Known: []byte(known[:len(known)-1] + "]}")}
 }
 
-func module(t decision.Settings) decision.Router { return routing.New(t) }
+func newRouter(t decision.Settings) decision.Router { return routing.New(t) }
 
-// live runs a broker; end stops it as SIGTERM does and gives what Run returned.
-func live(t *testing.T, sockets int) (s *Server, end func() error) {
+// runServer runs a broker; end stops it as SIGTERM does and gives what Run returned.
+func runServer(t *testing.T, sockets int) (s *Server, end func() error) {
 	t.Helper()
-	return running(t, startAt(t, "127.0.0.1:0", sockets), operator.Default())
+	return runConfigured(t, startConfiguration(t, "127.0.0.1:0", sockets), operator.Default())
 }
 
-// running is a broker of a configuration and an operators' file, until end or the test's.
-func running(t *testing.T, start *terms.Start, file *operator.File) (s *Server, end func() error) {
+// runConfigured is a broker of a configuration and an operators' file, until end or the test's.
+func runConfigured(t *testing.T, start *terms.Start, file *operator.File) (s *Server, end func() error) {
 	t.Helper()
-	s = opened(t, start, file)
-	return s, serving(t, s)
+	s = openServer(t, start, file)
+	return s, serveUntilEnd(t, s)
 }
 
-// opened is a broker that listens and does not serve yet.
-func opened(t *testing.T, start *terms.Start, file *operator.File) *Server {
+// openServer is a broker that listens and does not serve yet.
+func openServer(t *testing.T, start *terms.Start, file *operator.File) *Server {
 	t.Helper()
-	s, err := New(start, file, module)
+	s, err := New(start, file, newRouter)
 	if err == nil {
 		err = s.Open()
 	}
@@ -115,8 +115,8 @@
 	return s
 }
 
-// serving runs a broker until end or the test's.
-func serving(t *testing.T, s *Server) (end func() error) {
+// serveUntilEnd runs a broker until end or the test's.
+func serveUntilEnd(t *testing.T, s *Server) (end func() error) {
 	t.Helper()
 	stop, done, ended := make(chan struct{}), make(chan error, 1), false
 	go func() { done <- s.Run(stop) }()
@@ -136,8 +136,8 @@
 	return end
 }
 
-// planned reads what the laboratory wrote for a broker, and the text of an operators' file.
-func planned(t *testing.T, path string, err error, operators string) (*terms.Start, *operator.File) {
+// readLabConfiguration reads what the laboratory wrote for a broker, and the text of an operators' file.
+func readLabConfiguration(t *testing.T, path string, err error, operators string) (*terms.Start, *operator.File) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -153,29 +153,29 @@
 	return start, file
 }
 
-type caller struct {
+type testClient struct {
 	net.Conn
 	t  *testing.T
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, s *Server) *caller {
+func dial(t *testing.T, s *Server) *testClient {
 	conn, err := net.Dial("tcp", s.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	return &caller{conn, t, httpwire.NewReader(conn)}
+	return &testClient{conn, t, httpwire.NewReader(conn)}
 }
 
-// say writes and reads one response.
-func (c *caller) say(text string) *httpwire.Message {
+// roundTrip writes and reads one response.
+func (c *testClient) roundTrip(text string) *httpwire.Message {
 	c.t.Helper()
 	io.WriteString(c, text)
-	return c.hear()
+	return c.readResponse()
 }
 
-func (c *caller) hear() *httpwire.Message {
+func (c *testClient) readResponse() *httpwire.Message {
 	c.t.Helper()
 	m, err := httpwire.ReadResponse(c.in)
 	if err != nil {
@@ -185,16 +185,16 @@
 }
 
 func post(id, body string) string {
-	return fmt.Sprintf(head+"Content-Length: %d\r\n\r\n%s", id, len(body), body)
+	return fmt.Sprintf(requestHead+"Content-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// hanging is a search that no node answers.
-func hanging(id, ms string) string {
+// postUnanswered is a search that no node answers.
+func postUnanswered(id, ms string) string {
 	return strings.Replace(post(id, strings.Replace(body, "c41e", "hang", 1)), "1900", ms, 1)
 }
 
-// until waits for a state that must come, however long it takes.
-func until(s *Server, reached func(Counters) bool) {
+// waitUntil waits for a state that must come, however long it takes.
+func waitUntil(s *Server, reached func(Counters) bool) {
 	for !reached(s.Counters()) {
 	}
 }
--- a/internal/server/ingress/helpers_test.go
+++ b/internal/server/ingress/helpers_test.go
@@ -19,12 +19,12 @@
 }
 
 const (
-	head = "POST /find HTTP/1.1\r\nHost: b\r\nX-Request-ID: %s\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 1900\r\n"
-	body = `{"tablets":[{"tablet":0,"fraction":0.5,"guess":9000},{"tablet":1,"fraction":0.5}],"statement":"c41e"}`
+	requestHead = "POST /find HTTP/1.1\r\nHost: b\r\nX-Request-ID: %s\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 1900\r\n"
+	body        = `{"tablets":[{"tablet":0,"fraction":0.5,"guess":9000},{"tablet":1,"fraction":0.5}],"statement":"c41e"}`
 )
 
 func post(id, body string) string {
-	return fmt.Sprintf(head+"Content-Length: %d\r\n\r\n%s", id, len(body), body)
+	return fmt.Sprintf(requestHead+"Content-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
 const settingsJSON = `{"azs":["a","b"],"balancers":2,
--- a/internal/server/ingress/scan_test.go
+++ b/internal/server/ingress/scan_test.go
@@ -10,8 +10,8 @@
 	"flaxfront/internal/server/query"
 )
 
-// withEncodingJSON is what encoding/json makes of a body, the other way being shut.
-func withEncodingJSON(body []byte) (out queryBody, ok bool) {
+// readWithEncodingJSON is what encoding/json makes of a body, the other way being shut.
+func readWithEncodingJSON(body []byte) (out queryBody, ok bool) {
 	var doc struct {
 		Tablets []struct {
 			Tablet   *int     `json:"tablet"`
@@ -43,7 +43,7 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		quick, ok := scanBody(raw)
-		if slow, good := withEncodingJSON(raw); ok {
+		if slow, good := readWithEncodingJSON(raw); ok {
 			if !good || len(slow.shards) != len(quick.shards) || slow.statement != quick.statement {
 				t.Fatalf("%q: %+v, and %+v, %v", raw, quick, slow, good)
 			}
@@ -82,7 +82,7 @@
 	b.Run("encoding/json", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			s, _ := withEncodingJSON(raw)
+			s, _ := readWithEncodingJSON(raw)
 			setShards(&query.Request{ID: "9b1f03aa5c7e2d41"}, s, t)
 		}
 	})
--- a/internal/server/ingress/slow_test.go
+++ b/internal/server/ingress/slow_test.go
@@ -29,7 +29,7 @@
 		{strings.Replace(post("x", body), "Content-Length: ", "Content-Length: 9", 1), 0},
 		{strings.Replace(post("x", body), "Content-Length: ", "Content-Length: 60000", 1), 0},
 		{strings.Replace(post("x", body), "Content-Length: ", "Content-Length: -", 1), 0},
-		{fmt.Sprintf(head+"Transfer-Encoding: chunked\r\n\r\nffff\r\nx", "x"), 0},
+		{fmt.Sprintf(requestHead+"Transfer-Encoding: chunked\r\n\r\nffff\r\nx", "x"), 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			in := New(nil, newStandIn(settings), Options{Limits: Limits{Connections: 4, ReadGrace: 250 * time.Millisecond}})
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -40,10 +40,10 @@
 			key = "ffeeddccbbaa99887766554433221100"
 		}
 		path, err := k.Config(fmt.Sprintf("n%d", i), "127.0.0.1:0", k.Discovery.Addr(), true)
-		start, file := planned(t, path, err, fmt.Sprintf(`{"crew": {"on": true, "keys": [%q], "interval": "60ms", "timeout": "25ms", "list": true}}`, key))
+		start, file := readLabConfiguration(t, path, err, fmt.Sprintf(`{"crew": {"on": true, "keys": [%q], "interval": "60ms", "timeout": "25ms", "list": true}}`, key))
 		start.Terms.Module.GossipAllowed, start.PeerListen, start.Peers, start.PeersAll = true, at[i], at, at[i]
 		start.Name = fmt.Sprintf("n%d", i)
-		s, end := running(t, start, file)
+		s, end := runConfigured(t, start, file)
 		all, ends = append(all, s), append(ends, end)
 	}
 	return all, ends
@@ -98,8 +98,8 @@
 	t.Helper()
 	k := newKeeping(t, 2)
 	path, err := k.Config("n0", "127.0.0.1:0", k.Discovery.Addr(), true)
-	start, file := planned(t, path, err, `{"crew": {"on": true, "list": true}}`)
-	s, err := New(start, file, module)
+	start, file := readLabConfiguration(t, path, err, `{"crew": {"on": true, "list": true}}`)
+	s, err := New(start, file, newRouter)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,9 +193,9 @@
 	at := []netip.AddrPort{udpAddr(t), udpAddr(t)}
 	begin := func(i int, crew string) (*Server, func() error) {
 		path, err := k.Config(fmt.Sprintf("n%d", i), "127.0.0.1:0", k.Discovery.Addr(), true)
-		start, file := planned(t, path, err, `{"crew": {"on": true, "keys": ["00112233445566778899aabbccddeeff"], "interval": "60ms", "timeout": "25ms", `+crew+`}}`)
+		start, file := readLabConfiguration(t, path, err, `{"crew": {"on": true, "keys": ["00112233445566778899aabbccddeeff"], "interval": "60ms", "timeout": "25ms", `+crew+`}}`)
 		start.Terms.Module.GossipAllowed, start.PeerListen, start.Peers, start.PeersAll, start.Name = true, at[i], nil, at[i], fmt.Sprintf("n%d", i)
-		return running(t, start, file)
+		return runConfigured(t, start, file)
 	}
 	living := func(s *Server) (n int) {
 		for _, m := range s.Counters().Queries.Membership.Members {
--- a/internal/server/read_pins_test.go
+++ b/internal/server/read_pins_test.go
@@ -16,7 +16,7 @@
 
 // replicaNode is a store node that reports what it is told to.
 func replicaNode(t *testing.T, report *atomic.Pointer[string], asked *atomic.Int64) string {
-	return sayingNode(t, func(id string, _ int, _ string) string {
+	return answeringNode(t, func(id string, _ int, _ string) string {
 		asked.Add(1)
 		return fmt.Sprintf("a%s served 7 %s\nv", id, *report.Load())
 	})
@@ -24,7 +24,7 @@
 
 // pinnedLive is a broker that obeys hints, before two replicas of each shard.
 func pinnedLive(t *testing.T) (*Server, [2]*atomic.Pointer[string], [2]*atomic.Int64) {
-	start := startAt(t, "127.0.0.1:0", 1024)
+	start := startConfiguration(t, "127.0.0.1:0", 1024)
 	var reports [2]*atomic.Pointer[string]
 	var asked [2]*atomic.Int64
 	known := `{"generation":1,"reset":true,"instances":[`
@@ -39,7 +39,7 @@
 	start.Terms.Module.HedgingAllowed = false // they go to any holder, and come of a stall of the machine alone
 	file := operator.Default()
 	file.Fleet.Pins, file.Fleet.ClockError = true, 0
-	s, _ := running(t, start, file)
+	s, _ := runConfigured(t, start, file)
 	return s, reports, asked
 }
 
@@ -53,7 +53,7 @@
 	say(0, "p=70;h=0")
 	say(1, "p=70;h=0")
 	c := dial(t, s)
-	m := c.say(hinted("a", "X-Read-Hint: pin=session:abc; max-stale=5s; not-before=0:0,1:0"))
+	m := c.roundTrip(hinted("a", "X-Read-Hint: pin=session:abc; max-stale=5s; not-before=0:0,1:0"))
 	seen, _ := m.Get("x-read-position")
 	stale, _ := m.Get("x-read-staleness")
 	if m.Status != 200 || seen != "0:70,1:70" || !strings.HasSuffix(stale, "ms") {
@@ -61,7 +61,7 @@
 	}
 	first := [2]int64{asked[0].Load(), asked[1].Load()}
 	for i := range 20 {
-		c.say(hinted(fmt.Sprint("s", i), "X-Read-Hint: pin=session:abc"))
+		c.roundTrip(hinted(fmt.Sprint("s", i), "X-Read-Hint: pin=session:abc"))
 	}
 	for i := range 2 { // each shard stays where it was
 		if now := asked[i].Load(); now != 21*first[i] {
@@ -71,12 +71,12 @@
 	// What is seen and no longer there is never answered as fresh: refused, or stated.
 	say(0, "p=40;h=3000")
 	say(1, "p=40;h=3000")
-	m = c.say(hinted("b", "X-Read-Hint: not-before="+seen))
+	m = c.roundTrip(hinted("b", "X-Read-Hint: not-before="+seen))
 	after, _ := m.Get("retry-after")
 	if d, err := time.ParseDuration(after + "s"); m.Status != 503 || err != nil || d <= 0 || d > time.Second {
 		t.Errorf("%d, after %q", m.Status, after)
 	}
-	m = c.say(hinted("c", "X-Read-Hint: not-before="+seen+"; max-stale=100ms; or-stale=yes"))
+	m = c.roundTrip(hinted("c", "X-Read-Hint: not-before="+seen+"; max-stale=100ms; or-stale=yes"))
 	stale, _ = m.Get("x-read-staleness")
 	behind, _ := m.Get("x-read-behind")
 	if d, err := time.ParseDuration(stale); m.Status != 200 || err != nil || d < 3*time.Second || behind != "0,1" {
@@ -84,7 +84,7 @@
 	}
 	say(0, "-")
 	say(1, "-")
-	m = c.say(hinted("d", "X-Read-Hint: max-stale=100ms; or-stale=yes"))
+	m = c.roundTrip(hinted("d", "X-Read-Hint: max-stale=100ms; or-stale=yes"))
 	if stale, _ = m.Get("x-read-staleness"); m.Status != 200 || stale != "unknown" {
 		t.Errorf("%d %q", m.Status, stale)
 	}
@@ -99,7 +99,7 @@
 	}
 	c := dial(t, s)
 	for i, text := range []string{"max-stale=1ms; pin=who:am-i", "max-stale=1ms; max-stale=1ms", "max-stale=1ms\r\nX-Read-Hint: max-stale=1ms"} {
-		m := c.say(hinted(fmt.Sprint("a", i), readhint.Header+": "+text))
+		m := c.roundTrip(hinted(fmt.Sprint("a", i), readhint.Header+": "+text))
 		why, _ := m.Get("x-read-hint-ignored")
 		if _, there := m.Get("x-read-staleness"); m.Status != 200 || why == "" || there > 0 {
 			t.Errorf("%q: %d %q", text, m.Status, why)
@@ -108,8 +108,8 @@
 	if p := s.Counters().Queries.ReadPins; p.IgnoredHints != 3 || p.Chosen+p.Refused > 0 {
 		t.Errorf("%+v", p)
 	}
-	plain, _ := live(t, 1024) // where hints are not obeyed nothing of them is read
-	m := dial(t, plain).say(hinted("a", "X-Read-Hint: nonsense"))
+	plain, _ := runServer(t, 1024) // where hints are not obeyed nothing of them is read
+	m := dial(t, plain).roundTrip(hinted("a", "X-Read-Hint: nonsense"))
 	if _, there := m.Get("x-read-hint-ignored"); m.Status != 200 || there > 0 || plain.Counters().Queries.ReadPins != nil {
 		t.Errorf("%d", m.Status)
 	}
@@ -125,12 +125,12 @@
 		theirs[i].Store(&text)
 	}
 	for i := range 12 {
-		dial(t, one).say(hinted(fmt.Sprint("a", i), "X-Read-Hint: max-stale=1ms; or-stale=yes"))
+		dial(t, one).roundTrip(hinted(fmt.Sprint("a", i), "X-Read-Hint: max-stale=1ms; or-stale=yes"))
 	}
 	other.MergePositions([]byte("spoilt"), 0)
 	other.MergePositions(one.CollectPositions(), time.Millisecond)
 	other.AgreeEpoch(3, nil)
-	m := dial(t, other).say(hinted("b", "X-Read-Hint: max-stale=100ms"))
+	m := dial(t, other).roundTrip(hinted("b", "X-Read-Hint: max-stale=100ms"))
 	p := other.Counters().Queries.ReadPins
 	if m.Status != 503 || p.Facts == 0 || p.Bad != 1 || p.Epoch != 3 {
 		t.Errorf("%d, %+v", m.Status, p)
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -21,20 +21,20 @@
 // What can't work is told before anything listens.
 func TestFaultsAtStart(t *testing.T) {
 	taken := listen(t)
-	s, err := New(startAt(t, taken.Addr().String(), 1024), operator.Default(), module)
+	s, err := New(startConfiguration(t, taken.Addr().String(), 1024), operator.Default(), newRouter)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Open(); err == nil || !strings.Contains(err.Error(), "in use") {
 		t.Errorf("address in use: %v", err)
 	}
-	bad := startAt(t, "127.0.0.1:0", 1024)
+	bad := startConfiguration(t, "127.0.0.1:0", 1024)
 	bad.Known = []byte(`{"generation":1,"instances":[{"instanceId":"s"}]}`)
-	if _, err := New(bad, operator.Default(), module); err == nil || !strings.Contains(err.Error(), "known") {
+	if _, err := New(bad, operator.Default(), newRouter); err == nil || !strings.Contains(err.Error(), "known") {
 		t.Errorf("bad list: %v", err)
 	}
 	bad.Known, bad.Terms.Module.QueryTypes[0].SecondPhaseRequests = nil, 2
-	if _, err := New(bad, operator.Default(), module); err == nil || !strings.Contains(err.Error(), "fetchParts") {
+	if _, err := New(bad, operator.Default(), newRouter); err == nil || !strings.Contains(err.Error(), "fetchParts") {
 		t.Errorf("second step: %v", err)
 	}
 }
@@ -52,7 +52,7 @@
 // budget, probes, worth by work. What is in hand gets its one answer and no node of the other deployment is sent a part of it; a
 // configuration with a bad value changes nothing.
 func TestSettingsSwitchWhileServing(t *testing.T) {
-	s, end := live(t, 64)
+	s, end := runServer(t, 64)
 	first := s.start
 	ring := *first
 	var err error
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	ring.Discovery = netip.MustParseAddrPort("127.0.0.2:1")
-	ring.Known = bytes.ReplaceAll(startAt(t, "127.0.0.1:0", 64).Known, []byte("s-"), []byte("r-")) // nodes of its own
+	ring.Known = bytes.ReplaceAll(startConfiguration(t, "127.0.0.1:0", 64).Known, []byte("s-"), []byte("r-")) // nodes of its own
 	inRing := func(id, body string) string {
 		return strings.NewReplacer("/find", "/thread", "X-Tenant-Id: acme\r\n", "").Replace(post(id, body))
 	}
@@ -68,7 +68,7 @@
 	for round, text := range []string{"hang", "hang again"} {
 		ask := strings.NewReplacer("c41e", "hang", "1900", "900").Replace(post(fmt.Sprint("held", round), body))
 		io.WriteString(held, ask)
-		until(s, func(n Counters) bool { return n.Queries.InFlight == 1 })
+		waitUntil(s, func(n Counters) bool { return n.Queries.InFlight == 1 })
 		sent := s.Counters().Queries.Attempts
 		if _, err := terms.FromJSON([]byte(strings.Replace(ringSettings, `"work"`, `"hour"`, 1)), 1); err == nil {
 			t.Fatal(text, "a bad value passed")
@@ -76,15 +76,15 @@
 			t.Fatalf("%s: a bad configuration changed the settings", text)
 		}
 		s.Reload(&ring, s.operator, nil)
-		if m := c.say(post(fmt.Sprint("gone", round), body)); m.Status != 404 || !m.Close {
+		if m := c.roundTrip(post(fmt.Sprint("gone", round), body)); m.Status != 404 || !m.Close {
 			t.Errorf("%s: a query type of before: %d", text, m.Status)
 		}
 		c = dial(t, s)
-		m, want := c.say(inRing(fmt.Sprint("r", round), body)), []int{200, 503}[round] // the second time no node is known there
-		if m.Status != want || want == 200 && string(m.Body) != whole {
+		m, want := c.roundTrip(inRing(fmt.Sprint("r", round), body)), []int{200, 503}[round] // the second time no node is known there
+		if m.Status != want || want == 200 && string(m.Body) != completeBody {
 			t.Errorf("%s: in the ring: %d %s", text, m.Status, m.Body)
 		}
-		if m := held.hear(); m.Status != 503 && m.Status != 504 {
+		if m := held.readResponse(); m.Status != 503 && m.Status != 504 {
 			t.Errorf("%s: the search in hand: %d", text, m.Status)
 		}
 		if n := s.Counters().Queries.Attempts; n != sent+[]uint64{2, 0}[round] {
@@ -92,7 +92,7 @@
 		}
 		ring.Known = nil
 		s.Reload(first, s.operator, nil)
-		if m := c.say(post(fmt.Sprint("back", round), body)); m.Status != 200 || string(m.Body) != whole {
+		if m := c.roundTrip(post(fmt.Sprint("back", round), body)); m.Status != 200 || string(m.Body) != completeBody {
 			t.Errorf("%s: back again: %d %s", text, m.Status, m.Body)
 		}
 		if got := s.Counters().Queries; got.InFlight != 0 || got.Received != got.Answered+got.Shed+got.Failed {
@@ -128,9 +128,9 @@
 
 // A reload moves discovery and leaves all else, a search in hand included; a bad one changes nothing.
 func TestReload(t *testing.T) {
-	s, end := live(t, 64)
+	s, end := runServer(t, 64)
 	c := dial(t, s)
-	io.WriteString(c, hanging("r1", "300"))
+	io.WriteString(c, postUnanswered("r1", "300"))
 	asks := listen(t)
 	next := *s.start
 	next.Discovery = asks.Addr().(*net.TCPAddr).AddrPort()
@@ -151,17 +151,17 @@
 	if m, err := httpwire.ReadRequest(httpwire.NewReader(conn)); err != nil || m.Path != "/discovery/hosts" || m.Query != "" {
 		t.Errorf("the new service was asked %+v, %v", m, err)
 	}
-	if m := dial(t, s).say(post("r3", body)); m.Status != 200 || s.Settings().Module.MaxRetryAfter != 5*time.Second {
+	if m := dial(t, s).roundTrip(post("r3", body)); m.Status != 200 || s.Settings().Module.MaxRetryAfter != 5*time.Second {
 		t.Errorf("with another time to come back, on the list held: %d", m.Status)
 	}
 	if got := strings.Join(s.start.Differs(&next), " "); got != "limits settings" {
 		t.Errorf("only a restart takes over %q", got)
 	}
 	s.Reload(s.start, s.operator, nil)
-	if m := c.hear(); m.Status != 503 && m.Status != 504 {
+	if m := c.readResponse(); m.Status != 503 && m.Status != 504 {
 		t.Errorf("the search in hand: %d", m.Status)
 	}
-	if m := c.say(post("r2", body)); m.Status != 200 {
+	if m := c.roundTrip(post("r2", body)); m.Status != 200 {
 		t.Errorf("after the reload: %d", m.Status)
 	}
 	if err := end(); err != nil {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	head  = "POST /find HTTP/1.1\r\nHost: b\r\nX-Request-ID: %s\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 1900\r\n"
-	body  = `{"tablets":[{"tablet":0,"fraction":0.5,"guess":9000},{"tablet":1,"fraction":0.5}],"statement":"c41e"}`
-	whole = `{"full":true,"pieces":[{"tablet":0,"cell":"\u003c0\u003e"},{"tablet":1,"cell":"\u003c1\u003e"}]}`
+	requestHead  = "POST /find HTTP/1.1\r\nHost: b\r\nX-Request-ID: %s\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 1900\r\n"
+	body         = `{"tablets":[{"tablet":0,"fraction":0.5,"guess":9000},{"tablet":1,"fraction":0.5}],"statement":"c41e"}`
+	completeBody = `{"full":true,"pieces":[{"tablet":0,"cell":"\u003c0\u003e"},{"tablet":1,"cell":"\u003c1\u003e"}]}`
 )
 
-func TestSearchesOverSockets(t *testing.T) {
-	s, _ := live(t, 1024)
+func TestQueriesOverSockets(t *testing.T) {
+	s, _ := runServer(t, 1024)
 	c := dial(t, s)
 	for i := range 3 {
-		if m := c.say(post(fmt.Sprint("a", i), body)); m.Status != 200 || string(m.Body) != whole || m.Close {
+		if m := c.roundTrip(post(fmt.Sprint("a", i), body)); m.Status != 200 || string(m.Body) != completeBody || m.Close {
 			t.Fatalf("%d %s", m.Status, m.Body)
 		}
 	}
-	chunked := fmt.Sprintf(head+"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", "b", len(body), body)
+	chunked := fmt.Sprintf(requestHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", "b", len(body), body)
 	for _, b := range []byte(chunked) { // byte by byte
 		c.Write([]byte{b})
 	}
 	io.WriteString(c, post("c", body)+"GET /up HTTP/1.1\r\nHost: b\r\n\r\n") // and two more, unasked
 	for range 2 {
-		if m := c.hear(); m.Status != 200 || string(m.Body) != whole {
+		if m := c.readResponse(); m.Status != 200 || string(m.Body) != completeBody {
 			t.Errorf("%d %s", m.Status, m.Body)
 		}
 	}
-	if m := c.hear(); m.Status != 200 {
+	if m := c.readResponse(); m.Status != 200 {
 		t.Errorf("/up: %d", m.Status)
 	}
 	rounded := strings.Replace(body, "0.5", "0.497", 1)
-	if m := c.say(post("d", rounded)); string(m.Body) != whole {
+	if m := c.roundTrip(post("d", rounded)); string(m.Body) != completeBody {
 		t.Errorf("rounded fractions: %d %s", m.Status, m.Body)
 	}
 	var counters Counters
-	m := c.say("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
+	m := c.roundTrip("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
 	if err := json.Unmarshal(m.Body, &counters); err != nil || counters.Queries.Answered != 6 ||
 		counters.Queries.Received != 6 || counters.Queries.Store.Parts != 12 {
 		t.Errorf("%v, %+v", err, counters)
@@ -50,8 +50,8 @@
 }
 
 // Bad input is told so and ends the connection; no part of it is sent, nor what hides behind it.
-func TestBadAsks(t *testing.T) {
-	s, _ := live(t, 1024)
+func TestBadRequests(t *testing.T) {
+	s, _ := runServer(t, 1024)
 	for _, c := range []struct {
 		old, new string
 		status   int
@@ -90,20 +90,20 @@
 			text = fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", start, len(rest), rest)
 		}
 		to := dial(t, s)
-		if m := to.say(text + post("behind", body)); m.Status != c.status || !m.Close {
+		if m := to.roundTrip(text + post("behind", body)); m.Status != c.status || !m.Close {
 			t.Errorf("%q: %d, closed %v: %s", c.new, m.Status, m.Close, m.Body)
 		}
 		if b, err := to.in.ReadByte(); err != io.EOF {
 			t.Errorf("after %q: %q, %v", c.new, b, err)
 		}
 	}
-	if m := dial(t, s).say(post("good", body)); m.Status != 200 {
+	if m := dial(t, s).roundTrip(post("good", body)); m.Status != 200 {
 		t.Errorf("an ordinary search: %d %s", m.Status, m.Body)
 	}
 	slow, cut := dial(t, s), dial(t, s)
 	io.WriteString(cut, post("x", body)[:100])
 	cut.Close()
-	if m := slow.say(post("x", body)[:100]); m.Status != 408 || !m.Close {
+	if m := slow.roundTrip(post("x", body)[:100]); m.Status != 408 || !m.Close {
 		t.Errorf("a request that does not come whole: %d", m.Status)
 	}
 	if n := s.Counters().Queries; n.Received != n.Answered || n.Store.Parts != 2*n.Received {
--- a/internal/server/terms_test.go
+++ b/internal/server/terms_test.go
@@ -16,24 +16,24 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// crossed is a client's connection at which something happens just after a deadline was set.
-type crossed struct {
+// deadlineHook is a client's connection at which something happens just after a deadline was set.
+type deadlineHook struct {
 	net.Conn
-	then func(n int)
-	n    int
+	onDeadline func(n int)
+	deadlines  int
 }
 
-func (c *crossed) SetReadDeadline(at time.Time) error {
+func (c *deadlineHook) SetReadDeadline(at time.Time) error {
 	err := c.Conn.SetReadDeadline(at)
 	if time.Since(at) < time.Hour { // others only wake the reader
-		c.n++
-		c.then(c.n)
+		c.deadlines++
+		c.onDeadline(c.deadlines)
 	}
 	return err
 }
 
-// converses serves a connection, which stands in the set of connections when it returns or has ended.
-func converses(s *Server, in *ingress.Ingress, conn net.Conn) <-chan ingress.Reason {
+// serveConnection serves a connection, which stands in the set of connections when it returns or has ended.
+func serveConnection(s *Server, in *ingress.Ingress, conn net.Conn) <-chan ingress.Reason {
 	ended := make(chan ingress.Reason, 1)
 	go func() { ended <- in.ServeConnection(s.ctx, withoutLinger{conn, conn.(syscall.Conn)}) }()
 	for len(in.Connections()) == 0 && len(ended) == 0 {
@@ -63,12 +63,12 @@
 		"a byte of it":  {2, 1},
 		"whole in time": {2, len(text)},
 	} {
-		s, _ := live(t, 1024)
-		until(s, func(Counters) bool { return true })
+		s, _ := runServer(t, 1024)
+		waitUntil(s, func(Counters) bool { return true })
 		near, far := tcpPair(t)
 		rest := make(chan struct{})
-		conn := &crossed{Conn: near}
-		conn.then = func(n int) {
+		conn := &deadlineHook{Conn: near}
+		conn.onDeadline = func(n int) {
 			if n == at.set {
 				s.draining.Store(true)
 				s.ingress.CloseIdle()
@@ -76,7 +76,7 @@
 			}
 		}
 		io.WriteString(far, text[:at.sent])
-		ended := converses(s, s.ingress, pendable{conn, near})
+		ended := serveConnection(s, s.ingress, hookedConn{conn, near})
 		go func() {
 			<-rest
 			io.WriteString(far, text[at.sent:])
@@ -91,20 +91,20 @@
 	}
 }
 
-// pendable shows what has come on the connection beneath.
-type pendable struct {
-	*crossed
+// hookedConn shows what has come on the connection beneath.
+type hookedConn struct {
+	*deadlineHook
 	*net.TCPConn
 }
 
-func (p pendable) Read(b []byte) (int, error)          { return p.crossed.Read(b) }
-func (p pendable) Write(b []byte) (int, error)         { return p.crossed.Write(b) }
-func (p pendable) Close() error                        { return p.crossed.Close() }
-func (p pendable) LocalAddr() net.Addr                 { return p.crossed.LocalAddr() }
-func (p pendable) RemoteAddr() net.Addr                { return p.crossed.RemoteAddr() }
-func (p pendable) SetDeadline(at time.Time) error      { return p.crossed.SetDeadline(at) }
-func (p pendable) SetReadDeadline(at time.Time) error  { return p.crossed.SetReadDeadline(at) }
-func (p pendable) SetWriteDeadline(at time.Time) error { return p.crossed.SetWriteDeadline(at) }
+func (p hookedConn) Read(b []byte) (int, error)          { return p.deadlineHook.Read(b) }
+func (p hookedConn) Write(b []byte) (int, error)         { return p.deadlineHook.Write(b) }
+func (p hookedConn) Close() error                        { return p.deadlineHook.Close() }
+func (p hookedConn) LocalAddr() net.Addr                 { return p.deadlineHook.LocalAddr() }
+func (p hookedConn) RemoteAddr() net.Addr                { return p.deadlineHook.RemoteAddr() }
+func (p hookedConn) SetDeadline(at time.Time) error      { return p.deadlineHook.SetDeadline(at) }
+func (p hookedConn) SetReadDeadline(at time.Time) error  { return p.deadlineHook.SetReadDeadline(at) }
+func (p hookedConn) SetWriteDeadline(at time.Time) error { return p.deadlineHook.SetWriteDeadline(at) }
 
 func tcpPair(t *testing.T) (near *net.TCPConn, far net.Conn) {
 	ln := listen(t)
@@ -124,9 +124,9 @@
 // sends the node nothing.
 func TestDrainOwedAtTheStart(t *testing.T) {
 	asks := listen(t)
-	start := startAt(t, "127.0.0.1:0", 1024)
+	start := startConfiguration(t, "127.0.0.1:0", 1024)
 	start.Discovery = asks.Addr().(*net.TCPAddr).AddrPort()
-	s, _ := running(t, start, operator.Default())
+	s, _ := runConfigured(t, start, operator.Default())
 	asks.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)) // else it is never asked
 	conn, err := asks.Accept()
 	if err != nil {
@@ -140,8 +140,8 @@
 	owed := fmt.Sprintf(`{"generation":2,"reset":false,"instances":[{"instanceId":"s-0","hostPort":%q,"zone":"a","cell":0,`+
 		`"lifecycle":"terminating"}]}`, "127.0.0.1:9")
 	conn.Write(httpwire.AppendResponse(nil, 200, false, []byte(owed)))
-	until(s, func(c Counters) bool { return c.Queries.ListsReceived == 2 }) // the configuration's, and this
-	if m := dial(t, s).say(post("a", body)); strings.Contains(string(m.Body), `"tablet":0`) {
+	waitUntil(s, func(c Counters) bool { return c.Queries.ListsReceived == 2 }) // the configuration's, and this
+	if m := dial(t, s).roundTrip(post("a", body)); strings.Contains(string(m.Body), `"tablet":0`) {
 		t.Errorf("served through a draining node: %d %s", m.Status, m.Body)
 	}
 }
