--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -30,7 +30,7 @@
 	ownership      *ownership.Duties
 	sendTo         func(to netip.AddrPort, data []byte)
 	shareEndpoints bool // endpoint changes are passed on
-	shared         *gossip.Book
+	shared         *gossip.UpdateFilter
 	ownershipView  []ownership.Member
 	seeds          []netip.AddrPort       // of the living
 	keepSeeds      func([]netip.AddrPort) // nil: they are not stored
@@ -65,7 +65,7 @@
 	changes := m.members.Changes()
 	m.logChanges(changes)
 	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
-		for _, w := range m.shared.Left() {
+		for _, w := range m.shared.RecentlyRemoved() {
 			m.broadcast(&w)
 		}
 	}
@@ -142,15 +142,15 @@
 			m.members.Broadcast(uint64(claim.Duty), note)
 		}
 	case noteEndpoint:
-		if w, ok := gossip.Read(note[1:]); ok && m.shareEndpoints {
+		if w, ok := gossip.Decode(note[1:]); ok && m.shareEndpoints {
 			m.handleSharedEndpoint(w)
 		}
 	}
 }
 
 // broadcast has an endpoint change carried to all members.
-func (m *tierMembership) broadcast(w *gossip.Word) {
-	m.members.Broadcast(broadcastKey(w.Node), w.Append([]byte{noteEndpoint}))
+func (m *tierMembership) broadcast(w *gossip.EndpointUpdate) {
+	m.members.Broadcast(broadcastKey(w.Node), w.AppendTo([]byte{noteEndpoint}))
 }
 
 func broadcastKey(id decision.NodeID) uint64 {
@@ -164,8 +164,8 @@
 	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		w := gossip.Word{Version: list.Version, Service: m.shared.Service, Node: n.Entry.Node, State: n.Entry.State, Started: n.Started}
-		if m.shared.Told(w, list.Whole || !m.shareEndpoints) {
+		w := gossip.EndpointUpdate{ListVersion: list.Version, DiscoveryID: m.shared.DiscoveryID, Node: n.Entry.Node, State: n.Entry.State, StartedAtMS: n.Started}
+		if m.shared.RecordLocal(w, list.Whole || !m.shareEndpoints) {
 			m.broadcast(&w)
 		}
 	}
@@ -178,18 +178,18 @@
 
 // handleSharedEndpoint takes a change that discovery told another broker, of a node that is known here. From then on it counts as if
 // discovery had told this broker.
-func (m *tierMembership) handleSharedEndpoint(w gossip.Word) {
+func (m *tierMembership) handleSharedEndpoint(w gossip.EndpointUpdate) {
 	n, known := m.loop.endpoints()[w.Node]
-	if !m.shared.Hear(w, known, n.Entry.State, n.Started) {
+	if !m.shared.Accept(w, known, n.Entry.State, n.Started) {
 		return
 	}
 	n.Entry.State = w.State
-	if w.Started > n.Started {
-		n.Started = w.Started
-		n.Entry.StartedAt = time.UnixMilli(w.Started).Sub(m.loop.startTime())
+	if w.StartedAtMS > n.Started {
+		n.Started = w.StartedAtMS
+		n.Entry.StartedAt = time.UnixMilli(w.StartedAtMS).Sub(m.loop.startTime())
 	}
-	slog.Info("node state received by gossip", "component", "membership", "node", n.Name, "state", w.State, "version", w.Version)
-	m.loop.applyList(&discovery.List{Version: w.Version, Nodes: []discovery.Node{n}})
+	slog.Info("node state received by gossip", "component", "membership", "node", n.Name, "state", w.State, "version", w.ListVersion)
+	m.loop.applyList(&discovery.List{Version: w.ListVersion, Nodes: []discovery.Node{n}})
 	m.loop.confirmByGossip(&n)
 	m.broadcast(&w)
 }
--- a/internal/server/membership_open.go
+++ b/internal/server/membership_open.go
@@ -116,7 +116,7 @@
 		members:        members,
 		sendTo:         sendTo,
 		shareEndpoints: o.List,
-		shared:         gossip.NewBook(serviceHash(self.service)),
+		shared:         gossip.NewUpdateFilter(serviceHash(self.service)),
 		ownership:      ownership.New(claims, uint32(members.Self().ID), jobs, now),
 	}
 }
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -125,28 +125,28 @@
 	before := l.nodes[id]
 	l.membership.shareList(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
 	say := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
-		w := gossip.Word{Version: version, Service: service, Node: node, State: state, Started: started}
-		l.membership.handleNote(w.Append([]byte{noteEndpoint}), l.since())
+		w := gossip.EndpointUpdate{ListVersion: version, DiscoveryID: service, Node: node, State: state, StartedAtMS: started}
+		l.membership.handleNote(w.AppendTo([]byte{noteEndpoint}), l.since())
 	}
-	say(49, l.membership.shared.Service, id, decision.Draining, 0)
-	say(51, l.membership.shared.Service+1, id, decision.Draining, 0)
-	say(51, l.membership.shared.Service, decision.NodeID{Port: 1}, decision.Draining, 0)
+	say(49, l.membership.shared.DiscoveryID, id, decision.Draining, 0)
+	say(51, l.membership.shared.DiscoveryID+1, id, decision.Draining, 0)
+	say(51, l.membership.shared.DiscoveryID, decision.NodeID{Port: 1}, decision.Draining, 0)
 	l.membership.handleNote([]byte{noteEndpoint, 1, 2}, 0)
 	l.membership.handleNote([]byte{'?'}, 0)
 	l.membership.handleNote(nil, 0)
 	if l.nodes[id] != before || l.membership.shared.Counts.ListStale != 3 {
 		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.shared.Counts)
 	}
-	say(51, l.membership.shared.Service, id, decision.Draining, 0)
+	say(51, l.membership.shared.DiscoveryID, id, decision.Draining, 0)
 	if n := l.nodes[id]; n.Entry.State != decision.Draining || n.Addr != before.Addr || l.membership.shared.Counts.ListTaken != 1 {
 		t.Errorf("%+v, %+v", n, l.membership.shared.Counts)
 	}
-	say(51, l.membership.shared.Service, id, decision.Ready, 0) // of the same version: it was heard already
-	say(52, l.membership.shared.Service, id, decision.Ready, 0) // nothing makes a draining process ready again
+	say(51, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // of the same version: it was heard already
+	say(52, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // nothing makes a draining process ready again
 	if n := l.nodes[id]; n.Entry.State != decision.Draining {
 		t.Errorf("%+v", n)
 	}
-	say(53, l.membership.shared.Service, id, decision.Removed, time.Now().UnixMilli())
+	say(53, l.membership.shared.DiscoveryID, id, decision.Removed, time.Now().UnixMilli())
 	if _, known := l.nodes[id]; known {
 		t.Error("an ended node is still known")
 	}
@@ -166,7 +166,7 @@
 	gone := &discovery.List{Version: 61, Nodes: []discovery.Node{n}}
 	old.applyList(gone)
 	old.membership.shareList(gone)
-	late.membership.shared.Service = old.membership.shared.Service
+	late.membership.shared.DiscoveryID = old.membership.shared.DiscoveryID
 	late.membership.members = membership.New(membership.Policy{Interval: time.Second, Timeout: 100 * time.Millisecond, Sync: time.Second, Forget: time.Minute, MaxBytes: 220,
 		MaxKnown: 10, Suspicion: 5, Longest: 2}, "n1", netip.MustParseAddrPort("127.0.0.1:8"), 1, 1, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7")})
 	for i := range 40 {
