--- a/internal/decision/gossip/gossip.go
+++ b/internal/decision/gossip/gossip.go
@@ -48,7 +48,7 @@
 const mostLeft = 64
 
 // Counts are what operators see.
-type Counts struct{ ListTold, ListTaken, ListStale uint64 }
+type Counts struct{ Sent, Accepted, Ignored uint64 }
 
 // UpdateFilter is what a broker was told, and by which version.
 type UpdateFilter struct {
@@ -67,7 +67,7 @@
 // everybody gets those.
 func (b *UpdateFilter) RecordLocal(w EndpointUpdate, whole bool) (tell bool) {
 	if tell = !whole && w.ListVersion > b.told[w.Node]; tell {
-		b.Counts.ListTold++
+		b.Counts.Sent++
 		b.keep(w)
 	}
 	b.told[w.Node] = w.ListVersion
@@ -79,11 +79,11 @@
 func (b *UpdateFilter) Accept(w EndpointUpdate, known bool, state decision.EndpointState, started int64) bool {
 	if !known || w.DiscoveryID != b.DiscoveryID || w.ListVersion <= b.told[w.Node] ||
 		state == decision.Draining && w.State == decision.Ready && w.StartedAtMS <= started {
-		b.Counts.ListStale++
+		b.Counts.Ignored++
 		return false
 	}
 	b.told[w.Node] = w.ListVersion
-	b.Counts.ListTaken++
+	b.Counts.Accepted++
 	b.keep(w)
 	return true
 }
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -134,11 +134,11 @@
 	l.membership.handleNote([]byte{noteEndpoint, 1, 2}, 0)
 	l.membership.handleNote([]byte{'?'}, 0)
 	l.membership.handleNote(nil, 0)
-	if l.nodes[id] != before || l.membership.shared.Counts.ListStale != 3 {
+	if l.nodes[id] != before || l.membership.shared.Counts.Ignored != 3 {
 		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.shared.Counts)
 	}
 	say(51, l.membership.shared.DiscoveryID, id, decision.Draining, 0)
-	if n := l.nodes[id]; n.Entry.State != decision.Draining || n.Addr != before.Addr || l.membership.shared.Counts.ListTaken != 1 {
+	if n := l.nodes[id]; n.Entry.State != decision.Draining || n.Addr != before.Addr || l.membership.shared.Counts.Accepted != 1 {
 		t.Errorf("%+v, %+v", n, l.membership.shared.Counts)
 	}
 	say(51, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // of the same version: it was heard already
@@ -181,7 +181,7 @@
 		}
 		*sent, *answers = nil, nil
 	}
-	if got := late.nodes[id]; got.Entry.State != decision.Draining || late.membership.shared.Counts.ListTaken != 1 {
+	if got := late.nodes[id]; got.Entry.State != decision.Draining || late.membership.shared.Counts.Accepted != 1 {
 		t.Errorf("%+v, %+v; %v", got, late.membership.shared.Counts, late.membership.members.All())
 	}
 }
