--- a/internal/config/terms/terms.go
+++ b/internal/config/terms/terms.go
@@ -118,7 +118,7 @@
 		MaxAttempts:         p.count("permissions.maxAttempts", true, 0),
 		MaxInFlight:         p.count("permissions.maxOpen", false, math.MaxInt32),
 
-		ColdCapacity:     p.num("safety.coldFrom", false, 1),
+		InitialCapacity:  p.num("safety.coldFrom", false, 1),
 		WarmUpTime:       p.span("safety.warmAfterNs", false),
 		OverloadMultiple: p.num("safety.tipMultiple", false, 1),
 		OverloadAfter:    p.span("safety.fallNs", false),
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -14,7 +14,7 @@
 	ShardRequestReceived                      // ID, Serial, Shard, Weight, Allowed
 	AttemptEnded                              // ID, Attempt, Outcome, Elapsed, Node
 	TimerFired                                // a timer that SetTimer asked for
-	ClientLeft                                // ID: the client closed or cancelled
+	ClientDeparted                            // ID: the client closed or cancelled
 	GossipReceived                            // From, Payload
 	HealthCheckEnded                          // Node, Outcome, Elapsed
 )
@@ -37,21 +37,21 @@
 
 // Event is one thing that happened.
 type Event struct {
-	Kind      EventKind
-	Outcome   Outcome
-	Retry     bool // the client marked the query as a retry
-	Type      int  // index into Settings.QueryTypes
-	Tenant    int  // index into Settings.Tenants
-	Shard     int
-	Attempt   uint16           // the number of the attempt within its shard request, from 0
-	Serial    float32          // the same for a query and its shard requests
-	Node      NodeID           // the node the attempt or health check went to
-	ID        uint64           // of the query or shard request
-	Allowed   *AllowedReplicas // nil: any replica
-	Weight    float64          // the shard request's share of its query
-	TimeLeft  time.Duration    // until the client's timeout
-	Elapsed   time.Duration    // since the attempt or health check was sent
-	Endpoints []Endpoint
-	From      uint32 // the broker that sent the gossip message
-	Payload   []byte
+	Kind          EventKind
+	Outcome       Outcome
+	Retry         bool // the client marked the query as a retry
+	Type          int  // index into Settings.QueryTypes
+	Tenant        int  // index into Settings.Tenants
+	Shard         int
+	Attempt       uint16           // the number of the attempt within its shard request, from 0
+	Serial        float32          // the same for a query and its shard requests
+	Node          NodeID           // the node the attempt or health check went to
+	ID            uint64           // of the query or shard request
+	Allowed       *AllowedReplicas // nil: any replica
+	Weight        float64          // the shard request's share of its query
+	RemainingTime time.Duration    // until the client's timeout
+	Elapsed       time.Duration    // since the attempt or health check was sent
+	Endpoints     []Endpoint
+	From          uint32 // the broker that sent the gossip message
+	Payload       []byte
 }
--- a/internal/decision/routing/board.go
+++ b/internal/decision/routing/board.go
@@ -129,7 +129,7 @@
 			d.ended(n.ev)
 		case decision.HealthCheckEnded:
 			d.probed(n.ev)
-		case decision.ClientLeft:
+		case decision.ClientDeparted:
 			if r, ok := d.find(n.ev.ID); ok && r.part < 0 {
 				d.drop(r.slot)
 			}
--- a/internal/decision/routing/choose.go
+++ b/internal/decision/routing/choose.go
@@ -131,7 +131,7 @@
 // calm is the time between parts to a node that may be cold which all brokers can keep.
 func (d *desk) calm() time.Duration {
 	t := d.l.t
-	share := max(0.01, min(1, coldSafety*t.OverloadMultiple*t.ColdCapacity))
+	share := max(0.01, min(1, coldSafety*t.OverloadMultiple*t.InitialCapacity))
 	return time.Duration(float64(t.BrokerCount) * float64(d.base) / share)
 }
 
--- a/internal/decision/routing/helpers_test.go
+++ b/internal/decision/routing/helpers_test.go
@@ -21,7 +21,7 @@
 			{LatencyObjective: 2 * time.Second, Timeout: 4 * time.Second, PriorityWeight: 2, MinCompleteness: 0.5, FullCompleteness: 1}},
 		Tenants:       []decision.Tenant{{TrafficShare: 0.7, Quota: 100}, {TrafficShare: 0.3, Quota: 50}},
 		CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: time.Second,
-		MaxAttempts: 4, MaxInFlight: 10000, ColdCapacity: 0.3, WarmUpTime: 8 * time.Second, OverloadMultiple: 2}
+		MaxAttempts: 4, MaxInFlight: 10000, InitialCapacity: 0.3, WarmUpTime: 8 * time.Second, OverloadMultiple: 2}
 }
 
 func nodeID(i int) decision.NodeID { return decision.NodeID{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 9} }
@@ -111,7 +111,7 @@
 	id := r.nextID
 	r.searches[id] = &heldSearch{typ: typ, serial: r.serial}
 	r.events = append(r.events, decision.Event{Kind: decision.QueryReceived, ID: id, Serial: r.serial, Type: typ,
-		TimeLeft: left, Weight: float64(len(shards))})
+		RemainingTime: left, Weight: float64(len(shards))})
 	r.addParts(id, shards...)
 	return id
 }
@@ -169,7 +169,7 @@
 	r.now += by
 	for _, e := range r.events {
 		if h := r.searches[e.ID]; e.Kind == decision.QueryReceived && h != nil {
-			h.due = r.now + e.TimeLeft
+			h.due = r.now + e.RemainingTime
 		}
 		if e.Kind == decision.QueryReceived || e.Kind == decision.ShardRequestReceived {
 			r.taken = append(r.taken, r.now)
--- a/internal/decision/routing/logic.go
+++ b/internal/decision/routing/logic.go
@@ -71,16 +71,16 @@
 	if s == nil {
 		return
 	}
-	s.whole = l.now + min(s.typ.LatencyObjective, e.TimeLeft) - margin
+	s.whole = l.now + min(s.typ.LatencyObjective, e.RemainingTime) - margin
 	s.deadline = s.whole
 	if s.typ.SecondPhaseRequests > 0 { // the second step has to fit in
 		s.deadline -= min(d.p95, s.typ.LatencyObjective/4)
 	}
-	s.last = l.now + e.TimeLeft - guardSteps*l.t.ClockStep
+	s.last = l.now + e.RemainingTime - guardSteps*l.t.ClockStep
 	// A repeat shorter than the usual try was cut by its client's timeout, which tells when it first asked.
-	usual := d.lengths[e.Type].vote(e.TimeLeft)
-	if (e.Retry || !l.t.ClientsMarkRetries) && e.TimeLeft < usual-repeatSlack {
-		s.spent = max(0, s.typ.Timeout-e.TimeLeft)
+	usual := d.lengths[e.Type].vote(e.RemainingTime)
+	if (e.Retry || !l.t.ClientsMarkRetries) && e.RemainingTime < usual-repeatSlack {
+		s.spent = max(0, s.typ.Timeout-e.RemainingTime)
 	}
 }
 
--- a/internal/decision/routing/logic_test.go
+++ b/internal/decision/routing/logic_test.go
@@ -92,7 +92,7 @@
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	l, actions, now := newRig(smallTerms(), 240).l, make([]decision.Action, 0, 16), time.Duration(0)
-	in := []decision.Event{{Kind: decision.QueryReceived, ID: 1, TimeLeft: time.Second, Weight: 1},
+	in := []decision.Event{{Kind: decision.QueryReceived, ID: 1, RemainingTime: time.Second, Weight: 1},
 		{Kind: decision.ShardRequestReceived, Weight: 1}}
 	back := []decision.Event{{Kind: decision.AttemptEnded, Outcome: decision.OK, Elapsed: 50 * ms}}
 	round := func() {
@@ -120,7 +120,7 @@
 		for i := range 400 {
 			r.ask(i%2, time.Second, 0, 1)
 			odd := decision.Event{Kind: decision.AttemptEnded, ID: uint64(i), Attempt: uint16(i % 3), Node: nodeID(i % 9)}
-			r.events = append(r.events, odd, odd, decision.Event{Kind: decision.ClientLeft, ID: 1 << 40})
+			r.events = append(r.events, odd, odd, decision.Event{Kind: decision.ClientDeparted, ID: 1 << 40})
 			if i%50 == 0 && nodes == 1 {
 				r.list(decision.ListUpdateReceived, decision.Endpoint{Node: nodeID(0), State: decision.Ready, StartedAt: -time.Duration(i) * ms})
 			}
--- a/internal/decision/routing/node.go
+++ b/internal/decision/routing/node.go
@@ -183,7 +183,7 @@
 			n.l.logf("%v warm", n.id)
 		} else {
 			k.mode = cold
-			have := t.ColdCapacity + (1-t.ColdCapacity)*float64(max(0, age))/float64(t.WarmUpTime)
+			have := t.InitialCapacity + (1-t.InitialCapacity)*float64(max(0, age))/float64(t.WarmUpTime)
 			k.share = min(1, coldSafety*t.OverloadMultiple*have)
 		}
 	}
--- a/internal/decision/routing/rules_test.go
+++ b/internal/decision/routing/rules_test.go
@@ -110,7 +110,7 @@
 		r.events = append(r.events, decision.Event{Kind: decision.ListPollFailed}, decision.Event{Kind: decision.GossipReceived})
 	}
 	if id := uint64(rnd.Int63n(int64(r.nextID + 1))); r.searches[id] != nil {
-		r.events = append(r.events, decision.Event{Kind: decision.ClientLeft, ID: id})
+		r.events = append(r.events, decision.Event{Kind: decision.ClientDeparted, ID: id})
 		r.drop(id)
 	}
 	if rnd.Intn(100) == 0 { // searches whose time a jump of the clock takes are no fault of the module
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -55,7 +55,7 @@
 	MaxInFlight         int           // queries and shard requests at once
 	PollList            bool          // the endpoint list comes only to those who ask
 
-	ColdCapacity     float64       // of a node that has just started, as a share of its warm capacity
+	InitialCapacity  float64       // of a node that has just started, as a share of its warm capacity
 	WarmUpTime       time.Duration // until a started node has its full capacity
 	OverloadMultiple float64       // a warming node fails under more than this multiple of its capacity
 	OverloadAfter    time.Duration // for so long
--- a/internal/lab/emu.go
+++ b/internal/lab/emu.go
@@ -152,7 +152,7 @@
 	b.next += uint64(len(shards)) + 1
 	b.searches[s.id] = s
 	serial := float32(s.id % (1 << 24))
-	b.tell(decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: typ, TimeLeft: t.Timeout, Weight: float64(len(shards))})
+	b.tell(decision.Event{Kind: decision.QueryReceived, ID: s.id, Serial: serial, Type: typ, RemainingTime: t.Timeout, Weight: float64(len(shards))})
 	for i, shard := range shards {
 		id := s.id + 1 + uint64(i)
 		s.shares[id], b.parts[id] = 1/float64(len(shards)), s
--- a/internal/lab/play/plain.go
+++ b/internal/lab/play/plain.go
@@ -65,7 +65,7 @@
 			p.asked, p.due = false, now+time.Second
 		case decision.QueryReceived:
 			y := &p.t.QueryTypes[e.Type]
-			s := &simple{id: e.ID, typ: y, deadline: now + min(y.LatencyObjective, e.TimeLeft) - 50*time.Millisecond, last: now + e.TimeLeft - 15*time.Millisecond}
+			s := &simple{id: e.ID, typ: y, deadline: now + min(y.LatencyObjective, e.RemainingTime) - 50*time.Millisecond, last: now + e.RemainingTime - 15*time.Millisecond}
 			p.hand = append(p.hand, s)
 			p.byID[e.ID] = s
 		case decision.ShardRequestReceived:
@@ -82,7 +82,7 @@
 					k.dead = k.tries >= 3 || !never && s.typ.Idempotency != decision.Idempotent
 				}
 			}
-		case decision.ClientLeft:
+		case decision.ClientDeparted:
 			if s := p.byID[e.ID]; s != nil {
 				s.over = true
 			}
--- a/internal/lab/script/settings.go
+++ b/internal/lab/script/settings.go
@@ -22,7 +22,7 @@
 	m := &t.Module
 	*m = decision.Settings{Seed: uint64(s.Seed), BrokerCount: b.Count, GossipAllowed: b.Peers, ClientsMarkRetries: true, ClockStep: 5 * time.Millisecond,
 		OverQuotaWeight: 0.05, Cells: f.Cells, CellsPerShard: 1, MaxBatch: 8, CancelAllowed: true, HedgingAllowed: true,
-		MaxRetryAfter: 2 * time.Second, MaxAttempts: b.Attempts, MaxInFlight: b.MaxOpen, PollList: true, ColdCapacity: f.ColdFrom,
+		MaxRetryAfter: 2 * time.Second, MaxAttempts: b.Attempts, MaxInFlight: b.MaxOpen, PollList: true, InitialCapacity: f.ColdFrom,
 		WarmUpTime: f.WarmAfter, OverloadMultiple: f.FallsAt, OverloadAfter: f.FallsAfter}
 	if b.Budget > 0 {
 		m.ExtraAttemptsMin, m.ExtraAttemptsShare, m.ExtraAttemptsWindow = 10, b.Budget, 10*time.Second
@@ -74,6 +74,6 @@
 		"permissions": map[string]any{"cancel": m.CancelAllowed, "connIdleNs": t.Idle.Nanoseconds(), "connectTimeoutNs": t.Dial.Nanoseconds(),
 			"maxAttempts": m.MaxAttempts, "maxOpen": m.MaxInFlight, "maxRetryAfterNs": m.MaxRetryAfter.Nanoseconds(), "multiplex": t.Streams,
 			"retryAfter": true, "secondCopies": m.HedgingAllowed},
-		"safety": map[string]any{"askWithinNs": t.AskEvery.Nanoseconds(), "coldFrom": m.ColdCapacity, "drainGraceNs": s.Fleet.Grace.Nanoseconds(),
+		"safety": map[string]any{"askWithinNs": t.AskEvery.Nanoseconds(), "coldFrom": m.InitialCapacity, "drainGraceNs": s.Fleet.Grace.Nanoseconds(),
 			"fallNs": m.OverloadAfter.Nanoseconds(), "tipMultiple": m.OverloadMultiple, "warmAfterNs": m.WarmUpTime.Nanoseconds()}})
 }
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -42,7 +42,7 @@
 	QueryTypes: []decision.QueryType{{LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1, MinCompleteness: 1, FullCompleteness: 1},
 		{LatencyObjective: 2 * time.Second, Timeout: 4 * time.Second, PriorityWeight: 1, MinCompleteness: 0.5, FullCompleteness: 1}},
 	CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: time.Second, MaxAttempts: 4, MaxInFlight: 4096,
-	ColdCapacity: 0.3, WarmUpTime: 12 * time.Second, OverloadMultiple: 2, OverloadAfter: 2 * time.Second}
+	InitialCapacity: 0.3, WarmUpTime: 12 * time.Second, OverloadMultiple: 2, OverloadAfter: 2 * time.Second}
 
 // RunStart plays one start in virtual time; the world stands as at discovery's return.
 func RunStart(s Start) *World {
--- a/internal/protocols/simwire/host.go
+++ b/internal/protocols/simwire/host.go
@@ -178,7 +178,7 @@
 			return err
 		}
 	case evWorkItem:
-		e.Kind, e.ID, e.TimeLeft = decision.QueryReceived, be.Uint64(r[1:]), span(be.Uint64(r[9:]))
+		e.Kind, e.ID, e.RemainingTime = decision.QueryReceived, be.Uint64(r[1:]), span(be.Uint64(r[9:]))
 		e.Weight, e.Type = float64(float(r[17:])), int(r[21])
 		e.Tenant, e.Serial, e.Retry = int(be.Uint16(r[30:])), float(r[45:]), r[36]&flagRepeat != 0
 		if shard := float(r[32:]); shard >= 0 && shard < 1<<24 {
@@ -198,7 +198,7 @@
 		}
 		e.Outcome = decision.Outcome(status)
 	case evHangup:
-		e.Kind, e.ID = decision.ClientLeft, be.Uint64(r[1:])
+		e.Kind, e.ID = decision.ClientDeparted, be.Uint64(r[1:])
 	case evElapsed:
 		e.Kind = decision.TimerFired
 	case evDatagram:
--- a/internal/protocols/simwire/simwire_test.go
+++ b/internal/protocols/simwire/simwire_test.go
@@ -78,7 +78,7 @@
 	if e.Node.Port != 0x2bc3 || e.Cell != 1 || e.State != decision.Ready || e.StartedAt != -10 {
 		t.Errorf("entry read as %+v", e)
 	}
-	if s := made[0].seen[1]; s.ID != 77 || s.TimeLeft != 500*time.Millisecond || !s.Retry {
+	if s := made[0].seen[1]; s.ID != 77 || s.RemainingTime != 500*time.Millisecond || !s.Retry {
 		t.Errorf("search read as %+v", s)
 	}
 	reply := out[8:] // the first batch brings no action
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -111,7 +111,7 @@
 	q.requests = make([]shardRequest, len(q.Request.Shards))
 	l.readPins.pinQuery(q)
 	serial := float32(q.id % (1 << 24)) // exact in a float32, and far more ids than can be in flight
-	l.post(decision.Event{Kind: decision.QueryReceived, ID: q.id, Serial: serial, Type: q.Type, Tenant: q.Tenant, TimeLeft: left,
+	l.post(decision.Event{Kind: decision.QueryReceived, ID: q.id, Serial: serial, Type: q.Type, Tenant: q.Tenant, RemainingTime: left,
 		Weight: float64(len(q.requests)), Retry: q.Retry})
 	for i := range q.Request.Shards {
 		r := &q.Request.Shards[i]
@@ -150,7 +150,7 @@
 		l.gateway.abandon(q)
 		return
 	}
-	l.post(decision.Event{Kind: decision.ClientLeft, ID: q.id})
+	l.post(decision.Event{Kind: decision.ClientDeparted, ID: q.id})
 	l.finish(q)
 	l.cancelUnsent(q) // now, as a connection may come up in the same moment
 }
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -173,7 +173,7 @@
 	if q.done {
 		return
 	}
-	g.loop.post(decision.Event{Kind: decision.ClientLeft, ID: q.id})
+	g.loop.post(decision.Event{Kind: decision.ClientDeparted, ID: q.id})
 	g.loop.deliverResult(q, query.Result{Outcome: query.Failed})
 	g.loop.finish(q)
 }
