--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -10,11 +10,11 @@
 // admissionHost is what admission may use of the loop.
 type admissionHost interface {
 	host
-	hasCapacity(q *search) bool
-	hold(q *search)
-	release(q *search)
-	submit(q *search, left time.Duration)
-	deliverResult(q *search, r query.Result)
+	hasCapacity(q *activeQuery) bool
+	hold(q *activeQuery)
+	release(q *activeQuery)
+	submit(q *activeQuery, left time.Duration)
+	deliverResult(q *activeQuery, r query.Result)
 	shedResult() query.Result
 }
 
@@ -23,10 +23,10 @@
 type admissionControl struct {
 	*admission.Door
 	loop            admissionHost
-	waiting         map[uint64]*search // by ticket
+	waiting         map[uint64]*activeQuery // by ticket
 	lastTicket      uint64
 	tenants         []string
-	admitted        []*search // since the last step
+	admitted        []*activeQuery // since the last step
 	releases        []admission.Let
 	schedulingDelay delayMeter
 }
@@ -54,7 +54,7 @@
 func (a *admissionControl) handle(message) bool { return false }
 
 // request asks for a query to be let in; true: it may enter now. Otherwise it waits, or has its result. Without admission all may enter.
-func (a *admissionControl) request(q *search) bool {
+func (a *admissionControl) request(q *activeQuery) bool {
 	if a == nil {
 		return true
 	}
@@ -85,7 +85,7 @@
 	return false
 }
 
-func (a *admissionControl) tenantOf(q *search) int { return min(q.Tenant, len(a.tenants)-1) }
+func (a *admissionControl) tenantOf(q *activeQuery) int { return min(q.Tenant, len(a.tenants)-1) }
 
 // tick lets in those that waited, or sheds them.
 func (a *admissionControl) tick(now time.Duration) time.Duration {
@@ -113,13 +113,13 @@
 }
 
 // finishQueued gives a query that waited its result.
-func (a *admissionControl) finishQueued(q *search, r query.Result) {
+func (a *admissionControl) finishQueued(q *activeQuery, r query.Result) {
 	a.loop.deliverResult(q, r)
 	a.loop.release(q)
 }
 
 // abandon forgets a query that waits, as its client has gone or its time is up.
-func (a *admissionControl) abandon(q *search) {
+func (a *admissionControl) abandon(q *activeQuery) {
 	a.Gone(a.tenantOf(q), q.admission.ticket)
 	delete(a.waiting, q.admission.ticket)
 	q.admission.queued = false
@@ -127,7 +127,7 @@
 	a.loop.release(q)
 }
 
-func (a *admissionControl) markAdmitted(q *search, now time.Duration) {
+func (a *admissionControl) markAdmitted(q *activeQuery, now time.Duration) {
 	q.admission.admitted = true
 	q.admission.admittedAt = now
 	a.admitted = append(a.admitted, q)
@@ -156,7 +156,7 @@
 }
 
 // done tells admission, once, that a query which it let in has ended.
-func (a *admissionControl) done(q *search, outcome query.Outcome) {
+func (a *admissionControl) done(q *activeQuery, outcome query.Outcome) {
 	if !q.admission.admitted {
 		return
 	}
--- a/internal/server/admission_open.go
+++ b/internal/server/admission_open.go
@@ -38,7 +38,7 @@
 			return nil, &InvalidWeightsError{err}
 		}
 	}
-	return &admissionControl{Door: admission.NewDoor(p), waiting: map[uint64]*search{}, tenants: tenants}, nil
+	return &admissionControl{Door: admission.NewDoor(p), waiting: map[uint64]*activeQuery{}, tenants: tenants}, nil
 }
 
 // InvalidWeightsError tells that weights of the operators' file do not fit the tenants of the settings.
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	l.useAdmission(admission)
-	s := &search{Request: &query.Request{ID: "a", Shards: []query.ShardRequest{{Name: "a.0", Weight: 1}}}, deadline: 5 * time.Second, result: make(chan query.Result, 1)}
+	s := &activeQuery{Request: &query.Request{ID: "a", Shards: []query.ShardRequest{{Name: "a.0", Weight: 1}}}, deadline: 5 * time.Second, result: make(chan query.Result, 1)}
 	now = 1 * time.Second
 	l.handle(queryReceived{s})
 	now = 1300 * time.Millisecond
--- a/internal/server/control_plane_view.go
+++ b/internal/server/control_plane_view.go
@@ -78,7 +78,7 @@
 }
 
 // countResult adds a result to its query type's counts.
-func (v *controlPlaneView) countResult(q *search, outcome query.Outcome) {
+func (v *controlPlaneView) countResult(q *activeQuery, outcome query.Outcome) {
 	if v == nil || q.Type < 0 || q.Type >= len(v.classes) {
 		return
 	}
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -60,7 +60,7 @@
 }
 
 // PendingQuery is a query that was put to a core.
-type PendingQuery struct{ s *search }
+type PendingQuery struct{ s *activeQuery }
 
 // Done tells whether it has its result, or was abandoned.
 func (p PendingQuery) Done() bool { return p.s.done }
@@ -113,7 +113,7 @@
 	for i, shard := range a.Shards {
 		q.Shards[i] = query.ShardRequest{Name: query.ShardRequestName(a.ID, shard), Shard: shard, Weight: a.Weights[i]}
 	}
-	s := &search{Request: q, arrival: c.l.since(), deadline: c.l.since() + a.Timeout}
+	s := &activeQuery{Request: q, arrival: c.l.since(), deadline: c.l.since() + a.Timeout}
 	s.onResult = func(v query.Result) {
 		out := QueryResult{Answered: v.Outcome == query.Answered, Complete: v.Complete, Shed: v.Outcome == query.Shed, RetryAfter: v.RetryAfter,
 			Hinted: v.Hinted, Positions: v.Positions, Behind: v.Behind, Staleness: v.Staleness}
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -68,8 +68,8 @@
 		a, b := discovery.ID("a"), discovery.ID("b")
 		l.handleList(&discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
 		m.to = a
-		admit := func(id string) *search {
-			s := &search{Request: &query.Request{ID: id, Shards: []query.ShardRequest{{Name: id + ".0", Weight: 1}}}, deadline: l.since() + 5*time.Second,
+		admit := func(id string) *activeQuery {
+			s := &activeQuery{Request: &query.Request{ID: id, Shards: []query.ShardRequest{{Name: id + ".0", Weight: 1}}}, deadline: l.since() + 5*time.Second,
 				result: make(chan query.Result, 1)}
 			l.handle(queryReceived{s})
 			l.advance()
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -44,7 +44,7 @@
 // RunQuery is the life of a search of another front: from here to its one verdict. When ctx ends its client has gone, and the search is
 // left.
 func (s *Server) RunQuery(ctx context.Context, a *Query) (QueryResult, error) {
-	q := &search{Request: &query.Request{ID: a.ID, Type: a.Type, Tenant: a.Tenant, Client: a.Client, Retry: a.Retry, Timeout: a.Timeout, Text: a.Text},
+	q := &activeQuery{Request: &query.Request{ID: a.ID, Type: a.Type, Tenant: a.Tenant, Client: a.Client, Retry: a.Retry, Timeout: a.Timeout, Text: a.Text},
 		arrival: s.loop.since(), deadline: s.loop.since() + a.Timeout, result: make(chan query.Result, 1)}
 	for i, shard := range a.Shards {
 		q.Request.Shards = append(q.Request.Shards, query.ShardRequest{Name: query.ShardRequestName(a.ID, shard), Shard: shard, Weight: a.Weights[i]})
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -20,17 +20,17 @@
 // gatewayHost is what the gateway may use of the loop.
 type gatewayHost interface {
 	host
-	receive(q *search)
-	hasCapacity(q *search) bool
+	receive(q *activeQuery)
+	hasCapacity(q *activeQuery) bool
 	capacity() (used, limit int)
-	submit(q *search, left time.Duration)
-	finish(q *search)
-	detach(q *search)
-	release(q *search)
-	deliverResult(q *search, r query.Result)
+	submit(q *activeQuery, left time.Duration)
+	finish(q *activeQuery)
+	detach(q *activeQuery)
+	release(q *activeQuery)
+	deliverResult(q *activeQuery, r query.Result)
 	shedResult() query.Result
 	retryAfterLimit() time.Duration
-	admissionDone(q *search, outcome query.Outcome)
+	admissionDone(q *activeQuery, outcome query.Outcome)
 	typeOf(r *query.Request) *decision.QueryType
 	hasAvailableReplica(shard int) bool
 }
@@ -43,8 +43,8 @@
 	incoming        *forwarding.Far
 	links           *link.Links
 	settings        *terms.Terms
-	conns           []*link.Conn       // established, by peer
-	forwarded       map[uint64]*search // by the id that they had when they were forwarded
+	conns           []*link.Conn            // established, by peer
+	forwarded       map[uint64]*activeQuery // by the id that they had when they were forwarded
 	remote          map[forwarding.Key]*remoteQuery
 	nextStatus      time.Duration
 	stopping        func() bool // a graceful shutdown is under way
@@ -68,7 +68,7 @@
 		settings:  t,
 		stopping:  stopping,
 		conns:     make([]*link.Conn, len(names)),
-		forwarded: map[uint64]*search{},
+		forwarded: map[uint64]*activeQuery{},
 		remote:    map[forwarding.Key]*remoteQuery{},
 	}
 }
@@ -90,7 +90,7 @@
 }
 
 // admissionDone tells admission that a query which it let in has ended here.
-func (l *loop) admissionDone(q *search, outcome query.Outcome) { l.admission.done(q, outcome) }
+func (l *loop) admissionDone(q *activeQuery, outcome query.Outcome) { l.admission.done(q, outcome) }
 
 func (g *siteGateway) handle(m message) bool {
 	e, ok := m.(linkEvent)
@@ -145,7 +145,7 @@
 
 // offer tells whether a query that the router sheds is forwarded. The loop keeps its client and its id only. A query with read pins is
 // not: the positions that its reads need are known here alone.
-func (g *siteGateway) offer(q *search) bool {
+func (g *siteGateway) offer(q *activeQuery) bool {
 	if g == nil || q.pin != nil {
 		return false
 	}
@@ -173,7 +173,7 @@
 }
 
 // abandon forgets a forwarded query that nobody waits for any more.
-func (g *siteGateway) abandon(q *search) {
+func (g *siteGateway) abandon(q *activeQuery) {
 	g.outgoing.Gone(q.id)
 	g.execute()
 	g.forget(q, q.id)
@@ -188,7 +188,7 @@
 	}
 }
 
-func (g *siteGateway) executeOne(q *search, a forwarding.Act) {
+func (g *siteGateway) executeOne(q *activeQuery, a forwarding.Act) {
 	switch a.Kind {
 	case forwarding.Forward:
 		if q == nil || g.conns[a.Peer] == nil || !g.conns[a.Peer].Ask(g.encode(q, a)) {
@@ -210,20 +210,20 @@
 }
 
 // finish gives a forwarded query its result.
-func (g *siteGateway) finish(q *search, id uint64, r query.Result) {
+func (g *siteGateway) finish(q *activeQuery, id uint64, r query.Result) {
 	g.loop.deliverResult(q, r)
 	g.forget(q, id)
 }
 
 // forget drops a forwarded query.
-func (g *siteGateway) forget(q *search, id uint64) {
+func (g *siteGateway) forget(q *activeQuery, id uint64) {
 	q.done = true
 	delete(g.forwarded, id)
 	g.loop.release(q)
 }
 
 // takeBack submits a forwarded query to the router once more, as a new one with the time that is left.
-func (g *siteGateway) takeBack(q *search, a forwarding.Act) {
+func (g *siteGateway) takeBack(q *activeQuery, a forwarding.Act) {
 	delete(g.forwarded, a.ID)
 	q.forwarding.forwarded = false
 	q.forwarding.takenBack = true
@@ -239,7 +239,7 @@
 }
 
 // safeResult is the result of a query that is shed: one that may have run at another site can't promise that sending it again is harmless.
-func (g *siteGateway) safeResult(q *search, r query.Result) query.Result {
+func (g *siteGateway) safeResult(q *activeQuery, r query.Result) query.Result {
 	if r.Outcome == query.Shed && q.forwarding.mayHaveRun && g.loop.typeOf(q.Request).Idempotency != decision.Idempotent {
 		return query.Result{Outcome: query.Failed}
 	}
--- a/internal/server/ingress_broker.go
+++ b/internal/server/ingress_broker.go
@@ -11,7 +11,7 @@
 
 // Submit hands a query to the loop; false: the broker has ended. It waits while the loop's queue is full.
 func (s *Server) Submit(r query.Submission) (query.Pending, bool) {
-	q := &search{
+	q := &activeQuery{
 		Request:             r.Request,
 		arrival:             r.Arrival,
 		deadline:            s.answerBy(r.Arrival, r.Request.Timeout),
@@ -32,10 +32,10 @@
 func (s *Server) CountersJSON() string { return s.Counters().String() }
 
 // Result delivers the one result, where no other receiver was named.
-func (s *search) Result() <-chan query.Result { return s.result }
+func (s *activeQuery) Result() <-chan query.Result { return s.result }
 
 // Deadline is when the query has to be answered, since the broker's start.
-func (s *search) Deadline() time.Duration { return s.deadline }
+func (s *activeQuery) Deadline() time.Duration { return s.deadline }
 
 // Abandon ends the query early.
-func (s *search) Abandon(cause query.AbandonCause) { s.server.deliver(queryAbandoned{s, cause}) }
+func (s *activeQuery) Abandon(cause query.AbandonCause) { s.server.deliver(queryAbandoned{s, cause}) }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -44,10 +44,10 @@
 	// queries in flight
 	nextID              uint64
 	slotsUsed           int
-	queries             map[uint64]*search
-	queryOfShardRequest map[uint64]*search
+	queries             map[uint64]*activeQuery
+	queryOfShardRequest map[uint64]*activeQuery
 	requestIDs          map[string]bool
-	finished            []*search // in this step
+	finished            []*activeQuery // in this step
 
 	// the next step
 	events      []decision.Event
@@ -78,8 +78,8 @@
 		pollDiscovery:       func() {},
 		sendGossip:          func(string) {},
 		nextID:              1,
-		queries:             map[uint64]*search{},
-		queryOfShardRequest: map[uint64]*search{},
+		queries:             map[uint64]*activeQuery{},
+		queryOfShardRequest: map[uint64]*activeQuery{},
 		requestIDs:          map[string]bool{},
 	}
 	l.applyLimits(t)
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -49,7 +49,7 @@
 
 // one client asks for one search and checks its answer, or leaves.
 func (w *world) client(n, typ int, leaves bool) {
-	s := &search{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
+	s := &activeQuery{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
 		result: make(chan query.Result, 1)}
 	shards := w.rnd.Perm(6)[:1+w.rnd.IntN(6)]
 	for _, shard := range shards {
@@ -196,7 +196,7 @@
 		l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
 		var verdicts []query.Outcome
 		for i, id := range []string{"a", "a", "b", "c"} {
-			s := &search{Request: &query.Request{ID: id, Shards: make([]query.ShardRequest, 15+i)}, result: make(chan query.Result, 1)}
+			s := &activeQuery{Request: &query.Request{ID: id, Shards: make([]query.ShardRequest, 15+i)}, result: make(chan query.Result, 1)}
 			l.handle(queryReceived{s})
 			if len(s.result) > 0 {
 				v := <-s.result
--- a/internal/server/messages.go
+++ b/internal/server/messages.go
@@ -19,9 +19,9 @@
 
 // Messages that the loop handles itself.
 type (
-	queryReceived  struct{ s *search }
+	queryReceived  struct{ s *activeQuery }
 	queryAbandoned struct {
-		s     *search
+		s     *activeQuery
 		cause query.AbandonCause
 	}
 	connectionEvent struct{ store.Event } // of a connection to a node
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -9,8 +9,8 @@
 	"flaxfront/internal/transport/store"
 )
 
-// search is a query in flight. Only the loop uses it, but for the methods that make it a query.Pending.
-type search struct {
+// activeQuery is a query in flight. Only the loop uses it, but for the methods that make it a query.Pending.
+type activeQuery struct {
 	*query.Request
 	arrival             time.Duration      // when it had come whole
 	deadline            time.Duration      // when its client gives up
@@ -36,13 +36,13 @@
 }
 
 // slots is how many of the slots for queries and shard requests in flight a query takes.
-func (q *search) slots() int { return 1 + len(q.Request.Shards) }
+func (q *activeQuery) slots() int { return 1 + len(q.Request.Shards) }
 
 // fromOtherSite tells whether a broker of another site sent the query.
-func (q *search) fromOtherSite() bool { return q.forwarding.remote }
+func (q *activeQuery) fromOtherSite() bool { return q.forwarding.remote }
 
 // receive hands a query to the router, if there are slots for it and its shard requests and admission lets it enter at once.
-func (l *loop) receive(q *search) {
+func (l *loop) receive(q *activeQuery) {
 	l.counters.Received++
 	if l.requestIDs[q.Request.ID] {
 		l.deliverResult(q, query.Result{Outcome: query.Duplicate})
@@ -64,7 +64,7 @@
 }
 
 // admit tells whether a client's query may go to the router now. Otherwise it waits for admission, or has its result.
-func (l *loop) admit(q *search) bool {
+func (l *loop) admit(q *activeQuery) bool {
 	if retryAfter, overloaded := l.connLeases.overloaded(q.Tenant); overloaded {
 		l.counters.RejectedByAdmission++
 		l.deliverResult(q, query.Result{Outcome: query.Shed, RetryAfter: min(retryAfter, l.maxRetryAfter)})
@@ -74,7 +74,7 @@
 }
 
 // hasCapacity tells whether there are slots for a query and its shard requests.
-func (l *loop) hasCapacity(q *search) bool { return l.slotsUsed+q.slots() <= l.maxInFlight }
+func (l *loop) hasCapacity(q *activeQuery) bool { return l.slotsUsed+q.slots() <= l.maxInFlight }
 
 // capacity is how many slots are used, and how many there are.
 func (l *loop) capacity() (used, limit int) { return l.slotsUsed, l.maxInFlight }
@@ -91,19 +91,19 @@
 func (l *loop) typeOf(r *query.Request) *decision.QueryType { return &l.queryTypes[r.Type] }
 
 // hold counts a query as in flight, so that another of its id is a duplicate.
-func (l *loop) hold(q *search) {
+func (l *loop) hold(q *activeQuery) {
 	l.counters.InFlight++
 	l.requestIDs[q.Request.ID] = true
 }
 
 // release takes a query out of flight that the router does not have.
-func (l *loop) release(q *search) {
+func (l *loop) release(q *activeQuery) {
 	l.counters.InFlight--
 	delete(l.requestIDs, q.Request.ID)
 }
 
 // submit gives a query in flight to the router, with the time that is left to it.
-func (l *loop) submit(q *search, left time.Duration) {
+func (l *loop) submit(q *activeQuery, left time.Duration) {
 	q.id = l.nextID
 	l.nextID += uint64(q.slots())
 	l.slotsUsed += q.slots()
@@ -123,7 +123,7 @@
 }
 
 // findShardRequest finds the query of a shard request, and its index there; nil: it is not in flight.
-func (l *loop) findShardRequest(id uint64) (*search, int) {
+func (l *loop) findShardRequest(id uint64) (*activeQuery, int) {
 	if q := l.queryOfShardRequest[id]; q != nil {
 		return q, int(id - q.id - 1)
 	}
@@ -156,20 +156,20 @@
 }
 
 // finish takes a query out of flight; it is forgotten once the actions of its last step are executed.
-func (l *loop) finish(q *search) {
+func (l *loop) finish(q *activeQuery) {
 	q.done = true
 	l.counters.InFlight--
 	l.detach(q)
 }
 
 // detach frees the slots of a query that the router has ended.
-func (l *loop) detach(q *search) {
+func (l *loop) detach(q *activeQuery) {
 	l.slotsUsed -= q.slots()
 	l.finished = append(l.finished, q)
 }
 
 // cancelUnsent cancels the attempts that were not written to a node yet; they never are.
-func (l *loop) cancelUnsent(q *search) {
+func (l *loop) cancelUnsent(q *activeQuery) {
 	for i := range q.requests {
 		for _, attempt := range q.requests[i].attempts {
 			if !attempt.Written() {
@@ -180,7 +180,7 @@
 }
 
 // forget drops a query that the router has ended. What was not written to a node by now never is.
-func (l *loop) forget(q *search) {
+func (l *loop) forget(q *activeQuery) {
 	l.cancelUnsent(q)
 	for i := range q.requests {
 		delete(l.queryOfShardRequest, q.id+1+uint64(i))
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -21,7 +21,7 @@
 // readPinsHost is what read pins may use of the loop.
 type readPinsHost interface {
 	host
-	findShardRequest(id uint64) (*search, int)
+	findShardRequest(id uint64) (*activeQuery, int)
 	retryAfterLimit() time.Duration
 }
 
@@ -104,7 +104,7 @@
 
 // pinQuery finds the eligible replicas of a query's shard requests. A shard request without one is given to the router with none: what the
 // query type's minimum allows is answered without it, and else the query is shed with the time to return.
-func (p *readPinning) pinQuery(q *search) {
+func (p *readPinning) pinQuery(q *activeQuery) {
 	if p == nil || q.Hint == nil {
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 // allowedReplicas are the replicas that a shard request may go to; nil: any.
-func (q *search) allowedReplicas(i int) *decision.AllowedReplicas {
+func (q *activeQuery) allowedReplicas(i int) *decision.AllowedReplicas {
 	if q.pin == nil {
 		return nil
 	}
@@ -137,7 +137,7 @@
 }
 
 // attemptSent counts an attempt.
-func (p *readPinning) attemptSent(q *search, attempt *store.Part, now time.Duration) {
+func (p *readPinning) attemptSent(q *activeQuery, attempt *store.Part, now time.Duration) {
 	if p == nil {
 		return
 	}
@@ -176,7 +176,7 @@
 }
 
 // annotateResult adds to a result what its client has to know.
-func (p *readPinning) annotateResult(q *search, r *query.Result) {
+func (p *readPinning) annotateResult(q *activeQuery, r *query.Result) {
 	if q.pin == nil {
 		return
 	}
@@ -190,7 +190,7 @@
 }
 
 // lacksEligibleReplica tells whether a shard request that is not answered has no eligible replica.
-func (q *search) lacksEligibleReplica() bool {
+func (q *activeQuery) lacksEligibleReplica() bool {
 	for i := range q.requests {
 		if !q.requests[i].answered && len(q.pin.requests[i].allowed.Nodes) == 0 {
 			return true
@@ -200,7 +200,7 @@
 }
 
 // annotateAnswer states the positions and the age of the answers.
-func (p *readPinning) annotateAnswer(q *search, r *query.Result) {
+func (p *readPinning) annotateAnswer(q *activeQuery, r *query.Result) {
 	oldest, behind := p.loop.since(), []int{}
 	for i := range q.requests {
 		if !q.requests[i].answered {
--- a/internal/server/read_pins_test.go
+++ b/internal/server/read_pins_test.go
@@ -140,7 +140,7 @@
 // A search with a hint is not sent to another site, where nobody would obey it.
 func TestHintsStayAtHome(t *testing.T) {
 	l := &loop{gateway: &siteGateway{}}
-	if l.gateway.offer(&search{Request: &query.Request{}, pin: &pinnedQuery{}}) {
+	if l.gateway.offer(&activeQuery{Request: &query.Request{}, pin: &pinnedQuery{}}) {
 		t.Error("offered")
 	}
 }
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -13,7 +13,7 @@
 
 // remoteQuery is a query of another site.
 type remoteQuery struct {
-	query  *search
+	query  *activeQuery
 	conn   *link.Conn // that sent it last; nil: down
 	result *link.Verdict
 }
@@ -96,7 +96,7 @@
 }
 
 // verifiedAnswer makes a result of another site's answers; failed if they are not what they claim to be.
-func (q *search) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
+func (q *activeQuery) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
 	invalid := query.Result{Outcome: query.Failed}
 	completeness, r := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
 	for _, p := range v.Pieces {
@@ -138,7 +138,7 @@
 			c.Verdict(*r.result)
 		}
 	case forwarding.Run:
-		r := &remoteQuery{conn: c, query: &search{Request: request, deadline: now + left}}
+		r := &remoteQuery{conn: c, query: &activeQuery{Request: request, deadline: now + left}}
 		r.query.forwarding.remote = true
 		r.query.onResult = func(result query.Result) { g.sendResult(k, r, result) }
 		g.remote[k] = r
@@ -169,7 +169,7 @@
 }
 
 // cancelRemote ends another site's query that nobody waits for.
-func (g *siteGateway) cancelRemote(q *search) {
+func (g *siteGateway) cancelRemote(q *activeQuery) {
 	if q.done {
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // encode makes of a query what the link carries.
-func (g *siteGateway) encode(q *search, a forwarding.Act) link.Ask {
+func (g *siteGateway) encode(q *activeQuery, a forwarding.Act) link.Ask {
 	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
 		Request: q.Request.ID, Text: q.Text}
 	if len(g.settings.Tenants) > 0 {
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -6,7 +6,7 @@
 )
 
 // resultOf makes the result of the router's action and the answers that have come.
-func (q *search) resultOf(a *decision.Action) query.Result {
+func (q *activeQuery) resultOf(a *decision.Action) query.Result {
 	switch a.Kind {
 	case decision.ShedQuery:
 		return query.Result{Outcome: query.Shed, RetryAfter: a.RetryAfter}
@@ -23,7 +23,7 @@
 }
 
 // deliverResult gives a query its one result and counts it.
-func (l *loop) deliverResult(q *search, r query.Result) {
+func (l *loop) deliverResult(q *activeQuery, r query.Result) {
 	switch r.Outcome {
 	case query.Answered:
 		l.counters.Answered++
--- a/internal/server/router_step.go
+++ b/internal/server/router_step.go
@@ -57,7 +57,7 @@
 }
 
 // endQuery gives a query the result that the router decided on, or forwards it to another site instead of shedding it.
-func (l *loop) endQuery(q *search, a *decision.Action) {
+func (l *loop) endQuery(q *activeQuery, a *decision.Action) {
 	if a.Kind == decision.ShedQuery && l.gateway.offer(q) {
 		return
 	}
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -32,7 +32,7 @@
 	loop   *loop
 	mu     sync.Mutex // guards the maps
 	dials  map[string]int
-	asked  map[string]*search
+	asked  map[string]*activeQuery
 	runs   map[string]bool // parts that may have run at some node
 	made   map[string]bool // values that nodes made, by part
 	downAt map[string]time.Duration
@@ -194,7 +194,7 @@
 	tm := decoded(t)
 	tm.Module.Seed = seed
 	w := &world{t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 1)), dials: map[string]int{},
-		asked: map[string]*search{}, runs: map[string]bool{},
+		asked: map[string]*activeQuery{}, runs: map[string]bool{},
 		made: map[string]bool{}, downAt: map[string]time.Duration{}}
 	w.loop = newLoop(time.Now(), checked{routing.New(tm.Module), w}, &tm.Module)
 	for i := range 8 {
