--- a/internal/lab/proof/budgets_test.go
+++ b/internal/lab/proof/budgets_test.go
@@ -83,7 +83,7 @@
 	stall(1)
 	c.until("a broker holds units", func() bool { stall(1); return holds(c.Brokers[3]) })
 	out, held := second.End(), peak()
-	if c.Brokers[3].Term(); !c.Brokers[3].Over(patient) || len(c.Brokers[3].Logged(0, "fleet: gave up what it held")) == 0 {
+	if c.Brokers[3].Term(); !c.Brokers[3].Over(patient) || len(c.Brokers[3].Logged(0, "connection leases released")) == 0 {
 		t.Error("a broker that stopped in good order gave nothing up")
 	}
 	t.Logf("%d connections to a node at most under the policy, budget %d; %d before it; %d of %d searches answered", held, budgetOfNode,
@@ -96,11 +96,11 @@
 // holds tells whether a broker holds units under its present session: one that was lost meanwhile begins with nothing.
 func holds(b *chaos.Broker) (now bool) {
 	session := ""
-	for _, line := range b.Logged(0, "fleet: ") {
+	for _, line := range b.Logged(0, "") {
 		if _, inc, ok := strings.Cut(line, " incarnation="); ok && strings.Contains(line, connected) && inc != session {
 			session, now = inc, false
 		}
-		now = now || strings.Contains(line, "fleet: holds")
+		now = now || strings.Contains(line, "connection leases held")
 	}
 	return now
 }
--- a/internal/server/admission_open.go
+++ b/internal/server/admission_open.go
@@ -35,27 +35,25 @@
 	}
 	if len(o.Weights) > 0 {
 		if err := parseWeights(p.Weights, tenants, o.Weights); err != nil {
-			return nil, &InvalidWeightsError{err}
+			return nil, err
 		}
 	}
 	return &admissionControl{Door: admission.NewDoor(p), waiting: map[uint64]*activeQuery{}, tenants: tenants}, nil
 }
 
 // InvalidWeightsError tells that weights of the operators' file do not fit the tenants of the settings.
-type InvalidWeightsError struct{ Err error }
+type InvalidWeightsError struct{ Reason string }
 
 func (e *InvalidWeightsError) Error() string {
-	return fmt.Sprintf("operators' file: door.weights: %v", e.Err)
+	return "operators' file: door.weights: " + e.Reason
 }
 
-func (e *InvalidWeightsError) Unwrap() error { return e.Err }
-
 // Remedy is what an operator can do.
 func (e *InvalidWeightsError) Remedy() string {
 	return "name each tenant of the settings once in door.weights, as NAME=WEIGHT, so that the weights add up to 1; or leave it empty"
 }
 
-// parseWeights reads TENANT=WEIGHT texts into weights, which must name each tenant once and add up to 1.
+// parseWeights reads TENANT=WEIGHT texts into weights, which must name each tenant once and add up to 1. Its errors are InvalidWeightsError.
 func parseWeights(weights []float64, tenants, texts []string) error {
 	sum := 0.0
 	named := map[string]bool{}
@@ -64,14 +62,14 @@
 		at := slices.Index(tenants, name)
 		weight, err := strconv.ParseFloat(value, 64)
 		if at < 0 || named[name] || err != nil || !(weight >= 0 && weight <= 1) {
-			return fmt.Errorf("%.60q is not TENANT=WEIGHT of a tenant of the settings, named once, from 0 to 1", text)
+			return &InvalidWeightsError{fmt.Sprintf("%.60q is not TENANT=WEIGHT of a tenant of the settings, named once, from 0 to 1", text)}
 		}
 		named[name] = true
 		weights[at] = weight
 		sum += weight
 	}
 	if len(named) != len(tenants) || math.Abs(sum-1) > weightSumSlip {
-		return fmt.Errorf("%d of %d tenants are named, and their weights add up to %v instead of 1", len(named), len(tenants), sum)
+		return &InvalidWeightsError{fmt.Sprintf("%d of %d tenants are named, and their weights add up to %v instead of 1", len(named), len(tenants), sum)}
 	}
 	return nil
 }
--- a/internal/server/cached_list.go
+++ b/internal/server/cached_list.go
@@ -19,7 +19,7 @@
 // What an entry is worth is cachedlist.Judge's decision; writing is done outside the loop, by store.
 type cachedEndpointList struct {
 	loop       endpointHost
-	book       *cachedlist.Book
+	table      *cachedlist.Book
 	judge      *cachedlist.Judge
 	store      func(cachedlist.Changes) // must not wait
 	zone       func(name string) int
@@ -59,7 +59,7 @@
 	}
 	if now >= c.nextStore {
 		c.nextStore = now + storeInterval
-		if changes, any := c.book.Changes(); any {
+		if changes, any := c.table.Changes(); any {
 			c.store(changes)
 		}
 	}
@@ -101,12 +101,12 @@
 		return
 	}
 	now := c.loop.since()
-	ended, of := c.judge.Listed(bookList(list, list.Service), discovery.ID, now)
+	ended, of := c.judge.Listed(tableList(list, list.Service), discovery.ID, now)
 	if list.Whole && endedWarningFactor*ended > of {
 		slog.Warn("discovery's full list lacks most nodes; it is used as it is", "component", "cached-list", "ended", ended, "of", of,
 			"listed", len(list.Nodes), "service", list.Service, "generation", list.Version)
 	}
-	if n := c.book.Bound(c.maxEntries, c.keepEnded, cachedlist.At(c.start.Add(now))); n > 0 {
+	if n := c.table.Bound(c.maxEntries, c.keepEnded, cachedlist.At(c.start.Add(now))); n > 0 {
 		slog.Info("entries dropped from the cached list", "component", "cached-list", "entries", n)
 	}
 	c.nextStore = now
@@ -147,8 +147,8 @@
 	slog.Info("cached list changed by an operator", "component", "cached-list", "imported", imported, "forgotten", forgotten)
 }
 
-// bookList is a list as the book takes it.
-func bookList(list *discovery.List, service string) cachedlist.List {
+// tableList is a list as the book takes it.
+func tableList(list *discovery.List, service string) cachedlist.List {
 	l := cachedlist.List{Service: service, Generation: list.Version, Whole: list.Whole}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -22,7 +22,7 @@
 	book := cachedlist.NewBook(content.Head, content.Unsorted())
 	now := cachedlist.At(s.loop.start)
 	if s.listGiven {
-		book.Merge(bookList(s.initialList, s.discoveryAddress.String()), now)
+		book.Merge(tableList(s.initialList, s.discoveryAddress.String()), now)
 	}
 	book.Bound(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
 	list := newCachedList(&o, book, s.loop.start)
@@ -53,7 +53,7 @@
 		Parole:   o.Trust.Parole,
 	}
 	return &cachedEndpointList{
-		book:       book,
+		table:      book,
 		judge:      cachedlist.NewJudge(policy, book, cachedlist.At(start)),
 		maxEntries: o.NodeList.MaxEntries,
 		keepEnded:  o.NodeList.KeepEnded,
--- a/internal/server/connection_leases_test.go
+++ b/internal/server/connection_leases_test.go
@@ -92,8 +92,8 @@
 // What an incarnation held that ended between two looks ends a lease after the later of them at the soonest.
 func TestLeaseBetweenLooks(t *testing.T) {
 	g := &leaseGranting{granter: connlease.NewGranter(3*time.Second, time.Second, 0), incarnations: map[statemachine.Slot]uint64{}}
-	g.noteSession(statemachine.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
-	g.noteSession(statemachine.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
+	g.recordRenewal(statemachine.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
+	g.recordRenewal(statemachine.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
 	if ends := g.granter.Expiry(1, 1); ends < 10300*time.Millisecond+connlease.GranterExpiry(0, 3*time.Second)+time.Second {
 		t.Errorf("it ends at %v", ends)
 	}
--- a/internal/server/control_plane.go
+++ b/internal/server/control_plane.go
@@ -1,10 +1,6 @@
 package server
 
-// This file owns the fleet as part of a broker's life: opened, run, and heard when a release lets this broker go. It must never
-// make the loop wait for it.
-
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -25,11 +21,12 @@
 )
 
 const (
-	proposalTimeout = 5 * time.Second
-	joinTimeout     = time.Second // a broker that starts waits so long at most to hear what is agreed
+	proposalTimeout      = 5 * time.Second
+	joinTimeout          = time.Second // how long a start waits for what is agreed
+	drainAckRetryTimeout = 200 * time.Millisecond
 )
 
-// tierControlPlane is a broker's part of the tier's agreement.
+// tierControlPlane is a broker's part in the tier's control plane.
 type tierControlPlane struct {
 	*controlplane.Participant
 	keys        *keys.Keyring
@@ -41,8 +38,8 @@
 	triedPermit atomic.Uint64 // the last permit that was to be used
 	report      atomic.Pointer[controlplane.Report]
 	endpoints   atomic.Pointer[endpointSnapshot]
-	epoch       uint64 // handed on to pins
-	background  []func()
+	epoch       uint64   // that read pins have
+	background  []func() // goroutines to start with the control plane
 }
 
 // Voters are those of the operators' file.
@@ -65,170 +62,127 @@
 	return raftlog.Options{}, false
 }
 
-// openControlPlane opens what the fleet needs.
-func (s *Server) openControlPlane() (err error) {
+// openControlPlane opens the keys, the log and the listener, and attaches the control plane to the loop.
+func (s *Server) openControlPlane() error {
 	o := &s.operator.Fleet
-	p := &tierControlPlane{released: make(chan struct{}), joined: make(chan struct{})}
-	if p.keys, err = keys.Open(s.operator.FleetKeys()); err != nil {
+	ring, err := keys.Open(s.operator.FleetKeys())
+	if err != nil {
 		return err
 	}
-	opts := controlplane.Options{Keys: p.keys, Sources: o.Sources, ListenAddr: o.Listen, Slot: statemachine.Slot(o.Slot), Incarnation: uint64(time.Now().UnixMilli()),
-		Version: o.Version, Zone: o.Zone, LeaseDuration: o.Lease, MaxClockDrift: o.Drift, ElectionTimeout: o.Election, HeartbeatInterval: o.Heartbeat, MaxFollowers: o.Followers,
-		ReportInterval: o.Report, Seed: rand.Uint64(), Now: s.loop.since, OnView: s.receiveView}
-	opts.Voters, _ = Voters(o)
-	opts.ReleaseGates = release.Defaults()
-	g := &o.Gates
-	opts.ReleaseGates.Observe, opts.ReleaseGates.Warm, opts.ReleaseGates.Overdue, opts.ReleaseGates.Least = g.Observe, g.Warm, g.Overdue, float64(g.Least)
-	opts.ReleaseGates.Tolerance, opts.ReleaseGates.Alpha, opts.ReleaseGates.Back = g.Tolerance, g.Alpha, g.Back
-	if opts.Version == "" {
-		if info, ok := debug.ReadBuildInfo(); ok {
-			opts.Version = info.Main.Version
-		}
-	}
-	if log, votes := LogOptions(o, p.keys); votes {
-		if p.log, err = raftlog.Open(log); err != nil {
+	p := &tierControlPlane{keys: ring, released: make(chan struct{}), joined: make(chan struct{})}
+	options := s.controlPlaneOptions(p)
+	if log, votes := LogOptions(o, ring); votes {
+		p.log, err = raftlog.Open(log)
+		if err != nil {
 			return fmt.Errorf("fleet.directory: %w", err)
 		}
-		opts.Storage = p.log
+		options.Storage = p.log
 	}
 	if o.Listen != "" {
-		if opts.Listener, err = net.Listen("tcp", o.Listen); err != nil {
+		options.Listener, err = net.Listen("tcp", o.Listen)
+		if err != nil {
 			return err
 		}
-		opts.ListenAddr = opts.Listener.Addr().String()
+		options.ListenAddr = options.Listener.Addr().String()
 	}
-	opts.CollectReport = func() controlplane.Report {
-		if r := p.report.Load(); r != nil {
-			return *r
-		}
-		return controlplane.Report{}
-	}
-	if p.Participant, err = controlplane.New(opts); err != nil {
+	p.Participant, err = controlplane.New(options)
+	if err != nil {
 		return err
 	}
-	s.controlPlane = p
-	s.loop.useControlPlane(newControlPlaneView(s.start.Terms.Types))
-	s.loop.controlPlane.endpoints = &p.endpoints
-	p.AddLeaderTask(controlplane.LeaderTask{Name: "epoch", Interval: epochInterval, Propose: epochProposals(&p.endpoints)})
-	p.SetNodeNames(func(text string) (id decision.NodeID, ok bool) {
-		if have := p.endpoints.Load(); have != nil {
-			id, ok = have.ids[text]
-		}
-		return id, ok
-	}, func(id decision.NodeID) string {
-		if have := p.endpoints.Load(); have != nil && have.names[id] != "" {
-			return have.names[id]
-		}
-		return id.String()
-	})
-	if o.Pins {
-		s.sharePositions(p)
-	}
-	s.loop.controlPlane.proposeAck = func(node decision.NodeID, number uint64) {
-		s.group.Go(func() error { s.acknowledgeDrain(node, number); return nil })
-	}
-	slog.Info("fleet: opened", "as", p.keys.ID(), "slot", o.Slot, "votes", p.log != nil, "release", opts.Version)
+	s.attachControlPlane(p)
+	slog.Info("control plane opened", "component", "control-plane", "broker", ring.ID(), "slot", o.Slot, "votes", p.log != nil,
+		"version", options.Version)
 	return nil
 }
 
-// runControlPlane takes part until the broker ends. It returns once this process knows what is agreed. Danger: one that takes searches
-// before sends them to nodes that the tier drained, and that were stopped since. It delays a start without a majority by a second.
-func (s *Server) runControlPlane() {
-	p := s.controlPlane
-	s.group.Go(func() error {
-		err := p.Run(s.ctx)
-		if p.log != nil {
-			p.log.Close()
-		}
-		return err
-	})
-	for _, start := range p.background {
-		start()
-	}
-	s.group.Go(func() error {
-		tick := time.NewTicker(s.operator.Fleet.Report)
-		defer tick.Stop()
-		for {
-			select {
-			case <-tick.C:
-			case <-s.ctx.Done():
-				return nil
-			}
-			if f := s.Counters().Queries.ControlPlane; f != nil {
-				p.report.Store(&controlplane.Report{Classes: f.Classes, Cold: f.WarmingUpAttempts})
-			}
-		}
-	})
-	select {
-	case <-p.joined:
-	case <-s.after(joinTimeout):
-	case <-s.ctx.Done():
+func (s *Server) controlPlaneOptions(p *tierControlPlane) controlplane.Options {
+	o := &s.operator.Fleet
+	voters, _ := Voters(o)
+	return controlplane.Options{
+		Keys:              p.keys,
+		Voters:            voters,
+		Sources:           o.Sources,
+		ListenAddr:        o.Listen,
+		Slot:              statemachine.Slot(o.Slot),
+		Incarnation:       uint64(time.Now().UnixMilli()),
+		Version:           releaseVersion(o),
+		Zone:              o.Zone,
+		LeaseDuration:     o.Lease,
+		MaxClockDrift:     o.Drift,
+		ElectionTimeout:   o.Election,
+		HeartbeatInterval: o.Heartbeat,
+		MaxFollowers:      o.Followers,
+		ReportInterval:    o.Report,
+		ReleaseGates:      releaseGates(o),
+		Seed:              rand.Uint64(),
+		Now:               s.loop.since,
+		OnView:            s.receiveView,
+		CollectReport:     p.collectReport,
 	}
-	p.SetServing()
 }
 
-// receiveView takes a view over from the fleet's goroutine: the loop gets it, and a permit is used.
-func (s *Server) receiveView(v *controlplane.View) {
-	s.deliver(viewReceived{v})
-	s.shareEpoch(v)
-	p := s.controlPlane
-	if v.Self.Incarnation > 0 {
-		p.joinOnce.Do(func() { close(p.joined) })
+func releaseGates(o *operator.Fleet) release.Settings {
+	gates := release.Defaults()
+	gates.Observe = o.Gates.Observe
+	gates.Warm = o.Gates.Warm
+	gates.Overdue = o.Gates.Overdue
+	gates.Least = float64(o.Gates.Least)
+	gates.Tolerance = o.Gates.Tolerance
+	gates.Alpha = o.Gates.Alpha
+	gates.Back = o.Gates.Back
+	return gates
+}
+
+// releaseVersion is the version that this program runs: the operators' word, else the build's.
+func releaseVersion(o *operator.Fleet) string {
+	if o.Version != "" {
+		return o.Version
 	}
-	if v.MustExit { // its answer was lost, or the process was stopped before it came
-		s.leaveByPermit(v.Permit)
-	}
-	if n := v.Permit.Number; s.operator.Fleet.Exit && n > 0 && !v.Permit.Used && p.triedPermit.Swap(n) != n {
-		s.group.Go(func() error {
-			s.usePermit(v.Permit)
-			return nil
-		})
+	if info, ok := debug.ReadBuildInfo(); ok {
+		return info.Main.Version
 	}
+	return ""
 }
 
-// usePermit goes out by a permit. Danger: a process that was stopped wakes up and believes in a permit that is void by now. So it goes
-// only once an entry that says so is agreed, which a void permit's never is.
-func (s *Server) usePermit(p statemachine.ReleasePermit) {
-	ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
-	defer cancel()
-	_, err := s.controlPlane.Propose(ctx, &statemachine.UsePermit{Permit: p.Number, Slot: p.Slot, Incarnation: p.Incarnation})
-	if err != nil {
-		slog.Warn("permit not used", "permit", p.Number, "error", err)
-		s.controlPlane.triedPermit.Store(0) // tried again while it stands, with the next view
-		return
+// collectReport is what load reports carry. It may be called from any goroutine.
+func (p *tierControlPlane) collectReport() controlplane.Report {
+	if r := p.report.Load(); r != nil {
+		return *r
 	}
-	s.leaveByPermit(p)
+	return controlplane.Report{}
 }
 
-// leaveByPermit stops this broker as at SIGTERM, once.
-func (s *Server) leaveByPermit(p statemachine.ReleasePermit) {
-	s.controlPlane.leaveOnce.Do(func() {
-		slog.Info("stopping by a permit", "permit", p.Number, "release", p.Release)
-		s.controlPlane.SetLeaving()
-		close(s.controlPlane.released)
-	})
+// attachControlPlane connects the control plane with the loop.
+func (s *Server) attachControlPlane(p *tierControlPlane) {
+	s.controlPlane = p
+	view := newControlPlaneView(s.start.Terms.Types)
+	view.endpoints = &p.endpoints
+	view.proposeAck = func(node decision.NodeID, number uint64) {
+		s.group.Go(func() error {
+			s.acknowledgeDrain(node, number)
+			return nil
+		})
+	}
+	s.loop.useControlPlane(view)
+	p.AddLeaderTask(controlplane.LeaderTask{Name: "epoch", Interval: epochInterval, Propose: epochProposals(&p.endpoints)})
+	p.SetNodeNames(p.nodeByName, p.nameOf)
+	if s.operator.Fleet.Pins {
+		s.sharePositions(p)
+	}
 }
 
-// acknowledgeDrain says that a node gets nothing more from this broker.
-func (s *Server) acknowledgeDrain(node decision.NodeID, number uint64) {
-	ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
-	defer cancel()
-	v := s.controlPlane.View()
-	_, err := s.controlPlane.Propose(ctx, &statemachine.AcknowledgeDrain{Slot: v.Self.Slot, Incarnation: v.Self.Incarnation, Node: node, Number: number})
-	if err != nil {
-		slog.Info("a drain's acknowledgement was not taken", "node", node, "error", err)
-	}
-	select {
-	case <-time.After(200 * time.Millisecond):
-	case <-s.ctx.Done():
+// nodeByName finds a node by its name or address.
+func (p *tierControlPlane) nodeByName(text string) (id decision.NodeID, ok bool) {
+	if endpoints := p.endpoints.Load(); endpoints != nil {
+		id, ok = endpoints.idByName[text]
 	}
-	s.deliver(drainAckFailed{node, number}) // if the next view does not show it, it is proposed again
+	return id, ok
 }
 
-// permitUsed is closed when a release lets this broker go; nil, which waits for ever, where there is no fleet.
-func (s *Server) permitUsed() <-chan struct{} {
-	if s.controlPlane == nil {
-		return nil
+// nameOf is a node's name, or its id if it is not listed.
+func (p *tierControlPlane) nameOf(id decision.NodeID) string {
+	if endpoints := p.endpoints.Load(); endpoints != nil && endpoints.nameByID[id] != "" {
+		return endpoints.nameByID[id]
 	}
-	return s.controlPlane.released
+	return id.String()
 }
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -29,7 +29,7 @@
 // Core is one broker for whoever brings the time and the network: the simulation, which plays many of them in virtual time. It has the loop,
 // the router, admission and the pool of a broker in service, without goroutines, client connections and sockets. Its methods must not be
 // called concurrently.
-type Core struct{ l *loop }
+type Core struct{ loop *loop }
 
 // Query is a query as it is put to a core.
 type Query struct {
@@ -60,10 +60,10 @@
 }
 
 // PendingQuery is a query that was put to a core.
-type PendingQuery struct{ s *activeQuery }
+type PendingQuery struct{ query *activeQuery }
 
 // Done tells whether it has its result, or was abandoned.
-func (p PendingQuery) Done() bool { return p.s.done }
+func (p PendingQuery) Done() bool { return p.query.done }
 
 // NewCore makes a broker; it knows no node until it is given a list. The error is an InvalidWeightsError.
 func NewCore(t *terms.Terms, file *operator.File, newRouter func(decision.Settings) decision.Router, e Environment) (*Core, error) {
@@ -83,15 +83,16 @@
 	l.pool.Probed = l.healthCheckEnded
 	l.pool.Carry(e.Carrier)
 	if file.Fleet.Pins {
-		l.useReadPins(newReadPinning(&file.Fleet, t))
+		l.useReadPins(newReadPinTracker(&file.Fleet, t))
 		l.pool.KeepReports()
 	}
 	var err error
 	if file.Door.On {
-		var admission *admissionControl
-		if admission, err = newAdmissionControl(&file.Door, t); err == nil {
+		admission, doorErr := newAdmissionControl(&file.Door, t)
+		if doorErr == nil {
 			l.useAdmission(admission)
 		}
+		err = doorErr
 	}
 	list := &discovery.List{Whole: true}
 	if e.CachedList != nil {
@@ -113,7 +114,7 @@
 	for i, shard := range a.Shards {
 		q.Shards[i] = query.ShardRequest{Name: query.ShardRequestName(a.ID, shard), Shard: shard, Weight: a.Weights[i]}
 	}
-	s := &activeQuery{Request: q, arrival: c.l.since(), deadline: c.l.since() + a.Timeout}
+	s := &activeQuery{Request: q, arrival: c.loop.since(), deadline: c.loop.since() + a.Timeout}
 	s.onResult = func(v query.Result) {
 		out := QueryResult{Answered: v.Outcome == query.Answered, Complete: v.Complete, Shed: v.Outcome == query.Shed, RetryAfter: v.RetryAfter,
 			Hinted: v.Hinted, Positions: v.Positions, Behind: v.Behind, Staleness: v.Staleness}
@@ -122,7 +123,7 @@
 		}
 		deliver(out)
 	}
-	c.l.handle(queryReceived{s})
+	c.loop.handle(queryReceived{s})
 	return PendingQuery{s}
 }
 
@@ -132,38 +133,40 @@
 	if overdue {
 		cause = query.DeadlinePassed
 	}
-	c.l.handle(queryAbandoned{p.s, cause})
+	c.loop.handle(queryAbandoned{p.query, cause})
 }
 
 // HandleConnection takes what happened to a connection.
-func (c *Core) HandleConnection(e store.Event) { c.l.handle(connectionEvent{e}) }
+func (c *Core) HandleConnection(e store.Event) { c.loop.handle(connectionEvent{e}) }
 
 // HandleList takes what a poll of discovery returned.
-func (c *Core) HandleList(list *discovery.List, err error) { c.l.handle(listReceived{list, err}) }
+func (c *Core) HandleList(list *discovery.List, err error) { c.loop.handle(listReceived{list, err}) }
 
 // CollectPositions is what the broker knows of replicas' positions.
-func (c *Core) CollectPositions() []byte { return c.l.readPins.positions.EncodePositions(c.l.since()) }
+func (c *Core) CollectPositions() []byte {
+	return c.loop.readPins.positions.EncodePositions(c.loop.since())
+}
 
 // MergePositions takes what another broker collected; older is the most by which it has aged on the way.
 func (c *Core) MergePositions(data []byte, older time.Duration) {
-	c.l.handle(positionsReceived{data, c.l.since() - older})
+	c.loop.handle(positionsReceived{data, c.loop.since() - older})
 }
 
 // HandleGossip takes a message of another broker.
-func (c *Core) HandleGossip(from int, text []byte) { c.l.handle(gossipReceived{from, text}) }
+func (c *Core) HandleGossip(from int, text []byte) { c.loop.handle(gossipReceived{from, text}) }
 
 // Step advances the loop and returns when to be called again.
-func (c *Core) Step() time.Duration { return c.l.advance() }
+func (c *Core) Step() time.Duration { return c.loop.advance() }
 
 // Counters are the broker's counters.
 func (c *Core) Counters() QueryCounters {
 	r := countersRequested{make(chan QueryCounters, 1)}
-	c.l.handle(r)
+	c.loop.handle(r)
 	return <-r.to
 }
 
 // Trusts tells whether the router gives a node ordinary work; for reports only.
 func (c *Core) Trusts(id decision.NodeID) bool {
-	r, ok := c.l.router.(interface{ IsAvailable(decision.NodeID) bool })
+	r, ok := c.loop.router.(interface{ IsAvailable(decision.NodeID) bool })
 	return !ok || r.IsAvailable(id)
 }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -72,37 +72,57 @@
 	ReadPins            *ReadPinState      `json:"Pins,omitempty"`    // with read pins
 }
 
-// Counters asks the loop for its figures and adds the others.
+// Counters asks the loop for its counters and adds the others.
 func (s *Server) Counters() (c Counters) {
-	r := countersRequested{make(chan QueryCounters, 1)}
-	if s.deliver(r) {
+	request := countersRequested{make(chan QueryCounters, 1)}
+	if s.deliver(request) {
 		select {
-		case c.Queries = <-r.to:
+		case c.Queries = <-request.to:
 		case <-s.ctx.Done():
 		}
 	}
-	connections := &s.ingress.Counters
-	c.Clients.Accepted = connections.Accepted.Load()
-	c.Clients.Closed = connections.Closed.Load()
-	c.Clients.BadRequests = connections.BadRequests.Load()
-	c.Clients.Unwritten = connections.Unwritten.Load()
+	clients := &s.ingress.Counters
+	c.Clients.Accepted = clients.Accepted.Load()
+	c.Clients.Closed = clients.Closed.Load()
+	c.Clients.BadRequests = clients.BadRequests.Load()
+	c.Clients.Unwritten = clients.Unwritten.Load()
 	if s.siteLinks != nil {
 		c.RejectedLinks = s.siteLinks.Refused.Load()
 	}
 	if s.listStore != nil {
-		n := &s.listStore.Counters
-		c.CachedList = &CachedListCounters{n.Saving.Load(), n.Writes.Load(), n.Snapshots.Load(), n.Bytes.Load(), n.Failed.Load()}
+		c.CachedList = s.cachedListCounters()
 	}
 	if s.gossip != nil {
-		p := &s.gossip.Counts
-		c.Peers.Sent, c.Peers.Received, c.Peers.UnknownSender = p.Sent.Load(), p.Heard.Load(), p.Strangers.Load()
-		c.Peers.TooLong, c.Peers.Dropped, c.Peers.Unauthenticated = p.TooLong.Load(), p.Dropped.Load(), p.Unsealed.Load()
+		c.Peers = s.gossipCounters()
 	}
 	return c
 }
 
+func (s *Server) cachedListCounters() *CachedListCounters {
+	n := &s.listStore.Counters
+	return &CachedListCounters{
+		LastWriteOK: n.Saving.Load(),
+		Writes:      n.Writes.Load(),
+		Snapshots:   n.Snapshots.Load(),
+		Bytes:       n.Bytes.Load(),
+		Failed:      n.Failed.Load(),
+	}
+}
+
+func (s *Server) gossipCounters() GossipCounters {
+	n := &s.gossip.Counts
+	return GossipCounters{
+		Sent:            n.Sent.Load(),
+		Received:        n.Heard.Load(),
+		UnknownSender:   n.Strangers.Load(),
+		TooLong:         n.TooLong.Load(),
+		Dropped:         n.Dropped.Load(),
+		Unauthenticated: n.Unsealed.Load(),
+	}
+}
+
 // String is the counters as one line of JSON.
 func (c Counters) String() string {
-	text, _ := json.Marshal(c)
+	text, _ := json.Marshal(c) // numbers, texts and lists of them: it can't fail
 	return string(text)
 }
--- a/internal/server/deliver.go
+++ b/internal/server/deliver.go
@@ -1,8 +1,7 @@
 package server
 
-// This file owns the way to the loop for every goroutine but its own.
-
-// deliver hands something to the loop and waits while its queue is full; false: it takes no more.
+// deliver hands a message to the loop and waits while its inbox is full; false: the loop has ended. It may be called from any goroutine but the
+// loop's.
 func (s *Server) deliver(m message) bool {
 	select {
 	case s.loop.inbox <- m:
@@ -12,6 +11,7 @@
 	}
 }
 
+// receiveGossip takes a message of another broker; one of its own, which came back, is dropped.
 func (s *Server) receiveGossip(from int, text []byte) {
 	if from != s.start.Terms.Me {
 		s.deliver(gossipReceived{from, text})
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -171,11 +171,11 @@
 	}
 	s.stopRequested.Store(int64(time.Second))
 	s.draining.Store(true)
-	kill := time.Second + min(patient, killWaits) + answerWithin
+	kill := time.Second + min(patient, maxKillWait) + answerWithin
 	for _, c := range []struct{ arrived, timeout, by time.Duration }{
 		{1500 * time.Millisecond, time.Second, 2500 * time.Millisecond},
 		{1500 * time.Millisecond, time.Minute, kill - beforeKill},
-		{kill, time.Minute, kill + leastAnswer},
+		{kill, time.Minute, kill + minAnswerTime},
 	} {
 		if by := s.answerBy(c.arrived, c.timeout); by != c.by {
 			t.Errorf("%+v: by %v", c, by)
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -58,7 +58,7 @@
 		l.settings = &under
 		l.useControlPlane(newControlPlaneView([]string{"a"}))
 		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
-		l.useReadPins(newReadPinning(&operator.Fleet{}, &under))
+		l.useReadPins(newReadPinTracker(&operator.Fleet{}, &under))
 		hintedTo := func() (to []decision.NodeID) {
 			to, _, _ = l.readPins.positions.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
 			return to
--- a/internal/server/endpoint_snapshot.go
+++ b/internal/server/endpoint_snapshot.go
@@ -17,8 +17,8 @@
 // endpointSnapshot is a copy of a broker's endpoints for the control plane's goroutine.
 type endpointSnapshot struct {
 	release.List
-	names map[decision.NodeID]string
-	ids   map[string]decision.NodeID // by name and by address
+	nameByID map[decision.NodeID]string
+	idByName map[string]decision.NodeID // by name and by address
 }
 
 // shardsOfCell are the shards whose replicas lie in a cell.
@@ -36,15 +36,15 @@
 	if l.controlPlane == nil {
 		return
 	}
-	s := &endpointSnapshot{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
+	s := &endpointSnapshot{nameByID: map[decision.NodeID]string{}, idByName: map[string]decision.NodeID{}}
 	s.Ready = map[decision.NodeID]bool{}
 	s.Since = l.since()
 	s.Told = l.counters.ListsReceived > 0 && !l.pollFailed
 	for id, n := range l.nodes {
 		s.Nodes = append(s.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
-		s.names[id] = n.Name
-		s.ids[n.Name] = id
-		s.ids[n.Addr.String()] = id
+		s.nameByID[id] = n.Name
+		s.idByName[n.Name] = id
+		s.idByName[n.Addr.String()] = id
 		s.Ready[id] = n.Entry.State == decision.Ready
 	}
 	slices.SortFunc(s.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.CompareNodes(a.Node, b.Node) })
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -55,7 +55,7 @@
 type forwardingState struct {
 	remote     bool          // a broker of another site sent it
 	forwarded  bool          // another site has it; the router has done with it
-	takenBack  bool          // it came back
+	returned   bool          // it came back
 	mayHaveRun bool          // and may have run at the other site
 	retryAfter time.Duration // when the other site wants it back
 }
@@ -126,16 +126,6 @@
 	return min(next, g.nextStatus)
 }
 
-func (g *siteGateway) status(now time.Duration) link.Status {
-	_, limit := g.loop.capacity()
-	return link.Status{
-		Room:     g.incoming.Room(limit),
-		Refusing: g.incoming.Refusing(now),
-		Stopping: g.stopping(),
-		Lacking:  slices.Clone(g.unhealthyShards),
-	}
-}
-
 // queryAccepted counts a client's query, by which the share of forwarded ones is bounded.
 func (g *siteGateway) queryAccepted() {
 	if g != nil {
@@ -151,7 +141,7 @@
 	}
 	t := g.loop.typeOf(q.Request)
 	offered := forwarding.Search{ID: q.id, Effect: t.Idempotency, Window: t.IdempotencyWindow, Due: q.deadline,
-		Foreign: q.forwarding.remote, Home: q.forwarding.takenBack}
+		Foreign: q.forwarding.remote, Home: q.forwarding.returned}
 	lacking := false
 	for i := range q.Request.Shards {
 		shard := q.Request.Shards[i].Shard
@@ -199,7 +189,7 @@
 			c.Cancel(a.ID)
 		}
 	case forwarding.Home:
-		g.takeBack(q, a)
+		g.resubmit(q, a)
 	case forwarding.Shed:
 		g.finish(q, a.ID, query.Result{Outcome: query.Shed, RetryAfter: max(q.forwarding.retryAfter, g.loop.retryAfterLimit())})
 	case forwarding.Fail:
@@ -222,11 +212,11 @@
 	g.loop.release(q)
 }
 
-// takeBack submits a forwarded query to the router once more, as a new one with the time that is left.
-func (g *siteGateway) takeBack(q *activeQuery, a forwarding.Act) {
+// resubmit submits a forwarded query to the router once more, as a new one with the time that is left.
+func (g *siteGateway) resubmit(q *activeQuery, a forwarding.Act) {
 	delete(g.forwarded, a.ID)
 	q.forwarding.forwarded = false
-	q.forwarding.takenBack = true
+	q.forwarding.returned = true
 	q.forwarding.mayHaveRun = a.Risk
 	if g.loop.hasCapacity(q) {
 		g.loop.submit(q, a.Left)
@@ -245,14 +235,3 @@
 	}
 	return r
 }
-
-// GatewayState is what operators see of the gateway.
-type GatewayState struct {
-	Outgoing forwarding.NearCounts `json:"Near"`
-	Incoming forwarding.FarCounts  `json:"Far"`
-	Links    []forwarding.PeerState
-}
-
-func (g *siteGateway) report(c *QueryCounters) {
-	c.Gateway = &GatewayState{g.outgoing.Counts, g.incoming.Counts, g.outgoing.State(g.loop.since())}
-}
--- a/internal/server/ingress_broker.go
+++ b/internal/server/ingress_broker.go
@@ -32,10 +32,10 @@
 func (s *Server) CountersJSON() string { return s.Counters().String() }
 
 // Result delivers the one result, where no other receiver was named.
-func (s *activeQuery) Result() <-chan query.Result { return s.result }
+func (q *activeQuery) Result() <-chan query.Result { return q.result }
 
 // Deadline is when the query has to be answered, since the broker's start.
-func (s *activeQuery) Deadline() time.Duration { return s.deadline }
+func (q *activeQuery) Deadline() time.Duration { return q.deadline }
 
 // Abandon ends the query early.
-func (s *activeQuery) Abandon(cause query.AbandonCause) { s.server.deliver(queryAbandoned{s, cause}) }
+func (q *activeQuery) Abandon(cause query.AbandonCause) { q.server.deliver(queryAbandoned{q, cause}) }
--- /dev/null
+++ b/internal/server/lease_policy.go
@@ -0,0 +1,101 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"flaxfront/internal/cluster/connpolicy"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/connlease"
+	"flaxfront/internal/decision/statemachine"
+)
+
+// errNoNodes tells that a policy can't be compiled before an endpoint list has come.
+var errNoNodes = errors.New("no node is known yet")
+
+// compile makes a policy's entry: a budget for every node that is known here. Its errors are those of connpolicy, and errNoNodes.
+func (g *leaseGranting) compile(text string, state *statemachine.State, tenants []string, lease time.Duration) (*statemachine.ConnectionPolicy, error) {
+	p, err := connpolicy.Compile("policy", text)
+	if err != nil {
+		return nil, err
+	}
+	if p.Lease != lease {
+		return nil, &connpolicy.ClosingTimeError{Reason: fmt.Sprintf("lease: the policy says %v, fleet.lease of the tier is %v", p.Lease, lease)}
+	}
+	if err := sameTenants(p.Tenants, tenants); err != nil {
+		return nil, err
+	}
+	nodes := g.leases.nodes.Load()
+	if nodes == nil || len(*nodes) == 0 {
+		return nil, errNoNodes
+	}
+	if len(*nodes) > p.Nodes {
+		return nil, &connpolicy.OvercommittedError{Class: connpolicy.PoolClass, Demand: "nodes that are known", Sum: len(*nodes), Budget: p.Nodes}
+	}
+	e := &statemachine.ConnectionPolicy{Version: 1, Text: text, MaxBrokers: uint32(p.Brokers)}
+	if inForce := state.Policies().InForce; inForce != nil {
+		e.Version = inForce.Version + 1
+	}
+	for id, n := range *nodes {
+		class := p.ClassOf(n)
+		e.Budgets = append(e.Budgets, statemachine.NodeBudget{
+			Node:              id,
+			Connections:       uint64(class.Budget),
+			ReservedPerBroker: uint64(class.Floor),
+		})
+	}
+	slices.SortFunc(e.Budgets, func(a, b statemachine.NodeBudget) int { return statemachine.CompareNodes(a.Node, b.Node) })
+	return e, nil
+}
+
+// sameTenants tells what is wrong with a policy that does not name the tenants of the settings, and only these.
+func sameTenants(policy, settings []string) error {
+	for _, name := range settings {
+		if !slices.Contains(policy, name) {
+			return &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q of the settings is not named", name)}
+		}
+	}
+	for _, name := range policy {
+		if !slices.Contains(settings, name) {
+			return &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q is none of the settings", name)}
+		}
+	}
+	return nil
+}
+
+// previousVersion is the version of the policy in force while another waits, if both name the same tenants: reports under it count.
+func (g *leaseGranting) previousVersion(inForce *statemachine.ConnectionPolicy) uint64 {
+	if p, err := connpolicy.Compile("agreed", inForce.Text); err == nil && slices.Equal(p.Tenants, g.plan.Tenants) {
+		return inForce.Version
+	}
+	return 0
+}
+
+// buildPlan makes the division of a policy's budgets; false: it does not compile here.
+func (g *leaseGranting) buildPlan(e *statemachine.ConnectionPolicy) bool {
+	p, err := connpolicy.Compile("agreed", e.Text)
+	if err != nil {
+		slog.Error("agreed connection policy does not compile; this leader grants nothing", "component", "connection-leases",
+			"version", e.Version, "error", err)
+		return false
+	}
+	nodes := map[decision.NodeID]connpolicy.Node{}
+	if known := g.leases.nodes.Load(); known != nil {
+		nodes = *known
+	}
+	g.plan = &connlease.BudgetPlan{Tenants: p.Tenants}
+	g.version = e.Version
+	if p.Pool != nil {
+		g.plan.Pool = &p.Pool.Shared
+	}
+	for _, b := range e.Budgets {
+		shared := p.ClassOf(nodes[b.Node]).Shared
+		shared.Units = min(shared.Units, int(b.Connections)-int(b.ReservedPerBroker)*p.Brokers)
+		g.plan.Nodes = append(g.plan.Nodes, b.Node)
+		g.plan.Budgets = append(g.plan.Budgets, shared)
+	}
+	return true
+}
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -10,67 +10,84 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// heldLease is what is to be given up; number 0: nothing.
-type heldLease struct {
-	incarnation, number uint64
-	closing             time.Duration
+const (
+	releaseTimeout       = time.Second
+	releaseRetryInterval = 20 * time.Millisecond // while the view is older than what rejected the release
+)
+
+// leaseToRelease is a lease to be released; number 0: none.
+type leaseToRelease struct {
+	incarnation uint64
+	number      uint64
+	closing     time.Duration // within which nodes notice that connections are closed
 }
 
-// release closes what is open and opens nothing any more.
-func (b *connectionLeases) release() heldLease {
+// release closes all connections and opens none any more.
+func (b *connectionLeases) release() leaseToRelease {
 	b.stopped = true
 	b.loop.connections().End("stopping")
-	nothing := connlease.EncodeDemand(b.version, nil)
-	b.needReport.Store(&nothing) // else it would be granted more
+	noNeed := connlease.EncodeDemand(b.version, nil)
+	b.needReport.Store(&noNeed) // else it would be granted more
 	if b.view == nil || b.view.Lease.Ended || b.view.Lease.Incarnation != b.view.Self.Incarnation {
-		return heldLease{}
+		return leaseToRelease{}
 	}
-	return heldLease{b.view.Self.Incarnation, b.view.Lease.Number, b.closing}
+	return leaseToRelease{incarnation: b.view.Self.Incarnation, number: b.view.Lease.Number, closing: b.closing}
 }
 
-// releaseLeases waits until nodes have noticed, and says it. Danger: with each restart of a release a broker's units would lie idle for a
-// lease and the nodes' idle time. It hurts a stop by the closing time, and by a second where nobody takes the word.
+// releaseLeases gives up what this broker holds once nodes have noticed that its connections are closed: otherwise, with each restart of a
+// release, a broker's connections would lie idle for a lease and the nodes' idle time. A shutdown takes longer by the closing time, and by
+// releaseTimeout where the release is not agreed.
 func (s *Server) releaseLeases() {
-	d := leaseReleaseRequested{make(chan heldLease, 1)}
-	if !s.deliver(d) {
+	request := leaseReleaseRequested{make(chan leaseToRelease, 1)}
+	if !s.deliver(request) {
 		return
 	}
-	var h heldLease
+	var lease leaseToRelease
 	select {
-	case h = <-d.holds:
+	case lease = <-request.holds:
 	case <-s.ctx.Done():
 		return
 	}
-	if h.number == 0 {
+	if lease.number == 0 {
 		return
 	}
 	select {
-	case <-s.after(h.closing):
+	case <-s.after(lease.closing):
 	case <-s.ctx.Done():
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(s.ctx, releaseTimeout)
 	defer cancel()
+	if err := s.proposeRelease(ctx, &lease); err != nil {
+		slog.Info("lease release failed; it expires by itself", "component", "connection-leases", "error", err)
+		return
+	}
+	slog.Info("connection leases released", "component", "connection-leases", "number", lease.number)
+}
+
+// proposeRelease has the release agreed. A grant that came meanwhile is released too, as no connection is opened any more.
+func (s *Server) proposeRelease(ctx context.Context, held *leaseToRelease) error {
 	for {
-		e := &statemachine.RelinquishLease{Slot: statemachine.Slot(s.operator.Fleet.Slot), Incarnation: h.incarnation, Number: h.number}
-		_, err := s.controlPlane.Propose(ctx, e)
+		_, err := s.controlPlane.Propose(ctx, &statemachine.RelinquishLease{
+			Slot:        statemachine.Slot(s.operator.Fleet.Slot),
+			Incarnation: held.incarnation,
+			Number:      held.number,
+		})
 		if err == nil {
-			break
+			return nil
 		}
-		// A grant came meanwhile. It is as void as the one before it, since nothing is opened any more.
-		var no *statemachine.RejectedError
-		g := s.controlPlane.View().Lease
-		if !errors.As(err, &no) || no.Reason != statemachine.ReasonStale || g.Incarnation != h.incarnation || g.Ended || ctx.Err() != nil {
-			slog.Info("fleet: what this broker held is not given up; its lease ends it", "error", err)
-			return
+		var rejected *statemachine.RejectedError
+		lease := s.controlPlane.View().Lease
+		stale := errors.As(err, &rejected) && rejected.Reason == statemachine.ReasonStale
+		if !stale || lease.Incarnation != held.incarnation || lease.Ended || ctx.Err() != nil {
+			return err
 		}
-		if g.Number == h.number { // the view is older than what refused it
+		if lease.Number == held.number { // the view is older than what rejected it
 			select {
-			case <-s.after(20 * time.Millisecond):
+			case <-s.after(releaseRetryInterval):
 			case <-ctx.Done():
 			}
 		}
-		h.number = g.Number
+		held.number = lease.Number
 	}
-	slog.Info("fleet: gave up what it held", "number", h.number)
 }
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -9,9 +9,8 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-const (
-	proposalInterval = 300 * time.Millisecond // between two proposals of entries
-)
+// proposalInterval lies between two proposals, so that an entry is not proposed again before the next view can show it.
+const proposalInterval = 300 * time.Millisecond
 
 // tick closes surplus connections, acknowledges grants and measures needs. It is called before each step, with the present time: a process
 // that was stopped for longer than its lease resumes with connections that another broker holds by now.
@@ -32,44 +31,49 @@
 		b.attempts[i].refused *= attemptDecay
 	}
 	b.measure(now)
+	b.acknowledge(now)
+	return b.due
+}
+
+// acknowledge proposes that this broker keeps to its newest grant, and to the newest policy.
+func (b *connectionLeases) acknowledge(now time.Duration) {
 	if b.view == nil || b.view.Self.Incarnation == 0 || now < b.proposedAt+proposalInterval {
-		return b.due
+		return
 	}
-	me := b.view.Self
-	if number := b.holder.PendingAck(now); number > 0 && b.view.Lease.Number == number && !b.view.Lease.Acknowledged {
+	self, lease := b.view.Self, b.view.Lease
+	if number := b.holder.PendingAck(now); number > 0 && lease.Number == number && !lease.Acknowledged {
 		b.proposedAt = now
-		b.proposeEntry(&statemachine.AcknowledgeLease{Slot: me.Slot, Incarnation: me.Incarnation, Number: number})
+		b.proposeEntry(&statemachine.AcknowledgeLease{Slot: self.Slot, Incarnation: self.Incarnation, Number: number})
 	}
 	if b.agreedVersion > b.view.AcknowledgedPolicy && b.holder.WithinLease(now, true) {
 		b.proposedAt = now
-		b.proposeEntry(&statemachine.AcknowledgePolicy{Slot: me.Slot, Incarnation: me.Incarnation, Version: b.agreedVersion})
+		b.proposeEntry(&statemachine.AcknowledgePolicy{Slot: self.Slot, Incarnation: self.Incarnation, Version: b.agreedVersion})
 	}
-	return b.due
 }
 
-// measure sees what is out to each node, and leaves what is needed for the next report.
+// measure observes what is in flight to each node, and leaves the needs for the next load report, and the nodes for the leader.
 func (b *connectionLeases) measure(now time.Duration) {
 	b.needs.Decay(now)
-	wants := map[connlease.LeaseKey]int{}
-	b.loop.connections().Wants(func(node decision.NodeID, tenant, parts int) {
-		wants[connlease.LeaseKey{Node: node, Tenant: tenant}] += parts
+	demand := map[connlease.LeaseKey]int{}
+	b.loop.connections().Wants(func(node decision.NodeID, tenant, attempts int) {
+		demand[connlease.LeaseKey{Node: node, Tenant: tenant}] += attempts
 	})
-	for k, parts := range wants {
-		b.needs.Observe(k, float64(parts)/float64(b.streams))
+	for key, attempts := range demand {
+		b.needs.Observe(key, float64(attempts)/float64(b.streams))
 	}
-	rows := b.needs.AboveReserved(b.floors)
+	needs := b.needs.AboveReserved(b.floors)
 	if b.stopped {
-		rows = nil
+		needs = nil
 	}
-	kept := rows[:0]
-	for _, r := range rows {
-		if r.Tenant >= 0 && r.Tenant < len(b.policyTenant) && b.policyTenant[r.Tenant] >= 0 {
-			r.Tenant = b.policyTenant[r.Tenant]
-			kept = append(kept, r)
+	named := needs[:0]
+	for _, n := range needs {
+		if n.Tenant >= 0 && n.Tenant < len(b.policyTenant) && b.policyTenant[n.Tenant] >= 0 {
+			n.Tenant = b.policyTenant[n.Tenant]
+			named = append(named, n)
 		}
 	}
-	text := connlease.EncodeDemand(b.version, kept)
-	b.needReport.Store(&text)
+	report := connlease.EncodeDemand(b.version, named)
+	b.needReport.Store(&report)
 	endpoints := b.loop.endpoints()
 	nodes := make(map[decision.NodeID]connpolicy.Node, len(endpoints))
 	for id, n := range endpoints {
@@ -78,15 +82,19 @@
 	b.nodes.Store(&nodes)
 }
 
-// attemptShares counts a tenant's parts of late, and those that got no connection.
-type attemptShares struct{ sent, refused float64 }
+// attemptShares counts a tenant's recent attempts, and those that got no connection.
+type attemptShares struct {
+	sent    float64
+	refused float64
+}
 
 const (
-	attemptDecay    = 0.8  // of these counts after each tick
-	maxRefusedShare = 0.25 // of the parts: beyond, searches are turned away
-	minRefused      = 5    // parts
+	attemptDecay    = 0.8  // of these counts, with each tick
+	maxRefusedShare = 0.25 // of attempts: beyond, queries are shed
+	minRefused      = 5    // attempts
 )
 
+// countAttempts adds to a tenant's attempts.
 func (b *connectionLeases) countAttempts(tenant int, sent, refused float64) {
 	if b != nil && tenant >= 0 && tenant < len(b.attempts) {
 		b.attempts[tenant].sent += sent
@@ -94,19 +102,19 @@
 	}
 }
 
-// overloaded tells whether so many of a tenant's parts got no connection of late that its next search is turned away before it takes
-// a place, and when to come back: that is when the next one is let in. Danger: parts that get no connection are sent elsewhere, and
-// elsewhere again, while the search's time runs out, and searches that would have had room lose theirs.
-func (b *connectionLeases) overloaded(tenant int) (after time.Duration, full bool) {
+// overloaded tells whether so many of a tenant's recent attempts got no connection that its next query is shed before it takes slots, and
+// when its client should return: when the next one is let in. Attempts that get no connection are sent elsewhere, and elsewhere again, while
+// the query's time runs out, and queries that would have had connections lose theirs.
+func (b *connectionLeases) overloaded(tenant int) (retryAfter time.Duration, overloaded bool) {
 	if b == nil || tenant < 0 || tenant >= len(b.attempts) || b.view == nil || b.view.Policy == nil {
 		return 0, false
 	}
-	t := b.attempts[tenant]
-	if t.refused < minRefused || t.refused < maxRefusedShare*t.sent {
+	shares := b.attempts[tenant]
+	if shares.refused < minRefused || shares.refused < maxRefusedShare*shares.sent {
 		return 0, false
 	}
-	for n := t.refused; n >= minRefused; n *= attemptDecay {
-		after += leaseInterval
+	for refused := shares.refused; refused >= minRefused; refused *= attemptDecay {
+		retryAfter += leaseInterval
 	}
-	return after, true
+	return retryAfter, true
 }
--- /dev/null
+++ b/internal/server/lease_view.go
@@ -0,0 +1,115 @@
+package server
+
+import (
+	"log/slog"
+
+	"flaxfront/internal/cluster/connpolicy"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/connlease"
+	"flaxfront/internal/decision/statemachine"
+)
+
+// handleView applies the policy and the grants of a view.
+func (b *connectionLeases) handleView(v *controlplane.View) {
+	b.view = v
+	b.due = 0
+	if v.Index == 0 {
+		return
+	}
+	if v.Policy != nil && v.Policy.Version != b.version {
+		b.applyPolicy(v.Policy)
+	}
+	b.updateFloors(v)
+	granted := v.Lease.Number > 0 && !v.Lease.Ended
+	if granted && v.Lease.Incarnation == v.Self.Incarnation && v.Self.Incarnation > 0 && v.Policy != nil {
+		b.acceptGrant(v)
+	} else {
+		b.holdsLogged = false
+	}
+}
+
+// applyPolicy compiles an agreed policy. One that does not compile here was agreed by a program that reads it otherwise: its floors hold,
+// and no lease above them.
+func (b *connectionLeases) applyPolicy(p *statemachine.ConnectionPolicy) {
+	b.version = p.Version
+	compiled, err := connpolicy.Compile("agreed", p.Text)
+	if err != nil {
+		slog.Error("agreed connection policy does not compile; only floors are used", "component", "connection-leases", "version", p.Version,
+			"error", err)
+		b.mapTenants(nil)
+		return
+	}
+	b.mapTenants(compiled.Tenants)
+	b.closing = compiled.Closing
+	b.holder.SetCloseDelay(b.closing)
+}
+
+// acceptGrant takes the grant of a view. An incarnation that was forgotten and came back has its grants numbered anew.
+func (b *connectionLeases) acceptGrant(v *controlplane.View) {
+	grant := v.Lease
+	if grant.Incarnation != b.grantIncarnation {
+		b.grantIncarnation = grant.Incarnation
+		b.holder.AcceptAnyNumber()
+	}
+	rows := b.grantedRows(grant.Granted)
+	if b.holder.AcceptGrant(grant.Number, rows, v.LeaseEnd) && len(rows) > 0 && !b.holdsLogged {
+		b.holdsLogged = true
+		slog.Info("connection leases held", "component", "connection-leases", "number", grant.Number, "rows", len(rows))
+	}
+	if grant.Acknowledged {
+		b.holder.RecordAcked(grant.Number)
+	}
+}
+
+// updateFloors sets the floors: those of the policy in force and, where another waits, the lower of both. While no policy is known, one may
+// have been agreed by brokers that this one can't hear; so it opens freely only while its session's lease runs.
+func (b *connectionLeases) updateFloors(v *controlplane.View) {
+	if v.Policy == nil {
+		if v.LeaseHeld(b.loop.since()) {
+			b.holder.SetUnlimited()
+		} else {
+			b.holder.SetReserved(nil, 1)
+		}
+		return
+	}
+	versions := [2]uint64{v.Policy.Version, v.Policy.Version}
+	if v.WaitingPolicy != nil {
+		versions[1] = v.WaitingPolicy.Version
+	}
+	b.agreedVersion = versions[1]
+	if versions == b.floorVersions && b.floors != nil {
+		return
+	}
+	floors := floorsOf(v.Policy)
+	if v.WaitingPolicy != nil {
+		waiting := floorsOf(v.WaitingPolicy)
+		for id, floor := range floors {
+			floors[id] = min(floor, waiting[id])
+		}
+	}
+	b.floors = floors
+	b.floorVersions = versions
+	b.holder.SetReserved(floors, 1)
+}
+
+func floorsOf(p *statemachine.ConnectionPolicy) map[decision.NodeID]int {
+	floors := make(map[decision.NodeID]int, len(p.Budgets))
+	for _, budget := range p.Budgets {
+		floors[budget.Node] = int(budget.ReservedPerBroker)
+	}
+	return floors
+}
+
+// grantedRows are a grant's rows by the tenants of the settings.
+func (b *connectionLeases) grantedRows(granted []statemachine.LeaseRow) (rows []connlease.ConnectionCount) {
+	for _, r := range granted {
+		for i, name := range b.names {
+			if name == r.Tenant && b.policyTenant[i] >= 0 {
+				key := connlease.LeaseKey{Node: r.Node, Tenant: i}
+				rows = append(rows, connlease.ConnectionCount{LeaseKey: key, Connections: int(r.Connections)})
+			}
+		}
+	}
+	return rows
+}
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -61,7 +61,7 @@
 	cachedList   *cachedEndpointList
 	gateway      *siteGateway
 	admission    *admissionControl
-	readPins     *readPinning
+	readPins     *readPinTracker
 	membership   *tierMembership
 	controlPlane *controlPlaneView
 	connLeases   *connectionLeases
@@ -163,7 +163,7 @@
 	case connectionEvent:
 		l.pool.Handle(m.Event)
 	case queryReceived:
-		l.receive(m.s)
+		l.receive(m.query)
 	case queryAbandoned:
 		l.abandon(m)
 	case listReceived:
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -64,7 +64,7 @@
 	go func() {
 		if leaves {
 			time.Sleep(patience)
-			w.loop.inbox <- queryAbandoned{s: s}
+			w.loop.inbox <- queryAbandoned{query: s}
 			return
 		}
 		v := <-s.result
--- a/internal/server/messages.go
+++ b/internal/server/messages.go
@@ -19,9 +19,9 @@
 
 // Messages that the loop handles itself.
 type (
-	queryReceived  struct{ s *activeQuery }
+	queryReceived  struct{ query *activeQuery }
 	queryAbandoned struct {
-		s     *activeQuery
+		query *activeQuery
 		cause query.AbandonCause
 	}
 	connectionEvent struct{ store.Event } // of a connection to a node
@@ -59,7 +59,7 @@
 		number uint64
 	}
 	// leaseReleaseRequested asks for all connections to nodes to be closed, for good. No query is in flight by then.
-	leaseReleaseRequested struct{ holds chan heldLease }
+	leaseReleaseRequested struct{ holds chan leaseToRelease }
 )
 
 // Messages for read pins.
--- a/internal/server/position_exchange.go
+++ b/internal/server/position_exchange.go
@@ -1,9 +1,7 @@
 package server
 
-// This file owns the way of facts between the fleet's goroutine and the loop. Neither waits for the other: what is collected lies
-// ready with its moment, and what comes while the loop is behind is dropped.
-
 import (
+	"context"
 	"sync/atomic"
 	"time"
 
@@ -13,56 +11,65 @@
 
 const (
 	collectInterval = 200 * time.Millisecond
-	positionsQueue  = 64
+	positionsQueue  = 64 // messages of other brokers; further ones are dropped while the loop is behind
 )
 
+// localPositions is what this broker knew at a time.
 type localPositions struct {
 	data []byte
 	at   time.Duration
 }
 
+// remotePositions is what another broker collected.
 type remotePositions struct {
 	data        []byte
-	collectedAt time.Duration
+	collectedAt time.Duration // at the earliest
 }
 
-// sharePositions has replicas' positions shared, and their list agreed.
+// sharePositions has replicas' positions exchanged over the control plane. Neither its goroutine nor the loop waits for the other: what was
+// collected lies ready with its time.
 func (s *Server) sharePositions(p *tierControlPlane) {
 	var latest atomic.Pointer[localPositions]
-	in := make(chan remotePositions, positionsQueue)
-	p.AddTopic(controlplane.Topic{Name: "pins",
-		Collect: func() ([]byte, time.Duration) {
-			if c := latest.Load(); c != nil {
-				return c.data, c.at
-			}
-			return nil, 0
-		},
-		Merge: func(data []byte, older time.Duration) {
-			select {
-			case in <- remotePositions{data, s.loop.since() - older}:
-			default:
-			}
-		}})
+	received := make(chan remotePositions, positionsQueue)
+	collect := func() ([]byte, time.Duration) {
+		if positions := latest.Load(); positions != nil {
+			return positions.data, positions.at
+		}
+		return nil, 0
+	}
+	merge := func(data []byte, older time.Duration) {
+		select {
+		case received <- remotePositions{data, s.loop.since() - older}:
+		default:
+		}
+	}
+	p.AddTopic(controlplane.Topic{Name: "pins", Collect: collect, Merge: merge})
 	p.background = append(p.background, func() {
-		s.group.Go(func() error {
-			tick := time.NewTicker(collectInterval)
-			defer tick.Stop()
-			for {
-				select {
-				case c := <-in:
-					s.MergePositions(c.data, s.loop.since()-c.collectedAt)
-				case <-tick.C:
-					at := s.loop.since()
-					latest.Store(&localPositions{s.CollectPositions(), at})
-				case <-s.ctx.Done():
-					return nil
-				}
-			}
+		s.startGoroutine(func(ctx context.Context) error {
+			s.exchangePositions(ctx, received, &latest)
+			return nil
 		})
 	})
 }
 
-// shareEpoch hands the agreed list on when it is another one.
+// exchangePositions merges what was received and collects what this broker knows, until ctx ends.
+func (s *Server) exchangePositions(ctx context.Context, received <-chan remotePositions, latest *atomic.Pointer[localPositions]) {
+	tick := time.NewTicker(collectInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case r := <-received:
+			s.MergePositions(r.data, s.loop.since()-r.collectedAt)
+		case <-tick.C:
+			at := s.loop.since()
+			latest.Store(&localPositions{s.CollectPositions(), at})
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// shareEpoch hands an agreed list to read pins when it is a new one.
 func (s *Server) shareEpoch(v *controlplane.View) {
 	if s.loop.readPins == nil || v.Epoch == s.controlPlane.epoch {
 		return
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -132,7 +132,7 @@
 
 // abandon ends a query that nobody waits for any more, or whose time is up.
 func (l *loop) abandon(m queryAbandoned) {
-	q := m.s
+	q := m.query
 	if q.done {
 		return
 	}
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -25,10 +25,10 @@
 	retryAfterLimit() time.Duration
 }
 
-// readPinning is the extension for hints on reads: which replicas a shard request may go to, whether an answer keeps what the hint asks
+// readPinTracker is the extension for hints on reads: which replicas a shard request may go to, whether an answer keeps what the hint asks
 // for, and what the client is told of it. An answer that does not keep it does not count, unless the hint allows it, and then the result
 // says so.
-type readPinning struct {
+type readPinTracker struct {
 	loop         readPinsHost
 	positions    *readpin.Tracker
 	config       readpin.Config
@@ -37,7 +37,7 @@
 
 // pinnedQuery is what read pins keep of a query with a hint.
 type pinnedQuery struct {
-	ask           readpin.Requirement
+	requirement   readpin.Requirement
 	requests      []pinnedRequest
 	eligibleAfter time.Duration // no replica is eligible before
 }
@@ -49,22 +49,22 @@
 	shown    readpin.Assessment
 }
 
-func newReadPinning(o *operator.Fleet, t *terms.Terms) *readPinning {
+func newReadPinTracker(o *operator.Fleet, t *terms.Terms) *readPinTracker {
 	c := readpin.DefaultConfig(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
 	c.ClockError = o.ClockError
 	c.MaxDrift = o.Drift
-	return &readPinning{positions: readpin.NewTracker(c), config: c}
+	return &readPinTracker{positions: readpin.NewTracker(c), config: c}
 }
 
 // useReadPins attaches read pins to the loop.
-func (l *loop) useReadPins(p *readPinning) {
+func (l *loop) useReadPins(p *readPinTracker) {
 	p.loop = l
 	l.readPins = p
 	l.extensions[readPinsExtension] = p
 }
 
 // handle takes positions of replicas and the agreed list that pins are spread over. What waits before the loop grows older, and that counts.
-func (p *readPinning) handle(m message) bool {
+func (p *readPinTracker) handle(m message) bool {
 	switch m := m.(type) {
 	case positionsRequested:
 		m.to <- p.positions.EncodePositions(p.loop.since())
@@ -82,7 +82,7 @@
 }
 
 // tick has nothing to do.
-func (p *readPinning) tick(time.Duration) time.Duration { return notDue }
+func (p *readPinTracker) tick(time.Duration) time.Duration { return notDue }
 
 // ReadPinState tells what became of hints.
 type ReadPinState struct {
@@ -91,12 +91,12 @@
 	Epoch        uint64
 }
 
-func (p *readPinning) report(c *QueryCounters) {
+func (p *readPinTracker) report(c *QueryCounters) {
 	c.ReadPins = &ReadPinState{p.positions.Counts, p.ignoredHints.Load(), p.positions.EpochNumber()}
 }
 
 // updateEndpoints tells read pins of a full list of endpoints, or of those that changed.
-func (p *readPinning) updateEndpoints(full bool, endpoints []decision.Endpoint) {
+func (p *readPinTracker) updateEndpoints(full bool, endpoints []decision.Endpoint) {
 	if p != nil {
 		p.positions.UpdateEndpoints(p.loop.since(), full, endpoints)
 	}
@@ -104,25 +104,25 @@
 
 // pinQuery finds the eligible replicas of a query's shard requests. A shard request without one is given to the router with none: what the
 // query type's minimum allows is answered without it, and else the query is shed with the time to return.
-func (p *readPinning) pinQuery(q *activeQuery) {
+func (p *readPinTracker) pinQuery(q *activeQuery) {
 	if p == nil || q.Hint == nil {
 		return
 	}
 	h, n := q.Hint, len(q.Request.Shards)
 	pin := &pinnedQuery{
-		ask:      readpin.Requirement{ReceivedAt: q.arrival, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale},
-		requests: make([]pinnedRequest, n),
+		requirement: readpin.Requirement{ReceivedAt: q.arrival, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale},
+		requests:    make([]pinnedRequest, n),
 	}
 	if h.Scope != readhint.ScopeNone {
-		pin.ask.Pin = readpin.HashPin(string(h.Scope), h.Key)
+		pin.requirement.Pin = readpin.HashPin(string(h.Scope), h.Key)
 	}
 	now := p.loop.since()
 	nodes := make([]decision.NodeID, 0, usualReplicas*n)
 	for i := range q.Request.Shards {
 		shard, from := q.Request.Shards[i].Shard, len(nodes)
 		var eligibleAfter time.Duration
-		nodes, pin.requests[i].required, eligibleAfter = p.positions.EligibleReplicas(now, shard, h.MinOffset(shard), &pin.ask, nodes)
-		pin.requests[i].allowed = decision.AllowedReplicas{Sticky: pin.ask.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
+		nodes, pin.requests[i].required, eligibleAfter = p.positions.EligibleReplicas(now, shard, h.MinOffset(shard), &pin.requirement, nodes)
+		pin.requests[i].allowed = decision.AllowedReplicas{Sticky: pin.requirement.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
 		pin.eligibleAfter = max(pin.eligibleAfter, eligibleAfter)
 	}
 	q.pin = pin
@@ -137,18 +137,18 @@
 }
 
 // attemptSent counts an attempt.
-func (p *readPinning) attemptSent(q *activeQuery, attempt *store.Part, now time.Duration) {
+func (p *readPinTracker) attemptSent(q *activeQuery, attempt *store.Part, now time.Duration) {
 	if p == nil {
 		return
 	}
 	if q.pin != nil {
-		attempt.Tag = q.pin.ask.Pin
+		attempt.Tag = q.pin.requirement.Pin
 	}
 	p.positions.AttemptSent(now, attempt.Tag, attempt.Node)
 }
 
 // attemptEnded learns from an answer and returns what it counts as: one that does not keep its query's hint is stale.
-func (p *readPinning) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration) decision.Outcome {
+func (p *readPinTracker) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration) decision.Outcome {
 	if p == nil {
 		return outcome
 	}
@@ -166,7 +166,7 @@
 	}
 	request := &q.pin.requests[i]
 	shown := p.positions.Assess(request.required, attempt.Sent, report, reported)
-	if shown.Fresh || q.pin.ask.AllowStale {
+	if shown.Fresh || q.pin.requirement.AllowStale {
 		request.shown = shown
 		return outcome
 	}
@@ -176,7 +176,7 @@
 }
 
 // annotateResult adds to a result what its client has to know.
-func (p *readPinning) annotateResult(q *activeQuery, r *query.Result) {
+func (p *readPinTracker) annotateResult(q *activeQuery, r *query.Result) {
 	if q.pin == nil {
 		return
 	}
@@ -200,7 +200,7 @@
 }
 
 // annotateAnswer states the positions and the age of the answers.
-func (p *readPinning) annotateAnswer(q *activeQuery, r *query.Result) {
+func (p *readPinTracker) annotateAnswer(q *activeQuery, r *query.Result) {
 	oldest, behind := p.loop.since(), []int{}
 	for i := range q.requests {
 		if !q.requests[i].answered {
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -1,8 +1,5 @@
 package server
 
-// This file owns other settings taken while the broker serves: what can change, and what needs a restart. It must never take over
-// a configuration that was not checked whole.
-
 import (
 	"fmt"
 	"log/slog"
@@ -14,95 +11,130 @@
 	"flaxfront/internal/discovery"
 )
 
-// checkConfiguration reads what the configuration file leaves in other forms.
-func checkConfiguration(start *terms.Start, reader discovery.Reader) (list *discovery.List, known bool, err error) {
+// SecondPhaseError tells that a query type of the settings has a second phase, which the protocol has no form for.
+type SecondPhaseError struct{ QueryType string }
+
+func (e *SecondPhaseError) Error() string {
+	return fmt.Sprintf("configuration: settings: domain.fetchParts: %s has a second step, which the protocol has no form for", e.QueryType)
+}
+
+// checkConfiguration checks what the configuration file leaves open, and decodes the endpoint list that it may have.
+func checkConfiguration(start *terms.Start, reader discovery.Reader) (list *discovery.List, given bool, err error) {
 	t := &start.Terms
 	for i := range t.Module.QueryTypes {
 		if t.Module.QueryTypes[i].SecondPhaseRequests > 0 {
-			return nil, false, fmt.Errorf("configuration: settings: domain.fetchParts: %s has a second step, which "+
-				"the protocol has no form for", t.Types[i])
+			return nil, false, &SecondPhaseError{t.Types[i]}
 		}
 	}
 	if len(start.Known) == 0 || string(start.Known) == "null" {
 		return &discovery.List{}, false, nil
 	}
-	if list, err = reader.Decode(start.Known); err != nil {
+	list, err = reader.Decode(start.Known)
+	if err != nil {
 		return nil, false, fmt.Errorf("configuration: known: %w", err)
 	}
 	list.Whole = true
 	return list, true, nil
 }
 
-// Reload takes over a new configuration while serving, with one log line. It is read and checked whole by then; err is
-// what was wrong with it, and then the old one stays in force. Discovery moves and settings change; what would need a restart is
-// named and stays as it was. Calls must not overlap.
+// Reload applies a new configuration while serving, with one log line. The files are read and checked by then; err is what was wrong with
+// them, and then the old configuration stays in force. Discovery moves and settings change; what needs a restart is logged and stays as it
+// was. Calls must not overlap.
 func (s *Server) Reload(start *terms.Start, file *operator.File, err error) {
-	var list *discovery.List
-	var known bool
 	var reader discovery.Reader
+	var list *discovery.List
+	var listGiven bool
 	if err == nil {
 		reader = discovery.Reader{Zones: start.Terms.Zones, Cells: start.Terms.Module.Cells, Start: s.loop.start}
-		list, known, err = checkConfiguration(start, reader)
+		list, listGiven, err = checkConfiguration(start, reader)
 	}
 	if err != nil {
-		slog.Error("configuration not taken; the old one stays in force", "error", err, "what_to_do", remedy.Of(err))
+		slog.Error("configuration reload rejected", "error", err, "remedy", remedy.Of(err))
 		return
 	}
-	have := *s.start
-	have.Terms = *s.Settings()
-	fixed := have.Differs(start)
-	at := slices.Index(fixed, "settings")
+	if !listGiven {
+		list = nil
+	}
+	current := *s.start
+	current.Terms = *s.Settings()
+	needsRestart := current.Differs(start)
+	at := slices.Index(needsRestart, "settings")
 	switched := at >= 0 && s.canReconfigure(&start.Terms)
-	var asked *discovery.Terms
+	var discoveryTerms *discovery.Terms
 	if switched {
-		fixed = slices.Delete(fixed, at, at+1)
-		elsewhere := s.discoveryAddress != start.Discovery && !slices.Equal(have.Terms.Types, start.Terms.Types)
-		moved := elsewhere || have.Terms.Fingerprint() != start.Terms.Fingerprint()
-		if !known || !moved {
-			list = nil
-		}
-		s.reconfigure(&start.Terms, moved, list)
-		if moved || have.Terms.AskEvery != start.Terms.AskEvery || have.Terms.Pushed != start.Terms.Pushed {
-			asked = &discovery.Terms{Reader: reader, Wait: start.Terms.AskEvery, Pushed: start.Terms.Pushed}
-		}
+		needsRestart = slices.Delete(needsRestart, at, at+1)
+		discoveryTerms = s.switchSettings(&current.Terms, start, reader, list)
 	}
-	if fixed = append(fixed, s.operator.Differs(file)...); s.discoveryAddress != start.Discovery || asked != nil {
+	needsRestart = append(needsRestart, s.operator.Differs(file)...)
+	if s.discoveryAddress != start.Discovery || discoveryTerms != nil {
 		s.discoveryAddress = start.Discovery
-		s.discoveryClient.Move(start.Discovery.String(), asked)
+		s.discoveryClient.Move(start.Discovery.String(), discoveryTerms)
 	}
+	s.reloadCertificates()
+	slog.Info("configuration reloaded", "discovery", start.Discovery, "settings_switched", switched, "needs_restart", needsRestart)
+}
+
+// switchSettings has the loop go on under other settings, and returns what changes for polling discovery; nil: nothing. list is the one of
+// the configuration.
+func (s *Server) switchSettings(current *terms.Terms, start *terms.Start, reader discovery.Reader, list *discovery.List) *discovery.Terms {
+	next := &start.Terms
+	elsewhere := s.discoveryAddress != start.Discovery && !slices.Equal(current.Types, next.Types)
+	moved := elsewhere || current.Fingerprint() != next.Fingerprint()
+	if !moved {
+		list = nil
+	}
+	s.reconfigure(next, moved, list)
+	if moved || current.AskEvery != next.AskEvery || current.Pushed != next.Pushed {
+		return &discovery.Terms{Reader: reader, Wait: next.AskEvery, Pushed: next.Pushed}
+	}
+	return nil
+}
+
+// reloadCertificates reads the certificates of site links and of the control plane again. Those that can't be read stay in force.
+func (s *Server) reloadCertificates() {
 	if s.siteKeys != nil {
 		if err := s.siteKeys.Reload(); err != nil {
-			slog.Error("keys not taken; the old ones stay in force", "error", err)
+			slog.Error("certificate reload rejected", "component", "gateway", "error", err, "remedy", remedy.Of(err))
 		} else {
-			slog.Info("keys taken", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Ends())
+			slog.Info("certificates reloaded", "component", "gateway", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Ends())
 		}
 	}
 	if s.controlPlane != nil {
 		if err := s.controlPlane.keys.Reload(); err != nil {
-			slog.Error("the fleet's keys not taken; the old ones stay in force", "error", err)
+			slog.Error("certificate reload rejected", "component", "control-plane", "error", err, "remedy", remedy.Of(err))
 		}
 	}
-	slog.Info("configuration taken", "discovery", start.Discovery, "settings_switched", switched, "needs_restart", fixed)
 }
 
-// canReconfigure tells whether other settings can be taken over without a restart. What the operators' own file switches on holds to
-// the settings of the start, and so do the addresses at which brokers talk.
+// canReconfigure tells whether other settings can be applied without a restart. What the operators' file switches on is bound to the settings
+// of the start, and so are the addresses at which brokers communicate.
 func (s *Server) canReconfigure(t *terms.Terms) bool {
-	o, have := s.operator, s.Settings()
-	plain := !o.Door.On && !o.Crew.On && !o.Linked() && !o.Listed() && !o.Agreed() && o.Back.Protocol == "" && len(s.fronts) == 0 && !o.Fleet.Pins
-	_, able := s.loop.router.(reconfigurable)
-	return able && plain && t.Me == have.Me && t.Module.GossipAllowed == have.Module.GossipAllowed
+	if _, ok := s.loop.router.(reconfigurable); !ok || s.boundToSettings() {
+		return false
+	}
+	current := s.Settings()
+	return t.Me == current.Me && t.Module.GossipAllowed == current.Module.GossipAllowed
+}
+
+// boundToSettings tells whether something is on that can't follow other settings.
+func (s *Server) boundToSettings() bool {
+	o := s.operator
+	switch {
+	case o.Door.On, o.Crew.On, o.Linked(), o.Listed(), o.Agreed(), o.Fleet.Pins:
+		return true
+	}
+	return o.Back.Protocol != "" || len(s.fronts) > 0
 }
 
-// reconfigure has all go on under other settings: the loop first, then what clients send. What was read under the old ones and comes
+// reconfigure has all go on under other settings: the loop first, then what clients send. A query that was read under the old ones and comes
 // to the loop later is translated there.
 func (s *Server) reconfigure(t *terms.Terms, moved bool, list *discovery.List) {
-	r := settingsChanged{t, moved, list, make(chan struct{})}
-	if !s.deliver(r) {
+	m := settingsChanged{t, moved, list, make(chan struct{})}
+	if !s.deliver(m) {
 		return
 	}
 	select {
-	case <-r.done:
+	case <-m.done:
 		s.settings.Store(t)
 	case <-s.ctx.Done():
 	}
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -1,7 +1,5 @@
 package server
 
-// This file owns a planned stop. It must never drop a search that was taken in time.
-
 import (
 	"log/slog"
 	"time"
@@ -9,26 +7,28 @@
 	"flaxfront/internal/transport/link"
 )
 
-// drain goes on serving for as long as clients may come, then until all that was taken is answered.
+// By the protocol new connections come for newConnectionsFor after a shutdown was requested, and what comes later than answerWithin has to
+// be answered before the process is killed. Between the two the broker stops accepting.
+const (
+	newConnectionsFor = 400 * time.Millisecond
+	answerWithin      = 700 * time.Millisecond
+	stopTaking        = (newConnectionsFor + answerWithin) / 2
+)
+
+// The process is killed answerWithin after the longest time of a client, but no later than maxKillWait plus answerWithin, after the shutdown
+// was requested. An answer has to be on its way some time before.
+const (
+	maxKillWait   = 3 * time.Second
+	beforeKill    = 150 * time.Millisecond
+	minAnswerTime = 50 * time.Millisecond
+)
+
+// drain is a graceful shutdown: the broker serves for as long as clients may come, then until all that is in flight is answered.
 func (s *Server) drain() {
-	slog.Info("stopping", "in_hand", s.Counters().Queries.InFlight)
+	slog.Info("shutdown started", "in_flight", s.Counters().Queries.InFlight)
 	s.stopRequested.Store(int64(s.loop.since()))
 	s.draining.Store(true)
-	if s.loop.membership != nil { // before anything else: duties are taken over at once
-		d := shutdownStarted{make(chan struct{})}
-		if s.deliver(d) {
-			select {
-			case <-d.done:
-			case <-s.ctx.Done():
-			}
-		}
-	}
-	if s.controlPlane != nil {
-		s.controlPlane.SetLeaving()
-	}
-	if s.siteLinks != nil {
-		s.siteLinks.Say(link.Status{Stopping: true}, true) // nothing new from other sites; what is in hand is finished
-	}
+	s.announceShutdown()
 	select {
 	case <-s.after(stopTaking):
 	case <-s.ctx.Done():
@@ -49,21 +49,32 @@
 	}
 }
 
-// The protocol's kill comes no sooner than the longest time of a client, but at most killWaits, and mustAnswer more after the stop was
-// asked for. An answer has to be on its way some time before.
-const (
-	killWaits   = 3 * time.Second
-	beforeKill  = 150 * time.Millisecond
-	leastAnswer = 50 * time.Millisecond
-)
+// announceShutdown tells the other brokers, members first, so that periodic jobs are taken over at once.
+func (s *Server) announceShutdown() {
+	if s.loop.membership != nil {
+		m := shutdownStarted{make(chan struct{})}
+		if s.deliver(m) {
+			select {
+			case <-m.done:
+			case <-s.ctx.Done():
+			}
+		}
+	}
+	if s.controlPlane != nil {
+		s.controlPlane.SetLeaving()
+	}
+	if s.siteLinks != nil {
+		s.siteLinks.Say(link.Status{Stopping: true}, true) // nothing new from other sites; what is in flight is finished
+	}
+}
 
-// answerBy is when a search has to be answered that came at a time. Danger: what comes after the stop was asked for and is not
-// answered when the process is killed is lost.
+// answerBy is when a query that came at a time has to be answered: what comes after the shutdown was requested, and is not answered when the
+// process is killed, is lost.
 func (s *Server) answerBy(arrived, timeout time.Duration) time.Duration {
 	by := arrived + timeout
 	if s.draining.Load() {
-		kill := time.Duration(s.stopRequested.Load()) + min(s.Settings().LongestTimeout(), killWaits) + answerWithin
-		by = min(by, max(arrived+leastAnswer, kill-beforeKill))
+		kill := time.Duration(s.stopRequested.Load()) + min(s.Settings().LongestTimeout(), maxKillWait) + answerWithin
+		by = min(by, max(arrived+minAnswerTime, kill-beforeKill))
 	}
 	return by
 }
