--- a/internal/cluster/connpolicy/classes.go
+++ b/internal/cluster/connpolicy/classes.go
@@ -98,7 +98,7 @@
 	worstClass := ""
 	for _, class := range c.policy.Classes {
 		guarantees := 0
-		for _, amount := range class.Shared.Amounts {
+		for _, amount := range class.Shared.Allowances {
 			guarantees += amount.Guarantee
 		}
 		if guarantees*c.policy.Nodes > worst {
--- a/internal/cluster/connpolicy/connpolicy_test.go
+++ b/internal/cluster/connpolicy/connpolicy_test.go
@@ -25,13 +25,13 @@
 		t.Fatal(err)
 	}
 	small, plain := p.ClassOf(Node{Zone: "east", Machine: "m1-17"}), p.ClassOf(Node{Zone: "west", Machine: "m1-17"})
-	if small.Budget != 160 || small.Floor != 1 || small.Shared.Units != 120 || small.Shared.Amounts[0].Guarantee != 30 {
+	if small.Budget != 160 || small.Floor != 1 || small.Shared.Units != 120 || small.Shared.Allowances[0].Guarantee != 30 {
 		t.Errorf("small nodes: %+v", small)
 	}
-	if plain.Budget != 640 || plain.Shared.Units != 560 || plain.Shared.Amounts[2].Most != 280 || plain.Shared.Amounts[0].Weight != 3 {
+	if plain.Budget != 640 || plain.Shared.Units != 560 || plain.Shared.Allowances[2].Max != 280 || plain.Shared.Allowances[0].Weight != 3 {
 		t.Errorf("other nodes: %+v", plain)
 	}
-	if p.Pool.Budget != 80000 || p.Pool.Shared.Amounts[0].Guarantee != 0 {
+	if p.Pool.Budget != 80000 || p.Pool.Shared.Allowances[0].Guarantee != 0 {
 		t.Errorf("pool: %+v", p.Pool)
 	}
 }
@@ -116,7 +116,7 @@
 		}
 		for _, k := range p.Classes {
 			sum := k.Floor * p.Brokers
-			for _, a := range k.Shared.Amounts {
+			for _, a := range k.Shared.Allowances {
 				sum += a.Guarantee
 			}
 			if sum > k.Budget {
--- a/internal/cluster/connpolicy/tenants.go
+++ b/internal/cluster/connpolicy/tenants.go
@@ -93,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		class.Shared.Amounts = append(class.Shared.Amounts, amount)
+		class.Shared.Allowances = append(class.Shared.Allowances, amount)
 		guarantees += amount.Guarantee
 		if guarantees > class.Shared.Units {
 			demand := "the guarantees, above the floors of all brokers,"
@@ -108,24 +108,24 @@
 }
 
 // checkAmount checks one tenant's amounts in one class. It returns the field at fault and what is wrong with it.
-func checkAmount(class *Class, tenant string, amount fairshare.Amount) (field string, err error) {
+func checkAmount(class *Class, tenant string, amount fairshare.Allowance) (field string, err error) {
 	starved := func(format string, args ...any) error {
 		return &StarvedTenantError{class.Name, tenant, fmt.Sprintf(format, args...)}
 	}
 	units := class.Shared.Units
 	switch {
-	case amount.Most < amount.Guarantee:
-		return "most", starved("most, %d, is less than the guarantee, %d", amount.Most, amount.Guarantee)
+	case amount.Max < amount.Guarantee:
+		return "most", starved("most, %d, is less than the guarantee, %d", amount.Max, amount.Guarantee)
 	case amount.Weight > maxWeight:
 		return "weight", starved("a weight of %d, which is over %d, leaves the others nothing", amount.Weight, maxWeight)
 	case amount.Weight == 0 && amount.Guarantee == 0 && units > 0:
 		return "weight", starved("neither a guarantee nor a weight: it would get nothing while others need more")
-	case amount.Most == 0 && units > 0:
+	case amount.Max == 0 && units > 0:
 		return "most", starved("most is 0")
-	case amount.Most > units:
-		return "most", &OvercommittedError{class.Name, "most and burst of " + tenant, amount.Most + amount.Burst, units}
-	case amount.Most+amount.Burst > units:
-		return "burst", &OvercommittedError{class.Name, "most and burst of " + tenant, amount.Most + amount.Burst, units}
+	case amount.Max > units:
+		return "most", &OvercommittedError{class.Name, "most and burst of " + tenant, amount.Max + amount.Burst, units}
+	case amount.Max+amount.Burst > units:
+		return "burst", &OvercommittedError{class.Name, "most and burst of " + tenant, amount.Max + amount.Burst, units}
 	}
 	return "", nil
 }
@@ -147,12 +147,12 @@
 	return 0, c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("tenant %q has no entry that holds", tenant)})
 }
 
-func (c *compiler) evaluateAmount(index int, variables map[string]any) (fairshare.Amount, error) {
-	var amount fairshare.Amount
-	for i, into := range []*int{&amount.Guarantee, &amount.Weight, &amount.Most, &amount.Burst} {
+func (c *compiler) evaluateAmount(index int, variables map[string]any) (fairshare.Allowance, error) {
+	var amount fairshare.Allowance
+	for i, into := range []*int{&amount.Guarantee, &amount.Weight, &amount.Max, &amount.Burst} {
 		n, err := c.tenants[index].amounts[i].evaluateNumber(variables)
 		if err != nil {
-			return fairshare.Amount{}, c.doc.Fault(tenantField(index, amountFields[i]), err)
+			return fairshare.Allowance{}, c.doc.Fault(tenantField(index, amountFields[i]), err)
 		}
 		*into = n
 	}
--- a/internal/decision/connlease/baseline_test.go
+++ b/internal/decision/connlease/baseline_test.go
@@ -134,7 +134,7 @@
 		}
 		if step%5 == 0 {
 			target := fairshare.NewTable(1, tenants, brokers)
-			d.Divide(fairshare.Input{Nodes: plan.Budgets, Need: need, Last: granted}, target)
+			d.Divide(fairshare.Input{Nodes: plan.Budgets, Demand: need, Previous: granted}, target)
 			free := plan.Budgets[0].Units
 			for i := step; i < len(freed); i++ {
 				free -= freed[i]
--- a/internal/decision/connlease/golden_test.go
+++ b/internal/decision/connlease/golden_test.go
@@ -165,7 +165,7 @@
 			plan.Nodes = append(plan.Nodes, b.Node)
 			budget := fairshare.Budget{Units: int(b.Connections) - (goldenBrokers+1)*int(b.ReservedPerBroker)}
 			for range goldenTenants {
-				budget.Amounts = append(budget.Amounts, fairshare.Amount{Guarantee: g.n(3), Weight: 1 + g.n(2), Most: 4 + g.n(20), Burst: g.n(9)})
+				budget.Allowances = append(budget.Allowances, fairshare.Allowance{Guarantee: g.n(3), Weight: 1 + g.n(2), Max: 4 + g.n(20), Burst: g.n(9)})
 			}
 			plan.Budgets = append(plan.Budgets, budget)
 		}
--- a/internal/decision/connlease/granter.go
+++ b/internal/decision/connlease/granter.go
@@ -73,7 +73,7 @@
 		}
 	}
 	g.fill(s, plan, brokers, needs)
-	g.divider.Divide(fairshare.Input{Nodes: plan.Budgets, Pool: plan.Pool, Need: g.need, Last: g.last}, g.share)
+	g.divider.Divide(fairshare.Input{Nodes: plan.Budgets, Pool: plan.Pool, Demand: g.need, Previous: g.last}, g.share)
 	return append(all, g.grants(s, plan, brokers)...)
 }
 
--- a/internal/decision/connlease/shift_test.go
+++ b/internal/decision/connlease/shift_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	new(fairshare.Divider).Divide(fairshare.Input{Nodes: plan.Budgets, Need: need}, ideal)
+	new(fairshare.Divider).Divide(fairshare.Input{Nodes: plan.Budgets, Demand: need}, ideal)
 	all, away := 0, 0
 	for n, id := range plan.Nodes {
 		for t := range tenants {
--- a/internal/decision/connlease/world_test.go
+++ b/internal/decision/connlease/world_test.go
@@ -130,8 +130,8 @@
 	p := &BudgetPlan{Tenants: []string{"a", "b", "c"}}
 	for n := range nodes {
 		p.Nodes = append(p.Nodes, decision.NodeID{Addr: [4]byte{10, 0, 0, byte(n)}, Port: 1})
-		p.Budgets = append(p.Budgets, fairshare.Budget{Units: units, Amounts: []fairshare.Amount{
-			{Guarantee: units / 4, Weight: 3, Most: units}, {Weight: 2, Most: units / 2, Burst: units / 4}, {Weight: 1, Most: units / 2, Burst: units / 4}}})
+		p.Budgets = append(p.Budgets, fairshare.Budget{Units: units, Allowances: []fairshare.Allowance{
+			{Guarantee: units / 4, Weight: 3, Max: units}, {Weight: 2, Max: units / 2, Burst: units / 4}, {Weight: 1, Max: units / 2, Burst: units / 4}}})
 	}
 	return p
 }
--- a/internal/decision/fairshare/fairshare.go
+++ b/internal/decision/fairshare/fairshare.go
@@ -7,18 +7,18 @@
 // used by one goroutine at a time.
 package fairshare
 
-// Amount is what a policy allows one tenant of a budget.
-type Amount struct {
+// Allowance is what a policy allows one tenant of a budget.
+type Allowance struct {
 	Guarantee int // units that it gets before anybody gets more, as far as it needs them
 	Weight    int // its part of what lies above the guarantees
-	Most      int // units that it gets while others could use them
+	Max       int // units that it gets while others could use them
 	Burst     int // further units that it gets of what nobody else needs
 }
 
 // Budget is what there is to share out at a node, or over all of them, without the brokers' floors.
 type Budget struct {
-	Units   int
-	Amounts []Amount // by tenant
+	Units      int
+	Allowances []Allowance // by tenant
 }
 
 // Table holds units by node, tenant and broker.
@@ -49,10 +49,10 @@
 
 // Input is what a division starts from.
 type Input struct {
-	Nodes []Budget
-	Pool  *Budget // over all nodes; nil: the nodes' budgets alone bound
-	Need  *Table  // units that each broker could use above its floor
-	Last  *Table  // the division before; nil: there was none
+	Nodes    []Budget
+	Pool     *Budget // over all nodes; nil: the nodes' budgets alone bound
+	Demand   *Table  // units that each broker could use above its floor
+	Previous *Table  // the division before; nil: there was none
 }
 
 // slack is how much less than it has a broker may need without losing it: an eighth, and one unit at the least. Danger: a need
@@ -78,7 +78,7 @@
 
 // Divide shares all budgets out into a table of the need's size, whatever it held.
 func (d *Divider) Divide(in Input, out *Table) {
-	nodes, tenants := in.Need.Nodes, in.Need.Tenants
+	nodes, tenants := in.Demand.Nodes, in.Demand.Tenants
 	d.size(nodes * tenants)
 	for n := range nodes {
 		for t := range tenants {
@@ -93,8 +93,8 @@
 		for t := range tenants {
 			if at := n*tenants + t; d.need[at] > d.share[at] {
 				var last []int32
-				if in.Last != nil {
-					last = in.Last.Row(n, t)
+				if in.Previous != nil {
+					last = in.Previous.Row(n, t)
 				}
 				d.brokers(d.share[at], d.most[at], n+t, last, out.Row(n, t))
 			}
@@ -114,11 +114,11 @@
 // sum adds up what a tenant needs and had at a node, and leaves what each broker needs in its row.
 func (d *Divider) sum(in *Input, n, t int, out []int32) {
 	need, had, most := 0, 0, int32(0)
-	row := in.Need.Row(n, t)
-	if in.Last == nil {
+	row := in.Demand.Row(n, t)
+	if in.Previous == nil {
 		copy(out, row)
 	} else {
-		for b, last := range in.Last.Row(n, t) {
+		for b, last := range in.Previous.Row(n, t) {
 			out[b] = steady(row[b], last)
 			had += int(last)
 		}
@@ -127,7 +127,7 @@
 		need += int(u)
 		most = max(most, u)
 	}
-	at := n*in.Need.Tenants + t
+	at := n*in.Demand.Tenants + t
 	d.need[at], d.had[at], d.most[at] = need, had, int(most)
 }
 
@@ -138,17 +138,17 @@
 	f.size(tenants)
 	left := b.Units
 	for t := range tenants {
-		a, need := &b.Amounts[t], d.need[at+t]
+		a, need := &b.Allowances[t], d.need[at+t]
 		d.low[at+t] = min(need, a.Guarantee)
-		f.low[t], f.high[t], f.weight[t], f.last[t] = d.low[at+t], min(need, max(a.Most, a.Guarantee)), a.Weight, d.had[at+t]
+		f.low[t], f.high[t], f.weight[t], f.last[t] = d.low[at+t], min(need, max(a.Max, a.Guarantee)), a.Weight, d.had[at+t]
 	}
 	left -= f.run(b.Units, d.share[at:at+tenants])
 	if left == 0 {
 		return
 	}
 	for t := range tenants {
-		a, has := &b.Amounts[t], d.share[at+t]
-		f.low[t], f.high[t] = 0, max(0, min(d.need[at+t], a.Most+a.Burst)-has)
+		a, has := &b.Allowances[t], d.share[at+t]
+		f.low[t], f.high[t] = 0, max(0, min(d.need[at+t], a.Max+a.Burst)-has)
 		f.weight[t], f.last[t] = max(1, a.Weight), max(0, d.had[at+t]-has)
 	}
 	f.run(left, f.more[:tenants])
@@ -176,9 +176,9 @@
 	f, part := &d.fill, make([]int, tenants)
 	f.size(tenants)
 	for t := range tenants {
-		a := b.Amounts[t]
+		a := b.Allowances[t]
 		f.low[t] = min(high[t], max(low[t], a.Guarantee))
-		f.high[t], f.weight[t], f.last[t] = min(high[t], max(f.low[t], a.Most)), a.Weight, had[t]
+		f.high[t], f.weight[t], f.last[t] = min(high[t], max(f.low[t], a.Max)), a.Weight, had[t]
 	}
 	f.run(b.Units, part)
 	f.size(nodes)
--- a/internal/decision/fairshare/fairshare_test.go
+++ b/internal/decision/fairshare/fairshare_test.go
@@ -114,19 +114,19 @@
 // draw makes a division at random, a small one.
 func draw(t *rapid.T) Input {
 	nodes, tenants, brokers := rapid.IntRange(1, 4).Draw(t, "nodes"), rapid.IntRange(1, 5).Draw(t, "tenants"), rapid.IntRange(1, 9).Draw(t, "brokers")
-	in := Input{Need: NewTable(nodes, tenants, brokers)}
+	in := Input{Demand: NewTable(nodes, tenants, brokers)}
 	for range nodes {
 		b := Budget{Units: rapid.IntRange(0, 60).Draw(t, "units")}
-		for left := b.Units; len(b.Amounts) < tenants; {
-			a := Amount{Guarantee: rapid.IntRange(0, left).Draw(t, "guarantee"), Weight: rapid.IntRange(1, 5).Draw(t, "weight")}
-			a.Most = rapid.IntRange(a.Guarantee, b.Units).Draw(t, "most")
-			a.Burst = rapid.IntRange(0, b.Units-a.Most).Draw(t, "burst")
-			b.Amounts, left = append(b.Amounts, a), left-a.Guarantee
+		for left := b.Units; len(b.Allowances) < tenants; {
+			a := Allowance{Guarantee: rapid.IntRange(0, left).Draw(t, "guarantee"), Weight: rapid.IntRange(1, 5).Draw(t, "weight")}
+			a.Max = rapid.IntRange(a.Guarantee, b.Units).Draw(t, "most")
+			a.Burst = rapid.IntRange(0, b.Units-a.Max).Draw(t, "burst")
+			b.Allowances, left = append(b.Allowances, a), left-a.Guarantee
 		}
 		in.Nodes = append(in.Nodes, b)
 	}
-	for i := range in.Need.cells {
-		in.Need.cells[i] = int32(rapid.IntRange(0, 12).Draw(t, "need"))
+	for i := range in.Demand.cells {
+		in.Demand.cells[i] = int32(rapid.IntRange(0, 12).Draw(t, "need"))
 	}
 	return in
 }
@@ -136,9 +136,9 @@
 		in := draw(t)
 		sum, least := 0, 0
 		for n, b := range in.Nodes {
-			for tenant, a := range b.Amounts {
+			for tenant, a := range b.Allowances {
 				need := 0
-				for _, u := range in.Need.Row(n, tenant) {
+				for _, u := range in.Demand.Row(n, tenant) {
 					need += int(u)
 				}
 				least += min(need, a.Guarantee)
@@ -147,15 +147,15 @@
 		}
 		if rapid.Bool().Draw(t, "pool") {
 			in.Pool = &Budget{Units: rapid.IntRange(least, sum).Draw(t, "units")}
-			for range in.Need.Tenants {
-				in.Pool.Amounts = append(in.Pool.Amounts, Amount{Weight: rapid.IntRange(1, 5).Draw(t, "weight"), Most: in.Pool.Units})
+			for range in.Demand.Tenants {
+				in.Pool.Allowances = append(in.Pool.Allowances, Allowance{Weight: rapid.IntRange(1, 5).Draw(t, "weight"), Max: in.Pool.Units})
 			}
 		}
-		out, again := NewTable(in.Need.Nodes, in.Need.Tenants, in.Need.Brokers), NewTable(in.Need.Nodes, in.Need.Tenants, in.Need.Brokers)
+		out, again := NewTable(in.Demand.Nodes, in.Demand.Tenants, in.Demand.Brokers), NewTable(in.Demand.Nodes, in.Demand.Tenants, in.Demand.Brokers)
 		new(Divider).Divide(in, out)
 		check(t, in, out)
 		// The same need once more moves nothing, and neither does a broker's that shakes by one.
-		in.Last = out
+		in.Previous = out
 		new(Divider).Divide(in, again)
 		if fmt.Sprint(out.cells) != fmt.Sprint(again.cells) {
 			t.Fatalf("the same needs were divided otherwise:\n%v\n%v", out.cells, again.cells)
@@ -167,9 +167,9 @@
 	all := 0
 	for n, b := range in.Nodes {
 		sum := 0
-		for tenant, a := range b.Amounts {
+		for tenant, a := range b.Allowances {
 			has, need, low, high := 0, 0, []int(nil), []int(nil)
-			for br, u := range in.Need.Row(n, tenant) {
+			for br, u := range in.Demand.Row(n, tenant) {
 				has, need = has+out.At(n, tenant, br), need+int(u)
 				low, high = append(low, 0), append(high, int(u))
 			}
@@ -182,7 +182,7 @@
 					t.Fatalf("node %d tenant %d broker %d has %d of %d, exact is %s", n, tenant, br, got, has, want.FloatString(3))
 				}
 			}
-			if has < min(need, a.Guarantee) || has > a.Most+a.Burst {
+			if has < min(need, a.Guarantee) || has > a.Max+a.Burst {
 				t.Fatalf("node %d tenant %d has %d, needs %d, allowed %+v", n, tenant, has, need, a)
 			}
 			sum += has
--- a/internal/decision/fairshare/noise_test.go
+++ b/internal/decision/fairshare/noise_test.go
@@ -9,23 +9,23 @@
 func TestNoise(t *testing.T) {
 	const nodes, tenants, brokers = 10, 8, 40
 	in, chance := large(nodes, tenants, brokers, 1), rand.New(rand.NewPCG(3, 4))
-	base := make([]int32, len(in.Need.cells))
+	base := make([]int32, len(in.Demand.cells))
 	for i := range base {
 		base[i] = 2 + int32(chance.IntN(8))
 	}
 	for n := range in.Nodes {
 		in.Nodes[n].Units = brokers * tenants * 5
-		for t := range in.Nodes[n].Amounts {
-			in.Nodes[n].Amounts[t].Most = in.Nodes[n].Units
+		for t := range in.Nodes[n].Allowances {
+			in.Nodes[n].Allowances[t].Max = in.Nodes[n].Units
 		}
 	}
 	var d Divider
 	moved := func(keep bool) (moves int) {
 		a, b := NewTable(nodes, tenants, brokers), NewTable(nodes, tenants, brokers)
-		in.Last = nil
+		in.Previous = nil
 		for round := range 30 {
-			for i := range in.Need.cells {
-				in.Need.cells[i] = base[i] + int32(chance.IntN(2))
+			for i := range in.Demand.cells {
+				in.Demand.cells[i] = base[i] + int32(chance.IntN(2))
 			}
 			d.Divide(in, a)
 			for i := range a.cells {
@@ -34,7 +34,7 @@
 				}
 			}
 			if a, b = b, a; keep {
-				in.Last = b
+				in.Previous = b
 			}
 		}
 		return moves
@@ -49,16 +49,16 @@
 // large makes a division in which most nodes are short.
 func large(nodes, tenants, brokers int, seed uint64) Input {
 	chance := rand.New(rand.NewPCG(seed, 2))
-	in := Input{Need: NewTable(nodes, tenants, brokers)}
+	in := Input{Demand: NewTable(nodes, tenants, brokers)}
 	for range nodes {
 		b := Budget{Units: brokers * tenants / 2}
 		for range tenants {
-			b.Amounts = append(b.Amounts, Amount{Guarantee: b.Units / tenants / 4, Weight: 1 + chance.IntN(4), Most: b.Units / 2})
+			b.Allowances = append(b.Allowances, Allowance{Guarantee: b.Units / tenants / 4, Weight: 1 + chance.IntN(4), Max: b.Units / 2})
 		}
 		in.Nodes = append(in.Nodes, b)
 	}
-	for i := range in.Need.cells {
-		in.Need.cells[i] = int32(chance.IntN(4))
+	for i := range in.Demand.cells {
+		in.Demand.cells[i] = int32(chance.IntN(4))
 	}
 	return in
 }
@@ -67,11 +67,11 @@
 	in := large(200, 50, 300, 1)
 	in.Pool = &Budget{Units: 200 * 300 * 50 / 3}
 	for range 50 {
-		in.Pool.Amounts = append(in.Pool.Amounts, Amount{Weight: 1, Most: in.Pool.Units})
+		in.Pool.Allowances = append(in.Pool.Allowances, Allowance{Weight: 1, Max: in.Pool.Units})
 	}
-	in.Last = NewTable(200, 50, 300)
+	in.Previous = NewTable(200, 50, 300)
 	out, d := NewTable(200, 50, 300), new(Divider)
-	d.Divide(in, in.Last)
+	d.Divide(in, in.Previous)
 	for b.Loop() {
 		d.Divide(in, out)
 	}
