--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -105,8 +105,8 @@
 		if !ok || report.Incarnation != b.Incarnation {
 			continue
 		}
-		version, counts, ok := connlease.DecodeDemand(report.Extra[needSection])
-		if ok && (version == newest.Version || version == previous && previous > 0) {
+		version, counts, err := connlease.DecodeDemand(report.Extra[needSection])
+		if err == nil && (version == newest.Version || version == previous && previous > 0) {
 			needs[b.Slot] = counts
 		}
 	}
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -22,9 +22,9 @@
 	if b.view != nil && b.view.Index > 0 {
 		b.updateFloors(b.view)
 	}
-	surplus, hard := b.holder.ExcessConnections(now)
-	for _, r := range surplus {
-		b.loop.connections().Shed(r.Node, r.Tenant, r.Connections, hard)
+	excess := b.holder.ExcessConnections(now)
+	for _, r := range excess.Counts {
+		b.loop.connections().Shed(r.Node, r.Tenant, r.Connections, excess.Immediate)
 	}
 	for i := range b.attempts {
 		b.attempts[i].sent *= attemptDecay
@@ -45,7 +45,7 @@
 		b.proposedAt = now
 		b.proposeEntry(&statemachine.AcknowledgeLease{Slot: self.Slot, Incarnation: self.Incarnation, Number: number})
 	}
-	if b.agreedVersion > b.view.AcknowledgedPolicy && b.holder.WithinLease(now, true) {
+	if b.agreedVersion > b.view.AcknowledgedPolicy && b.holder.WithinLease(now) {
 		b.proposedAt = now
 		b.proposeEntry(&statemachine.AcknowledgePolicy{Slot: self.Slot, Incarnation: self.Incarnation, Version: b.agreedVersion})
 	}
