--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -16,29 +16,29 @@
 	"flaxfront/internal/transport/store"
 )
 
-// doorSite is a broker with a door before slow nodes.
-func doorSite(t *testing.T) (s *Server, end func() error) {
-	k := newKeeping(t, 4)
-	k.Pace(40 * time.Millisecond) // 200 parts a second
+// admissionSite is a broker with admission before slow nodes.
+func admissionSite(t *testing.T) (s *Server, end func() error) {
+	k := newCachedListRig(t, 4)
+	k.Pace(40 * time.Millisecond) // 200 attempts a second
 	path, err := k.Config("n0", "127.0.0.1:0", k.Discovery.Addr(), true)
 	start, file := readLabConfiguration(t, path, err, `{"door": {"on": true, "weights": ["acme=0.2", "quiet=0.8"]}}`)
 	return runConfigured(t, start, file)
 }
 
-func doorLoad(s *Server, tenant string, rate float64, last time.Duration, seed uint64) *lab.Outcome {
+func tenantLoad(s *Server, tenant string, rate float64, last time.Duration, seed uint64) *lab.Outcome {
 	return lab.Load{URL: "http://" + s.listener.Addr().String(), Class: "find", Tenant: tenant, Shards: 4, Widest: 2, Rate: rate,
 		For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: seed}.Run()
 }
 
-// One tenant floods: the other is served, each search has one answer, the books add up, and a planned stop with a full
+// One tenant floods: the other is served, each query has one answer, the books add up, and a graceful shutdown with a full
 // queue loses nothing.
-func TestFloodAtTheDoor(t *testing.T) {
-	s, end := doorSite(t)
+func TestFloodOfOneTenant(t *testing.T) {
+	s, end := admissionSite(t)
 	time.Sleep(200 * time.Millisecond)
 	var flood, quiet *lab.Outcome
 	var both sync.WaitGroup
-	both.Go(func() { flood = doorLoad(s, "acme", 800, 1500*time.Millisecond, 1) })
-	both.Go(func() { quiet = doorLoad(s, "quiet", 20, 1500*time.Millisecond, 2) })
+	both.Go(func() { flood = tenantLoad(s, "acme", 800, 1500*time.Millisecond, 1) })
+	both.Go(func() { quiet = tenantLoad(s, "quiet", 20, 1500*time.Millisecond, 2) })
 	both.Wait()
 	if quiet.Answered < quiet.Asked*9/10 || len(quiet.Broken)+len(flood.Broken) > 0 || flood.Shed == 0 || flood.Answered == 0 {
 		t.Errorf("quiet %v\nflood %v\n%v", quiet, flood, append(quiet.Broken, flood.Broken...))
@@ -48,7 +48,7 @@
 		t.Errorf("%+v, %+v", c, c.Admission)
 	}
 	var last *lab.Outcome
-	both.Go(func() { last = doorLoad(s, "acme", 400, 300*time.Millisecond, 3) })
+	both.Go(func() { last = tenantLoad(s, "acme", 400, 300*time.Millisecond, 3) })
 	time.Sleep(310 * time.Millisecond)
 	end()
 	both.Wait()
@@ -58,8 +58,8 @@
 }
 
 // Clients that go away while they wait leave nothing behind.
-func TestGoneWhileWaiting(t *testing.T) {
-	s, _ := doorSite(t)
+func TestClientLeavesWhileQueued(t *testing.T) {
+	s, _ := admissionSite(t)
 	var conns []net.Conn
 	body := `{"tablets":[{"tablet":0,"fraction":0.5},{"tablet":1,"fraction":0.5}],"statement":"c4"}`
 	for i := range 80 {
@@ -75,7 +75,7 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	(&keeping{t: t}).until("all are gone", func() bool {
+	(&cachedListRig{t: t}).until("all are gone", func() bool {
 		c := s.Counters().Queries
 		waiting := 0
 		for _, n := range c.Admission.Tenants {
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestWeights(t *testing.T) {
+func TestParseWeights(t *testing.T) {
 	for text, want := range map[string]string{
 		"acme=0.5 quiet=0.5": "", "acme=0 quiet=1": "", "acme=0.5": "1 of 2 tenants", "acme=0.5 quiet=0.6": "add up to 1.1",
 		"acme=0.5 quite=0.5": "quite=0.5", "acme=0.5 acme=0.5": "named once", "acme=x quiet=1": "acme=x", "acme=-1 quiet=1": "acme=-1",
@@ -98,10 +98,10 @@
 	}
 }
 
-// answering is a module that answers a search as soon as a part of it has ended.
-type answering struct{}
+// firstAnswerRouter is a router that answers a query as soon as an attempt of it has ended.
+type firstAnswerRouter struct{}
 
-func (answering) Step(_ time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+func (firstAnswerRouter) Step(_ time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	for i := range events {
 		if e := &events[i]; e.Kind == decision.AttemptEnded {
 			out = append(out, decision.Action{Kind: decision.AnswerQuery, ID: e.ID - 1, Complete: true})
@@ -110,9 +110,9 @@
 	return out
 }
 
-// What lies between entry and the turn, and between an answer's arrival and the turn, is not taken for the store's delay.
-func TestLateTurnsAtTheDoor(t *testing.T) {
-	l := newLoop(time.Now(), answering{}, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
+// What lies between entry and the step, and between an answer's arrival and the step, is not taken for the store's delay.
+func TestStepDelayIsNotTheStores(t *testing.T) {
+	l := newLoop(time.Now(), firstAnswerRouter{}, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
 	now := time.Duration(0)
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
--- a/internal/server/cached_list_test.go
+++ b/internal/server/cached_list_test.go
@@ -17,15 +17,15 @@
 	"flaxfront/internal/transport/store"
 )
 
-// keeping is a site on loopback whose brokers keep their list.
-type keeping struct {
+// cachedListRig is a site on loopback whose brokers keep their list.
+type cachedListRig struct {
 	*lab.Fleet
 	t      *testing.T
 	dir    string
 	listen string
 }
 
-func newKeeping(t *testing.T, nodes int) *keeping {
+func newCachedListRig(t *testing.T, nodes int) *cachedListRig {
 	f, err := lab.NewFleet(t.TempDir(), nodes, 2, 1)
 	if err == nil {
 		err = f.Discovery.Up("127.0.0.1:0")
@@ -34,24 +34,24 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	return &keeping{f, t, filepath.Join(f.Dir, "list"), "127.0.0.1:0"}
+	return &cachedListRig{f, t, filepath.Join(f.Dir, "list"), "127.0.0.1:0"}
 }
 
 // start runs a broker; its end is as by SIGTERM.
-func (k *keeping) start(known bool) (s *Server, end func() error) {
+func (k *cachedListRig) start(known bool) (s *Server, end func() error) {
 	k.t.Helper()
 	path, err := k.Config("n0", k.listen, k.Discovery.Addr(), known)
 	start, file := readLabConfiguration(k.t, path, err, fmt.Sprintf(`{"start": {"node_list": {"directory": %q, "save_every": "10ms"}}}`, k.dir))
 	return runConfigured(k.t, start, file)
 }
 
-func (k *keeping) load(s *Server, last time.Duration) *lab.Outcome {
+func (k *cachedListRig) load(s *Server, last time.Duration) *lab.Outcome {
 	return lab.Load{URL: "http://" + s.listener.Addr().String(), Class: "find", Tenant: "acme", Shards: 4, Widest: 3, Rate: 60,
 		For: last, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 5}.Run()
 }
 
 // until waits for something that must come.
-func (k *keeping) until(what string, so func() bool) {
+func (k *cachedListRig) until(what string, so func() bool) {
 	k.t.Helper()
 	for range 1000 {
 		if so() {
@@ -65,7 +65,7 @@
 // A broker that restarts while discovery is down serves from what it kept. A drain that it was told before binds; what
 // changed meanwhile is found out by what nodes show, and discovery's return ends it.
 func TestStartWithoutDiscovery(t *testing.T) {
-	k := newKeeping(t, 8)
+	k := newCachedListRig(t, 8)
 	k.List[0].Lifecycle = "terminating"
 	k.Discovery.Set(k.List)
 	s, end := k.start(false)
@@ -90,11 +90,11 @@
 		t.Errorf("%v, %v", o, o.Broken)
 	}
 	if n := k.Nodes[0].Parts.Load(); n != drained {
-		t.Errorf("%d parts went to a node whose drain was told before the restart", n-drained)
+		t.Errorf("%d attempts went to a node whose drain was told before the restart", n-drained)
 	}
 	c := s.Counters().Queries.CachedList
 	if other.Wrong.Load() == 0 || other.Wrong.Load() > 10 {
-		t.Errorf("%d parts went to what answers at the address of another", other.Wrong.Load())
+		t.Errorf("%d attempts went to what answers at the address of another", other.Wrong.Load())
 	}
 	if c.Confirmed < 3 || c.Barred != 1 || c.Confirmed+c.Doubtful+c.StruckOut+c.Barred != 8 {
 		t.Errorf("%+v", c)
@@ -110,7 +110,7 @@
 		t.Error(o.Broken)
 	}
 	if c := s.Counters().Queries.CachedList; c.Confirmed != 8 || k.Nodes[4].Parts.Load() != after || k.Nodes[0].Parts.Load() == drained {
-		t.Errorf("%+v; %d and %d parts", c, k.Nodes[4].Parts.Load()-after, k.Nodes[0].Parts.Load()-drained)
+		t.Errorf("%+v; %d and %d attempts", c, k.Nodes[4].Parts.Load()-after, k.Nodes[0].Parts.Load()-drained)
 	}
 	// Discovery comes back from its next outage with a list that lacks most nodes: it is taken as the protocol says.
 	k.Discovery.Set(k.List[:1])
@@ -121,10 +121,10 @@
 	}
 }
 
-// With nothing saved and nothing configured every search is shed at once until discovery speaks, and SIGHUP and SIGTERM
+// With nothing saved and nothing configured every query is shed at once until discovery speaks, and SIGHUP and SIGTERM
 // are heard meanwhile.
 func TestStartWithNothing(t *testing.T) {
-	k := newKeeping(t, 2)
+	k := newCachedListRig(t, 2)
 	k.Discovery.Down()
 	s, end := k.start(false)
 	if o := k.load(s, 200*time.Millisecond); o.Shed != o.Asked || len(o.Broken) > 0 {
@@ -135,8 +135,8 @@
 }
 
 // Operators may drop entries of a broker that runs, and bring others.
-func TestAskedOfARunningBroker(t *testing.T) {
-	k := newKeeping(t, 4)
+func TestOperatorRequestToARunningBroker(t *testing.T) {
+	k := newCachedListRig(t, 4)
 	s, end := k.start(false)
 	k.until("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
 	k.Discovery.Down()
@@ -169,7 +169,7 @@
 
 // Whatever is wrong with the directory, the broker serves.
 func TestServesWhateverTheDisk(t *testing.T) {
-	k := newKeeping(t, 2)
+	k := newCachedListRig(t, 2)
 	for _, c := range []struct {
 		what  string
 		spoil func() error
@@ -191,7 +191,7 @@
 	}
 }
 
-// A list of a hundred thousand entries, from the directory to the module's first turn.
+// A list of a hundred thousand entries, from the directory to the router's first step.
 func BenchmarkStartOf100000(b *testing.B) {
 	dir := b.TempDir()
 	f, err := lab.NewFleet(b.TempDir(), 0, 100, 1)
--- a/internal/server/connection_leases_test.go
+++ b/internal/server/connection_leases_test.go
@@ -11,8 +11,8 @@
 	"flaxfront/internal/transport/store"
 )
 
-// budgetTrial is a loop whose clock the test turns.
-func budgetTrial(t *testing.T) (l *loop, now *time.Duration) {
+// leaseLoop is a loop whose clock the test turns.
+func leaseLoop(t *testing.T) (l *loop, now *time.Duration) {
 	now = new(time.Duration)
 	*now = time.Hour
 	l = newLoop(time.Now(), nil, &decision.Settings{})
@@ -26,8 +26,8 @@
 const budgetText = `{"brokers": 2, "nodes": 9, "lease": "6s", "closing": "1s",
  "classes": [{"name": "all", "budget": "20", "floor": "2"}], "tenants": [{"name": "quiet"}, {"name": "acme"}]}`
 
-func TestBudgetsHeld(t *testing.T) {
-	l, now := budgetTrial(t)
+func TestConnectionLeasesHeld(t *testing.T) {
+	l, now := leaseLoop(t)
 	b, one, two := l.connLeases, decision.NodeID{Port: 1}, decision.NodeID{Port: 2}
 	want := func(what string, node decision.NodeID, leaves ...store.Leave) {
 		t.Helper()
@@ -71,7 +71,7 @@
 
 // A broker that was forgotten and comes back is granted from number 1 on again, and holds what it is granted.
 func TestGrantsNumberedAnew(t *testing.T) {
-	l, now := budgetTrial(t)
+	l, now := leaseLoop(t)
 	one := decision.NodeID{Port: 1}
 	see := func(incarnation, number, units uint64) {
 		l.connLeases.handleView(&controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Self: statemachine.Broker{Incarnation: incarnation},
@@ -90,7 +90,7 @@
 }
 
 // What an incarnation held that ended between two looks ends a lease after the later of them at the soonest.
-func TestLeaseBetweenLooks(t *testing.T) {
+func TestLeaseBetweenRenewalRecords(t *testing.T) {
 	g := &leaseGranting{granter: connlease.NewGranter(3*time.Second, time.Second, 0), incarnations: map[statemachine.Slot]uint64{}}
 	g.recordRenewal(statemachine.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
 	g.recordRenewal(statemachine.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestHonestHint has a tenant turned away, and let in again exactly when it was told.
+// TestHonestHint has a tenant shed, and let in again exactly when it was told.
 func TestHonestHint(t *testing.T) {
-	l, now := budgetTrial(t)
+	l, now := leaseLoop(t)
 	b := l.connLeases
 	b.handleView(&controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText}})
 	b.countAttempts(0, 40, 30)
@@ -119,6 +119,6 @@
 		*now += leaseInterval
 	}
 	if _, full = b.overloaded(0); full {
-		t.Error("turned away at the time it was told to come back")
+		t.Error("shed at the time it was told to come back")
 	}
 }
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -18,13 +18,13 @@
 	"flaxfront/internal/transport/store"
 )
 
-// listening is a module that keeps what it is told of nodes, and sends what it is given to one of them.
-type listening struct {
+// stateRecorder is a router that keeps what it is told of nodes, and sends what it is given to one of them.
+type stateRecorder struct {
 	state map[decision.NodeID]decision.EndpointState
 	to    decision.NodeID
 }
 
-func (m *listening) Step(_ time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
+func (m *stateRecorder) Step(_ time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	for _, e := range events {
 		for _, n := range e.Endpoints {
 			m.state[n.Node] = n.State
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		m := &listening{state: map[decision.NodeID]decision.EndpointState{}}
+		m := &stateRecorder{state: map[decision.NodeID]decision.EndpointState{}}
 		l := newLoop(time.Now(), m, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
 		hung := func(ctx context.Context, _ string, _ time.Duration) (store.Conn, error) {
 			<-ctx.Done()
@@ -87,9 +87,9 @@
 			t.Error("reads with a hint count on a drained node")
 		}
 		if m.state[a] != decision.Draining || m.state[b] != decision.Ready || len(acks) != 0 {
-			t.Fatalf("told %v, acknowledged %v while a part is out", m.state, acks)
+			t.Fatalf("told %v, acknowledged %v while an attempt is out", m.state, acks)
 		}
-		time.Sleep(6 * time.Second) // the part runs out of time
+		time.Sleep(6 * time.Second) // the attempt runs out of time
 		l.advance()
 		l.advance()
 		if !slices.Equal(acks, []uint64{5}) {
@@ -97,7 +97,7 @@
 		}
 		admit("y")
 		if l.pool.OutTo(a) != 0 {
-			t.Error("a part went to a node that was acknowledged as drained")
+			t.Error("an attempt went to a node that was acknowledged as drained")
 		}
 		l.handle(drainAckFailed{a, 5}) // the proposal was lost
 		l.advance()
--- a/internal/server/endpoint_snapshot_test.go
+++ b/internal/server/endpoint_snapshot_test.go
@@ -38,7 +38,7 @@
 		now += time.Second
 		l.handleList(&discovery.List{}, nil)
 	}
-	// Danger: while discovery is silent the tier moves on, and an old list of one leader would come back for all.
+	// While discovery is silent the tier moves on, and an old list of one leader would come back for all.
 	l.handleList(nil, errors.New("silent"))
 	if now += time.Minute; proposed() != 0 {
 		t.Error("a list was proposed that discovery no longer speaks for")
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -10,8 +10,8 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// twin is two sites on loopback with a wire from the first to the second.
-type twin struct {
+// twoSites is two sites on loopback with a wire from the first to the second.
+type twoSites struct {
 	t     *testing.T
 	dir   string
 	fleet [2]*lab.Fleet
@@ -20,11 +20,11 @@
 	live  [2]*Server
 	stop  [2]func() error
 	audit *lab.Audit
-	loads uint64 // each brings searches of its own
+	loads uint64 // each brings queries of its own
 }
 
-func newTwin(t *testing.T, delay time.Duration) *twin {
-	w := &twin{t: t, dir: t.TempDir()}
+func newTwoSites(t *testing.T, delay time.Duration) *twoSites {
+	w := &twoSites{t: t, dir: t.TempDir()}
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -55,7 +55,7 @@
 	return w
 }
 
-func (w *twin) start(i int) {
+func (w *twoSites) start(i int) {
 	w.t.Helper()
 	target := []string{"site-b=" + w.wire.Addr(), "site-a=" + w.at[0]}[i]
 	site, other := []string{"site-a", "site-b"}[i], []string{"site-b", "site-a"}[i]
@@ -66,15 +66,15 @@
 	w.live[i], w.stop[i] = runConfigured(w.t, start, file)
 }
 
-func (w *twin) until(what string, so func() bool) {
+func (w *twoSites) until(what string, so func() bool) {
 	w.t.Helper()
-	(&keeping{t: w.t}).until(what, so)
+	(&cachedListRig{t: w.t}).until(what, so)
 }
 
-func (w *twin) near(i int) *GatewayState { return w.live[i].Counters().Queries.Gateway }
+func (w *twoSites) near(i int) *GatewayState { return w.live[i].Counters().Queries.Gateway }
 
 // lose ends the nodes of a cell at a site.
-func (w *twin) lose(site, cell int) {
+func (w *twoSites) lose(site, cell int) {
 	for i, n := range w.fleet[site].Nodes {
 		if i%4 == cell {
 			n.Turn(lab.Dead)
@@ -82,7 +82,7 @@
 	}
 }
 
-func (w *twin) load(rate float64, last time.Duration) *lab.Outcome {
+func (w *twoSites) load(rate float64, last time.Duration) *lab.Outcome {
 	w.loads++
 	o := lab.Load{URL: "http://" + w.live[0].listener.Addr().String(), Classes: []string{"find", "sign", "book"}, Tenant: "acme",
 		Shards: 8, Widest: 3, Rate: rate, For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: w.loads,
@@ -95,9 +95,9 @@
 	return o
 }
 
-// What the first site has no holders for is served at the second, within the client's time and with the second's values.
+// What the first site has no replicas for is served at the second, within the client's time and with the second's values.
 func TestForwarding(t *testing.T) {
-	w := newTwin(t, 40*time.Millisecond)
+	w := newTwoSites(t, 40*time.Millisecond)
 	if o := w.load(100, 300*time.Millisecond); w.near(0).Outgoing.Forwarded > 0 || o.Answered < o.Asked*9/10 {
 		t.Errorf("on a calm day %+v, %v", w.near(0).Outgoing, o)
 	}
@@ -107,16 +107,16 @@
 	if n.Forwarded == 0 || n.Answered == 0 || o.Answered < o.Asked*9/10 || w.near(1).Incoming.Ran != n.Forwarded {
 		t.Errorf("%+v, %v", n, o)
 	}
-	// The second site drains a box while forwarded searches are on their way.
+	// The second site drains a node while forwarded queries are on their way.
 	w.fleet[1].List[0].Lifecycle = "terminating"
 	w.fleet[1].Discovery.Set(w.fleet[1].List)
 	time.Sleep(500 * time.Millisecond)
 	before := w.fleet[1].Nodes[0].Parts.Load()
 	w.load(100, 500*time.Millisecond)
 	if n := w.fleet[1].Nodes[0].Parts.Load() - before; n > 0 {
-		t.Errorf("%d parts came to a box 500 ms after its broker was told that it drains", n)
+		t.Errorf("%d attempts came to a node 500 ms after its broker was told that it drains", n)
 	}
-	// Neither site has holders: searches are shed at once, and nothing goes back and forth.
+	// Neither site has replicas: queries are shed at once, and nothing goes back and forth.
 	w.lose(1, 0)
 	w.load(100, 500*time.Millisecond)
 	w.until("that is known", func() bool { return w.near(1).Incoming.InHand == 0 })
@@ -124,16 +124,16 @@
 	forwarded := w.near(0).Outgoing.Forwarded
 	w.load(60, 300*time.Millisecond)
 	if n := w.near(0).Outgoing.Forwarded - forwarded; n > 5 {
-		t.Errorf("%d searches were forwarded to a site that has no holders either", n)
+		t.Errorf("%d queries were forwarded to a site that has no replicas either", n)
 	}
 	if w.near(1).Outgoing.Forwarded > 0 {
-		t.Errorf("the second site sent searches on: %+v", w.near(1).Outgoing)
+		t.Errorf("the second site sent queries on: %+v", w.near(1).Outgoing)
 	}
 }
 
-// The wire is cut, one way and both, and reset, while searches wait: each has one answer in time, and no effect comes twice.
+// The wire is cut, one way and both, and reset, while queries wait: each has one answer in time, and no effect comes twice.
 func TestCutUnderLoad(t *testing.T) {
-	w := newTwin(t, 80*time.Millisecond)
+	w := newTwoSites(t, 80*time.Millisecond)
 	w.lose(0, 0)
 	w.lose(0, 1)
 	go func() {
@@ -153,9 +153,9 @@
 }
 
 // The second site's broker stops as planned, and another takes its place: nothing new goes there from when it is told, what
-// is in hand is finished, and the new one is used.
-func TestFarStops(t *testing.T) {
-	w := newTwin(t, 20*time.Millisecond)
+// is in flight is finished, and the new one is used.
+func TestOtherSiteStops(t *testing.T) {
+	w := newTwoSites(t, 20*time.Millisecond)
 	w.lose(0, 0)
 	ended := make(chan struct{})
 	go func() {
@@ -170,7 +170,7 @@
 	}
 	<-ended
 	if n := w.near(0).Outgoing; n.Lost > 0 {
-		t.Errorf("searches were lost with a planned stop: %+v", n)
+		t.Errorf("queries were lost with a graceful shutdown: %+v", n)
 	}
 	w.start(1)
 	w.until("the link stands again", func() bool { return w.near(0).Links[0].Usable })
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests the loop with the real module in random runs, in virtual time: every search has one end, every rule holds.
+// Tests of the loop with the real router in random runs, in virtual time: every query has one end, every rule holds.
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 	return tm
 }
 
-// one client asks for one search and checks its answer, or leaves.
+// one client asks for one query and checks its answer, or leaves.
 func (w *world) client(n, typ int, leaves bool) {
 	s := &activeQuery{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
 		result: make(chan query.Result, 1)}
@@ -83,7 +83,7 @@
 		least := []float64{0.5, 1}[typ]
 		if share := float64(len(seen)) / float64(len(shards)); v.Outcome == query.Answered &&
 			(share < least-1e-4 || v.Complete != (len(seen) == len(shards))) {
-			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the parts", v.Complete, share)
+			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the attempts", v.Complete, share)
 		}
 		if typ == 1 && v.Outcome == query.Shed && len(s.requests) > 0 {
 			for _, p := range s.Request.Shards {
@@ -95,7 +95,7 @@
 		w.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		if len(s.result) != 0 {
-			w.t.Errorf("rule 1: a second verdict")
+			w.t.Errorf("rule 1: a second result")
 		}
 	}()
 }
@@ -166,7 +166,7 @@
 		r := countersRequested{make(chan QueryCounters, 1)}
 		l.inbox <- r
 		if now := <-r.to; now.AttemptsByRouter != now.AttemptsInFlight {
-			w.t.Errorf("step %d: the module takes %d parts to be out, %d are", n, now.AttemptsByRouter, now.AttemptsInFlight)
+			w.t.Errorf("step %d: the router takes %d attempts to be out, %d are", n, now.AttemptsByRouter, now.AttemptsInFlight)
 		}
 	}
 	time.Sleep(10 * time.Second)
@@ -174,7 +174,7 @@
 	cancel()
 	<-ended // the loop is nobody's now
 	if t := l.counters; t.InFlight != 0 || l.slotsUsed != 0 || len(l.queryOfShardRequest)+len(l.requestIDs)+len(l.queries) != 0 || t.Answered == 0 {
-		w.t.Errorf("at the end: %+v, %d places, %d parts", t, l.slotsUsed, len(l.queryOfShardRequest))
+		w.t.Errorf("at the end: %+v, %d slots, %d attempts", t, l.slotsUsed, len(l.queryOfShardRequest))
 	}
 	listing := 0 // what the loop still keeps of nodes
 	for i := range w.nodes {
@@ -188,8 +188,8 @@
 	synctest.Wait()
 }
 
-// A search whose id is in hand would mix its parts with the other's; one that finds no place is shed unseen.
-func TestSearchesTheLoopRefuses(t *testing.T) {
+// A query whose id is in flight would mix its attempts with the other's; one that finds no slot is shed unseen.
+func TestQueriesTheLoopRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1)
 		l := w.loop
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -29,7 +29,7 @@
 
 // tierOf runs some brokers of one tier before one fleet; the last one has a secret that the others don't know.
 func tierOf(t *testing.T, n int) (all []*Server, ends []func() error) {
-	k := newKeeping(t, 4)
+	k := newCachedListRig(t, 4)
 	var at []netip.AddrPort
 	for range n {
 		at = append(at, udpAddr(t))
@@ -49,11 +49,11 @@
 	return all, ends
 }
 
-// Brokers on sockets find one another, one of them owns each duty, a planned stop is told as such and hands over, and whoever
+// Brokers on sockets find one another, one of them owns each periodic job, a graceful shutdown is told as such and hands over, and whoever
 // has another secret gets no further than the seal.
-func TestCrewOnSockets(t *testing.T) {
+func TestMembershipOverSockets(t *testing.T) {
 	all, ends := tierOf(t, 4)
-	k := &keeping{t: t}
+	k := &cachedListRig{t: t}
 	crewOf := func(i int) *MembershipState { return all[i].Counters().Queries.Membership }
 	states := func(i int, of membership.State) (names string) {
 		for _, m := range crewOf(i).Members {
@@ -93,10 +93,10 @@
 	})
 }
 
-// crewLoop is a loop with a crew and no sockets; what it would send is kept.
-func crewLoop(t *testing.T) (*loop, *[][]byte) {
+// membershipLoop is a loop with membership and no sockets; what it would send is kept.
+func membershipLoop(t *testing.T) (*loop, *[][]byte) {
 	t.Helper()
-	k := newKeeping(t, 2)
+	k := newCachedListRig(t, 2)
 	path, err := k.Config("n0", "127.0.0.1:0", k.Discovery.Addr(), true)
 	start, file := readLabConfiguration(t, path, err, `{"crew": {"on": true, "list": true}}`)
 	s, err := New(start, file, newRouter)
@@ -116,8 +116,8 @@
 
 // Discovery's word on a node that one broker was told counts at the others: the node drains from then on. What is older, of
 // another service or of a node that is not known changes nothing; nor does another broker's word move an address.
-func TestWordOfAnother(t *testing.T) {
-	l, _ := crewLoop(t)
+func TestEndpointSharedByAnotherBroker(t *testing.T) {
+	l, _ := membershipLoop(t)
 	var id decision.NodeID
 	for id = range l.nodes {
 		break
@@ -153,9 +153,9 @@
 }
 
 // A broker that comes late, on a list that it had, hears from the others which nodes left since, discovery or not.
-func TestNewcomerHearsWhoLeft(t *testing.T) {
-	old, sent := crewLoop(t)
-	late, answers := crewLoop(t)
+func TestNewMemberLearnsOfDrainedNodes(t *testing.T) {
+	old, sent := membershipLoop(t)
+	late, answers := membershipLoop(t)
 	var id decision.NodeID
 	for id = range old.nodes {
 		break
@@ -187,8 +187,8 @@
 }
 
 // A broker whose configured seeds are gone finds the tier by the addresses that it kept, and keeps them again.
-func TestKeptSeeds(t *testing.T) {
-	k := newKeeping(t, 2)
+func TestStoredSeeds(t *testing.T) {
+	k := newCachedListRig(t, 2)
 	dir := t.TempDir()
 	at := []netip.AddrPort{udpAddr(t), udpAddr(t)}
 	begin := func(i int, crew string) (*Server, func() error) {
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -30,10 +30,10 @@
 	rises     happening = "rises"      // the connections that are being opened come up
 	served    happening = "served"     // what is out is answered
 	resets    happening = "resets"     // the connections that are up break
-	passes    happening = "passes"     // the search's time
+	passes    happening = "passes"     // the query's time
 )
 
-// order is one broker in one order of happenings, with two nodes that hold the one shard.
+// order is one broker in one order of events, with two nodes that hold the one shard.
 type order struct {
 	t       *testing.T
 	core    *Core
@@ -58,7 +58,7 @@
 	handle store.Handle
 	up     bool
 	down   bool
-	out    []string // parts written and not answered
+	out    []string // attempts written and not answered
 }
 
 func (l *orderLink) Read([]byte) (int, error)          { return 0, nil }
@@ -193,7 +193,7 @@
 	}
 }
 
-// settle has the loop take all that the wire brings, and its turns.
+// settle has the loop take all that the wire brings, and its steps.
 func (o *order) settle() {
 	for range 3 {
 		for _, e := range o.events {
--- a/internal/server/orders_test.go
+++ b/internal/server/orders_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file plays every order in which what happens to one search can come to the loop, and checks after each step what must hold
+// This file plays every order in which what happens to one query can come to the loop, and checks after each step what must hold
 // in all of them: docs/acceptance.md.
 
 import (
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// Every order of up to five happenings, each taken in a turn of its own or together with the one before.
+// Every order of up to five events, each taken in a step of its own or together with the one before.
 func TestEveryOrder(t *testing.T) {
 	all := []happening{asked, left, drained, unlisted, restarted, failed, rises, served, resets, passes}
 	orders, sent := 0, 0
 	var extend func(course []happening)
 	extend = func(course []happening) {
 		if len(course) == 2 && !slices.Contains(course, asked) || len(course) == 5 && !slices.Contains(course, rises) {
-			return // what comes before the search matters little, and with no connection nothing is sent
+			return // what comes before the query matters little, and with no connection nothing is sent
 		}
 		if len(course) == 5 {
 			for together := range 1 << (len(course) - 1) {
--- a/internal/server/read_pins_test.go
+++ b/internal/server/read_pins_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests hints on reads over sockets: what they ask for, what answers state, and what is refused.
+// Tests of hints on reads over sockets: what they ask for, what answers state, and what is refused.
 
 import (
 	"fmt"
@@ -90,7 +90,7 @@
 	}
 }
 
-// A wrong hint is told, and its search answered as one without.
+// A wrong hint is told, and its query answered as one without.
 func TestWrongHintsOverSockets(t *testing.T) {
 	s, reports, _ := pinnedLive(t)
 	for i := range 2 {
@@ -116,7 +116,7 @@
 }
 
 // What one broker learned another uses, older by what it was on the way.
-func TestFactsBetweenBrokers(t *testing.T) {
+func TestPositionsBetweenBrokers(t *testing.T) {
 	one, reports, _ := pinnedLive(t)
 	other, theirs, _ := pinnedLive(t)
 	text := "p=70;h=9000"
@@ -137,8 +137,8 @@
 	}
 }
 
-// A search with a hint is not sent to another site, where nobody would obey it.
-func TestHintsStayAtHome(t *testing.T) {
+// A query with a hint is not sent to another site, where nobody would obey it.
+func TestPinnedQueriesAreNotForwarded(t *testing.T) {
 	l := &loop{gateway: &siteGateway{}}
 	if l.gateway.offer(&activeQuery{Request: &query.Request{}, pin: &pinnedQuery{}}) {
 		t.Error("offered")
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests the configuration: what is wrong at the start, and what changes while the broker serves.
+// Tests of the configuration: what is wrong at the start, and what changes while the broker serves.
 
 import (
 	"bytes"
@@ -49,7 +49,7 @@
   "lookBackNs":10000000000,"tipMultiple":4,"warmAfterNs":17000000000},"stepNs":5000000}`
 
 // Settings change under a running broker and back again: a ring of other nodes behind another discovery, other query types, a
-// budget, probes, worth by work. What is in hand gets its one answer and no node of the other deployment is sent a part of it; a
+// budget, probes, worth by work. What is in flight gets its one answer and no node of the other deployment is sent an attempt of it; a
 // configuration with a bad value changes nothing.
 func TestSettingsSwitchWhileServing(t *testing.T) {
 	s, end := runServer(t, 64)
@@ -85,7 +85,7 @@
 			t.Errorf("%s: in the ring: %d %s", text, m.Status, m.Body)
 		}
 		if m := held.readResponse(); m.Status != 503 && m.Status != 504 {
-			t.Errorf("%s: the search in hand: %d", text, m.Status)
+			t.Errorf("%s: the query in flight: %d", text, m.Status)
 		}
 		if n := s.Counters().Queries.Attempts; n != sent+[]uint64{2, 0}[round] {
 			t.Errorf("%s: %d sub-requests", text, n-sent)
@@ -104,8 +104,8 @@
 	}
 }
 
-// A search that was read under the settings of before comes to the loop after they changed.
-func TestSearchReadBeforeASwitch(t *testing.T) {
+// A query that was read under the settings of before comes to the loop after they changed.
+func TestQueryReadBeforeASwitch(t *testing.T) {
 	was, now := decoded(t), decoded(t)
 	now.Types, now.Tenants = append([]string{"new"}, was.Types...), append([]string{"new"}, was.Tenants...)
 	l := &loop{settings: &now}
@@ -126,7 +126,7 @@
 	}
 }
 
-// A reload moves discovery and leaves all else, a search in hand included; a bad one changes nothing.
+// A reload moves discovery and leaves all else, a query in flight included; a bad one changes nothing.
 func TestReload(t *testing.T) {
 	s, end := runServer(t, 64)
 	c := dial(t, s)
@@ -159,7 +159,7 @@
 	}
 	s.Reload(s.start, s.operator, nil)
 	if m := c.readResponse(); m.Status != 503 && m.Status != 504 {
-		t.Errorf("the search in hand: %d", m.Status)
+		t.Errorf("the query in flight: %d", m.Status)
 	}
 	if m := c.roundTrip(post("r2", body)); m.Status != 200 {
 		t.Errorf("after the reload: %d", m.Status)
--- a/internal/server/warming_up_test.go
+++ b/internal/server/warming_up_test.go
@@ -9,7 +9,7 @@
 )
 
 // Parts count as sent to a cold node while it warms up, and not at nodes that started long ago or are not known.
-func TestColdIsCounted(t *testing.T) {
+func TestWarmingUpAttemptsAreCounted(t *testing.T) {
 	l := newLoop(time.Now(), nil, &decision.Settings{})
 	var now time.Duration
 	l.clock = func() time.Duration { return now }
@@ -36,7 +36,7 @@
 		now = c.at
 		l.controlPlane.countAttempts(discovery.ID(c.node), 2)
 		if l.controlPlane.warmingUpAttempts != c.want {
-			t.Errorf("%s at %v: %d parts sent to cold nodes, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
+			t.Errorf("%s at %v: %d attempts sent to warming nodes, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
 		}
 	}
 	var counters QueryCounters
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file owns the world around a loop under test: nodes that fail by chance, and what checks each part that comes.
+// The world around a loop under test: nodes that fail by chance, and what checks each attempt that comes.
 
 import (
 	"bytes"
@@ -33,8 +33,8 @@
 	mu     sync.Mutex // guards the maps
 	dials  map[string]int
 	asked  map[string]*activeQuery
-	runs   map[string]bool // parts that may have run at some node
-	made   map[string]bool // values that nodes made, by part
+	runs   map[string]bool // attempts that may have run at some node
+	made   map[string]bool // values that nodes made, by attempt
 	downAt map[string]time.Duration
 	nodes  []discovery.Node
 }
@@ -97,7 +97,7 @@
 		l.answer(id)
 	}
 	if parts > 4 {
-		w.t.Errorf("%d parts in one call", parts)
+		w.t.Errorf("%d attempts in one call", parts)
 	}
 	return len(b), nil
 }
@@ -114,7 +114,7 @@
 	s := w.asked[id[:strings.IndexByte(id, '.')]]
 	switch {
 	case s.done:
-		w.t.Errorf("rule 1: %s was sent after its search's answer", id)
+		w.t.Errorf("rule 1: %s was sent after its query's answer", id)
 	case shard%2 != l.cell:
 		w.t.Errorf("%s went to a node of cell %d", id, l.cell)
 	case s.Type == 1 && w.runs[id]:
@@ -172,7 +172,7 @@
 
 func w10(r *rand.Rand) int { return 1 + r.IntN(10) }
 
-// checked is the module with the counters checked before each of its turns.
+// checked is the router with the counters checked before each of its steps.
 type checked struct {
 	decision.Router
 	w *world
@@ -185,7 +185,7 @@
 		c.w.t.Errorf("counters do not add up: %+v", t)
 	}
 	if c.w.loop.slotsUsed > 40 {
-		c.w.t.Errorf("%d places taken", c.w.loop.slotsUsed)
+		c.w.t.Errorf("%d slots taken", c.w.loop.slotsUsed)
 	}
 	return c.Router.Step(now, ev, out)
 }
