--- a/internal/server/cached_list.go
+++ b/internal/server/cached_list.go
@@ -55,7 +55,7 @@
 		c.loop.applyList(list)
 	}
 	for _, line := range c.judge.Lines() {
-		slog.Info("cached entry judged", "component", "cached-list", "decision", line, "at", now.Round(time.Millisecond))
+		slog.Info("cached endpoint judged", "component", "cached-list", "decision", line, "at", now.Round(time.Millisecond))
 	}
 	if now >= c.nextStore {
 		c.nextStore = now + storeInterval
@@ -103,11 +103,11 @@
 	now := c.loop.since()
 	ended, of := c.judge.Listed(tableList(list, list.Service), discovery.ID, now)
 	if list.Whole && endedWarningFactor*ended > of {
-		slog.Warn("discovery's full list lacks most nodes; it is used as it is", "component", "cached-list", "ended", ended, "of", of,
+		slog.Warn("full endpoint list lacks most nodes", "component", "cached-list", "ended", ended, "of", of,
 			"listed", len(list.Nodes), "service", list.Service, "generation", list.Version)
 	}
 	if n := c.table.Bound(c.maxEntries, c.keepEnded, cachedlist.At(c.start.Add(now))); n > 0 {
-		slog.Info("entries dropped from the cached list", "component", "cached-list", "entries", n)
+		slog.Info("entries dropped from the cached endpoint list", "component", "cached-list", "entries", n)
 	}
 	c.nextStore = now
 }
@@ -144,7 +144,7 @@
 	imported := c.judge.Import(r.Import, discovery.ID, c.loop.since())
 	forgotten := c.judge.Forget(r.Forget, discovery.ID)
 	c.nextStore = c.loop.since()
-	slog.Info("cached list changed by an operator", "component", "cached-list", "imported", imported, "forgotten", forgotten)
+	slog.Info("cached endpoint list changed by an operator", "component", "cached-list", "imported", imported, "forgotten", forgotten)
 }
 
 // tableList is a list as the book takes it.
--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -39,7 +39,7 @@
 	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.discoveryAddress.String()
 	s.discoveryClient.Pace(pace, content.Head.Generation, resume)
 	state := list.judge.Picture(0)
-	slog.Info("cached list opened", "component", "cached-list", "directory", o.NodeList.Directory, "found", content.Found,
+	slog.Info("cached endpoint list opened", "component", "cached-list", "directory", o.NodeList.Directory, "found", content.Found,
 		"entries", book.Len(), "unconfirmed", state.Doubtful, "barred", state.Barred, "age", state.ListAge.Round(time.Second),
 		"service", content.Head.Service, "generation", content.Head.Generation, "read_in", time.Since(began).Round(time.Millisecond))
 }
