--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -108,23 +108,12 @@
 }
 
 // Submit puts a query to the broker; deliver gets its one result, perhaps before Submit returns.
-func (c *Core) Submit(a *Query, deliver func(QueryResult)) PendingQuery {
-	q := &query.Request{ID: a.ID, Type: a.Type, Tenant: a.Tenant, Client: a.Client, Retry: a.Retry, Timeout: a.Timeout, Text: a.Text, Hint: a.Hint,
-		Shards: make([]query.ShardRequest, len(a.Shards))}
-	for i, shard := range a.Shards {
-		q.Shards[i] = query.ShardRequest{Name: query.ShardRequestName(a.ID, shard), Shard: shard, Weight: a.Weights[i]}
-	}
-	s := &activeQuery{Request: q, arrival: c.loop.since(), deadline: c.loop.since() + a.Timeout}
-	s.onResult = func(v query.Result) {
-		out := QueryResult{Answered: v.Outcome == query.Answered, Complete: v.Complete, Shed: v.Outcome == query.Shed, RetryAfter: v.RetryAfter,
-			Hinted: v.Hinted, Positions: v.Positions, Behind: v.Behind, Staleness: v.Staleness}
-		for _, p := range v.Answers {
-			out.Shards, out.Values = append(out.Shards, p.Shard), append(out.Values, p.Value)
-		}
-		deliver(out)
-	}
-	c.loop.handle(queryReceived{s})
-	return PendingQuery{s}
+func (c *Core) Submit(q *Query, deliver func(QueryResult)) PendingQuery {
+	arrival := c.loop.since()
+	active := &activeQuery{Request: q.request(), arrival: arrival, deadline: arrival + q.Timeout}
+	active.onResult = func(r query.Result) { deliver(newQueryResult(&r)) }
+	c.loop.handle(queryReceived{active})
+	return PendingQuery{active}
 }
 
 // Abandon tells that a query's client has left; overdue, that its time is up and a result is owed.
--- a/internal/server/endpoint_list.go
+++ b/internal/server/endpoint_list.go
@@ -18,7 +18,7 @@
 		l.counters.ListsFailed++
 		l.publishEndpoints()
 		l.cachedList.pollFailed()
-		slog.Info("endpoint list poll failed", "component", "discovery", "error", err, "remedy", remedy.Of(err))
+		slog.Warn("endpoint list poll failed", "component", "discovery", "error", err, "remedy", remedy.Of(err))
 		l.post(decision.Event{Kind: decision.ListPollFailed})
 		return
 	}
