--- a/internal/cluster/controlplane/duty.go
+++ b/internal/cluster/controlplane/duty.go
@@ -63,7 +63,7 @@
 func (f *Participant) doDuties(now time.Duration) {
 	if f.lead.planning == 0 && now >= f.lead.plan {
 		var all []statemachine.Entry
-		all, f.lead.plan = f.lead.planner.Next(f.state, now)
+		all, f.lead.plan = f.lead.planner.NextEntries(f.state, now)
 		term, going := f.lead.term, 0
 		for _, e := range all {
 			if p, ok := e.(*statemachine.IssuePermit); ok && f.voter(p) {
--- a/internal/cluster/controlplane/lead.go
+++ b/internal/cluster/controlplane/lead.go
@@ -163,7 +163,7 @@
 	case *statemachine.LeaderElected:
 		if f.lead.term != 0 && e.Slot == f.o.Slot && e.Term == f.lead.term && r.Err == nil {
 			f.lead.on, f.lead.from = true, f.o.Now()
-			f.lead.planner = release.New(f.o.ReleaseGates, e.Term, f.lead.from)
+			f.lead.planner = release.NewPlanner(f.o.ReleaseGates, e.Term, f.lead.from)
 		}
 	case *statemachine.RegisterBroker:
 		if f.lead.on && r.Err == nil && !r.Duplicate {
--- a/internal/cluster/controlplane/plan.go
+++ b/internal/cluster/controlplane/plan.go
@@ -54,14 +54,14 @@
 		p.Slots = f.everybody()
 	}
 	if len(p.Batches) == 0 {
-		p.Batches = release.Batches(len(p.Slots) + len(p.Nodes))
+		p.Batches = release.DefaultBatches(len(p.Slots) + len(p.Nodes))
 	}
 	return p, err
 }
 
 // everybody is all brokers in turn by zones; those that vote come last, and of these the one that leads.
 func (f *Participant) everybody() []statemachine.Slot {
-	slots := release.Order(f.state.Brokers())
+	slots := release.OrderByZone(f.state.Brokers())
 	rank := func(s statemachine.Slot) int {
 		b, _ := f.state.Broker(s)
 		if b.Name == f.name {
--- a/internal/cluster/controlplane/release_test.go
+++ b/internal/cluster/controlplane/release_test.go
@@ -73,7 +73,7 @@
 		name := opt.ListenAddr
 		opt.Version = max("1", version[name])
 		opt.ReleaseGates = release.Defaults()
-		opt.ReleaseGates.Observe = time.Second
+		opt.ReleaseGates.ObserveTime = time.Second
 		var f *Participant
 		var tried sync.Map
 		opt.OnView = func(v *View) {
--- a/internal/cluster/controlplane/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -41,11 +41,11 @@
 func (r *Report) evidence(b statemachine.Broker) release.Report {
 	e := release.Report{Target: release.Target{Slot: b.Slot}, Incarnation: b.Incarnation, Zone: b.Zone}
 	for i, c := range r.Classes {
-		n := release.Counts{Asked: c.Served + c.Refused + c.Failed + c.Late}
-		n.Wrong[release.Unserved] = c.Refused + c.Failed + c.Late
-		n.Wrong[release.Refused], n.Wrong[release.Failed], n.Wrong[release.Late] = c.Refused, c.Failed, c.Late
+		n := release.Counts{Queries: c.Served + c.Refused + c.Failed + c.Late}
+		n.Bad[release.MetricUnserved] = c.Refused + c.Failed + c.Late
+		n.Bad[release.MetricRejected], n.Bad[release.MetricFailed], n.Bad[release.MetricLate] = c.Refused, c.Failed, c.Late
 		if i == 0 {
-			n.Wrong[release.Cold] = min(r.Cold, n.Asked)
+			n.Bad[release.MetricSentToWarmingUp] = min(r.Cold, n.Queries)
 		}
 		e.Classes = append(e.Classes, n)
 	}
@@ -80,7 +80,7 @@
 		if r, err := decode[Report](m.Data); err == nil && len(r.Classes) <= 64 {
 			f.lead.reports[b.Slot] = ReceivedReport{r, m.Inc, now}
 			if f.lead.planner != nil {
-				f.lead.planner.Take(r.evidence(b), now)
+				f.lead.planner.RecordReport(r.evidence(b), now)
 			}
 		}
 	}
--- a/internal/decision/release/compare.go
+++ b/internal/decision/release/compare.go
@@ -16,7 +16,7 @@
 	if r.ForNodes {
 		for _, n := range s.Nodes() {
 			if n.DownIndex == 0 && n.DrainNumber == 0 {
-				all[Target{OnNode: true, Node: n.Node}] = before
+				all[Target{ForNode: true, Node: n.Node}] = before
 			}
 		}
 	} else {
@@ -56,7 +56,7 @@
 			w.classes = append(w.classes, less(c, src.mark.Classes[i]))
 		}
 		src.mark, src.fresh = src.last, false
-		if side == after && now-p.since[t] < p.set.Warm {
+		if side == after && now-p.since[t] < p.set.WarmUpTime {
 			continue
 		}
 		zones[w.zone], classes = true, max(classes, len(w.classes))
@@ -71,12 +71,12 @@
 	})
 	p.grow(zones, classes)
 	for _, g := range p.groups {
-		g.add(window, p.set.Controls)
+		g.add(window, p.set.MinControls)
 	}
-	share := p.set.Alpha / float64(len(p.groups)*int(metrics))
+	share := p.set.FalseAlarmRate / float64(len(p.groups)*int(metrics))
 	for _, g := range p.groups {
 		for m := range metrics {
-			if v, fails := g.look(m, p.set.Tolerance, share); fails && (p.failed == nil || v.Nats-v.Needed > p.failed.Nats-p.failed.Needed) {
+			if v, fails := g.look(m, p.set.Tolerance, share); fails && (p.failed == nil || v.Evidence-v.Needed > p.failed.Evidence-p.failed.Needed) {
 				p.failed = &v
 			}
 		}
@@ -104,15 +104,15 @@
 }
 
 func less(a, b Counts) (c Counts) {
-	c.Asked = a.Asked - min(a.Asked, b.Asked)
+	c.Queries = a.Queries - min(a.Queries, b.Queries)
 	for m := range metrics {
-		c.Wrong[m] = a.Wrong[m] - min(a.Wrong[m], b.Wrong[m])
+		c.Bad[m] = a.Bad[m] - min(a.Bad[m], b.Bad[m])
 	}
 	return c
 }
 
-// Order puts brokers in turn by zones, so that no batch falls on one zone.
-func Order(brokers []statemachine.Broker) (slots []statemachine.Slot) {
+// OrderByZone puts brokers in turn by zones, so that no batch falls on one zone.
+func OrderByZone(brokers []statemachine.Broker) (slots []statemachine.Slot) {
 	turn := map[string]int{}
 	type place struct {
 		round int
@@ -132,8 +132,8 @@
 	return slots
 }
 
-// Batches are the usual ones for so many targets: a hundredth (one at least), a thirtieth, a tenth, a third and all.
-func Batches(targets int) (all []uint32) {
+// DefaultBatches are the usual ones for so many targets: a hundredth (one at least), a thirtieth, a tenth, a third and all.
+func DefaultBatches(targets int) (all []uint32) {
 	for _, n := range []int{max(1, targets/100), targets / 30, targets / 10, targets / 3, targets} {
 		if n = min(n, targets); n > 0 && (len(all) == 0 || uint32(n) > all[len(all)-1]) {
 			all = append(all, uint32(n))
--- a/internal/decision/release/evidence.go
+++ b/internal/decision/release/evidence.go
@@ -12,29 +12,29 @@
 type Metric uint8
 
 const (
-	Unserved Metric = iota // whatever the cause
-	Refused
-	Failed
-	Late
-	Cold // sent to a node that was still cold
+	MetricUnserved Metric = iota // whatever the cause
+	MetricRejected
+	MetricFailed
+	MetricLate
+	MetricSentToWarmingUp // sent to a node that was still cold
 	metrics
 )
 
 func (m Metric) String() string {
-	return [...]string{"unserved", "refused", "failed", "late", "sent to cold nodes"}[min(m, Cold)]
+	return [...]string{"unserved", "refused", "failed", "late", "sent to cold nodes"}[min(m, MetricSentToWarmingUp)]
 }
 
 // Counts is what became of searches of a class at a broker, or at a node, since it started.
 type Counts struct {
-	Asked uint64
-	Wrong [metrics]uint64
+	Queries uint64
+	Bad     [metrics]uint64
 }
 
 // Target is a broker or a node.
 type Target struct {
-	Slot   statemachine.Slot
-	OnNode bool
-	Node   statemachine.NodeID
+	Slot    statemachine.Slot
+	ForNode bool
+	Node    statemachine.NodeID
 }
 
 // Report is what one target counted.
@@ -138,28 +138,28 @@
 	}
 	for i := range w.classes {
 		if g.class < 0 || g.class == i {
-			asked += float64(w.classes[i].Asked)
-			wrong += float64(w.classes[i].Wrong[m])
+			asked += float64(w.classes[i].Queries)
+			wrong += float64(w.classes[i].Bad[m])
 		}
 	}
 	return asked, wrong
 }
 
-// Verdict is what a gate found.
-type Verdict struct {
-	Group    string
-	Metric   Metric
-	Asked    float64 // of the released
-	Wrong    float64
-	Expected float64 // by those not yet released, at the same time
-	Spread   float64 // how many times as much as chance alone the brokers differ
-	Nats     float64 // the evidence
-	Needed   float64
+// GateResult is what a gate found.
+type GateResult struct {
+	Group          string
+	Metric         Metric
+	Queries        float64 // of the released
+	Bad            float64
+	Expected       float64 // by those not yet released, at the same time
+	Overdispersion float64 // how many times as much as chance alone the brokers differ
+	Evidence       float64 // the evidence
+	Needed         float64
 }
 
-func (v Verdict) String() string {
+func (v GateResult) String() string {
 	return fmt.Sprintf("%s: of %.0f searches %.0f %v, expected %.1f by those not yet released; evidence %.1f, %.1f needed, spread %.1f",
-		v.Group, v.Asked, v.Wrong, v.Metric, v.Expected, v.Nats, v.Needed, v.Spread)
+		v.Group, v.Queries, v.Bad, v.Metric, v.Expected, v.Evidence, v.Needed, v.Overdispersion)
 }
 
 // look holds what is released against what was expected. Danger: brokers differ by more than chance, for reasons of their own, so
@@ -167,7 +167,7 @@
 // released, in both forms that it has (noise that comes and goes, and brokers that are worse for good), and the greater counts.
 // Danger: who looks often enough finds what chance makes; a look is taken when there is a quarter more to look at, and the k-th
 // may raise alarm by chance with a share of 1/k(k+1) of what all together may.
-func (g *group) look(m Metric, tolerance, alpha float64) (v Verdict, fails bool) {
+func (g *group) look(m Metric, tolerance, alpha float64) (v GateResult, fails bool) {
 	var squares, chance, sizes, controls, total, variance, own float64
 	for _, t := range g.tallies[m] {
 		if t.side == before {
@@ -176,27 +176,27 @@
 			total += t.asked
 			continue
 		}
-		v.Asked, v.Wrong, v.Expected = v.Asked+t.asked, v.Wrong+t.wrong, v.Expected+t.expected
+		v.Queries, v.Bad, v.Expected = v.Queries+t.asked, v.Bad+t.wrong, v.Expected+t.expected
 		variance, own = variance+t.variance, own+t.asked*t.asked
 	}
-	if v.Asked < 1.25*g.looked[m] || v.Asked == 0 || chance == 0 {
+	if v.Queries < 1.25*g.looked[m] || v.Queries == 0 || chance == 0 {
 		return v, false
 	}
 	squares *= 1 + 4/controls // few tell less surely how much they differ
-	g.looked[m] = v.Asked
+	g.looked[m] = v.Queries
 	g.looks[m]++
 	v.Needed = math.Log(g.looks[m] * (g.looks[m] + 1) / alpha)
 	noisy := (variance + g.unsure[m]) * max(1, squares/chance)
 	each := max(0, squares-chance) / sizes // how much brokers differ for good; those not yet released may be better ones by chance
-	worse := variance + g.unsure[m] + each*(own+v.Asked*v.Asked*sizes/(total*total))
+	worse := variance + g.unsure[m] + each*(own+v.Queries*v.Queries*sizes/(total*total))
 	all := max(noisy, worse)
-	v.Group, v.Spread = g.name, all/variance
-	expected := v.Expected + tolerance*v.Asked
-	if v.Wrong <= expected {
+	v.Group, v.Overdispersion = g.name, all/variance
+	expected := v.Expected + tolerance*v.Queries
+	if v.Bad <= expected {
 		return v, false
 	}
 	// Chernoff's bound of a Poisson count's tail, with the spread in place of its variance: it holds for few and for many.
-	ratio := v.Wrong / expected
-	v.Nats = expected * (ratio*math.Log(ratio) - ratio + 1) / max(all/expected, 1e-9)
-	return v, v.Nats >= v.Needed
+	ratio := v.Bad / expected
+	v.Evidence = expected * (ratio*math.Log(ratio) - ratio + 1) / max(all/expected, 1e-9)
+	return v, v.Evidence >= v.Needed
 }
--- a/internal/decision/release/list.go
+++ b/internal/decision/release/list.go
@@ -16,18 +16,18 @@
 	byList      = "discovery drains it"
 )
 
-// List is a broker's node list as discovery told it.
-type List struct {
-	Nodes []statemachine.NodeInfo // by ledger.Compare
-	Ready map[statemachine.NodeID]bool
-	Since time.Duration // since when it stands as it is
-	Told  bool          // discovery has spoken since the start, and in its last call; else the list may be of long ago
+// NodeList is a broker's node list as discovery told it.
+type NodeList struct {
+	Nodes       []statemachine.NodeInfo // by ledger.Compare
+	Ready       map[statemachine.NodeID]bool
+	StableSince time.Duration // since when it stands as it is
+	Confirmed   bool          // discovery has spoken since the start, and in its last call; else the list may be of long ago
 }
 
-// Follow keeps since when the list stands, where it tells nothing that the one before it did not.
-func (l *List) Follow(before *List) {
+// KeepStableSince keeps since when the list stands, where it tells nothing that the one before it did not.
+func (l *NodeList) KeepStableSince(before *NodeList) {
 	if slices.EqualFunc(before.Nodes, l.Nodes, alike) && maps.Equal(before.Ready, l.Ready) {
-		l.Since = before.Since
+		l.StableSince = before.StableSince
 	}
 }
 
@@ -35,10 +35,10 @@
 	return a.Node == b.Node && a.Zone == b.Zone && slices.Equal(a.Shards, b.Shards)
 }
 
-// Next is what is to be proposed: the list as an epoch where it differs from the agreed one, else which nodes discovery drains or
+// NextEntries is what is to be proposed: the list as an epoch where it differs from the agreed one, else which nodes discovery drains or
 // has back.
-func (l *List) Next(s *statemachine.State, now time.Duration) (all []statemachine.Entry) {
-	if !l.Told || len(l.Nodes) == 0 || now-l.Since < listSettles {
+func (l *NodeList) NextEntries(s *statemachine.State, now time.Duration) (all []statemachine.Entry) {
+	if !l.Confirmed || len(l.Nodes) == 0 || now-l.StableSince < listSettles {
 		return nil // Danger: a leader that has no list yet, or one of an earlier life, would end nodes for everybody
 	}
 	agreed := s.Nodes()
--- a/internal/decision/release/release.go
+++ b/internal/decision/release/release.go
@@ -22,22 +22,22 @@
 
 // Settings of gates and pace.
 type Settings struct {
-	Window    time.Duration // counts are compared in windows of this
-	Observe   time.Duration // a new leader watches for so long before it lets anybody go
-	Warm      time.Duration // what a broker does for so long after its return counts on no side
-	Overdue   time.Duration // one that is out for longer halts the release
-	Retry     time.Duration // a proposal of which nothing was seen is made again
-	Least     float64       // searches of the released that a batch must have been judged by, in this leader's evidence
-	Controls  int           // with fewer not yet released there is no comparison
-	Tolerance float64       // share of searches that may go wrong on top, without being called worse
-	Alpha     float64       // chance of a false alarm in a release, over all gates and looks
-	Back      bool          // a gate that fails takes the release back, without a word of the operator
+	CompareWindow  time.Duration // counts are compared in windows of this
+	ObserveTime    time.Duration // a new leader watches for so long before it lets anybody go
+	WarmUpTime     time.Duration // what a broker does for so long after its return counts on no side
+	OverdueAfter   time.Duration // one that is out for longer halts the release
+	RetryInterval  time.Duration // a proposal of which nothing was seen is made again
+	MinQueries     float64       // searches of the released that a batch must have been judged by, in this leader's evidence
+	MinControls    int           // with fewer not yet released there is no comparison
+	Tolerance      float64       // share of searches that may go wrong on top, without being called worse
+	FalseAlarmRate float64       // chance of a false alarm in a release, over all gates and looks
+	AutoRollback   bool          // a gate that fails takes the release back, without a word of the operator
 }
 
 // Defaults are settings for brokers with a hundred searches a second or more.
 func Defaults() Settings {
-	return Settings{Window: time.Second, Observe: 3 * time.Second, Warm: 2 * time.Second, Overdue: 5 * time.Minute, Retry: 2 * time.Second,
-		Least: 1000, Controls: 3, Tolerance: 0.005, Alpha: 0.001}
+	return Settings{CompareWindow: time.Second, ObserveTime: 3 * time.Second, WarmUpTime: 2 * time.Second, OverdueAfter: 5 * time.Minute, RetryInterval: 2 * time.Second,
+		MinQueries: 1000, MinControls: 3, Tolerance: 0.005, FalseAlarmRate: 0.001}
 }
 
 // gateFailed opens the reason of a halt that a gate has made.
@@ -58,16 +58,16 @@
 	asked   map[string]time.Duration // what was proposed, and when
 	closed  time.Duration            // when the open batch was first seen finished
 	batch   uint32
-	failed  *Verdict
+	failed  *GateResult
 }
 
-// New is the planner of a leader whose Lead of this term was applied.
-func New(set Settings, term uint64, now time.Duration) *Planner {
+// NewPlanner is the planner of a leader whose Lead of this term was applied.
+func NewPlanner(set Settings, term uint64, now time.Duration) *Planner {
 	return &Planner{set: set, term: term, began: now, window: now, sources: map[Target]*source{}}
 }
 
-// Take takes what a target counted since its start.
-func (p *Planner) Take(r Report, now time.Duration) {
+// RecordReport takes what a target counted since its start.
+func (p *Planner) RecordReport(r Report, now time.Duration) {
 	s := p.sources[r.Target]
 	if s == nil || s.last.Incarnation != r.Incarnation || len(s.last.Classes) != len(r.Classes) {
 		s = &source{mark: r} // what it did before it was heard of is no evidence of this leader's
@@ -76,8 +76,8 @@
 	s.last, s.heard, s.fresh = r, now, true
 }
 
-// Failed is the gate that failed, or nil.
-func (p *Planner) Failed() *Verdict { return p.failed }
+// FailedGate is the gate that failed, or nil.
+func (p *Planner) FailedGate() *GateResult { return p.failed }
 
 // reset starts the evidence of another release.
 func (p *Planner) reset(number uint64, now time.Duration) {
@@ -89,9 +89,9 @@
 	}
 }
 
-// Next returns what to propose now, and when to come again.
-func (p *Planner) Next(s *statemachine.State, now time.Duration) (propose []statemachine.Entry, next time.Duration) {
-	next = now + p.set.Window/4
+// NextEntries returns what to propose now, and when to come again.
+func (p *Planner) NextEntries(s *statemachine.State, now time.Duration) (propose []statemachine.Entry, next time.Duration) {
+	next = now + p.set.CompareWindow/4
 	r, ok := s.Release()
 	if !ok {
 		return nil, next
@@ -102,7 +102,7 @@
 	if r.Number != p.number {
 		p.reset(r.Number, now)
 	}
-	if r.State == statemachine.ReleaseHalted && p.set.Back && r.RollbackOf == 0 && strings.HasPrefix(r.Reason, gateFailed) {
+	if r.State == statemachine.ReleaseHalted && p.set.AutoRollback && r.RollbackOf == 0 && strings.HasPrefix(r.Reason, gateFailed) {
 		return p.once(nil, &statemachine.RollBackRelease{Release: r.Number, Reason: r.Reason}, now), next
 	}
 	if r.State != statemachine.ReleaseRunning {
@@ -110,7 +110,7 @@
 		return nil, next
 	}
 	late := p.note(&r, now)
-	if now-p.window >= p.set.Window {
+	if now-p.window >= p.set.CompareWindow {
 		p.compare(s, &r, now)
 	}
 	switch {
@@ -118,7 +118,7 @@
 		return p.once(nil, &statemachine.HaltRelease{Release: r.Number, Reason: gateFailed + p.failed.String()}, now), next
 	case late != "":
 		return p.once(nil, &statemachine.HaltRelease{Release: r.Number, Reason: late}, now), next
-	case now-p.began < p.set.Observe || !p.heard(s, &r):
+	case now-p.began < p.set.ObserveTime || !p.heard(s, &r):
 		return nil, next
 	}
 	if p.finished(&r) {
@@ -139,7 +139,7 @@
 	if h, ok := e.(*statemachine.HaltRelease); ok {
 		key = fmt.Sprint("halt ", h.Release)
 	}
-	if at, ok := p.asked[key]; ok && now-at < p.set.Retry {
+	if at, ok := p.asked[key]; ok && now-at < p.set.RetryInterval {
 		return all
 	}
 	p.asked[key] = now
@@ -157,8 +157,8 @@
 			p.stood[t], p.since[t] = x.State, now
 		}
 		switch {
-		case x.State == statemachine.StepOut && now-p.since[t] > p.set.Overdue:
-			late = fmt.Sprintf("%v is out for longer than %v", name(t), p.set.Overdue)
+		case x.State == statemachine.StepOut && now-p.since[t] > p.set.OverdueAfter:
+			late = fmt.Sprintf("%v is out for longer than %v", name(t), p.set.OverdueAfter)
 		case x.State == statemachine.StepFinished && x.Affected && !r.ForNodes && r.To != "" && x.Version != "" && x.Version != r.To:
 			late = fmt.Sprintf("%v came back with version %s", name(t), x.Version)
 		}
@@ -167,14 +167,14 @@
 }
 
 func name(t Target) string {
-	if t.OnNode {
+	if t.ForNode {
 		return fmt.Sprint("node ", t.Node)
 	}
 	return fmt.Sprint("broker of slot ", t.Slot)
 }
 
 func target(r *statemachine.Release, x statemachine.ReleaseStep) Target {
-	return Target{Slot: x.Slot, OnNode: r.ForNodes, Node: x.Node}
+	return Target{Slot: x.Slot, ForNode: r.ForNodes, Node: x.Node}
 }
 
 // heard tells whether most of the targets' counts are known to this leader. Danger: one that sees a tenth of the tier lets go on
@@ -204,18 +204,18 @@
 			released++
 		}
 	}
-	if r.Gates == "off" || r.RollbackOf > 0 || released == 0 || controls < p.set.Controls {
+	if r.Gates == "off" || r.RollbackOf > 0 || released == 0 || controls < p.set.MinControls {
 		return true
 	}
 	asked := 0.0
 	for _, g := range p.groups[:min(1, len(p.groups))] {
-		for _, t := range g.tallies[Unserved] {
+		for _, t := range g.tallies[MetricUnserved] {
 			if t.side == after {
 				asked += t.asked
 			}
 		}
 	}
-	return asked >= p.set.Least
+	return asked >= p.set.MinQueries
 }
 
 func (p *Planner) finished(r *statemachine.Release) bool {
--- a/internal/decision/release/release_test.go
+++ b/internal/decision/release/release_test.go
@@ -53,7 +53,7 @@
 	half, worst := took[len(took)/2], took[len(took)-1]
 	t.Logf("halted %v after the first search of the bad version, at most %v; at most %v after the evidence; at most %d of 300 touched",
 		half, worst, after, most)
-	if after > 5*time.Second || half > 5*time.Second+Defaults().Warm {
+	if after > 5*time.Second || half > 5*time.Second+Defaults().WarmUpTime {
 		t.Errorf("halted %v after the evidence, %v after the first search", after, half)
 	}
 }
@@ -99,9 +99,9 @@
 	for began := w.now; ; {
 		w.now += 250 * time.Millisecond
 		for _, o := range w.brokers[:17] {
-			w.p.Take(Report{Target: Target{Slot: o.slot}, Incarnation: 1, Classes: []Counts{{Asked: uint64(w.now / time.Millisecond)}}}, w.now)
+			w.p.RecordReport(Report{Target: Target{Slot: o.slot}, Incarnation: 1, Classes: []Counts{{Queries: uint64(w.now / time.Millisecond)}}}, w.now)
 		}
-		if all, _ := w.p.Next(w.s, w.now); len(all) > 0 {
+		if all, _ := w.p.NextEntries(w.s, w.now); len(all) > 0 {
 			t.Fatalf("it proposes %v after %v, with 17 of 20 known", all, w.now-began)
 		}
 		if w.now-began > 20*time.Second {
@@ -113,7 +113,7 @@
 	for w.propose == 0 && w.now < began+time.Minute {
 		w.step()
 	}
-	if took := w.now - began; took < Defaults().Observe || took > Defaults().Observe+2*time.Second || b.incarnation != 1 {
+	if took := w.now - began; took < Defaults().ObserveTime || took > Defaults().ObserveTime+2*time.Second || b.incarnation != 1 {
 		t.Errorf("the first proposal after %v", took)
 	}
 }
--- a/internal/decision/release/world_test.go
+++ b/internal/decision/release/world_test.go
@@ -69,12 +69,12 @@
 	w.term++
 	w.apply(&statemachine.LeaderElected{Slot: 0, Term: w.term})
 	set := Defaults()
-	w.p = New(set, w.term, w.now)
+	w.p = NewPlanner(set, w.term, w.now)
 }
 
 func (w *world) plan(most uint32) uint64 {
-	return w.apply(&statemachine.ReleasePlan{Name: "r", From: "1", To: "2", Slots: Order(w.s.Brokers()),
-		Batches: Batches(len(w.brokers)), MaxOut: most, PauseMS: 5000}).Number
+	return w.apply(&statemachine.ReleasePlan{Name: "r", From: "1", To: "2", Slots: OrderByZone(w.s.Brokers()),
+		Batches: DefaultBatches(len(w.brokers)), MaxOut: most, PauseMS: 5000}).Number
 }
 
 // some draws how many of n go wrong.
@@ -114,10 +114,10 @@
 		share += 0.002 * w.rng.ExpFloat64() // noise that comes and goes
 		n := math.Round(w.rate / 4 * (0.8 + 0.4*w.rng.Float64()))
 		x := w.some(n, min(1, share))
-		b.counts.Asked += uint64(n)
-		b.counts.Wrong[Failed] += x
-		b.counts.Wrong[Unserved] += x
-		w.p.Take(Report{Target: Target{Slot: b.slot}, Incarnation: b.incarnation,
+		b.counts.Queries += uint64(n)
+		b.counts.Bad[MetricFailed] += x
+		b.counts.Bad[MetricUnserved] += x
+		w.p.RecordReport(Report{Target: Target{Slot: b.slot}, Incarnation: b.incarnation,
 			Zone: fmt.Sprint("z", b.slot%3), Classes: []Counts{b.counts}}, w.now)
 		if pass, ok := w.s.BrokerPermit(b.slot); ok && !pass.Used {
 			if r := w.apply(&statemachine.UsePermit{Permit: pass.Number, Slot: b.slot, Incarnation: b.incarnation}); r.Err == nil {
@@ -130,8 +130,8 @@
 	}
 	w.most = max(w.most, out)
 	w.naive = w.naive || w.p.throws()
-	all, _ := w.p.Next(w.s, w.now)
-	if w.enough == 0 && (w.p.Failed() != nil || w.p.enough()) {
+	all, _ := w.p.NextEntries(w.s, w.now)
+	if w.enough == 0 && (w.p.FailedGate() != nil || w.p.enough()) {
 		w.enough = w.now
 	}
 	for _, e := range all {
@@ -149,7 +149,7 @@
 		for m := range metrics {
 			c := *g
 			c.looked = [metrics]float64{}
-			if _, fails := c.look(m, p.set.Tolerance, p.set.Alpha/float64(len(p.groups)*int(metrics))); fails {
+			if _, fails := c.look(m, p.set.Tolerance, p.set.FalseAlarmRate/float64(len(p.groups)*int(metrics))); fails {
 				return true
 			}
 		}
@@ -161,7 +161,7 @@
 func (p *Planner) throws() bool {
 	var asked, wrong, expected, variance float64
 	for _, g := range p.groups[:min(1, len(p.groups))] {
-		for _, t := range g.tallies[Unserved] {
+		for _, t := range g.tallies[MetricUnserved] {
 			if t.side == after {
 				asked, wrong, expected, variance = asked+t.asked, wrong+t.wrong, expected+t.expected, variance+t.variance
 			}
--- a/internal/server/control_plane.go
+++ b/internal/server/control_plane.go
@@ -123,13 +123,13 @@
 
 func releaseGates(o *operator.Fleet) release.Settings {
 	gates := release.Defaults()
-	gates.Observe = o.Gates.Observe
-	gates.Warm = o.Gates.Warm
-	gates.Overdue = o.Gates.Overdue
-	gates.Least = float64(o.Gates.Least)
+	gates.ObserveTime = o.Gates.Observe
+	gates.WarmUpTime = o.Gates.Warm
+	gates.OverdueAfter = o.Gates.Overdue
+	gates.MinQueries = float64(o.Gates.Least)
 	gates.Tolerance = o.Gates.Tolerance
-	gates.Alpha = o.Gates.Alpha
-	gates.Back = o.Gates.Back
+	gates.FalseAlarmRate = o.Gates.Alpha
+	gates.AutoRollback = o.Gates.Back
 	return gates
 }
 
--- a/internal/server/control_plane_view.go
+++ b/internal/server/control_plane_view.go
@@ -60,7 +60,7 @@
 // publishEndpoints leaves the loop's endpoints for the control plane's goroutine.
 func (v *controlPlaneView) publishEndpoints(s *endpointSnapshot) {
 	if previous := v.endpoints.Load(); previous != nil {
-		s.Follow(&previous.List)
+		s.KeepStableSince(&previous.NodeList)
 	}
 	v.endpoints.Store(s)
 }
--- a/internal/server/endpoint_snapshot.go
+++ b/internal/server/endpoint_snapshot.go
@@ -16,7 +16,7 @@
 
 // endpointSnapshot is a copy of a broker's endpoints for the control plane's goroutine.
 type endpointSnapshot struct {
-	release.List
+	release.NodeList
 	nameByID map[decision.NodeID]string
 	idByName map[string]decision.NodeID // by name and by address
 }
@@ -38,8 +38,8 @@
 	}
 	s := &endpointSnapshot{nameByID: map[decision.NodeID]string{}, idByName: map[string]decision.NodeID{}}
 	s.Ready = map[decision.NodeID]bool{}
-	s.Since = l.since()
-	s.Told = l.counters.ListsReceived > 0 && !l.pollFailed
+	s.StableSince = l.since()
+	s.Confirmed = l.counters.ListsReceived > 0 && !l.pollFailed
 	for id, n := range l.nodes {
 		s.Nodes = append(s.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
 		s.nameByID[id] = n.Name
@@ -55,7 +55,7 @@
 func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.LeaderContext) []statemachine.Entry {
 	return func(m controlplane.LeaderContext) []statemachine.Entry {
 		if have := from.Load(); have != nil {
-			return have.Next(m.State, m.Now)
+			return have.NextEntries(m.State, m.Now)
 		}
 		return nil
 	}
--- a/internal/server/endpoint_snapshot_test.go
+++ b/internal/server/endpoint_snapshot_test.go
@@ -33,7 +33,7 @@
 	l.handleList(&list, nil)
 	for _, want := range []int{0, 0, 1} { // it is told the same again and again
 		if n := proposed(); n != want {
-			t.Errorf("%d proposed of a list that has stood since %v, %v", n, l.controlPlane.endpoints.Load().Since, now)
+			t.Errorf("%d proposed of a list that has stood since %v, %v", n, l.controlPlane.endpoints.Load().StableSince, now)
 		}
 		now += time.Second
 		l.handleList(&discovery.List{}, nil)
