--- a/internal/cluster/controlplane/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -11,9 +11,9 @@
 
 // Report is what a broker has done since its start; the figures only grow.
 type Report struct {
-	Classes []Class           `cbor:"1,keyasint,omitempty"`
-	Cold    uint64            `cbor:"2,keyasint,omitempty"` // parts sent to nodes that were still cold
-	Extra   map[string][]byte `cbor:"3,keyasint,omitempty"` // for duties, by their names
+	Classes   []Class           `cbor:"1,keyasint,omitempty"`
+	WarmingUp uint64            `cbor:"2,keyasint,omitempty"` // parts sent to nodes that were still cold
+	Sections  map[string][]byte `cbor:"3,keyasint,omitempty"` // for duties, by their names
 }
 
 // Class are the figures of one kind of search.
@@ -45,7 +45,7 @@
 		n.Bad[release.MetricUnserved] = c.Refused + c.Failed + c.Late
 		n.Bad[release.MetricRejected], n.Bad[release.MetricFailed], n.Bad[release.MetricLate] = c.Refused, c.Failed, c.Late
 		if i == 0 {
-			n.Bad[release.MetricSentToWarmingUp] = min(r.Cold, n.Queries)
+			n.Bad[release.MetricSentToWarmingUp] = min(r.WarmingUp, n.Queries)
 		}
 		e.Classes = append(e.Classes, n)
 	}
@@ -59,10 +59,10 @@
 	r := f.o.CollectReport()
 	for _, e := range f.extras {
 		if data := e.Collect(); len(data) > 0 {
-			if r.Extra == nil {
-				r.Extra = map[string][]byte{}
+			if r.Sections == nil {
+				r.Sections = map[string][]byte{}
 			}
-			r.Extra[e.Name] = data
+			r.Sections[e.Name] = data
 		}
 	}
 	if data, err := encoding.Marshal(r); err == nil && len(data) <= maxReport {
--- a/internal/server/control_plane_run.go
+++ b/internal/server/control_plane_run.go
@@ -44,7 +44,7 @@
 			return nil
 		}
 		if state := s.Counters().Queries.ControlPlane; state != nil {
-			s.controlPlane.report.Store(&controlplane.Report{Classes: state.Classes, Cold: state.WarmingUpAttempts})
+			s.controlPlane.report.Store(&controlplane.Report{Classes: state.Classes, WarmingUp: state.WarmingUpAttempts})
 		}
 	}
 }
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -105,7 +105,7 @@
 		if !ok || report.Incarnation != b.Incarnation {
 			continue
 		}
-		version, counts, err := connlease.DecodeDemand(report.Extra[needSection])
+		version, counts, err := connlease.DecodeDemand(report.Sections[needSection])
 		if err == nil && (version == newest.Version || version == previous && previous > 0) {
 			needs[b.Slot] = counts
 		}
