--- a/internal/cluster/controlplane/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -1,22 +1,22 @@
 package controlplane
 
-// This file owns what a broker tells the leader of its own work.
-
 import (
 	"time"
 
-	"flaxfront/internal/decision/release"
 	"flaxfront/internal/decision/statemachine"
 )
 
+// maxReportBytes bounds an encoded report.
+const maxReportBytes = 64 << 10
+
 // Report is what a broker has done since its start; the figures only grow.
 type Report struct {
 	Classes   []Class           `cbor:"1,keyasint,omitempty"`
-	WarmingUp uint64            `cbor:"2,keyasint,omitempty"` // parts sent to nodes that were still cold
-	Sections  map[string][]byte `cbor:"3,keyasint,omitempty"` // for duties, by their names
+	WarmingUp uint64            `cbor:"2,keyasint,omitempty"` // attempts sent to nodes that were still warming up
+	Sections  map[string][]byte `cbor:"3,keyasint,omitempty"` // for leader tasks, by their names
 }
 
-// Class are the figures of one kind of search.
+// Class holds the figures of one class of queries.
 type Class struct {
 	Name    string `cbor:"1,keyasint"`
 	Served  uint64 `cbor:"2,keyasint,omitempty"`
@@ -25,63 +25,64 @@
 	Late    uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ReportSection is more that reports carry, such as what a broker needs. Collect runs in the fleet's goroutine and must not wait.
+// ReportSection is more that reports carry, such as what a broker needs. Collect is called in the participant's loop and must not block.
 type ReportSection struct {
 	Name    string
 	Collect func() []byte
 }
 
-// maxReport bounds a report.
-const maxReport = 64 << 10
-
 // AddReportSection adds to the reports, before Run.
-func (f *Participant) AddReportSection(e ReportSection) { f.extras = append(f.extras, e) }
+func (p *Participant) AddReportSection(s ReportSection) {
+	p.reportSections = append(p.reportSections, s)
+}
 
-// evidence is a report as a release's gates take it.
-func (r *Report) evidence(b statemachine.Broker) release.Report {
-	e := release.Report{Target: release.Target{Slot: b.Slot}, Incarnation: b.Incarnation, Zone: b.Zone}
-	for i, c := range r.Classes {
-		n := release.Counts{Queries: c.Served + c.Refused + c.Failed + c.Late}
-		n.Bad[release.MetricUnserved] = c.Refused + c.Failed + c.Late
-		n.Bad[release.MetricRejected], n.Bad[release.MetricFailed], n.Bad[release.MetricLate] = c.Refused, c.Failed, c.Late
-		if i == 0 {
-			n.Bad[release.MetricSentToWarmingUp] = min(r.WarmingUp, n.Queries)
-		}
-		e.Classes = append(e.Classes, n)
-	}
-	return e
+// ReceivedReport is a broker's last report, as it came to the leader.
+type ReceivedReport struct {
+	Report
+	Incarnation uint64
+	ReceivedAt  time.Duration
 }
 
-func (f *Participant) report() {
-	if f.o.CollectReport == nil || !f.alive() {
+// queueReport adds this broker's report to the outbox.
+func (p *Participant) queueReport() {
+	if p.options.CollectReport == nil || !p.isRegistered() {
 		return
 	}
-	r := f.o.CollectReport()
-	for _, e := range f.extras {
-		if data := e.Collect(); len(data) > 0 {
-			if r.Sections == nil {
-				r.Sections = map[string][]byte{}
-			}
-			r.Sections[e.Name] = data
+	r := p.options.CollectReport()
+	for _, section := range p.reportSections {
+		data := section.Collect()
+		if len(data) == 0 {
+			continue
 		}
+		if r.Sections == nil {
+			r.Sections = map[string][]byte{}
+		}
+		r.Sections[section.Name] = data
 	}
-	if data, err := encoding.Marshal(r); err == nil && len(data) <= maxReport {
-		f.up.Reports = append(f.up.Reports, report{uint32(f.o.Slot), f.inc, data})
+	data, err := encoding.Marshal(r)
+	if err != nil || len(data) > maxReportBytes {
+		return
 	}
+	p.outbox.Reports = append(p.outbox.Reports, reportFrame{Slot: uint32(p.options.Slot), Incarnation: p.incarnation, Data: data})
 }
 
-// reported takes reports at the leader.
-func (f *Participant) reported(all []report, now time.Duration) {
-	for _, m := range all {
-		b, known := f.state.Broker(statemachine.Slot(m.Slot))
-		if !known || b.Incarnation != m.Inc || len(m.Data) > maxReport || f.lead.reports == nil {
+// acceptReports takes reports at the leader.
+func (p *Participant) acceptReports(frames []reportFrame, now time.Duration) {
+	if p.leadership.reports == nil {
+		return
+	}
+	for _, frame := range frames {
+		broker, known := p.state.Broker(statemachine.Slot(frame.Slot))
+		if !known || broker.Incarnation != frame.Incarnation || len(frame.Data) > maxReportBytes {
+			continue
+		}
+		r, err := decode[Report](frame.Data)
+		if err != nil || len(r.Classes) > maxReportClasses {
 			continue
 		}
-		if r, err := decode[Report](m.Data); err == nil && len(r.Classes) <= 64 {
-			f.lead.reports[b.Slot] = ReceivedReport{r, m.Inc, now}
-			if f.lead.planner != nil {
-				f.lead.planner.RecordReport(r.evidence(b), now)
-			}
+		p.leadership.reports[broker.Slot] = ReceivedReport{Report: r, Incarnation: frame.Incarnation, ReceivedAt: now}
+		if p.leadership.planner != nil {
+			p.leadership.planner.RecordReport(r.evidence(broker), now)
 		}
 	}
 }
--- a/internal/lab/proof/main_test.go
+++ b/internal/lab/proof/main_test.go
@@ -118,7 +118,7 @@
 		c.t.Logf("step of %s at %s, beside %v", s.Broker, s.At.Format("15:04:05.000"), s.Out)
 	}
 	for _, b := range c.Brokers {
-		lines := b.Logged(0, "fleet: ")
+		lines := b.Logged(0, "component=control-plane")
 		for _, line := range lines[max(0, len(lines)-25):] {
 			c.t.Logf("%s: %.220s", b.Name, line)
 		}
