--- a/internal/server/agreed_drains.go
+++ b/internal/server/agreed_drains.go
@@ -37,7 +37,7 @@
 			v.drains[d.Node] = known
 			slog.Info("node drain agreed", "component", "control-plane", "node", d.Node, "number", d.Number)
 			if n, listed := endpoints[d.Node]; listed {
-				changed = append(changed, v.withAgreedDrain(n.Entry))
+				changed = append(changed, v.withAgreedDrain(n.Endpoint))
 			}
 		}
 		known.acked = d.Acked
@@ -49,7 +49,7 @@
 		delete(v.drains, id)
 		slog.Info("node drain ended", "component", "control-plane", "node", id)
 		if n, listed := endpoints[id]; listed {
-			changed = append(changed, n.Entry)
+			changed = append(changed, n.Endpoint)
 		}
 	}
 	if len(changed) > 0 {
--- a/internal/server/cached_list.go
+++ b/internal/server/cached_list.go
@@ -19,8 +19,8 @@
 // What an entry is worth is cachedlist.Judge's decision; writing is done outside the loop, by store.
 type cachedEndpointList struct {
 	loop       endpointHost
-	table      *cachedlist.Book
-	judge      *cachedlist.Judge
+	table      *cachedlist.EntryTable
+	judge      *cachedlist.Evaluator
 	store      func(cachedlist.Changes) // must not wait
 	zone       func(name string) int
 	maxEntries int
@@ -54,12 +54,12 @@
 		}
 		c.loop.applyList(list)
 	}
-	for _, line := range c.judge.Lines() {
+	for _, line := range c.judge.CollectLogLines() {
 		slog.Info("cached endpoint judged", "component", "cached-list", "decision", line, "at", now.Round(time.Millisecond))
 	}
 	if now >= c.nextStore {
 		c.nextStore = now + storeInterval
-		if changes, any := c.table.Changes(); any {
+		if changes, any := c.table.CollectChanges(); any {
 			c.store(changes)
 		}
 	}
@@ -67,30 +67,30 @@
 }
 
 func (c *cachedEndpointList) report(counters *QueryCounters) {
-	state := c.judge.Picture(c.loop.since())
+	state := c.judge.Snapshot(c.loop.since())
 	counters.CachedList = &state
 }
 
 // initialList is the list to start with.
 func (c *cachedEndpointList) initialList() *discovery.List {
-	list := &discovery.List{Whole: true}
-	for _, f := range c.judge.Begin(discovery.ID) {
+	list := &discovery.List{Full: true}
+	for _, f := range c.judge.Start(discovery.IDOfName) {
 		list.Nodes = append(list.Nodes, c.node(f))
 	}
 	return list
 }
 
 // node is a fact as an endpoint. One that is not to be used is draining: it gets nothing new.
-func (c *cachedEndpointList) node(f cachedlist.Fact) discovery.Node {
+func (c *cachedEndpointList) node(f cachedlist.EndpointUpdate) discovery.Node {
 	e := &f.Entry
-	n := discovery.Node{Name: e.Name, Addr: e.Addr, Zone: e.Zone, Started: int64(e.Started),
-		Entry: decision.Endpoint{Node: f.ID, Cell: e.Cell, Zone: c.zone(e.Zone), State: decision.Ready, StartedAt: decision.StartedLongAgo,
-			Unconfirmed: f.Eased}}
-	if !f.Use {
-		n.Entry.State = decision.Draining
+	n := discovery.Node{Name: e.Name, Address: e.Address, Zone: e.Zone, StartedAtMS: int64(e.StartedAt),
+		Endpoint: decision.Endpoint{Node: f.ID, Cell: e.Cell, Zone: c.zone(e.Zone), State: decision.Ready, StartedAt: decision.StartedLongAgo,
+			Unconfirmed: f.SlowStart}}
+	if !f.Usable {
+		n.Endpoint.State = decision.Draining
 	}
-	if e.Started > 0 {
-		n.Entry.StartedAt = e.Started.Time().Sub(c.start)
+	if e.StartedAt > 0 {
+		n.Endpoint.StartedAt = e.StartedAt.Time().Sub(c.start)
 	}
 	return n
 }
@@ -101,12 +101,12 @@
 		return
 	}
 	now := c.loop.since()
-	ended, of := c.judge.Listed(tableList(list, list.Service), discovery.ID, now)
-	if list.Whole && endedWarningFactor*ended > of {
+	ended, of := c.judge.ApplyList(tableList(list, list.Service), discovery.IDOfName, now)
+	if list.Full && endedWarningFactor*ended > of {
 		slog.Warn("full endpoint list lacks most nodes", "component", "cached-list", "ended", ended, "of", of,
 			"listed", len(list.Nodes), "service", list.Service, "generation", list.Version)
 	}
-	if n := c.table.Bound(c.maxEntries, c.keepEnded, cachedlist.At(c.start.Add(now))); n > 0 {
+	if n := c.table.Evict(c.maxEntries, c.keepEnded, cachedlist.TimestampOf(c.start.Add(now))); n > 0 {
 		slog.Info("entries dropped from the cached endpoint list", "component", "cached-list", "entries", n)
 	}
 	c.nextStore = now
@@ -115,14 +115,14 @@
 // pollFailed notes that discovery could not be polled.
 func (c *cachedEndpointList) pollFailed() {
 	if c != nil {
-		c.judge.Failed()
+		c.judge.DiscoveryFailed()
 	}
 }
 
 // attemptEnded notes what a node has shown by an attempt.
 func (c *cachedEndpointList) attemptEnded(node decision.NodeID, outcome decision.Outcome, took time.Duration) {
 	if c != nil {
-		c.judge.Showed(node, outcome, took, c.loop.since())
+		c.judge.RecordOutcome(node, outcome, took, c.loop.since())
 	}
 }
 
@@ -136,24 +136,24 @@
 		decision.Removed:  cachedlist.Ended,
 		decision.Ready:    cachedlist.Ready,
 	}
-	c.judge.Word(n.Name, n.Entry.Node, states[n.Entry.State], cachedlist.Moment(n.Started), c.loop.since())
+	c.judge.ApplyGossip(n.Name, n.Endpoint.Node, states[n.Endpoint.State], cachedlist.Timestamp(n.StartedAtMS), c.loop.since())
 }
 
 // handleOperatorRequest does what an operator asked of a running broker.
 func (c *cachedEndpointList) handleOperatorRequest(r nodelist.OperatorRequest) {
-	imported := c.judge.Import(r.Import, discovery.ID, c.loop.since())
-	forgotten := c.judge.Forget(r.Forget, discovery.ID)
+	imported := c.judge.Import(r.Import, discovery.IDOfName, c.loop.since())
+	forgotten := c.judge.Forget(r.Forget, discovery.IDOfName)
 	c.nextStore = c.loop.since()
 	slog.Info("cached endpoint list changed by an operator", "component", "cached-list", "imported", imported, "forgotten", forgotten)
 }
 
 // tableList is a list as the book takes it.
 func tableList(list *discovery.List, service string) cachedlist.List {
-	l := cachedlist.List{Service: service, Generation: list.Version, Whole: list.Whole}
+	l := cachedlist.List{Service: service, Generation: list.Version, Full: list.Full}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		e := cachedlist.Entry{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Cell: n.Entry.Cell, Started: cachedlist.Moment(n.Started)}
-		switch n.Entry.State {
+		e := cachedlist.Entry{Name: n.Name, Address: n.Address, Zone: n.Zone, Cell: n.Endpoint.Cell, StartedAt: cachedlist.Timestamp(n.StartedAtMS)}
+		switch n.Endpoint.State {
 		case decision.Draining:
 			e.State = cachedlist.Draining
 		case decision.Removed:
--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -19,42 +19,42 @@
 		WriteInterval: o.NodeList.SaveEvery,
 	})
 	s.listStore = store
-	book := cachedlist.NewBook(content.Head, content.Unsorted())
-	now := cachedlist.At(s.loop.start)
+	book := cachedlist.NewEntryTable(content.Head, content.Unsorted())
+	now := cachedlist.TimestampOf(s.loop.start)
 	if s.listGiven {
-		book.Merge(tableList(s.initialList, s.discoveryAddress.String()), now)
+		book.MergeConfigured(tableList(s.initialList, s.discoveryAddress.String()), now)
 	}
-	book.Bound(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
+	book.Evict(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
 	list := newCachedList(&o, book, s.loop.start)
 	list.store = store.Enqueue
-	list.zone = s.reader.Zone
+	list.zone = s.reader.ZoneNumber
 	s.loop.useCachedList(list)
 	s.initialList = list.initialList()
-	pace := cachedlist.NewPacer(cachedlist.Pace{
-		KnockEvery: o.Discovery.KnockEvery,
-		PerCall:    o.Discovery.PerCall,
-		MostDelay:  o.Discovery.MostDelay,
-		Brokers:    t.Module.BrokerCount,
+	pace := cachedlist.NewBackoff(cachedlist.BackoffSettings{
+		ConnectInterval: o.Discovery.KnockEvery,
+		PollCost:        o.Discovery.PerCall,
+		MaxPollDelay:    o.Discovery.MostDelay,
+		BrokerCount:     t.Module.BrokerCount,
 	}, t.Module.Seed)
 	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.discoveryAddress.String()
-	s.discoveryClient.Pace(pace, content.Head.Generation, resume)
-	state := list.judge.Picture(0)
+	s.discoveryClient.UseBackoff(pace, content.Head.Generation, resume)
+	state := list.judge.Snapshot(0)
 	slog.Info("cached endpoint list opened", "component", "cached-list", "directory", o.NodeList.Directory, "found", content.Found,
 		"entries", book.Len(), "unconfirmed", state.Doubtful, "barred", state.Barred, "age", state.ListAge.Round(time.Second),
 		"service", content.Head.Service, "generation", content.Head.Generation, "read_in", time.Since(began).Round(time.Millisecond))
 }
 
 // newCachedList makes the extension of a book; store and zone are the caller's.
-func newCachedList(o *operator.Start, book *cachedlist.Book, start time.Time) *cachedEndpointList {
+func newCachedList(o *operator.Start, book *cachedlist.EntryTable, start time.Time) *cachedEndpointList {
 	policy := cachedlist.Policy{
-		HalfLife: o.Trust.HalfLife,
-		Oldest:   o.Trust.Oldest,
-		StrikeAt: o.Trust.StrikeAt,
-		Parole:   o.Trust.Parole,
+		HalfLife:          o.Trust.HalfLife,
+		MaxAge:            o.Trust.Oldest,
+		EjectionThreshold: o.Trust.StrikeAt,
+		TrialInterval:     o.Trust.Parole,
 	}
 	return &cachedEndpointList{
 		table:      book,
-		judge:      cachedlist.NewJudge(policy, book, cachedlist.At(start)),
+		judge:      cachedlist.NewEvaluator(policy, book, cachedlist.TimestampOf(start)),
 		maxEntries: o.NodeList.MaxEntries,
 		keepEnded:  o.NodeList.KeepEnded,
 		start:      start,
--- a/internal/server/control_plane_view.go
+++ b/internal/server/control_plane_view.go
@@ -72,7 +72,7 @@
 		return
 	}
 	now := v.loop.since()
-	if endpoint, known := v.loop.endpoints()[node]; known && now-v.loop.warmUpTime() < endpoint.Entry.StartedAt {
+	if endpoint, known := v.loop.endpoints()[node]; known && now-v.loop.warmUpTime() < endpoint.Endpoint.StartedAt {
 		v.warmingUpAttempts += uint64(n)
 	}
 }
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -21,9 +21,9 @@
 	Sockets       int // file descriptors
 	Carrier       store.Carrier
 	PollDiscovery func()
-	SendGossip    func(text string) // to the other brokers
-	Log           func(text string) // what the router logs
-	CachedList    *cachedlist.Book  // the endpoint list as last stored; nil: none is
+	SendGossip    func(text string)      // to the other brokers
+	Log           func(text string)      // what the router logs
+	CachedList    *cachedlist.EntryTable // the endpoint list as last stored; nil: none is
 }
 
 // Core is one broker for whoever brings the time and the network: the simulation, which plays many of them in virtual time. It has the loop,
@@ -94,12 +94,12 @@
 		}
 		err = doorErr
 	}
-	list := &discovery.List{Whole: true}
+	list := &discovery.List{Full: true}
 	if e.CachedList != nil {
 		cached := newCachedList(&file.Start, e.CachedList, e.Start)
 		cached.store = func(cachedlist.Changes) {}
 		reader := discovery.Reader{Zones: t.Zones}
-		cached.zone = reader.Zone
+		cached.zone = reader.ZoneNumber
 		l.useCachedList(cached)
 		list = cached.initialList()
 	}
--- a/internal/server/endpoint_list.go
+++ b/internal/server/endpoint_list.go
@@ -22,7 +22,7 @@
 		l.post(decision.Event{Kind: decision.ListPollFailed})
 		return
 	}
-	if list.Cells != 0 && list.Cells != l.cells {
+	if list.CellCount != 0 && list.CellCount != l.cells {
 		return // read before the layout changed; the full list of the new one is polled
 	}
 	l.counters.ListsReceived++
@@ -35,44 +35,44 @@
 // told of.
 func (l *loop) applyList(list *discovery.List) {
 	e := decision.Event{Kind: decision.ListUpdateReceived}
-	if list.Whole {
+	if list.Full {
 		e.Kind = decision.FullListReceived
 	}
 	listed := map[decision.NodeID]bool{}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		previous, known := l.nodes[n.Entry.Node]
+		previous, known := l.nodes[n.Endpoint.Node]
 		if known && previous.Name != n.Name {
 			slog.Error("two nodes share an id", "component", "discovery", "node", n.Name, "other_node", previous.Name)
 			continue
 		}
-		endpoint := l.controlPlane.withAgreedDrain(n.Entry)
+		endpoint := l.controlPlane.withAgreedDrain(n.Endpoint)
 		e.Endpoints = append(e.Endpoints, endpoint)
-		listed[n.Entry.Node] = true
+		listed[n.Endpoint.Node] = true
 		l.applyEndpoint(n, endpoint.State)
 		if !known || previous != *n {
-			slog.Info("node listed", "component", "discovery", "node", n.Name, "id", n.Entry.Node, "address", n.Addr,
-				"state", n.Entry.State, "zone", n.Entry.Zone, "cell", n.Entry.Cell)
+			slog.Info("node listed", "component", "discovery", "node", n.Name, "id", n.Endpoint.Node, "address", n.Address,
+				"state", n.Endpoint.State, "zone", n.Endpoint.Zone, "cell", n.Endpoint.Cell)
 		}
 	}
-	if list.Whole {
+	if list.Full {
 		l.dropUnlisted(listed)
 	}
-	l.readPins.updateEndpoints(list.Whole, e.Endpoints)
+	l.readPins.updateEndpoints(list.Full, e.Endpoints)
 	l.post(e)
 	l.publishEndpoints()
 }
 
 // applyEndpoint has the pool connect to a node, or drop it. state is that of the endpoint with an agreed drain over it.
 func (l *loop) applyEndpoint(n *discovery.Node, state decision.EndpointState) {
-	id := n.Entry.Node
-	if n.Entry.State == decision.Removed {
+	id := n.Endpoint.Node
+	if n.Endpoint.State == decision.Removed {
 		delete(l.nodes, id)
 		l.pool.Drop(id)
 		return
 	}
 	l.nodes[id] = *n
-	l.pool.Point(id, n.Name, n.Addr, n.Entry.StartedAt)
+	l.pool.Point(id, n.Name, n.Address, n.Endpoint.StartedAt)
 	if state != decision.Ready {
 		l.pool.Withhold(id)
 	}
@@ -88,9 +88,9 @@
 	}
 	slices.SortFunc(unlisted, func(a, b discovery.Node) int { return strings.Compare(a.Name, b.Name) })
 	for _, n := range unlisted {
-		slog.Info("node unlisted", "component", "discovery", "node", n.Name, "id", n.Entry.Node)
-		delete(l.nodes, n.Entry.Node)
-		l.pool.Drop(n.Entry.Node)
+		slog.Info("node unlisted", "component", "discovery", "node", n.Name, "id", n.Endpoint.Node)
+		delete(l.nodes, n.Endpoint.Node)
+		l.pool.Drop(n.Endpoint.Node)
 	}
 }
 
--- a/internal/server/endpoint_snapshot.go
+++ b/internal/server/endpoint_snapshot.go
@@ -41,11 +41,11 @@
 	s.StableSince = l.since()
 	s.Confirmed = l.counters.ListsReceived > 0 && !l.pollFailed
 	for id, n := range l.nodes {
-		s.Nodes = append(s.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
+		s.Nodes = append(s.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Endpoint.Cell, l.settings)})
 		s.nameByID[id] = n.Name
 		s.idByName[n.Name] = id
-		s.idByName[n.Addr.String()] = id
-		s.Ready[id] = n.Entry.State == decision.Ready
+		s.idByName[n.Address.String()] = id
+		s.Ready[id] = n.Endpoint.State == decision.Ready
 	}
 	slices.SortFunc(s.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.CompareNodes(a.Node, b.Node) })
 	l.controlPlane.publishEndpoints(s)
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -21,7 +21,7 @@
 
 // policyNode is what a policy's conditions may ask of a node.
 func policyNode(n discovery.Node) connpolicy.Node {
-	return connpolicy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Entry.Cell), Machine: n.Addr.Addr().String()}
+	return connpolicy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Endpoint.Cell), Machine: n.Address.Addr().String()}
 }
 
 // leaseGranting is what connection leases have the leader do: needs become grants. It runs in the control plane's goroutine and must not
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -214,7 +214,7 @@
 // ones, and what is in flight ends by them. Where shards or nodes are others now, the nodes known so far get nothing more.
 func (l *loop) applySettings(m settingsChanged) {
 	if m.moved {
-		l.applyList(&discovery.List{Whole: true})
+		l.applyList(&discovery.List{Full: true})
 	}
 	if len(l.events) > 0 {
 		l.stepRouter(l.since())
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -164,8 +164,8 @@
 	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		w := gossip.EndpointUpdate{ListVersion: list.Version, DiscoveryID: m.shared.DiscoveryID, Node: n.Entry.Node, State: n.Entry.State, StartedAtMS: n.Started}
-		if m.shared.RecordLocal(w, list.Whole || !m.shareEndpoints) {
+		w := gossip.EndpointUpdate{ListVersion: list.Version, DiscoveryID: m.shared.DiscoveryID, Node: n.Endpoint.Node, State: n.Endpoint.State, StartedAtMS: n.StartedAtMS}
+		if m.shared.RecordLocal(w, list.Full || !m.shareEndpoints) {
 			m.broadcast(&w)
 		}
 	}
@@ -180,13 +180,13 @@
 // discovery had told this broker.
 func (m *tierMembership) handleSharedEndpoint(w gossip.EndpointUpdate) {
 	n, known := m.loop.endpoints()[w.Node]
-	if !m.shared.Accept(w, known, n.Entry.State, n.Started) {
+	if !m.shared.Accept(w, known, n.Endpoint.State, n.StartedAtMS) {
 		return
 	}
-	n.Entry.State = w.State
-	if w.StartedAtMS > n.Started {
-		n.Started = w.StartedAtMS
-		n.Entry.StartedAt = time.UnixMilli(w.StartedAtMS).Sub(m.loop.startTime())
+	n.Endpoint.State = w.State
+	if w.StartedAtMS > n.StartedAtMS {
+		n.StartedAtMS = w.StartedAtMS
+		n.Endpoint.StartedAt = time.UnixMilli(w.StartedAtMS).Sub(m.loop.startTime())
 	}
 	slog.Info("node state received by gossip", "component", "membership", "node", n.Name, "state", w.State, "version", w.ListVersion)
 	m.loop.applyList(&discovery.List{Version: w.ListVersion, Nodes: []discovery.Node{n}})
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -123,7 +123,7 @@
 		break
 	}
 	before := l.nodes[id]
-	l.membership.shareList(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
+	l.membership.shareList(&discovery.List{Version: 50, Full: true, Nodes: []discovery.Node{before}})
 	say := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
 		w := gossip.EndpointUpdate{ListVersion: version, DiscoveryID: service, Node: node, State: state, StartedAtMS: started}
 		l.membership.handleNote(w.AppendTo([]byte{noteEndpoint}), l.since())
@@ -138,12 +138,12 @@
 		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.shared.Counts)
 	}
 	say(51, l.membership.shared.DiscoveryID, id, decision.Draining, 0)
-	if n := l.nodes[id]; n.Entry.State != decision.Draining || n.Addr != before.Addr || l.membership.shared.Counts.Accepted != 1 {
+	if n := l.nodes[id]; n.Endpoint.State != decision.Draining || n.Address != before.Address || l.membership.shared.Counts.Accepted != 1 {
 		t.Errorf("%+v, %+v", n, l.membership.shared.Counts)
 	}
 	say(51, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // of the same version: it was heard already
 	say(52, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // nothing makes a draining process ready again
-	if n := l.nodes[id]; n.Entry.State != decision.Draining {
+	if n := l.nodes[id]; n.Endpoint.State != decision.Draining {
 		t.Errorf("%+v", n)
 	}
 	say(53, l.membership.shared.DiscoveryID, id, decision.Removed, time.Now().UnixMilli())
@@ -161,8 +161,8 @@
 		break
 	}
 	n := old.nodes[id]
-	old.membership.shareList(&discovery.List{Version: 60, Whole: true, Nodes: []discovery.Node{n}})
-	n.Entry.State = decision.Draining
+	old.membership.shareList(&discovery.List{Version: 60, Full: true, Nodes: []discovery.Node{n}})
+	n.Endpoint.State = decision.Draining
 	gone := &discovery.List{Version: 61, Nodes: []discovery.Node{n}}
 	old.applyList(gone)
 	old.membership.shareList(gone)
@@ -181,7 +181,7 @@
 		}
 		*sent, *answers = nil, nil
 	}
-	if got := late.nodes[id]; got.Entry.State != decision.Draining || late.membership.shared.Counts.Accepted != 1 {
+	if got := late.nodes[id]; got.Endpoint.State != decision.Draining || late.membership.shared.Counts.Accepted != 1 {
 		t.Errorf("%+v, %+v; %v", got, late.membership.shared.Counts, late.membership.members.All())
 	}
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, false, fmt.Errorf("configuration: known: %w", err)
 	}
-	list.Whole = true
+	list.Full = true
 	return list, true, nil
 }
 
@@ -45,7 +45,7 @@
 	var list *discovery.List
 	var listGiven bool
 	if err == nil {
-		reader = discovery.Reader{Zones: start.Terms.Zones, Cells: start.Terms.Module.Cells, Start: s.loop.start}
+		reader = discovery.Reader{Zones: start.Terms.Zones, CellCount: start.Terms.Module.Cells, StartedAt: s.loop.start}
 		list, listGiven, err = checkConfiguration(start, reader)
 	}
 	if err != nil {
@@ -60,7 +60,7 @@
 	needsRestart := current.Differs(start)
 	at := slices.Index(needsRestart, "settings")
 	switched := at >= 0 && s.canReconfigure(&start.Terms)
-	var discoveryTerms *discovery.Terms
+	var discoveryTerms *discovery.Settings
 	if switched {
 		needsRestart = slices.Delete(needsRestart, at, at+1)
 		discoveryTerms = s.switchSettings(&current.Terms, start, reader, list)
@@ -68,7 +68,7 @@
 	needsRestart = append(needsRestart, s.operator.Differs(file)...)
 	if s.discoveryAddress != start.Discovery || discoveryTerms != nil {
 		s.discoveryAddress = start.Discovery
-		s.discoveryClient.Move(start.Discovery.String(), discoveryTerms)
+		s.discoveryClient.ChangeAddress(start.Discovery.String(), discoveryTerms)
 	}
 	s.reloadCertificates()
 	slog.Info("configuration reloaded", "discovery", start.Discovery, "settings_switched", switched, "needs_restart", needsRestart)
@@ -76,7 +76,7 @@
 
 // switchSettings has the loop go on under other settings, and returns what changes for polling discovery; nil: nothing. list is the one of
 // the configuration.
-func (s *Server) switchSettings(current *terms.Terms, start *terms.Start, reader discovery.Reader, list *discovery.List) *discovery.Terms {
+func (s *Server) switchSettings(current *terms.Terms, start *terms.Start, reader discovery.Reader, list *discovery.List) *discovery.Settings {
 	next := &start.Terms
 	elsewhere := s.discoveryAddress != start.Discovery && !slices.Equal(current.Types, next.Types)
 	moved := elsewhere || current.Fingerprint() != next.Fingerprint()
@@ -85,7 +85,7 @@
 	}
 	s.reconfigure(next, moved, list)
 	if moved || current.AskEvery != next.AskEvery || current.Pushed != next.Pushed {
-		return &discovery.Terms{Reader: reader, Wait: next.AskEvery, Pushed: next.Pushed}
+		return &discovery.Settings{Reader: reader, MaxWatchTime: next.AskEvery, LocalAgent: next.Pushed}
 	}
 	return nil
 }
--- a/internal/server/warming_up_test.go
+++ b/internal/server/warming_up_test.go
@@ -19,8 +19,8 @@
 	warm := under.Module.WarmUpTime
 	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": decision.StartedLongAgo} {
 		n := nodeAt(name, decision.Ready)
-		n.Entry.StartedAt = boot
-		l.nodes[n.Entry.Node] = n
+		n.Endpoint.StartedAt = boot
+		l.nodes[n.Endpoint.Node] = n
 	}
 	for _, c := range []struct {
 		node string
@@ -34,7 +34,7 @@
 		{"new", time.Minute + warm - 1, 4},
 	} {
 		now = c.at
-		l.controlPlane.countAttempts(discovery.ID(c.node), 2)
+		l.controlPlane.countAttempts(discovery.IDOfName(c.node), 2)
 		if l.controlPlane.warmingUpAttempts != c.want {
 			t.Errorf("%s at %v: %d attempts sent to warming nodes, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
 		}
