--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -27,7 +27,7 @@
 type tierMembership struct {
 	loop           membershipHost
 	members        *membership.Members
-	ownership      *ownership.Duties
+	ownership      *ownership.Coordinator
 	sendTo         func(to netip.AddrPort, data []byte)
 	shareEndpoints bool // endpoint changes are passed on
 	shared         *gossip.UpdateFilter
@@ -72,7 +72,7 @@
 	if m.ownershipView == nil || len(changes) > 0 {
 		m.updateView()
 	}
-	m.ownership.View(m.ownershipView, m.members.Heard())
+	m.ownership.SetMembers(m.ownershipView, m.members.Heard())
 	runs, nextRun := m.ownership.Tick(now)
 	for _, run := range runs {
 		m.runJob(run, now)
@@ -109,8 +109,8 @@
 
 // runJob runs a periodic job that this broker owns.
 func (m *tierMembership) runJob(run ownership.Run, now time.Duration) {
-	slog.Debug("periodic job run", "component", "membership", "number", run.Duty, "fence", run.Fence)
-	switch run.Duty {
+	slog.Debug("periodic job run", "component", "membership", "number", run.Job, "fence", run.Fence)
+	switch run.Job {
 	case jobPollDiscovery:
 		m.loop.requestList()
 	case jobLogCounters:
@@ -118,13 +118,13 @@
 		slog.Info("counters of the owner", "component", "membership", "received", c.Received, "answered", c.Answered, "shed", c.Shed,
 			"failed", c.Failed, "in_flight", c.InFlight, "living", m.members.Living())
 	}
-	m.ownership.Done(run, true, now)
+	m.ownership.RunEnded(run, true, now)
 }
 
 // flush sends what the other members have to be told.
 func (m *tierMembership) flush() {
-	for _, claim := range m.ownership.Claims() {
-		m.members.Broadcast(uint64(claim.Duty), claim.Append([]byte{noteOwnership}))
+	for _, claim := range m.ownership.DrainClaims() {
+		m.members.Broadcast(uint64(claim.Job), claim.AppendTo([]byte{noteOwnership}))
 	}
 	for _, packet := range m.members.Out() {
 		m.sendTo(packet.To, packet.Data)
@@ -138,8 +138,8 @@
 	}
 	switch note[0] {
 	case noteOwnership:
-		if claim, ok := ownership.Read(note[1:]); ok && m.ownership.Take(claim, now) {
-			m.members.Broadcast(uint64(claim.Duty), note)
+		if claim, ok := ownership.DecodeClaim(note[1:]); ok && m.ownership.HandleClaim(claim, now) {
+			m.members.Broadcast(uint64(claim.Job), note)
 		}
 	case noteEndpoint:
 		if w, ok := gossip.Decode(note[1:]); ok && m.shareEndpoints {
@@ -197,7 +197,7 @@
 // leave tells the other members that this broker shuts down.
 func (m *tierMembership) leave() {
 	now := m.loop.since()
-	m.ownership.Leave(now)
+	m.ownership.ReleaseAll(now)
 	m.flush()
 	m.members.Leave(now)
 	m.flush()
--- a/internal/server/membership_open.go
+++ b/internal/server/membership_open.go
@@ -107,17 +107,17 @@
 	}
 	incarnation := uint32(self.start.Unix()) // no earlier process had it
 	members := membership.New(policy, self.name, self.address, uint8(o.Weight), incarnation, seeds)
-	jobs := []ownership.Duty{
+	jobs := []ownership.Job{
 		jobPollDiscovery: {Name: "refresh the node list", Period: max(minListRefreshPeriod, t.AskEvery/2)},
 		jobLogCounters:   {Name: "log the counters", Period: o.Summary},
 	}
-	claims := ownership.Policy{Lease: o.Lease, Settle: o.Interval, Renew: renewIntervals * o.Interval}
+	claims := ownership.Policy{Lease: o.Lease, SettleTime: o.Interval, RenewInterval: renewIntervals * o.Interval}
 	return &tierMembership{
 		members:        members,
 		sendTo:         sendTo,
 		shareEndpoints: o.List,
 		shared:         gossip.NewUpdateFilter(serviceHash(self.service)),
-		ownership:      ownership.New(claims, uint32(members.Self().ID), jobs, now),
+		ownership:      ownership.NewCoordinator(claims, uint32(members.Self().ID), jobs, now),
 	}
 }
 
--- a/internal/server/membership_state.go
+++ b/internal/server/membership_state.go
@@ -24,7 +24,7 @@
 		Self:            m.members.Self().Name,
 		Now:             now,
 		Members:         m.members.All(),
-		Ownership:       m.ownership.States(now),
+		Ownership:       m.ownership.Snapshot(now),
 		Counts:          m.members.Counts,
 		SharedEndpoints: m.shared.Counts,
 	}
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -73,7 +73,7 @@
 	})
 	k.until("a duty has one owner", func() bool {
 		a, b, c := crewOf(0).Ownership[0], crewOf(1).Ownership[0], crewOf(2).Ownership[0]
-		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.Turn > 0
+		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.RunCount > 0
 	})
 	if c := all[0].Counters(); c.Peers.Unauthenticated == 0 && all[3].Counters().Peers.Unauthenticated == 0 {
 		t.Error("nobody counted what the fourth said under another secret")
