--- a/internal/decision/statemachine/status.go
+++ b/internal/decision/statemachine/status.go
@@ -35,7 +35,7 @@
 type ReleasePermit struct {
 	Number      uint64
 	Release     uint64
-	ForNode     bool
+	ForNode     bool   `json:"OnNode"`
 	Slot        Slot   // of a broker
 	Incarnation uint64 // of a broker
 	Node        NodeID // of a node
--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -58,7 +58,7 @@
 	defer far.Close()
 	s.draining.Store(false)
 	in := ingress.New(nil, s, ingress.Options{Limits: ingress.Limits{Connections: 100, Used: 100, ReadGrace: s.Settings().Dial}})
-	before := s.Counters().Searches.Taken
+	before := s.Counters().Queries.Received
 	text := post(id, body)
 	ended := serveConnection(s, in, near)
 	settled := func(reached func(c ingress.ConnectionInfo) bool) {
@@ -99,7 +99,7 @@
 	m, err := httpwire.ReadResponse(answers)
 	reason := <-ended
 	was := strings.Join(strings.Fields(fmt.Sprint(course)), " ")
-	taken := s.Counters().Searches.Taken - before
+	taken := s.Counters().Queries.Received - before
 	asked, departed := slices.Index(course, requestCompletes), slices.Index(course, clientDeparts)
 	switch {
 	case asked < 0 && taken > 0:
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -48,9 +48,9 @@
 	s, _ := runServer(t, 1024)
 	gone, stays := dial(t, s), dial(t, s)
 	io.WriteString(gone, postUnanswered("a", "1900"))
-	waitUntil(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	waitUntil(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	gone.Close()
-	waitUntil(s, func(c Counters) bool { return c.Searches.Left == 1 && c.Searches.InHand == 0 })
+	waitUntil(s, func(c Counters) bool { return c.Queries.Abandoned == 1 && c.Queries.InFlight == 0 })
 	if m := stays.roundTrip(post("b", body)); m.Status != 200 {
 		t.Errorf("%d", m.Status)
 	}
@@ -65,7 +65,7 @@
 	idle.roundTrip(post("a", body))
 	again.roundTrip(post("a2", body))
 	io.WriteString(busy, postUnanswered("b", "900"))
-	waitUntil(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	waitUntil(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	done := make(chan error, 1)
 	go func() { done <- end() }()
 	for !s.draining.Load() {
@@ -101,7 +101,7 @@
 	s, _ := runServer(t, spareSockets+6) // two for nodes, four for clients
 	busy := dial(t, s)
 	io.WriteString(busy, postUnanswered("a", "900"))
-	waitUntil(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	waitUntil(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	for range 3 { // requests that never come whole hold no place for ever
 		io.WriteString(dial(t, s), post("x", body)[:50])
 	}
--- /dev/null
+++ b/internal/server/endpoint_snapshot.go
@@ -0,0 +1,62 @@
+package server
+
+import (
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/config/terms"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
+)
+
+const epochInterval = 500 * time.Millisecond
+
+// endpointSnapshot is a copy of a broker's endpoints for the control plane's goroutine.
+type endpointSnapshot struct {
+	release.NodeList
+	nameByID map[decision.NodeID]string
+	idByName map[string]decision.NodeID // by name and by address
+}
+
+// shardsOfCell are the shards whose replicas lie in a cell.
+func shardsOfCell(cell int, t *terms.Terms) (shards []uint32) {
+	for s := range t.Shards {
+		if (cell-s%t.Module.Cells+t.Module.Cells)%t.Module.Cells < t.Module.CellsPerShard {
+			shards = append(shards, uint32(s))
+		}
+	}
+	return shards
+}
+
+// publishEndpoints leaves the endpoints for the control plane's goroutine.
+func (l *loop) publishEndpoints() {
+	if l.controlPlane == nil {
+		return
+	}
+	s := &endpointSnapshot{nameByID: map[decision.NodeID]string{}, idByName: map[string]decision.NodeID{}}
+	s.Ready = map[decision.NodeID]bool{}
+	s.StableSince = l.since()
+	s.Confirmed = l.counters.ListsReceived > 0 && !l.pollFailed
+	for id, n := range l.nodes {
+		s.Nodes = append(s.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Endpoint.Cell, l.settings)})
+		s.nameByID[id] = n.Name
+		s.idByName[n.Name] = id
+		s.idByName[n.Address.String()] = id
+		s.Ready[id] = n.Endpoint.State == decision.Ready
+	}
+	slices.SortFunc(s.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.CompareNodes(a.Node, b.Node) })
+	l.controlPlane.publishEndpoints(s)
+}
+
+// epochProposals is the leader's job that proposes what the endpoints call for.
+func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.LeaderContext) []statemachine.Entry {
+	return func(m controlplane.LeaderContext) []statemachine.Entry {
+		if have := from.Load(); have != nil {
+			return have.NextEntries(m.State, m.Now)
+		}
+		return nil
+	}
+}
