--- a/cmd/flaxfront/nodesio.go
+++ b/cmd/flaxfront/nodesio.go
@@ -34,7 +34,7 @@
 	Generation uint64    `json:"generation"`
 }
 
-func moment(m cachedlist.Moment) (t time.Time) {
+func moment(m cachedlist.Timestamp) (t time.Time) {
 	if m > 0 {
 		t = m.Time().UTC()
 	}
@@ -44,8 +44,8 @@
 func writeJSON(w io.Writer, entries []cachedlist.Entry) error {
 	all := []listed{}
 	for _, e := range entries {
-		all = append(all, listed{e.Name, e.Addr.String(), e.Zone, e.Cell, e.State.String(), moment(e.Started),
-			moment(e.Confirmed), e.By.String(), moment(e.Told), e.Generation})
+		all = append(all, listed{e.Name, e.Address.String(), e.Zone, e.Cell, e.State.String(), moment(e.StartedAt),
+			moment(e.ConfirmedAt), e.ConfirmedBy.String(), moment(e.StateSince), e.Generation})
 	}
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", " ")
@@ -69,22 +69,22 @@
 	if err := d.Decode(&all); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	at := func(t time.Time) (m cachedlist.Moment) {
+	at := func(t time.Time) (m cachedlist.Timestamp) {
 		if !t.IsZero() {
-			m = cachedlist.At(t)
+			m = cachedlist.TimestampOf(t)
 		}
 		return m
 	}
 	for i, l := range all {
-		e := cachedlist.Entry{Name: l.Name, Zone: l.Zone, Cell: l.Cell, Started: at(l.Started), Confirmed: at(l.Confirmed),
-			By: cachedlist.Imported, Told: at(l.Told), Generation: l.Generation}
+		e := cachedlist.Entry{Name: l.Name, Zone: l.Zone, Cell: l.Cell, StartedAt: at(l.Started), ConfirmedAt: at(l.Confirmed),
+			ConfirmedBy: cachedlist.SourceOperator, StateSince: at(l.Told), Generation: l.Generation}
 		state := slices.IndexFunc([]cachedlist.State{cachedlist.Ready, cachedlist.Draining, cachedlist.Ended}, func(s cachedlist.State) bool {
 			return s.String() == l.State
 		})
 		if e.State = cachedlist.State(max(0, state)); state < 0 {
 			return nil, fmt.Errorf("%s: entry %d: state %.40q", path, i, l.State)
 		}
-		if err := e.Addr.UnmarshalText([]byte(l.Addr)); err != nil && e.State != cachedlist.Ended {
+		if err := e.Address.UnmarshalText([]byte(l.Addr)); err != nil && e.State != cachedlist.Ended {
 			return nil, fmt.Errorf("%s: entry %d: addr %.60q", path, i, l.Addr)
 		}
 		if e.Name == "" || e.Cell < 0 {
@@ -112,25 +112,25 @@
 		fmt.Fprintln(out, "no list that can be read")
 		return nil
 	}
-	now := cachedlist.At(time.Now())
+	now := cachedlist.TimestampOf(time.Now())
 	fmt.Fprintf(out, "generation %d of %s, deployment %s, confirmed %s ago\n", c.Head.Generation, c.Head.Service,
-		c.Head.Deployment, now.Since(c.Head.Confirmed).Round(time.Second))
+		c.Head.Deployment, now.Since(c.Head.ConfirmedAt).Round(time.Second))
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESS\tZONE\tCELL\tSTATE\tCONFIRMED\tBY\tDOUBT\tSTARTED")
 	t := p.own.Start.Trust
-	book := cachedlist.NewBook(c.Head, c.SortedByName())
-	judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: t.HalfLife, Oldest: t.Oldest, StrikeAt: t.StrikeAt, Parole: t.Parole},
+	book := cachedlist.NewEntryTable(c.Head, c.SortedByName())
+	judge := cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: t.HalfLife, MaxAge: t.Oldest, EjectionThreshold: t.StrikeAt, TrialInterval: t.Parole},
 		book, now)
 	for _, e := range entries {
 		confirmed, started := "never", "long ago"
-		if age, known := judge.Age(&e); known {
+		if age, known := judge.EntryAge(&e); known {
 			confirmed = age.Round(time.Second).String() + " ago"
 		}
-		if e.Started > 0 {
-			started = moment(e.Started).Format(time.RFC3339)
+		if e.StartedAt > 0 {
+			started = moment(e.StartedAt).Format(time.RFC3339)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%.3f\t%s\n", e.Name, e.Addr, e.Zone, e.Cell, e.State, confirmed, e.By,
-			judge.Prior(&e), started)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%.3f\t%s\n", e.Name, e.Address, e.Zone, e.Cell, e.State, confirmed, e.ConfirmedBy,
+			judge.PriorErrorProbability(&e), started)
 	}
 	return w.Flush()
 }
@@ -160,7 +160,7 @@
 		g.SetLimit(32)
 		for i := range ready {
 			g.Go(func() error {
-				conn, err := net.DialTimeout("tcp", ready[i].Addr.String(), reach)
+				conn, err := net.DialTimeout("tcp", ready[i].Address.String(), reach)
 				if err == nil {
 					conn.Close()
 				}
@@ -205,9 +205,9 @@
 		fmt.Fprintln(out, "left for the broker that runs; its log tells what it took")
 		return nil
 	}
-	book := cachedlist.NewBook(content.Head, content.SortedByName())
+	book := cachedlist.NewEntryTable(content.Head, content.SortedByName())
 	fmt.Fprintf(out, "imported %d, forgotten %d\n", book.Import(a.Import), book.Forget(a.Forget))
-	if changes, any := book.Changes(); any {
+	if changes, any := book.CollectChanges(); any {
 		store.Enqueue(changes)
 	}
 	return store.Flush()
--- a/internal/decision/cachedlist/ask.go
+++ b/internal/decision/cachedlist/ask.go
@@ -9,15 +9,15 @@
 // missed counts so long after it fell silent, or ToldAfterWait after its wait if that is later. After a move what the new service has
 // counts CountsAfterMove later, whatever it answers until then.
 const (
-	ToldAfter       = 6 * time.Second
-	ToldAfterWait   = 2 * time.Second
-	CountsAfterMove = 4 * time.Second
+	MaxNotificationDelay           = 6 * time.Second
+	MaxNotificationDelayAfterWatch = 2 * time.Second
+	MaxNotificationDelayAfterMove  = 4 * time.Second
 )
 
 // A watch that is overdue has to be noticed, and made good by a request that may itself wait its turn at a busy service, so that no
 // watch may take all of that time.
 const (
-	LongestWait  = ToldAfter / 2
+	MaxWatchTime = MaxNotificationDelay / 2
 	overdueAfter = 800 * time.Millisecond // a watch, after its wait
 )
 
@@ -34,49 +34,49 @@
 // A call is made again after a pause drawn from pauseMost, so that brokers do not come in step, and one that was refused no sooner
 // than pauseLeast after it began.
 const (
-	pauseLeast = 500 * time.Millisecond
-	pauseMost  = 400 * time.Millisecond
-	AgentPause = 200 * time.Millisecond // before an agent of this broker's own is asked again; less than any drain is given
+	pauseLeast         = 500 * time.Millisecond
+	pauseMost          = 400 * time.Millisecond
+	AgentRetryInterval = 200 * time.Millisecond // before an agent of this broker's own is asked again; less than any drain is given
 )
 
-// Lot draws a time below a bound: brokers that do the same must not do it in step.
-type Lot func(below time.Duration) time.Duration
+// Jitter draws a time below a bound: brokers that do the same must not do it in step.
+type Jitter func(below time.Duration) time.Duration
 
-// Patience is how long a request is waited for.
-type Patience struct {
-	Wait  time.Duration // for news, that discovery is allowed
-	Hedge time.Duration // until a hedge goes out beside it
-	Limit time.Duration // until it is given up
+// Timeouts is how long a request is waited for.
+type Timeouts struct {
+	WatchTime  time.Duration // for news, that discovery is allowed
+	HedgeDelay time.Duration // until a hedge goes out beside it
+	Timeout    time.Duration // until it is given up
 }
 
-// Watch is the patience with a watch that may wait so long. Danger: watches that began together fall silent together, and the requests
+// WatchTimeouts is the patience with a watch that may wait so long. Danger: watches that began together fall silent together, and the requests
 // that come of it jam discovery.
-func (lot Lot) Watch(most time.Duration) Patience {
-	most = min(most, LongestWait)
+func (lot Jitter) WatchTimeouts(most time.Duration) Timeouts {
+	most = min(most, MaxWatchTime)
 	wait := most - lot(most/2+1)
-	return Patience{wait, wait + overdueAfter, wait + heldFor}
+	return Timeouts{wait, wait + overdueAfter, wait + heldFor}
 }
 
-// Look is the patience with a request that does not wait for news.
-func (lot Lot) Look() Patience { return Patience{0, hedgeAfter + lot(hedgeLot), heldFor} }
+// PollTimeouts is the patience with a request that does not wait for news.
+func (lot Jitter) PollTimeouts() Timeouts { return Timeouts{0, hedgeAfter + lot(hedgeLot), heldFor} }
 
-// Failure is how a call failed.
-type Failure struct {
-	Broke bool          // its connection ended under it, and it was the first to fail
-	Agent bool          // an agent of this broker's own was asked
-	Moved time.Duration // since the move to the service
-	Took  time.Duration
+// PollFailure is how a call failed.
+type PollFailure struct {
+	ConnectionLost bool          // its connection ended under it, and it was the first to fail
+	LocalAgent     bool          // an agent of this broker's own was asked
+	SinceMove      time.Duration // since the move to the service
+	Duration       time.Duration
 }
 
-// Again tells whether a failed call is made again with nobody asking, and after what pause.
-func (lot Lot) Again(f Failure) (pause time.Duration, again bool) {
+// RetryDelay tells whether a failed call is made again with nobody asking, and after what pause.
+func (lot Jitter) RetryDelay(f PollFailure) (pause time.Duration, again bool) {
 	switch {
-	case f.Broke:
+	case f.ConnectionLost:
 		return lot(pauseMost), true
-	case f.Agent:
-		return AgentPause/2 + lot(AgentPause/2), true
-	case f.Moved < CountsAfterMove:
-		return lot(pauseMost) + max(0, pauseLeast-f.Took), true
+	case f.LocalAgent:
+		return AgentRetryInterval/2 + lot(AgentRetryInterval/2), true
+	case f.SinceMove < MaxNotificationDelayAfterMove:
+		return lot(pauseMost) + max(0, pauseLeast-f.Duration), true
 	}
 	return 0, false
 }
--- a/internal/decision/cachedlist/ask_test.go
+++ b/internal/decision/cachedlist/ask_test.go
@@ -9,29 +9,29 @@
 // given up, and a failed call is made again only where it may be, after a pause within its bounds.
 func TestAskingIsInTime(t *testing.T) {
 	for _, share := range []float64{0, 0.5, 0.999} {
-		lot := Lot(func(below time.Duration) time.Duration { return time.Duration(share * float64(below)) })
+		lot := Jitter(func(below time.Duration) time.Duration { return time.Duration(share * float64(below)) })
 		for _, most := range []time.Duration{time.Second, 4 * time.Second, time.Minute} {
-			w := lot.Watch(most)
-			if w.Wait <= 0 || w.Wait > min(most, LongestWait) || w.Hedge >= w.Limit || w.Hedge > ToldAfter-ToldAfterWait {
+			w := lot.WatchTimeouts(most)
+			if w.WatchTime <= 0 || w.WatchTime > min(most, MaxWatchTime) || w.HedgeDelay >= w.Timeout || w.HedgeDelay > MaxNotificationDelay-MaxNotificationDelayAfterWatch {
 				t.Errorf("a watch of %v: %+v", most, w)
 			}
 		}
-		if l := lot.Look(); l.Wait != 0 || l.Hedge >= l.Limit || 2*l.Hedge > CountsAfterMove {
+		if l := lot.PollTimeouts(); l.WatchTime != 0 || l.HedgeDelay >= l.Timeout || 2*l.HedgeDelay > MaxNotificationDelayAfterMove {
 			t.Errorf("a look: %+v", l)
 		}
 		for _, c := range []struct {
-			f     Failure
+			f     PollFailure
 			least time.Duration
 			most  time.Duration
 			again bool
 		}{
-			{Failure{Broke: true, Moved: time.Hour}, 0, pauseMost, true},
-			{Failure{Agent: true, Moved: time.Hour}, AgentPause / 2, AgentPause, true},
-			{Failure{Moved: time.Second}, pauseLeast, pauseLeast + pauseMost, true},
-			{Failure{Moved: time.Second, Took: 2 * time.Second}, 0, pauseMost, true},
-			{Failure{Moved: CountsAfterMove}, 0, 0, false},
+			{PollFailure{ConnectionLost: true, SinceMove: time.Hour}, 0, pauseMost, true},
+			{PollFailure{LocalAgent: true, SinceMove: time.Hour}, AgentRetryInterval / 2, AgentRetryInterval, true},
+			{PollFailure{SinceMove: time.Second}, pauseLeast, pauseLeast + pauseMost, true},
+			{PollFailure{SinceMove: time.Second, Duration: 2 * time.Second}, 0, pauseMost, true},
+			{PollFailure{SinceMove: MaxNotificationDelayAfterMove}, 0, 0, false},
 		} {
-			pause, again := lot.Again(c.f)
+			pause, again := lot.RetryDelay(c.f)
 			if again != c.again || pause < c.least || pause > c.most {
 				t.Errorf("%+v: %v after %v", c.f, again, pause)
 			}
--- a/internal/decision/cachedlist/book.go
+++ b/internal/decision/cachedlist/book.go
@@ -15,17 +15,17 @@
 	"time"
 )
 
-// Book holds the entries.
-type Book struct {
+// EntryTable holds the entries.
+type EntryTable struct {
 	Head    Head
 	entries map[string]*Entry
 	changed map[string]bool // since Changes was last called
 	headed  bool
 }
 
-// NewBook makes a book of entries as they were kept.
-func NewBook(head Head, entries []Entry) *Book {
-	b := &Book{Head: head, entries: make(map[string]*Entry, len(entries)), changed: map[string]bool{}}
+// NewEntryTable makes a book of entries as they were kept.
+func NewEntryTable(head Head, entries []Entry) *EntryTable {
+	b := &EntryTable{Head: head, entries: make(map[string]*Entry, len(entries)), changed: map[string]bool{}}
 	for i := range entries {
 		b.entries[entries[i].Name] = &entries[i]
 	}
@@ -33,18 +33,18 @@
 }
 
 // Len is how many entries there are, ended ones included.
-func (b *Book) Len() int { return len(b.entries) }
+func (b *EntryTable) Len() int { return len(b.entries) }
 
 // Get finds an entry.
-func (b *Book) Get(name string) (Entry, bool) {
+func (b *EntryTable) Get(name string) (Entry, bool) {
 	if e := b.entries[name]; e != nil {
 		return *e, true
 	}
 	return Entry{}, false
 }
 
-// All lists the entries by name.
-func (b *Book) All() []Entry {
+// SortedByName lists the entries by name.
+func (b *EntryTable) SortedByName() []Entry {
 	sorted := b.sorted()
 	all := make([]Entry, len(sorted))
 	for i, e := range sorted {
@@ -53,7 +53,7 @@
 	return all
 }
 
-func (b *Book) sorted() []*Entry {
+func (b *EntryTable) sorted() []*Entry {
 	return slices.SortedFunc(maps.Values(b.entries), func(x, y *Entry) int { return strings.Compare(x.Name, y.Name) })
 }
 
@@ -61,16 +61,16 @@
 type List struct {
 	Service    string
 	Generation uint64
-	Whole      bool
+	Full       bool
 	Entries    []Entry // Name, Addr, Zone, Cell, State and Started count
 }
 
 // put takes a word on one node; it tells whether the word is news.
-func (b *Book) put(e Entry) bool {
+func (b *EntryTable) put(e Entry) bool {
 	old := b.entries[e.Name]
 	news := old == nil || !old.same(&e)
 	if !news {
-		e.Told = old.Told
+		e.StateSince = old.StateSince
 	}
 	if old == nil || *old != e {
 		b.entries[e.Name] = &e
@@ -79,19 +79,19 @@
 	return news
 }
 
-// Listed takes discovery's word. It binds: whatever was known before of the nodes named gives way, and a whole list ends
+// ApplyList takes discovery's word. It binds: whatever was known before of the nodes named gives way, and a whole list ends
 // the nodes that it does not name. What a watch leaves out is confirmed by that. It returns how many nodes in service a
 // whole list ended, and how many there were, so that a list that lacks most nodes can be warned of.
-func (b *Book) Listed(l List, now Moment) (ended, of int) {
+func (b *EntryTable) ApplyList(l List, now Timestamp) (ended, of int) {
 	named := map[string]bool{}
 	for _, e := range l.Entries {
 		named[e.Name] = true
-		e.Confirmed, e.By, e.Told, e.Generation = now, Discovery, now, l.Generation
+		e.ConfirmedAt, e.ConfirmedBy, e.StateSince, e.Generation = now, SourceDiscovery, now, l.Generation
 		if e.State == Ended {
 			if old := b.entries[e.Name]; old == nil {
 				continue // of a node that was never known nothing needs to be remembered
-			} else if !e.Addr.IsValid() {
-				e.Addr = old.Addr
+			} else if !e.Address.IsValid() {
+				e.Address = old.Address
 			}
 		}
 		b.put(e)
@@ -100,28 +100,28 @@
 		if e.State == Ended {
 			continue
 		}
-		if of++; !named[name] && l.Whole {
+		if of++; !named[name] && l.Full {
 			ended++
 			end := *e
-			end.State, end.Confirmed, end.By, end.Told, end.Generation = Ended, now, Discovery, now, l.Generation
+			end.State, end.ConfirmedAt, end.ConfirmedBy, end.StateSince, end.Generation = Ended, now, SourceDiscovery, now, l.Generation
 			b.put(end)
 		} else if !named[name] {
-			e.Confirmed, e.By = now, Discovery // on disk the head says so for all of them
+			e.ConfirmedAt, e.ConfirmedBy = now, SourceDiscovery // on disk the head says so for all of them
 		}
 	}
 	b.headed = b.headed || b.Head.Generation != l.Generation || b.Head.Service != l.Service ||
-		now.Since(b.Head.Confirmed) >= headEvery
-	b.Head.Service, b.Head.Generation, b.Head.Confirmed = l.Service, l.Generation, now
+		now.Since(b.Head.ConfirmedAt) >= headEvery
+	b.Head.Service, b.Head.Generation, b.Head.ConfirmedAt = l.Service, l.Generation, now
 	return ended, of
 }
 
 // headEvery is how stale the time of the last confirmation on disk may be, as it alone is worth no faster writing.
 const headEvery = 10 * time.Second
 
-// Merge takes the list of the broker's configuration, which tells no times: entry by entry the later word counts. Where
+// MergeConfigured takes the list of the broker's configuration, which tells no times: entry by entry the later word counts. Where
 // both lists count their generations from the same service, that is the higher generation. Else it is the later start of
 // the node; with the same start a drain or an end stays, as no node comes back from one but by a new start.
-func (b *Book) Merge(given List, now Moment) {
+func (b *EntryTable) MergeConfigured(given List, now Timestamp) {
 	comparable := given.Service != "" && given.Service == b.Head.Service
 	named := map[string]bool{}
 	for _, e := range given.Entries {
@@ -137,39 +137,39 @@
 			if given.Generation <= max(old.Generation, b.Head.Generation) {
 				continue
 			}
-		case e.Started < old.Started || e.Started == old.Started && e.State <= old.State:
+		case e.StartedAt < old.StartedAt || e.StartedAt == old.StartedAt && e.State <= old.State:
 			continue
 		}
-		e.By, e.Told, e.Generation, e.Confirmed = Given, now, given.Generation, 0
-		if old != nil && e.Addr == old.Addr && e.Cell == old.Cell {
-			e.Confirmed = old.Confirmed
+		e.ConfirmedBy, e.StateSince, e.Generation, e.ConfirmedAt = SourceConfiguration, now, given.Generation, 0
+		if old != nil && e.Address == old.Address && e.Cell == old.Cell {
+			e.ConfirmedAt = old.ConfirmedAt
 		}
 		b.put(e)
 	}
-	if given.Whole && comparable && given.Generation > b.Head.Generation {
+	if given.Full && comparable && given.Generation > b.Head.Generation {
 		for name, e := range b.entries {
 			if !named[name] && e.State != Ended {
 				end := *e
-				end.State, end.By, end.Told, end.Generation = Ended, Given, now, given.Generation
+				end.State, end.ConfirmedBy, end.StateSince, end.Generation = Ended, SourceConfiguration, now, given.Generation
 				b.put(end)
 			}
 		}
 	}
 }
 
-// Answered notes that a node answered a part, which confirms its entry as well as discovery could.
-func (b *Book) Answered(name string, now Moment) {
-	if e := b.entries[name]; e != nil && now.Since(e.Confirmed) >= headEvery {
-		e.Confirmed, e.By = now, Itself
+// RecordAnswer notes that a node answered a part, which confirms its entry as well as discovery could.
+func (b *EntryTable) RecordAnswer(name string, now Timestamp) {
+	if e := b.entries[name]; e != nil && now.Since(e.ConfirmedAt) >= headEvery {
+		e.ConfirmedAt, e.ConfirmedBy = now, SourceEndpoint
 		b.changed[name] = true
 	}
 }
 
 // Import takes entries from an operator, as far as they are later than what is known; it returns how many it took.
-func (b *Book) Import(entries []Entry) (n int) {
+func (b *EntryTable) Import(entries []Entry) (n int) {
 	for _, e := range entries {
-		if old := b.entries[e.Name]; old == nil || e.Told > old.Told && !old.same(&e) {
-			e.By = Imported
+		if old := b.entries[e.Name]; old == nil || e.StateSince > old.StateSince && !old.same(&e) {
+			e.ConfirmedBy = SourceOperator
 			b.put(e)
 			n++
 		}
@@ -178,7 +178,7 @@
 }
 
 // Forget drops entries by name and returns how many there were.
-func (b *Book) Forget(names []string) (n int) {
+func (b *EntryTable) Forget(names []string) (n int) {
 	for _, name := range names {
 		if b.entries[name] != nil {
 			delete(b.entries, name)
@@ -189,10 +189,10 @@
 	return n
 }
 
-// Bound drops what is past its time or beyond the most entries: ended nodes first, those told longest ago first.
-func (b *Book) Bound(most int, keepEnded time.Duration, now Moment) (dropped int) {
+// Evict drops what is past its time or beyond the most entries: ended nodes first, those told longest ago first.
+func (b *EntryTable) Evict(most int, keepEnded time.Duration, now Timestamp) (dropped int) {
 	for name, e := range b.entries {
-		if e.State == Ended && now.Since(e.Told) > keepEnded {
+		if e.State == Ended && now.Since(e.StateSince) > keepEnded {
 			delete(b.entries, name)
 			b.changed[name] = true
 			dropped++
@@ -202,12 +202,12 @@
 	if over <= 0 {
 		return dropped
 	}
-	all := b.All()
+	all := b.SortedByName()
 	slices.SortStableFunc(all, func(x, y Entry) int {
 		if c := cmp.Compare(y.State, x.State); c != 0 {
 			return c
 		}
-		return cmp.Compare(x.Confirmed, y.Confirmed)
+		return cmp.Compare(x.ConfirmedAt, y.ConfirmedAt)
 	})
 	for i := range over {
 		delete(b.entries, all[i].Name)
@@ -223,8 +223,8 @@
 	Removed []string
 }
 
-// Changes gives what changed since the last call; false: nothing that is worth a write.
-func (b *Book) Changes() (c Changes, any bool) {
+// CollectChanges gives what changed since the last call; false: nothing that is worth a write.
+func (b *EntryTable) CollectChanges() (c Changes, any bool) {
 	if len(b.changed) == 0 && !b.headed {
 		return c, false
 	}
--- a/internal/decision/cachedlist/evidence.go
+++ b/internal/decision/cachedlist/evidence.go
@@ -11,17 +11,17 @@
 // hazard is how many entries turn wrong in a unit of time. Lifetimes are taken for exponential; the stated half-life is
 // the prior, worth priorWeight entries, and the entries tested since the start, right or wrong, move it (the conjugate
 // gamma of a censored exponential). So a list that proves worse than its age makes all its other entries doubtful.
-func (j *Judge) hazard() float64 {
+func (j *Evaluator) hazard() float64 {
 	return (priorWeight + j.proved) / (priorWeight*float64(j.policy.HalfLife)/math.Ln2 + j.exposure)
 }
 
 // prior is how likely an entry of an age is wrong before its node has shown anything.
-func (j *Judge) prior(age time.Duration, hazard float64) float64 {
+func (j *Evaluator) prior(age time.Duration, hazard float64) float64 {
 	return min(mostPrior, max(leastPrior, 1-math.Exp(-hazard*float64(age))))
 }
 
 // doubt is how likely an entry is wrong.
-func (j *Judge) doubt(n *node, now time.Duration, hazard float64) float64 {
+func (j *Evaluator) doubt(n *node, now time.Duration, hazard float64) float64 {
 	e, known := j.book.Get(n.name)
 	if !known {
 		return mostPrior
@@ -31,8 +31,8 @@
 	return odds / (1 + odds)
 }
 
-// Doubt is how likely a node's entry is wrong, for those who look from outside.
-func (j *Judge) Doubt(id decision.NodeID, now time.Duration) (float64, Standing) {
+// ErrorProbability is how likely a node's entry is wrong, for those who look from outside.
+func (j *Evaluator) ErrorProbability(id decision.NodeID, now time.Duration) (float64, Status) {
 	n := j.nodes[id]
 	if n == nil {
 		return 0, Confirmed
@@ -65,15 +65,15 @@
 	}
 }
 
-// Showed takes what a node has shown: the end of a part that was sent to it. A node that answers earns its place at once.
+// RecordOutcome takes what a node has shown: the end of a part that was sent to it. A node that answers earns its place at once.
 // While discovery is heard, what nodes show is the decision module's own matter.
-func (j *Judge) Showed(id decision.NodeID, how decision.Outcome, took, now time.Duration) {
+func (j *Evaluator) RecordOutcome(id decision.NodeID, how decision.Outcome, took, now time.Duration) {
 	w := weight(how, took)
 	if j.told || w == 1 {
 		return
 	}
 	n := j.nodes[id]
-	if n == nil || n.standing == Barred {
+	if n == nil || n.standing == Excluded {
 		return
 	}
 	if !n.tested {
@@ -93,7 +93,7 @@
 	}
 	j.suspects[n] = true
 	if n.trial {
-		n.trial, n.parole = false, min(2*n.parole, paroleMost*j.policy.Parole)
+		n.trial, n.parole = false, min(2*n.parole, paroleMost*j.policy.TrialInterval)
 		n.until = now + n.parole
 		j.due = min(j.due, n.until)
 		j.fact(n)
@@ -101,15 +101,15 @@
 }
 
 // answered takes it that a node has answered.
-func (j *Judge) answered(n *node, now time.Duration) {
+func (j *Evaluator) answered(n *node, now time.Duration) {
 	n.odds, n.failed, n.shown = 1, false, now
-	j.book.Answered(n.name, j.moment(now))
+	j.book.RecordAnswer(n.name, j.moment(now))
 	delete(j.suspects, n)
 	if n.wrong {
 		n.wrong = false
 		j.proved--
 	}
-	if n.standing == Struck {
+	if n.standing == Ejected {
 		j.counts.Recovered++
 		j.cells[n.cell]++
 		n.trial, n.eased = false, true // it may have just come back
@@ -123,7 +123,7 @@
 // alikeNow tells whether nearly all nodes that were tried lately failed. Danger: the broker's own network is down and
 // every entry would be struck out for it. A node that answers in the same time ends it. It may hurt where a list is
 // wrong almost throughout: then its entries go on costing a part now and then, as the decision module shuts them.
-func (j *Judge) alikeNow(now time.Duration) bool {
+func (j *Evaluator) alikeNow(now time.Duration) bool {
 	failed := 0
 	for n := range j.tried {
 		if now-n.shown > alikeWithin {
--- a/internal/decision/cachedlist/judge.go
+++ b/internal/decision/cachedlist/judge.go
@@ -13,10 +13,10 @@
 
 // Policy holds what operators may set.
 type Policy struct {
-	HalfLife time.Duration // the age at which half of all entries are wrong, before any evidence
-	Oldest   time.Duration // entries confirmed longer ago are not used
-	StrikeAt float64       // an entry this likely wrong gets nothing
-	Parole   time.Duration // after so long a struck-out entry gets one trial
+	HalfLife          time.Duration // the age at which half of all entries are wrong, before any evidence
+	MaxAge            time.Duration // entries confirmed longer ago are not used
+	EjectionThreshold float64       // an entry this likely wrong gets nothing
+	TrialInterval     time.Duration // after so long a struck-out entry gets one trial
 }
 
 const (
@@ -44,26 +44,26 @@
 	futureSlip = time.Minute // a confirmation so far ahead of the clock tells that the clock went back
 )
 
-// Standing is where an entry stands.
-type Standing uint8
+// Status is where an entry stands.
+type Status uint8
 
 const (
-	Confirmed Standing = iota // by discovery since it last failed, or by the node itself since the start
-	Doubtful
-	Struck
-	Barred // a drain or an end was told of it, or it is too old
+	Confirmed Status = iota // by discovery since it last failed, or by the node itself since the start
+	Unconfirmed
+	Ejected
+	Excluded // a drain or an end was told of it, or it is too old
 )
 
-func (s Standing) String() string {
-	return [...]string{"confirmed", "doubtful", "struck out", "barred"}[min(s, Barred)]
+func (s Status) String() string {
+	return [...]string{"confirmed", "doubtful", "struck out", "barred"}[min(s, Excluded)]
 }
 
-// Fact is what the decision module is to be told of a node.
-type Fact struct {
-	ID    decision.NodeID
-	Entry Entry
-	Use   bool // else nothing is sent to it
-	Eased bool // it is not known when it started
+// EndpointUpdate is what the decision module is to be told of a node.
+type EndpointUpdate struct {
+	ID        decision.NodeID
+	Entry     Entry
+	Usable    bool // else nothing is sent to it
+	SlowStart bool // it is not known when it started
 }
 
 // node is what the judge keeps of one entry that is not ended.
@@ -71,7 +71,7 @@
 	id       decision.NodeID
 	name     string
 	cell     int
-	standing Standing
+	standing Status
 	eased    bool          // it is not known when it started
 	odds     float64       // the product of what it showed since it last answered
 	shown    time.Duration // when it last showed something that counted
@@ -84,19 +84,19 @@
 	age      time.Duration // of its entry when the judge first saw it
 }
 
-// Judge weighs the entries of a book. Times are spans since the broker's start. What it does in a turn hangs on the nodes
+// Evaluator weighs the entries of a book. Times are spans since the broker's start. What it does in a turn hangs on the nodes
 // that lately showed something, not on how many there are.
-type Judge struct {
+type Evaluator struct {
 	policy   Policy
-	book     *Book
-	start    Moment
+	book     *EntryTable
+	start    Timestamp
 	nodes    map[decision.NodeID]*node
 	cells    map[int]int    // entries in use, by cell
 	tried    map[*node]bool // showed something lately
 	suspects map[*node]bool // failed, or struck out
 	exposure float64        // ages of the entries tested since the start
 	proved   float64        // how many of them were struck out
-	facts    []Fact
+	facts    []EndpointUpdate
 	alike    bool
 	told     bool // discovery has spoken last; nothing is doubtful
 	fresh    bool // something was shown since the last tick
@@ -116,59 +116,61 @@
 // never is a time that does not come.
 const never = time.Duration(math.MaxInt64)
 
-// NewJudge makes a judge of the entries at a broker's start.
-func NewJudge(p Policy, b *Book, start Moment) *Judge {
-	return &Judge{policy: p, book: b, start: start, nodes: map[decision.NodeID]*node{}, cells: map[int]int{},
+// NewEvaluator makes a judge of the entries at a broker's start.
+func NewEvaluator(p Policy, b *EntryTable, start Timestamp) *Evaluator {
+	return &Evaluator{policy: p, book: b, start: start, nodes: map[decision.NodeID]*node{}, cells: map[int]int{},
 		tried: map[*node]bool{}, suspects: map[*node]bool{}, due: never}
 }
 
 // moment is a span since the start as a moment.
-func (j *Judge) moment(now time.Duration) Moment { return j.start + Moment(now.Milliseconds()) }
+func (j *Evaluator) moment(now time.Duration) Timestamp {
+	return j.start + Timestamp(now.Milliseconds())
+}
 
 // age is how long ago an entry was last confirmed. One from the future tells nothing: the clock went back, and the entry
 // counts as being as old as any that is used.
-func (j *Judge) age(e *Entry, now time.Duration) time.Duration {
+func (j *Evaluator) age(e *Entry, now time.Duration) time.Duration {
 	at := j.moment(now)
-	last := e.Confirmed
-	if e.State == Ready && e.By == Discovery {
-		last = max(last, j.book.Head.Confirmed)
+	last := e.ConfirmedAt
+	if e.State == Ready && e.ConfirmedBy == SourceDiscovery {
+		last = max(last, j.book.Head.ConfirmedAt)
 	}
 	if last == 0 || last.Since(at) > futureSlip {
-		return j.policy.Oldest
+		return j.policy.MaxAge
 	}
 	return max(0, at.Since(last))
 }
 
-// Begin tells the facts of all entries at the start: those in service that are not too old are used and eased in, as
+// Start tells the facts of all entries at the start: those in service that are not too old are used and eased in, as
 // nobody knows when they started; a drain or an end that was told before the start binds after it.
-func (j *Judge) Begin(id func(name string) decision.NodeID) []Fact {
+func (j *Evaluator) Start(id func(name string) decision.NodeID) []EndpointUpdate {
 	for _, e := range j.book.sorted() {
 		if e.State == Ended {
 			continue
 		}
-		n := &node{id: id(e.Name), name: e.Name, cell: e.Cell, standing: Doubtful, eased: true, odds: 1, age: j.age(e, 0)}
-		if e.State == Draining || n.age > j.policy.Oldest {
-			n.standing, n.eased = Barred, false
+		n := &node{id: id(e.Name), name: e.Name, cell: e.Cell, standing: Unconfirmed, eased: true, odds: 1, age: j.age(e, 0)}
+		if e.State == Draining || n.age > j.policy.MaxAge {
+			n.standing, n.eased = Excluded, false
 		}
 		if j.nodes[n.id] != nil {
 			continue // two names with one id: the first counts, as it does in the loop
 		}
 		j.nodes[n.id] = n
 		j.fact(n)
-		if n.standing != Barred {
+		if n.standing != Excluded {
 			j.cells[n.cell]++
 		}
 	}
 	return j.take() // by name
 }
 
-func (j *Judge) fact(n *node) {
+func (j *Evaluator) fact(n *node) {
 	e, _ := j.book.Get(n.name)
-	use := n.standing <= Doubtful || n.trial
-	j.facts = append(j.facts, Fact{n.id, e, use && e.State == Ready, n.eased || n.trial})
+	use := n.standing <= Unconfirmed || n.trial
+	j.facts = append(j.facts, EndpointUpdate{n.id, e, use && e.State == Ready, n.eased || n.trial})
 }
 
-func (j *Judge) take() []Fact {
+func (j *Evaluator) take() []EndpointUpdate {
 	facts := j.facts
 	j.facts = nil
 	return facts
--- a/internal/decision/cachedlist/sentence.go
+++ b/internal/decision/cachedlist/sentence.go
@@ -8,11 +8,11 @@
 
 // This file owns the course of time: who is struck out, paroled and reported.
 
-// Failed takes it that discovery can't be asked: from here on entries age, and what nodes show counts.
-func (j *Judge) Failed() { j.told = false }
+// DiscoveryFailed takes it that discovery can't be asked: from here on entries age, and what nodes show counts.
+func (j *Evaluator) DiscoveryFailed() { j.told = false }
 
 // Tick weighs what came since the last time and returns what the decision module is to be told, and when to come again.
-func (j *Judge) Tick(now time.Duration) (facts []Fact, next time.Duration) {
+func (j *Evaluator) Tick(now time.Duration) (facts []EndpointUpdate, next time.Duration) {
 	if j.told || !j.fresh && !j.alike && now < j.due {
 		return j.take(), j.due
 	}
@@ -34,16 +34,16 @@
 	hazard := j.hazard()
 	for _, n := range j.order() {
 		switch {
-		case n.standing == Struck:
+		case n.standing == Ejected:
 			if !n.trial && n.until <= now {
 				n.trial, n.odds = true, 1
 				j.counts.Paroles++
 				j.fact(n)
 			}
-		case j.alike || j.cells[n.cell] <= 1 || j.doubt(n, now, hazard) < j.policy.StrikeAt:
+		case j.alike || j.cells[n.cell] <= 1 || j.doubt(n, now, hazard) < j.policy.EjectionThreshold:
 			// The last entry of a cell stays: never a state with no node to try.
 		default:
-			n.standing, n.wrong, n.parole = Struck, true, j.policy.Parole
+			n.standing, n.wrong, n.parole = Ejected, true, j.policy.TrialInterval
 			n.until = now + n.parole
 			j.cells[n.cell]--
 			j.proved++
@@ -51,7 +51,7 @@
 			j.fact(n)
 			j.line(n.name + " struck out: it is listed, but shows nothing of a node in service")
 		}
-		if n.standing == Struck && !n.trial {
+		if n.standing == Ejected && !n.trial {
 			j.due = min(j.due, n.until)
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 // order gives the suspects, the likeliest wrong first, so that of a cell's last two the better one stays.
-func (j *Judge) order() (of []*node) {
+func (j *Evaluator) order() (of []*node) {
 	for n := range j.suspects {
 		of = append(of, n)
 	}
@@ -69,42 +69,42 @@
 	return of
 }
 
-func (j *Judge) line(text string) { j.lines = append(j.lines, text) }
+func (j *Evaluator) line(text string) { j.lines = append(j.lines, text) }
 
-// Lines gives what is worth a log line since the last call.
-func (j *Judge) Lines() []string {
+// CollectLogLines gives what is worth a log line since the last call.
+func (j *Evaluator) CollectLogLines() []string {
 	lines := j.lines
 	j.lines = nil
 	return lines
 }
 
-// Picture counts entries by their standing.
-func (j *Judge) Picture(now time.Duration) Counts {
+// Snapshot counts entries by their standing.
+func (j *Evaluator) Snapshot(now time.Duration) Counts {
 	c := j.counts
 	c.OwnNetwork, c.ListAge = j.alike, -1
-	if j.book.Head.Confirmed > 0 {
-		c.ListAge = max(0, j.moment(now).Since(j.book.Head.Confirmed))
+	if j.book.Head.ConfirmedAt > 0 {
+		c.ListAge = max(0, j.moment(now).Since(j.book.Head.ConfirmedAt))
 	}
 	for _, n := range j.nodes {
 		switch n.standing {
 		case Confirmed:
 			c.Confirmed++
-		case Doubtful:
+		case Unconfirmed:
 			c.Doubtful++
-		case Struck:
+		case Ejected:
 			c.StruckOut++
-		case Barred:
+		case Excluded:
 			c.Barred++
 		}
 	}
 	return c
 }
 
-// Age is how long ago an entry was last confirmed, as of the start; false: nobody knows.
-func (j *Judge) Age(e *Entry) (time.Duration, bool) {
+// EntryAge is how long ago an entry was last confirmed, as of the start; false: nobody knows.
+func (j *Evaluator) EntryAge(e *Entry) (time.Duration, bool) {
 	age := j.age(e, 0)
-	return age, age < j.policy.Oldest || e.Confirmed > 0 && e.Confirmed <= j.start
+	return age, age < j.policy.MaxAge || e.ConfirmedAt > 0 && e.ConfirmedAt <= j.start
 }
 
-// Prior is how likely an entry is wrong by its age alone.
-func (j *Judge) Prior(e *Entry) float64 { return j.prior(j.age(e, 0), j.hazard()) }
+// PriorErrorProbability is how likely an entry is wrong by its age alone.
+func (j *Evaluator) PriorErrorProbability(e *Entry) float64 { return j.prior(j.age(e, 0), j.hazard()) }
--- a/internal/decision/cachedlist/word_test.go
+++ b/internal/decision/cachedlist/word_test.go
@@ -11,26 +11,26 @@
 // Another broker's word on one node takes that one out of use and confirms no other: all else of an old list stays doubtful and
 // eased in, and nothing that was to be told of the node before brings it back.
 func TestWordConfirmsNoOther(t *testing.T) {
-	start := Moment(1_700_000_000_000)
+	start := Timestamp(1_700_000_000_000)
 	var entries []Entry
 	for _, name := range []string{"a", "b", "c"} {
-		entries = append(entries, Entry{Name: name, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Confirmed: start - Moment((7 * 24 * time.Hour).Milliseconds())})
+		entries = append(entries, Entry{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:1"), ConfirmedAt: start - Timestamp((7 * 24 * time.Hour).Milliseconds())})
 	}
 	id := func(name string) decision.NodeID { return decision.NodeID{Port: uint16(name[0])} }
-	j := NewJudge(Policy{HalfLife: 7 * 24 * time.Hour, Oldest: 30 * 24 * time.Hour, StrikeAt: 0.95, Parole: time.Second}, NewBook(Head{}, entries), start)
-	j.Begin(id)
-	j.Failed()
+	j := NewEvaluator(Policy{HalfLife: 7 * 24 * time.Hour, MaxAge: 30 * 24 * time.Hour, EjectionThreshold: 0.95, TrialInterval: time.Second}, NewEntryTable(Head{}, entries), start)
+	j.Start(id)
+	j.DiscoveryFailed()
 	for i := range 40 {
-		j.Showed(id("a"), decision.ConnectFailed, time.Millisecond, time.Duration(i)*100*time.Millisecond)
+		j.RecordOutcome(id("a"), decision.ConnectFailed, time.Millisecond, time.Duration(i)*100*time.Millisecond)
 	}
-	before, _ := j.Doubt(id("b"), 4*time.Second)
-	j.Word("a", id("a"), Draining, 0, 4*time.Second)
-	j.Word("nobody", id("n"), Ended, 0, 4*time.Second)
-	after, standing := j.Doubt(id("b"), 4*time.Second)
+	before, _ := j.ErrorProbability(id("b"), 4*time.Second)
+	j.ApplyGossip("a", id("a"), Draining, 0, 4*time.Second)
+	j.ApplyGossip("nobody", id("n"), Ended, 0, 4*time.Second)
+	after, standing := j.ErrorProbability(id("b"), 4*time.Second)
 	for now := 4 * time.Second; now < 20*time.Second; now += 100 * time.Millisecond {
 		facts, _ := j.Tick(now)
 		for _, f := range facts {
-			if f.ID == id("a") && f.Use {
+			if f.ID == id("a") && f.Usable {
 				t.Fatalf("a node that drains is to be used at %v", now)
 			}
 		}
--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -75,17 +75,17 @@
 					mu.Lock()
 					defer mu.Unlock()
 					if err != nil { // the module asks again
-						time.AfterFunc(backoff, c.Ask)
+						time.AfterFunc(backoff, c.Poll)
 						backoff = min(2*backoff, time.Second)
 					} else if _, before := had[i]; !before {
 						had[i] = time.Since(begun)
 					}
 				})
 				c.dial = s.dial
-				c.Move("new", nil)
+				c.ChangeAddress("new", nil)
 				go c.Run(ctx)
 			}
-			time.Sleep(cachedlist.CountsAfterMove)
+			time.Sleep(cachedlist.MaxNotificationDelayAfterMove)
 			synctest.Wait()
 			mu.Lock()
 			if len(had) < brokers {
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
-	c.Ask()
+	c.Poll()
 	for _, want := range []string{"", "index=41&wait=3000", "index=41&wait=0"} {
 		if got := next(t, asked); got != want {
 			t.Errorf("asked %q, want %q", got, want)
@@ -157,7 +157,7 @@
 			t.Errorf("told %s, want %s", got, want)
 		}
 	}
-	c.Ask()
+	c.Poll()
 	if got := next(t, told); got != "43" {
 		t.Errorf("told %s, want 43", got)
 	}
@@ -170,12 +170,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		var told []string
 		c := NewClient("d", reader(), 3*time.Second, 40, true, func(l *List, err error) {
-			told = append(told, fmt.Sprint(err, l != nil && l.Whole))
+			told = append(told, fmt.Sprint(err, l != nil && l.Full))
 		})
 		c.dial = func(context.Context, string, string) (net.Conn, error) { return answers(list(3, true)), nil }
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
-		c.Ask()
+		c.Poll()
 		synctest.Wait()
 		if fmt.Sprint(told) != "[<nil> true]" || c.held != 3 {
 			t.Errorf("told %q, version %d held", told, c.held)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -18,7 +18,7 @@
 // request is what one attempt of a call asks for, and how long it is waited for.
 type request struct {
 	target string
-	cachedlist.Patience
+	cachedlist.Timeouts
 }
 
 // call makes one call: a watch on from the version held, a look at what is new, or the whole list.
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	if answer.Status != 200 {
-		return nil, &Refused{c.addr, answer.Status}
+		return nil, &StatusError{c.addr, answer.Status}
 	}
 	return c.take(answer)
 }
@@ -40,20 +40,20 @@
 func (c *Client) first() request {
 	r := c.look()
 	if c.known && !c.hurry {
-		r.Patience = c.lot.Watch(c.wait)
-		r.target = c.changes(r.Wait)
+		r.Timeouts = c.lot.WatchTimeouts(c.wait)
+		r.target = c.changes(r.WatchTime)
 	}
 	if c.pacer != nil && c.known && !c.hurry { // it decides when a further request goes out
-		r.Limit = r.Hedge
+		r.Timeout = r.HedgeDelay
 	} else if c.pacer != nil {
-		r.Limit = c.pacer.Limit()
+		r.Timeout = c.pacer.PollTimeout()
 	}
 	return r
 }
 
 // look asks for what is new, or for the whole list where no version is held, without waiting for news.
 func (c *Client) look() request {
-	r := request{path, c.lot.Look()}
+	r := request{path, c.lot.PollTimeouts()}
 	if c.known {
 		r.target = c.changes(0)
 	}
@@ -71,7 +71,7 @@
 	defer r.end()
 	r.start(c.idle, first)
 	c.idle = nil
-	hedge := time.NewTimer(first.Hedge)
+	hedge := time.NewTimer(first.HedgeDelay)
 	defer hedge.Stop()
 	if c.pacer != nil {
 		hedge.Stop()
@@ -84,14 +84,14 @@
 		case <-hedge.C:
 			next := c.look()
 			r.start(nil, next)
-			hedge.Reset(next.Hedge)
+			hedge.Reset(next.HedgeDelay)
 		case o := <-r.outcomes:
 			r.out--
 			if o.err == nil && (o.answer.Status == 200 || r.out == 0) {
 				c.keep(o)
 				return o.answer, nil
 			}
-			silent := errors.As(o.err, new(*Silent))
+			silent := errors.As(o.err, new(*SilentError))
 			o.conn.end("call_failed")
 			if r.out == 0 {
 				return nil, o.err
@@ -122,11 +122,11 @@
 	list, err := c.reader.Decode(answer.Body)
 	if err != nil {
 		c.known = false // next time the whole list
-		return nil, &Unreadable{c.addr, err}
+		return nil, &UnreadableListError{c.addr, err}
 	}
-	if c.known && list.Version < c.held && !list.Whole {
+	if c.known && list.Version < c.held && !list.Full {
 		c.known = false
-		return nil, &Older{c.addr, list.Version, c.held}
+		return nil, &OutdatedListError{c.addr, list.Version, c.held}
 	}
 	c.held, c.known = list.Version, true
 	list.Service = c.addr
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,31 +21,31 @@
 type Client struct {
 	mu        sync.Mutex
 	pending   string             // the address to move to; "" for none
-	next      *Terms             // by which it is asked from there on; nil: as it is
+	next      *Settings          // by which it is asked from there on; nil: as it is
 	interrupt context.CancelFunc // ends the call in hand
 
 	addr   string
 	reader Reader
 	wait   time.Duration // how long discovery may hold a watch
-	lot    cachedlist.Lot
+	lot    cachedlist.Jitter
 	moved  time.Time // to the service that is asked
 	held   uint64    // the version held
 	known  bool
 	tell   func(*List, error) // delivers to the loop
 	ask    chan struct{}
 	dial   dialer
-	idle   *connection       // for the next call; nil: there is none
-	pushed bool              // an agent of this broker's own is asked, and what it has counts at once
-	pacer  *cachedlist.Pacer // nil: it is asked again only when Ask says so
-	hurry  bool              // discovery has not answered since it failed, or at all: the next call does not wait for news
-	failed bool              // the last call did
+	idle   *connection         // for the next call; nil: there is none
+	pushed bool                // an agent of this broker's own is asked, and what it has counts at once
+	pacer  *cachedlist.Backoff // nil: it is asked again only when Ask says so
+	hurry  bool                // discovery has not answered since it failed, or at all: the next call does not wait for news
+	failed bool                // the last call did
 }
 
-// Terms are what other settings change in how discovery is asked.
-type Terms struct {
-	Reader Reader
-	Wait   time.Duration // the longest that it may hold a watch
-	Pushed bool          // an agent of this broker's own is asked
+// Settings are what other settings change in how discovery is asked.
+type Settings struct {
+	Reader       Reader
+	MaxWatchTime time.Duration // the longest that it may hold a watch
+	LocalAgent   bool          // an agent of this broker's own is asked
 }
 
 // NewClient makes a client that holds a version already, or nothing (known false).
@@ -55,20 +55,20 @@
 		lot: rand.N[time.Duration], ask: make(chan struct{}, 1), dial: new(net.Dialer).DialContext}
 }
 
-// Pushed has an agent of this broker's own asked again soon by the client itself, whatever failed. Danger: what the agent has when an
+// UseLocalAgent has an agent of this broker's own asked again soon by the client itself, whatever failed. Danger: what the agent has when an
 // outage ends counts as told in that moment. It costs nobody else anything. It comes before Run.
-func (c *Client) Pushed() { c.pushed = true }
+func (c *Client) UseLocalAgent() { c.pushed = true }
 
-// Pace has the client ask again by itself, as a pacer says, whenever discovery could not be asked; the first failure of
+// UseBackoff has the client ask again by itself, as a pacer says, whenever discovery could not be asked; the first failure of
 // each outage is told, the others are not. It comes before Run. held is the version to ask for changes from, if known.
-func (c *Client) Pace(p *cachedlist.Pacer, held uint64, known bool) {
+func (c *Client) UseBackoff(p *cachedlist.Backoff, held uint64, known bool) {
 	c.pacer, c.hurry, c.held, c.known = p, true, held, known
 }
 
-// Move has discovery asked at another address from now on, even where a watch is held; that counts as an ask. The list
+// ChangeAddress has discovery asked at another address from now on, even where a watch is held; that counts as an ask. The list
 // held stands until the new one has spoken. The new one may count its versions from anywhere, so that it is asked for
 // the whole list first. It is asked by other terms from there on, if they are given.
-func (c *Client) Move(addr string, t *Terms) {
+func (c *Client) ChangeAddress(addr string, t *Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending = addr; t != nil {
@@ -77,7 +77,7 @@
 	if c.interrupt != nil {
 		c.interrupt()
 	}
-	c.Ask()
+	c.Poll()
 }
 
 // moving tells whether a move waits to be made.
@@ -96,15 +96,15 @@
 		c.addr, c.pending, c.held, c.known = c.pending, "", 0, false
 		c.moved, c.hurry = time.Now(), false
 		if c.next != nil {
-			c.reader, c.wait, c.pushed, c.next = c.next.Reader, c.next.Wait, c.next.Pushed, nil
+			c.reader, c.wait, c.pushed, c.next = c.next.Reader, c.next.MaxWatchTime, c.next.LocalAgent, nil
 		}
 	}
 	ctx, c.interrupt = context.WithCancel(ctx)
 	return ctx, c.interrupt
 }
 
-// Ask starts a watch unless one is held; each ask is answered by a list or an error.
-func (c *Client) Ask() {
+// Poll starts a watch unless one is held; each ask is answered by a list or an error.
+func (c *Client) Poll() {
 	select {
 	case c.ask <- struct{}{}:
 	default: // one is waiting already
@@ -154,7 +154,7 @@
 	if !broke && !(c.pushed && c.failed) { // an agent's outage is told once
 		c.tell(nil, err)
 	}
-	d, again := c.lot.Again(cachedlist.Failure{Broke: broke, Agent: c.pushed, Moved: time.Since(c.moved), Took: time.Since(began)})
+	d, again := c.lot.RetryDelay(cachedlist.PollFailure{ConnectionLost: broke, LocalAgent: c.pushed, SinceMove: time.Since(c.moved), Duration: time.Since(began)})
 	c.failed, c.hurry = true, again
 	if again {
 		c.pause(ctx, d)
@@ -166,7 +166,7 @@
 	c.tell(list, nil)
 	c.failed, c.hurry = false, false
 	if c.pacer != nil {
-		c.pacer.Answered()
+		c.pacer.PollSucceeded()
 	}
 }
 
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -60,7 +60,7 @@
 	for _, step := range [][2]string{{"index=40&wait=3000", "41"}, {"index=41&wait=3000", "43"},
 		{"index=43&wait=3000", "failed"}, {"index=43&wait=3000", "failed"}, {"index=43&wait=3000", "failed"},
 		{"", "failed"}, {"", "44"}} {
-		c.Ask() // where a watch is held this asks for nothing more
+		c.Poll() // where a watch is held this asks for nothing more
 		if got := <-asked; got != step[0] {
 			t.Errorf("asked %q, want %q", got, step[0])
 		}
@@ -106,13 +106,13 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
-		c.Ask()
+		c.Poll()
 		begun := time.Now()
 		for i, step := range []struct{ to, want string }{{"new", "[3]"}, {"newer", "[3 5]"}, {"dead", "[3 5 failed]"},
 			{"back again", "[3 5 failed 10]"}} {
 			synctest.Wait()
-			c.Move("nowhere", nil)
-			c.Move(step.to, nil)
+			c.ChangeAddress("nowhere", nil)
+			c.ChangeAddress(step.to, nil)
 			synctest.Wait()
 			if got := fmt.Sprint(told); got != step.want || time.Since(begun) > 0 {
 				t.Errorf("move %d to %s: told %s after %v, want %s", i, step.to, got, time.Since(begun), step.want)
@@ -128,7 +128,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var told []string
 		c := NewClient("old", reader(), 20*time.Second, 0, false, func(l *List, err error) {
-			told = append(told, fmt.Sprint(l.Cells, err))
+			told = append(told, fmt.Sprint(l.CellCount, err))
 		})
 		asked := make(chan string, 9)
 		c.lot = none
@@ -152,15 +152,15 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
-		c.Ask()
+		c.Poll()
 		synctest.Wait()
-		c.Ask()
+		c.Poll()
 		synctest.Wait()
 		other := reader()
-		other.Cells += 4
-		c.Move("old", &Terms{Reader: other, Wait: 2 * time.Second})
+		other.CellCount += 4
+		c.ChangeAddress("old", &Settings{Reader: other, MaxWatchTime: 2 * time.Second})
 		synctest.Wait()
-		c.Ask()
+		c.Poll()
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
@@ -169,7 +169,7 @@
 		for q := range asked {
 			queries = append(queries, q)
 		}
-		first, then := fmt.Sprint(reader().Cells, nil), fmt.Sprint(other.Cells, nil)
+		first, then := fmt.Sprint(reader().CellCount, nil), fmt.Sprint(other.CellCount, nil)
 		if got := strings.Join(queries, " "); got != " index=3&wait=3000  index=3&wait=2000" {
 			t.Errorf("asked %q", got)
 		}
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -15,7 +15,7 @@
 
 // broken tells whether a connection ended under a call, and discovery neither refused it nor answered what can't be used.
 func broken(err error) bool {
-	if errors.As(err, new(*Unreachable)) {
+	if errors.As(err, new(*UnreachableError)) {
 		return false
 	}
 	var network net.Error
@@ -23,79 +23,79 @@
 		errors.Is(err, io.ErrClosedPipe) || errors.Is(err, net.ErrClosed)
 }
 
-// Silent is a call that discovery took and did not answer.
-type Silent struct {
-	Service string
-	For     time.Duration
+// SilentError is a call that discovery took and did not answer.
+type SilentError struct {
+	Service  string
+	Duration time.Duration
 }
 
-func (e *Silent) Error() string {
-	return fmt.Sprintf("discovery at %s has said nothing for %v", e.Service, e.For.Round(time.Millisecond))
+func (e *SilentError) Error() string {
+	return fmt.Sprintf("discovery at %s has said nothing for %v", e.Service, e.Duration.Round(time.Millisecond))
 }
 
 // Remedy is what an operator can do.
-func (e *Silent) Remedy() string {
+func (e *SilentError) Remedy() string {
 	return "it is asked again at once, on a new connection; if that goes on, look at discovery and at the way to it"
 }
 
-// Unreachable is a connection that discovery did not take.
-type Unreachable struct {
+// UnreachableError is a connection that discovery did not take.
+type UnreachableError struct {
 	Service string
 	Err     error
 }
 
-func (e *Unreachable) Error() string {
+func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("discovery at %s takes no connection: %v", e.Service, e.Err)
 }
-func (e *Unreachable) Unwrap() error { return e.Err }
+func (e *UnreachableError) Unwrap() error { return e.Err }
 
 // Remedy is what an operator can do.
-func (e *Unreachable) Remedy() string {
+func (e *UnreachableError) Remedy() string {
 	return `see that discovery runs and that "discovery" in the configuration names it; SIGHUP takes a new address over`
 }
 
-// Refused is an answer that is no list.
-type Refused struct {
+// StatusError is an answer that is no list.
+type StatusError struct {
 	Service string
 	Status  int
 }
 
-func (e *Refused) Error() string {
+func (e *StatusError) Error() string {
 	return fmt.Sprintf("discovery at %s answered with status %d", e.Service, e.Status)
 }
 
 // Remedy is what an operator can do.
-func (e *Refused) Remedy() string {
+func (e *StatusError) Remedy() string {
 	return "503 means down or too many callers, and it is asked again ever more seldom; any other status is discovery's fault"
 }
 
-// Unreadable is an answer that can't be read whole. Nothing of it is taken.
-type Unreadable struct {
+// UnreadableListError is an answer that can't be read whole. Nothing of it is taken.
+type UnreadableListError struct {
 	Service string
 	Err     error
 }
 
-func (e *Unreadable) Error() string {
+func (e *UnreadableListError) Error() string {
 	return fmt.Sprintf("discovery at %s told what can't be read: %v", e.Service, e.Err)
 }
-func (e *Unreadable) Unwrap() error { return e.Err }
+func (e *UnreadableListError) Unwrap() error { return e.Err }
 
 // Remedy is what an operator can do.
-func (e *Unreadable) Remedy() string {
+func (e *UnreadableListError) Remedy() string {
 	return "the list held stands and the whole list is asked for next; correct the entry that the error names, or compare the versions of the two programs"
 }
 
-// Older is a list from before the one held.
-type Older struct {
-	Service       string
-	Version, Held uint64
+// OutdatedListError is a list from before the one held.
+type OutdatedListError struct {
+	Service              string
+	Version, HeldVersion uint64
 }
 
-func (e *Older) Error() string {
-	return fmt.Sprintf("discovery at %s told version %d after %d", e.Service, e.Version, e.Held)
+func (e *OutdatedListError) Error() string {
+	return fmt.Sprintf("discovery at %s told version %d after %d", e.Service, e.Version, e.HeldVersion)
 }
 
 // Remedy is what an operator can do.
-func (e *Older) Remedy() string {
+func (e *OutdatedListError) Remedy() string {
 	return "the whole list is asked for next and taken as it is; see whether discovery lost its state or answers from two copies"
 }
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -35,7 +35,7 @@
 			c.dial = func(context.Context, string, string) (net.Conn, error) { return answers(answer), nil }
 			ctx, cancel := context.WithCancel(t.Context())
 			go c.Run(ctx)
-			c.Ask()
+			c.Poll()
 			synctest.Wait()
 			if len(failures) != 1 || strings.Contains(failures[0].Error(), "\n") || remedy.Of(failures[0]) == "" || c.known || c.held != 40 {
 				t.Errorf("%s: %v, remedy %q", what, failures, remedy.Of(failures[0]))
@@ -69,8 +69,8 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
-		c.Ask()
-		time.Sleep(cachedlist.ToldAfter)
+		c.Poll()
+		time.Sleep(cachedlist.MaxNotificationDelay)
 		synctest.Wait()
 		if dials.Load() < 2 {
 			t.Error("nothing was asked beside an answer that does not end")
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -18,27 +18,27 @@
 
 // Node is one line of the list.
 type Node struct {
-	Name    string
-	Addr    netip.AddrPort
-	Entry   decision.Endpoint
-	Zone    string // as discovery names it
-	Started int64  // its last start in Unix time in milliseconds; 0: long ago
+	Name        string
+	Address     netip.AddrPort
+	Endpoint    decision.Endpoint
+	Zone        string // as discovery names it
+	StartedAtMS int64  // its last start in Unix time in milliseconds; 0: long ago
 }
 
 // List is a whole list or the lines that changed.
 type List struct {
-	Version uint64
-	Whole   bool
-	Nodes   []Node
-	Service string // the address that told it
-	Cells   int    // in which its nodes lie, as it was read
+	Version   uint64
+	Full      bool
+	Nodes     []Node
+	Service   string // the address that told it
+	CellCount int    // in which its nodes lie, as it was read
 }
 
 // Reader reads lists in discovery's form.
 type Reader struct {
-	Zones []string
-	Cells int
-	Start time.Time // entries count from here
+	Zones     []string
+	CellCount int
+	StartedAt time.Time // entries count from here
 }
 
 // Decode reads one list; any line that makes no sense spoils it.
@@ -61,13 +61,13 @@
 	if doc.Generation == nil {
 		return nil, errors.New("node list: generation: missing")
 	}
-	list := &List{Version: *doc.Generation, Whole: doc.Reset, Cells: rd.Cells}
+	list := &List{Version: *doc.Generation, Full: doc.Reset, CellCount: rd.CellCount}
 	for i, in := range doc.Instances {
-		n := Node{Name: in.InstanceID, Zone: in.Zone, Started: in.StartedAt}
-		e := &n.Entry
-		e.Node, e.Cell, e.Zone, e.StartedAt = ID(in.InstanceID), in.Cell, rd.Zone(in.Zone), decision.StartedLongAgo
-		if in.InstanceID == "" || in.Cell < 0 || in.Cell >= rd.Cells {
-			return nil, fmt.Errorf("node list: instances.%d: %q in cell %d of %d", i, in.InstanceID, in.Cell, rd.Cells)
+		n := Node{Name: in.InstanceID, Zone: in.Zone, StartedAtMS: in.StartedAt}
+		e := &n.Endpoint
+		e.Node, e.Cell, e.Zone, e.StartedAt = IDOfName(in.InstanceID), in.Cell, rd.ZoneNumber(in.Zone), decision.StartedLongAgo
+		if in.InstanceID == "" || in.Cell < 0 || in.Cell >= rd.CellCount {
+			return nil, fmt.Errorf("node list: instances.%d: %q in cell %d of %d", i, in.InstanceID, in.Cell, rd.CellCount)
 		}
 		switch in.Lifecycle {
 		case "in_service":
@@ -80,21 +80,21 @@
 			return nil, fmt.Errorf("node list: instances.%d: lifecycle %.40q", i, in.Lifecycle)
 		}
 		var err error
-		if n.Addr, err = netip.ParseAddrPort(in.HostPort); err != nil && e.State != decision.Removed {
+		if n.Address, err = netip.ParseAddrPort(in.HostPort); err != nil && e.State != decision.Removed {
 			return nil, fmt.Errorf("node list: instances.%d: hostPort %.60q", i, in.HostPort)
 		}
 		if in.StartedAt < 0 {
 			return nil, fmt.Errorf("node list: instances.%d: startedAtMs %d", i, in.StartedAt)
 		} else if in.StartedAt > 0 {
-			e.StartedAt = time.UnixMilli(in.StartedAt).Sub(rd.Start)
+			e.StartedAt = time.UnixMilli(in.StartedAt).Sub(rd.StartedAt)
 		}
 		list.Nodes = append(list.Nodes, n)
 	}
 	return list, nil
 }
 
-// Zone numbers a zone by the settings; one that they do not name comes after those.
-func (rd *Reader) Zone(name string) int {
+// ZoneNumber numbers a zone by the settings; one that they do not name comes after those.
+func (rd *Reader) ZoneNumber(name string) int {
 	at := slices.Index(rd.Zones, name)
 	if at < 0 {
 		at = len(rd.Zones)
@@ -102,9 +102,9 @@
 	return at
 }
 
-// ID makes a node's id of its name. Addresses differ from one broker to the next, names do not, and what brokers
+// IDOfName makes a node's id of its name. Addresses differ from one broker to the next, names do not, and what brokers
 // tell one another of nodes must mean the same to all. Hexadecimal digits that end a name show in the id.
-func ID(name string) (id decision.NodeID) {
+func IDOfName(name string) (id decision.NodeID) {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	sum := h.Sum64()
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -16,7 +16,7 @@
 
 var start = time.UnixMilli(1_000_000)
 
-func reader() Reader { return Reader{Zones: []string{"a", "b"}, Cells: 3, Start: start} }
+func reader() Reader { return Reader{Zones: []string{"a", "b"}, CellCount: 3, StartedAt: start} }
 
 func list(version int, whole bool, lines ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, version, whole, strings.Join(lines, ","))
@@ -31,15 +31,15 @@
 	rd := reader()
 	got, err := rd.Decode([]byte(list(41, true, line("s-1", "10.0.0.1:80", "in_service", 0),
 		line("s-2", "10.0.0.2:80", "terminating", 1_002_500), line("s-3", "", "terminated", 0))))
-	if err != nil || got.Version != 41 || !got.Whole || len(got.Nodes) != 3 {
+	if err != nil || got.Version != 41 || !got.Full || len(got.Nodes) != 3 {
 		t.Fatalf("%v, %+v", err, got)
 	}
 	n := got.Nodes[0]
-	want := decision.Endpoint{Node: ID("s-1"), Cell: 2, Zone: 1, State: decision.Ready, StartedAt: decision.StartedLongAgo}
-	if n.Entry != want || n.Addr != netip.MustParseAddrPort("10.0.0.1:80") {
+	want := decision.Endpoint{Node: IDOfName("s-1"), Cell: 2, Zone: 1, State: decision.Ready, StartedAt: decision.StartedLongAgo}
+	if n.Endpoint != want || n.Address != netip.MustParseAddrPort("10.0.0.1:80") {
 		t.Errorf("read as %+v", n)
 	}
-	if e := got.Nodes[1].Entry; e.State != decision.Draining || e.StartedAt != 2500*time.Millisecond {
+	if e := got.Nodes[1].Endpoint; e.State != decision.Draining || e.StartedAt != 2500*time.Millisecond {
 		t.Errorf("read as %+v", e)
 	}
 	// One bad line spoils the list: half a list may hide a drain.
@@ -57,12 +57,12 @@
 func TestIDComesOfTheName(t *testing.T) {
 	seen := map[decision.NodeID]string{}
 	for _, name := range []string{"s-5be2a07c", "s-5be2a07d", "t-5be2a07c", "s", "node one", "node two"} {
-		if other, twice := seen[ID(name)]; twice {
+		if other, twice := seen[IDOfName(name)]; twice {
 			t.Errorf("%s and %s share an id", name, other)
 		}
-		seen[ID(name)] = name
+		seen[IDOfName(name)] = name
 	}
-	if text := ID("s-5be2a07c").String(); !strings.HasPrefix(text, "5be2a07c/") {
+	if text := IDOfName("s-5be2a07c").String(); !strings.HasPrefix(text, "5be2a07c/") {
 		t.Errorf("logged as %s", text)
 	}
 }
@@ -100,7 +100,7 @@
 		rd := reader()
 		if l, err := rd.Decode(raw); err == nil {
 			for _, n := range l.Nodes {
-				if n.Name == "" || n.Entry.Cell >= 3 || !n.Addr.IsValid() && n.Entry.State != decision.Removed {
+				if n.Name == "" || n.Endpoint.Cell >= 3 || !n.Address.IsValid() && n.Endpoint.State != decision.Removed {
 					t.Errorf("let through %+v", n)
 				}
 			}
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -44,7 +44,7 @@
 						had = time.Now()
 					}
 					if err != nil { // the module asks again, ever more seldom
-						time.AfterFunc(backoff, c.Ask)
+						time.AfterFunc(backoff, c.Poll)
 						backoff = min(2*backoff, 6*time.Second)
 					}
 				})
@@ -78,15 +78,15 @@
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				go c.Run(ctx)
-				c.Ask()
+				c.Poll()
 				time.Sleep(20 * time.Second)
 				mu.Lock()
 				moved = time.Now()
 				mu.Unlock()
-				c.Move("new", nil)
+				c.ChangeAddress("new", nil)
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
-				if took := had.Sub(moved); had.IsZero() || took > cachedlist.CountsAfterMove {
+				if took := had.Sub(moved); had.IsZero() || took > cachedlist.MaxNotificationDelayAfterMove {
 					t.Errorf("%s, the old one %s: had %v after the move", what, old, took)
 				}
 				cancel()
--- a/internal/discovery/nodelist/bench_test.go
+++ b/internal/discovery/nodelist/bench_test.go
@@ -68,7 +68,7 @@
 				}
 				for i := 0; b.Loop(); i++ {
 					e := first.Put[i%n]
-					e.Told = cachedlist.Moment(i)
+					e.StateSince = cachedlist.Timestamp(i)
 					if err := keep(e); err != nil {
 						b.Fatal(err)
 					}
--- a/internal/discovery/nodelist/format.go
+++ b/internal/discovery/nodelist/format.go
@@ -45,41 +45,41 @@
 
 // storedHead is cachedlist.Head, without the deployment, which is in the file's header.
 type storedHead struct {
-	Service    string            `cbor:"1,keyasint"`
-	Generation uint64            `cbor:"2,keyasint"`
-	Confirmed  cachedlist.Moment `cbor:"3,keyasint"`
+	Service    string               `cbor:"1,keyasint"`
+	Generation uint64               `cbor:"2,keyasint"`
+	Confirmed  cachedlist.Timestamp `cbor:"3,keyasint"`
 }
 
 func storeHead(h cachedlist.Head) storedHead {
-	return storedHead{Service: h.Service, Generation: h.Generation, Confirmed: h.Confirmed}
+	return storedHead{Service: h.Service, Generation: h.Generation, Confirmed: h.ConfirmedAt}
 }
 
 func (h storedHead) decode(deployment string) cachedlist.Head {
-	return cachedlist.Head{Service: h.Service, Deployment: deployment, Generation: h.Generation, Confirmed: h.Confirmed}
+	return cachedlist.Head{Service: h.Service, Deployment: deployment, Generation: h.Generation, ConfirmedAt: h.Confirmed}
 }
 
 // storedEntry is cachedlist.Entry.
 type storedEntry struct {
-	Name        string            `cbor:"1,keyasint"`
-	Address     netip.AddrPort    `cbor:"2,keyasint"`
-	Zone        string            `cbor:"3,keyasint"`
-	Cell        int               `cbor:"4,keyasint"`
-	State       cachedlist.State  `cbor:"5,keyasint,omitempty"`
-	Started     cachedlist.Moment `cbor:"6,keyasint,omitempty"`
-	Confirmed   cachedlist.Moment `cbor:"7,keyasint,omitempty"`
-	ConfirmedBy cachedlist.By     `cbor:"8,keyasint,omitempty"`
-	StateSince  cachedlist.Moment `cbor:"9,keyasint,omitempty"`
-	Generation  uint64            `cbor:"10,keyasint,omitempty"`
+	Name        string               `cbor:"1,keyasint"`
+	Address     netip.AddrPort       `cbor:"2,keyasint"`
+	Zone        string               `cbor:"3,keyasint"`
+	Cell        int                  `cbor:"4,keyasint"`
+	State       cachedlist.State     `cbor:"5,keyasint,omitempty"`
+	Started     cachedlist.Timestamp `cbor:"6,keyasint,omitempty"`
+	Confirmed   cachedlist.Timestamp `cbor:"7,keyasint,omitempty"`
+	ConfirmedBy cachedlist.Source    `cbor:"8,keyasint,omitempty"`
+	StateSince  cachedlist.Timestamp `cbor:"9,keyasint,omitempty"`
+	Generation  uint64               `cbor:"10,keyasint,omitempty"`
 }
 
 func storeEntry(e *cachedlist.Entry) storedEntry {
-	return storedEntry{Name: e.Name, Address: e.Addr, Zone: e.Zone, Cell: e.Cell, State: e.State, Started: e.Started,
-		Confirmed: e.Confirmed, ConfirmedBy: e.By, StateSince: e.Told, Generation: e.Generation}
+	return storedEntry{Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell, State: e.State, Started: e.StartedAt,
+		Confirmed: e.ConfirmedAt, ConfirmedBy: e.ConfirmedBy, StateSince: e.StateSince, Generation: e.Generation}
 }
 
 func (e *storedEntry) decode() cachedlist.Entry {
-	return cachedlist.Entry{Name: e.Name, Addr: e.Address, Zone: e.Zone, Cell: e.Cell, State: e.State, Started: e.Started,
-		Confirmed: e.Confirmed, By: e.ConfirmedBy, Told: e.StateSince, Generation: e.Generation}
+	return cachedlist.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Cell: e.Cell, State: e.State, StartedAt: e.Started,
+		ConfirmedAt: e.Confirmed, ConfirmedBy: e.ConfirmedBy, StateSince: e.StateSince, Generation: e.Generation}
 }
 
 // validate refuses what no broker writes.
@@ -87,7 +87,7 @@
 	switch {
 	case e.Name == "", len(e.Name) > maxNameBytes, len(e.Zone) > maxNameBytes:
 	case e.Cell < 0, e.Cell > maxCell:
-	case e.State > cachedlist.Ended, e.ConfirmedBy > cachedlist.Imported:
+	case e.State > cachedlist.Ended, e.ConfirmedBy > cachedlist.SourceOperator:
 	case e.Confirmed < 0, e.Started < 0, e.StateSince < 0:
 	default:
 		return nil
--- a/internal/discovery/nodelist/nodelist_test.go
+++ b/internal/discovery/nodelist/nodelist_test.go
@@ -28,8 +28,8 @@
 }
 
 func entry(i int) cachedlist.Entry {
-	return cachedlist.Entry{Name: fmt.Sprintf("node-%d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
-		Zone: "a", Cell: i % 4, Confirmed: cachedlist.Moment(1000 + i), Told: 7, Generation: 3}
+	return cachedlist.Entry{Name: fmt.Sprintf("node-%d", i), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
+		Zone: "a", Cell: i % 4, ConfirmedAt: cachedlist.Timestamp(1000 + i), StateSince: 7, Generation: 3}
 }
 
 func options(d *crashfs.FS) Options {
@@ -51,7 +51,7 @@
 				c.Removed = append(c.Removed, e.Name)
 				delete(now, e.Name)
 			} else {
-				e.Told = cachedlist.Moment(100 + i)
+				e.StateSince = cachedlist.Timestamp(100 + i)
 				c.Put = append(c.Put, e)
 				now[e.Name] = e
 			}
--- a/internal/discovery/nodelist/process_test.go
+++ b/internal/discovery/nodelist/process_test.go
@@ -64,7 +64,7 @@
 	s, _ := Open(Options{Directory: dir, Deployment: "x", MinJournalBytes: 2000})
 	for i := range 1 << 20 {
 		e := entry(i % 20)
-		e.Told = cachedlist.Moment(i)
+		e.StateSince = cachedlist.Timestamp(i)
 		s.Enqueue(cachedlist.Changes{Head: cachedlist.Head{Generation: uint64(i)}, Put: []cachedlist.Entry{e}})
 		if s.Flush() != nil {
 			os.Exit(1)
--- a/internal/discovery/nodelist/recorded_test.go
+++ b/internal/discovery/nodelist/recorded_test.go
@@ -23,21 +23,21 @@
 )
 
 var (
-	recordedReady = cachedlist.Entry{Name: "node-a", Addr: netip.MustParseAddrPort("192.0.2.1:8080"), Zone: "east",
-		Started: 1_700_000_000_123, Confirmed: 1_700_000_100_000, Told: 1_700_000_090_000, Generation: 17}
-	recordedDraining = cachedlist.Entry{Name: "node-b", Addr: netip.MustParseAddrPort("[2001:db8::2]:8080"), Zone: "west", Cell: 3,
-		State: cachedlist.Draining, Confirmed: 1_700_000_200_000, By: cachedlist.Itself, Told: 1_700_000_190_000, Generation: 18}
-	recordedReturned = cachedlist.Entry{Name: "node-b", Addr: netip.MustParseAddrPort("[2001:db8::2]:8080"), Zone: "west", Cell: 3,
-		Confirmed: 1_700_000_200_000, By: cachedlist.Itself, Told: 1_700_000_190_000, Generation: 21}
-	recordedEnded = cachedlist.Entry{Name: "node-c", Cell: 1, State: cachedlist.Ended, By: cachedlist.Imported,
-		Told: 1_700_000_300_000, Generation: 12}
-	recordedGiven = cachedlist.Entry{Name: "node-d", Addr: netip.MustParseAddrPort("192.0.2.4:9090"), Zone: "east", Cell: 1 << 20,
-		By: cachedlist.Given}
+	recordedReady = cachedlist.Entry{Name: "node-a", Address: netip.MustParseAddrPort("192.0.2.1:8080"), Zone: "east",
+		StartedAt: 1_700_000_000_123, ConfirmedAt: 1_700_000_100_000, StateSince: 1_700_000_090_000, Generation: 17}
+	recordedDraining = cachedlist.Entry{Name: "node-b", Address: netip.MustParseAddrPort("[2001:db8::2]:8080"), Zone: "west", Cell: 3,
+		State: cachedlist.Draining, ConfirmedAt: 1_700_000_200_000, ConfirmedBy: cachedlist.SourceEndpoint, StateSince: 1_700_000_190_000, Generation: 18}
+	recordedReturned = cachedlist.Entry{Name: "node-b", Address: netip.MustParseAddrPort("[2001:db8::2]:8080"), Zone: "west", Cell: 3,
+		ConfirmedAt: 1_700_000_200_000, ConfirmedBy: cachedlist.SourceEndpoint, StateSince: 1_700_000_190_000, Generation: 21}
+	recordedEnded = cachedlist.Entry{Name: "node-c", Cell: 1, State: cachedlist.Ended, ConfirmedBy: cachedlist.SourceOperator,
+		StateSince: 1_700_000_300_000, Generation: 12}
+	recordedGiven = cachedlist.Entry{Name: "node-d", Address: netip.MustParseAddrPort("192.0.2.4:9090"), Zone: "east", Cell: 1 << 20,
+		ConfirmedBy: cachedlist.SourceConfiguration}
 )
 
 func recordedHead(generation uint64) cachedlist.Head {
 	return cachedlist.Head{Service: "192.0.2.9:7000", Deployment: recordedDeployment, Generation: generation,
-		Confirmed: cachedlist.Moment(1_700_000_000_000 + generation)}
+		ConfirmedAt: cachedlist.Timestamp(1_700_000_000_000 + generation)}
 }
 
 func byName(all ...cachedlist.Entry) map[string]cachedlist.Entry {
--- a/internal/discovery/paced.go
+++ b/internal/discovery/paced.go
@@ -13,7 +13,7 @@
 		c.tell(nil, err)
 	}
 	c.failed, c.hurry = true, true
-	return c.comeBack(ctx, errors.As(err, new(*Unreachable)))
+	return c.comeBack(ctx, errors.As(err, new(*UnreachableError)))
 }
 
 // comeBack waits until discovery is to be called again; where it takes no connection, until it does. A move ends it, and
@@ -23,17 +23,17 @@
 	ctx, end := c.begin(ctx)
 	defer end()
 	if !refused {
-		sleep(ctx, c.pacer.Jammed())
+		sleep(ctx, c.pacer.PollFailed())
 		return outer.Err() == nil
 	}
 	for ctx.Err() == nil {
-		sleep(ctx, c.pacer.Knock())
-		knock, cancel := context.WithTimeout(ctx, c.pacer.Limit())
+		sleep(ctx, c.pacer.ConnectDelay())
+		knock, cancel := context.WithTimeout(ctx, c.pacer.PollTimeout())
 		conn, err := connect(knock, c.addr, c.dial)
 		cancel()
 		if err == nil {
 			c.idle = conn
-			sleep(ctx, c.pacer.Door())
+			sleep(ctx, c.pacer.FirstPollDelay())
 			break
 		}
 	}
--- a/internal/discovery/paced_test.go
+++ b/internal/discovery/paced_test.go
@@ -16,8 +16,8 @@
 // paced is a client that asks again by itself, before stand-ins that are dialled by turns.
 func paced(t *testing.T, dial func(n int) (net.Conn, error)) (got *[]string, stop func()) {
 	c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
-	c.Pace(cachedlist.NewPacer(cachedlist.Pace{KnockEvery: 200 * time.Millisecond, PerCall: 2 * time.Millisecond,
-		MostDelay: 500 * time.Millisecond, Brokers: 10}, 3), 0, false)
+	c.UseBackoff(cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond,
+		MaxPollDelay: 500 * time.Millisecond, BrokerCount: 10}, 3), 0, false)
 	c.lot = none
 	got = &[]string{}
 	c.tell = func(l *List, err error) {
@@ -34,7 +34,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go c.Run(ctx)
-	c.Ask()
+	c.Poll()
 	return got, cancel
 }
 
@@ -122,7 +122,7 @@
 func TestMoveWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
-		c.Pace(cachedlist.NewPacer(cachedlist.Pace{KnockEvery: 10 * time.Second, Brokers: 1}, 3), 0, false)
+		c.UseBackoff(cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: 10 * time.Second, BrokerCount: 1}, 3), 0, false)
 		at := make(chan time.Duration, 4)
 		begun := time.Now()
 		c.tell = func(l *List, err error) {
@@ -139,9 +139,9 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { c.Run(ctx); close(done) }()
-		c.Ask()
+		c.Poll()
 		time.Sleep(time.Second)
-		c.Move("127.0.0.1:2", nil)
+		c.ChangeAddress("127.0.0.1:2", nil)
 		if took := <-at; took > 1100*time.Millisecond {
 			t.Errorf("the move was made %v after the start", took)
 		}
--- a/internal/discovery/race.go
+++ b/internal/discovery/race.go
@@ -78,7 +78,7 @@
 
 // exchange puts one request and reads its answer.
 func (r *race) exchange(conn *connection, q request) outcome {
-	ctx, cancel := context.WithTimeoutCause(r.ctx, q.Limit, errSilent)
+	ctx, cancel := context.WithTimeoutCause(r.ctx, q.Timeout, errSilent)
 	defer cancel()
 	began := time.Now()
 	if conn == nil {
@@ -92,7 +92,7 @@
 	answer, err := conn.put(q.target, r.addr)
 	switch late := !stop(); {
 	case err != nil && context.Cause(ctx) == errSilent:
-		err = &Silent{r.addr, time.Since(began)}
+		err = &SilentError{r.addr, time.Since(began)}
 	case err == nil && late: // closed just when its answer was there
 		conn.end("overtaken")
 		conn = nil
@@ -105,7 +105,7 @@
 	defer cancel()
 	conn, err := dial(ctx, "tcp", addr)
 	if err != nil {
-		return nil, &Unreachable{addr, err}
+		return nil, &UnreachableError{addr, err}
 	}
 	return &connection{Conn: conn, in: httpwire.NewReader(conn)}, nil
 }
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -49,11 +49,11 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			go c.Run(ctx)
-			c.Ask()
+			c.Poll()
 			time.Sleep(30 * time.Second)
 			select {
 			case at := <-had:
-				if at > cachedlist.ToldAfter {
+				if at > cachedlist.MaxNotificationDelay {
 					t.Errorf("the drain was had %v after the watch fell silent, by %d calls", at, calls.Load())
 				}
 			default:
@@ -83,7 +83,7 @@
 					}
 				})
 				if pushed {
-					c.Pushed()
+					c.UseLocalAgent()
 				}
 				c.dial = func(context.Context, string, string) (net.Conn, error) {
 					calls.Add(1)
@@ -98,11 +98,11 @@
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				go c.Run(ctx)
-				c.Ask()
+				c.Poll()
 				time.Sleep(down + time.Second)
 				synctest.Wait()
 				late := time.Duration(had.Load()) - down
-				if pushed && (late < 0 || late > cachedlist.AgentPause || failures.Load() != 1 || calls.Load() > int32(2*down/cachedlist.AgentPause)) {
+				if pushed && (late < 0 || late > cachedlist.AgentRetryInterval || failures.Load() != 1 || calls.Load() > int32(2*down/cachedlist.AgentRetryInterval)) {
 					t.Errorf("refuses %v: had %v after the return, %d calls, %d failures told", refuses, late, calls.Load(), failures.Load())
 				}
 				if !pushed && calls.Load() > 1 {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -94,19 +94,19 @@
 							had = time.Now()
 						}
 						if err != nil {
-							if failures++; !errors.As(err, new(*Silent)) {
+							if failures++; !errors.As(err, new(*SilentError)) {
 								t.Errorf("told %v", err)
 							}
 						}
 					})
 					c.dial = s.dial
 					if paced {
-						c.Pace(cachedlist.NewPacer(cachedlist.Pace{KnockEvery: 200 * time.Millisecond, Brokers: 300}, 7), 40, known)
+						c.UseBackoff(cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: 200 * time.Millisecond, BrokerCount: 300}, 7), 40, known)
 					}
 					s.silent = !known // else the first watch is held, and falls silent later
 					ctx, cancel := context.WithCancel(t.Context())
 					go c.Run(ctx)
-					c.Ask() // once: it is on the client that silence ends
+					c.Poll() // once: it is on the client that silence ends
 					synctest.Wait()
 					fell := time.Now()
 					s.set(40, true)
@@ -114,7 +114,7 @@
 					s.set(41, false)
 					time.Sleep(10 * time.Second)
 					synctest.Wait()
-					if late := had.Sub(fell.Add(speaksAfter)); had.IsZero() || late > cachedlist.ToldAfter {
+					if late := had.Sub(fell.Add(speaksAfter)); had.IsZero() || late > cachedlist.MaxNotificationDelay {
 						t.Errorf("paced %v, known %v, speaks after %v: had after %v; asked %q", paced, known, speaksAfter, late, s.calls)
 					}
 					if speaksAfter < 9*time.Second && known && failures > 1 {
@@ -141,7 +141,7 @@
 			s.silent = true
 			ctx, cancel := context.WithCancel(t.Context())
 			go c.Run(ctx)
-			c.Ask()
+			c.Poll()
 			begun := time.Now()
 			for n := 0; n < 2 && time.Since(begun) < time.Minute; {
 				time.Sleep(10 * time.Millisecond)
@@ -157,7 +157,7 @@
 			fmt.Sscanf(s.calls[0], "index=40&wait=%d", &wait)
 			wait *= time.Millisecond
 			again := time.Since(begun)
-			if wait > cachedlist.LongestWait || again > wait+cachedlist.ToldAfterWait-500*time.Millisecond || again > cachedlist.ToldAfter-500*time.Millisecond {
+			if wait > cachedlist.MaxWatchTime || again > wait+cachedlist.MaxNotificationDelayAfterWatch-500*time.Millisecond || again > cachedlist.MaxNotificationDelay-500*time.Millisecond {
 				t.Errorf("a watch of %v was made anew after %v", wait, again)
 			}
 			if s.calls[1] != "index=40&wait=0" {
--- a/internal/lab/emu.go
+++ b/internal/lab/emu.go
@@ -62,7 +62,7 @@
 type Broker struct {
 	w        *World
 	module   *routing.Router
-	judge    *cachedlist.Judge
+	judge    *cachedlist.Evaluator
 	events   []decision.Event
 	turning  bool
 	next     uint64
@@ -83,7 +83,7 @@
 	out    map[[2]uint64]func() // cancels, by part and attempt
 }
 
-func (w *World) broker(seed uint64, judge *cachedlist.Judge) *Broker {
+func (w *World) broker(seed uint64, judge *cachedlist.Evaluator) *Broker {
 	t := w.terms
 	t.Seed = seed
 	return &Broker{w: w, module: routing.New(t), judge: judge, next: 1, searches: map[uint64]*asked{}, parts: map[uint64]*asked{}}
@@ -98,14 +98,14 @@
 	}
 }
 
-func (b *Broker) facts(facts []cachedlist.Fact) {
+func (b *Broker) facts(facts []cachedlist.EndpointUpdate) {
 	if len(facts) == 0 {
 		return
 	}
 	e := decision.Event{Kind: decision.ListUpdateReceived}
 	for _, f := range facts {
-		entry := decision.Endpoint{Node: f.ID, Cell: f.Entry.Cell, State: decision.Ready, StartedAt: decision.StartedLongAgo, Unconfirmed: f.Eased}
-		if !f.Use {
+		entry := decision.Endpoint{Node: f.ID, Cell: f.Entry.Cell, State: decision.Ready, StartedAt: decision.StartedLongAgo, Unconfirmed: f.SlowStart}
+		if !f.Usable {
 			entry.State = decision.Draining
 		}
 		e.Endpoints = append(e.Endpoints, entry)
@@ -199,6 +199,6 @@
 }
 
 // id makes a box's id as brokers make it.
-func id(name string) decision.NodeID { return discovery.ID(name) }
+func id(name string) decision.NodeID { return discovery.IDOfName(name) }
 
 var anyAddr = netip.MustParseAddrPort("127.0.0.1:1")
--- a/internal/lab/emusend.go
+++ b/internal/lab/emusend.go
@@ -27,7 +27,7 @@
 			s.shares[a.ID] = 0
 		}
 		if b.judge != nil {
-			b.judge.Showed(a.Node, how, w.now-begun, w.now)
+			b.judge.RecordOutcome(a.Node, how, w.now-begun, w.now)
 		}
 		b.tell(decision.Event{Kind: decision.AttemptEnded, ID: a.ID, Attempt: attempt, Outcome: how, Elapsed: w.now - begun, Node: a.Node})
 	}
--- a/internal/lab/herd.go
+++ b/internal/lab/herd.go
@@ -83,26 +83,26 @@
 
 // knock is a broker with the pacer of package trust.
 func (h *herd) knock(perCall time.Duration, seed uint64) {
-	p := cachedlist.NewPacer(cachedlist.Pace{KnockEvery: 200 * time.Millisecond, PerCall: perCall, MostDelay: 500 * time.Millisecond,
-		Brokers: h.brokers}, seed)
+	p := cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: perCall, MaxPollDelay: 500 * time.Millisecond,
+		BrokerCount: h.brokers}, seed)
 	var ask, knock func()
 	knock = func() {
 		if h.now < h.down {
-			h.at(h.now+p.Knock(), knock)
+			h.at(h.now+p.ConnectDelay(), knock)
 			return
 		}
-		h.at(h.now+p.Door(), ask)
+		h.at(h.now+p.FirstPollDelay(), ask)
 	}
 	ask = func() {
 		h.call(func(late bool) {
 			if late {
-				h.at(h.now+p.Jammed(), ask)
+				h.at(h.now+p.PollFailed(), ask)
 			} else {
 				h.done = append(h.done, h.now-h.down)
 			}
 		})
 	}
-	h.at(p.Knock(), knock)
+	h.at(p.ConnectDelay(), knock)
 }
 
 // Herd prints, for each pacing and number of brokers, how soon all have the list and what discovery sees.
--- a/internal/lab/play/audit.go
+++ b/internal/lab/play/audit.go
@@ -43,10 +43,10 @@
 
 func (d *directory) line(w *world, n int, state decision.EndpointState, boot time.Duration) discovery.Node {
 	name := nodeName(n, d.starts[n])
-	l := discovery.Node{Name: name, Zone: w.terms.Zones[w.script.ZoneOf(n)], Entry: decision.Endpoint{Node: discovery.ID(name),
+	l := discovery.Node{Name: name, Zone: w.terms.Zones[w.script.ZoneOf(n)], Endpoint: decision.Endpoint{Node: discovery.IDOfName(name),
 		Cell: n % w.script.Fleet.Cells, Zone: w.script.ZoneOf(n), State: state, StartedAt: boot}}
 	if boot != decision.StartedLongAgo {
-		l.Started = w.epoch.Add(boot).UnixMilli()
+		l.StartedAtMS = w.epoch.Add(boot).UnixMilli()
 	}
 	return l
 }
@@ -82,7 +82,7 @@
 				d.watch = append(d.watch, from)
 			}
 			d.send(from, d.now+d.w.script.Network.Hop, kListed, 0, 0,
-				&discovery.List{Version: d.version, Whole: true, Nodes: slices.Clone(d.nodes), Service: "discovery"})
+				&discovery.List{Version: d.version, Full: true, Nodes: slices.Clone(d.nodes), Service: "discovery"})
 		}
 	case kOutage:
 		for _, b := range d.watch {
@@ -95,8 +95,8 @@
 }
 
 func (d *directory) change(e *script.Event) {
-	at := d.nodes[e.Node].Entry
-	list := &discovery.List{Whole: false, Service: "discovery"}
+	at := d.nodes[e.Node].Endpoint
+	list := &discovery.List{Full: false, Service: "discovery"}
 	tell := func(l discovery.Node) { list.Nodes = append(list.Nodes, l) }
 	switch e.Does {
 	case script.Dies, script.Leaves:
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -49,7 +49,7 @@
 	starts uint64
 	began  time.Duration // its last start
 	core   *server.Core  // nil: it is down
-	book   *cachedlist.Book
+	book   *cachedlist.EntryTable
 	rate   float64 // searches a second that its clients ask in ordinary times
 
 	conns   map[uint64]*conn
@@ -115,7 +115,7 @@
 		}
 	}
 	if f.w.script.Brokers.KeepList {
-		f.book = cachedlist.NewBook(cachedlist.Head{}, nil)
+		f.book = cachedlist.NewEntryTable(cachedlist.Head{}, nil)
 	}
 	f.next()
 	f.share()
--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -30,12 +30,12 @@
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
 		number, _ := strconv.Atoi(n.Name[1:6])
-		if n.Entry.StartedAt != decision.StartedLongAgo {
-			n.Entry.StartedAt -= f.began
+		if n.Endpoint.StartedAt != decision.StartedLongAgo {
+			n.Endpoint.StartedAt -= f.began
 		}
-		if n.Entry.State == decision.Ready {
+		if n.Endpoint.State == decision.Ready {
 			delete(f.told, n.Name)
-			f.ids[number] = n.Entry.Node
+			f.ids[number] = n.Endpoint.Node
 		} else if _, told := f.told[n.Name]; !told {
 			f.told[n.Name] = f.now
 		}
--- a/internal/lab/play/trouble.go
+++ b/internal/lab/play/trouble.go
@@ -71,6 +71,6 @@
 	n.recent, n.sum = nil, 0
 	n.rep.at = n.now           // it took nothing over meanwhile
 	if len(n.w.workers) == 1 { // else nobody may look in
-		n.w.byID[discovery.ID(nodeName(n.n, n.start0))] = n
+		n.w.byID[discovery.IDOfName(nodeName(n.n, n.start0))] = n
 	}
 }
--- a/internal/lab/play/world.go
+++ b/internal/lab/play/world.go
@@ -117,7 +117,7 @@
 		n := newNode(w, i)
 		join(n, &n.self)
 		w.nodes = append(w.nodes, n)
-		w.byID[discovery.ID(nodeName(i, 0))] = n
+		w.byID[discovery.IDOfName(nodeName(i, 0))] = n
 	}
 	d.start()
 	for _, b := range brokers {
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -49,7 +49,7 @@
 	w := &World{boxes: map[decision.NodeID]*Box{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), terms: startTerms}
 	w.terms.BrokerCount = s.Brokers
 	warm := Warmth{From: 0.3, Over: 12 * time.Second, Multiple: 2, For: 2 * time.Second}
-	now := cachedlist.Moment(1_700_000_000_000)
+	now := cachedlist.Timestamp(1_700_000_000_000)
 	var entries []cachedlist.Entry
 	wrong := w.wrong(s.Nodes, int(s.Wrong*float64(s.Nodes)))
 	for i := range s.Nodes {
@@ -59,22 +59,22 @@
 			box.Began = 0
 		}
 		w.boxes[id(name)] = box
-		entries = append(entries, cachedlist.Entry{Name: name, Addr: anyAddr, Cell: box.Cell, Confirmed: now - cachedlist.Moment(s.Age.Milliseconds())})
+		entries = append(entries, cachedlist.Entry{Name: name, Address: anyAddr, Cell: box.Cell, ConfirmedAt: now - cachedlist.Timestamp(s.Age.Milliseconds())})
 	}
 	for k, i := range wrong { // gone, left behind, drained or changed hands, hanging
 		w.boxes[id(entries[i].Name)].Mode = []Mode{Dead, Vanished, Draining, Hanging}[k%4]
 	}
 	var brokers []*Broker
 	for range s.Brokers {
-		var judge *cachedlist.Judge
+		var judge *cachedlist.Evaluator
 		list := decision.Event{Kind: decision.FullListReceived}
 		b := w.broker(w.rnd.Uint64(), nil)
 		switch s.Policy {
 		case Weigh:
-			judge = cachedlist.NewJudge(cachedlist.Policy{HalfLife: 7 * 24 * time.Hour, Oldest: 30 * 24 * time.Hour, StrikeAt: 0.95,
-				Parole: 30 * time.Second}, cachedlist.NewBook(cachedlist.Head{}, append([]cachedlist.Entry(nil), entries...)), now)
+			judge = cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: 7 * 24 * time.Hour, MaxAge: 30 * 24 * time.Hour, EjectionThreshold: 0.95,
+				TrialInterval: 30 * time.Second}, cachedlist.NewEntryTable(cachedlist.Head{}, append([]cachedlist.Entry(nil), entries...)), now)
 			b.judge = judge
-			b.facts(judge.Begin(id))
+			b.facts(judge.Start(id))
 		case BelieveAll:
 			for _, e := range entries {
 				list.Endpoints = append(list.Endpoints, decision.Endpoint{Node: id(e.Name), Cell: e.Cell, State: decision.Ready, StartedAt: decision.StartedLongAgo})
--- a/internal/server/budgetlead.go
+++ b/internal/server/budgetlead.go
@@ -24,7 +24,7 @@
 
 // policyNode is what conditions may ask of a node.
 func policyNode(n discovery.Node) connpolicy.Node {
-	return connpolicy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Entry.Cell), Machine: n.Addr.Addr().String()}
+	return connpolicy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Endpoint.Cell), Machine: n.Address.Addr().String()}
 }
 
 // leaseGranting is the leader's side.
--- a/internal/server/cold_test.go
+++ b/internal/server/cold_test.go
@@ -18,8 +18,8 @@
 	warm := under.Module.WarmUpTime
 	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": decision.StartedLongAgo} {
 		n := nodeAt(name, decision.Ready)
-		n.Entry.StartedAt = boot
-		l.nodes[n.Entry.Node] = n
+		n.Endpoint.StartedAt = boot
+		l.nodes[n.Endpoint.Node] = n
 	}
 	for _, c := range []struct {
 		node string
@@ -32,7 +32,7 @@
 		{"new", time.Minute + warm, 2},
 		{"new", time.Minute + warm - 1, 4},
 	} {
-		l.countWarmingUp(&batch{discovery.ID(c.node), make([]*store.Part, 2)}, c.at)
+		l.countWarmingUp(&batch{discovery.IDOfName(c.node), make([]*store.Part, 2)}, c.at)
 		if l.controlPlane.warmingUpAttempts != c.want {
 			t.Errorf("%s at %v: %d parts sent to cold nodes, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
 		}
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -24,10 +24,10 @@
 	Start         time.Time
 	Sockets       int // descriptors
 	Carrier       store.Carrier
-	PollDiscovery func()            // discovery
-	SendGossip    func(text string) // other brokers
-	Log           func(text string) // what the module logs
-	CachedList    *cachedlist.Book  // the node list as last kept; nil: none is kept
+	PollDiscovery func()                 // discovery
+	SendGossip    func(text string)      // other brokers
+	Log           func(text string)      // what the module logs
+	CachedList    *cachedlist.EntryTable // the node list as last kept; nil: none is kept
 }
 
 // Core is one broker.
@@ -85,18 +85,18 @@
 	}
 	if a.CachedList != nil {
 		p := file.Start.Trust
-		judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: p.HalfLife, Oldest: p.Oldest, StrikeAt: p.StrikeAt, Parole: p.Parole},
-			a.CachedList, cachedlist.At(a.Start))
+		judge := cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: p.HalfLife, MaxAge: p.Oldest, EjectionThreshold: p.StrikeAt, TrialInterval: p.Parole},
+			a.CachedList, cachedlist.TimestampOf(a.Start))
 		reader := discovery.Reader{Zones: t.Zones}
-		l.cachedList = &cachedEndpointList{book: a.CachedList, judge: judge, store: func(cachedlist.Changes) {}, zone: reader.Zone,
+		l.cachedList = &cachedEndpointList{book: a.CachedList, judge: judge, store: func(cachedlist.Changes) {}, zone: reader.ZoneNumber,
 			maxEntries: file.Start.NodeList.MaxEntries, keepEnded: file.Start.NodeList.KeepEnded, start: a.Start}
-		list := &discovery.List{Whole: true}
-		for _, f := range judge.Begin(discovery.ID) {
+		list := &discovery.List{Full: true}
+		for _, f := range judge.Start(discovery.IDOfName) {
 			list.Nodes = append(list.Nodes, l.cachedList.node(f))
 		}
 		l.applyList(list)
 	} else {
-		l.applyList(&discovery.List{Whole: true})
+		l.applyList(&discovery.List{Full: true})
 	}
 	return &Core{l}, err
 }
--- a/internal/server/crew.go
+++ b/internal/server/crew.go
@@ -198,8 +198,8 @@
 	c := l.membership
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		w := gossip.EndpointUpdate{ListVersion: list.Version, DiscoveryID: c.shared.DiscoveryID, Node: n.Entry.Node, State: n.Entry.State, StartedAtMS: n.Started}
-		if c.shared.RecordLocal(w, list.Whole || !c.shareEndpoints) {
+		w := gossip.EndpointUpdate{ListVersion: list.Version, DiscoveryID: c.shared.DiscoveryID, Node: n.Endpoint.Node, State: n.Endpoint.State, StartedAtMS: n.StartedAtMS}
+		if c.shared.RecordLocal(w, list.Full || !c.shareEndpoints) {
 			c.broadcast(&w)
 		}
 	}
@@ -217,19 +217,19 @@
 // told, as if discovery had.
 func (l *loop) handleSharedEndpoint(w gossip.EndpointUpdate) {
 	n, known := l.nodes[w.Node]
-	if !l.membership.shared.Accept(w, known, n.Entry.State, n.Started) {
+	if !l.membership.shared.Accept(w, known, n.Endpoint.State, n.StartedAtMS) {
 		return
 	}
-	n.Entry.State = w.State
-	if w.StartedAtMS > n.Started {
-		n.Started = w.StartedAtMS
-		n.Entry.StartedAt = time.UnixMilli(w.StartedAtMS).Sub(l.start)
+	n.Endpoint.State = w.State
+	if w.StartedAtMS > n.StartedAtMS {
+		n.StartedAtMS = w.StartedAtMS
+		n.Endpoint.StartedAt = time.UnixMilli(w.StartedAtMS).Sub(l.start)
 	}
 	slog.Info("node by another broker's word", "node", n.Name, "state", w.State, "version", w.ListVersion)
 	l.applyList(&discovery.List{Version: w.ListVersion, Nodes: []discovery.Node{n}})
 	if l.cachedList != nil {
 		state := [...]cachedlist.State{decision.Draining: cachedlist.Draining, decision.Removed: cachedlist.Ended, decision.Ready: cachedlist.Ready}[w.State]
-		l.cachedList.judge.Word(n.Name, w.Node, state, cachedlist.Moment(n.Started), l.since())
+		l.cachedList.judge.ApplyGossip(n.Name, w.Node, state, cachedlist.Timestamp(n.StartedAtMS), l.since())
 	}
 	l.membership.broadcast(&w)
 }
--- a/internal/server/crew_test.go
+++ b/internal/server/crew_test.go
@@ -122,7 +122,7 @@
 		break
 	}
 	before := l.nodes[id]
-	l.shareList(&discovery.List{Version: 50, Whole: true, Nodes: []discovery.Node{before}})
+	l.shareList(&discovery.List{Version: 50, Full: true, Nodes: []discovery.Node{before}})
 	say := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
 		w := gossip.EndpointUpdate{ListVersion: version, DiscoveryID: service, Node: node, State: state, StartedAtMS: started}
 		l.handleNote(w.AppendTo([]byte{noteEndpoint}), l.since())
@@ -137,12 +137,12 @@
 		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.shared.Counts)
 	}
 	say(51, l.membership.shared.DiscoveryID, id, decision.Draining, 0)
-	if n := l.nodes[id]; n.Entry.State != decision.Draining || n.Addr != before.Addr || l.membership.shared.Counts.Accepted != 1 {
+	if n := l.nodes[id]; n.Endpoint.State != decision.Draining || n.Address != before.Address || l.membership.shared.Counts.Accepted != 1 {
 		t.Errorf("%+v, %+v", n, l.membership.shared.Counts)
 	}
 	say(51, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // of the same version: it was heard already
 	say(52, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // nothing makes a draining process ready again
-	if n := l.nodes[id]; n.Entry.State != decision.Draining {
+	if n := l.nodes[id]; n.Endpoint.State != decision.Draining {
 		t.Errorf("%+v", n)
 	}
 	say(53, l.membership.shared.DiscoveryID, id, decision.Removed, time.Now().UnixMilli())
@@ -160,8 +160,8 @@
 		break
 	}
 	n := old.nodes[id]
-	old.shareList(&discovery.List{Version: 60, Whole: true, Nodes: []discovery.Node{n}})
-	n.Entry.State = decision.Draining
+	old.shareList(&discovery.List{Version: 60, Full: true, Nodes: []discovery.Node{n}})
+	n.Endpoint.State = decision.Draining
 	gone := &discovery.List{Version: 61, Nodes: []discovery.Node{n}}
 	old.applyList(gone)
 	old.shareList(gone)
@@ -180,7 +180,7 @@
 		}
 		*sent, *answers = nil, nil
 	}
-	if got := late.nodes[id]; got.Entry.State != decision.Draining || late.membership.shared.Counts.Accepted != 1 {
+	if got := late.nodes[id]; got.Endpoint.State != decision.Draining || late.membership.shared.Counts.Accepted != 1 {
 		t.Errorf("%+v, %+v; %v", got, late.membership.shared.Counts, late.membership.members.All())
 	}
 }
--- a/internal/server/drains.go
+++ b/internal/server/drains.go
@@ -68,7 +68,7 @@
 			a.drains[d.Node] = have
 			slog.Info("node drained by agreement", "node", d.Node, "number", d.Number)
 			if n, known := l.nodes[d.Node]; known {
-				changed = append(changed, l.withAgreedDrain(n.Entry))
+				changed = append(changed, l.withAgreedDrain(n.Endpoint))
 			}
 		}
 		have.acked = d.Acked
@@ -78,7 +78,7 @@
 			delete(a.drains, id)
 			slog.Info("agreed drain of a node ended", "node", id)
 			if n, known := l.nodes[id]; known {
-				changed = append(changed, n.Entry)
+				changed = append(changed, n.Endpoint)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 // countWarmingUp counts what is sent to a node that has just started, for the gates of a release: a version that loads cold nodes more than
 // the others do pushes them over, which no count of searches shows in time.
 func (l *loop) countWarmingUp(c *batch, now time.Duration) {
-	if n, known := l.nodes[c.node]; known && now-l.settings.Module.WarmUpTime < n.Entry.StartedAt {
+	if n, known := l.nodes[c.node]; known && now-l.settings.Module.WarmUpTime < n.Endpoint.StartedAt {
 		l.controlPlane.warmingUpAttempts += uint64(len(c.attempts))
 	}
 }
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -37,7 +37,7 @@
 }
 
 func nodeAt(name string, state decision.EndpointState) discovery.Node {
-	return discovery.Node{Name: name, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Entry: decision.Endpoint{Node: discovery.ID(name), State: state}}
+	return discovery.Node{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: decision.Endpoint{Node: discovery.IDOfName(name), State: state}}
 }
 
 // An agreed drain lies over what discovery says, is acknowledged once nothing is out, lets nothing through from then on, and gives
@@ -65,8 +65,8 @@
 		}
 		var acks []uint64
 		l.controlPlane.proposeAck = func(_ decision.NodeID, number uint64) { acks = append(acks, number) }
-		a, b := discovery.ID("a"), discovery.ID("b")
-		l.handleList(&discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
+		a, b := discovery.IDOfName("a"), discovery.IDOfName("b")
+		l.handleList(&discovery.List{Full: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
 		m.to = a
 		admit := func(id string) *activeQuery {
 			s := &activeQuery{Request: &query.Request{ID: id, Shards: []query.ShardRequest{{Name: id + ".0", Weight: 1}}}, deadline: l.since() + 5*time.Second,
--- a/internal/server/epoch.go
+++ b/internal/server/epoch.go
@@ -38,9 +38,9 @@
 	have := &endpointSnapshot{names: map[decision.NodeID]string{}, ids: map[string]decision.NodeID{}}
 	have.Ready, have.StableSince, have.Confirmed = map[decision.NodeID]bool{}, l.since(), l.counters.ListsTaken > 0 && !l.pollFailed
 	for id, n := range l.nodes {
-		have.Nodes = append(have.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Entry.Cell, l.settings)})
-		have.names[id], have.ids[n.Name], have.ids[n.Addr.String()] = n.Name, id, id
-		have.Ready[id] = n.Entry.State == decision.Ready
+		have.Nodes = append(have.Nodes, statemachine.NodeInfo{Node: id, Zone: n.Zone, Shards: shardsOfCell(n.Endpoint.Cell, l.settings)})
+		have.names[id], have.ids[n.Name], have.ids[n.Address.String()] = n.Name, id, id
+		have.Ready[id] = n.Endpoint.State == decision.Ready
 	}
 	slices.SortFunc(have.Nodes, func(a, b statemachine.NodeInfo) int { return statemachine.CompareNodes(a.Node, b.Node) })
 	if was := to.Load(); was != nil {
--- a/internal/server/epoch_test.go
+++ b/internal/server/epoch_test.go
@@ -24,7 +24,7 @@
 	l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
 	look := epochProposals(l.controlPlane.endpoints)
 	proposed := func() int { return len(look(controlplane.LeaderContext{State: statemachine.New(), Now: now})) }
-	list := discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
+	list := discovery.List{Full: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
 	l.applyList(&list) // of the configuration
 	if now += time.Minute; proposed() != 0 {
 		t.Error("the list of an earlier life was proposed")
--- a/internal/server/list.go
+++ b/internal/server/list.go
@@ -20,13 +20,13 @@
 			l.publishEndpoints(l.controlPlane.endpoints)
 		}
 		if l.cachedList != nil {
-			l.cachedList.judge.Failed()
+			l.cachedList.judge.DiscoveryFailed()
 		}
 		slog.Info("list not had", "error", err, "what_to_do", remedy.Of(err))
 		l.events = append(l.events, decision.Event{Kind: decision.ListPollFailed})
 		return
 	}
-	if list.Cells != 0 && list.Cells != l.cells {
+	if list.CellCount != 0 && list.CellCount != l.cells {
 		return // read before the layout changed; the whole list of the new one is asked for
 	}
 	l.counters.ListsTaken++
@@ -43,35 +43,35 @@
 func (l *loop) applyList(list *discovery.List) {
 	e := decision.Event{Kind: decision.ListUpdateReceived}
 	named := map[decision.NodeID]bool{}
-	if list.Whole {
+	if list.Full {
 		e.Kind = decision.FullListReceived
 	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		id := n.Entry.Node
+		id := n.Endpoint.Node
 		last, known := l.nodes[id]
 		if known && last.Name != n.Name {
 			slog.Error("two nodes share an id", "node", n.Name, "other", last.Name)
 			continue
 		}
-		e.Endpoints = append(e.Endpoints, l.withAgreedDrain(n.Entry))
+		e.Endpoints = append(e.Endpoints, l.withAgreedDrain(n.Endpoint))
 		named[id] = true
-		if n.Entry.State == decision.Removed {
+		if n.Endpoint.State == decision.Removed {
 			delete(l.nodes, id)
 			l.pool.Drop(id)
 		} else {
 			l.nodes[id] = *n
-			l.pool.Point(id, n.Name, n.Addr, n.Entry.StartedAt)
+			l.pool.Point(id, n.Name, n.Address, n.Endpoint.StartedAt)
 			if e.Endpoints[len(e.Endpoints)-1].State != decision.Ready {
 				l.pool.Withhold(id)
 			}
 		}
 		if !known || last != *n {
-			slog.Info("node listed", "node", n.Name, "id", id, "addr", n.Addr, "state", n.Entry.State,
-				"zone", n.Entry.Zone, "cell", n.Entry.Cell)
+			slog.Info("node listed", "node", n.Name, "id", id, "addr", n.Address, "state", n.Endpoint.State,
+				"zone", n.Endpoint.Zone, "cell", n.Endpoint.Cell)
 		}
 	}
-	if list.Whole {
+	if list.Full {
 		var unlisted []discovery.Node
 		for id, n := range l.nodes {
 			if !named[id] {
@@ -80,13 +80,13 @@
 		}
 		slices.SortFunc(unlisted, func(a, b discovery.Node) int { return strings.Compare(a.Name, b.Name) })
 		for _, n := range unlisted {
-			slog.Info("node unlisted", "node", n.Name, "id", n.Entry.Node)
-			delete(l.nodes, n.Entry.Node)
-			l.pool.Drop(n.Entry.Node)
+			slog.Info("node unlisted", "node", n.Name, "id", n.Endpoint.Node)
+			delete(l.nodes, n.Endpoint.Node)
+			l.pool.Drop(n.Endpoint.Node)
 		}
 	}
 	if l.readPins != nil {
-		l.readPins.positions.UpdateEndpoints(l.since(), list.Whole, e.Endpoints)
+		l.readPins.positions.UpdateEndpoints(l.since(), list.Full, e.Endpoints)
 	}
 	l.events = append(l.events, e)
 	if l.controlPlane != nil {
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -121,7 +121,7 @@
 			case <-ctx.Done():
 			}
 		}, l.attemptEnded)
-	l.handleList(&discovery.List{Whole: true, Nodes: w.nodes}, nil)
+	l.handleList(&discovery.List{Full: true, Nodes: w.nodes}, nil)
 	ended := make(chan struct{})
 	go func() {
 		l.run(ctx)
@@ -135,12 +135,12 @@
 			l.inbox <- listReceived{err: io.EOF}
 		case 1:
 			node := &w.nodes[w.rnd.IntN(len(w.nodes))]
-			node.Entry.State = decision.EndpointState(w.rnd.IntN(3))
-			if node.Entry.State == decision.Ready {
-				delete(w.downAt, node.Addr.String())
-				node.Entry.StartedAt = l.since() - time.Second
-			} else if _, down := w.downAt[node.Addr.String()]; !down {
-				w.downAt[node.Addr.String()] = l.since()
+			node.Endpoint.State = decision.EndpointState(w.rnd.IntN(3))
+			if node.Endpoint.State == decision.Ready {
+				delete(w.downAt, node.Address.String())
+				node.Endpoint.StartedAt = l.since() - time.Second
+			} else if _, down := w.downAt[node.Address.String()]; !down {
+				w.downAt[node.Address.String()] = l.since()
 			}
 			l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{*node}}}
 		case 2:
@@ -148,16 +148,16 @@
 		case 3: // a node is replaced under a new id, which a whole list from elsewhere tells, or the changes
 			i := w.rnd.IntN(len(w.nodes))
 			old := w.nodes[i]
-			old.Entry.State = decision.Removed
-			w.downAt[old.Addr.String()] = l.since()
+			old.Endpoint.State = decision.Removed
+			w.downAt[old.Address.String()] = l.since()
 			node := &w.nodes[i]
 			node.Name = fmt.Sprint("t-", n)
-			node.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(1 + n), byte(i)}), 80)
-			node.Entry.Node, node.Entry.State, node.Entry.StartedAt = discovery.ID(node.Name), decision.Ready, l.since()
+			node.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(1 + n), byte(i)}), 80)
+			node.Endpoint.Node, node.Endpoint.State, node.Endpoint.StartedAt = discovery.IDOfName(node.Name), decision.Ready, l.since()
 			if w.rnd.IntN(2) == 0 {
 				l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{old, *node}}}
 			} else {
-				l.inbox <- listReceived{list: &discovery.List{Whole: true, Nodes: slices.Clone(w.nodes)}}
+				l.inbox <- listReceived{list: &discovery.List{Full: true, Nodes: slices.Clone(w.nodes)}}
 			}
 		default:
 			w.client(n, w.rnd.IntN(2), w.rnd.IntN(8) == 0)
@@ -178,7 +178,7 @@
 	}
 	listing := 0 // what the loop still keeps of nodes
 	for i := range w.nodes {
-		if _, kept := l.nodes[w.nodes[i].Entry.Node]; kept {
+		if _, kept := l.nodes[w.nodes[i].Endpoint.Node]; kept {
 			listing++
 		}
 	}
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -112,10 +112,10 @@
 	for i := range 2 {
 		name := fmt.Sprint("s-", i)
 		n := nodeAt(name, decision.Ready)
-		n.Entry.StartedAt = decision.StartedLongAgo
+		n.Endpoint.StartedAt = decision.StartedLongAgo
 		o.nodes = append(o.nodes, n)
 	}
-	o.core.HandleList(&discovery.List{Whole: true, Nodes: slices.Clone(o.nodes)}, nil)
+	o.core.HandleList(&discovery.List{Full: true, Nodes: slices.Clone(o.nodes)}, nil)
 	o.core.Step()
 	return o
 }
@@ -179,15 +179,15 @@
 	n := *o.busy()
 	switch h {
 	case drained:
-		n.Entry.State = decision.Draining
+		n.Endpoint.State = decision.Draining
 		o.barred[n.Name] = true
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	case unlisted:
 		others := slices.DeleteFunc(slices.Clone(o.nodes), func(x discovery.Node) bool { return x.Name == n.Name })
 		o.barred = map[string]bool{n.Name: true} // the others are named as in service
-		o.core.HandleList(&discovery.List{Whole: true, Nodes: others}, nil)
+		o.core.HandleList(&discovery.List{Full: true, Nodes: others}, nil)
 	case restarted:
-		n.Entry.StartedAt = max(1, o.now)
+		n.Endpoint.StartedAt = max(1, o.now)
 		delete(o.barred, n.Name) // it serves again
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -29,7 +29,7 @@
 	if list, err = reader.Decode(start.Known); err != nil {
 		return nil, false, fmt.Errorf("configuration: known: %w", err)
 	}
-	list.Whole = true
+	list.Full = true
 	return list, true, nil
 }
 
@@ -41,7 +41,7 @@
 	var known bool
 	var reader discovery.Reader
 	if err == nil {
-		reader = discovery.Reader{Zones: start.Terms.Zones, Cells: start.Terms.Module.Cells, Start: s.loop.start}
+		reader = discovery.Reader{Zones: start.Terms.Zones, CellCount: start.Terms.Module.Cells, StartedAt: s.loop.start}
 		list, known, err = checkConfiguration(start, reader)
 	}
 	if err != nil {
@@ -53,7 +53,7 @@
 	fixed := have.Differs(start)
 	at := slices.Index(fixed, "settings")
 	switched := at >= 0 && s.canReconfigure(&start.Terms)
-	var asked *discovery.Terms
+	var asked *discovery.Settings
 	if switched {
 		fixed = slices.Delete(fixed, at, at+1)
 		elsewhere := s.discoveryAddress != start.Discovery && !slices.Equal(have.Terms.Types, start.Terms.Types)
@@ -63,12 +63,12 @@
 		}
 		s.reconfigure(&start.Terms, moved, list)
 		if moved || have.Terms.AskEvery != start.Terms.AskEvery || have.Terms.Pushed != start.Terms.Pushed {
-			asked = &discovery.Terms{Reader: reader, Wait: start.Terms.AskEvery, Pushed: start.Terms.Pushed}
+			asked = &discovery.Settings{Reader: reader, MaxWatchTime: start.Terms.AskEvery, LocalAgent: start.Terms.Pushed}
 		}
 	}
 	if fixed = append(fixed, s.operator.Differs(file)...); s.discoveryAddress != start.Discovery || asked != nil {
 		s.discoveryAddress = start.Discovery
-		s.discoveryClient.Move(start.Discovery.String(), asked)
+		s.discoveryClient.ChangeAddress(start.Discovery.String(), asked)
 	}
 	if s.siteKeys != nil {
 		if err := s.siteKeys.Reload(); err != nil {
--- a/internal/server/saved.go
+++ b/internal/server/saved.go
@@ -15,8 +15,8 @@
 
 // cachedEndpointList is the loop's part of it.
 type cachedEndpointList struct {
-	book       *cachedlist.Book
-	judge      *cachedlist.Judge
+	book       *cachedlist.EntryTable
+	judge      *cachedlist.Evaluator
 	store      func(cachedlist.Changes)
 	zone       func(name string) int
 	maxEntries int
@@ -37,26 +37,26 @@
 	store, content := nodelist.Open(nodelist.Options{Directory: o.NodeList.Directory, Deployment: t.Fingerprint(),
 		WriteInterval: o.NodeList.SaveEvery})
 	s.listStore = store
-	book := cachedlist.NewBook(content.Head, content.Unsorted())
-	now := cachedlist.At(s.loop.start)
+	book := cachedlist.NewEntryTable(content.Head, content.Unsorted())
+	now := cachedlist.TimestampOf(s.loop.start)
 	if s.listGiven {
-		book.Merge(bookList(s.initialList, s.discoveryAddress.String()), now)
+		book.MergeConfigured(bookList(s.initialList, s.discoveryAddress.String()), now)
 	}
-	book.Bound(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
-	judge := cachedlist.NewJudge(cachedlist.Policy{HalfLife: o.Trust.HalfLife, Oldest: o.Trust.Oldest, StrikeAt: o.Trust.StrikeAt,
-		Parole: o.Trust.Parole}, book, now)
-	list := &discovery.List{Whole: true}
-	s.loop.cachedList = &cachedEndpointList{book: book, judge: judge, store: store.Enqueue, zone: s.reader.Zone, maxEntries: o.NodeList.MaxEntries,
+	book.Evict(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
+	judge := cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: o.Trust.HalfLife, MaxAge: o.Trust.Oldest, EjectionThreshold: o.Trust.StrikeAt,
+		TrialInterval: o.Trust.Parole}, book, now)
+	list := &discovery.List{Full: true}
+	s.loop.cachedList = &cachedEndpointList{book: book, judge: judge, store: store.Enqueue, zone: s.reader.ZoneNumber, maxEntries: o.NodeList.MaxEntries,
 		keepEnded: o.NodeList.KeepEnded, start: s.loop.start}
-	for _, f := range judge.Begin(discovery.ID) {
+	for _, f := range judge.Start(discovery.IDOfName) {
 		list.Nodes = append(list.Nodes, s.loop.cachedList.node(f))
 	}
 	s.initialList = list
-	pace := cachedlist.NewPacer(cachedlist.Pace{KnockEvery: o.Discovery.KnockEvery, PerCall: o.Discovery.PerCall,
-		MostDelay: o.Discovery.MostDelay, Brokers: t.Module.BrokerCount}, t.Module.Seed)
+	pace := cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: o.Discovery.KnockEvery, PollCost: o.Discovery.PerCall,
+		MaxPollDelay: o.Discovery.MostDelay, BrokerCount: t.Module.BrokerCount}, t.Module.Seed)
 	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.discoveryAddress.String()
-	s.discoveryClient.Pace(pace, content.Head.Generation, resume)
-	c := judge.Picture(0)
+	s.discoveryClient.UseBackoff(pace, content.Head.Generation, resume)
+	c := judge.Snapshot(0)
 	slog.Info("saved node list", "dir", o.NodeList.Directory, "found", content.Found, "entries", book.Len(),
 		"used", c.Doubtful, "barred", c.Barred, "age", c.ListAge.Round(time.Second), "service", content.Head.Service,
 		"generation", content.Head.Generation, "read_in", time.Since(began).Round(time.Millisecond))
@@ -64,11 +64,11 @@
 
 // bookList is a list as the book takes it.
 func bookList(list *discovery.List, service string) cachedlist.List {
-	l := cachedlist.List{Service: service, Generation: list.Version, Whole: list.Whole}
+	l := cachedlist.List{Service: service, Generation: list.Version, Full: list.Full}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		e := cachedlist.Entry{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Cell: n.Entry.Cell, Started: cachedlist.Moment(n.Started)}
-		switch n.Entry.State {
+		e := cachedlist.Entry{Name: n.Name, Address: n.Address, Zone: n.Zone, Cell: n.Endpoint.Cell, StartedAt: cachedlist.Timestamp(n.StartedAtMS)}
+		switch n.Endpoint.State {
 		case decision.Draining:
 			e.State = cachedlist.Draining
 		case decision.Removed:
@@ -80,16 +80,16 @@
 }
 
 // node is a fact as a line of the list. One that is not to be used is told as draining: it gets nothing new.
-func (s *cachedEndpointList) node(f cachedlist.Fact) discovery.Node {
+func (s *cachedEndpointList) node(f cachedlist.EndpointUpdate) discovery.Node {
 	e := &f.Entry
-	n := discovery.Node{Name: e.Name, Addr: e.Addr, Zone: e.Zone, Started: int64(e.Started),
-		Entry: decision.Endpoint{Node: f.ID, Cell: e.Cell, Zone: s.zone(e.Zone), State: decision.Ready, StartedAt: decision.StartedLongAgo,
-			Unconfirmed: f.Eased}}
-	if !f.Use {
-		n.Entry.State = decision.Draining
+	n := discovery.Node{Name: e.Name, Address: e.Address, Zone: e.Zone, StartedAtMS: int64(e.StartedAt),
+		Endpoint: decision.Endpoint{Node: f.ID, Cell: e.Cell, Zone: s.zone(e.Zone), State: decision.Ready, StartedAt: decision.StartedLongAgo,
+			Unconfirmed: f.SlowStart}}
+	if !f.Usable {
+		n.Endpoint.State = decision.Draining
 	}
-	if e.Started > 0 {
-		n.Entry.StartedAt = e.Started.Time().Sub(s.start)
+	if e.StartedAt > 0 {
+		n.Endpoint.StartedAt = e.StartedAt.Time().Sub(s.start)
 	}
 	return n
 }
@@ -97,12 +97,12 @@
 // confirmList takes discovery's word into the book; the module has it already.
 func (l *loop) confirmList(list *discovery.List) {
 	s, now := l.cachedList, l.since()
-	ended, of := s.judge.Listed(bookList(list, list.Service), discovery.ID, now)
-	if list.Whole && endedWarningFactor*ended > of {
+	ended, of := s.judge.ApplyList(bookList(list, list.Service), discovery.IDOfName, now)
+	if list.Full && endedWarningFactor*ended > of {
 		slog.Warn("discovery's whole list lacks most nodes; it is taken as it is", "ended", ended, "of", of,
 			"listed", len(list.Nodes), "service", list.Service, "generation", list.Version)
 	}
-	if n := s.book.Bound(s.maxEntries, s.keepEnded, cachedlist.At(s.start.Add(now))); n > 0 {
+	if n := s.book.Evict(s.maxEntries, s.keepEnded, cachedlist.TimestampOf(s.start.Add(now))); n > 0 {
 		slog.Info("entries dropped from the saved node list", "entries", n)
 	}
 	s.nextStore = now
@@ -119,12 +119,12 @@
 		}
 		l.applyList(list)
 	}
-	for _, line := range s.judge.Lines() {
+	for _, line := range s.judge.CollectLogLines() {
 		slog.Info("saved node list", "verdict", line, "at", now.Round(time.Millisecond))
 	}
 	if now >= s.nextStore {
 		s.nextStore = now + storeInterval
-		if c, any := s.book.Changes(); any {
+		if c, any := s.book.CollectChanges(); any {
 			s.store(c)
 		}
 	}
@@ -134,7 +134,7 @@
 // handleOperatorRequest carries out what an operator asked of a broker that runs.
 func (l *loop) handleOperatorRequest(a nodelist.OperatorRequest) {
 	s := l.cachedList
-	took, dropped := s.judge.Import(a.Import, discovery.ID, l.since()), s.judge.Forget(a.Forget, discovery.ID)
+	took, dropped := s.judge.Import(a.Import, discovery.IDOfName, l.since()), s.judge.Forget(a.Forget, discovery.IDOfName)
 	s.nextStore = l.since()
 	slog.Info("saved node list", "asked", "by an operator", "imported", took, "forgotten", dropped)
 }
--- a/internal/server/saved_test.go
+++ b/internal/server/saved_test.go
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	moved := c.Entries["node-00000001"]
-	moved.Name, moved.Told = "node-new", moved.Told+1
+	moved.Name, moved.StateSince = "node-new", moved.StateSince+1
 	ask := nodelist.OperatorRequest{Forget: []string{"node-00000001"}, Import: c.SortedByName()[:0:0]}
 	ask.Import = append(ask.Import, moved)
 	if err := nodelist.SubmitRequest(filesystem.Local{}, k.dir, c.Head.Deployment, ask, time.Now()); err != nil {
@@ -205,8 +205,8 @@
 	}
 	var entries []cachedlist.Entry
 	for i := range 100_000 {
-		entries = append(entries, cachedlist.Entry{Name: fmt.Sprintf("node-%08x", i), Addr: start.Discovery, Zone: "a", Cell: i % 100,
-			Confirmed: cachedlist.At(time.Now())})
+		entries = append(entries, cachedlist.Entry{Name: fmt.Sprintf("node-%08x", i), Address: start.Discovery, Zone: "a", Cell: i % 100,
+			ConfirmedAt: cachedlist.TimestampOf(time.Now())})
 	}
 	kept, _ := nodelist.Open(nodelist.Options{Directory: dir, Deployment: start.Terms.Fingerprint()})
 	kept.Enqueue(cachedlist.Changes{Put: entries})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -91,7 +91,7 @@
 	s.settings.Store(t)
 	s.loop = newLoop(time.Now(), newModule(t.Module), &t.Module)
 	s.loop.settings = t
-	s.reader = discovery.Reader{Zones: t.Zones, Cells: t.Module.Cells, Start: s.loop.start}
+	s.reader = discovery.Reader{Zones: t.Zones, CellCount: t.Module.Cells, StartedAt: s.loop.start}
 	var err error
 	if s.initialList, s.listGiven, err = checkConfiguration(start, s.reader); err != nil {
 		return nil, err
@@ -102,9 +102,9 @@
 	s.discoveryClient = discovery.NewClient(start.Discovery.String(), s.reader, t.AskEvery, s.initialList.Version, s.listGiven,
 		func(list *discovery.List, err error) { s.deliver(listReceived{list, err}) })
 	if t.Pushed {
-		s.discoveryClient.Pushed()
+		s.discoveryClient.UseLocalAgent()
 	}
-	s.loop.pollDiscovery = s.discoveryClient.Ask
+	s.loop.pollDiscovery = s.discoveryClient.Poll
 	if file.Door.On {
 		if s.loop.admission, err = newAdmissionControl(&file.Door, t); err != nil {
 			return nil, err
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -96,7 +96,7 @@
 	case countersRequested:
 		t := l.counters
 		if l.cachedList != nil {
-			c := l.cachedList.judge.Picture(l.since())
+			c := l.cachedList.judge.Snapshot(l.since())
 			t.Trust = &c
 		}
 		t.Store, t.Nodes, t.NodeConns, t.Out = l.pool.Counts, l.pool.Nodes(), l.pool.Open(), l.pool.Out()
@@ -126,7 +126,7 @@
 // is in hand ends by them. Where shards or nodes are others now, the nodes known so far get nothing more.
 func (l *loop) applySettings(d settingsChanged) {
 	if d.moved {
-		l.applyList(&discovery.List{Whole: true})
+		l.applyList(&discovery.List{Full: true})
 	}
 	if len(l.events) > 0 {
 		l.stepRouter(l.since())
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -139,7 +139,7 @@
 	l.events = append(l.events, decision.Event{Kind: decision.AttemptEnded, ID: t.Part, Attempt: t.Attempt, Outcome: how,
 		Elapsed: took, Node: t.Node})
 	if l.cachedList != nil {
-		l.cachedList.judge.Showed(t.Node, how, took, l.since())
+		l.cachedList.judge.RecordOutcome(t.Node, how, took, l.since())
 	}
 }
 
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -200,8 +200,8 @@
 	for i := range 8 {
 		name := fmt.Sprint("s-", i)
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 80)
-		w.nodes = append(w.nodes, discovery.Node{Name: name, Addr: addr, Entry: decision.Endpoint{
-			Node: discovery.ID(name), Cell: i % 2, Zone: i / 4, State: decision.Ready, StartedAt: decision.StartedLongAgo}})
+		w.nodes = append(w.nodes, discovery.Node{Name: name, Address: addr, Endpoint: decision.Endpoint{
+			Node: discovery.IDOfName(name), Cell: i % 2, Zone: i / 4, State: decision.Ready, StartedAt: decision.StartedLongAgo}})
 	}
 	return w
 }
