--- /dev/null
+++ b/internal/decision/cachedlist/polling_golden_test.go
@@ -0,0 +1,57 @@
+package cachedlist
+
+import (
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// playPolling plays pseudo-random polls that are answered, hedged, given up, refused and backed off, and digests each time that is drawn.
+func playPolling(seed uint64) uint64 {
+	rnd := rand.New(rand.NewPCG(seed, 11))
+	digest := fnv.New64a()
+	print := func(values ...any) { fmt.Fprintln(digest, values...) }
+	span := func(below time.Duration) time.Duration { return time.Duration(rnd.Int64N(int64(below))) }
+	draw := Jitter(func(below time.Duration) time.Duration {
+		print("below", int64(below))
+		return span(below)
+	})
+	pacer := NewBackoff(BackoffSettings{ConnectInterval: 1 + span(time.Second), PollCost: span(5 * time.Millisecond), MaxPollDelay: span(time.Second), BrokerCount: rnd.IntN(300)},
+		rnd.Uint64())
+	for range 100 {
+		switch rnd.IntN(9) {
+		case 0:
+			p := draw.WatchTimeouts([]time.Duration{0, 1, span(time.Second), span(10 * time.Second), time.Minute}[rnd.IntN(5)])
+			print("watch", int64(p.WatchTime), int64(p.HedgeDelay), int64(p.Timeout))
+		case 1:
+			p := draw.PollTimeouts()
+			print("look", int64(p.WatchTime), int64(p.HedgeDelay), int64(p.Timeout))
+		case 2, 3, 4:
+			f := PollFailure{ConnectionLost: rnd.IntN(4) == 0, LocalAgent: rnd.IntN(4) == 0, SinceMove: span(8 * time.Second), Duration: span(time.Second)}
+			if rnd.IntN(10) == 0 {
+				f.SinceMove = MaxNotificationDelayAfterMove
+			}
+			pause, again := draw.RetryDelay(f)
+			print("again", int64(pause), again)
+		case 5:
+			print("knock", int64(pacer.ConnectDelay()))
+		case 6:
+			print("door", int64(pacer.FirstPollDelay()))
+		case 7:
+			print("jammed", int64(pacer.PollFailed()))
+		case 8:
+			if rnd.IntN(4) == 0 {
+				pacer.PollSucceeded()
+			}
+		}
+		print("limit", int64(pacer.PollTimeout()))
+	}
+	print(int64(MaxNotificationDelay), int64(MaxNotificationDelayAfterWatch), int64(MaxNotificationDelayAfterMove), int64(MaxWatchTime), int64(AgentRetryInterval))
+	return digest.Sum64()
+}
+
+func TestPollingSequencesAreAsRecorded(t *testing.T) {
+	compareWithGolden(t, "testdata/polling.golden", 500, playPolling)
+}
