--- a/internal/decision/cachedlist/course_test.go
+++ b/internal/decision/cachedlist/course_test.go
@@ -1,6 +1,6 @@
 package cachedlist
 
-// This file tests random courses of the book, the pacer, and cost.
+// This file tests random courses of the book, and cost.
 
 import (
 	"fmt"
@@ -152,39 +152,6 @@
 	})
 }
 
-// Knocks come often, calls to a service that does not answer ever more rarely, and an answer ends that.
-func TestPacer(t *testing.T) {
-	pace := BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond, MaxPollDelay: 500 * time.Millisecond, BrokerCount: 100}
-	p := NewBackoff(pace, 7)
-	for range 1000 {
-		if k, d := p.ConnectDelay(), p.FirstPollDelay(); k < 100*time.Millisecond || k > 300*time.Millisecond || d < 0 || d > 200*time.Millisecond {
-			t.Fatalf("knock after %v, call %v later", k, d)
-		}
-	}
-	last := time.Duration(0)
-	for range 10 {
-		if w := p.PollFailed(); w < last/2 || w > jamMost {
-			t.Fatalf("left alone for %v after %v", w, last)
-		} else {
-			last = w
-		}
-	}
-	if p.PollTimeout() != limitMost {
-		t.Errorf("a call may take %v", p.PollTimeout())
-	}
-	p.PollSucceeded()
-	if p.PollTimeout() != limitFirst || p.PollFailed() > jamFirst {
-		t.Error("not forgotten")
-	}
-	q, apart := NewBackoff(pace, 8), false
-	for range 2 {
-		apart = apart || p.ConnectDelay() != q.ConnectDelay()
-	}
-	if !apart {
-		t.Error("two brokers in step")
-	}
-}
-
 // What a turn costs does not grow with the list.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{100, 100_000} {
--- a/internal/decision/cachedlist/golden_test.go
+++ b/internal/decision/cachedlist/golden_test.go
@@ -227,6 +227,6 @@
 	}
 }
 
-func TestListSequencesAreAsRecorded(t *testing.T) {
+func TestSequencesAreAsRecorded(t *testing.T) {
 	compareWithGolden(t, "testdata/sequences.golden", 1500, playList)
 }
--- a/internal/decision/cachedlist/polling_golden_test.go
+++ b/internal/decision/polling/golden_test.go
@@ -1,13 +1,18 @@
-package cachedlist
+package polling
 
 import (
+	"flag"
 	"fmt"
 	"hash/fnv"
 	"math/rand/v2"
+	"os"
+	"strings"
 	"testing"
 	"time"
 )
 
+var record = flag.Bool("record", false, "write the golden file instead of comparing with it")
+
 // playPolling plays pseudo-random polls that are answered, hedged, given up, refused and backed off, and digests each time that is drawn.
 func playPolling(seed uint64) uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 11))
@@ -29,7 +34,7 @@
 			p := draw.PollTimeouts()
 			print("look", int64(p.WatchTime), int64(p.HedgeDelay), int64(p.Timeout))
 		case 2, 3, 4:
-			f := PollFailure{ConnectionLost: rnd.IntN(4) == 0, LocalAgent: rnd.IntN(4) == 0, SinceMove: span(8 * time.Second), Duration: span(time.Second)}
+			f := Failure{ConnectionLost: rnd.IntN(4) == 0, LocalAgent: rnd.IntN(4) == 0, SinceMove: span(8 * time.Second), Duration: span(time.Second)}
 			if rnd.IntN(10) == 0 {
 				f.SinceMove = MaxNotificationDelayAfterMove
 			}
@@ -52,6 +57,33 @@
 	return digest.Sum64()
 }
 
-func TestPollingSequencesAreAsRecorded(t *testing.T) {
-	compareWithGolden(t, "testdata/polling.golden", 500, playPolling)
+// compareWithGolden compares the digests of a number of sequences with the file that holds those of commit 1a4b6be.
+func compareWithGolden(t *testing.T, file string, sequences uint64, play func(seed uint64) uint64) {
+	t.Helper()
+	var lines []string
+	for seed := range sequences {
+		lines = append(lines, fmt.Sprintf("%d %016x", seed, play(seed)))
+	}
+	text := strings.Join(lines, "\n") + "\n"
+	if *record {
+		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, line := range strings.Split(string(want), "\n") {
+		if i < len(lines) && lines[i] != line {
+			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+		}
+	}
+	if string(want) != text {
+		t.Error("the file has another number of sequences")
+	}
+}
+
+func TestSequencesAreAsRecorded(t *testing.T) {
+	compareWithGolden(t, "testdata/sequences.golden", 500, playPolling)
 }
--- /dev/null
+++ b/internal/decision/polling/timeouts_test.go
@@ -0,0 +1,41 @@
+package polling
+
+import (
+	"testing"
+	"time"
+)
+
+// Whatever is drawn, an overdue watch is noticed with time left for an answer that waits its turn, a hedge goes out before its request is
+// given up, and a failed request is made again only where it may be, after a delay within its bounds.
+func TestTimeoutsLeaveTimeToNotify(t *testing.T) {
+	const latestWatchHedge = MaxNotificationDelay - MaxNotificationDelayAfterWatch
+	for _, share := range []float64{0, 0.5, 0.999} {
+		jitter := Jitter(func(below time.Duration) time.Duration { return time.Duration(share * float64(below)) })
+		for _, maxWatchTime := range []time.Duration{time.Second, 4 * time.Second, time.Minute} {
+			w := jitter.WatchTimeouts(maxWatchTime)
+			if w.WatchTime <= 0 || w.WatchTime > min(maxWatchTime, MaxWatchTime) || w.HedgeDelay >= w.Timeout || w.HedgeDelay > latestWatchHedge {
+				t.Errorf("a watch of %v: %+v", maxWatchTime, w)
+			}
+		}
+		if p := jitter.PollTimeouts(); p.WatchTime != 0 || p.HedgeDelay >= p.Timeout || 2*p.HedgeDelay > MaxNotificationDelayAfterMove {
+			t.Errorf("a poll: %+v", p)
+		}
+		for _, c := range []struct {
+			failure  Failure
+			minDelay time.Duration
+			maxDelay time.Duration
+			retry    bool
+		}{
+			{Failure{ConnectionLost: true, SinceMove: time.Hour}, 0, maxRetryDelay, true},
+			{Failure{LocalAgent: true, SinceMove: time.Hour}, AgentRetryInterval / 2, AgentRetryInterval, true},
+			{Failure{SinceMove: time.Second}, minPollSpacing, minPollSpacing + maxRetryDelay, true},
+			{Failure{SinceMove: time.Second, Duration: 2 * time.Second}, 0, maxRetryDelay, true},
+			{Failure{SinceMove: MaxNotificationDelayAfterMove}, 0, 0, false},
+		} {
+			delay, retry := jitter.RetryDelay(c.failure)
+			if retry != c.retry || delay < c.minDelay || delay > c.maxDelay {
+				t.Errorf("%+v: %v after %v", c.failure, retry, delay)
+			}
+		}
+	}
+}
--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -85,7 +85,7 @@
 				c.ChangeAddress("new", nil)
 				go c.Run(ctx)
 			}
-			time.Sleep(cachedlist.MaxNotificationDelayAfterMove)
+			time.Sleep(polling.MaxNotificationDelayAfterMove)
 			synctest.Wait()
 			mu.Lock()
 			if len(had) < brokers {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"time"
 
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -18,7 +18,7 @@
 // request is what one attempt of a call asks for, and how long it is waited for.
 type request struct {
 	target string
-	cachedlist.Timeouts
+	polling.Timeouts
 }
 
 // call makes one call: a watch on from the version held, a look at what is new, or the whole list.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -3,7 +3,7 @@
 // a watch that broke, is made good here at once, or a call that the service just moved to failed. A list that can't be read whole
 // changes nothing.
 //
-// Depends on decision, decision/cachedlist, transport/httpwire. Concurrency: Run owns a client and is
+// Depends on decision, decision/polling, transport/httpwire. Concurrency: Run owns a client and is
 // called once; Ask and Move may be called from any goroutine.
 package discovery
 
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 )
 
 // Client asks discovery.
@@ -27,18 +27,18 @@
 	addr   string
 	reader Reader
 	wait   time.Duration // how long discovery may hold a watch
-	lot    cachedlist.Jitter
+	lot    polling.Jitter
 	moved  time.Time // to the service that is asked
 	held   uint64    // the version held
 	known  bool
 	tell   func(*List, error) // delivers to the loop
 	ask    chan struct{}
 	dial   dialer
-	idle   *connection         // for the next call; nil: there is none
-	pushed bool                // an agent of this broker's own is asked, and what it has counts at once
-	pacer  *cachedlist.Backoff // nil: it is asked again only when Ask says so
-	hurry  bool                // discovery has not answered since it failed, or at all: the next call does not wait for news
-	failed bool                // the last call did
+	idle   *connection      // for the next call; nil: there is none
+	pushed bool             // an agent of this broker's own is asked, and what it has counts at once
+	pacer  *polling.Backoff // nil: it is asked again only when Ask says so
+	hurry  bool             // discovery has not answered since it failed, or at all: the next call does not wait for news
+	failed bool             // the last call did
 }
 
 // Settings are what other settings change in how discovery is asked.
@@ -61,7 +61,7 @@
 
 // UseBackoff has the client ask again by itself, as a pacer says, whenever discovery could not be asked; the first failure of
 // each outage is told, the others are not. It comes before Run. held is the version to ask for changes from, if known.
-func (c *Client) UseBackoff(p *cachedlist.Backoff, held uint64, known bool) {
+func (c *Client) UseBackoff(p *polling.Backoff, held uint64, known bool) {
 	c.pacer, c.hurry, c.held, c.known = p, true, held, known
 }
 
@@ -154,7 +154,7 @@
 	if !broke && !(c.pushed && c.failed) { // an agent's outage is told once
 		c.tell(nil, err)
 	}
-	d, again := c.lot.RetryDelay(cachedlist.PollFailure{ConnectionLost: broke, LocalAgent: c.pushed, SinceMove: time.Since(c.moved), Duration: time.Since(began)})
+	d, again := c.lot.RetryDelay(polling.Failure{ConnectionLost: broke, LocalAgent: c.pushed, SinceMove: time.Since(c.moved), Duration: time.Since(began)})
 	c.failed, c.hurry = true, again
 	if again {
 		c.pause(ctx, d)
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"flaxfront/internal/config/remedy"
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 )
 
 // Whatever a service answers that is no list, nothing of it is taken, one line says what is wrong and another what an operator can do,
@@ -70,7 +70,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		c.Poll()
-		time.Sleep(cachedlist.MaxNotificationDelay)
+		time.Sleep(polling.MaxNotificationDelay)
 		synctest.Wait()
 		if dials.Load() < 2 {
 			t.Error("nothing was asked beside an answer that does not end")
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -86,7 +86,7 @@
 				c.ChangeAddress("new", nil)
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
-				if took := had.Sub(moved); had.IsZero() || took > cachedlist.MaxNotificationDelayAfterMove {
+				if took := had.Sub(moved); had.IsZero() || took > polling.MaxNotificationDelayAfterMove {
 					t.Errorf("%s, the old one %s: had %v after the move", what, old, took)
 				}
 				cancel()
--- a/internal/discovery/paced_test.go
+++ b/internal/discovery/paced_test.go
@@ -9,14 +9,14 @@
 	"testing/synctest"
 	"time"
 
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 	"flaxfront/internal/transport/httpwire"
 )
 
 // paced is a client that asks again by itself, before stand-ins that are dialled by turns.
 func paced(t *testing.T, dial func(n int) (net.Conn, error)) (got *[]string, stop func()) {
 	c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
-	c.UseBackoff(cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond,
+	c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond,
 		MaxPollDelay: 500 * time.Millisecond, BrokerCount: 10}, 3), 0, false)
 	c.lot = none
 	got = &[]string{}
@@ -122,7 +122,7 @@
 func TestMoveWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
-		c.UseBackoff(cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: 10 * time.Second, BrokerCount: 1}, 3), 0, false)
+		c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 10 * time.Second, BrokerCount: 1}, 3), 0, false)
 		at := make(chan time.Duration, 4)
 		begun := time.Now()
 		c.tell = func(l *List, err error) {
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -53,7 +53,7 @@
 			time.Sleep(30 * time.Second)
 			select {
 			case at := <-had:
-				if at > cachedlist.MaxNotificationDelay {
+				if at > polling.MaxNotificationDelay {
 					t.Errorf("the drain was had %v after the watch fell silent, by %d calls", at, calls.Load())
 				}
 			default:
@@ -102,7 +102,7 @@
 				time.Sleep(down + time.Second)
 				synctest.Wait()
 				late := time.Duration(had.Load()) - down
-				if pushed && (late < 0 || late > cachedlist.AgentRetryInterval || failures.Load() != 1 || calls.Load() > int32(2*down/cachedlist.AgentRetryInterval)) {
+				if pushed && (late < 0 || late > polling.AgentRetryInterval || failures.Load() != 1 || calls.Load() > int32(2*down/polling.AgentRetryInterval)) {
 					t.Errorf("refuses %v: had %v after the return, %d calls, %d failures told", refuses, late, calls.Load(), failures.Load())
 				}
 				if !pushed && calls.Load() > 1 {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 	"flaxfront/internal/transport/httpwire"
 )
 
@@ -101,7 +101,7 @@
 					})
 					c.dial = s.dial
 					if paced {
-						c.UseBackoff(cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: 200 * time.Millisecond, BrokerCount: 300}, 7), 40, known)
+						c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, BrokerCount: 300}, 7), 40, known)
 					}
 					s.silent = !known // else the first watch is held, and falls silent later
 					ctx, cancel := context.WithCancel(t.Context())
@@ -114,7 +114,7 @@
 					s.set(41, false)
 					time.Sleep(10 * time.Second)
 					synctest.Wait()
-					if late := had.Sub(fell.Add(speaksAfter)); had.IsZero() || late > cachedlist.MaxNotificationDelay {
+					if late := had.Sub(fell.Add(speaksAfter)); had.IsZero() || late > polling.MaxNotificationDelay {
 						t.Errorf("paced %v, known %v, speaks after %v: had after %v; asked %q", paced, known, speaksAfter, late, s.calls)
 					}
 					if speaksAfter < 9*time.Second && known && failures > 1 {
@@ -157,7 +157,7 @@
 			fmt.Sscanf(s.calls[0], "index=40&wait=%d", &wait)
 			wait *= time.Millisecond
 			again := time.Since(begun)
-			if wait > cachedlist.MaxWatchTime || again > wait+cachedlist.MaxNotificationDelayAfterWatch-500*time.Millisecond || again > cachedlist.MaxNotificationDelay-500*time.Millisecond {
+			if wait > polling.MaxWatchTime || again > wait+polling.MaxNotificationDelayAfterWatch-500*time.Millisecond || again > polling.MaxNotificationDelay-500*time.Millisecond {
 				t.Errorf("a watch of %v was made anew after %v", wait, again)
 			}
 			if s.calls[1] != "index=40&wait=0" {
--- a/internal/lab/box.go
+++ b/internal/lab/box.go
@@ -2,7 +2,7 @@
 // virtual time, and the experiments that need them. Everything in it is simulated and is called so. It owns what a server
 // would do and checks the six rules from what reached it, never from a broker's own books. Nothing that serves imports it.
 //
-// Depends on decision/admission, decision, decision/routing, decision/cachedlist, discovery, lab/script.
+// Depends on decision/admission, decision, decision/routing, decision/cachedlist, decision/polling, discovery, lab/script.
 // Concurrency: goroutines of its own, which the caller's context ends; what they share with callers is
 // behind a lock or an atomic value.
 package lab
--- a/internal/lab/herd.go
+++ b/internal/lab/herd.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 )
 
 // herd is one return of discovery under one way of asking.
@@ -83,7 +83,7 @@
 
 // knock is a broker with the pacer of package trust.
 func (h *herd) knock(perCall time.Duration, seed uint64) {
-	p := cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: perCall, MaxPollDelay: 500 * time.Millisecond,
+	p := polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: perCall, MaxPollDelay: 500 * time.Millisecond,
 		BrokerCount: h.brokers}, seed)
 	var ask, knock func()
 	knock = func() {
--- a/internal/server/saved.go
+++ b/internal/server/saved.go
@@ -9,6 +9,7 @@
 
 	"flaxfront/internal/decision"
 	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/discovery/nodelist"
 )
@@ -52,7 +53,7 @@
 		list.Nodes = append(list.Nodes, s.loop.cachedList.node(f))
 	}
 	s.initialList = list
-	pace := cachedlist.NewBackoff(cachedlist.BackoffSettings{ConnectInterval: o.Discovery.KnockEvery, PollCost: o.Discovery.PerCall,
+	pace := polling.NewBackoff(polling.BackoffSettings{ConnectInterval: o.Discovery.KnockEvery, PollCost: o.Discovery.PerCall,
 		MaxPollDelay: o.Discovery.MostDelay, BrokerCount: t.Module.BrokerCount}, t.Module.Seed)
 	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.discoveryAddress.String()
 	s.discoveryClient.UseBackoff(pace, content.Head.Generation, resume)
