--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -6,6 +6,7 @@
 
 	"flaxfront/internal/config/operator"
 	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/decision/polling"
 	"flaxfront/internal/discovery/nodelist"
 )
 
@@ -30,7 +31,7 @@
 	list.zone = s.reader.ZoneNumber
 	s.loop.useCachedList(list)
 	s.initialList = list.initialList()
-	pace := cachedlist.NewBackoff(cachedlist.BackoffSettings{
+	pace := polling.NewBackoff(polling.BackoffSettings{
 		ConnectInterval: o.Discovery.KnockEvery,
 		PollCost:        o.Discovery.PerCall,
 		MaxPollDelay:    o.Discovery.MostDelay,
