--- /dev/null
+++ b/internal/server/control_plane.go
@@ -0,0 +1,188 @@
+package server
+
+import (
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"path/filepath"
+	"runtime/debug"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/cluster/raftlog"
+	"flaxfront/internal/config/operator"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/release"
+	"flaxfront/internal/decision/statemachine"
+	"flaxfront/internal/transport/keys"
+)
+
+const (
+	proposalTimeout      = 5 * time.Second
+	joinTimeout          = time.Second // how long a start waits for what is agreed
+	drainAckRetryTimeout = 200 * time.Millisecond
+)
+
+// tierControlPlane is a broker's part in the tier's control plane.
+type tierControlPlane struct {
+	*controlplane.Participant
+	keys        *keys.Keyring
+	log         *raftlog.Log // nil: it has no vote
+	released    chan struct{}
+	leaveOnce   sync.Once
+	joined      chan struct{} // closed once the loop has what was agreed when this process registered
+	joinOnce    sync.Once
+	triedPermit atomic.Uint64 // the last permit that was to be used
+	report      atomic.Pointer[controlplane.Report]
+	endpoints   atomic.Pointer[endpointSnapshot]
+	epoch       uint64   // that read pins have
+	background  []func() // goroutines to start with the control plane
+}
+
+// Voters are those of the operators' file.
+func Voters(o *operator.Fleet) (all []controlplane.Voter, ids []uint64) {
+	for i, v := range o.Named() {
+		all = append(all, controlplane.Voter{Name: v.Name, Addr: v.Addr.String()})
+		ids = append(ids, uint64(i+1))
+	}
+	return all, ids
+}
+
+// LogOptions say which voter's log a broker keeps; false: it does not vote.
+func LogOptions(o *operator.Fleet, ring *keys.Keyring) (raftlog.Options, bool) {
+	voters, ids := Voters(o)
+	for i, v := range voters {
+		if v.Name == ring.ID().Broker {
+			return raftlog.Options{Directory: filepath.Clean(o.Directory), Cluster: ring.ID().Site, VoterID: ids[i], Voters: ids}, o.Directory != ""
+		}
+	}
+	return raftlog.Options{}, false
+}
+
+// openControlPlane opens the keys, the log and the listener, and attaches the control plane to the loop.
+func (s *Server) openControlPlane() error {
+	o := &s.operator.Fleet
+	ring, err := keys.Open(s.operator.FleetKeys())
+	if err != nil {
+		return err
+	}
+	p := &tierControlPlane{keys: ring, released: make(chan struct{}), joined: make(chan struct{})}
+	options := s.controlPlaneOptions(p)
+	if log, votes := LogOptions(o, ring); votes {
+		p.log, err = raftlog.Open(log)
+		if err != nil {
+			return fmt.Errorf("fleet.directory: %w", err)
+		}
+		options.Storage = p.log
+	}
+	if o.Listen != "" {
+		options.Listener, err = net.Listen("tcp", o.Listen)
+		if err != nil {
+			return err
+		}
+		options.ListenAddr = options.Listener.Addr().String()
+	}
+	p.Participant, err = controlplane.New(options)
+	if err != nil {
+		return err
+	}
+	s.attachControlPlane(p)
+	slog.Info("control plane opened", "component", "control-plane", "broker", ring.ID(), "slot", o.Slot, "votes", p.log != nil,
+		"version", options.Version)
+	return nil
+}
+
+func (s *Server) controlPlaneOptions(p *tierControlPlane) controlplane.Options {
+	o := &s.operator.Fleet
+	voters, _ := Voters(o)
+	return controlplane.Options{
+		Keys:              p.keys,
+		Voters:            voters,
+		Sources:           o.Sources,
+		ListenAddr:        o.Listen,
+		Slot:              statemachine.Slot(o.Slot),
+		Incarnation:       uint64(time.Now().UnixMilli()),
+		Version:           releaseVersion(o),
+		Zone:              o.Zone,
+		LeaseDuration:     o.Lease,
+		MaxClockDrift:     o.Drift,
+		ElectionTimeout:   o.Election,
+		HeartbeatInterval: o.Heartbeat,
+		MaxFollowers:      o.Followers,
+		ReportInterval:    o.Report,
+		ReleaseGates:      releaseGates(o),
+		Seed:              rand.Uint64(),
+		Now:               s.loop.since,
+		OnView:            s.receiveView,
+		CollectReport:     p.collectReport,
+	}
+}
+
+func releaseGates(o *operator.Fleet) release.Settings {
+	gates := release.Defaults()
+	gates.ObserveTime = o.Gates.Observe
+	gates.WarmUpTime = o.Gates.Warm
+	gates.OverdueAfter = o.Gates.Overdue
+	gates.MinQueries = float64(o.Gates.Least)
+	gates.Tolerance = o.Gates.Tolerance
+	gates.FalseAlarmRate = o.Gates.Alpha
+	gates.AutoRollback = o.Gates.Back
+	return gates
+}
+
+// releaseVersion is the version that this program runs: the operators' word, else the build's.
+func releaseVersion(o *operator.Fleet) string {
+	if o.Version != "" {
+		return o.Version
+	}
+	if info, ok := debug.ReadBuildInfo(); ok {
+		return info.Main.Version
+	}
+	return ""
+}
+
+// collectReport is what load reports carry. It may be called from any goroutine.
+func (p *tierControlPlane) collectReport() controlplane.Report {
+	if r := p.report.Load(); r != nil {
+		return *r
+	}
+	return controlplane.Report{}
+}
+
+// attachControlPlane connects the control plane with the loop.
+func (s *Server) attachControlPlane(p *tierControlPlane) {
+	s.controlPlane = p
+	view := newControlPlaneView(s.start.Terms.Types)
+	view.endpoints = &p.endpoints
+	view.proposeAck = func(node decision.NodeID, number uint64) {
+		s.group.Go(func() error {
+			s.acknowledgeDrain(node, number)
+			return nil
+		})
+	}
+	s.loop.useControlPlane(view)
+	p.AddLeaderTask(controlplane.LeaderTask{Name: "epoch", Interval: epochInterval, Propose: epochProposals(&p.endpoints)})
+	p.SetNodeNames(p.nodeByName, p.nameOf)
+	if s.operator.Fleet.Pins {
+		s.sharePositions(p)
+	}
+}
+
+// nodeByName finds a node by its name or address.
+func (p *tierControlPlane) nodeByName(text string) (id decision.NodeID, ok bool) {
+	if endpoints := p.endpoints.Load(); endpoints != nil {
+		id, ok = endpoints.idByName[text]
+	}
+	return id, ok
+}
+
+// nameOf is a node's name, or its id if it is not listed.
+func (p *tierControlPlane) nameOf(id decision.NodeID) string {
+	if endpoints := p.endpoints.Load(); endpoints != nil && endpoints.nameByID[id] != "" {
+		return endpoints.nameByID[id]
+	}
+	return id.String()
+}
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -1,55 +1,128 @@
 package server
 
-// This file owns what the broker tells of itself in numbers. It must never read what is the loop's but through the loop.
+import (
+	"encoding/json"
 
-import "encoding/json"
+	"flaxfront/internal/decision/cachedlist"
+	"flaxfront/internal/transport/store"
+)
 
-// Counters are what a broker counts.
+// Counters are a broker's counters for operators. The JSON names are read by operators' programs and stay.
 type Counters struct {
-	Searches QueryCounters
-	Clients  struct{ Accepted, Closed, BadRequests, Unwritten uint64 }
-	Peers    struct{ Sent, Heard, Strangers, TooLong, Dropped, Unsealed uint64 }
-	NodeList *CachedListCounters `json:",omitempty"` // where one is kept
-	Refused  uint64              `json:",omitempty"` // links that got no further than the handshake
+	Queries       QueryCounters       `json:"Searches"`
+	Clients       ClientCounters      `json:"Clients"`
+	Peers         GossipCounters      `json:"Peers"`
+	CachedList    *CachedListCounters `json:"NodeList,omitempty"` // where a cached list is kept
+	RejectedLinks uint64              `json:"Refused,omitempty"`  // site links that failed in the handshake
 }
 
-// CachedListCounters tell of the writing of the node list.
+// ClientCounters count client connections.
+type ClientCounters struct {
+	Accepted    uint64
+	Closed      uint64
+	BadRequests uint64
+	Unwritten   uint64 // answers that could not be written
+}
+
+// GossipCounters count datagrams between brokers.
+type GossipCounters struct {
+	Sent            uint64
+	Received        uint64 `json:"Heard"`
+	UnknownSender   uint64 `json:"Strangers"` // from addresses of no broker
+	TooLong         uint64
+	Dropped         uint64
+	Unauthenticated uint64 `json:"Unsealed"` // under none of the keys
+}
+
+// CachedListCounters count writes of the cached endpoint list.
 type CachedListCounters struct {
-	Saving                           bool // the last write went well
-	Writes, Snapshots, Bytes, Failed uint64
+	LastWriteOK bool `json:"Saving"` // the last write succeeded
+	Writes      uint64
+	Snapshots   uint64
+	Bytes       uint64
+	Failed      uint64
+}
+
+// QueryCounters count what became of queries: Received = Answered + Shed + Failed + Abandoned + InFlight. Nothing decides by them.
+type QueryCounters struct {
+	Received            uint64             `json:"Taken"`
+	Answered            uint64             `json:"Answered"`
+	Shed                uint64             `json:"Shed"`
+	Failed              uint64             `json:"Errored"`
+	Abandoned           uint64             `json:"Left"`
+	InFlight            uint64             `json:"InHand"`
+	Partial             uint64             `json:"Partial"`              // of those answered
+	RejectedByAdmission uint64             `json:"TurnedAway,omitempty"` // of those shed: by admission
+	NoCapacity          uint64             `json:"Full"`                 // of those shed: no slot or descriptor was left
+	Steps               uint64             `json:"Turns"`
+	Attempts            uint64             `json:"Subrequests"`
+	ListsReceived       uint64             `json:"ListsTaken"`
+	ListsFailed         uint64             `json:"ListsFailed"`
+	Nodes               int                `json:"Nodes"`       // now
+	NodeConnections     int                `json:"NodeConns"`   // now
+	AttemptsInFlight    int                `json:"Out"`         // attempts in flight, on the wire
+	AttemptsByRouter    int                `json:"OutByModule"` // the same, as the router counts them
+	EjectedNodes        int                `json:"ShutOut"`     // nodes that are ejected
+	Store               store.Counts       `json:"Store"`
+	CachedList          *cachedlist.Counts `json:"Trust,omitempty"`   // with a cached list
+	Admission           *AdmissionState    `json:"Door,omitempty"`    // with admission
+	Gateway             *GatewayState      `json:"Gateway,omitempty"` // with links to other sites
+	Membership          *MembershipState   `json:"Crew,omitempty"`    // with membership
+	ControlPlane        *ControlPlaneState `json:"Fleet,omitempty"`   // with a control plane
+	ReadPins            *ReadPinState      `json:"Pins,omitempty"`    // with read pins
 }
 
-// Counters asks the loop for its figures and adds the others.
+// Counters asks the loop for its counters and adds the others.
 func (s *Server) Counters() (c Counters) {
-	r := countersRequested{make(chan QueryCounters, 1)}
-	if s.deliver(r) {
+	request := countersRequested{make(chan QueryCounters, 1)}
+	if s.deliver(request) {
 		select {
-		case c.Searches = <-r.to:
+		case c.Queries = <-request.to:
 		case <-s.ctx.Done():
 		}
 	}
-	connections := &s.ingress.Counters
-	c.Clients.Accepted = connections.Accepted.Load()
-	c.Clients.Closed = connections.Closed.Load()
-	c.Clients.BadRequests = connections.BadRequests.Load()
-	c.Clients.Unwritten = connections.Unwritten.Load()
+	clients := &s.ingress.Counters
+	c.Clients.Accepted = clients.Accepted.Load()
+	c.Clients.Closed = clients.Closed.Load()
+	c.Clients.BadRequests = clients.BadRequests.Load()
+	c.Clients.Unwritten = clients.Unwritten.Load()
 	if s.siteLinks != nil {
-		c.Refused = s.siteLinks.Refused.Load()
+		c.RejectedLinks = s.siteLinks.Refused.Load()
 	}
 	if s.listStore != nil {
-		n := &s.listStore.Counters
-		c.NodeList = &CachedListCounters{n.Saving.Load(), n.Writes.Load(), n.Snapshots.Load(), n.Bytes.Load(), n.Failed.Load()}
+		c.CachedList = s.cachedListCounters()
 	}
 	if s.gossip != nil {
-		p := &s.gossip.Counts
-		c.Peers.Sent, c.Peers.Heard, c.Peers.Strangers = p.Sent.Load(), p.Heard.Load(), p.Strangers.Load()
-		c.Peers.TooLong, c.Peers.Dropped, c.Peers.Unsealed = p.TooLong.Load(), p.Dropped.Load(), p.Unsealed.Load()
+		c.Peers = s.gossipCounters()
 	}
 	return c
 }
 
+func (s *Server) cachedListCounters() *CachedListCounters {
+	n := &s.listStore.Counters
+	return &CachedListCounters{
+		LastWriteOK: n.Saving.Load(),
+		Writes:      n.Writes.Load(),
+		Snapshots:   n.Snapshots.Load(),
+		Bytes:       n.Bytes.Load(),
+		Failed:      n.Failed.Load(),
+	}
+}
+
+func (s *Server) gossipCounters() GossipCounters {
+	n := &s.gossip.Counts
+	return GossipCounters{
+		Sent:            n.Sent.Load(),
+		Received:        n.Heard.Load(),
+		UnknownSender:   n.Strangers.Load(),
+		TooLong:         n.TooLong.Load(),
+		Dropped:         n.Dropped.Load(),
+		Unauthenticated: n.Unsealed.Load(),
+	}
+}
+
 // String is the counters as one line of JSON.
 func (c Counters) String() string {
-	text, _ := json.Marshal(c)
+	text, _ := json.Marshal(c) // numbers, texts and lists of them: it can't fail
 	return string(text)
 }
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	for end := time.Now().Add(time.Second); !reached(s.Counters()); {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within a second: %+v", what, s.Counters().Searches)
+			t.Fatalf("%s: not within a second: %+v", what, s.Counters().Queries)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 			n++
 			c := dial(t, s)
 			io.WriteString(c, postUnanswered("a", "1900"))
-			waitASecond(t, s, what, func(c Counters) bool { return c.Searches.InHand == 1 })
+			waitASecond(t, s, what, func(c Counters) bool { return c.Queries.InFlight == 1 })
 			go func() {
 				io.WriteString(c, behind)
 				if reset {
@@ -50,10 +50,10 @@
 				}
 				c.Close()
 			}()
-			waitASecond(t, s, what, func(c Counters) bool { return c.Searches.Left == n && c.Searches.InHand == 0 })
+			waitASecond(t, s, what, func(c Counters) bool { return c.Queries.Abandoned == n && c.Queries.InFlight == 0 })
 			waitASecond(t, s, what, func(c Counters) bool { return c.Clients.Closed == n })
-			if got := s.Counters().Searches; got.Taken != n || got.Store.Parts > 2*n {
-				t.Errorf("%s, reset %v: %d taken of %d, %d parts sent", what, reset, got.Taken, n, got.Store.Parts)
+			if got := s.Counters().Queries; got.Received != n || got.Store.Parts > 2*n {
+				t.Errorf("%s, reset %v: %d taken of %d, %d parts sent", what, reset, got.Received, n, got.Store.Parts)
 			}
 		}
 	}
@@ -70,8 +70,8 @@
 	if reason := <-serveConnection(s, s.ingress, near); reason != ingress.ClientDeparted {
 		t.Errorf("ended as %s", reason)
 	}
-	if n := s.Counters().Searches; n.Taken != 0 || n.Store.Parts != 0 {
-		t.Errorf("%d taken, %d parts sent", n.Taken, n.Store.Parts)
+	if n := s.Counters().Queries; n.Received != 0 || n.Store.Parts != 0 {
+		t.Errorf("%d taken, %d parts sent", n.Received, n.Store.Parts)
 	}
 }
 
@@ -80,7 +80,7 @@
 	s, _ := runServer(t, 1024)
 	c := dial(t, s)
 	io.WriteString(c, postUnanswered("a", "900"))
-	waitASecond(t, s, "first", func(c Counters) bool { return c.Searches.InHand == 1 })
+	waitASecond(t, s, "first", func(c Counters) bool { return c.Queries.InFlight == 1 })
 	begun := time.Now()
 	io.WriteString(c, postUnanswered("b", "1000"))
 	for _, id := range []string{"a", "b"} {
@@ -171,11 +171,11 @@
 	}
 	s.stopRequested.Store(int64(time.Second))
 	s.draining.Store(true)
-	kill := time.Second + min(patient, killWaits) + answerWithin
+	kill := time.Second + min(patient, maxKillWait) + answerWithin
 	for _, c := range []struct{ arrived, timeout, by time.Duration }{
 		{1500 * time.Millisecond, time.Second, 2500 * time.Millisecond},
 		{1500 * time.Millisecond, time.Minute, kill - beforeKill},
-		{kill, time.Minute, kill + leastAnswer},
+		{kill, time.Minute, kill + minAnswerTime},
 	} {
 		if by := s.answerBy(c.arrived, c.timeout); by != c.by {
 			t.Errorf("%+v: by %v", c, by)
