--- a/cmd/flaxfront/crew.go
+++ b/cmd/flaxfront/crew.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if counters.Searches.Crew == nil {
+	if counters.Queries.Membership == nil {
 		return nil, errors.New("the broker keeps no company: crew.on is false")
 	}
-	return counters.Searches.Crew, nil
+	return counters.Queries.Membership, nil
 }
 
 func membersCommand(config *string) *cobra.Command {
@@ -68,18 +68,18 @@
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "DUTY\tEVERY\tOWNER\tNUMBER\tLAST RUN\tNEXT\tRUNS HERE\tREFUSED HERE")
-			for _, d := range s.Duties {
+			for _, d := range s.Ownership {
 				owner, last, next := names[d.Owner], "never", "-"
 				if owner == "" {
 					owner = "nobody yet"
 				}
-				if d.Turn > 0 {
-					last = (s.Now - d.Ran).Round(100*time.Millisecond).String() + " ago"
+				if d.RunCount > 0 {
+					last = (s.Now - d.LastRunAt).Round(100*time.Millisecond).String() + " ago"
 				}
-				if d.Mine {
-					next = "in " + max(0, d.Next-s.Now).Round(100*time.Millisecond).String()
+				if d.Owned {
+					next = "in " + max(0, d.DueAt-s.Now).Round(100*time.Millisecond).String()
 				}
-				fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%s\t%s\t%d\t%d\n", d.Name, d.Period, owner, d.Fence, last, next, d.Runs, d.Refused)
+				fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%s\t%s\t%d\t%d\n", d.Name, d.Period, owner, d.Fence, last, next, d.OwnRuns, d.RejectedRuns)
 			}
 			return w.Flush()
 		},
--- a/internal/cluster/controlplane/release_test.go
+++ b/internal/cluster/controlplane/release_test.go
@@ -73,7 +73,7 @@
 		name := opt.ListenAddr
 		opt.Version = max("1", version[name])
 		opt.ReleaseGates = release.Defaults()
-		opt.ReleaseGates.Observe = time.Second
+		opt.ReleaseGates.ObserveTime = time.Second
 		var f *Participant
 		var tried sync.Map
 		opt.OnView = func(v *View) {
@@ -92,7 +92,7 @@
 					go func() {
 						ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 						defer cancel()
-						f.Propose(ctx, &statemachine.UsePermit{Permit: n, Slot: f.o.Slot, Incarnation: v.Permit.Incarnation})
+						f.Propose(ctx, &statemachine.UsePermit{Permit: n, Slot: f.options.Slot, Incarnation: v.Permit.Incarnation})
 						tried.Delete(n)
 					}()
 				}
--- a/internal/decision/statemachine/lease_model_test.go
+++ b/internal/decision/statemachine/lease_model_test.go
@@ -15,7 +15,7 @@
 
 const (
 	leaseDuration  = 2
-	leaseBudget    = 4 // two floors of one, and two above them
+	leaseBudget    = 4 // two reserved, and two above them
 	leaseMaxFaults = 2
 )
 
@@ -87,7 +87,7 @@
 	})
 }
 
-// inUse is what the two use at this instant: what they go by until their lease ends, then the floor.
+// inUse is what the two use at this instant: what their lease grants until it ends, then the reserve.
 func (l *leaseModel) inUse() (sum uint64) {
 	for _, h := range l.holders {
 		sum++
@@ -205,7 +205,10 @@
 	}
 	// The one asked a moment ago and was answered; the answer is on its way. The other may use what it is granted for long.
 	l.now, l.leaders[0].renewed = 1, [2]int{0, 9}
-	l.holders = [2]leaseHolder{{number: 1, connections: 2, expiry: 1, requestedAt: -1, answers: []leaseAnswer{{0, 0}}}, {expiry: 9, requestedAt: -1}}
+	l.holders = [2]leaseHolder{
+		{number: 1, connections: 2, expiry: 1, requestedAt: -1, answers: []leaseAnswer{{0, 0}}},
+		{expiry: 9, requestedAt: -1},
+	}
 	seed := maphash.MakeSeed()
 	seen := map[uint64]bool{l.key(seed): true}
 	level := []*leaseModel{l}
--- a/internal/decision/statemachine/replicas_test.go
+++ b/internal/decision/statemachine/replicas_test.go
@@ -88,7 +88,7 @@
 		for _, b := range s.Brokers() {
 			h, _ := s.Lease(b.Slot)
 			most := map[string]uint64{}
-			for _, r := range append(append([]LeaseRow{}, h.Granted...), h.PossiblyHeld...) {
+			for _, r := range append(append([]LeaseRow{}, h.Granted...), h.Outstanding...) {
 				if r.Node == n.Node {
 					most[r.Tenant] = max(most[r.Tenant], r.Connections)
 				}
@@ -102,7 +102,7 @@
 			return fmt.Sprintf("node %v: %d units, counted %d", n.Node, v.Leased, units)
 		}
 		if p != nil && v.Leased+v.Reserved > v.Budget {
-			return fmt.Sprintf("node %v: %d and %d floors over %d", n.Node, v.Leased, v.Reserved, v.Budget)
+			return fmt.Sprintf("node %v: %d and %d reserved, over %d", n.Node, v.Leased, v.Reserved, v.Budget)
 		}
 	}
 	return ""
--- a/internal/decision/statemachine/status.go
+++ b/internal/decision/statemachine/status.go
@@ -35,7 +35,7 @@
 type ReleasePermit struct {
 	Number      uint64
 	Release     uint64
-	ForNode     bool
+	ForNode     bool   `json:"OnNode"`
 	Slot        Slot   // of a broker
 	Incarnation uint64 // of a broker
 	Node        NodeID // of a node
@@ -116,7 +116,7 @@
 	Incarnation  uint64
 	Number       uint64 // of the newest grant; 0: none
 	Granted      []LeaseRow
-	PossiblyHeld []LeaseRow // what it may still hold of older grants, row by row the greatest
+	Outstanding  []LeaseRow // what it may still hold of older grants, row by row the greatest
 	Acknowledged bool
 	Ended        bool // it holds nothing: relinquished or expired
 }
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests what becomes of client connections: kept, useless, gone, crowded, and at a stop.
+// Tests of what becomes of client connections: kept, useless, gone, crowded, and at a stop.
 
 import (
 	"fmt"
@@ -48,15 +48,15 @@
 	s, _ := runServer(t, 1024)
 	gone, stays := dial(t, s), dial(t, s)
 	io.WriteString(gone, postUnanswered("a", "1900"))
-	waitUntil(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	waitUntil(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	gone.Close()
-	waitUntil(s, func(c Counters) bool { return c.Searches.Left == 1 && c.Searches.InHand == 0 })
+	waitUntil(s, func(c Counters) bool { return c.Queries.Abandoned == 1 && c.Queries.InFlight == 0 })
 	if m := stays.roundTrip(post("b", body)); m.Status != 200 {
 		t.Errorf("%d", m.Status)
 	}
 }
 
-// SIGTERM: what is in hand is answered, who still comes is served, and then it ends without a fault.
+// SIGTERM: what is in flight is answered, who still comes is served, and then it ends without a fault.
 func TestStop(t *testing.T) {
 	s, end := runServer(t, 1024)
 	enough := make(chan time.Time)
@@ -65,7 +65,7 @@
 	idle.roundTrip(post("a", body))
 	again.roundTrip(post("a2", body))
 	io.WriteString(busy, postUnanswered("b", "900"))
-	waitUntil(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	waitUntil(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	done := make(chan error, 1)
 	go func() { done <- end() }()
 	for !s.draining.Load() {
@@ -84,7 +84,7 @@
 		t.Errorf("idle connection: %v", err)
 	}
 	if m := busy.readResponse(); m.Status != 504 || !m.Close {
-		t.Errorf("in hand: %d, closed %v", m.Status, m.Close)
+		t.Errorf("in flight: %d, closed %v", m.Status, m.Close)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
@@ -96,12 +96,12 @@
 }
 
 // Where descriptors run short an idle connection gives way, or one whose request does not come, never one with a
-// search in hand.
+// query in flight.
 func TestIdleConnectionsGiveWay(t *testing.T) {
 	s, _ := runServer(t, spareSockets+6) // two for nodes, four for clients
 	busy := dial(t, s)
 	io.WriteString(busy, postUnanswered("a", "900"))
-	waitUntil(s, func(c Counters) bool { return c.Searches.InHand == 1 })
+	waitUntil(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
 	for range 3 { // requests that never come whole hold no place for ever
 		io.WriteString(dial(t, s), post("x", body)[:50])
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// Every search whose connection was taken gets its answer, however many come at once: a new connection was closed
+// Every query whose connection was taken gets its answer, however many come at once: a new connection was closed
 // for the next before its request was read, and with all busy new ones waited until their clients gave up.
 func TestCrowd(t *testing.T) {
 	s, _ := runServer(t, spareSockets+6)
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -18,13 +18,13 @@
 	"flaxfront/internal/transport/store"
 )
 
-// listening is a module that keeps what it is told of nodes, and sends what it is given to one of them.
-type listening struct {
+// stateRecorder is a router that keeps what it is told of nodes, and sends what it is given to one of them.
+type stateRecorder struct {
 	state map[decision.NodeID]decision.EndpointState
 	to    decision.NodeID
 }
 
-func (m *listening) Step(_ time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
+func (m *stateRecorder) Step(_ time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	for _, e := range events {
 		for _, n := range e.Endpoints {
 			m.state[n.Node] = n.State
@@ -37,7 +37,7 @@
 }
 
 func nodeAt(name string, state decision.EndpointState) discovery.Node {
-	return discovery.Node{Name: name, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Entry: decision.Endpoint{Node: discovery.ID(name), State: state}}
+	return discovery.Node{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: decision.Endpoint{Node: discovery.IDOfName(name), State: state}}
 }
 
 // An agreed drain lies over what discovery says, is acknowledged once nothing is out, lets nothing through from then on, and gives
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		m := &listening{state: map[decision.NodeID]decision.EndpointState{}}
+		m := &stateRecorder{state: map[decision.NodeID]decision.EndpointState{}}
 		l := newLoop(time.Now(), m, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
 		hung := func(ctx context.Context, _ string, _ time.Duration) (store.Conn, error) {
 			<-ctx.Done()
@@ -56,17 +56,17 @@
 			func(fn func() error) { go fn() }, func(store.Event) {}, l.attemptEnded)
 		under := decoded(t)
 		l.settings = &under
-		l.controlPlane = newControlPlaneView([]string{"a"})
+		l.useControlPlane(newControlPlaneView([]string{"a"}))
 		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
-		l.readPins = newReadPinning(&operator.Fleet{}, &under)
+		l.useReadPins(newReadPinTracker(&operator.Fleet{}, &under))
 		hintedTo := func() (to []decision.NodeID) {
 			to, _, _ = l.readPins.positions.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
 			return to
 		}
 		var acks []uint64
 		l.controlPlane.proposeAck = func(_ decision.NodeID, number uint64) { acks = append(acks, number) }
-		a, b := discovery.ID("a"), discovery.ID("b")
-		l.handleList(&discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
+		a, b := discovery.IDOfName("a"), discovery.IDOfName("b")
+		l.handleList(&discovery.List{Full: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
 		m.to = a
 		admit := func(id string) *activeQuery {
 			s := &activeQuery{Request: &query.Request{ID: id, Shards: []query.ShardRequest{{Name: id + ".0", Weight: 1}}}, deadline: l.since() + 5*time.Second,
@@ -87,9 +87,9 @@
 			t.Error("reads with a hint count on a drained node")
 		}
 		if m.state[a] != decision.Draining || m.state[b] != decision.Ready || len(acks) != 0 {
-			t.Fatalf("told %v, acknowledged %v while a part is out", m.state, acks)
+			t.Fatalf("told %v, acknowledged %v while an attempt is out", m.state, acks)
 		}
-		time.Sleep(6 * time.Second) // the part runs out of time
+		time.Sleep(6 * time.Second) // the attempt runs out of time
 		l.advance()
 		l.advance()
 		if !slices.Equal(acks, []uint64{5}) {
@@ -97,7 +97,7 @@
 		}
 		admit("y")
 		if l.pool.OutTo(a) != 0 {
-			t.Error("a part went to a node that was acknowledged as drained")
+			t.Error("an attempt went to a node that was acknowledged as drained")
 		}
 		l.handle(drainAckFailed{a, 5}) // the proposal was lost
 		l.advance()
--- a/internal/server/epoch_test.go
+++ b/internal/server/endpoint_snapshot_test.go
@@ -20,11 +20,11 @@
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 9}, nil, l.since, nil, nil, nil)
 	under := decoded(t)
 	l.settings = &under
-	l.controlPlane = newControlPlaneView(nil)
+	l.useControlPlane(newControlPlaneView(nil))
 	l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
 	look := epochProposals(l.controlPlane.endpoints)
 	proposed := func() int { return len(look(controlplane.LeaderContext{State: statemachine.New(), Now: now})) }
-	list := discovery.List{Whole: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
+	list := discovery.List{Full: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
 	l.applyList(&list) // of the configuration
 	if now += time.Minute; proposed() != 0 {
 		t.Error("the list of an earlier life was proposed")
@@ -33,12 +33,12 @@
 	l.handleList(&list, nil)
 	for _, want := range []int{0, 0, 1} { // it is told the same again and again
 		if n := proposed(); n != want {
-			t.Errorf("%d proposed of a list that has stood since %v, %v", n, l.controlPlane.endpoints.Load().Since, now)
+			t.Errorf("%d proposed of a list that has stood since %v, %v", n, l.controlPlane.endpoints.Load().StableSince, now)
 		}
 		now += time.Second
 		l.handleList(&discovery.List{}, nil)
 	}
-	// Danger: while discovery is silent the tier moves on, and an old list of one leader would come back for all.
+	// While discovery is silent the tier moves on, and an old list of one leader would come back for all.
 	l.handleList(nil, errors.New("silent"))
 	if now += time.Minute; proposed() != 0 {
 		t.Error("a list was proposed that discovery no longer speaks for")
--- /dev/null
+++ b/internal/server/lease_granting.go
@@ -0,0 +1,124 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"strconv"
+	"time"
+
+	"flaxfront/internal/cluster/connpolicy"
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision/connlease"
+	"flaxfront/internal/decision/statemachine"
+	"flaxfront/internal/discovery"
+)
+
+const grantInterval = 500 * time.Millisecond
+
+// needSection names the section of a load report that carries needs.
+const needSection = "need"
+
+// policyNode is what a policy's conditions may ask of a node.
+func policyNode(n discovery.Node) connpolicy.Node {
+	return connpolicy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Endpoint.Cell), Machine: n.Address.Addr().String()}
+}
+
+// leaseGranting is what connection leases have the leader do: needs become grants. It runs in the control plane's goroutine and must not
+// wait; what it knows of nodes is a copy that the loop leaves.
+type leaseGranting struct {
+	leases       *connectionLeases
+	lease        time.Duration // with the largest drift of clocks
+	linger       time.Duration // how long a node may hold a connection that its broker no longer uses
+	term         uint64
+	granter      *connlease.Granter // of the term
+	plan         *connlease.BudgetPlan
+	version      uint64                       // of the plan's policy
+	incarnations map[statemachine.Slot]uint64 // when they were last recorded
+}
+
+// openConnLeases has the pool keep to the leases, and this broker grant them where it leads.
+func (s *Server) openConnLeases(streams int) {
+	t, o := &s.start.Terms, &s.operator.Fleet
+	b := newConnectionLeases(streams, t.Tenants)
+	b.proposeEntry = s.proposeInBackground
+	s.loop.useConnectionLeases(b)
+	s.loop.pool.Keep(b)
+	g := &leaseGranting{
+		leases: b,
+		lease:  o.Lease + time.Duration(float64(o.Lease)*o.Drift),
+		linger: t.Idle + t.LongestTimeout() + defaultClosing,
+	}
+	s.controlPlane.SetPolicyCompiler(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
+		return g.compile(text, state, t.Tenants, o.Lease)
+	})
+	s.controlPlane.AddReportSection(controlplane.ReportSection{Name: needSection, Collect: b.collectNeeds})
+	s.controlPlane.AddLeaderTask(controlplane.LeaderTask{Name: "budgets", Interval: grantInterval, Propose: g.proposeGrants})
+}
+
+// collectNeeds is the needs for a load report; nil: none were measured. It may be called from any goroutine.
+func (b *connectionLeases) collectNeeds() []byte {
+	if report := b.needReport.Load(); report != nil {
+		return *report
+	}
+	return nil
+}
+
+// proposeInBackground proposes an entry without making the loop wait.
+func (s *Server) proposeInBackground(e statemachine.Entry) {
+	s.group.Go(func() error {
+		ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
+		defer cancel()
+		if _, err := s.controlPlane.Propose(ctx, e); err != nil {
+			slog.Debug("proposal rejected", "component", "connection-leases", "entry", fmt.Sprintf("%T", e), "error", err)
+		}
+		return nil
+	})
+}
+
+// proposeGrants is the leader's task: the entries that grants call for now.
+func (g *leaseGranting) proposeGrants(m controlplane.LeaderContext) []statemachine.Entry {
+	policies := m.State.Policies()
+	newest := policies.InForce
+	if newest == nil {
+		return nil
+	}
+	if policies.Waiting != nil {
+		newest = policies.Waiting
+	}
+	if (g.plan == nil || g.version != newest.Version) && !g.buildPlan(newest) {
+		return nil
+	}
+	if g.granter == nil || g.term != m.Term {
+		g.granter = connlease.NewGranter(g.lease, g.linger, m.Now)
+		g.term = m.Term
+		g.incarnations = map[statemachine.Slot]uint64{}
+	}
+	previous := uint64(0)
+	if policies.Waiting != nil {
+		previous = g.previousVersion(policies.InForce)
+	}
+	needs := map[statemachine.Slot][]connlease.ConnectionCount{}
+	for _, b := range m.State.Brokers() {
+		g.recordRenewal(b, m.LastLeaseGrant(b), m.Now)
+		report, ok := m.Reports[b.Slot]
+		if !ok || report.Incarnation != b.Incarnation {
+			continue
+		}
+		version, counts, err := connlease.DecodeDemand(report.Sections[needSection])
+		if err == nil && (version == newest.Version || version == previous && previous > 0) {
+			needs[b.Slot] = counts
+		}
+	}
+	return g.granter.NextEntries(m.State, g.plan, needs, m.Term, m.Now)
+}
+
+// recordRenewal records when a broker's lease was renewed. An incarnation that ended since the last time may have renewed its lease after
+// that: without the first record, what it held would be granted to another too early.
+func (g *leaseGranting) recordRenewal(b statemachine.Broker, renewed, now time.Duration) {
+	if previous := g.incarnations[b.Slot]; previous > 0 && previous != b.Incarnation {
+		g.granter.RecordRenewal(b.Slot, previous, now)
+	}
+	g.incarnations[b.Slot] = b.Incarnation
+	g.granter.RecordRenewal(b.Slot, b.Incarnation, renewed)
+}
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests the loop with the real module in random runs, in virtual time: every search has one end, every rule holds.
+// Tests of the loop with the real router in random runs, in virtual time: every query has one end, every rule holds.
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 	return tm
 }
 
-// one client asks for one search and checks its answer, or leaves.
+// one client asks for one query and checks its answer, or leaves.
 func (w *world) client(n, typ int, leaves bool) {
 	s := &activeQuery{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
 		result: make(chan query.Result, 1)}
@@ -64,7 +64,7 @@
 	go func() {
 		if leaves {
 			time.Sleep(patience)
-			w.loop.inbox <- queryAbandoned{s: s}
+			w.loop.inbox <- queryAbandoned{query: s}
 			return
 		}
 		v := <-s.result
@@ -83,7 +83,7 @@
 		least := []float64{0.5, 1}[typ]
 		if share := float64(len(seen)) / float64(len(shards)); v.Outcome == query.Answered &&
 			(share < least-1e-4 || v.Complete != (len(seen) == len(shards))) {
-			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the parts", v.Complete, share)
+			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the attempts", v.Complete, share)
 		}
 		if typ == 1 && v.Outcome == query.Shed && len(s.requests) > 0 {
 			for _, p := range s.Request.Shards {
@@ -95,7 +95,7 @@
 		w.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		if len(s.result) != 0 {
-			w.t.Errorf("rule 1: a second verdict")
+			w.t.Errorf("rule 1: a second result")
 		}
 	}()
 }
@@ -117,11 +117,11 @@
 	l.pool = store.NewPool(ctx, store.Limits{Streams: 8, Idle: 30 * time.Second, Dial: 250 * time.Millisecond, Conns: 20},
 		w.dial, l.since, func(f func() error) { go f() }, func(e store.Event) {
 			select {
-			case l.inbox <- e:
+			case l.inbox <- connectionEvent{e}:
 			case <-ctx.Done():
 			}
 		}, l.attemptEnded)
-	l.handleList(&discovery.List{Whole: true, Nodes: w.nodes}, nil)
+	l.handleList(&discovery.List{Full: true, Nodes: w.nodes}, nil)
 	ended := make(chan struct{})
 	go func() {
 		l.run(ctx)
@@ -135,12 +135,12 @@
 			l.inbox <- listReceived{err: io.EOF}
 		case 1:
 			node := &w.nodes[w.rnd.IntN(len(w.nodes))]
-			node.Entry.State = decision.EndpointState(w.rnd.IntN(3))
-			if node.Entry.State == decision.Ready {
-				delete(w.downAt, node.Addr.String())
-				node.Entry.StartedAt = l.since() - time.Second
-			} else if _, down := w.downAt[node.Addr.String()]; !down {
-				w.downAt[node.Addr.String()] = l.since()
+			node.Endpoint.State = decision.EndpointState(w.rnd.IntN(3))
+			if node.Endpoint.State == decision.Ready {
+				delete(w.downAt, node.Address.String())
+				node.Endpoint.StartedAt = l.since() - time.Second
+			} else if _, down := w.downAt[node.Address.String()]; !down {
+				w.downAt[node.Address.String()] = l.since()
 			}
 			l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{*node}}}
 		case 2:
@@ -148,16 +148,16 @@
 		case 3: // a node is replaced under a new id, which a whole list from elsewhere tells, or the changes
 			i := w.rnd.IntN(len(w.nodes))
 			old := w.nodes[i]
-			old.Entry.State = decision.Removed
-			w.downAt[old.Addr.String()] = l.since()
+			old.Endpoint.State = decision.Removed
+			w.downAt[old.Address.String()] = l.since()
 			node := &w.nodes[i]
 			node.Name = fmt.Sprint("t-", n)
-			node.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(1 + n), byte(i)}), 80)
-			node.Entry.Node, node.Entry.State, node.Entry.StartedAt = discovery.ID(node.Name), decision.Ready, l.since()
+			node.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(1 + n), byte(i)}), 80)
+			node.Endpoint.Node, node.Endpoint.State, node.Endpoint.StartedAt = discovery.IDOfName(node.Name), decision.Ready, l.since()
 			if w.rnd.IntN(2) == 0 {
 				l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{old, *node}}}
 			} else {
-				l.inbox <- listReceived{list: &discovery.List{Whole: true, Nodes: slices.Clone(w.nodes)}}
+				l.inbox <- listReceived{list: &discovery.List{Full: true, Nodes: slices.Clone(w.nodes)}}
 			}
 		default:
 			w.client(n, w.rnd.IntN(2), w.rnd.IntN(8) == 0)
@@ -165,20 +165,20 @@
 		synctest.Wait()
 		r := countersRequested{make(chan QueryCounters, 1)}
 		l.inbox <- r
-		if now := <-r.to; now.OutByModule != now.Out {
-			w.t.Errorf("step %d: the module takes %d parts to be out, %d are", n, now.OutByModule, now.Out)
+		if now := <-r.to; now.AttemptsByRouter != now.AttemptsInFlight {
+			w.t.Errorf("step %d: the router takes %d attempts to be out, %d are", n, now.AttemptsByRouter, now.AttemptsInFlight)
 		}
 	}
 	time.Sleep(10 * time.Second)
 	synctest.Wait()
 	cancel()
 	<-ended // the loop is nobody's now
-	if t := l.counters; t.InHand != 0 || l.slotsUsed != 0 || len(l.queryOfShardRequest)+len(l.requestIDs)+len(l.queries) != 0 || t.Answered == 0 {
-		w.t.Errorf("at the end: %+v, %d places, %d parts", t, l.slotsUsed, len(l.queryOfShardRequest))
+	if t := l.counters; t.InFlight != 0 || l.slotsUsed != 0 || len(l.queryOfShardRequest)+len(l.requestIDs)+len(l.queries) != 0 || t.Answered == 0 {
+		w.t.Errorf("at the end: %+v, %d slots, %d attempts", t, l.slotsUsed, len(l.queryOfShardRequest))
 	}
 	listing := 0 // what the loop still keeps of nodes
 	for i := range w.nodes {
-		if _, kept := l.nodes[w.nodes[i].Entry.Node]; kept {
+		if _, kept := l.nodes[w.nodes[i].Endpoint.Node]; kept {
 			listing++
 		}
 	}
@@ -188,8 +188,8 @@
 	synctest.Wait()
 }
 
-// A search whose id is in hand would mix its parts with the other's; one that finds no place is shed unseen.
-func TestSearchesTheLoopRefuses(t *testing.T) {
+// A query whose id is in flight would mix its attempts with the other's; one that finds no slot is shed unseen.
+func TestQueriesTheLoopRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1)
 		l := w.loop
@@ -206,7 +206,7 @@
 				}
 			}
 		}
-		if len(verdicts) != 2 || verdicts[0] != query.Duplicate || verdicts[1] != query.Shed || l.counters.Full != 1 || l.counters.InHand != 2 {
+		if len(verdicts) != 2 || verdicts[0] != query.Duplicate || verdicts[1] != query.Shed || l.counters.NoCapacity != 1 || l.counters.InFlight != 2 {
 			t.Errorf("%v, %+v", verdicts, l.counters)
 		}
 	})
--- /dev/null
+++ b/internal/server/membership.go
@@ -0,0 +1,204 @@
+package server
+
+import (
+	"encoding/binary"
+	"log/slog"
+	"net/netip"
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/gossip"
+	"flaxfront/internal/decision/membership"
+	"flaxfront/internal/decision/ownership"
+	"flaxfront/internal/discovery"
+)
+
+// membershipHost is what membership may use of the loop.
+type membershipHost interface {
+	endpointHost
+	requestList()
+	startTime() time.Time
+	confirmByGossip(n *discovery.Node)
+}
+
+// tierMembership is the extension for the brokers of a tier: who is alive, which of them runs a periodic job, and endpoint changes passed on.
+// It never takes a node's address from another broker, since addresses differ from one to the next.
+type tierMembership struct {
+	loop           membershipHost
+	members        *membership.Members
+	ownership      *ownership.Coordinator
+	sendTo         func(to netip.AddrPort, data []byte)
+	shareEndpoints bool // endpoint changes are passed on
+	shared         *gossip.UpdateFilter
+	ownershipView  []ownership.Member
+	seeds          []netip.AddrPort       // of the living
+	keepSeeds      func([]netip.AddrPort) // nil: they are not stored
+}
+
+// useMembership attaches membership to the loop.
+func (l *loop) useMembership(m *tierMembership) {
+	m.loop = l
+	l.membership = m
+	l.extensions[membershipExtension] = m
+}
+
+func (m *tierMembership) handle(received message) bool {
+	switch received := received.(type) {
+	case memberDatagram:
+		m.members.Take(received.from, received.data, m.loop.since())
+		m.flush()
+	case shutdownStarted:
+		m.leave()
+		close(received.done)
+	default:
+		return false
+	}
+	return true
+}
+
+func (m *tierMembership) tick(now time.Duration) time.Duration {
+	next := m.members.Tick(now)
+	for _, note := range m.members.Notes() {
+		m.handleNote(note, now)
+	}
+	changes := m.members.Changes()
+	m.logChanges(changes)
+	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
+		for _, w := range m.shared.RecentlyRemoved() {
+			m.broadcast(&w)
+		}
+	}
+	if m.ownershipView == nil || len(changes) > 0 {
+		m.updateView()
+	}
+	m.ownership.SetMembers(m.ownershipView, m.members.Heard())
+	runs, nextRun := m.ownership.Tick(now)
+	for _, run := range runs {
+		m.runJob(run, now)
+	}
+	m.flush()
+	return min(next, nextRun)
+}
+
+func (m *tierMembership) logChanges(changes []membership.Change) {
+	for _, ch := range changes {
+		slog.Info("member state changed", "component", "membership", "broker", ch.Member.Name, "address", ch.Member.Addr,
+			"state", ch.Member.State, "previous_state", ch.Was, "new", ch.New, "incarnation", ch.Member.Inc,
+			"living", m.members.Living(), "late", m.members.Counts.Late)
+	}
+}
+
+// updateView makes the lists of the living anew, and stores their addresses. The last ones that a broker knew stay while it is alone.
+func (m *tierMembership) updateView() {
+	m.ownershipView = m.ownershipView[:0]
+	m.seeds = m.seeds[:0]
+	for _, member := range m.members.All() {
+		if member.State > membership.Suspect {
+			continue
+		}
+		m.ownershipView = append(m.ownershipView, ownership.Member{ID: uint32(member.ID), Weight: member.Weight})
+		if member.ID != m.members.Self().ID {
+			m.seeds = append(m.seeds, member.Addr)
+		}
+	}
+	if m.keepSeeds != nil && len(m.seeds) > 0 {
+		m.keepSeeds(m.seeds)
+	}
+}
+
+// runJob runs a periodic job that this broker owns.
+func (m *tierMembership) runJob(run ownership.Run, now time.Duration) {
+	slog.Debug("periodic job run", "component", "membership", "number", run.Job, "fence", run.Fence)
+	switch run.Job {
+	case jobPollDiscovery:
+		m.loop.requestList()
+	case jobLogCounters:
+		c := m.loop.stats()
+		slog.Info("counters of the owner", "component", "membership", "received", c.Received, "answered", c.Answered, "shed", c.Shed,
+			"failed", c.Failed, "in_flight", c.InFlight, "living", m.members.Living())
+	}
+	m.ownership.RunEnded(run, true, now)
+}
+
+// flush sends what the other members have to be told.
+func (m *tierMembership) flush() {
+	for _, claim := range m.ownership.DrainClaims() {
+		m.members.Broadcast(uint64(claim.Job), claim.AppendTo([]byte{noteOwnership}))
+	}
+	for _, packet := range m.members.Out() {
+		m.sendTo(packet.To, packet.Data)
+	}
+}
+
+// handleNote takes a note that came with a datagram, and passes it on where it is news.
+func (m *tierMembership) handleNote(note []byte, now time.Duration) {
+	if len(note) == 0 {
+		return
+	}
+	switch note[0] {
+	case noteOwnership:
+		if claim, ok := ownership.DecodeClaim(note[1:]); ok && m.ownership.HandleClaim(claim, now) {
+			m.members.Broadcast(uint64(claim.Job), note)
+		}
+	case noteEndpoint:
+		if w, ok := gossip.Decode(note[1:]); ok && m.shareEndpoints {
+			m.handleSharedEndpoint(w)
+		}
+	}
+}
+
+// broadcast has an endpoint change carried to all members.
+func (m *tierMembership) broadcast(w *gossip.EndpointUpdate) {
+	m.members.Broadcast(broadcastKey(w.Node), w.AppendTo([]byte{noteEndpoint}))
+}
+
+func broadcastKey(id decision.NodeID) uint64 {
+	return 1<<36 | uint64(binary.BigEndian.Uint32(id.Addr[:]))<<16&(1<<36-1) | uint64(id.Port)
+}
+
+// shareList tells the other members what discovery changed. Without membership it does nothing.
+func (m *tierMembership) shareList(list *discovery.List) {
+	if m == nil {
+		return
+	}
+	for i := range list.Nodes {
+		n := &list.Nodes[i]
+		w := gossip.EndpointUpdate{ListVersion: list.Version, DiscoveryID: m.shared.DiscoveryID, Node: n.Endpoint.Node, State: n.Endpoint.State, StartedAtMS: n.StartedAtMS}
+		if m.shared.RecordLocal(w, list.Full || !m.shareEndpoints) {
+			m.broadcast(&w)
+		}
+	}
+	endpoints := m.loop.endpoints()
+	m.shared.Forget(list.Version, func(id decision.NodeID) bool {
+		_, known := endpoints[id]
+		return known
+	})
+}
+
+// handleSharedEndpoint takes a change that discovery told another broker, of a node that is known here. From then on it counts as if
+// discovery had told this broker.
+func (m *tierMembership) handleSharedEndpoint(w gossip.EndpointUpdate) {
+	n, known := m.loop.endpoints()[w.Node]
+	if !m.shared.Accept(w, known, n.Endpoint.State, n.StartedAtMS) {
+		return
+	}
+	n.Endpoint.State = w.State
+	if w.StartedAtMS > n.StartedAtMS {
+		n.StartedAtMS = w.StartedAtMS
+		n.Endpoint.StartedAt = time.UnixMilli(w.StartedAtMS).Sub(m.loop.startTime())
+	}
+	slog.Info("node state received by gossip", "component", "membership", "node", n.Name, "state", w.State, "version", w.ListVersion)
+	m.loop.applyList(&discovery.List{Version: w.ListVersion, Nodes: []discovery.Node{n}})
+	m.loop.confirmByGossip(&n)
+	m.broadcast(&w)
+}
+
+// leave tells the other members that this broker shuts down.
+func (m *tierMembership) leave() {
+	now := m.loop.since()
+	m.ownership.ReleaseAll(now)
+	m.flush()
+	m.members.Leave(now)
+	m.flush()
+}
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -30,10 +30,10 @@
 	rises     happening = "rises"      // the connections that are being opened come up
 	served    happening = "served"     // what is out is answered
 	resets    happening = "resets"     // the connections that are up break
-	passes    happening = "passes"     // the search's time
+	passes    happening = "passes"     // the query's time
 )
 
-// order is one broker in one order of happenings, with two nodes that hold the one shard.
+// order is one broker in one order of events, with two nodes that hold the one shard.
 type order struct {
 	t       *testing.T
 	core    *Core
@@ -58,7 +58,7 @@
 	handle store.Handle
 	up     bool
 	down   bool
-	out    []string // parts written and not answered
+	out    []string // attempts written and not answered
 }
 
 func (l *orderLink) Read([]byte) (int, error)          { return 0, nil }
@@ -112,10 +112,10 @@
 	for i := range 2 {
 		name := fmt.Sprint("s-", i)
 		n := nodeAt(name, decision.Ready)
-		n.Entry.StartedAt = decision.StartedLongAgo
+		n.Endpoint.StartedAt = decision.StartedLongAgo
 		o.nodes = append(o.nodes, n)
 	}
-	o.core.HandleList(&discovery.List{Whole: true, Nodes: slices.Clone(o.nodes)}, nil)
+	o.core.HandleList(&discovery.List{Full: true, Nodes: slices.Clone(o.nodes)}, nil)
 	o.core.Step()
 	return o
 }
@@ -179,21 +179,21 @@
 	n := *o.busy()
 	switch h {
 	case drained:
-		n.Entry.State = decision.Draining
+		n.Endpoint.State = decision.Draining
 		o.barred[n.Name] = true
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	case unlisted:
 		others := slices.DeleteFunc(slices.Clone(o.nodes), func(x discovery.Node) bool { return x.Name == n.Name })
 		o.barred = map[string]bool{n.Name: true} // the others are named as in service
-		o.core.HandleList(&discovery.List{Whole: true, Nodes: others}, nil)
+		o.core.HandleList(&discovery.List{Full: true, Nodes: others}, nil)
 	case restarted:
-		n.Entry.StartedAt = max(1, o.now)
+		n.Endpoint.StartedAt = max(1, o.now)
 		delete(o.barred, n.Name) // it serves again
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	}
 }
 
-// settle has the loop take all that the wire brings, and its turns.
+// settle has the loop take all that the wire brings, and its steps.
 func (o *order) settle() {
 	for range 3 {
 		for _, e := range o.events {
@@ -218,9 +218,9 @@
 		o.fail("the search has no end")
 	case o.answers > 1:
 		o.fail("%d answers", o.answers)
-	case n.Taken != n.Answered+n.Shed+n.Errored+n.Left || n.InHand != 0 || n.Out != 0:
+	case n.Received != n.Answered+n.Shed+n.Failed+n.Abandoned || n.InFlight != 0 || n.AttemptsInFlight != 0:
 		o.fail("%+v", n)
-	case o.answers == 0 && n.Left != 1:
+	case o.answers == 0 && n.Abandoned != 1:
 		o.fail("neither an answer nor a departure")
 	}
 }
--- /dev/null
+++ b/internal/server/position_exchange.go
@@ -0,0 +1,83 @@
+package server
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"flaxfront/internal/cluster/controlplane"
+	"flaxfront/internal/decision"
+)
+
+const (
+	collectInterval = 200 * time.Millisecond
+	positionsQueue  = 64 // messages of other brokers; further ones are dropped while the loop is behind
+)
+
+// localPositions is what this broker knew at a time.
+type localPositions struct {
+	data []byte
+	at   time.Duration
+}
+
+// remotePositions is what another broker collected.
+type remotePositions struct {
+	data        []byte
+	collectedAt time.Duration // at the earliest
+}
+
+// sharePositions has replicas' positions exchanged over the control plane. Neither its goroutine nor the loop waits for the other: what was
+// collected lies ready with its time.
+func (s *Server) sharePositions(p *tierControlPlane) {
+	var latest atomic.Pointer[localPositions]
+	received := make(chan remotePositions, positionsQueue)
+	collect := func() ([]byte, time.Duration) {
+		if positions := latest.Load(); positions != nil {
+			return positions.data, positions.at
+		}
+		return nil, 0
+	}
+	merge := func(data []byte, older time.Duration) {
+		select {
+		case received <- remotePositions{data, s.loop.since() - older}:
+		default:
+		}
+	}
+	p.AddTopic(controlplane.Topic{Name: "pins", Collect: collect, Merge: merge})
+	p.background = append(p.background, func() {
+		s.startGoroutine(func(ctx context.Context) error {
+			s.exchangePositions(ctx, received, &latest)
+			return nil
+		})
+	})
+}
+
+// exchangePositions merges what was received and collects what this broker knows, until ctx ends.
+func (s *Server) exchangePositions(ctx context.Context, received <-chan remotePositions, latest *atomic.Pointer[localPositions]) {
+	tick := time.NewTicker(collectInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case r := <-received:
+			s.MergePositions(r.data, s.loop.since()-r.collectedAt)
+		case <-tick.C:
+			at := s.loop.since()
+			latest.Store(&localPositions{s.CollectPositions(), at})
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// shareEpoch hands an agreed list to read pins when it is a new one.
+func (s *Server) shareEpoch(v *controlplane.View) {
+	if s.loop.readPins == nil || v.Epoch == s.controlPlane.epoch {
+		return
+	}
+	s.controlPlane.epoch = v.Epoch
+	var nodes []decision.NodeID
+	for _, n := range v.Nodes {
+		nodes = append(nodes, n.Node)
+	}
+	s.AgreeEpoch(v.Epoch, nodes)
+}
--- a/internal/server/pins_test.go
+++ b/internal/server/read_pins_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file tests hints on reads over sockets: what they ask for, what answers state, and what is refused.
+// Tests of hints on reads over sockets: what they ask for, what answers state, and what is refused.
 
 import (
 	"fmt"
@@ -90,7 +90,7 @@
 	}
 }
 
-// A wrong hint is told, and its search answered as one without.
+// A wrong hint is told, and its query answered as one without.
 func TestWrongHintsOverSockets(t *testing.T) {
 	s, reports, _ := pinnedLive(t)
 	for i := range 2 {
@@ -105,18 +105,18 @@
 			t.Errorf("%q: %d %q", text, m.Status, why)
 		}
 	}
-	if p := s.Counters().Searches.Pins; p.Wrong != 3 || p.Chosen+p.Refused > 0 {
+	if p := s.Counters().Queries.ReadPins; p.IgnoredHints != 3 || p.Chosen+p.Refused > 0 {
 		t.Errorf("%+v", p)
 	}
 	plain, _ := runServer(t, 1024) // where hints are not obeyed nothing of them is read
 	m := dial(t, plain).roundTrip(hinted("a", "X-Read-Hint: nonsense"))
-	if _, there := m.Get("x-read-hint-ignored"); m.Status != 200 || there > 0 || plain.Counters().Searches.Pins != nil {
+	if _, there := m.Get("x-read-hint-ignored"); m.Status != 200 || there > 0 || plain.Counters().Queries.ReadPins != nil {
 		t.Errorf("%d", m.Status)
 	}
 }
 
 // What one broker learned another uses, older by what it was on the way.
-func TestFactsBetweenBrokers(t *testing.T) {
+func TestPositionsBetweenBrokers(t *testing.T) {
 	one, reports, _ := pinnedLive(t)
 	other, theirs, _ := pinnedLive(t)
 	text := "p=70;h=9000"
@@ -131,16 +131,16 @@
 	other.MergePositions(one.CollectPositions(), time.Millisecond)
 	other.AgreeEpoch(3, nil)
 	m := dial(t, other).roundTrip(hinted("b", "X-Read-Hint: max-stale=100ms"))
-	p := other.Counters().Searches.Pins
+	p := other.Counters().Queries.ReadPins
 	if m.Status != 503 || p.Merged == 0 || p.Malformed != 1 || p.Epoch != 3 {
 		t.Errorf("%d, %+v", m.Status, p)
 	}
 }
 
-// A search with a hint is not sent to another site, where nobody would obey it.
-func TestHintsStayAtHome(t *testing.T) {
+// A query with a hint is not sent to another site, where nobody would obey it.
+func TestPinnedQueriesAreNotForwarded(t *testing.T) {
 	l := &loop{gateway: &siteGateway{}}
-	if l.offerToSites(&activeQuery{Request: &query.Request{}, pin: &pinnedQuery{}}) {
+	if l.gateway.offer(&activeQuery{Request: &query.Request{}, pin: &pinnedQuery{}}) {
 		t.Error("offered")
 	}
 }
--- /dev/null
+++ b/internal/server/remote_query.go
@@ -0,0 +1,220 @@
+package server
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/forwarding"
+	"flaxfront/internal/server/query"
+	"flaxfront/internal/transport/link"
+)
+
+// remoteQuery is a query of another site.
+type remoteQuery struct {
+	query  *activeQuery
+	conn   *link.Conn // that sent it last; nil: down
+	result *link.Verdict
+}
+
+// handleAcceptedLink takes what happened on a link that another site has dialled.
+func (g *siteGateway) handleAcceptedLink(e link.Event) {
+	c := e.Conn
+	origin := forwarding.Origin{Name: c.Theirs.Site + "/" + c.Theirs.Broker, Epoch: c.Theirs.Epoch}
+	switch {
+	case e.Up != nil:
+		g.incoming.Opened(origin, c.Serial)
+		c.Say()
+	case e.Ask != nil:
+		g.receive(c, forwarding.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
+	case e.Cancel != nil:
+		k := forwarding.Key{Origin: origin, ID: *e.Cancel}
+		if r := g.remote[k]; r != nil && g.incoming.Cancel(k) {
+			g.cancelRemote(r.query)
+		}
+	case e.Down != nil:
+		g.incoming.Closed(origin, c.Serial, g.loop.since())
+		g.dropLink(c)
+	}
+}
+
+// dropLink cancels the queries that came over a link which is down, unless they may go on without it.
+func (g *siteGateway) dropLink(c *link.Conn) {
+	for k, r := range g.remote {
+		if r.conn != c {
+			continue
+		}
+		r.conn = nil
+		if g.incoming.Cut(k) {
+			g.cancelRemote(r.query)
+		}
+	}
+}
+
+// handleDialledLink takes what happened on a link that this site has dialled.
+func (g *siteGateway) handleDialledLink(e link.Event) {
+	c, now := e.Conn, g.loop.since()
+	peer := forwarding.Peer(c.Peer)
+	switch {
+	case e.Up != nil:
+		g.conns[c.Peer] = c
+		g.outgoing.Up(peer, e.Up.Epoch, e.Up.Credit, now)
+	case e.Down != nil:
+		g.conns[c.Peer] = nil
+		g.outgoing.Down(peer, e.Down.Unsent, now)
+	case e.Heard != nil:
+		status := forwarding.Status{Room: e.Heard.Room, Refusing: e.Heard.Refusing, Stopping: e.Heard.Stopping, Lacking: e.Heard.Lacking}
+		g.outgoing.Heard(peer, status, c.RTT(), now)
+	case e.Verdict != nil:
+		g.handleRemoteResult(peer, e.Verdict)
+	}
+}
+
+// handleRemoteResult takes the other site's result of a forwarded query. It is verified like all that comes from outside.
+func (g *siteGateway) handleRemoteResult(peer forwarding.Peer, v *link.Verdict) {
+	q := g.forwarded[v.ID]
+	if q == nil {
+		return // abandoned meanwhile
+	}
+	result, outcome := query.Result{Outcome: query.Failed}, forwarding.Failed
+	switch v.Kind {
+	case link.Refused:
+		outcome = forwarding.Refused
+		q.forwarding.retryAfter = time.Duration(v.After) * time.Microsecond
+	case link.Answered:
+		result = q.verifiedAnswer(v, g.loop.typeOf(q.Request))
+		if result.Outcome == query.Answered {
+			outcome = forwarding.Answered
+		} else {
+			slog.Warn("answer of another site rejected: it lacks what it claims", "component", "gateway", "query", q.Request.ID)
+		}
+	}
+	if g.outgoing.Back(peer, v.ID, outcome, g.loop.since()) {
+		g.finish(q, v.ID, result)
+	}
+}
+
+// verifiedAnswer makes a result of another site's answers; failed if they are not what they claim to be.
+func (q *activeQuery) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
+	invalid := query.Result{Outcome: query.Failed}
+	completeness, r := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
+	for _, p := range v.Pieces {
+		at := slices.IndexFunc(q.Request.Shards, func(s query.ShardRequest) bool { return s.Shard == p.Shard })
+		twice := slices.ContainsFunc(r.Answers, func(a query.ShardAnswer) bool { return a.Shard == p.Shard })
+		if at < 0 || twice {
+			return invalid
+		}
+		completeness += q.Request.Shards[at].Weight
+		r.Answers = append(r.Answers, query.ShardAnswer{Shard: p.Shard, Value: p.Value})
+	}
+	if completeness < t.MinCompleteness-weightTolerance || v.Whole && completeness < t.FullCompleteness-weightTolerance {
+		return invalid
+	}
+	return r
+}
+
+// receive takes another site's query. The loop has it like any other; its result goes to the link.
+func (g *siteGateway) receive(c *link.Conn, k forwarding.Key, in *link.Ask) {
+	now := g.loop.since()
+	request, known := g.decode(in)
+	if !known {
+		slog.Warn("malformed query of another site rejected", "component", "gateway", "site", c.Theirs.Site, "query_type", in.Type,
+			"tenant", in.Tenant)
+		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused})
+		return
+	}
+	used, limit := g.loop.capacity()
+	lacking := slices.ContainsFunc(request.Shards, func(s query.ShardRequest) bool { return slices.Contains(g.unhealthyShards, s.Shard) })
+	load := forwarding.Load{Places: limit, Taken: used, Stopping: g.stopping(), Lacking: lacking}
+	left := time.Duration(in.Left) * time.Microsecond
+	switch g.incoming.Arrive(k, c.Serial, g.loop.typeOf(request).Idempotency, len(request.Shards), left, load, now) {
+	case forwarding.Turn:
+		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: g.loop.retryAfterLimit().Microseconds()})
+	case forwarding.Join:
+		g.remote[k].conn = c
+	case forwarding.Repeat:
+		if r := g.remote[k]; r != nil && r.result != nil {
+			c.Verdict(*r.result)
+		}
+	case forwarding.Run:
+		r := &remoteQuery{conn: c, query: &activeQuery{Request: request, deadline: now + left}}
+		r.query.forwarding.remote = true
+		r.query.onResult = func(result query.Result) { g.sendResult(k, r, result) }
+		g.remote[k] = r
+		g.loop.receive(r.query)
+	}
+}
+
+// sendResult sends another site the result of its query.
+func (g *siteGateway) sendResult(k forwarding.Key, r *remoteQuery, result query.Result) {
+	out := link.Verdict{ID: k.ID, Whole: result.Complete, After: result.RetryAfter.Microseconds(), Kind: link.Failed}
+	switch result.Outcome {
+	case query.Answered:
+		out.Kind = link.Answered
+		for _, a := range result.Answers {
+			out.Pieces = append(out.Pieces, link.Piece{Shard: a.Shard, Value: a.Value})
+		}
+	case query.Shed:
+		out.Kind = link.Refused // nothing of it has run, or it may be sent again
+	}
+	if r.conn != nil {
+		r.conn.Verdict(out)
+	}
+	if g.incoming.Ended(k) {
+		r.result = &out
+	} else {
+		delete(g.remote, k)
+	}
+}
+
+// cancelRemote ends another site's query that nobody waits for.
+func (g *siteGateway) cancelRemote(q *activeQuery) {
+	if q.done {
+		return
+	}
+	g.loop.post(decision.Event{Kind: decision.ClientDeparted, ID: q.id})
+	g.loop.deliverResult(q, query.Result{Outcome: query.Failed})
+	g.loop.finish(q)
+}
+
+// encode makes of a query what the link carries.
+func (g *siteGateway) encode(q *activeQuery, a forwarding.Act) link.Ask {
+	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
+		Request: q.Request.ID, Text: q.Text}
+	if len(g.settings.Tenants) > 0 {
+		out.Tenant = g.settings.Tenants[q.Tenant]
+	}
+	for i := range q.Request.Shards {
+		out.Parts = append(out.Parts, link.Part{Shard: q.Request.Shards[i].Shard, Weight: q.Request.Shards[i].Weight})
+	}
+	return out
+}
+
+// decode reads a forwarded query; false: this site has no such type, tenant or shard.
+func (g *siteGateway) decode(in *link.Ask) (*query.Request, bool) {
+	t := g.settings
+	r := &query.Request{
+		ID:      in.Request,
+		Type:    slices.Index(t.Types, in.Type),
+		Retry:   in.Repeat,
+		Text:    in.Text,
+		Timeout: time.Duration(in.Left) * time.Microsecond,
+	}
+	if len(t.Tenants) > 0 {
+		r.Tenant = slices.Index(t.Tenants, in.Tenant)
+	}
+	if r.Type < 0 || r.Tenant < 0 || !query.ValidID(in.Request) {
+		return nil, false
+	}
+	seen, sum := map[int]bool{}, 0.0
+	for _, p := range in.Parts {
+		if p.Shard >= t.Shards || seen[p.Shard] {
+			return nil, false
+		}
+		seen[p.Shard] = true
+		sum += p.Weight
+		r.Shards = append(r.Shards, query.ShardRequest{Name: query.ShardRequestName(in.Request, p.Shard), Shard: p.Shard, Weight: p.Weight})
+	}
+	return r, sum > 1-query.WeightTolerance && sum < 1+query.WeightTolerance
+}
