--- /dev/null
+++ b/internal/decision/cachedlist/ejection.go
@@ -0,0 +1,118 @@
+package cachedlist
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Tick weighs what came since the last call. It returns the updates for the router, and when to call again.
+func (v *Evaluator) Tick(now time.Duration) (updates []EndpointUpdate, next time.Duration) {
+	idle := !v.newEvidence && !v.localNetworkFault && now < v.nextTick
+	if v.discoveryUp || idle {
+		return v.collectUpdates(), v.nextTick
+	}
+	v.newEvidence = false
+	v.checkLocalNetwork(now)
+	v.nextTick = never
+	if v.localNetworkFault {
+		v.nextTick = now + alikeWindow
+	}
+	hazard := v.hazard()
+	for _, ep := range v.suspectsByOdds() {
+		switch {
+		case ep.status == Ejected:
+			if !ep.inTrial && ep.nextTrial <= now {
+				v.startTrial(ep)
+			}
+		case v.mayEject(ep, now, hazard):
+			v.eject(ep, now)
+		}
+		if ep.status == Ejected && !ep.inTrial {
+			v.nextTick = min(v.nextTick, ep.nextTrial)
+		}
+	}
+	return v.collectUpdates(), v.nextTick
+}
+
+// checkLocalNetwork notes when endpoints begin and cease to fail alike.
+func (v *Evaluator) checkLocalNetwork(now time.Duration) {
+	fault := v.failAlike(now)
+	if fault == v.localNetworkFault {
+		return
+	}
+	v.localNetworkFault = fault
+	if !fault {
+		v.log("endpoints no longer fail alike")
+		return
+	}
+	v.log("all endpoints fail alike: taken for a fault of this broker's own network, none is ejected for it")
+	for ep := range v.suspects { // what they showed tells of the network, not of them
+		ep.odds = 1
+	}
+}
+
+// mayEject reports whether an entry is so likely wrong that it is ejected. The last entry of a cell stays, so that there is always one to
+// try.
+func (v *Evaluator) mayEject(ep *endpoint, now time.Duration, hazard float64) bool {
+	return !v.localNetworkFault && v.usableInCell[ep.cell] > 1 && v.errorProbability(ep, now, hazard) >= v.policy.EjectionThreshold
+}
+
+func (v *Evaluator) eject(ep *endpoint, now time.Duration) {
+	ep.status = Ejected
+	ep.countedWrong = true
+	ep.trialInterval = v.policy.TrialInterval
+	ep.nextTrial = now + ep.trialInterval
+	v.usableInCell[ep.cell]--
+	v.wrongEntries++
+	v.counts.Ejections++
+	v.update(ep)
+	v.log(ep.name + " ejected: its entry is probably wrong")
+}
+
+func (v *Evaluator) startTrial(ep *endpoint) {
+	ep.inTrial = true
+	ep.odds = 1
+	v.counts.Trials++
+	v.update(ep)
+}
+
+// endTrial ends a trial that failed; the next comes after twice the time.
+func (v *Evaluator) endTrial(ep *endpoint, now time.Duration) {
+	ep.inTrial = false
+	ep.trialInterval = min(2*ep.trialInterval, maxTrialIntervalFactor*v.policy.TrialInterval)
+	ep.nextTrial = now + ep.trialInterval
+	v.nextTick = min(v.nextTick, ep.nextTrial)
+	v.update(ep)
+}
+
+// reinstate uses an ejected endpoint that answered, in slow start, as it may just have come back.
+func (v *Evaluator) reinstate(ep *endpoint) {
+	v.counts.Reinstated++
+	v.usableInCell[ep.cell]++
+	ep.inTrial = false
+	ep.slowStart = true
+	ep.status = Confirmed
+	v.log(ep.name + " reinstated: it answered")
+	v.update(ep)
+}
+
+// suspectsByOdds returns the suspects, the likeliest wrong first, so that of a cell's last two the better one stays.
+func (v *Evaluator) suspectsByOdds() (suspects []*endpoint) {
+	for ep := range v.suspects {
+		suspects = append(suspects, ep)
+	}
+	slices.SortFunc(suspects, func(x, y *endpoint) int {
+		return cmp.Or(cmp.Compare(y.odds, x.odds), cmp.Compare(y.ageWhenStarted, x.ageWhenStarted), cmp.Compare(x.name, y.name))
+	})
+	return suspects
+}
+
+func (v *Evaluator) log(line string) { v.logLines = append(v.logLines, line) }
+
+// CollectLogLines returns what is worth a log line since the last call.
+func (v *Evaluator) CollectLogLines() []string {
+	lines := v.logLines
+	v.logLines = nil
+	return lines
+}
--- a/internal/decision/cachedlist/entry.go
+++ b/internal/decision/cachedlist/entry.go
@@ -1,72 +1,85 @@
 package cachedlist
 
-// This file owns the forms of moments, states and entries of the book.
-
 import (
 	"net/netip"
 	"time"
 )
 
-// Timestamp is a point in time in milliseconds of Unix time, as it is kept on disk. 0 stands for unknown.
+// Timestamp is a point in time in milliseconds of Unix time, as it is stored on disk. 0 stands for unknown.
 type Timestamp int64
 
-// TimestampOf makes a moment of a time.
+// TimestampOf converts a time.
 func TimestampOf(t time.Time) Timestamp { return Timestamp(t.UnixMilli()) }
 
-// Since is the time from another moment to this one.
-func (m Timestamp) Since(o Timestamp) time.Duration { return time.Duration(m-o) * time.Millisecond }
+// Since returns the time from an earlier timestamp to this one; it is negative if that one is later.
+func (ts Timestamp) Since(earlier Timestamp) time.Duration {
+	return time.Duration(ts-earlier) * time.Millisecond
+}
 
-// Time is the moment as a time.
-func (m Timestamp) Time() time.Time { return time.UnixMilli(int64(m)) }
+// Time converts back.
+func (ts Timestamp) Time() time.Time { return time.UnixMilli(int64(ts)) }
 
-// State is what was last said of a node.
+// State is the last known state of an endpoint. Its numbers are stored on disk.
 type State uint8
 
+// States. A state that counts for more after an equal start has a higher number.
 const (
 	Ready State = iota
 	Draining
 	Ended
 )
 
+// String returns the state as operators read it.
 func (s State) String() string { return [...]string{"ready", "draining", "ended"}[min(s, Ended)] }
 
-// Source tells whose word an entry is.
+// Source is who confirmed an entry. Its numbers are stored on disk.
 type Source uint8
 
+// Sources of entries.
 const (
 	SourceDiscovery     Source = iota
-	SourceEndpoint             // the node answered a part
+	SourceEndpoint             // it answered a shard request
 	SourceConfiguration        // the list in the broker's configuration
-	SourceOperator             // an operator
+	SourceOperator             // imported
 )
 
-func (b Source) String() string {
-	return [...]string{"discovery", "itself", "configuration", "operator"}[min(b, SourceOperator)]
+// String returns the source as operators read it.
+func (s Source) String() string {
+	return [...]string{"discovery", "itself", "configuration", "operator"}[min(s, SourceOperator)]
 }
 
-// Entry is what is known of one node.
+// Entry is what is known of one endpoint.
 type Entry struct {
 	Name        string
 	Address     netip.AddrPort
 	Zone        string
 	Cell        int
 	State       State
-	StartedAt   Timestamp // the node's last start; 0: long ago, or unknown
+	StartedAt   Timestamp // its last start; 0: long ago, or unknown
 	ConfirmedAt Timestamp // when the entry was last known to be right
-	ConfirmedBy Source    // who confirmed it
-	StateSince  Timestamp // when its state was told first
-	Generation  uint64    // of the list that told it
+	ConfirmedBy Source
+	StateSince  Timestamp // when this broker was first notified of what the entry says
+	Generation  uint64    // of the list that said it
 }
 
-// same tells whether two entries say the same of a node, whenever they say it.
-func (e *Entry) same(o *Entry) bool {
-	return e.Address == o.Address && e.Zone == o.Zone && e.Cell == o.Cell && e.State == o.State && e.StartedAt == o.StartedAt
+// sameContent reports whether two entries say the same of an endpoint, whenever and by whom it was said.
+func (e *Entry) sameContent(other *Entry) bool {
+	return e.Address == other.Address && e.Zone == other.Zone && e.Cell == other.Cell && e.State == other.State &&
+		e.StartedAt == other.StartedAt
 }
 
 // Head is what is known of the list as a whole.
 type Head struct {
-	Service     string // the discovery that its generations count from
+	Service     string // the address of the discovery that its generations count from
 	Deployment  string // a fingerprint of the settings that it belongs to
 	Generation  uint64
 	ConfirmedAt Timestamp // when discovery last said that the list is complete
 }
+
+// List is a full list or an update, from discovery or from the configuration.
+type List struct {
+	Service    string
+	Generation uint64
+	Full       bool
+	Entries    []Entry // Name, Address, Zone, Cell, State and StartedAt count
+}
--- /dev/null
+++ b/internal/decision/cachedlist/evaluator_test.go
@@ -0,0 +1,199 @@
+package cachedlist
+
+import (
+	"flag"
+	"fmt"
+	"net/netip"
+	"slices"
+	"testing"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// The sequences that are drawn are the same in each run; -rapid.seed given on the command line draws others.
+func init() { flag.Set("rapid.seed", "1") }
+
+const day = 24 * time.Hour
+
+var (
+	policy    = Policy{HalfLife: 7 * day, MaxAge: 30 * day, EjectionThreshold: 0.95, TrialInterval: 30 * time.Second}
+	startedAt = Timestamp(1_700_000_000_000)
+	addr      = netip.MustParseAddrPort("127.0.0.1:80")
+)
+
+func id(name string) (id decision.NodeID) {
+	copy(id.Addr[:], name)
+	return id
+}
+
+func entry(i int, age time.Duration) Entry {
+	return Entry{Name: fmt.Sprintf("n%02d", i), Address: addr, Zone: "a", Cell: i % 2, ConfirmedAt: startedAt - Timestamp(age.Milliseconds()),
+		StateSince: startedAt - Timestamp(age.Milliseconds())}
+}
+
+// evaluatorOf is a evaluator of some entries of one age, after its beginning.
+func evaluatorOf(n int, age time.Duration) (*Evaluator, *EntryTable) {
+	var all []Entry
+	for i := range n {
+		all = append(all, entry(i, age))
+	}
+	b := NewEntryTable(Head{}, all)
+	evaluator := NewEvaluator(policy, b, startedAt)
+	evaluator.Start(id)
+	return evaluator, b
+}
+
+// failuresToEject counts outcome many failures of a kind, a second apart, it takes until an entry is ejected.
+func failuresToEject(age time.Duration, outcome decision.Outcome) int {
+	evaluator, _ := evaluatorOf(8, age)
+	for n := 1; n < 100; n++ {
+		now := time.Duration(n) * time.Second
+		evaluator.RecordOutcome(id("n01"), decision.OK, time.Millisecond, now) // the others do well
+		evaluator.RecordOutcome(id("n02"), decision.OK, time.Millisecond, now)
+		evaluator.RecordOutcome(id("n00"), outcome, time.Second, now)
+		updates, _ := evaluator.Tick(now)
+		for _, f := range updates {
+			if f.ID == id("n00") && !f.Usable {
+				return n
+			}
+		}
+	}
+	return 100
+}
+
+func TestEvidenceWeighsMoreTheOlderTheEntry(t *testing.T) {
+	failures := []decision.Outcome{decision.ConnectFailed, decision.TimedOut, decision.Rejected, decision.ConnectionReset, decision.Errored}
+	for _, outcome := range failures {
+		last := 100
+		for _, age := range []time.Duration{0, time.Hour, day, 7 * day, 29 * day} {
+			n := failuresToEject(age, outcome)
+			if n > last {
+				t.Errorf("%d failures of kind %d at the age of %v, %d for a younger one", n, outcome, age, last)
+			}
+			last = n
+		}
+		if fresh, old := failuresToEject(0, outcome), failuresToEject(7*day, outcome); fresh <= old {
+			t.Errorf("kind %d: %d failures for a fresh entry, %d for an old one", outcome, fresh, old)
+		}
+	}
+	if n := failuresToEject(7*day, decision.ConnectFailed); n > 2 {
+		t.Errorf("a week-old entry that refuses is ejected after %d", n)
+	}
+}
+
+// A node that answers is reinstated at once, also one that was ejected; then it is in slow start, as it may just have started.
+func TestAnswerReinstates(t *testing.T) {
+	evaluator, b := evaluatorOf(8, 25*day)
+	fail := func(now time.Duration) []EndpointUpdate {
+		evaluator.RecordOutcome(id("n01"), decision.OK, 0, now)
+		evaluator.RecordOutcome(id("n00"), decision.ConnectFailed, 0, now)
+		updates, _ := evaluator.Tick(now)
+		return updates
+	}
+	if f := fail(time.Second); len(f) != 1 || f[0].Usable {
+		t.Fatalf("updates %+v", f)
+	}
+	updates, next := evaluator.Tick(2 * time.Second)
+	if len(updates) != 0 || next != time.Second+policy.TrialInterval {
+		t.Fatalf("%+v, comes again at %v", updates, next)
+	}
+	if updates, _ = evaluator.Tick(next); len(updates) != 1 || !updates[0].Usable || !updates[0].SlowStart {
+		t.Fatalf("after its trial interval %+v", updates)
+	}
+	if f := fail(next + time.Second); len(f) != 1 || f[0].Usable { // the trial failed: twice as long
+		t.Fatalf("updates %+v", f)
+	}
+	_, next = evaluator.Tick(next + 2*time.Second)
+	evaluator.Tick(next)
+	evaluator.RecordOutcome(id("n00"), decision.OK, 0, next+time.Second)
+	if updates, _ = evaluator.Tick(next + time.Second); len(updates) != 1 || !updates[0].Usable || !updates[0].SlowStart {
+		t.Fatalf("answered: %+v", updates)
+	}
+	if e, _ := b.Get("n00"); e.ConfirmedBy != SourceEndpoint || e.ConfirmedAt <= startedAt {
+		t.Errorf("kept as %+v", e)
+	}
+	if c := evaluator.Snapshot(next + time.Second); c.Ejected != 0 || c.Reinstated != 1 || c.Trials != 2 || c.Confirmed != 2 {
+		t.Errorf("%+v", c)
+	}
+}
+
+// Where all fail alike it is the broker's own network: nothing is ejected, and no evidence stays.
+func TestLocalNetworkFaultEjectsNothing(t *testing.T) {
+	evaluator, _ := evaluatorOf(8, 7*day)
+	for s := range 20 {
+		now := time.Duration(s) * time.Second
+		for i := range 8 {
+			evaluator.RecordOutcome(id(fmt.Sprintf("n%02d", i)), decision.ConnectFailed, 0, now)
+		}
+		if updates, _ := evaluator.Tick(now); len(updates) != 0 {
+			t.Fatalf("ejected %+v", updates)
+		}
+	}
+	if !evaluator.Snapshot(time.Minute).LocalNetworkFault {
+		t.Error("not noticed")
+	}
+	for i := range 7 {
+		evaluator.RecordOutcome(id(fmt.Sprintf("n%02d", i)), decision.OK, 0, 21*time.Second)
+	}
+	if updates, _ := evaluator.Tick(21 * time.Second); len(updates) != 0 || evaluator.Snapshot(time.Minute).LocalNetworkFault {
+		t.Errorf("after it ended: %+v", updates)
+	}
+}
+
+// A list that proves worse than its age makes its other entries less credible, and one that proves well more so.
+func TestListRecordMovesErrorProbability(t *testing.T) {
+	errorProbability := func(outcome decision.Outcome) float64 {
+		evaluator, _ := evaluatorOf(40, day)
+		for i := range 20 {
+			now := time.Duration(i) * time.Second
+			evaluator.RecordOutcome(id("n38"), decision.OK, 0, now)
+			for range 9 {
+				now += 110 * time.Millisecond
+				evaluator.RecordOutcome(id(fmt.Sprintf("n%02d", i)), outcome, 0, now)
+			}
+			evaluator.Tick(now)
+		}
+		d, _ := evaluator.ErrorProbability(id("n39"), 20*time.Second)
+		return d
+	}
+	evaluator, _ := evaluatorOf(1, day)
+	plain, _ := evaluator.ErrorProbability(id("n00"), 0)
+	if good, bad := errorProbability(decision.OK), errorProbability(decision.ConnectFailed); good >= plain || bad <= 2*plain {
+		t.Errorf("error probability %.3f by age, %.3f after a good showing, %.3f after a bad one", plain, good, bad)
+	}
+}
+
+// What was known before the restart binds after it, until discovery lists the node anew; so does age. A clock that went back
+// makes entries as old as any.
+func TestExcludedStayExcluded(t *testing.T) {
+	drained, ended, old, future := entry(0, 0), entry(1, 0), entry(2, 31*day), entry(3, -time.Hour)
+	drained.State, ended.State = Draining, Ended
+	b := NewEntryTable(Head{}, []Entry{drained, ended, old, future, entry(4, 0)})
+	evaluator := NewEvaluator(policy, b, startedAt)
+	use := map[string]bool{}
+	for _, f := range evaluator.Start(id) {
+		use[f.Entry.Name] = f.Usable
+	}
+	if len(use) != 4 || use["n00"] || use["n02"] || !use["n03"] || !use["n04"] {
+		t.Fatalf("in use %v", use)
+	}
+	if d, _ := evaluator.ErrorProbability(id("n03"), 0); d < 0.9 {
+		t.Errorf("an entry from the future has an error probability of %.2f", d)
+	}
+	for _, name := range []string{"n00", "n02"} {
+		evaluator.RecordOutcome(id(name), decision.OK, 0, time.Second)
+	}
+	if updates, _ := evaluator.Tick(time.Second); len(updates) != 0 {
+		t.Errorf("brought back %+v", updates)
+	}
+	fresh := entry(0, 0)
+	evaluator.ApplyList(List{Service: "d", Generation: 5, Full: true, Entries: []Entry{fresh, entry(1, 0)}}, id, 2*time.Second)
+	updates, _ := evaluator.Tick(2 * time.Second)
+	if !slices.ContainsFunc(updates, func(f EndpointUpdate) bool { return f.Entry.Name == "n00" && f.Usable && !f.SlowStart }) {
+		t.Errorf("listed anew: %+v", updates)
+	}
+	if e, _ := b.Get("n04"); e.State != Ended || e.StateSince != startedAt+2000 {
+		t.Errorf("not named by a full list: %+v", e)
+	}
+}
--- a/internal/decision/cachedlist/evidence.go
+++ b/internal/decision/cachedlist/evidence.go
@@ -1,48 +1,38 @@
 package cachedlist
 
 import (
-	"flaxfront/internal/decision"
-	"math"
 	"time"
-)
 
-// This file owns the evidence on an entry: what is thought of it before any, and what each answer says.
+	"flaxfront/internal/decision"
+)
 
-// hazard is how many entries turn wrong in a unit of time. Lifetimes are taken for exponential; the stated half-life is
-// the prior, worth priorWeight entries, and the entries tested since the start, right or wrong, move it (the conjugate
-// gamma of a censored exponential). So a list that proves worse than its age makes all its other entries doubtful.
-func (j *Evaluator) hazard() float64 {
-	return (priorWeight + j.proved) / (priorWeight*float64(j.policy.HalfLife)/math.Ln2 + j.exposure)
-}
+// How much likelier an endpoint with a wrong entry shows this than one with a right entry.
+const (
+	oddsUnreachable = 30.0 // no connection: an endpoint in service accepts one, as a rule
+	oddsSilent      = 8.0  // an attempt unanswered for long: it hangs, or pauses
+	oddsBroken      = 4.0  // a connection that broke, an answer that could not be read
+	oddsErrored     = 2.0
+	oddsRejected    = 3.0 // it drains, or is full
+	maxOdds         = 1e12
+)
 
-// prior is how likely an entry of an age is wrong before its node has shown anything.
-func (j *Evaluator) prior(age time.Duration, hazard float64) float64 {
-	return min(mostPrior, max(leastPrior, 1-math.Exp(-hazard*float64(age))))
-}
+const (
+	evidenceSpacing = 100 * time.Millisecond // failures closer together count once: they have one cause
+	silentAfter     = 400 * time.Millisecond // a cancelled attempt this old counts as unanswered
 
-// doubt is how likely an entry is wrong.
-func (j *Evaluator) doubt(n *node, now time.Duration, hazard float64) float64 {
-	e, known := j.book.Get(n.name)
-	if !known {
-		return mostPrior
-	}
-	prior := j.prior(j.age(&e, now), hazard)
-	odds := prior / (1 - prior) * n.odds
-	return odds / (1 + odds)
-}
+	maxTrialIntervalFactor = 20 // times the first trial interval
+)
 
-// ErrorProbability is how likely a node's entry is wrong, for those who look from outside.
-func (j *Evaluator) ErrorProbability(id decision.NodeID, now time.Duration) (float64, Status) {
-	n := j.nodes[id]
-	if n == nil {
-		return 0, Confirmed
-	}
-	return j.doubt(n, now, j.hazard()), n.standing
-}
+// Nearly all endpoints fail alike when the fault is in the broker's own network.
+const (
+	alikeShare    = 0.9
+	minAlikeTried = 3 // endpoints
+	alikeWindow   = 3 * time.Second
+)
 
-// weight is what an outcome tells: over 1 against the entry, 0 for it, 1 nothing.
-func weight(how decision.Outcome, took time.Duration) float64 {
-	switch how {
+// likelihoodRatio is what an outcome says: over 1 against the entry, 0 for it, 1 nothing.
+func likelihoodRatio(outcome decision.Outcome, took time.Duration) float64 {
+	switch outcome {
 	case decision.OK, decision.Stale:
 		return 0
 	case decision.ConnectFailed:
@@ -50,7 +40,7 @@
 	case decision.TimedOut:
 		return oddsSilent
 	case decision.Cancelled:
-		if took >= silentFrom {
+		if took >= silentAfter {
 			return oddsSilent
 		}
 		return 1
@@ -59,78 +49,78 @@
 	case decision.Errored:
 		return oddsErrored
 	case decision.Rejected:
-		return oddsRefused
+		return oddsRejected
 	default:
 		return 1
 	}
 }
 
-// RecordOutcome takes what a node has shown: the end of a part that was sent to it. A node that answers earns its place at once.
-// While discovery is heard, what nodes show is the decision module's own matter.
-func (j *Evaluator) RecordOutcome(id decision.NodeID, how decision.Outcome, took, now time.Duration) {
-	w := weight(how, took)
-	if j.told || w == 1 {
+// RecordOutcome notes how an attempt ended. An endpoint that answers is reinstated at once. While discovery can be polled, outcomes are the
+// router's matter alone.
+func (v *Evaluator) RecordOutcome(id decision.NodeID, outcome decision.Outcome, took, now time.Duration) {
+	ratio := likelihoodRatio(outcome, took)
+	if v.discoveryUp || ratio == 1 {
 		return
 	}
-	n := j.nodes[id]
-	if n == nil || n.standing == Excluded {
+	ep := v.endpoints[id]
+	if ep == nil || ep.status == Excluded {
 		return
 	}
-	if !n.tested {
-		n.tested = true
-		j.exposure += float64(n.age)
+	if !ep.tested {
+		ep.tested = true
+		v.exposure += float64(ep.ageWhenStarted)
 	}
-	j.tried[n], j.fresh = true, true
-	if w == 0 {
-		j.answered(n, now)
-		return
+	v.recentlyTried[ep] = true
+	v.newEvidence = true
+	if ratio == 0 {
+		v.recordAnswer(ep, now)
+	} else {
+		v.recordFailure(ep, ratio, now)
 	}
-	if now-n.shown < apart && n.failed {
+}
+
+func (v *Evaluator) recordFailure(ep *endpoint, ratio float64, now time.Duration) {
+	if now-ep.lastEvidence < evidenceSpacing && ep.lastFailed {
 		return
 	}
-	if n.failed, n.shown = true, now; !j.alike { // else it tells of the network
-		n.odds = min(n.odds*w, mostOdds)
+	ep.lastFailed = true
+	ep.lastEvidence = now
+	if !v.localNetworkFault { // else it tells of the network
+		ep.odds = min(ep.odds*ratio, maxOdds)
 	}
-	j.suspects[n] = true
-	if n.trial {
-		n.trial, n.parole = false, min(2*n.parole, paroleMost*j.policy.TrialInterval)
-		n.until = now + n.parole
-		j.due = min(j.due, n.until)
-		j.fact(n)
+	v.suspects[ep] = true
+	if ep.inTrial {
+		v.endTrial(ep, now)
 	}
 }
 
-// answered takes it that a node has answered.
-func (j *Evaluator) answered(n *node, now time.Duration) {
-	n.odds, n.failed, n.shown = 1, false, now
-	j.book.RecordAnswer(n.name, j.moment(now))
-	delete(j.suspects, n)
-	if n.wrong {
-		n.wrong = false
-		j.proved--
+func (v *Evaluator) recordAnswer(ep *endpoint, now time.Duration) {
+	ep.odds = 1
+	ep.lastFailed = false
+	ep.lastEvidence = now
+	v.table.RecordAnswer(ep.name, v.timestamp(now))
+	delete(v.suspects, ep)
+	if ep.countedWrong {
+		ep.countedWrong = false
+		v.wrongEntries--
 	}
-	if n.standing == Ejected {
-		j.counts.Recovered++
-		j.cells[n.cell]++
-		n.trial, n.eased = false, true // it may have just come back
-		j.line(n.name + " answered and is in use again")
-		n.standing = Confirmed
-		j.fact(n)
+	if ep.status == Ejected {
+		v.reinstate(ep)
 	}
-	n.standing = Confirmed
+	ep.status = Confirmed
 }
 
-// alikeNow tells whether nearly all nodes that were tried lately failed. Danger: the broker's own network is down and
-// every entry would be struck out for it. A node that answers in the same time ends it. It may hurt where a list is
-// wrong almost throughout: then its entries go on costing a part now and then, as the decision module shuts them.
-func (j *Evaluator) alikeNow(now time.Duration) bool {
+// failAlike reports whether nearly all endpoints that were tried lately failed: the broker's own network may be down, and all entries
+// would be ejected for it. It ends with answers in the same window. Where a list is wrong almost throughout it stays, and entries
+// go on costing an attempt now and then, as the router ejects them.
+func (v *Evaluator) failAlike(now time.Duration) bool {
 	failed := 0
-	for n := range j.tried {
-		if now-n.shown > alikeWithin {
-			delete(j.tried, n)
-		} else if n.failed {
+	for ep := range v.recentlyTried {
+		if now-ep.lastEvidence > alikeWindow {
+			delete(v.recentlyTried, ep)
+		} else if ep.lastFailed {
 			failed++
 		}
 	}
-	return len(j.tried) >= alikeLeast && float64(failed) >= alikeShare*float64(len(j.tried))
+	return len(v.recentlyTried) >= minAlikeTried && float64(failed) >= alikeShare*float64(len(v.recentlyTried))
 }
--- a/internal/decision/cachedlist/golden_test.go
+++ b/internal/decision/cachedlist/golden_test.go
@@ -20,14 +20,14 @@
 
 // sequence plays pseudo-random calls on a list and the judgement of its entries, and digests every result by position.
 type sequence struct {
-	rnd    *rand.Rand
-	digest hash.Hash64
-	nodes  int
-	policy Policy
-	book   *EntryTable
-	judge  *Evaluator
-	start  Timestamp
-	now    time.Duration
+	rnd       *rand.Rand
+	digest    hash.Hash64
+	nodes     int
+	policy    Policy
+	table     *EntryTable
+	evaluator *Evaluator
+	start     Timestamp
+	now       time.Duration
 }
 
 func (s *sequence) print(values ...any) { fmt.Fprintln(s.digest, values...) }
@@ -35,7 +35,8 @@
 func (s *sequence) name() string { return fmt.Sprintf("n%02d", s.rnd.IntN(s.nodes)) }
 
 func (s *sequence) entry(name string) Entry {
-	ages := []time.Duration{0, time.Minute, time.Hour, day, 7 * day, 29 * day, 29*day + 23*time.Hour + 59*time.Minute, 31 * day, -time.Hour, -time.Second}
+	ages := []time.Duration{0, time.Minute, time.Hour, day, 7 * day, 29 * day, 30*day - time.Minute, 31 * day, -time.Hour,
+		-time.Second}
 	at := s.start + Timestamp(s.now.Milliseconds()) - Timestamp(ages[s.rnd.IntN(len(ages))].Milliseconds())
 	e := Entry{Name: name, Zone: []string{"a", "b"}[s.rnd.IntN(2)], Cell: int(name[2]-'0') % 3, State: State(max(0, s.rnd.IntN(7)-4)),
 		ConfirmedAt: at, StateSince: at - Timestamp(s.rnd.IntN(3)*1000), Generation: uint64(s.rnd.IntN(20))}
@@ -66,12 +67,13 @@
 }
 
 func (s *sequence) printEntry(e Entry) {
-	s.print(e.Name, e.Address, e.Zone, e.Cell, uint8(e.State), int64(e.StartedAt), int64(e.ConfirmedAt), uint8(e.ConfirmedBy), int64(e.StateSince), e.Generation)
+	s.print(e.Name, e.Address, e.Zone, e.Cell, uint8(e.State), int64(e.StartedAt), int64(e.ConfirmedAt),
+		uint8(e.ConfirmedBy), int64(e.StateSince), e.Generation)
 }
 
-func (s *sequence) printFacts(facts []EndpointUpdate) {
-	s.print("facts", len(facts))
-	for _, f := range facts {
+func (s *sequence) printFacts(updates []EndpointUpdate) {
+	s.print("facts", len(updates))
+	for _, f := range updates {
 		s.print(f.ID.Addr, f.ID.Port, f.Usable, f.SlowStart)
 		s.printEntry(f.Entry)
 	}
@@ -82,35 +84,35 @@
 }
 
 func (s *sequence) printState() {
-	c := s.judge.Snapshot(s.now)
-	s.print(c.Confirmed, c.Doubtful, c.StruckOut, c.Barred, c.Strikes, c.Paroles, c.Recovered, int64(c.ListAge), c.OwnNetwork)
-	s.print("lines", len(s.judge.CollectLogLines()))
+	c := s.evaluator.Snapshot(s.now)
+	s.print(c.Confirmed, c.Unconfirmed, c.Ejected, c.Excluded, c.Ejections, c.Trials, c.Reinstated, int64(c.ListAge), c.LocalNetworkFault)
+	s.print("lines", len(s.evaluator.CollectLogLines()))
 	for n := range s.nodes {
-		doubt, standing := s.judge.ErrorProbability(id(fmt.Sprintf("n%02d", n)), s.now)
-		s.print(doubt, uint8(standing))
+		errorProbability, status := s.evaluator.ErrorProbability(id(fmt.Sprintf("n%02d", n)), s.now)
+		s.print(errorProbability, uint8(status))
 	}
-	s.printHead(s.book.Head)
-	for _, e := range s.book.SortedByName() {
+	s.printHead(s.table.Head)
+	for _, e := range s.table.SortedByName() {
 		s.printEntry(e)
-		age, known := s.judge.EntryAge(&e)
-		s.print(int64(age), known, s.judge.PriorErrorProbability(&e))
+		age, known := s.evaluator.EntryAge(&e)
+		s.print(int64(age), known, s.evaluator.PriorErrorProbability(&e))
 	}
 }
 
-// restart makes the judge of a process that has just started, of the entries on hand.
+// restart makes the evaluator of a process that has just started, of the entries on hand.
 func (s *sequence) restart(entries []Entry, head Head) {
 	s.start += Timestamp(s.now.Milliseconds()) + Timestamp(s.rnd.IntN(100_000))
 	s.now = 0
-	s.book = NewEntryTable(head, entries)
+	s.table = NewEntryTable(head, entries)
 	if s.rnd.IntN(2) == 0 {
-		s.book.MergeConfigured(s.list(), s.start)
+		s.table.MergeConfigured(s.list(), s.start)
 	}
-	s.judge = NewEvaluator(s.policy, s.book, s.start)
-	s.printFacts(s.judge.Start(id))
+	s.evaluator = NewEvaluator(s.policy, s.table, s.start)
+	s.printFacts(s.evaluator.Start(id))
 }
 
 func (s *sequence) changes() {
-	c, any := s.book.CollectChanges()
+	c, any := s.table.CollectChanges()
 	s.print("changes", any, len(c.Put), len(c.Removed))
 	s.printHead(c.Head)
 	slices.SortFunc(c.Put, func(x, y Entry) int { return strings.Compare(x.Name, y.Name) })
@@ -127,48 +129,48 @@
 		outcome = []decision.Outcome{decision.OK, decision.ConnectFailed, decision.TimedOut}[s.rnd.IntN(3)]
 	}
 	took := []time.Duration{0, time.Millisecond, 399 * time.Millisecond, 400 * time.Millisecond, time.Second}[s.rnd.IntN(5)]
-	s.judge.RecordOutcome(id(name), outcome, took, s.now)
+	s.evaluator.RecordOutcome(id(name), outcome, took, s.now)
 }
 
 func (s *sequence) step() {
 	s.now += time.Duration(s.rnd.IntN([]int{1, 101, 1001, 40_001}[s.rnd.IntN(4)])) * time.Millisecond
 	switch s.rnd.IntN(40) {
 	case 0:
-		if len(s.judge.facts) > 2 { // more than 12 facts, some of them on the same node, come out in no fixed order
-			facts, _ := s.judge.Tick(s.now)
-			s.printFacts(facts)
+		if len(s.evaluator.updates) > 2 { // more than 12 updates, some of them on the same node, come out in no fixed order
+			updates, _ := s.evaluator.Tick(s.now)
+			s.printFacts(updates)
 		}
-		ended, of := s.judge.ApplyList(s.list(), id, s.now)
+		ended, of := s.evaluator.ApplyList(s.list(), id, s.now)
 		s.print("listed", ended, of)
 	case 1, 2, 3, 4:
-		s.judge.DiscoveryFailed()
+		s.evaluator.DiscoveryFailed()
 	case 5:
-		s.restart(s.book.SortedByName(), s.book.Head)
+		s.restart(s.table.SortedByName(), s.table.Head)
 	case 6:
-		s.print("imported", s.judge.Import(s.entries(), id, s.now))
+		s.print("imported", s.evaluator.Import(s.entries(), id, s.now))
 	case 7:
-		s.print("forgot", s.judge.Forget([]string{s.name(), s.name()}, id))
+		s.print("forgot", s.evaluator.Forget([]string{s.name(), s.name()}, id))
 	case 8:
 		name := s.name()
-		s.judge.ApplyGossip(name, id(name), State(s.rnd.IntN(3)), s.start+Timestamp(s.rnd.IntN(3)-1), s.now)
+		s.evaluator.ApplyGossip(name, id(name), State(s.rnd.IntN(3)), s.start+Timestamp(s.rnd.IntN(3)-1), s.now)
 	case 9:
-		s.print("dropped", s.book.Evict(s.rnd.IntN(s.nodes+2), time.Duration(s.rnd.IntN(3))*time.Hour, s.start+Timestamp(s.now.Milliseconds())))
+		s.print("dropped", s.table.Evict(s.rnd.IntN(s.nodes+2), time.Duration(s.rnd.IntN(3))*time.Hour, s.start+Timestamp(s.now.Milliseconds())))
 	case 10, 11:
 		s.changes()
 	case 12: // all alike, as when this broker's own network is down
 		for n := range s.nodes {
-			s.judge.RecordOutcome(id(fmt.Sprintf("n%02d", n)), decision.ConnectFailed, 0, s.now)
+			s.evaluator.RecordOutcome(id(fmt.Sprintf("n%02d", n)), decision.ConnectFailed, 0, s.now)
 		}
 	case 13: // one node fails until it is out, while another answers
 		name, other := s.name(), s.name()
 		for range 12 {
 			s.now += 150 * time.Millisecond
-			s.judge.RecordOutcome(id(other), decision.OK, 0, s.now)
-			s.judge.RecordOutcome(id(name), decision.ConnectFailed, 0, s.now)
+			s.evaluator.RecordOutcome(id(other), decision.OK, 0, s.now)
+			s.evaluator.RecordOutcome(id(name), decision.ConnectFailed, 0, s.now)
 		}
 	case 14:
-		s.print(s.book.Len())
-		e, known := s.book.Get(s.name())
+		s.print(s.table.Len())
+		e, known := s.table.Get(s.name())
 		s.print(known)
 		s.printEntry(e)
 	default:
@@ -177,19 +179,19 @@
 		}
 	}
 	if s.rnd.IntN(3) > 0 {
-		facts, next := s.judge.Tick(s.now)
-		s.printFacts(facts)
+		updates, next := s.evaluator.Tick(s.now)
+		s.printFacts(updates)
 		s.print(int64(next))
 	}
 	s.printState()
 }
 
 func playList(seed uint64) uint64 {
-	s := &sequence{rnd: rand.New(rand.NewPCG(seed, 9)), digest: fnv.New64a(), start: began}
+	s := &sequence{rnd: rand.New(rand.NewPCG(seed, 9)), digest: fnv.New64a(), start: startedAt}
 	s.nodes = 1 + s.rnd.IntN(10)
 	s.policy = Policy{HalfLife: []time.Duration{day, 7 * day}[s.rnd.IntN(2)], MaxAge: 30 * day,
 		EjectionThreshold: []float64{0.9, 0.95, 0.5}[s.rnd.IntN(3)], TrialInterval: []time.Duration{time.Second, 30 * time.Second}[s.rnd.IntN(2)]}
-	head := Head{Service: "d", Deployment: "x", Generation: uint64(s.rnd.IntN(20)), ConfirmedAt: began - Timestamp(s.rnd.IntN(1000_000))}
+	head := Head{Service: "d", Deployment: "x", Generation: uint64(s.rnd.IntN(20)), ConfirmedAt: startedAt - Timestamp(s.rnd.IntN(1000_000))}
 	if s.rnd.IntN(2) == 0 {
 		head.ConfirmedAt = 0
 	}
--- a/internal/decision/cachedlist/course_test.go
+++ b/internal/decision/cachedlist/sequences_test.go
@@ -1,7 +1,5 @@
 package cachedlist
 
-// This file tests random courses of the book, and cost.
-
 import (
 	"fmt"
 	"testing"
@@ -12,8 +10,8 @@
 	"flaxfront/internal/decision"
 )
 
-// Entry by entry the later word counts.
-func TestMerge(t *testing.T) {
+// Entry by entry the later one counts.
+func TestMergeConfigured(t *testing.T) {
 	saved := func(i int, s State, started Timestamp, gen uint64) Entry {
 		e := entry(i, time.Hour)
 		e.State, e.StartedAt, e.Generation = s, started, gen
@@ -29,7 +27,8 @@
 		{"an older list of the same service says nothing", "d", 30, []State{Draining, Ready, Ready}, []State{Ready, Draining, Ended}, 0},
 		{"a newer one counts", "d", 50, []State{Draining, Ready, Ready}, []State{Draining, Ready, Ready}, 0},
 		{"and so does what it leaves out", "d", 50, []State{3, Ready, Ready}, []State{Ended, Ready, Ready}, 0},
-		{"of another service a drain counts, and its end does not", "e", 50, []State{Draining, Ready, Ready}, []State{Draining, Draining, Ended}, 0},
+		{"of another service a drain counts, and its end does not", "e", 50, []State{Draining, Ready, Ready},
+			[]State{Draining, Draining, Ended}, 0},
 		{"but a later start does", "e", 50, []State{Ready, Ready, Ready}, []State{Ready, Ready, Ready}, 90},
 	} {
 		b := NewEntryTable(Head{Service: "d", Generation: 40}, []Entry{saved(0, Ready, 0, 10), saved(1, Draining, 0, 38), saved(2, Ended, 0, 39)})
@@ -39,7 +38,7 @@
 				l.Entries = append(l.Entries, saved(i, s, c.started, 0))
 			}
 		}
-		b.MergeConfigured(l, began)
+		b.MergeConfigured(l, startedAt)
 		for i, want := range c.wanted {
 			if e, _ := b.Get(fmt.Sprintf("n%02d", i)); e.State != want {
 				t.Errorf("%s: node %d is %v, not %v", c.what, i, e.State, want)
@@ -48,32 +47,32 @@
 	}
 }
 
-// In random courses: no cell in use is left with nothing to try, what is barred stays so until discovery speaks, facts say
-// what the standing says, and a book that is bounded stays within its bound.
-func TestRandomCourses(t *testing.T) {
+// In random sequences: no cell in use is left with nothing to try, what is excluded stays so until discovery speaks, updates say
+// what the status says, and a table that is bounded stays within its bound.
+func TestRandomSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "entries")
 		var all []Entry
-		barred := map[decision.NodeID]bool{}
+		excluded := map[decision.NodeID]bool{}
 		for i := range n {
 			e := entry(i, time.Duration(rapid.IntRange(0, 35).Draw(t, "days"))*day)
 			e.State = State(rapid.IntRange(0, 2).Draw(t, "state"))
-			barred[id(e.Name)] = e.State != Ready || began.Since(e.ConfirmedAt) > policy.MaxAge
+			excluded[id(e.Name)] = e.State != Ready || startedAt.Since(e.ConfirmedAt) > policy.MaxAge
 			all = append(all, e)
 		}
-		book := NewEntryTable(Head{}, all)
-		j := NewEvaluator(policy, book, began)
+		table := NewEntryTable(Head{}, all)
+		evaluator := NewEvaluator(policy, table, startedAt)
 		inUse, cells := map[decision.NodeID]bool{}, map[int]bool{}
-		told := false
-		take := func(facts []EndpointUpdate) {
-			for _, f := range facts {
-				if inUse[f.ID] = f.Usable; f.Usable && barred[f.ID] && !told {
-					t.Fatalf("%s is barred and used", f.Entry.Name)
+		listed := false
+		apply := func(updates []EndpointUpdate) {
+			for _, f := range updates {
+				if inUse[f.ID] = f.Usable; f.Usable && excluded[f.ID] && !listed {
+					t.Fatalf("%s is excluded and used", f.Entry.Name)
 				}
 			}
 		}
-		take(j.Start(id))
-		for _, e := range book.SortedByName() {
+		apply(evaluator.Start(id))
+		for _, e := range table.SortedByName() {
 			cells[e.Cell] = cells[e.Cell] || inUse[id(e.Name)]
 		}
 		now := time.Duration(0)
@@ -82,28 +81,28 @@
 			name := fmt.Sprintf("n%02d", rapid.IntRange(0, n-1).Draw(t, "node"))
 			switch rapid.IntRange(0, 12).Draw(t, "what") {
 			case 0:
-				told = true
-				listed := rapid.SliceOfNDistinct(rapid.IntRange(0, n-1), 0, n, rapid.ID).Draw(t, "listed")
+				listed = true
+				named := rapid.SliceOfNDistinct(rapid.IntRange(0, n-1), 0, n, rapid.ID).Draw(t, "listed")
 				l := List{Service: "d", Generation: uint64(now), Full: true}
-				for _, i := range listed {
+				for _, i := range named {
 					l.Entries = append(l.Entries, entry(i, 0))
 				}
-				j.ApplyList(l, id, now)
+				evaluator.ApplyList(l, id, now)
 				clear(inUse)
-				for _, i := range listed {
+				for _, i := range named {
 					inUse[id(fmt.Sprintf("n%02d", i))] = true
 				}
 				clear(cells)
 			case 1:
-				j.DiscoveryFailed()
+				evaluator.DiscoveryFailed()
 			default:
-				j.RecordOutcome(id(name), decision.Outcome(rapid.IntRange(0, 7).Draw(t, "how")), time.Second, now)
+				evaluator.RecordOutcome(id(name), decision.Outcome(rapid.IntRange(0, 7).Draw(t, "outcome")), time.Second, now)
 			}
-			facts, _ := j.Tick(now)
-			take(facts)
+			updates, _ := evaluator.Tick(now)
+			apply(updates)
 			for cell, had := range cells {
 				left := false
-				for _, e := range book.SortedByName() {
+				for _, e := range table.SortedByName() {
 					left = left || e.Cell == cell && inUse[id(e.Name)]
 				}
 				if had && !left {
@@ -112,17 +111,17 @@
 			}
 		}
 		most := rapid.IntRange(1, 12).Draw(t, "most")
-		book.Evict(most, day, began+Timestamp(now.Milliseconds()))
-		if book.Len() > most {
-			t.Fatalf("%d entries, %d at most", book.Len(), most)
+		table.Evict(most, day, startedAt+Timestamp(now.Milliseconds()))
+		if table.Len() > most {
+			t.Fatalf("%d entries, %d at most", table.Len(), most)
 		}
 	})
 }
 
-// Changes are what the disk has to be told: replayed over what it held, they give the book.
+// Changes are what the disk has to be told: replayed over what it held, they give the table.
 func TestChangesReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book, disk := NewEntryTable(Head{}, nil), map[string]Entry{}
+		table, disk := NewEntryTable(Head{}, nil), map[string]Entry{}
 		for step := range rapid.IntRange(1, 20).Draw(t, "steps") {
 			l := List{Service: "d", Generation: uint64(step), Full: rapid.Bool().Draw(t, "whole")}
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 0, 9, rapid.ID).Draw(t, "named") {
@@ -130,22 +129,22 @@
 				e.State = State(rapid.IntRange(0, 2).Draw(t, "state"))
 				l.Entries = append(l.Entries, e)
 			}
-			now := began + Timestamp(step*5000)
-			book.ApplyList(l, now)
-			book.Forget([]string{fmt.Sprintf("n%02d", rapid.IntRange(0, 9).Draw(t, "forgotten"))})
-			c, _ := book.CollectChanges()
+			now := startedAt + Timestamp(step*5000)
+			table.ApplyList(l, now)
+			table.Forget([]string{fmt.Sprintf("n%02d", rapid.IntRange(0, 9).Draw(t, "forgotten"))})
+			c, _ := table.CollectChanges()
 			for _, e := range c.Put {
 				disk[e.Name] = e
 			}
 			for _, name := range c.Removed {
 				delete(disk, name)
 			}
-			if len(disk) != book.Len() {
-				t.Fatalf("%d on disk, %d in the book", len(disk), book.Len())
+			if len(disk) != table.Len() {
+				t.Fatalf("%d on disk, %d in the table", len(disk), table.Len())
 			}
-			for _, e := range book.SortedByName() {
-				if d := disk[e.Name]; !d.same(&e) || d.StateSince != e.StateSince {
-					t.Fatalf("%+v on disk, %+v in the book", d, e)
+			for _, e := range table.SortedByName() {
+				if d := disk[e.Name]; !d.sameContent(&e) || d.StateSince != e.StateSince {
+					t.Fatalf("%+v on disk, %+v in the table", d, e)
 				}
 			}
 		}
@@ -162,13 +161,13 @@
 				e.Name = fmt.Sprintf("%04x", i)
 				all = append(all, e)
 			}
-			j := NewEvaluator(policy, NewEntryTable(Head{}, all), began)
-			j.Start(id)
+			evaluator := NewEvaluator(policy, NewEntryTable(Head{}, all), startedAt)
+			evaluator.Start(id)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * time.Millisecond
-				j.RecordOutcome(id(fmt.Sprintf("%04x", i%50)), decision.OK, time.Millisecond, now)
-				j.Tick(now)
+				evaluator.RecordOutcome(id(fmt.Sprintf("%04x", i%50)), decision.OK, time.Millisecond, now)
+				evaluator.Tick(now)
 			}
 		})
 	}
--- a/internal/server/saved.go
+++ b/internal/server/saved.go
@@ -59,7 +59,7 @@
 	s.discoveryClient.UseBackoff(pace, content.Head.Generation, resume)
 	c := judge.Snapshot(0)
 	slog.Info("saved node list", "dir", o.NodeList.Directory, "found", content.Found, "entries", book.Len(),
-		"used", c.Doubtful, "barred", c.Barred, "age", c.ListAge.Round(time.Second), "service", content.Head.Service,
+		"used", c.Unconfirmed, "barred", c.Excluded, "age", c.ListAge.Round(time.Second), "service", content.Head.Service,
 		"generation", content.Head.Generation, "read_in", time.Since(began).Round(time.Millisecond))
 }
 
--- a/internal/server/saved_test.go
+++ b/internal/server/saved_test.go
@@ -96,7 +96,7 @@
 	if other.Wrong.Load() == 0 || other.Wrong.Load() > 10 {
 		t.Errorf("%d parts went to what answers at the address of another", other.Wrong.Load())
 	}
-	if c.Confirmed < 3 || c.Barred != 1 || c.Confirmed+c.Doubtful+c.StruckOut+c.Barred != 8 {
+	if c.Confirmed < 3 || c.Excluded != 1 || c.Confirmed+c.Unconfirmed+c.Ejected+c.Excluded != 8 {
 		t.Errorf("%+v", c)
 	}
 	k.List[0].Lifecycle, k.List[4].Lifecycle = "in_service", "terminating"
@@ -162,7 +162,7 @@
 	if o := k.load(s, 300*time.Millisecond); len(o.Broken) > 0 || o.Answered < o.Asked*9/10 {
 		t.Errorf("%v, %v", o, o.Broken)
 	}
-	if c := s.Counters().Searches.Trust; c.Confirmed+c.Doubtful != 4 {
+	if c := s.Counters().Searches.Trust; c.Confirmed+c.Unconfirmed != 4 {
 		t.Errorf("%+v", c)
 	}
 }
