--- a/cmd/flaxfront/crew.go
+++ b/cmd/flaxfront/crew.go
@@ -73,13 +73,13 @@
 				if owner == "" {
 					owner = "nobody yet"
 				}
-				if d.Turn > 0 {
-					last = (s.Now - d.Ran).Round(100*time.Millisecond).String() + " ago"
+				if d.RunCount > 0 {
+					last = (s.Now - d.LastRunAt).Round(100*time.Millisecond).String() + " ago"
 				}
-				if d.Mine {
-					next = "in " + max(0, d.Next-s.Now).Round(100*time.Millisecond).String()
+				if d.Owned {
+					next = "in " + max(0, d.DueAt-s.Now).Round(100*time.Millisecond).String()
 				}
-				fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%s\t%s\t%d\t%d\n", d.Name, d.Period, owner, d.Fence, last, next, d.Runs, d.Refused)
+				fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%s\t%s\t%d\t%d\n", d.Name, d.Period, owner, d.Fence, last, next, d.OwnRuns, d.RejectedRuns)
 			}
 			return w.Flush()
 		},
--- a/internal/decision/ownership/claims.go
+++ b/internal/decision/ownership/claims.go
@@ -10,62 +10,62 @@
 
 // Claim is what brokers tell one another of a duty.
 type Claim struct {
-	Duty  uint8
-	Fence uint32
-	Owner uint32
-	Turn  uint32        // how many runs are known of
-	Ran   time.Duration // how long ago the last of them began, by whoever made it
-	Free  bool          // the owner gives it up
+	Job          uint8
+	Fence        uint32
+	Owner        uint32
+	RunCount     uint32        // how many runs are known of
+	SinceLastRun time.Duration // how long ago the last of them began, by whoever made it
+	Released     bool          // the owner gives it up
 }
 
 const claimSize = 18
 
-// Append encodes a claim. Ages travel, not moments: clocks need not agree.
-func (c *Claim) Append(b []byte) []byte {
+// AppendTo encodes a claim. Ages travel, not moments: clocks need not agree.
+func (c *Claim) AppendTo(b []byte) []byte {
 	flags := byte(0)
-	if c.Free {
+	if c.Released {
 		flags = 1
 	}
-	b = append(b, c.Duty, flags)
+	b = append(b, c.Job, flags)
 	b = binary.BigEndian.AppendUint32(b, c.Fence)
 	b = binary.BigEndian.AppendUint32(b, c.Owner)
-	b = binary.BigEndian.AppendUint32(b, c.Turn)
-	return binary.BigEndian.AppendUint32(b, uint32(min(c.Ran.Milliseconds(), math.MaxUint32)))
+	b = binary.BigEndian.AppendUint32(b, c.RunCount)
+	return binary.BigEndian.AppendUint32(b, uint32(min(c.SinceLastRun.Milliseconds(), math.MaxUint32)))
 }
 
-// Read decodes a claim.
-func Read(b []byte) (c Claim, ok bool) {
+// DecodeClaim decodes a claim.
+func DecodeClaim(b []byte) (c Claim, ok bool) {
 	if len(b) != claimSize || b[1] > 1 {
 		return c, false
 	}
-	c = Claim{Duty: b[0], Free: b[1] == 1, Fence: binary.BigEndian.Uint32(b[2:]), Owner: binary.BigEndian.Uint32(b[6:]),
-		Turn: binary.BigEndian.Uint32(b[10:]), Ran: time.Duration(binary.BigEndian.Uint32(b[14:])) * time.Millisecond}
+	c = Claim{Job: b[0], Released: b[1] == 1, Fence: binary.BigEndian.Uint32(b[2:]), Owner: binary.BigEndian.Uint32(b[6:]),
+		RunCount: binary.BigEndian.Uint32(b[10:]), SinceLastRun: time.Duration(binary.BigEndian.Uint32(b[14:])) * time.Millisecond}
 	return c, c.Owner != 0
 }
 
-// Take takes over another broker's claim and tells whether it was news, to be told on.
-func (d *Duties) Take(c Claim, now time.Duration) (fresh bool) {
-	if int(c.Duty) >= len(d.all) {
+// HandleClaim takes over another broker's claim and tells whether it was news, to be told on.
+func (d *Coordinator) HandleClaim(c Claim, now time.Duration) (fresh bool) {
+	if int(c.Job) >= len(d.all) {
 		return false // of a version that has more duties
 	}
-	s := &d.all[c.Duty]
-	if c.Turn > s.turn {
+	s := &d.all[c.Job]
+	if c.RunCount > s.turn {
 		// Danger: a run is told late, or under an older number, and would be made again. Whoever made it, it was made. That it is
 		// told by its number keeps word that goes round for long from making it look later each time.
-		s.turn, s.ran, fresh = c.Turn, max(s.ran, now-c.Ran), true
+		s.turn, s.ran, fresh = c.RunCount, max(s.ran, now-c.SinceLastRun), true
 	}
 	switch {
 	case c.Fence < s.fence, c.Fence == s.fence && c.Owner > s.owner && s.owner != 0:
 		// An older one, or of two at once the one that gives way. Danger: whoever claims it has missed the later one, perhaps of
 		// an owner that is dead by now, and all it does is refused for good. It is told.
-		if now-s.echoed >= d.policy.Settle && s.owner != 0 {
+		if now-s.echoed >= d.policy.SettleTime && s.owner != 0 {
 			s.echoed = now
-			d.claims = append(d.claims, Claim{Duty: c.Duty, Fence: s.fence, Owner: s.owner, Turn: s.turn, Ran: max(0, now-s.ran), Free: s.free})
+			d.claims = append(d.claims, Claim{Job: c.Job, Fence: s.fence, Owner: s.owner, RunCount: s.turn, SinceLastRun: max(0, now-s.ran), Released: s.free})
 		}
 		return fresh
 	case c.Fence == s.fence && c.Owner == s.owner:
 		s.heard = now
-		if c.Free && !s.free {
+		if c.Released && !s.free {
 			s.free, fresh = true, true
 		}
 		return fresh
@@ -73,14 +73,14 @@
 	if s.owner == d.self {
 		s.running = false // what it does from now on is refused
 	}
-	s.fence, s.owner, s.free, s.heard = c.Fence, c.Owner, c.Free, now
+	s.fence, s.owner, s.free, s.heard = c.Fence, c.Owner, c.Released, now
 	return true
 }
 
-// Accept tells whether what somebody did of a duty under a fencing number is to be taken. Danger: an owner that was paused
+// AcceptFence tells whether what somebody did of a duty under a fencing number is to be taken. Danger: an owner that was paused
 // wakes up and carries on as if nothing had happened. A number that was accepted counts as known: the model found an owner that
 // took the work of its successor and went on with its own.
-func (d *Duties) Accept(duty int, fence uint32) bool {
+func (d *Coordinator) AcceptFence(duty int, fence uint32) bool {
 	s := &d.all[duty]
 	if fence < s.fence {
 		s.refused++
@@ -92,13 +92,13 @@
 	return true
 }
 
-func (d *Duties) claim(i int, now time.Duration) {
+func (d *Coordinator) claim(i int, now time.Duration) {
 	s := &d.all[i]
-	d.claims = append(d.claims, Claim{Duty: uint8(i), Fence: s.fence, Owner: d.self, Turn: s.turn, Ran: max(0, now-s.ran), Free: s.free})
+	d.claims = append(d.claims, Claim{Job: uint8(i), Fence: s.fence, Owner: d.self, RunCount: s.turn, SinceLastRun: max(0, now-s.ran), Released: s.free})
 }
 
-// Claims returns what is to be told to the others.
-func (d *Duties) Claims() []Claim {
+// DrainClaims returns what is to be told to the others.
+func (d *Coordinator) DrainClaims() []Claim {
 	c := d.claims
 	d.claims = nil
 	return c
--- a/internal/decision/ownership/explore_test.go
+++ b/internal/decision/ownership/explore_test.go
@@ -9,7 +9,7 @@
 )
 
 // explore goes through all states up to a depth from where the three have begun, and returns the first that breaks the rule.
-func explore(depth int, accept func(*Duties, uint32) bool) (states int, broken string) {
+func explore(depth int, accept func(*Coordinator, uint32) bool) (states int, broken string) {
 	start := &modelState{}
 	for i := range start.brokers {
 		start.brokers[i] = newModelBroker(i, 0)
@@ -22,7 +22,7 @@
 		for len(start.claims) > 0 {
 			m := start.claims[0]
 			start.claims = start.claims[1:]
-			start.brokers[m.to].d.Take(m.c, start.now)
+			start.brokers[m.to].d.HandleClaim(m.c, start.now)
 			start.tell(m.to)
 		}
 	}
@@ -53,12 +53,12 @@
 // Whatever happens in whatever order, nobody accepts what was done under an older number after it knew of a newer one, and no
 // number goes back. A receiver that accepts everything is caught.
 func TestModel(t *testing.T) {
-	states, broken := explore(6, func(d *Duties, fence uint32) bool { return d.Accept(0, fence) })
+	states, broken := explore(6, func(d *Coordinator, fence uint32) bool { return d.AcceptFence(0, fence) })
 	if broken != "" {
 		t.Error(broken)
 	}
 	t.Logf("%d states to depth 6", states)
-	states, broken = explore(6, func(*Duties, uint32) bool { return true })
+	states, broken = explore(6, func(*Coordinator, uint32) bool { return true })
 	if broken == "" {
 		t.Errorf("a receiver that accepts everything was not caught in %d states", states)
 	}
--- a/internal/decision/ownership/model_test.go
+++ b/internal/decision/ownership/model_test.go
@@ -11,7 +11,7 @@
 // any order: a claim arrives or is lost, a broker takes another for dead or finds it again, is paused, wakes, is restarted.
 
 type modelBroker struct {
-	d      *Duties
+	d      *Coordinator
 	paused bool
 	sees   [3]bool
 	due    []Run // begun, and not yet in effect
@@ -35,7 +35,7 @@
 	owner int
 }
 
-func (d *Duties) clone() *Duties {
+func (d *Coordinator) clone() *Coordinator {
 	c := *d
 	c.all, c.members, c.claims = slices.Clone(d.all), slices.Clone(d.members), slices.Clone(d.claims)
 	return &c
@@ -63,12 +63,12 @@
 	return h.Sum64()
 }
 
-var modelPolicy = Policy{Lease: 3 * time.Second, Settle: time.Second, Renew: time.Second}
+var modelPolicy = Policy{Lease: 3 * time.Second, SettleTime: time.Second, RenewInterval: time.Second}
 
 func id(i int) uint32 { return uint32(i + 1) }
 
 func newModelBroker(i int, now time.Duration) modelBroker {
-	return modelBroker{d: New(modelPolicy, id(i), []Duty{{"x", 2 * time.Second}}, now), sees: [3]bool{true, true, true}}
+	return modelBroker{d: NewCoordinator(modelPolicy, id(i), []Job{{"x", 2 * time.Second}}, now), sees: [3]bool{true, true, true}}
 }
 
 func (s *modelState) view(i int) {
@@ -79,7 +79,7 @@
 			all = append(all, Member{id(j), 1})
 		}
 	}
-	b.d.View(all, s.now)
+	b.d.SetMembers(all, s.now)
 }
 
 // tick has a broker take a turn and puts what it says on its way.
@@ -92,7 +92,7 @@
 }
 
 func (s *modelState) tell(i int) {
-	for _, c := range s.brokers[i].d.Claims() {
+	for _, c := range s.brokers[i].d.DrainClaims() {
 		for j := range s.brokers {
 			one := modelClaim{j, c}
 			if j != i && !slices.Contains(s.claims, one) {
@@ -103,7 +103,7 @@
 }
 
 // effect is when a run reaches everybody that can hear: each rules on it by itself.
-func (s *modelState) effect(i, of int, accept func(d *Duties, fence uint32) bool) (broken string) {
+func (s *modelState) effect(i, of int, accept func(d *Coordinator, fence uint32) bool) (broken string) {
 	b := &s.brokers[i]
 	r := b.due[of]
 	b.due = slices.Delete(b.due, of, of+1)
@@ -124,7 +124,7 @@
 		}
 		s.accepts[j] = []modelAccept{{r.Fence, i}}
 	}
-	b.d.Done(r, taken, s.now)
+	b.d.RunEnded(r, taken, s.now)
 	s.tell(i)
 	return broken
 }
@@ -132,7 +132,7 @@
 const modelFaults = 3
 
 // next are all states that one thing happening leads to.
-func (s *modelState) next(accept func(*Duties, uint32) bool, each func(*modelState, string)) {
+func (s *modelState) next(accept func(*Coordinator, uint32) bool, each func(*modelState, string)) {
 	do := func(what func(*modelState) string) {
 		c := s.clone()
 		each(c, what(c))
@@ -146,7 +146,7 @@
 				return ""
 			}
 			before := b.d.all[0].fence
-			b.d.Take(m.c, c.now)
+			b.d.HandleClaim(m.c, c.now)
 			c.tell(m.to)
 			if b.d.all[0].fence < before {
 				return fmt.Sprintf("broker %d went from number %d back to %d", m.to, before, b.d.all[0].fence)
--- a/internal/decision/ownership/ownership.go
+++ b/internal/decision/ownership/ownership.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Duty is something that has to be done once in a period by one of the brokers.
-type Duty struct {
+// Job is something that has to be done once in a period by one of the brokers.
+type Job struct {
 	Name   string
 	Period time.Duration
 }
@@ -29,20 +29,20 @@
 
 // Policy holds the times.
 type Policy struct {
-	Lease  time.Duration // an owner that heard nobody for so long does nothing
-	Settle time.Duration // between a take-over and the first run: word of a run that was just made may still come
-	Renew  time.Duration // an owner says again so often that it owns
+	Lease         time.Duration // an owner that heard nobody for so long does nothing
+	SettleTime    time.Duration // between a take-over and the first run: word of a run that was just made may still come
+	RenewInterval time.Duration // an owner says again so often that it owns
 }
 
 // Run is a duty that is to be done now.
 type Run struct {
-	Duty  int
+	Job   int
 	Fence uint32
 }
 
 // state is what a broker knows of a duty.
 type state struct {
-	Duty
+	Job
 	fence   uint32
 	owner   uint32 // who claimed it last; 0: nobody
 	free    bool   // its owner gave it up
@@ -58,8 +58,8 @@
 	begun   time.Duration
 }
 
-// Duties is one broker's part in them.
-type Duties struct {
+// Coordinator is one broker's part in them.
+type Coordinator struct {
 	policy  Policy
 	self    uint32
 	all     []state
@@ -72,18 +72,18 @@
 	claims  []Claim
 }
 
-// New makes a broker's part; it owns nothing yet.
-func New(p Policy, self uint32, list []Duty, now time.Duration) *Duties {
-	d := &Duties{policy: p, self: self, since: now + p.Settle, alone: true, contact: math.MinInt64 / 2}
+// NewCoordinator makes a broker's part; it owns nothing yet.
+func NewCoordinator(p Policy, self uint32, list []Job, now time.Duration) *Coordinator {
+	d := &Coordinator{policy: p, self: self, since: now + p.SettleTime, alone: true, contact: math.MinInt64 / 2}
 	for _, x := range list {
-		d.all = append(d.all, state{Duty: x})
+		d.all = append(d.all, state{Job: x})
 	}
 	return d
 }
 
-// View tells who may own duties: the members that are neither dead nor gone, the broker itself included; and when another
+// SetMembers tells who may own duties: the members that are neither dead nor gone, the broker itself included; and when another
 // one was last heard.
-func (d *Duties) View(members []Member, contact time.Duration) {
+func (d *Coordinator) SetMembers(members []Member, contact time.Duration) {
 	d.members = append(d.members[:0], members...)
 	d.contact = contact
 	d.alone = !slices.ContainsFunc(members, func(m Member) bool { return m.ID != d.self })
@@ -105,7 +105,7 @@
 }
 
 // Owner is the member that a duty belongs to.
-func (d *Duties) Owner(duty int) (id uint32) {
+func (d *Coordinator) Owner(duty int) (id uint32) {
 	best := math.Inf(-1)
 	for _, m := range d.members {
 		if r := rank(d.all[duty].Name, m); r > best || r == best && m.ID < id {
@@ -116,9 +116,9 @@
 }
 
 // Tick returns what is to be done now, and when to come again. Claims has what is to be told.
-func (d *Duties) Tick(now time.Duration) (runs []Run, next time.Duration) {
+func (d *Coordinator) Tick(now time.Duration) (runs []Run, next time.Duration) {
 	if d.last > 0 && now-d.last > d.policy.Lease { // paused, or starved: whatever it owned it must claim again, once it has heard of others
-		d.since = now + d.policy.Settle
+		d.since = now + d.policy.SettleTime
 		for i := range d.all {
 			if s := &d.all[i]; s.owner == d.self {
 				s.owner, s.running = 0, false
@@ -126,7 +126,7 @@
 		}
 	}
 	d.last = now
-	next = now + d.policy.Renew
+	next = now + d.policy.RenewInterval
 	if d.left {
 		return nil, now + time.Hour
 	}
@@ -136,14 +136,14 @@
 		mine := d.Owner(i) == d.self
 		switch {
 		case now < d.since || cut:
-			next = min(next, max(d.since, now+d.policy.Settle/4))
+			next = min(next, max(d.since, now+d.policy.SettleTime/4))
 			continue
 		case mine && s.owner != d.self:
 			// Whoever had it is dead, has left, or ranks lower by now: it hears of this claim and stops.
 			s.fence, s.owner, s.free = s.fence+1, d.self, false
 			s.taken, s.said = now, now
 			d.claim(i, now)
-		case mine && now-s.said >= d.policy.Renew:
+		case mine && now-s.said >= d.policy.RenewInterval:
 			s.said = now
 			d.claim(i, now)
 		case !mine && s.owner == d.self && !s.free:
@@ -166,8 +166,8 @@
 
 // due is when an owner does a duty: a period after it was last done, and never right after a take-over. Danger: after an outage
 // all that was missed would be made good at once; it is done once, at a moment of the duty's own.
-func (d *Duties) due(s *state) time.Duration {
-	settled := s.taken + d.policy.Settle
+func (d *Coordinator) due(s *state) time.Duration {
+	settled := s.taken + d.policy.SettleTime
 	if s.turn == 0 {
 		return settled + time.Duration(d.offset(s)*float64(min(s.Period, d.policy.Lease))/4)
 	}
@@ -175,15 +175,15 @@
 }
 
 // offset spreads first runs: the same for a duty at every broker.
-func (d *Duties) offset(s *state) float64 {
+func (d *Coordinator) offset(s *state) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(s.Name))
 	return float64(h.Sum32()%1000) / 1000
 }
 
-// Done tells that a run is over; ok false means that it is to be tried again after a tenth of its period.
-func (d *Duties) Done(r Run, ok bool, now time.Duration) {
-	s := &d.all[r.Duty]
+// RunEnded tells that a run is over; ok false means that it is to be tried again after a tenth of its period.
+func (d *Coordinator) RunEnded(r Run, ok bool, now time.Duration) {
+	s := &d.all[r.Job]
 	if s.fence != r.Fence || s.owner != d.self {
 		return // it was taken over meanwhile
 	}
@@ -194,11 +194,11 @@
 		s.ran -= s.Period * 9 / 10
 	}
 	s.runs++
-	d.claim(r.Duty, now)
+	d.claim(r.Job, now)
 }
 
-// Leave gives up all that the broker owns, as it stops: the next owners take over at once.
-func (d *Duties) Leave(now time.Duration) {
+// ReleaseAll gives up all that the broker owns, as it stops: the next owners take over at once.
+func (d *Coordinator) ReleaseAll(now time.Duration) {
 	for i := range d.all {
 		if s := &d.all[i]; s.owner == d.self {
 			s.free, s.running = true, false
@@ -210,25 +210,25 @@
 
 // State is what operators see of a duty.
 type State struct {
-	Name      string
-	Period    time.Duration
-	Owner     uint32
-	Fence     uint32
-	Since     time.Duration // that its owner has been heard of as such
-	Ran       time.Duration
-	Turn      uint32        // runs that are known of
-	Next      time.Duration // here, where this broker owns it
-	Runs      uint64        // here
-	Refused   uint64        // done under an older number, by others
-	Mine, Due bool
-}
-
-// States are all duties, as this broker knows them.
-func (d *Duties) States(now time.Duration) (all []State) {
+	Name           string
+	Period         time.Duration
+	Owner          uint32
+	Fence          uint32
+	OwnerHeardAt   time.Duration // that its owner has been heard of as such
+	LastRunAt      time.Duration
+	RunCount       uint32        // runs that are known of
+	DueAt          time.Duration // here, where this broker owns it
+	OwnRuns        uint64        // here
+	RejectedRuns   uint64        // done under an older number, by others
+	Owned, Running bool
+}
+
+// Snapshot are all duties, as this broker knows them.
+func (d *Coordinator) Snapshot(now time.Duration) (all []State) {
 	for i := range d.all {
 		s := &d.all[i]
-		all = append(all, State{Name: s.Name, Period: s.Period, Owner: s.owner, Fence: s.fence, Since: s.heard, Ran: s.ran, Turn: s.turn,
-			Next: d.due(s), Runs: s.runs, Refused: s.refused, Mine: s.owner == d.self, Due: s.running})
+		all = append(all, State{Name: s.Name, Period: s.Period, Owner: s.owner, Fence: s.fence, OwnerHeardAt: s.heard, LastRunAt: s.ran, RunCount: s.turn,
+			DueAt: d.due(s), OwnRuns: s.runs, RejectedRuns: s.refused, Owned: s.owner == d.self, Running: s.running})
 	}
 	return all
 }
--- a/internal/decision/ownership/ownership_test.go
+++ b/internal/decision/ownership/ownership_test.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/lab/crew"
 )
 
-var chores = []ownership.Duty{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
+var chores = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
 func tier(seed uint64, brokers int, loss float64) *crew.Crew {
 	return crew.New(crew.Options{Brokers: brokers, Seed: seed, Loss: loss, Delay: 2 * time.Millisecond, Twice: 0.05, Policy: crew.Default,
@@ -127,46 +127,46 @@
 // What a broker reads of claims, and what it refuses.
 func TestClaims(t *testing.T) {
 	p := crew.Lease
-	d := ownership.New(p, 7, chores, 0)
-	d.View([]ownership.Member{{ID: 7, Weight: 1}}, 0)
-	runs, _ := d.Tick(p.Settle)
-	for now := p.Settle; len(runs) == 0 && now < 10*time.Second; now += 50 * time.Millisecond {
+	d := ownership.NewCoordinator(p, 7, chores, 0)
+	d.SetMembers([]ownership.Member{{ID: 7, Weight: 1}}, 0)
+	runs, _ := d.Tick(p.SettleTime)
+	for now := p.SettleTime; len(runs) == 0 && now < 10*time.Second; now += 50 * time.Millisecond {
 		runs, _ = d.Tick(now)
 	}
-	if len(runs) == 0 || !d.Accept(runs[0].Duty, runs[0].Fence) {
+	if len(runs) == 0 || !d.AcceptFence(runs[0].Job, runs[0].Fence) {
 		t.Fatalf("%v", runs)
 	}
-	later := ownership.Claim{Duty: uint8(runs[0].Duty), Fence: runs[0].Fence + 5, Owner: 9, Turn: 3}
-	back, ok := ownership.Read(later.Append(nil))
-	if !ok || back != later || !d.Take(back, 10*time.Second) || d.Take(back, 10*time.Second) {
+	later := ownership.Claim{Job: uint8(runs[0].Job), Fence: runs[0].Fence + 5, Owner: 9, RunCount: 3}
+	back, ok := ownership.DecodeClaim(later.AppendTo(nil))
+	if !ok || back != later || !d.HandleClaim(back, 10*time.Second) || d.HandleClaim(back, 10*time.Second) {
 		t.Errorf("%+v, %v", back, ok)
 	}
-	if d.Accept(runs[0].Duty, runs[0].Fence) {
+	if d.AcceptFence(runs[0].Job, runs[0].Fence) {
 		t.Error("an old number is accepted")
 	}
-	for _, bad := range [][]byte{nil, {1}, make([]byte, 18), append(later.Append(nil), 0)} {
-		if _, ok := ownership.Read(bad); ok {
+	for _, bad := range [][]byte{nil, {1}, make([]byte, 18), append(later.AppendTo(nil), 0)} {
+		if _, ok := ownership.DecodeClaim(bad); ok {
 			t.Errorf("%x was read", bad)
 		}
 	}
-	if d.Take(ownership.Claim{Duty: 200, Fence: 1, Owner: 1}, 0) {
+	if d.HandleClaim(ownership.Claim{Job: 200, Fence: 1, Owner: 1}, 0) {
 		t.Error("a duty that nobody has was taken")
 	}
 }
 
 // Duties are shared by weight: one of three times the others' capacity owns about three times as many.
 func TestWeights(t *testing.T) {
-	var list []ownership.Duty
+	var list []ownership.Job
 	for i := range 3000 {
-		list = append(list, ownership.Duty{Name: fmt.Sprint("duty ", i), Period: time.Minute})
+		list = append(list, ownership.Job{Name: fmt.Sprint("duty ", i), Period: time.Minute})
 	}
-	d := ownership.New(crew.Lease, 1, list, 0)
+	d := ownership.NewCoordinator(crew.Lease, 1, list, 0)
 	var all []ownership.Member
 	for i := range 5 {
 		all = append(all, ownership.Member{ID: uint32(membership.IDOf(crew.Name(i))), Weight: 1})
 	}
 	all[2].Weight = 3
-	d.View(all, 0)
+	d.SetMembers(all, 0)
 	owned := map[uint32]int{}
 	for i := range list {
 		owned[d.Owner(i)]++
@@ -174,7 +174,7 @@
 	if n := owned[all[2].ID]; n < 1150 || n > 1430 {
 		t.Errorf("%d of 3000 duties at three sevenths of the weight", n)
 	}
-	d.View(all[:4], 0) // one goes: only what was its own moves
+	d.SetMembers(all[:4], 0) // one goes: only what was its own moves
 	for i := range list {
 		was := rankOwner(all, list[i].Name)
 		if now := d.Owner(i); was != all[4].ID && now != was {
@@ -184,7 +184,7 @@
 }
 
 func rankOwner(all []ownership.Member, name string) uint32 {
-	d := ownership.New(crew.Lease, 1, []ownership.Duty{{Name: name, Period: time.Minute}}, 0)
-	d.View(all, 0)
+	d := ownership.NewCoordinator(crew.Lease, 1, []ownership.Job{{Name: name, Period: time.Minute}}, 0)
+	d.SetMembers(all, 0)
 	return d.Owner(0)
 }
--- a/internal/lab/crew/broker.go
+++ b/internal/lab/crew/broker.go
@@ -23,7 +23,7 @@
 		seeds = append(seeds, c.Brokers[i].addr)
 	}
 	b.Members = membership.New(p, Name(b.n), b.addr, 1, uint32(b.starts), seeds)
-	b.Duties = ownership.New(c.o.Lease, uint32(membership.IDOf(Name(b.n))), c.o.Duties, b.clock())
+	b.Duties = ownership.NewCoordinator(c.o.Lease, uint32(membership.IDOf(Name(b.n))), c.o.Duties, b.clock())
 	b.view = nil
 	b.beats, b.dead = map[int]time.Duration{}, map[int]bool{}
 	if c.o.AllToAll {
@@ -45,8 +45,8 @@
 	now := b.clock()
 	next := b.Members.Tick(now)
 	for _, note := range b.Members.Notes() {
-		if cl, ok := ownership.Read(note); ok && b.Duties.Take(cl, now) {
-			b.Members.Broadcast(uint64(cl.Duty), note)
+		if cl, ok := ownership.DecodeClaim(note); ok && b.Duties.HandleClaim(cl, now) {
+			b.Members.Broadcast(uint64(cl.Job), note)
 		}
 	}
 	changes := b.Members.Changes()
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	b.Duties.View(b.view, b.Members.Heard())
+	b.Duties.SetMembers(b.view, b.Members.Heard())
 	runs, at := b.Duties.Tick(now)
 	for _, r := range runs {
 		b.c.at(b.c.now+5*time.Millisecond, func() { b.done(r) })
@@ -103,20 +103,20 @@
 	taken := true
 	for _, o := range b.c.Brokers {
 		if o.Up && !o.Paused && (b.c.Cut == nil || !b.c.Cut(b.n, o.n)) {
-			taken = o.Duties.Accept(r.Duty, r.Fence) && taken
+			taken = o.Duties.AcceptFence(r.Job, r.Fence) && taken
 		}
 	}
 	if taken {
-		b.c.Runs = append(b.c.Runs, Run{r.Duty, b.n, b.c.now, r.Fence})
+		b.c.Runs = append(b.c.Runs, Run{r.Job, b.n, b.c.now, r.Fence})
 	}
-	b.Duties.Done(r, taken, b.clock())
+	b.Duties.RunEnded(r, taken, b.clock())
 	b.tell()
 	b.flush()
 }
 
 func (b *Broker) tell() {
-	for _, cl := range b.Duties.Claims() {
-		b.Members.Broadcast(uint64(cl.Duty), cl.Append(nil))
+	for _, cl := range b.Duties.DrainClaims() {
+		b.Members.Broadcast(uint64(cl.Job), cl.AppendTo(nil))
 	}
 }
 
--- a/internal/lab/crew/crew.go
+++ b/internal/lab/crew/crew.go
@@ -25,7 +25,7 @@
 	Delay    time.Duration // one way, on average
 	Twice    float64       // share of datagrams that come twice
 	Policy   membership.Policy
-	Duties   []ownership.Duty
+	Duties   []ownership.Job
 	Lease    ownership.Policy
 	AllToAll bool          // heartbeats of each to each instead, for comparison
 	Starve   time.Duration // a starved broker gets its core so late, at times
@@ -37,7 +37,7 @@
 	Forget: 10 * time.Minute, Sync: 3 * time.Second, MaxBytes: 220, MaxKnown: 1000}
 
 // Lease is the default of duties.
-var Lease = ownership.Policy{Lease: 3 * time.Second, Settle: 400 * time.Millisecond, Renew: time.Second}
+var Lease = ownership.Policy{Lease: 3 * time.Second, SettleTime: 400 * time.Millisecond, RenewInterval: time.Second}
 
 // Crew is a tier of brokers.
 type Crew struct {
@@ -74,7 +74,7 @@
 	n       int
 	addr    netip.AddrPort
 	Members *membership.Members
-	Duties  *ownership.Duties
+	Duties  *ownership.Coordinator
 	Up      bool
 	Paused  bool
 	starts  int
@@ -130,7 +130,7 @@
 // Stop ends a broker as planned.
 func (c *Crew) Stop(n int) {
 	b := c.Brokers[n]
-	b.Duties.Leave(b.clock())
+	b.Duties.ReleaseAll(b.clock())
 	b.tell()
 	b.Members.Leave(b.clock())
 	b.flush()
--- a/internal/lab/crew/table.go
+++ b/internal/lab/crew/table.go
@@ -116,7 +116,7 @@
 }
 
 // Chores are the duties that the experiments share out.
-var Chores = []ownership.Duty{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
+var Chores = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
 // Kills kills the owner of a duty in many tiers of five and prints what became of all duties.
 func Kills(out io.Writer, seeds int, loss float64) (broken int) {
--- a/internal/server/crew.go
+++ b/internal/server/crew.go
@@ -42,7 +42,7 @@
 // tierMembership is the loop's part of it.
 type tierMembership struct {
 	members        *membership.Members
-	ownership      *ownership.Duties
+	ownership      *ownership.Coordinator
 	sendTo         func(to netip.AddrPort, data []byte)
 	shareEndpoints bool // words of discovery are passed on
 	shared         *gossip.UpdateFilter
@@ -101,8 +101,8 @@
 	h := fnv.New32a()
 	io.WriteString(h, service.String())
 	return &tierMembership{members: m, sendTo: meet, shareEndpoints: o.List, shared: gossip.NewUpdateFilter(h.Sum32()),
-		ownership: ownership.New(ownership.Policy{Lease: o.Lease, Settle: o.Interval, Renew: 2 * o.Interval}, uint32(m.Self().ID),
-			[]ownership.Duty{jobPollDiscovery: {Name: "refresh the node list", Period: max(time.Second, t.AskEvery/2)},
+		ownership: ownership.NewCoordinator(ownership.Policy{Lease: o.Lease, SettleTime: o.Interval, RenewInterval: 2 * o.Interval}, uint32(m.Self().ID),
+			[]ownership.Job{jobPollDiscovery: {Name: "refresh the node list", Period: max(time.Second, t.AskEvery/2)},
 				jobLogCounters: {Name: "log the counters", Period: o.Summary}}, now)}
 }
 
@@ -137,18 +137,18 @@
 			c.keepSeeds(c.seeds)
 		}
 	}
-	c.ownership.View(c.ownershipView, c.members.Heard())
+	c.ownership.SetMembers(c.ownershipView, c.members.Heard())
 	runs, at := c.ownership.Tick(now)
 	for _, r := range runs {
-		slog.Debug("duty", "number", r.Duty, "fence", r.Fence)
-		switch r.Duty {
+		slog.Debug("duty", "number", r.Job, "fence", r.Fence)
+		switch r.Job {
 		case jobPollDiscovery:
 			l.pollDiscovery()
 		case jobLogCounters:
 			slog.Info("duty: counters of the owner", "taken", l.counters.Taken, "answered", l.counters.Answered, "shed", l.counters.Shed,
 				"errored", l.counters.Errored, "in_hand", l.counters.InHand, "living", c.members.Living())
 		}
-		c.ownership.Done(r, true, now)
+		c.ownership.RunEnded(r, true, now)
 	}
 	c.flush()
 	return min(next, at)
@@ -156,8 +156,8 @@
 
 // flush sends what is to be told.
 func (c *tierMembership) flush() {
-	for _, cl := range c.ownership.Claims() {
-		c.members.Broadcast(uint64(cl.Duty), cl.Append([]byte{noteOwnership}))
+	for _, cl := range c.ownership.DrainClaims() {
+		c.members.Broadcast(uint64(cl.Job), cl.AppendTo([]byte{noteOwnership}))
 	}
 	for _, p := range c.members.Out() {
 		c.sendTo(p.To, p.Data)
@@ -178,8 +178,8 @@
 	c := l.membership
 	switch note[0] {
 	case noteOwnership:
-		if cl, ok := ownership.Read(note[1:]); ok && c.ownership.Take(cl, now) {
-			c.members.Broadcast(uint64(cl.Duty), note)
+		if cl, ok := ownership.DecodeClaim(note[1:]); ok && c.ownership.HandleClaim(cl, now) {
+			c.members.Broadcast(uint64(cl.Job), note)
 		}
 	case noteEndpoint:
 		if w, ok := gossip.Decode(note[1:]); ok && c.shareEndpoints {
@@ -237,7 +237,7 @@
 // leaveTier tells the others that the broker stops, as planned.
 func (l *loop) leaveTier() {
 	now := l.since()
-	l.membership.ownership.Leave(now)
+	l.membership.ownership.ReleaseAll(now)
 	l.membership.flush()
 	l.membership.members.Leave(now)
 	l.membership.flush()
--- a/internal/server/crew_test.go
+++ b/internal/server/crew_test.go
@@ -73,7 +73,7 @@
 	})
 	k.until("a duty has one owner", func() bool {
 		a, b, c := crewOf(0).Duties[0], crewOf(1).Duties[0], crewOf(2).Duties[0]
-		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.Turn > 0
+		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.RunCount > 0
 	})
 	if c := all[0].Counters(); c.Peers.Unsealed == 0 && all[3].Counters().Peers.Unsealed == 0 {
 		t.Error("nobody counted what the fourth said under another secret")
--- a/internal/server/crewstate.go
+++ b/internal/server/crewstate.go
@@ -22,5 +22,5 @@
 
 func (l *loop) membershipState(now time.Duration) *MembershipState {
 	c := l.membership
-	return &MembershipState{c.members.Self().Name, now, c.members.All(), c.ownership.States(now), c.members.Counts, c.shared.Counts}
+	return &MembershipState{c.members.Self().Name, now, c.members.All(), c.ownership.Snapshot(now), c.members.Counts, c.shared.Counts}
 }
