--- a/internal/decision/ownership/ownership.go
+++ b/internal/decision/ownership/ownership.go
@@ -208,19 +208,20 @@
 	d.left = true
 }
 
-// State is what operators see of a duty.
+// State is what operators see of a duty. The JSON names are those under /counters.
 type State struct {
-	Name           string
-	Period         time.Duration
-	Owner          uint32
-	Fence          uint32
-	OwnerHeardAt   time.Duration // that its owner has been heard of as such
-	LastRunAt      time.Duration
-	RunCount       uint32        // runs that are known of
-	DueAt          time.Duration // here, where this broker owns it
-	OwnRuns        uint64        // here
-	RejectedRuns   uint64        // done under an older number, by others
-	Owned, Running bool
+	Name         string
+	Period       time.Duration
+	Owner        uint32
+	Fence        uint32
+	OwnerHeardAt time.Duration `json:"Since"` // that its owner has been heard of as such
+	LastRunAt    time.Duration `json:"Ran"`
+	RunCount     uint32        `json:"Turn"`    // runs that are known of
+	DueAt        time.Duration `json:"Next"`    // here, where this broker owns it
+	OwnRuns      uint64        `json:"Runs"`    // here
+	RejectedRuns uint64        `json:"Refused"` // done under an older number, by others
+	Owned        bool          `json:"Mine"`
+	Running      bool          `json:"Due"`
 }
 
 // Snapshot are all duties, as this broker knows them.
