--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -41,7 +41,7 @@
 	s.discoveryClient.UseBackoff(pace, content.Head.Generation, resume)
 	state := list.judge.Snapshot(0)
 	slog.Info("cached endpoint list opened", "component", "cached-list", "directory", o.NodeList.Directory, "found", content.Found,
-		"entries", book.Len(), "unconfirmed", state.Doubtful, "barred", state.Barred, "age", state.ListAge.Round(time.Second),
+		"entries", book.Len(), "unconfirmed", state.Unconfirmed, "excluded", state.Excluded, "age", state.ListAge.Round(time.Second),
 		"service", content.Head.Service, "generation", content.Head.Generation, "read_in", time.Since(began).Round(time.Millisecond))
 }
 
