--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -73,9 +73,13 @@
 
 // Counts are what operators see of a tenant.
 type Counts struct {
-	Entered, Waited, TurnedAway, RanOut, Repeats uint64
-	Work                                         float64 // that entered
-	Waiting                                      int
+	Entered    uint64  `json:"Entered"`
+	Waited     uint64  `json:"Waited"`
+	TurnedAway uint64  `json:"TurnedAway"`
+	RanOut     uint64  `json:"RanOut"`
+	Repeats    uint64  `json:"Repeats"`
+	Work       float64 // that entered
+	Waiting    int     `json:"Waiting"`
 }
 
 // Door admits searches.
@@ -101,10 +105,12 @@
 
 // State is what operators see of the door.
 type State struct {
-	Limit, InHand, Rate float64 // work, work, work a second
-	Stretch             float64 // work in hand for each that is at the store; above 1: the broker itself is late
-	Baseline            time.Duration
-	Tenants             []Counts // by number
+	Limit    float64 // work
+	InHand   float64 `json:"InHand"` // work
+	Rate     float64 // work a second
+	Stretch  float64 `json:"Stretch"` // work in hand for each that is at the store; above 1: the broker itself is late
+	Baseline time.Duration
+	Tenants  []Counts // by number
 }
 
 // State tells of all tenants.
