--- /dev/null
+++ b/internal/decision/membership/golden_test.go
@@ -0,0 +1,210 @@
+package membership
+
+import (
+	"flag"
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"math/rand/v2"
+	"net/netip"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+var record = flag.Bool("record", false, "write the golden file instead of comparing with it")
+
+const (
+	goldenFile      = "testdata/sequences.golden"
+	goldenSequences = 200
+	goldenSteps     = 1200
+)
+
+// datagram is a packet on its way.
+type datagram struct {
+	from   netip.AddrPort
+	packet Packet
+}
+
+// player plays members over links that delay, lose and damage datagrams.
+type player struct {
+	rnd         *rand.Rand
+	digest      hash.Hash64
+	now         time.Duration
+	policy      Policy
+	loss        int // of 100 datagrams
+	members     []*Members
+	incarnation uint32
+	mail        []datagram
+	cut         int // this member is not heard by others; -1: none
+}
+
+func goldenAddress(i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7000)
+}
+
+func (p *player) span(most time.Duration) time.Duration {
+	return time.Duration(p.rnd.Int64N(int64(most)))
+}
+
+func (p *player) start(i int) {
+	p.incarnation++
+	seeds := []netip.AddrPort{goldenAddress(0), goldenAddress(1), goldenAddress(2)}
+	p.members[i] = New(p.policy, fmt.Sprintf("broker-%d", i), goldenAddress(i), uint8(i), p.incarnation, seeds)
+}
+
+func (p *player) writeMember(m Member) {
+	fmt.Fprintln(p.digest, uint32(m.ID), m.Name, m.Addr, m.Inc, m.Weight, uint8(m.State), m.State.String(), int64(m.Since))
+}
+
+// drain writes and delivers all that a member gave out.
+func (p *player) drain(i int) {
+	m := p.members[i]
+	for _, packet := range m.Out() {
+		fmt.Fprintln(p.digest, packet.To)
+		p.digest.Write(packet.Data)
+		if i == p.cut || p.rnd.IntN(100) < p.loss {
+			continue
+		}
+		if p.rnd.IntN(40) == 0 {
+			packet.Data[p.rnd.IntN(len(packet.Data))] ^= byte(1 << p.rnd.IntN(8))
+		}
+		if p.rnd.IntN(80) == 0 {
+			packet.Data = packet.Data[:p.rnd.IntN(len(packet.Data)+1)]
+		}
+		p.mail = append(p.mail, datagram{goldenAddress(i), packet})
+	}
+	for _, change := range m.Changes() {
+		p.writeMember(change.Member)
+		fmt.Fprintln(p.digest, uint8(change.Was), change.New)
+	}
+	for _, note := range m.Notes() {
+		fmt.Fprintf(p.digest, "%x\n", note)
+	}
+	p.writeMember(m.Self())
+	c := m.Counts
+	fmt.Fprintln(p.digest, c.Probes, c.Missed, c.Suspected, c.Buried, c.Refuted, c.Sent, c.Heard, c.Bad, c.Late)
+	fmt.Fprintln(p.digest, m.Living(), int64(m.Heard()), len(p.mail))
+}
+
+func (p *player) deliver() {
+	if len(p.mail) == 0 {
+		return
+	}
+	at := p.rnd.IntN(min(len(p.mail), 6))
+	d := p.mail[at]
+	if p.rnd.IntN(20) > 0 { // else it comes twice
+		p.mail = append(p.mail[:at], p.mail[at+1:]...)
+	}
+	for i := range p.members {
+		if goldenAddress(i) == d.packet.To {
+			p.members[i].Take(d.from, d.packet.Data, p.now)
+			p.drain(i)
+		}
+	}
+}
+
+func (p *player) event(i int) {
+	switch p.rnd.IntN(8) {
+	case 0:
+		p.members[i].Broadcast(uint64(p.rnd.IntN(4)), make([]byte, p.rnd.IntN(p.policy.MaxBytes)))
+		if p.rnd.IntN(12) == 0 {
+			for key := range 530 {
+				p.members[i].Broadcast(uint64(10+key), []byte{byte(key), byte(key >> 8)})
+			}
+		}
+	case 1:
+		p.members[i].Reweigh(uint8(p.rnd.IntN(4)))
+	case 2:
+		if p.rnd.IntN(4) == 0 {
+			p.members[i].Leave(p.now)
+		}
+	case 3:
+		if p.rnd.IntN(2) == 0 {
+			p.start(i)
+		}
+	case 4:
+		p.cut = p.rnd.IntN(len(p.members))
+	case 5, 6:
+		p.cut = -1
+	case 7:
+		p.now += p.span(6 * p.policy.Interval)
+	}
+	p.drain(i)
+}
+
+func (p *player) step() {
+	i := p.rnd.IntN(len(p.members))
+	switch p.rnd.IntN(50) {
+	case 0:
+		p.event(i)
+	case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12:
+		p.now += p.span(p.policy.Interval / 10)
+		next := p.members[i].Tick(p.now)
+		fmt.Fprintln(p.digest, int64(next))
+		p.drain(i)
+	default:
+		p.deliver()
+	}
+	if p.rnd.IntN(10) == 0 {
+		for _, m := range p.members[i].All() {
+			p.writeMember(m)
+		}
+	}
+}
+
+func goldenPolicy(rnd *rand.Rand, seed uint64) Policy {
+	return Policy{
+		Interval:  time.Second,
+		Timeout:   300 * time.Millisecond,
+		Indirect:  rnd.IntN(4),
+		Suspicion: 1 + rnd.Float64()*2,
+		Longest:   1 + rnd.Float64()*4,
+		Forget:    time.Duration(5+rnd.IntN(30)) * time.Second,
+		Sync:      time.Duration(2+rnd.IntN(6)) * time.Second,
+		MaxBytes:  100 + rnd.IntN(200),
+		MaxKnown:  3 + rnd.IntN(12),
+		Plain:     rnd.IntN(6) == 0,
+		Seed:      seed,
+	}
+}
+
+func playSequence(seed uint64) uint64 {
+	rnd := rand.New(rand.NewPCG(seed, 22))
+	p := &player{rnd: rnd, digest: fnv.New64a(), now: time.Minute, policy: goldenPolicy(rnd, seed), loss: rnd.IntN(4) * 10, cut: -1}
+	p.members = make([]*Members, 2+rnd.IntN(9))
+	for i := range p.members {
+		p.start(i)
+	}
+	for range goldenSteps {
+		p.step()
+	}
+	return p.digest.Sum64()
+}
+
+// The file holds one digest for each sequence, as commit 1a4b6be gave them.
+func TestSequencesAreAsRecorded(t *testing.T) {
+	var lines []string
+	for seed := range uint64(goldenSequences) {
+		lines = append(lines, fmt.Sprintf("%d %016x", seed, playSequence(seed)))
+	}
+	text := strings.Join(lines, "\n") + "\n"
+	if *record {
+		if err := os.WriteFile(goldenFile, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, line := range strings.Split(string(want), "\n") {
+		if i < len(lines) && lines[i] != line {
+			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+		}
+	}
+	if string(want) != text {
+		t.Error("the file has another number of sequences")
+	}
+}
