--- a/internal/decision/membership/golden_test.go
+++ b/internal/decision/membership/golden_test.go
@@ -34,7 +34,7 @@
 	now         time.Duration
 	policy      Policy
 	loss        int // of 100 datagrams
-	members     []*Members
+	members     []*Detector
 	incarnation uint32
 	mail        []datagram
 	cut         int // this member is not heard by others; -1: none
@@ -55,13 +55,13 @@
 }
 
 func (p *player) writeMember(m Member) {
-	fmt.Fprintln(p.digest, uint32(m.ID), m.Name, m.Addr, m.Inc, m.Weight, uint8(m.State), m.State.String(), int64(m.Since))
+	fmt.Fprintln(p.digest, uint32(m.ID), m.Name, m.Address, m.Incarnation, m.Weight, uint8(m.State), m.State.String(), int64(m.StateChangedAt))
 }
 
 // drain writes and delivers all that a member gave out.
 func (p *player) drain(i int) {
 	m := p.members[i]
-	for _, packet := range m.Out() {
+	for _, packet := range m.DrainPackets() {
 		fmt.Fprintln(p.digest, packet.To)
 		p.digest.Write(packet.Data)
 		if i == p.cut || p.rnd.IntN(100) < p.loss {
@@ -75,17 +75,17 @@
 		}
 		p.mail = append(p.mail, datagram{goldenAddress(i), packet})
 	}
-	for _, change := range m.Changes() {
+	for _, change := range m.DrainChanges() {
 		p.writeMember(change.Member)
-		fmt.Fprintln(p.digest, uint8(change.Was), change.New)
+		fmt.Fprintln(p.digest, uint8(change.PreviousState), change.New)
 	}
-	for _, note := range m.Notes() {
+	for _, note := range m.DrainBroadcasts() {
 		fmt.Fprintf(p.digest, "%x\n", note)
 	}
 	p.writeMember(m.Self())
 	c := m.Counts
-	fmt.Fprintln(p.digest, c.Probes, c.Missed, c.Suspected, c.Buried, c.Refuted, c.Sent, c.Heard, c.Bad, c.Late)
-	fmt.Fprintln(p.digest, m.Living(), int64(m.Heard()), len(p.mail))
+	fmt.Fprintln(p.digest, c.Probes, c.FailedProbes, c.Suspicions, c.DeclaredDead, c.Refutations, c.DatagramsSent, c.DatagramsReceived, c.MalformedDatagrams, c.LocalHealthMultiplier)
+	fmt.Fprintln(p.digest, m.LivingCount(), int64(m.LastContact()), len(p.mail))
 }
 
 func (p *player) deliver() {
@@ -99,7 +99,7 @@
 	}
 	for i := range p.members {
 		if goldenAddress(i) == d.packet.To {
-			p.members[i].Take(d.from, d.packet.Data, p.now)
+			p.members[i].HandleDatagram(d.from, d.packet.Data, p.now)
 			p.drain(i)
 		}
 	}
@@ -108,14 +108,14 @@
 func (p *player) event(i int) {
 	switch p.rnd.IntN(8) {
 	case 0:
-		p.members[i].Broadcast(uint64(p.rnd.IntN(4)), make([]byte, p.rnd.IntN(p.policy.MaxBytes)))
+		p.members[i].Broadcast(uint64(p.rnd.IntN(4)), make([]byte, p.rnd.IntN(p.policy.MaxDatagramBytes)))
 		if p.rnd.IntN(12) == 0 {
 			for key := range 530 {
 				p.members[i].Broadcast(uint64(10+key), []byte{byte(key), byte(key >> 8)})
 			}
 		}
 	case 1:
-		p.members[i].Reweigh(uint8(p.rnd.IntN(4)))
+		p.members[i].SetWeight(uint8(p.rnd.IntN(4)))
 	case 2:
 		if p.rnd.IntN(4) == 0 {
 			p.members[i].Leave(p.now)
@@ -129,7 +129,7 @@
 	case 5, 6:
 		p.cut = -1
 	case 7:
-		p.now += p.span(6 * p.policy.Interval)
+		p.now += p.span(6 * p.policy.ProbeInterval)
 	}
 	p.drain(i)
 }
@@ -140,7 +140,7 @@
 	case 0:
 		p.event(i)
 	case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12:
-		p.now += p.span(p.policy.Interval / 10)
+		p.now += p.span(p.policy.ProbeInterval / 10)
 		next := p.members[i].Tick(p.now)
 		fmt.Fprintln(p.digest, int64(next))
 		p.drain(i)
@@ -148,7 +148,7 @@
 		p.deliver()
 	}
 	if p.rnd.IntN(10) == 0 {
-		for _, m := range p.members[i].All() {
+		for _, m := range p.members[i].Members() {
 			p.writeMember(m)
 		}
 	}
@@ -156,24 +156,24 @@
 
 func goldenPolicy(rnd *rand.Rand, seed uint64) Policy {
 	return Policy{
-		Interval:  time.Second,
-		Timeout:   300 * time.Millisecond,
-		Indirect:  rnd.IntN(4),
-		Suspicion: 1 + rnd.Float64()*2,
-		Longest:   1 + rnd.Float64()*4,
-		Forget:    time.Duration(5+rnd.IntN(30)) * time.Second,
-		Sync:      time.Duration(2+rnd.IntN(6)) * time.Second,
-		MaxBytes:  100 + rnd.IntN(200),
-		MaxKnown:  3 + rnd.IntN(12),
-		Plain:     rnd.IntN(6) == 0,
-		Seed:      seed,
+		ProbeInterval:      time.Second,
+		ProbeTimeout:       300 * time.Millisecond,
+		IndirectProbes:     rnd.IntN(4),
+		SuspicionFactor:    1 + rnd.Float64()*2,
+		MaxSuspicionFactor: 1 + rnd.Float64()*4,
+		ForgetAfter:        time.Duration(5+rnd.IntN(30)) * time.Second,
+		SyncInterval:       time.Duration(2+rnd.IntN(6)) * time.Second,
+		MaxDatagramBytes:   100 + rnd.IntN(200),
+		MaxMembers:         3 + rnd.IntN(12),
+		WithoutLifeguard:   rnd.IntN(6) == 0,
+		Seed:               seed,
 	}
 }
 
 func playSequence(seed uint64) uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 22))
 	p := &player{rnd: rnd, digest: fnv.New64a(), now: time.Minute, policy: goldenPolicy(rnd, seed), loss: rnd.IntN(4) * 10, cut: -1}
-	p.members = make([]*Members, 2+rnd.IntN(9))
+	p.members = make([]*Detector, 2+rnd.IntN(9))
 	for i := range p.members {
 		p.start(i)
 	}
