--- a/internal/decision/membership/membership.go
+++ b/internal/decision/membership/membership.go
@@ -44,13 +44,13 @@
 
 // Member is one broker.
 type Member struct {
-	ID     ID
-	Name   string
-	Addr   netip.AddrPort
-	Inc    uint32 // its incarnation: it alone raises it
-	Weight uint8  // its spare capacity, as it states it
-	State  State
-	Since  time.Duration
+	ID     ID             `json:"ID"`
+	Name   string         `json:"Name"`
+	Addr   netip.AddrPort `json:"Addr"`
+	Inc    uint32         `json:"Inc"`    // its incarnation: it alone raises it
+	Weight uint8          `json:"Weight"` // its spare capacity, as it states it
+	State  State          `json:"State"`
+	Since  time.Duration  `json:"Since"`
 }
 
 // Policy holds what operators may set, and how large a message may be.
@@ -92,8 +92,15 @@
 
 // Counts are what operators see.
 type Counts struct {
-	Probes, Missed, Suspected, Buried, Refuted, Sent, Heard, Bad uint64
-	Late                                                         int
+	Probes    uint64 `json:"Probes"`
+	Missed    uint64 `json:"Missed"`
+	Suspected uint64 `json:"Suspected"`
+	Buried    uint64 `json:"Buried"`
+	Refuted   uint64 `json:"Refuted"`
+	Sent      uint64 `json:"Sent"`
+	Heard     uint64 `json:"Heard"`
+	Bad       uint64 `json:"Bad"`
+	Late      int    `json:"Late"`
 }
 
 // Members is one broker's view.
