--- a/internal/decision/membership/membership.go
+++ b/internal/decision/membership/membership.go
@@ -44,13 +44,13 @@
 
 // Member is one broker.
 type Member struct {
-	ID             ID
-	Name           string
-	Address        netip.AddrPort
-	Incarnation    uint32 // its incarnation: it alone raises it
-	Weight         uint8  // its spare capacity, as it states it
-	State          State
-	StateChangedAt time.Duration
+	ID             ID             `json:"ID"`
+	Name           string         `json:"Name"`
+	Address        netip.AddrPort `json:"Addr"`
+	Incarnation    uint32         `json:"Inc"`    // its incarnation: it alone raises it
+	Weight         uint8          `json:"Weight"` // its spare capacity, as it states it
+	State          State          `json:"State"`
+	StateChangedAt time.Duration  `json:"Since"`
 }
 
 // Policy holds what operators may set, and how large a message may be.
@@ -92,8 +92,15 @@
 
 // Counts are what operators see.
 type Counts struct {
-	Probes, FailedProbes, Suspicions, DeclaredDead, Refutations, DatagramsSent, DatagramsReceived, MalformedDatagrams uint64
-	LocalHealthMultiplier                                                                                             int
+	Probes                uint64 `json:"Probes"`
+	FailedProbes          uint64 `json:"Missed"`
+	Suspicions            uint64 `json:"Suspected"`
+	DeclaredDead          uint64 `json:"Buried"`
+	Refutations           uint64 `json:"Refuted"`
+	DatagramsSent         uint64 `json:"Sent"`
+	DatagramsReceived     uint64 `json:"Heard"`
+	MalformedDatagrams    uint64 `json:"Bad"`
+	LocalHealthMultiplier int    `json:"Late"`
 }
 
 // Detector is one broker's view.
