--- a/internal/decision/membership/codec.go
+++ b/internal/decision/membership/codec.go
@@ -1,111 +1,165 @@
 package membership
 
-// This file owns the form of messages: a head, then items that each say how long they are, so that a peer of another version
-// passes over what it does not know. It must never let through an item that it could not read whole.
-
 import (
 	"encoding/binary"
 	"net/netip"
 )
 
+// A datagram is a header and items. Each item has a tag, its length and a body, so that items of later versions can be skipped.
+
 type messageKind uint8
 
 const (
-	ping    messageKind = iota + 1
-	ack                 // seq: of the ping
-	pingReq             // target: to be pinged for the sender
-	nack                // seq: of the pingReq; it did not answer in time
-	tell                // items only
+	kindProbe         messageKind = iota + 1
+	kindAck                       // sequence: of the probe
+	kindIndirectProbe             // target: to be probed for the sender
+	kindNack                      // sequence: of the indirect probe, which got no ack in time
+	kindUpdates                   // items only
 )
 
+type itemTag byte
+
 const (
-	version  = 1
-	headSize = 19
+	itemAlive         itemTag = 'A'
+	itemSuspect       itemTag = 'S'
+	itemDead          itemTag = 'D'
+	itemLeft          itemTag = 'L'
+	itemMemberRequest itemTag = 'W' // the sender does not know this member
+	itemBroadcast     itemTag = 'N'
+)
 
-	tagAlive   = 'A'
-	tagSuspect = 'S'
-	tagDead    = 'D'
-	tagLeft    = 'L'
-	tagWho     = 'W' // the sender wants to know of this one
-	tagNote    = 'N'
+// Sizes in bytes.
+const (
+	headerSize          = 19
+	itemHeaderSize      = 2
+	idSize              = 4
+	memberRequestSize   = itemHeaderSize + idSize
+	stateUpdateBodySize = 12
+	stateUpdateSize     = itemHeaderSize + stateUpdateBodySize
+	aliveFixedSize      = 10 // of the body, up to the address
+	portSize            = 2
+	maxNameSize         = 32
+)
 
-	longestName = 32
+const (
+	formatVersion    = 1
+	minFormatVersion = 1
 )
 
-// head opens every message.
-type head struct {
-	kind   messageKind
-	late   uint8 // how late the sender finds itself to be
-	seq    uint32
-	from   ID
-	inc    uint32
-	target ID
+// header opens every datagram.
+type header struct {
+	kind        messageKind
+	localHealth uint8 // of the sender
+	sequence    uint32
+	sender      ID
+	incarnation uint32
+	target      ID // 0 in a probe: whoever is there
 }
 
-func (h *head) append(b []byte) []byte {
-	b = append(b, version, byte(h.kind), h.late)
-	b = binary.BigEndian.AppendUint32(b, h.seq)
-	b = binary.BigEndian.AppendUint32(b, uint32(h.from))
-	b = binary.BigEndian.AppendUint32(b, h.inc)
-	return binary.BigEndian.AppendUint32(b, uint32(h.target))
+func (h *header) appendTo(data []byte) []byte {
+	data = append(data, formatVersion, byte(h.kind), h.localHealth)
+	data = binary.BigEndian.AppendUint32(data, h.sequence)
+	data = binary.BigEndian.AppendUint32(data, uint32(h.sender))
+	data = binary.BigEndian.AppendUint32(data, h.incarnation)
+	return binary.BigEndian.AppendUint32(data, uint32(h.target))
 }
 
-func readHead(b []byte) (h head, items []byte, ok bool) {
-	if len(b) < headSize || b[0] < 1 {
+func decodeHeader(data []byte) (h header, items []byte, ok bool) {
+	if len(data) < headerSize || data[0] < minFormatVersion {
 		return h, nil, false
 	}
-	h = head{kind: messageKind(b[1]), late: b[2], seq: binary.BigEndian.Uint32(b[3:]), from: ID(binary.BigEndian.Uint32(b[7:])),
-		inc: binary.BigEndian.Uint32(b[11:]), target: ID(binary.BigEndian.Uint32(b[15:]))}
-	return h, b[headSize:], h.kind >= ping && h.kind <= tell && h.from != 0
+	h = header{
+		kind:        messageKind(data[1]),
+		localHealth: data[2],
+		sequence:    binary.BigEndian.Uint32(data[3:]),
+		sender:      ID(binary.BigEndian.Uint32(data[7:])),
+		incarnation: binary.BigEndian.Uint32(data[11:]),
+		target:      ID(binary.BigEndian.Uint32(data[15:])),
+	}
+	isKnownKind := h.kind >= kindProbe && h.kind <= kindUpdates
+	return h, data[headerSize:], isKnownKind && h.sender != 0
 }
 
 // appendAlive encodes all that there is to know of a member.
-func appendAlive(b []byte, m *Member) []byte {
-	at := len(b)
-	b = append(b, tagAlive, 0)
-	b = binary.BigEndian.AppendUint32(b, uint32(m.ID))
-	b = binary.BigEndian.AppendUint32(b, m.Incarnation)
-	b = append(b, m.Weight)
-	addr := m.Address.Addr().AsSlice()
-	b = append(append(b, byte(len(addr))), addr...)
-	b = binary.BigEndian.AppendUint16(b, m.Address.Port())
-	b = append(b, m.Name...)
-	b[at+1] = byte(len(b) - at - 2)
-	return b
+func appendAlive(data []byte, member *Member) []byte {
+	start := len(data)
+	data = append(data, byte(itemAlive), 0)
+	data = binary.BigEndian.AppendUint32(data, uint32(member.ID))
+	data = binary.BigEndian.AppendUint32(data, member.Incarnation)
+	data = append(data, member.Weight)
+	address := member.Address.Addr().AsSlice()
+	data = append(data, byte(len(address)))
+	data = append(data, address...)
+	data = binary.BigEndian.AppendUint16(data, member.Address.Port())
+	data = append(data, member.Name...)
+	data[start+1] = byte(len(data) - start - itemHeaderSize)
+	return data
 }
 
-func readAlive(b []byte) (m Member, ok bool) {
-	if len(b) < 10 {
-		return m, false
+func decodeAlive(body []byte) (member Member, ok bool) {
+	if len(body) < aliveFixedSize {
+		return member, false
+	}
+	addressSize := int(body[9])
+	rest := body[aliveFixedSize:]
+	if len(rest) < addressSize+portSize {
+		return member, false
 	}
-	m.ID, m.Incarnation, m.Weight = ID(binary.BigEndian.Uint32(b)), binary.BigEndian.Uint32(b[4:]), b[8]
-	n := int(b[9])
-	if b = b[10:]; len(b) < n+2 {
-		return m, false
+	address, ok := netip.AddrFromSlice(rest[:addressSize])
+	member = Member{
+		ID:          ID(binary.BigEndian.Uint32(body)),
+		Incarnation: binary.BigEndian.Uint32(body[4:]),
+		Weight:      body[8],
+		Address:     netip.AddrPortFrom(address, binary.BigEndian.Uint16(rest[addressSize:])),
+		Name:        string(rest[addressSize+portSize:]),
 	}
-	addr, ok := netip.AddrFromSlice(b[:n])
-	m.Address = netip.AddrPortFrom(addr, binary.BigEndian.Uint16(b[n:]))
-	m.Name = string(b[n+2:])
-	return m, ok && m.Address.Port() != 0 && m.Name != "" && len(m.Name) <= longestName && m.ID == IDOf(m.Name)
+	isValidName := member.Name != "" && len(member.Name) <= maxNameSize && member.ID == IDOf(member.Name)
+	return member, ok && member.Address.Port() != 0 && isValidName
 }
 
-// appendState encodes that a member is suspected, dead or has left.
-func appendState(b []byte, tag byte, id ID, inc uint32, by ID) []byte {
-	b = append(b, tag, 12)
-	b = binary.BigEndian.AppendUint32(b, uint32(id))
-	b = binary.BigEndian.AppendUint32(b, inc)
-	return binary.BigEndian.AppendUint32(b, uint32(by))
+// stateUpdate is the body of an item that says that a member is suspect, dead or has left.
+type stateUpdate struct {
+	id          ID
+	incarnation uint32
+	reporter    ID
+}
+
+func appendStateUpdate(data []byte, tag itemTag, update stateUpdate) []byte {
+	data = append(data, byte(tag), stateUpdateBodySize)
+	data = binary.BigEndian.AppendUint32(data, uint32(update.id))
+	data = binary.BigEndian.AppendUint32(data, update.incarnation)
+	return binary.BigEndian.AppendUint32(data, uint32(update.reporter))
+}
+
+func decodeID(body []byte) (id ID, ok bool) {
+	if len(body) < idSize {
+		return 0, false
+	}
+	return ID(binary.BigEndian.Uint32(body)), true
+}
+
+// decodeStateUpdate ignores what a later version adds at the end.
+func decodeStateUpdate(body []byte) (update stateUpdate, ok bool) {
+	if len(body) < stateUpdateBodySize {
+		return update, false
+	}
+	update = stateUpdate{
+		id:          ID(binary.BigEndian.Uint32(body)),
+		incarnation: binary.BigEndian.Uint32(body[4:]),
+		reporter:    ID(binary.BigEndian.Uint32(body[8:])),
+	}
+	return update, true
 }
 
-// items goes through what follows a head, up to the first item that is not whole.
-func items(b []byte, each func(tag byte, body []byte)) (whole bool) {
-	for len(b) >= 2 {
-		n := int(b[1])
-		if len(b) < 2+n {
+// forEachItem visits the items up to the first incomplete one, and tells whether there was none.
+func forEachItem(items []byte, visit func(tag itemTag, body []byte)) (complete bool) {
+	for len(items) >= itemHeaderSize {
+		end := itemHeaderSize + int(items[1])
+		if len(items) < end {
 			return false
 		}
-		each(b[0], b[2:2+n])
-		b = b[2+n:]
+		visit(itemTag(items[0]), items[itemHeaderSize:end])
+		items = items[end:]
 	}
-	return len(b) == 0
+	return len(items) == 0
 }
--- a/internal/decision/membership/golden_test.go
+++ b/internal/decision/membership/golden_test.go
@@ -84,7 +84,8 @@
 	}
 	p.writeMember(m.Self())
 	c := m.Counts
-	fmt.Fprintln(p.digest, c.Probes, c.FailedProbes, c.Suspicions, c.DeclaredDead, c.Refutations, c.DatagramsSent, c.DatagramsReceived, c.MalformedDatagrams, c.LocalHealthMultiplier)
+	fmt.Fprintln(p.digest, c.Probes, c.FailedProbes, c.Suspicions, c.DeclaredDead, c.Refutations, c.DatagramsSent,
+		c.DatagramsReceived, c.MalformedDatagrams, c.LocalHealthMultiplier)
 	fmt.Fprintln(p.digest, m.LivingCount(), int64(m.LastContact()), len(p.mail))
 }
 
@@ -118,7 +119,7 @@
 		p.members[i].SetWeight(uint8(p.rnd.IntN(4)))
 	case 2:
 		if p.rnd.IntN(4) == 0 {
-			p.members[i].Leave(p.now)
+			p.members[i].Leave()
 		}
 	case 3:
 		if p.rnd.IntN(2) == 0 {
--- a/internal/decision/membership/membership_test.go
+++ b/internal/decision/membership/membership_test.go
@@ -12,10 +12,17 @@
 )
 
 func tier(seed uint64, brokers int, loss float64) *crew.Crew {
-	return crew.New(crew.Options{Brokers: brokers, Seed: seed, Loss: loss, Delay: 2 * time.Millisecond, Policy: crew.Default, Lease: crew.Lease})
+	return crew.New(crew.Options{
+		Brokers: brokers,
+		Seed:    seed,
+		Loss:    loss,
+		Delay:   2 * time.Millisecond,
+		Policy:  crew.Default,
+		Lease:   crew.Lease,
+	})
 }
 
-func mistaken(c *crew.Crew, from time.Duration) (n int) {
+func mistakenDeaths(c *crew.Crew, from time.Duration) (n int) {
 	for _, b := range c.Buried {
 		if b.Mistaken && b.At >= from {
 			n++
@@ -24,8 +31,8 @@
 	return n
 }
 
-// Brokers that know three seeds find one another, also with a third of all datagrams lost, within the bytes they may use.
-func TestTierForms(t *testing.T) {
+// Brokers that know three seeds find one another, also with a third of all datagrams lost, within the limit on datagrams.
+func TestMembersFindEachOther(t *testing.T) {
 	for _, n := range []int{2, 5, 40} {
 		c := tier(uint64(n), n, 0.3)
 		c.Run(300 * time.Millisecond) // all have started
@@ -38,8 +45,8 @@
 	}
 }
 
-// Two hundred brokers fit, and a kill is known to all.
-func TestTwoHundred(t *testing.T) {
+// Two hundred brokers know one another, and all learn that one was killed.
+func TestTwoHundredMembers(t *testing.T) {
 	c := tier(1, 200, 0)
 	c.Run(300 * time.Millisecond)
 	for !c.Agreed() && c.Now() < 30*time.Second {
@@ -59,8 +66,8 @@
 	}
 }
 
-// One way only: broker 0 hears everybody and nobody hears it. It is buried by the others, buries nobody wrongly for long, and is
-// back within seconds once it is heard.
+// Datagrams are lost one way: broker 0 receives all and nothing of it arrives. The others declare it dead, and it is alive again within
+// seconds after its datagrams arrive.
 func TestOneWayLoss(t *testing.T) {
 	c := tier(3, 5, 0.05)
 	c.Run(15 * time.Second)
@@ -69,7 +76,7 @@
 	for _, b := range c.Brokers[1:] {
 		for _, m := range b.Members.Members() {
 			if m.Name == crew.Name(0) && m.State != membership.Dead {
-				t.Errorf("%v is %v at another that can't hear it", m.Name, m.State)
+				t.Errorf("%v is %v at a broker that receives nothing of it", m.Name, m.State)
 			}
 		}
 	}
@@ -80,31 +87,31 @@
 	}
 }
 
-// A bad path between two brokers buries neither: the others reach both.
-func TestOneBadPath(t *testing.T) {
+// A bad path between two brokers has neither declared dead: the others reach both.
+func TestBadPathBetweenTwoMembers(t *testing.T) {
 	c := tier(4, 5, 0)
 	c.Run(15 * time.Second)
 	c.Cut = func(from, to int) bool { return from+to == 1 }
 	c.Run(5 * time.Minute)
-	if n := mistaken(c, 15*time.Second); n > 0 || !c.Agreed() {
-		t.Errorf("%d burials over one bad path, agreed %v", n, c.Agreed())
+	if n := mistakenDeaths(c, 15*time.Second); n > 0 || !c.Agreed() {
+		t.Errorf("%d mistaken deaths over one bad path, agreed %v", n, c.Agreed())
 	}
 }
 
-// A broker that gets its core late buries nobody.
-func TestStarvedBuriesNobody(t *testing.T) {
+// A broker that gets its processor late declares nobody dead.
+func TestStarvedBrokerDeclaresNobodyDead(t *testing.T) {
 	c := crew.New(crew.Options{Brokers: 5, Seed: 5, Loss: 0.05, Delay: 2 * time.Millisecond, Policy: crew.Default, Lease: crew.Lease,
 		Starved: 1, Starve: 400 * time.Millisecond})
 	c.Run(5 * time.Minute)
 	for _, b := range c.Buried {
 		if b.Who != 0 && b.Mistaken {
-			t.Errorf("%s was buried by broker %d at %v", crew.Name(b.Who), b.By, b.At)
+			t.Errorf("%s was declared dead by broker %d at %v", crew.Name(b.Who), b.By, b.At)
 		}
 	}
 }
 
-// A planned stop is told as such, and a new start under the same name, at the same or another address, is one member.
-func TestLeaveAndReturn(t *testing.T) {
+// A planned stop is known as such, and a restart under the same name, at the same or another address, is one member.
+func TestLeaveAndRestart(t *testing.T) {
 	c := tier(6, 5, 0.1)
 	c.Run(15 * time.Second)
 	c.Stop(4)
@@ -133,8 +140,8 @@
 
 func addr(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7) }
 
-// Two brokers of one name at two addresses: the first stands, and the two do not fight for ever.
-func TestNameUsedTwice(t *testing.T) {
+// Two brokers of one name at two addresses: the first counts, and the two do not raise their incarnations for ever.
+func TestTwoMembersOfOneName(t *testing.T) {
 	p := crew.Default
 	a := membership.New(p, "a", addr(1), 1, 1, nil)
 	twin := membership.New(p, "a", addr(2), 1, 1, []netip.AddrPort{addr(3)})
@@ -159,9 +166,8 @@
 	}
 }
 
-// FuzzTake: whatever arrives, a broker stays whole: it answers within its bytes, remembers no more than it may, and goes on
-// finding the others.
-func FuzzTake(f *testing.F) {
+// Whatever arrives, a detector sends no datagram above its limit and remembers no more members than it may.
+func FuzzHandleDatagram(f *testing.F) {
 	c := tier(1, 4, 0)
 	c.Run(5 * time.Second)
 	for range 20 {
--- a/internal/decision/membership/probe.go
+++ b/internal/decision/membership/probe.go
@@ -1,234 +1,169 @@
 package membership
 
-// This file owns the clock of the view: probes, direct and by others, and what an observer that was late makes of it.
-
 import (
 	"net/netip"
 	"slices"
 	"time"
 )
 
-// probe is a member that is being asked.
-type probe struct {
-	seq      uint32
-	target   ID
-	began    time.Duration
-	direct   time.Duration // no direct answer by then: others are asked
-	end      time.Duration
-	indirect int // others that were asked
-	nacks    int
-	asked    bool
-}
+const (
+	maxLocalHealth    = 3   // a higher one would make detection slower than ownership can wait
+	maxRelayedProbes  = 64  // indirect probes at a time for other members
+	nackTimeoutFactor = 0.8 // of the probe timeout
+)
 
-// relay is a probe for another member.
-type relay struct {
-	seq   uint32 // of ours
-	for_  netip.AddrPort
-	their uint32
-	until time.Duration
+// activeProbe is the probe that waits for an ack; sequence is 0 if there is none.
+type activeProbe struct {
+	sequence          uint32
+	target            ID
+	indirectAt        time.Duration // without an ack by then, others are asked to probe
+	endsAt            time.Duration
+	indirectRequested bool
+	indirectCount     int
+	nackCount         int
 }
 
-// slower is by how much a broker that finds itself late waits longer. Danger: one that gets no core, or whose own link is bad, takes
-// everybody else for dead. It may hurt by slower detection while it is so.
-func (m *Detector) slower() time.Duration {
-	if m.policy.WithoutLifeguard {
-		return 1
+func (p *activeProbe) isActive() bool { return p.sequence != 0 }
+
+func (p *activeProbe) nextStepAt() time.Duration {
+	if p.indirectRequested {
+		return p.endsAt
 	}
-	return time.Duration(1 + m.late)
+	return min(p.indirectAt, p.endsAt)
 }
 
-func (m *Detector) lateness(by int) {
-	m.late = min(mostLate, max(0, m.late+by))
-	m.Counts.LocalHealthMultiplier = m.late
+// relayedProbe is an indirect probe that this broker makes for another member.
+type relayedProbe struct {
+	sequence          uint32
+	requester         netip.AddrPort
+	requesterSequence uint32
+	nackAt            time.Duration
 }
 
-// Woke takes a jump of the clock into account: the broker was paused, or starved. Nothing that waited meanwhile says anything of
-// the others; they may have buried this one, so it raises its incarnation.
-func (m *Detector) woke(now, gap time.Duration) {
-	m.probing = probe{}
-	m.relays = m.relays[:0]
-	for _, k := range m.all {
-		if k.State == Suspect {
-			k.against.from += gap
-		}
+// slowedByHealth stretches a time while this broker finds itself slow: one that gets no processor, or whose own link is bad, would
+// otherwise declare all others dead.
+func (d *Detector) slowedByHealth(t time.Duration) time.Duration {
+	if d.policy.WithoutLifeguard {
+		return t
 	}
-	m.lateness(2)
-	m.self.Incarnation++
-	m.announce()
-	m.next, m.synced = now, now-m.policy.SyncInterval
+	return t * time.Duration(1+d.localHealth)
 }
 
-// Tick does what is due and tells when to come again.
-func (m *Detector) Tick(now time.Duration) time.Duration {
-	if m.left {
-		return now + time.Hour
-	}
-	if gap := now - m.last; m.last > 0 && gap > 3*m.policy.ProbeInterval && !m.policy.WithoutLifeguard {
-		m.woke(now, gap)
-	}
-	m.last = now
-	m.endProbe(now)
-	m.suspicions(now)
-	if now >= m.next {
-		m.probe(now)
-		m.next = now + m.policy.ProbeInterval*m.slower()
-	}
-	if now >= m.revived+m.policy.ProbeInterval {
-		m.revived = now
-		m.revive()
-	}
-	if now >= m.spread+m.policy.ProbeInterval/2 && len(m.news) > 0 {
-		m.spread = now
-		m.gossip()
-	}
-	if now >= m.synced+m.policy.SyncInterval {
-		m.synced = now
-		m.exchange(now)
+func (d *Detector) adjustLocalHealth(change int) {
+	d.localHealth = min(maxLocalHealth, max(0, d.localHealth+change))
+	d.Counts.LocalHealthMultiplier = d.localHealth
+}
+
+func (d *Detector) nextSequence() uint32 {
+	d.lastSequence++
+	return d.lastSequence
+}
+
+// startProbe probes the next member of the round. The probe before has ended: its end is when this one is due.
+func (d *Detector) startProbe(now time.Duration) {
+	target := d.nextProbeTarget()
+	if target == nil {
+		return
 	}
-	if len(m.all) == 0 && now >= m.seedAt || now >= m.seedAt+10*m.policy.ProbeInterval {
-		m.seedAt = now + m.policy.ProbeInterval
-		m.knock()
+	d.Counts.Probes++
+	d.probe = activeProbe{
+		sequence:   d.nextSequence(),
+		target:     target.ID,
+		indirectAt: now + d.slowedByHealth(d.policy.ProbeTimeout),
+		endsAt:     now + d.slowedByHealth(d.policy.ProbeInterval),
 	}
-	for _, r := range m.relays {
-		if r.until <= now {
-			m.send(r.for_, head{kind: nack, seq: r.their}, nil)
-		}
+	var items []byte
+	if target.State == Suspect { // it learns of the suspicion at once and can refute it
+		items = d.appendStateUpdate(nil, itemSuspect, target)
 	}
-	m.relays = slices.DeleteFunc(m.relays, func(r relay) bool { return r.until <= now })
-	due := min(m.next, now+m.policy.ProbeInterval)
-	if len(m.news) > 0 {
-		due = min(due, m.spread+m.policy.ProbeInterval/2)
+	d.send(target.Address, header{kind: kindProbe, sequence: d.probe.sequence, target: target.ID}, items)
+}
+
+// advanceProbe asks for indirect probes when the direct one has timed out, and suspects the target when all have.
+func (d *Detector) advanceProbe(now time.Duration) {
+	if !d.probe.isActive() {
+		return
 	}
-	if m.probing.seq != 0 {
-		if !m.probing.asked {
-			due = min(due, m.probing.direct)
-		}
-		due = min(due, m.probing.end)
+	target := d.entries[d.probe.target]
+	if target == nil || !target.State.isLiving() {
+		d.probe = activeProbe{}
+		return
 	}
-	for _, r := range m.relays {
-		due = min(due, r.until)
+	if !d.probe.indirectRequested && now >= d.probe.indirectAt {
+		d.requestIndirectProbes(target)
 	}
-	if m.doubted > 0 {
-		for _, k := range m.all {
-			if k.State == Suspect {
-				due = min(due, k.against.from+m.patience(k))
-			}
-		}
+	if now >= d.probe.endsAt {
+		d.failProbe(target, now)
 	}
-	return max(due, now+time.Millisecond)
 }
 
-// knock asks a seed that is no living member who is there.
-func (m *Detector) knock() {
-	for range m.seeds {
-		at := m.seeds[int(m.draw()*float64(len(m.seeds)))]
-		if at == m.self.Address || slices.ContainsFunc(m.order, func(id ID) bool { k := m.all[id]; return k != nil && k.Address == at && k.State <= Suspect }) {
-			continue
+func (d *Detector) requestIndirectProbes(target *memberEntry) {
+	d.probe.indirectRequested = true
+	excluded := map[ID]bool{target.ID: true}
+	for range d.policy.IndirectProbes {
+		helper := d.randomMember(func(e *memberEntry) bool { return e.State == Alive && !excluded[e.ID] })
+		if helper == nil {
+			return
 		}
-		m.seq++
-		m.send(at, head{kind: ping, seq: m.seq}, appendAlive(nil, &m.self))
-		return
+		excluded[helper.ID] = true
+		d.probe.indirectCount++
+		d.send(helper.Address, header{kind: kindIndirectProbe, sequence: d.probe.sequence, target: target.ID}, nil)
 	}
 }
 
-// revive asks one that is dead, as a partition may have healed; also while this broker finds itself late.
-func (m *Detector) revive() {
-	if k := m.any(func(k *known) bool { return k.State == Dead }); k != nil {
-		m.seq++
-		m.send(k.Address, head{kind: ping, seq: m.seq, target: k.ID}, appendState(nil, tagDead, k.ID, k.Incarnation, m.self.ID))
-	}
+// failProbe suspects the target. A helper that could not reach it sends a nack: those missing say that this broker itself is cut off.
+func (d *Detector) failProbe(target *memberEntry, now time.Duration) {
+	d.Counts.FailedProbes++
+	missingNacks := max(1, d.probe.indirectCount-d.probe.nackCount)
+	d.adjustLocalHealth(missingNacks)
+	d.probe = activeProbe{}
+	d.applySuspect(target.ID, target.Incarnation, d.self.ID, now)
 }
 
-// probe asks the next member of the round.
-func (m *Detector) probe(now time.Duration) {
-	if m.probing.seq != 0 {
-		return // the last one is not over, as this broker is late
-	}
-	k := m.turn()
-	if k == nil {
+// handleAck ends this broker's probe, or passes the ack of a relayed probe to its requester.
+func (d *Detector) handleAck(sequence uint32) {
+	if d.probe.isActive() && d.probe.sequence == sequence {
+		d.probe = activeProbe{}
+		d.adjustLocalHealth(-1)
 		return
 	}
-	m.seq++
-	m.Counts.Probes++
-	m.probing = probe{seq: m.seq, target: k.ID, began: now, direct: now + m.policy.ProbeTimeout*m.slower(), end: now + m.policy.ProbeInterval*m.slower()}
-	var buddy []byte // whoever is suspected hears of it at once, and can refute
-	if k.State == Suspect {
-		buddy = appendState(nil, tagSuspect, k.ID, k.Incarnation, m.self.ID)
-	}
-	m.send(k.Address, head{kind: ping, seq: m.seq, target: k.ID}, buddy)
-}
-
-// turn is the next member to be probed: each once in a round.
-func (m *Detector) turn() *known {
-	for range 2 {
-		for ; m.at < len(m.order); m.at++ {
-			if k := m.all[m.order[m.at]]; k != nil && k.State <= Suspect {
-				m.at++
-				return k
-			}
-		}
-		m.order, m.at = m.order[:0], 0
-		for _, id := range m.ids {
-			if m.all[id].State <= Suspect {
-				m.order = append(m.order, id)
-			}
-		}
-		for i := len(m.order) - 1; i > 0; i-- {
-			j := int(m.draw() * float64(i+1))
-			m.order[i], m.order[j] = m.order[j], m.order[i]
+	for i, relayed := range d.relayedProbes {
+		if relayed.sequence == sequence {
+			d.send(relayed.requester, header{kind: kindAck, sequence: relayed.requesterSequence}, nil)
+			d.relayedProbes = slices.Delete(d.relayedProbes, i, i+1)
+			return
 		}
 	}
-	return nil
 }
 
-// any draws a member: the first that fits from a place drawn at random.
-func (m *Detector) any(fits func(*known) bool) *known {
-	if len(m.ids) == 0 {
-		return nil
-	}
-	from := int(m.draw() * float64(len(m.ids)))
-	for i := range m.ids {
-		if k := m.all[m.ids[(from+i)%len(m.ids)]]; fits(k) {
-			return k
-		}
+func (d *Detector) handleNack(sequence uint32) {
+	if d.probe.sequence == sequence {
+		d.probe.nackCount++
 	}
-	return nil
 }
 
-// endProbe asks others, and suspects whoever answered neither this broker nor them.
-func (m *Detector) endProbe(now time.Duration) {
-	p := &m.probing
-	if p.seq == 0 {
+// probeForRequester probes a member for another one.
+func (d *Detector) probeForRequester(requester netip.AddrPort, request header, now time.Duration) {
+	target := d.entries[request.target]
+	if target == nil || len(d.relayedProbes) >= maxRelayedProbes {
 		return
 	}
-	k := m.all[p.target]
-	if k == nil || k.State > Suspect {
-		m.probing = probe{}
-		return
+	relayed := relayedProbe{
+		sequence:          d.nextSequence(),
+		requester:         requester,
+		requesterSequence: request.sequence,
+		nackAt:            now + time.Duration(nackTimeoutFactor*float64(d.policy.ProbeTimeout)),
 	}
-	if !p.asked && now >= p.direct {
-		p.asked = true
-		asked := map[ID]bool{k.ID: true}
-		for range m.policy.IndirectProbes {
-			o := m.any(func(o *known) bool { return o.State == Alive && !asked[o.ID] })
-			if o == nil {
-				break
-			}
-			asked[o.ID] = true
-			p.indirect++
-			m.send(o.Address, head{kind: pingReq, seq: p.seq, target: k.ID}, nil)
+	d.relayedProbes = append(d.relayedProbes, relayed)
+	d.send(target.Address, header{kind: kindProbe, sequence: relayed.sequence, target: request.target}, nil)
+}
+
+// expireRelayedProbes sends a nack for each relayed probe without an ack.
+func (d *Detector) expireRelayedProbes(now time.Duration) {
+	for _, relayed := range d.relayedProbes {
+		if relayed.nackAt <= now {
+			d.send(relayed.requester, header{kind: kindNack, sequence: relayed.requesterSequence}, nil)
 		}
 	}
-	if now < p.end {
-		return
-	}
-	m.Counts.FailedProbes++
-	missed := max(1, p.indirect-p.nacks) // whoever was asked says at least that it heard nothing: else this broker is the one cut off
-	if p.indirect == 0 {
-		missed = 1
-	}
-	m.lateness(missed)
-	inc := k.Incarnation
-	m.probing = probe{}
-	m.suspect(k.ID, inc, m.self.ID, now)
+	d.relayedProbes = slices.DeleteFunc(d.relayedProbes, func(r relayedProbe) bool { return r.nackAt <= now })
 }
--- a/internal/lab/crew/crew.go
+++ b/internal/lab/crew/crew.go
@@ -132,7 +132,7 @@
 	b := c.Brokers[n]
 	b.Duties.ReleaseAll(b.clock())
 	b.tell()
-	b.Members.Leave(b.clock())
+	b.Members.Leave()
 	b.flush()
 	b.Up = false
 }
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -199,6 +199,6 @@
 	now := m.loop.since()
 	m.ownership.ReleaseAll(now)
 	m.flush()
-	m.members.Leave(now)
+	m.members.Leave()
 	m.flush()
 }
