--- /dev/null
+++ b/internal/decision/admission/golden_test.go
@@ -0,0 +1,193 @@
+package admission
+
+import (
+	"flag"
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"math"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+var record = flag.Bool("record", false, "write the golden file instead of comparing with it")
+
+const goldenFile = "testdata/sequences.golden"
+
+// player plays clients and a store whose delay changes at one door.
+type player struct {
+	rnd     *rand.Rand
+	digest  hash.Hash64
+	door    *Controller
+	now     time.Duration
+	nextID  uint64
+	waiting map[uint64]Query
+	order   []uint64 // of waiting
+	inside  []Query
+	since   []time.Duration
+	delay   time.Duration
+	tenants int
+}
+
+func (p *player) span(most time.Duration) time.Duration {
+	return time.Duration(p.rnd.Int64N(int64(most)))
+}
+
+func (p *player) number(values ...float64) {
+	for _, v := range values {
+		fmt.Fprintf(p.digest, "%x ", math.Float64bits(v))
+	}
+}
+
+func (p *player) arrive() {
+	p.nextID++
+	s := Query{
+		ID:       p.nextID,
+		Tenant:   p.rnd.IntN(p.tenants),
+		Client:   uint64(p.rnd.IntN(6)),
+		Work:     float64(1 + p.rnd.IntN(5)),
+		TimeLeft: p.span(2*time.Second) + time.Millisecond,
+		Retry:    p.rnd.IntN(5) == 0,
+	}
+	ruling, hint := p.door.Arrive(s, p.now)
+	fmt.Fprintln(p.digest, uint8(ruling), int64(hint))
+	switch ruling {
+	case Admit:
+		p.enter(s)
+	case Enqueue:
+		p.waiting[s.ID] = s
+		p.order = append(p.order, s.ID)
+	}
+}
+
+func (p *player) enter(s Query) {
+	p.inside = append(p.inside, s)
+	p.since = append(p.since, p.now)
+}
+
+func (p *player) leaveQueue(id uint64) {
+	delete(p.waiting, id)
+	for i, o := range p.order {
+		if o == id {
+			p.order = append(p.order[:i], p.order[i+1:]...)
+			break
+		}
+	}
+}
+
+func (p *player) tick() {
+	lets, next := p.door.Tick(p.now, nil)
+	fmt.Fprintln(p.digest, len(lets), int64(next))
+	for _, l := range lets {
+		fmt.Fprintln(p.digest, l.ID, l.Admitted, int64(l.RetryAfter))
+		if l.Admitted {
+			p.enter(p.waiting[l.ID])
+		}
+		p.leaveQueue(l.ID)
+	}
+}
+
+func (p *player) end() {
+	if len(p.inside) == 0 {
+		return
+	}
+	i := p.rnd.IntN(len(p.inside))
+	took := p.now - p.since[i]
+	if took < p.delay && p.rnd.IntN(4) > 0 {
+		return
+	}
+	own := time.Duration(0)
+	if p.rnd.IntN(3) == 0 {
+		own = p.span(took + 2)
+	}
+	answered := p.rnd.IntN(6) > 0
+	p.door.Complete(Completion{Work: p.inside[i].Work, Elapsed: took, OwnDelay: own, Answered: answered, Shed: !answered && p.rnd.IntN(2) == 0}, p.now)
+	p.inside = append(p.inside[:i], p.inside[i+1:]...)
+	p.since = append(p.since[:i], p.since[i+1:]...)
+}
+
+func (p *player) step() {
+	p.now += p.span(15 * time.Millisecond)
+	if p.rnd.IntN(200) == 0 {
+		p.now += p.span(8 * time.Second)
+	}
+	switch p.rnd.IntN(14) {
+	case 0:
+		p.tick()
+	case 1, 2, 3, 4, 5:
+		p.end()
+	case 6:
+		if p.rnd.IntN(20) == 0 {
+			p.delay = p.span(300 * time.Millisecond)
+		}
+		p.door.SetLag(p.span(20 * time.Millisecond))
+	case 7:
+		if len(p.order) > 0 && p.rnd.IntN(3) == 0 {
+			id := p.order[p.rnd.IntN(len(p.order))]
+			fmt.Fprintln(p.digest, p.door.Remove(p.waiting[id].Tenant, id))
+			p.leaveQueue(id)
+		}
+		fmt.Fprintln(p.digest, p.door.Remove(0, 1<<40))
+	default:
+		p.arrive()
+	}
+	s := p.door.State(p.now)
+	p.number(s.Limit, s.InFlight, s.Rate, s.DelayFactor, float64(s.Baseline))
+}
+
+func playSequence(seed uint64) uint64 {
+	rnd := rand.New(rand.NewPCG(seed, 3))
+	policy := Policy{
+		MaxWaitShare:  0.1 + rnd.Float64()/2,
+		MaxQueued:     1 + rnd.IntN(8),
+		MinWork:       float64(1 + rnd.IntN(8)),
+		MaxRetryAfter: time.Duration(rnd.IntN(3)) * time.Second,
+		RetryShare:    rnd.Float64(),
+		Seed:          seed,
+	}
+	tenants := 1 + rnd.IntN(4)
+	for range tenants {
+		policy.Weights = append(policy.Weights, float64(rnd.IntN(4)))
+	}
+	p := &player{rnd: rnd, digest: fnv.New64a(), door: NewController(policy), now: time.Second, waiting: map[uint64]Query{},
+		delay: 20 * time.Millisecond, tenants: tenants}
+	for range 800 {
+		p.step()
+	}
+	s := p.door.State(p.now)
+	for _, c := range s.Tenants {
+		fmt.Fprintln(p.digest, c.Admitted, c.AdmittedFromQueue, c.Rejected, c.Expired, c.Retries, c.Queued)
+		p.number(c.Work)
+	}
+	fmt.Fprintln(p.digest, s.TenantsByWork())
+	return p.digest.Sum64()
+}
+
+// The file holds one digest for each sequence, as commit 1a4b6be gave them.
+func TestSequencesAreAsRecorded(t *testing.T) {
+	var lines []string
+	for seed := range uint64(300) {
+		lines = append(lines, fmt.Sprintf("%d %016x", seed, playSequence(seed)))
+	}
+	text := strings.Join(lines, "\n") + "\n"
+	if *record {
+		if err := os.WriteFile(goldenFile, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, line := range strings.Split(string(want), "\n") {
+		if i < len(lines) && lines[i] != line {
+			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+		}
+	}
+	if string(want) != text {
+		t.Error("the file has another number of sequences")
+	}
+}
