--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -1,13 +1,17 @@
-// Package admission decides at the door whether a search is handed to the decision module now, waits a little, or is turned
-// away with the time at which there will be room. It shares what the store can do between tenants by weight, and within a
-// tenant between its clients. It chooses no server and decides nothing of a search that it has let in. Nothing here does I/O,
-// reads a clock, starts a goroutine, or allocates for a search that is let in at once.
+// Package admission decides whether a query is handed to the router at once, waits a little, or is rejected with the time at which there
+// will be room. It shares what the store can do between tenants by weight, and within a tenant between its clients. It chooses no
+// replica, and decides nothing of a query that it has admitted.
 //
-// Between tenants it is start-time fair queuing (Goyal, Vin and Cheng, 1996) by work; how much work may be in hand at once is
-// found by the delay that it meets, in the spirit of CoDel (RFC 8289) and of TCP Vegas.
+// Between tenants it is start-time fair queuing (Goyal, Vin and Cheng, 1996) by work. How much work may be in flight at once is found by
+// the delay that it meets, in the spirit of CoDel (RFC 8289) and of TCP Vegas.
 //
-// Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
-// used by one goroutine at a time.
+//	Arrive ──► Admit ────────────────────────────────► router ──► Complete
+//	   ├─────► Enqueue ──► Tick: room ──► admitted ──────┘
+//	   │                   Tick: its time to wait is over, or a heavier client gives way ──► rejected
+//	   └─────► Reject, with a Retry-After
+//
+// Times are spans since the broker's start. A Controller does no I/O, allocates nothing for a query that is admitted at once, and is used
+// by one goroutine.
 package admission
 
 import (
@@ -19,56 +23,57 @@
 // Policy holds what operators may set.
 type Policy struct {
 	Weights       []float64 // of tenants, by number; 0: only what nobody else wants
-	MaxWaitShare  float64   // of its time left that a search may wait here
-	MaxQueued     int       // searches of one tenant that wait
-	MinWork       float64   // work in hand that is always let in
+	MaxWaitShare  float64   // of its time left that a query may wait
+	MaxQueued     int       // queries of one tenant
+	MinWork       float64   // in flight, that is always admitted
 	MaxRetryAfter time.Duration
-	RetryShare    float64 // clients' repeats, as a share of a tenant's fresh searches, while others wait
+	RetryShare    float64 // clients' retries while others wait, as a share of a tenant's fresh queries
 	Seed          uint64
 }
 
 const (
-	spread    = 0.2  // of a hint, drawn at random
-	tokenMost = 50.0 // repeats saved up
+	retryAfterJitter   = 0.2  // share
+	maxRetryTokens     = 50.0 // retries saved up
+	minWeight          = 1e-6
+	shareWithoutWeight = 0.01 // of what the store can do, for tenants without weight
+	initialLimit       = 4.0  // times Policy.MinWork
 )
 
-// Decision is what becomes of a search on its arrival.
+// Decision is what becomes of a query on its arrival.
 type Decision uint8
 
+// The decisions.
 const (
-	Admit   Decision = iota // hand it to the module
-	Enqueue                 // Tick will tell
-	Reject                  // refuse it now
+	Admit   Decision = iota // hand it to the router
+	Enqueue                 // Tick returns it later
+	Reject
 )
 
-// Query is what the door knows of one.
+// Query is what admission control knows of a query.
 type Query struct {
 	ID       uint64
 	Tenant   int
 	Client   uint64 // a hash of whatever names it; 0: nothing does
 	Work     float64
-	TimeLeft time.Duration // of its client's time
-	Retry    bool          // its client asks again
+	TimeLeft time.Duration // until the client's timeout
+	Retry    bool          // its client sends it again
 }
 
-// waiting is a search in a queue.
-type waiting struct {
+type queuedQuery struct {
 	Query
-	came  time.Duration
-	until time.Duration // no use in waiting longer
+	expiresAt time.Duration // there is no use in waiting longer
 }
 
-// tenant is one customer at the door.
 type tenant struct {
-	weight   float64
-	tag      float64 // virtual time at which its next search would start
-	queue    []waiting
-	queued   float64       // work in the queue
-	promised time.Duration // up to when its share is promised to those turned away
-	tokens   float64       // repeats that it may send
-	owed     float64       // promises whose time has not come
-	ripened  time.Duration
-	Counts   Counts
+	weight         float64
+	nextStart      float64 // start tag of its next query, in virtual time
+	queue          []queuedQuery
+	queuedWork     float64
+	promisedUntil  time.Duration // its share is promised until then, to those who were rejected with a Retry-After
+	retryTokens    float64       // retries that it may send
+	promises       float64       // whose time has not come
+	promisesAgedAt time.Duration
+	Counts         Counts
 }
 
 // Counts are what operators see of a tenant.
@@ -78,52 +83,63 @@
 	Rejected          uint64  `json:"TurnedAway"`
 	Expired           uint64  `json:"RanOut"`
 	Retries           uint64  `json:"Repeats"`
-	Work              float64 // that entered
+	Work              float64 // that was admitted
 	Queued            int     `json:"Waiting"`
 }
 
-// Controller admits searches.
+// Controller admits queries.
 type Controller struct {
-	policy  Policy
-	tenants []tenant
-	clients *Sketch
-	evicted []Dequeued
-	virtual float64
-	rnd     uint64
+	policy      Policy
+	tenants     []tenant
+	clients     *Sketch
+	evicted     []Dequeued // since the last Tick
+	virtualTime float64
+	randomState uint64
 	limiter
 }
 
-// NewController makes a door; nothing is in hand.
+// NewController returns a controller with nothing in flight.
 func NewController(p Policy) *Controller {
-	d := &Controller{policy: p, clients: NewSketch(p.Seed), rnd: mix(p.Seed + 1),
-		limiter: limiter{leastWork: p.MinWork, limit: 4 * p.MinWork, stretch: 1}}
-	for _, w := range p.Weights {
-		d.tenants = append(d.tenants, tenant{weight: w, tokens: tokenMost / 2})
+	c := &Controller{
+		policy:      p,
+		clients:     NewSketch(p.Seed),
+		randomState: mix(p.Seed + 1),
+		limiter:     limiter{minWork: p.MinWork, limit: initialLimit * p.MinWork, delayFactor: 1},
+	}
+	for _, weight := range p.Weights {
+		c.tenants = append(c.tenants, tenant{weight: weight, retryTokens: maxRetryTokens / 2})
 	}
-	return d
+	return c
 }
 
-// State is what operators see of the door.
+// State is what operators see. The JSON names are those under /counters.
 type State struct {
-	Limit       float64 // work
-	InFlight    float64 `json:"InHand"` // work
-	Rate        float64 // work a second
-	DelayFactor float64 `json:"Stretch"` // work in hand for each that is at the store; above 1: the broker itself is late
-	Baseline    time.Duration
-	Tenants     []Counts // by number
+	Limit       float64       // work at the store
+	InFlight    float64       `json:"InHand"` // work
+	Rate        float64       // work a second
+	DelayFactor float64       `json:"Stretch"` // work in flight for each that is at the store; above 1: the broker itself is late
+	Baseline    time.Duration // the store's delay without a queue
+	Tenants     []Counts      // by number
 }
 
-// State tells of all tenants.
-func (d *Controller) State(now time.Duration) State {
-	s := State{Limit: d.limit, InFlight: d.inHand, Rate: d.rate(now), DelayFactor: d.stretch, Baseline: d.low}
-	for i := range d.tenants {
-		s.Tenants = append(s.Tenants, d.tenants[i].Counts)
+// State returns the state at a moment.
+func (c *Controller) State(now time.Duration) State {
+	s := State{
+		Limit:       c.limit,
+		InFlight:    c.inFlight,
+		Rate:        c.rate(now),
+		DelayFactor: c.delayFactor,
+		Baseline:    c.baseline,
+	}
+	for i := range c.tenants {
+		s.Tenants = append(s.Tenants, c.tenants[i].Counts)
 	}
 	return s
 }
 
-// TenantsByWork lists tenants by the work that entered, most first.
-func (s *State) TenantsByWork() (order []int) {
+// TenantsByWork returns tenants by the work that was admitted, most first.
+func (s *State) TenantsByWork() []int {
+	var order []int
 	for i := range s.Tenants {
 		order = append(order, i)
 	}
--- /dev/null
+++ b/internal/decision/admission/arrival.go
@@ -0,0 +1,168 @@
+package admission
+
+import "time"
+
+// toldShare is the share of a query's patience within which it is queued while others have been promised the room.
+const toldShare = 3
+
+// Arrive decides on a query. retryAfter is set if it is rejected. One tenant's flood does not take the room of others: its queries wait
+// behind one another, and what can't be served in time is rejected at once.
+func (c *Controller) Arrive(q Query, now time.Duration) (decision Decision, retryAfter time.Duration) {
+	t := &c.tenants[q.Tenant]
+	isBusy := c.isBusy(q.Work)
+	c.agePromises(t, q, now)
+	if !t.takeRetryToken(q.Retry, c.policy.RetryShare, isBusy) {
+		c.someWaited = true
+		return Reject, c.reject(t, q, now)
+	}
+	if !isBusy && len(t.queue) == 0 {
+		c.admit(t, q, now)
+		return Admit, 0
+	}
+	c.someWaited = true
+	patience := time.Duration(c.policy.MaxWaitShare * float64(q.TimeLeft))
+	ahead, heaviest := c.workAhead(t, q, now)
+	wait := c.drainTime(t, ahead, now)
+	othersPromised := !q.Retry && t.promisedUntil > now
+	if othersPromised && wait > patience/toldShare { // the rest is for those who return when they were told to
+		return Reject, c.reject(t, q, now)
+	}
+	isFull := len(t.queue) >= c.policy.MaxQueued
+	if wait > patience || isFull && heaviest < 0 {
+		return Reject, c.reject(t, q, now)
+	}
+	if isFull {
+		c.evict(t, heaviest, now)
+	}
+	t.enqueue(q, now, patience)
+	return Enqueue, 0
+}
+
+// isBusy reports whether some more work has no room at the store now.
+func (c *Controller) isBusy(work float64) bool {
+	return c.inFlight+work > c.maxInFlight() && c.inFlight >= c.policy.MinWork
+}
+
+// takeRetryToken counts a query as fresh or as a retry. It returns false for a retry beyond the tenant's share of retries, while there is
+// no room.
+func (t *tenant) takeRetryToken(isRetry bool, retryShare float64, isBusy bool) bool {
+	if !isRetry {
+		t.retryTokens = min(maxRetryTokens, t.retryTokens+retryShare)
+		return true
+	}
+	t.Counts.Retries++
+	if isBusy && t.retryTokens < 1 {
+		return false
+	}
+	t.retryTokens = max(0, t.retryTokens-1)
+	return true
+}
+
+func (t *tenant) enqueue(q Query, now, patience time.Duration) {
+	t.queue = append(t.queue, queuedQuery{Query: q, expiresAt: now + patience})
+	t.queuedWork += q.Work
+	t.Counts.Queued = len(t.queue)
+}
+
+// evict rejects a queued query: that of the client that was given most gives way.
+func (c *Controller) evict(t *tenant, index int, now time.Duration) {
+	q := t.queue[index].Query
+	c.evicted = append(c.evicted, Dequeued{ID: q.ID, RetryAfter: c.reject(t, q, now)})
+	t.removeAt(index)
+}
+
+// workAhead is the work that waits before a query in its tenant's queue: that of clients that were given no more than its own. heaviest is
+// the index of one whose client was given most, if that is more; else -1.
+func (c *Controller) workAhead(t *tenant, q Query, now time.Duration) (work float64, heaviest int) {
+	if q.Client == 0 {
+		return t.queuedWork, -1
+	}
+	own := c.clients.Estimate(q.Client, now)
+	maxGiven := 0.0
+	heaviest = -1
+	for i := range t.queue {
+		given := c.given(t.queue[i].Client, now)
+		if given <= own {
+			work += t.queue[i].Work
+		} else if given > maxGiven {
+			maxGiven = given
+			heaviest = i
+		}
+	}
+	return work, heaviest
+}
+
+// given is the work that a client was lately given; 0 if it has no name.
+func (c *Controller) given(client uint64, now time.Duration) float64 {
+	if client == 0 {
+		return 0
+	}
+	return c.clients.Estimate(client, now)
+}
+
+// agePromises turns promises whose time has come into retries that may be sent. Clients that return at once keep an overload alive;
+// without a bound on retries they take the room of those who wait as they were told.
+func (c *Controller) agePromises(t *tenant, q Query, now time.Duration) {
+	elapsed := float64(now - t.promisesAgedAt)
+	due := min(t.promises, elapsed/max(1, float64(c.drainTime(t, q.Work, now))))
+	t.promisesAgedAt = now
+	t.promises -= due
+	t.retryTokens = min(maxRetryTokens, t.retryTokens+due)
+}
+
+// drainTime is how long a tenant's share takes for some work.
+func (c *Controller) drainTime(t *tenant, work float64, now time.Duration) time.Duration {
+	return time.Duration(work / (c.rate(now) * c.share(t)) * float64(time.Second))
+}
+
+// reject counts a rejection and returns when there will be room for the query: when the tenant's queue has gone down, and those who were
+// told before it have returned. So queries that are rejected together do not return together.
+func (c *Controller) reject(t *tenant, q Query, now time.Duration) (retryAfter time.Duration) {
+	t.Counts.Rejected++
+	if c.policy.MaxRetryAfter == 0 {
+		return 0
+	}
+	t.promisedUntil = max(t.promisedUntil, now+c.drainTime(t, t.queuedWork/2, now)) + c.drainTime(t, q.Work, now)
+	t.promisedUntil = min(t.promisedUntil, now+c.policy.MaxRetryAfter)
+	t.promises++
+	retryAfter = t.promisedUntil - now
+	retryAfter += time.Duration((c.random() - 0.5) * retryAfterJitter * float64(retryAfter))
+	return min(c.policy.MaxRetryAfter, max(time.Millisecond, retryAfter))
+}
+
+// admit counts a query that is handed to the router, and moves the tenant's start tag on.
+func (c *Controller) admit(t *tenant, q Query, now time.Duration) {
+	start := max(c.virtualTime, t.nextStart)
+	c.virtualTime = start
+	t.nextStart = start + q.Work/max(t.weight, minWeight)
+	c.inFlight += q.Work
+	if c.firstAdmittedAt == 0 {
+		c.firstAdmittedAt = max(1, now)
+	}
+	t.Counts.Admitted++
+	t.Counts.Work += q.Work
+	if q.Client != 0 {
+		c.clients.Add(q.Client, q.Work, now)
+	}
+}
+
+// share is a tenant's share of what the store can do, beside all tenants whose queries wait.
+func (c *Controller) share(t *tenant) float64 {
+	sum := 0.0
+	for i := range c.tenants {
+		other := &c.tenants[i]
+		if other == t || len(other.queue) > 0 {
+			sum += other.weight
+		}
+	}
+	if t.weight == 0 || sum == 0 {
+		return shareWithoutWeight
+	}
+	return t.weight / sum
+}
+
+// random draws from [0, 1).
+func (c *Controller) random() float64 {
+	c.randomState++
+	return float64(mix(c.randomState)>>11) / (1 << 53)
+}
--- a/internal/decision/admission/course_test.go
+++ b/internal/decision/admission/course_test.go
@@ -44,11 +44,11 @@
 			for _, w := range inside {
 				sum += w
 			}
-			if math.Abs(sum-d.inHand) > 1e-6 {
-				t.Fatalf("%v in hand, %v counted", sum, d.inHand)
+			if math.Abs(sum-d.inFlight) > 1e-6 {
+				t.Fatalf("%v in hand, %v counted", sum, d.inFlight)
 			}
-			if len(queued) > 0 && d.inHand < p.MinWork {
-				t.Fatalf("%d wait while %v is in hand", len(queued), d.inHand)
+			if len(queued) > 0 && d.inFlight < p.MinWork {
+				t.Fatalf("%d wait while %v is in hand", len(queued), d.inFlight)
 			}
 			for id := range queued {
 				if now > until[id] {
@@ -116,7 +116,7 @@
 	if wrong > 20 {
 		t.Errorf("%d quiet names of 1,000 are taken for a twentieth of the flooder", wrong)
 	}
-	a, b := NewSketch(1).places(42), NewSketch(2).places(42)
+	a, b := NewSketch(1).counters(42), NewSketch(2).counters(42)
 	if a == b {
 		t.Error("two brokers hash alike: counters can be aimed at")
 	}
@@ -155,10 +155,10 @@
 			now := time.Duration(i) * time.Microsecond
 			k := mix(uint64(i))
 			c := m[k]
-			m[k] = count{c.n*math.Exp(-float64(now-c.at)/float64(memory)) + 1, now}
+			m[k] = count{c.n*math.Exp(-float64(now-c.at)/float64(sketchTimeConstant)) + 1, now}
 			if most = max(most, len(m)); i%1_000_000 == 0 {
 				for k, c := range m {
-					if now-c.at > memory {
+					if now-c.at > sketchTimeConstant {
 						delete(m, k)
 					}
 				}
--- a/internal/decision/admission/golden_test.go
+++ b/internal/decision/admission/golden_test.go
@@ -123,7 +123,7 @@
 		if p.rnd.IntN(20) == 0 {
 			p.delay = p.span(300 * time.Millisecond)
 		}
-		p.door.SetLag(p.span(20 * time.Millisecond))
+		p.door.SetLateness(p.span(20 * time.Millisecond))
 	case 7:
 		if len(p.order) > 0 && p.rnd.IntN(3) == 0 {
 			id := p.order[p.rnd.IntN(len(p.order))]
--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -23,7 +23,7 @@
 	for lag, least := range map[time.Duration]float64{100 * ms: 0.95, 200 * ms: 0.9, 300 * ms: 0.8, 400 * ms: 0.7} {
 		used, quiet, r := late(lag, true)
 		idle, before, _ := late(lag, false)
-		t.Logf("late by %v: %+v, %.0f%% of the store used, limit %.0f times %.1f; blind %+v, %.0f%%", lag, quiet, 100*used, r.limit, r.stretch,
+		t.Logf("late by %v: %+v, %.0f%% of the store used, limit %.0f times %.1f; blind %+v, %.0f%%", lag, quiet, 100*used, r.limit, r.delayFactor,
 			before, 100*idle)
 		if quiet.turned*100 > quiet.asked || used < least {
 			t.Errorf("late by %v: %+v, %.2f of the store used", lag, quiet, used)
@@ -69,7 +69,7 @@
 		r := newRig(64, 10*ms, 1) // far more than is asked for at once
 		r.unseen = 300 * ms
 		if told {
-			r.SetLag(r.unseen / 2)
+			r.SetLateness(r.unseen / 2)
 		}
 		var load tally
 		r.flow(0, 40, 1, 0, 40*time.Second, nobody, &load)
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -1,112 +1,122 @@
 package admission
 
-// This file owns those that wait: who goes in next, and who has waited too long.
-
 import (
 	"math"
 	"slices"
 	"time"
 )
 
-// Dequeued is a search that waited: it enters now, or its time in the queue has run out.
+// Dequeued is a query that waited: it is admitted now, or it is rejected.
 type Dequeued struct {
 	ID         uint64
 	Admitted   bool
-	RetryAfter time.Duration
+	RetryAfter time.Duration // if it is rejected
 }
 
-// Tick lets in what there is room for, in the order of start tags, and turns away whose time to wait is over. It tells when
-// to come again.
-func (d *Controller) Tick(now time.Duration, out []Dequeued) (lets []Dequeued, next time.Duration) {
-	if d.adjust(now) {
-		d.short = slices.ContainsFunc(d.tenants, func(t tenant) bool { return len(t.queue) > 0 })
+// notDue is when to come again if nothing waits.
+const notDue time.Duration = math.MaxInt64
+
+// Tick appends to out the queries that leave the queues: those that there is room for, in the order of their start tags, and those whose
+// time to wait is over. next is when to call it again.
+func (c *Controller) Tick(now time.Duration, out []Dequeued) (dequeued []Dequeued, next time.Duration) {
+	if c.endWindowIfDue(now) {
+		c.someWaited = slices.ContainsFunc(c.tenants, func(t tenant) bool { return len(t.queue) > 0 })
 	}
-	next = math.MaxInt64
-	out = append(out, d.evicted...)
-	d.evicted = d.evicted[:0]
+	out = append(out, c.evicted...)
+	c.evicted = c.evicted[:0]
+	out, next = c.admitQueued(now, out)
+	// Those that fit are admitted first: a broker that is called late would reject all that waited, however much room there is by now.
+	return c.expireQueued(now, out, next)
+}
+
+// admitQueued admits queued queries while there is room.
+func (c *Controller) admitQueued(now time.Duration, out []Dequeued) (_ []Dequeued, next time.Duration) {
 	for {
-		t := d.first()
+		t := c.nextTenant()
 		if t == nil {
-			break
+			return out, notDue
 		}
-		j := d.pick(t, now)
-		s := t.queue[j].Query
-		if d.inHand+s.Work > d.most() && d.inHand >= d.policy.MinWork {
-			next = min(next, d.begun+d.period())
-			break
+		index := c.nextInQueue(t, now)
+		q := t.queue[index].Query
+		if c.isBusy(q.Work) {
+			return out, c.windowBegin + c.windowLength()
 		}
 		t.Counts.AdmittedFromQueue++
-		d.remove(t, j)
-		d.enter(t, s, now)
-		out = append(out, Dequeued{ID: s.ID, Admitted: true})
+		t.removeAt(index)
+		c.admit(t, q, now)
+		out = append(out, Dequeued{ID: q.ID, Admitted: true})
 	}
-	return d.expire(now, out, next)
 }
 
-// expire turns away whose time to wait is over. Danger: a broker that comes round late would refuse all that waited, however
-// much room there is by now; so those that fit go in first.
-func (d *Controller) expire(now time.Duration, out []Dequeued, next time.Duration) ([]Dequeued, time.Duration) {
-	for i := range d.tenants {
-		t := &d.tenants[i]
-		for j := 0; j < len(t.queue); j++ {
-			if w := &t.queue[j]; w.until <= now {
-				t.Counts.Expired++
-				_, hint := d.turn(t, w.Query, now)
-				out = append(out, Dequeued{ID: w.ID, RetryAfter: hint})
-				d.remove(t, j)
-				j--
-			} else {
-				next = min(next, w.until)
+// expireQueued rejects queries whose time to wait is over.
+func (c *Controller) expireQueued(now time.Duration, out []Dequeued, next time.Duration) ([]Dequeued, time.Duration) {
+	for i := range c.tenants {
+		t := &c.tenants[i]
+		for j := 0; j < len(t.queue); {
+			queued := t.queue[j]
+			if queued.expiresAt > now {
+				next = min(next, queued.expiresAt)
+				j++
+				continue
 			}
+			t.Counts.Expired++
+			out = append(out, Dequeued{ID: queued.ID, RetryAfter: c.reject(t, queued.Query, now)})
+			t.removeAt(j)
 		}
 	}
 	return out, next
 }
 
-// first is the tenant whose next search starts first; one without weight comes after all others.
-func (d *Controller) first() (best *tenant) {
-	for i := range d.tenants {
-		t := &d.tenants[i]
+// nextTenant is the tenant whose next query starts first, by its start tag; nil: no query waits.
+func (c *Controller) nextTenant() (next *tenant) {
+	for i := range c.tenants {
+		t := &c.tenants[i]
 		if len(t.queue) == 0 {
 			continue
 		}
-		if best == nil || best.weight == 0 && t.weight > 0 ||
-			(best.weight == 0) == (t.weight == 0) && max(t.tag, d.virtual) < max(best.tag, d.virtual) {
-			best = t
+		if next == nil || c.startsBefore(t, next) {
+			next = t
 		}
 	}
-	return best
+	return next
 }
 
-// pick chooses within a tenant the search whose client was given least lately; of one client's the one that came first.
-func (d *Controller) pick(t *tenant, now time.Duration) int {
-	best, least := 0, math.Inf(1)
-	for j := range t.queue {
-		given := 0.0
-		if client := t.queue[j].Client; client != 0 {
-			given = d.clients.Estimate(client, now)
-		}
-		if given < least {
-			best, least = j, given
+// startsBefore orders tenants; those without weight come after all others.
+func (c *Controller) startsBefore(a, b *tenant) bool {
+	aWeighs := a.weight > 0
+	bWeighs := b.weight > 0
+	if aWeighs != bWeighs {
+		return aWeighs
+	}
+	return max(a.nextStart, c.virtualTime) < max(b.nextStart, c.virtualTime)
+}
+
+// nextInQueue is the index of the query whose client was given least lately; of one client's the one that came first.
+func (c *Controller) nextInQueue(t *tenant, now time.Duration) (index int) {
+	minGiven := math.Inf(1)
+	for i := range t.queue {
+		given := c.given(t.queue[i].Client, now)
+		if given < minGiven {
+			index = i
+			minGiven = given
 		}
 	}
-	return best
+	return index
 }
 
-func (d *Controller) remove(t *tenant, j int) {
-	t.queued -= t.queue[j].Work
-	t.queue = slices.Delete(t.queue, j, j+1)
+func (t *tenant) removeAt(index int) {
+	t.queuedWork -= t.queue[index].Work
+	t.queue = slices.Delete(t.queue, index, index+1)
 	t.Counts.Queued = len(t.queue)
 }
 
-// Remove takes a search out of a queue, as its client went or its broker stops; false: it does not wait.
-func (d *Controller) Remove(tenant int, id uint64) bool {
-	t := &d.tenants[tenant]
-	for j := range t.queue {
-		if t.queue[j].ID == id {
-			d.remove(t, j)
-			return true
-		}
+// Remove takes a query out of its queue, as its client left or the broker stops. It returns whether the query was queued.
+func (c *Controller) Remove(tenant int, id uint64) bool {
+	t := &c.tenants[tenant]
+	index := slices.IndexFunc(t.queue, func(q queuedQuery) bool { return q.ID == id })
+	if index < 0 {
+		return false
 	}
-	return false
+	t.removeAt(index)
+	return true
 }
