--- a/internal/decision/admission/arrival.go
+++ b/internal/decision/admission/arrival.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// toldShare is the share of a query's patience within which it is queued while others have been promised the room.
-const toldShare = 3
+// promisedWaitShare is the share of a query's patience within which it is queued while others have been promised the room.
+const promisedWaitShare = 3
 
 // Arrive decides on a query. retryAfter is set if it is rejected. One tenant's flood does not take the room of others: its queries wait
 // behind one another, and what can't be served in time is rejected at once.
@@ -24,7 +24,7 @@
 	ahead, heaviest := c.workAhead(t, q, now)
 	wait := c.drainTime(t, ahead, now)
 	othersPromised := !q.Retry && t.promisedUntil > now
-	if othersPromised && wait > patience/toldShare { // the rest is for those who return when they were told to
+	if othersPromised && wait > patience/promisedWaitShare { // the rest is for those who return when they were told to
 		return Reject, c.reject(t, q, now)
 	}
 	isFull := len(t.queue) >= c.policy.MaxQueued
