--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -142,7 +142,7 @@
 	}()
 	told := make(chan string, 100)
 	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 0, false, versions(told))
-	c.lot = none
+	c.jitter = none
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
@@ -177,8 +177,8 @@
 		go c.Run(ctx)
 		c.Poll()
 		synctest.Wait()
-		if fmt.Sprint(told) != "[<nil> true]" || c.held != 3 {
-			t.Errorf("told %q, version %d held", told, c.held)
+		if fmt.Sprint(told) != "[<nil> true]" || c.currentVersion != 3 {
+			t.Errorf("told %q, version %d held", told, c.currentVersion)
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -53,7 +53,7 @@
 	}()
 	told := make(chan string, 100)
 	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 40, true, versions(told))
-	c.lot = none
+	c.jitter = none
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
@@ -131,7 +131,7 @@
 			told = append(told, fmt.Sprint(l.CellCount, err))
 		})
 		asked := make(chan string, 9)
-		c.lot = none
+		c.jitter = none
 		c.dial = func(context.Context, string, string) (net.Conn, error) {
 			here, there := net.Pipe()
 			go func() {
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -37,7 +37,7 @@
 			go c.Run(ctx)
 			c.Poll()
 			synctest.Wait()
-			if len(failures) != 1 || strings.Contains(failures[0].Error(), "\n") || remedy.Of(failures[0]) == "" || c.known || c.held != 40 {
+			if len(failures) != 1 || strings.Contains(failures[0].Error(), "\n") || remedy.Of(failures[0]) == "" || c.versionKnown || c.currentVersion != 40 {
 				t.Errorf("%s: %v, remedy %q", what, failures, remedy.Of(failures[0]))
 			}
 			cancel()
--- a/internal/discovery/paced_test.go
+++ b/internal/discovery/paced_test.go
@@ -18,9 +18,9 @@
 	c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
 	c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond,
 		MaxPollDelay: 500 * time.Millisecond, BrokerCount: 10}, 3), 0, false)
-	c.lot = none
+	c.jitter = none
 	got = &[]string{}
-	c.tell = func(l *List, err error) {
+	c.notify = func(l *List, err error) {
 		if err != nil {
 			*got = append(*got, "failed")
 		} else {
@@ -125,7 +125,7 @@
 		c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 10 * time.Second, BrokerCount: 1}, 3), 0, false)
 		at := make(chan time.Duration, 4)
 		begun := time.Now()
-		c.tell = func(l *List, err error) {
+		c.notify = func(l *List, err error) {
 			if err == nil {
 				at <- time.Since(begun)
 			}
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -46,7 +46,7 @@
 	for range 20 {
 		r := newRace(t.Context(), "d:1", nil)
 		e := &ending{end: r.cancel, closed: make(chan struct{}, 4), answer: httpwire.AppendResponse(nil, 200, false, []byte("{}"))}
-		o := r.exchange(&connection{Conn: e, in: httpwire.NewReader(e)}, request{target: path, Timeouts: polling.Timeouts{Timeout: time.Hour}})
+		o := r.exchange(&connection{Conn: e, in: httpwire.NewReader(e)}, attempt{target: path, Timeouts: polling.Timeouts{Timeout: time.Hour}})
 		if o.err != nil || o.answer == nil || o.conn != nil {
 			t.Fatalf("%+v", o)
 		}
@@ -63,6 +63,6 @@
 		cancel()
 		return e, nil
 	})
-	r.start(nil, request{target: path, Timeouts: polling.Timeouts{Timeout: time.Hour}})
+	r.start(nil, attempt{target: path, Timeouts: polling.Timeouts{Timeout: time.Hour}})
 	<-e.closed
 }
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -21,11 +21,11 @@
 			var calls atomic.Int32
 			c := NewClient("d", reader(), 10*time.Second, 40, true, nil)
 			if round == 0 {
-				c.lot = none
+				c.jitter = none
 			}
 			had := make(chan time.Duration, 100)
 			begun := time.Now()
-			c.tell = func(l *List, err error) {
+			c.notify = func(l *List, err error) {
 				if err == nil {
 					had <- time.Since(begun)
 				}
