--- a/internal/discovery/move_test.go
+++ b/internal/discovery/address_test.go
@@ -13,9 +13,9 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// What a new service has counts as told 4 s after the move: one that is silent, slow, or refuses at first is asked again soon
+// What a new service has is known 4 s after the change of address: one that is silent, slow, or rejects at first is polled again soon
 // enough, whatever the old one did before.
-func TestMoveIsMadeInTime(t *testing.T) {
+func TestChangeAddressInTime(t *testing.T) {
 	for what, answer := range map[string]func(since time.Duration) (wait time.Duration, status int){
 		"silent at first": func(since time.Duration) (time.Duration, int) {
 			if since < 2900*time.Millisecond {
--- a/internal/discovery/paced_test.go
+++ b/internal/discovery/backoff_test.go
@@ -13,7 +13,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// paced is a client that asks again by itself, before stand-ins that are dialled by turns.
+// paced is a client with a backoff, before stand-ins that are dialled in turn.
 func paced(t *testing.T, dial func(n int) (net.Conn, error)) (got *[]string, stop func()) {
 	c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
 	c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond,
@@ -52,7 +52,7 @@
 				return
 			}
 			status := 200
-			if body == "jammed" {
+			if body == "overloaded" {
 				status = 503
 			}
 			far.Write(httpwire.AppendResponse(nil, status, false, []byte(body)))
@@ -62,14 +62,14 @@
 	return near
 }
 
-// Discovery that can't be reached is knocked at until it can; one that says nothing, or is jammed, is left alone in
-// between; one failure of an outage is told, and then the list.
-func TestPaced(t *testing.T) {
+// Discovery that can't be reached is connected to until that succeeds; one that is silent or overloaded is left alone in
+// between; one failure of an outage is notified, and then the list.
+func TestBackoffDuringOutage(t *testing.T) {
 	whole := list(7, true, line("s-1", "10.0.0.1:80", "in_service", 0))
 	for what, c := range map[string]struct {
-		conns  func(n int) (net.Conn, error)
-		within time.Duration
-		told   string
+		conns    func(n int) (net.Conn, error)
+		within   time.Duration
+		notified string
 	}{
 		"down, then up": {func(n int) (net.Conn, error) {
 			if n <= 20 {
@@ -83,9 +83,9 @@
 			}
 			return answers(whole), nil
 		}, 5 * time.Second, "[failed 7127.0.0.1:1]"},
-		"jammed, then well": {func(n int) (net.Conn, error) {
+		"overloaded, then well": {func(n int) (net.Conn, error) {
 			if n <= 2 {
-				return answers("jammed"), nil
+				return answers("overloaded"), nil
 			}
 			return answers(whole), nil
 		}, 2 * time.Second, "[failed 7127.0.0.1:1]"},
@@ -97,7 +97,7 @@
 		}, 2 * time.Second, "[failed 7127.0.0.1:1]"},
 		"well, then flapping to an older version": {func(n int) (net.Conn, error) {
 			if n == 1 {
-				return answers(whole, "jammed"), nil
+				return answers(whole, "overloaded"), nil
 			}
 			if n == 2 {
 				return answers(list(3, true)), nil
@@ -111,15 +111,15 @@
 			synctest.Wait()
 			stop()
 			synctest.Wait()
-			if fmt.Sprint(*got) != c.told {
-				t.Errorf("%s: told %v", what, *got)
+			if fmt.Sprint(*got) != c.notified {
+				t.Errorf("%s: notified %v", what, *got)
 			}
 		})
 	}
 }
 
-// A move, or the end, is not held up by the wait for a discovery that is down.
-func TestMoveWhileWaiting(t *testing.T) {
+// A change of address, or the end, is not delayed by the wait for a discovery that is down.
+func TestChangeAddressWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
 		c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 10 * time.Second, BrokerCount: 1}, 3), 0, false)
--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -13,8 +13,8 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// turns is a discovery that works through calls one after the other. A call that has waited too long by its turn is refused; one
-// whose caller has gone costs as much as any other.
+// turns is a discovery that works through requests one after the other. One that has waited too long by its turn is rejected; one
+// whose client has gone costs as much as any other.
 type turns struct {
 	mu    sync.Mutex
 	each  time.Duration
@@ -59,7 +59,7 @@
 
 // Brokers that move together keep the new service busy for a while. Each has the list in time, as none gives up its place in the
 // queue and comes again behind the others.
-func TestBusyServiceIsHeardInTime(t *testing.T) {
+func TestListOfABusyServiceComesInTime(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
 			const brokers = 7
@@ -110,14 +110,14 @@
 	}
 }
 
-// A watch that breaks is opened anew at once, and nobody hears of it; if that fails too it is an outage, which is told.
+// A watch that breaks is opened anew at once, and nobody is notified; if that fails too it is an outage, which is notified.
 func TestBrokenWatchIsOpenedAnew(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	asked := make(chan string, 100)
+	polled := make(chan string, 100)
 	go func() {
 		for n := 0; ; n++ {
 			conn, err := ln.Accept()
@@ -130,7 +130,7 @@
 				if err != nil {
 					break
 				}
-				asked <- m.Query
+				polled <- m.Query
 				if n < 2 && m.Query != "" { // the first watch breaks, and so does the call after it
 					conn.(*net.TCPConn).SetLinger(0)
 					break
@@ -140,58 +140,58 @@
 			conn.Close()
 		}
 	}()
-	told := make(chan string, 100)
-	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 0, false, versions(told))
+	notified := make(chan string, 100)
+	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 0, false, versions(notified))
 	c.jitter = none
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
 	c.Poll()
 	for _, want := range []string{"", "index=41&wait=3000", "index=41&wait=0"} {
-		if got := next(t, asked); got != want {
-			t.Errorf("asked %q, want %q", got, want)
+		if got := next(t, polled); got != want {
+			t.Errorf("polled %q, want %q", got, want)
 		}
 	}
 	for _, want := range []string{"41", "failed"} { // the second connection broke as well
-		if got := next(t, told); got != want {
-			t.Errorf("told %s, want %s", got, want)
+		if got := next(t, notified); got != want {
+			t.Errorf("notified %s, want %s", got, want)
 		}
 	}
 	c.Poll()
-	if got := next(t, told); got != "43" {
-		t.Errorf("told %s, want 43", got)
+	if got := next(t, notified); got != "43" {
+		t.Errorf("notified %s, want 43", got)
 	}
 	cancel()
 	<-done
 }
 
-// A whole list counts from wherever its service does, also where it was a watch that brought it: what discovery has written is told.
-func TestWholeListOfAnOlderVersionIsTaken(t *testing.T) {
+// A full list may have any version, also where it was a watch that brought it: it is applied.
+func TestFullListOfAnOlderVersionIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []string
+		var notified []string
 		c := NewClient("d", reader(), 3*time.Second, 40, true, func(l *List, err error) {
-			told = append(told, fmt.Sprint(err, l != nil && l.Full))
+			notified = append(notified, fmt.Sprint(err, l != nil && l.Full))
 		})
 		c.dial = func(context.Context, string, string) (net.Conn, error) { return answers(list(3, true)), nil }
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		c.Poll()
 		synctest.Wait()
-		if fmt.Sprint(told) != "[<nil> true]" || c.currentVersion != 3 {
-			t.Errorf("told %q, version %d held", told, c.currentVersion)
+		if fmt.Sprint(notified) != "[<nil> true]" || c.currentVersion != 3 {
+			t.Errorf("notified %q, version %d held", notified, c.currentVersion)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// versions tells what is told as a version, or as a failure.
-func versions(told chan<- string) func(*List, error) {
+// versions notes each notification as a version, or as a failure.
+func versions(notified chan<- string) func(*List, error) {
 	return func(l *List, err error) {
 		if err != nil {
-			told <- "failed"
+			notified <- "failed"
 			return
 		}
-		told <- fmt.Sprint(l.Version)
+		notified <- fmt.Sprint(l.Version)
 	}
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -38,7 +38,7 @@
 
 	idleConnection *connection // for the next request; nil: there is none
 	movedAt        time.Time   // to this address
-	currentVersion    uint64
+	currentVersion uint64
 	versionKnown   bool // else the full list is asked for
 	pollNext       bool // discovery has not answered since it failed, or at all: the next request is a poll, not a watch
 	lastFailed     bool // the last request did
@@ -56,15 +56,15 @@
 func NewClient(address string, reader Reader, maxWatchTime time.Duration, currentVersion uint64, versionKnown bool,
 	notify func(*List, error)) *Client {
 	return &Client{
-		address:       address,
-		reader:        reader,
-		maxWatchTime:  maxWatchTime,
-		currentVersion:   currentVersion,
-		versionKnown:  versionKnown,
-		notify:        notify,
-		jitter:        rand.N[time.Duration],
-		pollRequested: make(chan struct{}, 1),
-		dial:          new(net.Dialer).DialContext,
+		address:        address,
+		reader:         reader,
+		maxWatchTime:   maxWatchTime,
+		currentVersion: currentVersion,
+		versionKnown:   versionKnown,
+		notify:         notify,
+		jitter:         rand.N[time.Duration],
+		pollRequested:  make(chan struct{}, 1),
+		dial:           new(net.Dialer).DialContext,
 	}
 }
 
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -14,7 +14,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// Every ask gets one answer or more; a failure ends the watch, and an unreadable or older list leads to a whole one.
+// Every poll gets one answer or more; a failure ends the watch, and an unreadable or outdated list leads to a full one.
 func TestWatch(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 	defer ln.Close()
 	replies := []string{list(41, true), list(43, false), "503", "reset", list(42, false), "garbled", list(44, true)}
-	asked := make(chan string, 100)
+	polled := make(chan string, 100)
 	go func() {
 		next := 0
 		for {
@@ -36,7 +36,7 @@
 				if err != nil || next == len(replies) {
 					break
 				}
-				asked <- m.Query
+				polled <- m.Query
 				reply := replies[next]
 				next++
 				if reply == "reset" {
@@ -51,8 +51,8 @@
 			conn.Close()
 		}
 	}()
-	told := make(chan string, 100)
-	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 40, true, versions(told))
+	notified := make(chan string, 100)
+	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 40, true, versions(notified))
 	c.jitter = none
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
@@ -61,11 +61,11 @@
 		{"index=43&wait=3000", "failed"}, {"index=43&wait=3000", "failed"}, {"index=43&wait=3000", "failed"},
 		{"", "failed"}, {"", "44"}} {
 		c.Poll() // where a watch is held this asks for nothing more
-		if got := <-asked; got != step[0] {
-			t.Errorf("asked %q, want %q", got, step[0])
+		if got := <-polled; got != step[0] {
+			t.Errorf("polled %q, want %q", got, step[0])
 		}
-		if got := <-told; got != step[1] {
-			t.Errorf("told %s, want %s", got, step[1])
+		if got := <-notified; got != step[1] {
+			t.Errorf("notified %s, want %s", got, step[1])
 		}
 	}
 	cancel()
@@ -74,16 +74,16 @@
 	}
 }
 
-// A move ends the watch that is held and asks the new service at once, for the whole list, whatever it counts from;
-// a new one that fails is the module's to ask again.
-func TestMove(t *testing.T) {
+// A change of address ends the watch that is held and polls the new service at once, for the full list, whatever it counts from;
+// whether a new one that fails is polled again is the event loop's decision.
+func TestChangeAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []string
+		var notified []string
 		c := NewClient("old", reader(), 10*time.Second, 40, true, func(l *List, err error) {
 			if err != nil {
-				told = append(told, "failed")
+				notified = append(notified, "failed")
 			} else {
-				told = append(told, fmt.Sprint(l.Version))
+				notified = append(notified, fmt.Sprint(l.Version))
 			}
 		})
 		c.dial = func(_ context.Context, _, addr string) (net.Conn, error) {
@@ -114,8 +114,8 @@
 			c.ChangeAddress("nowhere", nil)
 			c.ChangeAddress(step.to, nil)
 			synctest.Wait()
-			if got := fmt.Sprint(told); got != step.want || time.Since(begun) > 0 {
-				t.Errorf("move %d to %s: told %s after %v, want %s", i, step.to, got, time.Since(begun), step.want)
+			if got := fmt.Sprint(notified); got != step.want || time.Since(begun) > 0 {
+				t.Errorf("move %d to %s: notified %s after %v, want %s", i, step.to, got, time.Since(begun), step.want)
 			}
 		}
 		cancel()
@@ -123,14 +123,14 @@
 	})
 }
 
-// Other terms hold from the next call on: a shorter watch, another layout.
-func TestMoveUnderOtherTerms(t *testing.T) {
+// Other settings hold from the next request on: a shorter watch, another layout.
+func TestChangeAddressAndSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []string
+		var notified []string
 		c := NewClient("old", reader(), 20*time.Second, 0, false, func(l *List, err error) {
-			told = append(told, fmt.Sprint(l.CellCount, err))
+			notified = append(notified, fmt.Sprint(l.CellCount, err))
 		})
-		asked := make(chan string, 9)
+		polled := make(chan string, 9)
 		c.jitter = none
 		c.dial = func(context.Context, string, string) (net.Conn, error) {
 			here, there := net.Pipe()
@@ -141,7 +141,7 @@
 					if err != nil {
 						return
 					}
-					if asked <- m.Query; m.Query != "" {
+					if polled <- m.Query; m.Query != "" {
 						io.Copy(io.Discard, there)
 						return
 					}
@@ -164,17 +164,17 @@
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
-		close(asked)
+		close(polled)
 		var queries []string
-		for q := range asked {
+		for q := range polled {
 			queries = append(queries, q)
 		}
 		first, then := fmt.Sprint(reader().CellCount, nil), fmt.Sprint(other.CellCount, nil)
 		if got := strings.Join(queries, " "); got != " index=3&wait=3000  index=3&wait=2000" {
-			t.Errorf("asked %q", got)
+			t.Errorf("polled %q", got)
 		}
-		if !slices.Equal(told, []string{first, then}) {
-			t.Errorf("told %q", told)
+		if !slices.Equal(notified, []string{first, then}) {
+			t.Errorf("notified %q", notified)
 		}
 	})
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -80,7 +80,8 @@
 
 // Remedy is what an operator can do.
 func (e *UnreadableListError) Remedy() string {
-	return "the list held stands and the full list is asked for next; correct the entry that the error names, or compare the versions of the two programs"
+	return "the list held stands and the full list is asked for next; correct the entry that the error names, "+
+		"or compare the versions of the two programs"
 }
 
 // ListError says what of a list can't be read.
@@ -100,8 +101,8 @@
 
 // OutdatedListError is an update older than the version held.
 type OutdatedListError struct {
-	Service     string
-	Version     uint64
+	Service        string
+	Version        uint64
 	CurrentVersion uint64
 }
 
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -14,8 +14,8 @@
 	"flaxfront/internal/decision/polling"
 )
 
-// Whatever a service answers that is no list, nothing of it is taken, one line says what is wrong and another what an operator can do,
-// and the whole list is asked for next.
+// Whatever a service answers that is no list, nothing of it is applied, one line says what is wrong and another what an operator can do,
+// and the full list is asked for next.
 func TestWrongAnswersChangeNothing(t *testing.T) {
 	good := line("s-1", "10.0.0.1:80", "in_service", 0)
 	for what, answer := range map[string]string{
@@ -29,7 +29,7 @@
 			var failures []error
 			c := NewClient("d:1", reader(), 3*time.Second, 40, true, func(l *List, err error) {
 				if failures = append(failures, err); l != nil {
-					t.Errorf("%s: a list was taken", what)
+					t.Errorf("%s: a list was applied", what)
 				}
 			})
 			c.dial = func(context.Context, string, string) (net.Conn, error) { return answers(answer), nil }
@@ -37,7 +37,8 @@
 			go c.Run(ctx)
 			c.Poll()
 			synctest.Wait()
-			if len(failures) != 1 || strings.Contains(failures[0].Error(), "\n") || remedy.Of(failures[0]) == "" || c.versionKnown || c.currentVersion != 40 {
+			if len(failures) != 1 || strings.Contains(failures[0].Error(), "\n") || remedy.Of(failures[0]) == "" ||
+				c.versionKnown || c.currentVersion != 40 {
 				t.Errorf("%s: %v, remedy %q", what, failures, remedy.Of(failures[0]))
 			}
 			cancel()
@@ -73,7 +74,7 @@
 		time.Sleep(polling.MaxNotificationDelay)
 		synctest.Wait()
 		if dials.Load() < 2 {
-			t.Error("nothing was asked beside an answer that does not end")
+			t.Error("no hedge went out beside an answer that does not end")
 		}
 		cancel()
 		time.Sleep(time.Second)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/netip"
 	"reflect"
@@ -42,19 +43,20 @@
 	if e := got.Nodes[1].Endpoint; e.State != decision.Draining || e.StartedAt != 2500*time.Millisecond {
 		t.Errorf("read as %+v", e)
 	}
-	// One bad line spoils the list: half a list may hide a drain.
+	// One bad entry spoils the list: half a list may hide a drain.
 	for _, bad := range []string{"", "[]", `{"instances":[]}`, list(1, true, line("s-1", "here", "in_service", 0)),
 		list(1, true, line("", "10.0.0.1:80", "in_service", 0)), list(1, true, line("s-1", "10.0.0.1:80", "asleep", 0)),
 		list(1, true, line("s-1", "10.0.0.1:80", "in_service", -1)), list(1, true, strings.Replace(
 			line("s-1", "10.0.0.1:80", "in_service", 0), `"cell":2`, `"cell":3`, 1))} {
-		if got, err := rd.Decode([]byte(bad)); err == nil {
-			t.Errorf("%.60q read as %+v", bad, got)
+		got, err := rd.Decode([]byte(bad))
+		if !errors.As(err, new(*ListError)) {
+			t.Errorf("%.60q read as %+v, %v", bad, got, err)
 		}
 	}
 }
 
 // Brokers see a node at different addresses, yet must mean the same node when they speak of it.
-func TestIDComesOfTheName(t *testing.T) {
+func TestIDOfName(t *testing.T) {
 	seen := map[decision.NodeID]string{}
 	for _, name := range []string{"s-5be2a07c", "s-5be2a07d", "t-5be2a07c", "s", "node one", "node two"} {
 		if other, twice := seen[IDOfName(name)]; twice {
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -13,7 +13,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// A watch falls silent as soon as it is open, and a node drains; from then on discovery answers each call, in 1.9 s, as it is busy.
+// A watch falls silent as soon as it is open, and a node drains; from then on discovery answers each request after 1.9 s, as it is busy.
 // What the watch missed is held 6 s after it fell silent at the latest, whatever was drawn.
 func TestSilentWatchOfABusyService(t *testing.T) {
 	for round := range 40 {
@@ -65,9 +65,9 @@
 	}
 }
 
-// An agent that refuses calls, or takes no connection, while discovery is down is asked again soon, and its outage told once: what it
-// has at the return counts in that moment. A service that all brokers share is left to the module's pauses.
-func TestAgentIsHeardAtItsReturn(t *testing.T) {
+// A local agent that rejects requests, or accepts no connection, while discovery is down is polled again soon, and its outage notified once:
+// what it has at its return is known soon after. A service that all brokers share is left to the router's backoff.
+func TestLocalAgentIsPolledSoonAfterAnOutage(t *testing.T) {
 	for _, refuses := range []bool{true, false} {
 		for _, pushed := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
@@ -91,7 +91,7 @@
 					case time.Since(begun) >= down:
 						return answers(list(41, true)), nil
 					case refuses:
-						return answers("jammed"), nil
+						return answers("overloaded"), nil
 					default:
 						return nil, io.ErrClosedPipe
 					}
@@ -102,11 +102,12 @@
 				time.Sleep(down + time.Second)
 				synctest.Wait()
 				late := time.Duration(had.Load()) - down
-				if pushed && (late < 0 || late > polling.AgentRetryInterval || failures.Load() != 1 || calls.Load() > int32(2*down/polling.AgentRetryInterval)) {
-					t.Errorf("refuses %v: had %v after the return, %d calls, %d failures told", refuses, late, calls.Load(), failures.Load())
+				if pushed && (late < 0 || late > polling.AgentRetryInterval || failures.Load() != 1 ||
+					calls.Load() > int32(2*down/polling.AgentRetryInterval)) {
+					t.Errorf("refuses %v: had %v after the return, %d calls, %d failures notified", refuses, late, calls.Load(), failures.Load())
 				}
 				if !pushed && calls.Load() > 1 {
-					t.Errorf("refuses %v: %d calls that nobody asked for", refuses, calls.Load())
+					t.Errorf("refuses %v: %d requests that nobody asked for", refuses, calls.Load())
 				}
 				cancel()
 				synctest.Wait()
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -18,7 +18,7 @@
 
 func none(time.Duration) time.Duration { return 0 }
 
-// service is a discovery that takes every call. While it is silent it answers none, nor those that it had then.
+// service is a discovery that accepts every request. While it is silent it answers none, nor those that it had then.
 type service struct {
 	mu      sync.Mutex
 	version int // that it tells
@@ -80,7 +80,7 @@
 }
 
 // One clock for silence: whatever a watch misses that has fallen silent is held 6 s after it fell silent at the latest,
-// and so is what a discovery tells that accepted calls and answered none for any time before, 6 s after it speaks again.
+// and so is what a discovery sends that accepted requests and answered none for any time before, 6 s after it answers again.
 func TestSilenceHasOneClock(t *testing.T) {
 	for _, paced := range []bool{false, true} {
 		for _, speaksAfter := range []time.Duration{0, time.Second, 3 * time.Second, 9 * time.Second, 31 * time.Second} {
@@ -95,7 +95,7 @@
 						}
 						if err != nil {
 							if failures++; !errors.As(err, new(*SilentError)) {
-								t.Errorf("told %v", err)
+								t.Errorf("notified %v", err)
 							}
 						}
 					})
@@ -115,10 +115,10 @@
 					time.Sleep(10 * time.Second)
 					synctest.Wait()
 					if late := had.Sub(fell.Add(speaksAfter)); had.IsZero() || late > polling.MaxNotificationDelay {
-						t.Errorf("paced %v, known %v, speaks after %v: had after %v; asked %q", paced, known, speaksAfter, late, s.calls)
+						t.Errorf("paced %v, known %v, speaks after %v: had after %v; polled %q", paced, known, speaksAfter, late, s.calls)
 					}
 					if speaksAfter < 9*time.Second && known && failures > 1 {
-						t.Errorf("%d failures told", failures)
+						t.Errorf("%d failures notified", failures)
 					}
 					cancel()
 					s.set(99, true) // nobody waits on
@@ -129,7 +129,7 @@
 	}
 }
 
-// The clock also counts from a wait's end: a watch is given up early enough for another call, and never waits longer than
+// The clock also counts from the end of the watch time: a watch is given up early enough for another request, and never waits longer than
 // leaves the clock at 6 s. Watches that began together do not end together.
 func TestWatchesEndApart(t *testing.T) {
 	ends := map[time.Duration]bool{}
@@ -151,17 +151,18 @@
 			}
 			synctest.Wait()
 			if len(s.calls) < 2 {
-				t.Fatalf("asked %q in a minute", s.calls)
+				t.Fatalf("polled %q in a minute", s.calls)
 			}
 			var wait time.Duration
 			fmt.Sscanf(s.calls[0], "index=40&wait=%d", &wait)
 			wait *= time.Millisecond
 			again := time.Since(begun)
-			if wait > polling.MaxWatchTime || again > wait+polling.MaxNotificationDelayAfterWatch-500*time.Millisecond || again > polling.MaxNotificationDelay-500*time.Millisecond {
+			if wait > polling.MaxWatchTime || again > wait+polling.MaxNotificationDelayAfterWatch-500*time.Millisecond ||
+				again > polling.MaxNotificationDelay-500*time.Millisecond {
 				t.Errorf("a watch of %v was made anew after %v", wait, again)
 			}
 			if s.calls[1] != "index=40&wait=0" {
-				t.Errorf("then asked %q", s.calls[1])
+				t.Errorf("then polled %q", s.calls[1])
 			}
 			ends[again.Round(100*time.Millisecond)] = true
 			cancel()
