--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -80,7 +80,7 @@
 
 // Remedy is what an operator can do.
 func (e *UnreadableListError) Remedy() string {
-	return "the list held stands and the full list is asked for next; correct the entry that the error names, "+
+	return "the list held stands and the full list is asked for next; correct the entry that the error names, " +
 		"or compare the versions of the two programs"
 }
 
--- /dev/null
+++ b/internal/server/lease_tick.go
@@ -0,0 +1,120 @@
+package server
+
+import (
+	"time"
+
+	"flaxfront/internal/cluster/connpolicy"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/connlease"
+	"flaxfront/internal/decision/statemachine"
+)
+
+// proposalInterval lies between two proposals, so that an entry is not proposed again before the next view can show it.
+const proposalInterval = 300 * time.Millisecond
+
+// tick closes surplus connections, acknowledges grants and measures needs. It is called before each step, with the present time: a process
+// that was stopped for longer than its lease resumes with connections that another broker holds by now.
+func (b *connectionLeases) tick(now time.Duration) time.Duration {
+	if now < b.due {
+		return b.due
+	}
+	b.due = min(now+leaseInterval, b.holder.NextTimer(now))
+	if b.view != nil && b.view.Index > 0 {
+		b.updateFloors(b.view)
+	}
+	excess := b.holder.ExcessConnections(now)
+	for _, r := range excess.Counts {
+		b.loop.connections().Shed(r.Node, r.Tenant, r.Connections, excess.Immediate)
+	}
+	for i := range b.attempts {
+		b.attempts[i].sent *= attemptDecay
+		b.attempts[i].refused *= attemptDecay
+	}
+	b.measure(now)
+	b.acknowledge(now)
+	return b.due
+}
+
+// acknowledge proposes that this broker keeps to its newest grant, and to the newest policy.
+func (b *connectionLeases) acknowledge(now time.Duration) {
+	if b.view == nil || b.view.Self.Incarnation == 0 || now < b.proposedAt+proposalInterval {
+		return
+	}
+	self, lease := b.view.Self, b.view.Lease
+	if number := b.holder.PendingAck(now); number > 0 && lease.Number == number && !lease.Acknowledged {
+		b.proposedAt = now
+		b.proposeEntry(&statemachine.AcknowledgeLease{Slot: self.Slot, Incarnation: self.Incarnation, Number: number})
+	}
+	if b.agreedVersion > b.view.AcknowledgedPolicy && b.holder.WithinLease(now) {
+		b.proposedAt = now
+		b.proposeEntry(&statemachine.AcknowledgePolicy{Slot: self.Slot, Incarnation: self.Incarnation, Version: b.agreedVersion})
+	}
+}
+
+// measure observes what is in flight to each node, and leaves the needs for the next load report, and the nodes for the leader.
+func (b *connectionLeases) measure(now time.Duration) {
+	b.needs.Decay(now)
+	demand := map[connlease.LeaseKey]int{}
+	b.loop.connections().Wants(func(node decision.NodeID, tenant, attempts int) {
+		demand[connlease.LeaseKey{Node: node, Tenant: tenant}] += attempts
+	})
+	for key, attempts := range demand {
+		b.needs.Observe(key, float64(attempts)/float64(b.streams))
+	}
+	needs := b.needs.AboveReserved(b.floors)
+	if b.stopped {
+		needs = nil
+	}
+	named := needs[:0]
+	for _, n := range needs {
+		if n.Tenant >= 0 && n.Tenant < len(b.policyTenant) && b.policyTenant[n.Tenant] >= 0 {
+			n.Tenant = b.policyTenant[n.Tenant]
+			named = append(named, n)
+		}
+	}
+	report := connlease.EncodeDemand(b.version, named)
+	b.needReport.Store(&report)
+	endpoints := b.loop.endpoints()
+	nodes := make(map[decision.NodeID]connpolicy.Node, len(endpoints))
+	for id, n := range endpoints {
+		nodes[id] = policyNode(n)
+	}
+	b.nodes.Store(&nodes)
+}
+
+// attemptShares counts a tenant's recent attempts, and those that got no connection.
+type attemptShares struct {
+	sent    float64
+	refused float64
+}
+
+const (
+	attemptDecay    = 0.8  // of these counts, with each tick
+	maxRefusedShare = 0.25 // of attempts: beyond, queries are shed
+	minRefused      = 5    // attempts
+)
+
+// countAttempts adds to a tenant's attempts.
+func (b *connectionLeases) countAttempts(tenant int, sent, refused float64) {
+	if b != nil && tenant >= 0 && tenant < len(b.attempts) {
+		b.attempts[tenant].sent += sent
+		b.attempts[tenant].refused += refused
+	}
+}
+
+// overloaded tells whether so many of a tenant's recent attempts got no connection that its next query is shed before it takes slots, and
+// when its client should return: when the next one is let in. Attempts that get no connection are sent elsewhere, and elsewhere again, while
+// the query's time runs out, and queries that would have had connections lose theirs.
+func (b *connectionLeases) overloaded(tenant int) (retryAfter time.Duration, overloaded bool) {
+	if b == nil || tenant < 0 || tenant >= len(b.attempts) || b.view == nil || b.view.Policy == nil {
+		return 0, false
+	}
+	shares := b.attempts[tenant]
+	if shares.refused < minRefused || shares.refused < maxRefusedShare*shares.sent {
+		return 0, false
+	}
+	for refused := shares.refused; refused >= minRefused; refused *= attemptDecay {
+		retryAfter += leaseInterval
+	}
+	return retryAfter, true
+}
--- a/internal/server/crew_test.go
+++ b/internal/server/membership_test.go
@@ -29,7 +29,7 @@
 
 // tierOf runs some brokers of one tier before one fleet; the last one has a secret that the others don't know.
 func tierOf(t *testing.T, n int) (all []*Server, ends []func() error) {
-	k := newKeeping(t, 4)
+	k := newCachedListRig(t, 4)
 	var at []netip.AddrPort
 	for range n {
 		at = append(at, udpAddr(t))
@@ -49,12 +49,12 @@
 	return all, ends
 }
 
-// Brokers on sockets find one another, one of them owns each duty, a planned stop is told as such and hands over, and whoever
+// Brokers on sockets find one another, one of them owns each periodic job, a graceful shutdown is told as such and hands over, and whoever
 // has another secret gets no further than the seal.
-func TestCrewOnSockets(t *testing.T) {
+func TestMembershipOverSockets(t *testing.T) {
 	all, ends := tierOf(t, 4)
-	k := &keeping{t: t}
-	crewOf := func(i int) *MembershipState { return all[i].Counters().Searches.Crew }
+	k := &cachedListRig{t: t}
+	crewOf := func(i int) *MembershipState { return all[i].Counters().Queries.Membership }
 	states := func(i int, of membership.State) (names string) {
 		for _, m := range crewOf(i).Members {
 			if m.State == of {
@@ -72,15 +72,15 @@
 		return true
 	})
 	k.until("a duty has one owner", func() bool {
-		a, b, c := crewOf(0).Duties[0], crewOf(1).Duties[0], crewOf(2).Duties[0]
+		a, b, c := crewOf(0).Ownership[0], crewOf(1).Ownership[0], crewOf(2).Ownership[0]
 		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.RunCount > 0
 	})
-	if c := all[0].Counters(); c.Peers.Unsealed == 0 && all[3].Counters().Peers.Unsealed == 0 {
+	if c := all[0].Counters(); c.Peers.Unauthenticated == 0 && all[3].Counters().Peers.Unauthenticated == 0 {
 		t.Error("nobody counted what the fourth said under another secret")
 	}
 	owner := 0
 	for i := range 3 {
-		if uint32(membership.IDOf(fmt.Sprintf("n%d", i))) == crewOf(i).Duties[0].Owner {
+		if uint32(membership.IDOf(fmt.Sprintf("n%d", i))) == crewOf(i).Ownership[0].Owner {
 			owner = i
 		}
 	}
@@ -88,15 +88,15 @@
 	other := (owner + 1) % 3
 	k.until("the stop is known as planned", func() bool { return strings.Contains(states(other, membership.Left), fmt.Sprintf("n%d", owner)) })
 	k.until("the duty has another owner", func() bool {
-		d := crewOf(other).Duties[0]
+		d := crewOf(other).Ownership[0]
 		return d.Owner != 0 && d.Owner != uint32(membership.IDOf(fmt.Sprintf("n%d", owner))) && d.Fence > 1
 	})
 }
 
-// crewLoop is a loop with a crew and no sockets; what it would send is kept.
-func crewLoop(t *testing.T) (*loop, *[][]byte) {
+// membershipLoop is a loop with membership and no sockets; what it would send is kept.
+func membershipLoop(t *testing.T) (*loop, *[][]byte) {
 	t.Helper()
-	k := newKeeping(t, 2)
+	k := newCachedListRig(t, 2)
 	path, err := k.Config("n0", "127.0.0.1:0", k.Discovery.Addr(), true)
 	start, file := readLabConfiguration(t, path, err, `{"crew": {"on": true, "list": true}}`)
 	s, err := New(start, file, newRouter)
@@ -107,7 +107,8 @@
 	l.pool = poolOf(s)
 	sent := &[][]byte{}
 	at := netip.MustParseAddrPort("127.0.0.1:7")
-	l.membership = newTierMembership(&file.Crew, &start.Terms, "n0", at, start.Discovery, nil, l.start, 0, func(_ netip.AddrPort, b []byte) { *sent = append(*sent, b) })
+	self := tierIdentity{name: "n0", address: at, service: start.Discovery, start: l.start}
+	l.useMembership(newTierMembership(&file.Crew, &start.Terms, self, nil, 0, func(_ netip.AddrPort, b []byte) { *sent = append(*sent, b) }))
 	l.applyList(s.initialList)
 	l.stepRouter(l.since())
 	return l, sent
@@ -115,24 +116,24 @@
 
 // Discovery's word on a node that one broker was told counts at the others: the node drains from then on. What is older, of
 // another service or of a node that is not known changes nothing; nor does another broker's word move an address.
-func TestWordOfAnother(t *testing.T) {
-	l, _ := crewLoop(t)
+func TestEndpointSharedByAnotherBroker(t *testing.T) {
+	l, _ := membershipLoop(t)
 	var id decision.NodeID
 	for id = range l.nodes {
 		break
 	}
 	before := l.nodes[id]
-	l.shareList(&discovery.List{Version: 50, Full: true, Nodes: []discovery.Node{before}})
+	l.membership.shareList(&discovery.List{Version: 50, Full: true, Nodes: []discovery.Node{before}})
 	say := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
 		w := gossip.EndpointUpdate{ListVersion: version, DiscoveryID: service, Node: node, State: state, StartedAtMS: started}
-		l.handleNote(w.AppendTo([]byte{noteEndpoint}), l.since())
+		l.membership.handleNote(w.AppendTo([]byte{noteEndpoint}), l.since())
 	}
 	say(49, l.membership.shared.DiscoveryID, id, decision.Draining, 0)
 	say(51, l.membership.shared.DiscoveryID+1, id, decision.Draining, 0)
 	say(51, l.membership.shared.DiscoveryID, decision.NodeID{Port: 1}, decision.Draining, 0)
-	l.handleNote([]byte{noteEndpoint, 1, 2}, 0)
-	l.handleNote([]byte{'?'}, 0)
-	l.handleNote(nil, 0)
+	l.membership.handleNote([]byte{noteEndpoint, 1, 2}, 0)
+	l.membership.handleNote([]byte{'?'}, 0)
+	l.membership.handleNote(nil, 0)
 	if l.nodes[id] != before || l.membership.shared.Counts.Ignored != 3 {
 		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.shared.Counts)
 	}
@@ -152,31 +153,31 @@
 }
 
 // A broker that comes late, on a list that it had, hears from the others which nodes left since, discovery or not.
-func TestNewcomerHearsWhoLeft(t *testing.T) {
-	old, sent := crewLoop(t)
-	late, answers := crewLoop(t)
+func TestNewMemberLearnsOfDrainedNodes(t *testing.T) {
+	old, sent := membershipLoop(t)
+	late, answers := membershipLoop(t)
 	var id decision.NodeID
 	for id = range old.nodes {
 		break
 	}
 	n := old.nodes[id]
-	old.shareList(&discovery.List{Version: 60, Full: true, Nodes: []discovery.Node{n}})
+	old.membership.shareList(&discovery.List{Version: 60, Full: true, Nodes: []discovery.Node{n}})
 	n.Endpoint.State = decision.Draining
 	gone := &discovery.List{Version: 61, Nodes: []discovery.Node{n}}
 	old.applyList(gone)
-	old.shareList(gone)
+	old.membership.shareList(gone)
 	late.membership.shared.DiscoveryID = old.membership.shared.DiscoveryID
 	late.membership.members = membership.New(membership.Policy{Interval: time.Second, Timeout: 100 * time.Millisecond, Sync: time.Second, Forget: time.Minute, MaxBytes: 220,
 		MaxKnown: 10, Suspicion: 5, Longest: 2}, "n1", netip.MustParseAddrPort("127.0.0.1:8"), 1, 1, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7")})
 	for i := range 40 {
 		now := time.Duration(i+1) * 200 * time.Millisecond
-		old.membershipTick(now)
-		late.membershipTick(now)
+		old.membership.tick(now)
+		late.membership.tick(now)
 		for _, b := range *sent {
-			late.handleMemberDatagram(memberDatagram{netip.MustParseAddrPort("127.0.0.1:7"), b})
+			late.handle(memberDatagram{netip.MustParseAddrPort("127.0.0.1:7"), b})
 		}
 		for _, b := range *answers {
-			old.handleMemberDatagram(memberDatagram{netip.MustParseAddrPort("127.0.0.1:8"), b})
+			old.handle(memberDatagram{netip.MustParseAddrPort("127.0.0.1:8"), b})
 		}
 		*sent, *answers = nil, nil
 	}
@@ -186,8 +187,8 @@
 }
 
 // A broker whose configured seeds are gone finds the tier by the addresses that it kept, and keeps them again.
-func TestKeptSeeds(t *testing.T) {
-	k := newKeeping(t, 2)
+func TestStoredSeeds(t *testing.T) {
+	k := newCachedListRig(t, 2)
 	dir := t.TempDir()
 	at := []netip.AddrPort{udpAddr(t), udpAddr(t)}
 	begin := func(i int, crew string) (*Server, func() error) {
@@ -197,7 +198,7 @@
 		return runConfigured(t, start, file)
 	}
 	living := func(s *Server) (n int) {
-		for _, m := range s.Counters().Searches.Crew.Members {
+		for _, m := range s.Counters().Queries.Membership.Members {
 			if m.State == membership.Alive {
 				n++
 			}
--- /dev/null
+++ b/internal/server/read_pins.go
@@ -0,0 +1,226 @@
+package server
+
+import (
+	"log/slog"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"flaxfront/internal/cluster/readhint"
+	"flaxfront/internal/config/operator"
+	"flaxfront/internal/config/terms"
+	"flaxfront/internal/decision"
+	"flaxfront/internal/decision/readpin"
+	"flaxfront/internal/server/query"
+	"flaxfront/internal/transport/store"
+)
+
+// usualReplicas is how many eligible replicas of a shard there is room for without another allocation.
+const usualReplicas = 4
+
+// readPinsHost is what read pins may use of the loop.
+type readPinsHost interface {
+	host
+	findShardRequest(id uint64) (*activeQuery, int)
+	retryAfterLimit() time.Duration
+}
+
+// readPinTracker is the extension for hints on reads: which replicas a shard request may go to, whether an answer keeps what the hint asks
+// for, and what the client is told of it. An answer that does not keep it does not count, unless the hint allows it, and then the result
+// says so.
+type readPinTracker struct {
+	loop         readPinsHost
+	positions    *readpin.Tracker
+	config       readpin.Config
+	ignoredHints atomic.Uint64
+}
+
+// pinnedQuery is what read pins keep of a query with a hint.
+type pinnedQuery struct {
+	requirement   readpin.Requirement
+	requests      []pinnedRequest
+	eligibleAfter time.Duration // no replica is eligible before
+}
+
+// pinnedRequest is which replicas a shard request may go to, what an answer has to show, and what the one that came has shown.
+type pinnedRequest struct {
+	allowed  decision.AllowedReplicas
+	required readpin.Promise
+	shown    readpin.Assessment
+}
+
+func newReadPinTracker(o *operator.Fleet, t *terms.Terms) *readPinTracker {
+	c := readpin.DefaultConfig(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
+	c.ClockError = o.ClockError
+	c.MaxDrift = o.Drift
+	return &readPinTracker{positions: readpin.NewTracker(c), config: c}
+}
+
+// useReadPins attaches read pins to the loop.
+func (l *loop) useReadPins(p *readPinTracker) {
+	p.loop = l
+	l.readPins = p
+	l.extensions[readPinsExtension] = p
+}
+
+// handle takes positions of replicas and the agreed list that pins are spread over. What waits before the loop grows older, and that counts.
+func (p *readPinTracker) handle(m message) bool {
+	switch m := m.(type) {
+	case positionsRequested:
+		m.to <- p.positions.EncodePositions(p.loop.since())
+	case positionsReceived:
+		now := p.loop.since()
+		if err := p.positions.MergePositions(now, m.data, now-m.collectedAt); err != nil {
+			slog.Debug("malformed positions rejected", "component", "read-pins", "error", err)
+		}
+	case epochAgreed:
+		p.positions.SetEpoch(m.number, m.nodes)
+	default:
+		return false
+	}
+	return true
+}
+
+// tick has nothing to do.
+func (p *readPinTracker) tick(time.Duration) time.Duration { return notDue }
+
+// ReadPinState tells what became of hints.
+type ReadPinState struct {
+	readpin.Counts
+	IgnoredHints uint64 `json:"Wrong"`
+	Epoch        uint64
+}
+
+func (p *readPinTracker) report(c *QueryCounters) {
+	c.ReadPins = &ReadPinState{p.positions.Counts, p.ignoredHints.Load(), p.positions.EpochNumber()}
+}
+
+// updateEndpoints tells read pins of a full list of endpoints, or of those that changed.
+func (p *readPinTracker) updateEndpoints(full bool, endpoints []decision.Endpoint) {
+	if p != nil {
+		p.positions.UpdateEndpoints(p.loop.since(), full, endpoints)
+	}
+}
+
+// pinQuery finds the eligible replicas of a query's shard requests. A shard request without one is given to the router with none: what the
+// query type's minimum allows is answered without it, and else the query is shed with the time to return.
+func (p *readPinTracker) pinQuery(q *activeQuery) {
+	if p == nil || q.Hint == nil {
+		return
+	}
+	h, n := q.Hint, len(q.Request.Shards)
+	pin := &pinnedQuery{
+		requirement: readpin.Requirement{ReceivedAt: q.arrival, MaxStaleness: h.MaxStaleness, AllowStale: h.AllowStale},
+		requests:    make([]pinnedRequest, n),
+	}
+	if h.Scope != readhint.ScopeNone {
+		pin.requirement.Pin = readpin.HashPin(string(h.Scope), h.Key)
+	}
+	now := p.loop.since()
+	nodes := make([]decision.NodeID, 0, usualReplicas*n)
+	for i := range q.Request.Shards {
+		shard, from := q.Request.Shards[i].Shard, len(nodes)
+		var eligibleAfter time.Duration
+		nodes, pin.requests[i].required, eligibleAfter = p.positions.EligibleReplicas(now, shard, h.MinOffset(shard), &pin.requirement, nodes)
+		pin.requests[i].allowed = decision.AllowedReplicas{Sticky: pin.requirement.Pin != 0, Nodes: nodes[from:len(nodes):len(nodes)]}
+		pin.eligibleAfter = max(pin.eligibleAfter, eligibleAfter)
+	}
+	q.pin = pin
+}
+
+// allowedReplicas are the replicas that a shard request may go to; nil: any.
+func (q *activeQuery) allowedReplicas(i int) *decision.AllowedReplicas {
+	if q.pin == nil {
+		return nil
+	}
+	return &q.pin.requests[i].allowed
+}
+
+// attemptSent counts an attempt.
+func (p *readPinTracker) attemptSent(q *activeQuery, attempt *store.Part, now time.Duration) {
+	if p == nil {
+		return
+	}
+	if q.pin != nil {
+		attempt.Tag = q.pin.requirement.Pin
+	}
+	p.positions.AttemptSent(now, attempt.Tag, attempt.Node)
+}
+
+// attemptEnded learns from an answer and returns what it counts as: one that does not keep its query's hint is stale.
+func (p *readPinTracker) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration) decision.Outcome {
+	if p == nil {
+		return outcome
+	}
+	p.positions.AttemptEnded(attempt.Tag, attempt.Node)
+	if outcome != decision.OK {
+		return outcome
+	}
+	report, reported := readpin.ParseReport(attempt.Report)
+	if reported {
+		p.positions.Observe(at, attempt.Node, attempt.Shard, attempt.Sent, report)
+	}
+	q, i := p.loop.findShardRequest(attempt.Part)
+	if q == nil || q.pin == nil || q.requests[i].answered {
+		return outcome
+	}
+	request := &q.pin.requests[i]
+	shown := p.positions.Assess(request.required, attempt.Sent, report, reported)
+	if shown.Fresh || q.pin.requirement.AllowStale {
+		request.shown = shown
+		return outcome
+	}
+	request.allowed.Nodes = slices.DeleteFunc(request.allowed.Nodes, func(id decision.NodeID) bool { return id == attempt.Node })
+	q.pin.eligibleAfter = max(q.pin.eligibleAfter, p.config.RecheckInterval)
+	return decision.Stale
+}
+
+// annotateResult adds to a result what its client has to know.
+func (p *readPinTracker) annotateResult(q *activeQuery, r *query.Result) {
+	if q.pin == nil {
+		return
+	}
+	switch {
+	case r.Outcome == query.Shed && r.RetryAfter > 0 && q.pin.eligibleAfter > 0 && q.lacksEligibleReplica():
+		// A replica may have caught up by then; the router knows of load alone.
+		r.RetryAfter = min(q.pin.eligibleAfter, p.loop.retryAfterLimit())
+	case r.Outcome == query.Answered:
+		p.annotateAnswer(q, r)
+	}
+}
+
+// lacksEligibleReplica tells whether a shard request that is not answered has no eligible replica.
+func (q *activeQuery) lacksEligibleReplica() bool {
+	for i := range q.requests {
+		if !q.requests[i].answered && len(q.pin.requests[i].allowed.Nodes) == 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// annotateAnswer states the positions and the age of the answers.
+func (p *readPinTracker) annotateAnswer(q *activeQuery, r *query.Result) {
+	oldest, behind := p.loop.since(), []int{}
+	for i := range q.requests {
+		if !q.requests[i].answered {
+			continue
+		}
+		shown, shard := &q.pin.requests[i].shown, q.Request.Shards[i].Shard
+		oldest = min(oldest, shown.AsOf)
+		if shown.Offset > 0 {
+			r.Positions = append(r.Positions, readhint.Position{Shard: shard, Offset: shown.Offset})
+		}
+		if !shown.Fresh {
+			behind = append(behind, shard)
+		}
+	}
+	slices.SortFunc(r.Positions, func(a, b readhint.Position) int { return a.Shard - b.Shard })
+	slices.Sort(behind)
+	r.Hinted = true
+	r.Behind = behind
+	r.Staleness = readpin.UnknownAge
+	if oldest != readpin.DistantPast {
+		r.Staleness = p.positions.Staleness(p.loop.since(), oldest)
+	}
+}
