--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -34,14 +34,14 @@
 		for _, old := range []string{"well", "down", "silent"} {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
-				var had, moved time.Time
+				var notifiedAt, moved time.Time
 				var c *Client
 				backoff := 500 * time.Millisecond
 				c = NewClient("old", reader(), 10*time.Second, 40, true, func(l *List, err error) {
 					mu.Lock()
 					defer mu.Unlock()
-					if err == nil && l.Version == 7 && had.IsZero() {
-						had = time.Now()
+					if err == nil && l.Version == 7 && notifiedAt.IsZero() {
+						notifiedAt = time.Now()
 					}
 					if err != nil { // the module asks again, ever more seldom
 						time.AfterFunc(backoff, c.Poll)
@@ -60,7 +60,7 @@
 						}
 						mu.Lock()
 						wait, status := time.Hour, 200
-						if addr == "new" && had.IsZero() {
+						if addr == "new" && notifiedAt.IsZero() {
 							wait, status = answer(time.Since(moved))
 						} else if old == "well" && addr == "old" {
 							wait = time.Second
@@ -86,7 +86,7 @@
 				c.ChangeAddress("new", nil)
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
-				if took := had.Sub(moved); had.IsZero() || took > polling.MaxNotificationDelayAfterMove {
+				if took := notifiedAt.Sub(moved); notifiedAt.IsZero() || took > polling.MaxNotificationDelayAfterMove {
 					t.Errorf("%s, the old one %s: had %v after the move", what, old, took)
 				}
 				cancel()
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -18,7 +18,7 @@
 	c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
 	c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond,
 		MaxPollDelay: 500 * time.Millisecond, BrokerCount: 10}, 3), 0, false)
-	c.jitter = none
+	c.jitter = noJitter
 	got = &[]string{}
 	c.notify = func(l *List, err error) {
 		if err != nil {
@@ -32,7 +32,7 @@
 		n++
 		return dial(n)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	go c.Run(ctx)
 	c.Poll()
 	return got, cancel
@@ -136,7 +136,7 @@
 			}
 			return answers(list(3, true)), nil
 		}
-		ctx, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { c.Run(ctx); close(done) }()
 		c.Poll()
--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -65,7 +65,7 @@
 			const brokers = 7
 			s := &turns{each: 400 * time.Millisecond}
 			var mu sync.Mutex
-			had := map[int]time.Duration{}
+			notifiedAt := map[int]time.Duration{}
 			ctx, cancel := context.WithCancel(t.Context())
 			begun := time.Now()
 			for i := range brokers {
@@ -77,8 +77,8 @@
 					if err != nil { // the module asks again
 						time.AfterFunc(backoff, c.Poll)
 						backoff = min(2*backoff, time.Second)
-					} else if _, before := had[i]; !before {
-						had[i] = time.Since(begun)
+					} else if _, before := notifiedAt[i]; !before {
+						notifiedAt[i] = time.Since(begun)
 					}
 				})
 				c.dial = s.dial
@@ -88,8 +88,8 @@
 			time.Sleep(polling.MaxNotificationDelayAfterMove)
 			synctest.Wait()
 			mu.Lock()
-			if len(had) < brokers {
-				t.Errorf("%d of %d brokers had the list in time, by %d calls: %v", len(had), brokers, s.calls, had)
+			if len(notifiedAt) < brokers {
+				t.Errorf("%d of %d brokers had the list in time, by %d calls: %v", len(notifiedAt), brokers, s.calls, notifiedAt)
 			}
 			mu.Unlock()
 			cancel()
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	t.Cleanup(func() { ln.Close() })
 	polled := make(chan string, 100)
 	go func() {
 		for n := 0; ; n++ {
@@ -142,7 +142,7 @@
 	}()
 	notified := make(chan string, 100)
 	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 0, false, versions(notified))
-	c.jitter = none
+	c.jitter = noJitter
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	t.Cleanup(func() { ln.Close() })
 	replies := []string{list(41, true), list(43, false), "503", "reset", list(42, false), "garbled", list(44, true)}
 	polled := make(chan string, 100)
 	go func() {
@@ -53,8 +53,8 @@
 	}()
 	notified := make(chan string, 100)
 	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 40, true, versions(notified))
-	c.jitter = none
-	ctx, cancel := context.WithCancel(context.Background())
+	c.jitter = noJitter
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
 	for _, step := range [][2]string{{"index=40&wait=3000", "41"}, {"index=41&wait=3000", "43"},
@@ -104,7 +104,7 @@
 			}()
 			return here, nil
 		}
-		ctx, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		c.Poll()
 		begun := time.Now()
@@ -131,7 +131,7 @@
 			notified = append(notified, fmt.Sprint(l.CellCount, err))
 		})
 		polled := make(chan string, 9)
-		c.jitter = none
+		c.jitter = noJitter
 		c.dial = func(context.Context, string, string) (net.Conn, error) {
 			here, there := net.Pipe()
 			go func() {
@@ -150,7 +150,7 @@
 			}()
 			return here, nil
 		}
-		ctx, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		c.Poll()
 		synctest.Wait()
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -21,13 +21,13 @@
 			var calls atomic.Int32
 			c := NewClient("d", reader(), 10*time.Second, 40, true, nil)
 			if round == 0 {
-				c.jitter = none
+				c.jitter = noJitter
 			}
-			had := make(chan time.Duration, 100)
+			notifiedAt := make(chan time.Duration, 100)
 			begun := time.Now()
 			c.notify = func(l *List, err error) {
 				if err == nil {
-					had <- time.Since(begun)
+					notifiedAt <- time.Since(begun)
 				}
 			}
 			c.dial = func(context.Context, string, string) (net.Conn, error) {
@@ -52,7 +52,7 @@
 			c.Poll()
 			time.Sleep(30 * time.Second)
 			select {
-			case at := <-had:
+			case at := <-notifiedAt:
 				if at > polling.MaxNotificationDelay {
 					t.Errorf("the drain was had %v after the watch fell silent, by %d calls", at, calls.Load())
 				}
@@ -65,24 +65,24 @@
 	}
 }
 
-// A local agent that rejects requests, or accepts no connection, while discovery is down is polled again soon, and its outage notified once:
-// what it has at its return is known soon after. A service that all brokers share is left to the router's backoff.
+// A local agent that rejects requests, or accepts no connection, while discovery is down is polled again soon, and its outage is notified
+// once: what it has at its return is known soon after. A service that all brokers share is left to the router's backoff.
 func TestLocalAgentIsPolledSoonAfterAnOutage(t *testing.T) {
 	for _, refuses := range []bool{true, false} {
-		for _, pushed := range []bool{true, false} {
+		for _, localAgent := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
 				const down = 20 * time.Second
 				var calls, failures atomic.Int32
-				var had atomic.Int64
+				var notifiedAfter atomic.Int64
 				begun := time.Now()
 				c := NewClient("d", reader(), 10*time.Second, 40, true, func(l *List, err error) {
 					if err != nil {
 						failures.Add(1)
-					} else if had.Load() == 0 {
-						had.Store(int64(time.Since(begun)))
+					} else if notifiedAfter.Load() == 0 {
+						notifiedAfter.Store(int64(time.Since(begun)))
 					}
 				})
-				if pushed {
+				if localAgent {
 					c.UseLocalAgent()
 				}
 				c.dial = func(context.Context, string, string) (net.Conn, error) {
@@ -101,12 +101,12 @@
 				c.Poll()
 				time.Sleep(down + time.Second)
 				synctest.Wait()
-				late := time.Duration(had.Load()) - down
-				if pushed && (late < 0 || late > polling.AgentRetryInterval || failures.Load() != 1 ||
+				late := time.Duration(notifiedAfter.Load()) - down
+				if localAgent && (late < 0 || late > polling.AgentRetryInterval || failures.Load() != 1 ||
 					calls.Load() > int32(2*down/polling.AgentRetryInterval)) {
 					t.Errorf("refuses %v: had %v after the return, %d calls, %d failures notified", refuses, late, calls.Load(), failures.Load())
 				}
-				if !pushed && calls.Load() > 1 {
+				if !localAgent && calls.Load() > 1 {
 					t.Errorf("refuses %v: %d requests that nobody asked for", refuses, calls.Load())
 				}
 				cancel()
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -16,7 +16,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-func none(time.Duration) time.Duration { return 0 }
+func noJitter(time.Duration) time.Duration { return 0 }
 
 // service is a discovery that accepts every request. While it is silent it answers none, nor those that it had then.
 type service struct {
@@ -82,16 +82,16 @@
 // One clock for silence: whatever a watch misses that has fallen silent is held 6 s after it fell silent at the latest,
 // and so is what a discovery sends that accepted requests and answered none for any time before, 6 s after it answers again.
 func TestSilenceHasOneClock(t *testing.T) {
-	for _, paced := range []bool{false, true} {
-		for _, speaksAfter := range []time.Duration{0, time.Second, 3 * time.Second, 9 * time.Second, 31 * time.Second} {
+	for _, withBackoff := range []bool{false, true} {
+		for _, silence := range []time.Duration{0, time.Second, 3 * time.Second, 9 * time.Second, 31 * time.Second} {
 			for _, known := range []bool{true, false} {
 				synctest.Test(t, func(t *testing.T) {
 					s := newService()
-					var had time.Time
+					var notifiedAt time.Time
 					failures := 0
 					c := NewClient("d:1", reader(), 10*time.Second, 40, known, func(l *List, err error) {
-						if err == nil && l.Version == 41 && had.IsZero() {
-							had = time.Now()
+						if err == nil && l.Version == 41 && notifiedAt.IsZero() {
+							notifiedAt = time.Now()
 						}
 						if err != nil {
 							if failures++; !errors.As(err, new(*SilentError)) {
@@ -100,7 +100,7 @@
 						}
 					})
 					c.dial = s.dial
-					if paced {
+					if withBackoff {
 						c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, BrokerCount: 300}, 7), 40, known)
 					}
 					s.silent = !known // else the first watch is held, and falls silent later
@@ -108,16 +108,16 @@
 					go c.Run(ctx)
 					c.Poll() // once: it is on the client that silence ends
 					synctest.Wait()
-					fell := time.Now()
+					silentSince := time.Now()
 					s.set(40, true)
-					time.Sleep(speaksAfter)
+					time.Sleep(silence)
 					s.set(41, false)
 					time.Sleep(10 * time.Second)
 					synctest.Wait()
-					if late := had.Sub(fell.Add(speaksAfter)); had.IsZero() || late > polling.MaxNotificationDelay {
-						t.Errorf("paced %v, known %v, speaks after %v: had after %v; polled %q", paced, known, speaksAfter, late, s.calls)
+					if late := notifiedAt.Sub(silentSince.Add(silence)); notifiedAt.IsZero() || late > polling.MaxNotificationDelay {
+						t.Errorf("paced %v, known %v, speaks after %v: had after %v; polled %q", withBackoff, known, silence, late, s.calls)
 					}
-					if speaksAfter < 9*time.Second && known && failures > 1 {
+					if silence < 9*time.Second && known && failures > 1 {
 						t.Errorf("%d failures notified", failures)
 					}
 					cancel()
