--- a/cmd/flaxfront/tenants.go
+++ b/cmd/flaxfront/tenants.go
@@ -26,10 +26,10 @@
 				return fmt.Errorf("the broker has no door: door.on is false")
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%.0f of %.0f parts in hand, %.0f a second done, baseline %v\n", d.InHand, d.Limit*d.Stretch, d.Rate,
+			fmt.Fprintf(out, "%.0f of %.0f parts in hand, %.0f a second done, baseline %v\n", d.InFlight, d.Limit*d.DelayFactor, d.Rate,
 				d.Baseline.Round(time.Millisecond))
-			if d.Stretch > 1.5 {
-				fmt.Fprintf(out, "the broker itself is late: %.1f parts in hand for each at the store\n", d.Stretch)
+			if d.DelayFactor > 1.5 {
+				fmt.Fprintf(out, "the broker itself is late: %.1f parts in hand for each at the store\n", d.DelayFactor)
 			}
 			total := 0.0
 			for i := range d.Tenants {
@@ -37,10 +37,10 @@
 			}
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "TENANT\tSHARE\tENTERED\tWAITED\tWAIT NOW\tTURNED AWAY\tRAN OUT\tREPEATS")
-			for _, i := range d.Top() {
+			for _, i := range d.TenantsByWork() {
 				t := &d.Tenants[i]
-				fmt.Fprintf(w, "%s\t%.1f%%\t%d\t%d\t%d\t%d\t%d\t%d\n", d.TenantNames[i], 100*t.Work/max(1, total), t.Entered, t.Waited, t.Waiting,
-					t.TurnedAway, t.RanOut, t.Repeats)
+				fmt.Fprintf(w, "%s\t%.1f%%\t%d\t%d\t%d\t%d\t%d\t%d\n", d.TenantNames[i], 100*t.Work/max(1, total), t.Admitted, t.AdmittedFromQueue, t.Queued,
+					t.Rejected, t.Expired, t.Retries)
 			}
 			return w.Flush()
 		},
--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -18,13 +18,13 @@
 
 // Policy holds what operators may set.
 type Policy struct {
-	Weights   []float64 // of tenants, by number; 0: only what nobody else wants
-	WaitShare float64   // of its time left that a search may wait here
-	MostWait  int       // searches of one tenant that wait
-	LeastWork float64   // work in hand that is always let in
-	MostHint  time.Duration
-	Repeats   float64 // clients' repeats, as a share of a tenant's fresh searches, while others wait
-	Seed      uint64
+	Weights       []float64 // of tenants, by number; 0: only what nobody else wants
+	MaxWaitShare  float64   // of its time left that a search may wait here
+	MaxQueued     int       // searches of one tenant that wait
+	MinWork       float64   // work in hand that is always let in
+	MaxRetryAfter time.Duration
+	RetryShare    float64 // clients' repeats, as a share of a tenant's fresh searches, while others wait
+	Seed          uint64
 }
 
 const (
@@ -32,28 +32,28 @@
 	tokenMost = 50.0 // repeats saved up
 )
 
-// Ruling is what becomes of a search on its arrival.
-type Ruling uint8
+// Decision is what becomes of a search on its arrival.
+type Decision uint8
 
 const (
-	Enter Ruling = iota // hand it to the module
-	Wait                // Tick will tell
-	Turn                // refuse it now
+	Admit   Decision = iota // hand it to the module
+	Enqueue                 // Tick will tell
+	Reject                  // refuse it now
 )
 
-// Search is what the door knows of one.
-type Search struct {
-	ID     uint64
-	Tenant int
-	Client uint64 // a hash of whatever names it; 0: nothing does
-	Work   float64
-	Left   time.Duration // of its client's time
-	Repeat bool          // its client asks again
+// Query is what the door knows of one.
+type Query struct {
+	ID       uint64
+	Tenant   int
+	Client   uint64 // a hash of whatever names it; 0: nothing does
+	Work     float64
+	TimeLeft time.Duration // of its client's time
+	Retry    bool          // its client asks again
 }
 
 // waiting is a search in a queue.
 type waiting struct {
-	Search
+	Query
 	came  time.Duration
 	until time.Duration // no use in waiting longer
 }
@@ -73,26 +73,26 @@
 
 // Counts are what operators see of a tenant.
 type Counts struct {
-	Entered, Waited, TurnedAway, RanOut, Repeats uint64
-	Work                                         float64 // that entered
-	Waiting                                      int
+	Admitted, AdmittedFromQueue, Rejected, Expired, Retries uint64
+	Work                                                    float64 // that entered
+	Queued                                                  int
 }
 
-// Door admits searches.
-type Door struct {
+// Controller admits searches.
+type Controller struct {
 	policy  Policy
 	tenants []tenant
 	clients *Sketch
-	evicted []Let
+	evicted []Dequeued
 	virtual float64
 	rnd     uint64
 	limiter
 }
 
-// NewDoor makes a door; nothing is in hand.
-func NewDoor(p Policy) *Door {
-	d := &Door{policy: p, clients: NewSketch(p.Seed), rnd: mix(p.Seed + 1),
-		limiter: limiter{leastWork: p.LeastWork, limit: 4 * p.LeastWork, stretch: 1}}
+// NewController makes a door; nothing is in hand.
+func NewController(p Policy) *Controller {
+	d := &Controller{policy: p, clients: NewSketch(p.Seed), rnd: mix(p.Seed + 1),
+		limiter: limiter{leastWork: p.MinWork, limit: 4 * p.MinWork, stretch: 1}}
 	for _, w := range p.Weights {
 		d.tenants = append(d.tenants, tenant{weight: w, tokens: tokenMost / 2})
 	}
@@ -101,23 +101,23 @@
 
 // State is what operators see of the door.
 type State struct {
-	Limit, InHand, Rate float64 // work, work, work a second
-	Stretch             float64 // work in hand for each that is at the store; above 1: the broker itself is late
-	Baseline            time.Duration
-	Tenants             []Counts // by number
+	Limit, InFlight, Rate float64 // work, work, work a second
+	DelayFactor           float64 // work in hand for each that is at the store; above 1: the broker itself is late
+	Baseline              time.Duration
+	Tenants               []Counts // by number
 }
 
 // State tells of all tenants.
-func (d *Door) State(now time.Duration) State {
-	s := State{Limit: d.limit, InHand: d.inHand, Rate: d.rate(now), Stretch: d.stretch, Baseline: d.low}
+func (d *Controller) State(now time.Duration) State {
+	s := State{Limit: d.limit, InFlight: d.inHand, Rate: d.rate(now), DelayFactor: d.stretch, Baseline: d.low}
 	for i := range d.tenants {
 		s.Tenants = append(s.Tenants, d.tenants[i].Counts)
 	}
 	return s
 }
 
-// Top lists tenants by the work that entered, most first.
-func (s *State) Top() (order []int) {
+// TenantsByWork lists tenants by the work that entered, most first.
+func (s *State) TenantsByWork() (order []int) {
 	for i := range s.Tenants {
 		order = append(order, i)
 	}
--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -68,14 +68,14 @@
 func TestHints(t *testing.T) {
 	r := newRig(16, 40*ms, 1)
 	told, right, askedAgain := 0, 0, 0
-	var again func(s Search) func(how string, hint time.Duration)
-	again = func(s Search) func(string, time.Duration) {
+	var again func(s Query) func(how string, hint time.Duration)
+	again = func(s Query) func(string, time.Duration) {
 		return func(how string, hint time.Duration) {
 			if how != "turned" {
 				return
 			}
 			told++
-			s.Repeat = true
+			s.Retry = true
 			r.at(r.now+hint, func() {
 				askedAgain++
 				r.ask(s, func(how string, h time.Duration) {
@@ -89,7 +89,7 @@
 	}
 	for i := range 3000 { // 300 a second for ten seconds, room for 200
 		r.at(time.Duration(i)*10*ms/3, func() {
-			s := Search{Work: 2, Left: 2 * time.Second}
+			s := Query{Work: 2, TimeLeft: 2 * time.Second}
 			r.ask(s, again(s))
 		})
 	}
--- a/internal/decision/admission/course_test.go
+++ b/internal/decision/admission/course_test.go
@@ -18,12 +18,12 @@
 func TestRandomCourses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.1, 0.4, 1}), 1, 4).Draw(t, "weights")
-		p := Policy{Weights: weights, WaitShare: 0.25, MostWait: 5, LeastWork: 4, MostHint: time.Second, Repeats: 0.2, Seed: 3}
-		d, now := NewDoor(p), time.Duration(0)
-		inside, queued := map[uint64]float64{}, map[uint64]Search{}
+		p := Policy{Weights: weights, MaxWaitShare: 0.25, MaxQueued: 5, MinWork: 4, MaxRetryAfter: time.Second, RetryShare: 0.2, Seed: 3}
+		d, now := NewController(p), time.Duration(0)
+		inside, queued := map[uint64]float64{}, map[uint64]Query{}
 		until := map[uint64]time.Duration{}
 		hintOK := func(h time.Duration) {
-			if h < 0 || h > p.MostHint {
+			if h < 0 || h > p.MaxRetryAfter {
 				t.Fatalf("hint %v", h)
 			}
 		}
@@ -35,10 +35,10 @@
 					t.Fatalf("search %d let twice", l.ID)
 				}
 				delete(queued, l.ID)
-				if l.Enter {
+				if l.Admitted {
 					inside[l.ID] = s.Work
 				}
-				hintOK(l.Hint)
+				hintOK(l.RetryAfter)
 			}
 			sum := 0.0
 			for _, w := range inside {
@@ -47,7 +47,7 @@
 			if math.Abs(sum-d.inHand) > 1e-6 {
 				t.Fatalf("%v in hand, %v counted", sum, d.inHand)
 			}
-			if len(queued) > 0 && d.inHand < p.LeastWork {
+			if len(queued) > 0 && d.inHand < p.MinWork {
 				t.Fatalf("%d wait while %v is in hand", len(queued), d.inHand)
 			}
 			for id := range queued {
@@ -61,27 +61,27 @@
 			look()
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				s := Search{ID: id, Tenant: rapid.IntRange(0, len(weights)-1).Draw(t, "tenant"), Client: uint64(rapid.IntRange(0, 3).Draw(t, "client")),
-					Work: float64(rapid.IntRange(1, 9).Draw(t, "work")), Left: time.Duration(rapid.IntRange(1, 2000).Draw(t, "left")) * ms,
-					Repeat: rapid.Bool().Draw(t, "repeat")}
+				s := Query{ID: id, Tenant: rapid.IntRange(0, len(weights)-1).Draw(t, "tenant"), Client: uint64(rapid.IntRange(0, 3).Draw(t, "client")),
+					Work: float64(rapid.IntRange(1, 9).Draw(t, "work")), TimeLeft: time.Duration(rapid.IntRange(1, 2000).Draw(t, "left")) * ms,
+					Retry: rapid.Bool().Draw(t, "repeat")}
 				ruling, hint := d.Arrive(s, now)
 				hintOK(hint)
 				switch ruling {
-				case Enter:
+				case Admit:
 					inside[id] = s.Work
-				case Wait:
-					queued[id], until[id] = s, now+time.Duration(0.25*float64(s.Left))
+				case Enqueue:
+					queued[id], until[id] = s, now+time.Duration(0.25*float64(s.TimeLeft))
 				}
 			case 2:
 				for k, w := range inside {
 					delete(inside, k)
-					d.Done(End{Work: w, Took: time.Duration(rapid.IntRange(1, 500).Draw(t, "took")) * ms, Answered: true}, now)
+					d.Complete(Completion{Work: w, Elapsed: time.Duration(rapid.IntRange(1, 500).Draw(t, "took")) * ms, Answered: true}, now)
 					break
 				}
 			default:
 				for k, s := range queued {
 					delete(queued, k)
-					if !d.Gone(s.Tenant, k) || d.Gone(s.Tenant, k) {
+					if !d.Remove(s.Tenant, k) || d.Remove(s.Tenant, k) {
 						t.Fatalf("search %d not found, or found twice", k)
 					}
 					break
@@ -97,19 +97,19 @@
 	s, rnd := NewSketch(11), rand.New(rand.NewPCG(1, 1))
 	for i := range 1_000_000 {
 		now := time.Duration(i) * 5 * time.Microsecond
-		s.Give(rnd.Uint64(), 1, now)
+		s.Add(rnd.Uint64(), 1, now)
 		if i%10 == 0 {
-			s.Give(42, 1, now)
+			s.Add(42, 1, now)
 		}
 	}
 	now := 5 * time.Second
-	flood := s.Given(42, now) // 20,000 a second, remembered for 2 s
+	flood := s.Estimate(42, now) // 20,000 a second, remembered for 2 s
 	if flood < 30_000 || flood > 60_000 {
 		t.Errorf("the flooder is taken for %.0f", flood)
 	}
 	wrong := 0
 	for range 1000 {
-		if s.Given(rnd.Uint64(), now) > flood/20 {
+		if s.Estimate(rnd.Uint64(), now) > flood/20 {
 			wrong++
 		}
 	}
@@ -124,13 +124,13 @@
 
 // What an admission costs, and that it allocates nothing.
 func BenchmarkAdmission(b *testing.B) {
-	d := NewDoor(Policy{Weights: []float64{0.5, 0.5}, WaitShare: 0.25, MostWait: 64, LeastWork: 1e9, MostHint: time.Second, Seed: 1})
+	d := NewController(Policy{Weights: []float64{0.5, 0.5}, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 1e9, MaxRetryAfter: time.Second, Seed: 1})
 	d.limit = 1e9
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now := time.Duration(i) * time.Microsecond
-		d.Arrive(Search{ID: uint64(i), Tenant: i & 1, Client: uint64(i), Work: 2, Left: time.Second}, now)
-		d.Done(End{Work: 2, Took: ms, Answered: true}, now)
+		d.Arrive(Query{ID: uint64(i), Tenant: i & 1, Client: uint64(i), Work: 2, TimeLeft: time.Second}, now)
+		d.Complete(Completion{Work: 2, Elapsed: ms, Answered: true}, now)
 	}
 }
 
@@ -140,7 +140,7 @@
 		s := NewSketch(1)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			s.Give(mix(uint64(i)), 1, time.Duration(i)*time.Microsecond)
+			s.Add(mix(uint64(i)), 1, time.Duration(i)*time.Microsecond)
 		}
 	})
 	b.Run("map", func(b *testing.B) {
--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -51,13 +51,13 @@
 
 // What waited while the broker stood still goes in where there is room by then; the rest is refused.
 func TestStandstill(t *testing.T) {
-	d := NewDoor(Policy{Weights: []float64{1}, WaitShare: 0.25, MostWait: 64, LeastWork: 2, MostHint: time.Second, Seed: 1})
+	d := NewController(Policy{Weights: []float64{1}, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 2, MaxRetryAfter: time.Second, Seed: 1})
 	for id := range uint64(7) {
-		d.Arrive(Search{ID: id, Work: 2, Left: time.Second}, 0)
+		d.Arrive(Query{ID: id, Work: 2, TimeLeft: time.Second}, 0)
 	}
-	d.Done(End{Work: 2, Took: 900 * ms}, 900*ms)
+	d.Complete(Completion{Work: 2, Elapsed: 900 * ms}, 900*ms)
 	lets, _ := d.Tick(900*ms, nil)
-	if len(lets) != 2 || !lets[0].Enter || lets[1].Enter {
+	if len(lets) != 2 || !lets[0].Admitted || lets[1].Admitted {
 		t.Errorf("%+v", lets)
 	}
 }
@@ -69,7 +69,7 @@
 		r := newRig(64, 10*ms, 1) // far more than is asked for at once
 		r.unseen = 300 * ms
 		if told {
-			r.Lag(r.unseen / 2)
+			r.SetLag(r.unseen / 2)
 		}
 		var load tally
 		r.flow(0, 40, 1, 0, 40*time.Second, nobody, &load)
@@ -85,12 +85,12 @@
 // What the module sheds lowers the limit where nothing is answered, and not where answers come as fast as ever.
 func TestSheds(t *testing.T) {
 	for _, answered := range []bool{true, false} {
-		d := NewDoor(Policy{Weights: []float64{1}, WaitShare: 0.25, MostWait: 64, LeastWork: 4, MostHint: time.Second, Seed: 1})
+		d := NewController(Policy{Weights: []float64{1}, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 4, MaxRetryAfter: time.Second, Seed: 1})
 		for now := time.Duration(0); now < 8*time.Second; now += 50 * ms {
-			d.Arrive(Search{Work: 1, Left: time.Second}, now)
-			d.Arrive(Search{Work: 1, Left: time.Second}, now)
-			d.Done(End{Work: 1, Took: 40 * ms, Answered: answered, Shed: !answered}, now)
-			d.Done(End{Work: 1, Took: 900 * ms, Shed: true}, now)
+			d.Arrive(Query{Work: 1, TimeLeft: time.Second}, now)
+			d.Arrive(Query{Work: 1, TimeLeft: time.Second}, now)
+			d.Complete(Completion{Work: 1, Elapsed: 40 * ms, Answered: answered, Shed: !answered}, now)
+			d.Complete(Completion{Work: 1, Elapsed: 900 * ms, Shed: true}, now)
 			d.Tick(now, nil)
 		}
 		if (d.limit < 16) == answered {
--- a/internal/decision/admission/limit.go
+++ b/internal/decision/admission/limit.go
@@ -44,39 +44,39 @@
 	opened   time.Duration // when the first search entered
 }
 
-// End is a search that entered and has its verdict.
-type End struct {
+// Completion is a search that entered and has its verdict.
+type Completion struct {
 	Work     float64
-	Took     time.Duration // since it entered
-	Own      time.Duration // of that, what the broker itself was late: it had not got round to the search, or to its answer
+	Elapsed  time.Duration // since it entered
+	OwnDelay time.Duration // of that, what the broker itself was late: it had not got round to the search, or to its answer
 	Answered bool
 	Shed     bool // the module refused it for want of time
 }
 
-// Done takes it that a search which entered has its verdict.
-func (d *Door) Done(e End, now time.Duration) {
+// Complete takes it that a search which entered has its verdict.
+func (d *Controller) Complete(e Completion, now time.Duration) {
 	d.inHand = max(0, d.inHand-e.Work)
-	own := min(max(0, e.Own), e.Took)
+	own := min(max(0, e.OwnDelay), e.Elapsed)
 	if e.Answered {
 		d.rate(now)
 		d.finished += e.Work
-		at := max(1, e.Took-own)
+		at := max(1, e.Elapsed-own)
 		if d.least == 0 || at < d.least {
 			d.least = at
 		}
-		if d.whole == 0 || e.Took < d.whole {
-			d.whole = e.Took
+		if d.whole == 0 || e.Elapsed < d.whole {
+			d.whole = e.Elapsed
 		}
-		d.held += e.Work * float64(e.Took)
+		d.held += e.Work * float64(e.Elapsed)
 		d.away += e.Work * float64(max(at-d.lag, d.low, time.Millisecond))
 	}
 	// Danger: a broker that comes round late sheds for want of time while the store stands idle; if that lowered the limit, less
 	// would be let in to what idles already. It may hide a store that is slow as well, which the least delay then shows.
-	d.turned = d.turned || e.Shed && 2*own < e.Took && d.stretch < stretched
+	d.turned = d.turned || e.Shed && 2*own < e.Elapsed && d.stretch < stretched
 }
 
-// Lag tells how late the broker gets to run now, which nobody can tell apart from the store's delay in any one answer.
-func (d *limiter) Lag(by time.Duration) { d.lag = by }
+// SetLag tells how late the broker gets to run now, which nobody can tell apart from the store's delay in any one answer.
+func (d *limiter) SetLag(by time.Duration) { d.lag = by }
 
 // rate is how much work a second the store has lately done.
 func (d *limiter) rate(now time.Duration) float64 {
--- a/internal/decision/admission/rig_test.go
+++ b/internal/decision/admission/rig_test.go
@@ -11,7 +11,7 @@
 
 // rig is a door before a simulated store of some cores, in virtual time.
 type rig struct {
-	*Door
+	*Controller
 	now    time.Duration
 	cores  []time.Duration
 	mean   time.Duration
@@ -35,7 +35,7 @@
 }
 
 type job struct {
-	Search
+	Query
 	due  time.Duration
 	came time.Duration
 	end  func(how string, hint time.Duration)
@@ -62,8 +62,8 @@
 }
 
 func newRig(cores int, mean time.Duration, weights ...float64) *rig {
-	return &rig{Door: NewDoor(Policy{Weights: weights, WaitShare: 0.25, MostWait: 64, LeastWork: 4, MostHint: 4 * time.Second,
-		Repeats: 0.2, Seed: 5}), cores: make([]time.Duration, cores), mean: mean, rnd: rand.New(rand.NewPCG(1, 2)), by: map[uint64]*job{},
+	return &rig{Controller: NewController(Policy{Weights: weights, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 4, MaxRetryAfter: 4 * time.Second,
+		RetryShare: 0.2, Seed: 5}), cores: make([]time.Duration, cores), mean: mean, rnd: rand.New(rand.NewPCG(1, 2)), by: map[uint64]*job{},
 		tick: math.MaxInt64}
 }
 
@@ -82,10 +82,10 @@
 }
 
 // ask brings a search; end hears of it once.
-func (r *rig) ask(s Search, end func(how string, hint time.Duration)) {
+func (r *rig) ask(s Query, end func(how string, hint time.Duration)) {
 	r.next++
 	s.ID = r.next
-	j := &job{s, r.now + s.Left, r.now, end}
+	j := &job{s, r.now + s.TimeLeft, r.now, end}
 	r.by[s.ID] = j
 	if r.lag == 0 {
 		r.rule(j)
@@ -96,14 +96,14 @@
 
 // rule has the door rule on a search.
 func (r *rig) rule(j *job) {
-	j.Left = j.due - r.now
-	ruling, hint := r.Arrive(j.Search, r.now)
+	j.TimeLeft = j.due - r.now
+	ruling, hint := r.Arrive(j.Query, r.now)
 	switch ruling {
-	case Enter:
+	case Admit:
 		r.serve(j)
-	case Turn:
+	case Reject:
 		r.done(j, "turned", hint)
-	case Wait:
+	case Enqueue:
 		r.look()
 	}
 }
@@ -137,7 +137,7 @@
 		if r.blind {
 			own = 0
 		}
-		r.Done(End{j.Work, r.now - begun, own, r.now <= j.due, r.now > j.due}, r.now)
+		r.Complete(Completion{j.Work, r.now - begun, own, r.now <= j.due, r.now > j.due}, r.now)
 		how := "late"
 		if r.now <= j.due {
 			how = "answered"
@@ -150,10 +150,10 @@
 func (r *rig) look() {
 	lets, next := r.Tick(r.now, nil)
 	for _, l := range lets {
-		if j := r.by[l.ID]; l.Enter {
+		if j := r.by[l.ID]; l.Admitted {
 			r.serve(j)
 		} else {
-			r.done(j, "turned", l.Hint)
+			r.done(j, "turned", l.RetryAfter)
 		}
 	}
 	if next < time.Hour && (r.tick <= r.now || next < r.tick) {
@@ -178,7 +178,7 @@
 			return
 		}
 		t.asked++
-		r.ask(Search{Tenant: tenant, Client: client(), Work: work, Left: 2 * time.Second}, func(how string, _ time.Duration) {
+		r.ask(Query{Tenant: tenant, Client: client(), Work: work, TimeLeft: 2 * time.Second}, func(how string, _ time.Duration) {
 			switch how {
 			case "answered":
 				t.answered++
--- a/internal/decision/admission/sketch.go
+++ b/internal/decision/admission/sketch.go
@@ -62,8 +62,8 @@
 	s.scale = 1
 }
 
-// Give adds to a name.
-func (s *Sketch) Give(name uint64, amount float64, now time.Duration) {
+// Add adds to a name.
+func (s *Sketch) Add(name uint64, amount float64, now time.Duration) {
 	s.age(now)
 	at := s.places(name)
 	least := s.least(at) + float32(amount*s.scale)
@@ -80,8 +80,8 @@
 	return least
 }
 
-// Given is what a name was given lately, in units of now.
-func (s *Sketch) Given(name uint64, now time.Duration) float64 {
+// Estimate is what a name was given lately, in units of now.
+func (s *Sketch) Estimate(name uint64, now time.Duration) float64 {
 	s.age(now)
 	return float64(s.least(s.places(name))) / s.scale
 }
--- a/internal/lab/queues.go
+++ b/internal/lab/queues.go
@@ -37,8 +37,8 @@
 		{"start-time fair queuing", func() sharing { return newFixed(5, self, startTags) }},
 		{"stochastic, 4 buckets", func() sharing { return newFixed(4, func(t int) int { return t * 7 % 4 }, startTags) }},
 		{"start-time and a found limit", func() sharing {
-			return door{admission.NewDoor(admission.Policy{Weights: queueWeights, WaitShare: 0.25, MostWait: 64, LeastWork: 8,
-				MostHint: 2 * time.Second, Repeats: 0.2, Seed: 7})}
+			return door{admission.NewController(admission.Policy{Weights: queueWeights, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 8,
+				MaxRetryAfter: 2 * time.Second, RetryShare: 0.2, Seed: 7})}
 		}},
 	} {
 		playQueues(t, way.name, way.make())
@@ -55,7 +55,7 @@
 		heap.Push(&queue, moment{max(when, now), seq, do})
 	}
 	type held struct {
-		admission.Search
+		admission.Query
 		came time.Duration
 	}
 	cores, hand := make([]time.Duration, queueCores), map[uint64]held{}
@@ -114,15 +114,15 @@
 				return
 			}
 			id++
-			h := held{admission.Search{ID: id, Tenant: tenant, Work: 2, Left: 2 * time.Second}, now}
+			h := held{admission.Query{ID: id, Tenant: tenant, Work: 2, TimeLeft: 2 * time.Second}, now}
 			if now > 5*time.Second {
 				asked[tenant]++
 			}
 			hand[id] = h
-			switch way.arrive(h.Search, now) {
-			case admission.Enter:
+			switch way.arrive(h.Query, now) {
+			case admission.Admit:
 				serve(h)
-			case admission.Turn:
+			case admission.Reject:
 				delete(hand, id)
 				miss(h)
 			}
--- a/internal/lab/sharing.go
+++ b/internal/lab/sharing.go
@@ -11,7 +11,7 @@
 
 // sharing is one way: it rules on arrivals, and tells who may enter when something ends.
 type sharing interface {
-	arrive(s admission.Search, now time.Duration) admission.Ruling
+	arrive(s admission.Query, now time.Duration) admission.Decision
 	done(work float64, took time.Duration, now time.Duration)
 	next(now time.Duration) (enter, turned []uint64)
 }
@@ -30,17 +30,17 @@
 }
 
 type waiter struct {
-	admission.Search
+	admission.Query
 	until time.Duration
 }
 
-func (f *fixed) arrive(s admission.Search, now time.Duration) admission.Ruling {
+func (f *fixed) arrive(s admission.Query, now time.Duration) admission.Decision {
 	if f.bucket != nil {
 		for i, w := range queueWeights {
 			f.bucket[i] = min(400*w, f.bucket[i]+400*w*(now-f.filled).Seconds())
 		}
 		if f.filled = now; f.bucket[s.Tenant] < s.Work {
-			return admission.Turn
+			return admission.Reject
 		}
 		f.bucket[s.Tenant] -= s.Work
 	}
@@ -48,13 +48,13 @@
 	if f.inHand+s.Work <= queuePlaces && (f.choose == nil || len(f.queues[flow]) == 0) {
 		f.inHand += s.Work
 		f.tags[flow] += s.Work / queueWeights[s.Tenant]
-		return admission.Enter
+		return admission.Admit
 	}
 	if f.choose == nil || len(f.queues[flow]) >= 64 {
-		return admission.Turn
+		return admission.Reject
 	}
-	f.queues[flow] = append(f.queues[flow], waiter{s, now + s.Left/4})
-	return admission.Wait
+	f.queues[flow] = append(f.queues[flow], waiter{s, now + s.TimeLeft/4})
+	return admission.Enqueue
 }
 
 func (f *fixed) done(work float64, _, _ time.Duration) { f.inHand -= work }
@@ -120,19 +120,19 @@
 }
 
 // door is the one that serves.
-type door struct{ *admission.Door }
+type door struct{ *admission.Controller }
 
-func (d door) arrive(s admission.Search, now time.Duration) admission.Ruling {
+func (d door) arrive(s admission.Query, now time.Duration) admission.Decision {
 	r, _ := d.Arrive(s, now)
 	return r
 }
 func (d door) done(work float64, took, now time.Duration) {
-	d.Done(admission.End{Work: work, Took: took, Answered: took < 2*time.Second}, now)
+	d.Complete(admission.Completion{Work: work, Elapsed: took, Answered: took < 2*time.Second}, now)
 }
 func (d door) next(now time.Duration) (enter, turned []uint64) {
 	lets, _ := d.Tick(now, nil)
 	for _, l := range lets {
-		if l.Enter {
+		if l.Admitted {
 			enter = append(enter, l.ID)
 		} else {
 			turned = append(turned, l.ID)
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -21,13 +21,13 @@
 // admissionControl is the extension for fair queuing: a client's query enters, waits or is shed before it takes slots. A query of another
 // site passes it by.
 type admissionControl struct {
-	*admission.Door
+	*admission.Controller
 	loop            admissionHost
 	waiting         map[uint64]*activeQuery // by ticket
 	lastTicket      uint64
 	tenants         []string
 	admitted        []*activeQuery // since the last step
-	releases        []admission.Let
+	releases        []admission.Dequeued
 	schedulingDelay delayMeter
 }
 
@@ -62,23 +62,23 @@
 	a.lastTicket++
 	q.admission.ticket = a.lastTicket
 	q.admission.work = float64(len(q.Request.Shards))
-	ruling, retryAfter := a.Arrive(admission.Search{
-		ID:     q.admission.ticket,
-		Tenant: a.tenantOf(q),
-		Client: q.Client,
-		Work:   q.admission.work,
-		Left:   q.deadline - now,
-		Repeat: q.Retry,
+	ruling, retryAfter := a.Arrive(admission.Query{
+		ID:       q.admission.ticket,
+		Tenant:   a.tenantOf(q),
+		Client:   q.Client,
+		Work:     q.admission.work,
+		TimeLeft: q.deadline - now,
+		Retry:    q.Retry,
 	}, now)
 	switch ruling {
-	case admission.Enter:
+	case admission.Admit:
 		a.markAdmitted(q, now)
 		return true
-	case admission.Wait:
+	case admission.Enqueue:
 		q.admission.queued = true
 		a.waiting[q.admission.ticket] = q
 		a.loop.hold(q)
-	case admission.Turn:
+	case admission.Reject:
 		a.loop.stats().RejectedByAdmission++
 		a.loop.deliverResult(q, query.Result{Outcome: query.Shed, RetryAfter: retryAfter})
 	}
@@ -89,7 +89,7 @@
 
 // tick lets in those that waited, or sheds them.
 func (a *admissionControl) tick(now time.Duration) time.Duration {
-	a.Lag(a.schedulingDelay.Average())
+	a.SetLag(a.schedulingDelay.Average())
 	releases, next := a.Tick(now, a.releases[:0])
 	a.releases = releases
 	for _, r := range releases {
@@ -97,9 +97,9 @@
 		delete(a.waiting, r.ID)
 		q.admission.queued = false
 		switch {
-		case !r.Enter:
+		case !r.Admitted:
 			a.loop.stats().RejectedByAdmission++
-			a.finishQueued(q, query.Result{Outcome: query.Shed, RetryAfter: r.Hint})
+			a.finishQueued(q, query.Result{Outcome: query.Shed, RetryAfter: r.RetryAfter})
 		case !a.loop.hasCapacity(q):
 			a.markAdmitted(q, now)
 			a.loop.stats().NoCapacity++
@@ -120,7 +120,7 @@
 
 // abandon forgets a query that waits, as its client has gone or its time is up.
 func (a *admissionControl) abandon(q *activeQuery) {
-	a.Gone(a.tenantOf(q), q.admission.ticket)
+	a.Remove(a.tenantOf(q), q.admission.ticket)
 	delete(a.waiting, q.admission.ticket)
 	q.admission.queued = false
 	q.done = true
@@ -166,10 +166,10 @@
 	if q.admission.lastAnswerStep == a.loop.stats().Steps { // this step ends it, by what came in before it
 		own += now - q.admission.lastAnswerAt
 	}
-	a.Done(admission.End{
+	a.Complete(admission.Completion{
 		Work:     q.admission.work,
-		Took:     now - q.admission.admittedAt,
-		Own:      own,
+		Elapsed:  now - q.admission.admittedAt,
+		OwnDelay: own,
 		Answered: outcome == query.Answered,
 		Shed:     outcome == query.Shed,
 	}, now)
--- a/internal/server/admission_open.go
+++ b/internal/server/admission_open.go
@@ -18,12 +18,12 @@
 // newAdmissionControl makes admission by the operators' file and the settings. Its errors are InvalidWeightsError.
 func newAdmissionControl(o *operator.Door, t *terms.Terms) (*admissionControl, error) {
 	p := admission.Policy{
-		WaitShare: o.WaitShare,
-		MostWait:  o.MostWait,
-		LeastWork: float64(o.LeastWork),
-		Repeats:   o.Repeats,
-		MostHint:  t.Module.MaxRetryAfter,
-		Seed:      t.Module.Seed,
+		MaxWaitShare:  o.WaitShare,
+		MaxQueued:     o.MostWait,
+		MinWork:       float64(o.LeastWork),
+		RetryShare:    o.Repeats,
+		MaxRetryAfter: t.Module.MaxRetryAfter,
+		Seed:          t.Module.Seed,
 	}
 	tenants := t.Tenants
 	for i := range t.Module.Tenants {
@@ -38,7 +38,7 @@
 			return nil, err
 		}
 	}
-	return &admissionControl{Door: admission.NewDoor(p), waiting: map[uint64]*activeQuery{}, tenants: tenants}, nil
+	return &admissionControl{Controller: admission.NewController(p), waiting: map[uint64]*activeQuery{}, tenants: tenants}, nil
 }
 
 // InvalidWeightsError tells that weights of the operators' file do not fit the tenants of the settings.
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("quiet %v\nflood %v\n%v", quiet, flood, append(quiet.Broken, flood.Broken...))
 	}
 	c := s.Counters().Queries
-	if c.Received != c.Answered+c.Shed+c.Failed+c.Abandoned+c.InFlight || c.InFlight != 0 || c.RejectedByAdmission == 0 || c.Admission.InHand > 1e-6 {
+	if c.Received != c.Answered+c.Shed+c.Failed+c.Abandoned+c.InFlight || c.InFlight != 0 || c.RejectedByAdmission == 0 || c.Admission.InFlight > 1e-6 {
 		t.Errorf("%+v, %+v", c, c.Admission)
 	}
 	var last *lab.Outcome
@@ -79,9 +79,9 @@
 		c := s.Counters().Queries
 		waiting := 0
 		for _, n := range c.Admission.Tenants {
-			waiting += n.Waiting
+			waiting += n.Queued
 		}
-		return c.Received == 80 && c.InFlight == 0 && waiting == 0 && c.Admission.InHand < 1e-6 &&
+		return c.Received == 80 && c.InFlight == 0 && waiting == 0 && c.Admission.InFlight < 1e-6 &&
 			c.Received == c.Answered+c.Shed+c.Failed+c.Abandoned
 	})
 }
@@ -131,7 +131,7 @@
 	l.advance()
 	now = 4 * time.Second
 	l.advance()
-	if d := l.admission.State(now); len(s.result) != 1 || d.Baseline != 40*time.Millisecond || d.Stretch < 2 || d.InHand != 0 {
+	if d := l.admission.State(now); len(s.result) != 1 || d.Baseline != 40*time.Millisecond || d.DelayFactor < 2 || d.InFlight != 0 {
 		t.Errorf("%+v", d)
 	}
 }
