--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -73,9 +73,13 @@
 
 // Counts are what operators see of a tenant.
 type Counts struct {
-	Admitted, AdmittedFromQueue, Rejected, Expired, Retries uint64
-	Work                                                    float64 // that entered
-	Queued                                                  int
+	Admitted          uint64  `json:"Entered"`
+	AdmittedFromQueue uint64  `json:"Waited"`
+	Rejected          uint64  `json:"TurnedAway"`
+	Expired           uint64  `json:"RanOut"`
+	Retries           uint64  `json:"Repeats"`
+	Work              float64 // that entered
+	Queued            int     `json:"Waiting"`
 }
 
 // Controller admits searches.
@@ -101,10 +105,12 @@
 
 // State is what operators see of the door.
 type State struct {
-	Limit, InFlight, Rate float64 // work, work, work a second
-	DelayFactor           float64 // work in hand for each that is at the store; above 1: the broker itself is late
-	Baseline              time.Duration
-	Tenants               []Counts // by number
+	Limit       float64 // work
+	InFlight    float64 `json:"InHand"` // work
+	Rate        float64 // work a second
+	DelayFactor float64 `json:"Stretch"` // work in hand for each that is at the store; above 1: the broker itself is late
+	Baseline    time.Duration
+	Tenants     []Counts // by number
 }
 
 // State tells of all tenants.
