--- a/internal/server/cached_list.go
+++ b/internal/server/cached_list.go
@@ -16,7 +16,7 @@
 )
 
 // cachedEndpointList is the extension that keeps the endpoint list on disk, and judges its entries while discovery can't be polled.
-// What an entry is worth is cachedlist.Judge's decision; writing is done outside the loop, by store.
+// What an entry is worth is cachedlist.Evaluator's decision; writing is done outside the loop, by store.
 type cachedEndpointList struct {
 	loop       endpointHost
 	table      *cachedlist.EntryTable
