--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -164,9 +164,15 @@
 	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
-		w := gossip.EndpointUpdate{ListVersion: list.Version, DiscoveryID: m.shared.DiscoveryID, Node: n.Endpoint.Node, State: n.Endpoint.State, StartedAtMS: n.StartedAtMS}
-		if m.shared.RecordLocal(w, list.Full || !m.shareEndpoints) {
-			m.broadcast(&w)
+		update := gossip.EndpointUpdate{
+			ListVersion: list.Version,
+			DiscoveryID: m.shared.DiscoveryID,
+			Node:        n.Endpoint.Node,
+			State:       n.Endpoint.State,
+			StartedAtMS: n.StartedAtMS,
+		}
+		if m.shared.RecordLocal(update, list.Full || !m.shareEndpoints) {
+			m.broadcast(&update)
 		}
 	}
 	endpoints := m.loop.endpoints()
