--- a/internal/decision/forwarding/far.go
+++ b/internal/decision/forwarding/far.go
@@ -63,8 +63,14 @@
 
 // FarCounts are what operators see.
 type FarCounts struct {
-	Came, Ran, TurnedAway, Joined, Repeated, CalledOff uint64
-	InHand, Remembered                                 int // now
+	Came       uint64 `json:"Came"`
+	Ran        uint64 `json:"Ran"`
+	TurnedAway uint64 `json:"TurnedAway"`
+	Joined     uint64 `json:"Joined"`
+	Repeated   uint64 `json:"Repeated"`
+	CalledOff  uint64 `json:"CalledOff"`
+	InHand     int    `json:"InHand"`     // now
+	Remembered int    `json:"Remembered"` // now
 }
 
 // NewFar makes the far side.
--- a/internal/decision/forwarding/near.go
+++ b/internal/decision/forwarding/near.go
@@ -138,10 +138,18 @@
 
 // NearCounts are what operators see.
 type NearCounts struct {
-	Forwarded, Answered, RefusedThere, FailedThere uint64
-	Lost, Resumed, BroughtHome, GivenUp            uint64 // of those whose link ended, or whose time did
-	NoBudget, NoPeer, NoTime                       uint64 // shed here, as they could not be forwarded
-	Abroad                                         int    // now
+	Forwarded    uint64 `json:"Forwarded"`
+	Answered     uint64 `json:"Answered"`
+	RefusedThere uint64 `json:"RefusedThere"`
+	FailedThere  uint64 `json:"FailedThere"`
+	Lost         uint64 `json:"Lost"`        // of those whose link ended, or whose time did
+	Resumed      uint64 `json:"Resumed"`     // of those whose link ended, or whose time did
+	BroughtHome  uint64 `json:"BroughtHome"` // of those whose link ended, or whose time did
+	GivenUp      uint64 `json:"GivenUp"`     // of those whose link ended, or whose time did
+	NoBudget     uint64 `json:"NoBudget"`    // shed here, as they could not be forwarded
+	NoPeer       uint64 `json:"NoPeer"`      // shed here, as they could not be forwarded
+	NoTime       uint64 `json:"NoTime"`      // shed here, as they could not be forwarded
+	Abroad       int    `json:"Abroad"`      // now
 }
 
 // NewNear makes the near side of some links, which are down.
--- a/internal/decision/forwarding/neartime.go
+++ b/internal/decision/forwarding/neartime.go
@@ -57,14 +57,18 @@
 
 // PeerState is one link for operators.
 type PeerState struct {
-	Name              string
-	Up, Usable        bool
-	Stopping          bool
-	Abroad, Credit    int
-	RoundTrip, Took   time.Duration
-	Room              float64
-	Refusing          bool
-	HeardAgo, ShutFor time.Duration // -1: never heard
+	Name      string        `json:"Name"`
+	Up        bool          `json:"Up"`
+	Usable    bool          `json:"Usable"`
+	Stopping  bool          `json:"Stopping"`
+	Abroad    int           `json:"Abroad"`
+	Credit    int           `json:"Credit"`
+	RoundTrip time.Duration `json:"RoundTrip"`
+	Took      time.Duration `json:"Took"`
+	Room      float64       `json:"Room"`
+	Refusing  bool          `json:"Refusing"`
+	HeardAgo  time.Duration `json:"HeardAgo"` // -1: never heard
+	ShutFor   time.Duration `json:"ShutFor"`  // -1: never heard
 }
 
 // State tells of all links.
