--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -69,7 +69,7 @@
 		r := newRig(64, 10*ms, 1) // far more than is asked for at once
 		r.unseen = 300 * ms
 		if told {
-			r.SetLag(r.unseen / 2)
+			r.SetLateness(r.unseen / 2)
 		}
 		var load tally
 		r.flow(0, 40, 1, 0, 40*time.Second, nobody, &load)
--- a/internal/decision/admission/limit.go
+++ b/internal/decision/admission/limit.go
@@ -75,8 +75,8 @@
 	d.turned = d.turned || e.Shed && 2*own < e.Elapsed && d.stretch < stretched
 }
 
-// SetLag tells how late the broker gets to run now, which nobody can tell apart from the store's delay in any one answer.
-func (d *limiter) SetLag(by time.Duration) { d.lag = by }
+// SetLateness tells how late the broker gets to run now, which nobody can tell apart from the store's delay in any one answer.
+func (d *limiter) SetLateness(by time.Duration) { d.lag = by }
 
 // rate is how much work a second the store has lately done.
 func (d *limiter) rate(now time.Duration) float64 {
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -89,7 +89,7 @@
 
 // tick lets in those that waited, or sheds them.
 func (a *admissionControl) tick(now time.Duration) time.Duration {
-	a.SetLag(a.schedulingDelay.Average())
+	a.SetLateness(a.schedulingDelay.Average())
 	releases, next := a.Tick(now, a.releases[:0])
 	a.releases = releases
 	for _, r := range releases {
