--- a/cmd/flaxfront/crew.go
+++ b/cmd/flaxfront/crew.go
@@ -38,11 +38,11 @@
 			out := cmd.OutOrStdout()
 			n := &s.Counts
 			fmt.Fprintf(out, "as %s sees it: %d probes, %d missed, %d suspected, %d buried, refuted %d times, late %d; %d datagrams made, %d heard, %d bad\n",
-				s.Self, n.Probes, n.Missed, n.Suspected, n.Buried, n.Refuted, n.Late, n.Sent, n.Heard, n.Bad)
+				s.Self, n.Probes, n.FailedProbes, n.Suspicions, n.DeclaredDead, n.Refutations, n.LocalHealthMultiplier, n.DatagramsSent, n.DatagramsReceived, n.MalformedDatagrams)
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "NAME\tADDRESS\tSTATE\tFOR\tINCARNATION\tWEIGHT")
 			for _, m := range s.Members {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\n", m.Name, m.Addr, m.State, (s.Now - m.Since).Round(time.Second), m.Inc, m.Weight)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\n", m.Name, m.Address, m.State, (s.Now - m.StateChangedAt).Round(time.Second), m.Incarnation, m.Weight)
 			}
 			return w.Flush()
 		},
--- a/internal/decision/membership/codec.go
+++ b/internal/decision/membership/codec.go
@@ -64,11 +64,11 @@
 	at := len(b)
 	b = append(b, tagAlive, 0)
 	b = binary.BigEndian.AppendUint32(b, uint32(m.ID))
-	b = binary.BigEndian.AppendUint32(b, m.Inc)
+	b = binary.BigEndian.AppendUint32(b, m.Incarnation)
 	b = append(b, m.Weight)
-	addr := m.Addr.Addr().AsSlice()
+	addr := m.Address.Addr().AsSlice()
 	b = append(append(b, byte(len(addr))), addr...)
-	b = binary.BigEndian.AppendUint16(b, m.Addr.Port())
+	b = binary.BigEndian.AppendUint16(b, m.Address.Port())
 	b = append(b, m.Name...)
 	b[at+1] = byte(len(b) - at - 2)
 	return b
@@ -78,15 +78,15 @@
 	if len(b) < 10 {
 		return m, false
 	}
-	m.ID, m.Inc, m.Weight = ID(binary.BigEndian.Uint32(b)), binary.BigEndian.Uint32(b[4:]), b[8]
+	m.ID, m.Incarnation, m.Weight = ID(binary.BigEndian.Uint32(b)), binary.BigEndian.Uint32(b[4:]), b[8]
 	n := int(b[9])
 	if b = b[10:]; len(b) < n+2 {
 		return m, false
 	}
 	addr, ok := netip.AddrFromSlice(b[:n])
-	m.Addr = netip.AddrPortFrom(addr, binary.BigEndian.Uint16(b[n:]))
+	m.Address = netip.AddrPortFrom(addr, binary.BigEndian.Uint16(b[n:]))
 	m.Name = string(b[n+2:])
-	return m, ok && m.Addr.Port() != 0 && m.Name != "" && len(m.Name) <= longestName && m.ID == IDOf(m.Name)
+	return m, ok && m.Address.Port() != 0 && m.Name != "" && len(m.Name) <= longestName && m.ID == IDOf(m.Name)
 }
 
 // appendState encodes that a member is suspected, dead or has left.
--- a/internal/decision/membership/membership.go
+++ b/internal/decision/membership/membership.go
@@ -44,28 +44,28 @@
 
 // Member is one broker.
 type Member struct {
-	ID     ID
-	Name   string
-	Addr   netip.AddrPort
-	Inc    uint32 // its incarnation: it alone raises it
-	Weight uint8  // its spare capacity, as it states it
-	State  State
-	Since  time.Duration
+	ID             ID
+	Name           string
+	Address        netip.AddrPort
+	Incarnation    uint32 // its incarnation: it alone raises it
+	Weight         uint8  // its spare capacity, as it states it
+	State          State
+	StateChangedAt time.Duration
 }
 
 // Policy holds what operators may set, and how large a message may be.
 type Policy struct {
-	Interval  time.Duration // between two probes
-	Timeout   time.Duration // for a direct answer
-	Indirect  int           // members asked to probe for this one
-	Suspicion float64       // least time of suspicion, in probes times the logarithm of the members
-	Longest   float64       // longest time, as a multiple of that
-	Forget    time.Duration // dead and left members are remembered
-	Sync      time.Duration // between two exchanges of all that is known
-	MaxBytes  int
-	MaxKnown  int  // members remembered at most
-	Plain     bool // without Lifeguard, for comparison
-	Seed      uint64
+	ProbeInterval      time.Duration // between two probes
+	ProbeTimeout       time.Duration // for a direct answer
+	IndirectProbes     int           // members asked to probe for this one
+	SuspicionFactor    float64       // least time of suspicion, in probes times the logarithm of the members
+	MaxSuspicionFactor float64       // longest time, as a multiple of that
+	ForgetAfter        time.Duration // dead and left members are remembered
+	SyncInterval       time.Duration // between two exchanges of all that is known
+	MaxDatagramBytes   int
+	MaxMembers         int  // members remembered at most
+	WithoutLifeguard   bool // without Lifeguard, for comparison
+	Seed               uint64
 }
 
 // Packet is a message to be sent.
@@ -76,9 +76,9 @@
 
 // Change is one member's new state.
 type Change struct {
-	Member Member
-	Was    State
-	New    bool // it was not known before
+	Member        Member
+	PreviousState State
+	New           bool // it was not known before
 }
 
 const (
@@ -92,12 +92,12 @@
 
 // Counts are what operators see.
 type Counts struct {
-	Probes, Missed, Suspected, Buried, Refuted, Sent, Heard, Bad uint64
-	Late                                                         int
+	Probes, FailedProbes, Suspicions, DeclaredDead, Refutations, DatagramsSent, DatagramsReceived, MalformedDatagrams uint64
+	LocalHealthMultiplier                                                                                             int
 }
 
-// Members is one broker's view.
-type Members struct {
+// Detector is one broker's view.
+type Detector struct {
 	policy  Policy
 	self    Member
 	all     map[ID]*known
@@ -131,18 +131,18 @@
 }
 
 // New makes the view of a broker that knows nobody yet; it asks the seeds until one answers.
-func New(p Policy, name string, addr netip.AddrPort, weight uint8, inc uint32, seeds []netip.AddrPort) *Members {
-	m := &Members{policy: p, self: Member{ID: IDOf(name), Name: name, Addr: addr, Inc: inc, Weight: weight}, all: map[ID]*known{},
+func New(p Policy, name string, addr netip.AddrPort, weight uint8, inc uint32, seeds []netip.AddrPort) *Detector {
+	m := &Detector{policy: p, self: Member{ID: IDOf(name), Name: name, Address: addr, Incarnation: inc, Weight: weight}, all: map[ID]*known{},
 		rnd: p.Seed | 1, seeds: seeds, heard: math.MinInt64 / 2}
 	m.announce()
 	return m
 }
 
 // Self is the broker's own entry.
-func (m *Members) Self() Member { return m.self }
+func (m *Detector) Self() Member { return m.self }
 
-// All are the members that are remembered, the broker itself included, by name.
-func (m *Members) All() []Member {
+// Members are the members that are remembered, the broker itself included, by name.
+func (m *Detector) Members() []Member {
 	all := []Member{m.self}
 	for _, k := range m.all {
 		all = append(all, k.Member)
@@ -151,35 +151,35 @@
 	return all
 }
 
-// Living counts the members that are not dead and have not left, the broker itself included.
-func (m *Members) Living() int { return 1 + m.living }
+// LivingCount counts the members that are not dead and have not left, the broker itself included.
+func (m *Detector) LivingCount() int { return 1 + m.living }
 
-// Heard tells when another member was last heard.
-func (m *Members) Heard() time.Duration { return m.heard }
+// LastContact tells when another member was last heard.
+func (m *Detector) LastContact() time.Duration { return m.heard }
 
-func (m *Members) draw() float64 {
+func (m *Detector) draw() float64 {
 	m.rnd ^= m.rnd << 13
 	m.rnd ^= m.rnd >> 7
 	m.rnd ^= m.rnd << 17
 	return float64(m.rnd>>11) / (1 << 53)
 }
 
-// Out returns what is to be sent.
-func (m *Members) Out() []Packet {
+// DrainPackets returns what is to be sent.
+func (m *Detector) DrainPackets() []Packet {
 	out := m.out
 	m.out = nil
 	return out
 }
 
-// Changes returns what has changed.
-func (m *Members) Changes() []Change {
+// DrainChanges returns what has changed.
+func (m *Detector) DrainChanges() []Change {
 	c := m.changes
 	m.changes = nil
 	return c
 }
 
-// Notes returns what others broadcast.
-func (m *Members) Notes() [][]byte {
+// DrainBroadcasts returns what others broadcast.
+func (m *Detector) DrainBroadcasts() [][]byte {
 	n := m.notes
 	m.notes = nil
 	return n
--- a/internal/decision/membership/membership_test.go
+++ b/internal/decision/membership/membership_test.go
@@ -32,7 +32,7 @@
 		for !c.Agreed() && c.Now() < 30*time.Second {
 			c.Run(c.Now() + 100*time.Millisecond)
 		}
-		if !c.Agreed() || c.Longest > crew.Default.MaxBytes {
+		if !c.Agreed() || c.Longest > crew.Default.MaxDatagramBytes {
 			t.Errorf("%d brokers agree %v after %v; the longest datagram had %d bytes", n, c.Agreed(), c.Now(), c.Longest)
 		}
 	}
@@ -67,7 +67,7 @@
 	c.Cut = func(from, to int) bool { return from == 0 }
 	c.Run(40 * time.Second)
 	for _, b := range c.Brokers[1:] {
-		for _, m := range b.Members.All() {
+		for _, m := range b.Members.Members() {
 			if m.Name == crew.Name(0) && m.State != membership.Dead {
 				t.Errorf("%v is %v at another that can't hear it", m.Name, m.State)
 			}
@@ -111,7 +111,7 @@
 	c.Run(18 * time.Second)
 	left := 0
 	for _, b := range c.Brokers[:4] {
-		for _, m := range b.Members.All() {
+		for _, m := range b.Members.Members() {
 			if m.Name == crew.Name(4) && m.State == membership.Left {
 				left++
 			}
@@ -126,7 +126,7 @@
 	if left != 4 || !c.Agreed() {
 		t.Errorf("%d of 4 know that it left as planned; agreed after its return %v", left, c.Agreed())
 	}
-	if n := len(c.Brokers[0].Members.All()); n != 5 {
+	if n := len(c.Brokers[0].Members.Members()); n != 5 {
 		t.Errorf("%d members are known, want 5", n)
 	}
 }
@@ -139,23 +139,23 @@
 	a := membership.New(p, "a", addr(1), 1, 1, nil)
 	twin := membership.New(p, "a", addr(2), 1, 1, []netip.AddrPort{addr(3)})
 	b := membership.New(p, "b", addr(3), 1, 1, []netip.AddrPort{addr(1)})
-	all := map[netip.AddrPort]*membership.Members{addr(1): a, addr(2): twin, addr(3): b}
+	all := map[netip.AddrPort]*membership.Detector{addr(1): a, addr(2): twin, addr(3): b}
 	sent := 0
 	for now := time.Duration(1); now < 30*time.Second; now += 10 * time.Millisecond {
 		for _, at := range []netip.AddrPort{addr(1), addr(3), addr(2)} {
 			m := all[at]
 			m.Tick(now)
-			m.Changes()
-			for _, packet := range m.Out() {
+			m.DrainChanges()
+			for _, packet := range m.DrainPackets() {
 				sent++
 				if to := all[packet.To]; to != nil {
-					to.Take(at, packet.Data, now)
+					to.HandleDatagram(at, packet.Data, now)
 				}
 			}
 		}
 	}
-	if sent > 2000 || a.Self().Inc > 200 {
-		t.Errorf("%d messages and incarnation %d in 30 s", sent, a.Self().Inc)
+	if sent > 2000 || a.Self().Incarnation > 200 {
+		t.Errorf("%d messages and incarnation %d in 30 s", sent, a.Self().Incarnation)
 	}
 }
 
@@ -167,7 +167,7 @@
 	for range 20 {
 		c.Run(c.Now() + 300*time.Millisecond)
 		for _, b := range c.Brokers {
-			for _, p := range b.Members.Out() {
+			for _, p := range b.Members.DrainPackets() {
 				f.Add(p.Data)
 			}
 		}
@@ -176,20 +176,20 @@
 	f.Add([]byte{2, 1, 0, 0, 0, 0, 1, 0, 0, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 'Z', 3, 1, 2, 3, 'W', 4, 0, 0, 0, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		p := crew.Default
-		p.MaxKnown = 3
+		p.MaxMembers = 3
 		m := membership.New(p, "me", addr(1), 1, 1, nil)
 		for i := range 4 {
-			m.Take(addr(2), data, time.Duration(i)*time.Second)
+			m.HandleDatagram(addr(2), data, time.Duration(i)*time.Second)
 			m.Tick(time.Duration(i) * time.Second)
-			m.Notes()
-			m.Changes()
-			for _, packet := range m.Out() {
-				if len(packet.Data) > p.MaxBytes {
+			m.DrainBroadcasts()
+			m.DrainChanges()
+			for _, packet := range m.DrainPackets() {
+				if len(packet.Data) > p.MaxDatagramBytes {
 					t.Fatalf("%d bytes", len(packet.Data))
 				}
 			}
 		}
-		if n := len(m.All()); n > p.MaxKnown+1 {
+		if n := len(m.Members()); n > p.MaxMembers+1 {
 			t.Fatalf("%d members remembered", n)
 		}
 	})
@@ -207,11 +207,11 @@
 	b = binary.BigEndian.AppendUint32(b, uint32(membership.IDOf(name)))
 	b = append(b, 0, 0, 0, 1, 1, 4, 10, 0, 0, 2, 0, 7)
 	b = append(b, name...)
-	m.Take(addr(2), b, time.Second)
-	if all := m.All(); len(all) != 2 || all[1].Name != name {
+	m.HandleDatagram(addr(2), b, time.Second)
+	if all := m.Members(); len(all) != 2 || all[1].Name != name {
 		t.Errorf("%v", all)
 	}
-	if out := m.Out(); len(out) == 0 || out[0].To != addr(2) {
+	if out := m.DrainPackets(); len(out) == 0 || out[0].To != addr(2) {
 		t.Errorf("%v", fmt.Sprint(out))
 	}
 }
--- a/internal/decision/membership/news.go
+++ b/internal/decision/membership/news.go
@@ -19,19 +19,19 @@
 
 // gossip tells news to some members beside the probes. Danger: a broker that finds itself late probes less, and what it has to
 // tell, that somebody is alive after all, would go out as slowly. A plain one leaves all to its probes.
-func (m *Members) gossip() {
-	if m.policy.Plain {
+func (m *Detector) gossip() {
+	if m.policy.WithoutLifeguard {
 		return
 	}
 	for range 2 {
 		if k := m.any(func(k *known) bool { return k.State <= Suspect }); k != nil && len(m.news) > 0 {
-			m.send(k.Addr, head{kind: tell}, nil)
+			m.send(k.Address, head{kind: tell}, nil)
 		}
 	}
 }
 
 // say has a piece of news carried along; what was said under the same key before is dropped.
-func (m *Members) say(key uint64, body []byte) {
+func (m *Detector) say(key uint64, body []byte) {
 	for i := range m.news {
 		if m.news[i].key == key {
 			m.news = slices.Delete(m.news, i, i+1)
@@ -51,27 +51,27 @@
 }
 
 // Broadcast has a note carried to all members. Whoever gets it in Notes and finds it new broadcasts it in turn.
-func (m *Members) Broadcast(key uint64, note []byte) {
-	if len(note) <= m.policy.MaxBytes-headSize-2 {
+func (m *Detector) Broadcast(key uint64, note []byte) {
+	if len(note) <= m.policy.MaxDatagramBytes-headSize-2 {
 		m.say(1<<40|key, append([]byte{tagNote, byte(len(note))}, note...))
 	}
 }
 
 // send puts a message together: what it is for, then as much news as fits, the least carried first.
-func (m *Members) send(to netip.AddrPort, h head, body []byte) {
-	h.from, h.inc, h.late = m.self.ID, m.self.Inc, uint8(m.late)
-	b := append(h.append(make([]byte, 0, m.policy.MaxBytes)), body...)
-	for len(m.wants) > 0 && len(b)+6 <= m.policy.MaxBytes {
+func (m *Detector) send(to netip.AddrPort, h head, body []byte) {
+	h.from, h.inc, h.late = m.self.ID, m.self.Incarnation, uint8(m.late)
+	b := append(h.append(make([]byte, 0, m.policy.MaxDatagramBytes)), body...)
+	for len(m.wants) > 0 && len(b)+6 <= m.policy.MaxDatagramBytes {
 		b = append(b, tagWho, 4)
 		b = binary.BigEndian.AppendUint32(b, uint32(m.wants[0]))
 		m.wants = m.wants[1:]
 	}
 	// What is carried goes to the back, what is new comes in at the front: the least carried goes first.
-	most := int(math.Ceil(repeatLog * math.Log2(float64(m.Living()+1))))
+	most := int(math.Ceil(repeatLog * math.Log2(float64(m.LivingCount()+1))))
 	var carried []news
-	for i := 0; i < len(m.news) && len(b)+14 <= m.policy.MaxBytes; {
+	for i := 0; i < len(m.news) && len(b)+14 <= m.policy.MaxDatagramBytes; {
 		n := &m.news[i]
-		if len(b)+len(n.body) > m.policy.MaxBytes {
+		if len(b)+len(n.body) > m.policy.MaxDatagramBytes {
 			i++
 			continue
 		}
@@ -82,48 +82,48 @@
 		m.news = slices.Delete(m.news, i, i+1)
 	}
 	m.news = append(m.news, carried...)
-	m.Counts.Sent++
+	m.Counts.DatagramsSent++
 	m.out = append(m.out, Packet{to, b})
 }
 
 // fit cuts a body to what a message holds, at an item's end.
-func (m *Members) fit(body []byte) []byte {
+func (m *Detector) fit(body []byte) []byte {
 	end := 0
-	for end+2 <= len(body) && end+2+int(body[end+1]) <= m.policy.MaxBytes-headSize {
+	for end+2 <= len(body) && end+2+int(body[end+1]) <= m.policy.MaxDatagramBytes-headSize {
 		end += 2 + int(body[end+1])
 	}
 	return body[:min(end, len(body))]
 }
 
 // about encodes what is known of a member.
-func (m *Members) about(b []byte, k *known) []byte {
+func (m *Detector) about(b []byte, k *known) []byte {
 	switch k.State {
 	case Suspect:
-		return appendState(appendAlive(b, &k.Member), tagSuspect, k.ID, k.Inc, m.self.ID)
+		return appendState(appendAlive(b, &k.Member), tagSuspect, k.ID, k.Incarnation, m.self.ID)
 	case Dead:
-		return appendState(b, tagDead, k.ID, k.Inc, m.self.ID)
+		return appendState(b, tagDead, k.ID, k.Incarnation, m.self.ID)
 	case Left:
-		return appendState(b, tagLeft, k.ID, k.Inc, m.self.ID)
+		return appendState(b, tagLeft, k.ID, k.Incarnation, m.self.ID)
 	}
 	return appendAlive(b, &k.Member)
 }
 
 // exchange tells one member a page of all that is known: what was lost of the news on its way comes round so.
-func (m *Members) exchange(now time.Duration) {
+func (m *Detector) exchange(now time.Duration) {
 	if k := m.any(func(k *known) bool { return k.State == Alive }); k != nil {
-		m.pages(k.Addr, 1+len(m.ids)/64) // more where there are many to go round
+		m.pages(k.Address, 1+len(m.ids)/64) // more where there are many to go round
 	}
 }
 
 // pages sends up to so many messages of what is known, each time from where the last one ended.
-func (m *Members) pages(to netip.AddrPort, most int) {
+func (m *Detector) pages(to netip.AddrPort, most int) {
 	ids := m.ids
 	body, left := appendAlive(nil, &m.self), len(ids)
 	for range most {
 		for ; left > 0; left-- {
 			k := m.all[ids[m.cursor%len(ids)]]
 			next := m.about(body, k)
-			if len(next) > m.policy.MaxBytes-headSize {
+			if len(next) > m.policy.MaxDatagramBytes-headSize {
 				break
 			}
 			body = next
--- a/internal/decision/membership/probe.go
+++ b/internal/decision/membership/probe.go
@@ -30,21 +30,21 @@
 
 // slower is by how much a broker that finds itself late waits longer. Danger: one that gets no core, or whose own link is bad, takes
 // everybody else for dead. It may hurt by slower detection while it is so.
-func (m *Members) slower() time.Duration {
-	if m.policy.Plain {
+func (m *Detector) slower() time.Duration {
+	if m.policy.WithoutLifeguard {
 		return 1
 	}
 	return time.Duration(1 + m.late)
 }
 
-func (m *Members) lateness(by int) {
+func (m *Detector) lateness(by int) {
 	m.late = min(mostLate, max(0, m.late+by))
-	m.Counts.Late = m.late
+	m.Counts.LocalHealthMultiplier = m.late
 }
 
 // Woke takes a jump of the clock into account: the broker was paused, or starved. Nothing that waited meanwhile says anything of
 // the others; they may have buried this one, so it raises its incarnation.
-func (m *Members) woke(now, gap time.Duration) {
+func (m *Detector) woke(now, gap time.Duration) {
 	m.probing = probe{}
 	m.relays = m.relays[:0]
 	for _, k := range m.all {
@@ -53,17 +53,17 @@
 		}
 	}
 	m.lateness(2)
-	m.self.Inc++
+	m.self.Incarnation++
 	m.announce()
-	m.next, m.synced = now, now-m.policy.Sync
+	m.next, m.synced = now, now-m.policy.SyncInterval
 }
 
 // Tick does what is due and tells when to come again.
-func (m *Members) Tick(now time.Duration) time.Duration {
+func (m *Detector) Tick(now time.Duration) time.Duration {
 	if m.left {
 		return now + time.Hour
 	}
-	if gap := now - m.last; m.last > 0 && gap > 3*m.policy.Interval && !m.policy.Plain {
+	if gap := now - m.last; m.last > 0 && gap > 3*m.policy.ProbeInterval && !m.policy.WithoutLifeguard {
 		m.woke(now, gap)
 	}
 	m.last = now
@@ -71,22 +71,22 @@
 	m.suspicions(now)
 	if now >= m.next {
 		m.probe(now)
-		m.next = now + m.policy.Interval*m.slower()
+		m.next = now + m.policy.ProbeInterval*m.slower()
 	}
-	if now >= m.revived+m.policy.Interval {
+	if now >= m.revived+m.policy.ProbeInterval {
 		m.revived = now
 		m.revive()
 	}
-	if now >= m.spread+m.policy.Interval/2 && len(m.news) > 0 {
+	if now >= m.spread+m.policy.ProbeInterval/2 && len(m.news) > 0 {
 		m.spread = now
 		m.gossip()
 	}
-	if now >= m.synced+m.policy.Sync {
+	if now >= m.synced+m.policy.SyncInterval {
 		m.synced = now
 		m.exchange(now)
 	}
-	if len(m.all) == 0 && now >= m.seedAt || now >= m.seedAt+10*m.policy.Interval {
-		m.seedAt = now + m.policy.Interval
+	if len(m.all) == 0 && now >= m.seedAt || now >= m.seedAt+10*m.policy.ProbeInterval {
+		m.seedAt = now + m.policy.ProbeInterval
 		m.knock()
 	}
 	for _, r := range m.relays {
@@ -95,9 +95,9 @@
 		}
 	}
 	m.relays = slices.DeleteFunc(m.relays, func(r relay) bool { return r.until <= now })
-	due := min(m.next, now+m.policy.Interval)
+	due := min(m.next, now+m.policy.ProbeInterval)
 	if len(m.news) > 0 {
-		due = min(due, m.spread+m.policy.Interval/2)
+		due = min(due, m.spread+m.policy.ProbeInterval/2)
 	}
 	if m.probing.seq != 0 {
 		if !m.probing.asked {
@@ -119,10 +119,10 @@
 }
 
 // knock asks a seed that is no living member who is there.
-func (m *Members) knock() {
+func (m *Detector) knock() {
 	for range m.seeds {
 		at := m.seeds[int(m.draw()*float64(len(m.seeds)))]
-		if at == m.self.Addr || slices.ContainsFunc(m.order, func(id ID) bool { k := m.all[id]; return k != nil && k.Addr == at && k.State <= Suspect }) {
+		if at == m.self.Address || slices.ContainsFunc(m.order, func(id ID) bool { k := m.all[id]; return k != nil && k.Address == at && k.State <= Suspect }) {
 			continue
 		}
 		m.seq++
@@ -132,15 +132,15 @@
 }
 
 // revive asks one that is dead, as a partition may have healed; also while this broker finds itself late.
-func (m *Members) revive() {
+func (m *Detector) revive() {
 	if k := m.any(func(k *known) bool { return k.State == Dead }); k != nil {
 		m.seq++
-		m.send(k.Addr, head{kind: ping, seq: m.seq, target: k.ID}, appendState(nil, tagDead, k.ID, k.Inc, m.self.ID))
+		m.send(k.Address, head{kind: ping, seq: m.seq, target: k.ID}, appendState(nil, tagDead, k.ID, k.Incarnation, m.self.ID))
 	}
 }
 
 // probe asks the next member of the round.
-func (m *Members) probe(now time.Duration) {
+func (m *Detector) probe(now time.Duration) {
 	if m.probing.seq != 0 {
 		return // the last one is not over, as this broker is late
 	}
@@ -150,16 +150,16 @@
 	}
 	m.seq++
 	m.Counts.Probes++
-	m.probing = probe{seq: m.seq, target: k.ID, began: now, direct: now + m.policy.Timeout*m.slower(), end: now + m.policy.Interval*m.slower()}
+	m.probing = probe{seq: m.seq, target: k.ID, began: now, direct: now + m.policy.ProbeTimeout*m.slower(), end: now + m.policy.ProbeInterval*m.slower()}
 	var buddy []byte // whoever is suspected hears of it at once, and can refute
 	if k.State == Suspect {
-		buddy = appendState(nil, tagSuspect, k.ID, k.Inc, m.self.ID)
+		buddy = appendState(nil, tagSuspect, k.ID, k.Incarnation, m.self.ID)
 	}
-	m.send(k.Addr, head{kind: ping, seq: m.seq, target: k.ID}, buddy)
+	m.send(k.Address, head{kind: ping, seq: m.seq, target: k.ID}, buddy)
 }
 
 // turn is the next member to be probed: each once in a round.
-func (m *Members) turn() *known {
+func (m *Detector) turn() *known {
 	for range 2 {
 		for ; m.at < len(m.order); m.at++ {
 			if k := m.all[m.order[m.at]]; k != nil && k.State <= Suspect {
@@ -182,7 +182,7 @@
 }
 
 // any draws a member: the first that fits from a place drawn at random.
-func (m *Members) any(fits func(*known) bool) *known {
+func (m *Detector) any(fits func(*known) bool) *known {
 	if len(m.ids) == 0 {
 		return nil
 	}
@@ -196,7 +196,7 @@
 }
 
 // endProbe asks others, and suspects whoever answered neither this broker nor them.
-func (m *Members) endProbe(now time.Duration) {
+func (m *Detector) endProbe(now time.Duration) {
 	p := &m.probing
 	if p.seq == 0 {
 		return
@@ -209,26 +209,26 @@
 	if !p.asked && now >= p.direct {
 		p.asked = true
 		asked := map[ID]bool{k.ID: true}
-		for range m.policy.Indirect {
+		for range m.policy.IndirectProbes {
 			o := m.any(func(o *known) bool { return o.State == Alive && !asked[o.ID] })
 			if o == nil {
 				break
 			}
 			asked[o.ID] = true
 			p.indirect++
-			m.send(o.Addr, head{kind: pingReq, seq: p.seq, target: k.ID}, nil)
+			m.send(o.Address, head{kind: pingReq, seq: p.seq, target: k.ID}, nil)
 		}
 	}
 	if now < p.end {
 		return
 	}
-	m.Counts.Missed++
+	m.Counts.FailedProbes++
 	missed := max(1, p.indirect-p.nacks) // whoever was asked says at least that it heard nothing: else this broker is the one cut off
 	if p.indirect == 0 {
 		missed = 1
 	}
 	m.lateness(missed)
-	inc := k.Inc
+	inc := k.Incarnation
 	m.probing = probe{}
 	m.suspect(k.ID, inc, m.self.ID, now)
 }
--- a/internal/decision/membership/take.go
+++ b/internal/decision/membership/take.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Take reads a message. One that makes no sense is counted and dropped; what can be read of one that breaks off counts.
-func (m *Members) Take(from netip.AddrPort, data []byte, now time.Duration) {
+// HandleDatagram reads a message. One that makes no sense is counted and dropped; what can be read of one that breaks off counts.
+func (m *Detector) HandleDatagram(from netip.AddrPort, data []byte, now time.Duration) {
 	h, rest, ok := readHead(data)
 	if !ok || m.left || h.from == m.self.ID {
-		m.Counts.Bad++
+		m.Counts.MalformedDatagrams++
 		return
 	}
-	m.Counts.Heard++
+	m.Counts.DatagramsReceived++
 	m.heard = now
 	sender := m.all[h.from]
 	stranger := sender == nil
 	if !stranger && sender.State >= Dead {
 		// It is there: it hears that it was buried, or left in an earlier life, and raises its incarnation.
-		m.send(from, head{kind: tell}, appendState(nil, tagDead, sender.ID, sender.Inc, m.self.ID))
+		m.send(from, head{kind: tell}, appendState(nil, tagDead, sender.ID, sender.Incarnation, m.self.ID))
 	}
 	var asked []ID
 	whole := items(rest, func(tag byte, body []byte) { m.item(tag, body, now, &asked) })
 	if !whole {
-		m.Counts.Bad++
+		m.Counts.MalformedDatagrams++
 	}
 	if stranger && m.all[h.from] == nil {
 		m.want(h.from)
@@ -62,8 +62,8 @@
 	case pingReq:
 		if k := m.all[h.target]; k != nil && len(m.relays) < 64 {
 			m.seq++
-			m.relays = append(m.relays, relay{m.seq, from, h.seq, now + time.Duration(nackAt*float64(m.policy.Timeout))})
-			m.send(k.Addr, head{kind: ping, seq: m.seq, target: h.target}, nil)
+			m.relays = append(m.relays, relay{m.seq, from, h.seq, now + time.Duration(nackAt*float64(m.policy.ProbeTimeout))})
+			m.send(k.Address, head{kind: ping, seq: m.seq, target: h.target}, nil)
 		}
 	}
 	if len(body) > 0 {
@@ -72,7 +72,7 @@
 }
 
 // acked takes an answer to a probe, this broker's or another's.
-func (m *Members) acked(h head, now time.Duration) {
+func (m *Detector) acked(h head, now time.Duration) {
 	if m.probing.seq != 0 && m.probing.seq == h.seq {
 		m.probing = probe{}
 		m.lateness(-1)
@@ -87,14 +87,14 @@
 	}
 }
 
-func (m *Members) want(id ID) {
+func (m *Detector) want(id ID) {
 	if len(m.wants) < 32 && !slices.Contains(m.wants, id) {
 		m.wants = append(m.wants, id)
 	}
 }
 
 // item takes over one piece of news.
-func (m *Members) item(tag byte, body []byte, now time.Duration, asked *[]ID) {
+func (m *Detector) item(tag byte, body []byte, now time.Duration, asked *[]ID) {
 	if tag == tagNote {
 		if len(m.notes) < mostNews {
 			m.notes = append(m.notes, slices.Clone(body))
@@ -105,12 +105,12 @@
 		if a, ok := readAlive(body); ok {
 			m.alive(a, now)
 		} else {
-			m.Counts.Bad++
+			m.Counts.MalformedDatagrams++
 		}
 		return
 	}
 	if len(body) < 4 {
-		m.Counts.Bad++
+		m.Counts.MalformedDatagrams++
 		return
 	}
 	id := ID(binary.BigEndian.Uint32(body))
--- a/internal/lab/crew/broker.go
+++ b/internal/lab/crew/broker.go
@@ -44,12 +44,12 @@
 func (b *Broker) turn() {
 	now := b.clock()
 	next := b.Members.Tick(now)
-	for _, note := range b.Members.Notes() {
+	for _, note := range b.Members.DrainBroadcasts() {
 		if cl, ok := ownership.DecodeClaim(note); ok && b.Duties.HandleClaim(cl, now) {
 			b.Members.Broadcast(uint64(cl.Job), note)
 		}
 	}
-	changes := b.Members.Changes()
+	changes := b.Members.DrainChanges()
 	for _, ch := range changes {
 		if ch.Member.State == membership.Dead {
 			who := -1
@@ -64,13 +64,13 @@
 	}
 	if b.view == nil || len(changes) > 0 {
 		b.view = b.view[:0]
-		for _, m := range b.Members.All() {
+		for _, m := range b.Members.Members() {
 			if m.State <= membership.Suspect {
 				b.view = append(b.view, ownership.Member{ID: uint32(m.ID), Weight: m.Weight})
 			}
 		}
 	}
-	b.Duties.SetMembers(b.view, b.Members.Heard())
+	b.Duties.SetMembers(b.view, b.Members.LastContact())
 	runs, at := b.Duties.Tick(now)
 	for _, r := range runs {
 		b.c.at(b.c.now+5*time.Millisecond, func() { b.done(r) })
@@ -121,7 +121,7 @@
 }
 
 func (b *Broker) flush() {
-	for _, p := range b.Members.Out() {
+	for _, p := range b.Members.DrainPackets() {
 		b.c.send(b, p.To, p.Data)
 	}
 }
@@ -166,12 +166,12 @@
 	}
 	if b.n < b.c.o.Starved {
 		b.c.at(b.c.now+time.Duration(b.c.rnd.ExpFloat64()*float64(b.c.o.Starve)), func() {
-			b.Members.Take(from, data, b.clock())
+			b.Members.HandleDatagram(from, data, b.clock())
 			b.flush()
 		})
 		return
 	}
-	b.Members.Take(from, data, b.clock())
+	b.Members.HandleDatagram(from, data, b.clock())
 	b.flush()
 	if b.woken > b.c.now+time.Millisecond { // what came may be due at once
 		b.woken = b.c.now + time.Millisecond
@@ -193,10 +193,10 @@
 		if o != b {
 			b.c.send(b, o.addr, make([]byte, 20))
 		}
-		if at, heard := b.beats[o.n]; heard && !b.dead[o.n] && b.c.now-at > time.Duration(p.Suspicion*float64(p.Interval)) {
+		if at, heard := b.beats[o.n]; heard && !b.dead[o.n] && b.c.now-at > time.Duration(p.SuspicionFactor*float64(p.ProbeInterval)) {
 			b.dead[o.n] = true
 			b.c.Buried = append(b.c.Buried, Burial{b.c.now, o.n, b.n, o.Up && !o.Paused})
 		}
 	}
-	b.c.at(b.c.now+p.Interval, b.beat)
+	b.c.at(b.c.now+p.ProbeInterval, b.beat)
 }
--- a/internal/lab/crew/crew.go
+++ b/internal/lab/crew/crew.go
@@ -33,8 +33,8 @@
 }
 
 // Default is what brokers use, with as many bytes as the platform leaves after a seal.
-var Default = membership.Policy{Interval: 500 * time.Millisecond, Timeout: 150 * time.Millisecond, Indirect: 3, Suspicion: 5, Longest: 2,
-	Forget: 10 * time.Minute, Sync: 3 * time.Second, MaxBytes: 220, MaxKnown: 1000}
+var Default = membership.Policy{ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, IndirectProbes: 3, SuspicionFactor: 5, MaxSuspicionFactor: 2,
+	ForgetAfter: 10 * time.Minute, SyncInterval: 3 * time.Second, MaxDatagramBytes: 220, MaxMembers: 1000}
 
 // Lease is the default of duties.
 var Lease = ownership.Policy{Lease: 3 * time.Second, SettleTime: 400 * time.Millisecond, RenewInterval: time.Second}
@@ -73,7 +73,7 @@
 	c       *Crew
 	n       int
 	addr    netip.AddrPort
-	Members *membership.Members
+	Members *membership.Detector
 	Duties  *ownership.Coordinator
 	Up      bool
 	Paused  bool
@@ -161,7 +161,7 @@
 			continue
 		}
 		living := map[string]bool{}
-		for _, m := range b.Members.All() {
+		for _, m := range b.Members.Members() {
 			if m.State <= membership.Suspect {
 				living[m.Name] = true
 			}
--- a/internal/lab/crew/table.go
+++ b/internal/lab/crew/table.go
@@ -23,7 +23,7 @@
 
 var ways = []way{
 	{"heartbeats of each to each", func(o *Options) { o.AllToAll = true }},
-	{"SWIM", func(o *Options) { o.Policy.Plain, o.Policy.Longest = true, 1 }},
+	{"SWIM", func(o *Options) { o.Policy.WithoutLifeguard, o.Policy.MaxSuspicionFactor = true, 1 }},
 	{"SWIM with Lifeguard", func(*Options) {}},
 }
 
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -26,7 +26,7 @@
 // It never takes a node's address from another broker, since addresses differ from one to the next.
 type tierMembership struct {
 	loop           membershipHost
-	members        *membership.Members
+	members        *membership.Detector
 	ownership      *ownership.Coordinator
 	sendTo         func(to netip.AddrPort, data []byte)
 	shareEndpoints bool // endpoint changes are passed on
@@ -46,7 +46,7 @@
 func (m *tierMembership) handle(received message) bool {
 	switch received := received.(type) {
 	case memberDatagram:
-		m.members.Take(received.from, received.data, m.loop.since())
+		m.members.HandleDatagram(received.from, received.data, m.loop.since())
 		m.flush()
 	case shutdownStarted:
 		m.leave()
@@ -59,10 +59,10 @@
 
 func (m *tierMembership) tick(now time.Duration) time.Duration {
 	next := m.members.Tick(now)
-	for _, note := range m.members.Notes() {
+	for _, note := range m.members.DrainBroadcasts() {
 		m.handleNote(note, now)
 	}
-	changes := m.members.Changes()
+	changes := m.members.DrainChanges()
 	m.logChanges(changes)
 	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
 		for _, w := range m.shared.RecentlyRemoved() {
@@ -72,7 +72,7 @@
 	if m.ownershipView == nil || len(changes) > 0 {
 		m.updateView()
 	}
-	m.ownership.SetMembers(m.ownershipView, m.members.Heard())
+	m.ownership.SetMembers(m.ownershipView, m.members.LastContact())
 	runs, nextRun := m.ownership.Tick(now)
 	for _, run := range runs {
 		m.runJob(run, now)
@@ -83,9 +83,9 @@
 
 func (m *tierMembership) logChanges(changes []membership.Change) {
 	for _, ch := range changes {
-		slog.Info("member state changed", "component", "membership", "broker", ch.Member.Name, "address", ch.Member.Addr,
-			"state", ch.Member.State, "previous_state", ch.Was, "new", ch.New, "incarnation", ch.Member.Inc,
-			"living", m.members.Living(), "late", m.members.Counts.Late)
+		slog.Info("member state changed", "component", "membership", "broker", ch.Member.Name, "address", ch.Member.Address,
+			"state", ch.Member.State, "previous_state", ch.PreviousState, "new", ch.New, "incarnation", ch.Member.Incarnation,
+			"living", m.members.LivingCount(), "late", m.members.Counts.LocalHealthMultiplier)
 	}
 }
 
@@ -93,13 +93,13 @@
 func (m *tierMembership) updateView() {
 	m.ownershipView = m.ownershipView[:0]
 	m.seeds = m.seeds[:0]
-	for _, member := range m.members.All() {
+	for _, member := range m.members.Members() {
 		if member.State > membership.Suspect {
 			continue
 		}
 		m.ownershipView = append(m.ownershipView, ownership.Member{ID: uint32(member.ID), Weight: member.Weight})
 		if member.ID != m.members.Self().ID {
-			m.seeds = append(m.seeds, member.Addr)
+			m.seeds = append(m.seeds, member.Address)
 		}
 	}
 	if m.keepSeeds != nil && len(m.seeds) > 0 {
@@ -116,7 +116,7 @@
 	case jobLogCounters:
 		c := m.loop.stats()
 		slog.Info("counters of the owner", "component", "membership", "received", c.Received, "answered", c.Answered, "shed", c.Shed,
-			"failed", c.Failed, "in_flight", c.InFlight, "living", m.members.Living())
+			"failed", c.Failed, "in_flight", c.InFlight, "living", m.members.LivingCount())
 	}
 	m.ownership.RunEnded(run, true, now)
 }
@@ -126,7 +126,7 @@
 	for _, claim := range m.ownership.DrainClaims() {
 		m.members.Broadcast(uint64(claim.Job), claim.AppendTo([]byte{noteOwnership}))
 	}
-	for _, packet := range m.members.Out() {
+	for _, packet := range m.members.DrainPackets() {
 		m.sendTo(packet.To, packet.Data)
 	}
 }
--- a/internal/server/membership_open.go
+++ b/internal/server/membership_open.go
@@ -94,16 +94,16 @@
 func newTierMembership(o *operator.Crew, t *terms.Terms, self tierIdentity, seeds []netip.AddrPort, now time.Duration,
 	sendTo func(netip.AddrPort, []byte)) *tierMembership {
 	policy := membership.Policy{
-		Interval:  o.Interval,
-		Timeout:   o.Timeout,
-		Indirect:  indirectProbes,
-		Suspicion: o.Suspicion,
-		Longest:   o.Longest,
-		Forget:    o.Forget,
-		Sync:      syncIntervals * o.Interval,
-		MaxBytes:  min(maxDatagram, peers.MaxSealed),
-		MaxKnown:  maxMembers,
-		Seed:      t.Module.Seed,
+		ProbeInterval:      o.Interval,
+		ProbeTimeout:       o.Timeout,
+		IndirectProbes:     indirectProbes,
+		SuspicionFactor:    o.Suspicion,
+		MaxSuspicionFactor: o.Longest,
+		ForgetAfter:        o.Forget,
+		SyncInterval:       syncIntervals * o.Interval,
+		MaxDatagramBytes:   min(maxDatagram, peers.MaxSealed),
+		MaxMembers:         maxMembers,
+		Seed:               t.Module.Seed,
 	}
 	incarnation := uint32(self.start.Unix()) // no earlier process had it
 	members := membership.New(policy, self.name, self.address, uint8(o.Weight), incarnation, seeds)
--- a/internal/server/membership_state.go
+++ b/internal/server/membership_state.go
@@ -23,7 +23,7 @@
 	c.Membership = &MembershipState{
 		Self:            m.members.Self().Name,
 		Now:             now,
-		Members:         m.members.All(),
+		Members:         m.members.Members(),
 		Ownership:       m.ownership.Snapshot(),
 		Counts:          m.members.Counts,
 		SharedEndpoints: m.shared.Counts,
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -167,8 +167,8 @@
 	old.applyList(gone)
 	old.membership.shareList(gone)
 	late.membership.shared.DiscoveryID = old.membership.shared.DiscoveryID
-	late.membership.members = membership.New(membership.Policy{Interval: time.Second, Timeout: 100 * time.Millisecond, Sync: time.Second, Forget: time.Minute, MaxBytes: 220,
-		MaxKnown: 10, Suspicion: 5, Longest: 2}, "n1", netip.MustParseAddrPort("127.0.0.1:8"), 1, 1, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7")})
+	late.membership.members = membership.New(membership.Policy{ProbeInterval: time.Second, ProbeTimeout: 100 * time.Millisecond, SyncInterval: time.Second, ForgetAfter: time.Minute, MaxDatagramBytes: 220,
+		MaxMembers: 10, SuspicionFactor: 5, MaxSuspicionFactor: 2}, "n1", netip.MustParseAddrPort("127.0.0.1:8"), 1, 1, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7")})
 	for i := range 40 {
 		now := time.Duration(i+1) * 200 * time.Millisecond
 		old.membership.tick(now)
@@ -182,7 +182,7 @@
 		*sent, *answers = nil, nil
 	}
 	if got := late.nodes[id]; got.Endpoint.State != decision.Draining || late.membership.shared.Counts.Accepted != 1 {
-		t.Errorf("%+v, %+v; %v", got, late.membership.shared.Counts, late.membership.members.All())
+		t.Errorf("%+v, %+v; %v", got, late.membership.shared.Counts, late.membership.members.Members())
 	}
 }
 
