--- a/internal/decision/forwarding/choices_test.go
+++ b/internal/decision/forwarding/choices_test.go
@@ -24,7 +24,7 @@
 	}
 	add("offer", !m.begun && m.up, func() {
 		m.begun = true
-		if !m.near.Offer(Search{ID: search, Effect: m.effect, Window: 300 * time.Millisecond, Due: m.now + time.Second}, m.now) {
+		if !m.near.Offer(Query{ID: search, Idempotency: m.effect, IdempotencyWindow: 300 * time.Millisecond, Deadline: m.now + time.Second}, m.now) {
 			m.fault("not forwarded")
 		}
 	})
@@ -32,10 +32,10 @@
 		m.conn++
 		m.up, m.farConn, m.toNear = true, m.conn, nil
 		if m.variant != "old links are heard" {
-			m.far.Opened(m.origin(), m.conn)
+			m.far.LinkOpened(m.origin(), m.conn)
 		}
-		m.near.Up(0, m.epoch, 10, m.now)
-		m.near.Heard(0, Status{Room: 1}, 10*time.Millisecond, m.now+1)
+		m.near.LinkUp(0, m.epoch, 10, m.now)
+		m.near.HandleStatus(0, Status{FreeShare: 1}, 10*time.Millisecond, m.now+1)
 	})
 	add("write", m.up && len(m.outbox) > 0, func() {
 		m.toFar[m.conn] = append(m.toFar[m.conn], m.outbox[0])
@@ -54,11 +54,11 @@
 			unsent = []uint64{search}
 		}
 		m.outbox, m.toNear = nil, nil
-		m.near.Down(0, unsent, m.now)
+		m.near.LinkDown(0, unsent, m.now)
 	})
 	add("far sees a cut", m.farConn > 0 && (!m.up || m.farConn < m.conn), func() {
 		m.farConn = 0
-		if m.far.Cut(Key{m.origin(), search}) && m.farRuns {
+		if m.far.CancelledByLinkLoss(Key{m.origin(), search}) && m.farRuns {
 			m.farEnds(msg{what: "failed"})
 		}
 	})
@@ -80,8 +80,8 @@
 	add("near reads", m.up && len(m.toNear) > 0, func() {
 		in := m.toNear[0]
 		m.toNear = m.toNear[1:]
-		how := map[string]Ended{"answered": Answered, "refused": Refused, "failed": Failed}[in.what]
-		if m.near.Back(0, search, how, m.now) {
+		how := map[string]Outcome{"answered": Answered, "refused": Rejected, "failed": Failed}[in.what]
+		if m.near.HandleResult(0, search, how, m.now) {
 			m.end(in.what)
 		}
 	})
@@ -93,7 +93,7 @@
 	add("the far process is killed", m.kills < 1, func() {
 		m.kills++
 		m.epoch++
-		m.far, m.farRuns, m.verdict, m.farConn = NewFar(modelPolicy), false, nil, 0
+		m.far, m.farRuns, m.verdict, m.farConn = NewReceiver(modelPolicy), false, nil, 0
 		m.toFar, m.toNear, m.deaf = map[uint64][]msg{}, nil, m.conn
 	})
 	add("a node runs it at home", m.home && m.ran < 3 && !(once && m.homeRan), func() { m.homeRan = true; m.run() })
@@ -109,7 +109,7 @@
 	})
 	add("the client goes", m.begun && m.finals == 0 && !m.left && !m.home, func() {
 		m.left = true
-		m.near.Gone(search)
+		m.near.Abandon(search)
 	})
 	add("time passes", m.begun && m.finals == 0 && m.now < 2*time.Second, func() {
 		next := m.near.Tick(m.now)
@@ -118,7 +118,7 @@
 		}
 		m.now = next
 		m.near.Tick(m.now)
-		if m.now >= time.Second+m.near.policy.Speak && !m.home && !m.left && m.finals == 0 && len(m.near.Acts()) == 0 {
+		if m.now >= time.Second+m.near.policy.AnswerReserve && !m.home && !m.left && m.finals == 0 && len(m.near.DrainActions()) == 0 {
 			m.fault("rule 1: no answer at %v", m.now)
 		}
 	})
--- a/internal/decision/forwarding/forwarding_test.go
+++ b/internal/decision/forwarding/forwarding_test.go
@@ -15,25 +15,25 @@
 
 const ms = time.Millisecond
 
-var policy = Policy{Share: 0.1, Burst: 3, MostAbroad: 4, LeastLeft: 50 * ms, Speak: 50 * ms, Resume: 300 * ms, Accept: 0.5,
-	MostRemember: 8}
+var policy = Policy{ForwardShare: 0.1, Burst: 3, MaxForwarded: 4, MinTimeLeft: 50 * ms, AnswerReserve: 50 * ms, ResumeTimeout: 300 * ms, RemoteShare: 0.5,
+	MaxRemembered: 8}
 
 // near is a near side with links that stand and have been heard well of.
-func near(links int) *Near {
+func near(links int) *Forwarder {
 	var names []string
 	for i := range links {
 		names = append(names, fmt.Sprint("far", i))
 	}
-	n := NewNear(policy, names)
+	n := NewForwarder(policy, names)
 	for i := range links {
-		n.Up(Peer(i), 1, 10, 0)
-		n.Heard(Peer(i), Status{Room: 1}, 80*ms, 1*ms)
+		n.LinkUp(LinkIndex(i), 1, 10, 0)
+		n.HandleStatus(LinkIndex(i), Status{FreeShare: 1}, 80*ms, 1*ms)
 	}
-	n.Acts()
+	n.DrainActions()
 	return n
 }
 
-func kinds(acts []Act) (all []Kind) {
+func kinds(acts []Action) (all []ActionKind) {
 	for _, a := range acts {
 		all = append(all, a.Kind)
 	}
@@ -44,42 +44,45 @@
 func TestOffer(t *testing.T) {
 	due := 1000 * ms
 	for what, c := range map[string]struct {
-		s    Search
-		with func(n *Near)
+		s    Query
+		with func(n *Forwarder)
 		at   time.Duration
 		want bool
 	}{
-		"as it is":                          {Search{}, func(*Near) {}, 10 * ms, true},
-		"it came from another site":         {Search{Foreign: true}, func(*Near) {}, 10 * ms, false},
-		"it was brought back":               {Search{Home: true}, func(*Near) {}, 10 * ms, false},
-		"too late":                          {Search{}, func(*Near) {}, due - 150*ms, false},
-		"no budget":                         {Search{}, func(n *Near) { n.tokens = 0.9 }, 10 * ms, false},
-		"too many abroad":                   {Search{}, func(n *Near) { n.policy.MostAbroad = 0 }, 10 * ms, false},
-		"the link is down":                  {Search{}, func(n *Near) { n.Down(0, nil, 5*ms) }, 10 * ms, false},
-		"no credit":                         {Search{}, func(n *Near) { n.Up(0, 1, 0, 0) }, 10 * ms, false},
-		"nothing heard yet":                 {Search{}, func(n *Near) { n.Up(0, 1, 10, 0) }, 10 * ms, false},
-		"what was heard is old":             {Search{Due: 5 * time.Second}, func(*Near) {}, 2500 * ms, false},
-		"old, but it has answered since":    {Search{Due: 5 * time.Second}, func(n *Near) { n.peers[0].good = 2400 * ms }, 2500 * ms, true},
-		"it refuses its own":                {Search{}, func(n *Near) { n.Heard(0, Status{Room: 1, Refusing: true}, 0, 9*ms) }, 10 * ms, false},
-		"it did, but has answered since":    {Search{}, func(n *Near) { n.Heard(0, Status{Refusing: true}, 0, 5*ms); n.peers[0].good = 8 * ms }, 10 * ms, true},
-		"no room there":                     {Search{}, func(n *Near) { n.Heard(0, Status{}, 0, 9*ms) }, 10 * ms, false},
-		"it stops, whatever it answered":    {Search{}, func(n *Near) { n.Heard(0, Status{Room: 1, Stopping: true}, 0, 5*ms); n.peers[0].good = 8 * ms }, 10 * ms, false},
-		"it refused ours, whatever it says": {Search{}, func(n *Near) { n.peers[0].until = 50 * ms }, 10 * ms, false},
-		"it lacks a shard":                  {Search{Shards: []int{3, 4}}, func(n *Near) { n.Heard(0, Status{Room: 1, Lacking: []int{4}}, 0, 9*ms) }, 10 * ms, false},
-		"it lacks another":                  {Search{Shards: []int{3}}, func(n *Near) { n.Heard(0, Status{Room: 1, Lacking: []int{4}}, 0, 9*ms) }, 10 * ms, true},
-		"its answers take longer than that": {Search{}, func(n *Near) { n.peers[0].took = 2 * time.Second }, 10 * ms, false},
+		"as it is":                       {Query{}, func(*Forwarder) {}, 10 * ms, true},
+		"it came from another site":      {Query{Remote: true}, func(*Forwarder) {}, 10 * ms, false},
+		"it was brought back":            {Query{Returned: true}, func(*Forwarder) {}, 10 * ms, false},
+		"too late":                       {Query{}, func(*Forwarder) {}, due - 150*ms, false},
+		"no budget":                      {Query{}, func(n *Forwarder) { n.tokens = 0.9 }, 10 * ms, false},
+		"too many abroad":                {Query{}, func(n *Forwarder) { n.policy.MaxForwarded = 0 }, 10 * ms, false},
+		"the link is down":               {Query{}, func(n *Forwarder) { n.LinkDown(0, nil, 5*ms) }, 10 * ms, false},
+		"no credit":                      {Query{}, func(n *Forwarder) { n.LinkUp(0, 1, 0, 0) }, 10 * ms, false},
+		"nothing heard yet":              {Query{}, func(n *Forwarder) { n.LinkUp(0, 1, 10, 0) }, 10 * ms, false},
+		"what was heard is old":          {Query{Deadline: 5 * time.Second}, func(*Forwarder) {}, 2500 * ms, false},
+		"old, but it has answered since": {Query{Deadline: 5 * time.Second}, func(n *Forwarder) { n.peers[0].good = 2400 * ms }, 2500 * ms, true},
+		"it refuses its own":             {Query{}, func(n *Forwarder) { n.HandleStatus(0, Status{FreeShare: 1, Shedding: true}, 0, 9*ms) }, 10 * ms, false},
+		"it did, but has answered since": {Query{}, func(n *Forwarder) { n.HandleStatus(0, Status{Shedding: true}, 0, 5*ms); n.peers[0].good = 8 * ms }, 10 * ms, true},
+		"no room there":                  {Query{}, func(n *Forwarder) { n.HandleStatus(0, Status{}, 0, 9*ms) }, 10 * ms, false},
+		"it stops, whatever it answered": {Query{}, func(n *Forwarder) {
+			n.HandleStatus(0, Status{FreeShare: 1, Draining: true}, 0, 5*ms)
+			n.peers[0].good = 8 * ms
+		}, 10 * ms, false},
+		"it refused ours, whatever it says": {Query{}, func(n *Forwarder) { n.peers[0].until = 50 * ms }, 10 * ms, false},
+		"it lacks a shard":                  {Query{Shards: []int{3, 4}}, func(n *Forwarder) { n.HandleStatus(0, Status{FreeShare: 1, UnavailableShards: []int{4}}, 0, 9*ms) }, 10 * ms, false},
+		"it lacks another":                  {Query{Shards: []int{3}}, func(n *Forwarder) { n.HandleStatus(0, Status{FreeShare: 1, UnavailableShards: []int{4}}, 0, 9*ms) }, 10 * ms, true},
+		"its answers take longer than that": {Query{}, func(n *Forwarder) { n.peers[0].took = 2 * time.Second }, 10 * ms, false},
 	} {
 		n := near(1)
 		c.with(n)
-		n.Acts()
+		n.DrainActions()
 		c.s.ID = 9
-		if c.s.Due == 0 {
-			c.s.Due = due
+		if c.s.Deadline == 0 {
+			c.s.Deadline = due
 		}
 		if got := n.Offer(c.s, c.at); got != c.want {
 			t.Errorf("%s: %v", what, got)
 		} else if got {
-			if a := n.Acts(); len(a) != 1 || a[0].Kind != Forward || a[0].Left > c.s.Due-c.at-policy.Speak {
+			if a := n.DrainActions(); len(a) != 1 || a[0].Kind != Forward || a[0].TimeLeft > c.s.Deadline-c.at-policy.AnswerReserve {
 				t.Errorf("%s: %+v", what, a)
 			}
 		}
@@ -92,12 +95,12 @@
 	now, last := 10*ms, time.Duration(0)
 	for id := uint64(1); id <= 8; id++ {
 		n.tokens = 2
-		n.Heard(0, Status{Room: 1}, 0, now)
-		if !n.Offer(Search{ID: id, Due: now + time.Second}, now) {
+		n.HandleStatus(0, Status{FreeShare: 1}, 0, now)
+		if !n.Offer(Query{ID: id, Deadline: now + time.Second}, now) {
 			t.Fatalf("search %d at %v not forwarded", id, now)
 		}
-		n.Back(0, id, Refused, now)
-		if got := kinds(n.Acts()); !slices.Equal(got, []Kind{Forward, Shed}) {
+		n.HandleResult(0, id, Rejected, now)
+		if got := kinds(n.DrainActions()); !slices.Equal(got, []ActionKind{Forward, Shed}) {
 			t.Fatalf("acts %v", got)
 		}
 		shut := n.peers[0].until - now
@@ -107,10 +110,10 @@
 		last = shut
 		now += shut
 	}
-	n.Heard(0, Status{Room: 1}, 0, now)
+	n.HandleStatus(0, Status{FreeShare: 1}, 0, now)
 	n.tokens = 2
-	n.Offer(Search{ID: 100, Due: now + time.Second}, now)
-	if !n.Back(0, 100, Answered, now+10*ms) || n.peers[0].penalty != 0 {
+	n.Offer(Query{ID: 100, Deadline: now + time.Second}, now)
+	if !n.HandleResult(0, 100, Answered, now+10*ms) || n.peers[0].penalty != 0 {
 		t.Error("an answer does not open it")
 	}
 }
@@ -120,52 +123,52 @@
 	for what, c := range map[string]struct {
 		effect decision.Idempotency
 		unsent bool
-		then   func(n *Near)
-		want   []Kind
+		then   func(n *Forwarder)
+		want   []ActionKind
 		risk   bool
 	}{
-		"idempotent":                             {decision.Idempotent, false, func(*Near) {}, []Kind{Home}, false},
-		"never sent, without effect twice":       {decision.NonIdempotent, true, func(*Near) {}, []Kind{Home}, false},
-		"non-idempotent, the link stays away":    {decision.NonIdempotent, false, func(n *Near) { n.Tick(500 * ms) }, []Kind{Fail}, false},
-		"non-idempotent, the same process":       {decision.NonIdempotent, false, func(n *Near) { n.Up(0, 1, 10, 300*ms) }, []Kind{Forward}, false},
-		"non-idempotent, another process":        {decision.NonIdempotent, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Fail}, false},
-		"tokened, another process in its window": {decision.IdempotencyKeyed, false, func(n *Near) { n.Up(0, 2, 10, 300*ms) }, []Kind{Home}, true},
-		"tokened, past its window":               {decision.IdempotencyKeyed, false, func(n *Near) { n.peers[0].up = false; n.trips[9].Window = 100 * ms; n.Tick(500 * ms) }, []Kind{Fail}, false},
-		"its client goes":                        {decision.NonIdempotent, false, func(n *Near) { n.Gone(9); n.Up(0, 1, 10, 300*ms) }, nil, false},
+		"idempotent":                             {decision.Idempotent, false, func(*Forwarder) {}, []ActionKind{Resubmit}, false},
+		"never sent, without effect twice":       {decision.NonIdempotent, true, func(*Forwarder) {}, []ActionKind{Resubmit}, false},
+		"non-idempotent, the link stays away":    {decision.NonIdempotent, false, func(n *Forwarder) { n.Tick(500 * ms) }, []ActionKind{Fail}, false},
+		"non-idempotent, the same process":       {decision.NonIdempotent, false, func(n *Forwarder) { n.LinkUp(0, 1, 10, 300*ms) }, []ActionKind{Forward}, false},
+		"non-idempotent, another process":        {decision.NonIdempotent, false, func(n *Forwarder) { n.LinkUp(0, 2, 10, 300*ms) }, []ActionKind{Fail}, false},
+		"tokened, another process in its window": {decision.IdempotencyKeyed, false, func(n *Forwarder) { n.LinkUp(0, 2, 10, 300*ms) }, []ActionKind{Resubmit}, true},
+		"tokened, past its window":               {decision.IdempotencyKeyed, false, func(n *Forwarder) { n.peers[0].up = false; n.trips[9].IdempotencyWindow = 100 * ms; n.Tick(500 * ms) }, []ActionKind{Fail}, false},
+		"its client goes":                        {decision.NonIdempotent, false, func(n *Forwarder) { n.Abandon(9); n.LinkUp(0, 1, 10, 300*ms) }, nil, false},
 	} {
 		n := near(1)
-		n.Offer(Search{ID: 9, Effect: c.effect, Window: 800 * ms, Due: 2 * time.Second}, 10*ms)
-		n.Acts()
+		n.Offer(Query{ID: 9, Idempotency: c.effect, IdempotencyWindow: 800 * ms, Deadline: 2 * time.Second}, 10*ms)
+		n.DrainActions()
 		var unsent []uint64
 		if c.unsent {
 			unsent = []uint64{9}
 		}
-		n.Down(0, unsent, 100*ms)
+		n.LinkDown(0, unsent, 100*ms)
 		c.then(n)
-		acts := n.Acts()
+		acts := n.DrainActions()
 		if got := kinds(acts); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, not %v", what, got, c.want)
-		} else if len(acts) > 0 && (acts[0].Risk != c.risk || acts[0].Kind == Forward != acts[0].Again) {
+		} else if len(acts) > 0 && (acts[0].MayHaveRun != c.risk || acts[0].Kind == Forward != acts[0].Resent) {
 			t.Errorf("%s: %+v", what, acts[0])
 		}
-		if c.risk && acts[0].Left > 800*ms-290*ms {
-			t.Errorf("%s: %v left, past its window", what, acts[0].Left)
+		if c.risk && acts[0].TimeLeft > 800*ms-290*ms {
+			t.Errorf("%s: %v left, past its window", what, acts[0].TimeLeft)
 		}
 	}
 }
 
 // Whoever waits too long is told while there is time to speak.
 func TestGivenUpInTime(t *testing.T) {
-	for effect, want := range map[decision.Idempotency]Kind{decision.Idempotent: Shed, decision.IdempotencyKeyed: Fail, decision.NonIdempotent: Fail} {
+	for effect, want := range map[decision.Idempotency]ActionKind{decision.Idempotent: Shed, decision.IdempotencyKeyed: Fail, decision.NonIdempotent: Fail} {
 		n := near(1)
-		n.Offer(Search{ID: 9, Effect: effect, Due: time.Second}, 10*ms)
-		n.Acts()
+		n.Offer(Query{ID: 9, Idempotency: effect, Deadline: time.Second}, 10*ms)
+		n.DrainActions()
 		next := n.Tick(20 * ms)
 		if next != 950*ms {
 			t.Fatalf("comes again at %v", next)
 		}
 		n.Tick(next)
-		if got := kinds(n.Acts()); !slices.Equal(got, []Kind{Cancel, want}) {
+		if got := kinds(n.DrainActions()); !slices.Equal(got, []ActionKind{Cancel, want}) {
 			t.Errorf("effect %d: %v", effect, got)
 		}
 	}
--- a/internal/decision/forwarding/golden_test.go
+++ b/internal/decision/forwarding/golden_test.go
@@ -26,12 +26,12 @@
 	rnd     *rand.Rand
 	digest  hash.Hash64
 	now     time.Duration
-	near    *Near
-	far     *Far
+	near    *Forwarder
+	far     *Receiver
 	last    uint64
 	serials uint64
 	losses  uint64
-	where   map[uint64]Peer
+	where   map[uint64]LinkIndex
 	course  course
 }
 
@@ -69,19 +69,19 @@
 
 func (p *player) offer() {
 	p.last++
-	s := Search{
-		ID:     p.last,
-		Effect: decision.Idempotency(p.rnd.IntN(3)),
-		Window: p.span(900 * time.Millisecond),
-		Due:    p.now + p.span(1500*time.Millisecond),
-		Shards: p.shards(),
+	s := Query{
+		ID:                p.last,
+		Idempotency:       decision.Idempotency(p.rnd.IntN(3)),
+		IdempotencyWindow: p.span(900 * time.Millisecond),
+		Deadline:          p.now + p.span(1500*time.Millisecond),
+		Shards:            p.shards(),
 	}
-	s.Foreign = p.chance(20)
-	s.Home = p.chance(20)
+	s.Remote = p.chance(20)
+	s.Returned = p.chance(20)
 	p.number(p.near.Offer(s, p.now))
 }
 
-func (p *player) link(at Peer) {
+func (p *player) link(at LinkIndex) {
 	what := p.rnd.IntN(6)
 	if p.course == refusedCourse && what < 3 && !p.chance(20) {
 		what = 3
@@ -95,36 +95,36 @@
 				unsent = append(unsent, id)
 			}
 		}
-		p.near.Down(at, unsent, p.now)
+		p.near.LinkDown(at, unsent, p.now)
 	case 1, 2:
 		epoch := uint64(1)
 		if p.course == mixedCourse {
 			epoch += uint64(p.rnd.IntN(2))
 		}
-		p.near.Up(at, epoch, 1+p.rnd.IntN(6), p.now)
+		p.near.LinkUp(at, epoch, 1+p.rnd.IntN(6), p.now)
 	default:
-		status := Status{Room: float64(p.rnd.IntN(5)) / 4, Refusing: p.chance(8), Stopping: p.chance(12)}
+		status := Status{FreeShare: float64(p.rnd.IntN(5)) / 4, Shedding: p.chance(8), Draining: p.chance(12)}
 		if p.chance(3) {
-			status.Lacking = p.shards()
+			status.UnavailableShards = p.shards()
 		}
-		p.near.Heard(at, status, p.span(60*time.Millisecond), p.now)
+		p.near.HandleStatus(at, status, p.span(60*time.Millisecond), p.now)
 	}
 }
 
 func (p *player) drain() {
-	for _, a := range p.near.Acts() {
-		p.number(a.Kind, a.ID, int(a.Peer), int64(a.Left), a.Again, a.Risk, strings.Contains(a.Text, "again"))
+	for _, a := range p.near.DrainActions() {
+		p.number(a.Kind, a.ID, int(a.Link), int64(a.TimeLeft), a.Resent, a.MayHaveRun, strings.Contains(a.Text, "again"))
 		if a.Kind == Forward {
-			p.where[a.ID] = a.Peer
+			p.where[a.ID] = a.Link
 		}
 	}
 }
 
 func (p *player) receive(origin Origin) {
 	k := Key{Origin: origin, ID: uint64(p.rnd.IntN(40))}
-	load := Load{Places: 10 + p.rnd.IntN(30), Taken: p.rnd.IntN(25), Stopping: p.chance(20), Lacking: p.chance(20)}
+	load := Load{Capacity: 10 + p.rnd.IntN(30), Used: p.rnd.IntN(25), Draining: p.chance(20), ShardUnavailable: p.chance(20)}
 	link := p.serials - min(p.serials, uint64(p.rnd.IntN(4)))
-	ruling := p.far.Arrive(k, link, decision.Idempotency(p.rnd.IntN(3)), p.rnd.IntN(4), p.span(800*time.Millisecond), load, p.now)
+	ruling := p.far.HandleQuery(k, link, decision.Idempotency(p.rnd.IntN(3)), p.rnd.IntN(4), p.span(800*time.Millisecond), load, p.now)
 	p.number(uint8(ruling))
 }
 
@@ -134,20 +134,20 @@
 	switch p.rnd.IntN(24) {
 	case 0:
 		p.serials++
-		p.far.Opened(origin, p.serials-min(p.serials, uint64(p.rnd.IntN(5))))
+		p.far.LinkOpened(origin, p.serials-min(p.serials, uint64(p.rnd.IntN(5))))
 	case 1:
-		p.far.Closed(origin, p.serials-min(p.serials, uint64(p.rnd.IntN(3))), p.now)
+		p.far.LinkClosed(origin, p.serials-min(p.serials, uint64(p.rnd.IntN(3))), p.now)
 	case 2:
-		p.far.Shed(p.now)
+		p.far.QueryShed(p.now)
 	case 3, 4:
-		p.number(p.far.Cut(k))
+		p.number(p.far.CancelledByLinkLoss(k))
 	case 5, 6:
 		p.number(p.far.Cancel(k))
 	case 7, 8, 9, 10, 11:
-		p.number(p.far.Ended(k))
+		p.number(p.far.QueryEnded(k))
 	case 12:
 		var sum uint64
-		gone := p.far.Forget(p.now)
+		gone := p.far.ForgetExpired(p.now)
 		for _, g := range gone {
 			sum += g.ID*7 + g.Origin.Epoch + uint64(len(g.Origin.Name))
 		}
@@ -155,13 +155,13 @@
 	default:
 		p.receive(origin)
 	}
-	p.number(p.far.Room(20), p.far.Refusing(p.now))
-	c := p.far.Counts
-	p.number(c.Came, c.Ran, c.TurnedAway, c.Joined, c.Repeated, c.CalledOff, c.InHand, c.Remembered)
+	p.number(p.far.FreeShare(20), p.far.Shedding(p.now))
+	c := p.far.Counters
+	p.number(c.Received, c.Admitted, c.Rejected, c.Joined, c.Repeated, c.Cancelled, c.InFlight, c.Remembered)
 }
 
 func (p *player) nearStep() {
-	at := Peer(p.rnd.IntN(goldenLinks))
+	at := LinkIndex(p.rnd.IntN(goldenLinks))
 	switch p.rnd.IntN(16) {
 	case 0, 1, 2, 3, 4:
 		p.offer()
@@ -170,41 +170,41 @@
 		if peer, known := p.where[id]; known && !p.chance(6) {
 			at = peer
 		}
-		outcome := Ended(p.rnd.IntN(3))
+		outcome := Outcome(p.rnd.IntN(3))
 		if p.course == refusedCourse && !p.chance(15) {
-			outcome = Refused
+			outcome = Rejected
 		}
 		if p.course != flappingCourse || p.chance(3) {
-			p.number(p.near.Back(at, id, outcome, p.now))
+			p.number(p.near.HandleResult(at, id, outcome, p.now))
 		} else {
 			p.link(at)
 		}
 	case 8:
-		p.near.Gone(p.some())
+		p.near.Abandon(p.some())
 	case 9, 10, 11:
 		p.link(at)
 	case 12, 13:
-		p.near.Taken()
+		p.near.QueryAccepted()
 	default:
 		p.number(int64(p.near.Tick(p.now)))
 	}
 	p.drain()
-	c := p.near.Counts
-	p.number(c.Forwarded, c.Answered, c.RefusedThere, c.FailedThere, c.Lost, c.Resumed, c.BroughtHome, c.GivenUp, c.NoBudget, c.NoPeer,
-		c.NoTime, c.Abroad)
-	for _, s := range p.near.State(p.now) {
-		p.number(s.Name, s.Up, s.Usable, s.Stopping, s.Abroad, s.Credit, int64(s.RoundTrip), int64(s.Took), s.Room, s.Refusing,
-			int64(s.HeardAgo), int64(s.ShutFor))
+	c := p.near.Counters
+	p.number(c.Forwarded, c.Answered, c.Rejected, c.Failed, c.LinkLost, c.Resent, c.Returned, c.TimedOut, c.NoBudget, c.NoLink,
+		c.NoTime, c.InFlight)
+	for _, s := range p.near.Snapshot(p.now) {
+		p.number(s.Name, s.Up, s.Usable, s.Draining, s.InFlight, s.Credit, int64(s.RoundTrip), int64(s.AnswerTime), s.FreeShare, s.Shedding,
+			int64(s.StatusAge), int64(s.BackoffLeft))
 	}
 }
 
 func playSequence(seed uint64) uint64 {
-	settings := Policy{Share: 0.4, Burst: 8, MostAbroad: 12, LeastLeft: 50 * time.Millisecond, Speak: 40 * time.Millisecond,
-		Resume: 300 * time.Millisecond, Accept: 0.5, MostRemember: 14}
-	p := &player{rnd: rand.New(rand.NewPCG(seed, 22)), digest: fnv.New64a(), now: time.Second, where: map[uint64]Peer{},
+	settings := Policy{ForwardShare: 0.4, Burst: 8, MaxForwarded: 12, MinTimeLeft: 50 * time.Millisecond, AnswerReserve: 40 * time.Millisecond,
+		ResumeTimeout: 300 * time.Millisecond, RemoteShare: 0.5, MaxRemembered: 14}
+	p := &player{rnd: rand.New(rand.NewPCG(seed, 22)), digest: fnv.New64a(), now: time.Second, where: map[uint64]LinkIndex{},
 		course: course(seed) % courses}
-	p.near = NewNear(settings, []string{"far0", "far1", "far2"})
-	p.far = NewFar(settings)
+	p.near = NewForwarder(settings, []string{"far0", "far1", "far2"})
+	p.far = NewReceiver(settings)
 	for range 500 {
 		p.now += p.span(40 * time.Millisecond)
 		if p.chance(80) {
--- a/internal/decision/forwarding/model_test.go
+++ b/internal/decision/forwarding/model_test.go
@@ -17,8 +17,8 @@
 type model struct {
 	variant string
 	effect  decision.Idempotency
-	near    *Near
-	far     *Far
+	near    *Forwarder
+	far     *Receiver
 	now     time.Duration
 	epoch   uint64
 	conn    uint64 // the newest link; 0: none yet
@@ -51,11 +51,11 @@
 
 const search = 7
 
-var modelPolicy = Policy{Share: 0.1, Burst: 5, MostAbroad: 10, LeastLeft: 20 * time.Millisecond, Speak: 50 * time.Millisecond,
-	Resume: 200 * time.Millisecond, Accept: 0.5, MostRemember: 4}
+var modelPolicy = Policy{ForwardShare: 0.1, Burst: 5, MaxForwarded: 10, MinTimeLeft: 20 * time.Millisecond, AnswerReserve: 50 * time.Millisecond,
+	ResumeTimeout: 200 * time.Millisecond, RemoteShare: 0.5, MaxRemembered: 4}
 
 func newModel(variant string, effect decision.Idempotency) *model {
-	m := &model{variant: variant, effect: effect, near: NewNear(modelPolicy, []string{"far"}), far: NewFar(modelPolicy),
+	m := &model{variant: variant, effect: effect, near: NewForwarder(modelPolicy, []string{"far"}), far: NewReceiver(modelPolicy),
 		epoch: 1, toFar: map[uint64][]msg{}}
 	return m
 }
@@ -95,14 +95,14 @@
 
 // acts carries out what the near side decided.
 func (m *model) acts() {
-	for _, a := range m.near.Acts() {
+	for _, a := range m.near.DrainActions() {
 		switch a.Kind {
 		case Forward:
-			m.outbox = append(m.outbox, msg{"ask", a.Again})
+			m.outbox = append(m.outbox, msg{"ask", a.Resent})
 		case Cancel:
 			m.outbox = append(m.outbox, msg{"cancel", false})
-		case Home:
-			m.home, m.risk = true, a.Risk
+		case Resubmit:
+			m.home, m.risk = true, a.MayHaveRun
 		case Shed:
 			m.end("shed")
 		case Fail:
@@ -123,7 +123,7 @@
 // farEnds is the far module's verdict.
 func (m *model) farEnds(v msg) {
 	m.farRuns = false
-	if m.far.Ended(Key{m.origin(), search}) {
+	if m.far.QueryEnded(Key{m.origin(), search}) {
 		m.verdict = &v
 	}
 	m.farSays(v)
@@ -142,19 +142,19 @@
 		delete(m.far.known, k)
 	}
 	if full {
-		m.far.Shed(m.now)
+		m.far.QueryShed(m.now)
 	} else {
 		m.far.shed = 0
 	}
-	switch m.far.Arrive(k, conn, m.effect, 1, time.Second, Load{Places: 100}, m.now) {
-	case Run:
+	switch m.far.HandleQuery(k, conn, m.effect, 1, time.Second, Load{Capacity: 100}, m.now) {
+	case Admit:
 		if m.farRuns {
 			m.fault("rule 2: it is run a second time while it runs")
 		}
 		m.farRuns, m.farRan = true, false
-	case Turn:
+	case Reject:
 		m.farSays(msg{what: "refused"})
-	case Repeat:
+	case AlreadyEnded:
 		if m.verdict != nil {
 			m.farSays(*m.verdict)
 		}
--- a/internal/decision/forwarding/near.go
+++ b/internal/decision/forwarding/near.go
@@ -17,15 +17,15 @@
 
 // Policy holds what operators may set.
 type Policy struct {
-	Share      float64       // searches forwarded, as a share of those taken
-	Burst      float64       // saved up at most
-	MostAbroad int           // at once, over all links
-	LeastLeft  time.Duration // a search with less time left is not forwarded
-	Speak      time.Duration // kept of a client's time for the answer of the near side
-	Resume     time.Duration // how long a lost search waits for its link to come back
-
-	Accept       float64 // at the far side: places that foreign searches may take, as a share of all
-	MostRemember int     // foreign searches remembered at once
+	ForwardShare  float64       // searches forwarded, as a share of those taken
+	Burst         float64       // saved up at most
+	MaxForwarded  int           // at once, over all links
+	MinTimeLeft   time.Duration // a search with less time left is not forwarded
+	AnswerReserve time.Duration // kept of a client's time for the answer of the near side
+	ResumeTimeout time.Duration // how long a lost search waits for its link to come back
+
+	RemoteShare   float64 // at the far side: places that foreign searches may take, as a share of all
+	MaxRemembered int     // foreign searches remembered at once
 }
 
 const (
@@ -36,58 +36,58 @@
 	smooth      = 0.2 // weight of one answer in the time that a link's answers take
 )
 
-// Peer numbers a link to a broker of another site.
-type Peer int
+// LinkIndex numbers a link to a broker of another site.
+type LinkIndex int
 
 // Status is what the other side says of itself: hearsay, dated when it came.
 type Status struct {
-	Room     float64 // share of the places for foreign searches that is free
-	Refusing bool    // it turns its own searches away
-	Stopping bool    // a planned stop: nothing new
-	Lacking  []int   // shards of which it has no sound holder
+	FreeShare         float64 // share of the places for foreign searches that is free
+	Shedding          bool    // it turns its own searches away
+	Draining          bool    // a planned stop: nothing new
+	UnavailableShards []int   // shards of which it has no sound holder
 }
 
-// Search is what routes know of one.
-type Search struct {
-	ID      uint64 // unique while this broker runs
-	Effect  decision.Idempotency
-	Window  time.Duration // tokened: how long repeats are dropped
-	Due     time.Duration // when its client gives up
-	Shards  []int
-	Foreign bool // it came from another site
-	Home    bool // it was brought back once
+// Query is what routes know of one.
+type Query struct {
+	ID                uint64 // unique while this broker runs
+	Idempotency       decision.Idempotency
+	IdempotencyWindow time.Duration // tokened: how long repeats are dropped
+	Deadline          time.Duration // when its client gives up
+	Shards            []int
+	Remote            bool // it came from another site
+	Returned          bool // it was brought back once
 }
 
-// Kind tells what is to be done.
-type Kind uint8
+// ActionKind tells what is to be done.
+type ActionKind uint8
 
 const (
-	Forward Kind = iota + 1 // ID, Peer, Left, Again
-	Cancel                  // ID, Peer: the far side may stop
-	Home                    // ID, Left, Risk: serve it here, in the time that is left
-	Shed                    // ID: final
-	Fail                    // ID: final
-	Log                     // Text: a change of mode
+	Forward  ActionKind = iota + 1 // ID, Peer, Left, Again
+	Cancel                         // ID, Peer: the far side may stop
+	Resubmit                       // ID, Left, Risk: serve it here, in the time that is left
+	Shed                           // ID: final
+	Fail                           // ID: final
+	Log                            // Text: a change of mode
 )
 
-// Act is one thing to do.
-type Act struct {
-	Kind  Kind
-	ID    uint64
-	Peer  Peer
-	Left  time.Duration
-	Again bool // it may have come there before
-	Risk  bool // it may have run: it must not be shed here either, unless it is idempotent
-	Text  string
+// Action is one thing to do.
+type Action struct {
+	Kind       ActionKind
+	ID         uint64
+	Link       LinkIndex
+	TimeLeft   time.Duration
+	Resent     bool // it may have come there before
+	MayHaveRun bool // it may have run: it must not be shed here either, unless it is idempotent
+	Text       string
 }
 
-// Ended tells how a forwarded search came back.
-type Ended uint8
+// Outcome tells how a forwarded search came back.
+type Outcome uint8
 
 const (
-	Answered Ended = iota
-	Refused        // by the far side: nothing of it has run, or it may be asked again
-	Failed         // it may have run
+	Answered Outcome = iota
+	Rejected         // by the far side: nothing of it has run, or it may be asked again
+	Failed           // it may have run
 )
 
 // stage is where a forwarded search is.
@@ -100,8 +100,8 @@
 
 // trip is one search abroad.
 type trip struct {
-	Search
-	peer  Peer
+	Query
+	peer  LinkIndex
 	epoch uint64 // of the far process
 	stage stage
 	sent  time.Duration // when it was first forwarded
@@ -126,41 +126,41 @@
 	closed  bool          // logged as not taking anything
 }
 
-// Near decides at the side that a client asked.
-type Near struct {
-	policy Policy
-	peers  []peer
-	trips  map[uint64]*trip
-	tokens float64
-	acts   []Act
-	Counts NearCounts
+// Forwarder decides at the side that a client asked.
+type Forwarder struct {
+	policy   Policy
+	peers    []peer
+	trips    map[uint64]*trip
+	tokens   float64
+	acts     []Action
+	Counters ForwarderCounters
 }
 
-// NearCounts are what operators see.
-type NearCounts struct {
-	Forwarded, Answered, RefusedThere, FailedThere uint64
-	Lost, Resumed, BroughtHome, GivenUp            uint64 // of those whose link ended, or whose time did
-	NoBudget, NoPeer, NoTime                       uint64 // shed here, as they could not be forwarded
-	Abroad                                         int    // now
+// ForwarderCounters are what operators see.
+type ForwarderCounters struct {
+	Forwarded, Answered, Rejected, Failed uint64
+	LinkLost, Resent, Returned, TimedOut  uint64 // of those whose link ended, or whose time did
+	NoBudget, NoLink, NoTime              uint64 // shed here, as they could not be forwarded
+	InFlight                              int    // now
 }
 
-// NewNear makes the near side of some links, which are down.
-func NewNear(p Policy, names []string) *Near {
-	n := &Near{policy: p, trips: map[uint64]*trip{}, tokens: p.Burst}
+// NewForwarder makes the near side of some links, which are down.
+func NewForwarder(p Policy, names []string) *Forwarder {
+	n := &Forwarder{policy: p, trips: map[uint64]*trip{}, tokens: p.Burst}
 	for _, name := range names {
 		n.peers = append(n.peers, peer{name: name})
 	}
 	return n
 }
 
-func (n *Near) act(a Act) { n.acts = append(n.acts, a) }
+func (n *Forwarder) act(a Action) { n.acts = append(n.acts, a) }
 
-// Acts hands over what is to be done since the last call, in its order.
-func (n *Near) Acts() []Act {
+// DrainActions hands over what is to be done since the last call, in its order.
+func (n *Forwarder) DrainActions() []Action {
 	acts := n.acts
 	n.acts = nil
 	return acts
 }
 
-// Taken counts a search of the own site; each earns a share of a forward.
-func (n *Near) Taken() { n.tokens = min(n.policy.Burst, n.tokens+n.policy.Share) }
+// QueryAccepted counts a search of the own site; each earns a share of a forward.
+func (n *Forwarder) QueryAccepted() { n.tokens = min(n.policy.Burst, n.tokens+n.policy.ForwardShare) }
--- a/internal/decision/forwarding/neartime.go
+++ b/internal/decision/forwarding/neartime.go
@@ -11,7 +11,7 @@
 )
 
 // Tick ends what has run out of time, and tells when to come again.
-func (n *Near) Tick(now time.Duration) (next time.Duration) {
+func (n *Forwarder) Tick(now time.Duration) (next time.Duration) {
 	next = 1<<63 - 1
 	for _, t := range n.ordered(func(t *trip) bool {
 		at := n.due(t)
@@ -20,13 +20,13 @@
 		}
 		return at <= now
 	}) {
-		if t.stage == lost && now < t.Due-n.policy.Speak {
+		if t.stage == lost && now < t.Deadline-n.policy.AnswerReserve {
 			n.settle(t, now) // its link has not come back in time
 			continue
 		}
-		n.Counts.GivenUp++
+		n.Counters.TimedOut++
 		n.cancel(t)
-		if t.Effect == decision.Idempotent && now < t.Due {
+		if t.Idempotency == decision.Idempotent && now < t.Deadline {
 			n.end(t, Shed)
 		} else {
 			n.end(t, Fail)
@@ -36,8 +36,8 @@
 }
 
 // due is when something must be decided on a trip whatever comes.
-func (n *Near) due(t *trip) time.Duration {
-	last := t.Due - n.policy.Speak
+func (n *Forwarder) due(t *trip) time.Duration {
+	last := t.Deadline - n.policy.AnswerReserve
 	if t.stage == lost {
 		return min(last, t.until)
 	}
@@ -45,7 +45,7 @@
 }
 
 // ordered lists trips by id, as chance must have no part in it.
-func (n *Near) ordered(which func(*trip) bool) (of []*trip) {
+func (n *Forwarder) ordered(which func(*trip) bool) (of []*trip) {
 	for _, t := range n.trips {
 		if which(t) {
 			of = append(of, t)
@@ -55,27 +55,27 @@
 	return of
 }
 
-// PeerState is one link for operators.
-type PeerState struct {
-	Name              string
-	Up, Usable        bool
-	Stopping          bool
-	Abroad, Credit    int
-	RoundTrip, Took   time.Duration
-	Room              float64
-	Refusing          bool
-	HeardAgo, ShutFor time.Duration // -1: never heard
+// LinkSnapshot is one link for operators.
+type LinkSnapshot struct {
+	Name                   string
+	Up, Usable             bool
+	Draining               bool
+	InFlight, Credit       int
+	RoundTrip, AnswerTime  time.Duration
+	FreeShare              float64
+	Shedding               bool
+	StatusAge, BackoffLeft time.Duration // -1: never heard
 }
 
-// State tells of all links.
-func (n *Near) State(now time.Duration) (all []PeerState) {
+// Snapshot tells of all links.
+func (n *Forwarder) Snapshot(now time.Duration) (all []LinkSnapshot) {
 	for i := range n.peers {
 		p := &n.peers[i]
-		s := PeerState{Name: p.name, Up: p.up, Usable: n.usable(p, now), Stopping: p.status.Stopping, Abroad: p.abroad,
-			Credit: p.credit, RoundTrip: p.rtt, Took: p.took, Room: p.status.Room, Refusing: p.status.Refusing,
-			HeardAgo: -1, ShutFor: max(0, p.until-now)}
+		s := LinkSnapshot{Name: p.name, Up: p.up, Usable: n.usable(p, now), Draining: p.status.Draining, InFlight: p.abroad,
+			Credit: p.credit, RoundTrip: p.rtt, AnswerTime: p.took, FreeShare: p.status.FreeShare, Shedding: p.status.Shedding,
+			StatusAge: -1, BackoffLeft: max(0, p.until-now)}
 		if p.heard > 0 {
-			s.HeardAgo = now - p.heard
+			s.StatusAge = now - p.heard
 		}
 		all = append(all, s)
 	}
--- a/internal/decision/forwarding/random_test.go
+++ b/internal/decision/forwarding/random_test.go
@@ -17,45 +17,45 @@
 	for what, c := range map[string]struct {
 		load Load
 		left time.Duration
-		want Ruling
+		want Admission
 	}{
-		"room":                     {Load{Places: 100}, time.Second, Run},
-		"it stops":                 {Load{Places: 100, Stopping: true}, time.Second, Turn},
-		"it lacks a shard":         {Load{Places: 100, Lacking: true}, time.Second, Turn},
-		"its own take the places":  {Load{Places: 100, Taken: 98}, time.Second, Turn},
-		"foreign ones have theirs": {Load{Places: 4}, time.Second, Turn},
-		"too little time":          {Load{Places: 100}, 10 * ms, Turn},
+		"room":                     {Load{Capacity: 100}, time.Second, Admit},
+		"it stops":                 {Load{Capacity: 100, Draining: true}, time.Second, Reject},
+		"it lacks a shard":         {Load{Capacity: 100, ShardUnavailable: true}, time.Second, Reject},
+		"its own take the places":  {Load{Capacity: 100, Used: 98}, time.Second, Reject},
+		"foreign ones have theirs": {Load{Capacity: 4}, time.Second, Reject},
+		"too little time":          {Load{Capacity: 100}, 10 * ms, Reject},
 	} {
-		if got := NewFar(policy).Arrive(key(1), 1, decision.Idempotent, 2, c.left, c.load, 0); got != c.want {
+		if got := NewReceiver(policy).HandleQuery(key(1), 1, decision.Idempotent, 2, c.left, c.load, 0); got != c.want {
 			t.Errorf("%s: %v", what, got)
 		}
 	}
-	busy := NewFar(policy)
-	busy.Shed(10 * ms)
-	if busy.Arrive(key(1), 1, decision.Idempotent, 2, time.Second, Load{Places: 100}, 500*ms) != Turn ||
-		busy.Arrive(key(1), 1, decision.Idempotent, 2, time.Second, Load{Places: 100}, 600*ms) != Run {
+	busy := NewReceiver(policy)
+	busy.QueryShed(10 * ms)
+	if busy.HandleQuery(key(1), 1, decision.Idempotent, 2, time.Second, Load{Capacity: 100}, 500*ms) != Reject ||
+		busy.HandleQuery(key(1), 1, decision.Idempotent, 2, time.Second, Load{Capacity: 100}, 600*ms) != Admit {
 		t.Error("its own searches do not come first, or for too long")
 	}
-	f := NewFar(policy)
-	roomy := Load{Places: 1000}
-	for id := range uint64(policy.MostRemember) {
-		f.Arrive(key(id), 1, decision.NonIdempotent, 1, time.Second, roomy, 0)
+	f := NewReceiver(policy)
+	roomy := Load{Capacity: 1000}
+	for id := range uint64(policy.MaxRemembered) {
+		f.HandleQuery(key(id), 1, decision.NonIdempotent, 1, time.Second, roomy, 0)
 	}
-	if got := f.Arrive(key(99), 1, decision.NonIdempotent, 1, time.Second, roomy, 0); got != Turn || f.Room(1000) != 0 {
-		t.Errorf("beyond its memory: %v, room %v", got, f.Room(1000))
+	if got := f.HandleQuery(key(99), 1, decision.NonIdempotent, 1, time.Second, roomy, 0); got != Reject || f.FreeShare(1000) != 0 {
+		t.Errorf("beyond its memory: %v, room %v", got, f.FreeShare(1000))
 	}
-	if !f.Ended(key(3)) || f.Arrive(key(3), 1, decision.NonIdempotent, 1, time.Second, roomy, 0) != Repeat ||
-		f.Arrive(key(4), 1, decision.NonIdempotent, 1, time.Second, roomy, 0) != Join {
+	if !f.QueryEnded(key(3)) || f.HandleQuery(key(3), 1, decision.NonIdempotent, 1, time.Second, roomy, 0) != AlreadyEnded ||
+		f.HandleQuery(key(4), 1, decision.NonIdempotent, 1, time.Second, roomy, 0) != AlreadyRunning {
 		t.Error("not remembered")
 	}
-	if gone := f.Forget(time.Second); len(gone) != 0 {
+	if gone := f.ForgetExpired(time.Second); len(gone) != 0 {
 		t.Errorf("forgot %v while its near side may ask", gone)
 	}
-	if gone := f.Forget(time.Second + remember); len(gone) != 1 {
+	if gone := f.ForgetExpired(time.Second + remember); len(gone) != 1 {
 		t.Errorf("forgot %v", gone)
 	}
-	f.Opened(Origin{"a/n0", 1}, 7)
-	if got := f.Arrive(key(50), 6, decision.NonIdempotent, 1, time.Second, roomy, 0); got != Stale {
+	f.LinkOpened(Origin{"a/n0", 1}, 7)
+	if got := f.HandleQuery(key(50), 6, decision.NonIdempotent, 1, time.Second, roomy, 0); got != StaleLink {
 		t.Errorf("over an older link: %v", got)
 	}
 }
@@ -65,16 +65,16 @@
 func TestRandomTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := near(3)
-		n.policy.Burst, n.tokens, n.policy.MostAbroad = 1e9, 1e9, 1000
+		n.policy.Burst, n.tokens, n.policy.MaxForwarded = 1e9, 1e9, 1000
 		ends, due, gone := map[uint64]int{}, map[uint64]time.Duration{}, map[uint64]bool{}
 		now, id := 10*ms, uint64(0)
-		where := map[uint64]Peer{}
+		where := map[uint64]LinkIndex{}
 		take := func() {
-			for _, a := range n.Acts() {
+			for _, a := range n.DrainActions() {
 				switch a.Kind {
 				case Forward:
-					where[a.ID] = a.Peer
-				case Home, Shed, Fail:
+					where[a.ID] = a.Link
+				case Resubmit, Shed, Fail:
 					ends[a.ID]++
 					if now > due[a.ID] {
 						t.Fatalf("search %d ends at %v, due %v", a.ID, now, due[a.ID])
@@ -86,34 +86,34 @@
 			now = min(n.Tick(now), now+time.Duration(rapid.IntRange(0, 60).Draw(t, "ms"))*ms)
 			n.Tick(now)
 			take()
-			at := Peer(rapid.IntRange(0, 2).Draw(t, "link"))
+			at := LinkIndex(rapid.IntRange(0, 2).Draw(t, "link"))
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
 				id++
-				s := Search{ID: id, Effect: decision.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), Window: 300 * ms, Due: now + time.Second}
+				s := Query{ID: id, Idempotency: decision.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), IdempotencyWindow: 300 * ms, Deadline: now + time.Second}
 				if n.Offer(s, now) {
-					due[id] = s.Due
+					due[id] = s.Deadline
 				}
 			case 3:
 				if id > 0 {
 					k := 1 + uint64(rapid.IntRange(0, int(id)-1).Draw(t, "id"))
-					if n.Back(where[k], k, Ended(rapid.IntRange(0, 2).Draw(t, "how")), now) {
+					if n.HandleResult(where[k], k, Outcome(rapid.IntRange(0, 2).Draw(t, "how")), now) {
 						ends[k]++
 					}
 				}
 			case 4:
 				if n.peers[at].up {
-					n.Down(at, nil, now)
+					n.LinkDown(at, nil, now)
 				} else {
-					n.Up(at, uint64(rapid.IntRange(1, 2).Draw(t, "epoch")), 10, now)
+					n.LinkUp(at, uint64(rapid.IntRange(1, 2).Draw(t, "epoch")), 10, now)
 				}
 			case 5:
-				n.Heard(at, Status{Room: rapid.Float64Range(0, 1).Draw(t, "room")}, 20*ms, now)
+				n.HandleStatus(at, Status{FreeShare: rapid.Float64Range(0, 1).Draw(t, "room")}, 20*ms, now)
 			case 6:
 				if id > 0 {
 					k := 1 + uint64(rapid.IntRange(0, int(id)-1).Draw(t, "id"))
 					if n.trips[k] != nil {
-						n.Gone(k)
+						n.Abandon(k)
 						gone[k] = true
 					}
 				}
@@ -122,7 +122,7 @@
 			for i := range n.peers {
 				count := 0
 				for _, tr := range n.trips {
-					if tr.stage == out && tr.peer == Peer(i) {
+					if tr.stage == out && tr.peer == LinkIndex(i) {
 						count++
 					}
 				}
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -39,8 +39,8 @@
 // is received. A query that came from another site is never forwarded.
 type siteGateway struct {
 	loop            gatewayHost
-	outgoing        *forwarding.Near
-	incoming        *forwarding.Far
+	outgoing        *forwarding.Forwarder
+	incoming        *forwarding.Receiver
 	links           *link.Links
 	settings        *terms.Terms
 	conns           []*link.Conn            // established, by peer
@@ -62,8 +62,8 @@
 
 func newGateway(p forwarding.Policy, names []string, links *link.Links, t *terms.Terms, stopping func() bool) *siteGateway {
 	return &siteGateway{
-		outgoing:  forwarding.NewNear(p, names),
-		incoming:  forwarding.NewFar(p),
+		outgoing:  forwarding.NewForwarder(p, names),
+		incoming:  forwarding.NewReceiver(p),
 		links:     links,
 		settings:  t,
 		stopping:  stopping,
@@ -118,7 +118,7 @@
 				g.unhealthyShards = append(g.unhealthyShards, shard)
 			}
 		}
-		for _, k := range g.incoming.Forget(now) {
+		for _, k := range g.incoming.ForgetExpired(now) {
 			delete(g.remote, k)
 		}
 		g.links.Say(g.status(now), false)
@@ -129,7 +129,7 @@
 // queryAccepted counts a client's query, by which the share of forwarded ones is bounded.
 func (g *siteGateway) queryAccepted() {
 	if g != nil {
-		g.outgoing.Taken()
+		g.outgoing.QueryAccepted()
 	}
 }
 
@@ -140,8 +140,8 @@
 		return false
 	}
 	t := g.loop.typeOf(q.Request)
-	offered := forwarding.Search{ID: q.id, Effect: t.Idempotency, Window: t.IdempotencyWindow, Due: q.deadline,
-		Foreign: q.forwarding.remote, Home: q.forwarding.returned}
+	offered := forwarding.Query{ID: q.id, Idempotency: t.Idempotency, IdempotencyWindow: t.IdempotencyWindow, Deadline: q.deadline,
+		Remote: q.forwarding.remote, Returned: q.forwarding.returned}
 	lacking := false
 	for i := range q.Request.Shards {
 		shard := q.Request.Shards[i].Shard
@@ -149,7 +149,7 @@
 		lacking = lacking || slices.Contains(g.unhealthyShards, shard)
 	}
 	if !q.forwarding.remote && !lacking {
-		g.incoming.Shed(g.loop.since())
+		g.incoming.QueryShed(g.loop.since())
 	}
 	if !g.outgoing.Offer(offered, g.loop.since()) {
 		return false
@@ -164,31 +164,31 @@
 
 // abandon forgets a forwarded query that nobody waits for any more.
 func (g *siteGateway) abandon(q *activeQuery) {
-	g.outgoing.Gone(q.id)
+	g.outgoing.Abandon(q.id)
 	g.execute()
 	g.forget(q, q.id)
 }
 
 // execute carries out what the forwarding decisions ask for.
 func (g *siteGateway) execute() {
-	for acts := g.outgoing.Acts(); len(acts) > 0; acts = g.outgoing.Acts() {
+	for acts := g.outgoing.DrainActions(); len(acts) > 0; acts = g.outgoing.DrainActions() {
 		for _, a := range acts {
 			g.executeOne(g.forwarded[a.ID], a)
 		}
 	}
 }
 
-func (g *siteGateway) executeOne(q *activeQuery, a forwarding.Act) {
+func (g *siteGateway) executeOne(q *activeQuery, a forwarding.Action) {
 	switch a.Kind {
 	case forwarding.Forward:
-		if q == nil || g.conns[a.Peer] == nil || !g.conns[a.Peer].Ask(g.encode(q, a)) {
-			g.outgoing.Back(a.Peer, a.ID, forwarding.Refused, g.loop.since()) // it has not left
+		if q == nil || g.conns[a.Link] == nil || !g.conns[a.Link].Ask(g.encode(q, a)) {
+			g.outgoing.HandleResult(a.Link, a.ID, forwarding.Rejected, g.loop.since()) // it has not left
 		}
 	case forwarding.Cancel:
-		if c := g.conns[a.Peer]; c != nil {
+		if c := g.conns[a.Link]; c != nil {
 			c.Cancel(a.ID)
 		}
-	case forwarding.Home:
+	case forwarding.Resubmit:
 		g.resubmit(q, a)
 	case forwarding.Shed:
 		g.finish(q, a.ID, query.Result{Outcome: query.Shed, RetryAfter: max(q.forwarding.retryAfter, g.loop.retryAfterLimit())})
@@ -213,13 +213,13 @@
 }
 
 // resubmit submits a forwarded query to the router once more, as a new one with the time that is left.
-func (g *siteGateway) resubmit(q *activeQuery, a forwarding.Act) {
+func (g *siteGateway) resubmit(q *activeQuery, a forwarding.Action) {
 	delete(g.forwarded, a.ID)
 	q.forwarding.forwarded = false
 	q.forwarding.returned = true
-	q.forwarding.mayHaveRun = a.Risk
+	q.forwarding.mayHaveRun = a.MayHaveRun
 	if g.loop.hasCapacity(q) {
-		g.loop.submit(q, a.Left)
+		g.loop.submit(q, a.TimeLeft)
 		return
 	}
 	q.done = true
--- a/internal/server/gateway_state.go
+++ b/internal/server/gateway_state.go
@@ -10,21 +10,21 @@
 
 // GatewayState is what operators see of the gateway.
 type GatewayState struct {
-	Outgoing forwarding.NearCounts `json:"Near"`
-	Incoming forwarding.FarCounts  `json:"Far"`
-	Links    []forwarding.PeerState
+	Outgoing forwarding.ForwarderCounters `json:"Near"`
+	Incoming forwarding.ReceiverCounters  `json:"Far"`
+	Links    []forwarding.LinkSnapshot
 }
 
 func (g *siteGateway) report(c *QueryCounters) {
-	c.Gateway = &GatewayState{g.outgoing.Counts, g.incoming.Counts, g.outgoing.State(g.loop.since())}
+	c.Gateway = &GatewayState{g.outgoing.Counters, g.incoming.Counters, g.outgoing.Snapshot(g.loop.since())}
 }
 
 // status is what heartbeats tell other sites.
 func (g *siteGateway) status(now time.Duration) link.Status {
 	_, limit := g.loop.capacity()
 	return link.Status{
-		Room:     g.incoming.Room(limit),
-		Refusing: g.incoming.Refusing(now),
+		Room:     g.incoming.FreeShare(limit),
+		Refusing: g.incoming.Shedding(now),
 		Stopping: g.stopping(),
 		Lacking:  slices.Clone(g.unhealthyShards),
 	}
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -51,7 +51,7 @@
 	for i := range w.live {
 		w.start(i)
 	}
-	w.until("the link stands", func() bool { return w.near(0).Links[0].HeardAgo >= 0 })
+	w.until("the link stands", func() bool { return w.near(0).Links[0].StatusAge >= 0 })
 	return w
 }
 
@@ -104,7 +104,7 @@
 	w.lose(0, 0)
 	o := w.load(100, 700*time.Millisecond)
 	n := w.near(0).Outgoing
-	if n.Forwarded == 0 || n.Answered == 0 || o.Answered < o.Asked*9/10 || w.near(1).Incoming.Ran != n.Forwarded {
+	if n.Forwarded == 0 || n.Answered == 0 || o.Answered < o.Asked*9/10 || w.near(1).Incoming.Admitted != n.Forwarded {
 		t.Errorf("%+v, %v", n, o)
 	}
 	// The second site drains a node while forwarded queries are on their way.
@@ -119,7 +119,7 @@
 	// Neither site has replicas: queries are shed at once, and nothing goes back and forth.
 	w.lose(1, 0)
 	w.load(100, 500*time.Millisecond)
-	w.until("that is known", func() bool { return w.near(1).Incoming.InHand == 0 })
+	w.until("that is known", func() bool { return w.near(1).Incoming.InFlight == 0 })
 	time.Sleep(300 * time.Millisecond)
 	forwarded := w.near(0).Outgoing.Forwarded
 	w.load(60, 300*time.Millisecond)
@@ -147,7 +147,7 @@
 	}()
 	o := w.load(150, 2*time.Second)
 	n := w.near(0).Outgoing
-	if o.Unanswered > 0 || n.Forwarded == 0 || n.Abroad != 0 {
+	if o.Unanswered > 0 || n.Forwarded == 0 || n.InFlight != 0 {
 		t.Errorf("%v, %+v", o, n)
 	}
 }
@@ -169,7 +169,7 @@
 		t.Error(o)
 	}
 	<-ended
-	if n := w.near(0).Outgoing; n.Lost > 0 {
+	if n := w.near(0).Outgoing; n.LinkLost > 0 {
 		t.Errorf("queries were lost with a graceful shutdown: %+v", n)
 	}
 	w.start(1)
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -24,7 +24,7 @@
 	origin := forwarding.Origin{Name: c.Theirs.Site + "/" + c.Theirs.Broker, Epoch: c.Theirs.Epoch}
 	switch {
 	case e.Up != nil:
-		g.incoming.Opened(origin, c.Serial)
+		g.incoming.LinkOpened(origin, c.Serial)
 		c.Say()
 	case e.Ask != nil:
 		g.receive(c, forwarding.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
@@ -34,7 +34,7 @@
 			g.cancelRemote(r.query)
 		}
 	case e.Down != nil:
-		g.incoming.Closed(origin, c.Serial, g.loop.since())
+		g.incoming.LinkClosed(origin, c.Serial, g.loop.since())
 		g.dropLink(c)
 	}
 }
@@ -46,7 +46,7 @@
 			continue
 		}
 		r.conn = nil
-		if g.incoming.Cut(k) {
+		if g.incoming.CancelledByLinkLoss(k) {
 			g.cancelRemote(r.query)
 		}
 	}
@@ -55,24 +55,24 @@
 // handleDialledLink takes what happened on a link that this site has dialled.
 func (g *siteGateway) handleDialledLink(e link.Event) {
 	c, now := e.Conn, g.loop.since()
-	peer := forwarding.Peer(c.Peer)
+	peer := forwarding.LinkIndex(c.Peer)
 	switch {
 	case e.Up != nil:
 		g.conns[c.Peer] = c
-		g.outgoing.Up(peer, e.Up.Epoch, e.Up.Credit, now)
+		g.outgoing.LinkUp(peer, e.Up.Epoch, e.Up.Credit, now)
 	case e.Down != nil:
 		g.conns[c.Peer] = nil
-		g.outgoing.Down(peer, e.Down.Unsent, now)
+		g.outgoing.LinkDown(peer, e.Down.Unsent, now)
 	case e.Heard != nil:
-		status := forwarding.Status{Room: e.Heard.Room, Refusing: e.Heard.Refusing, Stopping: e.Heard.Stopping, Lacking: e.Heard.Lacking}
-		g.outgoing.Heard(peer, status, c.RTT(), now)
+		status := forwarding.Status{FreeShare: e.Heard.Room, Shedding: e.Heard.Refusing, Draining: e.Heard.Stopping, UnavailableShards: e.Heard.Lacking}
+		g.outgoing.HandleStatus(peer, status, c.RTT(), now)
 	case e.Verdict != nil:
 		g.handleRemoteResult(peer, e.Verdict)
 	}
 }
 
 // handleRemoteResult takes the other site's result of a forwarded query. It is verified like all that comes from outside.
-func (g *siteGateway) handleRemoteResult(peer forwarding.Peer, v *link.Verdict) {
+func (g *siteGateway) handleRemoteResult(peer forwarding.LinkIndex, v *link.Verdict) {
 	q := g.forwarded[v.ID]
 	if q == nil {
 		return // abandoned meanwhile
@@ -80,7 +80,7 @@
 	result, outcome := query.Result{Outcome: query.Failed}, forwarding.Failed
 	switch v.Kind {
 	case link.Refused:
-		outcome = forwarding.Refused
+		outcome = forwarding.Rejected
 		q.forwarding.retryAfter = time.Duration(v.After) * time.Microsecond
 	case link.Answered:
 		result = q.verifiedAnswer(v, g.loop.typeOf(q.Request))
@@ -90,7 +90,7 @@
 			slog.Warn("answer of another site rejected: it lacks what it claims", "component", "gateway", "query", q.Request.ID)
 		}
 	}
-	if g.outgoing.Back(peer, v.ID, outcome, g.loop.since()) {
+	if g.outgoing.HandleResult(peer, v.ID, outcome, g.loop.since()) {
 		g.finish(q, v.ID, result)
 	}
 }
@@ -126,18 +126,18 @@
 	}
 	used, limit := g.loop.capacity()
 	lacking := slices.ContainsFunc(request.Shards, func(s query.ShardRequest) bool { return slices.Contains(g.unhealthyShards, s.Shard) })
-	load := forwarding.Load{Places: limit, Taken: used, Stopping: g.stopping(), Lacking: lacking}
+	load := forwarding.Load{Capacity: limit, Used: used, Draining: g.stopping(), ShardUnavailable: lacking}
 	left := time.Duration(in.Left) * time.Microsecond
-	switch g.incoming.Arrive(k, c.Serial, g.loop.typeOf(request).Idempotency, len(request.Shards), left, load, now) {
-	case forwarding.Turn:
+	switch g.incoming.HandleQuery(k, c.Serial, g.loop.typeOf(request).Idempotency, len(request.Shards), left, load, now) {
+	case forwarding.Reject:
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: g.loop.retryAfterLimit().Microseconds()})
-	case forwarding.Join:
+	case forwarding.AlreadyRunning:
 		g.remote[k].conn = c
-	case forwarding.Repeat:
+	case forwarding.AlreadyEnded:
 		if r := g.remote[k]; r != nil && r.result != nil {
 			c.Verdict(*r.result)
 		}
-	case forwarding.Run:
+	case forwarding.Admit:
 		r := &remoteQuery{conn: c, query: &activeQuery{Request: request, deadline: now + left}}
 		r.query.forwarding.remote = true
 		r.query.onResult = func(result query.Result) { g.sendResult(k, r, result) }
@@ -161,7 +161,7 @@
 	if r.conn != nil {
 		r.conn.Verdict(out)
 	}
-	if g.incoming.Ended(k) {
+	if g.incoming.QueryEnded(k) {
 		r.result = &out
 	} else {
 		delete(g.remote, k)
@@ -179,8 +179,8 @@
 }
 
 // encode makes of a query what the link carries.
-func (g *siteGateway) encode(q *activeQuery, a forwarding.Act) link.Ask {
-	out := link.Ask{ID: a.ID, Again: a.Again, Left: a.Left.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
+func (g *siteGateway) encode(q *activeQuery, a forwarding.Action) link.Ask {
+	out := link.Ask{ID: a.ID, Again: a.Resent, Left: a.TimeLeft.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
 		Request: q.Request.ID, Text: q.Text}
 	if len(g.settings.Tenants) > 0 {
 		out.Tenant = g.settings.Tenants[q.Tenant]
