--- a/internal/decision/forwarding/far.go
+++ b/internal/decision/forwarding/far.go
@@ -63,8 +63,14 @@
 
 // ReceiverCounters are what operators see.
 type ReceiverCounters struct {
-	Received, Admitted, Rejected, Joined, Repeated, Cancelled uint64
-	InFlight, Remembered                                      int // now
+	Received   uint64 `json:"Came"`
+	Admitted   uint64 `json:"Ran"`
+	Rejected   uint64 `json:"TurnedAway"`
+	Joined     uint64 `json:"Joined"`
+	Repeated   uint64 `json:"Repeated"`
+	Cancelled  uint64 `json:"CalledOff"`
+	InFlight   int    `json:"InHand"`     // now
+	Remembered int    `json:"Remembered"` // now
 }
 
 // NewReceiver makes the far side.
--- a/internal/decision/forwarding/near.go
+++ b/internal/decision/forwarding/near.go
@@ -138,10 +138,18 @@
 
 // ForwarderCounters are what operators see.
 type ForwarderCounters struct {
-	Forwarded, Answered, Rejected, Failed uint64
-	LinkLost, Resent, Returned, TimedOut  uint64 // of those whose link ended, or whose time did
-	NoBudget, NoLink, NoTime              uint64 // shed here, as they could not be forwarded
-	InFlight                              int    // now
+	Forwarded uint64 `json:"Forwarded"`
+	Answered  uint64 `json:"Answered"`
+	Rejected  uint64 `json:"RefusedThere"`
+	Failed    uint64 `json:"FailedThere"`
+	LinkLost  uint64 `json:"Lost"`        // of those whose link ended, or whose time did
+	Resent    uint64 `json:"Resumed"`     // of those whose link ended, or whose time did
+	Returned  uint64 `json:"BroughtHome"` // of those whose link ended, or whose time did
+	TimedOut  uint64 `json:"GivenUp"`     // of those whose link ended, or whose time did
+	NoBudget  uint64 `json:"NoBudget"`    // shed here, as they could not be forwarded
+	NoLink    uint64 `json:"NoPeer"`      // shed here, as they could not be forwarded
+	NoTime    uint64 `json:"NoTime"`      // shed here, as they could not be forwarded
+	InFlight  int    `json:"Abroad"`      // now
 }
 
 // NewForwarder makes the near side of some links, which are down.
--- a/internal/decision/forwarding/neartime.go
+++ b/internal/decision/forwarding/neartime.go
@@ -57,14 +57,18 @@
 
 // LinkSnapshot is one link for operators.
 type LinkSnapshot struct {
-	Name                   string
-	Up, Usable             bool
-	Draining               bool
-	InFlight, Credit       int
-	RoundTrip, AnswerTime  time.Duration
-	FreeShare              float64
-	Shedding               bool
-	StatusAge, BackoffLeft time.Duration // -1: never heard
+	Name        string        `json:"Name"`
+	Up          bool          `json:"Up"`
+	Usable      bool          `json:"Usable"`
+	Draining    bool          `json:"Stopping"`
+	InFlight    int           `json:"Abroad"`
+	Credit      int           `json:"Credit"`
+	RoundTrip   time.Duration `json:"RoundTrip"`
+	AnswerTime  time.Duration `json:"Took"`
+	FreeShare   float64       `json:"Room"`
+	Shedding    bool          `json:"Refusing"`
+	StatusAge   time.Duration `json:"HeardAgo"` // -1: never heard
+	BackoffLeft time.Duration `json:"ShutFor"`  // -1: never heard
 }
 
 // Snapshot tells of all links.
