--- a/cmd/flaxfront/keys.go
+++ b/cmd/flaxfront/keys.go
@@ -185,7 +185,7 @@
 					heard = l.StatusAge.Round(time.Millisecond).String() + " ago"
 				}
 				fmt.Fprintf(w, "%s\t%v\t%v\t%v\t%v\t%d\t%d\t%.0f%%\t%s\t%v\n", l.Name, l.Up, l.Usable, l.RoundTrip.Round(time.Millisecond/10),
-					l.AnswerTime.Round(time.Millisecond), l.InFlight, l.Credit, 100*l.FreeShare, heard, l.BackoffLeft.Round(time.Millisecond))
+					l.AnswerTime.Round(time.Millisecond), l.InFlight, l.Credit, 100*l.FreeShare, heard, l.RemainingBackoff.Round(time.Millisecond))
 			}
 			if err := w.Flush(); err != nil {
 				return err
@@ -193,7 +193,7 @@
 			n, f := &g.Outgoing, &g.Incoming
 			fmt.Fprintf(cmd.OutOrStdout(), "from here: forwarded %d, answered %d, refused there %d, failed %d; lost with a link %d, resumed %d, brought home %d, given up %d\n"+
 				"not forwarded: no budget %d, no link %d, no time %d\nto here: came %d, run %d, turned away %d, came again %d, called off %d; in hand %d, remembered %d; refused handshakes %d\n",
-				n.Forwarded, n.Answered, n.Rejected, n.Failed, n.LinkLost, n.Resent, n.Returned, n.TimedOut, n.NoBudget, n.NoLink,
+				n.Forwarded, n.Answered, n.Rejected, n.Failed, n.LinkLost, n.Retried, n.Returned, n.TimedOut, n.NoBudget, n.NoLink,
 				n.NoTime, f.Received, f.Admitted, f.Rejected, f.Joined+f.Repeated, f.Cancelled, f.InFlight, f.Remembered, counters.RejectedLinks)
 			return nil
 		},
--- a/cmd/flaxlab/sites.go
+++ b/cmd/flaxlab/sites.go
@@ -227,7 +227,7 @@
 		sum.Failed, sum.Unanswered, sum.InTarget = sum.Failed+o.Failed, sum.Unanswered+o.Unanswered, sum.InTarget+o.InTarget
 		c := p.live[0].Counters().Queries.Gateway.Outgoing
 		far := p.live[1].Counters().Queries.Gateway.Incoming
-		for i, v := range []uint64{c.Forwarded, c.Answered, c.LinkLost, c.Resent, c.Returned, c.TimedOut, far.Joined + far.Repeated, far.Cancelled} {
+		for i, v := range []uint64{c.Forwarded, c.Answered, c.LinkLost, c.Retried, c.Returned, c.TimedOut, far.Joined + far.Repeated, far.Cancelled} {
 			gate[i] += v
 		}
 		p.close()
--- a/internal/decision/forwarding/choices_test.go
+++ b/internal/decision/forwarding/choices_test.go
@@ -1,7 +1,5 @@
 package forwarding
 
-// This file owns what may happen next in a state of the model.
-
 import (
 	"fmt"
 	"time"
@@ -19,106 +17,111 @@
 func (m *model) choices() (all []choice) {
 	add := func(name string, if_ bool, do func()) {
 		if if_ {
-			all = append(all, choice{name, func() { do(); m.acts() }})
+			all = append(all, choice{name, func() { do(); m.executeActions() }})
 		}
 	}
-	add("offer", !m.begun && m.up, func() {
-		m.begun = true
-		if !m.near.Offer(Query{ID: search, Idempotency: m.effect, IdempotencyWindow: 300 * time.Millisecond, Deadline: m.now + time.Second}, m.now) {
+	add("offer", !m.offered && m.up, func() {
+		m.offered = true
+		q := Query{ID: queryID, Idempotency: m.effect, IdempotencyWindow: 300 * time.Millisecond, Deadline: m.now + time.Second}
+		if !m.forwarder.Offer(q, m.now) {
 			m.fault("not forwarded")
 		}
 	})
-	add("connect", !m.up && m.conn < 3, func() {
-		m.conn++
-		m.up, m.farConn, m.toNear = true, m.conn, nil
-		if m.variant != "old links are heard" {
-			m.far.LinkOpened(m.origin(), m.conn)
+	add("connect", !m.up && m.newestLink < 3, func() {
+		m.newestLink++
+		m.up, m.receiverLink, m.toForwarder = true, m.newestLink, nil
+		if m.variant != "old links are not ignored" {
+			m.receiver.LinkOpened(m.origin(), m.newestLink)
 		}
-		m.near.LinkUp(0, m.epoch, 10, m.now)
-		m.near.HandleStatus(0, Status{FreeShare: 1}, 10*time.Millisecond, m.now+1)
+		m.forwarder.LinkUp(0, m.epoch, 10, m.now)
+		m.forwarder.HandleStatus(0, Status{FreeShare: 1}, 10*time.Millisecond, m.now+1)
 	})
 	add("write", m.up && len(m.outbox) > 0, func() {
-		m.toFar[m.conn] = append(m.toFar[m.conn], m.outbox[0])
+		m.toReceiver[m.newestLink] = append(m.toReceiver[m.newestLink], m.outbox[0])
 		m.outbox = m.outbox[1:]
 	})
-	add("near sees a cut", m.up && m.cuts < 2, func() {
+	add("the forwarding side sees a cut", m.up && m.cuts < 2, func() {
 		m.cuts++
 		m.up = false
 		var unsent []uint64
 		for _, o := range m.outbox {
 			if o.what == "ask" {
-				unsent = append(unsent, search)
+				unsent = append(unsent, queryID)
 			}
 		}
 		if m.variant == "all lost is taken for unsent" {
-			unsent = []uint64{search}
+			unsent = []uint64{queryID}
 		}
-		m.outbox, m.toNear = nil, nil
-		m.near.LinkDown(0, unsent, m.now)
+		m.outbox, m.toForwarder = nil, nil
+		m.forwarder.LinkDown(0, unsent, m.now)
 	})
-	add("far sees a cut", m.farConn > 0 && (!m.up || m.farConn < m.conn), func() {
-		m.farConn = 0
-		if m.far.CancelledByLinkLoss(Key{m.origin(), search}) && m.farRuns {
-			m.farEnds(msg{what: "failed"})
+	add("the receiving side sees a cut", m.receiverLink > 0 && (!m.up || m.receiverLink < m.newestLink), func() {
+		m.receiverLink = 0
+		if m.receiver.CancelledByLinkLoss(Key{m.origin(), queryID}) && m.remoteInFlight {
+			m.endRemote(msg{what: "failed"})
 		}
 	})
-	for conn := uint64(1); conn <= m.conn; conn++ {
-		add(fmt.Sprintf("far reads link %d", conn), len(m.toFar[conn]) > 0 && conn > m.deaf, func() {
-			in := m.toFar[conn][0]
-			m.toFar[conn] = m.toFar[conn][1:]
-			m.arrive(conn, in, false)
+	for conn := uint64(1); conn <= m.newestLink; conn++ {
+		add(fmt.Sprintf("the receiving side reads link %d", conn), len(m.toReceiver[conn]) > 0 && conn > m.lastEndedLink, func() {
+			in := m.toReceiver[conn][0]
+			m.toReceiver[conn] = m.toReceiver[conn][1:]
+			m.deliver(conn, in, false)
 		})
-		add(fmt.Sprintf("far reads link %d and is full", conn), len(m.toFar[conn]) > 0 && conn > m.deaf && m.toFar[conn][0].what == "ask", func() {
-			in := m.toFar[conn][0]
-			m.toFar[conn] = m.toFar[conn][1:]
-			m.arrive(conn, in, true)
+		queryNext := len(m.toReceiver[conn]) > 0 && conn > m.lastEndedLink && m.toReceiver[conn][0].what == "ask"
+		add(fmt.Sprintf("the receiving side reads link %d and is full", conn), queryNext, func() {
+			in := m.toReceiver[conn][0]
+			m.toReceiver[conn] = m.toReceiver[conn][1:]
+			m.deliver(conn, in, true)
 		})
-		add(fmt.Sprintf("link %d loses what it holds", conn), len(m.toFar[conn]) > 0 && (!m.up || conn < m.conn), func() {
-			delete(m.toFar, conn)
+		add(fmt.Sprintf("link %d loses what it holds", conn), len(m.toReceiver[conn]) > 0 && (!m.up || conn < m.newestLink), func() {
+			delete(m.toReceiver, conn)
 		})
 	}
-	add("near reads", m.up && len(m.toNear) > 0, func() {
-		in := m.toNear[0]
-		m.toNear = m.toNear[1:]
-		how := map[string]Outcome{"answered": Answered, "refused": Rejected, "failed": Failed}[in.what]
-		if m.near.HandleResult(0, search, how, m.now) {
+	add("the forwarding side reads", m.up && len(m.toForwarder) > 0, func() {
+		in := m.toForwarder[0]
+		m.toForwarder = m.toForwarder[1:]
+		how := map[string]Outcome{"answered": Answered, "rejected": Rejected, "failed": Failed}[in.what]
+		if m.forwarder.HandleResult(0, queryID, how, m.now) {
 			m.end(in.what)
 		}
 	})
 	once := m.effect == decision.NonIdempotent
-	add("a far node runs it", m.farRuns && m.ran < 3 && !(once && m.farRan), func() { m.farRan = true; m.run() })
-	add("the far module answers", m.farRuns && m.farRan, func() { m.farEnds(msg{what: "answered"}) })
-	add("the far module fails it", m.farRuns, func() { m.farEnds(msg{what: "failed"}) })
-	add("the far module sheds it", m.farRuns && (!m.farRan || m.effect == decision.Idempotent), func() { m.farEnds(msg{what: "refused"}) })
-	add("the far process is killed", m.kills < 1, func() {
+	add("a remote node runs it", m.remoteInFlight && m.ran < 3 && !(once && m.ranThere), func() { m.ranThere = true; m.run() })
+	add("the remote router answers", m.remoteInFlight && m.ranThere, func() { m.endRemote(msg{what: "answered"}) })
+	add("the remote router fails it", m.remoteInFlight, func() { m.endRemote(msg{what: "failed"}) })
+	add("the remote router sheds it", m.remoteInFlight && (!m.ranThere || m.effect == decision.Idempotent), func() {
+		m.endRemote(msg{what: "rejected"})
+	})
+	add("the receiving process is killed", m.kills < 1, func() {
 		m.kills++
 		m.epoch++
-		m.far, m.farRuns, m.verdict, m.farConn = NewReceiver(modelPolicy), false, nil, 0
-		m.toFar, m.toNear, m.deaf = map[uint64][]msg{}, nil, m.conn
+		m.receiver, m.remoteInFlight, m.keptResult, m.receiverLink = NewReceiver(modelPolicy), false, nil, 0
+		m.toReceiver, m.toForwarder, m.lastEndedLink = map[uint64][]msg{}, nil, m.newestLink
 	})
-	add("a node runs it at home", m.home && m.ran < 3 && !(once && m.homeRan), func() { m.homeRan = true; m.run() })
-	add("home answers", m.home && m.homeRan, func() { m.home = false; m.end("answered") })
-	add("home fails it", m.home, func() { m.home = false; m.end("failed") })
-	add("home sheds it", m.home && (!m.homeRan || m.effect == decision.Idempotent), func() {
-		m.home = false
-		if m.risk && m.effect != decision.Idempotent {
+	add("an own node runs it", m.returned && m.ran < 3 && !(once && m.ranHere), func() { m.ranHere = true; m.run() })
+	add("the own router answers", m.returned && m.ranHere, func() { m.returned = false; m.end("answered") })
+	add("the own router fails it", m.returned, func() { m.returned = false; m.end("failed") })
+	add("the own router sheds it", m.returned && (!m.ranHere || m.effect == decision.Idempotent), func() {
+		m.returned = false
+		if m.mayHaveRun && m.effect != decision.Idempotent {
 			m.end("failed")
 		} else {
 			m.end("shed")
 		}
 	})
-	add("the client goes", m.begun && m.finals == 0 && !m.left && !m.home, func() {
-		m.left = true
-		m.near.Abandon(search)
+	add("the client goes", m.offered && m.finals == 0 && !m.clientLeft && !m.returned, func() {
+		m.clientLeft = true
+		m.forwarder.Abandon(queryID)
 	})
-	add("time passes", m.begun && m.finals == 0 && m.now < 2*time.Second, func() {
-		next := m.near.Tick(m.now)
+	add("time passes", m.offered && m.finals == 0 && m.now < 2*time.Second, func() {
+		next := m.forwarder.Tick(m.now)
 		if next > time.Hour {
 			next = m.now + 250*time.Millisecond
 		}
 		m.now = next
-		m.near.Tick(m.now)
-		if m.now >= time.Second+m.near.policy.AnswerReserve && !m.home && !m.left && m.finals == 0 && len(m.near.DrainActions()) == 0 {
+		m.forwarder.Tick(m.now)
+		late := m.now >= time.Second+m.forwarder.policy.AnswerReserve
+		if late && !m.returned && !m.clientLeft && m.finals == 0 && len(m.forwarder.DrainActions()) == 0 {
 			m.fault("rule 1: no answer at %v", m.now)
 		}
 	})
--- /dev/null
+++ b/internal/decision/forwarding/deadlines.go
@@ -0,0 +1,64 @@
+package forwarding
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+const never time.Duration = math.MaxInt64
+
+// Tick ends what has run out of time and returns when it has to be called again.
+func (f *Forwarder) Tick(now time.Duration) (next time.Duration) {
+	next = never
+	due := f.queriesInOrder(func(q *forwardedQuery) bool {
+		at := f.decisionDueAt(q)
+		if at > now {
+			next = min(next, at)
+		}
+		return at <= now
+	})
+	for _, q := range due {
+		if q.state == linkLost && now < q.Deadline-f.policy.AnswerReserve {
+			f.resolveUncertain(q, now) // its link has not come back in time
+		} else {
+			f.timeOut(q, now)
+		}
+	}
+	return next
+}
+
+// timeOut ends a query while there is time to answer its client.
+func (f *Forwarder) timeOut(q *forwardedQuery, now time.Duration) {
+	f.Counters.TimedOut++
+	f.cancelThere(q)
+	if q.Idempotency == decision.Idempotent && now < q.Deadline {
+		f.finish(q, Action{Kind: Shed})
+	} else {
+		f.finish(q, Action{Kind: Fail})
+	}
+}
+
+// decisionDueAt is when a query must be decided on if nothing is received.
+func (f *Forwarder) decisionDueAt(q *forwardedQuery) time.Duration {
+	last := q.Deadline - f.policy.AnswerReserve
+	if q.state == linkLost {
+		return min(last, q.waitsUntil)
+	}
+	return last
+}
+
+// queriesInOrder returns the selected queries by ID, so that the order of actions does not depend on the map.
+func (f *Forwarder) queriesInOrder(selected func(*forwardedQuery) bool) []*forwardedQuery {
+	var queries []*forwardedQuery
+	for _, q := range f.queries {
+		if selected(q) {
+			queries = append(queries, q)
+		}
+	}
+	slices.SortFunc(queries, func(x, y *forwardedQuery) int { return cmp.Compare(x.ID, y.ID) })
+	return queries
+}
--- a/internal/decision/forwarding/golden_test.go
+++ b/internal/decision/forwarding/golden_test.go
@@ -23,16 +23,16 @@
 
 // player plays one forwarding side with three links and one receiving side with three origins.
 type player struct {
-	rnd     *rand.Rand
-	digest  hash.Hash64
-	now     time.Duration
-	near    *Forwarder
-	far     *Receiver
-	last    uint64
-	serials uint64
-	losses  uint64
-	where   map[uint64]LinkIndex
-	course  course
+	rnd       *rand.Rand
+	digest    hash.Hash64
+	now       time.Duration
+	forwarder *Forwarder
+	receiver  *Receiver
+	last      uint64
+	serials   uint64
+	losses    uint64
+	where     map[uint64]LinkIndex
+	course    course
 }
 
 // course is what a sequence has more of than others.
@@ -40,7 +40,7 @@
 
 const (
 	mixedCourse    course = iota
-	refusedCourse         // nearly every forwarded query is refused
+	rejectedCourse        // nearly every forwarded query is rejected
 	flappingCourse        // links are lost and come back to the same process
 	courses
 )
@@ -78,12 +78,12 @@
 	}
 	s.Remote = p.chance(20)
 	s.Returned = p.chance(20)
-	p.number(p.near.Offer(s, p.now))
+	p.number(p.forwarder.Offer(s, p.now))
 }
 
 func (p *player) link(at LinkIndex) {
 	what := p.rnd.IntN(6)
-	if p.course == refusedCourse && what < 3 && !p.chance(20) {
+	if p.course == rejectedCourse && what < 3 && !p.chance(20) {
 		what = 3
 	}
 	switch what {
@@ -95,25 +95,25 @@
 				unsent = append(unsent, id)
 			}
 		}
-		p.near.LinkDown(at, unsent, p.now)
+		p.forwarder.LinkDown(at, unsent, p.now)
 	case 1, 2:
 		epoch := uint64(1)
 		if p.course == mixedCourse {
 			epoch += uint64(p.rnd.IntN(2))
 		}
-		p.near.LinkUp(at, epoch, 1+p.rnd.IntN(6), p.now)
+		p.forwarder.LinkUp(at, epoch, 1+p.rnd.IntN(6), p.now)
 	default:
 		status := Status{FreeShare: float64(p.rnd.IntN(5)) / 4, Shedding: p.chance(8), Draining: p.chance(12)}
 		if p.chance(3) {
 			status.UnavailableShards = p.shards()
 		}
-		p.near.HandleStatus(at, status, p.span(60*time.Millisecond), p.now)
+		p.forwarder.HandleStatus(at, status, p.span(60*time.Millisecond), p.now)
 	}
 }
 
 func (p *player) drain() {
-	for _, a := range p.near.DrainActions() {
-		p.number(a.Kind, a.ID, int(a.Link), int64(a.TimeLeft), a.Resent, a.MayHaveRun, strings.Contains(a.Text, "again"))
+	for _, a := range p.forwarder.DrainActions() {
+		p.number(a.Kind, a.ID, int(a.Link), int64(a.RemainingTime), a.Retry, a.MayHaveRun, strings.Contains(a.Text, "again"))
 		if a.Kind == Forward {
 			p.where[a.ID] = a.Link
 		}
@@ -124,30 +124,36 @@
 	k := Key{Origin: origin, ID: uint64(p.rnd.IntN(40))}
 	load := Load{Capacity: 10 + p.rnd.IntN(30), Used: p.rnd.IntN(25), Draining: p.chance(20), ShardUnavailable: p.chance(20)}
 	link := p.serials - min(p.serials, uint64(p.rnd.IntN(4)))
-	ruling := p.far.HandleQuery(k, link, decision.Idempotency(p.rnd.IntN(3)), p.rnd.IntN(4), p.span(800*time.Millisecond), load, p.now)
-	p.number(uint8(ruling))
+	q := RemoteQuery{
+		Key:           k,
+		Link:          link,
+		Idempotency:   decision.Idempotency(p.rnd.IntN(3)),
+		ShardRequests: p.rnd.IntN(4),
+		RemainingTime: p.span(800 * time.Millisecond),
+	}
+	p.number(uint8(p.receiver.HandleQuery(q, load, p.now)))
 }
 
-func (p *player) farStep() {
+func (p *player) receiverStep() {
 	origin := Origin{Name: fmt.Sprint("a/n", p.rnd.IntN(3)), Epoch: uint64(p.rnd.IntN(2))}
 	k := Key{Origin: origin, ID: uint64(p.rnd.IntN(40))}
 	switch p.rnd.IntN(24) {
 	case 0:
 		p.serials++
-		p.far.LinkOpened(origin, p.serials-min(p.serials, uint64(p.rnd.IntN(5))))
+		p.receiver.LinkOpened(origin, p.serials-min(p.serials, uint64(p.rnd.IntN(5))))
 	case 1:
-		p.far.LinkClosed(origin, p.serials-min(p.serials, uint64(p.rnd.IntN(3))), p.now)
+		p.receiver.LinkClosed(origin, p.serials-min(p.serials, uint64(p.rnd.IntN(3))), p.now)
 	case 2:
-		p.far.QueryShed(p.now)
+		p.receiver.QueryShed(p.now)
 	case 3, 4:
-		p.number(p.far.CancelledByLinkLoss(k))
+		p.number(p.receiver.CancelledByLinkLoss(k))
 	case 5, 6:
-		p.number(p.far.Cancel(k))
+		p.number(p.receiver.Cancel(k))
 	case 7, 8, 9, 10, 11:
-		p.number(p.far.QueryEnded(k))
+		p.number(p.receiver.QueryEnded(k))
 	case 12:
 		var sum uint64
-		gone := p.far.ForgetExpired(p.now)
+		gone := p.receiver.ForgetExpired(p.now)
 		for _, g := range gone {
 			sum += g.ID*7 + g.Origin.Epoch + uint64(len(g.Origin.Name))
 		}
@@ -155,12 +161,12 @@
 	default:
 		p.receive(origin)
 	}
-	p.number(p.far.FreeShare(20), p.far.Shedding(p.now))
-	c := p.far.Counters
+	p.number(p.receiver.FreeShare(20), p.receiver.Shedding(p.now))
+	c := p.receiver.Counters
 	p.number(c.Received, c.Admitted, c.Rejected, c.Joined, c.Repeated, c.Cancelled, c.InFlight, c.Remembered)
 }
 
-func (p *player) nearStep() {
+func (p *player) forwarderStep() {
 	at := LinkIndex(p.rnd.IntN(goldenLinks))
 	switch p.rnd.IntN(16) {
 	case 0, 1, 2, 3, 4:
@@ -171,49 +177,57 @@
 			at = peer
 		}
 		outcome := Outcome(p.rnd.IntN(3))
-		if p.course == refusedCourse && !p.chance(15) {
+		if p.course == rejectedCourse && !p.chance(15) {
 			outcome = Rejected
 		}
 		if p.course != flappingCourse || p.chance(3) {
-			p.number(p.near.HandleResult(at, id, outcome, p.now))
+			p.number(p.forwarder.HandleResult(at, id, outcome, p.now))
 		} else {
 			p.link(at)
 		}
 	case 8:
-		p.near.Abandon(p.some())
+		p.forwarder.Abandon(p.some())
 	case 9, 10, 11:
 		p.link(at)
 	case 12, 13:
-		p.near.QueryAccepted()
+		p.forwarder.QueryAccepted()
 	default:
-		p.number(int64(p.near.Tick(p.now)))
+		p.number(int64(p.forwarder.Tick(p.now)))
 	}
 	p.drain()
-	c := p.near.Counters
-	p.number(c.Forwarded, c.Answered, c.Rejected, c.Failed, c.LinkLost, c.Resent, c.Returned, c.TimedOut, c.NoBudget, c.NoLink,
+	c := p.forwarder.Counters
+	p.number(c.Forwarded, c.Answered, c.Rejected, c.Failed, c.LinkLost, c.Retried, c.Returned, c.TimedOut, c.NoBudget, c.NoLink,
 		c.NoTime, c.InFlight)
-	for _, s := range p.near.Snapshot(p.now) {
+	for _, s := range p.forwarder.Snapshot(p.now) {
 		p.number(s.Name, s.Up, s.Usable, s.Draining, s.InFlight, s.Credit, int64(s.RoundTrip), int64(s.AnswerTime), s.FreeShare, s.Shedding,
-			int64(s.StatusAge), int64(s.BackoffLeft))
+			int64(s.StatusAge), int64(s.RemainingBackoff))
 	}
 }
 
 func playSequence(seed uint64) uint64 {
-	settings := Policy{ForwardShare: 0.4, Burst: 8, MaxForwarded: 12, MinTimeLeft: 50 * time.Millisecond, AnswerReserve: 40 * time.Millisecond,
-		ResumeTimeout: 300 * time.Millisecond, RemoteShare: 0.5, MaxRemembered: 14}
+	settings := Policy{
+		ForwardShare:     0.4,
+		Burst:            8,
+		MaxForwarded:     12,
+		MinRemainingTime: 50 * time.Millisecond,
+		AnswerReserve:    40 * time.Millisecond,
+		ResumeTimeout:    300 * time.Millisecond,
+		RemoteShare:      0.5,
+		MaxRemembered:    14,
+	}
 	p := &player{rnd: rand.New(rand.NewPCG(seed, 22)), digest: fnv.New64a(), now: time.Second, where: map[uint64]LinkIndex{},
 		course: course(seed) % courses}
-	p.near = NewForwarder(settings, []string{"far0", "far1", "far2"})
-	p.far = NewReceiver(settings)
+	p.forwarder = NewForwarder(settings, []string{"far0", "far1", "far2"})
+	p.receiver = NewReceiver(settings)
 	for range 500 {
 		p.now += p.span(40 * time.Millisecond)
 		if p.chance(80) {
 			p.now += p.span(3 * time.Second)
 		}
 		if p.chance(2) {
-			p.nearStep()
+			p.forwarderStep()
 		} else {
-			p.farStep()
+			p.receiverStep()
 		}
 	}
 	return p.digest.Sum64()
--- a/internal/decision/forwarding/model_test.go
+++ b/internal/decision/forwarding/model_test.go
@@ -10,53 +10,61 @@
 	"flaxfront/internal/decision"
 )
 
-// This file checks the protocol of one forwarded search over the real Near and Far: every interleaving of what a link, two
+// The model checks the protocol of one forwarded query over the real Forwarder and Receiver: every interleaving of what a link, two
 // processes, the nodes, a client and time may do is tried to a stated depth. States that were met are not gone into again.
 
 // model is one state. It is made anew by replaying the choices that lead to it, as the real code can't be copied.
 type model struct {
-	variant string
-	effect  decision.Idempotency
-	near    *Forwarder
-	far     *Receiver
-	now     time.Duration
-	epoch   uint64
-	conn    uint64 // the newest link; 0: none yet
-	up      bool   // as the near side sees it
-	outbox  []msg  // of the near side, not yet handed to the network
-	toFar   map[uint64][]msg
-	toNear  []msg // of the newest link
-	farConn uint64
-	deaf    uint64 // links up to this one ended with the process that had them
-	farRuns bool   // a search is in the far module's hands
-	verdict *msg   // kept
-	home    bool   // it is in the near module's hands
-	begun   bool
-	left    bool // the client went away
-	final   string
-	finals  int
-	ran     int
-	wrong   string
-	risk    bool // so the near side says: it may have run, and must not be shed
-	homeRan bool // one module sends a part that must not run twice once
-	farRan  bool
-	cuts    int
-	kills   int
+	variant        string
+	effect         decision.Idempotency
+	forwarder      *Forwarder
+	receiver       *Receiver
+	now            time.Duration
+	epoch          uint64
+	newestLink     uint64 // the newest link; 0: none yet
+	up             bool   // as the forwarding side sees it
+	outbox         []msg  // of the forwarding side, not yet handed to the network
+	toReceiver     map[uint64][]msg
+	toForwarder    []msg // of the newest link
+	receiverLink   uint64
+	lastEndedLink  uint64 // links up to this one ended with the process that had them
+	remoteInFlight bool   // a query is in the remote router's hands
+	keptResult     *msg   // kept
+	returned       bool   // it is in the own router's hands
+	offered        bool
+	clientLeft     bool // the client went away
+	final          string
+	finals         int
+	ran            int
+	wrong          string
+	mayHaveRun     bool // so the forwarding side says: it may have run, and must not be shed
+	ranHere        bool // one module sends a part that must not run twice once
+	ranThere       bool
+	cuts           int
+	kills          int
 }
 
 type msg struct {
-	what  string // ask, cancel, answered, refused, failed
+	what  string // ask, cancel, answered, rejected, failed
 	again bool
 }
 
-const search = 7
-
-var modelPolicy = Policy{ForwardShare: 0.1, Burst: 5, MaxForwarded: 10, MinTimeLeft: 20 * time.Millisecond, AnswerReserve: 50 * time.Millisecond,
-	ResumeTimeout: 200 * time.Millisecond, RemoteShare: 0.5, MaxRemembered: 4}
+const queryID = 7
+
+var modelPolicy = Policy{
+	ForwardShare:     0.1,
+	Burst:            5,
+	MaxForwarded:     10,
+	MinRemainingTime: 20 * time.Millisecond,
+	AnswerReserve:    50 * time.Millisecond,
+	ResumeTimeout:    200 * time.Millisecond,
+	RemoteShare:      0.5,
+	MaxRemembered:    4,
+}
 
 func newModel(variant string, effect decision.Idempotency) *model {
-	m := &model{variant: variant, effect: effect, near: NewForwarder(modelPolicy, []string{"far"}), far: NewReceiver(modelPolicy),
-		epoch: 1, toFar: map[uint64][]msg{}}
+	m := &model{variant: variant, effect: effect, forwarder: NewForwarder(modelPolicy, []string{"remote"}), receiver: NewReceiver(modelPolicy),
+		epoch: 1, toReceiver: map[uint64][]msg{}}
 	return m
 }
 
@@ -78,7 +86,7 @@
 }
 
 func (m *model) end(how string) {
-	if m.left {
+	if m.clientLeft {
 		return
 	}
 	if m.finals++; m.finals > 1 {
@@ -93,16 +101,16 @@
 	}
 }
 
-// acts carries out what the near side decided.
-func (m *model) acts() {
-	for _, a := range m.near.DrainActions() {
+// executeActions carries out what the forwarding side decided.
+func (m *model) executeActions() {
+	for _, a := range m.forwarder.DrainActions() {
 		switch a.Kind {
 		case Forward:
-			m.outbox = append(m.outbox, msg{"ask", a.Resent})
+			m.outbox = append(m.outbox, msg{"ask", a.Retry})
 		case Cancel:
 			m.outbox = append(m.outbox, msg{"cancel", false})
 		case Resubmit:
-			m.home, m.risk = true, a.MayHaveRun
+			m.returned, m.mayHaveRun = true, a.MayHaveRun
 		case Shed:
 			m.end("shed")
 		case Fail:
@@ -111,70 +119,71 @@
 	}
 }
 
-func (m *model) origin() Origin { return Origin{"near", 1} }
+func (m *model) origin() Origin { return Origin{"origin", 1} }
 
-// farSays sends the near side a verdict over the newest link, if the far process has one.
-func (m *model) farSays(v msg) {
-	if m.farConn == m.conn && m.up {
-		m.toNear = append(m.toNear, v)
+// sendResult sends the forwarding side a verdict over the newest link, if the receiving process has one.
+func (m *model) sendResult(v msg) {
+	if m.receiverLink == m.newestLink && m.up {
+		m.toForwarder = append(m.toForwarder, v)
 	}
 }
 
-// farEnds is the far module's verdict.
-func (m *model) farEnds(v msg) {
-	m.farRuns = false
-	if m.far.QueryEnded(Key{m.origin(), search}) {
-		m.verdict = &v
+// endRemote is the remote router's verdict.
+func (m *model) endRemote(v msg) {
+	m.remoteInFlight = false
+	if m.receiver.QueryEnded(Key{m.origin(), queryID}) {
+		m.keptResult = &v
 	}
-	m.farSays(v)
+	m.sendResult(v)
 }
 
-// arrive is a message that the far side reads from some link.
-func (m *model) arrive(conn uint64, in msg, full bool) {
-	k := Key{m.origin(), search}
+// deliver is a message that the receiving side reads from some link.
+func (m *model) deliver(conn uint64, in msg, full bool) {
+	k := Key{m.origin(), queryID}
 	if in.what == "cancel" {
-		if m.far.Cancel(k) && m.farRuns {
-			m.farEnds(msg{what: "failed"})
+		if m.receiver.Cancel(k) && m.remoteInFlight {
+			m.endRemote(msg{what: "failed"})
 		}
 		return
 	}
-	if m.variant == "a far side that forgets" {
-		delete(m.far.known, k)
+	if m.variant == "a receiving side that forgets" {
+		delete(m.receiver.remembered, k)
 	}
 	if full {
-		m.far.QueryShed(m.now)
+		m.receiver.QueryShed(m.now)
 	} else {
-		m.far.shed = 0
+		m.receiver.lastShedAt = 0
 	}
-	switch m.far.HandleQuery(k, conn, m.effect, 1, time.Second, Load{Capacity: 100}, m.now) {
+	switch m.receiver.HandleQuery(RemoteQuery{k, conn, m.effect, 1, time.Second}, Load{Capacity: 100}, m.now) {
 	case Admit:
-		if m.farRuns {
+		if m.remoteInFlight {
 			m.fault("rule 2: it is run a second time while it runs")
 		}
-		m.farRuns, m.farRan = true, false
+		m.remoteInFlight, m.ranThere = true, false
 	case Reject:
-		m.farSays(msg{what: "refused"})
+		m.sendResult(msg{what: "rejected"})
 	case AlreadyEnded:
-		if m.verdict != nil {
-			m.farSays(*m.verdict)
+		if m.keptResult != nil {
+			m.sendResult(*m.keptResult)
 		}
 	}
 }
 
 func (m *model) String() string {
 	var b strings.Builder
-	fmt.Fprint(&b, m.now, m.epoch, m.conn, m.up, m.outbox, m.toFar, m.toNear, m.farConn, m.deaf, m.farRuns, m.home, m.risk, m.begun, m.left, m.final,
-		m.ran, m.homeRan, m.farRan, m.cuts, m.kills)
-	if m.verdict != nil {
-		fmt.Fprint(&b, *m.verdict)
+	fmt.Fprint(&b, m.now, m.epoch, m.newestLink, m.up, m.outbox, m.toReceiver, m.toForwarder, m.receiverLink, m.lastEndedLink,
+		m.remoteInFlight, m.returned, m.mayHaveRun, m.offered, m.clientLeft, m.final,
+		m.ran, m.ranHere, m.ranThere, m.cuts, m.kills)
+	if m.keptResult != nil {
+		fmt.Fprint(&b, *m.keptResult)
 	}
-	for _, t := range m.near.trips {
+	for _, t := range m.forwarder.queries {
 		fmt.Fprint(&b, *t)
 	}
-	for _, k := range m.far.known {
+	for _, k := range m.receiver.remembered {
 		fmt.Fprint(&b, *k)
 	}
-	fmt.Fprint(&b, m.far.links, m.near.peers[0].up, m.near.peers[0].abroad)
+	fmt.Fprint(&b, m.receiver.newestLinks, m.forwarder.links[0].up, m.forwarder.links[0].inFlight)
 	return b.String()
 }
 
@@ -215,7 +224,7 @@
 	return 11
 }
 
-// Whatever a link, two processes and time do to one forwarded search, the rules hold.
+// Whatever a link, two processes and time do to one forwarded query, the rules hold.
 func TestModel(t *testing.T) {
 	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.IdempotencyKeyed, decision.NonIdempotent} {
 		states, wrong := explore("", effect, modelDepth())
@@ -228,7 +237,7 @@
 
 // The model finds what is broken on purpose.
 func TestModelFindsBrokenVariants(t *testing.T) {
-	for _, variant := range []string{"a far side that forgets", "old links are heard", "all lost is taken for unsent"} {
+	for _, variant := range []string{"a receiving side that forgets", "old links are not ignored", "all lost is taken for unsent"} {
 		states, wrong := explore(variant, decision.NonIdempotent, 13)
 		if wrong == "" {
 			t.Errorf("%s: not found in %d states", variant, states)
--- a/internal/decision/forwarding/offer.go
+++ b/internal/decision/forwarding/offer.go
@@ -1,79 +1,87 @@
 package forwarding
 
-// This file owns whether a search goes to another site, and to which.
-
 import (
 	"slices"
 	"time"
 )
 
-// Offer asks, of a search that the module sheds, whether it goes abroad; false: it is shed as the module says.
-func (n *Forwarder) Offer(s Query, now time.Duration) bool {
-	if s.Remote || s.Returned {
-		return false // never a second hop, never back and forth
+// noLink is selectLink's result where no link is usable.
+const noLink LinkIndex = -1
+
+// Offer is called with a query that the router sheds. It reports whether the query is forwarded; if not, it is to be shed.
+func (f *Forwarder) Offer(q Query, now time.Duration) bool {
+	if q.Remote || q.Returned {
+		return false // no second hop, and not back and forth
 	}
-	if n.tokens < 1 || len(n.trips) >= n.policy.MaxForwarded {
-		n.Counters.NoBudget++
+	if f.budget < 1 || len(f.queries) >= f.policy.MaxForwarded {
+		f.Counters.NoBudget++
 		return false
 	}
-	at, inTime := n.choose(s, now)
-	if at < 0 {
-		if inTime {
-			n.Counters.NoLink++
+	selected := f.selectLink(q, now)
+	if selected.link == noLink {
+		if selected.lacksTime {
+			f.Counters.NoTime++
 		} else {
-			n.Counters.NoTime++
+			f.Counters.NoLink++
 		}
 		return false
 	}
-	p := &n.peers[at]
-	n.tokens--
-	p.abroad++
-	n.trips[s.ID] = &trip{Query: s, peer: at, epoch: p.epoch, sent: now}
-	n.Counters.Forwarded++
-	n.Counters.InFlight = len(n.trips)
-	n.act(Action{Kind: Forward, ID: s.ID, Link: at, TimeLeft: n.left(s.Deadline, p, now)})
+	link := &f.links[selected.link]
+	f.budget--
+	link.inFlight++
+	f.queries[q.ID] = &forwardedQuery{Query: q, link: selected.link, epoch: link.epoch, sentAt: now}
+	f.Counters.Forwarded++
+	f.Counters.InFlight = len(f.queries)
+	f.addAction(Action{Kind: Forward, ID: q.ID, Link: selected.link, RemainingTime: f.remoteTime(q.Deadline, link, now)})
 	return true
 }
 
-// left is the time that the far side gets: it gives up first, so that this side can still speak.
-func (n *Forwarder) left(due time.Duration, p *peer, now time.Duration) time.Duration {
-	return due - now - n.policy.AnswerReserve - p.rtt
+// remoteTime is the time that the other site gets: less than is left here, so that this site can still answer its client.
+func (f *Forwarder) remoteTime(deadline time.Duration, link *linkState, now time.Duration) time.Duration {
+	return deadline - now - f.policy.AnswerReserve - link.roundTrip
 }
 
-// choose picks the link with most room that would serve a search in time; inTime false: for want of time only.
-func (n *Forwarder) choose(s Query, now time.Duration) (best LinkIndex, inTime bool) {
-	best, inTime = -1, true
-	for i := range n.peers {
-		p := &n.peers[i]
-		if !n.usable(p, now) || lacks(&p.status, s.Shards) {
+// selection is the link for a query.
+type selection struct {
+	link      LinkIndex
+	lacksTime bool // without a link: one was usable, but not in the time that is left
+}
+
+// selectLink returns the usable link with the most unused credit that answers in time as a rule.
+func (f *Forwarder) selectLink(q Query, now time.Duration) selection {
+	best := selection{link: noLink}
+	for i := range f.links {
+		link := &f.links[i]
+		if !link.usable(now) || link.status.lacksShard(q.Shards) {
 			continue
 		}
-		if left := n.left(s.Deadline, p, now); left < max(n.policy.MinTimeLeft, p.took-p.rtt) {
-			inTime = best >= 0
+		if f.remoteTime(q.Deadline, link, now) < max(f.policy.MinRemainingTime, link.answerTime-link.roundTrip) {
+			best.lacksTime = true
 			continue
 		}
-		if best < 0 || p.credit-p.abroad > n.peers[best].credit-n.peers[best].abroad {
-			best, inTime = LinkIndex(i), true
+		if best.link == noLink || link.unusedCredit() > f.links[best.link].unusedCredit() {
+			best.link = LinkIndex(i)
 		}
 	}
-	return best, inTime
+	return best
 }
 
-// usable tells whether a link takes another search. What the other side says of itself is hearsay, and dated; what it did
-// with our own searches weighs more, in both directions: a refusal closes the link for a while whatever it says, and an
-// answer since its last word opens it. That it stops is its own to say.
-func (n *Forwarder) usable(p *peer, now time.Duration) bool {
-	if !p.up || p.status.Draining || p.abroad >= p.credit || now < p.until {
+func (l *linkState) unusedCredit() int { return l.credit - l.inFlight }
+
+// usable reports whether a link takes another query. What the other site did with earlier queries outweighs its status: a rejection closes
+// the link until the backoff ends, an answer since the last status opens it. Only its draining is always heeded.
+func (l *linkState) usable(now time.Duration) bool {
+	if !l.up || l.status.Draining || l.inFlight >= l.credit || now < l.backoffUntil {
 		return false
 	}
-	if p.good > p.heard && now-p.good < ownFor {
+	if l.answeredAt > l.statusAt && now-l.answeredAt < answerLifetime {
 		return true
 	}
-	known := p.heard > 0 && now-p.heard < statusFor
-	return known && !p.status.Shedding && p.status.FreeShare > 0
+	current := l.statusAt > 0 && now-l.statusAt < statusLifetime
+	return current && !l.status.Shedding && l.status.FreeShare > 0
 }
 
-// lacks tells whether the other side has no sound holder of a shard. Its nodes are its own word.
-func lacks(s *Status, shards []int) bool {
+// lacksShard reports whether the other site has no available replica of one of the shards.
+func (s *Status) lacksShard(shards []int) bool {
 	return slices.ContainsFunc(shards, func(shard int) bool { return slices.Contains(s.UnavailableShards, shard) })
 }
--- /dev/null
+++ b/internal/decision/forwarding/results.go
@@ -0,0 +1,160 @@
+package forwarding
+
+import (
+	"slices"
+	"time"
+
+	"flaxfront/internal/decision"
+)
+
+// LinkUp is called when a link has been established. The epoch names the process at the other end. Queries lost with the link are sent
+// again if it is the same process, which remembers them; another one can't know what the first has run.
+func (f *Forwarder) LinkUp(index LinkIndex, epoch uint64, credit int, now time.Duration) {
+	link := &f.links[index]
+	link.connect(epoch, credit)
+	for _, q := range f.queriesInOrder(func(q *forwardedQuery) bool { return q.state == linkLost && q.link == index }) {
+		timeLeft := f.remoteTime(q.Deadline, link, now)
+		if q.epoch != epoch || timeLeft <= 0 {
+			f.resolveUncertain(q, now)
+			continue
+		}
+		q.resume()
+		link.inFlight++
+		f.Counters.Retried++
+		f.addAction(Action{Kind: Forward, ID: q.ID, Link: index, RemainingTime: timeLeft, Retry: true})
+	}
+}
+
+// LinkDown is called when a link has ended. unsent are the queries that were never written to the network.
+func (f *Forwarder) LinkDown(index LinkIndex, unsent []uint64, now time.Duration) {
+	f.links[index].disconnect()
+	for _, q := range f.queriesInOrder(func(q *forwardedQuery) bool { return q.state == inFlight && q.link == index }) {
+		f.Counters.LinkLost++
+		if slices.Contains(unsent, q.ID) && !q.mayHaveRun {
+			f.returnQuery(q, harmless, now)
+			continue
+		}
+		q.loseLink(min(now+f.policy.ResumeTimeout, q.Deadline-f.policy.AnswerReserve))
+		if q.Idempotency == decision.Idempotent {
+			f.resolveUncertain(q, now) // it can run again here, so it need not wait
+		}
+	}
+}
+
+// repeatRisk says what a second run of a query could do.
+type repeatRisk uint8
+
+const (
+	harmless     repeatRisk = iota // nothing
+	windowedRisk                   // nothing inside the idempotency window, harm after it
+)
+
+// resolveUncertain ends the wait of a query that may have run.
+func (f *Forwarder) resolveUncertain(q *forwardedQuery, now time.Duration) {
+	switch {
+	case q.Idempotency == decision.Idempotent:
+		f.returnQuery(q, harmless, now)
+	case q.Idempotency == decision.IdempotencyKeyed && now <= q.sentAt+q.IdempotencyWindow:
+		f.returnQuery(q, windowedRisk, now)
+	default:
+		f.finish(q, Action{Kind: Fail})
+	}
+}
+
+// returnQuery gives a query back to the own router if there is time; otherwise it is shed where a client's retry is harmless, or fails.
+func (f *Forwarder) returnQuery(q *forwardedQuery, risk repeatRisk, now time.Duration) {
+	timeLeft := q.Deadline - now
+	if risk == windowedRisk { // no attempt may be sent after the window
+		timeLeft = min(timeLeft, q.sentAt+q.IdempotencyWindow-now)
+	}
+	switch {
+	case timeLeft > f.policy.MinRemainingTime:
+		f.Counters.Returned++
+		f.finish(q, Action{Kind: Resubmit, RemainingTime: timeLeft, MayHaveRun: risk == windowedRisk})
+	case risk == harmless && timeLeft > 0:
+		f.finish(q, Action{Kind: Shed})
+	default:
+		f.finish(q, Action{Kind: Fail})
+	}
+}
+
+// finish forgets a query with its last action, whose ID it sets.
+func (f *Forwarder) finish(q *forwardedQuery, last Action) {
+	f.forget(q)
+	last.ID = q.ID
+	f.addAction(last)
+}
+
+// HandleResult is called with the other site's result. It reports whether that result is final for the client: an answer and a
+// failure are; a rejection becomes a Shed action. A result of a query that is not in flight over this link is ignored.
+func (f *Forwarder) HandleResult(index LinkIndex, id uint64, outcome Outcome, now time.Duration) (final bool) {
+	q := f.queries[id]
+	if q == nil || q.link != index || q.state != inFlight {
+		return false
+	}
+	link := &f.links[index]
+	switch outcome {
+	case Rejected:
+		f.Counters.Rejected++
+		link.rejected(now)
+		f.finish(q, Action{Kind: Shed})
+		return false
+	case Answered:
+		f.Counters.Answered++
+		link.answered(q.sentAt, now)
+	default:
+		f.Counters.Failed++
+	}
+	f.forget(q)
+	return true
+}
+
+// HandleStatus is called with the other site's status and the link's measured round trip.
+func (f *Forwarder) HandleStatus(index LinkIndex, status Status, roundTrip, now time.Duration) {
+	link := &f.links[index]
+	link.status = status
+	link.statusAt = now
+	link.roundTrip = roundTrip
+	reason := status.unavailableReason()
+	unavailable := reason != ""
+	if unavailable == link.loggedUnavailable {
+		return
+	}
+	link.loggedUnavailable = unavailable
+	text := link.name + " accepts forwarded queries again"
+	if unavailable {
+		text = link.name + " accepts no forwarded queries: " + reason
+	}
+	f.addAction(Action{Kind: Log, Text: text})
+}
+
+// unavailableReason is empty for a site that takes queries.
+func (s *Status) unavailableReason() string {
+	switch {
+	case s.Draining:
+		return "draining"
+	case s.Shedding:
+		return "shedding load"
+	case s.FreeShare <= 0:
+		return "no capacity"
+	default:
+		return ""
+	}
+}
+
+// Abandon is called when a query's client has gone.
+func (f *Forwarder) Abandon(id uint64) {
+	q := f.queries[id]
+	if q == nil {
+		return
+	}
+	f.cancelThere(q)
+	f.forget(q)
+}
+
+// cancelThere tells the other site that nobody waits for a query.
+func (f *Forwarder) cancelThere(q *forwardedQuery) {
+	if q.state == inFlight && f.links[q.link].up {
+		f.addAction(Action{Kind: Cancel, ID: q.ID, Link: q.link})
+	}
+}
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -219,7 +219,7 @@
 	q.forwarding.returned = true
 	q.forwarding.mayHaveRun = a.MayHaveRun
 	if g.loop.hasCapacity(q) {
-		g.loop.submit(q, a.TimeLeft)
+		g.loop.submit(q, a.RemainingTime)
 		return
 	}
 	q.done = true
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -128,7 +128,9 @@
 	lacking := slices.ContainsFunc(request.Shards, func(s query.ShardRequest) bool { return slices.Contains(g.unhealthyShards, s.Shard) })
 	load := forwarding.Load{Capacity: limit, Used: used, Draining: g.stopping(), ShardUnavailable: lacking}
 	left := time.Duration(in.Left) * time.Microsecond
-	switch g.incoming.HandleQuery(k, c.Serial, g.loop.typeOf(request).Idempotency, len(request.Shards), left, load, now) {
+	offered := forwarding.RemoteQuery{Key: k, Link: c.Serial, Idempotency: g.loop.typeOf(request).Idempotency,
+		ShardRequests: len(request.Shards), RemainingTime: left}
+	switch g.incoming.HandleQuery(offered, load, now) {
 	case forwarding.Reject:
 		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: g.loop.retryAfterLimit().Microseconds()})
 	case forwarding.AlreadyRunning:
@@ -180,7 +182,7 @@
 
 // encode makes of a query what the link carries.
 func (g *siteGateway) encode(q *activeQuery, a forwarding.Action) link.Ask {
-	out := link.Ask{ID: a.ID, Again: a.Resent, Left: a.TimeLeft.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
+	out := link.Ask{ID: a.ID, Again: a.Retry, Left: a.RemainingTime.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
 		Request: q.Request.ID, Text: q.Text}
 	if len(g.settings.Tenants) > 0 {
 		out.Tenant = g.settings.Tenants[q.Tenant]
--- a/internal/server/site_links.go
+++ b/internal/server/site_links.go
@@ -41,14 +41,14 @@
 	}
 	s.siteLinks = link.New(options)
 	policy := forwarding.Policy{
-		ForwardShare:  o.Share,
-		Burst:         o.Burst,
-		MaxForwarded:  o.MostAbroad,
-		MinTimeLeft:   o.LeastLeft,
-		AnswerReserve: o.Speak,
-		ResumeTimeout: o.Resume,
-		RemoteShare:   o.Accept,
-		MaxRemembered: o.Remember,
+		ForwardShare:     o.Share,
+		Burst:            o.Burst,
+		MaxForwarded:     o.MostAbroad,
+		MinRemainingTime: o.LeastLeft,
+		AnswerReserve:    o.Speak,
+		ResumeTimeout:    o.Resume,
+		RemoteShare:      o.Accept,
+		MaxRemembered:    o.Remember,
 	}
 	s.loop.useGateway(newGateway(policy, names, s.siteLinks, &s.start.Terms, s.draining.Load))
 	if o.Listen != "" {
