--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -68,7 +68,7 @@
 	for round, text := range []string{"hang", "hang again"} {
 		ask := strings.NewReplacer("c41e", "hang", "1900", "900").Replace(post(fmt.Sprint("held", round), body))
 		io.WriteString(held, ask)
-		waitUntil(s, func(n Counters) bool { return n.Queries.InFlight == 1 })
+		waitUntil(s, func(n Counters) bool { return n.Queries.InFlight == 1 && n.Queries.AttemptsInFlight >= 2 })
 		sent := s.Counters().Queries.Attempts
 		if _, err := terms.FromJSON([]byte(strings.Replace(ringSettings, `"work"`, `"hour"`, 1)), 1); err == nil {
 			t.Fatal(text, "a bad value passed")
