--- a/internal/cluster/controlplane/cluster_test.go
+++ b/internal/cluster/controlplane/cluster_test.go
@@ -239,7 +239,7 @@
 
 func (c *tier) connected() bool {
 	for _, f := range c.all {
-		if v := f.View(); !v.LeaseHeld(f.Now()) || v.Self.Status != statemachine.BrokerServing {
+		if v := f.View(); !v.LeaseValid(f.Now()) || v.Self.Status != statemachine.BrokerServing {
 			return false
 		}
 	}
--- a/internal/cluster/controlplane/conn.go
+++ b/internal/cluster/controlplane/conn.go
@@ -27,11 +27,11 @@
 	dialled bool
 	toVoter bool // it carries packets to a voter
 
-	mu          sync.Mutex
-	queue       [][]byte
-	queuedBytes int
-	closed      bool
-	wakeWriter  chan struct{}
+	mu           sync.Mutex
+	queue        [][]byte
+	queuedBytes  int
+	closed       bool
+	writerSignal chan struct{}
 
 	connState // of the loop's goroutine alone
 }
@@ -66,7 +66,7 @@
 	c.queue = append(c.queue, frame)
 	c.queuedBytes += len(frame)
 	c.mu.Unlock()
-	c.wake()
+	c.signalWriter()
 }
 
 // backlog is how many bytes are queued.
@@ -84,18 +84,18 @@
 	c.closed = true
 	c.mu.Unlock()
 	c.netConn.Close()
-	c.wake()
+	c.signalWriter()
 }
 
-func (c *conn) wake() {
+func (c *conn) signalWriter() {
 	select {
-	case c.wakeWriter <- struct{}{}:
+	case c.writerSignal <- struct{}{}:
 	default:
 	}
 }
 
-// takeQueue returns all queued frames; false: the connection is closed.
-func (c *conn) takeQueue(batch [][]byte) ([][]byte, bool) {
+// drainQueue returns all queued frames; false: the connection is closed.
+func (c *conn) drainQueue(batch [][]byte) ([][]byte, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -111,13 +111,13 @@
 func (c *conn) writeLoop() {
 	var batch [][]byte
 	for {
-		frames, open := c.takeQueue(batch)
+		frames, open := c.drainQueue(batch)
 		if !open {
 			return
 		}
 		batch = frames
 		if len(batch) == 0 {
-			<-c.wakeWriter
+			<-c.writerSignal
 			continue
 		}
 		c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -62,18 +62,18 @@
 	return "correct the request; `flaxfront fleet --help` tells the verbs"
 }
 
-// SlotTakenError tells that another broker of the tier has this one's place.
-type SlotTakenError struct {
+// SlotConflictError tells that another broker of the tier has this one's place.
+type SlotConflictError struct {
 	Slot   statemachine.Slot
 	Holder string
 }
 
-func (e *SlotTakenError) Error() string {
+func (e *SlotConflictError) Error() string {
 	return fmt.Sprintf("slot %d is that of %s, which lives", e.Slot, e.Holder)
 }
 
 // Remedy says what an operator can do.
-func (e *SlotTakenError) Remedy() string {
+func (e *SlotConflictError) Remedy() string {
 	return "give each broker a fleet.slot of its own, and restart the one that has the wrong one"
 }
 
--- a/internal/cluster/controlplane/fuzz_test.go
+++ b/internal/cluster/controlplane/fuzz_test.go
@@ -38,7 +38,7 @@
 		here, there := net.Pipe()
 		defer here.Close()
 		defer there.Close()
-		c := &conn{netConn: here, wakeWriter: make(chan struct{}, 1), dialled: source, peer: helloFrame{Role: roleFollower, Name: "o"}}
+		c := &conn{netConn: here, writerSignal: make(chan struct{}, 1), dialled: source, peer: helloFrame{Role: roleFollower, Name: "o"}}
 		fl.addConn(c)
 		fl.sourcePath = []string{"v"}
 		for r := bufio.NewReader(bytes.NewReader(raw)); ; {
--- a/internal/cluster/controlplane/handshake.go
+++ b/internal/cluster/controlplane/handshake.go
@@ -34,10 +34,10 @@
 		return nil, err
 	}
 	c := &conn{
-		netConn:    netConn,
-		reader:     bufio.NewReaderSize(netConn, readBufferBytes),
-		dialled:    s == dialling,
-		wakeWriter: make(chan struct{}, 1),
+		netConn:      netConn,
+		reader:       bufio.NewReaderSize(netConn, readBufferBytes),
+		dialled:      s == dialling,
+		writerSignal: make(chan struct{}, 1),
 	}
 	if err := c.exchangeHellos(own); err != nil {
 		return nil, err
--- a/internal/cluster/controlplane/session.go
+++ b/internal/cluster/controlplane/session.go
@@ -127,7 +127,7 @@
 	}
 	isGone := broker.Status == statemachine.BrokerLost || broker.Status == statemachine.BrokerOut
 	if known && broker.Name != p.name && !isGone {
-		p.logSlotTaken(broker.Name, now)
+		p.logSlotConflict(broker.Name, now)
 		return nil
 	}
 	if known && broker.Incarnation >= p.incarnation { // lost while it lived: it returns as a new one
@@ -145,13 +145,13 @@
 	}
 }
 
-func (p *Participant) logSlotTaken(holder string, now time.Duration) {
+func (p *Participant) logSlotConflict(holder string, now time.Duration) {
 	last := p.session.conflictLoggedAt
 	if last != 0 && now-last <= conflictLogInterval {
 		return
 	}
 	p.session.conflictLoggedAt = now
-	err := &SlotTakenError{Slot: p.options.Slot, Holder: holder}
+	err := &SlotConflictError{Slot: p.options.Slot, Holder: holder}
 	slog.Error("registration rejected", "component", component, "error", err, "remedy", err.Remedy())
 }
 
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -40,8 +40,8 @@
 	Acked  bool // by this broker
 }
 
-// LeaseHeld reports whether the session's lease runs.
-func (v *View) LeaseHeld(now time.Duration) bool { return now < v.LeaseEnd }
+// LeaseValid reports whether the session's lease runs.
+func (v *View) LeaseValid(now time.Duration) bool { return now < v.LeaseEnd }
 
 // View returns the newest view.
 func (p *Participant) View() *View { return p.latestView.Load() }
--- a/internal/decision/admission/arrival.go
+++ b/internal/decision/admission/arrival.go
@@ -11,7 +11,7 @@
 	t := &c.tenants[q.Tenant]
 	isBusy := c.isBusy(q.Work)
 	c.agePromises(t, q, now)
-	if !t.takeRetryToken(q.Retry, c.policy.RetryShare, isBusy) {
+	if !t.spendRetryToken(q.Retry, c.policy.RetryShare, isBusy) {
 		c.someWaited = true
 		return Reject, c.reject(t, q, now)
 	}
@@ -43,9 +43,9 @@
 	return c.inFlight+work > c.maxInFlight() && c.inFlight >= c.policy.MinWork
 }
 
-// takeRetryToken counts a query as fresh or as a retry. It returns false for a retry beyond the tenant's share of retries, while there is
+// spendRetryToken counts a query as fresh or as a retry. It returns false for a retry beyond the tenant's share of retries, while there is
 // no room.
-func (t *tenant) takeRetryToken(isRetry bool, retryShare float64, isBusy bool) bool {
+func (t *tenant) spendRetryToken(isRetry bool, retryShare float64, isBusy bool) bool {
 	if !isRetry {
 		t.retryTokens = min(maxRetryTokens, t.retryTokens+retryShare)
 		return true
--- a/internal/server/control_plane_view.go
+++ b/internal/server/control_plane_view.go
@@ -115,7 +115,7 @@
 func (v *controlPlaneView) report(c *QueryCounters) {
 	s := &ControlPlaneState{
 		Index:             v.view.Index,
-		Connected:         v.view.LeaseHeld(v.loop.since()),
+		Connected:         v.view.LeaseValid(v.loop.since()),
 		Leader:            v.view.Leader,
 		Incarnation:       v.view.Self.Incarnation,
 		Standing:          v.view.Self.Status.String(),
--- a/internal/server/lease_view.go
+++ b/internal/server/lease_view.go
@@ -66,7 +66,7 @@
 // have been agreed by brokers that this one can't hear; so it opens freely only while its session's lease runs.
 func (b *connectionLeases) updateFloors(v *controlplane.View) {
 	if v.Policy == nil {
-		if v.LeaseHeld(b.loop.since()) {
+		if v.LeaseValid(b.loop.since()) {
 			b.holder.SetUnlimited()
 		} else {
 			b.holder.SetReserved(nil, 1)
