--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -47,7 +47,7 @@
 // Remedy says what an operator can do.
 func (e *NotLeaderError) Remedy() string {
 	if e.Leader == "" {
-		return "see that a majority of the voters runs and that they reach one another; searches go on meanwhile"
+		return "see that a majority of the voters runs and that they reach one another; queries go on meanwhile"
 	}
 	return "ask there"
 }
