--- a/internal/decision/routing/allowed_replicas_test.go
+++ b/internal/decision/routing/allowed_replicas_test.go
@@ -9,9 +9,9 @@
 )
 
 // queryWithAllowed brings a query of one shard request that only some nodes may be sent.
-func (r *rig) queryWithAllowed(only *decision.AllowedReplicas) uint64 {
+func (r *rig) queryWithAllowed(allowed *decision.AllowedReplicas) uint64 {
 	id := r.query(0, 3*time.Second, 0)
-	r.events[len(r.events)-1].Allowed = only
+	r.events[len(r.events)-1].Allowed = allowed
 	return id
 }
 
@@ -36,17 +36,17 @@
 // A shard request goes to no other node than it may, whatever is out there: first sends, hedges and retries.
 func TestOnlyAllowedReplicas(t *testing.T) {
 	r := oneCellRig()
-	may := []decision.NodeID{nodeID(1), nodeID(3)}
+	allowed := []decision.NodeID{nodeID(1), nodeID(3)}
 	for i := range 400 {
 		if i%3 == 0 {
 			r.query(0, 3*time.Second, 0)
 		} else {
-			r.queryWithAllowed(&decision.AllowedReplicas{Sticky: i%3 == 1, Nodes: slices.Clone(may)})
+			r.queryWithAllowed(&decision.AllowedReplicas{Sticky: i%3 == 1, Nodes: slices.Clone(allowed)})
 		}
-		narrowed := r.nextID
+		restricted := r.nextID
 		for _, a := range r.step(5 * ms) {
-			if a.Kind == decision.SendAttempt && a.ID == narrowed && i%3 != 0 {
-				require(t, slices.Contains(may, a.Node), "shard request %d went to %v", a.ID, a.Node)
+			if a.Kind == decision.SendAttempt && a.ID == restricted && i%3 != 0 {
+				require(t, slices.Contains(allowed, a.Node), "shard request %d went to %v", a.ID, a.Node)
 			}
 		}
 		r.endAttempts(decision.OK, 20*ms, func(n decision.NodeID) bool { return i%7 > 0 })
@@ -75,13 +75,13 @@
 // An answer that came too old is one that did not come: the shard request goes on elsewhere, and its node is none the worse for it.
 func TestStaleAnswer(t *testing.T) {
 	r := oneCellRig()
-	only := &decision.AllowedReplicas{Sticky: true, Nodes: []decision.NodeID{nodeID(4), nodeID(0)}}
-	id := r.queryWithAllowed(only)
+	allowed := &decision.AllowedReplicas{Sticky: true, Nodes: []decision.NodeID{nodeID(4), nodeID(0)}}
+	id := r.queryWithAllowed(allowed)
 	r.step(5 * ms)
-	only.Nodes = only.Nodes[1:]
+	allowed.Nodes = allowed.Nodes[1:]
 	r.endAttempts(decision.Stale, 0, nil)
-	require(t, slices.Equal(sentTo(r.step(20*ms)), only.Nodes), "not sent on")
-	only.Nodes = nil
+	require(t, slices.Equal(sentTo(r.step(20*ms)), allowed.Nodes), "not sent on")
+	allowed.Nodes = nil
 	r.endAttempts(decision.Stale, 0, nil)
 	shed := actionsOf(r.step(20*ms), decision.ShedQuery)
 	require(t, len(shed) == 1 && shed[0].ID == id, "held on: %v", shed)
--- a/internal/decision/routing/attempts.go
+++ b/internal/decision/routing/attempts.go
@@ -18,9 +18,9 @@
 		d.flows.add(&d.endpoints, e.cell, r.now)
 	}
 	a := d.recordAttempt(sr, index)
-	if d.idleConnections.closeBeforeUse(a.idle, r.now) {
+	if d.idleConnections.closeBeforeUse(a.idleTime, r.now) {
 		r.act(decision.Action{Kind: decision.CloseIdleConnections, Node: e.id})
-		a.idle = 0
+		a.idleTime = 0
 	}
 	r.act(decision.Action{Kind: decision.SendAttempt, ID: sr.id, Node: e.id, ExclusiveConnection: d.failuresAlike})
 	r.post(&r.nodes[index].inbox, message{kind: attemptSent})
@@ -34,13 +34,13 @@
 	if len(e.calls) == 0 && e.lastUsedAt > 0 {
 		idle = now - e.lastUsedAt
 	}
-	d.endpoints.changing.set(int32(index))
+	d.endpoints.needTick.set(int32(index))
 	sr.attempts = append(sr.attempts, attempt{
 		node:            index,
 		inFlight:        true,
 		sentAt:          now,
 		callsPerReplica: d.endpoints.callsPerReplica(sr.shard),
-		idle:            idle,
+		idleTime:        idle,
 	})
 	sr.inFlight++
 	if open := e.openCall(now, d.router.settings.MaxBatch); open != nil {
@@ -55,7 +55,7 @@
 
 // handleAttemptEnded learns from the end of an attempt, for its node and, if the query is still in flight, for the query.
 func (d *dispatcher) handleAttemptEnded(event *decision.Event) {
-	d.noteEnd(event)
+	d.recordAttemptEnd(event)
 	q, sr, a := d.findAttempt(event)
 	if a == nil {
 		return
@@ -85,8 +85,8 @@
 	d.cancel(sr)
 }
 
-// noteEnd notes the end of an attempt at its node.
-func (d *dispatcher) noteEnd(event *decision.Event) {
+// recordAttemptEnd notes the end of an attempt at its node.
+func (d *dispatcher) recordAttemptEnd(event *decision.Event) {
 	r := d.router
 	index, known := r.indexes[event.Node]
 	if !known {
@@ -98,7 +98,7 @@
 	d.adaptWindow(e, event.Outcome, event.Elapsed)
 	e.lastUsedAt = r.now
 	if event.Outcome == decision.OK || event.Outcome == decision.Stale {
-		e.answeredSends = max(e.answeredSends, sentAt)
+		e.lastAnsweredSentAt = max(e.lastAnsweredSentAt, sentAt)
 		e.health.lastAliveAt = max(e.health.lastAliveAt, sentAt)
 	}
 	e.endAttempt(sentAt)
@@ -128,7 +128,7 @@
 		}
 		a.inFlight = false
 		sr.inFlight--
-		sr.attemptMayHaveRun(a.sentAt)
+		sr.notePossibleRun(a.sentAt)
 		d.learnFromCancelled(sr, a)
 		if d.router.settings.CancelAllowed {
 			d.router.act(decision.Action{Kind: decision.CancelAttempt, ID: sr.id, Attempt: uint16(i)})
--- a/internal/decision/routing/completion.go
+++ b/internal/decision/routing/completion.go
@@ -19,12 +19,12 @@
 // setDeadlines sets when a query that came is answered with what there is, and when it must have a result.
 func (d *dispatcher) setDeadlines(q *query, e *decision.Event) {
 	r := d.router
-	q.wholeDeadline = r.now + min(q.queryType.LatencyObjective, e.RemainingTime) - deadlineMargin
-	q.deadline = q.wholeDeadline
+	q.overallDeadline = r.now + min(q.queryType.LatencyObjective, e.RemainingTime) - deadlineMargin
+	q.deadline = q.overallDeadline
 	if q.queryType.SecondPhaseRequests > 0 {
 		q.deadline -= min(d.latency.p95, q.queryType.LatencyObjective/maxSecondPhaseReserve)
 	}
-	q.guardAt = r.now + e.RemainingTime - guardSteps*r.settings.ClockStep
+	q.hardDeadline = r.now + e.RemainingTime - guardSteps*r.settings.ClockStep
 }
 
 // noteRetryingClient sets how much of its time the client of a query has spent before. A retry that leaves less time than usual was cut
@@ -33,7 +33,7 @@
 	usual := d.usualRemainingTime[e.Type].vote(e.RemainingTime)
 	mayBeRetry := e.Retry || !d.router.settings.ClientsMarkRetries
 	if mayBeRetry && e.RemainingTime < usual-majoritySlack {
-		q.spent = max(0, q.queryType.Timeout-e.RemainingTime)
+		q.clientTimeSpent = max(0, q.queryType.Timeout-e.RemainingTime)
 	}
 }
 
@@ -63,10 +63,10 @@
 	enough := q.answeredWeight >= need.min-weightTolerance
 	switch {
 	case q.answeredWeight >= need.full-weightTolerance:
-		d.answer(slot, !q.secondPhase || q.firstComplete)
+		d.answer(slot, !q.secondPhase || q.firstPhaseComplete)
 	case enough && (now >= q.deadline || unanswered == 0):
 		d.answer(slot, false)
-	case now >= q.guardAt:
+	case now >= q.hardDeadline:
 		d.abandon(slot)
 	case now >= q.deadline && d.tableCrowded: // else queries that wait for silent nodes take all places, and new ones are shed unseen
 		d.abandon(slot)
@@ -84,17 +84,17 @@
 		return
 	}
 	d.removeShardRequests(q)
-	d.queries.places -= q.expectedRequests
+	d.queries.inFlight -= q.expectedRequests
 	q.beginSecondPhase(complete)
 }
 
 func (q *query) beginSecondPhase(firstComplete bool) {
 	q.secondPhase = true
-	q.firstComplete = firstComplete
+	q.firstPhaseComplete = firstComplete
 	q.dispatched = false
 	q.answeredWeight = 0
 	q.expectedRequests = 0
-	q.deadline = q.wholeDeadline
+	q.deadline = q.overallDeadline
 }
 
 // abandon ends a query that cannot be answered: shed, with the time to come back after, where that is true, or else failed.
@@ -103,7 +103,7 @@
 	q := &d.queries.slots[slot]
 	action := decision.Action{Kind: decision.FailQuery, ID: q.id}
 	harmless := q.noneRan() || q.queryType.Idempotency == decision.Idempotent
-	if harmless && r.now < q.guardAt {
+	if harmless && r.now < q.hardDeadline {
 		share := minRetryAfterShare + (1-minRetryAfterShare)*r.random.share()
 		action.Kind = decision.ShedQuery
 		action.RetryAfter = time.Duration(share * float64(r.settings.MaxRetryAfter))
--- a/internal/decision/routing/course_test.go
+++ b/internal/decision/routing/course_test.go
@@ -39,7 +39,7 @@
 	require(t, len(actionsOf(actions, decision.SendAttempt)) == 0 && len(r.queries) == 0, "no replica: shed before any work")
 }
 
-func TestLittleTimeAndManyAtOnce(t *testing.T) {
+func TestManyQueriesWithLittleTime(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	for i := range 4000 {
 		r.query(i%2, time.Duration(i%50)*ms, 0, 1)
@@ -143,7 +143,7 @@
 }
 
 // Replicas whose attempts are cancelled unanswered are known to be slow (kisumu-leases-later big-1).
-func TestCancelledAttemptsTeachLatency(t *testing.T) {
+func TestCancelledAttemptsCountInLatency(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	for range 3 {
 		r.query(0, 1200*ms, 0)
@@ -163,7 +163,7 @@
 		r.step(5 * ms)
 		ref, ok := r.router.dispatcher.queries.find(id)
 		require(t, ok, "query %d not in flight", i)
-		spent := r.router.dispatcher.queries.slots[ref.slot].spent
+		spent := r.router.dispatcher.queries.slots[ref.slot].clientTimeSpent
 		want := []time.Duration{0, 1800 * ms}[i/5]
 		require(t, spent == want, "query %d: spent %v", i, spent)
 	}
--- a/internal/decision/routing/degradation.go
+++ b/internal/decision/routing/degradation.go
@@ -47,19 +47,19 @@
 // handleGossip takes another broker's word that it has ejected or reinstated the node. Where several have ejected it, it counts as
 // degraded until it answers or time goes by, so that not every broker has to find out by itself; false word costs it some traffic.
 func (n *nodeHealth) handleGossip(ejectedThere bool) {
-	n.ejectedBy = n.currentlyEjectedBy()
+	n.ejectingBrokers = n.currentlyEjectedBy()
 	if ejectedThere {
-		n.ejectedBy++
+		n.ejectingBrokers++
 	} else {
-		n.ejectedBy /= 2
+		n.ejectingBrokers /= 2
 	}
 	n.lastGossipedAt = n.router.now
-	if n.ejectedBy >= minEjectingBrokers {
+	if n.ejectingBrokers >= minEjectingBrokers {
 		n.costFactor = maxCostFactor
 	}
 }
 
 // currentlyEjectedBy is how many other brokers have ejected the node, as far as it is remembered.
 func (n *nodeHealth) currentlyEjectedBy() float64 {
-	return n.ejectedBy * decayFactor(n.router.now-n.lastGossipedAt, gossipMemory)
+	return n.ejectingBrokers * decayFactor(n.router.now-n.lastGossipedAt, gossipMemory)
 }
--- a/internal/decision/routing/dispatcher.go
+++ b/internal/decision/routing/dispatcher.go
@@ -10,7 +10,7 @@
 type dispatcher struct {
 	router             *Router
 	inbox              inbox
-	next               time.Duration // when there is something to do; never: nothing
+	nextDueAt          time.Duration // when there is something to do; never: nothing
 	endpoints          endpointTable
 	queries            queryTable
 	tableCrowded       bool       // queries take most of the places
@@ -27,8 +27,8 @@
 
 func (d *dispatcher) initialise(r *Router) {
 	d.router = r
-	d.inbox.to = d
-	d.next = never
+	d.inbox.receiver = d
+	d.nextDueAt = never
 	d.queries.references = map[uint64]reference{}
 	d.idleConnections.shortestCut = never
 	d.extraBudget.credit = initialCredit
@@ -53,15 +53,15 @@
 }
 
 // reconfigure follows the router's settings; moved as for Router.Reconfigure.
-func (d *dispatcher) reconfigure(moved bool) {
+func (d *dispatcher) reconfigure(shardsMoved bool) {
 	d.allocate()
-	d.endpoints.replaceAll()
-	if !moved {
+	d.endpoints.rebuildCells()
+	if !shardsMoved {
 		return
 	}
-	for slot := range d.queries.used.all {
+	for slot := range d.queries.usedSlots.all {
 		q := &d.queries.slots[slot]
-		q.moved = true
+		q.shardsMoved = true
 		q.quiet = false
 		for i := range q.requests {
 			sr := &q.requests[i]
@@ -70,8 +70,8 @@
 	}
 }
 
-// noteDue asks for a step at a time.
-func (d *dispatcher) noteDue(at time.Duration) { d.next = min(d.next, at) }
+// scheduleStep asks for a step at a time.
+func (d *dispatcher) scheduleStep(at time.Duration) { d.nextDueAt = min(d.nextDueAt, at) }
 
 func (d *dispatcher) handle(m *message) {
 	switch m.kind {
@@ -113,20 +113,20 @@
 	if e.available() && s.mode == modeEjected && !s.unreachable {
 		d.observeZone(e, decision.TimedOut, 0)
 	}
-	t.countWarmedUp(e, -1)
+	t.adjustWarmedUp(e, -1)
 	t.move(index, s.cell)
 	if e.confirmation.since != s.unconfirmedSince {
 		e.confirmation.since = s.unconfirmedSince
 		e.confirmation.window = initialWindow
 		e.confirmation.spread = d.router.random.share()
 	}
-	t.changing.set(int32(index))
+	t.needTick.set(int32(index))
 	e.mode = s.mode
 	e.cell = s.cell
 	e.slowStart.share = s.capacityShare
 	e.costFactor = s.costFactor
 	e.unreachable = s.unreachable
-	t.countWarmedUp(e, 1)
+	t.adjustWarmedUp(e, 1)
 }
 
 // handleQuery takes a query; one of an unknown type fails.
@@ -146,20 +146,20 @@
 
 // sweep looks at every query in flight: what was answered, what is due, what is new.
 func (d *dispatcher) sweep() {
-	d.next = never
+	d.nextDueAt = never
 	d.detectFailuresAlike()
 	d.avoidZones()
-	d.tableCrowded = float64(d.queries.places) > crowdedTableShare*float64(d.router.settings.MaxInFlight)
-	for slot := range d.queries.used.all {
+	d.tableCrowded = float64(d.queries.inFlight) > crowdedTableShare*float64(d.router.settings.MaxInFlight)
+	for slot := range d.queries.usedSlots.all {
 		q := &d.queries.slots[slot]
 		if q.quiet && d.staysQuiet(q) {
 			continue
 		}
 		d.advance(slot)
 		if q.inUse {
-			d.noteDue(q.guardAt)
+			d.scheduleStep(q.hardDeadline)
 			if q.deadline > d.router.now {
-				d.noteDue(q.deadline)
+				d.scheduleStep(q.deadline)
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 		d.noteQuiet(q)
 		return
 	}
-	if !q.secondPhase || len(q.requests) > 0 || d.router.now >= q.guardAt {
+	if !q.secondPhase || len(q.requests) > 0 || d.router.now >= q.hardDeadline {
 		d.dispatch(slot)
 	}
 }
@@ -189,17 +189,17 @@
 func (d *dispatcher) dispatch(slot int32) {
 	q := &d.queries.slots[slot]
 	q.dispatched = true
-	if d.router.now >= q.guardAt || !q.secondPhase && d.shed(q) {
+	if d.router.now >= q.hardDeadline || !q.secondPhase && d.shed(q) {
 		d.abandon(slot)
 		return
 	}
 	d.checkReplicas(q)
-	d.sendUnsent(q)
+	d.sendFirstAttempts(q)
 	d.completeIfReady(slot)
 }
 
-// sendUnsent sends the first attempts of shard requests that had none.
-func (d *dispatcher) sendUnsent(q *query) {
+// sendFirstAttempts sends the first attempts of shard requests that had none.
+func (d *dispatcher) sendFirstAttempts(q *query) {
 	for i := range q.requests {
 		sr := &q.requests[i]
 		if sr.abandoned || len(sr.attempts) > 0 {
--- a/internal/decision/routing/ejection.go
+++ b/internal/decision/routing/ejection.go
@@ -69,7 +69,7 @@
 func (n *nodeHealth) noteAnswer(latency time.Duration) {
 	n.noteResponse()
 	n.consecutiveRejected = 0
-	n.ejectedBy = 0
+	n.ejectingBrokers = 0
 	n.unreachable = false
 	n.errorRate *= 1 - errorWeight
 	n.setFailureShare(n.failureShare * (1 - failureShareWeight))
@@ -128,8 +128,8 @@
 	now := r.now
 	silence := min(m.elapsed, now-n.lastResponseAt)
 	n.unansweredTime += time.Duration(m.calls) * min(now-n.updatedAt, silence)
-	if n.renewedAt <= n.lastResponseAt && n.unansweredTime > renewConnectionsP95*r.dispatcher.latency.p95 {
-		n.renewedAt = now
+	if n.connectionsRenewedAt <= n.lastResponseAt && n.unansweredTime > renewConnectionsP95*r.dispatcher.latency.p95 {
+		n.connectionsRenewedAt = now
 		n.renewConnections()
 	}
 	unresponsive := silence > minSilence && float64(n.unansweredTime) > silenceFactor*float64(m.usualLatency)
@@ -142,7 +142,7 @@
 // counts as lost once the node has answered one that was sent well after it.
 func (e *endpoint) pendingCalls() []call {
 	lost := 0
-	for lost < len(e.calls) && e.calls[lost].sentAt < e.answeredSends-minSilence {
+	for lost < len(e.calls) && e.calls[lost].sentAt < e.lastAnsweredSentAt-minSilence {
 		lost++
 	}
 	return e.calls[lost:]
--- a/internal/decision/routing/ejection_test.go
+++ b/internal/decision/routing/ejection_test.go
@@ -98,7 +98,7 @@
 	for fresh, want := range []int{2, 0} {
 		r := newRig(smallSettings(), 2)
 		for i := range 10 {
-			r.router.dispatcher.observeIdle(&attempt{idle: 900*ms + time.Duration(i)*ms}, 1)
+			r.router.dispatcher.observeIdle(&attempt{idleTime: 900*ms + time.Duration(i)*ms}, 1)
 			r.router.dispatcher.observeIdle(&attempt{}, attemptError(fresh))
 		}
 		n := 0
--- a/internal/decision/routing/endpoint_list.go
+++ b/internal/decision/routing/endpoint_list.go
@@ -12,7 +12,7 @@
 	inbox      inbox
 	subscribed bool          // a poll or watch is out
 	pollAt     time.Duration // not before
-	next       time.Duration // when there is something to do; never: nothing
+	nextDueAt  time.Duration // when there is something to do; never: nothing
 	backoff    time.Duration
 }
 
@@ -42,7 +42,7 @@
 			index = w.addNode(line)
 		}
 		n := r.nodes[index]
-		n.namedBy = e
+		n.listedIn = e
 		n.unlistedAt = never
 		if line.State == decision.Removed {
 			n.unlistedAt = r.now
@@ -50,10 +50,10 @@
 		r.post(&n.inbox, message{kind: endpointListed, endpoint: line})
 	}
 	if e.Kind == decision.FullListReceived {
-		w.removeUnnamed(e)
+		w.removeMissing(e)
 	}
 	for _, n := range r.nodes {
-		n.namedBy = nil // the event belongs to the caller of Step
+		n.listedIn = nil // the event belongs to the caller of Step
 	}
 }
 
@@ -63,7 +63,7 @@
 	index := w.freeIndex()
 	r.indexes[line.Node] = index
 	n := &nodeHealth{router: r, index: index, id: line.Node, startedAt: decision.StartedLongAgo, costFactor: 1}
-	n.inbox.to = n
+	n.inbox.receiver = n
 	r.nodes[index] = n
 	d.endpoints.all[index] = endpoint{
 		id:         line.Node,
@@ -90,11 +90,11 @@
 	return index
 }
 
-// removeUnnamed tells the nodes that a full list does not name.
-func (w *listWatcher) removeUnnamed(e *decision.Event) {
+// removeMissing tells the nodes that a full list does not name.
+func (w *listWatcher) removeMissing(e *decision.Event) {
 	r := w.router
 	for _, n := range r.nodes {
-		if !w.isKnown(n) || n.namedBy == e {
+		if !w.isKnown(n) || n.listedIn == e {
 			continue
 		}
 		n.unlistedAt = min(n.unlistedAt, r.now)
--- a/internal/decision/routing/endpoint_table.go
+++ b/internal/decision/routing/endpoint_table.go
@@ -23,20 +23,20 @@
 
 // endpoint is the dispatcher's view of a node.
 type endpoint struct {
-	id            decision.NodeID
-	cell          int
-	zone          int
-	mode          endpointMode
-	placed        bool    // it is among the nodes of its cell
-	unreachable   bool    // the last connection failed
-	costFactor    float64 // as how many calls one of its calls counts
-	slowStart     slowStart
-	confirmation  confirmation
-	health        healthCheckState
-	lastSentAt    time.Duration
-	lastUsedAt    time.Duration // when something last passed between this broker and it
-	answeredSends time.Duration // when the latest call that it has answered was sent
-	calls         []call        // in flight, oldest first
+	id                 decision.NodeID
+	cell               int
+	zone               int
+	mode               endpointMode
+	inCell             bool    // it is among the nodes of its cell
+	unreachable        bool    // the last connection failed
+	costFactor         float64 // as how many calls one of its calls counts
+	slowStart          slowStart
+	confirmation       confirmation
+	health             healthCheckState
+	lastSentAt         time.Duration
+	lastUsedAt         time.Duration // when something last passed between this broker and it
+	lastAnsweredSentAt time.Duration // when the latest call that it has answered was sent
+	calls              []call        // in flight, oldest first
 }
 
 // call is one message to a node, which carries one or more attempts.
@@ -80,7 +80,7 @@
 	cellsPerShard  int
 	warmedUp       int // nodes in modeWarmedUp
 	warmedUpByCell []int
-	changing       bitset      // nodes that time alone may change
+	needTick       bitset      // nodes that time alone may change
 	scratch        []nodeIndex // the last result of replicas or sharingShards
 }
 
@@ -92,13 +92,13 @@
 	t.cellsPerShard = cellsPerShard
 }
 
-// replaceAll puts every placed endpoint into its cell anew.
-func (t *endpointTable) replaceAll() {
+// rebuildCells puts every placed endpoint into its cell anew.
+func (t *endpointTable) rebuildCells() {
 	for i := range t.all {
 		e := &t.all[i]
-		if e.placed {
+		if e.inCell {
 			t.cell(e.cell).add(nodeIndex(i))
-			t.countWarmedUp(e, 1)
+			t.adjustWarmedUp(e, 1)
 		}
 	}
 }
@@ -117,18 +117,18 @@
 // move puts an endpoint into a cell.
 func (t *endpointTable) move(index nodeIndex, cell int) {
 	e := &t.all[index]
-	if cell == e.cell && e.placed {
+	if cell == e.cell && e.inCell {
 		return
 	}
-	if e.placed {
+	if e.inCell {
 		t.cell(e.cell).remove(index)
 	}
-	e.placed = true
+	e.inCell = true
 	t.cell(cell).add(index)
 }
 
-// countWarmedUp adds to the numbers of warmed-up nodes if the endpoint is one.
-func (t *endpointTable) countWarmedUp(e *endpoint, change int) {
+// adjustWarmedUp adds to the numbers of warmed-up nodes if the endpoint is one.
+func (t *endpointTable) adjustWarmedUp(e *endpoint, change int) {
 	if e.mode == modeWarmedUp {
 		t.warmedUp += change
 		t.warmedUpByCell[e.cell%len(t.byCell)] += change
--- a/internal/decision/routing/golden_arrivals_test.go
+++ b/internal/decision/routing/golden_arrivals_test.go
@@ -7,11 +7,11 @@
 	"flaxfront/internal/decision"
 )
 
-// arrivals brings queries with their shard requests, and clients that leave.
-func (s *sequence) arrivals() {
+// addArrivals brings queries with their shard requests, and clients that leave.
+func (s *sequence) addArrivals() {
 	g := &s.random
-	for range g.below(s.perTick + 1) {
-		s.query()
+	for range g.below(s.maxArrivalsPerTick + 1) {
+		s.addQuery()
 	}
 	if len(s.queries) > 0 && g.oneIn(25) {
 		at := g.below(len(s.queries))
@@ -20,7 +20,7 @@
 	}
 }
 
-func (s *sequence) query() {
+func (s *sequence) addQuery() {
 	g := &s.random
 	s.nextID++
 	s.serial++
@@ -42,11 +42,11 @@
 	}
 	s.add(e)
 	s.queries = append(s.queries, q)
-	s.shardRequests(q, shards)
+	s.addShardRequests(q, shards)
 }
 
-// shardRequests brings the shard requests of a query, equal in weight or skewed.
-func (s *sequence) shardRequests(q openQuery, count int) {
+// addShardRequests brings the shard requests of a query, equal in weight or skewed.
+func (s *sequence) addShardRequests(q openQuery, count int) {
 	g := &s.random
 	weights := make([]float64, count)
 	sum := 0.0
@@ -86,8 +86,8 @@
 	return a
 }
 
-// accidents change the conditions of nodes, the list, and what other brokers say.
-func (s *sequence) accidents() {
+// injectFaults change the conditions of nodes, the list, and what other brokers say.
+func (s *sequence) injectFaults() {
 	g := &s.random
 	if g.oneIn(15) {
 		s.changeConditions()
@@ -96,14 +96,14 @@
 		s.changeList()
 	}
 	if g.oneIn(30) {
-		s.gossip()
+		s.addGossip()
 	}
 	if g.oneIn(200) {
 		s.reconfigure()
 	}
 	if g.oneIn(60) { // an end that is not known, or is told twice
 		s.add(decision.Event{Kind: decision.AttemptEnded, ID: uint64(g.below(int(s.nextID) + 1)), Attempt: uint16(g.below(3)),
-			Outcome: choose(g, decision.OK, decision.Errored, decision.Cancelled), Node: nodeNumber(g.below(s.started + 1)),
+			Outcome: choose(g, decision.OK, decision.Errored, decision.Cancelled), Node: nodeNumber(g.below(s.nodesStarted + 1)),
 			Elapsed: g.duration(500 * time.Millisecond)})
 	}
 }
@@ -111,14 +111,14 @@
 // changeConditions has single nodes, a whole zone or all nodes fall ill or recover.
 func (s *sequence) changeConditions() {
 	g := &s.random
-	ill := condition(g.below(int(conditionCount)))
+	newCondition := condition(g.below(int(conditionCount)))
 	zone := g.below(3)
 	scope := g.below(6)
 	for _, n := range s.nodes {
 		switch {
 		case scope == 0 && n.endpoint.Zone == zone, scope == 1:
-			n.condition = ill
-		case scope > 1 && g.oneIn(s.troubled):
+			n.condition = newCondition
+		case scope > 1 && g.oneIn(s.conditionChangeOdds):
 			n.condition = condition(g.below(int(conditionCount)))
 		case g.oneIn(2):
 			n.condition = healthy
@@ -163,12 +163,12 @@
 	s.add(decision.Event{Kind: decision.ListUpdateReceived, Endpoints: []decision.Endpoint{n.endpoint}})
 }
 
-// gossip brings a message of another broker: entries of seven bytes, and at times a few bytes too many.
-func (s *sequence) gossip() {
+// addGossip brings a message of another broker: entries of seven bytes, and at times a few bytes too many.
+func (s *sequence) addGossip() {
 	g := &s.random
 	var payload []byte
 	for range 1 + g.below(3) {
-		id := nodeNumber(g.below(s.started + 1))
+		id := nodeNumber(g.below(s.nodesStarted + 1))
 		payload = append(payload, choose(g, byte('s'), 's', 'w'))
 		payload = append(payload, id.Addr[:]...)
 		payload = append(payload, byte(id.Port>>8), byte(id.Port))
--- a/internal/decision/routing/golden_sequence_test.go
+++ b/internal/decision/routing/golden_sequence_test.go
@@ -20,29 +20,29 @@
 
 // sequence is one pseudo-random course: a router, the store and the clients around it.
 type sequence struct {
-	random    generator
-	settings  decision.Settings
-	router    *routing.Router
-	digest    *digest
-	now       time.Duration
-	tick      time.Duration // usual time between two steps
-	perTick   int           // most queries that arrive in one
-	troubled  int           // one node in so many changes its condition at a time
-	nodes     []*storeNode
-	byID      map[decision.NodeID]*storeNode
-	started   int // nodes ever
-	service   time.Duration
-	nextID    uint64
-	serial    float32
-	queries   []openQuery
-	sent      map[uint64]uint16 // attempts of each shard request
-	allowed   map[uint64]*decision.AllowedReplicas
-	open      []openAttempt
-	checks    []openAttempt
-	timerAt   time.Duration
-	listAsked bool
-	events    []decision.Event
-	actions   []decision.Action
+	random              generator
+	settings            decision.Settings
+	router              *routing.Router
+	digest              *digest
+	now                 time.Duration
+	tick                time.Duration // usual time between two steps
+	maxArrivalsPerTick  int           // most queries that arrive in one
+	conditionChangeOdds int           // one node in so many changes its condition at a time
+	nodes               []*storeNode
+	byID                map[decision.NodeID]*storeNode
+	nodesStarted        int // nodes ever
+	serviceTime         time.Duration
+	nextID              uint64
+	serial              float32
+	queries             []openQuery
+	sent                map[uint64]uint16 // attempts of each shard request
+	allowed             map[uint64]*decision.AllowedReplicas
+	openAttempts        []openAttempt
+	openHealthChecks    []openAttempt
+	timerAt             time.Duration
+	listAsked           bool
+	events              []decision.Event
+	actions             []decision.Action
 }
 
 // playSequence plays a sequence to its end and returns the digest of its actions.
@@ -58,16 +58,16 @@
 	s.settings = randomSettings(g)
 	s.router = routing.New(s.settings)
 	s.tick = choose(g, 5*time.Millisecond, 20*time.Millisecond, 60*time.Millisecond, 250*time.Millisecond)
-	s.perTick = choose(g, 1, 2, 4, 9)
-	s.troubled = choose(g, 2, 5, 40)
-	s.service = choose(g, 0, time.Millisecond, 8*time.Millisecond, 40*time.Millisecond)
+	s.maxArrivalsPerTick = choose(g, 1, 2, 4, 9)
+	s.conditionChangeOdds = choose(g, 2, 5, 40)
+	s.serviceTime = choose(g, 0, time.Millisecond, 8*time.Millisecond, 40*time.Millisecond)
 	for range choose(g, 1, 4, 9, 18) {
 		s.startNode()
 	}
 	s.fullList()
 	for range stepsOfSequence {
-		s.arrivals()
-		s.accidents()
+		s.addArrivals()
+		s.injectFaults()
 		s.step()
 	}
 	inFlight, ejected := s.router.Snapshot()
@@ -82,8 +82,8 @@
 func (s *sequence) add(e decision.Event) { s.events = append(s.events, e) }
 
 func (s *sequence) startNode() *storeNode {
-	n := newStoreNode(&s.random, &s.settings, s.started, s.service)
-	s.started++
+	n := newStoreNode(&s.random, &s.settings, s.nodesStarted, s.serviceTime)
+	s.nodesStarted++
 	s.nodes = append(s.nodes, n)
 	s.byID[n.endpoint.Node] = n
 	return n
@@ -114,7 +114,7 @@
 	}
 	s.now = until
 	s.endAttempts()
-	s.endChecks()
+	s.endHealthChecks()
 	if s.listAsked && g.oneIn(4) {
 		s.listAsked = false
 		if g.oneIn(2) {
@@ -132,8 +132,8 @@
 }
 
 func (s *sequence) endAttempts() {
-	remaining := s.open[:0]
-	for _, a := range s.open {
+	remaining := s.openAttempts[:0]
+	for _, a := range s.openAttempts {
 		if a.endsAt > s.now {
 			remaining = append(remaining, a)
 			continue
@@ -144,19 +144,19 @@
 		s.add(decision.Event{Kind: decision.AttemptEnded, ID: a.id, Attempt: a.number, Outcome: a.outcome, Node: a.node,
 			Elapsed: min(a.endsAt, s.now) - a.sentAt})
 	}
-	s.open = remaining
+	s.openAttempts = remaining
 }
 
-func (s *sequence) endChecks() {
-	remaining := s.checks[:0]
-	for _, c := range s.checks {
+func (s *sequence) endHealthChecks() {
+	remaining := s.openHealthChecks[:0]
+	for _, c := range s.openHealthChecks {
 		if c.endsAt > s.now {
 			remaining = append(remaining, c)
 			continue
 		}
 		s.add(decision.Event{Kind: decision.HealthCheckEnded, Node: c.node, Outcome: c.outcome, Elapsed: c.endsAt - c.sentAt})
 	}
-	s.checks = remaining
+	s.openHealthChecks = remaining
 }
 
 // carryOut does what an action says.
@@ -167,14 +167,14 @@
 		out := openAttempt{id: a.ID, number: s.sent[a.ID], node: a.Node, sentAt: s.now, allowed: s.allowed[a.ID]}
 		out.endsAt, out.outcome = s.byID[a.Node].attempt(g, s.now)
 		s.sent[a.ID]++
-		s.open = append(s.open, out)
+		s.openAttempts = append(s.openAttempts, out)
 	case decision.SendHealthCheck:
 		out := openAttempt{node: a.Node, sentAt: s.now}
 		out.endsAt, out.outcome = s.byID[a.Node].healthCheck(g, s.now)
-		s.checks = append(s.checks, out)
+		s.openHealthChecks = append(s.openHealthChecks, out)
 	case decision.CancelAttempt:
-		for i := range s.open {
-			if o := &s.open[i]; o.id == a.ID && o.number == a.Attempt && !g.oneIn(10) {
+		for i := range s.openAttempts {
+			if o := &s.openAttempts[i]; o.id == a.ID && o.number == a.Attempt && !g.oneIn(10) {
 				o.endsAt = s.now
 				o.outcome = decision.Cancelled
 			}
@@ -201,7 +201,7 @@
 			q.secondPhase = true
 			s.queries = append(s.queries, q)
 			if !s.random.oneIn(30) {
-				s.shardRequests(q, second)
+				s.addShardRequests(q, second)
 			}
 		}
 		return
--- a/internal/decision/routing/golden_store_test.go
+++ b/internal/decision/routing/golden_store_test.go
@@ -25,12 +25,12 @@
 
 // storeNode is a node of the store that a sequence is played against.
 type storeNode struct {
-	endpoint  decision.Endpoint
-	condition condition
-	latency   time.Duration
-	service   time.Duration // of one attempt; attempts queue for it
-	busyUntil time.Duration
-	lastUsed  time.Duration
+	endpoint    decision.Endpoint
+	condition   condition
+	latency     time.Duration
+	serviceTime time.Duration // of one attempt; attempts queue for it
+	busyUntil   time.Duration
+	lastUsed    time.Duration
 }
 
 func newStoreNode(g *generator, s *decision.Settings, number int, service time.Duration) *storeNode {
@@ -43,8 +43,8 @@
 			StartedAt:   decision.StartedLongAgo,
 			Unconfirmed: g.oneIn(12),
 		},
-		latency: 10*time.Millisecond + g.duration(90*time.Millisecond),
-		service: service,
+		latency:     10*time.Millisecond + g.duration(90*time.Millisecond),
+		serviceTime: service,
 	}
 }
 
@@ -70,7 +70,7 @@
 func (n *storeNode) attempt(g *generator, now time.Duration) (endsAt time.Duration, outcome decision.Outcome) {
 	idle := now - n.lastUsed
 	n.lastUsed = now
-	n.busyUntil = max(n.busyUntil, now) + n.service
+	n.busyUntil = max(n.busyUntil, now) + n.serviceTime
 	endsAt = n.busyUntil + n.latency/2 + g.duration(n.latency)
 	if g.oneIn(100) {
 		return endsAt, decision.Outcome(g.below(int(decision.Stale) + 1))
--- a/internal/decision/routing/gossip.go
+++ b/internal/decision/routing/gossip.go
@@ -34,7 +34,7 @@
 			Port: binary.BigEndian.Uint16(payload[gossipPortStart:]),
 		}
 		if index, known := r.indexes[id]; known {
-			r.post(&r.nodes[index].inbox, message{kind: gossipReceived, ejectedThere: payload[0] == gossipEjected})
+			r.post(&r.nodes[index].inbox, message{kind: gossipReceived, ejectedBySender: payload[0] == gossipEjected})
 		}
 	}
 }
--- a/internal/decision/routing/health_check.go
+++ b/internal/decision/routing/health_check.go
@@ -28,7 +28,7 @@
 // mayAwaitCheck reports whether a first attempt of a query may wait for a node that shows life.
 func (d *dispatcher) mayAwaitCheck(q *query) bool {
 	now := d.router.now
-	return now < q.checkedAt+maxAwaitCheck && now+d.latency.p50 <= q.deadline
+	return now < q.replicasCheckedAt+maxAwaitCheck && now+d.latency.p50 <= q.deadline
 }
 
 // checkReplicas sends health checks to the replicas of a query's shard requests that have shown no sign of life lately. What a broker
@@ -37,7 +37,7 @@
 	if !d.router.settings.HealthChecksAllowed {
 		return
 	}
-	q.checkedAt = d.router.now
+	q.replicasCheckedAt = d.router.now
 	for i := range q.requests {
 		for _, index := range d.endpoints.replicas(q.requests[i].shard) {
 			e := &d.endpoints.all[index]
--- a/internal/decision/routing/hedging.go
+++ b/internal/decision/routing/hedging.go
@@ -16,14 +16,14 @@
 func (d *dispatcher) sendHedgesAndRetries(q *query) {
 	if q.waiting {
 		q.waiting = false
-		d.sendUnsent(q)
-		d.noteDue(d.router.now + recheckInterval)
+		d.sendFirstAttempts(q)
+		d.scheduleStep(d.router.now + recheckInterval)
 	}
 	outlook := d.budgetOutlook(q)
 	for i := range q.requests {
 		sr := &q.requests[i]
-		if sr.answered || sr.abandoned || outlook.hopeless || len(sr.attempts) == 0 || q.moved {
-			sr.abandoned = sr.abandoned || outlook.hopeless || q.moved && sr.inFlight == 0
+		if sr.answered || sr.abandoned || outlook.hopeless || len(sr.attempts) == 0 || q.shardsMoved {
+			sr.abandoned = sr.abandoned || outlook.hopeless || q.shardsMoved && sr.inFlight == 0
 			continue
 		}
 		if sr.inFlight == 0 {
@@ -38,7 +38,7 @@
 func (d *dispatcher) hedge(q *query, sr *shardRequest, outlook budgetOutlook) {
 	due := d.hedgeDueAt(q, sr, outlook)
 	if due > d.router.now {
-		d.noteDue(due)
+		d.scheduleStep(due)
 		return
 	}
 	index := d.selectReplica(q, sr, extraAttempt)
@@ -47,7 +47,7 @@
 		d.sendExtra(sr, index)
 		return
 	}
-	d.noteDue(d.router.now + recheckInterval)
+	d.scheduleStep(d.router.now + recheckInterval)
 }
 
 // hedgeDueAt is when a shard request with attempts in flight may be hedged; never if it may not.
--- a/internal/decision/routing/idle_connections.go
+++ b/internal/decision/routing/idle_connections.go
@@ -61,8 +61,8 @@
 
 func (d *dispatcher) observeIdle(a *attempt, failed attemptError) {
 	c := &d.idleConnections
-	if c.observe(a.idle, failed, d.router.now) {
-		d.router.log(logIdleConnectionsCut, c.errorRate, c.shortestCut, c.freshErrorRate)
+	if c.observe(a.idleTime, failed, d.router.now) {
+		d.router.log(logIdleConnectionsAreCut, c.errorRate, c.shortestCut, c.freshErrorRate)
 	}
 }
 
--- a/internal/decision/routing/invariants_test.go
+++ b/internal/decision/routing/invariants_test.go
@@ -45,7 +45,7 @@
 		}
 		r := newRig(settings, 6)
 		for i := 0; i < 1200 && r.violation == ""; i++ {
-			r.random(rnd, 6)
+			r.randomStep(rnd, 6)
 		}
 		if r.violation != "" {
 			t.Logf("seed %d: %s", seed, r.violation)
@@ -89,16 +89,16 @@
 				warm += len(r.sends[nodeID(i)])
 			}
 		}
-		full := float64(warm) / 5 / 8 // attempts a second that a warmed-up node is sent, taken for all it can do
+		warmedUpRate := float64(warm) / 5 / 8 // attempts a second that a warmed-up node is sent, taken for all it can do
 		for from := time.Duration(0); from < 8*time.Second; from += 100 * ms {
 			n := 0
-			have := 0.3 + 0.7*from.Seconds()/8
+			capacity := 0.3 + 0.7*from.Seconds()/8
 			for _, at := range sends {
 				if at >= from && at < from+1500*ms {
 					n++
 				}
 			}
-			limit := settings.OverloadMultiple * have * full * 1.5
+			limit := settings.OverloadMultiple * capacity * warmedUpRate * 1.5
 			require(t, float64(n) <= limit+1, "seed %d: %d sent from %v on, limit %.1f", seed, n, from, limit)
 		}
 		require(t, len(sends) > 20, "it must be brought back, not left out")
@@ -136,8 +136,8 @@
 		r := newRig(smallSettings(), nodes)
 		for i := range 400 {
 			r.query(i%2, time.Second, 0, 1)
-			odd := decision.Event{Kind: decision.AttemptEnded, ID: uint64(i), Attempt: uint16(i % 3), Node: nodeID(i % 9)}
-			r.events = append(r.events, odd, odd, decision.Event{Kind: decision.ClientDeparted, ID: 1 << 40})
+			unexpected := decision.Event{Kind: decision.AttemptEnded, ID: uint64(i), Attempt: uint16(i % 3), Node: nodeID(i % 9)}
+			r.events = append(r.events, unexpected, unexpected, decision.Event{Kind: decision.ClientDeparted, ID: 1 << 40})
 			if i%50 == 0 && nodes == 1 {
 				r.list(decision.ListUpdateReceived, decision.Endpoint{Node: nodeID(0), State: decision.Ready, StartedAt: -time.Duration(i) * ms})
 			}
--- a/internal/decision/routing/list_polling.go
+++ b/internal/decision/routing/list_polling.go
@@ -16,12 +16,12 @@
 // subscribeIfDue asks for the endpoint list unless a poll or watch is out.
 func (w *listWatcher) subscribeIfDue() {
 	r := w.router
-	w.next = never
+	w.nextDueAt = never
 	if !r.settings.PollList || w.subscribed {
 		return
 	}
 	if r.now < w.pollAt {
-		w.next = w.pollAt
+		w.nextDueAt = w.pollAt
 		return
 	}
 	w.subscribed = true
--- a/internal/decision/routing/log_messages.go
+++ b/internal/decision/routing/log_messages.go
@@ -22,7 +22,7 @@
 	logZoneUsedAgain
 	logFailuresAlike
 	logFailuresAlikeEnded
-	logIdleConnectionsCut
+	logIdleConnectionsAreCut
 	logSheddingStarted
 	logSheddingEnded
 	logUnknownQueryType
@@ -32,21 +32,21 @@
 // logFormats are in the terms of docs/glossary.md. Whoever rewords one adds the wording that digests of the simulator are taken of, in
 // internal/lab/play/digest.go, and changes the page.
 var logFormats = [logMessageCount]string{
-	logEjectedUnresponsive: "%v ejected: unresponsive (no answer for %.2f s)",
-	logEjectedErrors:       "%v ejected: errors (error rate %.2f)",
-	logEjectedRejecting:    "%v ejected: rejects attempts (error rate %.2f)",
-	logEjectedUnreachable:  "%v ejected: unreachable (error rate %.2f)",
-	logReinstated:          "%v reinstated: error rate %.2f",
-	logWarmingUp:           "%v warming up: started %v ago",
-	logWarmedUp:            "%v warmed up",
-	logZoneAvoided:         "zone %d avoided: error rate %.2f",
-	logZoneUsedAgain:       "zone %d used again: error rate %.2f",
-	logFailuresAlike:       "attempts fail at all nodes alike: error rate %.2f",
-	logFailuresAlikeEnded:  "attempts no longer fail at all nodes alike: error rate %.2f",
-	logIdleConnectionsCut:  "idle connections are cut: error rate %.2f after %v idle, %.2f over fresh connections",
-	logSheddingStarted:     "shedding load: expected wait %.2f of the time left, %v",
-	logSheddingEnded:       "shedding ended: expected wait %.2f of the time left, %v",
-	logUnknownQueryType:    "query of unknown type %d failed",
+	logEjectedUnresponsive:   "%v ejected: unresponsive (no answer for %.2f s)",
+	logEjectedErrors:         "%v ejected: errors (error rate %.2f)",
+	logEjectedRejecting:      "%v ejected: rejects attempts (error rate %.2f)",
+	logEjectedUnreachable:    "%v ejected: unreachable (error rate %.2f)",
+	logReinstated:            "%v reinstated: error rate %.2f",
+	logWarmingUp:             "%v warming up: started %v ago",
+	logWarmedUp:              "%v warmed up",
+	logZoneAvoided:           "zone %d avoided: error rate %.2f",
+	logZoneUsedAgain:         "zone %d used again: error rate %.2f",
+	logFailuresAlike:         "attempts fail at all nodes alike: error rate %.2f",
+	logFailuresAlikeEnded:    "attempts no longer fail at all nodes alike: error rate %.2f",
+	logIdleConnectionsAreCut: "idle connections are cut: error rate %.2f after %v idle, %.2f over fresh connections",
+	logSheddingStarted:       "shedding load: expected wait %.2f of the time left, %v",
+	logSheddingEnded:         "shedding ended: expected wait %.2f of the time left, %v",
+	logUnknownQueryType:      "query of unknown type %d failed",
 }
 
 // LogFormats returns the formats of all log lines that a router may write.
--- a/internal/decision/routing/lost_calls_test.go
+++ b/internal/decision/routing/lost_calls_test.go
@@ -44,7 +44,7 @@
 }
 
 // Where there is a budget its count begins with the broker's start, and it is kept from the first shard request on.
-func TestBudgetFromTheStart(t *testing.T) {
+func TestBudgetAppliesFromFirstShardRequest(t *testing.T) {
 	settings := smallSettings()
 	settings.ExtraAttemptsMin = 1
 	settings.ExtraAttemptsShare = 0.1
--- a/internal/decision/routing/messages.go
+++ b/internal/decision/routing/messages.go
@@ -17,22 +17,22 @@
 	attemptSent                            // to a node
 	healthCheckAnswered                    // to a node
 	attemptEnded                           // to a node: outcome, elapsed
-	gossipReceived                         // to a node: ejectedThere
+	gossipReceived                         // to a node: ejectedBySender
 	ticked                                 // to a node: elapsed, calls, usualLatency, sendInterval; to the list watcher: none
 )
 
 type message struct {
-	kind         messageKind
-	outcome      decision.Outcome
-	node         nodeIndex
-	elapsed      time.Duration // ticked: since the oldest call was sent that the node still owes an answer; 0: there is none
-	calls        int           // that the node owes answers
-	usualLatency time.Duration // that the node is compared with
-	sendInterval time.Duration // usual time between two attempts to a node
-	ejectedThere bool          // another broker has ejected the node; false: it has reinstated it
-	status       endpointStatus
-	event        *decision.Event
-	endpoint     decision.Endpoint
+	kind            messageKind
+	outcome         decision.Outcome
+	node            nodeIndex
+	elapsed         time.Duration // ticked: since the oldest call was sent that the node still owes an answer; 0: there is none
+	calls           int           // that the node owes answers
+	usualLatency    time.Duration // that the node is compared with
+	sendInterval    time.Duration // usual time between two attempts to a node
+	ejectedBySender bool          // another broker has ejected the node; false: it has reinstated it
+	status          endpointStatus
+	event           *decision.Event
+	endpoint        decision.Endpoint
 }
 
 // endpointStatus is what a nodeHealth lets the dispatcher know.
@@ -51,7 +51,7 @@
 }
 
 type inbox struct {
-	to       receiver
+	receiver receiver
 	messages []message
 	pending  bool
 }
@@ -60,19 +60,19 @@
 	b.messages = append(b.messages, m)
 	if !b.pending {
 		b.pending = true
-		r.pending = append(r.pending, b)
+		r.pendingInboxes = append(r.pendingInboxes, b)
 	}
 }
 
 // deliver hands over all messages, those too that are sent meanwhile.
 func (r *Router) deliver() {
-	for i := 0; i < len(r.pending); i++ {
-		b := r.pending[i]
+	for i := 0; i < len(r.pendingInboxes); i++ {
+		b := r.pendingInboxes[i]
 		for j := 0; j < len(b.messages); j++ {
-			b.to.handle(&b.messages[j])
+			b.receiver.handle(&b.messages[j])
 		}
 		b.messages = b.messages[:0]
 		b.pending = false
 	}
-	r.pending = r.pending[:0]
+	r.pendingInboxes = r.pendingInboxes[:0]
 }
--- a/internal/decision/routing/module.go
+++ b/internal/decision/routing/module.go
@@ -28,7 +28,7 @@
 	now            time.Duration
 	timerAt        time.Duration // the earliest timer asked for that has not fired; negative: none
 	actions        []decision.Action
-	pending        []*inbox // those with messages
+	pendingInboxes []*inbox // those with messages
 	dispatcher     dispatcher
 	list           listWatcher
 	nodes          []*nodeHealth
@@ -50,27 +50,27 @@
 		indexes:  map[decision.NodeID]nodeIndex{},
 		random:   newRandomSource(settings.Seed),
 	}
-	r.noteTimeouts()
+	r.updateLongestTimeout()
 	r.dispatcher.initialise(r)
 	r.list = listWatcher{router: r, backoff: initialPollBackoff}
-	r.list.inbox.to = &r.list
+	r.list.inbox.receiver = &r.list
 	return r
 }
 
 // Reconfigure has the router go on under other settings. Queries in flight end as the settings say under which they came; what was
 // learned stays, as does the budget of extra attempts. moved says that shards are on other cells now, or other nodes in them: then
 // shard requests in flight are sent to no other node, and the front end has emptied the endpoint list before.
-func (r *Router) Reconfigure(settings decision.Settings, moved bool) {
+func (r *Router) Reconfigure(settings decision.Settings, shardsMoved bool) {
 	settings.Seed = r.settings.Seed
 	if settings.ExtraAttemptsWindow > r.settings.ExtraAttemptsWindow {
 		r.dispatcher.extraBudget.extendWindow(r.now, int(settings.ExtraAttemptsMin))
 	}
 	r.settings = &settings
-	r.noteTimeouts()
-	r.dispatcher.reconfigure(moved)
+	r.updateLongestTimeout()
+	r.dispatcher.reconfigure(shardsMoved)
 }
 
-func (r *Router) noteTimeouts() {
+func (r *Router) updateLongestTimeout() {
 	for i := range r.settings.QueryTypes {
 		r.longestTimeout = max(r.longestTimeout, r.settings.QueryTypes[i].Timeout)
 	}
@@ -112,13 +112,13 @@
 func (r *Router) tickNodes() {
 	d := &r.dispatcher
 	sendInterval := time.Duration(float64(time.Second) / max(1e-3, d.flows.fleet.usual(r.now)))
-	for i := range d.endpoints.changing.all {
+	for i := range d.endpoints.needTick.all {
 		index := nodeIndex(i)
 		n := r.nodes[index]
 		e := &d.endpoints.all[index]
 		settled := e.mode == modeUnlisted || e.mode == modeWarmedUp && e.costFactor == 1
 		if len(e.calls) == 0 && settled {
-			d.endpoints.changing.clear(i)
+			d.endpoints.needTick.clear(i)
 			continue
 		}
 		pending := e.pendingCalls()
@@ -143,7 +143,7 @@
 	if r.timerAt >= 0 && r.timerAt <= r.now {
 		r.timerAt = -1
 	}
-	next := min(r.dispatcher.next, r.list.next)
+	next := min(r.dispatcher.nextDueAt, r.list.nextDueAt)
 	if next < never && (r.timerAt < 0 || next < r.timerAt) {
 		r.timerAt = max(next, r.now+1)
 		r.act(decision.Action{Kind: decision.SetTimer, TimerAt: r.timerAt})
--- a/internal/decision/routing/node_health.go
+++ b/internal/decision/routing/node_health.go
@@ -16,7 +16,7 @@
 	listed           bool            // and ready
 	startedAt        time.Duration   // the latest start that a list named
 	unlistedAt       time.Duration   // when it left the list; never: it is in it
-	namedBy          *decision.Event // the list being merged, if it names the node
+	listedIn         *decision.Event // the list being merged, if it names the node
 	reported         endpointStatus  // the last that the dispatcher was sent
 	warmingUp        bool
 	unconfirmedSince time.Duration // 0: it is confirmed
@@ -34,15 +34,15 @@
 	lastFailureAt       time.Duration
 	consecutiveRejected int // attempts rejected since its last answer
 
-	lastResponseAt time.Duration // when it last answered, failed or rejected an attempt
-	unansweredTime time.Duration // that its calls have waited since then, added up
-	renewedAt      time.Duration // when fresh connections to it were last asked for
+	lastResponseAt       time.Duration // when it last answered, failed or rejected an attempt
+	unansweredTime       time.Duration // that its calls have waited since then, added up
+	connectionsRenewedAt time.Duration // when fresh connections to it were last asked for
 
-	latency        time.Duration // the last, fading to the usual one
-	updatedAt      time.Duration
-	costFactor     float64 // as how many calls one of its calls counts
-	ejectedBy      float64 // how many other brokers have lately ejected it, fading
-	lastGossipedAt time.Duration
+	latency         time.Duration // the last, fading to the usual one
+	updatedAt       time.Duration
+	costFactor      float64 // as how many calls one of its calls counts
+	ejectingBrokers float64 // how many other brokers have lately ejected it, fading
+	lastGossipedAt  time.Duration
 }
 
 func (n *nodeHealth) handle(m *message) {
@@ -50,7 +50,7 @@
 	case endpointListed:
 		n.handleListed(&m.endpoint)
 	case gossipReceived:
-		n.handleGossip(m.ejectedThere)
+		n.handleGossip(m.ejectedBySender)
 	case healthCheckAnswered:
 		n.unreachable = false
 	case attemptSent:
--- a/internal/decision/routing/oncall_test.go
+++ b/internal/decision/routing/oncall_test.go
@@ -10,8 +10,8 @@
 // quoted is a piece of code on a page.
 var quoted = regexp.MustCompile("`([^`]+)`")
 
-// lineOf matches the lines of a log format, with NODE and Z in place of names.
-func lineOf(format string) *regexp.Regexp {
+// linePattern matches the lines of a log format, with NODE and Z in place of names.
+func linePattern(format string) *regexp.Regexp {
 	pattern := regexp.QuoteMeta(format)
 	pattern = strings.ReplaceAll(pattern, `%\.2f`, `\d+\.\d\d`)
 	pattern = strings.ReplaceAll(pattern, "%v", `\S+`)
@@ -31,7 +31,7 @@
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
 	for _, format := range LogFormats() {
-		line := lineOf(format)
+		line := linePattern(format)
 		seen := false
 		for _, code := range quoted.FindAllStringSubmatch(section, -1) {
 			seen = seen || line.MatchString(code[1])
--- a/internal/decision/routing/query_table.go
+++ b/internal/decision/routing/query_table.go
@@ -13,7 +13,7 @@
 	inFlight        bool
 	sentAt          time.Duration
 	callsPerReplica float64       // in flight when it was sent
-	idle            time.Duration // how long nothing had passed between this broker and the node
+	idleTime        time.Duration // how long nothing had passed between this broker and the node
 }
 
 // shardRequest is what one shard contributes to a query.
@@ -33,38 +33,38 @@
 	allowed      *decision.AllowedReplicas
 }
 
-// attemptMayHaveRun notes that an attempt sent at that time may have run.
-func (sr *shardRequest) attemptMayHaveRun(sentAt time.Duration) {
+// notePossibleRun notes that an attempt sent at that time may have run.
+func (sr *shardRequest) notePossibleRun(sentAt time.Duration) {
 	if !sr.mayHaveRun || sentAt < sr.mayHaveRunAt {
 		sr.mayHaveRun = true
 		sr.mayHaveRunAt = sentAt
 	}
 }
 
-// query is a query in flight.
+// addQuery is a query in flight.
 type query struct {
-	generation       uint32
-	id               uint64
-	inUse            bool
-	dispatched       bool // its shard requests of this phase were looked at
-	secondPhase      bool
-	firstComplete    bool // second phase: the first answer was complete
-	serial           float32
-	queryType        *decision.QueryType
-	tenant           int
-	expectedRequests int
-	spent            time.Duration // of the client's time before this query, where it is a retry
-	deadline         time.Duration // of this phase
-	wholeDeadline    time.Duration // of all phases
-	guardAt          time.Duration // when a result must be given, shortly before the client's timeout
-	answeredWeight   float64
-	answeredRequests int
-	waiting          bool          // a shard request waits for an unconfirmed node or a health check
-	checkedAt        time.Duration // when the replicas of its shard requests were checked; 0: they were not
-	moved            bool          // its shards are on other cells by now: nothing is sent to another node
-	quiet            bool          // only time can change anything of it
-	oldestHedgeable  time.Duration // quiet: when the first attempt was sent that may be hedged; never: there is none
-	requests         []shardRequest
+	generation            uint32
+	id                    uint64
+	inUse                 bool
+	dispatched            bool // its shard requests of this phase were looked at
+	secondPhase           bool
+	firstPhaseComplete    bool // second phase: the first answer was complete
+	serial                float32
+	queryType             *decision.QueryType
+	tenant                int
+	expectedRequests      int
+	clientTimeSpent       time.Duration // of the client's time before this query, where it is a retry
+	deadline              time.Duration // of this phase
+	overallDeadline       time.Duration // of all phases
+	hardDeadline          time.Duration // when a result must be given, shortly before the client's timeout
+	answeredWeight        float64
+	answeredRequests      int
+	waiting               bool          // a shard request waits for an unconfirmed node or a health check
+	replicasCheckedAt     time.Duration // when the replicas of its shard requests were checked; 0: they were not
+	shardsMoved           bool          // its shards are on other cells by now: nothing is sent to another node
+	quiet                 bool          // only time can change anything of it
+	oldestHedgeableSentAt time.Duration // quiet: when the first attempt was sent that may be hedged; never: there is none
+	requests              []shardRequest
 }
 
 // unansweredWeight is the weight of the shard requests that may still be answered.
@@ -97,16 +97,16 @@
 // queryTable holds the queries in flight. Slots are used again with the memory of their shard requests.
 type queryTable struct {
 	slots      []query
-	free       []int32
-	used       bitset
+	freeSlots  []int32
+	usedSlots  bitset
 	references map[uint64]reference
-	places     int   // that the queries in flight and their shard requests take
-	newest     int32 // the slot of the query that came last
+	inFlight   int   // that the queries in flight and their shard requests take
+	newestSlot int32 // the slot of the query that came last
 }
 
 // add puts a query into a free slot.
 func (t *queryTable) add(e *decision.Event, queryType *decision.QueryType) *query {
-	slot := t.freeSlot()
+	slot := t.takeFreeSlot()
 	q := &t.slots[slot]
 	*q = query{
 		generation:       q.generation,
@@ -119,16 +119,16 @@
 		requests:         q.requests[:0],
 	}
 	t.references[e.ID] = reference{slot, wholeQuery, q.generation}
-	t.places += 1 + q.expectedRequests
-	t.newest = slot
-	t.used.set(slot)
+	t.inFlight += 1 + q.expectedRequests
+	t.newestSlot = slot
+	t.usedSlots.set(slot)
 	return q
 }
 
-func (t *queryTable) freeSlot() int32 {
-	if n := len(t.free); n > 0 {
-		slot := t.free[n-1]
-		t.free = t.free[:n-1]
+func (t *queryTable) takeFreeSlot() int32 {
+	if n := len(t.freeSlots); n > 0 {
+		slot := t.freeSlots[n-1]
+		t.freeSlots = t.freeSlots[:n-1]
 		return slot
 	}
 	t.slots = append(t.slots, query{})
@@ -141,9 +141,9 @@
 	delete(t.references, q.id)
 	q.inUse = false
 	q.generation++
-	t.places -= 1 + q.expectedRequests
-	t.used.clear(slot)
-	t.free = append(t.free, slot)
+	t.inFlight -= 1 + q.expectedRequests
+	t.usedSlots.clear(slot)
+	t.freeSlots = append(t.freeSlots, slot)
 }
 
 // addShardRequest adds a shard request to the query of its serial number, if that is in flight.
@@ -165,7 +165,7 @@
 		weight:    e.Weight,
 		allowed:   e.Allowed,
 		attempts:  q.requests[n].attempts[:0],
-		abandoned: q.moved,
+		abandoned: q.shardsMoved,
 	}
 	q.quiet = false
 	t.references[e.ID] = reference{slot, int32(n), q.generation}
@@ -173,8 +173,8 @@
 
 // slotOfSerial finds a query by its serial number; as a rule shard requests follow their query at once.
 func (t *queryTable) slotOfSerial(serial float32) int32 {
-	if q := &t.slots[t.newest]; q.inUse && q.serial == serial {
-		return t.newest
+	if q := &t.slots[t.newestSlot]; q.inUse && q.serial == serial {
+		return t.newestSlot
 	}
 	return int32(slices.IndexFunc(t.slots, func(q query) bool { return q.inUse && q.serial == serial }))
 }
--- a/internal/decision/routing/quiet.go
+++ b/internal/decision/routing/quiet.go
@@ -8,7 +8,7 @@
 	if !q.inUse || !q.dispatched || q.waiting {
 		return
 	}
-	q.oldestHedgeable = never
+	q.oldestHedgeableSentAt = never
 	for i := range q.requests {
 		sr := &q.requests[i]
 		if sr.answered || sr.abandoned {
@@ -18,7 +18,7 @@
 			return
 		}
 		if sr.inFlight == 1 && d.mayEverHedge(q, sr) {
-			q.oldestHedgeable = min(q.oldestHedgeable, sr.attempts[len(sr.attempts)-1].sentAt)
+			q.oldestHedgeableSentAt = min(q.oldestHedgeableSentAt, sr.attempts[len(sr.attempts)-1].sentAt)
 		}
 	}
 	q.quiet = true
@@ -32,16 +32,16 @@
 // staysQuiet reports whether a quiet query has nothing due, and notes when it will.
 func (d *dispatcher) staysQuiet(q *query) bool {
 	now := d.router.now
-	if now >= q.deadline || now >= q.guardAt {
+	if now >= q.deadline || now >= q.hardDeadline {
 		return false
 	}
-	if q.oldestHedgeable != never && now+d.latency.p50 <= q.deadline {
-		due := q.oldestHedgeable + d.hedgeDelay(q)
+	if q.oldestHedgeableSentAt != never && now+d.latency.p50 <= q.deadline {
+		due := q.oldestHedgeableSentAt + d.hedgeDelay(q)
 		if due <= now+recheckInterval {
 			return false
 		}
-		d.noteDue(due)
+		d.scheduleStep(due)
 	}
-	d.noteDue(min(q.guardAt, q.deadline))
+	d.scheduleStep(min(q.hardDeadline, q.deadline))
 	return true
 }
--- a/internal/decision/routing/replicas_test.go
+++ b/internal/decision/routing/replicas_test.go
@@ -18,11 +18,11 @@
 		a := r.step(5 * ms)
 		require(t, len(actionsOf(a, decision.SendAttempt)) == 0 && len(actionsOf(a, decision.SendHealthCheck)) == 3,
 			"health checks to the three replicas: %v", a)
-		quick := r.checks[1]
+		answering := r.healthChecks[1]
 		if answers {
-			r.endChecks(decision.OK, func(id decision.NodeID) bool { return id == quick })
+			r.endHealthChecks(decision.OK, func(id decision.NodeID) bool { return id == answering })
 			a = r.step(5 * ms)
-			require(t, len(actionsOf(a, decision.SendAttempt)) == 1 && a[0].Node == quick, "sent to the one that answered: %v", a)
+			require(t, len(actionsOf(a, decision.SendAttempt)) == 1 && a[0].Node == answering, "sent to the one that answered: %v", a)
 			r.endAttempts(decision.OK, 0, nil)
 			r.step(5 * ms)
 			r.query(0, 3*time.Second, 0)
@@ -40,7 +40,7 @@
 }
 
 // In a ring each node is a cell of its own; one that leaves health checks unanswered is avoided by all shards that it holds.
-func TestCellsInRing(t *testing.T) {
+func TestUnresponsiveNodeInRingIsAvoided(t *testing.T) {
 	settings := smallSettings()
 	settings.HealthChecksAllowed = true
 	settings.Cells = 9
@@ -50,8 +50,8 @@
 	for i := range 200 {
 		r.query(0, 3*time.Second, i%9, (i+1)%9)
 		for range 4 {
-			r.endChecks(decision.TimedOut, func(id decision.NodeID) bool { return id == unresponsive })
-			r.endChecks(decision.OK, func(decision.NodeID) bool { return true })
+			r.endHealthChecks(decision.TimedOut, func(id decision.NodeID) bool { return id == unresponsive })
+			r.endHealthChecks(decision.OK, func(decision.NodeID) bool { return true })
 			r.endAttempts(decision.OK, 40*ms, nil)
 			r.step(20 * ms)
 		}
@@ -87,7 +87,7 @@
 }
 
 // The first of two phases ends early enough for the second, and the second is not shed.
-func TestTwoPhasesInTime(t *testing.T) {
+func TestFirstPhaseLeavesTimeForSecond(t *testing.T) {
 	settings := smallSettings()
 	settings.QueryTypes[1].SecondPhaseRequests = 2
 	r := newRig(settings, 6)
@@ -122,7 +122,7 @@
 }
 
 // A budget that comes into force while queries run does not give its stated few beside what was sent before.
-func TestBudgetComesIntoForce(t *testing.T) {
+func TestBudgetAddedByReconfigure(t *testing.T) {
 	settings := smallSettings()
 	r := newRig(settings, 6)
 	r.settings.ExtraAttemptsMin = 3
--- a/internal/decision/routing/retry.go
+++ b/internal/decision/routing/retry.go
@@ -21,7 +21,7 @@
 		d.sendExtra(sr, index)
 		return
 	}
-	d.noteDue(d.router.now + recheckInterval)
+	d.scheduleStep(d.router.now + recheckInterval)
 }
 
 // allowAnotherRetry gives back the budget of one extra attempt after an attempt failed, unless replicas are crowded. Failures may lose
@@ -42,7 +42,7 @@
 		return
 	case decision.ConnectFailed, decision.NeverSent:
 	default:
-		sr.attemptMayHaveRun(a.sentAt)
+		sr.notePossibleRun(a.sentAt)
 		if d.isQuickReset(event) {
 			d.observeIdle(a, attemptFailed)
 		}
--- a/internal/decision/routing/rig_rules_test.go
+++ b/internal/decision/routing/rig_rules_test.go
@@ -9,89 +9,89 @@
 )
 
 func (r *rig) checkSend(a *decision.Action) {
-	p := r.requests[a.ID]
-	if p == nil || p.over {
-		r.violate("rule 1: shard request %d sent after its end", a.ID)
+	sr := r.requests[a.ID]
+	if sr == nil || sr.ended {
+		r.recordViolation("rule 1: shard request %d sent after its end", a.ID)
 		return
 	}
-	if a.ID <= r.lastBeforeMove || p.query <= r.lastBeforeMove {
-		r.violate("shard request %d of a query taken before its shards moved sent", a.ID)
+	if a.ID <= r.lastIDBeforeMove || sr.query <= r.lastIDBeforeMove {
+		r.recordViolation("shard request %d of a query taken before its shards moved sent", a.ID)
 	}
-	queryType := &r.settings.QueryTypes[r.queries[p.query].queryType]
-	if p.attempts > 0 {
+	queryType := &r.settings.QueryTypes[r.queries[sr.query].queryType]
+	if sr.attempts > 0 {
 		switch {
-		case queryType.Idempotency == decision.NonIdempotent && (p.ran || p.inFlight > 0):
-			r.violate("rule 2: shard request %d repeated", a.ID)
-		case queryType.Idempotency == decision.IdempotencyKeyed && p.ran && r.now > p.ranAt+queryType.IdempotencyWindow:
-			r.violate("rule 2: shard request %d repeated outside its window", a.ID)
-		case p.inFlight > 0 && !r.settings.HedgingAllowed:
-			r.violate("two attempts of shard request %d at once", a.ID)
+		case queryType.Idempotency == decision.NonIdempotent && (sr.ran || sr.inFlight > 0):
+			r.recordViolation("rule 2: shard request %d repeated", a.ID)
+		case queryType.Idempotency == decision.IdempotencyKeyed && sr.ran && r.now > sr.ranAt+queryType.IdempotencyWindow:
+			r.recordViolation("rule 2: shard request %d repeated outside its window", a.ID)
+		case sr.inFlight > 0 && !r.settings.HedgingAllowed:
+			r.recordViolation("two attempts of shard request %d at once", a.ID)
 		}
-		r.extra = append(r.extra, r.now)
+		r.extraAttempts = append(r.extraAttempts, r.now)
 		old := func(at time.Duration) bool { return at <= r.now-r.settings.ExtraAttemptsWindow }
-		r.extra, r.received = slices.DeleteFunc(r.extra, old), slices.DeleteFunc(r.received, old)
-		most := r.settings.ExtraAttemptsMin + r.settings.ExtraAttemptsShare*float64(len(r.received))
-		if n := len(r.extra); r.settings.ExtraAttemptsWindow > 0 && float64(n) > most {
-			r.violate("rule 6: %d further attempts", n)
+		r.extraAttempts, r.received = slices.DeleteFunc(r.extraAttempts, old), slices.DeleteFunc(r.received, old)
+		limit := r.settings.ExtraAttemptsMin + r.settings.ExtraAttemptsShare*float64(len(r.received))
+		if n := len(r.extraAttempts); r.settings.ExtraAttemptsWindow > 0 && float64(n) > limit {
+			r.recordViolation("rule 6: %d further attempts", n)
 		}
 	}
 	if !r.ready[a.Node] {
-		r.violate("rule 3: sent to %v, which drains or is gone", a.Node)
+		r.recordViolation("rule 3: sent to %v, which drains or is gone", a.Node)
 	}
-	k := attemptKey{a.ID, p.attempts}
-	p.attempts++
-	p.inFlight++
+	k := attemptKey{a.ID, sr.attempts}
+	sr.attempts++
+	sr.inFlight++
 	r.inFlight[k] = sentAttempt{a.Node, r.now}
 	r.order = append(r.order, k)
 	r.sends[a.Node] = append(r.sends[a.Node], r.now)
 }
 
 func (r *rig) checkFinal(a *decision.Action) {
-	h := r.queries[a.ID]
-	if h == nil {
-		r.violate("rule 1: second final answer for %d", a.ID)
+	q := r.queries[a.ID]
+	if q == nil {
+		r.recordViolation("rule 1: second final answer for %d", a.ID)
 		return
 	}
-	queryType := &r.settings.QueryTypes[h.queryType]
-	got := 0.0
-	clean := true
-	for _, id := range h.requests {
-		p := r.requests[id]
-		if p.answered {
-			got += p.weight
+	queryType := &r.settings.QueryTypes[q.queryType]
+	answeredWeight := 0.0
+	noneRan := true
+	for _, id := range q.requests {
+		sr := r.requests[id]
+		if sr.answered {
+			answeredWeight += sr.weight
 		}
-		clean = clean && !p.ran && p.inFlight == 0
-	}
-	need := queryType.FullCompleteness
-	floor := queryType.MinCompleteness
-	if h.secondPhase {
-		need = 1
-		if floor >= queryType.FullCompleteness {
-			floor = 1
+		noneRan = noneRan && !sr.ran && sr.inFlight == 0
+	}
+	full := queryType.FullCompleteness
+	minimum := queryType.MinCompleteness
+	if q.secondPhase {
+		full = 1
+		if minimum >= queryType.FullCompleteness {
+			minimum = 1
 		}
 	}
 	switch {
-	case r.now > h.due+20*ms:
-		r.violate("rule 1: query %d answered late", a.ID)
-	case a.Kind == decision.ShedQuery && queryType.Idempotency == decision.NonIdempotent && !clean:
-		r.violate("rule 2: query %d shed though it may have run", a.ID)
-	case a.Kind == decision.AnswerQuery && got < floor-1e-4:
-		r.violate("rule 5: answered from %.2f", got)
-	case a.Kind == decision.AnswerQuery && a.Complete && (got < need-1e-4 || h.secondPhase && !h.firstComplete):
-		r.violate("rule 5: %.2f marked whole", got)
+	case r.now > q.due+20*ms:
+		r.recordViolation("rule 1: query %d answered late", a.ID)
+	case a.Kind == decision.ShedQuery && queryType.Idempotency == decision.NonIdempotent && !noneRan:
+		r.recordViolation("rule 2: query %d shed though it may have run", a.ID)
+	case a.Kind == decision.AnswerQuery && answeredWeight < minimum-1e-4:
+		r.recordViolation("rule 5: answered from %.2f", answeredWeight)
+	case a.Kind == decision.AnswerQuery && a.Complete && (answeredWeight < full-1e-4 || q.secondPhase && !q.firstPhaseComplete):
+		r.recordViolation("rule 5: %.2f marked whole", answeredWeight)
 	}
 	r.forget(a.ID)
-	if a.Kind == decision.AnswerQuery && queryType.SecondPhaseRequests > 0 && !h.secondPhase {
-		r.queries[a.ID] = h
-		h.secondPhase = true
-		h.firstComplete = a.Complete
-		h.requests = nil
+	if a.Kind == decision.AnswerQuery && queryType.SecondPhaseRequests > 0 && !q.secondPhase {
+		r.queries[a.ID] = q
+		q.secondPhase = true
+		q.firstPhaseComplete = a.Complete
+		q.requests = nil
 		r.addRequests(a.ID, 0, 1)
 	}
 }
 
-// random plays one random step: queries, outcomes, list changes, clients that leave, a clock that jumps.
-func (r *rig) random(rnd *rand.Rand, nodes int) {
+// randomStep plays one random step: queries, outcomes, list changes, clients that leave, a clock that jumps.
+func (r *rig) randomStep(rnd *rand.Rand, nodes int) {
 	for range rnd.Intn(4) {
 		queryType := rnd.Intn(len(r.settings.QueryTypes))
 		r.query(queryType, time.Duration(rnd.Int63n(int64(r.settings.QueryTypes[queryType].Timeout))), rnd.Perm(8)[:1+rnd.Intn(6)]...)
@@ -102,7 +102,7 @@
 		}
 	}
 	outcome := []decision.Outcome{decision.OK, decision.OK, decision.TimedOut}[rnd.Intn(3)]
-	r.endChecks(outcome, func(decision.NodeID) bool { return rnd.Intn(3) == 0 })
+	r.endHealthChecks(outcome, func(decision.NodeID) bool { return rnd.Intn(3) == 0 })
 	if rnd.Intn(20) == 0 {
 		e := decision.Endpoint{Node: nodeID(rnd.Intn(nodes)), State: decision.EndpointState(rnd.Intn(3)), StartedAt: decision.StartedLongAgo}
 		e.Cell = int(e.Node.Addr[3]) % r.settings.Cells
@@ -121,19 +121,19 @@
 	}
 	if rnd.Intn(100) == 0 { // queries whose time a jump of the clock takes are no fault of the module
 		jump := time.Duration(rnd.Intn(3000)) * ms
-		for _, h := range r.queries {
-			h.due = max(h.due, r.now+jump)
+		for _, q := range r.queries {
+			q.due = max(q.due, r.now+jump)
 		}
 		r.step(jump)
 	}
 	if rnd.Intn(200) == 0 {
-		r.retune(rnd.Intn(2) == 0)
+		r.reconfigure(rnd.Intn(2) == 0)
 	}
 	r.step([]time.Duration{5 * ms, 10 * ms}[rnd.Intn(4)/3])
 }
 
-// retune gives the module its settings anew; moved: in another layout, with the nodes in other cells.
-func (r *rig) retune(moved bool) {
+// reconfigure gives the module its settings anew; moved: in another layout, with the nodes in other cells.
+func (r *rig) reconfigure(moved bool) {
 	if moved {
 		r.list(decision.FullListReceived)
 		r.step(0)
@@ -143,7 +143,7 @@
 	if !moved {
 		return
 	}
-	r.lastBeforeMove = r.nextID
+	r.lastIDBeforeMove = r.nextID
 	var list []decision.Endpoint
 	for i := range 6 {
 		list = append(list, decision.Endpoint{Node: nodeID(i), Cell: i % r.settings.Cells, State: decision.Ready,
--- a/internal/decision/routing/rig_test.go
+++ b/internal/decision/routing/rig_test.go
@@ -40,7 +40,7 @@
 	query    uint64
 	weight   float64
 	answered bool
-	over     bool          // no attempt may follow
+	ended    bool          // no attempt may follow
 	ran      bool          // an attempt may have run
 	ranAt    time.Duration // when the first such was sent
 	attempts uint16
@@ -49,35 +49,35 @@
 
 // openQuery is what the rig notes of a query.
 type openQuery struct {
-	queryType     int
-	serial        float32
-	due           time.Duration
-	secondPhase   bool
-	firstComplete bool
-	requests      []uint64
+	queryType          int
+	serial             float32
+	due                time.Duration
+	secondPhase        bool
+	firstPhaseComplete bool
+	requests           []uint64
 }
 
 // rig drives one router with a store and clients of a few lines, and checks six rules by books of its own.
 type rig struct {
-	router         *Router
-	settings       decision.Settings
-	now            time.Duration
-	nextID         uint64
-	serial         float32
-	events         []decision.Event
-	actions        []decision.Action
-	queries        map[uint64]*openQuery
-	requests       map[uint64]*openRequest
-	inFlight       map[attemptKey]sentAttempt
-	order          []attemptKey // of sending
-	ready          map[decision.NodeID]bool
-	sends          map[decision.NodeID][]time.Duration
-	received       []time.Duration // queries and shard requests
-	extra          []time.Duration // extra attempts
-	polledAt       time.Duration
-	violation      string            // the first rule broken
-	checks         []decision.NodeID // health checks in flight
-	lastBeforeMove uint64            // the last id given before the shards moved
+	router           *Router
+	settings         decision.Settings
+	now              time.Duration
+	nextID           uint64
+	serial           float32
+	events           []decision.Event
+	actions          []decision.Action
+	queries          map[uint64]*openQuery
+	requests         map[uint64]*openRequest
+	inFlight         map[attemptKey]sentAttempt
+	order            []attemptKey // of sending
+	ready            map[decision.NodeID]bool
+	sends            map[decision.NodeID][]time.Duration
+	received         []time.Duration // queries and shard requests
+	extraAttempts    []time.Duration // extra attempts
+	polledAt         time.Duration
+	violation        string            // the first rule broken
+	healthChecks     []decision.NodeID // health checks in flight
+	lastIDBeforeMove uint64            // the last id given before the shards moved
 }
 
 func newRig(settings decision.Settings, nodes int) *rig {
@@ -93,7 +93,7 @@
 	return r
 }
 
-func (r *rig) violate(format string, args ...any) {
+func (r *rig) recordViolation(format string, args ...any) {
 	if r.violation == "" {
 		r.violation = fmt.Sprintf("%v: ", r.now) + fmt.Sprintf(format, args...)
 	}
@@ -122,51 +122,51 @@
 }
 
 func (r *rig) addRequests(query uint64, shards ...int) {
-	h := r.queries[query]
+	q := r.queries[query]
 	for _, shard := range shards {
 		r.nextID++
-		w := 1 / float64(len(shards))
-		r.requests[r.nextID] = &openRequest{query: query, weight: w}
-		h.requests = append(h.requests, r.nextID)
-		r.events = append(r.events, decision.Event{Kind: decision.ShardRequestReceived, ID: r.nextID, Serial: h.serial,
-			Shard: shard, Weight: w})
+		weight := 1 / float64(len(shards))
+		r.requests[r.nextID] = &openRequest{query: query, weight: weight}
+		q.requests = append(q.requests, r.nextID)
+		r.events = append(r.events, decision.Event{Kind: decision.ShardRequestReceived, ID: r.nextID, Serial: q.serial,
+			Shard: shard, Weight: weight})
 	}
 }
 
 // end brings the outcome of a attempts that is out.
-func (r *rig) endAttempt(k attemptKey, how decision.Outcome) {
+func (r *rig) endAttempt(k attemptKey, outcome decision.Outcome) {
 	s, ok := r.inFlight[k]
 	if !ok {
 		return
 	}
 	delete(r.inFlight, k)
-	p := r.requests[k.id]
-	p.inFlight--
-	proven := how == decision.Rejected || how == decision.ConnectFailed || how == decision.NeverSent
-	if !proven && (!p.ran || s.at < p.ranAt) {
-		p.ran = true
-		p.ranAt = s.at
+	sr := r.requests[k.id]
+	sr.inFlight--
+	proven := outcome == decision.Rejected || outcome == decision.ConnectFailed || outcome == decision.NeverSent
+	if !proven && (!sr.ran || s.at < sr.ranAt) {
+		sr.ran = true
+		sr.ranAt = s.at
 	}
-	if how == decision.OK && !p.over {
-		p.answered = true
-		p.over = true
+	if outcome == decision.OK && !sr.ended {
+		sr.answered = true
+		sr.ended = true
 	}
-	r.events = append(r.events, decision.Event{Kind: decision.AttemptEnded, ID: k.id, Attempt: k.number, Outcome: how,
+	r.events = append(r.events, decision.Event{Kind: decision.AttemptEnded, ID: k.id, Attempt: k.number, Outcome: outcome,
 		Node: s.node, Elapsed: r.now - s.at})
 }
 
 // endAttempts ends all that is out for so long, where the node fits.
-func (r *rig) endAttempts(how decision.Outcome, age time.Duration, fits func(decision.NodeID) bool) {
+func (r *rig) endAttempts(outcome decision.Outcome, minAge time.Duration, matches func(decision.NodeID) bool) {
 	for _, k := range r.order {
-		if s, ok := r.inFlight[k]; ok && r.now-s.at >= age && (fits == nil || fits(s.node)) {
-			r.endAttempt(k, how)
+		if s, ok := r.inFlight[k]; ok && r.now-s.at >= minAge && (matches == nil || matches(s.node)) {
+			r.endAttempt(k, outcome)
 		}
 	}
 }
 
 func (r *rig) forget(id uint64) {
-	for _, p := range r.queries[id].requests {
-		r.requests[p].over = true
+	for _, requestID := range r.queries[id].requests {
+		r.requests[requestID].ended = true
 	}
 	delete(r.queries, id)
 }
@@ -175,8 +175,8 @@
 func (r *rig) step(by time.Duration) []decision.Action {
 	r.now += by
 	for _, e := range r.events {
-		if h := r.queries[e.ID]; e.Kind == decision.QueryReceived && h != nil {
-			h.due = r.now + e.RemainingTime
+		if q := r.queries[e.ID]; e.Kind == decision.QueryReceived && q != nil {
+			q.due = r.now + e.RemainingTime
 		}
 		if e.Kind == decision.QueryReceived || e.Kind == decision.ShardRequestReceived {
 			r.received = append(r.received, r.now)
@@ -194,33 +194,33 @@
 		case decision.ShedQuery, decision.FailQuery, decision.AnswerQuery:
 			r.checkFinal(a)
 		case decision.SendHealthCheck:
-			if slices.Contains(r.checks, a.Node) {
-				r.violate("%v is health-checked twice at once", a.Node)
+			if slices.Contains(r.healthChecks, a.Node) {
+				r.recordViolation("%v is health-checked twice at once", a.Node)
 			}
-			r.checks = append(r.checks, a.Node)
+			r.healthChecks = append(r.healthChecks, a.Node)
 		case decision.SubscribeList:
 			if r.now < r.polledAt+200*ms && r.now > 0 {
-				r.violate("the list is asked again after %v", r.now-r.polledAt)
+				r.recordViolation("the list is asked again after %v", r.now-r.polledAt)
 			}
 			r.polledAt = r.now
 		}
 	}
-	for id, h := range r.queries {
-		if r.now > h.due+20*ms {
-			r.violate("rule 1: query %d unanswered", id)
+	for id, q := range r.queries {
+		if r.now > q.due+20*ms {
+			r.recordViolation("rule 1: query %d unanswered", id)
 		}
 	}
 	return r.actions
 }
 
-// endChecks ends the health checks that are out where the node fits; the others stay out.
-func (r *rig) endChecks(how decision.Outcome, fits func(decision.NodeID) bool) {
-	r.checks = slices.DeleteFunc(r.checks, func(id decision.NodeID) bool {
-		over := fits(id)
-		if over {
-			r.events = append(r.events, decision.Event{Kind: decision.HealthCheckEnded, Node: id, Outcome: how, Elapsed: ms})
+// endHealthChecks ends the health checks that are out where the node fits; the others stay out.
+func (r *rig) endHealthChecks(outcome decision.Outcome, matches func(decision.NodeID) bool) {
+	r.healthChecks = slices.DeleteFunc(r.healthChecks, func(id decision.NodeID) bool {
+		ended := matches(id)
+		if ended {
+			r.events = append(r.events, decision.Event{Kind: decision.HealthCheckEnded, Node: id, Outcome: outcome, Elapsed: ms})
 		}
-		return over
+		return ended
 	})
 }
 
--- a/internal/decision/routing/shedding.go
+++ b/internal/decision/routing/shedding.go
@@ -119,9 +119,9 @@
 // remainingTime is the time until a query's deadline, less what its client spent before. Once that has passed the query gives way to those
 // that can still earn their full weight.
 func (d *dispatcher) remainingTime(q *query) time.Duration {
-	left := q.deadline - d.router.now - q.spent
+	left := q.deadline - d.router.now - q.clientTimeSpent
 	if left <= 0 {
-		left = (q.guardAt - d.router.now) / lateTimeShare
+		left = (q.hardDeadline - d.router.now) / lateTimeShare
 	}
 	return left
 }
