--- a/internal/config/terms/terms.go
+++ b/internal/config/terms/terms.go
@@ -129,7 +129,7 @@
 	}
 	switch by := p.text("countedBy", false); by {
 	case "work":
-		t.WeightByWork = true
+		t.WeightPerShardRequest = true
 	case "", "request":
 	default:
 		p.fail("countedBy", "unknown form %q", by)
--- a/internal/decision/routing/attempts.go
+++ b/internal/decision/routing/attempts.go
@@ -63,9 +63,9 @@
 	a.inFlight = false
 	sr.inFlight--
 	q.quiet = false
-	d.observeOutcome(event.Outcome)
+	d.updateRejectionRate(event.Outcome)
 	if event.Outcome == decision.OK {
-		d.observeIdle(a, attemptAnswered)
+		d.observeConnection(a, attemptAnswered)
 		d.handleAnswer(q, sr, a, event.Elapsed)
 		return
 	}
--- a/internal/decision/routing/completion.go
+++ b/internal/decision/routing/completion.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	deadlineMargin        = 50 * time.Millisecond // before the latency objective
-	guardSteps            = 3                     // of the clock before the client's timeout
-	weightTolerance       = 5e-5                  // of sums of weights
-	crowdedTableShare     = 0.7                   // of MaxInFlight; above it queries past their deadline are given up
-	maxSecondPhaseReserve = 4                     // the second phase is left the latency objective over this at most
-	minRetryAfterShare    = 0.5                   // of MaxRetryAfter
-	majoritySlack         = 20 * time.Millisecond // two remaining times that differ by less count as one
+	deadlineMargin            = 50 * time.Millisecond // before the latency objective
+	guardClockSteps           = 3                     // of the clock before the client's timeout
+	weightTolerance           = 5e-5                  // of sums of weights
+	crowdedTableShare         = 0.7                   // of MaxInFlight; above it queries past their deadline are given up
+	secondPhaseReserveDivisor = 4                     // the second phase is left the latency objective over this at most
+	minRetryAfterShare        = 0.5                   // of MaxRetryAfter
+	majorityTolerance         = 20 * time.Millisecond // two remaining times that differ by less count as one
 )
 
 // setDeadlines sets when a query that came is answered with what there is, and when it must have a result.
@@ -22,17 +22,17 @@
 	q.wholeDeadline = r.now + min(q.queryType.LatencyObjective, e.RemainingTime) - deadlineMargin
 	q.deadline = q.wholeDeadline
 	if q.queryType.SecondPhaseRequests > 0 {
-		q.deadline -= min(d.latency.p95, q.queryType.LatencyObjective/maxSecondPhaseReserve)
+		q.deadline -= min(d.latency.p95, q.queryType.LatencyObjective/secondPhaseReserveDivisor)
 	}
-	q.guardAt = r.now + e.RemainingTime - guardSteps*r.settings.ClockStep
+	q.guardAt = r.now + e.RemainingTime - guardClockSteps*r.settings.ClockStep
 }
 
-// noteRetryingClient sets how much of its time the client of a query has spent before. A retry that leaves less time than usual was cut
+// setTimeSpent sets how much of its time the client of a query has spent before. A retry that leaves less time than usual was cut
 // short by its client's timeout, which tells when the client asked first.
-func (d *dispatcher) noteRetryingClient(q *query, e *decision.Event) {
+func (d *dispatcher) setTimeSpent(q *query, e *decision.Event) {
 	usual := d.usualRemainingTime[e.Type].vote(e.RemainingTime)
 	mayBeRetry := e.Retry || !d.router.settings.ClientsMarkRetries
-	if mayBeRetry && e.RemainingTime < usual-majoritySlack {
+	if mayBeRetry && e.RemainingTime < usual-majorityTolerance {
 		q.spent = max(0, q.queryType.Timeout-e.RemainingTime)
 	}
 }
@@ -102,8 +102,8 @@
 	r := d.router
 	q := &d.queries.slots[slot]
 	action := decision.Action{Kind: decision.FailQuery, ID: q.id}
-	harmless := q.noneRan() || q.queryType.Idempotency == decision.Idempotent
-	if harmless && r.now < q.guardAt {
+	repeatable := q.noneRan() || q.queryType.Idempotency == decision.Idempotent
+	if repeatable && r.now < q.guardAt {
 		share := minRetryAfterShare + (1-minRetryAfterShare)*r.random.share()
 		action.Kind = decision.ShedQuery
 		action.RetryAfter = time.Duration(share * float64(r.settings.MaxRetryAfter))
--- a/internal/decision/routing/confirmation_test.go
+++ b/internal/decision/routing/confirmation_test.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision"
 )
 
-// unconfirmedRig is a rig whose nodes are all unconfirmed.
-func unconfirmedRig(t decision.Settings, nodes int) *rig {
+// newUnconfirmedRig is a rig whose nodes are all unconfirmed.
+func newUnconfirmedRig(t decision.Settings, nodes int) *rig {
 	r := newRig(t, nodes)
 	for i := range nodes {
 		r.list(decision.ListUpdateReceived, decision.Endpoint{Node: nodeID(i), Cell: i % t.Cells, State: decision.Ready,
@@ -24,7 +24,7 @@
 	settings.Cells = 1
 	settings.BrokerCount = 1
 	settings.OverloadAfter = 2 * time.Second
-	r := unconfirmedRig(settings, 2)
+	r := newUnconfirmedRig(settings, 2)
 	for range 6 {
 		r.query(0, 3*time.Second, 0)
 	}
@@ -44,7 +44,7 @@
 	settings.Cells = 1
 	settings.BrokerCount = 1
 	settings.OverloadAfter = 2 * time.Second
-	r := unconfirmedRig(settings, 1)
+	r := newUnconfirmedRig(settings, 1)
 	e := &r.router.dispatcher.endpoints.all[0]
 	for i := range 8 {
 		r.query(0, 3*time.Second, 0)
@@ -81,7 +81,7 @@
 			settings.BrokerCount = brokers
 			settings.Seed = uint64(seed)
 			settings.OverloadAfter = 2 * time.Second
-			r := unconfirmedRig(settings, 1)
+			r := newUnconfirmedRig(settings, 1)
 			r.query(0, 3*time.Second, 0)
 			r.step(5 * ms)
 			sent += len(r.order)
--- a/internal/decision/routing/course_test.go
+++ b/internal/decision/routing/course_test.go
@@ -132,7 +132,7 @@
 func TestCrowdedReplicas(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	r.step(5 * time.Second)
-	r.router.dispatcher.shardLatencies[0] = shardLatency{perCall: float64(20 * time.Second), at: r.now}
+	r.router.dispatcher.shardLatencies[0] = shardLatency{perCall: float64(20 * time.Second), updatedAt: r.now}
 	r.query(0, 3*time.Second, 0, 1)
 	require(t, len(actionsOf(r.step(0), decision.ShedQuery)) == 1, "shed while replicas that it needs are slow")
 	r.query(1, 4*time.Second, 0, 1)
--- a/internal/decision/routing/dispatcher.go
+++ b/internal/decision/routing/dispatcher.go
@@ -30,7 +30,7 @@
 	d.inbox.to = d
 	d.next = never
 	d.queries.references = map[uint64]reference{}
-	d.idleConnections.shortestCut = never
+	d.idleConnections.shortestFailedIdle = never
 	d.extraBudget.credit = initialCredit
 	d.shedding.meanValue = 1
 	d.shedding.meanRequests = 1
@@ -118,7 +118,7 @@
 	if e.confirmation.since != s.unconfirmedSince {
 		e.confirmation.since = s.unconfirmedSince
 		e.confirmation.window = initialWindow
-		e.confirmation.spread = d.router.random.share()
+		e.confirmation.startOffset = d.router.random.share()
 	}
 	t.changing.set(int32(index))
 	e.mode = s.mode
@@ -141,14 +141,14 @@
 	d.shedding.countArrival(q.tenant, r.now)
 	d.extraBudget.noteReceived(r.settings, r.now)
 	d.setDeadlines(q, e)
-	d.noteRetryingClient(q, e)
+	d.setTimeSpent(q, e)
 }
 
 // sweep looks at every query in flight: what was answered, what is due, what is new.
 func (d *dispatcher) sweep() {
 	d.next = never
 	d.detectFailuresAlike()
-	d.avoidZones()
+	d.updateAvoidedZones()
 	d.tableCrowded = float64(d.queries.places) > crowdedTableShare*float64(d.router.settings.MaxInFlight)
 	for slot := range d.queries.used.all {
 		q := &d.queries.slots[slot]
@@ -205,10 +205,10 @@
 		if sr.abandoned || len(sr.attempts) > 0 {
 			continue
 		}
-		index := d.selectForFirst(q, sr)
+		index := d.selectForFirstAttempt(q, sr)
 		sr.abandoned = index == noReplica
 		if index < 0 {
-			q.waiting = q.waiting || index == replicaLater
+			q.waiting = q.waiting || index == waitForReplica
 			continue
 		}
 		d.send(sr, index)
--- a/internal/decision/routing/ejection.go
+++ b/internal/decision/routing/ejection.go
@@ -16,26 +16,26 @@
 const (
 	initialTrialBackoff = 200 * time.Millisecond
 	maxTrialBackoff     = 3 * time.Second
-	relapseTime         = 2 * time.Second // ejected again within it, a node starts with the first backoff
+	repeatEjectionTime  = 2 * time.Second // ejected again within it, a node starts with the first backoff
 )
 
 // Silence of a node.
 const (
-	minSilence          = 400 * time.Millisecond // of a node before it is ejected as unresponsive
-	maxSilence          = 1500 * time.Millisecond
-	silenceFactor       = 5.0 // its calls have waited this many usual latencies, added up
-	renewConnectionsP95 = 4   // and this many p95 before fresh connections are tried
+	minUnresponsiveTime    = 400 * time.Millisecond // of a node before it is ejected as unresponsive
+	maxUnresponsiveTime    = 1500 * time.Millisecond
+	unresponsiveFactor     = 5.0 // its calls have waited this many usual latencies, added up
+	renewConnectionsFactor = 4   // and this many p95 before fresh connections are tried
 )
 
 // eject sends a node no work but trial attempts, the rarer the longer it fails.
-func (n *nodeHealth) eject(reason logMessage, figure float64) {
+func (n *nodeHealth) eject(reason logMessage, value float64) {
 	now := n.router.now
 	if !n.ejected {
 		n.router.notifyBrokers(gossipEjected, n.id)
-		n.router.log(reason, n.id, figure)
+		n.router.log(reason, n.id, value)
 	}
 	switch {
-	case !n.ejected && now-n.reinstatedAt > relapseTime:
+	case !n.ejected && now-n.reinstatedAt > repeatEjectionTime:
 		n.trialBackoff = max(initialTrialBackoff, n.sendInterval) // a broker with little traffic would try it with each attempt
 	case !n.ejected || n.trialInFlight:
 		n.trialBackoff = max(n.sendInterval, min(max(2*n.trialBackoff, initialTrialBackoff), maxTrialBackoff))
@@ -104,7 +104,7 @@
 func (n *nodeHealth) noteRejection() {
 	n.noteResponse()
 	n.consecutiveRejected++
-	alone := n.router.dispatcher.shedding.rejections(n.router.now) <= rejectionWeight
+	alone := n.router.dispatcher.shedding.currentRejectionRate(n.router.now) <= rejectionWeight
 	if n.ejected || n.consecutiveRejected > 1 || alone {
 		n.eject(logEjectedRejecting, n.errorRate)
 	}
@@ -121,20 +121,20 @@
 	n.unansweredTime = 0
 }
 
-// judgeSilence ejects a node that takes attempts and answers none: its calls together have waited several times what is usual. Before
+// checkUnresponsive ejects a node that takes attempts and answers none: its calls together have waited several times what is usual. Before
 // that, once until it answers again, fresh connections are tried, as one connection may be dead and not its node.
-func (n *nodeHealth) judgeSilence(m *message) {
+func (n *nodeHealth) checkUnresponsive(m *message) {
 	r := n.router
 	now := r.now
-	silence := min(m.elapsed, now-n.lastResponseAt)
-	n.unansweredTime += time.Duration(m.calls) * min(now-n.updatedAt, silence)
-	if n.renewedAt <= n.lastResponseAt && n.unansweredTime > renewConnectionsP95*r.dispatcher.latency.p95 {
+	unansweredFor := min(m.elapsed, now-n.lastResponseAt)
+	n.unansweredTime += time.Duration(m.calls) * min(now-n.updatedAt, unansweredFor)
+	if n.renewedAt <= n.lastResponseAt && n.unansweredTime > renewConnectionsFactor*r.dispatcher.latency.p95 {
 		n.renewedAt = now
 		n.renewConnections()
 	}
-	unresponsive := silence > minSilence && float64(n.unansweredTime) > silenceFactor*float64(m.usualLatency)
-	if !n.ejected && (silence > maxSilence || unresponsive) {
-		n.eject(logEjectedUnresponsive, silence.Seconds())
+	unresponsive := unansweredFor > minUnresponsiveTime && float64(n.unansweredTime) > unresponsiveFactor*float64(m.usualLatency)
+	if !n.ejected && (unansweredFor > maxUnresponsiveTime || unresponsive) {
+		n.eject(logEjectedUnresponsive, unansweredFor.Seconds())
 	}
 }
 
@@ -142,7 +142,7 @@
 // counts as lost once the node has answered one that was sent well after it.
 func (e *endpoint) pendingCalls() []call {
 	lost := 0
-	for lost < len(e.calls) && e.calls[lost].sentAt < e.answeredSends-minSilence {
+	for lost < len(e.calls) && e.calls[lost].sentAt < e.answeredSends-minUnresponsiveTime {
 		lost++
 	}
 	return e.calls[lost:]
--- a/internal/decision/routing/ejection_test.go
+++ b/internal/decision/routing/ejection_test.go
@@ -56,7 +56,7 @@
 }
 
 // A lone reset is no restart (incident ib51c67).
-func TestLoneReset(t *testing.T) {
+func TestSingleReset(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	n := r.router.nodes[0]
 	n.handle(&message{kind: attemptEnded, outcome: decision.ConnectionReset})
@@ -87,8 +87,8 @@
 	}
 	after := len(r.sends[nodeID(0)]) + len(r.sends[nodeID(3)]) - before
 	require(t, after < 8 && r.violation == "", "%d sent to two avoided nodes in 2 s: %s", after, r.violation)
-	r.router.dispatcher.zones[0] = zoneHealth{errorRate: 0.9, at: r.now}
-	r.router.dispatcher.avoidZones()
+	r.router.dispatcher.zones[0] = zoneHealth{errorRate: 0.9, updatedAt: r.now}
+	r.router.dispatcher.updateAvoidedZones()
 	require(t, !r.router.dispatcher.zones[1].avoided, "all zones fail alike")
 }
 
@@ -98,8 +98,8 @@
 	for fresh, want := range []int{2, 0} {
 		r := newRig(smallSettings(), 2)
 		for i := range 10 {
-			r.router.dispatcher.observeIdle(&attempt{idle: 900*ms + time.Duration(i)*ms}, 1)
-			r.router.dispatcher.observeIdle(&attempt{}, attemptError(fresh))
+			r.router.dispatcher.observeConnection(&attempt{idle: 900*ms + time.Duration(i)*ms}, 1)
+			r.router.dispatcher.observeConnection(&attempt{}, attemptError(fresh))
 		}
 		n := 0
 		for range 3 {
@@ -129,7 +129,7 @@
 	}
 	r.step(5 * ms)
 	require(t, r.router.nodes[0].costFactor == maxCostFactor && !r.router.nodes[0].ejected, "two brokers' word: degraded, not ejected")
-	r.step(4 * gossipMemory)
+	r.step(4 * gossipTimeConstant)
 	r.step(5 * ms)
 	require(t, r.router.nodes[0].costFactor == 1, "forgotten")
 	r.router.nodes[1].eject(logEjectedErrors, 1)
@@ -138,7 +138,7 @@
 
 // A node whose trial is due is one candidate among its like: many brokers must not all draw it
 // (kisumu-leases-later big-1).
-func TestDueTrialAttractsNoStampede(t *testing.T) {
+func TestDueTrialIsNotPreferred(t *testing.T) {
 	tried := 0
 	for seed := range uint64(60) {
 		settings := smallSettings()
@@ -226,7 +226,7 @@
 }
 
 // A node that gives no answer for long is tried over a fresh connection, once until it answers, before it is ejected.
-func TestSilentConnectionIsRenewed(t *testing.T) {
+func TestUnansweredConnectionIsRenewed(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	unresponsive := nodeID(2)
 	closes := 0
--- a/internal/decision/routing/endpoint_list.go
+++ b/internal/decision/routing/endpoint_list.go
@@ -21,7 +21,7 @@
 	case m.kind == ticked:
 		w.subscribeIfDue()
 	case m.event.Kind == decision.ListPollFailed:
-		w.pollFailed()
+		w.scheduleNextPoll()
 	default:
 		w.backoff = initialPollBackoff
 		w.merge(m.event)
--- a/internal/decision/routing/health_check.go
+++ b/internal/decision/routing/health_check.go
@@ -8,9 +8,9 @@
 
 // Signs of life are answers to attempts and health checks.
 const (
-	livenessValidity = 500 * time.Millisecond
-	maxAwaitCheck    = 200 * time.Millisecond // a first attempt waits for a node that shows life
-	lossWeight       = 0.5                    // of one health check in the loss rate
+	livenessValidity   = 500 * time.Millisecond
+	maxHealthCheckWait = 200 * time.Millisecond // a first attempt waits for a node that shows life
+	lossWeight         = 0.5                    // of one health check in the loss rate
 )
 
 // healthCheckState is what is known of a node by health checks.
@@ -20,15 +20,15 @@
 	lossRate    float64 // moving average of health checks that it did not answer
 }
 
-// isUnchecked reports whether a node has shown no sign of life lately, though it could be asked for one.
-func (d *dispatcher) isUnchecked(e *endpoint) bool {
+// needsHealthCheck reports whether a node has shown no sign of life lately, though it could be asked for one.
+func (d *dispatcher) needsHealthCheck(e *endpoint) bool {
 	return d.router.settings.HealthChecksAllowed && d.router.now-e.health.lastAliveAt > livenessValidity
 }
 
-// mayAwaitCheck reports whether a first attempt of a query may wait for a node that shows life.
-func (d *dispatcher) mayAwaitCheck(q *query) bool {
+// mayAwaitHealthCheck reports whether a first attempt of a query may wait for a node that shows life.
+func (d *dispatcher) mayAwaitHealthCheck(q *query) bool {
 	now := d.router.now
-	return now < q.checkedAt+maxAwaitCheck && now+d.latency.p50 <= q.deadline
+	return now < q.checkedAt+maxHealthCheckWait && now+d.latency.p50 <= q.deadline
 }
 
 // checkReplicas sends health checks to the replicas of a query's shard requests that have shown no sign of life lately. What a broker
@@ -41,7 +41,7 @@
 	for i := range q.requests {
 		for _, index := range d.endpoints.replicas(q.requests[i].shard) {
 			e := &d.endpoints.all[index]
-			if e.mode != modeUnlisted && !e.health.inFlight && d.isUnchecked(e) {
+			if e.mode != modeUnlisted && !e.health.inFlight && d.needsHealthCheck(e) {
 				e.health.inFlight = true
 				d.router.act(decision.Action{Kind: decision.SendHealthCheck, Node: e.id})
 			}
--- a/internal/decision/routing/hedging.go
+++ b/internal/decision/routing/hedging.go
@@ -9,7 +9,7 @@
 const (
 	recheckInterval = 10 * time.Millisecond // until what could not be sent is looked at again
 	// Until the p95 is known, an attempt is hedged after the latency objective over this.
-	assumedHedgeShare = 2
+	assumedHedgeDivisor = 2
 )
 
 // sendHedgesAndRetries sends the extra attempts that are due within the budget, and first attempts that had to wait.
@@ -19,47 +19,47 @@
 		d.sendUnsent(q)
 		d.noteDue(d.router.now + recheckInterval)
 	}
-	outlook := d.budgetOutlook(q)
+	budget := d.budgetFor(q)
 	for i := range q.requests {
 		sr := &q.requests[i]
-		if sr.answered || sr.abandoned || outlook.hopeless || len(sr.attempts) == 0 || q.moved {
-			sr.abandoned = sr.abandoned || outlook.hopeless || q.moved && sr.inFlight == 0
+		if sr.answered || sr.abandoned || budget.insufficient || len(sr.attempts) == 0 || q.moved {
+			sr.abandoned = sr.abandoned || budget.insufficient || q.moved && sr.inFlight == 0
 			continue
 		}
 		if sr.inFlight == 0 {
 			d.retry(q, sr)
 		} else {
-			d.hedge(q, sr, outlook)
+			d.hedge(q, sr, budget)
 		}
 	}
 }
 
 // hedge sends a second attempt beside the one in flight if that is due.
-func (d *dispatcher) hedge(q *query, sr *shardRequest, outlook budgetOutlook) {
-	due := d.hedgeDueAt(q, sr, outlook)
+func (d *dispatcher) hedge(q *query, sr *shardRequest, budget queryBudget) {
+	due := d.hedgeDueAt(q, sr, budget)
 	if due > d.router.now {
 		d.noteDue(due)
 		return
 	}
-	index := d.selectReplica(q, sr, extraAttempt)
-	if index >= 0 && d.mayAffordExtra(q, sr, index) {
+	index := d.selectReplica(q, sr, extraAttemptNewReplica)
+	if index >= 0 && d.canAffordExtraAttempt(q, sr, index) {
 		sr.hedged = true
-		d.sendExtra(sr, index)
+		d.sendExtraAttempt(sr, index)
 		return
 	}
 	d.noteDue(d.router.now + recheckInterval)
 }
 
 // hedgeDueAt is when a shard request with attempts in flight may be hedged; never if it may not.
-func (d *dispatcher) hedgeDueAt(q *query, sr *shardRequest, outlook budgetOutlook) time.Duration {
-	if sr.inFlight > 1 || !d.mayHedge(q, sr) || !d.hasTimeForExtra(q, sr) || !d.mayRunTwice(q, sr) {
+func (d *dispatcher) hedgeDueAt(q *query, sr *shardRequest, budget queryBudget) time.Duration {
+	if sr.inFlight > 1 || !d.mayHedge(q, sr) || !d.extraAttemptPossible(q, sr) || !d.mayRunTwice(q, sr) {
 		return never
 	}
 	a := sr.attempts[len(sr.attempts)-1]
 	due := a.sentAt + d.hedgeDelay(q)
 	// Where all replicas are slow, a hedge joins the queue that it is meant to avoid; from an ejected node it goes all the same.
 	crowded := d.latency.known && d.endpoints.all[a.node].available() && d.isCrowded(sr)
-	if outlook.scarce || crowded {
+	if budget.scarce || crowded {
 		return max(due, d.router.now+recheckInterval)
 	}
 	return due
@@ -74,23 +74,23 @@
 // hedgeDelay is how long an attempt is in flight before it is hedged.
 func (d *dispatcher) hedgeDelay(q *query) time.Duration {
 	if !d.latency.known {
-		return q.queryType.LatencyObjective / assumedHedgeShare
+		return q.queryType.LatencyObjective / assumedHedgeDivisor
 	}
 	return d.latency.p95
 }
 
-// hasTimeForExtra reports whether an extra attempt may be answered in time and within the limit on attempts.
-func (d *dispatcher) hasTimeForExtra(q *query, sr *shardRequest) bool {
+// extraAttemptPossible reports whether an extra attempt may be answered in time and within the limit on attempts.
+func (d *dispatcher) extraAttemptPossible(q *query, sr *shardRequest) bool {
 	return d.router.now+d.latency.p50 <= q.deadline && len(sr.attempts) < d.router.settings.MaxAttempts
 }
 
-// mayAffordExtra reports whether the budget allows an extra attempt to a node and its answer is expected in time.
-func (d *dispatcher) mayAffordExtra(q *query, sr *shardRequest, index nodeIndex) bool {
+// canAffordExtraAttempt reports whether the budget allows an extra attempt to a node and its answer is expected in time.
+func (d *dispatcher) canAffordExtraAttempt(q *query, sr *shardRequest, index nodeIndex) bool {
 	r := d.router
 	return d.extraBudget.allows(r.settings, r.now) && r.now+time.Duration(d.expectedWait(sr, index)) <= q.deadline
 }
 
-func (d *dispatcher) sendExtra(sr *shardRequest, index nodeIndex) {
+func (d *dispatcher) sendExtraAttempt(sr *shardRequest, index nodeIndex) {
 	d.extraBudget.spend(d.router.settings, d.router.now)
 	d.send(sr, index)
 }
--- a/internal/decision/routing/idle_connections.go
+++ b/internal/decision/routing/idle_connections.go
@@ -12,7 +12,7 @@
 	minIdleErrorRatio = 4.0                    // of the error rates over idle and over fresh connections
 	minIdleTime       = 200 * time.Millisecond // from which a connection counts as idle
 	closeIdleFor      = 20 * time.Second
-	quickResetShare   = 16 // a reset within the p50 over this tells of a connection that was cut
+	quickResetDivisor = 16 // a reset within the p50 over this tells of a connection that was cut
 )
 
 // attemptError is how much of an attempt failed, for an error rate.
@@ -26,10 +26,10 @@
 // idleConnections learns whether something between this broker and the nodes cuts connections that stand idle. The next attempt over
 // such a connection breaks, or is lost without a word: that is most attempts of a broker with little traffic.
 type idleConnections struct {
-	errorRate      float64       // of attempts over connections that stood idle
-	freshErrorRate float64       // of the others
-	shortestCut    time.Duration // idle connections that stood so long fail; never: none did
-	closeUntil     time.Duration
+	errorRate          float64       // of attempts over connections that stood idle
+	freshErrorRate     float64       // of the others
+	shortestFailedIdle time.Duration // idle connections that stood so long fail; never: none did
+	closeUntil         time.Duration
 }
 
 // observe takes how an attempt ended that was sent after the connection had stood idle for a time. It reports whether closing begins.
@@ -42,9 +42,9 @@
 	if failed == attemptAnswered {
 		return false
 	}
-	c.shortestCut = min(c.shortestCut, idle)
+	c.shortestFailedIdle = min(c.shortestFailedIdle, idle)
 	if c.errorRate < 2*idleErrorWeight { // the failures before were long ago
-		c.shortestCut = idle
+		c.shortestFailedIdle = idle
 	}
 	cut := c.errorRate > minIdleErrorRate && c.errorRate > minIdleErrorRatio*c.freshErrorRate
 	if !cut || now < c.closeUntil {
@@ -56,19 +56,19 @@
 
 // closeBeforeUse reports whether connections that stood idle for a time are closed rather than used.
 func (c *idleConnections) closeBeforeUse(idle, now time.Duration) bool {
-	return idle >= c.shortestCut && now < c.closeUntil
+	return idle >= c.shortestFailedIdle && now < c.closeUntil
 }
 
-func (d *dispatcher) observeIdle(a *attempt, failed attemptError) {
+func (d *dispatcher) observeConnection(a *attempt, failed attemptError) {
 	c := &d.idleConnections
 	if c.observe(a.idle, failed, d.router.now) {
-		d.router.log(logIdleConnectionsCut, c.errorRate, c.shortestCut, c.freshErrorRate)
+		d.router.log(logIdleConnectionsCut, c.errorRate, c.shortestFailedIdle, c.freshErrorRate)
 	}
 }
 
 // isQuickReset reports whether an attempt was reset so soon that the connection must have been cut before.
 func (d *dispatcher) isQuickReset(e *decision.Event) bool {
-	return e.Outcome == decision.ConnectionReset && e.Elapsed < d.latency.p50/quickResetShare
+	return e.Outcome == decision.ConnectionReset && e.Elapsed < d.latency.p50/quickResetDivisor
 }
 
 // renewConnections has the node's next attempts go over fresh connections.
--- a/internal/decision/routing/idle_connections_test.go
+++ b/internal/decision/routing/idle_connections_test.go
@@ -22,7 +22,7 @@
 		"what was idle for a moment counts as fresh": {[]observation{{minIdleTime - 1, attemptFailed}, cut, cut, cut, cut, cut, cut, cut}, 8},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := idleConnections{shortestCut: never}
+			c := idleConnections{shortestFailedIdle: never}
 			begins := 0
 			for i, o := range test.observations {
 				if c.observe(o.idle, o.failed, time.Second) {
--- a/internal/decision/routing/invariants_test.go
+++ b/internal/decision/routing/invariants_test.go
@@ -33,7 +33,7 @@
 		settings.CellsPerShard = 1 + rnd.Intn(2)
 		settings.MaxBatch = 1 + rnd.Intn(3)
 		settings.HealthChecksAllowed = rnd.Intn(2) > 0
-		settings.WeightByWork = rnd.Intn(2) > 0
+		settings.WeightPerShardRequest = rnd.Intn(2) > 0
 		settings.ConnIdleTimeout = time.Second
 		if rnd.Intn(2) == 0 {
 			settings.ExtraAttemptsMin = 2
--- a/internal/decision/routing/latency.go
+++ b/internal/decision/routing/latency.go
@@ -7,41 +7,41 @@
 
 // Latencies of the fleet.
 const (
-	sampleCount          = 96 // latencies kept
-	samplesPerUpdate     = 16 // recorded between two computations of the quantiles
-	minSamples           = 24 // for a computation
-	hedgeQuantile        = 0.95
-	lowPointGrowth       = 1.005 // of the low point at each computation, so that it follows a lasting change
-	assumedP50Share      = 8     // until it is known, the p50 is the shortest latency objective over this
-	assumedP95Share      = 2
-	assumedLowPointShare = 12
-	maxCrowdedLatency    = 1.5 // times the low point of the p50; above it replicas are crowded
+	sampleCount            = 96 // latencies kept
+	samplesPerUpdate       = 16 // recorded between two computations of the quantiles
+	minSamples             = 24 // for a computation
+	hedgeQuantile          = 0.95
+	lowPointGrowth         = 1.005 // of the low point at each computation, so that it follows a lasting change
+	assumedP50Divisor      = 8     // until it is known, the p50 is the shortest latency objective over this
+	assumedP95Divisor      = 2
+	assumedLowPointDivisor = 12
+	crowdedLatencyFactor   = 1.5 // times the low point of the p50; above it replicas are crowded
 )
 
 // Latency of the replicas of a shard.
 const (
-	minLatencyWeight = 0.1  // of one latency in the mean, where many come
-	maxLatencyWeight = 0.35 // after a long time without any
-	latencyMemory    = 4 * time.Second
+	minLatencyWeight    = 0.1  // of one latency in the mean, where many come
+	maxLatencyWeight    = 0.35 // after a long time without any
+	latencyTimeConstant = 4 * time.Second
 )
 
 // fleetLatency holds the latest latencies of answered shard requests and quantiles of them.
 type fleetLatency struct {
-	samples  [sampleCount]time.Duration // a ring
-	sorted   [sampleCount]time.Duration
-	recorded int
-	computed int  // how many were recorded when the quantiles were last computed
-	known    bool // the quantiles were computed; before, they are assumed
-	p50      time.Duration
-	p95      time.Duration
-	lowPoint time.Duration // of p50
+	samples          [sampleCount]time.Duration // a ring
+	sorted           [sampleCount]time.Duration
+	recorded         int
+	recordedAtUpdate int  // how many were recorded when the quantiles were last computed
+	known            bool // the quantiles were computed; before, they are assumed
+	p50              time.Duration
+	p95              time.Duration
+	lowPoint         time.Duration // of p50
 }
 
 // assume sets quantiles by the shortest latency objective, until there are samples.
 func (f *fleetLatency) assume(objective time.Duration) {
-	f.p50 = objective / assumedP50Share
-	f.p95 = objective / assumedP95Share
-	f.lowPoint = objective / assumedLowPointShare
+	f.p50 = objective / assumedP50Divisor
+	f.p95 = objective / assumedP95Divisor
+	f.lowPoint = objective / assumedLowPointDivisor
 }
 
 func (f *fleetLatency) record(latency time.Duration) {
@@ -52,10 +52,10 @@
 // update computes the quantiles anew if enough was recorded since. It is called as queries end: the first answers of a query with many
 // shard requests are its quickest, and would have all others hedged.
 func (f *fleetLatency) update() {
-	if f.recorded-f.computed < samplesPerUpdate {
+	if f.recorded-f.recordedAtUpdate < samplesPerUpdate {
 		return
 	}
-	f.computed = f.recorded
+	f.recordedAtUpdate = f.recorded
 	sorted := f.sorted[:min(f.recorded, sampleCount)]
 	copy(sorted, f.samples[:])
 	slices.Sort(sorted)
@@ -72,26 +72,26 @@
 }
 
 // faded is a mean latency that was learned at a time, as far as it is remembered; the rest is taken for the p50.
-func (f *fleetLatency) faded(mean float64, learnedAt, now time.Duration) float64 {
+func (f *fleetLatency) decayedMean(mean float64, learnedAt, now time.Duration) float64 {
 	usual := float64(f.p50)
-	return usual + (mean-usual)*decayFactor(now-learnedAt, latencyMemory)
+	return usual + (mean-usual)*decayFactor(now-learnedAt, latencyTimeConstant)
 }
 
 // shardLatency is the latency of the replicas of a shard.
 type shardLatency struct {
-	perCall float64 // mean of latency over (calls in flight a replica + 1), in nanoseconds
-	mean    float64 // of the latency, in nanoseconds
-	at      time.Duration
+	perCall   float64 // mean of latency over (calls in flight a replica + 1), in nanoseconds
+	mean      float64 // of the latency, in nanoseconds
+	updatedAt time.Duration
 }
 
 // observe takes a latency into the means.
 func (s *shardLatency) observe(fleet *fleetLatency, latency time.Duration, callsPerReplica float64, now time.Duration) {
-	weight := min(maxLatencyWeight, max(minLatencyWeight, 1-decayFactor(now-s.at, latencyMemory)))
-	s.perCall = fleet.faded(s.perCall, s.at, now)
-	s.mean = fleet.faded(s.mean, s.at, now)
+	weight := min(maxLatencyWeight, max(minLatencyWeight, 1-decayFactor(now-s.updatedAt, latencyTimeConstant)))
+	s.perCall = fleet.decayedMean(s.perCall, s.updatedAt, now)
+	s.mean = fleet.decayedMean(s.mean, s.updatedAt, now)
 	s.perCall += weight * (float64(latency)/(callsPerReplica+1) - s.perCall)
 	s.mean += weight * (float64(latency) - s.mean)
-	s.at = now
+	s.updatedAt = now
 }
 
 // latencyOf is the latency of the replicas of a shard. Shards whose replicas are the same nodes share it.
@@ -102,8 +102,8 @@
 // isCrowded reports whether the whole fleet, or the replicas of a shard request, are slow.
 func (d *dispatcher) isCrowded(sr *shardRequest) bool {
 	s := d.latencyOf(sr.shard)
-	latency := max(float64(d.latency.p50), d.latency.faded(s.mean, s.at, d.router.now))
-	return latency > maxCrowdedLatency*float64(d.latency.lowPoint)
+	latency := max(float64(d.latency.p50), d.latency.decayedMean(s.mean, s.updatedAt, d.router.now))
+	return latency > crowdedLatencyFactor*float64(d.latency.lowPoint)
 }
 
 // learnLatency takes the latency of an answered attempt into that of the shard's replicas.
@@ -115,7 +115,7 @@
 func (d *dispatcher) learnFromCancelled(sr *shardRequest, a *attempt) {
 	age := d.router.now - a.sentAt
 	if age > d.latency.p95 {
-		d.observeIdle(a, attemptFailed)
+		d.observeConnection(a, attemptFailed)
 	}
 	switch {
 	case sr.answered:
@@ -135,7 +135,7 @@
 		waited = now - pending[min(1, len(pending)-1)].sentAt
 	}
 	s := d.latencyOf(sr.shard)
-	expected := d.latency.faded(s.perCall, s.at, now) * (d.endpoints.callsPerReplica(sr.shard) + 1)
+	expected := d.latency.decayedMean(s.perCall, s.updatedAt, now) * (d.endpoints.callsPerReplica(sr.shard) + 1)
 	return max(expected, float64(waited))
 }
 
--- a/internal/decision/routing/list_polling.go
+++ b/internal/decision/routing/list_polling.go
@@ -28,8 +28,8 @@
 	r.act(decision.Action{Kind: decision.SubscribeList})
 }
 
-// pollFailed sets the pause before the next poll. It is random, as brokers that poll in step keep a jammed discovery jammed.
-func (w *listWatcher) pollFailed() {
+// scheduleNextPoll sets the pause before the next poll. It is random, as brokers that poll in step keep a jammed discovery jammed.
+func (w *listWatcher) scheduleNextPoll() {
 	r := w.router
 	w.pollAt = r.now + time.Duration((minBackoffShare+r.random.share())*float64(w.backoff))
 	w.subscribed = false
--- a/internal/decision/routing/list_polling_test.go
+++ b/internal/decision/routing/list_polling_test.go
@@ -10,7 +10,7 @@
 // Whatever failed before, the list is polled again soon. A change counts as known 6 s after discovery had it and could be reached;
 // one pause and a call that discovery works through in its turn have to fit in twice, as the first call may be rejected.
 func TestListIsPolledAgainInTime(t *testing.T) {
-	const most = 1500 * ms
+	const maxDelay = 1500 * ms
 	for seed := range uint64(100) {
 		settings := smallSettings()
 		settings.Seed = seed
@@ -26,7 +26,7 @@
 					asked = asked || a.Kind == decision.SubscribeList
 				}
 				events = nil
-				if now-failed > most {
+				if now-failed > maxDelay {
 					t.Fatalf("seed %d: not asked again %v after failure %d", seed, now-failed, failure+1)
 				}
 			}
--- a/internal/decision/routing/majority.go
+++ b/internal/decision/routing/majority.go
@@ -11,7 +11,7 @@
 // vote counts a time and returns the candidate.
 func (m *majority) vote(t time.Duration) time.Duration {
 	switch {
-	case (t - m.candidate).Abs() <= majoritySlack:
+	case (t - m.candidate).Abs() <= majorityTolerance:
 		m.votes++
 	case m.votes > 0:
 		m.votes--
--- a/internal/decision/routing/node_health.go
+++ b/internal/decision/routing/node_health.go
@@ -79,9 +79,9 @@
 }
 
 func (n *nodeHealth) handleTick(m *message) {
-	n.judgeSilence(m)
+	n.checkUnresponsive(m)
 	n.sendInterval = m.sendInterval
-	n.judgeLatency(m)
+	n.updateCostFactor(m)
 }
 
 // handleAttemptEnded takes how an attempt to the node ended.
--- a/internal/decision/routing/rejection_test.go
+++ b/internal/decision/routing/rejection_test.go
@@ -23,7 +23,7 @@
 		n := &nodeHealth{router: router}
 		router.now = time.Second
 		router.dispatcher.shedding.rejectionRate = c.rejections
-		router.dispatcher.shedding.rejectionAt = time.Second
+		router.dispatcher.shedding.rejectionRateUpdatedAt = time.Second
 		n.handleAttemptEnded(decision.Rejected, 0)
 		first := !n.ejected
 		if c.between == decision.OK {
--- a/internal/decision/routing/replicas_test.go
+++ b/internal/decision/routing/replicas_test.go
@@ -31,7 +31,7 @@
 				"it has just answered: %v", a)
 			continue
 		}
-		for r.now < 5*ms+maxAwaitCheck {
+		for r.now < 5*ms+maxHealthCheckWait {
 			require(t, len(r.order) == 0, "sent at %v, before any replica answered", r.now)
 			r.step(5 * ms)
 		}
@@ -99,7 +99,7 @@
 		r.step(5 * ms)
 	}
 	require(t, r.now <= 2*time.Second-deadlineMargin-early+5*ms, "the first step ended at %v", r.now)
-	r.router.dispatcher.shardLatencies[0] = shardLatency{perCall: float64(20 * time.Second), at: r.now}
+	r.router.dispatcher.shardLatencies[0] = shardLatency{perCall: float64(20 * time.Second), updatedAt: r.now}
 	require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) == 2, "the second step is sent")
 	r.endAttempts(decision.OK, 0, nil)
 	a := actionsOf(r.step(5*ms), decision.AnswerQuery)
--- a/internal/decision/routing/retry.go
+++ b/internal/decision/routing/retry.go
@@ -4,21 +4,21 @@
 
 // retry sends a shard request again whose attempts have all ended without an answer, or abandons it.
 func (d *dispatcher) retry(q *query, sr *shardRequest) {
-	if sr.retried || !d.hasTimeForExtra(q, sr) || !d.mayRunTwice(q, sr) {
+	if sr.retried || !d.extraAttemptPossible(q, sr) || !d.mayRunTwice(q, sr) {
 		sr.abandoned = true
 		return
 	}
-	index := d.selectReplica(q, sr, extraAttempt)
+	index := d.selectReplica(q, sr, extraAttemptNewReplica)
 	if index == noReplica {
-		index = d.selectReplica(q, sr, repeatedAttempt)
+		index = d.selectReplica(q, sr, extraAttemptAnyReplica)
 	}
 	if index == noReplica {
 		sr.abandoned = true
 		return
 	}
-	if index >= 0 && d.mayAffordExtra(q, sr, index) {
+	if index >= 0 && d.canAffordExtraAttempt(q, sr, index) {
 		sr.retried = true
-		d.sendExtra(sr, index)
+		d.sendExtraAttempt(sr, index)
 		return
 	}
 	d.noteDue(d.router.now + recheckInterval)
@@ -44,7 +44,7 @@
 	default:
 		sr.attemptMayHaveRun(a.sentAt)
 		if d.isQuickReset(event) {
-			d.observeIdle(a, attemptFailed)
+			d.observeConnection(a, attemptFailed)
 		}
 	}
 	d.allowAnotherRetry(sr)
--- a/internal/decision/routing/selection.go
+++ b/internal/decision/routing/selection.go
@@ -16,28 +16,28 @@
 
 // While every replica is ejected, one that has this many calls in flight gets another attempt only after the interval.
 const (
-	busyEjectedCalls   = 2
+	allEjectedMaxCalls = 2
 	allEjectedInterval = 500 * time.Millisecond
 )
 
 // Results of a selection beside a replica.
 const (
-	noReplica    nodeIndex = -1
-	replicaLater nodeIndex = -2 // one may be sent the attempt in a moment
+	noReplica      nodeIndex = -1
+	waitForReplica nodeIndex = -2 // one may be sent the attempt in a moment
 )
 
 // attemptKind says for what attempt a replica is selected.
 type attemptKind uint8
 
 const (
-	firstAttempt    attemptKind = iota
-	extraAttempt                // to a replica that had no attempt of the shard request
-	repeatedAttempt             // to any
+	firstAttempt           attemptKind = iota
+	extraAttemptNewReplica             // to a replica that had no attempt of the shard request
+	extraAttemptAnyReplica             // to any
 )
 
-// selectForFirst selects the replica of a first attempt: one in the shard's own cell that has a call open in this step, so that shard
+// selectForFirstAttempt selects the replica of a first attempt: one in the shard's own cell that has a call open in this step, so that shard
 // requests share calls, or else by selectReplica. While replicas are crowded the open call may be of any cell.
-func (d *dispatcher) selectForFirst(q *query, sr *shardRequest) nodeIndex {
+func (d *dispatcher) selectForFirstAttempt(q *query, sr *shardRequest) nodeIndex {
 	candidates := d.endpoints.byCell[sr.shard%len(d.endpoints.byCell)]
 	if d.isCrowded(sr) {
 		candidates = d.endpoints.replicas(sr.shard)
@@ -59,32 +59,32 @@
 func (d *dispatcher) selectReplica(q *query, sr *shardRequest, kind attemptKind) nodeIndex {
 	best := candidate{index: noReplica}
 	leastBusyEjected := noReplica
-	someLater := false
+	shouldWait := false
 	for _, i := range d.endpoints.replicas(sr.shard) {
 		e := &d.endpoints.all[i]
 		rank := sr.stickyRank(e.id, kind)
-		if rank < 0 || !d.mayBeSent(e) || kind != repeatedAttempt && sr.wasSentTo(i) {
+		if rank < 0 || !d.mayReceiveAttempt(e) || kind != extraAttemptAnyReplica && sr.wasSentTo(i) {
 			continue
 		}
-		unchecked := d.isUnchecked(e)
-		if unchecked && kind == firstAttempt && d.mayAwaitCheck(q) || !d.confirmationAdmits(e) {
-			someLater = true
+		needsCheck := d.needsHealthCheck(e)
+		if needsCheck && kind == firstAttempt && d.mayAwaitHealthCheck(q) || !d.confirmationAdmits(e) {
+			shouldWait = true
 			continue
 		}
 		trial := e.mode == modeTrial && kind == firstAttempt && q.queryType.Idempotency == decision.Idempotent
 		if e.mode <= modeTrial && !trial {
-			if d.mayGetLittle(e) && (leastBusyEjected < 0 || len(e.calls) < len(d.endpoints.all[leastBusyEjected].calls)) {
+			if d.mayUseEjected(e) && (leastBusyEjected < 0 || len(e.calls) < len(d.endpoints.all[leastBusyEjected].calls)) {
 				leastBusyEjected = i
 			}
 			continue
 		}
-		best.offer(i, d.cost(sr, e, rank, unchecked), &d.router.random)
+		best.consider(i, d.cost(sr, e, rank, needsCheck), &d.router.random)
 	}
 	switch {
 	case best.index >= 0 || sr.inFlight > 0: // no hedge goes to an ejected replica
 		return best.index
-	case someLater && d.router.now+d.latency.p50 <= q.deadline:
-		return replicaLater
+	case shouldWait && d.router.now+d.latency.p50 <= q.deadline:
+		return waitForReplica
 	default:
 		return leastBusyEjected
 	}
@@ -98,7 +98,7 @@
 }
 
 // offer takes a replica if it is cheaper, or by chance if it costs the same: each of equal replicas is as likely.
-func (c *candidate) offer(index nodeIndex, cost float64, random *randomSource) {
+func (c *candidate) consider(index nodeIndex, cost float64, random *randomSource) {
 	switch {
 	case c.index < 0 || cost < c.cost:
 		*c = candidate{index: index, cost: cost, ties: 1}
@@ -111,10 +111,10 @@
 }
 
 // cost is what an attempt to a replica costs, in calls in flight.
-func (d *dispatcher) cost(sr *shardRequest, e *endpoint, rank int, unchecked bool) float64 {
+func (d *dispatcher) cost(sr *shardRequest, e *endpoint, rank int, needsCheck bool) float64 {
 	r := d.router
 	factor := max(e.costFactor, 1+(maxCostFactor-1)*e.health.lossRate)
-	if unchecked || d.zones[e.zone].avoided {
+	if needsCheck || d.zones[e.zone].avoided {
 		factor = maxCostFactor
 	}
 	cost := factor * float64(len(e.calls)+1)
@@ -131,14 +131,14 @@
 	return cost + stickyOrderCost*float64(rank)
 }
 
-// mayBeSent reports whether a node is listed and, if it is warming up, its slow start allows an attempt.
-func (d *dispatcher) mayBeSent(e *endpoint) bool {
+// mayReceiveAttempt reports whether a node is listed and, if it is warming up, its slow start allows an attempt.
+func (d *dispatcher) mayReceiveAttempt(e *endpoint) bool {
 	return e.mode != modeUnlisted && (e.slowStart.share >= 1 || d.slowStartAdmits(e))
 }
 
-// mayGetLittle reports whether an ejected node may get an attempt where all replicas are ejected.
-func (d *dispatcher) mayGetLittle(e *endpoint) bool {
-	idle := len(e.calls) < busyEjectedCalls || d.router.now-e.lastSentAt >= allEjectedInterval
+// mayUseEjected reports whether an ejected node may get an attempt where all replicas are ejected.
+func (d *dispatcher) mayUseEjected(e *endpoint) bool {
+	idle := len(e.calls) < allEjectedMaxCalls || d.router.now-e.lastSentAt >= allEjectedInterval
 	return idle && !e.unreachable
 }
 
--- a/internal/decision/routing/selection_test.go
+++ b/internal/decision/routing/selection_test.go
@@ -14,7 +14,7 @@
 	for range rounds {
 		c := candidate{index: noReplica}
 		for i, cost := range []float64{2, 1, 1, 1} {
-			c.offer(nodeIndex(i), cost, &random)
+			c.consider(nodeIndex(i), cost, &random)
 		}
 		selected[c.index]++
 	}
@@ -40,10 +40,10 @@
 	}{
 		{"any replica", nil, 7, firstAttempt, 0},
 		{"not allowed", sticky, 7, firstAttempt, -1},
-		{"not allowed for a retry", sticky, 7, repeatedAttempt, -1},
+		{"not allowed for a retry", sticky, 7, extraAttemptAnyReplica, -1},
 		{"first in order", sticky, 3, firstAttempt, 0},
 		{"last in order", sticky, 2, firstAttempt, 2},
-		{"the order does not count for extra attempts", sticky, 2, extraAttempt, 0},
+		{"the order does not count for extra attempts", sticky, 2, extraAttemptNewReplica, 0},
 		{"nor without sticky", &decision.AllowedReplicas{Nodes: nodes}, 2, firstAttempt, 0},
 	} {
 		sr := &shardRequest{allowed: test.allowed}
--- a/internal/decision/routing/shedding.go
+++ b/internal/decision/routing/shedding.go
@@ -9,57 +9,57 @@
 
 // Expected wait over the time left, from which queries are shed: all above the upper bound, by chance between the two.
 const (
-	minShedWait = 0.5
-	maxShedWait = 0.75
+	minShedWaitRatio = 0.5
+	maxShedWaitRatio = 0.75
 )
 
 // What makes a query wait in the comparison longer or shorter than it does.
 const (
-	uncrowdedWaitShare = 0.3 // counted of the wait while replicas are not crowded
-	valueExponent      = 0.2 // of a query's value over the mean: the less it is worth, the sooner it is shed
-	minValueShare      = 0.01
-	meanValueWeight    = 0.02 // of one query in the means
-	lateTimeShare      = 4    // a query past its deadline has its remaining time over this
-	lowWeightExponent  = 2.0  // of a shard request's weight over the mean: the less it counts, the sooner it is left out
-	lowWeightFullWait  = 0.25 // mean expected wait from which the exponent is in full force
+	uncrowdedWaitFactor    = 0.3 // counted of the wait while replicas are not crowded
+	valueExponent          = 0.2 // of a query's value over the mean: the less it is worth, the sooner it is shed
+	minValueShare          = 0.01
+	meanValueWeight        = 0.02 // of one query in the means
+	lateTimeDivisor        = 4    // a query past its deadline has its remaining time over this
+	lowWeightExponent      = 2.0  // of a shard request's weight over the mean: the less it counts, the sooner it is left out
+	lowWeightFullWaitRatio = 0.25 // mean expected wait from which the exponent is in full force
 )
 
 // Rejections by nodes.
 const (
-	rejectionWeight  = 0.03 // of one attempt in the rejection rate; also what a single rejection leaves
-	rejectionPenalty = 50.0 // how much longer a wait counts for each unit of rejection rate
-	rejectionMemory  = 4 * time.Second
+	rejectionWeight       = 0.03 // of one attempt in the rejection rate; also what a single rejection leaves
+	rejectionPenalty      = 50.0 // how much longer a wait counts for each unit of rejection rate
+	rejectionTimeConstant = 4 * time.Second
 )
 
 // Tenants over quota.
-const maxTenantRate = 1.3 // times the tenant's share of the usual traffic
+const maxTenantRateFactor = 1.3 // times the tenant's share of the usual traffic
 
 // loadShedding is what decides whether queries are shed.
 type loadShedding struct {
-	meanValue      float64 // of a query
-	meanRequests   float64 // shard requests of a query
-	queries        float64 // in the means
-	active         bool    // load is being shed
-	rejectionRate  float64
-	rejectionAt    time.Duration
-	arrivals       rate   // of queries
-	tenantArrivals []rate // by tenant
+	meanValue              float64 // of a query
+	meanRequests           float64 // shard requests of a query
+	queryCount             float64 // in the means
+	active                 bool    // load is being shed
+	rejectionRate          float64
+	rejectionRateUpdatedAt time.Duration
+	arrivals               rate   // of queries
+	tenantArrivals         []rate // by tenant
 }
 
 // rejections is the share of attempts that nodes reject, as far as it is remembered.
-func (s *loadShedding) rejections(now time.Duration) float64 {
-	return s.rejectionRate * decayFactor(now-s.rejectionAt, rejectionMemory)
+func (s *loadShedding) currentRejectionRate(now time.Duration) float64 {
+	return s.rejectionRate * decayFactor(now-s.rejectionRateUpdatedAt, rejectionTimeConstant)
 }
 
 // observeRejection takes an attempt into the rejection rate. Latencies tell of what was served only.
 func (s *loadShedding) observeRejection(rejected float64, now time.Duration) {
-	s.rejectionRate = (1-rejectionWeight)*s.rejections(now) + rejectionWeight*rejected
-	s.rejectionAt = now
+	s.rejectionRate = (1-rejectionWeight)*s.currentRejectionRate(now) + rejectionWeight*rejected
+	s.rejectionRateUpdatedAt = now
 }
 
-// excessRejections is the rejection rate beyond what one rejection causes: a node that rejects alone may be draining.
-func (s *loadShedding) excessRejections(now time.Duration) float64 {
-	return max(0, s.rejections(now)-rejectionWeight)
+// excessRejectionRate is the rejection rate beyond what one rejection causes: a node that rejects alone may be draining.
+func (s *loadShedding) excessRejectionRate(now time.Duration) float64 {
+	return max(0, s.currentRejectionRate(now)-rejectionWeight)
 }
 
 // countArrival counts a query of a tenant.
@@ -72,9 +72,9 @@
 
 // bias is above 1 for a query that is worth less for its shard requests than the mean, and below for one that is worth more. It takes
 // the query into the means first.
-func (s *loadShedding) bias(value, requests float64) float64 {
-	s.queries++
-	weight := max(meanValueWeight, 1/s.queries) // the first queries make the means
+func (s *loadShedding) valueBias(value, requests float64) float64 {
+	s.queryCount++
+	weight := max(meanValueWeight, 1/s.queryCount) // the first queries make the means
 	s.meanValue += weight * (value - s.meanValue)
 	s.meanRequests += weight * (requests - s.meanRequests)
 	return math.Pow(s.meanValue/s.meanRequests*requests/max(value, minValueShare*s.meanValue), valueExponent)
@@ -85,7 +85,7 @@
 func (d *dispatcher) shed(q *query) bool {
 	r := d.router
 	scale := d.waitScale(q)
-	bound := minShedWait + r.random.share()*(maxShedWait-minShedWait)
+	bound := minShedWaitRatio + r.random.share()*(maxShedWaitRatio-minShedWaitRatio)
 	longest := 0.0
 	sum := 0.0
 	for i := range q.requests {
@@ -94,8 +94,8 @@
 		longest = max(longest, sr.expectedWait)
 		sum += sr.expectedWait
 	}
-	kept := d.leaveOut(q, bound, sum/float64(len(q.requests)))
-	d.reportShedding(q, longest)
+	kept := d.abandonLongWaits(q, bound, sum/float64(len(q.requests)))
+	d.logShedding(q, longest)
 	return kept < q.queryType.MinCompleteness-weightTolerance
 }
 
@@ -109,11 +109,11 @@
 		value *= s.OverQuotaWeight
 	}
 	requests := float64(len(q.requests))
-	if s.WeightByWork {
+	if s.WeightPerShardRequest {
 		requests = 1
 	}
-	bias := d.shedding.bias(value, requests)
-	return bias / float64(max(1, d.remainingTime(q))) * (1 + rejectionPenalty*d.shedding.excessRejections(now))
+	bias := d.shedding.valueBias(value, requests)
+	return bias / float64(max(1, d.remainingTime(q))) * (1 + rejectionPenalty*d.shedding.excessRejectionRate(now))
 }
 
 // remainingTime is the time until a query's deadline, less what its client spent before. Once that has passed the query gives way to those
@@ -121,7 +121,7 @@
 func (d *dispatcher) remainingTime(q *query) time.Duration {
 	left := q.deadline - d.router.now - q.spent
 	if left <= 0 {
-		left = (q.guardAt - d.router.now) / lateTimeShare
+		left = (q.guardAt - d.router.now) / lateTimeDivisor
 	}
 	return left
 }
@@ -133,26 +133,26 @@
 	switch {
 	case index >= 0:
 		return d.expectedWait(sr, index) * scale
-	case index == replicaLater:
+	case index == waitForReplica:
 		return float64(d.latency.p50) * scale
 	default:
 		return 0
 	}
 }
 
-// leaveOut abandons the shard requests whose expected wait is above the bound and returns the weight of the others. Where an answer may
+// abandonLongWaits abandons the shard requests whose expected wait is above the bound and returns the weight of the others. Where an answer may
 // be partial, those that count little give way to those that count much, the more so the longer the waits are on average.
-func (d *dispatcher) leaveOut(q *query, bound, meanWait float64) (kept float64) {
+func (d *dispatcher) abandonLongWaits(q *query, bound, meanWait float64) (kept float64) {
 	exponent := 0.0
 	if q.mayBePartial() {
-		exponent = -lowWeightExponent * math.Pow(min(1, meanWait/lowWeightFullWait), 2)
+		exponent = -lowWeightExponent * math.Pow(min(1, meanWait/lowWeightFullWaitRatio), 2)
 	}
 	for i := range q.requests {
 		sr := &q.requests[i]
 		wait := sr.expectedWait * math.Pow(q.relativeWeight(sr), exponent)
 		// Where replicas are not crowded, a long wait for the time left tells of a client with little patience, not of overload.
 		if wait > bound && !q.isLowWeight(sr) && !d.isCrowded(sr) {
-			wait *= uncrowdedWaitShare
+			wait *= uncrowdedWaitFactor
 		}
 		sr.abandoned = sr.abandoned || wait > bound
 		if !sr.abandoned {
@@ -162,11 +162,11 @@
 	return kept
 }
 
-// reportShedding logs that shedding begins or ends.
-func (d *dispatcher) reportShedding(q *query, longest float64) {
+// logShedding logs that shedding begins or ends.
+func (d *dispatcher) logShedding(q *query, longest float64) {
 	s := &d.shedding
-	begins := !s.active && longest > maxShedWait
-	ends := s.active && longest < minShedWait
+	begins := !s.active && longest > maxShedWaitRatio
+	ends := s.active && longest < minShedWaitRatio
 	switch {
 	case begins:
 		s.active = true
@@ -188,13 +188,13 @@
 	share := &r.settings.Tenants[tenant]
 	arrivals.decay(r.now)
 	quota := share.Quota / float64(r.settings.BrokerCount)
-	limit := max(quota, maxTenantRate*share.TrafficShare*s.arrivals.usual(r.now))
-	oneQuery := 1 / fastRateMemory.Seconds() // to a broker with little traffic one query looks like a burst
+	limit := max(quota, maxTenantRateFactor*share.TrafficShare*s.arrivals.usual(r.now))
+	oneQuery := 1 / fastRateTimeConstant.Seconds() // to a broker with little traffic one query looks like a burst
 	return arrivals.fast-oneQuery > limit
 }
 
-// observeOutcome takes an answer or a rejection into the rejection rate.
-func (d *dispatcher) observeOutcome(outcome decision.Outcome) {
+// updateRejectionRate takes an answer or a rejection into the rejection rate.
+func (d *dispatcher) updateRejectionRate(outcome decision.Outcome) {
 	switch outcome {
 	case decision.OK:
 		d.shedding.observeRejection(0, d.router.now)
--- a/internal/decision/routing/slow_start.go
+++ b/internal/decision/routing/slow_start.go
@@ -10,35 +10,35 @@
 const (
 	slowStartSafety     = 0.6 // of the load under which a warming-up node fails
 	maxFlowRatio        = 1.6 // of the usual flow that a node is allowed its share of
-	maxUnusedAllowance  = 2   // attempts
-	minUnusedAllowance  = -1
+	maxAllowance        = 2   // attempts
+	minAllowance        = -1
 	minUnconfirmedShare = 0.01
 )
 
 // Confirmation window of nodes that are unconfirmed.
 const (
-	initialWindow         = 1    // calls in flight
-	windowGrowthPerAnswer = 0.25 // calls
-	windowCutOnFailure    = 2    // the window is divided by it
+	initialWindow          = 1    // calls in flight
+	windowGrowthPerAnswer  = 0.25 // calls
+	windowDivisorOnFailure = 2    // the window is divided by it
 )
 
 // slowStart is what a node that is warming up may be sent.
 type slowStart struct {
-	share     float64 // of what a warmed-up node is sent; 1: the node is warmed up
-	allowance float64 // attempts that may be sent now
-	grownAt   time.Duration
+	share      float64 // of what a warmed-up node is sent; 1: the node is warmed up
+	allowance  float64 // attempts that may be sent now
+	refilledAt time.Duration
 }
 
 // grow adds the share of a flow, in attempts a second, since the last time.
-func (s *slowStart) grow(flow float64, now time.Duration) {
-	s.allowance = min(maxUnusedAllowance, s.allowance+s.share*flow*(now-s.grownAt).Seconds())
-	s.grownAt = now
+func (s *slowStart) refill(flow float64, now time.Duration) {
+	s.allowance = min(maxAllowance, s.allowance+s.share*flow*(now-s.refilledAt).Seconds())
+	s.refilledAt = now
 }
 
 // spend books an attempt; one that was not allowed is pending.
 func (s *slowStart) spend() {
 	if s.share < 1 {
-		s.allowance = max(minUnusedAllowance, s.allowance-1)
+		s.allowance = max(minAllowance, s.allowance-1)
 	}
 }
 
@@ -97,7 +97,7 @@
 	own := &d.flows.byCell[e.cell%len(d.flows.byCell)]
 	own.decay(now)
 	flow := min(max(own.fast, usual), maxFlowRatio*usual)
-	e.slowStart.grow(flow, now)
+	e.slowStart.refill(flow, now)
 	return e.slowStart.allowance >= 1 || len(e.calls) == 0 && float64(now-e.lastSentAt) >= d.slowStartInterval(e)
 }
 
@@ -111,7 +111,7 @@
 func (d *dispatcher) beginSlowStart(e *endpoint) {
 	r := d.router
 	e.slowStart.allowance = r.random.share()
-	e.slowStart.grownAt = r.now
+	e.slowStart.refilledAt = r.now
 	e.lastSentAt = r.now - time.Duration(r.random.share()*d.slowStartInterval(e))
 }
 
@@ -121,13 +121,13 @@
 	since        time.Duration // when it became unconfirmed; 0: it is confirmed
 	window       float64       // calls that may be in flight
 	backoffUntil time.Duration
-	spread       float64 // from 0 to 1: this broker's place in the time over which brokers spread their first calls
+	startOffset  float64 // from 0 to 1: this broker's place in the time over which brokers spread their first calls
 }
 
 // admits reports whether another call may be sent. interval is what all brokers can keep; where one call from each of them at once is
 // more than a cold node stands, the first calls are spread over it.
 func (c *confirmation) admits(e *endpoint, now, interval, overloadAfter time.Duration) bool {
-	wait := c.spread * float64(interval-overloadAfter)
+	wait := c.startOffset * float64(interval-overloadAfter)
 	begun := e.lastSentAt > c.since || float64(now-c.since) >= wait
 	return begun && now >= c.backoffUntil && float64(len(e.calls)+1) <= c.window
 }
@@ -152,7 +152,7 @@
 	case outcome == decision.OK || outcome == decision.Stale:
 		c.window += windowGrowthPerAnswer * max(0, min(1, d.router.settings.OverloadMultiple-1))
 	case outcome != decision.Cancelled || elapsed > d.latency.p95:
-		c.window = max(initialWindow, c.window/windowCutOnFailure)
+		c.window = max(initialWindow, c.window/windowDivisorOnFailure)
 		c.backoffUntil = d.router.now + d.unconfirmedInterval()
 	}
 }
--- a/internal/decision/routing/slow_start_brokers_test.go
+++ b/internal/decision/routing/slow_start_brokers_test.go
@@ -13,7 +13,7 @@
 // adds, in the time that the settings name, N being what it can do then. Half of the brokers are started anew meanwhile and know
 // nothing of what the others send, and a burst comes.
 func TestWarmingUpNodeUnderManyBrokers(t *testing.T) {
-	const window, wave = 1500 * ms, 2500 * ms
+	const window, burstAt = 1500 * ms, 2500 * ms
 	for seed := range int64(6) {
 		brokers := []int{20, 30}[seed%2]
 		rnd := rand.New(rand.NewSource(seed))
@@ -32,23 +32,23 @@
 			rigs = append(rigs, start(i, 0))
 		}
 		sends := []time.Duration(nil)
-		warm := 0
-		counted := func(r *rig) {
+		warmedUpSends := 0
+		countSends := func(r *rig) {
 			sends = append(sends, r.sends[warmingUp]...)
 			for i := 1; i < 6; i++ {
-				warm += len(r.sends[nodeID(i)])
+				warmedUpSends += len(r.sends[nodeID(i)])
 			}
 		}
 		for step := range 1600 {
 			now := time.Duration(step) * 5 * ms
-			if now == wave {
+			if now == burstAt {
 				for i := range brokers / 2 {
-					counted(rigs[i])
+					countSends(rigs[i])
 					rigs[i] = start(i, now)
 				}
 			}
 			load := 2
-			if now > wave && now < 2*wave {
+			if now > burstAt && now < 2*burstAt {
 				load = 3
 			}
 			for _, r := range rigs {
@@ -60,20 +60,20 @@
 			}
 		}
 		for _, r := range rigs {
-			counted(r)
+			countSends(r)
 		}
-		full := float64(warm) / 5 / 8 // attempts a second that a warmed-up node is sent, taken for all it can do
+		full := float64(warmedUpSends) / 5 / 8 // attempts a second that a warmed-up node is sent, taken for all it can do
 		for from := time.Duration(0); from < 8*time.Second; from += 50 * ms {
 			n := 0
-			have := 0.3 + 0.7*from.Seconds()/8
+			capacity := 0.3 + 0.7*from.Seconds()/8
 			for _, at := range sends {
 				if at >= from && at < from+window {
 					n++
 				}
 			}
-			allowed := settings.OverloadMultiple * have * full * window.Seconds()
-			most := allowed + 2*math.Sqrt(allowed) + 2
-			require(t, float64(n) <= most, "seed %d, %d brokers: %d sent from %v on, limit %.1f", seed, brokers, n, from, most)
+			allowed := settings.OverloadMultiple * capacity * full * window.Seconds()
+			limit := allowed + 2*math.Sqrt(allowed) + 2
+			require(t, float64(n) <= limit, "seed %d, %d brokers: %d sent from %v on, limit %.1f", seed, brokers, n, from, limit)
 		}
 		require(t, len(sends) > 20, "it must be brought back, not left out")
 	}
--- a/internal/decision/routing/slow_start_test.go
+++ b/internal/decision/routing/slow_start_test.go
@@ -24,19 +24,19 @@
 
 func TestSlowStartAllowance(t *testing.T) {
 	s := slowStart{share: 0.5}
-	s.grow(4, 250*ms)
+	s.refill(4, 250*ms)
 	if s.allowance != 0.5 {
 		t.Errorf("allowance %v after a quarter second of two attempts a second, want 0.5", s.allowance)
 	}
-	s.grow(4, 10*time.Second)
-	if s.allowance != maxUnusedAllowance {
-		t.Errorf("allowance %v after a long time, want %v", s.allowance, maxUnusedAllowance)
+	s.refill(4, 10*time.Second)
+	if s.allowance != maxAllowance {
+		t.Errorf("allowance %v after a long time, want %v", s.allowance, maxAllowance)
 	}
 	for range 5 {
 		s.spend()
 	}
-	if s.allowance != minUnusedAllowance {
-		t.Errorf("allowance %v after five attempts, want %v", s.allowance, minUnusedAllowance)
+	if s.allowance != minAllowance {
+		t.Errorf("allowance %v after five attempts, want %v", s.allowance, minAllowance)
 	}
 	warmedUp := slowStart{share: 1}
 	warmedUp.spend()
@@ -59,9 +59,9 @@
 		"the window is two":            {confirmation{since: 1, window: 2}, 1, 2, 3, true},
 		"a pause":                      {confirmation{since: 1, window: 1, backoffUntil: 5}, 0, 2, 4, false},
 		"the pause is over":            {confirmation{since: 1, window: 1, backoffUntil: 5}, 0, 2, 5, true},
-		"before its place in time":     {confirmation{since: 1, window: 1, spread: 0.5}, 0, 0, 1500 * ms, false},
-		"at its place in time":         {confirmation{since: 1, window: 1, spread: 0.5}, 0, 0, 1500*ms + 1, true},
-		"it has sent something before": {confirmation{since: 1, window: 1, spread: 0.5}, 0, 2, 3, true},
+		"before its place in time":     {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 0, 1500 * ms, false},
+		"at its place in time":         {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 0, 1500*ms + 1, true},
+		"it has sent something before": {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 2, 3, true},
 	} {
 		e := &endpoint{calls: make([]call, test.calls), lastSentAt: test.lastSentAt}
 		if got := test.confirmation.admits(e, test.now, interval, overloadAfter); got != test.admits {
--- a/internal/decision/routing/zone_health.go
+++ b/internal/decision/routing/zone_health.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	zoneErrorWeight   = 0.1 // of one attempt in a zone's error rate
-	maxZoneErrorRate  = 0.5 // above it a zone is avoided
-	zoneErrorMemory   = 20 * time.Second
-	zoneErrorDistance = 2 // unless the zone that fails least has more than the rate over this
+	zoneErrorWeight       = 0.1 // of one attempt in a zone's error rate
+	maxZoneErrorRate      = 0.5 // above it a zone is avoided
+	zoneErrorTimeConstant = 20 * time.Second
+	zoneErrorDivisor      = 2 // unless the zone that fails least has more than the rate over this
 )
 
 // zoneHealth is the error rate of the attempts to a zone.
 type zoneHealth struct {
 	errorRate float64
-	at        time.Duration
+	updatedAt time.Duration
 	avoided   bool
 }
 
@@ -30,13 +30,13 @@
 }
 
 // current is the error rate as far as it is remembered.
-func (z *zoneHealth) current(now time.Duration) float64 {
-	return z.errorRate * decayFactor(now-z.at, zoneErrorMemory)
+func (z *zoneHealth) currentErrorRate(now time.Duration) float64 {
+	return z.errorRate * decayFactor(now-z.updatedAt, zoneErrorTimeConstant)
 }
 
 func (z *zoneHealth) observe(failed float64, now time.Duration) {
-	z.errorRate = z.current(now)*(1-zoneErrorWeight) + zoneErrorWeight*failed
-	z.at = now
+	z.errorRate = z.currentErrorRate(now)*(1-zoneErrorWeight) + zoneErrorWeight*failed
+	z.updatedAt = now
 }
 
 // observeZone takes the end of an attempt into the error rate of the node's zone: answers, and failures that a zone out of reach would
@@ -54,18 +54,18 @@
 	}
 }
 
-// avoidZones decides which zones are avoided: those most of whose attempts fail, while those to another zone do not. The replicas of an
+// updateAvoidedZones decides which zones are avoided: those most of whose attempts fail, while those to another zone do not. The replicas of an
 // avoided zone count as degraded.
-func (d *dispatcher) avoidZones() {
+func (d *dispatcher) updateAvoidedZones() {
 	now := d.router.now
 	lowest := 1.0
 	for i := range d.zones {
-		lowest = min(lowest, d.zones[i].current(now))
+		lowest = min(lowest, d.zones[i].currentErrorRate(now))
 	}
 	for i := range d.zones {
 		z := &d.zones[i]
-		errorRate := z.current(now)
-		avoid := errorRate > maxZoneErrorRate && lowest < errorRate/zoneErrorDistance
+		errorRate := z.currentErrorRate(now)
+		avoid := errorRate > maxZoneErrorRate && lowest < errorRate/zoneErrorDivisor
 		if avoid == z.avoided {
 			continue
 		}
--- a/internal/decision/routing/zone_health_test.go
+++ b/internal/decision/routing/zone_health_test.go
@@ -15,8 +15,8 @@
 	if want := failed * (1 - weight); z.errorRate != want {
 		t.Errorf("error rate %v after an answer, want %v", z.errorRate, want)
 	}
-	now := z.current(0)
-	later := z.current(zoneErrorMemory)
+	now := z.currentErrorRate(0)
+	later := z.currentErrorRate(zoneErrorTimeConstant)
 	if later >= now/2 || later <= now/3 {
 		t.Errorf("error rate %v fades to %v in one time constant, want 1/e of it", now, later)
 	}
@@ -37,9 +37,9 @@
 		r := newRig(smallSettings(), 2).router
 		r.dispatcher.zones = nil
 		for _, rate := range test.rates {
-			r.dispatcher.zones = append(r.dispatcher.zones, zoneHealth{errorRate: rate, at: r.now})
+			r.dispatcher.zones = append(r.dispatcher.zones, zoneHealth{errorRate: rate, updatedAt: r.now})
 		}
-		r.dispatcher.avoidZones()
+		r.dispatcher.updateAvoidedZones()
 		for i, z := range r.dispatcher.zones {
 			if z.avoided != test.avoided[i] {
 				t.Errorf("%s: zone %d avoided %v, want %v", name, i, z.avoided, test.avoided[i])
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -33,18 +33,18 @@
 
 // Settings are what a broker is told about its deployment.
 type Settings struct {
-	Seed               uint64
-	BrokerCount        int
-	GossipAllowed      bool // brokers may send each other messages
-	ClientsMarkRetries bool
-	ClockStep          time.Duration // granularity of the clock
-	QueryTypes         []QueryType
-	Tenants            []Tenant
-	OverQuotaWeight    float64 // factor on the priority weight of a query beyond its tenant's quota
-	WeightByWork       bool    // a query's priority weight is that of each of its shard requests, not of the whole
-	Cells              int
-	CellsPerShard      int // replication: the cells that hold a shard
-	MaxBatch           int // shard requests that one call to a node may carry
+	Seed                  uint64
+	BrokerCount           int
+	GossipAllowed         bool // brokers may send each other messages
+	ClientsMarkRetries    bool
+	ClockStep             time.Duration // granularity of the clock
+	QueryTypes            []QueryType
+	Tenants               []Tenant
+	OverQuotaWeight       float64 // factor on the priority weight of a query beyond its tenant's quota
+	WeightPerShardRequest bool    // a query's priority weight is that of each of its shard requests, not of the whole
+	Cells                 int
+	CellsPerShard         int // replication: the cells that hold a shard
+	MaxBatch              int // shard requests that one call to a node may carry
 
 	CancelAllowed       bool
 	HealthChecksAllowed bool
