--- a/internal/decision/routing/extra_budget.go
+++ b/internal/decision/routing/extra_budget.go
@@ -85,7 +85,7 @@
 	scarce       bool // less is remaining now than the query has unanswered shard requests
 }
 
-func (d *dispatcher) budgetFor(q *query) queryBudget {
+func (d *dispatcher) queryBudget(q *query) queryBudget {
 	s := d.router.settings
 	if s.ExtraAttemptsWindow == 0 {
 		return queryBudget{}
--- a/internal/decision/routing/hedging.go
+++ b/internal/decision/routing/hedging.go
@@ -19,7 +19,7 @@
 		d.sendUnsent(q)
 		d.noteDue(d.router.now + recheckInterval)
 	}
-	budget := d.budgetFor(q)
+	budget := d.queryBudget(q)
 	for i := range q.requests {
 		sr := &q.requests[i]
 		if sr.answered || sr.abandoned || budget.insufficient || len(sr.attempts) == 0 || q.moved {
--- a/internal/decision/routing/shedding.go
+++ b/internal/decision/routing/shedding.go
@@ -112,8 +112,8 @@
 	if s.WeightPerShardRequest {
 		requests = 1
 	}
-	bias := d.shedding.valueBias(value, requests)
-	return bias / float64(max(1, d.remainingTime(q))) * (1 + rejectionPenalty*d.shedding.excessRejectionRate(now))
+	valueBias := d.shedding.valueBias(value, requests)
+	return valueBias / float64(max(1, d.remainingTime(q))) * (1 + rejectionPenalty*d.shedding.excessRejectionRate(now))
 }
 
 // remainingTime is the time until a query's deadline, less what its client spent before. Once that has passed the query gives way to those
