--- a/internal/cluster/controlplane/release_request.go
+++ b/internal/cluster/controlplane/release_request.go
@@ -84,7 +84,7 @@
 		}
 		return follower
 	}
-	slots := release.OrderByZone(p.state.Brokers())
+	slots := release.InterleaveZones(p.state.Brokers())
 	slices.SortStableFunc(slots, func(a, b statemachine.Slot) int { return rank(a) - rank(b) })
 	return slots
 }
--- a/internal/decision/release/batches.go
+++ b/internal/decision/release/batches.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// OrderByZone puts brokers in turn by zones, so that no batch falls on one zone.
-func OrderByZone(brokers []statemachine.Broker) (slots []statemachine.Slot) {
+// InterleaveZones puts brokers in turn by zones, so that no batch falls on one zone.
+func InterleaveZones(brokers []statemachine.Broker) (slots []statemachine.Slot) {
 	type place struct {
 		round  int // the broker's place among those of its zone
 		broker statemachine.Broker
--- a/internal/decision/release/counts.go
+++ b/internal/decision/release/counts.go
@@ -41,9 +41,9 @@
 	Classes     []Counts
 }
 
-// source is a target's counts as evidence takes them.
-type source struct {
-	latest  Report
-	counted Report // as far as windows have been compared
-	fresh   bool   // a report came since
+// reportedCounts is a target's counts as evidence takes them.
+type reportedCounts struct {
+	latest   Report
+	compared Report // as far as windows have been compared
+	fresh    bool   // a report came since
 }
--- a/internal/decision/release/gate.go
+++ b/internal/decision/release/gate.go
@@ -32,14 +32,14 @@
 	class               int                    // allClasses: all
 	zone                string                 // "": all
 	samples             [metricCount][]*sample // in the order they came: sums of floats must not depend on that of a map
-	sampleOf            [metricCount]map[Target]*sample
+	sampleByTarget      [metricCount]map[Target]*sample
 	expectationVariance [metricCount]float64 // of what is expected of all the released together, as the controls are finite too
-	looks               [metricCount]float64 // checks so far
-	queriesAtLook       [metricCount]float64 // queries of the released at the last check
+	checks              [metricCount]float64 // checks so far
+	queriesAtCheck      [metricCount]float64 // queries of the released at the last check
 }
 
-// growth is what a target's counts grew by in a window.
-type growth struct {
+// windowCounts is what a target's counts grew by in a window.
+type windowCounts struct {
 	Target
 	zone    string
 	side    releaseSide
@@ -47,7 +47,7 @@
 }
 
 // countsOf is a target's growth in a group, for a metric.
-func (w *growth) countsOf(g *group, m Metric) (queries, bad float64) {
+func (w *windowCounts) countsOf(g *group, m Metric) (queries, bad float64) {
 	if g.zone != "" && g.zone != w.zone {
 		return 0, 0
 	}
@@ -62,13 +62,13 @@
 
 // addWindow adds what each target's counts grew by in the same time. Something outside (a node dies, load doubles) makes all
 // brokers fail more for a while; the released are held against the controls of the same window, so that this cancels.
-func (g *group) addWindow(window []growth, minControls int) {
+func (g *group) addWindow(window []windowCounts, minControls int) {
 	for m := range metricCount {
 		g.addMetric(window, m, minControls)
 	}
 }
 
-func (g *group) addMetric(window []growth, m Metric, minControls int) {
+func (g *group) addMetric(window []windowCounts, m Metric, minControls int) {
 	var queries, bad float64
 	controls := 0
 	for i := range window {
@@ -83,7 +83,7 @@
 		return
 	}
 	rate := (bad + 0.5) / (queries + 1)
-	released := 0.0
+	releasedQueries := 0.0
 	for i := range window {
 		w := &window[i]
 		n, x := w.countsOf(g, m)
@@ -92,21 +92,21 @@
 		}
 		g.sampleFor(w, m).add(n, x, rate)
 		if w.side == sideReleased {
-			released += n
+			releasedQueries += n
 		}
 	}
-	g.expectationVariance[m] += released * released * rate * (1 - rate) / queries
+	g.expectationVariance[m] += releasedQueries * releasedQueries * rate * (1 - rate) / queries
 }
 
 // sampleFor is a target's sample; one that goes over to the released starts anew.
-func (g *group) sampleFor(w *growth, m Metric) *sample {
-	if g.sampleOf[m] == nil {
-		g.sampleOf[m] = map[Target]*sample{}
+func (g *group) sampleFor(w *windowCounts, m Metric) *sample {
+	if g.sampleByTarget[m] == nil {
+		g.sampleByTarget[m] = map[Target]*sample{}
 	}
-	s := g.sampleOf[m][w.Target]
+	s := g.sampleByTarget[m][w.Target]
 	if s == nil {
 		s = &sample{}
-		g.sampleOf[m][w.Target] = s
+		g.sampleByTarget[m][w.Target] = s
 		g.samples[m] = append(g.samples[m], s)
 	}
 	if s.side != w.side {
@@ -140,43 +140,43 @@
 		v.Group, v.Queries, v.Bad, v.Metric, v.Expected, v.Evidence, v.Needed, v.Overdispersion)
 }
 
-// excess is by how much the evidence is over what is needed.
-func (v *GateResult) excess() float64 { return v.Evidence - v.Needed }
+// evidenceExcess is by how much the evidence is over what is needed.
+func (v *GateResult) evidenceExcess() float64 { return v.Evidence - v.Needed }
 
 // sums are over the samples of a metric.
 type sums struct {
-	squares      float64 // of the controls' distances from what was expected
-	chance       float64 // variance of the controls by chance alone
-	sizes        float64 // squares of the controls' queries
-	controls     float64
-	queries      float64 // of the controls
-	variance     float64 // of the released by chance alone
-	releasedSize float64 // squares of the released's queries
+	squaredDeviations      float64 // of the controls' distances from what was expected
+	chanceVariance         float64 // variance of the controls by chance alone
+	squaredQueries         float64 // squares of the controls' queries
+	controls               float64
+	controlQueries         float64 // of the controls
+	releasedVariance       float64 // of the released by chance alone
+	releasedSquaredQueries float64 // squares of the released's queries
 }
 
 func (g *group) sum(m Metric) (s sums, v GateResult) {
 	v.Group = g.name
 	for _, t := range g.samples[m] {
 		if t.side == sideControl {
-			distance := t.bad - t.expected
-			s.squares += distance * distance
-			s.chance += t.variance
-			s.sizes += t.queries * t.queries
+			deviation := t.bad - t.expected
+			s.squaredDeviations += deviation * deviation
+			s.chanceVariance += t.variance
+			s.squaredQueries += t.queries * t.queries
 			s.controls++
-			s.queries += t.queries
+			s.controlQueries += t.queries
 			continue
 		}
 		v.Queries += t.queries
 		v.Bad += t.bad
 		v.Expected += t.expected
-		s.variance += t.variance
-		s.releasedSize += t.queries * t.queries
+		s.releasedVariance += t.variance
+		s.releasedSquaredQueries += t.queries * t.queries
 	}
 	return s, v
 }
 
 const (
-	lookGrowth            = 1.25 // a check is made when there is a quarter more to look at
+	minGrowthToCheck      = 1.25 // a check is made when there is a quarter more to look at
 	fewControlsCorrection = 4    // few controls tell less surely how much they differ
 	minOverdispersion     = 1e-9 // keeps the evidence finite
 )
@@ -187,14 +187,14 @@
 // enough finds what chance makes: the k-th check may raise a false alarm with a share of 1/k(k+1) of what all together may.
 func (g *group) check(m Metric, tolerance, falseAlarmRate float64) (v GateResult, fails bool) {
 	s, v := g.sum(m)
-	if v.Queries < lookGrowth*g.queriesAtLook[m] || v.Queries == 0 || s.chance == 0 {
+	if v.Queries < minGrowthToCheck*g.queriesAtCheck[m] || v.Queries == 0 || s.chanceVariance == 0 {
 		return v, false
 	}
-	g.queriesAtLook[m] = v.Queries
-	g.looks[m]++
-	v.Needed = math.Log(g.looks[m] * (g.looks[m] + 1) / falseAlarmRate)
+	g.queriesAtCheck[m] = v.Queries
+	g.checks[m]++
+	v.Needed = math.Log(g.checks[m] * (g.checks[m] + 1) / falseAlarmRate)
 	variance := s.totalVariance(v.Queries, g.expectationVariance[m])
-	v.Overdispersion = variance / s.variance
+	v.Overdispersion = variance / s.releasedVariance
 	expected := v.Expected + tolerance*v.Queries
 	if v.Bad <= expected {
 		return v, false
@@ -207,10 +207,10 @@
 
 // totalVariance is that of the released's bad queries, by the greater of two estimates of how much brokers differ.
 func (s *sums) totalVariance(released, expectationVariance float64) float64 {
-	squares := s.squares * (1 + fewControlsCorrection/s.controls)
-	noisy := (s.variance + expectationVariance) * max(1, squares/s.chance)
+	correctedDeviations := s.squaredDeviations * (1 + fewControlsCorrection/s.controls)
+	byNoise := (s.releasedVariance + expectationVariance) * max(1, correctedDeviations/s.chanceVariance)
 	// How much brokers differ for good; the controls may be better ones by chance.
-	perBroker := max(0, squares-s.chance) / s.sizes
-	worse := s.variance + expectationVariance + perBroker*(s.releasedSize+released*released*s.sizes/(s.queries*s.queries))
-	return max(noisy, worse)
+	variancePerBroker := max(0, correctedDeviations-s.chanceVariance) / s.squaredQueries
+	byLastingDifference := s.releasedVariance + expectationVariance + variancePerBroker*(s.releasedSquaredQueries+released*released*s.squaredQueries/(s.controlQueries*s.controlQueries))
+	return max(byNoise, byLastingDifference)
 }
--- a/internal/decision/release/golden_run_test.go
+++ b/internal/decision/release/golden_run_test.go
@@ -15,23 +15,23 @@
 	incarnation uint64
 	version     string
 	classes     []Counts
-	failing     float64 // share that it fails by itself
-	back        time.Duration
+	failureRate float64 // share that it fails by itself
+	returnsAt   time.Duration
 }
 
 // goldenRun is one pseudo-random course of a release over the real state machine.
 type goldenRun struct {
-	rng      *rand.Rand
-	out      io.Writer
-	state    *statemachine.State
-	settings Settings
-	planner  *Planner
-	brokers  []*goldenBroker
-	now      time.Duration
-	term     uint64
-	sequence uint64
-	worse    float64 // share that version 2 fails on top
-	list     NodeList
+	rng           *rand.Rand
+	out           io.Writer
+	state         *statemachine.State
+	settings      Settings
+	planner       *Planner
+	brokers       []*goldenBroker
+	now           time.Duration
+	term          uint64
+	sequence      uint64
+	extraFailures float64 // share that version 2 fails on top
+	nodeList      NodeList
 }
 
 func (g *goldenRun) oneIn(n int) bool { return g.rng.IntN(n) == 0 }
@@ -51,7 +51,7 @@
 
 func (g *goldenRun) join(b *goldenBroker) {
 	b.incarnation++
-	b.back = 0
+	b.returnsAt = 0
 	b.classes = make([]Counts, len(b.classes))
 	g.apply(&statemachine.RegisterBroker{Slot: b.slot, Name: fmt.Sprint("b", b.slot), Incarnation: b.incarnation, Version: b.version,
 		Zone: fmt.Sprint("z", b.slot%2), Protocol: 1})
@@ -68,10 +68,10 @@
 	g.settings.MinControls = 1 + g.rng.IntN(3)
 	g.settings.OverdueAfter = time.Duration(3+g.rng.IntN(20)) * time.Second
 	g.settings.AutoRollback = g.oneIn(2)
-	g.worse = []float64{0, 0.02, 0.2}[g.rng.IntN(3)]
+	g.extraFailures = []float64{0, 0.02, 0.2}[g.rng.IntN(3)]
 	classes := 1 + g.rng.IntN(2)
 	for i := range 6 + g.rng.IntN(8) {
-		b := &goldenBroker{slot: statemachine.Slot(i), version: "1", failing: 0.01 * g.rng.Float64(), classes: make([]Counts, classes)}
+		b := &goldenBroker{slot: statemachine.Slot(i), version: "1", failureRate: 0.01 * g.rng.Float64(), classes: make([]Counts, classes)}
 		g.brokers = append(g.brokers, b)
 		g.join(b)
 	}
@@ -94,20 +94,20 @@
 			p.Nodes = append(p.Nodes, goldenNode(i))
 		}
 	} else {
-		p.Slots = OrderByZone(g.state.Brokers())
+		p.Slots = InterleaveZones(g.state.Brokers())
 	}
 	p.Batches = DefaultBatches(len(p.Slots) + len(p.Nodes))
 	fmt.Fprintln(g.out, p.Slots, p.Batches, g.apply(p))
 }
 
-func (g *goldenRun) count(b *goldenBroker) {
+func (g *goldenRun) countQueries(b *goldenBroker) {
 	for i := range b.classes {
 		c := &b.classes[i]
 		n := uint64(10 + g.rng.IntN(30))
 		c.Queries += n
-		share := b.failing
+		share := b.failureRate
 		if b.version == "2" {
-			share += g.worse
+			share += g.extraFailures
 		}
 		for range n {
 			if g.rng.Float64() < share {
@@ -125,30 +125,30 @@
 	}
 }
 
-// broker is a turn of a broker: it comes back, serves, goes by its permit, or is lost.
-func (g *goldenRun) broker(b *goldenBroker) {
-	if b.back > 0 {
-		if g.now >= b.back {
+// stepBroker is a turn of a broker: it comes back, serves, goes by its permit, or is lost.
+func (g *goldenRun) stepBroker(b *goldenBroker) {
+	if b.returnsAt > 0 {
+		if g.now >= b.returnsAt {
 			g.join(b)
 		}
 		return
 	}
-	g.count(b)
+	g.countQueries(b)
 	if p, ok := g.state.BrokerPermit(b.slot); ok && !p.Used && !g.oneIn(4) {
 		if g.apply(&statemachine.UsePermit{Permit: p.Number, Slot: b.slot, Incarnation: b.incarnation}) {
 			if r, _ := g.state.Release(); !g.oneIn(40) {
 				b.version = r.To
 			}
-			b.back = g.now + time.Duration(1+g.rng.IntN(6))*time.Second
+			b.returnsAt = g.now + time.Duration(1+g.rng.IntN(6))*time.Second
 		}
 	}
 	if g.oneIn(1500) {
 		g.apply(&statemachine.MarkBrokerLost{Slot: b.slot, Incarnation: b.incarnation, Term: g.term})
-		b.back = g.now + 4*time.Second
+		b.returnsAt = g.now + 4*time.Second
 	}
 }
 
-func (g *goldenRun) nodes() {
+func (g *goldenRun) stepNodes() {
 	for i := range goldenNodes {
 		id := goldenNode(i)
 		p, ok := g.state.NodePermit(id)
@@ -170,23 +170,23 @@
 	}
 }
 
-// follow has a broker's node list move now and then.
-func (g *goldenRun) follow() {
-	before := g.list
-	if g.list.Nodes == nil || g.oneIn(25) {
-		g.list = NodeList{StableSince: g.now, Confirmed: !g.oneIn(5), Ready: map[statemachine.NodeID]bool{}}
+// stepNodeList has a broker's node list move now and then.
+func (g *goldenRun) stepNodeList() {
+	before := g.nodeList
+	if g.nodeList.Nodes == nil || g.oneIn(25) {
+		g.nodeList = NodeList{StableSince: g.now, Confirmed: !g.oneIn(5), Ready: map[statemachine.NodeID]bool{}}
 		for i := range goldenNodes {
 			if g.oneIn(15) {
 				continue
 			}
-			g.list.Nodes = append(g.list.Nodes, statemachine.NodeInfo{Node: goldenNode(i), Zone: fmt.Sprint("z", i%2), Shards: []uint32{1}})
-			g.list.Ready[goldenNode(i)] = !g.oneIn(6)
+			g.nodeList.Nodes = append(g.nodeList.Nodes, statemachine.NodeInfo{Node: goldenNode(i), Zone: fmt.Sprint("z", i%2), Shards: []uint32{1}})
+			g.nodeList.Ready[goldenNode(i)] = !g.oneIn(6)
 		}
 	} else {
-		g.list.StableSince = g.now
+		g.nodeList.StableSince = g.now
 	}
-	g.list.KeepStableSince(&before)
-	g.propose(g.list.NextEntries(g.state, g.now))
+	g.nodeList.KeepStableSince(&before)
+	g.propose(g.nodeList.NextEntries(g.state, g.now))
 }
 
 func (g *goldenRun) propose(all []statemachine.Entry) {
@@ -198,16 +198,16 @@
 	}
 }
 
-func (g *goldenRun) play() {
+func (g *goldenRun) run() {
 	g.start()
 	for range goldenSteps {
 		g.now += goldenStep
 		for _, b := range g.brokers {
-			g.broker(b)
+			g.stepBroker(b)
 		}
-		g.nodes()
+		g.stepNodes()
 		if g.oneIn(2) {
-			g.follow()
+			g.stepNodeList()
 		}
 		all, next := g.planner.NextEntries(g.state, g.now)
 		g.propose(all)
--- a/internal/decision/release/golden_test.go
+++ b/internal/decision/release/golden_test.go
@@ -28,7 +28,7 @@
 		h := fnv.New64a()
 		for i := range goldenSequences {
 			g := &goldenRun{rng: rand.New(rand.NewPCG(goldenSeed, uint64(block*goldenSequences+i))), out: h, state: statemachine.New()}
-			g.play()
+			g.run()
 		}
 		fmt.Fprintf(&all, "%016x\n", h.Sum64())
 	}
--- a/internal/decision/release/planner.go
+++ b/internal/decision/release/planner.go
@@ -19,7 +19,7 @@
 	settings        Settings
 	term            uint64
 	observingSince  time.Duration
-	sources         map[Target]*source
+	reports         map[Target]*reportedCounts
 	groups          []*group
 	releaseNumber   uint64 // that the evidence is of
 	windowStart     time.Duration
@@ -28,21 +28,21 @@
 	stepStates      map[Target]statemachine.StepState
 	proposedAt      map[string]time.Duration
 	batchFinishedAt time.Duration // when the open batch was first seen finished
-	batch           uint32
+	openBatch       uint32
 	failedGate      *GateResult
 }
 
 // NewPlanner makes the planner of a leader whose LeaderElected of this term was applied.
 func NewPlanner(settings Settings, term uint64, now time.Duration) *Planner {
-	return &Planner{settings: settings, term: term, observingSince: now, windowStart: now, sources: map[Target]*source{}}
+	return &Planner{settings: settings, term: term, observingSince: now, windowStart: now, reports: map[Target]*reportedCounts{}}
 }
 
 // RecordReport records what a target counted since its start.
 func (p *Planner) RecordReport(r Report, now time.Duration) {
-	s := p.sources[r.Target]
+	s := p.reports[r.Target]
 	if s == nil || s.latest.Incarnation != r.Incarnation || len(s.latest.Classes) != len(r.Classes) {
-		s = &source{counted: r} // what it did before its first report is no evidence of this leader's
-		p.sources[r.Target] = s
+		s = &reportedCounts{compared: r} // what it did before its first report is no evidence of this leader's
+		p.reports[r.Target] = s
 	}
 	s.latest = r
 	s.fresh = true
@@ -60,12 +60,12 @@
 	p.failedGate = nil
 	p.groups = nil
 	p.batchFinishedAt = notFinished
-	p.batch = 0
+	p.openBatch = 0
 	p.stateSince = map[Target]time.Duration{}
 	p.stepStates = map[Target]statemachine.StepState{}
 	p.proposedAt = map[string]time.Duration{}
-	for _, s := range p.sources {
-		s.counted = s.latest
+	for _, s := range p.reports {
+		s.compared = s.latest
 	}
 }
 
@@ -146,8 +146,8 @@
 // trackSteps records since when each step is in its state, and tells what must halt the release: a target that is out for too long,
 // or came back with a wrong version. "": nothing.
 func (p *Planner) trackSteps(r *statemachine.Release, now time.Duration) (problem string) {
-	if r.OpenBatch != p.batch {
-		p.batch = r.OpenBatch
+	if r.OpenBatch != p.openBatch {
+		p.openBatch = r.OpenBatch
 		p.batchFinishedAt = notFinished
 	}
 	for _, x := range r.Steps {
@@ -179,7 +179,7 @@
 	serving := p.servingTargets(s, r)
 	known := 0
 	for t := range serving {
-		if p.sources[t] != nil {
+		if p.reports[t] != nil {
 			known++
 		}
 	}
--- a/internal/decision/release/release_test.go
+++ b/internal/decision/release/release_test.go
@@ -23,8 +23,8 @@
 // of the evidence, and in half the seeds of the first search that counts (where all fails at the time it takes more to be sure).
 // All that have it are brought back; never are more out than may be, nobody goes twice.
 func TestBadVersion(t *testing.T) {
-	var took []time.Duration
-	most, after := 0, time.Duration(0)
+	var haltTimes []time.Duration
+	maxAffected, maxAfterEvidence := 0, time.Duration(0)
 	for seed := range uint64(seeds(10)) {
 		w := newSimulatedTier(t, seed, 300, 100, 0.05)
 		number := w.plan(10)
@@ -32,9 +32,9 @@
 		if r.State != statemachine.ReleaseHalted || !strings.HasPrefix(r.Reason, "gate: ") || w.affected(r) >= 30 {
 			t.Fatalf("seed %d: %v %s, %d touched", seed, r.State, r.Reason, w.affected(r))
 		}
-		most = max(most, w.affected(r))
-		after = max(after, w.haltedAt-w.evidenceAt)
-		took = append(took, w.haltedAt-w.firstBadAt)
+		maxAffected = max(maxAffected, w.affected(r))
+		maxAfterEvidence = max(maxAfterEvidence, w.haltedAt-w.evidenceAt)
+		haltTimes = append(haltTimes, w.haltedAt-w.firstBadAt)
 		for range 20 { // whoever went before comes back
 			w.step()
 		}
@@ -49,12 +49,12 @@
 		}
 		w.checkLimits(10)
 	}
-	slices.Sort(took)
-	half, worst := took[len(took)/2], took[len(took)-1]
+	slices.Sort(haltTimes)
+	median, worst := haltTimes[len(haltTimes)/2], haltTimes[len(haltTimes)-1]
 	t.Logf("halted %v after the first search of the bad version, at most %v; at most %v after the evidence; at most %d of 300 touched",
-		half, worst, after, most)
-	if after > 5*time.Second || half > 5*time.Second+Defaults().WarmUpTime {
-		t.Errorf("halted %v after the evidence, %v after the first search", after, half)
+		median, worst, maxAfterEvidence, maxAffected)
+	if maxAfterEvidence > 5*time.Second || median > 5*time.Second+Defaults().WarmUpTime {
+		t.Errorf("halted %v after the evidence, %v after the first search", maxAfterEvidence, median)
 	}
 }
 
@@ -131,7 +131,7 @@
 }
 
 // More out at once than may be are seen.
-func TestMostOut(t *testing.T) {
+func TestExcessOutIsDetected(t *testing.T) {
 	w := newSimulatedTier(t, 1, 60, 100, 0)
 	w.plan(12)
 	if w.run(10 * time.Minute); w.maxOut <= 10 {
@@ -139,7 +139,7 @@
 	}
 }
 
-func releaseNodes(t *testing.T, least uint32) (fewest int, r statemachine.Release) {
+func releaseNodes(t *testing.T, minReadyReplicas uint32) (fewest int, r statemachine.Release) {
 	fewest = 9
 	w := newSimulatedTier(t, 1, 3, 100, 0)
 	var list []statemachine.NodeInfo
@@ -149,7 +149,7 @@
 		nodes = append(nodes, id)
 		list = append(list, statemachine.NodeInfo{Node: id, Zone: fmt.Sprint(i / 4), Shards: []uint32{uint32(i % 4), uint32(i%4+1) % 4}})
 	}
-	w.apply(&statemachine.SetNodeList{Epoch: 1, MinReadyReplicas: least, Nodes: list})
+	w.apply(&statemachine.SetNodeList{Epoch: 1, MinReadyReplicas: minReadyReplicas, Nodes: list})
 	w.apply(&statemachine.ReleasePlan{Nodes: nodes, MaxOut: 8, Gates: "off"})
 	for range 400 {
 		w.step()
--- a/internal/decision/release/simulated_tier_test.go
+++ b/internal/decision/release/simulated_tier_test.go
@@ -12,42 +12,42 @@
 
 // simulatedTier is a tier in virtual time: what the planner proposes is applied a little later, brokers that may go are away for a while.
 type simulatedTier struct {
-	t              *testing.T
-	rng            *rand.Rand
-	state          *statemachine.State
-	planner        *Planner
-	term           uint64
-	now            time.Duration
-	sequence       uint64
-	brokers        []*simulatedBroker
-	rate           float64 // queries of a broker in a second
-	extraFailures  float64 // share that the new version fails on top
-	commonFailures float64 // what fails everywhere just now
-	naiveAlarm     bool    // queries taken for independent throws, and no account of looks, would have raised an alarm
-	maxOut         int     // were out at once
-	leaves         map[[2]uint64]int
-	firstBadAt     time.Duration // when a broker of the new version first failed on top
-	evidenceAt     time.Duration // when a gate, had it looked in each window, would have failed first
-	haltedAt       time.Duration
-	proposals      int
+	t                 *testing.T
+	rng               *rand.Rand
+	state             *statemachine.State
+	planner           *Planner
+	term              uint64
+	now               time.Duration
+	sequence          uint64
+	brokers           []*simulatedBroker
+	queryRate         float64 // queries of a broker in a second
+	extraFailureRate  float64 // share that the new version fails on top
+	commonFailureRate float64 // what fails everywhere just now
+	naiveAlarm        bool    // queries taken for independent throws, and no account of looks, would have raised an alarm
+	maxOut            int     // were out at once
+	leftCount         map[[2]uint64]int
+	firstBadAt        time.Duration // when a broker of the new version first failed on top
+	evidenceAt        time.Duration // when a gate, had it looked in each window, would have failed first
+	haltedAt          time.Duration
+	proposals         int
 }
 
 type simulatedBroker struct {
 	slot        statemachine.Slot
 	incarnation uint64
 	version     string
-	own         float64 // what it fails by itself, for good
+	failureRate float64 // what it fails by itself, for good
 	counts      Counts
-	back        time.Duration // when it comes back; 0: it is there
+	returnsAt   time.Duration // when it comes back; 0: it is there
 }
 
-func newSimulatedTier(t *testing.T, seed uint64, brokers int, rate, worse float64) *simulatedTier {
+func newSimulatedTier(t *testing.T, seed uint64, brokers int, queryRate, extraFailureRate float64) *simulatedTier {
 	w := &simulatedTier{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), state: statemachine.New(),
-		rate: rate, extraFailures: worse, leaves: map[[2]uint64]int{},
+		queryRate: queryRate, extraFailureRate: extraFailureRate, leftCount: map[[2]uint64]int{},
 	}
 	for i := range brokers {
-		b := &simulatedBroker{slot: statemachine.Slot(i), version: "1", own: 0.004 * w.rng.ExpFloat64()}
+		b := &simulatedBroker{slot: statemachine.Slot(i), version: "1", failureRate: 0.004 * w.rng.ExpFloat64()}
 		w.brokers = append(w.brokers, b)
 		w.join(b)
 	}
@@ -62,7 +62,7 @@
 }
 
 func (w *simulatedTier) join(b *simulatedBroker) {
-	b.incarnation, b.back, b.counts = b.incarnation+1, 0, Counts{}
+	b.incarnation, b.returnsAt, b.counts = b.incarnation+1, 0, Counts{}
 	zone := fmt.Sprint("z", b.slot%3)
 	w.apply(&statemachine.RegisterBroker{Slot: b.slot, Name: fmt.Sprint("b", b.slot), Incarnation: b.incarnation,
 		Version: b.version, Zone: zone, Protocol: 1})
@@ -72,13 +72,13 @@
 func (w *simulatedTier) elect() {
 	w.term++
 	w.apply(&statemachine.LeaderElected{Slot: 0, Term: w.term})
-	set := Defaults()
-	w.planner = NewPlanner(set, w.term, w.now)
+	settings := Defaults()
+	w.planner = NewPlanner(settings, w.term, w.now)
 }
 
-func (w *simulatedTier) plan(most uint32) uint64 {
-	return w.apply(&statemachine.ReleasePlan{Name: "r", From: "1", To: "2", Slots: OrderByZone(w.state.Brokers()),
-		Batches: DefaultBatches(len(w.brokers)), MaxOut: most, PauseMS: 5000}).Number
+func (w *simulatedTier) plan(maxOut uint32) uint64 {
+	return w.apply(&statemachine.ReleasePlan{Name: "r", From: "1", To: "2", Slots: InterleaveZones(w.state.Brokers()),
+		Batches: DefaultBatches(len(w.brokers)), MaxOut: maxOut, PauseMS: 5000}).Number
 }
 
 // drawFailures draws how many of n go wrong.
@@ -99,35 +99,35 @@
 func (w *simulatedTier) step() {
 	w.now += 250 * time.Millisecond
 	if w.rng.IntN(40) == 0 {
-		w.commonFailures = []float64{0, 0, 0.02, 0.1}[w.rng.IntN(4)]
+		w.commonFailureRate = []float64{0, 0, 0.02, 0.1}[w.rng.IntN(4)]
 	}
 	out := 0
 	for _, b := range w.brokers {
-		if b.back > 0 {
-			if out++; w.now >= b.back {
+		if b.returnsAt > 0 {
+			if out++; w.now >= b.returnsAt {
 				w.join(b)
 			}
 			continue
 		}
-		share := b.own + w.commonFailures
+		share := b.failureRate + w.commonFailureRate
 		if b.version == "2" {
-			if share += w.extraFailures; w.firstBadAt == 0 {
+			if share += w.extraFailureRate; w.firstBadAt == 0 {
 				w.firstBadAt = w.now
 			}
 		}
 		share += 0.002 * w.rng.ExpFloat64() // noise that comes and goes
-		n := math.Round(w.rate / 4 * (0.8 + 0.4*w.rng.Float64()))
+		n := math.Round(w.queryRate / 4 * (0.8 + 0.4*w.rng.Float64()))
 		x := w.drawFailures(n, min(1, share))
 		b.counts.Queries += uint64(n)
 		b.counts.Bad[MetricFailed] += x
 		b.counts.Bad[MetricUnserved] += x
 		w.planner.RecordReport(Report{Target: Target{Slot: b.slot}, Incarnation: b.incarnation,
 			Zone: fmt.Sprint("z", b.slot%3), Classes: []Counts{b.counts}}, w.now)
-		if pass, ok := w.state.BrokerPermit(b.slot); ok && !pass.Used {
-			if r := w.apply(&statemachine.UsePermit{Permit: pass.Number, Slot: b.slot, Incarnation: b.incarnation}); r.Err == nil {
+		if permit, ok := w.state.BrokerPermit(b.slot); ok && !permit.Used {
+			if r := w.apply(&statemachine.UsePermit{Permit: permit.Number, Slot: b.slot, Incarnation: b.incarnation}); r.Err == nil {
 				release, _ := w.state.Release()
-				w.leaves[[2]uint64{pass.Release, uint64(b.slot)}]++
-				b.version, b.back = release.To, w.now+2*time.Second
+				w.leftCount[[2]uint64{permit.Release, uint64(b.slot)}]++
+				b.version, b.returnsAt = release.To, w.now+2*time.Second
 				out++
 			}
 		}
@@ -135,7 +135,7 @@
 	w.maxOut = max(w.maxOut, out)
 	w.naiveAlarm = w.naiveAlarm || w.planner.naiveTestFails()
 	all, _ := w.planner.NextEntries(w.state, w.now)
-	if w.evidenceAt == 0 && (w.planner.FailedGate() != nil || w.planner.someGateWouldFail()) {
+	if w.evidenceAt == 0 && (w.planner.FailedGate() != nil || w.planner.anyGateWouldFail()) {
 		w.evidenceAt = w.now
 	}
 	for _, e := range all {
@@ -147,12 +147,12 @@
 	}
 }
 
-// someGateWouldFail tells whether some gate would fail if it looked now, by the threshold of its next look.
-func (p *Planner) someGateWouldFail() bool {
+// anyGateWouldFail tells whether some gate would fail if it looked now, by the threshold of its next look.
+func (p *Planner) anyGateWouldFail() bool {
 	for _, g := range p.groups {
 		for m := range metricCount {
 			c := *g
-			c.queriesAtLook = [metricCount]float64{}
+			c.queriesAtCheck = [metricCount]float64{}
 			if _, fails := c.check(m, p.settings.Tolerance, p.settings.FalseAlarmRate/float64(len(p.groups)*int(metricCount))); fails {
 				return true
 			}
@@ -163,19 +163,19 @@
 
 // naiveTestFails is the planted fault: the usual test of two shares, at one in a thousand, at each look.
 func (p *Planner) naiveTestFails() bool {
-	var asked, wrong, expected, variance float64
+	var queries, bad, expected, variance float64
 	for _, g := range p.groups[:min(1, len(p.groups))] {
 		for _, t := range g.samples[MetricUnserved] {
 			if t.side == sideReleased {
-				asked, wrong, expected, variance = asked+t.queries, wrong+t.bad, expected+t.expected, variance+t.variance
+				queries, bad, expected, variance = queries+t.queries, bad+t.bad, expected+t.expected, variance+t.variance
 			}
 		}
 	}
-	return asked > 0 && wrong-expected > 3.1*math.Sqrt(variance)
+	return queries > 0 && bad-expected > 3.1*math.Sqrt(variance)
 }
 
-func (w *simulatedTier) run(most time.Duration) statemachine.Release {
-	for end := w.now + most; w.now < end; {
+func (w *simulatedTier) run(limit time.Duration) statemachine.Release {
+	for end := w.now + limit; w.now < end; {
 		w.step()
 		if r, _ := w.state.Release(); r.State != statemachine.ReleaseRunning {
 			return r
@@ -199,7 +199,7 @@
 	if w.maxOut > most {
 		w.t.Errorf("%d out at once", w.maxOut)
 	}
-	for k, n := range w.leaves {
+	for k, n := range w.leftCount {
 		if n > 1 {
 			w.t.Errorf("broker %d went %d times in release %d", k[1], n, k[0])
 		}
--- a/internal/decision/release/window.go
+++ b/internal/decision/release/window.go
@@ -57,31 +57,31 @@
 }
 
 // collectWindow is what the targets' counts grew by since the last window. One that has just returned warms up and is left out.
-func (p *Planner) collectWindow(s *statemachine.State, r *statemachine.Release, now time.Duration) (window []growth) {
+func (p *Planner) collectWindow(s *statemachine.State, r *statemachine.Release, now time.Duration) (window []windowCounts) {
 	for t, side := range p.servingTargets(s, r) {
-		src := p.sources[t]
+		src := p.reports[t]
 		if src == nil || !src.fresh {
 			continue
 		}
-		w := src.countGrowth(t, side)
+		w := src.takeWindow(t, side)
 		if side == sideReleased && now-p.stateSince[t] < p.settings.WarmUpTime {
 			continue
 		}
 		window = append(window, w)
 	}
-	slices.SortFunc(window, func(a, b growth) int { // sums of floats must not depend on the order of a map
+	slices.SortFunc(window, func(a, b windowCounts) int { // sums of floats must not depend on the order of a map
 		return cmp.Or(cmp.Compare(a.Slot, b.Slot), bytes.Compare(a.Node.Addr[:], b.Node.Addr[:]), cmp.Compare(a.Node.Port, b.Node.Port))
 	})
 	return window
 }
 
-// countGrowth is what the counts grew by; it counts once.
-func (s *source) countGrowth(t Target, side releaseSide) growth {
-	w := growth{Target: t, zone: s.latest.Zone, side: side}
+// takeWindow is what the counts grew by; it counts once.
+func (s *reportedCounts) takeWindow(t Target, side releaseSide) windowCounts {
+	w := windowCounts{Target: t, zone: s.latest.Zone, side: side}
 	for i, c := range s.latest.Classes {
-		w.classes = append(w.classes, subtractCounts(c, s.counted.Classes[i]))
+		w.classes = append(w.classes, subtractCounts(c, s.compared.Classes[i]))
 	}
-	s.counted = s.latest
+	s.compared = s.latest
 	s.fresh = false
 	return w
 }
@@ -91,7 +91,7 @@
 	for _, g := range p.groups {
 		for m := range metricCount {
 			v, fails := g.check(m, p.settings.Tolerance, rate)
-			if fails && (p.failedGate == nil || v.excess() > p.failedGate.excess()) {
+			if fails && (p.failedGate == nil || v.evidenceExcess() > p.failedGate.evidenceExcess()) {
 				p.failedGate = &v
 			}
 		}
@@ -99,7 +99,7 @@
 }
 
 // addGroups makes the groups that a window shows: all queries, each class, each zone.
-func (p *Planner) addGroups(window []growth) {
+func (p *Planner) addGroups(window []windowCounts) {
 	zones := map[string]bool{}
 	classes := 0
 	for _, w := range window {
--- a/internal/decision/statemachine/bench_test.go
+++ b/internal/decision/statemachine/bench_test.go
@@ -24,7 +24,7 @@
 		apply(&ReturnToService{Slot: Slot(i), Incarnation: 1})
 	}
 	apply(&ConnectionPolicy{1, "text", 300, budgets})
-	var again [][]byte
+	var repeated [][]byte
 	for number := range uint64(2) {
 		for i := range 300 {
 			var l []LeaseRow
@@ -37,11 +37,11 @@
 				apply(g)
 				apply(&AcknowledgeLease{Slot(i), 1, 1})
 			} else {
-				again = append(again, enc(g), enc(&AcknowledgeLease{Slot(i), 1, 2}))
+				repeated = append(repeated, enc(g), enc(&AcknowledgeLease{Slot(i), 1, 2}))
 			}
 		}
 	}
-	return s, again
+	return s, repeated
 }
 
 // BenchmarkGrant is a broker's new grant of 66 rows and its acknowledgement, two entries.
--- a/internal/decision/statemachine/connection_lease.go
+++ b/internal/decision/statemachine/connection_lease.go
@@ -1,15 +1,15 @@
 package statemachine
 
-// upperBound is what a broker may hold, by all it was granted and has not given back.
-func (l *ConnectionLease) upperBound() []LeaseRow {
+// possiblyHeld is what a broker may hold, by all it was granted and has not given back.
+func (l *ConnectionLease) possiblyHeld() []LeaseRow {
 	if l.Ended {
 		return nil
 	}
-	return mergeLeaseRows(l.Outstanding, l.Granted)
+	return maxOfLeaseRows(l.Outstanding, l.Granted)
 }
 
-// changeLeased changes what a broker may hold, where that keeps every node within its budget; all is checked before any changes.
-func (s *State) changeLeased(before, after []LeaseRow) error {
+// adjustLeasedWithinBudget changes what a broker may hold, where that keeps every node within its budget; all is checked before any changes.
+func (s *State) adjustLeasedWithinBudget(before, after []LeaseRow) error {
 	groups := s.acknowledgementGroups()
 	err := forEachNode(before, after, func(c nodeChange) error {
 		if c.after <= c.before {
@@ -38,7 +38,7 @@
 		if p == nil {
 			continue
 		}
-		reserved := s.reservedAt(p, groups, id)
+		reserved := s.reservedConnections(p, groups, id)
 		budget := p.budgetOf(id).Connections
 		if reserved+leased > budget {
 			return reject(ReasonOverBudget, "node %v, policy %d: floors %d and %d above them, budget %d", id, p.Version, reserved, leased, budget)
@@ -61,7 +61,7 @@
 		return 0, err
 	}
 	lease := &b.lease
-	before := lease.upperBound()
+	before := lease.possiblyHeld()
 	switch {
 	case b.Status == BrokerLost || b.Status == BrokerOut:
 		return 0, reject(ReasonStale, "broker %s is %v", b.Name, b.Status)
@@ -74,7 +74,7 @@
 	if err := checkLeaseRows(e.Rows); err != nil {
 		return 0, err
 	}
-	if err := s.changeLeased(before, mergeLeaseRows(before, e.Rows)); err != nil {
+	if err := s.adjustLeasedWithinBudget(before, maxOfLeaseRows(before, e.Rows)); err != nil {
 		return 0, err
 	}
 	*lease = ConnectionLease{Incarnation: e.Incarnation, Number: e.Number, Granted: e.Rows, Outstanding: before}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return 0, err
 	}
-	s.adjustLeased(lease.upperBound(), lease.Granted)
+	s.adjustLeased(lease.possiblyHeld(), lease.Granted)
 	lease.Outstanding = nil
 	lease.Acknowledged = true
 	s.advancePolicy()
@@ -119,7 +119,7 @@
 }
 
 func (s *State) endLease(lease *ConnectionLease) {
-	s.adjustLeased(lease.upperBound(), nil)
+	s.adjustLeased(lease.possiblyHeld(), nil)
 	lease.Granted = nil
 	lease.Outstanding = nil
 	lease.Ended = true
--- a/internal/decision/statemachine/connection_policy.go
+++ b/internal/decision/statemachine/connection_policy.go
@@ -31,20 +31,20 @@
 	return groups
 }
 
-// reservedAt is how many connections to a node brokers may open without a lease, with a policy in force. A broker that has not
+// reservedConnections is how many connections to a node brokers may open without a lease, with a policy in force. A broker that has not
 // learnt of a policy goes on with the reserve of the one it knows, for as long as it is cut off; it counts with the greatest
 // reserve since. Slots without a broker count with the policy's.
-func (s *State) reservedAt(p *ConnectionPolicy, groups []acknowledgementGroup, id NodeID) uint64 {
-	perBroker := p.budgetOf(id).ReservedPerBroker
-	sum := uint64(p.MaxBrokers) * perBroker
+func (s *State) reservedConnections(p *ConnectionPolicy, groups []acknowledgementGroup, id NodeID) uint64 {
+	reservedPerBroker := p.budgetOf(id).ReservedPerBroker
+	sum := uint64(p.MaxBrokers) * reservedPerBroker
 	for _, g := range groups {
-		greatest := perBroker
+		greatest := reservedPerBroker
 		for _, old := range s.policies {
 			if old.Version >= g.version && old.Version < p.Version {
 				greatest = max(greatest, old.budgetOf(id).ReservedPerBroker)
 			}
 		}
-		sum += g.brokers * (greatest - perBroker)
+		sum += g.brokers * (greatest - reservedPerBroker)
 	}
 	return sum
 }
@@ -72,7 +72,7 @@
 		return reject(ReasonBusy, "policy %d waits until what is held fits it", waiting.Version)
 	case len(s.policies) >= maxPolicies:
 		next := s.policies[1].Version
-		return reject(ReasonBusy, "brokers have not acknowledged policy %d yet: %v", next, s.brokersBehind(next))
+		return reject(ReasonBusy, "brokers have not acknowledged policy %d yet: %v", next, s.brokersBeforePolicy(next))
 	case e.MaxBrokers == 0 || e.MaxBrokers > slotLimit:
 		return reject(ReasonInvalid, "most brokers %d", e.MaxBrokers)
 	}
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// brokersBehind names the brokers that may still use the reserve of policies older than a version.
-func (s *State) brokersBehind(version uint64) (names []string) {
+// brokersBeforePolicy names the brokers that may still use the reserve of policies older than a version.
+func (s *State) brokersBeforePolicy(version uint64) (names []string) {
 	for _, b := range s.brokers {
 		if b.acknowledgedPolicy < version {
 			names = append(names, b.Name)
@@ -126,9 +126,9 @@
 	policies := s.Policies()
 	if policies.Waiting != nil && s.policyFits(policies.Waiting) {
 		s.previousPolicy = policies.InForce
-		s.currentVersion = policies.Waiting.Version
+		s.policyVersion = policies.Waiting.Version
 	}
-	oldest := s.currentVersion
+	oldest := s.policyVersion
 	for _, b := range s.brokers {
 		oldest = min(oldest, b.acknowledgedPolicy)
 	}
@@ -148,7 +148,7 @@
 			if n := s.findNode(b.Node); n != nil {
 				leased = n.leased
 			}
-			if s.reservedAt(p, groups, b.Node)+leased > p.budgetOf(b.Node).Connections {
+			if s.reservedConnections(p, groups, b.Node)+leased > p.budgetOf(b.Node).Connections {
 				return false
 			}
 		}
--- a/internal/decision/statemachine/golden_run_test.go
+++ b/internal/decision/statemachine/golden_run_test.go
@@ -17,14 +17,14 @@
 
 func (g *goldenRun) upTo(most int) uint64      { return uint64(g.rng.IntN(most + 1)) }
 func (g *goldenRun) oneIn(n int) bool          { return g.rng.IntN(n) == 0 }
-func (g *goldenRun) near(v uint64) uint64      { return g.nearBy(v, 12) }
+func (g *goldenRun) mostly(v uint64) uint64    { return g.mostlyExact(v, 12) }
 func (g *goldenRun) node() NodeID              { return testNode(g.rng.IntN(5)) }
 func (g *goldenRun) version() string           { return fmt.Sprint(1 + g.upTo(1)) }
 func (g *goldenRun) rows() (all []LeaseRow)    { return g.rowsOf(int(g.upTo(4))) }
 func (g *goldenRun) budgets() (l []NodeBudget) { return g.budgetsOf(5) }
 
-// nearBy is a value, seldom one beside it.
-func (g *goldenRun) nearBy(v uint64, seldom int) uint64 {
+// mostlyExact is a value, seldom one beside it.
+func (g *goldenRun) mostlyExact(v uint64, seldom int) uint64 {
 	if g.oneIn(seldom) {
 		return v + g.upTo(2) - 1
 	}
@@ -95,8 +95,8 @@
 	return p
 }
 
-func (g *goldenRun) list() *SetNodeList {
-	e := &SetNodeList{Epoch: g.nearBy(g.state.Epoch()+1, 8), MinReadyReplicas: uint32(g.upTo(1))}
+func (g *goldenRun) nodeList() *SetNodeList {
+	e := &SetNodeList{Epoch: g.mostlyExact(g.state.Epoch()+1, 8), MinReadyReplicas: uint32(g.upTo(1))}
 	for i := range 5 {
 		if g.oneIn(8) {
 			continue
@@ -115,21 +115,21 @@
 	if g.oneIn(60) {
 		slot = Slot(4095 + g.upTo(1))
 	}
-	m, _ := g.state.Broker(slot)
+	broker, _ := g.state.Broker(slot)
 	r, _ := g.state.Release()
 	_, term := g.state.Leader()
 	n, _ := g.state.Node(node)
-	h, _ := g.state.Lease(slot)
-	np, _ := g.state.NodePermit(node)
-	term, release, in, number := g.near(term), g.near(r.Number), g.near(m.Incarnation), g.near(h.Number)
-	onNode, permit := r.ForNodes, m.Permit
+	lease, _ := g.state.Lease(slot)
+	nodePermit, _ := g.state.NodePermit(node)
+	term, release, incarnation, number := g.mostly(term), g.mostly(r.Number), g.mostly(broker.Incarnation), g.mostly(lease.Number)
+	forNode, permit := r.ForNodes, broker.Permit
 	if g.oneIn(10) {
-		onNode = !onNode
+		forNode = !forNode
 	}
-	if onNode {
-		permit = np.Number
+	if forNode {
+		permit = nodePermit.Number
 	}
-	permit = g.near(permit)
+	permit = g.mostly(permit)
 	newest := uint64(0)
 	policies := g.state.Policies()
 	if policies.Waiting != nil {
@@ -139,29 +139,29 @@
 	}
 	switch g.rng.IntN(52) {
 	case 0:
-		return &LeaderElected{slot, g.nearBy(term+1, 6)}
+		return &LeaderElected{slot, g.mostlyExact(term+1, 6)}
 	case 1, 2, 3, 4, 5:
 		name := fmt.Sprint("b", slot)
 		if g.oneIn(30) {
 			name = []string{"", "b0", "b1"}[g.upTo(2)]
 		}
-		return &RegisterBroker{slot, name, g.nearBy(m.Incarnation+1, 8), g.version(), fmt.Sprint("z", slot%2), g.nearBy(1, 30)}
+		return &RegisterBroker{slot, name, g.mostlyExact(broker.Incarnation+1, 8), g.version(), fmt.Sprint("z", slot%2), g.mostlyExact(1, 30)}
 	case 6, 7, 8, 9, 10:
-		return &ReturnToService{slot, in, false, node}
+		return &ReturnToService{slot, incarnation, false, node}
 	case 11, 12, 13:
-		return &ReturnToService{slot, g.near(max(np.Number, n.DownIndex)), true, node}
+		return &ReturnToService{slot, g.mostly(max(nodePermit.Number, n.DownIndex)), true, node}
 	case 14, 15:
-		return &MarkBrokerLost{slot, in, term}
+		return &MarkBrokerLost{slot, incarnation, term}
 	case 16:
 		return &RemoveBroker{slot}
 	case 17, 18:
 		return g.plan()
 	case 19, 20, 21, 22, 23:
-		return &IssuePermit{release, term, slot, in, onNode, node}
+		return &IssuePermit{release, term, slot, incarnation, forNode, node}
 	case 24, 25, 26, 27:
-		return &UsePermit{permit, slot, in, onNode, node}
+		return &UsePermit{permit, slot, incarnation, forNode, node}
 	case 28:
-		return &OpenNextBatch{release, term, uint32(g.near(uint64(r.OpenBatch + 1)))}
+		return &OpenNextBatch{release, term, uint32(g.mostly(uint64(r.OpenBatch + 1)))}
 	case 29:
 		if g.oneIn(2) {
 			return &HaltRelease{release, "halted"}
@@ -172,30 +172,30 @@
 	case 31:
 		return &DrainNode{node, "drained"}
 	case 32, 33, 34:
-		return &AcknowledgeDrain{slot, in, node, g.near(n.DrainNumber)}
+		return &AcknowledgeDrain{slot, incarnation, node, g.mostly(n.DrainNumber)}
 	case 35:
 		if g.oneIn(2) {
 			return &UndrainNode{node}
 		}
 		return &MarkNodeDown{node, "down"}
 	case 36:
-		return &ConnectionPolicy{g.nearBy(newest+1, 8), "text", uint32(g.nearBy(6, 10)), g.budgets()}
+		return &ConnectionPolicy{g.mostlyExact(newest+1, 8), "text", uint32(g.mostlyExact(6, 10)), g.budgets()}
 	case 37:
-		return &AcknowledgePolicy{slot, in, newest - g.upTo(1)}
+		return &AcknowledgePolicy{slot, incarnation, newest - g.upTo(1)}
 	case 38, 39:
-		return &GrantLease{slot, in, g.nearBy(h.Number+1, 8), g.rows()}
+		return &GrantLease{slot, incarnation, g.mostlyExact(lease.Number+1, 8), g.rows()}
 	case 40:
-		return &AcknowledgeLease{slot, in, number}
+		return &AcknowledgeLease{slot, incarnation, number}
 	case 41:
-		return &RelinquishLease{slot, in, number}
+		return &RelinquishLease{slot, incarnation, number}
 	case 42:
 		return &ExpireLease{slot, number, term}
 	}
 	switch {
 	case g.oneIn(6):
-		return &RaiseProtocol{g.nearBy(1, 40)}
+		return &RaiseProtocol{g.mostlyExact(1, 40)}
 	case g.oneIn(3):
-		return g.list()
+		return g.nodeList()
 	}
 	return g.onNode(term, release)
 }
@@ -204,12 +204,12 @@
 func (g *goldenRun) onNode(term, release uint64) Entry {
 	for _, d := range g.state.Drains() {
 		p, ok := g.state.NodePermit(d.Node)
-		awaited := g.state.MissingDrainAcks(d.Node)
+		missing := g.state.MissingDrainAcks(d.Node)
 		switch {
 		case ok && p.Used:
 			return &ReturnToService{Incarnation: p.Number, ForNode: true, Node: d.Node}
-		case len(awaited) > 0 && !g.oneIn(12):
-			b, _ := g.state.Broker(awaited[0])
+		case len(missing) > 0 && !g.oneIn(12):
+			b, _ := g.state.Broker(missing[0])
 			return &AcknowledgeDrain{b.Slot, b.Incarnation, d.Node, d.Number}
 		case ok:
 			return &UsePermit{Permit: p.Number, ForNode: true, Node: d.Node}
--- a/internal/decision/statemachine/golden_test.go
+++ b/internal/decision/statemachine/golden_test.go
@@ -20,19 +20,19 @@
 
 func (g *goldenRun) apply(index uint64, data []byte) {
 	r := g.state.Apply(index, data)
-	why, reason := "", Reason(0)
-	var no *RejectedError
+	outcome, reason := "", Reason(0)
+	var rejected *RejectedError
 	switch {
-	case errors.As(r.Err, &no):
-		why, reason = "refused", no.Reason
+	case errors.As(r.Err, &rejected):
+		outcome, reason = "refused", rejected.Reason
 	case errors.As(r.Err, new(*UnknownEntryError)):
-		why = "unknown"
+		outcome = "unknown"
 	case errors.As(r.Err, new(*MalformedEntryError)):
-		why = "malformed"
+		outcome = "malformed"
 	case errors.As(r.Err, new(*AlreadyAppliedError)):
-		why = "replayed"
+		outcome = "replayed"
 	}
-	fmt.Fprintln(g.out, index, r.Number, r.Duplicate, why, uint8(reason), g.state.AppliedIndex(), g.state.StoppedBy() != nil)
+	fmt.Fprintln(g.out, index, r.Number, r.Duplicate, outcome, uint8(reason), g.state.AppliedIndex(), g.state.StoppedBy() != nil)
 }
 
 // writeQueries writes all that queries tell.
@@ -49,28 +49,28 @@
 	}
 	for i := range Slot(6) {
 		p, ok := g.state.BrokerPermit(i)
-		h, has := g.state.Lease(i)
-		fmt.Fprintln(g.out, p, ok, h, has, g.state.AcknowledgedPolicy(i))
+		lease, has := g.state.Lease(i)
+		fmt.Fprintln(g.out, p, ok, lease, has, g.state.AcknowledgedPolicy(i))
 	}
 	for i := range 5 {
 		p, ok := g.state.NodePermit(testNode(i))
 		fmt.Fprintln(g.out, p, ok, g.state.IsDrained(testNode(i)), g.state.MissingDrainAcks(testNode(i)))
 	}
-	try := &IssuePermit{r.Number, term, 1, 1, r.ForNodes, testNode(1)}
-	var no *RejectedError
-	if errors.As(g.state.CheckPermit(try), &no) {
-		fmt.Fprintln(g.out, uint8(no.Reason))
+	permit := &IssuePermit{r.Number, term, 1, 1, r.ForNodes, testNode(1)}
+	var rejected *RejectedError
+	if errors.As(g.state.CheckPermit(permit), &rejected) {
+		fmt.Fprintln(g.out, uint8(rejected.Reason))
 	}
 }
 
-func (g *goldenRun) play(t *testing.T) {
+func (g *goldenRun) run(t *testing.T) {
 	if !g.oneIn(10) {
 		for i := range Slot(5) {
 			g.apply(g.state.AppliedIndex()+1, g.proposal(&RegisterBroker{i, fmt.Sprint("b", i), 1, "1", fmt.Sprint("z", i%2), 1}))
 			g.apply(g.state.AppliedIndex()+1, g.proposal(&ReturnToService{Slot: i, Incarnation: 1}))
 		}
 		g.apply(g.state.AppliedIndex()+1, g.proposal(&LeaderElected{0, 1}))
-		g.apply(g.state.AppliedIndex()+1, g.proposal(g.list()))
+		g.apply(g.state.AppliedIndex()+1, g.proposal(g.nodeList()))
 		g.apply(g.state.AppliedIndex()+1, g.proposal(&ConnectionPolicy{1, "one", 6, []NodeBudget{
 			{testNode(0), 30, 2},
 			{testNode(1), 30, 3},
@@ -112,7 +112,7 @@
 		h := fnv.New64a()
 		for i := range goldenSequences {
 			g := &goldenRun{rng: rand.New(rand.NewPCG(goldenSeed, uint64(block*goldenSequences+i))), state: New(), out: h}
-			g.play(t)
+			g.run(t)
 		}
 		fmt.Fprintf(&all, "%016x\n", h.Sum64())
 	}
--- a/internal/decision/statemachine/injected_faults_test.go
+++ b/internal/decision/statemachine/injected_faults_test.go
@@ -92,9 +92,9 @@
 
 // leaseModelFaults are faults put into the machine or into those who hold and grant.
 var leaseModelFaults = map[string]*leaseFault{
-	"lease counted from the answer": {fromAnswer: true},
-	"expired by silence":            {impatient: true},
-	"acknowledged before it was so": {early: true},
+	"lease counted from the answer": {leaseFromAnswer: true},
+	"expired by silence":            {expiresEarly: true},
+	"acknowledged before it was so": {acknowledgesEarly: true},
 	"budget not kept": {apply: func(s *State, e Entry, apply func() Result) Result {
 		if _, ok := e.(*GrantLease); ok && s.findNode(testNode(1)) != nil {
 			units := s.findNode(testNode(1)).leased
--- a/internal/decision/statemachine/lease_explore_test.go
+++ b/internal/decision/statemachine/lease_explore_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-func exploreLeases(depth, most int, p *leaseFault) (states int, why string) {
-	if p.apply == nil {
-		p.apply = noFault
+func exploreLeases(depth, maxStates int, fault *leaseFault) (states int, violation string) {
+	if fault.apply == nil {
+		fault.apply = noFault
 	}
 	l := &leaseModel{state: New(), leaders: []leaseLeader{{term: 1}}}
 	for i := range l.holders {
@@ -22,7 +22,7 @@
 	l.send(&GrantLease{0, 1, 1, []LeaseRow{{testNode(1), "x", 2}}})
 	l.send(&AcknowledgeLease{0, 1, 1})
 	for len(l.inFlight) > 0 {
-		l.deliver(0, p)
+		l.deliver(0, fault)
 	}
 	// The one asked a moment ago and was answered; the answer is on its way. The other may use what it is granted for long.
 	l.now, l.leaders[0].renewed = 1, [2]int{0, 9}
@@ -33,20 +33,20 @@
 	seed := maphash.MakeSeed()
 	seen := map[uint64]bool{l.key(seed): true}
 	level := []*leaseModel{l}
-	for d := 0; d < depth && len(seen) < most; d++ {
+	for d := 0; d < depth && len(seen) < maxStates; d++ {
 		var next []*leaseModel
 		for _, x := range level {
-			x.successors(p, func(c *leaseModel) {
-				if c.violation != "" && why == "" {
-					why = fmt.Sprintf("after %d: %s", d+1, c.violation)
+			x.successors(fault, func(c *leaseModel) {
+				if c.violation != "" && violation == "" {
+					violation = fmt.Sprintf("after %d: %s", d+1, c.violation)
 				}
-				if k := c.key(seed); !seen[k] && why == "" {
+				if k := c.key(seed); !seen[k] && violation == "" {
 					seen[k] = true
 					next = append(next, c)
 				}
 			})
-			if why != "" {
-				return len(seen), why
+			if violation != "" {
+				return len(seen), violation
 			}
 		}
 		level = next
@@ -60,16 +60,16 @@
 	if n, err := strconv.Atoi(os.Getenv("STATEMACHINE_DEPTH")); err == nil {
 		depth = n
 	}
-	states, why := exploreLeases(depth, 1<<30, &leaseFault{})
-	if why != "" {
-		t.Error(why)
+	states, violation := exploreLeases(depth, 1<<30, &leaseFault{})
+	if violation != "" {
+		t.Error(violation)
 	}
 	t.Logf("%d states to depth %d", states, depth)
-	for name, p := range leaseModelFaults {
-		states, why := exploreLeases(12, 200000, p)
-		if why == "" {
+	for name, fault := range leaseModelFaults {
+		states, violation := exploreLeases(12, 200000, fault)
+		if violation == "" {
 			t.Errorf("%s was not found in %d states", name, states)
 		}
-		t.Logf("%s: found in %d states, %s", name, states, why)
+		t.Logf("%s: found in %d states, %s", name, states, violation)
 	}
 }
--- a/internal/decision/statemachine/lease_model_test.go
+++ b/internal/decision/statemachine/lease_model_test.go
@@ -46,8 +46,8 @@
 
 // leaseFault are the faults that can be put in.
 type leaseFault struct {
-	fromAnswer, impatient, early bool
-	apply                        injectedFault
+	leaseFromAnswer, expiresEarly, acknowledgesEarly bool
+	apply                                            injectedFault
 }
 
 func (l *leaseModel) clone() *leaseModel {
@@ -76,10 +76,10 @@
 	l.inFlight = append(l.inFlight, modelMessage{entry: e, sequence: l.sequence})
 }
 
-func (l *leaseModel) deliver(k int, p *leaseFault) {
+func (l *leaseModel) deliver(k int, fault *leaseFault) {
 	x := l.inFlight[k]
 	l.inFlight = slices.Delete(l.inFlight, k, k+1)
-	p.apply(l.state, x.entry, func() Result {
+	fault.apply(l.state, x.entry, func() Result {
 		return l.state.Apply(l.state.AppliedIndex()+1, Encode(ProposalID{9, 1, x.sequence}, x.entry))
 	})
 }
@@ -95,18 +95,18 @@
 	return sum
 }
 
-func (l *leaseModel) successors(p *leaseFault, each func(*leaseModel)) {
-	do := func(what func(*leaseModel)) {
+func (l *leaseModel) successors(fault *leaseFault, visit func(*leaseModel)) {
+	branch := func(change func(*leaseModel)) {
 		c := l.clone()
-		what(c)
+		change(c)
 		if sum := c.inUse(); sum > leaseBudget && c.violation == "" {
 			c.violation = fmt.Sprintf("%d units in use of %d", sum, leaseBudget)
 		}
-		each(c)
+		visit(c)
 	}
-	do(func(c *leaseModel) { c.now++ })
+	branch(func(c *leaseModel) { c.now++ })
 	for k := range l.inFlight {
-		do(func(c *leaseModel) { c.deliver(k, p) })
+		branch(func(c *leaseModel) { c.deliver(k, fault) })
 	}
 	_, term := l.state.Leader()
 	for n, x := range l.leaders {
@@ -114,23 +114,23 @@
 		for i, h := range l.holders {
 			held, _ := l.state.Lease(Slot(i))
 			if leads && h.requestedAt >= 0 && x.expiring[i] != held.Number { // answers
-				do(func(c *leaseModel) {
+				branch(func(c *leaseModel) {
 					c.holders[i].answers = append(c.holders[i].answers, leaseAnswer{h.requestedAt, c.now})
 					c.holders[i].requestedAt = -1
 					c.leaders[n].renewed[i] = c.now
 				})
 			}
 			if leads && len(l.inFlight) < 2 && !held.Ended && held.Number > 0 && x.expiring[i] != held.Number &&
-				(p.impatient || l.now >= x.renewed[i]+leaseDuration) {
-				do(func(c *leaseModel) {
+				(fault.expiresEarly || l.now >= x.renewed[i]+leaseDuration) {
+				branch(func(c *leaseModel) {
 					c.leaders[n].expiring[i] = held.Number
 					c.send(&ExpireLease{Slot(i), held.Number, x.term})
 				})
 			}
-			for _, units := range []uint64{1, 2} {
+			for _, connections := range []uint64{1, 2} {
 				if leads && n == len(l.leaders)-1 && len(l.inFlight) < 2 && held.Number < 3 {
-					do(func(c *leaseModel) {
-						c.send(&GrantLease{Slot(i), 1, held.Number + 1, []LeaseRow{{testNode(1), "x", units}}})
+					branch(func(c *leaseModel) {
+						c.send(&GrantLease{Slot(i), 1, held.Number + 1, []LeaseRow{{testNode(1), "x", connections}}})
 					})
 				}
 			}
@@ -138,18 +138,18 @@
 	}
 	for i, h := range l.holders {
 		if h.stopped {
-			do(func(c *leaseModel) { c.holders[i].stopped = false })
+			branch(func(c *leaseModel) { c.holders[i].stopped = false })
 			continue
 		}
 		if h.requestedAt < 0 && len(h.answers) == 0 {
-			do(func(c *leaseModel) { c.holders[i].requestedAt = c.now })
+			branch(func(c *leaseModel) { c.holders[i].requestedAt = c.now })
 		}
 		if len(h.answers) > 0 {
-			do(func(c *leaseModel) {
+			branch(func(c *leaseModel) {
 				a := c.holders[i].answers[0]
 				c.holders[i].answers = c.holders[i].answers[1:]
 				from := a.requestedAt
-				if p.fromAnswer {
+				if fault.leaseFromAnswer {
 					from = c.now
 				}
 				c.holders[i].expiry = max(c.holders[i].expiry, from+leaseDuration)
@@ -157,10 +157,10 @@
 		}
 		held, _ := l.state.Lease(Slot(i))
 		if held.Number != h.number || held.Ended && h.connections > 0 { // its replica has come so far
-			if p.early && !held.Ended {
-				do(func(c *leaseModel) { c.send(&AcknowledgeLease{Slot(i), 1, held.Number}) }) // before it keeps to it
+			if fault.acknowledgesEarly && !held.Ended {
+				branch(func(c *leaseModel) { c.send(&AcknowledgeLease{Slot(i), 1, held.Number}) }) // before it keeps to it
 			}
-			do(func(c *leaseModel) {
+			branch(func(c *leaseModel) {
 				h := &c.holders[i]
 				h.number, h.connections = held.Number, 0
 				for _, r := range held.Granted {
@@ -172,11 +172,11 @@
 			})
 		}
 		if l.faults < leaseMaxFaults {
-			do(func(c *leaseModel) { c.faults++; c.holders[i].stopped = true })
+			branch(func(c *leaseModel) { c.faults++; c.holders[i].stopped = true })
 		}
 	}
 	if l.faults < leaseMaxFaults && len(l.leaders) < 2 {
-		do(func(c *leaseModel) { // it counts from now on, for what another has answered it can't know
+		branch(func(c *leaseModel) { // it counts from now on, for what another has answered it can't know
 			c.faults++
 			c.leaders = append(c.leaders, leaseLeader{term: 2, renewed: [2]int{c.now + 1, c.now + 1}})
 			c.send(&LeaderElected{0, 2})
--- a/internal/decision/statemachine/lease_rows.go
+++ b/internal/decision/statemachine/lease_rows.go
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// mergeLeaseRows is row by row the greater of two lists.
-func mergeLeaseRows(a, b []LeaseRow) (all []LeaseRow) {
+// maxOfLeaseRows is row by row the greater of two lists.
+func maxOfLeaseRows(a, b []LeaseRow) (all []LeaseRow) {
 	if len(a) == 0 || len(b) == 0 {
 		return slices.Concat(a, b)
 	}
--- a/internal/decision/statemachine/limits_test.go
+++ b/internal/decision/statemachine/limits_test.go
@@ -16,13 +16,13 @@
 		{maxEntryBytes, ReasonNotFound}, // it is applied: there is no release 1
 		{maxEntryBytes + 1, ReasonInvalid},
 	} {
-		b := newTestTier(t, 1)
+		tier := newTestTier(t, 1)
 		data := Encode(ProposalID{0, 1, 100}, &HaltRelease{1, strings.Repeat("x", c.size-overhead)})
 		if len(data) != c.size {
 			t.Fatalf("%d bytes, want %d", len(data), c.size)
 		}
 		var rejected *RejectedError
-		if r := b.state.Apply(b.state.AppliedIndex()+1, data); !errors.As(r.Err, &rejected) || rejected.Reason != c.want {
+		if r := tier.state.Apply(tier.state.AppliedIndex()+1, data); !errors.As(r.Err, &rejected) || rejected.Reason != c.want {
 			t.Errorf("%d bytes: %v, want %s", c.size, r.Err, reasonTexts[c.want].meaning)
 		}
 	}
--- a/internal/decision/statemachine/node_permit.go
+++ b/internal/decision/statemachine/node_permit.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// issueToNode gives a node its permit, which is its drain.
-func (s *State) issueToNode(n *nodeRecord, permit ReleasePermit, reason string) {
+// issueNodePermit gives a node its permit, which is its drain.
+func (s *State) issueNodePermit(n *nodeRecord, permit ReleasePermit, reason string) {
 	n.releasePermit = permit
 	n.drain = NodeDrain{Node: permit.Node, Number: permit.Number, Reason: reason, Release: permit.Release}
 }
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// returnNode ends what a number began: a permit that was used, or a MarkNodeDown.
-func (s *State) returnNode(id NodeID, number uint64) error {
+// returnNodeToService ends what a number began: a permit that was used, or a MarkNodeDown.
+func (s *State) returnNodeToService(id NodeID, number uint64) error {
 	n := s.findNode(id)
 	switch {
 	case n == nil || number == 0:
--- a/internal/decision/statemachine/queries.go
+++ b/internal/decision/statemachine/queries.go
@@ -96,9 +96,9 @@
 func (s *State) Policies() Policies {
 	all := Policies{Previous: s.previousPolicy}
 	for _, p := range s.policies {
-		if p.Version == s.currentVersion {
+		if p.Version == s.policyVersion {
 			all.InForce = p
-		} else if p.Version > s.currentVersion {
+		} else if p.Version > s.policyVersion {
 			all.Waiting = p
 		}
 	}
@@ -143,7 +143,7 @@
 		Leased:      n.leased,
 	}
 	if p := s.Policies().InForce; p != nil {
-		v.Reserved = s.reservedAt(p, s.acknowledgementGroups(), n.Node)
+		v.Reserved = s.reservedConnections(p, s.acknowledgementGroups(), n.Node)
 		v.Budget = p.budgetOf(n.Node).Connections
 	}
 	return v
--- a/internal/decision/statemachine/release.go
+++ b/internal/decision/statemachine/release.go
@@ -14,7 +14,7 @@
 	if len(e.Batches) == 0 {
 		r.Batches = []uint32{size}
 	}
-	if !batchesGrowTo(size, r.Batches) {
+	if !batchesIncreaseTo(size, r.Batches) {
 		return 0, reject(ReasonInvalid, "batches must grow to %d: %v", size, e.Batches)
 	}
 	if err := s.addBrokerSteps(r); err != nil {
@@ -33,8 +33,8 @@
 	return r.State == ReleaseRunning || slices.ContainsFunc(r.Steps, func(x ReleaseStep) bool { return x.State == StepOut })
 }
 
-// batchesGrowTo tells whether batches are above zero, grow, and end at a size.
-func batchesGrowTo(size uint32, batches []uint32) bool {
+// batchesIncreaseTo tells whether batches are above zero, grow, and end at a size.
+func batchesIncreaseTo(size uint32, batches []uint32) bool {
 	last := uint32(0)
 	for _, b := range batches {
 		if b <= last || b > size {
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// numberedRelease is the release of a number, in whatever state.
-func (s *State) numberedRelease(number uint64) (*Release, error) {
+// releaseByNumber is the release of a number, in whatever state.
+func (s *State) releaseByNumber(number uint64) (*Release, error) {
 	if s.release == nil || s.release.Number != number {
 		return nil, reject(ReasonNotFound, "release %d", number)
 	}
@@ -81,7 +81,7 @@
 
 // runningRelease is the release of a number, if permits of it are valid.
 func (s *State) runningRelease(number uint64) (*Release, error) {
-	r, err := s.numberedRelease(number)
+	r, err := s.releaseByNumber(number)
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 }
 
 func (e *HaltRelease) apply(s *State) (uint64, error) {
-	r, err := s.numberedRelease(e.Release)
+	r, err := s.releaseByNumber(e.Release)
 	if err != nil {
 		return 0, err
 	}
@@ -130,7 +130,7 @@
 }
 
 func (e *ResumeRelease) apply(s *State) (uint64, error) {
-	r, err := s.numberedRelease(e.Release)
+	r, err := s.releaseByNumber(e.Release)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/decision/statemachine/release_explore_test.go
+++ b/internal/decision/statemachine/release_explore_test.go
@@ -9,8 +9,8 @@
 )
 
 // exploreReleases goes through all states up to a depth, and returns the first that breaks a rule.
-func exploreReleases(depth, most int, p injectedFault) (states int, why string) {
-	m := &model{state: New(), term: 1}
+func exploreReleases(depth, maxStates int, fault injectedFault) (states int, violation string) {
+	m := &releaseModel{state: New(), term: 1}
 	for i := range m.processes {
 		m.processes[i] = modelProcess{incarnation: 1, up: true}
 		m.send(&RegisterBroker{Slot(i), fmt.Sprint(i), 1, "1", "z", 1}, i)
@@ -19,27 +19,27 @@
 	m.send(&LeaderElected{0, 1}, 0)
 	m.send(&ReleasePlan{From: "1", To: "2", Slots: slotRange(3), MaxOut: modelMaxOut}, 0)
 	for len(m.inFlight) > 0 {
-		m.deliver(0, false, p)
+		m.deliver(0, false, fault)
 	}
 	m.out, m.violation = [3]bool{}, ""
 	m.send(&ReturnToService{Slot: 0, Incarnation: 1}, 0) // said again as it came, and still on its way
 	seed := maphash.MakeSeed()
 	seen := map[uint64]bool{m.key(seed): true}
-	level := []*model{m}
-	for d := 0; d < depth && len(seen) < most; d++ {
-		var next []*model
+	level := []*releaseModel{m}
+	for d := 0; d < depth && len(seen) < maxStates; d++ {
+		var next []*releaseModel
 		for _, x := range level {
-			x.successors(p, func(c *model) {
-				if c.violation != "" && why == "" {
-					why = fmt.Sprintf("after %d: %s", d+1, c.violation)
+			x.successors(fault, func(c *releaseModel) {
+				if c.violation != "" && violation == "" {
+					violation = fmt.Sprintf("after %d: %s", d+1, c.violation)
 				}
-				if k := c.key(seed); !seen[k] && why == "" {
+				if k := c.key(seed); !seen[k] && violation == "" {
 					seen[k] = true
 					next = append(next, c)
 				}
 			})
-			if why != "" {
-				return len(seen), why
+			if violation != "" {
+				return len(seen), violation
 			}
 		}
 		level = next
@@ -56,16 +56,16 @@
 	if n, err := strconv.Atoi(os.Getenv("STATEMACHINE_DEPTH")); err == nil {
 		depth = n
 	}
-	states, why := exploreReleases(depth, 1<<30, noFault)
-	if why != "" {
-		t.Error(why)
+	states, violation := exploreReleases(depth, 1<<30, noFault)
+	if violation != "" {
+		t.Error(violation)
 	}
 	t.Logf("%d states to depth %d", states, depth)
-	for name, p := range releaseFaults {
-		states, why := exploreReleases(9, 400000, p)
-		if why == "" {
+	for name, fault := range releaseFaults {
+		states, violation := exploreReleases(9, 400000, fault)
+		if violation == "" {
 			t.Errorf("%s was not found in %d states", name, states)
 		}
-		t.Logf("%s: found in %d states, %s", name, states, why)
+		t.Logf("%s: found in %d states, %s", name, states, violation)
 	}
 }
--- a/internal/decision/statemachine/release_model_test.go
+++ b/internal/decision/statemachine/release_model_test.go
@@ -23,7 +23,7 @@
 	proposedUse bool // has proposed Use
 }
 
-type model struct {
+type releaseModel struct {
 	state     *State
 	processes [3]modelProcess
 	inFlight  []modelMessage
@@ -41,14 +41,14 @@
 
 const modelMaxOut, modelMaxFaults = 1, 3
 
-func (m *model) clone() *model {
+func (m *releaseModel) clone() *releaseModel {
 	c := *m
 	c.state = m.state.clone()
 	c.inFlight, c.voided, c.accepted = slices.Clone(m.inFlight), slices.Clone(m.voided), slices.Clone(m.accepted)
 	return &c
 }
 
-func (m *model) key(seed maphash.Seed) uint64 {
+func (m *releaseModel) key(seed maphash.Seed) uint64 {
 	var h maphash.Hash
 	h.SetSeed(seed)
 	h.Write(m.state.Snapshot())
@@ -59,12 +59,12 @@
 	return h.Sum64()
 }
 
-func (m *model) send(e Entry, from int) {
+func (m *releaseModel) send(e Entry, from int) {
 	m.sequence++
 	m.inFlight = append(m.inFlight, modelMessage{e, m.sequence, from})
 }
 
-func (m *model) violated(format string, args ...any) {
+func (m *releaseModel) violated(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
 	}
@@ -74,12 +74,12 @@
 type injectedFault func(s *State, e Entry, apply func() Result) Result
 
 // deliver applies one proposal and holds the result against what the model knows.
-func (m *model) deliver(k int, keep bool, p injectedFault) {
+func (m *releaseModel) deliver(k int, duplicate bool, injected injectedFault) {
 	x := m.inFlight[k]
-	if !keep {
+	if !duplicate {
 		m.inFlight = slices.Delete(m.inFlight, k, k+1)
 	}
-	r := p(m.state, x.entry, func() Result {
+	r := injected(m.state, x.entry, func() Result {
 		return m.state.Apply(m.state.AppliedIndex()+1, Encode(ProposalID{9, 1, x.sequence}, x.entry))
 	})
 	if r.Err == nil && !r.Duplicate {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (m *model) recordAccepted(e Entry, number uint64) {
+func (m *releaseModel) recordAccepted(e Entry, number uint64) {
 	switch e := e.(type) {
 	case *IssuePermit:
 		n := 0
@@ -141,7 +141,7 @@
 }
 
 // leave has a process go that saw its Use applied, if it runs.
-func (m *model) leave(i int) {
+func (m *releaseModel) leave(i int) {
 	p := &m.processes[i]
 	if !p.up || p.stopped || !p.mayLeave {
 		return
@@ -153,25 +153,25 @@
 }
 
 // successors are all states that one thing happening leads to.
-func (m *model) successors(p injectedFault, each func(*model)) {
-	do := func(what func(*model)) {
+func (m *releaseModel) successors(injected injectedFault, visit func(*releaseModel)) {
+	branch := func(change func(*releaseModel)) {
 		c := m.clone()
-		what(c)
-		each(c)
+		change(c)
+		visit(c)
 	}
-	fault := func(what func(*model)) {
+	branchFault := func(change func(*releaseModel)) {
 		if m.faults < modelMaxFaults {
-			do(func(c *model) { c.faults++; what(c) })
+			branch(func(c *releaseModel) { c.faults++; change(c) })
 		}
 	}
 	for k := range m.inFlight {
-		do(func(c *model) { c.deliver(k, false, p) })
-		fault(func(c *model) { c.deliver(k, true, p) })
+		branch(func(c *releaseModel) { c.deliver(k, false, injected) })
+		branchFault(func(c *releaseModel) { c.deliver(k, true, injected) })
 	}
 	r, _ := m.state.Release()
 	send := func(e Entry, from int) {
 		if len(m.inFlight) < 3 {
-			do(func(c *model) { c.send(e, from) })
+			branch(func(c *releaseModel) { c.send(e, from) })
 		}
 	}
 	for i := range m.processes {
@@ -180,14 +180,14 @@
 		if b.Status == BrokerServing {
 			send(&IssuePermit{Release: r.Number, Term: m.term, Slot: slot, Incarnation: b.Incarnation}, i)
 		}
-		pass, ok := m.state.BrokerPermit(slot)
+		permit, ok := m.state.BrokerPermit(slot)
 		switch {
 		case !x.up:
 			if b.Status != BrokerLost {
 				send(&MarkBrokerLost{slot, b.Incarnation, m.term}, i)
 			}
 			if x.incarnation == b.Incarnation { // starts
-				do(func(c *model) {
+				branch(func(c *releaseModel) {
 					c.processes[i] = modelProcess{incarnation: x.incarnation + 1, up: true}
 					c.send(&RegisterBroker{slot, b.Name, x.incarnation + 1, "2", "z", 1}, i)
 				})
@@ -196,24 +196,24 @@
 			if b.Status != BrokerLost {
 				send(&MarkBrokerLost{slot, b.Incarnation, m.term}, i)
 			}
-			do(func(c *model) { c.processes[i].stopped = false; c.leave(i) })
+			branch(func(c *releaseModel) { c.processes[i].stopped = false; c.leave(i) })
 		default:
 			if b.Status == BrokerReturning && b.Incarnation == x.incarnation {
 				send(&ReturnToService{Slot: slot, Incarnation: x.incarnation}, i)
 			}
-			if ok && pass.Incarnation == x.incarnation && !x.proposedUse { // the second is the same proposal under another number
-				do(func(c *model) {
+			if ok && permit.Incarnation == x.incarnation && !x.proposedUse { // the second is the same proposal under another number
+				branch(func(c *releaseModel) {
 					c.processes[i].proposedUse = true
-					c.send(&UsePermit{Permit: pass.Number, Slot: slot, Incarnation: x.incarnation}, i)
-					c.send(&UsePermit{Permit: pass.Number, Slot: slot, Incarnation: x.incarnation}, i)
+					c.send(&UsePermit{Permit: permit.Number, Slot: slot, Incarnation: x.incarnation}, i)
+					c.send(&UsePermit{Permit: permit.Number, Slot: slot, Incarnation: x.incarnation}, i)
 				})
 			}
-			fault(func(c *model) { c.processes[i].up = false })
-			fault(func(c *model) { c.processes[i].stopped = true })
+			branchFault(func(c *releaseModel) { c.processes[i].up = false })
+			branchFault(func(c *releaseModel) { c.processes[i].stopped = true })
 		}
 	}
 	if r.State == ReleaseRunning {
 		send(&HaltRelease{r.Number, ""}, 0)
 	}
-	fault(func(c *model) { c.send(&LeaderElected{1, c.term + 1}, 0) })
+	branchFault(func(c *releaseModel) { c.send(&LeaderElected{1, c.term + 1}, 0) })
 }
--- a/internal/decision/statemachine/release_permit.go
+++ b/internal/decision/statemachine/release_permit.go
@@ -42,7 +42,7 @@
 }
 
 func (e *IssuePermit) apply(s *State) (uint64, error) {
-	step, err := s.permittedStep(e)
+	step, err := s.stepForPermit(e)
 	if err != nil {
 		return 0, err
 	}
@@ -56,7 +56,7 @@
 		Node:        e.Node,
 	}
 	if e.ForNode {
-		s.issueToNode(s.findNode(e.Node), permit, r.Name)
+		s.issueNodePermit(s.findNode(e.Node), permit, r.Name)
 	} else {
 		b := s.findBroker(e.Slot)
 		b.releasePermit = permit
@@ -69,12 +69,12 @@
 
 // CheckPermit tells why a permit would not be issued now; nil: it would. It changes nothing.
 func (s *State) CheckPermit(e *IssuePermit) error {
-	_, err := s.permittedStep(e)
+	_, err := s.stepForPermit(e)
 	return err
 }
 
-// permittedStep is the step that a permit is for, if it may be issued.
-func (s *State) permittedStep(e *IssuePermit) (*ReleaseStep, error) {
+// stepForPermit is the step that a permit is for, if it may be issued.
+func (s *State) stepForPermit(e *IssuePermit) (*ReleaseStep, error) {
 	if err := s.checkTerm(e.Term); err != nil {
 		return nil, err
 	}
--- a/internal/decision/statemachine/release_step.go
+++ b/internal/decision/statemachine/release_step.go
@@ -58,12 +58,12 @@
 	if step == nil {
 		return
 	}
-	hasTarget := r.To != "" && r.To != r.From && b.Version == r.To
+	hasTargetVersion := r.To != "" && r.To != r.From && b.Version == r.To
 	switch {
-	case step.State == StepOut && step.OutAtRollback && !hasTarget:
+	case step.State == StepOut && step.OutAtRollback && !hasTargetVersion:
 		step.State = StepPending // it came back with the version that is taken back: it goes out once more
 		step.OutAtRollback = false
-	case step.State == StepOut, step.State == StepPending && hasTarget:
+	case step.State == StepOut, step.State == StepPending && hasTargetVersion:
 		step.State = StepFinished
 		step.Affected = true
 		step.Version = b.Version
--- a/internal/decision/statemachine/replicas_test.go
+++ b/internal/decision/statemachine/replicas_test.go
@@ -12,39 +12,39 @@
 func drawEntry(t *rapid.T, s *State) Entry {
 	small := func(label string, most int) uint64 { return uint64(rapid.IntRange(0, most).Draw(t, label)) }
 	slot, node := Slot(small("slot", 4)), testNode(int(small("node", 3)))
-	m, _ := s.Broker(slot)
+	broker, _ := s.Broker(slot)
 	r, _ := s.Release()
 	_, term := s.Leader()
 	n, _ := s.Node(node)
-	h, _ := s.Lease(slot)
-	in := m.Incarnation + 1 - small("old", 1)
-	onNode := small("on node", 2) == 0
-	np, _ := s.NodePermit(node)
-	permit := m.Permit
-	if onNode {
-		permit = np.Number
+	lease, _ := s.Lease(slot)
+	incarnation := broker.Incarnation + 1 - small("old", 1)
+	forNode := small("on node", 2) == 0
+	nodePermit, _ := s.NodePermit(node)
+	permit := broker.Permit
+	if forNode {
+		permit = nodePermit.Number
 	}
 	rows := []LeaseRow{{testNode(0), "x", 1 + small("units", 9)}, {node, "y", 1 + small("more", 9)}}
 	all := []Entry{
 		&LeaderElected{slot, term + small("term", 1)},
-		&RegisterBroker{slot, fmt.Sprint("b", slot), m.Incarnation + 1, fmt.Sprint(small("version", 2)), fmt.Sprint(slot % 2), 1},
-		&ReturnToService{slot, m.Incarnation, false, node}, &ReturnToService{slot, m.Incarnation, false, node},
-		&ReturnToService{slot, max(np.Number, n.DownIndex), true, node},
-		&MarkBrokerLost{slot, in, term}, &RemoveBroker{slot},
+		&RegisterBroker{slot, fmt.Sprint("b", slot), broker.Incarnation + 1, fmt.Sprint(small("version", 2)), fmt.Sprint(slot % 2), 1},
+		&ReturnToService{slot, broker.Incarnation, false, node}, &ReturnToService{slot, broker.Incarnation, false, node},
+		&ReturnToService{slot, max(nodePermit.Number, n.DownIndex), true, node},
+		&MarkBrokerLost{slot, incarnation, term}, &RemoveBroker{slot},
 		&ReleasePlan{From: "0", To: "1", Slots: slotRange(int(small("targets", 4))),
 			Batches: []uint32{1, 4}[small("batches", 2)%2*2:], MaxOut: 1 + uint32(small("most", 2))},
 		&ReleasePlan{Nodes: []NodeID{testNode(0), testNode(1), testNode(2)}, MaxOut: 2},
-		&IssuePermit{r.Number, term, slot, m.Incarnation, onNode, node}, &IssuePermit{r.Number, term, slot, m.Incarnation, onNode, node},
-		&UsePermit{permit, slot, m.Incarnation, onNode, node}, &UsePermit{permit, slot, m.Incarnation, onNode, node},
+		&IssuePermit{r.Number, term, slot, broker.Incarnation, forNode, node}, &IssuePermit{r.Number, term, slot, broker.Incarnation, forNode, node},
+		&UsePermit{permit, slot, broker.Incarnation, forNode, node}, &UsePermit{permit, slot, broker.Incarnation, forNode, node},
 		&OpenNextBatch{r.Number, term, r.OpenBatch + 1}, &HaltRelease{r.Number, "x"}, &ResumeRelease{r.Number}, &RollBackRelease{r.Number, "y"},
-		&DrainNode{node, "z"}, &AcknowledgeDrain{slot, m.Incarnation, node, n.DrainNumber}, &UndrainNode{node}, &MarkNodeDown{node, "w"},
+		&DrainNode{node, "z"}, &AcknowledgeDrain{slot, broker.Incarnation, node, n.DrainNumber}, &UndrainNode{node}, &MarkNodeDown{node, "w"},
 		&ConnectionPolicy{small("policy", 20), "text", 5, []NodeBudget{
 			{testNode(0), 10 + small("budget", 30), small("floor", 2)},
 			{testNode(1), 20, 1},
 		}},
-		&AcknowledgePolicy{slot, m.Incarnation, small("acked", 20)},
-		&GrantLease{slot, m.Incarnation, h.Number + 1, rows[small("rows", 1):]}, &AcknowledgeLease{slot, m.Incarnation, h.Number},
-		&RelinquishLease{slot, m.Incarnation, h.Number}, &ExpireLease{slot, h.Number, term},
+		&AcknowledgePolicy{slot, broker.Incarnation, small("acked", 20)},
+		&GrantLease{slot, broker.Incarnation, lease.Number + 1, rows[small("rows", 1):]}, &AcknowledgeLease{slot, broker.Incarnation, lease.Number},
+		&RelinquishLease{slot, broker.Incarnation, lease.Number}, &ExpireLease{slot, lease.Number, term},
 		&SetNodeList{s.Epoch() + 1, uint32(small("least", 1)), []NodeInfo{
 			{testNode(0), "a", []uint32{1}}, {testNode(1), "b", []uint32{1, 2}}, {testNode(2), "b", []uint32{2}}}},
 		&RaiseProtocol{small("gate", 1)},
@@ -73,8 +73,8 @@
 			if x.Err == nil {
 				applied++
 			}
-			if why := auditBudgets(a); why != "" {
-				t.Fatal(why)
+			if problem := auditBudgets(a); problem != "" {
+				t.Fatal(problem)
 			}
 		}
 	})
@@ -84,22 +84,22 @@
 func auditBudgets(s *State) string {
 	p := s.Policies().InForce
 	for _, n := range s.nodes {
-		units := uint64(0)
+		leased := uint64(0)
 		for _, b := range s.Brokers() {
-			h, _ := s.Lease(b.Slot)
-			most := map[string]uint64{}
-			for _, r := range append(append([]LeaseRow{}, h.Granted...), h.Outstanding...) {
+			lease, _ := s.Lease(b.Slot)
+			maxByTenant := map[string]uint64{}
+			for _, r := range append(append([]LeaseRow{}, lease.Granted...), lease.Outstanding...) {
 				if r.Node == n.Node {
-					most[r.Tenant] = max(most[r.Tenant], r.Connections)
+					maxByTenant[r.Tenant] = max(maxByTenant[r.Tenant], r.Connections)
 				}
 			}
-			for _, u := range most {
-				units += u
+			for _, connections := range maxByTenant {
+				leased += connections
 			}
 		}
 		v, _ := s.Node(n.Node)
-		if v.Leased != units {
-			return fmt.Sprintf("node %v: %d units, counted %d", n.Node, v.Leased, units)
+		if v.Leased != leased {
+			return fmt.Sprintf("node %v: %d units, counted %d", n.Node, v.Leased, leased)
 		}
 		if p != nil && v.Leased+v.Reserved > v.Budget {
 			return fmt.Sprintf("node %v: %d and %d reserved, over %d", n.Node, v.Leased, v.Reserved, v.Budget)
@@ -110,16 +110,16 @@
 
 // The audit finds a sum that is wrong, and units over the budget.
 func TestBudgetAudit(t *testing.T) {
-	b := newTestTier(t, 1)
-	b.mustApply(&ConnectionPolicy{1, "", 2, []NodeBudget{{testNode(1), 10, 1}}})
-	b.mustApply(&GrantLease{0, 1, 1, []LeaseRow{{testNode(1), "x", 8}}})
-	if why := auditBudgets(b.state); why != "" {
-		t.Error(why)
+	tier := newTestTier(t, 1)
+	tier.mustApply(&ConnectionPolicy{1, "", 2, []NodeBudget{{testNode(1), 10, 1}}})
+	tier.mustApply(&GrantLease{0, 1, 1, []LeaseRow{{testNode(1), "x", 8}}})
+	if problem := auditBudgets(tier.state); problem != "" {
+		t.Error(problem)
 	}
-	b.state.findNode(testNode(1)).leased = 7
-	sum := auditBudgets(b.state)
-	b.state.findNode(testNode(1)).leased, b.state.policies[0].Budgets[0].ReservedPerBroker = 8, 2
-	if over := auditBudgets(b.state); sum == "" || over == "" {
+	tier.state.findNode(testNode(1)).leased = 7
+	sum := auditBudgets(tier.state)
+	tier.state.findNode(testNode(1)).leased, tier.state.policies[0].Budgets[0].ReservedPerBroker = 8, 2
+	if over := auditBudgets(tier.state); sum == "" || over == "" {
 		t.Errorf("not found: %q, %q", sum, over)
 	}
 }
--- a/internal/decision/statemachine/rollback.go
+++ b/internal/decision/statemachine/rollback.go
@@ -3,7 +3,7 @@
 // A rollback is a release over all that another one affected, in one batch, under its limits. What is out at that moment stays out
 // by the permit it used; when it comes back with the version that is taken back it goes out once more.
 func (e *RollBackRelease) apply(s *State) (uint64, error) {
-	old, err := s.numberedRelease(e.Release)
+	old, err := s.releaseByNumber(e.Release)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/decision/statemachine/roster.go
+++ b/internal/decision/statemachine/roster.go
@@ -48,7 +48,7 @@
 	i, found := s.brokerPosition(e.Slot)
 	if !found {
 		// It learns from the state that has this entry which connections are reserved for it, so it can know no older policy.
-		added := &brokerRecord{Broker: Broker{Slot: e.Slot, Name: e.Name}, acknowledgedPolicy: s.currentVersion}
+		added := &brokerRecord{Broker: Broker{Slot: e.Slot, Name: e.Name}, acknowledgedPolicy: s.policyVersion}
 		s.brokers = slices.Insert(s.brokers, i, added)
 	}
 	b := s.brokers[i]
@@ -127,7 +127,7 @@
 
 func (e *ReturnToService) apply(s *State) (uint64, error) {
 	if e.ForNode {
-		return 0, s.returnNode(e.Node, e.Incarnation)
+		return 0, s.returnNodeToService(e.Node, e.Incarnation)
 	}
 	b, err := s.brokerWithIncarnation(e.Slot, e.Incarnation)
 	if err != nil {
--- a/internal/decision/statemachine/session.go
+++ b/internal/decision/statemachine/session.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// rememberedResults is how many results of a slot's proposals are kept: no more of them may be on their way at once.
-const rememberedResults = 32
+// maxSessionResults is how many results of a slot's proposals are kept: no more of them may be on their way at once.
+const maxSessionResults = 32
 
 // session is the results of a slot's proposals, so that each takes effect once.
 type session struct {
@@ -30,22 +30,22 @@
 // applyOnce applies a proposal that was not applied before. When a link breaks between a proposal and its answer it is sent again;
 // without this a permit would be issued or a grant numbered twice.
 func (s *State) applyOnce(id ProposalID, e Entry) Result {
-	x := s.sessionOf(id)
+	x := s.sessionForProposal(id)
 	if id.Incarnation < x.Incarnation || id.Sequence <= x.ForgottenThrough {
 		err := reject(ReasonForgotten, "proposal %d of slot %d, incarnation %d", id.Sequence, id.Slot, id.Incarnation)
 		return Result{Duplicate: true, Err: err}
 	}
 	position, found := slices.BinarySearchFunc(x.Results, id.Sequence, compareSequence)
 	if found {
-		return x.Results[position].repeated()
+		return x.Results[position].asDuplicate()
 	}
 	number, err := e.apply(s)
-	x.remember(position, id.Sequence, number, err)
+	x.addResult(position, id.Sequence, number, err)
 	return Result{Number: number, Err: err}
 }
 
-// sessionOf is the session of a proposal's slot; a newer incarnation begins an empty one.
-func (s *State) sessionOf(id ProposalID) *session {
+// sessionForProposal is the session of a proposal's slot; a newer incarnation begins an empty one.
+func (s *State) sessionForProposal(id ProposalID) *session {
 	position, found := slices.BinarySearchFunc(s.sessions, id.Slot, func(x *session, slot Slot) int { return cmp.Compare(x.Slot, slot) })
 	if !found {
 		s.sessions = slices.Insert(s.sessions, position, &session{Slot: id.Slot, Incarnation: id.Incarnation})
@@ -57,7 +57,7 @@
 	return x
 }
 
-func (r *proposalResult) repeated() Result {
+func (r *proposalResult) asDuplicate() Result {
 	again := Result{Number: r.Number, Duplicate: true}
 	if r.Reason > 0 {
 		again.Err = &RejectedError{Reason: r.Reason, Detail: r.Detail}
@@ -65,7 +65,7 @@
 	return again
 }
 
-func (x *session) remember(position int, sequence, number uint64, err error) {
+func (x *session) addResult(position int, sequence, number uint64, err error) {
 	r := proposalResult{Sequence: sequence, Number: number}
 	var rejected *RejectedError
 	if errors.As(err, &rejected) {
@@ -73,7 +73,7 @@
 		r.Detail = rejected.Detail
 	}
 	x.Results = slices.Insert(x.Results, position, r)
-	if len(x.Results) > rememberedResults {
+	if len(x.Results) > maxSessionResults {
 		x.ForgottenThrough = x.Results[0].Sequence
 		x.Results = slices.Delete(x.Results, 0, 1)
 	}
--- a/internal/decision/statemachine/snapshot.go
+++ b/internal/decision/statemachine/snapshot.go
@@ -44,7 +44,7 @@
 // recountLeased sums what all brokers may hold of each node, which a snapshot does not store.
 func (s *State) recountLeased() {
 	for _, b := range s.brokers {
-		s.adjustLeased(nil, b.lease.upperBound())
+		s.adjustLeased(nil, b.lease.possiblyHeld())
 	}
 }
 
@@ -60,7 +60,7 @@
 	uintField(c, &s.tierProtocol)
 	uintField(c, &s.epoch)
 	uintField(c, &s.minReadyReplicas)
-	uintField(c, &s.currentVersion)
+	uintField(c, &s.policyVersion)
 	listField(c, &s.brokers, pointerField(func(c *codec, b *brokerRecord) { b.fields(c) }))
 	listField(c, &s.nodes, pointerField(func(c *codec, n *nodeRecord) { n.fields(c) }))
 	listField(c, &s.sessions, pointerField(func(c *codec, x *session) { x.fields(c) }))
--- a/internal/decision/statemachine/statemachine.go
+++ b/internal/decision/statemachine/statemachine.go
@@ -53,7 +53,7 @@
 	sessions         []*session      // by slot
 	release          *Release
 	policies         []*ConnectionPolicy // those whose reserves brokers may still use, oldest first
-	currentVersion   uint64              // version of the policy in force; a newer one waits
+	policyVersion    uint64              // version of the policy in force; a newer one waits
 	previousPolicy   *ConnectionPolicy   // the one in force before it
 }
 
--- a/internal/decision/statemachine/status_json_test.go
+++ b/internal/decision/statemachine/status_json_test.go
@@ -40,8 +40,8 @@
 	if err != nil || !bytes.Equal(got, want) {
 		t.Errorf("%v\n%s\nwant\n%s", err, got, want)
 	}
-	var back reportedTypes
-	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, reportedValues()) {
-		t.Errorf("%v: read back as %+v", err, back)
+	var decoded reportedTypes
+	if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, reportedValues()) {
+		t.Errorf("%v: read back as %+v", err, decoded)
 	}
 }
--- a/internal/decision/statemachine/stored_test.go
+++ b/internal/decision/statemachine/stored_test.go
@@ -42,33 +42,33 @@
 
 // storedMachine is a machine in which every part of the state has something.
 func storedMachine(t *testing.T) *State {
-	b := newTestTier(t, 4)
-	b.mustApply(&SetNodeList{1, 1, []NodeInfo{
+	tier := newTestTier(t, 4)
+	tier.mustApply(&SetNodeList{1, 1, []NodeInfo{
 		{testNode(1), "a", []uint32{1}},
 		{testNode(2), "b", []uint32{1, 2}},
 		{testNode(3), "a", []uint32{2}},
 	}})
-	b.mustApply(&ConnectionPolicy{1, "one", 8, []NodeBudget{{testNode(1), 40, 2}, {testNode(2), 40, 1}}})
-	b.mustApply(&GrantLease{0, 1, 1, []LeaseRow{{testNode(1), "x", 8}, {testNode(2), "y", 3}}})
-	b.mustApply(&AcknowledgeLease{0, 1, 1})
-	b.mustApply(&GrantLease{0, 1, 2, []LeaseRow{{testNode(1), "x", 3}}})
-	b.mustApply(&GrantLease{1, 1, 1, []LeaseRow{{testNode(2), "z", 4}}})
-	b.mustApply(&RelinquishLease{1, 1, 1})
-	b.mustApply(&ConnectionPolicy{2, "two", 8, []NodeBudget{{testNode(1), 30, 1}, {testNode(2), 30, 1}}})
-	b.mustApply(&AcknowledgePolicy{0, 1, 2})
-	b.mustApply(&ConnectionPolicy{3, "three", 8, []NodeBudget{{testNode(1), 9, 1}, {testNode(2), 9, 1}}})
-	b.mustApply(&MarkNodeDown{testNode(3), "killed"})
-	b.mustApply(&ReturnToService{ForNode: true, Node: testNode(3), Incarnation: b.state.AppliedIndex()})
-	b.mustApply(&DrainNode{testNode(2), "by hand"})
-	b.mustApply(&AcknowledgeDrain{2, 1, testNode(2), b.state.AppliedIndex()})
-	r := b.mustApply(&ReleasePlan{Name: "two", From: "1", To: "2", Slots: slotRange(4), Batches: []uint32{2, 4},
+	tier.mustApply(&ConnectionPolicy{1, "one", 8, []NodeBudget{{testNode(1), 40, 2}, {testNode(2), 40, 1}}})
+	tier.mustApply(&GrantLease{0, 1, 1, []LeaseRow{{testNode(1), "x", 8}, {testNode(2), "y", 3}}})
+	tier.mustApply(&AcknowledgeLease{0, 1, 1})
+	tier.mustApply(&GrantLease{0, 1, 2, []LeaseRow{{testNode(1), "x", 3}}})
+	tier.mustApply(&GrantLease{1, 1, 1, []LeaseRow{{testNode(2), "z", 4}}})
+	tier.mustApply(&RelinquishLease{1, 1, 1})
+	tier.mustApply(&ConnectionPolicy{2, "two", 8, []NodeBudget{{testNode(1), 30, 1}, {testNode(2), 30, 1}}})
+	tier.mustApply(&AcknowledgePolicy{0, 1, 2})
+	tier.mustApply(&ConnectionPolicy{3, "three", 8, []NodeBudget{{testNode(1), 9, 1}, {testNode(2), 9, 1}}})
+	tier.mustApply(&MarkNodeDown{testNode(3), "killed"})
+	tier.mustApply(&ReturnToService{ForNode: true, Node: testNode(3), Incarnation: tier.state.AppliedIndex()})
+	tier.mustApply(&DrainNode{testNode(2), "by hand"})
+	tier.mustApply(&AcknowledgeDrain{2, 1, testNode(2), tier.state.AppliedIndex()})
+	r := tier.mustApply(&ReleasePlan{Name: "two", From: "1", To: "2", Slots: slotRange(4), Batches: []uint32{2, 4},
 		MaxOut: 2, MaxOutPerZone: 1, MinReadyReplicas: 1, PauseMS: 5, Gates: "g"})
-	p := b.mustApply(&IssuePermit{Release: r, Term: 1, Slot: 0, Incarnation: 1})
-	b.mustApply(&UsePermit{Permit: p, Slot: 0, Incarnation: 1})
-	b.mustApply(&RollBackRelease{r, "bad"})
-	b.mustApply(&MarkBrokerLost{3, 1, 1})
-	b.mustReject(ReasonWrongState, &ResumeRelease{b.state.AppliedIndex() - 1})
-	return b.state
+	p := tier.mustApply(&IssuePermit{Release: r, Term: 1, Slot: 0, Incarnation: 1})
+	tier.mustApply(&UsePermit{Permit: p, Slot: 0, Incarnation: 1})
+	tier.mustApply(&RollBackRelease{r, "bad"})
+	tier.mustApply(&MarkBrokerLost{3, 1, 1})
+	tier.mustReject(ReasonWrongState, &ResumeRelease{tier.state.AppliedIndex() - 1})
+	return tier.state
 }
 
 const (
