--- a/internal/decision/cachedlist/ejection.go
+++ b/internal/decision/cachedlist/ejection.go
@@ -22,14 +22,14 @@
 	for _, ep := range v.suspectsByOdds() {
 		switch {
 		case ep.status == Ejected:
-			if !ep.inTrial && ep.nextTrial <= now {
+			if !ep.inTrial && ep.nextTrialAt <= now {
 				v.startTrial(ep)
 			}
 		case v.mayEject(ep, now, hazard):
 			v.eject(ep, now)
 		}
 		if ep.status == Ejected && !ep.inTrial {
-			v.nextTick = min(v.nextTick, ep.nextTrial)
+			v.nextTick = min(v.nextTick, ep.nextTrialAt)
 		}
 	}
 	return v.collectUpdates(), v.nextTick
@@ -62,7 +62,7 @@
 	ep.status = Ejected
 	ep.countedWrong = true
 	ep.trialInterval = v.policy.TrialInterval
-	ep.nextTrial = now + ep.trialInterval
+	ep.nextTrialAt = now + ep.trialInterval
 	v.usableInCell[ep.cell]--
 	v.wrongEntries++
 	v.counts.Ejections++
@@ -81,8 +81,8 @@
 func (v *Evaluator) endTrial(ep *endpoint, now time.Duration) {
 	ep.inTrial = false
 	ep.trialInterval = min(2*ep.trialInterval, maxTrialIntervalFactor*v.policy.TrialInterval)
-	ep.nextTrial = now + ep.trialInterval
-	v.nextTick = min(v.nextTick, ep.nextTrial)
+	ep.nextTrialAt = now + ep.trialInterval
+	v.nextTick = min(v.nextTick, ep.nextTrialAt)
 	v.update(ep)
 }
 
@@ -103,7 +103,7 @@
 		suspects = append(suspects, ep)
 	}
 	slices.SortFunc(suspects, func(x, y *endpoint) int {
-		return cmp.Or(cmp.Compare(y.odds, x.odds), cmp.Compare(y.ageWhenStarted, x.ageWhenStarted), cmp.Compare(x.name, y.name))
+		return cmp.Or(cmp.Compare(y.odds, x.odds), cmp.Compare(y.initialAge, x.initialAge), cmp.Compare(x.name, y.name))
 	})
 	return suspects
 }
--- a/internal/decision/cachedlist/evaluator.go
+++ b/internal/decision/cachedlist/evaluator.go
@@ -50,14 +50,14 @@
 	status         Status
 	slowStart      bool          // it is not known when it started
 	odds           float64       // the product of what it showed since it last answered
-	lastEvidence   time.Duration // when it last showed something that counted
+	lastEvidenceAt time.Duration // when it last showed something that counted
 	lastFailed     bool          // that was a failure
 	tested         bool          // it showed anything since the start
 	countedWrong   bool          // it was ejected and has not answered since
 	inTrial        bool          // ejected: one attempt may go to it
-	nextTrial      time.Duration // ejected: when it comes
+	nextTrialAt    time.Duration // ejected: when it comes
 	trialInterval  time.Duration
-	ageWhenStarted time.Duration // of its entry when the evaluator first saw it
+	initialAge     time.Duration // of its entry when the evaluator first saw it
 }
 
 func (ep *endpoint) inUse() bool { return ep.status <= Unconfirmed }
@@ -113,8 +113,8 @@
 			continue
 		}
 		ep := &endpoint{id: id(e.Name), name: e.Name, cell: e.Cell, status: Unconfirmed, slowStart: true, odds: 1,
-			ageWhenStarted: v.age(e, 0)}
-		if e.State == Draining || ep.ageWhenStarted > v.policy.MaxAge {
+			initialAge: v.age(e, 0)}
+		if e.State == Draining || ep.initialAge > v.policy.MaxAge {
 			ep.status = Excluded
 			ep.slowStart = false
 		}
--- a/internal/decision/cachedlist/evaluator_test.go
+++ b/internal/decision/cachedlist/evaluator_test.go
@@ -32,21 +32,21 @@
 		StateSince: startedAt - Timestamp(age.Milliseconds())}
 }
 
-// evaluatorOf is a evaluator of some entries of one age, after its beginning.
-func evaluatorOf(n int, age time.Duration) (*Evaluator, *EntryTable) {
+// newTestEvaluator is a evaluator of some entries of one age, after its beginning.
+func newTestEvaluator(n int, age time.Duration) (*Evaluator, *EntryTable) {
 	var all []Entry
 	for i := range n {
 		all = append(all, entry(i, age))
 	}
-	b := NewEntryTable(Head{}, all)
-	evaluator := NewEvaluator(policy, b, startedAt)
+	table := NewEntryTable(Head{}, all)
+	evaluator := NewEvaluator(policy, table, startedAt)
 	evaluator.Start(id)
-	return evaluator, b
+	return evaluator, table
 }
 
 // failuresToEject counts outcome many failures of a kind, a second apart, it takes until an entry is ejected.
 func failuresToEject(age time.Duration, outcome decision.Outcome) int {
-	evaluator, _ := evaluatorOf(8, age)
+	evaluator, _ := newTestEvaluator(8, age)
 	for n := 1; n < 100; n++ {
 		now := time.Duration(n) * time.Second
 		evaluator.RecordOutcome(id("n01"), decision.OK, time.Millisecond, now) // the others do well
@@ -62,7 +62,7 @@
 	return 100
 }
 
-func TestEvidenceWeighsMoreTheOlderTheEntry(t *testing.T) {
+func TestOlderEntriesNeedLessEvidence(t *testing.T) {
 	failures := []decision.Outcome{decision.ConnectFailed, decision.TimedOut, decision.Rejected, decision.ConnectionReset, decision.Errored}
 	for _, outcome := range failures {
 		last := 100
@@ -84,7 +84,7 @@
 
 // A node that answers is reinstated at once, also one that was ejected; then it is in slow start, as it may just have started.
 func TestAnswerReinstates(t *testing.T) {
-	evaluator, b := evaluatorOf(8, 25*day)
+	evaluator, table := newTestEvaluator(8, 25*day)
 	fail := func(now time.Duration) []EndpointUpdate {
 		evaluator.RecordOutcome(id("n01"), decision.OK, 0, now)
 		evaluator.RecordOutcome(id("n00"), decision.ConnectFailed, 0, now)
@@ -110,7 +110,7 @@
 	if updates, _ = evaluator.Tick(next + time.Second); len(updates) != 1 || !updates[0].Usable || !updates[0].SlowStart {
 		t.Fatalf("answered: %+v", updates)
 	}
-	if e, _ := b.Get("n00"); e.ConfirmedBy != SourceEndpoint || e.ConfirmedAt <= startedAt {
+	if e, _ := table.Get("n00"); e.ConfirmedBy != SourceEndpoint || e.ConfirmedAt <= startedAt {
 		t.Errorf("kept as %+v", e)
 	}
 	if c := evaluator.Snapshot(next + time.Second); c.Ejected != 0 || c.Reinstated != 1 || c.Trials != 2 || c.Confirmed != 2 {
@@ -120,7 +120,7 @@
 
 // Where all fail alike it is the broker's own network: nothing is ejected, and no evidence stays.
 func TestLocalNetworkFaultEjectsNothing(t *testing.T) {
-	evaluator, _ := evaluatorOf(8, 7*day)
+	evaluator, _ := newTestEvaluator(8, 7*day)
 	for s := range 20 {
 		now := time.Duration(s) * time.Second
 		for i := range 8 {
@@ -142,9 +142,9 @@
 }
 
 // A list that proves worse than its age makes its other entries less credible, and one that proves well more so.
-func TestListRecordMovesErrorProbability(t *testing.T) {
+func TestTestedEntriesMoveErrorProbability(t *testing.T) {
 	errorProbability := func(outcome decision.Outcome) float64 {
-		evaluator, _ := evaluatorOf(40, day)
+		evaluator, _ := newTestEvaluator(40, day)
 		for i := range 20 {
 			now := time.Duration(i) * time.Second
 			evaluator.RecordOutcome(id("n38"), decision.OK, 0, now)
@@ -157,7 +157,7 @@
 		d, _ := evaluator.ErrorProbability(id("n39"), 20*time.Second)
 		return d
 	}
-	evaluator, _ := evaluatorOf(1, day)
+	evaluator, _ := newTestEvaluator(1, day)
 	plain, _ := evaluator.ErrorProbability(id("n00"), 0)
 	if good, bad := errorProbability(decision.OK), errorProbability(decision.ConnectFailed); good >= plain || bad <= 2*plain {
 		t.Errorf("error probability %.3f by age, %.3f after a good showing, %.3f after a bad one", plain, good, bad)
@@ -169,8 +169,8 @@
 func TestExcludedStayExcluded(t *testing.T) {
 	drained, ended, old, future := entry(0, 0), entry(1, 0), entry(2, 31*day), entry(3, -time.Hour)
 	drained.State, ended.State = Draining, Ended
-	b := NewEntryTable(Head{}, []Entry{drained, ended, old, future, entry(4, 0)})
-	evaluator := NewEvaluator(policy, b, startedAt)
+	table := NewEntryTable(Head{}, []Entry{drained, ended, old, future, entry(4, 0)})
+	evaluator := NewEvaluator(policy, table, startedAt)
 	use := map[string]bool{}
 	for _, f := range evaluator.Start(id) {
 		use[f.Entry.Name] = f.Usable
@@ -193,7 +193,7 @@
 	if !slices.ContainsFunc(updates, func(f EndpointUpdate) bool { return f.Entry.Name == "n00" && f.Usable && !f.SlowStart }) {
 		t.Errorf("listed anew: %+v", updates)
 	}
-	if e, _ := b.Get("n04"); e.State != Ended || e.StateSince != startedAt+2000 {
+	if e, _ := table.Get("n04"); e.State != Ended || e.StateSince != startedAt+2000 {
 		t.Errorf("not named by a full list: %+v", e)
 	}
 }
--- a/internal/decision/cachedlist/evidence.go
+++ b/internal/decision/cachedlist/evidence.go
@@ -8,17 +8,17 @@
 
 // How much likelier an endpoint with a wrong entry shows this than one with a right entry.
 const (
-	oddsUnreachable = 30.0 // no connection: an endpoint in service accepts one, as a rule
-	oddsSilent      = 8.0  // an attempt unanswered for long: it hangs, or pauses
-	oddsBroken      = 4.0  // a connection that broke, an answer that could not be read
-	oddsErrored     = 2.0
-	oddsRejected    = 3.0 // it drains, or is full
-	maxOdds         = 1e12
+	ratioUnreachable     = 30.0 // no connection: an endpoint in service accepts one, as a rule
+	ratioUnanswered      = 8.0  // an attempt unanswered for long: it hangs, or pauses
+	ratioConnectionReset = 4.0  // a connection that broke, an answer that could not be read
+	ratioErrored         = 2.0
+	ratioRejected        = 3.0 // it drains, or is full
+	maxOdds              = 1e12
 )
 
 const (
 	evidenceSpacing = 100 * time.Millisecond // failures closer together count once: they have one cause
-	silentAfter     = 400 * time.Millisecond // a cancelled attempt this old counts as unanswered
+	unansweredAfter = 400 * time.Millisecond // a cancelled attempt this old counts as unanswered
 
 	maxTrialIntervalFactor = 20 // times the first trial interval
 )
@@ -36,20 +36,20 @@
 	case decision.OK, decision.Stale:
 		return 0
 	case decision.ConnectFailed:
-		return oddsUnreachable
+		return ratioUnreachable
 	case decision.TimedOut:
-		return oddsSilent
+		return ratioUnanswered
 	case decision.Cancelled:
-		if took >= silentAfter {
-			return oddsSilent
+		if took >= unansweredAfter {
+			return ratioUnanswered
 		}
 		return 1
 	case decision.ConnectionReset:
-		return oddsBroken
+		return ratioConnectionReset
 	case decision.Errored:
-		return oddsErrored
+		return ratioErrored
 	case decision.Rejected:
-		return oddsRejected
+		return ratioRejected
 	default:
 		return 1
 	}
@@ -68,7 +68,7 @@
 	}
 	if !ep.tested {
 		ep.tested = true
-		v.exposure += float64(ep.ageWhenStarted)
+		v.exposure += float64(ep.initialAge)
 	}
 	v.recentlyTried[ep] = true
 	v.newEvidence = true
@@ -80,11 +80,11 @@
 }
 
 func (v *Evaluator) recordFailure(ep *endpoint, ratio float64, now time.Duration) {
-	if now-ep.lastEvidence < evidenceSpacing && ep.lastFailed {
+	if now-ep.lastEvidenceAt < evidenceSpacing && ep.lastFailed {
 		return
 	}
 	ep.lastFailed = true
-	ep.lastEvidence = now
+	ep.lastEvidenceAt = now
 	if !v.localNetworkFault { // else it tells of the network
 		ep.odds = min(ep.odds*ratio, maxOdds)
 	}
@@ -97,7 +97,7 @@
 func (v *Evaluator) recordAnswer(ep *endpoint, now time.Duration) {
 	ep.odds = 1
 	ep.lastFailed = false
-	ep.lastEvidence = now
+	ep.lastEvidenceAt = now
 	v.table.RecordAnswer(ep.name, v.timestamp(now))
 	delete(v.suspects, ep)
 	if ep.countedWrong {
@@ -116,7 +116,7 @@
 func (v *Evaluator) failAlike(now time.Duration) bool {
 	failed := 0
 	for ep := range v.recentlyTried {
-		if now-ep.lastEvidence > alikeWindow {
+		if now-ep.lastEvidenceAt > alikeWindow {
 			delete(v.recentlyTried, ep)
 		} else if ep.lastFailed {
 			failed++
--- a/internal/decision/cachedlist/golden_test.go
+++ b/internal/decision/cachedlist/golden_test.go
@@ -34,7 +34,7 @@
 
 func (s *sequence) name() string { return fmt.Sprintf("n%02d", s.rnd.IntN(s.nodes)) }
 
-func (s *sequence) entry(name string) Entry {
+func (s *sequence) randomEntry(name string) Entry {
 	ages := []time.Duration{0, time.Minute, time.Hour, day, 7 * day, 29 * day, 30*day - time.Minute, 31 * day, -time.Hour,
 		-time.Second}
 	at := s.start + Timestamp(s.now.Milliseconds()) - Timestamp(ages[s.rnd.IntN(len(ages))].Milliseconds())
@@ -53,17 +53,17 @@
 	return e
 }
 
-func (s *sequence) entries() (some []Entry) {
+func (s *sequence) randomEntries() (some []Entry) {
 	for n := range s.nodes {
 		if s.rnd.IntN(3) > 0 {
-			some = append(some, s.entry(fmt.Sprintf("n%02d", n)))
+			some = append(some, s.randomEntry(fmt.Sprintf("n%02d", n)))
 		}
 	}
 	return some
 }
 
-func (s *sequence) list() List {
-	return List{[]string{"", "d", "e"}[s.rnd.IntN(3)], uint64(s.rnd.IntN(20)), s.rnd.IntN(3) > 0, s.entries()}
+func (s *sequence) randomList() List {
+	return List{[]string{"", "d", "e"}[s.rnd.IntN(3)], uint64(s.rnd.IntN(20)), s.rnd.IntN(3) > 0, s.randomEntries()}
 }
 
 func (s *sequence) printEntry(e Entry) {
@@ -71,7 +71,7 @@
 		uint8(e.ConfirmedBy), int64(e.StateSince), e.Generation)
 }
 
-func (s *sequence) printFacts(updates []EndpointUpdate) {
+func (s *sequence) printUpdates(updates []EndpointUpdate) {
 	s.print("facts", len(updates))
 	for _, f := range updates {
 		s.print(f.ID.Addr, f.ID.Port, f.Usable, f.SlowStart)
@@ -105,13 +105,13 @@
 	s.now = 0
 	s.table = NewEntryTable(head, entries)
 	if s.rnd.IntN(2) == 0 {
-		s.table.MergeConfigured(s.list(), s.start)
+		s.table.MergeConfigured(s.randomList(), s.start)
 	}
 	s.evaluator = NewEvaluator(s.policy, s.table, s.start)
-	s.printFacts(s.evaluator.Start(id))
+	s.printUpdates(s.evaluator.Start(id))
 }
 
-func (s *sequence) changes() {
+func (s *sequence) printChanges() {
 	c, any := s.table.CollectChanges()
 	s.print("changes", any, len(c.Put), len(c.Removed))
 	s.printHead(c.Head)
@@ -123,7 +123,7 @@
 	s.print(c.Removed)
 }
 
-func (s *sequence) show(name string) {
+func (s *sequence) recordRandomOutcome(name string) {
 	outcome := decision.Outcome(s.rnd.IntN(9))
 	if s.rnd.IntN(3) > 0 {
 		outcome = []decision.Outcome{decision.OK, decision.ConnectFailed, decision.TimedOut}[s.rnd.IntN(3)]
@@ -138,16 +138,16 @@
 	case 0:
 		if len(s.evaluator.updates) > 2 { // more than 12 updates, some of them on the same node, come out in no fixed order
 			updates, _ := s.evaluator.Tick(s.now)
-			s.printFacts(updates)
+			s.printUpdates(updates)
 		}
-		ended, of := s.evaluator.ApplyList(s.list(), id, s.now)
+		ended, of := s.evaluator.ApplyList(s.randomList(), id, s.now)
 		s.print("listed", ended, of)
 	case 1, 2, 3, 4:
 		s.evaluator.DiscoveryFailed()
 	case 5:
 		s.restart(s.table.SortedByName(), s.table.Head)
 	case 6:
-		s.print("imported", s.evaluator.Import(s.entries(), id, s.now))
+		s.print("imported", s.evaluator.Import(s.randomEntries(), id, s.now))
 	case 7:
 		s.print("forgot", s.evaluator.Forget([]string{s.name(), s.name()}, id))
 	case 8:
@@ -156,7 +156,7 @@
 	case 9:
 		s.print("dropped", s.table.Evict(s.rnd.IntN(s.nodes+2), time.Duration(s.rnd.IntN(3))*time.Hour, s.start+Timestamp(s.now.Milliseconds())))
 	case 10, 11:
-		s.changes()
+		s.printChanges()
 	case 12: // all alike, as when this broker's own network is down
 		for n := range s.nodes {
 			s.evaluator.RecordOutcome(id(fmt.Sprintf("n%02d", n)), decision.ConnectFailed, 0, s.now)
@@ -175,18 +175,18 @@
 		s.printEntry(e)
 	default:
 		for range s.rnd.IntN(6) {
-			s.show(s.name())
+			s.recordRandomOutcome(s.name())
 		}
 	}
 	if s.rnd.IntN(3) > 0 {
 		updates, next := s.evaluator.Tick(s.now)
-		s.printFacts(updates)
+		s.printUpdates(updates)
 		s.print(int64(next))
 	}
 	s.printState()
 }
 
-func playList(seed uint64) uint64 {
+func runSequence(seed uint64) uint64 {
 	s := &sequence{rnd: rand.New(rand.NewPCG(seed, 9)), digest: fnv.New64a(), start: startedAt}
 	s.nodes = 1 + s.rnd.IntN(10)
 	s.policy = Policy{HalfLife: []time.Duration{day, 7 * day}[s.rnd.IntN(2)], MaxAge: 30 * day,
@@ -195,7 +195,7 @@
 	if s.rnd.IntN(2) == 0 {
 		head.ConfirmedAt = 0
 	}
-	s.restart(s.entries(), head)
+	s.restart(s.randomEntries(), head)
 	for range 150 {
 		s.step()
 	}
@@ -203,11 +203,11 @@
 }
 
 // compareWithGolden compares the digests of a number of sequences with the file that holds those of commit 1a4b6be.
-func compareWithGolden(t *testing.T, file string, sequences uint64, play func(seed uint64) uint64) {
+func compareWithGolden(t *testing.T, file string, sequences uint64, run func(seed uint64) uint64) {
 	t.Helper()
 	var lines []string
 	for seed := range sequences {
-		lines = append(lines, fmt.Sprintf("%d %016x", seed, play(seed)))
+		lines = append(lines, fmt.Sprintf("%d %016x", seed, run(seed)))
 	}
 	text := strings.Join(lines, "\n") + "\n"
 	if *record {
@@ -230,5 +230,5 @@
 }
 
 func TestSequencesAreAsRecorded(t *testing.T) {
-	compareWithGolden(t, "testdata/sequences.golden", 1500, playList)
+	compareWithGolden(t, "testdata/sequences.golden", 1500, runSequence)
 }
--- a/internal/decision/cachedlist/merge.go
+++ b/internal/decision/cachedlist/merge.go
@@ -18,7 +18,7 @@
 		case named[name]:
 		case list.Full:
 			ended++
-			t.end(e, Entry{ConfirmedAt: now, ConfirmedBy: SourceDiscovery, StateSince: now, Generation: list.Generation})
+			t.markEnded(e, Entry{ConfirmedAt: now, ConfirmedBy: SourceDiscovery, StateSince: now, Generation: list.Generation})
 		default: // not marked as changed: on disk the head says so for all of them
 			e.ConfirmedAt = now
 			e.ConfirmedBy = SourceDiscovery
@@ -45,8 +45,8 @@
 	t.put(e)
 }
 
-// end marks an entry as ended; by says when, by whom and by which list.
-func (t *EntryTable) end(e *Entry, by Entry) {
+// markEnded marks an entry as ended; by says when, by whom and by which list.
+func (t *EntryTable) markEnded(e *Entry, by Entry) {
 	ended := *e
 	ended.State = Ended
 	ended.ConfirmedAt = by.ConfirmedAt
@@ -111,7 +111,7 @@
 	for name, e := range t.entries {
 		if !named[name] && e.State != Ended {
 			by := Entry{ConfirmedAt: e.ConfirmedAt, ConfirmedBy: SourceConfiguration, StateSince: now, Generation: generation}
-			t.end(e, by)
+			t.markEnded(e, by)
 		}
 	}
 }
--- a/internal/decision/cachedlist/sequences_test.go
+++ b/internal/decision/cachedlist/sequences_test.go
@@ -31,16 +31,16 @@
 			[]State{Draining, Draining, Ended}, 0},
 		{"but a later start does", "e", 50, []State{Ready, Ready, Ready}, []State{Ready, Ready, Ready}, 90},
 	} {
-		b := NewEntryTable(Head{Service: "d", Generation: 40}, []Entry{saved(0, Ready, 0, 10), saved(1, Draining, 0, 38), saved(2, Ended, 0, 39)})
+		table := NewEntryTable(Head{Service: "d", Generation: 40}, []Entry{saved(0, Ready, 0, 10), saved(1, Draining, 0, 38), saved(2, Ended, 0, 39)})
 		l := List{Service: c.service, Generation: c.generation, Full: true}
 		for i, s := range c.given {
 			if s != 3 {
 				l.Entries = append(l.Entries, saved(i, s, c.started, 0))
 			}
 		}
-		b.MergeConfigured(l, startedAt)
+		table.MergeConfigured(l, startedAt)
 		for i, want := range c.wanted {
-			if e, _ := b.Get(fmt.Sprintf("n%02d", i)); e.State != want {
+			if e, _ := table.Get(fmt.Sprintf("n%02d", i)); e.State != want {
 				t.Errorf("%s: node %d is %v, not %v", c.what, i, e.State, want)
 			}
 		}
--- a/internal/decision/cachedlist/sources.go
+++ b/internal/decision/cachedlist/sources.go
@@ -88,9 +88,9 @@
 	}
 	ep.cell = e.Cell
 	ep.slowStart = true
-	ep.ageWhenStarted = v.age(e, now)
+	ep.initialAge = v.age(e, now)
 	ep.status = Excluded
-	if e.State == Ready && ep.ageWhenStarted <= v.policy.MaxAge {
+	if e.State == Ready && ep.initialAge <= v.policy.MaxAge {
 		ep.status = Unconfirmed
 		v.usableInCell[ep.cell]++
 	}
--- a/internal/decision/connlease/audit_test.go
+++ b/internal/decision/connlease/audit_test.go
@@ -16,91 +16,91 @@
 	runSpan     = flag.Duration("span", 90*time.Second, "virtual time of a run")
 )
 
-func playTier(seed uint64, change func(*simulatedTier)) *simulatedTier {
-	w := &simulatedTier{
+func simulateTier(seed uint64, change func(*simulatedTier)) *simulatedTier {
+	sim := &simulatedTier{
 		random:  rand.New(rand.NewPCG(seed, 9)),
 		machine: statemachine.New(),
 		demands: map[statemachine.Slot][]ConnectionCount{},
 		countAt: map[statemachine.NodeID]int{},
 	}
-	w.linger, w.stallEvery = 6*time.Second, 40
-	w.plans = []*BudgetPlan{newPlan(*nodeCount, *brokerCount*2), newPlan(*nodeCount, *brokerCount)}
+	sim.nodeIdleTimeout, sim.stallEvery = 6*time.Second, 40
+	sim.plans = []*BudgetPlan{newPlan(*nodeCount, *brokerCount*2), newPlan(*nodeCount, *brokerCount)}
 	if change != nil {
-		change(w)
+		change(sim)
 	}
-	w.elect()
+	sim.elect()
 	epoch := &statemachine.SetNodeList{Epoch: 1}
-	for _, id := range w.plans[0].Nodes {
+	for _, id := range sim.plans[0].Nodes {
 		epoch.Nodes = append(epoch.Nodes, statemachine.NodeInfo{Node: id, Zone: "z"})
 	}
-	w.apply(epoch)
+	sim.apply(epoch)
 	version := uint64(1)
-	w.proposePolicy(version, *brokerCount)
+	sim.proposePolicy(version, *brokerCount)
 	for i := range *brokerCount {
-		a := &simulatedBroker{tier: w, slot: statemachine.Slot(i), rate: 0.992 + w.random.Float64()*0.016, wanted: map[LeaseKey]int{}}
-		w.brokers = append(w.brokers, a)
-		w.start(a)
+		broker := &simulatedBroker{tier: sim, slot: statemachine.Slot(i), rate: 0.992 + sim.random.Float64()*0.016, wanted: map[LeaseKey]int{}}
+		sim.brokers = append(sim.brokers, broker)
+		sim.start(broker)
 	}
-	w.schedule(0, w.runLeader)
-	var trouble func()
-	trouble = func() {
-		a := w.brokers[w.random.IntN(len(w.brokers))]
-		switch w.random.IntN(16) {
+	sim.schedule(0, sim.runLeader)
+	var injectFault func()
+	injectFault = func() {
+		broker := sim.brokers[sim.random.IntN(len(sim.brokers))]
+		switch sim.random.IntN(16) {
 		default: // the demand shifts
-			a.shiftDemand(0)
+			broker.shiftDemand(0)
 		case 0, 1: // stopped, mostly over its lease
-			a.stopped = true
-			w.schedule(w.upTo(20*time.Second), func() { a.stopped = false })
+			broker.stopped = true
+			sim.schedule(sim.upTo(20*time.Second), func() { broker.stopped = false })
 		case 2, 3: // cut off
-			a.disconnected = true
-			w.schedule(w.upTo(12*time.Second), func() { a.disconnected = false })
+			broker.disconnected = true
+			sim.schedule(sim.upTo(12*time.Second), func() { broker.disconnected = false })
 		case 4: // killed, and started anew
-			for _, c := range a.connections {
-				w.schedule(w.upTo(closeDelay/2), func() { w.close(c) })
+			for _, c := range broker.connections {
+				sim.schedule(sim.upTo(closeDelay/2), func() { sim.close(c) })
 			}
-			a.incarnation++ // what runs ends
-			a.connections = nil
-			born := a.incarnation
-			w.schedule(closeDelay+w.upTo(2*time.Second), func() {
-				if a.incarnation == born {
-					w.start(a)
+			broker.incarnation++ // what runs ends
+			broker.connections = nil
+			ownIncarnation := broker.incarnation
+			sim.schedule(closeDelay+sim.upTo(2*time.Second), func() {
+				if broker.incarnation == ownIncarnation {
+					sim.start(broker)
 				}
 			})
 		}
-		w.schedule(w.upTo(8*time.Second/time.Duration(len(w.brokers))), trouble)
+		sim.schedule(sim.upTo(8*time.Second/time.Duration(len(sim.brokers))), injectFault)
 	}
-	if w.undisturbed {
-		for _, a := range w.brokers {
-			a.shiftDemand(5)
+	if sim.withoutFaults {
+		for _, broker := range sim.brokers {
+			broker.shiftDemand(5)
 		}
-		w.run(*runSpan)
-		return w
+		sim.run(*runSpan)
+		return sim
 	}
-	w.schedule(0, trouble)
-	var agreed func()
-	agreed = func() {
-		if w.random.IntN(2) == 0 {
-			w.elect()
-		} else if w.proposePolicy(version+1, *brokerCount) == nil {
+	sim.schedule(0, injectFault)
+	var changeState func()
+	changeState = func() {
+		if sim.random.IntN(2) == 0 {
+			sim.elect()
+		} else if sim.proposePolicy(version+1, *brokerCount) == nil {
 			version++
 		}
-		w.schedule(5*time.Second+w.upTo(20*time.Second), agreed)
+		sim.schedule(5*time.Second+sim.upTo(20*time.Second), changeState)
 	}
-	w.schedule(10*time.Second, agreed)
-	w.run(*runSpan)
-	return w
+	sim.schedule(10*time.Second, changeState)
+	sim.run(*runSpan)
+	return sim
 }
 
 // TestBudgetAudit counts connections at the nodes, at every instant, while everything breaks: never more than the budget.
 func TestBudgetAudit(t *testing.T) {
 	opened, versions := 0, uint64(0)
 	for seed := range uint64(*seedCount) {
-		w := playTier(seed, nil)
-		if w.violation != "" {
-			t.Errorf("seed %d: %s", seed, w.violation)
+		sim := simulateTier(seed, nil)
+		if sim.violation != "" {
+			t.Errorf("seed %d: %s", seed, sim.violation)
 		}
-		p := w.machine.Policies().InForce
-		opened, versions = opened+w.openedCount, versions+p.Version-1
+		p := sim.machine.Policies().InForce
+		opened, versions = opened+sim.openedCount, versions+p.Version-1
 	}
 	t.Logf("%d runs of %v, %d brokers, %d nodes: %d connections opened, %d policies came into force, never over a budget",
 		*seedCount, *runSpan, *brokerCount, *nodeCount, opened, versions)
@@ -112,12 +112,12 @@
 // TestBudgetAuditFindsFaults puts faults in on purpose: the audit must see what comes of them.
 func TestBudgetAuditFindsFaults(t *testing.T) {
 	for name, change := range map[string]func(*simulatedTier){
-		"a lease counted from the answer":        func(w *simulatedTier) { w.leaseFromAnswer, w.linger, w.stallEvery = true, 2*time.Second, 6 },
-		"no wait for what a stopped broker left": func(w *simulatedTier) { w.noLinger = true },
+		"a lease counted from the answer":        func(w *simulatedTier) { w.leaseFromAnswer, w.nodeIdleTimeout, w.stallEvery = true, 2*time.Second, 6 },
+		"no wait for what a stopped broker left": func(w *simulatedTier) { w.ignoreIdleTimeout = true },
 	} {
 		found := ""
 		for seed := uint64(0); seed < 20 && found == ""; seed++ {
-			found = playTier(seed, change).violation
+			found = simulateTier(seed, change).violation
 		}
 		if t.Logf("%s: %s", name, found); found == "" {
 			t.Errorf("%s: not found in 20 runs", name)
--- a/internal/decision/connlease/baseline_test.go
+++ b/internal/decision/connlease/baseline_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func runBaseline(way baseline, brokers, budget, steps int) (served, quiet, asked, quietAsked, over float64) {
+func runBaseline(strategy baseline, brokers, budget, steps int) (served, quiet, asked, quietAsked, over float64) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	want, hold := make([][]int, brokers), make([][]int, brokers)
 	for b := range want {
@@ -89,23 +89,23 @@
 				}
 			}
 		}
-		way.step(time.Duration(step)*100*time.Millisecond, want, hold)
-		held, wanted, mine, wants := 0, 0, 0, 0
+		strategy.step(time.Duration(step)*100*time.Millisecond, want, hold)
+		held, wanted, quietHeld, quietWanted := 0, 0, 0, 0
 		for b := range want {
 			for t := range want[b] {
 				held += hold[b][t]
 				wanted += want[b][t]
 			}
-			mine += hold[b][0]
-			wants += want[b][0]
+			quietHeld += hold[b][0]
+			quietWanted += want[b][0]
 		}
 		share := 1.0
 		if held > budget {
 			over++
 			share = float64(max(0, 2*budget-held)) / float64(held)
 		}
-		served, quiet = served+share*float64(held), quiet+share*float64(mine)
-		asked, quietAsked = asked+float64(wanted), quietAsked+float64(wants)
+		served, quiet = served+share*float64(held), quiet+share*float64(quietHeld)
+		asked, quietAsked = asked+float64(wanted), quietAsked+float64(quietWanted)
 	}
 	return
 }
--- a/internal/decision/connlease/connections.go
+++ b/internal/decision/connlease/connections.go
@@ -20,8 +20,8 @@
 // OpenConnections is how many connections a tenant has to a node, with those that were closed and that the node may still count.
 func (h *Holder) OpenConnections(k LeaseKey) int { return h.open[k] }
 
-// leasedNow is how many connections a lease allows in a phase.
-func (h *Holder) leasedNow(k LeaseKey, phase leasePhase) int {
+// leasedInPhase is how many connections a lease allows in a phase.
+func (h *Holder) leasedInPhase(k LeaseKey, phase leasePhase) int {
 	if phase == leaseUsable {
 		return h.leased[k]
 	}
@@ -32,7 +32,7 @@
 func (h *Holder) aboveLease(node decision.NodeID, phase leasePhase) (n int) {
 	for _, tenant := range h.tenantsAt[node] {
 		k := LeaseKey{Node: node, Tenant: tenant}
-		n += max(0, h.open[k]-h.leasedNow(k, phase))
+		n += max(0, h.open[k]-h.leasedInPhase(k, phase))
 	}
 	return n
 }
@@ -41,10 +41,10 @@
 func (h *Holder) MayOpen(k LeaseKey, now time.Duration) bool { return h.mayOpen(k, now) != OpenDenied }
 
 func (h *Holder) mayOpen(k LeaseKey, now time.Duration) OpenResult {
-	h.removeNoticed(now)
+	h.releaseClosed(now)
 	phase := h.phase(now)
 	switch {
-	case h.open[k] < h.leasedNow(k, phase):
+	case h.open[k] < h.leasedInPhase(k, phase):
 		return OpenLeased
 	case h.unlimited || h.aboveLease(k.Node, phase) < h.reservedAt(k.Node):
 		return OpenReserved
@@ -81,8 +81,8 @@
 	h.closed = append(h.closed, closedConnection{key: k, closedAt: now})
 }
 
-// removeNoticed counts out the closed connections that nodes have surely noticed.
-func (h *Holder) removeNoticed(now time.Duration) {
+// releaseClosed counts out the closed connections that nodes have surely noticed.
+func (h *Holder) releaseClosed(now time.Duration) {
 	for len(h.closed) > 0 && h.closed[0].closedAt+h.closeDelay <= now {
 		k := h.closed[0].key
 		h.closed = h.closed[1:]
--- a/internal/decision/connlease/connlease.go
+++ b/internal/decision/connlease/connlease.go
@@ -35,13 +35,13 @@
 const clockDriftDivisor = 100
 
 // HolderExpiry is when a lease ends for its holder: counted from before it asked, by a clock that may be slow.
-func HolderExpiry(asked, lease time.Duration) time.Duration {
-	return asked + lease - lease/clockDriftDivisor
+func HolderExpiry(requestedAt, lease time.Duration) time.Duration {
+	return requestedAt + lease - lease/clockDriftDivisor
 }
 
 // GranterExpiry is when a lease has surely ended, seen by its granter: counted from after it was given, by a clock that may be fast.
-func GranterExpiry(given, lease time.Duration) time.Duration {
-	return given + lease + lease/clockDriftDivisor
+func GranterExpiry(grantedAt, lease time.Duration) time.Duration {
+	return grantedAt + lease + lease/clockDriftDivisor
 }
 
 // LeaseKey is what connections are counted by.
--- a/internal/decision/connlease/demand.go
+++ b/internal/decision/connlease/demand.go
@@ -11,7 +11,7 @@
 const (
 	minDemand      = 0.1 // connections; less is forgotten
 	roundingMargin = 0.1 // connections above a whole number that do not round up
-	reportFallsBy  = 1.3 // connections that demand must be below what was reported before a lower number is
+	minReportDrop  = 1.3 // connections that demand must be below what was reported before a lower number is
 )
 
 // DemandTracker measures how many connections a broker could use.
@@ -73,7 +73,7 @@
 func (t *DemandTracker) report() (counts []ConnectionCount) {
 	for k, d := range t.demands {
 		whole := int(math.Ceil(d.value - roundingMargin))
-		if whole > d.reported || float64(d.reported)-d.value > reportFallsBy {
+		if whole > d.reported || float64(d.reported)-d.value > minReportDrop {
 			d.reported = whole
 		}
 		if d.reported > 0 {
--- a/internal/decision/connlease/demand_shift_test.go
+++ b/internal/decision/connlease/demand_shift_test.go
@@ -13,13 +13,13 @@
 	defer func(s time.Duration, b int) { *runSpan, *brokerCount = s, b }(*runSpan, *brokerCount)
 	*runSpan, *brokerCount = 20*time.Second, 60
 	for seed := range uint64(3) {
-		w := playTier(seed, func(w *simulatedTier) { w.undisturbed = true })
+		w := simulateTier(seed, func(w *simulatedTier) { w.withoutFaults = true })
 		for _, a := range w.brokers {
 			a.shiftDemand(6)
 		}
-		before := w.distance()
+		before := w.distanceFromIdeal()
 		w.run(20*time.Second + 3*leaseDuration)
-		after := w.distance()
+		after := w.distanceFromIdeal()
 		t.Logf("seed %d: %.1f%% of the units away from the ideal at the shift, %.1f%% three leases later", seed, 100*before, 100*after)
 		if before < 0.2 || after > 0.05 {
 			t.Errorf("seed %d: %.3f away at the shift, %.3f three leases later", seed, before, after)
@@ -27,8 +27,8 @@
 	}
 }
 
-// distance is the share of units that are not where an exact division of what brokers want would have them.
-func (w *simulatedTier) distance() float64 {
+// distanceFromIdeal is the share of units that are not where an exact division of what brokers want would have them.
+func (w *simulatedTier) distanceFromIdeal() float64 {
 	plan := w.plans[0]
 	need := fairshare.NewTable(len(plan.Nodes), tenants, len(w.brokers))
 	ideal := fairshare.NewTable(len(plan.Nodes), tenants, len(w.brokers))
@@ -49,14 +49,14 @@
 					level = min(level, int(u))
 				}
 			}
-			odd := 0 // units that did not come out even: whose they are is the same
+			remainder := 0 // units that did not come out even: whose they are is the same
 			for b, a := range w.brokers {
 				want, held := min(need.At(n, t, b), level), a.holder.leased[LeaseKey{id, t}]
 				all += ideal.At(n, t, b)
 				away += max(0, want-held)
-				odd += ideal.At(n, t, b) - want - max(0, held-want)
+				remainder += ideal.At(n, t, b) - want - max(0, held-want)
 			}
-			away += max(0, odd)
+			away += max(0, remainder)
 		}
 	}
 	return float64(away) / float64(all)
--- a/internal/decision/connlease/excess.go
+++ b/internal/decision/connlease/excess.go
@@ -26,7 +26,7 @@
 			over += max(0, h.excessOf(LeaseKey{Node: node, Tenant: tenant}, phase))
 		}
 		for ; over > 0; over-- {
-			excess.addOne(h.furthestAbove(node, tenants, phase, excess.Counts))
+			excess.addOne(h.tenantWithMostExcess(node, tenants, phase, excess.Counts))
 		}
 	}
 	slices.SortFunc(excess.Counts, compareCounts)
@@ -35,19 +35,19 @@
 
 // excessOf is how many connections of a tenant that were not closed are above its lease.
 func (h *Holder) excessOf(k LeaseKey, phase leasePhase) int {
-	return h.open[k] - h.closing[k] - h.leasedNow(k, phase)
+	return h.open[k] - h.closing[k] - h.leasedInPhase(k, phase)
 }
 
-// furthestAbove is the tenant at a node that is furthest above its lease, once what is in counts is closed.
-func (h *Holder) furthestAbove(node decision.NodeID, tenants []int, phase leasePhase, counts []ConnectionCount) LeaseKey {
-	var furthest ConnectionCount
+// tenantWithMostExcess is the tenant at a node that is furthest above its lease, once what is in counts is closed.
+func (h *Holder) tenantWithMostExcess(node decision.NodeID, tenants []int, phase leasePhase, counts []ConnectionCount) LeaseKey {
+	var most ConnectionCount
 	for _, tenant := range tenants {
 		k := LeaseKey{Node: node, Tenant: tenant}
-		if n := h.excessOf(k, phase) - countOf(counts, k); n > furthest.Connections {
-			furthest = ConnectionCount{LeaseKey: k, Connections: n}
+		if n := h.excessOf(k, phase) - countOf(counts, k); n > most.Connections {
+			most = ConnectionCount{LeaseKey: k, Connections: n}
 		}
 	}
-	return furthest.LeaseKey
+	return most.LeaseKey
 }
 
 func countOf(counts []ConnectionCount, k LeaseKey) int {
--- a/internal/decision/connlease/golden_run_test.go
+++ b/internal/decision/connlease/golden_run_test.go
@@ -21,7 +21,7 @@
 
 func (g *goldenRun) upTo(greatest int) int { return g.rng.IntN(greatest + 1) }
 func (g *goldenRun) oneIn(n int) bool      { return g.rng.IntN(n) == 0 }
-func (g *goldenRun) tell(values ...any)    { fmt.Fprintln(g.out, values...) }
+func (g *goldenRun) record(values ...any)  { fmt.Fprintln(g.out, values...) }
 func goldenNode(i int) decision.NodeID {
 	return decision.NodeID{Addr: [4]byte{10, 0, byte(i % 2), byte(i)}, Port: uint16(80 + i)}
 }
@@ -30,8 +30,8 @@
 	return LeaseKey{Node: g.node(), Tenant: g.upTo(goldenTenants - 1)}
 }
 
-// pass lets time go by in steps, so that moments also fall together.
-func (g *goldenRun) pass(most time.Duration) {
+// advance lets time go by in steps, so that moments also fall together.
+func (g *goldenRun) advance(most time.Duration) {
 	g.now += time.Duration(g.rng.Int64N(int64(most))).Round(goldenTimeStep)
 }
 
@@ -51,7 +51,7 @@
 	h := NewHolder(time.Duration(1+g.upTo(3)) * 100 * time.Millisecond)
 	number := uint64(1)
 	for range goldenSteps {
-		g.pass(150 * time.Millisecond)
+		g.advance(150 * time.Millisecond)
 		k := g.key()
 		switch g.upTo(20) {
 		case 0:
@@ -72,24 +72,24 @@
 		case 2, 3:
 			number += uint64(g.upTo(3))
 			asked := g.now - time.Duration(g.upTo(300))*time.Millisecond
-			g.tell(h.AcceptGrant(max(1, number)-uint64(g.upTo(1)), g.counts(4), HolderExpiry(asked, 2*time.Second)))
+			g.record(h.AcceptGrant(max(1, number)-uint64(g.upTo(1)), g.counts(4), HolderExpiry(asked, 2*time.Second)))
 		case 4, 5, 6, 7, 8, 9, 10, 11:
 			result := h.Open(k, g.now)
-			g.tell(result == OpenLeased, result != OpenDenied)
+			g.record(result == OpenLeased, result != OpenDenied)
 		case 12, 13, 14, 15:
 			h.RecordClosed(k, g.oneIn(2), g.now)
 		case 16:
 			ack := h.PendingAck(g.now)
-			if g.tell(ack); g.oneIn(2) {
+			if g.record(ack); g.oneIn(2) {
 				h.RecordAcked(ack + uint64(g.upTo(8)/8))
 			}
 		case 17:
 			if g.oneIn(10) {
-				h.AcceptAnyNumber()
+				h.ResetGrantNumber()
 			}
 		}
 		excess := h.ExcessConnections(g.now)
-		g.tell(excess.Counts, excess.Immediate, h.phase(g.now) == leaseUsable, h.MayOpen(k, g.now), h.OpenConnections(k), h.NextTimer(g.now),
+		g.record(excess.Counts, excess.Immediate, h.phase(g.now) == leaseUsable, h.MayOpen(k, g.now), h.OpenConnections(k), h.NextPhaseChange(g.now),
 			h.WithinLease(g.now), withinReserved(h))
 		if len(excess.Counts) > 0 && g.oneIn(2) {
 			h.RecordClosed(excess.Counts[0].LeaseKey, false, g.now)
@@ -111,7 +111,7 @@
 func (g *goldenRun) demand() {
 	d := NewDemandTracker(time.Duration(1+g.upTo(3)) * time.Second)
 	for range goldenSteps {
-		g.pass(400 * time.Millisecond)
+		g.advance(400 * time.Millisecond)
 		switch g.upTo(5) {
 		case 0:
 			d.Decay(g.now)
@@ -121,7 +121,7 @@
 				rows[0].Connections = 1<<20 + g.upTo(1)
 			}
 			data := EncodeDemand(uint64(g.upTo(300)), rows)
-			g.tell(rows, data)
+			g.record(rows, data)
 			if g.oneIn(3) && len(data) > 0 {
 				data = data[:g.rng.IntN(len(data))]
 			}
@@ -129,7 +129,7 @@
 				data[g.rng.IntN(len(data))] ^= byte(1 << g.upTo(7))
 			}
 			version, back, err := DecodeDemand(data)
-			g.tell(version, back, err == nil)
+			g.record(version, back, err == nil)
 		default:
 			d.Observe(g.key(), float64(g.upTo(80))/10)
 		}
@@ -139,12 +139,12 @@
 // granter plays a leader over the real state machine, which takes some of what it proposes.
 func (g *goldenRun) granter() {
 	s := statemachine.New()
-	seq := uint64(0)
+	sequence := uint64(0)
 	apply := func(e statemachine.Entry) {
-		seq++
-		data := statemachine.Encode(statemachine.ProposalID{Slot: 9, Incarnation: 1, Sequence: seq}, e)
+		sequence++
+		data := statemachine.Encode(statemachine.ProposalID{Slot: 9, Incarnation: 1, Sequence: sequence}, e)
 		r := s.Apply(s.AppliedIndex()+1, data)
-		g.tell(data, r.Number, r.Err == nil)
+		g.record(data, r.Number, r.Err == nil)
 	}
 	for i := range statemachine.Slot(goldenBrokers) {
 		apply(&statemachine.RegisterBroker{Slot: i, Name: fmt.Sprint("b", i), Incarnation: 1, Version: "1", Zone: "z", Protocol: 1})
@@ -194,7 +194,7 @@
 	leader := NewGranter(2*time.Second, time.Duration(g.upTo(2))*time.Second, 0)
 	needs := map[statemachine.Slot][]ConnectionCount{}
 	for range goldenSteps / 4 {
-		g.pass(900 * time.Millisecond)
+		g.advance(900 * time.Millisecond)
 		slot := statemachine.Slot(g.upTo(goldenBrokers - 1))
 		b, _ := s.Broker(slot)
 		lease, _ := s.Lease(slot)
@@ -233,11 +233,11 @@
 		}
 		for _, e := range leader.NextEntries(s, plan, needs, term, g.now) {
 			if g.oneIn(12) {
-				g.tell(statemachine.Encode(statemachine.ProposalID{}, e)) // lost on its way
+				g.record(statemachine.Encode(statemachine.ProposalID{}, e)) // lost on its way
 				continue
 			}
 			apply(e)
 		}
-		g.tell(leader.Expiry(slot, b.Incarnation), GranterExpiry(g.now, time.Second))
+		g.record(leader.Expiry(slot, b.Incarnation), GranterExpiry(g.now, time.Second))
 	}
 }
--- a/internal/decision/connlease/golden_test.go
+++ b/internal/decision/connlease/golden_test.go
@@ -27,8 +27,8 @@
 	for block := range goldenBlocks {
 		h := fnv.New64a()
 		for i := range goldenSequences {
-			for side, play := range []func(*goldenRun){(*goldenRun).holder, (*goldenRun).demand, (*goldenRun).granter} {
-				play(&goldenRun{rng: rand.New(rand.NewPCG(goldenSeed+uint64(side), uint64(block*goldenSequences+i))), out: h})
+			for side, run := range []func(*goldenRun){(*goldenRun).holder, (*goldenRun).demand, (*goldenRun).granter} {
+				run(&goldenRun{rng: rand.New(rand.NewPCG(goldenSeed+uint64(side), uint64(block*goldenSequences+i))), out: h})
 			}
 		}
 		fmt.Fprintf(&all, "%016x\n", h.Sum64())
--- a/internal/decision/connlease/granter.go
+++ b/internal/decision/connlease/granter.go
@@ -23,10 +23,10 @@
 
 // Granter is the leader's side: it says which grants to propose.
 type Granter struct {
-	lease        time.Duration
-	linger       time.Duration
-	leadingSince time.Duration // a broker without a renewal counts as renewed then
-	renewedAt    map[statemachine.BrokerIncarnation]time.Duration
+	lease           time.Duration
+	nodeIdleTimeout time.Duration
+	leadingSince    time.Duration // a broker without a renewal counts as renewed then
+	renewedAt       map[statemachine.BrokerIncarnation]time.Duration
 
 	divider  fairshare.Divider
 	demand   *fairshare.Table
@@ -37,12 +37,12 @@
 // NewGranter makes the side of a leader: a new one for each leadership, made after its LeaderElected was applied. Linger is how
 // long a node keeps a connection on which nothing passes: a process that was stopped closes nothing when its lease ends, and the
 // nodes themselves end its connections so long after. A broker that answers gives up at once and does not wait for it.
-func NewGranter(lease, linger, leadingSince time.Duration) *Granter {
+func NewGranter(lease, nodeIdleTimeout, leadingSince time.Duration) *Granter {
 	return &Granter{
-		lease:        lease,
-		linger:       linger,
-		leadingSince: leadingSince,
-		renewedAt:    map[statemachine.BrokerIncarnation]time.Duration{},
+		lease:           lease,
+		nodeIdleTimeout: nodeIdleTimeout,
+		leadingSince:    leadingSince,
+		renewedAt:       map[statemachine.BrokerIncarnation]time.Duration{},
 	}
 }
 
@@ -57,7 +57,7 @@
 	if !ok {
 		at = g.leadingSince
 	}
-	return GranterExpiry(at, g.lease) + g.linger
+	return GranterExpiry(at, g.lease) + g.nodeIdleTimeout
 }
 
 // NextEntries is what to propose: leases that have expired, and grants toward the fair share of the demands. Demands are by slot, in
@@ -67,7 +67,7 @@
 ) []statemachine.Entry {
 	brokers := s.Brokers()
 	entries := g.expiredLeases(s, brokers, term, now)
-	g.forgetRenewals(s, brokers)
+	g.dropOldRenewals(s, brokers)
 	g.fillTables(s, plan, brokers, demands)
 	g.divider.Divide(fairshare.Input{Nodes: plan.Budgets, Pool: plan.Pool, Demand: g.demand, Previous: g.granted}, g.division)
 	return append(entries, g.proposeGrants(s, plan, brokers)...)
@@ -85,8 +85,8 @@
 	return entries
 }
 
-// forgetRenewals drops renewals of incarnations that neither run nor hold a lease.
-func (g *Granter) forgetRenewals(s *statemachine.State, brokers []statemachine.Broker) {
+// dropOldRenewals drops renewals of incarnations that neither run nor hold a lease.
+func (g *Granter) dropOldRenewals(s *statemachine.State, brokers []statemachine.Broker) {
 	current := map[statemachine.BrokerIncarnation]bool{}
 	for _, b := range brokers {
 		lease, _ := s.Lease(b.Slot)
@@ -111,8 +111,8 @@
 	g.granted.Clear()
 }
 
-// isAway tells that a broker gets no connections: it is out or lost.
-func isAway(b *statemachine.Broker) bool {
+// isOutOrLost tells that a broker gets no connections: it is out or lost.
+func isOutOrLost(b *statemachine.Broker) bool {
 	return b.Status == statemachine.BrokerLost || b.Status == statemachine.BrokerOut
 }
 
@@ -136,7 +136,7 @@
 				g.demand.Set(node, tenant, i, int(r.Connections))
 			}
 		}
-		if isAway(b) {
+		if isOutOrLost(b) {
 			continue
 		}
 		for _, c := range reported {
--- a/internal/decision/connlease/grants.go
+++ b/internal/decision/connlease/grants.go
@@ -22,8 +22,8 @@
 	pool   int // over all nodes
 }
 
-// raise gives as many of wanted connections at a node as are available.
-func (a *available) raise(node, wanted int) int {
+// take gives as many of wanted connections at a node as are available.
+func (a *available) take(node, wanted int) int {
 	n := min(wanted, a.byNode[node], a.pool)
 	if n <= 0 {
 		return 0
@@ -35,14 +35,14 @@
 
 // proposeGrants goes from what each broker has to its fair share: down at once, up as far as connections are available.
 func (g *Granter) proposeGrants(s *statemachine.State, plan *BudgetPlan, brokers []statemachine.Broker) (entries []statemachine.Entry) {
-	left := availableFor(s, plan)
+	free := availableFor(s, plan)
 	for i := range brokers {
 		b := &brokers[i]
 		lease, _ := s.Lease(b.Slot)
-		if isAway(b) || isUnacknowledged(&lease, b) {
+		if isOutOrLost(b) || isUnacknowledged(&lease, b) {
 			continue
 		}
-		rows, changed := g.grantRows(plan, i, left)
+		rows, changed := g.grantRows(plan, i, free)
 		if changed {
 			slices.SortFunc(rows, statemachine.CompareLeaseRows)
 			entries = append(entries, &statemachine.GrantLease{
@@ -63,20 +63,20 @@
 }
 
 // grantRows is a broker's next grant, and whether it differs from what the broker has.
-func (g *Granter) grantRows(plan *BudgetPlan, broker int, left *available) (rows []statemachine.LeaseRow, changed bool) {
+func (g *Granter) grantRows(plan *BudgetPlan, broker int, free *available) (rows []statemachine.LeaseRow, changed bool) {
 	size := 0
 	for n, id := range plan.Nodes {
 		for t, name := range plan.Tenants {
-			has := g.granted.At(n, t, broker)
-			if size > maxGrantBytes && has == 0 {
+			current := g.granted.At(n, t, broker)
+			if size > maxGrantBytes && current == 0 {
 				continue
 			}
 			share := g.division.At(n, t, broker)
-			connections := min(share, has)
-			if share > has {
-				connections = has + left.raise(n, share-has)
+			connections := min(share, current)
+			if share > current {
+				connections = current + free.take(n, share-current)
 			}
-			changed = changed || connections != has
+			changed = changed || connections != current
 			if connections > 0 {
 				rows = append(rows, statemachine.LeaseRow{Node: id, Tenant: name, Connections: uint64(connections)})
 				size += rowBytes + len(name)
@@ -88,9 +88,9 @@
 
 // availableFor is what the policy in force and the one that waits leave at each node, and what the plan leaves in the pool.
 func availableFor(s *statemachine.State, plan *BudgetPlan) *available {
-	left := &available{byNode: make([]int, len(plan.Nodes)), pool: unlimitedPool}
+	free := &available{byNode: make([]int, len(plan.Nodes)), pool: unlimitedPool}
 	if plan.Pool != nil {
-		left.pool = plan.Pool.Units
+		free.pool = plan.Pool.Units
 	}
 	waiting := s.Policies().Waiting
 	for i, id := range plan.Nodes {
@@ -100,11 +100,11 @@
 			leasable = leasableUnder(waiting, id, leasable)
 		}
 		leased := int(n.Leased)
-		left.byNode[i] = max(0, min(int(leasable)-leased, plan.Budgets[i].Units-leased))
-		left.pool -= leased
+		free.byNode[i] = max(0, min(int(leasable)-leased, plan.Budgets[i].Units-leased))
+		free.pool -= leased
 	}
-	left.pool = max(0, left.pool)
-	return left
+	free.pool = max(0, free.pool)
+	return free
 }
 
 // leasableUnder lowers what may be leased at a node to what a waiting policy allows: nothing, where it does not name the node.
--- a/internal/decision/connlease/holder.go
+++ b/internal/decision/connlease/holder.go
@@ -9,18 +9,18 @@
 
 // Holder is a broker's side. Whoever opens connections asks Open before each and calls RecordClosed after each.
 type Holder struct {
-	closeDelay        time.Duration // how long a node may take to notice that a connection was closed
-	grantNumber       uint64        // of the newest grant
-	acknowledged      uint64
-	expiry            time.Duration // of the newest grant's lease
-	leased            map[LeaseKey]int
-	reserved          map[decision.NodeID]int
-	reservedElsewhere int // at nodes that reserved does not name
-	unlimited         bool
-	open              map[LeaseKey]int // with those that were closed and that a node may still count
-	closing           map[LeaseKey]int // of these, those that were closed
-	closed            []closedConnection
-	tenantsAt         map[decision.NodeID][]int // tenants with connections to a node, in order
+	closeDelay         time.Duration // how long a node may take to notice that a connection was closed
+	grantNumber        uint64        // of the newest grant
+	acknowledgedNumber uint64
+	expiry             time.Duration // of the newest grant's lease
+	leased             map[LeaseKey]int
+	reserved           map[decision.NodeID]int
+	reservedByDefault  int // at nodes that reserved does not name
+	unlimited          bool
+	open               map[LeaseKey]int // with those that were closed and that a node may still count
+	closing            map[LeaseKey]int // of these, those that were closed
+	closed             []closedConnection
+	tenantsAt          map[decision.NodeID][]int // tenants with connections to a node, in order
 }
 
 // closedConnection is a connection that was closed here and that its node may still count.
@@ -44,9 +44,9 @@
 
 // SetReserved sets how many connections may be open to each node without a lease, by all tenants together; elsewhere is for nodes
 // that are not named.
-func (h *Holder) SetReserved(byNode map[decision.NodeID]int, elsewhere int) {
+func (h *Holder) SetReserved(byNode map[decision.NodeID]int, byDefault int) {
 	h.reserved = byNode
-	h.reservedElsewhere = elsewhere
+	h.reservedByDefault = byDefault
 	h.unlimited = false
 }
 
@@ -60,7 +60,7 @@
 	if n, ok := h.reserved[node]; ok {
 		return n
 	}
-	return h.reservedElsewhere
+	return h.reservedByDefault
 }
 
 // AcceptGrant holds a grant in place of the one before, and tells whether it is a newer one. The same grant again may only extend
@@ -81,11 +81,11 @@
 	return true
 }
 
-// AcceptAnyNumber has the next grant count as newer, whatever its number. It is safe where that grant is of another incarnation:
+// ResetGrantNumber has the next grant count as newer, whatever its number. It is safe where that grant is of another incarnation:
 // the state machine accepts one only once all that the earlier incarnation held has ended.
-func (h *Holder) AcceptAnyNumber() {
+func (h *Holder) ResetGrantNumber() {
 	h.grantNumber = 0
-	h.acknowledged = 0
+	h.acknowledgedNumber = 0
 }
 
 // leasePhase is how far a lease is, for its holder.
@@ -113,8 +113,8 @@
 func (h *Holder) windDownAt() time.Duration { return h.expiry - 2*h.closeDelay }
 func (h *Holder) endingAt() time.Duration   { return h.expiry - h.closeDelay }
 
-// NextTimer is when the lease next changes its phase; never is the greatest duration.
-func (h *Holder) NextTimer(now time.Duration) time.Duration {
+// NextPhaseChange is when the lease next changes its phase; never is the greatest duration.
+func (h *Holder) NextPhaseChange(now time.Duration) time.Duration {
 	switch h.phase(now) {
 	case leaseUsable:
 		return h.windDownAt()
@@ -127,7 +127,7 @@
 
 // PendingAck is the number of the grant to acknowledge: it is held, and at the nodes there is nothing of older ones. 0: none.
 func (h *Holder) PendingAck(now time.Duration) uint64 {
-	if h.acknowledged == h.grantNumber || !h.WithinLease(now) {
+	if h.acknowledgedNumber == h.grantNumber || !h.WithinLease(now) {
 		return 0
 	}
 	return h.grantNumber
@@ -135,12 +135,12 @@
 
 // RecordAcked says that an acknowledgement was applied.
 func (h *Holder) RecordAcked(number uint64) {
-	h.acknowledged = max(h.acknowledged, min(number, h.grantNumber))
+	h.acknowledgedNumber = max(h.acknowledgedNumber, min(number, h.grantNumber))
 }
 
 // WithinLease tells whether all that nodes may count is within the newest grant and the reserve.
 func (h *Holder) WithinLease(now time.Duration) bool {
-	h.removeNoticed(now)
+	h.releaseClosed(now)
 	for node := range h.tenantsAt {
 		if h.aboveLease(node, leaseUsable) > h.reservedAt(node) {
 			return false
--- a/internal/decision/connlease/simulated_broker_test.go
+++ b/internal/decision/connlease/simulated_broker_test.go
@@ -31,11 +31,11 @@
 }
 
 // shiftDemand moves all that a broker wants; few says for how many of ten pairs of node and tenant it is nothing.
-func (a *simulatedBroker) shiftDemand(few int) {
+func (a *simulatedBroker) shiftDemand(zeroOfTen int) {
 	for _, id := range a.tier.plans[0].Nodes {
 		for t := range tenants {
 			a.wanted[LeaseKey{id, t}] = 0
-			if a.tier.random.IntN(10) >= few {
+			if a.tier.random.IntN(10) >= zeroOfTen {
 				a.wanted[LeaseKey{id, t}] = a.tier.random.IntN(7)
 			}
 		}
@@ -45,12 +45,12 @@
 func (a *simulatedBroker) clock() time.Duration { return time.Duration(float64(a.tier.now) * a.rate) }
 
 // runLoop is a turn of the broker's loop.
-func (a *simulatedBroker) runLoop(born uint64) {
+func (a *simulatedBroker) runLoop(ownIncarnation uint64) {
 	w := a.tier
-	if a.incarnation != born {
+	if a.incarnation != ownIncarnation {
 		return
 	}
-	defer w.schedule(50*time.Millisecond, func() { a.runLoop(born) })
+	defer w.schedule(50*time.Millisecond, func() { a.runLoop(ownIncarnation) })
 	if a.stopped {
 		return
 	}
@@ -117,11 +117,11 @@
 	if c.ended {
 		return
 	}
-	if w.now-c.lastUsed >= w.linger-100*time.Millisecond {
+	if w.now-c.lastUsed >= w.nodeIdleTimeout-100*time.Millisecond {
 		w.close(c)
 		return
 	}
-	w.schedule(c.lastUsed+w.linger-100*time.Millisecond-w.now, func() { w.idle(c) })
+	w.schedule(c.lastUsed+w.nodeIdleTimeout-100*time.Millisecond-w.now, func() { w.idle(c) })
 }
 
 func (w *simulatedTier) close(c *simulatedConnection) {
@@ -132,58 +132,58 @@
 }
 
 // renew is one renewal: the lease of the answer counts from before the question.
-func (a *simulatedBroker) renew(born uint64) {
+func (a *simulatedBroker) renew(ownIncarnation uint64) {
 	w := a.tier
-	if a.incarnation != born {
+	if a.incarnation != ownIncarnation {
 		return
 	}
-	defer w.schedule(400*time.Millisecond, func() { a.renew(born) })
+	defer w.schedule(400*time.Millisecond, func() { a.renew(ownIncarnation) })
 	if a.stopped || a.disconnected {
 		return
 	}
-	asked, rows := a.clock(), a.demand.AboveReserved(a.holder.reserved)
-	ack := a.holder.PendingAck(asked)
-	way, back := w.upTo(30*time.Millisecond), w.upTo(30*time.Millisecond)
+	requestedAt, rows := a.clock(), a.demand.AboveReserved(a.holder.reserved)
+	ack := a.holder.PendingAck(requestedAt)
+	requestDelay, answerDelay := w.upTo(30*time.Millisecond), w.upTo(30*time.Millisecond)
 	if w.random.IntN(w.stallEvery) == 0 {
-		back += w.upTo(5 * time.Second) // a stalled link
+		answerDelay += w.upTo(5 * time.Second) // a stalled link
 	}
-	w.schedule(way, func() {
-		if a.incarnation != born {
+	w.schedule(requestDelay, func() {
+		if a.incarnation != ownIncarnation {
 			return
 		}
 		if h, _ := w.machine.Lease(a.slot); ack > 0 && h.Number == ack {
-			w.apply(&statemachine.AcknowledgeLease{Slot: a.slot, Incarnation: born, Number: ack})
+			w.apply(&statemachine.AcknowledgeLease{Slot: a.slot, Incarnation: ownIncarnation, Number: ack})
 		}
-		w.granter.RecordRenewal(a.slot, born, w.now)
+		w.granter.RecordRenewal(a.slot, ownIncarnation, w.now)
 		w.demands[a.slot] = rows
 		h, _ := w.machine.Lease(a.slot)
 		policies := w.machine.Policies()
 		inForce, waiting := policies.InForce, policies.Waiting
-		w.schedule(back, func() { a.handleAnswer(born, asked, ack, h, inForce, waiting) })
+		w.schedule(answerDelay, func() { a.handleAnswer(ownIncarnation, requestedAt, ack, h, inForce, waiting) })
 	})
 }
 
 func (a *simulatedBroker) handleAnswer(
-	born uint64, asked time.Duration, ack uint64, h statemachine.ConnectionLease, inForce, waiting *statemachine.ConnectionPolicy,
+	ownIncarnation uint64, requestedAt time.Duration, ack uint64, h statemachine.ConnectionLease, inForce, waiting *statemachine.ConnectionPolicy,
 ) {
 	w := a.tier
 	if a.stopped { // it waits in the socket
-		w.schedule(50*time.Millisecond, func() { a.handleAnswer(born, asked, ack, h, inForce, waiting) })
+		w.schedule(50*time.Millisecond, func() { a.handleAnswer(ownIncarnation, requestedAt, ack, h, inForce, waiting) })
 		return
 	}
-	if a.incarnation != born {
+	if a.incarnation != ownIncarnation {
 		return
 	}
 	a.holder.RecordAcked(ack)
 	if w.leaseFromAnswer {
-		asked = a.clock()
+		requestedAt = a.clock()
 	}
-	if h.Number > 0 && !h.Ended && h.Incarnation == born {
+	if h.Number > 0 && !h.Ended && h.Incarnation == ownIncarnation {
 		var rows []ConnectionCount
 		for _, r := range h.Granted {
 			rows = append(rows, ConnectionCount{LeaseKey{r.Node, int(r.Tenant[0] - 'a')}, int(r.Connections)})
 		}
-		a.holder.AcceptGrant(h.Number, rows, HolderExpiry(asked, leaseDuration))
+		a.holder.AcceptGrant(h.Number, rows, HolderExpiry(requestedAt, leaseDuration))
 	}
 	newest := inForce
 	reserved := map[decision.NodeID]int{}
@@ -201,7 +201,7 @@
 		if newest.Version > a.reservedVersion && a.holder.WithinLease(a.clock()) {
 			a.reservedVersion = newest.Version
 			w.schedule(w.upTo(30*time.Millisecond), func() {
-				w.apply(&statemachine.AcknowledgePolicy{Slot: a.slot, Incarnation: born, Version: newest.Version})
+				w.apply(&statemachine.AcknowledgePolicy{Slot: a.slot, Incarnation: ownIncarnation, Version: newest.Version})
 			})
 		}
 	}
--- a/internal/decision/connlease/simulated_tier_test.go
+++ b/internal/decision/connlease/simulated_tier_test.go
@@ -14,25 +14,25 @@
 // simulatedTier is a tier in virtual time: brokers with clocks of their own, links that stall, processes that stop, one state machine
 // whose leader changes, and nodes that count their connections themselves. What it tells is the nodes' count alone.
 type simulatedTier struct {
-	random          *rand.Rand
-	now             time.Duration
-	queue           events
-	seq             int
-	machine         *statemachine.State
-	index           uint64
-	term            uint64
-	granter         *Granter
-	plans           []*BudgetPlan // by policy version, from 1
-	demands         map[statemachine.Slot][]ConnectionCount
-	brokers         []*simulatedBroker
-	countAt         map[decision.NodeID]int
-	openedCount     int // connections opened
-	violation       string
-	leaseFromAnswer bool          // a fault put in on purpose: a lease counted from when the answer came
-	linger          time.Duration // of nodes
-	stallEvery      int           // one answer in so many comes late by seconds
-	undisturbed     bool          // only the test changes anything
-	noLinger        bool          // another: the granter does not wait for what a stopped process left open
+	random            *rand.Rand
+	now               time.Duration
+	queue             events
+	seq               int
+	machine           *statemachine.State
+	index             uint64
+	term              uint64
+	granter           *Granter
+	plans             []*BudgetPlan // by policy version, from 1
+	demands           map[statemachine.Slot][]ConnectionCount
+	brokers           []*simulatedBroker
+	countAt           map[decision.NodeID]int
+	openedCount       int // connections opened
+	violation         string
+	leaseFromAnswer   bool          // a fault put in on purpose: a lease counted from when the answer came
+	nodeIdleTimeout   time.Duration // of nodes
+	stallEvery        int           // one answer in so many comes late by seconds
+	withoutFaults     bool          // only the test changes anything
+	ignoreIdleTimeout bool          // another: the granter does not wait for what a stopped process left open
 }
 
 type event struct {
@@ -99,11 +99,11 @@
 func (w *simulatedTier) elect() {
 	w.term++
 	w.apply(&statemachine.LeaderElected{Slot: 1, Term: w.term})
-	after := w.linger
-	if w.noLinger {
-		after = 0
+	idleTimeout := w.nodeIdleTimeout
+	if w.ignoreIdleTimeout {
+		idleTimeout = 0
 	}
-	w.granter, w.demands = NewGranter(leaseDuration, after, w.now), map[statemachine.Slot][]ConnectionCount{}
+	w.granter, w.demands = NewGranter(leaseDuration, idleTimeout, w.now), map[statemachine.Slot][]ConnectionCount{}
 }
 
 func (w *simulatedTier) start(a *simulatedBroker) {
@@ -114,9 +114,9 @@
 		Slot: a.slot, Name: fmt.Sprint("b", a.slot), Incarnation: a.incarnation, Version: "1", Zone: "z", Protocol: 1,
 	})
 	w.apply(&statemachine.ReturnToService{Slot: a.slot, Incarnation: a.incarnation})
-	born := a.incarnation
-	w.schedule(w.upTo(50*time.Millisecond), func() { a.runLoop(born) })
-	w.schedule(w.upTo(400*time.Millisecond), func() { a.renew(born) })
+	ownIncarnation := a.incarnation
+	w.schedule(w.upTo(50*time.Millisecond), func() { a.runLoop(ownIncarnation) })
+	w.schedule(w.upTo(400*time.Millisecond), func() { a.renew(ownIncarnation) })
 }
 
 // proposePolicy proposes the next version: budgets and reserves go up and down in turns.
--- a/internal/decision/fairshare/brokers.go
+++ b/internal/decision/fairshare/brokers.go
@@ -3,12 +3,12 @@
 // divideAmongBrokers divides one tenant's share at a node by the demands in its row: all get the same as far as they need it. Units
 // that do not come out even go to brokers that had them, and else from a place on that differs from row to row, so that it is not
 // always the same broker that gets them.
-func (d *Divider) divideAmongBrokers(cell, turn int, previous, out []int32) {
-	level, remaining := d.evenLevel(d.share[cell], d.greatest[cell], out)
-	turn %= len(out)
+func (d *Divider) divideAmongBrokers(index, firstBroker int, previous, out []int32) {
+	level, remaining := d.evenLevel(d.share[index], d.greatest[index], out)
+	firstBroker %= len(out)
 	for _, hadMore := range []bool{true, false} {
 		for i := 0; i < len(out) && remaining > 0; i++ {
-			b := i + turn
+			b := i + firstBroker
 			if b >= len(out) {
 				b -= len(out)
 			}
--- a/internal/decision/fairshare/divider.go
+++ b/internal/decision/fairshare/divider.go
@@ -40,15 +40,15 @@
 	}
 	for n := range nodes {
 		for t := range tenants {
-			cell := n*tenants + t
-			if d.demand[cell] <= d.share[cell] {
+			index := n*tenants + t
+			if d.demand[index] <= d.share[index] {
 				continue
 			}
 			var previous []int32
 			if in.Previous != nil {
 				previous = in.Previous.Row(n, t)
 			}
-			d.divideAmongBrokers(cell, n+t, previous, out.Row(n, t))
+			d.divideAmongBrokers(index, n+t, previous, out.Row(n, t))
 		}
 	}
 }
@@ -84,10 +84,10 @@
 		sum += int(u)
 		greatest = max(greatest, u)
 	}
-	cell := node*in.Demand.Tenants + tenant
-	d.demand[cell] = sum
-	d.previous[cell] = previousSum
-	d.greatest[cell] = int(greatest)
+	index := node*in.Demand.Tenants + tenant
+	d.demand[index] = sum
+	d.previous[index] = previousSum
+	d.greatest[index] = int(greatest)
 }
 
 // divideNode divides a node's units among tenants, whose cells begin at first: the guarantees, then what lies above them up to max,
--- a/internal/decision/fairshare/fairshare_test.go
+++ b/internal/decision/fairshare/fairshare_test.go
@@ -127,8 +127,8 @@
 		}
 		in.Nodes = append(in.Nodes, b)
 	}
-	for i := range in.Demand.cells {
-		in.Demand.cells[i] = int32(rapid.IntRange(0, 12).Draw(t, "need"))
+	for i := range in.Demand.units {
+		in.Demand.units[i] = int32(rapid.IntRange(0, 12).Draw(t, "need"))
 	}
 	return in
 }
@@ -160,8 +160,8 @@
 		// The same need once more moves nothing, and neither does a broker's that shakes by one.
 		in.Previous = out
 		new(Divider).Divide(in, again)
-		if fmt.Sprint(out.cells) != fmt.Sprint(again.cells) {
-			t.Fatalf("the same needs were divided otherwise:\n%v\n%v", out.cells, again.cells)
+		if fmt.Sprint(out.units) != fmt.Sprint(again.units) {
+			t.Fatalf("the same needs were divided otherwise:\n%v\n%v", out.units, again.units)
 		}
 	})
 }
@@ -171,24 +171,24 @@
 	for n, b := range in.Nodes {
 		sum := 0
 		for tenant, a := range b.Allowances {
-			has, need, low, high := 0, 0, []int(nil), []int(nil)
-			for br, u := range in.Demand.Row(n, tenant) {
-				has, need = has+out.At(n, tenant, br), need+int(u)
+			units, demand, low, high := 0, 0, []int(nil), []int(nil)
+			for broker, u := range in.Demand.Row(n, tenant) {
+				units, demand = units+out.At(n, tenant, broker), demand+int(u)
 				low, high = append(low, 0), append(high, int(u))
 			}
 			weight := make([]int, len(low))
 			for i := range weight {
 				weight[i] = 1
 			}
-			for br, want := range exactDivision(has, low, high, weight) {
-				if got := out.At(n, tenant, br); !withinOne(got, want) {
-					t.Fatalf("node %d tenant %d broker %d has %d of %d, exact is %s", n, tenant, br, got, has, want.FloatString(3))
+			for broker, want := range exactDivision(units, low, high, weight) {
+				if got := out.At(n, tenant, broker); !withinOne(got, want) {
+					t.Fatalf("node %d tenant %d broker %d has %d of %d, exact is %s", n, tenant, broker, got, units, want.FloatString(3))
 				}
 			}
-			if has < min(need, a.Guarantee) || has > a.Max+a.Burst {
-				t.Fatalf("node %d tenant %d has %d, needs %d, allowed %+v", n, tenant, has, need, a)
+			if units < min(demand, a.Guarantee) || units > a.Max+a.Burst {
+				t.Fatalf("node %d tenant %d has %d, needs %d, allowed %+v", n, tenant, units, demand, a)
 			}
-			sum += has
+			sum += units
 		}
 		if sum > b.Units {
 			t.Fatalf("node %d: %d of %d", n, sum, b.Units)
--- a/internal/decision/fairshare/max_min.go
+++ b/internal/decision/fairshare/max_min.go
@@ -123,11 +123,11 @@
 			continue
 		}
 		whole := left * f.weight[i] / weights
-		over := left * f.weight[i] % weights
+		fraction := left * f.weight[i] % weights
 		out[i] = whole
 		rest -= whole
-		if over > 0 {
-			f.remainders = append(f.remainders, remainder{index: i, rest: over, hadMore: f.previous[i] > whole})
+		if fraction > 0 {
+			f.remainders = append(f.remainders, remainder{index: i, rest: fraction, hadMore: f.previous[i] > whole})
 		}
 	}
 	slices.SortStableFunc(f.remainders, compareRemainders)
--- a/internal/decision/fairshare/noise_test.go
+++ b/internal/decision/fairshare/noise_test.go
@@ -8,10 +8,10 @@
 // TestNoiseMovesLittle has every need shake by one about a steady value: after a few divisions next to nothing may move.
 func TestNoiseMovesLittle(t *testing.T) {
 	const nodes, tenants, brokers = 10, 8, 40
-	in, chance := largeInput(nodes, tenants, brokers, 1), rand.New(rand.NewPCG(3, 4))
-	base := make([]int32, len(in.Demand.cells))
+	in, random := largeInput(nodes, tenants, brokers, 1), rand.New(rand.NewPCG(3, 4))
+	base := make([]int32, len(in.Demand.units))
 	for i := range base {
-		base[i] = 2 + int32(chance.IntN(8))
+		base[i] = 2 + int32(random.IntN(8))
 	}
 	for n := range in.Nodes {
 		in.Nodes[n].Units = brokers * tenants * 5
@@ -24,13 +24,13 @@
 		a, b := NewTable(nodes, tenants, brokers), NewTable(nodes, tenants, brokers)
 		in.Previous = nil
 		for round := range 30 {
-			for i := range in.Demand.cells {
-				in.Demand.cells[i] = base[i] + int32(chance.IntN(2))
+			for i := range in.Demand.units {
+				in.Demand.units[i] = base[i] + int32(random.IntN(2))
 			}
 			d.Divide(in, a)
-			for i := range a.cells {
+			for i := range a.units {
 				if round > 10 {
-					moves += int(max(0, a.cells[i]-b.cells[i]))
+					moves += int(max(0, a.units[i]-b.units[i]))
 				}
 			}
 			if a, b = b, a; keep {
@@ -48,17 +48,17 @@
 
 // largeInput makes a division in which most nodes are short.
 func largeInput(nodes, tenants, brokers int, seed uint64) Input {
-	chance := rand.New(rand.NewPCG(seed, 2))
+	random := rand.New(rand.NewPCG(seed, 2))
 	in := Input{Demand: NewTable(nodes, tenants, brokers)}
 	for range nodes {
 		b := Budget{Units: brokers * tenants / 2}
 		for range tenants {
-			b.Allowances = append(b.Allowances, Allowance{Guarantee: b.Units / tenants / 4, Weight: 1 + chance.IntN(4), Max: b.Units / 2})
+			b.Allowances = append(b.Allowances, Allowance{Guarantee: b.Units / tenants / 4, Weight: 1 + random.IntN(4), Max: b.Units / 2})
 		}
 		in.Nodes = append(in.Nodes, b)
 	}
-	for i := range in.Demand.cells {
-		in.Demand.cells[i] = int32(chance.IntN(4))
+	for i := range in.Demand.units {
+		in.Demand.units[i] = int32(random.IntN(4))
 	}
 	return in
 }
--- a/internal/decision/fairshare/pool.go
+++ b/internal/decision/fairshare/pool.go
@@ -21,11 +21,11 @@
 	guaranteed := make([]int, tenants)
 	share := make([]int, tenants)
 	previous := make([]int, tenants)
-	for cell, units := range d.share {
-		t := cell % tenants
-		guaranteed[t] += min(d.guaranteed[cell], units)
+	for index, units := range d.share {
+		t := index % tenants
+		guaranteed[t] += min(d.guaranteed[index], units)
 		share[t] += units
-		previous[t] += d.previous[cell]
+		previous[t] += d.previous[index]
 	}
 	s := &d.solver
 	s.resize(tenants)
@@ -45,11 +45,11 @@
 func (d *Divider) divideTenantAmongNodes(tenant, units, nodes, tenants int) {
 	s := &d.solver
 	for n := range nodes {
-		cell := n*tenants + tenant
-		s.low[n] = min(d.guaranteed[cell], d.share[cell])
-		s.high[n] = d.share[cell]
+		index := n*tenants + tenant
+		s.low[n] = min(d.guaranteed[index], d.share[index])
+		s.high[n] = d.share[index]
 		s.weight[n] = 1
-		s.previous[n] = d.previous[cell]
+		s.previous[n] = d.previous[index]
 	}
 	s.solve(units, s.result[:nodes])
 	for n := range nodes {
--- a/internal/decision/fairshare/table.go
+++ b/internal/decision/fairshare/table.go
@@ -5,22 +5,22 @@
 	Nodes   int
 	Tenants int
 	Brokers int
-	cells   []int32
+	units   []int32
 }
 
 // NewTable makes a table of zeros.
 func NewTable(nodes, tenants, brokers int) *Table {
-	return &Table{Nodes: nodes, Tenants: tenants, Brokers: brokers, cells: make([]int32, nodes*tenants*brokers)}
+	return &Table{Nodes: nodes, Tenants: tenants, Brokers: brokers, units: make([]int32, nodes*tenants*brokers)}
 }
 
 // Clear makes all of it zero.
-func (t *Table) Clear() { clear(t.cells) }
+func (t *Table) Clear() { clear(t.units) }
 
 // Row is what a tenant has at a node, by broker. It is part of the table, not a copy.
 func (t *Table) Row(node, tenant int) []int32 {
 	first := (node*t.Tenants + tenant) * t.Brokers
 	end := first + t.Brokers
-	return t.cells[first:end:end]
+	return t.units[first:end:end]
 }
 
 // At is one cell.
--- a/internal/decision/polling/backoff_test.go
+++ b/internal/decision/polling/backoff_test.go
@@ -33,11 +33,11 @@
 		t.Error("backoff did not start anew")
 	}
 	other := NewBackoff(settings, 8)
-	apart := false
+	differ := false
 	for range 2 {
-		apart = apart || b.ConnectDelay() != other.ConnectDelay()
+		differ = differ || b.ConnectDelay() != other.ConnectDelay()
 	}
-	if !apart {
+	if !differ {
 		t.Error("two brokers in step")
 	}
 }
--- a/internal/decision/polling/golden_test.go
+++ b/internal/decision/polling/golden_test.go
@@ -13,56 +13,56 @@
 
 var record = flag.Bool("record", false, "write the golden file instead of comparing with it")
 
-// playPolling plays pseudo-random polls that are answered, hedged, given up, refused and backed off, and digests each time that is drawn.
-func playPolling(seed uint64) uint64 {
+// runSequence plays pseudo-random polls that are answered, hedged, given up, refused and backed off, and digests each time that is drawn.
+func runSequence(seed uint64) uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	digest := fnv.New64a()
 	print := func(values ...any) { fmt.Fprintln(digest, values...) }
 	span := func(below time.Duration) time.Duration { return time.Duration(rnd.Int64N(int64(below))) }
-	draw := Jitter(func(below time.Duration) time.Duration {
+	jitter := Jitter(func(below time.Duration) time.Duration {
 		print("below", int64(below))
 		return span(below)
 	})
-	pacer := NewBackoff(BackoffSettings{ConnectInterval: 1 + span(time.Second), PollCost: span(5 * time.Millisecond), MaxPollDelay: span(time.Second), BrokerCount: rnd.IntN(300)},
+	backoff := NewBackoff(BackoffSettings{ConnectInterval: 1 + span(time.Second), PollCost: span(5 * time.Millisecond), MaxPollDelay: span(time.Second), BrokerCount: rnd.IntN(300)},
 		rnd.Uint64())
 	for range 100 {
 		switch rnd.IntN(9) {
 		case 0:
-			p := draw.WatchTimeouts([]time.Duration{0, 1, span(time.Second), span(10 * time.Second), time.Minute}[rnd.IntN(5)])
+			p := jitter.WatchTimeouts([]time.Duration{0, 1, span(time.Second), span(10 * time.Second), time.Minute}[rnd.IntN(5)])
 			print("watch", int64(p.WatchTime), int64(p.HedgeDelay), int64(p.Timeout))
 		case 1:
-			p := draw.PollTimeouts()
+			p := jitter.PollTimeouts()
 			print("look", int64(p.WatchTime), int64(p.HedgeDelay), int64(p.Timeout))
 		case 2, 3, 4:
-			f := Failure{ConnectionLost: rnd.IntN(4) == 0, LocalAgent: rnd.IntN(4) == 0, SinceMove: span(8 * time.Second), Duration: span(time.Second)}
+			f := Failure{ConnectionLost: rnd.IntN(4) == 0, LocalAgent: rnd.IntN(4) == 0, SinceAddressChange: span(8 * time.Second), Duration: span(time.Second)}
 			if rnd.IntN(10) == 0 {
-				f.SinceMove = MaxNotificationDelayAfterMove
+				f.SinceAddressChange = MaxNotificationDelayAfterAddressChange
 			}
-			pause, again := draw.RetryDelay(f)
-			print("again", int64(pause), again)
+			delay, retry := jitter.RetryDelay(f)
+			print("again", int64(delay), retry)
 		case 5:
-			print("knock", int64(pacer.ConnectDelay()))
+			print("knock", int64(backoff.ConnectDelay()))
 		case 6:
-			print("door", int64(pacer.FirstPollDelay()))
+			print("door", int64(backoff.FirstPollDelay()))
 		case 7:
-			print("jammed", int64(pacer.PollFailed()))
+			print("jammed", int64(backoff.PollFailed()))
 		case 8:
 			if rnd.IntN(4) == 0 {
-				pacer.PollSucceeded()
+				backoff.PollSucceeded()
 			}
 		}
-		print("limit", int64(pacer.PollTimeout()))
+		print("limit", int64(backoff.PollTimeout()))
 	}
-	print(int64(MaxNotificationDelay), int64(MaxNotificationDelayAfterWatch), int64(MaxNotificationDelayAfterMove), int64(MaxWatchTime), int64(AgentRetryInterval))
+	print(int64(MaxNotificationDelay), int64(MaxNotificationDelayAfterWatch), int64(MaxNotificationDelayAfterAddressChange), int64(MaxWatchTime), int64(AgentRetryInterval))
 	return digest.Sum64()
 }
 
 // compareWithGolden compares the digests of a number of sequences with the file that holds those of commit 1a4b6be.
-func compareWithGolden(t *testing.T, file string, sequences uint64, play func(seed uint64) uint64) {
+func compareWithGolden(t *testing.T, file string, sequences uint64, run func(seed uint64) uint64) {
 	t.Helper()
 	var lines []string
 	for seed := range sequences {
-		lines = append(lines, fmt.Sprintf("%d %016x", seed, play(seed)))
+		lines = append(lines, fmt.Sprintf("%d %016x", seed, run(seed)))
 	}
 	text := strings.Join(lines, "\n") + "\n"
 	if *record {
@@ -85,5 +85,5 @@
 }
 
 func TestSequencesAreAsRecorded(t *testing.T) {
-	compareWithGolden(t, "testdata/sequences.golden", 500, playPolling)
+	compareWithGolden(t, "testdata/sequences.golden", 500, runSequence)
 }
--- a/internal/decision/polling/timeouts.go
+++ b/internal/decision/polling/timeouts.go
@@ -8,11 +8,11 @@
 
 // A change of the endpoint list is promised to be known MaxNotificationDelay after discovery had it, whatever became of the polls in
 // between. What an unanswered watch missed is promised within MaxNotificationDelayAfterWatch of the end of its watch time, if that is
-// later. After a change of discovery's address what the new service has is promised within MaxNotificationDelayAfterMove.
+// later. After a change of discovery's address what the new service has is promised within MaxNotificationDelayAfterAddressChange.
 const (
-	MaxNotificationDelay           = 6 * time.Second
-	MaxNotificationDelayAfterWatch = 2 * time.Second
-	MaxNotificationDelayAfterMove  = 4 * time.Second
+	MaxNotificationDelay                   = 6 * time.Second
+	MaxNotificationDelayAfterWatch         = 2 * time.Second
+	MaxNotificationDelayAfterAddressChange = 4 * time.Second
 )
 
 // MaxWatchTime leaves time, after a watch is found to be overdue, for a poll that waits its turn at a busy service.
@@ -68,10 +68,10 @@
 
 // Failure says how a request to discovery failed.
 type Failure struct {
-	ConnectionLost bool          // its connection ended under it, and the request before it had not failed
-	LocalAgent     bool          // a local agent was asked, not a service that all brokers share
-	SinceMove      time.Duration // since the change to this address
-	Duration       time.Duration // of the request
+	ConnectionLost     bool          // its connection ended under it, and the request before it had not failed
+	LocalAgent         bool          // a local agent was asked, not a service that all brokers share
+	SinceAddressChange time.Duration // since the change to this address
+	Duration           time.Duration // of the request
 }
 
 // RetryDelay returns whether a failed request is made again without being asked for, and after what delay.
@@ -81,7 +81,7 @@
 		return jitter(maxRetryDelay), true
 	case f.LocalAgent:
 		return AgentRetryInterval/2 + jitter(AgentRetryInterval/2), true
-	case f.SinceMove < MaxNotificationDelayAfterMove:
+	case f.SinceAddressChange < MaxNotificationDelayAfterAddressChange:
 		return jitter(maxRetryDelay) + max(0, minPollSpacing-f.Duration), true
 	}
 	return 0, false
--- a/internal/decision/polling/timeouts_test.go
+++ b/internal/decision/polling/timeouts_test.go
@@ -17,7 +17,7 @@
 				t.Errorf("a watch of %v: %+v", maxWatchTime, w)
 			}
 		}
-		if p := jitter.PollTimeouts(); p.WatchTime != 0 || p.HedgeDelay >= p.Timeout || 2*p.HedgeDelay > MaxNotificationDelayAfterMove {
+		if p := jitter.PollTimeouts(); p.WatchTime != 0 || p.HedgeDelay >= p.Timeout || 2*p.HedgeDelay > MaxNotificationDelayAfterAddressChange {
 			t.Errorf("a poll: %+v", p)
 		}
 		for _, c := range []struct {
@@ -26,11 +26,11 @@
 			maxDelay time.Duration
 			retry    bool
 		}{
-			{Failure{ConnectionLost: true, SinceMove: time.Hour}, 0, maxRetryDelay, true},
-			{Failure{LocalAgent: true, SinceMove: time.Hour}, AgentRetryInterval / 2, AgentRetryInterval, true},
-			{Failure{SinceMove: time.Second}, minPollSpacing, minPollSpacing + maxRetryDelay, true},
-			{Failure{SinceMove: time.Second, Duration: 2 * time.Second}, 0, maxRetryDelay, true},
-			{Failure{SinceMove: MaxNotificationDelayAfterMove}, 0, 0, false},
+			{Failure{ConnectionLost: true, SinceAddressChange: time.Hour}, 0, maxRetryDelay, true},
+			{Failure{LocalAgent: true, SinceAddressChange: time.Hour}, AgentRetryInterval / 2, AgentRetryInterval, true},
+			{Failure{SinceAddressChange: time.Second}, minPollSpacing, minPollSpacing + maxRetryDelay, true},
+			{Failure{SinceAddressChange: time.Second, Duration: 2 * time.Second}, 0, maxRetryDelay, true},
+			{Failure{SinceAddressChange: MaxNotificationDelayAfterAddressChange}, 0, 0, false},
 		} {
 			delay, retry := jitter.RetryDelay(c.failure)
 			if retry != c.retry || delay < c.minDelay || delay > c.maxDelay {
--- a/internal/decision/readpin/decode.go
+++ b/internal/decision/readpin/decode.go
@@ -49,10 +49,10 @@
 	}
 	rest := message[1:]
 	for len(rest) > 0 {
-		at := len(message) - len(rest)
+		offset := len(message) - len(rest)
 		row, after, ok := decodePosition(rest)
 		if !ok {
-			return &MalformedPositionsError{ByteOffset: at}
+			return &MalformedPositionsError{ByteOffset: offset}
 		}
 		rest = after
 		if handle != nil {
@@ -83,7 +83,7 @@
 	row.observedBeforeAge = values[3]
 	row.asOfAgePlus1 = values[4]
 	row.lagPlus1 = values[5]
-	maxAge := 1 + uint64(longestAge/time.Millisecond)
+	maxAge := 1 + uint64(maxEncodedAge/time.Millisecond)
 	longest := max(row.observedAfterAge, row.observedBeforeAge, row.asOfAgePlus1, row.lagPlus1)
 	return row, rest, longest <= maxAge
 }
@@ -97,7 +97,7 @@
 	if held == nil {
 		return
 	}
-	told := position{
+	received := position{
 		known:          true,
 		offset:         row.offset,
 		observedAfter:  now - transit - t.longestSpan(milliseconds(row.observedAfterAge)),
@@ -107,13 +107,13 @@
 		triedAt:        DistantPast,
 	}
 	if row.asOfAgePlus1 > 0 {
-		told.asOf = now - transit - t.longestSpan(milliseconds(row.asOfAgePlus1-1))
+		received.asOf = now - transit - t.longestSpan(milliseconds(row.asOfAgePlus1-1))
 	}
 	if row.lagPlus1 > 0 {
-		told.lag = milliseconds(row.lagPlus1 - 1)
+		received.lag = milliseconds(row.lagPlus1 - 1)
 	}
 	t.Counts.Merged++
-	t.merge(held, &told)
+	t.merge(held, &received)
 }
 
 func milliseconds(n uint64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/decision/readpin/eligible.go
+++ b/internal/decision/readpin/eligible.go
@@ -38,13 +38,13 @@
 		promise.AsOf = r.ReceivedAt - time.Duration(float64(r.MaxStaleness)*(1-t.config.MaxDrift))
 	}
 	order := t.rank(r.Pin, shard)
-	promise.Offset = max(promise.Offset, t.firstOffset(r.Pin, shard, order))
+	promise.Offset = max(promise.Offset, t.firstReplicaOffset(r.Pin, shard, order))
 
 	before := len(dst)
 	dst, retryAfter = t.appendFresh(now, shard, r, &promise, dst)
 	if len(dst) > before {
 		t.Counts.Chosen++
-		t.noteTried(now, shard, r, &promise, dst[before:])
+		t.recordTried(now, shard, r, &promise, dst[before:])
 		return dst, promise, 0
 	}
 	if !r.AllowStale {
@@ -61,8 +61,8 @@
 	return dst, promise, retryAfter
 }
 
-// firstOffset is the position that the first replica in a pin's order is known to have; 0: none is known, or there is no pin.
-func (t *Tracker) firstOffset(pin uint64, shard int, order []candidate) uint64 {
+// firstReplicaOffset is the position that the first replica in a pin's order is known to have; 0: none is known, or there is no pin.
+func (t *Tracker) firstReplicaOffset(pin uint64, shard int, order []candidate) uint64 {
 	if pin == 0 || len(order) == 0 {
 		return 0
 	}
@@ -85,8 +85,8 @@
 		if !n.ready {
 			continue
 		}
-		if wait := t.waitFor(now, t.position(n, shard), promise, r); wait > 0 {
-			retryAfter = min(retryAfter, wait)
+		if excludedFor := t.remainingExclusion(now, t.position(n, shard), promise, r); excludedFor > 0 {
+			retryAfter = min(retryAfter, excludedFor)
 			continue
 		}
 		if r.Pin != 0 && t.isAtLimit(now, r.Pin, n) {
@@ -111,16 +111,16 @@
 func (t *Tracker) appendAtLimit(now time.Duration, shard int, r *Requirement, promise *Promise, dst []decision.NodeID) []decision.NodeID {
 	for i := range t.order {
 		n := &t.nodes[t.order[i].index]
-		if n.ready && t.waitFor(now, t.position(n, shard), promise, r) == 0 {
+		if n.ready && t.remainingExclusion(now, t.position(n, shard), promise, r) == 0 {
 			dst = append(dst, n.id)
 		}
 	}
 	return dst
 }
 
-// noteTried notes which replicas are tried although they were behind when last observed: of a pin the first, as the others are for
+// recordTried notes which replicas are tried although they were behind when last observed: of a pin the first, as the others are for
 // hedges and retries.
-func (t *Tracker) noteTried(now time.Duration, shard int, r *Requirement, promise *Promise, replicas []decision.NodeID) {
+func (t *Tracker) recordTried(now time.Duration, shard int, r *Requirement, promise *Promise, replicas []decision.NodeID) {
 	if r.Pin != 0 {
 		replicas = replicas[:1]
 	}
@@ -132,8 +132,8 @@
 	}
 }
 
-// waitFor is how much longer a replica is left out; 0: it is eligible.
-func (t *Tracker) waitFor(now time.Duration, p *position, promise *Promise, r *Requirement) time.Duration {
+// remainingExclusion is how much longer a replica is left out; 0: it is eligible.
+func (t *Tracker) remainingExclusion(now time.Duration, p *position, promise *Promise, r *Requirement) time.Duration {
 	if !p.known || !p.isBehind(promise, r) {
 		return 0
 	}
--- a/internal/decision/readpin/encode.go
+++ b/internal/decision/readpin/encode.go
@@ -14,7 +14,7 @@
 	wireVersion   = 1
 	nodeIDBytes   = 6
 	varintsPerRow = 6
-	longestAge    = time.Hour
+	maxEncodedAge = time.Hour
 )
 
 // EncodePositions writes what is known of replicas' positions for other brokers, MaxMessageBytes at most: as many as fit, from the
@@ -71,7 +71,7 @@
 }
 
 func (p *position) isRecent(now time.Duration) bool {
-	return p.known && now-p.observedAfter < passOnFor
+	return p.known && now-p.observedAfter < maxSharedAge
 }
 
 func appendPosition(message []byte, now time.Duration, id decision.NodeID, shard int, p *position) []byte {
@@ -80,15 +80,15 @@
 	message = binary.AppendUvarint(message, uint64(shard))
 	message = binary.AppendUvarint(message, p.offset)
 	message = binary.AppendUvarint(message, roundUpToMilliseconds(now-p.observedAfter))
-	message = binary.AppendUvarint(message, uint64(min(max(0, now-p.observedBefore), longestAge)/time.Millisecond))
+	message = binary.AppendUvarint(message, uint64(min(max(0, now-p.observedBefore), maxEncodedAge)/time.Millisecond))
 	asOf := uint64(0)
-	if p.asOf != DistantPast && now-p.asOf < longestAge {
+	if p.asOf != DistantPast && now-p.asOf < maxEncodedAge {
 		asOf = 1 + roundUpToMilliseconds(now-p.asOf)
 	}
 	message = binary.AppendUvarint(message, asOf)
 	lag := uint64(0)
 	if p.lag != UnknownAge {
-		lag = 1 + roundUpToMilliseconds(min(p.lag, longestAge))
+		lag = 1 + roundUpToMilliseconds(min(p.lag, maxEncodedAge))
 	}
 	return binary.AppendUvarint(message, lag)
 }
--- a/internal/decision/readpin/golden_test.go
+++ b/internal/decision/readpin/golden_test.go
@@ -19,17 +19,17 @@
 
 const goldenFile = "testdata/sequences.golden"
 
-// player plays one pseudo-random sequence of calls and digests every result by position.
-type player struct {
-	rnd    *rand.Rand
-	digest hash.Hash64
-	config Config
-	books  [2]*Tracker
-	now    time.Duration
-	dst    []decision.NodeID
+// sequence plays one pseudo-random sequence of calls and digests every result by position.
+type sequence struct {
+	rnd      *rand.Rand
+	digest   hash.Hash64
+	config   Config
+	trackers [2]*Tracker
+	now      time.Duration
+	dst      []decision.NodeID
 }
 
-func (p *player) number(values ...int64) {
+func (p *sequence) writeInts(values ...int64) {
 	for _, v := range values {
 		var b [8]byte
 		binary.BigEndian.PutUint64(b[:], uint64(v))
@@ -37,41 +37,41 @@
 	}
 }
 
-func (p *player) flag(v bool) {
+func (p *sequence) writeBool(v bool) {
 	if v {
-		p.number(1)
+		p.writeInts(1)
 	} else {
-		p.number(0)
+		p.writeInts(0)
 	}
 }
 
-func (p *player) node(id decision.NodeID) {
+func (p *sequence) writeNode(id decision.NodeID) {
 	p.digest.Write(id.Addr[:])
-	p.number(int64(id.Port))
+	p.writeInts(int64(id.Port))
 }
 
-func (p *player) span(most time.Duration) time.Duration {
+func (p *sequence) upTo(most time.Duration) time.Duration {
 	return time.Duration(p.rnd.Int64N(int64(most)))
 }
 
-func (p *player) someNode() decision.NodeID {
+func (p *sequence) randomNode() decision.NodeID {
 	return decision.NodeID{Addr: [4]byte{10, 0, 0, byte(p.rnd.IntN(9))}, Port: 7}
 }
 
-func (p *player) someReport() Report {
-	r := Report{Offset: uint64(p.rnd.IntN(60)), HeadAge: p.span(900 * time.Millisecond)}
+func (p *sequence) randomReport() Report {
+	r := Report{Offset: uint64(p.rnd.IntN(60)), HeadAge: p.upTo(900 * time.Millisecond)}
 	switch p.rnd.IntN(6) {
 	case 0:
 		r.HeadAge = UnknownAge
 	case 1:
 		r.HeadAge = 0
 	case 2:
-		r.HeadAge = p.span(20 * time.Second)
+		r.HeadAge = p.upTo(20 * time.Second)
 	}
 	return r
 }
 
-func (p *player) layout() Config {
+func (p *sequence) randomConfig() Config {
 	c := DefaultConfig(1+p.rnd.IntN(7), 1+p.rnd.IntN(4), 1)
 	c.CellsPerShard = 1 + p.rnd.IntN(c.Cells)
 	c.MaxInFlight = 1 + p.rnd.IntN(6)
@@ -80,55 +80,55 @@
 	return c
 }
 
-func (p *player) list(b *Tracker) {
+func (p *sequence) updateEndpoints(tracker *Tracker) {
 	entries := make([]decision.Endpoint, p.rnd.IntN(8))
 	for i := range entries {
-		entries[i] = decision.Endpoint{Node: p.someNode(), Cell: p.rnd.IntN(6), State: decision.EndpointState(p.rnd.IntN(3))}
+		entries[i] = decision.Endpoint{Node: p.randomNode(), Cell: p.rnd.IntN(6), State: decision.EndpointState(p.rnd.IntN(3))}
 	}
-	b.UpdateEndpoints(p.now, p.rnd.IntN(3) == 0, entries)
+	tracker.UpdateEndpoints(p.now, p.rnd.IntN(3) == 0, entries)
 }
 
-func (p *player) choose(b *Tracker) {
-	a := Requirement{ReceivedAt: p.now - p.span(50*time.Millisecond), AllowStale: p.rnd.IntN(4) == 0}
+func (p *sequence) handleShardRequest(tracker *Tracker) {
+	requirement := Requirement{ReceivedAt: p.now - p.upTo(50*time.Millisecond), AllowStale: p.rnd.IntN(4) == 0}
 	if p.rnd.IntN(2) == 0 {
-		a.Pin = HashPin("session", fmt.Sprint(p.rnd.IntN(4)))
+		requirement.Pin = HashPin("session", fmt.Sprint(p.rnd.IntN(4)))
 	}
 	if p.rnd.IntN(2) == 0 {
-		a.MaxStaleness = p.span(600 * time.Millisecond)
+		requirement.MaxStaleness = p.upTo(600 * time.Millisecond)
 	}
 	shard := p.rnd.IntN(p.config.Shards+2) - 1
-	need := uint64(0)
+	minOffset := uint64(0)
 	if p.rnd.IntN(2) == 0 {
-		need = uint64(p.rnd.IntN(60))
+		minOffset = uint64(p.rnd.IntN(60))
 	}
-	got, must, back := b.EligibleReplicas(p.now, shard, need, &a, p.dst[:0])
-	p.number(int64(len(got)), int64(must.Offset), int64(must.AsOf), int64(must.ReceivedAt), int64(back))
+	got, promise, retryAfter := tracker.EligibleReplicas(p.now, shard, minOffset, &requirement, p.dst[:0])
+	p.writeInts(int64(len(got)), int64(promise.Offset), int64(promise.AsOf), int64(promise.ReceivedAt), int64(retryAfter))
 	for _, id := range got {
-		p.node(id)
+		p.writeNode(id)
 	}
 	if len(got) == 0 {
 		return
 	}
 	to, sent := got[p.rnd.IntN(len(got))], p.now
-	b.AttemptSent(p.now, a.Pin, to)
+	tracker.AttemptSent(p.now, requirement.Pin, to)
 	if p.rnd.IntN(3) > 0 {
-		b.AttemptEnded(a.Pin, to)
+		tracker.AttemptEnded(requirement.Pin, to)
 	}
-	r, told := p.someReport(), p.rnd.IntN(5) > 0
-	p.now += p.span(5 * time.Millisecond)
-	shown := b.Assess(must, sent, r, told)
-	p.flag(shown.Fresh)
-	p.number(int64(shown.Offset), int64(shown.AsOf))
-	if told {
-		b.Observe(p.now, to, shard, sent, r)
+	r, reported := p.randomReport(), p.rnd.IntN(5) > 0
+	p.now += p.upTo(5 * time.Millisecond)
+	assessment := tracker.Assess(promise, sent, r, reported)
+	p.writeBool(assessment.Fresh)
+	p.writeInts(int64(assessment.Offset), int64(assessment.AsOf))
+	if reported {
+		tracker.Observe(p.now, to, shard, sent, r)
 	}
-	if shown.AsOf != DistantPast {
-		p.number(int64(b.Staleness(p.now, shown.AsOf)))
+	if assessment.AsOf != DistantPast {
+		p.writeInts(int64(tracker.Staleness(p.now, assessment.AsOf)))
 	}
 }
 
-func (p *player) exchange() {
-	from, to := p.books[0], p.books[1]
+func (p *sequence) exchangePositions() {
+	from, to := p.trackers[0], p.trackers[1]
 	if p.rnd.IntN(2) == 0 {
 		from, to = to, from
 	}
@@ -140,54 +140,54 @@
 	if p.rnd.IntN(9) == 0 {
 		data = data[:p.rnd.IntN(len(data)+1)]
 	}
-	p.flag(to.MergePositions(p.now+p.span(10*time.Millisecond), data, p.span(20*time.Millisecond)) == nil)
+	p.writeBool(to.MergePositions(p.now+p.upTo(10*time.Millisecond), data, p.upTo(20*time.Millisecond)) == nil)
 }
 
-func (p *player) step() {
-	p.now += p.span(40 * time.Millisecond)
+func (p *sequence) step() {
+	p.now += p.upTo(40 * time.Millisecond)
 	if p.rnd.IntN(60) == 0 {
-		p.now += p.span(40 * time.Second)
+		p.now += p.upTo(40 * time.Second)
 	}
-	b := p.books[p.rnd.IntN(2)]
+	tracker := p.trackers[p.rnd.IntN(2)]
 	switch p.rnd.IntN(24) {
 	case 0, 1:
-		p.list(b)
+		p.updateEndpoints(tracker)
 	case 2:
-		b.SetEpoch(uint64(p.rnd.IntN(6)), []decision.NodeID{p.someNode(), p.someNode(), p.someNode()})
-		p.number(int64(b.EpochNumber()))
+		tracker.SetEpoch(uint64(p.rnd.IntN(6)), []decision.NodeID{p.randomNode(), p.randomNode(), p.randomNode()})
+		p.writeInts(int64(tracker.EpochNumber()))
 	case 3, 4, 5:
-		p.exchange()
+		p.exchangePositions()
 	case 6, 7, 8, 9:
-		b.Observe(p.now, p.someNode(), p.rnd.IntN(p.config.Shards+1), p.now-p.span(9*time.Millisecond), p.someReport())
+		tracker.Observe(p.now, p.randomNode(), p.rnd.IntN(p.config.Shards+1), p.now-p.upTo(9*time.Millisecond), p.randomReport())
 	case 10:
-		p.number(int64(b.StalenessBound(p.now, p.someNode(), p.rnd.IntN(p.config.Shards+1))))
+		p.writeInts(int64(tracker.StalenessBound(p.now, p.randomNode(), p.rnd.IntN(p.config.Shards+1))))
 	case 11:
 		if p.rnd.IntN(4) == 0 {
-			p.config = p.layout()
+			p.config = p.randomConfig()
 		} else {
 			p.config.RecheckInterval += time.Millisecond
 		}
-		for _, b := range p.books {
-			b.Reconfigure(p.config)
+		for _, tracker := range p.trackers {
+			tracker.Reconfigure(p.config)
 		}
 	default:
-		p.choose(b)
+		p.handleShardRequest(tracker)
 	}
 }
 
-func playSequence(seed uint64) uint64 {
-	p := &player{rnd: rand.New(rand.NewPCG(seed, 77)), digest: fnv.New64a(), now: time.Minute, dst: make([]decision.NodeID, 0, 16)}
-	p.config = p.layout()
-	for i := range p.books {
-		p.books[i] = NewTracker(p.config)
-		p.list(p.books[i])
+func runSequence(seed uint64) uint64 {
+	p := &sequence{rnd: rand.New(rand.NewPCG(seed, 77)), digest: fnv.New64a(), now: time.Minute, dst: make([]decision.NodeID, 0, 16)}
+	p.config = p.randomConfig()
+	for i := range p.trackers {
+		p.trackers[i] = NewTracker(p.config)
+		p.updateEndpoints(p.trackers[i])
 	}
 	for range 150 {
 		p.step()
 	}
-	for _, b := range p.books {
-		c := b.Counts
-		p.number(int64(c.Chosen), int64(c.Refused), int64(c.AcceptedStale), int64(c.Spilled), int64(c.Fresh), int64(c.Stale),
+	for _, tracker := range p.trackers {
+		c := tracker.Counts
+		p.writeInts(int64(c.Chosen), int64(c.Refused), int64(c.AcceptedStale), int64(c.Spilled), int64(c.Fresh), int64(c.Stale),
 			int64(c.Regressed), int64(c.Merged), int64(c.Malformed))
 	}
 	return p.digest.Sum64()
@@ -197,7 +197,7 @@
 func TestSequencesAreAsRecorded(t *testing.T) {
 	var lines []string
 	for seed := range uint64(2000) {
-		lines = append(lines, fmt.Sprintf("%d %016x", seed, playSequence(seed)))
+		lines = append(lines, fmt.Sprintf("%d %016x", seed, runSequence(seed)))
 	}
 	text := strings.Join(lines, "\n") + "\n"
 	if *record {
--- a/internal/decision/readpin/nodes.go
+++ b/internal/decision/readpin/nodes.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/decision"
 )
 
-// node is an endpoint, or a free place for one.
+// writeNode is an endpoint, or a free place for one.
 type node struct {
 	id        decision.NodeID
 	cell      int
@@ -31,7 +31,7 @@
 	}
 	for i := range t.nodes {
 		n := &t.nodes[i]
-		if n.used && n.removedAt != DistantPast && now-n.removedAt > rememberFor {
+		if n.used && n.removedAt != DistantPast && now-n.removedAt > removedNodeRetention {
 			t.release(int32(i))
 		}
 	}
--- a/internal/decision/readpin/order.go
+++ b/internal/decision/readpin/order.go
@@ -48,7 +48,7 @@
 	weight  uint64
 }
 
-func (c *candidate) before(other *candidate) bool {
+func (c *candidate) ranksBefore(other *candidate) bool {
 	if c.inEpoch != other.inEpoch {
 		return c.inEpoch
 	}
@@ -72,7 +72,7 @@
 func (t *Tracker) insert(c candidate) {
 	t.order = append(t.order, c)
 	i := len(t.order) - 1
-	for ; i > 0 && c.before(&t.order[i-1]); i-- {
+	for ; i > 0 && c.ranksBefore(&t.order[i-1]); i-- {
 		t.order[i] = t.order[i-1]
 	}
 	t.order[i] = c
--- a/internal/decision/readpin/readpin.go
+++ b/internal/decision/readpin/readpin.go
@@ -48,8 +48,8 @@
 }
 
 const (
-	rememberFor = 30 * time.Second // a removed node's positions
-	passOnFor   = 10 * time.Second // positions, to other brokers
+	removedNodeRetention = 30 * time.Second // a removed node's positions
+	maxSharedAge         = 10 * time.Second // positions, to other brokers
 
 	distantFuture = time.Duration(1)<<62 - 1
 )
--- a/internal/decision/readpin/readpin_test.go
+++ b/internal/decision/readpin/readpin_test.go
@@ -18,9 +18,9 @@
 
 // testTracker is a tracker over nodes that hold all of some shards, one cell.
 func testTracker(nodes, shards int) *Tracker {
-	b := NewTracker(DefaultConfig(shards, 1, 1))
-	b.UpdateEndpoints(0, true, readyEndpoints(nodes))
-	return b
+	tracker := NewTracker(DefaultConfig(shards, 1, 1))
+	tracker.UpdateEndpoints(0, true, readyEndpoints(nodes))
+	return tracker
 }
 
 func readyEndpoints(nodes int) (all []decision.Endpoint) {
@@ -37,8 +37,8 @@
 	}
 }
 
-func firstReplica(b *Tracker, now time.Duration, pin uint64, shard int) decision.NodeID {
-	got, _, _ := b.EligibleReplicas(now, shard, 0, &Requirement{Pin: pin, ReceivedAt: now}, nil)
+func firstReplica(tracker *Tracker, now time.Duration, pin uint64, shard int) decision.NodeID {
+	got, _, _ := tracker.EligibleReplicas(now, shard, 0, &Requirement{Pin: pin, ReceivedAt: now}, nil)
 	return got[0]
 }
 
@@ -69,21 +69,21 @@
 
 // A node that is listed before the next epoch names it takes no pin over.
 func TestPinsFollowTheEpoch(t *testing.T) {
-	b := testTracker(4, 1)
-	b.SetEpoch(7, []decision.NodeID{id(0), id(1), id(2), id(3)})
+	tracker := testTracker(4, 1)
+	tracker.SetEpoch(7, []decision.NodeID{id(0), id(1), id(2), id(3)})
 	var before []decision.NodeID
 	for pin := range uint64(100) {
-		before = append(before, firstReplica(b, 0, pin+1, 0))
+		before = append(before, firstReplica(tracker, 0, pin+1, 0))
 	}
-	b.UpdateEndpoints(0, false, []decision.Endpoint{{Node: id(9), State: decision.Ready}})
-	b.SetEpoch(6, []decision.NodeID{id(9)})
+	tracker.UpdateEndpoints(0, false, []decision.Endpoint{{Node: id(9), State: decision.Ready}})
+	tracker.SetEpoch(6, []decision.NodeID{id(9)})
 	for pin := range uint64(100) {
-		require(t, firstReplica(b, 0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
+		require(t, firstReplica(tracker, 0, pin+1, 0) == before[pin], "pin %d moved without an epoch", pin)
 	}
-	b.SetEpoch(8, []decision.NodeID{id(0), id(1), id(2), id(3), id(9)})
+	tracker.SetEpoch(8, []decision.NodeID{id(0), id(1), id(2), id(3), id(9)})
 	moved := 0
 	for pin := range uint64(100) {
-		if n := firstReplica(b, 0, pin+1, 0); n != before[pin] {
+		if n := firstReplica(tracker, 0, pin+1, 0); n != before[pin] {
 			moved++
 			require(t, n == id(9), "pin %d moved to an old node", pin)
 		}
@@ -93,82 +93,82 @@
 
 // What is known to be behind is left out for a while, and whoever asks is told how long; content with less, it gets what there is.
 func TestRefusal(t *testing.T) {
-	b := testTracker(2, 1)
+	tracker := testTracker(2, 1)
 	now := time.Second
 	for i := range 2 {
-		b.Observe(now, id(i), 0, now-2*ms, Report{Offset: 70 + uint64(i), HeadAge: 4 * time.Second})
+		tracker.Observe(now, id(i), 0, now-2*ms, Report{Offset: 70 + uint64(i), HeadAge: 4 * time.Second})
 	}
-	a := Requirement{ReceivedAt: now, MaxStaleness: 250 * ms}
-	got, _, back := b.EligibleReplicas(now, 0, 0, &a, nil)
-	require(t, len(got) == 0 && back > 500*ms && back < 2*time.Second, "%v, back in %v", got, back)
-	a.AllowStale = true
-	got, m, _ := b.EligibleReplicas(now, 0, 0, &a, nil)
-	require(t, len(got) == 2 && !b.Assess(m, now, Report{70, 4 * time.Second}, true).Fresh, "%v", got)
-	a = Requirement{ReceivedAt: now}
-	got, _, back = b.EligibleReplicas(now, 0, 71, &a, nil)
-	require(t, len(got) == 1 && got[0] == id(1) && back == 0, "%v, back in %v", got, back)
-	got, _, back = b.EligibleReplicas(now, 0, 72, &a, nil)
-	require(t, len(got) == 0 && back > 0 && back <= 50*ms, "%v, back in %v", got, back)
-	got, _, _ = b.EligibleReplicas(now+back, 0, 72, &a, nil)
+	requirement := Requirement{ReceivedAt: now, MaxStaleness: 250 * ms}
+	got, _, retryAfter := tracker.EligibleReplicas(now, 0, 0, &requirement, nil)
+	require(t, len(got) == 0 && retryAfter > 500*ms && retryAfter < 2*time.Second, "%v, back in %v", got, retryAfter)
+	requirement.AllowStale = true
+	got, promise, _ := tracker.EligibleReplicas(now, 0, 0, &requirement, nil)
+	require(t, len(got) == 2 && !tracker.Assess(promise, now, Report{70, 4 * time.Second}, true).Fresh, "%v", got)
+	requirement = Requirement{ReceivedAt: now}
+	got, _, retryAfter = tracker.EligibleReplicas(now, 0, 71, &requirement, nil)
+	require(t, len(got) == 1 && got[0] == id(1) && retryAfter == 0, "%v, back in %v", got, retryAfter)
+	got, _, retryAfter = tracker.EligibleReplicas(now, 0, 72, &requirement, nil)
+	require(t, len(got) == 0 && retryAfter > 0 && retryAfter <= 50*ms, "%v, back in %v", got, retryAfter)
+	got, _, _ = tracker.EligibleReplicas(now+retryAfter, 0, 72, &requirement, nil)
 	require(t, len(got) == 2, "not looked at again: %v", got)
-	got, _, _ = b.EligibleReplicas(now+back, 0, 72, &a, nil)
+	got, _, _ = tracker.EligibleReplicas(now+retryAfter, 0, 72, &requirement, nil)
 	require(t, len(got) == 0, "looked at twice at once: %v", got)
 }
 
 // The next in order takes over only once it has come as far as the first was known to have come; a restart is no way back.
 func TestHandOver(t *testing.T) {
-	b := testTracker(2, 1)
-	a := Requirement{Pin: 5}
-	all, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
-	one, two := all[0], all[1]
-	b.Observe(100*ms, one, 0, 99*ms, Report{90, 0})
-	b.Observe(100*ms, two, 0, 99*ms, Report{80, 0})
-	b.UpdateEndpoints(101*ms, false, []decision.Endpoint{{Node: one, State: decision.Removed}})
-	got, m, back := b.EligibleReplicas(101*ms, 0, 0, &a, nil)
-	require(t, len(got) == 0 && back > 0 && m.Offset == 90, "%v, %+v", got, m)
-	b.Observe(120*ms, two, 0, 119*ms, Report{91, 0})
-	got, _, _ = b.EligibleReplicas(121*ms, 0, 0, &a, nil)
-	require(t, len(got) == 1 && got[0] == two, "%v", got)
-	require(t, !b.Assess(m, 121*ms, Report{89, 0}, true).Fresh, "a restarted replica counts")
-	b.Observe(130*ms, two, 0, 129*ms, Report{40, 0})
-	require(t, b.Counts.Regressed == 1 && b.StalenessBound(130*ms, two, 0) < 20*ms, "regress not seen")
-	b.merge(b.position(&b.nodes[b.byID[two]], 0), &position{known: true, offset: 91, observedAfter: 119 * ms, observedBefore: 120 * ms, asOf: 119 * ms})
-	got, _, _ = b.EligibleReplicas(130*ms, 0, 91, &Requirement{}, nil)
+	tracker := testTracker(2, 1)
+	requirement := Requirement{Pin: 5}
+	all, _, _ := tracker.EligibleReplicas(0, 0, 0, &requirement, nil)
+	first, second := all[0], all[1]
+	tracker.Observe(100*ms, first, 0, 99*ms, Report{90, 0})
+	tracker.Observe(100*ms, second, 0, 99*ms, Report{80, 0})
+	tracker.UpdateEndpoints(101*ms, false, []decision.Endpoint{{Node: first, State: decision.Removed}})
+	got, promise, retryAfter := tracker.EligibleReplicas(101*ms, 0, 0, &requirement, nil)
+	require(t, len(got) == 0 && retryAfter > 0 && promise.Offset == 90, "%v, %+v", got, promise)
+	tracker.Observe(120*ms, second, 0, 119*ms, Report{91, 0})
+	got, _, _ = tracker.EligibleReplicas(121*ms, 0, 0, &requirement, nil)
+	require(t, len(got) == 1 && got[0] == second, "%v", got)
+	require(t, !tracker.Assess(promise, 121*ms, Report{89, 0}, true).Fresh, "a restarted replica counts")
+	tracker.Observe(130*ms, second, 0, 129*ms, Report{40, 0})
+	require(t, tracker.Counts.Regressed == 1 && tracker.StalenessBound(130*ms, second, 0) < 20*ms, "regress not seen")
+	tracker.merge(tracker.position(&tracker.nodes[tracker.byID[second]], 0), &position{known: true, offset: 91, observedAfter: 119 * ms, observedBefore: 120 * ms, asOf: 119 * ms})
+	got, _, _ = tracker.EligibleReplicas(130*ms, 0, 91, &Requirement{}, nil)
 	require(t, len(got) == 0, "old facts of before the restart count")
 }
 
 // A hot pin goes to the next in order beyond its limit, and comes back; it is never refused for it.
 func TestHotPin(t *testing.T) {
-	b := testTracker(3, 1)
-	a := Requirement{Pin: 5}
-	all, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
-	for range b.config.MaxInFlight {
-		b.AttemptSent(0, 5, all[0])
+	tracker := testTracker(3, 1)
+	requirement := Requirement{Pin: 5}
+	all, _, _ := tracker.EligibleReplicas(0, 0, 0, &requirement, nil)
+	for range tracker.config.MaxInFlight {
+		tracker.AttemptSent(0, 5, all[0])
 	}
-	got, _, _ := b.EligibleReplicas(0, 0, 0, &a, nil)
-	require(t, len(got) == 2 && got[0] == all[1] && b.Counts.Spilled == 1, "%v", got)
-	b.AttemptEnded(5, all[0])
-	require(t, firstReplica(b, 0, 5, 0) == all[0], "does not come back")
+	got, _, _ := tracker.EligibleReplicas(0, 0, 0, &requirement, nil)
+	require(t, len(got) == 2 && got[0] == all[1] && tracker.Counts.Spilled == 1, "%v", got)
+	tracker.AttemptEnded(5, all[0])
+	require(t, firstReplica(tracker, 0, 5, 0) == all[0], "does not come back")
 	now := time.Duration(0)
 	for range 400 { // 200 a second of one pin beside 50 of others
 		now += 5 * ms
-		n := firstReplica(b, now, 5, 0)
-		b.AttemptSent(now, 5, n)
-		b.AttemptEnded(5, n)
+		n := firstReplica(tracker, now, 5, 0)
+		tracker.AttemptSent(now, 5, n)
+		tracker.AttemptEnded(5, n)
 		for i := range 3 {
 			if now%(60*ms) == time.Duration(i)*20*ms {
-				b.AttemptSent(now, 0, all[i])
+				tracker.AttemptSent(now, 0, all[i])
 			}
 		}
 	}
-	one := b.hotKeys[bucketOf(5, all[0])].rate.read(now)
-	require(t, one < 80, "%.0f parts a second of one pin at its first", one)
+	firstRate := tracker.hotKeys[bucketOf(5, all[0])].rate.read(now)
+	require(t, firstRate < 80, "%.0f parts a second of one pin at its first", firstRate)
 	for i := range all {
-		for range b.config.MaxInFlight {
-			b.AttemptSent(now, 5, all[i])
+		for range tracker.config.MaxInFlight {
+			tracker.AttemptSent(now, 5, all[i])
 		}
 	}
-	got, _, _ = b.EligibleReplicas(now, 0, 0, &a, nil)
+	got, _, _ = tracker.EligibleReplicas(now, 0, 0, &requirement, nil)
 	require(t, len(got) == 3, "refused at its limit: %v", got)
 }
 
--- a/internal/decision/readpin/report.go
+++ b/internal/decision/readpin/report.go
@@ -15,7 +15,7 @@
 // UnknownAge stands in Report.Head where a replica does not know, or does not say, when it was last current.
 const UnknownAge = time.Duration(-1)
 
-const longestHead = time.Hour // what is older is as good as unknown
+const maxHeadAge = time.Hour // what is older is as good as unknown
 
 // ParseReport reads the report of an answer: fields NAME=VALUE between semicolons, of which p is the position and h the head's age
 // in milliseconds, rounded up. Other fields are another's. ok tells whether there is a position; a field that makes no sense
@@ -35,7 +35,7 @@
 			return Report{HeadAge: UnknownAge}, false
 		case name == "p":
 			r.Offset, ok = n, true
-		case n <= uint64(longestHead/time.Millisecond):
+		case n <= uint64(maxHeadAge/time.Millisecond):
 			r.HeadAge = time.Duration(n) * time.Millisecond
 		}
 	}
--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -86,7 +86,7 @@
 				c.ChangeAddress("new", nil)
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
-				if took := notifiedAt.Sub(moved); notifiedAt.IsZero() || took > polling.MaxNotificationDelayAfterMove {
+				if took := notifiedAt.Sub(moved); notifiedAt.IsZero() || took > polling.MaxNotificationDelayAfterAddressChange {
 					t.Errorf("%s, the old one %s: had %v after the move", what, old, took)
 				}
 				cancel()
--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -85,7 +85,7 @@
 				c.ChangeAddress("new", nil)
 				go c.Run(ctx)
 			}
-			time.Sleep(polling.MaxNotificationDelayAfterMove)
+			time.Sleep(polling.MaxNotificationDelayAfterAddressChange)
 			synctest.Wait()
 			mu.Lock()
 			if len(notifiedAt) < brokers {
--- a/internal/discovery/run.go
+++ b/internal/discovery/run.go
@@ -68,10 +68,10 @@
 		c.notify(nil, err)
 	}
 	delay, again := c.jitter.RetryDelay(polling.Failure{
-		ConnectionLost: connectionLost,
-		LocalAgent:     c.localAgent,
-		SinceMove:      time.Since(c.movedAt),
-		Duration:       duration,
+		ConnectionLost:     connectionLost,
+		LocalAgent:         c.localAgent,
+		SinceAddressChange: time.Since(c.movedAt),
+		Duration:           duration,
 	})
 	c.lastFailed = true
 	c.pollNext = again
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -18,7 +18,7 @@
 	if now < b.due {
 		return b.due
 	}
-	b.due = min(now+leaseInterval, b.holder.NextTimer(now))
+	b.due = min(now+leaseInterval, b.holder.NextPhaseChange(now))
 	if b.view != nil && b.view.Index > 0 {
 		b.updateFloors(b.view)
 	}
--- a/internal/server/lease_view.go
+++ b/internal/server/lease_view.go
@@ -50,7 +50,7 @@
 	grant := v.Lease
 	if grant.Incarnation != b.grantIncarnation {
 		b.grantIncarnation = grant.Incarnation
-		b.holder.AcceptAnyNumber()
+		b.holder.ResetGrantNumber()
 	}
 	rows := b.grantedRows(grant.Granted)
 	if b.holder.AcceptGrant(grant.Number, rows, v.LeaseEnd) && len(rows) > 0 && !b.holdsLogged {
