--- a/internal/decision/admission/arrival.go
+++ b/internal/decision/admission/arrival.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// promisedWaitShare is the share of a query's patience within which it is queued while others have been promised the room.
-const promisedWaitShare = 3
+// promisedWaitDivisor is the share of a query's patience within which it is queued while others have been promised the room.
+const promisedWaitDivisor = 3
 
 // Arrive decides on a query. retryAfter is set if it is rejected. One tenant's flood does not take the room of others: its queries wait
 // behind one another, and what can't be served in time is rejected at once.
@@ -12,19 +12,19 @@
 	isBusy := c.isBusy(q.Work)
 	c.agePromises(t, q, now)
 	if !t.spendRetryToken(q.Retry, c.policy.RetryShare, isBusy) {
-		c.someWaited = true
+		c.queriesWaited = true
 		return Reject, c.reject(t, q, now)
 	}
 	if !isBusy && len(t.queue) == 0 {
 		c.admit(t, q, now)
 		return Admit, 0
 	}
-	c.someWaited = true
+	c.queriesWaited = true
 	patience := time.Duration(c.policy.MaxWaitShare * float64(q.TimeLeft))
 	ahead, heaviest := c.workAhead(t, q, now)
 	wait := c.drainTime(t, ahead, now)
 	othersPromised := !q.Retry && t.promisedUntil > now
-	if othersPromised && wait > patience/promisedWaitShare { // the rest is for those who return when they were told to
+	if othersPromised && wait > patience/promisedWaitDivisor { // the rest is for those who return when they were told to
 		return Reject, c.reject(t, q, now)
 	}
 	isFull := len(t.queue) >= c.policy.MaxQueued
@@ -77,23 +77,23 @@
 	if q.Client == 0 {
 		return t.queuedWork, -1
 	}
-	own := c.clients.Estimate(q.Client, now)
-	maxGiven := 0.0
+	ownWork := c.clients.Estimate(q.Client, now)
+	maxClientWork := 0.0
 	heaviest = -1
 	for i := range t.queue {
-		given := c.given(t.queue[i].Client, now)
-		if given <= own {
+		clientWork := c.recentClientWork(t.queue[i].Client, now)
+		if clientWork <= ownWork {
 			work += t.queue[i].Work
-		} else if given > maxGiven {
-			maxGiven = given
+		} else if clientWork > maxClientWork {
+			maxClientWork = clientWork
 			heaviest = i
 		}
 	}
 	return work, heaviest
 }
 
-// given is the work that a client was lately given; 0 if it has no name.
-func (c *Controller) given(client uint64, now time.Duration) float64 {
+// recentClientWork is the work that a client was lately given; 0 if it has no name.
+func (c *Controller) recentClientWork(client uint64, now time.Duration) float64 {
 	if client == 0 {
 		return 0
 	}
--- a/internal/decision/admission/course_test.go
+++ b/internal/decision/admission/course_test.go
@@ -15,79 +15,79 @@
 
 // In random courses: one outcome a search, what is in hand adds up, nothing waits while there is room, nobody waits beyond
 // its share of time, hints are within their bound.
-func TestRandomCourses(t *testing.T) {
+func TestRandomSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.1, 0.4, 1}), 1, 4).Draw(t, "weights")
 		p := Policy{Weights: weights, MaxWaitShare: 0.25, MaxQueued: 5, MinWork: 4, MaxRetryAfter: time.Second, RetryShare: 0.2, Seed: 3}
-		d, now := NewController(p), time.Duration(0)
-		inside, queued := map[uint64]float64{}, map[uint64]Query{}
-		until := map[uint64]time.Duration{}
-		hintOK := func(h time.Duration) {
+		controller, now := NewController(p), time.Duration(0)
+		inFlight, queued := map[uint64]float64{}, map[uint64]Query{}
+		waitUntil := map[uint64]time.Duration{}
+		checkRetryAfter := func(h time.Duration) {
 			if h < 0 || h > p.MaxRetryAfter {
 				t.Fatalf("hint %v", h)
 			}
 		}
-		look := func() {
-			lets, _ := d.Tick(now, nil)
-			for _, l := range lets {
+		tick := func() {
+			dequeued, _ := controller.Tick(now, nil)
+			for _, l := range dequeued {
 				s, there := queued[l.ID]
 				if !there {
 					t.Fatalf("search %d let twice", l.ID)
 				}
 				delete(queued, l.ID)
 				if l.Admitted {
-					inside[l.ID] = s.Work
+					inFlight[l.ID] = s.Work
 				}
-				hintOK(l.RetryAfter)
+				checkRetryAfter(l.RetryAfter)
 			}
 			sum := 0.0
-			for _, w := range inside {
+			for _, w := range inFlight {
 				sum += w
 			}
-			if math.Abs(sum-d.inFlight) > 1e-6 {
-				t.Fatalf("%v in hand, %v counted", sum, d.inFlight)
+			if math.Abs(sum-controller.inFlight) > 1e-6 {
+				t.Fatalf("%v in hand, %v counted", sum, controller.inFlight)
 			}
-			if len(queued) > 0 && d.inFlight < p.MinWork {
-				t.Fatalf("%d wait while %v is in hand", len(queued), d.inFlight)
+			if len(queued) > 0 && controller.inFlight < p.MinWork {
+				t.Fatalf("%d wait while %v is in hand", len(queued), controller.inFlight)
 			}
 			for id := range queued {
-				if now > until[id] {
+				if now > waitUntil[id] {
 					t.Fatalf("search %d waits beyond its time", id)
 				}
 			}
 		}
 		for id := uint64(1); id < uint64(rapid.IntRange(2, 150).Draw(t, "steps")); id++ {
 			now += time.Duration(rapid.IntRange(0, 80).Draw(t, "ms")) * ms
-			look()
+			tick()
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				s := Query{ID: id, Tenant: rapid.IntRange(0, len(weights)-1).Draw(t, "tenant"), Client: uint64(rapid.IntRange(0, 3).Draw(t, "client")),
 					Work: float64(rapid.IntRange(1, 9).Draw(t, "work")), TimeLeft: time.Duration(rapid.IntRange(1, 2000).Draw(t, "left")) * ms,
 					Retry: rapid.Bool().Draw(t, "repeat")}
-				ruling, hint := d.Arrive(s, now)
-				hintOK(hint)
-				switch ruling {
+				decision, retryAfter := controller.Arrive(s, now)
+				checkRetryAfter(retryAfter)
+				switch decision {
 				case Admit:
-					inside[id] = s.Work
+					inFlight[id] = s.Work
 				case Enqueue:
-					queued[id], until[id] = s, now+time.Duration(0.25*float64(s.TimeLeft))
+					queued[id], waitUntil[id] = s, now+time.Duration(0.25*float64(s.TimeLeft))
 				}
 			case 2:
-				for k, w := range inside {
-					delete(inside, k)
-					d.Complete(Completion{Work: w, Elapsed: time.Duration(rapid.IntRange(1, 500).Draw(t, "took")) * ms, Answered: true}, now)
+				for k, w := range inFlight {
+					delete(inFlight, k)
+					controller.Complete(Completion{Work: w, Elapsed: time.Duration(rapid.IntRange(1, 500).Draw(t, "took")) * ms, Answered: true}, now)
 					break
 				}
 			default:
 				for k, s := range queued {
 					delete(queued, k)
-					if !d.Remove(s.Tenant, k) || d.Remove(s.Tenant, k) {
+					if !controller.Remove(s.Tenant, k) || controller.Remove(s.Tenant, k) {
 						t.Fatalf("search %d not found, or found twice", k)
 					}
 					break
 				}
 			}
-			look()
+			tick()
 		}
 	})
 }
@@ -116,7 +116,7 @@
 	if wrong > 20 {
 		t.Errorf("%d quiet names of 1,000 are taken for a twentieth of the flooder", wrong)
 	}
-	a, b := NewSketch(1).counters(42), NewSketch(2).counters(42)
+	a, b := NewSketch(1).columns(42), NewSketch(2).columns(42)
 	if a == b {
 		t.Error("two brokers hash alike: counters can be aimed at")
 	}
@@ -135,7 +135,7 @@
 }
 
 // The sketch beside a plain map that is emptied of what has decayed, over names without bound.
-func BenchmarkNames(b *testing.B) {
+func BenchmarkClientCounts(b *testing.B) {
 	b.Run("sketch", func(b *testing.B) {
 		s := NewSketch(1)
 		b.ReportAllocs()
--- a/internal/decision/admission/golden_test.go
+++ b/internal/decision/admission/golden_test.go
@@ -19,24 +19,24 @@
 
 // player plays clients and a store whose delay changes at one door.
 type player struct {
-	rnd     *rand.Rand
-	digest  hash.Hash64
-	door    *Controller
-	now     time.Duration
-	nextID  uint64
-	waiting map[uint64]Query
-	order   []uint64 // of waiting
-	inside  []Query
-	since   []time.Duration
-	delay   time.Duration
-	tenants int
+	rnd        *rand.Rand
+	digest     hash.Hash64
+	controller *Controller
+	now        time.Duration
+	nextID     uint64
+	waiting    map[uint64]Query
+	order      []uint64 // of waiting
+	admitted   []Query
+	admittedAt []time.Duration
+	delay      time.Duration
+	tenants    int
 }
 
-func (p *player) span(most time.Duration) time.Duration {
+func (p *player) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(p.rnd.Int64N(int64(most)))
 }
 
-func (p *player) number(values ...float64) {
+func (p *player) digestFloats(values ...float64) {
 	for _, v := range values {
 		fmt.Fprintf(p.digest, "%x ", math.Float64bits(v))
 	}
@@ -49,26 +49,26 @@
 		Tenant:   p.rnd.IntN(p.tenants),
 		Client:   uint64(p.rnd.IntN(6)),
 		Work:     float64(1 + p.rnd.IntN(5)),
-		TimeLeft: p.span(2*time.Second) + time.Millisecond,
+		TimeLeft: p.randomDuration(2*time.Second) + time.Millisecond,
 		Retry:    p.rnd.IntN(5) == 0,
 	}
-	ruling, hint := p.door.Arrive(s, p.now)
-	fmt.Fprintln(p.digest, uint8(ruling), int64(hint))
-	switch ruling {
+	decision, retryAfter := p.controller.Arrive(s, p.now)
+	fmt.Fprintln(p.digest, uint8(decision), int64(retryAfter))
+	switch decision {
 	case Admit:
-		p.enter(s)
+		p.recordAdmitted(s)
 	case Enqueue:
 		p.waiting[s.ID] = s
 		p.order = append(p.order, s.ID)
 	}
 }
 
-func (p *player) enter(s Query) {
-	p.inside = append(p.inside, s)
-	p.since = append(p.since, p.now)
+func (p *player) recordAdmitted(s Query) {
+	p.admitted = append(p.admitted, s)
+	p.admittedAt = append(p.admittedAt, p.now)
 }
 
-func (p *player) leaveQueue(id uint64) {
+func (p *player) removeWaiting(id uint64) {
 	delete(p.waiting, id)
 	for i, o := range p.order {
 		if o == id {
@@ -79,63 +79,63 @@
 }
 
 func (p *player) tick() {
-	lets, next := p.door.Tick(p.now, nil)
-	fmt.Fprintln(p.digest, len(lets), int64(next))
-	for _, l := range lets {
+	dequeued, next := p.controller.Tick(p.now, nil)
+	fmt.Fprintln(p.digest, len(dequeued), int64(next))
+	for _, l := range dequeued {
 		fmt.Fprintln(p.digest, l.ID, l.Admitted, int64(l.RetryAfter))
 		if l.Admitted {
-			p.enter(p.waiting[l.ID])
+			p.recordAdmitted(p.waiting[l.ID])
 		}
-		p.leaveQueue(l.ID)
+		p.removeWaiting(l.ID)
 	}
 }
 
-func (p *player) end() {
-	if len(p.inside) == 0 {
+func (p *player) completeOne() {
+	if len(p.admitted) == 0 {
 		return
 	}
-	i := p.rnd.IntN(len(p.inside))
-	took := p.now - p.since[i]
-	if took < p.delay && p.rnd.IntN(4) > 0 {
+	i := p.rnd.IntN(len(p.admitted))
+	elapsed := p.now - p.admittedAt[i]
+	if elapsed < p.delay && p.rnd.IntN(4) > 0 {
 		return
 	}
-	own := time.Duration(0)
+	ownDelay := time.Duration(0)
 	if p.rnd.IntN(3) == 0 {
-		own = p.span(took + 2)
+		ownDelay = p.randomDuration(elapsed + 2)
 	}
 	answered := p.rnd.IntN(6) > 0
-	p.door.Complete(Completion{Work: p.inside[i].Work, Elapsed: took, OwnDelay: own, Answered: answered, Shed: !answered && p.rnd.IntN(2) == 0}, p.now)
-	p.inside = append(p.inside[:i], p.inside[i+1:]...)
-	p.since = append(p.since[:i], p.since[i+1:]...)
+	p.controller.Complete(Completion{Work: p.admitted[i].Work, Elapsed: elapsed, OwnDelay: ownDelay, Answered: answered, Shed: !answered && p.rnd.IntN(2) == 0}, p.now)
+	p.admitted = append(p.admitted[:i], p.admitted[i+1:]...)
+	p.admittedAt = append(p.admittedAt[:i], p.admittedAt[i+1:]...)
 }
 
 func (p *player) step() {
-	p.now += p.span(15 * time.Millisecond)
+	p.now += p.randomDuration(15 * time.Millisecond)
 	if p.rnd.IntN(200) == 0 {
-		p.now += p.span(8 * time.Second)
+		p.now += p.randomDuration(8 * time.Second)
 	}
 	switch p.rnd.IntN(14) {
 	case 0:
 		p.tick()
 	case 1, 2, 3, 4, 5:
-		p.end()
+		p.completeOne()
 	case 6:
 		if p.rnd.IntN(20) == 0 {
-			p.delay = p.span(300 * time.Millisecond)
+			p.delay = p.randomDuration(300 * time.Millisecond)
 		}
-		p.door.SetLateness(p.span(20 * time.Millisecond))
+		p.controller.SetLateness(p.randomDuration(20 * time.Millisecond))
 	case 7:
 		if len(p.order) > 0 && p.rnd.IntN(3) == 0 {
 			id := p.order[p.rnd.IntN(len(p.order))]
-			fmt.Fprintln(p.digest, p.door.Remove(p.waiting[id].Tenant, id))
-			p.leaveQueue(id)
+			fmt.Fprintln(p.digest, p.controller.Remove(p.waiting[id].Tenant, id))
+			p.removeWaiting(id)
 		}
-		fmt.Fprintln(p.digest, p.door.Remove(0, 1<<40))
+		fmt.Fprintln(p.digest, p.controller.Remove(0, 1<<40))
 	default:
 		p.arrive()
 	}
-	s := p.door.State(p.now)
-	p.number(s.Limit, s.InFlight, s.Rate, s.DelayFactor, float64(s.Baseline))
+	s := p.controller.State(p.now)
+	p.digestFloats(s.Limit, s.InFlight, s.Rate, s.DelayFactor, float64(s.Baseline))
 }
 
 func playSequence(seed uint64) uint64 {
@@ -152,15 +152,15 @@
 	for range tenants {
 		policy.Weights = append(policy.Weights, float64(rnd.IntN(4)))
 	}
-	p := &player{rnd: rnd, digest: fnv.New64a(), door: NewController(policy), now: time.Second, waiting: map[uint64]Query{},
+	p := &player{rnd: rnd, digest: fnv.New64a(), controller: NewController(policy), now: time.Second, waiting: map[uint64]Query{},
 		delay: 20 * time.Millisecond, tenants: tenants}
 	for range 800 {
 		p.step()
 	}
-	s := p.door.State(p.now)
+	s := p.controller.State(p.now)
 	for _, c := range s.Tenants {
 		fmt.Fprintln(p.digest, c.Admitted, c.AdmittedFromQueue, c.Rejected, c.Expired, c.Retries, c.Queued)
-		p.number(c.Work)
+		p.digestFloats(c.Work)
 	}
 	fmt.Fprintln(p.digest, s.TenantsByWork())
 	return p.digest.Sum64()
--- a/internal/decision/admission/limiter.go
+++ b/internal/decision/admission/limiter.go
@@ -39,7 +39,7 @@
 	recentWork      float64 // done, decaying
 	recentWorkAt    time.Duration
 	firstAdmittedAt time.Duration
-	someWaited      bool // in this window
+	queriesWaited   bool // in this window
 }
 
 // window is what was seen in a window.
@@ -163,7 +163,7 @@
 	switch {
 	case hasQueue || onlyShed:
 		d.limit = max(d.minWork, limitDecrease*d.limit)
-	case d.someWaited:
+	case d.queriesWaited:
 		d.limit += max(1, limitIncrease*d.limit)
 	}
 }
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -20,7 +20,7 @@
 // time to wait is over. next is when to call it again.
 func (c *Controller) Tick(now time.Duration, out []Dequeued) (dequeued []Dequeued, next time.Duration) {
 	if c.endWindowIfDue(now) {
-		c.someWaited = slices.ContainsFunc(c.tenants, func(t tenant) bool { return len(t.queue) > 0 })
+		c.queriesWaited = slices.ContainsFunc(c.tenants, func(t tenant) bool { return len(t.queue) > 0 })
 	}
 	out = append(out, c.evicted...)
 	c.evicted = c.evicted[:0]
@@ -83,22 +83,22 @@
 
 // startsBefore orders tenants; those without weight come after all others.
 func (c *Controller) startsBefore(a, b *tenant) bool {
-	aWeighs := a.weight > 0
-	bWeighs := b.weight > 0
-	if aWeighs != bWeighs {
-		return aWeighs
+	aHasWeight := a.weight > 0
+	bHasWeight := b.weight > 0
+	if aHasWeight != bHasWeight {
+		return aHasWeight
 	}
 	return max(a.nextStart, c.virtualTime) < max(b.nextStart, c.virtualTime)
 }
 
 // nextInQueue is the index of the query whose client was given least lately; of one client's the one that came first.
 func (c *Controller) nextInQueue(t *tenant, now time.Duration) (index int) {
-	minGiven := math.Inf(1)
+	minClientWork := math.Inf(1)
 	for i := range t.queue {
-		given := c.given(t.queue[i].Client, now)
-		if given < minGiven {
+		clientWork := c.recentClientWork(t.queue[i].Client, now)
+		if clientWork < minClientWork {
 			index = i
-			minGiven = given
+			minClientWork = clientWork
 		}
 	}
 	return index
--- a/internal/decision/admission/rig_test.go
+++ b/internal/decision/admission/rig_test.go
@@ -9,42 +9,42 @@
 
 const ms = time.Millisecond
 
-// rig is a door before a simulated store of some cores, in virtual time.
-type rig struct {
+// simulation is a door before a simulated store of some cores, in virtual time.
+type simulation struct {
 	*Controller
-	now    time.Duration
-	cores  []time.Duration
-	mean   time.Duration
-	rnd    *rand.Rand
-	events events
-	seq    int
-	by     map[uint64]*job
-	next   uint64
-	tick   time.Duration
-	lag    time.Duration // the broker takes a turn each so often only; 0: whenever something happens
-	unseen time.Duration // answers wait for a core by up to so much before anybody notes when they came
-	blind  bool          // and does not know how late it was
+	now               time.Duration
+	cores             []time.Duration
+	meanServiceTime   time.Duration
+	rnd               *rand.Rand
+	events            events
+	seq               int
+	jobs              map[uint64]*job
+	lastID            uint64
+	nextTick          time.Duration
+	turnInterval      time.Duration // the broker takes a turn each so often only; 0: whenever something happens
+	maxUnseenDelay    time.Duration // answers wait for a core by up to so much before anybody notes when they came
+	ignoreBrokerDelay bool          // and does not know how late it was
 }
 
-// turn is when the broker gets round to what happens at a moment.
-func (r *rig) turn(when time.Duration) time.Duration {
-	if r.lag == 0 {
+// turnAt is when the broker gets round to what happens at a moment.
+func (r *simulation) turnAt(when time.Duration) time.Duration {
+	if r.turnInterval == 0 {
 		return when
 	}
-	return (when + r.lag - 1) / r.lag * r.lag
+	return (when + r.turnInterval - 1) / r.turnInterval * r.turnInterval
 }
 
 type job struct {
 	Query
-	due  time.Duration
-	came time.Duration
-	end  func(how string, hint time.Duration)
+	deadline  time.Duration
+	arrivedAt time.Duration
+	onEnd     func(how string, hint time.Duration)
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at     time.Duration
+	seq    int
+	action func()
 }
 
 type events []event
@@ -61,136 +61,136 @@
 	return x
 }
 
-func newRig(cores int, mean time.Duration, weights ...float64) *rig {
-	return &rig{Controller: NewController(Policy{Weights: weights, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 4, MaxRetryAfter: 4 * time.Second,
-		RetryShare: 0.2, Seed: 5}), cores: make([]time.Duration, cores), mean: mean, rnd: rand.New(rand.NewPCG(1, 2)), by: map[uint64]*job{},
-		tick: math.MaxInt64}
+func newSimulation(cores int, mean time.Duration, weights ...float64) *simulation {
+	return &simulation{Controller: NewController(Policy{Weights: weights, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 4, MaxRetryAfter: 4 * time.Second,
+		RetryShare: 0.2, Seed: 5}), cores: make([]time.Duration, cores), meanServiceTime: mean, rnd: rand.New(rand.NewPCG(1, 2)), jobs: map[uint64]*job{},
+		nextTick: math.MaxInt64}
 }
 
-func (r *rig) at(when time.Duration, do func()) {
+func (r *simulation) schedule(when time.Duration, action func()) {
 	r.seq++
-	heap.Push(&r.events, event{max(when, r.now), r.seq, do})
+	heap.Push(&r.events, event{max(when, r.now), r.seq, action})
 }
 
-func (r *rig) run(until time.Duration) {
+func (r *simulation) run(until time.Duration) {
 	for len(r.events) > 0 && r.events[0].at <= until {
 		e := heap.Pop(&r.events).(event)
 		r.now = e.at
-		e.do()
+		e.action()
 	}
 	r.now = until
 }
 
-// ask brings a search; end hears of it once.
-func (r *rig) ask(s Query, end func(how string, hint time.Duration)) {
-	r.next++
-	s.ID = r.next
-	j := &job{s, r.now + s.TimeLeft, r.now, end}
-	r.by[s.ID] = j
-	if r.lag == 0 {
-		r.rule(j)
+// submit brings a search; end hears of it once.
+func (r *simulation) submit(s Query, onEnd func(how string, hint time.Duration)) {
+	r.lastID++
+	s.ID = r.lastID
+	j := &job{s, r.now + s.TimeLeft, r.now, onEnd}
+	r.jobs[s.ID] = j
+	if r.turnInterval == 0 {
+		r.arrive(j)
 	} else {
-		r.at(r.turn(r.now), func() { r.rule(j) })
+		r.schedule(r.turnAt(r.now), func() { r.arrive(j) })
 	}
 }
 
-// rule has the door rule on a search.
-func (r *rig) rule(j *job) {
-	j.TimeLeft = j.due - r.now
-	ruling, hint := r.Arrive(j.Query, r.now)
-	switch ruling {
+// arrive has the door rule on a search.
+func (r *simulation) arrive(j *job) {
+	j.TimeLeft = j.deadline - r.now
+	decision, retryAfter := r.Arrive(j.Query, r.now)
+	switch decision {
 	case Admit:
 		r.serve(j)
 	case Reject:
-		r.done(j, "turned", hint)
+		r.finish(j, "turned", retryAfter)
 	case Enqueue:
-		r.look()
+		r.runTick()
 	}
 }
 
-func (r *rig) done(j *job, how string, hint time.Duration) {
-	if r.by[j.ID] == nil {
+func (r *simulation) finish(j *job, outcome string, retryAfter time.Duration) {
+	if r.jobs[j.ID] == nil {
 		panic("a search ended twice")
 	}
-	delete(r.by, j.ID)
-	j.end(how, hint)
+	delete(r.jobs, j.ID)
+	j.onEnd(outcome, retryAfter)
 }
 
 // serve has the store work on a search, part after part on whatever core is free first.
-func (r *rig) serve(j *job) {
-	begun, last := r.now, r.now
+func (r *simulation) serve(j *job) {
+	admittedAt, answeredAt := r.now, r.now
 	for range int(j.Work) {
-		best := 0
+		core := 0
 		for i := range r.cores {
-			if r.cores[i] < r.cores[best] {
-				best = i
+			if r.cores[i] < r.cores[core] {
+				core = i
 			}
 		}
-		r.cores[best] = max(r.now, r.cores[best]) + time.Duration((0.5+0.5*r.rnd.ExpFloat64())*float64(r.mean))
-		last = max(last, r.cores[best])
+		r.cores[core] = max(r.now, r.cores[core]) + time.Duration((0.5+0.5*r.rnd.ExpFloat64())*float64(r.meanServiceTime))
+		answeredAt = max(answeredAt, r.cores[core])
 	}
-	if r.unseen > 0 {
-		last += time.Duration(r.rnd.Float64() * float64(r.unseen))
+	if r.maxUnseenDelay > 0 {
+		answeredAt += time.Duration(r.rnd.Float64() * float64(r.maxUnseenDelay))
 	}
-	r.at(r.turn(last), func() {
-		own := r.now - last
-		if r.blind {
-			own = 0
+	r.schedule(r.turnAt(answeredAt), func() {
+		ownDelay := r.now - answeredAt
+		if r.ignoreBrokerDelay {
+			ownDelay = 0
 		}
-		r.Complete(Completion{j.Work, r.now - begun, own, r.now <= j.due, r.now > j.due}, r.now)
-		how := "late"
-		if r.now <= j.due {
-			how = "answered"
+		r.Complete(Completion{j.Work, r.now - admittedAt, ownDelay, r.now <= j.deadline, r.now > j.deadline}, r.now)
+		outcome := "late"
+		if r.now <= j.deadline {
+			outcome = "answered"
 		}
-		r.done(j, how, 0)
-		r.look()
+		r.finish(j, outcome, 0)
+		r.runTick()
 	})
 }
 
-func (r *rig) look() {
-	lets, next := r.Tick(r.now, nil)
-	for _, l := range lets {
-		if j := r.by[l.ID]; l.Admitted {
+func (r *simulation) runTick() {
+	dequeued, next := r.Tick(r.now, nil)
+	for _, l := range dequeued {
+		if j := r.jobs[l.ID]; l.Admitted {
 			r.serve(j)
 		} else {
-			r.done(j, "turned", l.RetryAfter)
+			r.finish(j, "turned", l.RetryAfter)
 		}
 	}
-	if next < time.Hour && (r.tick <= r.now || next < r.tick) {
-		r.tick = next
-		r.tick = r.turn(next)
-		r.at(r.tick, func() {
-			if r.tick == r.now {
-				r.look()
+	if next < time.Hour && (r.nextTick <= r.now || next < r.nextTick) {
+		r.nextTick = next
+		r.nextTick = r.turnAt(next)
+		r.schedule(r.nextTick, func() {
+			if r.nextTick == r.now {
+				r.runTick()
 			}
 		})
 	}
 }
 
 // tally counts ends by tenant.
-type tally struct{ asked, answered, turned, late int }
+type tally struct{ submitted, answered, rejected, late int }
 
-// flow has a tenant ask at a rate; obeys is whether those turned away come back when told.
-func (r *rig) flow(tenant int, rate, work float64, from, to time.Duration, client func() uint64, t *tally) {
+// addLoad has a tenant ask at a rate; obeys is whether those turned away come back when told.
+func (r *simulation) addLoad(tenant int, rate, work float64, from, to time.Duration, client func() uint64, t *tally) {
 	var next func()
 	next = func() {
 		if r.now >= to {
 			return
 		}
-		t.asked++
-		r.ask(Query{Tenant: tenant, Client: client(), Work: work, TimeLeft: 2 * time.Second}, func(how string, _ time.Duration) {
-			switch how {
+		t.submitted++
+		r.submit(Query{Tenant: tenant, Client: client(), Work: work, TimeLeft: 2 * time.Second}, func(outcome string, _ time.Duration) {
+			switch outcome {
 			case "answered":
 				t.answered++
 			case "turned":
-				t.turned++
+				t.rejected++
 			default:
 				t.late++
 			}
 		})
-		r.at(r.now+time.Duration(r.rnd.ExpFloat64()/rate*float64(time.Second)), next)
+		r.schedule(r.now+time.Duration(r.rnd.ExpFloat64()/rate*float64(time.Second)), next)
 	}
-	r.at(from, next)
+	r.schedule(from, next)
 }
 
-func nobody() uint64 { return 0 }
+func noClient() uint64 { return 0 }
--- a/internal/decision/admission/sketch.go
+++ b/internal/decision/admission/sketch.go
@@ -39,14 +39,14 @@
 	return x ^ x>>31
 }
 
-// counters returns the index of a client's counter in each row.
-func (s *Sketch) counters(name uint64) (at [sketchRows]int) {
-	first := mix(name ^ s.key[0])
-	step := mix(name^s.key[1]) | 1
-	for i := range at {
-		at[i] = int((first + uint64(i)*step) >> 20 & (sketchWidth - 1))
+// columns returns the index of a client's counter in each row.
+func (s *Sketch) columns(client uint64) (columns [sketchRows]int) {
+	first := mix(client ^ s.key[0])
+	step := mix(client^s.key[1]) | 1
+	for i := range columns {
+		columns[i] = int((first + uint64(i)*step) >> 20 & (sketchWidth - 1))
 	}
-	return at
+	return columns
 }
 
 // advance lets time pass: later units weigh more. Now and then all counters are brought back to size.
@@ -65,25 +65,25 @@
 }
 
 // Add counts work given to a client.
-func (s *Sketch) Add(name uint64, amount float64, now time.Duration) {
+func (s *Sketch) Add(client uint64, work float64, now time.Duration) {
 	s.advance(now)
-	at := s.counters(name)
-	count := s.minCount(at) + float32(amount*s.scale)
-	for i, j := range at {
+	columns := s.columns(client)
+	count := s.minCount(columns) + float32(work*s.scale)
+	for i, j := range columns {
 		s.counts[i][j] = max(s.counts[i][j], count)
 	}
 }
 
-func (s *Sketch) minCount(at [sketchRows]int) float32 {
-	lowest := s.counts[0][at[0]]
-	for i, j := range at[1:] {
+func (s *Sketch) minCount(columns [sketchRows]int) float32 {
+	lowest := s.counts[0][columns[0]]
+	for i, j := range columns[1:] {
 		lowest = min(lowest, s.counts[i+1][j])
 	}
 	return lowest
 }
 
 // Estimate returns the work that a client was given lately, in units of now.
-func (s *Sketch) Estimate(name uint64, now time.Duration) float64 {
+func (s *Sketch) Estimate(client uint64, now time.Duration) float64 {
 	s.advance(now)
-	return float64(s.minCount(s.counters(name))) / s.scale
+	return float64(s.minCount(s.columns(client))) / s.scale
 }
--- a/internal/decision/forwarding/choices_test.go
+++ b/internal/decision/forwarding/choices_test.go
@@ -15,16 +15,16 @@
 
 // choices lists what may happen, always in the same order.
 func (m *model) choices() (all []choice) {
-	add := func(name string, if_ bool, do func()) {
-		if if_ {
+	add := func(name string, enabled bool, do func()) {
+		if enabled {
 			all = append(all, choice{name, func() { do(); m.executeActions() }})
 		}
 	}
 	add("offer", !m.offered && m.up, func() {
 		m.offered = true
-		q := Query{ID: queryID, Idempotency: m.effect, IdempotencyWindow: 300 * time.Millisecond, Deadline: m.now + time.Second}
+		q := Query{ID: queryID, Idempotency: m.idempotency, IdempotencyWindow: 300 * time.Millisecond, Deadline: m.now + time.Second}
 		if !m.forwarder.Offer(q, m.now) {
-			m.fault("not forwarded")
+			m.recordViolation("not forwarded")
 		}
 	})
 	add("connect", !m.up && m.newestLink < 3, func() {
@@ -45,7 +45,7 @@
 		m.up = false
 		var unsent []uint64
 		for _, o := range m.outbox {
-			if o.what == "ask" {
+			if o.kind == "ask" {
 				unsent = append(unsent, queryID)
 			}
 		}
@@ -58,7 +58,7 @@
 	add("the receiving side sees a cut", m.receiverLink > 0 && (!m.up || m.receiverLink < m.newestLink), func() {
 		m.receiverLink = 0
 		if m.receiver.CancelledByLinkLoss(Key{m.origin(), queryID}) && m.remoteInFlight {
-			m.endRemote(msg{what: "failed"})
+			m.endRemote(msg{kind: "failed"})
 		}
 	})
 	for conn := uint64(1); conn <= m.newestLink; conn++ {
@@ -67,7 +67,7 @@
 			m.toReceiver[conn] = m.toReceiver[conn][1:]
 			m.deliver(conn, in, false)
 		})
-		queryNext := len(m.toReceiver[conn]) > 0 && conn > m.lastEndedLink && m.toReceiver[conn][0].what == "ask"
+		queryNext := len(m.toReceiver[conn]) > 0 && conn > m.lastEndedLink && m.toReceiver[conn][0].kind == "ask"
 		add(fmt.Sprintf("the receiving side reads link %d and is full", conn), queryNext, func() {
 			in := m.toReceiver[conn][0]
 			m.toReceiver[conn] = m.toReceiver[conn][1:]
@@ -80,17 +80,17 @@
 	add("the forwarding side reads", m.up && len(m.toForwarder) > 0, func() {
 		in := m.toForwarder[0]
 		m.toForwarder = m.toForwarder[1:]
-		how := map[string]Outcome{"answered": Answered, "rejected": Rejected, "failed": Failed}[in.what]
-		if m.forwarder.HandleResult(0, queryID, how, m.now) {
-			m.end(in.what)
+		outcome := map[string]Outcome{"answered": Answered, "rejected": Rejected, "failed": Failed}[in.kind]
+		if m.forwarder.HandleResult(0, queryID, outcome, m.now) {
+			m.recordResult(in.kind)
 		}
 	})
-	once := m.effect == decision.NonIdempotent
-	add("a remote node runs it", m.remoteInFlight && m.ran < 3 && !(once && m.ranThere), func() { m.ranThere = true; m.run() })
-	add("the remote router answers", m.remoteInFlight && m.ranThere, func() { m.endRemote(msg{what: "answered"}) })
-	add("the remote router fails it", m.remoteInFlight, func() { m.endRemote(msg{what: "failed"}) })
-	add("the remote router sheds it", m.remoteInFlight && (!m.ranThere || m.effect == decision.Idempotent), func() {
-		m.endRemote(msg{what: "rejected"})
+	once := m.idempotency == decision.NonIdempotent
+	add("a remote node runs it", m.remoteInFlight && m.runCount < 3 && !(once && m.ranRemotely), func() { m.ranRemotely = true; m.run() })
+	add("the remote router answers", m.remoteInFlight && m.ranRemotely, func() { m.endRemote(msg{kind: "answered"}) })
+	add("the remote router fails it", m.remoteInFlight, func() { m.endRemote(msg{kind: "failed"}) })
+	add("the remote router sheds it", m.remoteInFlight && (!m.ranRemotely || m.idempotency == decision.Idempotent), func() {
+		m.endRemote(msg{kind: "rejected"})
 	})
 	add("the receiving process is killed", m.kills < 1, func() {
 		m.kills++
@@ -98,22 +98,22 @@
 		m.receiver, m.remoteInFlight, m.keptResult, m.receiverLink = NewReceiver(modelPolicy), false, nil, 0
 		m.toReceiver, m.toForwarder, m.lastEndedLink = map[uint64][]msg{}, nil, m.newestLink
 	})
-	add("an own node runs it", m.returned && m.ran < 3 && !(once && m.ranHere), func() { m.ranHere = true; m.run() })
-	add("the own router answers", m.returned && m.ranHere, func() { m.returned = false; m.end("answered") })
-	add("the own router fails it", m.returned, func() { m.returned = false; m.end("failed") })
-	add("the own router sheds it", m.returned && (!m.ranHere || m.effect == decision.Idempotent), func() {
+	add("an own node runs it", m.returned && m.runCount < 3 && !(once && m.ranLocally), func() { m.ranLocally = true; m.run() })
+	add("the own router answers", m.returned && m.ranLocally, func() { m.returned = false; m.recordResult("answered") })
+	add("the own router fails it", m.returned, func() { m.returned = false; m.recordResult("failed") })
+	add("the own router sheds it", m.returned && (!m.ranLocally || m.idempotency == decision.Idempotent), func() {
 		m.returned = false
-		if m.mayHaveRun && m.effect != decision.Idempotent {
-			m.end("failed")
+		if m.mayHaveRun && m.idempotency != decision.Idempotent {
+			m.recordResult("failed")
 		} else {
-			m.end("shed")
+			m.recordResult("shed")
 		}
 	})
-	add("the client goes", m.offered && m.finals == 0 && !m.clientLeft && !m.returned, func() {
+	add("the client goes", m.offered && m.resultCount == 0 && !m.clientLeft && !m.returned, func() {
 		m.clientLeft = true
 		m.forwarder.Abandon(queryID)
 	})
-	add("time passes", m.offered && m.finals == 0 && m.now < 2*time.Second, func() {
+	add("time passes", m.offered && m.resultCount == 0 && m.now < 2*time.Second, func() {
 		next := m.forwarder.Tick(m.now)
 		if next > time.Hour {
 			next = m.now + 250*time.Millisecond
@@ -121,8 +121,8 @@
 		m.now = next
 		m.forwarder.Tick(m.now)
 		late := m.now >= time.Second+m.forwarder.policy.AnswerReserve
-		if late && !m.returned && !m.clientLeft && m.finals == 0 && len(m.forwarder.DrainActions()) == 0 {
-			m.fault("rule 1: no answer at %v", m.now)
+		if late && !m.returned && !m.clientLeft && m.resultCount == 0 && len(m.forwarder.DrainActions()) == 0 {
+			m.recordViolation("rule 1: no answer at %v", m.now)
 		}
 	})
 	return all
--- a/internal/decision/forwarding/deadlines.go
+++ b/internal/decision/forwarding/deadlines.go
@@ -34,7 +34,7 @@
 // timeOut ends a query while there is time to answer its client.
 func (f *Forwarder) timeOut(q *forwardedQuery, now time.Duration) {
 	f.Counters.TimedOut++
-	f.cancelThere(q)
+	f.cancelRemote(q)
 	if q.Idempotency == decision.Idempotent && now < q.Deadline {
 		f.finish(q, Action{Kind: Shed})
 	} else {
--- a/internal/decision/forwarding/golden_test.go
+++ b/internal/decision/forwarding/golden_test.go
@@ -29,14 +29,14 @@
 		RemoteShare:      0.5,
 		MaxRemembered:    14,
 	}
-	p := &player{rnd: rand.New(rand.NewPCG(seed, 22)), digest: fnv.New64a(), now: time.Second, where: map[uint64]LinkIndex{},
-		course: course(seed) % courses}
+	p := &player{rnd: rand.New(rand.NewPCG(seed, 22)), digest: fnv.New64a(), now: time.Second, links: map[uint64]LinkIndex{},
+		profile: profile(seed) % profileCount}
 	p.forwarder = NewForwarder(settings, []string{"far0", "far1", "far2"})
 	p.receiver = NewReceiver(settings)
 	for range 500 {
-		p.now += p.span(40 * time.Millisecond)
+		p.now += p.randomDuration(40 * time.Millisecond)
 		if p.chance(80) {
-			p.now += p.span(3 * time.Second)
+			p.now += p.randomDuration(3 * time.Second)
 		}
 		if p.chance(2) {
 			p.forwarderStep()
--- a/internal/decision/forwarding/model_test.go
+++ b/internal/decision/forwarding/model_test.go
@@ -16,7 +16,7 @@
 // model is one state. It is made anew by replaying the choices that lead to it, as the real code can't be copied.
 type model struct {
 	variant        string
-	effect         decision.Idempotency
+	idempotency    decision.Idempotency
 	forwarder      *Forwarder
 	receiver       *Receiver
 	now            time.Duration
@@ -33,20 +33,20 @@
 	returned       bool   // it is in the own router's hands
 	offered        bool
 	clientLeft     bool // the client went away
-	final          string
-	finals         int
-	ran            int
-	wrong          string
+	result         string
+	resultCount    int
+	runCount       int
+	violation      string
 	mayHaveRun     bool // so the forwarding side says: it may have run, and must not be shed
-	ranHere        bool // one module sends a part that must not run twice once
-	ranThere       bool
+	ranLocally     bool // one module sends a part that must not run twice once
+	ranRemotely    bool
 	cuts           int
 	kills          int
 }
 
 type msg struct {
-	what  string // ask, cancel, answered, rejected, failed
-	again bool
+	kind  string // ask, cancel, answered, rejected, failed
+	retry bool
 }
 
 const queryID = 7
@@ -62,42 +62,42 @@
 	MaxRemembered:    4,
 }
 
-func newModel(variant string, effect decision.Idempotency) *model {
-	m := &model{variant: variant, effect: effect, forwarder: NewForwarder(modelPolicy, []string{"remote"}), receiver: NewReceiver(modelPolicy),
+func newModel(variant string, idempotency decision.Idempotency) *model {
+	m := &model{variant: variant, idempotency: idempotency, forwarder: NewForwarder(modelPolicy, []string{"remote"}), receiver: NewReceiver(modelPolicy),
 		epoch: 1, toReceiver: map[uint64][]msg{}}
 	return m
 }
 
-func (m *model) fault(format string, args ...any) {
-	if m.wrong == "" {
-		m.wrong = fmt.Sprintf(format, args...)
+func (m *model) recordViolation(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
 // run is an effect at some node, here or there.
 func (m *model) run() {
-	m.ran++
-	if m.effect == decision.NonIdempotent && m.ran > 1 {
-		m.fault("rule 2: it has run %d times", m.ran)
+	m.runCount++
+	if m.idempotency == decision.NonIdempotent && m.runCount > 1 {
+		m.recordViolation("rule 2: it has run %d times", m.runCount)
 	}
-	if m.effect == decision.NonIdempotent && m.final == "shed" {
-		m.fault("rule 2: it was shed, and has run")
+	if m.idempotency == decision.NonIdempotent && m.result == "shed" {
+		m.recordViolation("rule 2: it was shed, and has run")
 	}
 }
 
-func (m *model) end(how string) {
+func (m *model) recordResult(result string) {
 	if m.clientLeft {
 		return
 	}
-	if m.finals++; m.finals > 1 {
-		m.fault("rule 1: %s after %s", how, m.final)
+	if m.resultCount++; m.resultCount > 1 {
+		m.recordViolation("rule 1: %s after %s", result, m.result)
 	}
-	m.final = how
-	if how == "shed" && m.effect != decision.Idempotent && m.ran > 0 {
-		m.fault("rule 2: shed, though it has run")
+	m.result = result
+	if result == "shed" && m.idempotency != decision.Idempotent && m.runCount > 0 {
+		m.recordViolation("rule 2: shed, though it has run")
 	}
-	if how == "answered" && m.ran == 0 {
-		m.fault("rule 5: answered, though nothing has run")
+	if result == "answered" && m.runCount == 0 {
+		m.recordViolation("rule 5: answered, though nothing has run")
 	}
 }
 
@@ -112,9 +112,9 @@
 		case Resubmit:
 			m.returned, m.mayHaveRun = true, a.MayHaveRun
 		case Shed:
-			m.end("shed")
+			m.recordResult("shed")
 		case Fail:
-			m.end("failed")
+			m.recordResult("failed")
 		}
 	}
 }
@@ -140,9 +140,9 @@
 // deliver is a message that the receiving side reads from some link.
 func (m *model) deliver(conn uint64, in msg, full bool) {
 	k := Key{m.origin(), queryID}
-	if in.what == "cancel" {
+	if in.kind == "cancel" {
 		if m.receiver.Cancel(k) && m.remoteInFlight {
-			m.endRemote(msg{what: "failed"})
+			m.endRemote(msg{kind: "failed"})
 		}
 		return
 	}
@@ -154,14 +154,14 @@
 	} else {
 		m.receiver.lastShedAt = 0
 	}
-	switch m.receiver.HandleQuery(RemoteQuery{k, conn, m.effect, 1, time.Second}, Load{Capacity: 100}, m.now) {
+	switch m.receiver.HandleQuery(RemoteQuery{k, conn, m.idempotency, 1, time.Second}, Load{Capacity: 100}, m.now) {
 	case Admit:
 		if m.remoteInFlight {
-			m.fault("rule 2: it is run a second time while it runs")
+			m.recordViolation("rule 2: it is run a second time while it runs")
 		}
-		m.remoteInFlight, m.ranThere = true, false
+		m.remoteInFlight, m.ranRemotely = true, false
 	case Reject:
-		m.sendResult(msg{what: "rejected"})
+		m.sendResult(msg{kind: "rejected"})
 	case AlreadyEnded:
 		if m.keptResult != nil {
 			m.sendResult(*m.keptResult)
@@ -172,8 +172,8 @@
 func (m *model) String() string {
 	var b strings.Builder
 	fmt.Fprint(&b, m.now, m.epoch, m.newestLink, m.up, m.outbox, m.toReceiver, m.toForwarder, m.receiverLink, m.lastEndedLink,
-		m.remoteInFlight, m.returned, m.mayHaveRun, m.offered, m.clientLeft, m.final,
-		m.ran, m.ranHere, m.ranThere, m.cuts, m.kills)
+		m.remoteInFlight, m.returned, m.mayHaveRun, m.offered, m.clientLeft, m.result,
+		m.runCount, m.ranLocally, m.ranRemotely, m.cuts, m.kills)
 	if m.keptResult != nil {
 		fmt.Fprint(&b, *m.keptResult)
 	}
@@ -188,20 +188,20 @@
 }
 
 // explore tries everything to a depth and returns the states met and the first fault with the way to it.
-func explore(variant string, effect decision.Idempotency, depth int) (states int, wrong string) {
+func explore(variant string, idempotency decision.Idempotency, depth int) (states int, violation string) {
 	seen := map[string]bool{}
 	paths := [][]byte{{}}
 	for range depth {
 		var next [][]byte
 		for _, path := range paths {
-			m, names := newModel(variant, effect), []string{}
+			m, names := newModel(variant, idempotency), []string{}
 			for _, c := range path {
 				all := m.choices()
 				names = append(names, all[c].name)
 				all[c].do()
 			}
-			if m.wrong != "" {
-				return len(seen), m.wrong + ": " + strings.Join(names, ", ")
+			if m.violation != "" {
+				return len(seen), m.violation + ": " + strings.Join(names, ", ")
 			}
 			if key := m.String(); seen[key] {
 				continue
@@ -226,22 +226,22 @@
 
 // Whatever a link, two processes and time do to one forwarded query, the rules hold.
 func TestModel(t *testing.T) {
-	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.IdempotencyKeyed, decision.NonIdempotent} {
-		states, wrong := explore("", effect, modelDepth())
-		if wrong != "" {
-			t.Errorf("effect %d: %s", effect, wrong)
+	for _, idempotency := range []decision.Idempotency{decision.Idempotent, decision.IdempotencyKeyed, decision.NonIdempotent} {
+		states, violation := explore("", idempotency, modelDepth())
+		if violation != "" {
+			t.Errorf("effect %d: %s", idempotency, violation)
 		}
-		t.Logf("effect %d: %d states to depth %d", effect, states, modelDepth())
+		t.Logf("effect %d: %d states to depth %d", idempotency, states, modelDepth())
 	}
 }
 
 // The model finds what is broken on purpose.
 func TestModelFindsBrokenVariants(t *testing.T) {
 	for _, variant := range []string{"a receiving side that forgets", "old links are not ignored", "all lost is taken for unsent"} {
-		states, wrong := explore(variant, decision.NonIdempotent, 13)
-		if wrong == "" {
+		states, violation := explore(variant, decision.NonIdempotent, 13)
+		if violation == "" {
 			t.Errorf("%s: not found in %d states", variant, states)
 		}
-		t.Logf("%s: %s (%d states)", variant, wrong, states)
+		t.Logf("%s: %s (%d states)", variant, violation, states)
 	}
 }
--- a/internal/decision/forwarding/results.go
+++ b/internal/decision/forwarding/results.go
@@ -148,12 +148,12 @@
 	if q == nil {
 		return
 	}
-	f.cancelThere(q)
+	f.cancelRemote(q)
 	f.forget(q)
 }
 
-// cancelThere tells the other site that nobody waits for a query.
-func (f *Forwarder) cancelThere(q *forwardedQuery) {
+// cancelRemote tells the other site that nobody waits for a query.
+func (f *Forwarder) cancelRemote(q *forwardedQuery) {
 	if q.state == inFlight && f.links[q.link].up {
 		f.addAction(Action{Kind: Cancel, ID: q.ID, Link: q.link})
 	}
--- a/internal/decision/gossip/golden_test.go
+++ b/internal/decision/gossip/golden_test.go
@@ -20,30 +20,30 @@
 func playSequence(seed uint64) uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	digest := fnv.New64a()
-	b := NewUpdateFilter(uint32(rnd.IntN(2)))
+	filter := NewUpdateFilter(uint32(rnd.IntN(2)))
 	someNode := func() decision.NodeID { return decision.NodeID{Addr: [4]byte{1}, Port: uint16(rnd.IntN(90))} }
 	for range 400 {
-		w := EndpointUpdate{uint64(rnd.IntN(40)), uint32(rnd.IntN(2)), someNode(), decision.EndpointState(rnd.IntN(3)), int64(rnd.IntN(5))}
-		data := w.AppendTo(nil)
+		update := EndpointUpdate{uint64(rnd.IntN(40)), uint32(rnd.IntN(2)), someNode(), decision.EndpointState(rnd.IntN(3)), int64(rnd.IntN(5))}
+		data := update.AppendTo(nil)
 		digest.Write(data)
 		data[rnd.IntN(len(data))] ^= byte(1 << rnd.IntN(8))
-		back, ok := Decode(data[:len(data)-rnd.IntN(2)])
-		fmt.Fprintln(digest, back.ListVersion, back.DiscoveryID, back.Node, uint8(back.State), back.StartedAtMS, ok)
+		decoded, ok := Decode(data[:len(data)-rnd.IntN(2)])
+		fmt.Fprintln(digest, decoded.ListVersion, decoded.DiscoveryID, decoded.Node, uint8(decoded.State), decoded.StartedAtMS, ok)
 		switch rnd.IntN(8) {
 		case 0, 1, 2:
-			fmt.Fprintln(digest, b.RecordLocal(w, rnd.IntN(3) == 0))
+			fmt.Fprintln(digest, filter.RecordLocal(update, rnd.IntN(3) == 0))
 		case 3:
 			if rnd.IntN(5) == 0 {
-				b.Forget(uint64(rnd.IntN(40)), func(id decision.NodeID) bool { return id.Port < 30 })
+				filter.Forget(uint64(rnd.IntN(40)), func(id decision.NodeID) bool { return id.Port < 30 })
 			}
 		default:
-			fmt.Fprintln(digest, b.Accept(w, rnd.IntN(5) > 0, decision.EndpointState(rnd.IntN(3)), int64(rnd.IntN(5))))
+			fmt.Fprintln(digest, filter.Accept(update, rnd.IntN(5) > 0, decision.EndpointState(rnd.IntN(3)), int64(rnd.IntN(5))))
 		}
-		for _, l := range b.RecentlyRemoved() {
+		for _, l := range filter.RecentlyRemoved() {
 			digest.Write(l.AppendTo(nil))
 		}
 	}
-	fmt.Fprintln(digest, b.Counts.Sent, b.Counts.Accepted, b.Counts.Ignored)
+	fmt.Fprintln(digest, filter.Counts.Sent, filter.Counts.Accepted, filter.Counts.Ignored)
 	return digest.Sum64()
 }
 
--- a/internal/decision/gossip/gossip_test.go
+++ b/internal/decision/gossip/gossip_test.go
@@ -11,7 +11,7 @@
 // Which updates of other brokers count, and which do not.
 func TestAccept(t *testing.T) {
 	for name, c := range map[string]struct {
-		w       EndpointUpdate
+		update  EndpointUpdate
 		known   bool
 		state   decision.EndpointState
 		started int64
@@ -27,9 +27,9 @@
 		"another discovery":   {EndpointUpdate{6, 2, node(1), decision.Draining, 0}, true, decision.Ready, 0, false},
 		"a node never listed": {EndpointUpdate{6, 1, node(2), decision.Draining, 0}, false, decision.Ready, 0, false},
 	} {
-		b := NewUpdateFilter(1)
-		b.RecordLocal(EndpointUpdate{5, 1, node(1), decision.Ready, 0}, true)
-		if got := b.Accept(c.w, c.known, c.state, c.started); got != c.want {
+		filter := NewUpdateFilter(1)
+		filter.RecordLocal(EndpointUpdate{5, 1, node(1), decision.Ready, 0}, true)
+		if got := filter.Accept(c.update, c.known, c.state, c.started); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -37,22 +37,22 @@
 
 // What is remembered is bounded, and what was encoded reads back.
 func TestBounds(t *testing.T) {
-	b := NewUpdateFilter(1)
+	filter := NewUpdateFilter(1)
 	for i := range uint16(200) {
-		w := EndpointUpdate{uint64(i) + 1, 1, node(i), decision.Removed, int64(i)}
-		if !b.RecordLocal(w, false) || b.RecordLocal(w, false) || b.RecordLocal(w, true) {
+		update := EndpointUpdate{uint64(i) + 1, 1, node(i), decision.Removed, int64(i)}
+		if !filter.RecordLocal(update, false) || filter.RecordLocal(update, false) || filter.RecordLocal(update, true) {
 			t.Fatal("a change is told on once, a whole list never")
 		}
-		if back, ok := Decode(w.AppendTo(nil)); !ok || back != w {
-			t.Fatalf("%+v, %v", back, ok)
+		if decoded, ok := Decode(update.AppendTo(nil)); !ok || decoded != update {
+			t.Fatalf("%+v, %v", decoded, ok)
 		}
 	}
-	if len(b.RecentlyRemoved()) != maxRemoved || b.RecentlyRemoved()[maxRemoved-1].Node != node(199) {
-		t.Errorf("%d nodes that left", len(b.RecentlyRemoved()))
+	if len(filter.RecentlyRemoved()) != maxRemoved || filter.RecentlyRemoved()[maxRemoved-1].Node != node(199) {
+		t.Errorf("%d nodes that left", len(filter.RecentlyRemoved()))
 	}
-	b.Forget(101, func(id decision.NodeID) bool { return id.Port < 50 })
-	if len(b.versions) != 150 {
-		t.Errorf("%d nodes remembered", len(b.versions))
+	filter.Forget(101, func(id decision.NodeID) bool { return id.Port < 50 })
+	if len(filter.versions) != 150 {
+		t.Errorf("%d nodes remembered", len(filter.versions))
 	}
 	for _, bad := range [][]byte{nil, make([]byte, 26), append(make([]byte, 18), 9, 0, 0, 0, 0, 0, 0, 0, 0), append(make([]byte, 18), 0, 255, 0, 0, 0, 0, 0, 0, 0)} {
 		if _, ok := Decode(bad); ok {
--- a/internal/decision/ownership/claims.go
+++ b/internal/decision/ownership/claims.go
@@ -70,8 +70,8 @@
 		s.lastRunAt = max(s.lastRunAt, now-claim.SinceLastRun)
 		news = true
 	}
-	if s.outdates(&claim) {
-		c.correct(claim.Job, now)
+	if s.supersedes(&claim) {
+		c.queueCorrection(claim.Job, now)
 		return news
 	}
 	if claim.Fence == s.fence && claim.Owner == s.owner {
@@ -92,14 +92,14 @@
 	return true
 }
 
-// outdates reports whether a claim is older than the known one, or of two under one number the one that gives way.
-func (s *jobState) outdates(claim *Claim) bool {
+// supersedes reports whether a claim is older than the known one, or of two under one number the one that gives way.
+func (s *jobState) supersedes(claim *Claim) bool {
 	return claim.Fence < s.fence || claim.Fence == s.fence && claim.Owner > s.owner && s.owner != 0
 }
 
-// correct tells an outdated claimant of the present claim. It has missed that, perhaps of an owner that is dead by now, and all it does
+// queueCorrection tells an outdated claimant of the present claim. It has missed that, perhaps of an owner that is dead by now, and all it does
 // would be rejected for good.
-func (c *Coordinator) correct(job uint8, now time.Duration) {
+func (c *Coordinator) queueCorrection(job uint8, now time.Duration) {
 	s := &c.jobs[job]
 	if s.owner == 0 || now-s.correctedAt < c.policy.SettleTime {
 		return
--- a/internal/decision/ownership/explore_test.go
+++ b/internal/decision/ownership/explore_test.go
@@ -9,7 +9,7 @@
 )
 
 // explore goes through all states up to a depth from where the three have begun, and returns the first that breaks the rule.
-func explore(depth int, accept func(*Coordinator, uint32) bool) (states int, broken string) {
+func explore(depth int, accept func(*Coordinator, uint32) bool) (states int, violation string) {
 	start := &modelState{}
 	for i := range start.brokers {
 		start.brokers[i] = newModelBroker(i, 0)
@@ -22,8 +22,8 @@
 		for len(start.claims) > 0 {
 			m := start.claims[0]
 			start.claims = start.claims[1:]
-			start.brokers[m.to].d.HandleClaim(m.c, start.now)
-			start.tell(m.to)
+			start.brokers[m.to].coordinator.HandleClaim(m.claim, start.now)
+			start.sendClaims(m.to)
 		}
 	}
 	seed := maphash.MakeSeed()
@@ -32,17 +32,17 @@
 	for range depth {
 		var next []*modelState
 		for _, s := range level {
-			s.next(accept, func(c *modelState, why string) {
-				if why != "" && broken == "" {
-					broken = why
+			s.forEachNext(accept, func(c *modelState, why string) {
+				if why != "" && violation == "" {
+					violation = why
 				}
 				if k := c.key(seed); !seen[k] {
 					seen[k] = true
 					next = append(next, c)
 				}
 			})
-			if broken != "" {
-				return len(seen), broken
+			if violation != "" {
+				return len(seen), violation
 			}
 		}
 		level = next
@@ -53,14 +53,14 @@
 // Whatever happens in whatever order, nobody accepts what was done under an older number after it knew of a newer one, and no
 // number goes back. A receiver that accepts everything is caught.
 func TestModel(t *testing.T) {
-	states, broken := explore(6, func(d *Coordinator, fence uint32) bool { return d.AcceptFence(0, fence) })
-	if broken != "" {
-		t.Error(broken)
+	states, violation := explore(6, func(d *Coordinator, fence uint32) bool { return d.AcceptFence(0, fence) })
+	if violation != "" {
+		t.Error(violation)
 	}
 	t.Logf("%d states to depth 6", states)
-	states, broken = explore(6, func(*Coordinator, uint32) bool { return true })
-	if broken == "" {
+	states, violation = explore(6, func(*Coordinator, uint32) bool { return true })
+	if violation == "" {
 		t.Errorf("a receiver that accepts everything was not caught in %d states", states)
 	}
-	t.Logf("caught after %d states: %s", states, broken)
+	t.Logf("caught after %d states: %s", states, violation)
 }
--- a/internal/decision/ownership/golden_test.go
+++ b/internal/decision/ownership/golden_test.go
@@ -21,14 +21,14 @@
 
 // player plays brokers that share jobs over links that delay, lose and damage claims.
 type player struct {
-	rnd     *rand.Rand
-	digest  hash.Hash64
-	now     time.Duration
-	brokers [goldenBrokers]*Coordinator
-	mail    [][]byte
+	rnd      *rand.Rand
+	digest   hash.Hash64
+	now      time.Duration
+	brokers  [goldenBrokers]*Coordinator
+	messages [][]byte
 }
 
-func (p *player) span(most time.Duration) time.Duration {
+func (p *player) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(p.rnd.Int64N(int64(most)))
 }
 
@@ -36,33 +36,33 @@
 	policy := Policy{Lease: 2 * time.Second, SettleTime: 500 * time.Millisecond, RenewInterval: time.Second}
 	jobs := []Job{{"counters", time.Second}, {"sweep", 5 * time.Second}, {"report", 700 * time.Millisecond}}
 	p.brokers[i] = NewCoordinator(policy, uint32(i+1), jobs, p.now)
-	p.view(i)
+	p.setMembers(i)
 }
 
-func (p *player) view(i int) {
+func (p *player) setMembers(i int) {
 	var members []Member
 	for id := range goldenBrokers {
 		if id == i || p.rnd.IntN(5) > 0 {
 			members = append(members, Member{uint32(id + 1), uint8(p.rnd.IntN(4))})
 		}
 	}
-	p.brokers[i].SetMembers(members, p.now-p.span(3*time.Second))
+	p.brokers[i].SetMembers(members, p.now-p.randomDuration(3*time.Second))
 }
 
-func (p *player) send(d *Coordinator) {
-	for _, c := range d.DrainClaims() {
+func (p *player) send(coordinator *Coordinator) {
+	for _, c := range coordinator.DrainClaims() {
 		data := c.AppendTo(nil)
 		p.digest.Write(data)
 		if p.rnd.IntN(20) == 0 {
 			data[p.rnd.IntN(len(data))] ^= byte(1 << p.rnd.IntN(8))
 		}
-		p.mail = append(p.mail, data)
+		p.messages = append(p.messages, data)
 	}
 }
 
 func (p *player) tick(i int) {
-	d := p.brokers[i]
-	runs, next := d.Tick(p.now)
+	coordinator := p.brokers[i]
+	runs, next := coordinator.Tick(p.now)
 	fmt.Fprintln(p.digest, len(runs), int64(next))
 	for _, r := range runs {
 		fmt.Fprintln(p.digest, r.Job, r.Fence)
@@ -72,22 +72,22 @@
 			}
 		}
 		if p.rnd.IntN(6) > 0 {
-			p.now += p.span(20 * time.Millisecond)
-			d.RunEnded(r, p.rnd.IntN(4) > 0, p.now)
+			p.now += p.randomDuration(20 * time.Millisecond)
+			coordinator.RunEnded(r, p.rnd.IntN(4) > 0, p.now)
 		}
 	}
-	p.send(d)
+	p.send(coordinator)
 }
 
 func (p *player) step() {
-	p.now += p.span(150 * time.Millisecond)
+	p.now += p.randomDuration(150 * time.Millisecond)
 	if p.rnd.IntN(80) == 0 {
-		p.now += p.span(4 * time.Second)
+		p.now += p.randomDuration(4 * time.Second)
 	}
 	i := p.rnd.IntN(goldenBrokers)
 	switch p.rnd.IntN(20) {
 	case 0, 1:
-		p.view(i)
+		p.setMembers(i)
 	case 2:
 		if p.rnd.IntN(12) == 0 {
 			p.brokers[i].ReleaseAll(p.now)
@@ -100,15 +100,15 @@
 	case 4:
 		fmt.Fprintln(p.digest, p.brokers[i].AcceptFence(p.rnd.IntN(3), uint32(p.rnd.IntN(6))))
 	case 5, 6, 7, 8, 9, 10:
-		if len(p.mail) > 0 {
-			at := p.rnd.IntN(len(p.mail))
-			c, ok := DecodeClaim(p.mail[at])
+		if len(p.messages) > 0 {
+			at := p.rnd.IntN(len(p.messages))
+			c, ok := DecodeClaim(p.messages[at])
 			fmt.Fprintln(p.digest, ok, c.Job, c.Fence, c.Owner, c.RunCount, int64(c.SinceLastRun), c.Released)
 			if ok {
 				fmt.Fprintln(p.digest, p.brokers[i].HandleClaim(c, p.now))
 			}
 			if p.rnd.IntN(3) == 0 {
-				p.mail = append(p.mail[:at], p.mail[at+1:]...)
+				p.messages = append(p.messages[:at], p.messages[at+1:]...)
 			}
 		}
 	default:
--- a/internal/decision/ownership/model_test.go
+++ b/internal/decision/ownership/model_test.go
@@ -11,23 +11,23 @@
 // any order: a claim arrives or is lost, a broker takes another for dead or finds it again, is paused, wakes, is restarted.
 
 type modelBroker struct {
-	d      *Coordinator
-	paused bool
-	sees   [3]bool
-	due    []Run // begun, and not yet in effect
+	coordinator *Coordinator
+	paused      bool
+	reachable   [3]bool
+	pendingRuns []Run // begun, and not yet in effect
 }
 
 type modelState struct {
-	brokers [3]modelBroker
-	claims  []modelClaim
-	now     time.Duration
-	accepts [3][]modelAccept // by whoever received it: what it accepted last
-	faults  int              // of the environment, which are bounded
+	brokers  [3]modelBroker
+	claims   []modelClaim
+	now      time.Duration
+	accepted [3][]modelAccept // by whoever received it: what it accepted last
+	faults   int              // of the environment, which are bounded
 }
 
 type modelClaim struct {
-	to int
-	c  Claim
+	to    int
+	claim Claim
 }
 
 type modelAccept struct {
@@ -46,9 +46,9 @@
 func (s *modelState) clone() *modelState {
 	c := *s
 	for i := range c.brokers {
-		c.brokers[i].d = s.brokers[i].d.clone()
-		c.brokers[i].due = slices.Clone(s.brokers[i].due)
-		c.accepts[i] = slices.Clone(s.accepts[i])
+		c.brokers[i].coordinator = s.brokers[i].coordinator.clone()
+		c.brokers[i].pendingRuns = slices.Clone(s.brokers[i].pendingRuns)
+		c.accepted[i] = slices.Clone(s.accepted[i])
 	}
 	c.claims = slices.Clone(s.claims)
 	return &c
@@ -57,10 +57,10 @@
 func (s *modelState) key(seed maphash.Seed) uint64 {
 	var h maphash.Hash
 	h.SetSeed(seed)
-	fmt.Fprint(&h, s.now, s.faults, s.claims, s.accepts)
+	fmt.Fprint(&h, s.now, s.faults, s.claims, s.accepted)
 	for i := range s.brokers {
-		b := &s.brokers[i]
-		fmt.Fprint(&h, b.paused, b.sees, b.due, b.d.jobs, b.d.activeFrom, b.d.lastTick, b.d.lastContactAt)
+		broker := &s.brokers[i]
+		fmt.Fprint(&h, broker.paused, broker.reachable, broker.pendingRuns, broker.coordinator.jobs, broker.coordinator.activeFrom, broker.coordinator.lastTick, broker.coordinator.lastContactAt)
 	}
 	return h.Sum64()
 }
@@ -70,31 +70,31 @@
 func id(i int) uint32 { return uint32(i + 1) }
 
 func newModelBroker(i int, now time.Duration) modelBroker {
-	return modelBroker{d: NewCoordinator(modelPolicy, id(i), []Job{{"x", 2 * time.Second}}, now), sees: [3]bool{true, true, true}}
+	return modelBroker{coordinator: NewCoordinator(modelPolicy, id(i), []Job{{"x", 2 * time.Second}}, now), reachable: [3]bool{true, true, true}}
 }
 
-func (s *modelState) view(i int) {
+func (s *modelState) setMembers(i int) {
 	b := &s.brokers[i]
-	var all []Member
-	for j, sees := range b.sees {
+	var members []Member
+	for j, sees := range b.reachable {
 		if sees {
-			all = append(all, Member{id(j), 1})
+			members = append(members, Member{id(j), 1})
 		}
 	}
-	b.d.SetMembers(all, s.now)
+	b.coordinator.SetMembers(members, s.now)
 }
 
 // tick has a broker take a turn and puts what it says on its way.
 func (s *modelState) tick(i int) {
 	b := &s.brokers[i]
-	s.view(i)
-	runs, _ := b.d.Tick(s.now)
-	b.due = append(b.due, runs...)
-	s.tell(i)
+	s.setMembers(i)
+	runs, _ := b.coordinator.Tick(s.now)
+	b.pendingRuns = append(b.pendingRuns, runs...)
+	s.sendClaims(i)
 }
 
-func (s *modelState) tell(i int) {
-	for _, c := range s.brokers[i].d.DrainClaims() {
+func (s *modelState) sendClaims(i int) {
+	for _, c := range s.brokers[i].coordinator.DrainClaims() {
 		for j := range s.brokers {
 			one := modelClaim{j, c}
 			if j != i && !slices.Contains(s.claims, one) {
@@ -104,40 +104,40 @@
 	}
 }
 
-// effect is when a run reaches everybody that can hear: each rules on it by itself.
-func (s *modelState) effect(i, of int, accept func(d *Coordinator, fence uint32) bool) (broken string) {
+// deliverRun is when a run reaches everybody that can hear: each rules on it by itself.
+func (s *modelState) deliverRun(i, run int, accept func(d *Coordinator, fence uint32) bool) (violation string) {
 	b := &s.brokers[i]
-	r := b.due[of]
-	b.due = slices.Delete(b.due, of, of+1)
-	taken := true
+	r := b.pendingRuns[run]
+	b.pendingRuns = slices.Delete(b.pendingRuns, run, run+1)
+	accepted := true
 	for j := range s.brokers {
-		o := &s.brokers[j]
-		if o.paused {
+		other := &s.brokers[j]
+		if other.paused {
 			continue
 		}
-		if !accept(o.d, r.Fence) {
-			taken = false
+		if !accept(other.coordinator, r.Fence) {
+			accepted = false
 			continue
 		}
-		if last := s.accepts[j]; len(last) > 0 {
+		if last := s.accepted[j]; len(last) > 0 {
 			if last[0].fence > r.Fence {
-				broken = fmt.Sprintf("broker %d accepted number %d of broker %d after number %d of broker %d", j, r.Fence, i, last[0].fence, last[0].owner)
+				violation = fmt.Sprintf("broker %d accepted number %d of broker %d after number %d of broker %d", j, r.Fence, i, last[0].fence, last[0].owner)
 			}
 		}
-		s.accepts[j] = []modelAccept{{r.Fence, i}}
+		s.accepted[j] = []modelAccept{{r.Fence, i}}
 	}
-	b.d.RunEnded(r, taken, s.now)
-	s.tell(i)
-	return broken
+	b.coordinator.RunEnded(r, accepted, s.now)
+	s.sendClaims(i)
+	return violation
 }
 
-const modelFaults = 3
+const maxModelFaults = 3
 
-// next are all states that one thing happening leads to.
-func (s *modelState) next(accept func(*Coordinator, uint32) bool, each func(*modelState, string)) {
+// forEachNext are all states that one thing happening leads to.
+func (s *modelState) forEachNext(accept func(*Coordinator, uint32) bool, visit func(*modelState, string)) {
 	do := func(what func(*modelState) string) {
 		c := s.clone()
-		each(c, what(c))
+		visit(c, what(c))
 	}
 	for k := range s.claims {
 		do(func(c *modelState) string { // arrives
@@ -147,19 +147,19 @@
 			if b.paused {
 				return ""
 			}
-			before := b.d.jobs[0].fence
-			b.d.HandleClaim(m.c, c.now)
-			c.tell(m.to)
-			if b.d.jobs[0].fence < before {
-				return fmt.Sprintf("broker %d went from number %d back to %d", m.to, before, b.d.jobs[0].fence)
+			before := b.coordinator.jobs[0].fence
+			b.coordinator.HandleClaim(m.claim, c.now)
+			c.sendClaims(m.to)
+			if b.coordinator.jobs[0].fence < before {
+				return fmt.Sprintf("broker %d went from number %d back to %d", m.to, before, b.coordinator.jobs[0].fence)
 			}
 			return ""
 		})
 	}
 	for i := range s.brokers {
-		for k := range s.brokers[i].due {
+		for k := range s.brokers[i].pendingRuns {
 			if !s.brokers[i].paused {
-				do(func(c *modelState) string { return c.effect(i, k, accept) })
+				do(func(c *modelState) string { return c.deliverRun(i, k, accept) })
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 		}
 		return ""
 	})
-	if s.faults >= modelFaults {
+	if s.faults >= maxModelFaults {
 		return
 	}
 	fault := func(what func(*modelState)) {
@@ -188,11 +188,11 @@
 	for i := range s.brokers {
 		fault(func(c *modelState) { c.brokers[i].paused = !c.brokers[i].paused })
 		fault(func(c *modelState) { // what it knew is gone, so that it accepts what it once would not have
-			c.brokers[i], c.accepts[i] = newModelBroker(i, c.now), nil
+			c.brokers[i], c.accepted[i] = newModelBroker(i, c.now), nil
 		})
 		for j := range s.brokers {
 			if i != j {
-				fault(func(c *modelState) { c.brokers[i].sees[j] = !c.brokers[i].sees[j] })
+				fault(func(c *modelState) { c.brokers[i].reachable[j] = !c.brokers[i].reachable[j] })
 			}
 		}
 	}
--- a/internal/decision/ownership/ownership.go
+++ b/internal/decision/ownership/ownership.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	longAgo     time.Duration = math.MinInt64 / 2
-	releasedFor               = time.Hour // until a coordinator that released all jobs is called again
+	longAgo              time.Duration = math.MinInt64 / 2
+	releasedTickInterval               = time.Hour // until a coordinator that released all jobs is called again
 )
 
 // Job is something that one of the brokers has to do once in a period.
@@ -106,7 +106,7 @@
 	c.forgetAfterPause(now)
 	c.lastTick = now
 	if c.releasedAll {
-		return nil, now + releasedFor
+		return nil, now + releasedTickInterval
 	}
 	next = now + c.policy.RenewInterval
 	if now < c.activeFrom || c.isCutOff(now) {
--- a/internal/decision/ownership/ownership_test.go
+++ b/internal/decision/ownership/ownership_test.go
@@ -10,21 +10,21 @@
 	"flaxfront/internal/lab/crew"
 )
 
-var chores = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
+var testJobs = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
-func tier(seed uint64, brokers int, loss float64) *crew.Crew {
+func newTier(seed uint64, brokers int, loss float64) *crew.Crew {
 	return crew.New(crew.Options{Brokers: brokers, Seed: seed, Loss: loss, Delay: 2 * time.Millisecond, Twice: 0.05, Policy: crew.Default,
-		Duties: chores, Lease: crew.Lease})
+		Duties: testJobs, Lease: crew.Lease})
 }
 
 // held checks the rule on duties after a moment: none more than twice in its period, none left out for longer than its period
 // and so much more.
-func held(t *testing.T, c *crew.Crew, what string, from, slack time.Duration) (worst time.Duration) {
+func checkRuns(t *testing.T, c *crew.Crew, name string, from, slack time.Duration) (worst time.Duration) {
 	t.Helper()
-	for i, d := range chores {
+	for i, d := range testJobs {
 		times, gap := c.Most(i, from)
 		if times > 2 || gap > d.Period+slack {
-			t.Errorf("%s: %s ran %d times in a period, longest gap %v", what, d.Name, times, gap)
+			t.Errorf("%s: %s ran %d times in a period, longest gap %v", name, d.Name, times, gap)
 		}
 		worst = max(worst, gap-d.Period)
 	}
@@ -36,11 +36,11 @@
 func TestOwnerKilled(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(100) {
-		c := tier(seed, 5, 0.3)
+		c := newTier(seed, 5, 0.3)
 		c.Run(20 * time.Second)
 		c.Kill(int(seed % 5))
 		c.Run(60 * time.Second)
-		worst = max(worst, held(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second))
+		worst = max(worst, checkRuns(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second))
 	}
 	t.Logf("a duty was late by %v at most", worst)
 }
@@ -48,24 +48,24 @@
 // A broker that stops as planned hands over at once.
 func TestPlannedStop(t *testing.T) {
 	for seed := range uint64(20) {
-		c := tier(seed, 5, 0.1)
+		c := newTier(seed, 5, 0.1)
 		c.Run(20 * time.Second)
 		c.Stop(int(seed % 5))
 		c.Run(40 * time.Second)
-		held(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 2*time.Second)
+		checkRuns(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 2*time.Second)
 	}
 }
 
 // A paused broker wakes up after half a minute: what it does under its old number is refused, and it makes no third run.
 func TestPausedOwnerWakes(t *testing.T) {
 	for seed := range uint64(20) {
-		c := tier(seed, 5, 0.2)
+		c := newTier(seed, 5, 0.2)
 		c.Run(20 * time.Second)
 		c.Pause(int(seed % 5))
 		c.Run(50 * time.Second)
 		c.Resume(int(seed % 5))
 		c.Run(70 * time.Second)
-		held(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second)
+		checkRuns(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second)
 		if !c.Agreed() {
 			t.Errorf("seed %d: after the pause brokers do not agree on who is there", seed)
 		}
@@ -77,7 +77,7 @@
 func TestPartitionHeals(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(20) {
-		c := tier(seed, 5, 0.1)
+		c := newTier(seed, 5, 0.1)
 		c.Run(20 * time.Second)
 		c.Cut = func(from, to int) bool { return (from < 2) != (to < 2) }
 		c.Run(50 * time.Second)
@@ -88,7 +88,7 @@
 		}
 		worst = max(worst, c.Now()-healed)
 		c.Run(80 * time.Second)
-		held(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second)
+		checkRuns(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second)
 	}
 	if worst > 5*time.Second {
 		t.Errorf("a partition took %v to heal", worst)
@@ -99,7 +99,7 @@
 // All brokers are restarted together: duties begin again, spread, without a stampede.
 func TestAllRestarted(t *testing.T) {
 	for seed := range uint64(10) {
-		c := tier(seed, 5, 0.1)
+		c := newTier(seed, 5, 0.1)
 		c.Run(20 * time.Second)
 		for n := range 5 {
 			c.Kill(n)
@@ -109,39 +109,39 @@
 		}
 		from := c.Now()
 		c.Run(50 * time.Second)
-		held(t, c, fmt.Sprintf("seed %d", seed), from, 10*time.Second)
+		checkRuns(t, c, fmt.Sprintf("seed %d", seed), from, 10*time.Second)
 	}
 }
 
 // A clock that jumps, forward or back by an hour, moves no duty by more than it may be late.
 func TestClockJumps(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -10 * time.Second} {
-		c := tier(1, 5, 0.1)
+		c := newTier(1, 5, 0.1)
 		c.Run(30 * time.Second)
 		c.Jump(2, by)
 		c.Run(70 * time.Second)
-		held(t, c, by.String(), 5*time.Second, 10*time.Second)
+		checkRuns(t, c, by.String(), 5*time.Second, 10*time.Second)
 	}
 }
 
 // What a broker reads of claims, and what it refuses.
 func TestClaims(t *testing.T) {
-	p := crew.Lease
-	d := ownership.NewCoordinator(p, 7, chores, 0)
-	d.SetMembers([]ownership.Member{{ID: 7, Weight: 1}}, 0)
-	runs, _ := d.Tick(p.SettleTime)
-	for now := p.SettleTime; len(runs) == 0 && now < 10*time.Second; now += 50 * time.Millisecond {
-		runs, _ = d.Tick(now)
-	}
-	if len(runs) == 0 || !d.AcceptFence(runs[0].Job, runs[0].Fence) {
+	policy := crew.Lease
+	coordinator := ownership.NewCoordinator(policy, 7, testJobs, 0)
+	coordinator.SetMembers([]ownership.Member{{ID: 7, Weight: 1}}, 0)
+	runs, _ := coordinator.Tick(policy.SettleTime)
+	for now := policy.SettleTime; len(runs) == 0 && now < 10*time.Second; now += 50 * time.Millisecond {
+		runs, _ = coordinator.Tick(now)
+	}
+	if len(runs) == 0 || !coordinator.AcceptFence(runs[0].Job, runs[0].Fence) {
 		t.Fatalf("%v", runs)
 	}
 	later := ownership.Claim{Job: uint8(runs[0].Job), Fence: runs[0].Fence + 5, Owner: 9, RunCount: 3}
-	back, ok := ownership.DecodeClaim(later.AppendTo(nil))
-	if !ok || back != later || !d.HandleClaim(back, 10*time.Second) || d.HandleClaim(back, 10*time.Second) {
-		t.Errorf("%+v, %v", back, ok)
+	decoded, ok := ownership.DecodeClaim(later.AppendTo(nil))
+	if !ok || decoded != later || !coordinator.HandleClaim(decoded, 10*time.Second) || coordinator.HandleClaim(decoded, 10*time.Second) {
+		t.Errorf("%+v, %v", decoded, ok)
 	}
-	if d.AcceptFence(runs[0].Job, runs[0].Fence) {
+	if coordinator.AcceptFence(runs[0].Job, runs[0].Fence) {
 		t.Error("an old number is accepted")
 	}
 	for _, bad := range [][]byte{nil, {1}, make([]byte, 18), append(later.AppendTo(nil), 0)} {
@@ -149,42 +149,42 @@
 			t.Errorf("%x was read", bad)
 		}
 	}
-	if d.HandleClaim(ownership.Claim{Job: 200, Fence: 1, Owner: 1}, 0) {
+	if coordinator.HandleClaim(ownership.Claim{Job: 200, Fence: 1, Owner: 1}, 0) {
 		t.Error("a duty that nobody has was taken")
 	}
 }
 
 // Duties are shared by weight: one of three times the others' capacity owns about three times as many.
 func TestWeights(t *testing.T) {
-	var list []ownership.Job
+	var jobs []ownership.Job
 	for i := range 3000 {
-		list = append(list, ownership.Job{Name: fmt.Sprint("duty ", i), Period: time.Minute})
+		jobs = append(jobs, ownership.Job{Name: fmt.Sprint("duty ", i), Period: time.Minute})
 	}
-	d := ownership.NewCoordinator(crew.Lease, 1, list, 0)
-	var all []ownership.Member
+	coordinator := ownership.NewCoordinator(crew.Lease, 1, jobs, 0)
+	var members []ownership.Member
 	for i := range 5 {
-		all = append(all, ownership.Member{ID: uint32(membership.IDOf(crew.Name(i))), Weight: 1})
+		members = append(members, ownership.Member{ID: uint32(membership.IDOf(crew.Name(i))), Weight: 1})
 	}
-	all[2].Weight = 3
-	d.SetMembers(all, 0)
+	members[2].Weight = 3
+	coordinator.SetMembers(members, 0)
 	owned := map[uint32]int{}
-	for i := range list {
-		owned[d.Owner(i)]++
+	for i := range jobs {
+		owned[coordinator.Owner(i)]++
 	}
-	if n := owned[all[2].ID]; n < 1150 || n > 1430 {
+	if n := owned[members[2].ID]; n < 1150 || n > 1430 {
 		t.Errorf("%d of 3000 duties at three sevenths of the weight", n)
 	}
-	d.SetMembers(all[:4], 0) // one goes: only what was its own moves
-	for i := range list {
-		was := rankOwner(all, list[i].Name)
-		if now := d.Owner(i); was != all[4].ID && now != was {
-			t.Fatalf("%s moved from %d to %d", list[i].Name, was, now)
+	coordinator.SetMembers(members[:4], 0) // one goes: only what was its own moves
+	for i := range jobs {
+		was := rankOwner(members, jobs[i].Name)
+		if now := coordinator.Owner(i); was != members[4].ID && now != was {
+			t.Fatalf("%s moved from %d to %d", jobs[i].Name, was, now)
 		}
 	}
 }
 
-func rankOwner(all []ownership.Member, name string) uint32 {
-	d := ownership.NewCoordinator(crew.Lease, 1, []ownership.Job{{Name: name, Period: time.Minute}}, 0)
-	d.SetMembers(all, 0)
-	return d.Owner(0)
+func rankOwner(members []ownership.Member, name string) uint32 {
+	coordinator := ownership.NewCoordinator(crew.Lease, 1, []ownership.Job{{Name: name, Period: time.Minute}}, 0)
+	coordinator.SetMembers(members, 0)
+	return coordinator.Owner(0)
 }
