--- a/internal/decision/routing/degradation.go
+++ b/internal/decision/routing/degradation.go
@@ -39,7 +39,7 @@
 	if ratio >= minDegradedRatio {
 		n.costFactor = math.Floor(ratio)
 	}
-	if n.ejectingBrokers() >= minEjectingBrokers {
+	if n.recentEjectingBrokers() >= minEjectingBrokers {
 		n.costFactor = maxCostFactor
 	}
 }
@@ -47,7 +47,7 @@
 // handleGossip takes another broker's word that it has ejected or reinstated the node. Where several have ejected it, it counts as
 // degraded until it answers or time goes by, so that not every broker has to find out by itself; false word costs it some traffic.
 func (n *nodeHealth) handleGossip(ejectedThere bool) {
-	n.ejectingBrokers = n.ejectingBrokers()
+	n.ejectingBrokers = n.recentEjectingBrokers()
 	if ejectedThere {
 		n.ejectingBrokers++
 	} else {
@@ -59,7 +59,7 @@
 	}
 }
 
-// ejectingBrokers is how many other brokers have ejected the node, as far as it is remembered.
-func (n *nodeHealth) ejectingBrokers() float64 {
+// recentEjectingBrokers is how many other brokers have ejected the node, as far as it is remembered.
+func (n *nodeHealth) recentEjectingBrokers() float64 {
 	return n.ejectingBrokers * decayFactor(n.router.now-n.lastGossipedAt, gossipTimeConstant)
 }
