--- a/internal/decision/routing/attempts.go
+++ b/internal/decision/routing/attempts.go
@@ -26,7 +26,7 @@
 	r.post(&r.nodes[index].inbox, message{kind: attemptSent})
 }
 
-// recordAttempt notes an attempt; those sent to one node in one step share a call.
+// recordAttempt records an attempt as in flight. Attempts sent to one node in one step share a call, up to Settings.MaxBatch.
 func (d *dispatcher) recordAttempt(sr *shardRequest, index nodeIndex) *attempt {
 	now := d.router.now
 	e := &d.endpoints.all[index]
@@ -53,7 +53,7 @@
 	return &sr.attempts[len(sr.attempts)-1]
 }
 
-// handleAttemptEnded learns from the end of an attempt, for its node and, if the query is still in flight, for the query.
+// handleAttemptEnded updates the state of an attempt's node with its outcome and, if the query is still in flight, that of the query.
 func (d *dispatcher) handleAttemptEnded(event *decision.Event) {
 	d.recordAttemptEnd(event)
 	q, sr, a := d.findAttempt(event)
@@ -72,7 +72,7 @@
 	d.handleFailure(sr, a, event)
 }
 
-// handleAnswer takes the first answer to a shard request and cancels its other attempts.
+// handleAnswer records the first answer to a shard request and cancels its other attempts; further answers are ignored.
 func (d *dispatcher) handleAnswer(q *query, sr *shardRequest, a *attempt, latency time.Duration) {
 	if sr.answered {
 		return
@@ -85,7 +85,7 @@
 	d.cancel(sr)
 }
 
-// recordAttemptEnd notes the end of an attempt at its node.
+// recordAttemptEnd updates the state of an attempt's node with its outcome, whether or not its query is still in flight.
 func (d *dispatcher) recordAttemptEnd(event *decision.Event) {
 	r := d.router
 	index, known := r.indexes[event.Node]
@@ -105,7 +105,7 @@
 	r.post(&r.nodes[index].inbox, message{kind: attemptEnded, outcome: event.Outcome, elapsed: event.Elapsed})
 }
 
-// findAttempt finds the attempt that an event ends; the attempt is nil if it is not in flight.
+// findAttempt returns the attempt that an event ends, with its query and shard request; all are nil if the attempt is not in flight.
 func (d *dispatcher) findAttempt(event *decision.Event) (*query, *shardRequest, *attempt) {
 	ref, known := d.queries.find(event.ID)
 	if !known || ref.request == wholeQuery {
@@ -119,7 +119,7 @@
 	return q, sr, &sr.attempts[event.Attempt]
 }
 
-// cancel cancels the attempts of a shard request that are in flight.
+// cancel abandons the attempts of a shard request that are in flight; nodes are told where Settings.CancelAllowed permits.
 func (d *dispatcher) cancel(sr *shardRequest) {
 	for i := range sr.attempts {
 		a := &sr.attempts[i]
@@ -136,12 +136,13 @@
 	}
 }
 
-// remove ends a query: its attempts are cancelled and its place is free.
+// remove ends a query: it cancels the query's attempts and frees its slot.
 func (d *dispatcher) remove(slot int32) {
 	d.removeShardRequests(&d.queries.slots[slot])
 	d.queries.remove(slot)
 }
 
+// removeShardRequests cancels and removes the shard requests of a query.
 func (d *dispatcher) removeShardRequests(q *query) {
 	for i := range q.requests {
 		sr := &q.requests[i]
--- a/internal/decision/routing/bitset.go
+++ b/internal/decision/routing/bitset.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// bitset is a set of small numbers.
+// bitset is a set of small non-negative integers.
 type bitset []uint64
 
 func (b *bitset) set(number int32) {
@@ -14,7 +14,7 @@
 
 func (b bitset) clear(number int32) { b[number>>6] &^= 1 << (number & 63) }
 
-// all yields the numbers in ascending order; one that is cleared meanwhile may still come.
+// all yields the numbers in ascending order. A number that is cleared during the iteration may still be yielded.
 func (b bitset) all(yield func(int32) bool) {
 	for i, word := range b {
 		for ; word != 0; word &= word - 1 {
--- a/internal/decision/routing/dispatcher.go
+++ b/internal/decision/routing/dispatcher.go
@@ -10,11 +10,11 @@
 type dispatcher struct {
 	router             *Router
 	inbox              inbox
-	nextDueAt          time.Duration // when there is something to do; never: nothing
+	nextDueAt          time.Duration // time of the next step that is needed; never: none
 	endpoints          endpointTable
 	queries            queryTable
-	tableCrowded       bool       // queries take most of the places
-	usualRemainingTime []majority // by query type
+	tableCrowded       bool       // the queries in flight are close to Settings.MaxInFlight
+	usualRemainingTime []majority // for a query when it arrives, by query type
 	latency            fleetLatency
 	shardLatencies     []shardLatency // by cell
 	flows              nodeFlows
@@ -42,7 +42,7 @@
 	d.latency.assume(shortest)
 }
 
-// allocate empties what the settings give a size.
+// allocate creates the tables whose sizes depend on the settings, empty.
 func (d *dispatcher) allocate() {
 	s := d.router.settings
 	d.usualRemainingTime = make([]majority, len(s.QueryTypes))
@@ -52,7 +52,7 @@
 	d.endpoints.resize(s.Cells, s.CellsPerShard)
 }
 
-// reconfigure follows the router's settings; moved as for Router.Reconfigure.
+// reconfigure applies the router's new settings; shardsMoved has the meaning that it has in Router.Reconfigure.
 func (d *dispatcher) reconfigure(shardsMoved bool) {
 	d.allocate()
 	d.endpoints.rebuildCells()
@@ -70,7 +70,7 @@
 	}
 }
 
-// scheduleStep asks for a step at a time.
+// scheduleStep requests a step at a time, or earlier.
 func (d *dispatcher) scheduleStep(at time.Duration) { d.nextDueAt = min(d.nextDueAt, at) }
 
 func (d *dispatcher) handle(m *message) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// handleStatus takes what a node's health allows.
+// handleStatus applies a status that a nodeHealth reported to the endpoint of its node.
 func (d *dispatcher) handleStatus(index nodeIndex, s *endpointStatus) {
 	t := &d.endpoints
 	e := &t.all[index]
@@ -129,7 +129,7 @@
 	t.adjustWarmedUp(e, 1)
 }
 
-// handleQuery takes a query; one of an unknown type fails.
+// handleQuery adds a query to the table, or fails it if its type is unknown.
 func (d *dispatcher) handleQuery(e *decision.Event) {
 	r := d.router
 	if e.Type >= len(r.settings.QueryTypes) {
@@ -144,7 +144,7 @@
 	d.noteRetryingClient(q, e)
 }
 
-// sweep looks at every query in flight: what was answered, what is due, what is new.
+// sweep checks every query in flight: it completes, dispatches, hedges, retries or ends what is due, and skips quiet queries.
 func (d *dispatcher) sweep() {
 	d.nextDueAt = never
 	d.detectFailuresAlike()
@@ -165,7 +165,7 @@
 	}
 }
 
-// advance does for one query what is due.
+// advance takes the steps that are due for one query.
 func (d *dispatcher) advance(slot int32) {
 	q := &d.queries.slots[slot]
 	if q.dispatched {
@@ -185,7 +185,7 @@
 	}
 }
 
-// dispatch sends the shard requests of a query's phase, or sheds the query.
+// dispatch sends the shard requests of a query's current phase, or ends the query if it is shed or out of time.
 func (d *dispatcher) dispatch(slot int32) {
 	q := &d.queries.slots[slot]
 	q.dispatched = true
@@ -198,7 +198,7 @@
 	d.completeIfReady(slot)
 }
 
-// sendFirstAttempts sends the first attempts of shard requests that had none.
+// sendFirstAttempts sends the first attempt of each shard request that has had none.
 func (d *dispatcher) sendFirstAttempts(q *query) {
 	for i := range q.requests {
 		sr := &q.requests[i]
--- a/internal/decision/routing/endpoint_list.go
+++ b/internal/decision/routing/endpoint_list.go
@@ -6,13 +6,13 @@
 	"flaxfront/internal/decision"
 )
 
-// listWatcher keeps the endpoint list current.
+// listWatcher subscribes to the endpoint list and applies lists and updates to the nodes.
 type listWatcher struct {
 	router     *Router
 	inbox      inbox
-	subscribed bool          // a poll or watch is out
-	pollAt     time.Duration // not before
-	nextDueAt  time.Duration // when there is something to do; never: nothing
+	subscribed bool          // a poll or watch is in progress
+	pollAt     time.Duration // the next poll is not sent before
+	nextDueAt  time.Duration // time of the next step that is needed; never: none
 	backoff    time.Duration
 }
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// merge takes a full list, or the lines that changed, and tells the nodes.
+// merge applies a full list or an update, adds the nodes that are new and sends each listed node its line.
 func (w *listWatcher) merge(e *decision.Event) {
 	r := w.router
 	w.forgetUnlisted()
@@ -76,7 +76,7 @@
 	return index
 }
 
-// freeIndex is the index of a node that was forgotten, or a new one.
+// freeIndex returns the index of a forgotten node for reuse, or a new index.
 func (w *listWatcher) freeIndex() nodeIndex {
 	r := w.router
 	if n := len(r.freeIndexes); n > 0 {
@@ -90,7 +90,7 @@
 	return index
 }
 
-// removeMissing tells the nodes that a full list does not name.
+// removeMissing tells each node that is missing from a full list that it was removed.
 func (w *listWatcher) removeMissing(e *decision.Event) {
 	r := w.router
 	for _, n := range r.nodes {
@@ -105,14 +105,14 @@
 	}
 }
 
-// isKnown reports whether a node was not forgotten.
+// isKnown reports whether a node's index still belongs to it, as it has not been forgotten.
 func (w *listWatcher) isKnown(n *nodeHealth) bool {
 	index, known := w.router.indexes[n.id]
 	return known && index == n.index
 }
 
-// forgetUnlisted frees the indexes of nodes that left the list so long ago that no query in flight can name them. Nodes are replaced
-// under new ids all the time, and their state would add up.
+// forgetUnlisted frees the indexes of nodes that left the list so long ago that no query in flight can refer to them. Nodes are
+// replaced under new ids all the time, so without this their state would accumulate.
 func (w *listWatcher) forgetUnlisted() {
 	r := w.router
 	t := &r.dispatcher.endpoints
--- a/internal/decision/routing/endpoint_table.go
+++ b/internal/decision/routing/endpoint_table.go
@@ -7,18 +7,18 @@
 	"flaxfront/internal/decision"
 )
 
-// nodeIndex is a node's place in Router.nodes and in the endpoint table.
+// nodeIndex is a node's index in Router.nodes and in the endpoint table.
 type nodeIndex int32
 
-// endpointMode says what the dispatcher may send to a node.
+// endpointMode determines what the dispatcher may send to a node.
 type endpointMode uint8
 
 const (
-	modeUnlisted  endpointMode = iota // nothing: not in the endpoint list, or draining
-	modeEjected                       // nothing
-	modeTrial                         // ejected: one attempt
+	modeUnlisted  endpointMode = iota // nothing: the node is not in the endpoint list, or is draining
+	modeEjected                       // nothing, until the next trial attempt is due
+	modeTrial                         // ejected; one trial attempt
 	modeWarmingUp                     // what its slow start allows
-	modeWarmedUp
+	modeWarmedUp                      // no limit by slow start
 )
 
 // endpoint is the dispatcher's view of a node.
@@ -27,27 +27,27 @@
 	cell               int
 	zone               int
 	mode               endpointMode
-	inCell             bool    // it is among the nodes of its cell
+	inCell             bool    // listed in endpointTable.byCell
 	unreachable        bool    // the last connection failed
-	costFactor         float64 // as how many calls one of its calls counts
+	costFactor         float64 // how many calls one call to the node counts as
 	slowStart          slowStart
 	confirmation       confirmation
 	health             healthCheckState
 	lastSentAt         time.Duration
-	lastUsedAt         time.Duration // when something last passed between this broker and it
-	lastAnsweredSentAt time.Duration // when the latest call that it has answered was sent
+	lastUsedAt         time.Duration // when an attempt was last sent to the node or ended there
+	lastAnsweredSentAt time.Duration // when the most recently sent of the answered calls was sent
 	calls              []call        // in flight, oldest first
 }
 
 // call is one message to a node, which carries one or more attempts.
 type call struct {
 	sentAt   time.Duration
-	attempts int // those not yet ended
+	attempts int // that have not ended
 }
 
 func (e *endpoint) available() bool { return e.mode >= modeWarmingUp }
 
-// openCall is the call that was begun in this step and takes more attempts, or nil.
+// openCall returns the call that was started in this step and has room for another attempt, or nil.
 func (e *endpoint) openCall(now time.Duration, maxBatch int) *call {
 	n := len(e.calls)
 	if n == 0 || e.calls[n-1].sentAt != now || e.calls[n-1].attempts >= maxBatch {
@@ -56,7 +56,7 @@
 	return &e.calls[n-1]
 }
 
-// endAttempt takes one attempt off the call that was sent at that time, or off the one sent nearest to it.
+// endAttempt removes one attempt from the call that was sent at a time, or from the call sent nearest to it.
 func (e *endpoint) endAttempt(sentAt time.Duration) {
 	nearest := -1
 	for i := range e.calls {
@@ -73,18 +73,18 @@
 	}
 }
 
-// endpointTable holds the endpoints and which cells they are in.
+// endpointTable holds the endpoints and the endpoints of each cell.
 type endpointTable struct {
 	all            []endpoint // by nodeIndex
 	byCell         [][]nodeIndex
 	cellsPerShard  int
 	warmedUp       int // nodes in modeWarmedUp
 	warmedUpByCell []int
-	needTick       bitset      // nodes that time alone may change
-	scratch        []nodeIndex // the last result of replicas or sharingShards
+	needTick       bitset      // nodes whose state may change with time alone
+	scratch        []nodeIndex // holds the last result of replicas or sharingShards
 }
 
-// resize empties the cells and gives them their number.
+// resize replaces the cells by empty ones and sets how many there are and how many of them hold a shard.
 func (t *endpointTable) resize(cells, cellsPerShard int) {
 	t.byCell = make([][]nodeIndex, cells)
 	t.warmedUpByCell = make([]int, cells)
@@ -92,7 +92,7 @@
 	t.cellsPerShard = cellsPerShard
 }
 
-// rebuildCells puts every placed endpoint into its cell anew.
+// rebuildCells adds every endpoint that was in a cell to its cell again, after a resize.
 func (t *endpointTable) rebuildCells() {
 	for i := range t.all {
 		e := &t.all[i]
@@ -114,7 +114,7 @@
 
 func (t *endpointTable) cell(cell int) *cellNodes { return (*cellNodes)(&t.byCell[cell%len(t.byCell)]) }
 
-// move puts an endpoint into a cell.
+// move adds an endpoint to a cell, and removes it from the cell that it was in. The caller sets endpoint.cell afterwards.
 func (t *endpointTable) move(index nodeIndex, cell int) {
 	e := &t.all[index]
 	if cell == e.cell && e.inCell {
@@ -127,7 +127,7 @@
 	t.cell(cell).add(index)
 }
 
-// adjustWarmedUp adds to the numbers of warmed-up nodes if the endpoint is one.
+// adjustWarmedUp adds change to the counts of warmed-up nodes if the endpoint is warmed up.
 func (t *endpointTable) adjustWarmedUp(e *endpoint, change int) {
 	if e.mode == modeWarmedUp {
 		t.warmedUp += change
@@ -135,7 +135,8 @@
 	}
 }
 
-// replicas lists the nodes that hold a shard, whatever their mode. The result holds until the next call of a method of the table.
+// replicas returns the nodes that hold a shard, whatever their mode. The result is valid until the next call of replicas or
+// sharingShards.
 func (t *endpointTable) replicas(shard int) []nodeIndex {
 	t.scratch = t.scratch[:0]
 	for i := range t.cellsPerShard {
@@ -144,7 +145,8 @@
 	return t.scratch
 }
 
-// sharingShards lists the nodes that hold a shard of those that a cell's nodes hold, as replicas does.
+// sharingShards returns the nodes that hold at least one shard in common with the nodes of a cell. The result is valid as long as that
+// of replicas.
 func (t *endpointTable) sharingShards(cell int) []nodeIndex {
 	t.scratch = t.scratch[:0]
 	cells := len(t.byCell)
@@ -154,7 +156,7 @@
 	return t.scratch
 }
 
-// warmedUpReplicas is how many warmed-up nodes hold a shard.
+// warmedUpReplicas returns how many warmed-up nodes hold a shard.
 func (t *endpointTable) warmedUpReplicas(shard int) (count int) {
 	for i := range t.cellsPerShard {
 		count += t.warmedUpByCell[(shard+i)%len(t.byCell)]
@@ -162,7 +164,7 @@
 	return count
 }
 
-// callsPerReplica is how many calls this broker has in flight at an available replica of the shard, on average.
+// callsPerReplica returns the mean number of pending calls of this broker per available replica of a shard.
 func (t *endpointTable) callsPerReplica(shard int) float64 {
 	calls := 0
 	available := 0
--- a/internal/decision/routing/gossip.go
+++ b/internal/decision/routing/gossip.go
@@ -6,17 +6,18 @@
 	"flaxfront/internal/decision"
 )
 
-// A gossip message is a row of entries: a kind, then the address and the port of a node.
+// A gossip message is a sequence of entries, each a kind followed by the address and the port of a node.
 const (
 	gossipEntryBytes   = 7
-	maxGossipEntries   = 36 // a message holds 256 bytes
+	maxGossipEntries   = 36 // so that a message fits in 256 bytes
 	gossipEjected      = 's'
 	gossipReinstated   = 'w'
 	gossipAddressStart = 1
 	gossipPortStart    = 5
 )
 
-// notifyBrokers puts an entry into the message that goes to the other brokers at the end of the step.
+// notifyBrokers adds an entry to the gossip message that is sent to the other brokers at the end of the step. Entries beyond
+// maxGossipEntries are dropped.
 func (r *Router) notifyBrokers(kind byte, id decision.NodeID) {
 	if !r.settings.GossipAllowed || len(r.gossip) >= maxGossipEntries*gossipEntryBytes {
 		return
@@ -26,7 +27,7 @@
 	r.gossip = binary.BigEndian.AppendUint16(r.gossip, id.Port)
 }
 
-// handleGossip hands the entries of a message to the nodes that they name; unknown nodes and odd bytes at the end are skipped.
+// handleGossip sends each entry of a gossip message to the node that it names; unknown nodes and trailing bytes are skipped.
 func (r *Router) handleGossip(payload []byte) {
 	for ; len(payload) >= gossipEntryBytes; payload = payload[gossipEntryBytes:] {
 		id := decision.NodeID{
--- a/internal/decision/routing/log_messages.go
+++ b/internal/decision/routing/log_messages.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/decision"
 )
 
-// logMessage is a log line that the router may write. What it means and what to do is on the page docs/oncall.md.
+// logMessage identifies a log line that the router may write. The page docs/oncall.md explains each line and the operator's response.
 type logMessage uint8
 
 const (
@@ -29,8 +29,8 @@
 	logMessageCount
 )
 
-// logFormats are in the terms of docs/glossary.md. Whoever rewords one adds the wording that digests of the simulator are taken of, in
-// internal/lab/play/digest.go, and changes the page.
+// logFormats use the terms of docs/glossary.md. A change of a format needs a change of docs/oncall.md, and an entry in
+// internal/lab/play/digest.go that maps the new wording to the one that the simulator's digests are computed from.
 var logFormats = [logMessageCount]string{
 	logEjectedUnresponsive:   "%v ejected: unresponsive (no answer for %.2f s)",
 	logEjectedErrors:         "%v ejected: errors (error rate %.2f)",
@@ -52,6 +52,7 @@
 // LogFormats returns the formats of all log lines that a router may write.
 func LogFormats() []string { return slices.Clone(logFormats[:]) }
 
+// log appends an action that writes a log line.
 func (r *Router) log(m logMessage, args ...any) {
 	r.act(decision.Action{Kind: decision.LogMessage, Text: fmt.Sprintf(logFormats[m], args...)})
 }
--- a/internal/decision/routing/majority.go
+++ b/internal/decision/routing/majority.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// majority finds the time that most votes share, by the Boyer-Moore majority vote.
+// majority finds the duration that most votes agree on, within majoritySlack, by the Boyer-Moore majority vote.
 type majority struct {
 	candidate time.Duration
 	votes     int
 }
 
-// vote counts a time and returns the candidate.
+// vote counts a duration and returns the current candidate.
 func (m *majority) vote(t time.Duration) time.Duration {
 	switch {
 	case (t - m.candidate).Abs() <= majoritySlack:
--- a/internal/decision/routing/messages.go
+++ b/internal/decision/routing/messages.go
@@ -6,43 +6,44 @@
 	"flaxfront/internal/decision"
 )
 
-// messageKind says what a message tells, and which of its fields are set.
+// messageKind determines the meaning of a message, its recipient and which of its fields are set.
 type messageKind uint8
 
 const (
 	eventReceived       messageKind = iota // to the dispatcher or the list watcher: event
-	sweepDue                               // to the dispatcher: look at every query in flight
+	sweepDue                               // to the dispatcher: check every query in flight
 	statusChanged                          // to the dispatcher: node, status
 	endpointListed                         // to a node: endpoint
 	attemptSent                            // to a node
 	healthCheckAnswered                    // to a node
 	attemptEnded                           // to a node: outcome, elapsed
 	gossipReceived                         // to a node: ejectedBySender
-	ticked                                 // to a node: elapsed, calls, usualLatency, sendInterval; to the list watcher: none
+	ticked                                 // to a node: elapsed, calls, usualLatency, sendInterval; to the list watcher: no fields
 )
 
+// message is sent from one part of the router to another within a step.
 type message struct {
 	kind            messageKind
 	outcome         decision.Outcome
 	node            nodeIndex
-	elapsed         time.Duration // ticked: since the oldest call was sent that the node still owes an answer; 0: there is none
-	calls           int           // that the node owes answers
-	usualLatency    time.Duration // that the node is compared with
+	elapsed         time.Duration // ticked: age of the oldest pending call to the node, 0 if there is none; attemptEnded: age of the attempt
+	calls           int           // pending calls to the node
+	usualLatency    time.Duration // latency that the node's is compared with
 	sendInterval    time.Duration // usual time between two attempts to a node
-	ejectedBySender bool          // another broker has ejected the node; false: it has reinstated it
+	ejectedBySender bool          // whether the sending broker has ejected the node (true) or reinstated it (false)
 	status          endpointStatus
 	event           *decision.Event
 	endpoint        decision.Endpoint
 }
 
-// endpointStatus is what a nodeHealth lets the dispatcher know.
+// endpointStatus is what a nodeHealth reports to the dispatcher.
 type endpointStatus struct {
 	mode             endpointMode
 	cell             int
-	capacityShare    float64       // of a node that is warming up, of what a warmed-up one is sent; otherwise 1
-	costFactor       float64       // as how many calls one call to the node counts
+	capacityShare    float64       // load allowed while the node is warming up, as a share of a warmed-up node's; otherwise 1
+	costFactor       float64       // how many calls one call to the node counts as
 	unreachable      bool          // the last connection failed
-	unconfirmedSince time.Duration // 0: it is confirmed
+	unconfirmedSince time.Duration // 0: the node's entry in the endpoint list is confirmed
 }
 
 // receiver handles the messages of its inbox.
@@ -50,12 +51,14 @@
 	handle(m *message)
 }
 
+// inbox holds the messages that wait for a receiver.
 type inbox struct {
 	receiver receiver
 	messages []message
-	pending  bool
+	pending  bool // in Router.pendingInboxes
 }
 
+// post adds a message to an inbox.
 func (r *Router) post(b *inbox, m message) {
 	b.messages = append(b.messages, m)
 	if !b.pending {
@@ -64,7 +67,7 @@
 	}
 }
 
-// deliver hands over all messages, those too that are sent meanwhile.
+// deliver delivers all messages, including those that are posted during the delivery.
 func (r *Router) deliver() {
 	for i := 0; i < len(r.pendingInboxes); i++ {
 		b := r.pendingInboxes[i]
--- a/internal/decision/routing/module.go
+++ b/internal/decision/routing/module.go
@@ -3,13 +3,13 @@
 //
 // A front end calls New with the settings of the deployment, then Router.Step with each batch of events, and carries out the actions
 // that Step appends, in their order. Events, actions and settings are types of package decision. The package does no I/O and reads
-// no clock; every random draw depends on Settings.Seed and the draws before it alone, so that equal events lead to equal actions.
+// no clock. Every random draw depends only on Settings.Seed and the draws before it, so equal events lead to equal actions.
 //
-// A Router is used by one goroutine. Inside it the work is shared by the dispatcher (the queries in flight), one nodeHealth for each
-// store node and the listWatcher (the endpoint list). They exchange messages, which Router.deliver hands over in the order in which
-// they were sent. Each decision has a file of its own with its constants; the files that only hold state are dispatcher.go,
-// query_table.go, attempts.go, quiet.go, node_health.go, endpoint_table.go, endpoint_list.go, gossip.go, log_messages.go, messages.go, this
-// one, and those of small data structures. deploy/balancer.toml lists the others under policy.
+// A Router must be used by one goroutine. Inside it the work is divided between the dispatcher (the queries in flight), one nodeHealth
+// for each store node and the listWatcher (the endpoint list). They exchange messages, which Router.deliver delivers inbox by inbox.
+// Each decision has a file of its own with its constants; the files that only hold state are dispatcher.go, query_table.go,
+// attempts.go, quiet.go, node_health.go, endpoint_table.go, endpoint_list.go, gossip.go, log_messages.go, messages.go, this one, and
+// those of small data structures. deploy/balancer.toml lists the others under policy.
 package routing
 
 import (
@@ -19,30 +19,30 @@
 	"flaxfront/internal/decision"
 )
 
-// never is a time that does not come.
+// never is later than any time that is reached; it stands for "no time".
 const never = time.Duration(1<<63 - 1)
 
 // Router makes the decisions of one broker. It implements decision.Router.
 type Router struct {
 	settings       *decision.Settings
 	now            time.Duration
-	timerAt        time.Duration // the earliest timer asked for that has not fired; negative: none
+	timerAt        time.Duration // the earliest requested timer that has not fired; negative: none
 	actions        []decision.Action
-	pendingInboxes []*inbox // those with messages
+	pendingInboxes []*inbox // the inboxes that hold messages
 	dispatcher     dispatcher
 	list           listWatcher
 	nodes          []*nodeHealth
 	indexes        map[decision.NodeID]nodeIndex
-	freeIndexes    []nodeIndex // of nodes that were forgotten
+	freeIndexes    []nodeIndex // of forgotten nodes, for reuse
 	random         randomSource
-	failureShares  shareRanking // of the listed nodes
-	longestTimeout time.Duration
-	gossip         []byte // sent at the end of the step
+	failureShares  shareRanking  // failure shares of the listed nodes
+	longestTimeout time.Duration // the longest of a query type, under any settings so far
+	gossip         []byte        // the message that is sent at the end of the step
 }
 
 var _ decision.Router = (*Router)(nil)
 
-// New returns the router of one broker, without endpoints or queries.
+// New returns the router of one broker. It has no endpoints or queries yet.
 func New(settings decision.Settings) *Router {
 	r := &Router{
 		settings: &settings,
@@ -57,9 +57,10 @@
 	return r
 }
 
-// Reconfigure has the router go on under other settings. Queries in flight end as the settings say under which they came; what was
-// learned stays, as does the budget of extra attempts. moved says that shards are on other cells now, or other nodes in them: then
-// shard requests in flight are sent to no other node, and the front end has emptied the endpoint list before.
+// Reconfigure changes the router's settings. Queries in flight keep the query type under which they arrived. What the router has
+// learned of the nodes is kept, as is the budget of extra attempts. shardsMoved tells that shards are in other cells now, or that the
+// nodes of a cell have changed: shard requests in flight then get no further attempts. In that case the caller has emptied the endpoint
+// list first.
 func (r *Router) Reconfigure(settings decision.Settings, shardsMoved bool) {
 	settings.Seed = r.settings.Seed
 	if settings.ExtraAttemptsWindow > r.settings.ExtraAttemptsWindow {
@@ -70,13 +71,14 @@
 	r.dispatcher.reconfigure(shardsMoved)
 }
 
+// updateLongestTimeout raises longestTimeout to the longest timeout of the settings.
 func (r *Router) updateLongestTimeout() {
 	for i := range r.settings.QueryTypes {
 		r.longestTimeout = max(r.longestTimeout, r.settings.QueryTypes[i].Timeout)
 	}
 }
 
-// Step takes all events since the last call, in their order of arrival, and appends the actions they lead to.
+// Step handles the events since the last call, in their order of arrival, and returns actions with the resulting actions appended.
 func (r *Router) Step(now time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	r.now = now
 	r.actions = actions
@@ -100,7 +102,7 @@
 	switch e.Kind {
 	case decision.FullListReceived, decision.ListUpdateReceived, decision.ListPollFailed:
 		r.post(&r.list.inbox, message{kind: eventReceived, event: e})
-		r.deliver() // shard requests later in the batch need the list
+		r.deliver() // so that the list applies to the shard requests later in the batch
 	case decision.GossipReceived:
 		r.handleGossip(e.Payload)
 	default:
@@ -108,7 +110,8 @@
 	}
 }
 
-// tickNodes tells the nodes that time alone may change how much time has passed.
+// tickNodes sends a tick to each node whose state may change with time alone. A node needs no more ticks once nothing is in flight to
+// it and it is unlisted, or warmed up and not degraded.
 func (r *Router) tickNodes() {
 	d := &r.dispatcher
 	sendInterval := time.Duration(float64(time.Second) / max(1e-3, d.flows.fleet.usual(r.now)))
@@ -130,6 +133,7 @@
 	}
 }
 
+// sendGossip sends the gossip entries of the step to the other brokers in one message.
 func (r *Router) sendGossip() {
 	if len(r.gossip) == 0 {
 		return
@@ -138,7 +142,7 @@
 	r.gossip = r.gossip[:0]
 }
 
-// setTimer asks for a timer at the next time at which something may be due.
+// setTimer requests a timer for the next step that is needed, unless an earlier one is set.
 func (r *Router) setTimer() {
 	if r.timerAt >= 0 && r.timerAt <= r.now {
 		r.timerAt = -1
@@ -153,7 +157,7 @@
 // act appends an action.
 func (r *Router) act(a decision.Action) { r.actions = append(r.actions, a) }
 
-// Snapshot returns how many attempts are in flight and how many listed nodes are ejected.
+// Snapshot returns the number of attempts in flight and the number of listed nodes that are ejected.
 func (r *Router) Snapshot() (inFlight, ejected int) {
 	for i, n := range r.nodes {
 		for _, c := range r.dispatcher.endpoints.all[i].calls {
@@ -172,7 +176,7 @@
 	return known && r.dispatcher.endpoints.all[index].available()
 }
 
-// HasAvailableReplica reports whether a node that holds the shard is listed and not ejected.
+// HasAvailableReplica reports whether any node that holds the shard is listed and not ejected.
 func (r *Router) HasAvailableReplica(shard int) bool {
 	t := &r.dispatcher.endpoints
 	return slices.ContainsFunc(t.replicas(shard), func(i nodeIndex) bool { return t.all[i].available() })
--- a/internal/decision/routing/node_health.go
+++ b/internal/decision/routing/node_health.go
@@ -6,20 +6,20 @@
 	"flaxfront/internal/decision"
 )
 
-// nodeHealth holds what is known of the health of one store node, and lets the dispatcher know what may be sent to it.
+// nodeHealth tracks the health of one store node and reports to the dispatcher what may be sent to it.
 type nodeHealth struct {
 	router           *Router
 	inbox            inbox
 	index            nodeIndex
 	id               decision.NodeID
 	cell             int
-	listed           bool            // and ready
-	startedAt        time.Duration   // the latest start that a list named
-	unlistedAt       time.Duration   // when it left the list; never: it is in it
-	listedIn         *decision.Event // the list being merged, if it names the node
-	reported         endpointStatus  // the last that the dispatcher was sent
+	listed           bool            // the endpoint list names the node as ready
+	startedAt        time.Duration   // the latest start time that a list has given
+	unlistedAt       time.Duration   // when the node left the list; never: it is listed
+	listedIn         *decision.Event // the list or update being merged, if it names the node
+	reported         endpointStatus  // the last status that was sent to the dispatcher
 	warmingUp        bool
-	unconfirmedSince time.Duration // 0: it is confirmed
+	unconfirmedSince time.Duration // 0: the entry in the endpoint list is confirmed
 	unreachable      bool          // the last connection failed
 	sendInterval     time.Duration // usual time between two attempts to a node
 
@@ -29,19 +29,19 @@
 	nextTrialAt         time.Duration
 	reinstatedAt        time.Duration
 	errorRate           float64
-	failureShare        float64 // of its attempts, over a longer time than errorRate
+	failureShare        float64 // share of the node's attempts that fail, averaged over a longer time than errorRate
 	ranked              bool    // failureShare is in Router.failureShares
 	lastFailureAt       time.Duration
-	consecutiveRejected int // attempts rejected since its last answer
+	consecutiveRejected int // attempts rejected since the node's last answer
 
-	lastResponseAt       time.Duration // when it last answered, failed or rejected an attempt
-	unansweredTime       time.Duration // that its calls have waited since then, added up
-	connectionsRenewedAt time.Duration // when fresh connections to it were last asked for
+	lastResponseAt       time.Duration // when the node last answered, failed or rejected an attempt
+	unansweredTime       time.Duration // sum of the time that its calls have waited since lastResponseAt
+	connectionsRenewedAt time.Duration // when fresh connections to the node were last requested
 
-	latency         time.Duration // the last, fading to the usual one
-	updatedAt       time.Duration
-	costFactor      float64 // as how many calls one of its calls counts
-	ejectingBrokers float64 // how many other brokers have lately ejected it, fading
+	latency         time.Duration // the last latency; one above the usual latency decays towards it
+	updatedAt       time.Duration // when latency was last set or decayed, at an answer or a tick
+	costFactor      float64       // how many calls one call to the node counts as
+	ejectingBrokers float64       // how many other brokers have recently ejected the node; decays with time
 	lastGossipedAt  time.Duration
 }
 
@@ -63,7 +63,7 @@
 	n.report()
 }
 
-// handleListed takes the node's line of the endpoint list.
+// handleListed applies the node's line of the endpoint list.
 func (n *nodeHealth) handleListed(line *decision.Endpoint) {
 	n.cell = line.Cell
 	n.listed = line.State == decision.Ready
@@ -72,7 +72,7 @@
 	if line.Unconfirmed {
 		n.unconfirmedSince = max(1, n.router.now)
 	}
-	if line.StartedAt > n.startedAt { // an old list may name an older start
+	if line.StartedAt > n.startedAt { // an old list may give an older start
 		n.startedAt = line.StartedAt
 		n.beginWarmUp()
 	}
@@ -84,13 +84,13 @@
 	n.judgeLatency(m)
 }
 
-// handleAttemptEnded takes how an attempt to the node ended.
+// handleAttemptEnded updates the node's health with the outcome of an attempt.
 func (n *nodeHealth) handleAttemptEnded(outcome decision.Outcome, elapsed time.Duration) {
 	switch outcome {
 	case decision.OK, decision.Stale:
 		n.noteAnswer(elapsed)
 	case decision.Cancelled:
-		if elapsed > n.latency { // its answer would have taken longer still
+		if elapsed > n.latency { // the answer would have taken at least as long
 			n.noteLatency(elapsed)
 		}
 	case decision.Errored, decision.ConnectionReset:
@@ -102,7 +102,7 @@
 	}
 }
 
-// report lets the dispatcher know the node's status if that has changed.
+// report sends the node's status to the dispatcher if it has changed since the last report.
 func (n *nodeHealth) report() {
 	r := n.router
 	n.endSlowStart()
@@ -138,7 +138,8 @@
 	}
 }
 
-// setFailureShare sets the share of its attempts that the node fails, and its rank among the listed nodes.
+// setFailureShare sets the share of the node's attempts that fail, and updates Router.failureShares, which holds the shares of listed
+// nodes only.
 func (n *nodeHealth) setFailureShare(share float64) {
 	ranking := &n.router.failureShares
 	unchanged := !n.listed || share == n.failureShare
--- a/internal/decision/routing/quiet.go
+++ b/internal/decision/routing/quiet.go
@@ -2,8 +2,9 @@
 
 import "flaxfront/internal/decision"
 
-// noteQuiet notes, after a query was looked at in full, whether only time can change what becomes of it until an attempt of it ends;
-// then it is not looked at in each step. It must not say so where completeIfReady or sendHedgesAndRetries would look at anything else.
+// noteQuiet marks a query as quiet, after advance has processed it, if nothing but the passage of time can affect it until one of its
+// attempts ends. sweep skips quiet queries. A query must not be marked if completeIfReady or sendHedgesAndRetries would depend on
+// anything else.
 func (d *dispatcher) noteQuiet(q *query) {
 	if !q.inUse || !q.dispatched || q.waiting {
 		return
@@ -24,12 +25,13 @@
 	q.quiet = true
 }
 
+// mayEverHedge reports whether a shard request may be hedged at some time before its attempt ends.
 func (d *dispatcher) mayEverHedge(q *query, sr *shardRequest) bool {
 	repeatable := q.queryType.Idempotency != decision.NonIdempotent
 	return repeatable && d.mayHedge(q, sr) && len(sr.attempts) < d.router.settings.MaxAttempts
 }
 
-// staysQuiet reports whether a quiet query has nothing due, and notes when it will.
+// staysQuiet reports whether a quiet query has nothing due now; if so, it schedules a step for the time at which something is due.
 func (d *dispatcher) staysQuiet(q *query) bool {
 	now := d.router.now
 	if now >= q.deadline || now >= q.hardDeadline {
--- a/internal/decision/routing/random.go
+++ b/internal/decision/routing/random.go
@@ -6,7 +6,7 @@
 	"hash/fnv"
 )
 
-// randomSource draws numbers that depend on its seed and on how many were drawn before.
+// randomSource is a pseudo-random generator whose draws depend only on its seed and on the number of draws before.
 type randomSource struct {
 	hash    hash.Hash64
 	block   [16]byte // counter and seed
@@ -19,7 +19,7 @@
 	return s
 }
 
-// share draws from [0, 1).
+// share returns a number in [0, 1).
 func (s *randomSource) share() float64 {
 	s.counter++
 	binary.BigEndian.PutUint64(s.block[:], s.counter)
--- a/internal/decision/routing/share_ranking.go
+++ b/internal/decision/routing/share_ranking.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// shareRanking holds the shares of the listed nodes in ascending order.
+// shareRanking holds the failure shares of the listed nodes in ascending order.
 type shareRanking []float64
 
 func (s *shareRanking) insert(share float64) {
@@ -15,7 +15,7 @@
 	*s = slices.Delete(*s, at, at+1)
 }
 
-// median is the upper median; 0 if there is none.
+// median returns the upper median, or 0 if the ranking is empty.
 func (s shareRanking) median() float64 {
 	if len(s) == 0 {
 		return 0
