--- a/internal/decision/routing/allowed_replicas_test.go
+++ b/internal/decision/routing/allowed_replicas_test.go
@@ -76,7 +76,7 @@
 func TestStaleAnswer(t *testing.T) {
 	r := oneCellRig()
 	allowed := &decision.AllowedReplicas{Sticky: true, Nodes: []decision.NodeID{nodeID(4), nodeID(0)}}
-	id := r.queryWithAllowed(allowed)
+	queryID := r.queryWithAllowed(allowed)
 	r.step(5 * ms)
 	allowed.Nodes = allowed.Nodes[1:]
 	r.endAttempts(decision.Stale, 0, nil)
@@ -84,7 +84,7 @@
 	allowed.Nodes = nil
 	r.endAttempts(decision.Stale, 0, nil)
 	shed := actionsOf(r.step(20*ms), decision.ShedQuery)
-	require(t, len(shed) == 1 && shed[0].ID == id, "held on: %v", shed)
+	require(t, len(shed) == 1 && shed[0].ID == queryID, "held on: %v", shed)
 	require(t, r.router.IsAvailable(nodeID(4)) && r.violation == "", "a node is ejected for its lag, %s", r.violation)
 	for range 30 {
 		r.queryWithAllowed(&decision.AllowedReplicas{Nodes: []decision.NodeID{nodeID(1)}})
--- a/internal/decision/routing/course_test.go
+++ b/internal/decision/routing/course_test.go
@@ -89,8 +89,8 @@
 	r.query(0, 3*time.Second, 0)
 	first := actionsOf(r.step(0), decision.SendAttempt)[0]
 	r.endAttempts(decision.Errored, 0, nil)
-	again := actionsOf(r.step(5*ms), decision.SendAttempt)
-	require(t, len(again) == 1 && again[0].Node != first.Node, "a retry elsewhere expected")
+	retry := actionsOf(r.step(5*ms), decision.SendAttempt)
+	require(t, len(retry) == 1 && retry[0].Node != first.Node, "a retry elsewhere expected")
 	r.endAttempts(decision.Errored, 0, nil)
 	require(t, len(actionsOf(r.step(5*ms), decision.ShedQuery)) == 1, "after one retry it is given up")
 	r.router.dispatcher.extraBudget.credit = 0
@@ -158,8 +158,8 @@
 // What the client of a retry has spent shows in its remaining time; a longer one does not hide it (incident ica07b0).
 func TestClientRetries(t *testing.T) {
 	r := newRig(smallSettings(), 6)
-	for i, left := range []time.Duration{2500, 2500, 2900, 2500, 2500, 1200} {
-		id := r.query(0, left*ms, 0)
+	for i, remaining := range []time.Duration{2500, 2500, 2900, 2500, 2500, 1200} {
+		id := r.query(0, remaining*ms, 0)
 		r.step(5 * ms)
 		ref, ok := r.router.dispatcher.queries.find(id)
 		require(t, ok, "query %d not in flight", i)
--- a/internal/decision/routing/invariants_test.go
+++ b/internal/decision/routing/invariants_test.go
@@ -15,18 +15,18 @@
 		rnd := rand.New(rand.NewSource(seed))
 		settings := smallSettings()
 		settings.Seed = uint64(seed)
-		ordinary := decision.QueryType{LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1, MinCompleteness: 1,
+		idempotent := decision.QueryType{LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1, MinCompleteness: 1,
 			FullCompleteness: 1}
-		keyed := ordinary
-		once := ordinary
-		twoPhases := ordinary
+		keyed := idempotent
+		nonIdempotent := idempotent
+		twoPhases := idempotent
 		keyed.Idempotency = decision.IdempotencyKeyed
 		keyed.IdempotencyWindow = 300 * ms
-		once.Idempotency = decision.NonIdempotent
+		nonIdempotent.Idempotency = decision.NonIdempotent
 		twoPhases.MinCompleteness = 0.4
 		twoPhases.FullCompleteness = 0.7
 		twoPhases.SecondPhaseRequests = 2
-		settings.QueryTypes = append(settings.QueryTypes, keyed, once, twoPhases)
+		settings.QueryTypes = append(settings.QueryTypes, keyed, nonIdempotent, twoPhases)
 		settings.HedgingAllowed = rnd.Intn(4) > 0
 		settings.CancelAllowed = rnd.Intn(4) > 0
 		settings.PollList = rnd.Intn(2) > 0
@@ -109,20 +109,20 @@
 	router := newRig(smallSettings(), 240).router
 	actions := make([]decision.Action, 0, 16)
 	now := time.Duration(0)
-	in := []decision.Event{{Kind: decision.QueryReceived, ID: 1, RemainingTime: time.Second, Weight: 1},
+	arrivals := []decision.Event{{Kind: decision.QueryReceived, ID: 1, RemainingTime: time.Second, Weight: 1},
 		{Kind: decision.ShardRequestReceived, Weight: 1}}
-	back := []decision.Event{{Kind: decision.AttemptEnded, Outcome: decision.OK, Elapsed: 50 * ms}}
+	answers := []decision.Event{{Kind: decision.AttemptEnded, Outcome: decision.OK, Elapsed: 50 * ms}}
 	round := func() {
-		in[0].ID, in[1].ID, back[0].ID = in[0].ID+2, in[0].ID+3, in[0].ID+3
+		arrivals[0].ID, arrivals[1].ID, answers[0].ID = arrivals[0].ID+2, arrivals[0].ID+3, arrivals[0].ID+3
 		now += 5 * ms
-		actions = router.Step(now, in, actions[:0])
+		actions = router.Step(now, arrivals, actions[:0])
 		for i := range actions {
 			if actions[i].Kind == decision.SendAttempt {
-				back[0].Node = actions[i].Node
+				answers[0].Node = actions[i].Node
 			}
 		}
-		now += back[0].Elapsed
-		actions = router.Step(now, back, actions[:0])
+		now += answers[0].Elapsed
+		actions = router.Step(now, answers, actions[:0])
 	}
 	for range 2000 {
 		round()
@@ -164,19 +164,19 @@
 		r.query(i%2, 3*time.Second, 0, 1)
 		r.endAttempts(decision.OK, 50*ms, nil)
 		if i%50 == 0 {
-			var changes []decision.Endpoint
+			var updates []decision.Endpoint
 			for j := range 1 + i/50%3 { // one, two or three at a time
 				e := &live[(i/50+j)%5]
 				old := *e
 				old.State = decision.Removed
 				e.StartedAt = r.now
 				e.Node = decision.NodeID{Addr: [4]byte{11, byte(i >> 8), byte(i), byte(j)}, Port: 1}
-				changes = append(changes, old, *e)
+				updates = append(updates, old, *e)
 			}
 			if i/50%2 == 0 {
 				r.list(decision.FullListReceived, live...)
 			} else {
-				r.list(decision.ListUpdateReceived, changes...)
+				r.list(decision.ListUpdateReceived, updates...)
 			}
 		}
 		r.step(20 * ms)
@@ -187,8 +187,8 @@
 			}
 		}
 	}
-	most := 6 + 3*(2+int(r.router.longestTimeout/time.Second))
-	require(t, r.violation == "" && len(r.router.nodes) <= most && len(r.router.indexes) <= most &&
-		len(r.router.dispatcher.endpoints.all) <= most,
+	limit := 6 + 3*(2+int(r.router.longestTimeout/time.Second))
+	require(t, r.violation == "" && len(r.router.nodes) <= limit && len(r.router.indexes) <= limit &&
+		len(r.router.dispatcher.endpoints.all) <= limit,
 		"%d nodes, %d ids kept, %s", len(r.router.nodes), len(r.router.indexes), r.violation)
 }
--- a/internal/decision/routing/lost_calls_test.go
+++ b/internal/decision/routing/lost_calls_test.go
@@ -13,7 +13,7 @@
 	settings := smallSettings()
 	settings.Cells = 1
 	r := newRig(settings, 1)
-	at := func() *endpoint { return &r.router.dispatcher.endpoints.all[0] }
+	node := func() *endpoint { return &r.router.dispatcher.endpoints.all[0] }
 	round := func() {
 		r.query(0, 3*time.Second, 0)
 		r.step(5 * ms)
@@ -30,14 +30,14 @@
 		r.step(5 * ms)
 	}
 	r.step(600 * ms)
-	require(t, !at().available(), "a node that swallows six shard requests is in service")
+	require(t, !node().available(), "a node that swallows six shard requests is in service")
 	for range 40 {
 		round()
 		r.step(10 * ms)
 	}
-	lost := len(at().calls)
-	require(t, at().mode == modeWarmedUp && at().costFactor == 1, "mode %v, counts as %v after it answered again", at().mode, at().costFactor)
-	require(t, lost > 0 && len(at().pendingCalls()) == 0, "%d calls in flight, %d pending", lost, len(at().pendingCalls()))
+	lost := len(node().calls)
+	require(t, node().mode == modeWarmedUp && node().costFactor == 1, "mode %v, counts as %v after it answered again", node().mode, node().costFactor)
+	require(t, lost > 0 && len(node().pendingCalls()) == 0, "%d calls in flight, %d pending", lost, len(node().pendingCalls()))
 	wait := time.Duration(r.router.dispatcher.expectedWait(&shardRequest{}, 0))
 	require(t, wait < 200*ms, "expected wait %v", wait)
 	require(t, r.violation == "", "%s", r.violation)
--- a/internal/decision/routing/replicas_test.go
+++ b/internal/decision/routing/replicas_test.go
@@ -94,11 +94,11 @@
 	r.query(1, 4*time.Second, 0, 1)
 	r.step(0)
 	r.endAttempt(r.order[0], decision.OK)
-	early := r.router.dispatcher.latency.p95
+	reserve := r.router.dispatcher.latency.p95
 	for len(actionsOf(r.actions, decision.AnswerQuery)) == 0 && r.now < 3*time.Second {
 		r.step(5 * ms)
 	}
-	require(t, r.now <= 2*time.Second-deadlineMargin-early+5*ms, "the first step ended at %v", r.now)
+	require(t, r.now <= 2*time.Second-deadlineMargin-reserve+5*ms, "the first step ended at %v", r.now)
 	r.router.dispatcher.shardLatencies[0] = shardLatency{perCall: float64(20 * time.Second), at: r.now}
 	require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) == 2, "the second step is sent")
 	r.endAttempts(decision.OK, 0, nil)
--- a/internal/decision/routing/rig_rules_test.go
+++ b/internal/decision/routing/rig_rules_test.go
@@ -28,8 +28,8 @@
 			r.recordViolation("two attempts of shard request %d at once", a.ID)
 		}
 		r.extraAttempts = append(r.extraAttempts, r.now)
-		old := func(at time.Duration) bool { return at <= r.now-r.settings.ExtraAttemptsWindow }
-		r.extraAttempts, r.received = slices.DeleteFunc(r.extraAttempts, old), slices.DeleteFunc(r.received, old)
+		expired := func(at time.Duration) bool { return at <= r.now-r.settings.ExtraAttemptsWindow }
+		r.extraAttempts, r.received = slices.DeleteFunc(r.extraAttempts, expired), slices.DeleteFunc(r.received, expired)
 		limit := r.settings.ExtraAttemptsMin + r.settings.ExtraAttemptsShare*float64(len(r.received))
 		if n := len(r.extraAttempts); r.settings.ExtraAttemptsWindow > 0 && float64(n) > limit {
 			r.recordViolation("rule 6: %d further attempts", n)
--- a/internal/decision/routing/rig_test.go
+++ b/internal/decision/routing/rig_test.go
@@ -110,13 +110,13 @@
 }
 
 // ask brings a query with equal shard requests at the given shards.
-func (r *rig) query(queryType int, left time.Duration, shards ...int) uint64 {
+func (r *rig) query(queryType int, remainingTime time.Duration, shards ...int) uint64 {
 	r.nextID++
 	r.serial++
 	id := r.nextID
 	r.queries[id] = &openQuery{queryType: queryType, serial: r.serial}
 	r.events = append(r.events, decision.Event{Kind: decision.QueryReceived, ID: id, Serial: r.serial, Type: queryType,
-		RemainingTime: left, Weight: float64(len(shards))})
+		RemainingTime: remainingTime, Weight: float64(len(shards))})
 	r.addRequests(id, shards...)
 	return id
 }
@@ -142,8 +142,8 @@
 	delete(r.inFlight, k)
 	sr := r.requests[k.id]
 	sr.inFlight--
-	proven := outcome == decision.Rejected || outcome == decision.ConnectFailed || outcome == decision.NeverSent
-	if !proven && (!sr.ran || s.at < sr.ranAt) {
+	neverRan := outcome == decision.Rejected || outcome == decision.ConnectFailed || outcome == decision.NeverSent
+	if !neverRan && (!sr.ran || s.at < sr.ranAt) {
 		sr.ran = true
 		sr.ranAt = s.at
 	}
