--- a/internal/decision/routing/bench_test.go
+++ b/internal/decision/routing/bench_test.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/decision/routing"
 )
 
-// BenchmarkStep measures an ordinary query: two shard requests that are sent, answered and end the query, in two steps, with 240 nodes.
+// BenchmarkStep measures a query with two shard requests among 240 nodes: one step sends them, a second one handles their answers.
 func BenchmarkStep(b *testing.B) {
 	settings := decision.Settings{
 		Seed: 7, BrokerCount: 3, ClockStep: 5 * time.Millisecond, Cells: 2, CellsPerShard: 1, MaxBatch: 8, OverQuotaWeight: 0.1,
--- a/internal/decision/routing/fairness_test.go
+++ b/internal/decision/routing/fairness_test.go
@@ -8,8 +8,8 @@
 	"flaxfront/internal/decision"
 )
 
-// servedUnderOverload plays 30 s in which four nodes, that serve 50 shard requests a second each in turn, are asked for a third more and more than they
-// can do, and returns the share served in time by third and class, of the tenant inside its share.
+// servedUnderOverload plays 30 s in which two tenants send queries at the given rates a second to four nodes, each of which answers 50
+// shard requests a second. It returns the share of the first tenant's queries that are answered, by third of the time and query type.
 func servedUnderOverload(ownRate, otherRate int) (share [3][2]float64) {
 	settings := smallSettings()
 	settings.BrokerCount = 1
@@ -31,7 +31,7 @@
 				}
 			}
 		}
-		for i := range 4 { // each serves the oldest in its queue, one in 20 ms
+		for i := range 4 { // each node answers the oldest attempt in its queue, one in 20 ms
 			id := nodeID(i)
 			ticksSinceAnswer[id]++
 			if ticksSinceAnswer[id] < 4 {
@@ -60,8 +60,8 @@
 	return share
 }
 
-// A tenant inside its share is served while another floods, every class of it, from the first third to the last; and where all
-// ask for more than can be done no class starves for one of more worth.
+// A tenant that stays within its quota is served while another floods: each of its query types, throughout the run. Under overload by
+// one tenant alone, no query type starves in favour of one with a higher priority weight.
 func TestFairnessOfQueryTypesAndTenants(t *testing.T) {
 	for name, c := range map[string]struct {
 		own, other int
@@ -74,7 +74,7 @@
 		t.Log(name, fmt.Sprintf("%.2f", got))
 		for third := range got {
 			for queryType, share := range got[third] {
-				require(t, share >= c.least, "%s: third %d, class %d: %.2f served", name, third, queryType, share)
+				require(t, share >= c.least, "%s: third %d, query type %d: share %.2f served", name, third, queryType, share)
 			}
 		}
 	}
--- a/internal/decision/routing/golden_arrivals_test.go
+++ b/internal/decision/routing/golden_arrivals_test.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/decision"
 )
 
-// addArrivals brings queries with their shard requests, and clients that leave.
+// addArrivals adds events for new queries with their shard requests, and for clients that leave.
 func (s *sequence) addArrivals() {
 	g := &s.random
 	for range g.below(s.maxArrivalsPerTick + 1) {
@@ -45,7 +45,7 @@
 	s.addShardRequests(q, shards)
 }
 
-// addShardRequests brings the shard requests of a query, equal in weight or skewed.
+// addShardRequests adds events for the shard requests of a query, with equal or skewed weights.
 func (s *sequence) addShardRequests(q openQuery, count int) {
 	g := &s.random
 	weights := make([]float64, count)
@@ -65,13 +65,13 @@
 		s.allowed[e.ID] = e.Allowed
 		s.add(e)
 	}
-	if g.oneIn(300) { // of a query that is not known
+	if g.oneIn(300) { // of an unknown query
 		s.nextID++
 		s.add(decision.Event{Kind: decision.ShardRequestReceived, ID: s.nextID, Serial: -1, Weight: 1})
 	}
 }
 
-// allowedReplicas narrows one shard request in ten to a few nodes.
+// allowedReplicas restricts one shard request in ten to a few nodes, and returns nil for the others.
 func (s *sequence) allowedReplicas() *decision.AllowedReplicas {
 	g := &s.random
 	if !g.oneIn(10) {
@@ -86,7 +86,7 @@
 	return a
 }
 
-// injectFaults change the conditions of nodes, the list, and what other brokers say.
+// injectFaults changes conditions of nodes, the endpoint list, gossip and settings at random, and adds unexpected ends of attempts.
 func (s *sequence) injectFaults() {
 	g := &s.random
 	if g.oneIn(15) {
@@ -101,14 +101,14 @@
 	if g.oneIn(200) {
 		s.reconfigure()
 	}
-	if g.oneIn(60) { // an end that is not known, or is told twice
+	if g.oneIn(60) { // the end of an unknown attempt, or of one that has ended before
 		s.add(decision.Event{Kind: decision.AttemptEnded, ID: uint64(g.below(int(s.nextID) + 1)), Attempt: uint16(g.below(3)),
 			Outcome: choose(g, decision.OK, decision.Errored, decision.Cancelled), Node: nodeNumber(g.below(s.nodesStarted + 1)),
 			Elapsed: g.duration(500 * time.Millisecond)})
 	}
 }
 
-// changeConditions has single nodes, a whole zone or all nodes fall ill or recover.
+// changeConditions changes the condition of single nodes, of a whole zone or of all nodes, and lets others recover.
 func (s *sequence) changeConditions() {
 	g := &s.random
 	newCondition := condition(g.below(int(conditionCount)))
@@ -148,7 +148,7 @@
 		n.endpoint.Unconfirmed = !n.endpoint.Unconfirmed
 	case 3:
 		n.endpoint.Cell = g.below(s.settings.Cells)
-	default: // replaced by a new node; its entry is removed by an update, or by its absence from a full list
+	default: // the node is replaced by a new one; its entry is removed by an update, or by its absence from a full list
 		s.nodes = slices.Delete(s.nodes, at, at+1)
 		fresh := s.startNode()
 		fresh.endpoint.StartedAt = choose(g, decision.StartedLongAgo, s.now)
@@ -163,7 +163,7 @@
 	s.add(decision.Event{Kind: decision.ListUpdateReceived, Endpoints: []decision.Endpoint{n.endpoint}})
 }
 
-// addGossip brings a message of another broker: entries of seven bytes, and at times a few bytes too many.
+// addGossip adds events with a gossip message of another broker: entries of seven bytes, sometimes with trailing bytes.
 func (s *sequence) addGossip() {
 	g := &s.random
 	var payload []byte
@@ -179,7 +179,7 @@
 	}
 }
 
-// reconfigure gives the router other settings; in half of the cases the shards move, and the list is emptied before and sent anew.
+// reconfigure changes the router's settings. In half of the cases the shards move: the list is then emptied first and sent again after.
 func (s *sequence) reconfigure() {
 	g := &s.random
 	changeSettings(g, &s.settings)
--- a/internal/decision/routing/golden_sequence_test.go
+++ b/internal/decision/routing/golden_sequence_test.go
@@ -18,7 +18,7 @@
 	secondPhase bool
 }
 
-// sequence is one pseudo-random course: a router, the store and the clients around it.
+// sequence is one pseudo-random run of a router with a simulated store and clients.
 type sequence struct {
 	random              generator
 	settings            decision.Settings
@@ -26,16 +26,16 @@
 	digest              *digest
 	now                 time.Duration
 	tick                time.Duration // usual time between two steps
-	maxArrivalsPerTick  int           // most queries that arrive in one
-	conditionChangeOdds int           // one node in so many changes its condition at a time
+	maxArrivalsPerTick  int           // maximum number of queries that arrive in one tick
+	conditionChangeOdds int           // one node in so many changes its condition when conditions change
 	nodes               []*storeNode
 	byID                map[decision.NodeID]*storeNode
-	nodesStarted        int // nodes ever
+	nodesStarted        int // number of nodes started so far
 	serviceTime         time.Duration
 	nextID              uint64
 	serial              float32
 	queries             []openQuery
-	sent                map[uint64]uint16 // attempts of each shard request
+	sent                map[uint64]uint16 // number of attempts of each shard request
 	allowed             map[uint64]*decision.AllowedReplicas
 	openAttempts        []openAttempt
 	openHealthChecks    []openAttempt
@@ -101,7 +101,7 @@
 	return all
 }
 
-// step lets time pass until the next timer or the next tick, delivers what ends meanwhile and carries out what the router wants.
+// step advances the clock to the next timer or the next tick, passes what ended until then to the router and carries out its actions.
 func (s *sequence) step() {
 	g := &s.random
 	until := s.now + s.settings.ClockStep + g.duration(2*s.tick)
@@ -159,7 +159,7 @@
 	s.openHealthChecks = remaining
 }
 
-// carryOut does what an action says.
+// carryOut carries out an action.
 func (s *sequence) carryOut(a *decision.Action) {
 	g := &s.random
 	switch a.Kind {
@@ -188,7 +188,7 @@
 	}
 }
 
-// finish removes a query that has its result, or brings the shard requests of its second phase.
+// finish removes a query that has its result, or adds the shard requests of its second phase.
 func (s *sequence) finish(a *decision.Action) {
 	for i := range s.queries {
 		q := s.queries[i]
--- a/internal/decision/routing/golden_settings_test.go
+++ b/internal/decision/routing/golden_settings_test.go
@@ -6,7 +6,7 @@
 	"flaxfront/internal/decision"
 )
 
-// randomSettings draws the settings of one sequence; each option is on in some of them.
+// randomSettings returns random settings for one sequence; each option is enabled in some of the sequences.
 func randomSettings(g *generator) decision.Settings {
 	s := decision.Settings{
 		Seed:                g.next(),
@@ -65,7 +65,7 @@
 	return q
 }
 
-// changeSettings draws what a reload may change.
+// changeSettings changes the settings that a reload may change, at random.
 func changeSettings(g *generator, s *decision.Settings) {
 	s.MaxInFlight = choose(g, 10+g.below(90), 10000)
 	s.HedgingAllowed = !g.oneIn(4)
--- a/internal/decision/routing/golden_store_test.go
+++ b/internal/decision/routing/golden_store_test.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/decision"
 )
 
-// condition is what ails a store node of a sequence.
+// condition is the fault of a store node, if any.
 type condition int
 
 const (
@@ -18,17 +18,17 @@
 	rejecting
 	unreachable
 	resetting
-	resettingIdle // resets what comes over connections that stood idle
-	lagging       // answers from data too old to count
+	resettingIdle // resets attempts over connections that were idle
+	lagging       // answers from data that is too old
 	conditionCount
 )
 
-// storeNode is a node of the store that a sequence is played against.
+// storeNode simulates a node of the store.
 type storeNode struct {
 	endpoint    decision.Endpoint
 	condition   condition
 	latency     time.Duration
-	serviceTime time.Duration // of one attempt; attempts queue for it
+	serviceTime time.Duration // processing time of one attempt; attempts are processed one after another
 	busyUntil   time.Duration
 	lastUsed    time.Duration
 }
@@ -55,7 +55,7 @@
 	return id
 }
 
-// openAttempt is an attempt or health check that is out.
+// openAttempt is an attempt or health check in flight.
 type openAttempt struct {
 	id      uint64
 	number  uint16
@@ -66,7 +66,7 @@
 	allowed *decision.AllowedReplicas
 }
 
-// attempt tells how an attempt sent now will end.
+// attempt returns when and how an attempt that is sent now ends.
 func (n *storeNode) attempt(g *generator, now time.Duration) (endsAt time.Duration, outcome decision.Outcome) {
 	idle := now - n.lastUsed
 	n.lastUsed = now
@@ -98,7 +98,7 @@
 	return endsAt, decision.OK
 }
 
-// healthCheck tells how a health check sent now will end.
+// healthCheck returns when and how a health check that is sent now ends.
 func (n *storeNode) healthCheck(g *generator, now time.Duration) (endsAt time.Duration, outcome decision.Outcome) {
 	if n.condition == silent || n.condition == unreachable || g.oneIn(20) {
 		return now + 300*time.Millisecond, decision.TimedOut
--- a/internal/decision/routing/golden_test.go
+++ b/internal/decision/routing/golden_test.go
@@ -23,8 +23,8 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write "+goldenFile+" anew; only for an intended change of decisions")
 
-// TestGoldenActions plays pseudo-random event sequences and compares a digest of the actions of each with the one on file, which was
-// recorded from commit 1a4b6be. A digest covers every field of every action in order, except the text of log lines.
+// TestGoldenActions plays pseudo-random event sequences and compares a digest of the actions of each with the digest on file, which was
+// recorded at commit 1a4b6be. A digest covers every field of every action in order, except the text of log lines.
 func TestGoldenActions(t *testing.T) {
 	if *updateGolden {
 		writeDigests(t)
@@ -83,7 +83,7 @@
 	return digests
 }
 
-// digest is a hash over actions, encoded by the position of their fields.
+// digest is a hash over actions, whose fields are encoded in a fixed order without their names.
 type digest struct {
 	sum hash.Hash64
 	buf []byte
@@ -127,7 +127,7 @@
 
 func (d *digest) String() string { return fmt.Sprintf("%016x", d.sum.Sum64()) }
 
-// generator is splitmix64: its numbers depend on nothing but the seed, whatever Go version runs.
+// generator is the splitmix64 generator. Its numbers depend only on the seed, not on the Go version.
 type generator uint64
 
 func (g *generator) next() uint64 {
@@ -138,19 +138,19 @@
 	return z ^ z>>31
 }
 
-// below draws from 0 to n-1.
+// below returns a number from 0 to n-1.
 func (g *generator) below(n int) int { return int(g.next() % uint64(n)) }
 
-// oneIn is true once in n draws on average.
+// oneIn returns true with probability 1/n.
 func (g *generator) oneIn(n int) bool { return g.below(n) == 0 }
 
-// share draws from [0, 1).
+// share returns a number in [0, 1).
 func (g *generator) share() float64 { return float64(g.next()>>11) / (1 << 53) }
 
-// duration draws from [0, limit), in whole milliseconds.
+// duration returns a duration in [0, limit), in whole milliseconds.
 func (g *generator) duration(limit time.Duration) time.Duration {
 	return time.Duration(math.Floor(g.share()*float64(limit/time.Millisecond))) * time.Millisecond
 }
 
-// choose draws one of the values.
+// choose returns one of the values.
 func choose[T any](g *generator, values ...T) T { return values[g.below(len(values))] }
--- a/internal/decision/routing/invariants_test.go
+++ b/internal/decision/routing/invariants_test.go
@@ -9,7 +9,7 @@
 	"flaxfront/internal/decision"
 )
 
-// All six rules hold after every step of random runs, whatever the order of events.
+// The rules that the rig checks hold after every step of random runs, whatever the order of events.
 func TestRulesHoldInRandomRuns(t *testing.T) {
 	run := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
@@ -57,8 +57,8 @@
 	}
 }
 
-// Rule 4: brokers that know nothing of each other, three, or forty that send little, stay within the limit of
-// a node that has just started, in any window, even where warm nodes are sent all that they can do.
+// Rule 4: brokers that know nothing of each other, whether 3 or 40 with little traffic each, together stay within the load that a node
+// that has just started can take, in any window, even where warmed-up nodes get all that they can handle.
 func TestWarmingUpNodeIsNotOverloaded(t *testing.T) {
 	for seed := range int64(6) {
 		brokers := []int{3, 40}[seed%2]
@@ -89,7 +89,7 @@
 				warm += len(r.sends[nodeID(i)])
 			}
 		}
-		warmedUpRate := float64(warm) / 5 / 8 // attempts a second that a warmed-up node is sent, taken for all it can do
+		warmedUpRate := float64(warm) / 5 / 8 // attempts a second to a warmed-up node, taken as its capacity
 		for from := time.Duration(0); from < 8*time.Second; from += 100 * ms {
 			n := 0
 			capacity := 0.3 + 0.7*from.Seconds()/8
@@ -99,9 +99,9 @@
 				}
 			}
 			limit := settings.OverloadMultiple * capacity * warmedUpRate * 1.5
-			require(t, float64(n) <= limit+1, "seed %d: %d sent from %v on, limit %.1f", seed, n, from, limit)
+			require(t, float64(n) <= limit+1, "seed %d: %d attempts sent in the window from %v, limit %.1f", seed, n, from, limit)
 		}
-		require(t, len(sends) > 20, "it must be brought back, not left out")
+		require(t, len(sends) > 20, "only %d attempts sent to the warming-up node", len(sends))
 	}
 }
 
@@ -127,10 +127,10 @@
 	for range 2000 {
 		round()
 	}
-	require(t, testing.AllocsPerRun(500, round) == 0, "the ordinary path allocates")
+	require(t, testing.AllocsPerRun(500, round) == 0, "a query without faults allocates memory")
 }
 
-// A fleet of no node or of one, outcomes that come twice or for what is not known, and an old list.
+// With no node or one node, and with duplicate outcomes, unknown ids and outdated lists, every query gets its result.
 func TestUnexpectedEvents(t *testing.T) {
 	for nodes := range 2 {
 		r := newRig(smallSettings(), nodes)
@@ -146,12 +146,12 @@
 		for range 300 {
 			r.step(5 * ms)
 		}
-		require(t, r.violation == "" && len(r.queries) == 0, "%d nodes: %d left, %s", nodes, len(r.queries), r.violation)
+		require(t, r.violation == "" && len(r.queries) == 0, "%d nodes: %d queries without a result; violation: %q", nodes, len(r.queries), r.violation)
 	}
 }
 
-// Nodes that are replaced under new ids all day leave nothing behind, though queries run on; a place that is used
-// again is in the new node's cell alone.
+// Nodes are replaced under new ids all the time. Their state is freed while queries go on, and an index that is reused is in the cell of
+// the new node only.
 func TestUnlistedNodesAreForgotten(t *testing.T) {
 	settings := smallSettings()
 	live := []decision.Endpoint{}
@@ -190,5 +190,5 @@
 	limit := 6 + 3*(2+int(r.router.longestTimeout/time.Second))
 	require(t, r.violation == "" && len(r.router.nodes) <= limit && len(r.router.indexes) <= limit &&
 		len(r.router.dispatcher.endpoints.all) <= limit,
-		"%d nodes, %d ids kept, %s", len(r.router.nodes), len(r.router.indexes), r.violation)
+		"%d nodes and %d ids are kept; violation: %q", len(r.router.nodes), len(r.router.indexes), r.violation)
 }
--- a/internal/decision/routing/oncall_test.go
+++ b/internal/decision/routing/oncall_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// quoted is a piece of code on a page.
+// quoted matches inline code in Markdown.
 var quoted = regexp.MustCompile("`([^`]+)`")
 
-// linePattern matches the lines of a log format, with NODE and Z in place of names.
+// linePattern returns a pattern for the lines of a log format; Z may stand for a zone number.
 func linePattern(format string) *regexp.Regexp {
 	pattern := regexp.QuoteMeta(format)
 	pattern = strings.ReplaceAll(pattern, `%\.2f`, `\d+\.\d\d`)
@@ -19,7 +19,7 @@
 	return regexp.MustCompile("^" + pattern + "$")
 }
 
-// Every line that a router may write stands whole in the table of modes of the on-call page, with an example of its figures.
+// Every log line that a router may write appears in full in the table of modes of the on-call page, with example values.
 func TestEveryLogLineIsOnTheOnCallPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/oncall.md")
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	_, section, found := strings.Cut(string(page), "## Modes of the module\n")
 	if !found {
-		t.Fatal("the page has no section on the modes of the module")
+		t.Fatal("docs/oncall.md has no section \"Modes of the module\"")
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
 	for _, format := range LogFormats() {
@@ -37,7 +37,7 @@
 			seen = seen || line.MatchString(code[1])
 		}
 		if !seen {
-			t.Errorf("no line %q in the table", format)
+			t.Errorf("log line %q is missing from the table in docs/oncall.md", format)
 		}
 	}
 }
--- a/internal/decision/routing/replicas_test.go
+++ b/internal/decision/routing/replicas_test.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision"
 )
 
-// Where nodes may be health-checked, a shard request waits for a replica that shows life, and goes all the same once it has waited for long
-// (memphis-main, sillon-casa).
+// Where health checks are allowed, a first attempt waits for a replica that answers one, and is sent without an answer after
+// maxAwaitCheck (scenarios memphis-main, sillon-casa).
 func TestReplicasAreHealthChecked(t *testing.T) {
 	settings := smallSettings()
 	settings.HealthChecksAllowed = true
@@ -17,29 +17,29 @@
 		r.query(0, 3*time.Second, 0)
 		a := r.step(5 * ms)
 		require(t, len(actionsOf(a, decision.SendAttempt)) == 0 && len(actionsOf(a, decision.SendHealthCheck)) == 3,
-			"health checks to the three replicas: %v", a)
+			"not exactly health checks to the three replicas: %v", a)
 		answering := r.healthChecks[1]
 		if answers {
 			r.endHealthChecks(decision.OK, func(id decision.NodeID) bool { return id == answering })
 			a = r.step(5 * ms)
-			require(t, len(actionsOf(a, decision.SendAttempt)) == 1 && a[0].Node == answering, "sent to the one that answered: %v", a)
+			require(t, len(actionsOf(a, decision.SendAttempt)) == 1 && a[0].Node == answering, "not sent to the replica that answered: %v", a)
 			r.endAttempts(decision.OK, 0, nil)
 			r.step(5 * ms)
 			r.query(0, 3*time.Second, 0)
 			a = r.step(5 * ms)
 			require(t, len(actionsOf(a, decision.SendHealthCheck)) == 0 && len(actionsOf(a, decision.SendAttempt)) == 1,
-				"it has just answered: %v", a)
+				"not sent at once to the replica that has just answered: %v", a)
 			continue
 		}
 		for r.now < 5*ms+maxAwaitCheck {
-			require(t, len(r.order) == 0, "sent at %v, before any replica answered", r.now)
+			require(t, len(r.order) == 0, "sent at %v, before a replica answered or the wait was over", r.now)
 			r.step(5 * ms)
 		}
-		require(t, len(r.order) == 1 && r.violation == "", "sent once it has waited: %s", r.violation)
+		require(t, len(r.order) == 1 && r.violation == "", "not sent after the wait; violation: %q", r.violation)
 	}
 }
 
-// In a ring each node is a cell of its own; one that leaves health checks unanswered is avoided by all shards that it holds.
+// In a ring each node is a cell of its own. A node that does not answer health checks is avoided for all the shards that it holds.
 func TestUnresponsiveNodeInRingIsAvoided(t *testing.T) {
 	settings := smallSettings()
 	settings.HealthChecksAllowed = true
@@ -58,12 +58,12 @@
 		r.step(500 * ms)
 	}
 	require(t, len(r.sends[unresponsive]) < len(r.sends[nodeID(7)])/4 && r.violation == "",
-		"%d sent to a node that answers no health check, %d to another: %s",
+		"%d attempts sent to a node that answers no health check, %d to another; violation: %q",
 		len(r.sends[unresponsive]), len(r.sends[nodeID(7)]), r.violation)
 }
 
-// A query that lacks more shard requests than the budget lets be sent again gets its answer at once, with a time to come back, and what is
-// left of the budget goes to one that it can save.
+// A query that has lost more shard requests than the budget allows to retry is shed at once, with a time to retry after. The remaining
+// budget is kept for a query that it can save.
 func TestQueryBeyondBudgetIsShed(t *testing.T) {
 	settings := smallSettings()
 	settings.ExtraAttemptsMin = 2
@@ -76,17 +76,17 @@
 	}
 	a := r.step(5 * ms)
 	shed := actionsOf(a, decision.ShedQuery)
-	require(t, len(shed) == 1 && shed[0].RetryAfter > 0 && len(actionsOf(a, decision.SendAttempt)) == 0, "given up at once: %v", a)
+	require(t, len(shed) == 1 && shed[0].RetryAfter > 0 && len(actionsOf(a, decision.SendAttempt)) == 0, "not shed at once: %v", a)
 	r.step(5 * ms)
 	r.query(0, 3*time.Second, 0, 1)
 	r.step(5 * ms)
 	for _, k := range r.order {
 		r.endAttempt(k, decision.ConnectFailed)
 	}
-	require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) == 2 && r.violation == "", "the next one is sent again: %s", r.violation)
+	require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) == 2 && r.violation == "", "the next query's shard requests were not retried; violation: %q", r.violation)
 }
 
-// The first of two phases ends early enough for the second, and the second is not shed.
+// The first of two phases ends early enough to leave time for the second, and the second phase is not shed.
 func TestFirstPhaseLeavesTimeForSecond(t *testing.T) {
 	settings := smallSettings()
 	settings.QueryTypes[1].SecondPhaseRequests = 2
@@ -98,15 +98,15 @@
 	for len(actionsOf(r.actions, decision.AnswerQuery)) == 0 && r.now < 3*time.Second {
 		r.step(5 * ms)
 	}
-	require(t, r.now <= 2*time.Second-deadlineMargin-reserve+5*ms, "the first step ended at %v", r.now)
+	require(t, r.now <= 2*time.Second-deadlineMargin-reserve+5*ms, "the first phase ended at %v", r.now)
 	r.router.dispatcher.shardLatencies[0] = shardLatency{perCall: float64(20 * time.Second), at: r.now}
-	require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) == 2, "the second step is sent")
+	require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) == 2, "the shard requests of the second phase were not sent")
 	r.endAttempts(decision.OK, 0, nil)
 	a := actionsOf(r.step(5*ms), decision.AnswerQuery)
-	require(t, len(a) == 1 && !a[0].Complete && r.violation == "", "its answer: %v %s", a, r.violation)
+	require(t, len(a) == 1 && !a[0].Complete && r.violation == "", "not exactly one partial answer: %v; violation: %q", a, r.violation)
 }
 
-// A idempotency-keyed shard request is hedged while repeats of it are dropped, and not after.
+// An idempotency-keyed shard request is hedged within its idempotency window, in which nodes drop repeats, and not after.
 func TestIdempotencyKeyedHedges(t *testing.T) {
 	for _, window := range []time.Duration{time.Second, 100 * ms} {
 		settings := smallSettings()
@@ -117,11 +117,11 @@
 		r.step(0)
 		r.step(600 * ms)
 		require(t, (len(r.order) == 2) == (window == time.Second) && r.violation == "",
-			"%d in flight, window %v: %s", len(r.order), window, r.violation)
+			"%d attempts in flight, idempotency window %v; violation: %q", len(r.order), window, r.violation)
 	}
 }
 
-// A budget that comes into force while queries run does not give its stated few beside what was sent before.
+// When a reconfiguration adds a budget of extra attempts, its minimum is not granted on top of what was sent before.
 func TestBudgetAddedByReconfigure(t *testing.T) {
 	settings := smallSettings()
 	r := newRig(settings, 6)
@@ -135,7 +135,7 @@
 			r.endAttempt(k, decision.ConnectFailed)
 		}
 		n := len(actionsOf(r.step(5*ms), decision.SendAttempt))
-		require(t, n == want && r.violation == "", "query %d: %d sent further: %s", i, n, r.violation)
+		require(t, n == want && r.violation == "", "query %d: %d extra attempts sent; violation: %q", i, n, r.violation)
 		r.step(2500 * ms)
 	}
 }
--- a/internal/decision/routing/rig_rules_test.go
+++ b/internal/decision/routing/rig_rules_test.go
@@ -8,35 +8,42 @@
 	"flaxfront/internal/decision"
 )
 
+// checkSend checks an attempt against the rules that concern it. The rules are:
+//  1. Each query gets exactly one result, in time, and nothing is sent for it afterwards.
+//  2. Shard requests are repeated only as their query type's idempotency allows.
+//  3. Nothing is sent to a node that is draining or unlisted.
+//  4. A node that is warming up is not overloaded; see TestWarmingUpNodeIsNotOverloaded.
+//  5. Answers reach the required completeness, and only complete ones are marked complete.
+//  6. Extra attempts stay within the budget of the window.
 func (r *rig) checkSend(a *decision.Action) {
 	sr := r.requests[a.ID]
 	if sr == nil || sr.ended {
-		r.recordViolation("rule 1: shard request %d sent after its end", a.ID)
+		r.recordViolation("rule 1: attempt of shard request %d sent after it ended", a.ID)
 		return
 	}
 	if a.ID <= r.lastIDBeforeMove || sr.query <= r.lastIDBeforeMove {
-		r.recordViolation("shard request %d of a query taken before its shards moved sent", a.ID)
+		r.recordViolation("attempt of shard request %d sent, though its query arrived before the shards moved", a.ID)
 	}
 	queryType := &r.settings.QueryTypes[r.queries[sr.query].queryType]
 	if sr.attempts > 0 {
 		switch {
 		case queryType.Idempotency == decision.NonIdempotent && (sr.ran || sr.inFlight > 0):
-			r.recordViolation("rule 2: shard request %d repeated", a.ID)
+			r.recordViolation("rule 2: shard request %d, which is not idempotent, repeated", a.ID)
 		case queryType.Idempotency == decision.IdempotencyKeyed && sr.ran && r.now > sr.ranAt+queryType.IdempotencyWindow:
-			r.recordViolation("rule 2: shard request %d repeated outside its window", a.ID)
+			r.recordViolation("rule 2: shard request %d repeated after its idempotency window", a.ID)
 		case sr.inFlight > 0 && !r.settings.HedgingAllowed:
-			r.recordViolation("two attempts of shard request %d at once", a.ID)
+			r.recordViolation("shard request %d hedged, though hedging is not allowed", a.ID)
 		}
 		r.extraAttempts = append(r.extraAttempts, r.now)
 		expired := func(at time.Duration) bool { return at <= r.now-r.settings.ExtraAttemptsWindow }
 		r.extraAttempts, r.received = slices.DeleteFunc(r.extraAttempts, expired), slices.DeleteFunc(r.received, expired)
 		limit := r.settings.ExtraAttemptsMin + r.settings.ExtraAttemptsShare*float64(len(r.received))
 		if n := len(r.extraAttempts); r.settings.ExtraAttemptsWindow > 0 && float64(n) > limit {
-			r.recordViolation("rule 6: %d further attempts", n)
+			r.recordViolation("rule 6: %d extra attempts in the window, limit %.2f", n, limit)
 		}
 	}
 	if !r.ready[a.Node] {
-		r.recordViolation("rule 3: sent to %v, which drains or is gone", a.Node)
+		r.recordViolation("rule 3: attempt sent to %v, which is draining or unlisted", a.Node)
 	}
 	k := attemptKey{a.ID, sr.attempts}
 	sr.attempts++
@@ -46,10 +53,11 @@
 	r.sends[a.Node] = append(r.sends[a.Node], r.now)
 }
 
+// checkFinal checks the result of a query against rules 1, 2 and 5, and begins the second phase of a query that has one.
 func (r *rig) checkFinal(a *decision.Action) {
 	q := r.queries[a.ID]
 	if q == nil {
-		r.recordViolation("rule 1: second final answer for %d", a.ID)
+		r.recordViolation("rule 1: second result for query %d", a.ID)
 		return
 	}
 	queryType := &r.settings.QueryTypes[q.queryType]
@@ -72,13 +80,13 @@
 	}
 	switch {
 	case r.now > q.due+20*ms:
-		r.recordViolation("rule 1: query %d answered late", a.ID)
+		r.recordViolation("rule 1: query %d got its result after its client's timeout", a.ID)
 	case a.Kind == decision.ShedQuery && queryType.Idempotency == decision.NonIdempotent && !noneRan:
-		r.recordViolation("rule 2: query %d shed though it may have run", a.ID)
+		r.recordViolation("rule 2: query %d, which is not idempotent, shed though it may have run", a.ID)
 	case a.Kind == decision.AnswerQuery && answeredWeight < minimum-1e-4:
-		r.recordViolation("rule 5: answered from %.2f", answeredWeight)
+		r.recordViolation("rule 5: query %d answered with completeness %.2f", a.ID, answeredWeight)
 	case a.Kind == decision.AnswerQuery && a.Complete && (answeredWeight < full-1e-4 || q.secondPhase && !q.firstPhaseComplete):
-		r.recordViolation("rule 5: %.2f marked whole", answeredWeight)
+		r.recordViolation("rule 5: query %d marked complete with completeness %.2f", a.ID, answeredWeight)
 	}
 	r.forget(a.ID)
 	if a.Kind == decision.AnswerQuery && queryType.SecondPhaseRequests > 0 && !q.secondPhase {
@@ -90,7 +98,7 @@
 	}
 }
 
-// randomStep plays one random step: queries, outcomes, list changes, clients that leave, a clock that jumps.
+// randomStep plays one step with random queries, outcomes, list changes, departing clients and clock jumps.
 func (r *rig) randomStep(rnd *rand.Rand, nodes int) {
 	for range rnd.Intn(4) {
 		queryType := rnd.Intn(len(r.settings.QueryTypes))
@@ -119,7 +127,7 @@
 		r.events = append(r.events, decision.Event{Kind: decision.ClientDeparted, ID: id})
 		r.forget(id)
 	}
-	if rnd.Intn(100) == 0 { // queries whose time a jump of the clock takes are no fault of the module
+	if rnd.Intn(100) == 0 { // results that are late because the clock jumped are not the router's fault
 		jump := time.Duration(rnd.Intn(3000)) * ms
 		for _, q := range r.queries {
 			q.due = max(q.due, r.now+jump)
@@ -132,7 +140,7 @@
 	r.step([]time.Duration{5 * ms, 10 * ms}[rnd.Intn(4)/3])
 }
 
-// reconfigure gives the module its settings anew; moved: in another layout, with the nodes in other cells.
+// reconfigure reconfigures the router with its settings; moved: with another number of cells, and the nodes in other cells.
 func (r *rig) reconfigure(moved bool) {
 	if moved {
 		r.list(decision.FullListReceived)
--- a/internal/decision/routing/rig_test.go
+++ b/internal/decision/routing/rig_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// smallSettings describe a store of two cells.
+// smallSettings returns the settings of a store with two cells.
 func smallSettings() decision.Settings {
 	return decision.Settings{Seed: 7, BrokerCount: 3, ClockStep: 5 * ms, Cells: 2, CellsPerShard: 1, MaxBatch: 1, OverQuotaWeight: 0.1,
 		QueryTypes: []decision.QueryType{
@@ -24,7 +24,7 @@
 
 func nodeID(i int) decision.NodeID { return decision.NodeID{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 9} }
 
-// attemptKey names one attempt.
+// attemptKey identifies one attempt.
 type attemptKey struct {
 	id     uint64 // of the shard request
 	number uint16
@@ -35,29 +35,30 @@
 	at   time.Duration
 }
 
-// openRequest is what the rig notes of a shard request.
+// openRequest is the rig's own record of a shard request.
 type openRequest struct {
 	query    uint64
 	weight   float64
 	answered bool
-	ended    bool          // no attempt may follow
-	ran      bool          // an attempt may have run
-	ranAt    time.Duration // when the first such was sent
+	ended    bool          // no further attempt may be sent
+	ran      bool          // an attempt that has ended may have been executed
+	ranAt    time.Duration // when the earliest such attempt was sent
 	attempts uint16
 	inFlight uint16
 }
 
-// openQuery is what the rig notes of a query.
+// openQuery is the rig's own record of a query.
 type openQuery struct {
 	queryType          int
 	serial             float32
-	due                time.Duration
+	due                time.Duration // the client's timeout
 	secondPhase        bool
 	firstPhaseComplete bool
 	requests           []uint64
 }
 
-// rig drives one router with a store and clients of a few lines, and checks six rules by books of its own.
+// rig drives one router with a minimal store and minimal clients. It keeps its own records and checks the router's actions against the
+// rules at checkSend.
 type rig struct {
 	router           *Router
 	settings         decision.Settings
@@ -69,15 +70,15 @@
 	queries          map[uint64]*openQuery
 	requests         map[uint64]*openRequest
 	inFlight         map[attemptKey]sentAttempt
-	order            []attemptKey // of sending
+	order            []attemptKey // in the order of sending
 	ready            map[decision.NodeID]bool
 	sends            map[decision.NodeID][]time.Duration
-	received         []time.Duration // queries and shard requests
-	extraAttempts    []time.Duration // extra attempts
+	received         []time.Duration // when queries and shard requests arrived
+	extraAttempts    []time.Duration // when extra attempts were sent
 	polledAt         time.Duration
-	violation        string            // the first rule broken
+	violation        string            // the first violation of a rule
 	healthChecks     []decision.NodeID // health checks in flight
-	lastIDBeforeMove uint64            // the last id given before the shards moved
+	lastIDBeforeMove uint64            // the last id assigned before the shards moved
 }
 
 func newRig(settings decision.Settings, nodes int) *rig {
@@ -109,7 +110,7 @@
 	r.events = append(r.events, decision.Event{Kind: kind, Endpoints: entries})
 }
 
-// ask brings a query with equal shard requests at the given shards.
+// query adds a query with shard requests of equal weight to the given shards to the events of the next step.
 func (r *rig) query(queryType int, remainingTime time.Duration, shards ...int) uint64 {
 	r.nextID++
 	r.serial++
@@ -133,7 +134,7 @@
 	}
 }
 
-// end brings the outcome of a attempts that is out.
+// endAttempt adds the end of an attempt in flight to the events of the next step.
 func (r *rig) endAttempt(k attemptKey, outcome decision.Outcome) {
 	s, ok := r.inFlight[k]
 	if !ok {
@@ -155,7 +156,7 @@
 		Node: s.node, Elapsed: r.now - s.at})
 }
 
-// endAttempts ends all that is out for so long, where the node fits.
+// endAttempts ends the attempts that have been in flight for minAge or longer and whose node matches; nil matches every node.
 func (r *rig) endAttempts(outcome decision.Outcome, minAge time.Duration, matches func(decision.NodeID) bool) {
 	for _, k := range r.order {
 		if s, ok := r.inFlight[k]; ok && r.now-s.at >= minAge && (matches == nil || matches(s.node)) {
@@ -171,7 +172,7 @@
 	delete(r.queries, id)
 }
 
-// step lets time pass, hands over what has gathered and checks what comes back.
+// step advances the clock, passes the collected events to the router and checks the actions that it returns.
 func (r *rig) step(by time.Duration) []decision.Action {
 	r.now += by
 	for _, e := range r.events {
@@ -195,25 +196,25 @@
 			r.checkFinal(a)
 		case decision.SendHealthCheck:
 			if slices.Contains(r.healthChecks, a.Node) {
-				r.recordViolation("%v is health-checked twice at once", a.Node)
+				r.recordViolation("second health check sent to %v while the first is in flight", a.Node)
 			}
 			r.healthChecks = append(r.healthChecks, a.Node)
 		case decision.SubscribeList:
 			if r.now < r.polledAt+200*ms && r.now > 0 {
-				r.recordViolation("the list is asked again after %v", r.now-r.polledAt)
+				r.recordViolation("endpoint list polled again after only %v", r.now-r.polledAt)
 			}
 			r.polledAt = r.now
 		}
 	}
 	for id, q := range r.queries {
 		if r.now > q.due+20*ms {
-			r.recordViolation("rule 1: query %d unanswered", id)
+			r.recordViolation("rule 1: query %d has no result after its client's timeout", id)
 		}
 	}
 	return r.actions
 }
 
-// endHealthChecks ends the health checks that are out where the node fits; the others stay out.
+// endHealthChecks ends the health checks in flight whose node matches.
 func (r *rig) endHealthChecks(outcome decision.Outcome, matches func(decision.NodeID) bool) {
 	r.healthChecks = slices.DeleteFunc(r.healthChecks, func(id decision.NodeID) bool {
 		ended := matches(id)
