--- a/internal/decision/routing/attempts.go
+++ b/internal/decision/routing/attempts.go
@@ -119,7 +119,7 @@
 	return q, sr, &sr.attempts[event.Attempt]
 }
 
-// cancel abandons the attempts of a shard request that are in flight; nodes are told where Settings.CancelAllowed permits.
+// cancel cancels the attempts of a shard request that are in flight; their nodes are told only if Settings.CancelAllowed is set.
 func (d *dispatcher) cancel(sr *shardRequest) {
 	for i := range sr.attempts {
 		a := &sr.attempts[i]
--- a/internal/decision/routing/rig_rules_test.go
+++ b/internal/decision/routing/rig_rules_test.go
@@ -140,7 +140,7 @@
 	r.step([]time.Duration{5 * ms, 10 * ms}[rnd.Intn(4)/3])
 }
 
-// reconfigure reconfigures the router with its settings; moved: with another number of cells, and the nodes in other cells.
+// reconfigure gives the router its settings again; if moved, with another number of cells and the nodes in other cells.
 func (r *rig) reconfigure(moved bool) {
 	if moved {
 		r.list(decision.FullListReceived)
