--- a/internal/decision/routing/attempts.go
+++ b/internal/decision/routing/attempts.go
@@ -30,9 +30,9 @@
 func (d *dispatcher) recordAttempt(sr *shardRequest, index nodeIndex) *attempt {
 	now := d.router.now
 	e := &d.endpoints.all[index]
-	idle := time.Duration(0)
+	idleTime := time.Duration(0)
 	if len(e.calls) == 0 && e.lastUsedAt > 0 {
-		idle = now - e.lastUsedAt
+		idleTime = now - e.lastUsedAt
 	}
 	d.endpoints.needTick.set(int32(index))
 	sr.attempts = append(sr.attempts, attempt{
@@ -40,7 +40,7 @@
 		inFlight:        true,
 		sentAt:          now,
 		callsPerReplica: d.endpoints.callsPerReplica(sr.shard),
-		idleTime:        idle,
+		idleTime:        idleTime,
 	})
 	sr.inFlight++
 	if open := e.openCall(now, d.router.settings.MaxBatch); open != nil {
@@ -119,7 +119,7 @@
 	return q, sr, &sr.attempts[event.Attempt]
 }
 
-// cancel cancels the attempts of a shard request that are in flight; their nodes are told only if Settings.CancelAllowed is set.
+// cancel cancels the attempts of a shard request that are in flight; their nodes are told only if Settings.CancelAllowed is true.
 func (d *dispatcher) cancel(sr *shardRequest) {
 	for i := range sr.attempts {
 		a := &sr.attempts[i]
--- a/internal/decision/routing/completion.go
+++ b/internal/decision/routing/completion.go
@@ -88,9 +88,9 @@
 	q.beginSecondPhase(complete)
 }
 
-func (q *query) beginSecondPhase(firstComplete bool) {
+func (q *query) beginSecondPhase(firstPhaseComplete bool) {
 	q.secondPhase = true
-	q.firstPhaseComplete = firstComplete
+	q.firstPhaseComplete = firstPhaseComplete
 	q.dispatched = false
 	q.answeredWeight = 0
 	q.expectedRequests = 0
--- a/internal/decision/routing/dispatcher.go
+++ b/internal/decision/routing/dispatcher.go
@@ -27,7 +27,7 @@
 
 func (d *dispatcher) initialise(r *Router) {
 	d.router = r
-	d.inbox.receiver = d
+	d.inbox.recipient = d
 	d.nextDueAt = never
 	d.queries.references = map[uint64]reference{}
 	d.idleConnections.shortestCut = never
--- a/internal/decision/routing/endpoint_list.go
+++ b/internal/decision/routing/endpoint_list.go
@@ -63,7 +63,7 @@
 	index := w.freeIndex()
 	r.indexes[line.Node] = index
 	n := &nodeHealth{router: r, index: index, id: line.Node, startedAt: decision.StartedLongAgo, costFactor: 1}
-	n.inbox.receiver = n
+	n.inbox.recipient = n
 	r.nodes[index] = n
 	d.endpoints.all[index] = endpoint{
 		id:         line.Node,
--- a/internal/decision/routing/messages.go
+++ b/internal/decision/routing/messages.go
@@ -46,16 +46,16 @@
 	unconfirmedSince time.Duration // 0: the node's entry in the endpoint list is confirmed
 }
 
-// receiver handles the messages of its inbox.
+// recipient handles the messages of its inbox.
 type receiver interface {
 	handle(m *message)
 }
 
 // inbox holds the messages that wait for a receiver.
 type inbox struct {
-	receiver receiver
-	messages []message
-	pending  bool // in Router.pendingInboxes
+	recipient receiver
+	messages  []message
+	pending   bool // in Router.pending
 }
 
 // post adds a message to an inbox.
@@ -63,19 +63,19 @@
 	b.messages = append(b.messages, m)
 	if !b.pending {
 		b.pending = true
-		r.pendingInboxes = append(r.pendingInboxes, b)
+		r.pending = append(r.pending, b)
 	}
 }
 
 // deliver delivers all messages, including those that are posted during the delivery.
 func (r *Router) deliver() {
-	for i := 0; i < len(r.pendingInboxes); i++ {
-		b := r.pendingInboxes[i]
+	for i := 0; i < len(r.pending); i++ {
+		b := r.pending[i]
 		for j := 0; j < len(b.messages); j++ {
-			b.receiver.handle(&b.messages[j])
+			b.recipient.handle(&b.messages[j])
 		}
 		b.messages = b.messages[:0]
 		b.pending = false
 	}
-	r.pendingInboxes = r.pendingInboxes[:0]
+	r.pending = r.pending[:0]
 }
--- a/internal/decision/routing/module.go
+++ b/internal/decision/routing/module.go
@@ -28,7 +28,7 @@
 	now            time.Duration
 	timerAt        time.Duration // the earliest requested timer that has not fired; negative: none
 	actions        []decision.Action
-	pendingInboxes []*inbox // the inboxes that hold messages
+	pending        []*inbox // the inboxes that hold messages
 	dispatcher     dispatcher
 	list           listWatcher
 	nodes          []*nodeHealth
@@ -53,7 +53,7 @@
 	r.updateLongestTimeout()
 	r.dispatcher.initialise(r)
 	r.list = listWatcher{router: r, backoff: initialPollBackoff}
-	r.list.inbox.receiver = &r.list
+	r.list.inbox.recipient = &r.list
 	return r
 }
 
@@ -147,9 +147,9 @@
 	if r.timerAt >= 0 && r.timerAt <= r.now {
 		r.timerAt = -1
 	}
-	next := min(r.dispatcher.nextDueAt, r.list.nextDueAt)
-	if next < never && (r.timerAt < 0 || next < r.timerAt) {
-		r.timerAt = max(next, r.now+1)
+	nextDueAt := min(r.dispatcher.nextDueAt, r.list.nextDueAt)
+	if nextDueAt < never && (r.timerAt < 0 || nextDueAt < r.timerAt) {
+		r.timerAt = max(nextDueAt, r.now+1)
 		r.act(decision.Action{Kind: decision.SetTimer, TimerAt: r.timerAt})
 	}
 }
