--- a/internal/decision/routing/degradation.go
+++ b/internal/decision/routing/degradation.go
@@ -47,19 +47,19 @@
 // handleGossip takes another broker's word that it has ejected or reinstated the node. Where several have ejected it, it counts as
 // degraded until it answers or time goes by, so that not every broker has to find out by itself; false word costs it some traffic.
 func (n *nodeHealth) handleGossip(ejectedThere bool) {
-	n.ejectingBrokers = n.currentlyEjectedBy()
+	n.ejectedBy = n.currentlyEjectedBy()
 	if ejectedThere {
-		n.ejectingBrokers++
+		n.ejectedBy++
 	} else {
-		n.ejectingBrokers /= 2
+		n.ejectedBy /= 2
 	}
 	n.lastGossipedAt = n.router.now
-	if n.ejectingBrokers >= minEjectingBrokers {
+	if n.ejectedBy >= minEjectingBrokers {
 		n.costFactor = maxCostFactor
 	}
 }
 
 // currentlyEjectedBy is how many other brokers have ejected the node, as far as it is remembered.
 func (n *nodeHealth) currentlyEjectedBy() float64 {
-	return n.ejectingBrokers * decayFactor(n.router.now-n.lastGossipedAt, gossipMemory)
+	return n.ejectedBy * decayFactor(n.router.now-n.lastGossipedAt, gossipMemory)
 }
--- a/internal/decision/routing/ejection.go
+++ b/internal/decision/routing/ejection.go
@@ -69,7 +69,7 @@
 func (n *nodeHealth) noteAnswer(latency time.Duration) {
 	n.noteResponse()
 	n.consecutiveRejected = 0
-	n.ejectingBrokers = 0
+	n.ejectedBy = 0
 	n.unreachable = false
 	n.errorRate *= 1 - errorWeight
 	n.setFailureShare(n.failureShare * (1 - failureShareWeight))
--- a/internal/decision/routing/node_health.go
+++ b/internal/decision/routing/node_health.go
@@ -38,11 +38,11 @@
 	unansweredTime       time.Duration // sum of the time that its calls have waited since lastResponseAt
 	connectionsRenewedAt time.Duration // when fresh connections to the node were last requested
 
-	latency         time.Duration // the last latency; one above the usual latency decays towards it
-	updatedAt       time.Duration // when latency was last set or decayed, at an answer or a tick
-	costFactor      float64       // how many calls one call to the node counts as
-	ejectingBrokers float64       // how many other brokers have recently ejected the node; decays with time
-	lastGossipedAt  time.Duration
+	latency        time.Duration // the last latency; one above the usual latency decays towards it
+	updatedAt      time.Duration // when latency was last set or decayed, at an answer or a tick
+	costFactor     float64       // how many calls one call to the node counts as
+	ejectedBy      float64       // how many other brokers had ejected the node, as of lastGossipedAt; decays with time
+	lastGossipedAt time.Duration
 }
 
 func (n *nodeHealth) handle(m *message) {
