--- a/internal/decision/routing/majority.go
+++ b/internal/decision/routing/majority.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// majority finds the duration that most votes agree on, within majoritySlack, by the Boyer-Moore majority vote.
+// majority finds the duration that most votes agree on, within majorityTolerance, by the Boyer-Moore majority vote.
 type majority struct {
 	candidate time.Duration
 	votes     int
@@ -11,7 +11,7 @@
 // vote counts a duration and returns the current candidate.
 func (m *majority) vote(t time.Duration) time.Duration {
 	switch {
-	case (t - m.candidate).Abs() <= majoritySlack:
+	case (t - m.candidate).Abs() <= majorityTolerance:
 		m.votes++
 	case m.votes > 0:
 		m.votes--
--- a/internal/decision/routing/replicas_test.go
+++ b/internal/decision/routing/replicas_test.go
@@ -8,7 +8,7 @@
 )
 
 // Where health checks are allowed, a first attempt waits for a replica that answers one, and is sent without an answer after
-// maxAwaitCheck (scenarios memphis-main, sillon-casa).
+// maxHealthCheckWait (scenarios memphis-main, sillon-casa).
 func TestReplicasAreHealthChecked(t *testing.T) {
 	settings := smallSettings()
 	settings.HealthChecksAllowed = true
@@ -31,7 +31,7 @@
 				"not sent at once to the replica that has just answered: %v", a)
 			continue
 		}
-		for r.now < 5*ms+maxAwaitCheck {
+		for r.now < 5*ms+maxHealthCheckWait {
 			require(t, len(r.order) == 0, "sent at %v, before a replica answered or the wait was over", r.now)
 			r.step(5 * ms)
 		}
@@ -99,7 +99,7 @@
 		r.step(5 * ms)
 	}
 	require(t, r.now <= 2*time.Second-deadlineMargin-reserve+5*ms, "the first phase ended at %v", r.now)
-	r.router.dispatcher.shardLatencies[0] = shardLatency{perCall: float64(20 * time.Second), at: r.now}
+	r.router.dispatcher.shardLatencies[0] = shardLatency{perCall: float64(20 * time.Second), updatedAt: r.now}
 	require(t, len(actionsOf(r.step(5*ms), decision.SendAttempt)) == 2, "the shard requests of the second phase were not sent")
 	r.endAttempts(decision.OK, 0, nil)
 	a := actionsOf(r.step(5*ms), decision.AnswerQuery)
