--- a/internal/decision/routing/gossip.go
+++ b/internal/decision/routing/gossip.go
@@ -16,8 +16,8 @@
 	gossipPortStart    = 5
 )
 
-// notifyBrokers adds an entry to the gossip message that is sent to the other brokers at the end of the step. Entries beyond
-// maxGossipEntries are dropped.
+// notifyBrokers adds an entry to the gossip message that is sent to the other brokers at the end of the step, if gossip is allowed.
+// Entries beyond maxGossipEntries are dropped.
 func (r *Router) notifyBrokers(kind byte, id decision.NodeID) {
 	if !r.settings.GossipAllowed || len(r.gossip) >= maxGossipEntries*gossipEntryBytes {
 		return
--- a/internal/decision/routing/messages.go
+++ b/internal/decision/routing/messages.go
@@ -46,7 +46,7 @@
 	unconfirmedSince time.Duration // 0: the node's entry in the endpoint list is confirmed
 }
 
-// recipient handles the messages of its inbox.
+// receiver handles the messages of its inbox.
 type receiver interface {
 	handle(m *message)
 }
--- a/internal/decision/routing/module.go
+++ b/internal/decision/routing/module.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// Step handles the events since the last call, in their order of arrival, and returns actions with the resulting actions appended.
+// Step handles the events since the last call, in their order of arrival. It appends the resulting actions to the slice actions and
+// returns it.
 func (r *Router) Step(now time.Duration, events []decision.Event, actions []decision.Action) []decision.Action {
 	r.now = now
 	r.actions = actions
--- a/internal/decision/routing/rig_test.go
+++ b/internal/decision/routing/rig_test.go
@@ -94,12 +94,14 @@
 	return r
 }
 
+// recordViolation records the first violation of a rule, with the time.
 func (r *rig) recordViolation(format string, args ...any) {
 	if r.violation == "" {
 		r.violation = fmt.Sprintf("%v: ", r.now) + fmt.Sprintf(format, args...)
 	}
 }
 
+// list adds a full list or an update of the endpoint list to the events of the next step.
 func (r *rig) list(kind decision.EventKind, entries ...decision.Endpoint) {
 	if kind == decision.FullListReceived {
 		clear(r.ready)
