--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -1,17 +1,17 @@
-// Package admission decides whether a query is handed to the router at once, waits a little, or is rejected with the time at which there
-// will be room. It shares what the store can do between tenants by weight, and within a tenant between its clients. It chooses no
-// replica, and decides nothing of a query that it has admitted.
+// Package admission decides whether a query is passed to the router at once, waits in a queue, or is rejected with a Retry-After. It
+// divides the store's capacity between tenants by weight, and within a tenant between its clients. It does not choose replicas, and
+// decides nothing about a query that it has admitted.
 //
-// Between tenants it is start-time fair queuing (Goyal, Vin and Cheng, 1996) by work. How much work may be in flight at once is found by
-// the delay that it meets, in the spirit of CoDel (RFC 8289) and of TCP Vegas.
+// Tenants share by start-time fair queuing (Goyal, Vin and Cheng, 1996), by work (a query's number of shards). The limit of the work in flight follows
+// from the delay that queries meet at the store, much as in CoDel (RFC 8289) and TCP Vegas.
 //
-//	Arrive ──► Admit ────────────────────────────────► router ──► Complete
-//	   ├─────► Enqueue ──► Tick: room ──► admitted ──────┘
-//	   │                   Tick: its time to wait is over, or a heavier client gives way ──► rejected
+//	Arrive ──► Admit ────────────────────────────────────────► router ──► Complete
+//	   ├─────► Enqueue ──► Tick: capacity is free ──► admitted ──┘
+//	   │                   Tick: its wait has expired, or it was evicted for a lighter client ──► rejected
 //	   └─────► Reject, with a Retry-After
 //
-// Times are spans since the broker's start. A Controller does no I/O, allocates nothing for a query that is admitted at once, and is used
-// by one goroutine.
+// Times are durations since the broker's start. A Controller does no I/O, allocates nothing for a query that is admitted at once, and is
+// used by one goroutine.
 package admission
 
 import (
@@ -20,48 +20,48 @@
 	"time"
 )
 
-// Policy holds what operators may set.
+// Policy holds the settings of a Controller.
 type Policy struct {
-	Weights       []float64 // of tenants, by number; 0: only what nobody else wants
-	MaxWaitShare  float64   // of its time left that a query may wait
+	Weights       []float64 // of tenants, by number; 0: its queued queries come after all others
+	MaxWaitShare  float64   // share of its remaining time that a query may wait in the queue
 	MaxQueued     int       // queries of one tenant
-	MinWork       float64   // in flight, that is always admitted
+	MinWork       float64   // work in flight below which queries are always admitted
 	MaxRetryAfter time.Duration
-	RetryShare    float64 // clients' retries while others wait, as a share of a tenant's fresh queries
+	RetryShare    float64 // clients' retries that may be sent while the store is busy, as a share of a tenant's new queries
 	Seed          uint64
 }
 
 const (
-	retryAfterJitter   = 0.2  // share
-	maxRetryTokens     = 50.0 // retries saved up
+	retryAfterJitter   = 0.2  // width of the random spread, as a share of the Retry-After
+	maxRetryTokens     = 50.0 // retries that a tenant can save up
 	minWeight          = 1e-6
-	shareWithoutWeight = 0.01 // of what the store can do, for tenants without weight
-	initialLimit       = 4.0  // times Policy.MinWork
+	shareWithoutWeight = 0.01 // of the store's capacity, assumed for tenants without weight
+	initialLimit       = 4.0  // multiple of Policy.MinWork
 )
 
-// Decision is what becomes of a query on its arrival.
+// Decision is what happens to a query on its arrival.
 type Decision uint8
 
 // The decisions.
 const (
-	Admit   Decision = iota // hand it to the router
-	Enqueue                 // Tick returns it later
-	Reject
+	Admit   Decision = iota // pass it to the router
+	Enqueue                 // keep it until Tick returns it
+	Reject                  // answer it with the Retry-After
 )
 
-// Query is what admission control knows of a query.
+// Query is what admission control knows about a query.
 type Query struct {
 	ID       uint64
 	Tenant   int
-	Client   uint64 // a hash of whatever names it; 0: nothing does
+	Client   uint64 // hash of the client's name; 0: unknown
 	Work     float64
 	TimeLeft time.Duration // until the client's timeout
-	Retry    bool          // its client sends it again
+	Retry    bool          // the client sends it again
 }
 
 type queuedQuery struct {
 	Query
-	expiresAt time.Duration // there is no use in waiting longer
+	expiresAt time.Duration // when it is rejected if it still waits
 }
 
 type tenant struct {
@@ -69,25 +69,25 @@
 	nextStart      float64 // start tag of its next query, in virtual time
 	queue          []queuedQuery
 	queuedWork     float64
-	promisedUntil  time.Duration // its share is promised until then, to those who were rejected with a Retry-After
+	promisedUntil  time.Duration // until then its share is promised to clients that were rejected with a Retry-After
 	retryTokens    float64       // retries that it may send
-	promises       float64       // whose time has not come
-	promisesAgedAt time.Duration
+	promises       float64       // clients told to return whose Retry-After is not over yet
+	promisesAgedAt time.Duration // last call of agePromises
 	Counts         Counts
 }
 
-// Counts are what operators see of a tenant.
+// Counts are the counters of a tenant. The JSON names are those under /counters.
 type Counts struct {
 	Admitted          uint64  `json:"Entered"`
 	AdmittedFromQueue uint64  `json:"Waited"`
 	Rejected          uint64  `json:"TurnedAway"`
 	Expired           uint64  `json:"RanOut"`
 	Retries           uint64  `json:"Repeats"`
-	Work              float64 // that was admitted
+	Work              float64 // admitted
 	Queued            int     `json:"Waiting"`
 }
 
-// Controller admits queries.
+// Controller decides which queries are admitted, and when.
 type Controller struct {
 	policy      Policy
 	tenants     []tenant
@@ -112,17 +112,17 @@
 	return c
 }
 
-// State is what operators see. The JSON names are those under /counters.
+// State is the state of admission control. The JSON names are those under /counters.
 type State struct {
-	Limit       float64       // work at the store
+	Limit       float64       // of the work at the store
 	InFlight    float64       `json:"InHand"` // work
-	Rate        float64       // work a second
-	DelayFactor float64       `json:"Stretch"` // work in flight for each that is at the store; above 1: the broker itself is late
+	Rate        float64       // work per second
+	DelayFactor float64       `json:"Stretch"` // work in flight per work at the store; above 1: the broker itself adds delay
 	Baseline    time.Duration // the store's delay without a queue
 	Tenants     []Counts      // by number
 }
 
-// State returns the state at a moment.
+// State returns the state at the given time.
 func (c *Controller) State(now time.Duration) State {
 	s := State{
 		Limit:       c.limit,
@@ -137,7 +137,7 @@
 	return s
 }
 
-// TenantsByWork returns tenants by the work that was admitted, most first.
+// TenantsByWork returns the tenants' numbers, ordered by admitted work, most first.
 func (s *State) TenantsByWork() []int {
 	var order []int
 	for i := range s.Tenants {
--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// One tenant at twenty times its normal load: the others are served as ever, and what the store can do is used.
+// One tenant sends 20 times its normal load: the others are served as before, and the store's capacity is used.
 func TestFlood(t *testing.T) {
-	r := newSimulation(16, 40*ms, 0.5, 0.3, 0.2) // 400 parts a second
+	r := newSimulation(16, 40*ms, 0.5, 0.3, 0.2) // 400 shard requests per second
 	var flood, one, two tally
 	r.addLoad(0, 1000, 2, time.Second, 21*time.Second, noClient, &flood)
 	r.addLoad(1, 30, 2, 0, 21*time.Second, noClient, &one)
@@ -19,11 +19,11 @@
 		}
 	}
 	if used := float64(2*(flood.answered+one.answered+two.answered)) / (400 * 20); used < 0.95 {
-		t.Errorf("%.2f of the store is used: %+v", used, flood)
+		t.Errorf("%.2f of the store's capacity is used: %+v", used, flood)
 	}
 }
 
-// Tenants that all want more than they get are given what their weights say (Jain's index), and one without weight nothing.
+// Overloaded tenants get capacity in proportion to their weights (Jain's index), and one without weight gets next to nothing beside them.
 func TestShares(t *testing.T) {
 	r := newSimulation(16, 40*ms, 0.5, 0.3, 0.2, 0)
 	all := make([]tally, 4)
@@ -40,18 +40,18 @@
 		t.Errorf("Jain's index %.4f: %+v", jain, all)
 	}
 	if all[3].answered*20 > all[0].answered {
-		t.Errorf("one without weight: %+v", all)
+		t.Errorf("tenant without weight beside others: %+v", all)
 	}
 	single := newSimulation(16, 40*ms, 1, 0)
 	var load tally
 	single.addLoad(1, 100, 1, 0, 10*time.Second, noClient, &load)
 	single.run(12 * time.Second)
 	if load.answered < load.submitted*99/100 {
-		t.Errorf("alone, without weight: %+v", load)
+		t.Errorf("tenant without weight alone: %+v", load)
 	}
 }
 
-// Within a tenant a client that floods takes no more than the others, though a million names come.
+// Within a tenant, a client that floods does not displace the others, though each of those appears under a new name.
 func TestFloodingClient(t *testing.T) {
 	r := newSimulation(8, 40*ms, 1)
 	var big, small tally
@@ -60,11 +60,11 @@
 	r.addLoad(0, 60, 1, 2*time.Second, 20*time.Second, func() uint64 { n++; return n }, &small)
 	r.run(25 * time.Second)
 	if float64(small.answered) < 0.5*float64(small.submitted) || float64(big.answered)/float64(big.submitted) > 0.5 {
-		t.Errorf("the big one %+v, small ones %+v", big, small)
+		t.Errorf("flooding client %+v, small clients %+v", big, small)
 	}
 }
 
-// Who comes back when told finds room, and the time told was right.
+// A client that returns after its Retry-After is served, or is told to wait for less than a fifth of that time again.
 func TestRetryAfterIsAccurate(t *testing.T) {
 	r := newSimulation(16, 40*ms, 1)
 	rejections, accurate, retries := 0, 0, 0
@@ -87,7 +87,7 @@
 			})
 		}
 	}
-	for i := range 3000 { // 300 a second for ten seconds, room for 200
+	for i := range 3000 { // 300 queries per second for ten seconds, with capacity for 200
 		r.schedule(time.Duration(i)*10*ms/3, func() {
 			query := Query{Work: 2, TimeLeft: 2 * time.Second}
 			r.submit(query, retry(query))
@@ -95,12 +95,12 @@
 	}
 	r.run(30 * time.Second)
 	if rejections < 100 || float64(accurate) < 0.9*float64(retries) {
-		t.Errorf("%d told, %d came back, %d found room", rejections, retries, accurate)
+		t.Errorf("%d rejections, %d retries, %d of them after an accurate Retry-After", rejections, retries, accurate)
 	}
-	t.Logf("%d told, %d came back, %d found room", rejections, retries, accurate)
+	t.Logf("%d rejections, %d retries, %d of them after an accurate Retry-After", rejections, retries, accurate)
 }
 
-// Where half the cores go away and come back the limit follows, and does not swing.
+// The limit follows when half the cores go away and come back, and does not oscillate.
 func TestCapacityHalves(t *testing.T) {
 	r := newSimulation(16, 40*ms, 1)
 	var load tally
@@ -122,7 +122,7 @@
 	}
 }
 
-// Ten tenants flood at once; two quiet ones keep their service.
+// Ten tenants flood at once; the two quiet ones are served as before.
 func TestTenFlooders(t *testing.T) {
 	weights := []float64{0.1, 0.1, 0.08, 0.08, 0.08, 0.08, 0.08, 0.08, 0.08, 0.08, 0.08, 0.08}
 	r := newSimulation(16, 40*ms, weights...)
--- a/internal/decision/admission/arrival.go
+++ b/internal/decision/admission/arrival.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// promisedWaitDivisor is the share of a query's patience within which it is queued while others have been promised the room.
+// promisedWaitDivisor divides the longest wait of a new query while the tenant's share is promised to rejected clients.
 const promisedWaitDivisor = 3
 
-// Arrive decides on a query. retryAfter is set if it is rejected. One tenant's flood does not take the room of others: its queries wait
-// behind one another, and what can't be served in time is rejected at once.
+// Arrive decides on a query. retryAfter is set if the query is rejected. One tenant's flood does not use up the capacity of others: its
+// queries wait behind one another, and a query that can't be served in time is rejected at once.
 func (c *Controller) Arrive(q Query, now time.Duration) (decision Decision, retryAfter time.Duration) {
 	t := &c.tenants[q.Tenant]
 	isBusy := c.isBusy(q.Work)
@@ -24,7 +24,7 @@
 	ahead, heaviest := c.workAhead(t, q, now)
 	wait := c.drainTime(t, ahead, now)
 	othersPromised := !q.Retry && t.promisedUntil > now
-	if othersPromised && wait > patience/promisedWaitDivisor { // the rest is for those who return when they were told to
+	if othersPromised && wait > patience/promisedWaitDivisor { // the rest of the wait is kept for clients that return after their Retry-After
 		return Reject, c.reject(t, q, now)
 	}
 	isFull := len(t.queue) >= c.policy.MaxQueued
@@ -38,13 +38,13 @@
 	return Enqueue, 0
 }
 
-// isBusy reports whether some more work has no room at the store now.
+// isBusy reports whether the store has no capacity now for this much more work.
 func (c *Controller) isBusy(work float64) bool {
 	return c.inFlight+work > c.maxInFlight() && c.inFlight >= c.policy.MinWork
 }
 
-// spendRetryToken counts a query as fresh or as a retry. It returns false for a retry beyond the tenant's share of retries, while there is
-// no room.
+// spendRetryToken counts a query as new or as a retry. It returns false for a retry beyond the tenant's share of retries if
+// the store is busy.
 func (t *tenant) spendRetryToken(isRetry bool, retryShare float64, isBusy bool) bool {
 	if !isRetry {
 		t.retryTokens = min(maxRetryTokens, t.retryTokens+retryShare)
@@ -64,15 +64,15 @@
 	t.Counts.Queued = len(t.queue)
 }
 
-// evict rejects a queued query: that of the client that was given most gives way.
+// evict rejects a queued query to make room for one of a client with less recent work.
 func (c *Controller) evict(t *tenant, index int, now time.Duration) {
 	q := t.queue[index].Query
 	c.evicted = append(c.evicted, Dequeued{ID: q.ID, RetryAfter: c.reject(t, q, now)})
 	t.removeAt(index)
 }
 
-// workAhead is the work that waits before a query in its tenant's queue: that of clients that were given no more than its own. heaviest is
-// the index of one whose client was given most, if that is more; else -1.
+// workAhead returns the work queued ahead of a query in its tenant's queue: that of clients with no more recent work than the query's own
+// client. heaviest is the index of a queued query whose client has the most recent work, if that exceeds the own client's; otherwise -1.
 func (c *Controller) workAhead(t *tenant, q Query, now time.Duration) (work float64, heaviest int) {
 	if q.Client == 0 {
 		return t.queuedWork, -1
@@ -92,7 +92,7 @@
 	return work, heaviest
 }
 
-// recentClientWork is the work that a client was lately given; 0 if it has no name.
+// recentClientWork returns the work recently admitted for a client; 0 if the client is unknown.
 func (c *Controller) recentClientWork(client uint64, now time.Duration) float64 {
 	if client == 0 {
 		return 0
@@ -100,8 +100,8 @@
 	return c.clients.Estimate(client, now)
 }
 
-// agePromises turns promises whose time has come into retries that may be sent. Clients that return at once keep an overload alive;
-// without a bound on retries they take the room of those who wait as they were told.
+// agePromises turns promises whose Retry-After is over into retry tokens. Clients that retry at once prolong an overload; without a bound
+// on retries they would take the capacity promised to clients that wait as told.
 func (c *Controller) agePromises(t *tenant, q Query, now time.Duration) {
 	elapsed := float64(now - t.promisesAgedAt)
 	due := min(t.promises, elapsed/max(1, float64(c.drainTime(t, q.Work, now))))
@@ -110,13 +110,13 @@
 	t.retryTokens = min(maxRetryTokens, t.retryTokens+due)
 }
 
-// drainTime is how long a tenant's share takes for some work.
+// drainTime returns how long a tenant's share of the store takes for an amount of work.
 func (c *Controller) drainTime(t *tenant, work float64, now time.Duration) time.Duration {
 	return time.Duration(work / (c.rate(now) * c.share(t)) * float64(time.Second))
 }
 
-// reject counts a rejection and returns when there will be room for the query: when the tenant's queue has gone down, and those who were
-// told before it have returned. So queries that are rejected together do not return together.
+// reject counts a rejection and returns the time until there is capacity for the query: when half of the tenant's queue has drained
+// and the clients rejected before have returned. So queries that are rejected together do not return together.
 func (c *Controller) reject(t *tenant, q Query, now time.Duration) (retryAfter time.Duration) {
 	t.Counts.Rejected++
 	if c.policy.MaxRetryAfter == 0 {
@@ -130,7 +130,7 @@
 	return min(c.policy.MaxRetryAfter, max(time.Millisecond, retryAfter))
 }
 
-// admit counts a query that is handed to the router, and moves the tenant's start tag on.
+// admit counts a query that is passed to the router, and advances the tenant's start tag.
 func (c *Controller) admit(t *tenant, q Query, now time.Duration) {
 	start := max(c.virtualTime, t.nextStart)
 	c.virtualTime = start
@@ -146,7 +146,7 @@
 	}
 }
 
-// share is a tenant's share of what the store can do, beside all tenants whose queries wait.
+// share returns a tenant's share of the store's capacity, which it divides with all tenants that have queued queries.
 func (c *Controller) share(t *tenant) float64 {
 	sum := 0.0
 	for i := range c.tenants {
@@ -161,7 +161,7 @@
 	return t.weight / sum
 }
 
-// random draws from [0, 1).
+// random returns a pseudo-random number in [0, 1).
 func (c *Controller) random() float64 {
 	c.randomState++
 	return float64(mix(c.randomState)>>11) / (1 << 53)
--- a/internal/decision/admission/course_test.go
+++ b/internal/decision/admission/course_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// The courses that are drawn are the same in each run; -rapid.seed given on the command line draws others.
+// Each run draws the same sequences; -rapid.seed on the command line draws others.
 func init() { flag.Set("rapid.seed", "1") }
 
-// In random courses: one outcome a search, what is in hand adds up, nothing waits while there is room, nobody waits beyond
-// its share of time, hints are within their bound.
+// In random sequences each query has one outcome, the work in flight adds up, no query waits while there is capacity or beyond its share
+// of its remaining time, and each Retry-After is within its bound.
 func TestRandomSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.1, 0.4, 1}), 1, 4).Draw(t, "weights")
@@ -24,7 +24,7 @@
 		waitUntil := map[uint64]time.Duration{}
 		checkRetryAfter := func(h time.Duration) {
 			if h < 0 || h > p.MaxRetryAfter {
-				t.Fatalf("hint %v", h)
+				t.Fatalf("Retry-After %v is out of bounds", h)
 			}
 		}
 		tick := func() {
@@ -32,7 +32,7 @@
 			for _, l := range dequeued {
 				s, there := queued[l.ID]
 				if !there {
-					t.Fatalf("search %d let twice", l.ID)
+					t.Fatalf("query %d left its queue twice", l.ID)
 				}
 				delete(queued, l.ID)
 				if l.Admitted {
@@ -45,14 +45,14 @@
 				sum += w
 			}
 			if math.Abs(sum-controller.inFlight) > 1e-6 {
-				t.Fatalf("%v in hand, %v counted", sum, controller.inFlight)
+				t.Fatalf("%v of work in flight, %v counted", sum, controller.inFlight)
 			}
 			if len(queued) > 0 && controller.inFlight < p.MinWork {
-				t.Fatalf("%d wait while %v is in hand", len(queued), controller.inFlight)
+				t.Fatalf("%d queries wait while only %v of work is in flight", len(queued), controller.inFlight)
 			}
 			for id := range queued {
 				if now > waitUntil[id] {
-					t.Fatalf("search %d waits beyond its time", id)
+					t.Fatalf("query %d waits beyond its time", id)
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 				for k, s := range queued {
 					delete(queued, k)
 					if !controller.Remove(s.Tenant, k) || controller.Remove(s.Tenant, k) {
-						t.Fatalf("search %d not found, or found twice", k)
+						t.Fatalf("query %d was not found, or was found twice", k)
 					}
 					break
 				}
@@ -92,7 +92,7 @@
 	})
 }
 
-// A million names leave the sketch as large as it was; the one that floods is found, and quiet ones are not taken for it.
+// Among a million clients the sketch finds the one that floods, and does not take quiet ones for it.
 func TestSketch(t *testing.T) {
 	s, rnd := NewSketch(11), rand.New(rand.NewPCG(1, 1))
 	for i := range 1_000_000 {
@@ -105,7 +105,7 @@
 	now := 5 * time.Second
 	flood := s.Estimate(42, now) // 20,000 a second, remembered for 2 s
 	if flood < 30_000 || flood > 60_000 {
-		t.Errorf("the flooder is taken for %.0f", flood)
+		t.Errorf("estimate of the flooding client is %.0f", flood)
 	}
 	wrong := 0
 	for range 1000 {
@@ -114,15 +114,15 @@
 		}
 	}
 	if wrong > 20 {
-		t.Errorf("%d quiet names of 1,000 are taken for a twentieth of the flooder", wrong)
+		t.Errorf("%d of 1,000 quiet clients are estimated at over a twentieth of the flooding client", wrong)
 	}
 	a, b := NewSketch(1).columns(42), NewSketch(2).columns(42)
 	if a == b {
-		t.Error("two brokers hash alike: counters can be aimed at")
+		t.Error("two brokers hash alike: a client can target another's counters")
 	}
 }
 
-// What an admission costs, and that it allocates nothing.
+// BenchmarkAdmission measures one admission, which must not allocate.
 func BenchmarkAdmission(b *testing.B) {
 	d := NewController(Policy{Weights: []float64{0.5, 0.5}, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 1e9, MaxRetryAfter: time.Second, Seed: 1})
 	d.limit = 1e9
@@ -134,7 +134,7 @@
 	}
 }
 
-// The sketch beside a plain map that is emptied of what has decayed, over names without bound.
+// BenchmarkClientCounts compares the sketch with a map that is cleared of decayed counts, for an unbounded number of clients.
 func BenchmarkClientCounts(b *testing.B) {
 	b.Run("sketch", func(b *testing.B) {
 		s := NewSketch(1)
--- a/internal/decision/admission/golden_test.go
+++ b/internal/decision/admission/golden_test.go
@@ -17,7 +17,7 @@
 
 const goldenFile = "testdata/sequences.golden"
 
-// player plays clients and a store whose delay changes at one door.
+// player drives one controller with pseudo-random clients and a store whose delay changes, and digests the results.
 type player struct {
 	rnd        *rand.Rand
 	digest     hash.Hash64
@@ -25,10 +25,10 @@
 	now        time.Duration
 	nextID     uint64
 	waiting    map[uint64]Query
-	order      []uint64 // of waiting
+	order      []uint64 // keys of waiting, in order of arrival
 	admitted   []Query
-	admittedAt []time.Duration
-	delay      time.Duration
+	admittedAt []time.Duration // of admitted, by index
+	delay      time.Duration   // of the store
 	tenants    int
 }
 
@@ -166,7 +166,7 @@
 	return p.digest.Sum64()
 }
 
-// The file holds one digest for each sequence, as commit 1a4b6be gave them.
+// The file holds one digest per sequence, as commit 1a4b6be produced it.
 func TestSequencesAreAsRecorded(t *testing.T) {
 	var lines []string
 	for seed := range uint64(300) {
@@ -184,10 +184,10 @@
 	}
 	for i, line := range strings.Split(string(want), "\n") {
 		if i < len(lines) && lines[i] != line {
-			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+			t.Fatalf("sequence and digest are %s, recorded as %s", lines[i], line)
 		}
 	}
 	if string(want) != text {
-		t.Error("the file has another number of sequences")
+		t.Error("the golden file has a different number of sequences")
 	}
 }
--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// runLateBroker plays a flood before a store of 400 parts a second, by a broker that comes round each so often only: arrivals and
-// answers wait for it alike, while the store works at once.
+// runLateBroker simulates a flood on a store of 400 shard requests per second, through a broker that runs only once per turnInterval:
+// arrivals and answers wait for the broker, while the store starts work at once.
 func runLateBroker(turnInterval time.Duration, measureDelay bool) (used float64, quiet tally, r *simulation) {
 	var flood tally
 	r = newSimulation(16, 40*ms, 0.5, 0.5)
@@ -17,24 +17,24 @@
 	return float64(2*(flood.answered+quiet.answered)) / (400 * 20), quiet, r
 }
 
-// A broker that comes round late does not take its own delay for the store's: the quiet tenant is served and the store used.
-// One that can't tell the two apart, as before, refuses the quiet tenant while the store idles.
+// A late broker does not attribute its own delay to the store: the quiet tenant is served and the store is used. A broker that can't
+// tell the two apart rejects the quiet tenant while the store is idle; the test checks that its load provokes this fault.
 func TestLateBroker(t *testing.T) {
 	for turnInterval, minUsed := range map[time.Duration]float64{100 * ms: 0.95, 200 * ms: 0.9, 300 * ms: 0.8, 400 * ms: 0.7} {
 		used, quiet, r := runLateBroker(turnInterval, true)
 		unmeasuredUsed, unmeasured, _ := runLateBroker(turnInterval, false)
-		t.Logf("late by %v: %+v, %.0f%% of the store used, limit %.0f times %.1f; blind %+v, %.0f%%", turnInterval, quiet, 100*used, r.limit, r.delayFactor,
+		t.Logf("late by %v: %+v, %.0f%% of the store used, limit %.0f times %.1f; own delay ignored: %+v, %.0f%%", turnInterval, quiet, 100*used, r.limit, r.delayFactor,
 			unmeasured, 100*unmeasuredUsed)
 		if quiet.rejected*100 > quiet.submitted || used < minUsed {
 			t.Errorf("late by %v: %+v, %.2f of the store used", turnInterval, quiet, used)
 		}
 		if turnInterval >= 300*ms && (unmeasured.rejected*100 < 15*unmeasured.submitted || unmeasuredUsed > 0.7) {
-			t.Errorf("late by %v and blind: %+v, %.2f of the store used: the course does not provoke the fault", turnInterval, unmeasured, unmeasuredUsed)
+			t.Errorf("late by %v, own delay ignored: %+v, %.2f of the store used: the load does not provoke the fault", turnInterval, unmeasured, unmeasuredUsed)
 		}
 	}
 }
 
-// A store that is slow is told from a broker that is late, while it is late.
+// A late broker still notices that the store has become slow, and lowers the limit.
 func TestLateAndSlow(t *testing.T) {
 	r := newSimulation(16, 40*ms, 1)
 	r.turnInterval = 100 * ms
@@ -49,7 +49,7 @@
 	}
 }
 
-// What waited while the broker stood still goes in where there is room by then; the rest is refused.
+// After a stall of the broker, queued queries are admitted as far as there is capacity by then; the rest are rejected.
 func TestTickAfterBrokerStall(t *testing.T) {
 	controller := NewController(Policy{Weights: []float64{1}, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 2, MaxRetryAfter: time.Second, Seed: 1})
 	for id := range uint64(7) {
@@ -62,11 +62,11 @@
 	}
 }
 
-// Answers wait unseen for a core, each for another time. A door that knows how late its broker runs does not take that for a queue;
-// one that is not told lowers its limit on it.
+// Answers wait for a processor core of the broker, each for a different time that is not measured. A controller that knows the broker's
+// average lateness does not take this for a queue at the store; one that does not know it lowers its limit.
 func TestUnmeasuredLateness(t *testing.T) {
 	finalLimit := func(setLateness bool) float64 {
-		r := newSimulation(64, 10*ms, 1) // far more than is asked for at once
+		r := newSimulation(64, 10*ms, 1) // far more cores than requests at once
 		r.maxUnseenDelay = 300 * ms
 		if setLateness {
 			r.SetLateness(r.maxUnseenDelay / 2)
@@ -78,11 +78,11 @@
 		return r.limit
 	}
 	if withLateness, withoutLateness := finalLimit(true), finalLimit(false); withLateness < 16 || withoutLateness > 8 {
-		t.Errorf("limit %.0f, %.0f where nobody tells", withLateness, withoutLateness)
+		t.Errorf("limit %.0f, %.0f without SetLateness", withLateness, withoutLateness)
 	}
 }
 
-// What the module sheds lowers the limit where nothing is answered, and not where answers come as fast as ever.
+// Queries shed by the router lower the limit if nothing is answered, but not if answers come as fast as before.
 func TestSheds(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		controller := NewController(Policy{Weights: []float64{1}, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 4, MaxRetryAfter: time.Second, Seed: 1})
--- a/internal/decision/admission/limiter.go
+++ b/internal/decision/admission/limiter.go
@@ -8,59 +8,59 @@
 const (
 	minWindow        = 100 * time.Millisecond
 	maxWindow        = time.Second
-	queueFactor      = 2                     // least delay over the baseline, from which on a queue stands at the store
-	queueSlack       = 10 * time.Millisecond // beside
+	queueFactor      = 2                     // multiple of the baseline above which the least delay shows a queue at the store
+	queueSlack       = 10 * time.Millisecond // added to that multiple
 	limitDecrease    = 0.9                   // factor
-	limitIncrease    = 0.05                  // share
-	probeInterval    = 10 * time.Second      // then less is admitted for a moment, and the delay it meets is the new baseline
+	limitIncrease    = 0.05                  // share of the limit
+	probeInterval    = 10 * time.Second      // between probes, which admit less for a moment to measure the baseline anew
 	probeLimitShare  = 0.5
-	probeWindows     = 3 // the last one counts
+	probeWindows     = 3 // length of a probe; the last window sets the baseline
 	rateTimeConstant = time.Second
 	maxDelayFactor   = 16.0
-	lateDelayFactor  = 2.0  // from there on half of the time in flight, or more, is the broker's own
+	lateDelayFactor  = 2.0  // at or above it, the broker itself causes half of the time in flight or more
 	delayFactorStep  = 0.25 // weight of a window in the moving average
 )
 
-// limiter finds how much work may be in flight: by the delay that it meets at the store, in windows of time.
+// limiter adjusts how much work may be in flight, from the delay that queries meet at the store in each time window.
 type limiter struct {
 	minWork  float64
 	inFlight float64       // work
 	limit    float64       // work at the store
-	lateness time.Duration // of the broker, now
+	lateness time.Duration // scheduling delay of the broker, now
 	baseline time.Duration // the delay of a store without a queue
 
-	delayFactor      float64       // work in flight for each that is at the store
-	nextProbeAt      time.Duration // of the baseline
+	delayFactor      float64       // work in flight per work at the store
+	nextProbeAt      time.Duration // next probe of the baseline
 	probeWindowsLeft int
 
 	window
 	windowBegin time.Duration
 
-	recentWork      float64 // done, decaying
+	recentWork      float64 // completed, decaying with rateTimeConstant
 	recentWorkAt    time.Duration
 	firstAdmittedAt time.Duration
-	queriesWaited   bool // in this window
+	queriesWaited   bool // queries were queued or rejected in this window
 }
 
-// window is what was seen in a window.
+// window holds the measurements of one time window.
 type window struct {
-	minDelay         time.Duration // at the store; 0: none seen
-	minElapsed       time.Duration // in flight
-	workTimesElapsed float64
-	workTimesDelay   float64
-	routerShed       bool
+	minDelay         time.Duration // least delay at the store; 0: no answer yet
+	minElapsed       time.Duration // least time in flight
+	workTimesElapsed float64       // sum over answers, in nanoseconds
+	workTimesDelay   float64       // sum over answers, in nanoseconds at the store
+	routerShed       bool          // the router shed a query for lack of time
 }
 
 // Completion is the end of an admitted query.
 type Completion struct {
 	Work     float64
 	Elapsed  time.Duration // since it was admitted
-	OwnDelay time.Duration // of that, by which the broker itself was late
+	OwnDelay time.Duration // part of Elapsed that the broker itself caused
 	Answered bool
-	Shed     bool // by the router, for want of time
+	Shed     bool // by the router, for lack of time
 }
 
-// Complete counts the end of an admitted query.
+// Complete records the end of an admitted query.
 func (c *Controller) Complete(end Completion, now time.Duration) {
 	c.inFlight = max(0, c.inFlight-end.Work)
 	ownDelay := min(max(0, end.OwnDelay), end.Elapsed)
@@ -69,8 +69,8 @@
 		c.recentWork += end.Work
 		c.noteAnswer(end.Work, end.Elapsed, ownDelay)
 	}
-	// A late broker sheds for want of time while the store is idle; if that lowered the limit, less would be admitted to what is idle
-	// already.
+	// A late broker sheds for lack of time while the store is idle. If that lowered the limit, even less would be admitted to the idle
+	// store.
 	isLate := 2*ownDelay >= end.Elapsed || c.delayFactor >= lateDelayFactor
 	if end.Shed && !isLate {
 		c.routerShed = true
@@ -89,21 +89,21 @@
 	d.workTimesDelay += work * float64(max(delay-d.lateness, d.baseline, time.Millisecond))
 }
 
-// SetLateness sets how late the broker is called now, which can't be told apart from the store's delay in any one answer.
+// SetLateness sets the broker's present scheduling delay, which no single answer can tell apart from the store's delay.
 func (d *limiter) SetLateness(lateness time.Duration) { d.lateness = lateness }
 
-// rate is how much work a second the store has lately done.
+// rate returns the work per second that the store recently completed, and the limit if that is more.
 func (d *limiter) rate(now time.Duration) float64 {
 	d.recentWork *= math.Exp(-float64(now-d.recentWorkAt) / float64(rateTimeConstant))
 	d.recentWorkAt = now
 	sinceFirst := max(minWindow, now-d.firstAdmittedAt)
-	seenShare := 1 - math.Exp(-float64(sinceFirst)/float64(rateTimeConstant)) // the average began at nothing
-	return max(d.recentWork/rateTimeConstant.Seconds()/seenShare, d.limit)    // what is in flight takes a second at most
+	seenShare := 1 - math.Exp(-float64(sinceFirst)/float64(rateTimeConstant)) // corrects for an average that began at zero
+	return max(d.recentWork/rateTimeConstant.Seconds()/seenShare, d.limit)    // work in flight is assumed to take a second at most
 }
 
-// maxInFlight is how much work may be in flight. The limit is on what is at the store; what the broker has not got round to takes no room
-// there, so it comes on top. Else a late broker's own delay would fill the limit, and the store be idle while queries are rejected.
-// maxDelayFactor bounds that, for brokers that are short of processor time.
+// maxInFlight returns how much work may be in flight. The limit applies to the work at the store; work that waits inside a late broker
+// comes on top. Otherwise a late broker's own delay would use up the limit, and the store would be idle while queries are rejected.
+// maxDelayFactor bounds the addition, for brokers that are short of processor time.
 func (d *limiter) maxInFlight() float64 {
 	if d.probeWindowsLeft > 0 {
 		return max(d.minWork, probeLimitShare*d.limit*d.delayFactor)
@@ -111,7 +111,7 @@
 	return d.limit * d.delayFactor
 }
 
-// windowLength is no shorter than what is measured in a window, and the longest while nothing is answered.
+// windowLength returns the length of a window: no shorter than the fastest answer took, and maxWindow while nothing is answered.
 func (d *limiter) windowLength() time.Duration {
 	if d.minDelay == 0 && d.inFlight > 0 {
 		return maxWindow
@@ -119,7 +119,7 @@
 	return max(minWindow, min(d.minElapsed, maxWindow))
 }
 
-// endWindowIfDue adjusts baseline, limit and delay factor at the end of a window, and returns whether it ended.
+// endWindowIfDue adjusts baseline, limit and delay factor at the end of a window, and reports whether the window ended.
 func (d *limiter) endWindowIfDue(now time.Duration) bool {
 	if now-d.windowBegin < d.windowLength() {
 		return false
@@ -132,8 +132,8 @@
 	return true
 }
 
-// updateBaseline takes the least delay ever seen, and measures anew from time to time: while a queue stands no query meets the baseline,
-// and one that has risen for good would not be seen.
+// updateBaseline lowers the baseline to the least delay seen, and measures it anew from time to time with less work in flight: while the
+// store has a queue no query meets the baseline, so a permanent rise of the baseline would go unnoticed.
 func (d *limiter) updateBaseline(now time.Duration) {
 	if d.minDelay > 0 && (d.baseline == 0 || d.minDelay < d.baseline) {
 		d.baseline = d.minDelay
@@ -151,9 +151,9 @@
 	}
 }
 
-// updateLimit lowers the limit if even the fastest query of the window met a delay well over the baseline, by more than the broker itself
-// may be late: then a queue stands at the store. So it does if nothing was answered and the router sheds; sheds beside answers as fast as
-// ever have other causes. Where queries waited and no queue stands, the limit rises.
+// updateLimit lowers the limit if even the fastest answer of the window was delayed well beyond the baseline and the broker's lateness:
+// then the store has a queue. It also lowers the limit if nothing was answered and the router sheds; sheds beside answers as fast as
+// before have other causes. If queries waited and the store has no queue, the limit rises.
 func (d *limiter) updateLimit() {
 	if d.probeWindowsLeft > 0 {
 		return
@@ -168,7 +168,7 @@
 	}
 }
 
-// updateDelayFactor keeps what was known if nothing was answered.
+// updateDelayFactor moves the average towards this window's delay factor; without an answer the factor stays.
 func (d *limiter) updateDelayFactor() {
 	if d.workTimesDelay == 0 {
 		return
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Dequeued is a query that waited: it is admitted now, or it is rejected.
+// Dequeued is a query that has left its queue, admitted or rejected.
 type Dequeued struct {
 	ID         uint64
 	Admitted   bool
 	RetryAfter time.Duration // if it is rejected
 }
 
-// notDue is when to come again if nothing waits.
+// notDue is the time of the next Tick if no query is queued.
 const notDue time.Duration = math.MaxInt64
 
-// Tick appends to out the queries that leave the queues: those that there is room for, in the order of their start tags, and those whose
-// time to wait is over. next is when to call it again.
+// Tick appends to out the queries that leave the queues: those that the store has capacity for, in the order of their start tags, and
+// those whose wait has expired. next is when to call Tick again.
 func (c *Controller) Tick(now time.Duration, out []Dequeued) (dequeued []Dequeued, next time.Duration) {
 	if c.endWindowIfDue(now) {
 		c.queriesWaited = slices.ContainsFunc(c.tenants, func(t tenant) bool { return len(t.queue) > 0 })
@@ -25,11 +25,11 @@
 	out = append(out, c.evicted...)
 	c.evicted = c.evicted[:0]
 	out, next = c.admitQueued(now, out)
-	// Those that fit are admitted first: a broker that is called late would reject all that waited, however much room there is by now.
+	// Admission comes before expiry: otherwise a broker that runs late would reject all queued queries, whatever capacity is free by now.
 	return c.expireQueued(now, out, next)
 }
 
-// admitQueued admits queued queries while there is room.
+// admitQueued admits queued queries while the store has capacity.
 func (c *Controller) admitQueued(now time.Duration, out []Dequeued) (_ []Dequeued, next time.Duration) {
 	for {
 		t := c.nextTenant()
@@ -48,7 +48,7 @@
 	}
 }
 
-// expireQueued rejects queries whose time to wait is over.
+// expireQueued rejects queries whose wait has expired.
 func (c *Controller) expireQueued(now time.Duration, out []Dequeued, next time.Duration) ([]Dequeued, time.Duration) {
 	for i := range c.tenants {
 		t := &c.tenants[i]
@@ -67,7 +67,7 @@
 	return out, next
 }
 
-// nextTenant is the tenant whose next query starts first, by its start tag; nil: no query waits.
+// nextTenant returns the tenant whose next query has the lowest start tag; nil if no query is queued.
 func (c *Controller) nextTenant() (next *tenant) {
 	for i := range c.tenants {
 		t := &c.tenants[i]
@@ -81,7 +81,7 @@
 	return next
 }
 
-// startsBefore orders tenants; those without weight come after all others.
+// startsBefore orders tenants by start tag; those without weight come after all others.
 func (c *Controller) startsBefore(a, b *tenant) bool {
 	aHasWeight := a.weight > 0
 	bHasWeight := b.weight > 0
@@ -91,7 +91,7 @@
 	return max(a.nextStart, c.virtualTime) < max(b.nextStart, c.virtualTime)
 }
 
-// nextInQueue is the index of the query whose client was given least lately; of one client's the one that came first.
+// nextInQueue returns the index of the query whose client has the least recent work; among equals, of the one that arrived first.
 func (c *Controller) nextInQueue(t *tenant, now time.Duration) (index int) {
 	minClientWork := math.Inf(1)
 	for i := range t.queue {
@@ -110,7 +110,7 @@
 	t.Counts.Queued = len(t.queue)
 }
 
-// Remove takes a query out of its queue, as its client left or the broker stops. It returns whether the query was queued.
+// Remove takes a query out of its queue because its client left or the broker stops. It reports whether the query was queued.
 func (c *Controller) Remove(tenant int, id uint64) bool {
 	t := &c.tenants[tenant]
 	index := slices.IndexFunc(t.queue, func(q queuedQuery) bool { return q.ID == id })
--- a/internal/decision/admission/rig_test.go
+++ b/internal/decision/admission/rig_test.go
@@ -9,11 +9,11 @@
 
 const ms = time.Millisecond
 
-// simulation is a door before a simulated store of some cores, in virtual time.
+// simulation runs a Controller in front of a simulated store with a number of cores, in virtual time.
 type simulation struct {
 	*Controller
 	now               time.Duration
-	cores             []time.Duration
+	cores             []time.Duration // when each core is free
 	meanServiceTime   time.Duration
 	rnd               *rand.Rand
 	events            events
@@ -21,12 +21,12 @@
 	jobs              map[uint64]*job
 	lastID            uint64
 	nextTick          time.Duration
-	turnInterval      time.Duration // the broker takes a turn each so often only; 0: whenever something happens
-	maxUnseenDelay    time.Duration // answers wait for a core by up to so much before anybody notes when they came
-	ignoreBrokerDelay bool          // and does not know how late it was
+	turnInterval      time.Duration // the broker runs once per interval; 0: at each event
+	maxUnseenDelay    time.Duration // longest wait of an answer for a core of the broker before its arrival is recorded
+	ignoreBrokerDelay bool          // the broker reports no OwnDelay
 }
 
-// turnAt is when the broker gets round to what happens at a moment.
+// turnAt returns when the broker handles an event of the given time.
 func (r *simulation) turnAt(when time.Duration) time.Duration {
 	if r.turnInterval == 0 {
 		return when
@@ -38,7 +38,7 @@
 	Query
 	deadline  time.Duration
 	arrivedAt time.Duration
-	onEnd     func(how string, hint time.Duration)
+	onEnd     func(outcome string, retryAfter time.Duration)
 }
 
 type event struct {
@@ -81,8 +81,8 @@
 	r.now = until
 }
 
-// submit brings a search; end hears of it once.
-func (r *simulation) submit(s Query, onEnd func(how string, hint time.Duration)) {
+// submit sends a query now; onEnd is called once, with the outcome.
+func (r *simulation) submit(s Query, onEnd func(outcome string, retryAfter time.Duration)) {
 	r.lastID++
 	s.ID = r.lastID
 	j := &job{s, r.now + s.TimeLeft, r.now, onEnd}
@@ -94,7 +94,7 @@
 	}
 }
 
-// arrive has the door rule on a search.
+// arrive asks the controller for its decision on a query.
 func (r *simulation) arrive(j *job) {
 	j.TimeLeft = j.deadline - r.now
 	decision, retryAfter := r.Arrive(j.Query, r.now)
@@ -110,13 +110,13 @@
 
 func (r *simulation) finish(j *job, outcome string, retryAfter time.Duration) {
 	if r.jobs[j.ID] == nil {
-		panic("a search ended twice")
+		panic("a query ended twice")
 	}
 	delete(r.jobs, j.ID)
 	j.onEnd(outcome, retryAfter)
 }
 
-// serve has the store work on a search, part after part on whatever core is free first.
+// serve runs a query's shard requests, each on the core that is free first, and schedules its end.
 func (r *simulation) serve(j *job) {
 	admittedAt, answeredAt := r.now, r.now
 	for range int(j.Work) {
@@ -167,10 +167,10 @@
 	}
 }
 
-// tally counts ends by tenant.
+// tally counts the outcomes of a tenant's queries.
 type tally struct{ submitted, answered, rejected, late int }
 
-// addLoad has a tenant ask at a rate; obeys is whether those turned away come back when told.
+// addLoad submits queries of a tenant at random times, rate per second on average, between two times.
 func (r *simulation) addLoad(tenant int, rate, work float64, from, to time.Duration, client func() uint64, t *tally) {
 	var next func()
 	next = func() {
--- a/internal/decision/admission/sketch.go
+++ b/internal/decision/admission/sketch.go
@@ -7,30 +7,30 @@
 
 const (
 	sketchRows         = 4
-	sketchWidth        = 1024 // counters a row, a power of two
+	sketchWidth        = 1024 // counters per row, a power of two
 	sketchTimeConstant = 2 * time.Second
 	maxSketchScale     = 1e12
 	goldenRatio        = 0x9e3779b97f4a7c15
 )
 
-// Sketch counts how much work each client was given lately: a count-min sketch (Cormode and Muthukrishnan, 2005) with conservative update,
-// whose counters decay. It takes the same memory however many clients there are.
+// Sketch estimates how much work was recently admitted for each client. It is a count-min sketch (Cormode and Muthukrishnan, 2005) with
+// conservative update and decaying counters. Its size does not depend on the number of clients.
 //
-// A count is never too low. It is too high by no more than about e/sketchWidth of all that was given lately, but for one client in fifty.
-// Clients are hashed with a key of this broker's own, so that nobody can aim at another's counters.
+// An estimate is never too low. For 49 of 50 clients it is too high by no more than about e/sketchWidth of all recently admitted work.
+// Each broker hashes clients with its own key, so that nobody can choose a name that shares another client's counters.
 type Sketch struct {
 	key        [2]uint64
 	counts     [sketchRows][sketchWidth]float32
-	scale      float64 // what a unit given now adds: it grows, instead of all counters shrinking
+	scale      float64 // what one unit of work adds now; it grows with time, which makes all older counts decay
 	advancedAt time.Duration
 }
 
-// NewSketch returns an empty sketch.
+// NewSketch returns an empty sketch that hashes clients with the given key.
 func NewSketch(key uint64) *Sketch {
 	return &Sketch{key: [2]uint64{key | 1, mix(key + goldenRatio)}, scale: 1}
 }
 
-// mix is the finaliser of splitmix64.
+// mix is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -39,7 +39,7 @@
 	return x ^ x>>31
 }
 
-// columns returns the index of a client's counter in each row.
+// columns returns the column of a client's counter in each row.
 func (s *Sketch) columns(client uint64) (columns [sketchRows]int) {
 	first := mix(client ^ s.key[0])
 	step := mix(client^s.key[1]) | 1
@@ -49,7 +49,7 @@
 	return columns
 }
 
-// advance lets time pass: later units weigh more. Now and then all counters are brought back to size.
+// advance raises the scale for the time passed. Above maxSketchScale it divides all counters by the scale and resets it to 1.
 func (s *Sketch) advance(now time.Duration) {
 	s.scale *= math.Exp(float64(now-s.advancedAt) / float64(sketchTimeConstant))
 	s.advancedAt = now
@@ -64,7 +64,7 @@
 	s.scale = 1
 }
 
-// Add counts work given to a client.
+// Add counts work admitted for a client.
 func (s *Sketch) Add(client uint64, work float64, now time.Duration) {
 	s.advance(now)
 	columns := s.columns(client)
@@ -82,7 +82,7 @@
 	return lowest
 }
 
-// Estimate returns the work that a client was given lately, in units of now.
+// Estimate returns the work recently admitted for a client, decayed to the present.
 func (s *Sketch) Estimate(client uint64, now time.Duration) float64 {
 	s.advance(now)
 	return float64(s.minCount(s.columns(client))) / s.scale
