--- a/internal/decision/forwarding/choices_test.go
+++ b/internal/decision/forwarding/choices_test.go
@@ -7,13 +7,13 @@
 	"flaxfront/internal/decision"
 )
 
-// choice is one thing that may happen next.
+// choice is one event that may happen next.
 type choice struct {
 	name string
 	do   func()
 }
 
-// choices lists what may happen, always in the same order.
+// choices lists the events that may happen next, always in the same order.
 func (m *model) choices() (all []choice) {
 	add := func(name string, enabled bool, do func()) {
 		if enabled {
@@ -24,7 +24,7 @@
 		m.offered = true
 		q := Query{ID: queryID, Idempotency: m.idempotency, IdempotencyWindow: 300 * time.Millisecond, Deadline: m.now + time.Second}
 		if !m.forwarder.Offer(q, m.now) {
-			m.recordViolation("not forwarded")
+			m.recordViolation("the offered query was not forwarded")
 		}
 	})
 	add("connect", !m.up && m.newestLink < 3, func() {
@@ -122,7 +122,7 @@
 		m.forwarder.Tick(m.now)
 		late := m.now >= time.Second+m.forwarder.policy.AnswerReserve
 		if late && !m.returned && !m.clientLeft && m.resultCount == 0 && len(m.forwarder.DrainActions()) == 0 {
-			m.recordViolation("rule 1: no answer at %v", m.now)
+			m.recordViolation("rule 1: no result at %v", m.now)
 		}
 	})
 	return all
--- a/internal/decision/forwarding/deadlines.go
+++ b/internal/decision/forwarding/deadlines.go
@@ -11,7 +11,7 @@
 
 const never time.Duration = math.MaxInt64
 
-// Tick ends what has run out of time and returns when it has to be called again.
+// Tick ends the queries that have run out of time and returns when it has to be called again.
 func (f *Forwarder) Tick(now time.Duration) (next time.Duration) {
 	next = never
 	due := f.queriesInOrder(func(q *forwardedQuery) bool {
@@ -23,7 +23,7 @@
 	})
 	for _, q := range due {
 		if q.state == linkLost && now < q.Deadline-f.policy.AnswerReserve {
-			f.resolveUncertain(q, now) // its link has not come back in time
+			f.resolveUncertain(q, now) // its link was not established again in time
 		} else {
 			f.timeOut(q, now)
 		}
@@ -31,7 +31,7 @@
 	return next
 }
 
-// timeOut ends a query while there is time to answer its client.
+// timeOut ends a query that has only the time reserved for the answer left.
 func (f *Forwarder) timeOut(q *forwardedQuery, now time.Duration) {
 	f.Counters.TimedOut++
 	f.cancelRemote(q)
@@ -42,7 +42,7 @@
 	}
 }
 
-// decisionDueAt is when a query must be decided on if nothing is received.
+// decisionDueAt returns when a query must end or leave linkLost if no message arrives.
 func (f *Forwarder) decisionDueAt(q *forwardedQuery) time.Duration {
 	last := q.Deadline - f.policy.AnswerReserve
 	if q.state == linkLost {
--- a/internal/decision/forwarding/forwarding_test.go
+++ b/internal/decision/forwarding/forwarding_test.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision"
 )
 
-// The courses that are drawn are the same in each run; -rapid.seed given on the command line draws others.
+// Each run draws the same sequences; -rapid.seed on the command line draws others.
 func init() { flag.Set("rapid.seed", "1") }
 
 const ms = time.Millisecond
@@ -26,7 +26,7 @@
 	MaxRemembered:    8,
 }
 
-// newConnectedForwarder is a forwarding side with links that are up and whose status is good.
+// newConnectedForwarder returns a Forwarder whose links are up and usable.
 func newConnectedForwarder(links int) *Forwarder {
 	var names []string
 	for i := range links {
@@ -48,7 +48,7 @@
 	return all
 }
 
-// What may be forwarded, and what not.
+// Which queries are forwarded, by state of the query, the budget and the link.
 func TestOffer(t *testing.T) {
 	deadline := 1000 * ms
 	for name, c := range map[string]struct {
@@ -57,39 +57,39 @@
 		at      time.Duration
 		want    bool
 	}{
-		"as it is":                  {Query{}, func(*Forwarder) {}, 10 * ms, true},
-		"it came from another site": {Query{Remote: true}, func(*Forwarder) {}, 10 * ms, false},
-		"it was brought back":       {Query{Returned: true}, func(*Forwarder) {}, 10 * ms, false},
-		"too late":                  {Query{}, func(*Forwarder) {}, deadline - 150*ms, false},
-		"no budget":                 {Query{}, func(f *Forwarder) { f.budget = 0.9 }, 10 * ms, false},
-		"too many in flight":        {Query{}, func(f *Forwarder) { f.policy.MaxForwarded = 0 }, 10 * ms, false},
-		"the link is down":          {Query{}, func(f *Forwarder) { f.LinkDown(0, nil, 5*ms) }, 10 * ms, false},
-		"no credit":                 {Query{}, func(f *Forwarder) { f.LinkUp(0, 1, 0, 0) }, 10 * ms, false},
-		"no status yet":             {Query{}, func(f *Forwarder) { f.LinkUp(0, 1, 10, 0) }, 10 * ms, false},
-		"the status is old":         {Query{Deadline: 5 * time.Second}, func(*Forwarder) {}, 2500 * ms, false},
-		"old, but it has answered since": {Query{Deadline: 5 * time.Second}, func(f *Forwarder) {
+		"usable link":          {Query{}, func(*Forwarder) {}, 10 * ms, true},
+		"from another site":    {Query{Remote: true}, func(*Forwarder) {}, 10 * ms, false},
+		"returned before":      {Query{Returned: true}, func(*Forwarder) {}, 10 * ms, false},
+		"too little time left": {Query{}, func(*Forwarder) {}, deadline - 150*ms, false},
+		"no budget":            {Query{}, func(f *Forwarder) { f.budget = 0.9 }, 10 * ms, false},
+		"too many in flight":   {Query{}, func(f *Forwarder) { f.policy.MaxForwarded = 0 }, 10 * ms, false},
+		"link down":            {Query{}, func(f *Forwarder) { f.LinkDown(0, nil, 5*ms) }, 10 * ms, false},
+		"no credit":            {Query{}, func(f *Forwarder) { f.LinkUp(0, 1, 0, 0) }, 10 * ms, false},
+		"no status yet":        {Query{}, func(f *Forwarder) { f.LinkUp(0, 1, 10, 0) }, 10 * ms, false},
+		"old status":           {Query{Deadline: 5 * time.Second}, func(*Forwarder) {}, 2500 * ms, false},
+		"old status, but a recent answer": {Query{Deadline: 5 * time.Second}, func(f *Forwarder) {
 			f.links[0].answeredAt = 2400 * ms
 		}, 2500 * ms, true},
-		"it sheds its own": {Query{}, func(f *Forwarder) {
+		"other site sheds load": {Query{}, func(f *Forwarder) {
 			f.HandleStatus(0, Status{FreeShare: 1, Shedding: true}, 0, 9*ms)
 		}, 10 * ms, false},
-		"it did, but has answered since": {Query{}, func(f *Forwarder) {
+		"other site shed load, but has answered since": {Query{}, func(f *Forwarder) {
 			f.HandleStatus(0, Status{Shedding: true}, 0, 5*ms)
 			f.links[0].answeredAt = 8 * ms
 		}, 10 * ms, true},
-		"no capacity there": {Query{}, func(f *Forwarder) { f.HandleStatus(0, Status{}, 0, 9*ms) }, 10 * ms, false},
-		"it drains, whatever it answered": {Query{}, func(f *Forwarder) {
+		"no capacity at the other site": {Query{}, func(f *Forwarder) { f.HandleStatus(0, Status{}, 0, 9*ms) }, 10 * ms, false},
+		"other site drains, despite a recent answer": {Query{}, func(f *Forwarder) {
 			f.HandleStatus(0, Status{FreeShare: 1, Draining: true}, 0, 5*ms)
 			f.links[0].answeredAt = 8 * ms
 		}, 10 * ms, false},
-		"it rejected ours, whatever it says": {Query{}, func(f *Forwarder) { f.links[0].backoffUntil = 50 * ms }, 10 * ms, false},
-		"it lacks a shard": {Query{Shards: []int{3, 4}}, func(f *Forwarder) {
+		"backoff, despite a good status": {Query{}, func(f *Forwarder) { f.links[0].backoffUntil = 50 * ms }, 10 * ms, false},
+		"other site lacks a shard of the query": {Query{Shards: []int{3, 4}}, func(f *Forwarder) {
 			f.HandleStatus(0, Status{FreeShare: 1, UnavailableShards: []int{4}}, 0, 9*ms)
 		}, 10 * ms, false},
-		"it lacks another": {Query{Shards: []int{3}}, func(f *Forwarder) {
+		"other site lacks another shard": {Query{Shards: []int{3}}, func(f *Forwarder) {
 			f.HandleStatus(0, Status{FreeShare: 1, UnavailableShards: []int{4}}, 0, 9*ms)
 		}, 10 * ms, true},
-		"its answers take longer than that": {Query{}, func(f *Forwarder) { f.links[0].answerTime = 2 * time.Second }, 10 * ms, false},
+		"answers take longer than the time left": {Query{}, func(f *Forwarder) { f.links[0].answerTime = 2 * time.Second }, 10 * ms, false},
 	} {
 		f := newConnectedForwarder(1)
 		c.prepare(f)
@@ -99,16 +99,16 @@
 			c.query.Deadline = deadline
 		}
 		if got := f.Offer(c.query, c.at); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: forwarded is %v", name, got)
 		} else if got {
 			if a := f.DrainActions(); len(a) != 1 || a[0].Kind != Forward || a[0].RemainingTime > c.query.Deadline-c.at-policy.AnswerReserve {
-				t.Errorf("%s: %+v", name, a)
+				t.Errorf("%s: actions %+v", name, a)
 			}
 		}
 	}
 }
 
-// Each rejection closes a link for longer, so that two overloaded sites do not hand work back and forth; an answer opens it.
+// Each rejection makes a link unusable for longer, so that two overloaded sites do not forward queries back and forth; an answer ends that.
 func TestRejectionsStartBackoff(t *testing.T) {
 	f := newConnectedForwarder(1)
 	now, last := 10*ms, time.Duration(0)
@@ -124,7 +124,7 @@
 		}
 		backoff := f.links[0].backoffUntil - now
 		if backoff < last || backoff > maxRejectionBackoff {
-			t.Errorf("rejection %d closes for %v after %v", id, backoff, last)
+			t.Errorf("backoff after rejection %d is %v, the one before was %v", id, backoff, last)
 		}
 		last = backoff
 		now += backoff
@@ -133,11 +133,11 @@
 	f.budget = 2
 	f.Offer(Query{ID: 100, Deadline: now + time.Second}, now)
 	if !f.HandleResult(0, 100, Answered, now+10*ms) || f.links[0].backoff != 0 {
-		t.Error("an answer does not open it")
+		t.Error("an answer does not end the backoff")
 	}
 }
 
-// What a lost link leaves, by effect and by what is known.
+// What happens to a forwarded query whose link is lost, by its idempotency and by what is known about it.
 func TestLinkLost(t *testing.T) {
 	for name, c := range map[string]struct {
 		idempotency decision.Idempotency
@@ -146,26 +146,26 @@
 		want        []ActionKind
 		risk        bool
 	}{
-		"idempotent":                       {decision.Idempotent, false, func(*Forwarder) {}, []ActionKind{Resubmit}, false},
-		"never sent, without effect twice": {decision.NonIdempotent, true, func(*Forwarder) {}, []ActionKind{Resubmit}, false},
-		"non-idempotent, the link stays away": {decision.NonIdempotent, false, func(f *Forwarder) {
+		"idempotent":                 {decision.Idempotent, false, func(*Forwarder) {}, []ActionKind{Resubmit}, false},
+		"non-idempotent, never sent": {decision.NonIdempotent, true, func(*Forwarder) {}, []ActionKind{Resubmit}, false},
+		"non-idempotent, the link stays down": {decision.NonIdempotent, false, func(f *Forwarder) {
 			f.Tick(500 * ms)
 		}, []ActionKind{Fail}, false},
-		"non-idempotent, the same process": {decision.NonIdempotent, false, func(f *Forwarder) {
+		"non-idempotent, new link to the same process": {decision.NonIdempotent, false, func(f *Forwarder) {
 			f.LinkUp(0, 1, 10, 300*ms)
 		}, []ActionKind{Forward}, false},
-		"non-idempotent, another process": {decision.NonIdempotent, false, func(f *Forwarder) {
+		"non-idempotent, new link to another process": {decision.NonIdempotent, false, func(f *Forwarder) {
 			f.LinkUp(0, 2, 10, 300*ms)
 		}, []ActionKind{Fail}, false},
-		"idempotency-keyed, another process in its window": {decision.IdempotencyKeyed, false, func(f *Forwarder) {
+		"idempotency-keyed, new link to another process within the window": {decision.IdempotencyKeyed, false, func(f *Forwarder) {
 			f.LinkUp(0, 2, 10, 300*ms)
 		}, []ActionKind{Resubmit}, true},
-		"idempotency-keyed, past its window": {decision.IdempotencyKeyed, false, func(f *Forwarder) {
+		"idempotency-keyed, after the window": {decision.IdempotencyKeyed, false, func(f *Forwarder) {
 			f.links[0].up = false
 			f.queries[9].IdempotencyWindow = 100 * ms
 			f.Tick(500 * ms)
 		}, []ActionKind{Fail}, false},
-		"its client departs": {decision.NonIdempotent, false, func(f *Forwarder) {
+		"client leaves": {decision.NonIdempotent, false, func(f *Forwarder) {
 			f.Abandon(9)
 			f.LinkUp(0, 1, 10, 300*ms)
 		}, nil, false},
@@ -181,17 +181,17 @@
 		c.then(f)
 		acts := f.DrainActions()
 		if got := kinds(acts); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, not %v", name, got, c.want)
+			t.Errorf("%s: actions %v, want %v", name, got, c.want)
 		} else if len(acts) > 0 && (acts[0].MayHaveRun != c.risk || acts[0].Kind == Forward != acts[0].Retry) {
-			t.Errorf("%s: %+v", name, acts[0])
+			t.Errorf("%s: action %+v", name, acts[0])
 		}
 		if c.risk && acts[0].RemainingTime > 800*ms-290*ms {
-			t.Errorf("%s: %v left, past its window", name, acts[0].RemainingTime)
+			t.Errorf("%s: remaining time %v exceeds the idempotency window", name, acts[0].RemainingTime)
 		}
 	}
 }
 
-// Whoever waits too long is told while there is time to speak.
+// A query that times out ends while there is still time to answer its client.
 func TestTimedOutBeforeDeadline(t *testing.T) {
 	for idempotency, want := range map[decision.Idempotency]ActionKind{
 		decision.Idempotent:       Shed,
@@ -203,11 +203,11 @@
 		f.DrainActions()
 		next := f.Tick(20 * ms)
 		if next != 950*ms {
-			t.Fatalf("comes again at %v", next)
+			t.Fatalf("next Tick at %v", next)
 		}
 		f.Tick(next)
 		if got := kinds(f.DrainActions()); !slices.Equal(got, []ActionKind{Cancel, want}) {
-			t.Errorf("effect %d: %v", idempotency, got)
+			t.Errorf("idempotency %d: actions %v", idempotency, got)
 		}
 	}
 }
--- a/internal/decision/forwarding/golden_player_test.go
+++ b/internal/decision/forwarding/golden_player_test.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision"
 )
 
-// player plays one forwarding side with three links and one receiving side with three origins.
+// player drives a Forwarder with three links and a Receiver with three origins by pseudo-random events, and digests the results.
 type player struct {
 	rnd         *rand.Rand
 	digest      hash.Hash64
@@ -24,13 +24,13 @@
 	profile     profile
 }
 
-// profile is what a sequence has more of than others.
+// profile selects the events that a sequence has more of than others.
 type profile uint64
 
 const (
 	mixedProfile     profile = iota
 	rejectionProfile         // nearly every forwarded query is rejected
-	flappingProfile          // links are lost and come back to the same process
+	flappingProfile          // links are lost and established again to the same process
 	profileCount
 )
 
--- a/internal/decision/forwarding/model_test.go
+++ b/internal/decision/forwarding/model_test.go
@@ -10,10 +10,13 @@
 	"flaxfront/internal/decision"
 )
 
-// The model checks the protocol of one forwarded query over the real Forwarder and Receiver: every interleaving of what a link, two
-// processes, the nodes, a client and time may do is tried to a stated depth. States that were met are not gone into again.
+// The model checks the protocol of one forwarded query with the real Forwarder and Receiver. It tries every interleaving of events at the
+// link, the two processes, the nodes, the client and the clock up to a given depth, and explores each state once.
+//
+// The rules: 1. a query gets exactly one result, in time, unless its client left. 2. A non-idempotent query runs at most once, no query
+// is admitted again while it runs, and a query that has run is not shed unless it is idempotent. 5. An answered query has run.
 
-// model is one state. It is made anew by replaying the choices that lead to it, as the real code can't be copied.
+// model is one state. It is built by replaying the choices that lead to it, as the real code can't be copied.
 type model struct {
 	variant        string
 	idempotency    decision.Idempotency
@@ -23,22 +26,22 @@
 	epoch          uint64
 	newestLink     uint64 // the newest link; 0: none yet
 	up             bool   // as the forwarding side sees it
-	outbox         []msg  // of the forwarding side, not yet handed to the network
+	outbox         []msg  // of the forwarding side, not yet written to the network
 	toReceiver     map[uint64][]msg
-	toForwarder    []msg // of the newest link
+	toForwarder    []msg // over the newest link
 	receiverLink   uint64
-	lastEndedLink  uint64 // links up to this one ended with the process that had them
-	remoteInFlight bool   // a query is in the remote router's hands
-	keptResult     *msg   // kept
-	returned       bool   // it is in the own router's hands
+	lastEndedLink  uint64 // links up to this one ended with the receiving process
+	remoteInFlight bool   // the remote router has the query
+	keptResult     *msg   // kept by the receiving side
+	returned       bool   // the own router has the query
 	offered        bool
-	clientLeft     bool // the client went away
+	clientLeft     bool
 	result         string
 	resultCount    int
 	runCount       int
 	violation      string
-	mayHaveRun     bool // so the forwarding side says: it may have run, and must not be shed
-	ranLocally     bool // one module sends a part that must not run twice once
+	mayHaveRun     bool // the forwarding side returned it as one that may have run and must not be shed
+	ranLocally     bool // the own router sends a non-idempotent shard request only once
 	ranRemotely    bool
 	cuts           int
 	kills          int
@@ -74,14 +77,14 @@
 	}
 }
 
-// run is an effect at some node, here or there.
+// run executes the query at a node of either site.
 func (m *model) run() {
 	m.runCount++
 	if m.idempotency == decision.NonIdempotent && m.runCount > 1 {
-		m.recordViolation("rule 2: it has run %d times", m.runCount)
+		m.recordViolation("rule 2: the query has run %d times", m.runCount)
 	}
 	if m.idempotency == decision.NonIdempotent && m.result == "shed" {
-		m.recordViolation("rule 2: it was shed, and has run")
+		m.recordViolation("rule 2: the query ran after it was shed")
 	}
 }
 
@@ -90,18 +93,18 @@
 		return
 	}
 	if m.resultCount++; m.resultCount > 1 {
-		m.recordViolation("rule 1: %s after %s", result, m.result)
+		m.recordViolation("rule 1: second result %s after %s", result, m.result)
 	}
 	m.result = result
 	if result == "shed" && m.idempotency != decision.Idempotent && m.runCount > 0 {
-		m.recordViolation("rule 2: shed, though it has run")
+		m.recordViolation("rule 2: the query was shed after it had run")
 	}
 	if result == "answered" && m.runCount == 0 {
-		m.recordViolation("rule 5: answered, though nothing has run")
+		m.recordViolation("rule 5: the query was answered but has not run")
 	}
 }
 
-// executeActions carries out what the forwarding side decided.
+// executeActions carries out the actions of the forwarding side.
 func (m *model) executeActions() {
 	for _, a := range m.forwarder.DrainActions() {
 		switch a.Kind {
@@ -121,14 +124,14 @@
 
 func (m *model) origin() Origin { return Origin{"origin", 1} }
 
-// sendResult sends the forwarding side a verdict over the newest link, if the receiving process has one.
+// sendResult sends a result to the forwarding side over the newest link, if the receiving process has that link.
 func (m *model) sendResult(v msg) {
 	if m.receiverLink == m.newestLink && m.up {
 		m.toForwarder = append(m.toForwarder, v)
 	}
 }
 
-// endRemote is the remote router's verdict.
+// endRemote ends the query at the remote router with a result.
 func (m *model) endRemote(v msg) {
 	m.remoteInFlight = false
 	if m.receiver.QueryEnded(Key{m.origin(), queryID}) {
@@ -137,7 +140,7 @@
 	m.sendResult(v)
 }
 
-// deliver is a message that the receiving side reads from some link.
+// deliver passes a message from a link to the receiving side.
 func (m *model) deliver(conn uint64, in msg, full bool) {
 	k := Key{m.origin(), queryID}
 	if in.kind == "cancel" {
@@ -157,7 +160,7 @@
 	switch m.receiver.HandleQuery(RemoteQuery{k, conn, m.idempotency, 1, time.Second}, Load{Capacity: 100}, m.now) {
 	case Admit:
 		if m.remoteInFlight {
-			m.recordViolation("rule 2: it is run a second time while it runs")
+			m.recordViolation("rule 2: the query is admitted again while it runs")
 		}
 		m.remoteInFlight, m.ranRemotely = true, false
 	case Reject:
@@ -187,7 +190,7 @@
 	return b.String()
 }
 
-// explore tries everything to a depth and returns the states met and the first fault with the way to it.
+// explore tries all choices up to a depth. It returns the number of states, and the first violation with the choices that lead to it.
 func explore(variant string, idempotency decision.Idempotency, depth int) (states int, violation string) {
 	seen := map[string]bool{}
 	paths := [][]byte{{}}
@@ -224,23 +227,23 @@
 	return 11
 }
 
-// Whatever a link, two processes and time do to one forwarded query, the rules hold.
+// The rules hold for one forwarded query in every interleaving of events.
 func TestModel(t *testing.T) {
 	for _, idempotency := range []decision.Idempotency{decision.Idempotent, decision.IdempotencyKeyed, decision.NonIdempotent} {
 		states, violation := explore("", idempotency, modelDepth())
 		if violation != "" {
-			t.Errorf("effect %d: %s", idempotency, violation)
+			t.Errorf("idempotency %d: %s", idempotency, violation)
 		}
-		t.Logf("effect %d: %d states to depth %d", idempotency, states, modelDepth())
+		t.Logf("idempotency %d: %d states to depth %d", idempotency, states, modelDepth())
 	}
 }
 
-// The model finds what is broken on purpose.
+// The model detects each variant that is broken on purpose.
 func TestModelFindsBrokenVariants(t *testing.T) {
 	for _, variant := range []string{"a receiving side that forgets", "old links are not ignored", "all lost is taken for unsent"} {
 		states, violation := explore(variant, decision.NonIdempotent, 13)
 		if violation == "" {
-			t.Errorf("%s: not found in %d states", variant, states)
+			t.Errorf("%s: no violation found in %d states", variant, states)
 		}
 		t.Logf("%s: %s (%d states)", variant, violation, states)
 	}
--- a/internal/decision/forwarding/offer.go
+++ b/internal/decision/forwarding/offer.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// noLink is selectLink's result where no link is usable.
+// noLink is the selected link if no link is usable.
 const noLink LinkIndex = -1
 
-// Offer is called with a query that the router sheds. It reports whether the query is forwarded; if not, it is to be shed.
+// Offer is called with a query that the router sheds. It reports whether the query is forwarded; if not, the caller sheds it.
 func (f *Forwarder) Offer(q Query, now time.Duration) bool {
 	if q.Remote || q.Returned {
-		return false // no second hop, and not back and forth
+		return false // at most one hop, and only once
 	}
 	if f.budget < 1 || len(f.queries) >= f.policy.MaxForwarded {
 		f.Counters.NoBudget++
@@ -36,18 +36,18 @@
 	return true
 }
 
-// remoteTime is the time that the other site gets: less than is left here, so that this site can still answer its client.
+// remoteTime returns the time that the other site gets: less than the query has left here, so that this site can still answer its client.
 func (f *Forwarder) remoteTime(deadline time.Duration, link *linkState, now time.Duration) time.Duration {
 	return deadline - now - f.policy.AnswerReserve - link.roundTrip
 }
 
-// selection is the link for a query.
+// selection is the result of selectLink.
 type selection struct {
 	link      LinkIndex
-	lacksTime bool // without a link: one was usable, but not in the time that is left
+	lacksTime bool // if no link is selected: one was usable, but the query lacks the time for it
 }
 
-// selectLink returns the usable link with the most unused credit that answers in time as a rule.
+// selectLink returns the usable link with the most unused credit among those whose average answer time fits the remaining time.
 func (f *Forwarder) selectLink(q Query, now time.Duration) selection {
 	best := selection{link: noLink}
 	for i := range f.links {
@@ -68,8 +68,8 @@
 
 func (l *linkState) unusedCredit() int { return l.credit - l.inFlight }
 
-// usable reports whether a link takes another query. What the other site did with earlier queries outweighs its status: a rejection closes
-// the link until the backoff ends, an answer since the last status opens it. Only its draining is always heeded.
+// usable reports whether a link can take another query. The fate of earlier queries overrides the other site's status: after a rejection
+// the link is unusable until the backoff ends, and a recent answer after the last status makes it usable. A draining site never is.
 func (l *linkState) usable(now time.Duration) bool {
 	if !l.up || l.status.Draining || l.inFlight >= l.credit || now < l.backoffUntil {
 		return false
--- a/internal/decision/forwarding/random_test.go
+++ b/internal/decision/forwarding/random_test.go
@@ -9,7 +9,7 @@
 	"flaxfront/internal/decision"
 )
 
-// The side that serves puts its own queries first, takes the stated share, and runs each once.
+// The receiving site gives its own queries precedence, limits remote ones to their share of the slots, and runs each once.
 func TestReceiverAdmission(t *testing.T) {
 	key := func(id uint64) Key { return Key{Origin{"a/n0", 1}, id} }
 	for name, c := range map[string]struct {
@@ -17,22 +17,22 @@
 		left time.Duration
 		want Admission
 	}{
-		"free slots":                   {Load{Capacity: 100}, time.Second, Admit},
-		"it drains":                    {Load{Capacity: 100, Draining: true}, time.Second, Reject},
-		"it lacks a shard":             {Load{Capacity: 100, ShardUnavailable: true}, time.Second, Reject},
-		"its own take the places":      {Load{Capacity: 100, Used: 98}, time.Second, Reject},
-		"remote ones have their share": {Load{Capacity: 4}, time.Second, Reject},
-		"too little time":              {Load{Capacity: 100}, 10 * ms, Reject},
+		"free slots":                {Load{Capacity: 100}, time.Second, Admit},
+		"draining":                  {Load{Capacity: 100, Draining: true}, time.Second, Reject},
+		"a shard is unavailable":    {Load{Capacity: 100, ShardUnavailable: true}, time.Second, Reject},
+		"own queries use the slots": {Load{Capacity: 100, Used: 98}, time.Second, Reject},
+		"remote share used up":      {Load{Capacity: 4}, time.Second, Reject},
+		"too little time left":      {Load{Capacity: 100}, 10 * ms, Reject},
 	} {
 		if got := NewReceiver(policy).HandleQuery(RemoteQuery{key(1), 1, decision.Idempotent, 2, c.left}, c.load, 0); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: decision %v", name, got)
 		}
 	}
 	busy := NewReceiver(policy)
 	busy.QueryShed(10 * ms)
 	if busy.HandleQuery(RemoteQuery{key(1), 1, decision.Idempotent, 2, time.Second}, Load{Capacity: 100}, 500*ms) != Reject ||
 		busy.HandleQuery(RemoteQuery{key(1), 1, decision.Idempotent, 2, time.Second}, Load{Capacity: 100}, 600*ms) != Admit {
-		t.Error("its own queries do not come first, or for too long")
+		t.Error("own queries have no precedence after one was shed, or have it for too long")
 	}
 	remembering := NewReceiver(policy)
 	roomy := Load{Capacity: 1000}
@@ -41,26 +41,26 @@
 	}
 	beyond := RemoteQuery{key(99), 1, decision.NonIdempotent, 1, time.Second}
 	if got := remembering.HandleQuery(beyond, roomy, 0); got != Reject || remembering.FreeShare(1000) != 0 {
-		t.Errorf("beyond its memory: %v, free share %v", got, remembering.FreeShare(1000))
+		t.Errorf("with MaxRemembered queries remembered: decision %v, free share %v", got, remembering.FreeShare(1000))
 	}
 	if !remembering.QueryEnded(key(3)) || remembering.HandleQuery(RemoteQuery{key(3), 1, decision.NonIdempotent, 1, time.Second}, roomy, 0) != AlreadyEnded ||
 		remembering.HandleQuery(RemoteQuery{key(4), 1, decision.NonIdempotent, 1, time.Second}, roomy, 0) != AlreadyRunning {
-		t.Error("not remembered")
+		t.Error("a query that ended or runs is not remembered")
 	}
 	if forgotten := remembering.ForgetExpired(time.Second); len(forgotten) != 0 {
-		t.Errorf("forgot %v while its forwarding side may ask", forgotten)
+		t.Errorf("forgot %v while the forwarding site may request the results", forgotten)
 	}
 	if forgotten := remembering.ForgetExpired(time.Second + lateMessagePeriod); len(forgotten) != 1 {
-		t.Errorf("forgot %v", forgotten)
+		t.Errorf("forgot %v, want one key", forgotten)
 	}
 	remembering.LinkOpened(Origin{"a/n0", 1}, 7)
 	if got := remembering.HandleQuery(RemoteQuery{key(50), 6, decision.NonIdempotent, 1, time.Second}, roomy, 0); got != StaleLink {
-		t.Errorf("over an older link: %v", got)
+		t.Errorf("query over an older link: decision %v", got)
 	}
 }
 
-// In random courses with many queries and links: each that is offered ends exactly once unless its client left, never
-// later than its client's time, and what links carry adds up.
+// In random sequences with many queries and links, each forwarded query ends exactly once unless its client left, and no later than its
+// deadline; and each link counts its queries in flight correctly.
 func TestRandomForwardedQueries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newConnectedForwarder(3)
@@ -76,7 +76,7 @@
 				case Resubmit, Shed, Fail:
 					endCount[a.ID]++
 					if now > deadlines[a.ID] {
-						t.Fatalf("query %d ends at %v, due %v", a.ID, now, deadlines[a.ID])
+						t.Fatalf("query %d ends at %v, after its deadline %v", a.ID, now, deadlines[a.ID])
 					}
 				}
 			}
@@ -127,7 +127,7 @@
 					}
 				}
 				if f.links[i].up && f.links[i].inFlight != count {
-					t.Fatalf("link %d counts %d in flight, there are %d", i, f.links[i].inFlight, count)
+					t.Fatalf("link %d counts %d queries in flight, want %d", i, f.links[i].inFlight, count)
 				}
 			}
 		}
@@ -138,7 +138,7 @@
 		}
 		for k := range deadlines {
 			if want := map[bool]int{true: 0, false: 1}[abandoned[k]]; endCount[k] != want {
-				t.Fatalf("query %d ended %d times, its client left %v", k, endCount[k], abandoned[k])
+				t.Fatalf("query %d ended %d times; its client left: %v", k, endCount[k], abandoned[k])
 			}
 		}
 	})
--- a/internal/decision/forwarding/receiver.go
+++ b/internal/decision/forwarding/receiver.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	sheddingPeriod    = 500 * time.Millisecond // after an own query was shed
-	lateMessagePeriod = 2 * time.Second        // a query is remembered so long past its deadline, for messages that arrive late
+	sheddingPeriod    = 500 * time.Millisecond // how long own queries count as shed after the last one
+	lateMessagePeriod = 2 * time.Second        // how long a query is remembered past its deadline, for late messages
 )
 
 // Origin is a process of another site that forwards queries.
@@ -23,63 +23,63 @@
 	ID     uint64
 }
 
-// Load is this broker's load when a remote query arrives.
+// Load is this broker's load at the arrival of a remote query.
 type Load struct {
 	Capacity         int // slots
-	Used             int // slots, by own and remote queries
+	Used             int // slots used by own and remote queries
 	Draining         bool
 	ShardUnavailable bool // a shard of the query has no available replica here
 }
 
-// RemoteQuery is what the decision needs to know of a query that arrives.
+// RemoteQuery is what the decision needs to know about a query from another site.
 type RemoteQuery struct {
 	Key           Key
-	Link          uint64 // serial number of the link it came over
+	Link          uint64 // serial number of the link that it arrived over
 	Idempotency   decision.Idempotency
 	ShardRequests int
 	RemainingTime time.Duration
 }
 
-// slots is what a query takes: one for itself and one for each shard request.
+// slots returns how many slots a query takes: one for itself and one for each shard request.
 func (q *RemoteQuery) slots() int { return 1 + q.ShardRequests }
 
-// Admission is the decision on a remote query that arrives.
+// Admission is the decision on a query from another site.
 type Admission uint8
 
 const (
-	// Admit means that it is to be run.
+	// Admit means that the query is to be run.
 	Admit Admission = iota
-	// Reject means that nothing of it has run here.
+	// Reject means that the query is not run and nothing of it has run here.
 	Reject
-	// AlreadyRunning means that the result goes to the link over which it came last.
+	// AlreadyRunning means that the query runs, and its result goes to the link over which it arrived last.
 	AlreadyRunning
 	// AlreadyEnded means that the kept result is to be sent again.
 	AlreadyEnded
-	// StaleLink means that it came over a link which a newer one has replaced, and that nothing is to be sent.
+	// StaleLink means that the query arrived over a link which a newer one has replaced, and that nothing is to be sent.
 	StaleLink
 )
 
-// remoteEntry is what is remembered of a remote query, so that it does not run twice.
+// remoteEntry records a remote query, so that it does not run twice.
 type remoteEntry struct {
 	rememberedUntil time.Duration
 	slots           int
 	running         bool
-	keepResult      bool // it may be requested again
+	keepResult      bool // the result may be requested again
 }
 
-// Receiver decides at the site to which queries are forwarded.
+// Receiver makes the decisions at the site to which queries are forwarded.
 type Receiver struct {
 	policy       Policy
 	remembered   map[Key]*remoteEntry
 	newestLinks  map[Origin]uint64
-	linkEndedAt  map[Origin]time.Duration // of the newest link
+	linkEndedAt  map[Origin]time.Duration // when the newest link ended
 	slotsUsed    int                      // by remote queries
 	runningCount int
-	lastShedAt   time.Duration // an own query; 0: none
+	lastShedAt   time.Duration // when an own query was last shed; 0: never
 	Counters     ReceiverCounters
 }
 
-// ReceiverCounters count since the start of the process, except InFlight and Remembered.
+// ReceiverCounters holds counts since the start of the process, except InFlight and Remembered, which are the present numbers.
 type ReceiverCounters struct {
 	Received   uint64 `json:"Came"`
 	Admitted   uint64 `json:"Ran"`
@@ -87,11 +87,11 @@
 	Joined     uint64 `json:"Joined"`   // arrived again while running
 	Repeated   uint64 `json:"Repeated"` // arrived again after its end
 	Cancelled  uint64 `json:"CalledOff"`
-	InFlight   int    `json:"InHand"`     // now
-	Remembered int    `json:"Remembered"` // now
+	InFlight   int    `json:"InHand"`
+	Remembered int    `json:"Remembered"`
 }
 
-// NewReceiver returns a Receiver that knows of no link.
+// NewReceiver returns a Receiver without links.
 func NewReceiver(policy Policy) *Receiver {
 	return &Receiver{
 		policy:      policy,
@@ -101,9 +101,9 @@
 	}
 }
 
-// LinkOpened is called when a process has opened a link; serial numbers grow. Queries of older links are ignored from then on: one may
-// lie unread in a buffer, be sent again over the new link and rejected there, and must not run after its client was told that a retry is
-// harmless.
+// LinkOpened is called when a process has opened a link; serial numbers increase. From then on queries of older links are ignored. Such a
+// query may still be in a buffer while it was sent again over the new link and rejected there; it must not run after its client was told
+// that a retry is harmless.
 func (r *Receiver) LinkOpened(o Origin, serial uint64) {
 	r.newestLinks[o] = max(r.newestLinks[o], serial)
 	delete(r.linkEndedAt, o)
@@ -116,10 +116,10 @@
 	}
 }
 
-// QueryShed is called when an own query was shed although its shards are available.
+// QueryShed is called when a query of an own client was shed although its shards are available.
 func (r *Receiver) QueryShed(now time.Duration) { r.lastShedAt = max(1, now) }
 
-// Shedding reports whether own queries were shed lately.
+// Shedding reports whether an own query was shed within sheddingPeriod.
 func (r *Receiver) Shedding(now time.Duration) bool {
 	return r.lastShedAt > 0 && now-r.lastShedAt < sheddingPeriod
 }
@@ -155,8 +155,8 @@
 	return Admit
 }
 
-// admits reports whether a new query is run. Own queries come first: while they are shed no remote one is admitted, and remote ones take
-// their share of the slots at most. What can't be remembered is not admitted, as it could run twice.
+// admits reports whether a new query is run. Own queries have precedence: while they are shed no remote query is admitted, and remote
+// queries take at most their share of the slots. A query that can't be remembered is not admitted, as it could run twice.
 func (r *Receiver) admits(q *RemoteQuery, load Load, now time.Duration) bool {
 	switch {
 	case r.Shedding(now), load.Draining, load.ShardUnavailable:
@@ -172,7 +172,7 @@
 	}
 }
 
-// QueryEnded is called with the end of a remote query. It reports whether the result must be kept until ForgetExpired names its key.
+// QueryEnded is called when a remote query ends. It reports whether the result must be kept until ForgetExpired returns its key.
 func (r *Receiver) QueryEnded(k Key) (keepResult bool) {
 	entry := r.remembered[k]
 	if entry == nil || !entry.running {
@@ -182,20 +182,20 @@
 	r.slotsUsed -= entry.slots
 	r.runningCount--
 	if !entry.keepResult {
-		delete(r.remembered, k) // if it arrives again it may run again
+		delete(r.remembered, k) // idempotent: it may run again if it arrives again
 	}
 	r.updateCounters()
 	return entry.keepResult
 }
 
-// CancelledByLinkLoss reports whether a query is to be cancelled because its link has ended. An idempotent one is: the other site runs it
-// itself at once. The others may be requested over the next link.
+// CancelledByLinkLoss reports whether a query is to be cancelled because its link has ended. An idempotent query is, as the other site
+// runs it itself at once. The result of any other query may be requested over the next link.
 func (r *Receiver) CancelledByLinkLoss(k Key) bool {
 	entry := r.remembered[k]
 	return entry != nil && entry.running && !entry.keepResult
 }
 
-// Cancel is called when the other site cancels a query. It reports whether the query runs and is to be stopped.
+// Cancel is called when the other site cancels a query. It reports whether the query is running and has to be stopped.
 func (r *Receiver) Cancel(k Key) bool {
 	entry := r.remembered[k]
 	if entry == nil || !entry.running {
@@ -205,7 +205,7 @@
 	return true
 }
 
-// ForgetExpired drops what can't be requested any more and returns the keys whose results may be dropped.
+// ForgetExpired forgets ended queries that can't be requested any more, and returns their keys, whose results may be dropped.
 func (r *Receiver) ForgetExpired(now time.Duration) []Key {
 	var expired []Key
 	remaining := map[Origin]bool{}
@@ -232,7 +232,7 @@
 	r.Counters.InFlight = r.runningCount
 }
 
-// FreeShare is the free part of the slots for remote queries, 0 to 1, of a broker with this capacity.
+// FreeShare returns the free share of the slots for remote queries, 0 to 1, of a broker with this capacity in slots.
 func (r *Receiver) FreeShare(capacity int) float64 {
 	limit := r.policy.RemoteShare * float64(capacity)
 	if limit <= 0 || len(r.remembered) >= r.policy.MaxRemembered {
--- a/internal/decision/forwarding/results.go
+++ b/internal/decision/forwarding/results.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision"
 )
 
-// LinkUp is called when a link has been established. The epoch names the process at the other end. Queries lost with the link are sent
-// again if it is the same process, which remembers them; another one can't know what the first has run.
+// LinkUp is called when a link has been established. The epoch identifies the process at the other end. Queries in linkLost are sent again
+// if it is the same process, which remembers them; a new process can't know which queries the old one has run.
 func (f *Forwarder) LinkUp(index LinkIndex, epoch uint64, credit int, now time.Duration) {
 	link := &f.links[index]
 	link.connect(epoch, credit)
@@ -25,7 +25,7 @@
 	}
 }
 
-// LinkDown is called when a link has ended. unsent are the queries that were never written to the network.
+// LinkDown is called when a link has ended. unsent lists the queries that were never written to the network.
 func (f *Forwarder) LinkDown(index LinkIndex, unsent []uint64, now time.Duration) {
 	f.links[index].disconnect()
 	for _, q := range f.queriesInOrder(func(q *forwardedQuery) bool { return q.state == inFlight && q.link == index }) {
@@ -36,20 +36,20 @@
 		}
 		q.loseLink(min(now+f.policy.ResumeTimeout, q.Deadline-f.policy.AnswerReserve))
 		if q.Idempotency == decision.Idempotent {
-			f.resolveUncertain(q, now) // it can run again here, so it need not wait
+			f.resolveUncertain(q, now) // it may run again here at once
 		}
 	}
 }
 
-// repeatRisk says what a second run of a query could do.
+// repeatRisk is the risk of running a query a second time.
 type repeatRisk uint8
 
 const (
-	harmless     repeatRisk = iota // nothing
-	windowedRisk                   // nothing inside the idempotency window, harm after it
+	harmless     repeatRisk = iota // none
+	windowedRisk                   // none within the idempotency window, a repeated effect after it
 )
 
-// resolveUncertain ends the wait of a query that may have run.
+// resolveUncertain ends the wait of a query that may have run: it is returned if a second run does no harm, otherwise it fails.
 func (f *Forwarder) resolveUncertain(q *forwardedQuery, now time.Duration) {
 	switch {
 	case q.Idempotency == decision.Idempotent:
@@ -61,10 +61,10 @@
 	}
 }
 
-// returnQuery gives a query back to the own router if there is time; otherwise it is shed where a client's retry is harmless, or fails.
+// returnQuery returns a query to the own router if there is time; otherwise it is shed if a client's retry is harmless, or fails.
 func (f *Forwarder) returnQuery(q *forwardedQuery, risk repeatRisk, now time.Duration) {
 	timeLeft := q.Deadline - now
-	if risk == windowedRisk { // no attempt may be sent after the window
+	if risk == windowedRisk { // no attempt may be sent after the idempotency window
 		timeLeft = min(timeLeft, q.sentAt+q.IdempotencyWindow-now)
 	}
 	switch {
@@ -78,15 +78,15 @@
 	}
 }
 
-// finish forgets a query with its last action, whose ID it sets.
+// finish forgets a query and adds its last action, whose ID it sets.
 func (f *Forwarder) finish(q *forwardedQuery, last Action) {
 	f.forget(q)
 	last.ID = q.ID
 	f.addAction(last)
 }
 
-// HandleResult is called with the other site's result. It reports whether that result is final for the client: an answer and a
-// failure are; a rejection becomes a Shed action. A result of a query that is not in flight over this link is ignored.
+// HandleResult is called with the other site's result. It reports whether that result is final for the client: an answer or a failure
+// is, while a rejection becomes a Shed action. The result of a query that is not in flight over this link is ignored.
 func (f *Forwarder) HandleResult(index LinkIndex, id uint64, outcome Outcome, now time.Duration) (final bool) {
 	q := f.queries[id]
 	if q == nil || q.link != index || q.state != inFlight {
@@ -128,7 +128,7 @@
 	f.addAction(Action{Kind: Log, Text: text})
 }
 
-// unavailableReason is empty for a site that takes queries.
+// unavailableReason returns why a site accepts no forwarded queries; empty if it accepts them.
 func (s *Status) unavailableReason() string {
 	switch {
 	case s.Draining:
@@ -142,7 +142,7 @@
 	}
 }
 
-// Abandon is called when a query's client has gone.
+// Abandon is called when the client of a query has left.
 func (f *Forwarder) Abandon(id uint64) {
 	q := f.queries[id]
 	if q == nil {
@@ -152,7 +152,7 @@
 	f.forget(q)
 }
 
-// cancelRemote tells the other site that nobody waits for a query.
+// cancelRemote tells the other site that the result of a query is no longer needed.
 func (f *Forwarder) cancelRemote(q *forwardedQuery) {
 	if q.state == inFlight && f.links[q.link].up {
 		f.addAction(Action{Kind: Cancel, ID: q.ID, Link: q.link})
--- a/internal/decision/forwarding/snapshot.go
+++ b/internal/decision/forwarding/snapshot.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// neverReceived is the StatusAge of a link over which no status was received.
+// neverReceived is the StatusAge of a link without a status since it came up.
 const neverReceived time.Duration = -1
 
 // LinkSnapshot is the state of one link.
@@ -17,8 +17,8 @@
 	AnswerTime       time.Duration `json:"Took"`
 	FreeShare        float64       `json:"Room"`
 	Shedding         bool          `json:"Refusing"`
-	StatusAge        time.Duration `json:"HeardAgo"` // -1: never heard
-	RemainingBackoff time.Duration `json:"ShutFor"`  // -1: never heard
+	StatusAge        time.Duration `json:"HeardAgo"` // -1: no status received since the link came up
+	RemainingBackoff time.Duration `json:"ShutFor"`  // 0: none
 }
 
 // Snapshot returns the state of all links.
--- a/internal/decision/ownership/golden_test.go
+++ b/internal/decision/ownership/golden_test.go
@@ -130,7 +130,7 @@
 	return p.digest.Sum64()
 }
 
-// The file holds one digest for each sequence, as commit 1a4b6be gave them.
+// The file holds one digest per sequence, as commit 1a4b6be produced it.
 func TestSequencesAreAsRecorded(t *testing.T) {
 	var lines []string
 	for seed := range uint64(500) {
@@ -148,10 +148,10 @@
 	}
 	for i, line := range strings.Split(string(want), "\n") {
 		if i < len(lines) && lines[i] != line {
-			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+			t.Fatalf("sequence and digest are %s, recorded as %s", lines[i], line)
 		}
 	}
 	if string(want) != text {
-		t.Error("the file has another number of sequences")
+		t.Error("the golden file has a different number of sequences")
 	}
 }
