--- a/internal/decision/gossip/golden_test.go
+++ b/internal/decision/gossip/golden_test.go
@@ -16,7 +16,7 @@
 
 const goldenFile = "testdata/sequences.golden"
 
-// playSequence plays pseudo-random updates, local and of other brokers, and digests every result by position.
+// playSequence applies pseudo-random updates, local ones and those of other brokers, and digests every result in order.
 func playSequence(seed uint64) uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	digest := fnv.New64a()
--- a/internal/decision/gossip/gossip.go
+++ b/internal/decision/gossip/gossip.go
@@ -1,8 +1,8 @@
-// Package gossip decides which endpoint updates from other brokers of the tier count. A broker that discovery tells of a change passes
-// it on; the others take it before discovery tells them, unless it is out of date.
+// Package gossip decides which endpoint updates from other brokers of the tier are accepted. A broker that learns of a change from its
+// discovery service sends it to the others, which accept it before their own discovery reports it, unless it is out of date.
 //
-// An update names version and discovery of the list that it comes from, the node, its state and its start. It never carries an
-// address: each broker knows addresses from its own list. An UpdateFilter is used by one goroutine.
+// An update carries the version of the endpoint list that it comes from, the ID of the discovery service, and a node's ID, state and start
+// time. It never introduces an address: a broker accepts updates only for nodes of its own list. An UpdateFilter is used by one goroutine.
 package gossip
 
 import (
@@ -12,16 +12,16 @@
 	"flaxfront/internal/decision"
 )
 
-// EndpointUpdate is what discovery told a broker of one node.
+// EndpointUpdate is a change of one node that discovery reported to a broker.
 type EndpointUpdate struct {
 	ListVersion uint64
-	DiscoveryID uint32 // names the discovery service
+	DiscoveryID uint32 // identifies the discovery service
 	Node        decision.NodeID
 	State       decision.EndpointState
 	StartedAtMS int64 // Unix time in milliseconds; 0: long ago
 }
 
-// encodedBytes is the length of an update: version (8), discovery (4), address (4), port (2), state (1), start (8), big endian.
+// encodedBytes is the length of an encoded update: version (8), discovery (4), address (4), port (2), state (1), start (8), big endian.
 const encodedBytes = 27
 
 const (
@@ -32,7 +32,7 @@
 	startOffset     = 19
 )
 
-// AppendTo encodes an update.
+// AppendTo appends the encoded update to b.
 func (u *EndpointUpdate) AppendTo(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, u.ListVersion)
 	b = binary.BigEndian.AppendUint32(b, u.DiscoveryID)
@@ -42,7 +42,7 @@
 	return binary.BigEndian.AppendUint64(b, uint64(u.StartedAtMS))
 }
 
-// Decode decodes an update. ok is false if the bytes are none.
+// Decode decodes an update. ok is false if b is not a valid update.
 func Decode(b []byte) (u EndpointUpdate, ok bool) {
 	if len(b) != encodedBytes || b[stateOffset] > byte(decision.Ready) {
 		return u, false
@@ -60,17 +60,17 @@
 	return u, u.StartedAtMS >= 0
 }
 
-// maxRemoved bounds the removed and draining nodes that newcomers are told of.
+// maxRemoved bounds the removed and draining nodes that are sent to brokers that have just started.
 const maxRemoved = 64
 
-// Counts are what operators see. The JSON names are those under /counters.
+// Counts are the counters of an UpdateFilter. The JSON names are those under /counters.
 type Counts struct {
 	Sent     uint64 `json:"ListTold"`
 	Accepted uint64 `json:"ListTaken"`
 	Ignored  uint64 `json:"ListStale"`
 }
 
-// UpdateFilter remembers of each node the newest list version that an update was from.
+// UpdateFilter remembers, for each node, the list version of the last update that was recorded or accepted.
 type UpdateFilter struct {
 	DiscoveryID uint32 // of this broker's discovery service
 	Counts      Counts
@@ -83,8 +83,8 @@
 	return &UpdateFilter{DiscoveryID: discoveryID, versions: map[decision.NodeID]uint64{}}
 }
 
-// RecordLocal records what discovery told this broker of a node. It returns whether the other brokers are to be sent the update: not
-// those of full lists, as every broker gets them.
+// RecordLocal records an update from this broker's own discovery. It reports whether the update is to be sent to the other brokers. Updates
+// from full lists are not, as every broker receives those lists itself.
 func (f *UpdateFilter) RecordLocal(u EndpointUpdate, fullList bool) (send bool) {
 	send = !fullList && u.ListVersion > f.versions[u.Node]
 	if send {
@@ -95,8 +95,8 @@
 	return send
 }
 
-// Accept returns whether another broker's update counts here, where the node has the given state and start. One that is late, of
-// another discovery, or of an earlier process would bring a draining node back; only a new start makes one ready again.
+// Accept reports whether another broker's update is accepted here, where the node has the given state and start time. An update that is
+// late, or comes from another discovery or an earlier process of the node, could make a draining node ready; only a new start may do so.
 func (f *UpdateFilter) Accept(u EndpointUpdate, known bool, state decision.EndpointState, startedAtMS int64) bool {
 	bringsBack := state == decision.Draining && u.State == decision.Ready && u.StartedAtMS <= startedAtMS
 	outdated := u.ListVersion <= f.versions[u.Node]
@@ -121,11 +121,11 @@
 	f.removed = append(f.removed, u)
 }
 
-// RecentlyRemoved returns the nodes that lately began to drain or were removed. A broker that starts while discovery is down uses the
-// list that it cached, and would go on using such nodes; so newcomers are sent these.
+// RecentlyRemoved returns updates of up to maxRemoved nodes that began to drain or were removed last. They are sent to brokers that have
+// just started: one that starts while discovery is down uses its cached list, and would otherwise use these nodes.
 func (f *UpdateFilter) RecentlyRemoved() []EndpointUpdate { return f.removed }
 
-// Forget drops what is remembered of nodes that are no longer known, from list versions before one.
+// Forget drops the list versions of nodes that are no longer known, if they are older than the given version.
 func (f *UpdateFilter) Forget(version uint64, known func(decision.NodeID) bool) {
 	for id, v := range f.versions {
 		if v < version && !known(id) {
--- a/internal/decision/ownership/claims.go
+++ b/internal/decision/ownership/claims.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Claim is what brokers send one another of a job. Ages travel, not moments: clocks need not agree.
+// Claim is the message about a job that brokers exchange. It carries ages, not points in time, as clocks need not agree.
 type Claim struct {
 	Job          uint8
 	Fence        uint32
 	Owner        uint32
-	RunCount     uint32        // runs that are known of
-	SinceLastRun time.Duration // since the last of them began, whoever made it
-	Released     bool          // the owner gives it up
+	RunCount     uint32        // known runs, of all members
+	SinceLastRun time.Duration // since the last of them began
+	Released     bool          // the owner releases the job
 }
 
 // An encoded claim is job (1), flags (1), fence (4), owner (4), run count (4), milliseconds since the last run (4), big endian.
@@ -28,7 +28,7 @@
 	flagReleased = 1
 )
 
-// AppendTo encodes a claim.
+// AppendTo appends the encoded claim to b.
 func (c *Claim) AppendTo(b []byte) []byte {
 	flags := byte(0)
 	if c.Released {
@@ -41,7 +41,7 @@
 	return binary.BigEndian.AppendUint32(b, uint32(min(c.SinceLastRun.Milliseconds(), math.MaxUint32)))
 }
 
-// DecodeClaim decodes a claim. ok is false if the bytes are none.
+// DecodeClaim decodes a claim. ok is false if b is not a valid claim.
 func DecodeClaim(b []byte) (c Claim, ok bool) {
 	if len(b) != claimBytes || b[flagsOffset] > flagReleased {
 		return c, false
@@ -57,15 +57,15 @@
 	return c, c.Owner != 0
 }
 
-// HandleClaim takes another broker's claim. It returns whether the claim was news, to be passed on.
+// HandleClaim handles another broker's claim. It reports whether the claim was news, which the caller passes on.
 func (c *Coordinator) HandleClaim(claim Claim, now time.Duration) (news bool) {
 	if int(claim.Job) >= len(c.jobs) {
-		return false // of a version that has more jobs
+		return false // from a broker of a version that has more jobs
 	}
 	s := &c.jobs[claim.Job]
 	if claim.RunCount > s.runCount {
-		// A run counts under whatever number and whenever it is reported, or it would be made again. That it is known by its count
-		// keeps a claim that goes round for long from making the run look later each time.
+		// A run counts under any fencing number and however late it is reported; otherwise it would be repeated. The run count identifies
+		// the run, so that a claim that circulates for long does not make the run look more recent each time.
 		s.runCount = claim.RunCount
 		s.lastRunAt = max(s.lastRunAt, now-claim.SinceLastRun)
 		news = true
@@ -83,7 +83,7 @@
 		return news
 	}
 	if s.owner == c.self {
-		s.running = false // what it does from now on is rejected
+		s.running = false // receivers reject the work of this run from now on
 	}
 	s.fence = claim.Fence
 	s.owner = claim.Owner
@@ -92,13 +92,13 @@
 	return true
 }
 
-// supersedes reports whether a claim is older than the known one, or of two under one number the one that gives way.
+// supersedes reports whether the known claim supersedes another: by its fence, or under the same fence by its owner's lower ID.
 func (s *jobState) supersedes(claim *Claim) bool {
 	return claim.Fence < s.fence || claim.Fence == s.fence && claim.Owner > s.owner && s.owner != 0
 }
 
-// queueCorrection tells an outdated claimant of the present claim. It has missed that, perhaps of an owner that is dead by now, and all it does
-// would be rejected for good.
+// queueCorrection queues the current claim in answer to an outdated one. The claimant has missed the current claim, whose owner may be dead
+// by now; without the correction all its work would be rejected for good.
 func (c *Coordinator) queueCorrection(job uint8, now time.Duration) {
 	s := &c.jobs[job]
 	if s.owner == 0 || now-s.correctedAt < c.policy.SettleTime {
@@ -108,8 +108,9 @@
 	c.claims = append(c.claims, s.claim(job, s.owner, now))
 }
 
-// AcceptFence reports whether work on a job under a fencing number is to be taken. An owner that was paused carries on as if nothing had
-// happened. A number that was accepted counts as known: else an owner could take its successor's work and go on with its own.
+// AcceptFence reports whether work on a job under a fencing number is accepted. It rejects the work of an owner that resumes after a pause,
+// unaware that it was replaced. An accepted number becomes the known one: otherwise an owner could accept its successor's work and still
+// continue its own.
 func (c *Coordinator) AcceptFence(job int, fence uint32) bool {
 	s := &c.jobs[job]
 	if fence < s.fence {
@@ -140,7 +141,7 @@
 	}
 }
 
-// DrainClaims returns the claims to be sent to the other brokers since the last call.
+// DrainClaims returns the claims queued since the last call, to be sent to the other brokers.
 func (c *Coordinator) DrainClaims() []Claim {
 	claims := c.claims
 	c.claims = nil
--- a/internal/decision/ownership/explore_test.go
+++ b/internal/decision/ownership/explore_test.go
@@ -1,6 +1,6 @@
 package ownership
 
-// This file walks the states of the model.
+// This file explores the states of the model.
 
 import (
 	"hash/maphash"
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// explore goes through all states up to a depth from where the three have begun, and returns the first that breaks the rule.
+// explore visits all states up to a depth from a start with an owner. It returns their number and the first violation.
 func explore(depth int, accept func(*Coordinator, uint32) bool) (states int, violation string) {
 	start := &modelState{}
 	for i := range start.brokers {
 		start.brokers[i] = newModelBroker(i, 0)
 	}
-	for range 3 { // to where there is an owner
+	for range 3 { // seconds until the job has an owner
 		start.now += time.Second
 		for i := range start.brokers {
 			start.tick(i)
@@ -50,8 +50,8 @@
 	return len(seen), ""
 }
 
-// Whatever happens in whatever order, nobody accepts what was done under an older number after it knew of a newer one, and no
-// number goes back. A receiver that accepts everything is caught.
+// In any order of events, no broker accepts work under an older fencing number after work under a newer one, and no known number
+// decreases. The model detects a receiver that accepts everything.
 func TestModel(t *testing.T) {
 	states, violation := explore(6, func(d *Coordinator, fence uint32) bool { return d.AcceptFence(0, fence) })
 	if violation != "" {
@@ -60,7 +60,7 @@
 	t.Logf("%d states to depth 6", states)
 	states, violation = explore(6, func(*Coordinator, uint32) bool { return true })
 	if violation == "" {
-		t.Errorf("a receiver that accepts everything was not caught in %d states", states)
+		t.Errorf("no violation found in %d states by a receiver that accepts everything", states)
 	}
-	t.Logf("caught after %d states: %s", states, violation)
+	t.Logf("violation of a receiver that accepts everything found after %d states: %s", states, violation)
 }
--- a/internal/decision/ownership/golden_test.go
+++ b/internal/decision/ownership/golden_test.go
@@ -19,7 +19,7 @@
 	goldenBrokers = 3
 )
 
-// player plays brokers that share jobs over links that delay, lose and damage claims.
+// player drives brokers that share jobs over links that delay, lose and corrupt claims, and digests the results.
 type player struct {
 	rnd      *rand.Rand
 	digest   hash.Hash64
--- a/internal/decision/ownership/model_test.go
+++ b/internal/decision/ownership/model_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// A model of three brokers and one duty over the real code. Time goes in steps of a second; in between anything may happen in
-// any order: a claim arrives or is lost, a broker takes another for dead or finds it again, is paused, wakes, is restarted.
+// A model of three brokers and one job, with the real code. Time passes in steps of a second. In between events happen in any order: a
+// claim arrives or is lost; a broker considers another dead or alive, is paused, resumes or is restarted.
 
 type modelBroker struct {
 	coordinator *Coordinator
 	paused      bool
 	reachable   [3]bool
-	pendingRuns []Run // begun, and not yet in effect
+	pendingRuns []Run // begun, whose work has not reached the receivers yet
 }
 
 type modelState struct {
 	brokers  [3]modelBroker
 	claims   []modelClaim
 	now      time.Duration
-	accepted [3][]modelAccept // by whoever received it: what it accepted last
-	faults   int              // of the environment, which are bounded
+	accepted [3][]modelAccept // by receiver: the last work that it accepted, if any
+	faults   int              // so far, at most maxModelFaults
 }
 
 type modelClaim struct {
@@ -84,7 +84,7 @@
 	b.coordinator.SetMembers(members, s.now)
 }
 
-// tick has a broker take a turn and puts what it says on its way.
+// tick runs a broker's Tick and sends its claims.
 func (s *modelState) tick(i int) {
 	b := &s.brokers[i]
 	s.setMembers(i)
@@ -104,7 +104,7 @@
 	}
 }
 
-// deliverRun is when a run reaches everybody that can hear: each rules on it by itself.
+// deliverRun delivers the work of a run to all brokers that are not paused. Each of them accepts or rejects it by itself.
 func (s *modelState) deliverRun(i, run int, accept func(d *Coordinator, fence uint32) bool) (violation string) {
 	b := &s.brokers[i]
 	r := b.pendingRuns[run]
@@ -121,7 +121,7 @@
 		}
 		if last := s.accepted[j]; len(last) > 0 {
 			if last[0].fence > r.Fence {
-				violation = fmt.Sprintf("broker %d accepted number %d of broker %d after number %d of broker %d", j, r.Fence, i, last[0].fence, last[0].owner)
+				violation = fmt.Sprintf("broker %d accepted fencing number %d of broker %d after number %d of broker %d", j, r.Fence, i, last[0].fence, last[0].owner)
 			}
 		}
 		s.accepted[j] = []modelAccept{{r.Fence, i}}
@@ -133,14 +133,14 @@
 
 const maxModelFaults = 3
 
-// forEachNext are all states that one thing happening leads to.
+// forEachNext calls visit with each state that one event leads to, and with the violation found, if any.
 func (s *modelState) forEachNext(accept func(*Coordinator, uint32) bool, visit func(*modelState, string)) {
 	do := func(what func(*modelState) string) {
 		c := s.clone()
 		visit(c, what(c))
 	}
 	for k := range s.claims {
-		do(func(c *modelState) string { // arrives
+		do(func(c *modelState) string { // the claim arrives
 			m := c.claims[k]
 			c.claims = slices.Delete(c.claims, k, k+1)
 			b := &c.brokers[m.to]
@@ -151,7 +151,7 @@
 			b.coordinator.HandleClaim(m.claim, c.now)
 			c.sendClaims(m.to)
 			if b.coordinator.jobs[0].fence < before {
-				return fmt.Sprintf("broker %d went from number %d back to %d", m.to, before, b.coordinator.jobs[0].fence)
+				return fmt.Sprintf("broker %d went from fencing number %d back to %d", m.to, before, b.coordinator.jobs[0].fence)
 			}
 			return ""
 		})
@@ -187,7 +187,7 @@
 	}
 	for i := range s.brokers {
 		fault(func(c *modelState) { c.brokers[i].paused = !c.brokers[i].paused })
-		fault(func(c *modelState) { // what it knew is gone, so that it accepts what it once would not have
+		fault(func(c *modelState) { // a restart, after which it may accept an older number, as it has lost its state
 			c.brokers[i], c.accepted[i] = newModelBroker(i, c.now), nil
 		})
 		for j := range s.brokers {
--- a/internal/decision/ownership/ownership.go
+++ b/internal/decision/ownership/ownership.go
@@ -1,14 +1,14 @@
-// Package ownership decides which broker of a tier does which periodic job, and when.
+// Package ownership decides which broker of a tier runs which periodic job, and when.
 //
-// Each job belongs to the live member that weighted rendezvous hashing (Thaler and Ravishankar, 1998) gives it to. A member that takes a job
-// over claims it under a fencing number, which only grows; work done under an older number is rejected by whoever receives it. There is
-// no vote: where brokers can't reach one another, each side has an owner.
+// Weighted rendezvous hashing (Thaler and Ravishankar, 1998) assigns each job to one of the live members. A member that takes over a job
+// claims it under a fencing number, which only increases; receivers reject work done under an older number. There is no vote: if brokers
+// can't reach one another, each partition has an owner.
 //
 //	not the owner ──claim──► owner, settling ──due──► running ──RunEnded──► owner, waiting for the period
 //	      ▲                                                                   │
-//	      └── a later claim, a newer fence, a better rank, a pause, ReleaseAll ┘
+//	      └── a later claim, a newer fence, a higher rank, a pause, ReleaseAll ┘
 //
-// Times are spans since the broker's start. A Coordinator is used by one goroutine.
+// Times are durations since the broker's start. A Coordinator is used by one goroutine.
 package ownership
 
 import (
@@ -19,10 +19,10 @@
 
 const (
 	longAgo              time.Duration = math.MinInt64 / 2
-	releasedTickInterval               = time.Hour // until a coordinator that released all jobs is called again
+	releasedTickInterval               = time.Hour // between Ticks of a coordinator that released all jobs
 )
 
-// Job is something that one of the brokers has to do once in a period.
+// Job is a task that one of the brokers runs once per period.
 type Job struct {
 	Name   string
 	Period time.Duration
@@ -31,49 +31,49 @@
 // Member is a broker that may own jobs.
 type Member struct {
 	ID     uint32
-	Weight uint8 // by spare capacity; 0 counts as 1
+	Weight uint8 // proportional to spare capacity; 0 counts as 1
 }
 
 // Policy holds the times of ownership.
 type Policy struct {
-	Lease         time.Duration // an owner that has heard nobody for so long does nothing
-	SettleTime    time.Duration // between a take-over and the first run: news of a run just made may still arrive
-	RenewInterval time.Duration // an owner repeats its claim so often
+	Lease         time.Duration // an owner that has received nothing from other members for longer runs nothing
+	SettleTime    time.Duration // wait between a take-over and the first run, as the claim of a recent run may still arrive
+	RenewInterval time.Duration // interval at which an owner repeats its claim
 }
 
-// Run is a job to be done now, under a fencing number.
+// Run is one run of a job that is due now, under a fencing number.
 type Run struct {
 	Job   int
 	Fence uint32
 }
 
-// jobState is what a broker knows of a job.
+// jobState is what a broker knows about a job.
 type jobState struct {
 	Job
 	fence         uint32
-	owner         uint32 // who claimed it last; 0: nobody
+	owner         uint32 // member with the current claim; 0: none
 	ownerSeenAt   time.Duration
-	released      bool   // its owner gave it up
-	runCount      uint32 // runs that are known of
+	released      bool   // by its owner
+	runCount      uint32 // known runs, of all members
 	lastRunAt     time.Duration
-	claimedAt     time.Duration // by this broker
-	renewedAt     time.Duration // this broker last repeated its claim
-	correctedAt   time.Duration // an outdated claimant was last told of the present claim
+	claimedAt     time.Duration // when this broker claimed it
+	renewedAt     time.Duration // when this broker last repeated its claim
+	correctedAt   time.Duration // when an outdated claim was last answered with the current one
 	running       bool
 	runBegunAt    time.Duration
 	ownRuns       uint64
-	rejectedCount uint64 // runs of others under an older number
+	rejectedCount uint64 // runs of others under an older fencing number
 }
 
-// Coordinator is one broker's part in the jobs of a tier.
+// Coordinator tracks the jobs of a tier for one broker.
 type Coordinator struct {
 	policy        Policy
 	self          uint32
 	jobs          []jobState
 	members       []Member
-	lastContactAt time.Duration // when another member was last heard from
+	lastContactAt time.Duration // when another member last sent a message
 	alone         bool          // there is no other member
-	activeFrom    time.Duration // nothing is done before: not right after a start or a pause
+	activeFrom    time.Duration // no claims or runs before, as after a start or a pause
 	lastTick      time.Duration
 	releasedAll   bool
 	claims        []Claim
@@ -94,14 +94,14 @@
 	return c
 }
 
-// SetMembers sets who may own jobs: the live members, the broker itself included; and when another one was last heard from.
+// SetMembers sets the live members, including the broker itself, and when another member last sent a message.
 func (c *Coordinator) SetMembers(members []Member, lastContactAt time.Duration) {
 	c.members = append(c.members[:0], members...)
 	c.lastContactAt = lastContactAt
 	c.alone = !slices.ContainsFunc(members, func(m Member) bool { return m.ID != c.self })
 }
 
-// Tick returns the runs that are due, and when to call it again. DrainClaims has what is to be sent to the other brokers.
+// Tick returns the runs that are due, and when to call Tick again. DrainClaims then returns the claims to send to the other brokers.
 func (c *Coordinator) Tick(now time.Duration) (runs []Run, next time.Duration) {
 	c.forgetAfterPause(now)
 	c.lastTick = now
@@ -133,8 +133,8 @@
 	return runs, next
 }
 
-// forgetAfterPause gives up what was owned before a pause, or before the process was starved: it has to be claimed again, once news of the
-// others has arrived.
+// forgetAfterPause drops the ownership of all jobs after a pause of the process longer than the lease. The jobs have to be claimed again
+// once claims of other members have had time to arrive.
 func (c *Coordinator) forgetAfterPause(now time.Duration) {
 	if c.lastTick == 0 || now-c.lastTick <= c.policy.Lease {
 		return
@@ -160,7 +160,7 @@
 	isClaimed := s.owner == c.self
 	switch {
 	case belongsHere && !isClaimed:
-		// Whoever had it is dead, has left, or ranks lower by now: it receives this claim and stops.
+		// The former owner is dead, has left, or now ranks lower; in that case it receives this claim and stops.
 		s.fence++
 		s.owner = c.self
 		s.released = false
@@ -176,8 +176,8 @@
 	}
 }
 
-// dueAt is when an owner does a job: a period after it was last done, and never right after a take-over. What was missed in an outage is
-// done once, not as often as it was missed.
+// dueAt returns when the owner runs a job next: one period after the last run, but not before the settle time after a take-over ends. Runs
+// missed in an outage are made up by a single one.
 func (s *jobState) dueAt(policy *Policy) time.Duration {
 	settledAt := s.claimedAt + policy.SettleTime
 	if s.runCount == 0 {
@@ -187,11 +187,11 @@
 	return max(s.lastRunAt+s.Period, settledAt)
 }
 
-// RunEnded tells that a run is over. One that failed is repeated after a tenth of its period.
+// RunEnded is called when a run ends. A failed run is repeated a tenth of the period after its start.
 func (c *Coordinator) RunEnded(r Run, succeeded bool, now time.Duration) {
 	s := &c.jobs[r.Job]
 	if s.fence != r.Fence || s.owner != c.self {
-		return // it was taken over meanwhile
+		return // another member has taken over the job meanwhile
 	}
 	s.running = false
 	s.lastRunAt = s.runBegunAt
@@ -203,7 +203,7 @@
 	c.queueClaim(r.Job, now)
 }
 
-// ReleaseAll gives up all jobs, as the broker stops: the next owners take over at once.
+// ReleaseAll releases all jobs because the broker stops, so that the next owners take over at once.
 func (c *Coordinator) ReleaseAll(now time.Duration) {
 	for i := range c.jobs {
 		s := &c.jobs[i]
--- a/internal/decision/ownership/ownership_test.go
+++ b/internal/decision/ownership/ownership_test.go
@@ -17,8 +17,8 @@
 		Duties: testJobs, Lease: crew.Lease})
 }
 
-// held checks the rule on duties after a moment: none more than twice in its period, none left out for longer than its period
-// and so much more.
+// checkRuns checks the jobs from the given time on: none runs more than twice in its period, and no gap between runs is longer than the
+// period and slack. It returns the longest gap beyond a period.
 func checkRuns(t *testing.T, c *crew.Crew, name string, from, slack time.Duration) (worst time.Duration) {
 	t.Helper()
 	for i, d := range testJobs {
@@ -31,7 +31,7 @@
 	return worst
 }
 
-// One of five is killed with three in ten datagrams lost: its duties go on within ten seconds, and none is done more than
+// One of five brokers is killed while 30% of datagrams are lost: its jobs run again with a delay of at most ten seconds, and none more than
 // twice in its period.
 func TestOwnerKilled(t *testing.T) {
 	worst := time.Duration(0)
@@ -42,10 +42,10 @@
 		c.Run(60 * time.Second)
 		worst = max(worst, checkRuns(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second))
 	}
-	t.Logf("a duty was late by %v at most", worst)
+	t.Logf("the longest delay of a job was %v", worst)
 }
 
-// A broker that stops as planned hands over at once.
+// A broker that stops as planned hands over its jobs at once.
 func TestPlannedStop(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newTier(seed, 5, 0.1)
@@ -56,7 +56,7 @@
 	}
 }
 
-// A paused broker wakes up after half a minute: what it does under its old number is refused, and it makes no third run.
+// A broker resumes after a pause of 30 s: its work under the old fencing number is rejected, and there is no third run in a period.
 func TestPausedOwnerWakes(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newTier(seed, 5, 0.2)
@@ -67,13 +67,13 @@
 		c.Run(70 * time.Second)
 		checkRuns(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second)
 		if !c.Agreed() {
-			t.Errorf("seed %d: after the pause brokers do not agree on who is there", seed)
+			t.Errorf("seed %d: after the pause the brokers do not agree on the members", seed)
 		}
 	}
 }
 
-// A partition into two and three: each side has an owner, so a duty runs twice in its period at the most; it heals within
-// five seconds, and then there is one owner again.
+// A partition into two and three brokers: each side has an owner, so a job runs at most twice in its period. After the partition the
+// brokers agree on the members within five seconds, and there is one owner again.
 func TestPartitionHeals(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(20) {
@@ -91,12 +91,12 @@
 		checkRuns(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second)
 	}
 	if worst > 5*time.Second {
-		t.Errorf("a partition took %v to heal", worst)
+		t.Errorf("the brokers agreed on the members only %v after the partition", worst)
 	}
-	t.Logf("healed within %v", worst)
+	t.Logf("the brokers agreed on the members within %v after the partition", worst)
 }
 
-// All brokers are restarted together: duties begin again, spread, without a stampede.
+// All brokers are restarted together: the jobs run again, and none more than twice in its period.
 func TestAllRestarted(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newTier(seed, 5, 0.1)
@@ -113,7 +113,7 @@
 	}
 }
 
-// A clock that jumps, forward or back by an hour, moves no duty by more than it may be late.
+// A clock jump, an hour forward or ten seconds back, delays no job by more than ten seconds.
 func TestClockJumps(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -10 * time.Second} {
 		c := newTier(1, 5, 0.1)
@@ -124,7 +124,7 @@
 	}
 }
 
-// What a broker reads of claims, and what it refuses.
+// A broker decodes and handles claims, and rejects outdated fencing numbers and invalid claims.
 func TestClaims(t *testing.T) {
 	policy := crew.Lease
 	coordinator := ownership.NewCoordinator(policy, 7, testJobs, 0)
@@ -134,27 +134,27 @@
 		runs, _ = coordinator.Tick(now)
 	}
 	if len(runs) == 0 || !coordinator.AcceptFence(runs[0].Job, runs[0].Fence) {
-		t.Fatalf("%v", runs)
+		t.Fatalf("no run is due, or its own fence is rejected: %v", runs)
 	}
 	later := ownership.Claim{Job: uint8(runs[0].Job), Fence: runs[0].Fence + 5, Owner: 9, RunCount: 3}
 	decoded, ok := ownership.DecodeClaim(later.AppendTo(nil))
 	if !ok || decoded != later || !coordinator.HandleClaim(decoded, 10*time.Second) || coordinator.HandleClaim(decoded, 10*time.Second) {
-		t.Errorf("%+v, %v", decoded, ok)
+		t.Errorf("decoded %+v, %v; or the claim was not news exactly once", decoded, ok)
 	}
 	if coordinator.AcceptFence(runs[0].Job, runs[0].Fence) {
-		t.Error("an old number is accepted")
+		t.Error("an old fencing number is accepted")
 	}
 	for _, bad := range [][]byte{nil, {1}, make([]byte, 18), append(later.AppendTo(nil), 0)} {
 		if _, ok := ownership.DecodeClaim(bad); ok {
-			t.Errorf("%x was read", bad)
+			t.Errorf("%x was decoded", bad)
 		}
 	}
 	if coordinator.HandleClaim(ownership.Claim{Job: 200, Fence: 1, Owner: 1}, 0) {
-		t.Error("a duty that nobody has was taken")
+		t.Error("a claim on an unknown job was news")
 	}
 }
 
-// Duties are shared by weight: one of three times the others' capacity owns about three times as many.
+// Jobs are shared by weight: a broker with three times the others' weight owns about three times as many.
 func TestWeights(t *testing.T) {
 	var jobs []ownership.Job
 	for i := range 3000 {
@@ -172,13 +172,13 @@
 		owned[coordinator.Owner(i)]++
 	}
 	if n := owned[members[2].ID]; n < 1150 || n > 1430 {
-		t.Errorf("%d of 3000 duties at three sevenths of the weight", n)
+		t.Errorf("%d of 3000 jobs at three sevenths of the weight", n)
 	}
-	coordinator.SetMembers(members[:4], 0) // one goes: only what was its own moves
+	coordinator.SetMembers(members[:4], 0) // a member leaves: only its own jobs move
 	for i := range jobs {
 		was := rankOwner(members, jobs[i].Name)
 		if now := coordinator.Owner(i); was != members[4].ID && now != was {
-			t.Fatalf("%s moved from %d to %d", jobs[i].Name, was, now)
+			t.Fatalf("%s moved from member %d, which did not leave, to %d", jobs[i].Name, was, now)
 		}
 	}
 }
--- a/internal/decision/ownership/rank.go
+++ b/internal/decision/ownership/rank.go
@@ -6,10 +6,10 @@
 	"math"
 )
 
-// firstRunSteps divides the time over which first runs are spread.
+// firstRunSteps is the number of steps over which first runs are spread.
 const firstRunSteps = 1000
 
-// Owner returns the member that a job belongs to; 0: there is no member.
+// Owner returns the ID of the member that a job is assigned to; 0 if there is no member.
 func (c *Coordinator) Owner(job int) (id uint32) {
 	highest := math.Inf(-1)
 	for _, m := range c.members {
@@ -22,7 +22,7 @@
 	return id
 }
 
-// rank is the weighted rendezvous rank of a member for a job: the highest has it.
+// rank returns the weighted rendezvous rank of a member for a job. The member with the highest rank owns the job.
 func rank(job string, m Member) float64 {
 	h := fnv.New64a()
 	var id [4]byte
@@ -42,7 +42,7 @@
 	return x
 }
 
-// firstRunOffset spreads the first runs of jobs, from 0 to 1: the same for a job at every broker.
+// firstRunOffset returns a number in [0, 1) that spreads the first runs of jobs. For a given job it is the same at every broker.
 func (s *jobState) firstRunOffset() float64 {
 	h := fnv.New32a()
 	h.Write([]byte(s.Name))
--- a/internal/decision/ownership/snapshot.go
+++ b/internal/decision/ownership/snapshot.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is what operators see of a job. The JSON names are those under /counters.
+// State is the state of a job at this broker. The JSON names are those under /counters.
 type State struct {
 	Name         string
 	Period       time.Duration
@@ -10,8 +10,8 @@
 	Fence        uint32
 	OwnerHeardAt time.Duration `json:"Since"`
 	LastRunAt    time.Duration `json:"Ran"`
-	RunCount     uint32        `json:"Turn"` // runs that are known of
-	DueAt        time.Duration `json:"Next"` // if this broker owns it
+	RunCount     uint32        `json:"Turn"` // known runs, of all members
+	DueAt        time.Duration `json:"Next"` // if this broker owns the job
 	OwnRuns      uint64        `json:"Runs"`
 	RejectedRuns uint64        `json:"Refused"` // of others, under an older fencing number
 	Owned        bool          `json:"Mine"`    // by this broker
