--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -2,8 +2,8 @@
 // divides the store's capacity between tenants by weight, and within a tenant between its clients. It does not choose replicas, and
 // decides nothing about a query that it has admitted.
 //
-// Tenants share by start-time fair queuing (Goyal, Vin and Cheng, 1996), by work (a query's number of shards). The limit of the work in flight follows
-// from the delay that queries meet at the store, much as in CoDel (RFC 8289) and TCP Vegas.
+// Tenants share by start-time fair queuing (Goyal, Vin and Cheng, 1996). Its unit is work: a query's number of shards. The limit of the
+// work in flight follows from the delay that queries meet at the store, much as in CoDel (RFC 8289) and TCP Vegas.
 //
 //	Arrive ──► Admit ────────────────────────────────────────► router ──► Complete
 //	   ├─────► Enqueue ──► Tick: capacity is free ──► admitted ──┘
@@ -56,7 +56,7 @@
 	Client   uint64 // hash of the client's name; 0: unknown
 	Work     float64
 	TimeLeft time.Duration // until the client's timeout
-	Retry    bool          // the client sends it again
+	Retry    bool          // the client sends the query again
 }
 
 type queuedQuery struct {
--- a/internal/decision/admission/golden_test.go
+++ b/internal/decision/admission/golden_test.go
@@ -104,7 +104,8 @@
 		ownDelay = p.randomDuration(elapsed + 2)
 	}
 	answered := p.rnd.IntN(6) > 0
-	p.controller.Complete(Completion{Work: p.admitted[i].Work, Elapsed: elapsed, OwnDelay: ownDelay, Answered: answered, Shed: !answered && p.rnd.IntN(2) == 0}, p.now)
+	p.controller.Complete(Completion{Work: p.admitted[i].Work, Elapsed: elapsed, OwnDelay: ownDelay, Answered: answered,
+		Shed: !answered && p.rnd.IntN(2) == 0}, p.now)
 	p.admitted = append(p.admitted[:i], p.admitted[i+1:]...)
 	p.admittedAt = append(p.admittedAt[:i], p.admittedAt[i+1:]...)
 }
--- a/internal/decision/admission/late_test.go
+++ b/internal/decision/admission/late_test.go
@@ -23,13 +23,14 @@
 	for turnInterval, minUsed := range map[time.Duration]float64{100 * ms: 0.95, 200 * ms: 0.9, 300 * ms: 0.8, 400 * ms: 0.7} {
 		used, quiet, r := runLateBroker(turnInterval, true)
 		unmeasuredUsed, unmeasured, _ := runLateBroker(turnInterval, false)
-		t.Logf("late by %v: %+v, %.0f%% of the store used, limit %.0f times %.1f; own delay ignored: %+v, %.0f%%", turnInterval, quiet, 100*used, r.limit, r.delayFactor,
-			unmeasured, 100*unmeasuredUsed)
+		t.Logf("late by %v: %+v, %.0f%% of the store used, limit %.0f times %.1f; own delay ignored: %+v, %.0f%%",
+			turnInterval, quiet, 100*used, r.limit, r.delayFactor, unmeasured, 100*unmeasuredUsed)
 		if quiet.rejected*100 > quiet.submitted || used < minUsed {
 			t.Errorf("late by %v: %+v, %.2f of the store used", turnInterval, quiet, used)
 		}
 		if turnInterval >= 300*ms && (unmeasured.rejected*100 < 15*unmeasured.submitted || unmeasuredUsed > 0.7) {
-			t.Errorf("late by %v, own delay ignored: %+v, %.2f of the store used: the load does not provoke the fault", turnInterval, unmeasured, unmeasuredUsed)
+			t.Errorf("late by %v, own delay ignored: %+v, %.2f of the store used: the load does not provoke the fault",
+				turnInterval, unmeasured, unmeasuredUsed)
 		}
 	}
 }
--- a/internal/decision/admission/limiter.go
+++ b/internal/decision/admission/limiter.go
@@ -77,102 +77,102 @@
 	}
 }
 
-func (d *limiter) noteAnswer(work float64, elapsed, ownDelay time.Duration) {
+func (l *limiter) noteAnswer(work float64, elapsed, ownDelay time.Duration) {
 	delay := max(1, elapsed-ownDelay)
-	if d.minDelay == 0 || delay < d.minDelay {
-		d.minDelay = delay
+	if l.minDelay == 0 || delay < l.minDelay {
+		l.minDelay = delay
 	}
-	if d.minElapsed == 0 || elapsed < d.minElapsed {
-		d.minElapsed = elapsed
+	if l.minElapsed == 0 || elapsed < l.minElapsed {
+		l.minElapsed = elapsed
 	}
-	d.workTimesElapsed += work * float64(elapsed)
-	d.workTimesDelay += work * float64(max(delay-d.lateness, d.baseline, time.Millisecond))
+	l.workTimesElapsed += work * float64(elapsed)
+	l.workTimesDelay += work * float64(max(delay-l.lateness, l.baseline, time.Millisecond))
 }
 
 // SetLateness sets the broker's present scheduling delay, which no single answer can tell apart from the store's delay.
-func (d *limiter) SetLateness(lateness time.Duration) { d.lateness = lateness }
+func (l *limiter) SetLateness(lateness time.Duration) { l.lateness = lateness }
 
 // rate returns the work per second that the store recently completed, and the limit if that is more.
-func (d *limiter) rate(now time.Duration) float64 {
-	d.recentWork *= math.Exp(-float64(now-d.recentWorkAt) / float64(rateTimeConstant))
-	d.recentWorkAt = now
-	sinceFirst := max(minWindow, now-d.firstAdmittedAt)
+func (l *limiter) rate(now time.Duration) float64 {
+	l.recentWork *= math.Exp(-float64(now-l.recentWorkAt) / float64(rateTimeConstant))
+	l.recentWorkAt = now
+	sinceFirst := max(minWindow, now-l.firstAdmittedAt)
 	seenShare := 1 - math.Exp(-float64(sinceFirst)/float64(rateTimeConstant)) // corrects for an average that began at zero
-	return max(d.recentWork/rateTimeConstant.Seconds()/seenShare, d.limit)    // work in flight is assumed to take a second at most
+	return max(l.recentWork/rateTimeConstant.Seconds()/seenShare, l.limit)    // work in flight is assumed to take a second at most
 }
 
 // maxInFlight returns how much work may be in flight. The limit applies to the work at the store; work that waits inside a late broker
 // comes on top. Otherwise a late broker's own delay would use up the limit, and the store would be idle while queries are rejected.
 // maxDelayFactor bounds the addition, for brokers that are short of processor time.
-func (d *limiter) maxInFlight() float64 {
-	if d.probeWindowsLeft > 0 {
-		return max(d.minWork, probeLimitShare*d.limit*d.delayFactor)
+func (l *limiter) maxInFlight() float64 {
+	if l.probeWindowsLeft > 0 {
+		return max(l.minWork, probeLimitShare*l.limit*l.delayFactor)
 	}
-	return d.limit * d.delayFactor
+	return l.limit * l.delayFactor
 }
 
 // windowLength returns the length of a window: no shorter than the fastest answer took, and maxWindow while nothing is answered.
-func (d *limiter) windowLength() time.Duration {
-	if d.minDelay == 0 && d.inFlight > 0 {
+func (l *limiter) windowLength() time.Duration {
+	if l.minDelay == 0 && l.inFlight > 0 {
 		return maxWindow
 	}
-	return max(minWindow, min(d.minElapsed, maxWindow))
+	return max(minWindow, min(l.minElapsed, maxWindow))
 }
 
 // endWindowIfDue adjusts baseline, limit and delay factor at the end of a window, and reports whether the window ended.
-func (d *limiter) endWindowIfDue(now time.Duration) bool {
-	if now-d.windowBegin < d.windowLength() {
+func (l *limiter) endWindowIfDue(now time.Duration) bool {
+	if now-l.windowBegin < l.windowLength() {
 		return false
 	}
-	d.updateBaseline(now)
-	d.updateLimit()
-	d.updateDelayFactor()
-	d.windowBegin = now
-	d.window = window{}
+	l.updateBaseline(now)
+	l.updateLimit()
+	l.updateDelayFactor()
+	l.windowBegin = now
+	l.window = window{}
 	return true
 }
 
 // updateBaseline lowers the baseline to the least delay seen, and measures it anew from time to time with less work in flight: while the
 // store has a queue no query meets the baseline, so a permanent rise of the baseline would go unnoticed.
-func (d *limiter) updateBaseline(now time.Duration) {
-	if d.minDelay > 0 && (d.baseline == 0 || d.minDelay < d.baseline) {
-		d.baseline = d.minDelay
+func (l *limiter) updateBaseline(now time.Duration) {
+	if l.minDelay > 0 && (l.baseline == 0 || l.minDelay < l.baseline) {
+		l.baseline = l.minDelay
 	}
-	if d.probeWindowsLeft > 0 {
-		d.probeWindowsLeft--
-		if d.probeWindowsLeft == 0 && d.minDelay > 0 {
-			d.baseline = d.minDelay
+	if l.probeWindowsLeft > 0 {
+		l.probeWindowsLeft--
+		if l.probeWindowsLeft == 0 && l.minDelay > 0 {
+			l.baseline = l.minDelay
 		}
 		return
 	}
-	if now >= d.nextProbeAt {
-		d.probeWindowsLeft = probeWindows
-		d.nextProbeAt = now + probeInterval
+	if now >= l.nextProbeAt {
+		l.probeWindowsLeft = probeWindows
+		l.nextProbeAt = now + probeInterval
 	}
 }
 
 // updateLimit lowers the limit if even the fastest answer of the window was delayed well beyond the baseline and the broker's lateness:
 // then the store has a queue. It also lowers the limit if nothing was answered and the router sheds; sheds beside answers as fast as
 // before have other causes. If queries waited and the store has no queue, the limit rises.
-func (d *limiter) updateLimit() {
-	if d.probeWindowsLeft > 0 {
+func (l *limiter) updateLimit() {
+	if l.probeWindowsLeft > 0 {
 		return
 	}
-	hasQueue := d.minDelay > queueFactor*(d.baseline+d.lateness)+queueSlack
-	onlyShed := d.routerShed && d.minDelay == 0
+	hasQueue := l.minDelay > queueFactor*(l.baseline+l.lateness)+queueSlack
+	onlyShed := l.routerShed && l.minDelay == 0
 	switch {
 	case hasQueue || onlyShed:
-		d.limit = max(d.minWork, limitDecrease*d.limit)
-	case d.queriesWaited:
-		d.limit += max(1, limitIncrease*d.limit)
+		l.limit = max(l.minWork, limitDecrease*l.limit)
+	case l.queriesWaited:
+		l.limit += max(1, limitIncrease*l.limit)
 	}
 }
 
 // updateDelayFactor moves the average towards this window's delay factor; without an answer the factor stays.
-func (d *limiter) updateDelayFactor() {
-	if d.workTimesDelay == 0 {
+func (l *limiter) updateDelayFactor() {
+	if l.workTimesDelay == 0 {
 		return
 	}
-	seen := min(maxDelayFactor, max(1, d.workTimesElapsed/d.workTimesDelay))
-	d.delayFactor += (seen - d.delayFactor) * delayFactorStep
+	seen := min(maxDelayFactor, max(1, l.workTimesElapsed/l.workTimesDelay))
+	l.delayFactor += (seen - l.delayFactor) * delayFactorStep
 }
--- a/internal/decision/ownership/model_test.go
+++ b/internal/decision/ownership/model_test.go
@@ -60,7 +60,8 @@
 	fmt.Fprint(&h, s.now, s.faults, s.claims, s.accepted)
 	for i := range s.brokers {
 		broker := &s.brokers[i]
-		fmt.Fprint(&h, broker.paused, broker.reachable, broker.pendingRuns, broker.coordinator.jobs, broker.coordinator.activeFrom, broker.coordinator.lastTick, broker.coordinator.lastContactAt)
+		fmt.Fprint(&h, broker.paused, broker.reachable, broker.pendingRuns, broker.coordinator.jobs, broker.coordinator.activeFrom,
+			broker.coordinator.lastTick, broker.coordinator.lastContactAt)
 	}
 	return h.Sum64()
 }
@@ -96,9 +97,9 @@
 func (s *modelState) sendClaims(i int) {
 	for _, c := range s.brokers[i].coordinator.DrainClaims() {
 		for j := range s.brokers {
-			one := modelClaim{j, c}
-			if j != i && !slices.Contains(s.claims, one) {
-				s.claims = append(s.claims, one)
+			sent := modelClaim{j, c}
+			if j != i && !slices.Contains(s.claims, sent) {
+				s.claims = append(s.claims, sent)
 			}
 		}
 	}
@@ -121,7 +122,8 @@
 		}
 		if last := s.accepted[j]; len(last) > 0 {
 			if last[0].fence > r.Fence {
-				violation = fmt.Sprintf("broker %d accepted fencing number %d of broker %d after number %d of broker %d", j, r.Fence, i, last[0].fence, last[0].owner)
+				violation = fmt.Sprintf("broker %d accepted fencing number %d of broker %d after number %d of broker %d",
+					j, r.Fence, i, last[0].fence, last[0].owner)
 			}
 		}
 		s.accepted[j] = []modelAccept{{r.Fence, i}}
@@ -135,12 +137,12 @@
 
 // forEachNext calls visit with each state that one event leads to, and with the violation found, if any.
 func (s *modelState) forEachNext(accept func(*Coordinator, uint32) bool, visit func(*modelState, string)) {
-	do := func(what func(*modelState) string) {
+	visitAfter := func(event func(*modelState) string) {
 		c := s.clone()
-		visit(c, what(c))
+		visit(c, event(c))
 	}
 	for k := range s.claims {
-		do(func(c *modelState) string { // the claim arrives
+		visitAfter(func(c *modelState) string { // the claim arrives
 			m := c.claims[k]
 			c.claims = slices.Delete(c.claims, k, k+1)
 			b := &c.brokers[m.to]
@@ -159,11 +161,11 @@
 	for i := range s.brokers {
 		for k := range s.brokers[i].pendingRuns {
 			if !s.brokers[i].paused {
-				do(func(c *modelState) string { return c.deliverRun(i, k, accept) })
+				visitAfter(func(c *modelState) string { return c.deliverRun(i, k, accept) })
 			}
 		}
 	}
-	do(func(c *modelState) string { // a second passes
+	visitAfter(func(c *modelState) string { // a second passes
 		c.now += time.Second
 		for i := range c.brokers {
 			if !c.brokers[i].paused {
@@ -175,10 +177,10 @@
 	if s.faults >= maxModelFaults {
 		return
 	}
-	fault := func(what func(*modelState)) {
-		do(func(c *modelState) string {
+	fault := func(event func(*modelState)) {
+		visitAfter(func(c *modelState) string {
 			c.faults++
-			what(c)
+			event(c)
 			return ""
 		})
 	}
