--- a/internal/decision/admission/arrival.go
+++ b/internal/decision/admission/arrival.go
@@ -81,7 +81,7 @@
 	maxClientWork := 0.0
 	heaviest = -1
 	for i := range t.queue {
-		clientWork := c.recentClientWork(t.queue[i].Client, now)
+		clientWork := c.clientWork(t.queue[i].Client, now)
 		if clientWork <= ownWork {
 			work += t.queue[i].Work
 		} else if clientWork > maxClientWork {
@@ -92,8 +92,8 @@
 	return work, heaviest
 }
 
-// recentClientWork returns the work recently admitted for a client; 0 if the client is unknown.
-func (c *Controller) recentClientWork(client uint64, now time.Duration) float64 {
+// clientWork returns the work recently admitted for a client; 0 if the client is unknown.
+func (c *Controller) clientWork(client uint64, now time.Duration) float64 {
 	if client == 0 {
 		return 0
 	}
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -95,7 +95,7 @@
 func (c *Controller) nextInQueue(t *tenant, now time.Duration) (index int) {
 	minClientWork := math.Inf(1)
 	for i := range t.queue {
-		clientWork := c.recentClientWork(t.queue[i].Client, now)
+		clientWork := c.clientWork(t.queue[i].Client, now)
 		if clientWork < minClientWork {
 			index = i
 			minClientWork = clientWork
--- a/internal/decision/admission/sketch.go
+++ b/internal/decision/admission/sketch.go
@@ -40,13 +40,13 @@
 }
 
 // columns returns the column of a client's counter in each row.
-func (s *Sketch) columns(client uint64) (columns [sketchRows]int) {
+func (s *Sketch) columns(client uint64) (indexes [sketchRows]int) {
 	first := mix(client ^ s.key[0])
 	step := mix(client^s.key[1]) | 1
-	for i := range columns {
-		columns[i] = int((first + uint64(i)*step) >> 20 & (sketchWidth - 1))
+	for i := range indexes {
+		indexes[i] = int((first + uint64(i)*step) >> 20 & (sketchWidth - 1))
 	}
-	return columns
+	return indexes
 }
 
 // advance raises the scale for the time passed. Above maxSketchScale it divides all counters by the scale and resets it to 1.
@@ -67,16 +67,16 @@
 // Add counts work admitted for a client.
 func (s *Sketch) Add(client uint64, work float64, now time.Duration) {
 	s.advance(now)
-	columns := s.columns(client)
-	count := s.minCount(columns) + float32(work*s.scale)
-	for i, j := range columns {
+	indexes := s.columns(client)
+	count := s.minCount(indexes) + float32(work*s.scale)
+	for i, j := range indexes {
 		s.counts[i][j] = max(s.counts[i][j], count)
 	}
 }
 
-func (s *Sketch) minCount(columns [sketchRows]int) float32 {
-	lowest := s.counts[0][columns[0]]
-	for i, j := range columns[1:] {
+func (s *Sketch) minCount(indexes [sketchRows]int) float32 {
+	lowest := s.counts[0][indexes[0]]
+	for i, j := range indexes[1:] {
 		lowest = min(lowest, s.counts[i+1][j])
 	}
 	return lowest
