--- a/internal/decision/gossip/golden_test.go
+++ b/internal/decision/gossip/golden_test.go
@@ -16,7 +16,7 @@
 
 const goldenFile = "testdata/sequences.golden"
 
-// playSequence plays pseudo-random updates, local and of other brokers, and digests every result by position.
+// playSequence applies pseudo-random updates, local ones and those of other brokers, and digests every result in order.
 func playSequence(seed uint64) uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	digest := fnv.New64a()
@@ -47,7 +47,7 @@
 	return digest.Sum64()
 }
 
-// The file holds one digest for each sequence, as commit 1a4b6be gave them.
+// The file holds one digest per sequence, as commit 1a4b6be produced it.
 func TestSequencesAreAsRecorded(t *testing.T) {
 	var lines []string
 	for seed := range uint64(300) {
@@ -65,10 +65,10 @@
 	}
 	for i, line := range strings.Split(string(want), "\n") {
 		if i < len(lines) && lines[i] != line {
-			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+			t.Fatalf("sequence and digest are %s, recorded as %s", lines[i], line)
 		}
 	}
 	if string(want) != text {
-		t.Error("the file has another number of sequences")
+		t.Error("the golden file has a different number of sequences")
 	}
 }
--- a/internal/decision/ownership/model_test.go
+++ b/internal/decision/ownership/model_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// A model of three brokers and one duty over the real code. Time goes in steps of a second; in between anything may happen in
-// any order: a claim arrives or is lost, a broker takes another for dead or finds it again, is paused, wakes, is restarted.
+// A model of three brokers and one job, with the real code. Time passes in steps of a second. In between events happen in any order: a
+// claim arrives or is lost; a broker considers another dead or alive, is paused, resumes or is restarted.
 
 type modelBroker struct {
 	coordinator *Coordinator
 	paused      bool
 	reachable   [3]bool
-	pendingRuns []Run // begun, and not yet in effect
+	pendingRuns []Run // begun, whose work has not reached the receivers yet
 }
 
 type modelState struct {
 	brokers  [3]modelBroker
 	claims   []modelClaim
 	now      time.Duration
-	accepted [3][]modelAccept // by whoever received it: what it accepted last
-	faults   int              // of the environment, which are bounded
+	accepted [3][]modelAccept // by receiver: the last work that it accepted, if any
+	faults   int              // so far, at most maxModelFaults
 }
 
 type modelClaim struct {
-	to    int
-	claim Claim
+	to int
+	c  Claim
 }
 
 type modelAccept struct {
@@ -60,7 +60,8 @@
 	fmt.Fprint(&h, s.now, s.faults, s.claims, s.accepted)
 	for i := range s.brokers {
 		broker := &s.brokers[i]
-		fmt.Fprint(&h, broker.paused, broker.reachable, broker.pendingRuns, broker.coordinator.jobs, broker.coordinator.activeFrom, broker.coordinator.lastTick, broker.coordinator.lastContactAt)
+		fmt.Fprint(&h, broker.paused, broker.reachable, broker.pendingRuns, broker.coordinator.jobs, broker.coordinator.activeFrom,
+			broker.coordinator.lastTick, broker.coordinator.lastContactAt)
 	}
 	return h.Sum64()
 }
@@ -76,15 +77,15 @@
 func (s *modelState) setMembers(i int) {
 	b := &s.brokers[i]
 	var members []Member
-	for j, sees := range b.reachable {
-		if sees {
+	for j, reachable := range b.reachable {
+		if reachable {
 			members = append(members, Member{id(j), 1})
 		}
 	}
 	b.coordinator.SetMembers(members, s.now)
 }
 
-// tick has a broker take a turn and puts what it says on its way.
+// tick runs a broker's Tick and sends its claims.
 func (s *modelState) tick(i int) {
 	b := &s.brokers[i]
 	s.setMembers(i)
@@ -96,51 +97,52 @@
 func (s *modelState) sendClaims(i int) {
 	for _, c := range s.brokers[i].coordinator.DrainClaims() {
 		for j := range s.brokers {
-			one := modelClaim{j, c}
-			if j != i && !slices.Contains(s.claims, one) {
-				s.claims = append(s.claims, one)
+			sent := modelClaim{j, c}
+			if j != i && !slices.Contains(s.claims, sent) {
+				s.claims = append(s.claims, sent)
 			}
 		}
 	}
 }
 
-// deliverRun is when a run reaches everybody that can hear: each rules on it by itself.
-func (s *modelState) deliverRun(i, run int, accept func(d *Coordinator, fence uint32) bool) (violation string) {
+// deliverRun delivers the work of a run to all brokers that are not paused. Each of them accepts or rejects it by itself.
+func (s *modelState) deliverRun(i, run int, accept func(coordinator *Coordinator, fence uint32) bool) (violation string) {
 	b := &s.brokers[i]
 	r := b.pendingRuns[run]
 	b.pendingRuns = slices.Delete(b.pendingRuns, run, run+1)
-	accepted := true
+	allAccepted := true
 	for j := range s.brokers {
 		other := &s.brokers[j]
 		if other.paused {
 			continue
 		}
 		if !accept(other.coordinator, r.Fence) {
-			accepted = false
+			allAccepted = false
 			continue
 		}
 		if last := s.accepted[j]; len(last) > 0 {
 			if last[0].fence > r.Fence {
-				violation = fmt.Sprintf("broker %d accepted number %d of broker %d after number %d of broker %d", j, r.Fence, i, last[0].fence, last[0].owner)
+				violation = fmt.Sprintf("broker %d accepted fencing number %d of broker %d after number %d of broker %d",
+					j, r.Fence, i, last[0].fence, last[0].owner)
 			}
 		}
 		s.accepted[j] = []modelAccept{{r.Fence, i}}
 	}
-	b.coordinator.RunEnded(r, accepted, s.now)
+	b.coordinator.RunEnded(r, allAccepted, s.now)
 	s.sendClaims(i)
 	return violation
 }
 
 const maxModelFaults = 3
 
-// forEachNext are all states that one thing happening leads to.
-func (s *modelState) forEachNext(accept func(*Coordinator, uint32) bool, visit func(*modelState, string)) {
-	do := func(what func(*modelState) string) {
+// successors calls visit with each state that one event leads to, and with the violation found, if any.
+func (s *modelState) successors(accept func(*Coordinator, uint32) bool, visit func(*modelState, string)) {
+	visitAfter := func(event func(*modelState) string) {
 		c := s.clone()
-		visit(c, what(c))
+		visit(c, event(c))
 	}
 	for k := range s.claims {
-		do(func(c *modelState) string { // arrives
+		visitAfter(func(c *modelState) string { // the claim arrives
 			m := c.claims[k]
 			c.claims = slices.Delete(c.claims, k, k+1)
 			b := &c.brokers[m.to]
@@ -148,10 +150,10 @@
 				return ""
 			}
 			before := b.coordinator.jobs[0].fence
-			b.coordinator.HandleClaim(m.claim, c.now)
+			b.coordinator.HandleClaim(m.c, c.now)
 			c.sendClaims(m.to)
 			if b.coordinator.jobs[0].fence < before {
-				return fmt.Sprintf("broker %d went from number %d back to %d", m.to, before, b.coordinator.jobs[0].fence)
+				return fmt.Sprintf("broker %d went from fencing number %d back to %d", m.to, before, b.coordinator.jobs[0].fence)
 			}
 			return ""
 		})
@@ -159,11 +161,11 @@
 	for i := range s.brokers {
 		for k := range s.brokers[i].pendingRuns {
 			if !s.brokers[i].paused {
-				do(func(c *modelState) string { return c.deliverRun(i, k, accept) })
+				visitAfter(func(c *modelState) string { return c.deliverRun(i, k, accept) })
 			}
 		}
 	}
-	do(func(c *modelState) string { // a second passes
+	visitAfter(func(c *modelState) string { // a second passes
 		c.now += time.Second
 		for i := range c.brokers {
 			if !c.brokers[i].paused {
@@ -175,10 +177,10 @@
 	if s.faults >= maxModelFaults {
 		return
 	}
-	fault := func(what func(*modelState)) {
-		do(func(c *modelState) string {
+	fault := func(event func(*modelState)) {
+		visitAfter(func(c *modelState) string {
 			c.faults++
-			what(c)
+			event(c)
 			return ""
 		})
 	}
@@ -187,7 +189,7 @@
 	}
 	for i := range s.brokers {
 		fault(func(c *modelState) { c.brokers[i].paused = !c.brokers[i].paused })
-		fault(func(c *modelState) { // what it knew is gone, so that it accepts what it once would not have
+		fault(func(c *modelState) { // a restart, after which it may accept an older number, as it has lost its state
 			c.brokers[i], c.accepted[i] = newModelBroker(i, c.now), nil
 		})
 		for j := range s.brokers {
