--- a/internal/decision/endpoint.go
+++ b/internal/decision/endpoint.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// StartedLongAgo stands in Endpoint.StartedAt for a node that has been warm since before the broker's start.
+// StartedLongAgo is the Endpoint.StartedAt of a node that had already warmed up when the broker started.
 const StartedLongAgo = time.Duration(math.MinInt64)
 
-// EndpointState is a node's state in the endpoint list.
+// EndpointState is the state that the endpoint list gives for a node.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
-	Draining EndpointState = iota // finishes what it has; gets nothing new
+	Draining EndpointState = iota // finishes the attempts that it has and gets no new ones
 	Removed
 	Ready
 )
 
-// Endpoint is one line of the endpoint list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Node        NodeID
-	Cell        int // cells hold shards: shard s is on cells s, s+1, ... modulo Settings.Cells, Settings.CellsPerShard of them
+	Cell        int // shard s is held by the Settings.CellsPerShard cells s, s+1, ... modulo Settings.Cells
 	Zone        int
 	State       EndpointState
 	StartedAt   time.Duration // or StartedLongAgo
-	Unconfirmed bool          // from a cached list: neither its start nor its state has been confirmed by discovery
+	Unconfirmed bool          // from a cached list: discovery has confirmed neither StartedAt nor State
 }
 
-// AllowedReplicas narrows the replicas that may be sent a shard request. The front end owns it, and removes a node only as an
-// attempt at it ends.
+// AllowedReplicas restricts which replicas may be sent a shard request. The front end owns it, and removes a node only when an
+// attempt to that node ends.
 type AllowedReplicas struct {
-	Sticky bool // the first node that can be sent work gets the first attempt; the others are for hedges and retries
+	Sticky bool // the first attempt goes to the first node of Nodes that is available; hedges and retries go to any of them
 	Nodes  []NodeID
 }
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// EventKind says what happened, and which fields of an Event are set.
+// EventKind says what has happened, and which fields of an Event are set.
 type EventKind uint8
 
-// The kinds of events, each with the fields that it sets.
+// The kinds of events, each with the fields that are set.
 const (
 	FullListReceived     EventKind = iota + 1 // Endpoints: the whole list
-	ListUpdateReceived                        // Endpoints: the lines that changed
-	ListPollFailed                            // a poll of discovery failed, or its watch broke
-	QueryReceived                             // ID, Serial, Type, Tenant, RemainingTime, Retry
+	ListUpdateReceived                        // Endpoints: the entries that changed
+	ListPollFailed                            // a poll of discovery failed, or the watch ended
+	QueryReceived                             // ID, Serial, Type, Tenant, Weight, RemainingTime, Retry
 	ShardRequestReceived                      // ID, Serial, Shard, Weight, Allowed
 	AttemptEnded                              // ID, Attempt, Outcome, Elapsed, Node
-	TimerFired                                // a timer that SetTimer asked for
-	ClientDeparted                            // ID: the client closed or cancelled
+	TimerFired                                // a timer set by SetTimer expired
+	ClientDeparted                            // ID: the client closed its connection or cancelled the query
 	GossipReceived                            // From, Payload
 	HealthCheckEnded                          // Node, Outcome, Elapsed
 )
@@ -26,16 +26,16 @@
 const (
 	Errored Outcome = iota
 	OK
-	Rejected // the node did not run it
+	Rejected // by the node, without running it
 	TimedOut
-	ConnectFailed // it never left this broker
+	ConnectFailed // the connection could not be opened, so the attempt was not sent
 	ConnectionReset
 	Cancelled
-	NeverSent
-	Stale // answered by a healthy node, from data too old to count
+	NeverSent // the attempt did not leave this broker for another reason
+	Stale     // the node is healthy, but answered from data that is too old for the query
 )
 
-// Event is one thing that happened.
+// Event tells the router of one thing that has happened.
 type Event struct {
 	Kind          EventKind
 	Outcome       Outcome
@@ -44,13 +44,13 @@
 	Tenant        int  // index into Settings.Tenants
 	Shard         int
 	Attempt       uint16           // the number of the attempt within its shard request, from 0
-	Serial        float32          // the same for a query and its shard requests
+	Serial        float32          // serial number shared by a query and its shard requests
 	Node          NodeID           // the node the attempt or health check went to
 	ID            uint64           // of the query or shard request
 	Allowed       *AllowedReplicas // nil: any replica
-	Weight        float64          // the shard request's share of its query
+	Weight        float64          // of a shard request: its share of the query's result; of a query: the number of its shard requests
 	RemainingTime time.Duration    // until the client's timeout
-	Elapsed       time.Duration    // since the attempt or health check was sent
+	Elapsed       time.Duration    // time since the attempt or health check was sent
 	Endpoints     []Endpoint
 	From          uint32 // the broker that sent the gossip message
 	Payload       []byte
