--- a/internal/decision/routing/completion.go
+++ b/internal/decision/routing/completion.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	deadlineMargin            = 50 * time.Millisecond // before the latency objective
-	guardClockSteps           = 3                     // of the clock before the client's timeout
-	weightTolerance           = 5e-5                  // of sums of weights
-	crowdedTableShare         = 0.7                   // of MaxInFlight; above it queries past their deadline are given up
-	secondPhaseReserveDivisor = 4                     // the second phase is left the latency objective over this at most
-	minRetryAfterShare        = 0.5                   // of MaxRetryAfter
-	majorityTolerance         = 20 * time.Millisecond // two remaining times that differ by less count as one
+	deadlineMargin            = 50 * time.Millisecond // from a query's deadline to its latency objective
+	guardClockSteps           = 3                     // clock steps from the last moment for a result to the client's timeout
+	weightTolerance           = 5e-5                  // rounding error of sums of weights
+	crowdedTableShare         = 0.7                   // of MaxInFlight; above it queries past their deadline are abandoned
+	secondPhaseReserveDivisor = 4                     // at most the latency objective divided by this is reserved for the second phase
+	minRetryAfterShare        = 0.5                   // of MaxRetryAfter; the rest is random, so that clients do not retry all at once
+	majorityTolerance         = 20 * time.Millisecond // remaining times that differ by no more count as equal
 )
 
-// setDeadlines sets when a query that came is answered with what there is, and when it must have a result.
+// setDeadlines sets the time at which a new query is answered with the answers that have come, and the time by which it must have a
+// result.
 func (d *dispatcher) setDeadlines(q *query, e *decision.Event) {
 	r := d.router
 	q.wholeDeadline = r.now + min(q.queryType.LatencyObjective, e.RemainingTime) - deadlineMargin
@@ -27,8 +28,8 @@
 	q.guardAt = r.now + e.RemainingTime - guardClockSteps*r.settings.ClockStep
 }
 
-// setTimeSpent sets how much of its time the client of a query has spent before. A retry that leaves less time than usual was cut
-// short by its client's timeout, which tells when the client asked first.
+// setTimeSpent estimates how much of its timeout the client of a query has spent on earlier tries. If a query that may be a retry leaves
+// less time than is usual for its type, the client counts its timeout from its first try; the difference is the time spent.
 func (d *dispatcher) setTimeSpent(q *query, e *decision.Event) {
 	usual := d.usualRemainingTime[e.Type].vote(e.RemainingTime)
 	mayBeRetry := e.Retry || !d.router.settings.ClientsMarkRetries
@@ -37,12 +38,14 @@
 	}
 }
 
-// completeness holds the weights that decide the result of a phase.
+// completeness holds the answered weight that the result of a phase needs.
 type completeness struct {
-	full float64 // of a complete answer
-	min  float64 // of any answer
+	full float64 // for a complete result
+	min  float64 // for any result
 }
 
+// completeness returns what the current phase needs. In the second phase a complete result needs all shard requests, and so does any
+// result if the query type allows no partial ones.
 func (q *query) completeness() completeness {
 	c := completeness{full: q.queryType.FullCompleteness, min: q.queryType.MinCompleteness}
 	if q.secondPhase {
@@ -54,7 +57,7 @@
 	return c
 }
 
-// completeIfReady gives a query its result as soon as its state allows.
+// completeIfReady answers or abandons a query as soon as its result is certain or its time is up.
 func (d *dispatcher) completeIfReady(slot int32) {
 	q := &d.queries.slots[slot]
 	now := d.router.now
@@ -68,14 +71,14 @@
 		d.answer(slot, false)
 	case now >= q.guardAt:
 		d.abandon(slot)
-	case now >= q.deadline && d.tableCrowded: // else queries that wait for silent nodes take all places, and new ones are shed unseen
+	case now >= q.deadline && d.tableCrowded: // otherwise queries that wait for unresponsive nodes would leave no place for new ones
 		d.abandon(slot)
 	case !enough && q.answeredWeight+unanswered < need.min-weightTolerance:
 		d.abandon(slot)
 	}
 }
 
-// answer answers a query, or ends its first phase.
+// answer answers a query. If a second phase follows, the query stays in flight for it.
 func (d *dispatcher) answer(slot int32, complete bool) {
 	q := &d.queries.slots[slot]
 	d.router.act(decision.Action{Kind: decision.AnswerQuery, ID: q.id, Complete: complete})
@@ -88,6 +91,7 @@
 	q.beginSecondPhase(complete)
 }
 
+// beginSecondPhase prepares a query for the shard requests of its second phase.
 func (q *query) beginSecondPhase(firstComplete bool) {
 	q.secondPhase = true
 	q.firstComplete = firstComplete
@@ -97,7 +101,8 @@
 	q.deadline = q.wholeDeadline
 }
 
-// abandon ends a query that cannot be answered: shed, with the time to come back after, where that is true, or else failed.
+// abandon ends a query that cannot be answered. It is shed, so that the client may retry after the given time, if running it again does
+// no harm and its time is not up; otherwise it fails.
 func (d *dispatcher) abandon(slot int32) {
 	r := d.router
 	q := &d.queries.slots[slot]
--- a/internal/decision/routing/degradation.go
+++ b/internal/decision/routing/degradation.go
@@ -7,28 +7,30 @@
 
 // Degraded nodes.
 const (
-	minDegradedRatio        = 2.0  // of a node's latency and the usual one
-	maxCostFactor           = 10.0 // as how many calls one of its calls counts at most
+	minDegradedRatio        = 2.0  // of a node's latency to the usual one, from which the node is degraded
+	maxCostFactor           = 10.0 // the most that each call of a degraded node counts
 	nodeLatencyTimeConstant = 5 * time.Second
-	nodeLatencyIntervals    = 4   // or this many usual times between attempts to a node
-	minEjectingBrokers      = 1.5 // a node is degraded if more have ejected it, fading
+	nodeLatencyIntervals    = 4   // times the send interval, if longer, is the time constant
+	minEjectingBrokers      = 1.5 // decaying count of the other brokers that have ejected a node, from which it is degraded
 	gossipTimeConstant      = 4 * time.Second
 )
 
-// noteLatency takes the last latency for the node's; a broker may send it nothing else for many seconds.
+// noteLatency records a latency of the node. It replaces the last one and is not averaged, as a broker may send the node no other
+// attempt for many seconds.
 func (n *nodeHealth) noteLatency(latency time.Duration) {
 	n.latency = latency
 	n.updatedAt = n.router.now
 }
 
-// outdatedLatencyShare is how much of what is known of the node's latency is outdated.
+// outdatedLatencyShare returns the share, from 0 to 1, by which the node's last latency is outdated.
 func (n *nodeHealth) outdatedLatencyShare() float64 {
 	timeConstant := max(nodeLatencyTimeConstant, nodeLatencyIntervals*n.sendInterval)
 	return 1 - decayFactor(n.router.now-n.updatedAt, timeConstant)
 }
 
-// updateCostFactor compares the node's latency, or the age of its oldest call, with the usual one. A node several times slower than others
-// looks idle to a broker that has few attempts in flight; while it is degraded, each of its calls counts as several.
+// updateCostFactor compares the node's latency, or the age of its oldest call if that is longer, with the usual latency. To a broker
+// with few attempts in flight, a node that is several times slower than the others looks idle; so each call to a degraded node counts
+// several times.
 func (n *nodeHealth) updateCostFactor(m *message) {
 	if n.latency > m.usualLatency {
 		n.latency -= time.Duration(n.outdatedLatencyShare() * float64(n.latency-m.usualLatency))
@@ -44,8 +46,9 @@
 	}
 }
 
-// handleGossip takes another broker's word that it has ejected or reinstated the node. Where several have ejected it, it counts as
-// degraded until it answers or time goes by, so that not every broker has to find out by itself; false word costs it some traffic.
+// handleGossip handles the message of another broker that it has ejected or reinstated the node. If several brokers have ejected it, the
+// node counts as degraded until it answers or the count has decayed, so that not every broker has to detect the fault itself. A wrong
+// message only costs the node some traffic.
 func (n *nodeHealth) handleGossip(ejectedThere bool) {
 	n.ejectedBy = n.ejectingBrokers()
 	if ejectedThere {
@@ -59,7 +62,7 @@
 	}
 }
 
-// ejectingBrokers is how many other brokers have ejected the node, as far as it is remembered.
+// ejectingBrokers returns how many other brokers have ejected the node, decayed by the time since their last message.
 func (n *nodeHealth) ejectingBrokers() float64 {
 	return n.ejectedBy * decayFactor(n.router.now-n.lastGossipedAt, gossipTimeConstant)
 }
--- a/internal/decision/routing/ejection.go
+++ b/internal/decision/routing/ejection.go
@@ -4,30 +4,30 @@
 
 // Error rate of a node.
 const (
-	errorWeight           = 0.3  // of one attempt in the error rate
+	errorWeight           = 0.3  // of one attempt in the moving average of the error rate
 	maxErrorRate          = 0.45 // above it a node is ejected
-	maxReinstateErrorRate = 0.25 // below it a node is reinstated
-	failureShareWeight    = 0.05 // of one attempt in the failure share
-	commonFailureFactor   = 2.0  // the bound on the error rate rises by this times the failure share that half of all nodes have
-	maxErrorRateBound     = 0.95
+	maxReinstateErrorRate = 0.25 // below it an ejected node is reinstated
+	failureShareWeight    = 0.05 // of one attempt in the moving average of the failure share
+	commonFailureFactor   = 2.0  // times the median failure share of all nodes is added to maxErrorRate
+	maxErrorRateBound     = 0.95 // for the sum
 )
 
 // Trial attempts to an ejected node.
 const (
 	initialTrialBackoff = 200 * time.Millisecond
 	maxTrialBackoff     = 3 * time.Second
-	repeatEjectionTime  = 2 * time.Second // ejected again within it, a node starts with the first backoff
+	repeatEjectionTime  = 2 * time.Second // a node ejected again within this time of its reinstatement keeps its backoff, doubled
 )
 
-// Silence of a node.
+// Unresponsive nodes.
 const (
-	minUnresponsiveTime    = 400 * time.Millisecond // of a node before it is ejected as unresponsive
-	maxUnresponsiveTime    = 1500 * time.Millisecond
-	unresponsiveFactor     = 5.0 // its calls have waited this many usual latencies, added up
-	renewConnectionsFactor = 4   // and this many p95 before fresh connections are tried
+	minUnresponsiveTime    = 400 * time.Millisecond  // without an answer before a node may be ejected as unresponsive
+	maxUnresponsiveTime    = 1500 * time.Millisecond // without an answer after which it is ejected in any case
+	unresponsiveFactor     = 5.0                     // summed wait of a node's calls, in usual latencies, above which it is ejected
+	renewConnectionsFactor = 4                       // summed wait, in p95 latencies, above which its connections are replaced
 )
 
-// eject sends a node no work but trial attempts, the rarer the longer it fails.
+// eject stops all attempts to the node except trial attempts. The backoff between trial attempts grows while they fail.
 func (n *nodeHealth) eject(reason logMessage, value float64) {
 	now := n.router.now
 	if !n.ejected {
@@ -36,7 +36,8 @@
 	}
 	switch {
 	case !n.ejected && now-n.reinstatedAt > repeatEjectionTime:
-		n.trialBackoff = max(initialTrialBackoff, n.sendInterval) // a broker with little traffic would try it with each attempt
+		// On a broker with little traffic, a shorter backoff than the send interval would make every attempt a trial attempt.
+		n.trialBackoff = max(initialTrialBackoff, n.sendInterval)
 	case !n.ejected || n.trialInFlight:
 		n.trialBackoff = max(n.sendInterval, min(max(2*n.trialBackoff, initialTrialBackoff), maxTrialBackoff))
 	}
@@ -45,7 +46,7 @@
 	n.nextTrialAt = now + n.trialBackoff
 }
 
-// reinstate ends an ejection.
+// reinstate ends the ejection of the node.
 func (n *nodeHealth) reinstate() {
 	n.ejected = false
 	n.reinstatedAt = n.router.now
@@ -53,19 +54,19 @@
 	n.router.log(logReinstated, n.id, n.errorRate)
 }
 
-// noteTrial notes an attempt to the node if it is ejected.
+// noteTrial records that an attempt was sent to the node; if the node is ejected, this is a trial attempt.
 func (n *nodeHealth) noteTrial() {
 	if !n.ejected {
 		return
 	}
-	if n.trialInFlight { // the one before was never answered
+	if n.trialInFlight { // the previous trial attempt has not been answered
 		n.trialBackoff = max(n.sendInterval, min(2*n.trialBackoff, maxTrialBackoff))
 	}
 	n.nextTrialAt = n.router.now + n.trialBackoff
 	n.trialInFlight = true
 }
 
-// noteAnswer takes an answer of the node; an ejected one may be reinstated.
+// noteAnswer records an answer of the node, and reinstates the node if it is ejected and its error rate has fallen enough.
 func (n *nodeHealth) noteAnswer(latency time.Duration) {
 	n.noteResponse()
 	n.consecutiveRejected = 0
@@ -83,8 +84,9 @@
 	}
 }
 
-// noteFailure takes an attempt that failed at the node. The attempts that fail at one time, with one connection, count once. Where
-// attempts fail at all nodes alike each looks faulty in turn, and ejecting some would crowd the others: a node has to stand out.
+// noteFailure records a failed attempt at the node. Attempts that fail at the same time, with one connection, count once. If attempts
+// fail at all nodes alike, each node looks faulty in turn, and ejecting some would crowd the others; so the error rate above which a
+// node is ejected rises with the median failure share.
 func (n *nodeHealth) noteFailure() {
 	now := n.router.now
 	n.noteResponse()
@@ -99,8 +101,9 @@
 	}
 }
 
-// noteRejection takes an attempt that the node rejected. Where many queues are full, a node is ejected only for the second rejection
-// without an answer between; ejecting each node that rejected one attempt would crowd the others.
+// noteRejection records an attempt that the node rejected. If only this node rejects attempts, it is ejected at once, as it may be
+// draining. If others do so too, their queues are full: the node is ejected only after two rejections without an answer in between, as
+// ejecting every node that rejects one attempt would crowd the others.
 func (n *nodeHealth) noteRejection() {
 	n.noteResponse()
 	n.consecutiveRejected++
@@ -110,19 +113,20 @@
 	}
 }
 
-// noteUnreachable takes a connection to the node that failed.
+// noteUnreachable records a failed attempt to connect to the node, and ejects the node.
 func (n *nodeHealth) noteUnreachable() {
 	n.unreachable = true
 	n.eject(logEjectedUnreachable, n.errorRate)
 }
 
+// noteResponse records that the node answered, failed or rejected an attempt, which shows that it is responsive.
 func (n *nodeHealth) noteResponse() {
 	n.lastResponseAt = n.router.now
 	n.unansweredTime = 0
 }
 
-// checkUnresponsive ejects a node that takes attempts and answers none: its calls together have waited several times what is usual. Before
-// that, once until it answers again, fresh connections are tried, as one connection may be dead and not its node.
+// checkUnresponsive ejects the node if its calls have together waited several times the usual latency without any answer. Before that
+// it has the connections to the node replaced, once until the next answer, as a connection may be broken while the node is healthy.
 func (n *nodeHealth) checkUnresponsive(m *message) {
 	r := n.router
 	now := r.now
@@ -138,8 +142,8 @@
 	}
 }
 
-// pendingCalls are the calls that the node may still answer. What it lost while it hung stays in flight until clients give up; a call
-// counts as lost once the node has answered one that was sent well after it.
+// pendingCalls returns the calls that the node may still answer. Calls that a node lost while it hung stay in flight until their
+// clients time out. A call counts as lost once the node has answered one that was sent more than minUnresponsiveTime later.
 func (e *endpoint) pendingCalls() []call {
 	lost := 0
 	for lost < len(e.calls) && e.calls[lost].sentAt < e.answeredSends-minUnresponsiveTime {
--- a/internal/decision/routing/extra_budget.go
+++ b/internal/decision/routing/extra_budget.go
@@ -9,31 +9,32 @@
 
 // Credit for extra attempts.
 const (
-	creditPerFirstAttempt = 0.1 // of an extra attempt, earned by each first attempt
+	creditPerFirstAttempt = 0.1 // earned by each first attempt
 	maxCredit             = 30.0
 	initialCredit         = maxCredit / 2
-	extraAttemptCost      = 1.0 // that an extra attempt costs
+	extraAttemptCost      = 1.0 // spent by each extra attempt
 )
 
-// extraBudget limits hedges and retries, together: by credit that first attempts earn, and where the deployment sets a window, by
-// their number in it over that of queries and shard requests.
+// extraBudget limits hedges and retries together. Each costs credit, which first attempts earn. If the deployment sets
+// Settings.ExtraAttemptsWindow, their number within that window is limited too, in proportion to the queries and shard requests
+// received.
 type extraBudget struct {
 	credit      float64
-	receivedAt  []time.Duration // when queries and shard requests came, in the window
-	extraSentAt []time.Duration // when extra attempts were sent, in the window
+	receivedAt  []time.Duration // times at which queries and shard requests came, within the window
+	extraSentAt []time.Duration // times at which extra attempts were sent, within the window
 }
 
-// noteReceived counts a query or shard request.
+// noteReceived counts a query or shard request that was received.
 func (b *extraBudget) noteReceived(s *decision.Settings, now time.Duration) {
 	if s.ExtraAttemptsWindow > 0 {
 		b.receivedAt = dropUntil(append(b.receivedAt, now), now-s.ExtraAttemptsWindow)
 	}
 }
 
-// earn adds the credit of a first attempt.
+// earn adds the credit that a first attempt earns.
 func (b *extraBudget) earn() { b.credit = min(maxCredit, b.credit+creditPerFirstAttempt) }
 
-// refund adds the credit of an extra attempt.
+// refund gives back the cost of an extra attempt.
 func (b *extraBudget) refund() { b.credit = min(maxCredit, b.credit+extraAttemptCost) }
 
 // allows reports whether an extra attempt may be sent now.
@@ -41,7 +42,7 @@
 	return b.credit >= extraAttemptCost && (s.ExtraAttemptsWindow == 0 || b.remaining(s, now, now-s.ClockStep) >= 1)
 }
 
-// spend books an extra attempt.
+// spend takes the cost of an extra attempt and counts it in the window.
 func (b *extraBudget) spend(s *decision.Settings, now time.Duration) {
 	b.credit -= extraAttemptCost
 	if s.ExtraAttemptsWindow > 0 {
@@ -49,7 +50,7 @@
 	}
 }
 
-// remaining is how many extra attempts the window leaves at a time, if nothing is received or sent until then.
+// remaining returns how many extra attempts the window will allow at the time at, if nothing is received or sent between now and then.
 func (b *extraBudget) remaining(s *decision.Settings, now, at time.Duration) float64 {
 	b.receivedAt = dropUntil(b.receivedAt, now-s.ExtraAttemptsWindow)
 	b.extraSentAt = dropUntil(b.extraSentAt, now-s.ClockStep-s.ExtraAttemptsWindow)
@@ -62,12 +63,13 @@
 	return s.ExtraAttemptsMin + s.ExtraAttemptsShare*float64(len(b.receivedAt)) - float64(spent)
 }
 
-// extendWindow is called before a longer window is in force. What was sent so long ago is not known, so the minimum counts as spent.
+// extendWindow prepares for a longer window. The attempts sent before the shorter window are not known, so the budget counts the
+// minimum as spent now.
 func (b *extraBudget) extendWindow(now time.Duration, minimum int) {
 	b.extraSentAt = append(b.extraSentAt, slices.Repeat([]time.Duration{now}, minimum)...)
 }
 
-// dropUntil drops the times at or before a bound, in place.
+// dropUntil removes the times up to and including bound from an ascending slice, in place.
 func dropUntil(times []time.Duration, bound time.Duration) []time.Duration {
 	n := 0
 	for n < len(times) && times[n] <= bound {
@@ -79,12 +81,13 @@
 	return append(times[:0], times[n:]...)
 }
 
-// queryBudget is what the window leaves for the extra attempts of a query.
+// queryBudget says whether the window allows enough extra attempts for a query.
 type queryBudget struct {
-	insufficient bool // the query lacks more than can be sent again in time
-	scarce       bool // less is remaining now than the query has unanswered shard requests
+	insufficient bool // too few before the deadline for the query to reach its minimum completeness
+	scarce       bool // fewer now than the query has unanswered shard requests
 }
 
+// queryBudget compares the remaining budget with the needs of a query.
 func (d *dispatcher) queryBudget(q *query) queryBudget {
 	s := d.router.settings
 	if s.ExtraAttemptsWindow == 0 {
@@ -97,8 +100,8 @@
 	}
 }
 
-// lossesExceedBudget reports whether a query has lost more shard requests than the budget lets be sent again before its deadline. What is
-// remaining of the budget is better spent on a query that it can save.
+// lossesExceedBudget reports whether so many shard requests of a query have failed that it cannot reach its minimum completeness with
+// the retries that the budget allows before its deadline. The rest of the budget then goes to queries that can still be answered.
 func (d *dispatcher) lossesExceedBudget(q *query) bool {
 	lost := 0.0
 	lostWeight := 0.0
--- a/internal/decision/routing/hedging.go
+++ b/internal/decision/routing/hedging.go
@@ -7,12 +7,14 @@
 )
 
 const (
-	recheckInterval = 10 * time.Millisecond // until what could not be sent is looked at again
-	// Until the p95 is known, an attempt is hedged after the latency objective over this.
+	// recheckInterval is the time until the router tries again to send an attempt that could not be sent.
+	recheckInterval = 10 * time.Millisecond
+	// While the p95 is not known, an attempt is hedged after the latency objective divided by assumedHedgeDivisor.
 	assumedHedgeDivisor = 2
 )
 
-// sendHedgesAndRetries sends the extra attempts that are due within the budget, and first attempts that had to wait.
+// sendHedgesAndRetries sends the first attempts of a query that had to wait, and then the hedges and retries that are due and that the
+// budget allows.
 func (d *dispatcher) sendHedgesAndRetries(q *query) {
 	if q.waiting {
 		q.waiting = false
@@ -34,7 +36,7 @@
 	}
 }
 
-// hedge sends a second attempt beside the one in flight if that is due.
+// hedge sends a second attempt of a shard request that has one in flight, if the hedge is due.
 func (d *dispatcher) hedge(q *query, sr *shardRequest, budget queryBudget) {
 	due := d.hedgeDueAt(q, sr, budget)
 	if due > d.router.now {
@@ -50,14 +52,15 @@
 	d.noteDue(d.router.now + recheckInterval)
 }
 
-// hedgeDueAt is when a shard request with attempts in flight may be hedged; never if it may not.
+// hedgeDueAt returns the time from which a shard request with attempts in flight may be hedged, or never.
 func (d *dispatcher) hedgeDueAt(q *query, sr *shardRequest, budget queryBudget) time.Duration {
 	if sr.inFlight > 1 || !d.mayHedge(q, sr) || !d.extraAttemptPossible(q, sr) || !d.mayRunTwice(q, sr) {
 		return never
 	}
 	a := sr.attempts[len(sr.attempts)-1]
 	due := a.sentAt + d.hedgeDelay(q)
-	// Where all replicas are slow, a hedge joins the queue that it is meant to avoid; from an ejected node it goes all the same.
+	// If the replicas are crowded, a hedge would only wait in another long queue, unless the attempt in flight is at a node that has been
+	// ejected or unlisted.
 	crowded := d.latency.known && d.endpoints.all[a.node].available() && d.isCrowded(sr)
 	if budget.scarce || crowded {
 		return max(due, d.router.now+recheckInterval)
@@ -65,13 +68,13 @@
 	return due
 }
 
-// mayHedge reports whether a shard request may be hedged at all. One that counts less than the mean of its query is not: its hedge
-// would take budget and capacity from those that decide the result.
+// mayHedge reports whether a shard request may be hedged at all. A low-weight shard request may not: its hedge would take budget and
+// capacity from the shard requests that decide the result.
 func (d *dispatcher) mayHedge(q *query, sr *shardRequest) bool {
 	return d.router.settings.HedgingAllowed && !sr.hedged && !q.isLowWeight(sr)
 }
 
-// hedgeDelay is how long an attempt is in flight before it is hedged.
+// hedgeDelay returns how long an attempt is in flight before it is hedged.
 func (d *dispatcher) hedgeDelay(q *query) time.Duration {
 	if !d.latency.known {
 		return q.queryType.LatencyObjective / assumedHedgeDivisor
@@ -79,12 +82,13 @@
 	return d.latency.p95
 }
 
-// extraAttemptPossible reports whether an extra attempt may be answered in time and within the limit on attempts.
+// extraAttemptPossible reports whether a shard request is below the limit on attempts and an extra attempt may still be answered before
+// the deadline.
 func (d *dispatcher) extraAttemptPossible(q *query, sr *shardRequest) bool {
 	return d.router.now+d.latency.p50 <= q.deadline && len(sr.attempts) < d.router.settings.MaxAttempts
 }
 
-// canAffordExtraAttempt reports whether the budget allows an extra attempt to a node and its answer is expected in time.
+// canAffordExtraAttempt reports whether the budget allows an extra attempt and the node's answer is expected before the deadline.
 func (d *dispatcher) canAffordExtraAttempt(q *query, sr *shardRequest, index nodeIndex) bool {
 	r := d.router
 	return d.extraBudget.allows(r.settings, r.now) && r.now+time.Duration(d.expectedWait(sr, index)) <= q.deadline
@@ -95,7 +99,8 @@
 	d.send(sr, index)
 }
 
-// mayRunTwice reports whether a shard request may be sent again beside what is in flight, or after all attempts have ended.
+// mayRunTwice reports whether another attempt of a shard request is allowed by the idempotency of its query type. If no attempt is in
+// flight and none can have run, it always is.
 func (d *dispatcher) mayRunTwice(q *query, sr *shardRequest) bool {
 	if sr.inFlight == 0 && !sr.mayHaveRun {
 		return true
--- a/internal/decision/routing/retry.go
+++ b/internal/decision/routing/retry.go
@@ -2,7 +2,7 @@
 
 import "flaxfront/internal/decision"
 
-// retry sends a shard request again whose attempts have all ended without an answer, or abandons it.
+// retry sends another attempt of a shard request whose attempts have all ended without an answer, or abandons the shard request.
 func (d *dispatcher) retry(q *query, sr *shardRequest) {
 	if sr.retried || !d.extraAttemptPossible(q, sr) || !d.mayRunTwice(q, sr) {
 		sr.abandoned = true
@@ -24,8 +24,9 @@
 	d.noteDue(d.router.now + recheckInterval)
 }
 
-// allowAnotherRetry gives back the budget of one extra attempt after an attempt failed, unless replicas are crowded. Failures may lose
-// more attempts than the credit pays for; a retry of them replaces work, where a crowded store would only get more of it.
+// allowAnotherRetry refunds the credit of one extra attempt after an attempt has failed, unless replicas are crowded. More attempts may
+// fail than the credit covers. A retry only replaces the failed attempt and so adds no load, except that a crowded store should not get
+// any more work.
 func (d *dispatcher) allowAnotherRetry(sr *shardRequest) {
 	if d.isCrowded(sr) {
 		return
@@ -34,8 +35,8 @@
 	sr.retried = false
 }
 
-// handleFailure takes the end of an attempt without an answer. What was rejected, or never left this broker, did not run. A rejection
-// tells of a full queue and gives no budget back.
+// handleFailure handles the end of an attempt without an answer. An attempt that was rejected or not sent did not run; any other may
+// have run. A rejection is a sign of a full queue, so it is not refunded.
 func (d *dispatcher) handleFailure(sr *shardRequest, a *attempt, event *decision.Event) {
 	switch event.Outcome {
 	case decision.Rejected:
--- a/internal/decision/routing/selection.go
+++ b/internal/decision/routing/selection.go
@@ -8,35 +8,37 @@
 	"flaxfront/internal/decision"
 )
 
-// What a replica costs beside its calls in flight.
+// Selection costs, in calls in flight.
 const (
-	newConnectionCost = 0.01 // a connection would have to be opened: decides between equal replicas only
-	stickyOrderCost   = 1e6  // a place further back in the order of a sticky shard request: goes before all else
+	newConnectionCost = 0.01 // if a connection must be opened; so small that it only decides between replicas of equal cost
+	stickyOrderCost   = 1e6  // for each place down the order of a sticky shard request; so large that it outweighs all other costs
 )
 
-// While every replica is ejected, one that has this many calls in flight gets another attempt only after the interval.
+// While every replica of a shard is ejected, a replica with allEjectedMaxCalls calls in flight gets its next attempt only
+// allEjectedInterval after the last one.
 const (
 	allEjectedMaxCalls = 2
 	allEjectedInterval = 500 * time.Millisecond
 )
 
-// Results of a selection beside a replica.
+// Results of a selection that are no replica.
 const (
 	noReplica      nodeIndex = -1
-	waitForReplica nodeIndex = -2 // one may be sent the attempt in a moment
+	waitForReplica nodeIndex = -2 // a replica is expected to be available soon
 )
 
-// attemptKind says for what attempt a replica is selected.
+// attemptKind says what kind of attempt a replica is selected for.
 type attemptKind uint8
 
 const (
 	firstAttempt           attemptKind = iota
-	extraAttemptNewReplica             // to a replica that had no attempt of the shard request
-	extraAttemptAnyReplica             // to any
+	extraAttemptNewReplica             // only replicas that have had no attempt of the shard request
+	extraAttemptAnyReplica             // any replica
 )
 
-// selectForFirstAttempt selects the replica of a first attempt: one in the shard's own cell that has a call open in this step, so that shard
-// requests share calls, or else by selectReplica. While replicas are crowded the open call may be of any cell.
+// selectForFirstAttempt selects the replica for a first attempt. It prefers a warmed-up replica in the shard's own cell to which a call
+// has been opened in this step, so that shard requests share calls; while replicas are crowded, that replica may be in any cell that
+// holds the shard. Without such a call it falls back to selectReplica.
 func (d *dispatcher) selectForFirstAttempt(q *query, sr *shardRequest) nodeIndex {
 	candidates := d.endpoints.byCell[sr.shard%len(d.endpoints.byCell)]
 	if d.isCrowded(sr) {
@@ -52,10 +54,14 @@
 	return d.selectReplica(q, sr, firstAttempt)
 }
 
-// selectReplica selects the replica with the fewest calls in flight, ties at random. The calls of a degraded replica count as several.
-// First attempts also go to an ejected replica whose trial is due. Where every replica is ejected, the least busy still gets a little;
-// where one that is unconfirmed or unchecked has all it may have for now, the shard request waits for it while there is time. What is
-// sticky goes to the first of its replicas that can be sent work; its hedges and retries go to any of them.
+// selectReplica selects the replica with the fewest calls in flight, and one at random among equals. A degraded replica's calls count
+// several times.
+//
+//   - An ejected replica whose trial attempt is due takes part in the selection for first attempts of idempotent queries.
+//   - If every replica is ejected, the least busy of them still gets a few attempts.
+//   - If no replica is available, but one awaits a health check or is unconfirmed and has as many calls as it may have, the shard
+//     request waits for that replica while there is time.
+//   - The first attempt of a sticky shard request goes to the first available replica of its list, hedges and retries to any of them.
 func (d *dispatcher) selectReplica(q *query, sr *shardRequest, kind attemptKind) nodeIndex {
 	best := candidate{index: noReplica}
 	leastBusyEjected := noReplica
@@ -81,7 +87,7 @@
 		best.consider(i, d.cost(sr, e, rank, needsCheck), &d.router.random)
 	}
 	switch {
-	case best.index >= 0 || sr.inFlight > 0: // no hedge goes to an ejected replica
+	case best.index >= 0 || sr.inFlight > 0: // a hedge never goes to an ejected replica
 		return best.index
 	case shouldWait && d.router.now+d.latency.p50 <= q.deadline:
 		return waitForReplica
@@ -90,14 +96,15 @@
 	}
 }
 
-// candidate is the cheapest replica so far.
+// candidate is the replica of lowest cost found so far.
 type candidate struct {
 	index nodeIndex
 	cost  float64
-	ties  int // replicas of that cost
+	ties  int // number of replicas considered that have this cost
 }
 
-// offer takes a replica if it is cheaper, or by chance if it costs the same: each of equal replicas is as likely.
+// consider replaces the candidate if the given replica costs less. Among replicas of equal cost each is selected with equal probability
+// (reservoir sampling).
 func (c *candidate) consider(index nodeIndex, cost float64, random *randomSource) {
 	switch {
 	case c.index < 0 || cost < c.cost:
@@ -110,7 +117,7 @@
 	}
 }
 
-// cost is what an attempt to a replica costs, in calls in flight.
+// cost returns the cost of sending an attempt to a replica, in calls in flight.
 func (d *dispatcher) cost(sr *shardRequest, e *endpoint, rank int, needsCheck bool) float64 {
 	r := d.router
 	factor := max(e.costFactor, 1+(maxCostFactor-1)*e.health.lossRate)
@@ -119,9 +126,9 @@
 	}
 	cost := factor * float64(len(e.calls)+1)
 	if e.slowStart.share < 1 && cost == 1 {
-		cost = 0 // a warming-up node takes what it is allowed at once: many small allowances left unused add up to none
+		cost = 0 // an idle warming-up node comes first: with many brokers, allowances left unused would leave it almost without traffic
 	}
-	// Where all are idle, a degraded replica gets the fewer attempts the more replicas there are beside it.
+	// An idle degraded replica counts like a healthy one with a probability that falls with the number of warmed-up replicas.
 	if len(e.calls) == 0 && factor > 1 && r.random.share() < math.Pow(factor, float64(1-d.endpoints.warmedUpReplicas(sr.shard))) {
 		cost = 1
 	}
@@ -131,23 +138,24 @@
 	return cost + stickyOrderCost*float64(rank)
 }
 
-// mayReceiveAttempt reports whether a node is listed and, if it is warming up, its slow start allows an attempt.
+// mayReceiveAttempt reports whether a node is listed and its slow start, if it is warming up, allows another attempt.
 func (d *dispatcher) mayReceiveAttempt(e *endpoint) bool {
 	return e.mode != modeUnlisted && (e.slowStart.share >= 1 || d.slowStartAdmits(e))
 }
 
-// mayUseEjected reports whether an ejected node may get an attempt where all replicas are ejected.
+// mayUseEjected reports whether an ejected node may get an attempt when all replicas of the shard are ejected.
 func (d *dispatcher) mayUseEjected(e *endpoint) bool {
 	idle := len(e.calls) < allEjectedMaxCalls || d.router.now-e.lastSentAt >= allEjectedInterval
 	return idle && !e.unreachable
 }
 
+// wasSentTo reports whether any attempt of the shard request went to the node.
 func (sr *shardRequest) wasSentTo(index nodeIndex) bool {
 	return slices.ContainsFunc(sr.attempts, func(a attempt) bool { return a.node == index })
 }
 
-// stickyRank is a node's place in the order of the replicas that are allowed, 0 where the order does not count; negative: the node is
-// not allowed.
+// stickyRank returns a node's position among the allowed replicas, 0 if their order does not matter for this kind of attempt, or a
+// negative number if the node is not allowed.
 func (sr *shardRequest) stickyRank(id decision.NodeID, kind attemptKind) int {
 	if sr.allowed == nil {
 		return 0
--- a/internal/decision/routing/shedding.go
+++ b/internal/decision/routing/shedding.go
@@ -7,62 +7,64 @@
 	"flaxfront/internal/decision"
 )
 
-// Expected wait over the time left, from which queries are shed: all above the upper bound, by chance between the two.
+// Bounds on the ratio of a shard request's expected wait to the remaining time of its query. Above the upper bound the shard request is
+// abandoned; between the two it is abandoned with a probability that grows with the ratio.
 const (
 	minShedWaitRatio = 0.5
 	maxShedWaitRatio = 0.75
 )
 
-// What makes a query wait in the comparison longer or shorter than it does.
+// Adjustments of the expected wait before it is compared with the bounds.
 const (
-	uncrowdedWaitFactor    = 0.3 // counted of the wait while replicas are not crowded
-	valueExponent          = 0.2 // of a query's value over the mean: the less it is worth, the sooner it is shed
-	minValueShare          = 0.01
-	meanValueWeight        = 0.02 // of one query in the means
-	lateTimeDivisor        = 4    // a query past its deadline has its remaining time over this
-	lowWeightExponent      = 2.0  // of a shard request's weight over the mean: the less it counts, the sooner it is left out
-	lowWeightFullWaitRatio = 0.25 // mean expected wait from which the exponent is in full force
+	uncrowdedWaitFactor    = 0.3  // on a wait above the bound while replicas are not crowded
+	valueExponent          = 0.2  // of the mean value over the query's value: queries of less value are shed sooner
+	minValueShare          = 0.01 // of the mean value: the least value that a query is given here
+	meanValueWeight        = 0.02 // of one query in the moving averages
+	lateTimeDivisor        = 4    // on the remaining time of a query past its deadline
+	lowWeightExponent      = 2.0  // of the mean weight over a shard request's weight: low-weight shard requests are abandoned sooner
+	lowWeightFullWaitRatio = 0.25 // mean wait ratio from which lowWeightExponent applies in full
 )
 
 // Rejections by nodes.
 const (
-	rejectionWeight       = 0.03 // of one attempt in the rejection rate; also what a single rejection leaves
-	rejectionPenalty      = 50.0 // how much longer a wait counts for each unit of rejection rate
+	rejectionWeight       = 0.03 // of one attempt in the moving average; so a single rejection raises the rate to this value
+	rejectionPenalty      = 50.0 // factor on the expected wait is 1 plus this times the excess rejection rate
 	rejectionTimeConstant = 4 * time.Second
 )
 
 // Tenants over quota.
-const maxTenantRateFactor = 1.3 // times the tenant's share of the usual traffic
+const maxTenantRateFactor = 1.3 // on the tenant's share of the usual traffic
 
-// loadShedding is what decides whether queries are shed.
+// loadShedding holds the averages and rates by which queries are shed.
 type loadShedding struct {
-	meanValue              float64 // of a query
-	meanRequests           float64 // shard requests of a query
-	queryCount             float64 // in the means
+	meanValue              float64 // moving average of the value of a query
+	meanRequests           float64 // moving average of the number of shard requests of a query
+	queryCount             float64 // queries counted in the averages
 	active                 bool    // load is being shed
-	rejectionRate          float64
+	rejectionRate          float64 // moving average: share of attempts that nodes rejected
 	rejectionRateUpdatedAt time.Duration
 	arrivals               rate   // of queries
 	tenantArrivals         []rate // by tenant
 }
 
-// rejections is the share of attempts that nodes reject, as far as it is remembered.
+// currentRejectionRate returns the share of attempts that nodes reject, decayed by the time since the last update.
 func (s *loadShedding) currentRejectionRate(now time.Duration) float64 {
 	return s.rejectionRate * decayFactor(now-s.rejectionRateUpdatedAt, rejectionTimeConstant)
 }
 
-// observeRejection takes an attempt into the rejection rate. Latencies tell of what was served only.
+// observeRejection updates the rejection rate with an attempt: 1 for a rejected one, 0 for an answered one. The rate is needed because
+// latencies come only from attempts that were answered, and so do not show rejections.
 func (s *loadShedding) observeRejection(rejected float64, now time.Duration) {
 	s.rejectionRate = (1-rejectionWeight)*s.currentRejectionRate(now) + rejectionWeight*rejected
 	s.rejectionRateUpdatedAt = now
 }
 
-// excessRejectionRate is the rejection rate beyond what one rejection causes: a node that rejects alone may be draining.
+// excessRejectionRate returns the rejection rate above what a single rejection causes, as a single node that rejects may be draining.
 func (s *loadShedding) excessRejectionRate(now time.Duration) float64 {
 	return max(0, s.currentRejectionRate(now)-rejectionWeight)
 }
 
-// countArrival counts a query of a tenant.
+// countArrival counts a query that a tenant has sent.
 func (s *loadShedding) countArrival(tenant int, now time.Duration) {
 	s.arrivals.add(now, 1)
 	if tenant < len(s.tenantArrivals) {
@@ -70,18 +72,18 @@
 	}
 }
 
-// bias is above 1 for a query that is worth less for its shard requests than the mean, and below for one that is worth more. It takes
-// the query into the means first.
+// valueBias updates the averages with a query and returns the factor on its expected wait: above 1 if the query has less value per shard
+// request than the average, below 1 if it has more.
 func (s *loadShedding) valueBias(value, requests float64) float64 {
 	s.queryCount++
-	weight := max(meanValueWeight, 1/s.queryCount) // the first queries make the means
+	weight := max(meanValueWeight, 1/s.queryCount) // plain mean of the first queries, then a moving average
 	s.meanValue += weight * (value - s.meanValue)
 	s.meanRequests += weight * (requests - s.meanRequests)
 	return math.Pow(s.meanValue/s.meanRequests*requests/max(value, minValueShare*s.meanValue), valueExponent)
 }
 
-// shed decides whether a query that came is shed for lack of time, and which of its shard requests are left out. Under overload all
-// queries would end late, and each retry would add to it.
+// shed abandons the shard requests of a new query that are not expected to be answered in time, and reports whether the query is to be
+// shed because too few are left. Without shedding, all queries would end late under overload, and each client retry would add load.
 func (d *dispatcher) shed(q *query) bool {
 	r := d.router
 	scale := d.waitScale(q)
@@ -99,8 +101,8 @@
 	return kept < q.queryType.MinCompleteness-weightTolerance
 }
 
-// waitScale is what an expected wait is multiplied by to be compared with the bounds: one over the time left, more for a query that is
-// worth less than the mean, and more the more attempts are rejected.
+// waitScale returns the factor that turns an expected wait into a ratio to compare with the bounds: 1 divided by the remaining time,
+// higher for a query of less value than the average, and higher the more attempts nodes reject.
 func (d *dispatcher) waitScale(q *query) float64 {
 	s := d.router.settings
 	now := d.router.now
@@ -116,8 +118,8 @@
 	return valueBias / float64(max(1, d.remainingTime(q))) * (1 + rejectionPenalty*d.shedding.excessRejectionRate(now))
 }
 
-// remainingTime is the time until a query's deadline, less what its client spent before. Once that has passed the query gives way to those
-// that can still earn their full weight.
+// remainingTime returns the time until a query's deadline, less the time that its client spent on earlier tries. Once none is left,
+// it returns a fraction of the time until the client's timeout, so that the query is shed before those that can still be in time.
 func (d *dispatcher) remainingTime(q *query) time.Duration {
 	left := q.deadline - d.router.now - q.spent
 	if left <= 0 {
@@ -126,7 +128,8 @@
 	return left
 }
 
-// scaledWait is the wait expected of a shard request at the replica that it would be sent to. Without a replica it is abandoned.
+// scaledWait returns the wait expected at the replica that a shard request would be sent to, times scale. It abandons the shard request
+// if there is no replica.
 func (d *dispatcher) scaledWait(q *query, sr *shardRequest, scale float64) float64 {
 	index := d.selectReplica(q, sr, firstAttempt)
 	sr.abandoned = index == noReplica
@@ -140,8 +143,9 @@
 	}
 }
 
-// abandonLongWaits abandons the shard requests whose expected wait is above the bound and returns the weight of the others. Where an answer may
-// be partial, those that count little give way to those that count much, the more so the longer the waits are on average.
+// abandonLongWaits abandons the shard requests whose expected wait is above the bound and returns the summed weight of the others. If
+// the answer may be partial, shard requests of low weight are abandoned sooner than those of high weight, and this difference grows with
+// the mean wait.
 func (d *dispatcher) abandonLongWaits(q *query, bound, meanWait float64) (kept float64) {
 	exponent := 0.0
 	if q.mayBePartial() {
@@ -150,7 +154,7 @@
 	for i := range q.requests {
 		sr := &q.requests[i]
 		wait := sr.expectedWait * math.Pow(q.relativeWeight(sr), exponent)
-		// Where replicas are not crowded, a long wait for the time left tells of a client with little patience, not of overload.
+		// If replicas are not crowded, a high ratio is due to a short client timeout, not to overload.
 		if wait > bound && !q.isLowWeight(sr) && !d.isCrowded(sr) {
 			wait *= uncrowdedWaitFactor
 		}
@@ -162,7 +166,7 @@
 	return kept
 }
 
-// logShedding logs that shedding begins or ends.
+// logShedding logs when shedding starts and when it ends.
 func (d *dispatcher) logShedding(q *query, longest float64) {
 	s := &d.shedding
 	begins := !s.active && longest > maxShedWaitRatio
@@ -177,7 +181,7 @@
 	}
 }
 
-// isOverQuota reports whether a tenant sends more than its quota and its share of what this broker gets.
+// isOverQuota reports whether a tenant's queries to this broker exceed both its quota and its share of the usual traffic.
 func (d *dispatcher) isOverQuota(tenant int) bool {
 	r := d.router
 	s := &d.shedding
@@ -189,11 +193,11 @@
 	arrivals.decay(r.now)
 	quota := share.Quota / float64(r.settings.BrokerCount)
 	limit := max(quota, maxTenantRateFactor*share.TrafficShare*s.arrivals.usual(r.now))
-	oneQuery := 1 / fastRateTimeConstant.Seconds() // to a broker with little traffic one query looks like a burst
+	oneQuery := 1 / fastRateTimeConstant.Seconds() // not counted: on a broker with little traffic one query would look like a burst
 	return arrivals.fast-oneQuery > limit
 }
 
-// updateRejectionRate takes an answer or a rejection into the rejection rate.
+// updateRejectionRate updates the rejection rate if an attempt was answered or rejected. Other outcomes do not count.
 func (d *dispatcher) updateRejectionRate(outcome decision.Outcome) {
 	switch outcome {
 	case decision.OK:
@@ -203,15 +207,15 @@
 	}
 }
 
-// mayBePartial reports whether a query can be answered without all that makes it complete.
+// mayBePartial reports whether the query may be answered with less than a complete result.
 func (q *query) mayBePartial() bool {
 	return q.queryType.MinCompleteness < q.queryType.FullCompleteness
 }
 
-// relativeWeight is the weight of a shard request over the mean of its query.
+// relativeWeight returns the weight of a shard request divided by the mean weight in its query.
 func (q *query) relativeWeight(sr *shardRequest) float64 { return sr.weight * float64(len(q.requests)) }
 
-// isLowWeight reports whether a shard request counts less than the mean and its query can do without it.
+// isLowWeight reports whether a shard request has less than the mean weight in a query that may be answered partially.
 func (q *query) isLowWeight(sr *shardRequest) bool {
 	return q.mayBePartial() && q.relativeWeight(sr) < 1-weightTolerance
 }
--- a/internal/decision/routing/slow_start.go
+++ b/internal/decision/routing/slow_start.go
@@ -8,48 +8,49 @@
 
 // Slow start of nodes that are warming up.
 const (
-	slowStartSafety     = 0.6 // of the load under which a warming-up node fails
-	maxFlowRatio        = 1.6 // of the usual flow that a node is allowed its share of
+	slowStartSafety     = 0.6 // of the load above which a warming-up node fails
+	maxFlowRatio        = 1.6 // times the usual flow is the most from which a node gets its share
 	maxAllowance        = 2   // attempts
 	minAllowance        = -1
 	minUnconfirmedShare = 0.01
 )
 
-// Confirmation window of nodes that are unconfirmed.
+// Window of an unconfirmed node: how many calls it may have in flight.
 const (
-	initialWindow          = 1    // calls in flight
-	windowGrowthPerAnswer  = 0.25 // calls
-	windowDivisorOnFailure = 2    // the window is divided by it
+	initialWindow          = 1
+	windowGrowthPerAnswer  = 0.25
+	windowDivisorOnFailure = 2
 )
 
-// slowStart is what a node that is warming up may be sent.
+// slowStart limits the attempts to a node that is warming up, as a token bucket.
 type slowStart struct {
-	share      float64 // of what a warmed-up node is sent; 1: the node is warmed up
+	share      float64 // of the flow to a warmed-up node; 1: the node is warmed up
 	allowance  float64 // attempts that may be sent now
 	refilledAt time.Duration
 }
 
-// grow adds the share of a flow, in attempts a second, since the last time.
+// refill adds the node's share of a flow, in attempts per second, since the last refill.
 func (s *slowStart) refill(flow float64, now time.Duration) {
 	s.allowance = min(maxAllowance, s.allowance+s.share*flow*(now-s.refilledAt).Seconds())
 	s.refilledAt = now
 }
 
-// spend books an attempt; one that was not allowed is pending.
+// spend subtracts an attempt from the allowance. Attempts sent beyond the allowance make it negative, down to minAllowance.
 func (s *slowStart) spend() {
 	if s.share < 1 {
 		s.allowance = max(minAllowance, s.allowance-1)
 	}
 }
 
-// capacityShare is the share of its usual load that a node may get so long after its start. All brokers at once would overload a node
-// that is warming up; if each keeps to this share of what it sends a warmed-up node, by a capacity that grows evenly, so does their sum.
+// capacityShare returns the share of the usual load that a node may get at a given age. It assumes that capacity grows linearly over the
+// warm-up time. If every broker sends the node at most this share of what it sends a warmed-up node, the sum over all brokers stays
+// within the node's capacity too.
 func capacityShare(s *decision.Settings, age time.Duration) float64 {
 	capacity := s.InitialCapacity + (1-s.InitialCapacity)*float64(max(0, age))/float64(s.WarmUpTime)
 	return min(1, slowStartSafety*s.OverloadMultiple*capacity)
 }
 
-// beginWarmUp has a node warm up if it started a short while ago. What was known of it before its start no longer counts.
+// beginWarmUp marks the node as warming up if it started less than the warm-up time ago, and resets what was learned before its start.
 func (n *nodeHealth) beginWarmUp() {
 	age := n.router.now - n.startedAt
 	if age >= n.router.settings.WarmUpTime {
@@ -62,8 +63,8 @@
 	n.router.log(logWarmingUp, n.id, age)
 }
 
-// endSlowStart ends the warm-up of a node after its time. An unconfirmed node that has answered is warmed up after the same time,
-// whenever it started.
+// endSlowStart ends the warm-up of the node once the warm-up time has passed. An unconfirmed node that has answered counts as confirmed
+// after the same time, as by then it has warmed up whenever it started.
 func (n *nodeHealth) endSlowStart() {
 	r := n.router
 	answered := n.lastResponseAt > n.unconfirmedSince
@@ -76,12 +77,13 @@
 	}
 }
 
-// nodeFlows are attempts a second to a warmed-up node.
+// nodeFlows holds the flow to a warmed-up node, in attempts per second: the mean over the fleet, and over each cell.
 type nodeFlows struct {
 	fleet  rate
 	byCell []rate
 }
 
+// add counts an attempt to a warmed-up node of a cell.
 func (f *nodeFlows) add(t *endpointTable, cell int, now time.Duration) {
 	c := cell % len(f.byCell)
 	f.fleet.add(now, 1/float64(t.warmedUp))
@@ -89,8 +91,12 @@
 }
 
 // slowStartAdmits reports whether a node that is warming up may be sent an attempt. Its allowance grows by its share of the flow to a
-// warmed-up node: the present one in its cell, or the usual one of the fleet where that is more, as a jam must not starve it; at most
-// maxFlowRatio of the usual, as a cell that lacks nodes is sent too much. With nothing in flight it may have one at its interval.
+// warmed-up node, which is the current flow in its cell, but
+//
+//   - at least the usual flow of the fleet, so that the node still gets traffic while its cell is overloaded, and
+//   - at most maxFlowRatio times the usual flow, as the nodes of a cell that lacks nodes are sent too much.
+//
+// A node with no call in flight may also have one attempt per slowStartInterval.
 func (d *dispatcher) slowStartAdmits(e *endpoint) bool {
 	now := d.router.now
 	usual := d.flows.fleet.usual(now)
@@ -101,13 +107,13 @@
 	return e.slowStart.allowance >= 1 || len(e.calls) == 0 && float64(now-e.lastSentAt) >= d.slowStartInterval(e)
 }
 
-// slowStartInterval is the time between attempts to a warming-up node, in nanoseconds, that all brokers together can keep within the
-// share of one core.
+// slowStartInterval returns the time between attempts to a warming-up node, in nanoseconds, at which all brokers together use no more
+// than the node's share of one core.
 func (d *dispatcher) slowStartInterval(e *endpoint) float64 {
 	return float64(d.router.settings.BrokerCount) * float64(d.latency.lowPoint) / e.slowStart.share
 }
 
-// beginSlowStart starts the allowance of a node at a time of this broker's own, so that brokers do not send their first attempts at once.
+// beginSlowStart initialises the slow start of a node at random, so that the brokers do not send their first attempts at the same time.
 func (d *dispatcher) beginSlowStart(e *endpoint) {
 	r := d.router
 	e.slowStart.allowance = r.random.share()
@@ -115,36 +121,40 @@
 	e.lastSentAt = r.now - time.Duration(r.random.share()*d.slowStartInterval(e))
 }
 
-// confirmation limits the calls to a node whose entry in the endpoint list is unconfirmed. A cached list does not tell which nodes have
-// just started or left. Brokers that come back together would overload those that are cold and wait in vain for those that are gone.
+// confirmation limits the calls to a node whose entry in the endpoint list is unconfirmed. A cached list does not show which nodes have
+// just started or left. Without the limit, brokers that restart together would overload nodes that are cold, and wait for nodes that
+// are gone.
 type confirmation struct {
-	since        time.Duration // when it became unconfirmed; 0: it is confirmed
+	since        time.Duration // when the node became unconfirmed; 0: it is confirmed
 	window       float64       // calls that may be in flight
 	backoffUntil time.Duration
-	startOffset  float64 // from 0 to 1: this broker's place in the time over which brokers spread their first calls
+	startOffset  float64 // from 0 to 1: this broker's random place in the period over which brokers spread their first calls
 }
 
-// admits reports whether another call may be sent. interval is what all brokers can keep; where one call from each of them at once is
-// more than a cold node stands, the first calls are spread over it.
+// admits reports whether another call may be sent. All brokers together may send the node one call each per interval. If the interval is
+// longer than overloadAfter, a call from every broker at once would overload a cold node, so the first calls are spread over the
+// difference.
 func (c *confirmation) admits(e *endpoint, now, interval, overloadAfter time.Duration) bool {
 	wait := c.startOffset * float64(interval-overloadAfter)
 	begun := e.lastSentAt > c.since || float64(now-c.since) >= wait
 	return begun && now >= c.backoffUntil && float64(len(e.calls)+1) <= c.window
 }
 
+// confirmationAdmits reports whether a node is confirmed or its window allows another call.
 func (d *dispatcher) confirmationAdmits(e *endpoint) bool {
 	c := &e.confirmation
 	return c.since <= 0 || c.admits(e, d.router.now, d.unconfirmedInterval(), d.router.settings.OverloadAfter)
 }
 
-// unconfirmedInterval is the time between attempts that all brokers can keep to a node that may be cold.
+// unconfirmedInterval returns the time between attempts of one broker at which all brokers together do not overload a node that may be
+// cold.
 func (d *dispatcher) unconfirmedInterval() time.Duration {
 	s := d.router.settings
 	share := max(minUnconfirmedShare, min(1, slowStartSafety*s.OverloadMultiple*s.InitialCapacity))
 	return time.Duration(float64(s.BrokerCount) * float64(d.latency.lowPoint) / share)
 }
 
-// adaptWindow has the window of an unconfirmed node follow how an attempt to it ended; after a failure the node gets a pause.
+// adaptWindow widens the window of an unconfirmed node after an answer. After a failure it narrows the window and starts a backoff.
 func (d *dispatcher) adaptWindow(e *endpoint, outcome decision.Outcome, elapsed time.Duration) {
 	c := &e.confirmation
 	switch {
