--- a/internal/decision/routing/health_check.go
+++ b/internal/decision/routing/health_check.go
@@ -6,33 +6,33 @@
 	"flaxfront/internal/decision"
 )
 
-// Signs of life are answers to attempts and health checks.
+// An answer to an attempt or health check shows that a node is alive.
 const (
-	livenessValidity   = 500 * time.Millisecond
-	maxHealthCheckWait = 200 * time.Millisecond // a first attempt waits for a node that shows life
-	lossWeight         = 0.5                    // of one health check in the loss rate
+	livenessValidity   = 500 * time.Millisecond // after the answered attempt or health check was sent
+	maxHealthCheckWait = 200 * time.Millisecond // the longest that a first attempt waits for the result of a health check
+	lossWeight         = 0.5                    // of one health check in the moving average of the loss rate
 )
 
-// healthCheckState is what is known of a node by health checks.
+// healthCheckState holds what is known of a node's liveness.
 type healthCheckState struct {
-	lastAliveAt time.Duration // when the latest attempt or health check was sent that it answered
-	inFlight    bool
-	lossRate    float64 // moving average of health checks that it did not answer
+	lastAliveAt time.Duration // when the latest answered attempt or health check was sent
+	inFlight    bool          // a health check is in flight
+	lossRate    float64       // moving average: share of health checks that the node did not answer
 }
 
-// needsHealthCheck reports whether a node has shown no sign of life lately, though it could be asked for one.
+// needsHealthCheck reports whether health checks are allowed and the node has not shown within livenessValidity that it is alive.
 func (d *dispatcher) needsHealthCheck(e *endpoint) bool {
 	return d.router.settings.HealthChecksAllowed && d.router.now-e.health.lastAliveAt > livenessValidity
 }
 
-// mayAwaitHealthCheck reports whether a first attempt of a query may wait for a node that shows life.
+// mayAwaitHealthCheck reports whether the first attempts of a query may still wait for the results of health checks.
 func (d *dispatcher) mayAwaitHealthCheck(q *query) bool {
 	now := d.router.now
 	return now < q.checkedAt+maxHealthCheckWait && now+d.latency.p50 <= q.deadline
 }
 
-// checkReplicas sends health checks to the replicas of a query's shard requests that have shown no sign of life lately. What a broker
-// with little traffic knows of a node is older than most faults last, and a query of many shard requests meets each of them.
+// checkReplicas sends health checks to those replicas of a query's shard requests that need one. On a broker with little traffic, what is
+// known of a node is older than most faults last, and a query with many shard requests would run into every one of these faults.
 func (d *dispatcher) checkReplicas(q *query) {
 	if !d.router.settings.HealthChecksAllowed {
 		return
@@ -49,6 +49,7 @@
 	}
 }
 
+// handleHealthCheckEnded records the result of a health check.
 func (d *dispatcher) handleHealthCheckEnded(event *decision.Event) {
 	r := d.router
 	index, known := r.indexes[event.Node]
--- a/internal/decision/routing/idle_connections.go
+++ b/internal/decision/routing/idle_connections.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	idleErrorWeight   = 0.05                   // of one attempt in the error rates
-	minIdleErrorRate  = 0.3                    // above it idle connections are closed before use
-	minIdleErrorRatio = 4.0                    // of the error rates over idle and over fresh connections
+	idleErrorWeight   = 0.05                   // of one attempt in the moving averages of the error rates
+	minIdleErrorRate  = 0.3                    // above it idle connections are closed before use, if minIdleErrorRatio is exceeded too
+	minIdleErrorRatio = 4.0                    // of the error rate over idle connections to that over fresh ones
 	minIdleTime       = 200 * time.Millisecond // from which a connection counts as idle
 	closeIdleFor      = 20 * time.Second
-	quickResetDivisor = 16 // a reset within the p50 over this tells of a connection that was cut
+	quickResetDivisor = 16 // a reset within the p50 divided by this means that the connection had been cut before
 )
 
-// attemptError is how much of an attempt failed, for an error rate.
+// attemptError is the contribution of an attempt to an error rate.
 type attemptError float64
 
 const (
@@ -23,16 +23,17 @@
 	attemptFailed   attemptError = 1
 )
 
-// idleConnections learns whether something between this broker and the nodes cuts connections that stand idle. The next attempt over
-// such a connection breaks, or is lost without a word: that is most attempts of a broker with little traffic.
+// idleConnections detects whether something between this broker and the nodes cuts idle connections. The next
+// attempt over such a connection is reset, or gets no answer at all. On a broker with little traffic this would hit most attempts.
 type idleConnections struct {
-	errorRate          float64       // of attempts over connections that stood idle
-	freshErrorRate     float64       // of the others
-	shortestFailedIdle time.Duration // idle connections that stood so long fail; never: none did
-	closeUntil         time.Duration
+	errorRate          float64       // of attempts over connections that had been idle
+	freshErrorRate     float64       // of attempts over other connections
+	shortestFailedIdle time.Duration // shortest idle time after which an attempt failed; never: none did
+	closeUntil         time.Duration // until then, connections that have been idle for shortestFailedIdle are closed before use
 }
 
-// observe takes how an attempt ended that was sent after the connection had stood idle for a time. It reports whether closing begins.
+// observe records the outcome of an attempt and how long its connection had been idle before. It reports whether idle connections are
+// closed from now on.
 func (c *idleConnections) observe(idle time.Duration, failed attemptError, now time.Duration) (begins bool) {
 	if idle < minIdleTime {
 		c.freshErrorRate += idleErrorWeight * (float64(failed) - c.freshErrorRate)
@@ -43,7 +44,7 @@
 		return false
 	}
 	c.shortestFailedIdle = min(c.shortestFailedIdle, idle)
-	if c.errorRate < 2*idleErrorWeight { // the failures before were long ago
+	if c.errorRate < 2*idleErrorWeight { // earlier failures were long ago
 		c.shortestFailedIdle = idle
 	}
 	cut := c.errorRate > minIdleErrorRate && c.errorRate > minIdleErrorRatio*c.freshErrorRate
@@ -54,11 +55,12 @@
 	return true
 }
 
-// closeBeforeUse reports whether connections that stood idle for a time are closed rather than used.
+// closeBeforeUse reports whether a connection that has been idle for the given time has to be closed and not used.
 func (c *idleConnections) closeBeforeUse(idle, now time.Duration) bool {
 	return idle >= c.shortestFailedIdle && now < c.closeUntil
 }
 
+// observeConnection records how an attempt fared over its connection, and logs if idle connections are closed from now on.
 func (d *dispatcher) observeConnection(a *attempt, failed attemptError) {
 	c := &d.idleConnections
 	if c.observe(a.idle, failed, d.router.now) {
@@ -66,12 +68,12 @@
 	}
 }
 
-// isQuickReset reports whether an attempt was reset so soon that the connection must have been cut before.
+// isQuickReset reports whether an attempt was reset so soon after sending that the connection must have been cut before.
 func (d *dispatcher) isQuickReset(e *decision.Event) bool {
 	return e.Outcome == decision.ConnectionReset && e.Elapsed < d.latency.p50/quickResetDivisor
 }
 
-// renewConnections has the node's next attempts go over fresh connections.
+// renewConnections has the open connections to the node closed, so that the next attempts use new ones.
 func (n *nodeHealth) renewConnections() {
 	n.router.act(decision.Action{Kind: decision.CloseIdleConnections, Node: n.id})
 }
--- a/internal/decision/routing/latency.go
+++ b/internal/decision/routing/latency.go
@@ -7,50 +7,52 @@
 
 // Latencies of the fleet.
 const (
-	sampleCount            = 96 // latencies kept
-	samplesPerUpdate       = 16 // recorded between two computations of the quantiles
-	minSamples             = 24 // for a computation
+	sampleCount            = 96 // number of latencies kept
+	samplesPerUpdate       = 16 // latencies recorded between two computations of the quantiles
+	minSamples             = 24 // below this number the quantiles are not computed
 	hedgeQuantile          = 0.95
-	lowPointGrowth         = 1.005 // of the low point at each computation, so that it follows a lasting change
-	assumedP50Divisor      = 8     // until it is known, the p50 is the shortest latency objective over this
+	lowPointGrowth         = 1.005 // the most that the low point may rise by at each computation, so that it follows lasting changes only
+	assumedP50Divisor      = 8     // until latencies are known, the p50 is taken to be the shortest latency objective divided by this
 	assumedP95Divisor      = 2
 	assumedLowPointDivisor = 12
-	crowdedLatencyFactor   = 1.5 // times the low point of the p50; above it replicas are crowded
+	crowdedLatencyFactor   = 1.5 // times the low point; replicas with a higher latency are crowded
 )
 
 // Latency of the replicas of a shard.
 const (
-	minLatencyWeight    = 0.1  // of one latency in the mean, where many come
-	maxLatencyWeight    = 0.35 // after a long time without any
+	minLatencyWeight    = 0.1  // of one latency in the moving average, if latencies come often
+	maxLatencyWeight    = 0.35 // of the first latency after a long time without any
 	latencyTimeConstant = 4 * time.Second
 )
 
-// fleetLatency holds the latest latencies of answered shard requests and quantiles of them.
+// fleetLatency holds the latest latencies of answered shard requests over all nodes, and their quantiles.
 type fleetLatency struct {
-	samples          [sampleCount]time.Duration // a ring
+	samples          [sampleCount]time.Duration // ring buffer
 	sorted           [sampleCount]time.Duration
 	recorded         int
-	recordedAtUpdate int  // how many were recorded when the quantiles were last computed
-	known            bool // the quantiles were computed; before, they are assumed
+	recordedAtUpdate int  // value of recorded when the quantiles were last computed
+	known            bool // the quantiles are computed from samples; false: they are assumed
 	p50              time.Duration
 	p95              time.Duration
-	lowPoint         time.Duration // of p50
+	lowPoint         time.Duration // of p50: falls with it at once and rises slowly
 }
 
-// assume sets quantiles by the shortest latency objective, until there are samples.
+// assume sets the quantiles that hold until there are samples, from the shortest latency objective.
 func (f *fleetLatency) assume(objective time.Duration) {
 	f.p50 = objective / assumedP50Divisor
 	f.p95 = objective / assumedP95Divisor
 	f.lowPoint = objective / assumedLowPointDivisor
 }
 
+// record adds the latency of an answered shard request.
 func (f *fleetLatency) record(latency time.Duration) {
 	f.samples[f.recorded%sampleCount] = latency
 	f.recorded++
 }
 
-// update computes the quantiles anew if enough was recorded since. It is called as queries end: the first answers of a query with many
-// shard requests are its quickest, and would have all others hedged.
+// update recomputes the quantiles if enough latencies have been recorded since the last time. It is called when a query ends and not at
+// each answer: the first answers of a query with many shard requests are its fastest, and quantiles computed from those alone would get
+// all its other shard requests hedged.
 func (f *fleetLatency) update() {
 	if f.recorded-f.recordedAtUpdate < samplesPerUpdate {
 		return
@@ -71,20 +73,20 @@
 	}
 }
 
-// faded is a mean latency that was learned at a time, as far as it is remembered; the rest is taken for the p50.
+// decayedMean returns a mean latency, last updated at learnedAt, that decays towards the p50 of the fleet.
 func (f *fleetLatency) decayedMean(mean float64, learnedAt, now time.Duration) float64 {
 	usual := float64(f.p50)
 	return usual + (mean-usual)*decayFactor(now-learnedAt, latencyTimeConstant)
 }
 
-// shardLatency is the latency of the replicas of a shard.
+// shardLatency holds the mean latency of the replicas of a shard.
 type shardLatency struct {
-	perCall   float64 // mean of latency over (calls in flight a replica + 1), in nanoseconds
-	mean      float64 // of the latency, in nanoseconds
+	perCall   float64 // mean of latency / (calls in flight per replica + 1), in nanoseconds
+	mean      float64 // mean latency, in nanoseconds
 	updatedAt time.Duration
 }
 
-// observe takes a latency into the means.
+// observe updates the means with a latency, and with the calls in flight per replica when the attempt was sent.
 func (s *shardLatency) observe(fleet *fleetLatency, latency time.Duration, callsPerReplica float64, now time.Duration) {
 	weight := min(maxLatencyWeight, max(minLatencyWeight, 1-decayFactor(now-s.updatedAt, latencyTimeConstant)))
 	s.perCall = fleet.decayedMean(s.perCall, s.updatedAt, now)
@@ -94,24 +96,25 @@
 	s.updatedAt = now
 }
 
-// latencyOf is the latency of the replicas of a shard. Shards whose replicas are the same nodes share it.
+// latencyOf returns the latency of the replicas of a shard. Shards with the same replicas share it.
 func (d *dispatcher) latencyOf(shard int) *shardLatency {
 	return &d.shardLatencies[shard%len(d.shardLatencies)]
 }
 
-// isCrowded reports whether the whole fleet, or the replicas of a shard request, are slow.
+// isCrowded reports whether the fleet as a whole, or the replicas of a shard request, are much slower than the low point.
 func (d *dispatcher) isCrowded(sr *shardRequest) bool {
 	s := d.latencyOf(sr.shard)
 	latency := max(float64(d.latency.p50), d.latency.decayedMean(s.mean, s.updatedAt, d.router.now))
 	return latency > crowdedLatencyFactor*float64(d.latency.lowPoint)
 }
 
-// learnLatency takes the latency of an answered attempt into that of the shard's replicas.
+// learnLatency updates the latency of the shard's replicas with that of an attempt.
 func (d *dispatcher) learnLatency(sr *shardRequest, a *attempt, latency time.Duration) {
 	d.latencyOf(sr.shard).observe(&d.latency, latency, a.callsPerReplica, d.router.now)
 }
 
-// learnFromCancelled takes the age of an attempt that was cancelled for a latency: its answer would have taken longer still.
+// learnFromCancelled learns from an attempt that was cancelled. Its answer would have taken longer than its age, so the age is a lower
+// bound on its latency.
 func (d *dispatcher) learnFromCancelled(sr *shardRequest, a *attempt) {
 	age := d.router.now - a.sentAt
 	if age > d.latency.p95 {
@@ -125,13 +128,13 @@
 	}
 }
 
-// expectedWait is the latency expected of an attempt to a node, in nanoseconds: by the latency of the shard's replicas, and no less
-// than what the second oldest of the node's calls has waited; the oldest may be stuck alone.
+// expectedWait returns the latency expected of an attempt to a node, in nanoseconds. It is derived from the latency of the shard's
+// replicas, and is at least what the second oldest of the node's pending calls has waited; the oldest may be an exception.
 func (d *dispatcher) expectedWait(sr *shardRequest, index nodeIndex) float64 {
 	now := d.router.now
 	e := &d.endpoints.all[index]
 	waited := time.Duration(0)
-	if pending := e.pendingCalls(); len(pending) > 0 && e.available() { // a trial is sent all the same
+	if pending := e.pendingCalls(); len(pending) > 0 && e.available() { // a long wait must not prevent trial attempts
 		waited = now - pending[min(1, len(pending)-1)].sentAt
 	}
 	s := d.latencyOf(sr.shard)
@@ -139,8 +142,8 @@
 	return max(expected, float64(waited))
 }
 
-// usualLatency is what a node's latency is compared with: the p50 of the fleet, or the mean of the warmed-up nodes that share shards
-// with it where that is longer, as in a crowded group all nodes are slow.
+// usualLatency returns the latency that a node's latency is compared with: the p50 of the fleet, or the mean of the other warmed-up nodes
+// that share shards with the node if that is longer, as all nodes of a crowded group are slow.
 func (r *Router) usualLatency(n *nodeHealth) time.Duration {
 	sum := time.Duration(0)
 	count := time.Duration(0)
--- a/internal/decision/routing/list_polling.go
+++ b/internal/decision/routing/list_polling.go
@@ -6,14 +6,14 @@
 	"flaxfront/internal/decision"
 )
 
-// Backoff between polls of the endpoint list that fail.
+// Backoff after a failed poll of the endpoint list.
 const (
 	initialPollBackoff = 500 * time.Millisecond
 	maxPollBackoff     = time.Second
-	minBackoffShare    = 0.5 // a pause is this much of the backoff, and up to one backoff more
+	minBackoffShare    = 0.5 // the wait is chosen at random between this and 1 more than this, times the backoff
 )
 
-// subscribeIfDue asks for the endpoint list unless a poll or watch is out.
+// subscribeIfDue asks the front end to poll or watch the endpoint list, unless a poll or watch is active or the backoff is not over.
 func (w *listWatcher) subscribeIfDue() {
 	r := w.router
 	w.next = never
@@ -28,7 +28,8 @@
 	r.act(decision.Action{Kind: decision.SubscribeList})
 }
 
-// scheduleNextPoll sets the pause before the next poll. It is random, as brokers that poll in step keep a jammed discovery jammed.
+// scheduleNextPoll sets the time of the next poll after one has failed. The wait is random, as brokers that poll at the same time would
+// keep an overloaded discovery overloaded.
 func (w *listWatcher) scheduleNextPoll() {
 	r := w.router
 	w.pollAt = r.now + time.Duration((minBackoffShare+r.random.share())*float64(w.backoff))
--- a/internal/decision/routing/slow_start.go
+++ b/internal/decision/routing/slow_start.go
@@ -18,7 +18,7 @@
 // Window of an unconfirmed node: how many calls it may have in flight.
 const (
 	initialWindow          = 1
-	windowGrowthPerAnswer  = 0.25
+	windowGrowthPerAnswer  = 0.25 // at most; less if OverloadMultiple is below 2
 	windowDivisorOnFailure = 2
 )
 
--- a/internal/decision/routing/zone_health.go
+++ b/internal/decision/routing/zone_health.go
@@ -7,40 +7,42 @@
 )
 
 const (
-	zoneErrorWeight       = 0.1 // of one attempt in a zone's error rate
-	maxZoneErrorRate      = 0.5 // above it a zone is avoided
+	zoneErrorWeight       = 0.1 // of one attempt in the moving average of a zone's error rate
+	maxZoneErrorRate      = 0.5 // above it a zone is avoided, unless all zones fail (zoneErrorDivisor)
 	zoneErrorTimeConstant = 20 * time.Second
-	zoneErrorDivisor      = 2 // unless the zone that fails least has more than the rate over this
+	zoneErrorDivisor      = 2 // the lowest error rate of any zone has to be below the zone's rate divided by this
 )
 
-// zoneHealth is the error rate of the attempts to a zone.
+// zoneHealth holds the error rate of the attempts to a zone.
 type zoneHealth struct {
 	errorRate float64
 	updatedAt time.Duration
 	avoided   bool
 }
 
-// zoneTable holds the zones by their numbers.
+// zoneTable holds the zones, indexed by their numbers.
 type zoneTable []zoneHealth
 
+// grow adds zones until there are at least count.
 func (t *zoneTable) grow(count int) {
 	for len(*t) < count {
 		*t = append(*t, zoneHealth{})
 	}
 }
 
-// current is the error rate as far as it is remembered.
+// currentErrorRate returns the error rate, decayed by the time since the last update.
 func (z *zoneHealth) currentErrorRate(now time.Duration) float64 {
 	return z.errorRate * decayFactor(now-z.updatedAt, zoneErrorTimeConstant)
 }
 
+// observe updates the error rate with an attempt: 1 for a failed one, 0 for an answered one.
 func (z *zoneHealth) observe(failed float64, now time.Duration) {
 	z.errorRate = z.currentErrorRate(now)*(1-zoneErrorWeight) + zoneErrorWeight*failed
 	z.updatedAt = now
 }
 
-// observeZone takes the end of an attempt into the error rate of the node's zone: answers, and failures that a zone out of reach would
-// cause. A zone that cannot be reached would otherwise have to be found out node by node.
+// observeZone updates the error rate of a node's zone with the end of an attempt. Only answers count, and those failures that an
+// unreachable zone would cause. With the rate, an unreachable zone is detected as a whole and not node by node.
 func (d *dispatcher) observeZone(e *endpoint, outcome decision.Outcome, elapsed time.Duration) {
 	z := &d.zones[e.zone]
 	now := d.router.now
@@ -54,8 +56,8 @@
 	}
 }
 
-// updateAvoidedZones decides which zones are avoided: those most of whose attempts fail, while those to another zone do not. The replicas of an
-// avoided zone count as degraded.
+// updateAvoidedZones decides which zones are avoided: those to which most attempts fail, while another zone has a much lower error rate.
+// The replicas in an avoided zone count as degraded.
 func (d *dispatcher) updateAvoidedZones() {
 	now := d.router.now
 	lowest := 1.0
