--- a/internal/decision/routing/completion.go
+++ b/internal/decision/routing/completion.go
@@ -16,8 +16,7 @@
 	majorityTolerance         = 20 * time.Millisecond // remaining times that differ by no more count as equal
 )
 
-// setDeadlines sets the time at which a new query is answered with the answers that have come, and the time by which it must have a
-// result.
+// setDeadlines sets the time at which a new query is answered with what has been received by then, and the latest time for its result.
 func (d *dispatcher) setDeadlines(q *query, e *decision.Event) {
 	r := d.router
 	q.wholeDeadline = r.now + min(q.queryType.LatencyObjective, e.RemainingTime) - deadlineMargin
@@ -29,7 +28,8 @@
 }
 
 // setTimeSpent estimates how much of its timeout the client of a query has spent on earlier tries. If a query that may be a retry leaves
-// less time than is usual for its type, the client counts its timeout from its first try; the difference is the time spent.
+// less time than is usual for its type, the client counts its timeout from its first try; the part of the timeout that is no longer left
+// has been spent.
 func (d *dispatcher) setTimeSpent(q *query, e *decision.Event) {
 	usual := d.usualRemainingTime[e.Type].vote(e.RemainingTime)
 	mayBeRetry := e.Retry || !d.router.settings.ClientsMarkRetries
--- a/internal/decision/routing/degradation.go
+++ b/internal/decision/routing/degradation.go
@@ -8,9 +8,9 @@
 // Degraded nodes.
 const (
 	minDegradedRatio        = 2.0  // of a node's latency to the usual one, from which the node is degraded
-	maxCostFactor           = 10.0 // the most that each call of a degraded node counts
+	maxCostFactor           = 10.0 // the most calls that one call to a degraded node counts as
 	nodeLatencyTimeConstant = 5 * time.Second
-	nodeLatencyIntervals    = 4   // times the send interval, if longer, is the time constant
+	nodeLatencyIntervals    = 4   // the time constant is at least this many send intervals
 	minEjectingBrokers      = 1.5 // decaying count of the other brokers that have ejected a node, from which it is degraded
 	gossipTimeConstant      = 4 * time.Second
 )
--- a/internal/decision/routing/ejection.go
+++ b/internal/decision/routing/ejection.go
@@ -8,7 +8,7 @@
 	maxErrorRate          = 0.45 // above it a node is ejected
 	maxReinstateErrorRate = 0.25 // below it an ejected node is reinstated
 	failureShareWeight    = 0.05 // of one attempt in the moving average of the failure share
-	commonFailureFactor   = 2.0  // times the median failure share of all nodes is added to maxErrorRate
+	commonFailureFactor   = 2.0  // this times the median failure share of all nodes is added to maxErrorRate
 	maxErrorRateBound     = 0.95 // for the sum
 )
 
--- a/internal/decision/routing/ejection_test.go
+++ b/internal/decision/routing/ejection_test.go
@@ -9,8 +9,8 @@
 	"flaxfront/internal/decision"
 )
 
-// A node that answers nothing, or rejects at once (incident i06ac50), gets a trial now and then and is
-// reinstated once it answers.
+// A node that does not answer, or rejects every attempt at once, gets only occasional trial attempts, and is reinstated once it answers
+// again.
 func TestUnresponsiveOrRejectingNode(t *testing.T) {
 	for _, quick := range []bool{false, true} {
 		r := newRig(smallSettings(), 6)
@@ -29,14 +29,14 @@
 			r.endAttempts(decision.OK, 95*ms, func(n decision.NodeID) bool { return n != faulty || i > 800 })
 			r.step(5 * ms)
 			if n := len(r.sends[faulty]) - before; i == 800 {
-				require(t, n <= 5, "%d sent to a faulty node in 2 s", n)
+				require(t, n <= 5, "%d attempts sent to the faulty node in 2 s, want at most 5", n)
 			}
 		}
-		require(t, !r.router.nodes[2].ejected && r.violation == "", "it answers again and is in service: %s", r.violation)
+		require(t, !r.router.nodes[2].ejected && r.violation == "", "still ejected though it answers again, or a rule is broken: %s", r.violation)
 	}
 }
 
-// All replicas ejected: a little still goes out, and again after a while (incident ib6afb6).
+// If all replicas are ejected, each still gets a few attempts, and more after a while.
 func TestAllReplicasEjected(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	for _, n := range r.router.nodes {
@@ -51,21 +51,20 @@
 				n++
 			}
 		}
-		require(t, n == want, "query %d: %d shard requests sent", i, n)
+		require(t, n == want, "query %d: %d shard requests sent, want %d", i, n, want)
 	}
 }
 
-// A lone reset is no restart (incident ib51c67).
+// A single connection reset does not mean that the node has restarted.
 func TestSingleReset(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	n := r.router.nodes[0]
 	n.handle(&message{kind: attemptEnded, outcome: decision.ConnectionReset})
 	n.handle(&message{kind: attemptEnded, outcome: decision.OK, elapsed: 50 * ms})
-	require(t, !n.warmingUp && !n.ejected, "warming up after a lone reset")
+	require(t, !n.warmingUp && !n.ejected, "the node is warming up or ejected after a single reset")
 }
 
-// A data centre that answers nothing is found out as one (incident if2893d); one faulty node is not held
-// against its zone, and nothing is avoided where all zones fail alike.
+// A zone none of whose nodes answers is avoided as a whole; no zone is avoided if all zones fail alike.
 func TestZoneAvoided(t *testing.T) {
 	r := newRig(smallSettings(), 12)
 	for _, e := range r.router.dispatcher.endpoints.all[:6] {
@@ -82,18 +81,17 @@
 		r.step(5 * ms)
 		if i == 400 {
 			before = len(r.sends[nodeID(0)]) + len(r.sends[nodeID(3)])
-			require(t, r.router.dispatcher.zones[1].avoided, "zone 1 is avoided")
+			require(t, r.router.dispatcher.zones[1].avoided, "zone 1 is not avoided though its nodes do not answer")
 		}
 	}
 	after := len(r.sends[nodeID(0)]) + len(r.sends[nodeID(3)]) - before
-	require(t, after < 8 && r.violation == "", "%d sent to two avoided nodes in 2 s: %s", after, r.violation)
+	require(t, after < 8 && r.violation == "", "%d attempts sent to an avoided zone in 2 s, want fewer than 8: %s", after, r.violation)
 	r.router.dispatcher.zones[0] = zoneHealth{errorRate: 0.9, updatedAt: r.now}
 	r.router.dispatcher.updateAvoidedZones()
-	require(t, !r.router.dispatcher.zones[1].avoided, "all zones fail alike")
+	require(t, !r.router.dispatcher.zones[1].avoided, "zone 1 is avoided though all zones fail alike")
 }
 
-// Connections that fail after idling are closed before use, not where fresh ones fail alike (incidents
-// i4568cc, i417a75).
+// Connections that fail after being idle are closed before use, but not if fresh connections fail as often.
 func TestIdleConnectionsCut(t *testing.T) {
 	for fresh, want := range []int{2, 0} {
 		r := newRig(smallSettings(), 2)
@@ -110,11 +108,12 @@
 			r.step(5 * ms)
 			r.step(950 * ms)
 		}
-		require(t, n == 2*want && r.violation == "", "%d closed, %d expected: %s", n, 2*want, r.violation)
+		require(t, n == 2*want && r.violation == "", "idle connections closed %d times, want %d: %s", n, 2*want, r.violation)
 	}
 }
 
-// What other brokers say thins a node's traffic, is forgotten, and makes no difference where it makes no sense.
+// If two other brokers report that they have ejected a node, it is degraded for a while. Reports on unknown nodes and trailing bytes are
+// ignored.
 func TestGossip(t *testing.T) {
 	settings := smallSettings()
 	settings.GossipAllowed = true
@@ -128,16 +127,17 @@
 		faulty(nodeID(99))
 	}
 	r.step(5 * ms)
-	require(t, r.router.nodes[0].costFactor == maxCostFactor && !r.router.nodes[0].ejected, "two brokers' word: degraded, not ejected")
+	require(t, r.router.nodes[0].costFactor == maxCostFactor && !r.router.nodes[0].ejected,
+		"node 0 is ejected, or not degraded, after two brokers have reported that they ejected it")
 	r.step(4 * gossipTimeConstant)
 	r.step(5 * ms)
-	require(t, r.router.nodes[0].costFactor == 1, "forgotten")
+	require(t, r.router.nodes[0].costFactor == 1, "node 0 is still degraded long after the reports")
 	r.router.nodes[1].eject(logEjectedErrors, 1)
-	require(t, len(actionsOf(r.step(5*ms), decision.SendGossip)) == 1 && r.violation == "", "other brokers are notified: %s", r.violation)
+	require(t, len(actionsOf(r.step(5*ms), decision.SendGossip)) == 1 && r.violation == "",
+		"the other brokers are not notified once of an ejection: %s", r.violation)
 }
 
-// A node whose trial is due is one candidate among its like: many brokers must not all draw it
-// (kisumu-leases-later big-1).
+// A node whose trial attempt is due is not preferred to other replicas. Otherwise many brokers would all send it an attempt at once.
 func TestDueTrialIsNotPreferred(t *testing.T) {
 	tried := 0
 	for seed := range uint64(60) {
@@ -150,11 +150,11 @@
 		r.step(5 * ms)
 		tried += len(r.sends[nodeID(0)])
 	}
-	require(t, tried > 8 && tried < 35, "%d of 60 brokers tried it at once, a third expected", tried)
+	require(t, tried > 8 && tried < 35, "%d of 60 brokers sent the ejected node an attempt at once, want about a third", tried)
 }
 
-// A broker that meets a node once in ten seconds heeds its last answer until then, and tries a node that
-// failed no sooner (kisumu-leases-later big-2, incident i923646).
+// A broker that sends a node one attempt in ten seconds still uses the node's last latency when the next is due, and does not send a
+// failed node a trial attempt any sooner.
 func TestNodesWithLittleTraffic(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	r.step(time.Second)
@@ -168,14 +168,14 @@
 	r.router.now = r.now
 	slow.handle(&message{kind: ticked, usualLatency: 100 * ms, sendInterval: 10 * time.Second})
 	dead.handle(&message{kind: ticked, usualLatency: 100 * ms, sendInterval: 10 * time.Second})
-	require(t, slow.costFactor >= 5, "slow counts for %v", slow.costFactor)
-	require(t, dead.reported.mode == modeEjected, "the dead node is in mode %v", dead.reported.mode)
+	require(t, slow.costFactor >= 5, "cost factor of the slow node is %v, want at least 5", slow.costFactor)
+	require(t, dead.reported.mode == modeEjected, "the unreachable node is in mode %v, want %v", dead.reported.mode, modeEjected)
 }
 
-// Where answers break on the way from all nodes alike, no node is ejected for it and queries are still answered; one
-// node that fails alone is ejected (the churn day, answers lost).
+// If connections from all nodes alike are reset before the answer, nodes are rarely ejected and queries are still answered. A node that
+// is the only one to fail is ejected.
 func TestFailuresAlikeAtAllNodes(t *testing.T) {
-	ejectedStepsOfAll := 0 // where all nodes fail alike
+	ejectedStepsOfAll := 0 // in the runs in which all nodes fail alike
 	for run := range 6 {
 		alone := run == 5
 		r := newRig(smallSettings(), 12)
@@ -212,20 +212,23 @@
 				}
 			}
 			if sends := actionsOf(r.actions, decision.SendAttempt); i > 800 && len(sends) > 0 {
-				require(t, sends[0].ExclusiveConnection != alone, "alone %v: a connection of its own: %v", alone, sends[0].ExclusiveConnection)
+				require(t, sends[0].ExclusiveConnection != alone,
+					"only one node fails: %v, but attempts get exclusive connections: %v", alone, sends[0].ExclusiveConnection)
 			}
 		}
-		require(t, r.violation == "" && answers*100 > final*98, "alone %v: %d of %d answered, %s", alone, answers, final, r.violation)
-		require(t, alone && logged == 0 || !alone && logged == 1, "alone %v: %d changes of mode", alone, logged)
-		require(t, !alone || ejectedSteps > 2000, "ejected for %d steps", ejectedSteps)
+		require(t, r.violation == "" && answers*100 > final*98,
+			"only one node fails: %v, %d of %d queries answered, %s", alone, answers, final, r.violation)
+		require(t, alone && logged == 0 || !alone && logged == 1, "only one node fails: %v, but %d log lines on failures alike", alone, logged)
+		require(t, !alone || ejectedSteps > 2000, "the only node that fails is ejected for %d steps, want more than 2000", ejectedSteps)
 		if !alone {
 			ejectedStepsOfAll += ejectedSteps
 		}
 	}
-	require(t, ejectedStepsOfAll < 5*2000, "ejected for %d steps in five runs", ejectedStepsOfAll)
+	require(t, ejectedStepsOfAll < 5*2000,
+		"nodes are ejected for %d steps in five runs though all fail alike, want fewer than 10000", ejectedStepsOfAll)
 }
 
-// A node that gives no answer for long is tried over a fresh connection, once until it answers, before it is ejected.
+// Before a node that does not answer is ejected, its connections are closed so that it is tried over a fresh one, once until it answers.
 func TestUnansweredConnectionIsRenewed(t *testing.T) {
 	r := newRig(smallSettings(), 6)
 	unresponsive := nodeID(2)
@@ -235,12 +238,12 @@
 		r.query(0, 3*time.Second, 0, 1)
 		r.endAttempts(decision.OK, 20*ms, func(n decision.NodeID) bool { return n != unresponsive || i < 400 || closes > 0 })
 		for _, a := range actionsOf(r.step(5*ms), decision.CloseIdleConnections) {
-			require(t, a.Node == unresponsive && i > 400, "a fresh connection to %v at step %d", a.Node, i)
+			require(t, a.Node == unresponsive && i > 400, "connections to %v closed at step %d", a.Node, i)
 			closes++
 		}
 		if r.router.nodes[2].ejected {
 			ejectedSteps++
 		}
 	}
-	require(t, closes == 1 && ejectedSteps == 0, "%d fresh connections, ejected for %d steps", closes, ejectedSteps)
+	require(t, closes == 1 && ejectedSteps == 0, "connections closed %d times, want once; ejected for %d steps, want 0", closes, ejectedSteps)
 }
--- a/internal/decision/routing/extra_budget_test.go
+++ b/internal/decision/routing/extra_budget_test.go
@@ -27,7 +27,7 @@
 			b := &extraBudget{credit: test.credit}
 			test.steps(b)
 			if got := b.allows(settings, 0); got != test.allows {
-				t.Errorf("allows is %v with credit %v, want %v", got, b.credit, test.allows)
+				t.Errorf("allows returns %v with credit %v, want %v", got, b.credit, test.allows)
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-// The window leaves the minimum, or the share of what was received, less what was sent in it.
+// The window allows the minimum plus a share of the queries and shard requests received in it, less the extra attempts sent in it.
 func TestExtraBudgetWindow(t *testing.T) {
 	settings := &decision.Settings{ExtraAttemptsMin: 1, ExtraAttemptsShare: 0.1, ExtraAttemptsWindow: time.Second, ClockStep: 5 * ms}
 	tests := map[string]struct {
@@ -48,12 +48,12 @@
 		now       time.Duration
 		remaining float64
 	}{
-		"nothing yet":                          {0, nil, 0, 1},
-		"a share of what was received":         {20, nil, 500 * ms, 3},
-		"what was received has left":           {20, nil, time.Second, 1},
-		"what was sent counts":                 {20, []time.Duration{0, 100 * ms}, 500 * ms, 1},
-		"what was sent at the edge has left":   {0, []time.Duration{0, 100 * ms}, time.Second, 0},
-		"what was sent before it has all left": {0, []time.Duration{0, 100 * ms}, 1100 * ms, 1},
+		"nothing yet":                      {0, nil, 0, 1},
+		"a share of what was received":     {20, nil, 500 * ms, 3},
+		"what was received is out of it":   {20, nil, time.Second, 1},
+		"what was sent counts":             {20, []time.Duration{0, 100 * ms}, 500 * ms, 1},
+		"what was sent at its edge is out": {0, []time.Duration{0, 100 * ms}, time.Second, 0},
+		"all that was sent is out of it":   {0, []time.Duration{0, 100 * ms}, 1100 * ms, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 				b.spend(settings, at)
 			}
 			if got := b.remaining(settings, test.now, test.now); got != test.remaining {
-				t.Errorf("%v remaining, want %v", got, test.remaining)
+				t.Errorf("%v extra attempts remaining, want %v", got, test.remaining)
 			}
 		})
 	}
--- a/internal/decision/routing/idle_connections.go
+++ b/internal/decision/routing/idle_connections.go
@@ -23,8 +23,8 @@
 	attemptFailed   attemptError = 1
 )
 
-// idleConnections detects whether something between this broker and the nodes cuts idle connections. The next
-// attempt over such a connection is reset, or gets no answer at all. On a broker with little traffic this would hit most attempts.
+// idleConnections detects whether something between this broker and the nodes cuts idle connections. The next attempt over such a
+// connection is reset, or gets no answer at all. On a broker with little traffic this would hit most attempts.
 type idleConnections struct {
 	errorRate          float64       // of attempts over connections that had been idle
 	freshErrorRate     float64       // of attempts over other connections
--- a/internal/decision/routing/idle_connections_test.go
+++ b/internal/decision/routing/idle_connections_test.go
@@ -13,13 +13,13 @@
 	cut := observation{time.Second, attemptFailed}
 	for name, test := range map[string]struct {
 		observations []observation
-		begins       int // at which observation closing begins, from 1; 0: it does not
+		begins       int // number of the observation, from 1, from which idle connections are closed; 0: they are not
 	}{
 		"idle ones fail, fresh ones do not": {[]observation{cut, cut, cut, cut, cut, cut, cut, cut}, 7},
 		"fewer fail":                        {[]observation{cut, cut, cut, cut, cut, cut}, 0},
-		"fresh ones fail alike": {[]observation{cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut,
+		"fresh ones fail as often": {[]observation{cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut,
 			{0, attemptFailed}, cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut, {0, attemptFailed}, cut}, 0},
-		"what was idle for a moment counts as fresh": {[]observation{{minIdleTime - 1, attemptFailed}, cut, cut, cut, cut, cut, cut, cut}, 8},
+		"idle for less than minIdleTime counts as fresh": {[]observation{{minIdleTime - 1, attemptFailed}, cut, cut, cut, cut, cut, cut, cut}, 8},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := idleConnections{shortestFailedIdle: never}
@@ -30,13 +30,14 @@
 				}
 			}
 			if begins != test.begins {
-				t.Errorf("closing begins at %d, want %d (error rates %.2f, fresh %.2f)", begins, test.begins, c.errorRate, c.freshErrorRate)
+				t.Errorf("closing begins at observation %d, want %d (error rate %.2f over idle, %.2f over fresh connections)",
+					begins, test.begins, c.errorRate, c.freshErrorRate)
 			}
 			if got := c.closeBeforeUse(time.Second, 2*time.Second); got != (test.begins > 0) {
-				t.Errorf("closed before use: %v", got)
+				t.Errorf("closeBeforeUse after 1 s idle returns %v, want %v", got, test.begins > 0)
 			}
 			if c.closeBeforeUse(999*ms, 2*time.Second) || c.closeBeforeUse(time.Second, time.Second+closeIdleFor) {
-				t.Error("closed before use though idle for less, or long after")
+				t.Error("closed before use though idle for less than 1 s, or after closeIdleFor has passed")
 			}
 		})
 	}
--- a/internal/decision/routing/latency_test.go
+++ b/internal/decision/routing/latency_test.go
@@ -16,12 +16,12 @@
 	}
 	f.update()
 	if f.known {
-		t.Errorf("known by %d samples", minSamples-1)
+		t.Errorf("quantiles are known after %d samples, want at least %d", minSamples-1, minSamples)
 	}
 	for i := range 100 {
 		f.record(time.Duration(99-i) * ms)
 	}
-	f.update() // of 0 to 95 ms, the last that are kept
+	f.update() // the samples kept are the last 96: 0 to 95 ms
 	if f.p50 != 48*ms || f.p95 != 91*ms || f.lowPoint != f.p50 || !f.known {
 		t.Errorf("p50 %v, p95 %v, low point %v, known %v", f.p50, f.p95, f.lowPoint, f.known)
 	}
@@ -31,7 +31,7 @@
 	f.update()
 	before := 48 * ms
 	if want := time.Duration(lowPointGrowth * float64(before)); f.p50 != 200*ms || f.lowPoint != want {
-		t.Errorf("p50 %v, low point %v: it must rise slowly", f.p50, f.lowPoint)
+		t.Errorf("p50 %v, low point %v, want 200ms and a slow rise to %v", f.p50, f.lowPoint, want)
 	}
 }
 
@@ -42,7 +42,7 @@
 		candidate time.Duration
 	}{
 		{2500 * ms, 2500 * ms},
-		{2510 * ms, 2500 * ms}, // the same but for the slack
+		{2510 * ms, 2500 * ms}, // equal within majorityTolerance
 		{900 * ms, 2500 * ms},
 		{900 * ms, 2500 * ms},
 		{900 * ms, 900 * ms},
--- a/internal/decision/routing/list_polling.go
+++ b/internal/decision/routing/list_polling.go
@@ -10,7 +10,7 @@
 const (
 	initialPollBackoff = 500 * time.Millisecond
 	maxPollBackoff     = time.Second
-	minBackoffShare    = 0.5 // the wait is chosen at random between this and 1 more than this, times the backoff
+	minBackoffShare    = 0.5 // the wait is random: from this share of the backoff to one backoff more
 )
 
 // subscribeIfDue asks the front end to poll or watch the endpoint list, unless a poll or watch is active or the backoff is not over.
--- a/internal/decision/routing/list_polling_test.go
+++ b/internal/decision/routing/list_polling_test.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision"
 )
 
-// Whatever failed before, the list is polled again soon. A change counts as known 6 s after discovery had it and could be reached;
-// one pause and a call that discovery works through in its turn have to fit in twice, as the first call may be rejected.
+// However many polls have failed, the list is polled again within maxDelay. A change must be known 6 s after discovery has it and is
+// reachable. One backoff and one call that waits in discovery's queue must fit into that twice, as the first call may be rejected.
 func TestListIsPolledAgainInTime(t *testing.T) {
 	const maxDelay = 1500 * ms
 	for seed := range uint64(100) {
@@ -27,7 +27,7 @@
 				}
 				events = nil
 				if now-failed > maxDelay {
-					t.Fatalf("seed %d: not asked again %v after failure %d", seed, now-failed, failure+1)
+					t.Fatalf("seed %d: the list is not polled again %v after failure %d", seed, now-failed, failure+1)
 				}
 			}
 		}
--- a/internal/decision/routing/rejection_test.go
+++ b/internal/decision/routing/rejection_test.go
@@ -7,13 +7,13 @@
 	"flaxfront/internal/decision"
 )
 
-// While shard requests are rejected all over, a node that rejected one is full, not faulty: it is ejected only for the second without an
-// answer between. One that alone turns shard requests away is ejected at once, as it may drain.
+// While many nodes reject attempts, a node that rejects one has a full queue and is not faulty: it is ejected only after two rejections
+// without an answer in between. A node that is the only one to reject attempts is ejected at once, as it may be draining.
 func TestFullNodeIsNotEjected(t *testing.T) {
 	for _, c := range []struct {
 		rejections float64
-		between    decision.Outcome // what comes between two rejections
-		inService  [2]bool          // after each of them
+		between    decision.Outcome // OK: an answer comes between two rejections; Rejected: nothing does
+		inService  [2]bool          // after each of the rejections
 	}{
 		{0, decision.OK, [2]bool{false, false}},
 		{0.2, decision.OK, [2]bool{true, true}},
@@ -32,7 +32,7 @@
 		}
 		n.handleAttemptEnded(decision.Rejected, 0)
 		if got := [2]bool{first, !n.ejected}; got != c.inService {
-			t.Errorf("%.1f rejected, %v between: in service %v, want %v", c.rejections, c.between, got, c.inService)
+			t.Errorf("rejection rate %.1f, outcome %v in between: in service %v, want %v", c.rejections, c.between, got, c.inService)
 		}
 	}
 }
--- a/internal/decision/routing/retry.go
+++ b/internal/decision/routing/retry.go
@@ -25,8 +25,7 @@
 }
 
 // allowAnotherRetry refunds the credit of one extra attempt after an attempt has failed, unless replicas are crowded. More attempts may
-// fail than the credit covers. A retry only replaces the failed attempt and so adds no load, except that a crowded store should not get
-// any more work.
+// fail than the credit covers, and a retry only replaces the work that a failed attempt has lost. At a crowded store it would add work.
 func (d *dispatcher) allowAnotherRetry(sr *shardRequest) {
 	if d.isCrowded(sr) {
 		return
--- a/internal/decision/routing/selection_test.go
+++ b/internal/decision/routing/selection_test.go
@@ -6,7 +6,7 @@
 	"flaxfront/internal/decision"
 )
 
-// The cheapest candidate is selected, and each of equally cheap ones as often.
+// The candidate of lowest cost is selected, and candidates of equal cost equally often.
 func TestCandidateTies(t *testing.T) {
 	random := newRandomSource(1)
 	selected := [4]int{}
@@ -24,7 +24,7 @@
 		}
 	}
 	if selected[0] > 0 {
-		t.Errorf("the dearer candidate is selected in %d rounds", selected[0])
+		t.Errorf("candidate 0 is selected in %d rounds though it costs more than the others", selected[0])
 	}
 }
 
@@ -44,7 +44,7 @@
 		{"first in order", sticky, 3, firstAttempt, 0},
 		{"last in order", sticky, 2, firstAttempt, 2},
 		{"the order does not count for extra attempts", sticky, 2, extraAttemptNewReplica, 0},
-		{"nor without sticky", &decision.AllowedReplicas{Nodes: nodes}, 2, firstAttempt, 0},
+		{"the order does not count if not sticky", &decision.AllowedReplicas{Nodes: nodes}, 2, firstAttempt, 0},
 	} {
 		sr := &shardRequest{allowed: test.allowed}
 		if got := sr.stickyRank(nodeID(test.node), test.kind); got != test.rank {
--- a/internal/decision/routing/slow_start.go
+++ b/internal/decision/routing/slow_start.go
@@ -9,7 +9,7 @@
 // Slow start of nodes that are warming up.
 const (
 	slowStartSafety     = 0.6 // of the load above which a warming-up node fails
-	maxFlowRatio        = 1.6 // times the usual flow is the most from which a node gets its share
+	maxFlowRatio        = 1.6 // the flow of which a node gets its share is at most this times the usual flow
 	maxAllowance        = 2   // attempts
 	minAllowance        = -1
 	minUnconfirmedShare = 0.01
--- a/internal/decision/routing/slow_start_brokers_test.go
+++ b/internal/decision/routing/slow_start_brokers_test.go
@@ -9,9 +9,9 @@
 	"flaxfront/internal/decision"
 )
 
-// Rule 4 by its letter, under the sum of twenty or thirty brokers: a node that comes back cold gets no more than N, and what chance
-// adds, in the time that the settings name, N being what it can do then. Half of the brokers are started anew meanwhile and know
-// nothing of what the others send, and a burst comes.
+// The attempts of 20 or 30 brokers together must not overload a node that has just started: within the time after which an overloaded
+// node fails, it gets no more attempts than OverloadMultiple times its capacity at that age, plus a margin for chance. Meanwhile half of
+// the brokers restart and do not know what the others send, and a burst of queries arrives.
 func TestWarmingUpNodeUnderManyBrokers(t *testing.T) {
 	const window, burstAt = 1500 * ms, 2500 * ms
 	for seed := range int64(6) {
@@ -62,7 +62,7 @@
 		for _, r := range rigs {
 			countSends(r)
 		}
-		full := float64(warmedUpSends) / 5 / 8 // attempts a second that a warmed-up node is sent, taken for all it can do
+		full := float64(warmedUpSends) / 5 / 8 // attempts per second sent to a warmed-up node, taken to be its capacity
 		for from := time.Duration(0); from < 8*time.Second; from += 50 * ms {
 			n := 0
 			capacity := 0.3 + 0.7*from.Seconds()/8
@@ -73,8 +73,8 @@
 			}
 			allowed := settings.OverloadMultiple * capacity * full * window.Seconds()
 			limit := allowed + 2*math.Sqrt(allowed) + 2
-			require(t, float64(n) <= limit, "seed %d, %d brokers: %d sent from %v on, limit %.1f", seed, brokers, n, from, limit)
+			require(t, float64(n) <= limit, "seed %d, %d brokers: %d attempts sent from %v on, limit %.1f", seed, brokers, n, from, limit)
 		}
-		require(t, len(sends) > 20, "it must be brought back, not left out")
+		require(t, len(sends) > 20, "only %d attempts sent to the warming-up node, want more than 20", len(sends))
 	}
 }
--- a/internal/decision/routing/slow_start_test.go
+++ b/internal/decision/routing/slow_start_test.go
@@ -17,7 +17,7 @@
 		40 * time.Second: 1,
 	} {
 		if got := capacityShare(settings, age); got != want {
-			t.Errorf("share %v at %v, want %v", got, age, want)
+			t.Errorf("capacity share %v at age %v, want %v", got, age, want)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 	warmedUp := slowStart{share: 1}
 	warmedUp.spend()
 	if warmedUp.allowance != 0 {
-		t.Errorf("a warmed-up node has spent its allowance: %v", warmedUp.allowance)
+		t.Errorf("allowance %v of a warmed-up node after an attempt, want 0", warmedUp.allowance)
 	}
 }
 
@@ -54,14 +54,14 @@
 		now          time.Duration
 		admits       bool
 	}{
-		"the first call":               {confirmation{since: 1, window: 1}, 0, 0, 2, true},
-		"one is in flight":             {confirmation{since: 1, window: 1.75}, 1, 2, 3, false},
-		"the window is two":            {confirmation{since: 1, window: 2}, 1, 2, 3, true},
-		"a pause":                      {confirmation{since: 1, window: 1, backoffUntil: 5}, 0, 2, 4, false},
-		"the pause is over":            {confirmation{since: 1, window: 1, backoffUntil: 5}, 0, 2, 5, true},
-		"before its place in time":     {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 0, 1500 * ms, false},
-		"at its place in time":         {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 0, 1500*ms + 1, true},
-		"it has sent something before": {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 2, 3, true},
+		"the first call":          {confirmation{since: 1, window: 1}, 0, 0, 2, true},
+		"one in flight fills it":  {confirmation{since: 1, window: 1.75}, 1, 2, 3, false},
+		"the window is two":       {confirmation{since: 1, window: 2}, 1, 2, 3, true},
+		"during the backoff":      {confirmation{since: 1, window: 1, backoffUntil: 5}, 0, 2, 4, false},
+		"after the backoff":       {confirmation{since: 1, window: 1, backoffUntil: 5}, 0, 2, 5, true},
+		"before its start offset": {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 0, 1500 * ms, false},
+		"at its start offset":     {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 0, 1500*ms + 1, true},
+		"a call was sent before":  {confirmation{since: 1, window: 1, startOffset: 0.5}, 0, 2, 3, true},
 	} {
 		e := &endpoint{calls: make([]call, test.calls), lastSentAt: test.lastSentAt}
 		if got := test.confirmation.admits(e, test.now, interval, overloadAfter); got != test.admits {
--- a/internal/decision/routing/zone_health_test.go
+++ b/internal/decision/routing/zone_health_test.go
@@ -18,7 +18,7 @@
 	now := z.currentErrorRate(0)
 	later := z.currentErrorRate(zoneErrorTimeConstant)
 	if later >= now/2 || later <= now/3 {
-		t.Errorf("error rate %v fades to %v in one time constant, want 1/e of it", now, later)
+		t.Errorf("error rate %v decays to %v in one time constant, want about 1/e of it", now, later)
 	}
 }
 
@@ -27,12 +27,12 @@
 		rates   []float64
 		avoided []bool
 	}{
-		"one fails":             {[]float64{0.6, 0.2}, []bool{true, false}},
-		"not most of it":        {[]float64{0.5, 0.2}, []bool{false, false}},
-		"the other fails too":   {[]float64{0.6, 0.3}, []bool{false, false}},
-		"two of three fail":     {[]float64{0.9, 0.6, 0.1}, []bool{true, true, false}},
-		"the only one":          {[]float64{0.9}, []bool{false}},
-		"nothing is sent to it": {[]float64{0.9, 0}, []bool{true, false}},
+		"one zone fails":       {[]float64{0.6, 0.2}, []bool{true, false}},
+		"just at the maximum":  {[]float64{0.5, 0.2}, []bool{false, false}},
+		"the other fails too":  {[]float64{0.6, 0.3}, []bool{false, false}},
+		"two of three fail":    {[]float64{0.9, 0.6, 0.1}, []bool{true, true, false}},
+		"the only zone fails":  {[]float64{0.9}, []bool{false}},
+		"other without errors": {[]float64{0.9, 0}, []bool{true, false}},
 	} {
 		r := newRig(smallSettings(), 2).router
 		r.dispatcher.zones = nil
