--- a/internal/decision/routing/confirmation_test.go
+++ b/internal/decision/routing/confirmation_test.go
@@ -86,7 +86,6 @@
 			r.step(5 * ms)
 			sent += len(r.order)
 		}
-		require(t, sent >= within[0] && sent <= within[1],
-			"%d of %d brokers sent their first call at once, want %d to %d", sent, 200, within[0], within[1])
+		require(t, sent >= within[0] && sent <= within[1], "%d of %d brokers sent their first call at once", sent, 200)
 	}
 }
--- a/internal/decision/routing/ejection_test.go
+++ b/internal/decision/routing/ejection_test.go
@@ -51,7 +51,7 @@
 				n++
 			}
 		}
-		require(t, n == want, "query %d: %d shard requests sent, want %d", i, n, want)
+		require(t, n == want, "query %d: unexpected number of shard requests sent: %d", i, n)
 	}
 }
 
@@ -169,7 +169,7 @@
 	slow.handle(&message{kind: ticked, usualLatency: 100 * ms, sendInterval: 10 * time.Second})
 	dead.handle(&message{kind: ticked, usualLatency: 100 * ms, sendInterval: 10 * time.Second})
 	require(t, slow.costFactor >= 5, "cost factor of the slow node is %v, want at least 5", slow.costFactor)
-	require(t, dead.reported.mode == modeEjected, "the unreachable node is in mode %v, want %v", dead.reported.mode, modeEjected)
+	require(t, dead.reported.mode == modeEjected, "the unreachable node is not ejected but in mode %v", dead.reported.mode)
 }
 
 // If connections from all nodes alike are reset before the answer, nodes are rarely ejected and queries are still answered. A node that
--- a/internal/decision/routing/idle_connections_test.go
+++ b/internal/decision/routing/idle_connections_test.go
@@ -34,7 +34,7 @@
 					begins, test.begins, c.errorRate, c.freshErrorRate)
 			}
 			if got := c.closeBeforeUse(time.Second, 2*time.Second); got != (test.begins > 0) {
-				t.Errorf("closeBeforeUse after 1 s idle returns %v, want %v", got, test.begins > 0)
+				t.Errorf("unexpected result of closeBeforeUse after 1 s idle: %v", got)
 			}
 			if c.closeBeforeUse(999*ms, 2*time.Second) || c.closeBeforeUse(time.Second, time.Second+closeIdleFor) {
 				t.Error("closed before use though idle for less than 1 s, or after closeIdleFor has passed")
--- a/internal/decision/routing/latency_test.go
+++ b/internal/decision/routing/latency_test.go
@@ -16,7 +16,7 @@
 	}
 	f.update()
 	if f.known {
-		t.Errorf("quantiles are known after %d samples, want at least %d", minSamples-1, minSamples)
+		t.Errorf("quantiles are known after %d samples, which is too few", minSamples-1)
 	}
 	for i := range 100 {
 		f.record(time.Duration(99-i) * ms)
@@ -31,7 +31,7 @@
 	f.update()
 	before := 48 * ms
 	if want := time.Duration(lowPointGrowth * float64(before)); f.p50 != 200*ms || f.lowPoint != want {
-		t.Errorf("p50 %v, low point %v, want 200ms and a slow rise to %v", f.p50, f.lowPoint, want)
+		t.Errorf("p50 %v, low point %v: p50 must be 200ms and the low point must rise slowly", f.p50, f.lowPoint)
 	}
 }
 
--- a/internal/decision/routing/slow_start_brokers_test.go
+++ b/internal/decision/routing/slow_start_brokers_test.go
@@ -75,6 +75,6 @@
 			limit := allowed + 2*math.Sqrt(allowed) + 2
 			require(t, float64(n) <= limit, "seed %d, %d brokers: %d attempts sent from %v on, limit %.1f", seed, brokers, n, from, limit)
 		}
-		require(t, len(sends) > 20, "only %d attempts sent to the warming-up node, want more than 20", len(sends))
+		require(t, len(sends) > 20, "the warming-up node gets too few attempts, want more than 20 in all")
 	}
 }
