--- a/internal/decision/routing/completion.go
+++ b/internal/decision/routing/completion.go
@@ -61,11 +61,11 @@
 func (d *dispatcher) completeIfReady(slot int32) {
 	q := &d.queries.slots[slot]
 	now := d.router.now
-	need := q.completeness()
+	needed := q.completeness()
 	unanswered := q.unansweredWeight()
-	enough := q.answeredWeight >= need.min-weightTolerance
+	enough := q.answeredWeight >= needed.min-weightTolerance
 	switch {
-	case q.answeredWeight >= need.full-weightTolerance:
+	case q.answeredWeight >= needed.full-weightTolerance:
 		d.answer(slot, !q.secondPhase || q.firstComplete)
 	case enough && (now >= q.deadline || unanswered == 0):
 		d.answer(slot, false)
@@ -73,7 +73,7 @@
 		d.abandon(slot)
 	case now >= q.deadline && d.tableCrowded: // otherwise queries that wait for unresponsive nodes would leave no place for new ones
 		d.abandon(slot)
-	case !enough && q.answeredWeight+unanswered < need.min-weightTolerance:
+	case !enough && q.answeredWeight+unanswered < needed.min-weightTolerance:
 		d.abandon(slot)
 	}
 }
--- a/internal/decision/routing/selection.go
+++ b/internal/decision/routing/selection.go
@@ -145,8 +145,8 @@
 
 // mayUseEjected reports whether an ejected node may get an attempt when all replicas of the shard are ejected.
 func (d *dispatcher) mayUseEjected(e *endpoint) bool {
-	idle := len(e.calls) < allEjectedMaxCalls || d.router.now-e.lastSentAt >= allEjectedInterval
-	return idle && !e.unreachable
+	underLimit := len(e.calls) < allEjectedMaxCalls || d.router.now-e.lastSentAt >= allEjectedInterval
+	return underLimit && !e.unreachable
 }
 
 // wasSentTo reports whether any attempt of the shard request went to the node.
--- a/internal/decision/routing/shedding.go
+++ b/internal/decision/routing/shedding.go
@@ -87,18 +87,18 @@
 func (d *dispatcher) shed(q *query) bool {
 	r := d.router
 	scale := d.waitScale(q)
-	bound := minShedWaitRatio + r.random.share()*(maxShedWaitRatio-minShedWaitRatio)
-	longest := 0.0
+	maxWait := minShedWaitRatio + r.random.share()*(maxShedWaitRatio-minShedWaitRatio)
+	longestWait := 0.0
 	sum := 0.0
 	for i := range q.requests {
 		sr := &q.requests[i]
 		sr.expectedWait = d.scaledWait(q, sr, scale)
-		longest = max(longest, sr.expectedWait)
+		longestWait = max(longestWait, sr.expectedWait)
 		sum += sr.expectedWait
 	}
-	kept := d.abandonLongWaits(q, bound, sum/float64(len(q.requests)))
-	d.logShedding(q, longest)
-	return kept < q.queryType.MinCompleteness-weightTolerance
+	keptWeight := d.abandonLongWaits(q, maxWait, sum/float64(len(q.requests)))
+	d.logShedding(q, longestWait)
+	return keptWeight < q.queryType.MinCompleteness-weightTolerance
 }
 
 // waitScale returns the factor that turns an expected wait into a ratio to compare with the bounds: 1 divided by the remaining time,
@@ -143,10 +143,10 @@
 	}
 }
 
-// abandonLongWaits abandons the shard requests whose expected wait is above the bound and returns the summed weight of the others. If
+// abandonLongWaits abandons the shard requests whose expected wait is above maxWait and returns the summed weight of the others. If
 // the answer may be partial, shard requests of low weight are abandoned sooner than those of high weight, and this difference grows with
 // the mean wait.
-func (d *dispatcher) abandonLongWaits(q *query, bound, meanWait float64) (kept float64) {
+func (d *dispatcher) abandonLongWaits(q *query, maxWait, meanWait float64) (keptWeight float64) {
 	exponent := 0.0
 	if q.mayBePartial() {
 		exponent = -lowWeightExponent * math.Pow(min(1, meanWait/lowWeightFullWaitRatio), 2)
@@ -155,29 +155,29 @@
 		sr := &q.requests[i]
 		wait := sr.expectedWait * math.Pow(q.relativeWeight(sr), exponent)
 		// If replicas are not crowded, a high ratio is due to a short client timeout, not to overload.
-		if wait > bound && !q.isLowWeight(sr) && !d.isCrowded(sr) {
+		if wait > maxWait && !q.isLowWeight(sr) && !d.isCrowded(sr) {
 			wait *= uncrowdedWaitFactor
 		}
-		sr.abandoned = sr.abandoned || wait > bound
+		sr.abandoned = sr.abandoned || wait > maxWait
 		if !sr.abandoned {
-			kept += sr.weight
+			keptWeight += sr.weight
 		}
 	}
-	return kept
+	return keptWeight
 }
 
 // logShedding logs when shedding starts and when it ends.
-func (d *dispatcher) logShedding(q *query, longest float64) {
+func (d *dispatcher) logShedding(q *query, longestWait float64) {
 	s := &d.shedding
-	begins := !s.active && longest > maxShedWaitRatio
-	ends := s.active && longest < minShedWaitRatio
+	begins := !s.active && longestWait > maxShedWaitRatio
+	ends := s.active && longestWait < minShedWaitRatio
 	switch {
 	case begins:
 		s.active = true
-		d.router.log(logSheddingStarted, longest, d.remainingTime(q))
+		d.router.log(logSheddingStarted, longestWait, d.remainingTime(q))
 	case ends:
 		s.active = false
-		d.router.log(logSheddingEnded, longest, d.remainingTime(q))
+		d.router.log(logSheddingEnded, longestWait, d.remainingTime(q))
 	}
 }
 
--- a/internal/decision/routing/slow_start.go
+++ b/internal/decision/routing/slow_start.go
@@ -100,9 +100,9 @@
 func (d *dispatcher) slowStartAdmits(e *endpoint) bool {
 	now := d.router.now
 	usual := d.flows.fleet.usual(now)
-	own := &d.flows.byCell[e.cell%len(d.flows.byCell)]
-	own.decay(now)
-	flow := min(max(own.fast, usual), maxFlowRatio*usual)
+	cellFlow := &d.flows.byCell[e.cell%len(d.flows.byCell)]
+	cellFlow.decay(now)
+	flow := min(max(cellFlow.fast, usual), maxFlowRatio*usual)
 	e.slowStart.refill(flow, now)
 	return e.slowStart.allowance >= 1 || len(e.calls) == 0 && float64(now-e.lastSentAt) >= d.slowStartInterval(e)
 }
@@ -136,8 +136,8 @@
 // difference.
 func (c *confirmation) admits(e *endpoint, now, interval, overloadAfter time.Duration) bool {
 	wait := c.startOffset * float64(interval-overloadAfter)
-	begun := e.lastSentAt > c.since || float64(now-c.since) >= wait
-	return begun && now >= c.backoffUntil && float64(len(e.calls)+1) <= c.window
+	started := e.lastSentAt > c.since || float64(now-c.since) >= wait
+	return started && now >= c.backoffUntil && float64(len(e.calls)+1) <= c.window
 }
 
 // confirmationAdmits reports whether a node is confirmed or its window allows another call.
