--- a/internal/decision/routing/slow_start.go
+++ b/internal/decision/routing/slow_start.go
@@ -43,8 +43,8 @@
 }
 
 // capacityShare returns the share of the usual load that a node may get at a given age. It assumes that capacity grows linearly over the
-// warm-up time. If every broker sends the node at most this share of what it sends a warmed-up node, the sum over all brokers stays
-// within the node's capacity too.
+// warm-up time. If every broker sends the node at most this share of what it sends a warmed-up node, then the load from all brokers
+// together stays below that under which the node would fail.
 func capacityShare(s *decision.Settings, age time.Duration) float64 {
 	capacity := s.InitialCapacity + (1-s.InitialCapacity)*float64(max(0, age))/float64(s.WarmUpTime)
 	return min(1, slowStartSafety*s.OverloadMultiple*capacity)
