--- a/internal/decision/connlease/audit_test.go
+++ b/internal/decision/connlease/audit_test.go
@@ -10,12 +10,13 @@
 )
 
 var (
-	seedCount   = flag.Int("seeds", 6, "runs of the audit")
-	brokerCount = flag.Int("brokers", 24, "brokers of the audit")
-	nodeCount   = flag.Int("nodes", 6, "nodes of the audit")
-	runSpan     = flag.Duration("span", 90*time.Second, "virtual time of a run")
+	seedCount   = flag.Int("seeds", 6, "number of simulated runs of the audit, one for each seed")
+	brokerCount = flag.Int("brokers", 24, "number of brokers in a run")
+	nodeCount   = flag.Int("nodes", 6, "number of nodes in a run")
+	runSpan     = flag.Duration("span", 90*time.Second, "virtual duration of a run")
 )
 
+// simulateTier simulates a tier under random faults and demand, after change (if not nil) has adjusted it, and returns its final state.
 func simulateTier(seed uint64, change func(*simulatedTier)) *simulatedTier {
 	sim := &simulatedTier{
 		random:  rand.New(rand.NewPCG(seed, 9)),
@@ -48,17 +49,17 @@
 		switch sim.random.IntN(16) {
 		default: // the demand shifts
 			broker.shiftDemand(0)
-		case 0, 1: // stopped, mostly over its lease
+		case 0, 1: // suspended, in most cases beyond its lease
 			broker.stopped = true
 			sim.schedule(sim.upTo(20*time.Second), func() { broker.stopped = false })
-		case 2, 3: // cut off
+		case 2, 3: // disconnected from the tier
 			broker.disconnected = true
 			sim.schedule(sim.upTo(12*time.Second), func() { broker.disconnected = false })
-		case 4: // killed, and started anew
+		case 4: // killed and restarted
 			for _, c := range broker.connections {
 				sim.schedule(sim.upTo(closeDelay/2), func() { sim.close(c) })
 			}
-			broker.incarnation++ // what runs ends
+			broker.incarnation++ // ends the loops of the old incarnation
 			broker.connections = nil
 			ownIncarnation := broker.incarnation
 			sim.schedule(closeDelay+sim.upTo(2*time.Second), func() {
@@ -91,7 +92,7 @@
 	return sim
 }
 
-// TestBudgetAudit counts connections at the nodes, at every instant, while everything breaks: never more than the budget.
+// TestBudgetAudit counts the connections at each node under random faults: they must never exceed the budget.
 func TestBudgetAudit(t *testing.T) {
 	opened, versions := 0, uint64(0)
 	for seed := range uint64(*seedCount) {
@@ -102,25 +103,25 @@
 		p := sim.machine.Policies().InForce
 		opened, versions = opened+sim.openedCount, versions+p.Version-1
 	}
-	t.Logf("%d runs of %v, %d brokers, %d nodes: %d connections opened, %d policies came into force, never over a budget",
+	t.Logf("%d runs of %v with %d brokers and %d nodes: %d connections opened, %d policy changes came into force",
 		*seedCount, *runSpan, *brokerCount, *nodeCount, opened, versions)
 	if opened < 1000 || versions == 0 {
-		t.Errorf("next to nothing happened: %d connections, %d policies", opened, versions)
+		t.Errorf("the simulation did too little to audit: %d connections opened, %d policy changes", opened, versions)
 	}
 }
 
-// TestBudgetAuditFindsFaults puts faults in on purpose: the audit must see what comes of them.
+// TestBudgetAuditFindsFaults injects two faults into the lease protocol: the audit must find a budget exceeded under each.
 func TestBudgetAuditFindsFaults(t *testing.T) {
 	for name, change := range map[string]func(*simulatedTier){
-		"a lease counted from the answer":        func(w *simulatedTier) { w.leaseFromAnswer, w.nodeIdleTimeout, w.stallEvery = true, 2*time.Second, 6 },
-		"no wait for what a stopped broker left": func(w *simulatedTier) { w.ignoreIdleTimeout = true },
+		"lease counted from the answer":         func(w *simulatedTier) { w.leaseFromAnswer, w.nodeIdleTimeout, w.stallEvery = true, 2*time.Second, 6 },
+		"no wait for idle connections to close": func(w *simulatedTier) { w.ignoreIdleTimeout = true },
 	} {
 		found := ""
 		for seed := uint64(0); seed < 20 && found == ""; seed++ {
 			found = simulateTier(seed, change).violation
 		}
 		if t.Logf("%s: %s", name, found); found == "" {
-			t.Errorf("%s: not found in 20 runs", name)
+			t.Errorf("%s: no exceeded budget found in 20 runs", name)
 		}
 	}
 }
--- a/internal/decision/connlease/baseline_test.go
+++ b/internal/decision/connlease/baseline_test.go
@@ -9,17 +9,17 @@
 	"flaxfront/internal/decision/fairshare"
 )
 
-// baseline is one way to share connections, in steps of 100 ms: who wants how many, and who holds what.
+// baseline is a strategy to share one node's connections, applied in steps of 100 ms.
 type baseline struct {
 	name string
-	step func(at time.Duration, want, hold [][]int) // by broker and tenant; changes what is held
+	step func(at time.Duration, want, hold [][]int) // by broker and tenant; updates hold
 }
 
-// TestBaselines compares ways to share one node's connections while demand shifts: each held connection serves one search a step; a
-// node that holds more than its budget serves as many queries fewer as it holds too many, down to none. One tenant floods.
+// TestBaselines compares strategies to share one node's connections while demand shifts and one tenant floods. Each held connection
+// serves one query a step. Each connection above the node's budget reduces the number of queries served by one, down to none.
 func TestBaselines(t *testing.T) {
 	const brokers, budget, steps = 60, 240, 1200
-	plan := newPlan(1, budget-brokers) // with one reserved for each
+	plan := newPlan(1, budget-brokers) // one connection is reserved for each broker
 	best := 0.0
 	for _, b := range []baseline{
 		{"divided by policy, under leases", leasedBaseline(plan, brokers)},
@@ -27,7 +27,7 @@
 			chance := rand.New(rand.NewPCG(uint64(at), 5))
 			for b := range want {
 				left := budget / brokers
-				for _, t := range chance.Perm(tenants) { // whoever comes first
+				for _, t := range chance.Perm(tenants) { // in random order of arrival
 					hold[b][t] = min(want[b][t], left)
 					left -= hold[b][t]
 				}
@@ -35,7 +35,7 @@
 		}},
 		{"first come, first served", func(at time.Duration, want, hold [][]int) {
 			left := budget
-			for b := range want { // what is held is kept while it is wanted
+			for b := range want { // held connections are kept while they are wanted
 				for t := range want[b] {
 					hold[b][t] = min(hold[b][t], want[b][t])
 					left -= hold[b][t]
@@ -57,17 +57,19 @@
 	} {
 		byPolicy := b.name == "divided by policy, under leases"
 		served, quiet, asked, quietAsked, over := runBaseline(b, brokers, budget, steps)
-		t.Logf("%-32s %5.1f%% of queries served, of the quiet tenant's %5.1f%%; over the budget in %4.1f%% of the time", b.name,
+		t.Logf("%-32s %5.1f%% of all queries served, %5.1f%% of the quiet tenant's; over budget in %4.1f%% of the steps", b.name,
 			100*served/asked, 100*quiet/quietAsked, 100*over/steps)
 		if byPolicy {
 			best = quiet
 		}
 		if byPolicy && over > 0 || !byPolicy && quiet > best {
-			t.Errorf("%s: over the budget in %v steps, %v of the quiet tenant's queries served", b.name, over, quiet)
+			t.Errorf("%s: over budget in %v steps, %v of the quiet tenant's queries served", b.name, over, quiet)
 		}
 	}
 }
 
+// runBaseline simulates a strategy. It returns how many queries were served and asked, in all and of the quiet tenant 0, and the number
+// of steps in which the node was over its budget.
 func runBaseline(strategy baseline, brokers, budget, steps int) (served, quiet, asked, quietAsked, over float64) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	want, hold := make([][]int, brokers), make([][]int, brokers)
@@ -75,7 +77,7 @@
 		want[b], hold[b] = make([]int, tenants), make([]int, tenants)
 	}
 	for step := range steps {
-		if step%200 == 0 { // every 20 s the demand is elsewhere: a few brokers want much, and tenant 2 floods half the time
+		if step%200 == 0 { // demand shifts every 20 s: about a fifth of the brokers are busy, and tenant 2 floods half the time
 			for b := range want {
 				busy := chance.IntN(5) == 0
 				for t := range want[b] {
@@ -110,10 +112,11 @@
 	return
 }
 
-// leasedBaseline divides every half second. What goes down is free a second later, when it is closed and acknowledged; what goes up waits.
+// leasedBaseline divides connections every half second. Connections that are taken away become free a second later, once they are closed
+// and acknowledged; only then are they granted again.
 func leasedBaseline(plan *BudgetPlan, brokers int) func(time.Duration, [][]int, [][]int) {
 	var d fairshare.Divider
-	granted, freed := fairshare.NewTable(1, tenants, brokers), []int{} // units on their way back, by step
+	granted, freed := fairshare.NewTable(1, tenants, brokers), []int{} // units that become free, by step
 	id := decision.NodeID{Port: 1}
 	needs := make([]*DemandTracker, brokers)
 	for b := range needs {
--- a/internal/decision/connlease/connections.go
+++ b/internal/decision/connlease/connections.go
@@ -7,20 +7,20 @@
 	"flaxfront/internal/decision"
 )
 
-// OpenResult is whether a connection may be opened, and by what.
+// OpenResult says whether a connection may be opened, and on what grounds.
 type OpenResult uint8
 
 // The results of Open.
 const (
 	OpenDenied   OpenResult = iota
-	OpenReserved            // of the broker's reserved connections to the node
-	OpenLeased              // of the tenant's leased ones
+	OpenReserved            // allowed by the broker's reserved connections to the node
+	OpenLeased              // allowed by the tenant's leased connections
 )
 
-// OpenConnections is how many connections a tenant has to a node, with those that were closed and that the node may still count.
+// OpenConnections returns the number of connections that a tenant has to a node, including closed ones that the node may still count.
 func (h *Holder) OpenConnections(k LeaseKey) int { return h.open[k] }
 
-// leasedInPhase is how many connections a lease allows in a phase.
+// leasedInPhase returns how many connections a lease allows in a phase.
 func (h *Holder) leasedInPhase(k LeaseKey, phase leasePhase) int {
 	if phase == leaseUsable {
 		return h.leased[k]
@@ -28,7 +28,7 @@
 	return 0
 }
 
-// aboveLease counts what a node may count beyond the leased connections of each tenant.
+// aboveLease returns how many of the connections that a node may count are above the tenants' leases, summed over its tenants.
 func (h *Holder) aboveLease(node decision.NodeID, phase leasePhase) (n int) {
 	for _, tenant := range h.tenantsAt[node] {
 		k := LeaseKey{Node: node, Tenant: tenant}
@@ -37,7 +37,7 @@
 	return n
 }
 
-// MayOpen tells whether Open would allow a connection now.
+// MayOpen reports whether Open would allow a connection now.
 func (h *Holder) MayOpen(k LeaseKey, now time.Duration) bool { return h.mayOpen(k, now) != OpenDenied }
 
 func (h *Holder) mayOpen(k LeaseKey, now time.Duration) OpenResult {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Open asks for a connection, and counts it where it may be opened.
+// Open decides whether a connection may be opened and, if so, counts it as open.
 func (h *Holder) Open(k LeaseKey, now time.Duration) OpenResult {
 	result := h.mayOpen(k, now)
 	if result == OpenDenied {
@@ -67,8 +67,8 @@
 	return result
 }
 
-// RecordClosed counts a connection out: at once where its node ended it, else after the time in which the node surely notices. Until
-// then the next one, opened here or by another broker, could reach the node before the end of this one does.
+// RecordClosed stops counting a connection: at once if the node closed it, otherwise after the close delay, when the node has certainly
+// noticed. Before that, a new connection from this or another broker could reach the node before the close does.
 func (h *Holder) RecordClosed(k LeaseKey, byNode bool, now time.Duration) {
 	if h.open[k] <= h.closing[k] {
 		return
@@ -81,7 +81,7 @@
 	h.closed = append(h.closed, closedConnection{key: k, closedAt: now})
 }
 
-// releaseClosed counts out the closed connections that nodes have surely noticed.
+// releaseClosed stops counting the closed connections whose close delay has passed.
 func (h *Holder) releaseClosed(now time.Duration) {
 	for len(h.closed) > 0 && h.closed[0].closedAt+h.closeDelay <= now {
 		k := h.closed[0].key
--- a/internal/decision/connlease/connlease.go
+++ b/internal/decision/connlease/connlease.go
@@ -1,24 +1,28 @@
-// Package connlease decides who may hold which connections to nodes, and when: both sides of a connection lease.
+// Package connlease implements both sides of a connection lease, which limits how many connections a broker may have open to each node
+// and until when.
 //
-//	Granter (the leader)                          Holder (each broker)
-//	when each lease has expired for sure          connections open or not yet surely gone, by node and tenant
-//	which grants and expiries to propose          what the newest grant allows, and until when
+//	Granter (the leader)                           Holder (each broker)
+//	tracks when each lease has certainly expired   counts connections that nodes may still count, by node and tenant
+//	proposes grants and expiries                   applies the newest grant until its lease expires
 //
-// A broker may always open its reserved connections to a node, and above them those that its lease grants for a tenant.
+// A broker may always open its reserved connections to a node. Beyond those it may open what its lease grants for a tenant.
 //
 //	granted ──► usable ──► winding down ──► ending ──► expired
-//	                       nothing new       all above the reserve
-//	                       above the reserve is closed at once
+//	                       no new            connections above
+//	                       connections       the reserve are
+//	                       above the         closed at once
+//	                       reserve
 //
 // Invariants:
 //
-//   - The holder's end of a lease comes before the granter's, as far as their clocks differ by less than one part in a hundred.
-//   - The holder acknowledges a grant only when all that nodes may still count is within it.
-//   - The granter proposes nothing more for a broker that has not acknowledged its last grant, nor more than a budget leaves.
+//   - A lease ends for its holder before it ends for the granter, as long as their clock rates differ by less than 1%.
+//   - The holder acknowledges a grant only once all connections that nodes may still count are within it.
+//   - The granter proposes no further grant for a broker that has not acknowledged its last one, and never more than a budget leaves.
 //
-// Dividing connections among brokers is decision/fairshare's; the state machine rejects what would not fit, whoever proposes it.
+// Package decision/fairshare divides the connections among brokers. The state machine rejects a grant that exceeds a budget, whoever
+// proposes it.
 //
-// Concurrency: nothing here locks, starts a goroutine or reads a clock: times are parameters. A value is used by one goroutine at a
+// Concurrency: nothing here locks, starts a goroutine or reads a clock; times are parameters. A value is used by one goroutine at a
 // time.
 package connlease
 
@@ -30,27 +34,27 @@
 	"flaxfront/internal/decision"
 )
 
-// clockDriftDivisor bounds how far a clock strays: one part in so many. Two clocks that run at different speeds measure different
-// leases, so each side takes that much off or adds it. A clock that strays further breaks the budget's bound.
+// clockDriftDivisor bounds clock drift: a clock gains or loses at most 1/clockDriftDivisor of the elapsed time. Clocks of different rates
+// measure a lease differently, so the holder subtracts this margin and the granter adds it. With more drift a budget may be exceeded.
 const clockDriftDivisor = 100
 
-// HolderExpiry is when a lease ends for its holder: counted from before it asked, by a clock that may be slow.
+// HolderExpiry returns when a lease ends for its holder, whose clock may be slow: it counts from before the request was sent.
 func HolderExpiry(requestedAt, lease time.Duration) time.Duration {
 	return requestedAt + lease - lease/clockDriftDivisor
 }
 
-// GranterExpiry is when a lease has surely ended, seen by its granter: counted from after it was given, by a clock that may be fast.
+// GranterExpiry returns when a lease has certainly ended for its granter, whose clock may be fast: it counts from after the grant.
 func GranterExpiry(grantedAt, lease time.Duration) time.Duration {
 	return grantedAt + lease + lease/clockDriftDivisor
 }
 
-// LeaseKey is what connections are counted by.
+// LeaseKey identifies the node and tenant that connections are counted by.
 type LeaseKey struct {
 	Node   decision.NodeID
 	Tenant int
 }
 
-// CompareKeys orders keys.
+// CompareKeys orders keys by node, then by tenant.
 func CompareKeys(a, b LeaseKey) int {
 	return cmp.Or(
 		slices.Compare(a.Node.Addr[:], b.Node.Addr[:]),
@@ -59,7 +63,7 @@
 	)
 }
 
-// ConnectionCount is a number of connections.
+// ConnectionCount is a number of connections of a tenant to a node.
 type ConnectionCount struct {
 	LeaseKey
 	Connections int
--- a/internal/decision/connlease/demand.go
+++ b/internal/decision/connlease/demand.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	minDemand      = 0.1 // connections; less is forgotten
-	roundingMargin = 0.1 // connections above a whole number that do not round up
-	minReportDrop  = 1.3 // connections that demand must be below what was reported before a lower number is
+	minDemand      = 0.1 // connections; smaller demand is dropped
+	roundingMargin = 0.1 // connections; demand is rounded up unless it exceeds a whole number by no more than this
+	minReportDrop  = 1.3 // connections; a lower number is reported only once demand is further than this below the last report
 )
 
 // DemandTracker measures how many connections a broker could use.
 type DemandTracker struct {
-	halfLife  time.Duration // demand that is gone counts half after so long
+	halfLife  time.Duration // of demand that is no longer observed
 	decayedAt time.Duration
 	demands   map[LeaseKey]*demand
 }
@@ -26,12 +26,12 @@
 	reported int
 }
 
-// NewDemandTracker makes a tracker that has seen nothing. Demand that is gone counts half after a half-life.
+// NewDemandTracker returns a tracker without demand. Demand that is no longer observed decays with the given half-life.
 func NewDemandTracker(halfLife time.Duration) *DemandTracker {
 	return &DemandTracker{halfLife: halfLife, demands: map[LeaseKey]*demand{}}
 }
 
-// Decay lets what was observed fade until now.
+// Decay reduces the recorded demand for the time that has passed since the last call.
 func (t *DemandTracker) Decay(now time.Duration) {
 	factor := math.Exp2(-float64(now-t.decayedAt) / float64(t.halfLife))
 	t.decayedAt = now
@@ -43,8 +43,8 @@
 	}
 }
 
-// Observe records how many connections a tenant could use at a node now. Demand rises at once and falls slowly: connections are
-// granted in a fraction of a lease, and what was given up must be granted anew.
+// Observe records how many connections a tenant could use at a node now. Demand rises at once and falls slowly: a grant takes only a
+// fraction of a lease, and connections that were given up have to be granted again.
 func (t *DemandTracker) Observe(k LeaseKey, connections float64) {
 	d := t.demands[k]
 	if d == nil {
@@ -54,8 +54,8 @@
 	d.value = max(d.value, connections)
 }
 
-// AboveReserved is the demand above the reserved connections, in whole connections, by key. Of a node's tenants the one with the
-// greatest demand uses the reserved ones first.
+// AboveReserved returns the demand above the reserved connections, in whole connections, ordered by key. The tenant with the greatest
+// demand at a node uses the reserved connections first.
 func (t *DemandTracker) AboveReserved(reserved map[decision.NodeID]int) []ConnectionCount {
 	counts := t.report()
 	for first := 0; first < len(counts); {
@@ -69,7 +69,7 @@
 	return slices.DeleteFunc(counts, func(c ConnectionCount) bool { return c.Connections == 0 })
 }
 
-// report is the demand in whole connections, by key; it stays as it was reported where the difference is noise.
+// report returns the demand in whole connections, ordered by key. A previously reported number stays if the difference is only noise.
 func (t *DemandTracker) report() (counts []ConnectionCount) {
 	for k, d := range t.demands {
 		whole := int(math.Ceil(d.value - roundingMargin))
@@ -84,7 +84,7 @@
 	return counts
 }
 
-// subtractReserved takes a node's reserved connections off the greatest counts of its tenants, one by one.
+// subtractReserved subtracts a node's reserved connections from its tenants' counts, one at a time from the greatest.
 func subtractReserved(counts []ConnectionCount, reserved int) {
 	for range reserved {
 		greatest := &counts[0]
--- a/internal/decision/connlease/demand_report.go
+++ b/internal/decision/connlease/demand_report.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	maxReportRows     = 6000    // in a report; of more rows those with the smallest keys
-	maxReportedDemand = 1 << 20 // connections, or a tenant's number, in a row: a broken report must not fill the leader's memory
-	minRowBytes       = 8       // a node, a tenant and a number
+	maxReportRows     = 6000    // in a report; of more rows only those with the smallest keys are sent
+	maxReportedDemand = 1 << 20 // connections, or tenant index, in a row: a corrupt report must not fill the leader's memory
+	minRowBytes       = 8       // node, tenant index and number of connections
 	nodeBytes         = 6       // address and port
 )
 
-// ErrMalformedDemand is a demand report that no broker writes. The leader goes on without that broker's demand.
+// ErrMalformedDemand reports a demand report that EncodeDemand can't have written. The leader continues without that broker's demand.
 var ErrMalformedDemand = errors.New("connection leases: malformed demand report")
 
-// EncodeDemand writes counts for a report, under the version of the policy whose tenants they number.
+// EncodeDemand encodes counts as a demand report. Their tenant indexes refer to the policy of the given version.
 func EncodeDemand(policyVersion uint64, counts []ConnectionCount) []byte {
 	b := binary.AppendUvarint(nil, policyVersion)
 	for _, c := range counts[:min(len(counts), maxReportRows)] {
@@ -29,7 +29,7 @@
 	return b
 }
 
-// DecodeDemand reads what EncodeDemand wrote; the error is ErrMalformedDemand.
+// DecodeDemand decodes a report that EncodeDemand wrote; the error is ErrMalformedDemand.
 func DecodeDemand(b []byte) (policyVersion uint64, counts []ConnectionCount, err error) {
 	policyVersion, n := binary.Uvarint(b)
 	if n <= 0 {
--- a/internal/decision/connlease/demand_shift_test.go
+++ b/internal/decision/connlease/demand_shift_test.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision/fairshare"
 )
 
-// TestDemandShift has all demand move at once, and measures three leases later how far what brokers hold is from the ideal: the exact
-// division of the needs with nothing to remember.
+// TestDemandShift shifts all demand at once and measures, three lease durations later, how far the granted connections are from the ideal:
+// the division of the same demand without a previous division.
 func TestDemandShift(t *testing.T) {
 	defer func(s time.Duration, b int) { *runSpan, *brokerCount = s, b }(*runSpan, *brokerCount)
 	*runSpan, *brokerCount = 20*time.Second, 60
@@ -20,14 +20,14 @@
 		before := w.distanceFromIdeal()
 		w.run(20*time.Second + 3*leaseDuration)
 		after := w.distanceFromIdeal()
-		t.Logf("seed %d: %.1f%% of the units away from the ideal at the shift, %.1f%% three leases later", seed, 100*before, 100*after)
+		t.Logf("seed %d: %.1f%% of the units misplaced at the shift, %.1f%% three leases later", seed, 100*before, 100*after)
 		if before < 0.2 || after > 0.05 {
-			t.Errorf("seed %d: %.3f away at the shift, %.3f three leases later", seed, before, after)
+			t.Errorf("seed %d: a share of %.3f misplaced at the shift, %.3f three leases later", seed, before, after)
 		}
 	}
 }
 
-// distanceFromIdeal is the share of units that are not where an exact division of what brokers want would have them.
+// distanceFromIdeal returns the share of units that are not where a division by what brokers want would put them.
 func (w *simulatedTier) distanceFromIdeal() float64 {
 	plan := w.plans[0]
 	need := fairshare.NewTable(len(plan.Nodes), tenants, len(w.brokers))
@@ -43,13 +43,13 @@
 	all, away := 0, 0
 	for n, id := range plan.Nodes {
 		for t := range tenants {
-			level := 1 << 30 // what all who are short get alike
+			level := 1 << 30 // units that each broker whose demand is not met gets at least
 			for b, u := range ideal.Row(n, t) {
 				if int(u) < need.At(n, t, b) {
 					level = min(level, int(u))
 				}
 			}
-			remainder := 0 // units that did not come out even: whose they are is the same
+			remainder := 0 // units that could not be divided evenly; which broker has them does not matter
 			for b, a := range w.brokers {
 				want, held := min(need.At(n, t, b), level), a.holder.leased[LeaseKey{id, t}]
 				all += ideal.At(n, t, b)
--- a/internal/decision/connlease/demand_test.go
+++ b/internal/decision/connlease/demand_test.go
@@ -17,12 +17,12 @@
 		}
 		again, same, err := DecodeDemand(EncodeDemand(version, rows))
 		if err != nil || again != version || !slices.Equal(rows, same) {
-			t.Errorf("%v was read again as %v", rows, same)
+			t.Errorf("%v was decoded as %v after encoding", rows, same)
 		}
 	})
 }
 
-// Demand rises at once, falls slowly, stays where it fluctuates, and the reserved connections are used first.
+// Reported demand rises at once, falls slowly, stays the same under small fluctuations, and uses the reserved connections first.
 func TestDemandTracker(t *testing.T) {
 	n, k := NewDemandTracker(time.Second), LeaseKey{decision.NodeID{Port: 7}, 1}
 	report := func(reserved int) int {
@@ -33,24 +33,24 @@
 	}
 	n.Observe(k, 4.2)
 	if got := report(0); got != 5 {
-		t.Errorf("demand of 4.2 is reported as %d", got)
+		t.Errorf("demand of 4.2 is reported as %d, want 5", got)
 	}
 	if got := report(2); got != 3 {
-		t.Errorf("above a reserve of 2: %d", got)
+		t.Errorf("demand of 4.2 above a reserve of 2 is reported as %d, want 3", got)
 	}
-	for i := range 40 { // it fluctuates between 3.8 and 4.2
+	for i := range 40 { // demand fluctuates between 3.8 and 4.2
 		n.Decay(time.Duration(i) * 100 * time.Millisecond)
 		n.Observe(k, 3.8+0.4*float64(i%2))
 		if got := report(0); got != 5 {
-			t.Fatalf("demand that fluctuates is reported as %d", got)
+			t.Fatalf("demand that fluctuates between 3.8 and 4.2 is reported as %d, want 5", got)
 		}
 	}
 	n.Decay(5 * time.Second)
 	if got := report(0); got < 2 || got > 3 {
-		t.Errorf("a second later, a half: %d", got)
+		t.Errorf("about one half-life later demand is reported as %d, want 2 or 3", got)
 	}
 	n.Decay(15 * time.Second)
 	if got := report(0); got != 0 {
-		t.Errorf("ten seconds later: %d", got)
+		t.Errorf("ten seconds later demand is reported as %d, want 0", got)
 	}
 }
--- a/internal/decision/connlease/excess.go
+++ b/internal/decision/connlease/excess.go
@@ -7,13 +7,13 @@
 	"flaxfront/internal/decision"
 )
 
-// Excess is what a broker must close.
+// Excess says how many connections a broker must close.
 type Excess struct {
-	Counts    []ConnectionCount // in the order of keys
-	Immediate bool              // those in use too; else idle ones first, and those in use get nothing more
+	Counts    []ConnectionCount // ordered by key
+	Immediate bool              // also close connections in use; otherwise close idle ones first and send nothing new on those in use
 }
 
-// ExcessConnections is what must be closed now. Of the tenants at a node the one furthest above its lease gives first.
+// ExcessConnections returns what must be closed now. At each node the tenant furthest above its lease closes connections first.
 func (h *Holder) ExcessConnections(now time.Duration) Excess {
 	phase := h.phase(now)
 	excess := Excess{Immediate: phase == leaseEnding}
@@ -33,12 +33,12 @@
 	return excess
 }
 
-// excessOf is how many connections of a tenant that were not closed are above its lease.
+// excessOf returns how many of a tenant's connections that are not yet closed are above its lease.
 func (h *Holder) excessOf(k LeaseKey, phase leasePhase) int {
 	return h.open[k] - h.closing[k] - h.leasedInPhase(k, phase)
 }
 
-// tenantWithMostExcess is the tenant at a node that is furthest above its lease, once what is in counts is closed.
+// tenantWithMostExcess returns the tenant at a node that remains furthest above its lease once the connections in counts are closed.
 func (h *Holder) tenantWithMostExcess(node decision.NodeID, tenants []int, phase leasePhase, counts []ConnectionCount) LeaseKey {
 	var most ConnectionCount
 	for _, tenant := range tenants {
--- a/internal/decision/connlease/golden_run_test.go
+++ b/internal/decision/connlease/golden_run_test.go
@@ -30,7 +30,7 @@
 	return LeaseKey{Node: g.node(), Tenant: g.upTo(goldenTenants - 1)}
 }
 
-// advance lets time go by in steps, so that moments also fall together.
+// advance moves time forward by a random number of whole steps below most, so that some events happen at the same time.
 func (g *goldenRun) advance(most time.Duration) {
 	g.now += time.Duration(g.rng.Int64N(int64(most))).Round(goldenTimeStep)
 }
@@ -46,7 +46,7 @@
 	return rows
 }
 
-// holder plays a lease holder.
+// holder calls a Holder at random and records the results.
 func (g *goldenRun) holder() {
 	h := NewHolder(time.Duration(1+g.upTo(3)) * 100 * time.Millisecond)
 	number := uint64(1)
@@ -97,7 +97,7 @@
 	}
 }
 
-// withinReserved tells whether all that nodes may count is within the reserve alone.
+// withinReserved reports whether all connections that nodes may count are within the reserve alone.
 func withinReserved(h *Holder) bool {
 	for node := range h.tenantsAt {
 		if h.aboveLease(node, leaseEnding) > h.reservedAt(node) {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// demand plays what a broker measures and reports.
+// demand calls a DemandTracker at random and encodes and decodes its reports, some of them corrupted.
 func (g *goldenRun) demand() {
 	d := NewDemandTracker(time.Duration(1+g.upTo(3)) * time.Second)
 	for range goldenSteps {
@@ -136,7 +136,7 @@
 	}
 }
 
-// granter plays a leader over the real state machine, which takes some of what it proposes.
+// granter calls a Granter at random, over the real state machine, to which most of the proposed entries are applied.
 func (g *goldenRun) granter() {
 	s := statemachine.New()
 	sequence := uint64(0)
@@ -233,7 +233,7 @@
 		}
 		for _, e := range leader.NextEntries(s, plan, needs, term, g.now) {
 			if g.oneIn(12) {
-				g.record(statemachine.Encode(statemachine.ProposalID{}, e)) // lost on its way
+				g.record(statemachine.Encode(statemachine.ProposalID{}, e)) // the proposal is lost
 				continue
 			}
 			apply(e)
--- a/internal/decision/connlease/golden_test.go
+++ b/internal/decision/connlease/golden_test.go
@@ -12,7 +12,7 @@
 
 const (
 	goldenBlocks    = 100
-	goldenSequences = 10 // a block, of each of the three sides
+	goldenSequences = 10 // per block, for each of holder, demand and granter
 	goldenSteps     = 200
 	goldenSeed      = 41
 	goldenNodes     = 4
@@ -21,7 +21,7 @@
 	goldenTimeStep  = 20 * time.Millisecond
 )
 
-// goldenDigests is one digest a block of sequences.
+// goldenDigests returns one digest for each block of sequences, a line each.
 func goldenDigests() string {
 	var all strings.Builder
 	for block := range goldenBlocks {
@@ -36,7 +36,7 @@
 	return all.String()
 }
 
-// Holders, demand reports and granters do over 3,000 pseudo-random sequences what they did in commit 1a4b6be.
+// Holders, demand reports and granters give the results that commit 1a4b6be gave, over 3,000 pseudo-random sequences of calls.
 func TestGolden(t *testing.T) {
 	want, err := os.ReadFile("testdata/golden-1a4b6be.txt")
 	if err != nil {
@@ -45,11 +45,11 @@
 	old := strings.Fields(string(want))
 	now := strings.Fields(goldenDigests())
 	if len(old) != len(now) {
-		t.Fatalf("%d blocks recorded, %d played", len(old), len(now))
+		t.Fatalf("%d blocks recorded, %d run", len(old), len(now))
 	}
 	for i := range old {
 		if old[i] != now[i] {
-			t.Errorf("block %d: %s recorded, %s played", i, old[i], now[i])
+			t.Errorf("block %d: digest %s recorded, %s now", i, old[i], now[i])
 		}
 	}
 }
--- a/internal/decision/connlease/granter.go
+++ b/internal/decision/connlease/granter.go
@@ -9,11 +9,11 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// BudgetPlan is a connection policy over the agreed list of nodes.
+// BudgetPlan is a connection policy applied to the agreed list of nodes.
 type BudgetPlan struct {
 	Nodes   []decision.NodeID  // in the order of statemachine.CompareNodes
-	Budgets []fairshare.Budget // what is above the reserved connections, by node
-	Pool    *fairshare.Budget
+	Budgets []fairshare.Budget // connections above the reserved ones, by node
+	Pool    *fairshare.Budget  // over all nodes; nil: no such limit
 	Tenants []string
 }
 
@@ -21,11 +21,11 @@
 	return slices.BinarySearchFunc(p.Nodes, id, statemachine.CompareNodes)
 }
 
-// Granter is the leader's side: it says which grants to propose.
+// Granter is the leader's side of connection leases: it decides which grants and expiries to propose.
 type Granter struct {
 	lease           time.Duration
 	nodeIdleTimeout time.Duration
-	leadingSince    time.Duration // a broker without a renewal counts as renewed then
+	leadingSince    time.Duration // counts as the renewal time of a broker that has not renewed under this leader
 	renewedAt       map[statemachine.BrokerIncarnation]time.Duration
 
 	divider  fairshare.Divider
@@ -34,9 +34,9 @@
 	division *fairshare.Table
 }
 
-// NewGranter makes the side of a leader: a new one for each leadership, made after its LeaderElected was applied. Linger is how
-// long a node keeps a connection on which nothing passes: a process that was stopped closes nothing when its lease ends, and the
-// nodes themselves end its connections so long after. A broker that answers gives up at once and does not wait for it.
+// NewGranter returns the granter of a leader. Each leadership needs a new one, made after its LeaderElected entry was applied.
+// nodeIdleTimeout is how long a node keeps an idle connection open: a process that is suspended closes nothing when its lease ends, and
+// the nodes close its connections only that much later. A broker that responds gives connections up at once, without this wait.
 func NewGranter(lease, nodeIdleTimeout, leadingSince time.Duration) *Granter {
 	return &Granter{
 		lease:           lease,
@@ -51,7 +51,7 @@
 	g.renewedAt[statemachine.BrokerIncarnation{Slot: slot, Incarnation: incarnation}] = at
 }
 
-// Expiry is when what a broker holds has surely ended, at the nodes too.
+// Expiry returns when a broker's lease has certainly ended, and the nodes have closed the connections opened under it.
 func (g *Granter) Expiry(slot statemachine.Slot, incarnation uint64) time.Duration {
 	at, ok := g.renewedAt[statemachine.BrokerIncarnation{Slot: slot, Incarnation: incarnation}]
 	if !ok {
@@ -60,8 +60,8 @@
 	return GranterExpiry(at, g.lease) + g.nodeIdleTimeout
 }
 
-// NextEntries is what to propose: leases that have expired, and grants toward the fair share of the demands. Demands are by slot, in
-// the order of keys; a broker without one keeps what it has.
+// NextEntries returns the log entries to propose: expiries of leases, and grants that bring each broker closer to its fair share.
+// demands holds counts ordered by key for each slot; a broker without a demand report keeps what it has.
 func (g *Granter) NextEntries(
 	s *statemachine.State, plan *BudgetPlan, demands map[statemachine.Slot][]ConnectionCount, term uint64, now time.Duration,
 ) []statemachine.Entry {
@@ -85,7 +85,7 @@
 	return entries
 }
 
-// dropOldRenewals drops renewals of incarnations that neither run nor hold a lease.
+// dropOldRenewals drops the renewals of incarnations that are not current and hold no lease.
 func (g *Granter) dropOldRenewals(s *statemachine.State, brokers []statemachine.Broker) {
 	current := map[statemachine.BrokerIncarnation]bool{}
 	for _, b := range brokers {
@@ -100,7 +100,7 @@
 	}
 }
 
-// resizeTables makes new tables where the number of nodes, tenants or brokers has changed, and empties them.
+// resizeTables replaces the tables if the number of nodes, tenants or brokers has changed, and clears demand and granted.
 func (g *Granter) resizeTables(nodes, tenants, brokers int) {
 	if g.demand == nil || g.demand.Nodes != nodes || g.demand.Tenants != tenants || g.demand.Brokers != brokers {
 		g.demand = fairshare.NewTable(nodes, tenants, brokers)
@@ -111,12 +111,12 @@
 	g.granted.Clear()
 }
 
-// isOutOrLost tells that a broker gets no connections: it is out or lost.
+// isOutOrLost reports whether a broker is out or lost, and so gets no connections.
 func isOutOrLost(b *statemachine.Broker) bool {
 	return b.Status == statemachine.BrokerLost || b.Status == statemachine.BrokerOut
 }
 
-// fillTables brings the state's leases and the reported demands into tables. A broker without a report wants what it has.
+// fillTables copies the leases and the reported demands into tables. The demand of a broker without a report is what it has.
 func (g *Granter) fillTables(
 	s *statemachine.State, plan *BudgetPlan, brokers []statemachine.Broker, demands map[statemachine.Slot][]ConnectionCount,
 ) {
--- a/internal/decision/connlease/grants.go
+++ b/internal/decision/connlease/grants.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// maxGrantBytes bounds a grant, roughly: an entry that is too large for the log is never agreed, and its broker would get no
-	// other. A broker that needs thousands of pairs of node and tenant has its reserved connections beyond this.
+	// maxGrantBytes is the approximate size limit of a grant: an entry that is too large for the log is never committed, and its broker
+	// would get no other. A broker with more pairs of node and tenant, thousands of them, uses its reserved connections for the rest.
 	maxGrantBytes = 160 << 10
-	rowBytes      = 12 // of a row without the tenant's name, roughly
+	rowBytes      = 12 // approximate size of a row without the tenant's name
 
 	unlimitedPool = 1 << 62 // connections
 )
 
-// available is what may be granted on top of what may still be held.
+// available counts the connections that may be granted in addition to those that brokers may still hold.
 type available struct {
 	byNode []int
 	pool   int // over all nodes
 }
 
-// take gives as many of wanted connections at a node as are available.
+// take takes up to wanted connections at a node and returns how many were available.
 func (a *available) take(node, wanted int) int {
 	n := min(wanted, a.byNode[node], a.pool)
 	if n <= 0 {
@@ -33,7 +33,7 @@
 	return n
 }
 
-// proposeGrants goes from what each broker has to its fair share: down at once, up as far as connections are available.
+// proposeGrants returns grants that move each broker to its fair share: down at once, up as far as connections are available.
 func (g *Granter) proposeGrants(s *statemachine.State, plan *BudgetPlan, brokers []statemachine.Broker) (entries []statemachine.Entry) {
 	free := availableFor(s, plan)
 	for i := range brokers {
@@ -56,13 +56,13 @@
 	return entries
 }
 
-// isUnacknowledged tells that a broker's last grant still counts and this process has not acknowledged it. It gets no other: until
-// then it counts with the greatest of both, row by row.
+// isUnacknowledged reports whether a broker's last grant has not ended and the broker's current incarnation has not acknowledged it.
+// The broker gets no other grant until then, as each row counts with the greater of its old and new number.
 func isUnacknowledged(lease *statemachine.ConnectionLease, b *statemachine.Broker) bool {
 	return lease.Number > 0 && !lease.Ended && (!lease.Acknowledged || lease.Incarnation != b.Incarnation)
 }
 
-// grantRows is a broker's next grant, and whether it differs from what the broker has.
+// grantRows returns the rows of a broker's next grant, and whether they differ from what the broker has.
 func (g *Granter) grantRows(plan *BudgetPlan, broker int, free *available) (rows []statemachine.LeaseRow, changed bool) {
 	size := 0
 	for n, id := range plan.Nodes {
@@ -86,7 +86,7 @@
 	return rows, changed
 }
 
-// availableFor is what the policy in force and the one that waits leave at each node, and what the plan leaves in the pool.
+// availableFor returns what the policy in force and the waiting one leave at each node, and what the plan leaves in the pool.
 func availableFor(s *statemachine.State, plan *BudgetPlan) *available {
 	free := &available{byNode: make([]int, len(plan.Nodes)), pool: unlimitedPool}
 	if plan.Pool != nil {
@@ -107,7 +107,7 @@
 	return free
 }
 
-// leasableUnder lowers what may be leased at a node to what a waiting policy allows: nothing, where it does not name the node.
+// leasableUnder lowers what may be leased at a node to what a waiting policy allows, which is nothing if it does not name the node.
 func leasableUnder(waiting *statemachine.ConnectionPolicy, id decision.NodeID, leasable int64) int64 {
 	i, found := slices.BinarySearchFunc(waiting.Budgets, id, func(b statemachine.NodeBudget, id decision.NodeID) int {
 		return statemachine.CompareNodes(b.Node, id)
--- a/internal/decision/connlease/grants_test.go
+++ b/internal/decision/connlease/grants_test.go
@@ -11,12 +11,12 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// A grant ends with the row that takes it over its size; the broker gets no more rows.
+// A grant ends with the row that takes it over the size limit; the broker gets no further rows.
 func TestGrantSize(t *testing.T) {
 	const (
 		tenantCount = 300
 		nameBytes   = 600
-		wantRows    = 268 // of 612 bytes each: 267 are 163,404 bytes, the limit is 163,840
+		wantRows    = 268 // of 612 bytes each: 267 rows are 163,404 bytes, the limit is 163,840
 	)
 	node := decision.NodeID{Addr: [4]byte{10, 0, 0, 1}, Port: 80}
 	plan := &BudgetPlan{Nodes: []decision.NodeID{node}, Budgets: []fairshare.Budget{{Units: 900}}}
@@ -41,7 +41,7 @@
 	g := NewGranter(time.Second, 0, 0)
 	entries := g.NextEntries(s, plan, map[statemachine.Slot][]ConnectionCount{1: counts}, 1, 0)
 	if len(entries) != 1 {
-		t.Fatalf("%d entries", len(entries))
+		t.Fatalf("%d entries proposed, want one grant", len(entries))
 	}
 	grant, ok := entries[0].(*statemachine.GrantLease)
 	if !ok || len(grant.Rows) != wantRows {
--- a/internal/decision/connlease/holder.go
+++ b/internal/decision/connlease/holder.go
@@ -7,29 +7,30 @@
 	"flaxfront/internal/decision"
 )
 
-// Holder is a broker's side. Whoever opens connections asks Open before each and calls RecordClosed after each.
+// Holder is a broker's side of its connection lease. Callers must call Open before they open a connection, and RecordClosed after they
+// close it.
 type Holder struct {
 	closeDelay         time.Duration // how long a node may take to notice that a connection was closed
 	grantNumber        uint64        // of the newest grant
-	acknowledgedNumber uint64
+	acknowledgedNumber uint64        // of the newest grant whose acknowledgement was applied
 	expiry             time.Duration // of the newest grant's lease
 	leased             map[LeaseKey]int
 	reserved           map[decision.NodeID]int
-	reservedByDefault  int // at nodes that reserved does not name
-	unlimited          bool
-	open               map[LeaseKey]int // with those that were closed and that a node may still count
-	closing            map[LeaseKey]int // of these, those that were closed
-	closed             []closedConnection
-	tenantsAt          map[decision.NodeID][]int // tenants with connections to a node, in order
+	reservedByDefault  int                       // at nodes that reserved does not name
+	unlimited          bool                      // no policy is in force
+	open               map[LeaseKey]int          // includes closed connections that a node may still count
+	closing            map[LeaseKey]int          // of those in open, the closed ones
+	closed             []closedConnection        // the connections counted in closing, oldest first
+	tenantsAt          map[decision.NodeID][]int // tenants with connections to a node, in ascending order
 }
 
-// closedConnection is a connection that was closed here and that its node may still count.
+// closedConnection is a connection that this broker closed and that its node may still count.
 type closedConnection struct {
 	key      LeaseKey
 	closedAt time.Duration
 }
 
-// NewHolder makes the side of a broker without a lease. CloseDelay is how long a node may take to notice that a connection was
+// NewHolder returns the holder of a broker without a lease. closeDelay is how long a node may take to notice that a connection was
 // closed.
 func NewHolder(closeDelay time.Duration) *Holder {
 	return &Holder{
@@ -42,15 +43,15 @@
 	}
 }
 
-// SetReserved sets how many connections may be open to each node without a lease, by all tenants together; elsewhere is for nodes
-// that are not named.
+// SetReserved sets how many connections all tenants together may have open to each node without a lease. byDefault applies to nodes
+// that byNode does not name.
 func (h *Holder) SetReserved(byNode map[decision.NodeID]int, byDefault int) {
 	h.reserved = byNode
 	h.reservedByDefault = byDefault
 	h.unlimited = false
 }
 
-// SetUnlimited allows any connection, and counts on: no policy is in force. SetReserved ends it.
+// SetUnlimited allows any connection, as no policy is in force, until SetReserved is called. Connections are still counted.
 func (h *Holder) SetUnlimited() { h.unlimited = true }
 
 // SetCloseDelay sets how long a node may take to notice that a connection was closed.
@@ -63,8 +64,8 @@
 	return h.reservedByDefault
 }
 
-// AcceptGrant holds a grant in place of the one before, and tells whether it is a newer one. The same grant again may only extend
-// the lease; an older one changes nothing.
+// AcceptGrant replaces the current grant and reports whether the given one is newer. The same grant can only extend the lease; an older
+// one changes nothing.
 func (h *Holder) AcceptGrant(number uint64, rows []ConnectionCount, expiry time.Duration) (newer bool) {
 	if number < h.grantNumber || number == h.grantNumber && expiry <= h.expiry {
 		return false
@@ -81,24 +82,24 @@
 	return true
 }
 
-// ResetGrantNumber has the next grant count as newer, whatever its number. It is safe where that grant is of another incarnation:
-// the state machine accepts one only once all that the earlier incarnation held has ended.
+// ResetGrantNumber makes the next grant count as newer, whatever its number. This is safe if that grant is for another incarnation, as
+// the state machine accepts one only once the lease of the earlier incarnation has ended.
 func (h *Holder) ResetGrantNumber() {
 	h.grantNumber = 0
 	h.acknowledgedNumber = 0
 }
 
-// leasePhase is how far a lease is, for its holder.
+// leasePhase is the phase of a lease, as its holder sees it.
 type leasePhase uint8
 
 const (
-	leaseUsable      leasePhase = iota // connections may be opened under it
-	leaseWindingDown                   // nothing new is opened; what is above the reserve is closed as it becomes idle
-	leaseEnding                        // what is above the reserve is closed at once; or the lease has ended
+	leaseUsable      leasePhase = iota // connections may be opened under the lease
+	leaseWindingDown                   // none is opened above the reserve; those above it are closed as they become idle
+	leaseEnding                        // connections above the reserve are closed at once; also once the lease has ended
 )
 
-// phase is how far the lease is. It comes before every way to a connection, with the present time, since a process that was stopped
-// over its lease wakes up with its connections and its grant. The last two close delays before the end are for closing.
+// phase returns the phase of the lease. Every decision on a connection checks it with the current time first, since a process that was
+// suspended beyond its lease resumes with its connections and its grant. The last two close delays before expiry are for closing.
 func (h *Holder) phase(now time.Duration) leasePhase {
 	switch {
 	case now < h.windDownAt():
@@ -113,7 +114,7 @@
 func (h *Holder) windDownAt() time.Duration { return h.expiry - 2*h.closeDelay }
 func (h *Holder) endingAt() time.Duration   { return h.expiry - h.closeDelay }
 
-// NextPhaseChange is when the lease next changes its phase; never is the greatest duration.
+// NextPhaseChange returns when the lease next changes its phase, or math.MaxInt64 if it does not.
 func (h *Holder) NextPhaseChange(now time.Duration) time.Duration {
 	switch h.phase(now) {
 	case leaseUsable:
@@ -125,7 +126,8 @@
 	}
 }
 
-// PendingAck is the number of the grant to acknowledge: it is held, and at the nodes there is nothing of older ones. 0: none.
+// PendingAck returns the number of the grant to acknowledge, or 0. A grant is acknowledged once all connections that nodes may count are
+// within it, and none remains that only an older grant allowed.
 func (h *Holder) PendingAck(now time.Duration) uint64 {
 	if h.acknowledgedNumber == h.grantNumber || !h.WithinLease(now) {
 		return 0
@@ -133,12 +135,12 @@
 	return h.grantNumber
 }
 
-// RecordAcked says that an acknowledgement was applied.
+// RecordAcked records that the acknowledgement of a grant was applied.
 func (h *Holder) RecordAcked(number uint64) {
 	h.acknowledgedNumber = max(h.acknowledgedNumber, min(number, h.grantNumber))
 }
 
-// WithinLease tells whether all that nodes may count is within the newest grant and the reserve.
+// WithinLease reports whether all connections that nodes may count are within the newest grant and the reserve.
 func (h *Holder) WithinLease(now time.Duration) bool {
 	h.releaseClosed(now)
 	for node := range h.tenantsAt {
--- a/internal/decision/connlease/simulated_broker_test.go
+++ b/internal/decision/connlease/simulated_broker_test.go
@@ -8,29 +8,29 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// simulatedBroker is a broker.
+// simulatedBroker is a broker in virtual time, with a lease holder, a clock of its own and connections to nodes.
 type simulatedBroker struct {
 	tier            *simulatedTier
 	slot            statemachine.Slot
 	incarnation     uint64
-	rate            float64 // of its clock
+	rate            float64 // of its clock, relative to virtual time
 	holder          *Holder
 	demand          *DemandTracker
-	stopped         bool // SIGSTOP
+	stopped         bool // suspended, as by SIGSTOP
 	disconnected    bool // from the tier
 	wanted          map[LeaseKey]int
 	connections     []*simulatedConnection
-	reservedVersion uint64 // version of the policy whose reserve it keeps to
+	reservedVersion uint64 // version of the policy whose reserve the broker has acknowledged
 }
 
-// simulatedConnection is a connection. Seen is whether its node counts it.
+// simulatedConnection is a connection of a broker to a node.
 type simulatedConnection struct {
 	key            LeaseKey
-	counted, ended bool
+	counted, ended bool // its node counts it; it was closed
 	lastUsed       time.Duration
 }
 
-// shiftDemand moves all that a broker wants; few says for how many of ten pairs of node and tenant it is nothing.
+// shiftDemand draws new demand for all pairs of node and tenant; zeroOfTen in ten of them get none.
 func (a *simulatedBroker) shiftDemand(zeroOfTen int) {
 	for _, id := range a.tier.plans[0].Nodes {
 		for t := range tenants {
@@ -44,7 +44,7 @@
 
 func (a *simulatedBroker) clock() time.Duration { return time.Duration(float64(a.tier.now) * a.rate) }
 
-// runLoop is a turn of the broker's loop.
+// runLoop runs one iteration of the broker's loop and schedules the next: it closes excess connections and opens wanted ones.
 func (a *simulatedBroker) runLoop(ownIncarnation uint64) {
 	w := a.tier
 	if a.incarnation != ownIncarnation {
@@ -54,7 +54,7 @@
 	if a.stopped {
 		return
 	}
-	for i := 0; i < len(a.connections); i++ { // what nodes closed meanwhile
+	for i := 0; i < len(a.connections); i++ { // connections that nodes have closed
 		if a.connections[i].ended {
 			a.dropConnection(i, true)
 			i--
@@ -96,7 +96,8 @@
 	a.connections = append(a.connections[:i], a.connections[i+1:]...)
 }
 
-// open is a connection that reaches its node, which counts it and ends it when nothing passed for long.
+// open has a connection reach its node, which counts it and closes it once it has been idle for long. It records a violation if the node
+// now has more connections than the policy in force allows.
 func (w *simulatedTier) open(c *simulatedConnection) {
 	if c.ended {
 		return
@@ -113,6 +114,7 @@
 	w.idle(c)
 }
 
+// idle closes a connection that has reached the node's idle timeout, or else checks it again when it could.
 func (w *simulatedTier) idle(c *simulatedConnection) {
 	if c.ended {
 		return
@@ -131,7 +133,7 @@
 	c.ended = true
 }
 
-// renew is one renewal: the lease of the answer counts from before the question.
+// renew sends one renewal and schedules the next. The lease in the answer counts from before the request was sent.
 func (a *simulatedBroker) renew(ownIncarnation uint64) {
 	w := a.tier
 	if a.incarnation != ownIncarnation {
@@ -167,7 +169,7 @@
 	ownIncarnation uint64, requestedAt time.Duration, ack uint64, h statemachine.ConnectionLease, inForce, waiting *statemachine.ConnectionPolicy,
 ) {
 	w := a.tier
-	if a.stopped { // it waits in the socket
+	if a.stopped { // the answer stays in the socket buffer
 		w.schedule(50*time.Millisecond, func() { a.handleAnswer(ownIncarnation, requestedAt, ack, h, inForce, waiting) })
 		return
 	}
--- a/internal/decision/connlease/simulated_tier_test.go
+++ b/internal/decision/connlease/simulated_tier_test.go
@@ -11,8 +11,8 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// simulatedTier is a tier in virtual time: brokers with clocks of their own, links that stall, processes that stop, one state machine
-// whose leader changes, and nodes that count their connections themselves. What it tells is the nodes' count alone.
+// simulatedTier is a tier in virtual time: brokers with clocks of their own, links that stall, processes that are suspended, one state
+// machine whose leader changes, and nodes that count their own connections. Violations are judged by the nodes' counts alone.
 type simulatedTier struct {
 	random            *rand.Rand
 	now               time.Duration
@@ -26,13 +26,13 @@
 	demands           map[statemachine.Slot][]ConnectionCount
 	brokers           []*simulatedBroker
 	countAt           map[decision.NodeID]int
-	openedCount       int // connections opened
-	violation         string
-	leaseFromAnswer   bool          // a fault put in on purpose: a lease counted from when the answer came
-	nodeIdleTimeout   time.Duration // of nodes
-	stallEvery        int           // one answer in so many comes late by seconds
-	withoutFaults     bool          // only the test changes anything
-	ignoreIdleTimeout bool          // another: the granter does not wait for what a stopped process left open
+	openedCount       int           // connections opened
+	violation         string        // the first budget found exceeded; empty: none
+	leaseFromAnswer   bool          // injected fault: holders count a lease from when the answer arrived
+	nodeIdleTimeout   time.Duration // after which nodes close an idle connection
+	stallEvery        int           // one in this many answers is delayed by up to 5 s
+	withoutFaults     bool          // no random faults: only the test changes demand
+	ignoreIdleTimeout bool          // injected fault: the granter does not wait until nodes have closed idle connections
 }
 
 type event struct {
@@ -83,7 +83,7 @@
 	return w.machine.Apply(w.index, statemachine.Encode(statemachine.ProposalID{Slot: 4000, Incarnation: 1, Sequence: w.index}, e)).Err
 }
 
-// runLeader is a turn of whoever leads.
+// runLeader runs one iteration of the current leader, which applies the entries that it proposes, and schedules the next.
 func (w *simulatedTier) runLeader() {
 	policies := w.machine.Policies()
 	inForce, waiting := policies.InForce, policies.Waiting
@@ -96,6 +96,7 @@
 	w.schedule(500*time.Millisecond, w.runLeader)
 }
 
+// elect starts a new term, whose leader knows of no renewal and no demand.
 func (w *simulatedTier) elect() {
 	w.term++
 	w.apply(&statemachine.LeaderElected{Slot: 1, Term: w.term})
@@ -119,7 +120,7 @@
 	w.schedule(w.upTo(400*time.Millisecond), func() { a.renew(ownIncarnation) })
 }
 
-// proposePolicy proposes the next version: budgets and reserves go up and down in turns.
+// proposePolicy proposes a policy version. Budgets and reserves alternate between two settings from version to version.
 func (w *simulatedTier) proposePolicy(version uint64, maxBrokers int) error {
 	e := &statemachine.ConnectionPolicy{Version: version, Text: "t", MaxBrokers: uint32(maxBrokers)}
 	plan := w.plans[(version-1)%2]
