--- a/internal/decision/cachedlist/credibility.go
+++ b/internal/decision/cachedlist/credibility.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	priorWeight = 2.0 // how many tested entries the stated half-life is worth
+	priorWeight = 2.0 // how many tested entries the configured half-life counts as
 	minPrior    = 1e-6
-	maxPrior    = 0.98 // however old an entry, its endpoint's answers must be able to outweigh its age
+	maxPrior    = 0.98 // however old an entry is, evidence from its endpoint must be able to outweigh its age
 )
 
-// maxClockSkew is how far ahead of the clock a confirmation may be; one further ahead shows that the clock went back.
+// maxClockSkew is how far a confirmation may be ahead of the clock; one further ahead shows that the clock was set back.
 const maxClockSkew = time.Minute
 
-// hazard is how many entries turn wrong in a nanosecond. Lifetimes are taken for exponential; the stated half-life is the prior, worth
-// priorWeight entries, and the entries tested since the start, right or wrong, move it (the conjugate gamma of a censored exponential).
-// So a list that proves worse than its age makes all its other entries less credible.
+// hazard returns the estimated rate at which entries become wrong, per nanosecond. Lifetimes are assumed to be exponential. The prior is
+// the configured half-life, which counts as priorWeight entries; entries tested since the start, right or wrong, update it (the conjugate
+// gamma prior of a censored exponential). A list that proves worse than its age so makes its other entries less credible.
 func (v *Evaluator) hazard() float64 {
 	return (priorWeight + v.wrongEntries) / (priorWeight*float64(v.policy.HalfLife)/math.Ln2 + v.exposure)
 }
 
-// prior is the probability that an entry of an age is wrong before its endpoint has shown anything.
+// prior returns the probability that an entry of the given age is wrong, before any evidence from its endpoint.
 func (v *Evaluator) prior(age time.Duration, hazard float64) float64 {
 	return min(maxPrior, max(minPrior, 1-math.Exp(-hazard*float64(age))))
 }
 
-// errorProbability is the probability that an endpoint's entry is wrong, by Bayes' rule.
+// errorProbability returns the probability that an endpoint's entry is wrong, by Bayes' rule.
 func (v *Evaluator) errorProbability(ep *endpoint, now time.Duration, hazard float64) float64 {
 	e, known := v.table.Get(ep.name)
 	if !known {
@@ -39,8 +39,8 @@
 	return odds / (1 + odds)
 }
 
-// age is how long ago an entry was last confirmed. One from the future says nothing, as the clock went back: the entry counts as being as
-// old as any that is used.
+// age returns how long ago an entry was last confirmed. If that is unknown, or more than maxClockSkew in the future as the clock was set
+// back, the entry counts as MaxAge old, the oldest that is used.
 func (v *Evaluator) age(e *Entry, now time.Duration) time.Duration {
 	at := v.timestamp(now)
 	confirmed := e.ConfirmedAt
@@ -53,16 +53,17 @@
 	return max(0, at.Since(confirmed))
 }
 
-// EntryAge returns how long ago an entry was last confirmed, as of the start; false: nobody knows.
+// EntryAge returns how long before the broker's start an entry was last confirmed; known is false if that is not known.
 func (v *Evaluator) EntryAge(e *Entry) (age time.Duration, known bool) {
 	age = v.age(e, 0)
 	return age, age < v.policy.MaxAge || e.ConfirmedAt > 0 && e.ConfirmedAt <= v.startedAt
 }
 
-// PriorErrorProbability returns the probability that an entry is wrong by its age at the start alone.
+// PriorErrorProbability returns the probability that an entry is wrong, judged by its age at the broker's start alone.
 func (v *Evaluator) PriorErrorProbability(e *Entry) float64 { return v.prior(v.age(e, 0), v.hazard()) }
 
-// ErrorProbability returns the probability that an endpoint's entry is wrong, and its status; 0 and Confirmed of one that is not known.
+// ErrorProbability returns the probability that an endpoint's entry is wrong, and its status. It returns 0 and Confirmed for an unknown
+// endpoint.
 func (v *Evaluator) ErrorProbability(id decision.NodeID, now time.Duration) (float64, Status) {
 	ep := v.endpoints[id]
 	if ep == nil {
--- a/internal/decision/cachedlist/ejection.go
+++ b/internal/decision/cachedlist/ejection.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Tick weighs what came since the last call. It returns the updates for the router, and when to call again.
+// Tick evaluates the evidence recorded since the last call. It returns the updates for the router, and when to call it again.
 func (v *Evaluator) Tick(now time.Duration) (updates []EndpointUpdate, next time.Duration) {
 	idle := !v.newEvidence && !v.localNetworkFault && now < v.nextTick
 	if v.discoveryUp || idle {
@@ -35,7 +35,7 @@
 	return v.collectUpdates(), v.nextTick
 }
 
-// checkLocalNetwork notes when endpoints begin and cease to fail alike.
+// checkLocalNetwork records when nearly all endpoints begin or cease to fail, which indicates a fault in the broker's own network.
 func (v *Evaluator) checkLocalNetwork(now time.Duration) {
 	fault := v.failAlike(now)
 	if fault == v.localNetworkFault {
@@ -43,17 +43,17 @@
 	}
 	v.localNetworkFault = fault
 	if !fault {
-		v.log("endpoints no longer fail alike")
+		v.log("endpoints no longer fail alike: ejection resumes")
 		return
 	}
-	v.log("all endpoints fail alike: taken for a fault of this broker's own network, none is ejected for it")
-	for ep := range v.suspects { // what they showed tells of the network, not of them
+	v.log("nearly all endpoints fail alike: assuming a fault in this broker's own network, none is ejected for it")
+	for ep := range v.suspects { // their failures are evidence of a network fault, not of wrong entries
 		ep.odds = 1
 	}
 }
 
-// mayEject reports whether an entry is so likely wrong that it is ejected. The last entry of a cell stays, so that there is always one to
-// try.
+// mayEject reports whether an entry is so likely to be wrong that it is ejected. The last usable entry of a cell is never ejected, so that
+// there is always one to try.
 func (v *Evaluator) mayEject(ep *endpoint, now time.Duration, hazard float64) bool {
 	return !v.localNetworkFault && v.usableInCell[ep.cell] > 1 && v.errorProbability(ep, now, hazard) >= v.policy.EjectionThreshold
 }
@@ -67,7 +67,7 @@
 	v.wrongEntries++
 	v.counts.Ejections++
 	v.update(ep)
-	v.log(ep.name + " ejected: its entry is probably wrong")
+	v.log(ep.name + " ejected: its cached entry is probably wrong")
 }
 
 func (v *Evaluator) startTrial(ep *endpoint) {
@@ -77,7 +77,7 @@
 	v.update(ep)
 }
 
-// endTrial ends a trial that failed; the next comes after twice the time.
+// endTrial ends a failed trial. The next one comes after twice the interval.
 func (v *Evaluator) endTrial(ep *endpoint, now time.Duration) {
 	ep.inTrial = false
 	ep.trialInterval = min(2*ep.trialInterval, maxTrialIntervalFactor*v.policy.TrialInterval)
@@ -86,18 +86,18 @@
 	v.update(ep)
 }
 
-// reinstate uses an ejected endpoint that answered, in slow start, as it may just have come back.
+// reinstate puts an ejected endpoint that answered back into use, in slow start, as it may just have restarted.
 func (v *Evaluator) reinstate(ep *endpoint) {
 	v.counts.Reinstated++
 	v.usableInCell[ep.cell]++
 	ep.inTrial = false
 	ep.slowStart = true
 	ep.status = Confirmed
-	v.log(ep.name + " reinstated: it answered")
+	v.log(ep.name + " reinstated: it answered an attempt")
 	v.update(ep)
 }
 
-// suspectsByOdds returns the suspects, the likeliest wrong first, so that of a cell's last two the better one stays.
+// suspectsByOdds returns the suspects, the most likely wrong first, so that the better one of a cell's last two entries stays.
 func (v *Evaluator) suspectsByOdds() (suspects []*endpoint) {
 	for ep := range v.suspects {
 		suspects = append(suspects, ep)
@@ -108,9 +108,10 @@
 	return suspects
 }
 
+// log keeps a line for CollectLogLines.
 func (v *Evaluator) log(line string) { v.logLines = append(v.logLines, line) }
 
-// CollectLogLines returns what is worth a log line since the last call.
+// CollectLogLines returns the log lines since the last call.
 func (v *Evaluator) CollectLogLines() []string {
 	lines := v.logLines
 	v.logLines = nil
--- a/internal/decision/cachedlist/evaluator_test.go
+++ b/internal/decision/cachedlist/evaluator_test.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/decision"
 )
 
-// The sequences that are drawn are the same in each run; -rapid.seed given on the command line draws others.
+// Each run draws the same random sequences, unless -rapid.seed is given on the command line.
 func init() { flag.Set("rapid.seed", "1") }
 
 const day = 24 * time.Hour
@@ -32,7 +32,7 @@
 		StateSince: startedAt - Timestamp(age.Milliseconds())}
 }
 
-// newTestEvaluator is a evaluator of some entries of one age, after its beginning.
+// newTestEvaluator returns a started evaluator of n entries of the same age, and its table.
 func newTestEvaluator(n int, age time.Duration) (*Evaluator, *EntryTable) {
 	var all []Entry
 	for i := range n {
@@ -44,12 +44,12 @@
 	return evaluator, table
 }
 
-// failuresToEject counts outcome many failures of a kind, a second apart, it takes until an entry is ejected.
+// failuresToEject returns how many failures of a kind, one a second, it takes until an entry of the given age is ejected; 100: not so few.
 func failuresToEject(age time.Duration, outcome decision.Outcome) int {
 	evaluator, _ := newTestEvaluator(8, age)
 	for n := 1; n < 100; n++ {
 		now := time.Duration(n) * time.Second
-		evaluator.RecordOutcome(id("n01"), decision.OK, time.Millisecond, now) // the others do well
+		evaluator.RecordOutcome(id("n01"), decision.OK, time.Millisecond, now) // two other endpoints succeed
 		evaluator.RecordOutcome(id("n02"), decision.OK, time.Millisecond, now)
 		evaluator.RecordOutcome(id("n00"), outcome, time.Second, now)
 		updates, _ := evaluator.Tick(now)
@@ -69,20 +69,20 @@
 		for _, age := range []time.Duration{0, time.Hour, day, 7 * day, 29 * day} {
 			n := failuresToEject(age, outcome)
 			if n > last {
-				t.Errorf("%d failures of kind %d at the age of %v, %d for a younger one", n, outcome, age, last)
+				t.Errorf("%d failures of outcome %d eject an entry of age %v, but %d a younger one", n, outcome, age, last)
 			}
 			last = n
 		}
 		if fresh, old := failuresToEject(0, outcome), failuresToEject(7*day, outcome); fresh <= old {
-			t.Errorf("kind %d: %d failures for a fresh entry, %d for an old one", outcome, fresh, old)
+			t.Errorf("outcome %d: %d failures eject a fresh entry, %d a week-old one", outcome, fresh, old)
 		}
 	}
 	if n := failuresToEject(7*day, decision.ConnectFailed); n > 2 {
-		t.Errorf("a week-old entry that refuses is ejected after %d", n)
+		t.Errorf("a week-old entry that refuses connections is ejected after %d failures, want at most 2", n)
 	}
 }
 
-// A node that answers is reinstated at once, also one that was ejected; then it is in slow start, as it may just have started.
+// An ejected endpoint is tried at growing intervals. It is reinstated as soon as it answers, in slow start, as it may just have started.
 func TestAnswerReinstates(t *testing.T) {
 	evaluator, table := newTestEvaluator(8, 25*day)
 	fail := func(now time.Duration) []EndpointUpdate {
@@ -92,33 +92,33 @@
 		return updates
 	}
 	if f := fail(time.Second); len(f) != 1 || f[0].Usable {
-		t.Fatalf("updates %+v", f)
+		t.Fatalf("after a failure: updates %+v, want one that ejects", f)
 	}
 	updates, next := evaluator.Tick(2 * time.Second)
 	if len(updates) != 0 || next != time.Second+policy.TrialInterval {
-		t.Fatalf("%+v, comes again at %v", updates, next)
+		t.Fatalf("before the trial: updates %+v, next tick at %v", updates, next)
 	}
 	if updates, _ = evaluator.Tick(next); len(updates) != 1 || !updates[0].Usable || !updates[0].SlowStart {
-		t.Fatalf("after its trial interval %+v", updates)
+		t.Fatalf("after the trial interval: updates %+v, want one in slow start", updates)
 	}
-	if f := fail(next + time.Second); len(f) != 1 || f[0].Usable { // the trial failed: twice as long
-		t.Fatalf("updates %+v", f)
+	if f := fail(next + time.Second); len(f) != 1 || f[0].Usable { // the trial failed: the next interval is twice as long
+		t.Fatalf("after the failed trial: updates %+v, want one that ejects", f)
 	}
 	_, next = evaluator.Tick(next + 2*time.Second)
 	evaluator.Tick(next)
 	evaluator.RecordOutcome(id("n00"), decision.OK, 0, next+time.Second)
 	if updates, _ = evaluator.Tick(next + time.Second); len(updates) != 1 || !updates[0].Usable || !updates[0].SlowStart {
-		t.Fatalf("answered: %+v", updates)
+		t.Fatalf("after an answer: updates %+v, want one in slow start", updates)
 	}
 	if e, _ := table.Get("n00"); e.ConfirmedBy != SourceEndpoint || e.ConfirmedAt <= startedAt {
-		t.Errorf("kept as %+v", e)
+		t.Errorf("the entry is not confirmed by its endpoint: %+v", e)
 	}
 	if c := evaluator.Snapshot(next + time.Second); c.Ejected != 0 || c.Reinstated != 1 || c.Trials != 2 || c.Confirmed != 2 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v", c)
 	}
 }
 
-// Where all fail alike it is the broker's own network: nothing is ejected, and no evidence stays.
+// If all endpoints fail alike, the broker's own network is at fault: nothing is ejected, and the evidence is discarded.
 func TestLocalNetworkFaultEjectsNothing(t *testing.T) {
 	evaluator, _ := newTestEvaluator(8, 7*day)
 	for s := range 20 {
@@ -131,17 +131,17 @@
 		}
 	}
 	if !evaluator.Snapshot(time.Minute).LocalNetworkFault {
-		t.Error("not noticed")
+		t.Error("the local network fault is not detected")
 	}
 	for i := range 7 {
 		evaluator.RecordOutcome(id(fmt.Sprintf("n%02d", i)), decision.OK, 0, 21*time.Second)
 	}
 	if updates, _ := evaluator.Tick(21 * time.Second); len(updates) != 0 || evaluator.Snapshot(time.Minute).LocalNetworkFault {
-		t.Errorf("after it ended: %+v", updates)
+		t.Errorf("after the fault: updates %+v, or the fault is still reported", updates)
 	}
 }
 
-// A list that proves worse than its age makes its other entries less credible, and one that proves well more so.
+// If tested entries prove wrong, the other entries of the list become less credible; if they prove right, more so.
 func TestTestedEntriesMoveErrorProbability(t *testing.T) {
 	errorProbability := func(outcome decision.Outcome) float64 {
 		evaluator, _ := newTestEvaluator(40, day)
@@ -160,12 +160,12 @@
 	evaluator, _ := newTestEvaluator(1, day)
 	plain, _ := evaluator.ErrorProbability(id("n00"), 0)
 	if good, bad := errorProbability(decision.OK), errorProbability(decision.ConnectFailed); good >= plain || bad <= 2*plain {
-		t.Errorf("error probability %.3f by age, %.3f after a good showing, %.3f after a bad one", plain, good, bad)
+		t.Errorf("error probability %.3f by age, %.3f after 20 entries proved right, %.3f after 20 proved wrong", plain, good, bad)
 	}
 }
 
-// What was known before the restart binds after it, until discovery lists the node anew; so does age. A clock that went back
-// makes entries as old as any.
+// A drain, an end or too great an age known before a restart remains in force after it until discovery lists the endpoint again. Entries
+// confirmed in the future, as the clock was set back, count as being as old as possible.
 func TestExcludedStayExcluded(t *testing.T) {
 	drained, ended, old, future := entry(0, 0), entry(1, 0), entry(2, 31*day), entry(3, -time.Hour)
 	drained.State, ended.State = Draining, Ended
@@ -176,24 +176,24 @@
 		use[f.Entry.Name] = f.Usable
 	}
 	if len(use) != 4 || use["n00"] || use["n02"] || !use["n03"] || !use["n04"] {
-		t.Fatalf("in use %v", use)
+		t.Fatalf("entries in use: %v, want n03 and n04", use)
 	}
 	if d, _ := evaluator.ErrorProbability(id("n03"), 0); d < 0.9 {
-		t.Errorf("an entry from the future has an error probability of %.2f", d)
+		t.Errorf("an entry confirmed in the future has an error probability of %.2f, want at least 0.9", d)
 	}
 	for _, name := range []string{"n00", "n02"} {
 		evaluator.RecordOutcome(id(name), decision.OK, 0, time.Second)
 	}
 	if updates, _ := evaluator.Tick(time.Second); len(updates) != 0 {
-		t.Errorf("brought back %+v", updates)
+		t.Errorf("answers brought excluded entries back: %+v", updates)
 	}
 	fresh := entry(0, 0)
 	evaluator.ApplyList(List{Service: "d", Generation: 5, Full: true, Entries: []Entry{fresh, entry(1, 0)}}, id, 2*time.Second)
 	updates, _ := evaluator.Tick(2 * time.Second)
 	if !slices.ContainsFunc(updates, func(f EndpointUpdate) bool { return f.Entry.Name == "n00" && f.Usable && !f.SlowStart }) {
-		t.Errorf("listed anew: %+v", updates)
+		t.Errorf("listed again by discovery: updates %+v, want one that uses n00", updates)
 	}
 	if e, _ := table.Get("n04"); e.State != Ended || e.StateSince != startedAt+2000 {
-		t.Errorf("not named by a full list: %+v", e)
+		t.Errorf("an entry that a full list does not name is not ended: %+v", e)
 	}
 }
--- a/internal/decision/cachedlist/eviction.go
+++ b/internal/decision/cachedlist/eviction.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Evict drops ended entries that have been known as such for longer than keepEnded, and, beyond maxEntries, ended entries first, then
-// draining ones, then ready ones, among them those confirmed longest ago. It returns how many it dropped.
+// Evict drops entries that have been ended for longer than keepEnded. If more than maxEntries remain, it drops ended entries first, then
+// draining ones, then ready ones, and among equals those confirmed longest ago. It returns how many entries it dropped.
 func (t *EntryTable) Evict(maxEntries int, keepEnded time.Duration, now Timestamp) (evicted int) {
 	for name, e := range t.entries {
 		if e.State == Ended && now.Since(e.StateSince) > keepEnded {
--- a/internal/decision/cachedlist/evidence.go
+++ b/internal/decision/cachedlist/evidence.go
@@ -6,31 +6,31 @@
 	"flaxfront/internal/decision"
 )
 
-// How much likelier an endpoint with a wrong entry shows this than one with a right entry.
+// Likelihood ratios: how much more likely an outcome is if the endpoint's entry is wrong than if it is right.
 const (
-	ratioUnreachable     = 30.0 // no connection: an endpoint in service accepts one, as a rule
-	ratioUnanswered      = 8.0  // an attempt unanswered for long: it hangs, or pauses
-	ratioConnectionReset = 4.0  // a connection that broke, an answer that could not be read
+	ratioUnreachable     = 30.0 // connecting failed; an endpoint in service normally accepts connections
+	ratioUnanswered      = 8.0  // an attempt unanswered for long; the endpoint hangs or pauses
+	ratioConnectionReset = 4.0  // the connection broke, or the answer could not be read
 	ratioErrored         = 2.0
-	ratioRejected        = 3.0 // it drains, or is full
-	maxOdds              = 1e12
+	ratioRejected        = 3.0  // the endpoint drains or is full
+	maxOdds              = 1e12 // limit of the product of ratios
 )
 
 const (
-	evidenceSpacing = 100 * time.Millisecond // failures closer together count once: they have one cause
-	unansweredAfter = 400 * time.Millisecond // a cancelled attempt this old counts as unanswered
+	evidenceSpacing = 100 * time.Millisecond // failures of an endpoint closer together count once, as they have one cause
+	unansweredAfter = 400 * time.Millisecond // a cancelled attempt at least this old counts as unanswered
 
 	maxTrialIntervalFactor = 20 // times the first trial interval
 )
 
-// Nearly all endpoints fail alike when the fault is in the broker's own network.
+// If nearly all endpoints fail alike, the fault is assumed to be in the broker's own network.
 const (
-	alikeShare    = 0.9
-	minAlikeTried = 3 // endpoints
-	alikeWindow   = 3 * time.Second
+	alikeShare    = 0.9             // of the endpoints tried within the window that failed
+	minAlikeTried = 3               // endpoints tried within the window; fewer prove nothing
+	alikeWindow   = 3 * time.Second // evidence older than this is disregarded
 )
 
-// likelihoodRatio is what an outcome says: over 1 against the entry, 0 for it, 1 nothing.
+// likelihoodRatio returns the weight of an outcome as evidence: above 1 against the entry, 1 no evidence, 0 proof that it is right.
 func likelihoodRatio(outcome decision.Outcome, took time.Duration) float64 {
 	switch outcome {
 	case decision.OK, decision.Stale:
@@ -55,8 +55,8 @@
 	}
 }
 
-// RecordOutcome notes how an attempt ended. An endpoint that answers is reinstated at once. While discovery can be polled, outcomes are the
-// router's matter alone.
+// RecordOutcome records how an attempt ended. An endpoint that answers is reinstated at once. While discovery can be polled, outcomes are
+// ignored here and concern only the router.
 func (v *Evaluator) RecordOutcome(id decision.NodeID, outcome decision.Outcome, took, now time.Duration) {
 	ratio := likelihoodRatio(outcome, took)
 	if v.discoveryUp || ratio == 1 {
@@ -85,7 +85,7 @@
 	}
 	ep.lastFailed = true
 	ep.lastEvidenceAt = now
-	if !v.localNetworkFault { // else it tells of the network
+	if !v.localNetworkFault { // otherwise the failure is evidence of a network fault only
 		ep.odds = min(ep.odds*ratio, maxOdds)
 	}
 	v.suspects[ep] = true
@@ -110,9 +110,9 @@
 	ep.status = Confirmed
 }
 
-// failAlike reports whether nearly all endpoints that were tried lately failed: the broker's own network may be down, and all entries
-// would be ejected for it. It ends with answers in the same window. Where a list is wrong almost throughout it stays, and entries
-// go on costing an attempt now and then, as the router ejects them.
+// failAlike reports whether nearly all recently tried endpoints failed. The broker's own network may be down, and without this check all
+// entries would be ejected for it. Answers within the window end the condition. If nearly the whole list is wrong, the condition persists;
+// its entries then still cost an attempt now and then, as only the router ejects their endpoints.
 func (v *Evaluator) failAlike(now time.Duration) bool {
 	failed := 0
 	for ep := range v.recentlyTried {
--- a/internal/decision/cachedlist/golden_test.go
+++ b/internal/decision/cachedlist/golden_test.go
@@ -18,7 +18,7 @@
 
 var record = flag.Bool("record", false, "write the golden files instead of comparing with them")
 
-// sequence plays pseudo-random calls on a list and the judgement of its entries, and digests every result by position.
+// sequence makes pseudo-random calls to a table and its evaluator, and hashes each result in order.
 type sequence struct {
 	rnd       *rand.Rand
 	digest    hash.Hash64
@@ -99,7 +99,7 @@
 	}
 }
 
-// restart makes the evaluator of a process that has just started, of the entries on hand.
+// restart replaces the table and the evaluator by those of a broker that has just started with the given entries.
 func (s *sequence) restart(entries []Entry, head Head) {
 	s.start += Timestamp(s.now.Milliseconds()) + Timestamp(s.rnd.IntN(100_000))
 	s.now = 0
@@ -136,7 +136,7 @@
 	s.now += time.Duration(s.rnd.IntN([]int{1, 101, 1001, 40_001}[s.rnd.IntN(4)])) * time.Millisecond
 	switch s.rnd.IntN(40) {
 	case 0:
-		if len(s.evaluator.updates) > 2 { // more than 12 updates, some of them on the same node, come out in no fixed order
+		if len(s.evaluator.updates) > 2 { // an unstable sort of more than 12 updates, some for the same node, has no fixed order
 			updates, _ := s.evaluator.Tick(s.now)
 			s.printUpdates(updates)
 		}
@@ -157,11 +157,11 @@
 		s.print("dropped", s.table.Evict(s.rnd.IntN(s.nodes+2), time.Duration(s.rnd.IntN(3))*time.Hour, s.start+Timestamp(s.now.Milliseconds())))
 	case 10, 11:
 		s.printChanges()
-	case 12: // all alike, as when this broker's own network is down
+	case 12: // all endpoints fail alike, as if this broker's own network were down
 		for n := range s.nodes {
 			s.evaluator.RecordOutcome(id(fmt.Sprintf("n%02d", n)), decision.ConnectFailed, 0, s.now)
 		}
-	case 13: // one node fails until it is out, while another answers
+	case 13: // one endpoint fails until it is ejected, while another answers
 		name, other := s.name(), s.name()
 		for range 12 {
 			s.now += 150 * time.Millisecond
@@ -202,7 +202,7 @@
 	return s.digest.Sum64()
 }
 
-// compareWithGolden compares the digests of a number of sequences with the file that holds those of commit 1a4b6be.
+// compareWithGolden compares the digests of a number of sequences with those of commit 1a4b6be, which the file holds.
 func compareWithGolden(t *testing.T, file string, sequences uint64, run func(seed uint64) uint64) {
 	t.Helper()
 	var lines []string
@@ -221,11 +221,11 @@
 	}
 	for i, line := range strings.Split(string(want), "\n") {
 		if i < len(lines) && lines[i] != line {
-			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+			t.Fatalf("sequence and digest %q, recorded as %q", lines[i], line)
 		}
 	}
 	if string(want) != text {
-		t.Error("the file has another number of sequences")
+		t.Errorf("%s holds another number of sequences than %d", file, sequences)
 	}
 }
 
--- a/internal/decision/cachedlist/gossip_test.go
+++ b/internal/decision/cachedlist/gossip_test.go
@@ -8,8 +8,8 @@
 	"flaxfront/internal/decision"
 )
 
-// Gossip on one endpoint takes that one out of use and confirms no other: all else of an old list stays unconfirmed and
-// in slow start, and no update of the endpoint from before brings it back.
+// Gossip that one endpoint drains takes it out of use and confirms no other: the other entries of an old list stay unconfirmed, and no
+// earlier update brings the endpoint back.
 func TestGossipConfirmsNoOther(t *testing.T) {
 	start := Timestamp(1_700_000_000_000)
 	var entries []Entry
@@ -33,14 +33,14 @@
 		updates, _ := evaluator.Tick(now)
 		for _, f := range updates {
 			if f.ID == id("a") && f.Usable {
-				t.Fatalf("a node that drains is to be used at %v", now)
+				t.Fatalf("an update at %v puts the draining endpoint back into use", now)
 			}
 		}
 	}
 	if after != before || status == Confirmed || before == 0 {
-		t.Errorf("error probability of another endpoint went from %v to %v, %v", before, after, status)
+		t.Errorf("another endpoint: error probability went from %v to %v, status %v", before, after, status)
 	}
 	if e, _ := evaluator.table.Get("a"); e.State != Draining || evaluator.usableInCell[0] != 2 {
-		t.Errorf("%+v, %d in its cell", e, evaluator.usableInCell[0])
+		t.Errorf("entry %+v, %d usable in its cell, want 2", e, evaluator.usableInCell[0])
 	}
 }
--- a/internal/decision/cachedlist/merge.go
+++ b/internal/decision/cachedlist/merge.go
@@ -1,8 +1,8 @@
 package cachedlist
 
-// ApplyList applies a list of discovery's, which binds: whatever was known before of the endpoints named gives way, and a full list ends
-// the endpoints that it does not name. What an update leaves out is confirmed by that. It returns how many entries in service the list
-// ended, and how many there were, so that a list that lacks most endpoints can be warned of.
+// ApplyList applies a list from discovery, which is authoritative: it replaces what was known of the endpoints that it names, and a full
+// list ends the endpoints that it does not name. An update confirms the entries that it leaves out. ApplyList returns how many entries
+// the list ended and how many had not ended before, so that the caller can warn of a list that lacks most endpoints.
 func (t *EntryTable) ApplyList(list List, now Timestamp) (ended, inService int) {
 	named := map[string]bool{}
 	for _, e := range list.Entries {
@@ -19,7 +19,7 @@
 		case list.Full:
 			ended++
 			t.markEnded(e, Entry{ConfirmedAt: now, ConfirmedBy: SourceDiscovery, StateSince: now, Generation: list.Generation})
-		default: // not marked as changed: on disk the head says so for all of them
+		default: // not marked as changed, as the confirmation time of the head covers these entries on disk
 			e.ConfirmedAt = now
 			e.ConfirmedBy = SourceDiscovery
 		}
@@ -36,7 +36,7 @@
 	if e.State == Ended {
 		old := t.entries[e.Name]
 		if old == nil {
-			return // nothing needs to be remembered of the end of an endpoint that was never known
+			return // the end of an endpoint that was never known need not be stored
 		}
 		if !e.Address.IsValid() {
 			e.Address = old.Address
@@ -45,7 +45,7 @@
 	t.put(e)
 }
 
-// markEnded marks an entry as ended; by says when, by whom and by which list.
+// markEnded marks an entry as ended. by says when, by whom and by which list.
 func (t *EntryTable) markEnded(e *Entry, by Entry) {
 	ended := *e
 	ended.State = Ended
@@ -66,9 +66,9 @@
 	t.Head.ConfirmedAt = now
 }
 
-// MergeConfigured merges the list of the broker's configuration, which says no times: entry by entry the later one counts. Where both
-// lists count their generations from the same service, that is the higher generation. Else it is the later start of the endpoint; with
-// the same start a drain or an end stays, as no endpoint comes back from one but by a new start.
+// MergeConfigured merges the list in the broker's configuration, whose entries have no times. For each entry the later version prevails.
+// If both lists number their generations by the same service, that is the one of the higher generation. Otherwise it is the one with the
+// later start of the endpoint; with equal starts a drain or an end prevails, as an endpoint leaves these states only by a new start.
 func (t *EntryTable) MergeConfigured(configured List, now Timestamp) {
 	comparable := configured.Service != "" && configured.Service == t.Head.Service
 	named := map[string]bool{}
@@ -92,12 +92,12 @@
 	}
 }
 
-// isLater reports whether an entry of the configuration counts against the cached one (nil: there is none).
+// isLater reports whether an entry of the configuration prevails over the cached one; old is nil if there is none.
 func (t *EntryTable) isLater(e Entry, old *Entry, generation uint64, comparable bool) bool {
 	switch {
 	case old == nil && e.State == Ended:
 		return false
-	case old == nil: // a cached list that is later and full would name the endpoint
+	case old == nil: // a later cached list would name the endpoint if it still existed
 		return !comparable || generation >= t.Head.Generation
 	case comparable:
 		return generation > max(old.Generation, t.Head.Generation)
@@ -106,7 +106,7 @@
 	}
 }
 
-// endUnnamed ends the entries that a later full list of the configuration leaves out.
+// endUnnamed ends the entries that a later full list in the configuration leaves out.
 func (t *EntryTable) endUnnamed(named map[string]bool, generation uint64, now Timestamp) {
 	for name, e := range t.entries {
 		if !named[name] && e.State != Ended {
--- a/internal/decision/cachedlist/sequences_test.go
+++ b/internal/decision/cachedlist/sequences_test.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision"
 )
 
-// Entry by entry the later one counts.
+// For each entry, the later of the cached and the configured version prevails.
 func TestMergeConfigured(t *testing.T) {
 	saved := func(i int, s State, started Timestamp, gen uint64) Entry {
 		e := entry(i, time.Hour)
@@ -24,12 +24,12 @@
 		given, wanted []State // Ready, Draining, Ended, or absent (3), of nodes 0 to 2
 		started       Timestamp
 	}{
-		{"an older list of the same service says nothing", "d", 30, []State{Draining, Ready, Ready}, []State{Ready, Draining, Ended}, 0},
-		{"a newer one counts", "d", 50, []State{Draining, Ready, Ready}, []State{Draining, Ready, Ready}, 0},
-		{"and so does what it leaves out", "d", 50, []State{3, Ready, Ready}, []State{Ended, Ready, Ready}, 0},
-		{"of another service a drain counts, and its end does not", "e", 50, []State{Draining, Ready, Ready},
+		{"an older list of the same service is ignored", "d", 30, []State{Draining, Ready, Ready}, []State{Ready, Draining, Ended}, 0},
+		{"a newer list of the same service prevails", "d", 50, []State{Draining, Ready, Ready}, []State{Draining, Ready, Ready}, 0},
+		{"an endpoint missing from a newer list is ended", "d", 50, []State{3, Ready, Ready}, []State{Ended, Ready, Ready}, 0},
+		{"a list of another service can begin a drain, but not end one", "e", 50, []State{Draining, Ready, Ready},
 			[]State{Draining, Draining, Ended}, 0},
-		{"but a later start does", "e", 50, []State{Ready, Ready, Ready}, []State{Ready, Ready, Ready}, 90},
+		{"a later start in a list of another service prevails", "e", 50, []State{Ready, Ready, Ready}, []State{Ready, Ready, Ready}, 90},
 	} {
 		table := NewEntryTable(Head{Service: "d", Generation: 40}, []Entry{saved(0, Ready, 0, 10), saved(1, Draining, 0, 38), saved(2, Ended, 0, 39)})
 		l := List{Service: c.service, Generation: c.generation, Full: true}
@@ -41,14 +41,14 @@
 		table.MergeConfigured(l, startedAt)
 		for i, want := range c.wanted {
 			if e, _ := table.Get(fmt.Sprintf("n%02d", i)); e.State != want {
-				t.Errorf("%s: node %d is %v, not %v", c.what, i, e.State, want)
+				t.Errorf("%s: node %d is %v, want %v", c.what, i, e.State, want)
 			}
 		}
 	}
 }
 
-// In random sequences: no cell in use is left with nothing to try, what is excluded stays so until discovery speaks, updates say
-// what the status says, and a table that is bounded stays within its bound.
+// In random sequences: no cell in use is left without a usable endpoint, excluded entries stay excluded until discovery sends a list, and
+// eviction keeps a table within its limit.
 func TestRandomSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "entries")
@@ -67,7 +67,7 @@
 		apply := func(updates []EndpointUpdate) {
 			for _, f := range updates {
 				if inUse[f.ID] = f.Usable; f.Usable && excluded[f.ID] && !listed {
-					t.Fatalf("%s is excluded and used", f.Entry.Name)
+					t.Fatalf("%s is excluded, but an update puts it into use", f.Entry.Name)
 				}
 			}
 		}
@@ -106,19 +106,19 @@
 					left = left || e.Cell == cell && inUse[id(e.Name)]
 				}
 				if had && !left {
-					t.Fatalf("cell %d has nothing left to try", cell)
+					t.Fatalf("cell %d has no usable endpoint left", cell)
 				}
 			}
 		}
 		most := rapid.IntRange(1, 12).Draw(t, "most")
 		table.Evict(most, day, startedAt+Timestamp(now.Milliseconds()))
 		if table.Len() > most {
-			t.Fatalf("%d entries, %d at most", table.Len(), most)
+			t.Fatalf("%d entries after eviction, want at most %d", table.Len(), most)
 		}
 	})
 }
 
-// Changes are what the disk has to be told: replayed over what it held, they give the table.
+// Changes applied to the stored entries give the entries of the table.
 func TestChangesReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, disk := NewEntryTable(Head{}, nil), map[string]Entry{}
@@ -140,7 +140,7 @@
 				delete(disk, name)
 			}
 			if len(disk) != table.Len() {
-				t.Fatalf("%d on disk, %d in the table", len(disk), table.Len())
+				t.Fatalf("%d entries on disk, %d in the table", len(disk), table.Len())
 			}
 			for _, e := range table.SortedByName() {
 				if d := disk[e.Name]; !d.sameContent(&e) || d.StateSince != e.StateSince {
@@ -151,7 +151,7 @@
 	})
 }
 
-// What a turn costs does not grow with the list.
+// The cost of a tick must not grow with the length of the list.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{100, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/decision/cachedlist/snapshot.go
+++ b/internal/decision/cachedlist/snapshot.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Counts are what operators see.
+// Counts are the counters and gauges that operators see.
 type Counts struct {
-	Confirmed         int           // entries now
-	Unconfirmed       int           `json:"Doubtful"`  // entries now
-	Ejected           int           `json:"StruckOut"` // entries now
-	Excluded          int           `json:"Barred"`    // entries now
+	Confirmed         int           // current number of entries
+	Unconfirmed       int           `json:"Doubtful"`  // current number of entries
+	Ejected           int           `json:"StruckOut"` // current number of entries
+	Excluded          int           `json:"Barred"`    // current number of entries
 	Ejections         uint64        `json:"Strikes"`   // since the start
 	Trials            uint64        `json:"Paroles"`   // since the start
 	Reinstated        uint64        `json:"Recovered"` // since the start
-	ListAge           time.Duration // since discovery last confirmed it; -1: never
-	LocalNetworkFault bool          `json:"OwnNetwork"` // all fail alike: nothing is ejected
+	ListAge           time.Duration // time since discovery last confirmed the list; -1: never
+	LocalNetworkFault bool          `json:"OwnNetwork"` // nearly all endpoints fail alike, and none is ejected
 }
 
-// Snapshot counts entries by their status.
+// Snapshot returns the counts as of now.
 func (v *Evaluator) Snapshot(now time.Duration) Counts {
 	counts := v.counts
 	counts.LocalNetworkFault = v.localNetworkFault
--- a/internal/decision/cachedlist/snapshot_test.go
+++ b/internal/decision/cachedlist/snapshot_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Operators read the counts under the names of before.
+// The JSON names of the counts, which operators read, stay the same.
 func TestCountsKeepTheirJSONNames(t *testing.T) {
 	data, err := json.Marshal(Counts{1, 2, 3, 4, 5, 6, 7, 8, true})
 	if err != nil {
--- a/internal/decision/cachedlist/sources.go
+++ b/internal/decision/cachedlist/sources.go
@@ -8,9 +8,9 @@
 	"flaxfront/internal/decision"
 )
 
-// ApplyList applies a list of discovery's, which binds: from here on nothing is unconfirmed, ejected or excluded but by it. What the list
-// itself names the event loop tells the router; updates are for the endpoints that it leaves out. It returns how many entries in service a
-// full list ended, of how many.
+// ApplyList applies a list from discovery, which is authoritative: all its entries become confirmed, and evidence is discarded. The event
+// loop tells the router of the endpoints that the list names; the queued updates are for those that it leaves out. ApplyList returns how
+// many entries a full list ended and how many had not ended before.
 func (v *Evaluator) ApplyList(list List, id func(name string) decision.NodeID, now time.Duration) (ended, inService int) {
 	ended, inService = v.table.ApplyList(list, v.timestamp(now))
 	v.resetEvidence()
@@ -28,7 +28,7 @@
 	return ended, inService
 }
 
-// resetEvidence forgets what endpoints have shown, as discovery has spoken.
+// resetEvidence discards all evidence, as discovery can be polled again.
 func (v *Evaluator) resetEvidence() {
 	v.discoveryUp = true
 	v.localNetworkFault = false
@@ -40,7 +40,7 @@
 	clear(v.suspects)
 }
 
-// confirm puts an endpoint in use that discovery knows.
+// confirm puts an endpoint that discovery knows into use.
 func (v *Evaluator) confirm(id decision.NodeID, e *Entry) {
 	ep := v.endpoints[id]
 	if ep == nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// Import takes entries from an operator while discovery can't be polled, and returns how many. They are as credible as their age says.
-// While discovery can be polled its list binds, and nothing is taken.
+// Import accepts entries from an operator while discovery can't be polled, and returns how many it accepted. Their credibility follows from
+// their age. While discovery can be polled its list is authoritative, and nothing is accepted.
 func (v *Evaluator) Import(entries []Entry, id func(name string) decision.NodeID, now time.Duration) (imported int) {
 	if v.discoveryUp {
 		return 0
@@ -97,8 +97,8 @@
 	v.update(ep)
 }
 
-// Forget drops entries that an operator names, and returns how many. While discovery can be polled only ended ones are dropped, as the
-// others are discovery's.
+// Forget drops entries that an operator names, and returns how many it dropped. While discovery can be polled it drops only ended ones, as
+// discovery decides on the others.
 func (v *Evaluator) Forget(names []string, id func(name string) decision.NodeID) (forgotten int) {
 	for _, name := range names {
 		e, known := v.table.Get(name)
@@ -113,8 +113,8 @@
 	return forgotten
 }
 
-// ApplyGossip takes over what another broker was notified of by discovery, on one endpoint. It binds for that one and says nothing of the
-// others: unconfirmed entries stay so. The router knows it already.
+// ApplyGossip applies the state of one endpoint that discovery gave to another broker. It is authoritative for that endpoint and
+// confirms no other entry. The router has already been told.
 func (v *Evaluator) ApplyGossip(name string, id decision.NodeID, state State, startedAt Timestamp, now time.Duration) {
 	e, known := v.table.Get(name)
 	if !known {
@@ -132,7 +132,7 @@
 	v.updates = slices.DeleteFunc(v.updates, func(u EndpointUpdate) bool { return u.ID == id })
 }
 
-// exclude takes an endpoint out of use for good.
+// exclude takes an endpoint out of use and tells the router.
 func (v *Evaluator) exclude(ep *endpoint) {
 	v.drop(ep, ep.id)
 	ep.status = Excluded
@@ -140,7 +140,7 @@
 	v.update(ep)
 }
 
-// drop forgets an endpoint.
+// drop removes all state of an endpoint.
 func (v *Evaluator) drop(ep *endpoint, id decision.NodeID) {
 	if ep.inUse() {
 		v.usableInCell[ep.cell]--
--- a/internal/decision/cachedlist/table.go
+++ b/internal/decision/cachedlist/table.go
@@ -1,8 +1,8 @@
-// Package cachedlist decides what an endpoint list is worth while discovery can't confirm it: which of its entries are used, which of
-// them in slow start, and which are ejected on what evidence. EntryTable holds what was said of each endpoint, when and by whom.
-// Evaluator holds what follows from that and from what the endpoints have shown.
+// Package cachedlist decides how to use an endpoint list while discovery can't confirm it: which entries are used, which of them in slow
+// start, and which are ejected on what evidence. EntryTable holds the content of each entry and when and by whom it was confirmed.
+// Evaluator derives from that, and from the outcomes of attempts, how likely each entry is to be wrong.
 //
-// Nothing here does I/O, reads a clock or starts a goroutine: times come in, updates of endpoints go out. Nothing is locked: a table and
+// Nothing here does I/O, reads a clock, locks or starts a goroutine: times are parameters, updates of endpoints are results. A table and
 // its evaluator are used by one goroutine. Depends on decision.
 package cachedlist
 
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// confirmationInterval bounds how often an entry or the head is written to disk for its time of confirmation alone.
+// confirmationInterval is the minimum time between two writes of an entry or the head to disk only for a newer confirmation time.
 const confirmationInterval = 10 * time.Second
 
-// EntryTable holds the entries and what of them has changed since it was last stored.
+// EntryTable holds the entries and records which of them have changed since changes were last collected.
 type EntryTable struct {
 	Head        Head
 	entries     map[string]*Entry // by name
-	changed     map[string]bool   // names, since CollectChanges
-	headChanged bool              // likewise
+	changed     map[string]bool   // names of entries changed since the last CollectChanges
+	headChanged bool              // whether Head has changed since then
 }
 
-// NewEntryTable makes a table of entries as they were stored. It keeps the slice.
+// NewEntryTable returns a table of entries as they were stored. It retains the slice.
 func NewEntryTable(head Head, entries []Entry) *EntryTable {
 	t := &EntryTable{Head: head, entries: make(map[string]*Entry, len(entries)), changed: map[string]bool{}}
 	for i := range entries {
@@ -33,10 +33,10 @@
 	return t
 }
 
-// Len is how many entries there are, ended ones included.
+// Len returns the number of entries, including ended ones.
 func (t *EntryTable) Len() int { return len(t.entries) }
 
-// Get finds an entry by name.
+// Get returns the entry of a name, if there is one.
 func (t *EntryTable) Get(name string) (entry Entry, found bool) {
 	if e := t.entries[name]; e != nil {
 		return *e, true
@@ -44,7 +44,7 @@
 	return Entry{}, false
 }
 
-// SortedByName lists copies of the entries.
+// SortedByName returns copies of the entries, ordered by name.
 func (t *EntryTable) SortedByName() []Entry {
 	sorted := t.sorted()
 	entries := make([]Entry, len(sorted))
@@ -58,7 +58,7 @@
 	return slices.SortedFunc(maps.Values(t.entries), func(x, y *Entry) int { return strings.Compare(x.Name, y.Name) })
 }
 
-// put replaces an entry. One that says what was known keeps the time since which it is known.
+// put replaces an entry. If the content is unchanged, StateSince stays.
 func (t *EntryTable) put(e Entry) {
 	old := t.entries[e.Name]
 	if old != nil && old.sameContent(&e) {
@@ -70,13 +70,13 @@
 	}
 }
 
-// remove drops an entry.
+// remove deletes an entry and marks it as changed.
 func (t *EntryTable) remove(name string) {
 	delete(t.entries, name)
 	t.changed[name] = true
 }
 
-// RecordAnswer notes that an endpoint answered a shard request, which confirms its entry as well as discovery could.
+// RecordAnswer records that an endpoint answered a shard request, which confirms its entry as well as discovery could.
 func (t *EntryTable) RecordAnswer(name string, now Timestamp) {
 	e := t.entries[name]
 	if e == nil || now.Since(e.ConfirmedAt) < confirmationInterval {
@@ -87,7 +87,7 @@
 	t.changed[name] = true
 }
 
-// Import takes entries from an operator, as far as they are later than what is known; it returns how many it took.
+// Import accepts entries from an operator that are newer than the known ones and differ from them; it returns how many it accepted.
 func (t *EntryTable) Import(entries []Entry) (imported int) {
 	for _, e := range entries {
 		old := t.entries[e.Name]
@@ -101,7 +101,7 @@
 	return imported
 }
 
-// Forget drops entries by name and returns how many there were.
+// Forget drops entries by name and returns how many it dropped.
 func (t *EntryTable) Forget(names []string) (forgotten int) {
 	for _, name := range names {
 		if t.entries[name] != nil {
@@ -112,14 +112,14 @@
 	return forgotten
 }
 
-// Changes are what a disk has to be told to hold what the table holds.
+// Changes are the writes that bring the stored list up to date with the table.
 type Changes struct {
 	Head    Head
 	Put     []Entry
 	Removed []string // names
 }
 
-// CollectChanges returns what changed since the last call, in no order; false: nothing that is worth a write.
+// CollectChanges returns what changed since the last call, in no particular order; changed is false if nothing needs to be written.
 func (t *EntryTable) CollectChanges() (changes Changes, changed bool) {
 	if len(t.changed) == 0 && !t.headChanged {
 		return Changes{}, false
