--- a/internal/decision/readpin/decode.go
+++ b/internal/decision/readpin/decode.go
@@ -8,22 +8,22 @@
 	"flaxfront/internal/decision"
 )
 
-// MalformedPositionsError says that another broker's message of positions can't be read. No position of it is used.
+// MalformedPositionsError reports that another broker's message of replica positions can't be decoded. None of its positions is used.
 type MalformedPositionsError struct{ ByteOffset int }
 
 func (e *MalformedPositionsError) Error() string {
-	return fmt.Sprintf("positions of replicas from another broker can't be read at byte %d", e.ByteOffset)
+	return fmt.Sprintf("malformed message of replica positions from another broker: can't decode byte %d", e.ByteOffset)
 }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *MalformedPositionsError) Remedy() string {
-	return "nothing breaks: the broker goes on with what it knows itself; look for a broker of another version in the tier"
+	return "queries are not affected: the broker uses the positions that it observes itself; look for a broker of another version in the tier"
 }
 
-// MergePositions merges another broker's positions. transit is the most by which they have grown older on the way. The error is a
-// *MalformedPositionsError.
+// MergePositions merges the positions in another broker's message. transit is the longest time for which the message may have been on its
+// way. The error is a *MalformedPositionsError.
 func (t *Tracker) MergePositions(now time.Duration, message []byte, transit time.Duration) error {
-	if err := decodePositions(message, nil); err != nil { // all of it is read before any counts
+	if err := decodePositions(message, nil); err != nil { // checks the whole message before any position is used
 		t.Counts.Malformed++
 		return err
 	}
@@ -38,8 +38,8 @@
 	offset            uint64
 	observedAfterAge  uint64
 	observedBeforeAge uint64
-	asOfAgePlus1      uint64 // 0: not known
-	lagPlus1          uint64 // 0: not known
+	asOfAgePlus1      uint64 // 0: unknown
+	lagPlus1          uint64 // 0: unknown
 }
 
 // decodePositions checks a message and calls handle, if it is not nil, for each position.
--- a/internal/decision/readpin/eligible.go
+++ b/internal/decision/readpin/eligible.go
@@ -6,28 +6,27 @@
 	"flaxfront/internal/decision"
 )
 
-// maxLagWait bounds how much longer than RecheckInterval a replica is left out for its lag.
+// maxLagWait bounds how much longer than RecheckInterval a replica is excluded because of its lag.
 const maxLagWait = 2 * time.Second
 
-// Requirement is what a query wants of its reads.
+// Requirement is what a query requires of its reads.
 type Requirement struct {
-	Pin          uint64        // see HashPin; 0: it is not pinned
+	Pin          uint64        // see HashPin; 0: the query is not pinned
 	ReceivedAt   time.Duration // when the broker received the query
-	MaxStaleness time.Duration // writes acknowledged so long before that must be visible; 0: any age will do
-	AllowStale   bool          // if no replica is fresh enough, any will do
+	MaxStaleness time.Duration // writes acknowledged at least this long before ReceivedAt must be visible; 0: no bound
+	AllowStale   bool          // use any ready replica if none is fresh enough
 }
 
-// EligibleReplicas appends to dst the replicas that may answer a shard request, in the pin's order, and returns what the answer has to
-// show. minOffset is the position that its client has seen; 0: none. If there is no replica, retryAfter is when to try again at the
-// soonest.
+// EligibleReplicas appends to dst the replicas that may answer a shard request, in the pin's order, and returns the promise that the answer
+// has to keep. minOffset is the position that the client has already seen; 0: none. If no replica is eligible, retryAfter is the delay
+// after which one may be.
 //
-// A replica is left out while it is known to be behind: it was observed a short while ago, and lacked a position or the bound. One of
-// which less is known may have caught up since, and its answer will tell. To go by what this broker knows alone would leave out most
-// of the replicas that are well, and crowd the one that it heard of last. So an eligible replica is likely to keep the promise, and
-// Assess checks it.
+// A replica is excluded while it is known to be behind: a recent observation showed that it lacked the position or exceeded the staleness
+// bound. Any other replica may have caught up, and its answer will show whether it has. Requiring proof of freshness in advance would
+// exclude most healthy replicas and crowd the one observed last. An eligible replica thus probably keeps the promise; Assess checks it.
 //
-// A session that moves to another replica must not go backwards. The first in a pin's order is taken to have served what it is known
-// to have, also for a while after it was removed: whoever answers in its place has to be as far.
+// A session that moves to another replica must not go backwards. The first replica in a pin's order is assumed to have served everything
+// up to its known position, also for a while after its removal; any replica that answers in its place must have reached that position.
 func (t *Tracker) EligibleReplicas(now time.Duration, shard int, minOffset uint64, r *Requirement, dst []decision.NodeID) (
 	replicas []decision.NodeID, promise Promise, retryAfter time.Duration) {
 	promise = Promise{Offset: minOffset, AsOf: DistantPast, ReceivedAt: r.ReceivedAt}
@@ -61,7 +60,7 @@
 	return dst, promise, retryAfter
 }
 
-// firstReplicaOffset is the position that the first replica in a pin's order is known to have; 0: none is known, or there is no pin.
+// firstReplicaOffset returns the known position of the first replica in a pin's order, or 0 if it is unknown or there is no pin.
 func (t *Tracker) firstReplicaOffset(pin uint64, shard int, order []candidate) uint64 {
 	if pin == 0 || len(order) == 0 {
 		return 0
@@ -73,8 +72,8 @@
 	return first.offset
 }
 
-// appendFresh appends the ready replicas of t.order that are not known to be behind. Those at which the pin is at its limit are left
-// out, unless there is no other. retryAfter is when the first that is behind may be tried again; 0: no replica is ready.
+// appendFresh appends the ready replicas of t.order that are not known to be behind. It omits those at which the pin is at its limit,
+// unless there is no other. retryAfter is the delay after which the first replica that is behind may be tried; 0: none is behind.
 func (t *Tracker) appendFresh(now time.Duration, shard int, r *Requirement, promise *Promise, dst []decision.NodeID) (
 	_ []decision.NodeID, retryAfter time.Duration) {
 	before := len(dst)
@@ -107,7 +106,7 @@
 	return dst, retryAfter
 }
 
-// appendAtLimit appends the replicas that are not known to be behind, whatever their pins' limits.
+// appendAtLimit appends the ready replicas that are not known to be behind, even those at which the pin is at its limit.
 func (t *Tracker) appendAtLimit(now time.Duration, shard int, r *Requirement, promise *Promise, dst []decision.NodeID) []decision.NodeID {
 	for i := range t.order {
 		n := &t.nodes[t.order[i].index]
@@ -118,8 +117,8 @@
 	return dst
 }
 
-// recordTried notes which replicas are tried although they were behind when last observed: of a pin the first, as the others are for
-// hedges and retries.
+// recordTried records which replicas are tried although they were behind when last observed. With a pin that is only the first, as the
+// others are for hedges and retries.
 func (t *Tracker) recordTried(now time.Duration, shard int, r *Requirement, promise *Promise, replicas []decision.NodeID) {
 	if r.Pin != 0 {
 		replicas = replicas[:1]
@@ -132,7 +131,7 @@
 	}
 }
 
-// remainingExclusion is how much longer a replica is left out; 0: it is eligible.
+// remainingExclusion returns for how much longer a replica is excluded; 0: it is eligible.
 func (t *Tracker) remainingExclusion(now time.Duration, p *position, promise *Promise, r *Requirement) time.Duration {
 	if !p.known || !p.isBehind(promise, r) {
 		return 0
@@ -144,12 +143,12 @@
 	return max(0, max(p.observedAfter, p.triedAt)+wait-now)
 }
 
-// isBehind tells whether a replica lacked the promised position or the bound when it was last observed.
+// isBehind reports whether a replica lacked the promised position or exceeded the staleness bound when it was last observed.
 func (p *position) isBehind(promise *Promise, r *Requirement) bool {
 	return p.offset < promise.Offset || p.isTooOld(promise, r)
 }
 
-// isTooOld tells whether a replica was further behind than the bound when it was last observed, or did not report its age.
+// isTooOld reports whether a replica exceeded the staleness bound when it was last observed, or did not report its age.
 func (p *position) isTooOld(promise *Promise, r *Requirement) bool {
 	return p.asOf < promise.AsOf && (p.lag == UnknownAge || p.lag > r.MaxStaleness)
 }
--- a/internal/decision/readpin/encode.go
+++ b/internal/decision/readpin/encode.go
@@ -7,9 +7,9 @@
 	"flaxfront/internal/decision"
 )
 
-// A message of positions is a version byte and, for each position: the node's address and port, then as varints shard, offset, age of
-// observedAfter, age of observedBefore, 1 + age of asOf or 0, 1 + lag or 0. Ages are in milliseconds. Those that must not be too low
-// are rounded up, that of observedBefore down.
+// A message of positions is a version byte, followed for each position by the node's address and port and these varints: shard, offset, age
+// of observedAfter, age of observedBefore, 1 + age of asOf or 0 if unknown, 1 + lag or 0 if unknown. Ages and lag are in milliseconds. They
+// are rounded up, as they must not be too low, except for the age of observedBefore, which is rounded down.
 const (
 	wireVersion   = 1
 	nodeIDBytes   = 6
@@ -17,8 +17,8 @@
 	maxEncodedAge = time.Hour
 )
 
-// EncodePositions writes what is known of replicas' positions for other brokers, MaxMessageBytes at most: as many as fit, from the
-// node at which the last message ended.
+// EncodePositions returns a message of the known replica positions for other brokers, of at most MaxMessageBytes. It contains as many
+// positions as fit, starting from the node at which the last message ended.
 func (t *Tracker) EncodePositions(now time.Duration) []byte {
 	message := make([]byte, 1, t.config.MaxMessageBytes)
 	message[0] = wireVersion
@@ -31,7 +31,7 @@
 		whole := t.appendNode(message, now, n)
 		if len(whole) > t.config.MaxMessageBytes {
 			isFirst := len(message) == 1
-			if isFirst { // it would never fit
+			if isFirst { // the node's positions never fit into one message
 				message = t.appendFittingPositions(message, now, n)
 				index = (index + 1) % len(t.nodes)
 			}
--- a/internal/decision/readpin/golden_test.go
+++ b/internal/decision/readpin/golden_test.go
@@ -19,7 +19,7 @@
 
 const goldenFile = "testdata/sequences.golden"
 
-// sequence plays one pseudo-random sequence of calls and digests every result by position.
+// sequence makes one pseudo-random sequence of calls to two trackers, and hashes each result in order.
 type sequence struct {
 	rnd      *rand.Rand
 	digest   hash.Hash64
@@ -193,7 +193,7 @@
 	return p.digest.Sum64()
 }
 
-// The file holds one digest for each sequence, as commit 1a4b6be gave them.
+// The golden file holds the digest of each sequence as of commit 1a4b6be.
 func TestSequencesAreAsRecorded(t *testing.T) {
 	var lines []string
 	for seed := range uint64(2000) {
@@ -211,10 +211,10 @@
 	}
 	for i, line := range strings.Split(string(want), "\n") {
 		if i < len(lines) && lines[i] != line {
-			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+			t.Fatalf("sequence and digest %q, recorded as %q", lines[i], line)
 		}
 	}
 	if string(want) != text {
-		t.Error("the file has another number of sequences")
+		t.Errorf("%s holds another number of sequences than %d", goldenFile, len(lines))
 	}
 }
--- a/internal/decision/readpin/nodes.go
+++ b/internal/decision/readpin/nodes.go
@@ -7,19 +7,19 @@
 	"flaxfront/internal/decision"
 )
 
-// writeNode is an endpoint, or a free place for one.
+// node is an endpoint, or an unused slot for one.
 type node struct {
 	id        decision.NodeID
 	cell      int
 	used      bool
 	ready     bool
 	inEpoch   bool
-	removedAt time.Duration // DistantPast: it is listed
+	removedAt time.Duration // when the list ceased to name it; DistantPast: it is listed
 	positions []position    // by shard, see Tracker.position
 	rate      meter         // of shard requests from this broker
 }
 
-// UpdateEndpoints takes over a full endpoint list, or the lines of one that changed.
+// UpdateEndpoints applies a full endpoint list, or the changed entries of one.
 func (t *Tracker) UpdateEndpoints(now time.Duration, full bool, endpoints []decision.Endpoint) {
 	if full {
 		for i := range t.nodes {
@@ -57,7 +57,7 @@
 	t.nodes[index].removedAt = DistantPast
 }
 
-// remove notes that the list no longer names the node. Its positions are kept for a while.
+// remove records that the list no longer names the node. Its positions are kept for removedNodeRetention.
 func (n *node) remove(now time.Duration) {
 	n.ready = false
 	if n.removedAt == DistantPast {
@@ -65,6 +65,7 @@
 	}
 }
 
+// add adds a node that the list names and returns its index.
 func (t *Tracker) add(id decision.NodeID, cell int) int32 {
 	index := t.allocate()
 	shardsPerCell := (t.config.Shards + t.config.Cells - 1) / t.config.Cells
@@ -81,7 +82,7 @@
 	return index
 }
 
-// allocate returns a free place.
+// allocate returns the index of an unused slot in t.nodes.
 func (t *Tracker) allocate() int32 {
 	last := len(t.freeNodes) - 1
 	if last < 0 {
@@ -93,7 +94,7 @@
 	return index
 }
 
-// release forgets a node.
+// release deletes a node with its positions and frees its slot.
 func (t *Tracker) release(index int32) {
 	n := &t.nodes[index]
 	t.cells[n.cell] = slices.DeleteFunc(t.cells[n.cell], func(i int32) bool { return i == index })
@@ -102,7 +103,7 @@
 	t.freeNodes = append(t.freeNodes, index)
 }
 
-// SetEpoch takes over an agreed list: its nodes come first in every pin's order. A number that is not newer is ignored.
+// SetEpoch applies an agreed list: its nodes come first in every pin's order. A number that is not newer is ignored.
 func (t *Tracker) SetEpoch(number uint64, nodes []decision.NodeID) {
 	if number <= t.epoch {
 		return
@@ -117,10 +118,10 @@
 	}
 }
 
-// EpochNumber returns the number of the agreed list in force; 0: none.
+// EpochNumber returns the number of the agreed list in force, or 0 if there is none.
 func (t *Tracker) EpochNumber() uint64 { return t.epoch }
 
-// position returns what is known of a shard at a node; nil: the node does not hold the shard.
+// position returns what is known of a shard at a node, or nil if the node does not hold the shard.
 func (t *Tracker) position(n *node, shard int) *position {
 	if shard < 0 || shard >= t.config.Shards {
 		return nil
@@ -132,7 +133,7 @@
 	return &n.positions[shard/t.config.Cells*t.config.CellsPerShard+offset]
 }
 
-// shardOf returns the shard whose position has an index at a node.
+// shardOf returns the shard whose position is at the given index of n.positions.
 func (t *Tracker) shardOf(n *node, index int) int {
 	offset := index % t.config.CellsPerShard
 	row := index / t.config.CellsPerShard
--- a/internal/decision/readpin/order.go
+++ b/internal/decision/readpin/order.go
@@ -2,16 +2,16 @@
 
 import "flaxfront/internal/decision"
 
-// FNV-1a, 64 bits.
+// Constants of the 64-bit FNV-1a hash.
 const (
 	fnvOffset uint64 = 14695981039346656037
 	fnvPrime  uint64 = 1099511628211
 )
 
-// goldenRatio spreads consecutive numbers over 64 bits.
+// goldenRatio is a multiplier that spreads consecutive numbers over 64 bits.
 const goldenRatio uint64 = 0x9e3779b97f4a7c15
 
-// HashPin returns the number of a pin, never 0; all brokers number it alike.
+// HashPin returns the hash that identifies a pin. It is never 0 and the same at all brokers.
 func HashPin(scope, key string) uint64 {
 	hash := hashBytes(fnvOffset, scope)
 	hash = hashBytes(hash, ":")
@@ -33,8 +33,8 @@
 	return x ^ x>>31
 }
 
-// rendezvousWeight is the weight of a node for a pin and shard: the heaviest comes first. If a node is removed, only the pins that had
-// it first move, each to its own second.
+// rendezvousWeight returns the weight of a node for a pin and shard (rendezvous hashing): the heaviest node comes first. If a node is
+// removed, only the pins that had it first move, each to the next node in its own order.
 func rendezvousWeight(pin uint64, shard int, id decision.NodeID) uint64 {
 	a := id.Addr
 	node := uint64(a[0])<<40 | uint64(a[1])<<32 | uint64(a[2])<<24 | uint64(a[3])<<16 | uint64(id.Port)
@@ -48,6 +48,7 @@
 	weight  uint64
 }
 
+// ranksBefore reports whether c comes before other in a pin's order.
 func (c *candidate) ranksBefore(other *candidate) bool {
 	if c.inEpoch != other.inEpoch {
 		return c.inEpoch
@@ -55,8 +56,8 @@
 	return c.weight > other.weight
 }
 
-// rank returns the replicas of a shard in a pin's order, with those that were removed a short while ago. The slice holds until the
-// next call.
+// rank returns the replicas of a shard in a pin's order, including those that were removed recently. The slice is valid until the next
+// call.
 func (t *Tracker) rank(pin uint64, shard int) []candidate {
 	t.order = t.order[:0]
 	for j := range t.config.CellsPerShard {
@@ -68,7 +69,7 @@
 	return t.order
 }
 
-// insert sorts by insertion: there are few replicas.
+// insert adds a candidate to t.order at its place; insertion sort suffices, as there are few replicas.
 func (t *Tracker) insert(c candidate) {
 	t.order = append(t.order, c)
 	i := len(t.order) - 1
--- a/internal/decision/readpin/position.go
+++ b/internal/decision/readpin/position.go
@@ -6,29 +6,29 @@
 	"flaxfront/internal/decision"
 )
 
-// position is what is known of one shard at one replica, in moments of this broker's clock.
+// position is what is known of one shard at one replica. Times are those of this broker's clock.
 type position struct {
 	known          bool
-	offset         uint64        // the replica had applied it
-	observedBefore time.Duration // at this moment at the latest
-	observedAfter  time.Duration // the latest observation was no earlier
-	asOf           time.Duration // all that was acknowledged by then is visible; DistantPast: not known
-	lag            time.Duration // observedAfter - asOf at the latest observation; UnknownAge
-	triedAt        time.Duration // when it was last sent a shard request although it was behind
+	offset         uint64        // highest position that the replica is known to have applied
+	observedBefore time.Duration // the replica had applied offset at this time at the latest
+	observedAfter  time.Duration // the latest observation was not made before this time
+	asOf           time.Duration // all writes acknowledged by then are visible; DistantPast: unknown
+	lag            time.Duration // observedAfter - asOf at the latest observation; UnknownAge: unknown
+	triedAt        time.Duration // when a shard request was last sent to the replica although it was behind
 }
 
-// longestSpan is the longest that a span may have been which a clock measured.
+// longestSpan returns the longest time that may really have passed while a clock measured the given time.
 func (t *Tracker) longestSpan(measured time.Duration) time.Duration {
 	return time.Duration(float64(measured) / (1 - t.config.MaxDrift))
 }
 
-// shortestSpan is the shortest.
+// shortestSpan returns the shortest time that may really have passed while a clock measured the given number of milliseconds.
 func (t *Tracker) shortestSpan(milliseconds uint64) time.Duration {
 	return time.Duration(float64(milliseconds)*(1-t.config.MaxDrift)) * time.Millisecond
 }
 
-// asOf is the latest moment of which it is sure that all that was acknowledged by then is in an answer. The replica read no sooner
-// than the attempt was sent; that it may have read later counts for nothing.
+// asOf returns the latest time such that an answer certainly contains all writes acknowledged by then. The replica read no earlier than
+// the attempt was sent; as it is not known how much later, it is assumed to have read at that time.
 func (t *Tracker) asOf(sentAt time.Duration, report Report) time.Duration {
 	if report.HeadAge == UnknownAge {
 		return DistantPast
@@ -36,7 +36,7 @@
 	return sentAt - t.longestSpan(report.HeadAge+t.config.ClockError)
 }
 
-// Observe takes the report of an answer to an attempt that was sent at sentAt and answered now.
+// Observe records the report in an answer that arrived now, to an attempt that was sent at sentAt.
 func (t *Tracker) Observe(now time.Duration, id decision.NodeID, shard int, sentAt time.Duration, report Report) {
 	index, known := t.byID[id]
 	if !known {
@@ -61,8 +61,8 @@
 	t.merge(held, &observed)
 }
 
-// merge keeps the best of two observations of a replica. A replica never goes back but by a restart: one that was surely observed
-// later and had less has restarted, and what was known before no longer holds.
+// merge merges a newly received observation of a replica into the held position. A replica goes back to an earlier position only by a
+// restart: if it certainly was observed later with a lower offset, it has restarted, and what was known before no longer holds.
 func (t *Tracker) merge(held, observed *position) {
 	if !held.known {
 		*held = *observed
@@ -89,7 +89,7 @@
 	held.asOf = max(held.asOf, observed.asOf)
 }
 
-// StalenessBound is the most by which a replica may be behind now, without asking it; UnknownAge: there is no bound.
+// StalenessBound returns the most by which a replica may be behind now, judged by past observations, or UnknownAge if there is no bound.
 func (t *Tracker) StalenessBound(now time.Duration, id decision.NodeID, shard int) time.Duration {
 	index, known := t.byID[id]
 	if !known {
@@ -102,7 +102,8 @@
 	return t.Staleness(now, p.asOf)
 }
 
-// Staleness is the most by which an answer that leaves now may lack acknowledged writes, rounded up to a millisecond.
+// Staleness returns an upper bound on the age of an answer that is sent now and contains all writes acknowledged by asOf, rounded up to a
+// millisecond.
 func (t *Tracker) Staleness(now, asOf time.Duration) time.Duration {
 	age := t.longestSpan(now - asOf)
 	return (age + time.Millisecond - 1) / time.Millisecond * time.Millisecond
--- a/internal/decision/readpin/promise.go
+++ b/internal/decision/readpin/promise.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Promise is what an answer has to show.
+// Promise is what an answer must satisfy.
 type Promise struct {
-	Offset     uint64        // 0: any position will do
+	Offset     uint64        // the minimum position; 0: any
 	AsOf       time.Duration // writes acknowledged by then are visible; DistantPast: any age will do
 	ReceivedAt time.Duration // when the broker received the query
 }
 
-// Assessment is what an answer has shown.
+// Assessment is the result of comparing an answer with its promise.
 type Assessment struct {
-	Fresh  bool          // it keeps the promise
-	Offset uint64        // 0: it did not report one
-	AsOf   time.Duration // writes acknowledged by then are visible; DistantPast: nothing is sure
+	Fresh  bool          // the answer keeps the promise
+	Offset uint64        // the reported position; 0: none was reported
+	AsOf   time.Duration // writes acknowledged by then are visible; DistantPast: unknown
 }
 
-// Assess compares an answer's report with the promise; reported is false if there was none. Only the answer's own report counts, never
-// what was known before: a replica may have restarted since.
+// Assess compares the report in an answer with the promise; reported is false if the answer has none. Earlier observations of the replica
+// don't count, as it may have restarted since.
 func (t *Tracker) Assess(promise Promise, sentAt time.Duration, report Report, reported bool) Assessment {
 	a := Assessment{AsOf: DistantPast}
 	if reported {
--- a/internal/decision/readpin/readpin.go
+++ b/internal/decision/readpin/readpin.go
@@ -1,14 +1,14 @@
-// Package readpin decides which replicas of a shard may answer a shard request whose query is pinned, bounds the age of what it reads,
-// or has seen a position of the shard's log; and whether an answer then keeps that promise.
+// Package readpin decides which replicas of a shard may answer a shard request if its query has a read pin, bounds the staleness of its
+// reads, or has already seen a position of the shard's log. It then checks whether an answer keeps the resulting promise.
 //
 //	Observe, MergePositions --> position of each shard at each replica --> EligibleReplicas --> Promise
 //	                                                                  answer's Report --> Assess --> Assessment
 //
-// A Tracker holds what a broker knows of replicas' positions, from its own answers and from other brokers, and orders the replicas of
-// a pin as every other broker does. Errors of clocks, and moments that can't be told apart, always count against freshness. Which of
-// the eligible replicas is sent to is decided by the router.
+// A Tracker holds what a broker knows of the replicas' positions, from answers that it received and from other brokers. All brokers order
+// the replicas of a pin alike. Clock errors and events whose order is unknown always count against freshness. The router decides which of
+// the eligible replicas a shard request is sent to.
 //
-// Times are spans since the broker's start. A Tracker is used by one goroutine.
+// Times are durations since the broker's start. A Tracker is used by one goroutine.
 package readpin
 
 import (
@@ -22,16 +22,16 @@
 	Shards          int
 	Cells           int
 	CellsPerShard   int           // shard s is on cells s, s+1, ... modulo Cells
-	ClockError      time.Duration // by which a replica's measure of its age may be too low, beside drift
-	MaxDrift        float64       // by which the rates of two clocks differ, as a share
-	RecheckInterval time.Duration // a replica known to be behind is tried again after it
-	MaxInFlight     int           // shard requests of one pin at one replica, from this broker
-	MaxShare        float64       // of a replica's shard requests from this broker that one pin may have
-	SafeRate        float64       // shard requests a second of one pin that are never too many
-	MaxMessageBytes int           // of EncodePositions
+	ClockError      time.Duration // how much too low a replica may measure its age, in addition to drift
+	MaxDrift        float64       // greatest relative difference between the rates of two clocks
+	RecheckInterval time.Duration // after which a replica known to be behind is tried again
+	MaxInFlight     int           // greatest number of this broker's shard requests in flight of one pin at one replica
+	MaxShare        float64       // greatest share of one pin among this broker's shard requests to a replica
+	SafeRate        float64       // shard requests per second of one pin at a replica up to which MaxShare does not apply
+	MaxMessageBytes int           // greatest size of a message from EncodePositions
 }
 
-// DefaultConfig returns the limits for a layout.
+// DefaultConfig returns a configuration with the default limits for a layout of the store.
 func DefaultConfig(shards, cells, cellsPerShard int) Config {
 	return Config{
 		Shards:          shards,
@@ -48,44 +48,44 @@
 }
 
 const (
-	removedNodeRetention = 30 * time.Second // a removed node's positions
-	maxSharedAge         = 10 * time.Second // positions, to other brokers
+	removedNodeRetention = 30 * time.Second // how long the positions of a removed node are kept
+	maxSharedAge         = 10 * time.Second // positions observed longer ago are not sent to other brokers
 
 	distantFuture = time.Duration(1)<<62 - 1
 )
 
-// DistantPast is before any moment. As a Promise's AsOf it means that any age will do, as an Assessment's that nothing is sure.
+// DistantPast is before any time that occurs. As a Promise's AsOf it means that any age will do, as an Assessment's that nothing is known.
 const DistantPast = -time.Duration(1) << 62
 
-// Tracker is what one broker knows of replicas' positions.
+// Tracker holds what one broker knows of the replicas' positions.
 type Tracker struct {
 	Counts    Counts
 	config    Config
-	epoch     uint64 // the number of the agreed list in force; 0: none, and the broker's own list stands in for it
+	epoch     uint64 // number of the agreed list in force; 0: none, and the broker's own endpoint list is used in its place
 	inEpoch   map[decision.NodeID]bool
 	nodes     []node
 	freeNodes []int32
 	byID      map[decision.NodeID]int32
-	cells     [][]int32   // nodes by cell
-	order     []candidate // reused by each rank
+	cells     [][]int32   // indexes into nodes, by cell
+	order     []candidate // buffer that each call of rank reuses
 	hotKeys   hotKeys
-	cursor    int // the node at which the next EncodePositions begins
+	cursor    int // index of the node at which the next EncodePositions begins
 }
 
-// Counts are what operators see. The JSON names are those under /counters.
+// Counts are the counters that operators see. The JSON names are those under /counters.
 type Counts struct {
 	Chosen        uint64 // shard requests with an eligible replica
-	Refused       uint64 // with none
-	AcceptedStale uint64 `json:"OrStale"` // with none, of queries that take a stale answer
-	Spilled       uint64 // of those chosen: not at the first replica, as the pin was at its limit there
+	Refused       uint64 // shard requests without one, of queries that require fresh answers
+	AcceptedStale uint64 `json:"OrStale"` // shard requests without one, of queries that allow stale answers
+	Spilled       uint64 // of those in Chosen: moved to another replica, as the pin was at its limit at the first
 	Fresh         uint64 // answers that kept the promise
-	Stale         uint64 `json:"Old"` // answers that did not
-	Regressed     uint64 // replicas found at an older position than before
-	Merged        uint64 `json:"Facts"` // positions taken from other brokers
-	Malformed     uint64 `json:"Bad"`   // messages of other brokers that could not be read
+	Stale         uint64 `json:"Old"` // answers that did not keep the promise
+	Regressed     uint64 // observations of a replica at an earlier position than before, so after a restart
+	Merged        uint64 `json:"Facts"` // positions merged from other brokers
+	Malformed     uint64 `json:"Bad"`   // messages from other brokers that could not be decoded
 }
 
-// Add adds another broker's counts.
+// Add adds the counts of another broker to c.
 func (c *Counts) Add(other *Counts) {
 	c.Chosen += other.Chosen
 	c.Refused += other.Refused
@@ -98,7 +98,7 @@
 	c.Malformed += other.Malformed
 }
 
-// NewTracker returns a tracker that knows no node.
+// NewTracker returns a tracker without nodes.
 func NewTracker(config Config) *Tracker {
 	return &Tracker{
 		config: config,
@@ -107,7 +107,7 @@
 	}
 }
 
-// Reconfigure changes the settings. With another layout all positions are forgotten.
+// Reconfigure changes the configuration. A change of the layout discards all nodes and positions.
 func (t *Tracker) Reconfigure(config Config) {
 	old := &t.config
 	sameLayout := config.Shards == old.Shards && config.Cells == old.Cells && config.CellsPerShard == old.CellsPerShard
--- a/internal/decision/readpin/report.go
+++ b/internal/decision/readpin/report.go
@@ -6,20 +6,19 @@
 	"time"
 )
 
-// Report is what a replica says in an answer of how far it has come.
+// Report is a replica's statement of its position, which it sends with an answer.
 type Report struct {
-	Offset  uint64        // the last write of the part's shard that it has applied
-	HeadAge time.Duration // all that was acknowledged so long before it read is in, by its own measure; Unknown: it does not say
+	Offset  uint64        // position of the last write to the shard that the replica has applied
+	HeadAge time.Duration // by its own measure, the answer contains all writes acknowledged this long before the read; or UnknownAge
 }
 
-// UnknownAge stands in Report.Head where a replica does not know, or does not say, when it was last current.
+// UnknownAge is the value of Report.HeadAge if a replica does not know, or does not report, when it was last current.
 const UnknownAge = time.Duration(-1)
 
-const maxHeadAge = time.Hour // what is older is as good as unknown
+const maxHeadAge = time.Hour // a greater age counts as unknown
 
-// ParseReport reads the report of an answer: fields NAME=VALUE between semicolons, of which p is the position and h the head's age
-// in milliseconds, rounded up. Other fields are another's. ok tells whether there is a position; a field that makes no sense
-// makes the whole report none.
+// ParseReport parses the report of an answer: NAME=VALUE fields separated by semicolons. p is the position, h the head's age in
+// milliseconds, rounded up; other fields are ignored. ok is false if there is no position, or if p or h is malformed or repeated.
 func ParseReport(text string) (r Report, ok bool) {
 	r.HeadAge = UnknownAge
 	for len(text) > 0 {
@@ -42,7 +41,7 @@
 	return r, ok
 }
 
-// AppendReport writes a report as replicas do. The age is rounded up.
+// AppendReport appends a report in the format that replicas use. The age is rounded up to a millisecond.
 func AppendReport(b []byte, r Report) []byte {
 	b = strconv.AppendUint(append(b, "p="...), r.Offset, 10)
 	if r.HeadAge != UnknownAge {
--- a/internal/decision/readpin/truth_test.go
+++ b/internal/decision/readpin/truth_test.go
@@ -10,15 +10,17 @@
 	"flaxfront/internal/decision"
 )
 
-// replica is one that is known from outside: when its state is of, and what it says of that by a clock that is off.
+// replica is a simulated replica: the true age of its state is known, and it reports that age by an inaccurate clock.
 type replica struct {
 	asOf, stalledUntil time.Duration
 	drift              float64
 	clockError         time.Duration
 }
 
+// offsetAt returns the position of the last write that was acknowledged by t: there is a write every 7 ms.
 func offsetAt(t time.Duration) uint64 { return uint64(max(0, t+time.Hour) / (7 * ms)) }
 
+// read returns the replica's report at a time, after it has caught up if it is not stalled.
 func (r *replica) read(now time.Duration) Report {
 	if now > r.stalledUntil {
 		r.asOf = max(r.asOf, now-3*ms)
@@ -27,9 +29,9 @@
 	return Report{offsetAt(r.asOf), (max(0, head) + ms - 1) / ms * ms}
 }
 
-// simulateReplicas plays replicas that stall and restart before brokers that answer, share what they know over links that hold it back, and
-// are audited against the writers' own history. It returns how many judgements were checked and how many were wrong; claims of
-// what is not asked are held to the truth too.
+// simulateReplicas simulates replicas that stall and restart, and brokers that assess their answers and exchange positions over slow links.
+// It returns how many assessments and staleness bounds it checked against the true history of writes, and how many of them were too
+// optimistic. Positions that could not be merged count as wrong, too.
 func simulateReplicas(seed uint64, configure func(tracker *Tracker)) (checked, wrong int) {
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	const nodes, brokers = 4, 3
@@ -57,7 +59,7 @@
 		}
 		at := rnd.IntN(brokers)
 		tracker := trackers[at]
-		if rnd.IntN(20) == 0 { // pulled: asked some time ago, written meanwhile, here later
+		if rnd.IntN(20) == 0 { // positions pulled from another broker: requested before now, encoded now, received later
 			asked := now - upTo(rnd, 10*ms)
 			inbox[at] = append(inbox[at], message{now + upTo(rnd, 2*time.Second), asked, trackers[(at+1)%brokers].EncodePositions(now)})
 		}
@@ -69,7 +71,7 @@
 		for len(inbox[at]) > 0 && inbox[at][0].at <= now {
 			inbox[at] = inbox[at][1:]
 		}
-		for i := range replicas { // what a broker would rely on without asking holds
+		for i := range replicas { // the bound that a broker relies on without asking must hold
 			if bound := tracker.StalenessBound(now, id(i), 0); bound != UnknownAge && replicas[i].stalledUntil != 0 {
 				checked++
 				if known := tracker.position(&tracker.nodes[i], 0); replicas[i].asOf < now-bound && offsetAt(replicas[i].asOf) >= known.offset {
@@ -96,21 +98,22 @@
 	return checked, wrong
 }
 
-// No bound and no judgement is ever optimistic, by the writers' history; one that leaves the clocks' error out is found.
+// No staleness bound and no assessment is more optimistic than the history of writes allows. The check does find the wrong ones that arise if
+// the clocks' errors are ignored.
 func TestNeverOptimistic(t *testing.T) {
 	total := 0
 	for seed := range uint64(12) {
 		checked, wrong := simulateReplicas(seed, func(*Tracker) {})
-		require(t, wrong == 0, "seed %d: %d of %d wrong", seed, wrong, checked)
+		require(t, wrong == 0, "seed %d: %d of %d bounds and assessments too optimistic", seed, wrong, checked)
 		total += checked
 	}
-	require(t, total > 100_000, "%d checked", total)
+	require(t, total > 100_000, "only %d bounds and assessments checked, want more than 100,000", total)
 	found := 0
 	for seed := range uint64(12) {
 		_, wrong := simulateReplicas(seed, func(b *Tracker) { b.config.ClockError, b.config.MaxDrift = 0, 0 })
 		found += wrong
 	}
-	require(t, found > 0, "an optimistic age is not found")
+	require(t, found > 0, "no optimistic bound or assessment found although clock errors are ignored")
 }
 
 func TestPositionsAreBoundedAndMerge(t *testing.T) {
@@ -121,25 +124,25 @@
 			sender.Observe(now, id(i), shard, now-ms, Report{uint64(i + 1), 10 * ms})
 		}
 	}
-	for range 60 { // all get there, turn by turn
+	for range 60 { // after enough messages all positions have been sent
 		data := sender.EncodePositions(now)
-		require(t, len(data) <= sender.config.MaxMessageBytes, "%d bytes", len(data))
-		require(t, receiver.MergePositions(now, data, 5*ms) == nil, "not taken")
+		require(t, len(data) <= sender.config.MaxMessageBytes, "a message of %d bytes exceeds MaxMessageBytes", len(data))
+		require(t, receiver.MergePositions(now, data, 5*ms) == nil, "a message is rejected")
 	}
 	for i := range 300 {
 		for shard := range 40 {
 			bound := receiver.StalenessBound(now, id(i), shard)
-			require(t, bound >= 21*ms && bound <= 25*ms, "node %d, shard %d: %v", i, shard, bound)
+			require(t, bound >= 21*ms && bound <= 25*ms, "node %d, shard %d: staleness bound %v, want 21 to 25 ms", i, shard, bound)
 		}
 	}
 	before := receiver.EncodePositions(now)
 	receiver.cursor = 0
-	receiver.MergePositions(now, sender.EncodePositions(now-40*time.Second), 5*ms) // older news worsens nothing
+	receiver.MergePositions(now, sender.EncodePositions(now-40*time.Second), 5*ms) // older observations must not worsen the bound
 	receiver.cursor = 0
-	require(t, len(before) > 0 && receiver.StalenessBound(now, id(299), 3) <= 25*ms, "older news counted")
-	require(t, len(sender.EncodePositions(now+11*time.Second)) == 1, "old news passed on")
+	require(t, len(before) > 0 && receiver.StalenessBound(now, id(299), 3) <= 25*ms, "an older observation worsened the bound")
+	require(t, len(sender.EncodePositions(now+11*time.Second)) == 1, "positions older than maxSharedAge are sent")
 	sender.config.MaxMessageBytes = 64
-	require(t, len(sender.EncodePositions(now)) > 20, "one node's facts that never fit are never told")
+	require(t, len(sender.EncodePositions(now)) > 20, "no position is sent of a node whose positions don't fit into one message")
 }
 
 func FuzzMergePositions(f *testing.F) {
@@ -151,16 +154,17 @@
 		err := receiver.MergePositions(time.Minute, data, ms)
 		var malformed *MalformedPositionsError
 		if err != nil && (!errors.As(err, &malformed) || malformed.Remedy() == "" || !bytes.Equal(receiver.EncodePositions(time.Minute), []byte{wireVersion})) {
-			t.Fatalf("half taken: %v", err)
+			t.Fatalf("unexpected error, without remedy, or positions of a malformed message were used: %v", err)
 		}
 		for i := range 3 {
 			if bound := receiver.StalenessBound(time.Minute, id(i), 1); bound != UnknownAge && bound < ms {
-				t.Fatalf("%v out of a message that was on its way so long", bound)
+				t.Fatalf("staleness bound %v is shorter than the message's transit time of %v", bound, ms)
 			}
 		}
 	})
 }
 
+// benchTracker returns a tracker of 128 nodes in 16 cells, with a known position of each of the 64 shards.
 func benchTracker() *Tracker {
 	tracker := NewTracker(DefaultConfig(64, 16, 1))
 	var all []decision.Endpoint
@@ -176,7 +180,7 @@
 	return tracker
 }
 
-// A part's whole way: chosen among eight holders, counted, judged and learned from.
+// BenchmarkShardRequest measures all calls for one shard request: select among eight replicas, count, assess and observe.
 func BenchmarkShardRequest(b *testing.B) {
 	tracker, dst := benchTracker(), make([]decision.NodeID, 0, 16)
 	requirement := Requirement{Pin: 9, ReceivedAt: time.Second, MaxStaleness: 250 * ms}
