--- a/internal/decision/fairshare/brokers.go
+++ b/internal/decision/fairshare/brokers.go
@@ -1,8 +1,9 @@
 package fairshare
 
-// divideAmongBrokers divides one tenant's share at a node by the demands in its row: all get the same as far as they need it. Units
-// that do not come out even go to brokers that had them, and else from a place on that differs from row to row, so that it is not
-// always the same broker that gets them.
+// divideAmongBrokers divides one tenant's share at a node among the brokers. On entry out holds their demands, on return their shares. All
+// brokers get the same number of units, or their demand if that is less. Units left over, too few for all, go first to brokers that had
+// more in the previous division, then to others. Both passes start at firstBroker, which differs from row to row, so that it is not
+// always the same broker that gets an extra unit.
 func (d *Divider) divideAmongBrokers(index, firstBroker int, previous, out []int32) {
 	level, remaining := d.evenLevel(d.share[index], d.greatest[index], out)
 	firstBroker %= len(out)
@@ -13,7 +14,7 @@
 				b -= len(out)
 			}
 			if out[b] > level && (previous != nil && previous[b] > level) == hadMore {
-				out[b] = -level - 1 // negative, so that it counts once
+				out[b] = -level - 1 // negative marks a broker that already got an extra unit
 				remaining--
 			}
 		}
@@ -27,13 +28,14 @@
 	}
 }
 
-// evenLevel is the most that all brokers can get alike, and what remains then, which is less than there are brokers that need more.
+// evenLevel returns the greatest number of units that every broker can get, as far as it has the demand, and the units that then remain,
+// which are fewer than the brokers with more demand.
 func (d *Divider) evenLevel(units, greatest int, demands []int32) (level int32, remaining int) {
 	greatest = min(greatest, units)
 	if cap(d.counts) < greatest+2 {
 		d.counts = make([]int32, greatest+2)
 	}
-	counts := d.counts[:greatest+1] // brokers by demand
+	counts := d.counts[:greatest+1] // number of brokers, by demand
 	clear(counts)
 	for _, u := range demands {
 		counts[min(int(u), greatest)]++
--- a/internal/decision/fairshare/divider.go
+++ b/internal/decision/fairshare/divider.go
@@ -1,11 +1,11 @@
 package fairshare
 
-// noiseDivisor is how much less than it has a broker may need without losing it: an eighth, and one unit at the least. Measured
-// demand fluctuates; without this, units would go to and fro between two brokers, each move closing connections that are opened
-// again. A tenant may be short while others keep up to that much unused.
+// noiseDivisor sets how far a broker's demand may fall below its units without loss of units: by an eighth of the demand, but at least by
+// one unit. Measured demand fluctuates; without this margin units would move back and forth between brokers, and each move closes
+// connections that are opened again. The price is that a tenant may lack units while others keep up to that many unused.
 const noiseDivisor = 8
 
-// steadyDemand is a broker's demand, with the previous division's units kept where the difference is noise.
+// steadyDemand returns a broker's demand, or its units in the previous division if the demand is lower only by noise.
 func steadyDemand(demand, previous int32) int32 {
 	if demand > 0 && previous > demand && previous-demand <= max(1, demand/noiseDivisor) {
 		return previous
@@ -13,18 +13,18 @@
 	return demand
 }
 
-// Divider keeps the memory that a division works with for the next one.
+// Divider divides budgets. It reuses its buffers from one division to the next.
 type Divider struct {
-	demand     []int // by node and tenant, like those below
-	previous   []int
+	demand     []int // of all brokers, by node and tenant, like the next four
+	previous   []int // units in the previous division
 	share      []int
 	guaranteed []int
-	greatest   []int // demand of a broker
+	greatest   []int // greatest demand of any broker
 	counts     []int32
 	solver     maxMinSolver
 }
 
-// Divide divides all budgets into a table of the demand's size, whatever it held.
+// Divide divides all budgets and writes the result to out, a table of the same size as the demand, whose old content is ignored.
 func (d *Divider) Divide(in Input, out *Table) {
 	nodes := in.Demand.Nodes
 	tenants := in.Demand.Tenants
@@ -66,7 +66,7 @@
 	*s = (*s)[:n]
 }
 
-// sumDemand adds up a tenant's demand and previous units at a node, and leaves each broker's demand in its row.
+// sumDemand sums a tenant's demand and previous units at a node over the brokers, and writes each broker's demand to out.
 func (d *Divider) sumDemand(in *Input, node, tenant int, out []int32) {
 	row := in.Demand.Row(node, tenant)
 	previousSum := 0
@@ -90,8 +90,8 @@
 	d.greatest[index] = int(greatest)
 }
 
-// divideNode divides a node's units among tenants, whose cells begin at first: the guarantees, then what lies above them up to max,
-// then what nobody else needs, up to burst.
+// divideNode divides a node's units among tenants: first the guarantees, then by weight up to Max, then what no tenant needs by weight up
+// to Burst more. first is the index of the node's first tenant.
 func (d *Divider) divideNode(budget *Budget, first, tenants int) {
 	s := &d.solver
 	s.resize(tenants)
@@ -110,7 +110,7 @@
 	}
 }
 
-// divideBurst divides what is left of a node's units among tenants that have more demand.
+// divideBurst divides the remaining units of a node among tenants with more demand.
 func (d *Divider) divideBurst(budget *Budget, first, tenants, left int) {
 	s := &d.solver
 	for t := range tenants {
--- a/internal/decision/fairshare/fairshare.go
+++ b/internal/decision/fairshare/fairshare.go
@@ -1,32 +1,32 @@
 // Package fairshare divides connections: a node's budget among tenants, by guarantee, weight, max and burst; a pool's budget over
-// all nodes among the same tenants; and what a tenant has at a node among brokers, by demand.
+// all nodes among the same tenants; and a tenant's share at a node among brokers, by demand.
 //
 //	demand (node, tenant, broker) ──► tenants of each node ──► pool ──► brokers of each tenant and node ──► division
 //
-// It is weighted max-min fairness in whole units: the same input gives the same division, nobody ends a unit or more away from the
-// exact one, and noise in the demand moves nothing. No budget is exceeded.
+// The division is weighted max-min fair in whole units. The same input gives the same result, each share is less than one unit away from
+// the exact one, noise in the demand moves no units, and no budget is exceeded.
 //
 // Concurrency: nothing here locks or starts a goroutine; a value is used by one goroutine at a time.
 package fairshare
 
 // Allowance is what a policy allows one tenant of a budget, in units.
 type Allowance struct {
-	Guarantee int // that it gets before anybody gets more, as far as it has demand
-	Weight    int // its part of what lies above the guarantees
-	Max       int // that it gets while others could use them
-	Burst     int // further units of what nobody else needs
+	Guarantee int // units that the tenant gets, if it has the demand, before any tenant gets more than its guarantee
+	Weight    int // of the tenant, relative to others, in the division above the guarantees
+	Max       int // greatest share while other tenants could use the units
+	Burst     int // units above Max that the tenant may have if no other tenant needs them
 }
 
-// Budget is what there is to divide at a node, or over all of them, without the brokers' reserved connections.
+// Budget is what can be divided at a node, or over all nodes, apart from the brokers' reserved connections.
 type Budget struct {
 	Units      int
 	Allowances []Allowance // by tenant
 }
 
-// Input is what a division starts from.
+// Input is the input of a division.
 type Input struct {
-	Nodes    []Budget
-	Pool     *Budget // over all nodes; nil: only the nodes' budgets limit
-	Demand   *Table  // units that each broker could use above its reserve
-	Previous *Table  // the division before; nil: there was none
+	Nodes    []Budget // by node
+	Pool     *Budget  // over all nodes; nil: only the nodes' budgets apply
+	Demand   *Table   // units that each broker could use above its reserve
+	Previous *Table   // the previous division; nil: there was none
 }
--- a/internal/decision/fairshare/fairshare_test.go
+++ b/internal/decision/fairshare/fairshare_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// exactDivision is the slow reference: it raises the level for all who still want more until one is full or nothing is left.
+// exactDivision is a slow reference implementation of weighted max-min division, in fractions. It divides by weight among the participants
+// that are not fixed, fixes those that end up below low or above high at that limit, and repeats until there are none.
 func exactDivision(total int, low, high, weight []int) []*big.Rat {
 	part := make([]*big.Rat, len(low))
 	for i := range low {
@@ -70,7 +71,7 @@
 	}
 }
 
-// withinOne tells whether whole units are less than one away from what is exact.
+// withinOne reports whether a number of whole units differs by less than one from the exact share.
 func withinOne(units int, want *big.Rat) bool {
 	d := new(big.Rat).Sub(big.NewRat(int64(units), 1), want)
 	return d.Abs(d).Cmp(big.NewRat(1, 1)) < 0
@@ -102,16 +103,16 @@
 		for i, units := range out {
 			sum += units
 			if units < low[i] || units > high[i] || !withinOne(units, want[i]) {
-				t.Fatalf("%d: %d units, exact is %v, of %d to %d", i, units, want[i].FloatString(3), low[i], high[i])
+				t.Fatalf("participant %d: %d units, exact share %v, limits %d to %d", i, units, want[i].FloatString(3), low[i], high[i])
 			}
 		}
 		if sum != given || sum != min(total, sums[1]) {
-			t.Fatalf("%d units given, %d returned, of %d", sum, given, total)
+			t.Fatalf("shares sum up to %d units, solve returned %d, total %d", sum, given, total)
 		}
 	})
 }
 
-// drawInput makes a division at random, a small one.
+// drawInput returns a small random input.
 func drawInput(t *rapid.T) Input {
 	nodes := rapid.IntRange(1, 4).Draw(t, "nodes")
 	tenants := rapid.IntRange(1, 5).Draw(t, "tenants")
@@ -157,11 +158,11 @@
 		again := NewTable(in.Demand.Nodes, in.Demand.Tenants, in.Demand.Brokers)
 		new(Divider).Divide(in, out)
 		checkDivision(t, in, out)
-		// The same need once more moves nothing, and neither does a broker's that shakes by one.
+		// Dividing the same demand again must move nothing.
 		in.Previous = out
 		new(Divider).Divide(in, again)
 		if fmt.Sprint(out.units) != fmt.Sprint(again.units) {
-			t.Fatalf("the same needs were divided otherwise:\n%v\n%v", out.units, again.units)
+			t.Fatalf("the same demand was divided differently the second time:\n%v\n%v", out.units, again.units)
 		}
 	})
 }
@@ -182,20 +183,20 @@
 			}
 			for broker, want := range exactDivision(units, low, high, weight) {
 				if got := out.At(n, tenant, broker); !withinOne(got, want) {
-					t.Fatalf("node %d tenant %d broker %d has %d of %d, exact is %s", n, tenant, broker, got, units, want.FloatString(3))
+					t.Fatalf("node %d tenant %d broker %d has %d of %d units, exact share %s", n, tenant, broker, got, units, want.FloatString(3))
 				}
 			}
 			if units < min(demand, a.Guarantee) || units > a.Max+a.Burst {
-				t.Fatalf("node %d tenant %d has %d, needs %d, allowed %+v", n, tenant, units, demand, a)
+				t.Fatalf("node %d tenant %d has %d units for a demand of %d, allowance %+v", n, tenant, units, demand, a)
 			}
 			sum += units
 		}
 		if sum > b.Units {
-			t.Fatalf("node %d: %d of %d", n, sum, b.Units)
+			t.Fatalf("node %d: %d units divided, budget %d", n, sum, b.Units)
 		}
 		all += sum
 	}
 	if in.Pool != nil && all > in.Pool.Units {
-		t.Fatalf("pool: %d of %d", all, in.Pool.Units)
+		t.Fatalf("pool: %d units divided, budget %d", all, in.Pool.Units)
 	}
 }
--- a/internal/decision/fairshare/golden_test.go
+++ b/internal/decision/fairshare/golden_test.go
@@ -12,12 +12,12 @@
 
 const (
 	goldenBlocks    = 100
-	goldenSequences = 30 // a block
-	goldenDivisions = 8  // a sequence, each starting from the one before
+	goldenSequences = 30 // per block
+	goldenDivisions = 8  // per sequence, each with the demand and usually the result of the previous one
 	goldenSeed      = 43
 )
 
-// goldenBudget is a budget that mostly suffices for its guarantees.
+// goldenBudget returns a random budget that is mostly sufficient for its guarantees.
 func goldenBudget(rng *rand.Rand, tenants, greatest int) Budget {
 	b := Budget{Units: rng.IntN(greatest + 1)}
 	for range tenants {
@@ -33,7 +33,7 @@
 	return b
 }
 
-// goldenSequence divides several times, as needs move a little or much.
+// goldenSequence makes several divisions, between which demand changes by a little or a lot.
 func goldenSequence(rng *rand.Rand, d *Divider, out io.Writer) {
 	nodes, tenants, brokers := 1+rng.IntN(4), 1+rng.IntN(5), 1+rng.IntN(9)
 	in := Input{Demand: NewTable(nodes, tenants, brokers)}
@@ -70,7 +70,7 @@
 	}
 }
 
-// goldenDigests is one digest a block of sequences.
+// goldenDigests returns one digest for each block of sequences, a line each.
 func goldenDigests() string {
 	var all strings.Builder
 	for block := range goldenBlocks {
@@ -84,7 +84,7 @@
 	return all.String()
 }
 
-// Divisions over 3,000 pseudo-random sequences of eight are those that commit 1a4b6be made.
+// The divisions in 3,000 pseudo-random sequences of eight are those that commit 1a4b6be made.
 func TestGolden(t *testing.T) {
 	want, err := os.ReadFile("testdata/golden-1a4b6be.txt")
 	if err != nil {
@@ -93,11 +93,11 @@
 	old := strings.Fields(string(want))
 	now := strings.Fields(goldenDigests())
 	if len(old) != len(now) {
-		t.Fatalf("%d blocks recorded, %d played", len(old), len(now))
+		t.Fatalf("%d blocks recorded, %d run", len(old), len(now))
 	}
 	for i := range old {
 		if old[i] != now[i] {
-			t.Errorf("block %d: %s recorded, %s played", i, old[i], now[i])
+			t.Errorf("block %d: digest %s recorded, %s now", i, old[i], now[i])
 		}
 	}
 }
--- a/internal/decision/fairshare/max_min.go
+++ b/internal/decision/fairshare/max_min.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// maxMinSolver solves one weighted max-min division: everybody gets the same for each unit of weight, no less than low and no more
-// than high. In whole units each ends less than one unit away from that.
+// maxMinSolver solves one weighted max-min division: each participant gets the same number of units per weight, but no less than low and
+// no more than high. The shares are whole numbers, each less than one unit away from the exact share.
 type maxMinSolver struct {
-	low      []int // by participant, like those below
+	low      []int // by participant, like the next four
 	high     []int
 	weight   []int
-	previous []int
-	result   []int
+	previous []int // units in the previous division
+	result   []int // buffer for the callers of solve
 
 	levels     []level
 	remainders []remainder
 }
 
-// level is a number of units for a weight, at which somebody's part begins or ends to grow.
+// level is a ratio of units to weight at which a participant's share begins or ceases to grow.
 type level struct {
 	units  int
 	weight int
 }
 
-// remainder is a part that did not come out even.
+// remainder is the fractional part of a share.
 type remainder struct {
 	index   int
-	rest    int  // of the exact part above whole units, in fractions of the weights' sum
-	hadMore bool // the participant had the odd unit in the previous division
+	rest    int  // numerator of the fraction; the denominator is the sum of the weights
+	hadMore bool // the participant had more than the whole units of its share in the previous division
 }
 
 func (f *maxMinSolver) resize(n int) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// solve divides and tells how much was given.
+// solve divides total units, writes the shares to out and returns their sum.
 func (f *maxMinSolver) solve(total int, out []int) (given int) {
 	n := len(out)
 	low := 0
@@ -61,7 +61,7 @@
 	return total
 }
 
-// divideLow has the lowest parts be what is divided: they alone are too much.
+// divideLow prepares a division in which the low limits alone exceed the total: they become the upper limits, and nothing is guaranteed.
 func (f *maxMinSolver) divideLow(n int) {
 	copy(f.high, f.low[:n])
 	for i := range n {
@@ -70,7 +70,7 @@
 	}
 }
 
-// findLevel is the highest level, of those at which something changes, that does not take more than there is.
+// findLevel returns the highest level, of those at which a share begins or ceases to grow, that needs no more than total units.
 func (f *maxMinSolver) findLevel(total, n int) level {
 	f.levels = append(f.levels[:0], level{units: 0, weight: 1})
 	for i := range n {
@@ -80,7 +80,7 @@
 	}
 	slices.SortFunc(f.levels, func(a, b level) int { return cmp.Compare(a.units*b.weight, b.units*a.weight) })
 	i, _ := slices.BinarySearchFunc(f.levels, total, func(l level, total int) int {
-		sum := 0 // in units times the level's weight
+		sum := 0 // in units multiplied by the level's weight
 		for i := range n {
 			sum += min(max(l.units*f.weight[i], l.weight*f.low[i]), l.weight*f.high[i])
 		}
@@ -92,10 +92,11 @@
 	return f.levels[max(0, i-1)]
 }
 
-// undecided marks a part that is between low and high; no part is below zero.
+// undecided marks a share that lies between low and high. Shares are never negative.
 const undecided = -1
 
-// divideAt gives those below and above a level their low or high part, and divides the rest among the others by weight.
+// divideAt gives participants whose share at a level would be outside their limits the limit, and divides the rest among the others by
+// weight.
 func (f *maxMinSolver) divideAt(l level, total int, out []int) {
 	left := total
 	weights := 0
@@ -115,6 +116,7 @@
 	f.divideByWeight(left, weights, out)
 }
 
+// divideByWeight divides left units by weight among the undecided participants; weights is the sum of their weights.
 func (f *maxMinSolver) divideByWeight(left, weights int, out []int) {
 	f.remainders = f.remainders[:0]
 	rest := left
@@ -136,7 +138,8 @@
 	}
 }
 
-// compareRemainders puts first who had the odd unit, else two of nearly the same part would hand it to and fro; then the greater rest.
+// compareRemainders orders remainders by who gets an extra unit first: participants that had it before, as otherwise it could move back and
+// forth between two with nearly equal shares, then those with the greater remainder.
 func compareRemainders(a, b remainder) int {
 	if a.hadMore != b.hadMore {
 		if a.hadMore {
--- a/internal/decision/fairshare/noise_test.go
+++ b/internal/decision/fairshare/noise_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestNoiseMovesLittle has every need shake by one about a steady value: after a few divisions next to nothing may move.
+// TestNoiseMovesLittle has each demand fluctuate by one unit: after some divisions hardly any units may move.
 func TestNoiseMovesLittle(t *testing.T) {
 	const nodes, tenants, brokers = 10, 8, 40
 	in, random := largeInput(nodes, tenants, brokers, 1), rand.New(rand.NewPCG(3, 4))
@@ -40,13 +40,13 @@
 		return moves
 	}
 	kept, without := moved(true), moved(false)
-	t.Logf("units moved in 19 divisions of noise: %d with the last division kept in mind, %d without", kept, without)
+	t.Logf("units moved in 19 divisions of noisy demand: %d with the previous division as input, %d without", kept, without)
 	if kept*20 > without {
-		t.Errorf("noise moves %d units, %d where nothing holds them", kept, without)
+		t.Errorf("noise moves %d units with the previous division as input, want at most a twentieth of the %d without", kept, without)
 	}
 }
 
-// largeInput makes a division in which most nodes are short.
+// largeInput returns an input in which demand exceeds the budget at most nodes.
 func largeInput(nodes, tenants, brokers int, seed uint64) Input {
 	random := rand.New(rand.NewPCG(seed, 2))
 	in := Input{Demand: NewTable(nodes, tenants, brokers)}
--- a/internal/decision/fairshare/pool.go
+++ b/internal/decision/fairshare/pool.go
@@ -1,7 +1,7 @@
 package fairshare
 
-// dividePool brings the nodes' sum down to the pool's budget: first among tenants, by the pool's allowances, then each tenant's part
-// among nodes. What a node guarantees stays.
+// dividePool lowers the shares so that their sum is within the pool's budget. It divides the budget among tenants by the pool's allowances,
+// then each tenant's share among nodes. Shares that are guaranteed at a node are kept.
 func (d *Divider) dividePool(budget *Budget, nodes, tenants int) {
 	sum := 0
 	for _, units := range d.share {
@@ -17,6 +17,7 @@
 	}
 }
 
+// dividePoolAmongTenants returns each tenant's share of the pool's budget.
 func (d *Divider) dividePoolAmongTenants(budget *Budget, tenants int) []int {
 	guaranteed := make([]int, tenants)
 	share := make([]int, tenants)
@@ -41,7 +42,7 @@
 	return byTenant
 }
 
-// divideTenantAmongNodes lowers a tenant's shares at the nodes to a sum.
+// divideTenantAmongNodes lowers a tenant's shares at the nodes so that their sum is units.
 func (d *Divider) divideTenantAmongNodes(tenant, units, nodes, tenants int) {
 	s := &d.solver
 	for n := range nodes {
--- a/internal/decision/fairshare/table.go
+++ b/internal/decision/fairshare/table.go
@@ -8,23 +8,23 @@
 	units   []int32
 }
 
-// NewTable makes a table of zeros.
+// NewTable returns a table of zeros.
 func NewTable(nodes, tenants, brokers int) *Table {
 	return &Table{Nodes: nodes, Tenants: tenants, Brokers: brokers, units: make([]int32, nodes*tenants*brokers)}
 }
 
-// Clear makes all of it zero.
+// Clear sets all units to zero.
 func (t *Table) Clear() { clear(t.units) }
 
-// Row is what a tenant has at a node, by broker. It is part of the table, not a copy.
+// Row returns a tenant's units at a node, by broker. The slice is part of the table, not a copy.
 func (t *Table) Row(node, tenant int) []int32 {
 	first := (node*t.Tenants + tenant) * t.Brokers
 	end := first + t.Brokers
 	return t.units[first:end:end]
 }
 
-// At is one cell.
+// At returns a tenant's units at a node and broker.
 func (t *Table) At(node, tenant, broker int) int { return int(t.Row(node, tenant)[broker]) }
 
-// Set gives a cell its value.
+// Set sets a tenant's units at a node and broker.
 func (t *Table) Set(node, tenant, broker, units int) { t.Row(node, tenant)[broker] = int32(units) }
--- a/internal/decision/polling/golden_test.go
+++ b/internal/decision/polling/golden_test.go
@@ -13,7 +13,7 @@
 
 var record = flag.Bool("record", false, "write the golden file instead of comparing with it")
 
-// runSequence plays pseudo-random polls that are answered, hedged, given up, refused and backed off, and digests each time that is drawn.
+// runSequence makes a pseudo-random sequence of calls to a Jitter and a Backoff, and returns a digest of the results.
 func runSequence(seed uint64) uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	digest := fnv.New64a()
@@ -57,7 +57,7 @@
 	return digest.Sum64()
 }
 
-// compareWithGolden compares the digests of a number of sequences with the file that holds those of commit 1a4b6be.
+// compareWithGolden compares the digests of a number of sequences with those of commit 1a4b6be, which the file holds.
 func compareWithGolden(t *testing.T, file string, sequences uint64, run func(seed uint64) uint64) {
 	t.Helper()
 	var lines []string
@@ -76,11 +76,11 @@
 	}
 	for i, line := range strings.Split(string(want), "\n") {
 		if i < len(lines) && lines[i] != line {
-			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+			t.Fatalf("sequence and digest %q, recorded as %q", lines[i], line)
 		}
 	}
 	if string(want) != text {
-		t.Error("the file has another number of sequences")
+		t.Errorf("%s holds another number of sequences than %d", file, sequences)
 	}
 }
 
--- a/internal/decision/polling/timeouts.go
+++ b/internal/decision/polling/timeouts.go
@@ -1,56 +1,57 @@
-// Package polling decides when discovery is polled: how long a watch and a poll are waited for, when a hedge goes out beside one, and
-// after what delay a poll that failed is made again.
+// Package polling decides when discovery is polled: the timeouts of watches and polls, when a hedge is sent for one that is unanswered, and
+// after what delay a failed request is retried.
 //
-// Nothing here does I/O, reads a clock or starts a goroutine. A value is used by one goroutine at a time. Depends on nothing.
+// Nothing here does I/O, reads a clock or starts a goroutine. A value is used by one goroutine at a time. Depends on no other package.
 package polling
 
 import "time"
 
-// A change of the endpoint list is promised to be known MaxNotificationDelay after discovery had it, whatever became of the polls in
-// between. What an unanswered watch missed is promised within MaxNotificationDelayAfterWatch of the end of its watch time, if that is
-// later. After a change of discovery's address what the new service has is promised within MaxNotificationDelayAfterAddressChange.
+// A broker guarantees to learn of a change of the endpoint list within MaxNotificationDelay after discovery, even if polls fail in between.
+// A change that an unanswered watch missed is learned within MaxNotificationDelayAfterWatch of the end of its watch time, if that is later.
+// After a change of discovery's address, the list of the new service is learned within MaxNotificationDelayAfterAddressChange.
 const (
 	MaxNotificationDelay                   = 6 * time.Second
 	MaxNotificationDelayAfterWatch         = 2 * time.Second
 	MaxNotificationDelayAfterAddressChange = 4 * time.Second
 )
 
-// MaxWatchTime leaves time, after a watch is found to be overdue, for a poll that waits its turn at a busy service.
+// MaxWatchTime is the longest time that discovery may hold a watch. It leaves time for a poll that waits in the queue of a busy service
+// after the watch has been found overdue.
 const MaxWatchTime = MaxNotificationDelay / 2
 
-// A watch counts as overdue, and a hedge goes out, so long after its watch time; it is given up after the second time.
+// Delays of a watch, both counted from the end of its watch time.
 const (
-	watchHedgeDelay = 800 * time.Millisecond
-	watchTimeout    = 2500 * time.Millisecond
+	watchHedgeDelay = 800 * time.Millisecond  // after it the watch is overdue, and a hedge is sent
+	watchTimeout    = 2500 * time.Millisecond // after it the watch is abandoned
 )
 
-// A busy service answers in turn: a poll that is given up loses its place and has cost the service its work all the same. So an
-// unanswered poll stays out while a hedge goes out beside it. A service slower than pollHedgeDelay gets a second poll a broker.
+// A busy service answers polls in order. A poll that is abandoned loses its place in the queue, although the service still does its work.
+// So an unanswered poll stays in flight when a hedge is sent. A service slower than pollHedgeDelay gets two polls from each broker.
 const (
 	pollHedgeDelay  = 1500 * time.Millisecond
-	pollHedgeJitter = 400 * time.Millisecond // brokers may notice a silent service at the same moment
+	pollHedgeJitter = 400 * time.Millisecond // spreads the hedges of brokers whose polls began at the same time
 	pollTimeout     = 2500 * time.Millisecond
 )
 
-// Delays before a failed poll is made again; drawn at random, so that brokers don't poll in step.
+// Delays before a failed poll is retried. They are random, so that brokers don't poll at the same time.
 const (
 	maxRetryDelay      = 400 * time.Millisecond
-	minPollSpacing     = 500 * time.Millisecond // from the start of a rejected poll to the next
-	AgentRetryInterval = 200 * time.Millisecond // a local agent's retry; shorter than any drain
+	minPollSpacing     = 500 * time.Millisecond // minimum time from the start of a rejected poll to the next poll
+	AgentRetryInterval = 200 * time.Millisecond // longest delay before polling a local agent again; shorter than any drain
 )
 
-// Jitter draws a time of at least 0 and below a bound above 0.
+// Jitter returns a random duration of at least 0 and less than below, which must be positive.
 type Jitter func(below time.Duration) time.Duration
 
-// Timeouts say how long a request to discovery is waited for. HedgeDelay and Timeout count from its start.
+// Timeouts are the timeouts of a request to discovery. HedgeDelay and Timeout count from its start.
 type Timeouts struct {
-	WatchTime  time.Duration // how long discovery may hold it for the next change; 0 for a poll
-	HedgeDelay time.Duration
-	Timeout    time.Duration
+	WatchTime  time.Duration // how long discovery may hold the request until the next change; 0 for a poll
+	HedgeDelay time.Duration // when a hedge is sent
+	Timeout    time.Duration // when the request is abandoned
 }
 
-// WatchTimeouts returns the timeouts of a watch of at most maxWatchTime. The watch time is drawn from its upper half: watches that end
-// together have all brokers poll together.
+// WatchTimeouts returns the timeouts of a watch of at most maxWatchTime. The watch time is random, between half of that and all of it, so
+// that the watches of all brokers don't end, and their polls don't begin, at the same time.
 func (jitter Jitter) WatchTimeouts(maxWatchTime time.Duration) Timeouts {
 	maxWatchTime = min(maxWatchTime, MaxWatchTime)
 	watchTime := maxWatchTime - jitter(maxWatchTime/2+1)
@@ -61,20 +62,20 @@
 	}
 }
 
-// PollTimeouts returns the timeouts of a poll, which does not wait for a change.
+// PollTimeouts returns the timeouts of a poll, which discovery answers without waiting for a change.
 func (jitter Jitter) PollTimeouts() Timeouts {
 	return Timeouts{HedgeDelay: pollHedgeDelay + jitter(pollHedgeJitter), Timeout: pollTimeout}
 }
 
-// Failure says how a request to discovery failed.
+// Failure describes how a request to discovery failed.
 type Failure struct {
-	ConnectionLost     bool          // its connection ended under it, and the request before it had not failed
-	LocalAgent         bool          // a local agent was asked, not a service that all brokers share
-	SinceAddressChange time.Duration // since the change to this address
+	ConnectionLost     bool          // the connection was lost during the request, and the previous request had not failed
+	LocalAgent         bool          // the request went to a local agent, not to a service that all brokers share
+	SinceAddressChange time.Duration // time since discovery's address changed to the current one
 	Duration           time.Duration // of the request
 }
 
-// RetryDelay returns whether a failed request is made again without being asked for, and after what delay.
+// RetryDelay returns whether a failed request is retried automatically, and after what delay.
 func (jitter Jitter) RetryDelay(f Failure) (delay time.Duration, retry bool) {
 	switch {
 	case f.ConnectionLost:
--- a/internal/decision/polling/timeouts_test.go
+++ b/internal/decision/polling/timeouts_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Whatever is drawn, an overdue watch is noticed with time left for an answer that waits its turn, a hedge goes out before its request is
-// given up, and a failed request is made again only where it may be, after a delay within its bounds.
+// For any jitter, an overdue watch is hedged with time left for an answer from a busy service, a hedge is sent before its request is
+// abandoned, and a failed request is retried only if it should be, after a delay within the bounds.
 func TestTimeoutsLeaveTimeToNotify(t *testing.T) {
 	const latestWatchHedge = MaxNotificationDelay - MaxNotificationDelayAfterWatch
 	for _, share := range []float64{0, 0.5, 0.999} {
@@ -14,11 +14,11 @@
 		for _, maxWatchTime := range []time.Duration{time.Second, 4 * time.Second, time.Minute} {
 			w := jitter.WatchTimeouts(maxWatchTime)
 			if w.WatchTime <= 0 || w.WatchTime > min(maxWatchTime, MaxWatchTime) || w.HedgeDelay >= w.Timeout || w.HedgeDelay > latestWatchHedge {
-				t.Errorf("a watch of %v: %+v", maxWatchTime, w)
+				t.Errorf("timeouts of a watch of at most %v out of bounds: %+v", maxWatchTime, w)
 			}
 		}
 		if p := jitter.PollTimeouts(); p.WatchTime != 0 || p.HedgeDelay >= p.Timeout || 2*p.HedgeDelay > MaxNotificationDelayAfterAddressChange {
-			t.Errorf("a poll: %+v", p)
+			t.Errorf("timeouts of a poll out of bounds: %+v", p)
 		}
 		for _, c := range []struct {
 			failure  Failure
@@ -34,7 +34,7 @@
 		} {
 			delay, retry := jitter.RetryDelay(c.failure)
 			if retry != c.retry || delay < c.minDelay || delay > c.maxDelay {
-				t.Errorf("%+v: %v after %v", c.failure, retry, delay)
+				t.Errorf("%+v: retry %v after %v, want %v after %v to %v", c.failure, retry, delay, c.retry, c.minDelay, c.maxDelay)
 			}
 		}
 	}
