--- a/internal/decision/fairshare/noise_test.go
+++ b/internal/decision/fairshare/noise_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestNoiseMovesLittle has every need shake by one about a steady value: after a few divisions next to nothing may move.
+// TestNoiseMovesLittle has each demand fluctuate by one unit: after some divisions hardly any units may move.
 func TestNoiseMovesLittle(t *testing.T) {
 	const nodes, tenants, brokers = 10, 8, 40
 	in, random := largeInput(nodes, tenants, brokers, 1), rand.New(rand.NewPCG(3, 4))
@@ -20,7 +20,7 @@
 		}
 	}
 	var d Divider
-	moved := func(keep bool) (moves int) {
+	countMoves := func(keepPrevious bool) (moves int) {
 		a, b := NewTable(nodes, tenants, brokers), NewTable(nodes, tenants, brokers)
 		in.Previous = nil
 		for round := range 30 {
@@ -33,20 +33,20 @@
 					moves += int(max(0, a.units[i]-b.units[i]))
 				}
 			}
-			if a, b = b, a; keep {
+			if a, b = b, a; keepPrevious {
 				in.Previous = b
 			}
 		}
 		return moves
 	}
-	kept, without := moved(true), moved(false)
-	t.Logf("units moved in 19 divisions of noise: %d with the last division kept in mind, %d without", kept, without)
-	if kept*20 > without {
-		t.Errorf("noise moves %d units, %d where nothing holds them", kept, without)
+	withPrevious, withoutPrevious := countMoves(true), countMoves(false)
+	t.Logf("units moved in 19 divisions of noisy demand: %d with the previous division as input, %d without", withPrevious, withoutPrevious)
+	if withPrevious*20 > withoutPrevious {
+		t.Errorf("noise moves %d units with the previous division as input, want at most a twentieth of the %d without", withPrevious, withoutPrevious)
 	}
 }
 
-// largeInput makes a division in which most nodes are short.
+// largeInput returns an input in which demand exceeds the budget at most nodes.
 func largeInput(nodes, tenants, brokers int, seed uint64) Input {
 	random := rand.New(rand.NewPCG(seed, 2))
 	in := Input{Demand: NewTable(nodes, tenants, brokers)}
