--- a/internal/decision/statemachine/apply.go
+++ b/internal/decision/statemachine/apply.go
@@ -3,11 +3,12 @@
 import "errors"
 
 const (
-	slotLimit     = 4096    // slots are below this
-	maxEntryBytes = 4 << 20 // of one entry
+	slotLimit     = 4096    // slots are less than this
+	maxEntryBytes = 4 << 20 // maximum size of an encoded entry
 )
 
-// Apply takes the entry of an index. What it returns as an error has changed nothing but the index; it is the same on every broker.
+// Apply applies the encoded entry at a log index. An entry whose Result has an error changes at most the applied index. The result is the
+// same on every broker of the same program version.
 func (s *State) Apply(index uint64, data []byte) Result {
 	if s.stoppedBy != nil {
 		return Result{Err: s.stoppedBy}
@@ -34,8 +35,8 @@
 	return s.applyOnce(id, e)
 }
 
-// decodeSupported reads an entry. One that raises the tier's protocol beyond this program's is unknown to it, since what
-// follows can't be read here.
+// decodeSupported decodes an entry. It returns *UnknownEntryError for a RaiseProtocol above SupportedProtocol, since this program could not
+// read the entries that follow it.
 func decodeSupported(data []byte) (ProposalID, Entry, error) {
 	id, e, err := Decode(data)
 	if raise, ok := e.(*RaiseProtocol); ok && raise.Protocol > SupportedProtocol {
@@ -53,7 +54,7 @@
 	return e.Term, nil
 }
 
-// checkTerm rejects what another leader than the present one proposed.
+// checkTerm rejects an entry whose term is not that of the current leader.
 func (s *State) checkTerm(term uint64) error {
 	if term != s.term || term == 0 {
 		return reject(ReasonFenced, "term %d, the present one is %d", term, s.term)
--- a/internal/decision/statemachine/codec.go
+++ b/internal/decision/statemachine/codec.go
@@ -4,10 +4,10 @@
 	"encoding/binary"
 )
 
-// codec writes and reads the same fields by the same code, so that what is written is what is read. Numbers are unsigned varints;
-// texts and lists begin with their length.
+// codec encodes and decodes fields by the same code, so that both directions agree. Numbers are unsigned varints; strings and lists
+// begin with their length.
 type codec struct {
-	data    []byte // what was written, or what is left to read
+	data    []byte // bytes written so far, or still to be read
 	reading bool
 	failed  bool
 }
@@ -58,7 +58,7 @@
 	c.data = c.data[n:]
 }
 
-// nodeIDBytes is an IPv4 address and a port.
+// nodeIDBytes is the encoded size of a node: an IPv4 address and a port.
 const nodeIDBytes = 6
 
 func (c *codec) nodeField(v *NodeID) {
@@ -76,7 +76,8 @@
 	c.data = c.data[nodeIDBytes:]
 }
 
-// listField never allocates by what a length claims: each element takes a byte at least, so that a short text can't ask for much.
+// listField encodes or decodes a list. It does not allocate by the encoded length, and rejects one that exceeds the remaining bytes (each
+// element takes at least one), so that short malformed input cannot cause a large allocation.
 func listField[T any](c *codec, l *[]T, element func(*codec, *T)) {
 	n := uint64(len(*l))
 	uintField(c, &n)
@@ -101,7 +102,7 @@
 	}
 }
 
-// pointerField is a field behind a pointer that is always there.
+// pointerField returns a function that encodes or decodes a field behind a pointer that is never nil.
 func pointerField[T any](element func(*codec, *T)) func(*codec, **T) {
 	return func(c *codec, p **T) {
 		if c.reading {
@@ -111,7 +112,7 @@
 	}
 }
 
-// optionalField is a field that may be absent: a nil pointer.
+// optionalField encodes or decodes a field that may be absent, which is a nil pointer.
 func optionalField[T any](c *codec, p **T, element func(*codec, *T)) {
 	present := *p != nil
 	c.boolField(&present)
--- a/internal/decision/statemachine/connection_entry.go
+++ b/internal/decision/statemachine/connection_entry.go
@@ -1,37 +1,37 @@
 package statemachine
 
-// NodeBudget is how many connections a node takes, and how many of them each broker may open without a lease.
+// NodeBudget is how many connections a node accepts, and how many of them each broker may open without a lease.
 type NodeBudget struct {
 	Node              NodeID
 	Connections       uint64 `json:"Units"`
 	ReservedPerBroker uint64 `json:"Floor"`
 }
 
-// ConnectionPolicy replaces the connection budgets. It comes into force when all that may still be held fits it.
+// ConnectionPolicy replaces the connection budgets. It comes into force once all connections that brokers may still hold fit its budgets.
 type ConnectionPolicy struct {
 	Version    uint64
 	Text       string
-	MaxBrokers uint32 `json:"MostBrokers"` // slots are below this; each has its reserved connections
+	MaxBrokers uint32 `json:"MostBrokers"` // slots are less than this; connections are reserved for each of them
 	Budgets    []NodeBudget
 }
 
-// AcknowledgePolicy says that a broker keeps to the reserved connections of a policy; while that one waits, to the lower ones of
-// it and the one before.
+// AcknowledgePolicy reports that a broker keeps to the reserved connections of a policy or, while that policy waits, to the lower of its
+// reserves and those of the policy in force.
 type AcknowledgePolicy struct {
 	Slot        Slot
 	Incarnation uint64
 	Version     uint64
 }
 
-// LeaseRow is a number of connections to a node for a tenant, above the reserved ones.
+// LeaseRow is a number of connections to a node for a tenant, in addition to the reserved ones.
 type LeaseRow struct {
 	Node        NodeID
 	Tenant      string
 	Connections uint64
 }
 
-// GrantLease gives a broker connections in place of those it had, until the granter's clock ends the lease. Rows are in the order
-// of CompareLeaseRows, without zeros. Numbers grow for a broker.
+// GrantLease replaces the connections granted to a broker, until the lease expires by the granter's clock. Rows are sorted by
+// CompareLeaseRows and have no zero counts. The numbers of a broker's grants increase.
 type GrantLease struct {
 	Slot        Slot
 	Incarnation uint64
@@ -39,21 +39,21 @@
 	Rows        []LeaseRow
 }
 
-// AcknowledgeLease says that a broker holds this grant and nothing of older ones.
+// AcknowledgeLease reports that a broker holds no connections beyond this grant: none of older grants.
 type AcknowledgeLease struct {
 	Slot        Slot
 	Incarnation uint64
 	Number      uint64
 }
 
-// RelinquishLease says that a broker holds nothing above the reserved connections any more, as it stops.
+// RelinquishLease reports that a broker that is stopping holds only reserved connections.
 type RelinquishLease struct {
 	Slot        Slot
 	Incarnation uint64
-	Number      uint64 // of its last grant
+	Number      uint64 // of its latest grant
 }
 
-// ExpireLease says that the lease of a broker's last grant has surely expired.
+// ExpireLease reports that the lease of a broker's latest grant has certainly expired.
 type ExpireLease struct {
 	Slot   Slot
 	Number uint64
--- a/internal/decision/statemachine/connection_lease.go
+++ b/internal/decision/statemachine/connection_lease.go
@@ -1,6 +1,6 @@
 package statemachine
 
-// possiblyHeld is what a broker may hold, by all it was granted and has not given back.
+// possiblyHeld returns the connections that a broker may hold: those granted to it that it has not given back.
 func (l *ConnectionLease) possiblyHeld() []LeaseRow {
 	if l.Ended {
 		return nil
@@ -8,7 +8,8 @@
 	return maxOfLeaseRows(l.Outstanding, l.Granted)
 }
 
-// adjustLeasedWithinBudget changes what a broker may hold, where that keeps every node within its budget; all is checked before any changes.
+// adjustLeasedWithinBudget replaces the connections that a broker may hold, if every node stays within its budget. It checks all nodes before
+// it changes any.
 func (s *State) adjustLeasedWithinBudget(before, after []LeaseRow) error {
 	groups := s.acknowledgementGroups()
 	err := forEachNode(before, after, func(c nodeChange) error {
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// checkBudget rejects more connections to a node than the policy in force and the one that waits leave.
+// checkBudget rejects added connections to a node if they exceed its budget by the policy in force or by the waiting one.
 func (s *State) checkBudget(id NodeID, added uint64, groups []acknowledgementGroup) error {
 	leased := added
 	if n := s.findNode(id); n != nil {
@@ -47,10 +48,11 @@
 	return nil
 }
 
+// adjustLeased replaces the connections that a broker may hold, without a check.
 func (s *State) adjustLeased(before, after []LeaseRow) {
 	_ = forEachNode(before, after, func(c nodeChange) error {
 		n := s.findOrAddNode(c.node)
-		n.leased += c.after - c.before // unsigned arithmetic wraps to the right sum where the difference is below zero
+		n.leased += c.after - c.before // a negative difference wraps around, and the sum wraps back to the right value
 		return nil
 	})
 }
@@ -68,7 +70,7 @@
 	case e.Number <= lease.Number:
 		return 0, reject(ReasonStale, "grant %d of broker %s, the last is %d", e.Number, b.Name, lease.Number)
 	case len(before) > 0 && lease.Incarnation != e.Incarnation:
-		// The earlier process may only be stopped: it would wake up with the connections that it held.
+		// The earlier process may only be suspended, and would resume with the connections that it held.
 		return 0, reject(ReasonBusy, "the lease of units that broker %s held under incarnation %d has not run out", b.Name, lease.Incarnation)
 	}
 	if err := checkLeaseRows(e.Rows); err != nil {
@@ -81,7 +83,7 @@
 	return e.Number, nil
 }
 
-// currentLease is a broker's newest grant, if that is the one an entry names.
+// currentLease returns a broker's lease if it has not ended and number is that of its latest grant.
 func (s *State) currentLease(slot Slot, number uint64) (*ConnectionLease, error) {
 	b := s.findBroker(slot)
 	if b == nil {
@@ -94,7 +96,7 @@
 	return nil, reject(ReasonStale, "grant %d of broker %s: the last is %d, ended %t", number, b.Name, lease.Number, lease.Ended)
 }
 
-// ownLease is a broker's newest grant as one of its processes names it.
+// ownLease is currentLease for an entry of the broker itself, whose incarnation must be that of the grant.
 func (s *State) ownLease(slot Slot, incarnation, number uint64) (*ConnectionLease, error) {
 	lease, err := s.currentLease(slot, number)
 	if err != nil {
--- a/internal/decision/statemachine/connection_policy.go
+++ b/internal/decision/statemachine/connection_policy.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// maxPolicies is how many policies may be kept for brokers that have not acknowledged newer ones.
+// maxPolicies is the maximum number of policies kept, among them old ones for brokers that have not acknowledged newer ones.
 const maxPolicies = 4
 
+// budgetOf returns the budget of a node, zero if the policy has none.
 func (e *ConnectionPolicy) budgetOf(id NodeID) NodeBudget {
 	i, found := slices.BinarySearchFunc(e.Budgets, id, func(b NodeBudget, id NodeID) int { return CompareNodes(b.Node, id) })
 	if !found {
@@ -13,12 +14,13 @@
 	return e.Budgets[i]
 }
 
-// acknowledgementGroup is a number of brokers that acknowledged the same policy last.
+// acknowledgementGroup counts the brokers whose latest acknowledged policy is the same.
 type acknowledgementGroup struct {
 	version uint64
 	brokers uint64
 }
 
+// acknowledgementGroups groups the brokers by the policy that they acknowledged last.
 func (s *State) acknowledgementGroups() (groups []acknowledgementGroup) {
 	for _, b := range s.brokers {
 		i := slices.IndexFunc(groups, func(g acknowledgementGroup) bool { return g.version == b.acknowledgedPolicy })
@@ -31,9 +33,9 @@
 	return groups
 }
 
-// reservedConnections is how many connections to a node brokers may open without a lease, with a policy in force. A broker that has not
-// learnt of a policy goes on with the reserve of the one it knows, for as long as it is cut off; it counts with the greatest
-// reserve since. Slots without a broker count with the policy's.
+// reservedConnections returns how many connections to a node all brokers may open without a lease while a policy is in force. A broker that
+// is cut off keeps using the reserve of the policy it knows, so it counts with the greatest reserve from the policy it acknowledged
+// last up to this one. Slots without a broker count with the reserve of this policy.
 func (s *State) reservedConnections(p *ConnectionPolicy, groups []acknowledgementGroup, id NodeID) uint64 {
 	reservedPerBroker := p.budgetOf(id).ReservedPerBroker
 	sum := uint64(p.MaxBrokers) * reservedPerBroker
@@ -58,7 +60,7 @@
 	return e.Version, nil
 }
 
-// check rejects a policy that comes too early, or contradicts itself or the roster.
+// check rejects a policy that is stale, comes while another waits, or is inconsistent in itself or with the roster.
 func (e *ConnectionPolicy) check(s *State) error {
 	waiting := s.Policies().Waiting
 	last := uint64(0)
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// brokersBeforePolicy names the brokers that may still use the reserve of policies older than a version.
+// brokersBeforePolicy returns the names of the brokers that may still use the reserve of a policy older than a version.
 func (s *State) brokersBeforePolicy(version uint64) (names []string) {
 	for _, b := range s.brokers {
 		if b.acknowledgedPolicy < version {
@@ -120,8 +122,8 @@
 	return e.Version, nil
 }
 
-// advancePolicy puts a waiting policy in force once all that brokers may hold, by leases and by reserves, fits it; and forgets
-// policies whose reserve no broker can be using any more.
+// advancePolicy puts a waiting policy in force once all connections that brokers may hold, leased and reserved, fit it. It then removes the
+// policies whose reserve no broker can still be using.
 func (s *State) advancePolicy() {
 	policies := s.Policies()
 	if policies.Waiting != nil && s.policyFits(policies.Waiting) {
@@ -135,6 +137,7 @@
 	s.policies = slices.DeleteFunc(s.policies, func(p *ConnectionPolicy) bool { return p.Version < oldest })
 }
 
+// policyFits reports whether the connections that brokers may hold fit the budgets of a policy at each node.
 func (s *State) policyFits(p *ConnectionPolicy) bool {
 	groups := s.acknowledgementGroups()
 	for _, n := range s.nodes {
--- a/internal/decision/statemachine/entry_codec.go
+++ b/internal/decision/statemachine/entry_codec.go
@@ -1,12 +1,12 @@
 package statemachine
 
-// SupportedProtocol is the newest version of entries that this program reads.
+// SupportedProtocol is the newest protocol of entries that this program reads.
 const SupportedProtocol uint64 = 1
 
-// minProtocol is the protocol that a kind, or a kind's present fields, came with.
+// minProtocol returns the protocol that introduced a kind, or the current fields of a kind.
 func minProtocol(kind) uint64 { return 1 }
 
-// Encode writes an entry as it is proposed and stored.
+// Encode returns the encoded form of an entry, in which it is proposed and stored.
 func Encode(id ProposalID, e Entry) []byte {
 	c := &codec{}
 	k := e.kind()
@@ -18,7 +18,8 @@
 	return c.data
 }
 
-// Decode reads an entry. The error is *UnknownEntryError for one of a newer version, *MalformedEntryError for what no version wrote.
+// Decode decodes an entry. The error is *UnknownEntryError for an entry of a newer version, and *MalformedEntryError for bytes that no
+// version writes.
 func Decode(data []byte) (id ProposalID, e Entry, err error) {
 	c := &codec{data: data, reading: true}
 	var version uint64
--- a/internal/decision/statemachine/errors.go
+++ b/internal/decision/statemachine/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// UnknownEntryError is an entry of a newer version. A broker that skipped it would go on with another state than the rest, so it
-// applies nothing from there on, keeps what it has, and is to be brought up to date.
+// UnknownEntryError is returned for an entry of a newer version. A broker that skipped it would diverge from the others' state, so it
+// applies no further entries and keeps its state until the program is upgraded.
 type UnknownEntryError struct {
 	Index   uint64
 	Version uint64
@@ -11,18 +11,18 @@
 }
 
 func (e *UnknownEntryError) Error() string {
-	return fmt.Sprintf("state machine: entry %d is of kind %d, version %d, which this program can't read: stopped before it",
+	return fmt.Sprintf("state machine: stopped before entry %d: this program can't read its kind %d, version %d",
 		e.Index, e.Kind, e.Version)
 }
 
 // Remedy says what an operator can do.
 func (e *UnknownEntryError) Remedy() string {
-	return "start the newer version of the program on this broker; it goes on from the entry by itself"
+	return "start the newer version of the program on this broker; it resumes at this entry by itself"
 }
 
-// MalformedEntryError is an entry that no version has written. It changes nothing, at no broker.
+// MalformedEntryError is returned for bytes that no version writes. Such an entry changes nothing on any broker.
 type MalformedEntryError struct {
-	Kind uint64 // 0: not even the kind could be read
+	Kind uint64 // 0: the kind could not be read
 }
 
 func (e *MalformedEntryError) Error() string {
@@ -31,23 +31,23 @@
 
 // Remedy says what an operator can do.
 func (e *MalformedEntryError) Remedy() string {
-	return "report it: a broker has proposed something that is no entry"
+	return "report it as a bug: a broker has proposed bytes that are not an entry"
 }
 
-// AlreadyAppliedError is an entry that this machine has applied already, or that is older than one it has.
+// AlreadyAppliedError is returned for an entry at or before the last applied index.
 type AlreadyAppliedError struct {
 	Index   uint64
 	Applied uint64 // the last index applied
 }
 
 func (e *AlreadyAppliedError) Error() string {
-	return fmt.Sprintf("state machine: entry %d comes after entry %d was applied", e.Index, e.Applied)
+	return fmt.Sprintf("state machine: entry %d not applied again: entries up to %d are applied", e.Index, e.Applied)
 }
 
 // Remedy says what an operator can do.
-func (e *AlreadyAppliedError) Remedy() string { return "none needed: it has taken effect once" }
+func (e *AlreadyAppliedError) Remedy() string { return "none needed: the entry has taken effect once" }
 
-// SnapshotError is a snapshot that can't be restored.
+// SnapshotError is returned for a snapshot that can't be restored.
 type SnapshotError struct{ Cause string }
 
 func (e *SnapshotError) Error() string {
@@ -56,11 +56,11 @@
 
 // Remedy says what an operator can do.
 func (e *SnapshotError) Remedy() string {
-	return "if its version is newer than the program, start the newer one; else remove the broker's copy: it is sent a new one"
+	return "if the snapshot is of a newer version, start that version of the program; else remove the broker's copy, and the leader sends a new one"
 }
 
-// RejectedError is an entry that was applied everywhere and changed nothing but that. Detail is stored in snapshots: its texts
-// must be the same in all versions of a tier.
+// RejectedError is returned for an entry that every broker rejects in the same way and that changes nothing but the applied index. Detail is
+// stored in snapshots, so its texts must be the same in all versions of a tier.
 type RejectedError struct {
 	Reason Reason
 	Detail string
@@ -76,7 +76,7 @@
 // Remedy says what an operator can do.
 func (e *RejectedError) Remedy() string {
 	if int(e.Reason) >= len(reasonTexts) {
-		return "report it"
+		return "report it as a bug: the reason is unknown to this program"
 	}
 	return reasonTexts[e.Reason].remedy
 }
--- a/internal/decision/statemachine/kind.go
+++ b/internal/decision/statemachine/kind.go
@@ -1,9 +1,9 @@
 package statemachine
 
-// kind is the number of an entry's type in its stored bytes.
+// kind identifies the type of an entry in its encoded form.
 type kind uint64
 
-// A number is never given to another type: one that is not among these is a newer version's.
+// A number is never reused for another type. One that is not listed belongs to a newer version.
 const (
 	kindLeaderElected kind = iota + 1
 	kindRegisterBroker
@@ -31,7 +31,7 @@
 	kindRaiseProtocol
 )
 
-// newEntry is an empty entry of a kind, or nil for a kind that this program does not know.
+// newEntry returns an empty entry of a kind, or nil if this program does not know the kind.
 func newEntry(k kind) Entry {
 	all := [...]Entry{
 		kindLeaderElected:     &LeaderElected{},
--- a/internal/decision/statemachine/lease_rows.go
+++ b/internal/decision/statemachine/lease_rows.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// maxConnections bounds a number of connections in a lease or a budget.
+// maxConnections is the maximum number of connections in a lease row or a budget.
 const maxConnections = 1 << 32
 
-// CompareLeaseRows orders the rows of a grant.
+// CompareLeaseRows orders the rows of a grant by node, then tenant.
 func CompareLeaseRows(a, b LeaseRow) int {
 	return cmp.Or(CompareNodes(a.Node, b.Node), cmp.Compare(a.Tenant, b.Tenant))
 }
 
-// checkLeaseRows rejects rows that are out of order, name a node and tenant twice, or have no valid number of connections.
+// checkLeaseRows rejects rows that are out of order, repeat a node and tenant, or have an invalid number of connections.
 func checkLeaseRows(l []LeaseRow) error {
 	for i, r := range l {
 		if r.Connections == 0 || r.Connections > maxConnections || i > 0 && CompareLeaseRows(l[i-1], r) >= 0 {
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// maxOfLeaseRows is row by row the greater of two lists.
+// maxOfLeaseRows merges two sorted lists of rows; of a row that both have, it takes the greater number of connections.
 func maxOfLeaseRows(a, b []LeaseRow) (all []LeaseRow) {
 	if len(a) == 0 || len(b) == 0 {
 		return slices.Concat(a, b)
@@ -48,14 +48,14 @@
 	return append(all, b...)
 }
 
-// nodeChange is how many connections to a node two lists of rows have.
+// nodeChange is how many connections to a node two lists of rows have, one before and one after a change.
 type nodeChange struct {
 	node   NodeID
 	before uint64
 	after  uint64
 }
 
-// forEachNode calls f with every node of two lists of rows, in their order, until f returns an error.
+// forEachNode calls f for every node of two sorted lists of rows, in order, until f returns an error.
 func forEachNode(before, after []LeaseRow, f func(nodeChange) error) error {
 	for len(before) > 0 || len(after) > 0 {
 		var change nodeChange
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// splitFirstNode sums a node's connections at the head of rows, and returns the rows that follow.
+// splitFirstNode returns the sum of a node's connections in the leading rows, and the rows after them.
 func splitFirstNode(rows []LeaseRow, node NodeID) (sum uint64, rest []LeaseRow) {
 	for len(rows) > 0 && rows[0].Node == node {
 		sum += rows[0].Connections
--- a/internal/decision/statemachine/node_drain.go
+++ b/internal/decision/statemachine/node_drain.go
@@ -33,7 +33,7 @@
 	return e.Number, nil
 }
 
-// acknowledge keeps a broker's newest incarnation, by slot.
+// acknowledge records the incarnation under which a broker acknowledges the drain, in place of an earlier one. The list is sorted by slot.
 func (d *NodeDrain) acknowledge(by BrokerIncarnation) {
 	i, found := slices.BinarySearchFunc(d.Acknowledged, by, func(x, y BrokerIncarnation) int { return cmp.Compare(x.Slot, y.Slot) })
 	if found {
--- a/internal/decision/statemachine/node_entry.go
+++ b/internal/decision/statemachine/node_entry.go
@@ -1,12 +1,12 @@
 package statemachine
 
-// DrainNode is an operator's drain, outside any release. Its number is the entry's index.
+// DrainNode begins an operator's drain, outside any release. The drain's number is the index of the entry.
 type DrainNode struct {
 	Node   NodeID
 	Reason string
 }
 
-// AcknowledgeDrain says that a broker sends nothing more to a node.
+// AcknowledgeDrain reports that a broker no longer sends to a node.
 type AcknowledgeDrain struct {
 	Slot        Slot
 	Incarnation uint64
@@ -17,22 +17,22 @@
 // UndrainNode ends an operator's drain.
 type UndrainNode struct{ Node NodeID }
 
-// MarkNodeDown says that a node which has no permit is not ready. ReturnToService ends it.
+// MarkNodeDown reports that a node without a permit is not ready. ReturnToService ends it.
 type MarkNodeDown struct {
 	Node   NodeID
 	Reason string
 }
 
-// NodeInfo is a node of the agreed list.
+// NodeInfo describes a node of the agreed list.
 type NodeInfo struct {
 	Node   NodeID
 	Zone   string
 	Shards []uint32
 }
 
-// SetNodeList replaces the agreed list of nodes, which read pins and the minimum of ready replicas go by.
+// SetNodeList replaces the agreed list of nodes, on which read pins and the minimum of ready replicas are based.
 type SetNodeList struct {
 	Epoch            uint64
-	MinReadyReplicas uint32 // that each shard keeps, whatever a release plan says
+	MinReadyReplicas uint32 // per shard, even if a release plan has a lower minimum
 	Nodes            []NodeInfo
 }
--- a/internal/decision/statemachine/node_list.go
+++ b/internal/decision/statemachine/node_list.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// nodeRecord is a node of the agreed list, or one that a lease, a drain or a permit still names.
+// nodeRecord is the state of a node that is in the agreed list, or to which a lease, a drain or a permit still refers.
 type nodeRecord struct {
 	NodeInfo
 	listed        bool
-	downIndex     uint64 // the MarkNodeDown by which it is not ready; 0: none
+	downIndex     uint64 // index of the MarkNodeDown entry by which it is not ready; 0: none
 	releasePermit ReleasePermit
 	drain         NodeDrain
-	leased        uint64 // connections above the reserved ones: the sum of what all brokers may hold
+	leased        uint64 // connections, in addition to the reserved ones, that all brokers together may hold
 }
 
 // CompareNodes orders nodes by address and port.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// findListedNode is a node of the agreed list.
+// findListedNode returns a node of the agreed list, or rejects the entry that names it.
 func (s *State) findListedNode(id NodeID) (*nodeRecord, error) {
 	n := s.findNode(id)
 	if n == nil || !n.listed {
@@ -55,7 +55,7 @@
 	return s.nodes[i]
 }
 
-// pruneNodes forgets nodes that nothing names any more.
+// pruneNodes removes the nodes that are not listed and to which no lease, drain or permit refers.
 func (s *State) pruneNodes() {
 	s.nodes = slices.DeleteFunc(s.nodes, func(n *nodeRecord) bool {
 		return !n.listed && n.leased == 0 && n.drain.Number == 0 && n.releasePermit.Number == 0
@@ -66,8 +66,8 @@
 	return n.listed && n.downIndex == 0 && n.drain.Number == 0 && n.releasePermit.Number == 0
 }
 
-// checkReadyReplicas rejects that a node goes where a shard of it would keep too few ready replicas. A node that isn't ready takes
-// nothing away.
+// checkReadyReplicas rejects taking a node out if one of its shards would be left with too few ready replicas. A node that is not ready
+// passes, as it does not count as a replica.
 func (s *State) checkReadyReplicas(n *nodeRecord, planned uint32) error {
 	if !n.isReady() {
 		return nil
--- a/internal/decision/statemachine/node_permit.go
+++ b/internal/decision/statemachine/node_permit.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// issueNodePermit gives a node its permit, which is its drain.
+// issueNodePermit gives a node its permit and begins its drain.
 func (s *State) issueNodePermit(n *nodeRecord, permit ReleasePermit, reason string) {
 	n.releasePermit = permit
 	n.drain = NodeDrain{Node: permit.Node, Number: permit.Number, Reason: reason, Release: permit.Release}
@@ -13,7 +13,7 @@
 	n.drain = NodeDrain{}
 }
 
-// nodesOut counts the nodes that are not ready, for whatever cause.
+// nodesOut counts the listed nodes that are not ready for any reason, in the tier and in a zone.
 func (s *State) nodesOut(zone string) (out outCount) {
 	for _, n := range s.nodes {
 		if n.listed && !n.isReady() {
@@ -23,7 +23,7 @@
 	return out
 }
 
-// checkNodePermit tells whether a node may be let go.
+// checkNodePermit rejects a permit for a node that may not go out now.
 func (s *State) checkNodePermit(r *Release, id NodeID) error {
 	n, err := s.findListedNode(id)
 	if err != nil {
@@ -33,14 +33,14 @@
 		return reject(ReasonBusy, "node %v is drained by entry %d", id, n.drain.Number)
 	}
 	out := s.nodesOut(n.Zone)
-	if n.downIndex > 0 { // it counts already
+	if n.downIndex > 0 { // out already counts this node
 		out.tier--
 		out.zone--
 	}
 	return cmp.Or(s.checkOutLimits(r, out, n.Zone), s.checkReadyReplicas(n, r.MinReadyReplicas))
 }
 
-// voidNodePermit takes back a node's unused permit, and with it the drain.
+// voidNodePermit withdraws a node's unused permit and ends its drain.
 func (s *State) voidNodePermit(n *nodeRecord) {
 	if n.releasePermit.Number == 0 || n.releasePermit.Used {
 		return
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// returnNodeToService ends what a number began: a permit that was used, or a MarkNodeDown.
+// returnNodeToService ends a used permit of this number, or the MarkNodeDown entry at this index.
 func (s *State) returnNodeToService(id NodeID, number uint64) error {
 	n := s.findNode(id)
 	switch {
@@ -98,7 +98,7 @@
 		return
 	}
 	r.ChangedIndex = s.index
-	if step.OutAtRollback { // which version a node came back with can't be told: it goes out once more
+	if step.OutAtRollback { // the version of a node is not known, so it must go out again
 		step.State = StepPending
 		step.OutAtRollback = false
 	} else {
--- a/internal/decision/statemachine/queries.go
+++ b/internal/decision/statemachine/queries.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Brokers is the roster, by slot.
+// Brokers returns the roster, sorted by slot.
 func (s *State) Brokers() []Broker {
 	all := make([]Broker, len(s.brokers))
 	for i, b := range s.brokers {
@@ -11,7 +11,7 @@
 	return all
 }
 
-// Broker is a broker of the roster.
+// Broker returns the broker of a slot.
 func (s *State) Broker(slot Slot) (broker Broker, ok bool) {
 	if b := s.findBroker(slot); b != nil {
 		return b.Broker, true
@@ -19,7 +19,7 @@
 	return Broker{}, false
 }
 
-// Release is the present release, or the last.
+// Release returns the current release or, if none is under way, the latest.
 func (s *State) Release() (r Release, ok bool) {
 	if s.release == nil {
 		return r, false
@@ -29,7 +29,7 @@
 	return r, true
 }
 
-// BrokerPermit is the permit a broker holds, used or not.
+// BrokerPermit returns the permit that a broker holds, used or not.
 func (s *State) BrokerPermit(slot Slot) (permit ReleasePermit, ok bool) {
 	if b := s.findBroker(slot); b != nil && b.releasePermit.Number > 0 {
 		return b.releasePermit, true
@@ -37,7 +37,7 @@
 	return ReleasePermit{}, false
 }
 
-// NodePermit is the permit of a node, used or not.
+// NodePermit returns the permit of a node, used or not.
 func (s *State) NodePermit(id NodeID) (permit ReleasePermit, ok bool) {
 	if n := s.findNode(id); n != nil && n.releasePermit.Number > 0 {
 		return n.releasePermit, true
@@ -45,7 +45,7 @@
 	return ReleasePermit{}, false
 }
 
-// Drains are the agreed drains, by node.
+// Drains returns the agreed drains, sorted by node.
 func (s *State) Drains() (all []NodeDrain) {
 	for _, n := range s.nodes {
 		if n.drain.Number > 0 {
@@ -57,13 +57,13 @@
 	return all
 }
 
-// IsDrained tells whether every broker that is not lost has acknowledged a node's drain.
+// IsDrained reports whether a node has a drain that every broker except lost ones has acknowledged.
 func (s *State) IsDrained(id NodeID) bool {
 	n := s.findNode(id)
 	return n != nil && n.drain.Number > 0 && len(s.MissingDrainAcks(id)) == 0
 }
 
-// MissingDrainAcks are the brokers that are not lost and have not acknowledged a node's drain.
+// MissingDrainAcks returns the brokers, except lost ones, that have not acknowledged a node's drain.
 func (s *State) MissingDrainAcks(id NodeID) (slots []Slot) {
 	n := s.findNode(id)
 	if n == nil {
@@ -77,7 +77,7 @@
 	return slots
 }
 
-// Lease is what a broker may hold. Its rows must not be changed; they are not changed here either.
+// Lease returns a broker's connection lease. The caller must not change its rows; the state machine does not change them either.
 func (s *State) Lease(slot Slot) (lease ConnectionLease, ok bool) {
 	if b := s.findBroker(slot); b != nil {
 		return b.lease, true
@@ -85,14 +85,14 @@
 	return ConnectionLease{}, false
 }
 
-// Policies are the connection policies that count; each is nil where there is none. They must not be changed.
+// Policies holds the current connection policies; a field is nil if there is no such policy. They must not be changed.
 type Policies struct {
 	InForce  *ConnectionPolicy
-	Waiting  *ConnectionPolicy // comes into force when what is held fits it
-	Previous *ConnectionPolicy // was in force before
+	Waiting  *ConnectionPolicy // comes into force once the connections that brokers may hold fit it
+	Previous *ConnectionPolicy // in force before InForce
 }
 
-// Policies are the policy in force, the one that waits, and the one before.
+// Policies returns the policy in force, the waiting one and the previous one.
 func (s *State) Policies() Policies {
 	all := Policies{Previous: s.previousPolicy}
 	for _, p := range s.policies {
@@ -105,7 +105,7 @@
 	return all
 }
 
-// AcknowledgedPolicy is the version of the policy that a broker acknowledged last.
+// AcknowledgedPolicy returns the version of the policy that a broker acknowledged last.
 func (s *State) AcknowledgedPolicy(slot Slot) uint64 {
 	if b := s.findBroker(slot); b != nil {
 		return b.acknowledgedPolicy
@@ -113,10 +113,10 @@
 	return 0
 }
 
-// Epoch is the number of the agreed node list.
+// Epoch returns the epoch of the agreed node list.
 func (s *State) Epoch() uint64 { return s.epoch }
 
-// Nodes is the agreed list, by node.
+// Nodes returns the nodes of the agreed list, sorted by address and port.
 func (s *State) Nodes() (all []Node) {
 	for _, n := range s.nodes {
 		if n.listed {
@@ -126,7 +126,7 @@
 	return all
 }
 
-// Node is a node of the agreed list, or one that a lease, a drain or a permit still names.
+// Node returns a node of the agreed list, or one to which a lease, a drain or a permit still refers.
 func (s *State) Node(id NodeID) (node Node, ok bool) {
 	if n := s.findNode(id); n != nil {
 		return s.nodeStatus(n), true
--- a/internal/decision/statemachine/release.go
+++ b/internal/decision/statemachine/release.go
@@ -28,12 +28,12 @@
 	return r.Number, nil
 }
 
-// isUnderWay tells that a release runs, or that a target is still out by it.
+// isUnderWay reports whether a release is running, or one of its targets is still out.
 func (r *Release) isUnderWay() bool {
 	return r.State == ReleaseRunning || slices.ContainsFunc(r.Steps, func(x ReleaseStep) bool { return x.State == StepOut })
 }
 
-// batchesIncreaseTo tells whether batches are above zero, grow, and end at a size.
+// batchesIncreaseTo reports whether cumulative batch sizes are positive, strictly increasing, and end at size.
 func batchesIncreaseTo(size uint32, batches []uint32) bool {
 	last := uint32(0)
 	for _, b := range batches {
@@ -52,7 +52,7 @@
 			return reject(ReasonInvalid, "slot %d is not known, or named twice", slot)
 		}
 		step := ReleaseStep{Slot: slot}
-		if r.To != "" && r.To != r.From && b.Version == r.To && b.Status == BrokerServing { // nothing to do
+		if r.To != "" && r.To != r.From && b.Version == r.To && b.Status == BrokerServing { // already has the target version
 			step.State = StepFinished
 			step.Version = b.Version
 		}
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// releaseByNumber is the release of a number, in whatever state.
+// releaseByNumber returns the release of a number, in any state.
 func (s *State) releaseByNumber(number uint64) (*Release, error) {
 	if s.release == nil || s.release.Number != number {
 		return nil, reject(ReasonNotFound, "release %d", number)
@@ -79,7 +79,7 @@
 	return s.release, nil
 }
 
-// runningRelease is the release of a number, if permits of it are valid.
+// runningRelease returns the release of a number if it is running; only then are its permits valid.
 func (s *State) runningRelease(number uint64) (*Release, error) {
 	r, err := s.releaseByNumber(number)
 	if err != nil {
--- a/internal/decision/statemachine/release_entry.go
+++ b/internal/decision/statemachine/release_entry.go
@@ -1,22 +1,22 @@
 package statemachine
 
-// ReleasePlan begins a release, over Slots or, if there are any, over Nodes. It replaces the one before, which must have ended.
+// ReleasePlan begins a release over either Slots or Nodes. It replaces the previous release, which must not be under way.
 type ReleasePlan struct {
 	Name  string
 	From  string // version
 	To    string // version
 	Slots []Slot
 	Nodes []NodeID
-	// Batches is how many of the targets, in their order, are in the first batch, in the first two, and so on; none: one batch.
+	// Batches are cumulative: how many targets, in order, are in the first batch, in the first two, and so on. Empty: one batch.
 	Batches          []uint32
-	MaxOut           uint32 `json:"Most"`     // targets out at once over the tier
-	MaxOutPerZone    uint32 `json:"MostZone"` // and in a zone; 0: as MaxOut
-	MinReadyReplicas uint32 `json:"Least"`    // that each shard keeps, for nodes
-	PauseMS          uint64 // between batches, in milliseconds, for the planner
-	Gates            string // conditions on a batch, for the planner
+	MaxOut           uint32 `json:"Most"`     // maximum targets out at once in the tier
+	MaxOutPerZone    uint32 `json:"MostZone"` // maximum targets out at once in a zone; 0: MaxOut
+	MinReadyReplicas uint32 `json:"Least"`    // per shard, in a release of nodes
+	PauseMS          uint64 // pause between batches, applied by the release planner
+	Gates            string // "off" disables the gates of the release planner
 }
 
-// IssuePermit lets one target go out. The permit's number is the entry's index.
+// IssuePermit issues a permit to one target to go out. The permit's number is the index of the entry.
 type IssuePermit struct {
 	Release     uint64
 	Term        uint64
@@ -26,7 +26,7 @@
 	Node        NodeID
 }
 
-// UsePermit says that the permit's holder goes out now. It may go only after it saw this entry applied without an error.
+// UsePermit announces that the permit's holder goes out. It may go only after it has seen this entry applied without an error.
 type UsePermit struct {
 	Permit      uint64
 	Slot        Slot
@@ -35,23 +35,23 @@
 	Node        NodeID
 }
 
-// OpenNextBatch opens the next batch: all of the one before are back and the gates have passed.
+// OpenNextBatch opens the next batch, once all targets of the open ones have returned and the gates have passed.
 type OpenNextBatch struct {
 	Release uint64
 	Term    uint64
-	Batch   uint32 // the one opened, counted from 0
+	Batch   uint32 // index of the batch to open, from 0
 }
 
-// HaltRelease stops a release: permits that were not used are void.
+// HaltRelease halts a release and voids its unused permits.
 type HaltRelease struct {
 	Release uint64
 	Reason  string
 }
 
-// ResumeRelease lets a halted release go on.
+// ResumeRelease resumes a halted release.
 type ResumeRelease struct{ Release uint64 }
 
-// RollBackRelease ends a release and begins another that takes the targets it affected back to the version before.
+// RollBackRelease ends a release and begins another that returns the affected targets to the previous version.
 type RollBackRelease struct {
 	Release uint64
 	Reason  string
--- a/internal/decision/statemachine/release_permit.go
+++ b/internal/decision/statemachine/release_permit.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// outCount is how many targets are out, over the tier and in one zone.
+// outCount is how many targets are out in the tier, and in one zone.
 type outCount struct {
 	tier uint32
 	zone uint32
@@ -15,7 +15,7 @@
 	}
 }
 
-// brokersOut counts brokers that are out, by a permit or without one, have not returned, or hold a permit to go.
+// brokersOut counts the brokers that have served and do not serve now, with or without a permit, and those that hold a permit.
 func (s *State) brokersOut(zone string) (out outCount) {
 	for _, b := range s.brokers {
 		if b.HasServed && b.Status != BrokerServing || b.releasePermit.Number > 0 {
@@ -25,8 +25,9 @@
 	return out
 }
 
-// checkOutLimits keeps the limits on how many are out at once, so that no leader that goes by an old view, and no two that both
-// believe they lead, let go more than the rest can carry. Whatever is out for whatever cause counts: it is missing from the rest.
+// checkOutLimits rejects a permit beyond the limits on how many targets are out at once. It is checked here so that a leader with a stale
+// view, or two that both believe they lead, cannot take out more targets than the rest can make up for. Every target that is out counts,
+// whatever the cause.
 func (s *State) checkOutLimits(r *Release, out outCount, zone string) error {
 	maxInZone := r.MaxOutPerZone
 	if maxInZone == 0 {
@@ -67,13 +68,13 @@
 	return s.index, nil
 }
 
-// CheckPermit tells why a permit would not be issued now; nil: it would. It changes nothing.
+// CheckPermit returns the error with which a permit would be rejected now, or nil if it would be issued. It changes nothing.
 func (s *State) CheckPermit(e *IssuePermit) error {
 	_, err := s.stepForPermit(e)
 	return err
 }
 
-// stepForPermit is the step that a permit is for, if it may be issued.
+// stepForPermit returns the step for which a permit is to be issued, or the reason why it may not be.
 func (s *State) stepForPermit(e *IssuePermit) (*ReleaseStep, error) {
 	if err := s.checkTerm(e.Term); err != nil {
 		return nil, err
@@ -140,8 +141,7 @@
 	b.Permit = 0
 }
 
-// voidBrokerPermit takes back a broker's unused permit. It is safe at any moment: its holder may not go before its UsePermit was
-// applied.
+// voidBrokerPermit withdraws a broker's unused permit. It is safe at any time, as the holder may not go out before its UsePermit is applied.
 func (s *State) voidBrokerPermit(b *brokerRecord) {
 	if b.releasePermit.Number == 0 || b.releasePermit.Used {
 		return
@@ -150,7 +150,7 @@
 	b.clearPermit()
 }
 
-// voidAllPermits takes back all permits that were not used.
+// voidAllPermits withdraws all unused permits.
 func (s *State) voidAllPermits() {
 	for _, b := range s.brokers {
 		s.voidBrokerPermit(b)
--- a/internal/decision/statemachine/release_step.go
+++ b/internal/decision/statemachine/release_step.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// findStep is a target of the release.
+// findStep returns the step of a target, or nil if the release has none.
 func (r *Release) findStep(slot Slot, node NodeID) *ReleaseStep {
 	for i := range r.Steps {
 		step := &r.Steps[i]
@@ -15,7 +15,7 @@
 
 func isFinished(x ReleaseStep) bool { return x.State == StepFinished }
 
-// finishIfComplete ends a running release that has nothing left to do.
+// finishIfComplete ends a running release whose steps are all finished.
 func (r *Release) finishIfComplete() {
 	unfinished := slices.ContainsFunc(r.Steps, func(x ReleaseStep) bool { return !isFinished(x) })
 	if r.State == ReleaseRunning && !unfinished {
@@ -23,7 +23,7 @@
 	}
 }
 
-// returnStepToPending takes a step back whose permit is void.
+// returnStepToPending resets the step of a target whose permit was voided.
 func (s *State) returnStepToPending(slot Slot, node NodeID) {
 	r := s.release
 	if r == nil {
@@ -37,7 +37,7 @@
 	r.ChangedIndex = s.index
 }
 
-// markStepOut records that a target goes out by its permit.
+// markStepOut records that a target goes out with its permit.
 func (s *State) markStepOut(r *Release, slot Slot, node NodeID) {
 	step := r.findStep(slot, node)
 	if step == nil {
@@ -48,7 +48,7 @@
 	r.ChangedIndex = s.index
 }
 
-// finishBrokerStep records the return of a broker in its release.
+// finishBrokerStep records in the release that a broker has returned.
 func (s *State) finishBrokerStep(b *brokerRecord) {
 	r := s.release
 	if r == nil || r.ForNodes {
@@ -61,7 +61,7 @@
 	hasTargetVersion := r.To != "" && r.To != r.From && b.Version == r.To
 	switch {
 	case step.State == StepOut && step.OutAtRollback && !hasTargetVersion:
-		step.State = StepPending // it came back with the version that is taken back: it goes out once more
+		step.State = StepPending // it returned with the version being rolled back, so it must go out again
 		step.OutAtRollback = false
 	case step.State == StepOut, step.State == StepPending && hasTargetVersion:
 		step.State = StepFinished
--- a/internal/decision/statemachine/rollback.go
+++ b/internal/decision/statemachine/rollback.go
@@ -1,7 +1,8 @@
 package statemachine
 
-// A rollback is a release over all that another one affected, in one batch, under its limits. What is out at that moment stays out
-// by the permit it used; when it comes back with the version that is taken back it goes out once more.
+// A rollback is a release over all targets that another release affected, in one batch and under the same limits. A target that is out when
+// the rollback begins keeps its used permit. A broker that then returns with the version being rolled back must go out again, as must a
+// node, whose version is not known.
 func (e *RollBackRelease) apply(s *State) (uint64, error) {
 	old, err := s.releaseByNumber(e.Release)
 	if err != nil {
@@ -15,6 +16,7 @@
 	return r.Number, nil
 }
 
+// rollbackOf returns the rollback of a release.
 func (s *State) rollbackOf(old *Release, reason string) *Release {
 	r := &Release{
 		Number:       s.index,
@@ -44,7 +46,7 @@
 	return r
 }
 
-// rollbackStep is the step of a rollback for a step of the release that it takes back; b is the broker, where it is one.
+// rollbackStep returns the step of a rollback for a step of the release being rolled back; b is nil for a node.
 func (r *Release) rollbackStep(old ReleaseStep, b *brokerRecord) ReleaseStep {
 	step := ReleaseStep{Slot: old.Slot, Node: old.Node}
 	switch {
@@ -59,7 +61,7 @@
 	return step
 }
 
-// moveUsedPermits gives the permits that are left, those used, to another release.
+// moveUsedPermits assigns the remaining permits, which are the used ones, to another release.
 func (s *State) moveUsedPermits(release uint64) {
 	for _, b := range s.brokers {
 		if b.releasePermit.Number > 0 {
--- a/internal/decision/statemachine/roster.go
+++ b/internal/decision/statemachine/roster.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// brokerRecord is a broker of the roster with what it holds.
+// brokerRecord is a broker of the roster with its permit and lease.
 type brokerRecord struct {
 	Broker
 	releasePermit      ReleasePermit
 	lease              ConnectionLease
-	acknowledgedPolicy uint64 // the oldest policy whose reserved connections it may use: the one it acknowledged last
+	acknowledgedPolicy uint64 // version it acknowledged last: the oldest policy whose reserve it may use
 }
 
 func (s *State) brokerPosition(slot Slot) (position int, found bool) {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// brokerWithIncarnation is a broker under the incarnation that an entry names.
+// brokerWithIncarnation returns a broker if its current incarnation is the one that an entry names.
 func (s *State) brokerWithIncarnation(slot Slot, incarnation uint64) (*brokerRecord, error) {
 	b := s.findBroker(slot)
 	if b == nil {
@@ -47,7 +47,7 @@
 	}
 	i, found := s.brokerPosition(e.Slot)
 	if !found {
-		// It learns from the state that has this entry which connections are reserved for it, so it can know no older policy.
+		// The broker learns its reserved connections from a state that includes this entry, so it cannot use an older policy.
 		added := &brokerRecord{Broker: Broker{Slot: e.Slot, Name: e.Name}, acknowledgedPolicy: s.policyVersion}
 		s.brokers = slices.Insert(s.brokers, i, added)
 	}
@@ -68,7 +68,7 @@
 	return 0, nil
 }
 
-// check rejects a registration that contradicts the policy, the tier's protocol or the roster.
+// check rejects a registration that conflicts with the policy, the tier's protocol or the roster.
 func (e *RegisterBroker) check(s *State) error {
 	inForce := s.Policies().InForce
 	switch {
@@ -95,7 +95,7 @@
 	if err != nil {
 		return 0, err
 	}
-	s.voidBrokerPermit(b) // this incarnation has ended and could use it no more; the broker counts as out because it is lost
+	s.voidBrokerPermit(b) // this incarnation can no longer use it; the broker counts as out as it is lost
 	if b.Status != BrokerLost {
 		s.setBrokerStatus(b, BrokerLost)
 	}
@@ -137,7 +137,7 @@
 	case BrokerServing:
 		return 0, nil
 	case BrokerJoining, BrokerReturning:
-	default: // a message from before the broker went or was lost: it must not end the absence
+	default: // a message from before the broker went out or was lost must not end its absence
 		return 0, reject(ReasonStale, "broker %s is %v; it comes back under a new incarnation", b.Name, b.Status)
 	}
 	s.setBrokerStatus(b, BrokerServing)
--- a/internal/decision/statemachine/session.go
+++ b/internal/decision/statemachine/session.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// maxSessionResults is how many results of a slot's proposals are kept: no more of them may be on their way at once.
+// maxSessionResults is how many results of a slot's proposals are kept. A slot must not have more proposals in flight.
 const maxSessionResults = 32
 
-// session is the results of a slot's proposals, so that each takes effect once.
+// session holds the results of a slot's recent proposals, so that each takes effect once.
 type session struct {
 	Slot             Slot
 	Incarnation      uint64
-	ForgottenThrough uint64           // results up to this sequence number are forgotten
-	Results          []proposalResult // by sequence number
+	ForgottenThrough uint64           // results up to this sequence number are no longer kept
+	Results          []proposalResult // sorted by sequence number
 }
 
-// proposalResult is a Result as it is kept.
+// proposalResult is a Result in the form in which it is stored.
 type proposalResult struct {
 	Sequence uint64
 	Number   uint64
@@ -27,8 +27,8 @@
 
 func compareSequence(r proposalResult, sequence uint64) int { return cmp.Compare(r.Sequence, sequence) }
 
-// applyOnce applies a proposal that was not applied before. When a link breaks between a proposal and its answer it is sent again;
-// without this a permit would be issued or a grant numbered twice.
+// applyOnce applies a proposal, or returns the stored result if it was applied before. A proposer whose connection breaks before the answer
+// sends the proposal again; without this check a permit or a grant would be issued twice.
 func (s *State) applyOnce(id ProposalID, e Entry) Result {
 	x := s.sessionForProposal(id)
 	if id.Incarnation < x.Incarnation || id.Sequence <= x.ForgottenThrough {
@@ -44,7 +44,7 @@
 	return Result{Number: number, Err: err}
 }
 
-// sessionForProposal is the session of a proposal's slot; a newer incarnation begins an empty one.
+// sessionForProposal returns the session of a proposal's slot. It begins an empty one for a new slot or a newer incarnation.
 func (s *State) sessionForProposal(id ProposalID) *session {
 	position, found := slices.BinarySearchFunc(s.sessions, id.Slot, func(x *session, slot Slot) int { return cmp.Compare(x.Slot, slot) })
 	if !found {
@@ -57,6 +57,7 @@
 	return x
 }
 
+// asDuplicate returns the stored result for a repeated proposal.
 func (r *proposalResult) asDuplicate() Result {
 	again := Result{Number: r.Number, Duplicate: true}
 	if r.Reason > 0 {
@@ -65,6 +66,7 @@
 	return again
 }
 
+// addResult stores a result at its position, and drops the oldest result beyond maxSessionResults.
 func (x *session) addResult(position int, sequence, number uint64, err error) {
 	r := proposalResult{Sequence: sequence, Number: number}
 	var rejected *RejectedError
--- a/internal/decision/statemachine/snapshot.go
+++ b/internal/decision/statemachine/snapshot.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// snapshotFormat is the version of snapshots.
+// snapshotFormat is the version of the snapshot encoding.
 const snapshotFormat uint64 = 1
 
-// Snapshot is the whole state: the same bytes on every broker that has applied the same entries.
+// Snapshot returns the whole state, encoded. Brokers that have applied the same entries return the same bytes.
 func (s *State) Snapshot() []byte {
 	c := &codec{}
 	s.fields(c)
 	return c.data
 }
 
-// Restore makes a machine of a snapshot. The error is of type *SnapshotError.
+// Restore decodes a snapshot. The error is of type *SnapshotError.
 func Restore(b []byte) (*State, error) {
 	s := &State{}
 	c := &codec{data: b, reading: true}
 	s.fields(c)
 	switch {
 	case c.failed || len(c.data) > 0:
-		return nil, &SnapshotError{Cause: "it is cut, damaged or of another version"}
+		return nil, &SnapshotError{Cause: "it is truncated, damaged or of another format version"}
 	case s.tierProtocol == 0 || s.tierProtocol > SupportedProtocol:
-		return nil, &SnapshotError{Cause: "it is of a newer protocol"}
+		return nil, &SnapshotError{Cause: "its protocol is not supported by this program"}
 	case !s.isSorted():
-		return nil, &SnapshotError{Cause: "it is not in order"}
+		return nil, &SnapshotError{Cause: "its brokers, nodes or sessions are not sorted"}
 	case s.release != nil && !s.release.isConsistent():
-		return nil, &SnapshotError{Cause: "its release contradicts itself"}
+		return nil, &SnapshotError{Cause: "its release is inconsistent: batches and steps do not match"}
 	}
 	s.recountLeased()
 	return s, nil
@@ -37,11 +37,12 @@
 		slices.IsSortedFunc(s.sessions, func(a, b *session) int { return int(a.Slot) - int(b.Slot) })
 }
 
+// isConsistent reports whether the batches are sorted, cover all steps, and include the open batch.
 func (r *Release) isConsistent() bool {
 	return int(r.OpenBatch) < len(r.Batches) && r.Batches[len(r.Batches)-1] == uint32(len(r.Steps)) && slices.IsSorted(r.Batches)
 }
 
-// recountLeased sums what all brokers may hold of each node, which a snapshot does not store.
+// recountLeased computes, for each node, the connections that all brokers may hold, which a snapshot does not store.
 func (s *State) recountLeased() {
 	for _, b := range s.brokers {
 		s.adjustLeased(nil, b.lease.possiblyHeld())
--- a/internal/decision/statemachine/status.go
+++ b/internal/decision/statemachine/status.go
@@ -1,18 +1,18 @@
 package statemachine
 
-// BrokerStatus is whether a broker serves.
+// BrokerStatus tells whether a broker serves or, if not, why.
 type BrokerStatus uint8
 
-// The statuses of a broker, as they are stored.
+// The statuses of a broker. Their numbers are stored in snapshots.
 const (
-	BrokerJoining   BrokerStatus = iota // new to the tier, does not serve yet: no limit counts it
-	BrokerServing                       // counts as in
+	BrokerJoining   BrokerStatus = iota // new to the tier, does not serve yet: does not count as out
+	BrokerServing                       // serves queries
 	BrokerReturning                     // registered again after an absence, does not serve yet: counts as out
-	BrokerOut                           // went out by a permit
+	BrokerOut                           // went out with a permit
 	BrokerLost                          // its session lease expired
 )
 
-// String is the status as operators read it.
+// String returns the status as operators see it.
 func (s BrokerStatus) String() string {
 	return [...]string{"joining", "in", "back", "out", "lost"}[min(s, BrokerLost)]
 }
@@ -26,9 +26,9 @@
 	Zone        string
 	Protocol    uint64
 	Status      BrokerStatus `json:"Standing"`
-	HasServed   bool         `json:"Served"` // it served once: it counts as out where it does not serve now
+	HasServed   bool         `json:"Served"` // it has served, so it counts as out whenever it does not serve
 	Permit      uint64       // the release permit it holds; 0: none
-	StatusIndex uint64       `json:"Since"` // the entry that set the status
+	StatusIndex uint64       `json:"Since"` // index of the entry that set the status
 }
 
 // ReleasePermit allows one target of a release to go out.
@@ -42,25 +42,25 @@
 	Used        bool
 }
 
-// ReleaseState is whether a release goes on.
+// ReleaseState tells whether a release is running.
 type ReleaseState uint8
 
-// The states of a release, as they are stored.
+// The states of a release. Their numbers are stored in snapshots.
 const (
 	ReleaseRunning ReleaseState = iota
 	ReleaseHalted
 	ReleaseDone
 )
 
-// String is the state as operators read it.
+// String returns the state as operators see it.
 func (s ReleaseState) String() string {
 	return [...]string{"running", "halted", "done"}[min(s, ReleaseDone)]
 }
 
-// StepState is how far a step of a release is.
+// StepState is the progress of one step of a release.
 type StepState uint8
 
-// The states of a step, as they are stored.
+// The states of a step. Their numbers are stored in snapshots.
 const (
 	StepPending StepState = iota
 	StepPermitted
@@ -68,32 +68,32 @@
 	StepFinished
 )
 
-// String is the state as operators read it.
+// String returns the state as operators see it.
 func (s StepState) String() string {
 	return [...]string{"pending", "permitted", "out", "finished"}[min(s, StepFinished)]
 }
 
-// ReleaseStep is one target of a release.
+// ReleaseStep is one target of a release and its progress.
 type ReleaseStep struct {
 	Slot          Slot
 	Node          NodeID
 	State         StepState `json:"Stage"`
-	Affected      bool      `json:"Touched"` // it went out by this release, or came back with its version
-	OutAtRollback bool      `json:"Carried"` // it was out when the rollback began, and may come back with either version
-	Version       string    // that it came back with
+	Affected      bool      `json:"Touched"` // it went out in this release, or returned with its version
+	OutAtRollback bool      `json:"Carried"` // it was out when the rollback began, and may return with either version
+	Version       string    // with which it returned
 }
 
-// Release is a plan and how far it is.
+// Release is a release plan and its progress.
 type Release struct {
 	Number uint64
 	ReleasePlan
 	ForNodes     bool         `json:"OnNodes"`
 	State        ReleaseState `json:"Course"`
-	Reason       string       // why it was halted; of a rollback, why that began
+	Reason       string       // why it was halted or, for a rollback, why it began
 	Steps        []ReleaseStep
-	OpenBatch    uint32 `json:"Batch"`   // the last that is open, from 0
-	RollbackOf   uint64 `json:"BackOf"`  // the release that this one takes back; 0: none
-	ChangedIndex uint64 `json:"Changed"` // the entry that last changed it
+	OpenBatch    uint32 `json:"Batch"`   // index of the last open batch, from 0
+	RollbackOf   uint64 `json:"BackOf"`  // number of the release that this one rolls back; 0: none
+	ChangedIndex uint64 `json:"Changed"` // index of the entry that last changed it
 }
 
 // NodeDrain is an agreed drain of a node.
@@ -101,33 +101,33 @@
 	Node         NodeID
 	Number       uint64
 	Reason       string
-	Release      uint64              // 0: an operator's
-	Acknowledged []BrokerIncarnation `json:"Acks"` // who sends nothing more
+	Release      uint64              // release that drains the node; 0: an operator drains it
+	Acknowledged []BrokerIncarnation `json:"Acks"` // brokers that no longer send to the node
 }
 
-// BrokerIncarnation is one process of a broker.
+// BrokerIncarnation identifies one incarnation of a broker.
 type BrokerIncarnation struct {
 	Slot        Slot
 	Incarnation uint64
 }
 
-// ConnectionLease is what a broker may hold above the reserved connections.
+// ConnectionLease is the connections that a broker may hold in addition to the reserved ones.
 type ConnectionLease struct {
 	Incarnation  uint64
-	Number       uint64 // of the newest grant; 0: none
+	Number       uint64 // of the latest grant; 0: none
 	Granted      []LeaseRow
-	Outstanding  []LeaseRow // what it may still hold of older grants, row by row the greatest
+	Outstanding  []LeaseRow // what it may still hold by older grants: the maximum of each row
 	Acknowledged bool
-	Ended        bool // it holds nothing: relinquished or expired
+	Ended        bool // it was relinquished or has expired, so the broker holds none
 }
 
 // Node is a node of the agreed list and its state.
 type Node struct {
 	NodeInfo
-	DownIndex   uint64 `json:"Down"`   // the entry that said it is not ready, without a permit; 0: none
+	DownIndex   uint64 `json:"Down"`   // index of the MarkNodeDown entry; 0: none
 	DrainNumber uint64 `json:"Drain"`  // 0: none
-	OutByPermit bool   `json:"Used"`   // it is out by a permit
-	Leased      uint64 `json:"Units"`  // connections above the reserved ones that brokers may hold
-	Reserved    uint64 `json:"Floors"` // connections for all brokers without a lease
-	Budget      uint64 // connections by the policy in force
+	OutByPermit bool   `json:"Used"`   // it is out with a permit
+	Leased      uint64 `json:"Units"`  // connections that brokers may hold in addition to the reserved ones
+	Reserved    uint64 `json:"Floors"` // connections that all brokers may open without a lease
+	Budget      uint64 // maximum connections by the policy in force
 }
