--- a/internal/decision/statemachine/bench_test.go
+++ b/internal/decision/statemachine/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fullTier is a tier of 300 brokers and 200 nodes with 20,000 rows of grants.
+// fullTier returns a tier of 300 brokers and 200 nodes with 20,000 rows of grants, and the entries that renew each grant.
 func fullTier(b *testing.B) (*State, [][]byte) {
 	s, seq := New(), uint64(0)
 	enc := func(e Entry) []byte { seq++; return Encode(ProposalID{0, 1, seq}, e) }
@@ -44,7 +44,7 @@
 	return s, repeated
 }
 
-// BenchmarkGrant is a broker's new grant of 66 rows and its acknowledgement, two entries.
+// BenchmarkGrant applies two entries: a broker's new grant of 66 rows and its acknowledgement.
 func BenchmarkGrant(b *testing.B) {
 	start, again := fullTier(b)
 	base := start.Snapshot()
--- a/internal/decision/statemachine/golden_proposal_test.go
+++ b/internal/decision/statemachine/golden_proposal_test.go
@@ -1,6 +1,6 @@
 package statemachine
 
-// proposal is an entry's bytes, seldom those of an earlier one, cut ones or those of a newer version.
+// proposal returns an encoded entry; occasionally an earlier proposal, or one that is truncated, damaged or of a newer version.
 func (g *goldenRun) proposal(e Entry) []byte {
 	if g.oneIn(25) && len(g.proposals) > 0 {
 		return g.proposals[g.rng.IntN(len(g.proposals))]
--- a/internal/decision/statemachine/golden_run_test.go
+++ b/internal/decision/statemachine/golden_run_test.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 )
 
-// goldenRun is one pseudo-random sequence of entries, applied to one machine.
+// goldenRun applies one pseudo-random sequence of entries to one state machine.
 type goldenRun struct {
 	rng       *rand.Rand
 	state     *State
@@ -23,7 +23,7 @@
 func (g *goldenRun) rows() (all []LeaseRow)    { return g.rowsOf(int(g.upTo(4))) }
 func (g *goldenRun) budgets() (l []NodeBudget) { return g.budgetsOf(5) }
 
-// mostlyExact is a value, seldom one beside it.
+// mostlyExact returns v or, once in seldom calls, a value within one of it.
 func (g *goldenRun) mostlyExact(v uint64, seldom int) uint64 {
 	if g.oneIn(seldom) {
 		return v + g.upTo(2) - 1
@@ -109,7 +109,7 @@
 	return e
 }
 
-// entry is any entry about few brokers and nodes, mostly one that the machine may take.
+// entry returns a random entry about a few brokers and nodes, mostly one that the state machine accepts.
 func (g *goldenRun) entry() Entry {
 	slot, node := Slot(g.upTo(5)), g.node()
 	if g.oneIn(60) {
@@ -200,7 +200,7 @@
 	return g.onNode(term, release)
 }
 
-// onNode goes on with a node that has been let go or is drained, or lets one go.
+// onNode returns the next entry for a node that has a permit or a drain, or issues a permit to a node.
 func (g *goldenRun) onNode(term, release uint64) Entry {
 	for _, d := range g.state.Drains() {
 		p, ok := g.state.NodePermit(d.Node)
--- a/internal/decision/statemachine/golden_test.go
+++ b/internal/decision/statemachine/golden_test.go
@@ -13,7 +13,7 @@
 
 const (
 	goldenBlocks    = 150
-	goldenSequences = 20 // a block
+	goldenSequences = 20 // per block
 	goldenEntries   = 160
 	goldenSeed      = 37
 )
@@ -35,7 +35,7 @@
 	fmt.Fprintln(g.out, index, r.Number, r.Duplicate, outcome, uint8(reason), g.state.AppliedIndex(), g.state.StoppedBy() != nil)
 }
 
-// writeQueries writes all that queries tell.
+// writeQueries writes the results of all queries.
 func (g *goldenRun) writeQueries() {
 	leader, term := g.state.Leader()
 	fmt.Fprintln(g.out, leader, term, g.state.TierProtocol(), g.state.Epoch(), g.state.Brokers(), g.state.Nodes(), g.state.Drains())
@@ -96,7 +96,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(s.Snapshot(), g.state.Snapshot()) {
-				t.Fatal("a restored machine has another snapshot")
+				t.Fatal("the snapshot of a restored state machine differs from the one it was restored from")
 			}
 			g.state = s
 		}
@@ -105,7 +105,7 @@
 	g.out.Write(g.state.Snapshot())
 }
 
-// goldenDigests is one digest a block of sequences: results, what queries tell and snapshots.
+// goldenDigests returns one digest per block of sequences, over results, queries and snapshots.
 func goldenDigests(t *testing.T) string {
 	var all strings.Builder
 	for block := range goldenBlocks {
@@ -119,7 +119,7 @@
 	return all.String()
 }
 
-// Results, queries and snapshots over 3,000 pseudo-random sequences are those that commit 1a4b6be gave.
+// Results, queries and snapshots of 3,000 pseudo-random sequences equal those recorded at commit 1a4b6be.
 func TestGolden(t *testing.T) {
 	want, err := os.ReadFile("testdata/golden-1a4b6be.txt")
 	if err != nil {
@@ -127,11 +127,11 @@
 	}
 	old, now := strings.Fields(string(want)), strings.Fields(goldenDigests(t))
 	if len(old) != len(now) {
-		t.Fatalf("%d blocks recorded, %d played", len(old), len(now))
+		t.Fatalf("%d blocks recorded, %d run", len(old), len(now))
 	}
 	for i := range old {
 		if old[i] != now[i] {
-			t.Errorf("block %d: %s recorded, %s played", i, old[i], now[i])
+			t.Errorf("block %d: digest %s recorded, %s now", i, old[i], now[i])
 		}
 	}
 }
--- a/internal/decision/statemachine/injected_faults_test.go
+++ b/internal/decision/statemachine/injected_faults_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// clone is a copy by which the models go on from one state in several ways. Rows and plans are never changed in place.
+// clone returns a copy, so that the models can branch from one state. Rows and plans are shared, as they are never changed in place.
 func (s *State) clone() *State {
 	c := *s
 	c.brokers, c.nodes, c.sessions = cloneAll(s.brokers), cloneAll(s.nodes), cloneAll(s.sessions)
@@ -30,7 +30,7 @@
 	return c
 }
 
-// releaseFaults are faults put into the machine, which the model must find.
+// releaseFaults are faults injected into the state machine, which the model must find.
 var releaseFaults = map[string]injectedFault{
 	"limit not kept": func(s *State, e Entry, apply func() Result) Result {
 		if _, ok := e.(*IssuePermit); ok && s.release != nil {
@@ -39,7 +39,7 @@
 		}
 		return apply()
 	},
-	"freed by silence": func(s *State, e Entry, apply func() Result) Result {
+	"lost broker counts as serving": func(s *State, e Entry, apply func() Result) Result {
 		r := apply()
 		if l, ok := e.(*MarkBrokerLost); ok && r.Err == nil {
 			s.findBroker(l.Slot).Status = BrokerServing
@@ -90,17 +90,17 @@
 	},
 }
 
-// leaseModelFaults are faults put into the machine or into those who hold and grant.
+// leaseModelFaults are faults injected into the state machine, the holders or the granters, which the model must find.
 var leaseModelFaults = map[string]*leaseFault{
 	"lease counted from the answer": {leaseFromAnswer: true},
-	"expired by silence":            {expiresEarly: true},
-	"acknowledged before it was so": {acknowledgesEarly: true},
+	"lease expired early":           {expiresEarly: true},
+	"acknowledged before kept":      {acknowledgesEarly: true},
 	"budget not kept": {apply: func(s *State, e Entry, apply func() Result) Result {
 		if _, ok := e.(*GrantLease); ok && s.findNode(testNode(1)) != nil {
-			units := s.findNode(testNode(1)).leased
+			leased := s.findNode(testNode(1)).leased
 			s.findNode(testNode(1)).leased = 0
 			r := apply()
-			s.findNode(testNode(1)).leased = units
+			s.findNode(testNode(1)).leased = leased
 			return r
 		}
 		return apply()
--- a/internal/decision/statemachine/lease_explore_test.go
+++ b/internal/decision/statemachine/lease_explore_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// exploreLeases explores all states of the lease model up to a depth, and returns the first violation.
 func exploreLeases(depth, maxStates int, fault *leaseFault) (states int, violation string) {
 	if fault.apply == nil {
 		fault.apply = noFault
@@ -24,7 +25,7 @@
 	for len(l.inFlight) > 0 {
 		l.deliver(0, fault)
 	}
-	// The one asked a moment ago and was answered; the answer is on its way. The other may use what it is granted for long.
+	// The answer to a recent request of the first holder is in flight. The lease of the second does not expire within the explored depth.
 	l.now, l.leaders[0].renewed = 1, [2]int{0, 9}
 	l.holders = [2]leaseHolder{
 		{number: 1, connections: 2, expiry: 1, requestedAt: -1, answers: []leaseAnswer{{0, 0}}},
@@ -54,7 +55,7 @@
 	return len(seen), ""
 }
 
-// However late all comes, the two never use more than the node has. Each fault put in is found.
+// However late messages arrive, the two holders together never use more connections than the node accepts. Each injected fault is found.
 func TestLeaseModel(t *testing.T) {
 	depth := 6
 	if n, err := strconv.Atoi(os.Getenv("STATEMACHINE_DEPTH")); err == nil {
@@ -64,12 +65,12 @@
 	if violation != "" {
 		t.Error(violation)
 	}
-	t.Logf("%d states to depth %d", states, depth)
+	t.Logf("%d states up to depth %d", states, depth)
 	for name, fault := range leaseModelFaults {
 		states, violation := exploreLeases(12, 200000, fault)
 		if violation == "" {
-			t.Errorf("%s was not found in %d states", name, states)
+			t.Errorf("injected fault %q not found in %d states", name, states)
 		}
-		t.Logf("%s: found in %d states, %s", name, states, violation)
+		t.Logf("injected fault %q found in %d states: %s", name, states, violation)
 	}
 }
--- a/internal/decision/statemachine/lease_model_test.go
+++ b/internal/decision/statemachine/lease_model_test.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// A model of leases over the real machine: two holders of one node's units, a leader that renews and expires, and another that
-// takes over from it. Time goes in steps, answers and entries come late, holders are stopped. At no instant do the two together
-// use more than the node has. A holder counts its lease from before it asked, the granter from after it answered.
+// A model of connection leases over the real state machine: two holders of one node's connections, a leader that renews and expires their
+// leases, and another that takes over from it. Time advances in steps, answers and entries arrive late, holders are suspended. At no time
+// do the two holders together use more connections than the node accepts. A holder measures its lease from when it sent the request, the
+// granter from when it sent the answer.
 
 const (
 	leaseDuration  = 2
-	leaseBudget    = 4 // two reserved, and two above them
+	leaseBudget    = 4 // two reserved, and two that can be leased
 	leaseMaxFaults = 2
 )
 
 type leaseHolder struct {
-	number      uint64 // the grant it goes by
+	number      uint64 // the grant that it follows
 	connections uint64
-	expiry      int // of its lease, by its own count
-	requestedAt int // when it sent the ask that is on its way; -1: none
+	expiry      int // of its lease, by its own measure
+	requestedAt int // when it sent the request in flight; -1: none
 	answers     []leaseAnswer
 	stopped     bool
 }
@@ -29,8 +30,8 @@
 
 type leaseLeader struct {
 	term     uint64
-	renewed  [2]int    // when it last answered
-	expiring [2]uint64 // grants it has proposed to expire: no more answers for them
+	renewed  [2]int    // when it last answered each holder
+	expiring [2]uint64 // grants it has proposed to expire, and no longer renews
 }
 
 type leaseModel struct {
@@ -44,7 +45,7 @@
 	violation string
 }
 
-// leaseFault are the faults that can be put in.
+// leaseFault is a set of faults to inject.
 type leaseFault struct {
 	leaseFromAnswer, expiresEarly, acknowledgesEarly bool
 	apply                                            injectedFault
@@ -84,7 +85,7 @@
 	})
 }
 
-// inUse is what the two use at this instant: what their lease grants until it ends, then the reserve.
+// inUse returns the connections that the two holders use now: the reserved ones and, until its lease expires, those granted to each.
 func (l *leaseModel) inUse() (sum uint64) {
 	for _, h := range l.holders {
 		sum++
@@ -95,12 +96,13 @@
 	return sum
 }
 
+// successors calls visit with every state that can follow in one step.
 func (l *leaseModel) successors(fault *leaseFault, visit func(*leaseModel)) {
 	branch := func(change func(*leaseModel)) {
 		c := l.clone()
 		change(c)
 		if sum := c.inUse(); sum > leaseBudget && c.violation == "" {
-			c.violation = fmt.Sprintf("%d units in use of %d", sum, leaseBudget)
+			c.violation = fmt.Sprintf("%d connections in use, budget %d", sum, leaseBudget)
 		}
 		visit(c)
 	}
@@ -113,7 +115,7 @@
 		leads := term == x.term
 		for i, h := range l.holders {
 			held, _ := l.state.Lease(Slot(i))
-			if leads && h.requestedAt >= 0 && x.expiring[i] != held.Number { // answers
+			if leads && h.requestedAt >= 0 && x.expiring[i] != held.Number { // the leader answers
 				branch(func(c *leaseModel) {
 					c.holders[i].answers = append(c.holders[i].answers, leaseAnswer{h.requestedAt, c.now})
 					c.holders[i].requestedAt = -1
@@ -156,9 +158,9 @@
 			})
 		}
 		held, _ := l.state.Lease(Slot(i))
-		if held.Number != h.number || held.Ended && h.connections > 0 { // its replica has come so far
+		if held.Number != h.number || held.Ended && h.connections > 0 { // its replica of the state has a newer grant
 			if fault.acknowledgesEarly && !held.Ended {
-				branch(func(c *leaseModel) { c.send(&AcknowledgeLease{Slot(i), 1, held.Number}) }) // before it keeps to it
+				branch(func(c *leaseModel) { c.send(&AcknowledgeLease{Slot(i), 1, held.Number}) }) // acknowledges before it keeps to the grant
 			}
 			branch(func(c *leaseModel) {
 				h := &c.holders[i]
@@ -176,7 +178,7 @@
 		}
 	}
 	if l.faults < leaseMaxFaults && len(l.leaders) < 2 {
-		branch(func(c *leaseModel) { // it counts from now on, for what another has answered it can't know
+		branch(func(c *leaseModel) { // it counts leases as renewed now, since it doesn't know what the earlier leader answered
 			c.faults++
 			c.leaders = append(c.leaders, leaseLeader{term: 2, renewed: [2]int{c.now + 1, c.now + 1}})
 			c.send(&LeaderElected{0, 2})
--- a/internal/decision/statemachine/limits_test.go
+++ b/internal/decision/statemachine/limits_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// An entry may have as many bytes as the limit, and not one more.
+// An entry of exactly the maximum size is applied; one byte more is rejected.
 func TestEntrySize(t *testing.T) {
 	overhead := len(Encode(ProposalID{0, 1, 9}, &HaltRelease{1, strings.Repeat("x", maxEntryBytes)})) - maxEntryBytes
 	for _, c := range []struct {
 		size int
 		want Reason
 	}{
-		{maxEntryBytes, ReasonNotFound}, // it is applied: there is no release 1
+		{maxEntryBytes, ReasonNotFound}, // it is applied, and fails as there is no release 1
 		{maxEntryBytes + 1, ReasonInvalid},
 	} {
 		tier := newTestTier(t, 1)
@@ -28,7 +28,7 @@
 	}
 }
 
-// What is no snapshot of this version is not restored, and the error says why.
+// Restore rejects data that is not a valid snapshot of this version, and the error says why.
 func TestSnapshotRejected(t *testing.T) {
 	good := func() *State { return storedMachine(t) }
 	for name, data := range map[string][]byte{
--- a/internal/decision/statemachine/release_explore_test.go
+++ b/internal/decision/statemachine/release_explore_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// exploreReleases goes through all states up to a depth, and returns the first that breaks a rule.
+// exploreReleases explores all states of the release model up to a depth, and returns the first violation.
 func exploreReleases(depth, maxStates int, fault injectedFault) (states int, violation string) {
 	m := &releaseModel{state: New(), term: 1}
 	for i := range m.processes {
@@ -22,7 +22,7 @@
 		m.deliver(0, false, fault)
 	}
 	m.out, m.violation = [3]bool{}, ""
-	m.send(&ReturnToService{Slot: 0, Incarnation: 1}, 0) // said again as it came, and still on its way
+	m.send(&ReturnToService{Slot: 0, Incarnation: 1}, 0) // a repeat of its first return, still in flight
 	seed := maphash.MakeSeed()
 	seen := map[uint64]bool{m.key(seed): true}
 	level := []*releaseModel{m}
@@ -49,8 +49,8 @@
 
 func noFault(_ *State, _ Entry, apply func() Result) Result { return apply() }
 
-// Whatever happens in whatever order, no permit is given over the limit or by a leader of the past, none is used twice or after a
-// halt, and nobody who went or was lost counts as in before it said so under a new incarnation. Each fault put in is found.
+// In whatever order events occur, no permit is issued beyond the limit or by an earlier leader, none is used twice or after a halt, and a
+// broker that went out or was lost does not count as serving before it returns under a new incarnation. Each injected fault is found.
 func TestReleaseModel(t *testing.T) {
 	depth := 5
 	if n, err := strconv.Atoi(os.Getenv("STATEMACHINE_DEPTH")); err == nil {
@@ -60,12 +60,12 @@
 	if violation != "" {
 		t.Error(violation)
 	}
-	t.Logf("%d states to depth %d", states, depth)
+	t.Logf("%d states up to depth %d", states, depth)
 	for name, fault := range releaseFaults {
 		states, violation := exploreReleases(9, 400000, fault)
 		if violation == "" {
-			t.Errorf("%s was not found in %d states", name, states)
+			t.Errorf("injected fault %q not found in %d states", name, states)
 		}
-		t.Logf("%s: found in %d states, %s", name, states, violation)
+		t.Logf("injected fault %q found in %d states: %s", name, states, violation)
 	}
 }
--- a/internal/decision/statemachine/release_model_test.go
+++ b/internal/decision/statemachine/release_model_test.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// A model of three brokers under a release over the real machine. In between anything may happen in any order: proposals come
-// late or twice, processes are killed, stopped and started, leaders change and the old one goes on for a while.
+// A model of a release of three brokers over the real state machine. Events occur in any order: proposals arrive late or twice, processes
+// are killed, suspended and started, leaders change and the old one continues for a while.
 
-// modelMessage is a proposal on its way.
+// modelMessage is a proposal in flight.
 type modelMessage struct {
 	entry    Entry
 	sequence uint64
-	from     int // of a Use: the process that waits for what becomes of it
+	from     int // for UsePermit: the process that waits for the result
 }
 
 type modelProcess struct {
 	incarnation uint64
 	up, stopped bool
-	mayLeave    bool // its Use was applied while it was stopped
-	proposedUse bool // has proposed Use
+	mayLeave    bool // its UsePermit was applied, possibly while it was suspended
+	proposedUse bool // it has proposed UsePermit
 }
 
 type releaseModel struct {
@@ -30,11 +30,11 @@
 	sequence  uint64
 	term      uint64
 	faults    int
-	// What the model knows by itself, from results alone.
-	out       [3]bool   // lost, went or came back under a new incarnation, and has not returned
-	reserved  [3]uint64 // permit in force
-	voided    []uint64  // permits that a halt has ended
-	accepted  []uint64  // permits of which a Use was accepted
+	// What the model derives from results, independently of the state machine.
+	out       [3]bool   // lost, went out or registered again, and has not returned to service
+	reserved  [3]uint64 // unused permit; 0: none
+	voided    []uint64  // permits that a halt has voided
+	accepted  []uint64  // permits whose UsePermit was accepted
 	leftCount [3]int
 	violation string
 }
@@ -70,10 +70,10 @@
 	}
 }
 
-// injectedFault is a fault put in on purpose: it gets the machine, the entry and what applies it.
+// injectedFault wraps the application of an entry with a fault. It gets the state machine, the entry, and the function that applies it.
 type injectedFault func(s *State, e Entry, apply func() Result) Result
 
-// deliver applies one proposal and holds the result against what the model knows.
+// deliver applies one proposal and checks the result against what the model knows.
 func (m *releaseModel) deliver(k int, duplicate bool, injected injectedFault) {
 	x := m.inFlight[k]
 	if !duplicate {
@@ -91,7 +91,7 @@
 	}
 	for i := range m.processes {
 		if b, _ := m.state.Broker(Slot(i)); m.out[i] && b.Status == BrokerServing {
-			m.violated("broker %d counts as in, and nobody has said that it returned", i)
+			m.violated("broker %d counts as serving but has not returned to service", i)
 		}
 	}
 }
@@ -106,10 +106,10 @@
 			}
 		}
 		if n >= modelMaxOut {
-			m.violated("a permit with %d out", n)
+			m.violated("a permit was issued with %d brokers out", n)
 		}
 		if e.Term != m.term {
-			m.violated("a permit of the leader of term %d in term %d", e.Term, m.term)
+			m.violated("the leader of term %d issued a permit in term %d", e.Term, m.term)
 		}
 		m.reserved[e.Slot] = number
 	case *UsePermit:
@@ -140,7 +140,7 @@
 	}
 }
 
-// leave has a process go that saw its Use applied, if it runs.
+// leave makes a process go out if it runs and has seen its UsePermit applied.
 func (m *releaseModel) leave(i int) {
 	p := &m.processes[i]
 	if !p.up || p.stopped || !p.mayLeave {
@@ -148,11 +148,11 @@
 	}
 	p.up, p.mayLeave = false, false
 	if m.leftCount[i]++; m.leftCount[i] > 1 {
-		m.violated("broker %d went twice in a release", i)
+		m.violated("broker %d went out twice in a release", i)
 	}
 }
 
-// successors are all states that one thing happening leads to.
+// successors calls visit with every state that can follow in one step.
 func (m *releaseModel) successors(injected injectedFault, visit func(*releaseModel)) {
 	branch := func(change func(*releaseModel)) {
 		c := m.clone()
@@ -201,7 +201,7 @@
 			if b.Status == BrokerReturning && b.Incarnation == x.incarnation {
 				send(&ReturnToService{Slot: slot, Incarnation: x.incarnation}, i)
 			}
-			if ok && permit.Incarnation == x.incarnation && !x.proposedUse { // the second is the same proposal under another number
+			if ok && permit.Incarnation == x.incarnation && !x.proposedUse { // proposed twice, under two sequence numbers
 				branch(func(c *releaseModel) {
 					c.processes[i].proposedUse = true
 					c.send(&UsePermit{Permit: permit.Number, Slot: slot, Incarnation: x.incarnation}, i)
--- a/internal/decision/statemachine/replicas_test.go
+++ b/internal/decision/statemachine/replicas_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawEntry is any entry about few brokers and nodes, so that they meet.
+// drawEntry draws an entry about a few brokers and nodes, so that entries often affect the same ones.
 func drawEntry(t *rapid.T, s *State) Entry {
 	small := func(label string, most int) uint64 { return uint64(rapid.IntRange(0, most).Draw(t, label)) }
 	slot, node := Slot(small("slot", 4)), testNode(int(small("node", 3)))
@@ -52,8 +52,7 @@
 	return all[small("kind", len(all)-1)]
 }
 
-// Whatever is proposed, each broker comes to the same bytes, one that was restored on the way too; no node's units are over its
-// budget, and no limit is broken by a permit.
+// Whatever is proposed, replicas have equal snapshots, even if one is restored in between, and no node's connections exceed its budget.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -68,7 +67,7 @@
 			}
 			x, y := a.Apply(i+1, data), b.Apply(i+1, data)
 			if fmt.Sprint(x) != fmt.Sprint(y) || !bytes.Equal(a.Snapshot(), b.Snapshot()) {
-				t.Fatalf("entry %d: %v and %v", i+1, x, y)
+				t.Fatalf("entry %d: replicas differ: results %v and %v", i+1, x, y)
 			}
 			if x.Err == nil {
 				applied++
@@ -80,7 +79,7 @@
 	})
 }
 
-// auditBudgets counts anew, by what the machine says of each broker, what the nodes' sums come to.
+// auditBudgets recounts the connections leased at each node from the brokers' leases, and returns the first error in a sum or budget.
 func auditBudgets(s *State) string {
 	p := s.Policies().InForce
 	for _, n := range s.nodes {
@@ -99,16 +98,16 @@
 		}
 		v, _ := s.Node(n.Node)
 		if v.Leased != leased {
-			return fmt.Sprintf("node %v: %d units, counted %d", n.Node, v.Leased, leased)
+			return fmt.Sprintf("node %v: %d connections leased, recounted %d", n.Node, v.Leased, leased)
 		}
 		if p != nil && v.Leased+v.Reserved > v.Budget {
-			return fmt.Sprintf("node %v: %d and %d reserved, over %d", n.Node, v.Leased, v.Reserved, v.Budget)
+			return fmt.Sprintf("node %v: %d connections leased and %d reserved exceed the budget %d", n.Node, v.Leased, v.Reserved, v.Budget)
 		}
 	}
 	return ""
 }
 
-// The audit finds a sum that is wrong, and units over the budget.
+// The audit finds a wrong sum and connections beyond the budget.
 func TestBudgetAudit(t *testing.T) {
 	tier := newTestTier(t, 1)
 	tier.mustApply(&ConnectionPolicy{1, "", 2, []NodeBudget{{testNode(1), 10, 1}}})
@@ -120,11 +119,11 @@
 	sum := auditBudgets(tier.state)
 	tier.state.findNode(testNode(1)).leased, tier.state.policies[0].Budgets[0].ReservedPerBroker = 8, 2
 	if over := auditBudgets(tier.state); sum == "" || over == "" {
-		t.Errorf("not found: %q, %q", sum, over)
+		t.Errorf("the audit missed a wrong sum or budget: %q, %q", sum, over)
 	}
 }
 
-// Bytes of any kind change nothing but the index, or stop it; nothing panics.
+// Arbitrary bytes never cause a panic, and leave a state whose snapshot can be restored; what decodes is encoded as the same entry.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{}, []byte{1, 2, 3})
 	for k := range kindRaiseProtocol + 1 {
--- a/internal/decision/statemachine/statemachine_test.go
+++ b/internal/decision/statemachine/statemachine_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testTier applies entries one after another, each proposed once by slot 0.
+// testTier applies entries in sequence, each proposed once by slot 0.
 type testTier struct {
 	t        *testing.T
 	state    *State
@@ -44,7 +44,7 @@
 	tier.mustApply(&ReturnToService{Slot: slot, Incarnation: incarnation})
 }
 
-// newTestTier is a tier that somebody leads.
+// newTestTier returns a tier with serving brokers and a leader.
 func newTestTier(t *testing.T, brokers int) *testTier {
 	tier := &testTier{t: t, state: New()}
 	for i := range brokers {
@@ -63,24 +63,24 @@
 
 func testNode(i int) NodeID { return NodeID{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 80} }
 
-// A release of four brokers, two out at once, one in a zone; halted, taken back, and over.
+// A release of four brokers, at most two out at once and one in a zone, is halted, resumed, rolled back and finished.
 func TestRelease(t *testing.T) {
 	tier := newTestTier(t, 4)
 	r := tier.mustApply(&ReleasePlan{Name: "two", From: "1", To: "2", Slots: slotRange(4), Batches: []uint32{1, 4}, MaxOut: 2, MaxOutPerZone: 1})
 	tier.mustReject(ReasonBusy, &ReleasePlan{Slots: slotRange(1), MaxOut: 1})
-	tier.mustReject(ReasonWrongState, &IssuePermit{Release: r, Term: 1, Slot: 1, Incarnation: 1}) // not of the open batch
+	tier.mustReject(ReasonWrongState, &IssuePermit{Release: r, Term: 1, Slot: 1, Incarnation: 1}) // not in an open batch
 	tier.mustReject(ReasonFenced, &IssuePermit{Release: r, Term: 7, Slot: 0, Incarnation: 1})
 	tier.mustReject(ReasonStale, &IssuePermit{Release: r, Term: 1, Slot: 0, Incarnation: 2})
 	p := tier.mustApply(&IssuePermit{Release: r, Term: 1, Slot: 0, Incarnation: 1})
 	tier.mustReject(ReasonWrongState, &OpenNextBatch{r, 1, 1})
 	tier.mustApply(&UsePermit{Permit: p, Slot: 0, Incarnation: 1})
 	tier.mustReject(ReasonAlreadyUsed, &UsePermit{Permit: p, Slot: 0, Incarnation: 1})
-	tier.mustReject(ReasonStale, &ReturnToService{Slot: 0, Incarnation: 1}) // said before it went
+	tier.mustReject(ReasonStale, &ReturnToService{Slot: 0, Incarnation: 1}) // from before it went out
 	tier.join(0, 2, "2")
 	tier.mustApply(&OpenNextBatch{r, 1, 1})
 	p1 := tier.mustApply(&IssuePermit{Release: r, Term: 1, Slot: 1, Incarnation: 1})
 	tier.mustReject(ReasonZoneLimit, &IssuePermit{Release: r, Term: 1, Slot: 3, Incarnation: 1})
-	tier.mustApply(&MarkBrokerLost{2, 1, 1}) // killed: it counts as out
+	tier.mustApply(&MarkBrokerLost{2, 1, 1}) // killed, so it counts as out
 	tier.mustReject(ReasonTierLimit, &IssuePermit{Release: r, Term: 1, Slot: 3, Incarnation: 1})
 	tier.mustApply(&HaltRelease{r, "bad"})
 	tier.mustReject(ReasonNotFound, &UsePermit{Permit: p1, Slot: 1, Incarnation: 1}) // void
@@ -89,7 +89,7 @@
 	p1 = tier.mustApply(&IssuePermit{Release: r, Term: 1, Slot: 1, Incarnation: 1})
 	tier.mustApply(&UsePermit{Permit: p1, Slot: 1, Incarnation: 1})
 	rollback := tier.mustApply(&RollBackRelease{r, "bad after all"})
-	tier.join(1, 2, "2") // out when the rollback began: it came back with the version that is taken back, and goes out once more
+	tier.join(1, 2, "2") // out when the rollback began; it returned with the version being rolled back, so it goes out again
 	for _, slot := range slotRange(2) {
 		p := tier.mustApply(&IssuePermit{Release: rollback, Term: 1, Slot: slot, Incarnation: 2})
 		tier.mustReject(ReasonAlreadyUsed, &IssuePermit{Release: rollback, Term: 1, Slot: slot, Incarnation: 2})
@@ -103,7 +103,7 @@
 	tier.mustReject(ReasonWrongState, &HaltRelease{rollback, ""})
 }
 
-// A node goes when each living broker has acknowledged, and no shard falls below its least.
+// A node may go out once each live broker has acknowledged its drain, if every shard keeps its minimum of ready replicas.
 func TestNodeDrain(t *testing.T) {
 	tier := newTestTier(t, 3)
 	tier.mustApply(&SetNodeList{1, 1, []NodeInfo{
@@ -120,9 +120,9 @@
 	tier.mustReject(ReasonNotDrained, &UsePermit{Permit: p, ForNode: true, Node: testNode(1)})
 	tier.mustApply(&MarkBrokerLost{2, 1, 1})
 	if !tier.state.IsDrained(testNode(1)) {
-		t.Error("a broker whose lease ran out is waited for")
+		t.Error("the drain waits for a broker whose session lease has expired")
 	}
-	tier.mustApply(&RegisterBroker{1, "b1", 2, "1", "z1", 1}) // it sends under its new incarnation until it says otherwise
+	tier.mustApply(&RegisterBroker{1, "b1", 2, "1", "z1", 1}) // under its new incarnation it may send until it acknowledges
 	tier.mustReject(ReasonNotDrained, &UsePermit{Permit: p, ForNode: true, Node: testNode(1)})
 	tier.mustApply(&AcknowledgeDrain{1, 2, testNode(1), p})
 	tier.mustApply(&UsePermit{Permit: p, ForNode: true, Node: testNode(1)})
@@ -136,22 +136,22 @@
 	tier.mustApply(&UndrainNode{testNode(2)})
 }
 
-// A policy that leaves less than is held waits; the reserve of a broker that did not acknowledge still counts.
+// A policy with a budget lower than what brokers hold waits. The reserve of a broker that has not acknowledged it still counts.
 func TestConnectionPolicy(t *testing.T) {
 	tier := newTestTier(t, 2)
 	n := testNode(1)
 	tier.mustReject(ReasonNotFound, &GrantLease{1, 1, 1, []LeaseRow{{n, "x", 1}}})
 	tier.mustReject(ReasonOverBudget, &ConnectionPolicy{1, "", 4, []NodeBudget{{n, 10, 3}}})
-	tier.mustApply(&ConnectionPolicy{1, "one", 4, []NodeBudget{{n, 20, 2}}}) // 8 are reserved, 12 may be granted
+	tier.mustApply(&ConnectionPolicy{1, "one", 4, []NodeBudget{{n, 20, 2}}}) // 8 are reserved, 12 can be leased
 	tier.mustApply(&GrantLease{0, 1, 1, []LeaseRow{{n, "x", 8}}})
 	tier.mustApply(&AcknowledgeLease{0, 1, 1})
 	tier.mustApply(&GrantLease{0, 1, 2, []LeaseRow{{n, "x", 3}}})
-	tier.mustReject(ReasonOverBudget, &GrantLease{1, 1, 1, []LeaseRow{{n, "x", 5}}}) // the 8 are not given back
+	tier.mustReject(ReasonOverBudget, &GrantLease{1, 1, 1, []LeaseRow{{n, "x", 5}}}) // broker 0 has not given the 8 back
 	tier.mustApply(&GrantLease{1, 1, 2, []LeaseRow{{n, "x", 4}}})
 	tier.mustApply(&ConnectionPolicy{2, "two", 4, []NodeBudget{{n, 10, 1}}})
 	tier.mustApply(&AcknowledgeLease{0, 1, 2})
 	tier.mustReject(ReasonOverBudget, &GrantLease{1, 1, 3, []LeaseRow{{n, "x", 5}}})
-	tier.mustApply(&MarkBrokerLost{1, 1, 1}) // silence frees nothing
+	tier.mustApply(&MarkBrokerLost{1, 1, 1}) // a lost broker may still hold its connections
 	if x, _ := tier.state.Node(n); x.Leased != 7 || x.Budget != 20 {
 		t.Errorf("%+v", x)
 	}
@@ -161,12 +161,12 @@
 	tier.mustApply(&AcknowledgePolicy{0, 1, 2})
 	p := tier.state.Policies()
 	x, _ := tier.state.Node(n)
-	if p.InForce.Text != "two" || p.Waiting != nil || p.Previous.Text != "one" || x.Reserved != 5 { // 1 x 3 + 2 for the one that is lost
+	if p.InForce.Text != "two" || p.Waiting != nil || p.Previous.Text != "one" || x.Reserved != 5 { // 3 slots with 1, and 2 for the lost broker
 		t.Errorf("%+v %+v %+v", p.InForce, p.Waiting, x)
 	}
 }
 
-// What a newer version wrote stops the machine; so does a protocol that it can't read. A broker that can't read it keeps it back.
+// An entry of a newer version stops the state machine, and so does raising the protocol beyond the supported one.
 func TestUnknownEntry(t *testing.T) {
 	for _, data := range [][]byte{{1, 99, 0}, {2, 1, 0}, Encode(ProposalID{0, 1, 100}, &RaiseProtocol{2})} {
 		tier := newTestTier(t, 1)
@@ -176,12 +176,12 @@
 			t.Errorf("%v: %v", data, r.Err)
 		}
 		if r := tier.apply(&LeaderElected{0, 9}); !errors.As(r.Err, &u) || !bytes.Equal(before, tier.state.Snapshot()) {
-			t.Errorf("it goes on after what it can't read: %v", r.Err)
+			t.Errorf("applied an entry after one that it can't read: %v", r.Err)
 		}
 	}
 }
 
-// A proposal that is sent again has the result it had; one from before a restart, or too old to tell, is refused.
+// A repeated proposal gets its earlier result. One of an earlier incarnation is rejected.
 func TestProposalAppliedOnce(t *testing.T) {
 	tier := newTestTier(t, 2)
 	plan := Encode(ProposalID{1, 1, 5}, &ReleasePlan{Slots: slotRange(2), MaxOut: 1})
@@ -196,7 +196,7 @@
 	}
 	tier.state.Apply(104, Encode(ProposalID{1, 2, 1}, &ResumeRelease{7}))
 	if r := tier.state.Apply(105, Encode(ProposalID{1, 1, 7}, &HaltRelease{first.Number, ""})); r.Err == nil {
-		t.Error("of a process that has ended")
+		t.Error("a proposal of an earlier incarnation was accepted")
 	}
 	if r := tier.state.Apply(105, plan); !errors.As(r.Err, new(*AlreadyAppliedError)) {
 		t.Error(r.Err)
--- a/internal/decision/statemachine/status_json_test.go
+++ b/internal/decision/statemachine/status_json_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// reportedTypes is what the tier's status shows operators of the state, as JSON.
+// reportedTypes are the types of the state that the tier's status reports to operators as JSON.
 type reportedTypes struct {
 	Broker  Broker
 	Release Release
@@ -30,7 +30,7 @@
 
 const reportedFile = "testdata/status-1a4b6be.json"
 
-// What operators' programs read of the state has the JSON names that commit 1a4b6be gave it.
+// The JSON names of the reported state equal those recorded at commit 1a4b6be, as operators' programs read them.
 func TestReportedNames(t *testing.T) {
 	want, err := os.ReadFile(reportedFile)
 	if err != nil {
@@ -42,6 +42,6 @@
 	}
 	var decoded reportedTypes
 	if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, reportedValues()) {
-		t.Errorf("%v: read back as %+v", err, decoded)
+		t.Errorf("%v: decoded as %+v", err, decoded)
 	}
 }
--- a/internal/decision/statemachine/stored_test.go
+++ b/internal/decision/statemachine/stored_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// storedEntries are one entry of each kind, every field with a value of its own, in the order of kinds.
+// storedEntries returns one entry of each kind, in the order of kinds, with distinct values in its fields.
 func storedEntries() []Entry {
 	return []Entry{
 		&LeaderElected{3, 300},
@@ -40,7 +40,7 @@
 	}
 }
 
-// storedMachine is a machine in which every part of the state has something.
+// storedMachine returns a state machine in which no part of the state is empty.
 func storedMachine(t *testing.T) *State {
 	tier := newTestTier(t, 4)
 	tier.mustApply(&SetNodeList{1, 1, []NodeInfo{
@@ -78,7 +78,7 @@
 
 var storedID = ProposalID{12, 34, 56}
 
-// Entries of every kind that commit 1a4b6be wrote are read as what they were, and are written as the same bytes.
+// Entries of every kind that commit 1a4b6be encoded decode to the same values, and are encoded as the same bytes.
 func TestStoredEntries(t *testing.T) {
 	f, err := os.Open(storedEntriesFile)
 	if err != nil {
@@ -102,15 +102,15 @@
 			t.Errorf("line %d is of kind %d", seen+1, e.kind())
 		}
 		if again := Encode(id, e); !bytes.Equal(again, data) {
-			t.Errorf("line %d: %x is written as %x", seen+1, data, again)
+			t.Errorf("line %d: %x is encoded again as %x", seen+1, data, again)
 		}
 	}
 	if seen != int(kindRaiseProtocol) || seen != len(want) {
-		t.Errorf("%d kinds of %d", seen, kindRaiseProtocol)
+		t.Errorf("%d kinds recorded, want %d", seen, kindRaiseProtocol)
 	}
 }
 
-// A snapshot that commit 1a4b6be wrote is restored as what it was, and is written as the same bytes.
+// A snapshot that commit 1a4b6be wrote is restored to the same state, and is written as the same bytes.
 func TestStoredSnapshot(t *testing.T) {
 	data, err := os.ReadFile(storedSnapshotFile)
 	if err != nil {
@@ -121,16 +121,16 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(s.Snapshot(), data) {
-		t.Error("the restored machine writes another snapshot")
+		t.Error("the snapshot of the restored state machine differs from the recorded one")
 	}
 	same := storedMachine(t)
 	if !bytes.Equal(same.Snapshot(), data) {
-		t.Error("the same entries give another snapshot")
+		t.Error("the snapshot after the same entries differs from the recorded one")
 	}
 	var got, want strings.Builder
 	(&goldenRun{state: s, out: &got}).writeQueries()
 	(&goldenRun{state: same, out: &want}).writeQueries()
 	if got.String() != want.String() {
-		t.Errorf("queries return\n%swant\n%s", got.String(), want.String())
+		t.Errorf("queries of the restored state machine return\n%swant\n%s", got.String(), want.String())
 	}
 }
