--- a/internal/decision/release/batches.go
+++ b/internal/decision/release/batches.go
@@ -7,10 +7,10 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// InterleaveZones puts brokers in turn by zones, so that no batch falls on one zone.
+// InterleaveZones returns the slots of brokers with the zones taken in turn, so that no batch falls on a single zone.
 func InterleaveZones(brokers []statemachine.Broker) (slots []statemachine.Slot) {
 	type place struct {
-		round  int // the broker's place among those of its zone
+		round  int // the broker's index among those of its zone
 		broker statemachine.Broker
 	}
 	seen := map[string]int{}
@@ -32,7 +32,7 @@
 	return slots
 }
 
-// DefaultBatches are the usual ones for so many targets: a hundredth (one at least), a thirtieth, a tenth, a third and all.
+// DefaultBatches returns cumulative batch sizes for a number of targets: a hundredth (at least one), a thirtieth, a tenth, a third, and all.
 func DefaultBatches(targets int) (batches []uint32) {
 	last := uint32(0)
 	for _, n := range []int{max(1, targets/100), targets / 30, targets / 10, targets / 3, targets} {
--- a/internal/decision/release/batches_test.go
+++ b/internal/decision/release/batches_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Default batches grow, end with all targets, and leave out sizes that round to the one before.
+// Default batches increase, end with all targets, and omit sizes that round to the previous one.
 func TestDefaultBatches(t *testing.T) {
 	for _, c := range []struct {
 		targets int
--- a/internal/decision/release/counts.go
+++ b/internal/decision/release/counts.go
@@ -1,11 +1,11 @@
 package release
 
-// Metric is a way in which a query goes wrong.
+// Metric is a way in which a query can go wrong.
 type Metric uint8
 
-// The metrics; each has a gate in each group.
+// The metrics. Each has a gate in every group.
 const (
-	MetricUnserved        Metric = iota // whatever the cause
+	MetricUnserved        Metric = iota // not served, for any cause
 	MetricRejected                      // not admitted
 	MetricFailed                        // without a result
 	MetricLate                          // after its deadline
@@ -13,18 +13,18 @@
 	metricCount
 )
 
-// String is the metric as the reason of a halt names it. The reason is part of an entry, so that the texts stay.
+// String returns the metric as the reason of a halt names it. The reason is part of a log entry, so these texts must not change.
 func (m Metric) String() string {
 	return [...]string{"unserved", "refused", "failed", "late", "sent to cold nodes"}[min(m, MetricSentToWarmingUp)]
 }
 
-// Counts is what became of queries of a class at a broker, or at a node, since it started.
+// Counts are the outcomes of the queries of a class at a broker or a node since it started.
 type Counts struct {
 	Queries uint64
 	Bad     [metricCount]uint64
 }
 
-// subtractCounts is what counts grew by; a count that fell did not grow.
+// subtractCounts returns the growth of counts; the growth of one that decreased is 0.
 func subtractCounts(now, before Counts) (growth Counts) {
 	growth.Queries = now.Queries - min(now.Queries, before.Queries)
 	for m := range metricCount {
@@ -33,17 +33,17 @@
 	return growth
 }
 
-// Report is what one target counted.
+// Report holds the counts of one target.
 type Report struct {
 	Target
-	Incarnation uint64 // counts are since its start
+	Incarnation uint64 // the counts are since its start
 	Zone        string
 	Classes     []Counts
 }
 
-// reportedCounts is a target's counts as evidence takes them.
+// reportedCounts tracks which of a target's counts the evidence already includes.
 type reportedCounts struct {
 	latest   Report
-	compared Report // as far as windows have been compared
-	fresh    bool   // a report came since
+	compared Report // the counts up to the last compared window
+	fresh    bool   // a report has arrived since that window
 }
--- a/internal/decision/release/gate.go
+++ b/internal/decision/release/gate.go
@@ -5,40 +5,40 @@
 	"math"
 )
 
-// releaseSide is on which side of a comparison a target is.
+// releaseSide is the side of the comparison on which a target is.
 type releaseSide uint8
 
 const (
 	sideExcluded releaseSide = iota
-	sideControl              // not yet released
+	sideControl              // not released yet
 	sideReleased
 )
 
-// sample is what one target showed in one group, for one metric.
+// sample is the evidence of one target in one group, for one metric.
 type sample struct {
 	side     releaseSide
 	queries  float64
 	bad      float64
-	expected float64 // by the rate that the controls had at the same time
-	variance float64 // of chance alone
+	expected float64 // bad queries, by the rate of the controls in the same windows
+	variance float64 // of the bad queries, by chance alone
 }
 
-// allClasses is the class of a group that has all of them.
+// allClasses is the class value of a group that includes all classes.
 const allClasses = -1
 
-// group is a part of the queries that is compared by itself: all, a class, or a zone.
+// group is a part of the queries that is compared separately: all, those of a class, or those of a zone.
 type group struct {
 	name                string
-	class               int                    // allClasses: all
-	zone                string                 // "": all
-	samples             [metricCount][]*sample // in the order they came: sums of floats must not depend on that of a map
+	class               int                    // or allClasses
+	zone                string                 // "": all zones
+	samples             [metricCount][]*sample // in order of arrival, as sums of floats must not depend on the order of a map
 	sampleByTarget      [metricCount]map[Target]*sample
-	expectationVariance [metricCount]float64 // of what is expected of all the released together, as the controls are finite too
-	checks              [metricCount]float64 // checks so far
-	queriesAtCheck      [metricCount]float64 // queries of the released at the last check
+	expectationVariance [metricCount]float64 // of the expected bad queries of all released targets, as the rate of finitely many controls is inexact
+	checks              [metricCount]float64 // number of checks so far
+	queriesAtCheck      [metricCount]float64 // queries of the released targets at the last check
 }
 
-// windowCounts is what a target's counts grew by in a window.
+// windowCounts is the growth of a target's counts in a window.
 type windowCounts struct {
 	Target
 	zone    string
@@ -46,7 +46,7 @@
 	classes []Counts
 }
 
-// countsOf is a target's growth in a group, for a metric.
+// countsOf returns the queries in a group, and those that went wrong by a metric.
 func (w *windowCounts) countsOf(g *group, m Metric) (queries, bad float64) {
 	if g.zone != "" && g.zone != w.zone {
 		return 0, 0
@@ -60,14 +60,15 @@
 	return queries, bad
 }
 
-// addWindow adds what each target's counts grew by in the same time. Something outside (a node dies, load doubles) makes all
-// brokers fail more for a while; the released are held against the controls of the same window, so that this cancels.
+// addWindow adds the counts of all targets in one window. An outside cause (a node fails, load doubles) makes all brokers fail more for a
+// while; comparing released targets with the controls of the same window cancels this out.
 func (g *group) addWindow(window []windowCounts, minControls int) {
 	for m := range metricCount {
 		g.addMetric(window, m, minControls)
 	}
 }
 
+// addMetric adds a window to the evidence of one metric, unless fewer than minControls controls had queries.
 func (g *group) addMetric(window []windowCounts, m Metric, minControls int) {
 	var queries, bad float64
 	controls := 0
@@ -98,7 +99,7 @@
 	g.expectationVariance[m] += releasedQueries * releasedQueries * rate * (1 - rate) / queries
 }
 
-// sampleFor is a target's sample; one that goes over to the released starts anew.
+// sampleFor returns a target's sample. It resets the sample of a target that has changed sides.
 func (g *group) sampleFor(w *windowCounts, m Metric) *sample {
 	if g.sampleByTarget[m] == nil {
 		g.sampleByTarget[m] = map[Target]*sample{}
@@ -122,38 +123,39 @@
 	s.variance += queries * rate * (1 - rate)
 }
 
-// GateResult is what a gate found.
+// GateResult is the result of a check of one gate.
 type GateResult struct {
 	Group          string
-	Metric         Metric  // not set by check: MetricUnserved in every result
-	Queries        float64 // of the released
+	Metric         Metric  // check does not set this: MetricUnserved in every result
+	Queries        float64 // of the released targets
 	Bad            float64
-	Expected       float64 // by the controls, at the same time
-	Overdispersion float64 // how many times as much as chance alone the brokers differ
+	Expected       float64 // bad queries, by the rate of the controls in the same windows
+	Overdispersion float64 // variance between brokers, as a multiple of that by chance alone
 	Evidence       float64 // in nats
-	Needed         float64 // evidence at which the gate fails
+	Needed         float64 // evidence at which the gate fails, in nats
 }
 
-// String is the result as the reason of a halt tells it.
+// String returns the result as the reason of a halt gives it.
 func (v GateResult) String() string {
 	return fmt.Sprintf("%s: of %.0f searches %.0f %v, expected %.1f by those not yet released; evidence %.1f, %.1f needed, spread %.1f",
 		v.Group, v.Queries, v.Bad, v.Metric, v.Expected, v.Evidence, v.Needed, v.Overdispersion)
 }
 
-// evidenceExcess is by how much the evidence is over what is needed.
+// evidenceExcess returns by how much the evidence exceeds what is needed.
 func (v *GateResult) evidenceExcess() float64 { return v.Evidence - v.Needed }
 
-// sums are over the samples of a metric.
+// sums are sums over the samples of a metric.
 type sums struct {
-	squaredDeviations      float64 // of the controls' distances from what was expected
-	chanceVariance         float64 // variance of the controls by chance alone
+	squaredDeviations      float64 // squares of the controls' deviations from their expected bad queries
+	chanceVariance         float64 // variance of the controls, by chance alone
 	squaredQueries         float64 // squares of the controls' queries
 	controls               float64
-	controlQueries         float64 // of the controls
-	releasedVariance       float64 // of the released by chance alone
-	releasedSquaredQueries float64 // squares of the released's queries
+	controlQueries         float64 // queries of the controls
+	releasedVariance       float64 // variance of the released targets, by chance alone
+	releasedSquaredQueries float64 // squares of the released targets' queries
 }
 
+// sum returns the sums over the samples of a metric, and a result with the totals of the released targets.
 func (g *group) sum(m Metric) (s sums, v GateResult) {
 	v.Group = g.name
 	for _, t := range g.samples[m] {
@@ -176,15 +178,15 @@
 }
 
 const (
-	minGrowthToCheck      = 1.25 // a check is made when there is a quarter more to look at
-	fewControlsCorrection = 4    // few controls tell less surely how much they differ
+	minGrowthToCheck      = 1.25 // a check is made once there are a quarter more queries than at the last
+	fewControlsCorrection = 4    // few controls give a less certain estimate of how much they differ
 	minOverdispersion     = 1e-9 // keeps the evidence finite
 )
 
-// check holds what is released against what was expected. Brokers differ by more than chance, for reasons of their own, so that a
-// thousand queries of three brokers are not a thousand independent ones; how much they do is estimated from the controls, in both
-// forms that it has (noise that comes and goes, and brokers that are worse for good), and the greater counts. Who checks often
-// enough finds what chance makes: the k-th check may raise a false alarm with a share of 1/k(k+1) of what all together may.
+// check compares the bad queries of the released targets with the expected ones. Brokers differ by more than chance, so a thousand queries
+// of three brokers are not a thousand independent samples. How much brokers differ is estimated from the controls in two ways (as
+// temporary noise, and as lasting differences between brokers), and the greater estimate is used. Since repeated checks would eventually
+// find a difference by chance, the k-th check may use only 1/(k(k+1)) of the rate of false alarms that all checks together may have.
 func (g *group) check(m Metric, tolerance, falseAlarmRate float64) (v GateResult, fails bool) {
 	s, v := g.sum(m)
 	if v.Queries < minGrowthToCheck*g.queriesAtCheck[m] || v.Queries == 0 || s.chanceVariance == 0 {
@@ -199,18 +201,19 @@
 	if v.Bad <= expected {
 		return v, false
 	}
-	// Chernoff's bound of a Poisson count's tail, with the overdispersion in place of its variance: it holds for few and for many.
+	// The Chernoff bound of a Poisson count's tail, scaled by the overdispersion; it is valid for small and for large counts.
 	ratio := v.Bad / expected
 	v.Evidence = expected * (ratio*math.Log(ratio) - ratio + 1) / max(variance/expected, minOverdispersion)
 	return v, v.Evidence >= v.Needed
 }
 
-// totalVariance is that of the released's bad queries, by the greater of two estimates of how much brokers differ.
+// totalVariance returns the variance of the released targets' bad queries, by the greater of two estimates of how much brokers differ.
 func (s *sums) totalVariance(released, expectationVariance float64) float64 {
 	correctedDeviations := s.squaredDeviations * (1 + fewControlsCorrection/s.controls)
-	byNoise := (s.releasedVariance + expectationVariance) * max(1, correctedDeviations/s.chanceVariance)
-	// How much brokers differ for good; the controls may be better ones by chance.
+	noise := (s.releasedVariance + expectationVariance) * max(1, correctedDeviations/s.chanceVariance)
+	// Lasting differences between brokers; the controls may be the better brokers by chance.
 	variancePerBroker := max(0, correctedDeviations-s.chanceVariance) / s.squaredQueries
-	byLastingDifference := s.releasedVariance + expectationVariance + variancePerBroker*(s.releasedSquaredQueries+released*released*s.squaredQueries/(s.controlQueries*s.controlQueries))
-	return max(byNoise, byLastingDifference)
+	lasting := s.releasedVariance + expectationVariance +
+		variancePerBroker*(s.releasedSquaredQueries+released*released*s.squaredQueries/(s.controlQueries*s.controlQueries))
+	return max(noise, lasting)
 }
--- a/internal/decision/release/golden_run_test.go
+++ b/internal/decision/release/golden_run_test.go
@@ -9,17 +9,17 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// goldenBroker is a broker of a sequence.
+// goldenBroker is a simulated broker of a golden run.
 type goldenBroker struct {
 	slot        statemachine.Slot
 	incarnation uint64
 	version     string
 	classes     []Counts
-	failureRate float64 // share that it fails by itself
+	failureRate float64 // share of queries that it fails regardless of version
 	returnsAt   time.Duration
 }
 
-// goldenRun is one pseudo-random course of a release over the real state machine.
+// goldenRun is one pseudo-random run of releases over the real state machine.
 type goldenRun struct {
 	rng           *rand.Rand
 	out           io.Writer
@@ -30,7 +30,7 @@
 	now           time.Duration
 	term          uint64
 	sequence      uint64
-	extraFailures float64 // share that version 2 fails on top
+	extraFailures float64 // additional share of queries that version 2 fails
 	nodeList      NodeList
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// stepBroker is a turn of a broker: it comes back, serves, goes by its permit, or is lost.
+// stepBroker simulates one step of a broker: it returns, serves, goes out with its permit, or is lost.
 func (g *goldenRun) stepBroker(b *goldenBroker) {
 	if b.returnsAt > 0 {
 		if g.now >= b.returnsAt {
@@ -170,7 +170,7 @@
 	}
 }
 
-// stepNodeList has a broker's node list move now and then.
+// stepNodeList changes the node list occasionally, and proposes what follows from it.
 func (g *goldenRun) stepNodeList() {
 	before := g.nodeList
 	if g.nodeList.Nodes == nil || g.oneIn(25) {
--- a/internal/decision/release/golden_test.go
+++ b/internal/decision/release/golden_test.go
@@ -14,14 +14,14 @@
 
 const (
 	goldenBlocks    = 100
-	goldenSequences = 10 // a block
+	goldenSequences = 10 // per block
 	goldenSteps     = 240
 	goldenStep      = 250 * time.Millisecond
 	goldenSeed      = 47
 	goldenNodes     = 6
 )
 
-// goldenDigests is one digest a block of sequences.
+// goldenDigests returns one digest per block of sequences.
 func goldenDigests() string {
 	var all strings.Builder
 	for block := range goldenBlocks {
@@ -35,7 +35,7 @@
 	return all.String()
 }
 
-// What planners and node lists propose over 1,000 pseudo-random courses of a minute is what commit 1a4b6be proposed.
+// The proposals of planners and node lists in 1,000 pseudo-random runs of a minute equal those recorded at commit 1a4b6be.
 func TestGolden(t *testing.T) {
 	want, err := os.ReadFile("testdata/golden-1a4b6be.txt")
 	if err != nil {
@@ -44,11 +44,11 @@
 	old := strings.Fields(string(want))
 	now := strings.Fields(goldenDigests())
 	if len(old) != len(now) {
-		t.Fatalf("%d blocks recorded, %d played", len(old), len(now))
+		t.Fatalf("%d blocks recorded, %d run", len(old), len(now))
 	}
 	for i := range old {
 		if old[i] != now[i] {
-			t.Errorf("block %d: %s recorded, %s played", i, old[i], now[i])
+			t.Errorf("block %d: digest %s recorded, %s now", i, old[i], now[i])
 		}
 	}
 }
--- a/internal/decision/release/node_list.go
+++ b/internal/decision/release/node_list.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	listSettleTime       = 2 * time.Second // a list that has not changed for so long may be agreed
+	listSettleTime       = 2 * time.Second // a list may be proposed once it has not changed for this long
 	discoveryDrainReason = "discovery drains it"
 )
 
-// NodeList is a broker's node list as discovery reported it.
+// NodeList is a broker's node list as reported by discovery.
 type NodeList struct {
-	Nodes       []statemachine.NodeInfo // in the order of statemachine.CompareNodes
+	Nodes       []statemachine.NodeInfo // sorted by statemachine.CompareNodes
 	Ready       map[statemachine.NodeID]bool
 	StableSince time.Duration // when it last changed
-	Confirmed   bool          // discovery has answered since the start, and in its last call; else the list may be a cached one
+	Confirmed   bool          // the last call to discovery since the start succeeded; else the list may be a cached one
 }
 
-// KeepStableSince takes over the time of the list before, where nothing has changed since.
+// KeepStableSince keeps the StableSince of the previous list if nothing has changed.
 func (l *NodeList) KeepStableSince(before *NodeList) {
 	if slices.EqualFunc(before.Nodes, l.Nodes, sameNode) && maps.Equal(before.Ready, l.Ready) {
 		l.StableSince = before.StableSince
@@ -32,8 +32,9 @@
 	return a.Node == b.Node && a.Zone == b.Zone && slices.Equal(a.Shards, b.Shards)
 }
 
-// NextEntries is what to propose: the list, where it differs from the agreed one, else which nodes discovery drains or has back. A
-// leader that has no list yet, or a cached one, proposes nothing: it would remove nodes for everybody.
+// NextEntries returns the entries to propose: the list if it differs from the agreed one, else the nodes that discovery drains or has
+// returned to service. With no list, a cached one or one that has just changed, it returns none, as that could remove live nodes for all
+// brokers.
 func (l *NodeList) NextEntries(s *statemachine.State, now time.Duration) (entries []statemachine.Entry) {
 	if !l.Confirmed || len(l.Nodes) == 0 || now-l.StableSince < listSettleTime {
 		return nil
--- a/internal/decision/release/permits.go
+++ b/internal/decision/release/permits.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// openSteps are those of the batches that are open.
+// openSteps returns the steps of the open batches.
 func openSteps(r *statemachine.Release) []statemachine.ReleaseStep {
 	return r.Steps[:r.Batches[r.OpenBatch]]
 }
@@ -16,7 +16,7 @@
 	return !slices.ContainsFunc(openSteps(r), func(x statemachine.ReleaseStep) bool { return x.State != statemachine.StepFinished })
 }
 
-// proposePermits proposes as many permits as the plan's limit leaves, in the plan's order.
+// proposePermits returns permits to propose in the plan's order, as many as the plan's limit leaves.
 func (p *Planner) proposePermits(s *statemachine.State, r *statemachine.Release, now time.Duration) (entries []statemachine.Entry) {
 	left := int(r.MaxOut)
 	for _, x := range openSteps(r) {
--- a/internal/decision/release/planner.go
+++ b/internal/decision/release/planner.go
@@ -8,23 +8,23 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// gateReasonPrefix opens the reason of a halt that a gate has made. Leaders of other versions go by it.
+// gateReasonPrefix begins the reason of a halt by a gate. Leaders of other versions recognize such halts by it, so it must not change.
 const gateReasonPrefix = "gate: "
 
-// notFinished is the time at which a batch that is not finished was finished.
+// notFinished is the batchFinishedAt of a batch that is not finished.
 const notFinished = -1
 
-// Planner is a leader's view of the release that runs, with its evidence.
+// Planner is a leader's view of the current release and the evidence about it.
 type Planner struct {
 	settings        Settings
 	term            uint64
 	observingSince  time.Duration
 	reports         map[Target]*reportedCounts
 	groups          []*group
-	releaseNumber   uint64 // that the evidence is of
+	releaseNumber   uint64 // the release that the evidence is about
 	windowStart     time.Duration
 	comparedWindows int
-	stateSince      map[Target]time.Duration // when a target was first seen in the state it is in
+	stateSince      map[Target]time.Duration // when a target was first seen in its current state
 	stepStates      map[Target]statemachine.StepState
 	proposedAt      map[string]time.Duration
 	batchFinishedAt time.Duration // when the open batch was first seen finished
@@ -32,26 +32,26 @@
 	failedGate      *GateResult
 }
 
-// NewPlanner makes the planner of a leader whose LeaderElected of this term was applied.
+// NewPlanner returns the planner of a leader whose LeaderElected entry of this term has been applied.
 func NewPlanner(settings Settings, term uint64, now time.Duration) *Planner {
 	return &Planner{settings: settings, term: term, observingSince: now, windowStart: now, reports: map[Target]*reportedCounts{}}
 }
 
-// RecordReport records what a target counted since its start.
+// RecordReport records a target's counts since its start.
 func (p *Planner) RecordReport(r Report, now time.Duration) {
 	s := p.reports[r.Target]
 	if s == nil || s.latest.Incarnation != r.Incarnation || len(s.latest.Classes) != len(r.Classes) {
-		s = &reportedCounts{compared: r} // what it did before its first report is no evidence of this leader's
+		s = &reportedCounts{compared: r} // counts before its first report to this leader are no evidence
 		p.reports[r.Target] = s
 	}
 	s.latest = r
 	s.fresh = true
 }
 
-// FailedGate is the gate that failed, or nil.
+// FailedGate returns the result of the failed gate with the strongest evidence, or nil.
 func (p *Planner) FailedGate() *GateResult { return p.failedGate }
 
-// reset starts the evidence of another release.
+// reset discards the evidence and starts that of another release.
 func (p *Planner) reset(number uint64, now time.Duration) {
 	p.releaseNumber = number
 	p.observingSince = now
@@ -69,7 +69,7 @@
 	}
 }
 
-// NextEntries is what to propose now, and when to call again.
+// NextEntries returns the entries to propose now, and when to call again.
 func (p *Planner) NextEntries(s *statemachine.State, now time.Duration) (entries []statemachine.Entry, next time.Duration) {
 	next = now + p.settings.CompareWindow/4
 	r, ok := s.Release()
@@ -77,7 +77,7 @@
 		return nil, next
 	}
 	if _, term := s.Leader(); term != p.term {
-		return nil, next // another leads, or this one's LeaderElected is not applied yet
+		return nil, next // another broker leads, or this leader's LeaderElected is not applied yet
 	}
 	if r.Number != p.releaseNumber {
 		p.reset(r.Number, now)
@@ -92,13 +92,13 @@
 	return nil, next
 }
 
-// mustRollBack tells that a gate has halted a release which is to be taken back without an operator. A rollback is not taken back.
+// mustRollBack reports whether a gate has halted a release that is to be rolled back automatically. A rollback itself is not rolled back.
 func (p *Planner) mustRollBack(r *statemachine.Release) bool {
 	return r.State == statemachine.ReleaseHalted && p.settings.AutoRollback && r.RollbackOf == 0 &&
 		strings.HasPrefix(r.Reason, gateReasonPrefix)
 }
 
-// advance is what to propose for a running release.
+// advance returns the entries to propose for a running release.
 func (p *Planner) advance(s *statemachine.State, r *statemachine.Release, now time.Duration) []statemachine.Entry {
 	problem := p.trackSteps(r, now)
 	if now-p.windowStart >= p.settings.CompareWindow {
@@ -124,16 +124,16 @@
 	return p.proposeOnce(nil, &statemachine.OpenNextBatch{Release: r.Number, Term: p.term, Batch: r.OpenBatch + 1}, now)
 }
 
-// mayOpenNext tells that there is a next batch, the pause is over, and the evidence suffices.
+// mayOpenNext reports whether there is a next batch, the pause is over, and there is enough evidence.
 func (p *Planner) mayOpenNext(s *statemachine.State, r *statemachine.Release, now time.Duration) bool {
 	pause := time.Duration(r.PauseMS) * time.Millisecond
 	return int(r.OpenBatch)+1 < len(r.Batches) && now-p.batchFinishedAt >= pause && p.hasEnoughEvidence(s, r)
 }
 
-// proposeOnce adds an entry that was not proposed a moment ago.
+// proposeOnce appends an entry unless it was proposed less than RetryInterval ago.
 func (p *Planner) proposeOnce(entries []statemachine.Entry, e statemachine.Entry, now time.Duration) []statemachine.Entry {
 	key := fmt.Sprintf("%T %v", e, e)
-	if halt, ok := e.(*statemachine.HaltRelease); ok { // whatever the reason
+	if halt, ok := e.(*statemachine.HaltRelease); ok { // the reason may differ
 		key = fmt.Sprint("halt ", halt.Release)
 	}
 	if at, ok := p.proposedAt[key]; ok && now-at < p.settings.RetryInterval {
@@ -143,8 +143,8 @@
 	return append(entries, e)
 }
 
-// trackSteps records since when each step is in its state, and tells what must halt the release: a target that is out for too long,
-// or came back with a wrong version. "": nothing.
+// trackSteps records since when each step has been in its state. It returns a problem that must halt the release, or "": a target has been
+// out for too long, or has returned with a wrong version.
 func (p *Planner) trackSteps(r *statemachine.Release, now time.Duration) (problem string) {
 	if r.OpenBatch != p.openBatch {
 		p.openBatch = r.OpenBatch
@@ -170,8 +170,8 @@
 	return x.Affected && !r.ForNodes && r.To != "" && x.Version != "" && x.Version != r.To
 }
 
-// hasEnoughReports tells whether nine tenths of the serving targets' counts are known to this leader: one that sees a tenth of the
-// tier must not go by what that tenth says.
+// hasEnoughReports reports whether this leader has counts of at least nine tenths of the serving targets: it must not decide on the counts
+// of a small part of the tier.
 func (p *Planner) hasEnoughReports(s *statemachine.State, r *statemachine.Release) bool {
 	if r.Gates == gatesOff {
 		return true
@@ -186,8 +186,8 @@
 	return p.comparedWindows > 0 && known*10 >= len(serving)*9
 }
 
-// hasEnoughEvidence tells whether the released have been seen at work for long enough. Where too few controls are left, or were from
-// the start, nothing can be compared, and the pause alone counts.
+// hasEnoughEvidence reports whether the released targets have served enough queries. With too few controls nothing can be compared, and only
+// the pause delays the next batch.
 func (p *Planner) hasEnoughEvidence(s *statemachine.State, r *statemachine.Release) bool {
 	controls := 0
 	released := 0
@@ -205,7 +205,7 @@
 	return p.releasedQueries() >= p.settings.MinQueries
 }
 
-// releasedQueries is how many queries of the released the evidence has.
+// releasedQueries returns how many queries of released targets are in the evidence.
 func (p *Planner) releasedQueries() (queries float64) {
 	if len(p.groups) == 0 {
 		return 0
--- a/internal/decision/release/release.go
+++ b/internal/decision/release/release.go
@@ -1,20 +1,21 @@
-// Package release decides what a leader proposes next for the release that the state machine holds: permits, the next batch, a halt
-// with its evidence, the rollback. It also proposes the agreed node list.
+// Package release decides what a leader proposes next for the current release of the state machine: permits, the next batch, a halt with
+// its evidence, or the rollback. It also proposes the agreed node list.
 //
 //	reports of brokers ──► growth in a window ──► groups (all, each class, each zone) ──► gates, one a metric
 //	                                                                                       │
 //	state machine ──► trackSteps (overdue, wrong version) ──► NextEntries ◄────────────────┘
 //
-// A gate compares what released targets do with what those not yet released (the controls) do in the same window. All evidence is
-// one leader's: a new leader starts without any.
+// A gate compares the outcomes of queries at released targets with those at targets not released yet (the controls) in the same window. A
+// new leader starts without evidence.
 //
-//	p := release.NewPlanner(settings, term, now)   // when LeaderElected of this term was applied here
-//	p.RecordReport(report, now)                    // whenever a target's counts come
-//	entries, next := p.NextEntries(state, now)     // to be proposed; call again at next, or when the state has changed
+//	p := release.NewPlanner(settings, term, now)   // once LeaderElected of this term is applied here
+//	p.RecordReport(report, now)                    // whenever a target's counts arrive
+//	entries, next := p.NextEntries(state, now)     // propose these; call again at next, or when the state has changed
 //
-// A proposal may be rejected; it counts only once the state machine has it.
+// A proposal may be rejected; it takes effect only once the state machine has applied it.
 //
-// Concurrency: nothing here locks, starts a goroutine, does I/O or reads a clock; a value is used by one goroutine at a time.
+// Concurrency: the package takes no locks, starts no goroutines, does no I/O and reads no clock; a value must be used by one goroutine at
+// a time.
 package release
 
 import (
@@ -24,21 +25,21 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// Settings of gates and pace.
+// Settings are the settings of the gates and the pace of a release.
 type Settings struct {
-	CompareWindow  time.Duration // counts are compared in windows of this
-	ObserveTime    time.Duration // a new leader watches for so long before it issues a permit
-	WarmUpTime     time.Duration // what a broker does for so long after its return counts on no side
-	OverdueAfter   time.Duration // a target that is out for longer halts the release
-	RetryInterval  time.Duration // a proposal of which nothing was seen is made again
-	MinQueries     float64       // of the released, in this leader's evidence, before the next batch opens
-	MinControls    int           // with fewer targets not yet released there is no comparison
-	Tolerance      float64       // share of queries that may go wrong on top, without being called worse
-	FalseAlarmRate float64       // chance of a false alarm in a release, over all gates and checks
-	AutoRollback   bool          // a gate that fails takes the release back without an operator
+	CompareWindow  time.Duration // counts are compared in windows of this length
+	ObserveTime    time.Duration // a new leader observes for this long before it issues a permit
+	WarmUpTime     time.Duration // a broker's counts are ignored for this long after its return
+	OverdueAfter   time.Duration // a target that is out for longer than this halts the release
+	RetryInterval  time.Duration // a proposal without visible effect is repeated after this time
+	MinQueries     float64       // of released targets, in this leader's evidence, before the next batch opens
+	MinControls    int           // with fewer controls nothing is compared
+	Tolerance      float64       // additional share of queries that may go wrong without counting as worse
+	FalseAlarmRate float64       // probability of a false alarm in a release, over all gates and checks
+	AutoRollback   bool          // a failed gate rolls the release back without an operator
 }
 
-// Defaults are settings for brokers with a hundred queries a second or more.
+// Defaults returns settings for brokers that serve at least a hundred queries per second.
 func Defaults() Settings {
 	return Settings{
 		CompareWindow:  time.Second,
@@ -53,10 +54,10 @@
 	}
 }
 
-// gatesOff is the value of a plan's Gates that has no gate halt the release.
+// gatesOff is the value of a plan's Gates with which no gate halts the release.
 const gatesOff = "off"
 
-// Target is a broker or a node.
+// Target identifies a broker or a node.
 type Target struct {
 	Slot    statemachine.Slot
 	ForNode bool
--- a/internal/decision/release/release_test.go
+++ b/internal/decision/release/release_test.go
@@ -12,6 +12,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
+// seeds returns how many seeds a test runs: RELEASE_SEEDS, or fewest.
 func seeds(fewest int) int {
 	if n, err := strconv.Atoi(os.Getenv("RELEASE_SEEDS")); err == nil {
 		return n
@@ -19,9 +20,9 @@
 	return fewest
 }
 
-// A version that fails five queries of a hundred more is halted while under a tenth of 300 brokers have it, within five seconds
-// of the evidence, and in half the seeds of the first search that counts (where all fails at the time it takes more to be sure).
-// All that have it are brought back; never are more out than may be, nobody goes twice.
+// A version that fails five percent more queries is halted before a tenth of 300 brokers have it: within five seconds of the evidence and,
+// in half of the seeds, within five seconds plus WarmUpTime of the first query at the new version (more evidence is needed while all
+// brokers fail). The rollback returns all brokers to the old version; no more are out than allowed, and none goes out twice in a release.
 func TestBadVersion(t *testing.T) {
 	var haltTimes []time.Duration
 	maxAffected, maxAfterEvidence := 0, time.Duration(0)
@@ -30,17 +31,17 @@
 		number := w.plan(10)
 		r := w.run(10 * time.Minute)
 		if r.State != statemachine.ReleaseHalted || !strings.HasPrefix(r.Reason, "gate: ") || w.affected(r) >= 30 {
-			t.Fatalf("seed %d: %v %s, %d touched", seed, r.State, r.Reason, w.affected(r))
+			t.Fatalf("seed %d: release %v, reason %q, %d brokers affected", seed, r.State, r.Reason, w.affected(r))
 		}
 		maxAffected = max(maxAffected, w.affected(r))
 		maxAfterEvidence = max(maxAfterEvidence, w.haltedAt-w.evidenceAt)
 		haltTimes = append(haltTimes, w.haltedAt-w.firstBadAt)
-		for range 20 { // whoever went before comes back
+		for range 20 { // brokers that are out return
 			w.step()
 		}
 		w.apply(&statemachine.RollBackRelease{Release: number, Reason: r.Reason})
 		if r = w.run(10 * time.Minute); r.State != statemachine.ReleaseDone || r.RollbackOf != number {
-			t.Errorf("seed %d: rollback %v %s", seed, r.State, r.Reason)
+			t.Errorf("seed %d: rollback %v, reason %q", seed, r.State, r.Reason)
 		}
 		for _, b := range w.brokers {
 			if b.version != "1" {
@@ -51,15 +52,15 @@
 	}
 	slices.Sort(haltTimes)
 	median, worst := haltTimes[len(haltTimes)/2], haltTimes[len(haltTimes)-1]
-	t.Logf("halted %v after the first search of the bad version, at most %v; at most %v after the evidence; at most %d of 300 touched",
+	t.Logf("median halt %v after the first query at the bad version, at most %v; at most %v after the evidence; at most %d of 300 brokers affected",
 		median, worst, maxAfterEvidence, maxAffected)
 	if maxAfterEvidence > 5*time.Second || median > 5*time.Second+Defaults().WarmUpTime {
-		t.Errorf("halted %v after the evidence, %v after the first search", maxAfterEvidence, median)
+		t.Errorf("halted up to %v after the evidence; median %v after the first query at the bad version", maxAfterEvidence, median)
 	}
 }
 
-// The same version again: brokers differ for good, noise comes and goes, everything fails for a while, leaders change. No gate
-// fails. A test that takes all queries for independent throws raises false alarms here.
+// A release of an equivalent version raises no false alarm, although brokers differ lastingly, noise varies, all brokers fail for a while,
+// and leaders change. A test that assumes independent queries does raise false alarms here.
 func TestSameVersion(t *testing.T) {
 	alarms, naive, longest := 0, 0, time.Duration(0)
 	n := uint64(seeds(10))
@@ -77,7 +78,7 @@
 			alarms++
 			t.Logf("seed %d: %s", seed, r.Reason)
 		} else if r.State != statemachine.ReleaseDone {
-			t.Errorf("seed %d: %v, %d touched", seed, r.State, w.affected(r))
+			t.Errorf("seed %d: release %v, %d brokers affected", seed, r.State, w.affected(r))
 		}
 		if w.naiveAlarm {
 			naive++
@@ -85,13 +86,13 @@
 		longest = max(longest, w.now)
 		w.checkLimits(10)
 	}
-	t.Logf("%d false alarms in %d releases of 300 brokers, by independent throws %d; the longest took %v", alarms, n, naive, longest)
+	t.Logf("%d false alarms in %d releases of 300 brokers, %d by the test that assumes independent queries; the longest release took %v", alarms, n, naive, longest)
 	if alarms > int(n)/100 || naive == 0 {
-		t.Errorf("%d false alarms, by the planted fault %d", alarms, naive)
+		t.Errorf("%d false alarms, %d by the test that assumes independent queries", alarms, naive)
 	}
 }
 
-// A new leader lets nobody go before it has watched by itself, and before it knows the counts of nearly all.
+// A new leader issues no permit before it has observed for ObserveTime, or without reports of nine tenths of the targets.
 func TestNewLeader(t *testing.T) {
 	w := newSimulatedTier(t, 1, 20, 100, 0)
 	w.plan(2)
@@ -103,7 +104,7 @@
 			w.planner.RecordReport(Report{Target: Target{Slot: o.slot}, Incarnation: 1, Classes: []Counts{counts}}, w.now)
 		}
 		if all, _ := w.planner.NextEntries(w.state, w.now); len(all) > 0 {
-			t.Fatalf("it proposes %v after %v, with 17 of 20 known", all, w.now-began)
+			t.Fatalf("proposed %v after %v, with reports of 17 of 20 brokers", all, w.now-began)
 		}
 		if w.now-began > 20*time.Second {
 			break
@@ -115,30 +116,31 @@
 		w.step()
 	}
 	if took := w.now - began; took < Defaults().ObserveTime || took > Defaults().ObserveTime+2*time.Second || b.incarnation != 1 {
-		t.Errorf("the first proposal after %v", took)
+		t.Errorf("first proposal %v after the election", took)
 	}
 }
 
-// A release of nodes over two cells goes to its end though both hold the same shards, two ready replicas of each at every moment.
-// Without a minimum the check finds fewer.
+// A release of nodes in two cells that hold the same shards finishes with two ready replicas of each shard at all times. Without a minimum,
+// the check finds fewer.
 func TestNodeRelease(t *testing.T) {
 	if fewest, r := releaseNodes(t, 2); r.State != statemachine.ReleaseDone || fewest < 2 {
-		t.Errorf("%d ready replicas, %v: %+v", fewest, r.State, r.Steps)
+		t.Errorf("at least %d ready replicas, release %v: %+v", fewest, r.State, r.Steps)
 	}
 	if fewest, _ := releaseNodes(t, 0); fewest >= 2 {
-		t.Errorf("%d ready replicas where no minimum is kept", fewest)
+		t.Errorf("at least %d ready replicas although no minimum is set", fewest)
 	}
 }
 
-// More out at once than may be are seen.
+// The simulation detects more targets out at once than another limit allows.
 func TestExcessOutIsDetected(t *testing.T) {
 	w := newSimulatedTier(t, 1, 60, 100, 0)
 	w.plan(12)
 	if w.run(10 * time.Minute); w.maxOut <= 10 {
-		t.Errorf("%d out at once where 12 may be", w.maxOut)
+		t.Errorf("at most %d brokers out at once, want more than 10 as the plan allows 12", w.maxOut)
 	}
 }
 
+// releaseNodes runs a release of eight nodes, and returns the fewest ready replicas that a shard had.
 func releaseNodes(t *testing.T, minReadyReplicas uint32) (fewest int, r statemachine.Release) {
 	fewest = 9
 	w := newSimulatedTier(t, 1, 3, 100, 0)
--- a/internal/decision/release/simulated_tier_test.go
+++ b/internal/decision/release/simulated_tier_test.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// simulatedTier is a tier in virtual time: what the planner proposes is applied a little later, brokers that may go are away for a while.
+// simulatedTier is a tier in virtual time: brokers serve queries, report, go out with their permits, and return two seconds later.
 type simulatedTier struct {
 	t                 *testing.T
 	rng               *rand.Rand
@@ -20,14 +20,14 @@
 	now               time.Duration
 	sequence          uint64
 	brokers           []*simulatedBroker
-	queryRate         float64 // queries of a broker in a second
-	extraFailureRate  float64 // share that the new version fails on top
-	commonFailureRate float64 // what fails everywhere just now
-	naiveAlarm        bool    // queries taken for independent throws, and no account of looks, would have raised an alarm
-	maxOut            int     // were out at once
+	queryRate         float64 // queries per second and broker
+	extraFailureRate  float64 // additional share of queries that the new version fails
+	commonFailureRate float64 // share of queries that every broker currently fails in addition
+	naiveAlarm        bool    // the test that assumes independent queries and ignores repeated checks would have raised an alarm
+	maxOut            int     // most brokers out at once so far
 	leftCount         map[[2]uint64]int
-	firstBadAt        time.Duration // when a broker of the new version first failed on top
-	evidenceAt        time.Duration // when a gate, had it looked in each window, would have failed first
+	firstBadAt        time.Duration // when a broker of the new version first served
+	evidenceAt        time.Duration // when a gate would first have failed, had it checked in each step
 	haltedAt          time.Duration
 	proposals         int
 }
@@ -36,9 +36,9 @@
 	slot        statemachine.Slot
 	incarnation uint64
 	version     string
-	failureRate float64 // what it fails by itself, for good
+	failureRate float64 // share of queries that it always fails, regardless of version
 	counts      Counts
-	returnsAt   time.Duration // when it comes back; 0: it is there
+	returnsAt   time.Duration // when it returns; 0: it is not out
 }
 
 func newSimulatedTier(t *testing.T, seed uint64, brokers int, queryRate, extraFailureRate float64) *simulatedTier {
@@ -81,7 +81,7 @@
 		Batches: DefaultBatches(len(w.brokers)), MaxOut: maxOut, PauseMS: 5000}).Number
 }
 
-// drawFailures draws how many of n go wrong.
+// drawFailures draws how many of n queries fail.
 func (w *simulatedTier) drawFailures(n, share float64) uint64 {
 	mean, sd := n*share, math.Sqrt(n*share*(1-share))
 	if mean > 30 {
@@ -95,7 +95,7 @@
 	return uint64(min(n, float64(k)))
 }
 
-// step is a quarter of a second.
+// step advances the simulation by a quarter of a second.
 func (w *simulatedTier) step() {
 	w.now += 250 * time.Millisecond
 	if w.rng.IntN(40) == 0 {
@@ -115,7 +115,7 @@
 				w.firstBadAt = w.now
 			}
 		}
-		share += 0.002 * w.rng.ExpFloat64() // noise that comes and goes
+		share += 0.002 * w.rng.ExpFloat64() // temporary noise
 		n := math.Round(w.queryRate / 4 * (0.8 + 0.4*w.rng.Float64()))
 		x := w.drawFailures(n, min(1, share))
 		b.counts.Queries += uint64(n)
@@ -147,7 +147,7 @@
 	}
 }
 
-// anyGateWouldFail tells whether some gate would fail if it looked now, by the threshold of its next look.
+// anyGateWouldFail reports whether a gate would fail if checked now, by the threshold of its next check.
 func (p *Planner) anyGateWouldFail() bool {
 	for _, g := range p.groups {
 		for m := range metricCount {
@@ -161,7 +161,8 @@
 	return false
 }
 
-// naiveTestFails is the planted fault: the usual test of two shares, at one in a thousand, at each look.
+// naiveTestFails reports whether a plain test of two proportions fails at the level of one in a thousand. It assumes independent queries and
+// ignores repeated checks, so it must raise false alarms.
 func (p *Planner) naiveTestFails() bool {
 	var queries, bad, expected, variance float64
 	for _, g := range p.groups[:min(1, len(p.groups))] {
@@ -197,11 +198,11 @@
 func (w *simulatedTier) checkLimits(most int) {
 	w.t.Helper()
 	if w.maxOut > most {
-		w.t.Errorf("%d out at once", w.maxOut)
+		w.t.Errorf("too many brokers out at once: %d", w.maxOut)
 	}
 	for k, n := range w.leftCount {
 		if n > 1 {
-			w.t.Errorf("broker %d went %d times in release %d", k[1], n, k[0])
+			w.t.Errorf("broker %d went out %d times in release %d", k[1], n, k[0])
 		}
 	}
 }
--- a/internal/decision/release/window.go
+++ b/internal/decision/release/window.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// servingTargets are the targets that serve, and on which side of the comparison each is.
+// servingTargets returns the side of the comparison of each target that serves.
 func (p *Planner) servingTargets(s *statemachine.State, r *statemachine.Release) map[Target]releaseSide {
 	sides := map[Target]releaseSide{}
 	if r.ForNodes {
@@ -35,13 +35,13 @@
 		if x.Affected {
 			sides[t] = sideReleased
 		} else {
-			sides[t] = sideExcluded // had the version before: it says nothing of the way there
+			sides[t] = sideExcluded // it had the target version from the start, so it shows no effect of the release
 		}
 	}
 	return sides
 }
 
-// compareWindow takes a window of counts into the evidence, and checks each gate.
+// compareWindow adds a window of counts to the evidence, and checks each gate.
 func (p *Planner) compareWindow(s *statemachine.State, r *statemachine.Release, now time.Duration) {
 	p.windowStart = now
 	window := p.collectWindow(s, r, now)
@@ -56,7 +56,8 @@
 	p.checkGates()
 }
 
-// collectWindow is what the targets' counts grew by since the last window. One that has just returned warms up and is left out.
+// collectWindow returns the growth of the targets' counts since the last window. It leaves out targets that are warming up after their
+// return.
 func (p *Planner) collectWindow(s *statemachine.State, r *statemachine.Release, now time.Duration) (window []windowCounts) {
 	for t, side := range p.servingTargets(s, r) {
 		src := p.reports[t]
@@ -69,13 +70,13 @@
 		}
 		window = append(window, w)
 	}
-	slices.SortFunc(window, func(a, b windowCounts) int { // sums of floats must not depend on the order of a map
+	slices.SortFunc(window, func(a, b windowCounts) int { // sums of floats must not depend on map order
 		return cmp.Or(cmp.Compare(a.Slot, b.Slot), bytes.Compare(a.Node.Addr[:], b.Node.Addr[:]), cmp.Compare(a.Node.Port, b.Node.Port))
 	})
 	return window
 }
 
-// takeWindow is what the counts grew by; it counts once.
+// takeWindow returns the growth of the counts since the last window, and begins the next.
 func (s *reportedCounts) takeWindow(t Target, side releaseSide) windowCounts {
 	w := windowCounts{Target: t, zone: s.latest.Zone, side: side}
 	for i, c := range s.latest.Classes {
@@ -86,6 +87,7 @@
 	return w
 }
 
+// checkGates checks every gate and records the failed one with the strongest evidence.
 func (p *Planner) checkGates() {
 	rate := p.settings.FalseAlarmRate / float64(len(p.groups)*int(metricCount))
 	for _, g := range p.groups {
@@ -98,7 +100,7 @@
 	}
 }
 
-// addGroups makes the groups that a window shows: all queries, each class, each zone.
+// addGroups adds the groups that occur in a window: all queries, each class, and each zone.
 func (p *Planner) addGroups(window []windowCounts) {
 	zones := map[string]bool{}
 	classes := 0
