--- a/internal/decision/release/gate.go
+++ b/internal/decision/release/gate.go
@@ -135,7 +135,7 @@
 	Needed         float64 // evidence at which the gate fails, in nats
 }
 
-// String returns the result as the reason of a halt gives it.
+// String returns the result as the reason of a halt gives it. Its words are older ones (searches are queries), as log entries contain them.
 func (v GateResult) String() string {
 	return fmt.Sprintf("%s: of %.0f searches %.0f %v, expected %.1f by those not yet released; evidence %.1f, %.1f needed, spread %.1f",
 		v.Group, v.Queries, v.Bad, v.Metric, v.Expected, v.Evidence, v.Needed, v.Overdispersion)
@@ -158,21 +158,21 @@
 // sum returns the sums over the samples of a metric, and a result with the totals of the released targets.
 func (g *group) sum(m Metric) (s sums, v GateResult) {
 	v.Group = g.name
-	for _, t := range g.samples[m] {
-		if t.side == sideControl {
-			deviation := t.bad - t.expected
+	for _, sample := range g.samples[m] {
+		if sample.side == sideControl {
+			deviation := sample.bad - sample.expected
 			s.squaredDeviations += deviation * deviation
-			s.chanceVariance += t.variance
-			s.squaredQueries += t.queries * t.queries
+			s.chanceVariance += sample.variance
+			s.squaredQueries += sample.queries * sample.queries
 			s.controls++
-			s.controlQueries += t.queries
+			s.controlQueries += sample.queries
 			continue
 		}
-		v.Queries += t.queries
-		v.Bad += t.bad
-		v.Expected += t.expected
-		s.releasedVariance += t.variance
-		s.releasedSquaredQueries += t.queries * t.queries
+		v.Queries += sample.queries
+		v.Bad += sample.bad
+		v.Expected += sample.expected
+		s.releasedVariance += sample.variance
+		s.releasedSquaredQueries += sample.queries * sample.queries
 	}
 	return s, v
 }
--- a/internal/decision/release/golden_run_test.go
+++ b/internal/decision/release/golden_run_test.go
@@ -189,8 +189,8 @@
 	g.propose(g.nodeList.NextEntries(g.state, g.now))
 }
 
-func (g *goldenRun) propose(all []statemachine.Entry) {
-	for _, e := range all {
+func (g *goldenRun) propose(entries []statemachine.Entry) {
+	for _, e := range entries {
 		g.out.Write(statemachine.Encode(statemachine.ProposalID{}, e))
 		if !g.oneIn(8) {
 			fmt.Fprintln(g.out, g.apply(e))
--- a/internal/decision/release/permits.go
+++ b/internal/decision/release/permits.go
@@ -19,17 +19,17 @@
 // proposePermits returns permits to propose in the plan's order, as many as the plan's limit leaves.
 func (p *Planner) proposePermits(s *statemachine.State, r *statemachine.Release, now time.Duration) (entries []statemachine.Entry) {
 	left := int(r.MaxOut)
-	for _, x := range openSteps(r) {
-		if x.State == statemachine.StepPermitted || x.State == statemachine.StepOut {
+	for _, step := range openSteps(r) {
+		if step.State == statemachine.StepPermitted || step.State == statemachine.StepOut {
 			left--
 		}
 	}
-	for _, x := range openSteps(r) {
-		if x.State != statemachine.StepPending || left <= 0 {
+	for _, step := range openSteps(r) {
+		if step.State != statemachine.StepPending || left <= 0 {
 			continue
 		}
-		e := &statemachine.IssuePermit{Release: r.Number, Term: p.term, Slot: x.Slot, ForNode: r.ForNodes, Node: x.Node}
-		if b, ok := s.Broker(x.Slot); ok && !r.ForNodes {
+		e := &statemachine.IssuePermit{Release: r.Number, Term: p.term, Slot: step.Slot, ForNode: r.ForNodes, Node: step.Node}
+		if b, ok := s.Broker(step.Slot); ok && !r.ForNodes {
 			e.Incarnation = b.Incarnation
 		}
 		if s.CheckPermit(e) == nil {
--- a/internal/decision/release/planner.go
+++ b/internal/decision/release/planner.go
@@ -150,24 +150,24 @@
 		p.openBatch = r.OpenBatch
 		p.batchFinishedAt = notFinished
 	}
-	for _, x := range r.Steps {
-		t := targetOf(r, x)
-		if state, known := p.stepStates[t]; !known || state != x.State {
-			p.stepStates[t] = x.State
+	for _, step := range r.Steps {
+		t := targetOf(r, step)
+		if state, known := p.stepStates[t]; !known || state != step.State {
+			p.stepStates[t] = step.State
 			p.stateSince[t] = now
 		}
 		switch {
-		case x.State == statemachine.StepOut && now-p.stateSince[t] > p.settings.OverdueAfter:
+		case step.State == statemachine.StepOut && now-p.stateSince[t] > p.settings.OverdueAfter:
 			problem = fmt.Sprintf("%v is out for longer than %v", describeTarget(t), p.settings.OverdueAfter)
-		case x.State == statemachine.StepFinished && hasWrongVersion(r, x):
-			problem = fmt.Sprintf("%v came back with version %s", describeTarget(t), x.Version)
+		case step.State == statemachine.StepFinished && hasWrongVersion(r, step):
+			problem = fmt.Sprintf("%v came back with version %s", describeTarget(t), step.Version)
 		}
 	}
 	return problem
 }
 
-func hasWrongVersion(r *statemachine.Release, x statemachine.ReleaseStep) bool {
-	return x.Affected && !r.ForNodes && r.To != "" && x.Version != "" && x.Version != r.To
+func hasWrongVersion(r *statemachine.Release, step statemachine.ReleaseStep) bool {
+	return step.Affected && !r.ForNodes && r.To != "" && step.Version != "" && step.Version != r.To
 }
 
 // hasEnoughReports reports whether this leader has counts of at least nine tenths of the serving targets: it must not decide on the counts
--- a/internal/decision/release/simulated_tier_test.go
+++ b/internal/decision/release/simulated_tier_test.go
@@ -134,11 +134,11 @@
 	}
 	w.maxOut = max(w.maxOut, out)
 	w.naiveAlarm = w.naiveAlarm || w.planner.naiveTestFails()
-	all, _ := w.planner.NextEntries(w.state, w.now)
+	entries, _ := w.planner.NextEntries(w.state, w.now)
 	if w.evidenceAt == 0 && (w.planner.FailedGate() != nil || w.planner.anyGateWouldFail()) {
 		w.evidenceAt = w.now
 	}
-	for _, e := range all {
+	for _, e := range entries {
 		w.proposals++
 		w.apply(e)
 	}
--- a/internal/decision/release/window.go
+++ b/internal/decision/release/window.go
@@ -27,12 +27,12 @@
 			}
 		}
 	}
-	for _, x := range r.Steps {
-		t := targetOf(r, x)
-		if _, serves := sides[t]; !serves || x.State != statemachine.StepFinished {
+	for _, step := range r.Steps {
+		t := targetOf(r, step)
+		if _, serves := sides[t]; !serves || step.State != statemachine.StepFinished {
 			continue
 		}
-		if x.Affected {
+		if step.Affected {
 			sides[t] = sideReleased
 		} else {
 			sides[t] = sideExcluded // it had the target version from the start, so it shows no effect of the release
@@ -60,11 +60,11 @@
 // return.
 func (p *Planner) collectWindow(s *statemachine.State, r *statemachine.Release, now time.Duration) (window []windowCounts) {
 	for t, side := range p.servingTargets(s, r) {
-		src := p.reports[t]
-		if src == nil || !src.fresh {
+		counts := p.reports[t]
+		if counts == nil || !counts.fresh {
 			continue
 		}
-		w := src.takeWindow(t, side)
+		w := counts.takeWindow(t, side)
 		if side == sideReleased && now-p.stateSince[t] < p.settings.WarmUpTime {
 			continue
 		}
--- a/internal/decision/statemachine/apply.go
+++ b/internal/decision/statemachine/apply.go
@@ -7,8 +7,8 @@
 	maxEntryBytes = 4 << 20 // maximum size of an encoded entry
 )
 
-// Apply applies the encoded entry at a log index. An entry whose Result has an error changes at most the applied index. The result is the
-// same on every broker of the same program version.
+// Apply applies the encoded entry at a log index. An entry whose Result has an error changes at most the applied index and the stored
+// results, or stops the state machine. The result is the same on every broker of the same program version.
 func (s *State) Apply(index uint64, data []byte) Result {
 	if s.stoppedBy != nil {
 		return Result{Err: s.stoppedBy}
--- a/internal/decision/statemachine/bench_test.go
+++ b/internal/decision/statemachine/bench_test.go
@@ -8,10 +8,10 @@
 
 // fullTier returns a tier of 300 brokers and 200 nodes with 20,000 rows of grants, and the entries that renew each grant.
 func fullTier(b *testing.B) (*State, [][]byte) {
-	s, seq := New(), uint64(0)
-	enc := func(e Entry) []byte { seq++; return Encode(ProposalID{0, 1, seq}, e) }
+	s, sequence := New(), uint64(0)
+	encode := func(e Entry) []byte { sequence++; return Encode(ProposalID{0, 1, sequence}, e) }
 	apply := func(e Entry) {
-		if r := s.Apply(s.AppliedIndex()+1, enc(e)); r.Err != nil {
+		if r := s.Apply(s.AppliedIndex()+1, encode(e)); r.Err != nil {
 			b.Fatal(r.Err)
 		}
 	}
@@ -27,17 +27,17 @@
 	var repeated [][]byte
 	for number := range uint64(2) {
 		for i := range 300 {
-			var l []LeaseRow
+			var rows []LeaseRow
 			for j := range 66 {
-				l = append(l, LeaseRow{budgets[(i+j*3)%200].Node, fmt.Sprint("tenant", j%50), 1 + number})
+				rows = append(rows, LeaseRow{budgets[(i+j*3)%200].Node, fmt.Sprint("tenant", j%50), 1 + number})
 			}
-			slices.SortFunc(l, CompareLeaseRows)
-			g := &GrantLease{Slot(i), 1, number + 1, l}
+			slices.SortFunc(rows, CompareLeaseRows)
+			grant := &GrantLease{Slot(i), 1, number + 1, rows}
 			if number == 0 {
-				apply(g)
+				apply(grant)
 				apply(&AcknowledgeLease{Slot(i), 1, 1})
 			} else {
-				repeated = append(repeated, enc(g), enc(&AcknowledgeLease{Slot(i), 1, 2}))
+				repeated = append(repeated, encode(grant), encode(&AcknowledgeLease{Slot(i), 1, 2}))
 			}
 		}
 	}
--- a/internal/decision/statemachine/errors.go
+++ b/internal/decision/statemachine/errors.go
@@ -59,8 +59,8 @@
 	return "if the snapshot is of a newer version, start that version of the program; else remove the broker's copy, and the leader sends a new one"
 }
 
-// RejectedError is returned for an entry that every broker rejects in the same way and that changes nothing but the applied index. Detail is
-// stored in snapshots, so its texts must be the same in all versions of a tier.
+// RejectedError is returned for an entry that every broker rejects in the same way. The entry changes nothing but the applied index and the
+// stored results. Those include Detail, so its texts must be the same in all versions of a tier.
 type RejectedError struct {
 	Reason Reason
 	Detail string
@@ -81,6 +81,7 @@
 	return reasonTexts[e.Reason].remedy
 }
 
+// reject returns a *RejectedError. Its formats must not change, so some have older words: units are connections, floors are reserved ones.
 func reject(r Reason, format string, args ...any) error {
 	return &RejectedError{Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/decision/statemachine/golden_run_test.go
+++ b/internal/decision/statemachine/golden_run_test.go
@@ -15,17 +15,17 @@
 	out       io.Writer
 }
 
-func (g *goldenRun) upTo(most int) uint64      { return uint64(g.rng.IntN(most + 1)) }
-func (g *goldenRun) oneIn(n int) bool          { return g.rng.IntN(n) == 0 }
-func (g *goldenRun) mostly(v uint64) uint64    { return g.mostlyExact(v, 12) }
-func (g *goldenRun) node() NodeID              { return testNode(g.rng.IntN(5)) }
-func (g *goldenRun) version() string           { return fmt.Sprint(1 + g.upTo(1)) }
-func (g *goldenRun) rows() (all []LeaseRow)    { return g.rowsOf(int(g.upTo(4))) }
-func (g *goldenRun) budgets() (l []NodeBudget) { return g.budgetsOf(5) }
+func (g *goldenRun) upTo(most int) uint64          { return uint64(g.rng.IntN(most + 1)) }
+func (g *goldenRun) oneIn(n int) bool              { return g.rng.IntN(n) == 0 }
+func (g *goldenRun) maybeOffByOne(v uint64) uint64 { return g.offByOneIn(v, 12) }
+func (g *goldenRun) node() NodeID                  { return testNode(g.rng.IntN(5)) }
+func (g *goldenRun) version() string               { return fmt.Sprint(1 + g.upTo(1)) }
+func (g *goldenRun) rows() (all []LeaseRow)        { return g.rowsOf(int(g.upTo(4))) }
+func (g *goldenRun) budgets() (all []NodeBudget)   { return g.budgetsOf(5) }
 
-// mostlyExact returns v or, once in seldom calls, a value within one of it.
-func (g *goldenRun) mostlyExact(v uint64, seldom int) uint64 {
-	if g.oneIn(seldom) {
+// offByOneIn returns v or, with probability 1/n, a value within one of it.
+func (g *goldenRun) offByOneIn(v uint64, n int) uint64 {
+	if g.oneIn(n) {
 		return v + g.upTo(2) - 1
 	}
 	return v
@@ -96,7 +96,7 @@
 }
 
 func (g *goldenRun) nodeList() *SetNodeList {
-	e := &SetNodeList{Epoch: g.mostlyExact(g.state.Epoch()+1, 8), MinReadyReplicas: uint32(g.upTo(1))}
+	e := &SetNodeList{Epoch: g.offByOneIn(g.state.Epoch()+1, 8), MinReadyReplicas: uint32(g.upTo(1))}
 	for i := range 5 {
 		if g.oneIn(8) {
 			continue
@@ -116,20 +116,20 @@
 		slot = Slot(4095 + g.upTo(1))
 	}
 	broker, _ := g.state.Broker(slot)
-	r, _ := g.state.Release()
+	current, _ := g.state.Release()
 	_, term := g.state.Leader()
-	n, _ := g.state.Node(node)
+	nodeStatus, _ := g.state.Node(node)
 	lease, _ := g.state.Lease(slot)
 	nodePermit, _ := g.state.NodePermit(node)
-	term, release, incarnation, number := g.mostly(term), g.mostly(r.Number), g.mostly(broker.Incarnation), g.mostly(lease.Number)
-	forNode, permit := r.ForNodes, broker.Permit
+	term, release, incarnation, number := g.maybeOffByOne(term), g.maybeOffByOne(current.Number), g.maybeOffByOne(broker.Incarnation), g.maybeOffByOne(lease.Number)
+	forNode, permit := current.ForNodes, broker.Permit
 	if g.oneIn(10) {
 		forNode = !forNode
 	}
 	if forNode {
 		permit = nodePermit.Number
 	}
-	permit = g.mostly(permit)
+	permit = g.maybeOffByOne(permit)
 	newest := uint64(0)
 	policies := g.state.Policies()
 	if policies.Waiting != nil {
@@ -139,17 +139,17 @@
 	}
 	switch g.rng.IntN(52) {
 	case 0:
-		return &LeaderElected{slot, g.mostlyExact(term+1, 6)}
+		return &LeaderElected{slot, g.offByOneIn(term+1, 6)}
 	case 1, 2, 3, 4, 5:
 		name := fmt.Sprint("b", slot)
 		if g.oneIn(30) {
 			name = []string{"", "b0", "b1"}[g.upTo(2)]
 		}
-		return &RegisterBroker{slot, name, g.mostlyExact(broker.Incarnation+1, 8), g.version(), fmt.Sprint("z", slot%2), g.mostlyExact(1, 30)}
+		return &RegisterBroker{slot, name, g.offByOneIn(broker.Incarnation+1, 8), g.version(), fmt.Sprint("z", slot%2), g.offByOneIn(1, 30)}
 	case 6, 7, 8, 9, 10:
 		return &ReturnToService{slot, incarnation, false, node}
 	case 11, 12, 13:
-		return &ReturnToService{slot, g.mostly(max(nodePermit.Number, n.DownIndex)), true, node}
+		return &ReturnToService{slot, g.maybeOffByOne(max(nodePermit.Number, nodeStatus.DownIndex)), true, node}
 	case 14, 15:
 		return &MarkBrokerLost{slot, incarnation, term}
 	case 16:
@@ -161,7 +161,7 @@
 	case 24, 25, 26, 27:
 		return &UsePermit{permit, slot, incarnation, forNode, node}
 	case 28:
-		return &OpenNextBatch{release, term, uint32(g.mostly(uint64(r.OpenBatch + 1)))}
+		return &OpenNextBatch{release, term, uint32(g.maybeOffByOne(uint64(current.OpenBatch + 1)))}
 	case 29:
 		if g.oneIn(2) {
 			return &HaltRelease{release, "halted"}
@@ -172,18 +172,18 @@
 	case 31:
 		return &DrainNode{node, "drained"}
 	case 32, 33, 34:
-		return &AcknowledgeDrain{slot, incarnation, node, g.mostly(n.DrainNumber)}
+		return &AcknowledgeDrain{slot, incarnation, node, g.maybeOffByOne(nodeStatus.DrainNumber)}
 	case 35:
 		if g.oneIn(2) {
 			return &UndrainNode{node}
 		}
 		return &MarkNodeDown{node, "down"}
 	case 36:
-		return &ConnectionPolicy{g.mostlyExact(newest+1, 8), "text", uint32(g.mostlyExact(6, 10)), g.budgets()}
+		return &ConnectionPolicy{g.offByOneIn(newest+1, 8), "text", uint32(g.offByOneIn(6, 10)), g.budgets()}
 	case 37:
 		return &AcknowledgePolicy{slot, incarnation, newest - g.upTo(1)}
 	case 38, 39:
-		return &GrantLease{slot, incarnation, g.mostlyExact(lease.Number+1, 8), g.rows()}
+		return &GrantLease{slot, incarnation, g.offByOneIn(lease.Number+1, 8), g.rows()}
 	case 40:
 		return &AcknowledgeLease{slot, incarnation, number}
 	case 41:
@@ -193,7 +193,7 @@
 	}
 	switch {
 	case g.oneIn(6):
-		return &RaiseProtocol{g.mostlyExact(1, 40)}
+		return &RaiseProtocol{g.offByOneIn(1, 40)}
 	case g.oneIn(3):
 		return g.nodeList()
 	}
--- a/internal/decision/statemachine/lease_model_test.go
+++ b/internal/decision/statemachine/lease_model_test.go
@@ -111,65 +111,65 @@
 		branch(func(c *leaseModel) { c.deliver(k, fault) })
 	}
 	_, term := l.state.Leader()
-	for n, x := range l.leaders {
-		leads := term == x.term
-		for i, h := range l.holders {
-			held, _ := l.state.Lease(Slot(i))
-			if leads && h.requestedAt >= 0 && x.expiring[i] != held.Number { // the leader answers
+	for n, leader := range l.leaders {
+		leads := term == leader.term
+		for i, holder := range l.holders {
+			lease, _ := l.state.Lease(Slot(i))
+			if leads && holder.requestedAt >= 0 && leader.expiring[i] != lease.Number { // the leader answers
 				branch(func(c *leaseModel) {
-					c.holders[i].answers = append(c.holders[i].answers, leaseAnswer{h.requestedAt, c.now})
+					c.holders[i].answers = append(c.holders[i].answers, leaseAnswer{holder.requestedAt, c.now})
 					c.holders[i].requestedAt = -1
 					c.leaders[n].renewed[i] = c.now
 				})
 			}
-			if leads && len(l.inFlight) < 2 && !held.Ended && held.Number > 0 && x.expiring[i] != held.Number &&
-				(fault.expiresEarly || l.now >= x.renewed[i]+leaseDuration) {
+			if leads && len(l.inFlight) < 2 && !lease.Ended && lease.Number > 0 && leader.expiring[i] != lease.Number &&
+				(fault.expiresEarly || l.now >= leader.renewed[i]+leaseDuration) {
 				branch(func(c *leaseModel) {
-					c.leaders[n].expiring[i] = held.Number
-					c.send(&ExpireLease{Slot(i), held.Number, x.term})
+					c.leaders[n].expiring[i] = lease.Number
+					c.send(&ExpireLease{Slot(i), lease.Number, leader.term})
 				})
 			}
 			for _, connections := range []uint64{1, 2} {
-				if leads && n == len(l.leaders)-1 && len(l.inFlight) < 2 && held.Number < 3 {
+				if leads && n == len(l.leaders)-1 && len(l.inFlight) < 2 && lease.Number < 3 {
 					branch(func(c *leaseModel) {
-						c.send(&GrantLease{Slot(i), 1, held.Number + 1, []LeaseRow{{testNode(1), "x", connections}}})
+						c.send(&GrantLease{Slot(i), 1, lease.Number + 1, []LeaseRow{{testNode(1), "x", connections}}})
 					})
 				}
 			}
 		}
 	}
-	for i, h := range l.holders {
-		if h.stopped {
+	for i, holder := range l.holders {
+		if holder.stopped {
 			branch(func(c *leaseModel) { c.holders[i].stopped = false })
 			continue
 		}
-		if h.requestedAt < 0 && len(h.answers) == 0 {
+		if holder.requestedAt < 0 && len(holder.answers) == 0 {
 			branch(func(c *leaseModel) { c.holders[i].requestedAt = c.now })
 		}
-		if len(h.answers) > 0 {
+		if len(holder.answers) > 0 {
 			branch(func(c *leaseModel) {
-				a := c.holders[i].answers[0]
+				answer := c.holders[i].answers[0]
 				c.holders[i].answers = c.holders[i].answers[1:]
-				from := a.requestedAt
+				from := answer.requestedAt
 				if fault.leaseFromAnswer {
 					from = c.now
 				}
 				c.holders[i].expiry = max(c.holders[i].expiry, from+leaseDuration)
 			})
 		}
-		held, _ := l.state.Lease(Slot(i))
-		if held.Number != h.number || held.Ended && h.connections > 0 { // its replica of the state has a newer grant
-			if fault.acknowledgesEarly && !held.Ended {
-				branch(func(c *leaseModel) { c.send(&AcknowledgeLease{Slot(i), 1, held.Number}) }) // acknowledges before it keeps to the grant
+		lease, _ := l.state.Lease(Slot(i))
+		if lease.Number != holder.number || lease.Ended && holder.connections > 0 { // its replica of the state has a newer grant
+			if fault.acknowledgesEarly && !lease.Ended {
+				branch(func(c *leaseModel) { c.send(&AcknowledgeLease{Slot(i), 1, lease.Number}) }) // acknowledges before it keeps to the grant
 			}
 			branch(func(c *leaseModel) {
-				h := &c.holders[i]
-				h.number, h.connections = held.Number, 0
-				for _, r := range held.Granted {
-					h.connections += r.Connections
+				holder := &c.holders[i]
+				holder.number, holder.connections = lease.Number, 0
+				for _, r := range lease.Granted {
+					holder.connections += r.Connections
 				}
-				if !held.Ended {
-					c.send(&AcknowledgeLease{Slot(i), 1, held.Number})
+				if !lease.Ended {
+					c.send(&AcknowledgeLease{Slot(i), 1, lease.Number})
 				}
 			})
 		}
--- a/internal/decision/statemachine/release_model_test.go
+++ b/internal/decision/statemachine/release_model_test.go
@@ -168,52 +168,52 @@
 		branch(func(c *releaseModel) { c.deliver(k, false, injected) })
 		branchFault(func(c *releaseModel) { c.deliver(k, true, injected) })
 	}
-	r, _ := m.state.Release()
+	release, _ := m.state.Release()
 	send := func(e Entry, from int) {
 		if len(m.inFlight) < 3 {
 			branch(func(c *releaseModel) { c.send(e, from) })
 		}
 	}
 	for i := range m.processes {
-		x, slot := m.processes[i], Slot(i)
+		process, slot := m.processes[i], Slot(i)
 		b, _ := m.state.Broker(slot)
 		if b.Status == BrokerServing {
-			send(&IssuePermit{Release: r.Number, Term: m.term, Slot: slot, Incarnation: b.Incarnation}, i)
+			send(&IssuePermit{Release: release.Number, Term: m.term, Slot: slot, Incarnation: b.Incarnation}, i)
 		}
 		permit, ok := m.state.BrokerPermit(slot)
 		switch {
-		case !x.up:
+		case !process.up:
 			if b.Status != BrokerLost {
 				send(&MarkBrokerLost{slot, b.Incarnation, m.term}, i)
 			}
-			if x.incarnation == b.Incarnation { // starts
+			if process.incarnation == b.Incarnation { // starts
 				branch(func(c *releaseModel) {
-					c.processes[i] = modelProcess{incarnation: x.incarnation + 1, up: true}
-					c.send(&RegisterBroker{slot, b.Name, x.incarnation + 1, "2", "z", 1}, i)
+					c.processes[i] = modelProcess{incarnation: process.incarnation + 1, up: true}
+					c.send(&RegisterBroker{slot, b.Name, process.incarnation + 1, "2", "z", 1}, i)
 				})
 			}
-		case x.stopped:
+		case process.stopped:
 			if b.Status != BrokerLost {
 				send(&MarkBrokerLost{slot, b.Incarnation, m.term}, i)
 			}
 			branch(func(c *releaseModel) { c.processes[i].stopped = false; c.leave(i) })
 		default:
-			if b.Status == BrokerReturning && b.Incarnation == x.incarnation {
-				send(&ReturnToService{Slot: slot, Incarnation: x.incarnation}, i)
+			if b.Status == BrokerReturning && b.Incarnation == process.incarnation {
+				send(&ReturnToService{Slot: slot, Incarnation: process.incarnation}, i)
 			}
-			if ok && permit.Incarnation == x.incarnation && !x.proposedUse { // proposed twice, under two sequence numbers
+			if ok && permit.Incarnation == process.incarnation && !process.proposedUse { // proposed twice, under two sequence numbers
 				branch(func(c *releaseModel) {
 					c.processes[i].proposedUse = true
-					c.send(&UsePermit{Permit: permit.Number, Slot: slot, Incarnation: x.incarnation}, i)
-					c.send(&UsePermit{Permit: permit.Number, Slot: slot, Incarnation: x.incarnation}, i)
+					c.send(&UsePermit{Permit: permit.Number, Slot: slot, Incarnation: process.incarnation}, i)
+					c.send(&UsePermit{Permit: permit.Number, Slot: slot, Incarnation: process.incarnation}, i)
 				})
 			}
 			branchFault(func(c *releaseModel) { c.processes[i].up = false })
 			branchFault(func(c *releaseModel) { c.processes[i].stopped = true })
 		}
 	}
-	if r.State == ReleaseRunning {
-		send(&HaltRelease{r.Number, ""}, 0)
+	if release.State == ReleaseRunning {
+		send(&HaltRelease{release.Number, ""}, 0)
 	}
 	branchFault(func(c *releaseModel) { c.send(&LeaderElected{1, c.term + 1}, 0) })
 }
--- a/internal/decision/statemachine/replicas_test.go
+++ b/internal/decision/statemachine/replicas_test.go
@@ -13,9 +13,9 @@
 	small := func(label string, most int) uint64 { return uint64(rapid.IntRange(0, most).Draw(t, label)) }
 	slot, node := Slot(small("slot", 4)), testNode(int(small("node", 3)))
 	broker, _ := s.Broker(slot)
-	r, _ := s.Release()
+	release, _ := s.Release()
 	_, term := s.Leader()
-	n, _ := s.Node(node)
+	nodeStatus, _ := s.Node(node)
 	lease, _ := s.Lease(slot)
 	incarnation := broker.Incarnation + 1 - small("old", 1)
 	forNode := small("on node", 2) == 0
@@ -29,15 +29,15 @@
 		&LeaderElected{slot, term + small("term", 1)},
 		&RegisterBroker{slot, fmt.Sprint("b", slot), broker.Incarnation + 1, fmt.Sprint(small("version", 2)), fmt.Sprint(slot % 2), 1},
 		&ReturnToService{slot, broker.Incarnation, false, node}, &ReturnToService{slot, broker.Incarnation, false, node},
-		&ReturnToService{slot, max(nodePermit.Number, n.DownIndex), true, node},
+		&ReturnToService{slot, max(nodePermit.Number, nodeStatus.DownIndex), true, node},
 		&MarkBrokerLost{slot, incarnation, term}, &RemoveBroker{slot},
 		&ReleasePlan{From: "0", To: "1", Slots: slotRange(int(small("targets", 4))),
 			Batches: []uint32{1, 4}[small("batches", 2)%2*2:], MaxOut: 1 + uint32(small("most", 2))},
 		&ReleasePlan{Nodes: []NodeID{testNode(0), testNode(1), testNode(2)}, MaxOut: 2},
-		&IssuePermit{r.Number, term, slot, broker.Incarnation, forNode, node}, &IssuePermit{r.Number, term, slot, broker.Incarnation, forNode, node},
+		&IssuePermit{release.Number, term, slot, broker.Incarnation, forNode, node}, &IssuePermit{release.Number, term, slot, broker.Incarnation, forNode, node},
 		&UsePermit{permit, slot, broker.Incarnation, forNode, node}, &UsePermit{permit, slot, broker.Incarnation, forNode, node},
-		&OpenNextBatch{r.Number, term, r.OpenBatch + 1}, &HaltRelease{r.Number, "x"}, &ResumeRelease{r.Number}, &RollBackRelease{r.Number, "y"},
-		&DrainNode{node, "z"}, &AcknowledgeDrain{slot, broker.Incarnation, node, n.DrainNumber}, &UndrainNode{node}, &MarkNodeDown{node, "w"},
+		&OpenNextBatch{release.Number, term, release.OpenBatch + 1}, &HaltRelease{release.Number, "x"}, &ResumeRelease{release.Number}, &RollBackRelease{release.Number, "y"},
+		&DrainNode{node, "z"}, &AcknowledgeDrain{slot, broker.Incarnation, node, nodeStatus.DrainNumber}, &UndrainNode{node}, &MarkNodeDown{node, "w"},
 		&ConnectionPolicy{small("policy", 20), "text", 5, []NodeBudget{
 			{testNode(0), 10 + small("budget", 30), small("floor", 2)},
 			{testNode(1), 20, 1},
--- a/internal/decision/statemachine/rollback.go
+++ b/internal/decision/statemachine/rollback.go
@@ -30,16 +30,16 @@
 	r.To = old.From
 	r.Slots = nil
 	r.Nodes = nil
-	for _, x := range old.Steps {
-		b := s.findBroker(x.Slot)
-		if !x.Affected || !r.ForNodes && b == nil {
+	for _, oldStep := range old.Steps {
+		b := s.findBroker(oldStep.Slot)
+		if !oldStep.Affected || !r.ForNodes && b == nil {
 			continue
 		}
-		r.Steps = append(r.Steps, r.rollbackStep(x, b))
+		r.Steps = append(r.Steps, r.rollbackStep(oldStep, b))
 		if r.ForNodes {
-			r.Nodes = append(r.Nodes, x.Node)
+			r.Nodes = append(r.Nodes, oldStep.Node)
 		} else {
-			r.Slots = append(r.Slots, x.Slot)
+			r.Slots = append(r.Slots, oldStep.Slot)
 		}
 	}
 	r.Batches = []uint32{uint32(len(r.Steps))}
