--- a/internal/decision/release/gate.go
+++ b/internal/decision/release/gate.go
@@ -150,8 +150,8 @@
 	chanceVariance         float64 // variance of the controls, by chance alone
 	squaredQueries         float64 // squares of the controls' queries
 	controls               float64
-	controlQueries         float64 // queries of the controls
-	releasedVariance       float64 // variance of the released targets, by chance alone
+	queries                float64 // queries of the controls
+	variance               float64 // variance of the released targets, by chance alone
 	releasedSquaredQueries float64 // squares of the released targets' queries
 }
 
@@ -165,13 +165,13 @@
 			s.chanceVariance += sample.variance
 			s.squaredQueries += sample.queries * sample.queries
 			s.controls++
-			s.controlQueries += sample.queries
+			s.queries += sample.queries
 			continue
 		}
 		v.Queries += sample.queries
 		v.Bad += sample.bad
 		v.Expected += sample.expected
-		s.releasedVariance += sample.variance
+		s.variance += sample.variance
 		s.releasedSquaredQueries += sample.queries * sample.queries
 	}
 	return s, v
@@ -196,7 +196,7 @@
 	g.checks[m]++
 	v.Needed = math.Log(g.checks[m] * (g.checks[m] + 1) / falseAlarmRate)
 	variance := s.totalVariance(v.Queries, g.expectationVariance[m])
-	v.Overdispersion = variance / s.releasedVariance
+	v.Overdispersion = variance / s.variance
 	expected := v.Expected + tolerance*v.Queries
 	if v.Bad <= expected {
 		return v, false
@@ -209,11 +209,11 @@
 
 // totalVariance returns the variance of the released targets' bad queries, by the greater of two estimates of how much brokers differ.
 func (s *sums) totalVariance(released, expectationVariance float64) float64 {
-	correctedDeviations := s.squaredDeviations * (1 + fewControlsCorrection/s.controls)
-	noise := (s.releasedVariance + expectationVariance) * max(1, correctedDeviations/s.chanceVariance)
+	squaredDeviations := s.squaredDeviations * (1 + fewControlsCorrection/s.controls)
+	noise := (s.variance + expectationVariance) * max(1, squaredDeviations/s.chanceVariance)
 	// Lasting differences between brokers; the controls may be the better brokers by chance.
-	variancePerBroker := max(0, correctedDeviations-s.chanceVariance) / s.squaredQueries
-	lasting := s.releasedVariance + expectationVariance +
-		variancePerBroker*(s.releasedSquaredQueries+released*released*s.squaredQueries/(s.controlQueries*s.controlQueries))
+	variancePerBroker := max(0, squaredDeviations-s.chanceVariance) / s.squaredQueries
+	lasting := s.variance + expectationVariance +
+		variancePerBroker*(s.releasedSquaredQueries+released*released*s.squaredQueries/(s.queries*s.queries))
 	return max(noise, lasting)
 }
--- a/internal/decision/release/simulated_tier_test.go
+++ b/internal/decision/release/simulated_tier_test.go
@@ -41,10 +41,10 @@
 	returnsAt   time.Duration // when it returns; 0: it is not out
 }
 
-func newSimulatedTier(t *testing.T, seed uint64, brokers int, queryRate, extraFailureRate float64) *simulatedTier {
+func newSimulatedTier(t *testing.T, seed uint64, brokers int, queryRate, extraFailures float64) *simulatedTier {
 	w := &simulatedTier{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), state: statemachine.New(),
-		queryRate: queryRate, extraFailureRate: extraFailureRate, leftCount: map[[2]uint64]int{},
+		queryRate: queryRate, extraFailureRate: extraFailures, leftCount: map[[2]uint64]int{},
 	}
 	for i := range brokers {
 		b := &simulatedBroker{slot: statemachine.Slot(i), version: "1", failureRate: 0.004 * w.rng.ExpFloat64()}
@@ -164,15 +164,15 @@
 // naiveTestFails reports whether a plain test of two proportions fails at the level of one in a thousand. It assumes independent queries and
 // ignores repeated checks, so it must raise false alarms.
 func (p *Planner) naiveTestFails() bool {
-	var queries, bad, expected, variance float64
+	var totalQueries, totalBad, expected, variance float64
 	for _, g := range p.groups[:min(1, len(p.groups))] {
 		for _, t := range g.samples[MetricUnserved] {
 			if t.side == sideReleased {
-				queries, bad, expected, variance = queries+t.queries, bad+t.bad, expected+t.expected, variance+t.variance
+				totalQueries, totalBad, expected, variance = totalQueries+t.queries, totalBad+t.bad, expected+t.expected, variance+t.variance
 			}
 		}
 	}
-	return queries > 0 && bad-expected > 3.1*math.Sqrt(variance)
+	return totalQueries > 0 && totalBad-expected > 3.1*math.Sqrt(variance)
 }
 
 func (w *simulatedTier) run(limit time.Duration) statemachine.Release {
--- a/internal/decision/statemachine/golden_run_test.go
+++ b/internal/decision/statemachine/golden_run_test.go
@@ -197,11 +197,11 @@
 	case g.oneIn(3):
 		return g.nodeList()
 	}
-	return g.onNode(term, release)
+	return g.forNode(term, release)
 }
 
-// onNode returns the next entry for a node that has a permit or a drain, or issues a permit to a node.
-func (g *goldenRun) onNode(term, release uint64) Entry {
+// forNode returns the next entry for a node that has a permit or a drain, or issues a permit to a node.
+func (g *goldenRun) forNode(term, release uint64) Entry {
 	for _, d := range g.state.Drains() {
 		p, ok := g.state.NodePermit(d.Node)
 		missing := g.state.MissingDrainAcks(d.Node)
--- a/internal/decision/statemachine/injected_faults_test.go
+++ b/internal/decision/statemachine/injected_faults_test.go
@@ -97,10 +97,10 @@
 	"acknowledged before kept":      {acknowledgesEarly: true},
 	"budget not kept": {apply: func(s *State, e Entry, apply func() Result) Result {
 		if _, ok := e.(*GrantLease); ok && s.findNode(testNode(1)) != nil {
-			leased := s.findNode(testNode(1)).leased
+			actual := s.findNode(testNode(1)).leased
 			s.findNode(testNode(1)).leased = 0
 			r := apply()
-			s.findNode(testNode(1)).leased = leased
+			s.findNode(testNode(1)).leased = actual
 			return r
 		}
 		return apply()
--- a/internal/decision/statemachine/lease_explore_test.go
+++ b/internal/decision/statemachine/lease_explore_test.go
@@ -9,7 +9,7 @@
 )
 
 // exploreLeases explores all states of the lease model up to a depth, and returns the first violation.
-func exploreLeases(depth, maxStates int, fault *leaseFault) (states int, violation string) {
+func exploreLeases(depth, maxStates int, fault *leaseFault) (states int, firstViolation string) {
 	if fault.apply == nil {
 		fault.apply = noFault
 	}
@@ -38,16 +38,16 @@
 		var next []*leaseModel
 		for _, x := range level {
 			x.successors(fault, func(c *leaseModel) {
-				if c.violation != "" && violation == "" {
-					violation = fmt.Sprintf("after %d: %s", d+1, c.violation)
+				if c.violation != "" && firstViolation == "" {
+					firstViolation = fmt.Sprintf("after %d: %s", d+1, c.violation)
 				}
-				if k := c.key(seed); !seen[k] && violation == "" {
+				if k := c.key(seed); !seen[k] && firstViolation == "" {
 					seen[k] = true
 					next = append(next, c)
 				}
 			})
-			if violation != "" {
-				return len(seen), violation
+			if firstViolation != "" {
+				return len(seen), firstViolation
 			}
 		}
 		level = next
--- a/internal/decision/statemachine/lease_model_test.go
+++ b/internal/decision/statemachine/lease_model_test.go
@@ -129,10 +129,10 @@
 					c.send(&ExpireLease{Slot(i), lease.Number, leader.term})
 				})
 			}
-			for _, connections := range []uint64{1, 2} {
+			for _, granted := range []uint64{1, 2} {
 				if leads && n == len(l.leaders)-1 && len(l.inFlight) < 2 && lease.Number < 3 {
 					branch(func(c *leaseModel) {
-						c.send(&GrantLease{Slot(i), 1, lease.Number + 1, []LeaseRow{{testNode(1), "x", connections}}})
+						c.send(&GrantLease{Slot(i), 1, lease.Number + 1, []LeaseRow{{testNode(1), "x", granted}}})
 					})
 				}
 			}
--- a/internal/decision/statemachine/release_explore_test.go
+++ b/internal/decision/statemachine/release_explore_test.go
@@ -9,7 +9,7 @@
 )
 
 // exploreReleases explores all states of the release model up to a depth, and returns the first violation.
-func exploreReleases(depth, maxStates int, fault injectedFault) (states int, violation string) {
+func exploreReleases(depth, maxStates int, fault injectedFault) (states int, firstViolation string) {
 	m := &releaseModel{state: New(), term: 1}
 	for i := range m.processes {
 		m.processes[i] = modelProcess{incarnation: 1, up: true}
@@ -30,16 +30,16 @@
 		var next []*releaseModel
 		for _, x := range level {
 			x.successors(fault, func(c *releaseModel) {
-				if c.violation != "" && violation == "" {
-					violation = fmt.Sprintf("after %d: %s", d+1, c.violation)
+				if c.violation != "" && firstViolation == "" {
+					firstViolation = fmt.Sprintf("after %d: %s", d+1, c.violation)
 				}
-				if k := c.key(seed); !seen[k] && violation == "" {
+				if k := c.key(seed); !seen[k] && firstViolation == "" {
 					seen[k] = true
 					next = append(next, c)
 				}
 			})
-			if violation != "" {
-				return len(seen), violation
+			if firstViolation != "" {
+				return len(seen), firstViolation
 			}
 		}
 		level = next
--- a/internal/decision/statemachine/statemachine_test.go
+++ b/internal/decision/statemachine/statemachine_test.go
@@ -183,22 +183,22 @@
 
 // A repeated proposal gets its earlier result. One of an earlier incarnation is rejected.
 func TestProposalAppliedOnce(t *testing.T) {
-	tier := newTestTier(t, 2)
+	b := newTestTier(t, 2)
 	plan := Encode(ProposalID{1, 1, 5}, &ReleasePlan{Slots: slotRange(2), MaxOut: 1})
-	first := tier.state.Apply(100, plan)
-	again := tier.state.Apply(101, plan)
+	first := b.state.Apply(100, plan)
+	again := b.state.Apply(101, plan)
 	if first.Err != nil || first.Duplicate || !again.Duplicate || again.Number != first.Number || again.Err != nil {
 		t.Errorf("%+v, again %+v", first, again)
 	}
 	rejected := Encode(ProposalID{1, 1, 6}, &ResumeRelease{7})
-	if err, errAgain := tier.state.Apply(102, rejected).Err, tier.state.Apply(103, rejected).Err; err == nil || errAgain == nil || err.Error() != errAgain.Error() {
-		t.Errorf("%v, again %v", err, errAgain)
+	if a, b := b.state.Apply(102, rejected).Err, b.state.Apply(103, rejected).Err; a == nil || b == nil || a.Error() != b.Error() {
+		t.Errorf("%v, again %v", a, b)
 	}
-	tier.state.Apply(104, Encode(ProposalID{1, 2, 1}, &ResumeRelease{7}))
-	if r := tier.state.Apply(105, Encode(ProposalID{1, 1, 7}, &HaltRelease{first.Number, ""})); r.Err == nil {
+	b.state.Apply(104, Encode(ProposalID{1, 2, 1}, &ResumeRelease{7}))
+	if r := b.state.Apply(105, Encode(ProposalID{1, 1, 7}, &HaltRelease{first.Number, ""})); r.Err == nil {
 		t.Error("a proposal of an earlier incarnation was accepted")
 	}
-	if r := tier.state.Apply(105, plan); !errors.As(r.Err, new(*AlreadyAppliedError)) {
+	if r := b.state.Apply(105, plan); !errors.As(r.Err, new(*AlreadyAppliedError)) {
 		t.Error(r.Err)
 	}
 }
