--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	leaseInterval  = 100 * time.Millisecond
-	needDecayTime  = 2 * time.Second // of a need that is gone
-	defaultClosing = time.Second     // within which a node notices a close, where no policy says otherwise
+	leaseInterval     = 100 * time.Millisecond
+	demandDecayTime   = 2 * time.Second // of a need that is gone
+	defaultCloseDelay = time.Second     // within which a node notices a close, where no policy says otherwise
 )
 
 // connectionLeases is the extension that divides connections to nodes among brokers: which ones the pool may open by the leases that this
@@ -23,35 +23,35 @@
 type connectionLeases struct {
 	loop             endpointHost
 	holder           *connlease.Holder
-	needs            *connlease.DemandTracker
+	demand           *connlease.DemandTracker
 	streams          int                                                 // attempts that a connection carries at once
-	names            []string                                            // tenants of the settings
+	tenants          []string                                            // tenants of the settings
 	policyTenant     []int                                               // index in the policy by index in the settings; -1: the policy does not name it
 	version          uint64                                              // of the policy that the tenants' indices belong to
 	agreedVersion    uint64                                              // newest policy, in force or waiting
 	grantIncarnation uint64                                              // incarnation whose grants are held
-	floorVersions    [2]uint64                                           // policies whose floors are kept to, the lower of both
-	floors           map[decision.NodeID]int                             // connections to a node that need no lease
-	due              time.Duration                                       // the next tick that does anything
+	reservedVersions [2]uint64                                           // policies whose floors are kept to, the lower of both
+	reserved         map[decision.NodeID]int                             // connections to a node that need no lease
+	nextTick         time.Duration                                       // the next tick that does anything
 	view             *controlplane.View                                  // nil: none was received
-	needReport       atomic.Pointer[[]byte]                              // for load reports
+	demandReport     atomic.Pointer[[]byte]                              // for load reports
 	nodes            atomic.Pointer[map[decision.NodeID]connpolicy.Node] // for the leader's goroutine
 	proposeEntry     func(e statemachine.Entry)                          // must not wait
-	closing          time.Duration                                       // within which a node notices a close
+	closeDelay       time.Duration                                       // within which a node notices a close
 	stopped          bool                                                // nothing is opened any more
-	holdsLogged      bool                                                // it was logged that leases are held
+	holdLogged       bool                                                // it was logged that leases are held
 	proposedAt       time.Duration                                       // when an entry was last proposed, so that it is not proposed with each tick
-	attempts         []attemptShares                                     // by tenant
+	attempts         []attemptCounts                                     // by tenant
 }
 
 func newConnectionLeases(streams int, tenants []string) *connectionLeases {
 	b := &connectionLeases{
-		holder:   connlease.NewHolder(defaultClosing),
-		needs:    connlease.NewDemandTracker(needDecayTime),
-		streams:  streams,
-		names:    tenants,
-		attempts: make([]attemptShares, len(tenants)),
-		closing:  defaultClosing,
+		holder:     connlease.NewHolder(defaultCloseDelay),
+		demand:     connlease.NewDemandTracker(demandDecayTime),
+		streams:    streams,
+		tenants:    tenants,
+		attempts:   make([]attemptCounts, len(tenants)),
+		closeDelay: defaultCloseDelay,
 	}
 	b.holder.SetReserved(nil, 1) // until it is known what is agreed
 	b.mapTenants(nil)
@@ -82,13 +82,13 @@
 
 // mapTenants finds the tenants of the settings in a policy.
 func (b *connectionLeases) mapTenants(tenants []string) {
-	b.policyTenant = make([]int, len(b.names))
+	b.policyTenant = make([]int, len(b.tenants))
 	for i := range b.policyTenant {
 		b.policyTenant[i] = -1
 	}
 	for j, name := range tenants {
-		for i := range b.names {
-			if b.names[i] == name {
+		for i := range b.tenants {
+			if b.tenants[i] == name {
 				b.policyTenant[i] = j
 			}
 		}
@@ -103,7 +103,7 @@
 	k, now := connlease.LeaseKey{Node: node, Tenant: tenant}, b.loop.since()
 	switch b.holder.Open(k, now) {
 	case connlease.OpenDenied:
-		b.needs.Observe(k, float64(b.holder.OpenConnections(k)+1))
+		b.demand.Observe(k, float64(b.holder.OpenConnections(k)+1))
 		b.countAttempts(tenant, 0, 1)
 		return store.No
 	case connlease.OpenLeased:
--- a/internal/server/connection_leases_test.go
+++ b/internal/server/connection_leases_test.go
@@ -23,32 +23,32 @@
 	return l, now
 }
 
-const budgetText = `{"brokers": 2, "nodes": 9, "lease": "6s", "closing": "1s",
+const policyText = `{"brokers": 2, "nodes": 9, "lease": "6s", "closing": "1s",
  "classes": [{"name": "all", "budget": "20", "floor": "2"}], "tenants": [{"name": "quiet"}, {"name": "acme"}]}`
 
 func TestConnectionLeasesHeld(t *testing.T) {
 	l, now := leaseLoop(t)
 	b, one, two := l.connLeases, decision.NodeID{Port: 1}, decision.NodeID{Port: 2}
-	want := func(what string, node decision.NodeID, leaves ...store.Leave) {
+	expectOpens := func(what string, node decision.NodeID, leaves ...store.Leave) {
 		t.Helper()
-		for i, want := range leaves {
-			if got := b.Open(node, 0); got != want {
-				t.Errorf("%s: connection %d: %d, want %d", what, i, got, want)
+		for i, expectOpens := range leaves {
+			if got := b.Open(node, 0); got != expectOpens {
+				t.Errorf("%s: connection %d: %d, want %d", what, i, got, expectOpens)
 			}
 		}
 	}
-	want("nothing is known", one, store.Floor, store.No)
+	expectOpens("nothing is known", one, store.Floor, store.No)
 	view := &controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Self: statemachine.Broker{Incarnation: 3}}
 	b.handleView(view)
-	want("no policy, and the leader in reach", one, store.Floor, store.Floor, store.Floor)
-	policy := &statemachine.ConnectionPolicy{Version: 1, Text: budgetText, MaxBrokers: 2,
+	expectOpens("no policy, and the leader in reach", one, store.Floor, store.Floor, store.Floor)
+	policy := &statemachine.ConnectionPolicy{Version: 1, Text: policyText, MaxBrokers: 2,
 		Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}, {Node: two, Connections: 20, ReservedPerBroker: 2}}}
 	grant := statemachine.ConnectionLease{Incarnation: 3, Number: 1,
 		Granted: []statemachine.LeaseRow{{Node: two, Tenant: "acme", Connections: 2}, {Node: two, Tenant: "else", Connections: 9}}}
 	view = &controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: policy, Lease: grant}
 	b.handleView(view)
-	want("more is open than the floor", one, store.No)
-	want("granted, then the floor", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
+	expectOpens("more is open than the floor", one, store.No)
+	expectOpens("granted, then the floor", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
 	if x := b.holder.ExcessConnections(*now); len(x.Counts) != 1 || x.Counts[0].Connections != 2 || x.Immediate {
 		t.Errorf("to be closed: %+v", x)
 	}
@@ -56,34 +56,34 @@
 	if x := b.holder.ExcessConnections(*now); len(x.Counts) != 2 || x.Counts[1].Connections != 2 || !x.Immediate {
 		t.Errorf("to be closed at the lease's end: %+v", x)
 	}
-	lower := &statemachine.ConnectionPolicy{Version: 2, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 1}}}
+	lower := &statemachine.ConnectionPolicy{Version: 2, Text: policyText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 1}}}
 	b.handleView(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: policy, WaitingPolicy: lower, Lease: grant})
-	if b.floors[one] != 1 || b.floors[two] != 0 || b.agreedVersion != 2 {
-		t.Errorf("floors while a lower policy waits: %v", b.floors)
+	if b.reserved[one] != 1 || b.reserved[two] != 0 || b.agreedVersion != 2 {
+		t.Errorf("floors while a lower policy waits: %v", b.reserved)
 	}
 	b.handleView(&controlplane.View{Index: 8, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: lower, Lease: grant})
-	if b.version != 2 || b.floors[one] != 1 {
-		t.Errorf("floors of the policy that took over: %v", b.floors)
+	if b.version != 2 || b.reserved[one] != 1 {
+		t.Errorf("floors of the policy that took over: %v", b.reserved)
 	}
 	b.release()
-	want("it stops", two, store.No)
+	expectOpens("it stops", two, store.No)
 }
 
 // A broker that was forgotten and comes back is granted from number 1 on again, and holds what it is granted.
 func TestGrantsNumberedAnew(t *testing.T) {
 	l, now := leaseLoop(t)
 	one := decision.NodeID{Port: 1}
-	see := func(incarnation, number, units uint64) {
+	receiveGrant := func(incarnation, number, units uint64) {
 		l.connLeases.handleView(&controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Self: statemachine.Broker{Incarnation: incarnation},
-			Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}}},
+			Policy: &statemachine.ConnectionPolicy{Version: 1, Text: policyText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}}},
 			Lease:  statemachine.ConnectionLease{Incarnation: incarnation, Number: number, Granted: []statemachine.LeaseRow{{Node: one, Tenant: "acme", Connections: units}}}})
 	}
-	see(3, 7, 0)
-	see(3, 6, 1)
+	receiveGrant(3, 7, 0)
+	receiveGrant(3, 6, 1)
 	if l.connLeases.Open(one, 0) != store.Floor {
 		t.Error("an older grant is held")
 	}
-	see(9, 1, 5)
+	receiveGrant(9, 1, 5)
 	if l.connLeases.Open(one, 0) != store.Own || l.connLeases.holder.PendingAck(*now) != 1 {
 		t.Error("the first grant of a new incarnation is not held")
 	}
@@ -99,11 +99,11 @@
 	}
 }
 
-// TestHonestHint has a tenant shed, and let in again exactly when it was told.
-func TestHonestHint(t *testing.T) {
+// TestRetryAfterIsExact has a tenant shed, and let in again exactly when it was told.
+func TestRetryAfterIsExact(t *testing.T) {
 	l, now := leaseLoop(t)
 	b := l.connLeases
-	b.handleView(&controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &statemachine.ConnectionPolicy{Version: 1, Text: budgetText}})
+	b.handleView(&controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Policy: &statemachine.ConnectionPolicy{Version: 1, Text: policyText}})
 	b.countAttempts(0, 40, 30)
 	b.countAttempts(1, 400, 30)
 	after, full := b.overloaded(0)
@@ -114,7 +114,7 @@
 		if _, full = b.overloaded(0); !full {
 			t.Errorf("let in %v before it was told", told-*now)
 		}
-		b.due = 0
+		b.nextTick = 0
 		l.connLeases.tick(*now)
 		*now += leaseInterval
 	}
--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -30,21 +30,21 @@
 
 // Every order of steps: a request that came whole has one whole answer, unless its client departed or the connection was closed with
 // nothing of it read; one whose client departed before it was read is not begun; and the connection ends.
-func TestEveryOrderOfAConnection(t *testing.T) {
+func TestEveryConnectionStepOrder(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	waitUntil(s, func(Counters) bool { return true })
 	orders := 0
-	var extend func(course []connectionStep)
-	extend = func(course []connectionStep) {
-		if len(course) > 0 {
+	var extend func(steps []connectionStep)
+	extend = func(steps []connectionStep) {
+		if len(steps) > 0 {
 			orders++
-			playConnection(t, s, course, fmt.Sprint("a", orders))
+			runConnectionOrder(t, s, steps, fmt.Sprint("a", orders))
 		}
 		for _, next := range []connectionStep{requestBegins, requestCompletes, strayByte, clientDeparts, serverDrains, descriptorNeeded} {
-			behind := slices.Contains(course, clientDeparts) && (next == requestBegins || next == requestCompletes || next == strayByte)
-			early := next == requestCompletes && !slices.Contains(course, requestBegins) || next == strayByte && !slices.Contains(course, requestCompletes)
-			if !slices.Contains(course, next) && !behind && !early {
-				extend(append(slices.Clone(course), next))
+			behind := slices.Contains(steps, clientDeparts) && (next == requestBegins || next == requestCompletes || next == strayByte)
+			early := next == requestCompletes && !slices.Contains(steps, requestBegins) || next == strayByte && !slices.Contains(steps, requestCompletes)
+			if !slices.Contains(steps, next) && !behind && !early {
+				extend(append(slices.Clone(steps), next))
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 	t.Logf("%d orders", orders)
 }
 
-func playConnection(t *testing.T, s *Server, course []connectionStep, id string) {
+func runConnectionOrder(t *testing.T, s *Server, steps []connectionStep, id string) {
 	t.Helper()
 	near, far := tcpPair(t)
 	defer far.Close()
@@ -69,7 +69,7 @@
 		}
 	}
 	closed := false
-	for _, next := range course {
+	for _, next := range steps {
 		switch next {
 		case requestBegins:
 			_, err := io.WriteString(far, text[:30])
@@ -98,22 +98,22 @@
 	answers := httpwire.NewReader(far)
 	m, err := httpwire.ReadResponse(answers)
 	reason := <-ended
-	was := strings.Join(strings.Fields(fmt.Sprint(course)), " ")
+	order := strings.Join(strings.Fields(fmt.Sprint(steps)), " ")
 	taken := s.Counters().Queries.Received - before
-	asked, departed := slices.Index(course, requestCompletes), slices.Index(course, clientDeparts)
+	asked, departed := slices.Index(steps, requestCompletes), slices.Index(steps, clientDeparts)
 	switch {
 	case asked < 0 && taken > 0:
-		t.Errorf("%s: a query was made of what was not whole", was)
+		t.Errorf("%s: a query was made of what was not whole", order)
 	case taken > 1:
-		t.Errorf("%s: %d queries of one request", was, taken)
+		t.Errorf("%s: %d queries of one request", order, taken)
 	case taken == 1 && (err != nil || m.Status != 200) && departed < 0:
-		t.Errorf("%s: taken and not answered whole (%s): %v", was, reason, err)
+		t.Errorf("%s: taken and not answered whole (%s): %v", order, reason, err)
 	case asked >= 0 && taken == 0 && err == nil && m.Status < 400:
-		t.Errorf("%s: answered %d with no query", was, m.Status)
+		t.Errorf("%s: answered %d with no query", order, m.Status)
 	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]ingress.Reason{ingress.Drained, ingress.Spare, ingress.ClientDeparted}, reason):
-		t.Errorf("%s: neither taken nor closed for a reason: %s", was, reason)
+		t.Errorf("%s: neither taken nor closed for a reason: %s", order, reason)
 	}
 	if again, err := httpwire.ReadResponse(answers); err == nil && again.Status == 200 {
-		t.Errorf("%s: two answers", was)
+		t.Errorf("%s: two answers", order)
 	}
 }
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -119,7 +119,7 @@
 
 // Every query whose connection was taken gets its answer, however many come at once: a new connection was closed
 // for the next before its request was read, and with all busy new ones waited until their clients gave up.
-func TestCrowd(t *testing.T) {
+func TestManyClientsAtOnce(t *testing.T) {
 	s, _ := runServer(t, spareSockets+6)
 	statuses := make(chan int, 60)
 	for i := range cap(statuses) {
--- a/internal/server/control_plane.go
+++ b/internal/server/control_plane.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	proposalTimeout      = 5 * time.Second
-	joinTimeout          = time.Second // how long a start waits for what is agreed
-	drainAckRetryTimeout = 200 * time.Millisecond
+	proposalTimeout    = 5 * time.Second
+	joinTimeout        = time.Second // how long a start waits for what is agreed
+	drainAckRetryDelay = 200 * time.Millisecond
 )
 
 // tierControlPlane is a broker's part in the tier's control plane.
 type tierControlPlane struct {
 	*controlplane.Participant
-	keys        *keys.Keyring
-	log         *raftlog.Log // nil: it has no vote
-	released    chan struct{}
-	leaveOnce   sync.Once
-	joined      chan struct{} // closed once the loop has what was agreed when this process registered
-	joinOnce    sync.Once
-	triedPermit atomic.Uint64 // the last permit that was to be used
-	report      atomic.Pointer[controlplane.Report]
-	endpoints   atomic.Pointer[endpointSnapshot]
-	epoch       uint64   // that read pins have
-	background  []func() // goroutines to start with the control plane
+	keys          *keys.Keyring
+	log           *raftlog.Log // nil: it has no vote
+	exitPermitted chan struct{}
+	leaveOnce     sync.Once
+	joined        chan struct{} // closed once the loop has what was agreed when this process registered
+	joinOnce      sync.Once
+	triedPermit   atomic.Uint64 // the last permit that was to be used
+	report        atomic.Pointer[controlplane.Report]
+	endpoints     atomic.Pointer[endpointSnapshot]
+	epoch         uint64   // that read pins have
+	background    []func() // goroutines to start with the control plane
 }
 
 // Voters are those of the operators' file.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	p := &tierControlPlane{keys: ring, released: make(chan struct{}), joined: make(chan struct{})}
+	p := &tierControlPlane{keys: ring, exitPermitted: make(chan struct{}), joined: make(chan struct{})}
 	options := s.controlPlaneOptions(p)
 	if log, votes := LogOptions(o, ring); votes {
 		p.log, err = raftlog.Open(log)
--- a/internal/server/control_plane_run.go
+++ b/internal/server/control_plane_run.go
@@ -58,7 +58,7 @@
 		p.joinOnce.Do(func() { close(p.joined) })
 	}
 	if v.MustExit { // its answer was lost, or the process was stopped before it came
-		s.leaveByPermit(v.Permit)
+		s.shutDownByPermit(v.Permit)
 	}
 	if n := v.Permit.Number; s.operator.Fleet.Exit && n > 0 && !v.Permit.Used && p.triedPermit.Swap(n) != n {
 		s.group.Go(func() error {
@@ -79,15 +79,15 @@
 		s.controlPlane.triedPermit.Store(0) // tried again while it stands, with the next view
 		return
 	}
-	s.leaveByPermit(p)
+	s.shutDownByPermit(p)
 }
 
-// leaveByPermit has this broker shut down as at SIGTERM, once.
-func (s *Server) leaveByPermit(p statemachine.ReleasePermit) {
+// shutDownByPermit has this broker shut down as at SIGTERM, once.
+func (s *Server) shutDownByPermit(p statemachine.ReleasePermit) {
 	s.controlPlane.leaveOnce.Do(func() {
 		slog.Info("shutdown by release permit", "component", "control-plane", "permit", p.Number, "release", p.Release)
 		s.controlPlane.SetLeaving()
-		close(s.controlPlane.released)
+		close(s.controlPlane.exitPermitted)
 	})
 }
 
@@ -101,7 +101,7 @@
 		slog.Info("drain acknowledgement rejected", "component", "control-plane", "node", node, "error", err)
 	}
 	select {
-	case <-time.After(drainAckRetryTimeout):
+	case <-time.After(drainAckRetryDelay):
 	case <-s.ctx.Done():
 	}
 	s.deliver(drainAckFailed{node, number})
@@ -112,5 +112,5 @@
 	if s.controlPlane == nil {
 		return nil
 	}
-	return s.controlPlane.released
+	return s.controlPlane.exitPermitted
 }
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -46,20 +46,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		m := &stateRecorder{state: map[decision.NodeID]decision.EndpointState{}}
-		l := newLoop(time.Now(), m, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
-		hung := func(ctx context.Context, _ string, _ time.Duration) (store.Conn, error) {
+		router := &stateRecorder{state: map[decision.NodeID]decision.EndpointState{}}
+		l := newLoop(time.Now(), router, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
+		hang := func(ctx context.Context, _ string, _ time.Duration) (store.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		l.pool = store.NewPool(ctx, store.Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 9}, hung, l.since,
+		l.pool = store.NewPool(ctx, store.Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 9}, hang, l.since,
 			func(fn func() error) { go fn() }, func(store.Event) {}, l.attemptEnded)
-		under := decoded(t)
-		l.settings = &under
+		settings := decoded(t)
+		l.settings = &settings
 		l.useControlPlane(newControlPlaneView([]string{"a"}))
 		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
-		l.useReadPins(newReadPinTracker(&operator.Fleet{}, &under))
-		hintedTo := func() (to []decision.NodeID) {
+		l.useReadPins(newReadPinTracker(&operator.Fleet{}, &settings))
+		eligible := func() (to []decision.NodeID) {
 			to, _, _ = l.readPins.positions.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
 			return to
 		}
@@ -67,7 +67,7 @@
 		l.controlPlane.proposeAck = func(_ decision.NodeID, number uint64) { acks = append(acks, number) }
 		a, b := discovery.IDOfName("a"), discovery.IDOfName("b")
 		l.handleList(&discovery.List{Full: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Ready)}}, nil)
-		m.to = a
+		router.to = a
 		admit := func(id string) *activeQuery {
 			s := &activeQuery{Request: &query.Request{ID: id, Shards: []query.ShardRequest{{Name: id + ".0", Weight: 1}}}, deadline: l.since() + 5*time.Second,
 				result: make(chan query.Result, 1)}
@@ -79,15 +79,15 @@
 		if l.pool.OutTo(a) != 1 {
 			t.Fatal("nothing is out")
 		}
-		me := statemachine.Broker{Incarnation: 1}
-		l.handle(viewReceived{&controlplane.View{Self: me, Drains: []controlplane.Drain{{Node: a, Number: 5}}}})
+		self := statemachine.Broker{Incarnation: 1}
+		l.handle(viewReceived{&controlplane.View{Self: self, Drains: []controlplane.Drain{{Node: a, Number: 5}}}})
 		l.advance()
 		l.advance()
-		if slices.Contains(hintedTo(), a) {
+		if slices.Contains(eligible(), a) {
 			t.Error("reads with a hint count on a drained node")
 		}
-		if m.state[a] != decision.Draining || m.state[b] != decision.Ready || len(acks) != 0 {
-			t.Fatalf("told %v, acknowledged %v while an attempt is out", m.state, acks)
+		if router.state[a] != decision.Draining || router.state[b] != decision.Ready || len(acks) != 0 {
+			t.Fatalf("told %v, acknowledged %v while an attempt is out", router.state, acks)
 		}
 		time.Sleep(6 * time.Second) // the attempt runs out of time
 		l.advance()
@@ -104,18 +104,18 @@
 		if !slices.Equal(acks, []uint64{5, 5}) {
 			t.Errorf("acknowledged %v", acks)
 		}
-		l.handle(viewReceived{&controlplane.View{Self: me, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
+		l.handle(viewReceived{&controlplane.View{Self: self, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
 		l.handleList(&discovery.List{Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Removed)}}, nil)
 		l.advance()
-		if m.state[a] != decision.Draining || m.state[b] != decision.Removed {
-			t.Errorf("told %v: discovery's word on a node does not end its drain, and a drain revives none", m.state)
+		if router.state[a] != decision.Draining || router.state[b] != decision.Removed {
+			t.Errorf("told %v: discovery's word on a node does not end its drain, and a drain revives none", router.state)
 		}
-		l.handle(viewReceived{&controlplane.View{Self: me}})
+		l.handle(viewReceived{&controlplane.View{Self: self}})
 		l.advance()
-		if m.state[a] != decision.Ready || m.state[b] != decision.Removed {
-			t.Errorf("after the drains told %v", m.state)
+		if router.state[a] != decision.Ready || router.state[b] != decision.Removed {
+			t.Errorf("after the drains told %v", router.state)
 		}
-		if !slices.Contains(hintedTo(), a) {
+		if !slices.Contains(eligible(), a) {
 			t.Error("reads with a hint pass a node by whose drain has ended")
 		}
 	})
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -80,12 +80,12 @@
 	l.extensions[gatewayExtension] = g
 }
 
-// shardHealth is a router that tells whether a shard has an available replica.
-type shardHealth interface{ HasAvailableReplica(shard int) bool }
+// shardAvailability is a router that tells whether a shard has an available replica.
+type shardAvailability interface{ HasAvailableReplica(shard int) bool }
 
 // hasAvailableReplica tells whether the router has a replica for a shard; one that can't tell has.
 func (l *loop) hasAvailableReplica(shard int) bool {
-	r, ok := l.router.(shardHealth)
+	r, ok := l.router.(shardAvailability)
 	return !ok || r.HasAvailableReplica(shard)
 }
 
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -12,15 +12,15 @@
 
 // twoSites is two sites on loopback with a wire from the first to the second.
 type twoSites struct {
-	t     *testing.T
-	dir   string
-	fleet [2]*lab.Fleet
-	at    [2]string // where each listens for the other
-	wire  *lab.Wire
-	live  [2]*Server
-	stop  [2]func() error
-	audit *lab.Audit
-	loads uint64 // each brings queries of its own
+	t           *testing.T
+	dir         string
+	fleet       [2]*lab.Fleet
+	listenAddrs [2]string // where each listens for the other
+	wire        *lab.Wire
+	servers     [2]*Server
+	stop        [2]func() error
+	audit       *lab.Audit
+	loads       uint64 // each brings queries of its own
 }
 
 func newTwoSites(t *testing.T, delay time.Duration) *twoSites {
@@ -34,7 +34,7 @@
 	must(keys.NewAuthority(filepath.Join(w.dir, "ca"), "test", time.Hour, time.Now()))
 	for i, site := range []string{"site-a", "site-b"} {
 		var err error
-		w.at[i], err = lab.FreeAddr()
+		w.listenAddrs[i], err = lab.FreeAddr()
 		must(err)
 		_, err = keys.Issue(filepath.Join(w.dir, "ca"), filepath.Join(w.dir, site), keys.ID{Site: site, Broker: "n0"}, time.Hour, time.Now())
 		must(err)
@@ -44,37 +44,37 @@
 		t.Cleanup(w.fleet[i].Close)
 	}
 	var err error
-	w.wire, err = lab.NewWire(w.at[1], delay/2, 0, 1)
+	w.wire, err = lab.NewWire(w.listenAddrs[1], delay/2, 0, 1)
 	must(err)
 	t.Cleanup(w.wire.Close)
 	w.audit = &lab.Audit{Fleet: w.fleet[:]}
-	for i := range w.live {
+	for i := range w.servers {
 		w.start(i)
 	}
-	w.until("the link stands", func() bool { return w.near(0).Links[0].StatusAge >= 0 })
+	w.waitUntil("the link stands", func() bool { return w.gatewayState(0).Links[0].StatusAge >= 0 })
 	return w
 }
 
 func (w *twoSites) start(i int) {
 	w.t.Helper()
-	target := []string{"site-b=" + w.wire.Addr(), "site-a=" + w.at[0]}[i]
+	target := []string{"site-b=" + w.wire.Addr(), "site-a=" + w.listenAddrs[0]}[i]
 	site, other := []string{"site-a", "site-b"}[i], []string{"site-b", "site-a"}[i]
 	text := fmt.Sprintf(`{"sites": {"keys": %q, "listen": %q, "allow": [%q], "targets": [%q], "share": 1, "burst": 500, "accept": 0.5}}`,
-		filepath.Join(w.dir, site), w.at[i], other, target)
+		filepath.Join(w.dir, site), w.listenAddrs[i], other, target)
 	path, err := w.fleet[i].Config("n0", "127.0.0.1:0", w.fleet[i].Discovery.Addr(), true)
 	start, file := readLabConfiguration(w.t, path, err, text)
-	w.live[i], w.stop[i] = runConfigured(w.t, start, file)
+	w.servers[i], w.stop[i] = runConfigured(w.t, start, file)
 }
 
-func (w *twoSites) until(what string, so func() bool) {
+func (w *twoSites) waitUntil(what string, so func() bool) {
 	w.t.Helper()
 	(&cachedListRig{t: w.t}).until(what, so)
 }
 
-func (w *twoSites) near(i int) *GatewayState { return w.live[i].Counters().Queries.Gateway }
+func (w *twoSites) gatewayState(i int) *GatewayState { return w.servers[i].Counters().Queries.Gateway }
 
-// lose ends the nodes of a cell at a site.
-func (w *twoSites) lose(site, cell int) {
+// killCell ends the nodes of a cell at a site.
+func (w *twoSites) killCell(site, cell int) {
 	for i, n := range w.fleet[site].Nodes {
 		if i%4 == cell {
 			n.Turn(lab.Dead)
@@ -82,9 +82,9 @@
 	}
 }
 
-func (w *twoSites) load(rate float64, last time.Duration) *lab.Outcome {
+func (w *twoSites) runLoad(rate float64, last time.Duration) *lab.Outcome {
 	w.loads++
-	o := lab.Load{URL: "http://" + w.live[0].listener.Addr().String(), Classes: []string{"find", "sign", "book"}, Tenant: "acme",
+	o := lab.Load{URL: "http://" + w.servers[0].listener.Addr().String(), Classes: []string{"find", "sign", "book"}, Tenant: "acme",
 		Shards: 8, Widest: 3, Rate: rate, For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: w.loads,
 		Settle: w.audit.Settle}.Run()
 	time.Sleep(100 * time.Millisecond)
@@ -98,13 +98,13 @@
 // What the first site has no replicas for is served at the second, within the client's time and with the second's values.
 func TestForwarding(t *testing.T) {
 	w := newTwoSites(t, 40*time.Millisecond)
-	if o := w.load(100, 300*time.Millisecond); w.near(0).Outgoing.Forwarded > 0 || o.Answered < o.Asked*9/10 {
-		t.Errorf("on a calm day %+v, %v", w.near(0).Outgoing, o)
+	if o := w.runLoad(100, 300*time.Millisecond); w.gatewayState(0).Outgoing.Forwarded > 0 || o.Answered < o.Asked*9/10 {
+		t.Errorf("on a calm day %+v, %v", w.gatewayState(0).Outgoing, o)
 	}
-	w.lose(0, 0)
-	o := w.load(100, 700*time.Millisecond)
-	n := w.near(0).Outgoing
-	if n.Forwarded == 0 || n.Answered == 0 || o.Answered < o.Asked*9/10 || w.near(1).Incoming.Admitted != n.Forwarded {
+	w.killCell(0, 0)
+	o := w.runLoad(100, 700*time.Millisecond)
+	n := w.gatewayState(0).Outgoing
+	if n.Forwarded == 0 || n.Answered == 0 || o.Answered < o.Asked*9/10 || w.gatewayState(1).Incoming.Admitted != n.Forwarded {
 		t.Errorf("%+v, %v", n, o)
 	}
 	// The second site drains a node while forwarded queries are on their way.
@@ -112,30 +112,30 @@
 	w.fleet[1].Discovery.Set(w.fleet[1].List)
 	time.Sleep(500 * time.Millisecond)
 	before := w.fleet[1].Nodes[0].Parts.Load()
-	w.load(100, 500*time.Millisecond)
+	w.runLoad(100, 500*time.Millisecond)
 	if n := w.fleet[1].Nodes[0].Parts.Load() - before; n > 0 {
 		t.Errorf("%d attempts came to a node 500 ms after its broker was told that it drains", n)
 	}
 	// Neither site has replicas: queries are shed at once, and nothing goes back and forth.
-	w.lose(1, 0)
-	w.load(100, 500*time.Millisecond)
-	w.until("that is known", func() bool { return w.near(1).Incoming.InFlight == 0 })
+	w.killCell(1, 0)
+	w.runLoad(100, 500*time.Millisecond)
+	w.waitUntil("that is known", func() bool { return w.gatewayState(1).Incoming.InFlight == 0 })
 	time.Sleep(300 * time.Millisecond)
-	forwarded := w.near(0).Outgoing.Forwarded
-	w.load(60, 300*time.Millisecond)
-	if n := w.near(0).Outgoing.Forwarded - forwarded; n > 5 {
+	forwarded := w.gatewayState(0).Outgoing.Forwarded
+	w.runLoad(60, 300*time.Millisecond)
+	if n := w.gatewayState(0).Outgoing.Forwarded - forwarded; n > 5 {
 		t.Errorf("%d queries were forwarded to a site that has no replicas either", n)
 	}
-	if w.near(1).Outgoing.Forwarded > 0 {
-		t.Errorf("the second site sent queries on: %+v", w.near(1).Outgoing)
+	if w.gatewayState(1).Outgoing.Forwarded > 0 {
+		t.Errorf("the second site sent queries on: %+v", w.gatewayState(1).Outgoing)
 	}
 }
 
 // The wire is cut, one way and both, and reset, while queries wait: each has one answer in time, and no effect comes twice.
 func TestCutUnderLoad(t *testing.T) {
 	w := newTwoSites(t, 80*time.Millisecond)
-	w.lose(0, 0)
-	w.lose(0, 1)
+	w.killCell(0, 0)
+	w.killCell(0, 1)
 	go func() {
 		for _, cut := range [][2]bool{{true, false}, {false, true}, {true, true}} {
 			time.Sleep(300 * time.Millisecond)
@@ -145,8 +145,8 @@
 			w.wire.Cut(false, false)
 		}
 	}()
-	o := w.load(150, 2*time.Second)
-	n := w.near(0).Outgoing
+	o := w.runLoad(150, 2*time.Second)
+	n := w.gatewayState(0).Outgoing
 	if o.Unanswered > 0 || n.Forwarded == 0 || n.InFlight != 0 {
 		t.Errorf("%v, %+v", o, n)
 	}
@@ -156,7 +156,7 @@
 // is in flight is finished, and the new one is used.
 func TestOtherSiteStops(t *testing.T) {
 	w := newTwoSites(t, 20*time.Millisecond)
-	w.lose(0, 0)
+	w.killCell(0, 0)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -165,18 +165,18 @@
 			t.Error(err)
 		}
 	}()
-	if o := w.load(100, time.Second); o.Unanswered > 0 {
+	if o := w.runLoad(100, time.Second); o.Unanswered > 0 {
 		t.Error(o)
 	}
 	<-ended
-	if n := w.near(0).Outgoing; n.LinkLost > 0 {
+	if n := w.gatewayState(0).Outgoing; n.LinkLost > 0 {
 		t.Errorf("queries were lost with a graceful shutdown: %+v", n)
 	}
 	w.start(1)
-	w.until("the link stands again", func() bool { return w.near(0).Links[0].Usable })
-	answered := w.near(0).Outgoing.Answered
-	w.load(100, 300*time.Millisecond)
-	if w.near(0).Outgoing.Answered == answered {
+	w.waitUntil("the link stands again", func() bool { return w.gatewayState(0).Links[0].Usable })
+	answered := w.gatewayState(0).Outgoing.Answered
+	w.runLoad(100, 300*time.Millisecond)
+	if w.gatewayState(0).Outgoing.Answered == answered {
 		t.Error("the new broker was not used")
 	}
 }
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -16,8 +16,8 @@
 
 const grantInterval = 500 * time.Millisecond
 
-// needSection names the section of a load report that carries needs.
-const needSection = "need"
+// demandSection names the section of a load report that carries needs.
+const demandSection = "need"
 
 // policyNode is what a policy's conditions may ask of a node.
 func policyNode(n discovery.Node) connpolicy.Node {
@@ -27,14 +27,14 @@
 // leaseGranting is what connection leases have the leader do: needs become grants. It runs in the control plane's goroutine and must not
 // wait; what it knows of nodes is a copy that the loop leaves.
 type leaseGranting struct {
-	leases       *connectionLeases
-	lease        time.Duration // with the largest drift of clocks
-	linger       time.Duration // how long a node may hold a connection that its broker no longer uses
-	term         uint64
-	granter      *connlease.Granter // of the term
-	plan         *connlease.BudgetPlan
-	version      uint64                       // of the plan's policy
-	incarnations map[statemachine.Slot]uint64 // when they were last recorded
+	leases        *connectionLeases
+	leaseDuration time.Duration // with the largest drift of clocks
+	linger        time.Duration // how long a node may hold a connection that its broker no longer uses
+	term          uint64
+	granter       *connlease.Granter // of the term
+	plan          *connlease.BudgetPlan
+	version       uint64                       // of the plan's policy
+	incarnations  map[statemachine.Slot]uint64 // when they were last recorded
 }
 
 // openConnLeases has the pool keep to the leases, and this broker grant them where it leads.
@@ -45,20 +45,20 @@
 	s.loop.useConnectionLeases(b)
 	s.loop.pool.Keep(b)
 	g := &leaseGranting{
-		leases: b,
-		lease:  o.Lease + time.Duration(float64(o.Lease)*o.Drift),
-		linger: t.Idle + t.LongestTimeout() + defaultClosing,
+		leases:        b,
+		leaseDuration: o.Lease + time.Duration(float64(o.Lease)*o.Drift),
+		linger:        t.Idle + t.LongestTimeout() + defaultCloseDelay,
 	}
 	s.controlPlane.SetPolicyCompiler(func(text string, state *statemachine.State) (*statemachine.ConnectionPolicy, error) {
 		return g.compile(text, state, t.Tenants, o.Lease)
 	})
-	s.controlPlane.AddReportSection(controlplane.ReportSection{Name: needSection, Collect: b.collectNeeds})
+	s.controlPlane.AddReportSection(controlplane.ReportSection{Name: demandSection, Collect: b.collectDemand})
 	s.controlPlane.AddLeaderTask(controlplane.LeaderTask{Name: "budgets", Interval: grantInterval, Propose: g.proposeGrants})
 }
 
-// collectNeeds is the needs for a load report; nil: none were measured. It may be called from any goroutine.
-func (b *connectionLeases) collectNeeds() []byte {
-	if report := b.needReport.Load(); report != nil {
+// collectDemand is the needs for a load report; nil: none were measured. It may be called from any goroutine.
+func (b *connectionLeases) collectDemand() []byte {
+	if report := b.demandReport.Load(); report != nil {
 		return *report
 	}
 	return nil
@@ -90,7 +90,7 @@
 		return nil
 	}
 	if g.granter == nil || g.term != m.Term {
-		g.granter = connlease.NewGranter(g.lease, g.linger, m.Now)
+		g.granter = connlease.NewGranter(g.leaseDuration, g.linger, m.Now)
 		g.term = m.Term
 		g.incarnations = map[statemachine.Slot]uint64{}
 	}
@@ -98,19 +98,19 @@
 	if policies.Waiting != nil {
 		previous = g.previousVersion(policies.InForce)
 	}
-	needs := map[statemachine.Slot][]connlease.ConnectionCount{}
+	demand := map[statemachine.Slot][]connlease.ConnectionCount{}
 	for _, b := range m.State.Brokers() {
 		g.recordRenewal(b, m.LastLeaseGrant(b), m.Now)
 		report, ok := m.Reports[b.Slot]
 		if !ok || report.Incarnation != b.Incarnation {
 			continue
 		}
-		version, counts, err := connlease.DecodeDemand(report.Sections[needSection])
+		version, counts, err := connlease.DecodeDemand(report.Sections[demandSection])
 		if err == nil && (version == newest.Version || version == previous && previous > 0) {
-			needs[b.Slot] = counts
+			demand[b.Slot] = counts
 		}
 	}
-	return g.granter.NextEntries(m.State, g.plan, needs, m.Term, m.Now)
+	return g.granter.NextEntries(m.State, g.plan, demand, m.Term, m.Now)
 }
 
 // recordRenewal records when a broker's lease was renewed. An incarnation that ended since the last time may have renewed its lease after
--- a/internal/server/lease_policy.go
+++ b/internal/server/lease_policy.go
@@ -25,7 +25,7 @@
 	if p.Lease != lease {
 		return nil, &connpolicy.ClosingTimeError{Reason: fmt.Sprintf("lease: the policy says %v, fleet.lease of the tier is %v", p.Lease, lease)}
 	}
-	if err := sameTenants(p.Tenants, tenants); err != nil {
+	if err := checkTenants(p.Tenants, tenants); err != nil {
 		return nil, err
 	}
 	nodes := g.leases.nodes.Load()
@@ -51,8 +51,8 @@
 	return e, nil
 }
 
-// sameTenants tells what is wrong with a policy that does not name the tenants of the settings, and only these.
-func sameTenants(policy, settings []string) error {
+// checkTenants tells what is wrong with a policy that does not name the tenants of the settings, and only these.
+func checkTenants(policy, settings []string) error {
 	for _, name := range settings {
 		if !slices.Contains(policy, name) {
 			return &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q of the settings is not named", name)}
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -19,19 +19,19 @@
 type leaseToRelease struct {
 	incarnation uint64
 	number      uint64
-	closing     time.Duration // within which nodes notice that connections are closed
+	closeDelay  time.Duration // within which nodes notice that connections are closed
 }
 
 // release closes all connections and opens none any more.
 func (b *connectionLeases) release() leaseToRelease {
 	b.stopped = true
 	b.loop.connections().End("stopping")
-	noNeed := connlease.EncodeDemand(b.version, nil)
-	b.needReport.Store(&noNeed) // else it would be granted more
+	noDemand := connlease.EncodeDemand(b.version, nil)
+	b.demandReport.Store(&noDemand) // else it would be granted more
 	if b.view == nil || b.view.Lease.Ended || b.view.Lease.Incarnation != b.view.Self.Incarnation {
 		return leaseToRelease{}
 	}
-	return leaseToRelease{incarnation: b.view.Self.Incarnation, number: b.view.Lease.Number, closing: b.closing}
+	return leaseToRelease{incarnation: b.view.Self.Incarnation, number: b.view.Lease.Number, closeDelay: b.closeDelay}
 }
 
 // releaseLeases gives up what this broker holds once nodes have noticed that its connections are closed: otherwise, with each restart of a
@@ -52,7 +52,7 @@
 		return
 	}
 	select {
-	case <-s.after(lease.closing):
+	case <-s.after(lease.closeDelay):
 	case <-s.ctx.Done():
 		return
 	}
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -15,12 +15,12 @@
 // tick closes surplus connections, acknowledges grants and measures needs. It is called before each step, with the present time: a process
 // that was stopped for longer than its lease resumes with connections that another broker holds by now.
 func (b *connectionLeases) tick(now time.Duration) time.Duration {
-	if now < b.due {
-		return b.due
+	if now < b.nextTick {
+		return b.nextTick
 	}
-	b.due = min(now+leaseInterval, b.holder.NextPhaseChange(now))
+	b.nextTick = min(now+leaseInterval, b.holder.NextPhaseChange(now))
 	if b.view != nil && b.view.Index > 0 {
-		b.updateFloors(b.view)
+		b.updateReserved(b.view)
 	}
 	excess := b.holder.ExcessConnections(now)
 	for _, r := range excess.Counts {
@@ -28,11 +28,11 @@
 	}
 	for i := range b.attempts {
 		b.attempts[i].sent *= attemptDecay
-		b.attempts[i].refused *= attemptDecay
+		b.attempts[i].denied *= attemptDecay
 	}
-	b.measure(now)
+	b.measureDemand(now)
 	b.acknowledge(now)
-	return b.due
+	return b.nextTick
 }
 
 // acknowledge proposes that this broker keeps to its newest grant, and to the newest policy.
@@ -51,29 +51,29 @@
 	}
 }
 
-// measure observes what is in flight to each node, and leaves the needs for the next load report, and the nodes for the leader.
-func (b *connectionLeases) measure(now time.Duration) {
-	b.needs.Decay(now)
-	demand := map[connlease.LeaseKey]int{}
+// measureDemand observes what is in flight to each node, and leaves the needs for the next load report, and the nodes for the leader.
+func (b *connectionLeases) measureDemand(now time.Duration) {
+	b.demand.Decay(now)
+	attemptsByKey := map[connlease.LeaseKey]int{}
 	b.loop.connections().Wants(func(node decision.NodeID, tenant, attempts int) {
-		demand[connlease.LeaseKey{Node: node, Tenant: tenant}] += attempts
+		attemptsByKey[connlease.LeaseKey{Node: node, Tenant: tenant}] += attempts
 	})
-	for key, attempts := range demand {
-		b.needs.Observe(key, float64(attempts)/float64(b.streams))
+	for key, attempts := range attemptsByKey {
+		b.demand.Observe(key, float64(attempts)/float64(b.streams))
 	}
-	needs := b.needs.AboveReserved(b.floors)
+	demand := b.demand.AboveReserved(b.reserved)
 	if b.stopped {
-		needs = nil
+		demand = nil
 	}
-	named := needs[:0]
-	for _, n := range needs {
+	named := demand[:0]
+	for _, n := range demand {
 		if n.Tenant >= 0 && n.Tenant < len(b.policyTenant) && b.policyTenant[n.Tenant] >= 0 {
 			n.Tenant = b.policyTenant[n.Tenant]
 			named = append(named, n)
 		}
 	}
 	report := connlease.EncodeDemand(b.version, named)
-	b.needReport.Store(&report)
+	b.demandReport.Store(&report)
 	endpoints := b.loop.endpoints()
 	nodes := make(map[decision.NodeID]connpolicy.Node, len(endpoints))
 	for id, n := range endpoints {
@@ -82,23 +82,23 @@
 	b.nodes.Store(&nodes)
 }
 
-// attemptShares counts a tenant's recent attempts, and those that got no connection.
-type attemptShares struct {
-	sent    float64
-	refused float64
+// attemptCounts counts a tenant's recent attempts, and those that got no connection.
+type attemptCounts struct {
+	sent   float64
+	denied float64
 }
 
 const (
-	attemptDecay    = 0.8  // of these counts, with each tick
-	maxRefusedShare = 0.25 // of attempts: beyond, queries are shed
-	minRefused      = 5    // attempts
+	attemptDecay   = 0.8  // of these counts, with each tick
+	maxDeniedShare = 0.25 // of attempts: beyond, queries are shed
+	minDenied      = 5    // attempts
 )
 
 // countAttempts adds to a tenant's attempts.
-func (b *connectionLeases) countAttempts(tenant int, sent, refused float64) {
+func (b *connectionLeases) countAttempts(tenant int, sent, denied float64) {
 	if b != nil && tenant >= 0 && tenant < len(b.attempts) {
 		b.attempts[tenant].sent += sent
-		b.attempts[tenant].refused += refused
+		b.attempts[tenant].denied += denied
 	}
 }
 
@@ -109,11 +109,11 @@
 	if b == nil || tenant < 0 || tenant >= len(b.attempts) || b.view == nil || b.view.Policy == nil {
 		return 0, false
 	}
-	shares := b.attempts[tenant]
-	if shares.refused < minRefused || shares.refused < maxRefusedShare*shares.sent {
+	counts := b.attempts[tenant]
+	if counts.denied < minDenied || counts.denied < maxDeniedShare*counts.sent {
 		return 0, false
 	}
-	for refused := shares.refused; refused >= minRefused; refused *= attemptDecay {
+	for denied := counts.denied; denied >= minDenied; denied *= attemptDecay {
 		retryAfter += leaseInterval
 	}
 	return retryAfter, true
--- a/internal/server/lease_view.go
+++ b/internal/server/lease_view.go
@@ -13,19 +13,19 @@
 // handleView applies the policy and the grants of a view.
 func (b *connectionLeases) handleView(v *controlplane.View) {
 	b.view = v
-	b.due = 0
+	b.nextTick = 0
 	if v.Index == 0 {
 		return
 	}
 	if v.Policy != nil && v.Policy.Version != b.version {
 		b.applyPolicy(v.Policy)
 	}
-	b.updateFloors(v)
+	b.updateReserved(v)
 	granted := v.Lease.Number > 0 && !v.Lease.Ended
 	if granted && v.Lease.Incarnation == v.Self.Incarnation && v.Self.Incarnation > 0 && v.Policy != nil {
 		b.acceptGrant(v)
 	} else {
-		b.holdsLogged = false
+		b.holdLogged = false
 	}
 }
 
@@ -41,8 +41,8 @@
 		return
 	}
 	b.mapTenants(compiled.Tenants)
-	b.closing = compiled.Closing
-	b.holder.SetCloseDelay(b.closing)
+	b.closeDelay = compiled.Closing
+	b.holder.SetCloseDelay(b.closeDelay)
 }
 
 // acceptGrant takes the grant of a view. An incarnation that was forgotten and came back has its grants numbered anew.
@@ -53,8 +53,8 @@
 		b.holder.ResetGrantNumber()
 	}
 	rows := b.grantedRows(grant.Granted)
-	if b.holder.AcceptGrant(grant.Number, rows, v.LeaseEnd) && len(rows) > 0 && !b.holdsLogged {
-		b.holdsLogged = true
+	if b.holder.AcceptGrant(grant.Number, rows, v.LeaseEnd) && len(rows) > 0 && !b.holdLogged {
+		b.holdLogged = true
 		slog.Info("connection leases held", "component", "connection-leases", "number", grant.Number, "rows", len(rows))
 	}
 	if grant.Acknowledged {
@@ -62,9 +62,9 @@
 	}
 }
 
-// updateFloors sets the floors: those of the policy in force and, where another waits, the lower of both. While no policy is known, one may
+// updateReserved sets the floors: those of the policy in force and, where another waits, the lower of both. While no policy is known, one may
 // have been agreed by brokers that this one can't hear; so it opens freely only while its session's lease runs.
-func (b *connectionLeases) updateFloors(v *controlplane.View) {
+func (b *connectionLeases) updateReserved(v *controlplane.View) {
 	if v.Policy == nil {
 		if v.LeaseValid(b.loop.since()) {
 			b.holder.SetUnlimited()
@@ -78,33 +78,33 @@
 		versions[1] = v.WaitingPolicy.Version
 	}
 	b.agreedVersion = versions[1]
-	if versions == b.floorVersions && b.floors != nil {
+	if versions == b.reservedVersions && b.reserved != nil {
 		return
 	}
-	floors := floorsOf(v.Policy)
+	reserved := reservedPerBroker(v.Policy)
 	if v.WaitingPolicy != nil {
-		waiting := floorsOf(v.WaitingPolicy)
-		for id, floor := range floors {
-			floors[id] = min(floor, waiting[id])
+		waiting := reservedPerBroker(v.WaitingPolicy)
+		for id, n := range reserved {
+			reserved[id] = min(n, waiting[id])
 		}
 	}
-	b.floors = floors
-	b.floorVersions = versions
-	b.holder.SetReserved(floors, 1)
+	b.reserved = reserved
+	b.reservedVersions = versions
+	b.holder.SetReserved(reserved, 1)
 }
 
-func floorsOf(p *statemachine.ConnectionPolicy) map[decision.NodeID]int {
-	floors := make(map[decision.NodeID]int, len(p.Budgets))
+func reservedPerBroker(p *statemachine.ConnectionPolicy) map[decision.NodeID]int {
+	reserved := make(map[decision.NodeID]int, len(p.Budgets))
 	for _, budget := range p.Budgets {
-		floors[budget.Node] = int(budget.ReservedPerBroker)
+		reserved[budget.Node] = int(budget.ReservedPerBroker)
 	}
-	return floors
+	return reserved
 }
 
 // grantedRows are a grant's rows by the tenants of the settings.
 func (b *connectionLeases) grantedRows(granted []statemachine.LeaseRow) (rows []connlease.ConnectionCount) {
 	for _, r := range granted {
-		for i, name := range b.names {
+		for i, name := range b.tenants {
 			if name == r.Tenant && b.policyTenant[i] >= 0 {
 				key := connlease.LeaseKey{Node: r.Node, Tenant: i}
 				rows = append(rows, connlease.ConnectionCount{LeaseKey: key, Connections: int(r.Connections)})
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -48,18 +48,18 @@
 }
 
 // one client asks for one query and checks its answer, or leaves.
-func (w *world) client(n, typ int, leaves bool) {
+func (w *faultyCluster) client(n, typ int, leaves bool) {
 	s := &activeQuery{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
 		result: make(chan query.Result, 1)}
-	shards := w.rnd.Perm(6)[:1+w.rnd.IntN(6)]
+	shards := w.rng.Perm(6)[:1+w.rng.IntN(6)]
 	for _, shard := range shards {
 		s.Request.Shards = append(s.Request.Shards, query.ShardRequest{Name: fmt.Sprintf("%s.%d", s.Request.ID, shard), Shard: shard, Weight: 1 / float64(len(shards))})
 	}
 	s.deadline = w.loop.since() + s.Timeout
 	w.mu.Lock()
-	w.asked[s.Request.ID] = s
+	w.queries[s.Request.ID] = s
 	w.mu.Unlock()
-	patience := time.Duration(w10(w.rnd)) * 50 * time.Millisecond
+	patience := time.Duration(oneToTen(w.rng)) * 50 * time.Millisecond
 	w.loop.inbox <- queryReceived{s}
 	go func() {
 		if leaves {
@@ -75,7 +75,7 @@
 		seen := map[int]bool{}
 		for _, p := range v.Answers {
 			id := fmt.Sprintf("%s.%d", s.Request.ID, p.Shard)
-			if !strings.HasPrefix(p.Value, id+"@") || !w.made[p.Value] || seen[p.Shard] {
+			if !strings.HasPrefix(p.Value, id+"@") || !w.values[p.Value] || seen[p.Shard] {
 				w.t.Errorf("rule 5: %s has the value %q", id, p.Value)
 			}
 			seen[p.Shard] = true
@@ -87,7 +87,7 @@
 		}
 		if typ == 1 && v.Outcome == query.Shed && len(s.requests) > 0 {
 			for _, p := range s.Request.Shards {
-				if w.runs[p.Name] {
+				if w.mayHaveRun[p.Name] {
 					w.t.Errorf("rule 2: shed though %s may have run", p.Name)
 				}
 			}
@@ -103,7 +103,7 @@
 // Whatever nodes, clients and the list do, the rules hold at every step.
 func TestRulesHoldInRandomRuns(t *testing.T) {
 	play := func(seed uint64) bool {
-		synctest.Test(t, func(t *testing.T) { newWorld(t, seed).play() })
+		synctest.Test(t, func(t *testing.T) { newFaultyCluster(t, seed).play() })
 		return !t.Failed()
 	}
 	if err := quick.Check(play, &quick.Config{MaxCount: 40, Rand: oldrand.New(oldrand.NewSource(1))}); err != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (w *world) play() {
+func (w *faultyCluster) play() {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := w.loop
 	l.pool = store.NewPool(ctx, store.Limits{Streams: 8, Idle: 30 * time.Second, Dial: 250 * time.Millisecond, Conns: 20},
@@ -128,39 +128,39 @@
 		close(ended)
 	}()
 	for n := range 150 {
-		time.Sleep(time.Duration(w.rnd.IntN(80)) * time.Millisecond)
+		time.Sleep(time.Duration(w.rng.IntN(80)) * time.Millisecond)
 		synctest.Wait() // from here on nothing else runs
-		switch w.rnd.IntN(12) {
+		switch w.rng.IntN(12) {
 		case 0:
 			l.inbox <- listReceived{err: io.EOF}
 		case 1:
-			node := &w.nodes[w.rnd.IntN(len(w.nodes))]
-			node.Endpoint.State = decision.EndpointState(w.rnd.IntN(3))
+			node := &w.nodes[w.rng.IntN(len(w.nodes))]
+			node.Endpoint.State = decision.EndpointState(w.rng.IntN(3))
 			if node.Endpoint.State == decision.Ready {
-				delete(w.downAt, node.Address.String())
+				delete(w.drainedAt, node.Address.String())
 				node.Endpoint.StartedAt = l.since() - time.Second
-			} else if _, down := w.downAt[node.Address.String()]; !down {
-				w.downAt[node.Address.String()] = l.since()
+			} else if _, down := w.drainedAt[node.Address.String()]; !down {
+				w.drainedAt[node.Address.String()] = l.since()
 			}
 			l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{*node}}}
 		case 2:
 			l.inbox <- gossipReceived{1, []byte("nonsense that no peer says")}
 		case 3: // a node is replaced under a new id, which a whole list from elsewhere tells, or the changes
-			i := w.rnd.IntN(len(w.nodes))
+			i := w.rng.IntN(len(w.nodes))
 			old := w.nodes[i]
 			old.Endpoint.State = decision.Removed
-			w.downAt[old.Address.String()] = l.since()
+			w.drainedAt[old.Address.String()] = l.since()
 			node := &w.nodes[i]
 			node.Name = fmt.Sprint("t-", n)
 			node.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(1 + n), byte(i)}), 80)
 			node.Endpoint.Node, node.Endpoint.State, node.Endpoint.StartedAt = discovery.IDOfName(node.Name), decision.Ready, l.since()
-			if w.rnd.IntN(2) == 0 {
+			if w.rng.IntN(2) == 0 {
 				l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{old, *node}}}
 			} else {
 				l.inbox <- listReceived{list: &discovery.List{Full: true, Nodes: slices.Clone(w.nodes)}}
 			}
 		default:
-			w.client(n, w.rnd.IntN(2), w.rnd.IntN(8) == 0)
+			w.client(n, w.rng.IntN(2), w.rng.IntN(8) == 0)
 		}
 		synctest.Wait()
 		r := countersRequested{make(chan QueryCounters, 1)}
@@ -191,7 +191,7 @@
 // A query whose id is in flight would mix its attempts with the other's; one that finds no slot is shed unseen.
 func TestQueriesTheLoopRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
+		w := newFaultyCluster(t, 1)
 		l := w.loop
 		l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
 		var verdicts []query.Outcome
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -30,10 +30,10 @@
 	ownership      *ownership.Coordinator
 	sendTo         func(to netip.AddrPort, data []byte)
 	shareEndpoints bool // endpoint changes are passed on
-	shared         *gossip.UpdateFilter
+	updateFilter   *gossip.UpdateFilter
 	ownershipView  []ownership.Member
 	seeds          []netip.AddrPort       // of the living
-	keepSeeds      func([]netip.AddrPort) // nil: they are not stored
+	storeSeeds     func([]netip.AddrPort) // nil: they are not stored
 }
 
 // useMembership attaches membership to the loop.
@@ -59,14 +59,14 @@
 
 func (m *tierMembership) tick(now time.Duration) time.Duration {
 	next := m.members.Tick(now)
-	for _, note := range m.members.DrainBroadcasts() {
-		m.handleNote(note, now)
+	for _, data := range m.members.DrainBroadcasts() {
+		m.handleBroadcast(data, now)
 	}
 	changes := m.members.DrainChanges()
 	m.logChanges(changes)
 	if slices.ContainsFunc(changes, func(ch membership.Change) bool { return ch.New }) {
-		for _, w := range m.shared.RecentlyRemoved() {
-			m.broadcast(&w)
+		for _, update := range m.updateFilter.RecentlyRemoved() {
+			m.broadcast(&update)
 		}
 	}
 	if m.ownershipView == nil || len(changes) > 0 {
@@ -102,8 +102,8 @@
 			m.seeds = append(m.seeds, member.Address)
 		}
 	}
-	if m.keepSeeds != nil && len(m.seeds) > 0 {
-		m.keepSeeds(m.seeds)
+	if m.storeSeeds != nil && len(m.seeds) > 0 {
+		m.storeSeeds(m.seeds)
 	}
 }
 
@@ -124,33 +124,33 @@
 // flush sends what the other members have to be told.
 func (m *tierMembership) flush() {
 	for _, claim := range m.ownership.DrainClaims() {
-		m.members.Broadcast(uint64(claim.Job), claim.AppendTo([]byte{noteOwnership}))
+		m.members.Broadcast(uint64(claim.Job), claim.AppendTo([]byte{broadcastOwnership}))
 	}
 	for _, packet := range m.members.DrainPackets() {
 		m.sendTo(packet.To, packet.Data)
 	}
 }
 
-// handleNote takes a note that came with a datagram, and passes it on where it is news.
-func (m *tierMembership) handleNote(note []byte, now time.Duration) {
-	if len(note) == 0 {
+// handleBroadcast takes a note that came with a datagram, and passes it on where it is news.
+func (m *tierMembership) handleBroadcast(data []byte, now time.Duration) {
+	if len(data) == 0 {
 		return
 	}
-	switch note[0] {
-	case noteOwnership:
-		if claim, ok := ownership.DecodeClaim(note[1:]); ok && m.ownership.HandleClaim(claim, now) {
-			m.members.Broadcast(uint64(claim.Job), note)
+	switch data[0] {
+	case broadcastOwnership:
+		if claim, ok := ownership.DecodeClaim(data[1:]); ok && m.ownership.HandleClaim(claim, now) {
+			m.members.Broadcast(uint64(claim.Job), data)
 		}
-	case noteEndpoint:
-		if w, ok := gossip.Decode(note[1:]); ok && m.shareEndpoints {
-			m.handleSharedEndpoint(w)
+	case broadcastEndpoint:
+		if update, ok := gossip.Decode(data[1:]); ok && m.shareEndpoints {
+			m.handleSharedEndpoint(update)
 		}
 	}
 }
 
 // broadcast has an endpoint change carried to all members.
-func (m *tierMembership) broadcast(w *gossip.EndpointUpdate) {
-	m.members.Broadcast(broadcastKey(w.Node), w.AppendTo([]byte{noteEndpoint}))
+func (m *tierMembership) broadcast(update *gossip.EndpointUpdate) {
+	m.members.Broadcast(broadcastKey(update.Node), update.AppendTo([]byte{broadcastEndpoint}))
 }
 
 func broadcastKey(id decision.NodeID) uint64 {
@@ -166,17 +166,17 @@
 		n := &list.Nodes[i]
 		update := gossip.EndpointUpdate{
 			ListVersion: list.Version,
-			DiscoveryID: m.shared.DiscoveryID,
+			DiscoveryID: m.updateFilter.DiscoveryID,
 			Node:        n.Endpoint.Node,
 			State:       n.Endpoint.State,
 			StartedAtMS: n.StartedAtMS,
 		}
-		if m.shared.RecordLocal(update, list.Full || !m.shareEndpoints) {
+		if m.updateFilter.RecordLocal(update, list.Full || !m.shareEndpoints) {
 			m.broadcast(&update)
 		}
 	}
 	endpoints := m.loop.endpoints()
-	m.shared.Forget(list.Version, func(id decision.NodeID) bool {
+	m.updateFilter.Forget(list.Version, func(id decision.NodeID) bool {
 		_, known := endpoints[id]
 		return known
 	})
@@ -184,20 +184,20 @@
 
 // handleSharedEndpoint takes a change that discovery told another broker, of a node that is known here. From then on it counts as if
 // discovery had told this broker.
-func (m *tierMembership) handleSharedEndpoint(w gossip.EndpointUpdate) {
-	n, known := m.loop.endpoints()[w.Node]
-	if !m.shared.Accept(w, known, n.Endpoint.State, n.StartedAtMS) {
+func (m *tierMembership) handleSharedEndpoint(update gossip.EndpointUpdate) {
+	n, known := m.loop.endpoints()[update.Node]
+	if !m.updateFilter.Accept(update, known, n.Endpoint.State, n.StartedAtMS) {
 		return
 	}
-	n.Endpoint.State = w.State
-	if w.StartedAtMS > n.StartedAtMS {
-		n.StartedAtMS = w.StartedAtMS
-		n.Endpoint.StartedAt = time.UnixMilli(w.StartedAtMS).Sub(m.loop.startTime())
+	n.Endpoint.State = update.State
+	if update.StartedAtMS > n.StartedAtMS {
+		n.StartedAtMS = update.StartedAtMS
+		n.Endpoint.StartedAt = time.UnixMilli(update.StartedAtMS).Sub(m.loop.startTime())
 	}
-	slog.Info("node state received by gossip", "component", "membership", "node", n.Name, "state", w.State, "version", w.ListVersion)
-	m.loop.applyList(&discovery.List{Version: w.ListVersion, Nodes: []discovery.Node{n}})
+	slog.Info("node state received by gossip", "component", "membership", "node", n.Name, "state", update.State, "version", update.ListVersion)
+	m.loop.applyList(&discovery.List{Version: update.ListVersion, Nodes: []discovery.Node{n}})
 	m.loop.confirmByGossip(&n)
-	m.broadcast(&w)
+	m.broadcast(&update)
 }
 
 // leave tells the other members that this broker shuts down.
--- a/internal/server/membership_open.go
+++ b/internal/server/membership_open.go
@@ -26,8 +26,8 @@
 
 // The first byte of a note says what it is.
 const (
-	noteOwnership = 'c'
-	noteEndpoint  = 'n'
+	broadcastOwnership = 'c'
+	broadcastEndpoint  = 'n'
 )
 
 const (
@@ -51,7 +51,7 @@
 	s.loop.useMembership(newTierMembership(o, &s.start.Terms, tierIdentity{name: s.start.Name, address: s.start.PeerListen,
 		service: s.start.Discovery, start: s.loop.start}, addresses, s.loop.since(), s.gossip.Meet))
 	if s.seedStore != nil {
-		s.loop.membership.keepSeeds = s.seedStore.Enqueue
+		s.loop.membership.storeSeeds = s.seedStore.Enqueue
 	}
 	s.gossip.Crew(func(from netip.AddrPort, data []byte) { s.deliver(memberDatagram{from, data}) }, keys)
 	slog.Info("membership started", "component", "membership", "broker", s.start.Name, "address", s.start.PeerListen,
@@ -116,7 +116,7 @@
 		members:        members,
 		sendTo:         sendTo,
 		shareEndpoints: o.List,
-		shared:         gossip.NewUpdateFilter(serviceHash(self.service)),
+		updateFilter:   gossip.NewUpdateFilter(serviceHash(self.service)),
 		ownership:      ownership.NewCoordinator(claims, uint32(members.Self().ID), jobs, now),
 	}
 }
--- a/internal/server/membership_state.go
+++ b/internal/server/membership_state.go
@@ -26,6 +26,6 @@
 		Members:         m.members.Members(),
 		Ownership:       m.ownership.Snapshot(),
 		Counts:          m.members.Counts,
-		SharedEndpoints: m.shared.Counts,
+		SharedEndpoints: m.updateFilter.Counts,
 	}
 }
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -27,8 +27,8 @@
 	return c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// tierOf runs some brokers of one tier before one fleet; the last one has a secret that the others don't know.
-func tierOf(t *testing.T, n int) (all []*Server, ends []func() error) {
+// runTier runs some brokers of one tier before one fleet; the last one has a secret that the others don't know.
+func runTier(t *testing.T, n int) (all []*Server, ends []func() error) {
 	k := newCachedListRig(t, 4)
 	var at []netip.AddrPort
 	for range n {
@@ -52,11 +52,11 @@
 // Brokers on sockets find one another, one of them owns each periodic job, a graceful shutdown is told as such and hands over, and whoever
 // has another secret gets no further than the seal.
 func TestMembershipOverSockets(t *testing.T) {
-	all, ends := tierOf(t, 4)
+	all, ends := runTier(t, 4)
 	k := &cachedListRig{t: t}
-	crewOf := func(i int) *MembershipState { return all[i].Counters().Queries.Membership }
+	stateOf := func(i int) *MembershipState { return all[i].Counters().Queries.Membership }
 	states := func(i int, of membership.State) (names string) {
-		for _, m := range crewOf(i).Members {
+		for _, m := range stateOf(i).Members {
 			if m.State == of {
 				names += m.Name + " "
 			}
@@ -72,7 +72,7 @@
 		return true
 	})
 	k.until("a duty has one owner", func() bool {
-		a, b, c := crewOf(0).Ownership[0], crewOf(1).Ownership[0], crewOf(2).Ownership[0]
+		a, b, c := stateOf(0).Ownership[0], stateOf(1).Ownership[0], stateOf(2).Ownership[0]
 		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.RunCount > 0
 	})
 	if c := all[0].Counters(); c.Peers.Unauthenticated == 0 && all[3].Counters().Peers.Unauthenticated == 0 {
@@ -80,7 +80,7 @@
 	}
 	owner := 0
 	for i := range 3 {
-		if uint32(membership.IDOf(fmt.Sprintf("n%d", i))) == crewOf(i).Ownership[0].Owner {
+		if uint32(membership.IDOf(fmt.Sprintf("n%d", i))) == stateOf(i).Ownership[0].Owner {
 			owner = i
 		}
 	}
@@ -88,7 +88,7 @@
 	other := (owner + 1) % 3
 	k.until("the stop is known as planned", func() bool { return strings.Contains(states(other, membership.Left), fmt.Sprintf("n%d", owner)) })
 	k.until("the duty has another owner", func() bool {
-		d := crewOf(other).Ownership[0]
+		d := stateOf(other).Ownership[0]
 		return d.Owner != 0 && d.Owner != uint32(membership.IDOf(fmt.Sprintf("n%d", owner))) && d.Fence > 1
 	})
 }
@@ -124,29 +124,29 @@
 	}
 	before := l.nodes[id]
 	l.membership.shareList(&discovery.List{Version: 50, Full: true, Nodes: []discovery.Node{before}})
-	say := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
+	receiveUpdate := func(version uint64, service uint32, node decision.NodeID, state decision.EndpointState, started int64) {
 		w := gossip.EndpointUpdate{ListVersion: version, DiscoveryID: service, Node: node, State: state, StartedAtMS: started}
-		l.membership.handleNote(w.AppendTo([]byte{noteEndpoint}), l.since())
-	}
-	say(49, l.membership.shared.DiscoveryID, id, decision.Draining, 0)
-	say(51, l.membership.shared.DiscoveryID+1, id, decision.Draining, 0)
-	say(51, l.membership.shared.DiscoveryID, decision.NodeID{Port: 1}, decision.Draining, 0)
-	l.membership.handleNote([]byte{noteEndpoint, 1, 2}, 0)
-	l.membership.handleNote([]byte{'?'}, 0)
-	l.membership.handleNote(nil, 0)
-	if l.nodes[id] != before || l.membership.shared.Counts.Ignored != 3 {
-		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.shared.Counts)
-	}
-	say(51, l.membership.shared.DiscoveryID, id, decision.Draining, 0)
-	if n := l.nodes[id]; n.Endpoint.State != decision.Draining || n.Address != before.Address || l.membership.shared.Counts.Accepted != 1 {
-		t.Errorf("%+v, %+v", n, l.membership.shared.Counts)
-	}
-	say(51, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // of the same version: it was heard already
-	say(52, l.membership.shared.DiscoveryID, id, decision.Ready, 0) // nothing makes a draining process ready again
+		l.membership.handleBroadcast(w.AppendTo([]byte{broadcastEndpoint}), l.since())
+	}
+	receiveUpdate(49, l.membership.updateFilter.DiscoveryID, id, decision.Draining, 0)
+	receiveUpdate(51, l.membership.updateFilter.DiscoveryID+1, id, decision.Draining, 0)
+	receiveUpdate(51, l.membership.updateFilter.DiscoveryID, decision.NodeID{Port: 1}, decision.Draining, 0)
+	l.membership.handleBroadcast([]byte{broadcastEndpoint, 1, 2}, 0)
+	l.membership.handleBroadcast([]byte{'?'}, 0)
+	l.membership.handleBroadcast(nil, 0)
+	if l.nodes[id] != before || l.membership.updateFilter.Counts.Ignored != 3 {
+		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.updateFilter.Counts)
+	}
+	receiveUpdate(51, l.membership.updateFilter.DiscoveryID, id, decision.Draining, 0)
+	if n := l.nodes[id]; n.Endpoint.State != decision.Draining || n.Address != before.Address || l.membership.updateFilter.Counts.Accepted != 1 {
+		t.Errorf("%+v, %+v", n, l.membership.updateFilter.Counts)
+	}
+	receiveUpdate(51, l.membership.updateFilter.DiscoveryID, id, decision.Ready, 0) // of the same version: it was heard already
+	receiveUpdate(52, l.membership.updateFilter.DiscoveryID, id, decision.Ready, 0) // nothing makes a draining process ready again
 	if n := l.nodes[id]; n.Endpoint.State != decision.Draining {
 		t.Errorf("%+v", n)
 	}
-	say(53, l.membership.shared.DiscoveryID, id, decision.Removed, time.Now().UnixMilli())
+	receiveUpdate(53, l.membership.updateFilter.DiscoveryID, id, decision.Removed, time.Now().UnixMilli())
 	if _, known := l.nodes[id]; known {
 		t.Error("an ended node is still known")
 	}
@@ -166,7 +166,7 @@
 	gone := &discovery.List{Version: 61, Nodes: []discovery.Node{n}}
 	old.applyList(gone)
 	old.membership.shareList(gone)
-	late.membership.shared.DiscoveryID = old.membership.shared.DiscoveryID
+	late.membership.updateFilter.DiscoveryID = old.membership.updateFilter.DiscoveryID
 	late.membership.members = membership.New(membership.Policy{ProbeInterval: time.Second, ProbeTimeout: 100 * time.Millisecond, SyncInterval: time.Second, ForgetAfter: time.Minute, MaxDatagramBytes: 220,
 		MaxMembers: 10, SuspicionFactor: 5, MaxSuspicionFactor: 2}, "n1", netip.MustParseAddrPort("127.0.0.1:8"), 1, 1, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7")})
 	for i := range 40 {
@@ -181,8 +181,8 @@
 		}
 		*sent, *answers = nil, nil
 	}
-	if got := late.nodes[id]; got.Endpoint.State != decision.Draining || late.membership.shared.Counts.Accepted != 1 {
-		t.Errorf("%+v, %+v; %v", got, late.membership.shared.Counts, late.membership.members.Members())
+	if got := late.nodes[id]; got.Endpoint.State != decision.Draining || late.membership.updateFilter.Counts.Accepted != 1 {
+		t.Errorf("%+v, %+v; %v", got, late.membership.updateFilter.Counts, late.membership.members.Members())
 	}
 }
 
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -17,87 +17,87 @@
 	"flaxfront/internal/transport/store"
 )
 
-// happening is one thing that comes to the loop.
-type happening string
+// orderEvent is one thing that comes to the loop.
+type orderEvent string
 
 const (
-	asked     happening = "asked"
-	left      happening = "left"       // the client has gone
-	drained   happening = "drained"    // the list drains the node that has the connection
-	unlisted  happening = "unlisted"   // a whole list does not name it
-	restarted happening = "restarted"  // the list tells a newer start of it
-	failed    happening = "list fails" // a call to discovery
-	rises     happening = "rises"      // the connections that are being opened come up
-	served    happening = "served"     // what is out is answered
-	resets    happening = "resets"     // the connections that are up break
-	passes    happening = "passes"     // the query's time
+	querySubmitted   orderEvent = "asked"
+	clientLeaves     orderEvent = "left"       // the client has gone
+	nodeDrained      orderEvent = "drained"    // the list drains the node that has the connection
+	nodeUnlisted     orderEvent = "unlisted"   // a whole list does not name it
+	nodeRestarted    orderEvent = "restarted"  // the list tells a newer start of it
+	pollFails        orderEvent = "list fails" // a call to discovery
+	connectionsOpen  orderEvent = "rises"      // the connections that are being opened come up
+	attemptsAnswered orderEvent = "served"     // what is out is answered
+	connectionsReset orderEvent = "resets"     // the connections that are up break
+	deadlinePasses   orderEvent = "passes"     // the query's time
 )
 
-// order is one broker in one order of events, with two nodes that hold the one shard.
-type order struct {
-	t       *testing.T
-	core    *Core
-	now     time.Duration
-	due     time.Duration // when the client's time is up
-	nodes   []discovery.Node
-	open    []*orderLink
-	events  []store.Event // that the wire brings
-	held    PendingQuery
-	put     bool
-	gone    bool            // the client has left and the loop has heard of it
-	barred  map[string]bool // nodes that the loop has been told to send nothing
-	answers int
-	sent    int
-	course  []string
+// orderRun is one broker in one order of events, with two nodes that hold the one shard.
+type orderRun struct {
+	t         *testing.T
+	core      *Core
+	now       time.Duration
+	deadline  time.Duration // when the client's time is up
+	nodes     []discovery.Node
+	conns     []*orderConn
+	events    []store.Event // that the wire brings
+	pending   PendingQuery
+	submitted bool
+	departed  bool            // the client has left and the loop has heard of it
+	unusable  map[string]bool // nodes that the loop has been told to send nothing
+	answers   int
+	sent      int
+	history   []string
 }
 
-// orderLink is a connection of it.
-type orderLink struct {
-	o      *order
-	node   string
-	handle store.Handle
-	up     bool
-	down   bool
-	out    []string // attempts written and not answered
+// orderConn is a connection of it.
+type orderConn struct {
+	run        *orderRun
+	node       string
+	handle     store.Handle
+	up         bool
+	down       bool
+	unanswered []string // attempts written and not answered
 }
 
-func (l *orderLink) Read([]byte) (int, error)          { return 0, nil }
-func (l *orderLink) Close() error                      { return nil }
-func (l *orderLink) SetReadDeadline(t time.Time) error { return nil }
+func (l *orderConn) Read([]byte) (int, error)          { return 0, nil }
+func (l *orderConn) Close() error                      { return nil }
+func (l *orderConn) SetReadDeadline(t time.Time) error { return nil }
 
 // TryWrite takes one frame, and checks that it may come now.
-func (l *orderLink) TryWrite(b []byte) (int, error) {
+func (l *orderConn) TryWrite(b []byte) (int, error) {
 	if b[4] == 'q' {
 		id, _, _ := strings.Cut(string(b[5:]), " ")
-		l.out = append(l.out, id)
-		l.o.sent++
+		l.unanswered = append(l.unanswered, id)
+		l.run.sent++
 		switch {
-		case l.o.gone:
-			l.o.fail("%s was sent for a client that had gone", id)
-		case l.o.answers > 0:
-			l.o.fail("%s was sent after the answer", id)
-		case l.o.barred[l.node]:
-			l.o.fail("%s was sent to %s, which is drained or gone", id, l.node)
-		case l.o.now >= l.o.due:
-			l.o.fail("%s was sent when its client's time was up", id)
+		case l.run.departed:
+			l.run.fail("%s was sent for a client that had gone", id)
+		case l.run.answers > 0:
+			l.run.fail("%s was sent after the answer", id)
+		case l.run.unusable[l.node]:
+			l.run.fail("%s was sent to %s, which is drained or gone", id, l.node)
+		case l.run.now >= l.run.deadline:
+			l.run.fail("%s was sent when its client's time was up", id)
 		}
 	}
 	return len(b), nil
 }
 
-func (o *order) fail(format string, args ...any) {
+func (o *orderRun) fail(format string, args ...any) {
 	o.t.Helper()
-	o.t.Errorf("%s: %s", strings.Join(o.course, ", "), fmt.Sprintf(format, args...))
+	o.t.Errorf("%s: %s", strings.Join(o.history, ", "), fmt.Sprintf(format, args...))
 }
 
-func newOrder(t *testing.T) *order {
-	o := &order{t: t, barred: map[string]bool{}}
+func newOrderRun(t *testing.T) *orderRun {
+	o := &orderRun{t: t, unusable: map[string]bool{}}
 	tm := decoded(t)
 	a := Environment{Now: func() time.Duration { return o.now }, Start: time.Unix(0, 0), Sockets: 64, PollDiscovery: func() {}, SendGossip: func(string) {},
 		Log: func(string) {}}
 	a.Carrier = func(node string, _ netip.AddrPort, h store.Handle) func() {
-		l := &orderLink{o: o, node: node, handle: h}
-		o.open = append(o.open, l)
+		l := &orderConn{run: o, node: node, handle: h}
+		o.conns = append(o.conns, l)
 		return func() {
 			if !l.down {
 				l.down = true
@@ -120,81 +120,81 @@
 	return o
 }
 
-// busy is the first node to which a connection was opened.
-func (o *order) busy() *discovery.Node {
+// connectedNode is the first node to which a connection was opened.
+func (o *orderRun) connectedNode() *discovery.Node {
 	at := 0
-	if len(o.open) > 0 {
-		at = slices.IndexFunc(o.nodes, func(n discovery.Node) bool { return n.Name == o.open[0].node })
+	if len(o.conns) > 0 {
+		at = slices.IndexFunc(o.nodes, func(n discovery.Node) bool { return n.Name == o.conns[0].node })
 	}
 	return &o.nodes[at]
 }
 
-func (o *order) happens(h happening) {
+func (o *orderRun) apply(h orderEvent) {
 	switch h {
-	case asked:
-		o.put, o.due = true, o.now+time.Second
-		o.held = o.core.Submit(&Query{ID: "a", Timeout: time.Second, Text: "x", Shards: []int{0}, Weights: []float64{1}},
+	case querySubmitted:
+		o.submitted, o.deadline = true, o.now+time.Second
+		o.pending = o.core.Submit(&Query{ID: "a", Timeout: time.Second, Text: "x", Shards: []int{0}, Weights: []float64{1}},
 			func(QueryResult) { o.answers++ })
-	case left:
-		if o.put {
-			o.core.Abandon(o.held, false)
-			o.gone = true
+	case clientLeaves:
+		if o.submitted {
+			o.core.Abandon(o.pending, false)
+			o.departed = true
 		}
-	case drained, unlisted, restarted:
-		o.lists(h)
-	case failed:
+	case nodeDrained, nodeUnlisted, nodeRestarted:
+		o.applyListEvent(h)
+	case pollFails:
 		o.core.HandleList(nil, fmt.Errorf("no list"))
-	case rises:
-		for _, l := range slices.Clone(o.open) {
+	case connectionsOpen:
+		for _, l := range slices.Clone(o.conns) {
 			if !l.up && !l.down {
 				l.up = true
 				o.core.HandleConnection(l.handle.Up(o.now, l))
 			}
 		}
-	case served:
-		for _, l := range slices.Clone(o.open) {
-			for _, id := range l.out {
+	case attemptsAnswered:
+		for _, l := range slices.Clone(o.conns) {
+			for _, id := range l.unanswered {
 				if !l.down {
 					o.core.HandleConnection(l.handle.Answered(o.now, store.Answer{ID: id, Value: "v"}))
 				}
 			}
-			l.out = nil
+			l.unanswered = nil
 		}
-	case resets:
-		for _, l := range slices.Clone(o.open) {
+	case connectionsReset:
+		for _, l := range slices.Clone(o.conns) {
 			if l.up && !l.down {
 				l.down = true
 				o.core.HandleConnection(l.handle.Down(o.now, fmt.Errorf("reset")))
 			}
 		}
-	case passes:
-		if o.now += time.Second; o.put {
-			o.now = o.due
-			o.core.Abandon(o.held, true)
+	case deadlinePasses:
+		if o.now += time.Second; o.submitted {
+			o.now = o.deadline
+			o.core.Abandon(o.pending, true)
 		}
 	}
 }
 
-func (o *order) lists(h happening) {
-	n := *o.busy()
+func (o *orderRun) applyListEvent(h orderEvent) {
+	n := *o.connectedNode()
 	switch h {
-	case drained:
+	case nodeDrained:
 		n.Endpoint.State = decision.Draining
-		o.barred[n.Name] = true
+		o.unusable[n.Name] = true
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
-	case unlisted:
+	case nodeUnlisted:
 		others := slices.DeleteFunc(slices.Clone(o.nodes), func(x discovery.Node) bool { return x.Name == n.Name })
-		o.barred = map[string]bool{n.Name: true} // the others are named as in service
+		o.unusable = map[string]bool{n.Name: true} // the others are named as in service
 		o.core.HandleList(&discovery.List{Full: true, Nodes: others}, nil)
-	case restarted:
+	case nodeRestarted:
 		n.Endpoint.StartedAt = max(1, o.now)
-		delete(o.barred, n.Name) // it serves again
+		delete(o.unusable, n.Name) // it serves again
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	}
 }
 
 // settle has the loop take all that the wire brings, and its steps.
-func (o *order) settle() {
+func (o *orderRun) settle() {
 	for range 3 {
 		for _, e := range o.events {
 			o.core.HandleConnection(e)
@@ -204,17 +204,17 @@
 	}
 }
 
-// ends lets time pass until nothing can be owed any more, and checks what every order ends in.
-func (o *order) ends() {
+// finish lets time pass until nothing can be owed any more, and checks what every order ends in.
+func (o *orderRun) finish() {
 	for _, step := range []time.Duration{5 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second} {
-		if o.now += step; o.now >= o.due && o.put {
-			o.core.Abandon(o.held, true)
+		if o.now += step; o.now >= o.deadline && o.submitted {
+			o.core.Abandon(o.pending, true)
 		}
 		o.settle()
 	}
 	switch n := o.core.Counters(); {
-	case !o.put:
-	case !o.held.Done():
+	case !o.submitted:
+	case !o.pending.Done():
 		o.fail("the search has no end")
 	case o.answers > 1:
 		o.fail("%d answers", o.answers)
--- a/internal/server/orders_test.go
+++ b/internal/server/orders_test.go
@@ -9,27 +9,27 @@
 )
 
 // Every order of up to five events, each taken in a step of its own or together with the one before.
-func TestEveryOrder(t *testing.T) {
-	all := []happening{asked, left, drained, unlisted, restarted, failed, rises, served, resets, passes}
+func TestEveryEventOrder(t *testing.T) {
+	all := []orderEvent{querySubmitted, clientLeaves, nodeDrained, nodeUnlisted, nodeRestarted, pollFails, connectionsOpen, attemptsAnswered, connectionsReset, deadlinePasses}
 	orders, sent := 0, 0
-	var extend func(course []happening)
-	extend = func(course []happening) {
-		if len(course) == 2 && !slices.Contains(course, asked) || len(course) == 5 && !slices.Contains(course, rises) {
+	var extend func(events []orderEvent)
+	extend = func(events []orderEvent) {
+		if len(events) == 2 && !slices.Contains(events, querySubmitted) || len(events) == 5 && !slices.Contains(events, connectionsOpen) {
 			return // what comes before the query matters little, and with no connection nothing is sent
 		}
-		if len(course) == 5 {
-			for together := range 1 << (len(course) - 1) {
-				o := newOrder(t)
-				for i, h := range course {
-					o.course = append(o.course, string(h))
-					o.happens(h)
+		if len(events) == 5 {
+			for together := range 1 << (len(events) - 1) {
+				o := newOrderRun(t)
+				for i, h := range events {
+					o.history = append(o.history, string(h))
+					o.apply(h)
 					if together>>i&1 == 0 {
 						o.settle()
 					} else {
-						o.course = append(o.course, "at once")
+						o.history = append(o.history, "at once")
 					}
 				}
-				o.ends()
+				o.finish()
 				orders++
 				sent += o.sent
 				if t.Failed() {
@@ -39,8 +39,8 @@
 			return
 		}
 		for _, h := range all {
-			if !slices.Contains(course, h) {
-				extend(append(slices.Clone(course), h))
+			if !slices.Contains(events, h) {
+				extend(append(slices.Clone(events), h))
 			}
 		}
 	}
--- a/internal/server/position_exchange.go
+++ b/internal/server/position_exchange.go
@@ -37,9 +37,9 @@
 		}
 		return nil, 0
 	}
-	merge := func(data []byte, older time.Duration) {
+	merge := func(data []byte, transitTime time.Duration) {
 		select {
-		case received <- remotePositions{data, s.loop.since() - older}:
+		case received <- remotePositions{data, s.loop.since() - transitTime}:
 		default:
 		}
 	}
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -15,8 +15,8 @@
 	"flaxfront/internal/transport/store"
 )
 
-// usualReplicas is how many eligible replicas of a shard there is room for without another allocation.
-const usualReplicas = 4
+// typicalReplicas is how many eligible replicas of a shard there is room for without another allocation.
+const typicalReplicas = 4
 
 // readPinsHost is what read pins may use of the loop.
 type readPinsHost interface {
@@ -44,9 +44,9 @@
 
 // pinnedRequest is which replicas a shard request may go to, what an answer has to show, and what the one that came has shown.
 type pinnedRequest struct {
-	allowed  decision.AllowedReplicas
-	required readpin.Promise
-	shown    readpin.Assessment
+	allowed    decision.AllowedReplicas
+	required   readpin.Promise
+	assessment readpin.Assessment
 }
 
 func newReadPinTracker(o *operator.Fleet, t *terms.Terms) *readPinTracker {
@@ -117,7 +117,7 @@
 		pin.requirement.Pin = readpin.HashPin(string(h.Scope), h.Key)
 	}
 	now := p.loop.since()
-	nodes := make([]decision.NodeID, 0, usualReplicas*n)
+	nodes := make([]decision.NodeID, 0, typicalReplicas*n)
 	for i := range q.Request.Shards {
 		shard, from := q.Request.Shards[i].Shard, len(nodes)
 		var eligibleAfter time.Duration
@@ -165,9 +165,9 @@
 		return outcome
 	}
 	request := &q.pin.requests[i]
-	shown := p.positions.Assess(request.required, attempt.Sent, report, reported)
-	if shown.Fresh || q.pin.requirement.AllowStale {
-		request.shown = shown
+	assessment := p.positions.Assess(request.required, attempt.Sent, report, reported)
+	if assessment.Fresh || q.pin.requirement.AllowStale {
+		request.assessment = assessment
 		return outcome
 	}
 	request.allowed.Nodes = slices.DeleteFunc(request.allowed.Nodes, func(id decision.NodeID) bool { return id == attempt.Node })
@@ -206,12 +206,12 @@
 		if !q.requests[i].answered {
 			continue
 		}
-		shown, shard := &q.pin.requests[i].shown, q.Request.Shards[i].Shard
-		oldest = min(oldest, shown.AsOf)
-		if shown.Offset > 0 {
-			r.Positions = append(r.Positions, readhint.Position{Shard: shard, Offset: shown.Offset})
+		assessment, shard := &q.pin.requests[i].assessment, q.Request.Shards[i].Shard
+		oldest = min(oldest, assessment.AsOf)
+		if assessment.Offset > 0 {
+			r.Positions = append(r.Positions, readhint.Position{Shard: shard, Offset: assessment.Offset})
 		}
-		if !shown.Fresh {
+		if !assessment.Fresh {
 			behind = append(behind, shard)
 		}
 	}
--- a/internal/server/read_pins_test.go
+++ b/internal/server/read_pins_test.go
@@ -22,17 +22,17 @@
 	})
 }
 
-// pinnedLive is a broker that obeys hints, before two replicas of each shard.
-func pinnedLive(t *testing.T) (*Server, [2]*atomic.Pointer[string], [2]*atomic.Int64) {
+// runPinnedServer is a broker that obeys hints, before two replicas of each shard.
+func runPinnedServer(t *testing.T) (*Server, [2]*atomic.Pointer[string], [2]*atomic.Int64) {
 	start := startConfiguration(t, "127.0.0.1:0", 1024)
 	var reports [2]*atomic.Pointer[string]
 	var asked [2]*atomic.Int64
 	known := `{"generation":1,"reset":true,"instances":[`
 	for i := range 2 {
 		reports[i], asked[i] = &atomic.Pointer[string]{}, &atomic.Int64{}
-		at := replicaNode(t, reports[i], asked[i])
+		addr := replicaNode(t, reports[i], asked[i])
 		for cell := range 2 {
-			known += fmt.Sprintf(`{"instanceId":"s-%d-%d","hostPort":%q,"zone":"a","cell":%d,"lifecycle":"in_service"},`, i, cell, at, cell)
+			known += fmt.Sprintf(`{"instanceId":"s-%d-%d","hostPort":%q,"zone":"a","cell":%d,"lifecycle":"in_service"},`, i, cell, addr, cell)
 		}
 	}
 	start.Known = []byte(known[:len(known)-1] + "]}")
@@ -43,17 +43,17 @@
 	return s, reports, asked
 }
 
-func hinted(id, text string) string {
+func postWithHint(id, text string) string {
 	return strings.Replace(post(id, body), "\r\n\r\n", "\r\n"+text+"\r\n\r\n", 1)
 }
 
 func TestHintsOverSockets(t *testing.T) {
-	s, reports, asked := pinnedLive(t)
-	say := func(i int, text string) { reports[i].Store(&text) }
-	say(0, "p=70;h=0")
-	say(1, "p=70;h=0")
+	s, reports, asked := runPinnedServer(t)
+	setReport := func(i int, text string) { reports[i].Store(&text) }
+	setReport(0, "p=70;h=0")
+	setReport(1, "p=70;h=0")
 	c := dial(t, s)
-	m := c.roundTrip(hinted("a", "X-Read-Hint: pin=session:abc; max-stale=5s; not-before=0:0,1:0"))
+	m := c.roundTrip(postWithHint("a", "X-Read-Hint: pin=session:abc; max-stale=5s; not-before=0:0,1:0"))
 	seen, _ := m.Get("x-read-position")
 	stale, _ := m.Get("x-read-staleness")
 	if m.Status != 200 || seen != "0:70,1:70" || !strings.HasSuffix(stale, "ms") {
@@ -61,7 +61,7 @@
 	}
 	first := [2]int64{asked[0].Load(), asked[1].Load()}
 	for i := range 20 {
-		c.roundTrip(hinted(fmt.Sprint("s", i), "X-Read-Hint: pin=session:abc"))
+		c.roundTrip(postWithHint(fmt.Sprint("s", i), "X-Read-Hint: pin=session:abc"))
 	}
 	for i := range 2 { // each shard stays where it was
 		if now := asked[i].Load(); now != 21*first[i] {
@@ -69,22 +69,22 @@
 		}
 	}
 	// What is seen and no longer there is never answered as fresh: refused, or stated.
-	say(0, "p=40;h=3000")
-	say(1, "p=40;h=3000")
-	m = c.roundTrip(hinted("b", "X-Read-Hint: not-before="+seen))
+	setReport(0, "p=40;h=3000")
+	setReport(1, "p=40;h=3000")
+	m = c.roundTrip(postWithHint("b", "X-Read-Hint: not-before="+seen))
 	after, _ := m.Get("retry-after")
 	if d, err := time.ParseDuration(after + "s"); m.Status != 503 || err != nil || d <= 0 || d > time.Second {
 		t.Errorf("%d, after %q", m.Status, after)
 	}
-	m = c.roundTrip(hinted("c", "X-Read-Hint: not-before="+seen+"; max-stale=100ms; or-stale=yes"))
+	m = c.roundTrip(postWithHint("c", "X-Read-Hint: not-before="+seen+"; max-stale=100ms; or-stale=yes"))
 	stale, _ = m.Get("x-read-staleness")
 	behind, _ := m.Get("x-read-behind")
 	if d, err := time.ParseDuration(stale); m.Status != 200 || err != nil || d < 3*time.Second || behind != "0,1" {
 		t.Errorf("%d %q %q", m.Status, stale, behind)
 	}
-	say(0, "-")
-	say(1, "-")
-	m = c.roundTrip(hinted("d", "X-Read-Hint: max-stale=100ms; or-stale=yes"))
+	setReport(0, "-")
+	setReport(1, "-")
+	m = c.roundTrip(postWithHint("d", "X-Read-Hint: max-stale=100ms; or-stale=yes"))
 	if stale, _ = m.Get("x-read-staleness"); m.Status != 200 || stale != "unknown" {
 		t.Errorf("%d %q", m.Status, stale)
 	}
@@ -92,14 +92,14 @@
 
 // A wrong hint is told, and its query answered as one without.
 func TestWrongHintsOverSockets(t *testing.T) {
-	s, reports, _ := pinnedLive(t)
+	s, reports, _ := runPinnedServer(t)
 	for i := range 2 {
 		text := "p=1;h=900000"
 		reports[i].Store(&text)
 	}
 	c := dial(t, s)
 	for i, text := range []string{"max-stale=1ms; pin=who:am-i", "max-stale=1ms; max-stale=1ms", "max-stale=1ms\r\nX-Read-Hint: max-stale=1ms"} {
-		m := c.roundTrip(hinted(fmt.Sprint("a", i), readhint.Header+": "+text))
+		m := c.roundTrip(postWithHint(fmt.Sprint("a", i), readhint.Header+": "+text))
 		why, _ := m.Get("x-read-hint-ignored")
 		if _, there := m.Get("x-read-staleness"); m.Status != 200 || why == "" || there > 0 {
 			t.Errorf("%q: %d %q", text, m.Status, why)
@@ -109,7 +109,7 @@
 		t.Errorf("%+v", p)
 	}
 	plain, _ := runServer(t, 1024) // where hints are not obeyed nothing of them is read
-	m := dial(t, plain).roundTrip(hinted("a", "X-Read-Hint: nonsense"))
+	m := dial(t, plain).roundTrip(postWithHint("a", "X-Read-Hint: nonsense"))
 	if _, there := m.Get("x-read-hint-ignored"); m.Status != 200 || there > 0 || plain.Counters().Queries.ReadPins != nil {
 		t.Errorf("%d", m.Status)
 	}
@@ -117,20 +117,20 @@
 
 // What one broker learned another uses, older by what it was on the way.
 func TestPositionsBetweenBrokers(t *testing.T) {
-	one, reports, _ := pinnedLive(t)
-	other, theirs, _ := pinnedLive(t)
+	one, reports, _ := runPinnedServer(t)
+	other, theirs, _ := runPinnedServer(t)
 	text := "p=70;h=9000"
 	for i := range 2 {
 		reports[i].Store(&text)
 		theirs[i].Store(&text)
 	}
 	for i := range 12 {
-		dial(t, one).roundTrip(hinted(fmt.Sprint("a", i), "X-Read-Hint: max-stale=1ms; or-stale=yes"))
+		dial(t, one).roundTrip(postWithHint(fmt.Sprint("a", i), "X-Read-Hint: max-stale=1ms; or-stale=yes"))
 	}
 	other.MergePositions([]byte("spoilt"), 0)
 	other.MergePositions(one.CollectPositions(), time.Millisecond)
 	other.AgreeEpoch(3, nil)
-	m := dial(t, other).roundTrip(hinted("b", "X-Read-Hint: max-stale=100ms"))
+	m := dial(t, other).roundTrip(postWithHint("b", "X-Read-Hint: max-stale=100ms"))
 	p := other.Counters().Queries.ReadPins
 	if m.Status != 503 || p.Merged == 0 || p.Malformed != 1 || p.Epoch != 3 {
 		t.Errorf("%d, %+v", m.Status, p)
--- a/internal/server/read_positions.go
+++ b/internal/server/read_positions.go
@@ -21,9 +21,9 @@
 }
 
 // MergePositions takes what another broker collected; older is the most by which it has aged on the way.
-func (s *Server) MergePositions(data []byte, older time.Duration) {
+func (s *Server) MergePositions(data []byte, transitTime time.Duration) {
 	if s.loop.readPins != nil {
-		s.deliver(positionsReceived{data, s.loop.since() - older})
+		s.deliver(positionsReceived{data, s.loop.since() - transitTime})
 	}
 }
 
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -23,37 +23,37 @@
 	"flaxfront/internal/transport/store"
 )
 
-// world is a loop with stand-in nodes. Their writes happen in the loop's goroutine, so that a rule is checked at the
+// faultyCluster is a loop with stand-in nodes. Their writes happen in the loop's goroutine, so that a rule is checked at the
 // moment at which it would be broken.
-type world struct {
-	t      *testing.T
-	seed   uint64
-	rnd    *rand.Rand // of the play; what nodes do hangs on who is asked what, not on who comes first
-	loop   *loop
-	mu     sync.Mutex // guards the maps
-	dials  map[string]int
-	asked  map[string]*activeQuery
-	runs   map[string]bool // attempts that may have run at some node
-	made   map[string]bool // values that nodes made, by attempt
-	downAt map[string]time.Duration
-	nodes  []discovery.Node
+type faultyCluster struct {
+	t          *testing.T
+	seed       uint64
+	rng        *rand.Rand // of the play; what nodes do hangs on who is asked what, not on who comes first
+	loop       *loop
+	mu         sync.Mutex // guards the maps
+	dials      map[string]int
+	queries    map[string]*activeQuery
+	mayHaveRun map[string]bool // attempts that may have run at some node
+	values     map[string]bool // values that nodes made, by attempt
+	drainedAt  map[string]time.Duration
+	nodes      []discovery.Node
 }
 
-// nodeLink is a connection to a stand-in node.
-type nodeLink struct {
-	w     *world
-	cell  int
-	addr  string
-	say   chan []byte
-	rest  []byte
-	ended chan struct{}
-	once  sync.Once
+// faultyConn is a connection to a stand-in node.
+type faultyConn struct {
+	cluster *faultyCluster
+	cell    int
+	addr    string
+	frames  chan []byte
+	rest    []byte
+	ended   chan struct{}
+	once    sync.Once
 }
 
-func (l *nodeLink) Read(b []byte) (int, error) {
+func (l *faultyConn) Read(b []byte) (int, error) {
 	for len(l.rest) == 0 {
 		select {
-		case l.rest = <-l.say:
+		case l.rest = <-l.frames:
 		case <-l.ended:
 			return 0, syscall.ECONNRESET
 		}
@@ -63,16 +63,16 @@
 	return n, nil
 }
 
-func (l *nodeLink) Close() error {
+func (l *faultyConn) Close() error {
 	l.once.Do(func() { close(l.ended) })
 	return nil
 }
 
-func (l *nodeLink) SetReadDeadline(time.Time) error { return nil }
+func (l *faultyConn) SetReadDeadline(time.Time) error { return nil }
 
 // TryWrite is a node that gets one frame whole, checks the rules and answers as chance has it.
-func (l *nodeLink) TryWrite(b []byte) (int, error) {
-	w := l.w
+func (l *faultyConn) TryWrite(b []byte) (int, error) {
+	w := l.cluster
 	select {
 	case <-l.ended:
 		return 0, syscall.EPIPE
@@ -102,34 +102,34 @@
 	return len(b), nil
 }
 
-func (w *world) chance(of string) *rand.Rand {
+func (w *faultyCluster) randFor(of string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(of))
 	return rand.New(rand.NewPCG(w.seed, h.Sum64()))
 }
 
-func (w *world) check(l *nodeLink, id string, shard int) {
+func (w *faultyCluster) check(l *faultyConn, id string, shard int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.asked[id[:strings.IndexByte(id, '.')]]
+	s := w.queries[id[:strings.IndexByte(id, '.')]]
 	switch {
 	case s.done:
 		w.t.Errorf("rule 1: %s was sent after its query's answer", id)
 	case shard%2 != l.cell:
 		w.t.Errorf("%s went to a node of cell %d", id, l.cell)
-	case s.Type == 1 && w.runs[id]:
+	case s.Type == 1 && w.mayHaveRun[id]:
 		w.t.Errorf("rule 2: %s was sent though it may have run", id)
 	}
-	if at, down := w.downAt[l.addr]; down && w.loop.since() > at+500*time.Millisecond {
+	if at, down := w.drainedAt[l.addr]; down && w.loop.since() > at+500*time.Millisecond {
 		w.t.Errorf("rule 3: %s was sent %v after the node's drain was told", id, w.loop.since()-at)
 	}
-	w.runs[id] = true
+	w.mayHaveRun[id] = true
 }
 
 // answer plays one of a node's ways, well in most cases.
-func (l *nodeLink) answer(id string) {
-	w, rnd := l.w, l.w.chance(id+l.addr)
-	after := time.Duration(w10(rnd)) * 10 * time.Millisecond
+func (l *faultyConn) answer(id string) {
+	w, rnd := l.cluster, l.cluster.randFor(id+l.addr)
+	after := time.Duration(oneToTen(rnd)) * 10 * time.Millisecond
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	served := fmt.Sprintf("%s served 7 -\n%s@%s", id, id, l.addr)
@@ -139,7 +139,7 @@
 		text = id + " broke - -\n"
 	case 1:
 		text = id + " skipped - -\n"
-		w.runs[id] = false
+		w.mayHaveRun[id] = false
 	case 2:
 		return // silent
 	case 3:
@@ -150,7 +150,7 @@
 		after *= 20 // perhaps called off meanwhile
 	}
 	if text == served {
-		w.made[id+"@"+l.addr] = true
+		w.values[id+"@"+l.addr] = true
 	}
 	b := binary.LittleEndian.AppendUint32(nil, uint32(1+len(text)))
 	b = append(append(b, 'a'), text...)
@@ -164,39 +164,39 @@
 	}
 	time.AfterFunc(after, func() {
 		select {
-		case l.say <- b:
+		case l.frames <- b:
 		case <-l.ended:
 		}
 	})
 }
 
-func w10(r *rand.Rand) int { return 1 + r.IntN(10) }
+func oneToTen(r *rand.Rand) int { return 1 + r.IntN(10) }
 
-// checked is the router with the counters checked before each of its steps.
-type checked struct {
+// checkedRouter is the router with the counters checked before each of its steps.
+type checkedRouter struct {
 	decision.Router
-	w *world
+	cluster *faultyCluster
 }
 
-func (c checked) Snapshot() (out, shut int) { return c.Router.(inspectable).Snapshot() }
+func (c checkedRouter) Snapshot() (out, shut int) { return c.Router.(inspectable).Snapshot() }
 
-func (c checked) Step(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
-	if t := c.w.loop.counters; t.Received != t.Answered+t.Shed+t.Failed+t.Abandoned+t.InFlight {
-		c.w.t.Errorf("counters do not add up: %+v", t)
+func (c checkedRouter) Step(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
+	if t := c.cluster.loop.counters; t.Received != t.Answered+t.Shed+t.Failed+t.Abandoned+t.InFlight {
+		c.cluster.t.Errorf("counters do not add up: %+v", t)
 	}
-	if c.w.loop.slotsUsed > 40 {
-		c.w.t.Errorf("%d slots taken", c.w.loop.slotsUsed)
+	if c.cluster.loop.slotsUsed > 40 {
+		c.cluster.t.Errorf("%d slots taken", c.cluster.loop.slotsUsed)
 	}
 	return c.Router.Step(now, ev, out)
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newFaultyCluster(t *testing.T, seed uint64) *faultyCluster {
 	tm := decoded(t)
 	tm.Module.Seed = seed
-	w := &world{t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 1)), dials: map[string]int{},
-		asked: map[string]*activeQuery{}, runs: map[string]bool{},
-		made: map[string]bool{}, downAt: map[string]time.Duration{}}
-	w.loop = newLoop(time.Now(), checked{routing.New(tm.Module), w}, &tm.Module)
+	w := &faultyCluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), dials: map[string]int{},
+		queries: map[string]*activeQuery{}, mayHaveRun: map[string]bool{},
+		values: map[string]bool{}, drainedAt: map[string]time.Duration{}}
+	w.loop = newLoop(time.Now(), checkedRouter{routing.New(tm.Module), w}, &tm.Module)
 	for i := range 8 {
 		name := fmt.Sprint("s-", i)
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 80)
@@ -206,11 +206,11 @@
 	return w
 }
 
-func (w *world) dial(ctx context.Context, addr string, within time.Duration) (store.Conn, error) {
+func (w *faultyCluster) dial(ctx context.Context, addr string, within time.Duration) (store.Conn, error) {
 	cell := int(netip.MustParseAddrPort(addr).Addr().As4()[3]) % 2
 	w.mu.Lock()
 	w.dials[addr]++
-	rnd := w.chance(fmt.Sprint(addr, w.dials[addr]))
+	rnd := w.randFor(fmt.Sprint(addr, w.dials[addr]))
 	w.mu.Unlock()
 	switch rnd.IntN(10) {
 	case 0:
@@ -223,5 +223,5 @@
 			return nil, io.EOF
 		}
 	}
-	return &nodeLink{w: w, cell: cell, addr: addr, say: make(chan []byte), ended: make(chan struct{})}, nil
+	return &faultyConn{cluster: w, cell: cell, addr: addr, frames: make(chan []byte), ended: make(chan struct{})}, nil
 }
