--- a/internal/cluster/connpolicy/connpolicy_test.go
+++ b/internal/cluster/connpolicy/connpolicy_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestSame has the same text make the same policy.
-func TestSame(t *testing.T) {
-	show := func() string {
+// TestSameTextSamePolicy has the same text make the same policy.
+func TestSameTextSamePolicy(t *testing.T) {
+	describe := func() string {
 		p, err := Compile("x", example(t))
 		if err != nil {
 			t.Fatal(err)
@@ -48,18 +48,18 @@
 		}
 		return fmt.Sprintf("%+v %+v", p.Classes, *p.Pool)
 	}
-	if first := show(); first != show() {
+	if first := describe(); first != describe() {
 		t.Error("the same text was read in two ways")
 	}
 }
 
-// TestRefused changes one line of the example and looks for the type, the line and what to do.
-func TestRefused(t *testing.T) {
-	refused := func(err error) any { var e *form.Error; errors.As(err, &e); return e.Err }
+// TestRejectedPolicies changes one line of the example and looks for the type, the line and what to do.
+func TestRejectedPolicies(t *testing.T) {
+	causeOf := func(err error) any { var e *form.Error; errors.As(err, &e); return e.Err }
 	cases := []struct {
-		from, to string
-		kind     any
-		why      string
+		from, to  string
+		errorType any
+		message   string
 	}{
 		{`"nodes": 200,`, `"nodes": 200, "node": 3,`, nil, "unknown"},
 		{`"closing": "1s"`, `"closing": "3s"`, &ClosingTimeError{}, "closing"},
@@ -92,16 +92,16 @@
 		text := strings.Replace(example(t), c.from, c.to, 1)
 		line := 1 + strings.Count(text[:max(0, strings.Index(text, c.to))], "\n")
 		_, err := Compile("x", text)
-		var at *form.Error
-		if err == nil || !errors.As(err, &at) || !strings.Contains(err.Error(), c.why) {
+		var located *form.Error
+		if err == nil || !errors.As(err, &located) || !strings.Contains(err.Error(), c.message) {
 			t.Errorf("%s: %v", c.to, err)
 			continue
 		}
-		if at.Line != line {
-			t.Errorf("%s: line %d was told for line %d: %v", c.to, at.Line, line, err)
+		if located.Line != line {
+			t.Errorf("%s: line %d was told for line %d: %v", c.to, located.Line, line, err)
 		}
-		if c.kind != nil && fmt.Sprintf("%T", refused(err)) != fmt.Sprintf("%T", c.kind) || remedy.Of(err) == "" {
-			t.Errorf("%s: %T with what to do: %q", c.to, refused(err), remedy.Of(err))
+		if c.errorType != nil && fmt.Sprintf("%T", causeOf(err)) != fmt.Sprintf("%T", c.errorType) || remedy.Of(err) == "" {
+			t.Errorf("%s: %T with what to do: %q", c.to, causeOf(err), remedy.Of(err))
 		}
 	}
 }
--- a/internal/cluster/controlplane/client_test.go
+++ b/internal/cluster/controlplane/client_test.go
@@ -16,9 +16,9 @@
 
 // An operator's requests over real sockets: answered by the leader, whichever voter is named first; refused with advice; and not
 // at all for somebody of another site.
-func TestAsk(t *testing.T) {
+func TestSendRequest(t *testing.T) {
 	dir := t.TempDir()
-	ring := func(site, name string) *keys.Keyring {
+	issueKeyring := func(site, name string) *keys.Keyring {
 		d := filepath.Join(dir, site+name)
 		if _, err := keys.Issue(filepath.Join(dir, "ca"), d, keys.ID{Site: site, Broker: name}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
@@ -41,48 +41,48 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := New(Options{Keys: ring("s", "b1"), Voters: []Voter{{"b1", ln.Addr().String()}}, Listener: ln, ListenAddr: ln.Addr().String(), Storage: disk,
+	participant, err := New(Options{Keys: issueKeyring("s", "b1"), Voters: []Voter{{"b1", ln.Addr().String()}}, Listener: ln, ListenAddr: ln.Addr().String(), Storage: disk,
 		Slot: 1, Incarnation: 1, Version: "1", LeaseDuration: time.Second, MaxClockDrift: 0.01, ElectionTimeout: 60 * time.Millisecond, HeartbeatInterval: 10 * time.Millisecond,
 		MaxFollowers: 2, ReportInterval: time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.SetNodeNames(func(text string) (decision.NodeID, bool) { return decision.NodeID{}, false }, decision.NodeID.String)
+	participant.SetNodeNames(func(text string) (decision.NodeID, bool) { return decision.NodeID{}, false }, decision.NodeID.String)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		f.Run(ctx)
+		participant.Run(ctx)
 	}()
 	defer func() { cancel(); <-ended }()
-	f.SetServing()
-	nobody := Voter{"b0", "127.0.0.1:1"}
-	voters := []Voter{nobody, {"b1", ln.Addr().String()}}
+	participant.SetServing()
+	unreachable := Voter{"b0", "127.0.0.1:1"}
+	voters := []Voter{unreachable, {"b1", ln.Addr().String()}}
 	within, stop := context.WithTimeout(ctx, time.Minute)
 	defer stop()
 	var s Status
 	for len(s.Brokers) == 0 || s.Brokers[0].Status != statemachine.BrokerServing {
-		if err := SendRequest(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil {
+		if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var refusal *RejectedError
-	if err := SendRequest(within, ring("s", "operator"), voters, VerbDrain, &Request{Node: "x"}, nil); !errors.As(err, &refusal) || refusal.Remedy() == "" {
+	var rejected *RejectedError
+	if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbDrain, &Request{Node: "x"}, nil); !errors.As(err, &rejected) || rejected.Remedy() == "" {
 		t.Errorf("drain of a node that nobody knows: %v", err)
 	}
 	var number uint64
-	if err := SendRequest(within, ring("s", "operator"), voters, VerbRelease, &Request{Plan: &ReleaseRequest{To: "2"}}, &number); err != nil || number == 0 {
+	if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbRelease, &Request{Plan: &ReleaseRequest{To: "2"}}, &number); err != nil || number == 0 {
 		t.Errorf("release %d, %v", number, err)
 	}
-	if err := SendRequest(within, ring("s", "operator"), voters, VerbHalt, &Request{Reason: "enough"}, nil); err != nil {
+	if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbHalt, &Request{Reason: "enough"}, nil); err != nil {
 		t.Error(err)
 	}
-	if err := SendRequest(within, ring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.State != statemachine.ReleaseHalted {
+	if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.State != statemachine.ReleaseHalted {
 		t.Errorf("%+v, %v", s.Release, err)
 	}
 	brief, stop2 := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer stop2()
-	if err := SendRequest(brief, ring("other", "operator"), voters[1:], VerbStatus, &Request{}, &s); !errors.As(err, new(*NotLeaderError)) {
+	if err := SendRequest(brief, issueKeyring("other", "operator"), voters[1:], VerbStatus, &Request{}, &s); !errors.As(err, new(*NotLeaderError)) {
 		t.Errorf("somebody of another site: %v", err)
 	}
 }
--- a/internal/cluster/controlplane/faults_test.go
+++ b/internal/cluster/controlplane/faults_test.go
@@ -12,14 +12,14 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// failing is a disk that fails from a moment on.
-type failing struct {
+// failingStorage is a disk that fails from a moment on.
+type failingStorage struct {
 	consensus.Storage
-	now *atomic.Bool
+	isFailing *atomic.Bool
 }
 
-func (d failing) Save(h *pb.HardState, e []*pb.Entry, s *pb.Snapshot) error {
-	if d.now.Load() {
+func (d failingStorage) Save(h *pb.HardState, e []*pb.Entry, s *pb.Snapshot) error {
+	if d.isFailing.Load() {
 		return errors.New("no space left")
 	}
 	return d.Storage.Save(h, e, s)
@@ -27,51 +27,51 @@
 
 // A voter whose disk fails votes no more; it follows the others, and nobody is lost.
 func TestDiskFails(t *testing.T) {
-	inside(t, func(t *testing.T, c *tier) {
-		var full atomic.Bool
-		c.set = func(o *Options) {
+	runWithFakeTime(t, func(t *testing.T, c *tier) {
+		var diskFull atomic.Bool
+		c.adjustOptions = func(o *Options) {
 			if o.Slot == 2 {
-				o.Storage = failing{o.Storage, &full}
+				o.Storage = failingStorage{o.Storage, &diskFull}
 			}
 		}
 		for i := range 4 {
 			c.start(i + 1)
 		}
-		c.until("all are in", 5*time.Second, c.connected)
-		voter := c.all["b2"]
-		inc := voter.View().Incarnation
-		full.Store(true)
+		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		voter := c.participants["b2"]
+		incarnation := voter.View().Incarnation
+		diskFull.Store(true)
 		for n := range 20 {
 			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: uint64(n + 1)}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		c.until("the voter follows", 3*time.Second, func() bool {
-			return peek(voter, func() bool { return voter.voterStopped }) && voter.View().Epoch == 20
+		c.waitUntil("the voter follows", 3*time.Second, func() bool {
+			return readInLoop(voter, func() bool { return voter.voterStopped }) && voter.View().Epoch == 20
 		})
 		time.Sleep(10 * time.Second)
-		if v := voter.View(); !c.connected() || v.Incarnation != inc {
-			t.Errorf("connected %v, incarnation %d after %d", c.connected(), v.Incarnation, inc)
+		if v := voter.View(); !c.allConnected() || v.Incarnation != incarnation {
+			t.Errorf("connected %v, incarnation %d after %d", c.allConnected(), v.Incarnation, incarnation)
 		}
 	})
 }
 
 // When the leader dies another goes on: permits and drains are agreed again within 3 s, and nobody counts as lost but the dead.
 func TestLeaderDies(t *testing.T) {
-	inside(t, func(t *testing.T, c *tier) {
+	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		for i := range 6 {
 			c.start(i + 1)
 		}
-		c.until("all are in", 5*time.Second, c.connected)
-		dead := c.leader()
-		c.isolate(dead, true)
+		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		oldLeader := c.leader()
+		c.isolate(oldLeader, true)
 		began := time.Now()
 		if _, err := c.propose("b6", &statemachine.SetNodeList{Epoch: 1}); err != nil || time.Since(began) > 3*time.Second {
 			t.Fatalf("agreed after %v: %v", time.Since(began), err)
 		}
 		time.Sleep(10 * time.Second)
-		for _, b := range peek(c.all["b6"], c.all["b6"].state.Brokers) {
-			if (b.Status == statemachine.BrokerLost) != (b.Name == dead) {
+		for _, b := range readInLoop(c.participants["b6"], c.participants["b6"].state.Brokers) {
+			if (b.Status == statemachine.BrokerLost) != (b.Name == oldLeader) {
 				t.Errorf("%s is %v", b.Name, b.Status)
 			}
 		}
@@ -80,17 +80,17 @@
 
 // Without a majority nothing is agreed and everybody says so; what is proposed meanwhile is agreed once they are together again.
 func TestNoMajority(t *testing.T) {
-	inside(t, func(t *testing.T, c *tier) {
+	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		for i := range 5 {
 			c.start(i + 1)
 		}
-		c.until("all are in", 5*time.Second, c.connected)
-		c.w.cut("b1", "b2", true)
-		c.w.cut("b1", "b3", true)
-		c.w.cut("b2", "b3", true)
-		c.until("all know", 6*time.Second, func() bool {
-			for _, f := range c.all {
-				if f.View().Connected {
+		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		c.network.setPartitioned("b1", "b2", true)
+		c.network.setPartitioned("b1", "b3", true)
+		c.network.setPartitioned("b2", "b3", true)
+		c.waitUntil("all know", 6*time.Second, func() bool {
+			for _, p := range c.participants {
+				if p.View().Connected {
 					return false
 				}
 			}
@@ -102,15 +102,15 @@
 			done <- err
 		}()
 		time.Sleep(5 * time.Second)
-		if len(done) > 0 || c.all["b1"].View().Epoch != 0 {
+		if len(done) > 0 || c.participants["b1"].View().Epoch != 0 {
 			t.Error("an entry was agreed without a majority")
 		}
 		for _, pair := range [][2]string{{"b1", "b2"}, {"b1", "b3"}, {"b2", "b3"}} {
-			c.w.cut(pair[0], pair[1], false)
+			c.network.setPartitioned(pair[0], pair[1], false)
 		}
-		c.until("all are back", 3*time.Second, c.connected)
+		c.waitUntil("all are back", 3*time.Second, c.allConnected)
 		<-done
-		c.until("it is agreed", time.Second, func() bool { return c.all["b1"].View().Epoch == 1 })
+		c.waitUntil("it is agreed", time.Second, func() bool { return c.participants["b1"].View().Epoch == 1 })
 	})
 }
 
@@ -118,36 +118,36 @@
 // Those that followed it find another source: it still beats, and would feed them nothing for ever.
 func TestNewerEntry(t *testing.T) {
 	for _, leads := range []bool{true, false} {
-		inside(t, func(t *testing.T, c *tier) {
+		runWithFakeTime(t, func(t *testing.T, c *tier) {
 			for i := range 3 {
 				c.start(i + 1)
 			}
-			c.until("the voters are in", 5*time.Second, c.connected)
+			c.waitUntil("the voters are in", 5*time.Second, c.allConnected)
 			name := c.leader()
 			if !leads {
 				name = map[string]string{"b1": "b2", "b2": "b3", "b3": "b1"}[name]
 			}
-			f := c.all[name]
-			only := func(apart bool) { // b4 can follow nobody else
+			p := c.participants[name]
+			cutOthersOff := func(partitioned bool) { // b4 can follow nobody else
 				for _, other := range []string{"b1", "b2", "b3"} {
 					if other != name {
-						c.w.cut("b4", other, apart)
+						c.network.setPartitioned("b4", other, partitioned)
 					}
 				}
 			}
-			only(true)
+			cutOthersOff(true)
 			follower := c.start(4)
-			c.until("it is followed", 5*time.Second, c.connected)
-			only(false)
-			f.runInLoop(t.Context(), func() { // as if this program were older than what comes next
-				f.state.Apply(f.state.AppliedIndex()+1, []byte{99, 99})
+			c.waitUntil("it is followed", 5*time.Second, c.allConnected)
+			cutOthersOff(false)
+			p.runInLoop(t.Context(), func() { // as if this program were older than what comes next
+				p.state.Apply(p.state.AppliedIndex()+1, []byte{99, 99})
 			})
 			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: 1}); err != nil {
 				t.Fatal(err)
 			}
-			c.until("it stops", 3*time.Second, func() bool { return peek(f, func() bool { return f.voterStopped && f.haltedBy != nil }) })
+			c.waitUntil("it stops", 3*time.Second, func() bool { return readInLoop(p, func() bool { return p.voterStopped && p.haltedBy != nil }) })
 			time.Sleep(10 * time.Second)
-			if v := f.View(); v.Connected || v.Halted == nil || remedyOf(v.Halted) == "" {
+			if v := p.View(); v.Connected || v.Halted == nil || remedyOf(v.Halted) == "" {
 				t.Errorf("it goes on: %+v", v)
 			}
 			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: 2}); err != nil {
@@ -161,19 +161,19 @@
 }
 
 // Brokers whose clocks were set back over a restart take up incarnations above those that the ledger knows, the leader too.
-func TestClockBack(t *testing.T) {
-	inside(t, func(t *testing.T, c *tier) {
+func TestClockSetBack(t *testing.T) {
+	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		for i := range 3 {
 			c.start(i + 1)
 		}
-		c.until("all are in", 5*time.Second, c.connected)
+		c.waitUntil("all are in", 5*time.Second, c.allConnected)
 		for _, name := range []string{"b1", "b2", "b3"} {
-			c.stop[name]()
+			c.stopBroker[name]()
 		}
-		c.set = func(o *Options) { o.Incarnation = 1 }
+		c.adjustOptions = func(o *Options) { o.Incarnation = 1 }
 		for i := range 3 {
 			c.start(i + 1)
 		}
-		c.until("all are in", 5*time.Second, c.connected)
+		c.waitUntil("all are in", 5*time.Second, c.allConnected)
 	})
 }
--- a/internal/cluster/controlplane/fuzz_test.go
+++ b/internal/cluster/controlplane/fuzz_test.go
@@ -12,7 +12,7 @@
 )
 
 // Whatever comes over a connection ends it or is passed over; it panics nowhere, and takes no more room than its own bytes.
-func FuzzTake(f *testing.F) {
+func FuzzHandleFrame(f *testing.F) {
 	dir := f.TempDir()
 	if err := keys.NewAuthority(filepath.Join(dir, "ca"), "t", time.Hour, time.Now()); err != nil {
 		f.Fatal(err)
@@ -31,7 +31,7 @@
 		f.Add(encodeFrame(kind, body), true)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, source bool) {
-		fl, err := New(Options{Keys: ring, Voters: []Voter{{"v", "v"}}, LeaseDuration: time.Second, MaxFollowers: 1, ReportInterval: time.Second})
+		p, err := New(Options{Keys: ring, Voters: []Voter{{"v", "v"}}, LeaseDuration: time.Second, MaxFollowers: 1, ReportInterval: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,8 +39,8 @@
 		defer here.Close()
 		defer there.Close()
 		c := &conn{netConn: here, writerSignal: make(chan struct{}, 1), dialled: source, peer: helloFrame{Role: roleFollower, Name: "o"}}
-		fl.addConn(c)
-		fl.sourcePath = []string{"v"}
+		p.addConn(c)
+		p.sourcePath = []string{"v"}
 		for r := bufio.NewReader(bytes.NewReader(raw)); ; {
 			kind, body, err := readFrame(r, maxFrameBytes)
 			if err != nil {
@@ -49,8 +49,8 @@
 			if len(body) > len(raw) {
 				t.Fatal("more than came")
 			}
-			fl.handleFrame(c, kind, body)
-			fl.step(fl.options.Now())
+			p.handleFrame(c, kind, body)
+			p.step(p.options.Now())
 		}
 	})
 }
--- a/internal/cluster/controlplane/leader_tasks.go
+++ b/internal/cluster/controlplane/leader_tasks.go
@@ -76,11 +76,11 @@
 	entries, planAt := p.leadership.planner.NextEntries(p.state, now)
 	p.leadership.planAt = planAt
 	term := p.leadership.term
-	votersGoing := 0
+	votersLeaving := 0
 	for _, entry := range entries {
 		if p.isVotersPermit(entry) {
-			votersGoing++
-			if !p.keepsMajority(votersGoing) {
+			votersLeaving++
+			if !p.keepsMajority(votersLeaving) {
 				continue // the planner comes back to it
 			}
 		}
@@ -107,13 +107,13 @@
 
 // keepsMajority reports whether so many more voters may go out. A release that let two of three go at once would leave nobody to agree
 // that they are back. A single voter goes all the same.
-func (p *Participant) keepsMajority(going int) bool {
+func (p *Participant) keepsMajority(leaving int) bool {
 	for _, broker := range p.state.Brokers() {
 		isOut := broker.Status != statemachine.BrokerServing || broker.Permit > 0
 		if isOut && p.voterIndex(broker.Name) >= 0 {
-			going++
+			leaving++
 		}
 	}
 	voters := len(p.options.Voters)
-	return voters == 1 || going <= (voters-1)/2
+	return voters == 1 || leaving <= (voters-1)/2
 }
--- a/internal/cluster/controlplane/leadership.go
+++ b/internal/cluster/controlplane/leadership.go
@@ -22,10 +22,10 @@
 	dueAt         time.Duration
 	transferAfter time.Duration // leadership is offered to another voter no sooner
 
-	sessions      map[statemachine.Slot]grantedLease
-	losing        map[statemachine.Slot]uint64 // incarnations whose loss is proposed: they are granted nothing more
-	renewals      []leaseRenewal               // wait for a majority to confirm the leadership
-	readsInFlight int
+	sessions       map[statemachine.Slot]grantedLease
+	proposedLosses map[statemachine.Slot]uint64 // incarnations whose loss is proposed: they are granted nothing more
+	renewals       []leaseRenewal               // wait for a majority to confirm the leadership
+	readsInFlight  int
 
 	reports       map[statemachine.Slot]ReceivedReport
 	planner       *release.Planner
@@ -91,10 +91,10 @@
 		return
 	}
 	p.leadership = leadership{
-		term:     term,
-		sessions: map[statemachine.Slot]grantedLease{},
-		losing:   map[statemachine.Slot]uint64{},
-		reports:  map[statemachine.Slot]ReceivedReport{},
+		term:           term,
+		sessions:       map[statemachine.Slot]grantedLease{},
+		proposedLosses: map[statemachine.Slot]uint64{},
+		reports:        map[statemachine.Slot]ReceivedReport{},
 	}
 	slog.Info("leadership acquired", "component", component, "term", term)
 }
--- a/internal/cluster/controlplane/lease_granting.go
+++ b/internal/cluster/controlplane/lease_granting.go
@@ -72,8 +72,8 @@
 
 func (p *Participant) mayRenew(slot statemachine.Slot, incarnation uint64) bool {
 	broker, known := p.state.Broker(slot)
-	isLosing := p.leadership.losing[slot] == incarnation
-	return known && broker.Incarnation == incarnation && broker.Status != statemachine.BrokerLost && !isLosing
+	isLossProposed := p.leadership.proposedLosses[slot] == incarnation
+	return known && broker.Incarnation == incarnation && broker.Status != statemachine.BrokerLost && !isLossProposed
 }
 
 // proposeLosses proposes that brokers are lost whose lease has surely expired: counted from the later of its grant and the start of
@@ -81,13 +81,13 @@
 func (p *Participant) proposeLosses(now time.Duration) {
 	l := &p.leadership
 	lease := p.options.LeaseDuration
-	surelyExpired := lease + time.Duration(float64(lease)*p.options.MaxClockDrift)
+	expiredAfter := lease + time.Duration(float64(lease)*p.options.MaxClockDrift)
 	for _, broker := range p.state.Brokers() {
-		if broker.Status == statemachine.BrokerLost || l.losing[broker.Slot] == broker.Incarnation {
+		if broker.Status == statemachine.BrokerLost || l.proposedLosses[broker.Slot] == broker.Incarnation {
 			continue
 		}
 		lastGrant := l.lastGrant(broker)
-		if now <= lastGrant+surelyExpired {
+		if now <= lastGrant+expiredAfter {
 			continue
 		}
 		slog.Warn("broker lost", "component", component, "broker", broker.Name, "slot", broker.Slot,
@@ -97,14 +97,14 @@
 }
 
 func (p *Participant) proposeLoss(broker statemachine.Broker) {
-	p.leadership.losing[broker.Slot] = broker.Incarnation
+	p.leadership.proposedLosses[broker.Slot] = broker.Incarnation
 	entry := &statemachine.MarkBrokerLost{Slot: broker.Slot, Incarnation: broker.Incarnation, Term: p.leadership.term}
 	p.propose(entry, func(_ statemachine.Result, err error) {
 		// One with an unknown outcome may take effect later, and must not stand against a lease granted meanwhile.
 		isUncertain := errors.As(err, new(*UncertainOutcomeError))
-		isLosing := p.leadership.term != 0 && p.leadership.losing[broker.Slot] == broker.Incarnation
-		if isLosing && !isUncertain {
-			delete(p.leadership.losing, broker.Slot)
+		isLossProposed := p.leadership.term != 0 && p.leadership.proposedLosses[broker.Slot] == broker.Incarnation
+		if isLossProposed && !isUncertain {
+			delete(p.leadership.proposedLosses, broker.Slot)
 		}
 	})
 }
--- a/internal/cluster/controlplane/traffic_test.go
+++ b/internal/cluster/controlplane/traffic_test.go
@@ -12,18 +12,18 @@
 
 var brokers = flag.Int("brokers", 40, "in the tier whose traffic is measured")
 
-type load struct{ framesIn, framesOut, bytesIn, bytesOut float64 }
+type traffic struct{ framesIn, framesOut, bytesIn, bytesOut float64 }
 
-func (p *Participant) load() load {
+func (p *Participant) traffic() traffic {
 	c := &p.Counts
-	return load{float64(c.FramesIn.Load()), float64(c.FramesOut.Load()), float64(c.BytesIn.Load()), float64(c.BytesOut.Load())}
+	return traffic{float64(c.FramesIn.Load()), float64(c.FramesOut.Load()), float64(c.BytesIn.Load()), float64(c.BytesOut.Load())}
 }
 
 // The fleet's own traffic in a tier at rest, and while entries are agreed: bytes and frames a second. It must stay within what a
 // voter and a broker can bear, whatever the number of brokers; searches do not enter it at all.
 func TestTraffic(t *testing.T) {
-	inside(t, func(t *testing.T, c *tier) {
-		c.set = func(o *Options) {
+	runWithFakeTime(t, func(t *testing.T, c *tier) {
+		c.adjustOptions = func(o *Options) {
 			o.CollectReport = func() Report {
 				return Report{Classes: []Class{{"a", 123456, 789, 12, 3}, {"b", 123456, 789, 12, 3}, {"c", 123456, 789, 12, 3}}}
 			}
@@ -31,14 +31,14 @@
 		for i := range *brokers {
 			c.start(i + 1)
 		}
-		c.until("all are in", time.Minute, c.connected)
+		c.waitUntil("all are in", time.Minute, c.allConnected)
 		entries := 0
 		for _, busy := range []bool{false, true} {
 			const span = 10
 			time.Sleep(2 * time.Second)
-			before := map[string]load{}
-			for name, f := range c.all {
-				before[name] = f.load()
+			before := map[string]traffic{}
+			for name, p := range c.participants {
+				before[name] = p.traffic()
 			}
 			for range span * 10 {
 				if busy {
@@ -49,22 +49,22 @@
 				}
 				time.Sleep(time.Until(time.Now().Truncate(100 * time.Millisecond).Add(100 * time.Millisecond)))
 			}
-			worst := map[string]load{}
+			worst := map[string]traffic{}
 			lead := c.leader()
-			for name, f := range c.all {
-				now, was := f.load(), before[name]
-				l := load{(now.framesIn - was.framesIn) / span, (now.framesOut - was.framesOut) / span, (now.bytesIn - was.bytesIn) / span,
+			for name, p := range c.participants {
+				now, was := p.traffic(), before[name]
+				rates := traffic{(now.framesIn - was.framesIn) / span, (now.framesOut - was.framesOut) / span, (now.bytesIn - was.bytesIn) / span,
 					(now.bytesOut - was.bytesOut) / span}
 				kind := "follower"
 				if name == lead {
 					kind = "leader"
-				} else if f.voterID != 0 {
+				} else if p.voterID != 0 {
 					kind = "voter"
-				} else if peek(f, f.followerCount) > 0 {
+				} else if readInLoop(p, p.followerCount) > 0 {
 					kind = "follower with followers"
 				}
 				w := worst[kind]
-				worst[kind] = load{max(w.framesIn, l.framesIn), max(w.framesOut, l.framesOut), max(w.bytesIn, l.bytesIn), max(w.bytesOut, l.bytesOut)}
+				worst[kind] = traffic{max(w.framesIn, rates.framesIn), max(w.framesOut, rates.framesOut), max(w.bytesIn, rates.bytesIn), max(w.bytesOut, rates.bytesOut)}
 			}
 			kinds := []string{"leader", "voter", "follower with followers", "follower"}
 			for _, kind := range kinds {
--- a/internal/cluster/readhint/readhint_test.go
+++ b/internal/cluster/readhint/readhint_test.go
@@ -22,7 +22,7 @@
 }
 
 // A wrong hint says nothing at all, whatever else of it is right.
-func TestWrongHints(t *testing.T) {
+func TestInvalidHints(t *testing.T) {
 	for _, text := range []string{"", " ", ";", "pin", "pin=", "pin=abc", "pin=session:", "pin=Session:a", "pin=user:a", "pin=key:a b",
 		"pin=key:" + strings.Repeat("a", 65), "pin=key:ä", "max-stale=5", "max-stale=0ms", "max-stale=05ms", "max-stale=+5ms",
 		"max-stale=-5ms", "max-stale=1.5s", "max-stale=601s", "max-stale=600001ms", "max-stale=5 ms", "max-stale=1m", "not-before=",
@@ -31,8 +31,8 @@
 		"pin=key:a;pin=key:a", "pin=key:a;", "PIN=key:a", "pin =key:a", "pin=key:a;fresh=yes", "pin=key:a\n",
 		"pin=key:a" + strings.Repeat(" ", MaxBytes), "not-before=" + strings.Repeat("1:1,", MaxPositions) + "1:1"} {
 		h, err := Parse(text)
-		var w *SyntaxError
-		if !errors.As(err, &w) || !reflect.DeepEqual(h, Hint{}) || w.Remedy() == "" || len(w.Error()) > 250 {
+		var syntaxErr *SyntaxError
+		if !errors.As(err, &syntaxErr) || !reflect.DeepEqual(h, Hint{}) || syntaxErr.Remedy() == "" || len(syntaxErr.Error()) > 250 {
 			t.Errorf("%.60q: %+v, %v", text, h, err)
 		}
 	}
