--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -25,7 +25,7 @@
 	holder           *connlease.Holder
 	demand           *connlease.DemandTracker
 	streams          int                                                 // attempts that a connection carries at once
-	tenants          []string                                            // tenants of the settings
+	tenantNames      []string                                            // tenants of the settings
 	policyTenant     []int                                               // index in the policy by index in the settings; -1: the policy does not name it
 	version          uint64                                              // of the policy that the tenants' indices belong to
 	agreedVersion    uint64                                              // newest policy, in force or waiting
@@ -46,12 +46,12 @@
 
 func newConnectionLeases(streams int, tenants []string) *connectionLeases {
 	b := &connectionLeases{
-		holder:     connlease.NewHolder(defaultCloseDelay),
-		demand:     connlease.NewDemandTracker(demandDecayTime),
-		streams:    streams,
-		tenants:    tenants,
-		attempts:   make([]attemptCounts, len(tenants)),
-		closeDelay: defaultCloseDelay,
+		holder:      connlease.NewHolder(defaultCloseDelay),
+		demand:      connlease.NewDemandTracker(demandDecayTime),
+		streams:     streams,
+		tenantNames: tenants,
+		attempts:    make([]attemptCounts, len(tenants)),
+		closeDelay:  defaultCloseDelay,
 	}
 	b.holder.SetReserved(nil, 1) // until it is known what is agreed
 	b.mapTenants(nil)
@@ -82,13 +82,13 @@
 
 // mapTenants finds the tenants of the settings in a policy.
 func (b *connectionLeases) mapTenants(tenants []string) {
-	b.policyTenant = make([]int, len(b.tenants))
+	b.policyTenant = make([]int, len(b.tenantNames))
 	for i := range b.policyTenant {
 		b.policyTenant[i] = -1
 	}
 	for j, name := range tenants {
-		for i := range b.tenants {
-			if b.tenants[i] == name {
+		for i := range b.tenantNames {
+			if b.tenantNames[i] == name {
 				b.policyTenant[i] = j
 			}
 		}
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -54,11 +54,11 @@
 		}
 		l.pool = store.NewPool(ctx, store.Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 9}, hang, l.since,
 			func(fn func() error) { go fn() }, func(store.Event) {}, l.attemptEnded)
-		settings := decoded(t)
-		l.settings = &settings
+		loopTerms := decoded(t)
+		l.settings = &loopTerms
 		l.useControlPlane(newControlPlaneView([]string{"a"}))
 		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
-		l.useReadPins(newReadPinTracker(&operator.Fleet{}, &settings))
+		l.useReadPins(newReadPinTracker(&operator.Fleet{}, &loopTerms))
 		eligible := func() (to []decision.NodeID) {
 			to, _, _ = l.readPins.positions.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
 			return to
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -51,7 +51,7 @@
 	for i := range w.servers {
 		w.start(i)
 	}
-	w.waitUntil("the link stands", func() bool { return w.gatewayState(0).Links[0].StatusAge >= 0 })
+	w.until("the link stands", func() bool { return w.gatewayState(0).Links[0].StatusAge >= 0 })
 	return w
 }
 
@@ -66,7 +66,7 @@
 	w.servers[i], w.stop[i] = runConfigured(w.t, start, file)
 }
 
-func (w *twoSites) waitUntil(what string, so func() bool) {
+func (w *twoSites) until(what string, so func() bool) {
 	w.t.Helper()
 	(&cachedListRig{t: w.t}).until(what, so)
 }
@@ -119,7 +119,7 @@
 	// Neither site has replicas: queries are shed at once, and nothing goes back and forth.
 	w.killCell(1, 0)
 	w.runLoad(100, 500*time.Millisecond)
-	w.waitUntil("that is known", func() bool { return w.gatewayState(1).Incoming.InFlight == 0 })
+	w.until("that is known", func() bool { return w.gatewayState(1).Incoming.InFlight == 0 })
 	time.Sleep(300 * time.Millisecond)
 	forwarded := w.gatewayState(0).Outgoing.Forwarded
 	w.runLoad(60, 300*time.Millisecond)
@@ -173,7 +173,7 @@
 		t.Errorf("queries were lost with a graceful shutdown: %+v", n)
 	}
 	w.start(1)
-	w.waitUntil("the link stands again", func() bool { return w.gatewayState(0).Links[0].Usable })
+	w.until("the link stands again", func() bool { return w.gatewayState(0).Links[0].Usable })
 	answered := w.gatewayState(0).Outgoing.Answered
 	w.runLoad(100, 300*time.Millisecond)
 	if w.gatewayState(0).Outgoing.Answered == answered {
--- a/internal/server/lease_view.go
+++ b/internal/server/lease_view.go
@@ -104,7 +104,7 @@
 // grantedRows are a grant's rows by the tenants of the settings.
 func (b *connectionLeases) grantedRows(granted []statemachine.LeaseRow) (rows []connlease.ConnectionCount) {
 	for _, r := range granted {
-		for i, name := range b.tenants {
+		for i, name := range b.tenantNames {
 			if name == r.Tenant && b.policyTenant[i] >= 0 {
 				key := connlease.LeaseKey{Node: r.Node, Tenant: i}
 				rows = append(rows, connlease.ConnectionCount{LeaseKey: key, Connections: int(r.Connections)})
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -91,33 +91,33 @@
 }
 
 func newOrderRun(t *testing.T) *orderRun {
-	o := &orderRun{t: t, unusable: map[string]bool{}}
+	run := &orderRun{t: t, unusable: map[string]bool{}}
 	tm := decoded(t)
-	a := Environment{Now: func() time.Duration { return o.now }, Start: time.Unix(0, 0), Sockets: 64, PollDiscovery: func() {}, SendGossip: func(string) {},
+	a := Environment{Now: func() time.Duration { return run.now }, Start: time.Unix(0, 0), Sockets: 64, PollDiscovery: func() {}, SendGossip: func(string) {},
 		Log: func(string) {}}
 	a.Carrier = func(node string, _ netip.AddrPort, h store.Handle) func() {
-		l := &orderConn{run: o, node: node, handle: h}
-		o.conns = append(o.conns, l)
+		l := &orderConn{run: run, node: node, handle: h}
+		run.conns = append(run.conns, l)
 		return func() {
 			if !l.down {
 				l.down = true
-				o.events = append(o.events, h.Down(o.now, nil))
+				run.events = append(run.events, h.Down(run.now, nil))
 			}
 		}
 	}
 	var err error
-	if o.core, err = NewCore(&tm, operator.Default(), func(t decision.Settings) decision.Router { return routing.New(t) }, a); err != nil {
+	if run.core, err = NewCore(&tm, operator.Default(), func(t decision.Settings) decision.Router { return routing.New(t) }, a); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 2 {
 		name := fmt.Sprint("s-", i)
 		n := nodeAt(name, decision.Ready)
 		n.Endpoint.StartedAt = decision.StartedLongAgo
-		o.nodes = append(o.nodes, n)
+		run.nodes = append(run.nodes, n)
 	}
-	o.core.HandleList(&discovery.List{Full: true, Nodes: slices.Clone(o.nodes)}, nil)
-	o.core.Step()
-	return o
+	run.core.HandleList(&discovery.List{Full: true, Nodes: slices.Clone(run.nodes)}, nil)
+	run.core.Step()
+	return run
 }
 
 // connectedNode is the first node to which a connection was opened.
--- a/internal/server/orders_test.go
+++ b/internal/server/orders_test.go
@@ -12,15 +12,15 @@
 func TestEveryEventOrder(t *testing.T) {
 	all := []orderEvent{querySubmitted, clientLeaves, nodeDrained, nodeUnlisted, nodeRestarted, pollFails, connectionsOpen, attemptsAnswered, connectionsReset, deadlinePasses}
 	orders, sent := 0, 0
-	var extend func(events []orderEvent)
-	extend = func(events []orderEvent) {
-		if len(events) == 2 && !slices.Contains(events, querySubmitted) || len(events) == 5 && !slices.Contains(events, connectionsOpen) {
+	var extend func(history []orderEvent)
+	extend = func(history []orderEvent) {
+		if len(history) == 2 && !slices.Contains(history, querySubmitted) || len(history) == 5 && !slices.Contains(history, connectionsOpen) {
 			return // what comes before the query matters little, and with no connection nothing is sent
 		}
-		if len(events) == 5 {
-			for together := range 1 << (len(events) - 1) {
+		if len(history) == 5 {
+			for together := range 1 << (len(history) - 1) {
 				o := newOrderRun(t)
-				for i, h := range events {
+				for i, h := range history {
 					o.history = append(o.history, string(h))
 					o.apply(h)
 					if together>>i&1 == 0 {
@@ -39,8 +39,8 @@
 			return
 		}
 		for _, h := range all {
-			if !slices.Contains(events, h) {
-				extend(append(slices.Clone(events), h))
+			if !slices.Contains(history, h) {
+				extend(append(slices.Clone(history), h))
 			}
 		}
 	}
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -41,13 +41,13 @@
 
 // faultyConn is a connection to a stand-in node.
 type faultyConn struct {
-	cluster *faultyCluster
-	cell    int
-	addr    string
-	frames  chan []byte
-	rest    []byte
-	ended   chan struct{}
-	once    sync.Once
+	w      *faultyCluster
+	cell   int
+	addr   string
+	frames chan []byte
+	rest   []byte
+	ended  chan struct{}
+	once   sync.Once
 }
 
 func (l *faultyConn) Read(b []byte) (int, error) {
@@ -72,7 +72,7 @@
 
 // TryWrite is a node that gets one frame whole, checks the rules and answers as chance has it.
 func (l *faultyConn) TryWrite(b []byte) (int, error) {
-	w := l.cluster
+	w := l.w
 	select {
 	case <-l.ended:
 		return 0, syscall.EPIPE
@@ -128,7 +128,7 @@
 
 // answer plays one of a node's ways, well in most cases.
 func (l *faultyConn) answer(id string) {
-	w, rnd := l.cluster, l.cluster.randFor(id+l.addr)
+	w, rnd := l.w, l.w.randFor(id+l.addr)
 	after := time.Duration(oneToTen(rnd)) * 10 * time.Millisecond
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -175,17 +175,17 @@
 // checkedRouter is the router with the counters checked before each of its steps.
 type checkedRouter struct {
 	decision.Router
-	cluster *faultyCluster
+	w *faultyCluster
 }
 
 func (c checkedRouter) Snapshot() (out, shut int) { return c.Router.(inspectable).Snapshot() }
 
 func (c checkedRouter) Step(now time.Duration, ev []decision.Event, out []decision.Action) []decision.Action {
-	if t := c.cluster.loop.counters; t.Received != t.Answered+t.Shed+t.Failed+t.Abandoned+t.InFlight {
-		c.cluster.t.Errorf("counters do not add up: %+v", t)
+	if t := c.w.loop.counters; t.Received != t.Answered+t.Shed+t.Failed+t.Abandoned+t.InFlight {
+		c.w.t.Errorf("counters do not add up: %+v", t)
 	}
-	if c.cluster.loop.slotsUsed > 40 {
-		c.cluster.t.Errorf("%d slots taken", c.cluster.loop.slotsUsed)
+	if c.w.loop.slotsUsed > 40 {
+		c.w.t.Errorf("%d slots taken", c.w.loop.slotsUsed)
 	}
 	return c.Router.Step(now, ev, out)
 }
@@ -223,5 +223,5 @@
 			return nil, io.EOF
 		}
 	}
-	return &faultyConn{cluster: w, cell: cell, addr: addr, frames: make(chan []byte), ended: make(chan struct{})}, nil
+	return &faultyConn{w: w, cell: cell, addr: addr, frames: make(chan []byte), ended: make(chan struct{})}, nil
 }
