--- a/internal/server/agreed_drains.go
+++ b/internal/server/agreed_drains.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	drainInterval      = time.Second           // between two looks at drains that have nothing to wait for
-	drainRetryInterval = 20 * time.Millisecond // between two looks at nodes that still hold attempts
+	drainInterval      = time.Second           // between checks when no drain waits for attempts
+	drainRetryInterval = 20 * time.Millisecond // between checks while a drain waits for attempts to end
 )
 
-// agreedDrain is a drain agreed by the tier, as this broker carries it out.
+// agreedDrain is this broker's progress with a node drain that the tier agreed on.
 type agreedDrain struct {
 	number      uint64
-	routerStep  uint64 // the router has been told before this step
-	enforced    bool   // nothing is sent any more
-	ackProposed bool   // the acknowledgement is on its way
+	routerStep  uint64 // the first router step that takes the drain into account
+	enforced    bool   // no attempt is sent to the node any more
+	ackProposed bool   // an acknowledgement is proposed and its outcome not known yet
 	acked       bool
 }
 
-// updateDrains compares the drains of a view with those known. The router hears of new ones as it would from discovery; for those that
-// ended, what discovery says counts again.
+// updateDrains applies the drains of a new view. The router learns of a new drain as it would from discovery; once a drain has ended, the
+// node's state in the endpoint list counts again.
 func (v *controlPlaneView) updateDrains(drains []controlplane.Drain) {
 	agreed := map[decision.NodeID]bool{}
 	endpoints := v.loop.endpoints()
@@ -57,7 +57,7 @@
 	}
 }
 
-// withAgreedDrain is an endpoint of discovery's list with the agreed drain over it. What discovery drains or removes stays so.
+// withAgreedDrain returns a listed endpoint, as draining if its node's drain is agreed. One that discovery drains or removes stays so.
 func (v *controlPlaneView) withAgreedDrain(e decision.Endpoint) decision.Endpoint {
 	if v != nil && e.State == decision.Ready && v.drains[e.Node] != nil {
 		e.State = decision.Draining
@@ -65,8 +65,8 @@
 	return e
 }
 
-// tick enforces a drain once no attempt is in flight to its node, and acknowledges it. From then on the node gets nothing, whatever the
-// router decides: an acknowledgement counts for ever, and a node that is stopped on its strength would take queries with it.
+// tick enforces a drain once no attempt is in flight to its node, and acknowledges it. From then on nothing is sent to the node, whatever
+// the router decides: an acknowledgement can't be withdrawn, and attempts sent to a node that is stopped because of it would be lost.
 func (v *controlPlaneView) tick(now time.Duration) time.Duration {
 	next := now + drainInterval
 	pool := v.loop.connections()
@@ -90,7 +90,7 @@
 	return next
 }
 
-// refuse ends the attempts for a node whose drain is enforced; false: they may be sent.
+// refuse ends the attempts and returns true if the node's drain is enforced; otherwise they may be sent.
 func (v *controlPlaneView) refuse(node decision.NodeID, attempts []*store.Part) bool {
 	if v == nil {
 		return false
@@ -102,7 +102,7 @@
 	return true
 }
 
-// retryAck has an acknowledgement proposed again that failed.
+// retryAck has the next tick propose an acknowledgement again after its proposal failed.
 func (v *controlPlaneView) retryAck(m drainAckFailed) {
 	if d := v.drains[m.node]; d != nil && d.number == m.number {
 		d.ackProposed = false
--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -14,33 +14,33 @@
 
 const (
 	leaseInterval     = 100 * time.Millisecond
-	demandDecayTime   = 2 * time.Second // of a need that is gone
-	defaultCloseDelay = time.Second     // within which a node notices a close, where no policy says otherwise
+	demandDecayTime   = 2 * time.Second // half-life of demand that is gone
+	defaultCloseDelay = time.Second     // closeDelay where no policy sets it
 )
 
-// connectionLeases is the extension that divides connections to nodes among brokers: which ones the pool may open by the leases that this
-// broker holds, how many it needs, and which it has to close.
+// connectionLeases is the extension for connection leases, which divide the connections to nodes among brokers. It decides which
+// connections the pool may open, measures how many this broker needs, and closes those that no lease covers any more.
 type connectionLeases struct {
 	loop             endpointHost
 	holder           *connlease.Holder
 	demand           *connlease.DemandTracker
-	streams          int                                                 // attempts that a connection carries at once
-	tenantNames      []string                                            // tenants of the settings
-	policyTenant     []int                                               // index in the policy by index in the settings; -1: the policy does not name it
-	version          uint64                                              // of the policy that the tenants' indices belong to
-	agreedVersion    uint64                                              // newest policy, in force or waiting
-	grantIncarnation uint64                                              // incarnation whose grants are held
-	reservedVersions [2]uint64                                           // policies whose floors are kept to, the lower of both
-	reserved         map[decision.NodeID]int                             // connections to a node that need no lease
-	nextTick         time.Duration                                       // the next tick that does anything
-	view             *controlplane.View                                  // nil: none was received
-	demandReport     atomic.Pointer[[]byte]                              // for load reports
-	nodes            atomic.Pointer[map[decision.NodeID]connpolicy.Node] // for the leader's goroutine
-	proposeEntry     func(e statemachine.Entry)                          // must not wait
-	closeDelay       time.Duration                                       // within which a node notices a close
-	stopped          bool                                                // nothing is opened any more
-	holdLogged       bool                                                // it was logged that leases are held
-	proposedAt       time.Duration                                       // when an entry was last proposed, so that it is not proposed with each tick
+	streams          int                                                 // attempts that a connection carries at once, at most
+	tenantNames      []string                                            // as in the settings
+	policyTenant     []int                                               // tenants' indices in the policy by those in the settings; -1: not named
+	version          uint64                                              // of the policy that policyTenant refers to
+	agreedVersion    uint64                                              // version of the newest policy, in force or waiting
+	grantIncarnation uint64                                              // the incarnation that the grants held are for
+	reservedVersions [2]uint64                                           // policies in force and waiting; reserved has the lower counts of both
+	reserved         map[decision.NodeID]int                             // connections to each node that need no lease
+	nextTick         time.Duration                                       // when tick has work again
+	view             *controlplane.View                                  // nil: none has been received
+	demandReport     atomic.Pointer[[]byte]                              // demand, encoded for load reports
+	nodes            atomic.Pointer[map[decision.NodeID]connpolicy.Node] // known nodes, for the leader's tasks
+	proposeEntry     func(e statemachine.Entry)                          // must not block
+	closeDelay       time.Duration                                       // within which a node notices that a connection was closed
+	stopped          bool                                                // no connection is opened any more
+	holdLogged       bool                                                // "connection leases held" has been logged
+	proposedAt       time.Duration                                       // when an entry was last proposed
 	attempts         []attemptCounts                                     // by tenant
 }
 
@@ -53,7 +53,7 @@
 		attempts:    make([]attemptCounts, len(tenants)),
 		closeDelay:  defaultCloseDelay,
 	}
-	b.holder.SetReserved(nil, 1) // until it is known what is agreed
+	b.holder.SetReserved(nil, 1) // until a view tells the agreed policy
 	b.mapTenants(nil)
 	return b
 }
@@ -69,7 +69,7 @@
 	switch m := m.(type) {
 	case viewReceived:
 		b.handleView(m.view)
-		return false // the control plane has to see it too
+		return false // the control plane's extension needs it too
 	case leaseReleaseRequested:
 		m.holds <- b.release()
 		return true
@@ -77,10 +77,10 @@
 	return false
 }
 
-// report adds nothing: what is held is in the control plane's view.
+// report adds nothing: the leases held are part of the control plane's view.
 func (b *connectionLeases) report(*QueryCounters) {}
 
-// mapTenants finds the tenants of the settings in a policy.
+// mapTenants maps the tenants of the settings to their indices in a policy.
 func (b *connectionLeases) mapTenants(tenants []string) {
 	b.policyTenant = make([]int, len(b.tenantNames))
 	for i := range b.policyTenant {
@@ -95,7 +95,7 @@
 	}
 }
 
-// Open tells the pool whether it may open a connection to a node for a tenant, and by which right.
+// Open tells the pool whether it may open a connection to a node for a tenant: one that its lease covers, or a reserved one.
 func (b *connectionLeases) Open(node decision.NodeID, tenant int) store.Leave {
 	if b.stopped {
 		return store.No
@@ -112,7 +112,7 @@
 	return store.Floor
 }
 
-// Closed is told by the pool that a connection has ended.
+// Closed records that a connection of the pool has ended; byNode tells that the node closed it.
 func (b *connectionLeases) Closed(node decision.NodeID, tenant int, byNode bool) {
 	b.holder.RecordClosed(connlease.LeaseKey{Node: node, Tenant: tenant}, byNode, b.loop.since())
 }
--- a/internal/server/control_plane.go
+++ b/internal/server/control_plane.go
@@ -22,27 +22,27 @@
 
 const (
 	proposalTimeout    = 5 * time.Second
-	joinTimeout        = time.Second // how long a start waits for what is agreed
+	joinTimeout        = time.Second // for which a starting broker waits for the agreed state
 	drainAckRetryDelay = 200 * time.Millisecond
 )
 
-// tierControlPlane is a broker's part in the tier's control plane.
+// tierControlPlane is what a broker keeps to take part in the tier's control plane.
 type tierControlPlane struct {
 	*controlplane.Participant
 	keys          *keys.Keyring
-	log           *raftlog.Log // nil: it has no vote
+	log           *raftlog.Log // nil: this broker does not vote
 	exitPermitted chan struct{}
 	leaveOnce     sync.Once
-	joined        chan struct{} // closed once the loop has what was agreed when this process registered
+	joined        chan struct{} // closed once the loop has the state agreed at this process's registration
 	joinOnce      sync.Once
-	triedPermit   atomic.Uint64 // the last permit that was to be used
+	triedPermit   atomic.Uint64 // number of the last release permit whose use was tried
 	report        atomic.Pointer[controlplane.Report]
 	endpoints     atomic.Pointer[endpointSnapshot]
-	epoch         uint64   // that read pins have
-	background    []func() // goroutines to start with the control plane
+	epoch         uint64   // the last one given to read pins
+	background    []func() // start goroutines that run with the control plane
 }
 
-// Voters are those of the operators' file.
+// Voters returns the voters that the operators' file names, and their ids.
 func Voters(o *operator.Fleet) (all []controlplane.Voter, ids []uint64) {
 	for i, v := range o.Named() {
 		all = append(all, controlplane.Voter{Name: v.Name, Addr: v.Addr.String()})
@@ -51,7 +51,7 @@
 	return all, ids
 }
 
-// LogOptions say which voter's log a broker keeps; false: it does not vote.
+// LogOptions returns the options of this broker's log of entries, and false if it does not vote.
 func LogOptions(o *operator.Fleet, ring *keys.Keyring) (raftlog.Options, bool) {
 	voters, ids := Voters(o)
 	for i, v := range voters {
@@ -62,7 +62,7 @@
 	return raftlog.Options{}, false
 }
 
-// openControlPlane opens the keys, the log and the listener, and attaches the control plane to the loop.
+// openControlPlane opens the keys, the log of a voter and the listener, and attaches the control plane to the loop.
 func (s *Server) openControlPlane() error {
 	o := &s.operator.Fleet
 	ring, err := keys.Open(s.operator.FleetKeys())
@@ -133,7 +133,7 @@
 	return gates
 }
 
-// releaseVersion is the version that this program runs: the operators' word, else the build's.
+// releaseVersion returns the version that this program runs: as the operators configured it, else as it was built.
 func releaseVersion(o *operator.Fleet) string {
 	if o.Version != "" {
 		return o.Version
@@ -144,7 +144,7 @@
 	return ""
 }
 
-// collectReport is what load reports carry. It may be called from any goroutine.
+// collectReport returns the counts that load reports carry. It may be called from any goroutine.
 func (p *tierControlPlane) collectReport() controlplane.Report {
 	if r := p.report.Load(); r != nil {
 		return *r
@@ -171,7 +171,7 @@
 	}
 }
 
-// nodeByName finds a node by its name or address.
+// nodeByName finds a listed node by its name or address.
 func (p *tierControlPlane) nodeByName(text string) (id decision.NodeID, ok bool) {
 	if endpoints := p.endpoints.Load(); endpoints != nil {
 		id, ok = endpoints.idByName[text]
@@ -179,7 +179,7 @@
 	return id, ok
 }
 
-// nameOf is a node's name, or its id if it is not listed.
+// nameOf returns a node's name, or its id if it is not listed.
 func (p *tierControlPlane) nameOf(id decision.NodeID) string {
 	if endpoints := p.endpoints.Load(); endpoints != nil && endpoints.nameByID[id] != "" {
 		return endpoints.nameByID[id]
--- a/internal/server/control_plane_run.go
+++ b/internal/server/control_plane_run.go
@@ -10,8 +10,8 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// runControlPlane takes part in the control plane until the broker ends. It returns once this process knows what is agreed, or after
-// joinTimeout: a broker that served before could send queries to nodes that the tier drained, and that were stopped since.
+// runControlPlane takes part in the control plane until the broker ends. It returns once this process knows the agreed state, or after
+// joinTimeout: a broker that served earlier could send queries to nodes that the tier has drained and that have been stopped since.
 func (s *Server) runControlPlane() {
 	p := s.controlPlane
 	s.group.Go(func() error {
@@ -33,7 +33,7 @@
 	p.SetServing()
 }
 
-// updateReports leaves the counts of results for load reports, until the broker ends.
+// updateReports refreshes the counts that load reports carry, until the broker ends.
 func (s *Server) updateReports() error {
 	tick := time.NewTicker(s.operator.Fleet.Report)
 	defer tick.Stop()
@@ -49,7 +49,7 @@
 	}
 }
 
-// receiveView takes a view from the control plane's goroutine: the loop gets it, and a permit is used.
+// receiveView passes a view on to the loop, and uses a release permit in it. The control plane's goroutine calls it.
 func (s *Server) receiveView(v *controlplane.View) {
 	s.deliver(viewReceived{v})
 	s.shareEpoch(v)
@@ -57,7 +57,7 @@
 	if v.Self.Incarnation > 0 {
 		p.joinOnce.Do(func() { close(p.joined) })
 	}
-	if v.MustExit { // its answer was lost, or the process was stopped before it came
+	if v.MustExit { // UsePermit was agreed, and this process has not seen the answer
 		s.shutDownByPermit(v.Permit)
 	}
 	if n := v.Permit.Number; s.operator.Fleet.Exit && n > 0 && !v.Permit.Used && p.triedPermit.Swap(n) != n {
@@ -68,21 +68,21 @@
 	}
 }
 
-// usePermit shuts this broker down by a permit. A process that was stopped may resume with a permit that is void by now; so it shuts down
-// only once an entry that says so is agreed, which a void permit's never is.
+// usePermit shuts this broker down by a release permit. A process that was suspended may resume with a permit that is void by now; so it
+// shuts down only once a UsePermit entry is agreed, and one for a void permit is always rejected.
 func (s *Server) usePermit(p statemachine.ReleasePermit) {
 	ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
 	defer cancel()
 	_, err := s.controlPlane.Propose(ctx, &statemachine.UsePermit{Permit: p.Number, Slot: p.Slot, Incarnation: p.Incarnation})
 	if err != nil {
 		slog.Warn("release permit not used", "component", "control-plane", "permit", p.Number, "error", err)
-		s.controlPlane.triedPermit.Store(0) // tried again while it stands, with the next view
+		s.controlPlane.triedPermit.Store(0) // tried again with the next view that has the permit
 		return
 	}
 	s.shutDownByPermit(p)
 }
 
-// shutDownByPermit has this broker shut down as at SIGTERM, once.
+// shutDownByPermit has this broker shut down as it does at SIGTERM. Further calls do nothing.
 func (s *Server) shutDownByPermit(p statemachine.ReleasePermit) {
 	s.controlPlane.leaveOnce.Do(func() {
 		slog.Info("shutdown by release permit", "component", "control-plane", "permit", p.Number, "release", p.Release)
@@ -91,7 +91,7 @@
 	})
 }
 
-// acknowledgeDrain proposes that a node gets nothing more from this broker. If the next view does not show it, the loop proposes it again.
+// acknowledgeDrain proposes the acknowledgement that this broker sends a node nothing more. If the next view lacks it, the loop tries again.
 func (s *Server) acknowledgeDrain(node decision.NodeID, number uint64) {
 	ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
 	defer cancel()
@@ -107,7 +107,7 @@
 	s.deliver(drainAckFailed{node, number})
 }
 
-// permitUsed is closed when a release shuts this broker down; nil, which blocks for ever, without a control plane.
+// permitUsed returns a channel that is closed when a release shuts this broker down; without a control plane nil, which blocks for ever.
 func (s *Server) permitUsed() <-chan struct{} {
 	if s.controlPlane == nil {
 		return nil
--- a/internal/server/control_plane_view.go
+++ b/internal/server/control_plane_view.go
@@ -10,25 +10,25 @@
 	"flaxfront/internal/server/query"
 )
 
-// controlPlaneHost is what the control plane's view may use of the loop.
+// controlPlaneHost is what controlPlaneView may use of the loop.
 type controlPlaneHost interface {
 	endpointHost
 	updateEndpoints(changed []decision.Endpoint)
 	warmUpTime() time.Duration
 }
 
-// controlPlaneView is the extension for what the tier agreed: drains of nodes, and counts of results that load reports carry.
+// controlPlaneView is the extension for the tier's agreed state. It carries out node drains and counts results for load reports.
 type controlPlaneView struct {
 	loop              controlPlaneHost
 	view              *controlplane.View
 	drains            map[decision.NodeID]*agreedDrain
-	proposeAck        func(node decision.NodeID, number uint64) // must not wait
+	proposeAck        func(node decision.NodeID, number uint64) // must not block
 	classes           []controlplane.Class
 	warmingUpAttempts uint64                            // sent to nodes that were still warming up
-	endpoints         *atomic.Pointer[endpointSnapshot] // for the control plane's goroutine
+	endpoints         *atomic.Pointer[endpointSnapshot] // read by the control plane's goroutine
 }
 
-// newControlPlaneView makes the extension for a deployment's query types.
+// newControlPlaneView makes the extension; types are the names of the query types.
 func newControlPlaneView(types []string) *controlPlaneView {
 	v := &controlPlaneView{view: &controlplane.View{}, drains: map[decision.NodeID]*agreedDrain{}}
 	for _, name := range types {
@@ -57,7 +57,7 @@
 	return true
 }
 
-// publishEndpoints leaves the loop's endpoints for the control plane's goroutine.
+// publishEndpoints hands a snapshot of the loop's endpoints to the control plane's goroutine.
 func (v *controlPlaneView) publishEndpoints(s *endpointSnapshot) {
 	if previous := v.endpoints.Load(); previous != nil {
 		s.KeepStableSince(&previous.NodeList)
@@ -65,8 +65,8 @@
 	v.endpoints.Store(s)
 }
 
-// countAttempts counts attempts sent to a node that is still warming up, for the gates of a release: a version that loads such nodes more
-// than the others do overloads them, which no count of queries shows in time.
+// countAttempts counts attempts sent to a node that is still warming up, for the gates of a release: a version that sends such nodes more
+// than other versions do overloads them, and counts of queries show that too late.
 func (v *controlPlaneView) countAttempts(node decision.NodeID, n int) {
 	if v == nil {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// countResult adds a result to its query type's counts.
+// countResult counts a query's result under its query type.
 func (v *controlPlaneView) countResult(q *activeQuery, outcome query.Outcome) {
 	if v == nil || q.Type < 0 || q.Type >= len(v.classes) {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// ControlPlaneState is what operators see of what the tier agreed, as this broker knows it.
+// ControlPlaneState is the tier's agreed state as this broker knows it, for operators.
 type ControlPlaneState struct {
 	Index             uint64
 	Connected         bool
@@ -104,7 +104,7 @@
 	Standing          string
 	Permit            statemachine.ReleasePermit
 	Drains            []controlplane.Drain
-	EnforcedDrains    int    `json:"Shut"` // of nodes that get nothing
+	EnforcedDrains    int    `json:"Shut"` // drains of nodes to which this broker sends nothing any more
 	PolicyVersion     uint64 `json:"Policy"`
 	Epoch             uint64
 	Halted            string `json:",omitempty"`
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	statusInterval  = 200 * time.Millisecond // between two statuses for heartbeats
-	weightTolerance = 1e-4                   // sums of weights may fall so far short
+	statusInterval  = 200 * time.Millisecond // between updates of the status that heartbeats carry
+	weightTolerance = 1e-4                   // by which sums of weights may fall short
 )
 
 // gatewayHost is what the gateway may use of the loop.
@@ -35,29 +35,29 @@
 	hasAvailableReplica(shard int) bool
 }
 
-// siteGateway is the extension for other sites: what the router sheds is offered to the forwarding decisions, and what other sites forward
-// is received. A query that came from another site is never forwarded.
+// siteGateway is the extension for other sites: it offers queries that the router sheds to the forwarder, and receives queries that other
+// sites forward. A query that came from another site is never forwarded.
 type siteGateway struct {
 	loop            gatewayHost
 	outgoing        *forwarding.Forwarder
 	incoming        *forwarding.Receiver
 	links           *link.Links
 	settings        *terms.Terms
-	conns           []*link.Conn            // established, by peer
-	forwarded       map[uint64]*activeQuery // by the id that they had when they were forwarded
+	conns           []*link.Conn            // established links by peer
+	forwarded       map[uint64]*activeQuery // by their ids at forwarding
 	remote          map[forwarding.Key]*remoteQuery
 	nextStatus      time.Duration
 	stopping        func() bool // a graceful shutdown is under way
-	unhealthyShards []int       // without an available replica
+	unhealthyShards []int       // those without an available replica
 }
 
-// forwardingState is what the gateway keeps of a query.
+// forwardingState is the gateway's state of a query.
 type forwardingState struct {
 	remote     bool          // a broker of another site sent it
-	forwarded  bool          // another site has it; the router has done with it
-	returned   bool          // it came back
-	mayHaveRun bool          // and may have run at the other site
-	retryAfter time.Duration // when the other site wants it back
+	forwarded  bool          // another site has it, and the router no longer does
+	returned   bool          // it was forwarded, and came back without a result
+	mayHaveRun bool          // it may have run at the other site
+	retryAfter time.Duration // as the other site stated when it rejected the query
 }
 
 func newGateway(p forwarding.Policy, names []string, links *link.Links, t *terms.Terms, stopping func() bool) *siteGateway {
@@ -80,16 +80,16 @@
 	l.extensions[gatewayExtension] = g
 }
 
-// shardAvailability is a router that tells whether a shard has an available replica.
+// shardAvailability is implemented by routers that report whether a shard has an available replica.
 type shardAvailability interface{ HasAvailableReplica(shard int) bool }
 
-// hasAvailableReplica tells whether the router has a replica for a shard; one that can't tell has.
+// hasAvailableReplica reports whether the router has an available replica of a shard. A router that can't tell counts as having one.
 func (l *loop) hasAvailableReplica(shard int) bool {
 	r, ok := l.router.(shardAvailability)
 	return !ok || r.HasAvailableReplica(shard)
 }
 
-// admissionDone tells admission that a query which it let in has ended here.
+// admissionDone tells admission that a query which it admitted has ended at this broker.
 func (l *loop) admissionDone(q *activeQuery, outcome query.Outcome) { l.admission.done(q, outcome) }
 
 func (g *siteGateway) handle(m message) bool {
@@ -106,7 +106,7 @@
 	return true
 }
 
-// tick lets time act on what is forwarded, and makes the status anew.
+// tick applies the timeouts of forwarded queries, and updates the status that other sites are told.
 func (g *siteGateway) tick(now time.Duration) time.Duration {
 	next := g.outgoing.Tick(now)
 	g.execute()
@@ -126,15 +126,15 @@
 	return min(next, g.nextStatus)
 }
 
-// queryAccepted counts a client's query, by which the share of forwarded ones is bounded.
+// queryAccepted counts a client's query: the number of forwarded queries is bounded by a share of these.
 func (g *siteGateway) queryAccepted() {
 	if g != nil {
 		g.outgoing.QueryAccepted()
 	}
 }
 
-// offer tells whether a query that the router sheds is forwarded. The loop keeps its client and its id only. A query with read pins is
-// not: the positions that its reads need are known here alone.
+// offer reports whether a query that the router sheds is forwarded. If so, the loop keeps only its client and its id. A query with read
+// pins is not forwarded, as only this site knows the positions that its reads need.
 func (g *siteGateway) offer(q *activeQuery) bool {
 	if g == nil || q.pin != nil {
 		return false
@@ -162,14 +162,14 @@
 	return true
 }
 
-// abandon forgets a forwarded query that nobody waits for any more.
+// abandon cancels and forgets a forwarded query whose client no longer waits.
 func (g *siteGateway) abandon(q *activeQuery) {
 	g.outgoing.Abandon(q.id)
 	g.execute()
 	g.forget(q, q.id)
 }
 
-// execute carries out what the forwarding decisions ask for.
+// execute carries out the forwarder's actions.
 func (g *siteGateway) execute() {
 	for acts := g.outgoing.DrainActions(); len(acts) > 0; acts = g.outgoing.DrainActions() {
 		for _, a := range acts {
@@ -182,7 +182,7 @@
 	switch a.Kind {
 	case forwarding.Forward:
 		if q == nil || g.conns[a.Link] == nil || !g.conns[a.Link].Ask(g.encode(q, a)) {
-			g.outgoing.HandleResult(a.Link, a.ID, forwarding.Rejected, g.loop.since()) // it has not left
+			g.outgoing.HandleResult(a.Link, a.ID, forwarding.Rejected, g.loop.since()) // it was not sent
 		}
 	case forwarding.Cancel:
 		if c := g.conns[a.Link]; c != nil {
@@ -199,20 +199,20 @@
 	}
 }
 
-// finish gives a forwarded query its result.
+// finish delivers the result of a forwarded query and forgets it.
 func (g *siteGateway) finish(q *activeQuery, id uint64, r query.Result) {
 	g.loop.deliverResult(q, r)
 	g.forget(q, id)
 }
 
-// forget drops a forwarded query.
+// forget removes a forwarded query that has ended.
 func (g *siteGateway) forget(q *activeQuery, id uint64) {
 	q.done = true
 	delete(g.forwarded, id)
 	g.loop.release(q)
 }
 
-// resubmit submits a forwarded query to the router once more, as a new one with the time that is left.
+// resubmit submits a forwarded query to the router again, as a new query with the remaining time. Without capacity it is shed.
 func (g *siteGateway) resubmit(q *activeQuery, a forwarding.Action) {
 	delete(g.forwarded, a.ID)
 	q.forwarding.forwarded = false
@@ -228,7 +228,8 @@
 	g.loop.deliverResult(q, g.safeResult(q, g.loop.shedResult()))
 }
 
-// safeResult is the result of a query that is shed: one that may have run at another site can't promise that sending it again is harmless.
+// safeResult returns r, or failed in place of shed if the query is not idempotent and may have run at another site: a client may send a
+// query that was shed again, and this one could then run twice.
 func (g *siteGateway) safeResult(q *activeQuery, r query.Result) query.Result {
 	if r.Outcome == query.Shed && q.forwarding.mayHaveRun && g.loop.typeOf(q.Request).Idempotency != decision.Idempotent {
 		return query.Result{Outcome: query.Failed}
--- a/internal/server/gateway_state.go
+++ b/internal/server/gateway_state.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/transport/link"
 )
 
-// GatewayState is what operators see of the gateway.
+// GatewayState is the gateway's state for operators.
 type GatewayState struct {
 	Outgoing forwarding.ForwarderCounters `json:"Near"`
 	Incoming forwarding.ReceiverCounters  `json:"Far"`
@@ -19,7 +19,7 @@
 	c.Gateway = &GatewayState{g.outgoing.Counters, g.incoming.Counters, g.outgoing.Snapshot(g.loop.since())}
 }
 
-// status is what heartbeats tell other sites.
+// status returns the status that heartbeats carry to other sites.
 func (g *siteGateway) status(now time.Duration) link.Status {
 	_, limit := g.loop.capacity()
 	return link.Status{
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -16,28 +16,28 @@
 
 const grantInterval = 500 * time.Millisecond
 
-// demandSection names the section of a load report that carries needs.
+// demandSection names the section of a load report that carries a broker's demand for connections.
 const demandSection = "need"
 
-// policyNode is what a policy's conditions may ask of a node.
+// policyNode returns the properties of a node that a policy's conditions can test.
 func policyNode(n discovery.Node) connpolicy.Node {
 	return connpolicy.Node{Name: n.Name, Zone: n.Zone, Cell: strconv.Itoa(n.Endpoint.Cell), Machine: n.Address.Addr().String()}
 }
 
-// leaseGranting is what connection leases have the leader do: needs become grants. It runs in the control plane's goroutine and must not
-// wait; what it knows of nodes is a copy that the loop leaves.
+// leaseGranting is the leader's part in connection leases: it turns the brokers' demands into grants. It runs in the control plane's
+// goroutine, must not block, and reads the nodes from a copy that the loop publishes.
 type leaseGranting struct {
 	leases        *connectionLeases
-	leaseDuration time.Duration // with the largest drift of clocks
-	linger        time.Duration // how long a node may hold a connection that its broker no longer uses
+	leaseDuration time.Duration // prolonged by the largest clock drift
+	linger        time.Duration // for which a node may keep a connection that its broker no longer uses
 	term          uint64
-	granter       *connlease.Granter // of the term
+	granter       *connlease.Granter // made anew for each term
 	plan          *connlease.BudgetPlan
 	version       uint64                       // of the plan's policy
-	incarnations  map[statemachine.Slot]uint64 // when they were last recorded
+	incarnations  map[statemachine.Slot]uint64 // as of the last recordRenewal
 }
 
-// openConnLeases has the pool keep to the leases, and this broker grant them where it leads.
+// openConnLeases makes the pool keep to connection leases, and lets this broker grant them while it is the leader.
 func (s *Server) openConnLeases(streams int) {
 	t, o := &s.start.Terms, &s.operator.Fleet
 	b := newConnectionLeases(streams, t.Tenants)
@@ -56,7 +56,7 @@
 	s.controlPlane.AddLeaderTask(controlplane.LeaderTask{Name: "budgets", Interval: grantInterval, Propose: g.proposeGrants})
 }
 
-// collectDemand is the needs for a load report; nil: none were measured. It may be called from any goroutine.
+// collectDemand returns the encoded demand for a load report, nil before the first measurement. It may be called from any goroutine.
 func (b *connectionLeases) collectDemand() []byte {
 	if report := b.demandReport.Load(); report != nil {
 		return *report
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// proposeInBackground proposes an entry without making the loop wait.
+// proposeInBackground proposes an entry without blocking the loop.
 func (s *Server) proposeInBackground(e statemachine.Entry) {
 	s.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
@@ -76,7 +76,7 @@
 	})
 }
 
-// proposeGrants is the leader's task: the entries that grants call for now.
+// proposeGrants is the leader's task: it returns the entries to propose now.
 func (g *leaseGranting) proposeGrants(m controlplane.LeaderContext) []statemachine.Entry {
 	policies := m.State.Policies()
 	newest := policies.InForce
@@ -113,8 +113,8 @@
 	return g.granter.NextEntries(m.State, g.plan, demand, m.Term, m.Now)
 }
 
-// recordRenewal records when a broker's lease was renewed. An incarnation that ended since the last time may have renewed its lease after
-// that: without the first record, what it held would be granted to another too early.
+// recordRenewal records when a broker's lease was renewed. An incarnation that has ended since the last call may have renewed its lease
+// after that call, so it counts as renewed now: else its connections would be granted to another broker too early.
 func (g *leaseGranting) recordRenewal(b statemachine.Broker, renewed, now time.Duration) {
 	if previous := g.incarnations[b.Slot]; previous > 0 && previous != b.Incarnation {
 		g.granter.RecordRenewal(b.Slot, previous, now)
--- a/internal/server/lease_policy.go
+++ b/internal/server/lease_policy.go
@@ -13,17 +13,17 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// errNoNodes tells that a policy can't be compiled before an endpoint list has come.
-var errNoNodes = errors.New("no node is known yet")
+// errNoNodes is returned for a policy that is compiled before an endpoint list was received.
+var errNoNodes = errors.New("no node is known yet: no endpoint list has been received")
 
-// compile makes a policy's entry: a budget for every node that is known here. Its errors are those of connpolicy, and errNoNodes.
+// compile makes the entry for a policy, with a budget for every node that this broker knows. Errors are those of connpolicy, and errNoNodes.
 func (g *leaseGranting) compile(text string, state *statemachine.State, tenants []string, lease time.Duration) (*statemachine.ConnectionPolicy, error) {
 	p, err := connpolicy.Compile("policy", text)
 	if err != nil {
 		return nil, err
 	}
 	if p.Lease != lease {
-		return nil, &connpolicy.ClosingTimeError{Reason: fmt.Sprintf("lease: the policy says %v, fleet.lease of the tier is %v", p.Lease, lease)}
+		return nil, &connpolicy.ClosingTimeError{Reason: fmt.Sprintf("lease: the policy has %v, but fleet.lease of the tier is %v", p.Lease, lease)}
 	}
 	if err := checkTenants(p.Tenants, tenants); err != nil {
 		return nil, err
@@ -51,22 +51,23 @@
 	return e, nil
 }
 
-// checkTenants tells what is wrong with a policy that does not name the tenants of the settings, and only these.
+// checkTenants returns an error unless a policy names exactly the tenants of the settings.
 func checkTenants(policy, settings []string) error {
 	for _, name := range settings {
 		if !slices.Contains(policy, name) {
-			return &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q of the settings is not named", name)}
+			return &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q of the settings is not in the policy", name)}
 		}
 	}
 	for _, name := range policy {
 		if !slices.Contains(settings, name) {
-			return &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q is none of the settings", name)}
+			return &connpolicy.IncompleteError{Reason: fmt.Sprintf("tenant %q of the policy is not in the settings", name)}
 		}
 	}
 	return nil
 }
 
-// previousVersion is the version of the policy in force while another waits, if both name the same tenants: reports under it count.
+// previousVersion returns the version of the policy in force while another waits, if both name the same tenants; else 0. Demand that was
+// reported under it counts too.
 func (g *leaseGranting) previousVersion(inForce *statemachine.ConnectionPolicy) uint64 {
 	if p, err := connpolicy.Compile("agreed", inForce.Text); err == nil && slices.Equal(p.Tenants, g.plan.Tenants) {
 		return inForce.Version
@@ -74,7 +75,7 @@
 	return 0
 }
 
-// buildPlan makes the division of a policy's budgets; false: it does not compile here.
+// buildPlan makes the plan by which a policy's budgets are divided; it returns false if the policy does not compile here.
 func (g *leaseGranting) buildPlan(e *statemachine.ConnectionPolicy) bool {
 	p, err := connpolicy.Compile("agreed", e.Text)
 	if err != nil {
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -12,31 +12,31 @@
 
 const (
 	releaseTimeout       = time.Second
-	releaseRetryInterval = 20 * time.Millisecond // while the view is older than what rejected the release
+	releaseRetryInterval = 20 * time.Millisecond // while the view is older than the state that rejected the release
 )
 
 // leaseToRelease is a lease to be released; number 0: none.
 type leaseToRelease struct {
 	incarnation uint64
 	number      uint64
-	closeDelay  time.Duration // within which nodes notice that connections are closed
+	closeDelay  time.Duration // within which nodes notice that connections were closed
 }
 
-// release closes all connections and opens none any more.
+// release closes all connections to nodes for good and returns the lease that this broker still holds.
 func (b *connectionLeases) release() leaseToRelease {
 	b.stopped = true
 	b.loop.connections().End("stopping")
 	noDemand := connlease.EncodeDemand(b.version, nil)
-	b.demandReport.Store(&noDemand) // else it would be granted more
+	b.demandReport.Store(&noDemand) // else this broker could be granted more connections
 	if b.view == nil || b.view.Lease.Ended || b.view.Lease.Incarnation != b.view.Self.Incarnation {
 		return leaseToRelease{}
 	}
 	return leaseToRelease{incarnation: b.view.Self.Incarnation, number: b.view.Lease.Number, closeDelay: b.closeDelay}
 }
 
-// releaseLeases gives up what this broker holds once nodes have noticed that its connections are closed: otherwise, with each restart of a
-// release, a broker's connections would lie idle for a lease and the nodes' idle time. A shutdown takes longer by the closing time, and by
-// releaseTimeout where the release is not agreed.
+// releaseLeases gives up this broker's lease once nodes have noticed that its connections are closed. Otherwise no broker could use these
+// connections for the lease's duration and the nodes' idle time, with each restart of a rollout. A shutdown takes longer by the close delay,
+// and by releaseTimeout if the release of the lease is not agreed.
 func (s *Server) releaseLeases() {
 	request := leaseReleaseRequested{make(chan leaseToRelease, 1)}
 	if !s.deliver(request) {
@@ -65,7 +65,7 @@
 	slog.Info("connection leases released", "component", "connection-leases", "number", lease.number)
 }
 
-// proposeRelease has the release agreed. A grant that came meanwhile is released too, as no connection is opened any more.
+// proposeRelease proposes the release of the lease until it is agreed or fails. A newer grant is released too, as it is not used.
 func (s *Server) proposeRelease(ctx context.Context, held *leaseToRelease) error {
 	for {
 		_, err := s.controlPlane.Propose(ctx, &statemachine.RelinquishLease{
@@ -82,7 +82,7 @@
 		if !stale || lease.Incarnation != held.incarnation || lease.Ended || ctx.Err() != nil {
 			return err
 		}
-		if lease.Number == held.number { // the view is older than what rejected it
+		if lease.Number == held.number { // the view is older than the state that rejected the release
 			select {
 			case <-s.after(releaseRetryInterval):
 			case <-ctx.Done():
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -9,11 +9,11 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// proposalInterval lies between two proposals, so that an entry is not proposed again before the next view can show it.
+// proposalInterval is the least time between two proposals, so that an entry is not proposed again before the next view can show it.
 const proposalInterval = 300 * time.Millisecond
 
-// tick closes surplus connections, acknowledges grants and measures needs. It is called before each step, with the present time: a process
-// that was stopped for longer than its lease resumes with connections that another broker holds by now.
+// tick closes surplus connections, measures demand and acknowledges grants. It must be called before each step with the current time: a
+// process that was suspended for longer than its lease resumes with connections that may be granted to another broker by now.
 func (b *connectionLeases) tick(now time.Duration) time.Duration {
 	if now < b.nextTick {
 		return b.nextTick
@@ -35,7 +35,7 @@
 	return b.nextTick
 }
 
-// acknowledge proposes that this broker keeps to its newest grant, and to the newest policy.
+// acknowledge proposes the entries that say that this broker keeps to its newest grant and to the newest policy.
 func (b *connectionLeases) acknowledge(now time.Duration) {
 	if b.view == nil || b.view.Self.Incarnation == 0 || now < b.proposedAt+proposalInterval {
 		return
@@ -51,7 +51,8 @@
 	}
 }
 
-// measureDemand observes what is in flight to each node, and leaves the needs for the next load report, and the nodes for the leader.
+// measureDemand measures demand by the attempts that are in flight or wait for a connection. It publishes demand for the next load report,
+// and the known nodes for the leader's tasks.
 func (b *connectionLeases) measureDemand(now time.Duration) {
 	b.demand.Decay(now)
 	attemptsByKey := map[connlease.LeaseKey]int{}
@@ -82,19 +83,19 @@
 	b.nodes.Store(&nodes)
 }
 
-// attemptCounts counts a tenant's recent attempts, and those that got no connection.
+// attemptCounts counts a tenant's recent attempts that were sent, and those that were denied a connection.
 type attemptCounts struct {
 	sent   float64
 	denied float64
 }
 
 const (
-	attemptDecay   = 0.8  // of these counts, with each tick
-	maxDeniedShare = 0.25 // of attempts: beyond, queries are shed
-	minDenied      = 5    // attempts
+	attemptDecay   = 0.8  // factor of the counts at each tick
+	maxDeniedShare = 0.25 // of the attempts sent: from it on queries are shed
+	minDenied      = 5    // attempts; with fewer no query is shed
 )
 
-// countAttempts adds to a tenant's attempts.
+// countAttempts adds to a tenant's counts of attempts.
 func (b *connectionLeases) countAttempts(tenant int, sent, denied float64) {
 	if b != nil && tenant >= 0 && tenant < len(b.attempts) {
 		b.attempts[tenant].sent += sent
@@ -102,9 +103,9 @@
 	}
 }
 
-// overloaded tells whether so many of a tenant's recent attempts got no connection that its next query is shed before it takes slots, and
-// when its client should return: when the next one is let in. Attempts that get no connection are sent elsewhere, and elsewhere again, while
-// the query's time runs out, and queries that would have had connections lose theirs.
+// overloaded reports whether so many of a tenant's recent attempts were denied a connection that its next query is shed before it takes
+// slots, and after what time a query is admitted again. An attempt without a connection is retried at one node after another until the
+// query's deadline passes, and takes connections from queries that would have had them.
 func (b *connectionLeases) overloaded(tenant int) (retryAfter time.Duration, overloaded bool) {
 	if b == nil || tenant < 0 || tenant >= len(b.attempts) || b.view == nil || b.view.Policy == nil {
 		return 0, false
--- a/internal/server/lease_view.go
+++ b/internal/server/lease_view.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// handleView applies the policy and the grants of a view.
+// handleView applies the policies and the grant of a new view.
 func (b *connectionLeases) handleView(v *controlplane.View) {
 	b.view = v
 	b.nextTick = 0
@@ -29,13 +29,13 @@
 	}
 }
 
-// applyPolicy compiles an agreed policy. One that does not compile here was agreed by a program that reads it otherwise: its floors hold,
-// and no lease above them.
+// applyPolicy compiles an agreed policy. One that does not compile here was agreed by a version that reads policies differently: only the
+// reserved connections may be opened then.
 func (b *connectionLeases) applyPolicy(p *statemachine.ConnectionPolicy) {
 	b.version = p.Version
 	compiled, err := connpolicy.Compile("agreed", p.Text)
 	if err != nil {
-		slog.Error("agreed connection policy does not compile; only floors are used", "component", "connection-leases", "version", p.Version,
+		slog.Error("agreed connection policy does not compile; only reserved connections are used", "component", "connection-leases", "version", p.Version,
 			"error", err)
 		b.mapTenants(nil)
 		return
@@ -45,7 +45,7 @@
 	b.holder.SetCloseDelay(b.closeDelay)
 }
 
-// acceptGrant takes the grant of a view. An incarnation that was forgotten and came back has its grants numbered anew.
+// acceptGrant holds the grant of a view. A broker that was forgotten and comes back, as a new incarnation, is granted from number 1 on again.
 func (b *connectionLeases) acceptGrant(v *controlplane.View) {
 	grant := v.Lease
 	if grant.Incarnation != b.grantIncarnation {
@@ -62,8 +62,8 @@
 	}
 }
 
-// updateReserved sets the floors: those of the policy in force and, where another waits, the lower of both. While no policy is known, one may
-// have been agreed by brokers that this one can't hear; so it opens freely only while its session's lease runs.
+// updateReserved sets the reserved connections of each node: those of the policy in force or, while another waits, the lower of both. While
+// no policy is known, one may have been agreed without this broker; so it opens connections without limit only while its session's lease runs.
 func (b *connectionLeases) updateReserved(v *controlplane.View) {
 	if v.Policy == nil {
 		if v.LeaseValid(b.loop.since()) {
@@ -101,7 +101,7 @@
 	return reserved
 }
 
-// grantedRows are a grant's rows by the tenants of the settings.
+// grantedRows returns a grant's rows with tenants by their index in the settings. It drops rows of other tenants.
 func (b *connectionLeases) grantedRows(granted []statemachine.LeaseRow) (rows []connlease.ConnectionCount) {
 	for _, r := range granted {
 		for i, name := range b.tenantNames {
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -22,17 +22,17 @@
 	confirmByGossip(n *discovery.Node)
 }
 
-// tierMembership is the extension for the brokers of a tier: who is alive, which of them runs a periodic job, and endpoint changes passed on.
-// It never takes a node's address from another broker, since addresses differ from one to the next.
+// tierMembership is the extension for the brokers of a tier: it detects which of them are alive, decides which one runs each periodic job,
+// and exchanges endpoint changes. It never takes a node's address from another broker, since brokers may see different addresses.
 type tierMembership struct {
 	loop           membershipHost
 	members        *membership.Detector
 	ownership      *ownership.Coordinator
 	sendTo         func(to netip.AddrPort, data []byte)
-	shareEndpoints bool // endpoint changes are passed on
+	shareEndpoints bool // endpoint changes are exchanged
 	updateFilter   *gossip.UpdateFilter
 	ownershipView  []ownership.Member
-	seeds          []netip.AddrPort       // of the living
+	seeds          []netip.AddrPort       // addresses of the other living members
 	storeSeeds     func([]netip.AddrPort) // nil: they are not stored
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// updateView makes the lists of the living anew, and stores their addresses. The last ones that a broker knew stay while it is alone.
+// updateView rebuilds the lists of living members and stores their addresses. While a broker is alone, the last stored ones stay.
 func (m *tierMembership) updateView() {
 	m.ownershipView = m.ownershipView[:0]
 	m.seeds = m.seeds[:0]
@@ -121,7 +121,7 @@
 	m.ownership.RunEnded(run, true, now)
 }
 
-// flush sends what the other members have to be told.
+// flush broadcasts ownership claims and sends the packets that are due.
 func (m *tierMembership) flush() {
 	for _, claim := range m.ownership.DrainClaims() {
 		m.members.Broadcast(uint64(claim.Job), claim.AppendTo([]byte{broadcastOwnership}))
@@ -131,7 +131,7 @@
 	}
 }
 
-// handleBroadcast takes a note that came with a datagram, and passes it on where it is news.
+// handleBroadcast handles a broadcast of another member, and passes it on if it was new here.
 func (m *tierMembership) handleBroadcast(data []byte, now time.Duration) {
 	if len(data) == 0 {
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-// broadcast has an endpoint change carried to all members.
+// broadcast sends an endpoint change to all members.
 func (m *tierMembership) broadcast(update *gossip.EndpointUpdate) {
 	m.members.Broadcast(broadcastKey(update.Node), update.AppendTo([]byte{broadcastEndpoint}))
 }
@@ -157,7 +157,7 @@
 	return 1<<36 | uint64(binary.BigEndian.Uint32(id.Addr[:]))<<16&(1<<36-1) | uint64(id.Port)
 }
 
-// shareList tells the other members what discovery changed. Without membership it does nothing.
+// shareList broadcasts the changes of an endpoint list. Without membership it does nothing.
 func (m *tierMembership) shareList(list *discovery.List) {
 	if m == nil {
 		return
@@ -182,8 +182,8 @@
 	})
 }
 
-// handleSharedEndpoint takes a change that discovery told another broker, of a node that is known here. From then on it counts as if
-// discovery had told this broker.
+// handleSharedEndpoint applies an endpoint change that another broker had from discovery, if the node is known here. It then counts as if
+// this broker had it from discovery.
 func (m *tierMembership) handleSharedEndpoint(update gossip.EndpointUpdate) {
 	n, known := m.loop.endpoints()[update.Node]
 	if !m.updateFilter.Accept(update, known, n.Endpoint.State, n.StartedAtMS) {
--- a/internal/server/membership_open.go
+++ b/internal/server/membership_open.go
@@ -18,28 +18,28 @@
 	"flaxfront/internal/transport/peers"
 )
 
-// The periodic jobs of a tier, by their numbers in claims: a later version may add some at the end.
+// The periodic jobs of a tier. Claims carry these numbers, so that new jobs may only be added at the end.
 const (
-	jobPollDiscovery = iota // discovery is polled, and what it tells is passed on
-	jobLogCounters          // the owner's counters are logged
+	jobPollDiscovery = iota // polls discovery and broadcasts the changes
+	jobLogCounters          // logs the owner's counters
 )
 
-// The first byte of a note says what it is.
+// The first byte of a broadcast is its kind.
 const (
 	broadcastOwnership = 'c'
 	broadcastEndpoint  = 'n'
 )
 
 const (
-	maxDatagram          = 220 // bytes: fits into a sealed datagram
+	maxDatagram          = 220 // bytes; fits into a sealed datagram
 	maxMembers           = 1000
 	indirectProbes       = 3
-	syncIntervals        = 6 // probe intervals between two full exchanges
-	renewIntervals       = 2 // probe intervals between two renewals of a claim
+	syncIntervals        = 6 // probe intervals between full state exchanges
+	renewIntervals       = 2 // probe intervals between renewals of a claim
 	minListRefreshPeriod = time.Second
 )
 
-// openMembership starts membership; the socket between brokers is open.
+// openMembership starts membership. The socket between brokers must be open.
 func (s *Server) openMembership() {
 	o := &s.operator.Crew
 	var keys [][]byte
@@ -58,7 +58,7 @@
 		"seeds", len(addresses), "sealed", len(keys) > 0)
 }
 
-// seedAddresses are the members' addresses that the configuration names, and those that were stored.
+// seedAddresses returns the configured and the stored addresses of members, and opens the store if one is configured.
 func (s *Server) seedAddresses(o *operator.Crew) []netip.AddrPort {
 	addresses := s.start.Peers
 	if len(o.Seeds) > 0 {
@@ -83,11 +83,11 @@
 	return addresses
 }
 
-// tierIdentity is who this broker is among the members.
+// tierIdentity identifies this broker among the members.
 type tierIdentity struct {
 	name    string
 	address netip.AddrPort
-	service netip.AddrPort // of discovery: brokers of another one are no source of endpoint changes
+	service netip.AddrPort // discovery's address; endpoint changes are only taken from brokers that have the same
 	start   time.Time
 }
 
@@ -105,7 +105,7 @@
 		MaxMembers:         maxMembers,
 		Seed:               t.Module.Seed,
 	}
-	incarnation := uint32(self.start.Unix()) // no earlier process had it
+	incarnation := uint32(self.start.Unix()) // greater than that of any earlier process
 	members := membership.New(policy, self.name, self.address, uint8(o.Weight), incarnation, seeds)
 	jobs := []ownership.Job{
 		jobPollDiscovery: {Name: "refresh the node list", Period: max(minListRefreshPeriod, t.AskEvery/2)},
--- a/internal/server/membership_state.go
+++ b/internal/server/membership_state.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/decision/ownership"
 )
 
-// MembershipState is what operators see of the tier.
+// MembershipState is the state of the tier's membership for operators.
 type MembershipState struct {
 	Self            string
 	Now             time.Duration
--- a/internal/server/position_exchange.go
+++ b/internal/server/position_exchange.go
@@ -11,23 +11,23 @@
 
 const (
 	collectInterval = 200 * time.Millisecond
-	positionsQueue  = 64 // messages of other brokers; further ones are dropped while the loop is behind
+	positionsQueue  = 64 // messages of other brokers; while so many wait for the loop, further ones are dropped
 )
 
-// localPositions is what this broker knew at a time.
+// localPositions is the replicas' positions that this broker knew at a time.
 type localPositions struct {
 	data []byte
 	at   time.Duration
 }
 
-// remotePositions is what another broker collected.
+// remotePositions is the replicas' positions that another broker collected.
 type remotePositions struct {
 	data        []byte
-	collectedAt time.Duration // at the earliest
+	collectedAt time.Duration // at the earliest, by this broker's clock
 }
 
-// sharePositions has replicas' positions exchanged over the control plane. Neither its goroutine nor the loop waits for the other: what was
-// collected lies ready with its time.
+// sharePositions exchanges replicas' positions over the control plane. Neither its goroutine nor the loop waits for the other: positions
+// are collected in advance and kept with the time of their collection.
 func (s *Server) sharePositions(p *tierControlPlane) {
 	var latest atomic.Pointer[localPositions]
 	received := make(chan remotePositions, positionsQueue)
@@ -52,7 +52,7 @@
 	})
 }
 
-// exchangePositions merges what was received and collects what this broker knows, until ctx ends.
+// exchangePositions merges received positions and regularly collects those that this broker knows, until ctx ends.
 func (s *Server) exchangePositions(ctx context.Context, received <-chan remotePositions, latest *atomic.Pointer[localPositions]) {
 	tick := time.NewTicker(collectInterval)
 	defer tick.Stop()
@@ -69,7 +69,7 @@
 	}
 }
 
-// shareEpoch hands an agreed list to read pins when it is a new one.
+// shareEpoch passes the agreed list of nodes to read pins if its epoch is new.
 func (s *Server) shareEpoch(v *controlplane.View) {
 	if s.loop.readPins == nil || v.Epoch == s.controlPlane.epoch {
 		return
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -15,7 +15,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// typicalReplicas is how many eligible replicas of a shard there is room for without another allocation.
+// typicalReplicas is the number of eligible replicas per shard for which room is allocated in advance.
 const typicalReplicas = 4
 
 // readPinsHost is what read pins may use of the loop.
@@ -25,9 +25,9 @@
 	retryAfterLimit() time.Duration
 }
 
-// readPinTracker is the extension for hints on reads: which replicas a shard request may go to, whether an answer keeps what the hint asks
-// for, and what the client is told of it. An answer that does not keep it does not count, unless the hint allows it, and then the result
-// says so.
+// readPinTracker is the extension for read hints. It decides which replicas a shard request may go to, checks whether an answer meets the
+// hint, and adds to the result what the client is told about that. An answer that does not meet the hint does not count, unless the hint
+// allows stale answers; the result then says so.
 type readPinTracker struct {
 	loop         readPinsHost
 	positions    *readpin.Tracker
@@ -35,14 +35,15 @@
 	ignoredHints atomic.Uint64
 }
 
-// pinnedQuery is what read pins keep of a query with a hint.
+// pinnedQuery is the state of a query with a read hint.
 type pinnedQuery struct {
 	requirement   readpin.Requirement
 	requests      []pinnedRequest
-	eligibleAfter time.Duration // no replica is eligible before
+	eligibleAfter time.Duration // least time until a retry can find a replica where none is eligible; 0: each shard has one
 }
 
-// pinnedRequest is which replicas a shard request may go to, what an answer has to show, and what the one that came has shown.
+// pinnedRequest is the state of one shard request: the replicas that it may go to, what an answer must prove, and how the answer received
+// was assessed.
 type pinnedRequest struct {
 	allowed    decision.AllowedReplicas
 	required   readpin.Promise
@@ -63,7 +64,8 @@
 	l.extensions[readPinsExtension] = p
 }
 
-// handle takes positions of replicas and the agreed list that pins are spread over. What waits before the loop grows older, and that counts.
+// handle serves and merges replicas' positions, and sets the agreed list over which pins are spread. The age of merged positions includes
+// the time for which the message waited for the loop.
 func (p *readPinTracker) handle(m message) bool {
 	switch m := m.(type) {
 	case positionsRequested:
@@ -84,7 +86,7 @@
 // tick has nothing to do.
 func (p *readPinTracker) tick(time.Duration) time.Duration { return notDue }
 
-// ReadPinState tells what became of hints.
+// ReadPinState is the state of read pins for operators: what became of hints.
 type ReadPinState struct {
 	readpin.Counts
 	IgnoredHints uint64 `json:"Wrong"`
@@ -95,15 +97,15 @@
 	c.ReadPins = &ReadPinState{p.positions.Counts, p.ignoredHints.Load(), p.positions.EpochNumber()}
 }
 
-// updateEndpoints tells read pins of a full list of endpoints, or of those that changed.
+// updateEndpoints tells read pins the full list of endpoints, or those that changed.
 func (p *readPinTracker) updateEndpoints(full bool, endpoints []decision.Endpoint) {
 	if p != nil {
 		p.positions.UpdateEndpoints(p.loop.since(), full, endpoints)
 	}
 }
 
-// pinQuery finds the eligible replicas of a query's shard requests. A shard request without one is given to the router with none: what the
-// query type's minimum allows is answered without it, and else the query is shed with the time to return.
+// pinQuery finds the eligible replicas of a query's shard requests. A shard request that has none goes to the router with none: the result is
+// partial if the query type's minimum completeness allows that, else the query is shed with the time after which to retry.
 func (p *readPinTracker) pinQuery(q *activeQuery) {
 	if p == nil || q.Hint == nil {
 		return
@@ -128,7 +130,7 @@
 	q.pin = pin
 }
 
-// allowedReplicas are the replicas that a shard request may go to; nil: any.
+// allowedReplicas returns the replicas that a shard request may go to; nil: any.
 func (q *activeQuery) allowedReplicas(i int) *decision.AllowedReplicas {
 	if q.pin == nil {
 		return nil
@@ -136,7 +138,7 @@
 	return &q.pin.requests[i].allowed
 }
 
-// attemptSent counts an attempt.
+// attemptSent counts an attempt, and tags it with its query's pin.
 func (p *readPinTracker) attemptSent(q *activeQuery, attempt *store.Part, now time.Duration) {
 	if p == nil {
 		return
@@ -147,7 +149,7 @@
 	p.positions.AttemptSent(now, attempt.Tag, attempt.Node)
 }
 
-// attemptEnded learns from an answer and returns what it counts as: one that does not keep its query's hint is stale.
+// attemptEnded records the position that an answer reports, and returns the attempt's outcome: Stale if the answer does not meet the hint.
 func (p *readPinTracker) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration) decision.Outcome {
 	if p == nil {
 		return outcome
@@ -175,21 +177,21 @@
 	return decision.Stale
 }
 
-// annotateResult adds to a result what its client has to know.
+// annotateResult adds to the result of a query with a hint what its client is told about the hint.
 func (p *readPinTracker) annotateResult(q *activeQuery, r *query.Result) {
 	if q.pin == nil {
 		return
 	}
 	switch {
 	case r.Outcome == query.Shed && r.RetryAfter > 0 && q.pin.eligibleAfter > 0 && q.lacksEligibleReplica():
-		// A replica may have caught up by then; the router knows of load alone.
+		// The router's time depends on load alone; a replica may have caught up earlier or later.
 		r.RetryAfter = min(q.pin.eligibleAfter, p.loop.retryAfterLimit())
 	case r.Outcome == query.Answered:
 		p.annotateAnswer(q, r)
 	}
 }
 
-// lacksEligibleReplica tells whether a shard request that is not answered has no eligible replica.
+// lacksEligibleReplica reports whether an unanswered shard request has no eligible replica.
 func (q *activeQuery) lacksEligibleReplica() bool {
 	for i := range q.requests {
 		if !q.requests[i].answered && len(q.pin.requests[i].allowed.Nodes) == 0 {
@@ -199,7 +201,7 @@
 	return false
 }
 
-// annotateAnswer states the positions and the age of the answers.
+// annotateAnswer adds the positions and the staleness of the answers to a result.
 func (p *readPinTracker) annotateAnswer(q *activeQuery, r *query.Result) {
 	oldest, behind := p.loop.since(), []int{}
 	for i := range q.requests {
--- a/internal/server/read_positions.go
+++ b/internal/server/read_positions.go
@@ -6,7 +6,7 @@
 	"flaxfront/internal/decision"
 )
 
-// CollectPositions is what this broker knows of replicas' positions, with their ages; nil: read pins are off, or the broker ends.
+// CollectPositions returns the replicas' positions that this broker knows, with their ages; nil: read pins are off, or the broker ends.
 func (s *Server) CollectPositions() []byte {
 	request := positionsRequested{make(chan []byte, 1)}
 	if s.loop.readPins == nil || !s.deliver(request) {
@@ -20,14 +20,14 @@
 	}
 }
 
-// MergePositions takes what another broker collected; older is the most by which it has aged on the way.
+// MergePositions merges the positions that another broker collected. transitTime is an upper bound on how long they were on the way.
 func (s *Server) MergePositions(data []byte, transitTime time.Duration) {
 	if s.loop.readPins != nil {
 		s.deliver(positionsReceived{data, s.loop.since() - transitTime})
 	}
 }
 
-// AgreeEpoch sets the agreed list whose nodes pins are spread over.
+// AgreeEpoch sets the agreed list of nodes over which pins are spread.
 func (s *Server) AgreeEpoch(number uint64, nodes []decision.NodeID) {
 	if s.loop.readPins != nil {
 		s.deliver(epochAgreed{number, nodes})
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -11,14 +11,14 @@
 	"flaxfront/internal/transport/link"
 )
 
-// remoteQuery is a query of another site.
+// remoteQuery is a query that another site has forwarded to this one.
 type remoteQuery struct {
 	query  *activeQuery
-	conn   *link.Conn // that sent it last; nil: down
+	conn   *link.Conn // the link over which it came last; nil: down
 	result *link.Verdict
 }
 
-// handleAcceptedLink takes what happened on a link that another site has dialled.
+// handleAcceptedLink handles an event of a link that another site has dialled.
 func (g *siteGateway) handleAcceptedLink(e link.Event) {
 	c := e.Conn
 	origin := forwarding.Origin{Name: c.Theirs.Site + "/" + c.Theirs.Broker, Epoch: c.Theirs.Epoch}
@@ -39,7 +39,7 @@
 	}
 }
 
-// dropLink cancels the queries that came over a link which is down, unless they may go on without it.
+// dropLink cancels the queries that came over a closed link, except those whose results may be requested over another one.
 func (g *siteGateway) dropLink(c *link.Conn) {
 	for k, r := range g.remote {
 		if r.conn != c {
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleDialledLink takes what happened on a link that this site has dialled.
+// handleDialledLink handles an event of a link that this site has dialled.
 func (g *siteGateway) handleDialledLink(e link.Event) {
 	c, now := e.Conn, g.loop.since()
 	peer := forwarding.LinkIndex(c.Peer)
@@ -71,11 +71,11 @@
 	}
 }
 
-// handleRemoteResult takes the other site's result of a forwarded query. It is verified like all that comes from outside.
+// handleRemoteResult handles the other site's result of a forwarded query. The result is verified, like all input from outside.
 func (g *siteGateway) handleRemoteResult(peer forwarding.LinkIndex, v *link.Verdict) {
 	q := g.forwarded[v.ID]
 	if q == nil {
-		return // abandoned meanwhile
+		return // it has been abandoned
 	}
 	result, outcome := query.Result{Outcome: query.Failed}, forwarding.Failed
 	switch v.Kind {
@@ -95,7 +95,8 @@
 	}
 }
 
-// verifiedAnswer makes a result of another site's answers; failed if they are not what they claim to be.
+// verifiedAnswer returns the result that another site's answers make. It is failed if they are for other shards than requested, or not as
+// complete as they must be.
 func (q *activeQuery) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
 	invalid := query.Result{Outcome: query.Failed}
 	completeness, r := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
@@ -114,7 +115,7 @@
 	return r
 }
 
-// receive takes another site's query. The loop has it like any other; its result goes to the link.
+// receive handles a query of another site. If admitted, the loop runs it like any other, and its result is sent over the link.
 func (g *siteGateway) receive(c *link.Conn, k forwarding.Key, in *link.Ask) {
 	now := g.loop.since()
 	request, known := g.decode(in)
@@ -148,7 +149,7 @@
 	}
 }
 
-// sendResult sends another site the result of its query.
+// sendResult sends another site the result of its query, and keeps it if it may be requested again.
 func (g *siteGateway) sendResult(k forwarding.Key, r *remoteQuery, result query.Result) {
 	out := link.Verdict{ID: k.ID, Whole: result.Complete, After: result.RetryAfter.Microseconds(), Kind: link.Failed}
 	switch result.Outcome {
@@ -158,7 +159,7 @@
 			out.Pieces = append(out.Pieces, link.Piece{Shard: a.Shard, Value: a.Value})
 		}
 	case query.Shed:
-		out.Kind = link.Refused // nothing of it has run, or it may be sent again
+		out.Kind = link.Refused // nothing of it has run, or it is safe to run again
 	}
 	if r.conn != nil {
 		r.conn.Verdict(out)
@@ -170,7 +171,7 @@
 	}
 }
 
-// cancelRemote ends another site's query that nobody waits for.
+// cancelRemote ends another site's query for which nobody waits any more.
 func (g *siteGateway) cancelRemote(q *activeQuery) {
 	if q.done {
 		return
@@ -180,7 +181,7 @@
 	g.loop.finish(q)
 }
 
-// encode makes of a query what the link carries.
+// encode returns the message that forwards a query.
 func (g *siteGateway) encode(q *activeQuery, a forwarding.Action) link.Ask {
 	out := link.Ask{ID: a.ID, Again: a.Retry, Left: a.RemainingTime.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
 		Request: q.Request.ID, Text: q.Text}
@@ -193,7 +194,8 @@
 	return out
 }
 
-// decode reads a forwarded query; false: this site has no such type, tenant or shard.
+// decode returns the query in a message of another site. It returns false if this site does not know its type, tenant or shards, or if its
+// id or its weights are invalid.
 func (g *siteGateway) decode(in *link.Ask) (*query.Request, bool) {
 	t := g.settings
 	r := &query.Request{
--- a/internal/server/site_links.go
+++ b/internal/server/site_links.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	certificateExpiryWarning = 30 * 24 * time.Hour // before a certificate ends
+	certificateExpiryWarning = 30 * 24 * time.Hour // before the certificate expires
 	certificateCheckInterval = 12 * time.Hour
 	drainCheckInterval       = 10 * time.Millisecond
 )
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// runSiteLinks keeps the links until the broker ends.
+// runSiteLinks keeps up the links to other sites, and accepts theirs, until the broker ends.
 func (s *Server) runSiteLinks() {
 	for peer := range s.operator.Sites.Targets {
 		s.startGoroutine(func(ctx context.Context) error {
@@ -79,7 +79,7 @@
 	s.startGoroutine(s.watchCertificate)
 }
 
-// watchCertificate warns when the certificate for site links expires soon, until ctx ends.
+// watchCertificate logs warnings while the certificate for site links expires soon, until ctx ends.
 func (s *Server) watchCertificate(ctx context.Context) error {
 	for {
 		if left := time.Until(s.siteKeys.Ends()); left < certificateExpiryWarning {
@@ -94,7 +94,7 @@
 	}
 }
 
-// drainSiteLinks waits until the queries of other sites are answered, for as long as any client waits at most.
+// drainSiteLinks waits until no query is in flight, so that other sites get their results, for at most the longest timeout of a query.
 func (s *Server) drainSiteLinks() {
 	end := time.Now().Add(s.Settings().LongestTimeout())
 	for time.Now().Before(end) && s.Counters().Queries.InFlight > 0 {
