--- a/internal/server/connection_leases_test.go
+++ b/internal/server/connection_leases_test.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// leaseLoop is a loop whose clock the test turns.
+// leaseLoop returns a loop with connection leases, and the time of its clock, which the test sets.
 func leaseLoop(t *testing.T) (l *loop, now *time.Duration) {
 	now = new(time.Duration)
 	*now = time.Hour
@@ -33,43 +33,43 @@
 		t.Helper()
 		for i, expectOpens := range leaves {
 			if got := b.Open(node, 0); got != expectOpens {
-				t.Errorf("%s: connection %d: %d, want %d", what, i, got, expectOpens)
+				t.Errorf("%s: connection %d: Open returned %d, want %d", what, i, got, expectOpens)
 			}
 		}
 	}
-	expectOpens("nothing is known", one, store.Floor, store.No)
+	expectOpens("no view received", one, store.Floor, store.No)
 	view := &controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Self: statemachine.Broker{Incarnation: 3}}
 	b.handleView(view)
-	expectOpens("no policy, and the leader in reach", one, store.Floor, store.Floor, store.Floor)
+	expectOpens("no policy, and the session's lease valid", one, store.Floor, store.Floor, store.Floor)
 	policy := &statemachine.ConnectionPolicy{Version: 1, Text: policyText, MaxBrokers: 2,
 		Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}, {Node: two, Connections: 20, ReservedPerBroker: 2}}}
 	grant := statemachine.ConnectionLease{Incarnation: 3, Number: 1,
 		Granted: []statemachine.LeaseRow{{Node: two, Tenant: "acme", Connections: 2}, {Node: two, Tenant: "else", Connections: 9}}}
 	view = &controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: policy, Lease: grant}
 	b.handleView(view)
-	expectOpens("more is open than the floor", one, store.No)
-	expectOpens("granted, then the floor", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
+	expectOpens("more open than reserved", one, store.No)
+	expectOpens("leased connections, then reserved ones", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
 	if x := b.holder.ExcessConnections(*now); len(x.Counts) != 1 || x.Counts[0].Connections != 2 || x.Immediate {
-		t.Errorf("to be closed: %+v", x)
+		t.Errorf("excess connections: %+v", x)
 	}
-	*now += 59 * time.Second // within the closing time of the lease's end
+	*now += 59 * time.Second // less than the close delay before the lease's end
 	if x := b.holder.ExcessConnections(*now); len(x.Counts) != 2 || x.Counts[1].Connections != 2 || !x.Immediate {
-		t.Errorf("to be closed at the lease's end: %+v", x)
+		t.Errorf("excess connections at the lease's end: %+v", x)
 	}
 	lower := &statemachine.ConnectionPolicy{Version: 2, Text: policyText, MaxBrokers: 2, Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 1}}}
 	b.handleView(&controlplane.View{Index: 7, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: policy, WaitingPolicy: lower, Lease: grant})
 	if b.reserved[one] != 1 || b.reserved[two] != 0 || b.agreedVersion != 2 {
-		t.Errorf("floors while a lower policy waits: %v", b.reserved)
+		t.Errorf("reserved connections while a lower policy waits: %v", b.reserved)
 	}
 	b.handleView(&controlplane.View{Index: 8, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: lower, Lease: grant})
 	if b.version != 2 || b.reserved[one] != 1 {
-		t.Errorf("floors of the policy that took over: %v", b.reserved)
+		t.Errorf("reserved connections once the lower policy is in force: %v", b.reserved)
 	}
 	b.release()
-	expectOpens("it stops", two, store.No)
+	expectOpens("after the release", two, store.No)
 }
 
-// A broker that was forgotten and comes back is granted from number 1 on again, and holds what it is granted.
+// A broker that was forgotten and comes back has its grants numbered from 1 again, and must accept them.
 func TestGrantsNumberedAnew(t *testing.T) {
 	l, now := leaseLoop(t)
 	one := decision.NodeID{Port: 1}
@@ -81,25 +81,25 @@
 	receiveGrant(3, 7, 0)
 	receiveGrant(3, 6, 1)
 	if l.connLeases.Open(one, 0) != store.Floor {
-		t.Error("an older grant is held")
+		t.Error("an older grant was accepted")
 	}
 	receiveGrant(9, 1, 5)
 	if l.connLeases.Open(one, 0) != store.Own || l.connLeases.holder.PendingAck(*now) != 1 {
-		t.Error("the first grant of a new incarnation is not held")
+		t.Error("the first grant of a new incarnation was not accepted")
 	}
 }
 
-// What an incarnation held that ended between two looks ends a lease after the later of them at the soonest.
+// The lease of an incarnation that ended between two calls of recordRenewal must count for its full duration from the later call.
 func TestLeaseBetweenRenewalRecords(t *testing.T) {
 	g := &leaseGranting{granter: connlease.NewGranter(3*time.Second, time.Second, 0), incarnations: map[statemachine.Slot]uint64{}}
 	g.recordRenewal(statemachine.Broker{Slot: 1, Incarnation: 1}, 10*time.Second, 10*time.Second)
 	g.recordRenewal(statemachine.Broker{Slot: 1, Incarnation: 2}, 10500*time.Millisecond, 11*time.Second) // incarnation 1 was renewed at 10.3 s
 	if ends := g.granter.Expiry(1, 1); ends < 10300*time.Millisecond+connlease.GranterExpiry(0, 3*time.Second)+time.Second {
-		t.Errorf("it ends at %v", ends)
+		t.Errorf("the lease expires at %v", ends)
 	}
 }
 
-// TestRetryAfterIsExact has a tenant shed, and let in again exactly when it was told.
+// A tenant whose queries are shed must be admitted again exactly after the time that it was told.
 func TestRetryAfterIsExact(t *testing.T) {
 	l, now := leaseLoop(t)
 	b := l.connLeases
@@ -108,17 +108,17 @@
 	b.countAttempts(1, 400, 30)
 	after, full := b.overloaded(0)
 	if _, other := b.overloaded(1); !full || other || after < leaseInterval {
-		t.Fatalf("told %v, full %t, the other tenant %t", after, full, other)
+		t.Fatalf("retry after %v, overloaded %t, the other tenant overloaded %t", after, full, other)
 	}
 	for told := *now + after; *now < told; {
 		if _, full = b.overloaded(0); !full {
-			t.Errorf("let in %v before it was told", told-*now)
+			t.Errorf("admitted %v before the time that it was told", told-*now)
 		}
 		b.nextTick = 0
 		l.connLeases.tick(*now)
 		*now += leaseInterval
 	}
 	if _, full = b.overloaded(0); full {
-		t.Error("shed at the time it was told to come back")
+		t.Error("still shed at the time that it was told")
 	}
 }
--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -1,7 +1,7 @@
 package server
 
-// Every order in which a client's bytes, its departure, a stop and the want of a descriptor can come to one connection,
-// each once the one before has been taken in: docs/acceptance.md.
+// Tests every order in which a client's bytes, its departure, a shutdown and the need for a file descriptor can come to one
+// connection, each after the one before has been handled: docs/acceptance.md.
 
 import (
 	"fmt"
@@ -16,20 +16,20 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// connectionStep is one thing that comes to a connection.
+// connectionStep is one event of a client connection.
 type connectionStep string
 
 const (
 	requestBegins    connectionStep = "begins"  // the first bytes of a request
-	requestCompletes connectionStep = "becomes" // the others
-	strayByte        connectionStep = "strays"  // a byte of another request
+	requestCompletes connectionStep = "becomes" // the remaining bytes of the request
+	strayByte        connectionStep = "strays"  // the first byte of another request
 	clientDeparts    connectionStep = "departs"
-	serverDrains     connectionStep = "drains" // a stop: answers say that they are the last, and idle connections are closed
+	serverDrains     connectionStep = "drains" // shutdown: responses say that the connection is closed, and idle connections are closed
 	descriptorNeeded connectionStep = "spares" // another client needs the descriptor
 )
 
-// Every order of steps: a request that came whole has one whole answer, unless its client departed or the connection was closed with
-// nothing of it read; one whose client departed before it was read is not begun; and the connection ends.
+// In every order of steps, a complete request must get one complete response, unless its client departed or the connection was closed
+// before any of the request was read. A request whose client departed before it was read must not start, and the connection must end.
 func TestEveryConnectionStepOrder(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	waitUntil(s, func(Counters) bool { return true })
@@ -103,17 +103,17 @@
 	asked, departed := slices.Index(steps, requestCompletes), slices.Index(steps, clientDeparts)
 	switch {
 	case asked < 0 && taken > 0:
-		t.Errorf("%s: a query was made of what was not whole", order)
+		t.Errorf("%s: an incomplete request became a query", order)
 	case taken > 1:
-		t.Errorf("%s: %d queries of one request", order, taken)
+		t.Errorf("%s: one request became %d queries", order, taken)
 	case taken == 1 && (err != nil || m.Status != 200) && departed < 0:
-		t.Errorf("%s: taken and not answered whole (%s): %v", order, reason, err)
+		t.Errorf("%s: received, but not answered completely (%s): %v", order, reason, err)
 	case asked >= 0 && taken == 0 && err == nil && m.Status < 400:
-		t.Errorf("%s: answered %d with no query", order, m.Status)
+		t.Errorf("%s: answered with status %d, but no query was received", order, m.Status)
 	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]ingress.Reason{ingress.Drained, ingress.Spare, ingress.ClientDeparted}, reason):
-		t.Errorf("%s: neither taken nor closed for a reason: %s", order, reason)
+		t.Errorf("%s: no query received, and closed for reason: %s", order, reason)
 	}
 	if again, err := httpwire.ReadResponse(answers); err == nil && again.Status == 200 {
-		t.Errorf("%s: two answers", order)
+		t.Errorf("%s: two responses", order)
 	}
 }
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -1,6 +1,6 @@
 package server
 
-// Tests of what becomes of client connections: kept, useless, gone, crowded, and at a stop.
+// Tests of client connections: kept open, closed for lack of descriptors, closed by clients, and during a shutdown.
 
 import (
 	"fmt"
@@ -12,15 +12,15 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// Clients that hold a connection for each request they ever made leave room for the next: those that idled longest are
-// closed, well before the third of the descriptors that clients may hold (incident r9fe40b).
+// Clients that keep a connection open for each request must not exhaust the descriptors: the connections that have been idle longest are
+// closed well before clients hold the third of the descriptors that they may (incident r9fe40b).
 func TestKeptConnections(t *testing.T) {
 	s, _ := runServer(t, 96)
 	var held []*testClient
 	for i := range 80 {
 		c := dial(t, s)
 		if m := c.roundTrip(post(fmt.Sprint("a", i), body)); m.Status != 200 || m.Close {
-			t.Fatalf("request %d: %d", i, m.Status)
+			t.Fatalf("request %d: status %d, or the connection is closed", i, m.Status)
 		}
 		held = append(held, c)
 		n := 0
@@ -30,20 +30,20 @@
 			}
 		}
 		if n > 96/3*3/4 {
-			t.Fatalf("%d kept after request %d", n, i)
+			t.Fatalf("%d connections kept open after request %d", n, i)
 		}
 	}
 	for _, c := range held[:20] {
 		if _, err := c.in.ReadByte(); err != io.EOF {
-			t.Errorf("one of those that idled longest: %v", err)
+			t.Errorf("one of the connections idle longest is still open: %v", err)
 		}
 	}
 	if m := held[79].roundTrip(post("z", body)); m.Status != 200 {
-		t.Errorf("the last: %d", m.Status)
+		t.Errorf("the newest connection: status %d", m.Status)
 	}
 }
 
-// A client that goes away frees its place at once; its neighbours feel nothing.
+// A client that closes its connection must free its slots at once, without effect on other clients.
 func TestDepartedClientFreesItsPlace(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	gone, stays := dial(t, s), dial(t, s)
@@ -52,11 +52,11 @@
 	gone.Close()
 	waitUntil(s, func(c Counters) bool { return c.Queries.Abandoned == 1 && c.Queries.InFlight == 0 })
 	if m := stays.roundTrip(post("b", body)); m.Status != 200 {
-		t.Errorf("%d", m.Status)
+		t.Errorf("other client: status %d", m.Status)
 	}
 }
 
-// SIGTERM: what is in flight is answered, who still comes is served, and then it ends without a fault.
+// At a graceful shutdown queries in flight are answered, and new ones served until the listener closes; Run then returns no error.
 func TestStop(t *testing.T) {
 	s, end := runServer(t, 1024)
 	enough := make(chan time.Time)
@@ -71,54 +71,54 @@
 	for !s.draining.Load() {
 	}
 	if m := dial(t, s).roundTrip(post("c", body)); m.Status != 200 || !m.Close {
-		t.Errorf("who comes late: %d, closed %v", m.Status, m.Close)
+		t.Errorf("new connection during the shutdown: status %d, close %v", m.Status, m.Close)
 	}
 	if m := dial(t, s).roundTrip("GET /up HTTP/1.1\r\nHost: b\r\n\r\n"); m.Status != 503 {
-		t.Errorf("/up: %d", m.Status)
+		t.Errorf("/up: status %d", m.Status)
 	}
 	if m := again.roundTrip(post("d", body)); m.Status != 200 || !m.Close {
-		t.Errorf("who asks again: %d, closed %v", m.Status, m.Close)
+		t.Errorf("kept connection during the shutdown: status %d, close %v", m.Status, m.Close)
 	}
 	close(enough)
 	if _, err := idle.in.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection: %v", err)
 	}
 	if m := busy.readResponse(); m.Status != 504 || !m.Close {
-		t.Errorf("in flight: %d, closed %v", m.Status, m.Close)
+		t.Errorf("query in flight: status %d, close %v", m.Status, m.Close)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if conn, err := net.Dial("tcp", s.listener.Addr().String()); err == nil {
 		conn.Close()
-		t.Error("it still listens")
+		t.Error("the listener is still open")
 	}
 }
 
-// Where descriptors run short an idle connection gives way, or one whose request does not come, never one with a
-// query in flight.
+// When descriptors run short, a connection that is idle or whose request does not arrive must be closed, never one with a query in
+// flight.
 func TestIdleConnectionsGiveWay(t *testing.T) {
 	s, _ := runServer(t, spareSockets+6) // two for nodes, four for clients
 	busy := dial(t, s)
 	io.WriteString(busy, postUnanswered("a", "900"))
 	waitUntil(s, func(c Counters) bool { return c.Queries.InFlight == 1 })
-	for range 3 { // requests that never come whole hold no place for ever
+	for range 3 { // requests that never become complete must not keep their connections
 		io.WriteString(dial(t, s), post("x", body)[:50])
 	}
-	for n := 0; dial(t, s).roundTrip(post(fmt.Sprint("c", n), body)).Status != 200; n++ { // while they are given a moment
+	for n := 0; dial(t, s).roundTrip(post(fmt.Sprint("c", n), body)).Status != 200; n++ { // until the incomplete requests' grace has passed
 	}
 	for i := range 9 {
 		if m := dial(t, s).roundTrip(post(fmt.Sprint("b", i), body)); m.Status != 200 {
-			t.Fatalf("%d: %d", i, m.Status)
+			t.Fatalf("request %d: status %d", i, m.Status)
 		}
 	}
 	if m := busy.readResponse(); m.Status != 504 {
-		t.Errorf("the busy one: %d", m.Status)
+		t.Errorf("query in flight: status %d", m.Status)
 	}
 }
 
-// Every query whose connection was taken gets its answer, however many come at once: a new connection was closed
-// for the next before its request was read, and with all busy new ones waited until their clients gave up.
+// Every query on an accepted connection must be answered, however many come at once. Guards against closing a new connection in favour of
+// the next one before its request was read, and against new connections waiting until their clients give up while all others are busy.
 func TestManyClientsAtOnce(t *testing.T) {
 	s, _ := runServer(t, spareSockets+6)
 	statuses := make(chan int, 60)
@@ -139,6 +139,6 @@
 		count[<-statuses]++
 	}
 	if count[503] == 0 || count[503]+count[504] != cap(statuses) {
-		t.Errorf("answers by status: %v", count)
+		t.Errorf("responses by status: %v", count)
 	}
 }
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -18,7 +18,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// stateRecorder is a router that keeps what it is told of nodes, and sends what it is given to one of them.
+// stateRecorder is a router that records the states of nodes that it is told, and sends every shard request to one node.
 type stateRecorder struct {
 	state map[decision.NodeID]decision.EndpointState
 	to    decision.NodeID
@@ -40,8 +40,8 @@
 	return discovery.Node{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: decision.Endpoint{Node: discovery.IDOfName(name), State: state}}
 }
 
-// An agreed drain lies over what discovery says, is acknowledged once nothing is out, lets nothing through from then on, and gives
-// way to what discovery says by then.
+// An agreed drain must override the node's state in the endpoint list. It is acknowledged once no attempt is in flight to the node, and
+// nothing is sent to the node from then on. After its end the listed state counts again.
 func TestAgreedDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -77,46 +77,46 @@
 		}
 		admit("x")
 		if l.pool.OutTo(a) != 1 {
-			t.Fatal("nothing is out")
+			t.Fatal("no attempt in flight")
 		}
 		self := statemachine.Broker{Incarnation: 1}
 		l.handle(viewReceived{&controlplane.View{Self: self, Drains: []controlplane.Drain{{Node: a, Number: 5}}}})
 		l.advance()
 		l.advance()
 		if slices.Contains(eligible(), a) {
-			t.Error("reads with a hint count on a drained node")
+			t.Error("a drained node is an eligible replica")
 		}
 		if router.state[a] != decision.Draining || router.state[b] != decision.Ready || len(acks) != 0 {
-			t.Fatalf("told %v, acknowledged %v while an attempt is out", router.state, acks)
+			t.Fatalf("node states %v, drains acknowledged %v while an attempt is in flight", router.state, acks)
 		}
-		time.Sleep(6 * time.Second) // the attempt runs out of time
+		time.Sleep(6 * time.Second) // past the attempt's deadline
 		l.advance()
 		l.advance()
 		if !slices.Equal(acks, []uint64{5}) {
-			t.Fatalf("acknowledged %v", acks)
+			t.Fatalf("drains acknowledged: %v", acks)
 		}
 		admit("y")
 		if l.pool.OutTo(a) != 0 {
-			t.Error("an attempt went to a node that was acknowledged as drained")
+			t.Error("an attempt was sent to a node whose drain was acknowledged")
 		}
 		l.handle(drainAckFailed{a, 5}) // the proposal was lost
 		l.advance()
 		if !slices.Equal(acks, []uint64{5, 5}) {
-			t.Errorf("acknowledged %v", acks)
+			t.Errorf("drains acknowledged after a lost proposal: %v", acks)
 		}
 		l.handle(viewReceived{&controlplane.View{Self: self, Drains: []controlplane.Drain{{Node: a, Number: 5, Acked: true}, {Node: b, Number: 6}}}})
 		l.handleList(&discovery.List{Nodes: []discovery.Node{nodeAt("a", decision.Ready), nodeAt("b", decision.Removed)}}, nil)
 		l.advance()
 		if router.state[a] != decision.Draining || router.state[b] != decision.Removed {
-			t.Errorf("told %v: discovery's word on a node does not end its drain, and a drain revives none", router.state)
+			t.Errorf("node states %v: the endpoint list must not end a drain, and a drain must not bring back a removed node", router.state)
 		}
 		l.handle(viewReceived{&controlplane.View{Self: self}})
 		l.advance()
 		if router.state[a] != decision.Ready || router.state[b] != decision.Removed {
-			t.Errorf("after the drains told %v", router.state)
+			t.Errorf("node states after the drains: %v", router.state)
 		}
 		if !slices.Contains(eligible(), a) {
-			t.Error("reads with a hint pass a node by whose drain has ended")
+			t.Error("a node whose drain has ended is no eligible replica")
 		}
 	})
 }
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -10,17 +10,17 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// twoSites is two sites on loopback with a wire from the first to the second.
+// twoSites runs two sites on loopback, with a simulated wire from the first to the second.
 type twoSites struct {
 	t           *testing.T
 	dir         string
 	fleet       [2]*lab.Fleet
-	listenAddrs [2]string // where each listens for the other
+	listenAddrs [2]string // where each site listens for the other's links
 	wire        *lab.Wire
 	servers     [2]*Server
 	stop        [2]func() error
 	audit       *lab.Audit
-	loads       uint64 // each brings queries of its own
+	loads       uint64 // calls of runLoad; each uses another seed
 }
 
 func newTwoSites(t *testing.T, delay time.Duration) *twoSites {
@@ -51,7 +51,7 @@
 	for i := range w.servers {
 		w.start(i)
 	}
-	w.until("the link stands", func() bool { return w.gatewayState(0).Links[0].StatusAge >= 0 })
+	w.until("the link is established", func() bool { return w.gatewayState(0).Links[0].StatusAge >= 0 })
 	return w
 }
 
@@ -73,7 +73,7 @@
 
 func (w *twoSites) gatewayState(i int) *GatewayState { return w.servers[i].Counters().Queries.Gateway }
 
-// killCell ends the nodes of a cell at a site.
+// killCell stops the nodes of one cell at a site.
 func (w *twoSites) killCell(site, cell int) {
 	for i, n := range w.fleet[site].Nodes {
 		if i%4 == cell {
@@ -95,43 +95,44 @@
 	return o
 }
 
-// What the first site has no replicas for is served at the second, within the client's time and with the second's values.
+// Queries for which the first site has no replicas must be answered by the second, within their deadlines and with the second site's values.
 func TestForwarding(t *testing.T) {
 	w := newTwoSites(t, 40*time.Millisecond)
 	if o := w.runLoad(100, 300*time.Millisecond); w.gatewayState(0).Outgoing.Forwarded > 0 || o.Answered < o.Asked*9/10 {
-		t.Errorf("on a calm day %+v, %v", w.gatewayState(0).Outgoing, o)
+		t.Errorf("with all nodes up: %+v, %v", w.gatewayState(0).Outgoing, o)
 	}
 	w.killCell(0, 0)
 	o := w.runLoad(100, 700*time.Millisecond)
 	n := w.gatewayState(0).Outgoing
 	if n.Forwarded == 0 || n.Answered == 0 || o.Answered < o.Asked*9/10 || w.gatewayState(1).Incoming.Admitted != n.Forwarded {
-		t.Errorf("%+v, %v", n, o)
+		t.Errorf("with a cell lost: %+v, %v", n, o)
 	}
-	// The second site drains a node while forwarded queries are on their way.
+	// The second site drains a node while queries are being forwarded.
 	w.fleet[1].List[0].Lifecycle = "terminating"
 	w.fleet[1].Discovery.Set(w.fleet[1].List)
 	time.Sleep(500 * time.Millisecond)
 	before := w.fleet[1].Nodes[0].Parts.Load()
 	w.runLoad(100, 500*time.Millisecond)
 	if n := w.fleet[1].Nodes[0].Parts.Load() - before; n > 0 {
-		t.Errorf("%d attempts came to a node 500 ms after its broker was told that it drains", n)
+		t.Errorf("%d attempts reached a node later than 500 ms after its broker was told that it drains", n)
 	}
-	// Neither site has replicas: queries are shed at once, and nothing goes back and forth.
+	// Neither site has replicas: queries must be shed at once, and not be forwarded back and forth.
 	w.killCell(1, 0)
 	w.runLoad(100, 500*time.Millisecond)
-	w.until("that is known", func() bool { return w.gatewayState(1).Incoming.InFlight == 0 })
+	w.until("no remote query is in flight", func() bool { return w.gatewayState(1).Incoming.InFlight == 0 })
 	time.Sleep(300 * time.Millisecond)
 	forwarded := w.gatewayState(0).Outgoing.Forwarded
 	w.runLoad(60, 300*time.Millisecond)
 	if n := w.gatewayState(0).Outgoing.Forwarded - forwarded; n > 5 {
-		t.Errorf("%d queries were forwarded to a site that has no replicas either", n)
+		t.Errorf("%d queries were forwarded to a site without replicas", n)
 	}
 	if w.gatewayState(1).Outgoing.Forwarded > 0 {
-		t.Errorf("the second site sent queries on: %+v", w.gatewayState(1).Outgoing)
+		t.Errorf("the second site forwarded queries: %+v", w.gatewayState(1).Outgoing)
 	}
 }
 
-// The wire is cut, one way and both, and reset, while queries wait: each has one answer in time, and no effect comes twice.
+// While queries wait, the wire is cut in one direction and in both, and reset: each query must get one answer in time, and no query that is
+// not idempotent may take effect twice.
 func TestCutUnderLoad(t *testing.T) {
 	w := newTwoSites(t, 80*time.Millisecond)
 	w.killCell(0, 0)
@@ -148,12 +149,12 @@
 	o := w.runLoad(150, 2*time.Second)
 	n := w.gatewayState(0).Outgoing
 	if o.Unanswered > 0 || n.Forwarded == 0 || n.InFlight != 0 {
-		t.Errorf("%v, %+v", o, n)
+		t.Errorf("after cuts of the wire: %v, %+v", o, n)
 	}
 }
 
-// The second site's broker stops as planned, and another takes its place: nothing new goes there from when it is told, what
-// is in flight is finished, and the new one is used.
+// The second site's broker shuts down gracefully, and another one takes its place. Queries in flight there must be finished, none may be
+// lost, and the new broker must be used.
 func TestOtherSiteStops(t *testing.T) {
 	w := newTwoSites(t, 20*time.Millisecond)
 	w.killCell(0, 0)
@@ -170,10 +171,10 @@
 	}
 	<-ended
 	if n := w.gatewayState(0).Outgoing; n.LinkLost > 0 {
-		t.Errorf("queries were lost with a graceful shutdown: %+v", n)
+		t.Errorf("queries were lost at a graceful shutdown: %+v", n)
 	}
 	w.start(1)
-	w.until("the link stands again", func() bool { return w.gatewayState(0).Links[0].Usable })
+	w.until("the link is established again", func() bool { return w.gatewayState(0).Links[0].Usable })
 	answered := w.gatewayState(0).Outgoing.Answered
 	w.runLoad(100, 300*time.Millisecond)
 	if w.gatewayState(0).Outgoing.Answered == answered {
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -27,7 +27,7 @@
 	return c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// runTier runs some brokers of one tier before one fleet; the last one has a secret that the others don't know.
+// runTier runs n brokers of one tier in front of the same nodes. The last one has another key than the others.
 func runTier(t *testing.T, n int) (all []*Server, ends []func() error) {
 	k := newCachedListRig(t, 4)
 	var at []netip.AddrPort
@@ -49,8 +49,8 @@
 	return all, ends
 }
 
-// Brokers on sockets find one another, one of them owns each periodic job, a graceful shutdown is told as such and hands over, and whoever
-// has another secret gets no further than the seal.
+// Brokers must find one another over sockets, and each periodic job must have one owner. A broker that shuts down gracefully is known as
+// such and hands its jobs over. Datagrams sealed with another key must be rejected.
 func TestMembershipOverSockets(t *testing.T) {
 	all, ends := runTier(t, 4)
 	k := &cachedListRig{t: t}
@@ -63,7 +63,7 @@
 		}
 		return names
 	}
-	k.until("three know one another", func() bool {
+	k.until("three brokers know one another", func() bool {
 		for i := range 3 {
 			if states(i, membership.Alive) != "n0 n1 n2 " {
 				return false
@@ -71,12 +71,12 @@
 		}
 		return true
 	})
-	k.until("a duty has one owner", func() bool {
+	k.until("a job has one owner", func() bool {
 		a, b, c := stateOf(0).Ownership[0], stateOf(1).Ownership[0], stateOf(2).Ownership[0]
 		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.RunCount > 0
 	})
 	if c := all[0].Counters(); c.Peers.Unauthenticated == 0 && all[3].Counters().Peers.Unauthenticated == 0 {
-		t.Error("nobody counted what the fourth said under another secret")
+		t.Error("no datagram sealed with another key was counted as unauthenticated")
 	}
 	owner := 0
 	for i := range 3 {
@@ -86,14 +86,14 @@
 	}
 	ends[owner]()
 	other := (owner + 1) % 3
-	k.until("the stop is known as planned", func() bool { return strings.Contains(states(other, membership.Left), fmt.Sprintf("n%d", owner)) })
-	k.until("the duty has another owner", func() bool {
+	k.until("the shutdown is known as graceful", func() bool { return strings.Contains(states(other, membership.Left), fmt.Sprintf("n%d", owner)) })
+	k.until("the job has another owner", func() bool {
 		d := stateOf(other).Ownership[0]
 		return d.Owner != 0 && d.Owner != uint32(membership.IDOf(fmt.Sprintf("n%d", owner))) && d.Fence > 1
 	})
 }
 
-// membershipLoop is a loop with membership and no sockets; what it would send is kept.
+// membershipLoop returns a loop with membership and without sockets, and the datagrams that it sends.
 func membershipLoop(t *testing.T) (*loop, *[][]byte) {
 	t.Helper()
 	k := newCachedListRig(t, 2)
@@ -114,8 +114,8 @@
 	return l, sent
 }
 
-// Discovery's word on a node that one broker was told counts at the others: the node drains from then on. What is older, of
-// another service or of a node that is not known changes nothing; nor does another broker's word move an address.
+// An endpoint change that one broker had from discovery must count at the others. A change that is older, from another discovery or of an
+// unknown node must be ignored, and no change may alter a node's address.
 func TestEndpointSharedByAnotherBroker(t *testing.T) {
 	l, _ := membershipLoop(t)
 	var id decision.NodeID
@@ -135,24 +135,24 @@
 	l.membership.handleBroadcast([]byte{'?'}, 0)
 	l.membership.handleBroadcast(nil, 0)
 	if l.nodes[id] != before || l.membership.updateFilter.Counts.Ignored != 3 {
-		t.Errorf("%+v became %+v, %+v", before, l.nodes[id], l.membership.updateFilter.Counts)
+		t.Errorf("a change to be ignored: %+v became %+v, %+v", before, l.nodes[id], l.membership.updateFilter.Counts)
 	}
 	receiveUpdate(51, l.membership.updateFilter.DiscoveryID, id, decision.Draining, 0)
 	if n := l.nodes[id]; n.Endpoint.State != decision.Draining || n.Address != before.Address || l.membership.updateFilter.Counts.Accepted != 1 {
-		t.Errorf("%+v, %+v", n, l.membership.updateFilter.Counts)
+		t.Errorf("a node to be drained: %+v, %+v", n, l.membership.updateFilter.Counts)
 	}
-	receiveUpdate(51, l.membership.updateFilter.DiscoveryID, id, decision.Ready, 0) // of the same version: it was heard already
-	receiveUpdate(52, l.membership.updateFilter.DiscoveryID, id, decision.Ready, 0) // nothing makes a draining process ready again
+	receiveUpdate(51, l.membership.updateFilter.DiscoveryID, id, decision.Ready, 0) // of a list version that was received already
+	receiveUpdate(52, l.membership.updateFilter.DiscoveryID, id, decision.Ready, 0) // a draining process never becomes ready again
 	if n := l.nodes[id]; n.Endpoint.State != decision.Draining {
-		t.Errorf("%+v", n)
+		t.Errorf("the node no longer drains: %+v", n)
 	}
 	receiveUpdate(53, l.membership.updateFilter.DiscoveryID, id, decision.Removed, time.Now().UnixMilli())
 	if _, known := l.nodes[id]; known {
-		t.Error("an ended node is still known")
+		t.Error("a removed node is still known")
 	}
 }
 
-// A broker that comes late, on a list that it had, hears from the others which nodes left since, discovery or not.
+// A broker that joins later with an older list must learn from the others which nodes have been drained since, even without discovery.
 func TestNewMemberLearnsOfDrainedNodes(t *testing.T) {
 	old, sent := membershipLoop(t)
 	late, answers := membershipLoop(t)
@@ -182,11 +182,11 @@
 		*sent, *answers = nil, nil
 	}
 	if got := late.nodes[id]; got.Endpoint.State != decision.Draining || late.membership.updateFilter.Counts.Accepted != 1 {
-		t.Errorf("%+v, %+v; %v", got, late.membership.updateFilter.Counts, late.membership.members.Members())
+		t.Errorf("the node does not drain at the new member: %+v, %+v; members %v", got, late.membership.updateFilter.Counts, late.membership.members.Members())
 	}
 }
 
-// A broker whose configured seeds are gone finds the tier by the addresses that it kept, and keeps them again.
+// A broker whose configured seeds no longer answer must find the tier by the stored addresses, and store them again.
 func TestStoredSeeds(t *testing.T) {
 	k := newCachedListRig(t, 2)
 	dir := t.TempDir()
@@ -208,15 +208,15 @@
 	kept := filepath.Join(dir, "members")
 	begin(1, `"seeds": ["`+at[0].String()+`"]`)
 	a, end := begin(0, fmt.Sprintf(`"seeds": [%q], "keep": %q`, at[1], kept))
-	k.until("the two know each other", func() bool { return living(a) == 2 })
+	k.until("the two brokers know each other", func() bool { return living(a) == 2 })
 	end()
 	if raw, err := os.ReadFile(kept); err != nil || strings.TrimSpace(string(raw)) != at[1].String() {
-		t.Errorf("%q, %v", raw, err)
+		t.Errorf("stored addresses: %q, %v", raw, err)
 	}
 	a, end = begin(0, fmt.Sprintf(`"seeds": ["127.0.0.1:1"], "keep": %q`, kept))
-	k.until("they do again", func() bool { return living(a) == 2 })
+	k.until("they know each other by the stored address", func() bool { return living(a) == 2 })
 	end()
 	os.WriteFile(kept, []byte("noise\n"), 0o600)
 	a, _ = begin(0, fmt.Sprintf(`"seeds": [%q], "keep": %q`, at[1], kept))
-	k.until("a spoilt file is no hindrance", func() bool { return living(a) == 2 })
+	k.until("they know each other despite an invalid file", func() bool { return living(a) == 2 })
 }
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file owns one broker and two nodes to which things happen in a stated order, and what must hold after each of them.
+// Runs one broker with two nodes through a given order of events, and checks what must hold after each event.
 
 import (
 	"fmt"
@@ -17,55 +17,55 @@
 	"flaxfront/internal/transport/store"
 )
 
-// orderEvent is one thing that comes to the loop.
+// orderEvent is one event that comes to the loop.
 type orderEvent string
 
 const (
 	querySubmitted   orderEvent = "asked"
-	clientLeaves     orderEvent = "left"       // the client has gone
-	nodeDrained      orderEvent = "drained"    // the list drains the node that has the connection
-	nodeUnlisted     orderEvent = "unlisted"   // a whole list does not name it
-	nodeRestarted    orderEvent = "restarted"  // the list tells a newer start of it
-	pollFails        orderEvent = "list fails" // a call to discovery
-	connectionsOpen  orderEvent = "rises"      // the connections that are being opened come up
-	attemptsAnswered orderEvent = "served"     // what is out is answered
-	connectionsReset orderEvent = "resets"     // the connections that are up break
-	deadlinePasses   orderEvent = "passes"     // the query's time
+	clientLeaves     orderEvent = "left"       // the client departs
+	nodeDrained      orderEvent = "drained"    // the list drains the connected node
+	nodeUnlisted     orderEvent = "unlisted"   // a full list lacks the connected node
+	nodeRestarted    orderEvent = "restarted"  // the list has a newer start of the connected node
+	pollFails        orderEvent = "list fails" // a poll of discovery fails
+	connectionsOpen  orderEvent = "rises"      // connections being opened are established
+	attemptsAnswered orderEvent = "served"     // unanswered attempts are answered
+	connectionsReset orderEvent = "resets"     // established connections are reset
+	deadlinePasses   orderEvent = "passes"     // the query's deadline
 )
 
-// orderRun is one broker in one order of events, with two nodes that hold the one shard.
+// orderRun is one broker in one order of events, with two replicas of its only shard.
 type orderRun struct {
 	t         *testing.T
 	core      *Core
 	now       time.Duration
-	deadline  time.Duration // when the client's time is up
+	deadline  time.Duration // of the query
 	nodes     []discovery.Node
 	conns     []*orderConn
-	events    []store.Event // that the wire brings
+	events    []store.Event // of connections, not yet handled
 	pending   PendingQuery
 	submitted bool
-	departed  bool            // the client has left and the loop has heard of it
-	unusable  map[string]bool // nodes that the loop has been told to send nothing
+	departed  bool            // the client has departed, and the loop was told
+	unusable  map[string]bool // nodes that the loop was told are drained or removed
 	answers   int
 	sent      int
 	history   []string
 }
 
-// orderConn is a connection of it.
+// orderConn is a connection of an orderRun to a node.
 type orderConn struct {
 	run        *orderRun
 	node       string
 	handle     store.Handle
 	up         bool
 	down       bool
-	unanswered []string // attempts written and not answered
+	unanswered []string // attempts sent and not answered
 }
 
 func (l *orderConn) Read([]byte) (int, error)          { return 0, nil }
 func (l *orderConn) Close() error                      { return nil }
 func (l *orderConn) SetReadDeadline(t time.Time) error { return nil }
 
-// TryWrite takes one frame, and checks that it may come now.
+// TryWrite receives one frame, and checks that it may be sent now.
 func (l *orderConn) TryWrite(b []byte) (int, error) {
 	if b[4] == 'q' {
 		id, _, _ := strings.Cut(string(b[5:]), " ")
@@ -73,13 +73,13 @@
 		l.run.sent++
 		switch {
 		case l.run.departed:
-			l.run.fail("%s was sent for a client that had gone", id)
+			l.run.fail("%s was sent after its client departed", id)
 		case l.run.answers > 0:
-			l.run.fail("%s was sent after the answer", id)
+			l.run.fail("%s was sent after the query's result", id)
 		case l.run.unusable[l.node]:
-			l.run.fail("%s was sent to %s, which is drained or gone", id, l.node)
+			l.run.fail("%s was sent to %s, which is drained or removed", id, l.node)
 		case l.run.now >= l.run.deadline:
-			l.run.fail("%s was sent when its client's time was up", id)
+			l.run.fail("%s was sent after the query's deadline", id)
 		}
 	}
 	return len(b), nil
@@ -120,7 +120,7 @@
 	return run
 }
 
-// connectedNode is the first node to which a connection was opened.
+// connectedNode returns the first node to which a connection was opened, or the first node if there is none.
 func (o *orderRun) connectedNode() *discovery.Node {
 	at := 0
 	if len(o.conns) > 0 {
@@ -184,16 +184,16 @@
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	case nodeUnlisted:
 		others := slices.DeleteFunc(slices.Clone(o.nodes), func(x discovery.Node) bool { return x.Name == n.Name })
-		o.unusable = map[string]bool{n.Name: true} // the others are named as in service
+		o.unusable = map[string]bool{n.Name: true} // the list has the other node as ready
 		o.core.HandleList(&discovery.List{Full: true, Nodes: others}, nil)
 	case nodeRestarted:
 		n.Endpoint.StartedAt = max(1, o.now)
-		delete(o.unusable, n.Name) // it serves again
+		delete(o.unusable, n.Name) // it is ready again
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	}
 }
 
-// settle has the loop take all that the wire brings, and its steps.
+// settle lets the loop handle all connection events, and step.
 func (o *orderRun) settle() {
 	for range 3 {
 		for _, e := range o.events {
@@ -204,7 +204,7 @@
 	}
 }
 
-// finish lets time pass until nothing can be owed any more, and checks what every order ends in.
+// finish advances time past all deadlines, and checks what must hold at the end of every order.
 func (o *orderRun) finish() {
 	for _, step := range []time.Duration{5 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second} {
 		if o.now += step; o.now >= o.deadline && o.submitted {
@@ -215,12 +215,12 @@
 	switch n := o.core.Counters(); {
 	case !o.submitted:
 	case !o.pending.Done():
-		o.fail("the search has no end")
+		o.fail("the query has not ended")
 	case o.answers > 1:
-		o.fail("%d answers", o.answers)
+		o.fail("the query got %d results", o.answers)
 	case n.Received != n.Answered+n.Shed+n.Failed+n.Abandoned || n.InFlight != 0 || n.AttemptsInFlight != 0:
-		o.fail("%+v", n)
+		o.fail("counters do not add up: %+v", n)
 	case o.answers == 0 && n.Abandoned != 1:
-		o.fail("neither an answer nor a departure")
+		o.fail("the query has neither a result nor was it abandoned")
 	}
 }
--- a/internal/server/orders_test.go
+++ b/internal/server/orders_test.go
@@ -1,21 +1,21 @@
 package server
 
-// This file plays every order in which what happens to one query can come to the loop, and checks after each step what must hold
-// in all of them: docs/acceptance.md.
+// Runs every order in which events about one query can come to the loop, and checks after each step what must hold in all of them:
+// docs/acceptance.md.
 
 import (
 	"slices"
 	"testing"
 )
 
-// Every order of up to five events, each taken in a step of its own or together with the one before.
+// Every order of five events, each handled in a step of its own or in one step with the event before.
 func TestEveryEventOrder(t *testing.T) {
 	all := []orderEvent{querySubmitted, clientLeaves, nodeDrained, nodeUnlisted, nodeRestarted, pollFails, connectionsOpen, attemptsAnswered, connectionsReset, deadlinePasses}
 	orders, sent := 0, 0
 	var extend func(history []orderEvent)
 	extend = func(history []orderEvent) {
 		if len(history) == 2 && !slices.Contains(history, querySubmitted) || len(history) == 5 && !slices.Contains(history, connectionsOpen) {
-			return // what comes before the query matters little, and with no connection nothing is sent
+			return // events before the query matter little, and without a connection nothing is sent
 		}
 		if len(history) == 5 {
 			for together := range 1 << (len(history) - 1) {
@@ -46,7 +46,7 @@
 	}
 	extend(nil)
 	if sent < orders/4 {
-		t.Errorf("%d sub-requests in %d orders: too little is played", sent, orders)
+		t.Errorf("%d attempts in %d orders: too few to test anything", sent, orders)
 	}
-	t.Logf("%d orders, %d sub-requests", orders, sent)
+	t.Logf("%d orders, %d attempts", orders, sent)
 }
--- a/internal/server/read_pins_test.go
+++ b/internal/server/read_pins_test.go
@@ -1,6 +1,6 @@
 package server
 
-// Tests of hints on reads over sockets: what they ask for, what answers state, and what is refused.
+// Tests of read hints over sockets: which replicas are asked, what responses say, and which queries are shed.
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"flaxfront/internal/server/query"
 )
 
-// replicaNode is a store node that reports what it is told to.
+// replicaNode runs a store node that adds the given report to its answers and counts its attempts.
 func replicaNode(t *testing.T, report *atomic.Pointer[string], asked *atomic.Int64) string {
 	return answeringNode(t, func(id string, _ int, _ string) string {
 		asked.Add(1)
@@ -22,7 +22,7 @@
 	})
 }
 
-// runPinnedServer is a broker that obeys hints, before two replicas of each shard.
+// runPinnedServer runs a broker with read pins in front of two replicas of each shard.
 func runPinnedServer(t *testing.T) (*Server, [2]*atomic.Pointer[string], [2]*atomic.Int64) {
 	start := startConfiguration(t, "127.0.0.1:0", 1024)
 	var reports [2]*atomic.Pointer[string]
@@ -36,7 +36,7 @@
 		}
 	}
 	start.Known = []byte(known[:len(known)-1] + "]}")
-	start.Terms.Module.HedgingAllowed = false // they go to any holder, and come of a stall of the machine alone
+	start.Terms.Module.HedgingAllowed = false // a hedge goes to any replica, and here only comes of a stall of the machine
 	file := operator.Default()
 	file.Fleet.Pins, file.Fleet.ClockError = true, 0
 	s, _ := runConfigured(t, start, file)
@@ -57,40 +57,40 @@
 	seen, _ := m.Get("x-read-position")
 	stale, _ := m.Get("x-read-staleness")
 	if m.Status != 200 || seen != "0:70,1:70" || !strings.HasSuffix(stale, "ms") {
-		t.Fatalf("%d %q %q", m.Status, seen, stale)
+		t.Fatalf("status %d, position %q, staleness %q", m.Status, seen, stale)
 	}
 	first := [2]int64{asked[0].Load(), asked[1].Load()}
 	for i := range 20 {
 		c.roundTrip(postWithHint(fmt.Sprint("s", i), "X-Read-Hint: pin=session:abc"))
 	}
-	for i := range 2 { // each shard stays where it was
+	for i := range 2 { // each shard is read at the same replica
 		if now := asked[i].Load(); now != 21*first[i] {
-			t.Errorf("node %d was asked %d times first, then %d", i, first[i], now)
+			t.Errorf("node %d got %d attempts for the first query, then %d in all", i, first[i], now)
 		}
 	}
-	// What is seen and no longer there is never answered as fresh: refused, or stated.
+	// Answers behind a position that the client has seen never count as fresh: the query is shed, or the response says so.
 	setReport(0, "p=40;h=3000")
 	setReport(1, "p=40;h=3000")
 	m = c.roundTrip(postWithHint("b", "X-Read-Hint: not-before="+seen))
 	after, _ := m.Get("retry-after")
 	if d, err := time.ParseDuration(after + "s"); m.Status != 503 || err != nil || d <= 0 || d > time.Second {
-		t.Errorf("%d, after %q", m.Status, after)
+		t.Errorf("status %d, retry after %q", m.Status, after)
 	}
 	m = c.roundTrip(postWithHint("c", "X-Read-Hint: not-before="+seen+"; max-stale=100ms; or-stale=yes"))
 	stale, _ = m.Get("x-read-staleness")
 	behind, _ := m.Get("x-read-behind")
 	if d, err := time.ParseDuration(stale); m.Status != 200 || err != nil || d < 3*time.Second || behind != "0,1" {
-		t.Errorf("%d %q %q", m.Status, stale, behind)
+		t.Errorf("status %d, staleness %q, behind %q", m.Status, stale, behind)
 	}
 	setReport(0, "-")
 	setReport(1, "-")
 	m = c.roundTrip(postWithHint("d", "X-Read-Hint: max-stale=100ms; or-stale=yes"))
 	if stale, _ = m.Get("x-read-staleness"); m.Status != 200 || stale != "unknown" {
-		t.Errorf("%d %q", m.Status, stale)
+		t.Errorf("status %d, staleness %q", m.Status, stale)
 	}
 }
 
-// A wrong hint is told, and its query answered as one without.
+// A malformed hint must be reported in the response, and its query answered as one without a hint.
 func TestWrongHintsOverSockets(t *testing.T) {
 	s, reports, _ := runPinnedServer(t)
 	for i := range 2 {
@@ -102,20 +102,20 @@
 		m := c.roundTrip(postWithHint(fmt.Sprint("a", i), readhint.Header+": "+text))
 		why, _ := m.Get("x-read-hint-ignored")
 		if _, there := m.Get("x-read-staleness"); m.Status != 200 || why == "" || there > 0 {
-			t.Errorf("%q: %d %q", text, m.Status, why)
+			t.Errorf("hint %q: status %d, ignored for %q", text, m.Status, why)
 		}
 	}
 	if p := s.Counters().Queries.ReadPins; p.IgnoredHints != 3 || p.Chosen+p.Refused > 0 {
-		t.Errorf("%+v", p)
+		t.Errorf("read pin counters: %+v", p)
 	}
-	plain, _ := runServer(t, 1024) // where hints are not obeyed nothing of them is read
+	plain, _ := runServer(t, 1024) // without read pins the hint is not parsed
 	m := dial(t, plain).roundTrip(postWithHint("a", "X-Read-Hint: nonsense"))
 	if _, there := m.Get("x-read-hint-ignored"); m.Status != 200 || there > 0 || plain.Counters().Queries.ReadPins != nil {
-		t.Errorf("%d", m.Status)
+		t.Errorf("without read pins: status %d", m.Status)
 	}
 }
 
-// What one broker learned another uses, older by what it was on the way.
+// A broker must use the positions that another one collected, aged by the time that they were on the way.
 func TestPositionsBetweenBrokers(t *testing.T) {
 	one, reports, _ := runPinnedServer(t)
 	other, theirs, _ := runPinnedServer(t)
@@ -133,14 +133,14 @@
 	m := dial(t, other).roundTrip(postWithHint("b", "X-Read-Hint: max-stale=100ms"))
 	p := other.Counters().Queries.ReadPins
 	if m.Status != 503 || p.Merged == 0 || p.Malformed != 1 || p.Epoch != 3 {
-		t.Errorf("%d, %+v", m.Status, p)
+		t.Errorf("status %d, read pin counters %+v", m.Status, p)
 	}
 }
 
-// A query with a hint is not sent to another site, where nobody would obey it.
+// A query with a hint must not be forwarded: the other site does not receive the hint.
 func TestPinnedQueriesAreNotForwarded(t *testing.T) {
 	l := &loop{gateway: &siteGateway{}}
 	if l.gateway.offer(&activeQuery{Request: &query.Request{}, pin: &pinnedQuery{}}) {
-		t.Error("offered")
+		t.Error("a query with read pins was forwarded")
 	}
 }
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -1,6 +1,6 @@
 package server
 
-// The world around a loop under test: nodes that fail by chance, and what checks each attempt that comes.
+// Test fixtures for the loop: stub nodes that fail at random, and checks of each attempt that reaches them.
 
 import (
 	"bytes"
@@ -23,23 +23,23 @@
 	"flaxfront/internal/transport/store"
 )
 
-// faultyCluster is a loop with stand-in nodes. Their writes happen in the loop's goroutine, so that a rule is checked at the
-// moment at which it would be broken.
+// faultyCluster is a loop with stub nodes that fail at random. Writes to nodes happen in the loop's goroutine, so that a violated rule is
+// detected when it is violated.
 type faultyCluster struct {
 	t          *testing.T
 	seed       uint64
-	rng        *rand.Rand // of the play; what nodes do hangs on who is asked what, not on who comes first
+	rng        *rand.Rand // for the sequence of events; a node's behaviour depends on the attempt, not on the order of attempts
 	loop       *loop
-	mu         sync.Mutex // guards the maps
+	mu         sync.Mutex // guards the maps below
 	dials      map[string]int
 	queries    map[string]*activeQuery
-	mayHaveRun map[string]bool // attempts that may have run at some node
-	values     map[string]bool // values that nodes made, by attempt
+	mayHaveRun map[string]bool // shard requests that may have run at some node
+	values     map[string]bool // values that nodes answered with
 	drainedAt  map[string]time.Duration
 	nodes      []discovery.Node
 }
 
-// faultyConn is a connection to a stand-in node.
+// faultyConn is a connection to a stub node.
 type faultyConn struct {
 	w      *faultyCluster
 	cell   int
@@ -70,7 +70,7 @@
 
 func (l *faultyConn) SetReadDeadline(time.Time) error { return nil }
 
-// TryWrite is a node that gets one frame whole, checks the rules and answers as chance has it.
+// TryWrite receives one complete frame at the node, checks the rules for each attempt in it, and answers at random.
 func (l *faultyConn) TryWrite(b []byte) (int, error) {
 	w := l.w
 	select {
@@ -79,7 +79,7 @@
 	default:
 	}
 	if n := int(binary.LittleEndian.Uint32(b)); n != len(b)-4 {
-		w.t.Errorf("a frame of %d bytes says %d", len(b)-4, n)
+		w.t.Errorf("a frame of %d bytes states a length of %d", len(b)-4, n)
 	}
 	if b[4] != 'q' {
 		return len(b), nil
@@ -114,19 +114,19 @@
 	s := w.queries[id[:strings.IndexByte(id, '.')]]
 	switch {
 	case s.done:
-		w.t.Errorf("rule 1: %s was sent after its query's answer", id)
+		w.t.Errorf("rule 1: %s was sent after its query's result", id)
 	case shard%2 != l.cell:
 		w.t.Errorf("%s went to a node of cell %d", id, l.cell)
 	case s.Type == 1 && w.mayHaveRun[id]:
-		w.t.Errorf("rule 2: %s was sent though it may have run", id)
+		w.t.Errorf("rule 2: %s was sent again though it may have run", id)
 	}
 	if at, down := w.drainedAt[l.addr]; down && w.loop.since() > at+500*time.Millisecond {
-		w.t.Errorf("rule 3: %s was sent %v after the node's drain was told", id, w.loop.since()-at)
+		w.t.Errorf("rule 3: %s was sent %v after the broker was told that the node drains", id, w.loop.since()-at)
 	}
 	w.mayHaveRun[id] = true
 }
 
-// answer plays one of a node's ways, well in most cases.
+// answer picks a node's behaviour at random; in most cases it answers correctly.
 func (l *faultyConn) answer(id string) {
 	w, rnd := l.w, l.w.randFor(id+l.addr)
 	after := time.Duration(oneToTen(rnd)) * 10 * time.Millisecond
@@ -141,13 +141,13 @@
 		text = id + " skipped - -\n"
 		w.mayHaveRun[id] = false
 	case 2:
-		return // silent
+		return // no answer
 	case 3:
 		time.AfterFunc(after, func() { l.Close() })
 		return
 	case 4:
 		text = served
-		after *= 20 // perhaps called off meanwhile
+		after *= 20 // the attempt may have been cancelled by then
 	}
 	if text == served {
 		w.values[id+"@"+l.addr] = true
@@ -156,11 +156,11 @@
 	b = append(append(b, 'a'), text...)
 	switch rnd.IntN(20) {
 	case 0, 1:
-		b = append(b, b...) // says it twice
+		b = append(b, b...) // answers twice
 	case 2:
 		b = append(b, 0xff, 0xff, 0xff, 0xff, 'a')
 	case 3:
-		b[5] ^= 1 // an id that nobody asked, most likely
+		b[5] ^= 1 // most likely the id of no attempt
 	}
 	time.AfterFunc(after, func() {
 		select {
@@ -172,7 +172,7 @@
 
 func oneToTen(r *rand.Rand) int { return 1 + r.IntN(10) }
 
-// checkedRouter is the router with the counters checked before each of its steps.
+// checkedRouter is the router, with the loop's counters checked before each step.
 type checkedRouter struct {
 	decision.Router
 	w *faultyCluster
@@ -185,7 +185,7 @@
 		c.w.t.Errorf("counters do not add up: %+v", t)
 	}
 	if c.w.loop.slotsUsed > 40 {
-		c.w.t.Errorf("%d slots taken", c.w.loop.slotsUsed)
+		c.w.t.Errorf("%d slots used", c.w.loop.slotsUsed)
 	}
 	return c.Router.Step(now, ev, out)
 }
