--- a/internal/cluster/controlplane/conn.go
+++ b/internal/cluster/controlplane/conn.go
@@ -11,21 +11,21 @@
 	heartbeatInterval      = 250 * time.Millisecond
 	silenceTimeout         = 5 * heartbeatInterval
 	writeTimeout           = silenceTimeout
-	operatorTimeout        = time.Minute // an operator sends no heartbeats
-	maxQueuedBytes         = 16 << 20    // more end the connection
-	maxQueuedBeforePackets = 1 << 20     // with more queued, raft packets are dropped, which raft expects of a network
+	operatorTimeout        = time.Minute // read timeout of an operator's connection, which carries no heartbeats
+	maxQueuedBytes         = 16 << 20    // bytes; a longer queue closes the connection
+	maxQueuedBeforePackets = 1 << 20     // bytes; behind a longer queue raft packets are dropped, which raft tolerates
 )
 
-// conn is one connection. Queuing a frame never blocks.
+// conn is a connection to a broker or an operator. Queuing a frame never blocks.
 //
-// A conn is opened by handshake, served by serveConn (one goroutine reads, one writes), and closed by whoever wants to end it; both
-// goroutines then end.
+// handshake opens a conn, and serveConn serves it with one goroutine that reads and one that writes. Any goroutine may close it, which ends
+// both.
 type conn struct {
 	netConn net.Conn
 	reader  *bufio.Reader
 	peer    helloFrame
 	dialled bool
-	toVoter bool // it carries packets to a voter
+	toVoter bool // dialled by a voter to another voter, to carry raft packets
 
 	mu           sync.Mutex
 	queue        [][]byte
@@ -33,22 +33,23 @@
 	closed       bool
 	writerSignal chan struct{}
 
-	connState // of the loop's goroutine alone
+	connState // used by the loop's goroutine only
 }
 
-// connState is what only the participant's loop uses.
+// connState is the state of a connection that only the participant's loop uses.
 type connState struct {
-	isFollower        bool   // this side feeds it
-	sentIndex         uint64 // the last one queued for it
-	snapshotRest      []byte // what is left to send of a snapshot
-	snapshotBytes     int
-	followerRoom      int
-	lastToken         uint64
-	otherSources      []string // that it named
-	operatorProposals []uint64
+	isFollower        bool     // the peer follows this broker, which feeds it
+	sentIndex         uint64   // index of the last entry queued for the follower
+	snapshotRest      []byte   // the part of a snapshot that is still to be sent
+	snapshotBytes     int      // size of the whole snapshot
+	followerRoom      int      // how many more followers the peer accepts
+	lastToken         uint64   // token of the peer's last heartbeat
+	otherSources      []string // addresses from the peer's redirect
+	operatorProposals []uint64 // sequence numbers of proposals made for the operator
 }
 
-// enqueue queues a frame. It is dropped if the connection has ended, or ends for it.
+// enqueue queues a frame. It drops the frame if the connection is closed. A full queue drops a raft packet, and closes the connection for
+// any other frame.
 func (c *conn) enqueue(frame []byte) {
 	isPacket := frame[lengthBytes] == framePacket
 	c.mu.Lock()
@@ -58,7 +59,7 @@
 	}
 	if c.closed || isFull {
 		c.mu.Unlock()
-		if isFull && !isPacket { // a side that does not read would take memory here
+		if isFull && !isPacket { // a peer that does not read must not use up memory here
 			c.close()
 		}
 		return
@@ -69,7 +70,7 @@
 	c.signalWriter()
 }
 
-// backlog is how many bytes are queued.
+// backlog returns how many bytes are queued, or maxQueuedBytes if the connection is closed.
 func (c *conn) backlog() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +95,7 @@
 	}
 }
 
-// drainQueue returns all queued frames; false: the connection is closed.
+// drainQueue removes and returns all queued frames, in the memory of batch. It returns false if the connection is closed.
 func (c *conn) drainQueue(batch [][]byte) ([][]byte, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +108,7 @@
 	return batch, true
 }
 
-// writeLoop writes what is queued until the connection is closed.
+// writeLoop writes queued frames until the connection is closed.
 func (c *conn) writeLoop() {
 	var batch [][]byte
 	for {
@@ -130,8 +131,8 @@
 	}
 }
 
-// readLoop hands frames on until the connection ends or handle returns false. Any frame renews the deadline; a side that is silent is cut
-// off, or half open.
+// readLoop passes frames to handle until the connection ends or handle returns false. Any frame renews the read deadline: a silent peer is
+// cut off, or its connection is half open.
 func (c *conn) readLoop(handle func(kind byte, body []byte) bool) error {
 	timeout := silenceTimeout
 	if c.peer.Role == roleOperator {
--- a/internal/cluster/controlplane/dial.go
+++ b/internal/cluster/controlplane/dial.go
@@ -11,11 +11,11 @@
 const (
 	minDialBackoff = 50 * time.Millisecond
 	maxDialBackoff = time.Second
-	stableAfter    = 2 * time.Second // a connection that lasted so long is dialled again with the shortest backoff
-	maxSources     = 64              // that wait to be tried
+	stableAfter    = 2 * time.Second // after a connection that lasted this long, the backoff starts again from its minimum
+	maxSources     = 64              // addresses that wait to be tried
 )
 
-// dial opens one connection.
+// dial opens a connection to another broker of the site, handshake included.
 func (p *Participant) dial(ctx context.Context, addr string) (*conn, error) {
 	limited, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -31,7 +31,7 @@
 	return c, err
 }
 
-// maintainVoterConn dials another voter again and again until ctx ends.
+// maintainVoterConn keeps a connection to another voter until ctx ends: it dials again, with backoff, whenever the connection ends.
 func (p *Participant) maintainVoterConn(ctx context.Context, voter Voter) {
 	backoff := minDialBackoff
 	for ctx.Err() == nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// serveVoter dials a voter and serves the connection until it ends; false: there was none.
+// serveVoter dials a voter and serves the connection until it ends. It returns false if there was no connection to that voter.
 func (p *Participant) serveVoter(ctx context.Context, voter Voter) bool {
 	c, err := p.dial(ctx, voter.Addr)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return true
 }
 
-// waitBackoff waits for a half to three halves of a time, so that brokers that lost the same one do not return at the same moment;
-// false: ctx has ended.
+// waitBackoff waits for a random time of 0.5 to 1.5 times backoff, so that brokers that lost the same peer do not dial it at the same
+// moment. It returns false if ctx has ended.
 func waitBackoff(ctx context.Context, backoff time.Duration) bool {
 	select {
 	case <-time.After(backoff/2 + rand.N(backoff)):
@@ -74,7 +74,8 @@
 	}
 }
 
-// followSource follows one source after another until ctx ends: those of the options in a random order, and those that a full one names.
+// followSource follows one source after another until ctx ends: those of the options in random order, and those named by the redirect of
+// a source that is full.
 func (p *Participant) followSource(ctx context.Context) {
 	backoff := minDialBackoff
 	var next []string
--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -9,75 +9,75 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// VoterConfigError refuses to start a voter without what it needs.
+// VoterConfigError reports a voter that lacks a directory or a listener.
 type VoterConfigError struct{ Name string }
 
 func (e *VoterConfigError) Error() string {
-	return fmt.Sprintf("%s is one of fleet.voters, but has no fleet.directory or no fleet.listen", e.Name)
+	return fmt.Sprintf("%s is listed in fleet.voters, but fleet.directory or fleet.listen is not set", e.Name)
 }
 
 // Remedy says what an operator can do.
 func (e *VoterConfigError) Remedy() string {
-	return "give this broker both; the directory lasts over restarts and is of this broker alone"
+	return "set both on this broker; the directory must survive restarts and belong to this broker alone"
 }
 
-// UncertainOutcomeError ends a proposal of which it is not known whether it took effect.
+// UncertainOutcomeError reports a proposal or request that may or may not have taken effect.
 type UncertainOutcomeError struct{ Cause error }
 
 func (e *UncertainOutcomeError) Error() string {
-	return fmt.Sprintf("not agreed in time (%v); it may yet take effect", e.Cause)
+	return fmt.Sprintf("not known to be committed (%v); it may still take effect", e.Cause)
 }
 func (e *UncertainOutcomeError) Unwrap() error { return e.Cause }
 
 // Remedy says what an operator can do.
 func (e *UncertainOutcomeError) Remedy() string {
-	return "look at `flaxfront fleet status` before asking again; if it lasts, see that a majority of the voters runs"
+	return "check `flaxfront fleet status` before you repeat the request; if this persists, check that a majority of the voters is running"
 }
 
-// NotLeaderError refuses what only the leader may answer.
-type NotLeaderError struct{ Leader string } // its name; empty: none is known
+// NotLeaderError rejects a request that only the leader may answer.
+type NotLeaderError struct{ Leader string } // name of the leader; empty: unknown
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
-		return "no leader is known here"
+		return "this broker is not the leader and knows of none"
 	}
-	return e.Leader + " leads"
+	return "this broker is not the leader: " + e.Leader + " is"
 }
 
 // Remedy says what an operator can do.
 func (e *NotLeaderError) Remedy() string {
 	if e.Leader == "" {
-		return "see that a majority of the voters runs and that they reach one another; queries go on meanwhile"
+		return "check that a majority of the voters is running and that they reach one another; queries are served meanwhile"
 	}
-	return "ask there"
+	return "send the request to the leader"
 }
 
-// InvalidRequestError refuses what an operator asked for.
+// InvalidRequestError rejects an operator's request.
 type InvalidRequestError struct{ Reason string }
 
 func (e *InvalidRequestError) Error() string { return e.Reason }
 
 // Remedy says what an operator can do.
 func (e *InvalidRequestError) Remedy() string {
-	return "correct the request; `flaxfront fleet --help` tells the verbs"
+	return "correct the request; `flaxfront fleet --help` lists the verbs"
 }
 
-// SlotConflictError tells that another broker of the tier has this one's place.
+// SlotConflictError reports that another broker of the tier is registered in this broker's slot.
 type SlotConflictError struct {
 	Slot   statemachine.Slot
 	Holder string
 }
 
 func (e *SlotConflictError) Error() string {
-	return fmt.Sprintf("slot %d is that of %s, which lives", e.Slot, e.Holder)
+	return fmt.Sprintf("slot %d is held by %s, which is still in the tier", e.Slot, e.Holder)
 }
 
 // Remedy says what an operator can do.
 func (e *SlotConflictError) Remedy() string {
-	return "give each broker a fleet.slot of its own, and restart the one that has the wrong one"
+	return "give each broker its own fleet.slot, and restart the broker whose slot was wrong"
 }
 
-// RejectedError is a fault as it came over the wire.
+// RejectedError is the error of another broker's response, with its remedy.
 type RejectedError struct{ Message, Advice string }
 
 func (e *RejectedError) Error() string { return e.Message }
@@ -85,10 +85,10 @@
 // Remedy says what an operator can do.
 func (e *RejectedError) Remedy() string { return e.Advice }
 
-// FrameError is a frame that can't be read, or does not belong where it came.
+// FrameError reports a frame that cannot be decoded, or that is not allowed at that point of a connection.
 type FrameError struct {
 	Reason string
-	Cause  error // nil: none
+	Cause  error // may be nil
 }
 
 func (e *FrameError) Error() string {
@@ -102,25 +102,27 @@
 
 // Remedy says what an operator can do.
 func (e *FrameError) Remedy() string {
-	return "compare the versions of both brokers; nothing of the frame was used"
+	return "compare the versions of both brokers; the frame was ignored"
 }
 
-// OtherSiteError is a peer whose certificate is of another site.
+// OtherSiteError rejects a peer whose certificate belongs to another site.
 type OtherSiteError struct{ Peer, Own keys.ID }
 
-func (e *OtherSiteError) Error() string { return fmt.Sprintf("%s is not of %s", e.Peer, e.Own.Site) }
+func (e *OtherSiteError) Error() string {
+	return fmt.Sprintf("%s does not belong to site %s", e.Peer, e.Own.Site)
+}
 
 // Remedy says what an operator can do.
 func (e *OtherSiteError) Remedy() string {
-	return "name brokers of this site alone under fleet.voters and fleet.sources"
+	return "list only brokers of this site in fleet.voters and fleet.sources"
 }
 
-// errSessionLost ends proposals of an incarnation that the tier has given up.
+// errSessionLost ends the proposals of an incarnation that the tier has marked as lost.
 var errSessionLost = errors.New("the session was lost")
 
 func isUnknownEntry(err error) bool { return errors.As(err, new(*statemachine.UnknownEntryError)) }
 
-// remedyOf is the remedy of the first error in a chain that has one; empty: none has.
+// remedyOf returns the remedy of the first error in a chain that has one, or an empty string.
 func remedyOf(err error) string {
 	var fault remedy.Fault
 	if errors.As(err, &fault) {
--- a/internal/cluster/controlplane/evidence.go
+++ b/internal/cluster/controlplane/evidence.go
@@ -5,7 +5,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// evidence is a report as a release's gates take it.
+// evidence converts a report to the form that the gates of a release evaluate.
 func (r *Report) evidence(broker statemachine.Broker) release.Report {
 	evidence := release.Report{
 		Target:      release.Target{Slot: broker.Slot},
--- a/internal/cluster/controlplane/feed.go
+++ b/internal/cluster/controlplane/feed.go
@@ -9,10 +9,10 @@
 	maxRecentBytes     = 8 << 20
 	maxFeedEntries     = 512     // in one frame
 	maxFeedBytes       = 1 << 20 // in one frame
-	maxFollowerBacklog = 4 << 20 // bytes queued for one follower, beyond which it waits
+	maxFollowerBacklog = 4 << 20 // bytes queued for one follower; at more, its feed pauses
 )
 
-// recentEntries are the last applied entries, without a gap.
+// recentEntries holds the last applied entries, without gaps.
 type recentEntries struct {
 	maxEntries    int    // 0: maxRecentEntries
 	previousIndex uint64 // the index before the first
@@ -34,7 +34,7 @@
 	}
 }
 
-// after returns the entries after an index; false: it is too far back.
+// after returns the entries after an index. It returns false if some of them are no longer held.
 func (r *recentEntries) after(index uint64) (rest []feedEntry, ok bool) {
 	if index < r.previousIndex {
 		return nil, false
@@ -46,11 +46,11 @@
 	return r.entries[i:], true
 }
 
-// appliedMachine is the state machine as raft drives it.
+// appliedMachine is the consensus.StateMachine of a voter: raft applies committed entries to the participant through it.
 type appliedMachine struct{ participant *Participant }
 
-// Apply applies an entry, and ends this voter at one that it cannot read. Raft would count it as applied, and cut the log before the next
-// snapshot, which a newer program needs to go on from there.
+// Apply applies an entry. It panics, which stops this voter, at an entry that this program cannot read. Otherwise raft would count the
+// entry as applied and compact the log, which a newer program needs to continue from that entry.
 func (m appliedMachine) Apply(index uint64, data []byte) {
 	m.participant.applyEntry(index, data)
 	if m.participant.haltedBy != nil {
@@ -64,7 +64,7 @@
 // Restore implements consensus.StateMachine.
 func (m appliedMachine) Restore(data []byte) error { return m.participant.restoreSnapshot(data) }
 
-// applyEntry applies what was agreed. It stops for good before an entry of a newer version.
+// applyEntry applies a committed entry. It halts for good at an entry of a newer version, without applying it.
 func (p *Participant) applyEntry(index uint64, data []byte) {
 	if p.haltedBy != nil {
 		return
@@ -82,7 +82,7 @@
 	p.completeProposal(data, result)
 }
 
-// feedFollowers sends the followers what they lack.
+// feedFollowers sends the followers the entries that they lack.
 func (p *Participant) feedFollowers() {
 	for c := range p.connections {
 		if c.isFollower {
@@ -111,7 +111,7 @@
 	}
 }
 
-// feedBatchLength is how many entries, one at least, fit one frame.
+// feedBatchLength returns how many of the entries, at least one, fit in one frame.
 func feedBatchLength(entries []feedEntry) (length int) {
 	bytes := 0
 	for _, entry := range entries[:min(len(entries), maxFeedEntries)] {
@@ -124,7 +124,8 @@
 	return length
 }
 
-// handleFeed applies what the source sends. A feed with a gap is asked for again, from where this side stands.
+// handleFeed applies the entries that the source sends. If there is a gap before them, it requests the feed again from this broker's
+// applied index.
 func (p *Participant) handleFeed(c *conn, feed feedFrame) {
 	if c != p.source || p.haltedBy != nil {
 		return
--- a/internal/cluster/controlplane/handle_frame.go
+++ b/internal/cluster/controlplane/handle_frame.go
@@ -8,10 +8,10 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// frameHeaderBytes are the length and the kind before a frame's body.
+// frameHeaderBytes is the size of a frame's length and kind, which precede its body.
 const frameHeaderBytes = 5
 
-// handleFrame does what a frame asks for. A side that sends a malformed one is disconnected.
+// handleFrame handles a frame from a connection, and closes the connection if the frame is malformed.
 func (p *Participant) handleFrame(c *conn, kind byte, body []byte) {
 	if !p.connections[c] {
 		return
@@ -27,11 +27,11 @@
 func (p *Participant) dispatchFrame(c *conn, kind byte, body []byte) error {
 	now := p.options.Now()
 	if c.peer.Role == roleOperator && kind != frameRequest {
-		return &FrameError{Reason: fmt.Sprintf("kind %q from an operator", kind)}
+		return &FrameError{Reason: fmt.Sprintf("an operator may not send kind %q", kind)}
 	}
 	switch kind {
 	case frameHello:
-		return &FrameError{Reason: "a second hello"}
+		return &FrameError{Reason: "hello sent twice"}
 	case framePacket:
 		p.handlePacket(c, body)
 		return nil
@@ -52,7 +52,7 @@
 	case frameRequest:
 		return handleDecoded(body, func(f requestFrame) { p.handleRequest(c, f) })
 	}
-	return nil // of a newer version
+	return nil // a kind of a newer version: ignored
 }
 
 func handleDecoded[T any](body []byte, handle func(T)) error {
@@ -63,7 +63,7 @@
 	return err
 }
 
-// handlePacket hands raft what a voter sent.
+// handlePacket passes a raft packet from another voter to raft.
 func (p *Participant) handlePacket(c *conn, body []byte) {
 	index := p.voterIndex(c.peer.Name)
 	if index < 0 || p.raft == nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// addConn takes a connection over.
+// addConn registers a connection after its handshake. If it is one to a source, this broker asks to be fed from its applied index.
 func (p *Participant) addConn(c *conn) {
 	p.connections[c] = true
 	if !c.dialled {
@@ -92,7 +92,7 @@
 	p.send(c, frameFollow, followFrame{Index: p.state.AppliedIndex()})
 }
 
-// removeConn forgets a connection that ended with an error.
+// removeConn removes a connection that has ended. err is the reason, nil if there was no error.
 func (p *Participant) removeConn(c *conn, err error) {
 	delete(p.connections, c)
 	if p.voterConns[c.peer.Name] == c {
@@ -107,7 +107,7 @@
 			delete(p.routes, slot)
 		}
 	}
-	for _, sequence := range c.operatorProposals { // nobody waits for their outcome any more
+	for _, sequence := range c.operatorProposals { // the operator that waited for their outcome is gone
 		delete(p.pending, sequence)
 	}
 	if errors.As(err, new(*FrameError)) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// send queues a frame. A connection that does not take it ends by itself.
+// send queues a frame. A connection whose queue is full closes itself.
 func (p *Participant) send(c *conn, kind byte, body any) {
 	frame := encodeFrame(kind, body)
 	p.Counts.FramesOut.Add(1)
@@ -123,7 +123,7 @@
 	c.enqueue(frame)
 }
 
-// changesNodes reports whether an entry may change the agreed nodes; who holds connections to them does not count.
+// changesNodes reports whether an entry may change a line of the agreed node list. Leases on connections to nodes are not part of it.
 func changesNodes(entry statemachine.Entry) bool {
 	switch entry.(type) {
 	case *statemachine.LeaderElected,
--- a/internal/cluster/controlplane/handshake.go
+++ b/internal/cluster/controlplane/handshake.go
@@ -15,7 +15,7 @@
 	readBufferBytes  = 32 << 10
 )
 
-// side is who opened a connection. The dialling side sends the first hello.
+// side is the role of this process in opening a connection. The dialling side sends its hello first.
 type side uint8
 
 const (
@@ -23,7 +23,7 @@
 	accepting
 )
 
-// handshake takes a connection through TLS and the hellos.
+// handshake performs the TLS handshake, exchanges hellos and checks the peer's against its certificate.
 func handshake(ctx context.Context, netConn *tls.Conn, own helloFrame, s side) (*conn, error) {
 	netConn.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := netConn.HandshakeContext(ctx); err != nil {
@@ -65,7 +65,7 @@
 		}
 	}
 	if kind != frameHello {
-		return &FrameError{Reason: fmt.Sprintf("kind %q comes first", kind)}
+		return &FrameError{Reason: fmt.Sprintf("first frame is of kind %q, not a hello", kind)}
 	}
 	c.peer, err = decode[helloFrame](body)
 	return err
@@ -76,15 +76,15 @@
 	return err
 }
 
-// checkPeer compares the hello with the certificate.
+// checkPeer checks the peer's hello: its name must be that of the peer's certificate.
 func (c *conn) checkPeer(id keys.ID) error {
 	if c.peer.Protocol < 1 || c.peer.Name != id.Broker || len(c.peer.Listen) > maxNameBytes {
-		return &FrameError{Reason: fmt.Sprintf("hello of %q, protocol %d, with the certificate of %s", c.peer.Name, c.peer.Protocol, id)}
+		return &FrameError{Reason: fmt.Sprintf("hello by %q, protocol %d, with the certificate of %s", c.peer.Name, c.peer.Protocol, id)}
 	}
 	return nil
 }
 
-// siteCheck admits brokers of the own site alone.
+// siteCheck returns a check of peers' certificates that admits only peers of the keyring's own site.
 func siteCheck(ring *keys.Keyring) func(keys.ID) error {
 	return func(id keys.ID) error {
 		own := ring.ID()
--- a/internal/cluster/controlplane/heartbeat.go
+++ b/internal/cluster/controlplane/heartbeat.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// maxTopicBytes bounds a topic's share of a heartbeat.
+// maxTopicBytes bounds the data of one topic in a heartbeat.
 const maxTopicBytes = 256 << 10
 
-// maxTopicAge bounds the age that a heartbeat may state.
+// maxTopicAge bounds the age that a heartbeat may state for a topic. Older data is ignored.
 const maxTopicAge = time.Hour
 
-// Topic is a kind of facts that brokers share outside the log. Both functions are called in the participant's loop.
+// Topic is a kind of data that brokers exchange in heartbeats, outside the log. Both functions are called in the participant's loop.
 type Topic struct {
 	Name    string
-	Collect func() (data []byte, at time.Duration)   // what was known here at that moment, with the ages of it inside; nil: nothing
-	Merge   func(data []byte, transit time.Duration) // transit: by how much at most all of it has grown older on the way
+	Collect func() (data []byte, at time.Duration)   // returns what is known here, and the moment to which the ages in the data refer; nil: nothing
+	Merge   func(data []byte, transit time.Duration) // transit: upper bound of how much the data has aged since that moment
 }
 
-// AddTopic adds a topic, before Run.
+// AddTopic adds a topic. It must be called before Run.
 func (p *Participant) AddTopic(t Topic) { p.topics = append(p.topics, t) }
 
-// sendHeartbeats sends one to every broker, with what is known here.
+// sendHeartbeats sends a heartbeat with this broker's path and topics to every connected broker.
 func (p *Participant) sendHeartbeats(now time.Duration) {
 	heartbeat := heartbeatFrame{Path: p.pathFromVoter(), Token: tokenAt(now), Topics: p.collectTopics(now)}
 	if p.options.Listener != nil && canFeed(heartbeat.Path) {
@@ -51,7 +51,7 @@
 	return collected
 }
 
-// handleHeartbeat notes where the other side stands, and merges its topics.
+// handleHeartbeat records the state of the peer and merges its topics. It closes the connection to a source whose path is not usable.
 func (p *Participant) handleHeartbeat(c *conn, heartbeat heartbeatFrame, now time.Duration) {
 	c.lastToken = heartbeat.Token
 	c.followerRoom = heartbeat.FollowerRoom
@@ -64,8 +64,8 @@
 	}
 }
 
-// noteSourcePath notes the path of the source; false: it leads through this broker, or is too long. Two brokers that are cut off would
-// follow one another otherwise.
+// noteSourcePath records the path of the source. It returns false if the path leads through this broker or is too long. Otherwise two
+// brokers that are cut off could follow each other.
 func (p *Participant) noteSourcePath(path []string, now time.Duration) bool {
 	if len(path) > maxPathLength || slices.Contains(path, p.name) {
 		return false
@@ -77,8 +77,8 @@
 	return true
 }
 
-// mergeTopics merges what the other side collected. It sent the heartbeat after it had the token that it echoes. So its topics have grown
-// older by no more than it says, and the round trip since that token was sent.
+// mergeTopics merges the topics of a peer's heartbeat. The peer sent the heartbeat after it had received the token that it echoes. So its
+// topics have aged on the way by at most the time since this broker sent that token (roundTrip), on top of the age that the peer states.
 func (p *Participant) mergeTopics(topics map[string]topicData, roundTrip time.Duration) {
 	transit := p.withDrift(roundTrip)
 	for _, topic := range p.topics {
@@ -91,7 +91,7 @@
 	}
 }
 
-// withDrift is the longest that a span may have been which another broker's clock measured.
+// withDrift returns the longest time that can have passed while a clock measured span, given the drift between two brokers' clocks.
 func (p *Participant) withDrift(span time.Duration) time.Duration {
 	return span + time.Duration(float64(span)*p.options.MaxClockDrift)
 }
--- a/internal/cluster/controlplane/leader_tasks.go
+++ b/internal/cluster/controlplane/leader_tasks.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// LeaderContext is what a task of the leader decides on. State and Reports must not be changed or kept.
+// LeaderContext is the input of a leader task. The task must neither change nor keep State and Reports.
 type LeaderContext struct {
 	State   *statemachine.State
 	Term    uint64
@@ -18,26 +18,26 @@
 	leadership *leadership
 }
 
-// LastLeaseGrant is when this leader last granted the broker's session lease, at the latest; if it has granted none, since when it
-// leads.
+// LastLeaseGrant returns the latest time at which this leader can have granted the broker's session lease. If it has granted none, that is
+// the start of its leadership, as an earlier leader may have granted one until then.
 func (c *LeaderContext) LastLeaseGrant(b statemachine.Broker) time.Duration {
 	return c.leadership.lastGrant(b)
 }
 
-// LeaderTask is a periodic job of the leader.
+// LeaderTask is a periodic job of the leader, which proposes log entries.
 type LeaderTask struct {
 	Name     string
 	Interval time.Duration
-	Propose  func(LeaderContext) []statemachine.Entry // called in the participant's loop; must not block
+	Propose  func(LeaderContext) []statemachine.Entry // is called in the participant's loop and must not block
 
 	dueAt             time.Duration
 	proposalsInFlight int
 }
 
-// AddLeaderTask adds a task, before Run.
+// AddLeaderTask adds a task. It must be called before Run.
 func (p *Participant) AddLeaderTask(t LeaderTask) { p.leaderTasks = append(p.leaderTasks, t) }
 
-// runLeaderTasks proposes what is due. A task whose last proposals are not applied yet waits.
+// runLeaderTasks runs the release planner and the tasks that are due. One whose last proposals are still in flight waits.
 func (p *Participant) runLeaderTasks(now time.Duration) {
 	if p.leadership.planProposals == 0 && now >= p.leadership.planAt {
 		p.advanceRelease(now)
@@ -71,7 +71,7 @@
 	}
 }
 
-// advanceRelease proposes the next steps of the release.
+// advanceRelease proposes the next steps of the release in progress.
 func (p *Participant) advanceRelease(now time.Duration) {
 	entries, planAt := p.leadership.planner.NextEntries(p.state, now)
 	p.leadership.planAt = planAt
@@ -81,21 +81,21 @@
 		if p.isVotersPermit(entry) {
 			votersLeaving++
 			if !p.keepsMajority(votersLeaving) {
-				continue // the planner comes back to it
+				continue // the planner proposes the permit again later
 			}
 		}
 		p.leadership.planProposals++
 		p.propose(entry, func(_ statemachine.Result, err error) {
 			if p.leadership.term == term {
 				p.leadership.planProposals--
-				p.leadership.planAt = 0 // the state has changed
+				p.leadership.planAt = 0 // plan again at once: the state has changed
 			}
 			slog.Info("release step proposed", "component", component, "step", fmt.Sprintf("%T %+v", entry, entry), "error", err)
 		})
 	}
 }
 
-// isVotersPermit reports whether an entry permits a broker with a vote to go out.
+// isVotersPermit reports whether an entry permits a voter to leave service for a restart.
 func (p *Participant) isVotersPermit(entry statemachine.Entry) bool {
 	permit, ok := entry.(*statemachine.IssuePermit)
 	if !ok || permit.ForNode {
@@ -105,8 +105,8 @@
 	return p.voterIndex(broker.Name) >= 0
 }
 
-// keepsMajority reports whether so many more voters may go out. A release that let two of three go at once would leave nobody to agree
-// that they are back. A single voter goes all the same.
+// keepsMajority reports whether a majority of the voters stays in service if this many more of them leave. If a release let two of three
+// voters leave at once, no majority could commit that they are back. A single voter may always leave.
 func (p *Participant) keepsMajority(leaving int) bool {
 	for _, broker := range p.state.Brokers() {
 		isOut := broker.Status != statemachine.BrokerServing || broker.Permit > 0
--- a/internal/cluster/controlplane/leadership.go
+++ b/internal/cluster/controlplane/leadership.go
@@ -10,30 +10,30 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// leaderInterval is how often the leader does what is due.
+// leaderInterval is the interval of the leader's periodic work.
 const leaderInterval = 100 * time.Millisecond
 
-// leadership is what a leader holds; empty in all others.
+// leadership is the state of a leader. It is empty on all other brokers.
 type leadership struct {
 	term          uint64
-	proposing     bool // its LeaderElected is in flight
-	established   bool // its LeaderElected is applied
+	proposing     bool // the LeaderElected entry of this term is in flight
+	established   bool // the LeaderElected entry of this term is applied
 	establishedAt time.Duration
 	dueAt         time.Duration
-	transferAfter time.Duration // leadership is offered to another voter no sooner
+	transferAfter time.Duration // no transfer to another voter is attempted before
 
 	sessions       map[statemachine.Slot]grantedLease
-	proposedLosses map[statemachine.Slot]uint64 // incarnations whose loss is proposed: they are granted nothing more
-	renewals       []leaseRenewal               // wait for a majority to confirm the leadership
+	proposedLosses map[statemachine.Slot]uint64 // incarnations whose loss is proposed: they get no more leases
+	renewals       []leaseRenewal               // not granted yet: a majority must first confirm the leadership
 	readsInFlight  int
 
 	reports       map[statemachine.Slot]ReceivedReport
 	planner       *release.Planner
-	planProposals int // not applied yet
+	planProposals int // of the release planner, in flight
 	planAt        time.Duration
 }
 
-// advanceRaft does what is due of raft, and takes leadership up or lays it down.
+// advanceRaft does raft's due work, and follows changes of leadership. It returns when it must be called again.
 func (p *Participant) advanceRaft(now time.Duration) (next time.Duration) {
 	next = p.raft.Tick(now)
 	p.sendPackets()
@@ -56,7 +56,7 @@
 	return min(next, now+leaderInterval)
 }
 
-// checkRaftError has a voter that can't go on follow the others.
+// checkRaftError makes a voter whose raft has failed follow the other voters, without a vote.
 func (p *Participant) checkRaftError() {
 	err := p.raft.Err()
 	if err == nil || p.voterStopped {
@@ -99,8 +99,9 @@
 	slog.Info("leadership acquired", "component", component, "term", term)
 }
 
-// proposeLeadership tells the tier who leads. It is repeated: the proposal may be rejected, as of an earlier process, or given up with an
-// incarnation, and without it the term would pass with nothing done.
+// proposeLeadership proposes the entry that makes this broker the leader for the tier. It is called until that entry is applied: the
+// proposal may be rejected because it comes from an earlier process, or dropped with its incarnation, and without the entry the leader can
+// do nothing in its term.
 func (p *Participant) proposeLeadership(now time.Duration) {
 	p.leadership.proposing = true
 	p.leadership.dueAt = now + leaderInterval
@@ -112,7 +113,7 @@
 	})
 }
 
-// noteAppliedByLeader notes applied entries that matter to the leader.
+// noteAppliedByLeader updates the leader's state from an applied entry.
 func (p *Participant) noteAppliedByLeader(entry statemachine.Entry, r statemachine.Result) {
 	l := &p.leadership
 	switch e := entry.(type) {
@@ -129,7 +130,7 @@
 	}
 }
 
-// sendPackets saves and sends what raft has for the other voters, and completes confirmed reads.
+// sendPackets saves what raft has to persist, sends its packets to the other voters, and completes confirmed reads.
 func (p *Participant) sendPackets() {
 	for _, packet := range p.raft.ProcessReady() {
 		if c := p.voterConns[p.voterByID(packet.To).Name]; c != nil {
@@ -145,7 +146,8 @@
 	}
 }
 
-// confirmedRead calls done once this broker's state is known to hold all that was agreed before this moment, or with an error.
+// confirmedRead calls done once a majority has confirmed that this broker's state holds every entry committed before this call. If that
+// fails, it calls done with the error.
 func (p *Participant) confirmedRead(done func(error)) {
 	p.lastReadID++
 	id := p.lastReadID
--- a/internal/cluster/controlplane/lease_granting.go
+++ b/internal/cluster/controlplane/lease_granting.go
@@ -8,17 +8,18 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// maxConfirmedReads bounds the batches of renewals that wait for a majority.
+// maxConfirmedReads bounds the batches of renewals for which a confirmed read is in flight.
 const maxConfirmedReads = 4
 
-// grantedLease is when a session's lease was last granted by this leader. It counts from after the grant, so that it ends no earlier
-// than the holder believes.
+// grantedLease records when this leader last granted a session's lease. The leader counts the lease from the grant, the holder from its
+// earlier request, so that the lease does not end for the leader while the holder still relies on it.
 type grantedLease struct {
 	incarnation uint64
 	grantedAt   time.Duration
 }
 
-// lastGrant is when the broker's lease was last granted, at the latest; if it was granted none, since when this leader leads.
+// lastGrant returns the latest time at which the broker's lease can have been granted. If this leader has granted none, that is the start
+// of its leadership.
 func (l *leadership) lastGrant(b statemachine.Broker) time.Duration {
 	s := l.sessions[b.Slot]
 	if s.incarnation != b.Incarnation {
@@ -27,14 +28,14 @@
 	return max(l.establishedAt, s.grantedAt)
 }
 
-// queueRenewals takes requests for a lease.
+// queueRenewals queues lease renewals at the leader. Those in excess of maxBatch are dropped; their brokers ask again.
 func (p *Participant) queueRenewals(renewals []leaseRenewal) {
 	if p.leadership.established && len(p.leadership.renewals) < maxBatch {
 		p.leadership.renewals = append(p.leadership.renewals, renewals...)
 	}
 }
 
-// grantLeases has a majority confirm that this broker leads, for all renewals that wait, and then grants them.
+// grantLeases grants all queued renewals once a majority has confirmed that this broker still leads.
 func (p *Participant) grantLeases(now time.Duration) {
 	l := &p.leadership
 	if len(l.renewals) == 0 || l.readsInFlight >= maxConfirmedReads {
@@ -55,7 +56,7 @@
 	})
 }
 
-// grant counts leases from now, after they were asked for; their holders count from before they asked.
+// grant grants leases and sends them to their holders. The leader counts a lease from now, its holder from before it asked.
 func (p *Participant) grant(renewals []leaseRenewal) {
 	now := p.options.Now()
 	grants := grantsFrame{LeaseNS: int64(p.options.LeaseDuration), Leader: p.name}
@@ -76,8 +77,8 @@
 	return known && broker.Incarnation == incarnation && broker.Status != statemachine.BrokerLost && !isLossProposed
 }
 
-// proposeLosses proposes that brokers are lost whose lease has surely expired: counted from the later of its grant and the start of
-// this leadership, and with the drift of clocks.
+// proposeLosses proposes to mark brokers as lost whose session lease has certainly expired: counted from its grant or from the start of
+// this leadership, whichever is later, plus the drift of clocks.
 func (p *Participant) proposeLosses(now time.Duration) {
 	l := &p.leadership
 	lease := p.options.LeaseDuration
@@ -100,7 +101,7 @@
 	p.leadership.proposedLosses[broker.Slot] = broker.Incarnation
 	entry := &statemachine.MarkBrokerLost{Slot: broker.Slot, Incarnation: broker.Incarnation, Term: p.leadership.term}
 	p.propose(entry, func(_ statemachine.Result, err error) {
-		// One with an unknown outcome may take effect later, and must not stand against a lease granted meanwhile.
+		// A proposal with an unknown outcome may still take effect, so the broker must not be granted a lease in the meantime.
 		isUncertain := errors.As(err, new(*UncertainOutcomeError))
 		isLossProposed := p.leadership.term != 0 && p.leadership.proposedLosses[broker.Slot] == broker.Incarnation
 		if isLossProposed && !isUncertain {
--- a/internal/cluster/controlplane/loop.go
+++ b/internal/cluster/controlplane/loop.go
@@ -9,10 +9,10 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// idleInterval is when the loop comes again where nothing is due earlier.
+// idleInterval is the longest time between two steps of the loop.
 const idleInterval = time.Second
 
-// Run takes part until ctx ends.
+// Run takes part in the control plane until ctx ends.
 func (p *Participant) Run(ctx context.Context) error {
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
@@ -55,7 +55,7 @@
 	goroutines.Go(func() { p.deliverViews(ctx) })
 }
 
-// runInLoop queues a task for the loop; false: ctx has ended.
+// runInLoop queues a task for the loop. It returns false if ctx has ended.
 func (p *Participant) runInLoop(ctx context.Context, task func()) bool {
 	select {
 	case p.tasks <- task:
@@ -65,7 +65,7 @@
 	}
 }
 
-// step does what is due and returns when to come again.
+// step does all work that is due, and returns when it must be called again.
 func (p *Participant) step(now time.Duration) (next time.Duration) {
 	next = now + idleInterval
 	if p.raft != nil {
@@ -80,11 +80,11 @@
 	if now >= p.dueAt.report {
 		p.dueAt.report = now + p.options.ReportInterval
 		p.queueReport()
-		p.viewOutdated = true // whoever could not act on a view gets another
+		p.viewOutdated = true // a receiver that could not act on the last view gets a new one
 	}
 	next = min(next, p.dueAt.heartbeat, p.dueAt.report, p.sendOutbox(now))
 	p.feedFollowers()
-	if p.raft != nil { // what was proposed just now leaves at once
+	if p.raft != nil { // sends what this step has proposed
 		p.sendPackets()
 	}
 	if p.viewOutdated && now >= p.dueAt.view {
@@ -98,7 +98,7 @@
 	return next
 }
 
-// failProposals ends what was proposed, with an unknown outcome.
+// failProposals ends all pending proposals with an *UncertainOutcomeError.
 func (p *Participant) failProposals(cause error) {
 	for sequence, pending := range p.pending {
 		delete(p.pending, sequence)
