--- a/internal/cluster/connpolicy/classes.go
+++ b/internal/cluster/connpolicy/classes.go
@@ -8,13 +8,13 @@
 	"flaxfront/internal/decision/fairshare"
 )
 
-// compileClasses checks names and conditions of all classes and evaluates their budgets and floors.
+// compileClasses checks the names and conditions of all classes, and evaluates their budgets and floors.
 func (c *compiler) compileClasses() error {
 	names := map[string]bool{PoolClass: true}
 	for i := range c.document.Classes {
 		name := c.document.Classes[i].Name
 		if name == "" || names[name] {
-			return c.doc.Fault(classField(i, "name"), &IncompleteError{fmt.Sprintf("%q is no name of its own for a class", name)})
+			return c.doc.Fault(classField(i, "name"), &IncompleteError{fmt.Sprintf("%q is empty, reserved or already the name of another class", name)})
 		}
 		names[name] = true
 		class, err := c.compileClass(i)
@@ -33,7 +33,7 @@
 	isLast := index == len(c.document.Classes)-1
 	if isLast != (entry.When == "") {
 		return Class{}, c.doc.Fault(classField(index, "when"),
-			&IncompleteError{"the last class, and it alone, takes every node and has no condition"})
+			&IncompleteError{"the last class, and only the last class, must have no condition, so that it takes every other node"})
 	}
 	class := Class{Name: entry.Name, index: index}
 	var err error
@@ -55,7 +55,7 @@
 	}
 	if class.Floor < 1 {
 		return Class{}, c.doc.Fault(classField(index, "floor"),
-			&IncompleteError{"a floor of 0: a broker that is cut off, or that starts, could serve nothing"})
+			&IncompleteError{"floor is 0: a broker that is cut off or starting could serve nothing"})
 	}
 	floors := class.Floor * c.policy.Brokers
 	if floors > class.Budget {
@@ -66,7 +66,7 @@
 	return class, nil
 }
 
-// compilePool evaluates the budget of all nodes together, if there is one.
+// compilePool evaluates the budget of all nodes together, if the policy sets one.
 func (c *compiler) compilePool() error {
 	if c.document.Pool.Budget == "" {
 		return nil
@@ -81,15 +81,15 @@
 		floors = max(floors, class.Floor*c.policy.Brokers*c.policy.Nodes)
 	}
 	if floors > budget {
-		demand := "the floors of all brokers at as many nodes as there may be"
+		demand := "the floors of all brokers at the maximum number of nodes"
 		return c.doc.Fault("pool.budget", &OvercommittedError{PoolClass, demand, floors, budget})
 	}
 	c.policy.Pool = &Class{Name: PoolClass, Budget: budget, Shared: fairshare.Budget{Units: budget - floors}}
 	return nil
 }
 
-// checkPoolGuarantees checks that the pool holds what nodes guarantee: as many nodes as there may be, all of the class that
-// guarantees most.
+// checkPoolGuarantees checks that the pool covers what the nodes guarantee in the worst case: the maximum number of nodes, all of the class
+// that guarantees most.
 func (c *compiler) checkPoolGuarantees() error {
 	if c.policy.Pool == nil {
 		return nil
@@ -107,7 +107,7 @@
 		}
 	}
 	if worst > c.policy.Pool.Shared.Units {
-		demand := "the guarantees at as many nodes of class " + worstClass + " as there may be, above the floors,"
+		demand := "the guarantees above the floors, at the maximum number of nodes, all of class " + worstClass + ","
 		return c.doc.Fault("pool.budget", &OvercommittedError{PoolClass, demand, worst, c.policy.Pool.Shared.Units})
 	}
 	return nil
--- a/internal/cluster/connpolicy/compile.go
+++ b/internal/cluster/connpolicy/compile.go
@@ -9,24 +9,24 @@
 	"flaxfront/internal/config/form"
 )
 
-// compiler turns a document into a policy. Conditions on nodes only choose a class, and all amounts follow from the class. So a
-// policy is a table of classes and tenants, and the check goes through all of it.
+// compiler compiles a document into a policy. Conditions on nodes only choose a class, and all amounts depend on the class only. So a
+// policy is a table of classes and tenants, which can be checked completely.
 type compiler struct {
 	doc       *form.Doc
 	document  *document
 	policy    *Policy
 	nodeEnv   *environment     // of conditions on nodes
-	amountEnv *environment     // of amounts, and of conditions on classes
+	amountEnv *environment     // of amounts, and of conditions on a tenant's class
 	tenants   []compiledTenant // in the document's order
 }
 
-// compiledTenant is one entry of the document's tenants.
+// compiledTenant is a compiled entry of the document's tenants.
 type compiledTenant struct {
-	when    *expression // nil: always
+	when    *expression // nil: always holds
 	amounts [len(amountFields)]*expression
 }
 
-// amountFields are a tenant entry's amounts, in the order in which they are compiled and evaluated.
+// amountFields are the fields of a tenant entry's amounts, in the order in which they are compiled and evaluated.
 var amountFields = [...]string{"guarantee", "weight", "most", "burst"}
 
 func (c *compiler) compile() error {
@@ -56,23 +56,23 @@
 	d := c.document
 	switch {
 	case d.Brokers < 1:
-		return c.doc.Fault("brokers", &IncompleteError{"it is not said how many brokers there are at most"})
+		return c.doc.Fault("brokers", &IncompleteError{"the maximum number of brokers is not set"})
 	case d.Nodes < 1:
-		return c.doc.Fault("nodes", &IncompleteError{"it is not said how many nodes there are at most"})
+		return c.doc.Fault("nodes", &IncompleteError{"the maximum number of nodes is not set"})
 	case len(d.Classes) == 0 || len(d.Classes) > maxClasses:
 		return c.doc.Fault("classes", &IncompleteError{
-			fmt.Sprintf("%d classes of nodes, 1 to %d are wanted", len(d.Classes), maxClasses)})
+			fmt.Sprintf("%d classes of nodes, want 1 to %d", len(d.Classes), maxClasses)})
 	case len(d.Tenants) == 0 || len(d.Tenants) > maxTenantEntries:
 		return c.doc.Fault("tenants", &IncompleteError{
-			fmt.Sprintf("%d entries of tenants, 1 to %d are wanted", len(d.Tenants), maxTenantEntries)})
+			fmt.Sprintf("%d entries of tenants, want 1 to %d", len(d.Tenants), maxTenantEntries)})
 	case d.Closing > d.Lease/3:
-		return c.doc.Fault("closing", &ClosingTimeError{fmt.Sprintf("closing takes %v of a lease of %v: more than a third, "+
-			"so that one late renewal closes what the next opens again", d.Closing, d.Lease)})
+		return c.doc.Fault("closing", &ClosingTimeError{fmt.Sprintf("closing takes %v of a lease of %v, more than a third: "+
+			"one late renewal would close connections that the next one opens again", d.Closing, d.Lease)})
 	}
 	return nil
 }
 
-// evaluateNumber compiles and evaluates an amount that may use the given variables only.
+// evaluateNumber compiles and evaluates an amount that may use only the given variables.
 func (c *compiler) evaluateNumber(field, text string, variables map[string]any) (int, error) {
 	names := make([]string, 0, len(variables))
 	for name := range variables {
--- a/internal/cluster/connpolicy/connpolicy_test.go
+++ b/internal/cluster/connpolicy/connpolicy_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestSameTextSamePolicy has the same text make the same policy.
+// TestSameTextSamePolicy checks that compiling the same text twice gives the same policy.
 func TestSameTextSamePolicy(t *testing.T) {
 	describe := func() string {
 		p, err := Compile("x", example(t))
@@ -49,11 +49,11 @@
 		return fmt.Sprintf("%+v %+v", p.Classes, *p.Pool)
 	}
 	if first := describe(); first != describe() {
-		t.Error("the same text was read in two ways")
+		t.Error("the same text was compiled to two different policies")
 	}
 }
 
-// TestRejectedPolicies changes one line of the example and looks for the type, the line and what to do.
+// TestRejectedPolicies makes one faulty change at a time to the example policy, and checks the error's type, message, line and remedy.
 func TestRejectedPolicies(t *testing.T) {
 	causeOf := func(err error) any { var e *form.Error; errors.As(err, &e); return e.Err }
 	cases := []struct {
@@ -65,7 +65,7 @@
 		{`"closing": "1s"`, `"closing": "3s"`, &ClosingTimeError{}, "closing"},
 		{`"floor": "2"`, `"floor": "0"`, &IncompleteError{}, "could serve nothing"},
 		{`"floor": "2"`, `"floor": "17"`, &OvercommittedError{}, "the floors of all brokers are 680 units of a budget of 640"},
-		{`nodes * 400`, `nodes * 70`, &OvercommittedError{}, "at as many nodes"},
+		{`nodes * 400`, `nodes * 70`, &OvercommittedError{}, "at the maximum number of nodes"},
 		{`nodes * 400`, `nodes * 100`, &OvercommittedError{}, "guarantees"},
 		{`"shared / 4", "weight": "3"`, `"shared + 1", "weight": "3"`, &OvercommittedError{}, "guarantees"},
 		{`"weight": "2", "most"`, `"guarantee": "shared * 4 / 5", "most"`, &OvercommittedError{}, "guarantees"},
@@ -78,7 +78,7 @@
 		{`shared / 10`, `shared / 10.0`, &ExpressionError{}, "no matching overload"},
 		{`shared / 10`, `shared / (brokers - 40)`, &ExpressionError{}, "division by zero"},
 		{`brokers * 16`, `brokers * 9223372036854775807`, &ExpressionError{}, "overflow"},
-		{`brokers * 16`, `brokers * -16`, &ExpressionError{}, "not from 0"},
+		{`brokers * 16`, `brokers * -16`, &ExpressionError{}, "not in the range 0"},
 		{`brokers * 16`, `budget * 16`, &ExpressionError{}, "not known here"},
 		{`brokers * 16`, `size('x' + 'y')`, &ExpressionError{}, "undeclared"},
 		{`brokers * 16`, `timestamp('2026-01-01T00:00:00Z').getHours('Europe/Oslo')`, &ExpressionError{}, "undeclared"},
@@ -98,15 +98,15 @@
 			continue
 		}
 		if located.Line != line {
-			t.Errorf("%s: line %d was told for line %d: %v", c.to, located.Line, line, err)
+			t.Errorf("%s: the error states line %d, want %d: %v", c.to, located.Line, line, err)
 		}
 		if c.errorType != nil && fmt.Sprintf("%T", causeOf(err)) != fmt.Sprintf("%T", c.errorType) || remedy.Of(err) == "" {
-			t.Errorf("%s: %T with what to do: %q", c.to, causeOf(err), remedy.Of(err))
+			t.Errorf("%s: error of type %T with remedy %q", c.to, causeOf(err), remedy.Of(err))
 		}
 	}
 }
 
-// FuzzCompile looks for a text that brings it down, or that is agreed and divides more than there is.
+// FuzzCompile checks that no text makes Compile panic, and that no accepted policy divides more than a class's budget.
 func FuzzCompile(f *testing.F) {
 	f.Add(example(f))
 	f.Fuzz(func(t *testing.T, text string) {
@@ -120,7 +120,7 @@
 				sum += a.Guarantee
 			}
 			if sum > k.Budget {
-				t.Errorf("%d of %d", sum, k.Budget)
+				t.Errorf("floors and guarantees of %d exceed the budget of %d", sum, k.Budget)
 			}
 		}
 	})
--- a/internal/cluster/connpolicy/errors.go
+++ b/internal/cluster/connpolicy/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// ExpressionError is an expression that can't be used. Errors of this package come inside a form.Error, which names the line.
+// ExpressionError reports an expression that cannot be used. All errors of this package are wrapped in a form.Error, which states the line.
 type ExpressionError struct {
 	Text   string
-	Column int // 0: the whole
+	Column int // from 1; 0: the expression as a whole
 	Reason string
 }
 
@@ -21,19 +21,19 @@
 	return "correct the expression; names and operators are in docs/operations/connection-budgets.md"
 }
 
-// FeedbackError is an amount or a condition on what the division moves.
+// FeedbackError reports an amount or a condition that depends on a result of the division itself.
 type FeedbackError struct{ Text, Variable string }
 
 func (e *FeedbackError) Error() string {
-	return fmt.Sprintf("%.80q: %s is moved by the division itself, which would never settle", e.Text, e.Variable)
+	return fmt.Sprintf("%.80q: %s changes with the division itself, which would never settle", e.Text, e.Variable)
 }
 
 // Remedy says what an operator can do.
 func (e *FeedbackError) Remedy() string {
-	return "say it by guarantee, weight, most and burst: units follow the need by themselves"
+	return "use guarantee, weight, most and burst instead: the division already follows the demand"
 }
 
-// OvercommittedError is a policy that could divide more than there is.
+// OvercommittedError reports a policy that could divide more units than a budget has.
 type OvercommittedError struct {
 	Class       string
 	Demand      string
@@ -49,7 +49,7 @@
 	return "raise the budget, or lower the floors or the guarantees"
 }
 
-// StarvedTenantError is a tenant whose amounts contradict each other, or that would get nothing.
+// StarvedTenantError reports a tenant whose amounts contradict each other, or that could get nothing.
 type StarvedTenantError struct{ Class, Tenant, Reason string }
 
 func (e *StarvedTenantError) Error() string {
@@ -58,23 +58,23 @@
 
 // Remedy says what an operator can do.
 func (e *StarvedTenantError) Remedy() string {
-	return "give it a guarantee or a weight, and a most that is no less than its guarantee"
+	return "give the tenant a guarantee or a weight, and a value of most that is at least its guarantee"
 }
 
-// IncompleteError is a policy that says nothing of some node or tenant, or says it twice.
+// IncompleteError reports a policy that does not cover some node or tenant, or covers it twice.
 type IncompleteError struct{ Reason string }
 
 func (e *IncompleteError) Error() string { return e.Reason }
 
 // Remedy says what an operator can do.
 func (e *IncompleteError) Remedy() string {
-	return "let the last class, and the last entry of each tenant, have no condition, and name each thing"
+	return "give each class and tenant a name, and no condition to the last class and to the last entry of each tenant"
 }
 
-// ClosingTimeError is a lease under which connections would be closed and opened without end.
+// ClosingTimeError reports a closing time that is too long for the lease, so that connections would be closed and reopened repeatedly.
 type ClosingTimeError struct{ Reason string }
 
 func (e *ClosingTimeError) Error() string { return e.Reason }
 
 // Remedy says what an operator can do.
-func (e *ClosingTimeError) Remedy() string { return "lengthen the lease, or shorten closing" }
+func (e *ClosingTimeError) Remedy() string { return "increase lease or decrease closing" }
--- a/internal/cluster/connpolicy/expression.go
+++ b/internal/cluster/connpolicy/expression.go
@@ -11,22 +11,22 @@
 	"cel.dev/cel-go/common/operators"
 )
 
-// The bounds of one expression. Every broker of the tier compiles a policy at the same moment.
+// The bounds of one expression. They keep compilation cheap, as all brokers of the tier compile a policy at the same moment.
 const (
 	maxExpressionBytes = 4096
 	maxTreeNodes       = 100
 	maxTreeDepth       = 12
 	maxCost            = 1000 // steps, as CEL estimates and counts them: about one for each operator
 	maxAmount          = 1 << 24
-	maxNameBytes       = 255 // of a node's attribute, for the estimate of cost
+	maxNameBytes       = 255 // of a node's attribute, for the cost estimate
 )
 
-// feedbackVariables are what the division itself changes. An amount that followed from them would change what is divided next, and so
-// on without end. They are declared, so that such an expression is told apart from a misspelt name.
+// feedbackVariables are quantities that the division itself changes. An amount that depended on one would change the next division, and so
+// on without end. They are declared so that their use is reported as such, not as a misspelt name.
 var feedbackVariables = []string{"need", "held", "granted", "used", "free", "open", "waiting", "load", "demand"}
 
-// allowedFunctions are the operators of an expression: no macro that could loop, no function that asks for the time, a time zone or a
-// regular expression.
+// allowedFunctions are the operators and functions of expressions. Macros, which can loop, are excluded, as are functions of time, time
+// zones and regular expressions.
 var allowedFunctions = []string{
 	operators.Conditional, operators.LogicalAnd, operators.LogicalOr, operators.LogicalNot,
 	operators.Equals, operators.NotEquals, operators.Less, operators.LessEquals, operators.Greater, operators.GreaterEquals,
@@ -34,7 +34,7 @@
 	operators.In, "startsWith", "endsWith",
 }
 
-// expression is a checked expression.
+// expression is a compiled and checked expression.
 type expression struct {
 	text    string
 	program cel.Program
@@ -48,7 +48,7 @@
 
 type environments struct {
 	node   *environment // of conditions on nodes
-	amount *environment // of amounts, and of conditions on classes
+	amount *environment // of amounts, and of conditions on a tenant's class
 }
 
 var declareEnvironments = sync.OnceValues(func() (environments, error) {
@@ -65,7 +65,7 @@
 	return environments{node: node, amount: amount}, err
 })
 
-// declare makes an environment of names of one type.
+// declare returns an environment with names of one type, besides the feedback variables.
 func declare(nameType *cel.Type, names ...string) (*environment, error) {
 	subset := &env.LibrarySubset{DisableMacros: true}
 	for _, function := range allowedFunctions {
@@ -88,7 +88,7 @@
 	return &environment{env: celEnv, names: names}, err
 }
 
-// compile checks an expression of the wanted type that uses allowed names only.
+// compile compiles an expression. It must have the wanted type, use allowed names only, and stay within the bounds.
 func (e *environment) compile(text string, want *cel.Type, allowed ...string) (*expression, error) {
 	ast, issues := e.env.Compile(text)
 	if issues.Err() != nil {
@@ -96,7 +96,7 @@
 		return nil, &ExpressionError{text, first.Location.Column() + 1, first.Message}
 	}
 	if !ast.OutputType().IsExactType(want) {
-		return nil, &ExpressionError{text, 0, fmt.Sprintf("is of type %s, %s is wanted", ast.OutputType(), want)}
+		return nil, &ExpressionError{text, 0, fmt.Sprintf("is of type %s, want %s", ast.OutputType(), want)}
 	}
 	if err := checkNames(text, ast, allowed); err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 		return nil, &ExpressionError{text, 0, err.Error()}
 	}
 	if estimate.Max > maxCost {
-		return nil, &ExpressionError{text, 0, fmt.Sprintf("could cost %d steps, %d at most", estimate.Max, maxCost)}
+		return nil, &ExpressionError{text, 0, fmt.Sprintf("can cost %d steps, at most %d are allowed", estimate.Max, maxCost)}
 	}
 	program, err := e.env.Program(ast, cel.CostLimit(maxCost))
 	if err != nil {
@@ -115,7 +115,7 @@
 	return &expression{text: text, program: program}, nil
 }
 
-// checkNames reports the first name, in alphabetical order, that is not allowed: the same error on every broker.
+// checkNames returns an error for the alphabetically first name that is not allowed, so that every broker reports the same one.
 func checkNames(text string, ast *cel.Ast, allowed []string) error {
 	var names []string
 	for _, ref := range ast.NativeRep().ReferenceMap() {
@@ -130,13 +130,13 @@
 	if slices.Contains(feedbackVariables, first) {
 		return &FeedbackError{text, first}
 	}
-	return &ExpressionError{text, 0, fmt.Sprintf("%s is not known here, only %v", first, allowed)}
+	return &ExpressionError{text, 0, fmt.Sprintf("%s is not known here, only %v are", first, allowed)}
 }
 
-// sizeEstimator bounds the length of names, which CEL's estimate would take for unlimited.
+// sizeEstimator bounds the length of string variables, which CEL would estimate as unlimited.
 type sizeEstimator struct{}
 
-// EstimateSize implements the estimator of CEL.
+// EstimateSize implements CEL's cost estimator.
 func (sizeEstimator) EstimateSize(element cost.AstNode) *cost.SizeEstimate {
 	if len(element.Path()) > 0 {
 		return &cost.SizeEstimate{Min: 0, Max: maxNameBytes}
@@ -144,12 +144,12 @@
 	return nil
 }
 
-// EstimateCallCost implements the estimator of CEL: calls cost what CEL says.
+// EstimateCallCost implements CEL's cost estimator. It returns nil, which selects CEL's own estimate.
 func (sizeEstimator) EstimateCallCost(string, string, *cost.AstNode, []cost.AstNode) *cost.CallEstimate {
 	return nil
 }
 
-// evaluateCondition evaluates a condition; a nil expression holds.
+// evaluateCondition reports whether a condition holds. A nil expression always holds.
 func (x *expression) evaluateCondition(variables map[string]any) (bool, error) {
 	if x == nil {
 		return true, nil
@@ -162,7 +162,7 @@
 	return holds && ok, nil
 }
 
-// evaluateNumber evaluates an amount, from 0 to maxAmount.
+// evaluateNumber evaluates an amount. A value outside 0 to maxAmount is an error.
 func (x *expression) evaluateNumber(variables map[string]any) (int, error) {
 	value, _, err := x.program.Eval(variables)
 	if err != nil {
@@ -170,7 +170,7 @@
 	}
 	n, ok := value.Value().(int64)
 	if !ok || n < 0 || n > maxAmount {
-		return 0, &ExpressionError{x.text, 0, fmt.Sprintf("is %v, which is not from 0 to %d", value.Value(), maxAmount)}
+		return 0, &ExpressionError{x.text, 0, fmt.Sprintf("is %v, which is not in the range 0 to %d", value.Value(), maxAmount)}
 	}
 	return int(n), nil
 }
--- a/internal/cluster/connpolicy/tenants.go
+++ b/internal/cluster/connpolicy/tenants.go
@@ -9,13 +9,13 @@
 	"flaxfront/internal/decision/fairshare"
 )
 
-// compileTenants compiles conditions and amounts of all entries. Each tenant needs an entry without a condition, and none after it.
+// compileTenants compiles the conditions and amounts of all entries. Each tenant's last entry must have no condition, and no other may.
 func (c *compiler) compileTenants() error {
 	unconditional := map[string]bool{}
 	for i, entry := range c.document.Tenants {
 		if entry.Name == "" || unconditional[entry.Name] {
 			return c.doc.Fault(tenantField(i, "name"),
-				&IncompleteError{fmt.Sprintf("tenant %q has no name, or an entry before takes all of it", entry.Name)})
+				&IncompleteError{fmt.Sprintf("tenant %q: its name is empty, or an earlier entry without a condition already applies", entry.Name)})
 		}
 		unconditional[entry.Name] = entry.When == ""
 		if !slices.Contains(c.policy.Tenants, entry.Name) {
@@ -58,10 +58,10 @@
 	return compiled, nil
 }
 
-// evaluateTable evaluates every tenant in every class and in the pool, and checks each class as a whole.
+// evaluateTable evaluates the amounts of every tenant in every class and in the pool, and checks each class as a whole.
 func (c *compiler) evaluateTable() error {
 	if len(c.policy.Tenants) > maxTenants {
-		return c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("%d tenants, %d at most", len(c.policy.Tenants), maxTenants)})
+		return c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("%d tenants, at most %d are allowed", len(c.policy.Tenants), maxTenants)})
 	}
 	for i := range c.policy.Classes {
 		if err := c.evaluateClass(&c.policy.Classes[i]); err != nil {
@@ -96,7 +96,7 @@
 		class.Shared.Allowances = append(class.Shared.Allowances, amount)
 		guarantees += amount.Guarantee
 		if guarantees > class.Shared.Units {
-			demand := "the guarantees, above the floors of all brokers,"
+			demand := "the guarantees above the floors of all brokers"
 			return c.doc.Fault(tenantField(index, "guarantee"),
 				&OvercommittedError{class.Name, demand, guarantees, class.Shared.Units})
 		}
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// checkAmount checks one tenant's amounts in one class. It returns the field at fault and what is wrong with it.
+// checkAmount checks one tenant's amounts in one class. If it returns an error, field is the name of the faulty field.
 func checkAmount(class *Class, tenant string, amount fairshare.Allowance) (field string, err error) {
 	starved := func(format string, args ...any) error {
 		return &StarvedTenantError{class.Name, tenant, fmt.Sprintf(format, args...)}
@@ -117,9 +117,9 @@
 	case amount.Max < amount.Guarantee:
 		return "most", starved("most, %d, is less than the guarantee, %d", amount.Max, amount.Guarantee)
 	case amount.Weight > maxWeight:
-		return "weight", starved("a weight of %d, which is over %d, leaves the others nothing", amount.Weight, maxWeight)
+		return "weight", starved("a weight of %d, above %d, would leave the other tenants nothing", amount.Weight, maxWeight)
 	case amount.Weight == 0 && amount.Guarantee == 0 && units > 0:
-		return "weight", starved("neither a guarantee nor a weight: it would get nothing while others need more")
+		return "weight", starved("neither a guarantee nor a weight: the tenant would get nothing while others need more")
 	case amount.Max == 0 && units > 0:
 		return "most", starved("most is 0")
 	case amount.Max > units:
@@ -144,7 +144,7 @@
 			return i, nil
 		}
 	}
-	return 0, c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("tenant %q has no entry that holds", tenant)})
+	return 0, c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("tenant %q has no entry whose condition holds", tenant)})
 }
 
 func (c *compiler) evaluateAmount(index int, variables map[string]any) (fairshare.Allowance, error) {
--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -39,7 +39,7 @@
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
-		return "this broker is not the leader and knows of none"
+		return "no leader is known to this broker"
 	}
 	return "this broker is not the leader: " + e.Leader + " is"
 }
--- a/internal/cluster/controlplane/lease_granting.go
+++ b/internal/cluster/controlplane/lease_granting.go
@@ -28,7 +28,7 @@
 	return max(l.establishedAt, s.grantedAt)
 }
 
-// queueRenewals queues lease renewals at the leader. Those in excess of maxBatch are dropped; their brokers ask again.
+// queueRenewals queues lease renewals at the leader. It drops them if maxBatch already wait; their brokers ask again.
 func (p *Participant) queueRenewals(renewals []leaseRenewal) {
 	if p.leadership.established && len(p.leadership.renewals) < maxBatch {
 		p.leadership.renewals = append(p.leadership.renewals, renewals...)
--- a/internal/cluster/controlplane/network.go
+++ b/internal/cluster/controlplane/network.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	extraConnections = 16 // for voters and operators, beside followers
+	extraConnections = 16 // for voters and operators, in addition to followers
 	acceptErrorPause = 10 * time.Millisecond
-	connsPerFollower = 2 // an old connection may still end while the new one is up
+	connsPerFollower = 2 // a follower's old connection may still be closing when its new one is accepted
 )
 
-// acceptConnections serves the listener until ctx ends, and returns when all its connections have ended.
+// acceptConnections accepts and serves connections until ctx ends. It returns after all of them have ended.
 func (p *Participant) acceptConnections(ctx context.Context) {
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
@@ -40,7 +40,7 @@
 			time.Sleep(acceptErrorPause)
 			continue
 		}
-		if open.Load() >= maxConns { // they would take descriptors from clients
+		if open.Load() >= maxConns { // more would use file descriptors that client connections need
 			netConn.Close()
 			continue
 		}
@@ -64,7 +64,8 @@
 	p.serveConn(ctx, c)
 }
 
-// reachableAddress puts the address that a broker connects from in place of an unspecified one.
+// reachableAddress returns a broker's listen address, with the address that the broker connects from if the host is unspecified (0.0.0.0
+// or ::).
 func reachableAddress(listen string, from net.Addr) string {
 	address, err := netip.ParseAddrPort(listen)
 	tcp, ok := from.(*net.TCPAddr)
@@ -82,7 +83,7 @@
 	return hello
 }
 
-// serveConn serves a connection until it ends.
+// serveConn serves a connection until it is closed or ctx ends.
 func (p *Participant) serveConn(ctx context.Context, c *conn) {
 	stop := context.AfterFunc(ctx, c.close)
 	defer stop()
--- a/internal/cluster/controlplane/operator_client.go
+++ b/internal/cluster/controlplane/operator_client.go
@@ -18,9 +18,9 @@
 	maxRedirectHops = 3
 )
 
-// SendRequest has the leader do what a verb says, and decodes its JSON answer into a value, if that is not nil. It goes on asking the
-// voters until one answers or ctx ends. A request is carried out once at most: if the connection broke after it was sent, the error is an
-// *UncertainOutcomeError.
+// SendRequest sends an operator's request to the leader, and decodes the JSON response into a value unless that is nil. It tries the voters
+// in turn until the leader responds or ctx ends. A request is carried out at most once: if its connection breaks after it was sent, it is
+// not repeated, and the error is an *UncertainOutcomeError. Only VerbStatus, which changes nothing, is repeated.
 func SendRequest(ctx context.Context, ring *keys.Keyring, voters []Voter, verb string, request *Request, into any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -47,7 +47,8 @@
 	body   []byte
 }
 
-// tryVoter asks a voter, and the leader that it names. It is done if the request was answered, or may have been carried out.
+// tryVoter sends the request to a voter, or to the leader that the voter names. done reports that the request was answered or may have been
+// carried out, so that it must not be sent again.
 func (o *operatorClient) tryVoter(ctx context.Context, addr string, into any) (done bool, err error) {
 	for range maxRedirectHops {
 		if addr == "" {
@@ -72,7 +73,7 @@
 	return false, err
 }
 
-// addrOf is a voter's address by this side's own list; empty: there is none.
+// addrOf returns a voter's address from the client's own list, or an empty string if the voter is not listed.
 func (o *operatorClient) addrOf(name string) string {
 	i := slices.IndexFunc(o.voters, func(v Voter) bool { return v.Name == name })
 	if i < 0 {
@@ -88,7 +89,7 @@
 	return json.Unmarshal(r.Body, value)
 }
 
-// sendTo sends the request over a connection of its own and awaits the response. sent is false if it surely never arrived.
+// sendTo sends the request over a new connection and waits for the response. sent is false if the request certainly did not arrive.
 func (o *operatorClient) sendTo(ctx context.Context, addr string) (response *responseFrame, sent bool, err error) {
 	netConn, err := (&net.Dialer{Timeout: handshakeTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
--- a/internal/cluster/controlplane/operator_request.go
+++ b/internal/cluster/controlplane/operator_request.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// The verbs of requests.
+// The verbs of operators' requests.
 const (
 	VerbStatus         = "status"
 	VerbRelease        = "release"
@@ -24,25 +24,25 @@
 	VerbRollBackPolicy = "policy-back"
 )
 
-// Request is what an operator asks for. Which fields count depends on the verb.
+// Request is the body of an operator's request. The verb determines which fields are used.
 type Request struct {
-	Node    string          `json:"node,omitempty"` // by name or ADDRESS:PORT
+	Node    string          `json:"node,omitempty"` // name or ADDRESS:PORT
 	Broker  string          `json:"broker,omitempty"`
-	Release uint64          `json:"release,omitempty"` // 0: the present one
+	Release uint64          `json:"release,omitempty"` // number; 0: the current release
 	Reason  string          `json:"reason,omitempty"`
-	Text    string          `json:"text,omitempty"` // of a policy
+	Text    string          `json:"text,omitempty"` // of a connection policy
 	Plan    *ReleaseRequest `json:"plan,omitempty"`
 }
 
-// operatorCall is a request that is being answered.
+// operatorCall is an operator's request to which this broker responds.
 type operatorCall struct {
 	participant *Participant
 	conn        *conn
 	id          uint64
 }
 
-// handleRequest answers an operator's request, perhaps later. Only the leader does: what it tells is what a majority knows, and what it
-// proposes is answered when it is agreed.
+// handleRequest responds to an operator's request, possibly after it has returned. Only the leader carries requests out: a status contains
+// what a majority has committed, and a change is answered once its entry is applied.
 func (p *Participant) handleRequest(c *conn, frame requestFrame) {
 	if c.peer.Role != roleOperator {
 		return
@@ -58,10 +58,10 @@
 	}
 	var request Request
 	if err := json.Unmarshal(frame.Body, &request); err != nil {
-		call.answer(nil, &InvalidRequestError{"the request cannot be read: " + err.Error()})
+		call.answer(nil, &InvalidRequestError{"the request is not valid JSON: " + err.Error()})
 		return
 	}
-	// What was agreed before this moment counts, such as which release is the present one.
+	// The entry depends on all that was committed before, such as which release is the current one.
 	p.confirmedRead(func(err error) { call.propose(frame.Verb, &request, err) })
 }
 
@@ -93,7 +93,7 @@
 	c.participant.send(c.conn, frameResponse, response)
 }
 
-// redirect names the leader, if one is known.
+// redirect rejects the request and names the leader, if one is known.
 func (c *operatorCall) redirect() {
 	p := c.participant
 	err := &NotLeaderError{}
@@ -111,7 +111,7 @@
 	})
 }
 
-// entryFor makes an entry of a request.
+// entryFor returns the log entry that carries out a request.
 func (p *Participant) entryFor(verb string, r *Request) (statemachine.Entry, error) {
 	releaseNumber := r.Release
 	if present, ok := p.state.Release(); ok && releaseNumber == 0 {
@@ -137,17 +137,17 @@
 	case VerbPolicy, VerbRollBackPolicy:
 		return p.policyEntryFor(verb, r.Text)
 	}
-	return nil, &InvalidRequestError{fmt.Sprintf("no such verb: %.40q", verb)}
+	return nil, &InvalidRequestError{fmt.Sprintf("unknown verb %.40q", verb)}
 }
 
 func (p *Participant) policyEntryFor(verb, text string) (statemachine.Entry, error) {
 	if p.compilePolicy == nil {
-		return nil, &InvalidRequestError{"this program divides no budgets: fleet.budgets is false"}
+		return nil, &InvalidRequestError{"the leader does not divide connection budgets: fleet.budgets is false there"}
 	}
 	if verb == VerbRollBackPolicy {
 		previous := p.state.Policies().Previous
 		if previous == nil {
-			return nil, &InvalidRequestError{"there is no policy before the one in force"}
+			return nil, &InvalidRequestError{"there is no earlier policy to return to"}
 		}
 		text = previous.Text
 	}
@@ -165,12 +165,12 @@
 		return &statemachine.UndrainNode{Node: node}, nil
 	case VerbNodeReturned:
 		if !hasPermit {
-			return nil, &InvalidRequestError{"no release has let this node go out"}
+			return nil, &InvalidRequestError{"no release permits this node to be out of service"}
 		}
 		return &statemachine.ReturnToService{Incarnation: permit.Number, ForNode: true, Node: node}, nil
 	case VerbNodeOut:
 		if !hasPermit {
-			return nil, &InvalidRequestError{"no release lets this node go out now"}
+			return nil, &InvalidRequestError{"no release permits this node to go out of service now"}
 		}
 		return &statemachine.UsePermit{
 			Permit:      permit.Number,
@@ -183,11 +183,11 @@
 	return &statemachine.DrainNode{Node: node, Reason: r.Reason}, nil
 }
 
-// nodeID finds a node by the name or address that an operator gives.
+// nodeID returns the id of a node that an operator gives by name or address.
 func (p *Participant) nodeID(text string) (decision.NodeID, error) {
 	id, ok := p.findNode(text)
 	if !ok {
-		return id, &InvalidRequestError{fmt.Sprintf("no node %.80q is in the leader's list", text)}
+		return id, &InvalidRequestError{fmt.Sprintf("node %.80q is not in the leader's node list", text)}
 	}
 	return id, nil
 }
--- a/internal/cluster/controlplane/options.go
+++ b/internal/cluster/controlplane/options.go
@@ -12,42 +12,42 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// component is the attribute of this package's log lines.
+// component is the value of the attribute "component" in this package's log lines.
 const component = "control-plane"
 
-// Voter is a broker with a vote, by the name in its certificate.
+// Voter is a broker that votes in raft, by the name in its certificate.
 type Voter struct {
 	Name string
 	Addr string // host and port
 }
 
-// Options say who a broker is and how it takes part.
+// Options identify a broker and configure its part in the control plane.
 type Options struct {
 	Keys              *keys.Keyring
-	Voters            []Voter      // the same on every broker, in the same order
-	Sources           []string     // addresses of brokers to follow; none: the voters
-	Listener          net.Listener // nil: nobody can connect to this broker
-	ListenAddr        string       // as other brokers are told
+	Voters            []Voter      // the same on every broker and in the same order: the order determines raft's ids
+	Sources           []string     // addresses of brokers to follow; empty: the voters
+	Listener          net.Listener // nil: this broker accepts no connections
+	ListenAddr        string       // announced to other brokers
 	Dial              func(ctx context.Context, addr string) (net.Conn, error)
-	Storage           consensus.Storage // of a voter
+	Storage           consensus.Storage // required for a voter
 	Slot              statemachine.Slot
 	Incarnation       uint64 // greater than that of any earlier process in this slot
 	Version           string // of the program
 	Zone              string
-	LeaseDuration     time.Duration // of sessions
-	MaxClockDrift     float64       // by which the rates of two brokers' clocks differ, as a share
+	LeaseDuration     time.Duration // of session leases
+	MaxClockDrift     float64       // bound of the difference between the rates of two brokers' clocks; 0.01: 1 %
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration // of raft
-	MaxFollowers      int           // that follow this broker
+	MaxFollowers      int           // of this broker
 	ReportInterval    time.Duration
 	ReleaseGates      release.Settings
 	Seed              uint64
-	OnView            func(*View)          // is handed views in their order, perhaps not each; may block
-	CollectReport     func() Report        // what this broker has served; called in the participant's loop, must not block
-	Now               func() time.Duration // monotonic; goes on while the process is stopped
+	OnView            func(*View)          // receives views in order, but may miss some; may block
+	CollectReport     func() Report        // returns this broker's counts of queries; called in the participant's loop, must not block
+	Now               func() time.Duration // monotonic; must go on while the process is suspended
 }
 
-// withDefaults fills in what may be left out.
+// withDefaults returns the options with defaults for those that may be left out.
 func (o Options) withDefaults() Options {
 	if o.Dial == nil {
 		o.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
@@ -66,7 +66,7 @@
 	return o
 }
 
-// Counts are figures of the control plane's own work.
+// Counts are counters of the control plane's own work.
 type Counts struct {
 	FramesIn      atomic.Uint64
 	FramesOut     atomic.Uint64
--- a/internal/cluster/controlplane/participant.go
+++ b/internal/cluster/controlplane/participant.go
@@ -10,19 +10,19 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// maxTasks bounds the tasks queued for the loop. Whoever queues more waits.
+// maxTasks bounds the tasks queued for the loop. Queuing another one blocks.
 const maxTasks = 256
 
-// PolicyCompiler turns the text of a connection policy into its entry.
+// PolicyCompiler compiles the text of a connection policy into a log entry.
 type PolicyCompiler func(text string, s *statemachine.State) (*statemachine.ConnectionPolicy, error)
 
-// Participant is a broker's part in the control plane. Views, counts and exported methods may be used from any goroutine.
+// Participant is a broker's part in the control plane. Its counts and exported methods may be used from any goroutine.
 type Participant struct {
 	Counts Counts
 
 	options        Options
 	name           string
-	voterID        uint64 // raft's; 0: it follows without a vote
+	voterID        uint64 // raft's id of this voter; 0: this broker has no vote
 	tasks          chan func()
 	latestView     atomic.Pointer[View]
 	viewChanged    chan struct{}
@@ -31,33 +31,33 @@
 	leaderTasks    []LeaderTask
 	findNode       func(string) (decision.NodeID, bool)
 	nodeName       func(decision.NodeID) string
-	compilePolicy  PolicyCompiler // nil: connections are not divided
+	compilePolicy  PolicyCompiler // nil: connection budgets are not divided
 	serving        atomic.Bool
 	leaving        atomic.Bool
 
-	loopState // of the loop's goroutine alone
+	loopState // used by the loop's goroutine only
 }
 
-// loopState is what only the goroutine of Run uses.
+// loopState is the state that only the goroutine of Run uses.
 type loopState struct {
-	raft           *consensus.Node // nil: it has no vote
+	raft           *consensus.Node // nil: this broker has no vote
 	state          *statemachine.State
-	haltedBy       error // an entry of a newer version: nothing later is applied
-	voterStopped   bool  // this voter has stopped, and only follows from then on
+	haltedBy       error // the error of an entry of a newer version, at which applying has halted; nil: none
+	voterStopped   bool  // this voter no longer votes, and follows the other voters
 	startFollowing func()
 	dueAt          schedule
 
 	connections  map[*conn]bool
-	voterConns   map[string]*conn // dialled, by the voter's name
-	source       *conn            // followed
-	sourcePath   []string         // from a voter down to the source
-	sourcePathAt time.Duration    // when the source last had a path
-	routes       map[statemachine.Slot]*conn
-	outbox       upstreamFrame // waits to be sent towards the leader
-	outboxUrgent bool
+	voterConns   map[string]*conn            // connections that this voter has dialled, by the other voter's name
+	source       *conn                       // the connection to the broker that this one follows; nil: none
+	sourcePath   []string                    // names of brokers from a voter down to the source
+	sourcePathAt time.Duration               // when the source last had a path
+	routes       map[statemachine.Slot]*conn // over which a renewal of the slot last came; grants return there
+	outbox       upstreamFrame               // waits to be sent towards the leader
+	outboxUrgent bool                        // the outbox is sent at the next step, without delay
 
 	incarnation  uint64
-	registering  bool // a proposal to register or to return is in flight
+	registering  bool // a proposal of RegisterBroker or ReturnToService is in flight
 	session      sessionLease
 	pending      map[uint64]*proposal
 	lastSequence uint64
@@ -81,7 +81,7 @@
 	register  time.Duration
 }
 
-// New returns a participant; nothing is opened yet. Which voter it is, if any, its certificate says.
+// New returns a participant that has no connections until Run. The name in its certificate determines whether it is a voter, and which.
 func New(o Options) (*Participant, error) {
 	o = o.withDefaults()
 	p := &Participant{
@@ -133,37 +133,37 @@
 	return err
 }
 
-// voterIDOf is the id that raft knows a voter by.
+// voterIDOf returns raft's id of the voter at an index of Options.Voters.
 func voterIDOf(index int) uint64 { return uint64(index + 1) }
 
-// voterByID is the voter that raft knows by an id.
+// voterByID returns the voter with an id of raft.
 func (p *Participant) voterByID(id uint64) Voter { return p.options.Voters[id-1] }
 
-// voterIndex is a broker's place among the voters; negative: it has no vote.
+// voterIndex returns a broker's index in Options.Voters, or -1 if it has no vote.
 func (p *Participant) voterIndex(name string) int {
 	return slices.IndexFunc(p.options.Voters, func(v Voter) bool { return v.Name == name })
 }
 
-// isVoting reports whether this broker is a voter that works.
+// isVoting reports whether this broker is a voter that has not stopped.
 func (p *Participant) isVoting() bool { return p.voterID != 0 && !p.voterStopped }
 
-// isLeader reports whether this broker leads.
+// isLeader reports whether this broker believes that it leads.
 func (p *Participant) isLeader() bool { return p.raft != nil && p.raft.IsLeader() }
 
-// SetPolicyCompiler sets the compiler of connection policies. It is called before Run.
+// SetPolicyCompiler sets the compiler of connection policies. It must be called before Run.
 func (p *Participant) SetPolicyCompiler(compile PolicyCompiler) { p.compilePolicy = compile }
 
-// SetNodeNames sets how nodes are found by name or address, and what they are called. It is called before Run.
+// SetNodeNames sets the functions that find a node by name or address, and that return its name. It must be called before Run.
 func (p *Participant) SetNodeNames(find func(text string) (decision.NodeID, bool), name func(decision.NodeID) string) {
 	p.findNode = find
 	p.nodeName = name
 }
 
-// SetServing says that this broker takes queries: it counts as returned to service.
+// SetServing tells the participant that this broker accepts queries, so that it registers as in service.
 func (p *Participant) SetServing() { p.serving.Store(true) }
 
-// SetLeaving says that this process stops: it does not register again.
+// SetLeaving tells the participant that this process is stopping: it does not register again, and hands over its leadership.
 func (p *Participant) SetLeaving() { p.leaving.Store(true) }
 
-// Now is the clock of views.
+// Now returns the time by the clock of Options.Now, which the times in views refer to.
 func (p *Participant) Now() time.Duration { return p.options.Now() }
--- a/internal/cluster/controlplane/proposals.go
+++ b/internal/cluster/controlplane/proposals.go
@@ -10,19 +10,19 @@
 
 const (
 	retryInterval = 300 * time.Millisecond
-	maxInFlight   = 32 // proposals of one broker, from the oldest on: the state machine keeps the results of so many
+	maxInFlight   = 32 // sequence numbers of one broker's proposals from the oldest on: the state machine keeps that many results
 	maxEntryBytes = 256 << 10
 )
 
-// proposal is an entry on its way. It is sent until it is seen applied here; its id has it take effect once.
+// proposal is a proposed entry. It is sent repeatedly until this broker has applied it; by its id the state machine applies it only once.
 type proposal struct {
 	data   []byte
-	sentAt time.Duration // 0: not yet
+	sentAt time.Duration // time of the last sending; 0: not sent yet
 	done   func(statemachine.Result, error)
 }
 
-// Propose has an entry agreed, and returns its result on this broker's own state machine. An *UncertainOutcomeError says that it may
-// still take effect. It must not be called in the participant's loop.
+// Propose proposes an entry, waits until this broker has applied it, and returns its result. An *UncertainOutcomeError means that the entry
+// may still take effect. Propose must not be called in the participant's loop.
 func (p *Participant) Propose(ctx context.Context, entry statemachine.Entry) (statemachine.Result, error) {
 	type outcome struct {
 		result statemachine.Result
@@ -48,13 +48,13 @@
 	}
 }
 
-// propose begins a proposal and returns its sequence number. done is called once, in the loop.
+// propose starts a proposal and returns its sequence number. done is called in the loop, at most once: not if the proposal is abandoned.
 func (p *Participant) propose(entry statemachine.Entry, done func(statemachine.Result, error)) uint64 {
 	p.lastSequence++
 	id := statemachine.ProposalID{Slot: p.options.Slot, Incarnation: p.incarnation, Sequence: p.lastSequence}
 	data := statemachine.Encode(id, entry)
 	p.Counts.Proposed.Add(1)
-	if len(data) > maxEntryBytes { // no leader would take it, however often it is sent
+	if len(data) > maxEntryBytes { // every leader would reject it, so it is never sent
 		done(statemachine.Result{}, &consensus.EntrySizeError{Bytes: len(data), Max: maxEntryBytes})
 		return p.lastSequence
 	}
@@ -62,7 +62,7 @@
 	return p.lastSequence
 }
 
-// sendPending sends what has not been seen applied, and returns when to come again.
+// sendPending sends the pending proposals that are due, and returns when it must be called again.
 func (p *Participant) sendPending(now time.Duration) (next time.Duration) {
 	next = now + idleInterval
 	first := p.firstPending()
@@ -96,7 +96,7 @@
 	return first
 }
 
-// completeProposal tells whoever waits for an applied entry its result.
+// completeProposal passes the result of an applied entry to the leader's state and, if the proposal was this broker's, to its caller.
 func (p *Participant) completeProposal(data []byte, result statemachine.Result) {
 	id, entry, err := statemachine.Decode(data)
 	if err != nil {
--- a/internal/cluster/controlplane/release_request.go
+++ b/internal/cluster/controlplane/release_request.go
@@ -8,12 +8,12 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// ReleaseRequest is a release as an operator asks for it.
+// ReleaseRequest describes a release that an operator asks for.
 type ReleaseRequest struct {
 	Name             string   `json:"name"`
 	From             string   `json:"from"`
 	To               string   `json:"to"`
-	Brokers          []string `json:"brokers,omitempty"` // none, and no nodes: all, voters last
+	Brokers          []string `json:"brokers,omitempty"` // names; if Nodes is empty too: all brokers, voters last
 	Nodes            []string `json:"nodes,omitempty"`
 	Batches          []uint32 `json:"batches,omitempty"`
 	MaxOut           uint32   `json:"most"`
@@ -23,10 +23,10 @@
 	Gates            string   `json:"gates,omitempty"`
 }
 
-// releasePlan makes an entry of a release request.
+// releasePlan returns the log entry of a release request.
 func (p *Participant) releasePlan(request *ReleaseRequest) (statemachine.Entry, error) {
 	if request == nil || request.To == "" {
-		return nil, &InvalidRequestError{"a release names the version it leads to"}
+		return nil, &InvalidRequestError{"the release does not name the version to install"}
 	}
 	plan := &statemachine.ReleasePlan{
 		Name:             request.Name,
@@ -59,7 +59,7 @@
 	return plan, nil
 }
 
-// releaseSlots are the brokers that a request names, or else all.
+// releaseSlots returns the slots of the named brokers, or of all brokers if none are named.
 func (p *Participant) releaseSlots(names []string) ([]statemachine.Slot, error) {
 	if len(names) > 0 {
 		return p.slotsByName(names)
@@ -67,7 +67,7 @@
 	return p.allSlots(), nil
 }
 
-// allSlots are all brokers in turn by zones; voters come last, and of these the leader.
+// allSlots returns the slots of all brokers, with the zones interleaved. Voters come last, and the leader last of these.
 func (p *Participant) allSlots() []statemachine.Slot {
 	const (
 		follower = iota
@@ -95,7 +95,7 @@
 	for _, name := range names {
 		i := slices.IndexFunc(brokers, func(b statemachine.Broker) bool { return b.Name == name })
 		if i < 0 {
-			return nil, &InvalidRequestError{fmt.Sprintf("no broker %.80q is known", name)}
+			return nil, &InvalidRequestError{fmt.Sprintf("broker %.80q is not registered in the tier", name)}
 		}
 		slots = append(slots, brokers[i].Slot)
 	}
--- a/internal/cluster/controlplane/report.go
+++ b/internal/cluster/controlplane/report.go
@@ -9,14 +9,14 @@
 // maxReportBytes bounds an encoded report.
 const maxReportBytes = 64 << 10
 
-// Report is what a broker has done since its start; the figures only grow.
+// Report counts what a broker has done since its start. The counts only grow.
 type Report struct {
 	Classes   []Class           `cbor:"1,keyasint,omitempty"`
 	WarmingUp uint64            `cbor:"2,keyasint,omitempty"` // attempts sent to nodes that were still warming up
-	Sections  map[string][]byte `cbor:"3,keyasint,omitempty"` // for leader tasks, by their names
+	Sections  map[string][]byte `cbor:"3,keyasint,omitempty"` // data for leader tasks, by section name
 }
 
-// Class holds the figures of one class of queries.
+// Class holds the counts of one class of queries.
 type Class struct {
 	Name    string `cbor:"1,keyasint"`
 	Served  uint64 `cbor:"2,keyasint,omitempty"`
@@ -25,18 +25,19 @@
 	Late    uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ReportSection is more that reports carry, such as what a broker needs. Collect is called in the participant's loop and must not block.
+// ReportSection is additional data in reports, such as a broker's demand for connections. Collect is called in the participant's loop and
+// must not block.
 type ReportSection struct {
 	Name    string
 	Collect func() []byte
 }
 
-// AddReportSection adds to the reports, before Run.
+// AddReportSection adds a section to the reports. It must be called before Run.
 func (p *Participant) AddReportSection(s ReportSection) {
 	p.reportSections = append(p.reportSections, s)
 }
 
-// ReceivedReport is a broker's last report, as it came to the leader.
+// ReceivedReport is the last report that the leader received from a broker.
 type ReceivedReport struct {
 	Report
 	Incarnation uint64
@@ -66,7 +67,7 @@
 	p.outbox.Reports = append(p.outbox.Reports, reportFrame{Slot: uint32(p.options.Slot), Incarnation: p.incarnation, Data: data})
 }
 
-// acceptReports takes reports at the leader.
+// acceptReports records brokers' reports at the leader. It ignores those of an earlier incarnation and those that are malformed.
 func (p *Participant) acceptReports(frames []reportFrame, now time.Duration) {
 	if p.leadership.reports == nil {
 		return
--- a/internal/cluster/controlplane/session.go
+++ b/internal/cluster/controlplane/session.go
@@ -13,20 +13,21 @@
 	conflictLogInterval = 10 * time.Second
 )
 
-// sessionLease is the lease that tells a broker that it is not cut off from the majority. It counts from before it was asked for.
+// sessionLease is the lease by which a broker knows that it is not cut off from the majority. It counts from the moment at which the broker
+// asked for it.
 type sessionLease struct {
 	expiresAt        time.Duration // by this broker's clock
-	connected        bool          // the lease ran when it was last looked at
+	connected        bool          // the lease was valid when the loop last checked it
 	since            time.Duration // when connected last changed
 	leader           string
 	conflictLoggedAt time.Duration // 0: never
 }
 
-// runsAt reports whether the lease runs. A process that was stopped and resumes knows what was true before; so whoever acts on the lease
-// asks here, with the time just read.
+// runsAt reports whether the lease is valid at a time. What a process knew before it was suspended may no longer be true when it resumes, so
+// callers that act on the lease must read the clock just before.
 func (l *sessionLease) runsAt(now time.Duration) bool { return now < l.expiresAt }
 
-// maintainSession registers and renews as due, and returns when to come again.
+// maintainSession registers this broker and renews its lease when due, and returns when it must be called again.
 func (p *Participant) maintainSession(now time.Duration) (next time.Duration) {
 	p.noteConnected(p.session.runsAt(now), now)
 	if now >= p.dueAt.register {
@@ -59,14 +60,14 @@
 	}
 }
 
-// renewSession asks for the lease anew: four times in its duration, or ten times once half of it has passed.
+// renewSession asks for the lease again: every quarter of its duration, and every tenth once less than half of it is left.
 func (p *Participant) renewSession(now time.Duration) {
 	lease := p.options.LeaseDuration
 	p.dueAt.renewal = now + lease/4
 	if !p.session.runsAt(now + lease/2) {
 		p.dueAt.renewal = now + lease/10
 	}
-	// A broker that stands still before an entry no longer sees drains, and must not have others wait for its acknowledgement.
+	// A broker that has halted at an entry no longer sees drains. Its lease must expire, so that others do not wait for its acknowledgement.
 	if !p.isRegistered() || p.haltedBy != nil {
 		return
 	}
@@ -74,10 +75,10 @@
 	p.outbox.Renewals = append(p.outbox.Renewals, renewal)
 }
 
-// tokenAt makes a token of a moment, never 0. Only the broker that sent it reads it.
+// tokenAt returns a token for a moment, which is never 0. Only the broker that made a token interprets it.
 func tokenAt(now time.Duration) uint64 { return uint64(now) + 1 }
 
-// tokenTime is the moment of a token that came back; false: this broker can't have sent it.
+// tokenTime returns the moment of a token that came back. It returns false if this broker cannot have sent the token.
 func tokenTime(token uint64, now time.Duration) (sentAt time.Duration, ok bool) {
 	if token == 0 || token-1 > uint64(now) {
 		return 0, false
@@ -85,13 +86,13 @@
 	return time.Duration(token - 1), true
 }
 
-// isRegistered reports whether the state machine has this broker under its present incarnation.
+// isRegistered reports whether the state machine has this broker with its current incarnation, and not as lost.
 func (p *Participant) isRegistered() bool {
 	broker, known := p.state.Broker(p.options.Slot)
 	return known && broker.Name == p.name && broker.Incarnation == p.incarnation && broker.Status != statemachine.BrokerLost
 }
 
-// mustExit reports whether this very process went out by a permit, though it may not have heard that this was agreed.
+// mustExit reports whether this process has used its permit to leave service. It may not have received the result of that proposal itself.
 func (p *Participant) mustExit() bool {
 	broker, known := p.state.Broker(p.options.Slot)
 	permit, holds := p.state.BrokerPermit(p.options.Slot)
@@ -99,12 +100,12 @@
 	return isOwn && holds && permit.Used && permit.Incarnation == p.incarnation
 }
 
-// registerIfNeeded proposes what this broker's line in the roster lacks.
+// registerIfNeeded proposes to register this broker, or to return it to service, if the state machine does not have it so.
 func (p *Participant) registerIfNeeded(now time.Duration) {
 	if p.registering || p.haltedBy != nil || p.leaving.Load() {
 		return
 	}
-	if p.mustExit() { // it returns as the process that is started next, or not at all
+	if p.mustExit() { // only the next process in this slot registers again
 		return
 	}
 	entry := p.registration(now)
@@ -115,7 +116,7 @@
 	p.propose(entry, func(_ statemachine.Result, err error) { p.noteRegistered(err) })
 }
 
-// registration is the entry that this broker's line in the roster lacks; nil: none.
+// registration returns the entry that registers this broker or returns it to service; nil if neither is needed or possible.
 func (p *Participant) registration(now time.Duration) statemachine.Entry {
 	broker, known := p.state.Broker(p.options.Slot)
 	if p.isRegistered() {
@@ -130,7 +131,7 @@
 		p.logSlotConflict(broker.Name, now)
 		return nil
 	}
-	if known && broker.Incarnation >= p.incarnation { // lost while it lived: it returns as a new one
+	if known && broker.Incarnation >= p.incarnation { // marked as lost, or its clock was set back: it registers as a new incarnation
 		p.incarnation = broker.Incarnation + 1
 		p.failProposals(errSessionLost)
 		p.session.expiresAt = 0
@@ -168,8 +169,8 @@
 	}
 }
 
-// handleGrants takes leases that the leader granted, and passes on those of others: all of them where this broker leads, else those of its
-// followers.
+// handleGrants accepts this broker's own lease among those that the leader granted, and forwards those of others: the leader over all
+// connections, other brokers to their followers only. c is nil for the leader's own grants.
 func (p *Participant) handleGrants(c *conn, granted grantsFrame, now time.Duration) {
 	isTrusted := c == nil || c == p.source || c.peer.Role == roleVoter
 	if !isTrusted || granted.LeaseNS <= 0 || len(granted.Grants) > maxBatch {
@@ -196,7 +197,7 @@
 	}
 }
 
-// acceptGrant counts the lease from when this broker asked for it, less the drift of clocks.
+// acceptGrant extends the session's lease: its duration less the drift of clocks, counted from when this broker asked for it.
 func (p *Participant) acceptGrant(grant leaseRenewal, granted grantsFrame, now time.Duration) {
 	askedAt, ok := tokenTime(grant.Token, now)
 	if !ok || grant.Incarnation != p.incarnation || !p.isRegistered() {
--- a/internal/cluster/controlplane/snapshot_transfer.go
+++ b/internal/cluster/controlplane/snapshot_transfer.go
@@ -6,13 +6,13 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// incomingSnapshot is a snapshot that arrives in pieces.
+// incomingSnapshot is a snapshot of which pieces are still arriving.
 type incomingSnapshot struct {
-	index uint64 // of its last entry
+	index uint64 // of the last entry in the snapshot
 	data  []byte
 }
 
-// startSnapshot begins to send a follower a snapshot.
+// startSnapshot starts to send a follower a snapshot of the current state.
 func (p *Participant) startSnapshot(c *conn) {
 	p.Counts.Snapshots.Add(1)
 	c.snapshotRest = p.state.Snapshot()
@@ -31,7 +31,7 @@
 	c.snapshotRest = c.snapshotRest[length:]
 }
 
-// handleSnapshotPiece gathers a snapshot from the source, and restores it once it is whole.
+// handleSnapshotPiece collects the pieces of a snapshot from the source, and restores the snapshot once it is complete.
 func (p *Participant) handleSnapshotPiece(c *conn, piece snapshotPiece) {
 	if c != p.source {
 		return
@@ -65,7 +65,7 @@
 	return isNext && isWithinBounds
 }
 
-// restoreSnapshot replaces the state machine.
+// restoreSnapshot replaces the state machine by that of a snapshot.
 func (p *Participant) restoreSnapshot(data []byte) error {
 	state, err := statemachine.Restore(data)
 	if err != nil {
@@ -76,7 +76,7 @@
 	p.viewOutdated = true
 	p.nodesChanged = true
 	p.recentEntries = recentEntries{maxEntries: p.recentEntries.maxEntries, previousIndex: state.AppliedIndex()}
-	for _, pending := range p.pending { // sent again; the state machine knows whether it has taken effect
+	for _, pending := range p.pending { // sent again, as the snapshot may contain them; the state machine ignores those that it has applied
 		pending.sentAt = 0
 	}
 	return nil
--- a/internal/cluster/controlplane/status.go
+++ b/internal/cluster/controlplane/status.go
@@ -6,10 +6,10 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// notRenewed is BrokerStatus.Ago of a broker whose lease this leader has not granted.
+// notRenewed is BrokerStatus.Ago of a broker to which this leader has not granted a lease.
 const notRenewed = time.Duration(-1)
 
-// Status is what the leader knows, as a majority has agreed on it. Its fields' names are those of its JSON.
+// Status is the leader's state, as committed by a majority. The names of its fields are the keys of its JSON.
 type Status struct {
 	Leader   string
 	Term     uint64
@@ -24,24 +24,24 @@
 	Nodes    []NodeStatus `json:",omitempty"`
 }
 
-// BrokerStatus is a broker and when the leader last heard from it.
+// BrokerStatus is a registered broker, and when the leader last renewed its lease.
 type BrokerStatus struct {
 	statemachine.Broker
 	State string
-	Ago   time.Duration // since its lease was renewed; negative: not under this leader
+	Ago   time.Duration // since its lease was renewed; negative: this leader has not renewed it
 }
 
-// NodeStatus is an agreed node.
+// NodeStatus is a node of the agreed node list.
 type NodeStatus struct {
 	statemachine.Node
 	Name   string
-	Permit uint64 // by which it may go out, or has gone; 0: none
+	Permit uint64 // number of the permit by which it may be or is out of service; 0: none
 }
 
 // DrainStatus is a drain and the brokers that have not acknowledged it.
 type DrainStatus struct {
 	Drain   statemachine.NodeDrain
-	Node    string // its name
+	Node    string // the node's name
 	Done    bool
 	Awaited []statemachine.Slot
 }
--- a/internal/cluster/controlplane/topology.go
+++ b/internal/cluster/controlplane/topology.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-const maxNamedSources = 8 // in a redirect
+const maxNamedSources = 8 // addresses that this broker names in a redirect
 
-// pathFromVoter is the way from a voter down to this broker. It is empty if this broker is cut off, or stands still before an entry that it
-// can't read: its followers would get heartbeats, and nothing that is agreed, for ever.
+// pathFromVoter returns the names of the brokers from a voter down to this one. It is empty if this broker is cut off or has halted at an
+// entry that it cannot read. A halted broker must lose its followers: they would receive heartbeats from it for ever, but no entries.
 func (p *Participant) pathFromVoter() []string {
 	isCutOff := len(p.sourcePath) == 0
 	if p.isVoting() {
@@ -22,7 +22,7 @@
 	return append(slices.Clip(p.sourcePath), p.name)
 }
 
-// canFeed reports whether a broker with this path may be followed.
+// canFeed reports whether a broker with this path from a voter may be followed.
 func canFeed(path []string) bool { return len(path) > 0 && len(path) < maxPathLength }
 
 func (p *Participant) followerCount() (count int) {
@@ -34,7 +34,8 @@
 	return count
 }
 
-// handleFollow gives a broker the feed after an index, or names others that have room. The other side then closes.
+// handleFollow starts to feed a broker with the entries after an index. If this broker is full or cannot feed it, it sends a redirect, and
+// the other side closes the connection.
 func (p *Participant) handleFollow(c *conn, index uint64) {
 	path := p.pathFromVoter()
 	isFull := p.followerCount() >= p.options.MaxFollowers
@@ -52,7 +53,7 @@
 	p.send(c, frameHeartbeat, heartbeatFrame{Path: path, Token: tokenAt(p.options.Now()), Echo: c.lastToken})
 }
 
-// handleRedirect ends a connection to a source that can't be followed; followSource goes on with those that it named.
+// handleRedirect closes the connection to a source that cannot be followed. followSource then tries the addresses of the redirect.
 func (p *Participant) handleRedirect(c *conn, redirect redirectFrame) {
 	if c == p.source && len(redirect.Addrs) <= maxRedirects {
 		c.otherSources = redirect.Addrs
@@ -60,7 +61,8 @@
 	c.close()
 }
 
-// redirectFollowers has the followers look for another source; those of a newer version may know of a better one.
+// redirectFollowers makes all followers look for another source, from which those of a newer version can receive entries that this broker
+// cannot read.
 func (p *Participant) redirectFollowers() {
 	for c := range p.connections {
 		if c.isFollower {
@@ -69,7 +71,7 @@
 	}
 }
 
-// otherSources names followers with room, or else any, which know more.
+// otherSources returns addresses of followers that accept more followers or, if none does, of any followers, which know further ones.
 func (p *Participant) otherSources() []string {
 	var withRoom, all []string
 	byRoom := func(a, b *conn) int { return b.followerRoom - a.followerRoom }
@@ -90,7 +92,8 @@
 	return sources[:min(len(sources), maxNamedSources)]
 }
 
-// closeCutOffSource leaves a source that has had no path from a voter for a while: one that lost the others, or follows nobody.
+// closeCutOffSource closes the connection to a source that has had no path from a voter for silenceTimeout, because it has lost the other
+// voters or its own source.
 func (p *Participant) closeCutOffSource(now time.Duration) {
 	if p.source != nil && now-p.sourcePathAt > silenceTimeout {
 		p.source.close()
--- a/internal/cluster/controlplane/upstream.go
+++ b/internal/cluster/controlplane/upstream.go
@@ -6,14 +6,14 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// outboxDelay is how long renewals and reports wait for others; proposals leave at once.
+// outboxDelay is how long renewals and reports wait to be sent together. Proposals are sent at once.
 const outboxDelay = 40 * time.Millisecond
 
 func (u *upstreamFrame) isEmpty() bool {
 	return len(u.Renewals) == 0 && len(u.Entries) == 0 && len(u.Reports) == 0
 }
 
-// exceeds reports whether there is more of anything than a number.
+// exceeds reports whether the frame has more than number items of any kind.
 func (u *upstreamFrame) exceeds(number int) bool {
 	return len(u.Renewals) > number || len(u.Entries) > number || len(u.Reports) > number
 }
@@ -24,7 +24,7 @@
 	u.Reports = append(u.Reports, more.Reports...)
 }
 
-// sendOutbox passes on what waits, and returns when to come again.
+// sendOutbox sends the outbox towards the leader if it is due, and returns when it must be called again.
 func (p *Participant) sendOutbox(now time.Duration) (next time.Duration) {
 	if p.outbox.isEmpty() {
 		return now + idleInterval
@@ -46,7 +46,7 @@
 	return now + idleInterval
 }
 
-// connTowardsLeader is nil if there is no way to the leader, or if this broker leads.
+// connTowardsLeader returns the connection over which the leader can be reached; nil if there is none or this broker leads.
 func (p *Participant) connTowardsLeader() *conn {
 	if !p.isVoting() {
 		if len(p.sourcePath) == 0 {
@@ -61,9 +61,9 @@
 	return p.voterConns[p.voterByID(leader).Name]
 }
 
-// handleUpstream takes what comes from below; c is nil for this broker's own. The leader acts on it. Others pass it on, but only from their
-// followers: a voter that took another for the leader would otherwise get back what it passed on, from one that has stopped and now
-// follows it, for ever.
+// handleUpstream handles proposals, renewals and reports on their way to the leader; c is nil for this broker's own. The leader acts on them.
+// Other brokers forward them, but only those of their followers. Otherwise a frame could circulate for ever between a voter and another that
+// it takes for the leader, but that has stopped voting and now follows it.
 func (p *Participant) handleUpstream(c *conn, frame upstreamFrame, now time.Duration) {
 	if frame.exceeds(maxBatch) {
 		return
@@ -84,7 +84,7 @@
 		p.acceptReports(frame.Reports, now)
 		return
 	}
-	if p.outbox.exceeds(maxBatch - 1) { // without a way up it would grow without end
+	if p.outbox.exceeds(maxBatch - 1) { // without a connection towards the leader the outbox would grow without bound
 		return
 	}
 	p.outbox.add(frame)
@@ -93,7 +93,7 @@
 	}
 }
 
-// proposeToRaft proposes what can be read as an entry. Whoever proposed it sends again what is refused here.
+// proposeToRaft proposes an encoded entry to raft if it can be decoded. If raft rejects it, the broker that proposed it sends it again.
 func (p *Participant) proposeToRaft(data []byte, now time.Duration) {
 	if _, _, err := statemachine.Decode(data); err != nil {
 		return
--- a/internal/cluster/controlplane/view.go
+++ b/internal/cluster/controlplane/view.go
@@ -9,44 +9,44 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// viewInterval bounds how often views are made.
+// viewInterval is the shortest time between two views. A change of Connected does not wait for it.
 const viewInterval = 10 * time.Millisecond
 
-// View is what this broker knows of what is agreed. It is immutable. Times are by Options.Now.
+// View is this broker's view of the committed state and of its session. It is immutable. Its times are by Options.Now.
 type View struct {
 	Index              uint64
-	Connected          bool          // the session's lease ran when the view was made
+	Connected          bool          // the session's lease was valid when the view was made
 	Since              time.Duration // when Connected last changed
-	LeaseEnd           time.Duration // of the session; what is granted holds until then, by the clock at that moment
+	LeaseEnd           time.Duration // end of the session's lease; compare it with the current time before use
 	Leader             string
-	Self               statemachine.Broker // zero: not registered
+	Self               statemachine.Broker // zero value: not registered
 	Incarnation        uint64
 	Drains             []Drain
-	Permit             statemachine.ReleasePermit // Number 0: none
+	Permit             statemachine.ReleasePermit // its Number is 0 if there is none
 	Lease              statemachine.ConnectionLease
-	Policy             *statemachine.ConnectionPolicy // in force; nil: none
+	Policy             *statemachine.ConnectionPolicy // the policy in force; nil: none
 	WaitingPolicy      *statemachine.ConnectionPolicy
 	AcknowledgedPolicy uint64
 	Epoch              uint64
 	Nodes              []statemachine.Node
-	MustExit           bool  // this process went out by its permit, and must stop
-	Halted             error // an entry of a newer version: nothing later is known
+	MustExit           bool  // this process has used its permit to leave service, and must stop
+	Halted             error // the error of an entry of a newer version, after which no entry is applied; nil: none
 }
 
-// Drain is an agreed drain of a node.
+// Drain is a committed drain of a node.
 type Drain struct {
 	Node   decision.NodeID
 	Number uint64
 	Acked  bool // by this broker
 }
 
-// LeaseValid reports whether the session's lease runs.
+// LeaseValid reports whether the session's lease is valid at a time.
 func (v *View) LeaseValid(now time.Duration) bool { return now < v.LeaseEnd }
 
 // View returns the newest view.
 func (p *Participant) View() *View { return p.latestView.Load() }
 
-// updateView makes a view and has it delivered.
+// updateView makes a new view and signals deliverViews.
 func (p *Participant) updateView(now time.Duration) {
 	view := p.newView(now)
 	p.latestView.Store(view)
@@ -87,7 +87,7 @@
 	return view
 }
 
-// agreedNodes is the agreed node list. The last view's is used again if nothing in it can have changed.
+// agreedNodes returns the agreed node list. It reuses that of the last view if no line of it can have changed.
 func (p *Participant) agreedNodes() []statemachine.Node {
 	last := p.latestView.Load()
 	epoch := p.state.Epoch()
@@ -99,7 +99,7 @@
 	return p.state.Nodes()
 }
 
-// deliverViews hands views to Options.OnView. If that is slow, it gets the newest.
+// deliverViews passes views to Options.OnView until ctx ends. If OnView is slow, it skips to the newest view.
 func (p *Participant) deliverViews(ctx context.Context) {
 	for {
 		select {
--- a/internal/cluster/readhint/parse.go
+++ b/internal/cluster/readhint/parse.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Parse reads a hint as the header carries it. On an error, which is a *SyntaxError, no part of the hint is used.
+// Parse parses a hint from the value of its header. An error is a *SyntaxError, and the hint is then empty.
 func Parse(text string) (Hint, error) {
 	if len(text) > MaxBytes {
-		return Hint{}, syntaxError("", fmt.Sprintf("longer than %d bytes", MaxBytes))
+		return Hint{}, syntaxError("", fmt.Sprintf("hint is longer than %d bytes", MaxBytes))
 	}
 	var hint Hint
 	seen := map[string]bool{}
@@ -21,7 +21,7 @@
 			return Hint{}, syntaxError(directive, "not NAME=VALUE")
 		}
 		if seen[name] {
-			return Hint{}, syntaxError(directive, "said twice")
+			return Hint{}, syntaxError(directive, "directive is given twice")
 		}
 		seen[name] = true
 		if reason := hint.parseDirective(name, value); reason != "" {
@@ -29,12 +29,12 @@
 		}
 	}
 	if hint.IsZero() {
-		return Hint{}, syntaxError("", "or-stale alone asks for nothing")
+		return Hint{}, syntaxError("", "or-stale has no effect without pin, max-stale or not-before")
 	}
 	return hint, nil
 }
 
-// parseDirective reads one directive into the hint. The reason is empty, or says what is wrong with the value.
+// parseDirective parses one directive into the hint. The reason is empty if the directive is valid, and says what is wrong otherwise.
 func (h *Hint) parseDirective(name, value string) (reason string) {
 	switch name {
 	case "pin":
@@ -46,21 +46,21 @@
 	case "or-stale":
 		return h.parseAllowStale(value)
 	}
-	return "no such directive"
+	return "unknown directive"
 }
 
 func (h *Hint) parsePin(value string) (reason string) {
 	scopeName, key, _ := strings.Cut(value, ":")
 	scope := Scope(scopeName)
 	if scope != ScopeSession && scope != ScopeKey {
-		return "neither session nor key"
+		return "pin is neither session: nor key:"
 	}
 	if len(key) == 0 || len(key) > MaxKeyBytes {
-		return fmt.Sprintf("a name has 1 to %d bytes", MaxKeyBytes)
+		return fmt.Sprintf("name must have 1 to %d bytes", MaxKeyBytes)
 	}
 	for i := range len(key) {
 		if !isKeyByte(key[i]) {
-			return "a byte that no name may have"
+			return "name contains a byte other than 0-9, A-Z, a-z, -, _, . and ~"
 		}
 	}
 	h.Scope = scope
@@ -84,11 +84,11 @@
 		digits, ok = strings.CutSuffix(value, "s")
 	}
 	if !ok {
-		return "neither ms nor s"
+		return "unit is neither ms nor s"
 	}
 	n, ok := parseNumber(digits)
 	if !ok || n == 0 || n > uint64(LongestStaleness/unit) {
-		return "not a whole number between nothing and " + LongestStaleness.String()
+		return "not a whole number above 0 and up to " + LongestStaleness.String()
 	}
 	h.MaxStaleness = time.Duration(n) * unit
 	return ""
@@ -105,7 +105,7 @@
 			return "not SHARD:POSITION"
 		}
 		if position.Shard <= previous {
-			return "shards must ascend"
+			return "shards are not in ascending order"
 		}
 		previous = position.Shard
 		h.NotBefore = append(h.NotBefore, position)
@@ -125,13 +125,13 @@
 
 func (h *Hint) parseAllowStale(value string) (reason string) {
 	if value != "yes" {
-		return "only yes can be said"
+		return "the only value is yes"
 	}
 	h.AllowStale = true
 	return ""
 }
 
-// parseNumber reads digits alone, without a sign or leading zeros.
+// parseNumber parses a decimal number without a sign or leading zeros.
 func parseNumber(text string) (uint64, bool) {
 	if text == "" || text[0] == '+' {
 		return 0, false
--- a/internal/cluster/readhint/readhint.go
+++ b/internal/cluster/readhint/readhint.go
@@ -1,6 +1,6 @@
-// Package readhint reads and writes the read hint: the header in which an application says how old the data that it reads may be,
-// and which replica it wants to stay with. The grammar is in docs/design/pinned-reads.md. A hint is valid as a whole or ignored as a
-// whole; what to do about one is decided elsewhere (package readpin).
+// Package readhint parses and formats read hints. A read hint is a header in which an application says how old the data that it reads may
+// be, and that it wants to keep reading from the same replica. The grammar is in docs/design/pinned-reads.md. A hint with a fault in any
+// directive is ignored as a whole. Package readpin decides how to follow a hint.
 //
 // All functions may be called from any goroutine.
 package readhint
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// Header names the hint in a request over HTTP.
+// Header is the name of the HTTP header that carries a hint.
 const Header = "X-Read-Hint"
 
 // The bounds of a hint.
 const (
-	MaxBytes         = 2048 // no hint within the other bounds is longer
+	MaxBytes         = 2048 // enough for any hint within the other bounds
 	MaxKeyBytes      = 64
 	MaxPositions     = 64
 	MaxShard         = 1<<20 - 1
 	LongestStaleness = 10 * time.Minute
 )
 
-// maxQuotedBytes of a wrong directive are repeated in an error.
+// maxQuotedBytes is how many bytes of an invalid directive an error quotes.
 const maxQuotedBytes = 40
 
-// Scope is what a query is pinned by. A session and a key of the same name are two pins.
+// Scope is the kind of name that a query is pinned by. A session and a key of the same name are different pins.
 type Scope string
 
 // The scopes.
@@ -37,24 +37,24 @@
 	ScopeKey     Scope = "key"
 )
 
-// Position is how far a client has seen a shard's log of writes.
+// Position is how far in a shard's log of writes a client has seen.
 type Position struct {
 	Shard  int
-	Offset uint64 // 0: nothing was seen yet; the answer reports the position
+	Offset uint64 // 0: nothing seen yet; the response reports the position
 }
 
-// Hint is what a query says of its reads. The zero value asks for nothing.
+// Hint is what a query requires of its reads. The zero value requires nothing.
 type Hint struct {
-	Scope        Scope         // what the query is pinned by; ScopeNone: it is not pinned
+	Scope        Scope         // ScopeNone: the query is not pinned
 	Key          string        // the name of the session or key
-	MaxStaleness time.Duration // writes acknowledged so long before the query arrived must be visible; 0: no bound
-	NotBefore    []Position    // by ascending shard: what the client has seen
-	AllowStale   bool          // if no replica is fresh enough, an answer that states its staleness will do
+	MaxStaleness time.Duration // writes acknowledged at least this long before the query arrived must be visible; 0: no bound
+	NotBefore    []Position    // what the client has seen, in ascending order of shards
+	AllowStale   bool          // if no replica is fresh enough, an older result that states its staleness is accepted
 }
 
-// SyntaxError says why a hint is ignored.
+// SyntaxError reports a hint that is ignored because it does not follow the grammar.
 type SyntaxError struct {
-	Directive string // the wrong directive, shortened; empty if the hint as a whole is wrong
+	Directive string // the invalid directive, truncated to maxQuotedBytes; empty if the hint as a whole is invalid
 	Reason    string
 }
 
@@ -67,19 +67,19 @@
 
 // Remedy says what an operator can do.
 func (e *SyntaxError) Remedy() string {
-	return "correct the application's " + Header + " by the grammar in docs/design/pinned-reads.md; until then its reads are ordinary ones"
+	return "correct the application's " + Header + " header by the grammar in docs/design/pinned-reads.md; until then its reads are handled as if without a hint"
 }
 
 func syntaxError(directive, reason string) *SyntaxError {
 	return &SyntaxError{Directive: directive[:min(len(directive), maxQuotedBytes)], Reason: reason}
 }
 
-// IsZero reports whether the hint asks for nothing.
+// IsZero reports whether the hint requires nothing.
 func (h *Hint) IsZero() bool {
 	return h.Scope == ScopeNone && h.MaxStaleness == 0 && len(h.NotBefore) == 0
 }
 
-// MinOffset returns the offset that a replica of the shard must have reached; 0: any.
+// MinOffset returns the offset that a replica of the shard must have reached, 0 if any will do.
 func (h *Hint) MinOffset(shard int) uint64 {
 	for _, p := range h.NotBefore {
 		if p.Shard == shard {
@@ -89,13 +89,13 @@
 	return 0
 }
 
-// Validate checks a hint that a program has put together against the bounds of the grammar. The error is a *SyntaxError.
+// Validate checks a hint that was not parsed, but set by a program, against the grammar. The error is a *SyntaxError.
 func (h *Hint) Validate() error {
 	_, err := Parse(h.String())
 	return err
 }
 
-// String returns the hint as the header carries it.
+// String formats the hint as the value of its header.
 func (h *Hint) String() string {
 	var all []string
 	if h.Scope != ScopeNone || h.Key != "" {
@@ -113,7 +113,7 @@
 	return strings.Join(all, "; ")
 }
 
-// FormatPositions returns positions as hints and answers carry them: SHARD:OFFSET,...
+// FormatPositions formats positions as in hints and responses: SHARD:OFFSET,...
 func FormatPositions(list []Position) string {
 	b := make([]byte, 0, 16*len(list))
 	for i, p := range list {
@@ -126,7 +126,7 @@
 	return string(b)
 }
 
-// formatDuration writes whole seconds or milliseconds. A shorter fraction fits no hint, and is written so that Parse refuses it.
+// formatDuration formats whole seconds or milliseconds. A hint cannot express a finer duration: it is formatted so that Parse rejects it.
 func formatDuration(d time.Duration) string {
 	switch {
 	case d%time.Second == 0:
--- a/internal/cluster/readhint/readhint_test.go
+++ b/internal/cluster/readhint/readhint_test.go
@@ -17,11 +17,11 @@
 		t.Fatalf("%+v, %v", h, err)
 	}
 	if h.MinOffset(9) != 77 || h.MinOffset(4) != 0 {
-		t.Fatal("positions")
+		t.Fatal("MinOffset is not that of the positions 3:10482 and 9:77")
 	}
 }
 
-// A wrong hint says nothing at all, whatever else of it is right.
+// TestInvalidHints checks that one fault makes Parse reject the whole hint, even if its other directives are valid.
 func TestInvalidHints(t *testing.T) {
 	for _, text := range []string{"", " ", ";", "pin", "pin=", "pin=abc", "pin=session:", "pin=Session:a", "pin=user:a", "pin=key:a b",
 		"pin=key:" + strings.Repeat("a", 65), "pin=key:ä", "max-stale=5", "max-stale=0ms", "max-stale=05ms", "max-stale=+5ms",
@@ -60,7 +60,7 @@
 		got, err := Parse(h.String())
 		if h.IsZero() {
 			if err == nil {
-				t.Fatal("nothing is no hint")
+				t.Fatal("Parse accepts an empty hint")
 			}
 			return
 		}
