--- a/internal/cluster/controlplane/client_test.go
+++ b/internal/cluster/controlplane/client_test.go
@@ -14,8 +14,8 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// An operator's requests over real sockets: answered by the leader, whichever voter is named first; refused with advice; and not
-// at all for somebody of another site.
+// TestSendRequest sends operators' requests over real sockets. The leader answers them even if an unreachable voter is listed first, rejects
+// an invalid one with a remedy, and does not answer an operator of another site.
 func TestSendRequest(t *testing.T) {
 	dir := t.TempDir()
 	issueKeyring := func(site, name string) *keys.Keyring {
@@ -68,21 +68,21 @@
 	}
 	var rejected *RejectedError
 	if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbDrain, &Request{Node: "x"}, nil); !errors.As(err, &rejected) || rejected.Remedy() == "" {
-		t.Errorf("drain of a node that nobody knows: %v", err)
+		t.Errorf("drain of an unknown node: got %v, want a *RejectedError with a remedy", err)
 	}
 	var number uint64
 	if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbRelease, &Request{Plan: &ReleaseRequest{To: "2"}}, &number); err != nil || number == 0 {
-		t.Errorf("release %d, %v", number, err)
+		t.Errorf("start of a release: number %d, error %v", number, err)
 	}
 	if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbHalt, &Request{Reason: "enough"}, nil); err != nil {
 		t.Error(err)
 	}
 	if err := SendRequest(within, issueKeyring("s", "operator"), voters, VerbStatus, &Request{}, &s); err != nil || s.Release == nil || s.Release.State != statemachine.ReleaseHalted {
-		t.Errorf("%+v, %v", s.Release, err)
+		t.Errorf("after halt: release %+v, error %v", s.Release, err)
 	}
 	brief, stop2 := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer stop2()
 	if err := SendRequest(brief, issueKeyring("other", "operator"), voters[1:], VerbStatus, &Request{}, &s); !errors.As(err, new(*NotLeaderError)) {
-		t.Errorf("somebody of another site: %v", err)
+		t.Errorf("operator of another site: got %v, want a *NotLeaderError", err)
 	}
 }
--- a/internal/cluster/controlplane/cluster_test.go
+++ b/internal/cluster/controlplane/cluster_test.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// A tier in one process, over pipes that can be cut.
+// The tests of this package run a tier of brokers in one process, over pipes that can be cut.
 
 import (
 	"context"
@@ -19,11 +19,11 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// testNetwork are a network of listeners by address.
+// testNetwork is a network in memory, on which links between two addresses can be cut.
 type testNetwork struct {
 	mu          sync.Mutex
 	listeners   map[string]chan net.Conn
-	partitioned map[[2]string]bool // cut, both ways
+	partitioned map[[2]string]bool // links that are cut, in both directions
 	conns       map[[2]string][]net.Conn
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// logWriter go nowhere, but where a test is looked into.
+// logWriter returns the destination of logs: stderr for verbose tests, nowhere otherwise.
 func logWriter() io.Writer {
 	if testing.Verbose() {
 		return os.Stderr
@@ -99,7 +99,7 @@
 	return io.Discard
 }
 
-// setPartitioned parts two, or brings them together again.
+// setPartitioned cuts or restores the link between two addresses, and closes its open connections.
 func (network *testNetwork) setPartitioned(a, b string, partitioned bool) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -110,7 +110,7 @@
 	delete(network.conns, linkKey(a, b))
 }
 
-// isolate parts one from all others, or brings it back.
+// isolate cuts or restores the links between a broker and all others.
 func (c *tier) isolate(name string, isolated bool) {
 	for other := range c.participants {
 		if other != name {
@@ -119,14 +119,14 @@
 	}
 }
 
-// readInLoop looks at a broker's core.
+// readInLoop runs read in the participant's loop, where it may use all state, and returns its result.
 func readInLoop[T any](p *Participant, read func() T) T {
 	result := make(chan T, 1)
 	p.tasks <- func() { result <- read() }
 	return <-result
 }
 
-// leader is who leads, if anybody does.
+// leader returns the name of the leader once it is established and connected, or an empty string.
 func (c *tier) leader() string {
 	for i := 1; i <= 3; i++ {
 		name := fmt.Sprintf("b%d", i)
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// propose has an entry agreed through a broker, within a time in which it would be agreed after any fault that tests provoke.
+// propose proposes an entry through a broker. Its timeout is longer than any fault that the tests provoke holds up a proposal.
 func (c *tier) propose(name string, e statemachine.Entry) (statemachine.Result, error) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 20*time.Second)
 	defer cancel()
@@ -145,14 +145,14 @@
 }
 
 type tier struct {
-	mu            sync.Mutex // guards all, for who is not the test's goroutine
+	mu            sync.Mutex // guards participants in goroutines other than the test's
 	t             *testing.T
 	network       *testNetwork
 	dir           string
 	participants  map[string]*Participant
 	stopBroker    map[string]func()
 	maxFollowers  int
-	adjustOptions func(*Options) // nil: nothing
+	adjustOptions func(*Options) // changes the options of a broker before its start; may be nil
 }
 
 func newTier(t *testing.T) *tier {
@@ -165,7 +165,7 @@
 	return c
 }
 
-// start starts a broker; the first three vote.
+// start starts the broker b<number>. Brokers 1 to 3 are voters.
 func (c *tier) start(number int) *Participant {
 	name := fmt.Sprintf("b%d", number)
 	dir := filepath.Join(c.dir, name)
@@ -224,7 +224,7 @@
 	}
 }
 
-// waitUntil waits for something, for so long at most.
+// waitUntil waits until a condition holds, and fails the test if it does not within the timeout.
 func (c *tier) waitUntil(what string, timeout time.Duration, holds func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(timeout); !holds(); time.Sleep(20 * time.Millisecond) {
@@ -232,11 +232,12 @@
 			for name, p := range c.participants {
 				c.t.Logf("%s: %+v", name, *p.View())
 			}
-			c.t.Fatalf("not within %v: %s", timeout, what)
+			c.t.Fatalf("condition not met within %v: %s", timeout, what)
 		}
 	}
 }
 
+// allConnected reports whether all brokers have a valid session and are in service.
 func (c *tier) allConnected() bool {
 	for _, p := range c.participants {
 		if v := p.View(); !v.LeaseValid(p.Now()) || v.Self.Status != statemachine.BrokerServing {
--- a/internal/cluster/controlplane/controlplane_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -14,7 +14,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// runWithFakeTime runs a test in a bubble with its own time, which fails where a goroutine is left behind.
+// runWithFakeTime runs a test in a synctest bubble, with fake time. The test fails if a goroutine is still running at its end.
 func runWithFakeTime(t *testing.T, test func(t *testing.T, c *tier)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTier(t)
@@ -30,11 +30,12 @@
 		for i := range 5 {
 			c.start(i + 1)
 		}
-		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		c.waitUntil("all brokers are connected", 5*time.Second, c.allConnected)
 	})
 }
 
-// Where a source is full its followers take others on; nobody has more than it may, and no path is longer or goes round.
+// TestFollowerTree checks that the followers of full sources accept followers in turn, that no broker has more than MaxFollowers, and that
+// no path from a voter exceeds maxPathLength or has a loop.
 func TestFollowerTree(t *testing.T) {
 	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		c.maxFollowers = 2
@@ -45,38 +46,40 @@
 			for name, p := range c.participants {
 				n, path := readInLoop(p, p.followerCount), readInLoop(p, p.pathFromVoter)
 				if n > 2 || len(path) > maxPathLength || strings.Count(strings.Join(path, " ")+" ", name+" ") > 1 {
-					c.t.Fatalf("%s has %d followers, its path is %v", name, n, path)
+					c.t.Fatalf("%s has %d followers and the path %v", name, n, path)
 				}
 			}
 		}
-		c.waitUntil("all are in", 20*time.Second, func() bool { check(); return c.allConnected() })
-		c.stopBroker["b4"]() // whoever follows it finds another
+		c.waitUntil("all brokers are connected", 20*time.Second, func() bool { check(); return c.allConnected() })
+		c.stopBroker["b4"]() // its followers must find another source
 		c.stopBroker["b5"]()
-		c.waitUntil("all are in again", 20*time.Second, func() bool { check(); return c.allConnected() })
+		c.waitUntil("all brokers are connected again", 20*time.Second, func() bool { check(); return c.allConnected() })
 	})
 }
 
-// findLostLeaseHolder tells of a broker that believes in its session though the ledger has it as lost.
+// findLostLeaseHolder describes a broker whose session is valid to itself although the state machine has marked it as lost. It returns an
+// empty string if there is none.
 func (c *tier) findLostLeaseHolder() string {
 	for _, p := range c.participants {
 		brokers := readInLoop(p, p.state.Brokers)
 		for _, b := range brokers {
 			holder := c.participants[b.Name]
 			if holder != nil && b.Status == statemachine.BrokerLost && readInLoop(holder, func() bool { return holder.incarnation == b.Incarnation && holder.session.runsAt(holder.options.Now()) }) {
-				return fmt.Sprintf("%s holds a lease as %d, and is lost", b.Name, b.Incarnation)
+				return fmt.Sprintf("%s, incarnation %d, holds a valid lease but is marked as lost", b.Name, b.Incarnation)
 			}
 		}
 	}
 	return ""
 }
 
-// Whoever is cut off knows it before the others count it as lost, and is back soon after the cut heals.
+// TestCutOff checks that a broker that is cut off knows so before the others mark it as lost, and that it returns with a new incarnation
+// soon after the link is restored.
 func TestCutOff(t *testing.T) {
 	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		for i := range 5 {
 			c.start(i + 1)
 		}
-		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		c.waitUntil("all brokers are connected", 5*time.Second, c.allConnected)
 		for _, name := range []string{"b5", c.leader(), "b4", "b2"} {
 			p, incarnation := c.participants[name], c.participants[name].View().Incarnation
 			c.isolate(name, true)
@@ -92,23 +95,23 @@
 				return b.Status == statemachine.BrokerLost
 			})
 			if p.View().Connected {
-				t.Errorf("%s does not know that it is cut off", name)
+				t.Errorf("%s is cut off, but its view says connected", name)
 			}
 			c.isolate(name, false)
-			c.waitUntil(name+" is back", 3*time.Second, c.allConnected)
+			c.waitUntil(name+" is connected again", 3*time.Second, c.allConnected)
 			if p.View().Incarnation <= incarnation {
-				t.Errorf("%s came back as %d, which was lost", name, incarnation)
+				t.Errorf("%s came back with incarnation %d, which was marked as lost", name, incarnation)
 			}
 		}
 	})
 }
 
-// The check above finds a granter that counts from the wrong side.
+// TestCutOffCheckFindsEarlyExpiry checks that findLostLeaseHolder detects a leader that counts leases as expired too early.
 func TestCutOffCheckFindsEarlyExpiry(t *testing.T) {
 	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		c.adjustOptions = func(o *Options) {
 			if o.Slot <= 3 {
-				o.MaxClockDrift = -0.8 // the leader takes a lease for over when a fifth of it is
+				o.MaxClockDrift = -0.8 // the leader counts a lease as expired after a fifth of its duration
 			}
 		}
 		for i := range 4 {
@@ -119,23 +122,24 @@
 			found = c.findLostLeaseHolder()
 		}
 		if found == "" {
-			t.Error("a lease cut short was not found")
+			t.Error("a lease that the leader counts as expired too early was not detected")
 		}
 	})
 }
 
-// What is proposed takes effect once, whoever leads and whatever link breaks meanwhile. A second time would be refused.
+// TestProposalTakesEffectOnce checks that an entry takes effect exactly once while links break and the leader restarts. The state machine
+// would reject an epoch that is set a second time.
 func TestProposalTakesEffectOnce(t *testing.T) {
 	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		for i := range 5 {
 			c.start(i + 1)
 		}
-		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		c.waitUntil("all brokers are connected", 5*time.Second, c.allConnected)
 		rnd := rand.New(rand.NewPCG(1, 2))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		for n := range 40 {
-			if n%4 == 1 { // links break while it is on its way
+			if n%4 == 1 { // a link breaks while the proposal is in flight
 				go func(a, b, wait int) {
 					time.Sleep(time.Duration(wait) * time.Millisecond)
 					c.network.setPartitioned(fmt.Sprint("b", a+1), fmt.Sprint("b", b+1), true)
@@ -158,21 +162,21 @@
 	})
 }
 
-// A broker that is far behind gets a snapshot, and all hold the same bytes.
+// TestSnapshot checks that a broker that is far behind receives a snapshot, and that the state is the same on all brokers.
 func TestSnapshot(t *testing.T) {
 	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		for i := range 4 {
 			p := c.start(i + 1)
 			p.runInLoop(t.Context(), func() { p.recentEntries.maxEntries = 8 })
 		}
-		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		c.waitUntil("all brokers are connected", 5*time.Second, c.allConnected)
 		for n := range 60 {
 			if _, err := c.propose("b4", &statemachine.SetNodeList{Epoch: uint64(n + 1)}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		c.start(5)
-		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		c.waitUntil("all brokers are connected", 5*time.Second, c.allConnected)
 		time.Sleep(time.Second)
 		var first []byte
 		snapshots := uint64(0)
@@ -183,11 +187,11 @@
 				first = data
 			}
 			if string(data) != string(first) {
-				t.Error("two brokers hold different bytes")
+				t.Error("the snapshots of two brokers' states differ")
 			}
 		}
 		if snapshots == 0 {
-			t.Error("no snapshot was needed")
+			t.Error("no snapshot was sent")
 		}
 	})
 }
--- a/internal/cluster/controlplane/fuzz_test.go
+++ b/internal/cluster/controlplane/fuzz_test.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// Whatever comes over a connection ends it or is passed over; it panics nowhere, and takes no more room than its own bytes.
+// FuzzHandleFrame checks that no input from a connection causes a panic, or a frame's body longer than the input.
 func FuzzHandleFrame(f *testing.F) {
 	dir := f.TempDir()
 	if err := keys.NewAuthority(filepath.Join(dir, "ca"), "t", time.Hour, time.Now()); err != nil {
@@ -47,7 +47,7 @@
 				break
 			}
 			if len(body) > len(raw) {
-				t.Fatal("more than came")
+				t.Fatal("the body is longer than the input")
 			}
 			p.handleFrame(c, kind, body)
 			p.step(p.options.Now())
--- a/internal/cluster/controlplane/release_test.go
+++ b/internal/cluster/controlplane/release_test.go
@@ -13,15 +13,15 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-var rounds = flag.Int("rounds", 4, "seeds of releases under cuts")
+var rounds = flag.Int("rounds", 4, "number of seeds in TestReleaseUnderCuts")
 
-// outageObserver sees which brokers have stopped by a permit, and are not back.
+// outageObserver records which brokers have stopped by a permit and have not been started again.
 type outageObserver struct {
 	mu        sync.Mutex
 	out       map[string]bool
-	exits     map[string]int // that each has gone
+	exits     map[string]int // by broker, how often it has stopped
 	maxOut    int
-	votersOut int // out at once at the most
+	votersOut int // highest number of voters out at the same time
 }
 
 func (o *outageObserver) setOut(name string, isOut bool) {
@@ -43,14 +43,15 @@
 	o.votersOut = max(o.votersOut, votersOut)
 }
 
-// A release goes through all brokers while links are cut at random: never more are out than may be, by the look from outside,
-// nobody goes twice, and it ends. Where more may be, the same look finds them.
+// TestReleaseUnderCuts runs a release over all brokers while links are cut at random. It checks from outside the state machine that no more
+// brokers are out at the same time than allowed, that none stops twice, and that the release ends. The case "fault" allows more, and checks
+// that the observer sees them.
 func TestReleaseUnderCuts(t *testing.T) {
 	for seed := range *rounds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runWithFakeTime(t, func(t *testing.T, c *tier) {
 				if n := runRelease(t, c, uint64(seed), 2); n > 2 {
-					t.Errorf("%d were out at once, 2 may be", n)
+					t.Errorf("%d brokers were out at the same time, at most 2 are allowed", n)
 				}
 			})
 		})
@@ -58,13 +59,13 @@
 	t.Run("fault", func(t *testing.T) {
 		runWithFakeTime(t, func(t *testing.T, c *tier) {
 			if n := runRelease(t, c, 1, 5); n <= 2 {
-				t.Errorf("where 5 may be out the look from outside finds %d", n)
+				t.Errorf("with up to 5 brokers allowed out, the observer saw at most %d, want more than 2", n)
 			}
 		})
 	})
 }
 
-// runRelease plays a release and tells how many were out at once.
+// runRelease runs a release and returns the highest number of brokers that were out at the same time.
 func runRelease(t *testing.T, c *tier, seed uint64, maxOut int) int {
 	observer := &outageObserver{out: map[string]bool{}, exits: map[string]int{}}
 	version := map[string]string{}
@@ -103,7 +104,7 @@
 	for i := range brokers {
 		c.start(i + 1)
 	}
-	c.waitUntil("all are in", 5*time.Second, c.allConnected)
+	c.waitUntil("all brokers are connected", 5*time.Second, c.allConnected)
 	plan := &statemachine.ReleasePlan{To: "2", From: "1", MaxOut: uint32(maxOut), Gates: "off"}
 	for i := range brokers {
 		plan.Slots = append(plan.Slots, statemachine.Slot(brokers-i))
@@ -116,12 +117,12 @@
 	for began := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		if time.Since(began) > 3*time.Minute {
 			r, _ := readInLoop(c.participants["b1"], func() statemachine.Release { r, _ := c.participants["b1"].state.Release(); return r }), 0
-			t.Fatalf("the release does not end: %+v", r)
+			t.Fatalf("the release has not ended after 3 minutes: %+v", r)
 		}
 		if fault := c.findLostLeaseHolder(); fault != "" {
 			t.Fatal(fault)
 		}
-		if rnd.IntN(20) == 0 && time.Since(began) < time.Minute { // a cut for a while, of one from all or of two
+		if rnd.IntN(20) == 0 && time.Since(began) < time.Minute { // cuts a link between two brokers for up to 4 s
 			a, b := rnd.IntN(brokers)+1, rnd.IntN(brokers)+1
 			duration := time.Duration(rnd.IntN(4000)) * time.Millisecond
 			go func() {
@@ -149,17 +150,17 @@
 				break
 			}
 			if r.State == statemachine.ReleaseHalted {
-				t.Fatalf("halted: %s", r.Reason)
+				t.Fatalf("the release was halted: %s", r.Reason)
 			}
 		}
 	}
 	for i := range brokers {
 		if name := fmt.Sprint("b", i+1); observer.exits[name] != 1 {
-			t.Errorf("%s went %d times", name, observer.exits[name])
+			t.Errorf("%s stopped %d times, want once", name, observer.exits[name])
 		}
 	}
 	if observer.votersOut > 1 {
-		t.Errorf("%d of three voters were out at once", observer.votersOut)
+		t.Errorf("%d of three voters were out at the same time", observer.votersOut)
 	}
 	time.Sleep(5 * time.Second)
 	return observer.maxOut
--- a/internal/cluster/controlplane/share_test.go
+++ b/internal/cluster/controlplane/share_test.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// Facts are never older than they are said to be.
+// TestTopicAge checks that a topic's data is never older than the age passed to Merge, and not much younger.
 func TestTopicAge(t *testing.T) {
 	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		start := time.Now()
@@ -22,26 +22,27 @@
 			p.runInLoop(t.Context(), func() {
 				p.topics = append(p.topics, Topic{Name: "t",
 					Collect: func() ([]byte, time.Duration) {
-						at := p.options.Now() - 70*time.Millisecond // it has lain for so long
+						at := p.options.Now() - 70*time.Millisecond // collected 70 ms ago
 						return binary.BigEndian.AppendUint64(nil, uint64(time.Since(start)-70*time.Millisecond)), max(0, at)
 					},
 					Merge: func(data []byte, transit time.Duration) {
 						merged.Add(1)
 						age := time.Since(start) - time.Duration(binary.BigEndian.Uint64(data))
 						if transit < age || transit > age+4*heartbeatInterval {
-							t.Errorf("told %v older, it is %v", transit, age)
+							t.Errorf("Merge got an age of %v for data of age %v", transit, age)
 						}
 					}})
 			})
 		}
 		time.Sleep(10 * time.Second)
 		if merged.Load() < 100 {
-			t.Errorf("%d facts came", merged.Load())
+			t.Errorf("topics were merged %d times, want at least 100", merged.Load())
 		}
 	})
 }
 
-// Operators' requests: what is wrong is told with its type, and what is agreed shows on every broker.
+// TestOperatorRequests checks that invalid requests are rejected with an *InvalidRequestError and a remedy, and that a drain appears in the
+// views of all brokers.
 func TestOperatorRequests(t *testing.T) {
 	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		for i := range 4 {
@@ -50,7 +51,7 @@
 				p.findNode = func(text string) (id decision.NodeID, ok bool) { return decision.NodeID{Port: 7}, text == "n7" }
 			})
 		}
-		c.waitUntil("all are in", 5*time.Second, c.allConnected)
+		c.waitUntil("all brokers are connected", 5*time.Second, c.allConnected)
 		leading := c.participants[c.leader()]
 		for _, r := range []struct {
 			verb string
@@ -58,7 +59,7 @@
 		}{{"dance", Request{}}, {VerbDrain, Request{Node: "n8"}}, {VerbRelease, Request{}}, {VerbRemoveBroker, Request{Broker: "b9"}}, {VerbPolicy, Request{}}} {
 			err := readInLoop(leading, func() error { _, err := leading.entryFor(r.verb, &r.Request); return err })
 			if !errors.As(err, new(*InvalidRequestError)) || remedyOf(err) == "" {
-				t.Errorf("%s: %v", r.verb, err)
+				t.Errorf("%s: got %v, want an *InvalidRequestError with a remedy", r.verb, err)
 			}
 		}
 		if _, err := leading.Propose(t.Context(), &statemachine.SetNodeList{Epoch: 1, Nodes: []statemachine.NodeInfo{{Node: decision.NodeID{Port: 7}}}}); err != nil {
@@ -69,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.waitUntil("all see the drain", time.Second, func() bool {
+		c.waitUntil("all views show the drain", time.Second, func() bool {
 			for _, p := range c.participants {
 				if d := p.View().Drains; len(d) != 1 || d[0].Number != r.Number {
 					return false
--- a/internal/cluster/controlplane/traffic_test.go
+++ b/internal/cluster/controlplane/traffic_test.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-var brokers = flag.Int("brokers", 40, "in the tier whose traffic is measured")
+var brokers = flag.Int("brokers", 40, "number of brokers in TestTraffic")
 
 type traffic struct{ framesIn, framesOut, bytesIn, bytesOut float64 }
 
@@ -19,8 +19,8 @@
 	return traffic{float64(c.FramesIn.Load()), float64(c.FramesOut.Load()), float64(c.BytesIn.Load()), float64(c.BytesOut.Load())}
 }
 
-// The fleet's own traffic in a tier at rest, and while entries are agreed: bytes and frames a second. It must stay within what a
-// voter and a broker can bear, whatever the number of brokers; searches do not enter it at all.
+// TestTraffic bounds the control plane's own traffic, in frames and bytes a second, in a tier at rest and while entries are committed. The bounds
+// hold for any number of brokers. Queries cause no such traffic.
 func TestTraffic(t *testing.T) {
 	runWithFakeTime(t, func(t *testing.T, c *tier) {
 		c.adjustOptions = func(o *Options) {
@@ -31,7 +31,7 @@
 		for i := range *brokers {
 			c.start(i + 1)
 		}
-		c.waitUntil("all are in", time.Minute, c.allConnected)
+		c.waitUntil("all brokers are connected", time.Minute, c.allConnected)
 		entries := 0
 		for _, busy := range []bool{false, true} {
 			const span = 10
@@ -69,10 +69,10 @@
 			kinds := []string{"leader", "voter", "follower with followers", "follower"}
 			for _, kind := range kinds {
 				w := worst[kind]
-				t.Logf("%d brokers, entries agreed %v: most of a %s: %.0f frames/s in, %.0f out; %.1f KB/s in, %.1f out", *brokers, busy, kind,
+				t.Logf("%d brokers, proposals in progress: %v; highest rates of a %s: %.0f frames/s in, %.0f out; %.1f KB/s in, %.1f out", *brokers, busy, kind,
 					w.framesIn, w.framesOut, w.bytesIn/1e3, w.bytesOut/1e3)
 				if w.framesIn > 1000 || w.bytesIn > 1e6 || w.bytesOut > 2e6 || !slices.Contains(kinds, kind) {
-					t.Errorf("a %s carries too much: %s", kind, fmt.Sprint(w))
+					t.Errorf("a %s exceeds 1000 frames/s in, 1 MB/s in or 2 MB/s out: %s", kind, fmt.Sprint(w))
 				}
 			}
 		}
