--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -11,21 +11,21 @@
 	"flaxfront/internal/cluster/raftlog"
 )
 
-type sink struct{ applied int }
+type countingStateMachine struct{ applied int }
 
-type counted struct {
+type countingStorage struct {
 	*raftlog.Log
 	saves int
 }
 
-func (c *counted) Save(h *pb.HardState, e []*pb.Entry, s *pb.Snapshot) error {
+func (c *countingStorage) Save(h *pb.HardState, e []*pb.Entry, s *pb.Snapshot) error {
 	c.saves++
 	return c.Log.Save(h, e, s)
 }
 
-func (s *sink) Apply(uint64, []byte) { s.applied++ }
-func (s *sink) Snapshot() []byte     { return nil }
-func (s *sink) Restore([]byte) error { return nil }
+func (s *countingStateMachine) Apply(uint64, []byte) { s.applied++ }
+func (s *countingStateMachine) Snapshot() []byte     { return nil }
+func (s *countingStateMachine) Restore([]byte) error { return nil }
 
 // Three voters on one goroutine, each with its log on the machine's disk, messages without delay: entries of 200 bytes,
 // so many handed in before each ProcessReady.
@@ -40,27 +40,27 @@
 					b.Fatal(err)
 				}
 				defer log.Close()
-				disk := &counted{Log: log}
-				n, err := New(Config{ID: id + 1, Voters: []uint64{1, 2, 3}, ElectionTimeout: election, HeartbeatInterval: heartbeat, Storage: disk,
-					StateMachine: &sink{}}, 0)
+				storage := &countingStorage{Log: log}
+				n, err := New(Config{ID: id + 1, Voters: []uint64{1, 2, 3}, ElectionTimeout: election, HeartbeatInterval: heartbeat, Storage: storage,
+					StateMachine: &countingStateMachine{}}, 0)
 				if err != nil {
 					b.Fatal(err)
 				}
 				nodes = append(nodes, n)
 			}
-			settle := func() {
-				for busy := true; busy; {
-					busy = false
+			deliverAll := func() {
+				for delivered := true; delivered; {
+					delivered = false
 					for _, n := range nodes {
 						for _, p := range n.ProcessReady() {
 							nodes[p.To-1].Step(n.config.ID, p.Data, n.now)
-							busy = true
+							delivered = true
 						}
 					}
 				}
 			}
 			nodes[0].Tick(2 * election)
-			settle()
+			deliverAll()
 			if !nodes[0].IsCaughtUpLeader() {
 				b.Fatal("no leader")
 			}
@@ -70,14 +70,14 @@
 						b.Fatal(err)
 					}
 				}
-				settle()
+				deliverAll()
 			}
 			saves := 0
 			for _, n := range nodes {
-				saves += n.config.Storage.(*counted).saves
+				saves += n.config.Storage.(*countingStorage).saves
 			}
 			b.ReportMetric(float64(saves)/float64(b.N), "fsyncs/op")
-			b.ReportMetric(float64(nodes[0].config.StateMachine.(*sink).applied)/b.Elapsed().Seconds(), "entries/s")
+			b.ReportMetric(float64(nodes[0].config.StateMachine.(*countingStateMachine).applied)/b.Elapsed().Seconds(), "entries/s")
 		})
 	}
 }
@@ -87,25 +87,25 @@
 func BenchmarkFailover(b *testing.B) {
 	for _, size := range []int{3, 5} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			var took []time.Duration
+			var durations []time.Duration
 			for b.Loop() {
-				took = took[:0]
+				durations = durations[:0]
 				for seed := range uint64(1000) {
-					w := newWorld(seed, size, none)
-					for len(w.leading()) == 0 || w.now < 5*election {
-						w.until(w.now + ms)
+					w := newWorld(seed, size, noMutant)
+					for len(w.leaderIDs()) == 0 || w.now < 5*election {
+						w.runUntil(w.now + ms)
 					}
-					killed := w.now
-					w.kill(w.voters[w.leading()[0]-1])
-					for ids := w.leading(); len(ids) == 0 || !w.voters[ids[0]-1].node.IsCaughtUpLeader(); ids = w.leading() {
-						w.until(w.now + ms)
+					killedAt := w.now
+					w.kill(w.voters[w.leaderIDs()[0]-1])
+					for ids := w.leaderIDs(); len(ids) == 0 || !w.voters[ids[0]-1].node.IsCaughtUpLeader(); ids = w.leaderIDs() {
+						w.runUntil(w.now + ms)
 					}
-					took = append(took, w.now-killed)
+					durations = append(durations, w.now-killedAt)
 				}
 			}
-			slices.Sort(took)
+			slices.Sort(durations)
 			for _, q := range []int{500, 900, 990, 1000} {
-				b.ReportMetric(float64(took[q-1])/float64(election), fmt.Sprintf("elections/p%d", q/10))
+				b.ReportMetric(float64(durations[q-1])/float64(election), fmt.Sprintf("elections/p%d", q/10))
 			}
 		})
 	}
--- a/internal/cluster/consensus/chunks.go
+++ b/internal/cluster/consensus/chunks.go
@@ -6,21 +6,21 @@
 	"fmt"
 )
 
-// A packet begins with a letter: packetWhole, then a message in protobuf; or packetChunk, then the number of the message (8 bytes,
+// A packet begins with a letter: packetMessage, then a message in protobuf; or packetChunk, then the number of the message (8 bytes,
 // big-endian as all), the chunk's offset in it (4), its length (4), and the chunk.
 //
 // A snapshot larger than a packet travels in chunks, one at a heartbeat, so that it neither exceeds a link's frames nor holds up
 // heartbeats behind it. When a chunk is lost the message is; the snapshot is sent again later.
 const (
-	packetWhole      = 'm'
+	packetMessage    = 'm'
 	packetChunk      = 'p'
 	chunkHeaderBytes = 1 + 8 + 4 + 4
 	maxChunkedBytes  = 256<<20 - 64<<10 // of a snapshot's message
 )
 
 var (
-	errPacketForm = errors.New("a packet of no known form")
-	errChunkRange = errors.New("a chunk outside of its message")
+	errUnknownPacketType = errors.New("a packet of no known form")
+	errChunkRange        = errors.New("a chunk outside of its message")
 )
 
 // chunks are the messages that are on their way in chunks.
@@ -68,7 +68,7 @@
 
 func decodeChunk(packet []byte) (c chunk, err error) {
 	if len(packet) <= chunkHeaderBytes || packet[0] != packetChunk {
-		return c, fmt.Errorf("%w: %d bytes", errPacketForm, len(packet))
+		return c, fmt.Errorf("%w: %d bytes", errUnknownPacketType, len(packet))
 	}
 	c.number = binary.BigEndian.Uint64(packet[1:])
 	c.offset = int(binary.BigEndian.Uint32(packet[9:]))
@@ -83,7 +83,7 @@
 // assemble returns the message that a packet is or completes; nil where more has to come or a chunk was lost before it. It allocates
 // for a message only as its bytes are there, whatever its length claims.
 func (c *chunks) assemble(from uint64, packet []byte) ([]byte, error) {
-	if len(packet) > 0 && packet[0] == packetWhole {
+	if len(packet) > 0 && packet[0] == packetMessage {
 		return packet[1:], nil
 	}
 	next, err := decodeChunk(packet)
--- a/internal/cluster/consensus/clock.go
+++ b/internal/cluster/consensus/clock.go
@@ -61,10 +61,10 @@
 	if n.state != running || now <= n.now {
 		return
 	}
-	defer n.guard()
-	overslept := now-n.nextDue() >= n.config.ElectionTimeout
+	defer n.recoverPanic()
+	wasPaused := now-n.nextDue() >= n.config.ElectionTimeout
 	n.now = now
-	if overslept {
+	if wasPaused {
 		n.resumeAfterPause()
 	}
 	for n.role == leader && n.nextHeartbeat <= now {
@@ -164,7 +164,7 @@
 	if !n.IsLeader() {
 		return 0
 	}
-	defer n.guard()
+	defer n.recoverPanic()
 	longest := uint64(0)
 	status := n.raft.Status()
 	for _, id := range n.config.Voters {
--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -63,9 +63,9 @@
 	setDefault(&c.SnapshotChunkBytes, defaultSnapshotChunkBytes)
 }
 
-func setDefault[T uint64 | int](v *T, usual T) {
+func setDefault[T uint64 | int](v *T, defaultValue T) {
 	if *v <= 0 {
-		*v = usual
+		*v = defaultValue
 	}
 }
 
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -10,46 +10,46 @@
 	"flaxfront/internal/filesystem/crashfs"
 )
 
-// calm is a world in which nothing breaks, with a leader.
-func calm(t *testing.T, size int) (w *world, leader *voter) {
+// newWorldWithLeader is a world in which nothing breaks, with a leader.
+func newWorldWithLeader(t *testing.T, size int) (w *world, leader *voter) {
 	t.Helper()
-	w = newWorld(3, size, none)
-	w.until(5 * election)
-	if ids := w.leading(); len(ids) != 1 {
+	w = newWorld(3, size, noMutant)
+	w.runUntil(5 * election)
+	if ids := w.leaderIDs(); len(ids) != 1 {
 		t.Fatalf("leaders %v: %v", ids, w.checks.err)
 	}
-	return w, w.voters[w.leading()[0]-1]
+	return w, w.voters[w.leaderIDs()[0]-1]
 }
 
-func packed(m *pb.Message) []byte {
-	b, _ := deterministic.MarshalAppend([]byte{packetWhole}, m)
+func encodePacket(m *pb.Message) []byte {
+	b, _ := marshalOptions.MarshalAppend([]byte{packetMessage}, m)
 	return b
 }
 
-func TestElectionsBegin(t *testing.T) {
+func TestLeaderIsElectedAndStays(t *testing.T) {
 	for _, size := range []int{1, 3, 5} {
-		w, leader := calm(t, size)
+		w, leader := newWorldWithLeader(t, size)
 		if !leader.node.IsCaughtUpLeader() {
 			t.Errorf("%d voters: the leader isn't caught up", size)
 		}
 		term := leader.node.Term()
-		w.until(w.now + 100*election)
-		if w.leading()[0] != leader.id || leader.node.Term() != term {
+		w.runUntil(w.now + 100*election)
+		if w.leaderIDs()[0] != leader.id || leader.node.Term() != term {
 			t.Errorf("%d voters: the lead changed without need", size)
 		}
 	}
 }
 
-func TestRefusals(t *testing.T) {
-	w, leader := calm(t, 3)
+func TestErrorsOfInvalidCalls(t *testing.T) {
+	w, leader := newWorldWithLeader(t, 3)
 	follower := w.voters[leader.id%3]
-	now := func(v *voter) time.Duration { return v.local(w.now) }
-	var not *NotLeaderError
-	if err := follower.node.Propose([]byte("0123456789abc"), now(follower)); !errors.As(err, &not) || not.Leader != leader.id {
+	now := func(v *voter) time.Duration { return v.localTime(w.now) }
+	var notLeader *NotLeaderError
+	if err := follower.node.Propose([]byte("0123456789abc"), now(follower)); !errors.As(err, &notLeader) || notLeader.Leader != leader.id {
 		t.Error(err)
 	}
-	var bad *EntrySizeError
-	if err := leader.node.Propose(make([]byte, 257<<10), now(leader)); !errors.As(err, &bad) {
+	var entrySize *EntrySizeError
+	if err := leader.node.Propose(make([]byte, 257<<10), now(leader)); !errors.As(err, &entrySize) {
 		t.Error(err)
 	}
 	var busy *BusyError
@@ -63,40 +63,40 @@
 			t.Fatal(i, err)
 		}
 	}
-	var msg *InvalidMessageError
-	prop := packed(&pb.Message{Type: pb.MsgProp.Enum(), From: &follower.id, To: &leader.id})
+	var invalid *InvalidMessageError
+	prop := encodePacket(&pb.Message{Type: pb.MsgProp.Enum(), From: &follower.id, To: &leader.id})
 	for _, m := range [][]byte{prop, []byte("no message"), nil} {
-		if err := leader.node.Step(follower.id, m, now(leader)); !errors.As(err, &msg) {
+		if err := leader.node.Step(follower.id, m, now(leader)); !errors.As(err, &invalid) {
 			t.Error(err)
 		}
 	}
-	if err := leader.node.Step(9, prop, now(leader)); !errors.As(err, &msg) {
+	if err := leader.node.Step(9, prop, now(leader)); !errors.As(err, &invalid) {
 		t.Error(err)
 	}
 }
 
 // A voter whose directory was emptied is told of entries that it acknowledged: it must end, and the broker go on.
 func TestLostDirectory(t *testing.T) {
-	w, leader := calm(t, 3)
-	w.until(w.now + election)
+	w, leader := newWorldWithLeader(t, 3)
+	w.runUntil(w.now + election)
 	v := w.voters[leader.id%3]
 	v.up, v.disk = false, crashfs.New(1)
 	w.start(v)
 	w.checks.err = nil
-	w.until(w.now + 5*election)
-	var broken *InconsistentStateError
-	if !errors.As(v.node.Err(), &broken) || broken.Remedy() == "" {
+	w.runUntil(w.now + 5*election)
+	var inconsistent *InconsistentStateError
+	if !errors.As(v.node.Err(), &inconsistent) || inconsistent.Remedy() == "" {
 		t.Fatal(v.node.Err())
 	}
 	var stopped *StoppedError
-	if err := v.node.Propose([]byte("x"), 0); !errors.As(err, &stopped) || stopped.Remedy() != broken.Remedy() {
+	if err := v.node.Propose([]byte("x"), 0); !errors.As(err, &stopped) || stopped.Remedy() != inconsistent.Remedy() {
 		t.Error(err)
 	}
 }
 
 // A leader that slept resigns before it reads what waits for it, though nobody took the lead meanwhile.
-func TestSleepingLeaderResigns(t *testing.T) {
-	_, leader := calm(t, 3)
+func TestLeaderResignsAfterPause(t *testing.T) {
+	_, leader := newWorldWithLeader(t, 3)
 	n := leader.node
 	n.Tick(n.now + 2*election)
 	if n.IsLeader() || n.resignations != 1 {
@@ -106,24 +106,24 @@
 
 // A leader that hears from nobody resigns within two elections, while its heartbeats still go out.
 func TestUnreachableLeaderResigns(t *testing.T) {
-	w, leader := calm(t, 3)
-	w.cutWhere(func(_, to uint64) bool { return to == leader.id })
-	w.until(w.now + 2*election + 2*heartbeat)
+	w, leader := newWorldWithLeader(t, 3)
+	w.cutLinksWhere(func(_, to uint64) bool { return to == leader.id })
+	w.runUntil(w.now + 2*election + 2*heartbeat)
 	if leader.node.IsLeader() {
 		t.Fatal("it still leads")
 	}
-	w.until(w.now + 4*election)
-	if ids := w.leading(); len(ids) != 1 || ids[0] == leader.id {
+	w.runUntil(w.now + 4*election)
+	if ids := w.leaderIDs(); len(ids) != 1 || ids[0] == leader.id {
 		t.Fatal(ids)
 	}
 }
 
 func TestTransferLeadership(t *testing.T) {
-	w, leader := calm(t, 5)
-	to := leader.node.TransferLeadership(leader.local(w.now))
-	w.turn(leader)
-	w.until(w.now + heartbeat*2)
-	if ids := w.leading(); len(ids) != 1 || ids[0] != to {
+	w, leader := newWorldWithLeader(t, 5)
+	to := leader.node.TransferLeadership(leader.localTime(w.now))
+	w.processVoter(leader)
+	w.runUntil(w.now + heartbeat*2)
+	if ids := w.leaderIDs(); len(ids) != 1 || ids[0] != to {
 		t.Fatalf("%v lead, not %d", ids, to)
 	}
 }
@@ -131,15 +131,15 @@
 // Whatever a link hands in, the process goes on; the voter may end.
 func FuzzStep(f *testing.F) {
 	id, to, term, index := uint64(2), uint64(1), uint64(3), uint64(9)
-	for _, kind := range accepted {
-		b := packed(&pb.Message{Type: kind.Enum(), From: &id, To: &to, Term: &term, Index: &index, Commit: &index})
+	for _, kind := range acceptedMessageTypes {
+		b := encodePacket(&pb.Message{Type: kind.Enum(), From: &id, To: &to, Term: &term, Index: &index, Commit: &index})
 		f.Add(b)
 	}
 	f.Add(append([]byte{packetChunk, 16: 9}, "some part"...))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		w := newWorld(1, 3, none)
+		w := newWorld(1, 3, noMutant)
 		v := w.voters[0]
-		v.node.Step(2, b, v.local(0)+1)
+		v.node.Step(2, b, v.localTime(0)+1)
 		v.node.ProcessReady()
 	})
 }
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -222,10 +222,10 @@
 	n.reads.failAll(&StoppedError{Cause: err})
 }
 
-// guard turns a panic of raft into the end of this voter, when deferred. raft panics where its state contradicts what a peer says, such
+// recoverPanic turns a panic of raft into the end of this voter, when deferred. raft panics where its state contradicts what a peer says, such
 // as after a voter's directory was lost; the broker around it must go on serving. It also covers faults of StateMachine, which must not
 // go on applying either.
-func (n *Node) guard() {
+func (n *Node) recoverPanic() {
 	if p := recover(); p != nil {
 		n.fail(&InconsistentStateError{Detail: fmt.Sprint(p)})
 	}
--- a/internal/cluster/consensus/reads.go
+++ b/internal/cluster/consensus/reads.go
@@ -22,7 +22,7 @@
 // by a majority since, and applied here.
 type reads struct {
 	voterID   uint64
-	start     uint64        // tells the reads of this start from those before, whose answers may still be on the way
+	startID   uint64        // tells the reads of this start from those before, whose answers may still be on the way
 	sequence  uint64        // of the last read
 	pending   []pendingRead // oldest first
 	completed []ReadResult
@@ -36,7 +36,7 @@
 	index     uint64 // where it is confirmed
 }
 
-func newReads(voterID, start uint64) reads { return reads{voterID: voterID, start: start} }
+func newReads(voterID, startID uint64) reads { return reads{voterID: voterID, startID: startID} }
 
 // nextDeadline is when the oldest read expires.
 func (r *reads) nextDeadline() time.Duration {
@@ -57,7 +57,7 @@
 	case len(n.reads.pending) >= n.config.MaxPendingReads:
 		return &BusyError{Limit: n.config.MaxPendingReads}
 	}
-	defer n.guard()
+	defer n.recoverPanic()
 	key := n.reads.add(requestContext, n.now+readTimeoutElections*n.config.ElectionTimeout)
 	n.raft.ReadIndex(key)
 	return nil
@@ -74,7 +74,7 @@
 func (r *reads) add(requestContext []byte, deadline time.Duration) (key []byte) {
 	r.sequence++
 	key = binary.BigEndian.AppendUint64(key, r.voterID)
-	key = binary.BigEndian.AppendUint64(key, r.start)
+	key = binary.BigEndian.AppendUint64(key, r.startID)
 	key = binary.BigEndian.AppendUint64(key, r.sequence)
 	r.pending = append(r.pending, pendingRead{key: string(key), context: requestContext, deadline: deadline})
 	return key
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -21,7 +21,7 @@
 }
 
 func (n *Node) processAll() {
-	defer n.guard()
+	defer n.recoverPanic()
 	for n.state == running && n.raft.HasReady() {
 		rd := n.raft.Ready()
 		if err := n.save(rd); err != nil {
@@ -103,7 +103,7 @@
 	if n.state != running || applied == 0 || !due {
 		return
 	}
-	defer n.guard()
+	defer n.recoverPanic()
 	snap, err := n.log.CreateSnapshot(n.appliedIndex, n.confState, n.config.StateMachine.Snapshot())
 	if err == nil {
 		err = n.config.Storage.Save(n.hardState, nil, snap)
--- a/internal/cluster/consensus/send.go
+++ b/internal/cluster/consensus/send.go
@@ -9,11 +9,11 @@
 // snapshotTimeoutElections is how many election timeouts a follower has to confirm a snapshot.
 const snapshotTimeoutElections = 4
 
-var deterministic = proto.MarshalOptions{Deterministic: true}
+var marshalOptions = proto.MarshalOptions{Deterministic: true}
 
 // send puts a message into the outbox; a large snapshot leaves in chunks, at heartbeats.
 func (n *Node) send(m *pb.Message) {
-	packet, err := deterministic.MarshalAppend([]byte{packetWhole}, m)
+	packet, err := marshalOptions.MarshalAppend([]byte{packetMessage}, m)
 	if err != nil {
 		return // as if lost on the way
 	}
--- a/internal/cluster/consensus/sim_test.go
+++ b/internal/cluster/consensus/sim_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	seeds = flag.Uint64("consensus.seeds", 200, "seeds that are played for each number of voters")
-	first = flag.Uint64("consensus.first", 1, "the first of them")
+	seedCount = flag.Uint64("consensus.seeds", 200, "seeds that are played for each number of voters")
+	firstSeed = flag.Uint64("consensus.first", 1, "the first of them")
 )
 
 func TestMain(m *testing.M) {
@@ -25,53 +25,53 @@
 	os.Exit(m.Run())
 }
 
-// play plays a seed: eight seconds of faults and clients, then all is healed, and what must hold is checked.
-func play(seed uint64, size int, m mutant) *world {
+// runSeed plays a seed: eight seconds of faults and clients, then all is healed, and what must hold is checked.
+func runSeed(seed uint64, size int, m mutant) *world {
 	w := newWorld(seed, size, m)
 	for range 4 {
-		w.client()
+		w.startClient()
 	}
-	w.fault()
-	w.until(faulty)
-	if m != unhealed {
+	w.scheduleFaults()
+	w.runUntil(faultPeriod)
+	if m != neverHealed {
 		w.heal()
 	} else {
-		w.loss = 1
+		w.lossRate = 1
 	}
-	healed := w.now
-	w.until(healed + 10*election)
-	if leads := w.leading(); len(leads) != 1 && w.checks.err == nil {
-		w.checks.fail("%v after healing %d voters lead", 10*election, len(leads))
+	healedAt := w.now
+	w.runUntil(healedAt + 10*election)
+	if leaders := w.leaderIDs(); len(leaders) != 1 && w.checks.err == nil {
+		w.checks.fail("%v after healing %d voters lead", 10*election, len(leaders))
 	}
-	w.until(healed + 10*election + time.Second)
+	w.runUntil(healedAt + 10*election + time.Second)
 	for _, v := range w.voters {
-		if w.checks.err == nil && v.node.AppliedIndex() < w.checks.last {
-			w.checks.fail("voter %d has %d of %d entries in the end", v.id, v.node.AppliedIndex(), w.checks.last)
+		if w.checks.err == nil && v.node.AppliedIndex() < w.checks.highestApplied {
+			w.checks.fail("voter %d has %d of %d entries in the end", v.id, v.node.AppliedIndex(), w.checks.highestApplied)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(w.ops.open)) {
-		w.ops.close(w.ops.open[id], output{}, 1<<62)
+	for _, id := range slices.Sorted(maps.Keys(w.ops.pending)) {
+		w.ops.close(w.ops.pending[id], output{}, 1<<62)
 	}
-	if w.checks.err == nil && porcupine.CheckOperationsTimeout(model, w.ops.history, 10*time.Second) != porcupine.Ok {
+	if w.checks.err == nil && porcupine.CheckOperationsTimeout(registerModel, w.ops.history, 10*time.Second) != porcupine.Ok {
 		w.checks.fail("the history of %d calls isn't linearizable", len(w.ops.history))
 	}
 	return w
 }
 
-// client calls one voter after the other, one call at a time.
-func (w *world) client() {
-	var again func()
-	again = func() {
-		w.after(10*ms+w.upTo(60*ms), func() {
+// startClient calls one voter after the other, one call at a time.
+func (w *world) startClient() {
+	var scheduleCall func()
+	scheduleCall = func() {
+		w.after(10*ms+w.randomDuration(60*ms), func() {
 			if w.now < 10*time.Second {
-				w.ops.call(w, w.some(), w.chance(0.4), again)
+				w.ops.call(w, w.randomVoter(), w.chance(0.4), scheduleCall)
 			}
 		})
 	}
-	again()
+	scheduleCall()
 }
 
-func (w *world) leading() (ids []uint64) {
+func (w *world) leaderIDs() (ids []uint64) {
 	for _, v := range w.voters {
 		if v.up && v.node.IsLeader() {
 			ids = append(ids, v.id)
@@ -85,8 +85,8 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			written, read, faults, seen := 0, 0, map[string]int{}, map[string]int{}
-			for seed := *first; seed < *first+*seeds; seed++ {
-				w := play(seed, size, none)
+			for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
+				w := runSeed(seed, size, noMutant)
 				if w.checks.err != nil {
 					t.Fatalf("seed %d: %v", seed, w.checks.err)
 				}
@@ -98,13 +98,13 @@
 					seen[k] += n
 				}
 			}
-			t.Logf("%d seeds: %d swaps and %d reads answered, faults %v, seen %v", *seeds, written, read, faults, seen)
+			t.Logf("%d seeds: %d swaps and %d reads answered, faults %v, seen %v", *seedCount, written, read, faults, seen)
 			for _, k := range []string{"resigned", "killed in a save", "called after its disk failed", "leader's snapshot"} {
 				if seen[k] == 0 {
 					t.Errorf("%s: never seen", k)
 				}
 			}
-			if uint64(written) < 20**seeds || uint64(read) < 10**seeds {
+			if uint64(written) < 20**seedCount || uint64(read) < 10**seedCount {
 				t.Errorf("too little was answered for the checks to say anything: %d swaps, %d reads", written, read)
 			}
 		})
@@ -117,18 +117,18 @@
 		want string
 		from uint64 // where one was found last, to find it soon
 	}{
-		earlyAck:     {"isn't linearizable", 1},
-		careless:     {"applies another entry|can't be right|has leaders", 1},
-		voteless:     {"has leaders", 540},
-		localRead:    {"isn't linearizable", 1},
-		unhealed:     {"voters lead", 1},
-		otherMachine: {"has another state", 1},
+		earlyAck:              {"isn't linearizable", 1},
+		ignoresFailedSave:     {"applies another entry|can't be right|has leaders", 1},
+		losesVotes:            {"has leaders", 540},
+		localRead:             {"isn't linearizable", 1},
+		neverHealed:           {"voters lead", 1},
+		divergentStateMachine: {"has another state", 1},
 	} {
 		t.Run(string(m), func(t *testing.T) {
 			t.Parallel()
 			found, want := map[string]int{}, regexp.MustCompile(c.want)
 			for seed := c.from; seed < c.from+2000; seed++ {
-				err := play(seed, 3, m).checks.err
+				err := runSeed(seed, 3, m).checks.err
 				if err != nil && want.MatchString(err.Error()) {
 					t.Logf("seed %d: %v; before it %v", seed, err, found)
 					return
@@ -142,7 +142,7 @@
 }
 
 func TestSameSeedSameWorld(t *testing.T) {
-	a, b := play(7, 5, none), play(7, 5, none)
+	a, b := runSeed(7, 5, noMutant), runSeed(7, 5, noMutant)
 	if fmt.Sprint(a.ops.history) != fmt.Sprint(b.ops.history) || a.seq != b.seq {
 		t.Fatal("one seed, two histories")
 	}
--- a/internal/cluster/consensus/simchecks_test.go
+++ b/internal/cluster/consensus/simchecks_test.go
@@ -13,11 +13,11 @@
 )
 
 type checks struct {
-	err     error
-	leaders map[uint64]uint64 // of a term
-	applied map[uint64][]byte // entry of an index
-	states  map[uint64][]byte // register after an index
-	last    uint64            // highest index that anybody applied
+	err            error
+	leaders        map[uint64]uint64 // of a term
+	applied        map[uint64][]byte // entry of an index
+	states         map[uint64][]byte // register after an index
+	highestApplied uint64            // highest index that anybody applied
 }
 
 func newChecks() checks {
@@ -30,8 +30,8 @@
 	}
 }
 
-// leader checks that a term has one leader at most.
-func (c *checks) leader(v *voter) {
+// checkLeader checks that a term has one leader at most.
+func (c *checks) checkLeader(v *voter) {
 	if !v.node.IsLeader() {
 		return
 	}
@@ -61,20 +61,20 @@
 	op, cell, value := binary.BigEndian.Uint64(data), data[8], binary.BigEndian.Uint32(data[9:])
 	old := r.cells[cell]
 	r.cells[cell], r.index = value, index
-	if r.w.mutant == otherMachine && r.v.id == 2 {
+	if r.w.mutant == divergentStateMachine && r.v.id == 2 {
 		r.cells[cell]++
 	}
-	r.w.checks.state(r)
-	r.w.ops.done(r.w, r.v, op, old)
+	r.w.checks.checkState(r)
+	r.w.ops.complete(r.w, r.v, op, old)
 }
 
-func (c *checks) state(r *register) {
+func (c *checks) checkState(r *register) {
 	s := r.Snapshot()
 	if was, ok := c.states[r.index]; ok && !bytes.Equal(was, s) {
 		c.fail("voter %d has another state at %d", r.v.id, r.index)
 	}
 	c.states[r.index] = s
-	c.last = max(c.last, r.index)
+	c.highestApplied = max(c.highestApplied, r.index)
 }
 
 func (r *register) Snapshot() []byte {
@@ -91,26 +91,26 @@
 	}
 	r.index = binary.BigEndian.Uint64(b)
 	r.cells = [2]uint32{binary.BigEndian.Uint32(b[8:]), binary.BigEndian.Uint32(b[12:])}
-	r.w.checks.state(r)
+	r.w.checks.checkState(r)
 	return nil
 }
 
 // ops are the clients' history.
 type ops struct {
-	next    uint64
-	open    map[uint64]*op
+	lastID  uint64
+	pending map[uint64]*op
 	history []porcupine.Operation
 	written int
 	read    int
 }
 
 type op struct {
-	id       uint64
-	voter    uint64
-	birth    uint64
-	in       input
-	called   time.Duration
-	answered func()
+	id         uint64
+	voter      uint64
+	startCount uint64
+	in         input
+	calledAt   time.Duration
+	onAnswer   func()
 }
 
 type input struct {
@@ -120,11 +120,11 @@
 }
 
 type output struct {
-	known bool
-	old   uint32
+	known    bool
+	oldValue uint32
 }
 
-var model = porcupine.Model{
+var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, 2)
 		for _, o := range history {
@@ -135,7 +135,7 @@
 	Init: func() any { return uint32(0) },
 	Step: func(state, in, out any) (bool, any) {
 		i, o := in.(input), out.(output)
-		ok := !o.known || o.old == state.(uint32)
+		ok := !o.known || o.oldValue == state.(uint32)
 		if i.read {
 			return ok, state
 		}
@@ -144,58 +144,58 @@
 }
 
 // call lets a client swap or read on a voter. It waits for the answer or gives up; then its swap may come about at any time.
-func (o *ops) call(w *world, v *voter, read bool, answered func()) {
-	if o.open == nil {
-		o.open = map[uint64]*op{}
+func (o *ops) call(w *world, v *voter, read bool, onAnswer func()) {
+	if o.pending == nil {
+		o.pending = map[uint64]*op{}
 	}
 	if !v.up || v.paused {
-		answered()
+		onAnswer()
 		return
 	}
-	o.next++
-	p := &op{id: o.next, voter: v.id, birth: v.birth, called: w.now, answered: answered,
-		in: input{read, byte(w.rnd.IntN(2)), uint32(o.next)}}
+	o.lastID++
+	p := &op{id: o.lastID, voter: v.id, startCount: v.startCount, calledAt: w.now, onAnswer: onAnswer,
+		in: input{read, byte(w.random.IntN(2)), uint32(o.lastID)}}
 	key := binary.BigEndian.AppendUint64(nil, p.id)
 	var err error
 	switch {
 	case read && w.mutant == localRead:
-		o.open[p.id] = p
+		o.pending[p.id] = p
 		if v.node.IsLeader() {
-			o.done(w, v, p.id, v.machine.cells[p.in.cell])
+			o.complete(w, v, p.id, v.stateMachine.cells[p.in.cell])
 			return
 		}
 		err = &NotLeaderError{}
 	case read:
 		err = v.node.ReadIndex(key)
 	default:
-		err = v.node.Propose(binary.BigEndian.AppendUint32(append(key, p.in.cell), p.in.value), v.local(w.now))
+		err = v.node.Propose(binary.BigEndian.AppendUint32(append(key, p.in.cell), p.in.value), v.localTime(w.now))
 	}
 	if err != nil {
-		delete(o.open, p.id)
-		answered()
+		delete(o.pending, p.id)
+		onAnswer()
 		return
 	}
-	o.open[p.id] = p
+	o.pending[p.id] = p
 	w.after(time.Second, func() { o.close(p, output{}, math.MaxInt64) })
-	w.turn(v)
+	w.processVoter(v)
 }
 
 func (o *ops) close(p *op, out output, at int64) {
-	if o.open[p.id] == nil {
+	if o.pending[p.id] == nil {
 		return
 	}
-	delete(o.open, p.id)
+	delete(o.pending, p.id)
 	if out.known || !p.in.read { // a read without an answer says nothing
-		o.history = append(o.history, porcupine.Operation{ClientId: int(p.id), Input: p.in, Output: out, Call: int64(p.called),
+		o.history = append(o.history, porcupine.Operation{ClientId: int(p.id), Input: p.in, Output: out, Call: int64(p.calledAt),
 			Return: at})
 	}
-	p.answered()
+	p.onAnswer()
 }
 
-// done is told by the voter that was asked, in the same life.
-func (o *ops) done(w *world, v *voter, id uint64, old uint32) {
-	p := o.open[id]
-	if p == nil || p.voter != v.id || p.birth != v.birth {
+// complete is told by the voter that was asked, in the same life.
+func (o *ops) complete(w *world, v *voter, id uint64, old uint32) {
+	p := o.pending[id]
+	if p == nil || p.voter != v.id || p.startCount != v.startCount {
 		return
 	}
 	if p.in.read {
@@ -206,13 +206,13 @@
 	o.close(p, output{true, old}, int64(w.now))
 }
 
-func (o *ops) answers(w *world, v *voter, reads []ReadResult) {
+func (o *ops) completeReads(w *world, v *voter, reads []ReadResult) {
 	for _, r := range reads {
 		id := binary.BigEndian.Uint64(r.RequestContext)
-		if p := o.open[id]; p != nil && r.Err != nil {
+		if p := o.pending[id]; p != nil && r.Err != nil {
 			o.close(p, output{}, 0)
 		} else if p != nil {
-			o.done(w, v, id, v.machine.cells[p.in.cell])
+			o.complete(w, v, id, v.stateMachine.cells[p.in.cell])
 		}
 	}
 }
--- a/internal/cluster/consensus/simworld_test.go
+++ b/internal/cluster/consensus/simworld_test.go
@@ -20,27 +20,27 @@
 )
 
 type voter struct {
-	id      uint64
-	node    *Node
-	disk    *crashfs.FS
-	log     *raftlog.Log
-	machine *register
-	birth   uint64
-	up      bool
-	paused  bool
-	drift   time.Duration // thousandths
-	offset  time.Duration // of its clock
-	timer   uint64
-	inbox   []Packet // while it is paused; To is who sent it
+	id           uint64
+	node         *Node
+	disk         *crashfs.FS
+	log          *raftlog.Log
+	stateMachine *register
+	startCount   uint64
+	up           bool
+	paused       bool
+	drift        time.Duration // thousandths
+	offset       time.Duration // of its clock
+	timerCount   uint64
+	inbox        []Packet // while it is paused; To is who sent it
 }
 
-// local is the time on a voter's own clock: off by any amount, and up to 2% too fast or slow.
-func (v *voter) local(now time.Duration) time.Duration { return v.offset + now*(1000+v.drift)/1000 }
+// localTime is the time on a voter's own clock: off by any amount, and up to 2% too fast or slow.
+func (v *voter) localTime(now time.Duration) time.Duration { return v.offset + now*(1000+v.drift)/1000 }
 
 type event struct {
 	at  time.Duration
 	seq uint64
-	do  func()
+	run func()
 }
 
 type events []event
@@ -58,31 +58,31 @@
 }
 
 type world struct {
-	rnd    *rand.Rand
-	now    time.Duration
-	seq    uint64
-	queue  events
-	voters []*voter
-	ids    []uint64
-	cut    map[[2]uint64]bool
-	loss   float64
-	slow   time.Duration // most that a message takes
-	mutant mutant
-	checks checks
-	ops    ops
-	faults map[string]int // how often each kind was played
-	seen   map[string]int // how often what is to be tested came about
+	random   *rand.Rand
+	now      time.Duration
+	seq      uint64
+	queue    events
+	voters   []*voter
+	ids      []uint64
+	isCut    map[[2]uint64]bool
+	lossRate float64
+	maxDelay time.Duration // most that a message takes
+	mutant   mutant
+	checks   checks
+	ops      ops
+	faults   map[string]int // how often each kind was played
+	seen     map[string]int // how often what is to be tested came about
 }
 
 func newWorld(seed uint64, size int, m mutant) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, uint64(size))), cut: map[[2]uint64]bool{}, slow: 10 * ms, mutant: m,
+	w := &world{random: rand.New(rand.NewPCG(seed, uint64(size))), isCut: map[[2]uint64]bool{}, maxDelay: 10 * ms, mutant: m,
 		checks: newChecks(), faults: map[string]int{}, seen: map[string]int{}}
 	for i := range size {
 		w.ids = append(w.ids, uint64(i+1))
 	}
 	for _, id := range w.ids {
-		v := &voter{id: id, disk: crashfs.New(w.rnd.Uint64()), drift: time.Duration(w.rnd.IntN(41) - 20),
-			offset: time.Duration(w.rnd.Int64N(int64(time.Hour)))}
+		v := &voter{id: id, disk: crashfs.New(w.random.Uint64()), drift: time.Duration(w.random.IntN(41) - 20),
+			offset: time.Duration(w.random.Int64N(int64(time.Hour)))}
 		w.voters = append(w.voters, v)
 		w.start(v)
 	}
@@ -94,55 +94,57 @@
 	heap.Push(&w.queue, event{w.now + d, w.seq, do})
 }
 
-// until runs to a moment, or to the first broken check.
-func (w *world) until(end time.Duration) {
+// runUntil runs to a moment, or to the first broken check.
+func (w *world) runUntil(end time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= end && w.checks.err == nil {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 	w.now = end
 }
 
-func (w *world) chance(p float64) bool              { return w.rnd.Float64() < p }
-func (w *world) upTo(d time.Duration) time.Duration { return time.Duration(w.rnd.Int64N(int64(d) + 1)) }
-func (w *world) some() *voter                       { return w.voters[w.rnd.IntN(len(w.voters))] }
+func (w *world) chance(p float64) bool { return w.random.Float64() < p }
+func (w *world) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(w.random.Int64N(int64(d) + 1))
+}
+func (w *world) randomVoter() *voter { return w.voters[w.random.IntN(len(w.voters))] }
 
 // start starts a voter on what its disk holds.
 func (w *world) start(v *voter) {
 	if v.up {
 		return
 	}
-	v.birth++
+	v.startCount++
 	v.disk.FailSync, v.disk.Full = false, false
 	log, err := raftlog.Open(raftlog.Options{Directory: "d", Cluster: "sim", VoterID: v.id, Voters: w.ids, Create: true, FS: v.disk,
 		Unlocked: true})
 	if errors.Is(err, crashfs.ErrCrash) {
 		v.disk = v.disk.Crash()
-		w.after(w.upTo(time.Second), func() { w.start(v) })
+		w.after(w.randomDuration(time.Second), func() { w.start(v) })
 		return
 	} else if err != nil {
 		w.checks.fail("voter %d doesn't start: %v", v.id, err)
 		return
 	}
-	v.log, v.machine = log, &register{w: w, v: v}
+	v.log, v.stateMachine = log, &register{w: w, v: v}
 	var disk Storage = log
 	switch w.mutant {
-	case careless:
-		disk = carelessLog{log}
-	case voteless:
-		disk = votelessLog{log}
+	case ignoresFailedSave:
+		disk = failureIgnoringLog{log}
+	case losesVotes:
+		disk = voteLosingLog{log}
 	case earlyAck:
-		disk = &lateLog{Log: log}
+		disk = &delayedLog{Log: log}
 	}
-	v.node, err = New(Config{ID: v.id, Voters: w.ids, ElectionTimeout: election, HeartbeatInterval: heartbeat, Seed: w.rnd.Uint64(), Storage: disk,
-		StateMachine: v.machine, SnapshotEntries: 12, TrailingEntries: 4, SnapshotChunkBytes: 30}, v.local(w.now))
+	v.node, err = New(Config{ID: v.id, Voters: w.ids, ElectionTimeout: election, HeartbeatInterval: heartbeat, Seed: w.random.Uint64(), Storage: disk,
+		StateMachine: v.stateMachine, SnapshotEntries: 12, TrailingEntries: 4, SnapshotChunkBytes: 30}, v.localTime(w.now))
 	if err != nil {
 		w.checks.fail("voter %d doesn't start: %v", v.id, err)
 		return
 	}
 	v.up, v.paused, v.inbox = true, false, nil
-	w.turn(v)
+	w.processVoter(v)
 }
 
 // kill ends a voter and leaves its disk as a crash leaves it.
@@ -153,16 +155,16 @@
 	}
 }
 
-// turn lets a voter do what it has to after anything was handed to it.
-func (w *world) turn(v *voter) {
-	next := v.node.Tick(v.local(w.now))
+// processVoter lets a voter do what it has to after anything was handed to it.
+func (w *world) processVoter(v *voter) {
+	next := v.node.Tick(v.localTime(w.now))
 	for _, p := range v.node.ProcessReady() {
 		w.send(v.id, p)
 	}
 	if errors.Is(v.node.Err(), crashfs.ErrCrash) {
 		w.seen["killed in a save"]++
 		w.kill(v)
-		w.after(w.upTo(2*time.Second), func() { w.start(v) })
+		w.after(w.randomDuration(2*time.Second), func() { w.start(v) })
 		return
 	}
 	if v.node.Err() != nil {
@@ -172,26 +174,26 @@
 	if errors.As(v.node.Err(), &broken) {
 		w.checks.fail("voter %d: %v", v.id, broken)
 	}
-	w.ops.answers(w, v, v.node.CompletedReads())
-	w.checks.leader(v)
-	v.timer++
-	if birth, timer := v.birth, v.timer; next != Never {
-		in := (next-v.local(w.now))*1000/(1000+v.drift) + 1
+	w.ops.completeReads(w, v, v.node.CompletedReads())
+	w.checks.checkLeader(v)
+	v.timerCount++
+	if startCount, timerCount := v.startCount, v.timerCount; next != Never {
+		in := (next-v.localTime(w.now))*1000/(1000+v.drift) + 1
 		w.after(max(in, 1), func() {
-			if v.up && !v.paused && v.birth == birth && v.timer == timer {
-				w.turn(v)
+			if v.up && !v.paused && v.startCount == startCount && v.timerCount == timerCount {
+				w.processVoter(v)
 			}
 		})
 	}
 }
 
 func (w *world) send(from uint64, p Packet) {
-	for range 1 + w.rnd.IntN(20)/19 { // one in twenty comes twice
-		if w.chance(w.loss) {
+	for range 1 + w.random.IntN(20)/19 { // one in twenty comes twice
+		if w.chance(w.lossRate) {
 			continue
 		}
-		w.after(w.upTo(w.slow), func() {
-			if w.cut[[2]uint64{from, p.To}] {
+		w.after(w.randomDuration(w.maxDelay), func() {
+			if w.isCut[[2]uint64{from, p.To}] {
 				return
 			}
 			v := w.voters[p.To-1]
@@ -200,8 +202,8 @@
 			case v.paused:
 				v.inbox = append(v.inbox, Packet{from, p.Data})
 			default:
-				v.node.Step(from, p.Data, v.local(w.now))
-				w.turn(v)
+				v.node.Step(from, p.Data, v.localTime(w.now))
+				w.processVoter(v)
 			}
 		})
 	}
@@ -213,16 +215,16 @@
 		return
 	}
 	v.paused = true
-	birth := v.birth
+	startCount := v.startCount
 	w.after(d, func() {
-		if !v.up || v.birth != birth {
+		if !v.up || v.startCount != startCount {
 			return
 		}
 		v.paused = false
 		for _, p := range v.inbox {
-			v.node.Step(p.To, p.Data, v.local(w.now))
+			v.node.Step(p.To, p.Data, v.localTime(w.now))
 		}
 		v.inbox = nil
-		w.turn(v)
+		w.processVoter(v)
 	})
 }
--- a/internal/cluster/consensus/step.go
+++ b/internal/cluster/consensus/step.go
@@ -18,9 +18,9 @@
 	errSnapshotVoters = errors.New("a snapshot of other voters")
 )
 
-// accepted are the messages that voters send each other. Proposals come through Propose only, and what raft sends itself never comes
+// acceptedMessageTypes are the messages that voters send each other. Proposals come through Propose only, and what raft sends itself never comes
 // from outside.
-var accepted = []pb.MessageType{
+var acceptedMessageTypes = []pb.MessageType{
 	pb.MsgApp,
 	pb.MsgAppResp,
 	pb.MsgVote,
@@ -50,7 +50,7 @@
 	if m == nil { // a part of one that is not complete
 		return nil
 	}
-	defer n.guard()
+	defer n.recoverPanic()
 	if err := n.raft.Step(m); err != nil {
 		return &InvalidMessageError{From: from, Err: err}
 	}
@@ -80,7 +80,7 @@
 	if m.GetFrom() != from || m.GetTo() != n.config.ID || from == n.config.ID {
 		return fmt.Errorf("%w: from %d to %d by the link of %d", errWrongSender, m.GetFrom(), m.GetTo(), from)
 	}
-	if !slices.Contains(accepted, m.GetType()) {
+	if !slices.Contains(acceptedMessageTypes, m.GetType()) {
 		return fmt.Errorf("%w: type %v", errWrongType, m.GetType())
 	}
 	voters := m.GetSnapshot().GetMetadata().GetConfState().GetVoters()
--- a/internal/cluster/raftlog/bench_test.go
+++ b/internal/cluster/raftlog/bench_test.go
@@ -13,11 +13,11 @@
 
 // Two ways to keep a voter's log, each with an fsync a save: this package's frames, and bbolt with a key an entry.
 
-func sized(index uint64, bytes int) *pb.Entry {
+func entryOfSize(index uint64, bytes int) *pb.Entry {
 	return &pb.Entry{Term: new(uint64(1)), Index: &index, Data: make([]byte, bytes)}
 }
 
-func plain(b *testing.B, dir string) *Log {
+func openLog(b *testing.B, dir string) *Log {
 	l, err := Open(Options{Directory: dir, Cluster: "c", VoterID: 1, Voters: []uint64{1, 2, 3}, Create: true})
 	if err != nil {
 		b.Fatal(err)
@@ -26,7 +26,7 @@
 	return l
 }
 
-func bolt(b *testing.B, dir string) *bbolt.DB {
+func openBolt(b *testing.B, dir string) *bbolt.DB {
 	db, err := bbolt.Open(filepath.Join(dir, "db"), 0o600, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -35,7 +35,7 @@
 	return db
 }
 
-func put(db *bbolt.DB, hard *pb.HardState, entries []*pb.Entry) error {
+func saveToBolt(db *bbolt.DB, hard *pb.HardState, entries []*pb.Entry) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		log, err := tx.CreateBucketIfNotExists([]byte("log"))
 		if err != nil {
@@ -60,12 +60,12 @@
 	for _, n := range []int{1, 64} {
 		batch := func(i int) (all []*pb.Entry) {
 			for k := range n {
-				all = append(all, sized(uint64(i*n+k+1), 200))
+				all = append(all, entryOfSize(uint64(i*n+k+1), 200))
 			}
 			return all
 		}
 		b.Run(fmt.Sprintf("plain/%d", n), func(b *testing.B) {
-			l := plain(b, b.TempDir())
+			l := openLog(b, b.TempDir())
 			for i := 0; b.Loop(); i++ {
 				if err := l.Save(hard(1, 1, 0), batch(i), nil); err != nil {
 					b.Fatal(err)
@@ -73,9 +73,9 @@
 			}
 		})
 		b.Run(fmt.Sprintf("bbolt/%d", n), func(b *testing.B) {
-			db := bolt(b, b.TempDir())
+			db := openBolt(b, b.TempDir())
 			for i := 0; b.Loop(); i++ {
-				if err := put(db, hard(1, 1, 0), batch(i)); err != nil {
+				if err := saveToBolt(db, hard(1, 1, 0), batch(i)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -87,15 +87,15 @@
 	const n = 4096
 	var all []*pb.Entry
 	for i := range n {
-		all = append(all, sized(uint64(i+1), 200))
+		all = append(all, entryOfSize(uint64(i+1), 200))
 	}
 	b.Run("plain", func(b *testing.B) {
 		dir := b.TempDir()
-		l := plain(b, dir)
+		l := openLog(b, dir)
 		l.Save(hard(1, 1, 0), all, nil)
 		l.Close()
 		for b.Loop() {
-			l := plain(b, dir) // with the generation that a start writes
+			l := openLog(b, dir) // with the generation that a start writes
 			if _, es, _, _ := l.Load(); len(es) != n {
 				b.Fatal(len(es))
 			}
@@ -104,11 +104,11 @@
 	})
 	b.Run("bbolt", func(b *testing.B) {
 		dir := b.TempDir()
-		db := bolt(b, dir)
-		put(db, hard(1, 1, 0), all)
+		db := openBolt(b, dir)
+		saveToBolt(db, hard(1, 1, 0), all)
 		db.Close()
 		for b.Loop() {
-			db := bolt(b, dir)
+			db := openBolt(b, dir)
 			got := 0
 			db.View(func(tx *bbolt.Tx) error {
 				return tx.Bucket([]byte("log")).ForEach(func(_, v []byte) error {
--- a/internal/cluster/raftlog/frame.go
+++ b/internal/cluster/raftlog/frame.go
@@ -84,9 +84,9 @@
 	return body, nil
 }
 
-// tornTail tells whether what can't be read from here on is a last write that a crash cut off: the frame is short, or sectors of it
+// atTornTail tells whether what can't be read from here on is a last write that a crash cut off: the frame is short, or sectors of it
 // are unwritten (zeros). Frames behind it, or wrong bytes with nothing missing, are damage to what was synced.
-func (r *frameReader) tornTail() bool {
+func (r *frameReader) atTornTail() bool {
 	rest := r.data[r.offset:]
 	header, ok := decodeFrameHeader(rest)
 	if !ok {
@@ -104,12 +104,12 @@
 
 // frameFollows tells whether the next magic number behind the start of b begins a frame's header.
 func frameFollows(b []byte) bool {
-	behind := b[min(1, len(b)):]
-	at := bytes.Index(behind, binary.LittleEndian.AppendUint32(nil, frameMagic))
+	rest := b[min(1, len(b)):]
+	at := bytes.Index(rest, binary.LittleEndian.AppendUint32(nil, frameMagic))
 	if at < 0 {
 		return false
 	}
-	_, ok := decodeFrameHeader(behind[at:])
+	_, ok := decodeFrameHeader(rest[at:])
 	return ok
 }
 
--- a/internal/cluster/raftlog/fuzz_test.go
+++ b/internal/cluster/raftlog/fuzz_test.go
@@ -9,7 +9,7 @@
 // Whatever a file holds, it is taken or refused with a type of its own; what was taken once reads the same again.
 func FuzzOpen(f *testing.F) {
 	d := crashfs.New(1)
-	l, err := Open(options(d))
+	l, err := Open(testOptions(d))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -23,16 +23,16 @@
 		d := crashfs.New(1)
 		file, _ := d.Create("d/raft-00000001.log")
 		file.Write(b)
-		l, err := Open(options(d))
+		l, err := Open(testOptions(d))
 		if err != nil {
 			if _, ok := err.(interface{ Remedy() string }); !ok {
 				t.Fatalf("%T: %v", err, err)
 			}
 			return
 		}
-		was := state(l)
-		again, err := Open(options(d))
-		if err != nil || state(again) != was {
+		was := stateText(l)
+		again, err := Open(testOptions(d))
+		if err != nil || stateText(again) != was {
 			t.Fatal(err)
 		}
 	})
--- a/internal/cluster/raftlog/lock_test.go
+++ b/internal/cluster/raftlog/lock_test.go
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-func TestOneProcess(t *testing.T) {
+func TestOneProcessOpensLog(t *testing.T) {
 	l, err := Open(Options{Directory: t.TempDir(), Cluster: "c", VoterID: 1, Voters: []uint64{1, 2, 3}, Create: true})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/raftlog/raftlog_test.go
+++ b/internal/cluster/raftlog/raftlog_test.go
@@ -12,7 +12,7 @@
 	"flaxfront/internal/filesystem/crashfs"
 )
 
-func options(d filesystem.FS) Options {
+func testOptions(d filesystem.FS) Options {
 	return Options{Directory: "d", Cluster: "c", VoterID: 1, Voters: []uint64{3, 1, 2}, Create: true, FS: d, Unlocked: true}
 }
 
@@ -43,8 +43,8 @@
 	{hardState: hard(4, 0, 21), entries: []*pb.Entry{entry(4, 22), entry(4, 23)}},
 }
 
-// state is what a log holds, as text.
-func state(l *Log) string {
+// stateText is what a log holds, as text.
+func stateText(l *Log) string {
 	h, es, s, err := l.Load()
 	if err != nil {
 		return err.Error()
@@ -56,27 +56,27 @@
 	return text
 }
 
-// states are what a log holds before and after each save.
-func states(t *testing.T) (all []string) {
+// expectedStates are what a log holds before and after each save.
+func expectedStates(t *testing.T) (all []string) {
 	t.Helper()
-	l, err := Open(options(crashfs.New(1)))
+	l, err := Open(testOptions(crashfs.New(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	all = append(all, state(l))
+	all = append(all, stateText(l))
 	for _, r := range saves {
 		if err := l.Save(r.hardState, r.entries, r.snapshot); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, state(l))
+		all = append(all, stateText(l))
 	}
 	return all
 }
 
-// play saves until the disk fails and tells how many saves were acknowledged.
-func play(t *testing.T, d filesystem.FS) (acknowledged int) {
+// runSaves saves until the disk fails and tells how many saves were acknowledged.
+func runSaves(t *testing.T, d filesystem.FS) (acknowledged int) {
 	t.Helper()
-	l, err := Open(options(d))
+	l, err := Open(testOptions(d))
 	if err != nil {
 		return 0
 	}
@@ -94,52 +94,52 @@
 	return acknowledged
 }
 
-// holds opens what a crash left and tells whether it is what was acknowledged, or that and the save under way.
-func holds(d filesystem.FS, want []string, acknowledged int) error {
-	l, err := Open(options(d))
+// checkReopened opens what a crash left and tells whether it is what was acknowledged, or that and the save under way.
+func checkReopened(d filesystem.FS, want []string, acknowledged int) error {
+	l, err := Open(testOptions(d))
 	if err != nil {
 		return err
 	}
-	if got := state(l); got != want[acknowledged] && (acknowledged+1 == len(want) || got != want[acknowledged+1]) {
+	if got := stateText(l); got != want[acknowledged] && (acknowledged+1 == len(want) || got != want[acknowledged+1]) {
 		return fmt.Errorf("holds %.80q, not %.80q", got, want[acknowledged])
 	}
 	return nil
 }
 
 func TestCrashAtEveryStep(t *testing.T) {
-	want := states(t)
-	undisturbed := crashfs.New(1)
-	if acknowledged := play(t, undisturbed); acknowledged != len(saves) {
+	want := expectedStates(t)
+	faultFree := crashfs.New(1)
+	if acknowledged := runSaves(t, faultFree); acknowledged != len(saves) {
 		t.Fatal(acknowledged)
 	}
-	sum := 0
-	for step := 1; step <= undisturbed.Steps+1; step++ {
+	totalAcknowledged := 0
+	for step := 1; step <= faultFree.Steps+1; step++ {
 		for seed := range uint64(40) {
 			d := crashfs.New(seed)
 			d.CrashAt = step
-			acknowledged := play(t, d)
+			acknowledged := runSaves(t, d)
 			after := d.Crash()
-			if err := holds(after, want, acknowledged); err != nil {
+			if err := checkReopened(after, want, acknowledged); err != nil {
 				t.Fatalf("step %d, seed %d: after %d saves: %v", step, seed, acknowledged, err)
 			}
 			again := after.Crash() // what a start has written lasts too
-			if err := holds(again, want, acknowledged); err != nil {
+			if err := checkReopened(again, want, acknowledged); err != nil {
 				t.Fatalf("step %d, seed %d: second start: %v", step, seed, err)
 			}
-			sum += acknowledged
+			totalAcknowledged += acknowledged
 		}
 	}
-	if sum == 0 {
+	if totalAcknowledged == 0 {
 		t.Fatal("nothing was ever acknowledged")
 	}
 }
 
 // A log that acknowledges without an fsync is found by what the test above checks.
-func TestCrashFindsAMissingFsync(t *testing.T) {
-	want := states(t)
+func TestMissingFsyncIsDetected(t *testing.T) {
+	want := expectedStates(t)
 	for seed := range uint64(40) {
 		d := crashfs.New(seed)
-		l, err := Open(options(d))
+		l, err := Open(testOptions(d))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 			l.checksum = checksum
 			acknowledged++
 		}
-		if holds(d.Crash(), want, acknowledged) != nil {
+		if checkReopened(d.Crash(), want, acknowledged) != nil {
 			return
 		}
 	}
@@ -160,13 +160,13 @@
 
 func TestDamageIsRefused(t *testing.T) {
 	first := crashfs.New(1)
-	play(t, first)
+	runSaves(t, first)
 	size := len(first.Bytes(first.Names()[0]))
 	for at := 0; at < size; at++ {
 		d := crashfs.New(1)
-		play(t, d)
+		runSaves(t, d)
 		d.Bytes(d.Names()[0])[at] ^= 1 << (at % 8)
-		_, err := Open(options(d))
+		_, err := Open(testOptions(d))
 		var damaged *DamagedError
 		if !errors.As(err, &damaged) || damaged.Remedy() == "" {
 			t.Fatalf("a bit turned at byte %d of %d: %v", at, size, err)
@@ -175,19 +175,19 @@
 }
 
 func TestFailingDisk(t *testing.T) {
-	want := states(t)
-	for name, spoil := range map[string]func(*crashfs.FS){
+	want := expectedStates(t)
+	for name, breakDisk := range map[string]func(*crashfs.FS){
 		"fsync": func(d *crashfs.FS) { d.FailSync = true },
 		"full":  func(d *crashfs.FS) { d.Full = true },
 	} {
 		d := crashfs.New(2)
-		l, err := Open(options(d))
+		l, err := Open(testOptions(d))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, r := range saves {
 			if i == 2 {
-				spoil(d)
+				breakDisk(d)
 			}
 			err := l.Save(r.hardState, r.entries, r.snapshot)
 			var failed *IOError
@@ -197,28 +197,28 @@
 			d.FailSync, d.Full = false, false // the disk is well again; the log must not go on
 		}
 		l.Close()
-		if err := holds(d.Crash(), want, 2); err != nil {
+		if err := checkReopened(d.Crash(), want, 2); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestOthersAreRefused(t *testing.T) {
+func TestMismatchedLogIsRefused(t *testing.T) {
 	d := crashfs.New(1)
-	play(t, d)
+	runSaves(t, d)
 	for name, change := range map[string]func(*Options){
 		"cluster": func(o *Options) { o.Cluster = "b" },
 		"voter":   func(o *Options) { o.VoterID = 2 },
 		"voters":  func(o *Options) { o.Voters = []uint64{1, 2, 4} },
 	} {
-		o := options(d)
+		o := testOptions(d)
 		change(&o)
 		var other *MismatchError
 		if _, err := Open(o); !errors.As(err, &other) || other.Remedy() == "" {
 			t.Errorf("another %s: %v", name, err)
 		}
 	}
-	o := options(crashfs.New(1))
+	o := testOptions(crashfs.New(1))
 	o.Create = false
 	var missing *MissingError
 	if _, err := Open(o); !errors.As(err, &missing) || missing.Remedy() == "" {
--- a/internal/cluster/raftlog/read.go
+++ b/internal/cluster/raftlog/read.go
@@ -20,7 +20,7 @@
 		offset := r.offset
 		body, err := r.next()
 		if err != nil {
-			if r.frames < initialFrames || !r.tornTail() {
+			if r.frames < initialFrames || !r.atTornTail() {
 				return 0, &DamagedError{File: path, Offset: offset, Err: err}
 			}
 			return len(data) - offset, nil
@@ -57,7 +57,7 @@
 // checkHeader refuses a file that is not of this voter, and returns how many frames were written with the header.
 func (l *Log) checkHeader(path string, body []byte) (initialFrames int, err error) {
 	var h fileHeader
-	err = decoding.Unmarshal(body, &h)
+	err = decodeMode.Unmarshal(body, &h)
 	if err == nil && (h.Version < 1 || h.InitialFrames < 1) {
 		err = errFileHeader
 	}
--- a/internal/cluster/raftlog/record.go
+++ b/internal/cluster/raftlog/record.go
@@ -17,8 +17,8 @@
 	maxNestedLevels  = 8
 )
 
-// decoding bounds what a body may make the decoder allocate.
-var decoding = func() cbor.DecMode {
+// decodeMode bounds what a body may make the decoder allocate.
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -61,7 +61,7 @@
 
 // appendRecord appends a frame and returns its checksum, which continues the one before it.
 func appendRecord(b []byte, previousChecksum uint32, r record) ([]byte, uint32, error) {
-	stored, err := r.store()
+	stored, err := r.toStored()
 	if err != nil {
 		return b, previousChecksum, err
 	}
@@ -76,7 +76,7 @@
 	return b, checksum, nil
 }
 
-func (r *record) store() (s storedRecord, err error) {
+func (r *record) toStored() (s storedRecord, err error) {
 	if r.hardState != nil {
 		s.HardState, err = proto.Marshal(r.hardState)
 	}
@@ -93,7 +93,7 @@
 
 func decodeRecord(body []byte) (r record, err error) {
 	var stored storedRecord
-	if err := decoding.Unmarshal(body, &stored); err != nil {
+	if err := decodeMode.Unmarshal(body, &stored); err != nil {
 		return r, err
 	}
 	if stored.HardState != nil {
--- a/internal/cluster/seeds/seeds_test.go
+++ b/internal/cluster/seeds/seeds_test.go
@@ -11,21 +11,21 @@
 	"testing"
 )
 
-var some = []netip.AddrPort{netip.MustParseAddrPort("192.0.2.1:7946"), netip.MustParseAddrPort("[2001:db8::1]:7946")}
+var testAddresses = []netip.AddrPort{netip.MustParseAddrPort("192.0.2.1:7946"), netip.MustParseAddrPort("[2001:db8::1]:7946")}
 
 // What was enqueued last is there after a stop, and a start without a file has none.
-func TestKept(t *testing.T) {
+func TestLatestAddressesAreSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
 	if all, err := Load(path); err != nil || len(all) > 0 {
 		t.Errorf("%v, %v", all, err)
 	}
 	w := NewWriter(path)
-	w.Enqueue(some[:1])
-	w.Enqueue(some)
+	w.Enqueue(testAddresses[:1])
+	w.Enqueue(testAddresses)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	w.Run(ctx)
-	if all, err := Load(path); err != nil || !slices.Equal(all, some) {
+	if all, err := Load(path); err != nil || !slices.Equal(all, testAddresses) {
 		t.Errorf("%v, %v", all, err)
 	}
 	w.Enqueue(nil)
@@ -40,7 +40,7 @@
 }
 
 // A file that is not what was written is an error with its line, and nothing of it is used.
-func TestSpoilt(t *testing.T) {
+func TestMalformedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
 	for text, want := range map[string]string{"192.0.2.1:7946\nnoise\n": ":2: \"noise\"", "192.0.2.1:0\n": ":1:", "\x00\x01": ":1:", "a\n\nb\n": ":1:",
 		strings.Repeat("192.0.2.1:7946\n", maxAddresses+1): "one too many", strings.Repeat("x", maxFileBytes+1): "at most"} {
@@ -54,7 +54,7 @@
 	}
 	os.Remove(path)
 	w := NewWriter(filepath.Join(path, "no", "folder"))
-	w.Enqueue(some) // it can't be written, which is said and no more
+	w.Enqueue(testAddresses) // it can't be written, which is said and no more
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := w.Run(ctx); err != nil {
--- a/internal/filesystem/crashfs/crashfs.go
+++ b/internal/filesystem/crashfs/crashfs.go
@@ -81,8 +81,8 @@
 func (d *FS) Crash() *FS {
 	next := New(d.random.Uint64())
 	next.Damage = d.Damage
-	survivors := d.random.IntN(len(d.changes) + 1)
-	for _, change := range d.changes[:survivors] {
+	keptChanges := d.random.IntN(len(d.changes) + 1)
+	for _, change := range d.changes[:keptChanges] {
 		change(d.durable)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.durable)) {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// changeNames makes a change that becomes durable with SyncDir.
-func (d *FS) changeNames(change nameChange) error {
+// applyNameChange makes a change that becomes durable with SyncDir.
+func (d *FS) applyNameChange(change nameChange) error {
 	if err := d.step(); err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 // Create makes an empty file.
 func (d *FS) Create(name string) (filesystem.File, error) {
 	f := &file{}
-	err := d.changeNames(func(t fileTable) { t[name] = f })
+	err := d.applyNameChange(func(t fileTable) { t[name] = f })
 	if err != nil {
 		return nil, err
 	}
@@ -153,7 +153,7 @@
 
 // Rename moves a file over another; one that is not there is no error.
 func (d *FS) Rename(from, to string) error {
-	return d.changeNames(func(t fileTable) {
+	return d.applyNameChange(func(t fileTable) {
 		if f := t[from]; f != nil {
 			t[to] = f
 			delete(t, from)
@@ -163,7 +163,7 @@
 
 // Remove removes a file; one that is not there is no error.
 func (d *FS) Remove(name string) error {
-	return d.changeNames(func(t fileTable) { delete(t, name) })
+	return d.applyNameChange(func(t fileTable) { delete(t, name) })
 }
 
 // SyncDir makes the names of all directories durable.
--- a/internal/filesystem/crashfs/crashfs_test.go
+++ b/internal/filesystem/crashfs/crashfs_test.go
@@ -16,8 +16,8 @@
 	unsynced = "written after it"
 )
 
-// written is a disk with a durable file, unsynced bytes behind its content, and a file whose name is not durable.
-func written(t *testing.T, seed uint64) *FS {
+// diskWithUnsyncedData is a disk with a durable file, unsynced bytes behind its content, and a file whose name is not durable.
+func diskWithUnsyncedData(t *testing.T, seed uint64) *FS {
 	t.Helper()
 	d := New(seed)
 	f, err := filesystem.CreateSynced(d, "dir/old", []byte(synced))
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			seen := map[string]bool{}
 			for seed := range uint64(200) {
-				d := written(t, seed)
+				d := diskWithUnsyncedData(t, seed)
 				d.Damage = damage
 				after := d.Crash()
 				data := after.Bytes("dir/old")
@@ -70,8 +70,8 @@
 
 // From the chosen step on each call fails.
 func TestCrashAt(t *testing.T) {
-	undisturbed := written(t, 1)
-	for step := 1; step <= undisturbed.Steps; step++ {
+	faultFree := diskWithUnsyncedData(t, 1)
+	for step := 1; step <= faultFree.Steps; step++ {
 		d := New(1)
 		d.CrashAt = step
 		f, err := filesystem.CreateSynced(d, "dir/old", []byte(synced))
--- a/internal/filesystem/crashfs/file.go
+++ b/internal/filesystem/crashfs/file.go
@@ -52,15 +52,15 @@
 	if len(unsynced) == 0 {
 		return data
 	}
-	survivors := d.random.IntN(len(unsynced) + 1)
-	data = append(data, unsynced[:survivors]...)
+	keptBytes := d.random.IntN(len(unsynced) + 1)
+	data = append(data, unsynced[:keptBytes]...)
 	switch d.Damage {
 	case UnwrittenSector:
-		if d.random.IntN(2) == 0 && survivors > 0 {
+		if d.random.IntN(2) == 0 && keptBytes > 0 {
 			d.clearSector(data, f.syncedBytes)
 		}
 	case FlippedBit:
-		if survivors > 0 && d.random.IntN(2) == 0 {
+		if keptBytes > 0 && d.random.IntN(2) == 0 {
 			data[len(data)-1] ^= 1 << d.random.IntN(8)
 		}
 	}
