--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -37,7 +37,7 @@
 				var notifiedAt, moved time.Time
 				var c *Client
 				backoff := 500 * time.Millisecond
-				c = NewClient("old", reader(), 10*time.Second, 40, true, func(l *List, err error) {
+				c = NewClient("old", testReader(), 10*time.Second, 40, true, func(l *List, err error) {
 					mu.Lock()
 					defer mu.Unlock()
 					if err == nil && l.Version == 7 && notifiedAt.IsZero() {
@@ -68,7 +68,7 @@
 						mu.Unlock()
 						go func() {
 							if time.Sleep(wait); status > 0 {
-								far.Write(httpwire.AppendResponse(nil, status, true, []byte(list(map[string]int{"old": 40, "new": 7}[addr], true))))
+								far.Write(httpwire.AppendResponse(nil, status, true, []byte(listJSON(map[string]int{"old": 40, "new": 7}[addr], true))))
 							}
 							far.Close()
 						}()
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -13,9 +13,9 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// paced is a client with a backoff, before stand-ins that are dialled in turn.
-func paced(t *testing.T, dial func(n int) (net.Conn, error)) (got *[]string, stop func()) {
-	c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
+// startClientWithBackoff is a client with a backoff, before stand-ins that are dialled in turn.
+func startClientWithBackoff(t *testing.T, dial func(n int) (net.Conn, error)) (got *[]string, stop func()) {
+	c := NewClient("127.0.0.1:1", testReader(), 20*time.Second, 0, false, nil)
 	c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond,
 		MaxPollDelay: 500 * time.Millisecond, BrokerCount: 10}, 3), 0, false)
 	c.jitter = noJitter
@@ -38,8 +38,8 @@
 	return got, cancel
 }
 
-// answers is a discovery that answers each call in turn by what it is given, then holds the next.
-func answers(bodies ...string) net.Conn {
+// serveAnswers is a discovery that answers each call in turn by what it is given, then holds the next.
+func serveAnswers(bodies ...string) net.Conn {
 	near, far := net.Pipe()
 	go func() {
 		in := httpwire.NewReader(far)
@@ -65,7 +65,7 @@
 // Discovery that can't be reached is connected to until that succeeds; one that is silent or overloaded is left alone in
 // between; one failure of an outage is notified, and then the list.
 func TestBackoffDuringOutage(t *testing.T) {
-	whole := list(7, true, line("s-1", "10.0.0.1:80", "in_service", 0))
+	fullList := listJSON(7, true, instanceJSON("s-1", "10.0.0.1:80", "in_service", 0))
 	for what, c := range map[string]struct {
 		conns    func(n int) (net.Conn, error)
 		within   time.Duration
@@ -75,38 +75,38 @@
 			if n <= 20 {
 				return nil, io.ErrClosedPipe
 			}
-			return answers(whole), nil
+			return serveAnswers(fullList), nil
 		}, 7 * time.Second, "[failed 7127.0.0.1:1]"},
 		"silent, then well": {func(n int) (net.Conn, error) {
 			if n <= 2 {
-				return answers(""), nil
+				return serveAnswers(""), nil
 			}
-			return answers(whole), nil
+			return serveAnswers(fullList), nil
 		}, 5 * time.Second, "[failed 7127.0.0.1:1]"},
 		"overloaded, then well": {func(n int) (net.Conn, error) {
 			if n <= 2 {
-				return answers("overloaded"), nil
+				return serveAnswers("overloaded"), nil
 			}
-			return answers(whole), nil
+			return serveAnswers(fullList), nil
 		}, 2 * time.Second, "[failed 7127.0.0.1:1]"},
 		"nonsense, then well": {func(n int) (net.Conn, error) {
 			if n <= 2 {
-				return answers("{}"), nil
+				return serveAnswers("{}"), nil
 			}
-			return answers(whole), nil
+			return serveAnswers(fullList), nil
 		}, 2 * time.Second, "[failed 7127.0.0.1:1]"},
 		"well, then flapping to an older version": {func(n int) (net.Conn, error) {
 			if n == 1 {
-				return answers(whole, "overloaded"), nil
+				return serveAnswers(fullList, "overloaded"), nil
 			}
 			if n == 2 {
-				return answers(list(3, true)), nil
+				return serveAnswers(listJSON(3, true)), nil
 			}
-			return answers(list(3, true)), nil
+			return serveAnswers(listJSON(3, true)), nil
 		}, 3500 * time.Millisecond, "[7127.0.0.1:1 failed 3127.0.0.1:1]"}, // the watch that follows is overdue later
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			got, stop := paced(t, c.conns)
+			got, stop := startClientWithBackoff(t, c.conns)
 			time.Sleep(c.within)
 			synctest.Wait()
 			stop()
@@ -121,7 +121,7 @@
 // A change of address, or the end, is not delayed by the wait for a discovery that is down.
 func TestChangeAddressWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewClient("127.0.0.1:1", reader(), 20*time.Second, 0, false, nil)
+		c := NewClient("127.0.0.1:1", testReader(), 20*time.Second, 0, false, nil)
 		c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 10 * time.Second, BrokerCount: 1}, 3), 0, false)
 		at := make(chan time.Duration, 4)
 		begun := time.Now()
@@ -134,7 +134,7 @@
 			if addr == "127.0.0.1:1" {
 				return nil, io.ErrClosedPipe
 			}
-			return answers(list(3, true)), nil
+			return serveAnswers(listJSON(3, true)), nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -13,18 +13,18 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// turns is a discovery that works through requests one after the other. One that has waited too long by its turn is rejected; one
+// serialService is a discovery that works through requests one after the other. One that has waited too long by its turn is rejected; one
 // whose client has gone costs as much as any other.
-type turns struct {
-	mu    sync.Mutex
-	each  time.Duration
-	free  time.Time // when the calls so far are done
-	calls int
+type serialService struct {
+	mu         sync.Mutex
+	perRequest time.Duration
+	freeAt     time.Time // when the calls so far are done
+	calls      int
 }
 
-const refusedAfter = 2 * time.Second
+const rejectedAfter = 2 * time.Second
 
-func (s *turns) dial(context.Context, string, string) (net.Conn, error) {
+func (s *serialService) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
 		defer far.Close()
@@ -40,18 +40,18 @@
 			s.mu.Lock()
 			s.calls++
 			now := time.Now()
-			if s.free.Before(now) {
-				s.free = now
+			if s.freeAt.Before(now) {
+				s.freeAt = now
 			}
-			wait, status := s.free.Sub(now)+s.each, 200
-			if wait > refusedAfter {
-				wait, status = refusedAfter, 503
+			wait, status := s.freeAt.Sub(now)+s.perRequest, 200
+			if wait > rejectedAfter {
+				wait, status = rejectedAfter, 503
 			} else {
-				s.free = s.free.Add(s.each)
+				s.freeAt = s.freeAt.Add(s.perRequest)
 			}
 			s.mu.Unlock()
 			time.Sleep(wait)
-			far.Write(httpwire.AppendResponse(nil, status, false, []byte(list(7, true))))
+			far.Write(httpwire.AppendResponse(nil, status, false, []byte(listJSON(7, true))))
 		}
 	}()
 	return near, nil
@@ -63,7 +63,7 @@
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
 			const brokers = 7
-			s := &turns{each: 400 * time.Millisecond}
+			s := &serialService{perRequest: 400 * time.Millisecond}
 			var mu sync.Mutex
 			notifiedAt := map[int]time.Duration{}
 			ctx, cancel := context.WithCancel(t.Context())
@@ -71,7 +71,7 @@
 			for i := range brokers {
 				var c *Client
 				backoff := 500 * time.Millisecond
-				c = NewClient("old", reader(), 10*time.Second, 0, false, func(l *List, err error) {
+				c = NewClient("old", testReader(), 10*time.Second, 0, false, func(l *List, err error) {
 					mu.Lock()
 					defer mu.Unlock()
 					if err != nil { // the module asks again
@@ -98,8 +98,8 @@
 	}
 }
 
-// next is what comes within a time that no test should need.
-func next(t *testing.T, from <-chan string) string {
+// receive is what comes within a time that no test should need.
+func receive(t *testing.T, from <-chan string) string {
 	t.Helper()
 	select {
 	case got := <-from:
@@ -111,7 +111,7 @@
 }
 
 // A watch that breaks is opened anew at once, and nobody is notified; if that fails too it is an outage, which is notified.
-func TestBrokenWatchIsOpenedAnew(t *testing.T) {
+func TestBrokenWatchIsReopened(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -135,30 +135,30 @@
 					conn.(*net.TCPConn).SetLinger(0)
 					break
 				}
-				conn.Write(httpwire.AppendResponse(nil, 200, n == 2, []byte(list(41+n, true))))
+				conn.Write(httpwire.AppendResponse(nil, 200, n == 2, []byte(listJSON(41+n, true))))
 			}
 			conn.Close()
 		}
 	}()
 	notified := make(chan string, 100)
-	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 0, false, versions(notified))
+	c := NewClient(ln.Addr().String(), testReader(), 3*time.Second, 0, false, sendVersions(notified))
 	c.jitter = noJitter
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- c.Run(ctx) }()
 	c.Poll()
 	for _, want := range []string{"", "index=41&wait=3000", "index=41&wait=0"} {
-		if got := next(t, polled); got != want {
+		if got := receive(t, polled); got != want {
 			t.Errorf("polled %q, want %q", got, want)
 		}
 	}
 	for _, want := range []string{"41", "failed"} { // the second connection broke as well
-		if got := next(t, notified); got != want {
+		if got := receive(t, notified); got != want {
 			t.Errorf("notified %s, want %s", got, want)
 		}
 	}
 	c.Poll()
-	if got := next(t, notified); got != "43" {
+	if got := receive(t, notified); got != "43" {
 		t.Errorf("notified %s, want 43", got)
 	}
 	cancel()
@@ -169,10 +169,10 @@
 func TestFullListOfAnOlderVersionIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var notified []string
-		c := NewClient("d", reader(), 3*time.Second, 40, true, func(l *List, err error) {
+		c := NewClient("d", testReader(), 3*time.Second, 40, true, func(l *List, err error) {
 			notified = append(notified, fmt.Sprint(err, l != nil && l.Full))
 		})
-		c.dial = func(context.Context, string, string) (net.Conn, error) { return answers(list(3, true)), nil }
+		c.dial = func(context.Context, string, string) (net.Conn, error) { return serveAnswers(listJSON(3, true)), nil }
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		c.Poll()
@@ -185,8 +185,8 @@
 	})
 }
 
-// versions notes each notification as a version, or as a failure.
-func versions(notified chan<- string) func(*List, error) {
+// sendVersions notes each notification as a version, or as a failure.
+func sendVersions(notified chan<- string) func(*List, error) {
 	return func(l *List, err error) {
 		if err != nil {
 			notified <- "failed"
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	replies := []string{list(41, true), list(43, false), "503", "reset", list(42, false), "garbled", list(44, true)}
+	replies := []string{listJSON(41, true), listJSON(43, false), "503", "reset", listJSON(42, false), "garbled", listJSON(44, true)}
 	polled := make(chan string, 100)
 	go func() {
 		next := 0
@@ -52,7 +52,7 @@
 		}
 	}()
 	notified := make(chan string, 100)
-	c := NewClient(ln.Addr().String(), reader(), 3*time.Second, 40, true, versions(notified))
+	c := NewClient(ln.Addr().String(), testReader(), 3*time.Second, 40, true, sendVersions(notified))
 	c.jitter = noJitter
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
@@ -79,7 +79,7 @@
 func TestChangeAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var notified []string
-		c := NewClient("old", reader(), 10*time.Second, 40, true, func(l *List, err error) {
+		c := NewClient("old", testReader(), 10*time.Second, 40, true, func(l *List, err error) {
 			if err != nil {
 				notified = append(notified, "failed")
 			} else {
@@ -90,19 +90,19 @@
 			if addr == "dead" {
 				return nil, io.ErrUnexpectedEOF
 			}
-			here, there := net.Pipe()
+			near, far := net.Pipe()
 			go func() {
-				defer there.Close()
-				for in := httpwire.NewReader(there); ; {
+				defer far.Close()
+				for in := httpwire.NewReader(far); ; {
 					m, err := httpwire.ReadRequest(in)
 					if err != nil || m.Query != "" { // a watch is held for ever
-						io.Copy(io.Discard, there)
+						io.Copy(io.Discard, far)
 						return
 					}
-					there.Write(httpwire.AppendResponse(nil, 200, false, []byte(list(len(addr), true))))
+					far.Write(httpwire.AppendResponse(nil, 200, false, []byte(listJSON(len(addr), true))))
 				}
 			}()
-			return here, nil
+			return near, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
@@ -127,28 +127,28 @@
 func TestChangeAddressAndSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var notified []string
-		c := NewClient("old", reader(), 20*time.Second, 0, false, func(l *List, err error) {
+		c := NewClient("old", testReader(), 20*time.Second, 0, false, func(l *List, err error) {
 			notified = append(notified, fmt.Sprint(l.CellCount, err))
 		})
 		polled := make(chan string, 9)
 		c.jitter = noJitter
 		c.dial = func(context.Context, string, string) (net.Conn, error) {
-			here, there := net.Pipe()
+			near, far := net.Pipe()
 			go func() {
-				defer there.Close()
-				for in := httpwire.NewReader(there); ; {
+				defer far.Close()
+				for in := httpwire.NewReader(far); ; {
 					m, err := httpwire.ReadRequest(in)
 					if err != nil {
 						return
 					}
 					if polled <- m.Query; m.Query != "" {
-						io.Copy(io.Discard, there)
+						io.Copy(io.Discard, far)
 						return
 					}
-					there.Write(httpwire.AppendResponse(nil, 200, false, []byte(list(3, true))))
+					far.Write(httpwire.AppendResponse(nil, 200, false, []byte(listJSON(3, true))))
 				}
 			}()
-			return here, nil
+			return near, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
@@ -156,7 +156,7 @@
 		synctest.Wait()
 		c.Poll()
 		synctest.Wait()
-		other := reader()
+		other := testReader()
 		other.CellCount += 4
 		c.ChangeAddress("old", &Settings{Reader: other, MaxWatchTime: 2 * time.Second})
 		synctest.Wait()
@@ -169,7 +169,7 @@
 		for q := range polled {
 			queries = append(queries, q)
 		}
-		first, then := fmt.Sprint(reader().CellCount, nil), fmt.Sprint(other.CellCount, nil)
+		first, then := fmt.Sprint(testReader().CellCount, nil), fmt.Sprint(other.CellCount, nil)
 		if got := strings.Join(queries, " "); got != " index=3&wait=3000  index=3&wait=2000" {
 			t.Errorf("polled %q", got)
 		}
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -17,22 +17,22 @@
 // Whatever a service answers that is no list, nothing of it is applied, one line says what is wrong and another what an operator can do,
 // and the full list is asked for next.
 func TestWrongAnswersChangeNothing(t *testing.T) {
-	good := line("s-1", "10.0.0.1:80", "in_service", 0)
+	good := instanceJSON("s-1", "10.0.0.1:80", "in_service", 0)
 	for what, answer := range map[string]string{
 		"no JSON":           "{",
 		"no version":        `{"reset":true,"instances":[]}`,
-		"an unknown state":  list(41, true, good, line("s-2", "10.0.0.2:80", "resting", 0)),
-		"an address amiss":  list(41, true, good, line("s-2", "10.0.0.2", "in_service", 0)),
-		"changes to an old": list(39, false, good),
+		"an unknown state":  listJSON(41, true, good, instanceJSON("s-2", "10.0.0.2:80", "resting", 0)),
+		"an address amiss":  listJSON(41, true, good, instanceJSON("s-2", "10.0.0.2", "in_service", 0)),
+		"changes to an old": listJSON(39, false, good),
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var failures []error
-			c := NewClient("d:1", reader(), 3*time.Second, 40, true, func(l *List, err error) {
+			c := NewClient("d:1", testReader(), 3*time.Second, 40, true, func(l *List, err error) {
 				if failures = append(failures, err); l != nil {
 					t.Errorf("%s: a list was applied", what)
 				}
 			})
-			c.dial = func(context.Context, string, string) (net.Conn, error) { return answers(answer), nil }
+			c.dial = func(context.Context, string, string) (net.Conn, error) { return serveAnswers(answer), nil }
 			ctx, cancel := context.WithCancel(t.Context())
 			go c.Run(ctx)
 			c.Poll()
@@ -48,9 +48,9 @@
 }
 
 // An answer that never ends, however it trickles, ends with its own request; the next is made all the same.
-func TestEndlessAnswerEnds(t *testing.T) {
+func TestEndlessAnswerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewClient("d:1", reader(), 3*time.Second, 40, true, func(l *List, err error) {})
+		c := NewClient("d:1", testReader(), 3*time.Second, 40, true, func(l *List, err error) {})
 		var dials atomic.Int32
 		c.dial = func(context.Context, string, string) (net.Conn, error) {
 			dials.Add(1)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -15,23 +15,25 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-var start = time.UnixMilli(1_000_000)
+var brokerStart = time.UnixMilli(1_000_000)
 
-func reader() Reader { return Reader{Zones: []string{"a", "b"}, CellCount: 3, StartedAt: start} }
+func testReader() Reader {
+	return Reader{Zones: []string{"a", "b"}, CellCount: 3, StartedAt: brokerStart}
+}
 
-func list(version int, whole bool, lines ...string) string {
-	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, version, whole, strings.Join(lines, ","))
+func listJSON(version int, full bool, instances ...string) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, version, full, strings.Join(instances, ","))
 }
 
-func line(name, addr, state string, started int) string {
+func instanceJSON(name, addr, state string, started int) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"b","machineType":"m","cell":2,"lifecycle":%q,`+
 		`"weight":1.0,"startedAtMs":%d}`, name, addr, state, started)
 }
 
 func TestDecode(t *testing.T) {
-	rd := reader()
-	got, err := rd.Decode([]byte(list(41, true, line("s-1", "10.0.0.1:80", "in_service", 0),
-		line("s-2", "10.0.0.2:80", "terminating", 1_002_500), line("s-3", "", "terminated", 0))))
+	rd := testReader()
+	got, err := rd.Decode([]byte(listJSON(41, true, instanceJSON("s-1", "10.0.0.1:80", "in_service", 0),
+		instanceJSON("s-2", "10.0.0.2:80", "terminating", 1_002_500), instanceJSON("s-3", "", "terminated", 0))))
 	if err != nil || got.Version != 41 || !got.Full || len(got.Nodes) != 3 {
 		t.Fatalf("%v, %+v", err, got)
 	}
@@ -44,10 +46,10 @@
 		t.Errorf("read as %+v", e)
 	}
 	// One bad entry spoils the list: half a list may hide a drain.
-	for _, bad := range []string{"", "[]", `{"instances":[]}`, list(1, true, line("s-1", "here", "in_service", 0)),
-		list(1, true, line("", "10.0.0.1:80", "in_service", 0)), list(1, true, line("s-1", "10.0.0.1:80", "asleep", 0)),
-		list(1, true, line("s-1", "10.0.0.1:80", "in_service", -1)), list(1, true, strings.Replace(
-			line("s-1", "10.0.0.1:80", "in_service", 0), `"cell":2`, `"cell":3`, 1))} {
+	for _, bad := range []string{"", "[]", `{"instances":[]}`, listJSON(1, true, instanceJSON("s-1", "here", "in_service", 0)),
+		listJSON(1, true, instanceJSON("", "10.0.0.1:80", "in_service", 0)), listJSON(1, true, instanceJSON("s-1", "10.0.0.1:80", "asleep", 0)),
+		listJSON(1, true, instanceJSON("s-1", "10.0.0.1:80", "in_service", -1)), listJSON(1, true, strings.Replace(
+			instanceJSON("s-1", "10.0.0.1:80", "in_service", 0), `"cell":2`, `"cell":3`, 1))} {
 		got, err := rd.Decode([]byte(bad))
 		if !errors.As(err, new(*ListError)) {
 			t.Errorf("%.60q read as %+v, %v", bad, got, err)
@@ -73,14 +75,14 @@
 func TestIndentedList(t *testing.T) {
 	var lines []string
 	for i := range 200 {
-		lines = append(lines, line(fmt.Sprintf("s-%08x", i), "10.0.0.1:80", "terminating", 1_002_500))
+		lines = append(lines, instanceJSON(fmt.Sprintf("s-%08x", i), "10.0.0.1:80", "terminating", 1_002_500))
 	}
-	plain := list(41, true, lines...)
+	plain := listJSON(41, true, lines...)
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(plain), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	rd := reader()
+	rd := testReader()
 	want, err := rd.Decode([]byte(plain))
 	if err != nil {
 		t.Fatal(err)
@@ -97,9 +99,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(list(41, true, line("s-1", "10.0.0.1:80", "in_service", 5))))
+	f.Add([]byte(listJSON(41, true, instanceJSON("s-1", "10.0.0.1:80", "in_service", 5))))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		rd := reader()
+		rd := testReader()
 		if l, err := rd.Decode(raw); err == nil {
 			for _, n := range l.Nodes {
 				if n.Name == "" || n.Endpoint.Cell >= 3 || !n.Address.IsValid() && n.Endpoint.State != decision.Removed {
--- a/internal/discovery/nodelist/bench_test.go
+++ b/internal/discovery/nodelist/bench_test.go
@@ -13,9 +13,9 @@
 // What it costs to keep one change of a list, in the three ways that the design note compares: the whole list in one file
 // that is replaced, this package's journal, and an embedded store of the registry.
 func BenchmarkKeepOneChange(b *testing.B) {
-	ways := []struct {
+	methods := []struct {
 		name string
-		open func(b *testing.B, dir string, first cachedlist.Changes) (keep func(cachedlist.Entry) error)
+		open func(b *testing.B, dir string, first cachedlist.Changes) (save func(cachedlist.Entry) error)
 	}{
 		{"replaced", func(b *testing.B, dir string, first cachedlist.Changes) func(cachedlist.Entry) error {
 			s, _ := Open(Options{Directory: dir, Deployment: "x"})
@@ -59,17 +59,17 @@
 		}},
 	}
 	for _, n := range []int{16, 1000, 100_000} {
-		for _, way := range ways {
-			b.Run(fmt.Sprintf("%s/%d", way.name, n), func(b *testing.B) {
-				first := many(n)
-				keep := way.open(b, b.TempDir(), first)
-				if err := keep(first.Put[0]); err != nil {
+		for _, method := range methods {
+			b.Run(fmt.Sprintf("%s/%d", method.name, n), func(b *testing.B) {
+				first := manyEntries(n)
+				save := method.open(b, b.TempDir(), first)
+				if err := save(first.Put[0]); err != nil {
 					b.Fatal(err)
 				}
 				for i := 0; b.Loop(); i++ {
 					e := first.Put[i%n]
 					e.StateSince = cachedlist.Timestamp(i)
-					if err := keep(e); err != nil {
+					if err := save(e); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -84,7 +84,7 @@
 		b.Fatal(err)
 	}
 	defer db.Close()
-	all := many(100_000).Put
+	all := manyEntries(100_000).Put
 	err = db.Update(func(tx *bbolt.Tx) error {
 		k, err := tx.CreateBucket([]byte("entries"))
 		for i := 0; err == nil && i < len(all); i++ {
--- a/internal/discovery/nodelist/frame.go
+++ b/internal/discovery/nodelist/frame.go
@@ -38,9 +38,9 @@
 	body bytes.Buffer
 }
 
-// frame reads one frame into v. It returns io.EOF at the end of the file, errTorn within a frame, and errDamaged for what no broker
+// readFrame reads one frame into v. It returns io.EOF at the end of the file, errTorn within a frame, and errDamaged for what no broker
 // wrote; other errors are those of reading.
-func (r *reader) frame(v any) error {
+func (r *reader) readFrame(v any) error {
 	var header [frameHeaderBytes]byte
 	if n, err := io.ReadFull(r.in, header[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// requiredFrame reads one frame where a whole file has one.
-func (r *reader) requiredFrame(v any) error {
-	err := r.frame(v)
+// readRequiredFrame reads one frame where a whole file has one.
+func (r *reader) readRequiredFrame(v any) error {
+	err := r.readFrame(v)
 	if errors.Is(err, io.EOF) {
 		return errTorn
 	}
@@ -93,7 +93,7 @@
 	if string(magic) != fileMagic {
 		return h, fmt.Errorf("%w: not a node list", errDamaged)
 	}
-	if err := r.requiredFrame(&h); err != nil {
+	if err := r.readRequiredFrame(&h); err != nil {
 		return h, err
 	}
 	switch {
--- a/internal/discovery/nodelist/nodelist_test.go
+++ b/internal/discovery/nodelist/nodelist_test.go
@@ -22,7 +22,7 @@
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if dir := os.Getenv("NODELIST_CHILD"); dir != "" {
-		child(dir)
+		runChild(dir)
 	}
 	os.Exit(m.Run())
 }
@@ -36,12 +36,12 @@
 	return Options{Directory: "d", Deployment: "x", FS: d, Unlocked: true, MinJournalBytes: 400}
 }
 
-// play writes one state after the other until the disk fails. states[i] is what the list held after i changes; acknowledged is how
+// writeRandomChanges writes one state after the other until the disk fails. states[i] is what the list held after i changes; acknowledged is how
 // many of them the store said were durable.
-func play(s *Store, rnd *rand.Rand, first map[string]cachedlist.Entry, changes int) (states []map[string]cachedlist.Entry, acknowledged int) {
-	now := map[string]cachedlist.Entry{}
-	maps.Copy(now, first)
-	states = append(states, maps.Clone(now))
+func writeRandomChanges(s *Store, rnd *rand.Rand, first map[string]cachedlist.Entry, changes int) (states []map[string]cachedlist.Entry, acknowledged int) {
+	current := map[string]cachedlist.Entry{}
+	maps.Copy(current, first)
+	states = append(states, maps.Clone(current))
 	for i := range changes {
 		var c cachedlist.Changes
 		c.Head.Generation = uint64(i)
@@ -49,18 +49,18 @@
 			e := entry(rnd.IntN(12))
 			if rnd.IntN(4) == 0 {
 				c.Removed = append(c.Removed, e.Name)
-				delete(now, e.Name)
+				delete(current, e.Name)
 			} else {
 				e.StateSince = cachedlist.Timestamp(100 + i)
 				c.Put = append(c.Put, e)
-				now[e.Name] = e
+				current[e.Name] = e
 			}
 		}
 		// In one call the later word counts, as in Put: removals are taken last.
 		for _, name := range c.Removed {
-			delete(now, name)
+			delete(current, name)
 		}
-		states = append(states, maps.Clone(now))
+		states = append(states, maps.Clone(current))
 		s.Enqueue(c)
 		if s.Flush() != nil {
 			return states, acknowledged
@@ -91,7 +91,7 @@
 	disk.Damage = damage
 	random := rand.New(rand.NewPCG(seed, 9))
 	s, _ := Open(options(disk))
-	states, acknowledged := play(s, random, nil, 40)
+	states, acknowledged := writeRandomChanges(s, random, nil, 40)
 	after := disk.Crash()
 	s, c := Open(options(after))
 	found := slices.ContainsFunc(states[acknowledged:], func(state map[string]cachedlist.Entry) bool {
@@ -100,7 +100,7 @@
 	if !found {
 		t.Fatalf("seed %d, step %d: %d states acknowledged; read %d entries, faults %v", seed, step, acknowledged, len(c.Entries), c.FileErrors)
 	}
-	more, acknowledged := play(s, random, c.Entries, 5)
+	more, acknowledged := writeRandomChanges(s, random, c.Entries, 5)
 	if acknowledged != 5 {
 		t.Fatalf("seed %d, step %d: writing did not go on", seed, step)
 	}
@@ -114,7 +114,7 @@
 func TestDiskFull(t *testing.T) {
 	disk := crashfs.New(1)
 	s, _ := Open(options(disk))
-	states, _ := play(s, rand.New(rand.NewPCG(1, 1)), nil, 10)
+	states, _ := writeRandomChanges(s, rand.New(rand.NewPCG(1, 1)), nil, 10)
 	disk.Full = true
 	s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(50)}})
 	for range 3 {
@@ -139,7 +139,7 @@
 func TestFlippedBytes(t *testing.T) {
 	disk := crashfs.New(1)
 	s, _ := Open(options(disk))
-	states, _ := play(s, rand.New(rand.NewPCG(5, 5)), nil, 12)
+	states, _ := writeRandomChanges(s, rand.New(rand.NewPCG(5, 5)), nil, 12)
 	for _, name := range disk.Names() {
 		data := disk.Bytes(name)
 		for i := range data {
@@ -162,7 +162,7 @@
 
 // What can't be read is set aside under a name that says why; the broker goes on without it.
 func TestSetAside(t *testing.T) {
-	for what, c := range map[string]struct {
+	for suffix, c := range map[string]struct {
 		deployment string
 		spoil      func(b []byte) []byte
 	}{
@@ -184,16 +184,16 @@
 		b, _ := os.ReadFile(path)
 		os.WriteFile(path, c.spoil(b), 0o600)
 		s, content := Open(Options{Directory: dir, Deployment: c.deployment})
-		if _, err := os.Stat(path + what); err != nil || content.Found || len(content.Entries) > 0 {
-			t.Errorf("%s: %v, %+v", what, err, content)
+		if _, err := os.Stat(path + suffix); err != nil || content.Found || len(content.Entries) > 0 {
+			t.Errorf("%s: %v, %+v", suffix, err, content)
 		}
 		s.Enqueue(cachedlist.Changes{Put: []cachedlist.Entry{entry(2)}})
 		if err := s.Flush(); err != nil {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", suffix, err)
 		}
 		s.Close()
 		if content, _ := Read(filesystem.Local{}, dir, c.deployment); len(content.Entries) != 1 || content.Entries["node-2"] != entry(2) {
-			t.Errorf("%s: then read %+v", what, content)
+			t.Errorf("%s: then read %+v", suffix, content)
 		}
 	}
 }
--- a/internal/discovery/nodelist/process_test.go
+++ b/internal/discovery/nodelist/process_test.go
@@ -59,8 +59,8 @@
 	s.Close()
 }
 
-// child writes states until it is killed; each is told on standard output once it is kept.
-func child(dir string) {
+// runChild writes states until it is killed; each is told on standard output once it is kept.
+func runChild(dir string) {
 	s, _ := Open(Options{Directory: dir, Deployment: "x", MinJournalBytes: 2000})
 	for i := range 1 << 20 {
 		e := entry(i % 20)
@@ -86,12 +86,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		told, last := 0, -1
-		for told < 20+30*round {
+		confirmed, last := 0, -1
+		for confirmed < 20+30*round {
 			if _, err := fmt.Fscan(out, &last); err != nil {
 				t.Fatal(err)
 			}
-			told++
+			confirmed++
 		}
 		cmd.Process.Kill()
 		for {
@@ -111,7 +111,7 @@
 func FuzzRead(f *testing.F) {
 	disk := crashfs.New(1)
 	s, _ := Open(options(disk))
-	play(s, rand.New(rand.NewPCG(5, 5)), nil, 3)
+	writeRandomChanges(s, rand.New(rand.NewPCG(5, 5)), nil, 3)
 	snapshotPath := filepath.Join("d", snapshotName(1))
 	journalPath := filepath.Join("d", journalName(1))
 	f.Add(disk.Bytes(snapshotPath), disk.Bytes(journalPath))
@@ -131,7 +131,7 @@
 	})
 }
 
-func many(n int) (c cachedlist.Changes) {
+func manyEntries(n int) (c cachedlist.Changes) {
 	for i := range n {
 		e := entry(i % 250)
 		e.Name = fmt.Sprintf("node-%08x", i)
@@ -145,7 +145,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
 			s, _ := Open(Options{Directory: dir, Deployment: "x"})
-			s.Enqueue(many(n))
+			s.Enqueue(manyEntries(n))
 			if err := s.Flush(); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/discovery/nodelist/read.go
+++ b/internal/discovery/nodelist/read.go
@@ -28,7 +28,7 @@
 	c.Head = header.Head.decode(header.Deployment)
 	for len(c.Entries) < header.Entries {
 		var batch []storedEntry
-		if err := r.requiredFrame(&batch); err != nil {
+		if err := r.readRequiredFrame(&batch); err != nil {
 			return err
 		}
 		if len(batch) == 0 {
@@ -38,7 +38,7 @@
 			return err
 		}
 	}
-	err = r.frame(new([]storedEntry))
+	err = r.readFrame(new([]storedEntry))
 	if !errors.Is(err, io.EOF) || len(c.Entries) != header.Entries {
 		return fmt.Errorf("%w: more than the %d entries that it names", errDamaged, header.Entries)
 	}
@@ -81,7 +81,7 @@
 	}
 	for {
 		var change storedChange
-		if err := r.frame(&change); err != nil {
+		if err := r.readFrame(&change); err != nil {
 			return err
 		}
 		if err := c.put(change.Put); err != nil {
--- a/internal/discovery/nodelist/recorded_test.go
+++ b/internal/discovery/nodelist/recorded_test.go
@@ -31,7 +31,7 @@
 		ConfirmedAt: 1_700_000_200_000, ConfirmedBy: cachedlist.SourceEndpoint, StateSince: 1_700_000_190_000, Generation: 21}
 	recordedEnded = cachedlist.Entry{Name: "node-c", Cell: 1, State: cachedlist.Ended, ConfirmedBy: cachedlist.SourceOperator,
 		StateSince: 1_700_000_300_000, Generation: 12}
-	recordedGiven = cachedlist.Entry{Name: "node-d", Address: netip.MustParseAddrPort("192.0.2.4:9090"), Zone: "east", Cell: 1 << 20,
+	recordedConfigured = cachedlist.Entry{Name: "node-d", Address: netip.MustParseAddrPort("192.0.2.4:9090"), Zone: "east", Cell: 1 << 20,
 		ConfirmedBy: cachedlist.SourceConfiguration}
 )
 
@@ -40,7 +40,7 @@
 		ConfirmedAt: cachedlist.Timestamp(1_700_000_000_000 + generation)}
 }
 
-func byName(all ...cachedlist.Entry) map[string]cachedlist.Entry {
+func entriesByName(all ...cachedlist.Entry) map[string]cachedlist.Entry {
 	m := map[string]cachedlist.Entry{}
 	for _, e := range all {
 		m[e.Name] = e
@@ -55,9 +55,9 @@
 		entries map[string]cachedlist.Entry
 		faults  []string
 	}{
-		{"whole", recordedHead(24), byName(recordedReturned, recordedGiven), nil},
-		{"torn", recordedHead(23), byName(recordedReady, recordedReturned, recordedGiven), []string{"list-00000002.log"}},
-		{"damaged", recordedHead(22), byName(recordedReady, recordedReturned), []string{"list-00000002.snap"}},
+		{"whole", recordedHead(24), entriesByName(recordedReturned, recordedConfigured), nil},
+		{"torn", recordedHead(23), entriesByName(recordedReady, recordedReturned, recordedConfigured), []string{"list-00000002.log"}},
+		{"damaged", recordedHead(22), entriesByName(recordedReady, recordedReturned), []string{"list-00000002.snap"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			content, err := Read(filesystem.Local{}, filepath.Join("testdata", "recorded", c.name), recordedDeployment)
@@ -93,7 +93,7 @@
 			{Head: recordedHead(22), Removed: []string{"node-c"}},
 		},
 		{
-			{Head: recordedHead(23), Put: []cachedlist.Entry{recordedGiven}},
+			{Head: recordedHead(23), Put: []cachedlist.Entry{recordedConfigured}},
 			{Head: recordedHead(24), Removed: []string{"node-a"}},
 		},
 	}
--- a/internal/discovery/nodelist/requests.go
+++ b/internal/discovery/nodelist/requests.go
@@ -102,7 +102,7 @@
 		return r, err
 	}
 	var stored storedRequest
-	if err := in.requiredFrame(&stored); err != nil {
+	if err := in.readRequiredFrame(&stored); err != nil {
 		return r, err
 	}
 	r.Forget = stored.Forget
--- a/internal/discovery/nodelist/store.go
+++ b/internal/discovery/nodelist/store.go
@@ -47,8 +47,8 @@
 type storeState uint8
 
 const (
-	// storeUnlocked: the lock is not held. The next write tries to acquire it.
-	storeUnlocked storeState = iota
+	// storeWithoutLock: the lock is not held. The next write tries to acquire it.
+	storeWithoutLock storeState = iota
 	// storeSnapshotDue: no journal is open. The next write begins a generation.
 	storeSnapshotDue
 	// storeAppending: the next write appends to the journal, or begins a generation if that has become long.
@@ -107,7 +107,7 @@
 // acquireLock takes the lock, if it is not held: two brokers that write to one directory would each end what the other began. A
 // broker without it serves all the same, and tries again at each write.
 func (s *Store) acquireLock() error {
-	if s.state != storeUnlocked {
+	if s.state != storeWithoutLock {
 		return nil
 	}
 	if !s.options.Unlocked {
@@ -134,7 +134,7 @@
 }
 
 // HoldsLock tells whether this process is the one that writes.
-func (s *Store) HoldsLock() bool { return s.state != storeUnlocked }
+func (s *Store) HoldsLock() bool { return s.state != storeWithoutLock }
 
 // closeJournal has the next write begin a generation.
 func (s *Store) closeJournal() {
@@ -153,7 +153,7 @@
 		s.lock.Unlock()
 		s.lock.Close()
 	}
-	s.state = storeUnlocked
+	s.state = storeWithoutLock
 }
 
 // Enqueue leaves changes to be written, and never waits. What comes before the next write is written with it, so that no more than
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -12,27 +12,27 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// ending is a connection on which the race ends in the very moment in which the answer is read.
-type ending struct {
+// cancelingConn is a connection on which the race ends in the very moment in which the answer is read.
+type cancelingConn struct {
 	net.Conn
-	end    func()
-	answer []byte
-	closed chan struct{}
+	endRace func()
+	answer  []byte
+	closed  chan struct{}
 }
 
-func (e *ending) Write(b []byte) (int, error) { return len(b), nil }
+func (e *cancelingConn) Write(b []byte) (int, error) { return len(b), nil }
 
-func (e *ending) Read(b []byte) (int, error) {
+func (e *cancelingConn) Read(b []byte) (int, error) {
 	if e.answer == nil {
 		return 0, io.EOF
 	}
-	e.end()
+	e.endRace()
 	n := copy(b, e.answer)
 	e.answer = nil
 	return n, nil
 }
 
-func (e *ending) Close() error {
+func (e *cancelingConn) Close() error {
 	select {
 	case e.closed <- struct{}{}:
 	default:
@@ -41,12 +41,12 @@
 }
 
 // A request that is given up just when its answer was read leaves a closed connection that nobody uses again, and ends nothing else.
-func TestAnswerInTheMomentOfGivingUp(t *testing.T) {
+func TestAnswerReadAsRaceIsCanceled(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // what ends the connection runs after the answer was taken
 	for range 20 {
 		r := newRace(t.Context(), "d:1", nil)
-		e := &ending{end: r.cancel, closed: make(chan struct{}, 4), answer: httpwire.AppendResponse(nil, 200, false, []byte("{}"))}
-		o := r.exchange(&connection{Conn: e, in: httpwire.NewReader(e)}, attempt{target: path, Timeouts: polling.Timeouts{Timeout: time.Hour}})
+		e := &cancelingConn{endRace: r.cancel, closed: make(chan struct{}, 4), answer: httpwire.AppendResponse(nil, 200, false, []byte("{}"))}
+		o := r.exchange(&connection{Conn: e, in: httpwire.NewReader(e)}, attempt{target: listPath, Timeouts: polling.Timeouts{Timeout: time.Hour}})
 		if o.err != nil || o.answer == nil || o.conn != nil {
 			t.Fatalf("%+v", o)
 		}
@@ -58,11 +58,11 @@
 // A connection that comes up when the race is over is closed.
 func TestConnectionAfterTheRaceIsClosed(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	e := &ending{closed: make(chan struct{}, 4)}
+	e := &cancelingConn{closed: make(chan struct{}, 4)}
 	r := newRace(ctx, "d:1", func(context.Context, string, string) (net.Conn, error) {
 		cancel()
 		return e, nil
 	})
-	r.start(nil, attempt{target: path, Timeouts: polling.Timeouts{Timeout: time.Hour}})
+	r.start(nil, attempt{target: listPath, Timeouts: polling.Timeouts{Timeout: time.Hour}})
 	<-e.closed
 }
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	path = "/discovery/hosts"
+	listPath = "/discovery/hosts"
 
 	statusOK = 200
 )
@@ -39,7 +39,7 @@
 // firstAttempt is the one that a request begins with.
 func (c *Client) firstAttempt() attempt {
 	watch := c.versionKnown && !c.pollNext
-	first := c.poll()
+	first := c.pollAttempt()
 	if watch {
 		first.Timeouts = c.jitter.WatchTimeouts(c.maxWatchTime)
 		first.target = c.changesTarget(first.WatchTime)
@@ -55,18 +55,18 @@
 	return first
 }
 
-// poll asks for changes, or for the full list where no version is held, without waiting for a change.
-func (c *Client) poll() attempt {
-	poll := attempt{path, c.jitter.PollTimeouts()}
+// pollAttempt asks for changes, or for the full list where no version is held, without waiting for a change.
+func (c *Client) pollAttempt() attempt {
+	pollAttempt := attempt{listPath, c.jitter.PollTimeouts()}
 	if c.versionKnown {
-		poll.target = c.changesTarget(0)
+		pollAttempt.target = c.changesTarget(0)
 	}
-	return poll
+	return pollAttempt
 }
 
 // changesTarget is the HTTP target of a request for changes since the version held.
 func (c *Client) changesTarget(watchTime time.Duration) string {
-	return fmt.Sprintf("%s?index=%d&wait=%d", path, c.currentVersion, watchTime.Milliseconds())
+	return fmt.Sprintf("%s?index=%d&wait=%d", listPath, c.currentVersion, watchTime.Milliseconds())
 }
 
 // sendHedged makes an attempt, and hedges beside it for as long as the service doesn't answer, and returns the first answer. A service
@@ -87,7 +87,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-hedge.C:
-			next := c.poll()
+			next := c.pollAttempt()
 			r.start(nil, next)
 			hedge.Reset(next.HedgeDelay)
 		case o := <-r.outcomes:
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -19,7 +19,7 @@
 	for round := range 40 {
 		synctest.Test(t, func(t *testing.T) {
 			var calls atomic.Int32
-			c := NewClient("d", reader(), 10*time.Second, 40, true, nil)
+			c := NewClient("d", testReader(), 10*time.Second, 40, true, nil)
 			if round == 0 {
 				c.jitter = noJitter
 			}
@@ -41,7 +41,7 @@
 					}
 					if !watch {
 						time.Sleep(1900 * time.Millisecond)
-						far.Write(httpwire.AppendResponse(nil, 200, false, []byte(list(41, false, line("s-1", "10.0.0.1:80", "terminating", 0)))))
+						far.Write(httpwire.AppendResponse(nil, 200, false, []byte(listJSON(41, false, instanceJSON("s-1", "10.0.0.1:80", "terminating", 0)))))
 					}
 					httpwire.ReadRequest(in) // until it is closed
 				}()
@@ -75,7 +75,7 @@
 				var calls, failures atomic.Int32
 				var notifiedAfter atomic.Int64
 				begun := time.Now()
-				c := NewClient("d", reader(), 10*time.Second, 40, true, func(l *List, err error) {
+				c := NewClient("d", testReader(), 10*time.Second, 40, true, func(l *List, err error) {
 					if err != nil {
 						failures.Add(1)
 					} else if notifiedAfter.Load() == 0 {
@@ -89,9 +89,9 @@
 					calls.Add(1)
 					switch {
 					case time.Since(begun) >= down:
-						return answers(list(41, true)), nil
+						return serveAnswers(listJSON(41, true)), nil
 					case refuses:
-						return answers("overloaded"), nil
+						return serveAnswers("overloaded"), nil
 					default:
 						return nil, io.ErrClosedPipe
 					}
--- a/internal/discovery/run.go
+++ b/internal/discovery/run.go
@@ -45,7 +45,7 @@
 	}
 	c.closeIdleConnection("call_failed")
 	if c.backoff != nil {
-		return c.backOff(ctx, err)
+		return c.awaitBackoff(ctx, err)
 	}
 	return c.retry(ctx, err, time.Since(startedAt))
 }
@@ -88,8 +88,8 @@
 	sleep(ctx, delay)
 }
 
-// backOff notifies of the first failure of an outage and waits until discovery is to be polled again. It reports false where ctx ended.
-func (c *Client) backOff(ctx context.Context, err error) (again bool) {
+// awaitBackoff notifies of the first failure of an outage and waits until discovery is to be polled again. It reports false where ctx ended.
+func (c *Client) awaitBackoff(ctx context.Context, err error) (again bool) {
 	if !c.lastFailed {
 		c.notify(nil, err)
 	}
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -18,29 +18,29 @@
 
 func noJitter(time.Duration) time.Duration { return 0 }
 
-// service is a discovery that accepts every request. While it is silent it answers none, nor those that it had then.
-type service struct {
+// silentService is a discovery that accepts every request. While it is silent it answers none, nor those that it had then.
+type silentService struct {
 	mu      sync.Mutex
 	version int // that it tells
 	silent  bool
-	said    *sync.Cond
+	changed *sync.Cond
 	calls   []string
 }
 
-func newService() *service {
-	s := &service{version: 40}
-	s.said = sync.NewCond(&s.mu)
+func newSilentService() *silentService {
+	s := &silentService{version: 40}
+	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-func (s *service) set(version int, silent bool) {
+func (s *silentService) set(version int, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version, s.silent = version, silent
-	s.said.Broadcast()
+	s.changed.Broadcast()
 }
 
-func (s *service) dial(context.Context, string, string) (net.Conn, error) {
+func (s *silentService) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
 		defer far.Close()
@@ -51,7 +51,7 @@
 			}
 			s.mu.Lock()
 			s.calls = append(s.calls, m.Query)
-			deaf := s.silent
+			unanswered := s.silent
 			if held := fmt.Sprintf("index=%d", s.version); strings.HasPrefix(m.Query, held) && !strings.HasSuffix(m.Query, "wait=0") {
 				var wait int
 				fmt.Sscanf(strings.TrimPrefix(m.Query, held), "&wait=%d", &wait)
@@ -59,17 +59,17 @@
 				time.AfterFunc(time.Duration(wait)*time.Millisecond, func() {
 					s.mu.Lock()
 					over = true
-					s.said.Broadcast()
+					s.changed.Broadcast()
 					s.mu.Unlock()
 				})
 				for !over && strings.HasPrefix(m.Query, fmt.Sprintf("index=%d", s.version)) {
-					s.said.Wait()
-					deaf = deaf || s.silent
+					s.changed.Wait()
+					unanswered = unanswered || s.silent
 				}
 			}
-			answer := list(s.version, false)
+			answer := listJSON(s.version, false)
 			s.mu.Unlock()
-			if deaf {
+			if unanswered {
 				io.Copy(io.Discard, far)
 				return
 			}
@@ -81,15 +81,15 @@
 
 // One clock for silence: whatever a watch misses that has fallen silent is held 6 s after it fell silent at the latest,
 // and so is what a discovery sends that accepted requests and answered none for any time before, 6 s after it answers again.
-func TestSilenceHasOneClock(t *testing.T) {
+func TestListInTimeAfterSilence(t *testing.T) {
 	for _, withBackoff := range []bool{false, true} {
 		for _, silence := range []time.Duration{0, time.Second, 3 * time.Second, 9 * time.Second, 31 * time.Second} {
 			for _, known := range []bool{true, false} {
 				synctest.Test(t, func(t *testing.T) {
-					s := newService()
+					s := newSilentService()
 					var notifiedAt time.Time
 					failures := 0
-					c := NewClient("d:1", reader(), 10*time.Second, 40, known, func(l *List, err error) {
+					c := NewClient("d:1", testReader(), 10*time.Second, 40, known, func(l *List, err error) {
 						if err == nil && l.Version == 41 && notifiedAt.IsZero() {
 							notifiedAt = time.Now()
 						}
@@ -131,12 +131,12 @@
 
 // The clock also counts from the end of the watch time: a watch is given up early enough for another request, and never waits longer than
 // leaves the clock at 6 s. Watches that began together do not end together.
-func TestWatchesEndApart(t *testing.T) {
+func TestWatchEndsAreSpread(t *testing.T) {
 	ends := map[time.Duration]bool{}
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
-			s := newService()
-			c := NewClient("d:1", reader(), time.Minute, 40, true, func(*List, error) {})
+			s := newSilentService()
+			c := NewClient("d:1", testReader(), time.Minute, 40, true, func(*List, error) {})
 			c.dial = s.dial
 			s.silent = true
 			ctx, cancel := context.WithCancel(t.Context())
--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -110,7 +110,7 @@
 		t.Errorf("%s: taken and not answered whole (%s): %v", was, reason, err)
 	case asked >= 0 && taken == 0 && err == nil && m.Status < 400:
 		t.Errorf("%s: answered %d with no query", was, m.Status)
-	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]ingress.Reason{ingress.Drained, ingress.Spare, ingress.ClientDeparted}, reason):
+	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]ingress.Reason{ingress.Drained, ingress.Reclaimed, ingress.ClientDeparted}, reason):
 		t.Errorf("%s: neither taken nor closed for a reason: %s", was, reason)
 	}
 	if again, err := httpwire.ReadResponse(answers); err == nil && again.Status == 200 {
--- a/internal/server/ingress/accept.go
+++ b/internal/server/ingress/accept.go
@@ -12,17 +12,17 @@
 // accept takes connections until the listener is closed, or its queue is empty after StopAccepting.
 func (in *Ingress) accept(ctx context.Context) {
 	defer close(in.acceptEnded)
-	tail := acceptTail{longest: in.options.AcceptTail}
+	tail := acceptTail{maxDuration: in.options.AcceptTail}
 	for {
 		conn, err := in.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if tail.ended() {
+			if tail.deadlinePassed() {
 				return
 			}
-			in.acceptBriefly()
+			in.setQuietDeadline()
 			continue
 		}
 		tail.accepted()
--- a/internal/server/ingress/answer.go
+++ b/internal/server/ingress/answer.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// refuse tells a client that its request is bad, and ends the connection: where the next request begins is not certain.
-func (in *Ingress) refuse(c *connection, err error) Reason {
+// rejectRequest tells a client that its request is bad, and ends the connection: where the next request begins is not certain.
+func (in *Ingress) rejectRequest(c *connection, err error) Reason {
 	in.Counters.BadRequests.Add(1)
 	in.writeError(c, asRequestError(err))
 	return BadRequest
@@ -65,7 +65,7 @@
 	if last {
 		return LastAnswer
 	}
-	return goesOn
+	return stillOpen
 }
 
 // write writes a response whole, within the longest time that any client waits.
--- a/internal/server/ingress/answer_query.go
+++ b/internal/server/ingress/answer_query.go
@@ -12,19 +12,19 @@
 func (in *Ingress) answerQuery(ctx context.Context, c *connection, r request) Reason {
 	q, err := decodeQuery(r.Message, in.broker.Settings())
 	if err != nil {
-		return in.refuse(c, err)
+		return in.rejectRequest(c, err)
 	}
 	if in.options.IgnoredReadHints != nil {
 		in.decodeReadHint(r.Message, q)
 	}
-	c.useful = true
+	c.hadQuery = true
 	pending, ok := in.broker.Submit(query.Submission{Request: q, Arrival: r.arrival, ConnectionOverLimit: c.overLimit})
 	if !ok {
 		return Shutdown
 	}
 	c.SetReadDeadline(time.Time{})
 	result, reason := in.awaitResult(ctx, c, pending)
-	if reason != goesOn {
+	if reason != stillOpen {
 		return reason
 	}
 	last := r.last || in.broker.Draining()
@@ -50,9 +50,9 @@
 		select {
 		case result := <-pending.Result():
 			close(done)
-			c.SetReadDeadline(past)
+			c.SetReadDeadline(pastDeadline)
 			<-ended
-			return result, goesOn
+			return result, stillOpen
 		case err := <-ended:
 			if err != nil {
 				pending.Abandon(query.ClientDeparted)
--- a/internal/server/ingress/connection.go
+++ b/internal/server/ingress/connection.go
@@ -19,13 +19,13 @@
 	requests int
 
 	overLimit bool // it exceeds the limit: its query is shed, and it ends
-	useful    bool // it has brought a query that could be submitted
+	hadQuery  bool // it has brought a query that could be submitted
 
 	// Guarded by connectionSet.mu.
-	state  State
-	since  time.Time // when it came into that state
-	used   bool      // it has brought a request
-	ending Reason    // why this side ends it
+	state      State
+	stateSince time.Time // when it came into that state
+	used       bool      // it has brought a request
+	endReason  Reason    // why this side ends it
 }
 
 // State is what a connection is at.
@@ -58,8 +58,8 @@
 	}
 }
 
-// past is a deadline that wakes whoever reads.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that wakes whoever reads.
+var pastDeadline = time.Unix(1, 0)
 
 // hasUnread tells whether bytes have come that were not read: an idle connection that ends just when its next request arrives would take
 // the query with it.
@@ -70,12 +70,12 @@
 
 // end has this side end the connection: its reader is woken. The caller holds connectionSet.mu.
 func (c *connection) end(reason Reason) {
-	c.ending = reason
-	c.SetReadDeadline(past)
+	c.endReason = reason
+	c.SetReadDeadline(pastDeadline)
 }
 
-// enter notes a state. The caller holds connectionSet.mu.
-func (c *connection) enter(state State) {
+// setState notes a state. The caller holds connectionSet.mu.
+func (c *connection) setState(state State) {
 	c.state = state
-	c.since = time.Now()
+	c.stateSince = time.Now()
 }
--- a/internal/server/ingress/connection_set.go
+++ b/internal/server/ingress/connection_set.go
@@ -31,7 +31,7 @@
 func (s *connectionSet) admit(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.enter(StateIdle)
+	c.setState(StateIdle)
 	if excess := len(s.open) - s.limits.Connections; excess >= 0 {
 		freed := s.reclaim()
 		if excess >= Overflow {
@@ -47,39 +47,39 @@
 func (s *connectionSet) becomeIdle(c *connection) Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.enter(StateIdle)
-	if s.closing && c.ending == goesOn {
-		c.ending = Drained
+	c.setState(StateIdle)
+	if s.closing && c.endReason == stillOpen {
+		c.endReason = Drained
 	}
 	s.signalCapacity()
-	return c.ending
+	return c.endReason
 }
 
 // startReading notes that a request has begun, and returns why this side ends the connection, if it does.
 func (s *connectionSet) startReading(c *connection) Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.enter(StateReading)
-	return c.ending
+	c.setState(StateReading)
+	return c.endReason
 }
 
 // startAnswering notes that a request has come whole, and returns why this side ends the connection, if it does.
 func (s *connectionSet) startAnswering(c *connection) Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.enter(StateBusy)
+	c.setState(StateBusy)
 	if !c.used {
 		c.used = true
-		s.boundUsed()
+		s.enforceUsedLimit()
 	}
-	return c.ending
+	return c.endReason
 }
 
-// endingOf returns why this side ends a connection, if it does.
-func (s *connectionSet) endingOf(c *connection) Reason {
+// endReasonOf returns why this side ends a connection, if it does.
+func (s *connectionSet) endReasonOf(c *connection) Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.ending
+	return c.endReason
 }
 
 // remove drops a connection that has ended.
@@ -88,7 +88,7 @@
 	defer s.mu.Unlock()
 	delete(s.open, c)
 	s.signalCapacity()
-	if c.useful {
+	if c.hadQuery {
 		return logDecision{write: true}
 	}
 	return s.logLimit.allow(time.Now())
@@ -100,7 +100,7 @@
 	defer s.mu.Unlock()
 	s.closing = true
 	for c := range s.open {
-		if c.state == StateIdle && c.ending == goesOn {
+		if c.state == StateIdle && c.endReason == stillOpen {
 			c.end(Drained)
 		}
 	}
@@ -117,7 +117,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.open {
-		all = append(all, ConnectionInfo{State: c.state, Used: c.used, Ending: c.ending})
+		all = append(all, ConnectionInfo{State: c.state, Used: c.used, Ending: c.endReason})
 	}
 	return all
 }
--- a/internal/server/ingress/deadlines.go
+++ b/internal/server/ingress/deadlines.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// requestWithin is the time in which a request must be whole: the first one of a connection from when that was accepted, a later one
+// requestTimeout is the time in which a request must be whole: the first one of a connection from when that was accepted, a later one
 // from its first byte. The protocol owes a client that sends none an error or a close 3 s after connecting.
-const requestWithin = 2500 * time.Millisecond
+const requestTimeout = 2500 * time.Millisecond
 
 // firstByteDeadline is when the next request of a connection must have begun.
 func (in *Ingress) firstByteDeadline(c *connection) time.Time {
 	if c.requests == 0 {
-		return c.opened.Add(requestWithin)
+		return c.opened.Add(requestTimeout)
 	}
 	return time.Now().Add(in.broker.Settings().Idle)
 }
@@ -22,8 +22,8 @@
 		return time.Now().Add(grace)
 	case c.requests == 0:
 		late := time.Since(c.opened) + grace // a request that began late has the grace
-		return c.opened.Add(max(requestWithin, late))
+		return c.opened.Add(max(requestTimeout, late))
 	default:
-		return time.Now().Add(min(in.broker.Settings().LongestTimeout(), requestWithin))
+		return time.Now().Add(min(in.broker.Settings().LongestTimeout(), requestTimeout))
 	}
 }
--- a/internal/server/ingress/decode.go
+++ b/internal/server/ingress/decode.go
@@ -37,8 +37,8 @@
 	if m.Method != "POST" {
 		return requestError(statusMethodNotAllowed, "method %.20q", m.Method)
 	}
-	id, times := m.Get("x-request-id")
-	if times != 1 || !query.ValidID(id) {
+	id, count := m.Get("x-request-id")
+	if count != 1 || !query.ValidID(id) {
 		return requestError(statusBadRequest, "X-Request-ID %.80q", id)
 	}
 	q.ID = id
@@ -48,7 +48,7 @@
 	if err := decodeTimeout(q, m, settings); err != nil {
 		return err
 	}
-	if cookie, times := m.Get("cookie"); times == 1 {
+	if cookie, count := m.Get("cookie"); count == 1 {
 		q.Client = clientKey(cookie)
 	}
 	retried, _ := m.Get("x-retried")
@@ -60,18 +60,18 @@
 	if len(settings.Tenants) == 0 {
 		return nil
 	}
-	tenant, times := m.Get("x-tenant-id")
+	tenant, count := m.Get("x-tenant-id")
 	q.Tenant = slices.Index(settings.Tenants, tenant)
-	if q.Tenant < 0 || times != 1 {
+	if q.Tenant < 0 || count != 1 {
 		return requestError(statusBadRequest, "X-Tenant-Id %.40q", tenant)
 	}
 	return nil
 }
 
 func decodeTimeout(q *query.Request, m *httpwire.Message, settings *terms.Terms) error {
-	limit, times := m.Get("x-timeout-ms")
+	limit, count := m.Get("x-timeout-ms")
 	ms, err := strconv.ParseInt(limit, 10, 64)
-	if err != nil || times != 1 || ms <= 0 || ms > maxTimeout.Milliseconds() {
+	if err != nil || count != 1 || ms <= 0 || ms > maxTimeout.Milliseconds() {
 		return requestError(statusBadRequest, "X-Timeout-Ms %.40q", limit)
 	}
 	q.Timeout = min(time.Duration(ms)*time.Millisecond, settings.Module.QueryTypes[q.Type].Timeout)
--- a/internal/server/ingress/encode.go
+++ b/internal/server/ingress/encode.go
@@ -11,8 +11,8 @@
 
 // Bytes of an answer's body, as a first guess.
 const (
-	bodyBytes            = 32
-	bodyBytesShardAnswer = 48
+	baseBodyBytes      = 32
+	bodyBytesPerAnswer = 48
 )
 
 // appendResult encodes the response to a query.
@@ -35,7 +35,7 @@
 
 // encodeAnswers encodes the body of an answered query.
 func encodeAnswers(r *query.Result) []byte {
-	body := make([]byte, 0, bodyBytes+bodyBytesShardAnswer*len(r.Answers))
+	body := make([]byte, 0, baseBodyBytes+bodyBytesPerAnswer*len(r.Answers))
 	body = append(body, `{"full":`...)
 	body = strconv.AppendBool(body, r.Complete)
 	body = append(body, `,"pieces":[`...)
--- a/internal/server/ingress/helpers_test.go
+++ b/internal/server/ingress/helpers_test.go
@@ -37,7 +37,7 @@
  "safety":{"askWithinNs":10000000000,"coldFrom":0.3,"drainGraceNs":500000000,"tipMultiple":2,"warmAfterNs":5000000000},
  "stepNs":5000000}`
 
-func settingsOf(t *testing.T) *terms.Terms {
+func testSettings(t *testing.T) *terms.Terms {
 	t.Helper()
 	settings, err := terms.FromJSON([]byte(settingsJSON), 11)
 	if err != nil {
@@ -46,18 +46,18 @@
 	return &settings
 }
 
-// standIn is a broker that has ended: it takes no query.
-type standIn struct {
+// fakeBroker is a broker that has ended: it takes no query.
+type fakeBroker struct {
 	settings *terms.Terms
 	start    time.Time
 }
 
-func newStandIn(settings *terms.Terms) *standIn {
-	return &standIn{settings: settings, start: time.Now()}
+func newFakeBroker(settings *terms.Terms) *fakeBroker {
+	return &fakeBroker{settings: settings, start: time.Now()}
 }
 
-func (b *standIn) Submit(query.Submission) (query.Pending, bool) { return nil, false }
-func (b *standIn) Settings() *terms.Terms                        { return b.settings }
-func (b *standIn) Uptime() time.Duration                         { return time.Since(b.start) }
-func (b *standIn) Draining() bool                                { return false }
-func (b *standIn) CountersJSON() string                          { return "{}" }
+func (b *fakeBroker) Submit(query.Submission) (query.Pending, bool) { return nil, false }
+func (b *fakeBroker) Settings() *terms.Terms                        { return b.settings }
+func (b *fakeBroker) Uptime() time.Duration                         { return time.Since(b.start) }
+func (b *fakeBroker) Draining() bool                                { return false }
+func (b *fakeBroker) CountersJSON() string                          { return "{}" }
--- a/internal/server/ingress/log_limit_test.go
+++ b/internal/server/ingress/log_limit_test.go
@@ -6,18 +6,18 @@
 )
 
 // What is logged of useless connections is bounded, and what is left out is counted.
-func TestUselessConnectionsLogLittle(t *testing.T) {
+func TestLogLimitOfUselessConnections(t *testing.T) {
 	var l logLimit
-	at, logged, left := time.Unix(1000, 0), 0, 0
+	at, logged, leftOut := time.Unix(1000, 0), 0, 0
 	for range 50 * maxLinesPerSecond {
 		line := l.allow(at)
-		if left += line.suppressed; line.write {
+		if leftOut += line.suppressed; line.write {
 			logged++
 		}
 		at = at.Add(10 * time.Second / (50 * maxLinesPerSecond))
 	}
 	line := l.allow(at.Add(time.Second))
-	if logged++; !line.write || logged > 12*maxLinesPerSecond || logged+left+line.suppressed != 50*maxLinesPerSecond+1 {
-		t.Errorf("%d logged, %d left out", logged, left+line.suppressed)
+	if logged++; !line.write || logged > 12*maxLinesPerSecond || logged+leftOut+line.suppressed != 50*maxLinesPerSecond+1 {
+		t.Errorf("%d logged, %d left out", logged, leftOut+line.suppressed)
 	}
 }
--- a/internal/server/ingress/read_hint.go
+++ b/internal/server/ingress/read_hint.go
@@ -22,13 +22,13 @@
 
 // decodeReadHint reads the hint of a request, or notes why it is ignored.
 func (in *Ingress) decodeReadHint(m *httpwire.Message, q *query.Request) {
-	text, times := m.Get("x-read-hint")
-	if times == 0 {
+	text, count := m.Get("x-read-hint")
+	if count == 0 {
 		return
 	}
 	h, err := readhint.Parse(text)
 	switch {
-	case times > 1:
+	case count > 1:
 		q.HintIgnored = "said twice"
 	case err != nil:
 		q.HintIgnored = err.Error()
--- a/internal/server/ingress/reason.go
+++ b/internal/server/ingress/reason.go
@@ -7,7 +7,7 @@
 const (
 	LastAnswer     Reason = "last_answer"   // the client or the broker asked for the end
 	Idle           Reason = "idle"          // no request for as long as the settings allow
-	Spare          Reason = "spare"         // its descriptor was needed for another connection
+	Reclaimed      Reason = "spare"         // its descriptor was needed for another connection
 	Drained        Reason = "drained"       // idle in a graceful shutdown
 	Shutdown       Reason = "shutdown"      // the broker ended
 	ClientClosed   Reason = "client_closed" // between requests
@@ -19,5 +19,5 @@
 	WriteFailed    Reason = "write_failed"
 )
 
-// goesOn is no reason: the connection goes on.
-const goesOn Reason = ""
+// stillOpen is no reason: the connection goes on.
+const stillOpen Reason = ""
--- a/internal/server/ingress/reclaim.go
+++ b/internal/server/ingress/reclaim.go
@@ -7,19 +7,19 @@
 func (s *connectionSet) reclaim() bool {
 	return s.endLongest(func(c *connection) bool {
 		idle := c.state == StateIdle && c.used
-		overdue := c.state != StateBusy && time.Since(c.since) > s.limits.ReadGrace
+		overdue := c.state != StateBusy && time.Since(c.stateSince) > s.limits.ReadGrace
 		return idle || overdue
 	})
 }
 
-// boundUsed ends the connection that has been idle for longest where too many have brought a request. The protocol lets clients hold a
+// enforceUsedLimit ends the connection that has been idle for longest where too many have brought a request. The protocol lets clients hold a
 // third of the descriptors for requests: with idle connections that they don't use again they would run out of them while this side
 // still has capacity, and their next requests would never leave. Clients that come back seldom pay with a new connection each time.
 // The caller holds mu.
-func (s *connectionSet) boundUsed() {
+func (s *connectionSet) enforceUsedLimit() {
 	used := 0
 	for c := range s.open {
-		if c.used && c.ending == goesOn {
+		if c.used && c.endReason == stillOpen {
 			used++
 		}
 	}
@@ -33,21 +33,21 @@
 func (s *connectionSet) endLongest(qualifies func(*connection) bool) bool {
 	var first *connection
 	for c := range s.open {
-		if c.ending == goesOn && qualifies(c) && (first == nil || c.before(first)) {
+		if c.endReason == stillOpen && qualifies(c) && (first == nil || c.reclaimedBefore(first)) {
 			first = c
 		}
 	}
 	if first == nil {
 		return false
 	}
-	first.end(Spare)
+	first.end(Reclaimed)
 	return true
 }
 
-// before orders connections by how well their descriptors can be spared.
-func (c *connection) before(o *connection) bool {
+// reclaimedBefore orders connections by how well their descriptors can be spared.
+func (c *connection) reclaimedBefore(o *connection) bool {
 	if c.state != o.state {
 		return c.state < o.state
 	}
-	return c.since.Before(o.since)
+	return c.stateSince.Before(o.stateSince)
 }
--- a/internal/server/ingress/reclaim_test.go
+++ b/internal/server/ingress/reclaim_test.go
@@ -41,15 +41,15 @@
 				set.admit(one)
 				one.state = o.state
 				one.used = o.used
-				one.since = time.Now().Add(-o.age)
+				one.stateSince = time.Now().Add(-o.age)
 				connections = append(connections, one)
 			}
 			if got := set.reclaim(); got != (c.want >= 0) {
 				t.Errorf("%s: reclaimed %v", c.name, got)
 			}
 			for i, one := range connections {
-				if (one.ending == Spare) != (i == c.want) {
-					t.Errorf("%s: connection %d ends as %q", c.name, i, one.ending)
+				if (one.endReason == Reclaimed) != (i == c.want) {
+					t.Errorf("%s: connection %d ends as %q", c.name, i, one.endReason)
 				}
 			}
 			if c.want >= 0 && len(connections) == 1 && set.reclaim() {
@@ -84,8 +84,8 @@
 		t.Error("admitted beyond the overflow")
 	}
 	set.becomeIdle(first)
-	if _, ok := admit(); ok || first.ending != Spare {
-		t.Errorf("beyond the overflow: admitted %v; the idle one ends as %q", ok, first.ending)
+	if _, ok := admit(); ok || first.endReason != Reclaimed {
+		t.Errorf("beyond the overflow: admitted %v; the idle one ends as %q", ok, first.endReason)
 	}
 	set.remove(first)
 	if c, ok := admit(); !ok || !c.overLimit {
@@ -107,8 +107,8 @@
 	set.startReading(busy)
 	set.startAnswering(busy)
 	set.closeIdle()
-	if idle.ending != Drained || set.endingOf(busy) != goesOn {
-		t.Errorf("idle ends as %q, busy as %q", idle.ending, busy.ending)
+	if idle.endReason != Drained || set.endReasonOf(busy) != stillOpen {
+		t.Errorf("idle ends as %q, busy as %q", idle.endReason, busy.endReason)
 	}
 	if reason := set.becomeIdle(busy); reason != Drained {
 		t.Errorf("fallen idle: %q", reason)
--- a/internal/server/ingress/request_error_test.go
+++ b/internal/server/ingress/request_error_test.go
@@ -29,7 +29,7 @@
 			t.Errorf("%v: %+v", c.err, bad)
 		}
 	}
-	err := decodeBody(&query.Request{}, []byte(`{"tablets":`), settingsOf(t))
+	err := decodeBody(&query.Request{}, []byte(`{"tablets":`), testSettings(t))
 	syntax, ok := errors.AsType[*json.SyntaxError](err)
 	if !ok || !strings.HasSuffix(err.Error(), syntax.Error()) {
 		t.Errorf("%v does not wrap what encoding/json says", err)
--- a/internal/server/ingress/scan.go
+++ b/internal/server/ingress/scan.go
@@ -22,18 +22,18 @@
 		return true
 	})
 	s.skipSpace()
-	return b, !s.failed && s.at == len(s.text) && statement && len(b.shards) > 0
+	return b, !s.failed && s.pos == len(s.text) && statement && len(b.shards) > 0
 }
 
-// usualShards of a query, as a first guess.
-const usualShards = 8
+// typicalShards of a query, as a first guess.
+const typicalShards = 8
 
 func (s *scanner) shards() []bodyShard {
-	all := make([]bodyShard, 0, usualShards)
-	s.want('[')
+	all := make([]bodyShard, 0, typicalShards)
+	s.expect('[')
 	for first := true; !s.failed && !s.ends(']'); first = false {
 		if !first {
-			s.want(',')
+			s.expect(',')
 		}
 		all = append(all, s.shard())
 	}
@@ -41,27 +41,27 @@
 }
 
 func (s *scanner) shard() (b bodyShard) {
-	var tablet, fraction, guess, token bool // met
+	var seenTablet, seenFraction, seenGuess, seenToken bool // met
 	s.eachKey(func(key []byte) bool {
 		switch {
-		case string(key) == "tablet" && !tablet:
-			tablet = true
+		case string(key) == "tablet" && !seenTablet:
+			seenTablet = true
 			b.number = s.integer()
-		case string(key) == "fraction" && !fraction:
-			fraction = true
+		case string(key) == "fraction" && !seenFraction:
+			seenFraction = true
 			b.weight = s.float()
-		case string(key) == "guess" && !guess:
-			guess = true
+		case string(key) == "guess" && !seenGuess:
+			seenGuess = true
 			s.number()
-		case string(key) == "token" && !token:
-			token = true
+		case string(key) == "token" && !seenToken:
+			seenToken = true
 			s.str()
 		default:
 			return false
 		}
 		return true
 	})
-	s.failed = s.failed || !tablet || !fraction
+	s.failed = s.failed || !seenTablet || !seenFraction
 	return b
 }
 
--- a/internal/server/ingress/scan_test.go
+++ b/internal/server/ingress/scan_test.go
@@ -61,7 +61,7 @@
 }
 
 // The scanner takes the ordinary form.
-func TestScanTakesTheOrdinary(t *testing.T) {
+func TestScanAcceptsTheUsualForm(t *testing.T) {
 	if _, ok := scanBody([]byte(body)); !ok {
 		t.Error("the tests' body goes the slow way")
 	}
--- a/internal/server/ingress/scanner.go
+++ b/internal/server/ingress/scanner.go
@@ -3,19 +3,19 @@
 // scanner reads JSON from left to right; once anything is out of the ordinary it has failed for good.
 type scanner struct {
 	text   []byte
-	at     int
+	pos    int
 	failed bool
 }
 
 // eachKey reads an object, and has value read what stands under each of its keys; value returns false for a key that it doesn't accept.
 func (s *scanner) eachKey(value func(key []byte) bool) {
-	s.want('{')
+	s.expect('{')
 	for first := true; !s.failed && !s.ends('}'); first = false {
 		if !first {
-			s.want(',')
+			s.expect(',')
 		}
 		key := s.str()
-		s.want(':')
+		s.expect(':')
 		if !value(key) {
 			s.failed = true
 		}
@@ -27,15 +27,15 @@
 	if s.peek() != closing {
 		return false
 	}
-	s.at++
+	s.pos++
 	return true
 }
 
 func (s *scanner) skipSpace() {
-	for s.at < len(s.text) {
-		switch s.text[s.at] {
+	for s.pos < len(s.text) {
+		switch s.text[s.pos] {
 		case ' ', '\t', '\r', '\n':
-			s.at++
+			s.pos++
 		default:
 			return
 		}
@@ -45,36 +45,36 @@
 // peek is the next byte that is no space; 0 at the end.
 func (s *scanner) peek() byte {
 	s.skipSpace()
-	if s.at == len(s.text) {
+	if s.pos == len(s.text) {
 		s.failed = true
 		return 0
 	}
-	return s.text[s.at]
+	return s.text[s.pos]
 }
 
-// want steps over a byte that must come next.
-func (s *scanner) want(c byte) {
+// expect steps over a byte that must come next.
+func (s *scanner) expect(c byte) {
 	switch {
 	case s.peek() != c:
 		s.failed = true
 	case !s.failed:
-		s.at++
+		s.pos++
 	}
 }
 
 // str reads a string of printable ASCII without escapes.
 func (s *scanner) str() []byte {
-	s.want('"')
-	from := s.at
-	for !s.failed && s.at < len(s.text) {
-		switch c := s.text[s.at]; {
+	s.expect('"')
+	from := s.pos
+	for !s.failed && s.pos < len(s.text) {
+		switch c := s.text[s.pos]; {
 		case c == '"':
-			s.at++
-			return s.text[from : s.at-1]
+			s.pos++
+			return s.text[from : s.pos-1]
 		case c < ' ' || c >= 0x7f || c == '\\':
 			s.failed = true
 		default:
-			s.at++
+			s.pos++
 		}
 	}
 	s.failed = true
@@ -89,7 +89,7 @@
 
 func (s *scanner) number() scannedNumber {
 	s.peek()
-	from := s.at
+	from := s.pos
 	s.skip('-')
 	if !s.skip('0') {
 		s.digits()
@@ -106,23 +106,23 @@
 		}
 		s.digits()
 	}
-	return scannedNumber{text: string(s.text[from:s.at]), integer: integer}
+	return scannedNumber{text: string(s.text[from:s.pos]), integer: integer}
 }
 
 // skip steps over a byte if it comes next, and tells whether it did.
 func (s *scanner) skip(c byte) bool {
-	if s.at == len(s.text) || s.text[s.at] != c {
+	if s.pos == len(s.text) || s.text[s.pos] != c {
 		return false
 	}
-	s.at++
+	s.pos++
 	return true
 }
 
 // digits steps over one digit or more.
 func (s *scanner) digits() {
-	from := s.at
-	for s.at < len(s.text) && s.text[s.at] >= '0' && s.text[s.at] <= '9' {
-		s.at++
+	from := s.pos
+	for s.pos < len(s.text) && s.text[s.pos] >= '0' && s.text[s.pos] <= '9' {
+		s.pos++
 	}
-	s.failed = s.failed || s.at == from
+	s.failed = s.failed || s.pos == from
 }
--- a/internal/server/ingress/serve.go
+++ b/internal/server/ingress/serve.go
@@ -47,22 +47,22 @@
 // serveRequests answers one request after the other until the connection ends.
 func (in *Ingress) serveRequests(ctx context.Context, c *connection) Reason {
 	for {
-		if reason := in.awaitRequest(c); reason != goesOn {
+		if reason := in.awaitRequest(c); reason != stillOpen {
 			return reason
 		}
 		m, reason := in.readRequest(c)
-		if reason != goesOn {
+		if reason != stillOpen {
 			return reason
 		}
 		r := request{Message: m, arrival: c.ahead.Came(c.in.Buffered())}
-		ending := in.connections.startAnswering(c)
-		r.last = ending != goesOn || m.Close || c.overLimit
+		endReason := in.connections.startAnswering(c)
+		r.last = endReason != stillOpen || m.Close || c.overLimit
 		// A request that came while another was being answered, or before the connection was accepted, may be of a client that has left.
 		if c.ahead.Look() {
 			return ClientDeparted
 		}
 		c.requests++
-		if reason := in.answer(ctx, c, r); reason != goesOn {
+		if reason := in.answer(ctx, c, r); reason != stillOpen {
 			return reason
 		}
 	}
@@ -71,21 +71,21 @@
 // awaitRequest waits for the first byte of a request.
 func (in *Ingress) awaitRequest(c *connection) Reason {
 	c.SetReadDeadline(in.firstByteDeadline(c))
-	if ending := in.connections.becomeIdle(c); ending != goesOn && !c.hasUnread() {
-		return ending
+	if endReason := in.connections.becomeIdle(c); endReason != stillOpen && !c.hasUnread() {
+		return endReason
 	}
 	_, err := c.in.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.hasUnread() {
 		c.SetReadDeadline(in.requestDeadline(c))
 		_, err = c.in.Peek(1)
 	}
-	ending := in.connections.startReading(c)
+	endReason := in.connections.startReading(c)
 	c.SetReadDeadline(in.requestDeadline(c)) // after startReading: whoever ended it as idle just before must not cut the request short
 	switch {
 	case err == nil:
-		return goesOn
-	case errors.Is(err, os.ErrDeadlineExceeded) && ending != goesOn:
-		return ending
+		return stillOpen
+	case errors.Is(err, os.ErrDeadlineExceeded) && endReason != stillOpen:
+		return endReason
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return Idle
 	case errors.Is(err, io.EOF):
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, in.readFailed(c, err)
 	}
-	return m, goesOn
+	return m, stillOpen
 }
 
 // readFailed returns why a connection ends whose request could not be read. The client is told if it is at fault.
@@ -109,10 +109,10 @@
 	var fault *httpwire.Fault
 	switch {
 	case errors.As(err, &fault):
-		return in.refuse(c, err)
+		return in.rejectRequest(c, err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		if ending := in.connections.endingOf(c); ending != goesOn {
-			return ending
+		if endReason := in.connections.endReasonOf(c); endReason != stillOpen {
+			return endReason
 		}
 		in.writeError(c, requestError(statusRequestTimeout, "the request did not come whole"))
 		return SlowRequest
--- a/internal/server/ingress/slow_test.go
+++ b/internal/server/ingress/slow_test.go
@@ -15,8 +15,8 @@
 )
 
 // Whatever a client sends or leaves out, and however slowly, it hears a word or a close within 3 s of connecting.
-func TestOwedWithinThreeSeconds(t *testing.T) {
-	settings := settingsOf(t)
+func TestAnswerOrCloseWithinThreeSeconds(t *testing.T) {
+	settings := testSettings(t)
 	for _, c := range []struct {
 		sends string
 		every time.Duration // a byte; 0: all at once
@@ -32,27 +32,27 @@
 		{fmt.Sprintf(requestHead+"Transfer-Encoding: chunked\r\n\r\nffff\r\nx", "x"), 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			in := New(nil, newStandIn(settings), Options{Limits: Limits{Connections: 4, ReadGrace: 250 * time.Millisecond}})
-			here, there := net.Pipe()
+			in := New(nil, newFakeBroker(settings), Options{Limits: Limits{Connections: 4, ReadGrace: 250 * time.Millisecond}})
+			client, server := net.Pipe()
 			begun := time.Now()
-			go in.ServeConnection(t.Context(), there)
+			go in.ServeConnection(t.Context(), server)
 			go func() {
 				for i := range c.sends {
 					if c.every == 0 {
-						io.WriteString(here, c.sends)
+						io.WriteString(client, c.sends)
 						return
 					}
-					if _, err := here.Write([]byte{c.sends[i]}); err != nil {
+					if _, err := client.Write([]byte{c.sends[i]}); err != nil {
 						return
 					}
 					time.Sleep(c.every)
 				}
 			}()
-			m, err := httpwire.ReadResponse(httpwire.NewReader(here))
+			m, err := httpwire.ReadResponse(httpwire.NewReader(client))
 			if took := time.Since(begun); took >= 3*time.Second || err == nil && (m.Status < 400 || !m.Close) {
 				t.Errorf("%.40q: %v, %v after %v", c.sends, m, err, took)
 			}
-			here.Close()
+			client.Close()
 			time.Sleep(time.Second)
 			left := len(in.Connections())
 			if left != 0 {
