--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -77,7 +77,7 @@
 	}
 	d := f.by.tally.doubt(f.now, f.w.script.Fleet.Nodes)
 	for n, id := range f.ids {
-		if !f.core.Trusts(id) {
+		if !f.core.IsAvailable(id) {
 			d[n]++
 		}
 	}
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -11,8 +11,8 @@
 type admissionHost interface {
 	host
 	hasCapacity(q *activeQuery) bool
-	hold(q *activeQuery)
-	release(q *activeQuery)
+	markInFlight(q *activeQuery)
+	clearInFlight(q *activeQuery)
 	submit(q *activeQuery, left time.Duration)
 	deliverResult(q *activeQuery, r query.Result)
 	shedResult() query.Result
@@ -22,13 +22,13 @@
 // site passes it by.
 type admissionControl struct {
 	*admission.Controller
-	loop            admissionHost
-	waiting         map[uint64]*activeQuery // by ticket
-	lastTicket      uint64
-	tenants         []string
-	admitted        []*activeQuery // since the last step
-	releases        []admission.Dequeued
-	schedulingDelay delayMeter
+	loop              admissionHost
+	waiting           map[uint64]*activeQuery // by ticket
+	lastTicket        uint64
+	tenants           []string
+	admittedSinceStep []*activeQuery // since the last step
+	dequeued          []admission.Dequeued
+	schedulingDelay   delayMeter
 }
 
 // admissionState is what admission keeps of a query.
@@ -53,8 +53,8 @@
 // handle takes no message: queries come by request.
 func (a *admissionControl) handle(message) bool { return false }
 
-// request asks for a query to be let in; true: it may enter now. Otherwise it waits, or has its result. Without admission all may enter.
-func (a *admissionControl) request(q *activeQuery) bool {
+// admit asks for a query to be let in; true: it may enter now. Otherwise it waits, or has its result. Without admission all may enter.
+func (a *admissionControl) admit(q *activeQuery) bool {
 	if a == nil {
 		return true
 	}
@@ -77,7 +77,7 @@
 	case admission.Enqueue:
 		q.admission.queued = true
 		a.waiting[q.admission.ticket] = q
-		a.loop.hold(q)
+		a.loop.markInFlight(q)
 	case admission.Reject:
 		a.loop.stats().RejectedByAdmission++
 		a.loop.deliverResult(q, query.Result{Outcome: query.Shed, RetryAfter: retryAfter})
@@ -90,8 +90,8 @@
 // tick lets in those that waited, or sheds them.
 func (a *admissionControl) tick(now time.Duration) time.Duration {
 	a.SetLateness(a.schedulingDelay.Average())
-	releases, next := a.Tick(now, a.releases[:0])
-	a.releases = releases
+	releases, next := a.Tick(now, a.dequeued[:0])
+	a.dequeued = releases
 	for _, r := range releases {
 		q := a.waiting[r.ID]
 		delete(a.waiting, r.ID)
@@ -115,7 +115,7 @@
 // finishQueued gives a query that waited its result.
 func (a *admissionControl) finishQueued(q *activeQuery, r query.Result) {
 	a.loop.deliverResult(q, r)
-	a.loop.release(q)
+	a.loop.clearInFlight(q)
 }
 
 // abandon forgets a query that waits, as its client has gone or its time is up.
@@ -124,13 +124,13 @@
 	delete(a.waiting, q.admission.ticket)
 	q.admission.queued = false
 	q.done = true
-	a.loop.release(q)
+	a.loop.clearInFlight(q)
 }
 
 func (a *admissionControl) markAdmitted(q *activeQuery, now time.Duration) {
 	q.admission.admitted = true
 	q.admission.admittedAt = now
-	a.admitted = append(a.admitted, q)
+	a.admittedSinceStep = append(a.admittedSinceStep, q)
 }
 
 // beforeStep records how late the router's step comes for the queries admitted since the last one. On busy cores a broker's own delays,
@@ -140,11 +140,11 @@
 	if a == nil {
 		return
 	}
-	for _, q := range a.admitted {
+	for _, q := range a.admittedSinceStep {
 		q.admission.stepDelay = now - q.admission.admittedAt
 	}
-	clear(a.admitted)
-	a.admitted = a.admitted[:0]
+	clear(a.admittedSinceStep)
+	a.admittedSinceStep = a.admittedSinceStep[:0]
 }
 
 // afterStep lets in queries for which those that ended have made room, and returns when to tick.
@@ -155,21 +155,21 @@
 	return a.tick(now)
 }
 
-// done tells admission, once, that a query which it let in has ended.
-func (a *admissionControl) done(q *activeQuery, outcome query.Outcome) {
+// queryEnded tells admission, once, that a query which it let in has ended.
+func (a *admissionControl) queryEnded(q *activeQuery, outcome query.Outcome) {
 	if !q.admission.admitted {
 		return
 	}
 	q.admission.admitted = false
 	now := a.loop.since()
-	own := q.admission.stepDelay
+	ownDelay := q.admission.stepDelay
 	if q.admission.lastAnswerStep == a.loop.stats().Steps { // this step ends it, by what came in before it
-		own += now - q.admission.lastAnswerAt
+		ownDelay += now - q.admission.lastAnswerAt
 	}
 	a.Complete(admission.Completion{
 		Work:     q.admission.work,
 		Elapsed:  now - q.admission.admittedAt,
-		OwnDelay: own,
+		OwnDelay: ownDelay,
 		Answered: outcome == query.Answered,
 		Shed:     outcome == query.Shed,
 	}, now)
--- a/internal/server/admission_open.go
+++ b/internal/server/admission_open.go
@@ -12,8 +12,8 @@
 	"flaxfront/internal/decision/admission"
 )
 
-// weightSumSlip is how far tenants' weights may be from adding up to 1.
-const weightSumSlip = 0.001
+// weightSumTolerance is how far tenants' weights may be from adding up to 1.
+const weightSumTolerance = 0.001
 
 // newAdmissionControl makes admission by the operators' file and the settings. Its errors are InvalidWeightsError.
 func newAdmissionControl(o *operator.Door, t *terms.Terms) (*admissionControl, error) {
@@ -59,16 +59,16 @@
 	named := map[string]bool{}
 	for _, text := range texts {
 		name, value, _ := strings.Cut(text, "=")
-		at := slices.Index(tenants, name)
+		tenant := slices.Index(tenants, name)
 		weight, err := strconv.ParseFloat(value, 64)
-		if at < 0 || named[name] || err != nil || !(weight >= 0 && weight <= 1) {
+		if tenant < 0 || named[name] || err != nil || !(weight >= 0 && weight <= 1) {
 			return &InvalidWeightsError{fmt.Sprintf("%.60q is not TENANT=WEIGHT of a tenant of the settings, named once, from 0 to 1", text)}
 		}
 		named[name] = true
-		weights[at] = weight
+		weights[tenant] = weight
 		sum += weight
 	}
-	if len(named) != len(tenants) || math.Abs(sum-1) > weightSumSlip {
+	if len(named) != len(tenants) || math.Abs(sum-1) > weightSumTolerance {
 		return &InvalidWeightsError{fmt.Sprintf("%d of %d tenants are named, and their weights add up to %v instead of 1", len(named), len(tenants), sum)}
 	}
 	return nil
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -16,8 +16,8 @@
 	"flaxfront/internal/transport/store"
 )
 
-// admissionSite is a broker with admission before slow nodes.
-func admissionSite(t *testing.T) (s *Server, end func() error) {
+// startAdmissionBroker is a broker with admission before slow nodes.
+func startAdmissionBroker(t *testing.T) (s *Server, end func() error) {
 	k := newCachedListRig(t, 4)
 	k.Pace(40 * time.Millisecond) // 200 attempts a second
 	path, err := k.Config("n0", "127.0.0.1:0", k.Discovery.Addr(), true)
@@ -25,7 +25,7 @@
 	return runConfigured(t, start, file)
 }
 
-func tenantLoad(s *Server, tenant string, rate float64, last time.Duration, seed uint64) *lab.Outcome {
+func runTenantLoad(s *Server, tenant string, rate float64, last time.Duration, seed uint64) *lab.Outcome {
 	return lab.Load{URL: "http://" + s.listener.Addr().String(), Class: "find", Tenant: tenant, Shards: 4, Widest: 2, Rate: rate,
 		For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: seed}.Run()
 }
@@ -33,12 +33,12 @@
 // One tenant floods: the other is served, each query has one answer, the books add up, and a graceful shutdown with a full
 // queue loses nothing.
 func TestFloodOfOneTenant(t *testing.T) {
-	s, end := admissionSite(t)
+	s, end := startAdmissionBroker(t)
 	time.Sleep(200 * time.Millisecond)
 	var flood, quiet *lab.Outcome
 	var both sync.WaitGroup
-	both.Go(func() { flood = tenantLoad(s, "acme", 800, 1500*time.Millisecond, 1) })
-	both.Go(func() { quiet = tenantLoad(s, "quiet", 20, 1500*time.Millisecond, 2) })
+	both.Go(func() { flood = runTenantLoad(s, "acme", 800, 1500*time.Millisecond, 1) })
+	both.Go(func() { quiet = runTenantLoad(s, "quiet", 20, 1500*time.Millisecond, 2) })
 	both.Wait()
 	if quiet.Answered < quiet.Asked*9/10 || len(quiet.Broken)+len(flood.Broken) > 0 || flood.Shed == 0 || flood.Answered == 0 {
 		t.Errorf("quiet %v\nflood %v\n%v", quiet, flood, append(quiet.Broken, flood.Broken...))
@@ -48,7 +48,7 @@
 		t.Errorf("%+v, %+v", c, c.Admission)
 	}
 	var last *lab.Outcome
-	both.Go(func() { last = tenantLoad(s, "acme", 400, 300*time.Millisecond, 3) })
+	both.Go(func() { last = runTenantLoad(s, "acme", 400, 300*time.Millisecond, 3) })
 	time.Sleep(310 * time.Millisecond)
 	end()
 	both.Wait()
@@ -59,7 +59,7 @@
 
 // Clients that go away while they wait leave nothing behind.
 func TestClientLeavesWhileQueued(t *testing.T) {
-	s, _ := admissionSite(t)
+	s, _ := startAdmissionBroker(t)
 	var conns []net.Conn
 	body := `{"tablets":[{"tablet":0,"fraction":0.5},{"tablet":1,"fraction":0.5}],"statement":"c4"}`
 	for i := range 80 {
@@ -75,7 +75,7 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	(&cachedListRig{t: t}).until("all are gone", func() bool {
+	(&cachedListRig{t: t}).waitFor("all are gone", func() bool {
 		c := s.Counters().Queries
 		waiting := 0
 		for _, n := range c.Admission.Tenants {
@@ -111,7 +111,7 @@
 }
 
 // What lies between entry and the step, and between an answer's arrival and the step, is not taken for the store's delay.
-func TestStepDelayIsNotTheStores(t *testing.T) {
+func TestStepDelayIsNotCountedAsStoreDelay(t *testing.T) {
 	l := newLoop(time.Now(), firstAnswerRouter{}, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
 	now := time.Duration(0)
 	l.clock = func() time.Duration { return now }
@@ -121,17 +121,17 @@
 		t.Fatal(err)
 	}
 	l.useAdmission(admission)
-	s := &activeQuery{Request: &query.Request{ID: "a", Shards: []query.ShardRequest{{Name: "a.0", Weight: 1}}}, deadline: 5 * time.Second, result: make(chan query.Result, 1)}
+	q := &activeQuery{Request: &query.Request{ID: "a", Shards: []query.ShardRequest{{Name: "a.0", Weight: 1}}}, deadline: 5 * time.Second, result: make(chan query.Result, 1)}
 	now = 1 * time.Second
-	l.handle(queryReceived{s})
+	l.handle(queryReceived{q})
 	now = 1300 * time.Millisecond
 	l.advance()
 	now = 1640 * time.Millisecond
-	l.attemptEnded(&store.Part{Part: s.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
+	l.attemptEnded(&store.Part{Part: q.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
 	l.advance()
 	now = 4 * time.Second
 	l.advance()
-	if d := l.admission.State(now); len(s.result) != 1 || d.Baseline != 40*time.Millisecond || d.DelayFactor < 2 || d.InFlight != 0 {
+	if d := l.admission.State(now); len(q.result) != 1 || d.Baseline != 40*time.Millisecond || d.DelayFactor < 2 || d.InFlight != 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/server/cached_list.go
+++ b/internal/server/cached_list.go
@@ -20,7 +20,7 @@
 type cachedEndpointList struct {
 	loop       endpointHost
 	table      *cachedlist.EntryTable
-	judge      *cachedlist.Evaluator
+	evaluator  *cachedlist.Evaluator
 	store      func(cachedlist.Changes) // must not wait
 	zone       func(name string) int
 	maxEntries int
@@ -46,20 +46,20 @@
 
 // tick asks the judge what follows from what nodes have shown.
 func (c *cachedEndpointList) tick(now time.Duration) time.Duration {
-	facts, next := c.judge.Tick(now)
-	if len(facts) > 0 {
+	updates, next := c.evaluator.Tick(now)
+	if len(updates) > 0 {
 		list := &discovery.List{}
-		for _, f := range facts {
-			list.Nodes = append(list.Nodes, c.node(f))
+		for _, update := range updates {
+			list.Nodes = append(list.Nodes, c.node(update))
 		}
 		c.loop.applyList(list)
 	}
-	for _, line := range c.judge.CollectLogLines() {
+	for _, line := range c.evaluator.CollectLogLines() {
 		slog.Info("cached endpoint judged", "component", "cached-list", "decision", line, "at", now.Round(time.Millisecond))
 	}
 	if now >= c.nextStore {
 		c.nextStore = now + storeInterval
-		if changes, any := c.table.CollectChanges(); any {
+		if changes, changed := c.table.CollectChanges(); changed {
 			c.store(changes)
 		}
 	}
@@ -67,26 +67,26 @@
 }
 
 func (c *cachedEndpointList) report(counters *QueryCounters) {
-	state := c.judge.Snapshot(c.loop.since())
+	state := c.evaluator.Snapshot(c.loop.since())
 	counters.CachedList = &state
 }
 
 // initialList is the list to start with.
 func (c *cachedEndpointList) initialList() *discovery.List {
 	list := &discovery.List{Full: true}
-	for _, f := range c.judge.Start(discovery.IDOfName) {
-		list.Nodes = append(list.Nodes, c.node(f))
+	for _, update := range c.evaluator.Start(discovery.IDOfName) {
+		list.Nodes = append(list.Nodes, c.node(update))
 	}
 	return list
 }
 
 // node is a fact as an endpoint. One that is not to be used is draining: it gets nothing new.
-func (c *cachedEndpointList) node(f cachedlist.EndpointUpdate) discovery.Node {
-	e := &f.Entry
+func (c *cachedEndpointList) node(update cachedlist.EndpointUpdate) discovery.Node {
+	e := &update.Entry
 	n := discovery.Node{Name: e.Name, Address: e.Address, Zone: e.Zone, StartedAtMS: int64(e.StartedAt),
-		Endpoint: decision.Endpoint{Node: f.ID, Cell: e.Cell, Zone: c.zone(e.Zone), State: decision.Ready, StartedAt: decision.StartedLongAgo,
-			Unconfirmed: f.SlowStart}}
-	if !f.Usable {
+		Endpoint: decision.Endpoint{Node: update.ID, Cell: e.Cell, Zone: c.zone(e.Zone), State: decision.Ready, StartedAt: decision.StartedLongAgo,
+			Unconfirmed: update.SlowStart}}
+	if !update.Usable {
 		n.Endpoint.State = decision.Draining
 	}
 	if e.StartedAt > 0 {
@@ -101,9 +101,9 @@
 		return
 	}
 	now := c.loop.since()
-	ended, of := c.judge.ApplyList(tableList(list, list.Service), discovery.IDOfName, now)
-	if list.Full && endedWarningFactor*ended > of {
-		slog.Warn("full endpoint list lacks most nodes", "component", "cached-list", "ended", ended, "of", of,
+	ended, total := c.evaluator.ApplyList(tableList(list, list.Service), discovery.IDOfName, now)
+	if list.Full && endedWarningFactor*ended > total {
+		slog.Warn("full endpoint list lacks most nodes", "component", "cached-list", "ended", ended, "of", total,
 			"listed", len(list.Nodes), "service", list.Service, "generation", list.Version)
 	}
 	if n := c.table.Evict(c.maxEntries, c.keepEnded, cachedlist.TimestampOf(c.start.Add(now))); n > 0 {
@@ -115,14 +115,14 @@
 // pollFailed notes that discovery could not be polled.
 func (c *cachedEndpointList) pollFailed() {
 	if c != nil {
-		c.judge.DiscoveryFailed()
+		c.evaluator.DiscoveryFailed()
 	}
 }
 
 // attemptEnded notes what a node has shown by an attempt.
 func (c *cachedEndpointList) attemptEnded(node decision.NodeID, outcome decision.Outcome, took time.Duration) {
 	if c != nil {
-		c.judge.RecordOutcome(node, outcome, took, c.loop.since())
+		c.evaluator.RecordOutcome(node, outcome, took, c.loop.since())
 	}
 }
 
@@ -136,13 +136,13 @@
 		decision.Removed:  cachedlist.Ended,
 		decision.Ready:    cachedlist.Ready,
 	}
-	c.judge.ApplyGossip(n.Name, n.Endpoint.Node, states[n.Endpoint.State], cachedlist.Timestamp(n.StartedAtMS), c.loop.since())
+	c.evaluator.ApplyGossip(n.Name, n.Endpoint.Node, states[n.Endpoint.State], cachedlist.Timestamp(n.StartedAtMS), c.loop.since())
 }
 
 // handleOperatorRequest does what an operator asked of a running broker.
 func (c *cachedEndpointList) handleOperatorRequest(r nodelist.OperatorRequest) {
-	imported := c.judge.Import(r.Import, discovery.IDOfName, c.loop.since())
-	forgotten := c.judge.Forget(r.Forget, discovery.IDOfName)
+	imported := c.evaluator.Import(r.Import, discovery.IDOfName, c.loop.since())
+	forgotten := c.evaluator.Forget(r.Forget, discovery.IDOfName)
 	c.nextStore = c.loop.since()
 	slog.Info("cached endpoint list changed by an operator", "component", "cached-list", "imported", imported, "forgotten", forgotten)
 }
--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -20,33 +20,33 @@
 		WriteInterval: o.NodeList.SaveEvery,
 	})
 	s.listStore = store
-	book := cachedlist.NewEntryTable(content.Head, content.Unsorted())
+	table := cachedlist.NewEntryTable(content.Head, content.Unsorted())
 	now := cachedlist.TimestampOf(s.loop.start)
-	if s.listGiven {
-		book.MergeConfigured(tableList(s.initialList, s.discoveryAddress.String()), now)
+	if s.listConfigured {
+		table.MergeConfigured(tableList(s.initialList, s.discoveryAddress.String()), now)
 	}
-	book.Evict(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
-	list := newCachedList(&o, book, s.loop.start)
-	list.store = store.Enqueue
-	list.zone = s.reader.ZoneNumber
-	s.loop.useCachedList(list)
-	s.initialList = list.initialList()
-	pace := polling.NewBackoff(polling.BackoffSettings{
+	table.Evict(o.NodeList.MaxEntries, o.NodeList.KeepEnded, now)
+	cached := newCachedList(&o, table, s.loop.start)
+	cached.store = store.Enqueue
+	cached.zone = s.reader.ZoneNumber
+	s.loop.useCachedList(cached)
+	s.initialList = cached.initialList()
+	backoff := polling.NewBackoff(polling.BackoffSettings{
 		ConnectInterval: o.Discovery.KnockEvery,
 		PollCost:        o.Discovery.PerCall,
 		MaxPollDelay:    o.Discovery.MostDelay,
 		BrokerCount:     t.Module.BrokerCount,
 	}, t.Module.Seed)
 	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.discoveryAddress.String()
-	s.discoveryClient.UseBackoff(pace, content.Head.Generation, resume)
-	state := list.judge.Snapshot(0)
+	s.discoveryClient.UseBackoff(backoff, content.Head.Generation, resume)
+	state := cached.evaluator.Snapshot(0)
 	slog.Info("cached endpoint list opened", "component", "cached-list", "directory", o.NodeList.Directory, "found", content.Found,
-		"entries", book.Len(), "unconfirmed", state.Unconfirmed, "excluded", state.Excluded, "age", state.ListAge.Round(time.Second),
+		"entries", table.Len(), "unconfirmed", state.Unconfirmed, "excluded", state.Excluded, "age", state.ListAge.Round(time.Second),
 		"service", content.Head.Service, "generation", content.Head.Generation, "read_in", time.Since(began).Round(time.Millisecond))
 }
 
 // newCachedList makes the extension of a book; store and zone are the caller's.
-func newCachedList(o *operator.Start, book *cachedlist.EntryTable, start time.Time) *cachedEndpointList {
+func newCachedList(o *operator.Start, table *cachedlist.EntryTable, start time.Time) *cachedEndpointList {
 	policy := cachedlist.Policy{
 		HalfLife:          o.Trust.HalfLife,
 		MaxAge:            o.Trust.Oldest,
@@ -54,8 +54,8 @@
 		TrialInterval:     o.Trust.Parole,
 	}
 	return &cachedEndpointList{
-		table:      book,
-		judge:      cachedlist.NewEvaluator(policy, book, cachedlist.TimestampOf(start)),
+		table:      table,
+		evaluator:  cachedlist.NewEvaluator(policy, table, cachedlist.TimestampOf(start)),
 		maxEntries: o.NodeList.MaxEntries,
 		keepEnded:  o.NodeList.KeepEnded,
 		start:      start,
--- a/internal/server/cached_list_test.go
+++ b/internal/server/cached_list_test.go
@@ -50,11 +50,11 @@
 		For: last, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 5}.Run()
 }
 
-// until waits for something that must come.
-func (k *cachedListRig) until(what string, so func() bool) {
+// waitFor waits for something that must come.
+func (k *cachedListRig) waitFor(what string, reached func() bool) {
 	k.t.Helper()
 	for range 1000 {
-		if so() {
+		if reached() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -69,7 +69,7 @@
 	k.List[0].Lifecycle = "terminating"
 	k.Discovery.Set(k.List)
 	s, end := k.start(false)
-	k.until("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
+	k.waitFor("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
 	k.Discovery.Down()
 	end()
 	drained := k.Nodes[0].Parts.Load()
@@ -104,7 +104,7 @@
 	if err := k.Discovery.Up(""); err != nil {
 		t.Fatal(err)
 	}
-	k.until("the list is taken", func() bool { return s.Counters().Queries.ListsReceived > 0 })
+	k.waitFor("the list is taken", func() bool { return s.Counters().Queries.ListsReceived > 0 })
 	after := k.Nodes[4].Parts.Load()
 	if o := k.load(s, 700*time.Millisecond); len(o.Broken) > 0 {
 		t.Error(o.Broken)
@@ -114,7 +114,7 @@
 	}
 	// Discovery comes back from its next outage with a list that lacks most nodes: it is taken as the protocol says.
 	k.Discovery.Set(k.List[:1])
-	k.until("the short list is taken", func() bool { return s.Counters().Queries.Nodes <= 4 })
+	k.waitFor("the short list is taken", func() bool { return s.Counters().Queries.Nodes <= 4 })
 	end()
 	if c, err := nodelist.Read(filesystem.Local{}, k.dir, ""); err != nil || !c.Found || len(c.Entries) != 8 {
 		t.Errorf("%v, %+v", err, c)
@@ -123,7 +123,7 @@
 
 // With nothing saved and nothing configured every query is shed at once until discovery speaks, and SIGHUP and SIGTERM
 // are heard meanwhile.
-func TestStartWithNothing(t *testing.T) {
+func TestStartWithoutAnyList(t *testing.T) {
 	k := newCachedListRig(t, 2)
 	k.Discovery.Down()
 	s, end := k.start(false)
@@ -138,7 +138,7 @@
 func TestOperatorRequestToARunningBroker(t *testing.T) {
 	k := newCachedListRig(t, 4)
 	s, end := k.start(false)
-	k.until("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
+	k.waitFor("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
 	k.Discovery.Down()
 	end()
 	s, _ = k.start(false)
@@ -148,12 +148,12 @@
 	}
 	moved := c.Entries["node-00000001"]
 	moved.Name, moved.StateSince = "node-new", moved.StateSince+1
-	ask := nodelist.OperatorRequest{Forget: []string{"node-00000001"}, Import: c.SortedByName()[:0:0]}
-	ask.Import = append(ask.Import, moved)
-	if err := nodelist.SubmitRequest(filesystem.Local{}, k.dir, c.Head.Deployment, ask, time.Now()); err != nil {
+	request := nodelist.OperatorRequest{Forget: []string{"node-00000001"}, Import: c.SortedByName()[:0:0]}
+	request.Import = append(request.Import, moved)
+	if err := nodelist.SubmitRequest(filesystem.Local{}, k.dir, c.Head.Deployment, request, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	k.until("the ask is taken", func() bool {
+	k.waitFor("the ask is taken", func() bool {
 		c, _ := nodelist.Read(filesystem.Local{}, k.dir, "")
 		_, old := c.Entries["node-00000001"]
 		_, fresh := c.Entries["node-new"]
@@ -168,7 +168,7 @@
 }
 
 // Whatever is wrong with the directory, the broker serves.
-func TestServesWhateverTheDisk(t *testing.T) {
+func TestServesDespiteUnusableListDirectory(t *testing.T) {
 	k := newCachedListRig(t, 2)
 	for _, c := range []struct {
 		what  string
@@ -224,7 +224,7 @@
 			b.Fatal(err)
 		}
 		b.StopTimer()
-		s.loop.pool = poolOf(s)
+		s.loop.pool = newPoolFor(s)
 		b.StartTimer()
 		s.loop.applyList(s.initialList)
 		s.loop.stepRouter(s.loop.since())
@@ -235,7 +235,7 @@
 	}
 }
 
-func poolOf(s *Server) *store.Pool {
+func newPoolFor(s *Server) *store.Pool {
 	return store.NewPool(s.ctx, store.Limits{Conns: 1, Streams: 1}, store.DialTCP, s.loop.since, s.group.Go,
 		func(store.Event) {}, s.loop.attemptEnded)
 }
--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -71,7 +71,7 @@
 		b.handleView(m.view)
 		return false // the control plane has to see it too
 	case leaseReleaseRequested:
-		m.holds <- b.release()
+		m.reply <- b.release()
 		return true
 	}
 	return false
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -60,7 +60,7 @@
 func TestStop(t *testing.T) {
 	s, end := runServer(t, 1024)
 	enough := make(chan time.Time)
-	s.after = func(time.Duration) <-chan time.Time { return enough }
+	s.timeAfter = func(time.Duration) <-chan time.Time { return enough }
 	busy, idle, again := dial(t, s), dial(t, s), dial(t, s)
 	idle.roundTrip(post("a", body))
 	again.roundTrip(post("a2", body))
--- a/internal/server/control_plane_run.go
+++ b/internal/server/control_plane_run.go
@@ -27,7 +27,7 @@
 	s.group.Go(s.updateReports)
 	select {
 	case <-p.joined:
-	case <-s.after(joinTimeout):
+	case <-s.timeAfter(joinTimeout):
 	case <-s.ctx.Done():
 	}
 	p.SetServing()
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -151,11 +151,11 @@
 func (c *Core) Counters() QueryCounters {
 	r := countersRequested{make(chan QueryCounters, 1)}
 	c.loop.handle(r)
-	return <-r.to
+	return <-r.reply
 }
 
-// Trusts tells whether the router gives a node ordinary work; for reports only.
-func (c *Core) Trusts(id decision.NodeID) bool {
+// IsAvailable tells whether the router gives a node ordinary work; for reports only.
+func (c *Core) IsAvailable(id decision.NodeID) bool {
 	r, ok := c.loop.router.(interface{ IsAvailable(decision.NodeID) bool })
 	return !ok || r.IsAvailable(id)
 }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -77,7 +77,7 @@
 	request := countersRequested{make(chan QueryCounters, 1)}
 	if s.deliver(request) {
 		select {
-		case c.Queries = <-request.to:
+		case c.Queries = <-request.reply:
 		case <-s.ctx.Done():
 		}
 	}
--- a/internal/server/delay_meter.go
+++ b/internal/server/delay_meter.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	delayInterval = 20 * time.Millisecond
-	delaySamples  = 8 // the average reaches back over about so many
+	delaySampleInterval  = 20 * time.Millisecond
+	averagedDelaySamples = 8 // the average reaches back over about so many
 )
 
 // delayMeter measures how late this process gets to run, by a timer. An answer that lies ready in the kernel waits for a core before anybody
@@ -21,17 +21,17 @@
 
 // run measures until ctx ends.
 func (m *delayMeter) run(ctx context.Context) error {
-	timer := time.NewTimer(delayInterval)
+	timer := time.NewTimer(delaySampleInterval)
 	defer timer.Stop()
 	for {
-		due := time.Now().Add(delayInterval)
+		due := time.Now().Add(delaySampleInterval)
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
 		}
 		late := int64(max(0, time.Since(due)))
-		m.average.Add((late - m.average.Load()) / delaySamples)
-		timer.Reset(delayInterval)
+		m.average.Add((late - m.average.Load()) / averagedDelaySamples)
+		timer.Reset(delaySampleInterval)
 	}
 }
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -17,8 +17,8 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// waitASecond waits for a state that must come soon, and well before any deadline of the test's queries.
-func waitASecond(t *testing.T, s *Server, what string, reached func(Counters) bool) {
+// waitUpToASecond waits for a state that must come soon, and well before any deadline of the test's queries.
+func waitUpToASecond(t *testing.T, s *Server, what string, reached func(Counters) bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !reached(s.Counters()); {
 		if time.Now().After(end) {
@@ -29,7 +29,7 @@
 
 // A client that has sent more while its query is in flight, and then leaves, is noticed at once, however much it has sent: the query
 // is left, what was sent behind it is never begun, and a connection that comes up later carries nothing of it.
-func TestDepartureBehindBytesIsSeen(t *testing.T) {
+func TestDepartureBehindUnreadBytesIsNoticed(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	n := uint64(0)
 	for what, behind := range map[string]string{
@@ -42,7 +42,7 @@
 			n++
 			c := dial(t, s)
 			io.WriteString(c, postUnanswered("a", "1900"))
-			waitASecond(t, s, what, func(c Counters) bool { return c.Queries.InFlight == 1 })
+			waitUpToASecond(t, s, what, func(c Counters) bool { return c.Queries.InFlight == 1 })
 			go func() {
 				io.WriteString(c, behind)
 				if reset {
@@ -50,8 +50,8 @@
 				}
 				c.Close()
 			}()
-			waitASecond(t, s, what, func(c Counters) bool { return c.Queries.Abandoned == n && c.Queries.InFlight == 0 })
-			waitASecond(t, s, what, func(c Counters) bool { return c.Clients.Closed == n })
+			waitUpToASecond(t, s, what, func(c Counters) bool { return c.Queries.Abandoned == n && c.Queries.InFlight == 0 })
+			waitUpToASecond(t, s, what, func(c Counters) bool { return c.Clients.Closed == n })
 			if got := s.Counters().Queries; got.Received != n || got.Store.Parts > 2*n {
 				t.Errorf("%s, reset %v: %d taken of %d, %d parts sent", what, reset, got.Received, n, got.Store.Parts)
 			}
@@ -61,7 +61,7 @@
 
 // A client that has left before its request is read is not worked for: its connection waited to be accepted, or the process stood
 // still meanwhile.
-func TestRequestOfDepartedClientIsNotBegun(t *testing.T) {
+func TestRequestOfDepartedClientIsNotStarted(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	waitUntil(s, func(Counters) bool { return true })
 	near, far := tcpPair(t)
@@ -76,11 +76,11 @@
 }
 
 // A request that was sent ahead counts from when it came: its nodes are told what is left to its client, not its whole time.
-func TestTimeCountsFromWhenARequestCame(t *testing.T) {
+func TestTimeoutCountsFromArrival(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	c := dial(t, s)
 	io.WriteString(c, postUnanswered("a", "900"))
-	waitASecond(t, s, "first", func(c Counters) bool { return c.Queries.InFlight == 1 })
+	waitUpToASecond(t, s, "first", func(c Counters) bool { return c.Queries.InFlight == 1 })
 	begun := time.Now()
 	io.WriteString(c, postUnanswered("b", "1000"))
 	for _, id := range []string{"a", "b"} {
@@ -124,13 +124,13 @@
 }
 
 // Connections that wait in the kernel when a stop closes the listener are accepted first, and their requests answered.
-func TestStopTakesWhatWaitsToBeAccepted(t *testing.T) {
+func TestStopAcceptsQueuedConnections(t *testing.T) {
 	s := openServer(t, startConfiguration(t, "127.0.0.1:0", 1024), operator.Default())
 	stalled := &stalledListener{TCPListener: s.listener.(*net.TCPListener), released: make(chan struct{})}
 	s.listener = stalled
 	s.openIngress()
-	enough := make(chan time.Time)
-	s.after = func(time.Duration) <-chan time.Time { return enough }
+	stopWaiting := make(chan time.Time)
+	s.timeAfter = func(time.Duration) <-chan time.Time { return stopWaiting }
 	end := serveUntilEnd(t, s)
 	waitUntil(s, func(Counters) bool { return true })
 	var waiting []*testClient
@@ -143,7 +143,7 @@
 	go func() { done <- end() }()
 	for !s.draining.Load() {
 	}
-	enough <- time.Time{}
+	stopWaiting <- time.Time{}
 	closed := false
 	for begun := time.Now(); time.Since(begun) < 10*ingress.QueueQuietPeriod && !closed; {
 		conn, err := net.DialTimeout("tcp", s.listener.Addr().String(), ingress.QueueQuietPeriod)
@@ -165,28 +165,28 @@
 // What comes after SIGTERM has its answer before the kill, whatever time its client gives it; what came before keeps its time.
 func TestAnswerComesBeforeTheKill(t *testing.T) {
 	s, _ := runServer(t, 1024)
-	patient := s.Settings().LongestTimeout()
-	if by := s.answerBy(time.Second, patient); by != time.Second+patient {
+	longest := s.Settings().LongestTimeout()
+	if by := s.answerDeadline(time.Second, longest); by != time.Second+longest {
 		t.Errorf("while it serves: by %v", by)
 	}
 	s.stopRequested.Store(int64(time.Second))
 	s.draining.Store(true)
-	kill := time.Second + min(patient, maxKillWait) + answerWithin
+	kill := time.Second + min(longest, maxKillWait) + answerWithin
 	for _, c := range []struct{ arrived, timeout, by time.Duration }{
 		{1500 * time.Millisecond, time.Second, 2500 * time.Millisecond},
-		{1500 * time.Millisecond, time.Minute, kill - beforeKill},
+		{1500 * time.Millisecond, time.Minute, kill - killMargin},
 		{kill, time.Minute, kill + minAnswerTime},
 	} {
-		if by := s.answerBy(c.arrived, c.timeout); by != c.by {
+		if by := s.answerDeadline(c.arrived, c.timeout); by != c.by {
 			t.Errorf("%+v: by %v", c, by)
 		}
 	}
 }
 
 // A stop ends in time though clients go on connecting: what comes without end is no queue.
-func TestStopEndsThoughClientsGoOnConnecting(t *testing.T) {
+func TestStopEndsWhileClientsKeepConnecting(t *testing.T) {
 	s, end := runServer(t, 1024)
-	s.after = func(time.Duration) <-chan time.Time { return time.After(0) }
+	s.timeAfter = func(time.Duration) <-chan time.Time { return time.After(0) }
 	waitUntil(s, func(Counters) bool { return true })
 	at, stop := s.listener.Addr().String(), make(chan struct{})
 	defer close(stop)
@@ -206,7 +206,7 @@
 	}
 	begun := time.Now()
 	end()
-	if took := time.Since(begun); took > 5*stopTaking {
+	if took := time.Since(begun); took > 5*stopAcceptingAfter {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -54,7 +54,7 @@
 		}
 		l.pool = store.NewPool(ctx, store.Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 9}, hung, l.since,
 			func(fn func() error) { go fn() }, func(store.Event) {}, l.attemptEnded)
-		under := decoded(t)
+		under := testTerms(t)
 		l.settings = &under
 		l.useControlPlane(newControlPlaneView([]string{"a"}))
 		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
--- a/internal/server/endpoint_snapshot.go
+++ b/internal/server/endpoint_snapshot.go
@@ -53,9 +53,9 @@
 
 // epochProposals is the leader's job that proposes what the endpoints call for.
 func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.LeaderContext) []statemachine.Entry {
-	return func(m controlplane.LeaderContext) []statemachine.Entry {
-		if have := from.Load(); have != nil {
-			return have.NextEntries(m.State, m.Now)
+	return func(leader controlplane.LeaderContext) []statemachine.Entry {
+		if snapshot := from.Load(); snapshot != nil {
+			return snapshot.NextEntries(leader.State, leader.Now)
 		}
 		return nil
 	}
--- a/internal/server/endpoint_snapshot_test.go
+++ b/internal/server/endpoint_snapshot_test.go
@@ -13,17 +13,17 @@
 )
 
 // A leader agrees on its list once discovery has spoken and the list has stood for a moment, however often it is told the same.
-func TestEpochOfAListThatStands(t *testing.T) {
+func TestEpochIsProposedForStableList(t *testing.T) {
 	now := time.Hour
 	l := newLoop(time.Now(), nil, &decision.Settings{})
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{Streams: 1, Conns: 9}, nil, l.since, nil, nil, nil)
-	under := decoded(t)
-	l.settings = &under
+	current := testTerms(t)
+	l.settings = &current
 	l.useControlPlane(newControlPlaneView(nil))
 	l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
-	look := epochProposals(l.controlPlane.endpoints)
-	proposed := func() int { return len(look(controlplane.LeaderContext{State: statemachine.New(), Now: now})) }
+	propose := epochProposals(l.controlPlane.endpoints)
+	proposed := func() int { return len(propose(controlplane.LeaderContext{State: statemachine.New(), Now: now})) }
 	list := discovery.List{Full: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
 	l.applyList(&list) // of the configuration
 	if now += time.Minute; proposed() != 0 {
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -85,7 +85,7 @@
 }
 
 func newQueryResult(r *query.Result) QueryResult {
-	out := QueryResult{
+	result := QueryResult{
 		Answered:   r.Outcome == query.Answered,
 		Complete:   r.Complete,
 		Shed:       r.Outcome == query.Shed,
@@ -96,8 +96,8 @@
 		Staleness:  r.Staleness,
 	}
 	for _, a := range r.Answers {
-		out.Shards = append(out.Shards, a.Shard)
-		out.Values = append(out.Values, a.Value)
+		result.Shards = append(result.Shards, a.Shard)
+		result.Values = append(result.Values, a.Value)
 	}
-	return out
+	return result
 }
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -20,13 +20,13 @@
 // gatewayHost is what the gateway may use of the loop.
 type gatewayHost interface {
 	host
-	receive(q *activeQuery)
+	receiveQuery(q *activeQuery)
 	hasCapacity(q *activeQuery) bool
 	capacity() (used, limit int)
 	submit(q *activeQuery, left time.Duration)
-	finish(q *activeQuery)
-	detach(q *activeQuery)
-	release(q *activeQuery)
+	finishQuery(q *activeQuery)
+	freeSlots(q *activeQuery)
+	clearInFlight(q *activeQuery)
 	deliverResult(q *activeQuery, r query.Result)
 	shedResult() query.Result
 	retryAfterLimit() time.Duration
@@ -90,7 +90,9 @@
 }
 
 // admissionDone tells admission that a query which it let in has ended here.
-func (l *loop) admissionDone(q *activeQuery, outcome query.Outcome) { l.admission.done(q, outcome) }
+func (l *loop) admissionDone(q *activeQuery, outcome query.Outcome) {
+	l.admission.queryEnded(q, outcome)
+}
 
 func (g *siteGateway) handle(m message) bool {
 	e, ok := m.(linkEvent)
@@ -157,7 +159,7 @@
 	g.loop.admissionDone(q, query.Shed)
 	q.forwarding.forwarded = true
 	g.forwarded[q.id] = q
-	g.loop.detach(q)
+	g.loop.freeSlots(q)
 	g.execute()
 	return true
 }
@@ -209,7 +211,7 @@
 func (g *siteGateway) forget(q *activeQuery, id uint64) {
 	q.done = true
 	delete(g.forwarded, id)
-	g.loop.release(q)
+	g.loop.clearInFlight(q)
 }
 
 // resubmit submits a forwarded query to the router once more, as a new one with the time that is left.
@@ -223,7 +225,7 @@
 		return
 	}
 	q.done = true
-	g.loop.release(q)
+	g.loop.clearInFlight(q)
 	g.loop.stats().NoCapacity++
 	g.loop.deliverResult(q, g.safeResult(q, g.loop.shedResult()))
 }
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -68,7 +68,7 @@
 
 func (w *twoSites) until(what string, so func() bool) {
 	w.t.Helper()
-	(&cachedListRig{t: w.t}).until(what, so)
+	(&cachedListRig{t: w.t}).waitFor(what, so)
 }
 
 func (w *twoSites) near(i int) *GatewayState { return w.live[i].Counters().Queries.Gateway }
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -30,7 +30,7 @@
 }
 
 // answeringNode is a store node on loopback that answers each part as it is told; "" is no answer.
-func answeringNode(t *testing.T, say func(id string, shard int, text string) string) string {
+func answeringNode(t *testing.T, answer func(id string, shard int, text string) string) string {
 	ln := listen(t)
 	go func() {
 		for {
@@ -55,7 +55,7 @@
 						var shard, wait, size int
 						fmt.Sscanf(text, "%s %d d=%d %d\n", &id, &shard, &wait, &size)
 						_, text, _ = strings.Cut(text, "\n")
-						if a := say(id, shard, text[:size]); a != "" {
+						if a := answer(id, shard, text[:size]); a != "" {
 							conn.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(a))), a...))
 						}
 						text = text[size:]
@@ -83,7 +83,7 @@
 		known += fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"zone":"a","cell":%d,"lifecycle":"in_service"},`,
 			cell, stubNode(t), cell)
 	}
-	return &terms.Start{Name: "n0", Listen: netip.MustParseAddrPort(listen), Discovery: none, Terms: decoded(t),
+	return &terms.Start{Name: "n0", Listen: netip.MustParseAddrPort(listen), Discovery: none, Terms: testTerms(t),
 		Limits: terms.Limits{Cores: 1, MemoryMB: 192, Sockets: sockets}, Known: []byte(known[:len(known)-1] + "]}")}
 }
 
--- a/internal/server/ingress_broker.go
+++ b/internal/server/ingress_broker.go
@@ -11,7 +11,7 @@
 
 // Submit hands the query of an HTTP client to the loop; false: the broker has ended. It waits while the loop's queue is full.
 func (s *Server) Submit(r query.Submission) (query.Pending, bool) {
-	return s.submit(r, s.answerBy(r.Arrival, r.Request.Timeout))
+	return s.submit(r, s.answerDeadline(r.Arrival, r.Request.Timeout))
 }
 
 func (s *Server) submit(r query.Submission, deadline time.Duration) (query.Pending, bool) {
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -44,7 +44,7 @@
 	}
 	var lease leaseToRelease
 	select {
-	case lease = <-request.holds:
+	case lease = <-request.reply:
 	case <-s.ctx.Done():
 		return
 	}
@@ -52,7 +52,7 @@
 		return
 	}
 	select {
-	case <-s.after(lease.closing):
+	case <-s.timeAfter(lease.closing):
 	case <-s.ctx.Done():
 		return
 	}
@@ -84,7 +84,7 @@
 		}
 		if lease.Number == held.number { // the view is older than what rejected it
 			select {
-			case <-s.after(releaseRetryInterval):
+			case <-s.timeAfter(releaseRetryInterval):
 			case <-ctx.Done():
 			}
 		}
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -11,9 +11,9 @@
 	"flaxfront/internal/transport/store"
 )
 
-// queueDepth bounds the messages that are delivered and not yet handled. Whoever delivers more waits, so that bytes stay in the kernel and
+// inboxCapacity bounds the messages that are delivered and not yet handled. Whoever delivers more waits, so that bytes stay in the kernel and
 // the network slows down whoever sends them.
-const queueDepth = 1024
+const inboxCapacity = 1024
 
 // loop is the event loop: the one goroutine that calls the router and the extensions, and owns all queries in flight and the pool of
 // connections to nodes. It hands what was delivered to the router as one step and executes the actions. It never waits for a socket or a
@@ -71,7 +71,7 @@
 	l := &loop{
 		start:               start,
 		clock:               func() time.Duration { return time.Since(start) },
-		inbox:               make(chan message, queueDepth),
+		inbox:               make(chan message, inboxCapacity),
 		router:              router,
 		logDecision:         logDecision,
 		nodes:               map[decision.NodeID]discovery.Node{},
@@ -121,7 +121,7 @@
 
 // drainInbox handles what else is queued, one queue's length at most, so that a step comes in any case.
 func (l *loop) drainInbox() {
-	for range queueDepth {
+	for range inboxCapacity {
 		select {
 		case m := <-l.inbox:
 			l.handle(m)
@@ -163,7 +163,7 @@
 	case connectionEvent:
 		l.pool.Handle(m.Event)
 	case queryReceived:
-		l.receive(m.query)
+		l.receiveQuery(m.query)
 	case queryAbandoned:
 		l.abandon(m)
 	case listReceived:
@@ -174,7 +174,7 @@
 		l.applySettings(m)
 		close(m.done)
 	case countersRequested:
-		m.to <- l.snapshot()
+		m.reply <- l.snapshot()
 	default:
 		for _, e := range &l.extensions {
 			if e != nil && e.handle(m) {
@@ -213,13 +213,13 @@
 // applySettings has the loop, the pool and the router go on under other settings. What came before is handed to the router under the old
 // ones, and what is in flight ends by them. Where shards or nodes are others now, the nodes known so far get nothing more.
 func (l *loop) applySettings(m settingsChanged) {
-	if m.moved {
+	if m.deploymentChanged {
 		l.applyList(&discovery.List{Full: true})
 	}
 	if len(l.events) > 0 {
 		l.stepRouter(l.since())
 	}
-	l.router.(reconfigurable).Reconfigure(m.terms.Module, m.moved)
+	l.router.(reconfigurable).Reconfigure(m.terms.Module, m.deploymentChanged)
 	l.settings = m.terms
 	l.applyLimits(&m.terms.Module)
 	l.pool.Retune(m.terms.Streams, m.terms.Idle, m.terms.Dial, m.terms.LongestTimeout())
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-const settings = `{"azs":["a","b"],"balancers":2,
+const settingsJSON = `{"azs":["a","b"],"balancers":2,
  "classes":[{"aimNs":1000000000,"deadlineNs":2000000000,"effect":"read_like","name":"find"},
   {"aimNs":1000000000,"deadlineNs":2000000000,"effect":"non_idempotent","name":"sign"}],
  "clients":{"marksRetry":true},"domain":{"cells":2,"classFloor":[0.5,1],"partsACall":4,"slices":6,"width":1},
@@ -39,8 +39,8 @@
  "safety":{"askWithinNs":10000000000,"coldFrom":0.3,"drainGraceNs":500000000,"tipMultiple":2,"warmAfterNs":5000000000},
  "stepNs":5000000}`
 
-func decoded(t *testing.T) terms.Terms {
-	tm, err := terms.FromJSON([]byte(settings), 11)
+func testTerms(t *testing.T) terms.Terms {
+	tm, err := terms.FromJSON([]byte(settingsJSON), 11)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,44 +49,44 @@
 
 // one client asks for one query and checks its answer, or leaves.
 func (w *world) client(n, typ int, leaves bool) {
-	s := &activeQuery{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
+	q := &activeQuery{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
 		result: make(chan query.Result, 1)}
 	shards := w.rnd.Perm(6)[:1+w.rnd.IntN(6)]
 	for _, shard := range shards {
-		s.Request.Shards = append(s.Request.Shards, query.ShardRequest{Name: fmt.Sprintf("%s.%d", s.Request.ID, shard), Shard: shard, Weight: 1 / float64(len(shards))})
+		q.Request.Shards = append(q.Request.Shards, query.ShardRequest{Name: fmt.Sprintf("%s.%d", q.Request.ID, shard), Shard: shard, Weight: 1 / float64(len(shards))})
 	}
-	s.deadline = w.loop.since() + s.Timeout
+	q.deadline = w.loop.since() + q.Timeout
 	w.mu.Lock()
-	w.asked[s.Request.ID] = s
+	w.asked[q.Request.ID] = q
 	w.mu.Unlock()
-	patience := time.Duration(w10(w.rnd)) * 50 * time.Millisecond
-	w.loop.inbox <- queryReceived{s}
+	leaveAfter := time.Duration(w10(w.rnd)) * 50 * time.Millisecond
+	w.loop.inbox <- queryReceived{q}
 	go func() {
 		if leaves {
-			time.Sleep(patience)
-			w.loop.inbox <- queryAbandoned{query: s}
+			time.Sleep(leaveAfter)
+			w.loop.inbox <- queryAbandoned{query: q}
 			return
 		}
-		v := <-s.result
-		if late := w.loop.since() - s.deadline; late > 50*time.Millisecond {
+		result := <-q.result
+		if late := w.loop.since() - q.deadline; late > 50*time.Millisecond {
 			w.t.Errorf("rule 1: answered %v late", late)
 		}
 		w.mu.Lock()
 		seen := map[int]bool{}
-		for _, p := range v.Answers {
-			id := fmt.Sprintf("%s.%d", s.Request.ID, p.Shard)
+		for _, p := range result.Answers {
+			id := fmt.Sprintf("%s.%d", q.Request.ID, p.Shard)
 			if !strings.HasPrefix(p.Value, id+"@") || !w.made[p.Value] || seen[p.Shard] {
 				w.t.Errorf("rule 5: %s has the value %q", id, p.Value)
 			}
 			seen[p.Shard] = true
 		}
 		least := []float64{0.5, 1}[typ]
-		if share := float64(len(seen)) / float64(len(shards)); v.Outcome == query.Answered &&
-			(share < least-1e-4 || v.Complete != (len(seen) == len(shards))) {
-			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the attempts", v.Complete, share)
+		if share := float64(len(seen)) / float64(len(shards)); result.Outcome == query.Answered &&
+			(share < least-1e-4 || result.Complete != (len(seen) == len(shards))) {
+			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the attempts", result.Complete, share)
 		}
-		if typ == 1 && v.Outcome == query.Shed && len(s.requests) > 0 {
-			for _, p := range s.Request.Shards {
+		if typ == 1 && result.Outcome == query.Shed && len(q.shardRequests) > 0 {
+			for _, p := range q.Request.Shards {
 				if w.runs[p.Name] {
 					w.t.Errorf("rule 2: shed though %s may have run", p.Name)
 				}
@@ -94,7 +94,7 @@
 		}
 		w.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		if len(s.result) != 0 {
+		if len(q.result) != 0 {
 			w.t.Errorf("rule 1: a second result")
 		}
 	}()
@@ -103,7 +103,7 @@
 // Whatever nodes, clients and the list do, the rules hold at every step.
 func TestRulesHoldInRandomRuns(t *testing.T) {
 	play := func(seed uint64) bool {
-		synctest.Test(t, func(t *testing.T) { newWorld(t, seed).play() })
+		synctest.Test(t, func(t *testing.T) { newWorld(t, seed).runRandomSteps() })
 		return !t.Failed()
 	}
 	if err := quick.Check(play, &quick.Config{MaxCount: 40, Rand: oldrand.New(oldrand.NewSource(1))}); err != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (w *world) play() {
+func (w *world) runRandomSteps() {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := w.loop
 	l.pool = store.NewPool(ctx, store.Limits{Streams: 8, Idle: 30 * time.Second, Dial: 250 * time.Millisecond, Conns: 20},
@@ -165,7 +165,7 @@
 		synctest.Wait()
 		r := countersRequested{make(chan QueryCounters, 1)}
 		l.inbox <- r
-		if now := <-r.to; now.AttemptsByRouter != now.AttemptsInFlight {
+		if now := <-r.reply; now.AttemptsByRouter != now.AttemptsInFlight {
 			w.t.Errorf("step %d: the router takes %d attempts to be out, %d are", n, now.AttemptsByRouter, now.AttemptsInFlight)
 		}
 	}
@@ -176,14 +176,14 @@
 	if t := l.counters; t.InFlight != 0 || l.slotsUsed != 0 || len(l.queryOfShardRequest)+len(l.requestIDs)+len(l.queries) != 0 || t.Answered == 0 {
 		w.t.Errorf("at the end: %+v, %d slots, %d attempts", t, l.slotsUsed, len(l.queryOfShardRequest))
 	}
-	listing := 0 // what the loop still keeps of nodes
+	listed := 0 // what the loop still keeps of nodes
 	for i := range w.nodes {
 		if _, kept := l.nodes[w.nodes[i].Endpoint.Node]; kept {
-			listing++
+			listed++
 		}
 	}
-	if len(l.nodes) != listing || l.pool.Nodes() > len(w.nodes) {
-		w.t.Errorf("%d nodes kept in the loop, %d in the pool, %d are listed", len(l.nodes), l.pool.Nodes(), listing)
+	if len(l.nodes) != listed || l.pool.Nodes() > len(w.nodes) {
+		w.t.Errorf("%d nodes kept in the loop, %d in the pool, %d are listed", len(l.nodes), l.pool.Nodes(), listed)
 	}
 	synctest.Wait()
 }
@@ -194,20 +194,20 @@
 		w := newWorld(t, 1)
 		l := w.loop
 		l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
-		var verdicts []query.Outcome
+		var outcomes []query.Outcome
 		for i, id := range []string{"a", "a", "b", "c"} {
-			s := &activeQuery{Request: &query.Request{ID: id, Shards: make([]query.ShardRequest, 15+i)}, result: make(chan query.Result, 1)}
-			l.handle(queryReceived{s})
-			if len(s.result) > 0 {
-				v := <-s.result
-				verdicts = append(verdicts, v.Outcome)
-				if v.Outcome == query.Shed && v.RetryAfter != 2*time.Second {
-					t.Errorf("told to come back after %v", v.RetryAfter)
+			q := &activeQuery{Request: &query.Request{ID: id, Shards: make([]query.ShardRequest, 15+i)}, result: make(chan query.Result, 1)}
+			l.handle(queryReceived{q})
+			if len(q.result) > 0 {
+				result := <-q.result
+				outcomes = append(outcomes, result.Outcome)
+				if result.Outcome == query.Shed && result.RetryAfter != 2*time.Second {
+					t.Errorf("told to come back after %v", result.RetryAfter)
 				}
 			}
 		}
-		if len(verdicts) != 2 || verdicts[0] != query.Duplicate || verdicts[1] != query.Shed || l.counters.NoCapacity != 1 || l.counters.InFlight != 2 {
-			t.Errorf("%v, %+v", verdicts, l.counters)
+		if len(outcomes) != 2 || outcomes[0] != query.Duplicate || outcomes[1] != query.Shed || l.counters.NoCapacity != 1 || l.counters.InFlight != 2 {
+			t.Errorf("%v, %+v", outcomes, l.counters)
 		}
 	})
 }
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -63,7 +63,7 @@
 		}
 		return names
 	}
-	k.until("three know one another", func() bool {
+	k.waitFor("three know one another", func() bool {
 		for i := range 3 {
 			if states(i, membership.Alive) != "n0 n1 n2 " {
 				return false
@@ -71,7 +71,7 @@
 		}
 		return true
 	})
-	k.until("a duty has one owner", func() bool {
+	k.waitFor("a duty has one owner", func() bool {
 		a, b, c := crewOf(0).Ownership[0], crewOf(1).Ownership[0], crewOf(2).Ownership[0]
 		return a.Owner != 0 && a.Owner == b.Owner && b.Owner == c.Owner && a.RunCount > 0
 	})
@@ -86,8 +86,8 @@
 	}
 	ends[owner]()
 	other := (owner + 1) % 3
-	k.until("the stop is known as planned", func() bool { return strings.Contains(states(other, membership.Left), fmt.Sprintf("n%d", owner)) })
-	k.until("the duty has another owner", func() bool {
+	k.waitFor("the stop is known as planned", func() bool { return strings.Contains(states(other, membership.Left), fmt.Sprintf("n%d", owner)) })
+	k.waitFor("the duty has another owner", func() bool {
 		d := crewOf(other).Ownership[0]
 		return d.Owner != 0 && d.Owner != uint32(membership.IDOf(fmt.Sprintf("n%d", owner))) && d.Fence > 1
 	})
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	l := s.loop
-	l.pool = poolOf(s)
+	l.pool = newPoolFor(s)
 	sent := &[][]byte{}
 	at := netip.MustParseAddrPort("127.0.0.1:7")
 	self := tierIdentity{name: "n0", address: at, service: start.Discovery, start: l.start}
@@ -208,15 +208,15 @@
 	kept := filepath.Join(dir, "members")
 	begin(1, `"seeds": ["`+at[0].String()+`"]`)
 	a, end := begin(0, fmt.Sprintf(`"seeds": [%q], "keep": %q`, at[1], kept))
-	k.until("the two know each other", func() bool { return living(a) == 2 })
+	k.waitFor("the two know each other", func() bool { return living(a) == 2 })
 	end()
 	if raw, err := os.ReadFile(kept); err != nil || strings.TrimSpace(string(raw)) != at[1].String() {
 		t.Errorf("%q, %v", raw, err)
 	}
 	a, end = begin(0, fmt.Sprintf(`"seeds": ["127.0.0.1:1"], "keep": %q`, kept))
-	k.until("they do again", func() bool { return living(a) == 2 })
+	k.waitFor("they do again", func() bool { return living(a) == 2 })
 	end()
 	os.WriteFile(kept, []byte("noise\n"), 0o600)
 	a, _ = begin(0, fmt.Sprintf(`"seeds": [%q], "keep": %q`, at[1], kept))
-	k.until("a spoilt file is no hindrance", func() bool { return living(a) == 2 })
+	k.waitFor("a spoilt file is no hindrance", func() bool { return living(a) == 2 })
 }
--- a/internal/server/messages.go
+++ b/internal/server/messages.go
@@ -33,12 +33,12 @@
 		from int
 		text []byte
 	}
-	countersRequested struct{ to chan QueryCounters }
+	countersRequested struct{ reply chan QueryCounters }
 	settingsChanged   struct {
-		terms *terms.Terms
-		moved bool            // with other shards, or other nodes
-		list  *discovery.List // the nodes there, as far as known; nil: not at all
-		done  chan struct{}
+		terms             *terms.Terms
+		deploymentChanged bool            // with other shards, or other nodes
+		list              *discovery.List // the nodes there, as far as known; nil: not at all
+		done              chan struct{}
 	}
 )
 
@@ -59,12 +59,12 @@
 		number uint64
 	}
 	// leaseReleaseRequested asks for all connections to nodes to be closed, for good. No query is in flight by then.
-	leaseReleaseRequested struct{ holds chan leaseToRelease }
+	leaseReleaseRequested struct{ reply chan leaseToRelease }
 )
 
 // Messages for read pins.
 type (
-	positionsRequested struct{ to chan []byte }
+	positionsRequested struct{ reply chan []byte }
 	positionsReceived  struct {
 		data        []byte
 		collectedAt time.Duration // by the loop's clock: they are at least as new as this
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -92,7 +92,7 @@
 
 func newOrder(t *testing.T) *order {
 	o := &order{t: t, barred: map[string]bool{}}
-	tm := decoded(t)
+	tm := testTerms(t)
 	a := Environment{Now: func() time.Duration { return o.now }, Start: time.Unix(0, 0), Sockets: 64, PollDiscovery: func() {}, SendGossip: func(string) {},
 		Log: func(string) {}}
 	a.Carrier = func(node string, _ netip.AddrPort, h store.Handle) func() {
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -19,9 +19,9 @@
 	onResult            func(query.Result) // takes the result instead, in the loop
 	server              *Server            // where a front waits for the result
 
-	id       uint64 // as the router knows it; its shard requests have the numbers that follow
-	done     bool
-	requests []shardRequest
+	id            uint64 // as the router knows it; its shard requests have the numbers that follow
+	done          bool
+	shardRequests []shardRequest
 
 	pin        *pinnedQuery // nil: its reads are ordinary ones
 	admission  admissionState
@@ -41,14 +41,14 @@
 // fromOtherSite tells whether a broker of another site sent the query.
 func (q *activeQuery) fromOtherSite() bool { return q.forwarding.remote }
 
-// receive hands a query to the router, if there are slots for it and its shard requests and admission lets it enter at once.
-func (l *loop) receive(q *activeQuery) {
+// receiveQuery hands a query to the router, if there are slots for it and its shard requests and admission lets it enter at once.
+func (l *loop) receiveQuery(q *activeQuery) {
 	l.counters.Received++
 	if l.requestIDs[q.Request.ID] {
 		l.deliverResult(q, query.Result{Outcome: query.Duplicate})
 		return
 	}
-	if q.connectionOverLimit || !l.hasCapacity(q) || !l.adapt(q.Request) {
+	if q.connectionOverLimit || !l.hasCapacity(q) || !l.adaptToSettings(q.Request) {
 		l.counters.NoCapacity++
 		l.deliverResult(q, l.shedResult())
 		return
@@ -56,7 +56,7 @@
 	if !q.fromOtherSite() && !l.admit(q) {
 		return
 	}
-	l.hold(q)
+	l.markInFlight(q)
 	if !q.fromOtherSite() {
 		l.gateway.queryAccepted()
 	}
@@ -70,7 +70,7 @@
 		l.deliverResult(q, query.Result{Outcome: query.Shed, RetryAfter: min(retryAfter, l.maxRetryAfter)})
 		return false
 	}
-	return l.admission.request(q)
+	return l.admission.admit(q)
 }
 
 // hasCapacity tells whether there are slots for a query and its shard requests.
@@ -90,14 +90,14 @@
 // typeOf is the settings' entry for a query's type.
 func (l *loop) typeOf(r *query.Request) *decision.QueryType { return &l.queryTypes[r.Type] }
 
-// hold counts a query as in flight, so that another of its id is a duplicate.
-func (l *loop) hold(q *activeQuery) {
+// markInFlight counts a query as in flight, so that another of its id is a duplicate.
+func (l *loop) markInFlight(q *activeQuery) {
 	l.counters.InFlight++
 	l.requestIDs[q.Request.ID] = true
 }
 
-// release takes a query out of flight that the router does not have.
-func (l *loop) release(q *activeQuery) {
+// clearInFlight takes a query out of flight that the router does not have.
+func (l *loop) clearInFlight(q *activeQuery) {
 	l.counters.InFlight--
 	delete(l.requestIDs, q.Request.ID)
 }
@@ -108,11 +108,11 @@
 	l.nextID += uint64(q.slots())
 	l.slotsUsed += q.slots()
 	l.queries[q.id] = q
-	q.requests = make([]shardRequest, len(q.Request.Shards))
+	q.shardRequests = make([]shardRequest, len(q.Request.Shards))
 	l.readPins.pinQuery(q)
 	serial := float32(q.id % (1 << 24)) // exact in a float32, and far more ids than can be in flight
 	l.post(decision.Event{Kind: decision.QueryReceived, ID: q.id, Serial: serial, Type: q.Type, Tenant: q.Tenant, RemainingTime: left,
-		Weight: float64(len(q.requests)), Retry: q.Retry})
+		Weight: float64(len(q.shardRequests)), Retry: q.Retry})
 	for i := range q.Request.Shards {
 		r := &q.Request.Shards[i]
 		id := q.id + 1 + uint64(i)
@@ -145,33 +145,33 @@
 		l.admission.abandon(q)
 		return
 	}
-	l.admission.done(q, query.Failed)
+	l.admission.queryEnded(q, query.Failed)
 	if q.forwarding.forwarded {
 		l.gateway.abandon(q)
 		return
 	}
 	l.post(decision.Event{Kind: decision.ClientDeparted, ID: q.id})
-	l.finish(q)
+	l.finishQuery(q)
 	l.cancelUnsent(q) // now, as a connection may come up in the same moment
 }
 
-// finish takes a query out of flight; it is forgotten once the actions of its last step are executed.
-func (l *loop) finish(q *activeQuery) {
+// finishQuery takes a query out of flight; it is forgotten once the actions of its last step are executed.
+func (l *loop) finishQuery(q *activeQuery) {
 	q.done = true
 	l.counters.InFlight--
-	l.detach(q)
+	l.freeSlots(q)
 }
 
-// detach frees the slots of a query that the router has ended.
-func (l *loop) detach(q *activeQuery) {
+// freeSlots frees the slots of a query that the router has ended.
+func (l *loop) freeSlots(q *activeQuery) {
 	l.slotsUsed -= q.slots()
 	l.finished = append(l.finished, q)
 }
 
 // cancelUnsent cancels the attempts that were not written to a node yet; they never are.
 func (l *loop) cancelUnsent(q *activeQuery) {
-	for i := range q.requests {
-		for _, attempt := range q.requests[i].attempts {
+	for i := range q.shardRequests {
+		for _, attempt := range q.shardRequests[i].attempts {
 			if !attempt.Written() {
 				l.pool.Cancel(attempt)
 			}
@@ -179,10 +179,10 @@
 	}
 }
 
-// forget drops a query that the router has ended. What was not written to a node by now never is.
-func (l *loop) forget(q *activeQuery) {
+// forgetQuery drops a query that the router has ended. What was not written to a node by now never is.
+func (l *loop) forgetQuery(q *activeQuery) {
 	l.cancelUnsent(q)
-	for i := range q.requests {
+	for i := range q.shardRequests {
 		delete(l.queryOfShardRequest, q.id+1+uint64(i))
 	}
 	delete(l.queries, q.id)
@@ -191,24 +191,24 @@
 	}
 }
 
-// adapt translates a query that was read under other settings to those in force; false: they can't serve it.
-func (l *loop) adapt(r *query.Request) bool {
+// adaptToSettings translates a query that was read under other settings to those in force; false: they can't serve it.
+func (l *loop) adaptToSettings(r *query.Request) bool {
 	if r.Settings == nil || r.Settings == l.settings {
 		return true
 	}
-	was, now := r.Settings, l.settings
-	r.Type = slices.Index(now.Types, was.Types[r.Type])
-	if r.Type < 0 || now.Fingerprint() != was.Fingerprint() {
+	previous, current := r.Settings, l.settings
+	r.Type = slices.Index(current.Types, previous.Types[r.Type])
+	if r.Type < 0 || current.Fingerprint() != previous.Fingerprint() {
 		return false
 	}
 	switch {
-	case len(now.Tenants) == 0:
+	case len(current.Tenants) == 0:
 		r.Tenant = 0
-	case len(was.Tenants) > 0:
-		r.Tenant = slices.Index(now.Tenants, was.Tenants[r.Tenant])
+	case len(previous.Tenants) > 0:
+		r.Tenant = slices.Index(current.Tenants, previous.Tenants[r.Tenant])
 	default:
 		r.Tenant = -1
 	}
-	r.Settings = now
+	r.Settings = current
 	return r.Tenant >= 0
 }
--- a/internal/server/read_positions.go
+++ b/internal/server/read_positions.go
@@ -13,7 +13,7 @@
 		return nil
 	}
 	select {
-	case data := <-request.to:
+	case data := <-request.reply:
 		return data
 	case <-s.ctx.Done():
 		return nil
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -58,33 +58,33 @@
 	current := *s.start
 	current.Terms = *s.Settings()
 	needsRestart := current.Differs(start)
-	at := slices.Index(needsRestart, "settings")
-	switched := at >= 0 && s.canReconfigure(&start.Terms)
-	var discoveryTerms *discovery.Settings
-	if switched {
-		needsRestart = slices.Delete(needsRestart, at, at+1)
-		discoveryTerms = s.switchSettings(&current.Terms, start, reader, list)
+	i := slices.Index(needsRestart, "settings")
+	settingsSwitched := i >= 0 && s.canReconfigure(&start.Terms)
+	var discoverySettings *discovery.Settings
+	if settingsSwitched {
+		needsRestart = slices.Delete(needsRestart, i, i+1)
+		discoverySettings = s.switchSettings(&current.Terms, start, reader, list)
 	}
 	needsRestart = append(needsRestart, s.operator.Differs(file)...)
-	if s.discoveryAddress != start.Discovery || discoveryTerms != nil {
+	if s.discoveryAddress != start.Discovery || discoverySettings != nil {
 		s.discoveryAddress = start.Discovery
-		s.discoveryClient.ChangeAddress(start.Discovery.String(), discoveryTerms)
+		s.discoveryClient.ChangeAddress(start.Discovery.String(), discoverySettings)
 	}
 	s.reloadCertificates()
-	slog.Info("configuration reloaded", "discovery", start.Discovery, "settings_switched", switched, "needs_restart", needsRestart)
+	slog.Info("configuration reloaded", "discovery", start.Discovery, "settings_switched", settingsSwitched, "needs_restart", needsRestart)
 }
 
 // switchSettings has the loop go on under other settings, and returns what changes for polling discovery; nil: nothing. list is the one of
 // the configuration.
 func (s *Server) switchSettings(current *terms.Terms, start *terms.Start, reader discovery.Reader, list *discovery.List) *discovery.Settings {
 	next := &start.Terms
-	elsewhere := s.discoveryAddress != start.Discovery && !slices.Equal(current.Types, next.Types)
-	moved := elsewhere || current.Fingerprint() != next.Fingerprint()
-	if !moved {
+	otherDiscoveryAndTypes := s.discoveryAddress != start.Discovery && !slices.Equal(current.Types, next.Types)
+	deploymentChanged := otherDiscoveryAndTypes || current.Fingerprint() != next.Fingerprint()
+	if !deploymentChanged {
 		list = nil
 	}
-	s.reconfigure(next, moved, list)
-	if moved || current.AskEvery != next.AskEvery || current.Pushed != next.Pushed {
+	s.reconfigure(next, deploymentChanged, list)
+	if deploymentChanged || current.AskEvery != next.AskEvery || current.Pushed != next.Pushed {
 		return &discovery.Settings{Reader: reader, MaxWatchTime: next.AskEvery, LocalAgent: next.Pushed}
 	}
 	return nil
@@ -128,8 +128,8 @@
 
 // reconfigure has all go on under other settings: the loop first, then what clients send. A query that was read under the old ones and comes
 // to the loop later is translated there.
-func (s *Server) reconfigure(t *terms.Terms, moved bool, list *discovery.List) {
-	m := settingsChanged{t, moved, list, make(chan struct{})}
+func (s *Server) reconfigure(t *terms.Terms, deploymentChanged bool, list *discovery.List) {
+	m := settingsChanged{t, deploymentChanged, list, make(chan struct{})}
 	if !s.deliver(m) {
 		return
 	}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -19,7 +19,7 @@
 )
 
 // What can't work is told before anything listens.
-func TestFaultsAtStart(t *testing.T) {
+func TestConfigurationErrorsAtStart(t *testing.T) {
 	taken := listen(t)
 	s, err := New(startConfiguration(t, taken.Addr().String(), 1024), operator.Default(), newRouter)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-const ringSettings = `{"azs":["c"],"balancers":9,"countedBy":"work",
+const ringSettingsJSON = `{"azs":["c"],"balancers":9,"countedBy":"work",
  "classes":[{"aimNs":1000000000,"deadlineNs":2000000000,"effect":"read_like","name":"thread"},
   {"aimNs":1000000000,"deadlineNs":2000000000,"effect":"idempotency_key","name":"optout","windowNs":3000000000}],
  "domain":{"cells":2,"classFloor":[0.8,1],"partsACall":8,"slices":6,"width":2},
@@ -51,12 +51,12 @@
 // Settings change under a running broker and back again: a ring of other nodes behind another discovery, other query types, a
 // budget, probes, worth by work. What is in flight gets its one answer and no node of the other deployment is sent an attempt of it; a
 // configuration with a bad value changes nothing.
-func TestSettingsSwitchWhileServing(t *testing.T) {
+func TestSettingsChangeWhileServing(t *testing.T) {
 	s, end := runServer(t, 64)
 	first := s.start
 	ring := *first
 	var err error
-	if ring.Terms, err = terms.FromJSON([]byte(ringSettings), 11); err != nil {
+	if ring.Terms, err = terms.FromJSON([]byte(ringSettingsJSON), 11); err != nil {
 		t.Fatal(err)
 	}
 	ring.Discovery = netip.MustParseAddrPort("127.0.0.2:1")
@@ -70,7 +70,7 @@
 		io.WriteString(held, ask)
 		waitUntil(s, func(n Counters) bool { return n.Queries.InFlight == 1 && n.Queries.AttemptsInFlight >= 2 })
 		sent := s.Counters().Queries.Attempts
-		if _, err := terms.FromJSON([]byte(strings.Replace(ringSettings, `"work"`, `"hour"`, 1)), 1); err == nil {
+		if _, err := terms.FromJSON([]byte(strings.Replace(ringSettingsJSON, `"work"`, `"hour"`, 1)), 1); err == nil {
 			t.Fatal(text, "a bad value passed")
 		} else if s.Reload(nil, s.operator, err); s.Settings().Types[0] != "find" {
 			t.Fatalf("%s: a bad configuration changed the settings", text)
@@ -105,11 +105,11 @@
 }
 
 // A query that was read under the settings of before comes to the loop after they changed.
-func TestQueryReadBeforeASwitch(t *testing.T) {
-	was, now := decoded(t), decoded(t)
+func TestQueryReadBeforeSettingsChange(t *testing.T) {
+	was, now := testTerms(t), testTerms(t)
 	now.Types, now.Tenants = append([]string{"new"}, was.Types...), append([]string{"new"}, was.Tenants...)
 	l := &loop{settings: &now}
-	if a := (&query.Request{Settings: &was}); !l.adapt(a) || a.Type != 1 || a.Tenant != 1 || !l.adapt(a) {
+	if a := (&query.Request{Settings: &was}); !l.adaptToSettings(a) || a.Type != 1 || a.Tenant != 1 || !l.adaptToSettings(a) {
 		t.Errorf("taken as %+v", a)
 	}
 	for _, change := range []func(*terms.Terms){
@@ -117,10 +117,10 @@
 		func(o *terms.Terms) { o.Tenants = []string{"other"} },
 		func(o *terms.Terms) { o.Shards++ },
 	} {
-		other := decoded(t)
+		other := testTerms(t)
 		change(&other)
 		l.settings = &other
-		if a := (&query.Request{Settings: &was}); l.adapt(a) {
+		if a := (&query.Request{Settings: &was}); l.adaptToSettings(a) {
 			t.Errorf("taken under %+v", other)
 		}
 	}
@@ -131,9 +131,9 @@
 	s, end := runServer(t, 64)
 	c := dial(t, s)
 	io.WriteString(c, postUnanswered("r1", "300"))
-	asks := listen(t)
+	discoveryListener := listen(t)
 	next := *s.start
-	next.Discovery = asks.Addr().(*net.TCPAddr).AddrPort()
+	next.Discovery = discoveryListener.Addr().(*net.TCPAddr).AddrPort()
 	next.Limits.Sockets = 1
 	next.Terms.Module.MaxRetryAfter, next.Known = 5*time.Second, nil
 	bad := next
@@ -144,7 +144,7 @@
 		t.Errorf("a bad configuration moved discovery to %v", s.discoveryAddress)
 	}
 	s.Reload(&next, s.operator, nil)
-	conn, err := asks.Accept()
+	conn, err := discoveryListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -144,7 +144,7 @@
 		r.query.forwarding.remote = true
 		r.query.onResult = func(result query.Result) { g.sendResult(k, r, result) }
 		g.remote[k] = r
-		g.loop.receive(r.query)
+		g.loop.receiveQuery(r.query)
 	}
 }
 
@@ -177,7 +177,7 @@
 	}
 	g.loop.post(decision.Event{Kind: decision.ClientDeparted, ID: q.id})
 	g.loop.deliverResult(q, query.Result{Outcome: query.Failed})
-	g.loop.finish(q)
+	g.loop.finishQuery(q)
 }
 
 // encode makes of a query what the link carries.
--- a/internal/server/router_step.go
+++ b/internal/server/router_step.go
@@ -23,7 +23,7 @@
 	}
 	l.batches = l.batches[:0]
 	for _, q := range l.finished {
-		l.forget(q)
+		l.forgetQuery(q)
 	}
 	clear(l.finished)
 	l.finished = l.finished[:0]
@@ -64,7 +64,7 @@
 	r := l.gateway.safeResult(q, q.resultOf(a))
 	l.readPins.annotateResult(q, &r)
 	l.deliverResult(q, r)
-	l.finish(q)
+	l.finishQuery(q)
 }
 
 // healthCheckEnded is told by the pool how a health check went.
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -98,9 +98,9 @@
 func (s *Server) startClients() {
 	s.startGoroutine(s.ingress.Run)
 	for _, f := range s.fronts {
-		s.serving.Add(1)
+		s.servingFronts.Add(1)
 		s.startGoroutine(func(ctx context.Context) error {
-			defer s.serving.Done()
+			defer s.servingFronts.Done()
 			return f.Serve(ctx)
 		})
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -53,21 +53,21 @@
 	cancel        context.CancelFunc
 	draining      atomic.Bool
 	stopRequested atomic.Int64 // when the shutdown was requested, since the start
-	after         func(time.Duration) <-chan time.Time
+	timeAfter     func(time.Duration) <-chan time.Time
 
 	// discovery
 	reader           discovery.Reader
 	discoveryClient  *discovery.Client
 	discoveryAddress netip.AddrPort
 	initialList      *discovery.List // that it starts with
-	listGiven        bool            // the configuration has one
+	listConfigured   bool            // the configuration has one
 	listStore        *nodelist.Store // nil: no list is cached
 
 	// clients
-	listener net.Listener
-	ingress  *ingress.Ingress
-	fronts   []Front
-	serving  sync.WaitGroup // fronts
+	listener      net.Listener
+	ingress       *ingress.Ingress
+	fronts        []Front
+	servingFronts sync.WaitGroup // fronts
 
 	// other brokers
 	gossip       *peers.Link       // nil: the settings do not allow it
@@ -81,20 +81,20 @@
 // New makes a broker of its configuration; nothing is opened yet. Its errors tell what is wrong with the configuration.
 func New(start *terms.Start, file *operator.File, newRouter func(decision.Settings) decision.Router) (*Server, error) {
 	t := &start.Terms
-	s := &Server{start: start, operator: file, discoveryAddress: start.Discovery, after: time.After}
+	s := &Server{start: start, operator: file, discoveryAddress: start.Discovery, timeAfter: time.After}
 	s.settings.Store(t)
 	s.loop = newLoop(time.Now(), newRouter(t.Module), &t.Module)
 	s.loop.settings = t
 	s.reader = discovery.Reader{Zones: t.Zones, CellCount: t.Module.Cells, StartedAt: s.loop.start}
 	var err error
-	s.initialList, s.listGiven, err = checkConfiguration(start, s.reader)
+	s.initialList, s.listConfigured, err = checkConfiguration(start, s.reader)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.group, s.ctx = errgroup.WithContext(ctx)
-	s.discoveryClient = discovery.NewClient(start.Discovery.String(), s.reader, t.AskEvery, s.initialList.Version, s.listGiven,
+	s.discoveryClient = discovery.NewClient(start.Discovery.String(), s.reader, t.AskEvery, s.initialList.Version, s.listConfigured,
 		func(list *discovery.List, err error) { s.deliver(listReceived{list, err}) })
 	if t.Pushed {
 		s.discoveryClient.UseLocalAgent()
@@ -176,7 +176,7 @@
 		Connections: descriptors.clients,
 		Used:        descriptors.usedClients,
 		ReadGrace:   t.Dial,
-		AcceptTail:  stopTaking,
+		AcceptTail:  stopAcceptingAfter,
 	}}
 	if s.loop.readPins != nil {
 		options.IgnoredReadHints = &s.loop.readPins.ignoredHints
--- a/internal/server/shutdown_crossing_test.go
+++ b/internal/server/shutdown_crossing_test.go
@@ -49,7 +49,7 @@
 
 // Clients send after SIGTERM for as long as a connection stays open. What came before the close is answered, also on a
 // connection that nobody had begun to read when the idle ones were closed, and a request that had come in part.
-func TestRequestCrossesTheClose(t *testing.T) {
+func TestRequestCrossesClosingOfIdleConnections(t *testing.T) {
 	text := post("a", body)
 	for what, at := range map[string]struct {
 		set  int // at which setting of its deadline the idle connections are closed
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -7,19 +7,19 @@
 	"flaxfront/internal/transport/link"
 )
 
-// By the protocol new connections come for newConnectionsFor after a shutdown was requested, and what comes later than answerWithin has to
+// By the protocol new connections come for newConnectionPeriod after a shutdown was requested, and what comes later than answerWithin has to
 // be answered before the process is killed. Between the two the broker stops accepting.
 const (
-	newConnectionsFor = 400 * time.Millisecond
-	answerWithin      = 700 * time.Millisecond
-	stopTaking        = (newConnectionsFor + answerWithin) / 2
+	newConnectionPeriod = 400 * time.Millisecond
+	answerWithin        = 700 * time.Millisecond
+	stopAcceptingAfter  = (newConnectionPeriod + answerWithin) / 2
 )
 
 // The process is killed answerWithin after the longest time of a client, but no later than maxKillWait plus answerWithin, after the shutdown
 // was requested. An answer has to be on its way some time before.
 const (
 	maxKillWait   = 3 * time.Second
-	beforeKill    = 150 * time.Millisecond
+	killMargin    = 150 * time.Millisecond
 	minAnswerTime = 50 * time.Millisecond
 )
 
@@ -30,7 +30,7 @@
 	s.draining.Store(true)
 	s.announceShutdown()
 	select {
-	case <-s.after(stopTaking):
+	case <-s.timeAfter(stopAcceptingAfter):
 	case <-s.ctx.Done():
 		return
 	}
@@ -40,7 +40,7 @@
 	}
 	s.ingress.CloseIdle()
 	s.ingress.Wait()
-	s.serving.Wait()
+	s.servingFronts.Wait()
 	if s.siteLinks != nil {
 		s.drainSiteLinks()
 	}
@@ -68,13 +68,13 @@
 	}
 }
 
-// answerBy is when a query that came at a time has to be answered: what comes after the shutdown was requested, and is not answered when the
+// answerDeadline is when a query that came at a time has to be answered: what comes after the shutdown was requested, and is not answered when the
 // process is killed, is lost.
-func (s *Server) answerBy(arrived, timeout time.Duration) time.Duration {
-	by := arrived + timeout
+func (s *Server) answerDeadline(arrival, timeout time.Duration) time.Duration {
+	deadline := arrival + timeout
 	if s.draining.Load() {
 		kill := time.Duration(s.stopRequested.Load()) + min(s.Settings().LongestTimeout(), maxKillWait) + answerWithin
-		by = min(by, max(arrived+minAnswerTime, kill-beforeKill))
+		deadline = min(deadline, max(arrival+minAnswerTime, kill-killMargin))
 	}
-	return by
+	return deadline
 }
--- a/internal/server/warming_up_test.go
+++ b/internal/server/warming_up_test.go
@@ -13,13 +13,13 @@
 	l := newLoop(time.Now(), nil, &decision.Settings{})
 	var now time.Duration
 	l.clock = func() time.Duration { return now }
-	under := decoded(t)
-	l.settings = &under
+	current := testTerms(t)
+	l.settings = &current
 	l.useControlPlane(newControlPlaneView(nil))
-	warm := under.Module.WarmUpTime
-	for name, boot := range map[string]time.Duration{"new": time.Minute, "old": decision.StartedLongAgo} {
+	warm := current.Module.WarmUpTime
+	for name, startedAt := range map[string]time.Duration{"new": time.Minute, "old": decision.StartedLongAgo} {
 		n := nodeAt(name, decision.Ready)
-		n.Endpoint.StartedAt = boot
+		n.Endpoint.StartedAt = startedAt
 		l.nodes[n.Endpoint.Node] = n
 	}
 	for _, c := range []struct {
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -191,7 +191,7 @@
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
-	tm := decoded(t)
+	tm := testTerms(t)
 	tm.Module.Seed = seed
 	w := &world{t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 1)), dials: map[string]int{},
 		asked: map[string]*activeQuery{}, runs: map[string]bool{},
