--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/server/query"
 )
 
-// admissionHost is what admission may use of the loop.
+// admissionHost is the part of the loop that admission may use.
 type admissionHost interface {
 	host
 	hasCapacity(q *activeQuery) bool
@@ -18,29 +18,29 @@
 	shedResult() query.Result
 }
 
-// admissionControl is the extension for fair queuing: a client's query enters, waits or is shed before it takes slots. A query of another
-// site passes it by.
+// admissionControl is the extension for fair queuing: a client's query is admitted, queued or shed before it takes slots. Queries of other
+// sites do not pass through it.
 type admissionControl struct {
 	*admission.Controller
 	loop              admissionHost
 	waiting           map[uint64]*activeQuery // by ticket
 	lastTicket        uint64
 	tenants           []string
-	admittedSinceStep []*activeQuery // since the last step
+	admittedSinceStep []*activeQuery // since the last router step
 	dequeued          []admission.Dequeued
 	schedulingDelay   delayMeter
 }
 
-// admissionState is what admission keeps of a query.
+// admissionState is admission's state of a query.
 type admissionState struct {
 	ticket         uint64
 	work           float64
-	queued         bool // it waits
-	admitted       bool // it was let in, and admission has not been told that it is done
+	queued         bool // it waits for admission
+	admitted       bool // it was admitted, and its end is not yet reported to the controller
 	admittedAt     time.Duration
-	stepDelay      time.Duration // from its admission to the step that took it
-	lastAnswerAt   time.Duration // when its last answer came in
-	lastAnswerStep uint64        // the step that takes that answer
+	stepDelay      time.Duration // from its admission to the router step that included it
+	lastAnswerAt   time.Duration // when its last answer was received
+	lastAnswerStep uint64        // the router step that includes that answer
 }
 
 // useAdmission attaches admission to the loop.
@@ -50,10 +50,10 @@
 	l.extensions[admissionExtension] = a
 }
 
-// handle takes no message: queries come by request.
+// handle handles no messages: queries are passed to admit.
 func (a *admissionControl) handle(message) bool { return false }
 
-// admit asks for a query to be let in; true: it may enter now. Otherwise it waits, or has its result. Without admission all may enter.
+// admit reports whether a query is admitted at once. Otherwise it is queued, or already has its result. Without admission all are admitted.
 func (a *admissionControl) admit(q *activeQuery) bool {
 	if a == nil {
 		return true
@@ -87,7 +87,7 @@
 
 func (a *admissionControl) tenantOf(q *activeQuery) int { return min(q.Tenant, len(a.tenants)-1) }
 
-// tick lets in those that waited, or sheds them.
+// tick admits or sheds queued queries that are due.
 func (a *admissionControl) tick(now time.Duration) time.Duration {
 	a.SetLateness(a.schedulingDelay.Average())
 	releases, next := a.Tick(now, a.dequeued[:0])
@@ -112,13 +112,13 @@
 	return next
 }
 
-// finishQueued gives a query that waited its result.
+// finishQueued delivers the result of a query that was queued.
 func (a *admissionControl) finishQueued(q *activeQuery, r query.Result) {
 	a.loop.deliverResult(q, r)
 	a.loop.clearInFlight(q)
 }
 
-// abandon forgets a query that waits, as its client has gone or its time is up.
+// abandon drops a queued query whose client has left or whose deadline has passed.
 func (a *admissionControl) abandon(q *activeQuery) {
 	a.Remove(a.tenantOf(q), q.admission.ticket)
 	delete(a.waiting, q.admission.ticket)
@@ -133,9 +133,9 @@
 	a.admittedSinceStep = append(a.admittedSinceStep, q)
 }
 
-// beforeStep records how late the router's step comes for the queries admitted since the last one. On busy cores a broker's own delays,
-// before an attempt is written and after an answer is in, are many times the store's; counted as the store's they would have a quiet
-// tenant's queries shed while the store idles.
+// beforeStep records the delay from admission to this router step, for the queries admitted since the last step. On busy cores a broker's
+// own delays, before an attempt is written and after an answer is received, are many times the store's. Counted as the store's, they would
+// cause the queries of a tenant with little traffic to be shed while the store idles.
 func (a *admissionControl) beforeStep(now time.Duration) {
 	if a == nil {
 		return
@@ -147,7 +147,7 @@
 	a.admittedSinceStep = a.admittedSinceStep[:0]
 }
 
-// afterStep lets in queries for which those that ended have made room, and returns when to tick.
+// afterStep admits queries in place of those that ended, and returns when tick must be called next.
 func (a *admissionControl) afterStep(now time.Duration) time.Duration {
 	if a == nil {
 		return notDue
@@ -155,7 +155,7 @@
 	return a.tick(now)
 }
 
-// queryEnded tells admission, once, that a query which it let in has ended.
+// queryEnded reports to the controller, once, that an admitted query has ended.
 func (a *admissionControl) queryEnded(q *activeQuery, outcome query.Outcome) {
 	if !q.admission.admitted {
 		return
@@ -163,7 +163,7 @@
 	q.admission.admitted = false
 	now := a.loop.since()
 	ownDelay := q.admission.stepDelay
-	if q.admission.lastAnswerStep == a.loop.stats().Steps { // this step ends it, by what came in before it
+	if q.admission.lastAnswerStep == a.loop.stats().Steps { // the answer that ends the query waited for this step
 		ownDelay += now - q.admission.lastAnswerAt
 	}
 	a.Complete(admission.Completion{
@@ -175,7 +175,7 @@
 	}, now)
 }
 
-// AdmissionState is what operators see of admission.
+// AdmissionState is the state of admission that operators see.
 type AdmissionState struct {
 	admission.State
 	TenantNames []string `json:"Names"`
--- a/internal/server/admission_open.go
+++ b/internal/server/admission_open.go
@@ -12,10 +12,10 @@
 	"flaxfront/internal/decision/admission"
 )
 
-// weightSumTolerance is how far tenants' weights may be from adding up to 1.
+// weightSumTolerance is the largest difference from 1 that the sum of tenants' weights may have.
 const weightSumTolerance = 0.001
 
-// newAdmissionControl makes admission by the operators' file and the settings. Its errors are InvalidWeightsError.
+// newAdmissionControl returns admission as the operators' file and the settings configure it. Its error is an InvalidWeightsError.
 func newAdmissionControl(o *operator.Door, t *terms.Terms) (*admissionControl, error) {
 	p := admission.Policy{
 		MaxWaitShare:  o.WaitShare,
@@ -41,19 +41,19 @@
 	return &admissionControl{Controller: admission.NewController(p), waiting: map[uint64]*activeQuery{}, tenants: tenants}, nil
 }
 
-// InvalidWeightsError tells that weights of the operators' file do not fit the tenants of the settings.
+// InvalidWeightsError reports weights in the operators' file that do not match the tenants of the settings.
 type InvalidWeightsError struct{ Reason string }
 
 func (e *InvalidWeightsError) Error() string {
 	return "operators' file: door.weights: " + e.Reason
 }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *InvalidWeightsError) Remedy() string {
 	return "name each tenant of the settings once in door.weights, as NAME=WEIGHT, so that the weights add up to 1; or leave it empty"
 }
 
-// parseWeights reads TENANT=WEIGHT texts into weights, which must name each tenant once and add up to 1. Its errors are InvalidWeightsError.
+// parseWeights parses TENANT=WEIGHT texts into weights, which must name each tenant once and add up to 1. Its error is an InvalidWeightsError.
 func parseWeights(weights []float64, tenants, texts []string) error {
 	sum := 0.0
 	named := map[string]bool{}
@@ -62,7 +62,7 @@
 		tenant := slices.Index(tenants, name)
 		weight, err := strconv.ParseFloat(value, 64)
 		if tenant < 0 || named[name] || err != nil || !(weight >= 0 && weight <= 1) {
-			return &InvalidWeightsError{fmt.Sprintf("%.60q is not TENANT=WEIGHT of a tenant of the settings, named once, from 0 to 1", text)}
+			return &InvalidWeightsError{fmt.Sprintf("%.60q: want TENANT=WEIGHT with a tenant of the settings, named once, and a weight from 0 to 1", text)}
 		}
 		named[name] = true
 		weights[tenant] = weight
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -16,7 +16,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// startAdmissionBroker is a broker with admission before slow nodes.
+// startAdmissionBroker starts a broker with admission and slow nodes.
 func startAdmissionBroker(t *testing.T) (s *Server, end func() error) {
 	k := newCachedListRig(t, 4)
 	k.Pace(40 * time.Millisecond) // 200 attempts a second
@@ -30,8 +30,8 @@
 		For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: seed}.Run()
 }
 
-// One tenant floods: the other is served, each query has one answer, the books add up, and a graceful shutdown with a full
-// queue loses nothing.
+// While one tenant sends far more queries than the nodes can answer, the other tenant is served, each query has one result, the counters
+// add up, and a graceful shutdown with a full queue loses no query.
 func TestFloodOfOneTenant(t *testing.T) {
 	s, end := startAdmissionBroker(t)
 	time.Sleep(200 * time.Millisecond)
@@ -41,11 +41,11 @@
 	both.Go(func() { quiet = runTenantLoad(s, "quiet", 20, 1500*time.Millisecond, 2) })
 	both.Wait()
 	if quiet.Answered < quiet.Asked*9/10 || len(quiet.Broken)+len(flood.Broken) > 0 || flood.Shed == 0 || flood.Answered == 0 {
-		t.Errorf("quiet %v\nflood %v\n%v", quiet, flood, append(quiet.Broken, flood.Broken...))
+		t.Errorf("load of tenant quiet: %v\nload of tenant acme: %v\nbroken rules: %v", quiet, flood, append(quiet.Broken, flood.Broken...))
 	}
 	c := s.Counters().Queries
 	if c.Received != c.Answered+c.Shed+c.Failed+c.Abandoned+c.InFlight || c.InFlight != 0 || c.RejectedByAdmission == 0 || c.Admission.InFlight > 1e-6 {
-		t.Errorf("%+v, %+v", c, c.Admission)
+		t.Errorf("counters do not add up: %+v, admission %+v", c, c.Admission)
 	}
 	var last *lab.Outcome
 	both.Go(func() { last = runTenantLoad(s, "acme", 400, 300*time.Millisecond, 3) })
@@ -53,11 +53,11 @@
 	end()
 	both.Wait()
 	if len(last.Broken) > 0 {
-		t.Errorf("%v, %v", last, last.Broken)
+		t.Errorf("rules broken during shutdown: load %v, %v", last, last.Broken)
 	}
 }
 
-// Clients that go away while they wait leave nothing behind.
+// Queries whose clients leave while they are queued are dropped completely.
 func TestClientLeavesWhileQueued(t *testing.T) {
 	s, _ := startAdmissionBroker(t)
 	var conns []net.Conn
@@ -75,7 +75,7 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	(&cachedListRig{t: t}).waitFor("all are gone", func() bool {
+	(&cachedListRig{t: t}).waitFor("all queries of the departed clients are dropped", func() bool {
 		c := s.Counters().Queries
 		waiting := 0
 		for _, n := range c.Admission.Tenants {
@@ -93,12 +93,12 @@
 	} {
 		err := parseWeights([]float64{0.3, 0.3}, []string{"acme", "quiet"}, strings.Fields(text))
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("weights %q: error %v", text, err)
 		}
 	}
 }
 
-// firstAnswerRouter is a router that answers a query as soon as an attempt of it has ended.
+// firstAnswerRouter is a router that answers a query as soon as one of its attempts has ended.
 type firstAnswerRouter struct{}
 
 func (firstAnswerRouter) Step(_ time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
@@ -110,7 +110,7 @@
 	return out
 }
 
-// What lies between entry and the step, and between an answer's arrival and the step, is not taken for the store's delay.
+// The time from admission to the router step, and from an answer's arrival to the next step, is not counted as the store's delay.
 func TestStepDelayIsNotCountedAsStoreDelay(t *testing.T) {
 	l := newLoop(time.Now(), firstAnswerRouter{}, &decision.Settings{MaxInFlight: 100, MaxBatch: 8})
 	now := time.Duration(0)
@@ -132,6 +132,6 @@
 	now = 4 * time.Second
 	l.advance()
 	if d := l.admission.State(now); len(q.result) != 1 || d.Baseline != 40*time.Millisecond || d.DelayFactor < 2 || d.InFlight != 0 {
-		t.Errorf("%+v", d)
+		t.Errorf("admission state: %+v", d)
 	}
 }
--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -9,13 +9,13 @@
 	"flaxfront/internal/transport/store"
 )
 
-// batch gathers the attempts of one step to one node.
+// batch collects attempts to one node that are sent together at the end of a step.
 type batch struct {
 	node     decision.NodeID
 	attempts []*store.Part
 }
 
-// sendAttempt adds an attempt to its node's batch.
+// sendAttempt creates an attempt and adds it to its node's batch.
 func (l *loop) sendAttempt(a *decision.Action, now time.Duration) {
 	q, i := l.findShardRequest(a.ID)
 	if q == nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// sendBatch sends the attempts to one node, but for those cancelled, or whose query ended, in the same step; forget ends the latter.
+// sendBatch sends a batch without the attempts that were cancelled, or whose query ended, in the same step; forgetQuery cancels the latter.
 func (l *loop) sendBatch(b *batch) {
 	attempts := slices.DeleteFunc(b.attempts, func(attempt *store.Part) bool {
 		q := l.queryOfShardRequest[attempt.Part]
@@ -70,7 +70,7 @@
 	}
 }
 
-// attemptEnded is told by the pool how an attempt ended. An answer counts from here on: the router learns of it in the same step.
+// attemptEnded is called by the pool when an attempt has ended. An answer is part of the result from now on: the router's next step has it too.
 func (l *loop) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration, value string) {
 	outcome = l.readPins.attemptEnded(attempt, outcome, at)
 	if q, i := l.findShardRequest(attempt.Part); q != nil && outcome == decision.OK && !q.shardRequests[i].answered {
--- a/internal/server/cached_list.go
+++ b/internal/server/cached_list.go
@@ -12,11 +12,11 @@
 
 const (
 	storeInterval      = time.Second
-	endedWarningFactor = 2 // a full list that ends more than one in so many nodes is warned of
+	endedWarningFactor = 2 // a warning is logged for a full list that ends more than one in this many nodes
 )
 
-// cachedEndpointList is the extension that keeps the endpoint list on disk, and judges its entries while discovery can't be polled.
-// What an entry is worth is cachedlist.Evaluator's decision; writing is done outside the loop, by store.
+// cachedEndpointList is the extension that caches the endpoint list on disk, and evaluates its entries while discovery can't be polled.
+// cachedlist.Evaluator decides which entries are used; store hands changes to the writer, which runs outside the loop.
 type cachedEndpointList struct {
 	loop       endpointHost
 	table      *cachedlist.EntryTable
@@ -24,8 +24,8 @@
 	store      func(cachedlist.Changes) // must not wait
 	zone       func(name string) int
 	maxEntries int
-	keepEnded  time.Duration // how long an ended node is remembered
-	nextStore  time.Duration // when the book is looked at again for what is to be stored
+	keepEnded  time.Duration // how long the entry of an ended node is kept
+	nextStore  time.Duration // when the table's changes are collected and stored next
 	start      time.Time
 }
 
@@ -44,7 +44,7 @@
 	return ok
 }
 
-// tick asks the judge what follows from what nodes have shown.
+// tick applies what the evaluator concludes from the outcomes of attempts, and stores the table's changes.
 func (c *cachedEndpointList) tick(now time.Duration) time.Duration {
 	updates, next := c.evaluator.Tick(now)
 	if len(updates) > 0 {
@@ -71,7 +71,7 @@
 	counters.CachedList = &state
 }
 
-// initialList is the list to start with.
+// initialList returns the endpoint list to start with.
 func (c *cachedEndpointList) initialList() *discovery.List {
 	list := &discovery.List{Full: true}
 	for _, update := range c.evaluator.Start(discovery.IDOfName) {
@@ -80,7 +80,7 @@
 	return list
 }
 
-// node is a fact as an endpoint. One that is not to be used is draining: it gets nothing new.
+// node converts an endpoint update to a node. A node that must not be used is marked draining, so that it gets no new attempts.
 func (c *cachedEndpointList) node(update cachedlist.EndpointUpdate) discovery.Node {
 	e := &update.Entry
 	n := discovery.Node{Name: e.Name, Address: e.Address, Zone: e.Zone, StartedAtMS: int64(e.StartedAt),
@@ -95,7 +95,7 @@
 	return n
 }
 
-// confirmList enters what discovery told into the book; the router has it already.
+// confirmList enters a list from discovery into the table. The router has the list already.
 func (c *cachedEndpointList) confirmList(list *discovery.List) {
 	if c == nil {
 		return
@@ -112,21 +112,21 @@
 	c.nextStore = now
 }
 
-// pollFailed notes that discovery could not be polled.
+// pollFailed records that discovery could not be polled.
 func (c *cachedEndpointList) pollFailed() {
 	if c != nil {
 		c.evaluator.DiscoveryFailed()
 	}
 }
 
-// attemptEnded notes what a node has shown by an attempt.
+// attemptEnded records the outcome of an attempt at a node.
 func (c *cachedEndpointList) attemptEnded(node decision.NodeID, outcome decision.Outcome, took time.Duration) {
 	if c != nil {
 		c.evaluator.RecordOutcome(node, outcome, took, c.loop.since())
 	}
 }
 
-// confirmByGossip notes an endpoint's state that discovery told another broker.
+// confirmByGossip records an endpoint's state that another broker received from discovery.
 func (c *cachedEndpointList) confirmByGossip(n *discovery.Node) {
 	if c == nil {
 		return
@@ -139,7 +139,7 @@
 	c.evaluator.ApplyGossip(n.Name, n.Endpoint.Node, states[n.Endpoint.State], cachedlist.Timestamp(n.StartedAtMS), c.loop.since())
 }
 
-// handleOperatorRequest does what an operator asked of a running broker.
+// handleOperatorRequest imports and forgets entries as an operator requested while the broker runs.
 func (c *cachedEndpointList) handleOperatorRequest(r nodelist.OperatorRequest) {
 	imported := c.evaluator.Import(r.Import, discovery.IDOfName, c.loop.since())
 	forgotten := c.evaluator.Forget(r.Forget, discovery.IDOfName)
@@ -147,7 +147,7 @@
 	slog.Info("cached endpoint list changed by an operator", "component", "cached-list", "imported", imported, "forgotten", forgotten)
 }
 
-// tableList is a list as the book takes it.
+// tableList converts an endpoint list to the form that the entry table takes.
 func tableList(list *discovery.List, service string) cachedlist.List {
 	l := cachedlist.List{Service: service, Generation: list.Version, Full: list.Full}
 	for i := range list.Nodes {
--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/discovery/nodelist"
 )
 
-// openCachedList reads the list on disk and makes of it, and of the one in the configuration, the list to start with.
+// openCachedList reads the list on disk and merges it with the one in the configuration into the list to start with.
 func (s *Server) openCachedList() {
 	o, t := s.operator.Start, &s.start.Terms
 	began := time.Now()
@@ -45,7 +45,7 @@
 		"service", content.Head.Service, "generation", content.Head.Generation, "read_in", time.Since(began).Round(time.Millisecond))
 }
 
-// newCachedList makes the extension of a book; store and zone are the caller's.
+// newCachedList returns the extension for an entry table. The caller sets store and zone.
 func newCachedList(o *operator.Start, table *cachedlist.EntryTable, start time.Time) *cachedEndpointList {
 	policy := cachedlist.Policy{
 		HalfLife:          o.Trust.HalfLife,
--- a/internal/server/cached_list_test.go
+++ b/internal/server/cached_list_test.go
@@ -17,7 +17,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// cachedListRig is a site on loopback whose brokers keep their list.
+// cachedListRig is a site on loopback whose brokers cache their endpoint list in dir.
 type cachedListRig struct {
 	*lab.Fleet
 	t      *testing.T
@@ -37,7 +37,7 @@
 	return &cachedListRig{f, t, filepath.Join(f.Dir, "list"), "127.0.0.1:0"}
 }
 
-// start runs a broker; its end is as by SIGTERM.
+// start runs a broker; known says whether its configuration contains the endpoint list. end stops it as SIGTERM does.
 func (k *cachedListRig) start(known bool) (s *Server, end func() error) {
 	k.t.Helper()
 	path, err := k.Config("n0", k.listen, k.Discovery.Addr(), known)
@@ -50,7 +50,7 @@
 		For: last, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 5}.Run()
 }
 
-// waitFor waits for something that must come.
+// waitFor waits until a state is reached, and fails the test after 1000 checks 10 ms apart.
 func (k *cachedListRig) waitFor(what string, reached func() bool) {
 	k.t.Helper()
 	for range 1000 {
@@ -59,11 +59,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	k.t.Fatal("never: " + what)
+	k.t.Fatal("not reached in time: " + what)
 }
 
-// A broker that restarts while discovery is down serves from what it kept. A drain that it was told before binds; what
-// changed meanwhile is found out by what nodes show, and discovery's return ends it.
+// A broker that restarts while discovery is down serves from its cached list. A drain from before the restart stays in force, later changes
+// of nodes are detected by the outcomes of attempts, and once discovery is back its list replaces the cached one.
 func TestStartWithoutDiscovery(t *testing.T) {
 	k := newCachedListRig(t, 8)
 	k.List[0].Lifecycle = "terminating"
@@ -77,64 +77,64 @@
 	k.Nodes[1].Turn(lab.Dead)
 	k.Nodes[2].Turn(lab.Hanging)
 	k.Nodes[3].Turn(lab.Draining)
-	// The address of a node has changed hands: another one, of the other cell, answers there.
+	// Another node, of the other cell, has taken over the address of a node.
 	k.Nodes[5].Turn(lab.Dead)
 	other, err := lab.StartNode(k.Nodes[5].Addr(), lab.NewBox("other", 0, 2, 5*time.Millisecond, lab.Warmth{}, 9), 2, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Turn(lab.Dead)
-	s, end = k.start(true) // the configuration still lists the drained node as it was
+	s, end = k.start(true) // the configuration still lists the drained node as in service
 	o := k.load(s, 1500*time.Millisecond)
 	if len(o.Broken) > 0 || o.Answered < o.Asked*9/10 {
-		t.Errorf("%v, %v", o, o.Broken)
+		t.Errorf("load without discovery: %v, broken rules %v", o, o.Broken)
 	}
 	if n := k.Nodes[0].Parts.Load(); n != drained {
-		t.Errorf("%d attempts went to a node whose drain was told before the restart", n-drained)
+		t.Errorf("%d attempts were sent to a node that was draining before the restart", n-drained)
 	}
 	c := s.Counters().Queries.CachedList
 	if other.Wrong.Load() == 0 || other.Wrong.Load() > 10 {
-		t.Errorf("%d attempts went to what answers at the address of another", other.Wrong.Load())
+		t.Errorf("%d attempts were sent to the node that took over the address of another, want 1 to 10", other.Wrong.Load())
 	}
 	if c.Confirmed < 3 || c.Excluded != 1 || c.Confirmed+c.Unconfirmed+c.Ejected+c.Excluded != 8 {
-		t.Errorf("%+v", c)
+		t.Errorf("cached list without discovery: %+v", c)
 	}
 	k.List[0].Lifecycle, k.List[4].Lifecycle = "in_service", "terminating"
 	k.Discovery.Set(k.List)
 	if err := k.Discovery.Up(""); err != nil {
 		t.Fatal(err)
 	}
-	k.waitFor("the list is taken", func() bool { return s.Counters().Queries.ListsReceived > 0 })
+	k.waitFor("the list of discovery is applied", func() bool { return s.Counters().Queries.ListsReceived > 0 })
 	after := k.Nodes[4].Parts.Load()
 	if o := k.load(s, 700*time.Millisecond); len(o.Broken) > 0 {
 		t.Error(o.Broken)
 	}
 	if c := s.Counters().Queries.CachedList; c.Confirmed != 8 || k.Nodes[4].Parts.Load() != after || k.Nodes[0].Parts.Load() == drained {
-		t.Errorf("%+v; %d and %d attempts", c, k.Nodes[4].Parts.Load()-after, k.Nodes[0].Parts.Load()-drained)
+		t.Errorf("after discovery is back: cached list %+v; %d attempts at the draining node, %d at the reinstated one", c, k.Nodes[4].Parts.Load()-after, k.Nodes[0].Parts.Load()-drained)
 	}
-	// Discovery comes back from its next outage with a list that lacks most nodes: it is taken as the protocol says.
+	// A list of discovery that lacks most nodes is applied, as the protocol says.
 	k.Discovery.Set(k.List[:1])
-	k.waitFor("the short list is taken", func() bool { return s.Counters().Queries.Nodes <= 4 })
+	k.waitFor("the short list is applied", func() bool { return s.Counters().Queries.Nodes <= 4 })
 	end()
 	if c, err := nodelist.Read(filesystem.Local{}, k.dir, ""); err != nil || !c.Found || len(c.Entries) != 8 {
-		t.Errorf("%v, %+v", err, c)
+		t.Errorf("stored list: %v, %+v", err, c)
 	}
 }
 
-// With nothing saved and nothing configured every query is shed at once until discovery speaks, and SIGHUP and SIGTERM
-// are heard meanwhile.
+// With neither a stored nor a configured list every query is shed at once until discovery answers, and the broker can be reloaded and
+// stopped meanwhile.
 func TestStartWithoutAnyList(t *testing.T) {
 	k := newCachedListRig(t, 2)
 	k.Discovery.Down()
 	s, end := k.start(false)
 	if o := k.load(s, 200*time.Millisecond); o.Shed != o.Asked || len(o.Broken) > 0 {
-		t.Errorf("%v, %v", o, o.Broken)
+		t.Errorf("load without any list: %v, broken rules %v", o, o.Broken)
 	}
 	s.Reload(s.start, s.operator, nil)
 	end()
 }
 
-// Operators may drop entries of a broker that runs, and bring others.
+// Operators may drop entries of a running broker's list, and import others.
 func TestOperatorRequestToARunningBroker(t *testing.T) {
 	k := newCachedListRig(t, 4)
 	s, end := k.start(false)
@@ -153,21 +153,21 @@
 	if err := nodelist.SubmitRequest(filesystem.Local{}, k.dir, c.Head.Deployment, request, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	k.waitFor("the ask is taken", func() bool {
+	k.waitFor("the request is carried out", func() bool {
 		c, _ := nodelist.Read(filesystem.Local{}, k.dir, "")
 		_, old := c.Entries["node-00000001"]
 		_, fresh := c.Entries["node-new"]
 		return !old && fresh
 	})
 	if o := k.load(s, 300*time.Millisecond); len(o.Broken) > 0 || o.Answered < o.Asked*9/10 {
-		t.Errorf("%v, %v", o, o.Broken)
+		t.Errorf("load after the request: %v, broken rules %v", o, o.Broken)
 	}
 	if c := s.Counters().Queries.CachedList; c.Confirmed+c.Unconfirmed != 4 {
-		t.Errorf("%+v", c)
+		t.Errorf("cached list after the request: %+v", c)
 	}
 }
 
-// Whatever is wrong with the directory, the broker serves.
+// The broker serves whatever is wrong with the list's directory.
 func TestServesDespiteUnusableListDirectory(t *testing.T) {
 	k := newCachedListRig(t, 2)
 	for _, c := range []struct {
@@ -191,7 +191,7 @@
 	}
 }
 
-// A list of a hundred thousand entries, from the directory to the router's first step.
+// BenchmarkStartOf100000 measures a start with a cached list of 100000 entries, from reading the directory to the router's first step.
 func BenchmarkStartOf100000(b *testing.B) {
 	dir := b.TempDir()
 	f, err := lab.NewFleet(b.TempDir(), 0, 100, 1)
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -14,7 +14,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// Environment is what a core needs of the world around it.
+// Environment is what a Core needs from its host: clock, network, discovery and log.
 type Environment struct {
 	Now           func() time.Duration // since Start
 	Start         time.Time
@@ -22,21 +22,21 @@
 	Carrier       store.Carrier
 	PollDiscovery func()
 	SendGossip    func(text string)      // to the other brokers
-	Log           func(text string)      // what the router logs
-	CachedList    *cachedlist.EntryTable // the endpoint list as last stored; nil: none is
+	Log           func(text string)      // takes the router's log lines
+	CachedList    *cachedlist.EntryTable // the endpoint list as last stored; nil: no list is cached
 }
 
-// Core is one broker for whoever brings the time and the network: the simulation, which plays many of them in virtual time. It has the loop,
-// the router, admission and the pool of a broker in service, without goroutines, client connections and sockets. Its methods must not be
-// called concurrently.
+// Core is one broker whose time and network the caller provides: the simulation runs many of them in virtual time. It has the event loop, the
+// router, admission and the connection pool of a production broker, but no goroutines, client connections or sockets. Its methods must not
+// be called concurrently.
 type Core struct{ loop *loop }
 
-// Query is a query as it is put to a core.
+// Query is a query submitted to a Core, or by a Front.
 type Query struct {
 	ID      string
 	Type    int
 	Tenant  int
-	Client  uint64 // a hash of the key that the client states; 0: none
+	Client  uint64 // a hash of the key that the client sent; 0: none
 	Retry   bool
 	Timeout time.Duration
 	Text    string
@@ -45,27 +45,27 @@
 	Hint    *readhint.Hint // nil: none
 }
 
-// QueryResult is the final answer to it.
+// QueryResult is the final result of a Query.
 type QueryResult struct {
-	Answered   bool // neither answered nor shed: failed
+	Answered   bool // a query that is neither answered nor shed has failed
 	Complete   bool
 	Shed       bool
 	RetryAfter time.Duration
-	Shards     []int // that are answered
+	Shards     []int // the shards that answered, in the order of Values
 	Values     []string
-	Hinted     bool                // the next ones hold
+	Hinted     bool                // the query had a read hint; the next three fields hold
 	Positions  []readhint.Position // by shard
 	Behind     []int               // shards that have not reached what the hint asks for
-	Staleness  time.Duration       // bound on what the answer may lack; under 0: none is known
+	Staleness  time.Duration       // upper bound on the age of the writes that the answer may lack; negative: no bound is known
 }
 
-// PendingQuery is a query that was put to a core.
+// PendingQuery is a query that was submitted to a Core.
 type PendingQuery struct{ query *activeQuery }
 
-// Done tells whether it has its result, or was abandoned.
+// Done reports whether the query has its result or was abandoned.
 func (p PendingQuery) Done() bool { return p.query.done }
 
-// NewCore makes a broker; it knows no node until it is given a list. The error is an InvalidWeightsError.
+// NewCore returns a broker, which knows no nodes until it receives an endpoint list. The error is an InvalidWeightsError.
 func NewCore(t *terms.Terms, file *operator.File, newRouter func(decision.Settings) decision.Router, e Environment) (*Core, error) {
 	l := newLoop(e.Start, newRouter(t.Module), &t.Module)
 	l.clock = e.Now
@@ -107,7 +107,7 @@
 	return &Core{l}, err
 }
 
-// Submit puts a query to the broker; deliver gets its one result, perhaps before Submit returns.
+// Submit submits a query. deliver is called once with its result, perhaps before Submit returns, and never if the client leaves.
 func (c *Core) Submit(q *Query, deliver func(QueryResult)) PendingQuery {
 	arrival := c.loop.since()
 	active := &activeQuery{Request: q.request(), arrival: arrival, deadline: arrival + q.Timeout}
@@ -116,7 +116,7 @@
 	return PendingQuery{active}
 }
 
-// Abandon tells that a query's client has left; overdue, that its time is up and a result is owed.
+// Abandon ends a query early: its client has left or, if overdue, its deadline has passed and it still gets a result.
 func (c *Core) Abandon(p PendingQuery, overdue bool) {
 	cause := query.ClientDeparted
 	if overdue {
@@ -125,36 +125,36 @@
 	c.loop.handle(queryAbandoned{p.query, cause})
 }
 
-// HandleConnection takes what happened to a connection.
+// HandleConnection handles an event of a connection to a node.
 func (c *Core) HandleConnection(e store.Event) { c.loop.handle(connectionEvent{e}) }
 
-// HandleList takes what a poll of discovery returned.
+// HandleList handles the endpoint list, or the error, that a poll of discovery returned.
 func (c *Core) HandleList(list *discovery.List, err error) { c.loop.handle(listReceived{list, err}) }
 
-// CollectPositions is what the broker knows of replicas' positions.
+// CollectPositions returns the replicas' positions that the broker knows, encoded for other brokers.
 func (c *Core) CollectPositions() []byte {
 	return c.loop.readPins.positions.EncodePositions(c.loop.since())
 }
 
-// MergePositions takes what another broker collected; older is the most by which it has aged on the way.
+// MergePositions merges positions that another broker collected; older is an upper bound on their age.
 func (c *Core) MergePositions(data []byte, older time.Duration) {
 	c.loop.handle(positionsReceived{data, c.loop.since() - older})
 }
 
-// HandleGossip takes a message of another broker.
+// HandleGossip handles a gossip message of another broker.
 func (c *Core) HandleGossip(from int, text []byte) { c.loop.handle(gossipReceived{from, text}) }
 
-// Step advances the loop and returns when to be called again.
+// Step does what is due and returns the time at which it must be called again.
 func (c *Core) Step() time.Duration { return c.loop.advance() }
 
-// Counters are the broker's counters.
+// Counters returns the broker's counters.
 func (c *Core) Counters() QueryCounters {
 	r := countersRequested{make(chan QueryCounters, 1)}
 	c.loop.handle(r)
 	return <-r.reply
 }
 
-// IsAvailable tells whether the router gives a node ordinary work; for reports only.
+// IsAvailable reports whether the router sends a node ordinary attempts. It is used by reports only.
 func (c *Core) IsAvailable(id decision.NodeID) bool {
 	r, ok := c.loop.router.(interface{ IsAvailable(decision.NodeID) bool })
 	return !ok || r.IsAvailable(id)
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -7,12 +7,12 @@
 	"flaxfront/internal/transport/store"
 )
 
-// Counters are a broker's counters for operators. The JSON names are read by operators' programs and stay.
+// Counters are a broker's counters for operators. Operators' programs read the JSON names, so they must not change.
 type Counters struct {
 	Queries       QueryCounters       `json:"Searches"`
 	Clients       ClientCounters      `json:"Clients"`
 	Peers         GossipCounters      `json:"Peers"`
-	CachedList    *CachedListCounters `json:"NodeList,omitempty"` // where a cached list is kept
+	CachedList    *CachedListCounters `json:"NodeList,omitempty"` // with a cached list
 	RejectedLinks uint64              `json:"Refused,omitempty"`  // site links that failed in the handshake
 }
 
@@ -21,20 +21,20 @@
 	Accepted    uint64
 	Closed      uint64
 	BadRequests uint64
-	Unwritten   uint64 // answers that could not be written
+	Unwritten   uint64 // answers that could not be written to the client
 }
 
 // GossipCounters count datagrams between brokers.
 type GossipCounters struct {
 	Sent            uint64
 	Received        uint64 `json:"Heard"`
-	UnknownSender   uint64 `json:"Strangers"` // from addresses of no broker
+	UnknownSender   uint64 `json:"Strangers"` // from addresses that are no broker's
 	TooLong         uint64
 	Dropped         uint64
-	Unauthenticated uint64 `json:"Unsealed"` // under none of the keys
+	Unauthenticated uint64 `json:"Unsealed"` // sealed with none of the keys
 }
 
-// CachedListCounters count writes of the cached endpoint list.
+// CachedListCounters count writes of the cached endpoint list to disk.
 type CachedListCounters struct {
 	LastWriteOK bool `json:"Saving"` // the last write succeeded
 	Writes      uint64
@@ -43,7 +43,7 @@
 	Failed      uint64
 }
 
-// QueryCounters count what became of queries: Received = Answered + Shed + Failed + Abandoned + InFlight. Nothing decides by them.
+// QueryCounters count the outcomes of queries: Received = Answered + Shed + Failed + Abandoned + InFlight. No decision depends on them.
 type QueryCounters struct {
 	Received            uint64             `json:"Taken"`
 	Answered            uint64             `json:"Answered"`
@@ -53,16 +53,16 @@
 	InFlight            uint64             `json:"InHand"`
 	Partial             uint64             `json:"Partial"`              // of those answered
 	RejectedByAdmission uint64             `json:"TurnedAway,omitempty"` // of those shed: by admission
-	NoCapacity          uint64             `json:"Full"`                 // of those shed: no slot or descriptor was left
+	NoCapacity          uint64             `json:"Full"`                 // of those shed: no slot or file descriptor was left
 	Steps               uint64             `json:"Turns"`
 	Attempts            uint64             `json:"Subrequests"`
 	ListsReceived       uint64             `json:"ListsTaken"`
 	ListsFailed         uint64             `json:"ListsFailed"`
 	Nodes               int                `json:"Nodes"`       // now
 	NodeConnections     int                `json:"NodeConns"`   // now
-	AttemptsInFlight    int                `json:"Out"`         // attempts in flight, on the wire
-	AttemptsByRouter    int                `json:"OutByModule"` // the same, as the router counts them
-	EjectedNodes        int                `json:"ShutOut"`     // nodes that are ejected
+	AttemptsInFlight    int                `json:"Out"`         // on the connections to nodes, now
+	AttemptsByRouter    int                `json:"OutByModule"` // the same number, as the router counts it
+	EjectedNodes        int                `json:"ShutOut"`     // now
 	Store               store.Counts       `json:"Store"`
 	CachedList          *cachedlist.Counts `json:"Trust,omitempty"`   // with a cached list
 	Admission           *AdmissionState    `json:"Door,omitempty"`    // with admission
@@ -72,7 +72,7 @@
 	ReadPins            *ReadPinState      `json:"Pins,omitempty"`    // with read pins
 }
 
-// Counters asks the loop for its counters and adds the others.
+// Counters returns the loop's counters, which it requests from the loop, and those kept outside the loop.
 func (s *Server) Counters() (c Counters) {
 	request := countersRequested{make(chan QueryCounters, 1)}
 	if s.deliver(request) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// String is the counters as one line of JSON.
+// String returns the counters as one line of JSON.
 func (c Counters) String() string {
-	text, _ := json.Marshal(c) // numbers, texts and lists of them: it can't fail
+	text, _ := json.Marshal(c) // can't fail: the counters are numbers, strings and lists of them
 	return string(text)
 }
--- a/internal/server/counters_json_test.go
+++ b/internal/server/counters_json_test.go
@@ -14,7 +14,7 @@
 
 var recordCounters = flag.Bool("record-counters", false, "write testdata/counters.json instead of comparing with it")
 
-// filler gives every field of a value another content, in the order of declaration.
+// filler fills every field of a value with different content, in the order of declaration.
 type filler struct{ n int64 }
 
 func (f *filler) next() int64 {
@@ -71,12 +71,12 @@
 	case reflect.Float32, reflect.Float64:
 		v.SetFloat(float64(f.next()) / 4)
 	default:
-		t.Fatalf("%v: no content known for kind %v", v.Type(), v.Kind())
+		t.Fatalf("%v: filler does not support kind %v", v.Type(), v.Kind())
 	}
 }
 
-// Operators and their programs read the counters as JSON: names, order and form are those of commit 1a4b6be, which wrote
-// testdata/counters.json with this same test.
+// Operators and their programs read the counters as JSON. Names, order and format must stay those of commit 1a4b6be, at which this test wrote
+// testdata/counters.json.
 func TestCountersJSONIsUnchanged(t *testing.T) {
 	var filled, empty Counters
 	new(filler).fill(t, reflect.ValueOf(&filled).Elem())
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 		if c.String() != string(text) {
-			t.Error("the text of the counters is not their JSON")
+			t.Error("Counters.String differs from the JSON encoding")
 		}
 		got = append(append(got, text...), '\n')
 	}
--- a/internal/server/delay_meter.go
+++ b/internal/server/delay_meter.go
@@ -8,18 +8,18 @@
 
 const (
 	delaySampleInterval  = 20 * time.Millisecond
-	averagedDelaySamples = 8 // the average reaches back over about so many
+	averagedDelaySamples = 8 // the moving average covers about this many samples
 )
 
-// delayMeter measures how late this process gets to run, by a timer. An answer that lies ready in the kernel waits for a core before anybody
-// can tell when it came, and that wait looks like the store's; what keeps the meter waiting keeps the readers of answers waiting as well. For
-// which answer, the meter can't tell.
+// delayMeter measures, by how late a timer fires, how long this process waits for a core. An answer that is ready in the kernel also waits
+// for a core before its arrival can be timed, and that wait would look like a delay of the store. What delays the meter delays the readers of
+// answers as well, but the meter can't tell which answers were delayed.
 type delayMeter struct{ average atomic.Int64 }
 
-// Average is how late this process runs on average. It may be called from any goroutine.
+// Average returns the moving average of the delay. It may be called from any goroutine.
 func (m *delayMeter) Average() time.Duration { return time.Duration(m.average.Load()) }
 
-// run measures until ctx ends.
+// run takes a sample every delaySampleInterval until ctx ends.
 func (m *delayMeter) run(ctx context.Context) error {
 	timer := time.NewTimer(delaySampleInterval)
 	defer timer.Stop()
--- a/internal/server/deliver.go
+++ b/internal/server/deliver.go
@@ -1,7 +1,7 @@
 package server
 
-// deliver hands a message to the loop and waits while its inbox is full; false: the loop has ended. It may be called from any goroutine but the
-// loop's.
+// deliver puts a message into the loop's inbox and waits while the inbox is full. It reports false if the loop has ended. It may be called
+// from any goroutine except the loop's, which would wait for itself.
 func (s *Server) deliver(m message) bool {
 	select {
 	case s.loop.inbox <- m:
@@ -11,7 +11,7 @@
 	}
 }
 
-// receiveGossip takes a message of another broker; one of its own, which came back, is dropped.
+// receiveGossip delivers a gossip message of another broker. The broker's own messages that come back are dropped.
 func (s *Server) receiveGossip(from int, text []byte) {
 	if from != s.start.Terms.Me {
 		s.deliver(gossipReceived{from, text})
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -1,6 +1,6 @@
 package server
 
-// Tests of clients that leave, and what lies unread on their connections, in the orders that go wrong: docs/acceptance.md.
+// Tests of clients that leave, and of unread bytes on their connections, in the orders of events that have failed: docs/acceptance.md.
 
 import (
 	"errors"
@@ -17,18 +17,18 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// waitUpToASecond waits for a state that must come soon, and well before any deadline of the test's queries.
+// waitUpToASecond waits for a state that has to be reached within a second, well before the deadlines of the test's queries.
 func waitUpToASecond(t *testing.T, s *Server, what string, reached func(Counters) bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !reached(s.Counters()); {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within a second: %+v", what, s.Counters().Queries)
+			t.Fatalf("%s: not reached within a second: %+v", what, s.Counters().Queries)
 		}
 	}
 }
 
-// A client that has sent more while its query is in flight, and then leaves, is noticed at once, however much it has sent: the query
-// is left, what was sent behind it is never begun, and a connection that comes up later carries nothing of it.
+// The departure of a client that has sent more bytes while its query is in flight is noticed at once, however many they are: the query is
+// abandoned, requests that follow it are not started, and a node connection established later carries none of its attempts.
 func TestDepartureBehindUnreadBytesIsNoticed(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	n := uint64(0)
@@ -53,14 +53,14 @@
 			waitUpToASecond(t, s, what, func(c Counters) bool { return c.Queries.Abandoned == n && c.Queries.InFlight == 0 })
 			waitUpToASecond(t, s, what, func(c Counters) bool { return c.Clients.Closed == n })
 			if got := s.Counters().Queries; got.Received != n || got.Store.Parts > 2*n {
-				t.Errorf("%s, reset %v: %d taken of %d, %d parts sent", what, reset, got.Received, n, got.Store.Parts)
+				t.Errorf("%s, reset %v: %d queries received, want %d; %d attempts sent", what, reset, got.Received, n, got.Store.Parts)
 			}
 		}
 	}
 }
 
-// A client that has left before its request is read is not worked for: its connection waited to be accepted, or the process stood
-// still meanwhile.
+// The request of a client that left before the request was read is not started. This happens when the connection waited to be accepted, or
+// the process did not run meanwhile.
 func TestRequestOfDepartedClientIsNotStarted(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	waitUntil(s, func(Counters) bool { return true })
@@ -68,14 +68,14 @@
 	io.WriteString(far, post("a", body))
 	far.Close()
 	if reason := <-serveConnection(s, s.ingress, near); reason != ingress.ClientDeparted {
-		t.Errorf("ended as %s", reason)
+		t.Errorf("the connection ended with reason %s", reason)
 	}
 	if n := s.Counters().Queries; n.Received != 0 || n.Store.Parts != 0 {
-		t.Errorf("%d taken, %d parts sent", n.Received, n.Store.Parts)
+		t.Errorf("%d queries received, %d attempts sent", n.Received, n.Store.Parts)
 	}
 }
 
-// A request that was sent ahead counts from when it came: its nodes are told what is left to its client, not its whole time.
+// The timeout of a pipelined request counts from its arrival: nodes get the time that is left then, not the whole timeout.
 func TestTimeoutCountsFromArrival(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	c := dial(t, s)
@@ -85,15 +85,15 @@
 	io.WriteString(c, postUnanswered("b", "1000"))
 	for _, id := range []string{"a", "b"} {
 		if m := c.readResponse(); m.Status != 504 && m.Status != 503 {
-			t.Errorf("%s: %d", id, m.Status)
+			t.Errorf("%s: status %d", id, m.Status)
 		}
 	}
 	if took := time.Since(begun); took > 1500*time.Millisecond {
-		t.Errorf("the second was answered %v after it came, with a time of 1 s", took)
+		t.Errorf("the second request was answered %v after it was sent, with a timeout of 1 s", took)
 	}
 }
 
-// The last answer of a connection reaches a client that has sent more by then: the connection is not reset under it.
+// The last answer on a connection reaches a client that has sent more bytes meanwhile: the connection is not reset.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	for what, text := range map[string]string{
 		"asked to close": strings.Replace(post("a", body), "\r\n", "\r\nConnection: close\r\n", 1),
@@ -103,7 +103,7 @@
 		c := dial(t, s)
 		io.WriteString(c, text+strings.Repeat("x", 3*ingress.MaxLookahead))
 		if m := c.readResponse(); !m.Close {
-			t.Errorf("%s: %d, and the connection goes on", what, m.Status)
+			t.Errorf("%s: status %d without Connection: close", what, m.Status)
 		}
 		if _, err := c.in.ReadByte(); err != io.EOF {
 			t.Errorf("%s: after the last answer: %v (reset: %v)", what, err, errors.Is(err, syscall.ECONNRESET))
@@ -111,7 +111,7 @@
 	}
 }
 
-// stalledListener accepts one connection and stands still with it in its hands until it is released.
+// stalledListener blocks in Accept with an accepted connection until it is released.
 type stalledListener struct {
 	*net.TCPListener
 	released chan struct{}
@@ -123,7 +123,7 @@
 	return conn, err
 }
 
-// Connections that wait in the kernel when a stop closes the listener are accepted first, and their requests answered.
+// Connections that wait in the kernel when a shutdown closes the listener are accepted before, and their requests are answered.
 func TestStopAcceptsQueuedConnections(t *testing.T) {
 	s := openServer(t, startConfiguration(t, "127.0.0.1:0", 1024), operator.Default())
 	stalled := &stalledListener{TCPListener: s.listener.(*net.TCPListener), released: make(chan struct{})}
@@ -162,12 +162,12 @@
 	}
 }
 
-// What comes after SIGTERM has its answer before the kill, whatever time its client gives it; what came before keeps its time.
+// A query that arrives after SIGTERM has its answer before the kill, whatever its timeout; one that arrived before keeps its deadline.
 func TestAnswerComesBeforeTheKill(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	longest := s.Settings().LongestTimeout()
 	if by := s.answerDeadline(time.Second, longest); by != time.Second+longest {
-		t.Errorf("while it serves: by %v", by)
+		t.Errorf("before the shutdown: deadline %v", by)
 	}
 	s.stopRequested.Store(int64(time.Second))
 	s.draining.Store(true)
@@ -178,12 +178,12 @@
 		{kill, time.Minute, kill + minAnswerTime},
 	} {
 		if by := s.answerDeadline(c.arrived, c.timeout); by != c.by {
-			t.Errorf("%+v: by %v", c, by)
+			t.Errorf("%+v: deadline %v", c, by)
 		}
 	}
 }
 
-// A stop ends in time though clients go on connecting: what comes without end is no queue.
+// A shutdown ends in time while clients keep connecting: the broker does not wait until no more connections arrive.
 func TestStopEndsWhileClientsKeepConnecting(t *testing.T) {
 	s, end := runServer(t, 1024)
 	s.timeAfter = func(time.Duration) <-chan time.Time { return time.After(0) }
@@ -207,6 +207,6 @@
 	begun := time.Now()
 	end()
 	if took := time.Since(begun); took > 5*stopAcceptingAfter {
-		t.Errorf("it took %v", took)
+		t.Errorf("the shutdown took %v", took)
 	}
 }
--- a/internal/server/endpoint_list.go
+++ b/internal/server/endpoint_list.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/discovery"
 )
 
-// handleList takes what a poll of discovery returned.
+// handleList handles the endpoint list, or the error, that a poll of discovery returned.
 func (l *loop) handleList(list *discovery.List, err error) {
 	l.pollFailed = err != nil
 	if err != nil {
@@ -23,7 +23,7 @@
 		return
 	}
 	if list.CellCount != 0 && list.CellCount != l.cells {
-		return // read before the layout changed; the full list of the new one is polled
+		return // decoded for the old number of cells; a full list is polled for the new number
 	}
 	l.counters.ListsReceived++
 	l.applyList(list)
@@ -31,8 +31,8 @@
 	l.cachedList.confirmList(list)
 }
 
-// applyList gives a full list, or the endpoints that changed, to the pool and the router. The pool never has a node that the router is not
-// told of.
+// applyList passes a full list, or the endpoints that changed, to the pool and the router. The pool never has a node that the router does not
+// know of.
 func (l *loop) applyList(list *discovery.List) {
 	e := decision.Event{Kind: decision.ListUpdateReceived}
 	if list.Full {
@@ -63,7 +63,7 @@
 	l.publishEndpoints()
 }
 
-// applyEndpoint has the pool connect to a node, or drop it. state is that of the endpoint with an agreed drain over it.
+// applyEndpoint enters a node into the pool, or drops it there. state is the endpoint's state, overridden by an agreed drain.
 func (l *loop) applyEndpoint(n *discovery.Node, state decision.EndpointState) {
 	id := n.Endpoint.Node
 	if n.Endpoint.State == decision.Removed {
@@ -78,7 +78,7 @@
 	}
 }
 
-// dropUnlisted drops the nodes that a full list lacks, in the order of their names.
+// dropUnlisted drops the nodes that are missing from a full list, in the order of their names.
 func (l *loop) dropUnlisted(listed map[decision.NodeID]bool) {
 	var unlisted []discovery.Node
 	for id, n := range l.nodes {
@@ -94,21 +94,21 @@
 	}
 }
 
-// updateEndpoints tells the router of endpoints whose state changed without discovery, and read pins, which would otherwise count on a
-// drained node, or pass it by once its drain has ended.
+// updateEndpoints tells the router and read pins of endpoints whose state changed without discovery. Read pins would otherwise rely on a
+// drained node, or avoid a node whose drain has ended.
 func (l *loop) updateEndpoints(changed []decision.Endpoint) {
 	l.post(decision.Event{Kind: decision.ListUpdateReceived, Endpoints: changed})
 	l.readPins.updateEndpoints(false, changed)
 }
 
-// requestList polls discovery.
+// requestList requests a poll of discovery.
 func (l *loop) requestList() { l.pollDiscovery() }
 
-// confirmByGossip tells the cached list of an endpoint's state that discovery told another broker.
+// confirmByGossip tells the cached list of an endpoint's state that another broker received from discovery.
 func (l *loop) confirmByGossip(n *discovery.Node) { l.cachedList.confirmByGossip(n) }
 
-// startTime is when the broker started.
+// startTime returns when the broker started.
 func (l *loop) startTime() time.Time { return l.start }
 
-// warmUpTime is how long a node that has just started is warming up.
+// warmUpTime returns how long a node warms up after its start.
 func (l *loop) warmUpTime() time.Duration { return l.settings.Module.WarmUpTime }
--- a/internal/server/endpoint_snapshot.go
+++ b/internal/server/endpoint_snapshot.go
@@ -21,7 +21,7 @@
 	idByName map[string]decision.NodeID // by name and by address
 }
 
-// shardsOfCell are the shards whose replicas lie in a cell.
+// shardsOfCell returns the shards that have replicas in a cell.
 func shardsOfCell(cell int, t *terms.Terms) (shards []uint32) {
 	for s := range t.Shards {
 		if (cell-s%t.Module.Cells+t.Module.Cells)%t.Module.Cells < t.Module.CellsPerShard {
@@ -31,7 +31,7 @@
 	return shards
 }
 
-// publishEndpoints leaves the endpoints for the control plane's goroutine.
+// publishEndpoints publishes a snapshot of the endpoints to the control plane's goroutine.
 func (l *loop) publishEndpoints() {
 	if l.controlPlane == nil {
 		return
@@ -51,7 +51,7 @@
 	l.controlPlane.publishEndpoints(s)
 }
 
-// epochProposals is the leader's job that proposes what the endpoints call for.
+// epochProposals returns the leader's job that proposes the log entries which the latest endpoint snapshot requires.
 func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.LeaderContext) []statemachine.Entry {
 	return func(leader controlplane.LeaderContext) []statemachine.Entry {
 		if snapshot := from.Load(); snapshot != nil {
--- a/internal/server/endpoint_snapshot_test.go
+++ b/internal/server/endpoint_snapshot_test.go
@@ -12,7 +12,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// A leader agrees on its list once discovery has spoken and the list has stood for a moment, however often it is told the same.
+// A leader proposes an epoch once discovery has answered and the list has been stable for epochInterval, however often discovery repeats it.
 func TestEpochIsProposedForStableList(t *testing.T) {
 	now := time.Hour
 	l := newLoop(time.Now(), nil, &decision.Settings{})
@@ -25,26 +25,26 @@
 	propose := epochProposals(l.controlPlane.endpoints)
 	proposed := func() int { return len(propose(controlplane.LeaderContext{State: statemachine.New(), Now: now})) }
 	list := discovery.List{Full: true, Nodes: []discovery.Node{nodeAt("a", decision.Ready)}}
-	l.applyList(&list) // of the configuration
+	l.applyList(&list) // from the configuration
 	if now += time.Minute; proposed() != 0 {
-		t.Error("the list of an earlier life was proposed")
+		t.Error("a list was proposed that discovery has not confirmed since the start")
 	}
 	list.Nodes = append(list.Nodes, nodeAt("b", decision.Ready))
 	l.handleList(&list, nil)
-	for _, want := range []int{0, 0, 1} { // it is told the same again and again
+	for _, want := range []int{0, 0, 1} { // discovery repeats the same list
 		if n := proposed(); n != want {
-			t.Errorf("%d proposed of a list that has stood since %v, %v", n, l.controlPlane.endpoints.Load().StableSince, now)
+			t.Errorf("%d entries proposed of a list that is stable since %v, at %v", n, l.controlPlane.endpoints.Load().StableSince, now)
 		}
 		now += time.Second
 		l.handleList(&discovery.List{}, nil)
 	}
-	// While discovery is silent the tier moves on, and an old list of one leader would come back for all.
+	// While discovery fails, other leaders may agree on newer lists; a proposal of this one's old list would revert them for the whole tier.
 	l.handleList(nil, errors.New("silent"))
 	if now += time.Minute; proposed() != 0 {
-		t.Error("a list was proposed that discovery no longer speaks for")
+		t.Error("a list was proposed while discovery fails")
 	}
 	l.handleList(&discovery.List{}, nil)
 	if proposed() != 1 {
-		t.Error("nothing is proposed after discovery's return")
+		t.Error("nothing is proposed after discovery answers again")
 	}
 }
--- a/internal/server/extension.go
+++ b/internal/server/extension.go
@@ -9,20 +9,20 @@
 	"flaxfront/internal/transport/store"
 )
 
-// extension is what the loop calls besides the router. All calls come from the loop's goroutine.
+// extension is an optional part of the broker that the loop calls besides the router. All calls come from the loop's goroutine.
 type extension interface {
-	// handle takes a message and reports whether it was for this extension alone.
+	// handle handles a message if it is for this extension, and reports whether it was; no other extension gets it then.
 	handle(m message) bool
-	// tick does what is due at now and returns when to be called again.
+	// tick does what is due at now and returns the time at which it must be called again.
 	tick(now time.Duration) time.Duration
 	// report adds the extension's state to the counters.
 	report(c *QueryCounters)
 }
 
-// notDue is when an extension without work of its own has to be called again.
+// notDue is returned by tick where nothing is due at any time.
 const notDue time.Duration = math.MaxInt64
 
-// Extensions tick, and are offered messages, in this order: leases come first, so that surplus connections are closed before anything is sent.
+// Extensions tick, and are offered messages, in this order. Leases come first, so that surplus connections are closed before attempts are sent.
 const (
 	connectionLeasesExtension = iota
 	cachedListExtension
@@ -34,14 +34,14 @@
 	extensionCount
 )
 
-// host is what every extension may use of the loop.
+// host is the part of the loop that every extension may use.
 type host interface {
 	since() time.Duration
 	stats() *QueryCounters
 	post(e decision.Event)
 }
 
-// endpointHost is what extensions that work on endpoints may use.
+// endpointHost is the part of the loop that extensions which work on endpoints may use.
 type endpointHost interface {
 	host
 	endpoints() map[decision.NodeID]discovery.Node // read only
@@ -49,14 +49,14 @@
 	connections() *store.Pool
 }
 
-// stats are the loop's counters.
+// stats returns the loop's counters, which the caller may change.
 func (l *loop) stats() *QueryCounters { return &l.counters }
 
 // post adds an event for the next step of the router.
 func (l *loop) post(e decision.Event) { l.events = append(l.events, e) }
 
-// endpoints are the nodes as last listed.
+// endpoints returns the nodes as last listed.
 func (l *loop) endpoints() map[decision.NodeID]discovery.Node { return l.nodes }
 
-// connections is the pool of connections to nodes.
+// connections returns the pool of connections to nodes.
 func (l *loop) connections() *store.Pool { return l.pool }
--- a/internal/server/extension_test.go
+++ b/internal/server/extension_test.go
@@ -9,7 +9,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// recordingExtension notes in which order the loop calls it among others.
+// recordingExtension records its calls in a list that it shares with other extensions.
 type recordingExtension struct {
 	name  string
 	calls *[]string
@@ -28,7 +28,7 @@
 
 func (e *recordingExtension) report(*QueryCounters) { *e.calls = append(*e.calls, "report "+e.name) }
 
-// A message goes to the extensions in their order until one takes it, and ticks and reports come in the same order.
+// A message is offered to the extensions in their order until one handles it; they tick and report in the same order.
 func TestExtensionsAreCalledInOrder(t *testing.T) {
 	var calls []string
 	l := newLoop(time.Now(), nil, &decision.Settings{})
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -11,37 +11,37 @@
 	"flaxfront/internal/server/query"
 )
 
-// Front is a listener on a protocol other than HTTP. Its queries go through the same loop, admission, router and rules.
+// Front is a listener for a client protocol other than HTTP. Its queries pass through the same loop, admission and router.
 type Front interface {
-	// Serve accepts clients until ctx ends or Drain is called, and returns when the last has gone.
+	// Serve accepts clients until ctx ends or Drain is called, and returns when the last client has left.
 	Serve(ctx context.Context) error
-	// Drain accepts no more clients, finishes the queries in flight and closes the other connections. It may be called once.
+	// Drain accepts no more clients, finishes the queries in flight and closes the idle connections. It may be called only once.
 	Drain()
 }
 
-// ErrStopping is returned for a query that comes after the broker has ended.
+// ErrStopping is returned for a query that arrives, or has no result yet, when the broker has ended.
 var ErrStopping = errors.New("the broker is stopping")
 
-// AddFront has a front start and stop with the broker. It comes before Run.
+// AddFront adds a front, which starts and stops with the broker. It must be called before Run.
 func (s *Server) AddFront(f Front) { s.fronts = append(s.fronts, f) }
 
-// Settings are the settings in force. They may be read from any goroutine.
+// Settings returns the settings in force. It may be called from any goroutine.
 func (s *Server) Settings() *terms.Terms { return s.settings.Load() }
 
-// Uptime is the time since the broker's start.
+// Uptime returns the time since the broker's start.
 func (s *Server) Uptime() time.Duration { return s.loop.since() }
 
 const requestIDBytes = 8
 
-// NewRequestID makes a random id for a query.
+// NewRequestID returns a random id for a query.
 func NewRequestID() string {
 	var b [requestIDBytes]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// RunQuery submits the query of another front and waits for its result. The end of ctx abandons the query: its client has left. The error
-// is that of ctx, or ErrStopping.
+// RunQuery submits a front's query and waits for its result. When ctx ends, the client has left and the query is abandoned. The error is
+// that of ctx, or ErrStopping.
 func (s *Server) RunQuery(ctx context.Context, q *Query) (QueryResult, error) {
 	arrival := s.loop.since()
 	pending, ok := s.submit(query.Submission{Request: q.request(), Arrival: arrival}, arrival+q.Timeout)
@@ -55,7 +55,7 @@
 		case r := <-pending.Result():
 			return newQueryResult(&r), nil
 		case <-deadline.C:
-			pending.Abandon(query.DeadlinePassed) // and a result comes
+			pending.Abandon(query.DeadlinePassed) // a result follows
 		case <-ctx.Done():
 			pending.Abandon(query.ClientDeparted)
 			return QueryResult{}, ctx.Err()
@@ -65,7 +65,7 @@
 	}
 }
 
-// request is a query as the loop takes it.
+// request converts the query to the form that the loop takes.
 func (q *Query) request() *query.Request {
 	r := &query.Request{
 		ID:      q.ID,
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -1,6 +1,6 @@
 package server
 
-// The stand-ins of this package's tests: a node, a caller, a broker started on loopback.
+// Helpers of this package's tests: stub nodes, a client, and a broker started on loopback.
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// stubNode is a store node on loopback. It serves each part at once, but none whose text is "hang".
+// stubNode starts a store node on loopback. It answers each shard request at once, except those with the text "hang".
 func stubNode(t *testing.T) string {
 	return answeringNode(t, func(id string, shard int, text string) string {
 		if text == "hang" {
@@ -29,7 +29,7 @@
 	})
 }
 
-// answeringNode is a store node on loopback that answers each part as it is told; "" is no answer.
+// answeringNode starts a store node on loopback that sends what answer returns for each shard request; "" sends nothing.
 func answeringNode(t *testing.T, answer func(id string, shard int, text string) string) string {
 	ln := listen(t)
 	go func() {
@@ -89,20 +89,20 @@
 
 func newRouter(t decision.Settings) decision.Router { return routing.New(t) }
 
-// runServer runs a broker; end stops it as SIGTERM does and gives what Run returned.
+// runServer runs a broker; end stops it as SIGTERM does and returns Run's error.
 func runServer(t *testing.T, sockets int) (s *Server, end func() error) {
 	t.Helper()
 	return runConfigured(t, startConfiguration(t, "127.0.0.1:0", sockets), operator.Default())
 }
 
-// runConfigured is a broker of a configuration and an operators' file, until end or the test's.
+// runConfigured runs a broker with a configuration and an operators' file until end is called or the test ends.
 func runConfigured(t *testing.T, start *terms.Start, file *operator.File) (s *Server, end func() error) {
 	t.Helper()
 	s = openServer(t, start, file)
 	return s, serveUntilEnd(t, s)
 }
 
-// openServer is a broker that listens and does not serve yet.
+// openServer returns a broker that listens and does not serve yet.
 func openServer(t *testing.T, start *terms.Start, file *operator.File) *Server {
 	t.Helper()
 	s, err := New(start, file, newRouter)
@@ -115,7 +115,7 @@
 	return s
 }
 
-// serveUntilEnd runs a broker until end or the test's.
+// serveUntilEnd runs a broker until end is called or the test ends.
 func serveUntilEnd(t *testing.T, s *Server) (end func() error) {
 	t.Helper()
 	stop, done, ended := make(chan struct{}), make(chan error, 1), false
@@ -136,7 +136,7 @@
 	return end
 }
 
-// readLabConfiguration reads what the laboratory wrote for a broker, and the text of an operators' file.
+// readLabConfiguration reads the configuration that package lab wrote for a broker, and decodes the text of an operators' file.
 func readLabConfiguration(t *testing.T, path string, err error, operators string) (*terms.Start, *operator.File) {
 	t.Helper()
 	if err != nil {
@@ -168,7 +168,7 @@
 	return &testClient{conn, t, httpwire.NewReader(conn)}
 }
 
-// roundTrip writes and reads one response.
+// roundTrip writes a request and reads one response.
 func (c *testClient) roundTrip(text string) *httpwire.Message {
 	c.t.Helper()
 	io.WriteString(c, text)
@@ -188,12 +188,12 @@
 	return fmt.Sprintf(requestHead+"Content-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// postUnanswered is a query that no node answers.
+// postUnanswered returns the request of a query that no node answers, with a timeout in ms.
 func postUnanswered(id, ms string) string {
 	return strings.Replace(post(id, strings.Replace(body, "c41e", "hang", 1)), "1900", ms, 1)
 }
 
-// waitUntil waits for a state that must come, however long it takes.
+// waitUntil waits without limit until the counters show a state.
 func waitUntil(s *Server, reached func(Counters) bool) {
 	for !reached(s.Counters()) {
 	}
--- a/internal/server/ingress_broker.go
+++ b/internal/server/ingress_broker.go
@@ -9,7 +9,7 @@
 
 var _ ingress.Broker = (*Server)(nil)
 
-// Submit hands the query of an HTTP client to the loop; false: the broker has ended. It waits while the loop's queue is full.
+// Submit delivers the query of an HTTP client to the loop. It reports false if the broker has ended, and waits while the loop's inbox is full.
 func (s *Server) Submit(r query.Submission) (query.Pending, bool) {
 	return s.submit(r, s.answerDeadline(r.Arrival, r.Request.Timeout))
 }
@@ -29,16 +29,16 @@
 	return q, true
 }
 
-// Draining tells whether a graceful shutdown has begun.
+// Draining reports whether a graceful shutdown has begun.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// CountersJSON is the counters as one line of JSON.
+// CountersJSON returns the counters as one line of JSON.
 func (s *Server) CountersJSON() string { return s.Counters().String() }
 
-// Result delivers the one result, where no other receiver was named.
+// Result returns the channel that receives the query's only result, unless onResult is set.
 func (q *activeQuery) Result() <-chan query.Result { return q.result }
 
-// Deadline is when the query has to be answered, since the broker's start.
+// Deadline returns when the query has to be answered, as the time since the broker's start.
 func (q *activeQuery) Deadline() time.Duration { return q.deadline }
 
 // Abandon ends the query early.
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -11,13 +11,13 @@
 	"flaxfront/internal/transport/store"
 )
 
-// inboxCapacity bounds the messages that are delivered and not yet handled. Whoever delivers more waits, so that bytes stay in the kernel and
-// the network slows down whoever sends them.
+// inboxCapacity bounds the messages that are delivered and not yet handled. Goroutines that deliver more wait, so that unread bytes stay in
+// the kernel and TCP slows down their senders.
 const inboxCapacity = 1024
 
-// loop is the event loop: the one goroutine that calls the router and the extensions, and owns all queries in flight and the pool of
-// connections to nodes. It hands what was delivered to the router as one step and executes the actions. It never waits for a socket or a
-// client.
+// loop is the event loop: its goroutine alone calls the router and the extensions, and owns all queries in flight and the pool of
+// connections to nodes. It passes the delivered messages to the router as the events of one step and executes the actions that the router
+// returns. It never waits for a socket or a client.
 type loop struct {
 	start       time.Time
 	clock       func() time.Duration // since start
@@ -25,15 +25,15 @@
 	router      decision.Router
 	pool        *store.Pool
 	counters    QueryCounters
-	logDecision func(text string, at time.Duration) // what the router logs
+	logDecision func(text string, at time.Duration) // takes the router's log lines
 
 	// settings in force
-	settings      *terms.Terms // where they can change
+	settings      *terms.Terms // set where they can change
 	queryTypes    []decision.QueryType
 	cells         int
 	maxInFlight   int           // queries and shard requests
-	maxRetryAfter time.Duration // for queries that find no slot; 0: clients are not told
-	maxBatch      int           // attempts to one node in one call
+	maxRetryAfter time.Duration // told to clients whose query finds no slot; 0: they are told no time
+	maxBatch      int           // limit on the attempts to one node in one call
 
 	// endpoints
 	nodes         map[decision.NodeID]discovery.Node // as last listed
@@ -47,16 +47,16 @@
 	queries             map[uint64]*activeQuery
 	queryOfShardRequest map[uint64]*activeQuery
 	requestIDs          map[string]bool
-	finished            []*activeQuery // in this step
+	finished            []*activeQuery // ended in this step
 
 	// the next step
 	events      []decision.Event
 	spareEvents []decision.Event
 	actions     []decision.Action
 	batches     []batch
-	timerAt     time.Duration // that the router asked for; 0: none
+	timerAt     time.Duration // when the router's timer fires; 0: none is set
 
-	// extensions, each nil where it is off: its methods then do nothing
+	// extensions; one that is off is nil, and its methods do nothing
 	extensions   [extensionCount]extension
 	cachedList   *cachedEndpointList
 	gateway      *siteGateway
@@ -98,10 +98,10 @@
 	slog.Info(text, "component", "routing", "at", at.Round(time.Millisecond))
 }
 
-// since is the time since the broker's start.
+// since returns the current time, as the time since the broker's start.
 func (l *loop) since() time.Duration { return l.clock() }
 
-// run handles messages and advances until ctx ends.
+// run handles messages and does what is due until ctx ends.
 func (l *loop) run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -119,7 +119,7 @@
 	}
 }
 
-// drainInbox handles what else is queued, one queue's length at most, so that a step comes in any case.
+// drainInbox handles the messages that are queued, at most inboxCapacity of them, so that a router step follows in any case.
 func (l *loop) drainInbox() {
 	for range inboxCapacity {
 		select {
@@ -131,7 +131,7 @@
 	}
 }
 
-// advance does what is due, steps the router if anything happened, and returns when to be called again.
+// advance does what is due, steps the router if there are events, and returns the time at which it must be called again.
 func (l *loop) advance() (next time.Duration) {
 	now := l.since()
 	next = l.pool.Sweep(now)
@@ -148,7 +148,7 @@
 		l.stepRouter(now)
 		next = min(next, l.admission.afterStep(now))
 	}
-	if len(l.events) > 0 { // such as the ends of attempts that were cancelled
+	if len(l.events) > 0 { // new ones, such as the ends of attempts that the step cancelled
 		return now
 	}
 	if l.timerAt > 0 {
@@ -157,7 +157,7 @@
 	return next
 }
 
-// handle turns a message into events for the router's next step, or hands it to the extension that it is for.
+// handle turns a message into events for the router's next step, or passes it to the extension that it is for.
 func (l *loop) handle(m message) {
 	switch m := m.(type) {
 	case connectionEvent:
@@ -184,10 +184,12 @@
 	}
 }
 
-// inspectable is a router that tells what it holds to be so, for comparison with the wire.
-type inspectable interface{ Snapshot() (out, shut int) }
+// inspectable is a router that reports its number of attempts in flight, to be compared with the pool's, and of ejected nodes.
+type inspectable interface {
+	Snapshot() (inFlight, ejected int)
+}
 
-// snapshot is a copy of the counters with the state of the pool, the router and the extensions.
+// snapshot returns a copy of the counters with the state of the pool, the router and the extensions.
 func (l *loop) snapshot() QueryCounters {
 	c := l.counters
 	c.Store = l.pool.Counts
@@ -205,13 +207,13 @@
 	return c
 }
 
-// reconfigurable is a router that can go on under other settings.
+// reconfigurable is a router that can change to other settings while it runs.
 type reconfigurable interface {
-	Reconfigure(t decision.Settings, moved bool)
+	Reconfigure(t decision.Settings, deploymentChanged bool)
 }
 
-// applySettings has the loop, the pool and the router go on under other settings. What came before is handed to the router under the old
-// ones, and what is in flight ends by them. Where shards or nodes are others now, the nodes known so far get nothing more.
+// applySettings changes the loop, the router and the pool to other settings. Events that came before are passed to the router under the old
+// settings, under which queries in flight also end. If the shards or the nodes are others now, the nodes known so far get no more attempts.
 func (l *loop) applySettings(m settingsChanged) {
 	if m.deploymentChanged {
 		l.applyList(&discovery.List{Full: true})
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -1,6 +1,6 @@
 package server
 
-// Tests of the loop with the real router in random runs, in virtual time: every query has one end, every rule holds.
+// Tests of the loop with the real router in random runs, in virtual time: every query ends once, and all rules hold.
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 	return tm
 }
 
-// one client asks for one query and checks its answer, or leaves.
+// client submits one query and checks its result, or leaves early.
 func (w *world) client(n, typ int, leaves bool) {
 	q := &activeQuery{Request: &query.Request{ID: fmt.Sprint("s", n), Type: typ, Timeout: 2 * time.Second, Text: "x"},
 		result: make(chan query.Result, 1)}
@@ -69,26 +69,26 @@
 		}
 		result := <-q.result
 		if late := w.loop.since() - q.deadline; late > 50*time.Millisecond {
-			w.t.Errorf("rule 1: answered %v late", late)
+			w.t.Errorf("rule 1: result %v after the deadline", late)
 		}
 		w.mu.Lock()
 		seen := map[int]bool{}
 		for _, p := range result.Answers {
 			id := fmt.Sprintf("%s.%d", q.Request.ID, p.Shard)
 			if !strings.HasPrefix(p.Value, id+"@") || !w.made[p.Value] || seen[p.Shard] {
-				w.t.Errorf("rule 5: %s has the value %q", id, p.Value)
+				w.t.Errorf("rule 5: shard request %s has the value %q", id, p.Value)
 			}
 			seen[p.Shard] = true
 		}
 		least := []float64{0.5, 1}[typ]
 		if share := float64(len(seen)) / float64(len(shards)); result.Outcome == query.Answered &&
 			(share < least-1e-4 || result.Complete != (len(seen) == len(shards))) {
-			w.t.Errorf("rule 5: answered, whole %v, from %.2f of the attempts", result.Complete, share)
+			w.t.Errorf("rule 5: answered, complete %v, with answers of %.2f of the shards", result.Complete, share)
 		}
 		if typ == 1 && result.Outcome == query.Shed && len(q.shardRequests) > 0 {
 			for _, p := range q.Request.Shards {
 				if w.runs[p.Name] {
-					w.t.Errorf("rule 2: shed though %s may have run", p.Name)
+					w.t.Errorf("rule 2: query shed although shard request %s may have run", p.Name)
 				}
 			}
 		}
@@ -100,7 +100,7 @@
 	}()
 }
 
-// Whatever nodes, clients and the list do, the rules hold at every step.
+// The rules hold at every step, whatever nodes, clients and the endpoint list do.
 func TestRulesHoldInRandomRuns(t *testing.T) {
 	play := func(seed uint64) bool {
 		synctest.Test(t, func(t *testing.T) { newWorld(t, seed).runRandomSteps() })
@@ -129,7 +129,7 @@
 	}()
 	for n := range 150 {
 		time.Sleep(time.Duration(w.rnd.IntN(80)) * time.Millisecond)
-		synctest.Wait() // from here on nothing else runs
+		synctest.Wait() // until the next message nothing else runs
 		switch w.rnd.IntN(12) {
 		case 0:
 			l.inbox <- listReceived{err: io.EOF}
@@ -145,7 +145,7 @@
 			l.inbox <- listReceived{list: &discovery.List{Nodes: []discovery.Node{*node}}}
 		case 2:
 			l.inbox <- gossipReceived{1, []byte("nonsense that no peer says")}
-		case 3: // a node is replaced under a new id, which a whole list from elsewhere tells, or the changes
+		case 3: // a node is replaced under a new id, which a full list or an update reports
 			i := w.rnd.IntN(len(w.nodes))
 			old := w.nodes[i]
 			old.Endpoint.State = decision.Removed
@@ -166,29 +166,29 @@
 		r := countersRequested{make(chan QueryCounters, 1)}
 		l.inbox <- r
 		if now := <-r.reply; now.AttemptsByRouter != now.AttemptsInFlight {
-			w.t.Errorf("step %d: the router takes %d attempts to be out, %d are", n, now.AttemptsByRouter, now.AttemptsInFlight)
+			w.t.Errorf("step %d: the router counts %d attempts in flight, the pool %d", n, now.AttemptsByRouter, now.AttemptsInFlight)
 		}
 	}
 	time.Sleep(10 * time.Second)
 	synctest.Wait()
 	cancel()
-	<-ended // the loop is nobody's now
+	<-ended // from here on the test may read the loop's fields
 	if t := l.counters; t.InFlight != 0 || l.slotsUsed != 0 || len(l.queryOfShardRequest)+len(l.requestIDs)+len(l.queries) != 0 || t.Answered == 0 {
-		w.t.Errorf("at the end: %+v, %d slots, %d attempts", t, l.slotsUsed, len(l.queryOfShardRequest))
+		w.t.Errorf("left at the end: %+v, %d slots, %d shard requests", t, l.slotsUsed, len(l.queryOfShardRequest))
 	}
-	listed := 0 // what the loop still keeps of nodes
+	listed := 0 // listed nodes that the loop has
 	for i := range w.nodes {
 		if _, kept := l.nodes[w.nodes[i].Endpoint.Node]; kept {
 			listed++
 		}
 	}
 	if len(l.nodes) != listed || l.pool.Nodes() > len(w.nodes) {
-		w.t.Errorf("%d nodes kept in the loop, %d in the pool, %d are listed", len(l.nodes), l.pool.Nodes(), listed)
+		w.t.Errorf("%d nodes in the loop, %d in the pool, %d listed ones in the loop", len(l.nodes), l.pool.Nodes(), listed)
 	}
 	synctest.Wait()
 }
 
-// A query whose id is in flight would mix its attempts with the other's; one that finds no slot is shed unseen.
+// A query whose id is in flight is rejected, as its attempts would be mixed up with the other's. One that finds no slot is shed before the router.
 func TestQueriesTheLoopRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1)
@@ -202,12 +202,12 @@
 				result := <-q.result
 				outcomes = append(outcomes, result.Outcome)
 				if result.Outcome == query.Shed && result.RetryAfter != 2*time.Second {
-					t.Errorf("told to come back after %v", result.RetryAfter)
+					t.Errorf("retry-after time %v, want 2s", result.RetryAfter)
 				}
 			}
 		}
 		if len(outcomes) != 2 || outcomes[0] != query.Duplicate || outcomes[1] != query.Shed || l.counters.NoCapacity != 1 || l.counters.InFlight != 2 {
-			t.Errorf("%v, %+v", outcomes, l.counters)
+			t.Errorf("outcomes %v, counters %+v", outcomes, l.counters)
 		}
 	})
 }
--- a/internal/server/messages.go
+++ b/internal/server/messages.go
@@ -14,7 +14,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// message is what is delivered to the loop; the types are those of this file.
+// message is delivered to the event loop. All its types are declared in this file.
 type message interface{ sealed() }
 
 // Messages that the loop handles itself.
@@ -24,7 +24,7 @@
 		query *activeQuery
 		cause query.AbandonCause
 	}
-	connectionEvent struct{ store.Event } // of a connection to a node
+	connectionEvent struct{ store.Event } // event of a connection to a node
 	listReceived    struct {
 		list *discovery.List
 		err  error
@@ -36,8 +36,8 @@
 	countersRequested struct{ reply chan QueryCounters }
 	settingsChanged   struct {
 		terms             *terms.Terms
-		deploymentChanged bool            // with other shards, or other nodes
-		list              *discovery.List // the nodes there, as far as known; nil: not at all
+		deploymentChanged bool            // the shards or the nodes are others
+		list              *discovery.List // the known nodes of the new deployment; nil: none are known
 		done              chan struct{}
 	}
 )
@@ -54,11 +54,11 @@
 // Messages for the control plane and connection leases.
 type (
 	viewReceived   struct{ view *controlplane.View }
-	drainAckFailed struct { // it has to be proposed again
+	drainAckFailed struct { // the drain acknowledgement has to be proposed again
 		node   decision.NodeID
 		number uint64
 	}
-	// leaseReleaseRequested asks for all connections to nodes to be closed, for good. No query is in flight by then.
+	// leaseReleaseRequested asks for all connections to nodes to be closed permanently. No query is in flight any more.
 	leaseReleaseRequested struct{ reply chan leaseToRelease }
 )
 
@@ -67,7 +67,7 @@
 	positionsRequested struct{ reply chan []byte }
 	positionsReceived  struct {
 		data        []byte
-		collectedAt time.Duration // by the loop's clock: they are at least as new as this
+		collectedAt time.Duration // by the loop's clock; the positions are at least as new
 	}
 	epochAgreed struct {
 		number uint64
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -9,39 +9,39 @@
 	"flaxfront/internal/transport/store"
 )
 
-// activeQuery is a query in flight. Only the loop uses it, but for the methods that make it a query.Pending.
+// activeQuery is a query in flight. Only the loop uses it, except through the methods of query.Pending.
 type activeQuery struct {
 	*query.Request
-	arrival             time.Duration      // when it had come whole
-	deadline            time.Duration      // when its client gives up
+	arrival             time.Duration      // when the whole request had been received
+	deadline            time.Duration      // when the client stops waiting
 	connectionOverLimit bool               // its client's connection exceeds the limit on connections
-	result              chan query.Result  // holds one; nobody waits to deliver it
-	onResult            func(query.Result) // takes the result instead, in the loop
-	server              *Server            // where a front waits for the result
+	result              chan query.Result  // buffers one result, so that the loop never waits
+	onResult            func(query.Result) // if set, gets the result instead, in the loop's goroutine
+	server              *Server            // set where a client connection or a front waits for the result
 
-	id            uint64 // as the router knows it; its shard requests have the numbers that follow
+	id            uint64 // the router's id of the query; its shard requests have the ids that follow
 	done          bool
 	shardRequests []shardRequest
 
-	pin        *pinnedQuery // nil: its reads are ordinary ones
+	pin        *pinnedQuery // nil: the query has no read pin
 	admission  admissionState
 	forwarding forwardingState
 }
 
-// shardRequest is what one shard contributes to a query.
+// shardRequest is the part of a query that one shard answers.
 type shardRequest struct {
 	answered bool
 	value    string
 	attempts []*store.Part
 }
 
-// slots is how many of the slots for queries and shard requests in flight a query takes.
+// slots returns the number of slots that a query takes: one for itself and one for each shard request.
 func (q *activeQuery) slots() int { return 1 + len(q.Request.Shards) }
 
-// fromOtherSite tells whether a broker of another site sent the query.
+// fromOtherSite reports whether a broker of another site sent the query.
 func (q *activeQuery) fromOtherSite() bool { return q.forwarding.remote }
 
-// receiveQuery hands a query to the router, if there are slots for it and its shard requests and admission lets it enter at once.
+// receiveQuery passes a query to the router if there are slots for it and its shard requests and admission admits it at once.
 func (l *loop) receiveQuery(q *activeQuery) {
 	l.counters.Received++
 	if l.requestIDs[q.Request.ID] {
@@ -63,7 +63,7 @@
 	l.submit(q, q.deadline-l.since())
 }
 
-// admit tells whether a client's query may go to the router now. Otherwise it waits for admission, or has its result.
+// admit reports whether a client's query may go to the router now. Otherwise the query waits for admission or already has its result.
 func (l *loop) admit(q *activeQuery) bool {
 	if retryAfter, overloaded := l.connLeases.overloaded(q.Tenant); overloaded {
 		l.counters.RejectedByAdmission++
@@ -73,36 +73,36 @@
 	return l.admission.admit(q)
 }
 
-// hasCapacity tells whether there are slots for a query and its shard requests.
+// hasCapacity reports whether there are slots for a query and its shard requests.
 func (l *loop) hasCapacity(q *activeQuery) bool { return l.slotsUsed+q.slots() <= l.maxInFlight }
 
-// capacity is how many slots are used, and how many there are.
+// capacity returns the number of slots in use and the limit on it.
 func (l *loop) capacity() (used, limit int) { return l.slotsUsed, l.maxInFlight }
 
-// shedResult is the result of a query that finds no slot: the client is told the longest time that the settings allow.
+// shedResult returns the result of a query that finds no slot. Its retry-after time is the longest that the settings allow.
 func (l *loop) shedResult() query.Result {
 	return query.Result{Outcome: query.Shed, RetryAfter: l.maxRetryAfter}
 }
 
-// retryAfterLimit is the longest time after which a client may be told to return.
+// retryAfterLimit returns the longest retry-after time that a client may be given.
 func (l *loop) retryAfterLimit() time.Duration { return l.maxRetryAfter }
 
-// typeOf is the settings' entry for a query's type.
+// typeOf returns the settings of a query's type.
 func (l *loop) typeOf(r *query.Request) *decision.QueryType { return &l.queryTypes[r.Type] }
 
-// markInFlight counts a query as in flight, so that another of its id is a duplicate.
+// markInFlight counts a query as in flight, so that another with its id is rejected as a duplicate.
 func (l *loop) markInFlight(q *activeQuery) {
 	l.counters.InFlight++
 	l.requestIDs[q.Request.ID] = true
 }
 
-// clearInFlight takes a query out of flight that the router does not have.
+// clearInFlight no longer counts a query as in flight that is not, or no longer, with the router.
 func (l *loop) clearInFlight(q *activeQuery) {
 	l.counters.InFlight--
 	delete(l.requestIDs, q.Request.ID)
 }
 
-// submit gives a query in flight to the router, with the time that is left to it.
+// submit passes a query in flight to the router, with the time left until its deadline.
 func (l *loop) submit(q *activeQuery, left time.Duration) {
 	q.id = l.nextID
 	l.nextID += uint64(q.slots())
@@ -110,7 +110,7 @@
 	l.queries[q.id] = q
 	q.shardRequests = make([]shardRequest, len(q.Request.Shards))
 	l.readPins.pinQuery(q)
-	serial := float32(q.id % (1 << 24)) // exact in a float32, and far more ids than can be in flight
+	serial := float32(q.id % (1 << 24)) // exact in a float32, and a range far larger than the number of queries in flight
 	l.post(decision.Event{Kind: decision.QueryReceived, ID: q.id, Serial: serial, Type: q.Type, Tenant: q.Tenant, RemainingTime: left,
 		Weight: float64(len(q.shardRequests)), Retry: q.Retry})
 	for i := range q.Request.Shards {
@@ -122,7 +122,7 @@
 	}
 }
 
-// findShardRequest finds the query of a shard request, and its index there; nil: it is not in flight.
+// findShardRequest returns the query of a shard request and the request's index in it, or nil if it is not in flight.
 func (l *loop) findShardRequest(id uint64) (*activeQuery, int) {
 	if q := l.queryOfShardRequest[id]; q != nil {
 		return q, int(id - q.id - 1)
@@ -130,7 +130,7 @@
 	return nil, 0
 }
 
-// abandon ends a query that nobody waits for any more, or whose time is up.
+// abandon ends a query whose client has left, or whose deadline has passed.
 func (l *loop) abandon(m queryAbandoned) {
 	q := m.query
 	if q.done {
@@ -152,23 +152,23 @@
 	}
 	l.post(decision.Event{Kind: decision.ClientDeparted, ID: q.id})
 	l.finishQuery(q)
-	l.cancelUnsent(q) // now, as a connection may come up in the same moment
+	l.cancelUnsent(q) // before the next step: a connection may be established until then, and would carry them
 }
 
-// finishQuery takes a query out of flight; it is forgotten once the actions of its last step are executed.
+// finishQuery ends a query that is with the router. forgetQuery drops it once the actions of its last step are executed.
 func (l *loop) finishQuery(q *activeQuery) {
 	q.done = true
 	l.counters.InFlight--
 	l.freeSlots(q)
 }
 
-// freeSlots frees the slots of a query that the router has ended.
+// freeSlots frees the slots of a query that the router has ended, and has it dropped at the end of the step.
 func (l *loop) freeSlots(q *activeQuery) {
 	l.slotsUsed -= q.slots()
 	l.finished = append(l.finished, q)
 }
 
-// cancelUnsent cancels the attempts that were not written to a node yet; they never are.
+// cancelUnsent cancels the attempts that are not yet written to a node, so that they never are.
 func (l *loop) cancelUnsent(q *activeQuery) {
 	for i := range q.shardRequests {
 		for _, attempt := range q.shardRequests[i].attempts {
@@ -179,7 +179,7 @@
 	}
 }
 
-// forgetQuery drops a query that the router has ended. What was not written to a node by now never is.
+// forgetQuery drops a query that the router has ended, and cancels its attempts that are not yet written to a node.
 func (l *loop) forgetQuery(q *activeQuery) {
 	l.cancelUnsent(q)
 	for i := range q.shardRequests {
@@ -191,7 +191,7 @@
 	}
 }
 
-// adaptToSettings translates a query that was read under other settings to those in force; false: they can't serve it.
+// adaptToSettings translates a query that was read under other settings to those in force, and reports whether they can serve it.
 func (l *loop) adaptToSettings(r *query.Request) bool {
 	if r.Settings == nil || r.Settings == l.settings {
 		return true
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -11,14 +11,14 @@
 	"flaxfront/internal/discovery"
 )
 
-// SecondPhaseError tells that a query type of the settings has a second phase, which the protocol has no form for.
+// SecondPhaseError reports a query type in the settings with a second phase, which the protocol does not support.
 type SecondPhaseError struct{ QueryType string }
 
 func (e *SecondPhaseError) Error() string {
-	return fmt.Sprintf("configuration: settings: domain.fetchParts: %s has a second step, which the protocol has no form for", e.QueryType)
+	return fmt.Sprintf("configuration: settings: domain.fetchParts: %s has a second phase, which the protocol does not support", e.QueryType)
 }
 
-// checkConfiguration checks what the configuration file leaves open, and decodes the endpoint list that it may have.
+// checkConfiguration checks what reading the configuration file did not, and decodes the endpoint list if the file contains one.
 func checkConfiguration(start *terms.Start, reader discovery.Reader) (list *discovery.List, given bool, err error) {
 	t := &start.Terms
 	for i := range t.Module.QueryTypes {
@@ -37,9 +37,9 @@
 	return list, true, nil
 }
 
-// Reload applies a new configuration while serving, with one log line. The files are read and checked by then; err is what was wrong with
-// them, and then the old configuration stays in force. Discovery moves and settings change; what needs a restart is logged and stays as it
-// was. Calls must not overlap.
+// Reload applies a new configuration while serving, and logs one line about it. The caller has read and checked the files; err is the error
+// it found, with which the old configuration stays in force. The address of discovery and the settings change; what needs a restart is
+// logged and stays as it was. Calls must not overlap.
 func (s *Server) Reload(start *terms.Start, file *operator.File, err error) {
 	var reader discovery.Reader
 	var list *discovery.List
@@ -74,8 +74,8 @@
 	slog.Info("configuration reloaded", "discovery", start.Discovery, "settings_switched", settingsSwitched, "needs_restart", needsRestart)
 }
 
-// switchSettings has the loop go on under other settings, and returns what changes for polling discovery; nil: nothing. list is the one of
-// the configuration.
+// switchSettings changes the loop to other settings, and returns the new settings for polling discovery, or nil if they are unchanged. list
+// is the endpoint list of the configuration.
 func (s *Server) switchSettings(current *terms.Terms, start *terms.Start, reader discovery.Reader, list *discovery.List) *discovery.Settings {
 	next := &start.Terms
 	otherDiscoveryAndTypes := s.discoveryAddress != start.Discovery && !slices.Equal(current.Types, next.Types)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// reloadCertificates reads the certificates of site links and of the control plane again. Those that can't be read stay in force.
+// reloadCertificates reads the certificates of site links and of the control plane again. If a file can't be read, the old ones stay in force.
 func (s *Server) reloadCertificates() {
 	if s.siteKeys != nil {
 		if err := s.siteKeys.Reload(); err != nil {
@@ -106,8 +106,8 @@
 	}
 }
 
-// canReconfigure tells whether other settings can be applied without a restart. What the operators' file switches on is bound to the settings
-// of the start, and so are the addresses at which brokers communicate.
+// canReconfigure reports whether other settings can be applied without a restart. The features that the operators' file turns on depend on
+// the settings at the start, and so do the addresses at which brokers communicate.
 func (s *Server) canReconfigure(t *terms.Terms) bool {
 	if _, ok := s.loop.router.(reconfigurable); !ok || s.boundToSettings() {
 		return false
@@ -116,7 +116,7 @@
 	return t.Me == current.Me && t.Module.GossipAllowed == current.Module.GossipAllowed
 }
 
-// boundToSettings tells whether something is on that can't follow other settings.
+// boundToSettings reports whether a feature is on that can't change to other settings.
 func (s *Server) boundToSettings() bool {
 	o := s.operator
 	switch {
@@ -126,8 +126,8 @@
 	return o.Back.Protocol != "" || len(s.fronts) > 0
 }
 
-// reconfigure has all go on under other settings: the loop first, then what clients send. A query that was read under the old ones and comes
-// to the loop later is translated there.
+// reconfigure changes to other settings first the loop, then the reading of requests. A query that was read under the old settings and reaches
+// the loop after the change is translated there.
 func (s *Server) reconfigure(t *terms.Terms, deploymentChanged bool, list *discovery.List) {
 	m := settingsChanged{t, deploymentChanged, list, make(chan struct{})}
 	if !s.deliver(m) {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -1,6 +1,6 @@
 package server
 
-// Tests of the configuration: what is wrong at the start, and what changes while the broker serves.
+// Tests of the configuration: errors at the start, and changes while the broker serves.
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// What can't work is told before anything listens.
+// Errors of the configuration are reported at the start.
 func TestConfigurationErrorsAtStart(t *testing.T) {
 	taken := listen(t)
 	s, err := New(startConfiguration(t, taken.Addr().String(), 1024), operator.Default(), newRouter)
@@ -31,11 +31,11 @@
 	bad := startConfiguration(t, "127.0.0.1:0", 1024)
 	bad.Known = []byte(`{"generation":1,"instances":[{"instanceId":"s"}]}`)
 	if _, err := New(bad, operator.Default(), newRouter); err == nil || !strings.Contains(err.Error(), "known") {
-		t.Errorf("bad list: %v", err)
+		t.Errorf("invalid endpoint list: %v", err)
 	}
 	bad.Known, bad.Terms.Module.QueryTypes[0].SecondPhaseRequests = nil, 2
 	if _, err := New(bad, operator.Default(), newRouter); err == nil || !strings.Contains(err.Error(), "fetchParts") {
-		t.Errorf("second step: %v", err)
+		t.Errorf("second phase: %v", err)
 	}
 }
 
@@ -48,9 +48,9 @@
  "safety":{"askWithinNs":10000000000,"coldFrom":0.19,"drainGraceNs":500000000,"extraFloor":5,"furtherRatio":0.05,
   "lookBackNs":10000000000,"tipMultiple":4,"warmAfterNs":17000000000},"stepNs":5000000}`
 
-// Settings change under a running broker and back again: a ring of other nodes behind another discovery, other query types, a
-// budget, probes, worth by work. What is in flight gets its one answer and no node of the other deployment is sent an attempt of it; a
-// configuration with a bad value changes nothing.
+// The settings of a running broker change to those of another deployment, the ring, and back: other nodes behind another discovery, other
+// query types, limits on extra attempts, health checks, counting by work. A query in flight gets its one result and no node of the other
+// deployment gets an attempt of it. A configuration with an invalid value changes nothing.
 func TestSettingsChangeWhileServing(t *testing.T) {
 	s, end := runServer(t, 64)
 	first := s.start
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	ring.Discovery = netip.MustParseAddrPort("127.0.0.2:1")
-	ring.Known = bytes.ReplaceAll(startConfiguration(t, "127.0.0.1:0", 64).Known, []byte("s-"), []byte("r-")) // nodes of its own
+	ring.Known = bytes.ReplaceAll(startConfiguration(t, "127.0.0.1:0", 64).Known, []byte("s-"), []byte("r-")) // with other names: nodes of the ring
 	inRing := func(id, body string) string {
 		return strings.NewReplacer("/find", "/thread", "X-Tenant-Id: acme\r\n", "").Replace(post(id, body))
 	}
@@ -71,32 +71,32 @@
 		waitUntil(s, func(n Counters) bool { return n.Queries.InFlight == 1 && n.Queries.AttemptsInFlight >= 2 })
 		sent := s.Counters().Queries.Attempts
 		if _, err := terms.FromJSON([]byte(strings.Replace(ringSettingsJSON, `"work"`, `"hour"`, 1)), 1); err == nil {
-			t.Fatal(text, "a bad value passed")
+			t.Fatal(text, "an invalid value was accepted")
 		} else if s.Reload(nil, s.operator, err); s.Settings().Types[0] != "find" {
-			t.Fatalf("%s: a bad configuration changed the settings", text)
+			t.Fatalf("%s: an invalid configuration changed the settings", text)
 		}
 		s.Reload(&ring, s.operator, nil)
 		if m := c.roundTrip(post(fmt.Sprint("gone", round), body)); m.Status != 404 || !m.Close {
-			t.Errorf("%s: a query type of before: %d", text, m.Status)
+			t.Errorf("%s: a query type of the old settings: status %d", text, m.Status)
 		}
 		c = dial(t, s)
-		m, want := c.roundTrip(inRing(fmt.Sprint("r", round), body)), []int{200, 503}[round] // the second time no node is known there
+		m, want := c.roundTrip(inRing(fmt.Sprint("r", round), body)), []int{200, 503}[round] // the second time no node of the ring is known
 		if m.Status != want || want == 200 && string(m.Body) != completeBody {
-			t.Errorf("%s: in the ring: %d %s", text, m.Status, m.Body)
+			t.Errorf("%s: a query in the ring: status %d, %s", text, m.Status, m.Body)
 		}
 		if m := held.readResponse(); m.Status != 503 && m.Status != 504 {
-			t.Errorf("%s: the query in flight: %d", text, m.Status)
+			t.Errorf("%s: the query in flight: status %d", text, m.Status)
 		}
 		if n := s.Counters().Queries.Attempts; n != sent+[]uint64{2, 0}[round] {
-			t.Errorf("%s: %d sub-requests", text, n-sent)
+			t.Errorf("%s: %d attempts in the ring", text, n-sent)
 		}
 		ring.Known = nil
 		s.Reload(first, s.operator, nil)
 		if m := c.roundTrip(post(fmt.Sprint("back", round), body)); m.Status != 200 || string(m.Body) != completeBody {
-			t.Errorf("%s: back again: %d %s", text, m.Status, m.Body)
+			t.Errorf("%s: after the change back: status %d, %s", text, m.Status, m.Body)
 		}
 		if got := s.Counters().Queries; got.InFlight != 0 || got.Received != got.Answered+got.Shed+got.Failed {
-			t.Errorf("%s: %+v", text, got)
+			t.Errorf("%s: counters do not add up: %+v", text, got)
 		}
 	}
 	if err := end(); err != nil {
@@ -104,13 +104,13 @@
 	}
 }
 
-// A query that was read under the settings of before comes to the loop after they changed.
+// A query that was read under the old settings reaches the loop after they changed: it is translated, or rejected.
 func TestQueryReadBeforeSettingsChange(t *testing.T) {
 	was, now := testTerms(t), testTerms(t)
 	now.Types, now.Tenants = append([]string{"new"}, was.Types...), append([]string{"new"}, was.Tenants...)
 	l := &loop{settings: &now}
 	if a := (&query.Request{Settings: &was}); !l.adaptToSettings(a) || a.Type != 1 || a.Tenant != 1 || !l.adaptToSettings(a) {
-		t.Errorf("taken as %+v", a)
+		t.Errorf("translated to %+v", a)
 	}
 	for _, change := range []func(*terms.Terms){
 		func(o *terms.Terms) { o.Types = []string{"other"} },
@@ -121,12 +121,12 @@
 		change(&other)
 		l.settings = &other
 		if a := (&query.Request{Settings: &was}); l.adaptToSettings(a) {
-			t.Errorf("taken under %+v", other)
+			t.Errorf("accepted under settings that can't serve it: %+v", other)
 		}
 	}
 }
 
-// A reload moves discovery and leaves all else, a query in flight included; a bad one changes nothing.
+// A reload changes the address of discovery and the settings and leaves queries in flight alone. An invalid configuration changes nothing.
 func TestReload(t *testing.T) {
 	s, end := runServer(t, 64)
 	c := dial(t, s)
@@ -141,7 +141,7 @@
 	s.Reload(&bad, s.operator, nil)
 	s.Reload(nil, nil, io.ErrUnexpectedEOF)
 	if s.discoveryAddress != s.start.Discovery {
-		t.Errorf("a bad configuration moved discovery to %v", s.discoveryAddress)
+		t.Errorf("an invalid configuration changed the address of discovery to %v", s.discoveryAddress)
 	}
 	s.Reload(&next, s.operator, nil)
 	conn, err := discoveryListener.Accept()
@@ -149,20 +149,20 @@
 		t.Fatal(err)
 	}
 	if m, err := httpwire.ReadRequest(httpwire.NewReader(conn)); err != nil || m.Path != "/discovery/hosts" || m.Query != "" {
-		t.Errorf("the new service was asked %+v, %v", m, err)
+		t.Errorf("request at the new discovery service: %+v, %v", m, err)
 	}
 	if m := dial(t, s).roundTrip(post("r3", body)); m.Status != 200 || s.Settings().Module.MaxRetryAfter != 5*time.Second {
-		t.Errorf("with another time to come back, on the list held: %d", m.Status)
+		t.Errorf("with another retry-after limit and the list of before: status %d", m.Status)
 	}
 	if got := strings.Join(s.start.Differs(&next), " "); got != "limits settings" {
-		t.Errorf("only a restart takes over %q", got)
+		t.Errorf("differences from the running configuration: %q", got)
 	}
 	s.Reload(s.start, s.operator, nil)
 	if m := c.readResponse(); m.Status != 503 && m.Status != 504 {
-		t.Errorf("the query in flight: %d", m.Status)
+		t.Errorf("the query in flight: status %d", m.Status)
 	}
 	if m := c.roundTrip(post("r2", body)); m.Status != 200 {
-		t.Errorf("after the reload: %d", m.Status)
+		t.Errorf("a query after the reload: status %d", m.Status)
 	}
 	if err := end(); err != nil {
 		t.Error(err)
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -5,7 +5,7 @@
 	"flaxfront/internal/server/query"
 )
 
-// resultOf makes the result of the router's action and the answers that have come.
+// resultOf returns the query's result, from the router's action and the answers received so far.
 func (q *activeQuery) resultOf(a *decision.Action) query.Result {
 	switch a.Kind {
 	case decision.ShedQuery:
@@ -22,7 +22,7 @@
 	return r
 }
 
-// deliverResult gives a query its one result and counts it.
+// deliverResult delivers a query's only result and counts it.
 func (l *loop) deliverResult(q *activeQuery, r query.Result) {
 	switch r.Outcome {
 	case query.Answered:
--- a/internal/server/router_step.go
+++ b/internal/server/router_step.go
@@ -6,7 +6,7 @@
 	"flaxfront/internal/decision"
 )
 
-// stepRouter calls the router and executes its actions in their order; the attempts to one node leave together.
+// stepRouter passes the events to the router and executes its actions in order. Attempts to one node are sent together, after all actions.
 func (l *loop) stepRouter(now time.Duration) {
 	events := l.events
 	l.events = l.spareEvents[:0]
@@ -56,7 +56,7 @@
 	}
 }
 
-// endQuery gives a query the result that the router decided on, or forwards it to another site instead of shedding it.
+// endQuery delivers the result that the router decided on, or forwards the query to another site instead of shedding it.
 func (l *loop) endQuery(q *activeQuery, a *decision.Action) {
 	if a.Kind == decision.ShedQuery && l.gateway.offer(q) {
 		return
@@ -67,7 +67,7 @@
 	l.finishQuery(q)
 }
 
-// healthCheckEnded is told by the pool how a health check went.
+// healthCheckEnded is called by the pool when a health check has ended.
 func (l *loop) healthCheckEnded(id decision.NodeID, outcome decision.Outcome, took time.Duration) {
 	l.post(decision.Event{Kind: decision.HealthCheckEnded, Node: id, Outcome: outcome, Elapsed: took})
 }
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -9,8 +9,8 @@
 	"flaxfront/internal/transport/store"
 )
 
-// Run serves until stop is closed or a release shuts the broker down, then answers what is in flight and returns. Everything that it starts
-// ends with the server's context, and it waits for all of it.
+// Run serves until stop is closed or a release permit shuts the broker down, then answers the queries in flight and returns. All goroutines
+// that it starts end with the server's context, and it waits for them.
 func (s *Server) Run(stop <-chan struct{}) error {
 	descriptors := s.shareDescriptors()
 	s.openPool(descriptors.nodes)
@@ -44,7 +44,7 @@
 	s.group.Go(func() error { return run(s.ctx) })
 }
 
-// openPool makes the pool of connections to nodes.
+// openPool creates the pool of connections to nodes.
 func (s *Server) openPool(connections int) {
 	t, o := &s.start.Terms, &s.operator.Back
 	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: t.LongestTimeout(), Conns: connections}
@@ -65,7 +65,7 @@
 	}
 }
 
-// startLoop gives the loop the list to start with, and starts it.
+// startLoop applies the initial endpoint list and starts the loop.
 func (s *Server) startLoop() {
 	if s.loop.cachedList == nil {
 		s.loop.handleList(s.initialList, nil)
@@ -83,7 +83,7 @@
 
 func (s *Server) startDiscovery() { s.startGoroutine(s.discoveryClient.Run) }
 
-// startGossip starts the socket between brokers, and the storing of members' addresses.
+// startGossip starts sending and receiving gossip, and storing members' addresses.
 func (s *Server) startGossip() {
 	if s.gossip != nil {
 		s.startGoroutine(s.gossip.Send)
@@ -94,7 +94,7 @@
 	}
 }
 
-// startClients starts to accept clients, here and at the fronts of other protocols.
+// startClients starts accepting clients over HTTP and at the fronts.
 func (s *Server) startClients() {
 	s.startGoroutine(s.ingress.Run)
 	for _, f := range s.fronts {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,11 +1,11 @@
-// Package server is a broker: client connections on one side, nodes, discovery and other brokers on the other, and between them the event
-// loop, which alone calls the router.
+// Package server implements a broker: client connections on one side, nodes, discovery and other brokers on the other, and between them the
+// event loop, which alone calls the router.
 //
-// A Server is made by New, opened by Open and served by Run, which returns once a graceful shutdown has answered what was in flight. Reload
-// changes its configuration meanwhile. Core is the same broker without goroutines and sockets, for the simulation.
+// New makes a Server, Open opens its listeners, and Run serves until a graceful shutdown has answered the queries in flight. Reload changes
+// the configuration meanwhile. Core is the same broker without goroutines and sockets, for the simulation.
 //
-// One goroutine, the loop, owns every query in flight, the pool of connections to nodes, the router and the extensions (see extension). All
-// others, one a client connection among them, only deliver messages to it.
+// One goroutine, the event loop, owns every query in flight, the pool of connections to nodes, the router and the extensions (see
+// extension). All other goroutines, such as the one of each client connection, only deliver messages to it.
 package server
 
 import (
@@ -31,8 +31,8 @@
 	"flaxfront/internal/transport/peers"
 )
 
-// Of the file descriptors some are reserved for what is neither a client's nor a node's; nodes get a third of the others. The protocol lets
-// clients hold a third of all for requests; three quarters of these are kept open between requests.
+// Some of the file descriptors are reserved for what is neither a client nor a node connection; nodes get a third of the others. By the
+// protocol, clients may use a third of all for requests; three quarters of these are kept open between requests.
 const (
 	reservedSockets      = 16 // standard streams, poller, listener, gossip, three polls of discovery, connections that are closing
 	spareSockets         = reservedSockets + ingress.Overflow
@@ -47,20 +47,20 @@
 	settings atomic.Pointer[terms.Terms] // in force
 	loop     *loop
 
-	// life: everything that serves ends with ctx
+	// lifetime: all goroutines of the server end with ctx
 	group         *errgroup.Group
 	ctx           context.Context
 	cancel        context.CancelFunc
 	draining      atomic.Bool
-	stopRequested atomic.Int64 // when the shutdown was requested, since the start
+	stopRequested atomic.Int64 // when the shutdown was requested, in ns since the start
 	timeAfter     func(time.Duration) <-chan time.Time
 
 	// discovery
 	reader           discovery.Reader
 	discoveryClient  *discovery.Client
 	discoveryAddress netip.AddrPort
-	initialList      *discovery.List // that it starts with
-	listConfigured   bool            // the configuration has one
+	initialList      *discovery.List // the endpoint list to start with
+	listConfigured   bool            // the configuration contains an endpoint list
 	listStore        *nodelist.Store // nil: no list is cached
 
 	// clients
@@ -70,15 +70,15 @@
 	servingFronts sync.WaitGroup // fronts
 
 	// other brokers
-	gossip       *peers.Link       // nil: the settings do not allow it
+	gossip       *peers.Link       // nil: the settings do not allow gossip
 	seedStore    *seeds.Writer     // nil: members' addresses are not stored
-	controlPlane *tierControlPlane // nil: there is none
+	controlPlane *tierControlPlane // nil: there is no control plane
 	siteKeys     *keys.Keyring     // nil: there is no gateway
 	siteLinks    *link.Links       // nil: there is no gateway
-	siteListener net.Listener      // nil: no broker of another site connects here
+	siteListener net.Listener      // nil: brokers of other sites do not connect to this one
 }
 
-// New makes a broker of its configuration; nothing is opened yet. Its errors tell what is wrong with the configuration.
+// New returns a broker for a configuration and opens nothing yet. Its errors say what is wrong with the configuration.
 func New(start *terms.Start, file *operator.File, newRouter func(decision.Settings) decision.Router) (*Server, error) {
 	t := &start.Terms
 	s := &Server{start: start, operator: file, discoveryAddress: start.Discovery, timeAfter: time.After}
@@ -113,10 +113,10 @@
 	return s, nil
 }
 
-// ErrGossipNotAllowed tells that the operators' file asks for membership where the settings do not let brokers communicate.
-var ErrGossipNotAllowed = errors.New("operators' file: crew.on: the settings do not let brokers talk (permissions.peers)")
+// ErrGossipNotAllowed is returned where the operators' file turns membership on and the settings do not let brokers communicate.
+var ErrGossipNotAllowed = errors.New("operators' file: crew.on: the settings do not let brokers communicate (permissions.peers)")
 
-// Open opens what the broker listens on. It serves nothing yet. After an error the listener for clients is closed again.
+// Open opens the broker's listeners and the cached list. Nothing is served yet. After an error the listener for clients is closed again.
 func (s *Server) Open() (err error) {
 	s.listener, err = net.Listen("tcp", s.start.Listen.String())
 	if err != nil {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// openPeers opens what connects to other brokers, and the cached list.
+// openPeers opens the connections and listeners for other brokers, and the cached list.
 func (s *Server) openPeers() error {
 	if err := s.openGossip(); err != nil {
 		return err
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// openGossip opens the socket between brokers, and membership.
+// openGossip opens the gossip socket, and membership if it is on.
 func (s *Server) openGossip() (err error) {
 	if !s.start.Terms.Module.GossipAllowed {
 		if s.operator.Crew.On {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// openIngress makes what serves the client connections of the listener.
+// openIngress creates the ingress, which serves the client connections of the listener.
 func (s *Server) openIngress() {
 	t := &s.start.Terms
 	descriptors := s.shareDescriptors()
@@ -184,11 +184,11 @@
 	s.ingress = ingress.New(s.listener, s, options)
 }
 
-// descriptors is how many file descriptors each kind of connection may hold.
+// descriptors is the number of file descriptors that each kind of connection may use.
 type descriptors struct {
 	nodes       int
 	clients     int
-	usedClients int // that have brought a request
+	usedClients int // clients whose connection has carried a request
 }
 
 func (s *Server) shareDescriptors() (d descriptors) {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -1,6 +1,6 @@
 package server
 
-// Tests of queries over sockets from end to end: asked, answered, refused, owed in time.
+// End-to-end tests of queries over sockets: answered queries and bad requests.
 
 import (
 	"encoding/json"
@@ -21,41 +21,41 @@
 	c := dial(t, s)
 	for i := range 3 {
 		if m := c.roundTrip(post(fmt.Sprint("a", i), body)); m.Status != 200 || string(m.Body) != completeBody || m.Close {
-			t.Fatalf("%d %s", m.Status, m.Body)
+			t.Fatalf("status %d, %s", m.Status, m.Body)
 		}
 	}
 	chunked := fmt.Sprintf(requestHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", "b", len(body), body)
 	for _, b := range []byte(chunked) { // byte by byte
 		c.Write([]byte{b})
 	}
-	io.WriteString(c, post("c", body)+"GET /up HTTP/1.1\r\nHost: b\r\n\r\n") // and two more, unasked
+	io.WriteString(c, post("c", body)+"GET /up HTTP/1.1\r\nHost: b\r\n\r\n") // and two more requests, without waiting for the response
 	for range 2 {
 		if m := c.readResponse(); m.Status != 200 || string(m.Body) != completeBody {
-			t.Errorf("%d %s", m.Status, m.Body)
+			t.Errorf("pipelined request: status %d, %s", m.Status, m.Body)
 		}
 	}
 	if m := c.readResponse(); m.Status != 200 {
-		t.Errorf("/up: %d", m.Status)
+		t.Errorf("/up: status %d", m.Status)
 	}
 	rounded := strings.Replace(body, "0.5", "0.497", 1)
 	if m := c.roundTrip(post("d", rounded)); string(m.Body) != completeBody {
-		t.Errorf("rounded fractions: %d %s", m.Status, m.Body)
+		t.Errorf("rounded fractions: status %d, %s", m.Status, m.Body)
 	}
 	var counters Counters
 	m := c.roundTrip("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
 	if err := json.Unmarshal(m.Body, &counters); err != nil || counters.Queries.Answered != 6 ||
 		counters.Queries.Received != 6 || counters.Queries.Store.Parts != 12 {
-		t.Errorf("%v, %+v", err, counters)
+		t.Errorf("counters: %v, %+v", err, counters)
 	}
 }
 
-// Bad input is told so and ends the connection; no part of it is sent, nor what hides behind it.
+// A bad request is rejected and ends the connection. No attempt of it is sent, nor of a request that follows it on the connection.
 func TestBadRequests(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	for _, c := range []struct {
 		old, new string
 		status   int
-		spoils   bool // its framing too
+		spoils   bool // the length of the request is wrong too
 	}{
 		{"POST /find", "POST /lost", 404, false},
 		{"POST /find", "PUT /find", 405, false},
@@ -85,28 +85,28 @@
 		{"c41e", "c41\xff", 400, false},
 	} {
 		text := strings.Replace(post("x", body), c.old, c.new, 1)
-		if at := strings.Index(text, "{"); at > 0 && !c.spoils { // the length is right in any case
+		if at := strings.Index(text, "{"); at > 0 && !c.spoils { // correct the length
 			start, rest := text[:strings.Index(text, "Content-Length")], text[strings.Index(text, "\r\n\r\n")+4:]
 			text = fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", start, len(rest), rest)
 		}
 		to := dial(t, s)
 		if m := to.roundTrip(text + post("behind", body)); m.Status != c.status || !m.Close {
-			t.Errorf("%q: %d, closed %v: %s", c.new, m.Status, m.Close, m.Body)
+			t.Errorf("%q: status %d, close %v: %s", c.new, m.Status, m.Close, m.Body)
 		}
 		if b, err := to.in.ReadByte(); err != io.EOF {
-			t.Errorf("after %q: %q, %v", c.new, b, err)
+			t.Errorf("after the response to %q: read %q, %v", c.new, b, err)
 		}
 	}
 	if m := dial(t, s).roundTrip(post("good", body)); m.Status != 200 {
-		t.Errorf("an ordinary query: %d %s", m.Status, m.Body)
+		t.Errorf("an ordinary query: status %d, %s", m.Status, m.Body)
 	}
 	slow, cut := dial(t, s), dial(t, s)
 	io.WriteString(cut, post("x", body)[:100])
 	cut.Close()
 	if m := slow.roundTrip(post("x", body)[:100]); m.Status != 408 || !m.Close {
-		t.Errorf("a request that does not come whole: %d", m.Status)
+		t.Errorf("an incomplete request: status %d", m.Status)
 	}
 	if n := s.Counters().Queries; n.Received != n.Answered || n.Store.Parts != 2*n.Received {
-		t.Errorf("%+v", n)
+		t.Errorf("attempts were sent for bad requests: %+v", n)
 	}
 }
--- a/internal/server/shutdown_crossing_test.go
+++ b/internal/server/shutdown_crossing_test.go
@@ -1,6 +1,6 @@
 package server
 
-// Tests of requests that cross the closing of idle connections, and the means to serve a connection with a hook in it.
+// Tests of requests that arrive while idle connections are closed, and helpers that serve a connection with a hook.
 
 import (
 	"io"
@@ -13,7 +13,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// deadlineHook is a client's connection at which something happens just after a deadline was set.
+// deadlineHook is a client connection that calls onDeadline just after the nth read deadline was set.
 type deadlineHook struct {
 	net.Conn
 	onDeadline func(n int)
@@ -22,14 +22,14 @@
 
 func (c *deadlineHook) SetReadDeadline(at time.Time) error {
 	err := c.Conn.SetReadDeadline(at)
-	if at.IsZero() || time.Since(at) < time.Hour { // others only wake the reader
+	if at.IsZero() || time.Since(at) < time.Hour { // other deadlines only wake the reader
 		c.deadlines++
 		c.onDeadline(c.deadlines)
 	}
 	return err
 }
 
-// serveConnection serves a connection, which stands in the set of connections when it returns or has ended.
+// serveConnection serves a connection, and returns when the ingress lists it or it has ended.
 func serveConnection(s *Server, in *ingress.Ingress, conn net.Conn) <-chan ingress.Reason {
 	ended := make(chan ingress.Reason, 1)
 	go func() { ended <- in.ServeConnection(s.ctx, withoutLinger{conn, conn.(syscall.Conn)}) }()
@@ -39,7 +39,7 @@
 	return ended
 }
 
-// withoutLinger is a connection whose sending side can't be closed alone, so that it ends at once after its last answer.
+// withoutLinger is a connection without CloseWrite, so that it is closed at once after its last answer.
 type withoutLinger struct {
 	net.Conn
 	raw syscall.Conn
@@ -47,13 +47,13 @@
 
 func (c withoutLinger) SyscallConn() (syscall.RawConn, error) { return c.raw.SyscallConn() }
 
-// Clients send after SIGTERM for as long as a connection stays open. What came before the close is answered, also on a
-// connection that nobody had begun to read when the idle ones were closed, and a request that had come in part.
+// After SIGTERM clients send for as long as a connection stays open. A request that arrives before the close is answered, even if reading from
+// its connection had not started when idle connections were closed, or if only a part of it had arrived.
 func TestRequestCrossesClosingOfIdleConnections(t *testing.T) {
 	text := post("a", body)
 	for what, at := range map[string]struct {
-		set  int // at which setting of its deadline the idle connections are closed
-		sent int // bytes that have come by then; the others come after
+		set  int // number of the deadline at which idle connections are closed
+		sent int // bytes sent before the close; the others are sent after it
 	}{
 		"not read yet":  {1, len(text)},
 		"come in part":  {2, 20},
@@ -83,12 +83,12 @@
 			t.Errorf("%s: %v, %+v", what, err, m)
 		}
 		if reason := <-ended; reason != ingress.LastAnswer {
-			t.Errorf("%s: ended as %s", what, reason)
+			t.Errorf("%s: the connection ended with reason %s", what, reason)
 		}
 	}
 }
 
-// hookedConn shows what has come on the connection beneath.
+// hookedConn is a deadlineHook that also gives access to the TCP connection, so that unread bytes on it can be seen.
 type hookedConn struct {
 	*deadlineHook
 	*net.TCPConn
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -7,23 +7,23 @@
 	"flaxfront/internal/transport/link"
 )
 
-// By the protocol new connections come for newConnectionPeriod after a shutdown was requested, and what comes later than answerWithin has to
-// be answered before the process is killed. Between the two the broker stops accepting.
+// By the protocol, clients open new connections for up to newConnectionPeriod after a shutdown was requested, and what comes later than
+// answerWithin has to be answered before the process is killed. The broker stops accepting halfway between the two.
 const (
 	newConnectionPeriod = 400 * time.Millisecond
 	answerWithin        = 700 * time.Millisecond
 	stopAcceptingAfter  = (newConnectionPeriod + answerWithin) / 2
 )
 
-// The process is killed answerWithin after the longest time of a client, but no later than maxKillWait plus answerWithin, after the shutdown
-// was requested. An answer has to be on its way some time before.
+// The process is killed answerWithin after the longest client timeout has passed since the shutdown was requested, but at the latest
+// maxKillWait plus answerWithin after that request. Answers have to be sent killMargin before.
 const (
 	maxKillWait   = 3 * time.Second
 	killMargin    = 150 * time.Millisecond
 	minAnswerTime = 50 * time.Millisecond
 )
 
-// drain is a graceful shutdown: the broker serves for as long as clients may come, then until all that is in flight is answered.
+// drain shuts down gracefully: the broker accepts clients for as long as they may connect, and then answers the queries in flight.
 func (s *Server) drain() {
 	slog.Info("shutdown started", "in_flight", s.Counters().Queries.InFlight)
 	s.stopRequested.Store(int64(s.loop.since()))
@@ -49,7 +49,7 @@
 	}
 }
 
-// announceShutdown tells the other brokers, members first, so that periodic jobs are taken over at once.
+// announceShutdown tells the other brokers of the shutdown, members first, so that they take over periodic jobs at once.
 func (s *Server) announceShutdown() {
 	if s.loop.membership != nil {
 		m := shutdownStarted{make(chan struct{})}
@@ -64,12 +64,12 @@
 		s.controlPlane.SetLeaving()
 	}
 	if s.siteLinks != nil {
-		s.siteLinks.Say(link.Status{Stopping: true}, true) // nothing new from other sites; what is in flight is finished
+		s.siteLinks.Say(link.Status{Stopping: true}, true) // other sites forward nothing new; queries in flight are finished
 	}
 }
 
-// answerDeadline is when a query that came at a time has to be answered: what comes after the shutdown was requested, and is not answered when the
-// process is killed, is lost.
+// answerDeadline returns when a query that arrived at arrival has to be answered. A query that arrives after the shutdown was requested and
+// is not answered when the process is killed is lost.
 func (s *Server) answerDeadline(arrival, timeout time.Duration) time.Duration {
 	deadline := arrival + timeout
 	if s.draining.Load() {
--- a/internal/server/warming_up_test.go
+++ b/internal/server/warming_up_test.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/discovery"
 )
 
-// Parts count as sent to a cold node while it warms up, and not at nodes that started long ago or are not known.
+// Attempts are counted as sent to a node that is warming up only while it does, not at nodes that started long ago or are unknown.
 func TestWarmingUpAttemptsAreCounted(t *testing.T) {
 	l := newLoop(time.Now(), nil, &decision.Settings{})
 	var now time.Duration
@@ -36,12 +36,12 @@
 		now = c.at
 		l.controlPlane.countAttempts(discovery.IDOfName(c.node), 2)
 		if l.controlPlane.warmingUpAttempts != c.want {
-			t.Errorf("%s at %v: %d attempts sent to warming nodes, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
+			t.Errorf("%s at %v: %d attempts counted as sent to nodes that are warming up, want %d", c.node, c.at, l.controlPlane.warmingUpAttempts, c.want)
 		}
 	}
 	var counters QueryCounters
 	l.controlPlane.report(&counters)
 	if got := counters.ControlPlane.WarmingUpAttempts; got != 4 {
-		t.Errorf("operators and reports see %d", got)
+		t.Errorf("the counters show %d attempts at nodes that are warming up, want 4", got)
 	}
 }
