--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -77,7 +77,7 @@
 	}
 	d := f.by.tally.doubt(f.now, f.w.script.Fleet.Nodes)
 	for n, id := range f.ids {
-		if !f.core.IsAvailable(id) {
+		if !f.core.IsNodeAvailable(id) {
 			d[n]++
 		}
 	}
--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -22,13 +22,13 @@
 // sites do not pass through it.
 type admissionControl struct {
 	*admission.Controller
-	loop              admissionHost
-	waiting           map[uint64]*activeQuery // by ticket
-	lastTicket        uint64
-	tenants           []string
-	admittedSinceStep []*activeQuery // since the last router step
-	dequeued          []admission.Dequeued
-	schedulingDelay   delayMeter
+	loop            admissionHost
+	waiting         map[uint64]*activeQuery // by ticket
+	lastTicket      uint64
+	tenants         []string
+	admitted        []*activeQuery // since the last router step
+	dequeued        []admission.Dequeued
+	schedulingDelay delayMeter
 }
 
 // admissionState is admission's state of a query.
@@ -50,11 +50,11 @@
 	l.extensions[admissionExtension] = a
 }
 
-// handle handles no messages: queries are passed to admit.
+// handle handles no messages: queries are passed to admitOrQueue.
 func (a *admissionControl) handle(message) bool { return false }
 
-// admit reports whether a query is admitted at once. Otherwise it is queued, or already has its result. Without admission all are admitted.
-func (a *admissionControl) admit(q *activeQuery) bool {
+// admitOrQueue reports whether a query is admitted at once. Otherwise it is queued, or already has its result. Without admission all are admitted.
+func (a *admissionControl) admitOrQueue(q *activeQuery) bool {
 	if a == nil {
 		return true
 	}
@@ -90,9 +90,9 @@
 // tick admits or sheds queued queries that are due.
 func (a *admissionControl) tick(now time.Duration) time.Duration {
 	a.SetLateness(a.schedulingDelay.Average())
-	releases, next := a.Tick(now, a.dequeued[:0])
-	a.dequeued = releases
-	for _, r := range releases {
+	dequeued, next := a.Tick(now, a.dequeued[:0])
+	a.dequeued = dequeued
+	for _, r := range dequeued {
 		q := a.waiting[r.ID]
 		delete(a.waiting, r.ID)
 		q.admission.queued = false
@@ -130,7 +130,7 @@
 func (a *admissionControl) markAdmitted(q *activeQuery, now time.Duration) {
 	q.admission.admitted = true
 	q.admission.admittedAt = now
-	a.admittedSinceStep = append(a.admittedSinceStep, q)
+	a.admitted = append(a.admitted, q)
 }
 
 // beforeStep records the delay from admission to this router step, for the queries admitted since the last step. On busy cores a broker's
@@ -140,11 +140,11 @@
 	if a == nil {
 		return
 	}
-	for _, q := range a.admittedSinceStep {
+	for _, q := range a.admitted {
 		q.admission.stepDelay = now - q.admission.admittedAt
 	}
-	clear(a.admittedSinceStep)
-	a.admittedSinceStep = a.admittedSinceStep[:0]
+	clear(a.admitted)
+	a.admitted = a.admitted[:0]
 }
 
 // afterStep admits queries in place of those that ended, and returns when tick must be called next.
@@ -155,8 +155,8 @@
 	return a.tick(now)
 }
 
-// queryEnded reports to the controller, once, that an admitted query has ended.
-func (a *admissionControl) queryEnded(q *activeQuery, outcome query.Outcome) {
+// done reports to the controller, once, that an admitted query has ended.
+func (a *admissionControl) done(q *activeQuery, outcome query.Outcome) {
 	if !q.admission.admitted {
 		return
 	}
--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -30,12 +30,12 @@
 		Deadline: q.deadline,
 		Sent:     now,
 		Part:     a.ID,
-		Attempt:  uint16(len(q.shardRequests[i].attempts)),
+		Attempt:  uint16(len(q.requests[i].attempts)),
 		Node:     a.Node,
 		Alone:    a.ExclusiveConnection,
 		Tenant:   q.Tenant,
 	}
-	q.shardRequests[i].attempts = append(q.shardRequests[i].attempts, attempt)
+	q.requests[i].attempts = append(q.requests[i].attempts, attempt)
 	l.counters.Attempts++
 	l.connLeases.countAttempts(q.Tenant, 1, 0)
 	l.readPins.attemptSent(q, attempt, now)
@@ -50,8 +50,8 @@
 
 func (l *loop) cancelAttempt(a *decision.Action) {
 	q, i := l.findShardRequest(a.ID)
-	if q != nil && int(a.Attempt) < len(q.shardRequests[i].attempts) {
-		l.pool.Cancel(q.shardRequests[i].attempts[a.Attempt])
+	if q != nil && int(a.Attempt) < len(q.requests[i].attempts) {
+		l.pool.Cancel(q.requests[i].attempts[a.Attempt])
 	}
 }
 
@@ -73,9 +73,9 @@
 // attemptEnded is called by the pool when an attempt has ended. An answer is part of the result from now on: the router's next step has it too.
 func (l *loop) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration, value string) {
 	outcome = l.readPins.attemptEnded(attempt, outcome, at)
-	if q, i := l.findShardRequest(attempt.Part); q != nil && outcome == decision.OK && !q.shardRequests[i].answered {
-		q.shardRequests[i].answered = true
-		q.shardRequests[i].value = value
+	if q, i := l.findShardRequest(attempt.Part); q != nil && outcome == decision.OK && !q.requests[i].answered {
+		q.requests[i].answered = true
+		q.requests[i].value = value
 		q.admission.lastAnswerAt = at
 		q.admission.lastAnswerStep = l.counters.Steps + 1
 	}
--- a/internal/server/cached_list.go
+++ b/internal/server/cached_list.go
@@ -59,7 +59,7 @@
 	}
 	if now >= c.nextStore {
 		c.nextStore = now + storeInterval
-		if changes, changed := c.table.CollectChanges(); changed {
+		if changes, any := c.table.CollectChanges(); any {
 			c.store(changes)
 		}
 	}
--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -46,7 +46,7 @@
 }
 
 // newCachedList returns the extension for an entry table. The caller sets store and zone.
-func newCachedList(o *operator.Start, table *cachedlist.EntryTable, start time.Time) *cachedEndpointList {
+func newCachedList(o *operator.Start, entryTable *cachedlist.EntryTable, start time.Time) *cachedEndpointList {
 	policy := cachedlist.Policy{
 		HalfLife:          o.Trust.HalfLife,
 		MaxAge:            o.Trust.Oldest,
@@ -54,8 +54,8 @@
 		TrialInterval:     o.Trust.Parole,
 	}
 	return &cachedEndpointList{
-		table:      table,
-		evaluator:  cachedlist.NewEvaluator(policy, table, cachedlist.TimestampOf(start)),
+		table:      entryTable,
+		evaluator:  cachedlist.NewEvaluator(policy, entryTable, cachedlist.TimestampOf(start)),
 		maxEntries: o.NodeList.MaxEntries,
 		keepEnded:  o.NodeList.KeepEnded,
 		start:      start,
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -154,8 +154,8 @@
 	return <-r.reply
 }
 
-// IsAvailable reports whether the router sends a node ordinary attempts. It is used by reports only.
-func (c *Core) IsAvailable(id decision.NodeID) bool {
+// IsNodeAvailable reports whether the router sends a node ordinary attempts. It is used by reports only.
+func (c *Core) IsNodeAvailable(id decision.NodeID) bool {
 	r, ok := c.loop.router.(interface{ IsAvailable(decision.NodeID) bool })
 	return !ok || r.IsAvailable(id)
 }
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -20,7 +20,7 @@
 // gatewayHost is what the gateway may use of the loop.
 type gatewayHost interface {
 	host
-	receiveQuery(q *activeQuery)
+	receive(q *activeQuery)
 	hasCapacity(q *activeQuery) bool
 	capacity() (used, limit int)
 	submit(q *activeQuery, left time.Duration)
@@ -91,7 +91,7 @@
 
 // admissionDone tells admission that a query which it let in has ended here.
 func (l *loop) admissionDone(q *activeQuery, outcome query.Outcome) {
-	l.admission.queryEnded(q, outcome)
+	l.admission.done(q, outcome)
 }
 
 func (g *siteGateway) handle(m message) bool {
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -163,7 +163,7 @@
 	case connectionEvent:
 		l.pool.Handle(m.Event)
 	case queryReceived:
-		l.receiveQuery(m.query)
+		l.receive(m.query)
 	case queryAbandoned:
 		l.abandon(m)
 	case listReceived:
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -67,13 +67,13 @@
 			w.loop.inbox <- queryAbandoned{query: q}
 			return
 		}
-		result := <-q.result
+		got := <-q.result
 		if late := w.loop.since() - q.deadline; late > 50*time.Millisecond {
 			w.t.Errorf("rule 1: result %v after the deadline", late)
 		}
 		w.mu.Lock()
 		seen := map[int]bool{}
-		for _, p := range result.Answers {
+		for _, p := range got.Answers {
 			id := fmt.Sprintf("%s.%d", q.Request.ID, p.Shard)
 			if !strings.HasPrefix(p.Value, id+"@") || !w.values[p.Value] || seen[p.Shard] {
 				w.t.Errorf("rule 5: shard request %s has the value %q", id, p.Value)
@@ -81,11 +81,11 @@
 			seen[p.Shard] = true
 		}
 		least := []float64{0.5, 1}[typ]
-		if share := float64(len(seen)) / float64(len(shards)); result.Outcome == query.Answered &&
-			(share < least-1e-4 || result.Complete != (len(seen) == len(shards))) {
-			w.t.Errorf("rule 5: answered, complete %v, with answers of %.2f of the shards", result.Complete, share)
+		if share := float64(len(seen)) / float64(len(shards)); got.Outcome == query.Answered &&
+			(share < least-1e-4 || got.Complete != (len(seen) == len(shards))) {
+			w.t.Errorf("rule 5: answered, complete %v, with answers of %.2f of the shards", got.Complete, share)
 		}
-		if typ == 1 && result.Outcome == query.Shed && len(q.shardRequests) > 0 {
+		if typ == 1 && got.Outcome == query.Shed && len(q.requests) > 0 {
 			for _, p := range q.Request.Shards {
 				if w.mayHaveRun[p.Name] {
 					w.t.Errorf("rule 2: query shed although shard request %s may have run", p.Name)
@@ -102,11 +102,11 @@
 
 // The rules hold at every step, whatever nodes, clients and the endpoint list do.
 func TestRulesHoldInRandomRuns(t *testing.T) {
-	play := func(seed uint64) bool {
+	runRandomSteps := func(seed uint64) bool {
 		synctest.Test(t, func(t *testing.T) { newFaultyCluster(t, seed).runRandomSteps() })
 		return !t.Failed()
 	}
-	if err := quick.Check(play, &quick.Config{MaxCount: 40, Rand: oldrand.New(oldrand.NewSource(1))}); err != nil {
+	if err := quick.Check(runRandomSteps, &quick.Config{MaxCount: 40, Rand: oldrand.New(oldrand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
 }
@@ -199,10 +199,10 @@
 			q := &activeQuery{Request: &query.Request{ID: id, Shards: make([]query.ShardRequest, 15+i)}, result: make(chan query.Result, 1)}
 			l.handle(queryReceived{q})
 			if len(q.result) > 0 {
-				result := <-q.result
-				outcomes = append(outcomes, result.Outcome)
-				if result.Outcome == query.Shed && result.RetryAfter != 2*time.Second {
-					t.Errorf("retry-after time %v, want 2s", result.RetryAfter)
+				got := <-q.result
+				outcomes = append(outcomes, got.Outcome)
+				if got.Outcome == query.Shed && got.RetryAfter != 2*time.Second {
+					t.Errorf("retry-after time %v, want 2s", got.RetryAfter)
 				}
 			}
 		}
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -19,9 +19,9 @@
 	onResult            func(query.Result) // if set, gets the result instead, in the loop's goroutine
 	server              *Server            // set where a client connection or a front waits for the result
 
-	id            uint64 // the router's id of the query; its shard requests have the ids that follow
-	done          bool
-	shardRequests []shardRequest
+	id       uint64 // the router's id of the query; its shard requests have the ids that follow
+	done     bool
+	requests []shardRequest
 
 	pin        *pinnedQuery // nil: the query has no read pin
 	admission  admissionState
@@ -41,8 +41,8 @@
 // fromOtherSite reports whether a broker of another site sent the query.
 func (q *activeQuery) fromOtherSite() bool { return q.forwarding.remote }
 
-// receiveQuery passes a query to the router if there are slots for it and its shard requests and admission admits it at once.
-func (l *loop) receiveQuery(q *activeQuery) {
+// receive passes a query to the router if there are slots for it and its shard requests and admission admits it at once.
+func (l *loop) receive(q *activeQuery) {
 	l.counters.Received++
 	if l.requestIDs[q.Request.ID] {
 		l.deliverResult(q, query.Result{Outcome: query.Duplicate})
@@ -70,7 +70,7 @@
 		l.deliverResult(q, query.Result{Outcome: query.Shed, RetryAfter: min(retryAfter, l.maxRetryAfter)})
 		return false
 	}
-	return l.admission.admit(q)
+	return l.admission.admitOrQueue(q)
 }
 
 // hasCapacity reports whether there are slots for a query and its shard requests.
@@ -108,11 +108,11 @@
 	l.nextID += uint64(q.slots())
 	l.slotsUsed += q.slots()
 	l.queries[q.id] = q
-	q.shardRequests = make([]shardRequest, len(q.Request.Shards))
+	q.requests = make([]shardRequest, len(q.Request.Shards))
 	l.readPins.pinQuery(q)
 	serial := float32(q.id % (1 << 24)) // exact in a float32, and a range far larger than the number of queries in flight
 	l.post(decision.Event{Kind: decision.QueryReceived, ID: q.id, Serial: serial, Type: q.Type, Tenant: q.Tenant, RemainingTime: left,
-		Weight: float64(len(q.shardRequests)), Retry: q.Retry})
+		Weight: float64(len(q.requests)), Retry: q.Retry})
 	for i := range q.Request.Shards {
 		r := &q.Request.Shards[i]
 		id := q.id + 1 + uint64(i)
@@ -145,7 +145,7 @@
 		l.admission.abandon(q)
 		return
 	}
-	l.admission.queryEnded(q, query.Failed)
+	l.admission.done(q, query.Failed)
 	if q.forwarding.forwarded {
 		l.gateway.abandon(q)
 		return
@@ -170,8 +170,8 @@
 
 // cancelUnsent cancels the attempts that are not yet written to a node, so that they never are.
 func (l *loop) cancelUnsent(q *activeQuery) {
-	for i := range q.shardRequests {
-		for _, attempt := range q.shardRequests[i].attempts {
+	for i := range q.requests {
+		for _, attempt := range q.requests[i].attempts {
 			if !attempt.Written() {
 				l.pool.Cancel(attempt)
 			}
@@ -182,7 +182,7 @@
 // forgetQuery drops a query that the router has ended, and cancels its attempts that are not yet written to a node.
 func (l *loop) forgetQuery(q *activeQuery) {
 	l.cancelUnsent(q)
-	for i := range q.shardRequests {
+	for i := range q.requests {
 		delete(l.queryOfShardRequest, q.id+1+uint64(i))
 	}
 	delete(l.queries, q.id)
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -161,7 +161,7 @@
 		p.positions.Observe(at, attempt.Node, attempt.Shard, attempt.Sent, report)
 	}
 	q, i := p.loop.findShardRequest(attempt.Part)
-	if q == nil || q.pin == nil || q.shardRequests[i].answered {
+	if q == nil || q.pin == nil || q.requests[i].answered {
 		return outcome
 	}
 	request := &q.pin.requests[i]
@@ -191,8 +191,8 @@
 
 // lacksEligibleReplica tells whether a shard request that is not answered has no eligible replica.
 func (q *activeQuery) lacksEligibleReplica() bool {
-	for i := range q.shardRequests {
-		if !q.shardRequests[i].answered && len(q.pin.requests[i].allowed.Nodes) == 0 {
+	for i := range q.requests {
+		if !q.requests[i].answered && len(q.pin.requests[i].allowed.Nodes) == 0 {
 			return true
 		}
 	}
@@ -202,8 +202,8 @@
 // annotateAnswer states the positions and the age of the answers.
 func (p *readPinTracker) annotateAnswer(q *activeQuery, r *query.Result) {
 	oldest, behind := p.loop.since(), []int{}
-	for i := range q.shardRequests {
-		if !q.shardRequests[i].answered {
+	for i := range q.requests {
+		if !q.requests[i].answered {
 			continue
 		}
 		assessment, shard := &q.pin.requests[i].assessment, q.Request.Shards[i].Shard
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -144,7 +144,7 @@
 		r.query.forwarding.remote = true
 		r.query.onResult = func(result query.Result) { g.sendResult(k, r, result) }
 		g.remote[k] = r
-		g.loop.receiveQuery(r.query)
+		g.loop.receive(r.query)
 	}
 }
 
--- a/internal/server/result.go
+++ b/internal/server/result.go
@@ -14,9 +14,9 @@
 		return query.Result{Outcome: query.Failed}
 	}
 	r := query.Result{Outcome: query.Answered, Complete: a.Complete}
-	for i := range q.shardRequests {
-		if q.shardRequests[i].answered {
-			r.Answers = append(r.Answers, query.ShardAnswer{Shard: q.Request.Shards[i].Shard, Value: q.shardRequests[i].value})
+	for i := range q.requests {
+		if q.requests[i].answered {
+			r.Answers = append(r.Answers, query.ShardAnswer{Shard: q.Request.Shards[i].Shard, Value: q.requests[i].value})
 		}
 	}
 	return r
@@ -37,7 +37,7 @@
 	}
 	l.controlPlane.countResult(q, r.Outcome)
 	q.done = true
-	l.admission.queryEnded(q, r.Outcome)
+	l.admission.done(q, r.Outcome)
 	if q.onResult != nil {
 		q.onResult(r)
 	} else {
