--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -92,7 +92,7 @@
 
 func newOrderRun(t *testing.T) *orderRun {
 	run := &orderRun{t: t, unusable: map[string]bool{}}
-	tm := decoded(t)
+	tm := testTerms(t)
 	a := Environment{Now: func() time.Duration { return run.now }, Start: time.Unix(0, 0), Sockets: 64, PollDiscovery: func() {}, SendGossip: func(string) {},
 		Log: func(string) {}}
 	a.Carrier = func(node string, _ netip.AddrPort, h store.Handle) func() {
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -69,7 +69,7 @@
 func (p *readPinTracker) handle(m message) bool {
 	switch m := m.(type) {
 	case positionsRequested:
-		m.to <- p.positions.EncodePositions(p.loop.since())
+		m.reply <- p.positions.EncodePositions(p.loop.since())
 	case positionsReceived:
 		now := p.loop.since()
 		if err := p.positions.MergePositions(now, m.data, now-m.collectedAt); err != nil {
