--- a/internal/cluster/controlplane/codec.go
+++ b/internal/cluster/controlplane/codec.go
@@ -38,7 +38,7 @@
 	}
 	length := int64(binary.LittleEndian.Uint32(header[:])) - 1
 	if length < 0 || length > int64(maxBytes) {
-		return 0, nil, &FrameError{Reason: fmt.Sprintf("body of %d bytes, at most %d are allowed", length, maxBytes)}
+		return 0, nil, &FrameError{Reason: fmt.Sprintf("body length %d is out of bounds", length)}
 	}
 	var buffer bytes.Buffer
 	if _, err := io.CopyN(&buffer, r, length); err != nil {
--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -13,7 +13,7 @@
 type VoterConfigError struct{ Name string }
 
 func (e *VoterConfigError) Error() string {
-	return fmt.Sprintf("%s is listed in fleet.voters, but fleet.directory or fleet.listen is not set", e.Name)
+	return fmt.Sprintf("%s is listed in fleet.voters, but its fleet.directory or fleet.listen is not set", e.Name)
 }
 
 // Remedy says what an operator can do.
@@ -41,7 +41,7 @@
 	if e.Leader == "" {
 		return "no leader is known to this broker"
 	}
-	return "this broker is not the leader: " + e.Leader + " is"
+	return e.Leader + " is the leader, not this broker"
 }
 
 // Remedy says what an operator can do.
--- a/internal/cluster/readhint/readhint.go
+++ b/internal/cluster/readhint/readhint.go
@@ -67,7 +67,7 @@
 
 // Remedy says what an operator can do.
 func (e *SyntaxError) Remedy() string {
-	return "correct the application's " + Header + " header by the grammar in docs/design/pinned-reads.md; until then its reads are handled as if without a hint"
+	return "correct the application's " + Header + " header by the grammar in docs/design/pinned-reads.md; until then its hint is ignored"
 }
 
 func syntaxError(directive, reason string) *SyntaxError {
