--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -30,7 +30,7 @@
 	version          uint64                                              // of the policy that policyTenant refers to
 	agreedVersion    uint64                                              // version of the newest policy, in force or waiting
 	grantIncarnation uint64                                              // the incarnation that the grants held are for
-	reservedVersions [2]uint64                                           // policies in force and waiting; reserved has the lower counts of both
+	reservedVersions [2]uint64                                           // of the policies in force and waiting; reserved has the lower counts
 	reserved         map[decision.NodeID]int                             // connections to each node that need no lease
 	nextTick         time.Duration                                       // when tick has work again
 	view             *controlplane.View                                  // nil: none has been received
@@ -95,7 +95,7 @@
 	}
 }
 
-// Open tells the pool whether it may open a connection to a node for a tenant: one that its lease covers, or a reserved one.
+// Open tells the pool whether it may open a connection to a node for a tenant, and whether as a leased or as a reserved one.
 func (b *connectionLeases) Open(node decision.NodeID, tenant int) store.Leave {
 	if b.stopped {
 		return store.No
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// The second site's broker shuts down gracefully, and another one takes its place. Queries in flight there must be finished, none may be
-// lost, and the new broker must be used.
+// The second site's broker shuts down gracefully, and another one takes its place. Nothing new may be sent there once the first site is
+// told, queries in flight there must be finished, and the new broker must be used.
 func TestOtherSiteStops(t *testing.T) {
 	w := newTwoSites(t, 20*time.Millisecond)
 	w.killCell(0, 0)
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -83,7 +83,7 @@
 	return true
 }
 
-// tick has nothing to do.
+// tick does nothing: read pins have no timed work.
 func (p *readPinTracker) tick(time.Duration) time.Duration { return notDue }
 
 // ReadPinState is the state of read pins for operators: what became of hints.
