--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -27,8 +27,8 @@
 func (s *countingStateMachine) Snapshot() []byte     { return nil }
 func (s *countingStateMachine) Restore([]byte) error { return nil }
 
-// Three voters on one goroutine, each with its log on the machine's disk, messages without delay: entries of 200 bytes,
-// so many handed in before each ProcessReady.
+// BenchmarkPropose commits entries of 200 bytes with three voters on one goroutine, each with its log on the machine's disk, and messages
+// without delay. The sub-benchmark's name is the number of entries proposed before each ProcessReady.
 func BenchmarkPropose(b *testing.B) {
 	for _, batch := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(batch), func(b *testing.B) {
@@ -62,7 +62,7 @@
 			nodes[0].Tick(2 * election)
 			deliverAll()
 			if !nodes[0].IsCaughtUpLeader() {
-				b.Fatal("no leader")
+				b.Fatal("voter 1 is not a leader that has caught up")
 			}
 			for b.Loop() {
 				for range batch {
@@ -82,8 +82,8 @@
 	}
 }
 
-// How long, in virtual time, a tier is without a leader that has caught up after the leader is killed: 1,000 seeds, links of
-// 10 ms at most, an election time of 200 ms, heartbeats each 50 ms. Given in election times.
+// BenchmarkFailover reports how long, in virtual time, there is no leader that has caught up after the leader is killed. It uses 1,000
+// seeds, message delays of at most 10 ms, an election timeout of 200 ms and heartbeats each 50 ms. The unit is election timeouts.
 func BenchmarkFailover(b *testing.B) {
 	for _, size := range []int{3, 5} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/cluster/consensus/chunks.go
+++ b/internal/cluster/consensus/chunks.go
@@ -6,27 +6,27 @@
 	"fmt"
 )
 
-// A packet begins with a letter: packetMessage, then a message in protobuf; or packetChunk, then the number of the message (8 bytes,
-// big-endian as all), the chunk's offset in it (4), its length (4), and the chunk.
+// The first byte of a packet is its type. After packetMessage follows a raft message in protobuf. After packetChunk follow, in
+// big-endian order, the message's number (8 bytes), the chunk's offset in the message (4), the message's length (4) and the chunk.
 //
-// A snapshot larger than a packet travels in chunks, one at a heartbeat, so that it neither exceeds a link's frames nor holds up
-// heartbeats behind it. When a chunk is lost the message is; the snapshot is sent again later.
+// A snapshot larger than SnapshotChunkBytes is sent in chunks, one per heartbeat, so that it neither exceeds the link's frame size nor
+// delays the heartbeats queued after it. A lost chunk loses the whole message; the snapshot is sent again later.
 const (
 	packetMessage    = 'm'
 	packetChunk      = 'p'
 	chunkHeaderBytes = 1 + 8 + 4 + 4
-	maxChunkedBytes  = 256<<20 - 64<<10 // of a snapshot's message
+	maxChunkedBytes  = 256<<20 - 64<<10 // size of a message sent in chunks
 )
 
 var (
-	errUnknownPacketType = errors.New("a packet of no known form")
-	errChunkRange        = errors.New("a chunk outside of its message")
+	errUnknownPacketType = errors.New("unknown packet type or truncated packet")
+	errChunkRange        = errors.New("chunk exceeds its message")
 )
 
-// chunks are the messages that are on their way in chunks.
+// chunks holds the messages that are being sent or received in chunks, at most one in each direction per voter.
 type chunks struct {
-	outgoing map[uint64]*outgoingMessage // by the voter it is for
-	incoming map[uint64]*incomingMessage // by the voter it is from; one at a time
+	outgoing map[uint64]*outgoingMessage // by receiver
+	incoming map[uint64]*incomingMessage // by sender
 }
 
 type outgoingMessage struct {
@@ -45,7 +45,7 @@
 	return chunks{outgoing: map[uint64]*outgoingMessage{}, incoming: map[uint64]*incomingMessage{}}
 }
 
-// nextChunk returns the next packet of a message.
+// nextChunk returns the packet with the message's next chunk.
 func (m *outgoingMessage) nextChunk(maxBytes int) []byte {
 	end := min(m.offset+maxBytes, len(m.data))
 	packet := binary.BigEndian.AppendUint64([]byte{packetChunk}, m.number)
@@ -58,11 +58,11 @@
 
 func (m *outgoingMessage) complete() bool { return m.offset == len(m.data) }
 
-// chunk is a packet of a message.
+// chunk is the decoded form of a packet of type packetChunk.
 type chunk struct {
 	number uint64
 	offset int
-	length int // of the message
+	length int // of the whole message
 	data   []byte
 }
 
@@ -80,8 +80,8 @@
 	return c, nil
 }
 
-// assemble returns the message that a packet is or completes; nil where more has to come or a chunk was lost before it. It allocates
-// for a message only as its bytes are there, whatever its length claims.
+// assemble returns the message that the packet holds or completes, or nil if further chunks are needed or one was lost. It allocates
+// memory only for bytes received, whatever length the packet claims.
 func (c *chunks) assemble(from uint64, packet []byte) ([]byte, error) {
 	if len(packet) > 0 && packet[0] == packetMessage {
 		return packet[1:], nil
--- a/internal/cluster/consensus/clock.go
+++ b/internal/cluster/consensus/clock.go
@@ -7,35 +7,36 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// raft counts in ticks and draws its election timeouts from a source that can't be seeded. So it never starts an election here: a voter
-// that doesn't lead is given no ticks at all, and raft's count of silence stands at 0. In its place this package measures silence on
-// the caller's clock:
+// The raft library counts time in ticks and draws its election timeouts from a random source that can't be seeded. Therefore it never
+// starts an election here: a voter that doesn't lead gets no ticks, and the library's count of elapsed ticks stays 0. Instead, this
+// package measures on the caller's clock how long no message of the leader has arrived:
 //
-//   - after ElectionTimeout without word of the leader, it is forgotten (ForgetLeader): from then on this voter may vote for another.
-//     Before, it refuses to, as with raft's own count: that is the lease which check-quorum and pre-vote rely on;
-//   - after ElectionTimeout and a seeded delay of up to as much again, this voter campaigns (pre-vote first).
+//   - After ElectionTimeout the voter forgets the leader (ForgetLeader) and may vote for another. Until then it refuses to, as it
+//     would by the library's own count: this is the lease that check-quorum and pre-vote rely on.
+//   - After ElectionTimeout plus a seeded random delay of up to another ElectionTimeout the voter campaigns, with a pre-vote first.
 //
-// A leader is given a tick each HeartbeatInterval, since its ticks send heartbeats and check the quorum: having heard from no majority
-// for ElectionTimeout, it resigns within another ElectionTimeout. No read relies on these times (ReadIndex asks a majority), and no
-// vote counts by them; wrong clocks cost leaders, never consistency.
+// A leader gets a tick each HeartbeatInterval, since its ticks send heartbeats and check the quorum: if it has not heard from a
+// majority for ElectionTimeout, it resigns within another ElectionTimeout. Neither reads (ReadIndex asks a majority) nor votes depend
+// on these times: wrong clocks can cost leader changes, but never consistency.
 
-// checkQuorumRounds is how many election timeouts of ticks without an answer end a leader for certain.
+// checkQuorumRounds is the number of election timeouts, in ticks without an answer, after which a leader has certainly resigned.
 const checkQuorumRounds = 2
 
-// randomElectionTimeout is the silence after which this voter campaigns.
+// randomElectionTimeout returns the time without a message of the leader after which this voter campaigns.
 func (n *Node) randomElectionTimeout() time.Duration {
 	timeout := n.config.ElectionTimeout
 	return timeout + time.Duration(n.random.Int64N(int64(timeout)))
 }
 
-// randomCampaignRetry is when it campaigns again if that came to nothing (two campaigned at once, or a majority still held to the
-// leader): sooner, as nobody leads, yet so late that answers had their time.
+// randomCampaignRetry returns the delay before the voter campaigns again after a failed campaign (two voters campaigned at once, or a
+// majority still followed the leader). It is shorter than the election timeout because there is no leader, but long enough for answers
+// to arrive.
 func (n *Node) randomCampaignRetry() time.Duration {
 	half := n.config.ElectionTimeout / 2
 	return half + time.Duration(n.random.Int64N(int64(half)))
 }
 
-// Tick takes note of the time and returns when it must be called next, if nothing else calls before.
+// Tick advances the node to the time now and returns when to call it next, unless another call comes earlier.
 func (n *Node) Tick(now time.Duration) (next time.Duration) {
 	n.advance(now)
 	if n.state != running {
@@ -56,7 +57,7 @@
 	return due
 }
 
-// advance does what became due up to now.
+// advance performs what is due up to the time now.
 func (n *Node) advance(now time.Duration) {
 	if n.state != running || now <= n.now {
 		return
@@ -76,9 +77,9 @@
 	n.reads.expire(now)
 }
 
-// resumeAfterPause drops what was believed before it. A process that was stopped (SIGSTOP, a machine that slept) believes what was true when
-// it fell asleep. A leader that overslept by ElectionTimeout resigns before it reads what waits for it; others don't campaign before
-// they have read. Where a disk or a pause of the runtime takes that long, the leader changes without need.
+// resumeAfterPause discards state that went stale while the process was paused (SIGSTOP, a suspended machine). A leader that was paused
+// for ElectionTimeout resigns before it reads the messages that are waiting; other voters do not campaign before they have read them.
+// If a disk operation or a pause of the Go runtime takes that long, the leader changes unnecessarily.
 func (n *Node) resumeAfterPause() {
 	if n.role != leader {
 		n.campaignAt = n.now + n.randomElectionTimeout()
@@ -91,7 +92,7 @@
 	}
 }
 
-// heartbeat is what a leader does each HeartbeatInterval.
+// heartbeat does the leader's work that is due each HeartbeatInterval.
 func (n *Node) heartbeat() {
 	n.nextHeartbeat += n.config.HeartbeatInterval
 	n.raft.Tick()
@@ -100,7 +101,7 @@
 	n.updateRole()
 }
 
-// checkLeader forgets a leader that is silent, and campaigns when that is due.
+// checkLeader forgets a leader that has sent nothing for ElectionTimeout, and campaigns when that is due.
 func (n *Node) checkLeader() {
 	if n.raft.BasicStatus().Lead != raft.None && n.now >= n.leaderContact+n.config.ElectionTimeout {
 		n.raft.ForgetLeader()
@@ -112,7 +113,7 @@
 	}
 }
 
-// updateRole follows raft where leadership was gained or lost.
+// updateRole takes over from raft whether leadership was gained or lost.
 func (n *Node) updateRole() {
 	leads := n.raft.BasicStatus().RaftState == raft.StateLeader
 	switch {
@@ -138,7 +139,8 @@
 	clear(n.chunks.outgoing)
 }
 
-// recordContact takes a message as word of the leader, or of a vote given, after raft has seen it.
+// recordContact postpones the next campaign if the message came from the leader, or if it led raft to grant a vote. It is called after
+// raft has processed the message.
 func (n *Node) recordContact(m *pb.Message) {
 	status := n.raft.BasicStatus()
 	if m.GetTerm() != status.GetTerm() {
@@ -157,8 +159,8 @@
 	}
 }
 
-// TransferLeadership starts to hand leadership to the voter whose log is longest, before a planned stop; 0 where there is none to take
-// it. It is over when IsLeader is false; after ElectionTimeout it is given up.
+// TransferLeadership starts to transfer leadership to the active voter with the longest log, before a planned stop, and returns its ID;
+// 0 if there is none. The transfer is complete when IsLeader returns false; it is abandoned after ElectionTimeout.
 func (n *Node) TransferLeadership(now time.Duration) (to uint64) {
 	n.advance(now)
 	if !n.IsLeader() {
--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Limits where Config has none.
+// Defaults of the limits in Config.
 const (
 	defaultSnapshotEntries       = 4096
 	defaultSnapshotBytes         = 16 << 20
@@ -20,36 +20,38 @@
 	defaultSnapshotChunkBytes    = 512 << 10
 )
 
-// Limits of raft's own.
+// Settings of the raft library.
 const (
-	maxAppendMessageBytes    = 256 << 10 // of entries in a message
-	maxApplyBytes            = 1 << 20   // of committed entries in a turn
-	maxUncommittedBytes      = 16 << 20  // of proposals
-	maxInflightAppends       = 64        // messages to a follower
-	maxInflightAppendBytes   = 4 << 20   // to a follower
+	maxAppendMessageBytes    = 256 << 10 // entries in one message
+	maxApplyBytes            = 1 << 20   // committed entries in one raft.Ready
+	maxUncommittedBytes      = 16 << 20  // entries proposed and not committed
+	maxInflightAppends       = 64        // unacknowledged append messages per follower
+	maxInflightAppendBytes   = 4 << 20   // unacknowledged entries per follower
 	heartbeatTicks           = 1
 	minHeartbeatsPerElection = 3
 )
 
-// Config says who votes, and how. Voters, ElectionTimeout and HeartbeatInterval must be the same on all voters.
+// Config configures a Node. Voters, ElectionTimeout and HeartbeatInterval must be the same on all voters.
 type Config struct {
 	ID                uint64
 	Voters            []uint64
-	ElectionTimeout   time.Duration // silence that ends a leader's lease; 3 HeartbeatInterval at least
+	ElectionTimeout   time.Duration // time without a message of the leader that ends its lease; at least 3 HeartbeatInterval
 	HeartbeatInterval time.Duration
-	Seed              uint64 // another one at each start: it tells the reads of this start from those before
+	Seed              uint64 // must differ at each start: it distinguishes reads of this start from those of earlier ones
 	Storage           Storage
 	StateMachine      StateMachine
 
-	// Limits; 0 takes what stands behind.
-	SnapshotEntries       uint64 // applied between two snapshots: 4096
-	SnapshotBytes         int    // or so many bytes of them: 16 MiB
-	TrailingEntries       uint64 // kept in memory behind a snapshot, for followers that lag: 1024
-	MaxUncommittedEntries int    // proposed and not committed: 1024
-	MaxEntryBytes         int    // of one: 256 KiB
-	MaxPendingReads       int    // not answered: 1024
-	MaxOutboxBytes        int    // that wait for ProcessReady: 64 MiB
-	SnapshotChunkBytes    int    // of a snapshot, sent to a voter at a heartbeat: 512 KiB; no packet is larger than that and MaxEntryBytes
+	// Limits; 0 selects the default given for each.
+	SnapshotEntries       uint64 // entries applied between two snapshots: 4096
+	SnapshotBytes         int    // bytes of entries applied between two snapshots, if reached earlier: 16 MiB
+	TrailingEntries       uint64 // entries before a snapshot that are kept in memory for followers that lag: 1024
+	MaxUncommittedEntries int    // entries proposed and not committed: 1024
+	MaxEntryBytes         int    // size of an entry: 256 KiB
+	MaxPendingReads       int    // reads not answered: 1024
+	MaxOutboxBytes        int    // packets that wait for ProcessReady: 64 MiB
+	// SnapshotChunkBytes limits the part of a snapshot sent to a voter at one heartbeat: 512 KiB. No packet is larger than
+	// SnapshotChunkBytes and MaxEntryBytes.
+	SnapshotChunkBytes int
 }
 
 func (c *Config) setDefaults() {
@@ -69,29 +71,29 @@
 	}
 }
 
-// validate returns a *ConfigError for what voters can't work with. Voters are sorted.
+// validate returns a *ConfigError for an unusable configuration. Voters must be sorted.
 func (c *Config) validate() error {
 	switch n := len(c.Voters); {
 	case c.Storage == nil || c.StateMachine == nil:
-		return &ConfigError{Detail: "no storage or no state machine"}
+		return &ConfigError{Detail: "Storage or StateMachine is not set"}
 	case n != 1 && n != 3 && n != 5:
-		return &ConfigError{Detail: fmt.Sprintf("%d voters", n)}
+		return &ConfigError{Detail: fmt.Sprintf("there are %d voters", n)}
 	case slices.Contains(c.Voters, 0) || len(slices.Compact(slices.Clone(c.Voters))) != n:
-		return &ConfigError{Detail: "a voter of number 0 or one named twice"}
+		return &ConfigError{Detail: "a voter has the ID 0 or is listed twice"}
 	case !slices.Contains(c.Voters, c.ID):
-		return &ConfigError{Detail: fmt.Sprintf("%d is not one of the voters", c.ID)}
+		return &ConfigError{Detail: fmt.Sprintf("this broker's ID %d is not one of the voters", c.ID)}
 	case c.HeartbeatInterval <= 0 || c.ElectionTimeout < minHeartbeatsPerElection*c.HeartbeatInterval:
-		return &ConfigError{Detail: fmt.Sprintf("election timeout %v, heartbeat interval %v", c.ElectionTimeout, c.HeartbeatInterval)}
+		return &ConfigError{Detail: fmt.Sprintf("election timeout %v with heartbeat interval %v", c.ElectionTimeout, c.HeartbeatInterval)}
 	}
 	return nil
 }
 
-// electionTicks is the election timeout in heartbeats, rounded up.
+// electionTicks returns the election timeout in heartbeat intervals, rounded up.
 func (c *Config) electionTicks() int {
 	return int((c.ElectionTimeout + c.HeartbeatInterval - 1) / c.HeartbeatInterval)
 }
 
-// raftConfig is the configuration of raft itself.
+// raftConfig returns the configuration of the raft library.
 func (c *Config) raftConfig(storage raft.Storage) *raft.Config {
 	return &raft.Config{
 		ID:                        c.ID,
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -1,23 +1,23 @@
-// Package consensus brings 1, 3 or 5 voters to one sequence of entries: Raft, by go.etcd.io/raft, driven from outside. It adds the
-// rules of time (elections, the leader's lease, what a process does that was stopped and wakes up), the order of saving and sending,
-// and limits on what is in progress. It has no goroutine, clock, socket or file of its own, so that the same code runs in virtual time.
+// Package consensus lets 1, 3 or 5 voters agree on one sequence of log entries. It drives the Raft implementation of go.etcd.io/raft
+// and adds timing (elections, the leader's lease, resuming after the process was paused), the order of saving and sending, and limits
+// on work in progress. It has no goroutine, clock, socket or file of its own, so that tests run the same code in virtual time.
 //
-// # A turn
+// # Processing
 //
-// The caller hands in what happened, any number of calls, and then calls ProcessReady once; these calls share one fsync:
+// The caller hands in inputs by any number of calls, then calls ProcessReady once. All inputs before one ProcessReady share an fsync:
 //
-//	Step         a message of another voter  --+
-//	Propose      an entry to be committed      |
-//	ReadIndex    a linearizable read           +-->  ProcessReady:  1. Storage.Save: entries, hard state, a leader's snapshot
-//	Tick         the time                    --+                   2. messages into the outbox
-//	                                                               3. StateMachine.Apply of what is committed
-//	                                                               4. a snapshot, where enough was applied
-//	                                                               returns the outbox; then CompletedReads has answers
+//	Step         message of another voter    --+
+//	Propose      entry to be committed         |
+//	ReadIndex    linearizable read             +-->  ProcessReady:  1. Storage.Save: entries, hard state, a leader's snapshot
+//	Tick         current time                --+                   2. puts messages into the outbox
+//	                                                               3. StateMachine.Apply of committed entries
+//	                                                               4. takes a snapshot, if enough was applied since the last
+//	                                                               returns the outbox; CompletedReads then returns answers
 //
-// No message leaves before what it vouches for is durable. A voter whose storage fails, or whose state contradicts what it is told,
-// stops for good; the process around it goes on (Node.Err says why). Errors are types with a remedy.
+// No message is sent before the state that it acknowledges is durable. A voter whose storage fails, or whose state contradicts what
+// other voters send, stops permanently; the rest of the process goes on (Node.Err returns the cause). Each error type has a Remedy.
 //
-// What is stored and read at a start is described in package raftlog. A Node is for one goroutine.
+// Package raftlog describes what is stored, and what is read at a start. A Node must be used by one goroutine only.
 package consensus
 
 import (
@@ -27,30 +27,30 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Storage keeps what a voter may not forget.
+// Storage keeps the state that a voter must not lose.
 type Storage interface {
-	// Load is called once, before Save. hard and snap may be nil.
+	// Load returns the stored state. It is called once, before Save. hard and snap may be nil.
 	Load() (hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, err error)
-	// Save returns nil once everything that it was given is durable; once it has failed it fails for ever. hard and snap may be
-	// nil. entries follow on each other, and replace what was stored from the first one's index on. A snapshot comes before the
-	// entries of the same call: entries up to its index are dropped, and those after it too, unless the log agrees with the
-	// snapshot at its index.
+	// Save returns nil once everything that it was given is durable. After a failure all later calls fail too. hard and snap may
+	// be nil. entries have consecutive indexes and replace all stored entries from the first one's index on. The snapshot is
+	// applied before the entries of the same call: it drops the entries up to its index, and also those after it unless the
+	// log holds the entry that the snapshot ends with.
 	Save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error
 }
 
-// StateMachine is what the entries are for. After a restart it is restored from the last snapshot and gets the entries after it again.
-// The same entries must lead to the same bytes of Snapshot on all voters.
+// StateMachine is the replicated state machine that committed entries are applied to. After a restart it is restored from the last
+// snapshot, and the entries after that snapshot are applied again. The same entries must produce the same Snapshot bytes on all voters.
 type StateMachine interface {
 	Apply(index uint64, data []byte)
 	Snapshot() []byte
 	Restore(snapshot []byte) error
 }
 
-// Packet is a message for another voter. Any may be lost, doubled or late.
+// Packet is a message, or a chunk of one, for another voter. Packets may be lost, duplicated or delayed.
 type Packet struct {
 	To   uint64
 	Data []byte
 }
 
-// Never is the time of nothing that is due.
+// Never is returned as the next time to call Tick where nothing is due.
 const Never = time.Duration(math.MaxInt64)
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -10,13 +10,13 @@
 	"flaxfront/internal/filesystem/crashfs"
 )
 
-// newWorldWithLeader is a world in which nothing breaks, with a leader.
+// newWorldWithLeader returns a world without faults in which a leader has been elected, and that leader.
 func newWorldWithLeader(t *testing.T, size int) (w *world, leader *voter) {
 	t.Helper()
 	w = newWorld(3, size, noMutant)
 	w.runUntil(5 * election)
 	if ids := w.leaderIDs(); len(ids) != 1 {
-		t.Fatalf("leaders %v: %v", ids, w.checks.err)
+		t.Fatalf("leaders %v, want one; failed check: %v", ids, w.checks.err)
 	}
 	return w, w.voters[w.leaderIDs()[0]-1]
 }
@@ -30,12 +30,12 @@
 	for _, size := range []int{1, 3, 5} {
 		w, leader := newWorldWithLeader(t, size)
 		if !leader.node.IsCaughtUpLeader() {
-			t.Errorf("%d voters: the leader isn't caught up", size)
+			t.Errorf("%d voters: the leader has not caught up", size)
 		}
 		term := leader.node.Term()
 		w.runUntil(w.now + 100*election)
 		if w.leaderIDs()[0] != leader.id || leader.node.Term() != term {
-			t.Errorf("%d voters: the lead changed without need", size)
+			t.Errorf("%d voters: the leader or term changed without a fault", size)
 		}
 	}
 }
@@ -75,7 +75,8 @@
 	}
 }
 
-// A voter whose directory was emptied is told of entries that it acknowledged: it must end, and the broker go on.
+// A voter whose directory was emptied receives messages about entries that it acknowledged before. The voter must fail with an error,
+// and must not crash the broker.
 func TestLostDirectory(t *testing.T) {
 	w, leader := newWorldWithLeader(t, 3)
 	w.runUntil(w.now + election)
@@ -94,23 +95,23 @@
 	}
 }
 
-// A leader that slept resigns before it reads what waits for it, though nobody took the lead meanwhile.
+// A leader whose process was paused resigns before it reads the waiting messages, even if no other voter became leader meanwhile.
 func TestLeaderResignsAfterPause(t *testing.T) {
 	_, leader := newWorldWithLeader(t, 3)
 	n := leader.node
 	n.Tick(n.now + 2*election)
 	if n.IsLeader() || n.resignations != 1 {
-		t.Fatal("it still leads")
+		t.Fatal("the leader did not resign exactly once")
 	}
 }
 
-// A leader that hears from nobody resigns within two elections, while its heartbeats still go out.
+// A leader that receives no messages resigns within two election timeouts, although its heartbeats still reach the followers.
 func TestUnreachableLeaderResigns(t *testing.T) {
 	w, leader := newWorldWithLeader(t, 3)
 	w.cutLinksWhere(func(_, to uint64) bool { return to == leader.id })
 	w.runUntil(w.now + 2*election + 2*heartbeat)
 	if leader.node.IsLeader() {
-		t.Fatal("it still leads")
+		t.Fatal("the leader did not resign")
 	}
 	w.runUntil(w.now + 4*election)
 	if ids := w.leaderIDs(); len(ids) != 1 || ids[0] == leader.id {
@@ -124,11 +125,11 @@
 	w.processVoter(leader)
 	w.runUntil(w.now + heartbeat*2)
 	if ids := w.leaderIDs(); len(ids) != 1 || ids[0] != to {
-		t.Fatalf("%v lead, not %d", ids, to)
+		t.Fatalf("leaders %v, want %d", ids, to)
 	}
 }
 
-// Whatever a link hands in, the process goes on; the voter may end.
+// No packet may crash the process, whatever its content; the voter may fail.
 func FuzzStep(f *testing.F) {
 	id, to, term, index := uint64(2), uint64(1), uint64(3), uint64(9)
 	for _, kind := range acceptedMessageTypes {
--- a/internal/cluster/consensus/logger.go
+++ b/internal/cluster/consensus/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// raftLogger is the logger that raft gets: what it tells of ordinary turns is dropped (the caller sees them by Leader and Term), and
-// what it can't go on after becomes a panic, which guard catches.
+// raftLogger is the logger of the raft library. It drops messages about normal operation (callers see changes by Leader and Term) and
+// turns fatal ones into a panic, which recoverPanic handles.
 type raftLogger struct{}
 
 // Debug drops a message.
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -11,7 +11,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// nodeState is the life of a Node: it runs until it fails or is stopped, and never runs again.
+// nodeState is the state of a Node. A node that has failed or was stopped never runs again.
 type nodeState uint8
 
 const (
@@ -20,7 +20,7 @@
 	stopped
 )
 
-// role is a voter's part in a term, as it was after the last call.
+// role is a voter's role in the current term, as of the last call.
 type role uint8
 
 const (
@@ -30,41 +30,42 @@
 
 // Node is one voter.
 type Node struct {
-	RejectedMessages uint64 // dropped by Step
+	RejectedMessages uint64 // messages that Step dropped as invalid
 
 	config    Config
 	raft      *raft.RawNode
-	log       *raft.MemoryStorage // what Storage holds, for raft to read
+	log       *raft.MemoryStorage // copy of what Storage holds, read by raft
 	confState *pb.ConfState
 	random    *rand.Rand
 
 	state   nodeState
-	failure error // of failed
+	failure error // set if state is failed
 	role    role
 
 	// Times on the caller's clock.
 	now           time.Duration // of the last call
-	leaderContact time.Duration // last message of the leader
-	campaignAt    time.Duration // of a follower
-	nextHeartbeat time.Duration // of a leader
+	leaderContact time.Duration // of the last message of the leader
+	campaignAt    time.Duration // if a follower
+	nextHeartbeat time.Duration // if the leader
 	leaderSince   time.Duration
-	resignations  uint64 // as leader, after oversleeping
+	resignations  uint64 // times that this leader resigned after a pause of the process
 
 	hardState          *pb.HardState
 	unsavedProposals   uint64 // proposed since the last save
 	appliedIndex       uint64
 	appliedTerm        uint64
 	snapshotIndex      uint64
-	bytesSinceSnapshot int // applied
+	bytesSinceSnapshot int // of entries applied
 
 	outbox         []Packet
 	outboxBytes    int
-	snapshotSentAt map[uint64]time.Duration // last part of a snapshot that the voter has not confirmed
+	snapshotSentAt map[uint64]time.Duration // by voter: when the last part of an unconfirmed snapshot was sent
 	chunks         chunks
 	reads          reads
 }
 
-// New makes a voter of what Storage holds. now is any clock that doesn't run backwards; the same one is used in all calls.
+// New returns a voter that resumes from what Storage holds. now is the time on any clock that doesn't run backwards; all calls must use
+// the same clock.
 func New(config Config, now time.Duration) (*Node, error) {
 	config.Voters = slices.Sorted(slices.Values(config.Voters))
 	config.setDefaults()
@@ -93,7 +94,7 @@
 	return n, nil
 }
 
-// newRaft turns raft's panic over a log that contradicts itself into an error.
+// newRaft returns raft's panic over an inconsistent log as an error.
 func newRaft(c *raft.Config) (r *raft.RawNode, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -103,7 +104,7 @@
 	return raft.NewRawNode(c)
 }
 
-// load fills memory and state machine with what the storage holds.
+// load restores the in-memory log and the state machine from Storage.
 func (n *Node) load() error {
 	hard, entries, snap, err := n.config.Storage.Load()
 	if err != nil {
@@ -125,7 +126,7 @@
 	if hard == nil {
 		hard = &pb.HardState{}
 	}
-	// The commit index is not saved by itself, so that it may lag behind the snapshot.
+	// A change of the commit index alone is not saved, so the stored one may be lower than the snapshot's index.
 	hard.Commit = new(max(hard.GetCommit(), index))
 	n.hardState = hard
 	if raft.IsEmptyHardState(hard) {
@@ -134,7 +135,7 @@
 	return n.log.SetHardState(hard)
 }
 
-// restoreStored restores the state machine from the stored snapshot, and returns it; an empty one where there is none.
+// restoreStored restores the state machine from the stored snapshot and returns the snapshot, or an empty one if there is none.
 func (n *Node) restoreStored(snap *pb.Snapshot) (*pb.Snapshot, error) {
 	if raft.IsEmptySnap(snap) {
 		return &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: n.confState}}, nil
@@ -143,14 +144,14 @@
 		return nil, &VotersMismatchError{Configured: n.config.Voters, Stored: stored}
 	}
 	if err := n.config.StateMachine.Restore(snap.GetData()); err != nil {
-		return nil, &InconsistentStateError{Detail: fmt.Sprintf("the snapshot on disk can't be restored: %v", err)}
+		return nil, &InconsistentStateError{Detail: fmt.Sprintf("restoring the stored snapshot failed: %v", err)}
 	}
 	return snap, nil
 }
 
-// Propose asks for an entry to be committed. nil promises nothing: the entry is committed once StateMachine has applied it. It may be
-// applied too where the proposer never learns of it, so entries carry what tells a repetition. It returns *StoppedError,
-// *NotLeaderError, *EntrySizeError or *BusyError.
+// Propose requests that an entry be committed. A nil error does not mean that it will be: it is committed once StateMachine has applied
+// it. It may also be applied without the proposer learning of it, so entries must contain an identifier by which a repeated one is
+// recognized. Propose returns *StoppedError, *NotLeaderError, *EntrySizeError or *BusyError.
 func (n *Node) Propose(data []byte, now time.Duration) error {
 	n.advance(now)
 	commit := n.raft.BasicStatus().GetCommit()
@@ -167,14 +168,14 @@
 		return &BusyError{Limit: n.config.MaxUncommittedEntries}
 	}
 	err := n.raft.Propose(data)
-	if errors.Is(err, raft.ErrProposalDropped) { // by bytes, or while leadership is being transferred
+	if errors.Is(err, raft.ErrProposalDropped) { // more than maxUncommittedBytes, or leadership is being transferred
 		return &BusyError{Limit: n.config.MaxUncommittedEntries}
 	}
 	n.unsavedProposals++
 	return err
 }
 
-// Leader is the voter that leads as far as this one knows; 0 where it knows none.
+// Leader returns the ID of the leader as far as this voter knows; 0 if it knows none.
 func (n *Node) Leader() uint64 {
 	if n.state != running {
 		return 0
@@ -182,27 +183,27 @@
 	return n.raft.BasicStatus().Lead
 }
 
-// IsLeader tells whether this voter leads as far as it knows. Another may already lead a later term: what must not be done twice goes
-// through an entry, what must not be stale through ReadIndex.
+// IsLeader reports whether this voter is the leader as far as it knows. Another may already lead a later term: an action that must not
+// be done twice needs an entry, and a read that must not be stale needs ReadIndex.
 func (n *Node) IsLeader() bool { return n.role == leader && n.state == running }
 
-// IsCaughtUpLeader tells whether this voter leads and has applied all that earlier leaders committed. Only then does its StateMachine
-// say what was committed before; a leader decides nothing by it earlier.
+// IsCaughtUpLeader reports whether this voter is the leader and has applied all entries that earlier leaders committed. Before that, a
+// leader must not base decisions on its StateMachine.
 func (n *Node) IsCaughtUpLeader() bool { return n.IsLeader() && n.appliedTerm == n.Term() }
 
-// LeaderSince is when this voter became leader by its own clock; a leader counts timeouts from then on, not from before.
+// LeaderSince returns when this voter became leader, on the caller's clock. A leader must not count timeouts from before this time.
 func (n *Node) LeaderSince() time.Duration { return n.leaderSince }
 
-// Term is the present term: a fencing number that only grows.
+// Term returns the current term. It never decreases, so it serves as a fencing token.
 func (n *Node) Term() uint64 { return n.raft.BasicStatus().GetTerm() }
 
-// AppliedIndex is the index of the last entry applied; empty entries of raft's own count.
+// AppliedIndex returns the index of the last applied entry, including the empty entries that raft adds.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// Err tells why this voter has stopped for good; nil while it runs, and after Stop.
+// Err returns the error that stopped this voter permanently; nil while it runs and after Stop.
 func (n *Node) Err() error { return n.failure }
 
-// Stop ends this voter as planned. Nothing is sent or saved any more.
+// Stop stops this voter as planned. Afterwards nothing is sent or saved.
 func (n *Node) Stop() {
 	if n.state == running {
 		n.state = stopped
@@ -210,7 +211,7 @@
 	n.reads.failAll(&StoppedError{})
 }
 
-// fail stops this voter for good.
+// fail stops this voter permanently.
 func (n *Node) fail(err error) {
 	if n.state == failed {
 		return
@@ -222,9 +223,9 @@
 	n.reads.failAll(&StoppedError{Cause: err})
 }
 
-// recoverPanic turns a panic of raft into the end of this voter, when deferred. raft panics where its state contradicts what a peer says, such
-// as after a voter's directory was lost; the broker around it must go on serving. It also covers faults of StateMachine, which must not
-// go on applying either.
+// recoverPanic, when deferred, turns a panic of raft into a failure of this voter only, so that the broker goes on serving. raft panics
+// if its state contradicts a message of another voter, such as after a voter's directory was lost. recoverPanic also handles panics of
+// StateMachine, which must not apply any further entries either.
 func (n *Node) recoverPanic() {
 	if p := recover(); p != nil {
 		n.fail(&InconsistentStateError{Detail: fmt.Sprint(p)})
--- a/internal/cluster/consensus/reads.go
+++ b/internal/cluster/consensus/reads.go
@@ -8,37 +8,37 @@
 	"go.etcd.io/raft/v3"
 )
 
-// readTimeoutElections is how many election timeouts a read may take.
+// readTimeoutElections is the time limit of a read, in election timeouts.
 const readTimeoutElections = 2
 
-// ReadResult is the answer to a ReadIndex: StateMachine may be read now, unless Err tells that it could not be confirmed.
+// ReadResult is the answer to a ReadIndex call. If Err is nil, StateMachine can be read now.
 type ReadResult struct {
-	RequestContext []byte // as it was given
-	Index          uint64 // that StateMachine has applied at least
+	RequestContext []byte // as passed to ReadIndex
+	Index          uint64 // StateMachine has applied the log at least up to this index
 	Err            error
 }
 
-// reads are the linearizable reads in progress. A read is answered with an index that was committed when it was requested, confirmed
-// by a majority since, and applied here.
+// reads holds the linearizable reads in progress. A read is answered with an index that was committed when the read was requested,
+// that a majority has confirmed since, and that is applied here.
 type reads struct {
 	voterID   uint64
-	startID   uint64        // tells the reads of this start from those before, whose answers may still be on the way
+	startID   uint64        // distinguishes reads of this start from earlier ones, whose answers may still arrive
 	sequence  uint64        // of the last read
 	pending   []pendingRead // oldest first
 	completed []ReadResult
 }
 
 type pendingRead struct {
-	key       string // for raft
+	key       string // identifies the read in raft
 	context   []byte
 	deadline  time.Duration
 	confirmed bool
-	index     uint64 // where it is confirmed
+	index     uint64 // set if confirmed
 }
 
 func newReads(voterID, startID uint64) reads { return reads{voterID: voterID, startID: startID} }
 
-// nextDeadline is when the oldest read expires.
+// nextDeadline returns when the oldest read expires.
 func (r *reads) nextDeadline() time.Duration {
 	if len(r.pending) == 0 {
 		return Never
@@ -46,8 +46,8 @@
 	return r.pending[0].deadline
 }
 
-// ReadIndex requests a linearizable read, on any voter; requestContext comes back in CompletedReads, within two election timeouts. It
-// returns *StoppedError, *NotLeaderError where no leader is known, or *BusyError.
+// ReadIndex requests a linearizable read, on any voter. CompletedReads returns the result with requestContext within two election
+// timeouts. ReadIndex returns *StoppedError, *NotLeaderError if no leader is known, or *BusyError.
 func (n *Node) ReadIndex(requestContext []byte) error {
 	switch {
 	case n.state != running:
@@ -63,14 +63,14 @@
 	return nil
 }
 
-// CompletedReads returns what was answered since the last call. Call it after ProcessReady.
+// CompletedReads returns the reads completed since the last call. Call it after ProcessReady.
 func (n *Node) CompletedReads() []ReadResult {
 	completed := n.reads.completed
 	n.reads.completed = nil
 	return completed
 }
 
-// add returns the key under which raft answers a read.
+// add registers a read and returns the key that identifies it in raft.
 func (r *reads) add(requestContext []byte, deadline time.Duration) (key []byte) {
 	r.sequence++
 	key = binary.BigEndian.AppendUint64(key, r.voterID)
@@ -80,7 +80,7 @@
 	return key
 }
 
-// confirm records what a majority has confirmed.
+// confirm records the reads that a majority has confirmed.
 func (r *reads) confirm(states []raft.ReadState) {
 	for _, s := range states {
 		i := slices.IndexFunc(r.pending, func(p pendingRead) bool { return p.key == string(s.RequestCtx) })
@@ -91,7 +91,7 @@
 	}
 }
 
-// complete answers what is confirmed and applied.
+// complete answers the reads that are confirmed and whose index is applied.
 func (r *reads) complete(appliedIndex uint64) {
 	r.pending = slices.DeleteFunc(r.pending, func(p pendingRead) bool {
 		ready := p.confirmed && p.index <= appliedIndex
@@ -102,7 +102,7 @@
 	})
 }
 
-// expire answers what has waited too long.
+// expire fails the reads whose deadline has passed.
 func (r *reads) expire(now time.Duration) {
 	for len(r.pending) > 0 && r.pending[0].deadline <= now {
 		r.completed = append(r.completed, ReadResult{RequestContext: r.pending[0].context, Err: &ReadTimeoutError{}})
@@ -110,7 +110,7 @@
 	}
 }
 
-// failAll answers all reads with an error.
+// failAll fails all pending reads with err.
 func (r *reads) failAll(err error) {
 	for _, p := range r.pending {
 		r.completed = append(r.completed, ReadResult{RequestContext: p.context, Err: err})
--- a/internal/cluster/consensus/ready.go
+++ b/internal/cluster/consensus/ready.go
@@ -7,8 +7,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// ProcessReady saves, applies what is committed and returns what is to be sent. After Step, Propose, Tick and ReadIndex it must be
-// called before the caller waits.
+// ProcessReady saves new state, applies committed entries and returns the packets to send. After Step, Propose, Tick or ReadIndex it
+// must be called before the caller waits for further input.
 func (n *Node) ProcessReady() []Packet {
 	n.processAll()
 	packets := n.outbox
@@ -40,9 +40,9 @@
 	n.compact()
 }
 
-// save makes durable what this turn's messages vouch for. A commit index alone isn't saved: raft finds it again from the leader, and
-// saving it would double the fsyncs. An error stops the voter for good: what a failed fsync left on disk is not known, so to vote or
-// acknowledge after it could take back what was promised before.
+// save makes durable the state that the messages of rd acknowledge. A change of the commit index alone isn't saved: raft learns it again
+// from the leader, and saving it would double the fsyncs. An error stops the voter permanently: it is unknown what a failed fsync left
+// on disk, so a later vote or acknowledgement could contradict an earlier one.
 func (n *Node) save(rd raft.Ready) error {
 	if !raft.IsEmptyHardState(rd.HardState) {
 		n.hardState = rd.HardState
@@ -67,13 +67,13 @@
 	return n.log.Append(rd.Entries)
 }
 
-// installSnapshot takes over a leader's snapshot, which is saved already.
+// installSnapshot replaces log and state by a leader's snapshot, which is already saved.
 func (n *Node) installSnapshot(snap *pb.Snapshot) error {
 	if err := n.log.ApplySnapshot(snap); err != nil {
 		return &InconsistentStateError{Detail: err.Error()}
 	}
 	if err := n.config.StateMachine.Restore(snap.GetData()); err != nil {
-		return &InconsistentStateError{Detail: fmt.Sprintf("the leader's snapshot can't be restored: %v", err)}
+		return &InconsistentStateError{Detail: fmt.Sprintf("restoring the leader's snapshot failed: %v", err)}
 	}
 	index := snap.GetMetadata().GetIndex()
 	n.appliedIndex = index
@@ -81,11 +81,11 @@
 	return nil
 }
 
-// apply hands committed entries to the state machine. raft's own are empty.
+// apply passes committed entries to the state machine, except the empty ones that raft adds.
 func (n *Node) apply(entries []*pb.Entry) {
 	for _, e := range entries {
 		if e.GetType() != pb.EntryNormal {
-			panic(fmt.Sprintf("entry %d of type %v, which no voter writes", e.GetIndex(), e.GetType()))
+			panic(fmt.Sprintf("entry %d has type %v, which no voter writes", e.GetIndex(), e.GetType()))
 		}
 		if len(e.GetData()) > 0 {
 			n.config.StateMachine.Apply(e.GetIndex(), e.GetData())
@@ -96,7 +96,7 @@
 	}
 }
 
-// compact replaces the older part of the log by a snapshot, where enough was applied since the last one.
+// compact replaces the older part of the log by a snapshot if enough entries were applied since the last one.
 func (n *Node) compact() {
 	applied := n.appliedIndex - n.snapshotIndex
 	due := applied >= n.config.SnapshotEntries || n.bytesSinceSnapshot >= n.config.SnapshotBytes
--- a/internal/cluster/consensus/send.go
+++ b/internal/cluster/consensus/send.go
@@ -6,16 +6,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// snapshotTimeoutElections is how many election timeouts a follower has to confirm a snapshot.
+// snapshotTimeoutElections is the time in which a follower must confirm a snapshot, in election timeouts.
 const snapshotTimeoutElections = 4
 
 var marshalOptions = proto.MarshalOptions{Deterministic: true}
 
-// send puts a message into the outbox; a large snapshot leaves in chunks, at heartbeats.
+// send puts a message into the outbox. A large snapshot is sent in chunks instead, one at each heartbeat.
 func (n *Node) send(m *pb.Message) {
 	packet, err := marshalOptions.MarshalAppend([]byte{packetMessage}, m)
 	if err != nil {
-		return // as if lost on the way
+		return // treated like a message lost by the network
 	}
 	if m.GetType() == pb.MsgSnap {
 		n.snapshotSentAt[m.GetTo()] = n.now
@@ -27,7 +27,7 @@
 	n.addToOutbox(Packet{To: m.GetTo(), Data: packet})
 }
 
-// sendChunks sends one chunk of each snapshot that is on its way.
+// sendChunks sends the next chunk of each snapshot that is being sent.
 func (n *Node) sendChunks() {
 	for _, to := range n.config.Voters {
 		m := n.chunks.outgoing[to]
@@ -42,7 +42,7 @@
 	}
 }
 
-// addToOutbox drops what would exceed the limit, as a network may.
+// addToOutbox adds a packet to the outbox. It drops a packet that would exceed MaxOutboxBytes, as a network may.
 func (n *Node) addToOutbox(p Packet) {
 	if n.outboxBytes+len(p.Data) > n.config.MaxOutboxBytes && len(n.outbox) > 0 {
 		return
@@ -51,8 +51,8 @@
 	n.outboxBytes += len(p.Data)
 }
 
-// expireSnapshots takes a snapshot that was sent and not confirmed as lost. raft itself waits for the transport to say so, and sends
-// that follower nothing more. One that is merely slow gets it twice, which is harmless.
+// expireSnapshots treats a snapshot that was not confirmed in time as lost. raft itself waits for a report of the transport, and until
+// then sends that follower nothing more. A follower that is merely slow gets the snapshot twice, which is harmless.
 func (n *Node) expireSnapshots() {
 	for _, to := range n.config.Voters {
 		sentAt, sent := n.snapshotSentAt[to]
--- a/internal/cluster/consensus/simchecks_test.go
+++ b/internal/cluster/consensus/simchecks_test.go
@@ -1,6 +1,6 @@
 package consensus
 
-// What must hold, and the register whose history is checked for linearizability.
+// This file has the simulation's safety checks, and the register whose history of calls is checked for linearizability.
 
 import (
 	"bytes"
@@ -12,12 +12,13 @@
 	"github.com/anishathalye/porcupine"
 )
 
+// checks records what the voters did, and the first violation.
 type checks struct {
-	err            error
-	leaders        map[uint64]uint64 // of a term
-	applied        map[uint64][]byte // entry of an index
-	states         map[uint64][]byte // register after an index
-	highestApplied uint64            // highest index that anybody applied
+	err            error             // first failed check
+	leaders        map[uint64]uint64 // leader by term
+	applied        map[uint64][]byte // entry by index
+	states         map[uint64][]byte // snapshot of the register by index
+	highestApplied uint64            // highest index that any voter applied
 }
 
 func newChecks() checks {
@@ -30,18 +31,19 @@
 	}
 }
 
-// checkLeader checks that a term has one leader at most.
+// checkLeader checks that a term has at most one leader.
 func (c *checks) checkLeader(v *voter) {
 	if !v.node.IsLeader() {
 		return
 	}
 	if other, ok := c.leaders[v.node.Term()]; ok && other != v.id {
-		c.fail("term %d has leaders %d and %d", v.node.Term(), other, v.id)
+		c.fail("term %d has two leaders, %d and %d", v.node.Term(), other, v.id)
 	}
 	c.leaders[v.node.Term()] = v.id
 }
 
-// register is the machine: two cells, swapped. An entry is {op 8, cell 1, value 4}.
+// register is the state machine: two cells whose values clients read and swap. An entry has the call's ID (8 bytes), the cell (1) and
+// the new value (4).
 type register struct {
 	w     *world
 	v     *voter
@@ -52,10 +54,10 @@
 func (r *register) Apply(index uint64, data []byte) {
 	c := &r.w.checks
 	if index <= r.index {
-		c.fail("voter %d applies %d after %d", r.v.id, index, r.index)
+		c.fail("voter %d applies index %d after %d", r.v.id, index, r.index)
 	}
 	if was, ok := c.applied[index]; ok && !bytes.Equal(was, data) {
-		c.fail("voter %d applies another entry at %d", r.v.id, index)
+		c.fail("voter %d applies a different entry at index %d", r.v.id, index)
 	}
 	c.applied[index] = bytes.Clone(data)
 	op, cell, value := binary.BigEndian.Uint64(data), data[8], binary.BigEndian.Uint32(data[9:])
@@ -68,10 +70,11 @@
 	r.w.ops.complete(r.w, r.v, op, old)
 }
 
+// checkState checks that all voters have the same state after the same index.
 func (c *checks) checkState(r *register) {
 	s := r.Snapshot()
 	if was, ok := c.states[r.index]; ok && !bytes.Equal(was, s) {
-		c.fail("voter %d has another state at %d", r.v.id, r.index)
+		c.fail("voter %d has a different state at index %d", r.v.id, r.index)
 	}
 	c.states[r.index] = s
 	c.highestApplied = max(c.highestApplied, r.index)
@@ -84,7 +87,7 @@
 
 func (r *register) Restore(b []byte) error {
 	if len(b) != 16 {
-		return fmt.Errorf("%d bytes", len(b))
+		return fmt.Errorf("the snapshot has %d bytes, want 16", len(b))
 	}
 	if r.index > 0 {
 		r.w.seen["leader's snapshot"]++
@@ -95,7 +98,7 @@
 	return nil
 }
 
-// ops are the clients' history.
+// ops holds the clients' calls: the pending ones, and the history of the completed ones.
 type ops struct {
 	lastID  uint64
 	pending map[uint64]*op
@@ -104,6 +107,7 @@
 	read    int
 }
 
+// op is a client's call.
 type op struct {
 	id         uint64
 	voter      uint64
@@ -143,7 +147,8 @@
 	},
 }
 
-// call lets a client swap or read on a voter. It waits for the answer or gives up; then its swap may come about at any time.
+// call starts a client's read or swap on a voter. onAnswer is called when the voter answers or after one second; a swap without an
+// answer may be applied at any later time.
 func (o *ops) call(w *world, v *voter, read bool, onAnswer func()) {
 	if o.pending == nil {
 		o.pending = map[uint64]*op{}
@@ -180,19 +185,20 @@
 	w.processVoter(v)
 }
 
+// close ends a pending call and adds it to the history with its result.
 func (o *ops) close(p *op, out output, at int64) {
 	if o.pending[p.id] == nil {
 		return
 	}
 	delete(o.pending, p.id)
-	if out.known || !p.in.read { // a read without an answer says nothing
+	if out.known || !p.in.read { // a read without an answer has no effect to check
 		o.history = append(o.history, porcupine.Operation{ClientId: int(p.id), Input: p.in, Output: out, Call: int64(p.calledAt),
 			Return: at})
 	}
 	p.onAnswer()
 }
 
-// complete is told by the voter that was asked, in the same life.
+// complete ends a call with its result, if v is the voter that received the call and has not been restarted since.
 func (o *ops) complete(w *world, v *voter, id uint64, old uint32) {
 	p := o.pending[id]
 	if p == nil || p.voter != v.id || p.startCount != v.startCount {
@@ -206,6 +212,7 @@
 	o.close(p, output{true, old}, int64(w.now))
 }
 
+// completeReads ends the calls whose reads a voter has answered.
 func (o *ops) completeReads(w *world, v *voter, reads []ReadResult) {
 	for _, r := range reads {
 		id := binary.BigEndian.Uint64(r.RequestContext)
--- a/internal/cluster/consensus/simfaults_test.go
+++ b/internal/cluster/consensus/simfaults_test.go
@@ -1,6 +1,6 @@
 package consensus
 
-// What breaks: the faults that every voter must bear, and those put in on purpose that the checks must find.
+// This file has the faults that voters must tolerate, and the mutants: deliberate defects that the checks must find.
 
 import (
 	"time"
@@ -10,9 +10,9 @@
 	"flaxfront/internal/cluster/raftlog"
 )
 
-const faultPeriod = 8 * time.Second // the time of faults
+const faultPeriod = 8 * time.Second // faults occur during this time from the start
 
-// mutant is a fault put in on purpose.
+// mutant is a deliberate defect.
 type mutant string
 
 const (
@@ -25,7 +25,7 @@
 	divergentStateMachine mutant = "one voter applies something else"
 )
 
-// failureIgnoringLog goes on after a failed save as if it had kept it.
+// failureIgnoringLog reports a failed save as successful.
 type failureIgnoringLog struct{ *raftlog.Log }
 
 func (c failureIgnoringLog) Save(h *pb.HardState, e []*pb.Entry, s *pb.Snapshot) error {
@@ -33,14 +33,14 @@
 	return nil
 }
 
-// voteLosingLog keeps terms and not votes.
+// voteLosingLog saves terms but no votes.
 type voteLosingLog struct{ *raftlog.Log }
 
 func (c voteLosingLog) Save(h *pb.HardState, e []*pb.Entry, s *pb.Snapshot) error {
 	return c.Log.Save(&pb.HardState{Term: new(h.GetTerm()), Commit: new(h.GetCommit())}, e, s)
 }
 
-// delayedLog acknowledges a save and writes it with the next one.
+// delayedLog acknowledges a save at once and writes it at the next one.
 type delayedLog struct {
 	*raftlog.Log
 	pendingSave func() error
@@ -54,7 +54,7 @@
 	return err
 }
 
-// pickTarget prefers a leader, whose loss says most.
+// pickTarget picks the voter for a fault: in 60% of cases a leader, if there is one, since its loss has the most effects.
 func (w *world) pickTarget() *voter {
 	if leads := w.leaderIDs(); len(leads) > 0 && w.chance(0.6) {
 		return w.voters[leads[w.random.IntN(len(leads))]-1]
@@ -62,7 +62,7 @@
 	return w.randomVoter()
 }
 
-// scheduleFaults plays one fault after the other.
+// scheduleFaults schedules a random fault, then the next one, until faultPeriod ends.
 func (w *world) scheduleFaults() {
 	w.after(50*ms+w.randomDuration(500*ms), func() {
 		if w.now >= faultPeriod {
@@ -78,9 +78,9 @@
 		case "crash":
 			w.kill(v)
 			restartLater()
-		case "step": // within the next saves
+		case "step": // crash at one of the next file system calls, within a save
 			v.disk.CrashAt = v.disk.Steps + 1 + w.random.IntN(9)
-		case "fsync", "full": // the voter stops by itself; later somebody starts it on a disk that is well
+		case "fsync", "full": // the voter fails; later it is restarted on a repaired disk
 			v.disk.FailSync, v.disk.Full = kind == "fsync", kind == "full"
 			w.after(200*ms+w.randomDuration(time.Second), func() {
 				if w.now < faultPeriod {
@@ -115,6 +115,7 @@
 	})
 }
 
+// cutLinksWhere cuts the links for which isCut returns true, and restores all others.
 func (w *world) cutLinksWhere(isCut func(from, to uint64) bool) {
 	clear(w.isCut)
 	for _, from := range w.ids {
@@ -126,7 +127,7 @@
 	}
 }
 
-// heal mends network and disks and starts who is down.
+// heal ends all faults of network and disks, and restarts the voters that are down, paused, failed or affected by a disk fault.
 func (w *world) heal() {
 	clear(w.isCut)
 	w.lossRate, w.maxDelay = 0, 10*ms
--- a/internal/cluster/consensus/simworld_test.go
+++ b/internal/cluster/consensus/simworld_test.go
@@ -1,7 +1,7 @@
 package consensus
 
-// The world of the simulation: virtual time, voters with the real log on a disk that forgets, and a network that loses,
-// doubles, reorders and cuts.
+// This file has the simulated environment: virtual time, voters with the real log on a disk that loses unsynced data in a crash, and a
+// network that loses, duplicates, reorders and delays messages and has cut links.
 
 import (
 	"container/heap"
@@ -19,22 +19,23 @@
 	election  = 200 * ms
 )
 
+// voter is a simulated voter with its disk and clock.
 type voter struct {
 	id           uint64
 	node         *Node
 	disk         *crashfs.FS
 	log          *raftlog.Log
 	stateMachine *register
-	startCount   uint64
+	startCount   uint64 // number of starts so far
 	up           bool
 	paused       bool
-	drift        time.Duration // thousandths
+	drift        time.Duration // of its clock, in thousandths
 	offset       time.Duration // of its clock
-	timerCount   uint64
-	inbox        []Packet // while it is paused; To is who sent it
+	timerCount   uint64        // number of timers set so far; only the last one is valid
+	inbox        []Packet      // received while paused; To is the sender
 }
 
-// localTime is the time on a voter's own clock: off by any amount, and up to 2% too fast or slow.
+// localTime returns the time on a voter's own clock, which has an arbitrary offset and runs up to 2% too fast or too slow.
 func (v *voter) localTime(now time.Duration) time.Duration { return v.offset + now*(1000+v.drift)/1000 }
 
 type event struct {
@@ -57,6 +58,7 @@
 	return x
 }
 
+// world is the simulation of one seed.
 type world struct {
 	random   *rand.Rand
 	now      time.Duration
@@ -64,14 +66,14 @@
 	queue    events
 	voters   []*voter
 	ids      []uint64
-	isCut    map[[2]uint64]bool
+	isCut    map[[2]uint64]bool // by sender and receiver
 	lossRate float64
-	maxDelay time.Duration // most that a message takes
+	maxDelay time.Duration // maximum delay of a message
 	mutant   mutant
 	checks   checks
 	ops      ops
-	faults   map[string]int // how often each kind was played
-	seen     map[string]int // how often what is to be tested came about
+	faults   map[string]int // number of faults by kind
+	seen     map[string]int // number of times that each situation to be tested occurred
 }
 
 func newWorld(seed uint64, size int, m mutant) *world {
@@ -89,12 +91,13 @@
 	return w
 }
 
+// after schedules do to run after d.
 func (w *world) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + d, w.seq, do})
 }
 
-// runUntil runs to a moment, or to the first broken check.
+// runUntil runs the events up to the time end, or until the first check fails.
 func (w *world) runUntil(end time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= end && w.checks.err == nil {
 		e := heap.Pop(&w.queue).(event)
@@ -110,7 +113,7 @@
 }
 func (w *world) randomVoter() *voter { return w.voters[w.random.IntN(len(w.voters))] }
 
-// start starts a voter on what its disk holds.
+// start starts a voter from the content of its disk.
 func (w *world) start(v *voter) {
 	if v.up {
 		return
@@ -124,7 +127,7 @@
 		w.after(w.randomDuration(time.Second), func() { w.start(v) })
 		return
 	} else if err != nil {
-		w.checks.fail("voter %d doesn't start: %v", v.id, err)
+		w.checks.fail("voter %d does not start: %v", v.id, err)
 		return
 	}
 	v.log, v.stateMachine = log, &register{w: w, v: v}
@@ -140,14 +143,14 @@
 	v.node, err = New(Config{ID: v.id, Voters: w.ids, ElectionTimeout: election, HeartbeatInterval: heartbeat, Seed: w.random.Uint64(), Storage: disk,
 		StateMachine: v.stateMachine, SnapshotEntries: 12, TrailingEntries: 4, SnapshotChunkBytes: 30}, v.localTime(w.now))
 	if err != nil {
-		w.checks.fail("voter %d doesn't start: %v", v.id, err)
+		w.checks.fail("voter %d does not start: %v", v.id, err)
 		return
 	}
 	v.up, v.paused, v.inbox = true, false, nil
 	w.processVoter(v)
 }
 
-// kill ends a voter and leaves its disk as a crash leaves it.
+// kill crashes a voter: it stops, and its disk loses unsynced data.
 func (w *world) kill(v *voter) {
 	if v.up {
 		w.seen["resigned"] += int(v.node.resignations)
@@ -155,7 +158,7 @@
 	}
 }
 
-// processVoter lets a voter do what it has to after anything was handed to it.
+// processVoter processes a voter's inputs: it sends the packets, completes reads, runs the checks and schedules the next Tick.
 func (w *world) processVoter(v *voter) {
 	next := v.node.Tick(v.localTime(w.now))
 	for _, p := range v.node.ProcessReady() {
@@ -188,7 +191,7 @@
 }
 
 func (w *world) send(from uint64, p Packet) {
-	for range 1 + w.random.IntN(20)/19 { // one in twenty comes twice
+	for range 1 + w.random.IntN(20)/19 { // one in twenty is duplicated
 		if w.chance(w.lossRate) {
 			continue
 		}
@@ -209,7 +212,7 @@
 	}
 }
 
-// pause stops a voter for a while; what arrives waits for it, and it wakes up believing what it believed.
+// pause suspends a voter for d, like a stopped process: packets that arrive wait for it, and it resumes with its state unchanged.
 func (w *world) pause(v *voter, d time.Duration) {
 	if !v.up || v.paused {
 		return
--- a/internal/cluster/consensus/step.go
+++ b/internal/cluster/consensus/step.go
@@ -10,16 +10,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Why a message is rejected, wrapped in InvalidMessageError.
+// Reasons to reject a message, wrapped in InvalidMessageError.
 var (
-	errNotVoter       = errors.New("the sender is no voter")
-	errWrongSender    = errors.New("sender or receiver do not fit the link")
-	errWrongType      = errors.New("voters do not send such messages")
-	errSnapshotVoters = errors.New("a snapshot of other voters")
+	errNotVoter       = errors.New("the sender is not a voter")
+	errWrongSender    = errors.New("sender or receiver does not match the link")
+	errWrongType      = errors.New("voters do not send messages of this type")
+	errSnapshotVoters = errors.New("the snapshot is for other voters")
 )
 
-// acceptedMessageTypes are the messages that voters send each other. Proposals come through Propose only, and what raft sends itself never comes
-// from outside.
+// acceptedMessageTypes are the types of messages that voters send each other. Proposals come through Propose only, and messages that
+// raft sends to itself never come from another voter.
 var acceptedMessageTypes = []pb.MessageType{
 	pb.MsgApp,
 	pb.MsgAppResp,
@@ -35,8 +35,8 @@
 	pb.MsgTimeoutNow,
 }
 
-// Step takes a message of another voter; from is who the link says it is. It returns *InvalidMessageError for a message that was
-// dropped, and *StoppedError.
+// Step processes a packet of another voter; from is the sender as the link identified it. It returns *InvalidMessageError for a
+// message that was dropped, and *StoppedError.
 func (n *Node) Step(from uint64, packet []byte, now time.Duration) error {
 	n.advance(now)
 	if n.state != running {
@@ -47,7 +47,7 @@
 		n.RejectedMessages++
 		return &InvalidMessageError{From: from, Err: err}
 	}
-	if m == nil { // a part of one that is not complete
+	if m == nil { // a chunk of a message that is not complete yet
 		return nil
 	}
 	defer n.recoverPanic()
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// decodeMessage returns the message that a packet is or completes; nil where more has to come.
+// decodeMessage returns the message that the packet holds or completes, or nil if further chunks are needed.
 func (n *Node) decodeMessage(from uint64, packet []byte) (*pb.Message, error) {
 	if !slices.Contains(n.config.Voters, from) {
 		return nil, errNotVoter
@@ -75,10 +75,10 @@
 	return m, n.checkMessage(from, m)
 }
 
-// checkMessage refuses what no voter sends.
+// checkMessage returns an error for a message that no voter sends.
 func (n *Node) checkMessage(from uint64, m *pb.Message) error {
 	if m.GetFrom() != from || m.GetTo() != n.config.ID || from == n.config.ID {
-		return fmt.Errorf("%w: from %d to %d by the link of %d", errWrongSender, m.GetFrom(), m.GetTo(), from)
+		return fmt.Errorf("%w: a message from %d to %d on the link of %d", errWrongSender, m.GetFrom(), m.GetTo(), from)
 	}
 	if !slices.Contains(acceptedMessageTypes, m.GetType()) {
 		return fmt.Errorf("%w: type %v", errWrongType, m.GetType())
