--- a/internal/cluster/raftlog/bench_test.go
+++ b/internal/cluster/raftlog/bench_test.go
@@ -11,7 +11,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Two ways to keep a voter's log, each with an fsync a save: this package's frames, and bbolt with a key an entry.
+// The benchmarks compare two ways to store a voter's log, each with one fsync per save: this package's frames, and bbolt with one key per
+// entry.
 
 func entryOfSize(index uint64, bytes int) *pb.Entry {
 	return &pb.Entry{Term: new(uint64(1)), Index: &index, Data: make([]byte, bytes)}
@@ -95,7 +96,7 @@
 		l.Save(hard(1, 1, 0), all, nil)
 		l.Close()
 		for b.Loop() {
-			l := openLog(b, dir) // with the generation that a start writes
+			l := openLog(b, dir) // also writes the generation that each Open begins
 			if _, es, _, _ := l.Load(); len(es) != n {
 				b.Fatal(len(es))
 			}
--- a/internal/cluster/raftlog/errors.go
+++ b/internal/cluster/raftlog/errors.go
@@ -5,37 +5,37 @@
 	"fmt"
 )
 
-// What is wrong at a place of a file, wrapped in DamagedError.
+// Kinds of damage to a file, wrapped in DamagedError.
 var (
-	errFileHeader    = errors.New("the file's header is not valid")
-	errFrameHeader   = errors.New("no frame begins there")
-	errFrameShort    = errors.New("the frame is longer than the file")
+	errFileHeader    = errors.New("invalid file header")
+	errFrameHeader   = errors.New("no frame begins here")
+	errFrameShort    = errors.New("the file ends within the frame")
 	errChecksum      = errors.New("checksum mismatch")
-	errFramesMissing = errors.New("the file ends before the frames that it was begun with")
-	errRecord        = errors.New("the frame's content is not valid")
+	errFramesMissing = errors.New("frames that were written with the file's header are missing")
+	errRecord        = errors.New("invalid record in the frame")
 )
 
-// Why something can't be stored, wrapped in RecordError.
+// Reasons why a record can't be stored, wrapped in RecordError.
 var (
-	errEntryOrder    = errors.New("entries do not follow on the stored ones")
+	errEntryOrder    = errors.New("the entries' indexes do not continue the stored log")
 	errFrameTooLarge = errors.New("frame too large")
 )
 
-// MissingError says that the directory holds no log, and Options.Create is not set.
+// MissingError reports that the directory holds no log, and Options.Create is not set.
 type MissingError struct{ Directory string }
 
 func (e *MissingError) Error() string { return "no voter's log in " + e.Directory }
 
 // Remedy tells what an operator can do.
 func (e *MissingError) Remedy() string {
-	return "is the directory the right one, and mounted? Only the first start of a cluster may begin a log; a voter whose log is " +
-		"lost must not come back as itself, since it may have voted and acknowledged what it no longer knows"
+	return "check that the directory is the right one, and mounted; only the first start of a cluster may create a log, and a voter " +
+		"whose log is lost must not rejoin under its own ID, since it no longer knows what it has voted for and acknowledged"
 }
 
-// DamagedError says that what was synced can't be read any more.
+// DamagedError reports that data which was synced can't be read any more.
 type DamagedError struct {
 	File   string
-	Offset int // in bytes, of the frame that can't be read
+	Offset int // of the unreadable frame, in bytes
 	Err    error
 }
 
@@ -47,50 +47,52 @@
 
 // Remedy tells what an operator can do.
 func (e *DamagedError) Remedy() string {
-	return "keep a copy of the directory and test the disk; this voter must not go on from what is left, since it may have " +
-		"acknowledged what is damaged: the others go on while they are a majority"
+	return "keep a copy of the directory and test the disk; this voter must not go on with the rest of the log, since it may have " +
+		"acknowledged the damaged part; the other voters go on while they are a majority"
 }
 
-// MismatchError says that the log belongs to another cluster, voter or set of voters.
+// MismatchError reports that the log belongs to another cluster, voter or set of voters.
 type MismatchError struct {
 	File       string
-	Configured string // cluster, voter and voters of the settings
-	Stored     string // and of the file
+	Configured string // cluster, voter and voters in the settings
+	Stored     string // cluster, voter and voters in the file
 }
 
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("%s is of %s, not of %s", e.File, e.Stored, e.Configured)
+	return fmt.Sprintf("%s is the log of %s, not of %s", e.File, e.Stored, e.Configured)
 }
 
 // Remedy tells what an operator can do.
 func (e *MismatchError) Remedy() string {
-	return "put the right directory in its place, or the settings that this one was written with"
+	return "restore the right directory, or the settings that this one was written with"
 }
 
-// NewerVersionError says that a later version of the program wrote the log.
+// NewerVersionError reports that a later version of the program wrote the log.
 type NewerVersionError struct {
 	File    string
-	Version int // of the format
+	Version int // format version of the log
 }
 
 func (e *NewerVersionError) Error() string {
-	return fmt.Sprintf("%s has format version %d, this program reads up to %d", e.File, e.Version, formatVersion)
+	return fmt.Sprintf("%s has format version %d; this program reads versions up to %d", e.File, e.Version, formatVersion)
 }
 
 // Remedy tells what an operator can do.
-func (e *NewerVersionError) Remedy() string { return "start the later version of the program again" }
+func (e *NewerVersionError) Remedy() string { return "go back to the later version of the program" }
 
-// LockedError says that another process votes from the directory.
+// LockedError reports that another process uses the directory.
 type LockedError struct{ Directory string }
 
-func (e *LockedError) Error() string { return "another process holds the lock in " + e.Directory }
+func (e *LockedError) Error() string {
+	return "another process holds the lock of the directory " + e.Directory
+}
 
 // Remedy tells what an operator can do.
 func (e *LockedError) Remedy() string {
-	return "wait until the former process has ended, or give each broker a directory of its own"
+	return "wait until the other process has ended, or give each broker its own directory"
 }
 
-// RecordError says that what a Save was given can't be stored. The log has failed.
+// RecordError reports that the arguments of a Save can't be stored. The log has failed.
 type RecordError struct{ Err error }
 
 func (e *RecordError) Error() string {
@@ -100,20 +102,22 @@
 
 // Remedy tells what an operator can do.
 func (e *RecordError) Remedy() string {
-	return "start the broker again; if it comes back, keep a copy of the directory for the report"
+	return "restart the broker; if the error recurs, keep a copy of the directory for a bug report"
 }
 
-// IOError says that the disk failed. The log has failed, and writes nothing more.
+// IOError reports that a disk operation failed. The log has failed and writes nothing more.
 type IOError struct {
-	Operation string // what the log was about to do
+	Operation string // verb and object, such as "list the directory"
 	Directory string
-	Err       error // that of the file system, which names the file
+	Err       error // of the file system, with the file's name
 }
 
 func (e *IOError) Error() string {
-	return fmt.Sprintf("the voter's log in %s can't %s: %v", e.Directory, e.Operation, e.Err)
+	return fmt.Sprintf("the voter's log in %s failed to %s: %v", e.Directory, e.Operation, e.Err)
 }
 func (e *IOError) Unwrap() error { return e.Err }
 
 // Remedy tells what an operator can do.
-func (e *IOError) Remedy() string { return "make room or mend the disk, then start the broker again" }
+func (e *IOError) Remedy() string {
+	return "make room on the disk or repair it, then restart the broker"
+}
--- a/internal/cluster/raftlog/frame.go
+++ b/internal/cluster/raftlog/frame.go
@@ -7,19 +7,19 @@
 	"slices"
 )
 
-// A frame is a header of 16 bytes and a body. The header, in little-endian order:
+// A frame is a header of 16 bytes followed by a body. The header has, in little-endian order:
 //
 //	bytes 0-3    magic number
 //	bytes 4-7    length of the body
-//	bytes 8-11   CRC-32C (RFC 3720) of the bodies of all frames of the file up to this one
+//	bytes 8-11   CRC-32C (RFC 3720) of the bodies of all frames of the file up to and including this one
 //	bytes 12-15  CRC-32C of bytes 0-11
 //
-// As the checksum continues the one before it, a frame that is missing, doubled or of another file does not fit.
+// Since each checksum continues the previous one, a frame that is missing, duplicated or from another file is detected.
 const (
 	frameMagic       = 0x6c727846 // "Fxrl"
 	frameHeaderBytes = 16
-	maxFrameBytes    = 256 << 20 // of a body that is written
-	sectorBytes      = 512       // that a disk writes whole
+	maxFrameBytes    = 256 << 20 // limit of the body, checked when a frame is written
+	sectorBytes      = 512       // unit that a disk writes completely or not at all
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -40,7 +40,7 @@
 	return append(b, body...), checksum
 }
 
-// decodeFrameHeader reads a header at the start of b; ok tells that there is one.
+// decodeFrameHeader decodes the frame header at the start of b; ok reports whether there is a valid one.
 func decodeFrameHeader(b []byte) (h frameHeader, ok bool) {
 	if len(b) < frameHeaderBytes || binary.LittleEndian.Uint32(b) != frameMagic {
 		return h, false
@@ -53,17 +53,17 @@
 	return h, true
 }
 
-// frameReader reads the frames of a file one after the other.
+// frameReader reads the frames of a file in order.
 type frameReader struct {
 	data     []byte
 	offset   int    // of the next frame
-	checksum uint32 // of the frame before
+	checksum uint32 // of the previous frame
 	frames   int    // read so far
 }
 
 func (r *frameReader) atEnd() bool { return r.offset == len(r.data) }
 
-// next returns the body of the next frame. After an error the reader stays where it is.
+// next returns the body of the next frame. After an error the reader's position is unchanged.
 func (r *frameReader) next() ([]byte, error) {
 	rest := r.data[r.offset:]
 	header, ok := decodeFrameHeader(rest)
@@ -84,8 +84,8 @@
 	return body, nil
 }
 
-// atTornTail tells whether what can't be read from here on is a last write that a crash cut off: the frame is short, or sectors of it
-// are unwritten (zeros). Frames behind it, or wrong bytes with nothing missing, are damage to what was synced.
+// atTornTail reports whether the unreadable rest of the file is a last write that a crash interrupted: the frame is truncated, or some of
+// its sectors are unwritten (zeros). Further frames after it, or wrong bytes in a complete frame, mean damage to synced data.
 func (r *frameReader) atTornTail() bool {
 	rest := r.data[r.offset:]
 	header, ok := decodeFrameHeader(rest)
@@ -102,7 +102,7 @@
 	return hasZeroSector(rest, r.offset)
 }
 
-// frameFollows tells whether the next magic number behind the start of b begins a frame's header.
+// frameFollows reports whether the next magic number after the first byte of b begins a valid frame header.
 func frameFollows(b []byte) bool {
 	rest := b[min(1, len(b)):]
 	at := bytes.Index(rest, binary.LittleEndian.AppendUint32(nil, frameMagic))
@@ -113,7 +113,8 @@
 	return ok
 }
 
-// hasZeroSector tells whether a sector of the disk, or what of one is in b, is zeros. b begins at an offset of the file.
+// hasZeroSector reports whether a disk sector, or the part of one that b contains, has only zeros. b begins at the given offset of the
+// file.
 func hasZeroSector(b []byte, offset int) bool {
 	for len(b) > 0 {
 		n := min(len(b), sectorBytes-offset%sectorBytes)
--- a/internal/cluster/raftlog/fuzz_test.go
+++ b/internal/cluster/raftlog/fuzz_test.go
@@ -6,7 +6,7 @@
 	"flaxfront/internal/filesystem/crashfs"
 )
 
-// Whatever a file holds, it is taken or refused with a type of its own; what was taken once reads the same again.
+// For any file content, Open succeeds or returns an error with a remedy. A log that was opened has the same content when opened again.
 func FuzzOpen(f *testing.F) {
 	d := crashfs.New(1)
 	l, err := Open(testOptions(d))
--- a/internal/cluster/raftlog/generation.go
+++ b/internal/cluster/raftlog/generation.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	nameFormat = "raft-%08d.log" // of a generation
+	nameFormat = "raft-%08d.log" // name of a generation's file
 	tempName   = "raft.new"
 
-	initialFrameBytes  = 1 << 20 // of entries in a frame of a new generation, about
-	entryOverheadBytes = 32      // of an entry besides its data, about
+	initialFrameBytes  = 1 << 20 // approximate limit of the entries in one frame of a new generation
+	entryOverheadBytes = 32      // approximate size of an entry without its data
 )
 
 func generationName(generation uint64) string { return fmt.Sprintf(nameFormat, generation) }
 
-// generationsOf lists the generations among a directory's names, oldest first.
+// generationsOf returns the numbers of the generations among a directory's file names, oldest first.
 func generationsOf(names []string) (generations []uint64) {
 	for _, name := range names {
 		var generation uint64
@@ -31,7 +31,8 @@
 	return generations
 }
 
-// beginGeneration writes the contents to a new file, which later frames follow, and removes the older files once it is durable.
+// beginGeneration writes the contents to a new file, to which later frames are appended, and removes the older files once the new one is
+// durable.
 func (l *Log) beginGeneration() error {
 	l.closeFile()
 	content, checksum, err := l.encodeGeneration()
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// encodeGeneration is what a new file begins with, and the checksum of its last frame.
+// encodeGeneration returns the initial content of a new file and the checksum of its last frame.
 func (l *Log) encodeGeneration() (content []byte, checksum uint32, err error) {
 	records := []record{{hardState: l.contents.hardState, snapshot: l.contents.snapshot}}
 	for _, entries := range chunkEntries(l.contents.entries) {
@@ -64,9 +65,9 @@
 	return content, checksum, err
 }
 
-// chunkEntries divides entries among frames.
+// chunkEntries divides entries into one chunk per frame.
 func chunkEntries(entries []*pb.Entry) (chunks [][]*pb.Entry) {
-	chunkBytes := 0 // of the last chunk; 0: the next entry begins one
+	chunkBytes := 0 // size of the last chunk; 0: the next entry begins a new one
 	for _, e := range entries {
 		if chunkBytes == 0 {
 			chunks = append(chunks, nil)
@@ -81,7 +82,7 @@
 	return chunks
 }
 
-// writeGeneration makes a file durable under its name and returns it, open at its end.
+// writeGeneration writes a generation's file, makes file and name durable, and returns it open for appending.
 func (l *Log) writeGeneration(generation uint64, content []byte) (filesystem.File, error) {
 	temp := l.path(tempName)
 	file, err := filesystem.CreateSynced(l.fs, temp, content)
@@ -99,7 +100,7 @@
 	return file, nil
 }
 
-// removeOldGenerations removes what is older than this generation. What can't be removed only takes room.
+// removeOldGenerations removes the files of older generations. It ignores errors, since a file that is left only takes space.
 func (l *Log) removeOldGenerations() {
 	names, _ := l.fs.ReadDir(l.options.Directory)
 	for _, old := range generationsOf(names) {
--- a/internal/cluster/raftlog/lock_test.go
+++ b/internal/cluster/raftlog/lock_test.go
@@ -30,10 +30,10 @@
 		return string(out)
 	}
 	if got := child(); got != "*raftlog.LockedError" {
-		t.Errorf("while it is held: %s", got)
+		t.Errorf("while the lock is held, another process gets %s", got)
 	}
 	l.Close()
 	if got := child(); got != "<nil>" {
-		t.Errorf("after it was released: %s", got)
+		t.Errorf("after the lock was released, another process gets %s", got)
 	}
 }
--- a/internal/cluster/raftlog/raftlog.go
+++ b/internal/cluster/raftlog/raftlog.go
@@ -1,36 +1,36 @@
-// Package raftlog stores on disk what a voter of package consensus may not forget: log entries, hard state (term, vote, commit
-// index) and the last snapshot.
+// Package raftlog stores on disk the state that a voter of package consensus must not lose: log entries, hard state (term, vote,
+// commit index) and the last snapshot.
 //
 // # Files
 //
 // A directory belongs to one voter of one cluster:
 //
-//	raft-00000007.log   generation 7, the only one between a start and the next snapshot:
+//	raft-00000007.log   generation 7; each Open and each saved snapshot begins a new generation:
 //
 //	                    +--------+----------------------+---------+------+------+ -
 //	                    | header | hard state, snapshot | entries | Save | Save | ...
 //	                    +--------+----------------------+---------+------+------+ -
-//	                    '------ written at once, renamed ---------' '- appended -'
+//	                    '--- written to raft.new, then renamed ---' '- appended -'
 //
 //	raft.new            the next generation while it is being written
-//	lock                locked (flock) by the process that votes from here
+//	lock                locked (flock) by the process that uses this directory
 //
-// Each box is a frame with a checksum that continues the one before it. The header frame names cluster, voter and voters, and counts
-// the frames that were written at once.
+// Each box is a frame, whose checksum also covers the frames before it. The header frame has the cluster, this voter's ID, the voters
+// and the number of frames written together with the header.
 //
-//	when                       what is written
-//	Save of entries or state   one frame, then fsync
-//	Save of a snapshot         a new generation: raft.new, fsync, rename, fsync of the directory; then older ones are removed
-//	Open                       a new generation, of what was read
+//	call                       effect
+//	Save of entries or state   appends one frame, then fsync
+//	Save of a snapshot         new generation: write raft.new, fsync, rename, fsync of the directory; then remove older generations
+//	Open                       new generation with the content that was read
 //
 // # After a crash
 //
-// Whatever a Save that returned nil was given is there. Of the Save under way all of it is there or nothing. Open reads the newest
-// generation whole, and cuts off a last frame that a crash left short or with sectors unwritten. Anything else that does not fit is
-// damage to what was acknowledged: Open refuses it, since a voter that goes on without it could vote twice or lose a committed entry.
+// Everything passed to a Save that returned nil is there. A Save in progress is there completely or not at all. Open reads the newest
+// generation and discards a last frame that a crash left truncated or with unwritten sectors. Any other mismatch is damage to
+// acknowledged data: Open returns an error, since a voter that goes on without the data could vote twice or lose a committed entry.
 //
-// Open is called at the start of a broker that votes, and by `flaxfront fleet begin`, which alone may begin a log; package consensus
-// then calls Load once and Save before each message that vouches for what is saved. A Log is for one goroutine.
+// Open is called when a broker that is a voter starts, and by `flaxfront fleet begin`, which alone may create a log. Package consensus
+// then calls Load once, and Save before each message that acknowledges the saved state. A Log must be used by one goroutine only.
 package raftlog
 
 import (
@@ -48,26 +48,26 @@
 
 const lockName = "lock"
 
-// Options say whose log it is, and where.
+// Options identify the log's owner and directory.
 type Options struct {
 	Directory string
 	Cluster   string   // its name
 	VoterID   uint64   // of this voter
 	Voters    []uint64 // all voters of the cluster, in any order
-	// Create lets Open begin a log in a directory that holds none. Only the first start of a cluster may set it: a voter that begins
-	// anew after its directory was lost may vote a second time in a term, or lack entries that it has acknowledged.
+	// Create lets Open create a log in a directory that holds none. Only the first start of a cluster may set it: a voter that starts
+	// with an empty log after its directory was lost may vote a second time in a term, or lack entries that it has acknowledged.
 	Create   bool
-	FS       filesystem.FS // nil: the machine's
-	Unlocked bool          // no lock is taken, as on a file system in memory
+	FS       filesystem.FS // nil: the machine's file system
+	Unlocked bool          // take no lock, for a file system in memory
 }
 
-// describe names cluster, voter and voters for an error.
+// describe returns cluster, voter and voters as text for an error message.
 func (o *Options) describe() string {
 	voters := strings.Trim(fmt.Sprint(o.Voters), "[]")
 	return fmt.Sprintf("cluster %q, voter %d of %s", o.Cluster, o.VoterID, voters)
 }
 
-// logState is the life of a Log: open, then closed, or failed for good.
+// logState is the state of a Log: open, then closed or permanently failed.
 type logState uint8
 
 const (
@@ -76,24 +76,24 @@
 	logClosed
 )
 
-// Log is an open directory.
+// Log is a voter's log, opened from its directory.
 type Log struct {
 	options Options
 	fs      filesystem.FS
 	lock    *flock.Flock
 
 	state   logState
-	failure error // of logFailed
+	failure error // set if state is logFailed
 
-	generation uint64          // that is written; 0: none yet
+	generation uint64          // the one being written; 0: none yet
 	file       filesystem.File // of this generation
 	checksum   uint32          // of the last frame
-	buffer     []byte          // for the next frame
+	buffer     []byte          // reused to encode the next frame
 	contents   contents
 }
 
-// Open reads a directory and begins a new generation in it. It returns *MissingError, *DamagedError, *MismatchError,
-// *NewerVersionError or *LockedError for a directory that this voter can't go on from, and *IOError where the disk failed.
+// Open reads the log in a directory and begins a new generation there. It returns *MissingError, *DamagedError, *MismatchError,
+// *NewerVersionError or *LockedError for a directory that this voter can't use, and *IOError if a disk operation failed.
 func Open(o Options) (*Log, error) {
 	l := &Log{options: o, fs: o.FS}
 	l.options.Voters = slices.Sorted(slices.Values(o.Voters))
@@ -110,7 +110,7 @@
 func (l *Log) open() error {
 	directory := l.options.Directory
 	if err := l.fs.MkdirAll(directory); err != nil {
-		return l.ioError("make the directory", err)
+		return l.ioError("create the directory", err)
 	}
 	if err := l.acquireLock(); err != nil {
 		return err
@@ -133,7 +133,7 @@
 	return l.beginGeneration()
 }
 
-// acquireLock keeps other processes from voting from this directory.
+// acquireLock locks the directory against other processes.
 func (l *Log) acquireLock() error {
 	if l.options.Unlocked {
 		return nil
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	if tornBytes > 0 { // a crash leaves it so; no Save has vouched for it
+	if tornBytes > 0 { // left by a crash; not part of any acknowledged Save
 		slog.Warn("torn end of voter's log discarded", "component", "consensus", "directory", l.options.Directory, "file", name,
 			"bytes", tornBytes)
 	}
@@ -169,18 +169,19 @@
 
 func (l *Log) path(name string) string { return filepath.Join(l.options.Directory, name) }
 
-// Load returns what the directory held when it was opened, or why the log has failed since.
+// Load returns the content of the log, or the error if the log has failed. It is meant to be called before the first Save.
 func (l *Log) Load() (*pb.HardState, []*pb.Entry, *pb.Snapshot, error) {
 	return l.contents.hardState, slices.Clone(l.contents.entries), l.contents.snapshot, l.failure
 }
 
-// fail ends the log: after a failed fsync the system may have dropped what was to be written and call the next fsync a success.
+// fail ends the log permanently: after a failed fsync the kernel may have dropped the unwritten data and report success for the next
+// fsync.
 func (l *Log) fail(err error) {
 	l.state = logFailed
 	l.failure = err
 }
 
-// Close releases the directory. Save must not be called after it.
+// Close closes the file and releases the lock. Save must not be called afterwards.
 func (l *Log) Close() {
 	l.closeFile()
 	if l.lock != nil {
--- a/internal/cluster/raftlog/raftlog_test.go
+++ b/internal/cluster/raftlog/raftlog_test.go
@@ -30,20 +30,20 @@
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}
 }
 
-// saves is the life of a voter: appends, votes, entries replaced, snapshots of its own and of a leader.
+// saves are the saves of a voter: appended entries, votes, replaced entries, a snapshot of its own and one of a leader.
 var saves = []record{
 	{hardState: hard(1, 1, 0)},
 	{hardState: hard(1, 1, 0), entries: []*pb.Entry{entry(1, 1), entry(1, 2), entry(1, 3)}},
 	{hardState: hard(1, 1, 2), entries: []*pb.Entry{entry(1, 4)}},
 	{hardState: hard(2, 3, 2)},
-	{hardState: hard(2, 3, 3), entries: []*pb.Entry{entry(2, 4), entry(2, 5)}}, // replaces 4
-	{hardState: hard(2, 3, 5), snapshot: snapshot(2, 4)},                       // its own: 5 stays
+	{hardState: hard(2, 3, 3), entries: []*pb.Entry{entry(2, 4), entry(2, 5)}}, // replaces entry 4
+	{hardState: hard(2, 3, 5), snapshot: snapshot(2, 4)},                       // own snapshot: entry 5 stays
 	{hardState: hard(2, 3, 5), entries: []*pb.Entry{entry(2, 6)}},
-	{hardState: hard(4, 0, 20), snapshot: snapshot(4, 20), entries: []*pb.Entry{entry(4, 21)}}, // of a leader
+	{hardState: hard(4, 0, 20), snapshot: snapshot(4, 20), entries: []*pb.Entry{entry(4, 21)}}, // leader's snapshot
 	{hardState: hard(4, 0, 21), entries: []*pb.Entry{entry(4, 22), entry(4, 23)}},
 }
 
-// stateText is what a log holds, as text.
+// stateText returns the content of a log as text.
 func stateText(l *Log) string {
 	h, es, s, err := l.Load()
 	if err != nil {
@@ -56,7 +56,7 @@
 	return text
 }
 
-// expectedStates are what a log holds before and after each save.
+// expectedStates returns the content of a log before the first and after each of the saves.
 func expectedStates(t *testing.T) (all []string) {
 	t.Helper()
 	l, err := Open(testOptions(crashfs.New(1)))
@@ -73,7 +73,7 @@
 	return all
 }
 
-// runSaves saves until the disk fails and tells how many saves were acknowledged.
+// runSaves performs the saves and returns how many were acknowledged. Once a save has failed, all later ones must fail.
 func runSaves(t *testing.T, d filesystem.FS) (acknowledged int) {
 	t.Helper()
 	l, err := Open(testOptions(d))
@@ -84,7 +84,7 @@
 	for _, r := range saves {
 		err := l.Save(r.hardState, r.entries, r.snapshot)
 		if err == nil && failed {
-			t.Fatal("a save was acknowledged after one had failed")
+			t.Fatal("a save was acknowledged after an earlier one had failed")
 		}
 		failed = err != nil
 		if !failed {
@@ -94,14 +94,15 @@
 	return acknowledged
 }
 
-// checkReopened opens what a crash left and tells whether it is what was acknowledged, or that and the save under way.
+// checkReopened opens a log after a crash and returns an error unless its content is what was acknowledged, with or without the save that
+// was in progress.
 func checkReopened(d filesystem.FS, want []string, acknowledged int) error {
 	l, err := Open(testOptions(d))
 	if err != nil {
 		return err
 	}
 	if got := stateText(l); got != want[acknowledged] && (acknowledged+1 == len(want) || got != want[acknowledged+1]) {
-		return fmt.Errorf("holds %.80q, not %.80q", got, want[acknowledged])
+		return fmt.Errorf("the log holds %.80q, want %.80q", got, want[acknowledged])
 	}
 	return nil
 }
@@ -120,9 +121,9 @@
 			acknowledged := runSaves(t, d)
 			after := d.Crash()
 			if err := checkReopened(after, want, acknowledged); err != nil {
-				t.Fatalf("step %d, seed %d: after %d saves: %v", step, seed, acknowledged, err)
+				t.Fatalf("step %d, seed %d: after %d acknowledged saves: %v", step, seed, acknowledged, err)
 			}
-			again := after.Crash() // what a start has written lasts too
+			again := after.Crash() // what Open has written must be durable too
 			if err := checkReopened(again, want, acknowledged); err != nil {
 				t.Fatalf("step %d, seed %d: second start: %v", step, seed, err)
 			}
@@ -130,11 +131,11 @@
 		}
 	}
 	if totalAcknowledged == 0 {
-		t.Fatal("nothing was ever acknowledged")
+		t.Fatal("no save was ever acknowledged")
 	}
 }
 
-// A log that acknowledges without an fsync is found by what the test above checks.
+// The check of TestCrashAtEveryStep detects a log that acknowledges saves without an fsync.
 func TestMissingFsyncIsDetected(t *testing.T) {
 	want := expectedStates(t)
 	for seed := range uint64(40) {
@@ -155,7 +156,7 @@
 			return
 		}
 	}
-	t.Fatal("40 crashes without an fsync lost nothing")
+	t.Fatal("the check found no lost save in 40 crashes without an fsync")
 }
 
 func TestDamageIsRefused(t *testing.T) {
@@ -169,7 +170,7 @@
 		_, err := Open(testOptions(d))
 		var damaged *DamagedError
 		if !errors.As(err, &damaged) || damaged.Remedy() == "" {
-			t.Fatalf("a bit turned at byte %d of %d: %v", at, size, err)
+			t.Fatalf("a flipped bit at byte %d of %d: error %v, want a DamagedError with a remedy", at, size, err)
 		}
 	}
 }
@@ -192,9 +193,9 @@
 			err := l.Save(r.hardState, r.entries, r.snapshot)
 			var failed *IOError
 			if (i >= 2) != errors.As(err, &failed) {
-				t.Fatalf("%s: save %d: %v", name, i, err)
+				t.Fatalf("%s: save %d: unexpected result: %v", name, i, err)
 			}
-			d.FailSync, d.Full = false, false // the disk is well again; the log must not go on
+			d.FailSync, d.Full = false, false // the disk works again, but the log must not go on
 		}
 		l.Close()
 		if err := checkReopened(d.Crash(), want, 2); err != nil {
@@ -215,7 +216,7 @@
 		change(&o)
 		var other *MismatchError
 		if _, err := Open(o); !errors.As(err, &other) || other.Remedy() == "" {
-			t.Errorf("another %s: %v", name, err)
+			t.Errorf("another %s: error %v, want a MismatchError with a remedy", name, err)
 		}
 	}
 	o := testOptions(crashfs.New(1))
--- a/internal/cluster/raftlog/read.go
+++ b/internal/cluster/raftlog/read.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// readGeneration reads a file into the contents. tornBytes are at its end, left there by a crash within the last Save.
+// readGeneration reads a file into l.contents. tornBytes is the length of an incomplete frame at its end, left by a crash during a Save.
 func (l *Log) readGeneration(path string) (tornBytes int, err error) {
 	data, err := l.readFile(path)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return data, nil
 }
 
-// checkHeader refuses a file that is not of this voter, and returns how many frames were written with the header.
+// checkHeader returns an error for a file that is not of this voter, and otherwise the number of frames written with the header.
 func (l *Log) checkHeader(path string, body []byte) (initialFrames int, err error) {
 	var h fileHeader
 	err = decodeMode.Unmarshal(body, &h)
@@ -74,7 +74,7 @@
 	return h.InitialFrames, nil
 }
 
-// applyBody applies the record in a frame's body.
+// applyBody applies the record in a frame's body to l.contents.
 func (l *Log) applyBody(path string, offset int, body []byte) error {
 	r, err := decodeRecord(body)
 	if err == nil {
--- a/internal/cluster/raftlog/record.go
+++ b/internal/cluster/raftlog/record.go
@@ -8,16 +8,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bodies of frames are CBOR (RFC 8949) around raft's own messages in protobuf. Keys are numbers, which stay.
+// Bodies of frames are CBOR maps (RFC 8949) that contain raft's messages in protobuf. Their keys are numbers, which must not change.
 const (
-	formatVersion = 1 // a file with a higher one is refused
+	formatVersion = 1 // Open refuses a file with a higher version
 
 	maxArrayElements = 1 << 24
 	maxMapPairs      = 64
 	maxNestedLevels  = 8
 )
 
-// decodeMode bounds what a body may make the decoder allocate.
+// decodeMode limits the memory that the decoder allocates for a body.
 var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels}.DecMode()
 	if err != nil {
@@ -26,30 +26,30 @@
 	return mode
 }()
 
-// fileHeader is the first frame of a file. Version keeps its key in all versions.
+// fileHeader is the body of the first frame of a file. Version has the same key in all versions of the format.
 type fileHeader struct {
 	Version       int      `cbor:"1,keyasint"`
 	Cluster       string   `cbor:"2,keyasint"`
 	VoterID       uint64   `cbor:"3,keyasint"`
 	Voters        []uint64 `cbor:"4,keyasint"` // sorted
-	InitialFrames int      `cbor:"5,keyasint"` // written with this one, without it
+	InitialFrames int      `cbor:"5,keyasint"` // number of frames written together with the header, not counting it
 }
 
-// record is what one Save was given.
+// record holds the arguments of one Save.
 type record struct {
 	hardState *pb.HardState
 	entries   []*pb.Entry
 	snapshot  *pb.Snapshot
 }
 
-// storedRecord is a record as it is stored: each part is a message of raft's in protobuf.
+// storedRecord is the stored form of a record: each part is a raft message in protobuf.
 type storedRecord struct {
 	HardState []byte   `cbor:"1,keyasint,omitempty"`
 	Entries   [][]byte `cbor:"2,keyasint,omitempty"`
 	Snapshot  []byte   `cbor:"3,keyasint,omitempty"`
 }
 
-// appendHeader appends the frame that a file begins with, and returns its checksum.
+// appendHeader appends the first frame of a file and returns its checksum.
 func appendHeader(b []byte, h fileHeader) ([]byte, uint32, error) {
 	body, err := cbor.Marshal(h)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return b, checksum, nil
 }
 
-// appendRecord appends a frame and returns its checksum, which continues the one before it.
+// appendRecord appends a frame with a record and returns its checksum, which continues previousChecksum.
 func appendRecord(b []byte, previousChecksum uint32, r record) ([]byte, uint32, error) {
 	stored, err := r.toStored()
 	if err != nil {
--- a/internal/cluster/raftlog/recorded_test.go
+++ b/internal/cluster/raftlog/recorded_test.go
@@ -12,8 +12,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// testdata/recorded holds directories of a voter as commit 1a4b6be wrote them: whole; torn, with the last 11 bytes of the file
-// missing; damaged, with a bit of byte 200 turned.
+// testdata/recorded holds directories of a voter as commit 1a4b6be wrote them: "whole" is unchanged, in "torn" the last 11 bytes of the
+// file are missing, and in "damaged" a bit of byte 200 is flipped.
 const recordedFile = "raft-00000003.log"
 
 func recordedOptions(dir string) Options {
@@ -30,7 +30,7 @@
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}
 }
 
-// copyRecorded copies a recorded directory, since opening one begins a generation there.
+// copyRecorded copies a recorded directory, since opening a log begins a new generation in its directory.
 func copyRecorded(t *testing.T, name string) (dir string) {
 	t.Helper()
 	dir = filepath.Join(t.TempDir(), name)
@@ -58,7 +58,7 @@
 			t.Cleanup(l.Close)
 			gotHard, entries, snap, err := l.Load()
 			if err != nil || gotHard.String() != c.hard.String() || snap.String() != recordedSnapshot().String() {
-				t.Errorf("hard state %v, snapshot %v, %v", gotHard, snap, err)
+				t.Errorf("hard state %v, snapshot %v, error %v", gotHard, snap, err)
 			}
 			if fmt.Sprint(entries) != fmt.Sprint(c.entries) {
 				t.Errorf("entries %v, want %v", entries, c.entries)
@@ -75,7 +75,7 @@
 	}
 }
 
-// The same saves lead to the same bytes.
+// The same saves produce the same bytes as the recorded ones.
 func TestRecordedLogIsWritten(t *testing.T) {
 	o := recordedOptions(t.TempDir())
 	o.Create = true
@@ -108,6 +108,6 @@
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(filepath.Join(o.Directory, recordedFile)); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%x, %v, want %x", got, err, want)
+		t.Errorf("wrote %x, error %v, want %x", got, err, want)
 	}
 }
--- a/internal/cluster/raftlog/save.go
+++ b/internal/cluster/raftlog/save.go
@@ -9,9 +9,9 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-const maxBufferBytes = 1 << 20 // of a frame's buffer that is kept for the next
+const maxBufferBytes = 1 << 20 // a larger frame buffer is not kept for the next frame
 
-// Save makes durable what consensus.Storage says. Once it has failed it returns the same error for ever.
+// Save implements consensus.Storage. After a failure, all later calls return the same error.
 func (l *Log) Save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
 	switch l.state {
 	case logFailed:
@@ -36,7 +36,7 @@
 	return l.append(r)
 }
 
-// append writes one frame at the end of this generation.
+// append writes one frame at the end of this generation's file and syncs it.
 func (l *Log) append(r record) error {
 	frame, checksum, err := appendRecord(l.buffer[:0], l.checksum, r)
 	if err != nil {
@@ -55,14 +55,14 @@
 	return nil
 }
 
-// contents is what a log holds, in memory.
+// contents is the content of a log, in memory.
 type contents struct {
 	hardState *pb.HardState
 	snapshot  *pb.Snapshot
 	entries   []*pb.Entry // after the snapshot, without gaps
 }
 
-// apply makes the changes of a record. After an error some of them are made.
+// apply applies the changes of a record. If it returns an error, some of them may have been applied.
 func (c *contents) apply(r record) error {
 	if r.hardState != nil {
 		c.hardState = r.hardState
@@ -73,7 +73,7 @@
 	return c.appendEntries(r.entries)
 }
 
-// applySnapshot replaces the entries up to the snapshot's index, and those after it too unless the log has the entry that the
+// applySnapshot stores the snapshot and drops the entries up to its index, and also those after it unless the log has the entry that the
 // snapshot ends with.
 func (c *contents) applySnapshot(snap *pb.Snapshot) {
 	last := snap.GetMetadata()
@@ -87,7 +87,7 @@
 	c.entries = slices.Clone(c.entries[replaced:])
 }
 
-// appendEntries replaces the entries from the first new one's index on.
+// appendEntries replaces all entries from the first new one's index on.
 func (c *contents) appendEntries(entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -97,7 +97,7 @@
 	maxIndex := minIndex + uint64(len(c.entries))
 	for i, e := range entries {
 		if e.GetIndex() != start+uint64(i) || start < minIndex || start > maxIndex {
-			return fmt.Errorf("%w: entry %d, the next one may have index %d to %d", errEntryOrder, e.GetIndex(), minIndex, maxIndex)
+			return fmt.Errorf("%w: entry %d; the first one must have an index from %d to %d", errEntryOrder, e.GetIndex(), minIndex, maxIndex)
 		}
 	}
 	c.entries = append(c.entries[:start-minIndex], entries...)
