--- a/internal/cluster/seeds/errors.go
+++ b/internal/cluster/seeds/errors.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// What is wrong with a file, wrapped in FileError.
+// Reasons to reject a file, wrapped in FileError.
 var (
-	errNotAddress = errors.New("is no ADDRESS:PORT")
-	errTooMany    = errors.New("one too many addresses")
+	errNotAddress = errors.New("is not an ADDRESS:PORT")
+	errTooMany    = errors.New("too many addresses")
 	errTooLarge   = errors.New("the file is too large")
 )
 
-// FileError says that a file of addresses can't be read or written.
+// FileError reports that a file of addresses can't be read or written.
 type FileError struct {
 	File string
-	Line int // from 1; 0: none in particular
+	Line int // from 1; 0 if the error concerns no single line
 	Err  error
 }
 
@@ -31,7 +31,7 @@
 // Remedy tells what an operator can do.
 func (e *FileError) Remedy() string {
 	if e.Line > 0 || errors.Is(e.Err, errTooLarge) {
-		return "remove the file: it is written anew once the broker knows the others, by the seeds of its configuration"
+		return "remove the file; the broker writes it again once it has found the other members by the seeds of its configuration"
 	}
-	return "see that its directory is there, that the broker may read and write it, and that the disk has room"
+	return "check that the file's directory exists, that the broker can read and write it, and that the disk has free space"
 }
--- a/internal/cluster/seeds/recorded_test.go
+++ b/internal/cluster/seeds/recorded_test.go
@@ -16,7 +16,7 @@
 		netip.MustParseAddrPort("[fe80::1%eth0]:1")}
 	recorded := filepath.Join("testdata", "recorded", "seeds")
 	if all, err := Load(recorded); err != nil || !slices.Equal(all, want) {
-		t.Errorf("read %v, %v, want %v", all, err, want)
+		t.Errorf("read %v, error %v, want %v", all, err, want)
 	}
 	path := filepath.Join(t.TempDir(), "seeds")
 	w := NewWriter(path)
@@ -31,6 +31,6 @@
 		t.Fatal(err)
 	}
 	if written, err := os.ReadFile(path); err != nil || !bytes.Equal(written, old) {
-		t.Errorf("wrote %q, %v, want %q", written, err, old)
+		t.Errorf("wrote %q, error %v, want %q", written, err, old)
 	}
 }
--- a/internal/cluster/seeds/seeds.go
+++ b/internal/cluster/seeds/seeds.go
@@ -1,10 +1,10 @@
-// Package seeds stores the addresses of a tier's members on disk, so that a broker that starts again finds the others although the
-// seeds of its configuration are gone.
+// Package seeds stores the addresses of a tier's members on disk, so that a restarted broker finds the others even if the seed
+// addresses in its configuration no longer exist.
 //
-// The file has one ADDRESS:PORT a line. It is written whole under another name in the same directory (.seeds-*), synced and renamed, so
-// that a crash leaves the file before or the new one; the rename itself may be lost, which costs no more than older addresses.
+// The file has one ADDRESS:PORT per line. It is written to a temporary file in the same directory (.seeds-*), synced and renamed, so that
+// a crash leaves either the old or the new file. The directory is not synced: a crash may undo the rename, which leaves the older addresses.
 //
-// A broker reads the file once, at its start, with Load, and hands the members to a Writer whenever they change.
+// A broker calls Load once, when it starts, and passes the members' addresses to a Writer whenever they change.
 package seeds
 
 import (
@@ -21,8 +21,8 @@
 	maxFileBytes = 64 << 10
 )
 
-// Load reads the addresses of a file; there are none where there is no file. From a file that can't be read whole it takes none, and
-// returns *FileError.
+// Load returns the addresses in a file, or none if the file does not exist. If any part of the file can't be read or parsed, it returns
+// no addresses and a *FileError.
 func Load(path string) ([]netip.AddrPort, error) {
 	content, err := readFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -40,7 +40,7 @@
 	for i, line := range lines {
 		address, err := parseLine(line)
 		if err == nil && len(addresses) == maxAddresses {
-			err = fmt.Errorf("%w: %d at most", errTooMany, maxAddresses)
+			err = fmt.Errorf("%w: at most %d are accepted", errTooMany, maxAddresses)
 		}
 		if err != nil {
 			return nil, &FileError{File: path, Line: i + 1, Err: err}
@@ -50,14 +50,14 @@
 	return addresses, nil
 }
 
-// readFile reads a file of bounded size.
+// readFile reads a file of at most maxFileBytes.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", errTooLarge, info.Size(), maxFileBytes)
+		return nil, fmt.Errorf("%w: it has %d bytes, at most %d are accepted", errTooLarge, info.Size(), maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
--- a/internal/cluster/seeds/seeds_test.go
+++ b/internal/cluster/seeds/seeds_test.go
@@ -13,7 +13,7 @@
 
 var testAddresses = []netip.AddrPort{netip.MustParseAddrPort("192.0.2.1:7946"), netip.MustParseAddrPort("[2001:db8::1]:7946")}
 
-// What was enqueued last is there after a stop, and a start without a file has none.
+// After Run has ended, the file has the addresses that were enqueued last. Load returns none if there is no file.
 func TestLatestAddressesAreSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
 	if all, err := Load(path); err != nil || len(all) > 0 {
@@ -35,15 +35,15 @@
 	}
 	files, _ := os.ReadDir(filepath.Dir(path))
 	if len(files) != 1 {
-		t.Errorf("%d files are left", len(files))
+		t.Errorf("%d files are left, want 1", len(files))
 	}
 }
 
-// A file that is not what was written is an error with its line, and nothing of it is used.
+// For a malformed file, Load returns an error with the line and no addresses.
 func TestMalformedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
 	for text, want := range map[string]string{"192.0.2.1:7946\nnoise\n": ":2: \"noise\"", "192.0.2.1:0\n": ":1:", "\x00\x01": ":1:", "a\n\nb\n": ":1:",
-		strings.Repeat("192.0.2.1:7946\n", maxAddresses+1): "one too many", strings.Repeat("x", maxFileBytes+1): "at most"} {
+		strings.Repeat("192.0.2.1:7946\n", maxAddresses+1): "too many addresses", strings.Repeat("x", maxFileBytes+1): "at most"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 	}
 	os.Remove(path)
 	w := NewWriter(filepath.Join(path, "no", "folder"))
-	w.Enqueue(testAddresses) // it can't be written, which is said and no more
+	w.Enqueue(testAddresses) // the write fails, which is logged and not returned
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := w.Run(ctx); err != nil {
--- a/internal/cluster/seeds/writer.go
+++ b/internal/cluster/seeds/writer.go
@@ -19,19 +19,19 @@
 	minWriteInterval = 5 * time.Second
 )
 
-// Writer writes the latest addresses that it was given.
+// Writer writes the latest addresses passed to Enqueue to a file, at most once per minWriteInterval.
 type Writer struct {
 	path    string
 	pending chan []netip.AddrPort // at most one list: the latest
 }
 
-// NewWriter returns a writer for a file. Nothing is written before Run.
+// NewWriter returns a Writer for the file at path. Nothing is written until Run is called.
 func NewWriter(path string) *Writer {
 	return &Writer{path: path, pending: make(chan []netip.AddrPort, 1)}
 }
 
-// Enqueue hands over the addresses, in place of those that were not written yet, and never waits. Only the first maxAddresses count.
-// Only one goroutine may call it.
+// Enqueue passes the addresses to Run, replacing any not written yet, and never blocks. Addresses after the first maxAddresses are
+// dropped. Only one goroutine may call Enqueue.
 func (w *Writer) Enqueue(addresses []netip.AddrPort) {
 	latest := slices.Clone(addresses[:min(len(addresses), maxAddresses)])
 	select {
@@ -41,7 +41,7 @@
 	w.pending <- latest
 }
 
-// Run writes until ctx ends, and then what is left. A write that fails is logged; the tier goes on without the file.
+// Run writes the addresses until ctx is done, and then those still pending. A failed write is logged and otherwise ignored.
 func (w *Writer) Run(ctx context.Context) error {
 	for {
 		select {
--- a/internal/filesystem/crashfs/crashfs.go
+++ b/internal/filesystem/crashfs/crashfs.go
@@ -1,20 +1,20 @@
-// Package crashfs is a file system in memory for tests of stores. It does what a disk may do to a program:
+// Package crashfs is an in-memory file system for tests of stores. It simulates faults of a disk:
 //
-//   - it crashes at the step that the test names (FS.CrashAt): that call and all after it fail, a write perhaps halfway;
-//   - what a start finds after a crash (FS.Crash) is what was synced, and of the rest a random part, damaged as FS.Damage says;
-//   - it runs full (FS.Full), or fails to sync (FS.FailSync).
+//   - It crashes at a step that the test chooses (FS.CrashAt): that call and all later ones fail, a write possibly halfway.
+//   - After a crash (FS.Crash), data that was synced is there, and a random part of the rest, damaged as FS.Damage says.
+//   - It is full (FS.Full), or fails to sync (FS.FailSync).
 //
-// A test plays a program with CrashAt from 1 up to FS.Steps of an undisturbed run, opens the store on what Crash returns, and
-// compares with what the program had acknowledged:
+// A test runs a program with each CrashAt from 1 to one more than FS.Steps of a run without faults, opens the store on the file system
+// that Crash returns, and compares its content with what the program acknowledged:
 //
-//	for step := 1; step <= undisturbed.Steps+1; step++ {
+//	for step := 1; step <= faultFree.Steps+1; step++ {
 //		disk := crashfs.New(seed)
 //		disk.CrashAt = step
 //		acknowledged := run(disk)
 //		check(disk.Crash(), acknowledged)
 //	}
 //
-// The same seed and calls lead to the same files. An FS is for one goroutine. Nothing but tests may import this package.
+// The same seed and calls produce the same files. An FS must be used by one goroutine only. Only tests may import this package.
 package crashfs
 
 import (
@@ -30,54 +30,54 @@
 	"flaxfront/internal/filesystem"
 )
 
-// ErrCrash is returned by the call that crashes, and by each one after it.
+// ErrCrash is returned by the call that crashes and by each later one.
 var ErrCrash = errors.New("crashed")
 
-// Damage says what a crash does to bytes that were written and not synced, besides cutting them off.
+// Damage is how a crash may damage bytes that were written and not synced, besides truncating them.
 type Damage uint8
 
 const (
-	// UnwrittenSector leaves some of them zero: a sector that did not reach the disk.
+	// UnwrittenSector zeroes the unsynced bytes of one sector, as if it did not reach the disk.
 	UnwrittenSector Damage = iota
-	// FlippedBit turns a bit of the last byte that is left.
+	// FlippedBit flips a bit of the last byte that is left.
 	FlippedBit
 )
 
-// FS is a disk. The zero value is not usable: New makes one.
+// FS is a simulated disk. Use New: the zero value is not usable.
 type FS struct {
-	Steps    int    // calls made so far, without those to Open for a missing file and to Close
-	CrashAt  int    // the step that fails, and all after it; 0: none
-	FailSync bool   // each Sync of a file fails, and what it should have made durable may be lost
-	Full     bool   // each write ends halfway, with ENOSPC
-	Damage   Damage // of a crash
+	Steps    int    // calls so far, not counting Open of a missing file, writes while Full, and Close
+	CrashAt  int    // first step that fails; all later ones fail too; 0: none
+	FailSync bool   // each Sync of a file fails, and a crash may lose the data that it should have made durable
+	Full     bool   // each write writes half of its bytes and fails with ENOSPC
+	Damage   Damage // caused by Crash
 
 	random  *rand.Rand
 	files   fileTable
-	durable fileTable    // as of the last SyncDir
-	changes []nameChange // of names since then
+	durable fileTable    // files as of the last SyncDir
+	changes []nameChange // name changes since then
 }
 
 var _ filesystem.FS = (*FS)(nil)
 
-// fileTable has the files by their paths.
+// fileTable maps paths to files.
 type fileTable map[string]*file
 
 // nameChange creates, renames or removes a file in a table.
 type nameChange func(fileTable)
 
-// file is the content of a file, whatever its name.
+// file is the content of a file, independent of its name.
 type file struct {
 	data        []byte
-	syncedBytes int // from its start on, durable
+	syncedBytes int // number of bytes at the start of data that are durable
 }
 
-// New returns an empty disk. The seed decides what crashes leave.
+// New returns an empty disk. The seed determines what crashes leave.
 func New(seed uint64) *FS {
 	return &FS{random: rand.New(rand.NewPCG(seed, 7)), files: fileTable{}, durable: fileTable{}}
 }
 
-// Crash returns the disk that a start after a crash finds: names and content that were synced, some of the changes to names since,
-// and some of the bytes written since. It has no faults set, and damages as this one. This disk must not be used after it.
+// Crash returns the disk as it is after a crash: with the synced names and content, some of the later name changes, and some of the later
+// written bytes. The returned disk has the same Damage, and no other faults set. The old one must not be used afterwards.
 func (d *FS) Crash() *FS {
 	next := New(d.random.Uint64())
 	next.Damage = d.Damage
@@ -94,13 +94,13 @@
 	return next
 }
 
-// Bytes is a file's content. A test may change it in place. It panics where there is no such file.
+// Bytes returns a file's content, which a test may change in place. It panics if there is no such file.
 func (d *FS) Bytes(name string) []byte { return d.files[name].data }
 
-// Names lists the paths of all files, sorted.
+// Names returns the paths of all files, sorted.
 func (d *FS) Names() []string { return slices.Sorted(maps.Keys(d.files)) }
 
-// step counts a call, and fails from the chosen one on.
+// step counts a call, and returns ErrCrash from step CrashAt on.
 func (d *FS) step() error {
 	d.Steps++
 	if d.CrashAt > 0 && d.Steps >= d.CrashAt {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// applyNameChange makes a change that becomes durable with SyncDir.
+// applyNameChange applies a change that the next SyncDir makes durable.
 func (d *FS) applyNameChange(change nameChange) error {
 	if err := d.step(); err != nil {
 		return err
@@ -119,10 +119,10 @@
 	return nil
 }
 
-// MkdirAll does nothing: directories are there as soon as a file is in them.
+// MkdirAll only counts a step: a directory exists as soon as it contains a file.
 func (d *FS) MkdirAll(string) error { return d.step() }
 
-// ReadDir lists the files of a directory.
+// ReadDir returns the names of the files in a directory.
 func (d *FS) ReadDir(dir string) (names []string, err error) {
 	for name := range d.files {
 		if filepath.Dir(name) == dir {
@@ -141,7 +141,7 @@
 	return io.NopCloser(bytes.NewReader(f.data)), d.step()
 }
 
-// Create makes an empty file.
+// Create creates an empty file, replacing any file of that name.
 func (d *FS) Create(name string) (filesystem.File, error) {
 	f := &file{}
 	err := d.applyNameChange(func(t fileTable) { t[name] = f })
@@ -151,7 +151,7 @@
 	return &handle{disk: d, file: f}, nil
 }
 
-// Rename moves a file over another; one that is not there is no error.
+// Rename renames a file, replacing any file with the new name. It returns no error if there is no file to rename.
 func (d *FS) Rename(from, to string) error {
 	return d.applyNameChange(func(t fileTable) {
 		if f := t[from]; f != nil {
@@ -161,7 +161,7 @@
 	})
 }
 
-// Remove removes a file; one that is not there is no error.
+// Remove removes a file. It returns no error if there is no such file.
 func (d *FS) Remove(name string) error {
 	return d.applyNameChange(func(t fileTable) { delete(t, name) })
 }
--- a/internal/filesystem/crashfs/file.go
+++ b/internal/filesystem/crashfs/file.go
@@ -5,16 +5,16 @@
 	"syscall"
 )
 
-// sectorBytes is what a disk writes whole.
+// sectorBytes is the unit that a disk writes completely or not at all.
 const sectorBytes = 512
 
-// handle is a file that is open for writing.
+// handle is a file opened for writing.
 type handle struct {
 	disk *FS
 	file *file
 }
 
-// Write appends. On a full disk half of the bytes are written, at a crash any number of them.
+// Write appends b. On a full disk half of the bytes are written, at a crash a random number of them.
 func (h *handle) Write(b []byte) (written int, err error) {
 	if h.disk.Full {
 		return h.append(b[:len(b)/2]), syscall.ENOSPC
@@ -30,7 +30,7 @@
 	return len(b)
 }
 
-// Sync makes durable what was written.
+// Sync makes durable the bytes written so far.
 func (h *handle) Sync() error {
 	if err := h.disk.step(); err != nil {
 		return err
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// Close does nothing: it makes nothing durable.
+// Close does nothing; in particular, it makes nothing durable.
 func (h *handle) Close() error { return nil }
 
-// afterCrash is what a crash leaves of a file.
+// afterCrash returns what a crash leaves of a file's content.
 func (d *FS) afterCrash(f *file) []byte {
 	data := bytes.Clone(f.data[:f.syncedBytes])
 	unsynced := f.data[f.syncedBytes:]
@@ -67,7 +67,7 @@
 	return data
 }
 
-// clearSector zeroes a random sector of those that hold unsynced bytes, without the synced bytes in it.
+// clearSector zeroes the unsynced bytes of a random sector among those that hold unsynced bytes.
 func (d *FS) clearSector(data []byte, syncedBytes int) {
 	at := syncedBytes + d.random.IntN(len(data)-syncedBytes)
 	start := at - at%sectorBytes
