--- a/internal/cluster/connpolicy/connpolicy_test.go
+++ b/internal/cluster/connpolicy/connpolicy_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestSame has the same text make the same policy.
-func TestSame(t *testing.T) {
-	show := func() string {
+// TestSameTextSamePolicy checks that compiling the same text twice gives the same policy.
+func TestSameTextSamePolicy(t *testing.T) {
+	describe := func() string {
 		p, err := Compile("x", example(t))
 		if err != nil {
 			t.Fatal(err)
@@ -48,24 +48,24 @@
 		}
 		return fmt.Sprintf("%+v %+v", p.Classes, *p.Pool)
 	}
-	if first := show(); first != show() {
-		t.Error("the same text was read in two ways")
+	if first := describe(); first != describe() {
+		t.Error("the same text was compiled to two different policies")
 	}
 }
 
-// TestRefused changes one line of the example and looks for the type, the line and what to do.
-func TestRefused(t *testing.T) {
-	refused := func(err error) any { var e *form.Error; errors.As(err, &e); return e.Err }
+// TestRejectedPolicies makes one faulty change at a time to the example policy, and checks the error's type, message, line and remedy.
+func TestRejectedPolicies(t *testing.T) {
+	causeOf := func(err error) any { var e *form.Error; errors.As(err, &e); return e.Err }
 	cases := []struct {
-		from, to string
-		kind     any
-		why      string
+		from, to  string
+		errorType any
+		message   string
 	}{
 		{`"nodes": 200,`, `"nodes": 200, "node": 3,`, nil, "unknown"},
 		{`"closing": "1s"`, `"closing": "3s"`, &ClosingTimeError{}, "closing"},
 		{`"floor": "2"`, `"floor": "0"`, &IncompleteError{}, "could serve nothing"},
 		{`"floor": "2"`, `"floor": "17"`, &OvercommittedError{}, "the floors of all brokers are 680 units of a budget of 640"},
-		{`nodes * 400`, `nodes * 70`, &OvercommittedError{}, "at as many nodes"},
+		{`nodes * 400`, `nodes * 70`, &OvercommittedError{}, "at the maximum number of nodes"},
 		{`nodes * 400`, `nodes * 100`, &OvercommittedError{}, "guarantees"},
 		{`"shared / 4", "weight": "3"`, `"shared + 1", "weight": "3"`, &OvercommittedError{}, "guarantees"},
 		{`"weight": "2", "most"`, `"guarantee": "shared * 4 / 5", "most"`, &OvercommittedError{}, "guarantees"},
@@ -78,7 +78,7 @@
 		{`shared / 10`, `shared / 10.0`, &ExpressionError{}, "no matching overload"},
 		{`shared / 10`, `shared / (brokers - 40)`, &ExpressionError{}, "division by zero"},
 		{`brokers * 16`, `brokers * 9223372036854775807`, &ExpressionError{}, "overflow"},
-		{`brokers * 16`, `brokers * -16`, &ExpressionError{}, "not from 0"},
+		{`brokers * 16`, `brokers * -16`, &ExpressionError{}, "not in the range 0"},
 		{`brokers * 16`, `budget * 16`, &ExpressionError{}, "not known here"},
 		{`brokers * 16`, `size('x' + 'y')`, &ExpressionError{}, "undeclared"},
 		{`brokers * 16`, `timestamp('2026-01-01T00:00:00Z').getHours('Europe/Oslo')`, &ExpressionError{}, "undeclared"},
@@ -92,21 +92,21 @@
 		text := strings.Replace(example(t), c.from, c.to, 1)
 		line := 1 + strings.Count(text[:max(0, strings.Index(text, c.to))], "\n")
 		_, err := Compile("x", text)
-		var at *form.Error
-		if err == nil || !errors.As(err, &at) || !strings.Contains(err.Error(), c.why) {
+		var located *form.Error
+		if err == nil || !errors.As(err, &located) || !strings.Contains(err.Error(), c.message) {
 			t.Errorf("%s: %v", c.to, err)
 			continue
 		}
-		if at.Line != line {
-			t.Errorf("%s: line %d was told for line %d: %v", c.to, at.Line, line, err)
+		if located.Line != line {
+			t.Errorf("%s: the error states line %d, want %d: %v", c.to, located.Line, line, err)
 		}
-		if c.kind != nil && fmt.Sprintf("%T", refused(err)) != fmt.Sprintf("%T", c.kind) || remedy.Of(err) == "" {
-			t.Errorf("%s: %T with what to do: %q", c.to, refused(err), remedy.Of(err))
+		if c.errorType != nil && fmt.Sprintf("%T", causeOf(err)) != fmt.Sprintf("%T", c.errorType) || remedy.Of(err) == "" {
+			t.Errorf("%s: error of type %T with remedy %q", c.to, causeOf(err), remedy.Of(err))
 		}
 	}
 }
 
-// FuzzCompile looks for a text that brings it down, or that is agreed and divides more than there is.
+// FuzzCompile checks that no text makes Compile panic, and that no accepted policy divides more than a class's budget.
 func FuzzCompile(f *testing.F) {
 	f.Add(example(f))
 	f.Fuzz(func(t *testing.T, text string) {
@@ -120,7 +120,7 @@
 				sum += a.Guarantee
 			}
 			if sum > k.Budget {
-				t.Errorf("%d of %d", sum, k.Budget)
+				t.Errorf("floors and guarantees of %d exceed the budget of %d", sum, k.Budget)
 			}
 		}
 	})
