--- a/internal/decision/connlease/golden_run_test.go
+++ b/internal/decision/connlease/golden_run_test.go
@@ -30,7 +30,7 @@
 	return LeaseKey{Node: g.node(), Tenant: g.upTo(goldenTenants - 1)}
 }
 
-// advance lets time go by in steps, so that moments also fall together.
+// advance moves time forward by a random number of whole steps below most, so that some events happen at the same time.
 func (g *goldenRun) advance(most time.Duration) {
 	g.now += time.Duration(g.rng.Int64N(int64(most))).Round(goldenTimeStep)
 }
@@ -46,7 +46,7 @@
 	return rows
 }
 
-// holder plays a lease holder.
+// holder calls a Holder at random and records the results.
 func (g *goldenRun) holder() {
 	h := NewHolder(time.Duration(1+g.upTo(3)) * 100 * time.Millisecond)
 	number := uint64(1)
@@ -97,7 +97,7 @@
 	}
 }
 
-// withinReserved tells whether all that nodes may count is within the reserve alone.
+// withinReserved reports whether all connections that nodes may count are within the reserve alone.
 func withinReserved(h *Holder) bool {
 	for node := range h.tenantsAt {
 		if h.aboveLease(node, leaseEnding) > h.reservedAt(node) {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// demand plays what a broker measures and reports.
+// demand calls a DemandTracker at random and encodes and decodes its reports, some of them corrupted.
 func (g *goldenRun) demand() {
 	d := NewDemandTracker(time.Duration(1+g.upTo(3)) * time.Second)
 	for range goldenSteps {
@@ -136,7 +136,7 @@
 	}
 }
 
-// granter plays a leader over the real state machine, which takes some of what it proposes.
+// granter calls a Granter at random, over the real state machine, to which most of the proposed entries are applied.
 func (g *goldenRun) granter() {
 	s := statemachine.New()
 	sequence := uint64(0)
@@ -192,7 +192,7 @@
 	apply(list)
 	policy()
 	leader := NewGranter(2*time.Second, time.Duration(g.upTo(2))*time.Second, 0)
-	needs := map[statemachine.Slot][]ConnectionCount{}
+	demands := map[statemachine.Slot][]ConnectionCount{}
 	for range goldenSteps / 4 {
 		g.advance(900 * time.Millisecond)
 		slot := statemachine.Slot(g.upTo(goldenBrokers - 1))
@@ -220,9 +220,9 @@
 		case 8:
 			apply(&statemachine.RelinquishLease{Slot: slot, Incarnation: lease.Incarnation, Number: lease.Number})
 		case 9:
-			delete(needs, slot)
+			delete(demands, slot)
 		case 10, 11:
-			needs[slot] = append(g.counts(7), ConnectionCount{LeaseKey{g.node(), 1 - 4*g.upTo(1)}, 3})
+			demands[slot] = append(g.counts(7), ConnectionCount{LeaseKey{g.node(), 1 - 4*g.upTo(1)}, 3})
 		default:
 			leader.RecordRenewal(slot, b.Incarnation-uint64(g.upTo(5)/5), g.now)
 		}
@@ -231,9 +231,9 @@
 				apply(&statemachine.AcknowledgeLease{Slot: i, Incarnation: l.Incarnation, Number: l.Number})
 			}
 		}
-		for _, e := range leader.NextEntries(s, plan, needs, term, g.now) {
+		for _, e := range leader.NextEntries(s, plan, demands, term, g.now) {
 			if g.oneIn(12) {
-				g.record(statemachine.Encode(statemachine.ProposalID{}, e)) // lost on its way
+				g.record(statemachine.Encode(statemachine.ProposalID{}, e)) // the proposal is lost
 				continue
 			}
 			apply(e)
