--- a/internal/server/ingress/accept.go
+++ b/internal/server/ingress/accept.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// accept takes connections until the listener is closed, or its queue is empty after StopAccepting.
+// accept accepts connections until the listener is closed or, after StopAccepting, the kernel's queue of connections is empty.
 func (in *Ingress) accept(ctx context.Context) {
 	defer close(in.acceptEnded)
 	tail := acceptTail{maxDuration: in.options.AcceptTail}
@@ -27,7 +27,7 @@
 		}
 		tail.accepted()
 		if err != nil {
-			// Such as no descriptor left: one is freed, and the kernel keeps the other clients waiting.
+			// No file descriptor is left, for example: one is freed, and the other clients wait in the kernel's queue.
 			slog.Warn("accept failed", "component", "ingress", "error", err)
 			in.ReclaimIdle()
 			if !in.waitForCapacity(ctx) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// start serves a connection in a goroutine of its own once there is capacity for it; false: ctx has ended before.
+// start serves a connection in a new goroutine once there is capacity for it. It reports false if ctx ended before that.
 func (in *Ingress) start(ctx context.Context, c *connection) bool {
 	for !in.connections.admit(c) {
 		if !in.waitForCapacity(ctx) {
@@ -54,7 +54,7 @@
 	return true
 }
 
-// waitForCapacity waits until a connection ends or falls idle, or for a short time; false: ctx has ended.
+// waitForCapacity waits until a connection ends or becomes idle, for the dial timeout at most. It reports false if ctx has ended.
 func (in *Ingress) waitForCapacity(ctx context.Context) bool {
 	select {
 	case <-in.connections.capacity:
--- a/internal/server/ingress/accept_tail.go
+++ b/internal/server/ingress/accept_tail.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// QueueQuietPeriod is how long no connection must come after StopAccepting before the kernel's queue counts as empty.
+// QueueQuietPeriod is how long no connection must arrive after StopAccepting for the kernel's queue to count as empty.
 const QueueQuietPeriod = 20 * time.Millisecond
 
-// StopAccepting accepts the connections that wait in the kernel, closes the listener and returns. Those still waiting when a listener
-// closes are reset, with the requests that their clients have sent.
+// StopAccepting accepts the connections that wait in the kernel's queue, closes the listener and returns. Closing a listener resets the
+// connections still in its queue, and the requests that their clients have sent are lost.
 func (in *Ingress) StopAccepting() {
 	if in.setQuietDeadline() {
 		<-in.acceptEnded
@@ -15,24 +15,24 @@
 	<-in.acceptEnded
 }
 
-// setQuietDeadline sets the listener's deadline to the end of a quiet period; false: the listener has no deadlines.
+// setQuietDeadline sets the listener's deadline to the end of a quiet period. It reports false if the listener has no deadlines.
 func (in *Ingress) setQuietDeadline() bool {
 	l, ok := in.listener.(interface{ SetDeadline(time.Time) error })
 	return ok && l.SetDeadline(time.Now().Add(QueueQuietPeriod)) == nil
 }
 
-// acceptTail tells when the kernel's queue of connections is empty. One deadline is not enough, as it may have passed before the kernel
-// was asked.
+// acceptTail decides when the kernel's queue of connections counts as empty after StopAccepting. One deadline is not enough, as it may
+// have passed before Accept looked into the queue.
 type acceptTail struct {
 	maxDuration time.Duration
-	startedAt   time.Time // the first deadline
-	quiet       bool      // a deadline has passed with nothing accepted since
+	startedAt   time.Time // when the first deadline passed
+	quiet       bool      // a deadline has passed, and Accept has returned nothing since
 }
 
-// accepted notes that something other than a deadline came of accepting.
+// accepted records that Accept returned a connection or an error other than a passed deadline.
 func (t *acceptTail) accepted() { t.quiet = false }
 
-// deadlinePassed notes a deadline, and tells whether it was the last.
+// deadlinePassed records that a deadline passed, and reports whether accepting ends with it.
 func (t *acceptTail) deadlinePassed() bool {
 	if t.startedAt.IsZero() {
 		t.startedAt = time.Now()
--- a/internal/server/ingress/answer.go
+++ b/internal/server/ingress/answer.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// The statuses of answers, as the client protocol states them.
+// The HTTP statuses of the client protocol.
 const (
 	statusOK                 = 200
 	statusBadRequest         = 400
@@ -22,7 +22,7 @@
 
 const contentTypeJSON = "Content-Type: application/json"
 
-// answer answers one request.
+// answer answers one request, and returns why the connection ends, or stillOpen.
 func (in *Ingress) answer(ctx context.Context, c *connection, r request) Reason {
 	r.last = r.last || in.broker.Draining()
 	switch r.Path {
@@ -31,7 +31,7 @@
 	case "/up":
 		status := statusOK
 		if in.broker.Draining() {
-			status = statusServiceUnavailable // no load balancer should send anything new
+			status = statusServiceUnavailable // so that load balancers send no new requests
 		}
 		return in.writeAnswer(c, httpwire.AppendResponse(c.out[:0], status, r.last, nil), r.last)
 	case "/counters":
@@ -42,14 +42,14 @@
 	}
 }
 
-// rejectRequest tells a client that its request is bad, and ends the connection: where the next request begins is not certain.
+// rejectRequest answers that a request is bad and ends the connection, as it is not certain where the next request begins.
 func (in *Ingress) rejectRequest(c *connection, err error) Reason {
 	in.Counters.BadRequests.Add(1)
 	in.writeError(c, asRequestError(err))
 	return BadRequest
 }
 
-// writeError writes a last answer that says what was wrong.
+// writeError writes an error as the connection's last answer.
 func (in *Ingress) writeError(c *connection, err *RequestError) {
 	response := httpwire.AppendResponse(c.out[:0], err.Status, true, []byte(err.Detail+"\n"))
 	if in.write(c, response) == nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// writeAnswer writes an answer.
+// writeAnswer writes an answer, and returns why the connection ends, or stillOpen.
 func (in *Ingress) writeAnswer(c *connection, response []byte, last bool) Reason {
 	if err := in.write(c, response); err != nil {
 		return WriteFailed
@@ -68,7 +68,7 @@
 	return stillOpen
 }
 
-// write writes a response whole, within the longest time that any client waits.
+// write writes a whole response; the write deadline is the longest timeout of any query type.
 func (in *Ingress) write(c *connection, response []byte) error {
 	c.out = response[:0]
 	c.SetWriteDeadline(time.Now().Add(in.broker.Settings().LongestTimeout()))
@@ -76,9 +76,9 @@
 	return err
 }
 
-// linger closes the sending side after a last answer, and reads and drops for a while what the client still sends. A close over bytes
-// that lie unread would reset the connection, and could take along the answer that was just written. A client that does not close its
-// side holds a descriptor for that long.
+// linger closes the sending side after a last answer, and then discards what the client still sends, for the dial timeout at most. A
+// close with unread bytes would reset the connection, and the client could lose the answer that was just written. A client that does
+// not close its side holds a descriptor for that long.
 func (in *Ingress) linger(c *connection) {
 	sending, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || c.ahead.Ended() || sending.CloseWrite() != nil {
--- a/internal/server/ingress/answer_query.go
+++ b/internal/server/ingress/answer_query.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/server/query"
 )
 
-// answerQuery reads a query, submits it, and answers it.
+// answerQuery decodes a query, submits it, waits for its result and writes the answer.
 func (in *Ingress) answerQuery(ctx context.Context, c *connection, r request) Reason {
 	q, err := decodeQuery(r.Message, in.broker.Settings())
 	if err != nil {
@@ -38,7 +38,7 @@
 	return reason
 }
 
-// awaitResult waits for a query's result, and watches meanwhile whether its client leaves, whatever else that has sent.
+// awaitResult waits for a query's result. Meanwhile it watches for the end of the connection, also behind bytes that the client has sent.
 func (in *Ingress) awaitResult(ctx context.Context, c *connection, pending query.Pending) (query.Result, Reason) {
 	done := make(chan struct{})
 	ended := make(chan error, 1)
@@ -58,10 +58,10 @@
 				pending.Abandon(query.ClientDeparted)
 				return query.Result{}, ClientDeparted
 			}
-			c.SetReadDeadline(time.Time{}) // the watcher was woken though the connection goes on
+			c.SetReadDeadline(time.Time{}) // a read deadline woke the watcher, but the connection is still open
 			go watch()
 		case <-deadline.C:
-			pending.Abandon(query.DeadlinePassed) // and a result comes
+			pending.Abandon(query.DeadlinePassed) // a result follows
 		case <-ctx.Done():
 			close(done)
 			return query.Result{}, Shutdown
--- a/internal/server/ingress/body.go
+++ b/internal/server/ingress/body.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/server/query"
 )
 
-// queryBody is a query's body as it was read. Shards are called tablets and weights fractions there.
+// queryBody is the decoded body of a query. The JSON calls shards tablets and weights fractions.
 type queryBody struct {
 	shards    []bodyShard
 	statement string
@@ -21,7 +21,7 @@
 	weight float64
 }
 
-// decodeBody reads a query's body. The error is a *RequestError.
+// decodeBody decodes the body of a query into q. Its errors are of type *RequestError.
 func decodeBody(q *query.Request, body []byte, settings *terms.Terms) error {
 	b, ok := scanBody(body)
 	if !ok {
@@ -34,7 +34,7 @@
 	return setShards(q, b, settings)
 }
 
-// unmarshalBody reads a body in any form that JSON allows.
+// unmarshalBody decodes a body in any form that encoding/json accepts.
 func unmarshalBody(body []byte) (b queryBody, err error) {
 	var doc struct {
 		Tablets []struct {
@@ -48,7 +48,7 @@
 		bad.Err = err
 		return b, bad
 	}
-	if !utf8.Valid(body) { // the decoder would replace what is not, and nodes must get the text unchanged
+	if !utf8.Valid(body) { // encoding/json replaces invalid UTF-8, but nodes must get the text unchanged
 		return b, requestError(statusBadRequest, "body: not UTF-8")
 	}
 	if len(doc.Tablets) == 0 || doc.Statement == nil {
@@ -67,7 +67,7 @@
 	return b, nil
 }
 
-// setShards checks what a body says of the shards, and takes it over.
+// setShards validates the shards of a body and sets them in q.
 func setShards(q *query.Request, b queryBody, settings *terms.Terms) error {
 	q.Text = b.statement
 	q.Shards = make([]query.ShardRequest, 0, len(b.shards))
@@ -76,7 +76,7 @@
 		if s.number < 0 || s.number >= settings.Shards {
 			return noSuchTablet(i)
 		}
-		if !(s.weight >= 0 && s.weight <= 1+query.WeightTolerance) { // also where it is not a number
+		if !(s.weight >= 0 && s.weight <= 1+query.WeightTolerance) { // written so that NaN is rejected too
 			return badFraction(i)
 		}
 		if slices.ContainsFunc(q.Shards, func(o query.ShardRequest) bool { return o.Shard == s.number }) {
@@ -88,7 +88,7 @@
 	if math.Abs(sum-1) > query.WeightTolerance {
 		return requestError(statusBadRequest, "body: fractions add up to %.3f", sum)
 	}
-	for i := range q.Shards { // rounded weights would never add up to a complete answer
+	for i := range q.Shards { // the sum of rounded weights might never reach that of a complete answer
 		q.Shards[i].Weight /= sum
 	}
 	return nil
--- a/internal/server/ingress/connection.go
+++ b/internal/server/ingress/connection.go
@@ -9,43 +9,43 @@
 	"flaxfront/internal/transport/lookahead"
 )
 
-// connection is one client connection. It is used by the goroutine that serves it, but for the fields behind the set's lock.
+// connection is one client connection. Only the goroutine that serves it uses it, apart from the fields guarded by the set's lock.
 type connection struct {
 	net.Conn
 	ahead    *lookahead.Reader
-	in       *bufio.Reader // over ahead
-	out      []byte        // buffer of answers
+	in       *bufio.Reader // reads from ahead
+	out      []byte        // buffer for answers
 	opened   time.Time
 	requests int
 
-	overLimit bool // it exceeds the limit: its query is shed, and it ends
-	hadQuery  bool // it has brought a query that could be submitted
+	overLimit bool // it exceeds the limit on connections: its query is shed, and it is closed
+	hadQuery  bool // a valid query has arrived on it
 
 	// Guarded by connectionSet.mu.
 	state      State
-	stateSince time.Time // when it came into that state
-	used       bool      // it has brought a request
-	endReason  Reason    // why this side ends it
+	stateSince time.Time // when it entered that state
+	used       bool      // a whole request has arrived on it
+	endReason  Reason    // why the broker ends it; stillOpen: it doesn't
 }
 
-// State is what a connection is at.
+// State is the state of a connection.
 type State uint8
 
-// The states, in the order in which connections are reclaimed.
+// The states, in the order in which connections are reclaimed: idle ones first, busy ones never.
 const (
 	StateIdle    State = iota // between requests
-	StateReading              // a request has begun
+	StateReading              // a request is arriving
 	StateBusy                 // a request is being answered
 )
 
-// ConnectionInfo is a connection at one moment.
+// ConnectionInfo describes a connection at one moment.
 type ConnectionInfo struct {
 	State  State
-	Used   bool   // it has brought a request
+	Used   bool   // a whole request has arrived on it
 	Ending Reason // why the broker ends it; empty: it doesn't
 }
 
-// MaxLookahead bounds the bytes that are read of a client's next requests while one is being answered.
+// MaxLookahead is the maximum number of bytes read ahead of a client's next requests while one is being answered.
 const MaxLookahead = 16 << 10
 
 func newConnection(conn net.Conn, now func() time.Duration) *connection {
@@ -58,23 +58,23 @@
 	}
 }
 
-// pastDeadline is a deadline that wakes whoever reads.
+// pastDeadline is a read deadline in the past: it wakes a blocked reader.
 var pastDeadline = time.Unix(1, 0)
 
-// hasUnread tells whether bytes have come that were not read: an idle connection that ends just when its next request arrives would take
-// the query with it.
+// hasUnread reports whether bytes have arrived that were not read yet. Ending an idle connection just as its next request arrives would
+// lose that query.
 func (c *connection) hasUnread() bool {
 	c.ahead.Look()
 	return c.in.Buffered()+c.ahead.Ahead() > 0
 }
 
-// end has this side end the connection: its reader is woken. The caller holds connectionSet.mu.
+// end makes the broker end the connection, and wakes its reader. The caller holds connectionSet.mu.
 func (c *connection) end(reason Reason) {
 	c.endReason = reason
 	c.SetReadDeadline(pastDeadline)
 }
 
-// setState notes a state. The caller holds connectionSet.mu.
+// setState sets the state and its time. The caller holds connectionSet.mu.
 func (c *connection) setState(state State) {
 	c.state = state
 	c.stateSince = time.Now()
--- a/internal/server/ingress/connection_set.go
+++ b/internal/server/ingress/connection_set.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// connectionSet is all client connections and their states. Their number is bounded by the descriptors, whether clients crowd in, open
-// connections and say nothing, or send requests that never arrive whole. At the limit a connection that can be spared is closed for a
-// new one. Where none can, the new one is admitted beyond the limit, to be told to come back; beyond Overflow new ones wait in the
-// kernel. Clients that open connections long before they use them may find these closed.
+// connectionSet holds all client connections and their states. Their number is limited by the file descriptors, even if many clients
+// connect at once, open connections and send nothing, or send requests that never arrive whole. At the limit an idle or slow connection
+// is closed for a new one (reclaim). Where none can be, the new one is admitted beyond the limit and its query is shed, up to Overflow
+// connections; more wait in the kernel's queue. Clients that open connections long before they use them may find these closed.
 type connectionSet struct {
 	limits   Limits
-	capacity chan struct{} // signalled when a connection ends or falls idle
+	capacity chan struct{} // signalled when a connection ends or becomes idle
 
 	mu       sync.Mutex
 	open     map[*connection]bool
-	closing  bool // idle ones are closed at once
+	closing  bool // idle connections are closed at once
 	logLimit logLimit
 }
 
@@ -27,7 +27,7 @@
 	}
 }
 
-// admit adds a connection; false: there is no capacity.
+// admit adds a connection. It reports false if there is no capacity, not even beyond the limit.
 func (s *connectionSet) admit(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +43,7 @@
 	return true
 }
 
-// becomeIdle notes that a connection waits for a request, and returns why this side ends it, if it does.
+// becomeIdle records that a connection waits for a request. It returns why the broker ends the connection, or stillOpen.
 func (s *connectionSet) becomeIdle(c *connection) Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	return c.endReason
 }
 
-// startReading notes that a request has begun, and returns why this side ends the connection, if it does.
+// startReading records that a request has begun to arrive. It returns why the broker ends the connection, or stillOpen.
 func (s *connectionSet) startReading(c *connection) Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	return c.endReason
 }
 
-// startAnswering notes that a request has come whole, and returns why this side ends the connection, if it does.
+// startAnswering records that a whole request has arrived. It returns why the broker ends the connection, or stillOpen.
 func (s *connectionSet) startAnswering(c *connection) Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,14 +75,14 @@
 	return c.endReason
 }
 
-// endReasonOf returns why this side ends a connection, if it does.
+// endReasonOf returns why the broker ends a connection, or stillOpen.
 func (s *connectionSet) endReasonOf(c *connection) Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.endReason
 }
 
-// remove drops a connection that has ended.
+// remove removes a connection that has ended, and decides whether its end is logged.
 func (s *connectionSet) remove(c *connection) logDecision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	return s.logLimit.allow(time.Now())
 }
 
-// closeIdle ends the idle connections, now and whenever one falls idle.
+// closeIdle ends all idle connections, and from now on each connection that becomes idle.
 func (s *connectionSet) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/ingress/decode.go
+++ b/internal/server/ingress/decode.go
@@ -13,10 +13,10 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// maxTimeout is the longest timeout that is not taken for a mistake.
+// maxTimeout is the longest timeout that a query may ask for; a longer one is taken for a mistake and rejected.
 const maxTimeout = time.Hour
 
-// decodeQuery reads a query from a request. The error is a *RequestError.
+// decodeQuery decodes the query of a request. Its errors are of type *RequestError.
 func decodeQuery(m *httpwire.Message, settings *terms.Terms) (*query.Request, error) {
 	q := &query.Request{Settings: settings}
 	if err := decodeHeaders(q, m, settings); err != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// clientKey hashes the key "user" of a cookie; 0: there is none.
+// clientKey returns a hash of the cookie's value "user", or 0 if there is none.
 func clientKey(cookie string) uint64 {
 	for field := range strings.SplitSeq(cookie, ";") {
 		if name, value, _ := strings.Cut(strings.TrimSpace(field), "="); name == "user" && value != "" {
--- a/internal/server/ingress/encode.go
+++ b/internal/server/ingress/encode.go
@@ -9,13 +9,13 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// Bytes of an answer's body, as a first guess.
+// Initial capacity of an answer's body, in bytes.
 const (
 	baseBodyBytes      = 32
 	bodyBytesPerAnswer = 48
 )
 
-// appendResult encodes the response to a query.
+// appendResult appends the HTTP response for a query's result.
 func appendResult(b []byte, r query.Result, last bool, headers ...string) []byte {
 	switch r.Outcome {
 	case query.Answered:
@@ -33,7 +33,7 @@
 	}
 }
 
-// encodeAnswers encodes the body of an answered query.
+// encodeAnswers returns the JSON body for an answered query.
 func encodeAnswers(r *query.Result) []byte {
 	body := make([]byte, 0, baseBodyBytes+bodyBytesPerAnswer*len(r.Answers))
 	body = append(body, `{"full":`...)
@@ -52,11 +52,11 @@
 	return append(body, "]}"...)
 }
 
-// appendJSONString writes a text as JSON, as encoding/json does.
+// appendJSONString appends a text as a JSON string, in the same form as encoding/json.
 func appendJSONString(b []byte, text string) []byte {
 	for i := range len(text) {
 		if !plainInJSON(text[i]) {
-			quoted, _ := json.Marshal(text) // texts always encode
+			quoted, _ := json.Marshal(text) // a string always encodes
 			return append(b, quoted...)
 		}
 	}
@@ -65,7 +65,7 @@
 	return append(b, '"')
 }
 
-// plainInJSON tells whether encoding/json writes a byte of a text as it is.
+// plainInJSON reports whether encoding/json writes a byte of a string without escaping it.
 func plainInJSON(c byte) bool {
 	switch c {
 	case '"', '\\', '<', '>', '&':
--- a/internal/server/ingress/helpers_test.go
+++ b/internal/server/ingress/helpers_test.go
@@ -1,6 +1,6 @@
 package ingress
 
-// The stand-ins of this package's tests.
+// Helpers of this package's tests: a fake broker, settings and a request.
 
 import (
 	"fmt"
@@ -46,7 +46,7 @@
 	return &settings
 }
 
-// fakeBroker is a broker that has ended: it takes no query.
+// fakeBroker is a broker that has ended: Submit accepts no query.
 type fakeBroker struct {
 	settings *terms.Terms
 	start    time.Time
--- a/internal/server/ingress/ingress.go
+++ b/internal/server/ingress/ingress.go
@@ -11,44 +11,44 @@
 	"flaxfront/internal/server/query"
 )
 
-// Broker is what ingress needs of the rest of the server. Its methods may be called from any goroutine.
+// Broker is the part of the server that ingress depends on. Its methods may be called from any goroutine.
 type Broker interface {
-	// Submit hands a query to the event loop; false: the broker has ended.
+	// Submit hands a query to the event loop. It reports false if the broker has ended.
 	Submit(s query.Submission) (query.Pending, bool)
-	// Settings are those in force.
+	// Settings returns the settings in force.
 	Settings() *terms.Terms
-	// Since is the time since the broker's start.
+	// Uptime returns the time since the broker's start.
 	Uptime() time.Duration
-	// Draining tells whether a graceful shutdown has begun.
+	// Draining reports whether a graceful shutdown has begun.
 	Draining() bool
-	// CountersJSON is the broker's counters as one line of JSON.
+	// CountersJSON returns the broker's counters as one line of JSON.
 	CountersJSON() string
 }
 
-// Limits bounds the client connections.
+// Limits are the limits on client connections.
 type Limits struct {
-	Connections int           // open at once; Overflow more may be for a moment
-	Used        int           // open at once that have brought a request
-	ReadGrace   time.Duration // in which a request that has begun arrives as a rule
-	AcceptTail  time.Duration // longest that connections are accepted after StopAccepting
+	Connections int           // open at once; up to Overflow more may be open for a moment
+	Used        int           // open at once on which a request has arrived
+	ReadGrace   time.Duration // for a request that has begun to arrive, and for a new connection: neither is reclaimed within it
+	AcceptTail  time.Duration // maximum time for which connections are accepted after StopAccepting
 }
 
-// Overflow is how many connections may be open beyond the limit for a moment: those about to be closed, and those that exceed it.
+// Overflow is how many connections may be open beyond the limit for a moment: those about to be closed, and those whose query is shed.
 const Overflow = 8
 
-// Options of an Ingress.
+// Options configure an Ingress.
 type Options struct {
 	Limits
-	// IgnoredReadHints counts read hints that can't be obeyed; nil: hints are not looked at.
+	// IgnoredReadHints counts read hints that can't be parsed; nil: read hints are not read at all.
 	IgnoredReadHints *atomic.Uint64
 }
 
-// Counters of client connections and of what was wrong with them.
+// Counters count client connections and faults on them.
 type Counters struct {
 	Accepted    atomic.Uint64 // connections
 	Closed      atomic.Uint64 // connections
 	BadRequests atomic.Uint64
-	Unwritten   atomic.Uint64 // answers to queries that could not be written
+	Unwritten   atomic.Uint64 // answers to queries that could not be written to the client
 }
 
 // Ingress serves the client connections of a listener.
@@ -59,11 +59,11 @@
 	broker      Broker
 	options     Options
 	connections connectionSet
-	serving     sync.WaitGroup // connections
+	serving     sync.WaitGroup // goroutines that serve connections
 	acceptEnded chan struct{}  // closed when no more connections are accepted
 }
 
-// New makes an Ingress; nothing is accepted before Run. The listener stays the caller's to close.
+// New returns an Ingress for a listener. It accepts no connection before Run, and does not close the listener, except in StopAccepting.
 func New(listener net.Listener, broker Broker, options Options) *Ingress {
 	return &Ingress{
 		listener:    listener,
@@ -74,24 +74,24 @@
 	}
 }
 
-// Run accepts and serves connections until the listener is closed, and returns when the last of them has ended. The end of ctx closes
-// them all.
+// Run accepts and serves connections until the listener is closed, and returns nil when the last connection has ended. The end of ctx
+// closes all connections.
 func (in *Ingress) Run(ctx context.Context) error {
 	in.accept(ctx)
 	in.serving.Wait()
 	return nil
 }
 
-// CloseIdle closes idle connections, now and whenever one falls idle.
+// CloseIdle closes all idle connections, and from now on each connection that becomes idle.
 func (in *Ingress) CloseIdle() { in.connections.closeIdle() }
 
-// Wait returns when every connection has ended. It comes after StopAccepting.
+// Wait returns when every connection has ended. It must be called after StopAccepting.
 func (in *Ingress) Wait() { in.serving.Wait() }
 
-// Connections is a snapshot of the open connections, in no order.
+// Connections returns a snapshot of the open connections, in no particular order.
 func (in *Ingress) Connections() []ConnectionInfo { return in.connections.snapshot() }
 
-// ReclaimIdle ends the connection whose descriptor can best be spared, and tells whether there was one.
+// ReclaimIdle ends one connection to free its descriptor, an idle one first, and reports whether there was one to end.
 func (in *Ingress) ReclaimIdle() bool {
 	in.connections.mu.Lock()
 	defer in.connections.mu.Unlock()
--- a/internal/server/ingress/log_limit.go
+++ b/internal/server/ingress/log_limit.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// logLimit bounds the log lines on connections that brought no query, as whoever opens thousands a second would fill the log and keep a
-// core busy. Lines beyond the limit are counted, and their number goes into the next line.
+// logLimit limits the log lines about connections that brought no query, as a client that opens thousands a second would fill the log and
+// keep a core busy. Lines beyond the limit are counted, and the next line states their number.
 type logLimit struct {
-	second     int64 // since 1970
-	written    int   // in that second
-	suppressed int   // since the last line
+	second     int64 // Unix time
+	written    int   // lines asked for in that second
+	suppressed int   // lines left out since the last one written
 }
 
 const maxLinesPerSecond = 20
 
-// logDecision tells whether a line is to be written.
+// logDecision says whether a line is written.
 type logDecision struct {
 	write      bool
-	suppressed int // lines before it that were not
+	suppressed int // lines left out before it
 }
 
-// allow decides on a line at a time.
+// allow decides whether a line at the given time is written.
 func (l *logLimit) allow(now time.Time) logDecision {
 	if second := now.Unix(); second != l.second {
 		l.second = second
--- a/internal/server/ingress/log_limit_test.go
+++ b/internal/server/ingress/log_limit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What is logged of useless connections is bounded, and what is left out is counted.
+// Log lines about connections that brought no query are limited, and those left out are counted.
 func TestLogLimitOfUselessConnections(t *testing.T) {
 	var l logLimit
 	at, logged, leftOut := time.Unix(1000, 0), 0, 0
@@ -18,6 +18,6 @@
 	}
 	line := l.allow(at.Add(time.Second))
 	if logged++; !line.write || logged > 12*maxLinesPerSecond || logged+leftOut+line.suppressed != 50*maxLinesPerSecond+1 {
-		t.Errorf("%d logged, %d left out", logged, leftOut+line.suppressed)
+		t.Errorf("%d lines logged, %d left out", logged, leftOut+line.suppressed)
 	}
 }
--- a/internal/server/ingress/read_hint.go
+++ b/internal/server/ingress/read_hint.go
@@ -12,15 +12,15 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// Headers of an answer to a query with a read hint.
+// Headers of the answer to a query with a read hint.
 const (
-	headerPosition    = "X-Read-Position: "     // positions that the answer shows, to be sent back as not-before
-	headerStaleness   = "X-Read-Staleness: "    // bound on what the answer may lack, or "unknown"
-	headerBehind      = "X-Read-Behind: "       // shards that have not reached what the hint asks for, as it allows
-	headerHintIgnored = "X-Read-Hint-Ignored: " // why the hint counts for nothing
+	headerPosition    = "X-Read-Position: "     // positions that the answer reflects; clients send them back as not-before
+	headerStaleness   = "X-Read-Staleness: "    // the answer lacks no write older than this; or "unknown"
+	headerBehind      = "X-Read-Behind: "       // shards that have not reached the position that the hint asks for, where it allows that
+	headerHintIgnored = "X-Read-Hint-Ignored: " // why the hint is ignored
 )
 
-// decodeReadHint reads the hint of a request, or notes why it is ignored.
+// decodeReadHint decodes the read hint of a request into q, or sets why it is ignored.
 func (in *Ingress) decodeReadHint(m *httpwire.Message, q *query.Request) {
 	text, count := m.Get("x-read-hint")
 	if count == 0 {
@@ -39,7 +39,7 @@
 	in.options.IgnoredReadHints.Add(1)
 }
 
-// readHintHeaders are the headers of an answer that a read hint is owed.
+// readHintHeaders returns the headers that an answer carries because of a read hint.
 func readHintHeaders(q *query.Request, r *query.Result) (headers []string) {
 	if q.HintIgnored != "" {
 		headers = append(headers, headerHintIgnored+q.HintIgnored)
--- a/internal/server/ingress/reason.go
+++ b/internal/server/ingress/reason.go
@@ -1,14 +1,14 @@
 package ingress
 
-// Reason is why a connection ends: the reason code of its log line.
+// Reason is why a connection ends: the reason code in its log line.
 type Reason string
 
-// The reasons.
+// The reasons. Operators search for the codes, and docs/oncall.md explains each.
 const (
-	LastAnswer     Reason = "last_answer"   // the client or the broker asked for the end
-	Idle           Reason = "idle"          // no request for as long as the settings allow
+	LastAnswer     Reason = "last_answer"   // the client or the broker asked for the end after an answer
+	Idle           Reason = "idle"          // no request arrived within the idle timeout of the settings
 	Reclaimed      Reason = "spare"         // its descriptor was needed for another connection
-	Drained        Reason = "drained"       // idle in a graceful shutdown
+	Drained        Reason = "drained"       // it was idle in a graceful shutdown
 	Shutdown       Reason = "shutdown"      // the broker ended
 	ClientClosed   Reason = "client_closed" // between requests
 	ClientReset    Reason = "client_reset"  // between requests
@@ -19,5 +19,5 @@
 	WriteFailed    Reason = "write_failed"
 )
 
-// stillOpen is no reason: the connection goes on.
+// stillOpen means that there is no reason: the connection stays open.
 const stillOpen Reason = ""
--- a/internal/server/ingress/reason_test.go
+++ b/internal/server/ingress/reason_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Every reason of a connection's end is explained on the on-call page.
+// The on-call page explains every reason code of a connection's end.
 func TestReasonsAreOnTheOnCallPage(t *testing.T) {
 	source, err := os.ReadFile("reason.go")
 	if err != nil {
--- a/internal/server/ingress/reclaim.go
+++ b/internal/server/ingress/reclaim.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// reclaim ends the connection that has been idle for longest, or where none is idle the one whose request has been arriving for longest,
-// and tells whether there was one. A new connection, and a request that arrives, have the read grace. The caller holds mu.
+// reclaim ends the connection that has been idle for longest or, if none is idle, the one whose request has been arriving for longest. It
+// reports whether there was one. New connections and arriving requests are exempt for the read grace. The caller holds mu.
 func (s *connectionSet) reclaim() bool {
 	return s.endLongest(func(c *connection) bool {
 		idle := c.state == StateIdle && c.used
@@ -12,10 +12,10 @@
 	})
 }
 
-// enforceUsedLimit ends the connection that has been idle for longest where too many have brought a request. The protocol lets clients hold a
-// third of the descriptors for requests: with idle connections that they don't use again they would run out of them while this side
-// still has capacity, and their next requests would never leave. Clients that come back seldom pay with a new connection each time.
-// The caller holds mu.
+// enforceUsedLimit ends the connection that has been idle for longest if a request has arrived on more than Limits.Used connections. The
+// protocol lets clients use a third of their descriptors for requests: idle connections that they don't use again would take these up
+// while the broker still has capacity, and their next requests would never be sent. Clients that send requests seldom pay with a new
+// connection for each. The caller holds mu.
 func (s *connectionSet) enforceUsedLimit() {
 	used := 0
 	for c := range s.open {
@@ -28,8 +28,8 @@
 	}
 }
 
-// endLongest ends, of the connections that qualify, the one in the first of the states, and for longest in it; false: there is none. The
-// caller holds mu.
+// endLongest ends one of the connections that qualify: of those in the lowest state, the one that has been in it for longest. It reports
+// false if none qualifies. The caller holds mu.
 func (s *connectionSet) endLongest(qualifies func(*connection) bool) bool {
 	var first *connection
 	for c := range s.open {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// reclaimedBefore orders connections by how well their descriptors can be spared.
+// reclaimedBefore reports whether c is reclaimed before o: the lower state first, then the one longer in its state.
 func (c *connection) reclaimedBefore(o *connection) bool {
 	if c.state != o.state {
 		return c.state < o.state
--- a/internal/server/ingress/reclaim_test.go
+++ b/internal/server/ingress/reclaim_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Which connection gives up its descriptor, by the states, their age and whether a request was brought.
+// Which connection is reclaimed depends on its state, the time in that state and whether a request has arrived on it.
 func TestReclaimOrder(t *testing.T) {
 	const grace = 250 * time.Millisecond
 	type open struct {
@@ -59,7 +59,7 @@
 	}
 }
 
-// A connection at and beyond the limit: shed, shed beside a reclaimed one, and not admitted.
+// Beyond the limit a connection is admitted over the limit, whether or not another is reclaimed; beyond the overflow it is not admitted.
 func TestAdmissionAtTheLimit(t *testing.T) {
 	set := newConnectionSet(Limits{Connections: 2, Used: 2, ReadGrace: time.Hour})
 	admit := func() (*connection, bool) {
@@ -81,19 +81,19 @@
 		set.startAnswering(c)
 	}
 	if _, ok := admit(); ok {
-		t.Error("admitted beyond the overflow")
+		t.Error("a connection was admitted beyond the overflow")
 	}
 	set.becomeIdle(first)
 	if _, ok := admit(); ok || first.endReason != Reclaimed {
-		t.Errorf("beyond the overflow: admitted %v; the idle one ends as %q", ok, first.endReason)
+		t.Errorf("beyond the overflow: admitted %v; the idle connection ends as %q", ok, first.endReason)
 	}
 	set.remove(first)
 	if c, ok := admit(); !ok || !c.overLimit {
-		t.Errorf("after one ended: admitted %v, over the limit %v", ok, c.overLimit)
+		t.Errorf("after one connection ended: admitted %v, over the limit %v", ok, c.overLimit)
 	}
 }
 
-// A set that closes its idle connections ends each that falls idle, and no other.
+// After closeIdle the set ends each connection that is or becomes idle, and no other.
 func TestCloseIdle(t *testing.T) {
 	set := newConnectionSet(Limits{Connections: 3, Used: 3, ReadGrace: time.Hour})
 	var connections [2]*connection
@@ -108,9 +108,9 @@
 	set.startAnswering(busy)
 	set.closeIdle()
 	if idle.endReason != Drained || set.endReasonOf(busy) != stillOpen {
-		t.Errorf("idle ends as %q, busy as %q", idle.endReason, busy.endReason)
+		t.Errorf("the idle connection ends as %q, the busy one as %q", idle.endReason, busy.endReason)
 	}
 	if reason := set.becomeIdle(busy); reason != Drained {
-		t.Errorf("fallen idle: %q", reason)
+		t.Errorf("after becoming idle the busy connection ends as %q", reason)
 	}
 }
--- a/internal/server/ingress/request_error.go
+++ b/internal/server/ingress/request_error.go
@@ -7,19 +7,19 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// RequestError is a request that can't be served. Its client gets the status, and the detail as the body.
+// RequestError describes why a request can't be served. The client gets the status, and the detail as the body.
 type RequestError struct {
 	Status int
 	Detail string // what is wrong, and the input at fault
-	Err    error  // beneath; nil: none
+	Err    error  // the cause; nil: none
 }
 
 func (e *RequestError) Error() string { return e.Detail }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *RequestError) Unwrap() error { return e.Err }
 
-// asRequestError finds the answer that an error is owed.
+// asRequestError returns the error answer for err: status 400 unless err carries another.
 func asRequestError(err error) *RequestError {
 	if bad, ok := errors.AsType[*RequestError](err); ok {
 		return bad
--- a/internal/server/ingress/request_error_test.go
+++ b/internal/server/ingress/request_error_test.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// Each error of a request has a status, and can be told by its type.
+// Every error of a request has a status and a detail, and its cause can be found by type.
 func TestRequestErrors(t *testing.T) {
 	plain := errors.New("plain")
 	fault := &httpwire.Fault{Status: 413, Why: "too long"}
@@ -32,6 +32,6 @@
 	err := decodeBody(&query.Request{}, []byte(`{"tablets":`), testSettings(t))
 	syntax, ok := errors.AsType[*json.SyntaxError](err)
 	if !ok || !strings.HasSuffix(err.Error(), syntax.Error()) {
-		t.Errorf("%v does not wrap what encoding/json says", err)
+		t.Errorf("%v does not wrap the error of encoding/json", err)
 	}
 }
--- a/internal/server/ingress/scan.go
+++ b/internal/server/ingress/scan.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// scanBody reads a body in the form that nearly all clients write: known keys, each once, in lower case, texts without escapes. It
-// accepts nothing that encoding/json refuses or reads differently; what is out of the ordinary is left to that.
+// scanBody decodes a body in the form that nearly all clients write: known keys, each once, in lower case, and strings without escapes. It
+// accepts nothing that encoding/json rejects or reads differently, and reports false for any other form, which unmarshalBody decodes.
 func scanBody(body []byte) (b queryBody, ok bool) {
 	s := scanner{text: body}
 	tablets := false
@@ -25,7 +25,7 @@
 	return b, !s.failed && s.pos == len(s.text) && statement && len(b.shards) > 0
 }
 
-// typicalShards of a query, as a first guess.
+// typicalShards is the initial capacity for a query's shards.
 const typicalShards = 8
 
 func (s *scanner) shards() []bodyShard {
@@ -41,7 +41,7 @@
 }
 
 func (s *scanner) shard() (b bodyShard) {
-	var seenTablet, seenFraction, seenGuess, seenToken bool // met
+	var seenTablet, seenFraction, seenGuess, seenToken bool // keys read so far
 	s.eachKey(func(key []byte) bool {
 		switch {
 		case string(key) == "tablet" && !seenTablet:
--- a/internal/server/ingress/scan_test.go
+++ b/internal/server/ingress/scan_test.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/server/query"
 )
 
-// readWithEncodingJSON is what encoding/json makes of a body, the other way being shut.
+// readWithEncodingJSON decodes a body with encoding/json only.
 func readWithEncodingJSON(body []byte) (out queryBody, ok bool) {
 	var doc struct {
 		Tablets []struct {
@@ -32,7 +32,8 @@
 	return out, len(out.shards) > 0
 }
 
-// FuzzScan: whatever the scanner takes, encoding/json reads the same; and the other way round what is written reads back.
+// FuzzScan checks that encoding/json decodes every body that the scanner accepts in the same way, and that strings survive a round trip
+// through appendJSONString.
 func FuzzScan(f *testing.F) {
 	for _, text := range []string{body, `{"tablets":[{"tablet":0,"fraction":1}],"statement":"c4"}`,
 		"{ \"statement\" : \"a\" , \"tablets\" : [ { \"fraction\" : 1e0 , \"tablet\" : 0 , \"token\" : \"00\" } ] }\n",
@@ -60,13 +61,13 @@
 	})
 }
 
-// The scanner takes the ordinary form.
+// The scanner accepts the usual form of a body, and leaves escapes to encoding/json.
 func TestScanAcceptsTheUsualForm(t *testing.T) {
 	if _, ok := scanBody([]byte(body)); !ok {
-		t.Error("the tests' body goes the slow way")
+		t.Error("the scanner rejects the tests' body")
 	}
 	if _, ok := scanBody([]byte(strings.Replace(body, "c41e", "\\u0041", 1))); ok {
-		t.Error("an escape went the quick way")
+		t.Error("the scanner accepts a body with an escape")
 	}
 }
 
--- a/internal/server/ingress/scanner.go
+++ b/internal/server/ingress/scanner.go
@@ -1,13 +1,13 @@
 package ingress
 
-// scanner reads JSON from left to right; once anything is out of the ordinary it has failed for good.
+// scanner reads JSON of the form that scanBody accepts. Once it meets anything else, failed is set and stays set.
 type scanner struct {
 	text   []byte
 	pos    int
 	failed bool
 }
 
-// eachKey reads an object, and has value read what stands under each of its keys; value returns false for a key that it doesn't accept.
+// eachKey reads an object, and calls value after each key to read its value; value returns false for a key that it doesn't accept.
 func (s *scanner) eachKey(value func(key []byte) bool) {
 	s.expect('{')
 	for first := true; !s.failed && !s.ends('}'); first = false {
@@ -22,7 +22,7 @@
 	}
 }
 
-// ends tells whether an object or an array ends here, and steps over its end.
+// ends reports whether the closing bracket of an object or array comes next, and if so consumes it.
 func (s *scanner) ends(closing byte) bool {
 	if s.peek() != closing {
 		return false
@@ -42,7 +42,7 @@
 	}
 }
 
-// peek is the next byte that is no space; 0 at the end.
+// peek skips white space and returns the next byte; at the end of the text it fails and returns 0.
 func (s *scanner) peek() byte {
 	s.skipSpace()
 	if s.pos == len(s.text) {
@@ -52,7 +52,7 @@
 	return s.text[s.pos]
 }
 
-// expect steps over a byte that must come next.
+// expect skips white space and consumes c, or fails if another byte comes next.
 func (s *scanner) expect(c byte) {
 	switch {
 	case s.peek() != c:
@@ -81,10 +81,10 @@
 	return nil
 }
 
-// scannedNumber is a number as JSON writes it.
+// scannedNumber is a number in JSON syntax.
 type scannedNumber struct {
 	text    string
-	integer bool // with neither fraction nor exponent
+	integer bool // it has neither fraction nor exponent
 }
 
 func (s *scanner) number() scannedNumber {
@@ -109,7 +109,7 @@
 	return scannedNumber{text: string(s.text[from:s.pos]), integer: integer}
 }
 
-// skip steps over a byte if it comes next, and tells whether it did.
+// skip consumes c if it comes next, and reports whether it did.
 func (s *scanner) skip(c byte) bool {
 	if s.pos == len(s.text) || s.text[s.pos] != c {
 		return false
@@ -118,7 +118,7 @@
 	return true
 }
 
-// digits steps over one digit or more.
+// digits consumes one or more digits, and fails if there is none.
 func (s *scanner) digits() {
 	from := s.pos
 	for s.pos < len(s.text) && s.text[s.pos] >= '0' && s.text[s.pos] <= '9' {
--- a/internal/server/ingress/serve.go
+++ b/internal/server/ingress/serve.go
@@ -12,21 +12,21 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// request is one request of a connection, come whole.
+// request is a whole request that has arrived on a connection.
 type request struct {
 	*httpwire.Message
-	arrival time.Duration // since the broker's start: when its last byte had come
+	arrival time.Duration // when its last byte had arrived, since the broker's start
 	last    bool          // its answer is the connection's last
 }
 
-// ServeConnection serves a connection that was accepted elsewhere until its end, whether or not there is capacity for it.
+// ServeConnection serves a connection that the caller accepted, even if there is no capacity for it. It returns why the connection ended.
 func (in *Ingress) ServeConnection(ctx context.Context, conn net.Conn) Reason {
 	c := newConnection(conn, in.broker.Uptime)
 	in.connections.admit(c)
 	return in.serve(ctx, c)
 }
 
-// serve serves a connection until its end, which leaves one log line.
+// serve serves a connection until its end, writes one log line about it, and returns the reason.
 func (in *Ingress) serve(ctx context.Context, c *connection) Reason {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	reason := in.serveRequests(ctx, c)
@@ -57,7 +57,7 @@
 		r := request{Message: m, arrival: c.ahead.Came(c.in.Buffered())}
 		endReason := in.connections.startAnswering(c)
 		r.last = endReason != stillOpen || m.Close || c.overLimit
-		// A request that came while another was being answered, or before the connection was accepted, may be of a client that has left.
+		// The client may already have left if its request arrived during the previous answer or before the connection was accepted.
 		if c.ahead.Look() {
 			return ClientDeparted
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request.
+// awaitRequest waits for the first byte of a request. It returns why the connection ends instead, or stillOpen.
 func (in *Ingress) awaitRequest(c *connection) Reason {
 	c.SetReadDeadline(in.firstByteDeadline(c))
 	if endReason := in.connections.becomeIdle(c); endReason != stillOpen && !c.hasUnread() {
@@ -80,7 +80,7 @@
 		_, err = c.in.Peek(1)
 	}
 	endReason := in.connections.startReading(c)
-	c.SetReadDeadline(in.requestDeadline(c)) // after startReading: whoever ended it as idle just before must not cut the request short
+	c.SetReadDeadline(in.requestDeadline(c)) // after startReading: an end as idle just before must not cut the request short
 	switch {
 	case err == nil:
 		return stillOpen
@@ -95,7 +95,7 @@
 	}
 }
 
-// readRequest reads a request whole.
+// readRequest reads a whole request.
 func (in *Ingress) readRequest(c *connection) (*httpwire.Message, Reason) {
 	m, err := httpwire.ReadRequest(c.in)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return m, stillOpen
 }
 
-// readFailed returns why a connection ends whose request could not be read. The client is told if it is at fault.
+// readFailed returns why a connection ends whose request could not be read. If the client is at fault, it gets an error answer.
 func (in *Ingress) readFailed(c *connection, err error) Reason {
 	var fault *httpwire.Fault
 	switch {
--- a/internal/server/ingress/slow_test.go
+++ b/internal/server/ingress/slow_test.go
@@ -1,6 +1,6 @@
 package ingress
 
-// Tests of clients that are slow or send what makes no sense: they are told or closed in time.
+// Tests of clients that send slowly, nothing or invalid requests: they get an error or a close in time.
 
 import (
 	"fmt"
@@ -14,12 +14,12 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// Whatever a client sends or leaves out, and however slowly, it hears a word or a close within 3 s of connecting.
+// A client gets an error answer or a close within 3 s of connecting, whatever it sends or leaves out, and however slowly.
 func TestAnswerOrCloseWithinThreeSeconds(t *testing.T) {
 	settings := testSettings(t)
 	for _, c := range []struct {
 		sends string
-		every time.Duration // a byte; 0: all at once
+		every time.Duration // between two bytes; 0: all at once
 	}{
 		{"", 0},
 		{"POST /find HTTP/1.1\r\n", 0},
@@ -50,7 +50,7 @@
 			}()
 			m, err := httpwire.ReadResponse(httpwire.NewReader(client))
 			if took := time.Since(begun); took >= 3*time.Second || err == nil && (m.Status < 400 || !m.Close) {
-				t.Errorf("%.40q: %v, %v after %v", c.sends, m, err, took)
+				t.Errorf("%.40q: answer %v, error %v after %v", c.sends, m, err, took)
 			}
 			client.Close()
 			time.Sleep(time.Second)
--- a/internal/server/query/id.go
+++ b/internal/server/query/id.go
@@ -2,7 +2,7 @@
 
 const maxIDBytes = 64
 
-// ValidID tells whether an id can stand in a line of a frame to a node.
+// ValidID reports whether an id can be written in a line of a frame to a node: 1 to 64 ASCII letters, digits, hyphens and underscores.
 func ValidID(id string) bool {
 	for i := range len(id) {
 		if !validIDByte(id[i]) {
--- a/internal/server/query/query.go
+++ b/internal/server/query/query.go
@@ -1,6 +1,5 @@
-// Package query holds what passes between the fronts that clients talk to and the event loop: a query as it was read, and its result.
-// The package has types only. A Request belongs to the loop from its submission on, a Result to the front that receives it; neither is
-// used by both at once.
+// Package query holds the types that client protocols (fronts) and the event loop exchange: a query as it was read, and its result.
+// The event loop owns a Request once it is submitted, and the front owns the Result that it receives; neither is shared.
 package query
 
 import (
@@ -11,30 +10,30 @@
 	"flaxfront/internal/config/terms"
 )
 
-// Request is a query as a front read it, whatever its protocol.
+// Request is a query as a front read it, in any client protocol.
 type Request struct {
 	ID          string
-	Type        int // of the settings' query types
-	Tenant      int // of the settings' tenants
+	Type        int // index into the settings' query types
+	Tenant      int // index into the settings' tenants
 	Retry       bool
 	Timeout     time.Duration
 	Text        string
 	Shards      []ShardRequest
-	Client      uint64         // a hash of the key that the client states; 0: none
-	Settings    *terms.Terms   // by which the query was read; nil: those of the start
-	Hint        *readhint.Hint // on reads; nil: none
-	HintIgnored string         // why a hint counts for nothing
+	Client      uint64         // hash of the key that the client sends; 0: none
+	Settings    *terms.Terms   // with which the query was decoded; nil: the initial ones
+	Hint        *readhint.Hint // read hint of a read; nil: none
+	HintIgnored string         // why the read hint is ignored; empty: it isn't
 }
 
-// ShardRequest is what a query asks of one shard.
+// ShardRequest is the part of a query that goes to one shard.
 type ShardRequest struct {
-	Name   string // as nodes see it: ShardRequestName
+	Name   string // on the wire to nodes, see ShardRequestName
 	Shard  int
-	Weight float64 // its share of the query
+	Weight float64 // share of the complete answer, 0 to 1
 }
 
-// WeightTolerance is how far the weights of a query's shard requests may be from adding up to 1, as clients round them.
+// WeightTolerance is the largest accepted difference between 1 and the sum of a query's weights, as clients round them.
 const WeightTolerance = 0.01
 
-// ShardRequestName is a shard request's name on the wire to nodes.
+// ShardRequestName returns the name of a shard request on the wire to nodes.
 func ShardRequestName(queryID string, shard int) string { return queryID + "." + strconv.Itoa(shard) }
--- a/internal/server/query/result.go
+++ b/internal/server/query/result.go
@@ -6,21 +6,21 @@
 	"flaxfront/internal/cluster/readhint"
 )
 
-// Result is the one final answer to a query.
+// Result is the final answer to a query; each query gets exactly one.
 type Result struct {
 	Outcome    Outcome
-	Complete   bool          // every shard is answered
-	RetryAfter time.Duration // shed: when the client may send it again; 0: no advice
+	Complete   bool          // every shard has answered
+	RetryAfter time.Duration // of a shed query: how long the client should wait before a retry; 0: no advice
 	Answers    []ShardAnswer
 
-	// Of an answered query with a read hint.
+	// Set for an answered query with a read hint.
 	Hinted    bool
 	Positions []readhint.Position // by shard
-	Behind    []int               // shards that have not reached what the hint asks for
-	Staleness time.Duration       // bound on what the answer may lack; readpin.Unknown: none is known
+	Behind    []int               // shards that have not reached the position that the hint asks for
+	Staleness time.Duration       // the answer lacks no write older than this; readpin.UnknownAge: no bound is known
 }
 
-// Outcome tells what became of a query.
+// Outcome is how a query ended.
 type Outcome uint8
 
 // The outcomes of a query.
@@ -28,10 +28,10 @@
 	Answered Outcome = iota
 	Shed
 	Failed
-	Duplicate // another query of the same id is in flight
+	Duplicate // another query with the same id is in flight
 )
 
-// String names the outcome, for log lines.
+// String returns the outcome's name, for log lines.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
--- a/internal/server/query/submission.go
+++ b/internal/server/query/submission.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Submission is a query on its way from a client's connection to the event loop.
+// Submission hands a query from a client's connection to the event loop.
 type Submission struct {
 	Request *Request
-	Arrival time.Duration // since the broker's start: when the last byte had come
-	// ConnectionOverLimit tells that the client's connection exceeds the limit on connections: the query is shed.
+	Arrival time.Duration // when its last byte arrived, since the broker's start
+	// ConnectionOverLimit is set if the client's connection exceeds the limit on connections: the query is shed.
 	ConnectionOverLimit bool
 }
 
-// AbandonCause tells why a front no longer waits for the loop to finish a query.
+// AbandonCause is why a front no longer waits for the result of a query.
 type AbandonCause uint8
 
-// The causes.
+// The causes of abandoning a query.
 const (
-	ClientDeparted AbandonCause = iota // no result is delivered any more
-	DeadlinePassed                     // a failed result is delivered, unless one has been
+	ClientDeparted AbandonCause = iota // no result is delivered
+	DeadlinePassed                     // a Failed result is delivered, unless a result already was
 )
 
 // Pending is a submitted query. Its methods may be called from any goroutine.
 type Pending interface {
-	// Result delivers the one result. It is never closed.
+	// Result returns the channel that delivers the one result. The channel is never closed.
 	Result() <-chan Result
-	// Deadline is when the query has to be answered, since the broker's start.
+	// Deadline returns when the query must be answered, since the broker's start.
 	Deadline() time.Duration
-	// Abandon ends the query early; after its result it does nothing.
+	// Abandon ends the query early; once the result is delivered it has no effect.
 	Abandon(cause AbandonCause)
 }
