--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -13,8 +13,8 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// What a new service has is known 4 s after the change of address: one that is silent, slow, or rejects at first is polled again soon
-// enough, whatever the old one did before.
+// The list of a new service is notified within 4 s of the change of address, even if that service is silent, slow or rejects requests at
+// first, and whatever the old service did before.
 func TestChangeAddressInTime(t *testing.T) {
 	for what, answer := range map[string]func(since time.Duration) (wait time.Duration, status int){
 		"silent at first": func(since time.Duration) (time.Duration, int) {
@@ -43,7 +43,7 @@
 					if err == nil && l.Version == 7 && notifiedAt.IsZero() {
 						notifiedAt = time.Now()
 					}
-					if err != nil { // the module asks again, ever more seldom
+					if err != nil { // the event loop polls again, with a growing delay
 						time.AfterFunc(backoff, c.Poll)
 						backoff = min(2*backoff, 6*time.Second)
 					}
@@ -87,10 +87,10 @@
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
 				if took := notifiedAt.Sub(moved); notifiedAt.IsZero() || took > polling.MaxNotificationDelayAfterAddressChange {
-					t.Errorf("%s, the old one %s: had %v after the move", what, old, took)
+					t.Errorf("%s, old service %s: list notified %v after the change of address", what, old, took)
 				}
 				cancel()
-				time.Sleep(2 * time.Hour) // until the stand-ins have ended
+				time.Sleep(2 * time.Hour) // until the fake services have ended
 			})
 		}
 	}
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -13,7 +13,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// startClientWithBackoff is a client with a backoff, before stand-ins that are dialled in turn.
+// startClientWithBackoff runs a client with a backoff; dial opens its n-th connection, from 1. got collects the notifications.
 func startClientWithBackoff(t *testing.T, dial func(n int) (net.Conn, error)) (got *[]string, stop func()) {
 	c := NewClient("127.0.0.1:1", testReader(), 20*time.Second, 0, false, nil)
 	c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: 2 * time.Millisecond,
@@ -38,7 +38,7 @@
 	return got, cancel
 }
 
-// serveAnswers is a discovery that answers each call in turn by what it is given, then holds the next.
+// serveAnswers returns a connection to a fake discovery that answers each request with the next of bodies, and the one after them never.
 func serveAnswers(bodies ...string) net.Conn {
 	near, far := net.Pipe()
 	go func() {
@@ -47,7 +47,7 @@
 			if _, err := httpwire.ReadRequest(in); err != nil {
 				return
 			}
-			if body == "" { // says nothing
+			if body == "" { // never answers
 				io.Copy(io.Discard, far)
 				return
 			}
@@ -62,8 +62,8 @@
 	return near
 }
 
-// Discovery that can't be reached is connected to until that succeeds; one that is silent or overloaded is left alone in
-// between; one failure of an outage is notified, and then the list.
+// The client tries to connect to a discovery that can't be reached until that succeeds, and polls a silent or overloaded one with a
+// backoff; it notifies of one failure per outage, and then of the list.
 func TestBackoffDuringOutage(t *testing.T) {
 	fullList := listJSON(7, true, instanceJSON("s-1", "10.0.0.1:80", "in_service", 0))
 	for what, c := range map[string]struct {
@@ -103,7 +103,7 @@
 				return serveAnswers(listJSON(3, true)), nil
 			}
 			return serveAnswers(listJSON(3, true)), nil
-		}, 3500 * time.Millisecond, "[7127.0.0.1:1 failed 3127.0.0.1:1]"}, // the watch that follows is overdue later
+		}, 3500 * time.Millisecond, "[7127.0.0.1:1 failed 3127.0.0.1:1]"}, // the watch that follows times out later
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			got, stop := startClientWithBackoff(t, c.conns)
@@ -118,7 +118,7 @@
 	}
 }
 
-// A change of address, or the end, is not delayed by the wait for a discovery that is down.
+// Neither a change of address nor the end of ctx is delayed while the client waits for a discovery that is down.
 func TestChangeAddressWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("127.0.0.1:1", testReader(), 20*time.Second, 0, false, nil)
@@ -143,7 +143,7 @@
 		time.Sleep(time.Second)
 		c.ChangeAddress("127.0.0.1:2", nil)
 		if took := <-at; took > 1100*time.Millisecond {
-			t.Errorf("the move was made %v after the start", took)
+			t.Errorf("the new address was polled %v after the start, a change of address 1 s after it", took)
 		}
 		cancel()
 		<-done
--- a/internal/discovery/busy_test.go
+++ b/internal/discovery/busy_test.go
@@ -13,12 +13,12 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// serialService is a discovery that works through requests one after the other. One that has waited too long by its turn is rejected; one
-// whose client has gone costs as much as any other.
+// serialService is a fake discovery that works on one request at a time. A request that would wait too long is rejected; one whose client
+// has disconnected takes as much time as any other.
 type serialService struct {
 	mu         sync.Mutex
 	perRequest time.Duration
-	freeAt     time.Time // when the calls so far are done
+	freeAt     time.Time // when it has finished all requests so far
 	calls      int
 }
 
@@ -33,7 +33,7 @@
 			if err != nil {
 				return
 			}
-			if m.Query != "" { // a watch, with nothing to tell
+			if m.Query != "" { // a watch, without a change
 				time.Sleep(time.Hour)
 				return
 			}
@@ -57,8 +57,8 @@
 	return near, nil
 }
 
-// Brokers that move together keep the new service busy for a while. Each has the list in time, as none gives up its place in the
-// queue and comes again behind the others.
+// Brokers that change to a new service together keep it busy for a while. Each still has the list in time, as no client abandons its place
+// in the service's queue and requests again behind the others.
 func TestListOfABusyServiceComesInTime(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
@@ -74,7 +74,7 @@
 				c = NewClient("old", testReader(), 10*time.Second, 0, false, func(l *List, err error) {
 					mu.Lock()
 					defer mu.Unlock()
-					if err != nil { // the module asks again
+					if err != nil { // the event loop polls again
 						time.AfterFunc(backoff, c.Poll)
 						backoff = min(2*backoff, time.Second)
 					} else if _, before := notifiedAt[i]; !before {
@@ -89,7 +89,7 @@
 			synctest.Wait()
 			mu.Lock()
 			if len(notifiedAt) < brokers {
-				t.Errorf("%d of %d brokers had the list in time, by %d calls: %v", len(notifiedAt), brokers, s.calls, notifiedAt)
+				t.Errorf("%d of %d brokers had the list in time, with %d requests: %v", len(notifiedAt), brokers, s.calls, notifiedAt)
 			}
 			mu.Unlock()
 			cancel()
@@ -98,19 +98,19 @@
 	}
 }
 
-// receive is what comes within a time that no test should need.
+// receive returns the next value from a channel; the test fails if none arrives within 5 s.
 func receive(t *testing.T, from <-chan string) string {
 	t.Helper()
 	select {
 	case got := <-from:
 		return got
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing came within 5 s")
+		t.Fatal("received nothing within 5 s")
 		return ""
 	}
 }
 
-// A watch that breaks is opened anew at once, and nobody is notified; if that fails too it is an outage, which is notified.
+// A watch whose connection breaks is reopened at once without a notification; if that fails too it is an outage, which is notified.
 func TestBrokenWatchIsReopened(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,7 +131,7 @@
 					break
 				}
 				polled <- m.Query
-				if n < 2 && m.Query != "" { // the first watch breaks, and so does the call after it
+				if n < 2 && m.Query != "" { // the first watch breaks, and so does the request after it
 					conn.(*net.TCPConn).SetLinger(0)
 					break
 				}
@@ -152,7 +152,7 @@
 			t.Errorf("polled %q, want %q", got, want)
 		}
 	}
-	for _, want := range []string{"41", "failed"} { // the second connection broke as well
+	for _, want := range []string{"41", "failed"} { // the failure is that of the second connection
 		if got := receive(t, notified); got != want {
 			t.Errorf("notified %s, want %s", got, want)
 		}
@@ -165,7 +165,7 @@
 	<-done
 }
 
-// A full list may have any version, also where it was a watch that brought it: it is applied.
+// A full list is applied whatever its version, even if a watch brought it.
 func TestFullListOfAnOlderVersionIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var notified []string
@@ -178,14 +178,14 @@
 		c.Poll()
 		synctest.Wait()
 		if fmt.Sprint(notified) != "[<nil> true]" || c.currentVersion != 3 {
-			t.Errorf("notified %q, version %d held", notified, c.currentVersion)
+			t.Errorf("notified %q, current version %d", notified, c.currentVersion)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// sendVersions notes each notification as a version, or as a failure.
+// sendVersions returns a notify function that sends each list's version to notified, or "failed" for an error.
 func sendVersions(notified chan<- string) func(*List, error) {
 	return func(l *List, err error) {
 		if err != nil {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,10 +1,9 @@
-// Package discovery follows the endpoint list of a discovery service over HTTP: polls, watches, hedges beside a request that goes
-// unanswered, and the reading of the list. The event loop decides when to poll, through Client.Poll, and is notified of each list and of
-// each failure that it has to decide on. The client itself repeats only what can't wait: a watch whose connection broke, a request to a
-// service that it has just moved to, and, with a polling.Backoff, polls during an outage. A list that can't be read whole changes nothing.
+// Package discovery follows the endpoint list of a discovery service over HTTP: it polls, holds watches, sends hedges if a request goes
+// unanswered, and decodes the list. The event loop decides when to poll, through Client.Poll, and is notified of each list and of each
+// failure that it has to decide on. The client itself retries only what can't wait: a watch whose connection broke, a request to a service
+// that it has just moved to, and, with a polling.Backoff, polls during an outage. A list that can't be read whole changes nothing.
 //
-// Concurrency: Run owns a client and is called once; Poll and ChangeAddress may be called from any goroutine. Depends on decision,
-// decision/polling, transport/httpwire.
+// Concurrency: Run owns a client and is called once; Poll and ChangeAddress may be called from any goroutine.
 package discovery
 
 import (
@@ -20,39 +19,39 @@
 // Client follows the endpoint list of one discovery service.
 type Client struct {
 	mu              sync.Mutex
-	pendingAddress  string             // to move to; "" for none
-	pendingSettings *Settings          // to use from there on; nil: unchanged
-	cancelRequest   context.CancelFunc // ends the request or the pause under way
+	pendingAddress  string             // set by ChangeAddress and not applied yet; "": none
+	pendingSettings *Settings          // to use with the pending address; nil: unchanged
+	cancelRequest   context.CancelFunc // ends the current request or pause
 
 	pollRequested chan struct{}
 
-	// The rest is Run's.
+	// The fields below belong to the goroutine that calls Run.
 	address      string
 	reader       Reader
 	maxWatchTime time.Duration
-	localAgent   bool // its retries cost nobody else anything
+	localAgent   bool // the address is an agent of this broker's own: retries put no load on other brokers' discovery
 	jitter       polling.Jitter
 	backoff      *polling.Backoff // nil: the event loop decides when a failed service is polled again
 	notify       func(*List, error)
 	dial         dialer
 
-	idleConnection *connection // for the next request; nil: there is none
-	movedAt        time.Time   // to this address
+	idleConnection *connection // for the next request; nil: none
+	movedAt        time.Time   // when the current address was applied
 	currentVersion uint64
-	versionKnown   bool // else the full list is asked for
-	pollNext       bool // discovery has not answered since it failed, or at all: the next request is a poll, not a watch
-	lastFailed     bool // the last request did
+	versionKnown   bool // otherwise the full list is requested
+	pollNext       bool // the next request is a poll, not a watch, as discovery has not answered yet or not since a failure
+	lastFailed     bool // the last request failed
 }
 
-// Settings say how discovery is polled at an address.
+// Settings are the settings for polling discovery at an address.
 type Settings struct {
 	Reader       Reader
-	MaxWatchTime time.Duration // for which discovery may hold a watch
+	MaxWatchTime time.Duration // how long discovery may hold a watch
 	LocalAgent   bool          // the address is an agent of this broker's own
 }
 
-// NewClient makes a client that holds a version already (versionKnown) or nothing. notify is called by Run with a list or an error; it
-// must not block for long.
+// NewClient returns a client. If versionKnown, the caller already holds the list of currentVersion. Run calls notify with a list or an
+// error; notify must not block for long.
 func NewClient(address string, reader Reader, maxWatchTime time.Duration, currentVersion uint64, versionKnown bool,
 	notify func(*List, error)) *Client {
 	return &Client{
@@ -68,12 +67,12 @@
 	}
 }
 
-// UseLocalAgent has an agent of this broker's own polled again soon whatever failed: what it has when an outage ends has to be known soon
-// after. It is called before Run.
+// UseLocalAgent says that the address is an agent of this broker's own. The client then polls again soon after any failure, so that the
+// list is known soon after an outage ends. It must be called before Run.
 func (c *Client) UseLocalAgent() { c.localAgent = true }
 
-// UseBackoff has the client poll again by itself during an outage; only the first failure of an outage is notified. It is called before
-// Run. currentVersion is the version to ask for changes from, if versionKnown.
+// UseBackoff makes the client poll again by itself during an outage, and notify only of the first failure of an outage. If versionKnown,
+// changes since currentVersion are requested first. It must be called before Run.
 func (c *Client) UseBackoff(backoff *polling.Backoff, currentVersion uint64, versionKnown bool) {
 	c.backoff = backoff
 	c.pollNext = true
@@ -81,9 +80,9 @@
 	c.versionKnown = versionKnown
 }
 
-// ChangeAddress has discovery polled at another address from now on, even where a watch is held; it counts as a Poll. The list held stands
-// until the new service has answered. That one may count its versions from anywhere, so that it is asked for the full list first. settings
-// hold from there on, if they are given.
+// ChangeAddress makes the client poll discovery at another address from now on, ending a watch that is held; it counts as a Poll. The
+// current list stays in use until the new service answers. The versions of the new service are unrelated to those of the old one, so that
+// the full list is requested first. settings, if not nil, apply from then on.
 func (c *Client) ChangeAddress(address string, settings *Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,22 +96,22 @@
 	c.Poll()
 }
 
-// Poll starts following the list unless that is under way; each poll is answered by a list or an error. It doesn't block.
+// Poll starts following the list unless the client already does. Each call leads to a notification of a list or an error. It doesn't block.
 func (c *Client) Poll() {
 	select {
 	case c.pollRequested <- struct{}{}:
-	default: // one is waiting already
+	default: // a poll is already requested
 	}
 }
 
-// addressChanged reports whether ChangeAddress waits to be applied.
+// addressChanged reports whether a change of address waits to be applied.
 func (c *Client) addressChanged() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pendingAddress != ""
 }
 
-// begin applies a change of address that waits, and returns a context for a request or a pause that ChangeAddress ends.
+// begin applies a pending change of address, and returns a context for a request or a pause that ChangeAddress cancels.
 func (c *Client) begin(ctx context.Context) (context.Context, context.CancelFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +122,7 @@
 	return ctx, c.cancelRequest
 }
 
-// applyAddress is called with the lock held.
+// applyAddress applies the pending address and settings. The caller holds mu.
 func (c *Client) applyAddress() {
 	c.closeIdleConnection("moved")
 	c.address = c.pendingAddress
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -14,7 +14,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// Every poll gets one answer or more; a failure ends the watch, and an unreadable or outdated list leads to a full one.
+// Every poll leads to a notification; a failure ends the watch, and after an unreadable or outdated list the full list is requested.
 func TestWatch(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,7 +60,7 @@
 	for _, step := range [][2]string{{"index=40&wait=3000", "41"}, {"index=41&wait=3000", "43"},
 		{"index=43&wait=3000", "failed"}, {"index=43&wait=3000", "failed"}, {"index=43&wait=3000", "failed"},
 		{"", "failed"}, {"", "44"}} {
-		c.Poll() // where a watch is held this asks for nothing more
+		c.Poll() // no additional request while a watch is held
 		if got := <-polled; got != step[0] {
 			t.Errorf("polled %q, want %q", got, step[0])
 		}
@@ -74,8 +74,8 @@
 	}
 }
 
-// A change of address ends the watch that is held and polls the new service at once, for the full list, whatever it counts from;
-// whether a new one that fails is polled again is the event loop's decision.
+// A change of address ends the watch that is held and polls the new service at once, for the full list, whatever its version; the event
+// loop decides whether a new service that fails is polled again.
 func TestChangeAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var notified []string
@@ -95,7 +95,7 @@
 				defer far.Close()
 				for in := httpwire.NewReader(far); ; {
 					m, err := httpwire.ReadRequest(in)
-					if err != nil || m.Query != "" { // a watch is held for ever
+					if err != nil || m.Query != "" { // a watch is never answered
 						io.Copy(io.Discard, far)
 						return
 					}
@@ -115,7 +115,7 @@
 			c.ChangeAddress(step.to, nil)
 			synctest.Wait()
 			if got := fmt.Sprint(notified); got != step.want || time.Since(begun) > 0 {
-				t.Errorf("move %d to %s: notified %s after %v, want %s", i, step.to, got, time.Since(begun), step.want)
+				t.Errorf("change %d of address, to %s: notified %s after %v, want %s", i, step.to, got, time.Since(begun), step.want)
 			}
 		}
 		cancel()
@@ -123,7 +123,7 @@
 	})
 }
 
-// Other settings hold from the next request on: a shorter watch, another layout.
+// Changed settings apply from the next request on: a shorter watch time and another number of cells.
 func TestChangeAddressAndSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var notified []string
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// errSilent is the cause of the end of a request that was not answered in time.
+// errSilent is the context's cause for a request that was not answered in time.
 var errSilent = errors.New("discovery did not answer in time")
 
-// isConnectionLost reports whether a connection ended under a request, and discovery neither refused it nor answered what can't be used.
+// isConnectionLost reports whether an established connection ended during a request, as opposed to a connection that discovery did not
+// accept or an answer that can't be used.
 func isConnectionLost(err error) bool {
 	if errors.As(err, new(*UnreachableError)) {
 		return false
@@ -21,7 +22,8 @@
 		errors.Is(err, io.ErrClosedPipe) || errors.Is(err, net.ErrClosed)
 }
 
-// SilentError is a request that discovery did not answer in time. As after each of these errors, the list held stands.
+// SilentError says that discovery did not answer a request in time. After this error, as after every other one of this file, the current
+// list stays in use.
 type SilentError struct {
 	Service  string
 	Duration time.Duration
@@ -33,26 +35,26 @@
 
 // Remedy is what an operator can do.
 func (e *SilentError) Remedy() string {
-	return "it is polled again on a new connection; if that goes on, look at discovery and at the way to it"
+	return "it is polled again on a new connection; if that goes on, check discovery and the network path to it"
 }
 
-// UnreachableError is a connection that discovery did not accept.
+// UnreachableError says that no connection to discovery could be established.
 type UnreachableError struct {
 	Service string
 	Err     error
 }
 
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("discovery at %s accepts no connection: %v", e.Service, e.Err)
+	return fmt.Sprintf("no connection to discovery at %s: %v", e.Service, e.Err)
 }
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
 // Remedy is what an operator can do.
 func (e *UnreachableError) Remedy() string {
-	return `see that discovery runs and that "discovery" in the configuration names it; SIGHUP applies a new address`
+	return `check that discovery runs and that "discovery" in the configuration names it; SIGHUP applies a new address`
 }
 
-// StatusError is an answer that is no list.
+// StatusError says that discovery answered with an HTTP status other than 200.
 type StatusError struct {
 	Service string
 	Status  int
@@ -64,10 +66,10 @@
 
 // Remedy is what an operator can do.
 func (e *StatusError) Remedy() string {
-	return "503 means down or too many callers, and it is polled with a growing backoff; any other status is discovery's fault"
+	return "503 means down or too many callers, and discovery is polled with a growing backoff; any other status is a fault of discovery"
 }
 
-// UnreadableListError is an answer that can't be read whole; nothing of it is applied.
+// UnreadableListError says that an answer can't be decoded whole; nothing of it is applied.
 type UnreadableListError struct {
 	Service string
 	Err     error
@@ -80,15 +82,15 @@
 
 // Remedy is what an operator can do.
 func (e *UnreadableListError) Remedy() string {
-	return "the list held stands and the full list is asked for next; correct the entry that the error names, " +
+	return "the current list stays in use and the full list is requested next; correct the entry that the error names, " +
 		"or compare the versions of the two programs"
 }
 
-// ListError says what of a list can't be read.
+// ListError says which part of a list can't be decoded.
 type ListError struct {
-	Field   string // of the document; "" where all of it can't be read
+	Field   string // path in the document; "" if none of it could be decoded
 	Problem string
-	Err     error // of the JSON decoder, or nil
+	Err     error // of the JSON decoder; nil: the JSON is valid
 }
 
 func (e *ListError) Error() string {
@@ -99,7 +101,7 @@
 }
 func (e *ListError) Unwrap() error { return e.Err }
 
-// OutdatedListError is an update older than the version held.
+// OutdatedListError says that discovery sent an update older than the current version.
 type OutdatedListError struct {
 	Service        string
 	Version        uint64
@@ -107,10 +109,10 @@
 }
 
 func (e *OutdatedListError) Error() string {
-	return fmt.Sprintf("discovery at %s sent version %d after %d", e.Service, e.Version, e.CurrentVersion)
+	return fmt.Sprintf("discovery at %s sent an update to version %d, older than the current version %d", e.Service, e.Version, e.CurrentVersion)
 }
 
 // Remedy is what an operator can do.
 func (e *OutdatedListError) Remedy() string {
-	return "the full list is asked for next and applied as it is; see whether discovery lost its state or answers from two copies"
+	return "the full list is requested next and applied as it is; check whether discovery lost its state or answers from two copies"
 }
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -14,8 +14,7 @@
 	"flaxfront/internal/decision/polling"
 )
 
-// Whatever a service answers that is no list, nothing of it is applied, one line says what is wrong and another what an operator can do,
-// and the full list is asked for next.
+// Nothing of an answer that is no valid list is applied; its error is one line with a remedy, and the full list is requested next.
 func TestWrongAnswersChangeNothing(t *testing.T) {
 	good := instanceJSON("s-1", "10.0.0.1:80", "in_service", 0)
 	for what, answer := range map[string]string{
@@ -29,7 +28,7 @@
 			var failures []error
 			c := NewClient("d:1", testReader(), 3*time.Second, 40, true, func(l *List, err error) {
 				if failures = append(failures, err); l != nil {
-					t.Errorf("%s: a list was applied", what)
+					t.Errorf("%s: notified of a list", what)
 				}
 			})
 			c.dial = func(context.Context, string, string) (net.Conn, error) { return serveAnswers(answer), nil }
@@ -39,7 +38,7 @@
 			synctest.Wait()
 			if len(failures) != 1 || strings.Contains(failures[0].Error(), "\n") || remedy.Of(failures[0]) == "" ||
 				c.versionKnown || c.currentVersion != 40 {
-				t.Errorf("%s: %v, remedy %q", what, failures, remedy.Of(failures[0]))
+				t.Errorf("%s: notified %v, remedy %q", what, failures, remedy.Of(failures[0]))
 			}
 			cancel()
 			synctest.Wait()
@@ -47,7 +46,7 @@
 	}
 }
 
-// An answer that never ends, however it trickles, ends with its own request; the next is made all the same.
+// An answer that arrives byte by byte and never ends does not keep hedges from being sent: it ends with its attempt's timeout.
 func TestEndlessAnswerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient("d:1", testReader(), 3*time.Second, 40, true, func(l *List, err error) {})
@@ -74,7 +73,7 @@
 		time.Sleep(polling.MaxNotificationDelay)
 		synctest.Wait()
 		if dials.Load() < 2 {
-			t.Error("no hedge went out beside an answer that does not end")
+			t.Error("no hedge was sent during an answer that never ends")
 		}
 		cancel()
 		time.Sleep(time.Second)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,32 +13,32 @@
 	"flaxfront/internal/decision"
 )
 
-// Node is one entry of the list.
+// Node is one entry of the endpoint list.
 type Node struct {
 	Name        string
 	Address     netip.AddrPort
 	Endpoint    decision.Endpoint
-	Zone        string // as discovery names it
-	StartedAtMS int64  // its last start in Unix time in milliseconds; 0: long ago
+	Zone        string // discovery's name of the zone
+	StartedAtMS int64  // when the node last started, Unix time in ms; 0: long ago
 }
 
-// List is a full list or an update.
+// List is a full endpoint list or an update to one.
 type List struct {
 	Version   uint64
-	Full      bool
+	Full      bool // replaces the whole list; false: an update
 	Nodes     []Node
 	Service   string // the address that sent it
-	CellCount int    // in which its nodes lie, as it was read
+	CellCount int    // number of cells that it was decoded with
 }
 
-// Reader reads lists in discovery's form.
+// Reader decodes lists in discovery's JSON format.
 type Reader struct {
 	Zones     []string
 	CellCount int
-	StartedAt time.Time // endpoints' starts count from here
+	StartedAt time.Time // the broker's start: decision.Endpoint.StartedAt counts from it
 }
 
-// document is a list in discovery's form.
+// document is a list in discovery's JSON format.
 type document struct {
 	Generation *uint64    `json:"generation"`
 	Reset      bool       `json:"reset"`
@@ -54,7 +54,7 @@
 	StartedAtMS int64  `json:"startedAtMs"`
 }
 
-// Decode reads one list; any entry that can't be read spoils it. Its errors are of type ListError.
+// Decode decodes one list. An entry that can't be decoded makes it reject the whole list. Its errors are of type *ListError.
 func (rd *Reader) Decode(raw []byte) (*List, error) {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -75,7 +75,7 @@
 	return list, nil
 }
 
-// decodeInstance leaves the field of an error to the caller.
+// decodeInstance decodes one entry. The caller sets the field of an error.
 func (rd *Reader) decodeInstance(in *instance) (Node, *ListError) {
 	if in.InstanceID == "" || in.Cell < 0 || in.Cell >= rd.CellCount {
 		return Node{}, &ListError{Problem: fmt.Sprintf("%q in cell %d of %d", in.InstanceID, in.Cell, rd.CellCount)}
@@ -121,7 +121,7 @@
 	return 0, false
 }
 
-// ZoneNumber returns the number of a zone in the settings; all that they do not name have the number after those.
+// ZoneNumber returns the index of a zone in Zones. All zones that are not in Zones share the number len(Zones).
 func (rd *Reader) ZoneNumber(name string) int {
 	number := slices.Index(rd.Zones, name)
 	if number < 0 {
@@ -130,8 +130,8 @@
 	return number
 }
 
-// IDOfName makes a node's id of its name. Addresses differ from one broker to the next, names do not, and gossip on nodes must mean the
-// same to all brokers. Hexadecimal digits that end a name show in the id.
+// IDOfName derives a node's id from its name, as brokers may see a node at different addresses but its id must be the same for all of them
+// in gossip. If a name ends in eight hexadecimal digits, they become the id's Addr, so that the id shows them in log lines.
 func IDOfName(name string) (id decision.NodeID) {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -40,24 +40,24 @@
 	n := got.Nodes[0]
 	want := decision.Endpoint{Node: IDOfName("s-1"), Cell: 2, Zone: 1, State: decision.Ready, StartedAt: decision.StartedLongAgo}
 	if n.Endpoint != want || n.Address != netip.MustParseAddrPort("10.0.0.1:80") {
-		t.Errorf("read as %+v", n)
+		t.Errorf("decoded as %+v", n)
 	}
 	if e := got.Nodes[1].Endpoint; e.State != decision.Draining || e.StartedAt != 2500*time.Millisecond {
-		t.Errorf("read as %+v", e)
+		t.Errorf("decoded as %+v", e)
 	}
-	// One bad entry spoils the list: half a list may hide a drain.
+	// One invalid entry invalidates the list, as an incomplete list may hide a drain.
 	for _, bad := range []string{"", "[]", `{"instances":[]}`, listJSON(1, true, instanceJSON("s-1", "here", "in_service", 0)),
 		listJSON(1, true, instanceJSON("", "10.0.0.1:80", "in_service", 0)), listJSON(1, true, instanceJSON("s-1", "10.0.0.1:80", "asleep", 0)),
 		listJSON(1, true, instanceJSON("s-1", "10.0.0.1:80", "in_service", -1)), listJSON(1, true, strings.Replace(
 			instanceJSON("s-1", "10.0.0.1:80", "in_service", 0), `"cell":2`, `"cell":3`, 1))} {
 		got, err := rd.Decode([]byte(bad))
 		if !errors.As(err, new(*ListError)) {
-			t.Errorf("%.60q read as %+v, %v", bad, got, err)
+			t.Errorf("%.60q decoded as %+v, %v", bad, got, err)
 		}
 	}
 }
 
-// Brokers see a node at different addresses, yet must mean the same node when they speak of it.
+// Ids derive from names: brokers may see a node at different addresses, but must refer to it by the same id.
 func TestIDOfName(t *testing.T) {
 	seen := map[decision.NodeID]string{}
 	for _, name := range []string{"s-5be2a07c", "s-5be2a07d", "t-5be2a07c", "s", "node one", "node two"} {
@@ -67,11 +67,11 @@
 		seen[IDOfName(name)] = name
 	}
 	if text := IDOfName("s-5be2a07c").String(); !strings.HasPrefix(text, "5be2a07c/") {
-		t.Errorf("logged as %s", text)
+		t.Errorf("id of s-5be2a07c logged as %s", text)
 	}
 }
 
-// Lists may come indented: what they say is the same, and so is what they may hold.
+// An indented list decodes like a compact one, and may be as long.
 func TestIndentedList(t *testing.T) {
 	var lines []string
 	for i := range 200 {
@@ -93,7 +93,7 @@
 			t.Fatal(err)
 		}
 		if got, err := rd.Decode(m.Body); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("indented: %v", err)
+			t.Errorf("indented list: %v", err)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		if l, err := rd.Decode(raw); err == nil {
 			for _, n := range l.Nodes {
 				if n.Name == "" || n.Endpoint.Cell >= 3 || !n.Address.IsValid() && n.Endpoint.State != decision.Removed {
-					t.Errorf("let through %+v", n)
+					t.Errorf("accepted %+v", n)
 				}
 			}
 		}
--- a/internal/discovery/race.go
+++ b/internal/discovery/race.go
@@ -10,17 +10,17 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// connectTimeout leaves time for another attempt while the news that it brings are still in time.
+// connectTimeout leaves enough time for another attempt to bring the list within the delays that package polling states.
 const connectTimeout = 2 * time.Second
 
 // dialer opens a connection to discovery.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// connection is one to discovery, with the number of requests that it has carried.
+// connection is a connection to discovery.
 type connection struct {
 	net.Conn
 	in       *bufio.Reader
-	requests int
+	requests int // sent on it so far
 }
 
 func connect(ctx context.Context, address string, dial dialer) (*connection, error) {
@@ -33,7 +33,7 @@
 	return &connection{Conn: conn, in: httpwire.NewReader(conn)}, nil
 }
 
-// end closes a connection, if there is one.
+// end closes the connection and logs why; on nil it does nothing.
 func (c *connection) end(reason string) {
 	if c == nil {
 		return
@@ -42,7 +42,7 @@
 	slog.Info("connection ended", "component", "discovery", "reason", reason, "requests", c.requests)
 }
 
-// interrupt ends whatever waits on a connection. It may run after the connection was given up.
+// interrupt closes the connection to end a read or write that blocks. It may run after the connection was abandoned.
 func (c *connection) interrupt() { c.Close() }
 
 func (c *connection) get(target, host string) (*httpwire.Message, error) {
@@ -52,16 +52,17 @@
 	return httpwire.ReadResponse(c.in)
 }
 
-// outcome is how an attempt ended: by an answer or an error. Whoever takes it closes or keeps the connection.
+// outcome is the result of an attempt: an answer or an error. Its receiver must close or reuse the connection.
 type outcome struct {
-	conn   *connection // nil: none came up
+	conn   *connection // nil: none was established, or it is closed already
 	answer *httpwire.Message
 	err    error
 }
 
-// race is the attempts of one request, each in a goroutine and on a connection of its own. One goroutine uses it.
+// race runs the attempts of one request concurrently, each in its own goroutine and on its own connection. Its methods are called by one
+// goroutine.
 type race struct {
-	ctx      context.Context // ends the attempts
+	ctx      context.Context // cancels the attempts
 	cancel   context.CancelFunc
 	address  string
 	dial     dialer
@@ -75,7 +76,7 @@
 	return r
 }
 
-// start makes an attempt on an idle connection, or on a new one (nil).
+// start starts an attempt on an idle connection, or on a new one if idle is nil.
 func (r *race) start(idle *connection, a attempt) {
 	r.inFlight++
 	go func() {
@@ -91,7 +92,7 @@
 // end abandons the attempts in flight.
 func (r *race) end() { r.cancel() }
 
-// exchange sends one request and reads its answer.
+// exchange sends one request and reads its answer, within the attempt's timeout.
 func (r *race) exchange(conn *connection, a attempt) outcome {
 	ctx, cancel := context.WithTimeoutCause(r.ctx, a.Timeout, errSilent)
 	defer cancel()
@@ -110,7 +111,7 @@
 	switch {
 	case err != nil && context.Cause(ctx) == errSilent:
 		err = &SilentError{r.address, time.Since(startedAt)}
-	case err == nil && interrupted: // closed just when its answer was there
+	case err == nil && interrupted: // interrupt closed the connection just as its answer was read
 		conn.end("overtaken")
 		conn = nil
 	}
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -12,7 +12,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// cancelingConn is a connection on which the race ends in the very moment in which the answer is read.
+// cancelingConn is a connection that ends the race just as the answer is read from it.
 type cancelingConn struct {
 	net.Conn
 	endRace func()
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// A request that is given up just when its answer was read leaves a closed connection that nobody uses again, and ends nothing else.
+// If a request is canceled just as its answer is read, its connection is closed and not reused, and nothing else ends.
 func TestAnswerReadAsRaceIsCanceled(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // what ends the connection runs after the answer was taken
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so that interrupt runs after the answer was read
 	for range 20 {
 		r := newRace(t.Context(), "d:1", nil)
 		e := &cancelingConn{endRace: r.cancel, closed: make(chan struct{}, 4), answer: httpwire.AppendResponse(nil, 200, false, []byte("{}"))}
@@ -51,11 +51,11 @@
 			t.Fatalf("%+v", o)
 		}
 		<-e.closed
-		<-e.closed // by the race and by its end
+		<-e.closed // closed by interrupt and by exchange
 	}
 }
 
-// A connection that comes up when the race is over is closed.
+// A connection that is established after the race has ended is closed.
 func TestConnectionAfterTheRaceIsClosed(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	e := &cancelingConn{closed: make(chan struct{}, 4)}
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -16,13 +16,13 @@
 	statusOK = 200
 )
 
-// attempt is one HTTP request: what it asks for, and how long it is waited for.
+// attempt is one HTTP request: its target, and how long to wait for its answer.
 type attempt struct {
 	target string
 	polling.Timeouts
 }
 
-// request makes one request, with hedges beside it: a watch from the version held, a poll for changes, or one for the full list.
+// request makes one request, with hedges: a watch from the current version, a poll for changes, or a poll for the full list.
 func (c *Client) request(ctx context.Context) (*List, error) {
 	ctx, end := c.begin(ctx)
 	defer end()
@@ -36,7 +36,7 @@
 	return c.acceptList(answer)
 }
 
-// firstAttempt is the one that a request begins with.
+// firstAttempt returns the attempt that a request begins with.
 func (c *Client) firstAttempt() attempt {
 	watch := c.versionKnown && !c.pollNext
 	first := c.pollAttempt()
@@ -47,7 +47,7 @@
 	if c.backoff == nil {
 		return first
 	}
-	if watch { // the backoff decides when another request goes out, in place of a hedge
+	if watch { // the backoff decides when another request is sent, instead of a hedge
 		first.Timeout = first.HedgeDelay
 	} else {
 		first.Timeout = c.backoff.PollTimeout()
@@ -55,7 +55,7 @@
 	return first
 }
 
-// pollAttempt asks for changes, or for the full list where no version is held, without waiting for a change.
+// pollAttempt returns an attempt that requests changes, or the full list if no version is known, without waiting for a change.
 func (c *Client) pollAttempt() attempt {
 	pollAttempt := attempt{listPath, c.jitter.PollTimeouts()}
 	if c.versionKnown {
@@ -64,13 +64,13 @@
 	return pollAttempt
 }
 
-// changesTarget is the HTTP target of a request for changes since the version held.
+// changesTarget returns the HTTP target of a request for changes since the current version.
 func (c *Client) changesTarget(watchTime time.Duration) string {
 	return fmt.Sprintf("%s?index=%d&wait=%d", listPath, c.currentVersion, watchTime.Milliseconds())
 }
 
-// sendHedged makes an attempt, and hedges beside it for as long as the service doesn't answer, and returns the first answer. A service
-// that rejects is not silent: what is out by then is waited for, and nothing more goes out.
+// sendHedged makes an attempt, and sends hedges for as long as the service is silent. It returns the first answer with status 200, or how
+// the last attempt ended. A service that rejects a request is not silent: then the attempts in flight are awaited, and no more are sent.
 func (c *Client) sendHedged(ctx context.Context, first attempt) (*httpwire.Message, error) {
 	r := newRace(ctx, c.address, c.dial)
 	defer r.end()
@@ -110,7 +110,7 @@
 	}
 }
 
-// reuseConnection keeps the connection of an answer for the next request, if it may carry one.
+// reuseConnection keeps the connection of an answer for the next request, or closes it if it can't carry another.
 func (c *Client) reuseConnection(o outcome) {
 	if o.answer.Close || o.answer.Status != statusOK {
 		o.conn.end("last_answer")
@@ -119,12 +119,12 @@
 	c.idleConnection = o.conn
 }
 
-// acceptList reads a list and holds its version. An update older than the version held is rejected, as it can't be applied; a full list
-// may have any version, as a service that lost its state counts anew.
+// acceptList decodes a list and makes its version the current one. An update older than the current version is rejected, as it can't be
+// applied; a full list may have any version, as a service that lost its state starts its versions anew.
 func (c *Client) acceptList(answer *httpwire.Message) (*List, error) {
 	list, err := c.reader.Decode(answer.Body)
 	if err != nil {
-		c.versionKnown = false // the full list next
+		c.versionKnown = false // request the full list next
 		return nil, &UnreadableListError{c.address, err}
 	}
 	if c.versionKnown && list.Version < c.currentVersion && !list.Full {
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -13,8 +13,8 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// A watch falls silent as soon as it is open, and a node drains; from then on discovery answers each request after 1.9 s, as it is busy.
-// What the watch missed is held 6 s after it fell silent at the latest, whatever was drawn.
+// A watch falls silent as soon as it is open, and a node drains; from then on a busy discovery answers each request after 1.9 s. The drain
+// that the watch missed is notified at most 6 s after the watch fell silent, whatever the jitter.
 func TestSilentWatchOfABusyService(t *testing.T) {
 	for round := range 40 {
 		synctest.Test(t, func(t *testing.T) {
@@ -43,7 +43,7 @@
 						time.Sleep(1900 * time.Millisecond)
 						far.Write(httpwire.AppendResponse(nil, 200, false, []byte(listJSON(41, false, instanceJSON("s-1", "10.0.0.1:80", "terminating", 0)))))
 					}
-					httpwire.ReadRequest(in) // until it is closed
+					httpwire.ReadRequest(in) // blocks until the connection is closed
 				}()
 				return near, nil
 			}
@@ -54,10 +54,10 @@
 			select {
 			case at := <-notifiedAt:
 				if at > polling.MaxNotificationDelay {
-					t.Errorf("the drain was had %v after the watch fell silent, by %d calls", at, calls.Load())
+					t.Errorf("the drain was notified %v after the watch fell silent, with %d requests", at, calls.Load())
 				}
 			default:
-				t.Error("the drain was never had")
+				t.Error("the drain was never notified")
 			}
 			cancel()
 			time.Sleep(time.Minute)
@@ -65,8 +65,8 @@
 	}
 }
 
-// A local agent that rejects requests, or accepts no connection, while discovery is down is polled again soon, and its outage is notified
-// once: what it has at its return is known soon after. A service that all brokers share is left to the router's backoff.
+// A local agent that rejects requests or accepts no connection while discovery is down is polled again soon, and its outage is notified
+// once, so that its list is known soon after the outage. A service that all brokers share is polled again only when the event loop says so.
 func TestLocalAgentIsPolledSoonAfterAnOutage(t *testing.T) {
 	for _, refuses := range []bool{true, false} {
 		for _, localAgent := range []bool{true, false} {
@@ -104,10 +104,10 @@
 				late := time.Duration(notifiedAfter.Load()) - down
 				if localAgent && (late < 0 || late > polling.AgentRetryInterval || failures.Load() != 1 ||
 					calls.Load() > int32(2*down/polling.AgentRetryInterval)) {
-					t.Errorf("refuses %v: had %v after the return, %d calls, %d failures notified", refuses, late, calls.Load(), failures.Load())
+					t.Errorf("refuses %v: list notified %v after the outage, %d requests, %d failures notified", refuses, late, calls.Load(), failures.Load())
 				}
 				if !localAgent && calls.Load() > 1 {
-					t.Errorf("refuses %v: %d requests that nobody asked for", refuses, calls.Load())
+					t.Errorf("refuses %v: %d requests for one call of Poll", refuses, calls.Load())
 				}
 				cancel()
 				synctest.Wait()
--- a/internal/discovery/run.go
+++ b/internal/discovery/run.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/decision/polling"
 )
 
-// Run makes the requests until ctx ends. It returns nil.
+// Run waits for Poll and follows the list until ctx ends. It returns nil.
 func (c *Client) Run(ctx context.Context) error {
 	defer c.closeIdleConnection("shutdown")
 	for {
@@ -25,7 +25,7 @@
 	}
 }
 
-// step makes one request, notifies of what came of it, and reports whether another follows without being asked for.
+// step makes one request, notifies of its result, and reports whether another request follows without a call of Poll.
 func (c *Client) step(ctx context.Context) (another bool) {
 	startedAt := time.Now()
 	list, err := c.request(ctx)
@@ -37,11 +37,11 @@
 		return true
 	}
 	select {
-	case <-c.pollRequested: // while this request was out, and answered by it
+	case <-c.pollRequested: // requested during this request, and answered by its error
 	default:
 	}
-	if c.addressChanged() { // looked at last, as ChangeAddress polls: a change from here on wakes the next round
-		return true // the request was ended by the change, or went to the wrong service
+	if c.addressChanged() { // checked last, as ChangeAddress calls Poll: a later change wakes Run's next round
+		return true // the change canceled the request, or the request went to the old address
 	}
 	c.closeIdleConnection("call_failed")
 	if c.backoff != nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// retry notifies of a failure and waits where the request is made again without being asked for. The first broken connection is not
-// notified of, and an outage of a local agent only once.
+// retry notifies of a failure, and pauses if the request is retried without a call of Poll. It does not notify of the first lost
+// connection, and notifies only once of an outage of a local agent.
 func (c *Client) retry(ctx context.Context, err error, duration time.Duration) (again bool) {
 	connectionLost := !c.lastFailed && isConnectionLost(err)
 	knownOutage := c.localAgent && c.lastFailed
@@ -81,14 +81,14 @@
 	return again && ctx.Err() == nil
 }
 
-// pause waits; ChangeAddress ends the wait.
+// pause waits for the delay, or until ChangeAddress or the end of ctx.
 func (c *Client) pause(ctx context.Context, delay time.Duration) {
 	ctx, end := c.begin(ctx)
 	defer end()
 	sleep(ctx, delay)
 }
 
-// awaitBackoff notifies of the first failure of an outage and waits until discovery is to be polled again. It reports false where ctx ended.
+// awaitBackoff notifies of the first failure of an outage and waits until discovery is to be polled again. It reports false if ctx ended.
 func (c *Client) awaitBackoff(ctx context.Context, err error) (again bool) {
 	if !c.lastFailed {
 		c.notify(nil, err)
@@ -103,7 +103,7 @@
 	return ctx.Err() == nil
 }
 
-// reconnect tries to connect until that succeeds. ChangeAddress ends it.
+// reconnect tries to connect until that succeeds, ChangeAddress is called or ctx ends.
 func (c *Client) reconnect(ctx context.Context) {
 	ctx, end := c.begin(ctx)
 	defer end()
@@ -120,7 +120,7 @@
 	}
 }
 
-// sleep waits for a time or until ctx ends.
+// sleep waits for the delay or until ctx ends.
 func sleep(ctx context.Context, delay time.Duration) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -18,10 +18,11 @@
 
 func noJitter(time.Duration) time.Duration { return 0 }
 
-// silentService is a discovery that accepts every request. While it is silent it answers none, nor those that it had then.
+// silentService is a fake discovery that accepts every request. While it is silent it answers none, and it never answers requests that were
+// pending at such a time.
 type silentService struct {
 	mu      sync.Mutex
-	version int // that it tells
+	version int // of the list that it answers with
 	silent  bool
 	changed *sync.Cond
 	calls   []string
@@ -79,8 +80,8 @@
 	return near, nil
 }
 
-// One clock for silence: whatever a watch misses that has fallen silent is held 6 s after it fell silent at the latest,
-// and so is what a discovery sends that accepted requests and answered none for any time before, 6 s after it answers again.
+// A change that a silent watch misses is notified at most 6 s after the watch fell silent. The list of a discovery that accepted requests
+// but answered none, for however long, is notified at most 6 s after it answers again.
 func TestListInTimeAfterSilence(t *testing.T) {
 	for _, withBackoff := range []bool{false, true} {
 		for _, silence := range []time.Duration{0, time.Second, 3 * time.Second, 9 * time.Second, 31 * time.Second} {
@@ -103,10 +104,10 @@
 					if withBackoff {
 						c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, BrokerCount: 300}, 7), 40, known)
 					}
-					s.silent = !known // else the first watch is held, and falls silent later
+					s.silent = !known // otherwise the first watch is held, and falls silent later
 					ctx, cancel := context.WithCancel(t.Context())
 					go c.Run(ctx)
-					c.Poll() // once: it is on the client that silence ends
+					c.Poll() // once: the client must detect and end the silence by itself
 					synctest.Wait()
 					silentSince := time.Now()
 					s.set(40, true)
@@ -115,13 +116,13 @@
 					time.Sleep(10 * time.Second)
 					synctest.Wait()
 					if late := notifiedAt.Sub(silentSince.Add(silence)); notifiedAt.IsZero() || late > polling.MaxNotificationDelay {
-						t.Errorf("paced %v, known %v, speaks after %v: had after %v; polled %q", withBackoff, known, silence, late, s.calls)
+						t.Errorf("with backoff %v, version known %v, answering after %v: list notified after %v; polled %q", withBackoff, known, silence, late, s.calls)
 					}
 					if silence < 9*time.Second && known && failures > 1 {
 						t.Errorf("%d failures notified", failures)
 					}
 					cancel()
-					s.set(99, true) // nobody waits on
+					s.set(99, true) // releases the pending requests
 					synctest.Wait()
 				})
 			}
@@ -129,8 +130,8 @@
 	}
 }
 
-// The clock also counts from the end of the watch time: a watch is given up early enough for another request, and never waits longer than
-// leaves the clock at 6 s. Watches that began together do not end together.
+// The delay is also bounded from the end of the watch time: a watch is abandoned early enough for another request, and lasts at most so
+// long that the list is still notified within 6 s. Watches that began together do not end together.
 func TestWatchEndsAreSpread(t *testing.T) {
 	ends := map[time.Duration]bool{}
 	for range 20 {
@@ -151,7 +152,7 @@
 			}
 			synctest.Wait()
 			if len(s.calls) < 2 {
-				t.Fatalf("polled %q in a minute", s.calls)
+				t.Fatalf("only polled %q within a minute", s.calls)
 			}
 			var wait time.Duration
 			fmt.Sscanf(s.calls[0], "index=40&wait=%d", &wait)
@@ -159,18 +160,18 @@
 			again := time.Since(begun)
 			if wait > polling.MaxWatchTime || again > wait+polling.MaxNotificationDelayAfterWatch-500*time.Millisecond ||
 				again > polling.MaxNotificationDelay-500*time.Millisecond {
-				t.Errorf("a watch of %v was made anew after %v", wait, again)
+				t.Errorf("a watch of %v was replaced after %v", wait, again)
 			}
 			if s.calls[1] != "index=40&wait=0" {
-				t.Errorf("then polled %q", s.calls[1])
+				t.Errorf("the second request was %q", s.calls[1])
 			}
 			ends[again.Round(100*time.Millisecond)] = true
 			cancel()
-			s.set(99, true) // nobody waits on
+			s.set(99, true) // releases the pending requests
 			synctest.Wait()
 		})
 	}
 	if len(ends) < 5 {
-		t.Errorf("twenty watches ended in %d tenths of a second", len(ends))
+		t.Errorf("20 watches ended in only %d different tenths of a second", len(ends))
 	}
 }
