--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -143,7 +143,7 @@
 		time.Sleep(time.Second)
 		c.ChangeAddress("127.0.0.1:2", nil)
 		if took := <-at; took > 1100*time.Millisecond {
-			t.Errorf("the new address was polled %v after the start, a change of address 1 s after it", took)
+			t.Errorf("the list from the new address was notified %v after the start", took)
 		}
 		cancel()
 		<-done
--- a/internal/discovery/nodelist/bench_test.go
+++ b/internal/discovery/nodelist/bench_test.go
@@ -10,8 +10,8 @@
 	"flaxfront/internal/decision/cachedlist"
 )
 
-// What it costs to keep one change of a list, in the three ways that the design note compares: the whole list in one file
-// that is replaced, this package's journal, and an embedded store of the registry.
+// The cost of saving one change of a list in three ways: replacing a file with the whole list, this package's journal, and the embedded
+// key-value store bbolt.
 func BenchmarkKeepOneChange(b *testing.B) {
 	methods := []struct {
 		name string
--- a/internal/discovery/nodelist/errors.go
+++ b/internal/discovery/nodelist/errors.go
@@ -5,21 +5,21 @@
 	"fmt"
 )
 
-// Why a file is not used, wrapped in FileError.
+// The reasons for which a file is not used, wrapped in FileError.
 var (
-	errTorn            = errors.New("ends within a frame")
-	errDamaged         = errors.New("damaged")
-	errNewerVersion    = errors.New("written by a later version")
-	errOtherDeployment = errors.New("belongs to another deployment")
+	errTorn            = errors.New("file ends within a frame")
+	errDamaged         = errors.New("file damaged")
+	errNewerVersion    = errors.New("file written by a later version")
+	errOtherDeployment = errors.New("file belongs to another deployment")
 	errFrameTooLarge   = errors.New("frame too large")
 )
 
-// FileError says that a file of the directory can't be read whole, or is not of this deployment.
+// FileError says that a file of the directory can't be read whole, or belongs to another deployment.
 type FileError struct {
-	File string // without the directory
+	File string // name without the directory
 	Err  error
 
-	crashRemnant bool // a journal that a crash cut off: nothing of it is lost that was ever written whole
+	crashRemnant bool // a journal that a crash cut off within its last frame: all frames before it are read
 }
 
 func (e *FileError) Error() string { return e.File + ": " + e.Err.Error() }
@@ -29,15 +29,15 @@
 func (e *FileError) Remedy() string {
 	switch {
 	case e.crashRemnant:
-		return "nothing: the next write replaces the journal"
+		return "nothing to do: the next write replaces the journal"
 	case errors.Is(e.Err, errOtherDeployment):
-		return "if the directory was another broker's, give this one its own and rename the file back"
+		return "if the directory is another broker's, give this broker its own and rename the file back"
 	case errors.Is(e.Err, errNewerVersion):
-		return "start the later version again, or go on without the list: discovery fills it anew"
+		return "start the later version again, or continue without the cached list: discovery fills a new one"
 	case errors.Is(e.Err, errDamaged), errors.Is(e.Err, errTorn):
-		return "keep the file for whoever looks into the disk; the list before it is used where there is one"
+		return "keep the file to investigate the disk; the previous generation of the list is used if there is one"
 	}
-	return "see that the broker may read the directory, and test the disk"
+	return "check that the broker may read the directory, and test the disk"
 }
 
 // LockedError says that another process writes to the directory.
@@ -47,29 +47,29 @@
 
 // Remedy tells what an operator can do.
 func (e *LockedError) Remedy() string {
-	return "give each broker a directory of its own; after a restart this ends with the former process"
+	return "give each broker a directory of its own; after a restart this error ends when the old process ends"
 }
 
-// RequestsPendingError says that operators' requests wait, and nobody takes them.
+// RequestsPendingError says that too many operators' requests wait, as no broker carries them out.
 type RequestsPendingError struct {
 	Directory string
 	Pending   int
 }
 
 func (e *RequestsPendingError) Error() string {
-	return fmt.Sprintf("%d operators' requests wait in %s", e.Pending, e.Directory)
+	return fmt.Sprintf("%d operators' requests wait in %s, no more are accepted", e.Pending, e.Directory)
 }
 
 // Remedy tells what an operator can do.
 func (e *RequestsPendingError) Remedy() string {
-	return "see that the broker that holds the directory runs; it takes them within a second"
+	return "check that the broker that uses the directory runs; it carries requests out within a second"
 }
 
-// StorageError says that the disk refused a write. The store tries again by itself.
+// StorageError says that an operation on the directory failed. The store retries by itself.
 type StorageError struct {
-	Operation string // what the store was about to do
+	Operation string // what failed, as in "append to the journal"
 	Directory string
-	Err       error // that of the file system, which names the file
+	Err       error // of the file system; it names the file
 }
 
 func (e *StorageError) Error() string {
@@ -79,5 +79,5 @@
 
 // Remedy tells what an operator can do.
 func (e *StorageError) Remedy() string {
-	return "make room or mend the disk, and see that the broker may write to the directory; it tries again by itself"
+	return "free disk space or repair the disk, and check that the broker may write to the directory; it retries by itself"
 }
--- a/internal/discovery/nodelist/format.go
+++ b/internal/discovery/nodelist/format.go
@@ -9,10 +9,10 @@
 	"flaxfront/internal/decision/cachedlist"
 )
 
-// The content of frames. Keys are numbers, which stay.
+// The content of frames. Keys are numbers; they must not change, as stored files contain them.
 const (
 	fileMagic     = "flaxfront node list\n"
-	formatVersion = 1 // a file with a higher one is set aside
+	formatVersion = 1 // a file with a higher version is set aside
 
 	maxNameBytes = 256 // of a node or a zone
 	maxCell      = 1 << 20
@@ -35,15 +35,15 @@
 	return mode
 }
 
-// fileHeader is the first frame of each file. Version and Deployment keep their keys in all versions.
+// fileHeader is the first frame of each file. Version and Deployment must keep their keys in all versions.
 type fileHeader struct {
 	Version    int        `cbor:"1,keyasint"`
 	Deployment string     `cbor:"2,keyasint"`
-	Head       storedHead `cbor:"3,keyasint"` // of a snapshot
-	Entries    int        `cbor:"4,keyasint"` // of a snapshot
+	Head       storedHead `cbor:"3,keyasint"` // set in a snapshot
+	Entries    int        `cbor:"4,keyasint"` // number of entries, in a snapshot
 }
 
-// storedHead is cachedlist.Head, without the deployment, which is in the file's header.
+// storedHead is the stored form of cachedlist.Head, without the deployment, which is in the file's header.
 type storedHead struct {
 	Service    string               `cbor:"1,keyasint"`
 	Generation uint64               `cbor:"2,keyasint"`
@@ -58,7 +58,7 @@
 	return cachedlist.Head{Service: h.Service, Deployment: deployment, Generation: h.Generation, ConfirmedAt: h.Confirmed}
 }
 
-// storedEntry is cachedlist.Entry.
+// storedEntry is the stored form of cachedlist.Entry.
 type storedEntry struct {
 	Name        string               `cbor:"1,keyasint"`
 	Address     netip.AddrPort       `cbor:"2,keyasint"`
@@ -82,7 +82,7 @@
 		ConfirmedAt: e.Confirmed, ConfirmedBy: e.ConfirmedBy, StateSince: e.StateSince, Generation: e.Generation}
 }
 
-// validate refuses what no broker writes.
+// validate rejects values that no broker writes.
 func (e *storedEntry) validate() error {
 	switch {
 	case e.Name == "", len(e.Name) > maxNameBytes, len(e.Zone) > maxNameBytes:
--- a/internal/discovery/nodelist/frame.go
+++ b/internal/discovery/nodelist/frame.go
@@ -32,14 +32,14 @@
 	return append(b, body...), nil
 }
 
-// reader reads the frames of a file. It allocates for a body only as its bytes are there, whatever its length claims.
+// reader reads the frames of a file. It allocates memory only for bytes that are in the file, whatever length a frame claims.
 type reader struct {
 	in   *bufio.Reader
 	body bytes.Buffer
 }
 
-// readFrame reads one frame into v. It returns io.EOF at the end of the file, errTorn within a frame, and errDamaged for what no broker
-// wrote; other errors are those of reading.
+// readFrame reads one frame into v. It returns io.EOF at the end of the file, errTorn if the file ends within the frame, and errDamaged for
+// a frame that no broker wrote; other errors are those of reading the file.
 func (r *reader) readFrame(v any) error {
 	var header [frameHeaderBytes]byte
 	if n, err := io.ReadFull(r.in, header[:]); err != nil {
@@ -51,7 +51,7 @@
 	length := binary.LittleEndian.Uint32(header[:])
 	checksum := binary.LittleEndian.Uint32(header[4:])
 	if length > maxFrameBytes {
-		return fmt.Errorf("%w: a frame of %d bytes", errDamaged, length)
+		return fmt.Errorf("%w: frame length %d bytes", errDamaged, length)
 	}
 	r.body.Reset()
 	if _, err := io.CopyN(&r.body, r.in, int64(length)); err != nil {
@@ -61,12 +61,12 @@
 		return fmt.Errorf("%w: checksum mismatch", errDamaged)
 	}
 	if err := decoding.Unmarshal(r.body.Bytes(), v); err != nil {
-		return fmt.Errorf("%w: %v", errDamaged, err) // not wrapped: an empty body is io.EOF to the decoder, and no end of the file
+		return fmt.Errorf("%w: %v", errDamaged, err) // not wrapped: the decoder returns io.EOF for an empty body, which is not the end of the file
 	}
 	return nil
 }
 
-// readRequiredFrame reads one frame where a whole file has one.
+// readRequiredFrame is readFrame where every whole file has a frame: the end of the file is errTorn.
 func (r *reader) readRequiredFrame(v any) error {
 	err := r.readFrame(v)
 	if errors.Is(err, io.EOF) {
@@ -75,7 +75,7 @@
 	return err
 }
 
-// tornAtEOF turns the end of a file within a frame into errTorn.
+// tornAtEOF returns errTorn for an end of file within a frame, and other errors unchanged.
 func tornAtEOF(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return errTorn
@@ -83,26 +83,26 @@
 	return err
 }
 
-// header reads what stands before the frames of content, and refuses a file of a later version or of another deployment; deployment
-// "" takes any.
+// header reads the magic line and the header frame of a file. It rejects a file of a later version or of another deployment; with an empty
+// deployment it accepts any.
 func (r *reader) header(deployment string) (h fileHeader, err error) {
 	magic := make([]byte, len(fileMagic))
 	if _, err := io.ReadFull(r.in, magic); err != nil {
 		return h, tornAtEOF(err)
 	}
 	if string(magic) != fileMagic {
-		return h, fmt.Errorf("%w: not a node list", errDamaged)
+		return h, fmt.Errorf("%w: does not begin as a node list", errDamaged)
 	}
 	if err := r.readRequiredFrame(&h); err != nil {
 		return h, err
 	}
 	switch {
 	case h.Version > formatVersion:
-		return h, fmt.Errorf("%w: %d, this one reads up to %d", errNewerVersion, h.Version, formatVersion)
+		return h, fmt.Errorf("%w: format %d, this version reads up to %d", errNewerVersion, h.Version, formatVersion)
 	case h.Version < 1 || h.Entries < 0:
 		return h, errDamaged
 	case deployment != "" && h.Deployment != deployment:
-		return h, fmt.Errorf("%w: %.40q, not %q", errOtherDeployment, h.Deployment, deployment)
+		return h, fmt.Errorf("%w: %.40q, want %q", errOtherDeployment, h.Deployment, deployment)
 	}
 	return h, nil
 }
--- a/internal/discovery/nodelist/nodelist_test.go
+++ b/internal/discovery/nodelist/nodelist_test.go
@@ -36,8 +36,8 @@
 	return Options{Directory: "d", Deployment: "x", FS: d, Unlocked: true, MinJournalBytes: 400}
 }
 
-// writeRandomChanges writes one state after the other until the disk fails. states[i] is what the list held after i changes; acknowledged is how
-// many of them the store said were durable.
+// writeRandomChanges enqueues and flushes random changes, one after the other, until the disk fails. states[i] is the list after i changes;
+// acknowledged is how many of them the store reported as durable.
 func writeRandomChanges(s *Store, rnd *rand.Rand, first map[string]cachedlist.Entry, changes int) (states []map[string]cachedlist.Entry, acknowledged int) {
 	current := map[string]cachedlist.Entry{}
 	maps.Copy(current, first)
@@ -56,7 +56,7 @@
 				current[e.Name] = e
 			}
 		}
-		// In one call the later word counts, as in Put: removals are taken last.
+		// Within one call, the store applies removals after puts.
 		for _, name := range c.Removed {
 			delete(current, name)
 		}
@@ -70,8 +70,8 @@
 	return states, acknowledged
 }
 
-// Killed at any step, the disk holds the last state that was acknowledged, or the one that was being written; and the next start
-// goes on from there.
+// After a crash at any step, the disk holds the last acknowledged state or the one that was being written, and the next start continues
+// from it.
 func TestCrashAtEveryStep(t *testing.T) {
 	for name, damage := range map[string]crashfs.Damage{"flipped bit": crashfs.FlippedBit, "unwritten sector": crashfs.UnwrittenSector} {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// crashAtStep plays one crash; it returns false where the course is over before the step.
+// crashAtStep simulates a crash at a step of the disk. It returns false if the writes ended before that step.
 func crashAtStep(t *testing.T, seed uint64, step int, damage crashfs.Damage) bool {
 	t.Helper()
 	disk := crashfs.New(seed*1000 + uint64(step-1))
@@ -98,19 +98,19 @@
 		return maps.Equal(c.Entries, state)
 	})
 	if !found {
-		t.Fatalf("seed %d, step %d: %d states acknowledged; read %d entries, faults %v", seed, step, acknowledged, len(c.Entries), c.FileErrors)
+		t.Fatalf("seed %d, step %d: %d changes acknowledged; read %d entries, of no later state; faults %v", seed, step, acknowledged, len(c.Entries), c.FileErrors)
 	}
 	more, acknowledged := writeRandomChanges(s, random, c.Entries, 5)
 	if acknowledged != 5 {
-		t.Fatalf("seed %d, step %d: writing did not go on", seed, step)
+		t.Fatalf("seed %d, step %d: writes failed after the restart", seed, step)
 	}
 	if c, _ := Read(after, "d", "x"); !maps.Equal(c.Entries, more[5]) {
-		t.Fatalf("seed %d, step %d: %v, faults %v", seed, step, c.Entries, c.FileErrors)
+		t.Fatalf("seed %d, step %d: read %v after the restart, faults %v", seed, step, c.Entries, c.FileErrors)
 	}
 	return disk.Steps >= step
 }
 
-// A disk that is full and has room again loses nothing.
+// No change is lost while the disk is full: it is written once there is space again.
 func TestDiskFull(t *testing.T) {
 	disk := crashfs.New(1)
 	s, _ := Open(options(disk))
@@ -122,7 +122,7 @@
 			t.Fatal(err)
 		}
 		if c, _ := Read(disk, "d", "x"); !maps.Equal(c.Entries, states[10]) {
-			t.Fatalf("while it is full: %v, %v", c.Entries, c.FileErrors)
+			t.Fatalf("read while the disk is full: %v, faults %v", c.Entries, c.FileErrors)
 		}
 	}
 	disk.Full = false
@@ -131,11 +131,11 @@
 	}
 	states[10][entry(50).Name] = entry(50)
 	if c, _ := Read(disk, "d", "x"); !maps.Equal(c.Entries, states[10]) || !s.Counters.Saving.Load() {
-		t.Fatalf("after: %v, %v", c.Entries, c.FileErrors)
+		t.Fatalf("read once there is space: %v, faults %v", c.Entries, c.FileErrors)
 	}
 }
 
-// Any byte turned anywhere: what is read is some state that was acknowledged, or nothing; never anything else, and never a panic.
+// If any one byte of any file is changed, Read returns a state that was acknowledged or none, and never panics.
 func TestFlippedBytes(t *testing.T) {
 	disk := crashfs.New(1)
 	s, _ := Open(options(disk))
@@ -150,17 +150,17 @@
 				found = found || maps.Equal(c.Entries, s)
 			}
 			if err != nil || !found {
-				t.Fatalf("%s, byte %d: %v, %v", name, i, err, c.Entries)
+				t.Fatalf("%s, byte %d changed: error %v, read %v", name, i, err, c.Entries)
 			}
 			if len(c.FileErrors) == 0 && !strings.HasSuffix(name, snapshotName(s.generation-1)) && !strings.HasSuffix(name, journalName(s.generation-1)) {
-				t.Fatalf("%s, byte %d: not noticed", name, i)
+				t.Fatalf("%s, byte %d changed: no file error", name, i)
 			}
 			data[i] ^= 0x41
 		}
 	}
 }
 
-// What can't be read is set aside under a name that says why; the broker goes on without it.
+// A file that can't be used is set aside with a suffix that says why, and the store works without it.
 func TestSetAside(t *testing.T) {
 	for suffix, c := range map[string]struct {
 		deployment string
@@ -193,7 +193,7 @@
 		}
 		s.Close()
 		if content, _ := Read(filesystem.Local{}, dir, c.deployment); len(content.Entries) != 1 || content.Entries["node-2"] != entry(2) {
-			t.Errorf("%s: then read %+v", suffix, content)
+			t.Errorf("%s: after a new write read %+v", suffix, content)
 		}
 	}
 }
--- a/internal/discovery/nodelist/process_test.go
+++ b/internal/discovery/nodelist/process_test.go
@@ -16,7 +16,7 @@
 	"flaxfront/internal/filesystem/crashfs"
 )
 
-// Two brokers in one directory: the second reads, does not write, and takes over once the first has gone.
+// Of two brokers in one directory the second only reads, and it writes once the first has released the lock.
 func TestLocked(t *testing.T) {
 	dir := t.TempDir()
 	first, _ := Open(Options{Directory: dir, Deployment: "x"})
@@ -38,7 +38,7 @@
 	first.deliverRequests(func(a OperatorRequest) { got = append(got, a) })
 	first.deliverRequests(func(a OperatorRequest) { got = append(got, a) })
 	if len(got) != 1 || got[0].Forget[0] != "node-1" || got[0].Import[0] != entry(3) {
-		t.Errorf("asked %+v", got)
+		t.Errorf("requests delivered: %+v", got)
 	}
 	first.Close()
 	if err := second.Flush(); err != nil {
@@ -47,7 +47,7 @@
 	second.Close()
 }
 
-// A directory that can't be made or written stops nothing.
+// A directory that can't be created is no obstacle to Open; writes return an error.
 func TestNoDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
@@ -59,7 +59,7 @@
 	s.Close()
 }
 
-// runChild writes states until it is killed; each is told on standard output once it is kept.
+// runChild writes states until the process is killed, and prints the number of each on standard output once it is durable.
 func runChild(dir string) {
 	s, _ := Open(Options{Directory: dir, Deployment: "x", MinJournalBytes: 2000})
 	for i := range 1 << 20 {
@@ -73,7 +73,7 @@
 	}
 }
 
-// A process killed for real leaves at least what it was told is kept, and the lock is free.
+// A process that is killed leaves at least the last state that it printed as durable, and the lock is free.
 func TestKilledProcess(t *testing.T) {
 	for round := range 5 {
 		dir := t.TempDir()
@@ -102,7 +102,7 @@
 		cmd.Wait()
 		s, c := Open(Options{Directory: dir, Deployment: "x"})
 		if got := int(c.Head.Generation); got != last && got != last+1 || !s.HoldsLock() {
-			t.Errorf("generation %d, told %d, held %v, %v", got, last, s.HoldsLock(), c.FileErrors)
+			t.Errorf("read generation %d, last printed %d, lock held %v, faults %v", got, last, s.HoldsLock(), c.FileErrors)
 		}
 		s.Close()
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-// Where nobody takes requests, no more than a bounded number wait.
+// If no broker carries out requests, only a limited number are accepted.
 func TestPendingRequests(t *testing.T) {
 	disk := crashfs.New(1)
 	request := OperatorRequest{Forget: []string{"node-1"}}
--- a/internal/discovery/nodelist/queue.go
+++ b/internal/discovery/nodelist/queue.go
@@ -6,12 +6,12 @@
 	"flaxfront/internal/decision/cachedlist"
 )
 
-// queue holds the changes that wait to be written, merged. It may be used from any goroutine.
+// queue holds the merged changes that wait to be written. It may be used from any goroutine.
 type queue struct {
-	added chan struct{} // has a value when something was added
+	added chan struct{} // has a value if changes were added
 
 	mu      sync.Mutex
-	pending bool // something was added since the last collect
+	pending bool // changes were added since the last collect
 	head    cachedlist.Head
 	entries map[string]*cachedlist.Entry // by name; nil: removed
 }
@@ -20,7 +20,7 @@
 	return queue{added: make(chan struct{}, 1), entries: map[string]*cachedlist.Entry{}}
 }
 
-// add merges changes into those that wait; the later state of an entry counts, and of one call the removal.
+// add merges changes into those that wait. The latest change of an entry counts; within one call, a removal counts over a put.
 func (q *queue) add(c cachedlist.Changes) {
 	q.mu.Lock()
 	q.pending = true
@@ -34,12 +34,12 @@
 	q.mu.Unlock()
 	select {
 	case q.added <- struct{}{}:
-	default: // a value is there already
+	default: // it has a value already
 	}
 }
 
-// collect calls apply for each entry that waits, with nil for one that was removed, and empties the queue. It returns the head of the
-// list after the changes; false: nothing waits.
+// collect calls apply for each changed entry, with nil for one that was removed, and empties the queue. It returns the head of the list
+// after the changes, and false if there are none.
 func (q *queue) collect(apply func(name string, e *cachedlist.Entry)) (head cachedlist.Head, any bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/discovery/nodelist/read.go
+++ b/internal/discovery/nodelist/read.go
@@ -13,7 +13,7 @@
 
 const readBufferBytes = 64 << 10
 
-// readSnapshot reads all entries of a snapshot, or returns why it can't be used; then some entries may have been read.
+// readSnapshot reads all entries of a snapshot. If it returns an error, the snapshot can't be used, but some entries may be in c.
 func (c *Content) readSnapshot(fs filesystem.FS, path, deployment string) error {
 	f, err := fs.Open(path)
 	if err != nil {
@@ -40,12 +40,12 @@
 	}
 	err = r.readFrame(new([]storedEntry))
 	if !errors.Is(err, io.EOF) || len(c.Entries) != header.Entries {
-		return fmt.Errorf("%w: more than the %d entries that it names", errDamaged, header.Entries)
+		return fmt.Errorf("%w: not the %d entries that the header states", errDamaged, header.Entries)
 	}
 	return nil
 }
 
-// put takes entries over, all or none.
+// put sets all of the entries, or none if one is invalid.
 func (c *Content) put(entries []storedEntry) error {
 	for i := range entries {
 		if err := entries[i].validate(); err != nil {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// readJournal applies what changed since the snapshot, as far as it can be read. A frame is applied whole or not at all, so that the
-// entries are always what the broker held at some moment.
+// readJournal applies the changes since the snapshot, as far as the journal can be read. A frame is applied whole or not at all, so that
+// the entries are always those of the broker at some moment.
 func (c *Content) readJournal(disk filesystem.FS, path string) {
 	err := c.applyJournal(disk, path)
 	if errors.Is(err, io.EOF) || errors.Is(err, fs.ErrNotExist) {
@@ -68,7 +68,7 @@
 	c.FileErrors = append(c.FileErrors, FileError{File: filepath.Base(path), Err: err, crashRemnant: errors.Is(err, errTorn)})
 }
 
-// applyJournal returns why it stopped: io.EOF at the end of a whole journal.
+// applyJournal applies the frames of a journal and returns why it stopped: io.EOF at the end of a whole journal.
 func (c *Content) applyJournal(disk filesystem.FS, path string) error {
 	f, err := disk.Open(path)
 	if err != nil {
--- a/internal/discovery/nodelist/recorded_test.go
+++ b/internal/discovery/nodelist/recorded_test.go
@@ -15,8 +15,8 @@
 	"flaxfront/internal/filesystem"
 )
 
-// testdata/recorded holds directories as commit 1a4b6be wrote them: whole; torn, with the last 3 bytes of the newest journal
-// missing; damaged, with a bit of the newest snapshot turned.
+// testdata/recorded holds directories as commit 1a4b6be wrote them: whole; torn, without the last 3 bytes of the newest journal; and
+// damaged, with one bit of the newest snapshot flipped.
 const (
 	recordedDeployment = "fingerprint"
 	recordedRequest    = "asks/1700000400000000005.ask"
@@ -62,7 +62,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			content, err := Read(filesystem.Local{}, filepath.Join("testdata", "recorded", c.name), recordedDeployment)
 			if err != nil || !content.Found || content.Head != c.head || !maps.Equal(content.Entries, c.entries) {
-				t.Errorf("%+v, %v, want %+v, %+v", content, err, c.head, c.entries)
+				t.Errorf("read %+v, error %v, want %+v, %+v", content, err, c.head, c.entries)
 			}
 			var faults []string
 			for _, f := range content.FileErrors {
@@ -79,11 +79,11 @@
 	got, err := readRequest(filesystem.Local{}, filepath.Join("testdata", "recorded", "whole", recordedRequest), recordedDeployment)
 	want := OperatorRequest{Import: []cachedlist.Entry{recordedReady, recordedEnded}, Forget: []string{"node-d", "node-x"}}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("read %+v, error %v, want %+v", got, err, want)
 	}
 }
 
-// The same changes lead to the same bytes.
+// The same changes are written as the same bytes as in the recorded directory.
 func TestRecordedListIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	runs := [][]cachedlist.Changes{
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(filepath.Join(dir, name)); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: %x, %v, want %x", name, got, err, want)
+			t.Errorf("%s: wrote %x, error %v, want %x", name, got, err, want)
 		}
 	}
 }
--- a/internal/discovery/nodelist/requests.go
+++ b/internal/discovery/nodelist/requests.go
@@ -17,18 +17,18 @@
 const (
 	requestsDirectory  = "asks"
 	requestSuffix      = ".ask"
-	newRequestSuffix   = ".new" // while it is being written
+	newRequestSuffix   = ".new" // while the request is being written
 	maxPendingRequests = 64
 )
 
-// OperatorRequest is what an operator asks of the broker that holds the directory. To carry one out twice does no harm.
+// OperatorRequest is a request of an operator to the broker that uses the directory. It may be carried out more than once.
 type OperatorRequest struct {
 	Import []cachedlist.Entry
-	Forget []string // names
+	Forget []string // names of nodes
 }
 
-// SubmitRequest leaves a request for the broker that writes to a directory, which takes it within a second. It returns
-// *RequestsPendingError where too many wait.
+// SubmitRequest stores a request for the broker that writes to a directory, which carries it out within a second. It returns a
+// *RequestsPendingError if too many requests wait.
 func SubmitRequest(fs filesystem.FS, directory, deployment string, r OperatorRequest, now time.Time) error {
 	content, err := encodeRequest(deployment, r)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	directory = filepath.Join(directory, requestsDirectory)
 	if err := fs.MkdirAll(directory); err != nil {
-		return &StorageError{Operation: "make the directory", Directory: directory, Err: err}
+		return &StorageError{Operation: "create the directory", Directory: directory, Err: err}
 	}
 	if names, _ := fs.ReadDir(directory); len(names) >= maxPendingRequests {
 		return &RequestsPendingError{Directory: directory, Pending: len(names)}
@@ -70,7 +70,7 @@
 	directory := s.path(requestsDirectory)
 	names, err := s.fs.ReadDir(directory)
 	if err != nil {
-		return // nobody has made a request yet
+		return // the directory does not exist before the first request
 	}
 	slices.Sort(names)
 	for _, name := range names {
--- a/internal/discovery/nodelist/setaside.go
+++ b/internal/discovery/nodelist/setaside.go
@@ -11,14 +11,14 @@
 
 const maxFilesAside = 4
 
-// handleFileErrors reports files that could not be read, and sets them aside if this process may write.
+// handleFileErrors logs the files that could not be read, and sets them aside if this process holds the lock.
 func (s *Store) handleFileErrors(all []FileError) {
 	for i := range all {
 		e := &all[i]
 		switch {
 		case !s.HoldsLock():
 			s.logFile(e, "cached endpoint list file ignored")
-		case e.crashRemnant: // the next snapshot takes its place
+		case e.crashRemnant: // the next snapshot replaces it
 		default:
 			s.setAside(e)
 		}
@@ -28,7 +28,7 @@
 	}
 }
 
-// setAside renames a file that is not trusted, so that it is neither read again nor overwritten.
+// setAside renames a file that can't be used, so that it is neither read again nor overwritten.
 func (s *Store) setAside(e *FileError) {
 	suffix := asideSuffix(e.Err)
 	if suffix == "" {
@@ -42,7 +42,8 @@
 	s.logFile(e, "cached endpoint list file set aside", "renamed_to", e.File+suffix)
 }
 
-// asideSuffix is what a file's name gets for an error; empty: it stays, since reading itself failed.
+// asideSuffix returns the suffix to append to the name of a file that is set aside. It is empty, so that the file keeps its name, if reading
+// itself failed.
 func asideSuffix(err error) string {
 	switch {
 	case errors.Is(err, errOtherDeployment):
@@ -61,7 +62,7 @@
 	slog.Warn(message, attributes...)
 }
 
-// removeOldAside removes all but the newest files that were set aside.
+// removeOldAside removes all but the maxFilesAside newest files that were set aside.
 func (s *Store) removeOldAside() {
 	names, _ := s.fs.ReadDir(s.options.Directory)
 	aside := slices.DeleteFunc(names, func(name string) bool { return !isAside(name) })
--- a/internal/discovery/nodelist/store.go
+++ b/internal/discovery/nodelist/store.go
@@ -24,26 +24,26 @@
 	requestPollInterval    = time.Second
 )
 
-// Options say where a list is stored and how.
+// Options say where and how a list is stored.
 type Options struct {
 	Directory       string
-	Deployment      string        // a fingerprint of the settings that the list belongs to
-	WriteInterval   time.Duration // between two writes, at least
-	FS              filesystem.FS // nil: the machine's
-	Unlocked        bool          // no lock is taken, as on a file system in memory
-	MinJournalBytes int           // of a journal before a new generation is begun; 0: 256 KiB
+	Deployment      string        // fingerprint of the settings that the list belongs to
+	WriteInterval   time.Duration // minimum time between two writes
+	FS              filesystem.FS // nil: the local file system
+	Unlocked        bool          // take no lock, as on a file system in memory
+	MinJournalBytes int           // length that a journal may always reach before a new generation; 0: 256 KiB
 }
 
-// Counters tell what was written. They may be read from any goroutine.
+// Counters count writes. They may be read from any goroutine.
 type Counters struct {
-	Writes    atomic.Uint64 // frames of journals
+	Writes    atomic.Uint64 // frames appended to journals
 	Snapshots atomic.Uint64
-	Bytes     atomic.Uint64 // of both
+	Bytes     atomic.Uint64 // written in frames and snapshots
 	Failed    atomic.Uint64 // writes that failed
 	Saving    atomic.Bool   // the last write succeeded
 }
 
-// storeState says what the next write does.
+// storeState decides what the next write does.
 type storeState uint8
 
 const (
@@ -51,11 +51,11 @@
 	storeWithoutLock storeState = iota
 	// storeSnapshotDue: no journal is open. The next write begins a generation.
 	storeSnapshotDue
-	// storeAppending: the next write appends to the journal, or begins a generation if that has become long.
+	// storeAppending: the next write appends to the journal, or begins a generation if the journal has become too long.
 	storeAppending
 )
 
-// Store writes a list.
+// Store writes a list to its directory.
 type Store struct {
 	Counters Counters
 
@@ -64,20 +64,20 @@
 	lock    *flock.Flock
 	queue   queue
 
-	// Of the goroutine that writes.
+	// The fields below belong to the goroutine that writes.
 	state         storeState
 	head          cachedlist.Head
-	entries       map[string]cachedlist.Entry // by name, as written or about to be
+	entries       map[string]cachedlist.Entry // by name, including changes about to be written
 	generation    uint64                      // of the last snapshot
 	snapshotBytes int
-	journal       filesystem.File // of storeAppending
+	journal       filesystem.File // open in storeAppending only
 	journalBytes  int
 	buffer        []byte // for the next frame
-	loggedFault   string // empty: the last write succeeded
+	loggedFault   string // the fault logged last; empty: the last write succeeded
 }
 
-// Open reads a directory and prepares to write to it. It does not fail: what is wrong is logged, and Run tries again. The content is
-// what could be read; it is the caller's.
+// Open reads a directory and prepares to write to it. It never fails: faults are logged, and Run retries. It returns what could be read;
+// the caller owns that content.
 func Open(o Options) (*Store, *Content) {
 	s := &Store{options: o, fs: o.FS, queue: newQueue()}
 	if s.fs == nil {
@@ -87,7 +87,7 @@
 		s.options.MinJournalBytes = defaultMinJournalBytes
 	}
 	if err := s.fs.MkdirAll(o.Directory); err != nil {
-		s.logFault("cached endpoint list not saved", s.storageError("make the directory", err))
+		s.logFault("cached endpoint list not saved", s.storageError("create the directory", err))
 	}
 	if err := s.acquireLock(); err != nil {
 		s.logFault("cached endpoint list not saved", err)
@@ -104,8 +104,8 @@
 	return s, c
 }
 
-// acquireLock takes the lock, if it is not held: two brokers that write to one directory would each end what the other began. A
-// broker without it serves all the same, and tries again at each write.
+// acquireLock takes the directory's lock if it is not held yet, as two brokers that wrote to one directory would overwrite each other's
+// generations. A broker without the lock still serves, and retries with each write.
 func (s *Store) acquireLock() error {
 	if s.state != storeWithoutLock {
 		return nil
@@ -133,10 +133,10 @@
 	return nil
 }
 
-// HoldsLock tells whether this process is the one that writes.
+// HoldsLock reports whether this process may write to the directory.
 func (s *Store) HoldsLock() bool { return s.state != storeWithoutLock }
 
-// closeJournal has the next write begin a generation.
+// closeJournal closes the journal, if one is open, so that the next write begins a generation.
 func (s *Store) closeJournal() {
 	if s.state != storeAppending {
 		return
@@ -146,7 +146,7 @@
 	s.state = storeSnapshotDue
 }
 
-// Close releases the directory.
+// Close closes the journal and releases the directory's lock.
 func (s *Store) Close() {
 	s.closeJournal()
 	if s.lock != nil {
@@ -156,11 +156,11 @@
 	s.state = storeWithoutLock
 }
 
-// Enqueue leaves changes to be written, and never waits. What comes before the next write is written with it, so that no more than
-// one state of each entry waits. The changes are the store's from then on.
+// Enqueue adds changes to be written, and never blocks. All changes added before the next write are merged, so that at most one state of
+// each entry waits. The store owns the changes from then on.
 func (s *Store) Enqueue(c cachedlist.Changes) { s.queue.add(c) }
 
-// Run writes until ctx ends, and then what still waits. deliver is called with each request of an operator.
+// Run writes enqueued changes until ctx ends, and then those that still wait. It calls deliver with each operator's request. It returns nil.
 func (s *Store) Run(ctx context.Context, deliver func(OperatorRequest)) error {
 	defer s.Close()
 	requests := time.NewTicker(requestPollInterval)
@@ -190,14 +190,14 @@
 		}
 		retry = nil
 		delay = initialRetryDelay
-		select { // what comes meanwhile is written together
+		select { // changes that are added meanwhile are written together
 		case <-time.After(s.options.WriteInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// logFault logs what is wrong, once until it changes or ends.
+// logFault logs a fault, once until it changes or ends.
 func (s *Store) logFault(message string, err error) {
 	fault := message + err.Error()
 	if fault != s.loggedFault {
--- a/internal/discovery/nodelist/write.go
+++ b/internal/discovery/nodelist/write.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	journalFactor = 2   // a journal longer than so many snapshots ends its generation
+	journalFactor = 2   // a journal longer than this many snapshots ends its generation
 	batchEntries  = 512 // entries in a frame of a snapshot
 )
 
-// Flush writes what waits, and returns once it is durable. After a fault it writes all entries, even if nothing waits.
+// Flush writes the changes that wait, and returns once they are durable. After a fault it writes all entries, even if no changes wait.
 func (s *Store) Flush() error {
 	change, changed := s.mergeChanges()
 	if !changed && (s.state == storeAppending || s.Counters.Failed.Load() == 0) {
@@ -27,7 +27,7 @@
 	if err != nil {
 		s.Counters.Failed.Add(1)
 		s.Counters.Saving.Store(false)
-		s.closeJournal() // it may end in half a frame
+		s.closeJournal() // it may end within a frame
 		s.logFault("cached endpoint list not saved", err)
 		return err
 	}
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// mergeChanges moves what waits into the entries, and returns it as a frame of the journal.
+// mergeChanges applies the changes that wait to the entries, and returns them as a frame of the journal. It reports false if there are none.
 func (s *Store) mergeChanges() (change storedChange, changed bool) {
 	head, changed := s.queue.collect(func(name string, e *cachedlist.Entry) {
 		if e == nil {
@@ -62,7 +62,7 @@
 		return s.beginGeneration()
 	}
 	frame, err := appendFrame(s.buffer[:0], change)
-	if err != nil { // too much for one frame
+	if err != nil { // too large for one frame
 		return s.beginGeneration()
 	}
 	s.buffer = frame[:0]
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// beginGeneration writes a snapshot and opens an empty journal. The generation before is what a start reads until the snapshot's name
-// is durable; it stays until the generation after this one, as it is read if this snapshot is damaged later.
+// beginGeneration writes a snapshot and opens an empty journal. Until the snapshot's name is durable, a start reads the previous generation.
+// That one is kept until the next generation, as it is read if this snapshot turns out damaged.
 func (s *Store) beginGeneration() error {
 	s.closeJournal()
 	snapshot, err := s.encodeSnapshot()
@@ -148,14 +148,14 @@
 	return s.fs.SyncDir(s.options.Directory)
 }
 
-// openJournal has the next writes append to a journal.
+// openJournal makes the next writes append to a journal, which is bytes long.
 func (s *Store) openJournal(journal filesystem.File, bytes int) {
 	s.journal = journal
 	s.journalBytes = bytes
 	s.state = storeAppending
 }
 
-// removeOldGenerations removes what is older than the generation before. What can't be removed only takes room.
+// removeOldGenerations removes the files older than the previous generation. Errors are ignored: a file that stays only takes disk space.
 func (s *Store) removeOldGenerations() {
 	names, _ := s.fs.ReadDir(s.options.Directory)
 	for _, generation := range generationsOf(names) {
