--- a/internal/server/membership_state.go
+++ b/internal/server/membership_state.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/decision/ownership"
 )
 
-// MembershipState is what operators see of the tier.
+// MembershipState is the state of the tier's membership for operators.
 type MembershipState struct {
 	Self            string
 	Now             time.Duration
@@ -26,6 +26,6 @@
 		Members:         m.members.Members(),
 		Ownership:       m.ownership.Snapshot(),
 		Counts:          m.members.Counts,
-		SharedEndpoints: m.shared.Counts,
+		SharedEndpoints: m.updateFilter.Counts,
 	}
 }
--- a/internal/server/orders_rig_test.go
+++ b/internal/server/orders_rig_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file owns one broker and two nodes to which things happen in a stated order, and what must hold after each of them.
+// Runs one broker with two nodes through a given order of events, and checks what must hold after each event.
 
 import (
 	"fmt"
@@ -17,184 +17,184 @@
 	"flaxfront/internal/transport/store"
 )
 
-// happening is one thing that comes to the loop.
-type happening string
+// orderEvent is one event that comes to the loop.
+type orderEvent string
 
 const (
-	asked     happening = "asked"
-	left      happening = "left"       // the client has gone
-	drained   happening = "drained"    // the list drains the node that has the connection
-	unlisted  happening = "unlisted"   // a whole list does not name it
-	restarted happening = "restarted"  // the list tells a newer start of it
-	failed    happening = "list fails" // a call to discovery
-	rises     happening = "rises"      // the connections that are being opened come up
-	served    happening = "served"     // what is out is answered
-	resets    happening = "resets"     // the connections that are up break
-	passes    happening = "passes"     // the query's time
+	querySubmitted   orderEvent = "asked"
+	clientLeaves     orderEvent = "left"       // the client departs
+	nodeDrained      orderEvent = "drained"    // the list drains the connected node
+	nodeUnlisted     orderEvent = "unlisted"   // a full list lacks the connected node
+	nodeRestarted    orderEvent = "restarted"  // the list has a newer start of the connected node
+	pollFails        orderEvent = "list fails" // a poll of discovery fails
+	connectionsOpen  orderEvent = "rises"      // connections being opened are established
+	attemptsAnswered orderEvent = "served"     // unanswered attempts are answered
+	connectionsReset orderEvent = "resets"     // established connections are reset
+	deadlinePasses   orderEvent = "passes"     // the query's deadline
 )
 
-// order is one broker in one order of events, with two nodes that hold the one shard.
-type order struct {
-	t       *testing.T
-	core    *Core
-	now     time.Duration
-	due     time.Duration // when the client's time is up
-	nodes   []discovery.Node
-	open    []*orderLink
-	events  []store.Event // that the wire brings
-	held    PendingQuery
-	put     bool
-	gone    bool            // the client has left and the loop has heard of it
-	barred  map[string]bool // nodes that the loop has been told to send nothing
-	answers int
-	sent    int
-	course  []string
+// orderRun is one broker in one order of events, with two replicas of its only shard.
+type orderRun struct {
+	t         *testing.T
+	core      *Core
+	now       time.Duration
+	deadline  time.Duration // of the query
+	nodes     []discovery.Node
+	conns     []*orderConn
+	events    []store.Event // of connections, not yet handled
+	pending   PendingQuery
+	submitted bool
+	departed  bool            // the client has departed, and the loop was told
+	unusable  map[string]bool // nodes that the loop was told are drained or removed
+	answers   int
+	sent      int
+	history   []string
 }
 
-// orderLink is a connection of it.
-type orderLink struct {
-	o      *order
-	node   string
-	handle store.Handle
-	up     bool
-	down   bool
-	out    []string // attempts written and not answered
+// orderConn is a connection of an orderRun to a node.
+type orderConn struct {
+	run        *orderRun
+	node       string
+	handle     store.Handle
+	up         bool
+	down       bool
+	unanswered []string // attempts sent and not answered
 }
 
-func (l *orderLink) Read([]byte) (int, error)          { return 0, nil }
-func (l *orderLink) Close() error                      { return nil }
-func (l *orderLink) SetReadDeadline(t time.Time) error { return nil }
+func (l *orderConn) Read([]byte) (int, error)          { return 0, nil }
+func (l *orderConn) Close() error                      { return nil }
+func (l *orderConn) SetReadDeadline(t time.Time) error { return nil }
 
-// TryWrite takes one frame, and checks that it may come now.
-func (l *orderLink) TryWrite(b []byte) (int, error) {
+// TryWrite receives one frame, and checks that it may be sent now.
+func (l *orderConn) TryWrite(b []byte) (int, error) {
 	if b[4] == 'q' {
 		id, _, _ := strings.Cut(string(b[5:]), " ")
-		l.out = append(l.out, id)
-		l.o.sent++
+		l.unanswered = append(l.unanswered, id)
+		l.run.sent++
 		switch {
-		case l.o.gone:
-			l.o.fail("%s was sent for a client that had gone", id)
-		case l.o.answers > 0:
-			l.o.fail("%s was sent after the answer", id)
-		case l.o.barred[l.node]:
-			l.o.fail("%s was sent to %s, which is drained or gone", id, l.node)
-		case l.o.now >= l.o.due:
-			l.o.fail("%s was sent when its client's time was up", id)
+		case l.run.departed:
+			l.run.fail("%s was sent after its client departed", id)
+		case l.run.answers > 0:
+			l.run.fail("%s was sent after the query's result", id)
+		case l.run.unusable[l.node]:
+			l.run.fail("%s was sent to %s, which is drained or removed", id, l.node)
+		case l.run.now >= l.run.deadline:
+			l.run.fail("%s was sent after the query's deadline", id)
 		}
 	}
 	return len(b), nil
 }
 
-func (o *order) fail(format string, args ...any) {
+func (o *orderRun) fail(format string, args ...any) {
 	o.t.Helper()
-	o.t.Errorf("%s: %s", strings.Join(o.course, ", "), fmt.Sprintf(format, args...))
+	o.t.Errorf("%s: %s", strings.Join(o.history, ", "), fmt.Sprintf(format, args...))
 }
 
-func newOrder(t *testing.T) *order {
-	o := &order{t: t, barred: map[string]bool{}}
+func newOrderRun(t *testing.T) *orderRun {
+	run := &orderRun{t: t, unusable: map[string]bool{}}
 	tm := decoded(t)
-	a := Environment{Now: func() time.Duration { return o.now }, Start: time.Unix(0, 0), Sockets: 64, PollDiscovery: func() {}, SendGossip: func(string) {},
+	a := Environment{Now: func() time.Duration { return run.now }, Start: time.Unix(0, 0), Sockets: 64, PollDiscovery: func() {}, SendGossip: func(string) {},
 		Log: func(string) {}}
 	a.Carrier = func(node string, _ netip.AddrPort, h store.Handle) func() {
-		l := &orderLink{o: o, node: node, handle: h}
-		o.open = append(o.open, l)
+		l := &orderConn{run: run, node: node, handle: h}
+		run.conns = append(run.conns, l)
 		return func() {
 			if !l.down {
 				l.down = true
-				o.events = append(o.events, h.Down(o.now, nil))
+				run.events = append(run.events, h.Down(run.now, nil))
 			}
 		}
 	}
 	var err error
-	if o.core, err = NewCore(&tm, operator.Default(), func(t decision.Settings) decision.Router { return routing.New(t) }, a); err != nil {
+	if run.core, err = NewCore(&tm, operator.Default(), func(t decision.Settings) decision.Router { return routing.New(t) }, a); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 2 {
 		name := fmt.Sprint("s-", i)
 		n := nodeAt(name, decision.Ready)
 		n.Endpoint.StartedAt = decision.StartedLongAgo
-		o.nodes = append(o.nodes, n)
+		run.nodes = append(run.nodes, n)
 	}
-	o.core.HandleList(&discovery.List{Full: true, Nodes: slices.Clone(o.nodes)}, nil)
-	o.core.Step()
-	return o
+	run.core.HandleList(&discovery.List{Full: true, Nodes: slices.Clone(run.nodes)}, nil)
+	run.core.Step()
+	return run
 }
 
-// busy is the first node to which a connection was opened.
-func (o *order) busy() *discovery.Node {
+// connectedNode returns the first node to which a connection was opened, or the first node if there is none.
+func (o *orderRun) connectedNode() *discovery.Node {
 	at := 0
-	if len(o.open) > 0 {
-		at = slices.IndexFunc(o.nodes, func(n discovery.Node) bool { return n.Name == o.open[0].node })
+	if len(o.conns) > 0 {
+		at = slices.IndexFunc(o.nodes, func(n discovery.Node) bool { return n.Name == o.conns[0].node })
 	}
 	return &o.nodes[at]
 }
 
-func (o *order) happens(h happening) {
+func (o *orderRun) apply(h orderEvent) {
 	switch h {
-	case asked:
-		o.put, o.due = true, o.now+time.Second
-		o.held = o.core.Submit(&Query{ID: "a", Timeout: time.Second, Text: "x", Shards: []int{0}, Weights: []float64{1}},
+	case querySubmitted:
+		o.submitted, o.deadline = true, o.now+time.Second
+		o.pending = o.core.Submit(&Query{ID: "a", Timeout: time.Second, Text: "x", Shards: []int{0}, Weights: []float64{1}},
 			func(QueryResult) { o.answers++ })
-	case left:
-		if o.put {
-			o.core.Abandon(o.held, false)
-			o.gone = true
+	case clientLeaves:
+		if o.submitted {
+			o.core.Abandon(o.pending, false)
+			o.departed = true
 		}
-	case drained, unlisted, restarted:
-		o.lists(h)
-	case failed:
+	case nodeDrained, nodeUnlisted, nodeRestarted:
+		o.applyListEvent(h)
+	case pollFails:
 		o.core.HandleList(nil, fmt.Errorf("no list"))
-	case rises:
-		for _, l := range slices.Clone(o.open) {
+	case connectionsOpen:
+		for _, l := range slices.Clone(o.conns) {
 			if !l.up && !l.down {
 				l.up = true
 				o.core.HandleConnection(l.handle.Up(o.now, l))
 			}
 		}
-	case served:
-		for _, l := range slices.Clone(o.open) {
-			for _, id := range l.out {
+	case attemptsAnswered:
+		for _, l := range slices.Clone(o.conns) {
+			for _, id := range l.unanswered {
 				if !l.down {
 					o.core.HandleConnection(l.handle.Answered(o.now, store.Answer{ID: id, Value: "v"}))
 				}
 			}
-			l.out = nil
+			l.unanswered = nil
 		}
-	case resets:
-		for _, l := range slices.Clone(o.open) {
+	case connectionsReset:
+		for _, l := range slices.Clone(o.conns) {
 			if l.up && !l.down {
 				l.down = true
 				o.core.HandleConnection(l.handle.Down(o.now, fmt.Errorf("reset")))
 			}
 		}
-	case passes:
-		if o.now += time.Second; o.put {
-			o.now = o.due
-			o.core.Abandon(o.held, true)
+	case deadlinePasses:
+		if o.now += time.Second; o.submitted {
+			o.now = o.deadline
+			o.core.Abandon(o.pending, true)
 		}
 	}
 }
 
-func (o *order) lists(h happening) {
-	n := *o.busy()
+func (o *orderRun) applyListEvent(h orderEvent) {
+	n := *o.connectedNode()
 	switch h {
-	case drained:
+	case nodeDrained:
 		n.Endpoint.State = decision.Draining
-		o.barred[n.Name] = true
+		o.unusable[n.Name] = true
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
-	case unlisted:
+	case nodeUnlisted:
 		others := slices.DeleteFunc(slices.Clone(o.nodes), func(x discovery.Node) bool { return x.Name == n.Name })
-		o.barred = map[string]bool{n.Name: true} // the others are named as in service
+		o.unusable = map[string]bool{n.Name: true} // the list has the other node as ready
 		o.core.HandleList(&discovery.List{Full: true, Nodes: others}, nil)
-	case restarted:
+	case nodeRestarted:
 		n.Endpoint.StartedAt = max(1, o.now)
-		delete(o.barred, n.Name) // it serves again
+		delete(o.unusable, n.Name) // it is ready again
 		o.core.HandleList(&discovery.List{Nodes: []discovery.Node{n}}, nil)
 	}
 }
 
-// settle has the loop take all that the wire brings, and its steps.
-func (o *order) settle() {
+// settle lets the loop handle all connection events, and step.
+func (o *orderRun) settle() {
 	for range 3 {
 		for _, e := range o.events {
 			o.core.HandleConnection(e)
@@ -204,23 +204,23 @@
 	}
 }
 
-// ends lets time pass until nothing can be owed any more, and checks what every order ends in.
-func (o *order) ends() {
+// finish advances time past all deadlines, and checks what must hold at the end of every order.
+func (o *orderRun) finish() {
 	for _, step := range []time.Duration{5 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second} {
-		if o.now += step; o.now >= o.due && o.put {
-			o.core.Abandon(o.held, true)
+		if o.now += step; o.now >= o.deadline && o.submitted {
+			o.core.Abandon(o.pending, true)
 		}
 		o.settle()
 	}
 	switch n := o.core.Counters(); {
-	case !o.put:
-	case !o.held.Done():
-		o.fail("the search has no end")
+	case !o.submitted:
+	case !o.pending.Done():
+		o.fail("the query has not ended")
 	case o.answers > 1:
-		o.fail("%d answers", o.answers)
+		o.fail("the query got %d results", o.answers)
 	case n.Received != n.Answered+n.Shed+n.Failed+n.Abandoned || n.InFlight != 0 || n.AttemptsInFlight != 0:
-		o.fail("%+v", n)
+		o.fail("counters do not add up: %+v", n)
 	case o.answers == 0 && n.Abandoned != 1:
-		o.fail("neither an answer nor a departure")
+		o.fail("the query has neither a result nor was it abandoned")
 	}
 }
--- a/internal/server/orders_test.go
+++ b/internal/server/orders_test.go
@@ -1,35 +1,35 @@
 package server
 
-// This file plays every order in which what happens to one query can come to the loop, and checks after each step what must hold
-// in all of them: docs/acceptance.md.
+// Runs every order in which events about one query can come to the loop, and checks after each step what must hold in all of them:
+// docs/acceptance.md.
 
 import (
 	"slices"
 	"testing"
 )
 
-// Every order of up to five events, each taken in a step of its own or together with the one before.
-func TestEveryOrder(t *testing.T) {
-	all := []happening{asked, left, drained, unlisted, restarted, failed, rises, served, resets, passes}
+// Every order of five events, each handled in a step of its own or in one step with the event before.
+func TestEveryEventOrder(t *testing.T) {
+	all := []orderEvent{querySubmitted, clientLeaves, nodeDrained, nodeUnlisted, nodeRestarted, pollFails, connectionsOpen, attemptsAnswered, connectionsReset, deadlinePasses}
 	orders, sent := 0, 0
-	var extend func(course []happening)
-	extend = func(course []happening) {
-		if len(course) == 2 && !slices.Contains(course, asked) || len(course) == 5 && !slices.Contains(course, rises) {
-			return // what comes before the query matters little, and with no connection nothing is sent
+	var extend func(history []orderEvent)
+	extend = func(history []orderEvent) {
+		if len(history) == 2 && !slices.Contains(history, querySubmitted) || len(history) == 5 && !slices.Contains(history, connectionsOpen) {
+			return // events before the query matter little, and without a connection nothing is sent
 		}
-		if len(course) == 5 {
-			for together := range 1 << (len(course) - 1) {
-				o := newOrder(t)
-				for i, h := range course {
-					o.course = append(o.course, string(h))
-					o.happens(h)
+		if len(history) == 5 {
+			for together := range 1 << (len(history) - 1) {
+				o := newOrderRun(t)
+				for i, h := range history {
+					o.history = append(o.history, string(h))
+					o.apply(h)
 					if together>>i&1 == 0 {
 						o.settle()
 					} else {
-						o.course = append(o.course, "at once")
+						o.history = append(o.history, "at once")
 					}
 				}
-				o.ends()
+				o.finish()
 				orders++
 				sent += o.sent
 				if t.Failed() {
@@ -39,14 +39,14 @@
 			return
 		}
 		for _, h := range all {
-			if !slices.Contains(course, h) {
-				extend(append(slices.Clone(course), h))
+			if !slices.Contains(history, h) {
+				extend(append(slices.Clone(history), h))
 			}
 		}
 	}
 	extend(nil)
 	if sent < orders/4 {
-		t.Errorf("%d sub-requests in %d orders: too little is played", sent, orders)
+		t.Errorf("%d attempts in %d orders: too few to test anything", sent, orders)
 	}
-	t.Logf("%d orders, %d sub-requests", orders, sent)
+	t.Logf("%d orders, %d attempts", orders, sent)
 }
