--- a/internal/server/admission.go
+++ b/internal/server/admission.go
@@ -155,7 +155,7 @@
 	return a.tick(now)
 }
 
-// done reports to the controller, once, that an admitted query has ended.
+// done reports the end of an admitted query to the controller. Further calls for the query do nothing.
 func (a *admissionControl) done(q *activeQuery, outcome query.Outcome) {
 	if !q.admission.admitted {
 		return
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -45,7 +45,7 @@
 	}
 	c := s.Counters().Queries
 	if c.Received != c.Answered+c.Shed+c.Failed+c.Abandoned+c.InFlight || c.InFlight != 0 || c.RejectedByAdmission == 0 || c.Admission.InFlight > 1e-6 {
-		t.Errorf("counters do not add up: %+v, admission %+v", c, c.Admission)
+		t.Errorf("unexpected counters: %+v, admission %+v", c, c.Admission)
 	}
 	var last *lab.Outcome
 	both.Go(func() { last = runTenantLoad(s, "acme", 400, 300*time.Millisecond, 3) })
--- a/internal/server/cached_list_test.go
+++ b/internal/server/cached_list_test.go
@@ -69,7 +69,7 @@
 	k.List[0].Lifecycle = "terminating"
 	k.Discovery.Set(k.List)
 	s, end := k.start(false)
-	k.waitFor("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
+	k.waitFor("the list is stored", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
 	k.Discovery.Down()
 	end()
 	drained := k.Nodes[0].Parts.Load()
@@ -110,7 +110,7 @@
 		t.Error(o.Broken)
 	}
 	if c := s.Counters().Queries.CachedList; c.Confirmed != 8 || k.Nodes[4].Parts.Load() != after || k.Nodes[0].Parts.Load() == drained {
-		t.Errorf("after discovery is back: cached list %+v; %d attempts at the draining node, %d at the reinstated one", c, k.Nodes[4].Parts.Load()-after, k.Nodes[0].Parts.Load()-drained)
+		t.Errorf("after discovery is back: cached list %+v; %d attempts at the draining node, %d at the one back in service", c, k.Nodes[4].Parts.Load()-after, k.Nodes[0].Parts.Load()-drained)
 	}
 	// A list of discovery that lacks most nodes is applied, as the protocol says.
 	k.Discovery.Set(k.List[:1])
@@ -138,7 +138,7 @@
 func TestOperatorRequestToARunningBroker(t *testing.T) {
 	k := newCachedListRig(t, 4)
 	s, end := k.start(false)
-	k.waitFor("the list is kept", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
+	k.waitFor("the list is stored", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
 	k.Discovery.Down()
 	end()
 	s, _ = k.start(false)
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -31,7 +31,7 @@
 	UnknownSender   uint64 `json:"Strangers"` // from addresses that are no broker's
 	TooLong         uint64
 	Dropped         uint64
-	Unauthenticated uint64 `json:"Unsealed"` // sealed with none of the keys
+	Unauthenticated uint64 `json:"Unsealed"` // authenticated by none of the keys
 }
 
 // CachedListCounters count writes of the cached endpoint list to disk.
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -123,7 +123,7 @@
 	return conn, err
 }
 
-// Connections that wait in the kernel when a shutdown closes the listener are accepted before, and their requests are answered.
+// Connections that wait in the kernel when a shutdown closes the listener are accepted first, and their requests are answered.
 func TestStopAcceptsQueuedConnections(t *testing.T) {
 	s := openServer(t, startConfiguration(t, "127.0.0.1:0", 1024), operator.Default())
 	stalled := &stalledListener{TCPListener: s.listener.(*net.TCPListener), released: make(chan struct{})}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -126,8 +126,8 @@
 	return o.Back.Protocol != "" || len(s.fronts) > 0
 }
 
-// reconfigure changes to other settings first the loop, then the reading of requests. A query that was read under the old settings and reaches
-// the loop after the change is translated there.
+// reconfigure applies other settings, first to the loop and then to the reading of requests. A query that was read under the old settings and
+// reaches the loop after the change is translated there.
 func (s *Server) reconfigure(t *terms.Terms, deploymentChanged bool, list *discovery.List) {
 	m := settingsChanged{t, deploymentChanged, list, make(chan struct{})}
 	if !s.deliver(m) {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -18,7 +18,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// Errors of the configuration are reported at the start.
+// Errors of the configuration are reported before the broker listens.
 func TestConfigurationErrorsAtStart(t *testing.T) {
 	taken := listen(t)
 	s, err := New(startConfiguration(t, taken.Addr().String(), 1024), operator.Default(), newRouter)
@@ -96,7 +96,7 @@
 			t.Errorf("%s: after the change back: status %d, %s", text, m.Status, m.Body)
 		}
 		if got := s.Counters().Queries; got.InFlight != 0 || got.Received != got.Answered+got.Shed+got.Failed {
-			t.Errorf("%s: counters do not add up: %+v", text, got)
+			t.Errorf("%s: unexpected counters: %+v", text, got)
 		}
 	}
 	if err := end(); err != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -67,7 +67,7 @@
 	listener      net.Listener
 	ingress       *ingress.Ingress
 	fronts        []Front
-	servingFronts sync.WaitGroup // fronts
+	servingFronts sync.WaitGroup // fronts whose Serve has not returned
 
 	// other brokers
 	gossip       *peers.Link       // nil: the settings do not allow gossip
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -107,6 +107,6 @@
 		t.Errorf("an incomplete request: status %d", m.Status)
 	}
 	if n := s.Counters().Queries; n.Received != n.Answered || n.Store.Parts != 2*n.Received {
-		t.Errorf("attempts were sent for bad requests: %+v", n)
+		t.Errorf("a bad request reached the loop or the nodes: %+v", n)
 	}
 }
