--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -96,7 +96,7 @@
 	l.requestIDs[q.Request.ID] = true
 }
 
-// clearInFlight no longer counts a query as in flight that is not, or no longer, with the router.
+// clearInFlight stops counting a query as in flight. The router does not have it, or has ended it.
 func (l *loop) clearInFlight(q *activeQuery) {
 	l.counters.InFlight--
 	delete(l.requestIDs, q.Request.ID)
@@ -152,7 +152,7 @@
 	}
 	l.post(decision.Event{Kind: decision.ClientDeparted, ID: q.id})
 	l.finishQuery(q)
-	l.cancelUnsent(q) // before the next step: a connection may be established until then, and would carry them
+	l.cancelUnsent(q) // at once, as a connection may be established before the next step and would carry them
 }
 
 // finishQuery ends a query that is with the router. forgetQuery drops it once the actions of its last step are executed.
