--- a/internal/cluster/consensus/simchecks_test.go
+++ b/internal/cluster/consensus/simchecks_test.go
@@ -1,6 +1,6 @@
 package consensus
 
-// What must hold, and the register whose history is checked for linearizability.
+// This file has the simulation's safety checks, and the register whose history of calls is checked for linearizability.
 
 import (
 	"bytes"
@@ -12,12 +12,13 @@
 	"github.com/anishathalye/porcupine"
 )
 
+// checks records what the voters did, and the first violation.
 type checks struct {
-	err     error
-	leaders map[uint64]uint64 // of a term
-	applied map[uint64][]byte // entry of an index
-	states  map[uint64][]byte // register after an index
-	last    uint64            // highest index that anybody applied
+	err            error             // first failed check
+	leaders        map[uint64]uint64 // leader by term
+	applied        map[uint64][]byte // entry by index
+	states         map[uint64][]byte // snapshot of the register by index
+	highestApplied uint64            // highest index that any voter applied
 }
 
 func newChecks() checks {
@@ -30,18 +31,19 @@
 	}
 }
 
-// leader checks that a term has one leader at most.
-func (c *checks) leader(v *voter) {
+// checkLeader checks that a term has at most one leader.
+func (c *checks) checkLeader(v *voter) {
 	if !v.node.IsLeader() {
 		return
 	}
 	if other, ok := c.leaders[v.node.Term()]; ok && other != v.id {
-		c.fail("term %d has leaders %d and %d", v.node.Term(), other, v.id)
+		c.fail("term %d has two leaders, %d and %d", v.node.Term(), other, v.id)
 	}
 	c.leaders[v.node.Term()] = v.id
 }
 
-// register is the machine: two cells, swapped. An entry is {op 8, cell 1, value 4}.
+// register is the state machine: two cells whose values clients read and swap. An entry has the call's ID (8 bytes), the cell (1) and
+// the new value (4).
 type register struct {
 	w     *world
 	v     *voter
@@ -52,29 +54,30 @@
 func (r *register) Apply(index uint64, data []byte) {
 	c := &r.w.checks
 	if index <= r.index {
-		c.fail("voter %d applies %d after %d", r.v.id, index, r.index)
+		c.fail("voter %d applies index %d after %d", r.v.id, index, r.index)
 	}
 	if was, ok := c.applied[index]; ok && !bytes.Equal(was, data) {
-		c.fail("voter %d applies another entry at %d", r.v.id, index)
+		c.fail("voter %d applies a different entry at index %d", r.v.id, index)
 	}
 	c.applied[index] = bytes.Clone(data)
 	op, cell, value := binary.BigEndian.Uint64(data), data[8], binary.BigEndian.Uint32(data[9:])
 	old := r.cells[cell]
 	r.cells[cell], r.index = value, index
-	if r.w.mutant == otherMachine && r.v.id == 2 {
+	if r.w.mutant == divergentStateMachine && r.v.id == 2 {
 		r.cells[cell]++
 	}
-	r.w.checks.state(r)
-	r.w.ops.done(r.w, r.v, op, old)
+	r.w.checks.checkState(r)
+	r.w.ops.complete(r.w, r.v, op, old)
 }
 
-func (c *checks) state(r *register) {
+// checkState checks that all voters have the same state after the same index.
+func (c *checks) checkState(r *register) {
 	s := r.Snapshot()
 	if was, ok := c.states[r.index]; ok && !bytes.Equal(was, s) {
-		c.fail("voter %d has another state at %d", r.v.id, r.index)
+		c.fail("voter %d has a different state at index %d", r.v.id, r.index)
 	}
 	c.states[r.index] = s
-	c.last = max(c.last, r.index)
+	c.highestApplied = max(c.highestApplied, r.index)
 }
 
 func (r *register) Snapshot() []byte {
@@ -84,33 +87,34 @@
 
 func (r *register) Restore(b []byte) error {
 	if len(b) != 16 {
-		return fmt.Errorf("%d bytes", len(b))
+		return fmt.Errorf("the snapshot has %d bytes, want 16", len(b))
 	}
 	if r.index > 0 {
 		r.w.seen["leader's snapshot"]++
 	}
 	r.index = binary.BigEndian.Uint64(b)
 	r.cells = [2]uint32{binary.BigEndian.Uint32(b[8:]), binary.BigEndian.Uint32(b[12:])}
-	r.w.checks.state(r)
+	r.w.checks.checkState(r)
 	return nil
 }
 
-// ops are the clients' history.
+// ops holds the clients' calls: the pending ones, and the history of the completed ones.
 type ops struct {
-	next    uint64
-	open    map[uint64]*op
+	lastID  uint64
+	pending map[uint64]*op
 	history []porcupine.Operation
 	written int
 	read    int
 }
 
+// op is a client's call.
 type op struct {
-	id       uint64
-	voter    uint64
-	birth    uint64
-	in       input
-	called   time.Duration
-	answered func()
+	id         uint64
+	voter      uint64
+	startCount uint64
+	in         input
+	calledAt   time.Duration
+	onAnswer   func()
 }
 
 type input struct {
@@ -120,11 +124,11 @@
 }
 
 type output struct {
-	known bool
-	old   uint32
+	known    bool
+	oldValue uint32
 }
 
-var model = porcupine.Model{
+var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, 2)
 		for _, o := range history {
@@ -135,7 +139,7 @@
 	Init: func() any { return uint32(0) },
 	Step: func(state, in, out any) (bool, any) {
 		i, o := in.(input), out.(output)
-		ok := !o.known || o.old == state.(uint32)
+		ok := !o.known || o.oldValue == state.(uint32)
 		if i.read {
 			return ok, state
 		}
@@ -143,59 +147,61 @@
 	},
 }
 
-// call lets a client swap or read on a voter. It waits for the answer or gives up; then its swap may come about at any time.
-func (o *ops) call(w *world, v *voter, read bool, answered func()) {
-	if o.open == nil {
-		o.open = map[uint64]*op{}
+// call starts a client's read or swap on a voter. onAnswer is called when the voter answers or after one second; a swap without an
+// answer may be applied at any later time.
+func (o *ops) call(w *world, v *voter, read bool, onAnswer func()) {
+	if o.pending == nil {
+		o.pending = map[uint64]*op{}
 	}
 	if !v.up || v.paused {
-		answered()
+		onAnswer()
 		return
 	}
-	o.next++
-	p := &op{id: o.next, voter: v.id, birth: v.birth, called: w.now, answered: answered,
-		in: input{read, byte(w.rnd.IntN(2)), uint32(o.next)}}
+	o.lastID++
+	p := &op{id: o.lastID, voter: v.id, startCount: v.startCount, calledAt: w.now, onAnswer: onAnswer,
+		in: input{read, byte(w.random.IntN(2)), uint32(o.lastID)}}
 	key := binary.BigEndian.AppendUint64(nil, p.id)
 	var err error
 	switch {
 	case read && w.mutant == localRead:
-		o.open[p.id] = p
+		o.pending[p.id] = p
 		if v.node.IsLeader() {
-			o.done(w, v, p.id, v.machine.cells[p.in.cell])
+			o.complete(w, v, p.id, v.stateMachine.cells[p.in.cell])
 			return
 		}
 		err = &NotLeaderError{}
 	case read:
 		err = v.node.ReadIndex(key)
 	default:
-		err = v.node.Propose(binary.BigEndian.AppendUint32(append(key, p.in.cell), p.in.value), v.local(w.now))
+		err = v.node.Propose(binary.BigEndian.AppendUint32(append(key, p.in.cell), p.in.value), v.localTime(w.now))
 	}
 	if err != nil {
-		delete(o.open, p.id)
-		answered()
+		delete(o.pending, p.id)
+		onAnswer()
 		return
 	}
-	o.open[p.id] = p
+	o.pending[p.id] = p
 	w.after(time.Second, func() { o.close(p, output{}, math.MaxInt64) })
-	w.turn(v)
+	w.processVoter(v)
 }
 
+// close ends a pending call and adds it to the history with its result.
 func (o *ops) close(p *op, out output, at int64) {
-	if o.open[p.id] == nil {
+	if o.pending[p.id] == nil {
 		return
 	}
-	delete(o.open, p.id)
-	if out.known || !p.in.read { // a read without an answer says nothing
-		o.history = append(o.history, porcupine.Operation{ClientId: int(p.id), Input: p.in, Output: out, Call: int64(p.called),
+	delete(o.pending, p.id)
+	if out.known || !p.in.read { // a read without an answer has no effect to check
+		o.history = append(o.history, porcupine.Operation{ClientId: int(p.id), Input: p.in, Output: out, Call: int64(p.calledAt),
 			Return: at})
 	}
-	p.answered()
+	p.onAnswer()
 }
 
-// done is told by the voter that was asked, in the same life.
-func (o *ops) done(w *world, v *voter, id uint64, old uint32) {
-	p := o.open[id]
-	if p == nil || p.voter != v.id || p.birth != v.birth {
+// complete ends a call with its result, if v is the voter that received the call and has not been restarted since.
+func (o *ops) complete(w *world, v *voter, id uint64, old uint32) {
+	p := o.pending[id]
+	if p == nil || p.voter != v.id || p.startCount != v.startCount {
 		return
 	}
 	if p.in.read {
@@ -206,13 +212,14 @@
 	o.close(p, output{true, old}, int64(w.now))
 }
 
-func (o *ops) answers(w *world, v *voter, reads []ReadResult) {
+// completeReads ends the calls whose reads a voter has answered.
+func (o *ops) completeReads(w *world, v *voter, reads []ReadResult) {
 	for _, r := range reads {
 		id := binary.BigEndian.Uint64(r.RequestContext)
-		if p := o.open[id]; p != nil && r.Err != nil {
+		if p := o.pending[id]; p != nil && r.Err != nil {
 			o.close(p, output{}, 0)
 		} else if p != nil {
-			o.done(w, v, id, v.machine.cells[p.in.cell])
+			o.complete(w, v, id, v.stateMachine.cells[p.in.cell])
 		}
 	}
 }
--- a/internal/cluster/raftlog/lock_test.go
+++ b/internal/cluster/raftlog/lock_test.go
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-func TestOneProcess(t *testing.T) {
+func TestOneProcessOpensLog(t *testing.T) {
 	l, err := Open(Options{Directory: t.TempDir(), Cluster: "c", VoterID: 1, Voters: []uint64{1, 2, 3}, Create: true})
 	if err != nil {
 		t.Fatal(err)
@@ -30,10 +30,10 @@
 		return string(out)
 	}
 	if got := child(); got != "*raftlog.LockedError" {
-		t.Errorf("while it is held: %s", got)
+		t.Errorf("while the lock is held, another process gets %s", got)
 	}
 	l.Close()
 	if got := child(); got != "<nil>" {
-		t.Errorf("after it was released: %s", got)
+		t.Errorf("after the lock was released, another process gets %s", got)
 	}
 }
--- a/internal/cluster/raftlog/read.go
+++ b/internal/cluster/raftlog/read.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// readGeneration reads a file into the contents. tornBytes are at its end, left there by a crash within the last Save.
+// readGeneration reads a file into l.contents. tornBytes is the length of an incomplete frame at its end, left by a crash during a Save.
 func (l *Log) readGeneration(path string) (tornBytes int, err error) {
 	data, err := l.readFile(path)
 	if err != nil {
@@ -20,7 +20,7 @@
 		offset := r.offset
 		body, err := r.next()
 		if err != nil {
-			if r.frames < initialFrames || !r.tornTail() {
+			if r.frames < initialFrames || !r.atTornTail() {
 				return 0, &DamagedError{File: path, Offset: offset, Err: err}
 			}
 			return len(data) - offset, nil
@@ -54,10 +54,10 @@
 	return data, nil
 }
 
-// checkHeader refuses a file that is not of this voter, and returns how many frames were written with the header.
+// checkHeader returns an error for a file that is not of this voter, and otherwise the number of frames written with the header.
 func (l *Log) checkHeader(path string, body []byte) (initialFrames int, err error) {
 	var h fileHeader
-	err = decoding.Unmarshal(body, &h)
+	err = decodeMode.Unmarshal(body, &h)
 	if err == nil && (h.Version < 1 || h.InitialFrames < 1) {
 		err = errFileHeader
 	}
@@ -74,7 +74,7 @@
 	return h.InitialFrames, nil
 }
 
-// applyBody applies the record in a frame's body.
+// applyBody applies the record in a frame's body to l.contents.
 func (l *Log) applyBody(path string, offset int, body []byte) error {
 	r, err := decodeRecord(body)
 	if err == nil {
--- a/internal/cluster/seeds/seeds_test.go
+++ b/internal/cluster/seeds/seeds_test.go
@@ -11,21 +11,21 @@
 	"testing"
 )
 
-var some = []netip.AddrPort{netip.MustParseAddrPort("192.0.2.1:7946"), netip.MustParseAddrPort("[2001:db8::1]:7946")}
+var testAddresses = []netip.AddrPort{netip.MustParseAddrPort("192.0.2.1:7946"), netip.MustParseAddrPort("[2001:db8::1]:7946")}
 
-// What was enqueued last is there after a stop, and a start without a file has none.
-func TestKept(t *testing.T) {
+// After Run has ended, the file has the addresses that were enqueued last. Load returns none if there is no file.
+func TestLatestAddressesAreSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
 	if all, err := Load(path); err != nil || len(all) > 0 {
 		t.Errorf("%v, %v", all, err)
 	}
 	w := NewWriter(path)
-	w.Enqueue(some[:1])
-	w.Enqueue(some)
+	w.Enqueue(testAddresses[:1])
+	w.Enqueue(testAddresses)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	w.Run(ctx)
-	if all, err := Load(path); err != nil || !slices.Equal(all, some) {
+	if all, err := Load(path); err != nil || !slices.Equal(all, testAddresses) {
 		t.Errorf("%v, %v", all, err)
 	}
 	w.Enqueue(nil)
@@ -35,15 +35,15 @@
 	}
 	files, _ := os.ReadDir(filepath.Dir(path))
 	if len(files) != 1 {
-		t.Errorf("%d files are left", len(files))
+		t.Errorf("%d files are left, want 1", len(files))
 	}
 }
 
-// A file that is not what was written is an error with its line, and nothing of it is used.
-func TestSpoilt(t *testing.T) {
+// For a malformed file, Load returns an error with the line and no addresses.
+func TestMalformedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
 	for text, want := range map[string]string{"192.0.2.1:7946\nnoise\n": ":2: \"noise\"", "192.0.2.1:0\n": ":1:", "\x00\x01": ":1:", "a\n\nb\n": ":1:",
-		strings.Repeat("192.0.2.1:7946\n", maxAddresses+1): "one too many", strings.Repeat("x", maxFileBytes+1): "at most"} {
+		strings.Repeat("192.0.2.1:7946\n", maxAddresses+1): "too many addresses", strings.Repeat("x", maxFileBytes+1): "at most"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 	}
 	os.Remove(path)
 	w := NewWriter(filepath.Join(path, "no", "folder"))
-	w.Enqueue(some) // it can't be written, which is said and no more
+	w.Enqueue(testAddresses) // the write fails, which is logged and not returned
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := w.Run(ctx); err != nil {
