--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -16,7 +16,7 @@
 // The list of a new service is notified within 4 s of the change of address, even if that service is silent, slow or rejects requests at
 // first, and whatever the old service did before.
 func TestChangeAddressInTime(t *testing.T) {
-	for what, answer := range map[string]func(since time.Duration) (wait time.Duration, status int){
+	for name, answer := range map[string]func(since time.Duration) (wait time.Duration, status int){
 		"silent at first": func(since time.Duration) (time.Duration, int) {
 			if since < 2900*time.Millisecond {
 				return time.Hour, 200
@@ -34,7 +34,7 @@
 		for _, old := range []string{"well", "down", "silent"} {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
-				var notifiedAt, moved time.Time
+				var notifiedAt, changedAt time.Time
 				var c *Client
 				backoff := 500 * time.Millisecond
 				c = NewClient("old", testReader(), 10*time.Second, 40, true, func(l *List, err error) {
@@ -61,7 +61,7 @@
 						mu.Lock()
 						wait, status := time.Hour, 200
 						if addr == "new" && notifiedAt.IsZero() {
-							wait, status = answer(time.Since(moved))
+							wait, status = answer(time.Since(changedAt))
 						} else if old == "well" && addr == "old" {
 							wait = time.Second
 						}
@@ -81,13 +81,13 @@
 				c.Poll()
 				time.Sleep(20 * time.Second)
 				mu.Lock()
-				moved = time.Now()
+				changedAt = time.Now()
 				mu.Unlock()
 				c.ChangeAddress("new", nil)
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
-				if took := notifiedAt.Sub(moved); notifiedAt.IsZero() || took > polling.MaxNotificationDelayAfterAddressChange {
-					t.Errorf("%s, old service %s: list notified %v after the change of address", what, old, took)
+				if delay := notifiedAt.Sub(changedAt); notifiedAt.IsZero() || delay > polling.MaxNotificationDelayAfterAddressChange {
+					t.Errorf("%s, old service %s: list notified %v after the change of address", name, old, delay)
 				}
 				cancel()
 				time.Sleep(2 * time.Hour) // until the fake services have ended
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -66,7 +66,7 @@
 // backoff; it notifies of one failure per outage, and then of the list.
 func TestBackoffDuringOutage(t *testing.T) {
 	fullList := listJSON(7, true, instanceJSON("s-1", "10.0.0.1:80", "in_service", 0))
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		conns    func(n int) (net.Conn, error)
 		within   time.Duration
 		notified string
@@ -112,7 +112,7 @@
 			stop()
 			synctest.Wait()
 			if fmt.Sprint(*got) != c.notified {
-				t.Errorf("%s: notified %v", what, *got)
+				t.Errorf("%s: notified %v", name, *got)
 			}
 		})
 	}
@@ -142,8 +142,8 @@
 		c.Poll()
 		time.Sleep(time.Second)
 		c.ChangeAddress("127.0.0.1:2", nil)
-		if took := <-at; took > 1100*time.Millisecond {
-			t.Errorf("the list from the new address was notified %v after the start", took)
+		if delay := <-at; delay > 1100*time.Millisecond {
+			t.Errorf("the list from the new address was notified %v after the start", delay)
 		}
 		cancel()
 		<-done
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("discovery at %s has not answered for %v", e.Service, e.Duration.Round(time.Millisecond))
 }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *SilentError) Remedy() string {
 	return "it is polled again on a new connection; if that goes on, check discovery and the network path to it"
 }
@@ -49,7 +49,7 @@
 }
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *UnreachableError) Remedy() string {
 	return `check that discovery runs and that "discovery" in the configuration names it; SIGHUP applies a new address`
 }
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("discovery at %s answered with status %d", e.Service, e.Status)
 }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *StatusError) Remedy() string {
 	return "503 means down or too many callers, and discovery is polled with a growing backoff; any other status is a fault of discovery"
 }
@@ -80,7 +80,7 @@
 }
 func (e *UnreadableListError) Unwrap() error { return e.Err }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *UnreadableListError) Remedy() string {
 	return "the current list stays in use and the full list is requested next; correct the entry that the error names, " +
 		"or compare the versions of the two programs"
@@ -109,10 +109,11 @@
 }
 
 func (e *OutdatedListError) Error() string {
-	return fmt.Sprintf("discovery at %s sent an update to version %d, older than the current version %d", e.Service, e.Version, e.CurrentVersion)
+	return fmt.Sprintf("discovery at %s sent an update to version %d, older than the current version %d",
+		e.Service, e.Version, e.CurrentVersion)
 }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *OutdatedListError) Remedy() string {
 	return "the full list is requested next and applied as it is; check whether discovery lost its state or answers from two copies"
 }
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -17,7 +17,7 @@
 // Nothing of an answer that is no valid list is applied; its error is one line with a remedy, and the full list is requested next.
 func TestWrongAnswersChangeNothing(t *testing.T) {
 	good := instanceJSON("s-1", "10.0.0.1:80", "in_service", 0)
-	for what, answer := range map[string]string{
+	for name, answer := range map[string]string{
 		"no JSON":           "{",
 		"no version":        `{"reset":true,"instances":[]}`,
 		"an unknown state":  listJSON(41, true, good, instanceJSON("s-2", "10.0.0.2:80", "resting", 0)),
@@ -28,7 +28,7 @@
 			var failures []error
 			c := NewClient("d:1", testReader(), 3*time.Second, 40, true, func(l *List, err error) {
 				if failures = append(failures, err); l != nil {
-					t.Errorf("%s: notified of a list", what)
+					t.Errorf("%s: notified of a list", name)
 				}
 			})
 			c.dial = func(context.Context, string, string) (net.Conn, error) { return serveAnswers(answer), nil }
@@ -38,7 +38,7 @@
 			synctest.Wait()
 			if len(failures) != 1 || strings.Contains(failures[0].Error(), "\n") || remedy.Of(failures[0]) == "" ||
 				c.versionKnown || c.currentVersion != 40 {
-				t.Errorf("%s: notified %v, remedy %q", what, failures, remedy.Of(failures[0]))
+				t.Errorf("%s: notified %v, remedy %q", name, failures, remedy.Of(failures[0]))
 			}
 			cancel()
 			synctest.Wait()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -138,8 +138,8 @@
 	sum := hash.Sum64()
 	binary.BigEndian.PutUint32(id.Addr[:], uint32(sum>>32))
 	id.Port = uint16(sum)
-	if tail := len(name) - 2*len(id.Addr); tail >= 0 {
-		if digits, err := hex.DecodeString(name[tail:]); err == nil {
+	if suffixStart := len(name) - 2*len(id.Addr); suffixStart >= 0 {
+		if digits, err := hex.DecodeString(name[suffixStart:]); err == nil {
 			id.Addr = [4]byte(digits)
 		}
 	}
--- a/internal/discovery/nodelist/errors.go
+++ b/internal/discovery/nodelist/errors.go
@@ -25,7 +25,7 @@
 func (e *FileError) Error() string { return e.File + ": " + e.Err.Error() }
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Remedy tells what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *FileError) Remedy() string {
 	switch {
 	case e.crashRemnant:
@@ -45,7 +45,7 @@
 
 func (e *LockedError) Error() string { return "another process writes to " + e.Directory }
 
-// Remedy tells what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *LockedError) Remedy() string {
 	return "give each broker a directory of its own; after a restart this error ends when the old process ends"
 }
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%d operators' requests wait in %s, no more are accepted", e.Pending, e.Directory)
 }
 
-// Remedy tells what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *RequestsPendingError) Remedy() string {
 	return "check that the broker that uses the directory runs; it carries requests out within a second"
 }
@@ -77,7 +77,7 @@
 }
 func (e *StorageError) Unwrap() error { return e.Err }
 
-// Remedy tells what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *StorageError) Remedy() string {
 	return "free disk space or repair the disk, and check that the broker may write to the directory; it retries by itself"
 }
--- a/internal/discovery/nodelist/frame.go
+++ b/internal/discovery/nodelist/frame.go
@@ -61,7 +61,7 @@
 		return fmt.Errorf("%w: checksum mismatch", errDamaged)
 	}
 	if err := decoding.Unmarshal(r.body.Bytes(), v); err != nil {
-		return fmt.Errorf("%w: %v", errDamaged, err) // not wrapped: the decoder returns io.EOF for an empty body, which is not the end of the file
+		return fmt.Errorf("%w: %v", errDamaged, err) // not wrapped: the decoder returns io.EOF for an empty body, which is no end of file
 	}
 	return nil
 }
--- a/internal/discovery/nodelist/nodelist_test.go
+++ b/internal/discovery/nodelist/nodelist_test.go
@@ -98,7 +98,8 @@
 		return maps.Equal(c.Entries, state)
 	})
 	if !found {
-		t.Fatalf("seed %d, step %d: %d changes acknowledged; read %d entries, of no later state; faults %v", seed, step, acknowledged, len(c.Entries), c.FileErrors)
+		t.Fatalf("seed %d, step %d: %d changes acknowledged; read %d entries, of no later state; faults %v",
+			seed, step, acknowledged, len(c.Entries), c.FileErrors)
 	}
 	more, acknowledged := writeRandomChanges(s, random, c.Entries, 5)
 	if acknowledged != 5 {
--- a/internal/discovery/nodelist/requests.go
+++ b/internal/discovery/nodelist/requests.go
@@ -65,7 +65,7 @@
 	return appendFrame(content, stored)
 }
 
-// deliverRequests hands on the requests that wait, oldest first, and removes them.
+// deliverRequests calls deliver with each request that waits, oldest first, and removes their files.
 func (s *Store) deliverRequests(deliver func(OperatorRequest)) {
 	directory := s.path(requestsDirectory)
 	names, err := s.fs.ReadDir(directory)
--- a/internal/discovery/nodelist/setaside.go
+++ b/internal/discovery/nodelist/setaside.go
@@ -42,8 +42,8 @@
 	s.logFile(e, "cached endpoint list file set aside", "renamed_to", e.File+suffix)
 }
 
-// asideSuffix returns the suffix to append to the name of a file that is set aside. It is empty, so that the file keeps its name, if reading
-// itself failed.
+// asideSuffix returns the suffix to append to the name of a file that is set aside for err. It is empty if reading itself failed: the file
+// then keeps its name.
 func asideSuffix(err error) string {
 	switch {
 	case errors.Is(err, errOtherDeployment):
--- a/internal/discovery/nodelist/store.go
+++ b/internal/discovery/nodelist/store.go
@@ -160,7 +160,8 @@
 // each entry waits. The store owns the changes from then on.
 func (s *Store) Enqueue(c cachedlist.Changes) { s.queue.add(c) }
 
-// Run writes enqueued changes until ctx ends, and then those that still wait. It calls deliver with each operator's request. It returns nil.
+// Run writes enqueued changes until ctx ends, and then those that still wait. It calls deliver with each operator's request, and
+// returns nil.
 func (s *Store) Run(ctx context.Context, deliver func(OperatorRequest)) error {
 	defer s.Close()
 	requests := time.NewTicker(requestPollInterval)
--- a/internal/discovery/nodelist/write.go
+++ b/internal/discovery/nodelist/write.go
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// mergeChanges applies the changes that wait to the entries, and returns them as a frame of the journal. It reports false if there are none.
+// mergeChanges applies the changes that wait to the entries, and returns them as a frame of the journal. changed is false if there
+// are none.
 func (s *Store) mergeChanges() (change storedChange, changed bool) {
 	head, changed := s.queue.collect(func(name string, e *cachedlist.Entry) {
 		if e == nil {
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// beginGeneration writes a snapshot and opens an empty journal. Until the snapshot's name is durable, a start reads the previous generation.
-// That one is kept until the next generation, as it is read if this snapshot turns out damaged.
+// beginGeneration writes a snapshot and opens an empty journal. Until the snapshot's name is durable, a start reads the previous
+// generation. That one is kept until the next generation, as it is read if this snapshot turns out damaged.
 func (s *Store) beginGeneration() error {
 	s.closeJournal()
 	snapshot, err := s.encodeSnapshot()
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -68,7 +68,7 @@
 // A local agent that rejects requests or accepts no connection while discovery is down is polled again soon, and its outage is notified
 // once, so that its list is known soon after the outage. A service that all brokers share is polled again only when the event loop says so.
 func TestLocalAgentIsPolledSoonAfterAnOutage(t *testing.T) {
-	for _, refuses := range []bool{true, false} {
+	for _, rejects := range []bool{true, false} {
 		for _, localAgent := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
 				const down = 20 * time.Second
@@ -90,7 +90,7 @@
 					switch {
 					case time.Since(begun) >= down:
 						return serveAnswers(listJSON(41, true)), nil
-					case refuses:
+					case rejects:
 						return serveAnswers("overloaded"), nil
 					default:
 						return nil, io.ErrClosedPipe
@@ -101,13 +101,13 @@
 				c.Poll()
 				time.Sleep(down + time.Second)
 				synctest.Wait()
-				late := time.Duration(notifiedAfter.Load()) - down
-				if localAgent && (late < 0 || late > polling.AgentRetryInterval || failures.Load() != 1 ||
+				delay := time.Duration(notifiedAfter.Load()) - down
+				if localAgent && (delay < 0 || delay > polling.AgentRetryInterval || failures.Load() != 1 ||
 					calls.Load() > int32(2*down/polling.AgentRetryInterval)) {
-					t.Errorf("refuses %v: list notified %v after the outage, %d requests, %d failures notified", refuses, late, calls.Load(), failures.Load())
+					t.Errorf("rejects %v: list notified %v after the outage, %d requests, %d failures notified", rejects, delay, calls.Load(), failures.Load())
 				}
 				if !localAgent && calls.Load() > 1 {
-					t.Errorf("refuses %v: %d requests for one call of Poll", refuses, calls.Load())
+					t.Errorf("rejects %v: %d requests for one call of Poll", rejects, calls.Load())
 				}
 				cancel()
 				synctest.Wait()
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -85,12 +85,12 @@
 func TestListInTimeAfterSilence(t *testing.T) {
 	for _, withBackoff := range []bool{false, true} {
 		for _, silence := range []time.Duration{0, time.Second, 3 * time.Second, 9 * time.Second, 31 * time.Second} {
-			for _, known := range []bool{true, false} {
+			for _, versionKnown := range []bool{true, false} {
 				synctest.Test(t, func(t *testing.T) {
 					s := newSilentService()
 					var notifiedAt time.Time
 					failures := 0
-					c := NewClient("d:1", testReader(), 10*time.Second, 40, known, func(l *List, err error) {
+					c := NewClient("d:1", testReader(), 10*time.Second, 40, versionKnown, func(l *List, err error) {
 						if err == nil && l.Version == 41 && notifiedAt.IsZero() {
 							notifiedAt = time.Now()
 						}
@@ -102,9 +102,9 @@
 					})
 					c.dial = s.dial
 					if withBackoff {
-						c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, BrokerCount: 300}, 7), 40, known)
+						c.UseBackoff(polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, BrokerCount: 300}, 7), 40, versionKnown)
 					}
-					s.silent = !known // otherwise the first watch is held, and falls silent later
+					s.silent = !versionKnown // otherwise the first watch is held, and falls silent later
 					ctx, cancel := context.WithCancel(t.Context())
 					go c.Run(ctx)
 					c.Poll() // once: the client must detect and end the silence by itself
@@ -115,10 +115,11 @@
 					s.set(41, false)
 					time.Sleep(10 * time.Second)
 					synctest.Wait()
-					if late := notifiedAt.Sub(silentSince.Add(silence)); notifiedAt.IsZero() || late > polling.MaxNotificationDelay {
-						t.Errorf("with backoff %v, version known %v, answering after %v: list notified after %v; polled %q", withBackoff, known, silence, late, s.calls)
+					if delay := notifiedAt.Sub(silentSince.Add(silence)); notifiedAt.IsZero() || delay > polling.MaxNotificationDelay {
+						t.Errorf("with backoff %v, version known %v, answering after %v: list notified after %v; polled %q",
+							withBackoff, versionKnown, silence, delay, s.calls)
 					}
-					if silence < 9*time.Second && known && failures > 1 {
+					if silence < 9*time.Second && versionKnown && failures > 1 {
 						t.Errorf("%d failures notified", failures)
 					}
 					cancel()
--- a/internal/server/ingress/answer.go
+++ b/internal/server/ingress/answer.go
@@ -80,8 +80,8 @@
 // close with unread bytes would reset the connection, and the client could lose the answer that was just written. A client that does
 // not close its side holds a descriptor for that long.
 func (in *Ingress) linger(c *connection) {
-	sending, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || c.ahead.Ended() || sending.CloseWrite() != nil {
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || c.ahead.Ended() || halfCloser.CloseWrite() != nil {
 		return
 	}
 	c.SetReadDeadline(time.Now().Add(in.broker.Settings().Dial))
--- a/internal/server/ingress/answer_query.go
+++ b/internal/server/ingress/answer_query.go
@@ -41,8 +41,8 @@
 // awaitResult waits for a query's result. Meanwhile it watches for the end of the connection, also behind bytes that the client has sent.
 func (in *Ingress) awaitResult(ctx context.Context, c *connection, pending query.Pending) (query.Result, Reason) {
 	done := make(chan struct{})
-	ended := make(chan error, 1)
-	watch := func() { ended <- c.ahead.Watch(done) }
+	watchEnded := make(chan error, 1)
+	watch := func() { watchEnded <- c.ahead.Watch(done) }
 	go watch()
 	deadline := time.NewTimer(pending.Deadline() - in.broker.Uptime())
 	defer deadline.Stop()
@@ -51,9 +51,9 @@
 		case result := <-pending.Result():
 			close(done)
 			c.SetReadDeadline(pastDeadline)
-			<-ended
+			<-watchEnded
 			return result, stillOpen
-		case err := <-ended:
+		case err := <-watchEnded:
 			if err != nil {
 				pending.Abandon(query.ClientDeparted)
 				return query.Result{}, ClientDeparted
--- a/internal/server/ingress/decode.go
+++ b/internal/server/ingress/decode.go
@@ -13,7 +13,7 @@
 	"flaxfront/internal/transport/httpwire"
 )
 
-// maxTimeout is the longest timeout that a query may ask for; a longer one is taken for a mistake and rejected.
+// maxTimeout is the longest timeout that a query may ask for; a longer one is assumed to be a mistake and rejected.
 const maxTimeout = time.Hour
 
 // decodeQuery decodes the query of a request. Its errors are of type *RequestError.
--- a/internal/server/ingress/doc.go
+++ b/internal/server/ingress/doc.go
@@ -10,7 +10,7 @@
 //	   │ first byte        ▲
 //	   ▼                   │
 //	 reading ──► ends: slow_request (408), bad_request (400, 413, ...), cut_short, drained, spare
-//	   │ request whole     │ answered, and more may come
+//	   │ request whole     │ answered, and another request may follow
 //	   ▼                   │
 //	 busy ───────►─────────┘
 //	   └───────► ends: client_left (its query is abandoned), bad_request, write_failed, shutdown,
--- a/internal/server/ingress/log_limit.go
+++ b/internal/server/ingress/log_limit.go
@@ -6,7 +6,7 @@
 // keep a core busy. Lines beyond the limit are counted, and the next line states their number.
 type logLimit struct {
 	second     int64 // Unix time
-	written    int   // lines asked for in that second
+	written    int   // lines requested in that second, written or not
 	suppressed int   // lines left out since the last one written
 }
 
--- a/internal/server/ingress/scan_test.go
+++ b/internal/server/ingress/scan_test.go
@@ -43,20 +43,20 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		quick, ok := scanBody(raw)
-		if slow, good := readWithEncodingJSON(raw); ok {
-			if !good || len(slow.shards) != len(quick.shards) || slow.statement != quick.statement {
-				t.Fatalf("%q: %+v, and %+v, %v", raw, quick, slow, good)
+		scanned, ok := scanBody(raw)
+		if decoded, decodable := readWithEncodingJSON(raw); ok {
+			if !decodable || len(decoded.shards) != len(scanned.shards) || decoded.statement != scanned.statement {
+				t.Fatalf("%q: %+v, and %+v, %v", raw, scanned, decoded, decodable)
 			}
-			for i := range slow.shards {
-				if slow.shards[i] != quick.shards[i] {
-					t.Fatalf("%q: %+v, and %+v", raw, quick, slow)
+			for i := range decoded.shards {
+				if decoded.shards[i] != scanned.shards[i] {
+					t.Fatalf("%q: %+v, and %+v", raw, scanned, decoded)
 				}
 			}
 		}
-		var back string
-		if utf8.Valid(raw) && (json.Unmarshal(appendJSONString(nil, string(raw)), &back) != nil || back != string(raw)) {
-			t.Fatalf("%q reads back as %q", raw, back)
+		var roundTrip string
+		if utf8.Valid(raw) && (json.Unmarshal(appendJSONString(nil, string(raw)), &roundTrip) != nil || roundTrip != string(raw)) {
+			t.Fatalf("%q reads back as %q", raw, roundTrip)
 		}
 	})
 }
--- a/internal/server/ingress/slow_test.go
+++ b/internal/server/ingress/slow_test.go
@@ -49,8 +49,8 @@
 				}
 			}()
 			m, err := httpwire.ReadResponse(httpwire.NewReader(client))
-			if took := time.Since(begun); took >= 3*time.Second || err == nil && (m.Status < 400 || !m.Close) {
-				t.Errorf("%.40q: answer %v, error %v after %v", c.sends, m, err, took)
+			if elapsed := time.Since(begun); elapsed >= 3*time.Second || err == nil && (m.Status < 400 || !m.Close) {
+				t.Errorf("%.40q: answer %v, error %v after %v", c.sends, m, err, elapsed)
 			}
 			client.Close()
 			time.Sleep(time.Second)
