--- a/internal/server/admission_open.go
+++ b/internal/server/admission_open.go
@@ -12,10 +12,10 @@
 	"flaxfront/internal/decision/admission"
 )
 
-// weightSumSlip is how far tenants' weights may be from adding up to 1.
-const weightSumSlip = 0.001
+// weightSumTolerance is the largest difference from 1 that the sum of tenants' weights may have.
+const weightSumTolerance = 0.001
 
-// newAdmissionControl makes admission by the operators' file and the settings. Its errors are InvalidWeightsError.
+// newAdmissionControl returns admission as the operators' file and the settings configure it. Its error is an InvalidWeightsError.
 func newAdmissionControl(o *operator.Door, t *terms.Terms) (*admissionControl, error) {
 	p := admission.Policy{
 		MaxWaitShare:  o.WaitShare,
@@ -41,34 +41,34 @@
 	return &admissionControl{Controller: admission.NewController(p), waiting: map[uint64]*activeQuery{}, tenants: tenants}, nil
 }
 
-// InvalidWeightsError tells that weights of the operators' file do not fit the tenants of the settings.
+// InvalidWeightsError reports weights in the operators' file that do not match the tenants of the settings.
 type InvalidWeightsError struct{ Reason string }
 
 func (e *InvalidWeightsError) Error() string {
 	return "operators' file: door.weights: " + e.Reason
 }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *InvalidWeightsError) Remedy() string {
 	return "name each tenant of the settings once in door.weights, as NAME=WEIGHT, so that the weights add up to 1; or leave it empty"
 }
 
-// parseWeights reads TENANT=WEIGHT texts into weights, which must name each tenant once and add up to 1. Its errors are InvalidWeightsError.
+// parseWeights parses TENANT=WEIGHT texts into weights, which must name each tenant once and add up to 1. Its error is an InvalidWeightsError.
 func parseWeights(weights []float64, tenants, texts []string) error {
 	sum := 0.0
 	named := map[string]bool{}
 	for _, text := range texts {
 		name, value, _ := strings.Cut(text, "=")
-		at := slices.Index(tenants, name)
+		tenant := slices.Index(tenants, name)
 		weight, err := strconv.ParseFloat(value, 64)
-		if at < 0 || named[name] || err != nil || !(weight >= 0 && weight <= 1) {
-			return &InvalidWeightsError{fmt.Sprintf("%.60q is not TENANT=WEIGHT of a tenant of the settings, named once, from 0 to 1", text)}
+		if tenant < 0 || named[name] || err != nil || !(weight >= 0 && weight <= 1) {
+			return &InvalidWeightsError{fmt.Sprintf("%.60q: want TENANT=WEIGHT with a tenant of the settings, named once, and a weight from 0 to 1", text)}
 		}
 		named[name] = true
-		weights[at] = weight
+		weights[tenant] = weight
 		sum += weight
 	}
-	if len(named) != len(tenants) || math.Abs(sum-1) > weightSumSlip {
+	if len(named) != len(tenants) || math.Abs(sum-1) > weightSumTolerance {
 		return &InvalidWeightsError{fmt.Sprintf("%d of %d tenants are named, and their weights add up to %v instead of 1", len(named), len(tenants), sum)}
 	}
 	return nil
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -54,7 +54,7 @@
 		}
 		l.pool = store.NewPool(ctx, store.Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 9}, hang, l.since,
 			func(fn func() error) { go fn() }, func(store.Event) {}, l.attemptEnded)
-		loopTerms := decoded(t)
+		loopTerms := testTerms(t)
 		l.settings = &loopTerms
 		l.useControlPlane(newControlPlaneView([]string{"a"}))
 		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -69,7 +69,7 @@
 func (p *readPinTracker) handle(m message) bool {
 	switch m := m.(type) {
 	case positionsRequested:
-		m.to <- p.positions.EncodePositions(p.loop.since())
+		m.reply <- p.positions.EncodePositions(p.loop.since())
 	case positionsReceived:
 		now := p.loop.since()
 		if err := p.positions.MergePositions(now, m.data, now-m.collectedAt); err != nil {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// tick has nothing to do.
+// tick does nothing: read pins have no timed work.
 func (p *readPinTracker) tick(time.Duration) time.Duration { return notDue }
 
 // ReadPinState is the state of read pins for operators: what became of hints.
