--- a/cmd/flaxfront/descriptors_test.go
+++ b/cmd/flaxfront/descriptors_test.go
@@ -18,17 +18,17 @@
 	"time"
 )
 
-// serveWithin is the environment variable by which this program's test serves a configuration under a limit of descriptors.
-const serveWithin = "FLAXFRONT_TEST_CONFIG"
+// testConfigEnv is the environment variable by which this program's test serves a configuration under a limit of descriptors.
+const testConfigEnv = "FLAXFRONT_TEST_CONFIG"
 
-const descriptors = 64
+const maxDescriptors = 64
 
 func TestMain(m *testing.M) {
-	file := os.Getenv(serveWithin)
+	file := os.Getenv(testConfigEnv)
 	if file == "" {
 		os.Exit(m.Run())
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: descriptors, Max: descriptors}); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: maxDescriptors, Max: maxDescriptors}); err != nil {
 		panic(err)
 	}
 	if err := serve(file, ""); err != nil {
@@ -48,15 +48,15 @@
 		t.Cleanup(func() { ln.Close() })
 		return ln
 	}
-	node, asked, front := listen(), listen(), listen()
-	at := front.Addr().String()
-	front.Close()
-	var back atomic.Bool
+	node, discoveryListener, clientListener := listen(), listen(), listen()
+	clientAddr := clientListener.Addr().String()
+	clientListener.Close()
+	var discoveryUp atomic.Bool
 	list := fmt.Sprintf(`{"generation":3,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a","cell":0,`+
 		`"lifecycle":"in_service"}]}`, node.Addr())
 	discovery := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
-		case !back.Load():
+		case !discoveryUp.Load():
 			time.Sleep(time.Second) // it works on it, and gives up
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case r.URL.RawQuery == "":
@@ -65,32 +65,32 @@
 			<-r.Context().Done()
 		}
 	})}
-	go discovery.Serve(asked)
+	go discovery.Serve(discoveryListener)
 	t.Cleanup(func() { discovery.Close() })
 	config := filepath.Join(t.TempDir(), "config.json")
-	text := strings.NewReplacer("127.0.0.1:%d", at, "127.0.0.1:1\"", asked.Addr().String()+"\"").Replace(configText)
+	text := strings.NewReplacer("127.0.0.1:%d", clientAddr, "127.0.0.1:1\"", discoveryListener.Addr().String()+"\"").Replace(configText)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var log logged
+	var log logBuffer
 	broker := exec.Command(os.Args[0])
-	broker.Env, broker.Stderr = append(os.Environ(), serveWithin+"="+config), &log
+	broker.Env, broker.Stderr = append(os.Environ(), testConfigEnv+"="+config), &log
 	if err := broker.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- broker.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- broker.Wait() }()
 	defer func() {
 		broker.Process.Signal(syscall.SIGTERM)
-		if err := <-ended; err != nil {
+		if err := <-exited; err != nil {
 			t.Error(err)
 		}
 		if text := log.String(); strings.Contains(text, "too many open files") {
 			t.Errorf("descriptors ran out:\n%s", text)
 		}
 	}()
-	for n, deadline := 0, time.Now().Add(10*time.Second); n < 4*descriptors; {
-		conn, err := net.Dial("tcp", at)
+	for n, deadline := 0, time.Now().Add(10*time.Second); n < 4*maxDescriptors; {
+		conn, err := net.Dial("tcp", clientAddr)
 		if err != nil && time.Now().After(deadline) {
 			t.Fatal(err)
 		} else if err != nil {
@@ -100,14 +100,14 @@
 		defer conn.Close()
 		n++
 	}
-	back.Store(true)
+	discoveryUp.Store(true)
 	for deadline := time.Now().Add(10 * time.Second); !strings.Contains(log.String(), "node listed"); {
 		if time.Now().After(deadline) {
 			t.Fatal("the list was not had")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	conn, err := net.Dial("tcp", at)
+	conn, err := net.Dial("tcp", clientAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,29 +115,29 @@
 	query := `{"tablets":[{"tablet":0,"fraction":1}],"statement":"x"}`
 	fmt.Fprintf(conn, "POST /find HTTP/1.1\r\nHost: b\r\nX-Request-ID: a\r\nX-Timeout-Ms: 3000\r\nContent-Length: %d\r\n\r\n%s", len(query), query)
 	node.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
-	link, err := node.Accept()
+	nodeConn, err := node.Accept()
 	if err != nil {
 		t.Fatalf("the node was not connected to: %v", err)
 	}
-	defer link.Close()
-	if _, err := bufio.NewReader(link).ReadString('x'); err != nil {
+	defer nodeConn.Close()
+	if _, err := bufio.NewReader(nodeConn).ReadString('x'); err != nil {
 		t.Errorf("the node was asked nothing: %v", err)
 	}
 }
 
-// logged is what a process has logged so far.
-type logged struct {
+// logBuffer is what a process has logged so far.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/cmd/flaxfront/fleet.go
+++ b/cmd/flaxfront/fleet.go
@@ -19,35 +19,35 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// asker asks the leader of the tier that the operators' file names.
-type asker struct {
-	file   *string
-	within time.Duration
-	at     string // ask this one first
+// leaderClient asks the leader of the tier that the operators' file names.
+type leaderClient struct {
+	file       *string
+	timeout    time.Duration
+	firstVoter string // ask this one first
 }
 
-func (a *asker) open() (*operator.File, *keys.Keyring, error) {
-	own, err := operator.Read(*a.file)
+func (a *leaderClient) open() (*operator.File, *keys.Keyring, error) {
+	operators, err := operator.Read(*a.file)
 	if err != nil {
 		return nil, nil, err
 	}
-	if !own.Agreed() {
+	if !operators.ControlPlaneEnabled() {
 		return nil, nil, errors.New("the operators' file names no fleet.voters: give --operator")
 	}
-	ring, err := keys.Open(own.FleetKeys())
-	return own, ring, err
+	ring, err := keys.Open(operators.ControlPlaneKeys())
+	return operators, ring, err
 }
 
-func (a *asker) ask(verb string, r *controlplane.Request, into any) error {
-	own, ring, err := a.open()
+func (a *leaderClient) request(verb string, r *controlplane.Request, into any) error {
+	operators, ring, err := a.open()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), a.within)
+	ctx, cancel := context.WithTimeout(context.Background(), a.timeout)
 	defer cancel()
-	voters, _ := server.Voters(&own.Fleet)
+	voters, _ := server.Voters(&operators.ControlPlaneSettings)
 	for i := range voters {
-		if a.at != "" && voters[i].Addr != a.at {
+		if a.firstVoter != "" && voters[i].Addr != a.firstVoter {
 			continue
 		}
 		voters[0], voters[i] = voters[i], voters[0]
@@ -57,13 +57,13 @@
 }
 
 func fleetCommand(file *string) *cobra.Command {
-	a := &asker{file: file}
+	a := &leaderClient{file: file}
 	root := &cobra.Command{
 		Use:   "fleet",
 		Short: "What the brokers of a tier agree on: releases, drains of nodes, policies",
 	}
-	root.PersistentFlags().DurationVar(&a.within, "within", 10*time.Second, "how long to ask")
-	root.PersistentFlags().StringVar(&a.at, "at", "", "address of the voter to ask first (default: all in turn)")
+	root.PersistentFlags().DurationVar(&a.timeout, "within", 10*time.Second, "how long to ask")
+	root.PersistentFlags().StringVar(&a.firstVoter, "at", "", "address of the voter to ask first (default: all in turn)")
 	root.AddCommand(beginCommand(a), statusCommand(a), watchCommand(a), releaseCommand(a), policyCommand(a))
 	for _, v := range []struct{ verb, use, short, done string }{
 		{controlplane.VerbHalt, "halt [REASON]", "Halt the release: permits that were not used are void", "halted"},
@@ -74,42 +74,42 @@
 			if len(args) > 0 {
 				r.Reason = args[0]
 			}
-			return a.told(cmd, v.verb, r, v.done)
+			return a.askAndPrint(cmd, v.verb, r, v.done)
 		}})
 	}
 	root.AddCommand(&cobra.Command{Use: "resume", Short: "Let a halted release go on", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		return a.told(cmd, controlplane.VerbResume, &controlplane.Request{}, "goes on")
+		return a.askAndPrint(cmd, controlplane.VerbResume, &controlplane.Request{}, "goes on")
 	}})
 	var reason string
 	drain := &cobra.Command{Use: "drain NODE", Short: "Drain a node: every broker stops sending to it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, controlplane.VerbDrain, &controlplane.Request{Node: args[0], Reason: reason}, "drain")
+			return a.askAndPrint(cmd, controlplane.VerbDrain, &controlplane.Request{Node: args[0], Reason: reason}, "drain")
 		}}
 	drain.Flags().StringVar(&reason, "reason", "an operator's word", "why")
 	undrain := &cobra.Command{Use: "undrain NODE", Short: "End a node's drain: what discovery says of it counts again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, controlplane.VerbUndrain, &controlplane.Request{Node: args[0]}, "ended")
+			return a.askAndPrint(cmd, controlplane.VerbUndrain, &controlplane.Request{Node: args[0]}, "ended")
 		}}
 	out := &cobra.Command{Use: "out NODE", Short: "Say that a node which a release permits goes out now; only where this succeeds may it be stopped", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, controlplane.VerbNodeOut, &controlplane.Request{Node: args[0]}, "it may be stopped")
+			return a.askAndPrint(cmd, controlplane.VerbNodeOut, &controlplane.Request{Node: args[0]}, "it may be stopped")
 		}}
 	returned := &cobra.Command{Use: "returned NODE", Short: "Say that a node which went out serves again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, controlplane.VerbNodeReturned, &controlplane.Request{Node: args[0]}, "returned")
+			return a.askAndPrint(cmd, controlplane.VerbNodeReturned, &controlplane.Request{Node: args[0]}, "returned")
 		}}
 	forget := &cobra.Command{Use: "forget BROKER", Short: "Say that a broker never comes back: it counts as out no more", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.told(cmd, controlplane.VerbRemoveBroker, &controlplane.Request{Broker: args[0]}, "forgotten")
+			return a.askAndPrint(cmd, controlplane.VerbRemoveBroker, &controlplane.Request{Broker: args[0]}, "forgotten")
 		}}
 	root.AddCommand(drain, undrain, out, returned, forget)
 	return root
 }
 
-// told prints that something is agreed.
-func (a *asker) told(cmd *cobra.Command, verb string, r *controlplane.Request, done string) error {
+// askAndPrint prints that something is agreed.
+func (a *leaderClient) askAndPrint(cmd *cobra.Command, verb string, r *controlplane.Request, done string) error {
 	var number uint64
-	err := a.ask(verb, r, &number)
+	err := a.request(verb, r, &number)
 	if err == nil && number > 0 {
 		fmt.Fprintln(cmd.OutOrStdout(), done, number)
 	} else if err == nil {
@@ -118,69 +118,69 @@
 	return err
 }
 
-func beginCommand(a *asker) *cobra.Command {
+func beginCommand(a *leaderClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "begin",
 		Short: "Begin a voter's log, once in its life, before its first start; never where one was lost",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			own, ring, err := a.open()
+			operators, ring, err := a.open()
 			if err != nil {
 				return err
 			}
-			o, votes := server.LogOptions(&own.Fleet, ring)
+			options, votes := server.LogOptions(&operators.ControlPlaneSettings, ring)
 			if !votes {
 				return fmt.Errorf("%s is none of fleet.voters, or fleet.directory is empty", ring.ID().Broker)
 			}
-			if there, _ := filepath.Glob(filepath.Join(o.Directory, "raft*")); len(there) > 0 {
-				return fmt.Errorf("%s holds a log already, which is begun once", o.Directory)
+			if existing, _ := filepath.Glob(filepath.Join(options.Directory, "raft*")); len(existing) > 0 {
+				return fmt.Errorf("%s holds a log already, which is begun once", options.Directory)
 			}
-			o.Create = true
-			log, err := raftlog.Open(o)
+			options.Create = true
+			log, err := raftlog.Open(options)
 			if err != nil {
 				return err
 			}
 			log.Close()
-			fmt.Fprintf(cmd.OutOrStdout(), "log of voter %d begun in %s\n", o.VoterID, o.Directory)
+			fmt.Fprintf(cmd.OutOrStdout(), "log of voter %d begun in %s\n", options.VoterID, options.Directory)
 			return nil
 		},
 	}
 }
 
-func releaseCommand(a *asker) *cobra.Command {
-	var w controlplane.ReleaseRequest
+func releaseCommand(a *leaderClient) *cobra.Command {
+	var plan controlplane.ReleaseRequest
 	var batches []uint
 	var pause time.Duration
-	var most, zone, least uint
+	var maxOut, maxOutPerZone, minReady uint
 	c := &cobra.Command{
 		Use:   "release --to VERSION",
 		Short: "Begin a release over brokers, or over nodes: who may go out, and how many at once",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, b := range batches {
-				w.Batches = append(w.Batches, uint32(b))
+				plan.Batches = append(plan.Batches, uint32(b))
 			}
-			w.MaxOut, w.MaxOutPerZone, w.MinReadyReplicas, w.PauseMS = uint32(most), uint32(zone), uint32(least), uint64(pause.Milliseconds())
-			return a.told(cmd, controlplane.VerbRelease, &controlplane.Request{Plan: &w}, "release")
+			plan.MaxOut, plan.MaxOutPerZone, plan.MinReadyReplicas, plan.PauseMS = uint32(maxOut), uint32(maxOutPerZone), uint32(minReady), uint64(pause.Milliseconds())
+			return a.askAndPrint(cmd, controlplane.VerbRelease, &controlplane.Request{Plan: &plan}, "release")
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&w.Name, "name", "", "what it is called")
-	f.StringVar(&w.From, "from", "", "version that the way back leads to")
-	f.StringVar(&w.To, "to", "", "version that it leads to")
-	f.StringSliceVar(&w.Brokers, "broker", nil, "brokers, by name; none and no nodes: all, voters last")
-	f.StringSliceVar(&w.Nodes, "node", nil, "nodes, by name or ADDRESS:PORT")
+	f.StringVar(&plan.Name, "name", "", "what it is called")
+	f.StringVar(&plan.From, "from", "", "version that the way back leads to")
+	f.StringVar(&plan.To, "to", "", "version that it leads to")
+	f.StringSliceVar(&plan.Brokers, "broker", nil, "brokers, by name; none and no nodes: all, voters last")
+	f.StringSliceVar(&plan.Nodes, "node", nil, "nodes, by name or ADDRESS:PORT")
 	f.UintSliceVar(&batches, "batch", nil, "how many are in the first batch, the first two, and so on; none: all in one")
-	f.UintVar(&most, "most", 1, "out at once over the tier")
-	f.UintVar(&zone, "most-zone", 0, "out at once in a zone (default: as --most)")
-	f.UintVar(&least, "least", 1, "ready holders that each shard keeps, for nodes")
+	f.UintVar(&maxOut, "most", 1, "out at once over the tier")
+	f.UintVar(&maxOutPerZone, "most-zone", 0, "out at once in a zone (default: as --most)")
+	f.UintVar(&minReady, "least", 1, "ready holders that each shard keeps, for nodes")
 	f.DurationVar(&pause, "pause", 10*time.Second, "between batches")
-	f.StringVar(&w.Gates, "gates", "", "gates, as docs/operations/fleet.md says")
+	f.StringVar(&plan.Gates, "gates", "", "gates, as docs/operations/fleet.md says")
 	c.MarkFlagRequired("to")
 	return c
 }
 
-func policyCommand(a *asker) *cobra.Command {
+func policyCommand(a *leaderClient) *cobra.Command {
 	c := &cobra.Command{Use: "policy", Short: "How nodes' connections are divided"}
 	c.AddCommand(
 		&cobra.Command{Use: "set FILE", Short: "Have a policy checked and agreed", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
@@ -188,11 +188,11 @@
 			if err != nil {
 				return err
 			}
-			return a.told(cmd, controlplane.VerbPolicy, &controlplane.Request{Text: string(text)}, "policy")
+			return a.askAndPrint(cmd, controlplane.VerbPolicy, &controlplane.Request{Text: string(text)}, "policy")
 		}},
 		&cobra.Command{Use: "show", Short: "Print the policy in force", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			var s controlplane.Status
-			if err := a.ask(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
+			if err := a.request(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
 				return err
 			}
 			if s.Policy == nil {
@@ -205,7 +205,7 @@
 			return nil
 		}},
 		&cobra.Command{Use: "back", Short: "Have the policy before this one agreed anew", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			return a.told(cmd, controlplane.VerbRollBackPolicy, &controlplane.Request{}, "policy")
+			return a.askAndPrint(cmd, controlplane.VerbRollBackPolicy, &controlplane.Request{}, "policy")
 		}})
 	return c
 }
--- a/cmd/flaxfront/fleetstatus.go
+++ b/cmd/flaxfront/fleetstatus.go
@@ -15,7 +15,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-func statusCommand(a *asker) *cobra.Command {
+func statusCommand(a *leaderClient) *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "status",
@@ -23,7 +23,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var s controlplane.Status
-			if err := a.ask(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
+			if err := a.request(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
 				return err
 			}
 			if asJSON {
@@ -38,7 +38,7 @@
 	return c
 }
 
-func watchCommand(a *asker) *cobra.Command {
+func watchCommand(a *leaderClient) *cobra.Command {
 	var every time.Duration
 	c := &cobra.Command{
 		Use:   "watch",
@@ -49,7 +49,7 @@
 			for {
 				var s controlplane.Status
 				line := ""
-				if err := a.ask(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
+				if err := a.request(controlplane.VerbStatus, &controlplane.Request{}, &s); err != nil {
 					line = "no answer: " + err.Error()
 				} else {
 					line = releaseLine(&s)
--- a/cmd/flaxfront/fronts.go
+++ b/cmd/flaxfront/fronts.go
@@ -13,20 +13,20 @@
 
 // addFronts opens the fronts of the operators' file.
 func addFronts(s *server.Server, file string) error {
-	own, err := operator.Read(file)
+	operators, err := operator.Read(file)
 	if err != nil {
 		return err
 	}
-	if own.Z3950.Listen != "" {
-		f, err := z3950.Listen(s, own.Z3950)
+	if operators.Z3950.Listen != "" {
+		f, err := z3950.Listen(s, operators.Z3950)
 		if err != nil {
 			return err
 		}
 		s.AddFront(f)
 		slog.Info("speaking Z39.50", "at", f.Addr())
 	}
-	if own.SRU.Listen != "" {
-		f, err := sru.Listen(s, own.SRU)
+	if operators.SRU.Listen != "" {
+		f, err := sru.Listen(s, operators.SRU)
 		if err != nil {
 			return err
 		}
--- a/cmd/flaxfront/keys.go
+++ b/cmd/flaxfront/keys.go
@@ -24,24 +24,24 @@
 func keysCommand(file *string) *cobra.Command {
 	var dir, authority, name string
 	var id keys.ID
-	var days, lasts int
+	var days, authorityDays int
 	root := &cobra.Command{Use: "keys", Short: "Certificates for the links between sites"}
-	fresh := &cobra.Command{
+	newAuthority := &cobra.Command{
 		Use:   "new-authority --dir DIR",
 		Short: "Make an authority; its key stays where certificates are issued, and goes to no broker",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := keys.NewAuthority(dir, name, time.Duration(lasts)*day, time.Now()); err != nil {
+			if err := keys.NewAuthority(dir, name, time.Duration(authorityDays)*day, time.Now()); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s and %s made\n", filepath.Join(dir, keys.AuthorityCert), filepath.Join(dir, keys.AuthorityKey))
 			return nil
 		},
 	}
-	fresh.Flags().StringVar(&dir, "dir", "", "where")
-	fresh.Flags().StringVar(&name, "name", "flaxfront links", "what it is called")
-	fresh.Flags().IntVar(&lasts, "days", 3650, "how long it lasts")
-	fresh.MarkFlagRequired("dir")
+	newAuthority.Flags().StringVar(&dir, "dir", "", "where")
+	newAuthority.Flags().StringVar(&name, "name", "flaxfront links", "what it is called")
+	newAuthority.Flags().IntVar(&authorityDays, "days", 3650, "how long it lasts")
+	newAuthority.MarkFlagRequired("dir")
 
 	issue := &cobra.Command{
 		Use:   "issue --authority DIR --dir DIR --site SITE --broker NAME",
@@ -112,11 +112,11 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if dir == "" {
-				own, err := operator.Read(*file)
+				operators, err := operator.Read(*file)
 				if err != nil {
 					return err
 				}
-				if dir = own.Sites.Keys; dir == "" {
+				if dir = operators.Sites.Keys; dir == "" {
 					return fmt.Errorf("give --dir, or an operators' file that names sites.keys")
 				}
 			}
@@ -133,53 +133,53 @@
 		},
 	}
 	check.Flags().StringVar(&dir, "dir", "", "the broker's directory (default: the operators' file's)")
-	root.AddCommand(fresh, issue, show, revoke, check)
+	root.AddCommand(newAuthority, issue, show, revoke, check)
 	return root
 }
 
-// countersOf asks a broker that runs for its counters, at an address or where its configuration says.
-func countersOf(config, at string) (c server.Counters, err error) {
-	if at == "" && config == "" {
-		return c, errNoConfig
+// fetchCounters asks a broker that runs for its counters, at an address or where its configuration says.
+func fetchCounters(config, address string) (counters server.Counters, err error) {
+	if address == "" && config == "" {
+		return counters, errNoConfig
 	}
-	if at == "" {
-		start, err := terms.ReadStart(config)
+	if address == "" {
+		start, err := terms.ReadConfig(config)
 		if err != nil {
-			return c, err
+			return counters, err
 		}
-		at = start.Listen.String()
+		address = start.Listen.String()
 	}
 	client := &http.Client{Timeout: 3 * time.Second}
-	resp, err := client.Get("http://" + at + "/counters")
+	resp, err := client.Get("http://" + address + "/counters")
 	if err != nil {
-		return c, err
+		return counters, err
 	}
 	defer resp.Body.Close()
-	if err := json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(&c); err != nil {
-		return c, fmt.Errorf("%s: %w", at, err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(&counters); err != nil {
+		return counters, fmt.Errorf("%s: %w", address, err)
 	}
-	return c, nil
+	return counters, nil
 }
 
 // sitesCommand asks a broker that runs for the state of its links.
 func sitesCommand(config *string) *cobra.Command {
-	var at string
+	var address string
 	c := &cobra.Command{
 		Use:   "sites",
 		Short: "Print the links of a broker that runs, and what went over them",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			counters, err := countersOf(*config, at)
+			counters, err := fetchCounters(*config, address)
 			if err != nil {
 				return err
 			}
-			g := counters.Queries.Gateway
-			if g == nil {
+			gateway := counters.Queries.Gateway
+			if gateway == nil {
 				return fmt.Errorf("the broker has no gateway: sites.keys is empty")
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "LINK\tUP\tTAKES\tROUND TRIP\tANSWERS IN\tABROAD\tCREDIT\tROOM THERE\tHEARD\tSHUT FOR")
-			for _, l := range g.Links {
+			for _, l := range gateway.Links {
 				heard := "never"
 				if l.StatusAge >= 0 {
 					heard = l.StatusAge.Round(time.Millisecond).String() + " ago"
@@ -190,14 +190,14 @@
 			if err := w.Flush(); err != nil {
 				return err
 			}
-			n, f := &g.Outgoing, &g.Incoming
+			outgoing, incoming := &gateway.Outgoing, &gateway.Incoming
 			fmt.Fprintf(cmd.OutOrStdout(), "from here: forwarded %d, answered %d, refused there %d, failed %d; lost with a link %d, resumed %d, brought home %d, given up %d\n"+
 				"not forwarded: no budget %d, no link %d, no time %d\nto here: came %d, run %d, turned away %d, came again %d, called off %d; in hand %d, remembered %d; refused handshakes %d\n",
-				n.Forwarded, n.Answered, n.Rejected, n.Failed, n.LinkLost, n.Retried, n.Returned, n.TimedOut, n.NoBudget, n.NoLink,
-				n.NoTime, f.Received, f.Admitted, f.Rejected, f.Joined+f.Repeated, f.Cancelled, f.InFlight, f.Remembered, counters.RejectedLinks)
+				outgoing.Forwarded, outgoing.Answered, outgoing.Rejected, outgoing.Failed, outgoing.LinkLost, outgoing.Retried, outgoing.Returned, outgoing.TimedOut, outgoing.NoBudget, outgoing.NoLink,
+				outgoing.NoTime, incoming.Received, incoming.Admitted, incoming.Rejected, incoming.Joined+incoming.Repeated, incoming.Cancelled, incoming.InFlight, incoming.Remembered, counters.RejectedLinks)
 			return nil
 		},
 	}
-	c.Flags().StringVar(&at, "at", "", "the broker's client address (default: the configuration's)")
+	c.Flags().StringVar(&address, "at", "", "the broker's client address (default: the configuration's)")
 	return c
 }
--- a/cmd/flaxfront/log.go
+++ b/cmd/flaxfront/log.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// logDepth bounds the lines that wait to be written.
-const logDepth = 4096
+// logQueueSize bounds the lines that wait to be written.
+const logQueueSize = 4096
 
 // logWriter writes lines in a goroutine of its own. Danger: whoever reads them stops, the pipe fills, and with it the
 // loop would stand still. Lines wait in a bounded queue; where it is full they are dropped, and how many is said once
@@ -24,7 +24,7 @@
 }
 
 func newLogWriter(to io.Writer) *logWriter {
-	w := &logWriter{lines: make(chan []byte, logDepth), quit: make(chan struct{}), done: make(chan struct{})}
+	w := &logWriter{lines: make(chan []byte, logQueueSize), quit: make(chan struct{}), done: make(chan struct{})}
 	go w.run(to)
 	return w
 }
--- a/cmd/flaxfront/log_test.go
+++ b/cmd/flaxfront/log_test.go
@@ -9,10 +9,10 @@
 )
 
 // A reader of the log that stops must not stop the broker; what is lost is said.
-func TestLogNeverWaits(t *testing.T) {
+func TestLogWriterNeverBlocks(t *testing.T) {
 	in, out := io.Pipe()
 	w := newLogWriter(out)
-	for i := range 2 * logDepth {
+	for i := range 2 * logQueueSize {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
 	go func() {
@@ -24,7 +24,7 @@
 	if err != nil || !bytes.Contains(text, []byte("line 0\n")) {
 		t.Errorf("%v, begins %.40q", err, text)
 	}
-	if got := strings.Count(string(text), "line "); got < logDepth || got > logDepth+1 ||
+	if got := strings.Count(string(text), "line "); got < logQueueSize || got > logQueueSize+1 ||
 		!strings.Contains(string(text), "log lines dropped") {
 		t.Errorf("%d lines came", got)
 	}
--- a/cmd/flaxfront/main.go
+++ b/cmd/flaxfront/main.go
@@ -83,13 +83,13 @@
 		},
 	)
 	if err := root.Execute(); err != nil {
-		fmt.Fprint(os.Stderr, complaint(err))
+		fmt.Fprint(os.Stderr, errorText(err))
 		os.Exit(1)
 	}
 }
 
-// complaint is what an error has the command print: itself, and a line on what to do where it knows that.
-func complaint(err error) string {
+// errorText is what an error has the command print: itself, and a line on what to do where it knows that.
+func errorText(err error) string {
 	text := fmt.Sprintln("flaxfront:", err)
 	if todo := remedy.Of(err); todo != "" {
 		text += fmt.Sprintln("what to do:", todo)
@@ -99,19 +99,19 @@
 
 var errNoConfig = errors.New("no configuration: give --config or set RELAY_CONFIG")
 
-func load(config, file string) (*terms.Start, *server.Server, error) {
+func load(config, file string) (*terms.Config, *server.Server, error) {
 	if config == "" {
 		return nil, nil, errNoConfig
 	}
-	start, err := terms.ReadStart(config)
+	start, err := terms.ReadConfig(config)
 	if err != nil {
 		return nil, nil, err
 	}
-	own, err := operator.Read(file)
+	operators, err := operator.Read(file)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := server.New(start, own, func(t decision.Settings) decision.Router { return routing.New(t) })
+	s, err := server.New(start, operators, func(t decision.Settings) decision.Router { return routing.New(t) })
 	return start, s, err
 }
 
@@ -122,23 +122,23 @@
 	log := newLogWriter(os.Stderr)
 	defer log.Close()
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
-	start, s, err := load(config, file)
-	if err == nil {
-		err = s.Open()
+	start, s, configErr := load(config, file)
+	if configErr == nil {
+		configErr = s.Open()
 	}
-	if err == nil {
-		err = addFronts(s, file)
+	if configErr == nil {
+		configErr = addFronts(s, file)
 	}
-	if err != nil {
-		return err
+	if configErr != nil {
+		return configErr
 	}
 	runtime.GOMAXPROCS(max(1, int(start.Limits.Cores)))
 	debug.SetMemoryLimit(int64(start.Limits.MemoryMB) << 20 / 4 * 3) // from there on the collector works harder
 	go func() {
 		for range reloads {
-			next, err := terms.ReadStart(config)
-			own, bad := operator.Read(file)
-			s.Reload(next, own, cmp.Or(err, bad))
+			next, configErr := terms.ReadConfig(config)
+			operators, operatorErr := operator.Read(file)
+			s.Reload(next, operators, cmp.Or(configErr, operatorErr))
 		}
 	}()
 	stop := make(chan struct{})
--- a/cmd/flaxfront/main_test.go
+++ b/cmd/flaxfront/main_test.go
@@ -28,7 +28,7 @@
 	write(fmt.Sprintf(configText, port))
 	done := make(chan error, 1)
 	go func() { done <- serve(file, "") }()
-	up := func() {
+	waitUntilUp := func() {
 		t.Helper()
 		for range 500 {
 			if r, err := http.Get(fmt.Sprintf("http://127.0.0.1:%d/up", port)); err == nil {
@@ -39,11 +39,11 @@
 		}
 		t.Fatal("not up")
 	}
-	up()
+	waitUntilUp()
 	for _, text := range []string{"{", "", fmt.Sprintf(configText, port+1)} {
 		write(text)
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
-		up()
+		waitUntilUp()
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
@@ -53,7 +53,7 @@
 }
 
 // An error that knows what an operator can do is printed with it, on a line of its own.
-func TestComplaint(t *testing.T) {
+func TestErrorText(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.json5")
 	if err := os.WriteFile(file, []byte("{\n\"dor\": {}}"), 0o600); err != nil {
 		t.Fatal(err)
@@ -64,10 +64,10 @@
 	}
 	_, _, err := load(config, file)
 	want := "flaxfront: operators' file: " + file + ":2: dor: unknown\nwhat to do: correct line 2 of " + file
-	if err == nil || !strings.HasPrefix(complaint(err), want) || strings.Count(complaint(err), "\n") != 2 {
-		t.Errorf("printed %q", complaint(err))
+	if err == nil || !strings.HasPrefix(errorText(err), want) || strings.Count(errorText(err), "\n") != 2 {
+		t.Errorf("printed %q", errorText(err))
 	}
-	if got := complaint(errNoConfig); strings.Count(got, "\n") != 1 {
+	if got := errorText(errNoConfig); strings.Count(got, "\n") != 1 {
 		t.Errorf("printed %q", got)
 	}
 }
--- a/cmd/flaxfront/nodes.go
+++ b/cmd/flaxfront/nodes.go
@@ -23,12 +23,12 @@
 		Short: "Print the operators' settings that are in force; what the file does not name is marked as default",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			own, err := operator.Read(*file)
+			operators, err := operator.Read(*file)
 			if err != nil {
 				return err
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			for _, s := range own.Settings() {
+			for _, s := range operators.Settings() {
 				origin := *file
 				if s.Default {
 					origin = "default"
@@ -40,32 +40,32 @@
 	}
 }
 
-// listPlace is where the list is and what it must belong to; no configuration: to any deployment.
-type listPlace struct {
+// listLocation is where the list is and what it must belong to; no configuration: to any deployment.
+type listLocation struct {
 	dir, deployment string
-	own             *operator.File
+	operators       *operator.File
 }
 
 func nodesCommand(config, file *string) *cobra.Command {
 	var dir string
-	place := func() (p listPlace, err error) {
-		if p.own, err = operator.Read(*file); err != nil {
-			return p, err
+	locate := func() (location listLocation, err error) {
+		if location.operators, err = operator.Read(*file); err != nil {
+			return location, err
 		}
-		if p.dir = dir; dir == "" {
-			p.dir = p.own.Start.NodeList.Directory
+		if location.dir = dir; dir == "" {
+			location.dir = location.operators.Start.NodeList.Directory
 		}
-		if p.dir == "" {
-			return p, errors.New("no node list: give --dir, or an operators' file that names start.node_list.directory")
+		if location.dir == "" {
+			return location, errors.New("no node list: give --dir, or an operators' file that names start.node_list.directory")
 		}
 		if *config != "" {
-			start, err := terms.ReadStart(*config)
+			start, err := terms.ReadConfig(*config)
 			if err != nil {
-				return p, err
+				return location, err
 			}
-			p.deployment = start.Terms.Fingerprint()
+			location.deployment = start.Terms.Fingerprint()
 		}
-		return p, nil
+		return location, nil
 	}
 	nodes := &cobra.Command{
 		Use:   "nodes",
@@ -73,50 +73,50 @@
 	}
 	nodes.PersistentFlags().StringVar(&dir, "dir", "", "directory of the list (default: the operators' file's)")
 
-	var asJSON, ended bool
+	var asJSON, includeEnded bool
 	show := &cobra.Command{
 		Use:   "show [NAME]...",
 		Short: "Print the entries, with how doubtful their age makes them",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
-			c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
+			c, err := nodelist.Read(filesystem.Local{}, location.dir, location.deployment)
 			if err != nil {
 				return err
 			}
-			return showNodes(cmd.OutOrStdout(), p, c, names, ended, asJSON)
+			return showNodes(cmd.OutOrStdout(), location, c, names, includeEnded, asJSON)
 		},
 	}
 	show.Flags().BoolVar(&asJSON, "json", false, "as export writes it")
-	show.Flags().BoolVar(&ended, "ended", false, "ended nodes too")
+	show.Flags().BoolVar(&includeEnded, "ended", false, "ended nodes too")
 
-	var reach time.Duration
+	var connectTimeout time.Duration
 	verify := &cobra.Command{
 		Use:   "verify",
 		Short: "Check the files whole; with --connect also try each node in service",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
-			return verifyNodes(cmd.OutOrStdout(), p, reach)
+			return verifyNodes(cmd.OutOrStdout(), location, connectTimeout)
 		},
 	}
-	verify.Flags().DurationVar(&reach, "connect", 0, "try to connect to each node in service, so long each (0: don't)")
+	verify.Flags().DurationVar(&connectTimeout, "connect", 0, "try to connect to each node in service, so long each (0: don't)")
 
 	export := &cobra.Command{
 		Use:   "export",
 		Short: "Write all entries as JSON, for import elsewhere",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
-			c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
+			c, err := nodelist.Read(filesystem.Local{}, location.dir, location.deployment)
 			if err == nil {
 				err = writeJSON(cmd.OutOrStdout(), c.SortedByName())
 			}
@@ -129,7 +129,7 @@
 		Short: "Take entries from a file that export wrote (-: standard input), where they are later than what is known",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
@@ -137,7 +137,7 @@
 			if err != nil {
 				return err
 			}
-			return change(cmd.OutOrStdout(), p, nodelist.OperatorRequest{Import: entries})
+			return applyChange(cmd.OutOrStdout(), location, nodelist.OperatorRequest{Import: entries})
 		},
 	}
 
@@ -146,11 +146,11 @@
 		Short: "Drop entries; a broker that runs without discovery stops using these nodes at once",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, names []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
-			return change(cmd.OutOrStdout(), p, nodelist.OperatorRequest{Forget: names})
+			return applyChange(cmd.OutOrStdout(), location, nodelist.OperatorRequest{Forget: names})
 		},
 	}
 	nodes.AddCommand(show, verify, export, imports, forget)
--- a/cmd/flaxfront/nodesio.go
+++ b/cmd/flaxfront/nodesio.go
@@ -20,8 +20,8 @@
 	"flaxfront/internal/filesystem"
 )
 
-// listed is an entry as operators read and write it.
-type listed struct {
+// listedEntry is an entry as operators read and write it.
+type listedEntry struct {
 	Name       string    `json:"name"`
 	Addr       string    `json:"addr"`
 	Zone       string    `json:"zone"`
@@ -34,7 +34,7 @@
 	Generation uint64    `json:"generation"`
 }
 
-func moment(m cachedlist.Timestamp) (t time.Time) {
+func utcTime(m cachedlist.Timestamp) (t time.Time) {
 	if m > 0 {
 		t = m.Time().UTC()
 	}
@@ -42,10 +42,10 @@
 }
 
 func writeJSON(w io.Writer, entries []cachedlist.Entry) error {
-	all := []listed{}
+	all := []listedEntry{}
 	for _, e := range entries {
-		all = append(all, listed{e.Name, e.Address.String(), e.Zone, e.Cell, e.State.String(), moment(e.StartedAt),
-			moment(e.ConfirmedAt), e.ConfirmedBy.String(), moment(e.StateSince), e.Generation})
+		all = append(all, listedEntry{e.Name, e.Address.String(), e.Zone, e.Cell, e.State.String(), utcTime(e.StartedAt),
+			utcTime(e.ConfirmedAt), e.ConfirmedBy.String(), utcTime(e.StateSince), e.Generation})
 	}
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", " ")
@@ -63,7 +63,7 @@
 		defer f.Close()
 		in = f
 	}
-	var all []listed
+	var all []listedEntry
 	d := json.NewDecoder(in)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&all); err != nil {
@@ -95,119 +95,119 @@
 	return entries, nil
 }
 
-func showNodes(out io.Writer, p listPlace, c *nodelist.Content, names []string, ended, asJSON bool) error {
+func showNodes(out io.Writer, location listLocation, content *nodelist.Content, names []string, includeEnded, asJSON bool) error {
 	var entries []cachedlist.Entry
-	for _, e := range c.SortedByName() {
-		if len(names) == 0 && (ended || e.State != cachedlist.Ended) || slices.Contains(names, e.Name) {
+	for _, e := range content.SortedByName() {
+		if len(names) == 0 && (includeEnded || e.State != cachedlist.Ended) || slices.Contains(names, e.Name) {
 			entries = append(entries, e)
 		}
 	}
 	if asJSON {
 		return writeJSON(out, entries)
 	}
-	for _, f := range c.FileErrors {
+	for _, f := range content.FileErrors {
 		fmt.Fprintf(out, "%s: not read whole: %v\n", f.File, f.Err)
 	}
-	if !c.Found {
+	if !content.Found {
 		fmt.Fprintln(out, "no list that can be read")
 		return nil
 	}
 	now := cachedlist.TimestampOf(time.Now())
-	fmt.Fprintf(out, "generation %d of %s, deployment %s, confirmed %s ago\n", c.Head.Generation, c.Head.Service,
-		c.Head.Deployment, now.Since(c.Head.ConfirmedAt).Round(time.Second))
+	fmt.Fprintf(out, "generation %d of %s, deployment %s, confirmed %s ago\n", content.Head.Generation, content.Head.Service,
+		content.Head.Deployment, now.Since(content.Head.ConfirmedAt).Round(time.Second))
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESS\tZONE\tCELL\tSTATE\tCONFIRMED\tBY\tDOUBT\tSTARTED")
-	t := p.own.Start.Trust
-	book := cachedlist.NewEntryTable(c.Head, c.SortedByName())
-	judge := cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: t.HalfLife, MaxAge: t.Oldest, EjectionThreshold: t.StrikeAt, TrialInterval: t.Parole},
-		book, now)
+	trust := location.operators.Start.Trust
+	entryTable := cachedlist.NewEntryTable(content.Head, content.SortedByName())
+	evaluator := cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: trust.HalfLife, MaxAge: trust.MaxEntryAge, EjectionThreshold: trust.ExclusionThreshold, TrialInterval: trust.TrialDelay},
+		entryTable, now)
 	for _, e := range entries {
 		confirmed, started := "never", "long ago"
-		if age, known := judge.EntryAge(&e); known {
+		if age, known := evaluator.EntryAge(&e); known {
 			confirmed = age.Round(time.Second).String() + " ago"
 		}
 		if e.StartedAt > 0 {
-			started = moment(e.StartedAt).Format(time.RFC3339)
+			started = utcTime(e.StartedAt).Format(time.RFC3339)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%.3f\t%s\n", e.Name, e.Address, e.Zone, e.Cell, e.State, confirmed, e.ConfirmedBy,
-			judge.PriorErrorProbability(&e), started)
+			evaluator.PriorErrorProbability(&e), started)
 	}
 	return w.Flush()
 }
 
 // verifyNodes fails where a file is damaged, or where a node that should be in service can't be reached.
-func verifyNodes(out io.Writer, p listPlace, reach time.Duration) error {
-	c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
+func verifyNodes(out io.Writer, location listLocation, connectTimeout time.Duration) error {
+	content, err := nodelist.Read(filesystem.Local{}, location.dir, location.deployment)
 	if err != nil {
 		return err
 	}
-	for _, f := range c.FileErrors {
+	for _, f := range content.FileErrors {
 		fmt.Fprintf(out, "%s: %v\n", f.File, f.Err)
 	}
-	if !c.Found {
+	if !content.Found {
 		return errors.New("no list that can be read")
 	}
 	var ready []cachedlist.Entry
-	for _, e := range c.SortedByName() {
+	for _, e := range content.SortedByName() {
 		if e.State == cachedlist.Ready {
 			ready = append(ready, e)
 		}
 	}
-	fmt.Fprintf(out, "%d entries, %d in service\n", len(c.Entries), len(ready))
-	unreached := make([]error, len(ready))
-	if reach > 0 {
+	fmt.Fprintf(out, "%d entries, %d in service\n", len(content.Entries), len(ready))
+	connectErrors := make([]error, len(ready))
+	if connectTimeout > 0 {
 		var g errgroup.Group
 		g.SetLimit(32)
 		for i := range ready {
 			g.Go(func() error {
-				conn, err := net.DialTimeout("tcp", ready[i].Address.String(), reach)
+				conn, err := net.DialTimeout("tcp", ready[i].Address.String(), connectTimeout)
 				if err == nil {
 					conn.Close()
 				}
-				unreached[i] = err
+				connectErrors[i] = err
 				return nil
 			})
 		}
 		g.Wait()
 	}
-	bad := 0
-	for i, err := range unreached {
+	unreachable := 0
+	for i, err := range connectErrors {
 		if err != nil {
-			bad++
+			unreachable++
 			fmt.Fprintf(out, "%s: %v\n", ready[i].Name, err)
 		}
 	}
-	if bad > 0 || len(c.FileErrors) > 0 {
-		return fmt.Errorf("%d nodes out of reach, %d files not read whole", bad, len(c.FileErrors))
+	if unreachable > 0 || len(content.FileErrors) > 0 {
+		return fmt.Errorf("%d nodes out of reach, %d files not read whole", unreachable, len(content.FileErrors))
 	}
 	return nil
 }
 
-// change carries out an ask: by the broker that holds the directory, or else here.
-func change(out io.Writer, p listPlace, a nodelist.OperatorRequest) error {
-	c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
+// applyChange carries out an ask: by the broker that holds the directory, or else here.
+func applyChange(out io.Writer, location listLocation, request nodelist.OperatorRequest) error {
+	current, err := nodelist.Read(filesystem.Local{}, location.dir, location.deployment)
 	if err != nil {
 		return err
 	}
-	deployment := p.deployment
+	deployment := location.deployment
 	if deployment == "" {
-		deployment = c.Head.Deployment
+		deployment = current.Head.Deployment
 	}
 	if deployment == "" {
 		return errors.New("no list there yet; --config tells which deployment it is to belong to")
 	}
-	store, content := nodelist.Open(nodelist.Options{Directory: p.dir, Deployment: deployment})
+	store, content := nodelist.Open(nodelist.Options{Directory: location.dir, Deployment: deployment})
 	defer store.Close()
 	if !store.HoldsLock() {
-		if err := nodelist.SubmitRequest(filesystem.Local{}, p.dir, deployment, a, time.Now()); err != nil {
+		if err := nodelist.SubmitRequest(filesystem.Local{}, location.dir, deployment, request, time.Now()); err != nil {
 			return err
 		}
 		fmt.Fprintln(out, "left for the broker that runs; its log tells what it took")
 		return nil
 	}
-	book := cachedlist.NewEntryTable(content.Head, content.SortedByName())
-	fmt.Fprintf(out, "imported %d, forgotten %d\n", book.Import(a.Import), book.Forget(a.Forget))
-	if changes, any := book.CollectChanges(); any {
+	entryTable := cachedlist.NewEntryTable(content.Head, content.SortedByName())
+	fmt.Fprintf(out, "imported %d, forgotten %d\n", entryTable.Import(request.Import), entryTable.Forget(request.Forget))
+	if changes, any := entryTable.CollectChanges(); any {
 		store.Enqueue(changes)
 	}
 	return store.Flush()
--- a/cmd/flaxfront/search.go
+++ b/cmd/flaxfront/search.go
@@ -25,15 +25,15 @@
 	"flaxfront/internal/server"
 )
 
-// asking is what the client is told to do.
-type asking struct {
-	protocol, at, path, typ, tenant, schema string
-	start, most, shards                     int
-	timeout                                 time.Duration
+// searchOptions is what the client is told to do.
+type searchOptions struct {
+	protocol, at, database, queryType, tenant, schema string
+	start, maxRecords, shards                         int
+	timeout                                           time.Duration
 }
 
 func searchCommand() *cobra.Command {
-	var a asking
+	var a searchOptions
 	c := &cobra.Command{
 		Use:   "search QUERY",
 		Short: "Ask a broker, or any server of the protocol, one search: CQL for sru and http, PQF (@attr 1=4 cat) for z3950",
@@ -45,11 +45,11 @@
 			out := cmd.OutOrStdout()
 			switch a.protocol {
 			case "sru":
-				return a.bySRU(out, args[0])
+				return a.searchSRU(out, args[0])
 			case "z3950":
-				return a.byZ3950(out, args[0])
+				return a.searchZ3950(out, args[0])
 			case "http":
-				return a.byHTTP(out, args[0])
+				return a.searchHTTP(out, args[0])
 			}
 			return fmt.Errorf("--protocol: %q is none of sru, z3950, http", a.protocol)
 		},
@@ -57,20 +57,20 @@
 	f := c.Flags()
 	f.StringVar(&a.protocol, "protocol", "sru", "sru, z3950 or http (the platform's own)")
 	f.StringVar(&a.at, "at", "127.0.0.1:8088", "address of the server")
-	f.StringVar(&a.path, "database", "catalogue", "database: a path for sru, a name for z3950")
+	f.StringVar(&a.database, "database", "catalogue", "database: a path for sru, a name for z3950")
 	f.StringVar(&a.schema, "schema", "dc", "of records: dc, marcxml, marc21")
 	f.IntVar(&a.start, "start", 1, "first record")
-	f.IntVar(&a.most, "most", 10, "records")
-	f.StringVar(&a.typ, "type", "find", "http: query type")
+	f.IntVar(&a.maxRecords, "most", 10, "records")
+	f.StringVar(&a.queryType, "type", "find", "http: query type")
 	f.StringVar(&a.tenant, "tenant", "", "http: tenant")
 	f.IntVar(&a.shards, "shards", 1, "http: shards to ask, from 0")
 	f.DurationVar(&a.timeout, "timeout", 5*time.Second, "for all of it")
 	return c
 }
 
-func (a *asking) bySRU(out io.Writer, text string) error {
-	target := "http://" + a.at + "/" + url.PathEscape(a.path) + "?" + url.Values{"version": {"1.2"}, "operation": {"searchRetrieve"}, "query": {text},
-		"startRecord": {strconv.Itoa(a.start)}, "maximumRecords": {strconv.Itoa(a.most)}, "recordSchema": {a.schema}}.Encode()
+func (a *searchOptions) searchSRU(out io.Writer, text string) error {
+	target := "http://" + a.at + "/" + url.PathEscape(a.database) + "?" + url.Values{"version": {"1.2"}, "operation": {"searchRetrieve"}, "query": {text},
+		"startRecord": {strconv.Itoa(a.start)}, "maximumRecords": {strconv.Itoa(a.maxRecords)}, "recordSchema": {a.schema}}.Encode()
 	resp, err := (&http.Client{Timeout: a.timeout}).Get(target)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (a *asking) byZ3950(out io.Writer, text string) error {
+func (a *searchOptions) searchZ3950(out io.Writer, text string) error {
 	set, rpn, err := query.ParsePQF(text)
 	if err != nil {
 		return err
@@ -109,41 +109,41 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(a.timeout))
 	in := bufio.NewReader(conn)
-	say := func(m z3950.Message) (z3950.Message, error) {
+	exchange := func(m z3950.Message) (z3950.Message, error) {
 		if _, err := conn.Write(z3950.Encode(m)); err != nil {
 			return nil, err
 		}
 		r, err := z3950.Read(in)
-		if c, is := r.(*z3950.Close); is && err == nil {
+		if c, ok := r.(*z3950.Close); ok && err == nil {
 			err = fmt.Errorf("the server closes: reason %d, %s", c.Reason, c.Text)
 		}
 		return r, err
 	}
-	if m, err := say(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, Preferred: 1 << 20, Most: 1 << 20}); err != nil {
+	if m, err := exchange(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, Preferred: 1 << 20, Most: 1 << 20}); err != nil {
 		return err
-	} else if r, is := m.(*z3950.InitResponse); !is || !r.Accepted {
+	} else if r, ok := m.(*z3950.InitResponse); !ok || !r.Accepted {
 		return errors.New("the session was not accepted")
 	}
 	syntax := map[string]string{"marc21": z3950.MARC21, "marcxml": z3950.XML, "dc": z3950.XML}[a.schema]
-	m, err := say(&z3950.SearchRequest{Large: 1, Replace: true, ResultSet: "1", Databases: []string{a.path}, Set: set, Query: rpn, Syntax: syntax})
+	m, err := exchange(&z3950.SearchRequest{Large: 1, Replace: true, ResultSet: "1", Databases: []string{a.database}, Set: set, Query: rpn, Syntax: syntax})
 	if err != nil {
 		return err
 	}
-	r, is := m.(*z3950.SearchResponse)
-	if !is {
+	r, ok := m.(*z3950.SearchResponse)
+	if !ok {
 		return errors.New("no answer to the search")
 	}
 	fmt.Fprintf(out, "%d records, whole %v\n", r.Count, r.OK)
 	if f := r.Records.Fault; f != nil {
 		fmt.Fprintf(out, "diagnostic %d: %s\n", f.Code, f.Text)
 	}
-	for at := a.start; at < a.start+a.most && at <= r.Count; {
-		m, err := say(&z3950.PresentRequest{ResultSet: "1", Start: at, Want: min(a.start+a.most, r.Count+1) - at, Syntax: syntax})
+	for at := a.start; at < a.start+a.maxRecords && at <= r.Count; {
+		m, err := exchange(&z3950.PresentRequest{ResultSet: "1", Start: at, Want: min(a.start+a.maxRecords, r.Count+1) - at, Syntax: syntax})
 		if err != nil {
 			return err
 		}
-		p, is := m.(*z3950.PresentResponse)
-		if !is || p.Records.Fault != nil || len(p.Records.All) == 0 {
+		p, ok := m.(*z3950.PresentResponse)
+		if !ok || p.Records.Fault != nil || len(p.Records.All) == 0 {
 			return fmt.Errorf("no records from %d on: %+v", at, p.Records.Fault)
 		}
 		for i := range p.Records.All {
@@ -151,14 +151,14 @@
 			at++
 		}
 	}
-	_, err = say(&z3950.Close{})
+	_, err = exchange(&z3950.Close{})
 	if err != nil && !strings.Contains(err.Error(), "the server closes") {
 		return err
 	}
 	return nil
 }
 
-func (a *asking) byHTTP(out io.Writer, text string) error {
+func (a *searchOptions) searchHTTP(out io.Writer, text string) error {
 	q, err := query.ParseCQL(text)
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	want := catalogue.Want{Depth: min(catalogue.MaxDepth, a.start+a.most-1), Syntax: a.schema, Query: rpn}
+	statement := catalogue.Want{Depth: min(catalogue.MaxDepth, a.start+a.maxRecords-1), Syntax: a.schema, Query: rpn}
 	type tablet struct {
 		Tablet   int     `json:"tablet"`
 		Fraction float64 `json:"fraction"`
@@ -175,7 +175,7 @@
 	body := struct {
 		Tablets   []tablet `json:"tablets"`
 		Statement string   `json:"statement"`
-	}{Statement: want.Statement()}
+	}{Statement: statement.Statement()}
 	for i := range a.shards {
 		body.Tablets = append(body.Tablets, tablet{i, 1 / float64(a.shards)})
 	}
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequest("POST", "http://"+a.at+"/"+a.typ, bytes.NewReader(raw))
+	req, err := http.NewRequest("POST", "http://"+a.at+"/"+a.queryType, bytes.NewReader(raw))
 	if err != nil {
 		return err
 	}
--- a/cmd/flaxfront/search_test.go
+++ b/cmd/flaxfront/search_test.go
@@ -17,13 +17,13 @@
 func TestSearch(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	own := operator.Default()
-	own.SRU.Listen, own.Z3950.Listen = "127.0.0.1:0", "127.0.0.1:0"
-	s, err := sru.Listen(archive.New(archive.DC), own.SRU)
+	operators := operator.Default()
+	operators.SRU.Listen, operators.Z3950.Listen = "127.0.0.1:0", "127.0.0.1:0"
+	s, err := sru.Listen(archive.New(archive.DC), operators.SRU)
 	if err != nil {
 		t.Fatal(err)
 	}
-	z, err := z3950.Listen(archive.New(archive.DC), own.Z3950)
+	z, err := z3950.Listen(archive.New(archive.DC), operators.Z3950)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/flaxlab/capacity.go
+++ b/cmd/flaxlab/capacity.go
@@ -22,7 +22,7 @@
 func capacityCommand() *cobra.Command {
 	var path string
 	var parts, conns int
-	var last time.Duration
+	var duration time.Duration
 	var rates []float64
 	c := &cobra.Command{
 		Use:   "capacity",
@@ -40,7 +40,7 @@
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%-12s  %10s  %10s  %8s  %8s  %8s\n", "asked/s", "answered/s", "us/search", "p50 us", "p99 us", "p99.9 us")
 			for _, rate := range append(rates, 0) {
-				if err := pressOnce(cmd, path, parts, conns, last, rate); err != nil {
+				if err := measureCapacity(cmd, path, parts, conns, duration, rate); err != nil {
 					return err
 				}
 			}
@@ -50,12 +50,12 @@
 	c.Flags().StringVar(&path, "broker", "", "the broker's program (default: flaxfront beside this one)")
 	c.Flags().IntVar(&parts, "parts", 4, "of a search")
 	c.Flags().IntVar(&conns, "conns", 64, "client connections")
-	c.Flags().DurationVar(&last, "for", 4*time.Second, "how long each rate")
+	c.Flags().DurationVar(&duration, "for", 4*time.Second, "how long each rate")
 	c.Flags().Float64SliceVar(&rates, "rates", []float64{2000, 8000}, "searches a second, before as many as are answered")
 	return c
 }
 
-func pressOnce(cmd *cobra.Command, path string, parts, conns int, last time.Duration, rate float64) (err error) {
+func measureCapacity(cmd *cobra.Command, path string, parts, conns int, duration time.Duration, rate float64) (err error) {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
 		return err
@@ -76,29 +76,29 @@
 		err = errors.Join(err, broker.Wait())
 	}()
 	time.Sleep(500 * time.Millisecond)
-	press := lab.Press{Addr: s.at, Class: "find", Parts: parts, Cells: s.Cells, Conns: conns, For: 500 * time.Millisecond, Rate: rate}
-	if _, err := press.Run(); err != nil { // warm
+	load := lab.Press{Addr: s.at, Class: "find", Parts: parts, Cells: s.Cells, Conns: conns, For: 500 * time.Millisecond, Rate: rate}
+	if _, err := load.Run(); err != nil { // warm
 		return err
 	}
-	before, began := cpuOf(broker.Process.Pid), time.Now()
-	press.For = last
-	p, err := press.Run()
+	before, began := cpuTime(broker.Process.Pid), time.Now()
+	load.For = duration
+	p, err := load.Run()
 	if err != nil {
 		return err
 	}
-	cpu, took := cpuOf(broker.Process.Pid)-before, time.Since(began)
-	name := "all it can"
+	cpu, took := cpuTime(broker.Process.Pid)-before, time.Since(began)
+	rateText := "all it can"
 	if rate > 0 {
-		name = fmt.Sprintf("%.0f", rate)
+		rateText = fmt.Sprintf("%.0f", rate)
 	}
-	q := func(x float64) int64 { return p.Latency.ValueAtQuantile(x) }
-	fmt.Fprintf(cmd.OutOrStdout(), "%-12s  %10.0f  %10.1f  %8d  %8d  %8d\n", name, float64(p.Answered)/took.Seconds(),
-		float64(cpu.Microseconds())/float64(max(1, p.Asked)), q(50), q(99), q(99.9))
+	percentile := func(x float64) int64 { return p.Latency.ValueAtQuantile(x) }
+	fmt.Fprintf(cmd.OutOrStdout(), "%-12s  %10.0f  %10.1f  %8d  %8d  %8d\n", rateText, float64(p.Answered)/took.Seconds(),
+		float64(cpu.Microseconds())/float64(max(1, p.Asked)), percentile(50), percentile(99), percentile(99.9))
 	return nil
 }
 
-// cpuOf is what a process has used, user and system, in ticks of 10 ms.
-func cpuOf(pid int) time.Duration {
+// cpuTime is what a process has used, user and system, in ticks of 10 ms.
+func cpuTime(pid int) time.Duration {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(raw), ") ")
 	if f := strings.Fields(rest); len(f) > 13 {
--- a/cmd/flaxlab/flood.go
+++ b/cmd/flaxlab/flood.go
@@ -20,7 +20,7 @@
 
 func floodCommand() *cobra.Command {
 	var conns int
-	var last time.Duration
+	var duration time.Duration
 	c := &cobra.Command{
 		Use:   "flood",
 		Short: "On sockets: a quiet tenant beside one that floods and comes back at once, with and without fair queues",
@@ -29,9 +29,9 @@
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%-22s  %-9s  %-34s  %-30s\n", "door", "flood", "quiet: asked, served, p50, p99", "flooder: served a second, turned away")
-			for _, door := range []string{"first come first served", "fair queues"} {
+			for _, queueing := range []string{"first come first served", "fair queues"} {
 				for _, flood := range []int{0, conns} {
-					if err := playFlood(out, door, flood, last); err != nil {
+					if err := runFlood(out, queueing, flood, duration); err != nil {
 						return err
 					}
 				}
@@ -40,7 +40,7 @@
 		},
 	}
 	c.Flags().IntVar(&conns, "conns", 150, "connections of the flooder")
-	c.Flags().DurationVar(&last, "for", 8*time.Second, "how long each")
+	c.Flags().DurationVar(&duration, "for", 8*time.Second, "how long each")
 	return c
 }
 
@@ -53,14 +53,14 @@
 	}
 }
 
-func playFlood(out io.Writer, door string, conns int, last time.Duration) error {
+func runFlood(out io.Writer, queueing string, conns int, duration time.Duration) error {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	file := "{}"
-	if door != "first come first served" {
+	if queueing != "first come first served" {
 		file = `{"door": {"on": true}}`
 	}
 	s, err := newSite(dir, 8, 2, 1, file)
@@ -69,7 +69,7 @@
 	}
 	defer s.Close()
 	s.Pace(40 * time.Millisecond) // 16 cores: room for 200 searches of two parts a second
-	l, err := startBroker(s.config, s.file)
+	broker, err := startBroker(s.config, s.file)
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	stop := make(chan struct{})
 	var flooders sync.WaitGroup
 	var mu sync.Mutex
-	served, turned := 0, 0
+	served, rejected := 0, 0
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: conns + 1}, Timeout: 5 * time.Second}
 	for i := range conns {
 		flooders.Go(func() {
@@ -103,22 +103,22 @@
 				if resp.StatusCode == 200 {
 					served++
 				} else {
-					turned++
+					rejected++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	o := lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "quiet", Shards: 4, Widest: 3, Rate: 20, For: last,
+	outcome := lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "quiet", Shards: 4, Widest: 3, Rate: 20, For: duration,
 		Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 5}.Run()
 	close(stop)
 	flooders.Wait()
 	client.CloseIdleConnections()
-	q := func(p float64) float64 { return float64(o.Latency.ValueAtQuantile(p)) / 1000 }
-	fmt.Fprintf(out, "%-22s  %-9d  %4d, %5.1f%%, %6.1f ms, %7.1f ms    %6.1f, %d; rules broken %d\n", door, conns, o.Asked,
-		100*float64(o.Answered)/float64(o.Asked), q(50), q(99), float64(served)/last.Seconds(), turned, len(o.Broken))
-	if d := l.Counters().Queries.Admission; d != nil {
+	percentileMs := func(p float64) float64 { return float64(outcome.Latency.ValueAtQuantile(p)) / 1000 }
+	fmt.Fprintf(out, "%-22s  %-9d  %4d, %5.1f%%, %6.1f ms, %7.1f ms    %6.1f, %d; rules broken %d\n", queueing, conns, outcome.Asked,
+		100*float64(outcome.Answered)/float64(outcome.Asked), percentileMs(50), percentileMs(99), float64(served)/duration.Seconds(), rejected, len(outcome.Broken))
+	if d := broker.Counters().Queries.Admission; d != nil {
 		fmt.Fprintf(out, "  limit %.0f parts, %.0f a second, baseline %v\n", d.Limit, d.Rate, d.Baseline.Round(time.Millisecond))
 	}
-	return l.end()
+	return broker.shutDown()
 }
--- a/cmd/flaxlab/live.go
+++ b/cmd/flaxlab/live.go
@@ -25,16 +25,16 @@
 	"flaxfront/internal/server"
 )
 
-// live is a broker in this process.
-type live struct {
+// liveBroker is a broker in this process.
+type liveBroker struct {
 	*server.Server
 	stop chan struct{}
 	done chan error
 }
 
 // startBroker runs a broker of a configuration and an operators' file ("" for none).
-func startBroker(config, file string) (*live, error) {
-	start, err := terms.ReadStart(config)
+func startBroker(config, file string) (*liveBroker, error) {
+	start, err := terms.ReadConfig(config)
 	if err != nil {
 		return nil, err
 	}
@@ -49,12 +49,12 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &live{s, make(chan struct{}), make(chan error, 1)}
+	l := &liveBroker{s, make(chan struct{}), make(chan error, 1)}
 	go func() { l.done <- s.Run(l.stop) }()
 	return l, nil
 }
 
-func (l *live) end() error {
+func (l *liveBroker) shutDown() error {
 	close(l.stop)
 	return <-l.done
 }
@@ -86,14 +86,14 @@
 	return s, err
 }
 
-func keepIn(dir string) string {
+func nodeListSettings(dir string) string {
 	return fmt.Sprintf(`{"start": {"node_list": {"directory": %q, "save_every": "50ms"}}}`, filepath.Join(dir, "list"))
 }
 
 func upCommand() *cobra.Command {
 	var nodes int
 	var rate float64
-	var last, outage time.Duration
+	var duration, outage time.Duration
 	var logs bool
 	up := &cobra.Command{
 		Use:   "up",
@@ -110,55 +110,55 @@
 			defer os.RemoveAll(dir)
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			return playUp(ctx, cmd.OutOrStdout(), dir, nodes, rate, last, outage)
+			return runUp(ctx, cmd.OutOrStdout(), dir, nodes, rate, duration, outage)
 		},
 	}
 	up.Flags().IntVar(&nodes, "nodes", 8, "simulated nodes, over two cells")
 	up.Flags().Float64Var(&rate, "rate", 50, "searches a second")
-	up.Flags().DurationVar(&last, "for", 10*time.Minute, "how long, at most")
+	up.Flags().DurationVar(&duration, "for", 10*time.Minute, "how long, at most")
 	up.Flags().DurationVar(&outage, "outage", 0, "after 5 s the broker restarts with discovery down for so long (0: never)")
 	up.Flags().BoolVar(&logs, "logs", false, "the broker's log on standard error")
 	return up
 }
 
-func playUp(ctx context.Context, out io.Writer, dir string, nodes int, rate float64, last, outage time.Duration) error {
-	s, err := newSite(dir, nodes, 2, 1, keepIn(dir))
+func runUp(ctx context.Context, out io.Writer, dir string, nodes int, rate float64, duration, outage time.Duration) error {
+	s, err := newSite(dir, nodes, 2, 1, nodeListSettings(dir))
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	l, err := startBroker(s.config, s.file)
+	broker, err := startBroker(s.config, s.file)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "a broker at %s before %d simulated nodes; try\n  curl -d '{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c4\"}' "+
 		"-H 'X-Request-ID: my-first' -H 'X-Tenant-Id: acme' -H 'X-Timeout-Ms: 900' http://%s/find\n", s.at, nodes, s.at)
-	course := lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "acme", Shards: 2 * s.Cells, Widest: 4, Rate: rate,
-		For: last, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 1, Every: time.Second, Say: out}
+	load := lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "acme", Shards: 2 * s.Cells, Widest: 4, Rate: rate,
+		For: duration, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 1, Every: time.Second, Say: out}
 	if outage > 0 {
-		course.For = 5 * time.Second
-		fmt.Fprintln(out, course.Run())
+		load.For = 5 * time.Second
+		fmt.Fprintln(out, load.Run())
 		s.Discovery.Down()
-		if err := l.end(); err != nil {
+		if err := broker.shutDown(); err != nil {
 			return err
 		}
-		if l, err = startBroker(s.config, s.file); err != nil {
+		if broker, err = startBroker(s.config, s.file); err != nil {
 			return err
 		}
 		time.AfterFunc(outage, func() { s.Discovery.Up("") })
-		course.For = outage + 5*time.Second
+		load.For = outage + 5*time.Second
 		fmt.Fprintf(out, "the broker has restarted; discovery is down for %v\n", outage)
 	}
 	done := make(chan *lab.Outcome, 1)
-	go func() { done <- course.Run() }()
+	go func() { done <- load.Run() }()
 	select {
 	case o := <-done:
 		fmt.Fprintln(out, o)
 	case <-ctx.Done():
 		fmt.Fprintln(out, "stopped")
 	}
-	fmt.Fprintln(out, l.Counters())
-	return l.end()
+	fmt.Fprintln(out, broker.Counters())
+	return broker.shutDown()
 }
 
 func herdCommand() *cobra.Command {
@@ -186,16 +186,16 @@
 			var all []time.Duration
 			broken := 0
 			for trial := range trials {
-				stale, o, err := playReturn(uint64(trial))
+				staleUse, o, err := measureReturn(uint64(trial))
 				if err != nil {
 					return err
 				}
-				all, broken = append(all, stale), broken+len(o.Broken)
+				all, broken = append(all, staleUse), broken+len(o.Broken)
 			}
 			slices.Sort(all)
-			at := func(q float64) time.Duration { return all[int(q*float64(len(all)-1))].Round(time.Millisecond) }
+			quantile := func(q float64) time.Duration { return all[int(q*float64(len(all)-1))].Round(time.Millisecond) }
 			fmt.Fprintf(cmd.OutOrStdout(), "stale entry last used after discovery's return, %d trials: p50 %v, p90 %v, p99 %v, most %v; rules broken %d\n",
-				trials, at(0.5), at(0.9), at(0.99), at(1), broken)
+				trials, quantile(0.5), quantile(0.9), quantile(0.99), quantile(1), broken)
 			return nil
 		},
 	}
@@ -203,47 +203,47 @@
 	return returns
 }
 
-// playReturn lets a broker learn the list, restarts it with discovery down, drains a node meanwhile, brings discovery back
+// measureReturn lets a broker learn the list, restarts it with discovery down, drains a node meanwhile, brings discovery back
 // and tells how long after that the node still got a part.
-func playReturn(seed uint64) (stale time.Duration, o *lab.Outcome, err error) {
+func measureReturn(seed uint64) (staleUse time.Duration, outcome *lab.Outcome, err error) {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
 		return 0, nil, err
 	}
 	defer os.RemoveAll(dir)
-	s, err := newSite(dir, 8, 2, seed, keepIn(dir))
+	s, err := newSite(dir, 8, 2, seed, nodeListSettings(dir))
 	if err != nil {
 		return 0, nil, err
 	}
 	defer s.Close()
-	l, err := startBroker(s.config, s.file)
+	broker, err := startBroker(s.config, s.file)
 	if err != nil {
 		return 0, nil, err
 	}
 	time.Sleep(300 * time.Millisecond)
 	s.Discovery.Down()
-	if err := l.end(); err != nil {
+	if err := broker.shutDown(); err != nil {
 		return 0, nil, err
 	}
 	s.List[0].Lifecycle = "terminating" // it goes on answering, so that only discovery's word can end its use
 	s.Discovery.Set(s.List)
-	if l, err = startBroker(s.config, s.file); err != nil {
+	if broker, err = startBroker(s.config, s.file); err != nil {
 		return 0, nil, err
 	}
 	down := time.Second + time.Duration(seed%10)*53*time.Millisecond
-	back := make(chan time.Time, 1)
+	returns := make(chan time.Time, 1)
 	time.AfterFunc(down, func() {
 		at := time.Now()
 		if s.Discovery.Up("") != nil {
 			at = time.Time{}
 		}
-		back <- at
+		returns <- at
 	})
-	o = lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "acme", Shards: 2 * s.Cells, Widest: 4, Rate: 200,
+	outcome = lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "acme", Shards: 2 * s.Cells, Widest: 4, Rate: 200,
 		For: down + 2*time.Second, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: seed}.Run()
-	returned := <-back
+	returned := <-returns
 	if returned.IsZero() {
-		return 0, o, fmt.Errorf("discovery could not come back at its address")
+		return 0, outcome, fmt.Errorf("discovery could not come back at its address")
 	}
-	return max(0, time.Unix(0, s.Nodes[0].Last.Load()).Sub(returned)), o, l.end()
+	return max(0, time.Unix(0, s.Nodes[0].Last.Load()).Sub(returned)), outcome, broker.shutDown()
 }
--- a/cmd/flaxlab/play.go
+++ b/cmd/flaxlab/play.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// running is a stop that SIGINT sets.
-func running(ctx context.Context) (*atomic.Bool, func()) {
+// stopOnSignal is a stop that SIGINT sets.
+func stopOnSignal(ctx context.Context) (*atomic.Bool, func()) {
 	stop := &atomic.Bool{}
 	ctx, end := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	go func() {
@@ -74,31 +74,31 @@
 				return err
 			}
 			if live {
-				return playLive(cmd.OutOrStdout(), s)
+				return playOnSockets(cmd.OutOrStdout(), s)
 			}
-			stop, end := running(cmd.Context())
+			stop, end := stopOnSignal(cmd.Context())
 			defer end()
 			out := cmd.OutOrStdout()
-			o := play.Options{Cores: cores, Policy: play.Policy(policy), Stop: stop}
+			options := play.Options{Cores: cores, Policy: play.Policy(policy), Stop: stop}
 			if trace != "" {
 				f, err := os.Create(trace)
 				if err != nil {
 					return err
 				}
 				defer f.Close()
-				o.Trace = f
+				options.Trace = f
 			}
 			var all []*play.Result
 			broken := int64(0)
 			for range seeds {
 				began := time.Now()
-				r, err := play.Play(s, o)
+				r, err := play.Play(s, options)
 				if err != nil {
 					return err
 				}
 				var mem runtime.MemStats
 				runtime.ReadMemStats(&mem)
-				summary(out, r)
+				printResult(out, r)
 				took := time.Since(began)
 				fmt.Fprintf(out, "%d events in %v (%.1f times as fast as it would be, %d MB from the system)\n", r.Events,
 					took.Round(time.Millisecond), r.Played.Seconds()/took.Seconds(), mem.Sys>>20)
@@ -133,29 +133,29 @@
 	return errors.Join(json.NewEncoder(f).Encode(v), f.Close())
 }
 
-// summary prints a result.
-func summary(out io.Writer, r *play.Result) {
+// printResult prints a result.
+func printResult(out io.Writer, r *play.Result) {
 	fmt.Fprintf(out, "%s, seed %d, %s: %v played, course %s\n", r.Name, r.Seed, r.Policy, r.Played.Round(time.Millisecond), r.Hash)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "tenant\ttype\tasked\tservice\tin target\tlate\tpartial\tshed\tfailed\tp50\tp99\tp99.9\t")
-	row := func(tenant, typ string, c *play.Counts, l *play.Latency) {
-		share := func(n int64) string { return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(max(1, c.Asked))) }
+	row := func(tenant, typ string, reads *play.Counts, l *play.Latency) {
+		share := func(n int64) string { return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(max(1, reads.Asked))) }
 		q := func(p float64) time.Duration { return l.Quantile(p).Round(100 * time.Microsecond) }
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%s\t%s\t%s\t%s\t%s\t%v\t%v\t%v\t\n", tenant, typ, c.Asked, c.Service(), share(c.InTarget),
-			share(c.Late), share(c.Partial), share(c.Shed), share(c.Failed), q(0.5), q(0.99), q(0.999))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%s\t%s\t%s\t%s\t%s\t%v\t%v\t%v\t\n", tenant, typ, reads.Asked, reads.Service(), share(reads.InTarget),
+			share(reads.Late), share(reads.Partial), share(reads.Shed), share(reads.Failed), q(0.5), q(0.99), q(0.999))
 	}
 	for i := range r.Rows {
 		row(r.Rows[i].Tenant, r.Rows[i].Type, &r.Rows[i].Counts, &r.Rows[i].Latency)
 	}
 	row("all", "all", &r.Counts, &r.Latency)
 	w.Flush()
-	k := &r.Work
+	work := &r.Work
 	fmt.Fprintf(out, "worst ten seconds %.4f; %d tries; %d calls of %d parts (%.1f%% further), %d served, %d broke, %d turned away, %d swallowed; %d connections opened, %d reset\n",
-		r.Worst, r.Counts.Tries, k.Calls, k.Parts, 100*float64(k.Further)/float64(max(1, k.Parts)), k.Served, k.Broke, k.Skipped, k.Swallowed, k.Dials, k.Resets)
-	if c := r.Reads; c != nil {
+		r.Worst, r.Counts.Tries, work.Calls, work.Parts, 100*float64(work.Further)/float64(max(1, work.Parts)), work.Served, work.Broke, work.Skipped, work.Swallowed, work.Dials, work.Resets)
+	if reads := r.Reads; reads != nil {
 		fmt.Fprintf(out, "hints: %d tries, %d answered, %d refused; %d parts held against the writers: %d stale, %d backward, %d older than stated, %d behind and said so; ",
-			c.Hinted, c.Answered, c.Refused, c.Checked, c.Stale, c.Backward, c.Understated, c.Behind)
-		fmt.Fprintf(out, "%d old answers kept out, %d parts beyond a hot pin's first, %d KB of facts\n", c.Pins.Stale, c.Pins.Spilled, c.Facts>>10)
+			reads.Hinted, reads.Answered, reads.Refused, reads.Checked, reads.Stale, reads.Backward, reads.Understated, reads.Behind)
+		fmt.Fprintf(out, "%d old answers kept out, %d parts beyond a hot pin's first, %d KB of facts\n", reads.Pins.Stale, reads.Pins.Spilled, reads.Facts>>10)
 	}
 	fmt.Fprintf(out, "rules broken %d times\n", r.Broken)
 	for i, b := range r.Breaches {
--- a/cmd/flaxlab/sites.go
+++ b/cmd/flaxlab/sites.go
@@ -19,16 +19,16 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// pair is two sites and the wire between them; the first asks, the second is asked.
-type pair struct {
-	sites [2]*site
-	wires [2]*lab.Wire // to the second site, and to the first
-	live  [2]*live
-	links [2]string // where each listens for the other
+// sitePair is two sites and the wire between them; the first asks, the second is asked.
+type sitePair struct {
+	sites      [2]*site
+	wires      [2]*lab.Wire // to the second site, and to the first
+	liveBroker [2]*liveBroker
+	linkAddrs  [2]string // where each listens for the other
 }
 
-func newPair(dir string, seed uint64, delay, jitter time.Duration, gateway bool) (*pair, error) {
-	p := &pair{}
+func newSitePair(dir string, seed uint64, delay, jitter time.Duration, gateway bool) (*sitePair, error) {
+	p := &sitePair{}
 	now := time.Now()
 	ca := filepath.Join(dir, "ca")
 	if err := keys.NewAuthority(ca, "lab", 24*time.Hour, now); err != nil {
@@ -36,10 +36,10 @@
 	}
 	for i, name := range []string{"site-a", "site-b"} {
 		var err error
-		if p.links[i], err = lab.FreeAddr(); err != nil {
+		if p.linkAddrs[i], err = lab.FreeAddr(); err != nil {
 			return nil, err
 		}
-		if p.wires[1-i], err = lab.NewWire(p.links[i], delay, jitter, seed); err != nil {
+		if p.wires[1-i], err = lab.NewWire(p.linkAddrs[i], delay, jitter, seed); err != nil {
 			return nil, err
 		}
 		if _, err = keys.Issue(ca, filepath.Join(dir, name, "keys"), keys.ID{Site: name, Broker: "n0"}, time.Hour, now); err != nil {
@@ -51,29 +51,29 @@
 		file := "{}"
 		if gateway {
 			file = fmt.Sprintf(`{"sites": {"keys": %q, "listen": %q, "allow": [%q], "targets": ["%s=%s"], "share": 1, "burst": 1000,
-				"accept": 0.5}}`, filepath.Join(dir, name, "keys"), p.links[i], other, other, p.wires[i].Addr())
+				"accept": 0.5}}`, filepath.Join(dir, name, "keys"), p.linkAddrs[i], other, other, p.wires[i].Addr())
 		}
 		var err error
 		if p.sites[i], err = newSite(filepath.Join(dir, name), 8, 4, seed+uint64(i), file); err != nil {
 			return nil, err
 		}
-		if p.live[i], err = startBroker(p.sites[i].config, p.sites[i].file); err != nil {
+		if p.liveBroker[i], err = startBroker(p.sites[i].config, p.sites[i].file); err != nil {
 			return nil, err
 		}
 	}
 	return p, nil
 }
 
-func (p *pair) close() {
-	for i := range p.live {
-		p.live[i].end()
+func (p *sitePair) close() {
+	for i := range p.liveBroker {
+		p.liveBroker[i].shutDown()
 		p.sites[i].Close()
 		p.wires[i].Close()
 	}
 }
 
-// lose turns the nodes of some cells of the first site off.
-func (p *pair) lose(cells ...int) {
+// stopCells turns the nodes of some cells of the first site off.
+func (p *sitePair) stopCells(cells ...int) {
 	for i, n := range p.sites[0].Nodes {
 		if slices.Contains(cells, i%p.sites[0].Cells) {
 			n.Turn(lab.Dead)
@@ -81,7 +81,7 @@
 	}
 }
 
-func (p *pair) load(at int, rate float64, last time.Duration, seed uint64, audit *lab.Audit) *lab.Outcome {
+func (p *sitePair) runLoad(at int, rate float64, last time.Duration, seed uint64, audit *lab.Audit) *lab.Outcome {
 	return lab.Load{URL: "http://" + p.sites[at].at, Classes: []string{"find", "sign", "book"}, Tenant: "acme", Shards: 2 * p.sites[at].Cells,
 		Widest: 3, Rate: rate, For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: seed, Settle: audit.Settle}.Run()
 }
@@ -100,9 +100,9 @@
 				slog.SetDefault(slog.New(slog.DiscardHandler))
 			}
 			if cuts {
-				return playCuts(cmd.OutOrStdout(), delay, searches, seed)
+				return cutWires(cmd.OutOrStdout(), delay, searches, seed)
 			}
-			return playSites(cmd.OutOrStdout(), delay)
+			return compareGateway(cmd.OutOrStdout(), delay)
 		},
 	}
 	c.Flags().DurationVar(&delay, "delay", 80*time.Millisecond, "added to a round trip")
@@ -113,8 +113,8 @@
 	return c
 }
 
-// playSites compares the days with and without the gateway.
-func playSites(out io.Writer, delay time.Duration) error {
+// compareGateway compares the days with and without the gateway.
+func compareGateway(out io.Writer, delay time.Duration) error {
 	fmt.Fprintf(out, "%-34s  %-9s  %7s  %7s  %7s  %9s  %s\n", "first site", "gateway", "asked", "target", "shed", "forwarded", "rules broken")
 	for _, day := range []struct {
 		name string
@@ -131,19 +131,19 @@
 			if err != nil {
 				return err
 			}
-			p, err := newPair(dir, 1, delay/2, 0, gateway)
+			p, err := newSitePair(dir, 1, delay/2, 0, gateway)
 			if err != nil {
 				return err
 			}
 			time.Sleep(time.Second)
-			p.lose(day.lost...)
+			p.stopCells(day.lost...)
 			for _, s := range p.sites {
 				s.Pace(20 * time.Millisecond) // 800 parts a second
 			}
 			audit := &lab.Audit{Fleet: []*lab.Fleet{p.sites[0].Fleet, p.sites[1].Fleet}}
-			o := p.load(0, day.rate, 6*time.Second, 7, audit)
+			o := p.runLoad(0, day.rate, 6*time.Second, 7, audit)
 			forwarded := uint64(0)
-			if g := p.live[0].Counters().Queries.Gateway; g != nil {
+			if g := p.liveBroker[0].Counters().Queries.Gateway; g != nil {
 				forwarded = g.Outgoing.Forwarded
 			}
 			time.Sleep(300 * time.Millisecond)
@@ -157,14 +157,14 @@
 	return nil
 }
 
-// playCuts forwards a good part of all searches and cuts the wire, one way, the other, both, for short and for long, at
+// cutWires forwards a good part of all searches and cuts the wire, one way, the other, both, for short and for long, at
 // random instants; then it holds what clients were told against what the nodes of both sites ran.
-func playCuts(out io.Writer, delay time.Duration, searches, seed int) error {
+func cutWires(out io.Writer, delay time.Duration, searches, seed int) error {
 	var sum lab.Outcome
 	var audited int
 	round := seed
 	var broken []string
-	var gate [8]uint64
+	var forwarding [8]uint64
 	for ; sum.Asked < searches; round++ {
 		dir, err := os.MkdirTemp("", "flaxlab")
 		if err != nil {
@@ -174,12 +174,12 @@
 		if round%4 == 2 {
 			jitter = delay / 2 // as much as the delay itself
 		}
-		p, err := newPair(dir, uint64(round), delay/2, jitter, true)
+		p, err := newSitePair(dir, uint64(round), delay/2, jitter, true)
 		if err != nil {
 			return err
 		}
 		time.Sleep(time.Second)
-		p.lose(0, 1)
+		p.stopCells(0, 1)
 		audit := &lab.Audit{Fleet: []*lab.Fleet{p.sites[0].Fleet, p.sites[1].Fleet}}
 		stop, done := make(chan struct{}), make(chan struct{})
 		go func() {
@@ -217,18 +217,18 @@
 				w.Cut(false, false)
 			}
 		}()
-		o := p.load(0, 400, 20*time.Second, uint64(round), audit)
+		o := p.runLoad(0, 400, 20*time.Second, uint64(round), audit)
 		close(stop)
 		<-done
 		time.Sleep(2500 * time.Millisecond) // what was forwarded late comes to rest
-		why, n := audit.Check()
-		broken, audited = append(append(broken, why...), o.Broken...), audited+n
+		violations, n := audit.Check()
+		broken, audited = append(append(broken, violations...), o.Broken...), audited+n
 		sum.Asked, sum.Answered, sum.Shed = sum.Asked+o.Asked, sum.Answered+o.Answered, sum.Shed+o.Shed
 		sum.Failed, sum.Unanswered, sum.InTarget = sum.Failed+o.Failed, sum.Unanswered+o.Unanswered, sum.InTarget+o.InTarget
-		c := p.live[0].Counters().Queries.Gateway.Outgoing
-		far := p.live[1].Counters().Queries.Gateway.Incoming
-		for i, v := range []uint64{c.Forwarded, c.Answered, c.LinkLost, c.Retried, c.Returned, c.TimedOut, far.Joined + far.Repeated, far.Cancelled} {
-			gate[i] += v
+		outgoing := p.liveBroker[0].Counters().Queries.Gateway.Outgoing
+		incoming := p.liveBroker[1].Counters().Queries.Gateway.Incoming
+		for i, v := range []uint64{outgoing.Forwarded, outgoing.Answered, outgoing.LinkLost, outgoing.Retried, outgoing.Returned, outgoing.TimedOut, incoming.Joined + incoming.Repeated, incoming.Cancelled} {
+			forwarding[i] += v
 		}
 		p.close()
 		os.RemoveAll(dir)
@@ -236,7 +236,7 @@
 	fmt.Fprintf(out, "%d rounds, %v added: asked %d, answered %d, shed %d, failed %d, without answer %d\n", round-seed, delay, sum.Asked,
 		sum.Answered, sum.Shed, sum.Failed, sum.Unanswered)
 	fmt.Fprintf(out, "forwarded %d, answered there %d, lost with the link %d, resumed %d, brought home %d, given up %d; there: joined or repeated %d, called off %d\n",
-		gate[0], gate[1], gate[2], gate[3], gate[4], gate[5], gate[6], gate[7])
+		forwarding[0], forwarding[1], forwarding[2], forwarding[3], forwarding[4], forwarding[5], forwarding[6], forwarding[7])
 	fmt.Fprintf(out, "searches with an effect held against the nodes: %d; rules broken: %d\n", audited, len(broken))
 	if len(broken) > 0 {
 		fmt.Fprintln(out, strings.Join(broken[:min(len(broken), 10)], "\n"))
--- a/cmd/flaxlab/study.go
+++ b/cmd/flaxlab/study.go
@@ -32,18 +32,18 @@
 	return all, nil
 }
 
-// many plays a script with some seeds, as many at once as there are cores, each on one.
-func many(s *script.Script, policy play.Policy, seeds int) ([]*play.Result, error) {
+// playSeeds plays a script with some seeds, as many at once as there are cores, each on one.
+func playSeeds(s *script.Script, policy play.Policy, seeds int) ([]*play.Result, error) {
 	all, errs := make([]*play.Result, seeds), make([]error, seeds)
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var wait sync.WaitGroup
 	for i := range seeds {
-		one := *s
-		one.Seed += i
-		places <- struct{}{}
+		seeded := *s
+		seeded.Seed += i
+		slots <- struct{}{}
 		wait.Go(func() {
-			all[i], errs[i] = play.Play(&one, play.Options{Cores: 1, Policy: policy})
-			<-places
+			all[i], errs[i] = play.Play(&seeded, play.Options{Cores: 1, Policy: policy})
+			<-slots
 		})
 	}
 	wait.Wait()
@@ -81,8 +81,8 @@
 				if len(policies) != 2 {
 					return fmt.Errorf("--policies names two of module, random, seer")
 				}
-				if a, err = many(s, play.Policy(policies[0]), seeds); err == nil {
-					b, err = many(s, play.Policy(policies[1]), seeds)
+				if a, err = playSeeds(s, play.Policy(policies[0]), seeds); err == nil {
+					b, err = playSeeds(s, play.Policy(policies[1]), seeds)
 				}
 			}
 			if err != nil {
@@ -111,7 +111,7 @@
 			if html == "" {
 				return nil
 			}
-			return writePage(html, &report.Page{Title: a[0].Name + ", compared", Against: d, Verdict: judge.Verdict(d),
+			return writeReport(html, &report.Page{Title: a[0].Name + ", compared", Against: d, Verdict: judge.Verdict(d),
 				Results: []*play.Result{a[0], b[0]}})
 		},
 	}
@@ -121,7 +121,7 @@
 	return c
 }
 
-func writePage(path string, p *report.Page) error {
+func writeReport(path string, p *report.Page) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
@@ -153,16 +153,16 @@
 				if err != nil {
 					return err
 				}
-				stop, end := running(cmd.Context())
+				stop, end := stopOnSignal(cmd.Context())
 				defer end()
 				r, err := play.Play(s, play.Options{Policy: play.Module, Stop: stop})
 				if err != nil {
 					return err
 				}
-				summary(cmd.OutOrStdout(), r)
+				printResult(cmd.OutOrStdout(), r)
 				p.Title, p.Teaches, p.Results = s.Name, s.Teaches, []*play.Result{r}
 			}
-			return writePage(html, p)
+			return writeReport(html, p)
 		},
 	}
 	c.Flags().StringVar(&html, "html", "report.html", "file for the page")
--- a/cmd/flaxlab/sweep.go
+++ b/cmd/flaxlab/sweep.go
@@ -44,15 +44,15 @@
 			for _, policy := range policies {
 				curve := report.Curve{Name: policy}
 				for _, x := range steps {
-					s, err := varied(base, vary, x)
+					s, err := varyScript(base, vary, x)
 					if err != nil {
 						return err
 					}
-					all, err := many(s, play.Policy(policy), seeds)
+					all, err := playSeeds(s, play.Policy(policy), seeds)
 					if err != nil {
 						return err
 					}
-					curve.Points = append(curve.Points, point(x, s.For, all))
+					curve.Points = append(curve.Points, curvePoint(x, s.For, all))
 				}
 				page.Curves = append(page.Curves, curve)
 			}
@@ -60,7 +60,7 @@
 			if html == "" {
 				return nil
 			}
-			return writePage(html, page)
+			return writeReport(html, page)
 		},
 	}
 	c.Flags().StringVar(&vary, "vary", "load", "what: load (times the script's), nodes (with load and brokers in step), brokers, or trouble (times its share, or what its factor adds)")
@@ -71,8 +71,8 @@
 	return c
 }
 
-// varied is a script with one thing changed.
-func varied(base *script.Script, vary string, x float64) (*script.Script, error) {
+// varyScript is a script with one thing changed.
+func varyScript(base *script.Script, vary string, x float64) (*script.Script, error) {
 	s := *base
 	s.Troubles = append([]script.Trouble(nil), base.Troubles...)
 	switch vary {
@@ -97,7 +97,7 @@
 	return &s, nil
 }
 
-func point(x float64, last time.Duration, all []*play.Result) report.Point {
+func curvePoint(x float64, last time.Duration, all []*play.Result) report.Point {
 	p := report.Point{X: x}
 	var c play.Counts
 	var l play.Latency
--- a/internal/cluster/connpolicy/classes.go
+++ b/internal/cluster/connpolicy/classes.go
@@ -14,7 +14,7 @@
 	for i := range c.document.Classes {
 		name := c.document.Classes[i].Name
 		if name == "" || names[name] {
-			return c.doc.Fault(classField(i, "name"), &IncompleteError{fmt.Sprintf("%q is empty, reserved or already the name of another class", name)})
+			return c.doc.ErrorAt(classField(i, "name"), &IncompleteError{fmt.Sprintf("%q is empty, reserved or already the name of another class", name)})
 		}
 		names[name] = true
 		class, err := c.compileClass(i)
@@ -32,7 +32,7 @@
 	entry := c.document.Classes[index]
 	isLast := index == len(c.document.Classes)-1
 	if isLast != (entry.When == "") {
-		return Class{}, c.doc.Fault(classField(index, "when"),
+		return Class{}, c.doc.ErrorAt(classField(index, "when"),
 			&IncompleteError{"the last class, and only the last class, must have no condition, so that it takes every other node"})
 	}
 	class := Class{Name: entry.Name, index: index}
@@ -40,7 +40,7 @@
 	if entry.When != "" {
 		class.when, err = c.nodeEnv.compile(entry.When, cel.BoolType, c.nodeEnv.names...)
 		if err != nil {
-			return Class{}, c.doc.Fault(classField(index, "when"), err)
+			return Class{}, c.doc.ErrorAt(classField(index, "when"), err)
 		}
 	}
 	variables := map[string]any{"brokers": c.policy.Brokers, "nodes": c.policy.Nodes}
@@ -54,12 +54,12 @@
 		return Class{}, err
 	}
 	if class.Floor < 1 {
-		return Class{}, c.doc.Fault(classField(index, "floor"),
+		return Class{}, c.doc.ErrorAt(classField(index, "floor"),
 			&IncompleteError{"floor is 0: a broker that is cut off or starting could serve nothing"})
 	}
 	floors := class.Floor * c.policy.Brokers
 	if floors > class.Budget {
-		return Class{}, c.doc.Fault(classField(index, "floor"),
+		return Class{}, c.doc.ErrorAt(classField(index, "floor"),
 			&OvercommittedError{entry.Name, "the floors of all brokers", floors, class.Budget})
 	}
 	class.Shared.Units = class.Budget - floors
@@ -82,7 +82,7 @@
 	}
 	if floors > budget {
 		demand := "the floors of all brokers at the maximum number of nodes"
-		return c.doc.Fault("pool.budget", &OvercommittedError{PoolClass, demand, floors, budget})
+		return c.doc.ErrorAt("pool.budget", &OvercommittedError{PoolClass, demand, floors, budget})
 	}
 	c.policy.Pool = &Class{Name: PoolClass, Budget: budget, Shared: fairshare.Budget{Units: budget - floors}}
 	return nil
@@ -108,7 +108,7 @@
 	}
 	if worst > c.policy.Pool.Shared.Units {
 		demand := "the guarantees above the floors, at the maximum number of nodes, all of class " + worstClass + ","
-		return c.doc.Fault("pool.budget", &OvercommittedError{PoolClass, demand, worst, c.policy.Pool.Shared.Units})
+		return c.doc.ErrorAt("pool.budget", &OvercommittedError{PoolClass, demand, worst, c.policy.Pool.Shared.Units})
 	}
 	return nil
 }
--- a/internal/cluster/connpolicy/compile.go
+++ b/internal/cluster/connpolicy/compile.go
@@ -12,7 +12,7 @@
 // compiler compiles a document into a policy. Conditions on nodes only choose a class, and all amounts depend on the class only. So a
 // policy is a table of classes and tenants, which can be checked completely.
 type compiler struct {
-	doc       *form.Doc
+	doc       *form.Document
 	document  *document
 	policy    *Policy
 	nodeEnv   *environment     // of conditions on nodes
@@ -56,17 +56,17 @@
 	d := c.document
 	switch {
 	case d.Brokers < 1:
-		return c.doc.Fault("brokers", &IncompleteError{"the maximum number of brokers is not set"})
+		return c.doc.ErrorAt("brokers", &IncompleteError{"the maximum number of brokers is not set"})
 	case d.Nodes < 1:
-		return c.doc.Fault("nodes", &IncompleteError{"the maximum number of nodes is not set"})
+		return c.doc.ErrorAt("nodes", &IncompleteError{"the maximum number of nodes is not set"})
 	case len(d.Classes) == 0 || len(d.Classes) > maxClasses:
-		return c.doc.Fault("classes", &IncompleteError{
+		return c.doc.ErrorAt("classes", &IncompleteError{
 			fmt.Sprintf("%d classes of nodes, want 1 to %d", len(d.Classes), maxClasses)})
 	case len(d.Tenants) == 0 || len(d.Tenants) > maxTenantEntries:
-		return c.doc.Fault("tenants", &IncompleteError{
+		return c.doc.ErrorAt("tenants", &IncompleteError{
 			fmt.Sprintf("%d entries of tenants, want 1 to %d", len(d.Tenants), maxTenantEntries)})
 	case d.Closing > d.Lease/3:
-		return c.doc.Fault("closing", &ClosingTimeError{fmt.Sprintf("closing takes %v of a lease of %v, more than a third: "+
+		return c.doc.ErrorAt("closing", &ClosingTimeError{fmt.Sprintf("closing takes %v of a lease of %v, more than a third: "+
 			"one late renewal would close connections that the next one opens again", d.Closing, d.Lease)})
 	}
 	return nil
@@ -81,11 +81,11 @@
 	slices.Sort(names)
 	amount, err := c.amountEnv.compile(text, cel.IntType, names...)
 	if err != nil {
-		return 0, c.doc.Fault(field, err)
+		return 0, c.doc.ErrorAt(field, err)
 	}
 	n, err := amount.evaluateNumber(variables)
 	if err != nil {
-		return 0, c.doc.Fault(field, err)
+		return 0, c.doc.ErrorAt(field, err)
 	}
 	return n, nil
 }
--- a/internal/cluster/connpolicy/connpolicy.go
+++ b/internal/cluster/connpolicy/connpolicy.go
@@ -95,7 +95,7 @@
 // and wraps one of this package's errors with the reason and the remedy.
 func Compile(path, text string) (*Policy, error) {
 	if len(text) > maxBytes {
-		return nil, &form.Error{What: "policy", Path: path, Err: fmt.Errorf("the policy has %d bytes, at most %d are allowed", len(text), maxBytes)}
+		return nil, &form.Error{Kind: "policy", Path: path, Err: fmt.Errorf("the policy has %d bytes, at most %d are allowed", len(text), maxBytes)}
 	}
 	var d document
 	doc, err := form.Decode("policy", path, []byte(text), &d)
--- a/internal/cluster/connpolicy/tenants.go
+++ b/internal/cluster/connpolicy/tenants.go
@@ -14,7 +14,7 @@
 	unconditional := map[string]bool{}
 	for i, entry := range c.document.Tenants {
 		if entry.Name == "" || unconditional[entry.Name] {
-			return c.doc.Fault(tenantField(i, "name"),
+			return c.doc.ErrorAt(tenantField(i, "name"),
 				&IncompleteError{fmt.Sprintf("tenant %q: its name is empty, or an earlier entry without a condition already applies", entry.Name)})
 		}
 		unconditional[entry.Name] = entry.When == ""
@@ -29,7 +29,7 @@
 	}
 	for i, entry := range c.document.Tenants {
 		if !unconditional[entry.Name] {
-			return c.doc.Fault(tenantField(i, "name"),
+			return c.doc.ErrorAt(tenantField(i, "name"),
 				&IncompleteError{fmt.Sprintf("tenant %q has no entry without a condition", entry.Name)})
 		}
 	}
@@ -45,14 +45,14 @@
 	if entry.When != "" {
 		compiled.when, err = c.amountEnv.compile(entry.When, cel.BoolType, c.amountEnv.names...)
 		if err != nil {
-			return compiled, c.doc.Fault(tenantField(index, "when"), err)
+			return compiled, c.doc.ErrorAt(tenantField(index, "when"), err)
 		}
 	}
 	texts := [len(amountFields)]string{entry.Guarantee, entry.Weight, entry.Most, entry.Burst}
 	for i, text := range texts {
 		compiled.amounts[i], err = c.amountEnv.compile(text, cel.IntType, c.amountEnv.names...)
 		if err != nil {
-			return compiled, c.doc.Fault(tenantField(index, amountFields[i]), err)
+			return compiled, c.doc.ErrorAt(tenantField(index, amountFields[i]), err)
 		}
 	}
 	return compiled, nil
@@ -61,7 +61,7 @@
 // evaluateTable evaluates the amounts of every tenant in every class and in the pool, and checks each class as a whole.
 func (c *compiler) evaluateTable() error {
 	if len(c.policy.Tenants) > maxTenants {
-		return c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("%d tenants, at most %d are allowed", len(c.policy.Tenants), maxTenants)})
+		return c.doc.ErrorAt("tenants", &IncompleteError{fmt.Sprintf("%d tenants, at most %d are allowed", len(c.policy.Tenants), maxTenants)})
 	}
 	for i := range c.policy.Classes {
 		if err := c.evaluateClass(&c.policy.Classes[i]); err != nil {
@@ -97,11 +97,11 @@
 		guarantees += amount.Guarantee
 		if guarantees > class.Shared.Units {
 			demand := "the guarantees above the floors of all brokers"
-			return c.doc.Fault(tenantField(index, "guarantee"),
+			return c.doc.ErrorAt(tenantField(index, "guarantee"),
 				&OvercommittedError{class.Name, demand, guarantees, class.Shared.Units})
 		}
 		if field, err := checkAmount(class, tenant, amount); err != nil {
-			return c.doc.Fault(tenantField(index, field), err)
+			return c.doc.ErrorAt(tenantField(index, field), err)
 		}
 	}
 	return nil
@@ -138,13 +138,13 @@
 		}
 		holds, err := c.tenants[i].when.evaluateCondition(variables)
 		if err != nil {
-			return 0, c.doc.Fault(tenantField(i, "when"), err)
+			return 0, c.doc.ErrorAt(tenantField(i, "when"), err)
 		}
 		if holds {
 			return i, nil
 		}
 	}
-	return 0, c.doc.Fault("tenants", &IncompleteError{fmt.Sprintf("tenant %q has no entry whose condition holds", tenant)})
+	return 0, c.doc.ErrorAt("tenants", &IncompleteError{fmt.Sprintf("tenant %q has no entry whose condition holds", tenant)})
 }
 
 func (c *compiler) evaluateAmount(index int, variables map[string]any) (fairshare.Allowance, error) {
@@ -152,7 +152,7 @@
 	for i, into := range []*int{&amount.Guarantee, &amount.Weight, &amount.Max, &amount.Burst} {
 		n, err := c.tenants[index].amounts[i].evaluateNumber(variables)
 		if err != nil {
-			return fairshare.Allowance{}, c.doc.Fault(tenantField(index, amountFields[i]), err)
+			return fairshare.Allowance{}, c.doc.ErrorAt(tenantField(index, amountFields[i]), err)
 		}
 		*into = n
 	}
--- a/internal/cluster/controlplane/errors.go
+++ b/internal/cluster/controlplane/errors.go
@@ -124,7 +124,7 @@
 
 // remedyOf returns the remedy of the first error in a chain that has one, or an empty string.
 func remedyOf(err error) string {
-	var fault remedy.Fault
+	var fault remedy.Error
 	if errors.As(err, &fault) {
 		return fault.Remedy()
 	}
--- a/internal/config/form/error.go
+++ b/internal/config/form/error.go
@@ -6,7 +6,7 @@
 
 // Error is a text that does not read, with the place of what is wrong.
 type Error struct {
-	What, Path string // the kind of file, and the file
+	Kind, Path string // the kind of file, and the file
 	Line       int    // 0: the text as a whole, or Err names the line
 	Field      string
 	Err        error
@@ -14,9 +14,9 @@
 
 func (e *Error) Error() string {
 	if e.Line == 0 {
-		return fmt.Sprintf("%s: %s: %v", e.What, e.Path, e.Err)
+		return fmt.Sprintf("%s: %s: %v", e.Kind, e.Path, e.Err)
 	}
-	return fmt.Sprintf("%s: %s:%d: %s: %v", e.What, e.Path, e.Line, e.Field, e.Err)
+	return fmt.Sprintf("%s: %s:%d: %s: %v", e.Kind, e.Path, e.Line, e.Field, e.Err)
 }
 
 func (e *Error) Unwrap() error { return e.Err }
--- a/internal/config/form/form.go
+++ b/internal/config/form/form.go
@@ -26,81 +26,81 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxFile bounds the text. Danger: a wrong path, such as a device or a log, would be read without end.
-const maxFile = 1 << 20
+// maxFileBytes bounds the text. Danger: a wrong path, such as a device or a log, would be read without end.
+const maxFileBytes = 1 << 20
 
-// fault is a wrong field with its place in the text.
-type fault struct {
+// fieldError is a wrong field with its place in the text.
+type fieldError struct {
 	offset int
 	field  string
-	why    string
+	reason string
 }
 
-// Doc is a text beside the struct that was filled from it.
-type Doc struct {
-	what, path string
+// Document is a text beside the struct that was filled from it.
+type Document struct {
+	kind, path string
 	raw        []byte
 	tree       hujson.Value
 }
 
 // Decode fills a struct: with its defaults, then with what the text says. What names the kind of file and path the file, for
 // errors only.
-func Decode(what, path string, raw []byte, into any) (*Doc, error) {
-	d := &Doc{what: what, path: path, raw: raw}
-	if len(raw) > maxFile {
-		return nil, &Error{What: what, Path: path, Err: fmt.Errorf("%d bytes, %d at most", len(raw), maxFile)}
+func Decode(kind, path string, raw []byte, into any) (*Document, error) {
+	d := &Document{kind: kind, path: path, raw: raw}
+	if len(raw) > maxFileBytes {
+		return nil, &Error{Kind: kind, Path: path, Err: fmt.Errorf("%d bytes, %d at most", len(raw), maxFileBytes)}
 	}
-	to := reflect.ValueOf(into).Elem()
-	if err := fill(to); err != nil {
+	target := reflect.ValueOf(into).Elem()
+	if err := setDefaults(target); err != nil {
 		return nil, err
 	}
 	var err error
 	if d.tree, err = hujson.Parse(raw); err != nil {
-		return nil, &Error{What: what, Path: path, Err: errors.New(strings.TrimPrefix(err.Error(), "hujson: "))}
+		return nil, &Error{Kind: kind, Path: path, Err: errors.New(strings.TrimPrefix(err.Error(), "hujson: "))}
 	}
-	if bad := read("", d.tree, to, ""); bad != nil {
+	if bad := decodeValue("", d.tree, target, ""); bad != nil {
 		line := 1 + bytes.Count(raw[:min(bad.offset, len(raw))], []byte{'\n'})
-		return nil, &Error{what, path, line, bad.field, errors.New(bad.why)}
+		return nil, &Error{kind, path, line, bad.field, errors.New(bad.reason)}
 	}
 	return d, nil
 }
 
-// at finds a field in the text; nil: it is not named.
-func (d *Doc) at(field string) *hujson.Value {
+// find finds a field in the text; nil: it is not named.
+func (d *Document) find(field string) *hujson.Value {
 	return d.tree.Find("/" + strings.ReplaceAll(field, ".", "/"))
 }
 
-// Said tells whether the text names a field.
-func (d *Doc) Said(field string) bool { return d.at(field) != nil }
+// Has tells whether the text names a field.
+func (d *Document) Has(field string) bool { return d.find(field) != nil }
 
-// Fault is an error on a field that was read but makes no sense, with its place in the text.
-func (d *Doc) Fault(field string, err error) error {
-	return &Error{d.what, d.path, d.line(field), field, err}
+// ErrorAt is an error on a field that was read but makes no sense, with its place in the text.
+func (d *Document) ErrorAt(field string, err error) error {
+	return &Error{d.kind, d.path, d.lineOf(field), field, err}
 }
 
-// line finds the line of a field, or of the nearest object round it that the file names.
-func (d *Doc) line(field string) int {
+// lineOf finds the line of a field, or of the nearest object round it that the file names.
+func (d *Document) lineOf(field string) int {
 	for ; field != ""; field = field[:max(0, strings.LastIndexByte(field, '.'))] {
-		if v := d.at(field); v != nil {
+		if v := d.find(field); v != nil {
 			return 1 + bytes.Count(d.raw[:v.StartOffset], []byte{'\n'})
 		}
 	}
 	return 1
 }
 
-// fill sets the defaults.
-func fill(v reflect.Value) error {
+// setDefaults sets the defaults.
+func setDefaults(v reflect.Value) error {
 	for i := range v.NumField() {
 		t, at := v.Type().Field(i), v.Field(i)
 		if !t.IsExported() {
 			continue
 		}
 		if at.Kind() == reflect.Struct {
-			if err := fill(at); err != nil {
+			if err := setDefaults(at); err != nil {
 				return err
 			}
 		} else if text, ok := t.Tag.Lookup("default"); ok {
-			if why := set(at, text, t.Tag); why != "" {
+			if why := setValue(at, text, t.Tag); why != "" {
 				return fmt.Errorf("default of %s: %s", t.Name, why)
 			}
 		}
@@ -108,63 +108,63 @@
 	return nil
 }
 
-// read fills a field with what the text says of it.
-func read(field string, v hujson.Value, to reflect.Value, tag reflect.StructTag) *fault {
-	bad := func(format string, args ...any) *fault {
-		return &fault{v.StartOffset, field, fmt.Sprintf(format, args...)}
+// decodeValue fills a field with what the text says of it.
+func decodeValue(field string, v hujson.Value, target reflect.Value, tag reflect.StructTag) *fieldError {
+	fail := func(format string, args ...any) *fieldError {
+		return &fieldError{v.StartOffset, field, fmt.Sprintf(format, args...)}
 	}
-	if to.Kind() == reflect.Struct {
+	if target.Kind() == reflect.Struct {
 		object, ok := v.Value.(*hujson.Object)
 		if !ok {
-			return bad("an object is wanted, not %.40s", text(v))
+			return fail("an object is wanted, not %.40s", compactText(v))
 		}
-		return readObject(field, object, to)
+		return decodeObject(field, object, target)
 	}
-	if to.Kind() == reflect.Slice {
+	if target.Kind() == reflect.Slice {
 		list, ok := v.Value.(*hujson.Array)
 		if !ok {
-			return bad("a list %s is wanted, not %.40s", listed(to.Type().Elem()), text(v))
+			return fail("a list %s is wanted, not %.40s", describeElements(target.Type().Elem()), compactText(v))
 		}
-		to.SetLen(0)
+		target.SetLen(0)
 		for i, item := range list.Elements {
-			one, path := reflect.New(to.Type().Elem()).Elem(), field
-			if one.Kind() == reflect.Struct {
+			element, path := reflect.New(target.Type().Elem()).Elem(), field
+			if element.Kind() == reflect.Struct {
 				path = fmt.Sprintf("%s.%d", field, i)
-				if err := fill(one); err != nil {
-					return bad("%v", err)
+				if err := setDefaults(element); err != nil {
+					return fail("%v", err)
 				}
 			}
-			if wrong := read(path, item, one, tag); wrong != nil {
-				return wrong
+			if itemErr := decodeValue(path, item, element, tag); itemErr != nil {
+				return itemErr
 			}
-			to.Set(reflect.Append(to, one))
+			target.Set(reflect.Append(target, element))
 		}
 		return nil
 	}
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok {
-		return bad("%s is wanted, not %.40s", kind(to), text(v))
+		return fail("%s is wanted, not %.40s", describeType(target), compactText(v))
 	}
 	plain := string(literal)
-	stringly := to.Kind() == reflect.String || to.Type() == reflect.TypeFor[time.Duration]()
-	if stringly != (literal.Kind() == '"') {
-		return bad("%s is wanted, not %.40s", kind(to), plain)
+	quoted := target.Kind() == reflect.String || target.Type() == reflect.TypeFor[time.Duration]()
+	if quoted != (literal.Kind() == '"') {
+		return fail("%s is wanted, not %.40s", describeType(target), plain)
 	}
-	if to.Kind() == reflect.Bool && literal.Kind() != 't' && literal.Kind() != 'f' {
-		return bad("%s is wanted, not %.40s", kind(to), plain)
+	if target.Kind() == reflect.Bool && literal.Kind() != 't' && literal.Kind() != 'f' {
+		return fail("%s is wanted, not %.40s", describeType(target), plain)
 	}
-	if stringly {
+	if quoted {
 		if err := json.Unmarshal([]byte(plain), &plain); err != nil {
-			return bad("%v", err)
+			return fail("%v", err)
 		}
 	}
-	if why := set(to, plain, tag); why != "" {
-		return bad("%s", why)
+	if why := setValue(target, plain, tag); why != "" {
+		return fail("%s", why)
 	}
 	return nil
 }
 
-func readObject(field string, object *hujson.Object, to reflect.Value) *fault {
+func decodeObject(field string, object *hujson.Object, target reflect.Value) *fieldError {
 	seen := map[string]bool{}
 	for _, m := range object.Members {
 		name, _ := m.Name.Value.(hujson.Literal)
@@ -172,17 +172,17 @@
 		if field != "" {
 			path = field + "." + key
 		}
-		at := slices.IndexFunc(reflect.VisibleFields(to.Type()), func(f reflect.StructField) bool {
+		at := slices.IndexFunc(reflect.VisibleFields(target.Type()), func(f reflect.StructField) bool {
 			return f.IsExported() && f.Tag.Get("json") == key
 		})
 		switch {
 		case at < 0:
-			return &fault{m.Name.StartOffset, path, "unknown"}
+			return &fieldError{m.Name.StartOffset, path, "unknown"}
 		case seen[key]:
-			return &fault{m.Name.StartOffset, path, "named twice"}
+			return &fieldError{m.Name.StartOffset, path, "named twice"}
 		}
 		seen[key] = true
-		if bad := read(path, m.Value, to.Field(at), to.Type().Field(at).Tag); bad != nil {
+		if bad := decodeValue(path, m.Value, target.Field(at), target.Type().Field(at).Tag); bad != nil {
 			return bad
 		}
 	}
--- a/internal/config/form/text.go
+++ b/internal/config/form/text.go
@@ -18,7 +18,7 @@
 }
 
 // Settings are all fields of a struct, in their order; said tells which ones a file names.
-func Settings(of any, said func(field string) bool) (all []Setting) {
+func Settings(of any, named func(field string) bool) (all []Setting) {
 	var walk func(field string, v reflect.Value)
 	walk = func(field string, v reflect.Value) {
 		for i := range v.NumField() {
@@ -38,7 +38,7 @@
 			if kind := v.Field(i).Kind(); kind == reflect.String || v.Field(i).Type() == reflect.TypeFor[time.Duration]() {
 				value = strconv.Quote(value)
 			}
-			all = append(all, Setting{path, value, t.Tag.Get("doc"), !said(path)})
+			all = append(all, Setting{path, value, t.Tag.Get("doc"), !named(path)})
 		}
 	}
 	walk("", reflect.ValueOf(of).Elem())
@@ -48,17 +48,17 @@
 // Text writes a struct as Decode reads it, with a line for each field that differs from its default.
 func Text(of any) string {
 	var b strings.Builder
-	write(&b, "", reflect.ValueOf(of).Elem())
+	writeStruct(&b, "", reflect.ValueOf(of).Elem())
 	return b.String() + "\n"
 }
 
-func write(b *strings.Builder, indent string, v reflect.Value) {
-	plain := reflect.New(v.Type()).Elem()
-	fill(plain) // the defaults were checked when the file was read
+func writeStruct(b *strings.Builder, indent string, v reflect.Value) {
+	defaults := reflect.New(v.Type()).Elem()
+	setDefaults(defaults) // the defaults were checked when the file was read
 	b.WriteString("{\n")
 	for i := range v.NumField() {
 		t, at := v.Type().Field(i), v.Field(i)
-		if !t.IsExported() || reflect.DeepEqual(at.Interface(), plain.Field(i).Interface()) || at.Kind() == reflect.Slice && at.Len() == 0 {
+		if !t.IsExported() || reflect.DeepEqual(at.Interface(), defaults.Field(i).Interface()) || at.Kind() == reflect.Slice && at.Len() == 0 {
 			continue
 		}
 		fmt.Fprintf(b, "%s  %q: ", indent, t.Tag.Get("json"))
@@ -71,7 +71,7 @@
 func writeValue(b *strings.Builder, indent string, at reflect.Value) {
 	switch {
 	case at.Kind() == reflect.Struct:
-		write(b, indent, at)
+		writeStruct(b, indent, at)
 	case at.Type() == reflect.TypeFor[time.Duration]() || at.Kind() == reflect.String:
 		text, _ := json.Marshal(fmt.Sprint(at.Interface())) // a text always encodes
 		b.Write(text)
--- a/internal/config/form/values.go
+++ b/internal/config/form/values.go
@@ -13,8 +13,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// listed says in words what a list holds.
-func listed(t reflect.Type) string {
+// describeElements says in words what a list holds.
+func describeElements(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "of texts"
@@ -25,8 +25,8 @@
 	}
 }
 
-// kind says in words what a field takes.
-func kind(v reflect.Value) string {
+// describeType says in words what a field takes.
+func describeType(v reflect.Value) string {
 	switch {
 	case v.Type() == reflect.TypeFor[time.Duration]():
 		return `a time such as "30s"`
@@ -41,63 +41,63 @@
 	}
 }
 
-// set gives a field its value; an answer says why it can't.
-func set(to reflect.Value, text string, tag reflect.StructTag) string {
+// setValue gives a field its value; an answer says why it can't.
+func setValue(target reflect.Value, text string, tag reflect.StructTag) string {
 	var err error
-	var low, high, is float64
+	var low, high, value float64
 	switch {
-	case to.Type() == reflect.TypeFor[time.Duration]():
-		var span time.Duration
-		if span, err = time.ParseDuration(text); err == nil {
-			to.SetInt(int64(span))
-			is, low, high = float64(span), float64(duration(tag, "min", 0)), float64(duration(tag, "max", math.MaxInt64))
+	case target.Type() == reflect.TypeFor[time.Duration]():
+		var duration time.Duration
+		if duration, err = time.ParseDuration(text); err == nil {
+			target.SetInt(int64(duration))
+			value, low, high = float64(duration), float64(durationTag(tag, "min", 0)), float64(durationTag(tag, "max", math.MaxInt64))
 		}
-	case to.Kind() == reflect.String:
-		if to.SetString(text); strings.ContainsRune(text, 0) {
+	case target.Kind() == reflect.String:
+		if target.SetString(text); strings.ContainsRune(text, 0) {
 			return "holds a zero byte"
 		}
 		return ""
-	case to.Kind() == reflect.Bool:
+	case target.Kind() == reflect.Bool:
 		var yes bool
 		if yes, err = strconv.ParseBool(text); err == nil {
-			to.SetBool(yes)
+			target.SetBool(yes)
 		}
-	case to.Kind() == reflect.Int:
+	case target.Kind() == reflect.Int:
 		var n int64
 		if n, err = strconv.ParseInt(text, 10, 64); err == nil {
-			to.SetInt(n)
-			is, low, high = float64(n), number(tag, "min", 0), number(tag, "max", math.MaxInt32)
+			target.SetInt(n)
+			value, low, high = float64(n), numberTag(tag, "min", 0), numberTag(tag, "max", math.MaxInt32)
 		}
 	default:
-		if is, err = strconv.ParseFloat(text, 64); err == nil {
-			to.SetFloat(is)
-			low, high = number(tag, "min", 0), number(tag, "max", math.MaxFloat64)
+		if value, err = strconv.ParseFloat(text, 64); err == nil {
+			target.SetFloat(value)
+			low, high = numberTag(tag, "min", 0), numberTag(tag, "max", math.MaxFloat64)
 		}
 	}
 	if err != nil {
-		return fmt.Sprintf("%s is wanted, not %.40q", kind(to), text)
+		return fmt.Sprintf("%s is wanted, not %.40q", describeType(target), text)
 	}
-	if !(is >= low && is <= high) {
+	if !(value >= low && value <= high) {
 		return fmt.Sprintf("%s is out of range, which is %s to %s", text, tag.Get("min"), tag.Get("max"))
 	}
 	return ""
 }
 
-func duration(tag reflect.StructTag, key string, otherwise time.Duration) time.Duration {
+func durationTag(tag reflect.StructTag, key string, fallback time.Duration) time.Duration {
 	if span, err := time.ParseDuration(tag.Get(key)); err == nil {
 		return span
 	}
-	return otherwise
+	return fallback
 }
 
-func number(tag reflect.StructTag, key string, otherwise float64) float64 {
+func numberTag(tag reflect.StructTag, key string, fallback float64) float64 {
 	if f, err := strconv.ParseFloat(tag.Get(key), 64); err == nil {
 		return f
 	}
-	return otherwise
+	return fallback
 }
 
-func text(v hujson.Value) string {
+func compactText(v hujson.Value) string {
 	v.Minimize()
 	return string(v.Pack())
 }
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -46,11 +46,11 @@
 }
 
 func TestGoodFiles(t *testing.T) {
-	if f := Default(); f.Listed() || f.Start.NodeList.MaxEntries != 100000 || f.Start.Trust.HalfLife != 168*time.Hour {
+	if f := Default(); f.NodeListEnabled() || f.Start.NodeList.MaxEntries != 100000 || f.Start.Trust.HalfLife != 168*time.Hour {
 		t.Errorf("by default %+v", f.Start)
 	}
 	f, err := Decode("f", []byte(`{"start": {"node_list": {"directory": "/d", /* kept */ "save_every": "5s",},},}`))
-	if err != nil || !f.Listed() || f.Start.NodeList.SaveEvery != 5*time.Second || f.Start.NodeList.MaxEntries != 100000 {
+	if err != nil || !f.NodeListEnabled() || f.Start.NodeList.SaveEvery != 5*time.Second || f.Start.NodeList.MaxEntries != 100000 {
 		t.Fatalf("%v, %+v", err, f)
 	}
 	marked := map[string]bool{}
@@ -60,7 +60,7 @@
 	if marked["start.node_list.save_every"] || !marked["start.node_list.max_entries"] {
 		t.Errorf("defaults marked %v", marked)
 	}
-	if d := f.Differs(Default()); len(d) != 2 || d[0] != "start.node_list.directory" {
+	if d := f.ChangedFields(Default()); len(d) != 2 || d[0] != "start.node_list.directory" {
 		t.Errorf("differs in %v", d)
 	}
 }
@@ -91,7 +91,7 @@
 		if err != nil {
 			return
 		}
-		if o := file.Start.Trust; o.StrikeAt < 0.5 || o.StrikeAt > 0.9999 || o.Parole < time.Second {
+		if o := file.Start.Trust; o.ExclusionThreshold < 0.5 || o.ExclusionThreshold > 0.9999 || o.TrialDelay < time.Second {
 			t.Errorf("let through %+v", o)
 		}
 	})
--- a/internal/config/remedy/remedy.go
+++ b/internal/config/remedy/remedy.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// Fault is an error with a remedy: one line of what an operator can do, without a full stop.
-type Fault interface {
+// Error is an error with a remedy: one line of what an operator can do, without a full stop.
+type Error interface {
 	error
 	Remedy() string
 }
@@ -27,7 +27,7 @@
 }
 
 func collect(err error, all *[]string) {
-	if fault, ok := err.(Fault); ok && fault.Remedy() != "" {
+	if fault, ok := err.(Error); ok && fault.Remedy() != "" {
 		if r := fault.Remedy(); !slices.Contains(*all, r) {
 			*all = append(*all, r)
 		}
--- a/internal/config/remedy/remedy_test.go
+++ b/internal/config/remedy/remedy_test.go
@@ -16,17 +16,17 @@
 	"testing"
 )
 
-type fault struct {
+type testError struct {
 	remedy string
 	err    error
 }
 
-func (f fault) Error() string  { return "fault" }
-func (f fault) Remedy() string { return f.remedy }
-func (f fault) Unwrap() error  { return f.err }
+func (f testError) Error() string  { return "fault" }
+func (f testError) Remedy() string { return f.remedy }
+func (f testError) Unwrap() error  { return f.err }
 
 func TestOf(t *testing.T) {
-	plain, a, b := errors.New("plain"), fault{remedy: "do a"}, fault{remedy: "do b"}
+	plain, a, b := errors.New("plain"), testError{remedy: "do a"}, testError{remedy: "do b"}
 	for _, c := range []struct {
 		err  error
 		want string
@@ -35,8 +35,8 @@
 		{plain, ""},
 		{a, "do a"},
 		{fmt.Errorf("round it: %w", a), "do a"},
-		{fault{"do b", a}, "do b"},
-		{fault{"", a}, "do a"},
+		{testError{"do b", a}, "do b"},
+		{testError{"", a}, "do a"},
 		{errors.Join(plain, fmt.Errorf("x: %w", a), b, a), "do a; do b"},
 		{fmt.Errorf("%w and %w", b, a), "do b; do a"},
 	} {
@@ -46,8 +46,8 @@
 	}
 }
 
-// faults lists the exported types of a source file that have the method, as package.Type.
-func faults(name string, source any) (all []string, err error) {
+// typesWithRemedy lists the exported types of a source file that have the method, as package.Type.
+func typesWithRemedy(name string, source any) (all []string, err error) {
 	file, err := parser.ParseFile(token.NewFileSet(), name, source, parser.SkipObjectResolution)
 	if err != nil {
 		return nil, err
@@ -69,20 +69,20 @@
 }
 
 // compare tells which types the page leaves out, and which it names that are not there. A row begins with its type.
-func compare(page string, types map[string]bool) (left, dead []string) {
+func compare(page string, types map[string]bool) (missing, stale []string) {
 	named := map[string]bool{}
 	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z0-9]+\\.[A-Z][A-Za-z0-9]*)` \\|").FindAllStringSubmatch(page, -1) {
 		if named[m[1]] = true; !types[m[1]] {
-			dead = append(dead, m[1])
+			stale = append(stale, m[1])
 		}
 	}
 	for name := range maps.Keys(types) {
 		if !named[name] {
-			left = append(left, name)
+			missing = append(missing, name)
 		}
 	}
-	slices.Sort(left)
-	return left, dead
+	slices.Sort(missing)
+	return missing, stale
 }
 
 // The operators' page lists every error that has a remedy, and no other.
@@ -96,7 +96,7 @@
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		all, err := faults(path, nil)
+		all, err := typesWithRemedy(path, nil)
 		for _, name := range all {
 			types[name] = true
 		}
@@ -105,21 +105,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	left, dead := compare(string(page), types)
-	if len(types) < 2 || len(left) > 0 || len(dead) > 0 {
-		t.Errorf("of %d types the page leaves out %v and names %v, which are gone", len(types), left, dead)
+	missing, stale := compare(string(page), types)
+	if len(types) < 2 || len(missing) > 0 || len(stale) > 0 {
+		t.Errorf("of %d types the page leaves out %v and names %v, which are gone", len(types), missing, stale)
 	}
 }
 
 // What the check is for, put in on purpose.
 func TestPageCheck(t *testing.T) {
-	all, err := faults("x.go", "package x\nfunc (e *Lost) Remedy() string { return e.r }\nfunc (Held) Remedy() string { return e }\n"+
+	all, err := typesWithRemedy("x.go", "package x\nfunc (e *Lost) Remedy() string { return e.r }\nfunc (Held) Remedy() string { return e }\n"+
 		"func (own) Remedy() string { return e }\nfunc (Other) Remedy(n int) string { return e }\nfunc Remedy() string { return e }")
 	if err != nil || !slices.Equal(all, []string{"x.Lost", "x.Held"}) {
 		t.Fatalf("found %v, %v", all, err)
 	}
-	left, dead := compare("| `x.Held` | held | wait |\n| `x.Gone` | gone | mend |", map[string]bool{"x.Lost": true, "x.Held": true})
-	if !slices.Equal(left, []string{"x.Lost"}) || !slices.Equal(dead, []string{"x.Gone"}) {
-		t.Errorf("left out %v, dead %v", left, dead)
+	missing, stale := compare("| `x.Held` | held | wait |\n| `x.Gone` | gone | mend |", map[string]bool{"x.Lost": true, "x.Held": true})
+	if !slices.Equal(missing, []string{"x.Lost"}) || !slices.Equal(stale, []string{"x.Gone"}) {
+		t.Errorf("left out %v, dead %v", missing, stale)
 	}
 }
--- a/internal/config/terms/pairs.go
+++ b/internal/config/terms/pairs.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// pairs holds each path with its value or values; the first fault is kept and names its key.
-type pairs struct {
-	m       map[string][]string
-	sockets bool // what only sockets need must be there too
-	err     error
+// settingsReader holds each path with its value or values; the first fault is kept and names its key.
+type settingsReader struct {
+	values     map[string][]string
+	forSockets bool // what only sockets need must be there too
+	err        error
 }
 
-func (p *pairs) fail(key, format string, args ...any) {
+func (p *settingsReader) fail(key, format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf("settings: %s: %s", key, fmt.Sprintf(format, args...))
 	}
 }
 
-func (p *pairs) text(key string, need bool) string {
-	v, ok := p.m[key]
+func (p *settingsReader) text(key string, need bool) string {
+	v, ok := p.values[key]
 	switch {
 	case !ok && need:
 		p.fail(key, "missing")
@@ -36,10 +36,10 @@
 	return ""
 }
 
-func (p *pairs) num(key string, need bool, fallback float64) float64 {
+func (p *settingsReader) number(key string, need bool, fallback float64) float64 {
 	v := p.text(key, need)
 	if v == "" {
-		if _, there := p.m[key]; there {
+		if _, present := p.values[key]; present {
 			p.fail(key, "empty")
 		}
 		return fallback
@@ -47,7 +47,7 @@
 	return p.parse(key, v)
 }
 
-func (p *pairs) parse(key, v string) float64 {
+func (p *settingsReader) parse(key, v string) float64 {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) || f < 0 || f > 1<<60 {
 		p.fail(key, "%q is no number in range", v)
@@ -56,8 +56,8 @@
 	return f
 }
 
-func (p *pairs) count(key string, need bool, fallback int) int {
-	f := p.num(key, need, float64(fallback))
+func (p *settingsReader) count(key string, need bool, fallback int) int {
+	f := p.number(key, need, float64(fallback))
 	if f != math.Trunc(f) || f > 1<<31 {
 		p.fail(key, "%v is no whole number in range", f)
 		return 0
@@ -65,11 +65,11 @@
 	return int(f)
 }
 
-func (p *pairs) span(key string, need bool) time.Duration {
-	return time.Duration(p.num(key, need, 0))
+func (p *settingsReader) duration(key string, need bool) time.Duration {
+	return time.Duration(p.number(key, need, 0))
 }
 
-func (p *pairs) flag(key string) bool {
+func (p *settingsReader) flag(key string) bool {
 	switch v := p.text(key, false); v {
 	case "true":
 		return true
@@ -81,13 +81,13 @@
 	}
 }
 
-// list reads n comma-joined numbers; an absent key gives the fallback n times.
-func (p *pairs) list(key string, n int, fallback float64) []float64 {
+// numbers reads n comma-joined numbers; an absent key gives the fallback n times.
+func (p *settingsReader) numbers(key string, n int, fallback float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = fallback
 	}
-	items, ok := p.m[key]
+	items, ok := p.values[key]
 	if !ok {
 		return out
 	}
@@ -101,19 +101,19 @@
 	return out
 }
 
-// size bounds a count by the text that has to spell its items out.
-func (p *pairs) size(key string, need bool) int {
+// listLength bounds a count by the text that has to spell its items out.
+func (p *settingsReader) listLength(key string, need bool) int {
 	n := p.count(key, need, 0)
-	if n > len(p.m) {
-		p.fail(key, "%d items, but the settings hold %d entries", n, len(p.m))
+	if n > len(p.values) {
+		p.fail(key, "%d items, but the settings hold %d entries", n, len(p.values))
 		return 0
 	}
 	return n
 }
 
 // positive is a number that must be there and above nothing where sockets need it.
-func (p *pairs) positive(key string) float64 {
-	f := p.num(key, p.sockets, 1)
+func (p *settingsReader) positive(key string) float64 {
+	f := p.number(key, p.forSockets, 1)
 	if f <= 0 {
 		p.fail(key, "%v is not above 0", f)
 	}
@@ -121,17 +121,17 @@
 }
 
 // flatten lays a tree out as the simulator does: a list of objects has its length under .count.
-func (p *pairs) flatten(path string, v any) {
+func (p *settingsReader) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
-		for key, below := range v {
+		for key, child := range v {
 			if strings.Contains(key, ".") { // it could pass for something deeper
 				continue
 			}
 			if path != "" {
 				key = path + "." + key
 			}
-			p.flatten(key, below)
+			p.flatten(key, child)
 		}
 	case []any:
 		plain := []string{}
@@ -142,9 +142,9 @@
 				plain = append(plain, fmt.Sprint(item))
 			}
 		}
-		p.m[path], p.m[path+".count"] = plain, []string{strconv.Itoa(len(v))}
+		p.values[path], p.values[path+".count"] = plain, []string{strconv.Itoa(len(v))}
 	case nil:
 	default:
-		p.m[path] = []string{fmt.Sprint(v)}
+		p.values[path] = []string{fmt.Sprint(v)}
 	}
 }
--- a/internal/config/terms/start.go
+++ b/internal/config/terms/start.go
@@ -19,8 +19,8 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Start is the configuration file, read and checked.
-type Start struct {
+// Config is the configuration file, read and checked.
+type Config struct {
 	Name       string
 	Listen     netip.AddrPort
 	Discovery  netip.AddrPort
@@ -32,21 +32,21 @@
 	Terms      Terms
 }
 
-// ReadStart reads the configuration file; an error names the field at fault.
-func ReadStart(path string) (*Start, error) {
+// ReadConfig reads the configuration file; an error names the field at fault.
+func ReadConfig(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Unreadable{err}
+		return nil, &FileError{err}
 	}
-	s, err := DecodeStart(raw)
+	s, err := DecodeConfig(raw)
 	if err != nil {
-		return nil, &Wrong{path, err}
+		return nil, &InvalidConfigError{path, err}
 	}
 	return s, nil
 }
 
-// DecodeStart reads the text of a configuration file.
-func DecodeStart(raw []byte) (*Start, error) {
+// DecodeConfig reads the text of a configuration file.
+func DecodeConfig(raw []byte) (*Config, error) {
 	var file struct {
 		Name       string          `json:"name"`
 		Listen     string          `json:"listen"`
@@ -65,15 +65,15 @@
 	if len(file.Settings) == 0 {
 		return nil, fmt.Errorf("configuration: settings: missing")
 	}
-	s := &Start{Name: file.Name, Limits: file.Limits, Known: file.Known}
+	config := &Config{Name: file.Name, Limits: file.Limits, Known: file.Known}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: seed: %q is no hexadecimal number", file.Seed)
 	}
-	if l := s.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets <= 0 {
+	if l := config.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets <= 0 {
 		return nil, fmt.Errorf("configuration: limits: %+v: each must be above 0", l)
 	}
-	if s.Terms, err = FromJSON(file.Settings, seed); err != nil {
+	if config.Terms, err = FromJSON(file.Settings, seed); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	address := func(field, text string) (at netip.AddrPort) {
@@ -84,21 +84,21 @@
 		}
 		return at
 	}
-	s.Listen, s.Discovery = address("listen", file.Listen), address("discovery", file.Discovery)
-	if s.Terms.Module.GossipAllowed {
-		s.PeerListen, s.PeersAll = address("peer_listen", file.PeerListen), address("peers_all", file.PeersAll)
+	config.Listen, config.Discovery = address("listen", file.Listen), address("discovery", file.Discovery)
+	if config.Terms.Module.GossipAllowed {
+		config.PeerListen, config.PeersAll = address("peer_listen", file.PeerListen), address("peers_all", file.PeersAll)
 		for i, text := range file.Peers {
-			s.Peers = append(s.Peers, address(fmt.Sprintf("peers.%d", i), text))
+			config.Peers = append(config.Peers, address(fmt.Sprintf("peers.%d", i), text))
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return s, nil
+	return config, nil
 }
 
-// Differs names the fields in which another configuration says something that only a restart could take over.
-func (s *Start) Differs(o *Start) (fields []string) {
+// ChangedFields names the fields in which another configuration says something that only a restart could take over.
+func (s *Config) ChangedFields(o *Config) (fields []string) {
 	mine, theirs := s.Terms, o.Terms
 	mine.Module.Seed = theirs.Module.Seed // is new with each start
 	for _, f := range []struct {
--- a/internal/config/terms/terms_test.go
+++ b/internal/config/terms/terms_test.go
@@ -67,7 +67,7 @@
 		t.Errorf("type read as %+v", a.Module.QueryTypes[0])
 	}
 	if a.Zones[1] != "south side" || a.Tenants[0] != "a, b" || a.Types[0] != "find" || a.Shards != 9 ||
-		a.Streams != 32 || a.Idle != 30*time.Second || a.Dial != 250*time.Millisecond || a.Me != 1 {
+		a.Streams != 32 || a.Idle != 30*time.Second || a.Dial != 250*time.Millisecond || a.PeerNumber != 1 {
 		t.Errorf("read as %+v", a)
 	}
 }
@@ -117,7 +117,7 @@
 	file := `{"name":"n0","listen":"127.0.0.1:80","discovery":"127.0.0.1:85","seed":"92094eb940cf389a",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:79","peers":["127.0.0.2:79"],
  "peers_all":"127.0.0.3:79","settings":` + settings + `}`
-	s, err := DecodeStart([]byte(file))
+	s, err := DecodeConfig([]byte(file))
 	if err != nil || s.Terms.Module.Seed != 0x92094eb940cf389a || s.Peers[0].Port() != 79 || s.Limits.Sockets != 1024 {
 		t.Fatalf("%v, %+v", err, s)
 	}
@@ -126,12 +126,12 @@
 		"peers.0": {"127.0.0.2:79", "b"}, "peers_all": {"127.0.0.3:79", "c"}, "limits": {`"sockets":1024`, `"sockets":0`},
 		"settings": {`"settings"`, `"other"`}, "configuration": {`{"name"`, `{"name`},
 	} {
-		if _, err := DecodeStart([]byte(strings.Replace(file, bad[0], bad[1], 1))); err == nil ||
+		if _, err := DecodeConfig([]byte(strings.Replace(file, bad[0], bad[1], 1))); err == nil ||
 			!strings.Contains(err.Error(), field) {
 			t.Errorf("%s: got %v", field, err)
 		}
 	}
-	if _, err := ReadStart(t.TempDir() + "/none"); err == nil {
+	if _, err := ReadConfig(t.TempDir() + "/none"); err == nil {
 		t.Error("a missing file was read")
 	}
 }
--- a/internal/lab/play/reads_test.go
+++ b/internal/lab/play/reads_test.go
@@ -46,8 +46,8 @@
 func TestAuditFindsOptimism(t *testing.T) {
 	defer func() { operatorsInstead = nil }()
 	for name, change := range map[string]func(*operator.File){
-		"ages 60 ms too low": func(f *operator.File) { f.Fleet.ClockError = -60 * time.Millisecond },
-		"clocks trusted":     func(f *operator.File) { f.Fleet.ClockError = -time.Millisecond },
+		"ages 60 ms too low": func(f *operator.File) { f.ControlPlaneSettings.ClockError = -60 * time.Millisecond },
+		"clocks trusted":     func(f *operator.File) { f.ControlPlaneSettings.ClockError = -time.Millisecond },
 	} {
 		operatorsInstead = change
 		r := played(t, read(t, lagging), Options{Policy: Module})
--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -33,7 +33,7 @@
 	Reads    Reads         `json:"reads" doc:"replicas that lag, and hints on reads"`
 	Troubles []Trouble     `json:"troubles" doc:"what goes wrong"`
 
-	doc *form.Doc
+	doc *form.Document
 }
 
 // Read reads a script file.
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	if field, err := s.Check(); err != nil {
-		return nil, s.doc.Fault(field, err)
+		return nil, s.doc.ErrorAt(field, err)
 	}
 	return s, nil
 }
--- a/internal/lab/script/settings.go
+++ b/internal/lab/script/settings.go
@@ -15,7 +15,7 @@
 func (s *Script) Terms() *terms.Terms {
 	f, b := &s.Fleet, &s.Brokers
 	t := &terms.Terms{Shards: s.Shards(), Streams: 32, Idle: 30 * time.Second, Dial: 250 * time.Millisecond,
-		AskEvery: 10 * time.Second}
+		MaxPollInterval: 10 * time.Second}
 	for z := range f.Zones {
 		t.Zones = append(t.Zones, string(rune('a'+z)))
 	}
@@ -47,8 +47,8 @@
 // Operators is the operators' file that the script's brokers are given.
 func (s *Script) Operators() *operator.File {
 	f := operator.Default()
-	f.Door.On = s.Brokers.Door
-	f.Fleet.Pins, f.Fleet.ClockError, f.Fleet.Drift = s.Reads.On, s.Reads.ClockError, s.Reads.Drift
+	f.Admission.On = s.Brokers.Admission
+	f.ControlPlaneSettings.Pins, f.ControlPlaneSettings.ClockError, f.ControlPlaneSettings.Drift = s.Reads.On, s.Reads.ClockError, s.Reads.Drift
 	return f
 }
 
@@ -74,6 +74,6 @@
 		"permissions": map[string]any{"cancel": m.CancelAllowed, "connIdleNs": t.Idle.Nanoseconds(), "connectTimeoutNs": t.Dial.Nanoseconds(),
 			"maxAttempts": m.MaxAttempts, "maxOpen": m.MaxInFlight, "maxRetryAfterNs": m.MaxRetryAfter.Nanoseconds(), "multiplex": t.Streams,
 			"retryAfter": true, "secondCopies": m.HedgingAllowed},
-		"safety": map[string]any{"askWithinNs": t.AskEvery.Nanoseconds(), "coldFrom": m.InitialCapacity, "drainGraceNs": s.Fleet.Grace.Nanoseconds(),
+		"safety": map[string]any{"askWithinNs": t.MaxPollInterval.Nanoseconds(), "coldFrom": m.InitialCapacity, "drainGraceNs": s.Fleet.Grace.Nanoseconds(),
 			"fallNs": m.OverloadAfter.Nanoseconds(), "tipMultiple": m.OverloadMultiple, "warmAfterNs": m.WarmUpTime.Nanoseconds()}})
 }
--- a/internal/lab/script/shapes.go
+++ b/internal/lab/script/shapes.go
@@ -33,15 +33,15 @@
 
 // Brokers describes the brokers.
 type Brokers struct {
-	Count    int           `json:"count" default:"3" min:"1" max:"2000" doc:"brokers, each with clients of its own"`
-	MaxOpen  int           `json:"max_open" default:"4096" min:"4" max:"1000000" doc:"searches and parts that one holds"`
-	Sockets  int           `json:"sockets" default:"1024" min:"64" max:"100000" doc:"descriptors of one"`
-	Peers    bool          `json:"peers" doc:"they may send each other messages"`
-	Attempts int           `json:"attempts" default:"4" min:"1" max:"16" doc:"sub-requests for a part at most"`
-	Budget   float64       `json:"budget" default:"0" min:"0" max:"1" doc:"further sub-requests as a share of searches and parts in 10s; 0: none is set"`
-	TurnCost time.Duration `json:"turn_cost" default:"40us" min:"0s" max:"10ms" doc:"of the core that a broker's turn takes"`
-	Door     bool          `json:"door" doc:"fair queues at the door, as the operators' file switches them on"`
-	KeepList bool          `json:"keep_list" doc:"the node list is kept over restarts"`
+	Count     int           `json:"count" default:"3" min:"1" max:"2000" doc:"brokers, each with clients of its own"`
+	MaxOpen   int           `json:"max_open" default:"4096" min:"4" max:"1000000" doc:"searches and parts that one holds"`
+	Sockets   int           `json:"sockets" default:"1024" min:"64" max:"100000" doc:"descriptors of one"`
+	Peers     bool          `json:"peers" doc:"they may send each other messages"`
+	Attempts  int           `json:"attempts" default:"4" min:"1" max:"16" doc:"sub-requests for a part at most"`
+	Budget    float64       `json:"budget" default:"0" min:"0" max:"1" doc:"further sub-requests as a share of searches and parts in 10s; 0: none is set"`
+	TurnCost  time.Duration `json:"turn_cost" default:"40us" min:"0s" max:"10ms" doc:"of the core that a broker's turn takes"`
+	Admission bool          `json:"door" doc:"fair queues at the door, as the operators' file switches them on"`
+	KeepList  bool          `json:"keep_list" doc:"the node list is kept over restarts"`
 }
 
 // List describes the list service.
--- a/internal/protocols/back/pairs_test.go
+++ b/internal/protocols/back/pairs_test.go
@@ -117,14 +117,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	start, err := terms.ReadStart(path)
+	start, err := terms.ReadConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	own := operator.Default()
 	own.Z3950.Listen, own.SRU.Listen, own.SRU.Type, own.Z3950.Type = "127.0.0.1:0", "127.0.0.1:0", "report", "report"
 	if protocol != "frames" {
-		own.Back.Protocol, own.Back.Database = protocol, "x"
+		own.StoreProtocol.Protocol, own.StoreProtocol.Database = protocol, "x"
 	}
 	if w.s, err = server.New(start, own, func(t decision.Settings) decision.Router { return routing.New(t) }); err == nil {
 		err = w.s.Open()
--- a/internal/protocols/front/z3950/cold_test.go
+++ b/internal/protocols/front/z3950/cold_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	start, err := terms.ReadStart(path)
+	start, err := terms.ReadConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocols/front/z3950/front.go
+++ b/internal/protocols/front/z3950/front.go
@@ -71,7 +71,7 @@
 
 // Listen opens a front; an unknown type or tenant is an error.
 func Listen(b front.Broker, o operator.Z3950) (*Front, error) {
-	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, sets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: o.Sets,
+	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, sets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: o.MaxResultSets,
 		Sessions: o.Sessions, Age: o.Age})}
 	var err error
 	if f.ask, err = front.NewAsker(b, "z3950", o.Type, o.Tenant); err == nil {
--- a/internal/protocols/front/z3950/front_test.go
+++ b/internal/protocols/front/z3950/front_test.go
@@ -26,7 +26,7 @@
 
 func options() operator.Z3950 {
 	o := operator.Default().Z3950
-	o.Listen, o.Depth, o.Sessions, o.Sets = "127.0.0.1:0", 4, 8, 3
+	o.Listen, o.Depth, o.Sessions, o.MaxResultSets = "127.0.0.1:0", 4, 8, 3
 	return o
 }
 
--- a/internal/server/admission_open.go
+++ b/internal/server/admission_open.go
@@ -16,12 +16,12 @@
 const weightSumTolerance = 0.001
 
 // newAdmissionControl returns admission as the operators' file and the settings configure it. Its error is an InvalidWeightsError.
-func newAdmissionControl(o *operator.Door, t *terms.Terms) (*admissionControl, error) {
+func newAdmissionControl(o *operator.Admission, t *terms.Terms) (*admissionControl, error) {
 	p := admission.Policy{
 		MaxWaitShare:  o.WaitShare,
-		MaxQueued:     o.MostWait,
-		MinWork:       float64(o.LeastWork),
-		RetryShare:    o.Repeats,
+		MaxQueued:     o.MaxWaiting,
+		MinWork:       float64(o.MinInFlight),
+		RetryShare:    o.RetryFraction,
 		MaxRetryAfter: t.Module.MaxRetryAfter,
 		Seed:          t.Module.Seed,
 	}
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -116,7 +116,7 @@
 	now := time.Duration(0)
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
-	admission, err := newAdmissionControl(&operator.Default().Door, &terms.Terms{})
+	admission, err := newAdmissionControl(&operator.Default().Admission, &terms.Terms{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/cached_list_open.go
+++ b/internal/server/cached_list_open.go
@@ -32,9 +32,9 @@
 	s.loop.useCachedList(cached)
 	s.initialList = cached.initialList()
 	backoff := polling.NewBackoff(polling.BackoffSettings{
-		ConnectInterval: o.Discovery.KnockEvery,
-		PollCost:        o.Discovery.PerCall,
-		MaxPollDelay:    o.Discovery.MostDelay,
+		ConnectInterval: o.Discovery.ConnectEvery,
+		PollCost:        o.Discovery.DelayPerBroker,
+		MaxPollDelay:    o.Discovery.MaxDelay,
 		BrokerCount:     t.Module.BrokerCount,
 	}, t.Module.Seed)
 	resume := o.Discovery.Resume && content.Found && content.Head.Service == s.discoveryAddress.String()
@@ -49,9 +49,9 @@
 func newCachedList(o *operator.Start, entryTable *cachedlist.EntryTable, start time.Time) *cachedEndpointList {
 	policy := cachedlist.Policy{
 		HalfLife:          o.Trust.HalfLife,
-		MaxAge:            o.Trust.Oldest,
-		EjectionThreshold: o.Trust.StrikeAt,
-		TrialInterval:     o.Trust.Parole,
+		MaxAge:            o.Trust.MaxEntryAge,
+		EjectionThreshold: o.Trust.ExclusionThreshold,
+		TrialInterval:     o.Trust.TrialDelay,
 	}
 	return &cachedEndpointList{
 		table:      entryTable,
--- a/internal/server/cached_list_test.go
+++ b/internal/server/cached_list_test.go
@@ -199,7 +199,7 @@
 		b.Fatal(err)
 	}
 	path, _ := f.Config("n0", "127.0.0.1:0", "127.0.0.1:1", false)
-	start, err := terms.ReadStart(path)
+	start, err := terms.ReadConfig(path)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/server/control_plane.go
+++ b/internal/server/control_plane.go
@@ -43,8 +43,8 @@
 }
 
 // Voters returns the voters that the operators' file names, and their ids.
-func Voters(o *operator.Fleet) (all []controlplane.Voter, ids []uint64) {
-	for i, v := range o.Named() {
+func Voters(o *operator.ControlPlaneSettings) (all []controlplane.Voter, ids []uint64) {
+	for i, v := range o.ParsedVoters() {
 		all = append(all, controlplane.Voter{Name: v.Name, Addr: v.Addr.String()})
 		ids = append(ids, uint64(i+1))
 	}
@@ -52,7 +52,7 @@
 }
 
 // LogOptions returns the options of this broker's log of entries, and false if it does not vote.
-func LogOptions(o *operator.Fleet, ring *keys.Keyring) (raftlog.Options, bool) {
+func LogOptions(o *operator.ControlPlaneSettings, ring *keys.Keyring) (raftlog.Options, bool) {
 	voters, ids := Voters(o)
 	for i, v := range voters {
 		if v.Name == ring.ID().Broker {
@@ -64,8 +64,8 @@
 
 // openControlPlane opens the keys, the log of a voter and the listener, and attaches the control plane to the loop.
 func (s *Server) openControlPlane() error {
-	o := &s.operator.Fleet
-	ring, err := keys.Open(s.operator.FleetKeys())
+	o := &s.operator.ControlPlaneSettings
+	ring, err := keys.Open(s.operator.ControlPlaneKeys())
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 }
 
 func (s *Server) controlPlaneOptions(p *tierControlPlane) controlplane.Options {
-	o := &s.operator.Fleet
+	o := &s.operator.ControlPlaneSettings
 	voters, _ := Voters(o)
 	return controlplane.Options{
 		Keys:              p.keys,
@@ -111,7 +111,7 @@
 		MaxClockDrift:     o.Drift,
 		ElectionTimeout:   o.Election,
 		HeartbeatInterval: o.Heartbeat,
-		MaxFollowers:      o.Followers,
+		MaxFollowers:      o.FollowerLimit,
 		ReportInterval:    o.Report,
 		ReleaseGates:      releaseGates(o),
 		Seed:              rand.Uint64(),
@@ -121,20 +121,20 @@
 	}
 }
 
-func releaseGates(o *operator.Fleet) release.Settings {
+func releaseGates(o *operator.ControlPlaneSettings) release.Settings {
 	gates := release.Defaults()
 	gates.ObserveTime = o.Gates.Observe
-	gates.WarmUpTime = o.Gates.Warm
+	gates.WarmUpTime = o.Gates.WarmUp
 	gates.OverdueAfter = o.Gates.Overdue
-	gates.MinQueries = float64(o.Gates.Least)
+	gates.MinQueries = float64(o.Gates.MinSamples)
 	gates.Tolerance = o.Gates.Tolerance
-	gates.FalseAlarmRate = o.Gates.Alpha
-	gates.AutoRollback = o.Gates.Back
+	gates.FalseAlarmRate = o.Gates.SignificanceLevel
+	gates.AutoRollback = o.Gates.RollBack
 	return gates
 }
 
 // releaseVersion returns the version that this program runs: as the operators configured it, else as it was built.
-func releaseVersion(o *operator.Fleet) string {
+func releaseVersion(o *operator.ControlPlaneSettings) string {
 	if o.Version != "" {
 		return o.Version
 	}
@@ -166,7 +166,7 @@
 	s.loop.useControlPlane(view)
 	p.AddLeaderTask(controlplane.LeaderTask{Name: "epoch", Interval: epochInterval, Propose: epochProposals(&p.endpoints)})
 	p.SetNodeNames(p.nodeByName, p.nameOf)
-	if s.operator.Fleet.Pins {
+	if s.operator.ControlPlaneSettings.Pins {
 		s.sharePositions(p)
 	}
 }
--- a/internal/server/control_plane_run.go
+++ b/internal/server/control_plane_run.go
@@ -35,7 +35,7 @@
 
 // updateReports refreshes the counts that load reports carry, until the broker ends.
 func (s *Server) updateReports() error {
-	tick := time.NewTicker(s.operator.Fleet.Report)
+	tick := time.NewTicker(s.operator.ControlPlaneSettings.Report)
 	defer tick.Stop()
 	for {
 		select {
@@ -60,7 +60,7 @@
 	if v.MustExit { // UsePermit was agreed, and this process has not seen the answer
 		s.shutDownByPermit(v.Permit)
 	}
-	if n := v.Permit.Number; s.operator.Fleet.Exit && n > 0 && !v.Permit.Used && p.triedPermit.Swap(n) != n {
+	if n := v.Permit.Number; s.operator.ControlPlaneSettings.ExitOnPermit && n > 0 && !v.Permit.Used && p.triedPermit.Swap(n) != n {
 		s.group.Go(func() error {
 			s.usePermit(v.Permit)
 			return nil
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -82,13 +82,13 @@
 	l.pool = store.NewPool(context.Background(), limits, nil, e.Now, nil, nil, l.attemptEnded)
 	l.pool.Probed = l.healthCheckEnded
 	l.pool.Carry(e.Carrier)
-	if file.Fleet.Pins {
-		l.useReadPins(newReadPinTracker(&file.Fleet, t))
+	if file.ControlPlaneSettings.Pins {
+		l.useReadPins(newReadPinTracker(&file.ControlPlaneSettings, t))
 		l.pool.KeepReports()
 	}
 	var err error
-	if file.Door.On {
-		admission, doorErr := newAdmissionControl(&file.Door, t)
+	if file.Admission.On {
+		admission, doorErr := newAdmissionControl(&file.Admission, t)
 		if doorErr == nil {
 			l.useAdmission(admission)
 		}
--- a/internal/server/deliver.go
+++ b/internal/server/deliver.go
@@ -13,7 +13,7 @@
 
 // receiveGossip delivers a gossip message of another broker. The broker's own messages that come back are dropped.
 func (s *Server) receiveGossip(from int, text []byte) {
-	if from != s.start.Terms.Me {
+	if from != s.start.Terms.PeerNumber {
 		s.deliver(gossipReceived{from, text})
 	}
 }
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -58,7 +58,7 @@
 		l.settings = &loopTerms
 		l.useControlPlane(newControlPlaneView([]string{"a"}))
 		l.controlPlane.endpoints = &(&tierControlPlane{}).endpoints
-		l.useReadPins(newReadPinTracker(&operator.Fleet{}, &loopTerms))
+		l.useReadPins(newReadPinTracker(&operator.ControlPlaneSettings{}, &loopTerms))
 		eligible := func() (to []decision.NodeID) {
 			to, _, _ = l.readPins.positions.EligibleReplicas(l.since(), 0, 0, &readpin.Requirement{}, nil)
 			return to
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -76,14 +76,14 @@
 	return ln
 }
 
-func startConfiguration(t *testing.T, listen string, sockets int) *terms.Start {
+func startConfiguration(t *testing.T, listen string, sockets int) *terms.Config {
 	none := netip.MustParseAddrPort("127.0.0.1:1") // where nobody listens
 	known := `{"generation":1,"reset":true,"instances":[`
 	for cell := range 2 {
 		known += fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"zone":"a","cell":%d,"lifecycle":"in_service"},`,
 			cell, stubNode(t), cell)
 	}
-	return &terms.Start{Name: "n0", Listen: netip.MustParseAddrPort(listen), Discovery: none, Terms: testTerms(t),
+	return &terms.Config{Name: "n0", Listen: netip.MustParseAddrPort(listen), Discovery: none, Terms: testTerms(t),
 		Limits: terms.Limits{Cores: 1, MemoryMB: 192, Sockets: sockets}, Known: []byte(known[:len(known)-1] + "]}")}
 }
 
@@ -96,14 +96,14 @@
 }
 
 // runConfigured runs a broker with a configuration and an operators' file until end is called or the test ends.
-func runConfigured(t *testing.T, start *terms.Start, file *operator.File) (s *Server, end func() error) {
+func runConfigured(t *testing.T, start *terms.Config, file *operator.File) (s *Server, end func() error) {
 	t.Helper()
 	s = openServer(t, start, file)
 	return s, serveUntilEnd(t, s)
 }
 
 // openServer returns a broker that listens and does not serve yet.
-func openServer(t *testing.T, start *terms.Start, file *operator.File) *Server {
+func openServer(t *testing.T, start *terms.Config, file *operator.File) *Server {
 	t.Helper()
 	s, err := New(start, file, newRouter)
 	if err == nil {
@@ -137,12 +137,12 @@
 }
 
 // readLabConfiguration reads the configuration that package lab wrote for a broker, and decodes the text of an operators' file.
-func readLabConfiguration(t *testing.T, path string, err error, operators string) (*terms.Start, *operator.File) {
+func readLabConfiguration(t *testing.T, path string, err error, operators string) (*terms.Config, *operator.File) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
-	start, err := terms.ReadStart(path)
+	start, err := terms.ReadConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -39,7 +39,7 @@
 
 // openConnLeases makes the pool keep to connection leases, and lets this broker grant them while it is the leader.
 func (s *Server) openConnLeases(streams int) {
-	t, o := &s.start.Terms, &s.operator.Fleet
+	t, o := &s.start.Terms, &s.operator.ControlPlaneSettings
 	b := newConnectionLeases(streams, t.Tenants)
 	b.proposeEntry = s.proposeInBackground
 	s.loop.useConnectionLeases(b)
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -69,7 +69,7 @@
 func (s *Server) proposeRelease(ctx context.Context, held *leaseToRelease) error {
 	for {
 		_, err := s.controlPlane.Propose(ctx, &statemachine.RelinquishLease{
-			Slot:        statemachine.Slot(s.operator.Fleet.Slot),
+			Slot:        statemachine.Slot(s.operator.ControlPlaneSettings.Slot),
 			Incarnation: held.incarnation,
 			Number:      held.number,
 		})
--- a/internal/server/membership_open.go
+++ b/internal/server/membership_open.go
@@ -41,7 +41,7 @@
 
 // openMembership starts membership. The socket between brokers must be open.
 func (s *Server) openMembership() {
-	o := &s.operator.Crew
+	o := &s.operator.Membership
 	var keys [][]byte
 	for _, k := range o.Keys {
 		key, _ := hex.DecodeString(k) // checked when the file was read
@@ -59,7 +59,7 @@
 }
 
 // seedAddresses returns the configured and the stored addresses of members, and opens the store if one is configured.
-func (s *Server) seedAddresses(o *operator.Crew) []netip.AddrPort {
+func (s *Server) seedAddresses(o *operator.Membership) []netip.AddrPort {
 	addresses := s.start.Peers
 	if len(o.Seeds) > 0 {
 		addresses = nil
@@ -67,19 +67,19 @@
 			addresses = append(addresses, netip.MustParseAddrPort(text)) // checked when the file was read
 		}
 	}
-	if o.Keep == "" {
+	if o.AddressFile == "" {
 		return addresses
 	}
-	stored, err := seeds.Load(o.Keep)
+	stored, err := seeds.Load(o.AddressFile)
 	if err != nil {
-		slog.Warn("stored seed addresses not used", "component", "membership", "file", o.Keep, "error", err)
+		slog.Warn("stored seed addresses not used", "component", "membership", "file", o.AddressFile, "error", err)
 	}
 	for _, at := range stored {
 		if !slices.Contains(addresses, at) {
 			addresses = append(slices.Clip(addresses), at)
 		}
 	}
-	s.seedStore = seeds.NewWriter(o.Keep)
+	s.seedStore = seeds.NewWriter(o.AddressFile)
 	return addresses
 }
 
@@ -91,14 +91,14 @@
 	start   time.Time
 }
 
-func newTierMembership(o *operator.Crew, t *terms.Terms, self tierIdentity, seeds []netip.AddrPort, now time.Duration,
+func newTierMembership(o *operator.Membership, t *terms.Terms, self tierIdentity, seeds []netip.AddrPort, now time.Duration,
 	sendTo func(netip.AddrPort, []byte)) *tierMembership {
 	policy := membership.Policy{
 		ProbeInterval:      o.Interval,
 		ProbeTimeout:       o.Timeout,
 		IndirectProbes:     indirectProbes,
-		SuspicionFactor:    o.Suspicion,
-		MaxSuspicionFactor: o.Longest,
+		SuspicionFactor:    o.MinSuspicion,
+		MaxSuspicionFactor: o.MaxSuspicion,
 		ForgetAfter:        o.Forget,
 		SyncInterval:       syncIntervals * o.Interval,
 		MaxDatagramBytes:   min(maxDatagram, peers.MaxSealed),
@@ -108,14 +108,14 @@
 	incarnation := uint32(self.start.Unix()) // greater than that of any earlier process
 	members := membership.New(policy, self.name, self.address, uint8(o.Weight), incarnation, seeds)
 	jobs := []ownership.Job{
-		jobPollDiscovery: {Name: "refresh the node list", Period: max(minListRefreshPeriod, t.AskEvery/2)},
-		jobLogCounters:   {Name: "log the counters", Period: o.Summary},
+		jobPollDiscovery: {Name: "refresh the node list", Period: max(minListRefreshPeriod, t.MaxPollInterval/2)},
+		jobLogCounters:   {Name: "log the counters", Period: o.SummaryInterval},
 	}
 	claims := ownership.Policy{Lease: o.Lease, SettleTime: o.Interval, RenewInterval: renewIntervals * o.Interval}
 	return &tierMembership{
 		members:        members,
 		sendTo:         sendTo,
-		shareEndpoints: o.List,
+		shareEndpoints: o.ShareEndpoints,
 		updateFilter:   gossip.NewUpdateFilter(serviceHash(self.service)),
 		ownership:      ownership.NewCoordinator(claims, uint32(members.Self().ID), jobs, now),
 	}
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -108,7 +108,7 @@
 	sent := &[][]byte{}
 	at := netip.MustParseAddrPort("127.0.0.1:7")
 	self := tierIdentity{name: "n0", address: at, service: start.Discovery, start: l.start}
-	l.useMembership(newTierMembership(&file.Crew, &start.Terms, self, nil, 0, func(_ netip.AddrPort, b []byte) { *sent = append(*sent, b) }))
+	l.useMembership(newTierMembership(&file.Membership, &start.Terms, self, nil, 0, func(_ netip.AddrPort, b []byte) { *sent = append(*sent, b) }))
 	l.applyList(s.initialList)
 	l.stepRouter(l.since())
 	return l, sent
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -50,7 +50,7 @@
 	assessment readpin.Assessment
 }
 
-func newReadPinTracker(o *operator.Fleet, t *terms.Terms) *readPinTracker {
+func newReadPinTracker(o *operator.ControlPlaneSettings, t *terms.Terms) *readPinTracker {
 	c := readpin.DefaultConfig(t.Shards, t.Module.Cells, t.Module.CellsPerShard)
 	c.ClockError = o.ClockError
 	c.MaxDrift = o.Drift
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -19,7 +19,7 @@
 }
 
 // checkConfiguration checks what reading the configuration file did not, and decodes the endpoint list if the file contains one.
-func checkConfiguration(start *terms.Start, reader discovery.Reader) (list *discovery.List, given bool, err error) {
+func checkConfiguration(start *terms.Config, reader discovery.Reader) (list *discovery.List, given bool, err error) {
 	t := &start.Terms
 	for i := range t.Module.QueryTypes {
 		if t.Module.QueryTypes[i].SecondPhaseRequests > 0 {
@@ -40,7 +40,7 @@
 // Reload applies a new configuration while serving, and logs one line about it. The caller has read and checked the files; err is the error
 // it found, with which the old configuration stays in force. The address of discovery and the settings change; what needs a restart is
 // logged and stays as it was. Calls must not overlap.
-func (s *Server) Reload(start *terms.Start, file *operator.File, err error) {
+func (s *Server) Reload(start *terms.Config, file *operator.File, err error) {
 	var reader discovery.Reader
 	var list *discovery.List
 	var listGiven bool
@@ -57,7 +57,7 @@
 	}
 	current := *s.start
 	current.Terms = *s.Settings()
-	needsRestart := current.Differs(start)
+	needsRestart := current.ChangedFields(start)
 	i := slices.Index(needsRestart, "settings")
 	settingsSwitched := i >= 0 && s.canReconfigure(&start.Terms)
 	var discoverySettings *discovery.Settings
@@ -65,7 +65,7 @@
 		needsRestart = slices.Delete(needsRestart, i, i+1)
 		discoverySettings = s.switchSettings(&current.Terms, start, reader, list)
 	}
-	needsRestart = append(needsRestart, s.operator.Differs(file)...)
+	needsRestart = append(needsRestart, s.operator.ChangedFields(file)...)
 	if s.discoveryAddress != start.Discovery || discoverySettings != nil {
 		s.discoveryAddress = start.Discovery
 		s.discoveryClient.ChangeAddress(start.Discovery.String(), discoverySettings)
@@ -76,7 +76,7 @@
 
 // switchSettings changes the loop to other settings, and returns the new settings for polling discovery, or nil if they are unchanged. list
 // is the endpoint list of the configuration.
-func (s *Server) switchSettings(current *terms.Terms, start *terms.Start, reader discovery.Reader, list *discovery.List) *discovery.Settings {
+func (s *Server) switchSettings(current *terms.Terms, start *terms.Config, reader discovery.Reader, list *discovery.List) *discovery.Settings {
 	next := &start.Terms
 	otherDiscoveryAndTypes := s.discoveryAddress != start.Discovery && !slices.Equal(current.Types, next.Types)
 	deploymentChanged := otherDiscoveryAndTypes || current.Fingerprint() != next.Fingerprint()
@@ -84,8 +84,8 @@
 		list = nil
 	}
 	s.reconfigure(next, deploymentChanged, list)
-	if deploymentChanged || current.AskEvery != next.AskEvery || current.Pushed != next.Pushed {
-		return &discovery.Settings{Reader: reader, MaxWatchTime: next.AskEvery, LocalAgent: next.Pushed}
+	if deploymentChanged || current.MaxPollInterval != next.MaxPollInterval || current.ListPushed != next.ListPushed {
+		return &discovery.Settings{Reader: reader, MaxWatchTime: next.MaxPollInterval, LocalAgent: next.ListPushed}
 	}
 	return nil
 }
@@ -113,17 +113,17 @@
 		return false
 	}
 	current := s.Settings()
-	return t.Me == current.Me && t.Module.GossipAllowed == current.Module.GossipAllowed
+	return t.PeerNumber == current.PeerNumber && t.Module.GossipAllowed == current.Module.GossipAllowed
 }
 
 // boundToSettings reports whether a feature is on that can't change to other settings.
 func (s *Server) boundToSettings() bool {
 	o := s.operator
 	switch {
-	case o.Door.On, o.Crew.On, o.Linked(), o.Listed(), o.Agreed(), o.Fleet.Pins:
+	case o.Admission.On, o.Membership.On, o.GatewayEnabled(), o.NodeListEnabled(), o.ControlPlaneEnabled(), o.ControlPlaneSettings.Pins:
 		return true
 	}
-	return o.Back.Protocol != "" || len(s.fronts) > 0
+	return o.StoreProtocol.Protocol != "" || len(s.fronts) > 0
 }
 
 // reconfigure applies other settings, first to the loop and then to the reading of requests. A query that was read under the old settings and
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -154,7 +154,7 @@
 	if m := dial(t, s).roundTrip(post("r3", body)); m.Status != 200 || s.Settings().Module.MaxRetryAfter != 5*time.Second {
 		t.Errorf("with another retry-after limit and the list of before: status %d", m.Status)
 	}
-	if got := strings.Join(s.start.Differs(&next), " "); got != "limits settings" {
+	if got := strings.Join(s.start.ChangedFields(&next), " "); got != "limits settings" {
 		t.Errorf("differences from the running configuration: %q", got)
 	}
 	s.Reload(s.start, s.operator, nil)
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -46,7 +46,7 @@
 
 // openPool creates the pool of connections to nodes.
 func (s *Server) openPool(connections int) {
-	t, o := &s.start.Terms, &s.operator.Back
+	t, o := &s.start.Terms, &s.operator.StoreProtocol
 	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: t.LongestTimeout(), Conns: connections}
 	if o.Protocol != "" {
 		limits.Streams = 1 // a session carries one attempt at a time
@@ -54,7 +54,7 @@
 	post := func(e store.Event) { s.deliver(connectionEvent{e}) }
 	s.loop.pool = store.NewPool(s.ctx, limits, store.DialTCP, s.loop.since, s.group.Go, post, s.loop.attemptEnded)
 	s.loop.pool.Probed = s.loop.healthCheckEnded
-	if s.controlPlane != nil && s.operator.Fleet.Budgets {
+	if s.controlPlane != nil && s.operator.ControlPlaneSettings.Budgets {
 		s.openConnLeases(limits.Streams)
 	}
 	if s.loop.readPins != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -42,7 +42,7 @@
 
 // Server is one broker.
 type Server struct {
-	start    *terms.Start
+	start    *terms.Config
 	operator *operator.File
 	settings atomic.Pointer[terms.Terms] // in force
 	loop     *loop
@@ -79,7 +79,7 @@
 }
 
 // New returns a broker for a configuration and opens nothing yet. Its errors say what is wrong with the configuration.
-func New(start *terms.Start, file *operator.File, newRouter func(decision.Settings) decision.Router) (*Server, error) {
+func New(start *terms.Config, file *operator.File, newRouter func(decision.Settings) decision.Router) (*Server, error) {
 	t := &start.Terms
 	s := &Server{start: start, operator: file, discoveryAddress: start.Discovery, timeAfter: time.After}
 	s.settings.Store(t)
@@ -94,21 +94,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.group, s.ctx = errgroup.WithContext(ctx)
-	s.discoveryClient = discovery.NewClient(start.Discovery.String(), s.reader, t.AskEvery, s.initialList.Version, s.listConfigured,
+	s.discoveryClient = discovery.NewClient(start.Discovery.String(), s.reader, t.MaxPollInterval, s.initialList.Version, s.listConfigured,
 		func(list *discovery.List, err error) { s.deliver(listReceived{list, err}) })
-	if t.Pushed {
+	if t.ListPushed {
 		s.discoveryClient.UseLocalAgent()
 	}
 	s.loop.pollDiscovery = s.discoveryClient.Poll
-	if file.Door.On {
-		admission, err := newAdmissionControl(&file.Door, t)
+	if file.Admission.On {
+		admission, err := newAdmissionControl(&file.Admission, t)
 		if err != nil {
 			return nil, err
 		}
 		s.loop.useAdmission(admission)
 	}
-	if file.Fleet.Pins {
-		s.loop.useReadPins(newReadPinTracker(&file.Fleet, t))
+	if file.ControlPlaneSettings.Pins {
+		s.loop.useReadPins(newReadPinTracker(&file.ControlPlaneSettings, t))
 	}
 	return s, nil
 }
@@ -135,15 +135,15 @@
 	if err := s.openGossip(); err != nil {
 		return err
 	}
-	if s.operator.Listed() {
+	if s.operator.NodeListEnabled() {
 		s.openCachedList()
 	}
-	if s.operator.Linked() {
+	if s.operator.GatewayEnabled() {
 		if err := s.openSiteLinks(); err != nil {
 			return err
 		}
 	}
-	if s.operator.Agreed() {
+	if s.operator.ControlPlaneEnabled() {
 		return s.openControlPlane()
 	}
 	return nil
@@ -152,7 +152,7 @@
 // openGossip opens the gossip socket, and membership if it is on.
 func (s *Server) openGossip() (err error) {
 	if !s.start.Terms.Module.GossipAllowed {
-		if s.operator.Crew.On {
+		if s.operator.Membership.On {
 			return ErrGossipNotAllowed
 		}
 		return nil
@@ -162,7 +162,7 @@
 		return err
 	}
 	s.loop.sendGossip = s.gossip.Tell
-	if s.operator.Crew.On {
+	if s.operator.Membership.On {
 		s.openMembership()
 	}
 	return nil
@@ -194,10 +194,10 @@
 func (s *Server) shareDescriptors() (d descriptors) {
 	sockets := s.start.Limits.Sockets
 	if s.siteLinks != nil {
-		sockets -= len(s.operator.Sites.Targets) + s.operator.Sites.MostLinks + 1
+		sockets -= len(s.operator.Sites.Targets) + s.operator.Sites.MaxLinks + 1
 	}
 	if s.controlPlane != nil {
-		sockets -= 2*s.operator.Fleet.Followers + 2*len(s.operator.Fleet.Voters) + 1
+		sockets -= 2*s.operator.ControlPlaneSettings.FollowerLimit + 2*len(s.operator.ControlPlaneSettings.Voters) + 1
 	}
 	d.nodes = max(1, (sockets-spareSockets)/nodeSocketsDivisor)
 	d.clients = max(1, sockets-spareSockets-d.nodes)
--- a/internal/server/site_links.go
+++ b/internal/server/site_links.go
@@ -30,25 +30,25 @@
 		Keys:   s.siteKeys,
 		Epoch:  rand.Uint64(),
 		Credit: o.Credit,
-		Sites:  o.Allow,
-		MostIn: o.MostLinks,
+		Sites:  o.AllowedSites,
+		MostIn: o.MaxLinks,
 		Post:   func(e link.Event) { s.deliver(linkEvent{e}) },
 	}
 	var names []string
-	for _, t := range o.Dialled() {
+	for _, t := range o.ParsedTargets() {
 		options.Targets = append(options.Targets, link.Target{Site: t.Site, Addr: t.Addr.String()})
 		names = append(names, fmt.Sprintf("%s at %s", t.Site, t.Addr))
 	}
 	s.siteLinks = link.New(options)
 	policy := forwarding.Policy{
-		ForwardShare:     o.Share,
+		ForwardShare:     o.ForwardedShare,
 		Burst:            o.Burst,
-		MaxForwarded:     o.MostAbroad,
-		MinRemainingTime: o.LeastLeft,
-		AnswerReserve:    o.Speak,
-		ResumeTimeout:    o.Resume,
-		RemoteShare:      o.Accept,
-		MaxRemembered:    o.Remember,
+		MaxForwarded:     o.MaxInFlight,
+		MinRemainingTime: o.MinTimeLeft,
+		AnswerReserve:    o.AnswerMargin,
+		ResumeTimeout:    o.ResumeWait,
+		RemoteShare:      o.AcceptShare,
+		MaxRemembered:    o.RememberLimit,
 	}
 	s.loop.useGateway(newGateway(policy, names, s.siteLinks, &s.start.Terms, s.draining.Load))
 	if o.Listen != "" {
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		slog.Info("site links accepted", "component", "gateway", "address", s.siteListener.Addr(), "broker", s.siteKeys.ID(), "sites", o.Allow)
+		slog.Info("site links accepted", "component", "gateway", "address", s.siteListener.Addr(), "broker", s.siteKeys.ID(), "sites", o.AllowedSites)
 	}
 	return nil
 }
