--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -110,7 +110,7 @@
 		t.Errorf("%s: received, but not answered completely (%s): %v", order, reason, err)
 	case asked >= 0 && taken == 0 && err == nil && m.Status < 400:
 		t.Errorf("%s: answered with status %d, but no query was received", order, m.Status)
-	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]ingress.Reason{ingress.Drained, ingress.Spare, ingress.ClientDeparted}, reason):
+	case asked >= 0 && taken == 0 && err != nil && !slices.Contains([]ingress.Reason{ingress.Drained, ingress.Reclaimed, ingress.ClientDeparted}, reason):
 		t.Errorf("%s: no query received, and closed for reason: %s", order, reason)
 	}
 	if again, err := httpwire.ReadResponse(answers); err == nil && again.Status == 200 {
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -178,7 +178,7 @@
 	}
 	g.loop.post(decision.Event{Kind: decision.ClientDeparted, ID: q.id})
 	g.loop.deliverResult(q, query.Result{Outcome: query.Failed})
-	g.loop.finish(q)
+	g.loop.finishQuery(q)
 }
 
 // encode returns the message that forwards a query.
--- a/internal/server/world_test.go
+++ b/internal/server/world_test.go
@@ -191,7 +191,7 @@
 }
 
 func newFaultyCluster(t *testing.T, seed uint64) *faultyCluster {
-	tm := decoded(t)
+	tm := testTerms(t)
 	tm.Module.Seed = seed
 	w := &faultyCluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), dials: map[string]int{},
 		queries: map[string]*activeQuery{}, mayHaveRun: map[string]bool{},
