--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -51,7 +51,7 @@
 	for i := range w.servers {
 		w.start(i)
 	}
-	w.until("the link is established", func() bool { return w.gatewayState(0).Links[0].StatusAge >= 0 })
+	w.waitFor("the link is established", func() bool { return w.gatewayState(0).Links[0].StatusAge >= 0 })
 	return w
 }
 
@@ -66,7 +66,7 @@
 	w.servers[i], w.stop[i] = runConfigured(w.t, start, file)
 }
 
-func (w *twoSites) until(what string, so func() bool) {
+func (w *twoSites) waitFor(what string, so func() bool) {
 	w.t.Helper()
 	(&cachedListRig{t: w.t}).waitFor(what, so)
 }
@@ -119,7 +119,7 @@
 	// Neither site has replicas: queries must be shed at once, and not be forwarded back and forth.
 	w.killCell(1, 0)
 	w.runLoad(100, 500*time.Millisecond)
-	w.until("no remote query is in flight", func() bool { return w.gatewayState(1).Incoming.InFlight == 0 })
+	w.waitFor("no remote query is in flight", func() bool { return w.gatewayState(1).Incoming.InFlight == 0 })
 	time.Sleep(300 * time.Millisecond)
 	forwarded := w.gatewayState(0).Outgoing.Forwarded
 	w.runLoad(60, 300*time.Millisecond)
@@ -174,7 +174,7 @@
 		t.Errorf("queries were lost at a graceful shutdown: %+v", n)
 	}
 	w.start(1)
-	w.until("the link is established again", func() bool { return w.gatewayState(0).Links[0].Usable })
+	w.waitFor("the link is established again", func() bool { return w.gatewayState(0).Links[0].Usable })
 	answered := w.gatewayState(0).Outgoing.Answered
 	w.runLoad(100, 300*time.Millisecond)
 	if w.gatewayState(0).Outgoing.Answered == answered {
