--- a/internal/server/ingress/scan_test.go
+++ b/internal/server/ingress/scan_test.go
@@ -10,7 +10,7 @@
 	"flaxfront/internal/server/query"
 )
 
-// readWithEncodingJSON is what encoding/json makes of a body, the other way being shut.
+// readWithEncodingJSON decodes a body with encoding/json only.
 func readWithEncodingJSON(body []byte) (out queryBody, ok bool) {
 	var doc struct {
 		Tablets []struct {
@@ -32,7 +32,8 @@
 	return out, len(out.shards) > 0
 }
 
-// FuzzScan: whatever the scanner takes, encoding/json reads the same; and the other way round what is written reads back.
+// FuzzScan checks that encoding/json decodes every body that the scanner accepts in the same way, and that strings survive a round trip
+// through appendJSONString.
 func FuzzScan(f *testing.F) {
 	for _, text := range []string{body, `{"tablets":[{"tablet":0,"fraction":1}],"statement":"c4"}`,
 		"{ \"statement\" : \"a\" , \"tablets\" : [ { \"fraction\" : 1e0 , \"tablet\" : 0 , \"token\" : \"00\" } ] }\n",
@@ -42,31 +43,31 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		quick, ok := scanBody(raw)
-		if slow, good := readWithEncodingJSON(raw); ok {
-			if !good || len(slow.shards) != len(quick.shards) || slow.statement != quick.statement {
-				t.Fatalf("%q: %+v, and %+v, %v", raw, quick, slow, good)
+		scanned, ok := scanBody(raw)
+		if decoded, decodable := readWithEncodingJSON(raw); ok {
+			if !decodable || len(decoded.shards) != len(scanned.shards) || decoded.statement != scanned.statement {
+				t.Fatalf("%q: %+v, and %+v, %v", raw, scanned, decoded, decodable)
 			}
-			for i := range slow.shards {
-				if slow.shards[i] != quick.shards[i] {
-					t.Fatalf("%q: %+v, and %+v", raw, quick, slow)
+			for i := range decoded.shards {
+				if decoded.shards[i] != scanned.shards[i] {
+					t.Fatalf("%q: %+v, and %+v", raw, scanned, decoded)
 				}
 			}
 		}
-		var back string
-		if utf8.Valid(raw) && (json.Unmarshal(appendJSONString(nil, string(raw)), &back) != nil || back != string(raw)) {
-			t.Fatalf("%q reads back as %q", raw, back)
+		var roundTrip string
+		if utf8.Valid(raw) && (json.Unmarshal(appendJSONString(nil, string(raw)), &roundTrip) != nil || roundTrip != string(raw)) {
+			t.Fatalf("%q reads back as %q", raw, roundTrip)
 		}
 	})
 }
 
-// The scanner takes the ordinary form.
+// The scanner accepts the usual form of a body, and leaves escapes to encoding/json.
 func TestScanAcceptsTheUsualForm(t *testing.T) {
 	if _, ok := scanBody([]byte(body)); !ok {
-		t.Error("the tests' body goes the slow way")
+		t.Error("the scanner rejects the tests' body")
 	}
 	if _, ok := scanBody([]byte(strings.Replace(body, "c41e", "\\u0041", 1))); ok {
-		t.Error("an escape went the quick way")
+		t.Error("the scanner accepts a body with an escape")
 	}
 }
 
