--- a/cmd/flaxfront/main_test.go
+++ b/cmd/flaxfront/main_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	_, _, err := load(config, file)
-	want := "flaxfront: operators' file: " + file + ":2: dor: unknown\nwhat to do: correct line 2 of " + file
+	want := "flaxfront: operators' file: " + file + ":2: dor: unknown key\nwhat to do: correct line 2 of " + file
 	if err == nil || !strings.HasPrefix(errorText(err), want) || strings.Count(errorText(err), "\n") != 2 {
 		t.Errorf("printed %q", errorText(err))
 	}
--- a/internal/config/form/error.go
+++ b/internal/config/form/error.go
@@ -1,13 +1,13 @@
 package form
 
-// This file owns the error on a text that does not read.
+// This file defines the error about a file that cannot be decoded.
 
 import "fmt"
 
-// Error is a text that does not read, with the place of what is wrong.
+// Error reports a file that is invalid, with the line and field at fault.
 type Error struct {
-	Kind, Path string // the kind of file, and the file
-	Line       int    // 0: the text as a whole, or Err names the line
+	Kind, Path string // the kind of file in words, and its path
+	Line       int    // 0: the error is about the file as a whole, or Err names the line
 	Field      string
 	Err        error
 }
@@ -21,10 +21,10 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do.
 func (e *Error) Remedy() string {
 	if e.Line == 0 {
-		return "correct " + e.Path + "; until it reads as a whole nothing of it counts"
+		return "correct " + e.Path + "; until all of it is valid, none of it is applied"
 	}
-	return fmt.Sprintf("correct line %d of %s; until it reads as a whole nothing of it counts", e.Line, e.Path)
+	return fmt.Sprintf("correct line %d of %s; until all of it is valid, none of it is applied", e.Line, e.Path)
 }
--- a/internal/config/form/form.go
+++ b/internal/config/form/form.go
@@ -1,16 +1,16 @@
-// Package form reads files of JSON with comments and trailing commas into structs, strictly, by the tags of their fields:
-// json names a field, default, min and max bound it, doc tells what it is for. It owns the form, the defaults, the ranges
-// and errors with line and field. It must never let a value through that it did not check, or know what one means.
+// Package form decodes JSON files with comments and trailing commas strictly into structs, by the tags of the struct fields: json is the
+// key, default the default value, min and max are the bounds, and doc describes the field. It checks each value by its type and range and
+// reports errors with line and field; what a value means is for the caller to check.
 //
-// Comments, commas and the place of each field are hujson's. The rest stays by hand, after a second reading against libraries.
-// Built on github.com/go-json-experiment/json, which refuses unknown and doubled names and tells where, it passed the same tests in
-// 333 non-blank lines against 336 before: null, times, kinds in words and ranges with their line are by hand there too.
-// github.com/creasty/defaults would replace the 18 lines of fill, and does not hold defaults against the ranges.
-// github.com/go-playground/validator and github.com/go-viper/mapstructure were not tried: both work on values that were read
-// already, in which the place of a field in the text is lost.
+// hujson parses comments and commas and gives the position of each field. The rest is written by hand, because libraries save little:
+// A version on github.com/go-json-experiment/json, which rejects unknown and duplicate names with their position, passed the same
+// tests in 333 non-blank lines instead of 336: null, durations, types in words, and ranges with their line need own code there too.
+// github.com/creasty/defaults would replace the 18 lines of setDefaults, but does not check defaults against the ranges.
+// github.com/go-playground/validator and github.com/go-viper/mapstructure were not tried: both work on decoded values, which no longer
+// have the position of a field in the text.
 //
-// Depends on no package of this module. Concurrency: it keeps no state and starts no goroutine, so that its
-// functions may be called from any goroutine; what they return is the caller's.
+// Depends on no package of this module. Its functions keep no state and start no goroutine, may be called from any goroutine, and return
+// values that the caller owns.
 package form
 
 import (
@@ -26,29 +26,29 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxFileBytes bounds the text. Danger: a wrong path, such as a device or a log, would be read without end.
+// maxFileBytes bounds the text. A wrong path, such as that of a log or a device, could lead to one of any size.
 const maxFileBytes = 1 << 20
 
-// fieldError is a wrong field with its place in the text.
+// fieldError is an invalid field with its position in the text.
 type fieldError struct {
 	offset int
 	field  string
 	reason string
 }
 
-// Document is a text beside the struct that was filled from it.
+// Document is the parsed text of a file, in which the fields of the decoded struct can be located.
 type Document struct {
 	kind, path string
 	raw        []byte
 	tree       hujson.Value
 }
 
-// Decode fills a struct: with its defaults, then with what the text says. What names the kind of file and path the file, for
-// errors only.
+// Decode fills the struct into with its defaults, then with the values of the text. Kind, the kind of file in words, and path are used
+// only in errors.
 func Decode(kind, path string, raw []byte, into any) (*Document, error) {
 	d := &Document{kind: kind, path: path, raw: raw}
 	if len(raw) > maxFileBytes {
-		return nil, &Error{Kind: kind, Path: path, Err: fmt.Errorf("%d bytes, %d at most", len(raw), maxFileBytes)}
+		return nil, &Error{Kind: kind, Path: path, Err: fmt.Errorf("the file has %d bytes, at most %d are allowed", len(raw), maxFileBytes)}
 	}
 	target := reflect.ValueOf(into).Elem()
 	if err := setDefaults(target); err != nil {
@@ -65,20 +65,20 @@
 	return d, nil
 }
 
-// find finds a field in the text; nil: it is not named.
+// find returns the value of a field in the text, or nil if the text does not contain the field.
 func (d *Document) find(field string) *hujson.Value {
 	return d.tree.Find("/" + strings.ReplaceAll(field, ".", "/"))
 }
 
-// Has tells whether the text names a field.
+// Has reports whether the text contains a field.
 func (d *Document) Has(field string) bool { return d.find(field) != nil }
 
-// ErrorAt is an error on a field that was read but makes no sense, with its place in the text.
+// ErrorAt returns err, about a field that was decoded but is not valid, with the position of the field in the text.
 func (d *Document) ErrorAt(field string, err error) error {
 	return &Error{d.kind, d.path, d.lineOf(field), field, err}
 }
 
-// lineOf finds the line of a field, or of the nearest object round it that the file names.
+// lineOf returns the line of a field, or, if the text does not contain it, of the innermost enclosing object that the text contains.
 func (d *Document) lineOf(field string) int {
 	for ; field != ""; field = field[:max(0, strings.LastIndexByte(field, '.'))] {
 		if v := d.find(field); v != nil {
@@ -88,7 +88,7 @@
 	return 1
 }
 
-// setDefaults sets the defaults.
+// setDefaults sets the fields of a struct, and of the structs in it, to their defaults.
 func setDefaults(v reflect.Value) error {
 	for i := range v.NumField() {
 		t, at := v.Type().Field(i), v.Field(i)
@@ -101,14 +101,14 @@
 			}
 		} else if text, ok := t.Tag.Lookup("default"); ok {
 			if why := setValue(at, text, t.Tag); why != "" {
-				return fmt.Errorf("default of %s: %s", t.Name, why)
+				return fmt.Errorf("default value of %s: %s", t.Name, why)
 			}
 		}
 	}
 	return nil
 }
 
-// decodeValue fills a field with what the text says of it.
+// decodeValue decodes a value of the text into a field.
 func decodeValue(field string, v hujson.Value, target reflect.Value, tag reflect.StructTag) *fieldError {
 	fail := func(format string, args ...any) *fieldError {
 		return &fieldError{v.StartOffset, field, fmt.Sprintf(format, args...)}
@@ -116,14 +116,14 @@
 	if target.Kind() == reflect.Struct {
 		object, ok := v.Value.(*hujson.Object)
 		if !ok {
-			return fail("an object is wanted, not %.40s", compactText(v))
+			return fail("expected an object, got %.40s", compactText(v))
 		}
 		return decodeObject(field, object, target)
 	}
 	if target.Kind() == reflect.Slice {
 		list, ok := v.Value.(*hujson.Array)
 		if !ok {
-			return fail("a list %s is wanted, not %.40s", describeElements(target.Type().Elem()), compactText(v))
+			return fail("expected a list %s, got %.40s", describeElements(target.Type().Elem()), compactText(v))
 		}
 		target.SetLen(0)
 		for i, item := range list.Elements {
@@ -143,15 +143,15 @@
 	}
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok {
-		return fail("%s is wanted, not %.40s", describeType(target), compactText(v))
+		return fail("expected %s, got %.40s", describeType(target), compactText(v))
 	}
 	plain := string(literal)
 	quoted := target.Kind() == reflect.String || target.Type() == reflect.TypeFor[time.Duration]()
 	if quoted != (literal.Kind() == '"') {
-		return fail("%s is wanted, not %.40s", describeType(target), plain)
+		return fail("expected %s, got %.40s", describeType(target), plain)
 	}
 	if target.Kind() == reflect.Bool && literal.Kind() != 't' && literal.Kind() != 'f' {
-		return fail("%s is wanted, not %.40s", describeType(target), plain)
+		return fail("expected %s, got %.40s", describeType(target), plain)
 	}
 	if quoted {
 		if err := json.Unmarshal([]byte(plain), &plain); err != nil {
@@ -164,6 +164,7 @@
 	return nil
 }
 
+// decodeObject decodes the members of an object into the fields of a struct.
 func decodeObject(field string, object *hujson.Object, target reflect.Value) *fieldError {
 	seen := map[string]bool{}
 	for _, m := range object.Members {
@@ -177,9 +178,9 @@
 		})
 		switch {
 		case at < 0:
-			return &fieldError{m.Name.StartOffset, path, "unknown"}
+			return &fieldError{m.Name.StartOffset, path, "unknown key"}
 		case seen[key]:
-			return &fieldError{m.Name.StartOffset, path, "named twice"}
+			return &fieldError{m.Name.StartOffset, path, "duplicate key"}
 		}
 		seen[key] = true
 		if bad := decodeValue(path, m.Value, target.Field(at), target.Type().Field(at).Tag); bad != nil {
--- a/internal/config/form/text.go
+++ b/internal/config/form/text.go
@@ -1,6 +1,6 @@
 package form
 
-// This file owns what is in force as text: a list of settings, and a file that says the same.
+// This file prints a decoded struct: as a list of settings, and as the text of a file that decodes to the same struct.
 
 import (
 	"encoding/json"
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Setting is one field with what is in force.
+// Setting is one field with its value in force and its description.
 type Setting struct {
 	Field, Value, Doc string
-	Default           bool // the file does not name it
+	Default           bool // the file does not contain it
 }
 
-// Settings are all fields of a struct, in their order; said tells which ones a file names.
+// Settings returns all fields of a struct, in their order; named reports whether the file contains a field.
 func Settings(of any, named func(field string) bool) (all []Setting) {
 	var walk func(field string, v reflect.Value)
 	walk = func(field string, v reflect.Value) {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// Text writes a struct as Decode reads it, with a line for each field that differs from its default.
+// Text returns a text that Decode decodes to the same struct, with one line for each field that differs from its default.
 func Text(of any) string {
 	var b strings.Builder
 	writeStruct(&b, "", reflect.ValueOf(of).Elem())
@@ -54,7 +54,7 @@
 
 func writeStruct(b *strings.Builder, indent string, v reflect.Value) {
 	defaults := reflect.New(v.Type()).Elem()
-	setDefaults(defaults) // the defaults were checked when the file was read
+	setDefaults(defaults) // Decode has checked the defaults
 	b.WriteString("{\n")
 	for i := range v.NumField() {
 		t, at := v.Type().Field(i), v.Field(i)
@@ -73,7 +73,7 @@
 	case at.Kind() == reflect.Struct:
 		writeStruct(b, indent, at)
 	case at.Type() == reflect.TypeFor[time.Duration]() || at.Kind() == reflect.String:
-		text, _ := json.Marshal(fmt.Sprint(at.Interface())) // a text always encodes
+		text, _ := json.Marshal(fmt.Sprint(at.Interface())) // encoding a string cannot fail
 		b.Write(text)
 	case at.Kind() == reflect.Slice:
 		b.WriteString("[")
--- a/internal/config/form/values.go
+++ b/internal/config/form/values.go
@@ -1,6 +1,6 @@
 package form
 
-// This file owns single values: what a field takes, and within which range.
+// This file decodes single values and checks them against the type and range of their field.
 
 import (
 	"fmt"
@@ -13,11 +13,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// describeElements says in words what a list holds.
+// describeElements returns what a list contains, in words.
 func describeElements(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
-		return "of texts"
+		return "of strings"
 	case reflect.Struct:
 		return "of objects"
 	default:
@@ -25,13 +25,13 @@
 	}
 }
 
-// describeType says in words what a field takes.
+// describeType returns what a field takes, in words.
 func describeType(v reflect.Value) string {
 	switch {
 	case v.Type() == reflect.TypeFor[time.Duration]():
-		return `a time such as "30s"`
+		return `a duration such as "30s"`
 	case v.Kind() == reflect.String:
-		return "a text"
+		return "a string"
 	case v.Kind() == reflect.Bool:
 		return "true or false"
 	case v.Kind() == reflect.Int:
@@ -41,7 +41,7 @@
 	}
 }
 
-// setValue gives a field its value; an answer says why it can't.
+// setValue decodes a value into a field, and returns why it cannot, or "".
 func setValue(target reflect.Value, text string, tag reflect.StructTag) string {
 	var err error
 	var low, high, value float64
@@ -54,7 +54,7 @@
 		}
 	case target.Kind() == reflect.String:
 		if target.SetString(text); strings.ContainsRune(text, 0) {
-			return "holds a zero byte"
+			return "contains a zero byte"
 		}
 		return ""
 	case target.Kind() == reflect.Bool:
@@ -75,10 +75,10 @@
 		}
 	}
 	if err != nil {
-		return fmt.Sprintf("%s is wanted, not %.40q", describeType(target), text)
+		return fmt.Sprintf("expected %s, got %.40q", describeType(target), text)
 	}
 	if !(value >= low && value <= high) {
-		return fmt.Sprintf("%s is out of range, which is %s to %s", text, tag.Get("min"), tag.Get("max"))
+		return fmt.Sprintf("%s is out of range (%s to %s)", text, tag.Get("min"), tag.Get("max"))
 	}
 	return ""
 }
--- a/internal/config/terms/pairs.go
+++ b/internal/config/terms/pairs.go
@@ -1,6 +1,6 @@
 package terms
 
-// This file owns the reading of single settings by their path. It must never fill in a figure of its own.
+// This file reads single settings by their path. It has no defaults of its own: the caller states each one.
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// settingsReader holds each path with its value or values; the first fault is kept and names its key.
+// settingsReader holds the values of each path. It keeps the first error, which names its key.
 type settingsReader struct {
 	values     map[string][]string
-	forSockets bool // what only sockets need must be there too
+	forSockets bool // settings that only a broker on sockets needs are required too
 	err        error
 }
 
@@ -29,7 +29,7 @@
 	case !ok && need:
 		p.fail(key, "missing")
 	case ok && len(v) != 1:
-		p.fail(key, "%d values for one", len(v))
+		p.fail(key, "%d values, want one", len(v))
 	case ok:
 		return v[0]
 	}
@@ -50,7 +50,7 @@
 func (p *settingsReader) parse(key, v string) float64 {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) || f < 0 || f > 1<<60 {
-		p.fail(key, "%q is no number in range", v)
+		p.fail(key, "%q is not a number from 0 to 2^60", v)
 		return 0
 	}
 	return f
@@ -59,7 +59,7 @@
 func (p *settingsReader) count(key string, need bool, fallback int) int {
 	f := p.number(key, need, float64(fallback))
 	if f != math.Trunc(f) || f > 1<<31 {
-		p.fail(key, "%v is no whole number in range", f)
+		p.fail(key, "%v is not a whole number up to 2^31", f)
 		return 0
 	}
 	return int(f)
@@ -81,7 +81,7 @@
 	}
 }
 
-// numbers reads n comma-joined numbers; an absent key gives the fallback n times.
+// numbers returns the n values of a list of numbers, or the fallback n times if the key is absent.
 func (p *settingsReader) numbers(key string, n int, fallback float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
@@ -92,7 +92,7 @@
 		return out
 	}
 	if len(items) != n {
-		p.fail(key, "%d values for %d classes", len(items), n)
+		p.fail(key, "%d values for %d query types", len(items), n)
 		return out
 	}
 	for i, s := range items {
@@ -101,31 +101,32 @@
 	return out
 }
 
-// listLength bounds a count by the text that has to spell its items out.
+// listLength returns the length of a list. Since the settings have at least one entry per item, a length above the number of entries is rejected,
+// before anything of that size is allocated.
 func (p *settingsReader) listLength(key string, need bool) int {
 	n := p.count(key, need, 0)
 	if n > len(p.values) {
-		p.fail(key, "%d items, but the settings hold %d entries", n, len(p.values))
+		p.fail(key, "a list of %d items, but all settings together have only %d entries", n, len(p.values))
 		return 0
 	}
 	return n
 }
 
-// positive is a number that must be there and above nothing where sockets need it.
+// positive returns a number above 0, which is required for a broker on sockets and else defaults to 1.
 func (p *settingsReader) positive(key string) float64 {
 	f := p.number(key, p.forSockets, 1)
 	if f <= 0 {
-		p.fail(key, "%v is not above 0", f)
+		p.fail(key, "%v must be above 0", f)
 	}
 	return f
 }
 
-// flatten lays a tree out as the simulator does: a list of objects has its length under .count.
+// flatten stores a JSON tree under the simulator's paths: a list has its length under .count, and objects in it their index in the path.
 func (p *settingsReader) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for key, child := range v {
-			if strings.Contains(key, ".") { // it could pass for something deeper
+			if strings.Contains(key, ".") { // could be mistaken for the path of a nested key
 				continue
 			}
 			if path != "" {
--- a/internal/config/terms/start.go
+++ b/internal/config/terms/start.go
@@ -1,6 +1,6 @@
 package terms
 
-// This file owns the configuration file. It must never open what the file names, or serve with a field that is wrong.
+// This file reads the configuration file. It does not open the files and addresses that it names, and rejects the whole file if a field is invalid.
 
 import (
 	"encoding/json"
@@ -12,27 +12,27 @@
 	"strconv"
 )
 
-// Limits are what the platform lets one broker use.
+// Limits are the resources that the platform grants to one broker.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // open at once
 }
 
-// Config is the configuration file, read and checked.
+// Config is the content of a configuration file that was read and checked.
 type Config struct {
 	Name       string
 	Listen     netip.AddrPort
 	Discovery  netip.AddrPort
-	PeerListen netip.AddrPort // not valid: brokers do not talk
+	PeerListen netip.AddrPort // not valid: brokers may not talk to each other
 	Peers      []netip.AddrPort
 	PeersAll   netip.AddrPort
 	Limits     Limits
-	Known      json.RawMessage // the node list as last held, in discovery's form
+	Known      json.RawMessage // the endpoint list as known at deployment, in discovery's JSON format
 	Terms      Terms
 }
 
-// ReadConfig reads the configuration file; an error names the field at fault.
+// ReadConfig reads and checks the configuration file at path. An error names the invalid field.
 func ReadConfig(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return s, nil
 }
 
-// DecodeConfig reads the text of a configuration file.
+// DecodeConfig decodes and checks the text of a configuration file.
 func DecodeConfig(raw []byte) (*Config, error) {
 	var file struct {
 		Name       string          `json:"name"`
@@ -68,10 +68,10 @@
 	config := &Config{Name: file.Name, Limits: file.Limits, Known: file.Known}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: seed: %q is no hexadecimal number", file.Seed)
+		return nil, fmt.Errorf("configuration: seed: %q is not a hexadecimal number of 64 bits", file.Seed)
 	}
 	if l := config.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets <= 0 {
-		return nil, fmt.Errorf("configuration: limits: %+v: each must be above 0", l)
+		return nil, fmt.Errorf("configuration: limits: %+v: cores, memory_mb and sockets must each be above 0", l)
 	}
 	if config.Terms, err = FromJSON(file.Settings, seed); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -79,7 +79,7 @@
 	address := func(field, text string) (at netip.AddrPort) {
 		if err == nil {
 			if at, err = netip.ParseAddrPort(text); err != nil {
-				err = fmt.Errorf("configuration: %s: %q is no address with a port", field, text)
+				err = fmt.Errorf("configuration: %s: %q is not an address with a port", field, text)
 			}
 		}
 		return at
@@ -97,10 +97,10 @@
 	return config, nil
 }
 
-// ChangedFields names the fields in which another configuration says something that only a restart could take over.
+// ChangedFields returns the names of the fields in which o differs from s and which a broker can only apply by a restart.
 func (s *Config) ChangedFields(o *Config) (fields []string) {
 	mine, theirs := s.Terms, o.Terms
-	mine.Module.Seed = theirs.Module.Seed // is new with each start
+	mine.Module.Seed = theirs.Module.Seed // differs at each start of a broker
 	for _, f := range []struct {
 		name string
 		same bool
--- a/internal/config/terms/terms.go
+++ b/internal/config/terms/terms.go
@@ -1,9 +1,9 @@
-// Package terms reads what a broker is told at its start. It owns the one decoding of the settings object, which
-// the simulator writes as path=value lines and the platform as nested JSON, and the configuration file round it.
-// It must never decide anything, fill in a figure of its own, or let a setting through that it could not read.
+// Package terms reads the configuration that a broker is given at its start: the configuration file and the settings object in it.
+// One decoder serves both forms of the settings, path=value lines from the simulator and nested JSON from the platform.
+// A setting that cannot be read is an error, never replaced by a default.
 //
-// Depends on decision. Concurrency: it keeps no state and starts no goroutine, so that its functions
-// may be called from any goroutine; what they return is the caller's.
+// Depends on decision. Its functions keep no state and start no goroutine, may be called from any goroutine, and return values that
+// the caller owns.
 package terms
 
 import (
@@ -21,29 +21,29 @@
 	"flaxfront/internal/decision"
 )
 
-// Terms are the settings: the module's, and those that only a front on sockets needs.
+// Terms are the settings of a broker: those of the decision module, and those that only a broker on sockets needs.
 type Terms struct {
 	Module          decision.Settings
-	Types           []string // names, in the order of Module.Types
+	Types           []string // names, in the order of Module.QueryTypes
 	Tenants         []string
 	Zones           []string
 	Shards          int
-	Streams         int           // sub-requests that a connection carries at once
-	Idle            time.Duration // a node closes a connection that stood idle for so long
-	Dial            time.Duration // a connection that is not up by then has failed
-	MaxPollInterval time.Duration // the longest a broker may go without hearing from discovery
-	ListPushed      bool          // an agent of this broker's own holds the list and tells it at once
-	PeerNumber      int           // its number among the peers
+	Streams         int           // attempts that a connection carries at once
+	Idle            time.Duration // a node closes a connection that has been idle for this long
+	Dial            time.Duration // a connection that is not established within this time has failed
+	MaxPollInterval time.Duration // the longest time that a broker may go without an answer of discovery
+	ListPushed      bool          // an agent beside this broker holds the endpoint list and sends changes at once
+	PeerNumber      int           // this broker's number among the peers
 }
 
-// Fingerprint names the deployment that a node list belongs to: its zones, cells and shards.
+// Fingerprint returns a hash that identifies the deployment to which an endpoint list belongs, by its zones, cells and shards.
 func (t *Terms) Fingerprint() string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%q %d %d %d", slices.Sorted(slices.Values(t.Zones)), t.Module.Cells, t.Module.CellsPerShard, t.Shards)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// LongestTimeout is the longest time that a client of any query type waits.
+// LongestTimeout returns the longest client timeout of all query types.
 func (t *Terms) LongestTimeout() (longest time.Duration) {
 	for i := range t.Module.QueryTypes {
 		longest = max(longest, t.Module.QueryTypes[i].Timeout)
@@ -51,7 +51,7 @@
 	return longest
 }
 
-// FromText reads the simulator's path=value lines.
+// FromText decodes the simulator's path=value lines.
 func FromText(setup string, seed uint64) (Terms, error) {
 	p := &settingsReader{values: map[string][]string{}}
 	for line := range strings.SplitSeq(setup, "\n") {
@@ -60,14 +60,14 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			return Terms{}, fmt.Errorf("settings: line %.60q has no '='", line)
+			return Terms{}, fmt.Errorf("settings: line %.60q is not of the form path=value", line)
 		}
 		p.values[key] = strings.Split(value, ",")
 	}
 	return p.readTerms(seed), p.err
 }
 
-// FromJSON reads the nested form that a front on sockets is given.
+// FromJSON decodes the nested JSON that a broker on sockets is given.
 func FromJSON(raw []byte, seed uint64) (Terms, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
@@ -76,7 +76,7 @@
 		return Terms{}, fmt.Errorf("settings: %w", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return Terms{}, errors.New("settings: something follows the object")
+		return Terms{}, errors.New("settings: unexpected data after the JSON object")
 	}
 	p := &settingsReader{values: map[string][]string{}, forSockets: true}
 	p.flatten("", tree)
@@ -94,10 +94,10 @@
 		PeerNumber:      p.count("me", false, 0),
 	}
 	if p.forSockets && len(result.Zones) == 0 {
-		p.fail("azs", "no zones")
+		p.fail("azs", "at least one zone is required")
 	}
 	if p.forSockets && result.Shards == 0 {
-		p.fail("domain.slices", "no shards")
+		p.fail("domain.slices", "at least one shard is required")
 	}
 	module := decision.Settings{
 		Seed:               seed,
@@ -132,25 +132,25 @@
 		module.WeightPerShardRequest = true
 	case "", "request":
 	default:
-		p.fail("countedBy", "unknown form %q", by)
+		p.fail("countedBy", "%q is neither work nor request", by)
 	}
 	if p.forSockets && module.ExtraAttemptsWindow == 0 && (module.ExtraAttemptsMin > 0 || module.ExtraAttemptsShare > 0) {
-		p.fail("safety.lookBackNs", "missing, and without it the budget would not hold")
+		p.fail("safety.lookBackNs", "required with extraFloor or furtherRatio: without a window the extra attempts would not be limited")
 	}
 	if !p.flag("permissions.retryAfter") {
 		module.MaxRetryAfter = 0
 	}
 	if module.Cells < 1 || module.CellsPerShard < 1 || module.CellsPerShard > module.Cells {
-		p.fail("domain.width", "%d of %d cells", module.CellsPerShard, module.Cells)
+		p.fail("domain.width", "a shard on %d of %d cells; it must be at least 1 and at most all of them", module.CellsPerShard, module.Cells)
 	}
 	switch mode := p.text("registryMode", false); mode {
 	case "ask":
 		module.PollList = true
 	case "", "push":
 		result.ListPushed = mode == "push"
-		module.PollList = p.forSockets // discovery on sockets tells only those who ask
+		module.PollList = p.forSockets // on sockets, discovery answers polls only
 	default:
-		p.fail("registryMode", "unknown form %q", mode)
+		p.fail("registryMode", "%q is neither ask nor push", mode)
 	}
 	n := p.listLength("classes.count", true)
 	floors, needs := p.numbers("domain.classFloor", n, 1), p.numbers("domain.wholeAt", n, 1)
@@ -175,16 +175,16 @@
 		case "non_idempotent":
 			queryType.Idempotency = decision.NonIdempotent
 		default:
-			p.fail(at+"effect", "unknown form %q", effect)
+			p.fail(at+"effect", "%q is none of read_like, idempotency_key, non_idempotent", effect)
 		}
 		if p.forSockets && queryType.Idempotency == decision.IdempotencyKeyed && queryType.IdempotencyWindow <= 0 {
-			p.fail(at+"windowNs", "missing, and nothing tells how long repeats are dropped")
+			p.fail(at+"windowNs", "required with an idempotency key: for this long nodes drop repeated requests")
 		}
 		if p.forSockets && (queryType.MinCompleteness > queryType.FullCompleteness || queryType.FullCompleteness > 1) {
-			p.fail("domain.classFloor", "%v of %v that make a whole answer", queryType.MinCompleteness, queryType.FullCompleteness)
+			p.fail("domain.classFloor", "a minimum of %v is above the %v that makes a complete result, or that is above 1", queryType.MinCompleteness, queryType.FullCompleteness)
 		}
 		if p.forSockets && (queryType.LatencyObjective <= 0 || queryType.Timeout < queryType.LatencyObjective) {
-			p.fail(at+"aimNs", "%v, with a client timeout of %v", queryType.LatencyObjective, queryType.Timeout)
+			p.fail(at+"aimNs", "a latency objective of %v must be above 0 and at most the client timeout, %v", queryType.LatencyObjective, queryType.Timeout)
 		}
 		module.QueryTypes = append(module.QueryTypes, queryType)
 		result.Types = append(result.Types, p.text(at+"name", p.forSockets))
--- a/internal/config/terms/terms_test.go
+++ b/internal/config/terms/terms_test.go
@@ -50,8 +50,8 @@
 unknown.key=1
 `
 
-// The module must be told the same by either form.
-func TestBothFormsTellTheModuleTheSame(t *testing.T) {
+// JSON and path=value lines with the same content give the module the same settings.
+func TestFromJSONAndFromTextAgree(t *testing.T) {
 	a, err := FromJSON([]byte(settings), 7)
 	if err != nil {
 		t.Fatal(err)
@@ -61,19 +61,19 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(a.Module, b.Module) {
-		t.Errorf("from JSON %+v\nfrom text %+v", a.Module, b.Module)
+		t.Errorf("FromJSON gives %+v\nFromText gives %+v", a.Module, b.Module)
 	}
 	if a.Module.QueryTypes[0].LatencyObjective != 2*time.Second || a.Module.QueryTypes[0].Idempotency != decision.Idempotent {
-		t.Errorf("type read as %+v", a.Module.QueryTypes[0])
+		t.Errorf("query type decoded as %+v", a.Module.QueryTypes[0])
 	}
 	if a.Zones[1] != "south side" || a.Tenants[0] != "a, b" || a.Types[0] != "find" || a.Shards != 9 ||
 		a.Streams != 32 || a.Idle != 30*time.Second || a.Dial != 250*time.Millisecond || a.PeerNumber != 1 {
-		t.Errorf("read as %+v", a)
+		t.Errorf("settings decoded as %+v", a)
 	}
 }
 
-// Each bad setting is named, so that one line tells the operator what to mend.
-func TestBadSettingsAreNamed(t *testing.T) {
+// The error about an invalid setting names it, on one line.
+func TestErrorNamesInvalidSetting(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"cells":3,`, ``, "domain.cells"},
 		{`"cells":3`, `"cells":-3`, "domain.cells"},
@@ -104,22 +104,22 @@
 		{`"stepNs":5000000}`, `"stepNs":5000000}{`, "settings"},
 	} {
 		if !strings.Contains(settings, c.old) {
-			t.Fatalf("no %q in the settings", c.old)
+			t.Fatalf("the test settings do not contain %q", c.old)
 		}
 		if _, err := FromJSON([]byte(strings.Replace(settings, c.old, c.new, 1)), 1); err == nil ||
 			!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", c.want, err)
+			t.Errorf("error %v, want one line that names %s", err, c.want)
 		}
 	}
 }
 
-func TestStart(t *testing.T) {
+func TestDecodeConfig(t *testing.T) {
 	file := `{"name":"n0","listen":"127.0.0.1:80","discovery":"127.0.0.1:85","seed":"92094eb940cf389a",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:79","peers":["127.0.0.2:79"],
  "peers_all":"127.0.0.3:79","settings":` + settings + `}`
 	s, err := DecodeConfig([]byte(file))
 	if err != nil || s.Terms.Module.Seed != 0x92094eb940cf389a || s.Peers[0].Port() != 79 || s.Limits.Sockets != 1024 {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("decoded as %+v, error %v", s, err)
 	}
 	for field, bad := range map[string][2]string{
 		"seed": {"92094eb940cf389a", "x"}, "listen": {"127.0.0.1:80", "here"}, "discovery": {"127.0.0.1:85", ""},
@@ -128,11 +128,11 @@
 	} {
 		if _, err := DecodeConfig([]byte(strings.Replace(file, bad[0], bad[1], 1))); err == nil ||
 			!strings.Contains(err.Error(), field) {
-			t.Errorf("%s: got %v", field, err)
+			t.Errorf("error %v, want one that names %s", err, field)
 		}
 	}
 	if _, err := ReadConfig(t.TempDir() + "/none"); err == nil {
-		t.Error("a missing file was read")
+		t.Error("no error for a missing file")
 	}
 }
 
@@ -142,7 +142,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if terms, err := FromJSON(raw, 1); err == nil && (len(terms.Types) != len(terms.Module.QueryTypes) ||
 			terms.Module.Cells < 1 || terms.Shards < 1) {
-			t.Errorf("let through: %+v", terms)
+			t.Errorf("inconsistent settings accepted: %+v", terms)
 		}
 	})
 }
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -29,7 +29,7 @@
 		`{"troubles": [{"what": "errors", "factor": 101}]}`:                                  "101 in a hundred",
 		`{"troubles": [{"what": "die", "nodes": [3]}, {"what": "hang", "nodes": [3]}]}`:      "node 3 can't hang while it is to die",
 		`{"troubles": [{"what": "discovery_down"}, {"what": "discovery_down", "at": "8s"}]}`: "the same as troubles.0",
-		`{"troubles": [{"what": "die"}, {"what": "die", "nodes": ["x"]}]}`:                   "a whole number is wanted",
+		`{"troubles": [{"what": "die"}, {"what": "die", "nodes": ["x"]}]}`:                   "expected a whole number",
 		`{"tenants": [{"name": "a", "share": 0}]}`:                                           "add up to nothing",
 	} {
 		if s, err := Decode("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
