--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// What is wrong is told in one line with file, line and field, and nothing of the file counts.
-func TestBadFiles(t *testing.T) {
+// The error about an invalid file is one line with file, line and field.
+func TestInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                                "f: line 1",
 		"{\n // a comment\n \"stat\": {}}": "f:3: stat: unknown key",
@@ -25,47 +25,47 @@
 		"{\"start\": {\"discovery\": {\"resume\": 1}}}":                "expected true or false",
 		"{\"start\": {}, \"start\": {}}":                               "start: duplicate key",
 		"{\"start\": {\"node_list\": {\"directory\": \"a\\u0000b\"}}}": "zero byte",
-		"{\"sites\": {\n\"listen\": \"here\"}}":                        "f:2: sites.listen: \"here\" is no",
+		"{\"sites\": {\n\"listen\": \"here\"}}":                        "f:2: sites.listen: \"here\" is not",
 		"{\"sites\": {\"keys\": \"k\", \"listen\": \"127.0.0.1:1\"}}":  "sites.allow names no site",
-		"{\"sites\": {\n\n\"targets\": [\"b=127.0.0.1:1\"]}}":          "f:1: sites.keys: missing",
+		"{\"sites\": {\n\n\"targets\": [\"b=127.0.0.1:1\"]}}":          "f:1: sites.keys: required",
 		"{\"sites\": {\"targets\": [\"b:1\"]}}":                        "is not SITE=ADDRESS:PORT",
 		"{\"sites\": {\"targets\": [1]}}":                              "expected a string",
 		"{\"sites\": {\"targets\": \"b\"}}":                            "expected a list of strings",
 		"{\"fleet\": {\"voters\": [\"b1\"]}}":                          "fleet.voters: \"b1\" is not NAME=ADDRESS:PORT",
-		"{\"fleet\": {\"voters\": [\"a=[::1]:1\", \"b=[::1]:2\"]}}":    "fleet.voters: 2 of them; 1, 3 or 5 agree",
-		"{\"fleet\": {\"voters\": [\"a=[::1]:1\"]}}":                   "fleet.keys: missing",
-		"{\"fleet\": {\"pins\": true}}":                                "fleet.pins: fleet.voters names nobody",
-		"{\"fleet\": {\"heartbeat\": \"1s\"}}":                         "fleet.heartbeat: 1s; three must fit",
+		"{\"fleet\": {\"voters\": [\"a=[::1]:1\", \"b=[::1]:2\"]}}":    "fleet.voters: 2 voters; there must be 1, 3 or 5",
+		"{\"fleet\": {\"voters\": [\"a=[::1]:1\"]}}":                   "fleet.keys: required",
+		"{\"fleet\": {\"pins\": true}}":                                "fleet.pins: set without the control plane: fleet.voters is empty",
+		"{\"fleet\": {\"heartbeat\": \"1s\"}}":                         "fleet.heartbeat: 1s is more than a third",
 		strings.Repeat(" ", 1<<20+1):                                   "at most",
 	} {
 		if f, err := Decode("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.80q: %v, %+v", text, err, f)
+			t.Errorf("%.80q: unexpected error %v; decoded as %+v", text, err, f)
 		}
 	}
 }
 
-func TestGoodFiles(t *testing.T) {
+func TestValidFiles(t *testing.T) {
 	if f := Default(); f.NodeListEnabled() || f.Start.NodeList.MaxEntries != 100000 || f.Start.Trust.HalfLife != 168*time.Hour {
-		t.Errorf("by default %+v", f.Start)
+		t.Errorf("defaults %+v", f.Start)
 	}
 	f, err := Decode("f", []byte(`{"start": {"node_list": {"directory": "/d", /* kept */ "save_every": "5s",},},}`))
 	if err != nil || !f.NodeListEnabled() || f.Start.NodeList.SaveEvery != 5*time.Second || f.Start.NodeList.MaxEntries != 100000 {
-		t.Fatalf("%v, %+v", err, f)
+		t.Fatalf("error %v, decoded as %+v", err, f)
 	}
 	marked := map[string]bool{}
 	for _, s := range f.Settings() {
 		marked[s.Field] = s.Default
 	}
 	if marked["start.node_list.save_every"] || !marked["start.node_list.max_entries"] {
-		t.Errorf("defaults marked %v", marked)
+		t.Errorf("settings marked as default: %v", marked)
 	}
 	if d := f.ChangedFields(Default()); len(d) != 2 || d[0] != "start.node_list.directory" {
-		t.Errorf("differs in %v", d)
+		t.Errorf("changed fields %v", d)
 	}
 }
 
-// The example names every key, and says the defaults but for the directory.
+// The example contains every key with its default, except for start.node_list.directory and the settings of sites.
 func TestExample(t *testing.T) {
 	f, err := Read("../../../deploy/operator.json5")
 	if err != nil {
@@ -74,7 +74,7 @@
 	theirs := Default().Settings()
 	for i, s := range f.Settings() {
 		if s.Default || s.Value != theirs[i].Value && !strings.Contains("start.node_list.directory sites.keys sites.listen sites.allow sites.targets", s.Field) {
-			t.Errorf("%s: %s in the example, default %s", s.Field, s.Value, theirs[i].Value)
+			t.Errorf("%s: %s in the example, the default is %s", s.Field, s.Value, theirs[i].Value)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 			return
 		}
 		if o := file.Start.Trust; o.ExclusionThreshold < 0.5 || o.ExclusionThreshold > 0.9999 || o.TrialDelay < time.Second {
-			t.Errorf("let through %+v", o)
+			t.Errorf("values out of range accepted: %+v", o)
 		}
 	})
 }
--- a/internal/config/remedy/remedy.go
+++ b/internal/config/remedy/remedy.go
@@ -1,9 +1,8 @@
-// Package remedy owns the form of errors that an operator reads: each has a type of its own, which says what went wrong and
-// what can be done. It depends on nothing, so that every package may give its errors the method without importing it. It must
-// never act on an error, or make up advice where the error has none.
+// Package remedy finds the remedy of an error: what an operator can do about it. Each such error has a type of its own with a Remedy
+// method, which packages define without importing this one. Errors without the method have no remedy.
 //
-// Depends on no package of this module. Concurrency: it keeps no state and starts no goroutine, so that its
-// functions may be called from any goroutine; what they return is the caller's.
+// Depends on no package of this module. Its functions keep no state and start no goroutine, may be called from any goroutine, and return
+// values that the caller owns.
 package remedy
 
 import (
@@ -12,20 +11,21 @@
 	"strings"
 )
 
-// Error is an error with a remedy: one line of what an operator can do, without a full stop.
+// Error is an error with a remedy: one line that says what an operator can do, without a full stop.
 type Error interface {
 	error
 	Remedy() string
 }
 
-// Of is the remedy of an error: that of the outermost fault on its chain, as what wraps knows more; of errors that were joined
-// each one's, in their order. "" where there is none.
+// Of returns the remedy of an error, or "" if there is none. On a chain of wrapped errors the outermost remedy counts, as the wrapping error
+// knows more; the different remedies of joined errors are joined in their order.
 func Of(err error) string {
 	var all []string
 	collect(err, &all)
 	return strings.Join(all, "; ")
 }
 
+// collect appends the remedies of err to all, without duplicates.
 func collect(err error, all *[]string) {
 	if fault, ok := err.(Error); ok && fault.Remedy() != "" {
 		if r := fault.Remedy(); !slices.Contains(*all, r) {
--- a/internal/config/remedy/remedy_test.go
+++ b/internal/config/remedy/remedy_test.go
@@ -41,12 +41,12 @@
 		{fmt.Errorf("%w and %w", b, a), "do b; do a"},
 	} {
 		if got := Of(c.err); got != c.want {
-			t.Errorf("%v: %q, want %q", c.err, got, c.want)
+			t.Errorf("remedy of %v: %q, want %q", c.err, got, c.want)
 		}
 	}
 }
 
-// typesWithRemedy lists the exported types of a source file that have the method, as package.Type.
+// typesWithRemedy returns the exported types of a source file that have the method Remedy() string, as package.Type.
 func typesWithRemedy(name string, source any) (all []string, err error) {
 	file, err := parser.ParseFile(token.NewFileSet(), name, source, parser.SkipObjectResolution)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return all, nil
 }
 
-// compare tells which types the page leaves out, and which it names that are not there. A row begins with its type.
+// compare returns the types that have no row in the page's table, and the types of rows that are not in the source. A row begins with its type.
 func compare(page string, types map[string]bool) (missing, stale []string) {
 	named := map[string]bool{}
 	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z0-9]+\\.[A-Z][A-Za-z0-9]*)` \\|").FindAllStringSubmatch(page, -1) {
@@ -85,8 +85,8 @@
 	return missing, stale
 }
 
-// The operators' page lists every error that has a remedy, and no other.
-func TestPage(t *testing.T) {
+// docs/operations/errors.md has a row for every exported error type with a remedy, and for no other.
+func TestErrorsPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operations/errors.md")
 	if err != nil {
 		t.Fatal(err)
@@ -107,19 +107,19 @@
 	}
 	missing, stale := compare(string(page), types)
 	if len(types) < 2 || len(missing) > 0 || len(stale) > 0 {
-		t.Errorf("of %d types the page leaves out %v and names %v, which are gone", len(types), missing, stale)
+		t.Errorf("%d types have a remedy; the page has no row for %v, and rows for %v, which are not in the source", len(types), missing, stale)
 	}
 }
 
-// What the check is for, put in on purpose.
-func TestPageCheck(t *testing.T) {
+// The check finds a type without a row and a row without a type.
+func TestErrorsPageCheck(t *testing.T) {
 	all, err := typesWithRemedy("x.go", "package x\nfunc (e *Lost) Remedy() string { return e.r }\nfunc (Held) Remedy() string { return e }\n"+
 		"func (own) Remedy() string { return e }\nfunc (Other) Remedy(n int) string { return e }\nfunc Remedy() string { return e }")
 	if err != nil || !slices.Equal(all, []string{"x.Lost", "x.Held"}) {
-		t.Fatalf("found %v, %v", all, err)
+		t.Fatalf("found types %v, error %v", all, err)
 	}
 	missing, stale := compare("| `x.Held` | held | wait |\n| `x.Gone` | gone | mend |", map[string]bool{"x.Lost": true, "x.Held": true})
 	if !slices.Equal(missing, []string{"x.Lost"}) || !slices.Equal(stale, []string{"x.Gone"}) {
-		t.Errorf("left out %v, dead %v", missing, stale)
+		t.Errorf("types without a row %v, rows without a type %v", missing, stale)
 	}
 }
