--- a/cmd/flaxfront/crew.go
+++ b/cmd/flaxfront/crew.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands on the tier of a broker that runs.
+// This file implements the commands members and duties, which print what a running broker knows of its tier.
 
 import (
 	"errors"
@@ -13,13 +13,14 @@
 	"flaxfront/internal/server"
 )
 
+// fetchMembership returns the membership state of a running broker.
 func fetchMembership(config, address string) (*server.MembershipState, error) {
 	counters, err := fetchCounters(config, address)
 	if err != nil {
 		return nil, err
 	}
 	if counters.Queries.Membership == nil {
-		return nil, errors.New("the broker keeps no company: crew.on is false")
+		return nil, errors.New("membership is off on the broker: crew.on is false")
 	}
 	return counters.Queries.Membership, nil
 }
@@ -28,7 +29,7 @@
 	var address string
 	c := &cobra.Command{
 		Use:   "members",
-		Short: "Print which brokers of the tier a broker that runs knows, and what it thinks of them",
+		Short: "Print the members of the tier, with their states, as a running broker sees them",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			state, err := fetchMembership(*config, address)
@@ -37,7 +38,7 @@
 			}
 			out := cmd.OutOrStdout()
 			counts := &state.Counts
-			fmt.Fprintf(out, "as %s sees it: %d probes, %d missed, %d suspected, %d buried, refuted %d times, late %d; %d datagrams made, %d heard, %d bad\n",
+			fmt.Fprintf(out, "as seen by %s: %d probes, %d failed, %d suspicions, %d declared dead, %d refutations, local health multiplier %d; %d datagrams sent, %d received, %d malformed\n",
 				state.Self, counts.Probes, counts.FailedProbes, counts.Suspicions, counts.DeclaredDead, counts.Refutations, counts.LocalHealthMultiplier, counts.DatagramsSent, counts.DatagramsReceived, counts.MalformedDatagrams)
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "NAME\tADDRESS\tSTATE\tFOR\tINCARNATION\tWEIGHT")
@@ -47,7 +48,7 @@
 			return w.Flush()
 		},
 	}
-	c.Flags().StringVar(&address, "at", "", "the broker's client address (default: the configuration's)")
+	c.Flags().StringVar(&address, "at", "", "client address of the broker (default: as in the configuration)")
 	return c
 }
 
@@ -55,7 +56,7 @@
 	var address string
 	c := &cobra.Command{
 		Use:   "duties",
-		Short: "Print which broker of the tier does what, since when, and when it did it last",
+		Short: "Print which broker of the tier owns which job, and when the job last ran",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			state, err := fetchMembership(*config, address)
@@ -67,11 +68,11 @@
 				names[uint32(m.ID)] = m.Name
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintln(w, "DUTY\tEVERY\tOWNER\tNUMBER\tLAST RUN\tNEXT\tRUNS HERE\tREFUSED HERE")
+			fmt.Fprintln(w, "JOB\tEVERY\tOWNER\tFENCE\tLAST RUN\tNEXT\tRUNS HERE\tREJECTED HERE")
 			for _, d := range state.Ownership {
 				owner, last, next := names[d.Owner], "never", "-"
 				if owner == "" {
-					owner = "nobody yet"
+					owner = "none yet"
 				}
 				if d.RunCount > 0 {
 					last = (state.Now - d.LastRunAt).Round(100*time.Millisecond).String() + " ago"
@@ -84,6 +85,6 @@
 			return w.Flush()
 		},
 	}
-	c.Flags().StringVar(&address, "at", "", "the broker's client address (default: the configuration's)")
+	c.Flags().StringVar(&address, "at", "", "client address of the broker (default: as in the configuration)")
 	return c
 }
--- a/cmd/flaxfront/descriptors_test.go
+++ b/cmd/flaxfront/descriptors_test.go
@@ -18,9 +18,10 @@
 	"time"
 )
 
-// testConfigEnv is the environment variable by which this program's test serves a configuration under a limit of descriptors.
+// testConfigEnv names the environment variable with which the test binary serves a configuration under a limit of file descriptors.
 const testConfigEnv = "FLAXFRONT_TEST_CONFIG"
 
+// maxDescriptors is the limit of open file descriptors of that process.
 const maxDescriptors = 64
 
 func TestMain(m *testing.M) {
@@ -37,8 +38,8 @@
 	}
 }
 
-// Clients that connect and say nothing fill the descriptors while discovery is down. When it comes back there is one for it, and for
-// the nodes that it names; no call fails for want of one.
+// Idle client connections exhaust their share of file descriptors while discovery is down. When it returns, the broker still has descriptors
+// for discovery and for the nodes of its list, and no call fails with "too many open files".
 func TestIdleClientsLeaveRoomForDiscovery(t *testing.T) {
 	listen := func() net.Listener {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +58,7 @@
 	discovery := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case !discoveryUp.Load():
-			time.Sleep(time.Second) // it works on it, and gives up
+			time.Sleep(time.Second) // discovery is overloaded: it holds the request, then fails
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case r.URL.RawQuery == "":
 			io.WriteString(w, list)
@@ -86,7 +87,7 @@
 			t.Error(err)
 		}
 		if text := log.String(); strings.Contains(text, "too many open files") {
-			t.Errorf("descriptors ran out:\n%s", text)
+			t.Errorf("file descriptors were exhausted:\n%s", text)
 		}
 	}()
 	for n, deadline := 0, time.Now().Add(10*time.Second); n < 4*maxDescriptors; {
@@ -103,7 +104,7 @@
 	discoveryUp.Store(true)
 	for deadline := time.Now().Add(10 * time.Second); !strings.Contains(log.String(), "node listed"); {
 		if time.Now().After(deadline) {
-			t.Fatal("the list was not had")
+			t.Fatal("the broker did not get the endpoint list within 10 s")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -117,15 +118,15 @@
 	node.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
 	nodeConn, err := node.Accept()
 	if err != nil {
-		t.Fatalf("the node was not connected to: %v", err)
+		t.Fatalf("the broker did not connect to the node: %v", err)
 	}
 	defer nodeConn.Close()
 	if _, err := bufio.NewReader(nodeConn).ReadString('x'); err != nil {
-		t.Errorf("the node was asked nothing: %v", err)
+		t.Errorf("the node got no shard request: %v", err)
 	}
 }
 
-// logBuffer is what a process has logged so far.
+// logBuffer collects the log of a process.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/cmd/flaxfront/fleet.go
+++ b/cmd/flaxfront/fleet.go
@@ -1,6 +1,7 @@
 package main
 
-// This file owns the commands on what the tier agreed: operators' requests to the leader, by the keys of the operators' file.
+// This file implements the commands of `fleet`: operators' requests to the leader of the control plane, made with the keys of the operators'
+// file.
 
 import (
 	"context"
@@ -19,11 +20,11 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// leaderClient asks the leader of the tier that the operators' file names.
+// leaderClient sends requests to the leader of the tier that the operators' file names.
 type leaderClient struct {
 	file       *string
 	timeout    time.Duration
-	firstVoter string // ask this one first
+	firstVoter string // address of the voter to ask first; "": in the order of the file
 }
 
 func (a *leaderClient) open() (*operator.File, *keys.Keyring, error) {
@@ -32,7 +33,7 @@
 		return nil, nil, err
 	}
 	if !operators.ControlPlaneEnabled() {
-		return nil, nil, errors.New("the operators' file names no fleet.voters: give --operator")
+		return nil, nil, errors.New("fleet.voters is empty: set --operator to an operators' file that names the voters")
 	}
 	ring, err := keys.Open(operators.ControlPlaneKeys())
 	return operators, ring, err
@@ -60,53 +61,53 @@
 	a := &leaderClient{file: file}
 	root := &cobra.Command{
 		Use:   "fleet",
-		Short: "What the brokers of a tier agree on: releases, drains of nodes, policies",
+		Short: "Control the releases, drains of nodes, and connection policy of a tier",
 	}
-	root.PersistentFlags().DurationVar(&a.timeout, "within", 10*time.Second, "how long to ask")
-	root.PersistentFlags().StringVar(&a.firstVoter, "at", "", "address of the voter to ask first (default: all in turn)")
+	root.PersistentFlags().DurationVar(&a.timeout, "within", 10*time.Second, "timeout of the request")
+	root.PersistentFlags().StringVar(&a.firstVoter, "at", "", "address of the voter to ask first (default: in turn)")
 	root.AddCommand(beginCommand(a), statusCommand(a), watchCommand(a), releaseCommand(a), policyCommand(a))
 	for _, v := range []struct{ verb, use, short, done string }{
-		{controlplane.VerbHalt, "halt [REASON]", "Halt the release: permits that were not used are void", "halted"},
-		{controlplane.VerbRollBack, "back [REASON]", "Take the release back: what went out by it returns, under the same limits", "the way back is release"},
+		{controlplane.VerbHalt, "halt [REASON]", "Halt the release; unused permits become void", "halted"},
+		{controlplane.VerbRollBack, "back [REASON]", "Roll the release back, under the same limits", "rolled back by release"},
 	} {
 		root.AddCommand(&cobra.Command{Use: v.use, Short: v.short, Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			r := &controlplane.Request{Reason: "an operator's word"}
+			r := &controlplane.Request{Reason: "by an operator"}
 			if len(args) > 0 {
 				r.Reason = args[0]
 			}
 			return a.askAndPrint(cmd, v.verb, r, v.done)
 		}})
 	}
-	root.AddCommand(&cobra.Command{Use: "resume", Short: "Let a halted release go on", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		return a.askAndPrint(cmd, controlplane.VerbResume, &controlplane.Request{}, "goes on")
+	root.AddCommand(&cobra.Command{Use: "resume", Short: "Resume a halted release", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+		return a.askAndPrint(cmd, controlplane.VerbResume, &controlplane.Request{}, "resumed")
 	}})
 	var reason string
-	drain := &cobra.Command{Use: "drain NODE", Short: "Drain a node: every broker stops sending to it", Args: cobra.ExactArgs(1),
+	drain := &cobra.Command{Use: "drain NODE", Short: "Drain a node: all brokers stop sending to it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return a.askAndPrint(cmd, controlplane.VerbDrain, &controlplane.Request{Node: args[0], Reason: reason}, "drain")
 		}}
-	drain.Flags().StringVar(&reason, "reason", "an operator's word", "why")
-	undrain := &cobra.Command{Use: "undrain NODE", Short: "End a node's drain: what discovery says of it counts again", Args: cobra.ExactArgs(1),
+	drain.Flags().StringVar(&reason, "reason", "by an operator", "reason for the drain")
+	undrain := &cobra.Command{Use: "undrain NODE", Short: "End the drain of a node; its state in discovery counts again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return a.askAndPrint(cmd, controlplane.VerbUndrain, &controlplane.Request{Node: args[0]}, "ended")
 		}}
-	out := &cobra.Command{Use: "out NODE", Short: "Say that a node which a release permits goes out now; only where this succeeds may it be stopped", Args: cobra.ExactArgs(1),
+	out := &cobra.Command{Use: "out NODE", Short: "Report that a node with a release permit goes out now; it may be stopped only if this succeeds", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.askAndPrint(cmd, controlplane.VerbNodeOut, &controlplane.Request{Node: args[0]}, "it may be stopped")
+			return a.askAndPrint(cmd, controlplane.VerbNodeOut, &controlplane.Request{Node: args[0]}, "the node may be stopped")
 		}}
-	returned := &cobra.Command{Use: "returned NODE", Short: "Say that a node which went out serves again", Args: cobra.ExactArgs(1),
+	returned := &cobra.Command{Use: "returned NODE", Short: "Report that a node that went out serves again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return a.askAndPrint(cmd, controlplane.VerbNodeReturned, &controlplane.Request{Node: args[0]}, "returned")
 		}}
-	forget := &cobra.Command{Use: "forget BROKER", Short: "Say that a broker never comes back: it counts as out no more", Args: cobra.ExactArgs(1),
+	forget := &cobra.Command{Use: "forget BROKER", Short: "Remove a broker that will never return, so that it no longer counts as out", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.askAndPrint(cmd, controlplane.VerbRemoveBroker, &controlplane.Request{Broker: args[0]}, "forgotten")
+			return a.askAndPrint(cmd, controlplane.VerbRemoveBroker, &controlplane.Request{Broker: args[0]}, "removed")
 		}}
 	root.AddCommand(drain, undrain, out, returned, forget)
 	return root
 }
 
-// askAndPrint prints that something is agreed.
+// askAndPrint sends a request, and prints done and the number that the leader returned, if it is not 0.
 func (a *leaderClient) askAndPrint(cmd *cobra.Command, verb string, r *controlplane.Request, done string) error {
 	var number uint64
 	err := a.request(verb, r, &number)
@@ -121,7 +122,7 @@
 func beginCommand(a *leaderClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "begin",
-		Short: "Begin a voter's log, once in its life, before its first start; never where one was lost",
+		Short: "Create the log of a voter, once, before its first start; never to replace a lost log",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			operators, ring, err := a.open()
@@ -130,10 +131,10 @@
 			}
 			options, votes := server.LogOptions(&operators.ControlPlaneSettings, ring)
 			if !votes {
-				return fmt.Errorf("%s is none of fleet.voters, or fleet.directory is empty", ring.ID().Broker)
+				return fmt.Errorf("no log to create: %s is not one of fleet.voters, or fleet.directory is empty", ring.ID().Broker)
 			}
 			if existing, _ := filepath.Glob(filepath.Join(options.Directory, "raft*")); len(existing) > 0 {
-				return fmt.Errorf("%s holds a log already, which is begun once", options.Directory)
+				return fmt.Errorf("%s already contains a log; a log is created only once", options.Directory)
 			}
 			options.Create = true
 			log, err := raftlog.Open(options)
@@ -141,7 +142,7 @@
 				return err
 			}
 			log.Close()
-			fmt.Fprintf(cmd.OutOrStdout(), "log of voter %d begun in %s\n", options.VoterID, options.Directory)
+			fmt.Fprintf(cmd.OutOrStdout(), "log of voter %d created in %s\n", options.VoterID, options.Directory)
 			return nil
 		},
 	}
@@ -154,7 +155,7 @@
 	var maxOut, maxOutPerZone, minReady uint
 	c := &cobra.Command{
 		Use:   "release --to VERSION",
-		Short: "Begin a release over brokers, or over nodes: who may go out, and how many at once",
+		Short: "Begin a release over brokers or nodes, with limits on how many are out at once",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, b := range batches {
@@ -165,25 +166,25 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&plan.Name, "name", "", "what it is called")
-	f.StringVar(&plan.From, "from", "", "version that the way back leads to")
-	f.StringVar(&plan.To, "to", "", "version that it leads to")
-	f.StringSliceVar(&plan.Brokers, "broker", nil, "brokers, by name; none and no nodes: all, voters last")
+	f.StringVar(&plan.Name, "name", "", "name of the release")
+	f.StringVar(&plan.From, "from", "", "version to which a rollback returns")
+	f.StringVar(&plan.To, "to", "", "version to release")
+	f.StringSliceVar(&plan.Brokers, "broker", nil, "brokers, by name (default: all if there is no --node, voters last)")
 	f.StringSliceVar(&plan.Nodes, "node", nil, "nodes, by name or ADDRESS:PORT")
-	f.UintSliceVar(&batches, "batch", nil, "how many are in the first batch, the first two, and so on; none: all in one")
-	f.UintVar(&maxOut, "most", 1, "out at once over the tier")
-	f.UintVar(&maxOutPerZone, "most-zone", 0, "out at once in a zone (default: as --most)")
-	f.UintVar(&minReady, "least", 1, "ready holders that each shard keeps, for nodes")
-	f.DurationVar(&pause, "pause", 10*time.Second, "between batches")
-	f.StringVar(&plan.Gates, "gates", "", "gates, as docs/operations/fleet.md says")
+	f.UintSliceVar(&batches, "batch", nil, "cumulative batch sizes: the number in the first batch, in the first two, and so on (default: one batch)")
+	f.UintVar(&maxOut, "most", 1, "maximum number out at once in the tier")
+	f.UintVar(&maxOutPerZone, "most-zone", 0, "maximum number out at once in a zone (default: as --most)")
+	f.UintVar(&minReady, "least", 1, "for nodes: minimum number of ready replicas of each shard")
+	f.DurationVar(&pause, "pause", 10*time.Second, "pause between batches")
+	f.StringVar(&plan.Gates, "gates", "", "gates, in the form of docs/operations/fleet.md")
 	c.MarkFlagRequired("to")
 	return c
 }
 
 func policyCommand(a *leaderClient) *cobra.Command {
-	c := &cobra.Command{Use: "policy", Short: "How nodes' connections are divided"}
+	c := &cobra.Command{Use: "policy", Short: "Control the policy that divides the nodes' connections"}
 	c.AddCommand(
-		&cobra.Command{Use: "set FILE", Short: "Have a policy checked and agreed", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
+		&cobra.Command{Use: "set FILE", Short: "Check a policy and put it in force", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
 				return err
@@ -200,11 +201,11 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "// version %d\n%s\n", s.Policy.Version, s.Policy.Text)
 			if s.Waiting != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "// version %d waits until what brokers hold fits it\n", s.Waiting.Version)
+				fmt.Fprintf(cmd.OutOrStdout(), "// version %d waits until the connections that brokers hold are within its limits\n", s.Waiting.Version)
 			}
 			return nil
 		}},
-		&cobra.Command{Use: "back", Short: "Have the policy before this one agreed anew", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+		&cobra.Command{Use: "back", Short: "Put the previous policy in force again", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			return a.askAndPrint(cmd, controlplane.VerbRollBackPolicy, &controlplane.Request{}, "policy")
 		}})
 	return c
--- a/cmd/flaxfront/fleetstatus.go
+++ b/cmd/flaxfront/fleetstatus.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns how a fleet's state is printed.
+// This file prints the state of the control plane.
 
 import (
 	"encoding/json"
@@ -19,7 +19,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Print what a majority of the voters knows: brokers, the release, drains, the policy",
+		Short: "Print the state agreed by a majority of the voters: brokers, release, drains, policy",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var s controlplane.Status
@@ -34,7 +34,7 @@
 			return printStatus(cmd.OutOrStdout(), &s)
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
@@ -42,7 +42,7 @@
 	var every time.Duration
 	c := &cobra.Command{
 		Use:   "watch",
-		Short: "Print a line whenever the release moves, until it is over",
+		Short: "Print a line whenever the release changes, until it is done",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			last := ""
@@ -65,10 +65,11 @@
 			}
 		},
 	}
-	c.Flags().DurationVar(&every, "every", time.Second, "between two looks")
+	c.Flags().DurationVar(&every, "every", time.Second, "interval between polls")
 	return c
 }
 
+// releaseLine describes the current release in one line.
 func releaseLine(s *controlplane.Status) string {
 	r := s.Release
 	if r == nil {
@@ -81,7 +82,7 @@
 	line := fmt.Sprintf("release %d %s to %s: %s, batch %d of %d; %d pending, %d permitted, %d out, %d finished", r.Number, r.Name, r.To, r.State,
 		r.OpenBatch+1, max(1, len(r.Batches)), count[statemachine.StepPending], count[statemachine.StepPermitted], count[statemachine.StepOut], count[statemachine.StepFinished])
 	if r.RollbackOf > 0 {
-		line += fmt.Sprintf("; the way back of %d", r.RollbackOf)
+		line += fmt.Sprintf("; rollback of %d", r.RollbackOf)
 	}
 	if r.Reason != "" {
 		line += "; " + r.Reason
@@ -106,17 +107,17 @@
 	for _, n := range s.Nodes {
 		switch {
 		case n.Permit > 0 && n.OutByPermit:
-			fmt.Fprintf(out, "node %s is out by permit %d\n", n.Name, n.Permit)
+			fmt.Fprintf(out, "node %s is out with permit %d\n", n.Name, n.Permit)
 		case n.Permit > 0:
-			fmt.Fprintf(out, "node %s may go out by permit %d, once it is drained\n", n.Name, n.Permit)
+			fmt.Fprintf(out, "node %s may go out with permit %d once it is drained\n", n.Name, n.Permit)
 		case n.DownIndex > 0:
 			fmt.Fprintf(out, "node %s is not ready\n", n.Name)
 		}
 	}
 	for _, d := range s.Drains {
-		state := fmt.Sprintf("waits for slots %v", d.Awaited)
+		state := fmt.Sprintf("waiting for slots %v", d.Awaited)
 		if d.Done {
-			state = "nothing is sent to it any more"
+			state = "complete, no broker sends to it"
 		}
 		fmt.Fprintf(out, "drain %d of %s (%s): %s\n", d.Drain.Number, d.Node, d.Drain.Reason, state)
 	}
--- a/cmd/flaxfront/fronts.go
+++ b/cmd/flaxfront/fronts.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns which fronts a broker has beside its clients' HTTP.
+// This file opens the SRU and Z39.50 servers of a broker, beside its HTTP server.
 
 import (
 	"log/slog"
@@ -11,7 +11,7 @@
 	"flaxfront/internal/server"
 )
 
-// addFronts opens the fronts of the operators' file.
+// addFronts opens the servers that the operators' file switches on.
 func addFronts(s *server.Server, file string) error {
 	operators, err := operator.Read(file)
 	if err != nil {
@@ -23,7 +23,7 @@
 			return err
 		}
 		s.AddFront(f)
-		slog.Info("speaking Z39.50", "at", f.Addr())
+		slog.Info("Z39.50 server listening", "at", f.Addr())
 	}
 	if operators.SRU.Listen != "" {
 		f, err := sru.Listen(s, operators.SRU)
@@ -31,7 +31,7 @@
 			return err
 		}
 		s.AddFront(f)
-		slog.Info("speaking SRU", "at", f.Addr())
+		slog.Info("SRU server listening", "at", f.Addr())
 	}
 	return nil
 }
--- a/cmd/flaxfront/keys.go
+++ b/cmd/flaxfront/keys.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands on keys and links. It must never print a private key.
+// This file implements the commands keys and sites. They never print a private key.
 
 import (
 	"encoding/json"
@@ -25,48 +25,48 @@
 	var dir, authority, name string
 	var id keys.ID
 	var days, authorityDays int
-	root := &cobra.Command{Use: "keys", Short: "Certificates for the links between sites"}
+	root := &cobra.Command{Use: "keys", Short: "Manage the certificates with which brokers identify each other"}
 	newAuthority := &cobra.Command{
 		Use:   "new-authority --dir DIR",
-		Short: "Make an authority; its key stays where certificates are issued, and goes to no broker",
+		Short: "Create a certificate authority; keep its key where certificates are issued, and copy it to no broker",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := keys.NewAuthority(dir, name, time.Duration(authorityDays)*day, time.Now()); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s and %s made\n", filepath.Join(dir, keys.AuthorityCert), filepath.Join(dir, keys.AuthorityKey))
+			fmt.Fprintf(cmd.OutOrStdout(), "created %s and %s\n", filepath.Join(dir, keys.AuthorityCert), filepath.Join(dir, keys.AuthorityKey))
 			return nil
 		},
 	}
-	newAuthority.Flags().StringVar(&dir, "dir", "", "where")
-	newAuthority.Flags().StringVar(&name, "name", "flaxfront links", "what it is called")
-	newAuthority.Flags().IntVar(&authorityDays, "days", 3650, "how long it lasts")
+	newAuthority.Flags().StringVar(&dir, "dir", "", "directory to create it in")
+	newAuthority.Flags().StringVar(&name, "name", "flaxfront links", "name of the authority")
+	newAuthority.Flags().IntVar(&authorityDays, "days", 3650, "days until it expires")
 	newAuthority.MarkFlagRequired("dir")
 
 	issue := &cobra.Command{
 		Use:   "issue --authority DIR --dir DIR --site SITE --broker NAME",
-		Short: "Make a broker's certificate and key; a broker that runs takes them over at SIGHUP",
+		Short: "Issue a certificate and key for a broker; a running broker loads them on SIGHUP",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := keys.Issue(authority, dir, id, time.Duration(days)*day, time.Now())
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: certificate %s until %s, in %s\n", id, keys.Serial(c), c.NotAfter.Format(time.DateOnly), dir)
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: certificate %s, valid until %s, in %s\n", id, keys.Serial(c), c.NotAfter.Format(time.DateOnly), dir)
 			}
 			return err
 		},
 	}
 	issue.Flags().StringVar(&authority, "authority", "", "directory of the authority")
-	issue.Flags().StringVar(&dir, "dir", "", "the broker's directory; what stands there is replaced")
-	issue.Flags().StringVar(&id.Site, "site", "", "its site")
-	issue.Flags().StringVar(&id.Broker, "broker", "", "its name")
-	issue.Flags().IntVar(&days, "days", 365, "how long it lasts")
+	issue.Flags().StringVar(&dir, "dir", "", "the broker's directory; a certificate and key in it are replaced")
+	issue.Flags().StringVar(&id.Site, "site", "", "site of the broker")
+	issue.Flags().StringVar(&id.Broker, "broker", "", "name of the broker")
+	issue.Flags().IntVar(&days, "days", 365, "days until it expires")
 	for _, flag := range []string{"authority", "dir", "site", "broker"} {
 		issue.MarkFlagRequired(flag)
 	}
 
 	show := &cobra.Command{
 		Use:   "show FILE...",
-		Short: "Print what certificates say",
+		Short: "Print the identity, number and validity of certificates",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, files []string) error {
 			for _, f := range files {
@@ -93,12 +93,12 @@
 
 	revoke := &cobra.Command{
 		Use:   "revoke --authority DIR NUMBER...",
-		Short: "Add certificates to the list of revoked ones, which goes to every broker",
+		Short: "Add certificates to the list of revoked ones, which must be copied to every broker",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, numbers []string) error {
 			err := keys.Revoke(authority, numbers, time.Now())
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "copy %s to every broker's directory, then send SIGHUP\n", filepath.Join(authority, keys.Revoked))
+				fmt.Fprintf(cmd.OutOrStdout(), "copy %s to every broker's directory, then send SIGHUP to the brokers\n", filepath.Join(authority, keys.Revoked))
 			}
 			return err
 		},
@@ -108,7 +108,7 @@
 
 	check := &cobra.Command{
 		Use:   "check",
-		Short: "Read a broker's directory as the broker would, and tell what is wrong or expires soon",
+		Short: "Check a broker's directory as the broker would, including whether a certificate expires soon",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if dir == "" {
@@ -117,7 +117,7 @@
 					return err
 				}
 				if dir = operators.Sites.Keys; dir == "" {
-					return fmt.Errorf("give --dir, or an operators' file that names sites.keys")
+					return fmt.Errorf("no directory: set --dir, or sites.keys in the operators' file")
 				}
 			}
 			ring, err := keys.Open(dir)
@@ -125,19 +125,19 @@
 				return err
 			}
 			left := time.Until(ring.Ends())
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good for %s, expires in %d days\n", dir, ring.ID(), int(left/day))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: valid for %s, expires in %d days\n", dir, ring.ID(), int(left/day))
 			if left < 30*day {
 				return fmt.Errorf("%s expires in %d days", dir, int(left/day))
 			}
 			return nil
 		},
 	}
-	check.Flags().StringVar(&dir, "dir", "", "the broker's directory (default: the operators' file's)")
+	check.Flags().StringVar(&dir, "dir", "", "the broker's directory (default: sites.keys of the operators' file)")
 	root.AddCommand(newAuthority, issue, show, revoke, check)
 	return root
 }
 
-// fetchCounters asks a broker that runs for its counters, at an address or where its configuration says.
+// fetchCounters returns the counters of a running broker, from an address or, if that is "", from the one in its configuration.
 func fetchCounters(config, address string) (counters server.Counters, err error) {
 	if address == "" && config == "" {
 		return counters, errNoConfig
@@ -161,12 +161,12 @@
 	return counters, nil
 }
 
-// sitesCommand asks a broker that runs for the state of its links.
+// sitesCommand returns the command that prints the state of the links of a running broker.
 func sitesCommand(config *string) *cobra.Command {
 	var address string
 	c := &cobra.Command{
 		Use:   "sites",
-		Short: "Print the links of a broker that runs, and what went over them",
+		Short: "Print the links of a running broker to other sites, and the queries forwarded over them",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			counters, err := fetchCounters(*config, address)
@@ -175,10 +175,10 @@
 			}
 			gateway := counters.Queries.Gateway
 			if gateway == nil {
-				return fmt.Errorf("the broker has no gateway: sites.keys is empty")
+				return fmt.Errorf("the gateway is off on the broker: sites.keys, or both sites.listen and sites.targets, are empty")
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintln(w, "LINK\tUP\tTAKES\tROUND TRIP\tANSWERS IN\tABROAD\tCREDIT\tROOM THERE\tHEARD\tSHUT FOR")
+			fmt.Fprintln(w, "LINK\tUP\tUSABLE\tROUND TRIP\tANSWER TIME\tIN FLIGHT\tCREDIT\tFREE THERE\tLAST STATUS\tBACKOFF")
 			for _, l := range gateway.Links {
 				heard := "never"
 				if l.StatusAge >= 0 {
@@ -191,13 +191,13 @@
 				return err
 			}
 			outgoing, incoming := &gateway.Outgoing, &gateway.Incoming
-			fmt.Fprintf(cmd.OutOrStdout(), "from here: forwarded %d, answered %d, refused there %d, failed %d; lost with a link %d, resumed %d, brought home %d, given up %d\n"+
-				"not forwarded: no budget %d, no link %d, no time %d\nto here: came %d, run %d, turned away %d, came again %d, called off %d; in hand %d, remembered %d; refused handshakes %d\n",
+			fmt.Fprintf(cmd.OutOrStdout(), "outgoing: forwarded %d, answered %d, rejected there %d, failed %d; link lost %d, resumed %d, returned %d, timed out %d\n"+
+				"not forwarded: no budget %d, no link %d, no time %d\nincoming: received %d, admitted %d, rejected %d, repeated %d, cancelled %d; in flight %d, remembered %d; rejected handshakes %d\n",
 				outgoing.Forwarded, outgoing.Answered, outgoing.Rejected, outgoing.Failed, outgoing.LinkLost, outgoing.Retried, outgoing.Returned, outgoing.TimedOut, outgoing.NoBudget, outgoing.NoLink,
 				outgoing.NoTime, incoming.Received, incoming.Admitted, incoming.Rejected, incoming.Joined+incoming.Repeated, incoming.Cancelled, incoming.InFlight, incoming.Remembered, counters.RejectedLinks)
 			return nil
 		},
 	}
-	c.Flags().StringVar(&address, "at", "", "the broker's client address (default: the configuration's)")
+	c.Flags().StringVar(&address, "at", "", "client address of the broker (default: as in the configuration)")
 	return c
 }
--- a/cmd/flaxfront/log.go
+++ b/cmd/flaxfront/log.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the way of log lines out of the process. It must never make whoever logs wait.
+// This file writes log lines out of the process without ever blocking the code that logs.
 
 import (
 	"bytes"
@@ -10,12 +10,11 @@
 	"time"
 )
 
-// logQueueSize bounds the lines that wait to be written.
+// logQueueSize is the maximum number of lines that wait to be written.
 const logQueueSize = 4096
 
-// logWriter writes lines in a goroutine of its own. Danger: whoever reads them stops, the pipe fills, and with it the
-// loop would stand still. Lines wait in a bounded queue; where it is full they are dropped, and how many is said once
-// there is room.
+// logWriter writes lines in a goroutine of its own, so that a full pipe, whose reader has stopped, does not block the event loop. Lines wait
+// in a bounded queue; if it is full they are dropped, and their number is written once there is room.
 type logWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
@@ -44,7 +43,7 @@
 	}
 }
 
-// Write takes one line; slog writes each in one call.
+// Write queues one line, or drops it if the queue is full. slog writes each line in one call.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
@@ -54,7 +53,7 @@
 	return len(line), nil
 }
 
-// Close writes what waits, for a moment at most. What is logged later is lost.
+// Close writes the queued lines, for at most a second. Lines logged later are lost.
 func (w *logWriter) Close() {
 	close(w.quit)
 	select {
--- a/cmd/flaxfront/log_test.go
+++ b/cmd/flaxfront/log_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A reader of the log that stops must not stop the broker; what is lost is said.
+// Writes do not block when the reader of the log stops; the number of dropped lines is written.
 func TestLogWriterNeverBlocks(t *testing.T) {
 	in, out := io.Pipe()
 	w := newLogWriter(out)
@@ -22,10 +22,10 @@
 	}()
 	text, err := io.ReadAll(in)
 	if err != nil || !bytes.Contains(text, []byte("line 0\n")) {
-		t.Errorf("%v, begins %.40q", err, text)
+		t.Errorf("error %v, log begins with %.40q", err, text)
 	}
 	if got := strings.Count(string(text), "line "); got < logQueueSize || got > logQueueSize+1 ||
 		!strings.Contains(string(text), "log lines dropped") {
-		t.Errorf("%d lines came", got)
+		t.Errorf("unexpected log: %d lines were written", got)
 	}
 }
--- a/cmd/flaxfront/main.go
+++ b/cmd/flaxfront/main.go
@@ -1,5 +1,4 @@
-// Command flaxfront is the broker on real sockets. This file owns the command line and the signals; it must never
-// hold anything that a broker does.
+// Command flaxfront runs a broker on sockets, and has commands to operate brokers. This file implements the command line and the signals.
 package main
 
 import (
@@ -26,36 +25,36 @@
 func main() {
 	root := &cobra.Command{
 		Use:           "flaxfront",
-		Short:         "A query router before a sharded, replicated store",
+		Short:         "A query router in front of a sharded, replicated store",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	var config, file string
 	root.PersistentFlags().StringVar(&file, "operator", os.Getenv("FLAXFRONT_OPERATOR"),
-		"the operators' own file (default: what $FLAXFRONT_OPERATOR names; none: nothing beyond the configuration is on)")
+		"operators' file, which switches on further features (default: $FLAXFRONT_OPERATOR; none: no further feature is on)")
 	root.PersistentFlags().StringVar(&config, "config", os.Getenv("RELAY_CONFIG"),
-		"configuration file (default: what $RELAY_CONFIG names)")
+		"configuration file (default: $RELAY_CONFIG)")
 	root.AddCommand(
 		&cobra.Command{
 			Use:   "serve",
-			Short: "Serve until SIGTERM, then answer what was taken and exit",
-			Long: "Serve clients as the configuration says. SIGTERM or SIGINT stops the broker once all it has taken " +
-				"is answered;\nSIGHUP has the configuration read anew; SIGUSR1 logs the counters, which GET /counters " +
-				"returns too.",
+			Short: "Serve until SIGTERM, then answer the accepted queries and exit",
+			Long: "Serve clients by the configuration. SIGTERM or SIGINT stops the broker once all accepted queries " +
+				"are answered;\nSIGHUP reloads the configuration; SIGUSR1 logs the counters, which GET /counters " +
+				"also returns.",
 			Args: cobra.NoArgs,
 			RunE: func(*cobra.Command, []string) error { return serve(config, file) },
 		},
 		&cobra.Command{
 			Use:   "check",
-			Short: "Read the configuration and the operators' file and tell what is wrong with them",
+			Short: "Check the configuration and the operators' file",
 			Args:  cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				start, _, err := load(config, file)
 				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: good for %s at %s\n", config, start.Name, start.Listen)
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: valid, for %s at %s\n", config, start.Name, start.Listen)
 				}
 				if err == nil && file != "" {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: good\n", file)
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: valid\n", file)
 				}
 				return err
 			},
@@ -71,7 +70,7 @@
 		searchCommand(),
 		&cobra.Command{
 			Use:   "version",
-			Short: "Tell the version",
+			Short: "Print the version",
 			Args:  cobra.NoArgs,
 			Run: func(cmd *cobra.Command, _ []string) {
 				version := "unknown"
@@ -88,7 +87,7 @@
 	}
 }
 
-// errorText is what an error has the command print: itself, and a line on what to do where it knows that.
+// errorText returns the text that the command prints for an error: the error, and its remedy on a second line if it has one.
 func errorText(err error) string {
 	text := fmt.Sprintln("flaxfront:", err)
 	if todo := remedy.Of(err); todo != "" {
@@ -97,8 +96,9 @@
 	return text
 }
 
-var errNoConfig = errors.New("no configuration: give --config or set RELAY_CONFIG")
+var errNoConfig = errors.New("no configuration file: set --config or $RELAY_CONFIG")
 
+// load reads the configuration and the operators' file, and returns a server that is not open yet.
 func load(config, file string) (*terms.Config, *server.Server, error) {
 	if config == "" {
 		return nil, nil, errNoConfig
@@ -115,8 +115,9 @@
 	return start, s, err
 }
 
+// serve runs a broker until SIGTERM or SIGINT.
 func serve(config, file string) error {
-	signals, reloads := make(chan os.Signal, 4), make(chan os.Signal, 1) // two SIGHUP that wait are as good as one
+	signals, reloads := make(chan os.Signal, 4), make(chan os.Signal, 1) // several pending SIGHUP have the effect of one
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	log := newLogWriter(os.Stderr)
@@ -133,7 +134,7 @@
 		return configErr
 	}
 	runtime.GOMAXPROCS(max(1, int(start.Limits.Cores)))
-	debug.SetMemoryLimit(int64(start.Limits.MemoryMB) << 20 / 4 * 3) // from there on the collector works harder
+	debug.SetMemoryLimit(int64(start.Limits.MemoryMB) << 20 / 4 * 3) // the collector works harder above this limit
 	go func() {
 		for range reloads {
 			next, configErr := terms.ReadConfig(config)
--- a/cmd/flaxfront/main_test.go
+++ b/cmd/flaxfront/main_test.go
@@ -17,7 +17,7 @@
  "domain":{"cells":1,"classFloor":[0.5],"slices":1,"width":1},"safety":{"askWithinNs":10000000000},
  "permissions":{"connIdleNs":30000000000,"connectTimeoutNs":250000000,"maxAttempts":4,"multiplex":32}}}`
 
-// SIGHUP never ends the process, whatever the file holds by then; SIGTERM ends it well, with a reload under way too.
+// SIGHUP never ends the process, whatever the file contains; SIGTERM ends it without error, even during a reload.
 func TestSignals(t *testing.T) {
 	file, port := filepath.Join(t.TempDir(), "config.json"), 20000+os.Getpid()%10000
 	write := func(text string) {
@@ -37,7 +37,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Fatal("not up")
+		t.Fatal("the broker did not answer /up within 5 s")
 	}
 	waitUntilUp()
 	for _, text := range []string{"{", "", fmt.Sprintf(configText, port+1)} {
@@ -52,7 +52,7 @@
 	}
 }
 
-// An error that knows what an operator can do is printed with it, on a line of its own.
+// An error with a remedy is printed with it on a second line; one without is printed alone.
 func TestErrorText(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.json5")
 	if err := os.WriteFile(file, []byte("{\n\"dor\": {}}"), 0o600); err != nil {
--- a/cmd/flaxfront/nodes.go
+++ b/cmd/flaxfront/nodes.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands on what operators keep: `config`, which shows what is in force, and `nodes`, which works on
-// the saved node list, also while a broker runs. It must never write beside a broker that holds the directory.
+// This file defines the commands `config`, which prints the settings in force, and `nodes`, which reads and changes the cached endpoint list,
+// also while a broker runs. A directory that a running broker holds is changed only by that broker, on request.
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 func configCommand(file *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "config",
-		Short: "Print the operators' settings that are in force; what the file does not name is marked as default",
+		Short: "Print the operators' settings in force, with the file or \"default\" as the origin of each",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			operators, err := operator.Read(*file)
@@ -40,7 +40,7 @@
 	}
 }
 
-// listLocation is where the list is and what it must belong to; no configuration: to any deployment.
+// listLocation is the directory of the list and the deployment to which it must belong, "" for any.
 type listLocation struct {
 	dir, deployment string
 	operators       *operator.File
@@ -56,7 +56,7 @@
 			location.dir = location.operators.Start.NodeList.Directory
 		}
 		if location.dir == "" {
-			return location, errors.New("no node list: give --dir, or an operators' file that names start.node_list.directory")
+			return location, errors.New("no directory: set --dir, or start.node_list.directory in the operators' file")
 		}
 		if *config != "" {
 			start, err := terms.ReadConfig(*config)
@@ -69,14 +69,14 @@
 	}
 	nodes := &cobra.Command{
 		Use:   "nodes",
-		Short: "Show and change the saved node list, also while a broker runs",
+		Short: "Print and change the cached endpoint list, also while a broker runs",
 	}
-	nodes.PersistentFlags().StringVar(&dir, "dir", "", "directory of the list (default: the operators' file's)")
+	nodes.PersistentFlags().StringVar(&dir, "dir", "", "directory of the list (default: start.node_list.directory of the operators' file)")
 
 	var asJSON, includeEnded bool
 	show := &cobra.Command{
 		Use:   "show [NAME]...",
-		Short: "Print the entries, with how doubtful their age makes them",
+		Short: "Print the entries, with the error probability by their age",
 		RunE: func(cmd *cobra.Command, names []string) error {
 			location, err := locate()
 			if err != nil {
@@ -89,13 +89,13 @@
 			return showNodes(cmd.OutOrStdout(), location, c, names, includeEnded, asJSON)
 		},
 	}
-	show.Flags().BoolVar(&asJSON, "json", false, "as export writes it")
-	show.Flags().BoolVar(&includeEnded, "ended", false, "ended nodes too")
+	show.Flags().BoolVar(&asJSON, "json", false, "print JSON, as export does")
+	show.Flags().BoolVar(&includeEnded, "ended", false, "include ended nodes")
 
 	var connectTimeout time.Duration
 	verify := &cobra.Command{
 		Use:   "verify",
-		Short: "Check the files whole; with --connect also try each node in service",
+		Short: "Check the files; with --connect also try to connect to each node in service",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			location, err := locate()
@@ -105,11 +105,11 @@
 			return verifyNodes(cmd.OutOrStdout(), location, connectTimeout)
 		},
 	}
-	verify.Flags().DurationVar(&connectTimeout, "connect", 0, "try to connect to each node in service, so long each (0: don't)")
+	verify.Flags().DurationVar(&connectTimeout, "connect", 0, "timeout for connecting to each node in service (0: do not connect)")
 
 	export := &cobra.Command{
 		Use:   "export",
-		Short: "Write all entries as JSON, for import elsewhere",
+		Short: "Write all entries as JSON, for import",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			location, err := locate()
@@ -126,7 +126,7 @@
 
 	imports := &cobra.Command{
 		Use:   "import FILE",
-		Short: "Take entries from a file that export wrote (-: standard input), where they are later than what is known",
+		Short: "Import entries that export wrote, from a file or standard input (-), where they are newer than those in the list",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			location, err := locate()
@@ -143,7 +143,7 @@
 
 	forget := &cobra.Command{
 		Use:   "forget NAME...",
-		Short: "Drop entries; a broker that runs without discovery stops using these nodes at once",
+		Short: "Delete entries; a broker that runs without discovery stops using these nodes at once",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, names []string) error {
 			location, err := locate()
--- a/cmd/flaxfront/nodesio.go
+++ b/cmd/flaxfront/nodesio.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns what the commands on the saved node list read and print.
+// This file implements the commands of `nodes`.
 
 import (
 	"encoding/json"
@@ -20,7 +20,7 @@
 	"flaxfront/internal/filesystem"
 )
 
-// listedEntry is an entry as operators read and write it.
+// listedEntry is an entry of the cached list in the JSON of export and import.
 type listedEntry struct {
 	Name       string    `json:"name"`
 	Addr       string    `json:"addr"`
@@ -34,6 +34,7 @@
 	Generation uint64    `json:"generation"`
 }
 
+// utcTime returns a timestamp as a time in UTC, or the zero time if there is none.
 func utcTime(m cachedlist.Timestamp) (t time.Time) {
 	if m > 0 {
 		t = m.Time().UTC()
@@ -52,7 +53,7 @@
 	return enc.Encode(all)
 }
 
-// readEntries reads what export wrote; one wrong entry spoils all.
+// readEntries reads entries that export wrote. One invalid entry makes the whole file invalid.
 func readEntries(path string, stdin io.Reader) (entries []cachedlist.Entry, err error) {
 	in := stdin
 	if path != "-" {
@@ -82,13 +83,13 @@
 			return s.String() == l.State
 		})
 		if e.State = cachedlist.State(max(0, state)); state < 0 {
-			return nil, fmt.Errorf("%s: entry %d: state %.40q", path, i, l.State)
+			return nil, fmt.Errorf("%s: entry %d: unknown state %.40q", path, i, l.State)
 		}
 		if err := e.Address.UnmarshalText([]byte(l.Addr)); err != nil && e.State != cachedlist.Ended {
-			return nil, fmt.Errorf("%s: entry %d: addr %.60q", path, i, l.Addr)
+			return nil, fmt.Errorf("%s: entry %d: invalid addr %.60q", path, i, l.Addr)
 		}
 		if e.Name == "" || e.Cell < 0 {
-			return nil, fmt.Errorf("%s: entry %d: name %.40q in cell %d", path, i, e.Name, e.Cell)
+			return nil, fmt.Errorf("%s: entry %d: name %.40q is empty or cell %d is negative", path, i, e.Name, e.Cell)
 		}
 		entries = append(entries, e)
 	}
@@ -106,17 +107,17 @@
 		return writeJSON(out, entries)
 	}
 	for _, f := range content.FileErrors {
-		fmt.Fprintf(out, "%s: not read whole: %v\n", f.File, f.Err)
+		fmt.Fprintf(out, "%s: damaged: %v\n", f.File, f.Err)
 	}
 	if !content.Found {
-		fmt.Fprintln(out, "no list that can be read")
+		fmt.Fprintln(out, "no readable list")
 		return nil
 	}
 	now := cachedlist.TimestampOf(time.Now())
 	fmt.Fprintf(out, "generation %d of %s, deployment %s, confirmed %s ago\n", content.Head.Generation, content.Head.Service,
 		content.Head.Deployment, now.Since(content.Head.ConfirmedAt).Round(time.Second))
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "NAME\tADDRESS\tZONE\tCELL\tSTATE\tCONFIRMED\tBY\tDOUBT\tSTARTED")
+	fmt.Fprintln(w, "NAME\tADDRESS\tZONE\tCELL\tSTATE\tCONFIRMED\tBY\tERROR PROBABILITY\tSTARTED")
 	trust := location.operators.Start.Trust
 	entryTable := cachedlist.NewEntryTable(content.Head, content.SortedByName())
 	evaluator := cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: trust.HalfLife, MaxAge: trust.MaxEntryAge, EjectionThreshold: trust.ExclusionThreshold, TrialInterval: trust.TrialDelay},
@@ -135,7 +136,7 @@
 	return w.Flush()
 }
 
-// verifyNodes fails where a file is damaged, or where a node that should be in service can't be reached.
+// verifyNodes returns an error if a file is damaged, or if a node that is in service by the list cannot be reached.
 func verifyNodes(out io.Writer, location listLocation, connectTimeout time.Duration) error {
 	content, err := nodelist.Read(filesystem.Local{}, location.dir, location.deployment)
 	if err != nil {
@@ -145,7 +146,7 @@
 		fmt.Fprintf(out, "%s: %v\n", f.File, f.Err)
 	}
 	if !content.Found {
-		return errors.New("no list that can be read")
+		return errors.New("no readable list")
 	}
 	var ready []cachedlist.Entry
 	for _, e := range content.SortedByName() {
@@ -178,12 +179,12 @@
 		}
 	}
 	if unreachable > 0 || len(content.FileErrors) > 0 {
-		return fmt.Errorf("%d nodes out of reach, %d files not read whole", unreachable, len(content.FileErrors))
+		return fmt.Errorf("%d nodes unreachable, %d files damaged", unreachable, len(content.FileErrors))
 	}
 	return nil
 }
 
-// applyChange carries out an ask: by the broker that holds the directory, or else here.
+// applyChange applies a request: through the broker that holds the directory, or here if there is none.
 func applyChange(out io.Writer, location listLocation, request nodelist.OperatorRequest) error {
 	current, err := nodelist.Read(filesystem.Local{}, location.dir, location.deployment)
 	if err != nil {
@@ -194,7 +195,7 @@
 		deployment = current.Head.Deployment
 	}
 	if deployment == "" {
-		return errors.New("no list there yet; --config tells which deployment it is to belong to")
+		return errors.New("there is no list yet: set --config, which determines the deployment of a new list")
 	}
 	store, content := nodelist.Open(nodelist.Options{Directory: location.dir, Deployment: deployment})
 	defer store.Close()
@@ -202,11 +203,11 @@
 		if err := nodelist.SubmitRequest(filesystem.Local{}, location.dir, deployment, request, time.Now()); err != nil {
 			return err
 		}
-		fmt.Fprintln(out, "left for the broker that runs; its log tells what it took")
+		fmt.Fprintln(out, "request left for the running broker, which logs what it applied")
 		return nil
 	}
 	entryTable := cachedlist.NewEntryTable(content.Head, content.SortedByName())
-	fmt.Fprintf(out, "imported %d, forgotten %d\n", entryTable.Import(request.Import), entryTable.Forget(request.Forget))
+	fmt.Fprintf(out, "imported %d, deleted %d\n", entryTable.Import(request.Import), entryTable.Forget(request.Forget))
 	if changes, any := entryTable.CollectChanges(); any {
 		store.Enqueue(changes)
 	}
--- a/cmd/flaxfront/search.go
+++ b/cmd/flaxfront/search.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the small client: one search in any of the protocols that a broker speaks, for trying things out.
+// This file implements the command search, a small client for each protocol that a broker serves.
 
 import (
 	"bufio"
@@ -25,7 +25,7 @@
 	"flaxfront/internal/server"
 )
 
-// searchOptions is what the client is told to do.
+// searchOptions holds the flags of the command search.
 type searchOptions struct {
 	protocol, at, database, queryType, tenant, schema string
 	start, maxRecords, shards                         int
@@ -36,7 +36,7 @@
 	var a searchOptions
 	c := &cobra.Command{
 		Use:   "search QUERY",
-		Short: "Ask a broker, or any server of the protocol, one search: CQL for sru and http, PQF (@attr 1=4 cat) for z3950",
+		Short: "Send one search to a broker, or to any server of the protocol: CQL for sru and http, PQF (@attr 1=4 cat) for z3950",
 		Example: "  flaxfront search --protocol sru --at 127.0.0.1:8088 'dc.title = cat'\n" +
 			"  flaxfront search --protocol z3950 --at 127.0.0.1:210 '@attr 1=4 cat'\n" +
 			"  flaxfront search --protocol http --at 127.0.0.1:8080 --type find --tenant acme --shards 4 'dc.title = cat'",
@@ -55,16 +55,16 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&a.protocol, "protocol", "sru", "sru, z3950 or http (the platform's own)")
+	f.StringVar(&a.protocol, "protocol", "sru", "sru, z3950 or http (the platform's protocol)")
 	f.StringVar(&a.at, "at", "127.0.0.1:8088", "address of the server")
 	f.StringVar(&a.database, "database", "catalogue", "database: a path for sru, a name for z3950")
-	f.StringVar(&a.schema, "schema", "dc", "of records: dc, marcxml, marc21")
-	f.IntVar(&a.start, "start", 1, "first record")
-	f.IntVar(&a.maxRecords, "most", 10, "records")
+	f.StringVar(&a.schema, "schema", "dc", "schema of the records: dc, marcxml or marc21")
+	f.IntVar(&a.start, "start", 1, "number of the first record, from 1")
+	f.IntVar(&a.maxRecords, "most", 10, "maximum number of records")
 	f.StringVar(&a.queryType, "type", "find", "http: query type")
 	f.StringVar(&a.tenant, "tenant", "", "http: tenant")
-	f.IntVar(&a.shards, "shards", 1, "http: shards to ask, from 0")
-	f.DurationVar(&a.timeout, "timeout", 5*time.Second, "for all of it")
+	f.IntVar(&a.shards, "shards", 1, "http: number of shards to query, from shard 0")
+	f.DurationVar(&a.timeout, "timeout", 5*time.Second, "timeout of the whole search")
 	return c
 }
 
@@ -89,7 +89,7 @@
 		fmt.Fprintln(out, d)
 	}
 	if after := resp.Header.Get("Retry-After"); after != "" {
-		fmt.Fprintf(out, "come back in %s s\n", after)
+		fmt.Fprintf(out, "retry after %s s\n", after)
 	}
 	for i := range r.Records {
 		fmt.Fprintf(out, "%d: %s\n", a.start+i, r.Records[i].Body)
@@ -115,14 +115,14 @@
 		}
 		r, err := z3950.Read(in)
 		if c, ok := r.(*z3950.Close); ok && err == nil {
-			err = fmt.Errorf("the server closes: reason %d, %s", c.Reason, c.Text)
+			err = fmt.Errorf("the server closed the session: reason %d, %s", c.Reason, c.Text)
 		}
 		return r, err
 	}
 	if m, err := exchange(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, Preferred: 1 << 20, Most: 1 << 20}); err != nil {
 		return err
 	} else if r, ok := m.(*z3950.InitResponse); !ok || !r.Accepted {
-		return errors.New("the session was not accepted")
+		return errors.New("the server rejected the session")
 	}
 	syntax := map[string]string{"marc21": z3950.MARC21, "marcxml": z3950.XML, "dc": z3950.XML}[a.schema]
 	m, err := exchange(&z3950.SearchRequest{Large: 1, Replace: true, ResultSet: "1", Databases: []string{a.database}, Set: set, Query: rpn, Syntax: syntax})
@@ -131,9 +131,9 @@
 	}
 	r, ok := m.(*z3950.SearchResponse)
 	if !ok {
-		return errors.New("no answer to the search")
+		return errors.New("the server did not answer with a search response")
 	}
-	fmt.Fprintf(out, "%d records, whole %v\n", r.Count, r.OK)
+	fmt.Fprintf(out, "%d records, complete %v\n", r.Count, r.OK)
 	if f := r.Records.Fault; f != nil {
 		fmt.Fprintf(out, "diagnostic %d: %s\n", f.Code, f.Text)
 	}
@@ -144,7 +144,7 @@
 		}
 		p, ok := m.(*z3950.PresentResponse)
 		if !ok || p.Records.Fault != nil || len(p.Records.All) == 0 {
-			return fmt.Errorf("no records from %d on: %+v", at, p.Records.Fault)
+			return fmt.Errorf("no records returned from record %d on: %+v", at, p.Records.Fault)
 		}
 		for i := range p.Records.All {
 			fmt.Fprintf(out, "%d: %s\n", at, p.Records.All[i].Body)
@@ -152,7 +152,7 @@
 		}
 	}
 	_, err = exchange(&z3950.Close{})
-	if err != nil && !strings.Contains(err.Error(), "the server closes") {
+	if err != nil && !strings.Contains(err.Error(), "the server closed the session") {
 		return err
 	}
 	return nil
@@ -198,7 +198,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != 200 {
-		return fmt.Errorf("%s, come back in %q s", resp.Status, resp.Header.Get("Retry-After"))
+		return fmt.Errorf("%s, Retry-After: %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	var answer struct {
 		Full   bool
@@ -210,11 +210,11 @@
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 16<<20)).Decode(&answer); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d of %d parts, whole %v\n", len(answer.Pieces), a.shards, answer.Full)
+	fmt.Fprintf(out, "%d of %d shards answered, complete %v\n", len(answer.Pieces), a.shards, answer.Full)
 	for _, p := range answer.Pieces {
 		hits, records, err := catalogue.ParseValue(p.Cell)
 		if err != nil {
-			fmt.Fprintf(out, "shard %d: %s\n", p.Tablet, p.Cell) // a node that knows no catalogue
+			fmt.Fprintf(out, "shard %d: %s\n", p.Tablet, p.Cell) // the node is not a catalogue server
 			continue
 		}
 		fmt.Fprintf(out, "shard %d: %d records\n", p.Tablet, hits)
--- a/cmd/flaxfront/search_test.go
+++ b/cmd/flaxfront/search_test.go
@@ -13,7 +13,7 @@
 	"flaxfront/internal/protocols/front/z3950"
 )
 
-// The small client speaks with both fronts, and says what they say.
+// The command search prints the answers of the SRU and Z39.50 servers.
 func TestSearch(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -37,8 +37,8 @@
 	}{
 		{s.Addr(), []string{"--protocol", "sru", "--start", "9", "--most", "3", "dc.title = cat"}, []string{"30 records", "9: <dc", "11: <dc", "record 0 of shard 1"}},
 		{s.Addr(), []string{"--protocol", "sru", "foo.bar = cat"}, []string{"diagnostic 16", "foo.bar"}},
-		{z.Addr(), []string{"--protocol", "z3950", "--start", "9", "--most", "3", "--schema", "marcxml", "@attr 1=4 cat"}, []string{"30 records, whole true", "record 0 of shard 1"}},
-		{z.Addr(), []string{"--protocol", "z3950", "@attr 1=9999 cat"}, []string{"0 records, whole false", "diagnostic 114"}},
+		{z.Addr(), []string{"--protocol", "z3950", "--start", "9", "--most", "3", "--schema", "marcxml", "@attr 1=4 cat"}, []string{"30 records, complete true", "record 0 of shard 1"}},
+		{z.Addr(), []string{"--protocol", "z3950", "@attr 1=9999 cat"}, []string{"0 records, complete false", "diagnostic 114"}},
 	} {
 		var out bytes.Buffer
 		cmd := searchCommand()
@@ -49,7 +49,7 @@
 		}
 		for _, want := range c.wants {
 			if !strings.Contains(out.String(), want) {
-				t.Errorf("%v: no %q in\n%s", c.args, want, out.String())
+				t.Errorf("%v: the output does not contain %q:\n%s", c.args, want, out.String())
 			}
 		}
 	}
--- a/cmd/flaxfront/tenants.go
+++ b/cmd/flaxfront/tenants.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command on the door of a broker that runs.
+// This file implements the command tenants, which prints the admission state of a running broker.
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	var address string
 	c := &cobra.Command{
 		Use:   "tenants",
-		Short: "Print who asks most of a broker that runs, and what its door did",
+		Short: "Print the load of each tenant on a running broker, and how its queries were admitted",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			counters, err := fetchCounters(*config, address)
@@ -23,20 +23,20 @@
 			}
 			admission := counters.Queries.Admission
 			if admission == nil {
-				return fmt.Errorf("the broker has no door: door.on is false")
+				return fmt.Errorf("admission is off on the broker: door.on is false")
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%.0f of %.0f parts in hand, %.0f a second done, baseline %v\n", admission.InFlight, admission.Limit*admission.DelayFactor, admission.Rate,
+			fmt.Fprintf(out, "%.0f of at most %.0f shard requests in flight, %.0f completed per second, baseline delay %v\n", admission.InFlight, admission.Limit*admission.DelayFactor, admission.Rate,
 				admission.Baseline.Round(time.Millisecond))
 			if admission.DelayFactor > 1.5 {
-				fmt.Fprintf(out, "the broker itself is late: %.1f parts in hand for each at the store\n", admission.DelayFactor)
+				fmt.Fprintf(out, "the broker itself is slow: %.1f shard requests in flight for each at the store\n", admission.DelayFactor)
 			}
 			total := 0.0
 			for i := range admission.Tenants {
 				total += admission.Tenants[i].Work
 			}
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-			fmt.Fprintln(w, "TENANT\tSHARE\tENTERED\tWAITED\tWAIT NOW\tTURNED AWAY\tRAN OUT\tREPEATS")
+			fmt.Fprintln(w, "TENANT\tSHARE\tADMITTED\tFROM QUEUE\tQUEUED NOW\tREJECTED\tEXPIRED\tRETRIES")
 			for _, i := range admission.TenantsByWork() {
 				t := &admission.Tenants[i]
 				fmt.Fprintf(w, "%s\t%.1f%%\t%d\t%d\t%d\t%d\t%d\t%d\n", admission.TenantNames[i], 100*t.Work/max(1, total), t.Admitted, t.AdmittedFromQueue, t.Queued,
@@ -45,6 +45,6 @@
 			return w.Flush()
 		},
 	}
-	c.Flags().StringVar(&address, "at", "", "the broker's client address (default: the configuration's)")
+	c.Flags().StringVar(&address, "at", "", "client address of the broker (default: as in the configuration)")
 	return c
 }
