--- a/cmd/flaxfront/search_test.go
+++ b/cmd/flaxfront/search_test.go
@@ -19,11 +19,11 @@
 	defer cancel()
 	own := operator.Default()
 	own.SRU.Listen, own.Z3950.Listen = "127.0.0.1:0", "127.0.0.1:0"
-	s, err := sru.Listen(archive.New(archive.DC), own.SRU)
+	s, err := sru.Listen(archive.New(archive.DublinCoreRecord), own.SRU)
 	if err != nil {
 		t.Fatal(err)
 	}
-	z, err := z3950.Listen(archive.New(archive.DC), own.Z3950)
+	z, err := z3950.Listen(archive.New(archive.DublinCoreRecord), own.Z3950)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/flaxlab/capacity.go
+++ b/cmd/flaxlab/capacity.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer s.Close()
-	s.Pace(0)
+	s.SetMeanWork(0)
 	broker := exec.CommandContext(cmd.Context(), path, "serve", "--config", s.config)
 	if err := broker.Start(); err != nil {
 		return err
@@ -76,12 +76,12 @@
 		err = errors.Join(err, broker.Wait())
 	}()
 	time.Sleep(500 * time.Millisecond)
-	press := lab.Press{Addr: s.at, Class: "find", Parts: parts, Cells: s.Cells, Conns: conns, For: 500 * time.Millisecond, Rate: rate}
+	press := lab.CostLoad{Addr: s.at, QueryType: "find", ShardsPerQuery: parts, Cells: s.Cells, Connections: conns, RunTime: 500 * time.Millisecond, Rate: rate}
 	if _, err := press.Run(); err != nil { // warm
 		return err
 	}
 	before, began := cpuOf(broker.Process.Pid), time.Now()
-	press.For = last
+	press.RunTime = last
 	p, err := press.Run()
 	if err != nil {
 		return err
--- a/cmd/flaxlab/crew.go
+++ b/cmd/flaxlab/crew.go
@@ -21,9 +21,9 @@
 			out := cmd.OutOrStdout()
 			broken := 0
 			for _, loss := range []float64{0, 0.1, 0.3} {
-				broken += crew.Kills(out, kills, loss)
+				broken += crew.KillOwners(out, kills, loss)
 			}
-			crew.Table(out, sizes, seeds)
+			crew.CompareDetectors(out, sizes, seeds)
 			if broken > 0 {
 				return fmt.Errorf("%d tiers kept a duty waiting, or did it too often", broken)
 			}
--- a/cmd/flaxlab/flood.go
+++ b/cmd/flaxlab/flood.go
@@ -49,7 +49,7 @@
 		Use:   "queues",
 		Short: "Six ways to share a store between tenants under one flood, in virtual time",
 		Args:  cobra.NoArgs,
-		Run:   func(cmd *cobra.Command, _ []string) { lab.Queues(cmd.OutOrStdout()) },
+		Run:   func(cmd *cobra.Command, _ []string) { lab.CompareQueuing(cmd.OutOrStdout()) },
 	}
 }
 
@@ -68,7 +68,7 @@
 		return err
 	}
 	defer s.Close()
-	s.Pace(40 * time.Millisecond) // 16 cores: room for 200 searches of two parts a second
+	s.SetMeanWork(40 * time.Millisecond) // 16 cores: room for 200 searches of two parts a second
 	l, err := startBroker(s.config, s.file)
 	if err != nil {
 		return err
@@ -109,14 +109,14 @@
 			}
 		})
 	}
-	o := lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "quiet", Shards: 4, Widest: 3, Rate: 20, For: last,
-		Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 5}.Run()
+	o := lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "quiet", Shards: 4, MaxShards: 3, Rate: 20, RunTime: last,
+		Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: 5}.Run()
 	close(stop)
 	flooders.Wait()
 	client.CloseIdleConnections()
 	q := func(p float64) float64 { return float64(o.Latency.ValueAtQuantile(p)) / 1000 }
 	fmt.Fprintf(out, "%-22s  %-9d  %4d, %5.1f%%, %6.1f ms, %7.1f ms    %6.1f, %d; rules broken %d\n", door, conns, o.Asked,
-		100*float64(o.Answered)/float64(o.Asked), q(50), q(99), float64(served)/last.Seconds(), turned, len(o.Broken))
+		100*float64(o.Answered)/float64(o.Asked), q(50), q(99), float64(served)/last.Seconds(), turned, len(o.Violations))
 	if d := l.Counters().Queries.Admission; d != nil {
 		fmt.Fprintf(out, "  limit %.0f parts, %.0f a second, baseline %v\n", d.Limit, d.Rate, d.Baseline.Round(time.Millisecond))
 	}
--- a/cmd/flaxlab/live.go
+++ b/cmd/flaxlab/live.go
@@ -133,10 +133,10 @@
 	}
 	fmt.Fprintf(out, "a broker at %s before %d simulated nodes; try\n  curl -d '{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c4\"}' "+
 		"-H 'X-Request-ID: my-first' -H 'X-Tenant-Id: acme' -H 'X-Timeout-Ms: 900' http://%s/find\n", s.at, nodes, s.at)
-	course := lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "acme", Shards: 2 * s.Cells, Widest: 4, Rate: rate,
-		For: last, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 1, Every: time.Second, Say: out}
+	course := lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "acme", Shards: 2 * s.Cells, MaxShards: 4, Rate: rate,
+		RunTime: last, Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: 1, ReportEvery: time.Second, ReportTo: out}
 	if outage > 0 {
-		course.For = 5 * time.Second
+		course.RunTime = 5 * time.Second
 		fmt.Fprintln(out, course.Run())
 		s.Discovery.Down()
 		if err := l.end(); err != nil {
@@ -146,10 +146,10 @@
 			return err
 		}
 		time.AfterFunc(outage, func() { s.Discovery.Up("") })
-		course.For = outage + 5*time.Second
+		course.RunTime = outage + 5*time.Second
 		fmt.Fprintf(out, "the broker has restarted; discovery is down for %v\n", outage)
 	}
-	done := make(chan *lab.Outcome, 1)
+	done := make(chan *lab.LoadResult, 1)
 	go func() { done <- course.Run() }()
 	select {
 	case o := <-done:
@@ -168,7 +168,7 @@
 		Use:   "herd",
 		Short: "Discovery's return in virtual time: four ways of asking, 1, 20 and 300 brokers",
 		Args:  cobra.NoArgs,
-		Run:   func(cmd *cobra.Command, _ []string) { lab.Herd(cmd.OutOrStdout(), calls, seeds) },
+		Run:   func(cmd *cobra.Command, _ []string) { lab.CompareRecovery(cmd.OutOrStdout(), calls, seeds) },
 	}
 	herd.Flags().Float64Var(&calls, "calls", 500, "calls that discovery answers in a second")
 	herd.Flags().IntVar(&seeds, "seeds", 20, "returns for each line")
@@ -190,7 +190,7 @@
 				if err != nil {
 					return err
 				}
-				all, broken = append(all, stale), broken+len(o.Broken)
+				all, broken = append(all, stale), broken+len(o.Violations)
 			}
 			slices.Sort(all)
 			at := func(q float64) time.Duration { return all[int(q*float64(len(all)-1))].Round(time.Millisecond) }
@@ -205,7 +205,7 @@
 
 // playReturn lets a broker learn the list, restarts it with discovery down, drains a node meanwhile, brings discovery back
 // and tells how long after that the node still got a part.
-func playReturn(seed uint64) (stale time.Duration, o *lab.Outcome, err error) {
+func playReturn(seed uint64) (stale time.Duration, o *lab.LoadResult, err error) {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
 		return 0, nil, err
@@ -226,7 +226,7 @@
 		return 0, nil, err
 	}
 	s.List[0].Lifecycle = "terminating" // it goes on answering, so that only discovery's word can end its use
-	s.Discovery.Set(s.List)
+	s.Discovery.SetList(s.List)
 	if l, err = startBroker(s.config, s.file); err != nil {
 		return 0, nil, err
 	}
@@ -239,11 +239,11 @@
 		}
 		back <- at
 	})
-	o = lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "acme", Shards: 2 * s.Cells, Widest: 4, Rate: 200,
-		For: down + 2*time.Second, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: seed}.Run()
+	o = lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "acme", Shards: 2 * s.Cells, MaxShards: 4, Rate: 200,
+		RunTime: down + 2*time.Second, Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: seed}.Run()
 	returned := <-back
 	if returned.IsZero() {
 		return 0, o, fmt.Errorf("discovery could not come back at its address")
 	}
-	return max(0, time.Unix(0, s.Nodes[0].Last.Load()).Sub(returned)), o, l.end()
+	return max(0, time.Unix(0, s.Nodes[0].LastRequestAt.Load()).Sub(returned)), o, l.end()
 }
--- a/cmd/flaxlab/main.go
+++ b/cmd/flaxlab/main.go
@@ -19,7 +19,7 @@
 		Use:   "starts",
 		Short: "Starts without discovery in virtual time: three policies, lists of four ages, three shares of wrong entries",
 		Args:  cobra.NoArgs,
-		Run:   func(cmd *cobra.Command, _ []string) { lab.Starts(cmd.OutOrStdout(), seeds, brokers, rate) },
+		Run:   func(cmd *cobra.Command, _ []string) { lab.CompareStarts(cmd.OutOrStdout(), seeds, brokers, rate) },
 	}
 	starts.Flags().IntVar(&seeds, "seeds", 20, "starts for each line; every second one onto cold boxes")
 	starts.Flags().IntVar(&brokers, "brokers", 3, "brokers that start together")
--- a/cmd/flaxlab/play.go
+++ b/cmd/flaxlab/play.go
@@ -38,7 +38,7 @@
 					continue
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s: %d nodes, %d brokers, %v, %d troubles\n", path, s.Name, s.Fleet.Nodes,
-					s.Brokers.Count, s.For, len(s.Troubles))
+					s.Brokers.Count, s.Length, len(s.Faults))
 			}
 			if bad > 0 {
 				return fmt.Errorf("%d of %d scripts can't be played", bad, len(args))
--- a/cmd/flaxlab/sites.go
+++ b/cmd/flaxlab/sites.go
@@ -22,7 +22,7 @@
 // pair is two sites and the wire between them; the first asks, the second is asked.
 type pair struct {
 	sites [2]*site
-	wires [2]*lab.Wire // to the second site, and to the first
+	wires [2]*lab.Relay // to the second site, and to the first
 	live  [2]*live
 	links [2]string // where each listens for the other
 }
@@ -39,7 +39,7 @@
 		if p.links[i], err = lab.FreeAddr(); err != nil {
 			return nil, err
 		}
-		if p.wires[1-i], err = lab.NewWire(p.links[i], delay, jitter, seed); err != nil {
+		if p.wires[1-i], err = lab.NewRelay(p.links[i], delay, jitter, seed); err != nil {
 			return nil, err
 		}
 		if _, err = keys.Issue(ca, filepath.Join(dir, name, "keys"), keys.ID{Site: name, Broker: "n0"}, time.Hour, now); err != nil {
@@ -76,14 +76,14 @@
 func (p *pair) lose(cells ...int) {
 	for i, n := range p.sites[0].Nodes {
 		if slices.Contains(cells, i%p.sites[0].Cells) {
-			n.Turn(lab.Dead)
+			n.SetMode(lab.Dead)
 		}
 	}
 }
 
-func (p *pair) load(at int, rate float64, last time.Duration, seed uint64, audit *lab.Audit) *lab.Outcome {
-	return lab.Load{URL: "http://" + p.sites[at].at, Classes: []string{"find", "sign", "book"}, Tenant: "acme", Shards: 2 * p.sites[at].Cells,
-		Widest: 3, Rate: rate, For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: seed, Settle: audit.Settle}.Run()
+func (p *pair) load(at int, rate float64, last time.Duration, seed uint64, audit *lab.Audit) *lab.LoadResult {
+	return lab.Load{URL: "http://" + p.sites[at].at, QueryTypes: []string{"find", "sign", "book"}, Tenant: "acme", Shards: 2 * p.sites[at].Cells,
+		MaxShards: 3, Rate: rate, RunTime: last, Timeout: 1500 * time.Millisecond, Objective: time.Second, MinCompleteness: 1, Seed: seed, RecordResult: audit.RecordResult}.Run()
 }
 
 func sitesCommand() *cobra.Command {
@@ -138,7 +138,7 @@
 			time.Sleep(time.Second)
 			p.lose(day.lost...)
 			for _, s := range p.sites {
-				s.Pace(20 * time.Millisecond) // 800 parts a second
+				s.SetMeanWork(20 * time.Millisecond) // 800 parts a second
 			}
 			audit := &lab.Audit{Fleet: []*lab.Fleet{p.sites[0].Fleet, p.sites[1].Fleet}}
 			o := p.load(0, day.rate, 6*time.Second, 7, audit)
@@ -149,7 +149,7 @@
 			time.Sleep(300 * time.Millisecond)
 			broken, _ := audit.Check()
 			fmt.Fprintf(out, "%-34s  %-9v  %7d  %6.1f%%  %6.1f%%  %9d  %d\n", day.name, gateway, o.Asked,
-				100*float64(o.InTarget)/float64(o.Asked), 100*float64(o.Shed)/float64(o.Asked), forwarded, len(o.Broken)+len(broken))
+				100*float64(o.InTarget)/float64(o.Asked), 100*float64(o.Shed)/float64(o.Asked), forwarded, len(o.Violations)+len(broken))
 			p.close()
 			os.RemoveAll(dir)
 		}
@@ -160,7 +160,7 @@
 // playCuts forwards a good part of all searches and cuts the wire, one way, the other, both, for short and for long, at
 // random instants; then it holds what clients were told against what the nodes of both sites ran.
 func playCuts(out io.Writer, delay time.Duration, searches, seed int) error {
-	var sum lab.Outcome
+	var sum lab.LoadResult
 	var audited int
 	round := seed
 	var broken []string
@@ -222,7 +222,7 @@
 		<-done
 		time.Sleep(2500 * time.Millisecond) // what was forwarded late comes to rest
 		why, n := audit.Check()
-		broken, audited = append(append(broken, why...), o.Broken...), audited+n
+		broken, audited = append(append(broken, why...), o.Violations...), audited+n
 		sum.Asked, sum.Answered, sum.Shed = sum.Asked+o.Asked, sum.Answered+o.Answered, sum.Shed+o.Shed
 		sum.Failed, sum.Unanswered, sum.InTarget = sum.Failed+o.Failed, sum.Unanswered+o.Unanswered, sum.InTarget+o.InTarget
 		c := p.live[0].Counters().Queries.Gateway.Outgoing
--- a/cmd/flaxlab/stage.go
+++ b/cmd/flaxlab/stage.go
@@ -23,14 +23,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	st, err := lab.NewStage(dir, s)
+	st, err := lab.NewRehearsal(dir, s)
 	if err != nil {
 		return err
 	}
 	defer st.Close()
 	var at []string
 	for i := range s.Brokers.Count {
-		config, listen, err := st.Write(fmt.Sprintf("n%d", i))
+		config, listen, err := st.WriteBrokerConfig(fmt.Sprintf("n%d", i))
 		if err != nil {
 			return err
 		}
--- a/cmd/flaxlab/study.go
+++ b/cmd/flaxlab/study.go
@@ -92,7 +92,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintln(out, judge.Verdict(d))
+			fmt.Fprintln(out, judge.Summary(d))
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "figure\tfirst\tsecond\tdifference\t95% interval\t\t")
 			for _, x := range d {
@@ -100,18 +100,18 @@
 				switch {
 				case x.Equal:
 					word = "the same"
-				case x.Real && x.Better:
+				case x.Significant && x.Better:
 					word = "better"
-				case x.Real:
+				case x.Significant:
 					word = "worse"
 				}
-				fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%+.4f\t%+.4f to %+.4f\t%s\t\n", x.Figure.Name, x.A, x.B, x.Mean, x.Low, x.High, word)
+				fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%+.4f\t%+.4f to %+.4f\t%s\t\n", x.Metric.Name, x.A, x.B, x.Mean, x.Low, x.High, word)
 			}
 			w.Flush()
 			if html == "" {
 				return nil
 			}
-			return writePage(html, &report.Page{Title: a[0].Name + ", compared", Against: d, Verdict: judge.Verdict(d),
+			return writePage(html, &report.Page{Title: a[0].Name + ", compared", Differences: d, Summary: judge.Summary(d),
 				Results: []*play.Result{a[0], b[0]}})
 		},
 	}
@@ -160,7 +160,7 @@
 					return err
 				}
 				summary(cmd.OutOrStdout(), r)
-				p.Title, p.Teaches, p.Results = s.Name, s.Teaches, []*play.Result{r}
+				p.Title, p.Purpose, p.Results = s.Name, s.Purpose, []*play.Result{r}
 			}
 			return writePage(html, p)
 		},
@@ -183,7 +183,7 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			o.Say = func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
+			o.Log = func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
 			o.Cores = runtime.GOMAXPROCS(0)
 			f, err := hunt.Hunt(base, o)
 			if err != nil {
@@ -193,7 +193,7 @@
 				return err
 			}
 			f.Script.Name = "hunted: " + base.Name
-			fmt.Fprintf(out, "worst: service %.4f, seer %.4f, rules broken %d\n", f.Service, f.Seer, f.Broken)
+			fmt.Fprintf(out, "worst: service %.4f, seer %.4f, rules broken %d\n", f.Service, f.Oracle, f.Broken)
 			if file == "" {
 				fmt.Fprint(out, f.Script.Text())
 				return nil
@@ -201,9 +201,9 @@
 			return os.WriteFile(file, []byte(f.Script.Text()), 0o644)
 		},
 	}
-	c.Flags().IntVar(&o.Days, "days", 200, "days that are played before the worst is cut down")
+	c.Flags().IntVar(&o.Scripts, "days", 200, "days that are played before the worst is cut down")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of the hunt")
-	c.Flags().BoolVar(&o.Rules, "rules", false, "only broken rules count; twice as fast")
+	c.Flags().BoolVar(&o.OnlyRules, "rules", false, "only broken rules count; twice as fast")
 	c.Flags().StringVar(&file, "out", "", "file for the smallest script (default: printed)")
 	return c
 }
--- a/cmd/flaxlab/sweep.go
+++ b/cmd/flaxlab/sweep.go
@@ -40,7 +40,7 @@
 				}
 				steps = append(steps, x)
 			}
-			page := &report.Page{Title: base.Name + ", swept", Teaches: base.Teaches, Varied: vary}
+			page := &report.Page{Title: base.Name + ", swept", Purpose: base.Purpose, Varied: vary}
 			for _, policy := range policies {
 				curve := report.Curve{Name: policy}
 				for _, x := range steps {
@@ -52,7 +52,7 @@
 					if err != nil {
 						return err
 					}
-					curve.Points = append(curve.Points, point(x, s.For, all))
+					curve.Points = append(curve.Points, point(x, s.Length, all))
 				}
 				page.Curves = append(page.Curves, curve)
 			}
@@ -74,7 +74,7 @@
 // varied is a script with one thing changed.
 func varied(base *script.Script, vary string, x float64) (*script.Script, error) {
 	s := *base
-	s.Troubles = append([]script.Trouble(nil), base.Troubles...)
+	s.Faults = append([]script.Fault(nil), base.Faults...)
 	switch vary {
 	case "load":
 		s.Load.Rate *= x
@@ -84,8 +84,8 @@
 	case "brokers":
 		s.Brokers.Count = max(1, int(float64(s.Brokers.Count)*x))
 	case "trouble":
-		for i := range s.Troubles {
-			t := &s.Troubles[i]
+		for i := range s.Faults {
+			t := &s.Faults[i]
 			t.Share, t.Factor = min(1, t.Share*x), 1+(t.Factor-1)*x
 		}
 	default:
--- a/internal/decision/membership/membership_test.go
+++ b/internal/decision/membership/membership_test.go
@@ -11,20 +11,20 @@
 	"flaxfront/internal/lab/crew"
 )
 
-func tier(seed uint64, brokers int, loss float64) *crew.Crew {
+func tier(seed uint64, brokers int, loss float64) *crew.Cluster {
 	return crew.New(crew.Options{
 		Brokers: brokers,
 		Seed:    seed,
 		Loss:    loss,
 		Delay:   2 * time.Millisecond,
-		Policy:  crew.Default,
+		Policy:  crew.DefaultPolicy,
 		Lease:   crew.Lease,
 	})
 }
 
-func mistakenDeaths(c *crew.Crew, from time.Duration) (n int) {
-	for _, b := range c.Buried {
-		if b.Mistaken && b.At >= from {
+func mistakenDeaths(c *crew.Cluster, from time.Duration) (n int) {
+	for _, b := range c.Deaths {
+		if b.FalsePositive && b.At >= from {
 			n++
 		}
 	}
@@ -36,11 +36,11 @@
 	for _, n := range []int{2, 5, 40} {
 		c := tier(uint64(n), n, 0.3)
 		c.Run(300 * time.Millisecond) // all have started
-		for !c.Agreed() && c.Now() < 30*time.Second {
+		for !c.ViewsAgree() && c.Now() < 30*time.Second {
 			c.Run(c.Now() + 100*time.Millisecond)
 		}
-		if !c.Agreed() || c.Longest > crew.Default.MaxDatagramBytes {
-			t.Errorf("%d brokers agree %v after %v; the longest datagram had %d bytes", n, c.Agreed(), c.Now(), c.Longest)
+		if !c.ViewsAgree() || c.LongestDatagram > crew.DefaultPolicy.MaxDatagramBytes {
+			t.Errorf("%d brokers agree %v after %v; the longest datagram had %d bytes", n, c.ViewsAgree(), c.Now(), c.LongestDatagram)
 		}
 	}
 }
@@ -49,19 +49,19 @@
 func TestTwoHundredMembers(t *testing.T) {
 	c := tier(1, 200, 0)
 	c.Run(300 * time.Millisecond)
-	for !c.Agreed() && c.Now() < 30*time.Second {
+	for !c.ViewsAgree() && c.Now() < 30*time.Second {
 		c.Run(c.Now() + time.Second)
 	}
-	if !c.Agreed() {
+	if !c.ViewsAgree() {
 		t.Fatal("200 brokers do not agree after 30 s")
 	}
 	c.Kill(123)
 	killed := c.Now()
-	for !c.Agreed() && c.Now() < killed+40*time.Second {
+	for !c.ViewsAgree() && c.Now() < killed+40*time.Second {
 		c.Run(c.Now() + time.Second)
 	}
 	t.Logf("known to all after %v", c.Now()-killed)
-	if !c.Agreed() {
+	if !c.ViewsAgree() {
 		t.Error("a kill is not known to all of 200 after 40 s")
 	}
 }
@@ -71,7 +71,7 @@
 func TestOneWayLoss(t *testing.T) {
 	c := tier(3, 5, 0.05)
 	c.Run(15 * time.Second)
-	c.Cut = func(from, to int) bool { return from == 0 }
+	c.Blocked = func(from, to int) bool { return from == 0 }
 	c.Run(40 * time.Second)
 	for _, b := range c.Brokers[1:] {
 		for _, m := range b.Members.Members() {
@@ -80,9 +80,9 @@
 			}
 		}
 	}
-	c.Cut = nil
+	c.Blocked = nil
 	c.Run(50 * time.Second)
-	if !c.Agreed() {
+	if !c.ViewsAgree() {
 		t.Error("brokers do not agree ten seconds after")
 	}
 }
@@ -91,21 +91,21 @@
 func TestBadPathBetweenTwoMembers(t *testing.T) {
 	c := tier(4, 5, 0)
 	c.Run(15 * time.Second)
-	c.Cut = func(from, to int) bool { return from+to == 1 }
+	c.Blocked = func(from, to int) bool { return from+to == 1 }
 	c.Run(5 * time.Minute)
-	if n := mistakenDeaths(c, 15*time.Second); n > 0 || !c.Agreed() {
-		t.Errorf("%d mistaken deaths over one bad path, agreed %v", n, c.Agreed())
+	if n := mistakenDeaths(c, 15*time.Second); n > 0 || !c.ViewsAgree() {
+		t.Errorf("%d mistaken deaths over one bad path, agreed %v", n, c.ViewsAgree())
 	}
 }
 
 // A broker that gets its processor late declares nobody dead.
 func TestStarvedBrokerDeclaresNobodyDead(t *testing.T) {
-	c := crew.New(crew.Options{Brokers: 5, Seed: 5, Loss: 0.05, Delay: 2 * time.Millisecond, Policy: crew.Default, Lease: crew.Lease,
-		Starved: 1, Starve: 400 * time.Millisecond})
+	c := crew.New(crew.Options{Brokers: 5, Seed: 5, Loss: 0.05, Delay: 2 * time.Millisecond, Policy: crew.DefaultPolicy, Lease: crew.Lease,
+		StarvedBrokers: 1, StarveDelay: 400 * time.Millisecond})
 	c.Run(5 * time.Minute)
-	for _, b := range c.Buried {
-		if b.Who != 0 && b.Mistaken {
-			t.Errorf("%s was declared dead by broker %d at %v", crew.Name(b.Who), b.By, b.At)
+	for _, b := range c.Deaths {
+		if b.Broker != 0 && b.FalsePositive {
+			t.Errorf("%s was declared dead by broker %d at %v", crew.Name(b.Broker), b.Reporter, b.At)
 		}
 	}
 }
@@ -126,12 +126,12 @@
 	}
 	c.Restart(4)
 	for range 100 {
-		if c.Run(c.Now() + 100*time.Millisecond); c.Agreed() {
+		if c.Run(c.Now() + 100*time.Millisecond); c.ViewsAgree() {
 			break
 		}
 	}
-	if left != 4 || !c.Agreed() {
-		t.Errorf("%d of 4 know that it left as planned; agreed after its return %v", left, c.Agreed())
+	if left != 4 || !c.ViewsAgree() {
+		t.Errorf("%d of 4 know that it left as planned; agreed after its return %v", left, c.ViewsAgree())
 	}
 	if n := len(c.Brokers[0].Members.Members()); n != 5 {
 		t.Errorf("%d members are known, want 5", n)
@@ -142,7 +142,7 @@
 
 // Two brokers of one name at two addresses: the first counts, and the two do not raise their incarnations for ever.
 func TestTwoMembersOfOneName(t *testing.T) {
-	p := crew.Default
+	p := crew.DefaultPolicy
 	a := membership.New(p, "a", addr(1), 1, 1, nil)
 	twin := membership.New(p, "a", addr(2), 1, 1, []netip.AddrPort{addr(3)})
 	b := membership.New(p, "b", addr(3), 1, 1, []netip.AddrPort{addr(1)})
@@ -181,7 +181,7 @@
 	f.Add([]byte{1, 1, 0, 0, 0, 0, 1, 0, 0, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 'A', 255, 1})
 	f.Add([]byte{2, 1, 0, 0, 0, 0, 1, 0, 0, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 'Z', 3, 1, 2, 3, 'W', 4, 0, 0, 0, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p := crew.Default
+		p := crew.DefaultPolicy
 		p.MaxMembers = 3
 		m := membership.New(p, "me", addr(1), 1, 1, nil)
 		for i := range 4 {
@@ -203,7 +203,7 @@
 
 // A peer of a later version is understood as far as this one knows it.
 func TestLaterVersion(t *testing.T) {
-	m := membership.New(crew.Default, "me", addr(1), 1, 1, nil)
+	m := membership.New(crew.DefaultPolicy, "me", addr(1), 1, 1, nil)
 	name := "you"
 	b := []byte{9, 1, 0, 0, 0, 0, 7}
 	b = binary.BigEndian.AppendUint32(b, uint32(membership.IDOf(name)))
--- a/internal/decision/ownership/ownership_test.go
+++ b/internal/decision/ownership/ownership_test.go
@@ -12,17 +12,17 @@
 
 var testJobs = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
-func newTier(seed uint64, brokers int, loss float64) *crew.Crew {
-	return crew.New(crew.Options{Brokers: brokers, Seed: seed, Loss: loss, Delay: 2 * time.Millisecond, Twice: 0.05, Policy: crew.Default,
-		Duties: testJobs, Lease: crew.Lease})
+func newTier(seed uint64, brokers int, loss float64) *crew.Cluster {
+	return crew.New(crew.Options{Brokers: brokers, Seed: seed, Loss: loss, Delay: 2 * time.Millisecond, Duplicates: 0.05, Policy: crew.DefaultPolicy,
+		Jobs: testJobs, Lease: crew.Lease})
 }
 
 // checkRuns checks the jobs from the given time on: none runs more than twice in its period, and no gap between runs is longer than the
 // period and slack. It returns the longest gap beyond a period.
-func checkRuns(t *testing.T, c *crew.Crew, name string, from, slack time.Duration) (worst time.Duration) {
+func checkRuns(t *testing.T, c *crew.Cluster, name string, from, slack time.Duration) (worst time.Duration) {
 	t.Helper()
 	for i, d := range testJobs {
-		times, gap := c.Most(i, from)
+		times, gap := c.MaxRuns(i, from)
 		if times > 2 || gap > d.Period+slack {
 			t.Errorf("%s: %s ran %d times in a period, longest gap %v", name, d.Name, times, gap)
 		}
@@ -66,7 +66,7 @@
 		c.Resume(int(seed % 5))
 		c.Run(70 * time.Second)
 		checkRuns(t, c, fmt.Sprintf("seed %d", seed), 5*time.Second, 10*time.Second)
-		if !c.Agreed() {
+		if !c.ViewsAgree() {
 			t.Errorf("seed %d: after the pause the brokers do not agree on the members", seed)
 		}
 	}
@@ -79,11 +79,11 @@
 	for seed := range uint64(20) {
 		c := newTier(seed, 5, 0.1)
 		c.Run(20 * time.Second)
-		c.Cut = func(from, to int) bool { return (from < 2) != (to < 2) }
+		c.Blocked = func(from, to int) bool { return (from < 2) != (to < 2) }
 		c.Run(50 * time.Second)
-		c.Cut = nil
+		c.Blocked = nil
 		healed := c.Now()
-		for !c.Agreed() && c.Now() < healed+20*time.Second {
+		for !c.ViewsAgree() && c.Now() < healed+20*time.Second {
 			c.Run(c.Now() + 100*time.Millisecond)
 		}
 		worst = max(worst, c.Now()-healed)
@@ -118,7 +118,7 @@
 	for _, by := range []time.Duration{time.Hour, -10 * time.Second} {
 		c := newTier(1, 5, 0.1)
 		c.Run(30 * time.Second)
-		c.Jump(2, by)
+		c.SkewClock(2, by)
 		c.Run(70 * time.Second)
 		checkRuns(t, c, by.String(), 5*time.Second, 10*time.Second)
 	}
--- a/internal/lab/archive/archive.go
+++ b/internal/lab/archive/archive.go
@@ -19,70 +19,70 @@
 
 // Broker answers searches out of its records.
 type Broker struct {
-	mu       sync.Mutex
-	Store    [][]string
-	Missing  int                 // this shard does not answer; -1: all do
-	Verdict  *server.QueryResult // instead of an answer
-	Hold     chan struct{}       // searches wait for it
-	Left     chan error          // told how a search that was held ended, if its client went
-	Searches int
-	start    time.Time
+	mu             sync.Mutex
+	RecordsByShard [][]string
+	Missing        int                 // this shard does not answer; -1: all do
+	Result         *server.QueryResult // instead of an answer
+	Gate           chan struct{}       // searches wait for it
+	Aborted        chan error          // told how a search that was held ended, if its client went
+	QueryCount     int
+	start          time.Time
 }
 
 // New makes one of three shards with ten records each, in the form that make gives them.
-func New(make_ func(shard, record int) string) *Broker {
-	b := &Broker{Missing: -1, start: time.Now(), Left: make(chan error, 10)}
+func New(makeRecord func(shard, record int) string) *Broker {
+	b := &Broker{Missing: -1, start: time.Now(), Aborted: make(chan error, 10)}
 	for s := range 3 {
-		b.Store = append(b.Store, nil)
+		b.RecordsByShard = append(b.RecordsByShard, nil)
 		for i := range 10 {
-			b.Store[s] = append(b.Store[s], make_(s, i))
+			b.RecordsByShard[s] = append(b.RecordsByShard[s], makeRecord(s, i))
 		}
 	}
 	return b
 }
 
-// Plain is a record of a line of text.
-func Plain(shard, record int) string { return fmt.Sprintf("record %d of shard %d", record, shard) }
+// TextRecord is a record of a line of text.
+func TextRecord(shard, record int) string { return fmt.Sprintf("record %d of shard %d", record, shard) }
 
-// DC is a record of Dublin Core.
-func DC(shard, record int) string {
-	return fmt.Sprintf(`<dc xmlns="http://purl.org/dc/elements/1.1/"><title>%s</title></dc>`, Plain(shard, record))
+// DublinCoreRecord is a record of Dublin Core.
+func DublinCoreRecord(shard, record int) string {
+	return fmt.Sprintf(`<dc xmlns="http://purl.org/dc/elements/1.1/"><title>%s</title></dc>`, TextRecord(shard, record))
 }
 
 // Settings are those of a deployment with one query type.
 func (b *Broker) Settings() *terms.Terms {
-	return &terms.Terms{Types: []string{"find"}, Tenants: []string{"acme"}, Shards: len(b.Store),
+	return &terms.Terms{Types: []string{"find"}, Tenants: []string{"acme"}, Shards: len(b.RecordsByShard),
 		Module: decision.Settings{QueryTypes: []decision.QueryType{{Timeout: 2 * time.Second, LatencyObjective: time.Second}}}}
 }
 
 // Uptime is the time since it was made.
 func (b *Broker) Uptime() time.Duration { return time.Since(b.start) }
 
-// Set changes it between two searches.
-func (b *Broker) Set(do func(*Broker)) {
+// Update changes it between two searches.
+func (b *Broker) Update(do func(*Broker)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	do(b)
 }
 
-// Asked tells how many searches there were.
-func (b *Broker) Asked() int {
+// Queries tells how many searches there were.
+func (b *Broker) Queries() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.Searches
+	return b.QueryCount
 }
 
 // RunQuery answers as a broker would.
 func (b *Broker) RunQuery(ctx context.Context, a *server.Query) (server.QueryResult, error) {
 	b.mu.Lock()
-	hold, verdict := b.Hold, b.Verdict
-	b.Searches++
+	hold, verdict := b.Gate, b.Result
+	b.QueryCount++
 	b.mu.Unlock()
 	if hold != nil {
 		select {
 		case <-hold:
 		case <-ctx.Done():
-			b.Left <- ctx.Err()
+			b.Aborted <- ctx.Err()
 			return server.QueryResult{}, ctx.Err()
 		}
 	}
@@ -93,7 +93,7 @@
 	defer b.mu.Unlock()
 	v := server.QueryResult{Answered: true, Complete: b.Missing < 0}
 	for _, s := range a.Shards {
-		if value, ok := Value(b.Store[s], a.Text); ok && s != b.Missing {
+		if value, ok := Value(b.RecordsByShard[s], a.Text); ok && s != b.Missing {
 			v.Shards, v.Values = append(v.Shards, s), append(v.Values, value)
 		}
 	}
--- a/internal/lab/box.go
+++ b/internal/lab/box.go
@@ -18,65 +18,65 @@
 type Mode uint8
 
 const (
-	Serving  Mode = iota
-	Draining      // turns new parts away
-	Hanging       // takes parts and says nothing
-	Dead          // its machine refuses connections
-	Vanished      // connections never come up
+	Serving     Mode = iota
+	Draining         // turns new parts away
+	Hanging          // takes parts and says nothing
+	Dead             // its machine refuses connections
+	Unreachable      // connections never come up
 )
 
-// Warmth is how a box that has just started warms up, and what pushes it over (rule 4).
-type Warmth struct {
-	From     float64 // share of its capacity at the start
-	Over     time.Duration
-	Multiple float64 // offered more than so many times its capacity
-	For      time.Duration
+// WarmUpParams is how a box that has just started warms up, and what pushes it over (rule 4).
+type WarmUpParams struct {
+	InitialCapacity  float64 // share of its capacity at the start
+	RampTime         time.Duration
+	OverloadMultiple float64 // offered more than so many times its capacity
+	For              time.Duration
 }
 
-// Box is a simulated store node without a network: cores, a queue, warm-up. Times are spans since the world began.
-type Box struct {
-	Name  string
-	Cell  int
-	Mode  Mode
-	Mean  time.Duration // service time at full capacity, exponential round a floor of half
-	Queue time.Duration // longer waits are turned away
-	Warm  Warmth
-	Began time.Duration // its last start; may lie before the world's
+// NodeModel is a simulated store node without a network: cores, a queue, warm-up. Times are spans since the world began.
+type NodeModel struct {
+	Name      string
+	Cell      int
+	Mode      Mode
+	MeanWork  time.Duration // service time at full capacity, exponential round a floor of half
+	Queue     time.Duration // longer waits are turned away
+	WarmUp    WarmUpParams
+	LastStart time.Duration // its last start; may lie before the world's
 
-	rnd    *rand.Rand
-	cores  []time.Duration // when each is free
-	recent []offered       // within the last Warm.For
-	work   time.Duration   // their sum
-	Fallen bool
-	Parts  int // that reached it
+	rnd           *rand.Rand
+	cores         []time.Duration // when each is free
+	recent        []offeredWork   // within the last Warm.For
+	work          time.Duration   // their sum
+	Crashed       bool
+	ShardRequests int // that reached it
 }
 
-type offered struct{ at, work time.Duration }
+type offeredWork struct{ at, work time.Duration }
 
-// NewBox makes a box with a source of chance of its own.
-func NewBox(name string, cell, cores int, mean time.Duration, warm Warmth, seed uint64) *Box {
-	return &Box{Name: name, Cell: cell, Mean: mean, Queue: time.Second, Warm: warm, Began: math.MinInt64 / 2,
+// NewNodeModel makes a box with a source of chance of its own.
+func NewNodeModel(name string, cell, cores int, mean time.Duration, warm WarmUpParams, seed uint64) *NodeModel {
+	return &NodeModel{Name: name, Cell: cell, MeanWork: mean, Queue: time.Second, WarmUp: warm, LastStart: math.MinInt64 / 2,
 		cores: make([]time.Duration, cores), rnd: rand.New(rand.NewPCG(seed, uint64(cell)<<32+uint64(len(name))))}
 }
 
 // capacity is the share of its full speed that a box has.
-func (b *Box) capacity(now time.Duration) float64 {
-	if age := now - b.Began; age < b.Warm.Over {
-		return b.Warm.From + (1-b.Warm.From)*float64(max(0, age))/float64(b.Warm.Over)
+func (b *NodeModel) capacity(now time.Duration) float64 {
+	if age := now - b.LastStart; age < b.WarmUp.RampTime {
+		return b.WarmUp.InitialCapacity + (1-b.WarmUp.InitialCapacity)*float64(max(0, age))/float64(b.WarmUp.RampTime)
 	}
 	return 1
 }
 
 // Offer gives a box a part; it tells when the answer leaves, or that it turns it away. All that is offered presses on a
 // cold box, also what it turns away.
-func (b *Box) Offer(now time.Duration) (done time.Duration, taken bool) {
-	b.Parts++
-	work := time.Duration((0.5 + 0.5*b.rnd.ExpFloat64()) * float64(b.Mean))
+func (b *NodeModel) Offer(now time.Duration) (done time.Duration, taken bool) {
+	b.ShardRequests++
+	work := time.Duration((0.5 + 0.5*b.rnd.ExpFloat64()) * float64(b.MeanWork))
 	share := b.capacity(now)
 	if share < 1 {
-		b.press(now, work, share)
+		b.checkOverload(now, work, share)
 	}
-	if b.Fallen || b.Mode != Serving {
+	if b.Crashed || b.Mode != Serving {
 		return 0, false
 	}
 	at := slices.Index(b.cores, slices.Min(b.cores))
@@ -88,14 +88,14 @@
 	return b.cores[at], true
 }
 
-// press counts what was offered lately against the budget of rule 4.
-func (b *Box) press(now, work time.Duration, share float64) {
-	b.recent, b.work = append(b.recent, offered{now, work}), b.work+work
-	for b.recent[0].at < now-b.Warm.For {
+// checkOverload counts what was offered lately against the budget of rule 4.
+func (b *NodeModel) checkOverload(now, work time.Duration, share float64) {
+	b.recent, b.work = append(b.recent, offeredWork{now, work}), b.work+work
+	for b.recent[0].at < now-b.WarmUp.For {
 		b.work -= b.recent[0].work
 		b.recent = b.recent[1:]
 	}
-	if most := b.Warm.Multiple * share * float64(len(b.cores)) * float64(b.Warm.For); float64(b.work) > most {
-		b.Fallen = true
+	if most := b.WarmUp.OverloadMultiple * share * float64(len(b.cores)) * float64(b.WarmUp.For); float64(b.work) > most {
+		b.Crashed = true
 	}
 }
--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -82,26 +82,26 @@
 
 // Lives are told with their ends: asked for, killed, or by itself; a process that is stopped still counts as running.
 func TestLives(t *testing.T) {
-	ended := make(chan Life, 4)
-	p := NewProcess("p", filepath.Join(t.TempDir(), "log"), "/bin/sleep", []string{"60"}, nil, func(l Life) { ended <- l })
-	for _, end := range []func() bool{p.Kill, p.Term} {
+	ended := make(chan ProcessRun, 4)
+	p := NewProcess("p", filepath.Join(t.TempDir(), "log"), "/bin/sleep", []string{"60"}, nil, func(l ProcessRun) { ended <- l })
+	for _, end := range []func() bool{p.Kill, p.Terminate} {
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
 		if p.Start() == nil {
 			t.Error("started twice")
 		}
-		if !p.Freeze() || !p.Running() || !p.Thaw() {
+		if !p.Pause() || !p.Running() || !p.Resume() {
 			t.Error("a life that was stopped and continued has ended")
 		}
 		end()
-		if !p.Over(5 * time.Second) {
+		if !p.WaitForEnd(5 * time.Second) {
 			t.Fatal("it does not end")
 		}
 		<-ended
 	}
-	lives := p.Lives()
-	if len(lives) != 2 || !lives[0].Asked.IsZero() || lives[1].Asked.IsZero() || p.Kill() {
+	lives := p.Runs()
+	if len(lives) != 2 || !lives[0].StopRequestedAt.IsZero() || lives[1].StopRequestedAt.IsZero() || p.Kill() {
 		t.Errorf("%+v", lives)
 	}
 }
@@ -109,21 +109,21 @@
 // The outside audit finds a step beyond the limit, lets pass one beside a crash that nobody can have heard of, and one that came
 // after the last look that found the other out.
 func TestWatchFinds(t *testing.T) {
-	w := &Watch{now: map[string]*Absence{}, serves: map[string]bool{}, begun: map[string]bool{}, fault: map[string]time.Time{}}
+	w := &Monitor{current: map[string]*Absence{}, serves: map[string]bool{}, servedBefore: map[string]bool{}, killedAt: map[string]time.Time{}}
 	at := time.Now()
 	look := func(b string, up bool) {
 		at = at.Add(10 * time.Millisecond)
-		w.see(b, at.Add(-time.Millisecond), at, up)
+		w.record(b, at.Add(-time.Millisecond), at, up)
 	}
 	for _, b := range []string{"b0", "b1", "b2", "b3"} {
 		look(b, false) // not begun: no step
 		look(b, true)
 	}
-	w.fault["b0"] = at
+	w.killedAt["b0"] = at
 	look("b0", false)
 	look("b1", false)
 	look("b0", false)
-	if broken := w.Check(1, time.Minute); len(w.Steps()) != 1 || len(broken) != 0 {
+	if broken := w.Check(1, time.Minute); len(w.PlannedStops()) != 1 || len(broken) != 0 {
 		t.Errorf("%v; a crash just made counts", broken)
 	}
 	if broken := w.Check(1, 0); len(broken) != 1 {
@@ -136,7 +136,7 @@
 	}
 	look("b3", false)
 	look("b2", false)
-	if broken := w.Check(1, time.Minute); len(broken) != 1 || w.Most() != 2 {
+	if broken := w.Check(1, time.Minute); len(broken) != 1 || w.MaxOut() != 2 {
 		t.Errorf("%v; two at once, limit one", broken)
 	}
 }
--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -14,39 +14,39 @@
 
 // Clients put searches to a tier until they are told to end.
 type Clients struct {
-	Audit lab.Audit
-	Asked map[string]int // by broker
+	Audit           lab.Audit
+	QueriesByBroker map[string]int // by broker
 
-	mu   sync.Mutex
-	out  *lab.Outcome
-	stop chan struct{}
-	over chan struct{}
+	mu     sync.Mutex
+	result *lab.LoadResult
+	stop   chan struct{}
+	over   chan struct{}
 }
 
-// classes are the searches that must be answered whole.
-var classes = []string{"find", "sign", "book"}
+// queryTypes are the searches that must be answered whole.
+var queryTypes = []string{"find", "sign", "book"}
 
 // Clients begins a load of so many searches a second over some brokers; none: over all.
 func (t *Tier) Clients(rate float64, seed uint64, over ...*Broker) *Clients {
-	c := &Clients{Audit: lab.Audit{Fleet: []*lab.Fleet{t.Fleet}}, Asked: map[string]int{}, stop: make(chan struct{}), over: make(chan struct{})}
+	c := &Clients{Audit: lab.Audit{Fleet: []*lab.Fleet{t.Fleet}}, QueriesByBroker: map[string]int{}, stop: make(chan struct{}), over: make(chan struct{})}
 	if len(over) == 0 {
 		over = t.Brokers
 	}
 	rnd := rand.New(rand.NewPCG(seed, 0x6368616f73))
-	load := lab.Load{Classes: classes, Settle: c.Audit.Settle, Tenant: "acme", Shards: 2 * t.Cells, Widest: 3, Rate: rate, For: time.Hour,
-		Stop: c.stop, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: seed}
-	load.Pick = func() (string, func() bool) {
+	load := lab.Load{QueryTypes: queryTypes, RecordResult: c.Audit.RecordResult, Tenant: "acme", Shards: 2 * t.Cells, MaxShards: 3, Rate: rate, RunTime: time.Hour,
+		Stop: c.stop, Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: seed}
+	load.PickBroker = func() (string, func() bool) {
 		c.mu.Lock()
 		first := rnd.IntN(len(over))
 		c.mu.Unlock()
 		for i := range over {
 			b := over[(first+i)%len(over)]
-			if hits, well := b.Hit(); well && t.Watch.Serves(b.Name) {
+			if hits, well := b.Faults(); well && t.Monitor.Serves(b.Name) {
 				c.mu.Lock()
-				c.Asked[b.Name]++
+				c.QueriesByBroker[b.Name]++
 				c.mu.Unlock()
 				return b.URL, func() bool {
-					now, _ := b.Hit()
+					now, _ := b.Faults()
 					return now != hits
 				}
 			}
@@ -54,18 +54,18 @@
 		return "http://127.0.0.1:1", func() bool { return false } // nobody serves: the search has no answer
 	}
 	go func() {
-		c.out = load.Run()
+		c.result = load.Run()
 		close(c.over)
 	}()
 	return c
 }
 
-// End ends them and tells what came of all searches, with the rules that were broken.
-func (c *Clients) End() *lab.Outcome {
+// Stop ends them and tells what came of all searches, with the rules that were broken.
+func (c *Clients) Stop() *lab.LoadResult {
 	close(c.stop)
 	<-c.over
 	time.Sleep(50 * time.Millisecond) // what a node has in hand comes to rest
 	broken, _ := c.Audit.Check()
-	c.out.Broken = slices.Concat(c.out.Broken, broken)
-	return c.out
+	c.result.Violations = slices.Concat(c.result.Violations, broken)
+	return c.result
 }
--- a/internal/lab/chaos/mesh.go
+++ b/internal/lab/chaos/mesh.go
@@ -16,33 +16,33 @@
 
 // Mesh is the relays between some brokers: one for each ordered pair, so that every link can fail alone and in one direction.
 type Mesh struct {
-	mu    sync.Mutex
-	n     int
-	wires map[[2]int]*lab.Wire
-	cut   map[[2]int]bool // from a broker to another: nothing goes that way
+	mu     sync.Mutex
+	n      int
+	relays map[[2]int]*lab.Relay
+	cut    map[[2]int]bool // from a broker to another: nothing goes that way
 }
 
 // NewMesh makes the relays to the given listeners, which may begin to listen later.
 func NewMesh(listeners []string, seed uint64) (*Mesh, error) {
-	m := &Mesh{n: len(listeners), wires: map[[2]int]*lab.Wire{}, cut: map[[2]int]bool{}}
+	m := &Mesh{n: len(listeners), relays: map[[2]int]*lab.Relay{}, cut: map[[2]int]bool{}}
 	for from := range listeners {
 		for to, at := range listeners {
 			if from == to {
 				continue
 			}
-			w, err := lab.NewWire(at, 0, 0, seed+uint64(from*len(listeners)+to))
+			w, err := lab.NewRelay(at, 0, 0, seed+uint64(from*len(listeners)+to))
 			if err != nil {
 				m.Close()
 				return nil, fmt.Errorf("relay from broker %d to broker %d: %w", from, to, err)
 			}
-			m.wires[[2]int{from, to}] = w
+			m.relays[[2]int{from, to}] = w
 		}
 	}
 	return m, nil
 }
 
 // Addr is where one broker dials another.
-func (m *Mesh) Addr(from, to int) string { return m.wires[[2]int{from, to}].Addr() }
+func (m *Mesh) Addr(from, to int) string { return m.relays[[2]int{from, to}].Addr() }
 
 // Cut has nothing go from one broker to another, over whichever connection; what was on its way is held, as a link holds what is
 // sent again and again.
@@ -56,7 +56,7 @@
 // apply sets both relays between two brokers: what goes from a to b travels on connections that a opened and on those that b did.
 func (m *Mesh) apply(a, b int) {
 	for _, p := range [][2]int{{a, b}, {b, a}} {
-		m.wires[p].Cut(m.cut[p], m.cut[[2]int{p[1], p[0]}])
+		m.relays[p].Cut(m.cut[p], m.cut[[2]int{p[1], p[0]}])
 	}
 }
 
@@ -70,10 +70,10 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for p := range m.wires {
+	for p := range m.relays {
 		m.cut[p] = side[p[0]] == 0 || side[p[0]] != side[p[1]]
 	}
-	for p := range m.wires {
+	for p := range m.relays {
 		m.apply(p[0], p[1])
 	}
 }
@@ -97,7 +97,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clear(m.cut)
-	for p, w := range m.wires {
+	for p, w := range m.relays {
 		m.apply(p[0], p[1])
 		if reset {
 			w.Reset()
@@ -107,22 +107,22 @@
 
 // Reset ends all connections between two brokers, as a crash of a middlebox does.
 func (m *Mesh) Reset(a, b int) {
-	m.wires[[2]int{a, b}].Reset()
-	m.wires[[2]int{b, a}].Reset()
+	m.relays[[2]int{a, b}].Reset()
+	m.relays[[2]int{b, a}].Reset()
 }
 
-// Lag delays all that travels between a broker and the others, each way. It holds for what is sent from then on.
-func (m *Mesh) Lag(b int, delay time.Duration) {
-	for p, w := range m.wires {
+// SetDelay delays all that travels between a broker and the others, each way. It holds for what is sent from then on.
+func (m *Mesh) SetDelay(b int, delay time.Duration) {
+	for p, w := range m.relays {
 		if p[0] == b || p[1] == b {
-			w.Lag(delay)
+			w.SetDelay(delay)
 		}
 	}
 }
 
 // Close ends the relays.
 func (m *Mesh) Close() {
-	for _, w := range m.wires {
+	for _, w := range m.relays {
 		w.Close()
 	}
 }
--- a/internal/lab/chaos/process.go
+++ b/internal/lab/chaos/process.go
@@ -15,11 +15,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Life is one process of a broker, from its start to its end.
-type Life struct {
-	Began, Ended time.Time // Ended is zero while it lives
-	Asked        time.Time // when it was asked to end, or ended by itself with status 0
-	Status       int       // its exit status; -1: a signal ended it
+// ProcessRun is one process of a broker, from its start to its end.
+type ProcessRun struct {
+	StartedAt, EndedAt time.Time // Ended is zero while it lives
+	StopRequestedAt    time.Time // when it was asked to end, or ended by itself with status 0
+	Status             int       // its exit status; -1: a signal ended it
 }
 
 // Process is one broker's program, started anew as often as its supervisor is told to.
@@ -27,22 +27,22 @@
 	Name string
 	Log  string // file of its output, all lives one after another
 
-	path string
-	args []string
-	env  []string
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	over chan struct{} // closed at the end of the present life
-	held bool          // stopped by SIGSTOP
-	dead bool          // killed
-	hits int           // faults so far
-	past []Life
-	ends func(Life)
+	path       string
+	args       []string
+	env        []string
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	endOfRun   chan struct{} // closed at the end of the present life
+	stopped    bool          // stopped by SIGSTOP
+	killed     bool          // killed
+	faultCount int           // faults so far
+	history    []ProcessRun
+	onEnd      func(ProcessRun)
 }
 
 // NewProcess names a program; nothing is started. ends hears of the end of each life, in a goroutine of its own; nil: nobody.
-func NewProcess(name, log, path string, args, env []string, ends func(Life)) *Process {
-	return &Process{Name: name, Log: log, path: path, args: args, env: env, ends: ends}
+func NewProcess(name, log, path string, args, env []string, onEnd func(ProcessRun)) *Process {
+	return &Process{Name: name, Log: log, path: path, args: args, env: env, onEnd: onEnd}
 }
 
 // Start starts a life. env adds to the environment of the process.
@@ -58,36 +58,36 @@
 	}
 	cmd := exec.Command(p.path, p.args...)
 	cmd.Env = append(append(os.Environ(), p.env...), env...)
-	cmd.Stderr = piped{out}                                            // not the file itself, which a limit on files would take from it
+	cmd.Stderr = plainWriter{out}                                      // not the file itself, which a limit on files would take from it
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it never outlives the test
 	if err := cmd.Start(); err != nil {
 		out.Close()
 		return err
 	}
-	p.cmd, p.held, p.dead, p.over = cmd, false, false, make(chan struct{})
-	p.past = append(p.past, Life{Began: time.Now()})
-	go p.wait(cmd, p.over, out)
+	p.cmd, p.stopped, p.killed, p.endOfRun = cmd, false, false, make(chan struct{})
+	p.history = append(p.history, ProcessRun{StartedAt: time.Now()})
+	go p.wait(cmd, p.endOfRun, out)
 	return nil
 }
 
-// piped hides that a writer is a file.
-type piped struct{ io.Writer }
+// plainWriter hides that a writer is a file.
+type plainWriter struct{ io.Writer }
 
 func (p *Process) wait(cmd *exec.Cmd, over chan struct{}, out io.Closer) {
 	err := cmd.Wait() // from here on os.Process refuses signals, so that none can reach another process by this one's number
 	out.Close()
 	p.mu.Lock()
-	life := &p.past[len(p.past)-1]
-	life.Ended = time.Now()
-	if life.Status = cmd.ProcessState.ExitCode(); err == nil && life.Asked.IsZero() {
-		life.Asked = life.Ended
+	life := &p.history[len(p.history)-1]
+	life.EndedAt = time.Now()
+	if life.Status = cmd.ProcessState.ExitCode(); err == nil && life.StopRequestedAt.IsZero() {
+		life.StopRequestedAt = life.EndedAt
 	}
 	p.cmd = nil
 	ended := *life
 	p.mu.Unlock()
 	close(over)
-	if p.ends != nil {
-		go p.ends(ended)
+	if p.onEnd != nil {
+		go p.onEnd(ended)
 	}
 }
 
@@ -98,12 +98,12 @@
 	return p.cmd.Process.Signal(s) == nil
 }
 
-// Term asks for a planned stop.
-func (p *Process) Term() bool {
+// Terminate asks for a planned stop.
+func (p *Process) Terminate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd != nil && p.past[len(p.past)-1].Asked.IsZero() {
-		p.past[len(p.past)-1].Asked = time.Now()
+	if p.cmd != nil && p.history[len(p.history)-1].StopRequestedAt.IsZero() {
+		p.history[len(p.history)-1].StopRequestedAt = time.Now()
 	}
 	return p.signal(syscall.SIGTERM)
 }
@@ -112,43 +112,43 @@
 func (p *Process) Kill() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dead, p.hits = true, p.hits+1
+	p.killed, p.faultCount = true, p.faultCount+1
 	return p.signal(syscall.SIGKILL)
 }
 
-// Freeze stops the process, as a machine that swaps or a hypervisor that moves it does; Thaw lets it go on as if nothing had been.
-func (p *Process) Freeze() bool {
+// Pause stops the process, as a machine that swaps or a hypervisor that moves it does; Thaw lets it go on as if nothing had been.
+func (p *Process) Pause() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hits++
-	p.held = p.signal(syscall.SIGSTOP)
-	return p.held
+	p.faultCount++
+	p.stopped = p.signal(syscall.SIGSTOP)
+	return p.stopped
 }
 
-// Thaw continues a process that was stopped.
-func (p *Process) Thaw() bool {
+// Resume continues a process that was stopped.
+func (p *Process) Resume() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held = false
+	p.stopped = false
 	return p.signal(syscall.SIGCONT)
 }
 
-// Held tells whether the process is stopped by Freeze.
-func (p *Process) Held() bool {
+// Paused tells whether the process is stopped by Freeze.
+func (p *Process) Paused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held
+	return p.stopped
 }
 
-// Hit tells how often a fault was put into the process, and whether it goes on as if there had been none.
-func (p *Process) Hit() (times int, well bool) {
+// Faults tells how often a fault was put into the process, and whether it goes on as if there had been none.
+func (p *Process) Faults() (times int, well bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.hits, p.cmd != nil && !p.held && !p.dead
+	return p.faultCount, p.cmd != nil && !p.stopped && !p.killed
 }
 
-// Limit bounds what the process may write into any file, counted from its start: beyond it writes fail, as on a full disk.
-func (p *Process) Limit(bytes uint64) error {
+// LimitFileSize bounds what the process may write into any file, counted from its start: beyond it writes fail, as on a full disk.
+func (p *Process) LimitFileSize(bytes uint64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -164,32 +164,32 @@
 	return p.cmd != nil
 }
 
-// Over waits for the end of the present life; false: it has not come in time.
-func (p *Process) Over(within time.Duration) bool {
+// WaitForEnd waits for the end of the present life; false: it has not come in time.
+func (p *Process) WaitForEnd(within time.Duration) bool {
 	p.mu.Lock()
-	over := p.over
+	endOfRun := p.endOfRun
 	p.mu.Unlock()
-	if over == nil {
+	if endOfRun == nil {
 		return true
 	}
 	select {
-	case <-over:
+	case <-endOfRun:
 		return true
 	case <-time.After(within):
 		return false
 	}
 }
 
-// Lives are all lives so far.
-func (p *Process) Lives() []Life {
+// Runs are all lives so far.
+func (p *Process) Runs() []ProcessRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Life(nil), p.past...)
+	return append([]ProcessRun(nil), p.history...)
 }
 
 // Close ends the process for good.
 func (p *Process) Close() {
-	p.Thaw()
+	p.Resume()
 	p.Kill()
-	p.Over(5 * time.Second)
+	p.WaitForEnd(5 * time.Second)
 }
--- a/internal/lab/chaos/tier.go
+++ b/internal/lab/chaos/tier.go
@@ -36,38 +36,38 @@
 // Broker is one process of a tier.
 type Broker struct {
 	*Process
-	Index   int
-	URL     string
-	Agrees  string // where it listens for other brokers
-	Version string // release that its next life runs
-	Config  string
-	File    string         // operators' file
-	Own     map[string]any // further keys of its own, under "fleet"
+	Index          int
+	URL            string
+	PeerAddr       string // where it listens for other brokers
+	Version        string // release that its next life runs
+	Config         string
+	OperatorFile   string         // operators' file
+	FleetOverrides map[string]any // further keys of its own, under "fleet"
 }
 
 // Tier is brokers, nodes and discovery. All but the brokers are simulated.
 type Tier struct {
 	*lab.Fleet
-	Brokers []*Broker
-	Mesh    *Mesh
-	Operate string // operators' file of whoever gives commands
-	Watch   *Watch
-
-	o    Options
-	dir  string
-	ring *keys.Keyring // of the operator
-	mu   sync.Mutex
-	next func(b *Broker) error // prepares the life after a planned stop; nil: the same again
-	off  bool
+	Brokers     []*Broker
+	Mesh        *Mesh
+	CommandFile string // operators' file of whoever gives commands
+	Monitor     *Monitor
+
+	options        Options
+	dir            string
+	operatorKeys   *keys.Keyring // of the operator
+	mu             sync.Mutex
+	prepareRestart func(b *Broker) error // prepares the life after a planned stop; nil: the same again
+	closed         bool
 }
 
 // NewTier writes all files and starts nodes and discovery; no broker is started.
-func NewTier(dir string, o Options) (*Tier, error) {
-	f, err := lab.NewFleet(dir, o.Nodes, o.Cells, o.Seed)
+func NewTier(dir string, options Options) (*Tier, error) {
+	f, err := lab.NewFleet(dir, options.Nodes, options.Cells, options.Seed)
 	if err != nil {
 		return nil, err
 	}
-	t := &Tier{Fleet: f, o: o, dir: dir}
+	t := &Tier{Fleet: f, options: options, dir: dir}
 	if err := f.Discovery.Up("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
@@ -76,12 +76,12 @@
 		return nil, err
 	}
 	var agrees []string
-	for i := range o.Brokers {
+	for i := range options.Brokers {
 		b := &Broker{Index: i, Version: "v1"}
 		name := fmt.Sprintf("b%d", i)
 		listen, err := lab.FreeAddr()
 		if err == nil {
-			b.Agrees, err = lab.FreeAddr()
+			b.PeerAddr, err = lab.FreeAddr()
 		}
 		if err == nil {
 			_, err = keys.Issue(authority, filepath.Join(dir, "keys", name), keys.ID{Site: "here", Broker: name}, 24*time.Hour, time.Now())
@@ -92,46 +92,46 @@
 		if err != nil {
 			return nil, err
 		}
-		b.URL, b.File = "http://"+listen, filepath.Join(dir, name+".operator.json5")
-		args := []string{"serve", "--config", b.Config, "--operator", b.File}
-		b.Process = NewProcess(name, filepath.Join(dir, name+".log"), o.Program, args, nil, func(l Life) { t.ended(b, l) })
-		t.Brokers, agrees = append(t.Brokers, b), append(agrees, b.Agrees)
+		b.URL, b.OperatorFile = "http://"+listen, filepath.Join(dir, name+".operator.json5")
+		args := []string{"serve", "--config", b.Config, "--operator", b.OperatorFile}
+		b.Process = NewProcess(name, filepath.Join(dir, name+".log"), options.Program, args, nil, func(l ProcessRun) { t.restartAfterStop(b, l) })
+		t.Brokers, agrees = append(t.Brokers, b), append(agrees, b.PeerAddr)
 	}
-	if t.Mesh, err = NewMesh(agrees, o.Seed); err != nil {
+	if t.Mesh, err = NewMesh(agrees, options.Seed); err != nil {
 		return nil, err
 	}
 	_, err = keys.Issue(authority, filepath.Join(dir, "keys", "operator"), keys.ID{Site: "here", Broker: "operator"}, 24*time.Hour, time.Now())
 	if err == nil {
-		t.ring, err = keys.Open(filepath.Join(dir, "keys", "operator"))
+		t.operatorKeys, err = keys.Open(filepath.Join(dir, "keys", "operator"))
 	}
 	if err == nil {
-		t.Operate, err = t.write("operator", -1, "")
+		t.CommandFile, err = t.writeOperatorFile("operator", -1, "")
 	}
-	t.Watch = newWatch(t)
+	t.Monitor = newMonitor(t)
 	return t, err
 }
 
-// write writes the operators' file of a broker. It dials the others through its own relays.
-func (t *Tier) write(name string, self int, version string) (string, error) {
+// writeOperatorFile writes the operators' file of a broker. It dials the others through its own relays.
+func (t *Tier) writeOperatorFile(name string, self int, version string) (string, error) {
 	var voters []string
-	for i := range t.o.Voters {
-		at := t.Brokers[i].Agrees
+	for i := range t.options.Voters {
+		at := t.Brokers[i].PeerAddr
 		if self >= 0 && i != self {
 			at = t.Mesh.Addr(self, i)
 		}
 		voters = append(voters, fmt.Sprintf("b%d=%s", i, at))
 	}
-	fleet := map[string]any{"voters": voters, "keys": filepath.Join(t.dir, "keys", name), "lease": t.o.Lease.String()}
+	fleet := map[string]any{"voters": voters, "keys": filepath.Join(t.dir, "keys", name), "lease": t.options.Lease.String()}
 	if self >= 0 {
-		fleet["listen"], fleet["slot"], fleet["release_version"] = t.Brokers[self].Agrees, self, version
-		if self < t.o.Voters {
+		fleet["listen"], fleet["slot"], fleet["release_version"] = t.Brokers[self].PeerAddr, self, version
+		if self < t.options.Voters {
 			fleet["directory"] = filepath.Join(t.dir, "agreed", name)
 		}
-		if len(t.o.Zones) > 0 {
-			fleet["zone"] = t.o.Zones[self%len(t.o.Zones)]
+		if len(t.options.Zones) > 0 {
+			fleet["zone"] = t.options.Zones[self%len(t.options.Zones)]
 		}
-		maps.Copy(fleet, t.o.Fleet)
-		maps.Copy(fleet, t.Brokers[self].Own)
+		maps.Copy(fleet, t.options.Fleet)
+		maps.Copy(fleet, t.Brokers[self].FleetOverrides)
 	}
 	b, err := json.MarshalIndent(map[string]any{"fleet": fleet}, "", " ")
 	if err != nil {
@@ -143,19 +143,19 @@
 
 // Start starts a life of a broker as the release that it is to run.
 func (t *Tier) Start(b *Broker) error {
-	if _, err := t.write(b.Name, b.Index, b.Version); err != nil {
+	if _, err := t.writeOperatorFile(b.Name, b.Index, b.Version); err != nil {
 		return err
 	}
 	return b.Process.Start()
 }
 
-// Begin begins a voter's log, as an operator does once in its life.
-func (t *Tier) Begin(b *Broker) error {
-	file, err := t.write(b.Name, b.Index, b.Version)
+// InitLog begins a voter's log, as an operator does once in its life.
+func (t *Tier) InitLog(b *Broker) error {
+	file, err := t.writeOperatorFile(b.Name, b.Index, b.Version)
 	if err != nil {
 		return err
 	}
-	if out, err := exec.Command(t.o.Program, "fleet", "begin", "--operator", file).CombinedOutput(); err != nil {
+	if out, err := exec.Command(t.options.Program, "fleet", "begin", "--operator", file).CombinedOutput(); err != nil {
 		return fmt.Errorf("log of %s: %w: %s", b.Name, err, out)
 	}
 	return nil
@@ -163,8 +163,8 @@
 
 // StartAll begins the voters' logs, starts all brokers and waits until they serve.
 func (t *Tier) StartAll(within time.Duration) error {
-	for _, b := range t.Brokers[:t.o.Voters] {
-		if err := t.Begin(b); err != nil {
+	for _, b := range t.Brokers[:t.options.Voters] {
+		if err := t.InitLog(b); err != nil {
 			return err
 		}
 	}
@@ -176,7 +176,7 @@
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
 		up := 0
 		for _, b := range t.Brokers {
-			if serves, _ := b.Up(); serves {
+			if serves, _ := b.Serving(); serves {
 				up++
 			}
 		}
@@ -193,26 +193,26 @@
 func (t *Tier) Supervise(prepare func(b *Broker) error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.next = prepare
+	t.prepareRestart = prepare
 }
 
-func (t *Tier) ended(b *Broker, l Life) {
+func (t *Tier) restartAfterStop(b *Broker, l ProcessRun) {
 	t.mu.Lock()
-	next, off := t.next, t.off
+	prepareRestart, closed := t.prepareRestart, t.closed
 	t.mu.Unlock()
-	if off || next == nil || l.Status != 0 {
+	if closed || prepareRestart == nil || l.Status != 0 {
 		return
 	}
-	if err := next(b); err == nil {
+	if err := prepareRestart(b); err == nil {
 		t.Start(b)
 	}
 }
 
-var quick = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var probeClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Up tells whether a broker says that it serves. said is false where it says nothing in time, which tells nothing.
-func (b *Broker) Up() (up, said bool) {
-	resp, err := quick.Get(b.URL + "/up")
+// Serving tells whether a broker says that it serves. said is false where it says nothing in time, which tells nothing.
+func (b *Broker) Serving() (up, said bool) {
+	resp, err := probeClient.Get(b.URL + "/up")
 	if err != nil {
 		return false, errors.Is(err, syscall.ECONNREFUSED)
 	}
@@ -223,9 +223,9 @@
 // Close ends everything.
 func (t *Tier) Close() {
 	t.mu.Lock()
-	t.off = true
+	t.closed = true
 	t.mu.Unlock()
-	t.Watch.Close()
+	t.Monitor.Close()
 	for _, b := range t.Brokers {
 		b.Close()
 	}
--- a/internal/lab/chaos/watch.go
+++ b/internal/lab/chaos/watch.go
@@ -10,55 +10,55 @@
 	"time"
 )
 
-// lookEvery is how often each broker is looked at. A planned stop says 503 for half a second before the process ends, so that none
+// pollInterval is how often each broker is looked at. A planned stop says 503 for half a second before the process ends, so that none
 // is missed; a crash is seen by the end of the process.
-const lookEvery = 15 * time.Millisecond
+const pollInterval = 15 * time.Millisecond
 
 // Absence is a span in which a broker was surely out: from the first sign of it to the last look that still found it so.
 type Absence struct {
-	Broker     string
-	From, Last time.Time
-	Killed     bool // by a fault of the test
-	Over       bool
+	Broker            string
+	From, LastSeenOut time.Time
+	Killed            bool // by a fault of the test
+	Ended             bool
 }
 
-// Step is one planned stop, with who else was surely out at that moment.
-type Step struct {
+// PlannedStop is one planned stop, with who else was surely out at that moment.
+type PlannedStop struct {
 	Broker string
 	At     time.Time
-	Out    []Other
+	Out    []OutBroker
 }
 
-// Other is a broker that was out when another one went.
-type Other struct {
+// OutBroker is a broker that was out when another one went.
+type OutBroker struct {
 	Broker string
-	For    time.Duration
+	OutFor time.Duration
 	Killed bool // by a fault of the test
 }
 
-// Watch follows a tier.
-type Watch struct {
-	mu     sync.Mutex
-	all    []*Absence
-	now    map[string]*Absence  // of those that are out
-	serves map[string]bool      // at the last look
-	begun  map[string]bool      // served before
-	fault  map[string]time.Time // a fault of the test is about to end it
-	stop   chan struct{}
-	over   sync.WaitGroup
+// Monitor follows a tier.
+type Monitor struct {
+	mu           sync.Mutex
+	all          []*Absence
+	current      map[string]*Absence  // of those that are out
+	serves       map[string]bool      // at the last look
+	servedBefore map[string]bool      // served before
+	killedAt     map[string]time.Time // a fault of the test is about to end it
+	stop         chan struct{}
+	pollers      sync.WaitGroup
 }
 
-func newWatch(t *Tier) *Watch {
-	w := &Watch{now: map[string]*Absence{}, serves: map[string]bool{}, begun: map[string]bool{}, fault: map[string]time.Time{},
+func newMonitor(t *Tier) *Monitor {
+	w := &Monitor{current: map[string]*Absence{}, serves: map[string]bool{}, servedBefore: map[string]bool{}, killedAt: map[string]time.Time{},
 		stop: make(chan struct{})}
 	for _, b := range t.Brokers {
-		w.over.Go(func() { w.follow(b) })
+		w.pollers.Go(func() { w.poll(b) })
 	}
 	return w
 }
 
-func (w *Watch) follow(b *Broker) {
-	tick := time.NewTicker(lookEvery)
+func (w *Monitor) poll(b *Broker) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -67,65 +67,65 @@
 		case <-tick.C:
 		}
 		asked := time.Now()
-		if b.Held() {
+		if b.Paused() {
 			continue // a process that is stopped says nothing, and has not gone
 		}
 		if !b.Running() {
-			w.see(b.Name, asked, asked, false)
+			w.record(b.Name, asked, asked, false)
 			continue
 		}
-		if up, said := b.Up(); said {
-			w.see(b.Name, asked, time.Now(), up)
+		if up, said := b.Serving(); said {
+			w.record(b.Name, asked, time.Now(), up)
 		}
 	}
 }
 
-// see takes a look: at some moment from asked to told it was so.
-func (w *Watch) see(name string, asked, told time.Time, up bool) {
+// record takes a look: at some moment from asked to told it was so.
+func (w *Monitor) record(name string, asked, told time.Time, up bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.serves[name] = up
-	a := w.now[name]
+	a := w.current[name]
 	switch {
 	case up && a != nil:
-		a.Over = true
-		delete(w.now, name)
-		delete(w.fault, name)
+		a.Ended = true
+		delete(w.current, name)
+		delete(w.killedAt, name)
 	case !up && a != nil:
-		a.Last = asked
-	case !up && w.begun[name]:
-		since, killed := w.fault[name]
+		a.LastSeenOut = asked
+	case !up && w.servedBefore[name]:
+		since, killed := w.killedAt[name]
 		if !killed {
 			since = told
 		}
-		a = &Absence{Broker: name, From: since, Last: since, Killed: killed}
-		w.all, w.now[name] = append(w.all, a), a
+		a = &Absence{Broker: name, From: since, LastSeenOut: since, Killed: killed}
+		w.all, w.current[name] = append(w.all, a), a
 	}
-	w.begun[name] = w.begun[name] || up
+	w.servedBefore[name] = w.servedBefore[name] || up
 }
 
-// Fault tells that a broker is about to be killed by the test: its end is no step.
-func (w *Watch) Fault(name string) {
+// ExpectKill tells that a broker is about to be killed by the test: its end is no step.
+func (w *Monitor) ExpectKill(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fault[name] = time.Now()
+	w.killedAt[name] = time.Now()
 }
 
 // Serves tells whether a broker served when it was looked at last.
-func (w *Watch) Serves(name string) bool {
+func (w *Monitor) Serves(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.serves[name]
 }
 
-// Most is how many were surely out at once.
-func (w *Watch) Most() (most int) {
+// MaxOut is how many were surely out at once.
+func (w *Monitor) MaxOut() (most int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.all {
 		n := 0
 		for _, o := range w.all {
-			if !o.From.After(a.From) && !o.Last.Before(a.From) {
+			if !o.From.After(a.From) && !o.LastSeenOut.Before(a.From) {
 				n++
 			}
 		}
@@ -134,18 +134,18 @@
 	return most
 }
 
-// Steps are the planned stops so far.
-func (w *Watch) Steps() (all []Step) {
+// PlannedStops are the planned stops so far.
+func (w *Monitor) PlannedStops() (all []PlannedStop) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.all {
 		if a.Killed {
 			continue
 		}
-		s := Step{Broker: a.Broker, At: a.From}
+		s := PlannedStop{Broker: a.Broker, At: a.From}
 		for _, o := range w.all {
-			if o != a && o.From.Before(a.From) && !o.Last.Before(a.From) {
-				s.Out = append(s.Out, Other{o.Broker, a.From.Sub(o.From), o.Killed})
+			if o != a && o.From.Before(a.From) && !o.LastSeenOut.Before(a.From) {
+				s.Out = append(s.Out, OutBroker{o.Broker, a.From.Sub(o.From), o.Killed})
 			}
 		}
 		all = append(all, s)
@@ -155,11 +155,11 @@
 
 // Check lists what breaks the limit: a planned stop while as many others as may be out at once were out. A crash that the fleet
 // can't have heard of yet is no broker's fault; it is one once it is older than known.
-func (w *Watch) Check(most int, known time.Duration) (broken []string) {
-	for _, s := range w.Steps() {
+func (w *Monitor) Check(most int, known time.Duration) (broken []string) {
+	for _, s := range w.PlannedStops() {
 		n := 0
 		for _, o := range s.Out {
-			if !o.Killed || o.For >= known {
+			if !o.Killed || o.OutFor >= known {
 				n++
 			}
 		}
@@ -171,7 +171,7 @@
 }
 
 // Close ends the watch.
-func (w *Watch) Close() {
+func (w *Monitor) Close() {
 	close(w.stop)
-	w.over.Wait()
+	w.pollers.Wait()
 }
--- a/internal/lab/conns.go
+++ b/internal/lab/conns.go
@@ -24,10 +24,10 @@
 	return open
 }
 
-// accepted takes a connection in. The caller holds the lock.
-func (n *Node) accepted(c net.Conn) {
+// addConn takes a connection in. The caller holds the lock.
+func (n *Node) addConn(c net.Conn) {
 	n.conns[c] = true
-	if len(n.conns) <= n.peak {
+	if len(n.conns) <= n.peakConns {
 		return
 	}
 	open := 0
@@ -36,11 +36,11 @@
 			open++
 		}
 	}
-	n.peak = max(n.peak, open)
+	n.peakConns = max(n.peakConns, open)
 }
 
-// Conns tells how many connections are open, and the most that were at once since Calm.
-func (n *Node) Conns() (open, peak int) {
+// Connections tells how many connections are open, and the most that were at once since Calm.
+func (n *Node) Conns() (open, peakConns int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
@@ -48,12 +48,12 @@
 			open++
 		}
 	}
-	return open, n.peak
+	return open, n.peakConns
 }
 
-// Calm begins the count of the most anew.
-func (n *Node) Calm() {
+// ResetPeak begins the count of the most anew.
+func (n *Node) ResetPeak() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.peak = 0
+	n.peakConns = 0
 }
--- a/internal/lab/conns_test.go
+++ b/internal/lab/conns_test.go
@@ -8,11 +8,11 @@
 
 // Connections that were open together are found, also once they are closed; those that followed one another are not.
 func TestConnsCounted(t *testing.T) {
-	n, err := StartNode("127.0.0.1:0", NewBox("n", 0, 1, time.Millisecond, Warmth{}, 1), 1, time.Now())
+	n, err := StartNode("127.0.0.1:0", NewNodeModel("n", 0, 1, time.Millisecond, WarmUpParams{}, 1), 1, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Turn(Dead)
+	defer n.SetMode(Dead)
 	open := func() net.Conn {
 		c, err := net.Dial("tcp", n.Addr())
 		if err != nil {
@@ -37,14 +37,14 @@
 		c.Write([]byte("x")) // unread bytes before the close
 		c.Close()
 	}
-	if counted(0); n.peak != 1 {
-		t.Errorf("%d at once; each was closed before the next", n.peak)
+	if counted(0); n.peakConns != 1 {
+		t.Errorf("%d at once; each was closed before the next", n.peakConns)
 	}
 	a, _ := open(), open()
 	counted(2)
 	a.Close()
 	counted(1)
-	if _, peak := n.Conns(); peak != 2 {
-		t.Errorf("%d at once; two were", peak)
+	if _, peakConns := n.Conns(); peakConns != 2 {
+		t.Errorf("%d at once; two were", peakConns)
 	}
 }
--- a/internal/lab/crew/broker.go
+++ b/internal/lab/crew/broker.go
@@ -10,24 +10,24 @@
 	"flaxfront/internal/decision/ownership"
 )
 
-func (b *Broker) clock() time.Duration { return b.c.now + b.skew }
+func (b *Broker) clock() time.Duration { return b.cluster.now + b.clockSkew }
 
 func (b *Broker) start() {
-	c := b.c
+	cluster := b.cluster
 	b.Up, b.Paused = true, false
-	b.starts++
-	p := c.o.Policy
-	p.Seed = c.rnd.Uint64()
+	b.startCount++
+	p := cluster.o.Policy
+	p.Seed = cluster.rnd.Uint64()
 	var seeds []netip.AddrPort
-	for i := range min(3, len(c.Brokers)) {
-		seeds = append(seeds, c.Brokers[i].addr)
+	for i := range min(3, len(cluster.Brokers)) {
+		seeds = append(seeds, cluster.Brokers[i].addr)
 	}
-	b.Members = membership.New(p, Name(b.n), b.addr, 1, uint32(b.starts), seeds)
-	b.Duties = ownership.NewCoordinator(c.o.Lease, uint32(membership.IDOf(Name(b.n))), c.o.Duties, b.clock())
+	b.Members = membership.New(p, Name(b.index), b.addr, 1, uint32(b.startCount), seeds)
+	b.Jobs = ownership.NewCoordinator(cluster.o.Lease, uint32(membership.IDOf(Name(b.index))), cluster.o.Jobs, b.clock())
 	b.view = nil
-	b.beats, b.dead = map[int]time.Duration{}, map[int]bool{}
-	if c.o.AllToAll {
-		b.beat()
+	b.heardAt, b.dead = map[int]time.Duration{}, map[int]bool{}
+	if cluster.o.AllToAll {
+		b.heartbeat()
 		return
 	}
 	b.tick()
@@ -38,14 +38,14 @@
 	if !b.Up || b.Paused {
 		return
 	}
-	b.turn()
+	b.step()
 }
 
-func (b *Broker) turn() {
+func (b *Broker) step() {
 	now := b.clock()
 	next := b.Members.Tick(now)
 	for _, note := range b.Members.DrainBroadcasts() {
-		if cl, ok := ownership.DecodeClaim(note); ok && b.Duties.HandleClaim(cl, now) {
+		if cl, ok := ownership.DecodeClaim(note); ok && b.Jobs.HandleClaim(cl, now) {
 			b.Members.Broadcast(uint64(cl.Job), note)
 		}
 	}
@@ -53,13 +53,13 @@
 	for _, ch := range changes {
 		if ch.Member.State == membership.Dead {
 			who := -1
-			for i := range b.c.Brokers {
+			for i := range b.cluster.Brokers {
 				if membership.IDOf(Name(i)) == ch.Member.ID {
 					who = i
 				}
 			}
-			o := b.c.Brokers[who]
-			b.c.Buried = append(b.c.Buried, Burial{b.c.now, who, b.n, o.Up && !o.Paused})
+			o := b.cluster.Brokers[who]
+			b.cluster.Deaths = append(b.cluster.Deaths, DeathReport{b.cluster.now, who, b.index, o.Up && !o.Paused})
 		}
 	}
 	if b.view == nil || len(changes) > 0 {
@@ -70,102 +70,102 @@
 			}
 		}
 	}
-	b.Duties.SetMembers(b.view, b.Members.LastContact())
-	runs, at := b.Duties.Tick(now)
+	b.Jobs.SetMembers(b.view, b.Members.LastContact())
+	runs, at := b.Jobs.Tick(now)
 	for _, r := range runs {
-		b.c.at(b.c.now+5*time.Millisecond, func() { b.done(r) })
+		b.cluster.at(b.cluster.now+5*time.Millisecond, func() { b.finishRun(r) })
 	}
-	b.tell()
+	b.broadcastClaims()
 	b.flush()
-	due := b.c.now + min(next, at) - now
-	if b.n < b.c.o.Starved { // it gets its core when others let it
-		due += time.Duration(b.c.rnd.ExpFloat64() * float64(b.c.o.Starve))
-	}
-	if due < b.woken || b.woken <= b.c.now {
-		b.woken = due
-		b.c.at(due, func() {
-			if b.woken <= b.c.now {
+	due := b.cluster.now + min(next, at) - now
+	if b.index < b.cluster.o.StarvedBrokers { // it gets its core when others let it
+		due += time.Duration(b.cluster.rnd.ExpFloat64() * float64(b.cluster.o.StarveDelay))
+	}
+	if due < b.wakeAt || b.wakeAt <= b.cluster.now {
+		b.wakeAt = due
+		b.cluster.at(due, func() {
+			if b.wakeAt <= b.cluster.now {
 				b.tick()
 			}
 		})
 	}
 }
 
-// done is when a run takes effect: the others take it, unless they know of a later owner.
-func (b *Broker) done(r ownership.Run) {
+// finishRun is when a run takes effect: the others take it, unless they know of a later owner.
+func (b *Broker) finishRun(r ownership.Run) {
 	if !b.Up {
 		return
 	}
 	if b.Paused {
-		b.waiting = append(b.waiting, func() { b.done(r) })
+		b.deferred = append(b.deferred, func() { b.finishRun(r) })
 		return
 	}
 	taken := true
-	for _, o := range b.c.Brokers {
-		if o.Up && !o.Paused && (b.c.Cut == nil || !b.c.Cut(b.n, o.n)) {
-			taken = o.Duties.AcceptFence(r.Job, r.Fence) && taken
+	for _, o := range b.cluster.Brokers {
+		if o.Up && !o.Paused && (b.cluster.Blocked == nil || !b.cluster.Blocked(b.index, o.index)) {
+			taken = o.Jobs.AcceptFence(r.Job, r.Fence) && taken
 		}
 	}
 	if taken {
-		b.c.Runs = append(b.c.Runs, Run{r.Job, b.n, b.c.now, r.Fence})
+		b.cluster.Runs = append(b.cluster.Runs, Run{r.Job, b.index, b.cluster.now, r.Fence})
 	}
-	b.Duties.RunEnded(r, taken, b.clock())
-	b.tell()
+	b.Jobs.RunEnded(r, taken, b.clock())
+	b.broadcastClaims()
 	b.flush()
 }
 
-func (b *Broker) tell() {
-	for _, cl := range b.Duties.DrainClaims() {
+func (b *Broker) broadcastClaims() {
+	for _, cl := range b.Jobs.DrainClaims() {
 		b.Members.Broadcast(uint64(cl.Job), cl.AppendTo(nil))
 	}
 }
 
 func (b *Broker) flush() {
 	for _, p := range b.Members.DrainPackets() {
-		b.c.send(b, p.To, p.Data)
+		b.cluster.send(b, p.To, p.Data)
 	}
 }
 
-func (c *Crew) send(from *Broker, to netip.AddrPort, data []byte) {
+func (c *Cluster) send(from *Broker, to netip.AddrPort, data []byte) {
 	c.Bytes += int64(len(data))
-	c.Longest = max(c.Longest, len(data))
+	c.LongestDatagram = max(c.LongestDatagram, len(data))
 	a := to.Addr().As4()
-	n := int(a[2])<<8 | int(a[3])
+	index := int(a[2])<<8 | int(a[3])
 	copies := 1
-	if c.rnd.Float64() < c.o.Twice {
+	if c.rnd.Float64() < c.o.Duplicates {
 		copies = 2
 	}
 	for range copies {
-		if c.rnd.Float64() < c.o.Loss || n >= len(c.Brokers) || c.Cut != nil && c.Cut(from.n, n) {
+		if c.rnd.Float64() < c.o.Loss || index >= len(c.Brokers) || c.Blocked != nil && c.Blocked(from.index, index) {
 			continue
 		}
 		late := time.Duration((0.5 + 0.5*c.rnd.ExpFloat64()) * float64(c.o.Delay))
 		if c.rnd.IntN(1000) == 0 {
 			late += time.Duration(c.rnd.Int64N(int64(3 * time.Second)))
 		}
-		c.at(c.now+late, func() { c.Brokers[n].take(from.addr, data) })
+		c.at(c.now+late, func() { c.Brokers[index].receive(from.addr, data) })
 	}
 }
 
-func (b *Broker) take(from netip.AddrPort, data []byte) {
+func (b *Broker) receive(from netip.AddrPort, data []byte) {
 	if !b.Up {
 		return
 	}
 	if b.Paused {
-		if len(b.waiting) < 200 { // the socket's buffer
-			b.waiting = append(b.waiting, func() { b.take(from, data) })
+		if len(b.deferred) < 200 { // the socket's buffer
+			b.deferred = append(b.deferred, func() { b.receive(from, data) })
 		}
 		return
 	}
-	if b.c.o.AllToAll {
+	if b.cluster.o.AllToAll {
 		a := from.Addr().As4()
-		n := int(a[2])<<8 | int(a[3])
-		b.beats[n] = b.c.now
-		delete(b.dead, n)
+		index := int(a[2])<<8 | int(a[3])
+		b.heardAt[index] = b.cluster.now
+		delete(b.dead, index)
 		return
 	}
-	if b.n < b.c.o.Starved {
-		b.c.at(b.c.now+time.Duration(b.c.rnd.ExpFloat64()*float64(b.c.o.Starve)), func() {
+	if b.index < b.cluster.o.StarvedBrokers {
+		b.cluster.at(b.cluster.now+time.Duration(b.cluster.rnd.ExpFloat64()*float64(b.cluster.o.StarveDelay)), func() {
 			b.Members.HandleDatagram(from, data, b.clock())
 			b.flush()
 		})
@@ -173,30 +173,30 @@
 	}
 	b.Members.HandleDatagram(from, data, b.clock())
 	b.flush()
-	if b.woken > b.c.now+time.Millisecond { // what came may be due at once
-		b.woken = b.c.now + time.Millisecond
-		b.c.at(b.woken, func() {
-			if b.woken <= b.c.now {
+	if b.wakeAt > b.cluster.now+time.Millisecond { // what came may be due at once
+		b.wakeAt = b.cluster.now + time.Millisecond
+		b.cluster.at(b.wakeAt, func() {
+			if b.wakeAt <= b.cluster.now {
 				b.tick()
 			}
 		})
 	}
 }
 
-// beat is the plain way: a heartbeat of each to each, and dead is whoever was not heard for some beats.
-func (b *Broker) beat() {
+// heartbeat is the plain way: a heartbeat of each to each, and dead is whoever was not heard for some beats.
+func (b *Broker) heartbeat() {
 	if !b.Up || b.Paused {
 		return
 	}
-	p := b.c.o.Policy
-	for _, o := range b.c.Brokers {
+	p := b.cluster.o.Policy
+	for _, o := range b.cluster.Brokers {
 		if o != b {
-			b.c.send(b, o.addr, make([]byte, 20))
+			b.cluster.send(b, o.addr, make([]byte, 20))
 		}
-		if at, heard := b.beats[o.n]; heard && !b.dead[o.n] && b.c.now-at > time.Duration(p.SuspicionFactor*float64(p.ProbeInterval)) {
-			b.dead[o.n] = true
-			b.c.Buried = append(b.c.Buried, Burial{b.c.now, o.n, b.n, o.Up && !o.Paused})
+		if at, heard := b.heardAt[o.index]; heard && !b.dead[o.index] && b.cluster.now-at > time.Duration(p.SuspicionFactor*float64(p.ProbeInterval)) {
+			b.dead[o.index] = true
+			b.cluster.Deaths = append(b.cluster.Deaths, DeathReport{b.cluster.now, o.index, b.index, o.Up && !o.Paused})
 		}
 	}
-	b.c.at(b.c.now+p.ProbeInterval, b.beat)
+	b.cluster.at(b.cluster.now+p.ProbeInterval, b.heartbeat)
 }
--- a/internal/lab/crew/table.go
+++ b/internal/lab/crew/table.go
@@ -15,49 +15,49 @@
 	"flaxfront/internal/decision/ownership"
 )
 
-// way is one way to know who is there.
-type way struct {
-	name string
-	set  func(*Options)
+// detectionMethod is one way to know who is there.
+type detectionMethod struct {
+	name      string
+	configure func(*Options)
 }
 
-var ways = []way{
+var detectionMethods = []detectionMethod{
 	{"heartbeats of each to each", func(o *Options) { o.AllToAll = true }},
 	{"SWIM", func(o *Options) { o.Policy.WithoutLifeguard, o.Policy.MaxSuspicionFactor = true, 1 }},
 	{"SWIM with Lifeguard", func(*Options) {}},
 }
 
 // Detect is what one tier showed.
-type detect struct {
-	first, all time.Duration // from a kill until one, and all, know of it
-	mistaken   int
-	hours      float64 // of brokers
-	bytes      float64 // a second a broker
+type detectionResult struct {
+	first, all     time.Duration // from a kill until one, and all, know of it
+	falsePositives int
+	brokerHours    float64 // of brokers
+	bytes          float64 // a second a broker
 }
 
-func (w way) play(n int, loss float64, seed uint64, quiet time.Duration, starved int) (d detect) {
-	o := Options{Brokers: n, Seed: seed, Loss: loss, Delay: 2 * time.Millisecond, Policy: Default, Lease: Lease, Starved: starved, Starve: 700 * time.Millisecond}
-	w.set(&o)
+func (w detectionMethod) simulate(n int, loss float64, seed uint64, quiet time.Duration, starved int) (d detectionResult) {
+	o := Options{Brokers: n, Seed: seed, Loss: loss, Delay: 2 * time.Millisecond, Policy: DefaultPolicy, Lease: Lease, StarvedBrokers: starved, StarveDelay: 700 * time.Millisecond}
+	w.configure(&o)
 	c := New(o)
 	c.Run(20 * time.Second)
 	bytes, began := c.Bytes, c.now
 	c.Run(c.now + quiet)
 	d.bytes = float64(c.Bytes-bytes) / (c.now - began).Seconds() / float64(n)
-	d.hours = (c.now - began).Hours() * float64(n)
-	mistaken := map[[2]int64]bool{} // one burial of one broker counts once, however many hear of it
-	for _, b := range c.Buried {
-		if b.Mistaken && b.At >= began && b.Who >= starved {
-			mistaken[[2]int64{int64(b.Who), int64(b.At / (20 * time.Second))}] = true
+	d.brokerHours = (c.now - began).Hours() * float64(n)
+	falsePositives := map[[2]int64]bool{} // one burial of one broker counts once, however many hear of it
+	for _, b := range c.Deaths {
+		if b.FalsePositive && b.At >= began && b.Broker >= starved {
+			falsePositives[[2]int64{int64(b.Broker), int64(b.At / (20 * time.Second))}] = true
 		}
 	}
-	d.mistaken = len(mistaken)
+	d.falsePositives = len(falsePositives)
 	killed, at := n-1, c.now
 	c.Kill(killed)
 	c.Run(c.now + 60*time.Second)
 	knows := map[int]bool{}
-	for _, b := range c.Buried {
-		if b.Who == killed && b.At > at && !knows[b.By] {
-			knows[b.By] = true
+	for _, b := range c.Deaths {
+		if b.Broker == killed && b.At > at && !knows[b.Reporter] {
+			knows[b.Reporter] = true
 			if len(knows) == 1 {
 				d.first = b.At - at
 			}
@@ -67,34 +67,34 @@
 	return d
 }
 
-// Table compares the ways at sizes and losses.
-func Table(out io.Writer, sizes []int, seeds int) {
+// CompareDetectors compares the ways at sizes and losses.
+func CompareDetectors(out io.Writer, sizes []int, seeds int) {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "way\tbrokers\tlost\tfirst knows, mean\tmost\tlast knows, most\tmistaken burials a broker a day\tof others where one is starved\tbytes a second a broker\t")
-	for _, w := range ways {
+	for _, w := range detectionMethods {
 		for _, n := range sizes {
 			for _, loss := range []float64{0, 0.1, 0.3} {
 				quiet := time.Duration(3600/max(1, n/5)) * time.Second
-				if w.name == ways[0].name && n > 100 {
+				if w.name == detectionMethods[0].name && n > 100 {
 					quiet = 10 * time.Second // half a million datagrams a second
 				}
-				all, starved := make([]detect, seeds), make([]detect, seeds)
+				all, starved := make([]detectionResult, seeds), make([]detectionResult, seeds)
 				parallel(2*seeds, func(i int) {
 					if i < seeds {
-						all[i] = w.play(n, loss, uint64(i), quiet, 0)
+						all[i] = w.simulate(n, loss, uint64(i), quiet, 0)
 					} else {
-						starved[i-seeds] = w.play(n, loss, uint64(i), quiet/4, 1)
+						starved[i-seeds] = w.simulate(n, loss, uint64(i), quiet/4, 1)
 					}
 				})
 				var first, most, last time.Duration
-				mistaken, hours, bytes, others, otherHours := 0, 0.0, 0.0, 0, 0.0
+				falsePositives, brokerHours, bytes, others, otherHours := 0, 0.0, 0.0, 0, 0.0
 				for i, d := range all {
 					first, most, last = first+d.first/time.Duration(seeds), max(most, d.first), max(last, d.all)
-					mistaken, hours, bytes = mistaken+d.mistaken, hours+d.hours, bytes+d.bytes/float64(seeds)
-					others, otherHours = others+starved[i].mistaken, otherHours+starved[i].hours
+					falsePositives, brokerHours, bytes = falsePositives+d.falsePositives, brokerHours+d.brokerHours, bytes+d.bytes/float64(seeds)
+					others, otherHours = others+starved[i].falsePositives, otherHours+starved[i].brokerHours
 				}
 				fmt.Fprintf(t, "%s\t%d\t%.0f%%\t%v\t%v\t%v\t%.2f\t%.2f\t%.0f\t\n", w.name, n, 100*loss, first.Round(100*time.Millisecond),
-					most.Round(100*time.Millisecond), last.Round(100*time.Millisecond), 24*float64(mistaken)/hours, 24*float64(others)/otherHours, bytes)
+					most.Round(100*time.Millisecond), last.Round(100*time.Millisecond), 24*float64(falsePositives)/brokerHours, 24*float64(others)/otherHours, bytes)
 				t.Flush()
 			}
 		}
@@ -115,23 +115,23 @@
 	all.Wait()
 }
 
-// Chores are the duties that the experiments share out.
-var Chores = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
+// SampleJobs are the duties that the experiments share out.
+var SampleJobs = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
-// Kills kills the owner of a duty in many tiers of five and prints what became of all duties.
-func Kills(out io.Writer, seeds int, loss float64) (broken int) {
+// KillOwners kills the owner of a duty in many tiers of five and prints what became of all duties.
+func KillOwners(out io.Writer, seeds int, loss float64) (broken int) {
 	late, most := make([]time.Duration, seeds), make([]int, seeds)
 	parallel(seeds, func(seed int) {
-		c := New(Options{Brokers: 5, Seed: uint64(seed), Loss: loss, Delay: 2 * time.Millisecond, Twice: 0.05, Policy: Default, Duties: Chores, Lease: Lease})
+		c := New(Options{Brokers: 5, Seed: uint64(seed), Loss: loss, Delay: 2 * time.Millisecond, Duplicates: 0.05, Policy: DefaultPolicy, Jobs: SampleJobs, Lease: Lease})
 		c.Run(20 * time.Second)
 		for n := range c.Brokers {
-			if uint32(membership.IDOf(Name(n))) == c.Brokers[0].Duties.Owner(0) {
+			if uint32(membership.IDOf(Name(n))) == c.Brokers[0].Jobs.Owner(0) {
 				c.Kill(n)
 			}
 		}
 		c.Run(60 * time.Second)
-		for i, d := range Chores {
-			times, gap := c.Most(i, 5*time.Second)
+		for i, d := range SampleJobs {
+			times, gap := c.MaxRuns(i, 5*time.Second)
 			late[seed], most[seed] = max(late[seed], gap-d.Period), max(most[seed], times)
 		}
 	})
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -26,20 +26,20 @@
 
 // Discovery is a stand-in for the list service.
 type Discovery struct {
-	Calls  atomic.Int64
-	mu     sync.Mutex
-	addr   string
-	srv    *http.Server
-	list   []Instance
-	gen    uint64
-	news   chan struct{}
-	silent bool
-	delay  time.Duration
+	Calls          atomic.Int64
+	mu             sync.Mutex
+	addr           string
+	srv            *http.Server
+	list           []Instance
+	listGeneration uint64
+	changed        chan struct{}
+	silent         bool
+	delay          time.Duration
 }
 
 // NewDiscovery makes one that is not up yet.
 func NewDiscovery(generation uint64) *Discovery {
-	return &Discovery{gen: generation, news: make(chan struct{})}
+	return &Discovery{listGeneration: generation, changed: make(chan struct{})}
 }
 
 // Up listens, at the address it had before if it had one.
@@ -52,7 +52,7 @@
 		return err
 	}
 	d.addr = ln.Addr().String()
-	d.srv = &http.Server{Handler: http.HandlerFunc(d.answer), ReadHeaderTimeout: 5 * time.Second}
+	d.srv = &http.Server{Handler: http.HandlerFunc(d.handle), ReadHeaderTimeout: 5 * time.Second}
 	go d.srv.Serve(ln)
 	return nil
 }
@@ -68,24 +68,24 @@
 // Addr is where it listens, or did.
 func (d *Discovery) Addr() string { return d.addr }
 
-// Ail has it accept and say nothing, or answer late.
-func (d *Discovery) Ail(silent bool, delay time.Duration) {
+// SetFault has it accept and say nothing, or answer late.
+func (d *Discovery) SetFault(silent bool, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent, d.delay = silent, delay
 }
 
-// Set replaces the list and tells those who watch.
-func (d *Discovery) Set(list []Instance) {
+// SetList replaces the list and tells those who watch.
+func (d *Discovery) SetList(list []Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.list, d.gen = slices.Clone(list), d.gen+1
-	close(d.news)
-	d.news = make(chan struct{})
+	d.list, d.listGeneration = slices.Clone(list), d.listGeneration+1
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// answer is one call. Every change is told as the whole list, as the protocol lets it.
-func (d *Discovery) answer(w http.ResponseWriter, r *http.Request) {
+// handle is one call. Every change is told as the whole list, as the protocol lets it.
+func (d *Discovery) handle(w http.ResponseWriter, r *http.Request) {
 	d.Calls.Add(1)
 	d.mu.Lock()
 	silent, delay := d.silent, d.delay
@@ -99,10 +99,10 @@
 	}
 	time.Sleep(delay)
 	d.mu.Lock()
-	if news := d.news; watch && index >= d.gen {
+	if changed := d.changed; watch && index >= d.listGeneration {
 		d.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(time.Duration(min(wait, 60000)) * time.Millisecond):
 		case <-r.Context().Done():
 			return
@@ -113,7 +113,7 @@
 		Generation uint64     `json:"generation"`
 		Reset      bool       `json:"reset"`
 		Instances  []Instance `json:"instances"`
-	}{d.gen, !watch || index != d.gen, []Instance{}}
+	}{d.listGeneration, !watch || index != d.listGeneration, []Instance{}}
 	if list.Reset {
 		list.Instances = append(list.Instances, d.list...)
 	}
--- a/internal/lab/emuqueue.go
+++ b/internal/lab/emuqueue.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// moment is something that will happen.
-type moment struct {
+// timedEvent is something that will happen.
+type timedEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type moments []moment
+type eventHeap []timedEvent
 
-func (m moments) Len() int { return len(m) }
+func (m eventHeap) Len() int { return len(m) }
 
-func (m moments) Less(i, j int) bool {
+func (m eventHeap) Less(i, j int) bool {
 	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].seq < m[j].seq
 }
 
-func (m moments) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m eventHeap) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
 
-func (m *moments) Push(x any) { *m = append(*m, x.(moment)) }
+func (m *eventHeap) Push(x any) { *m = append(*m, x.(timedEvent)) }
 
-func (m *moments) Pop() (last any) {
+func (m *eventHeap) Pop() (last any) {
 	n := len(*m) - 1
 	last, *m = (*m)[n], (*m)[:n]
 	return last
--- a/internal/lab/emusend.go
+++ b/internal/lab/emusend.go
@@ -8,53 +8,53 @@
 
 // send carries one part to a box and back. Each attempt ends once.
 func (b *Broker) send(a decision.Action) {
-	w, s, box := b.w, b.parts[a.ID], b.w.boxes[a.Node]
-	if s == nil || s.over {
-		w.broke("rule 1: part %d sent after its search's answer", a.ID)
+	sim, s, box := b.sim, b.shardRequests[a.ID], b.sim.nodes[a.Node]
+	if s == nil || s.finished {
+		sim.recordViolation("rule 1: part %d sent after its search's answer", a.ID)
 		return
 	}
-	begun, attempt, ended := w.now, s.tries[a.ID], false
-	s.tries[a.ID]++
+	begun, attempt, ended := sim.now, s.attempts[a.ID], false
+	s.attempts[a.ID]++
 	key := [2]uint64{a.ID, uint64(attempt)}
 	end := func(how decision.Outcome) {
 		if ended {
 			return
 		}
 		ended = true
-		delete(s.out, key)
-		if how == decision.OK && !s.over && s.shares[a.ID] > 0 {
-			s.got += s.shares[a.ID]
+		delete(s.cancels, key)
+		if how == decision.OK && !s.finished && s.shares[a.ID] > 0 {
+			s.completeness += s.shares[a.ID]
 			s.shares[a.ID] = 0
 		}
-		if b.judge != nil {
-			b.judge.RecordOutcome(a.Node, how, w.now-begun, w.now)
+		if b.evaluator != nil {
+			b.evaluator.RecordOutcome(a.Node, how, sim.now-begun, sim.now)
 		}
-		b.tell(decision.Event{Kind: decision.AttemptEnded, ID: a.ID, Attempt: attempt, Outcome: how, Elapsed: w.now - begun, Node: a.Node})
+		b.deliver(decision.Event{Kind: decision.AttemptEnded, ID: a.ID, Attempt: attempt, Outcome: how, Elapsed: sim.now - begun, Node: a.Node})
 	}
-	s.out[key] = func() { end(decision.Cancelled) }
-	w.Tally.Parts++
+	s.cancels[key] = func() { end(decision.Cancelled) }
+	sim.Tally.ShardRequests++
 	if box.Mode != Serving {
-		w.Tally.Wrong++
+		sim.Tally.Wrong++
 	}
 	switch box.Mode {
 	case Dead:
-		w.at(w.now+2*hop, func() { end(decision.ConnectFailed) })
-	case Vanished:
-		w.at(w.now+connectOut, func() { end(decision.ConnectFailed) })
+		sim.at(sim.now+2*oneWayDelay, func() { end(decision.ConnectFailed) })
+	case Unreachable:
+		sim.at(sim.now+connectTimeout, func() { end(decision.ConnectFailed) })
 	default:
-		w.at(w.now+hop, func() {
-			done, taken := box.Offer(w.now)
+		sim.at(sim.now+oneWayDelay, func() {
+			done, taken := box.Offer(sim.now)
 			switch {
-			case box.Fallen:
-				w.broke("rule 4: %s fell over", box.Name)
-				box.Mode, box.Fallen = Hanging, false
+			case box.Crashed:
+				sim.recordViolation("rule 4: %s fell over", box.Name)
+				box.Mode, box.Crashed = Hanging, false
 			case box.Mode == Hanging:
 			case !taken:
-				w.at(w.now+hop, func() { end(decision.Rejected) })
+				sim.at(sim.now+oneWayDelay, func() { end(decision.Rejected) })
 			default:
-				w.at(done+hop, func() { end(decision.OK) })
+				sim.at(done+oneWayDelay, func() { end(decision.OK) })
 			}
 		})
 	}
-	w.at(s.due, func() { end(decision.TimedOut) })
+	sim.at(s.deadline, func() { end(decision.TimedOut) })
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Fleet is nodes and their discovery.
+// Fleets is nodes and their discovery.
 type Fleet struct {
 	Nodes     []*Node
 	Discovery *Discovery
@@ -24,18 +24,18 @@
 // NewFleet starts nodes over some cells and a discovery that knows them and is down until it is told Up.
 func NewFleet(dir string, nodes, cells int, seed uint64) (*Fleet, error) {
 	f := &Fleet{Discovery: NewDiscovery(40), Cells: cells, Dir: dir}
-	warm := Warmth{From: 0.3, Over: 12 * time.Second, Multiple: 2, For: 2 * time.Second}
+	warm := WarmUpParams{InitialCapacity: 0.3, RampTime: 12 * time.Second, OverloadMultiple: 2, For: 2 * time.Second}
 	began := time.Now()
 	for i := range nodes {
 		name := fmt.Sprintf("node-%08x", i)
-		n, err := StartNode("127.0.0.1:0", NewBox(name, i%cells, 2, 5*time.Millisecond, warm, seed+uint64(i)), cells, began)
+		n, err := StartNode("127.0.0.1:0", NewNodeModel(name, i%cells, 2, 5*time.Millisecond, warm, seed+uint64(i)), cells, began)
 		if err != nil {
 			return nil, err
 		}
 		f.Nodes = append(f.Nodes, n)
 		f.List = append(f.List, Instance{name, n.Addr(), []string{"a", "b"}[i%2], i % cells, "in_service", 1, 0})
 	}
-	f.Discovery.Set(f.List)
+	f.Discovery.SetList(f.List)
 	return f, nil
 }
 
@@ -54,12 +54,12 @@
   "warmAfterNs":12000000000},"stepNs":5000000}`, f.Cells, 2*f.Cells)
 }
 
-var taken atomic.Uint32
+var freeAddrCount atomic.Uint32
 
 // FreeAddr finds a loopback address that nobody listens at, on an IP of its own, so that no other listener of this machine
 // comes to it meanwhile.
 func FreeAddr() (string, error) {
-	n := taken.Add(1)
+	n := freeAddrCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%128, n>>8&0xff, 1+n&0x7f))
 	if err != nil {
 		return "", err
@@ -88,15 +88,15 @@
 func (f *Fleet) Close() {
 	f.Discovery.Down()
 	for _, n := range f.Nodes {
-		n.Turn(Dead)
+		n.SetMode(Dead)
 	}
 }
 
-// Pace sets how long the nodes' parts take on average.
-func (f *Fleet) Pace(mean time.Duration) {
+// SetMeanWork sets how long the nodes' parts take on average.
+func (f *Fleet) SetMeanWork(mean time.Duration) {
 	for _, n := range f.Nodes {
 		n.mu.Lock()
-		n.box.Mean = mean
+		n.model.MeanWork = mean
 		n.mu.Unlock()
 	}
 }
--- a/internal/lab/hunt/draw.go
+++ b/internal/lab/hunt/draw.go
@@ -11,17 +11,17 @@
 	"flaxfront/internal/lab/script"
 )
 
-var kinds = []string{"die", "vanish", "hang", "stall", "slow", "errors", "drain", "cut", "jump", "flood", "discovery_down",
+var faultKinds = []string{"die", "vanish", "hang", "stall", "slow", "errors", "drain", "cut", "jump", "flood", "discovery_down",
 	"discovery_hang", "restart", "loss"}
 
-// Draw draws a day: a seed, a load, and one to five troubles.
-func Draw(base *script.Script, rnd *rand.Rand) *script.Script {
+// DrawScript draws a day: a seed, a load, and one to five troubles.
+func DrawScript(base *script.Script, rnd *rand.Rand) *script.Script {
 	for {
 		s := copyOf(base)
-		s.Seed, s.Troubles = rnd.IntN(1_000_000), nil
+		s.Seed, s.Faults = rnd.IntN(1_000_000), nil
 		s.Load.Rate = base.Load.Rate * (0.5 + 1.2*rnd.Float64())
 		for range 1 + rnd.IntN(5) {
-			s.Troubles = append(s.Troubles, trouble(s, rnd))
+			s.Faults = append(s.Faults, drawFault(s, rnd))
 		}
 		if _, err := s.Check(); err == nil {
 			return s
@@ -29,13 +29,13 @@
 	}
 }
 
-func trouble(s *script.Script, rnd *rand.Rand) script.Trouble {
+func drawFault(s *script.Script, rnd *rand.Rand) script.Fault {
 	span := func(low, high float64) time.Duration {
-		return time.Duration((low + (high-low)*rnd.Float64()) * float64(s.For)).Round(10 * time.Millisecond)
+		return time.Duration((low + (high-low)*rnd.Float64()) * float64(s.Length)).Round(10 * time.Millisecond)
 	}
-	t := script.Trouble{What: kinds[rnd.IntN(len(kinds))], At: span(0.1, 0.7), For: span(0.05, 0.4), Share: 0.05 + 0.45*rnd.Float64(),
+	t := script.Fault{Kind: faultKinds[rnd.IntN(len(faultKinds))], At: span(0.1, 0.7), Length: span(0.05, 0.4), Share: 0.05 + 0.45*rnd.Float64(),
 		Factor: 3, Every: 2 * time.Second, Pause: 300 * time.Millisecond}
-	switch t.What {
+	switch t.Kind {
 	case "slow":
 		t.Factor = 1.5 + 8*rnd.Float64()*rnd.Float64()
 		if rnd.IntN(3) == 0 {
@@ -61,30 +61,30 @@
 	return t
 }
 
-// change changes a day a little.
-func change(of *script.Script, rnd *rand.Rand) *script.Script {
+// mutate changes a day a little.
+func mutate(of *script.Script, rnd *rand.Rand) *script.Script {
 	for range 100 {
 		s := copyOf(of)
-		switch n := len(s.Troubles); rnd.IntN(6) {
+		switch n := len(s.Faults); rnd.IntN(6) {
 		case 0:
 			s.Seed = rnd.IntN(1_000_000)
 		case 1:
 			s.Load.Rate *= 0.85 + 0.3*rnd.Float64()
 		case 2:
-			s.Troubles = append(s.Troubles, trouble(s, rnd))
+			s.Faults = append(s.Faults, drawFault(s, rnd))
 		case 3:
 			if n > 1 {
-				s.Troubles = slices.Delete(s.Troubles, 0, 1)
+				s.Faults = slices.Delete(s.Faults, 0, 1)
 			}
 		default:
-			t := &s.Troubles[rnd.IntN(n)]
+			t := &s.Faults[rnd.IntN(n)]
 			scale := func() float64 { return math.Exp(0.5 * rnd.NormFloat64()) }
 			t.At = time.Duration(float64(t.At) * scale())
-			t.For = time.Duration(float64(t.For) * scale())
+			t.Length = time.Duration(float64(t.Length) * scale())
 			t.Share = min(1, t.Share*scale())
 			t.Factor *= scale()
 		}
-		if _, err := s.Check(); err == nil && len(s.Troubles) <= 6 {
+		if _, err := s.Check(); err == nil && len(s.Faults) <= 6 {
 			return s
 		}
 	}
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -17,17 +17,17 @@
 	"flaxfront/internal/lab/script"
 )
 
-// Find is a day with what it costs.
-type Find struct {
+// Finding is a day with what it costs.
+type Finding struct {
 	Script  *script.Script
 	Broken  int64
 	Service float64
-	Seer    float64
+	Oracle  float64
 	Loss    float64 // Seer less Service
 }
 
-// bad orders finds: a broken rule before any loss.
-func (f *Find) bad() float64 {
+// badness orders finds: a broken rule before any loss.
+func (f *Finding) badness() float64 {
 	if f.Broken > 0 {
 		return 100 + min(float64(f.Broken), 100)
 	}
@@ -36,63 +36,63 @@
 
 // Options bound a hunt.
 type Options struct {
-	Days   int // played in all
-	Seed   uint64
-	Rules  bool // only broken rules count
-	Cores  int
-	Say    func(format string, args ...any)
-	Policy play.Policy
+	Scripts   int // played in all
+	Seed      uint64
+	OnlyRules bool // only broken rules count
+	Cores     int
+	Log       func(format string, args ...any)
+	Policy    play.Policy
 }
 
-// Judge plays a day under the policy and, unless only rules count, under the one that sees all.
-func Judge(s *script.Script, o Options) (*Find, error) {
+// Evaluate plays a day under the policy and, unless only rules count, under the one that sees all.
+func Evaluate(s *script.Script, o Options) (*Finding, error) {
 	r, err := play.Play(s, play.Options{Cores: 1, Policy: o.Policy})
 	if err != nil {
 		return nil, err
 	}
-	f := &Find{Script: s, Broken: r.Broken, Service: r.Counts.Service(), Seer: 1}
-	if !o.Rules {
-		seer, err := play.Play(s, play.Options{Policy: play.Seer})
+	f := &Finding{Script: s, Broken: r.Broken, Service: r.Counts.Service(), Oracle: 1}
+	if !o.OnlyRules {
+		seer, err := play.Play(s, play.Options{Policy: play.Oracle})
 		if err != nil {
 			return nil, err
 		}
-		f.Seer = seer.Counts.Service()
+		f.Oracle = seer.Counts.Service()
 	}
-	f.Loss = f.Seer - f.Service
+	f.Loss = f.Oracle - f.Service
 	return f, nil
 }
 
 // Hunt searches from a base script: days drawn at random, then changes of the worst ones.
-func Hunt(base *script.Script, o Options) (*Find, error) {
+func Hunt(base *script.Script, o Options) (*Finding, error) {
 	rnd := rand.New(rand.NewPCG(o.Seed, 0x68756e74))
-	var best []*Find
+	var best []*Finding
 	const kept = 6
-	for played := 0; played < o.Days; {
-		n := min(max(1, o.Cores), o.Days-played)
+	for played := 0; played < o.Scripts; {
+		n := min(max(1, o.Cores), o.Scripts-played)
 		days := make([]*script.Script, n)
 		for i := range days {
 			if len(best) < kept || rnd.IntN(4) == 0 {
-				days[i] = Draw(base, rnd)
+				days[i] = DrawScript(base, rnd)
 			} else {
-				days[i] = change(best[rnd.IntN(len(best))].Script, rnd)
+				days[i] = mutate(best[rnd.IntN(len(best))].Script, rnd)
 			}
 		}
-		finds, errs := make([]*Find, n), make([]error, n)
+		finds, errs := make([]*Finding, n), make([]error, n)
 		var all sync.WaitGroup
 		for i := range days {
-			all.Go(func() { finds[i], errs[i] = Judge(days[i], o) })
+			all.Go(func() { finds[i], errs[i] = Evaluate(days[i], o) })
 		}
 		all.Wait()
 		for i, f := range finds {
 			if errs[i] != nil {
 				return nil, errs[i]
 			}
-			if len(best) == 0 || f.bad() > best[0].bad() {
-				o.Say("day %d: service %.4f, seer %.4f, rules broken %d: %s", played+i, f.Service, f.Seer, f.Broken, Describe(f.Script))
+			if len(best) == 0 || f.badness() > best[0].badness() {
+				o.Log("day %d: service %.4f, seer %.4f, rules broken %d: %s", played+i, f.Service, f.Oracle, f.Broken, Describe(f.Script))
 			}
 			best = append(best, f)
 		}
-		slices.SortStableFunc(best, func(a, b *Find) int { return sign(b.bad() - a.bad()) })
+		slices.SortStableFunc(best, func(a, b *Finding) int { return sign(b.badness() - a.badness()) })
 		best = best[:min(len(best), kept)]
 		played += n
 	}
@@ -112,36 +112,36 @@
 // Describe names the troubles of a script in a line.
 func Describe(s *script.Script) string {
 	text := fmt.Sprintf("%.0f a second", s.Load.Rate)
-	for _, t := range s.Troubles {
-		text += fmt.Sprintf("; %s at %v for %v", t.What, t.At.Round(100*time.Millisecond), t.For.Round(100*time.Millisecond))
+	for _, t := range s.Faults {
+		text += fmt.Sprintf("; %s at %v for %v", t.Kind, t.At.Round(100*time.Millisecond), t.Length.Round(100*time.Millisecond))
 	}
 	return text
 }
 
 func copyOf(s *script.Script) *script.Script {
 	c := *s
-	c.Troubles = slices.Clone(s.Troubles)
+	c.Faults = slices.Clone(s.Faults)
 	return &c
 }
 
 // Shrink cuts a find down as long as what is bad of it stays: a broken rule stays broken, or four fifths of the loss stay lost.
-func Shrink(f *Find, o Options) (*Find, error) {
-	bar := 0.8 * f.bad()
+func Shrink(f *Finding, o Options) (*Finding, error) {
+	bar := 0.8 * f.badness()
 	if f.Broken > 0 {
 		bar = 100
 	}
 	for better := true; better; {
 		better = false
-		for _, smaller := range cuts(f.Script) {
+		for _, smaller := range reductions(f.Script) {
 			if _, err := smaller.Check(); err != nil {
 				continue
 			}
-			g, err := Judge(smaller, o)
+			g, err := Evaluate(smaller, o)
 			if err != nil {
 				return nil, err
 			}
-			if g.bad() >= bar {
-				o.Say("cut down: service %.4f, seer %.4f, rules broken %d: %s", g.Service, g.Seer, g.Broken, Describe(smaller))
+			if g.badness() >= bar {
+				o.Log("cut down: service %.4f, seer %.4f, rules broken %d: %s", g.Service, g.Oracle, g.Broken, Describe(smaller))
 				f, better = g, true
 				break
 			}
@@ -150,41 +150,41 @@
 	return f, nil
 }
 
-// cuts are the scripts that are smaller by one step, the boldest first.
-func cuts(s *script.Script) (all []*script.Script) {
+// reductions are the scripts that are smaller by one step, the boldest first.
+func reductions(s *script.Script) (all []*script.Script) {
 	cut := func(do func(*script.Script)) {
 		c := copyOf(s)
 		do(c)
 		all = append(all, c)
 	}
-	for i := range s.Troubles {
-		if len(s.Troubles) > 1 {
-			cut(func(c *script.Script) { c.Troubles = slices.Delete(c.Troubles, i, i+1) })
+	for i := range s.Faults {
+		if len(s.Faults) > 1 {
+			cut(func(c *script.Script) { c.Faults = slices.Delete(c.Faults, i, i+1) })
 		}
 	}
 	end := time.Duration(0)
-	for _, t := range s.Troubles {
-		end = max(end, t.At+t.For)
+	for _, t := range s.Faults {
+		end = max(end, t.At+t.Length)
 	}
-	if end+3*time.Second < s.For {
-		cut(func(c *script.Script) { c.For = end + 2*time.Second })
+	if end+3*time.Second < s.Length {
+		cut(func(c *script.Script) { c.Length = end + 2*time.Second })
 	}
-	if s.For > 12*time.Second {
-		cut(func(c *script.Script) { c.For = c.For * 2 / 3 })
+	if s.Length > 12*time.Second {
+		cut(func(c *script.Script) { c.Length = c.Length * 2 / 3 })
 	}
-	for i := range s.Troubles {
-		t := &s.Troubles[i]
-		if t.For > time.Second {
-			cut(func(c *script.Script) { c.Troubles[i].For = t.For / 2 })
+	for i := range s.Faults {
+		t := &s.Faults[i]
+		if t.Length > time.Second {
+			cut(func(c *script.Script) { c.Faults[i].Length = t.Length / 2 })
 		}
 		if t.At > 2*time.Second {
-			cut(func(c *script.Script) { c.Troubles[i].At = t.At / 2 })
+			cut(func(c *script.Script) { c.Faults[i].At = t.At / 2 })
 		}
 		if t.Ramp > 0 {
-			cut(func(c *script.Script) { c.Troubles[i].Ramp = 0 })
+			cut(func(c *script.Script) { c.Faults[i].Ramp = 0 })
 		}
 		if t.Share > 0.1 && t.Zone == "" && len(t.Nodes) == 0 {
-			cut(func(c *script.Script) { c.Troubles[i].Share = t.Share / 2 })
+			cut(func(c *script.Script) { c.Faults[i].Share = t.Share / 2 })
 		}
 	}
 	return all
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/hunt/hunt_test.go
@@ -31,7 +31,7 @@
 func TestHuntAndShrink(t *testing.T) {
 	var texts []string
 	for range 2 {
-		o := Options{Days: 4, Seed: 2, Cores: 4, Say: quiet, Policy: play.Random}
+		o := Options{Scripts: 4, Seed: 2, Cores: 4, Log: quiet, Policy: play.Random}
 		f, err := Hunt(base(t), o)
 		if err != nil {
 			t.Fatal(err)
@@ -40,14 +40,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(small.Script.Troubles) > len(f.Script.Troubles) || small.Script.For > f.Script.For || small.bad() < 0.8*f.bad() {
-			t.Errorf("%s (%v) became %s (%v)", Describe(f.Script), f.bad(), Describe(small.Script), small.bad())
+		if len(small.Script.Faults) > len(f.Script.Faults) || small.Script.Length > f.Script.Length || small.badness() < 0.8*f.badness() {
+			t.Errorf("%s (%v) became %s (%v)", Describe(f.Script), f.badness(), Describe(small.Script), small.badness())
 		}
 		again, err := script.Decode("small", []byte(small.Script.Text()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		replayed, err := Judge(again, o)
+		replayed, err := Evaluate(again, o)
 		if err != nil || replayed.Service != small.Service || replayed.Broken != small.Broken {
 			t.Errorf("written and read: %v, %v; it was %v", replayed, err, small)
 		}
@@ -64,7 +64,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		s := Draw(base(t), rand.New(rand.NewPCG(seed, 1)))
+		s := DrawScript(base(t), rand.New(rand.NewPCG(seed, 1)))
 		r, err := play.Play(s, play.Options{Cores: 1, Policy: play.Module})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -16,16 +16,16 @@
 	"flaxfront/internal/lab/play"
 )
 
-// Figure is one thing that is compared; more is better where Up says so.
-type Figure struct {
-	Name string
-	Up   bool
-	Unit string
-	Of   func(r *play.Result) float64
+// Metric is one thing that is compared; more is better where Up says so.
+type Metric struct {
+	Name           string
+	HigherIsBetter bool
+	Unit           string
+	Value          func(r *play.Result) float64
 }
 
-// Figures are what is compared.
-var Figures = []Figure{
+// Metrics are what is compared.
+var Metrics = []Metric{
 	{"service", true, "", func(r *play.Result) float64 { return r.Counts.Service() }},
 	{"worst ten seconds", true, "", func(r *play.Result) float64 { return r.Worst }},
 	{"worst tenant", true, "", worstTenant},
@@ -62,15 +62,15 @@
 
 // Difference is how one figure differs over paired seeds, B less A.
 type Difference struct {
-	Figure     Figure
-	A, B       float64 // means
-	Mean       float64
-	Low, High  float64 // 95% confidence interval of the mean difference, by Student's t over pairs
-	Real       bool    // the interval leaves nothing out
-	Better     bool    // B is
-	Pairs      int
-	Equal      bool // in every pair
-	NeedsPairs bool // one pair tells of itself only
+	Metric      Metric
+	A, B        float64 // means
+	Mean        float64
+	Low, High   float64 // 95% confidence interval of the mean difference, by Student's t over pairs
+	Significant bool    // the interval leaves nothing out
+	Better      bool    // B is
+	Pairs       int
+	Equal       bool // in every pair
+	NeedsPairs  bool // one pair tells of itself only
 }
 
 // Compare pairs results of the same script and seed.
@@ -90,18 +90,18 @@
 		return nil, errors.New("no script and seed was played whole by both")
 	}
 	var all []Difference
-	for _, f := range Figures {
-		d := Difference{Figure: f, Pairs: len(pairs), Equal: true, NeedsPairs: len(pairs) < 2}
+	for _, f := range Metrics {
+		d := Difference{Metric: f, Pairs: len(pairs), Equal: true, NeedsPairs: len(pairs) < 2}
 		var diffs []float64
 		for _, p := range pairs {
-			x, y := f.Of(p[0]), f.Of(p[1])
+			x, y := f.Value(p[0]), f.Value(p[1])
 			d.A, d.B = d.A+x/float64(len(pairs)), d.B+y/float64(len(pairs))
 			diffs = append(diffs, y-x)
 			d.Equal = d.Equal && x == y
 		}
 		d.Mean, d.Low, d.High = Interval(diffs)
-		d.Real = !d.NeedsPairs && (d.Low > 0 || d.High < 0)
-		d.Better = (d.Mean > 0) == f.Up
+		d.Significant = !d.NeedsPairs && (d.Low > 0 || d.High < 0)
+		d.Better = (d.Mean > 0) == f.HigherIsBetter
 		all = append(all, d)
 	}
 	return all, nil
@@ -118,15 +118,15 @@
 	return mean, mean - half, mean + half
 }
 
-// Verdict says in one sentence whether B differs from A.
-func Verdict(all []Difference) string {
+// Summary says in one sentence whether B differs from A.
+func Summary(all []Difference) string {
 	d := all[0]
 	switch {
 	case d.Equal:
 		return fmt.Sprintf("The two serve the same in each of %d pairs.", d.Pairs)
 	case d.NeedsPairs:
 		return fmt.Sprintf("One pair tells nothing beyond itself: service %.4f and %.4f; play more seeds.", d.A, d.B)
-	case !d.Real:
+	case !d.Significant:
 		return fmt.Sprintf("%d pairs show no difference in service: %+.4f, somewhere between %+.4f and %+.4f (95%%).", d.Pairs, d.Mean, d.Low, d.High)
 	}
 	word := "worse"
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -36,8 +36,8 @@
 		{results("x", 900), results("x", 950), "nothing beyond itself"},
 	} {
 		d, err := Compare(c.a, c.b)
-		if err != nil || !strings.Contains(Verdict(d), c.want) {
-			t.Errorf("%v, %v, want %q", Verdict(d), err, c.want)
+		if err != nil || !strings.Contains(Summary(d), c.want) {
+			t.Errorf("%v, %v, want %q", Summary(d), err, c.want)
 		}
 	}
 	if _, err := Compare(results("x", 1), results("y", 1)); err == nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,14 +12,14 @@
 func TestStarts(t *testing.T) {
 	parts, wrong := 0, 0
 	for seed := range uint64(60) {
-		s := Start{Seed: seed, Policy: Weigh, Age: time.Duration(seed%8) * 24 * time.Hour, Wrong: 0.5, Cold: seed%2 == 1, Nodes: 16,
+		s := Start{Seed: seed, Policy: TrustByProbability, ListAge: time.Duration(seed%8) * 24 * time.Hour, Wrong: 0.5, ColdNodes: seed%2 == 1, Nodes: 16,
 			Brokers: 3, Rate: 120, For: 3 * time.Second}
-		w := RunStart(s)
-		if len(w.Broken) > 0 {
-			t.Errorf("seed %d: %v", seed, w.Broken[0])
+		w := SimulateStart(s)
+		if len(w.Violations) > 0 {
+			t.Errorf("seed %d: %v", seed, w.Violations[0])
 		}
-		parts, wrong = parts+w.Tally.Parts, wrong+w.Tally.Wrong
-		if again := RunStart(s); seed < 5 && again.Tally != w.Tally {
+		parts, wrong = parts+w.Tally.ShardRequests, wrong+w.Tally.Wrong
+		if again := SimulateStart(s); seed < 5 && again.Tally != w.Tally {
 			t.Errorf("seed %d: %+v, then %+v", seed, w.Tally, again.Tally)
 		}
 	}
@@ -31,19 +31,19 @@
 // What the audits are for is found: a box that is offered too much while cold falls over, and an effect that came twice, or
 // was shed and came, is named.
 func TestAuditsFind(t *testing.T) {
-	box := NewBox("b", 0, 2, 10*time.Millisecond, Warmth{From: 0.3, Over: 10 * time.Second, Multiple: 2, For: time.Second}, 1)
-	box.Began = 0
-	for i := 0; i < 1000 && !box.Fallen; i++ {
+	box := NewNodeModel("b", 0, 2, 10*time.Millisecond, WarmUpParams{InitialCapacity: 0.3, RampTime: 10 * time.Second, OverloadMultiple: 2, For: time.Second}, 1)
+	box.LastStart = 0
+	for i := 0; i < 1000 && !box.Crashed; i++ {
 		box.Offer(time.Duration(i) * time.Millisecond)
 	}
-	if !box.Fallen {
+	if !box.Crashed {
 		t.Error("a cold box took anything")
 	}
-	node := &Node{ran: map[string]int{"s.1": 2, "r.1": 1}}
+	node := &Node{runs: map[string]int{"s.1": 2, "r.1": 1}}
 	a := Audit{Fleet: []*Fleet{{Nodes: []*Node{node}}}}
-	a.Settle("s", "sign", []int{1}, 200)
-	a.Settle("r", "sign", []int{1}, 503)
-	a.Settle("ok", "sign", []int{2}, 503)
+	a.RecordResult("s", "sign", []int{1}, 200)
+	a.RecordResult("r", "sign", []int{1}, 503)
+	a.RecordResult("ok", "sign", []int{2}, 503)
 	broken, n := a.Check()
 	if text := fmt.Sprint(broken); n != 3 || len(broken) != 2 || !strings.Contains(text, "s.1 ran 2 times") || !strings.Contains(text, "r was shed") {
 		t.Errorf("%d searches: %v", n, broken)
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -26,25 +26,25 @@
 
 // Node is a store node on a socket round a box.
 type Node struct {
-	Cells   int // shards modulo cells are what it holds
-	Parts   atomic.Int64
-	Wrong   atomic.Int64                                     // parts that it does not hold, or got while it was not serving
-	Last    atomic.Int64                                     // when the last part came, in Unix nanoseconds
-	Make    func(part string, shard int, text string) string // what it makes of a part; nil: Value
-	mu      sync.Mutex
-	box     *Box
-	began   time.Time
-	ln      net.Listener
-	conns   map[net.Conn]bool
-	peak    int      // of connections open at once
-	replica *Replica // nil: it is none
-	ran     map[string]int
-	closed  bool
+	Cells         int // shards modulo cells are what it holds
+	ShardRequests atomic.Int64
+	Misdirected   atomic.Int64                                     // parts that it does not hold, or got while it was not serving
+	LastRequestAt atomic.Int64                                     // when the last part came, in Unix nanoseconds
+	MakeValue     func(part string, shard int, text string) string // what it makes of a part; nil: Value
+	mu            sync.Mutex
+	model         *NodeModel
+	epoch         time.Time
+	ln            net.Listener
+	conns         map[net.Conn]bool
+	peakConns     int      // of connections open at once
+	replica       *Replica // nil: it is none
+	runs          map[string]int
+	closed        bool
 }
 
 // StartNode listens at an address ("127.0.0.1:0" for any).
-func StartNode(addr string, box *Box, cells int, began time.Time) (*Node, error) {
-	n := &Node{Cells: cells, box: box, began: began, conns: map[net.Conn]bool{}, ran: map[string]int{}}
+func StartNode(addr string, model *NodeModel, cells int, epoch time.Time) (*Node, error) {
+	n := &Node{Cells: cells, model: model, epoch: epoch, conns: map[net.Conn]bool{}, runs: map[string]int{}}
 	return n, n.listen(addr)
 }
 
@@ -65,7 +65,7 @@
 			n.mu.Lock()
 			ok := !n.closed
 			if ok {
-				n.accepted(conn)
+				n.addConn(conn)
 			}
 			n.mu.Unlock()
 			if ok {
@@ -81,11 +81,11 @@
 // Addr is where it listens, or did.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
-// Turn changes what the node does; Dead closes its sockets, and any other mode opens them again.
-func (n *Node) Turn(m Mode) error {
+// SetMode changes what the node does; Dead closes its sockets, and any other mode opens them again.
+func (n *Node) SetMode(m Mode) error {
 	n.mu.Lock()
-	was := n.box.Mode
-	n.box.Mode = m
+	was := n.model.Mode
+	n.model.Mode = m
 	if m == Dead {
 		n.closed = true
 		n.ln.Close()
@@ -102,25 +102,25 @@
 	return nil
 }
 
-// Born has the node be a process that has just started: cold.
-func (n *Node) Born() {
+// MarkRestarted has the node be a process that has just started: cold.
+func (n *Node) MarkRestarted() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.box.Began = time.Since(n.began)
+	n.model.LastStart = time.Since(n.epoch)
 }
 
-// Fell tells whether the node was pushed over while it was cold.
-func (n *Node) Fell() bool {
+// HasCrashed tells whether the node was pushed over while it was cold.
+func (n *Node) HasCrashed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.box.Fallen
+	return n.model.Crashed
 }
 
-// Ran tells how often a part ran here.
-func (n *Node) Ran(part string) int {
+// RunCount tells how often a part ran here.
+func (n *Node) RunCount(part string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ran[part]
+	return n.runs[part]
 }
 
 func (n *Node) serve(conn net.Conn) {
@@ -157,25 +157,25 @@
 				return
 			}
 			rest = after[length:]
-			n.part(conn, &out, f[0], shard, string(after[:length]))
+			n.handleShardRequest(conn, &out, f[0], shard, string(after[:length]))
 		}
 	}
 }
 
-// part lets the box work on a part and answers when it is done.
-func (n *Node) part(conn net.Conn, out *sync.Mutex, id string, shard int, text string) {
+// handleShardRequest lets the box work on a part and answers when it is done.
+func (n *Node) handleShardRequest(conn net.Conn, out *sync.Mutex, id string, shard int, text string) {
 	n.mu.Lock()
-	now := time.Since(n.began)
-	mine := shard%n.Cells == n.box.Cell
-	n.Parts.Add(1)
-	n.Last.Store(time.Now().UnixNano())
-	if !mine || n.box.Mode != Serving {
-		n.Wrong.Add(1)
+	now := time.Since(n.epoch)
+	mine := shard%n.Cells == n.model.Cell
+	n.ShardRequests.Add(1)
+	n.LastRequestAt.Store(time.Now().UnixNano())
+	if !mine || n.model.Mode != Serving {
+		n.Misdirected.Add(1)
 	}
-	done, taken := n.box.Offer(now)
-	hangs, replica := n.box.Mode == Hanging || n.box.Fallen, n.replica
+	done, taken := n.model.Offer(now)
+	hangs, replica := n.model.Mode == Hanging || n.model.Crashed, n.replica
 	if taken = taken && mine; taken {
-		n.ran[id]++
+		n.runs[id]++
 	}
 	n.mu.Unlock()
 	if hangs {
@@ -187,8 +187,8 @@
 		switch {
 		case replica != nil:
 			report, value = replica.read()
-		case n.Make != nil:
-			value = n.Make(id, shard, text)
+		case n.MakeValue != nil:
+			value = n.MakeValue(id, shard, text)
 		default:
 			value = Value(id, shard)
 		}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -21,65 +21,65 @@
 
 // Load is a course of searches.
 type Load struct {
-	URL     string                                              // of the broker, without a path
-	Pick    func() (url string, crashed func() bool)            // instead: one for each search, and whether a fault hit it since
-	Class   string                                              // of search
-	Classes []string                                            // instead: one of these at random
-	Settle  func(search, class string, parts []int, status int) // told of each search's end, under a lock; nil: nobody
-	Tenant  string
-	Shards  int
-	Widest  int // parts of a search at most
-	Rate    float64
-	For     time.Duration
-	Stop    <-chan struct{} // ends it earlier; nil: nothing does
-	Timeout time.Duration
-	Target  time.Duration
-	Floor   float64
-	Seed    uint64
-	Every   time.Duration // between two lines of a report; 0: none
-	Say     io.Writer
+	URL             string                                              // of the broker, without a path
+	PickBroker      func() (url string, crashed func() bool)            // instead: one for each search, and whether a fault hit it since
+	QueryType       string                                              // of search
+	QueryTypes      []string                                            // instead: one of these at random
+	RecordResult    func(search, class string, parts []int, status int) // told of each search's end, under a lock; nil: nobody
+	Tenant          string
+	Shards          int
+	MaxShards       int // parts of a search at most
+	Rate            float64
+	RunTime         time.Duration
+	Stop            <-chan struct{} // ends it earlier; nil: nothing does
+	Timeout         time.Duration
+	Objective       time.Duration
+	MinCompleteness float64
+	Seed            uint64
+	ReportEvery     time.Duration // between two lines of a report; 0: none
+	ReportTo        io.Writer
 }
 
-// Outcome is what became of a load.
-type Outcome struct {
-	mu                                       sync.Mutex
-	Asked, Answered, Partial, InTarget       int
-	Shed, Failed, Unanswered                 int
-	Lost                                     int           // had no answer from a broker that was made to crash
-	First                                    time.Duration // of the first answer, from the load's start
-	Broken                                   []string
-	Latency                                  *hdrhistogram.Histogram // microseconds, from when a search was due
-	line                                     *hdrhistogram.Histogram
-	lineAsked, lineAnswered, lineShed, lineX int
+// LoadResult is what became of a load.
+type LoadResult struct {
+	mu                                                           sync.Mutex
+	Asked, Answered, Partial, InTarget                           int
+	Shed, Failed, Unanswered                                     int
+	LostInCrash                                                  int           // had no answer from a broker that was made to crash
+	FirstAnswer                                                  time.Duration // of the first answer, from the load's start
+	Violations                                                   []string
+	Latency                                                      *hdrhistogram.Histogram // microseconds, from when a search was due
+	interval                                                     *hdrhistogram.Histogram
+	intervalAsked, intervalAnswered, intervalShed, intervalOther int
 }
 
 // Run plays the load; every search has come to its end when it returns.
-func (l Load) Run() *Outcome {
-	o := &Outcome{Latency: hdrhistogram.New(1, 60_000_000, 3), line: hdrhistogram.New(1, 60_000_000, 3)}
+func (l Load) Run() *LoadResult {
+	o := &LoadResult{Latency: hdrhistogram.New(1, 60_000_000, 3), interval: hdrhistogram.New(1, 60_000_000, 3)}
 	rnd := rand.New(rand.NewPCG(l.Seed, 0x6c6f6164))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: l.Timeout + time.Second}
 	defer client.CloseIdleConnections()
 	var all sync.WaitGroup
 	begun, lines := time.Now(), make(chan struct{})
-	if l.Every > 0 {
-		go l.report(o, begun, lines)
+	if l.ReportEvery > 0 {
+		go l.reportPeriodically(o, begun, lines)
 	}
-	for due := time.Duration(0); due < l.For; due += time.Duration(rnd.ExpFloat64() / l.Rate * float64(time.Second)) {
-		shards := rnd.Perm(l.Shards)[:1+rnd.IntN(l.Widest)]
-		search, class := fmt.Sprintf("%016x", rnd.Uint64()), l.Class
-		if len(l.Classes) > 0 {
-			class = l.Classes[rnd.IntN(len(l.Classes))]
+	for due := time.Duration(0); due < l.RunTime; due += time.Duration(rnd.ExpFloat64() / l.Rate * float64(time.Second)) {
+		shards := rnd.Perm(l.Shards)[:1+rnd.IntN(l.MaxShards)]
+		search, class := fmt.Sprintf("%016x", rnd.Uint64()), l.QueryType
+		if len(l.QueryTypes) > 0 {
+			class = l.QueryTypes[rnd.IntN(len(l.QueryTypes))]
 		}
 		select {
 		case <-time.After(time.Until(begun.Add(due))):
 		case <-l.Stop:
-			due = l.For
+			due = l.RunTime
 			continue
 		}
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			l.one(client, o, begun, begun.Add(due), search, class, shards)
+			l.runQuery(client, o, begun, begun.Add(due), search, class, shards)
 		}()
 	}
 	all.Wait()
@@ -87,7 +87,7 @@
 	return o
 }
 
-func (l Load) one(client *http.Client, o *Outcome, begun, due time.Time, search, class string, shards []int) {
+func (l Load) runQuery(client *http.Client, o *LoadResult, begun, due time.Time, search, class string, shards []int) {
 	type tablet struct {
 		Tablet   int     `json:"tablet"`
 		Fraction float64 `json:"fraction"`
@@ -110,32 +110,32 @@
 	took := time.Since(due)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.Asked, o.lineAsked = o.Asked+1, o.lineAsked+1
-	if l.Settle != nil && !crashed() { // across a crash the client may have sent it once more
-		l.Settle(search, class, shards, status)
+	o.Asked, o.intervalAsked = o.Asked+1, o.intervalAsked+1
+	if l.RecordResult != nil && !crashed() { // across a crash the client may have sent it once more
+		l.RecordResult(search, class, shards, status)
 	}
 	switch {
 	case err != nil && crashed():
-		o.Lost++
+		o.LostInCrash++
 	case err != nil:
-		o.Unanswered, o.lineX = o.Unanswered+1, o.lineX+1
-		o.Broken = append(o.Broken, fmt.Sprintf("rule 1: search %s has no answer: %v", search, err))
+		o.Unanswered, o.intervalOther = o.Unanswered+1, o.intervalOther+1
+		o.Violations = append(o.Violations, fmt.Sprintf("rule 1: search %s has no answer: %v", search, err))
 	case status == 429 || status == 503:
-		o.Shed, o.lineShed = o.Shed+1, o.lineShed+1
+		o.Shed, o.intervalShed = o.Shed+1, o.intervalShed+1
 	case status != 200:
-		o.Failed, o.lineX = o.Failed+1, o.lineX+1
+		o.Failed, o.intervalOther = o.Failed+1, o.intervalOther+1
 	default:
-		o.Answered, o.lineAnswered = o.Answered+1, o.lineAnswered+1
+		o.Answered, o.intervalAnswered = o.Answered+1, o.intervalAnswered+1
 		o.Latency.RecordValue(max(1, took.Microseconds()))
-		o.line.RecordValue(max(1, took.Microseconds()))
-		if o.First == 0 {
-			o.First = time.Since(begun)
+		o.interval.RecordValue(max(1, took.Microseconds()))
+		if o.FirstAnswer == 0 {
+			o.FirstAnswer = time.Since(begun)
 		}
-		if took <= l.Target {
+		if took <= l.Objective {
 			o.InTarget++
 		}
-		if why := l.honest(text, search, shards, o); why != "" {
-			o.Broken = append(o.Broken, fmt.Sprintf("rule 5: search %s: %s", search, why))
+		if why := l.checkAnswer(text, search, shards, o); why != "" {
+			o.Violations = append(o.Violations, fmt.Sprintf("rule 5: search %s: %s", search, why))
 		}
 	}
 }
@@ -144,8 +144,8 @@
 func (l Load) send(client *http.Client, search, class string, body []byte) (resp *http.Response, crashed func() bool, err error) {
 	for try := 0; ; try++ {
 		url := l.URL
-		if crashed = func() bool { return false }; l.Pick != nil {
-			url, crashed = l.Pick()
+		if crashed = func() bool { return false }; l.PickBroker != nil {
+			url, crashed = l.PickBroker()
 		}
 		req, _ := http.NewRequest("POST", url+"/"+class, bytes.NewReader(body))
 		req.Header.Set("X-Request-ID", search)
@@ -155,15 +155,15 @@
 			req.Header.Set("X-Tenant-Id", l.Tenant)
 		}
 		resp, err = client.Do(req)
-		if l.Pick == nil || try == 8 || !errors.Is(err, syscall.ECONNREFUSED) || crashed() {
+		if l.PickBroker == nil || try == 8 || !errors.Is(err, syscall.ECONNREFUSED) || crashed() {
 			return resp, crashed, err
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// honest checks an answer against what nodes make for its parts. The caller holds the lock.
-func (l Load) honest(text []byte, search string, shards []int, o *Outcome) string {
+// checkAnswer checks an answer against what nodes make for its parts. The caller holds the lock.
+func (l Load) checkAnswer(text []byte, search string, shards []int, o *LoadResult) string {
 	var a struct {
 		Full   bool `json:"full"`
 		Pieces []struct {
@@ -185,15 +185,15 @@
 	if !a.Full {
 		o.Partial++
 	}
-	if a.Full && share < 1 || share < l.Floor-1e-4 {
+	if a.Full && share < 1 || share < l.MinCompleteness-1e-4 {
 		return fmt.Sprintf("%.2f of it, full %v", share, a.Full)
 	}
 	return ""
 }
 
-// report writes a line now and then.
-func (l Load) report(o *Outcome, begun time.Time, end <-chan struct{}) {
-	t := time.NewTicker(l.Every)
+// reportPeriodically writes a line now and then.
+func (l Load) reportPeriodically(o *LoadResult, begun time.Time, end <-chan struct{}) {
+	t := time.NewTicker(l.ReportEvery)
 	defer t.Stop()
 	for {
 		select {
@@ -202,20 +202,20 @@
 		case <-t.C:
 		}
 		o.mu.Lock()
-		fmt.Fprintf(l.Say, "%6.1fs  asked %4d  answered %4d  shed %3d  other %3d  p50 %7.1f ms  p99 %7.1f ms\n",
-			time.Since(begun).Seconds(), o.lineAsked, o.lineAnswered, o.lineShed, o.lineX,
-			float64(o.line.ValueAtQuantile(50))/1000, float64(o.line.ValueAtQuantile(99))/1000)
-		o.line.Reset()
-		o.lineAsked, o.lineAnswered, o.lineShed, o.lineX = 0, 0, 0, 0
+		fmt.Fprintf(l.ReportTo, "%6.1fs  asked %4d  answered %4d  shed %3d  other %3d  p50 %7.1f ms  p99 %7.1f ms\n",
+			time.Since(begun).Seconds(), o.intervalAsked, o.intervalAnswered, o.intervalShed, o.intervalOther,
+			float64(o.interval.ValueAtQuantile(50))/1000, float64(o.interval.ValueAtQuantile(99))/1000)
+		o.interval.Reset()
+		o.intervalAsked, o.intervalAnswered, o.intervalShed, o.intervalOther = 0, 0, 0, 0
 		o.mu.Unlock()
 	}
 }
 
 // String is the outcome in two lines.
-func (o *Outcome) String() string {
+func (o *LoadResult) String() string {
 	q := func(p float64) float64 { return float64(o.Latency.ValueAtQuantile(p)) / 1000 }
 	return fmt.Sprintf("asked %d: answered %d (in target %d, partial %d), shed %d, failed %d, without answer %d; rules broken %d\n"+
 		"latency of answers from when they were due: p50 %.1f ms, p90 %.1f, p99 %.1f, p99.9 %.1f; first answer after %v",
-		o.Asked, o.Answered, o.InTarget, o.Partial, o.Shed, o.Failed, o.Unanswered, len(o.Broken), q(50), q(90), q(99), q(99.9),
-		o.First.Round(time.Millisecond))
+		o.Asked, o.Answered, o.InTarget, o.Partial, o.Shed, o.Failed, o.Unanswered, len(o.Violations), q(50), q(90), q(99), q(99.9),
+		o.FirstAnswer.Round(time.Millisecond))
 }
--- a/internal/lab/play/audit.go
+++ b/internal/lab/play/audit.go
@@ -55,11 +55,11 @@
 	delay := d.w.script.List.Delay
 	for i := range d.w.plan.Events {
 		e := &d.w.plan.Events[i]
-		switch e.Does {
+		switch e.Action {
 		case script.Dies, script.Returns, script.Leaves, script.Arrives:
-			d.send(d.id, e.At+delay, kChange, int32(e.Node), uint64(e.Does), e)
+			d.send(d.id, e.At+delay, kChange, int32(e.Node), uint64(e.Action), e)
 		case script.Drains: // it is planned here
-			d.send(d.id, e.At, kChange, int32(e.Node), uint64(e.Does), e)
+			d.send(d.id, e.At, kChange, int32(e.Node), uint64(e.Action), e)
 		}
 	}
 	for _, s := range append(slices.Clone(d.w.plan.Down), d.w.plan.Hangs...) {
@@ -71,22 +71,22 @@
 	switch e.kind {
 	case kAskList:
 		from := uint32(e.a)
-		holds := func(s script.Span) bool { return s.Holds(d.now) }
+		holds := func(s script.Span) bool { return s.Includes(d.now) }
 		switch {
 		case slices.ContainsFunc(d.w.plan.Down, holds):
-			d.send(from, d.now+d.w.script.Network.Hop, kListed, 0, 0, errDown)
+			d.send(from, d.now+d.w.script.Network.ZoneDelay, kListed, 0, 0, errDown)
 		case slices.ContainsFunc(d.w.plan.Hangs, holds):
 			d.send(from, d.now+6*time.Second, kListed, 0, 0, errDown)
 		default:
 			if !slices.Contains(d.watch, from) {
 				d.watch = append(d.watch, from)
 			}
-			d.send(from, d.now+d.w.script.Network.Hop, kListed, 0, 0,
+			d.send(from, d.now+d.w.script.Network.ZoneDelay, kListed, 0, 0,
 				&discovery.List{Version: d.version, Full: true, Nodes: slices.Clone(d.nodes), Service: "discovery"})
 		}
 	case kOutage:
 		for _, b := range d.watch {
-			d.send(b, d.now+d.w.script.Network.Hop, kListed, 0, 0, errDown)
+			d.send(b, d.now+d.w.script.Network.ZoneDelay, kListed, 0, 0, errDown)
 		}
 		d.watch = d.watch[:0]
 	case kChange:
@@ -98,7 +98,7 @@
 	at := d.nodes[e.Node].Endpoint
 	list := &discovery.List{Full: false, Service: "discovery"}
 	tell := func(l discovery.Node) { list.Nodes = append(list.Nodes, l) }
-	switch e.Does {
+	switch e.Action {
 	case script.Dies, script.Leaves:
 		if at.State == decision.Removed {
 			return
@@ -122,7 +122,7 @@
 	d.version++
 	list.Version = d.version
 	for _, b := range d.watch {
-		d.send(b, d.now+d.w.script.Network.Hop, kListed, 0, 0, list)
+		d.send(b, d.now+d.w.script.Network.ZoneDelay, kListed, 0, 0, list)
 	}
 }
 
--- a/internal/lab/play/bench_test.go
+++ b/internal/lab/play/bench_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.For, s.Fleet.Nodes, s.Fleet.Cells, s.Brokers.Count = last, nodes, max(1, nodes/4), brokers
+	s.Length, s.Fleet.Nodes, s.Fleet.Cells, s.Brokers.Count = last, nodes, max(1, nodes/4), brokers
 	s.Load.Rate = 20 * float64(nodes)
 	if _, err := s.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/lab/play/clients.go
+++ b/internal/lab/play/clients.go
@@ -19,9 +19,9 @@
 
 // next draws when the next client asks.
 func (f *front) next() {
-	most := f.rate * f.w.plan.Most()
+	most := f.rate * f.w.plan.Max()
 	at := f.now + time.Duration(f.rnd.ExpFloat64()/most*float64(time.Second))
-	if at < f.w.script.For {
+	if at < f.w.script.Length {
 		f.send(f.id, at, kArrive, 0, 0, nil)
 	}
 }
@@ -40,7 +40,7 @@
 			sum += weights[i]
 		}
 	}
-	if f.rnd.Float64()*f.w.plan.Most()*all >= sum {
+	if f.rnd.Float64()*f.w.plan.Max()*all >= sum {
 		return
 	}
 	q := &asked{tenant: pick(weights[:min(len(tenants), len(weights))], sum*f.rnd.Float64()), born: f.now}
@@ -57,7 +57,7 @@
 	y := &s.Types[q.typ]
 	q.row, q.due, q.text = q.tenant*len(s.Types)+q.typ, f.now+y.Timeout, texts[q.typ%10]
 	q.client = f.rnd.Uint64N(3000) + 1
-	n := y.Least + f.rnd.IntN(y.Most-y.Least+1)
+	n := y.Min + f.rnd.IntN(y.Max-y.Min+1)
 	first := f.rnd.IntN(s.Shards())
 	q.shards, q.weights, q.sent = make([]int, n), make([]float64, n), make([]uint8, n)
 	total := 0.0
@@ -141,7 +141,7 @@
 			c.Partial++
 			worth = int64(math.Round(float64(worth) * share * partialWorth))
 		}
-		if took <= y.Target {
+		if took <= y.Objective {
 			c.InTarget++
 		} else {
 			c.Late++
@@ -206,7 +206,7 @@
 		seen[shard] = true
 		share += q.weights[at]
 	}
-	if v.Complete && len(seen) < len(q.shards) || share < y.Floor-1e-4 {
+	if v.Complete && len(seen) < len(q.shards) || share < y.RequiredShare-1e-4 {
 		f.breach(5, "search %s was answered with %.3f of it, whole %v", id, share, v.Complete)
 	}
 	return share
@@ -219,7 +219,7 @@
 	switch {
 	case q.repeats:
 		wait = atOnce
-	case hint > 0 && f.rnd.Float64() < l.Obeys:
+	case hint > 0 && f.rnd.Float64() < l.ObeysRetryAfter:
 		wait = hint
 	}
 	if int(q.tries) > l.Retries && !(q.repeats && q.tries < mostAtOnce) || f.now+wait >= q.due-5*time.Millisecond {
--- a/internal/lab/play/cores.go
+++ b/internal/lab/play/cores.go
@@ -53,7 +53,7 @@
 	if j.id != "" {
 		k := &n.by.tally.work
 		a := store.Answer{ID: j.id, End: store.Served, Value: value(j.id) + j.version, Report: j.report}
-		if errs := n.w.plan.Errs(n.n, n.now); errs > 0 && n.rnd.Float64() < errs {
+		if errs := n.w.plan.ErrorShare(n.n, n.now); errs > 0 && n.rnd.Float64() < errs {
 			a.End, a.Value = store.Broke, ""
 			k.Broke++
 		} else {
@@ -82,7 +82,7 @@
 
 // cancel gives a part up that waits, where nodes do that.
 func (n *node) cancel(id string) {
-	if n.w.script.Fleet.Drops {
+	if n.w.script.Fleet.DropsCancelled {
 		for _, j := range n.queue {
 			if j.id == id {
 				j.off = true
--- a/internal/lab/play/engine.go
+++ b/internal/lab/play/engine.go
@@ -59,7 +59,7 @@
 		at = max(at, s.now+s.w.ahead)
 	}
 	s.seq++
-	i := queue.Item[event]{Key: queue.Key{At: at, Src: s.id, Seq: s.seq}, Of: event{dst, k, n, a, p}}
+	i := queue.Item[event]{Key: queue.Key{At: at, Source: s.id, Seq: s.seq}, Value: event{dst, k, n, a, p}}
 	if to := int(dst) % len(s.w.workers); to == s.by.at {
 		s.by.q.Push(i)
 	} else {
@@ -137,7 +137,7 @@
 		}
 		i := k.q.Pop()
 		k.n++
-		w.actors[i.Of.dst].told(&i)
+		w.actors[i.Value.dst].told(&i)
 	}
 }
 
@@ -145,9 +145,9 @@
 func (p place) told(i *queue.Item[event]) {
 	p.self.now = i.At
 	p.mark(uint64(i.At))
-	p.mark(uint64(i.Src)<<40 ^ uint64(i.Of.kind)<<32 ^ uint64(uint32(i.Of.n)))
-	p.mark(i.Of.a)
-	p.actor.handle(&i.Of)
+	p.mark(uint64(i.Source)<<40 ^ uint64(i.Value.kind)<<32 ^ uint64(uint32(i.Value.n)))
+	p.mark(i.Value.a)
+	p.actor.handle(&i.Value)
 }
 
 type place struct {
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -132,7 +132,7 @@
 	f.core, err = server.NewCore(&t, f.w.operators(), f.w.decider(f.policy, f), server.Environment{
 		Now: f.since, Start: f.w.epoch.Add(f.began), Sockets: f.w.script.Brokers.Sockets, Carrier: f.dial,
 		PollDiscovery: func() {
-			f.send(idDiscovery, f.now+f.w.script.Network.Hop, kAskList, 0, uint64(f.id), nil)
+			f.send(idDiscovery, f.now+f.w.script.Network.ZoneDelay, kAskList, 0, uint64(f.id), nil)
 		},
 		SendGossip: f.tell, Log: f.log, CachedList: f.book})
 	f.kick()
@@ -174,7 +174,7 @@
 	if f.core == nil {
 		return
 	}
-	cost := f.w.script.Brokers.TurnCost
+	cost := f.w.script.Brokers.StepCost
 	f.busy = f.now + cost + time.Duration(f.events)*cost/8
 	f.events = 0
 	next := f.core.Step()
--- a/internal/lab/play/node.go
+++ b/internal/lab/play/node.go
@@ -87,7 +87,7 @@
 func (n *node) start() {
 	for i := range n.w.plan.Events {
 		if e := &n.w.plan.Events[i]; e.Node == n.n {
-			n.send(n.id, e.At, kTrouble, 0, uint64(e.Does), e)
+			n.send(n.id, e.At, kTrouble, 0, uint64(e.Action), e)
 		}
 	}
 	n.send(n.id, time.Second-1, kSecond, 0, 0, nil)
@@ -157,17 +157,17 @@
 	if !n.cold || n.fallen {
 		return
 	}
-	if age >= f.WarmAfter {
+	if age >= f.WarmUpAfter {
 		n.cold, n.recent, n.sum = false, nil, 0
 		return
 	}
 	n.recent, n.sum = append(n.recent, offer{n.now, work}), n.sum+work
-	for n.recent[0].at < n.now-f.FallsAfter {
+	for n.recent[0].at < n.now-f.CrashAfter {
 		n.sum -= n.recent[0].work
 		n.recent = n.recent[1:]
 	}
-	can := n.capacity() * float64(len(n.cores)) * float64(f.FallsAfter)
-	if float64(n.sum) > f.FallsAt*can {
+	can := n.capacity() * float64(len(n.cores)) * float64(f.CrashAfter)
+	if float64(n.sum) > f.CrashMultiple*can {
 		n.breach(4, "node %d fell over %v after its start: offered %.2f times what it can do", n.n, age, float64(n.sum)/can)
 		n.fallen = true
 		n.queue = nil
@@ -178,8 +178,8 @@
 // capacity is the share of its speed that a node has.
 func (n *node) capacity() float64 {
 	f := &n.w.script.Fleet
-	if age := n.now - n.boot; n.cold && age < f.WarmAfter {
-		return f.ColdFrom + (1-f.ColdFrom)*float64(age)/float64(f.WarmAfter)
+	if age := n.now - n.boot; n.cold && age < f.WarmUpAfter {
+		return f.ColdCapacity + (1-f.ColdCapacity)*float64(age)/float64(f.WarmUpAfter)
 	}
 	return 1
 }
@@ -198,7 +198,7 @@
 		s.State = Still
 	case n.drained:
 		s.State = Leaving
-	case n.cold && n.now-n.boot < n.w.script.Fleet.WarmAfter:
+	case n.cold && n.now-n.boot < n.w.script.Fleet.WarmUpAfter:
 		s.State = Cold
 	}
 	s.Slow = n.w.plan.Slow(n.n, n.now) > 1.05
--- a/internal/lab/play/plain.go
+++ b/internal/lab/play/plain.go
@@ -220,9 +220,9 @@
 	if n == nil || n.dead || n.fallen || n.gone > 0 || n.hung > 0 || len(n.queue) >= w.script.Fleet.Queue {
 		return 0, false
 	}
-	if n.cold && n.now-n.boot < w.script.Fleet.WarmAfter { // its ration: what it can do, not what it would take
-		can := n.capacity() * float64(len(n.cores)) * float64(w.script.Fleet.FallsAfter)
-		if float64(n.sum) > 0.6*w.script.Fleet.FallsAt*can {
+	if n.cold && n.now-n.boot < w.script.Fleet.WarmUpAfter { // its ration: what it can do, not what it would take
+		can := n.capacity() * float64(len(n.cores)) * float64(w.script.Fleet.CrashAfter)
+		if float64(n.sum) > 0.6*w.script.Fleet.CrashMultiple*can {
 			return 0, false
 		}
 	}
@@ -237,5 +237,5 @@
 	}
 	own := w.script.Types[0].Work + w.script.Fleet.CallWork
 	took := float64(work)/float64(len(n.cores)) + float64(own)
-	return max(now, n.still) + time.Duration(took/n.capacity()*w.plan.Slow(n.n, now)) + 2*w.script.Network.Cross, true
+	return max(now, n.still) + time.Duration(took/n.capacity()*w.plan.Slow(n.n, now)) + 2*w.script.Network.CrossZoneDelay, true
 }
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -65,19 +65,19 @@
 	}
 	h := &readhint.Hint{}
 	switch draw := f.rnd.Float64(); {
-	case draw < r.Hot:
+	case draw < r.HotKey:
 		h.Scope, h.Key = readhint.ScopeKey, "hot"
-	case draw < r.Hot+r.Pinned:
+	case draw < r.HotKey+r.Pinned:
 		h.Scope, h.Key = readhint.ScopeSession, q.session.key
 	}
 	if f.rnd.Float64() < r.Fresh {
-		h.MaxStaleness = (r.Least + time.Duration(f.rnd.Float64()*float64(r.Most-r.Least))).Round(time.Millisecond)
+		h.MaxStaleness = (r.StalenessMin + time.Duration(f.rnd.Float64()*float64(r.StalenessMax-r.StalenessMin))).Round(time.Millisecond)
 	}
 	if f.rnd.Float64() < r.Tokens {
 		for _, shard := range slices.Sorted(slices.Values(q.shards)) {
 			h.NotBefore = append(h.NotBefore, readhint.Position{Shard: shard, Offset: q.session.seen[shard]})
 		}
-		if f.rnd.Float64() < r.Own { // it has just written there
+		if f.rnd.Float64() < r.OwnWrites { // it has just written there
 			h.NotBefore = []readhint.Position{{Shard: q.shards[0], Offset: writesBy(r, q.shards[0], f.now)}}
 		}
 	}
@@ -152,9 +152,9 @@
 		return
 	}
 	q.session, q.hint = nil, nil
-	if n := f.w.script.Brokers.Count; n > 1 && f.rnd.Float64() < f.w.script.Reads.Moves {
+	if n := f.w.script.Brokers.Count; n > 1 && f.rnd.Float64() < f.w.script.Reads.MoveChance {
 		to := (f.n + 1 + f.rnd.IntN(n-1)) % n
-		f.send(uint32(idBrokers+to), f.now+f.w.script.Network.Cross, kMove, 0, 0, s)
+		f.send(uint32(idBrokers+to), f.now+f.w.script.Network.CrossZoneDelay, kMove, 0, 0, s)
 		return
 	}
 	f.sessions = append(f.sessions, s)
@@ -166,7 +166,7 @@
 	if !r.On || n < 2 || f.policy != Module {
 		return
 	}
-	f.send(f.id, f.now+r.Share/2+time.Duration(f.rnd.Float64()*float64(r.Share)), kShare, 0, 0, nil)
+	f.send(f.id, f.now+r.ShareInterval/2+time.Duration(f.rnd.Float64()*float64(r.ShareInterval)), kShare, 0, 0, nil)
 	to := (f.n + 1 + f.rnd.IntN(n-1)) % n
 	if took, lost, held := f.way(f.zone, to%f.w.script.Fleet.Zones); f.core != nil && !lost && held == 0 {
 		f.send(uint32(idBrokers+to), f.now+took, kPull, int32(f.n), uint64(f.now), nil)
--- a/internal/lab/play/reads_test.go
+++ b/internal/lab/play/reads_test.go
@@ -60,7 +60,7 @@
 // The same course on one core and on two.
 func TestReadsSameCourse(t *testing.T) {
 	s := read(t, lagging)
-	s.For, s.Load.Rate, s.Troubles = 3*time.Second, 100, s.Troubles[:1]
+	s.Length, s.Load.Rate, s.Faults = 3*time.Second, 100, s.Faults[:1]
 	one := played(t, s, Options{Cores: 1, Policy: Module})
 	if r := played(t, s, Options{Cores: 2, Policy: Module}); r.Hash != one.Hash || *r.Reads != *one.Reads {
 		t.Errorf("%s, %s", r.Hash, one.Hash)
@@ -90,8 +90,8 @@
 	for name, change := range map[string]func(*script.Reads){
 		"pinned":                      func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens = 1, 0, 0 },
 		"bounded":                     func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens = 0, 1, 0 },
-		"not before":                  func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens, r.Own = 0, 0, 1, 0 },
-		"pinned, bounded, not before": func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens, r.Own = 1, 1, 1, 0 },
+		"not before":                  func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens, r.OwnWrites = 0, 0, 1, 0 },
+		"pinned, bounded, not before": func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens, r.OwnWrites = 1, 1, 1, 0 },
 	} {
 		r := day(change)
 		mean := func(r *Result) float64 { return float64(r.Latency.Mean()) / 1e6 }
--- a/internal/lab/play/replica.go
+++ b/internal/lab/play/replica.go
@@ -50,7 +50,7 @@
 		return "", ""
 	}
 	r := &n.rep
-	r.advance(n.now, s.Catch)
+	r.advance(n.now, s.CatchUp)
 	_, text, _ := strings.Cut(part, ".")
 	shard, _ := strconv.Atoi(text)
 	pos := writesBy(s, shard, r.of)
--- a/internal/lab/play/sends.go
+++ b/internal/lab/play/sends.go
@@ -15,7 +15,7 @@
 	if len(b) < 5 || b[4] != 'q' {
 		return
 	}
-	if at, told := f.told[c.name]; told && f.now > at+f.w.script.Fleet.Grace+graceSlip {
+	if at, told := f.told[c.name]; told && f.now > at+f.w.script.Fleet.DrainGrace+graceSlip {
 		f.breach(3, "broker %d sent to %s %v after it was told that it leaves", f.n, c.name, f.now-at)
 	}
 	k := &f.by.tally.work
--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -72,7 +72,7 @@
 
 // picture notes which nodes the broker gives no work as a matter of course.
 func (f *front) picture() {
-	if f.core == nil || f.ids == nil || f.now > f.w.script.For+settle || f.w.script.Fleet.Nodes > 200 && int(f.now/time.Second)%10 != 0 {
+	if f.core == nil || f.ids == nil || f.now > f.w.script.Length+settle || f.w.script.Fleet.Nodes > 200 && int(f.now/time.Second)%10 != 0 {
 		return
 	}
 	d := f.by.tally.doubt(f.now, f.w.script.Fleet.Nodes)
--- a/internal/lab/play/trouble.go
+++ b/internal/lab/play/trouble.go
@@ -10,12 +10,12 @@
 // trouble is what the script does to the node.
 func (n *node) trouble(e *script.Event) {
 	if !n.dead && n.gone == 0 { // else it took nothing over
-		n.rep.advance(n.now, n.w.script.Reads.Catch)
+		n.rep.advance(n.now, n.w.script.Reads.CatchUp)
 	}
-	switch e.Does {
+	switch e.Action {
 	case script.Lags:
 		n.rep.until = max(n.rep.until, n.now+e.Span)
-	case script.Rolls:
+	case script.RollsBack:
 		n.rep.of -= e.Span
 	case script.Dies, script.Leaves:
 		n.dead = true
--- a/internal/lab/play/world.go
+++ b/internal/lab/play/world.go
@@ -33,7 +33,7 @@
 const (
 	Module Policy = "module"
 	Random Policy = "random"
-	Seer   Policy = "seer"
+	Oracle Policy = "seer"
 )
 
 // world is all actors of one run.
@@ -84,12 +84,12 @@
 // build puts a world together; nothing has happened in it.
 func build(s *script.Script, o Options) (*world, []*front, error) {
 	w := &world{script: s, plan: s.Schedule(), terms: s.Terms(), rows: len(s.Tenants) * len(s.Types), byID: map[decision.NodeID]*node{},
-		ahead: min(s.Network.Hop, s.Network.Cross), epoch: time.UnixMilli(1_700_000_000_000)}
+		ahead: min(s.Network.ZoneDelay, s.Network.CrossZoneDelay), epoch: time.UnixMilli(1_700_000_000_000)}
 	cores := o.Cores
 	if cores == 0 {
 		cores = min(runtime.GOMAXPROCS(0), 1+(s.Brokers.Count+s.Fleet.Nodes)/24)
 	}
-	if o.Policy == Seer || o.Trace != nil { // one looks into the nodes, the other writes in order
+	if o.Policy == Oracle || o.Trace != nil { // one looks into the nodes, the other writes in order
 		cores = 1
 	}
 	if o.Trace != nil {
@@ -132,7 +132,7 @@
 	for _, y := range s.Types {
 		longest = max(longest, y.Timeout)
 	}
-	w.end = s.For + longest + settle
+	w.end = s.Length + longest + settle
 	return w, brokers, nil
 }
 
@@ -143,7 +143,7 @@
 var operatorsInstead func(*operator.File)
 
 func (w *world) operators() *operator.File {
-	f := w.script.Operators()
+	f := w.script.OperatorFile()
 	if operatorsInstead != nil {
 		operatorsInstead(f)
 	}
@@ -158,7 +158,7 @@
 			return func(t decision.Settings) decision.Router { return decideInstead(t, f) }
 		}
 		return func(t decision.Settings) decision.Router { return newPlain(t, f.rnd, nil) }
-	case Seer:
+	case Oracle:
 		return func(t decision.Settings) decision.Router { return newPlain(t, f.rnd, w.foresee) }
 	default:
 		return func(t decision.Settings) decision.Router { return routing.New(t) }
@@ -169,9 +169,9 @@
 // before a moment.
 func (s *self) way(from, to int) (took time.Duration, lost bool, held time.Duration) {
 	n := &s.w.script.Network
-	took = n.Hop
+	took = n.ZoneDelay
 	if from != to {
-		took = n.Cross
+		took = n.CrossZoneDelay
 	}
 	if n.Jitter > 0 {
 		took += time.Duration(n.Jitter * s.rnd.ExpFloat64() * float64(took))
--- a/internal/lab/press.go
+++ b/internal/lab/press.go
@@ -16,30 +16,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Press is a closed loop of so many connections, or an open one where there is a rate.
-type Press struct {
-	Addr  string
-	Class string
-	Parts int
-	Cells int
-	Conns int
-	Rate  float64 // searches a second over all connections; 0: as many as are answered
-	For   time.Duration
+// CostLoad is a closed loop of so many connections, or an open one where there is a rate.
+type CostLoad struct {
+	Addr           string
+	QueryType      string
+	ShardsPerQuery int
+	Cells          int
+	Connections    int
+	Rate           float64 // searches a second over all connections; 0: as many as are answered
+	RunTime        time.Duration
 }
 
-// Pressed is what came of it.
-type Pressed struct {
+// CostResult is what came of it.
+type CostResult struct {
 	Asked, Answered, Other int
 	Latency                *hdrhistogram.Histogram // microseconds; of an open loop from when a search was due
 }
 
 // Run plays it.
-func (p Press) Run() (*Pressed, error) {
-	total := &Pressed{Latency: hdrhistogram.New(1, 10_000_000, 3)}
+func (p CostLoad) Run() (*CostResult, error) {
+	total := &CostResult{Latency: hdrhistogram.New(1, 10_000_000, 3)}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var failed error
-	for i := range p.Conns {
+	for i := range p.Connections {
 		all.Go(func() {
 			one, err := p.one(i)
 			mu.Lock()
@@ -56,33 +56,33 @@
 	return total, failed
 }
 
-func (p Press) one(client int) (*Pressed, error) {
+func (p CostLoad) one(client int) (*CostResult, error) {
 	conn, err := net.Dial("tcp", p.Addr)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
 	in := bufio.NewReader(conn)
-	out := &Pressed{Latency: hdrhistogram.New(1, 10_000_000, 3)}
+	out := &CostResult{Latency: hdrhistogram.New(1, 10_000_000, 3)}
 	var body bytes.Buffer
 	body.WriteString(`{"tablets":[`)
-	for i := range p.Parts {
+	for i := range p.ShardsPerQuery {
 		if i > 0 {
 			body.WriteByte(',')
 		}
-		fmt.Fprintf(&body, `{"tablet":%d,"fraction":%.6f}`, i%p.Cells+i/p.Cells*p.Cells, 1/float64(p.Parts))
+		fmt.Fprintf(&body, `{"tablet":%d,"fraction":%.6f}`, i%p.Cells+i/p.Cells*p.Cells, 1/float64(p.ShardsPerQuery))
 	}
 	body.WriteString(`],"statement":"c41e77d0"}`)
 	var req []byte
 	began := time.Now()
-	for n := 0; time.Since(began) < p.For; n++ {
+	for n := 0; time.Since(began) < p.RunTime; n++ {
 		due := time.Now()
 		if p.Rate > 0 {
-			due = began.Add(time.Duration((float64(n) + float64(client)/float64(p.Conns)) * float64(p.Conns) / p.Rate * float64(time.Second)))
+			due = began.Add(time.Duration((float64(n) + float64(client)/float64(p.Connections)) * float64(p.Connections) / p.Rate * float64(time.Second)))
 			time.Sleep(time.Until(due))
 		}
 		req = fmt.Appendf(req[:0], "POST /%s HTTP/1.1\r\nHost: b\r\nX-Request-ID: %08x%08x\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 900\r\nCookie: user=7f3a9c21e0b4d655\r\nContent-Length: %d\r\n\r\n",
-			p.Class, client, n, body.Len())
+			p.QueryType, client, n, body.Len())
 		req = append(req, body.Bytes()...)
 		if _, err := conn.Write(req); err != nil {
 			return nil, err
--- a/internal/lab/proof/back_test.go
+++ b/internal/lab/proof/back_test.go
@@ -21,7 +21,7 @@
 		}
 		return true
 	})
-	return len(c.Watch.Steps())
+	return len(c.Monitor.PlannedStops())
 }
 
 // The word of an operator halts a release, lets it go on, and takes it back: whoever went out returns with the version before.
@@ -37,7 +37,7 @@
 		t.Fatalf("%d steps; nothing is left to halt", n)
 	}
 	time.Sleep(still)
-	if now := len(c.Watch.Steps()); now != n {
+	if now := len(c.Monitor.PlannedStops()); now != n {
 		t.Errorf("%d went out after the halt", now-n)
 	}
 	c.do("resume")
@@ -46,7 +46,7 @@
 	installed.Store(&before)
 	c.do("back", "trial")
 	c.done()
-	out := clients.End()
+	out := clients.Stop()
 	c.audit(1, out)
 	back := 0
 	for _, b := range c.Brokers {
@@ -70,9 +70,9 @@
 	c.Supervise(func(b *chaos.Broker) error {
 		if b.Version = "v2"; planned(b) > 1 {
 			b.Version = "v1"
-			return b.Narrow("4096")
+			return b.SetMaxOpen("4096")
 		}
-		return b.Narrow("2")
+		return b.SetMaxOpen("2")
 	})
 	c.do("release", "--from", "v1", "--to", "v2", "--most", "1", "--batch", "1,7", "--pause", "10s")
 	c.steps(1)
@@ -86,8 +86,8 @@
 	t.Logf("halted for: %s", s.Release.Reason)
 	c.do("back", "bad")
 	c.done()
-	out := clients.End()
-	for i, broken := range append(c.Watch.Check(1, known), out.Broken...) {
+	out := clients.Stop()
+	for i, broken := range append(c.Monitor.Check(1, known), out.Violations...) {
 		if i < 5 {
 			t.Error(broken)
 		}
--- a/internal/lab/proof/budgets_test.go
+++ b/internal/lab/proof/budgets_test.go
@@ -32,7 +32,7 @@
 		}
 		c.do("policy", "set", file)
 	}
-	if out, err := c.Command("policy", "set", c.Operate); err == nil {
+	if out, err := c.Command("policy", "set", c.CommandFile); err == nil {
 		t.Errorf("a file that is no policy was agreed: %s", out)
 	}
 	// stall has the nodes take parts and say nothing for a moment, again and again, so that parts pile up and connections with them.
@@ -40,7 +40,7 @@
 		for range times {
 			for _, mode := range []lab.Mode{lab.Hanging, lab.Serving} {
 				for _, n := range c.Nodes {
-					if err := n.Turn(mode); err != nil {
+					if err := n.SetMode(mode); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -52,7 +52,7 @@
 		for _, n := range c.Nodes {
 			_, peak := n.Conns()
 			most = max(most, peak)
-			n.Calm()
+			n.ResetPeak()
 		}
 		return most
 	}
@@ -63,7 +63,7 @@
 		free = max(free, peak())
 		return free > budgetOfNode
 	})
-	all.End()
+	all.Stop()
 	first := c.Clients(400, 3, c.Brokers[0], c.Brokers[1])
 	set(connections)
 	c.agreed("the policy is in force", func(s *controlplane.Status) bool { return s.Policy != nil && s.Policy.Version == 1 })
@@ -71,19 +71,19 @@
 	peak()
 	c.until("all brokers keep to the policy", func() bool { stall(1); return peak() <= budgetOfNode })
 	second := c.Clients(400, 4, c.Brokers[2], c.Brokers[3])
-	first.End()
+	first.Stop()
 	stall(2)
-	c.Brokers[2].Freeze()
+	c.Brokers[2].Pause()
 	c.Brokers[4].Kill()
 	stall(3)
 	set(strings.Replace(connections, "shared / 3", "shared", 1))
-	c.Brokers[2].Thaw()
+	c.Brokers[2].Resume()
 	stall(1)
 	c.do("policy", "back")
 	stall(1)
 	c.until("a broker holds units", func() bool { stall(1); return holds(c.Brokers[3]) })
-	out, held := second.End(), peak()
-	if c.Brokers[3].Term(); !c.Brokers[3].Over(patient) || len(c.Brokers[3].Logged(0, "connection leases released")) == 0 {
+	out, held := second.Stop(), peak()
+	if c.Brokers[3].Terminate(); !c.Brokers[3].WaitForEnd(patient) || len(c.Brokers[3].LogLines(0, "connection leases released")) == 0 {
 		t.Error("a broker that stopped in good order gave nothing up")
 	}
 	t.Logf("%d connections to a node at most under the policy, budget %d; %d before it; %d of %d searches answered", held, budgetOfNode,
@@ -96,7 +96,7 @@
 // holds tells whether a broker holds units under its present session: one that was lost meanwhile begins with nothing.
 func holds(b *chaos.Broker) (now bool) {
 	session := ""
-	for _, line := range b.Logged(0, "") {
+	for _, line := range b.LogLines(0, "") {
 		if _, inc, ok := strings.Cut(line, " incarnation="); ok && strings.Contains(line, connected) && inc != session {
 			session, now = inc, false
 		}
--- a/internal/lab/proof/disk_test.go
+++ b/internal/lab/proof/disk_test.go
@@ -14,7 +14,7 @@
 
 // directory is where a voter keeps its log.
 func directory(b *chaos.Broker) string {
-	return filepath.Join(filepath.Dir(b.File), "agreed", b.Name)
+	return filepath.Join(filepath.Dir(b.OperatorFile), "agreed", b.Name)
 }
 
 // largest is the size of the largest file in a directory.
@@ -35,7 +35,7 @@
 func (c *tier) stop(b *chaos.Broker) {
 	c.t.Helper()
 	c.Supervise(nil)
-	if b.Term(); !b.Over(patient) {
+	if b.Terminate(); !b.WaitForEnd(patient) {
 		c.t.Fatalf("%s does not end", b.Name)
 	}
 }
@@ -47,13 +47,13 @@
 	if err := c.Start(b); err != nil {
 		c.t.Fatal(err)
 	}
-	if !b.Over(patient) {
+	if !b.WaitForEnd(patient) {
 		c.t.Errorf("%s runs", b.Name)
 	}
-	if last := b.Lives()[len(b.Lives())-1]; last.Status == 0 {
+	if last := b.Runs()[len(b.Runs())-1]; last.Status == 0 {
 		c.t.Errorf("%s ended with status 0", b.Name)
 	}
-	return strings.Join(b.Logged(from, ""), "\n")
+	return strings.Join(b.LogLines(from, ""), "\n")
 }
 
 // A voter whose disk fills votes no more and says so, and serves on; the others agree without it. With room it is a voter again,
@@ -62,26 +62,26 @@
 	c := begin(t, chaos.Options{Brokers: 4, Voters: 3})
 	c.install("v2")
 	s := c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
-	full := c.Of(s.Leader)
-	if err := full.Limit(uint64(largest(t, directory(full)) + 100)); err != nil {
+	full := c.BrokerNamed(s.Leader)
+	if err := full.LimitFileSize(uint64(largest(t, directory(full)) + 100)); err != nil {
 		t.Fatal(err)
 	}
 	c.until("it says that its disk is full", func() bool {
 		c.Command("forget", "b3", "--within", "1s") // something to write; it is refused, as that one lives
-		return len(full.Logged(0, "voter stopped")) > 0
+		return len(full.LogLines(0, "voter stopped")) > 0
 	})
-	for _, line := range full.Logged(0, "voter stopped") {
+	for _, line := range full.LogLines(0, "voter stopped") {
 		if !strings.Contains(line, "file too large") || !strings.Contains(line, "make room") {
 			t.Error(line)
 		}
 	}
 	c.agreed("another leads", func(s *controlplane.Status) bool { return s.Leader != full.Name })
 	c.all(statemachine.BrokerServing) // it follows the others from now on: it takes no place in any limit, and hears of drains
-	if up, said := full.Up(); !up || !said {
+	if up, said := full.Serving(); !up || !said {
 		t.Error("a broker whose disk is full does not serve")
 	}
 	time.Sleep(still)
-	if n := len(full.Logged(0, "voter stopped")); n != 1 {
+	if n := len(full.LogLines(0, "voter stopped")); n != 1 {
 		t.Errorf("said %d times", n)
 	}
 	c.stop(full)
@@ -90,7 +90,7 @@
 	}
 	c.all(statemachine.BrokerServing)
 
-	other := c.Of(c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" }).Leader)
+	other := c.BrokerNamed(c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" }).Leader)
 	wrong := c.Brokers[(other.Index+1)%3]
 	c.stop(wrong)
 	keep := filepath.Join(t.TempDir(), "kept")
--- a/internal/lab/proof/drain_test.go
+++ b/internal/lab/proof/drain_test.go
@@ -29,9 +29,9 @@
 // arrived counts the parts that come to a node in a span. What was on its way before had time to arrive.
 func arrived(n *lab.Node, span time.Duration) int64 {
 	time.Sleep(250 * time.Millisecond)
-	before := n.Parts.Load()
+	before := n.ShardRequests.Load()
 	time.Sleep(span)
-	return n.Parts.Load() - before
+	return n.ShardRequests.Load() - before
 }
 
 // An agreed drain reaches every broker: once the tier calls the node drained, no part comes to it from any of them, and after the
@@ -41,29 +41,29 @@
 	clients := c.Clients(120, 7)
 	c.listed()
 	x, y, nameX, nameY := c.Nodes[0], c.Nodes[1], c.List[0].InstanceID, c.List[1].InstanceID
-	c.until("parts come to both", func() bool { return x.Parts.Load() > 20 && y.Parts.Load() > 20 })
+	c.until("parts come to both", func() bool { return x.ShardRequests.Load() > 20 && y.ShardRequests.Load() > 20 })
 	c.do("drain", nameX)
 	c.drained(nameX)
 	if n := arrived(x, still); n > 0 {
 		t.Errorf("%d parts came to a drained node", n)
 	}
 	c.do("undrain", nameX)
-	had := x.Parts.Load()
-	c.until("parts come again", func() bool { return x.Parts.Load() > had+20 })
+	had := x.ShardRequests.Load()
+	c.until("parts come again", func() bool { return x.ShardRequests.Load() > had+20 })
 
 	c.do("drain", nameY)
 	c.drained(nameY)
 	list := slices.Clone(c.List)
 	list[1].Lifecycle = "terminating"
-	c.Discovery.Set(list)
+	c.Discovery.SetList(list)
 	time.Sleep(still) // each broker's watch brings the news by itself
 	c.do("undrain", nameY)
 	if n := arrived(y, still); n > 0 {
 		t.Errorf("%d parts came to a node that discovery drains", n)
 	}
-	out := clients.End()
-	if len(out.Broken) > 0 || share(out) < 0.95 {
-		t.Errorf("share served %.3f; %v", share(out), out.Broken)
+	out := clients.Stop()
+	if len(out.Violations) > 0 || share(out) < 0.95 {
+		t.Errorf("share served %.3f; %v", share(out), out.Violations)
 	}
 	t.Log(out)
 }
@@ -85,18 +85,18 @@
 	}
 	var lines []string
 	c.until("the broker that is cut off says so", func() bool {
-		lines = b.Logged(from, cutOff)
+		lines = b.LogLines(from, cutOff)
 		return len(lines) > 0
 	})
 	if ended := logTime(t, lines[0]); ended.After(at) {
 		t.Errorf("drained at %v, and the lease of a broker that had not heard of it ended at %v", at, ended)
 	}
-	clients.End()
-	had := x.Parts.Load() // with no load but that through the ones that were told
+	clients.Stop()
+	had := x.ShardRequests.Load() // with no load but that through the ones that were told
 	told := c.Clients(60, 9, c.Brokers[:4]...)
 	time.Sleep(still)
-	if out := told.End(); x.Parts.Load() != had || len(out.Broken) > 0 {
-		t.Errorf("%d parts came to a drained node; %v", x.Parts.Load()-had, out.Broken)
+	if out := told.Stop(); x.ShardRequests.Load() != had || len(out.Violations) > 0 {
+		t.Errorf("%d parts came to a drained node; %v", x.ShardRequests.Load()-had, out.Violations)
 	}
 	c.Mesh.Heal(true)
 	c.all(statemachine.BrokerServing)
@@ -105,7 +105,7 @@
 	if n := arrived(x, still); n > 0 {
 		t.Errorf("%d parts came to a drained node after the one that was cut off is back", n)
 	}
-	again.End()
+	again.Stop()
 }
 
 // logTime reads when a line was logged.
--- a/internal/lab/proof/frozen_test.go
+++ b/internal/lab/proof/frozen_test.go
@@ -38,7 +38,7 @@
 	provoked := false
 	for try := 0; try < 5 && !provoked; try++ {
 		if provoked = c.holds(b); provoked {
-			b.Freeze()
+			b.Pause()
 		}
 		c.agreed("its loss is known", func(s *controlplane.Status) bool {
 			me, _ := standing(s, b.Name)
@@ -53,13 +53,13 @@
 	if !provoked {
 		t.Fatal("no permit was given before the lease ran out, five times")
 	}
-	if !b.Held() || !b.Running() {
+	if !b.Paused() || !b.Running() {
 		t.Fatal("it has gone before it was stopped")
 	}
-	b.Thaw()
+	b.Resume()
 	c.all(statemachine.BrokerServing)
 	time.Sleep(still)
-	if n := len(c.Watch.Steps()); n != 0 || !b.Running() {
+	if n := len(c.Monitor.PlannedStops()); n != 0 || !b.Running() {
 		t.Fatalf("%d went out by a permit that was void", n)
 	}
 	c.do("resume")
--- a/internal/lab/proof/history_test.go
+++ b/internal/lab/proof/history_test.go
@@ -105,7 +105,7 @@
 		call := time.Now()
 		if in.verb == controlplane.VerbStatus {
 			var s controlplane.Status
-			if err := c.Ask(within, client, in.verb, &controlplane.Request{}, &s); err == nil {
+			if err := c.SendToVoters(within, client, in.verb, &controlplane.Request{}, &s); err == nil {
 				for _, node := range nodes { // one read of each
 					out := told{kind: 'd'}
 					for _, d := range s.Drains {
@@ -118,7 +118,7 @@
 			} // a read without an answer says nothing
 		} else {
 			var number uint64
-			err := c.Ask(within, client, in.verb, &controlplane.Request{Node: in.node}, &number)
+			err := c.SendToVoters(within, client, in.verb, &controlplane.Request{Node: in.node}, &number)
 			out := told{'d', number}
 			var no *controlplane.RejectedError
 			switch {
@@ -151,12 +151,12 @@
 		case 2:
 			c.Mesh.Cut(v, (v+1)%3)
 		case 3:
-			c.Brokers[v].Freeze()
+			c.Brokers[v].Pause()
 		case 4:
 			c.Mesh.Reset(v, (v+1)%3)
 		}
 		time.Sleep(time.Duration(300+rnd.IntN(900)) * time.Millisecond)
-		c.Brokers[v].Thaw()
+		c.Brokers[v].Resume()
 		c.Mesh.Heal(rnd.IntN(2) == 0)
 		time.Sleep(time.Duration(rnd.IntN(700)) * time.Millisecond)
 	}
--- a/internal/lab/proof/hunt_test.go
+++ b/internal/lab/proof/hunt_test.go
@@ -19,19 +19,19 @@
 	span := time.Duration(100+rnd.IntN(1100)) * time.Millisecond
 	switch rnd.IntN(7) {
 	case 0, 1:
-		if _, well := b.Hit(); !well {
+		if _, well := b.Faults(); !well {
 			return
 		}
-		c.Watch.Fault(b.Name)
+		c.Monitor.ExpectKill(b.Name)
 		b.Kill()
-		b.Over(patient)
+		b.WaitForEnd(patient)
 		time.Sleep(span)
 		b.Version = "v2" // what is installed
 		c.Start(b)
 	case 2:
-		b.Freeze()
+		b.Pause()
 		time.Sleep(span)
-		b.Thaw()
+		b.Resume()
 	case 3:
 		c.Mesh.Isolate(b.Index, rnd.IntN(2) == 0)
 		time.Sleep(span)
@@ -43,9 +43,9 @@
 	case 5:
 		c.Mesh.Reset(b.Index, (b.Index+1)%len(c.Brokers))
 	case 6:
-		c.Mesh.Lag(b.Index, span/10)
+		c.Mesh.SetDelay(b.Index, span/10)
 		time.Sleep(span)
-		c.Mesh.Lag(b.Index, 0)
+		c.Mesh.SetDelay(b.Index, 0)
 	}
 }
 
@@ -73,7 +73,7 @@
 				return s.Release != nil && s.Release.State != statemachine.ReleaseRunning
 			})
 			c.all(statemachine.BrokerServing)
-			c.audit(most, clients.End())
+			c.audit(most, clients.Stop())
 			for _, b := range c.Brokers {
 				if n := planned(b); n > 1 || b.Version != "v2" {
 					t.Errorf("%s was stopped %d times by the release, and runs %s", b.Name, n, b.Version)
--- a/internal/lab/proof/main_test.go
+++ b/internal/lab/proof/main_test.go
@@ -102,7 +102,7 @@
 	c.all(statemachine.BrokerServing)
 	c.until("the outside view has all serve", func() bool {
 		for _, b := range c.Brokers {
-			if !c.Watch.Serves(b.Name) {
+			if !c.Monitor.Serves(b.Name) {
 				return false
 			}
 		}
@@ -114,11 +114,11 @@
 
 // tell prints what the brokers logged last.
 func (c *tier) tell() {
-	for _, s := range c.Watch.Steps() {
+	for _, s := range c.Monitor.PlannedStops() {
 		c.t.Logf("step of %s at %s, beside %v", s.Broker, s.At.Format("15:04:05.000"), s.Out)
 	}
 	for _, b := range c.Brokers {
-		lines := b.Logged(0, "component=control-plane")
+		lines := b.LogLines(0, "component=control-plane")
 		for _, line := range lines[max(0, len(lines)-25):] {
 			c.t.Logf("%s: %.220s", b.Name, line)
 		}
--- a/internal/lab/proof/majority_test.go
+++ b/internal/lab/proof/majority_test.go
@@ -16,7 +16,7 @@
 	connected = "connected to the majority"
 )
 
-func share(o *lab.Outcome) float64 { return float64(o.Answered) / float64(max(1, o.Asked)) }
+func share(o *lab.LoadResult) float64 { return float64(o.Answered) / float64(max(1, o.Asked)) }
 
 // Without a majority of the voters searches are served as before by every broker, nobody is let go, each broker says so once, and
 // the release goes on when the links are mended.
@@ -25,7 +25,7 @@
 	c.install("v2")
 	before := c.Clients(80, 5)
 	time.Sleep(2 * still)
-	calm := before.End()
+	calm := before.Stop()
 
 	clients := c.Clients(80, 6)
 	c.release()
@@ -33,15 +33,15 @@
 	from := map[string]int{}
 	lives := map[string]int{}
 	for _, b := range c.Brokers {
-		from[b.Name], lives[b.Name] = b.LogSize(), len(b.Lives())
+		from[b.Name], lives[b.Name] = b.LogSize(), len(b.Runs())
 	}
 	c.Mesh.Partition([]int{0, 3, 4}, []int{1}, []int{2, 5})
 	sure := []*chaos.Broker{} // those that were there all along
 	c.until("every broker that lived on has said that it is cut off", func() bool {
 		sure = sure[:0]
 		for _, b := range c.Brokers {
-			if len(b.Lives()) == lives[b.Name] && b.Running() {
-				if sure = append(sure, b); len(b.Logged(from[b.Name], cutOff)) == 0 {
+			if len(b.Runs()) == lives[b.Name] && b.Running() {
+				if sure = append(sure, b); len(b.LogLines(from[b.Name], cutOff)) == 0 {
 					return false
 				}
 			}
@@ -51,20 +51,20 @@
 	if _, err := c.Status(500 * time.Millisecond); err == nil {
 		t.Error("somebody speaks for a majority that there is not")
 	}
-	n := len(c.Watch.Steps())
+	n := len(c.Monitor.PlannedStops())
 	if n == len(c.Brokers) {
 		t.Fatal("all have gone before the links were cut")
 	}
 	time.Sleep(2 * still)
-	if now := len(c.Watch.Steps()); now != n {
+	if now := len(c.Monitor.PlannedStops()); now != n {
 		t.Errorf("%d went out without a majority", now-n)
 	}
-	out := clients.End()
-	if s := share(out); s < share(calm)-0.01 || len(out.Broken) > 0 {
-		t.Errorf("share served %.3f, %.3f in calm; broken: %v", s, share(calm), out.Broken)
+	out := clients.Stop()
+	if s := share(out); s < share(calm)-0.01 || len(out.Violations) > 0 {
+		t.Errorf("share served %.3f, %.3f in calm; broken: %v", s, share(calm), out.Violations)
 	}
 	for _, b := range c.Brokers {
-		if clients.Asked[b.Name] == 0 {
+		if clients.QueriesByBroker[b.Name] == 0 {
 			t.Errorf("%s was asked nothing", b.Name)
 		}
 	}
@@ -74,13 +74,13 @@
 	t.Logf("a leader speaks for a majority %v after the links were mended; share served %.4f, %.4f in calm", time.Since(at).Round(10*time.Millisecond),
 		share(out), share(calm))
 	for _, b := range sure {
-		c.until(b.Name+" says that it is back", func() bool { return len(b.Logged(from[b.Name], connected)) > 0 })
-		if in, back := len(b.Logged(from[b.Name], cutOff)), len(b.Logged(from[b.Name], connected)); in != 1 || back != 1 {
+		c.until(b.Name+" says that it is back", func() bool { return len(b.LogLines(from[b.Name], connected)) > 0 })
+		if in, back := len(b.LogLines(from[b.Name], cutOff)), len(b.LogLines(from[b.Name], connected)); in != 1 || back != 1 {
 			t.Errorf("%s said %d times that it is cut off, and %d times that it is back", b.Name, in, back)
 		}
 	}
 	c.done()
-	for _, broken := range c.Watch.Check(1, known) {
+	for _, broken := range c.Monitor.Check(1, known) {
 		t.Error("over the limit: ", broken)
 	}
 	for _, b := range c.Brokers {
@@ -94,21 +94,21 @@
 func TestDeafLeader(t *testing.T) {
 	c := begin(t, chaos.Options{Brokers: 5, Voters: 3})
 	s := c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
-	deaf := c.Of(s.Leader)
+	deaf := c.BrokerNamed(s.Leader)
 	c.Mesh.Isolate(deaf.Index, true)
 	at := time.Now()
 	c.agreed("another leads", func(s *controlplane.Status) bool { return s.Leader != deaf.Name })
 	t.Logf("another leader speaks for the majority %v after the old one went deaf", time.Since(at).Round(10*time.Millisecond))
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	if err := c.Ask(ctx, (deaf.Index+1)%3, controlplane.VerbHalt, &controlplane.Request{Release: 1 << 40}, nil); err == nil {
+	if err := c.SendToVoters(ctx, (deaf.Index+1)%3, controlplane.VerbHalt, &controlplane.Request{Release: 1 << 40}, nil); err == nil {
 		t.Error("a release that there is not was halted")
 	}
 	c.agreed("the deaf one is lost", func(s *controlplane.Status) bool {
 		b, _ := standing(s, deaf.Name)
 		return b.Status == statemachine.BrokerLost
 	})
-	if up, said := deaf.Up(); !up || !said {
+	if up, said := deaf.Serving(); !up || !said {
 		t.Error("a broker that hears no other does not serve")
 	}
 	c.Mesh.Heal(false)
--- a/internal/lab/proof/pins_test.go
+++ b/internal/lab/proof/pins_test.go
@@ -116,14 +116,14 @@
 		if has < needed {
 			broke("read at %d, %d us before what was seen", has, needed-has)
 		}
-		if least := r.w.At(sent.Add(-bound)); bound > 0 && has < least {
+		if least := r.w.PositionAt(sent.Add(-bound)); bound > 0 && has < least {
 			broke("read at %d, %d us older than the bound of %v", has, least-has, bound)
 		}
 	}
 	if !in(h.Get("X-Read-Position"), fmt.Sprintf("%d:%d", shard, has)) {
 		broke("read at %d, and the answer says %q", has, h.Get("X-Read-Position"))
 	}
-	if stated, err := time.ParseDuration(h.Get("X-Read-Staleness")); err == nil && has < r.w.At(sent.Add(-stated)) {
+	if stated, err := time.ParseDuration(h.Get("X-Read-Staleness")); err == nil && has < r.w.PositionAt(sent.Add(-stated)) {
 		broke("read at %d, older than the %v that the answer states", has, stated)
 	}
 	if !behind || has > r.seen[shard] {
@@ -134,7 +134,7 @@
 // The audit of reads finds each kind of answer that it is for.
 func TestReadAuditFinds(t *testing.T) {
 	w, sent := lab.NewWriter(), time.Now()
-	at := w.At(sent)
+	at := w.PositionAt(sent)
 	heads := func(position, staleness, behind string) http.Header {
 		return http.Header{"X-Read-Position": {"1:1," + position}, "X-Read-Staleness": {staleness}, "X-Read-Behind": {behind}}
 	}
@@ -167,7 +167,7 @@
 	w, sums := lab.NewWriter(), &readSums{}
 	var replicas []*lab.Replica
 	for i, n := range c.Nodes {
-		replicas = append(replicas, n.Replicate(w, time.Duration(1+i*16)*time.Millisecond))
+		replicas = append(replicas, n.MakeReplica(w, time.Duration(1+i*16)*time.Millisecond))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 9*time.Second)
 	defer cancel()
@@ -179,11 +179,11 @@
 		all.Go(func() {
 			for ctx.Err() == nil {
 				b := c.Brokers[r.rnd.IntN(len(c.Brokers))]
-				if hits, well := b.Hit(); well {
-					r.read(b.URL, func() bool { now, _ := b.Hit(); return now != hits })
+				if hits, well := b.Faults(); well {
+					r.read(b.URL, func() bool { now, _ := b.Faults(); return now != hits })
 				}
 				if r.rnd.IntN(4) == 0 { // it writes, and wants to read that
-					r.seen[r.rnd.IntN(shards)] = w.At(time.Now())
+					r.seen[r.rnd.IntN(shards)] = w.PositionAt(time.Now())
 				}
 				time.Sleep(time.Duration(r.rnd.IntN(20)) * time.Millisecond)
 			}
@@ -195,19 +195,19 @@
 			rep, b := replicas[rnd.IntN(len(replicas))], c.Brokers[rnd.IntN(len(c.Brokers))]
 			switch rnd.IntN(5) {
 			case 0:
-				rep.Stick()
+				rep.Stall()
 			case 1:
-				rep.Behind(time.Duration(rnd.IntN(3000)) * time.Millisecond)
+				rep.SetLag(time.Duration(rnd.IntN(3000)) * time.Millisecond)
 			case 2:
 				c.Mesh.Isolate(b.Index, rnd.IntN(2) == 0)
 			case 3:
-				b.Freeze()
+				b.Pause()
 			case 4:
 				c.Mesh.Partition([]int{0, 3}, []int{1, 4}, []int{2})
 			}
 			time.Sleep(time.Duration(100+rnd.IntN(500)) * time.Millisecond)
-			rep.Behind(time.Duration(rnd.IntN(130)) * time.Millisecond)
-			b.Thaw()
+			rep.SetLag(time.Duration(rnd.IntN(130)) * time.Millisecond)
+			b.Resume()
 			c.Mesh.Heal(rnd.IntN(2) == 0)
 		}
 	})
--- a/internal/lab/proof/release_test.go
+++ b/internal/lab/proof/release_test.go
@@ -45,7 +45,7 @@
 	c.all(statemachine.BrokerServing)
 	c.until("the outside view has all serve again", func() bool {
 		for _, b := range c.Brokers {
-			if !c.Watch.Serves(b.Name) {
+			if !c.Monitor.Serves(b.Name) {
 				return false
 			}
 		}
@@ -56,13 +56,13 @@
 // steps waits until at least so many planned stops were seen.
 func (c *tier) steps(n int) {
 	c.t.Helper()
-	c.until("further steps", func() bool { return len(c.Watch.Steps()) >= n })
+	c.until("further steps", func() bool { return len(c.Monitor.PlannedStops()) >= n })
 }
 
 // planned counts a broker's lives that ended as planned.
 func planned(b *chaos.Broker) (n int) {
-	for _, l := range b.Lives() {
-		if !l.Ended.IsZero() && l.Status == 0 {
+	for _, l := range b.Runs() {
+		if !l.EndedAt.IsZero() && l.Status == 0 {
 			n++
 		}
 	}
@@ -70,23 +70,23 @@
 }
 
 // audit gives the verdict that every test of releases has in common.
-func (c *tier) audit(most int, out *lab.Outcome) {
+func (c *tier) audit(most int, out *lab.LoadResult) {
 	c.t.Helper()
-	for _, broken := range c.Watch.Check(most, known) {
+	for _, broken := range c.Monitor.Check(most, known) {
 		c.t.Error("over the limit: ", broken)
 	}
-	for i, broken := range out.Broken {
+	for i, broken := range out.Violations {
 		if i < 5 {
 			c.t.Error(broken)
 		}
 	}
-	if served := float64(out.Answered) / float64(max(1, out.Asked-out.Lost)); served < 0.9 || out.Asked < 50 {
-		c.t.Errorf("%d of %d searches were answered; %d lost with a broker that crashed", out.Answered, out.Asked, out.Lost)
+	if served := float64(out.Answered) / float64(max(1, out.Asked-out.LostInCrash)); served < 0.9 || out.Asked < 50 {
+		c.t.Errorf("%d of %d searches were answered; %d lost with a broker that crashed", out.Answered, out.Asked, out.LostInCrash)
 	}
-	for i, s := range c.Watch.Steps() {
+	for i, s := range c.Monitor.PlannedStops() {
 		c.t.Logf("step %d: %s at %s", i+1, s.Broker, s.At.Format("15:04:05.000"))
 	}
-	c.t.Logf("steps %d, most out at once %d; %v; lost in crashes %d", len(c.Watch.Steps()), c.Watch.Most(), out, out.Lost)
+	c.t.Logf("steps %d, most out at once %d; %v; lost in crashes %d", len(c.Monitor.PlannedStops()), c.Monitor.MaxOut(), out, out.LostInCrash)
 }
 
 // A release over seven brokers, one out at once, in the middle of which its leader is killed: another leads on, nobody is stopped
@@ -98,11 +98,11 @@
 	c.release()
 	c.steps(2)
 	s := c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
-	leader := c.Of(s.Leader)
-	c.Watch.Fault(leader.Name)
+	leader := c.BrokerNamed(s.Leader)
+	c.Monitor.ExpectKill(leader.Name)
 	leader.Kill()
 	at := time.Now()
-	if !leader.Over(patient) {
+	if !leader.WaitForEnd(patient) {
 		t.Fatal("a killed process does not end")
 	}
 	c.agreed("another leads", func(s *controlplane.Status) bool { return s.Leader != leader.Name })
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	c.done()
-	c.audit(1, clients.End())
+	c.audit(1, clients.Stop())
 	for _, b := range c.Brokers {
 		if n := planned(b); n != 1 || b.Version != "v2" {
 			t.Errorf("%s was stopped %d times by the release, and runs %s", b.Name, n, b.Version)
@@ -130,7 +130,7 @@
 	if s, _ := c.Status(patient); s.Leader == victim.Name {
 		victim = c.Brokers[0]
 	}
-	c.Watch.Fault(victim.Name)
+	c.Monitor.ExpectKill(victim.Name)
 	victim.Kill()
 	c.agreed("the crash is known, and all others are in", func(s *controlplane.Status) bool {
 		for _, b := range s.Brokers {
@@ -140,19 +140,19 @@
 		}
 		return true
 	})
-	n := len(c.Watch.Steps())
+	n := len(c.Monitor.PlannedStops())
 	if n >= 4 {
 		t.Fatalf("%d steps; nothing is left to hold back", n)
 	}
 	time.Sleep(still)
-	if now := len(c.Watch.Steps()); now != n {
+	if now := len(c.Monitor.PlannedStops()); now != n {
 		t.Errorf("%d went out while one was lost", now-n)
 	}
 	if err := c.Start(victim); err != nil {
 		t.Fatal(err)
 	}
 	c.done()
-	c.audit(1, clients.End())
+	c.audit(1, clients.Stop())
 	for _, b := range c.Brokers {
 		if n := planned(b); n != 1 {
 			t.Errorf("%s was stopped %d times by the release", b.Name, n)
--- a/internal/lab/proof/restart_test.go
+++ b/internal/lab/proof/restart_test.go
@@ -16,21 +16,21 @@
 	c.do("drain", name)
 	c.drained(name)
 	time.Sleep(250 * time.Millisecond)
-	had := x.Parts.Load()
+	had := x.ShardRequests.Load()
 	for i, b := range []*chaos.Broker{c.Brokers[3], c.Brokers[1]} { // one that follows, and a voter
 		c.stop(b)
-		c.Mesh.Lag(b.Index, 40*time.Millisecond)
+		c.Mesh.SetDelay(b.Index, 40*time.Millisecond)
 		clients := c.Clients(200, uint64(11+i), b)
 		if err := c.Start(b); err != nil {
 			t.Fatal(err)
 		}
-		c.until("it serves", func() bool { up, said := b.Up(); return up && said })
+		c.until("it serves", func() bool { up, said := b.Serving(); return up && said })
 		time.Sleep(still / 2)
 		c.drained(name)
-		clients.End()
-		c.Mesh.Lag(b.Index, 0)
+		clients.Stop()
+		c.Mesh.SetDelay(b.Index, 0)
 	}
-	if n := x.Parts.Load() - had; n > 0 {
+	if n := x.ShardRequests.Load() - had; n > 0 {
 		t.Errorf("%d parts came to a drained node from brokers that started", n)
 	}
 }
--- a/internal/lab/proof/word_test.go
+++ b/internal/lab/proof/word_test.go
@@ -15,7 +15,7 @@
 	c := begin(t, chaos.Options{Brokers: 4, Voters: 3, Fleet: map[string]any{"lease": "15s"}})
 	c.install("v2")
 	b := c.Brokers[3]
-	c.Mesh.Lag(b.Index, 400*time.Millisecond)
+	c.Mesh.SetDelay(b.Index, 400*time.Millisecond)
 	c.release(b)
 	c.agreed("its word is taken", func(s *controlplane.Status) bool {
 		me, _ := standing(s, b.Name)
@@ -26,7 +26,7 @@
 		t.Skip("the machine is so slow that it heard of it before it was cut off")
 	}
 	time.Sleep(6 * time.Second) // longer than the broker waits for its word
-	c.Mesh.Lag(b.Index, 0)
+	c.Mesh.SetDelay(b.Index, 0)
 	c.Mesh.Heal(true)
 	c.done()
 	if n := planned(b); n != 1 {
--- a/internal/lab/queue/queue.go
+++ b/internal/lab/queue/queue.go
@@ -17,9 +17,9 @@
 
 // Key orders events.
 type Key struct {
-	At  time.Duration // not before the start
-	Src uint32        // who caused it
-	Seq uint32        // which of theirs
+	At     time.Duration // not before the start
+	Source uint32        // who caused it
+	Seq    uint32        // which of theirs
 }
 
 // Compare tells which comes first.
@@ -30,8 +30,8 @@
 			return -1
 		}
 		return 1
-	case k.Src != o.Src:
-		if k.Src < o.Src {
+	case k.Source != o.Source:
+		if k.Source < o.Source {
 			return -1
 		}
 		return 1
@@ -46,90 +46,90 @@
 // Item is an event with its key.
 type Item[T any] struct {
 	Key
-	Of T
+	Value T
 }
 
 const (
-	shift = 15      // of the width, 32.8 microseconds
-	slots = 1 << 13 // ahead of the bucket in hand: 268 milliseconds
-	words = slots / 64
+	widthBits   = 15      // of the width, 32.8 microseconds
+	ringSize    = 1 << 13 // ahead of the bucket in hand: 268 milliseconds
+	bitmapWords = ringSize / 64
 )
 
 // Queue holds events. The zero value is empty.
 type Queue[T any] struct {
-	now  []Item[T] // the bucket in hand, sorted; pos is the next
-	pos  int
-	late heap4[T] // what came for it, or for before it, since it was sorted
-	slot int64    // its number
-	ring [][]Item[T]
-	used [words]uint64 // which buckets of the ring hold anything
-	near int           // events in the ring
-	far  heap4[T]
+	current   []Item[T] // the bucket in hand, sorted; pos is the next
+	pos       int
+	late      heap4[T] // what came for it, or for before it, since it was sorted
+	slot      int64    // its number
+	ring      [][]Item[T]
+	used      [bitmapWords]uint64 // which buckets of the ring hold anything
+	ringCount int                 // events in the ring
+	far       heap4[T]
 }
 
 // Len tells how many events wait.
-func (q *Queue[T]) Len() int { return len(q.now) - q.pos + len(q.late) + q.near + len(q.far) }
+func (q *Queue[T]) Len() int { return len(q.current) - q.pos + len(q.late) + q.ringCount + len(q.far) }
 
 // Push adds an event. It may lie in the past of what was popped last; then it comes next.
 func (q *Queue[T]) Push(i Item[T]) {
 	if q.ring == nil {
-		q.ring = make([][]Item[T], slots)
+		q.ring = make([][]Item[T], ringSize)
 	}
-	switch slot := int64(i.At) >> shift; {
+	switch slot := int64(i.At) >> widthBits; {
 	case slot <= q.slot:
 		q.late.push(i)
-	case slot < q.slot+slots:
-		q.put(slot, i)
+	case slot < q.slot+ringSize:
+		q.addToRing(slot, i)
 	default:
 		q.far.push(i)
 	}
 }
 
-func (q *Queue[T]) put(slot int64, i Item[T]) {
-	at := slot & (slots - 1)
+func (q *Queue[T]) addToRing(slot int64, i Item[T]) {
+	at := slot & (ringSize - 1)
 	q.ring[at] = append(q.ring[at], i)
 	q.used[at>>6] |= 1 << (at & 63)
-	q.near++
+	q.ringCount++
 }
 
 // Peek tells when the next event comes; false: there is none.
 func (q *Queue[T]) Peek() (time.Duration, bool) {
-	if q.pos == len(q.now) && len(q.late) == 0 && !q.turn() {
+	if q.pos == len(q.current) && len(q.late) == 0 && !q.advance() {
 		return 0, false
 	}
 	if q.isLate() {
 		return q.late[0].At, true
 	}
-	return q.now[q.pos].At, true
+	return q.current[q.pos].At, true
 }
 
 // isLate tells whether the next event came after its bucket was sorted.
 func (q *Queue[T]) isLate() bool {
-	return len(q.late) > 0 && (q.pos == len(q.now) || q.late[0].Compare(q.now[q.pos].Key) < 0)
+	return len(q.late) > 0 && (q.pos == len(q.current) || q.late[0].Compare(q.current[q.pos].Key) < 0)
 }
 
 // Pop takes the next event; there must be one.
 func (q *Queue[T]) Pop() Item[T] {
-	if q.pos == len(q.now) && len(q.late) == 0 {
-		q.turn()
+	if q.pos == len(q.current) && len(q.late) == 0 {
+		q.advance()
 	}
 	if q.isLate() {
 		return q.late.pop()
 	}
-	i := q.now[q.pos]
-	q.now[q.pos] = Item[T]{}
+	i := q.current[q.pos]
+	q.current[q.pos] = Item[T]{}
 	q.pos++
 	return i
 }
 
-// turn takes the next bucket in hand that holds anything.
-func (q *Queue[T]) turn() bool {
+// advance takes the next bucket in hand that holds anything.
+func (q *Queue[T]) advance() bool {
 	next := int64(-1)
-	if q.near > 0 {
+	if q.ringCount > 0 {
 		next = q.nextUsed()
 	}
 	if len(q.far) > 0 {
-		if slot := int64(q.far[0].At) >> shift; next < 0 || slot < next {
+		if slot := int64(q.far[0].At) >> widthBits; next < 0 || slot < next {
 			next = slot
 		}
 	}
@@ -137,35 +137,35 @@
 		return false
 	}
 	q.slot = next
-	at := next & (slots - 1)
-	q.now, q.ring[at] = q.ring[at], q.now[:0]
-	q.near -= len(q.now)
+	at := next & (ringSize - 1)
+	q.current, q.ring[at] = q.ring[at], q.current[:0]
+	q.ringCount -= len(q.current)
 	q.used[at>>6] &^= 1 << (at & 63)
 	q.pos = 0
 	for len(q.far) > 0 {
-		slot := int64(q.far[0].At) >> shift
-		if slot >= q.slot+slots {
+		slot := int64(q.far[0].At) >> widthBits
+		if slot >= q.slot+ringSize {
 			break
 		}
 		if i := q.far.pop(); slot <= q.slot {
-			q.now = append(q.now, i)
+			q.current = append(q.current, i)
 		} else {
-			q.put(slot, i)
+			q.addToRing(slot, i)
 		}
 	}
-	slices.SortFunc(q.now, func(a, b Item[T]) int { return a.Key.Compare(b.Key) })
+	slices.SortFunc(q.current, func(a, b Item[T]) int { return a.Key.Compare(b.Key) })
 	return true
 }
 
 // nextUsed finds the next bucket of the ring after the one in hand that holds anything; there must be one.
 func (q *Queue[T]) nextUsed() int64 {
-	from := (q.slot + 1) & (slots - 1)
+	from := (q.slot + 1) & (ringSize - 1)
 	word := q.used[from>>6] >> (from & 63)
 	if word != 0 {
 		return q.slot + 1 + int64(bits.TrailingZeros64(word))
 	}
-	for i := int64(1); i <= words; i++ {
-		if w := q.used[(from>>6+i)%words]; w != 0 {
+	for i := int64(1); i <= bitmapWords; i++ {
+		if w := q.used[(from>>6+i)%bitmapWords]; w != 0 {
 			return q.slot + 1 + i<<6 - from&63 + int64(bits.TrailingZeros64(w))
 		}
 	}
--- a/internal/lab/queues.go
+++ b/internal/lab/queues.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	queueCores  = 16
-	queueMean   = 40 * time.Millisecond // 400 parts a second
-	queuePlaces = 128                   // parts in hand, where the limit is fixed
+	queueCores         = 16
+	queueMeanWork      = 40 * time.Millisecond // 400 parts a second
+	fixedInFlightLimit = 128                   // parts in hand, where the limit is fixed
 )
 
 var queueWeights = []float64{0.5, 0.2, 0.1, 0.1, 0.1}
 
-// Queues prints what each way does under a flood of twenty times one tenant's share, from 5 s to 25 s.
-func Queues(out io.Writer) {
+// CompareQueuing prints what each way does under a flood of twenty times one tenant's share, from 5 s to 25 s.
+func CompareQueuing(out io.Writer) {
 	self := func(t int) int { return t }
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "way\tquiet served\tp50\tp99\tflooder's parts a second\tstore used\tfair after\t")
 	for _, way := range []struct {
 		name string
-		make func() sharing
+		make func() queuingPolicy
 	}{
-		{"first come, first served", func() sharing { return newFixed(5, self, nil) }},
-		{"token buckets", func() sharing { f := newFixed(5, self, nil); f.bucket = make([]float64, 5); return f }},
-		{"deficit round robin", func() sharing { return newFixed(5, self, deficit) }},
-		{"start-time fair queuing", func() sharing { return newFixed(5, self, startTags) }},
-		{"stochastic, 4 buckets", func() sharing { return newFixed(4, func(t int) int { return t * 7 % 4 }, startTags) }},
-		{"start-time and a found limit", func() sharing {
-			return door{admission.NewController(admission.Policy{Weights: queueWeights, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 8,
+		{"first come, first served", func() queuingPolicy { return newFixedLimit(5, self, nil) }},
+		{"token buckets", func() queuingPolicy { f := newFixedLimit(5, self, nil); f.tokens = make([]float64, 5); return f }},
+		{"deficit round robin", func() queuingPolicy { return newFixedLimit(5, self, deficitRoundRobin) }},
+		{"start-time fair queuing", func() queuingPolicy { return newFixedLimit(5, self, startTimeFair) }},
+		{"stochastic, 4 buckets", func() queuingPolicy { return newFixedLimit(4, func(t int) int { return t * 7 % 4 }, startTimeFair) }},
+		{"start-time and a found limit", func() queuingPolicy {
+			return adaptiveLimit{admission.NewController(admission.Policy{Weights: queueWeights, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 8,
 				MaxRetryAfter: 2 * time.Second, RetryShare: 0.2, Seed: 7})}
 		}},
 	} {
-		playQueues(t, way.name, way.make())
+		simulateQueuing(t, way.name, way.make())
 	}
 	t.Flush()
 }
 
-func playQueues(out io.Writer, name string, way sharing) {
-	var queue moments
+func simulateQueuing(out io.Writer, name string, way queuingPolicy) {
+	var queue eventHeap
 	var now time.Duration
 	rnd, seq, id := rand.New(rand.NewPCG(3, 4)), 0, uint64(0)
 	at := func(when time.Duration, do func()) {
 		seq++
-		heap.Push(&queue, moment{max(when, now), seq, do})
+		heap.Push(&queue, timedEvent{max(when, now), seq, do})
 	}
 	type held struct {
 		admission.Query
@@ -87,7 +87,7 @@
 					best = i
 				}
 			}
-			cores[best] = max(now, cores[best]) + time.Duration((0.5+0.5*rnd.ExpFloat64())*float64(queueMean))
+			cores[best] = max(now, cores[best]) + time.Duration((0.5+0.5*rnd.ExpFloat64())*float64(queueMeanWork))
 			last = max(last, cores[best])
 		}
 		at(last, func() {
@@ -134,7 +134,7 @@
 		at(when, look)
 	}
 	for len(queue) > 0 {
-		m := heap.Pop(&queue).(moment)
+		m := heap.Pop(&queue).(timedEvent)
 		now = m.at
 		m.do()
 	}
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -22,13 +22,13 @@
 var colours = []color.RGBA{{0x1b, 0x6c, 0xa8, 255}, {0xd9, 0x5f, 0x02, 255}, {0x1b, 0x9e, 0x57, 255}, {0xb0, 0x00, 0x20, 255},
 	{0x75, 0x4c, 0xa8, 255}, {0x55, 0x60, 0x70, 255}}
 
-type line struct {
+type series struct {
 	name string
 	at   plotter.XYs
 }
 
 // draws some lines as an SVG.
-func chart(title, x, y string, log bool, lines ...line) (template.HTML, error) {
+func chart(title, x, y string, log bool, lines ...series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top = true
@@ -85,10 +85,10 @@
 		}
 	}
 	add(chart("What became of searches, by the second in which they were first asked", "s", "searches", false,
-		line{"asked", asked}, line{"late", late}, line{"in target", target}, line{"failed", failed}, line{"shed", shed}))
-	add(chart("Latency of answers", "s", "ms", true, line{"p50", p50}, line{"p99", p99}))
+		series{"asked", asked}, series{"late", late}, series{"in target", target}, series{"failed", failed}, series{"shed", shed}))
+	add(chart("Latency of answers", "s", "ms", true, series{"p50", p50}, series{"p99", p99}))
 	if len(r.Samples) > 0 {
-		add(heat("What nodes did (a row a node; white fit, blue cold, grey leaving, orange hanging, yellow standing still, black gone, red fallen, green slow)",
+		add(heatMap("What nodes did (a row a node; white fit, blue cold, grey leaving, orange hanging, yellow standing still, black gone, red fallen, green slow)",
 			r, func(s play.Sample) color.Color {
 				if s.State == play.Fit && s.Slow {
 					return color.RGBA{0x8f, 0xd1, 0x9e, 255}
@@ -101,12 +101,12 @@
 				most = max(most, s.Distrust)
 			}
 		}
-		add(heat(fmt.Sprintf("What brokers thought: white gets work as a matter of course, red shut out by up to %d brokers", most), r,
+		add(heatMap(fmt.Sprintf("What brokers thought: white gets work as a matter of course, red shut out by up to %d brokers", most), r,
 			func(s play.Sample) color.Color {
 				left := uint8(255 - 255*int(s.Distrust)/int(most))
 				return color.RGBA{255, left, left, 255}
 			}))
-		add(heat("Parts that wait at nodes: the darker the more", r, func(s play.Sample) color.Color {
+		add(heatMap("Parts that wait at nodes: the darker the more", r, func(s play.Sample) color.Color {
 			left := uint8(255 - min(255, 6*int(s.Queue)))
 			return color.RGBA{left, left, 255, 255}
 		}))
@@ -118,17 +118,17 @@
 	play.Leaving: color.RGBA{0xbb, 0xbb, 0xbb, 255}, play.Silent: color.RGBA{0xf0, 0x8a, 0x24, 255},
 	play.Still: color.RGBA{0xf6, 0xe0, 0x6a, 255}, play.Lost: color.Black, play.Over: color.RGBA{0xd0, 0x00, 0x20, 255}}
 
-// heat draws a row a node and a column a second.
-func heat(title string, r *play.Result, of func(play.Sample) color.Color) (template.HTML, error) {
+// heatMap draws a row a node and a column a second.
+func heatMap(title string, r *play.Result, of func(play.Sample) color.Color) (template.HTML, error) {
 	nodes, seconds := len(r.Samples[0]), len(r.Samples)
-	step := (nodes + mostRows - 1) / mostRows
+	step := (nodes + maxRows - 1) / maxRows
 	rows := (nodes + step - 1) / step
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", "node"
 	p.Title.TextStyle.Font.Size = vg.Points(11)
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, float64(seconds), 0, float64(nodes)
-	p.Add(cells{r, step, of})
-	c := vgimg.New(26*vg.Centimeter, vg.Length(rows)*vg.Points(rowHeigh)+2.6*vg.Centimeter)
+	p.Add(heatMapPlotter{r, step, of})
+	c := vgimg.New(26*vg.Centimeter, vg.Length(rows)*vg.Points(rowHeight)+2.6*vg.Centimeter)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := (vgimg.PngCanvas{Canvas: c}).WriteTo(&b); err != nil {
@@ -138,15 +138,15 @@
 		base64.StdEncoding.EncodeToString(b.Bytes()) + `">`), nil
 }
 
-// cells fills a plot with one rectangle for each run of like seconds of a node.
-type cells struct {
+// heatMapPlotter fills a plot with one rectangle for each run of like seconds of a node.
+type heatMapPlotter struct {
 	r    *play.Result
 	step int
 	of   func(play.Sample) color.Color
 }
 
 // Plot draws them.
-func (g cells) Plot(c draw.Canvas, p *plot.Plot) {
+func (g heatMapPlotter) Plot(c draw.Canvas, p *plot.Plot) {
 	x, y := p.Transforms(&c)
 	for n := 0; n < len(g.r.Samples[0]); n += g.step {
 		for from := 0; from < len(g.r.Samples); {
@@ -171,9 +171,9 @@
 		{"Service", "", false, func(p Point) float64 { return p.Service }},
 		{"p99", "ms", true, func(p Point) float64 { return p.P99 }},
 		{"p99.9", "ms", true, func(p Point) float64 { return p.P999 }}} {
-		var lines []line
+		var lines []series
 		for _, c := range curves {
-			l := line{name: c.Name}
+			l := series{name: c.Name}
 			for _, p := range c.Points {
 				if y := of.y(p); y > 0 || !of.log {
 					l.at = append(l.at, plotter.XY{X: p.X, Y: y})
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -18,13 +18,13 @@
 
 // Page is what a page shows.
 type Page struct {
-	Title   string
-	Teaches string
-	Results []*play.Result     // each with its plots
-	Against []judge.Difference // nil: nothing was compared
-	Verdict string
-	Curves  []Curve // of a sweep
-	Varied  string  // what was varied there
+	Title       string
+	Purpose     string
+	Results     []*play.Result     // each with its plots
+	Differences []judge.Difference // nil: nothing was compared
+	Summary     string
+	Curves      []Curve // of a sweep
+	Varied      string  // what was varied there
 }
 
 // Curve is one line of a sweep.
@@ -65,10 +65,10 @@
 svg,img{max-width:100%;height:auto}pre{font-size:12px;max-height:22em;overflow:auto;background:#f5f6fa;padding:.6em}
 </style></head><body><h1>{{.Title}}</h1>
 <p class="note">All nodes, clients, networks and lists are simulated; the brokers' loop and decisions are those that serve.</p>
-{{with .Teaches}}<p>To learn: {{.}}.</p>{{end}}
-{{if .Against}}<h2>Compared</h2><p><b>{{.Verdict}}</b></p><table><tr><th>figure</th><th>first</th><th>second</th><th>difference</th><th>95% interval</th><th></th></tr>
-{{range .Against}}<tr><td>{{.Figure.Name}}{{with .Figure.Unit}}, {{.}}{{end}}</td><td>{{f .A}}</td><td>{{f .B}}</td><td>{{delta .Mean}}</td>
-<td>{{if .NeedsPairs}}one pair{{else}}{{delta .Low}} to {{delta .High}}{{end}}</td><td>{{if .Equal}}the same{{else if not .Real}}no difference shown{{else if .Better}}better{{else}}worse{{end}}</td></tr>{{end}}</table>{{end}}
+{{with .Purpose}}<p>To learn: {{.}}.</p>{{end}}
+{{if .Differences}}<h2>Compared</h2><p><b>{{.Summary}}</b></p><table><tr><th>figure</th><th>first</th><th>second</th><th>difference</th><th>95% interval</th><th></th></tr>
+{{range .Differences}}<tr><td>{{.Metric.Name}}{{with .Metric.Unit}}, {{.}}{{end}}</td><td>{{f .A}}</td><td>{{f .B}}</td><td>{{delta .Mean}}</td>
+<td>{{if .NeedsPairs}}one pair{{else}}{{delta .Low}} to {{delta .High}}{{end}}</td><td>{{if .Equal}}the same{{else if not .Significant}}no difference shown{{else if .Better}}better{{else}}worse{{end}}</td></tr>{{end}}</table>{{end}}
 {{range .Sweep}}{{.}}{{end}}
 {{range .Curves}}<h3>{{.Name}}</h3><table><tr><th>{{$.Varied}}</th><th>asked a second</th><th>answered in target a second</th><th>service</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th><th>shed %</th><th>failed %</th><th>rules broken</th></tr>
 {{range .Points}}<tr><td>{{f .X}}</td><td>{{f .Offered}}</td><td>{{f .Goodput}}</td><td>{{four .Service}}</td><td>{{f .P50}}</td><td>{{f .P99}}</td><td>{{f .P999}}</td><td>{{f .Shed}}</td><td>{{f .Failed}}</td><td{{if .Broken}} class="bad"{{end}}>{{.Broken}}</td></tr>{{end}}</table>{{end}}
@@ -110,6 +110,6 @@
 }
 
 const (
-	mostRows = 200 // of a picture; of larger fleets each so many nodes one is shown
-	rowHeigh = 5.0
+	maxRows   = 200 // of a picture; of larger fleets each so many nodes one is shown
+	rowHeight = 5.0
 )
