--- a/internal/lab/script/schedule.go
+++ b/internal/lab/script/schedule.go
@@ -10,44 +10,44 @@
 	"time"
 )
 
-// Does is what happens to a node at a moment.
-type Does uint8
+// Action is what happens to a node at a moment.
+type Action uint8
 
 const (
-	Dies Does = iota + 1
+	Dies Action = iota + 1
 	Vanishes
 	Returns // from either; what died is cold
 	Hangs
 	Resumes // from hanging
 	Stalls  // for the event's span
 	Drains
-	Leaves  // a drained node ends
-	Arrives // a new node in its place, cold
-	Slows   // its factor may have changed
-	Lags    // for the event's span it takes no writes over
-	Rolls   // back, by the event's span
+	Leaves    // a drained node ends
+	Arrives   // a new node in its place, cold
+	Slows     // its factor may have changed
+	Lags      // for the event's span it takes no writes over
+	RollsBack // back, by the event's span
 )
 
 // Event is one moment of one node's life.
 type Event struct {
-	At   time.Duration
-	Node int
-	Does Does
-	Span time.Duration
+	At     time.Duration
+	Node   int
+	Action Action
+	Span   time.Duration
 }
 
 // Schedule is what a script says, worked out.
 type Schedule struct {
-	s        *Script
-	Events   []Event // by time
-	Restarts []Restart
-	Down     []Span // discovery refuses
-	Hangs    []Span // discovery says nothing
-	touches  [][]touch
-	cuts     []cut
-	loads    []touch // on everybody
-	floods   []flood
-	losses   []touch
+	s           *Script
+	Events      []Event // by time
+	Restarts    []Restart
+	Down        []Span // discovery refuses
+	Hangs       []Span // discovery says nothing
+	nodeFactors [][]timedFactor
+	cuts        []cut
+	loadFactors []timedFactor // on everybody
+	floods      []flood
+	losses      []timedFactor
 }
 
 // Restart is a broker that is killed and comes back.
@@ -59,11 +59,11 @@
 // Span is from a moment up to another.
 type Span struct{ From, To time.Duration }
 
-// Holds tells whether a moment lies in it.
-func (s Span) Holds(at time.Duration) bool { return at >= s.From && at < s.To }
+// Includes tells whether a moment lies in it.
+func (s Span) Includes(at time.Duration) bool { return at >= s.From && at < s.To }
 
-// touch is a factor that comes, stays and goes.
-type touch struct {
+// timedFactor is a factor that comes, stays and goes.
+type timedFactor struct {
 	Span
 	ramp   time.Duration
 	factor float64
@@ -76,14 +76,14 @@
 }
 
 type flood struct {
-	touch
+	timedFactor
 	tenant  int
 	repeats bool
 }
 
-// of is the factor at a moment; one means that nothing is touched.
-func (t *touch) of(at time.Duration) float64 {
-	if !t.Holds(at) {
+// valueAt is the factor at a moment; one means that nothing is touched.
+func (t *timedFactor) valueAt(at time.Duration) float64 {
+	if !t.Includes(at) {
 		return 1
 	}
 	in := 1.0
@@ -95,29 +95,29 @@
 
 // Schedule works a checked script out.
 func (s *Script) Schedule() *Schedule {
-	c := &Schedule{s: s, touches: make([][]touch, s.Fleet.Nodes)}
-	for i := range s.Troubles {
-		c.add(&s.Troubles[i])
+	c := &Schedule{s: s, nodeFactors: make([][]timedFactor, s.Fleet.Nodes)}
+	for i := range s.Faults {
+		c.add(&s.Faults[i])
 	}
 	slices.SortStableFunc(c.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return c
 }
 
-func (c *Schedule) add(t *Trouble) {
-	span := Span{t.At, t.At + t.For}
-	one := touch{span, t.Ramp, t.Factor, false}
-	both := func(n int, first, last Does) {
+func (c *Schedule) add(t *Fault) {
+	span := Span{t.At, t.At + t.Length}
+	one := timedFactor{span, t.Ramp, t.Factor, false}
+	both := func(n int, first, last Action) {
 		c.Events = append(c.Events, Event{t.At, n, first, 0}, Event{span.To, n, last, 0})
 	}
 	var nodes []int
 	if t.onNodes() {
 		nodes = c.s.nodesOf(t)
 	}
-	switch t.What {
+	switch t.Kind {
 	case "cut":
 		c.cuts = append(c.cuts, cut{span, c.s.zone(t.Zone)})
 	case "jump":
-		c.loads = append(c.loads, one)
+		c.loadFactors = append(c.loadFactors, one)
 	case "flood":
 		c.floods = append(c.floods, flood{one, c.s.tenant(t.Tenant), t.Repeats})
 	case "loss":
@@ -137,7 +137,7 @@
 		}
 	}
 	for _, n := range nodes {
-		switch t.What {
+		switch t.Kind {
 		case "die":
 			both(n, Dies, Returns)
 		case "vanish":
@@ -147,15 +147,15 @@
 		case "drain":
 			c.Events = append(c.Events, Event{t.At, n, Drains, 0}, Event{span.To, n, Leaves, 0}, Event{span.To, n, Arrives, 0})
 		case "lag":
-			c.Events = append(c.Events, Event{t.At, n, Lags, t.For})
+			c.Events = append(c.Events, Event{t.At, n, Lags, t.Length})
 		case "rollback":
-			c.Events = append(c.Events, Event{t.At, n, Rolls, time.Duration(t.Factor * float64(time.Second))})
+			c.Events = append(c.Events, Event{t.At, n, RollsBack, time.Duration(t.Factor * float64(time.Second))})
 		case "slow", "errors":
 			one := one
-			if one.errors = t.What == "errors"; one.errors {
+			if one.errors = t.Kind == "errors"; one.errors {
 				one.factor /= 100
 			}
-			c.touches[n] = append(c.touches[n], one)
+			c.nodeFactors[n] = append(c.nodeFactors[n], one)
 		case "stall":
 			r := rand.New(rand.NewPCG(uint64(c.s.Seed), uint64(n)<<32+uint64(t.At)))
 			for at := t.At + time.Duration(r.Float64()*float64(t.Every)); at < span.To; at += time.Duration((0.5 + r.Float64()) * float64(t.Every)) {
@@ -168,18 +168,18 @@
 // Slow is how many times longer a node takes.
 func (c *Schedule) Slow(node int, at time.Duration) float64 {
 	f := 1.0
-	for i := range c.touches[node] {
-		if t := &c.touches[node][i]; !t.errors {
-			f *= t.of(at)
+	for i := range c.nodeFactors[node] {
+		if t := &c.nodeFactors[node][i]; !t.errors {
+			f *= t.valueAt(at)
 		}
 	}
 	return f
 }
 
-// Errs is the share of its parts that a node fails.
-func (c *Schedule) Errs(node int, at time.Duration) (share float64) {
-	for i := range c.touches[node] {
-		if t := &c.touches[node][i]; t.errors && t.Holds(at) {
+// ErrorShare is the share of its parts that a node fails.
+func (c *Schedule) ErrorShare(node int, at time.Duration) (share float64) {
+	for i := range c.nodeFactors[node] {
+		if t := &c.nodeFactors[node][i]; t.errors && t.Includes(at) {
 			share = max(share, t.factor)
 		}
 	}
@@ -189,7 +189,7 @@
 // Cut tells until when two zones can't reach each other; 0: they can.
 func (c *Schedule) Cut(a, b int, at time.Duration) (until time.Duration) {
 	for _, k := range c.cuts {
-		if a != b && k.Holds(at) && (k.zone == a || k.zone == b) {
+		if a != b && k.Includes(at) && (k.zone == a || k.zone == b) {
 			until = max(until, k.To)
 		}
 	}
@@ -200,7 +200,7 @@
 func (c *Schedule) Loss(at time.Duration) float64 {
 	loss := c.s.Network.Loss
 	for i := range c.losses {
-		if c.losses[i].Holds(at) {
+		if c.losses[i].Includes(at) {
 			loss = max(loss, c.losses[i].factor)
 		}
 	}
@@ -210,23 +210,23 @@
 // Load is how many times the usual is asked by a tenant, and whether it comes back at once.
 func (c *Schedule) Load(tenant int, at time.Duration) (factor float64, repeats bool) {
 	factor = 1
-	for i := range c.loads {
-		factor *= c.loads[i].of(at)
+	for i := range c.loadFactors {
+		factor *= c.loadFactors[i].valueAt(at)
 	}
 	for i := range c.floods {
 		if f := &c.floods[i]; f.tenant == tenant {
-			factor *= f.of(at)
-			repeats = repeats || f.repeats && f.Holds(at)
+			factor *= f.valueAt(at)
+			repeats = repeats || f.repeats && f.Includes(at)
 		}
 	}
 	return factor, repeats
 }
 
-// Most bounds Load over all tenants and moments.
-func (c *Schedule) Most() float64 {
+// Max bounds Load over all tenants and moments.
+func (c *Schedule) Max() float64 {
 	most := 1.0
-	for i := range c.loads {
-		most *= max(1, c.loads[i].factor)
+	for i := range c.loadFactors {
+		most *= max(1, c.loadFactors[i].factor)
 	}
 	for i := range c.floods {
 		most *= max(1, c.floods[i].factor)
@@ -234,11 +234,11 @@
 	return most
 }
 
-// Ended is the time after which nothing of the schedule happens.
-func (c *Schedule) Ended() time.Duration {
-	end := c.s.For
-	for _, t := range c.s.Troubles {
-		end = max(end, t.At+t.For)
+// End is the time after which nothing of the schedule happens.
+func (c *Schedule) End() time.Duration {
+	end := c.s.Length
+	for _, t := range c.s.Faults {
+		end = max(end, t.At+t.Length)
 	}
 	return end
 }
--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -19,19 +19,19 @@
 
 // Script is one rehearsal.
 type Script struct {
-	Name     string        `json:"name" doc:"a few words"`
-	Teaches  string        `json:"teaches" doc:"what whoever plays it should learn"`
-	Seed     int           `json:"seed" default:"1" min:"0" max:"1000000000" doc:"of all chance"`
-	For      time.Duration `json:"for" default:"30s" min:"1s" max:"2h" doc:"how long clients ask"`
-	Fleet    Fleet         `json:"fleet" doc:"the store nodes"`
-	Network  Network       `json:"network" doc:"between all of them"`
-	Brokers  Brokers       `json:"brokers" doc:"the brokers"`
-	List     List          `json:"discovery" doc:"the node list service"`
-	Types    []Type        `json:"types" doc:"query types; none: one that needs all parts and one that may be partial"`
-	Tenants  []Tenant      `json:"tenants" doc:"none: one of half of the load, two of a quarter"`
-	Load     Load          `json:"load" doc:"what clients ask"`
-	Reads    Reads         `json:"reads" doc:"replicas that lag, and hints on reads"`
-	Troubles []Trouble     `json:"troubles" doc:"what goes wrong"`
+	Name    string        `json:"name" doc:"a few words"`
+	Purpose string        `json:"teaches" doc:"what whoever plays it should learn"`
+	Seed    int           `json:"seed" default:"1" min:"0" max:"1000000000" doc:"of all chance"`
+	Length  time.Duration `json:"for" default:"30s" min:"1s" max:"2h" doc:"how long clients ask"`
+	Fleet   Fleet         `json:"fleet" doc:"the store nodes"`
+	Network Network       `json:"network" doc:"between all of them"`
+	Brokers Brokers       `json:"brokers" doc:"the brokers"`
+	List    List          `json:"discovery" doc:"the node list service"`
+	Types   []Type        `json:"types" doc:"query types; none: one that needs all parts and one that may be partial"`
+	Tenants []Tenant      `json:"tenants" doc:"none: one of half of the load, two of a quarter"`
+	Load    Load          `json:"load" doc:"what clients ask"`
+	Reads   Reads         `json:"reads" doc:"replicas that lag, and hints on reads"`
+	Faults  []Fault       `json:"troubles" doc:"what goes wrong"`
 
 	doc *form.Doc
 }
@@ -58,12 +58,12 @@
 	return s, nil
 }
 
-func (s *Script) fill() {
+func (s *Script) fillDefaults() {
 	if len(s.Types) == 0 {
-		s.Types = []Type{{Name: "find", Share: 0.7, Target: time.Second, Timeout: 2 * time.Second, Value: 1, Late: 0.1, Floor: 1,
-			Least: 1, Most: 4, Work: 15 * time.Millisecond, Effect: "idempotent"},
-			{Name: "report", Share: 0.3, Target: 1500 * time.Millisecond, Timeout: 3 * time.Second, Value: 2, Floor: 0.5, Least: 3,
-				Most: 6, Work: 20 * time.Millisecond, Effect: "idempotent"}}
+		s.Types = []Type{{Name: "find", Share: 0.7, Objective: time.Second, Timeout: 2 * time.Second, Value: 1, Late: 0.1, RequiredShare: 1,
+			Min: 1, Max: 4, Work: 15 * time.Millisecond, Effect: "idempotent"},
+			{Name: "report", Share: 0.3, Objective: 1500 * time.Millisecond, Timeout: 3 * time.Second, Value: 2, RequiredShare: 0.5, Min: 3,
+				Max: 6, Work: 20 * time.Millisecond, Effect: "idempotent"}}
 	}
 	if len(s.Tenants) == 0 {
 		s.Tenants = []Tenant{{"acme", 0.5}, {"quiet", 0.25}, {"small", 0.25}}
@@ -72,7 +72,7 @@
 
 // Check fills in what a script may leave out and tells what in it contradicts itself.
 func (s *Script) Check() (field string, err error) {
-	s.fill()
+	s.fillDefaults()
 	if s.Fleet.Cells > s.Fleet.Nodes {
 		return "fleet.cells", fmt.Errorf("%d sets of %d nodes leave some without a holder", s.Fleet.Cells, s.Fleet.Nodes)
 	}
@@ -85,10 +85,10 @@
 		switch {
 		case t.Name == "" || names[t.Name]:
 			return at + ".name", fmt.Errorf("%q is empty or there already", t.Name)
-		case t.Timeout < t.Target:
-			return at + ".timeout", fmt.Errorf("%v, before the target of %v", t.Timeout, t.Target)
-		case t.Most < t.Least || t.Most > s.Shards():
-			return at + ".most_parts", fmt.Errorf("%d: from %d up to the %d shards there are", t.Most, t.Least, s.Shards())
+		case t.Timeout < t.Objective:
+			return at + ".timeout", fmt.Errorf("%v, before the target of %v", t.Timeout, t.Objective)
+		case t.Max < t.Min || t.Max > s.Shards():
+			return at + ".most_parts", fmt.Errorf("%d: from %d up to the %d shards there are", t.Max, t.Min, s.Shards())
 		case t.Effect != "idempotent" && t.Effect != "tokened" && t.Effect != "non_idempotent":
 			return at + ".effect", fmt.Errorf("%q is none of idempotent, tokened, non_idempotent", t.Effect)
 		}
@@ -106,12 +106,12 @@
 	if sum <= 0 {
 		return "tenants", fmt.Errorf("their shares add up to nothing")
 	}
-	for i := range s.Troubles {
-		if field, err := s.checkTrouble(&s.Troubles[i]); err != nil {
+	for i := range s.Faults {
+		if field, err := s.checkFault(&s.Faults[i]); err != nil {
 			return fmt.Sprintf("troubles.%d.%s", i, field), err
 		}
 		for j := range i {
-			if field, err := s.clash(j, i); err != nil {
+			if field, err := s.checkOverlap(j, i); err != nil {
 				return fmt.Sprintf("troubles.%d.%s", i, field), err
 			}
 		}
@@ -137,7 +137,7 @@
 }
 
 // nodesOf draws the nodes that a trouble is about, the same whenever it is asked.
-func (s *Script) nodesOf(t *Trouble) []int {
+func (s *Script) nodesOf(t *Fault) []int {
 	if len(t.Nodes) > 0 {
 		return t.Nodes
 	}
@@ -154,8 +154,8 @@
 }
 
 // draw takes a share of some, one at least where the share is above nothing.
-func draw(all []int, share float64, seed int, t *Trouble) []int {
-	r := rand.New(rand.NewPCG(uint64(seed), uint64(t.At)<<8+uint64(len(t.What))))
+func draw(all []int, share float64, seed int, t *Fault) []int {
+	r := rand.New(rand.NewPCG(uint64(seed), uint64(t.At)<<8+uint64(len(t.Kind))))
 	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	n := int(math.Round(share * float64(len(all))))
 	if share > 0 {
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	again, err := Decode("g", []byte(s.Text()))
-	if err != nil || again.Text() != s.Text() || again.Troubles[1].Ramp != time.Second {
+	if err != nil || again.Text() != s.Text() || again.Faults[1].Ramp != time.Second {
 		t.Errorf("%v\n%s\n%s", err, s.Text(), again.Text())
 	}
 }
@@ -73,7 +73,7 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"troubles": [{"what": "stall", "share": 0.5}], "fleet": {"nodes": 4, "cells": 2}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if s, err := Decode("f", raw); err == nil && s.Fleet.Nodes < 100 && len(s.Troubles) < 10 {
+		if s, err := Decode("f", raw); err == nil && s.Fleet.Nodes < 100 && len(s.Faults) < 10 {
 			if _, err := Decode("g", []byte(s.Text())); err != nil {
 				t.Errorf("%v: %s", err, s.Text())
 			}
--- a/internal/lab/script/settings.go
+++ b/internal/lab/script/settings.go
@@ -20,18 +20,18 @@
 		t.Zones = append(t.Zones, string(rune('a'+z)))
 	}
 	m := &t.Module
-	*m = decision.Settings{Seed: uint64(s.Seed), BrokerCount: b.Count, GossipAllowed: b.Peers, ClientsMarkRetries: true, ClockStep: 5 * time.Millisecond,
+	*m = decision.Settings{Seed: uint64(s.Seed), BrokerCount: b.Count, GossipAllowed: b.Gossip, ClientsMarkRetries: true, ClockStep: 5 * time.Millisecond,
 		OverQuotaWeight: 0.05, Cells: f.Cells, CellsPerShard: 1, MaxBatch: 8, CancelAllowed: true, HedgingAllowed: true,
-		MaxRetryAfter: 2 * time.Second, MaxAttempts: b.Attempts, MaxInFlight: b.MaxOpen, PollList: true, InitialCapacity: f.ColdFrom,
-		WarmUpTime: f.WarmAfter, OverloadMultiple: f.FallsAt, OverloadAfter: f.FallsAfter}
-	if b.Budget > 0 {
-		m.ExtraAttemptsMin, m.ExtraAttemptsShare, m.ExtraAttemptsWindow = 10, b.Budget, 10*time.Second
+		MaxRetryAfter: 2 * time.Second, MaxAttempts: b.Attempts, MaxInFlight: b.MaxOpen, PollList: true, InitialCapacity: f.ColdCapacity,
+		WarmUpTime: f.WarmUpAfter, OverloadMultiple: f.CrashMultiple, OverloadAfter: f.CrashAfter}
+	if b.ExtraAttempts > 0 {
+		m.ExtraAttemptsMin, m.ExtraAttemptsShare, m.ExtraAttemptsWindow = 10, b.ExtraAttempts, 10*time.Second
 	}
 	for _, y := range s.Types {
 		effect := map[string]decision.Idempotency{"tokened": decision.IdempotencyKeyed, "non_idempotent": decision.NonIdempotent}[y.Effect]
 		t.Types = append(t.Types, y.Name)
-		m.QueryTypes = append(m.QueryTypes, decision.QueryType{LatencyObjective: y.Target, Timeout: y.Timeout, PriorityWeight: y.Value, LateWeight: y.Late,
-			Idempotency: effect, IdempotencyWindow: y.Window, MinCompleteness: y.Floor, FullCompleteness: 1})
+		m.QueryTypes = append(m.QueryTypes, decision.QueryType{LatencyObjective: y.Objective, Timeout: y.Timeout, PriorityWeight: y.Value, LateWeight: y.Late,
+			Idempotency: effect, IdempotencyWindow: y.KeyWindow, MinCompleteness: y.RequiredShare, FullCompleteness: 1})
 	}
 	sum := 0.0
 	for _, n := range s.Tenants {
@@ -44,8 +44,8 @@
 	return t
 }
 
-// Operators is the operators' file that the script's brokers are given.
-func (s *Script) Operators() *operator.File {
+// OperatorFile is the operators' file that the script's brokers are given.
+func (s *Script) OperatorFile() *operator.File {
 	f := operator.Default()
 	f.Door.On = s.Brokers.Door
 	f.Fleet.Pins, f.Fleet.ClockError, f.Fleet.Drift = s.Reads.On, s.Reads.ClockError, s.Reads.Drift
@@ -59,9 +59,9 @@
 	classes, floors := []map[string]any{}, []float64{}
 	for i, y := range s.Types {
 		effect := [...]string{decision.Idempotent: "read_like", decision.IdempotencyKeyed: "idempotency_key", decision.NonIdempotent: "non_idempotent"}[m.QueryTypes[i].Idempotency]
-		classes = append(classes, map[string]any{"name": y.Name, "aimNs": y.Target.Nanoseconds(), "deadlineNs": y.Timeout.Nanoseconds(),
-			"effect": effect, "credit": y.Value, "lateShare": y.Late, "windowNs": y.Window.Nanoseconds()})
-		floors = append(floors, y.Floor)
+		classes = append(classes, map[string]any{"name": y.Name, "aimNs": y.Objective.Nanoseconds(), "deadlineNs": y.Timeout.Nanoseconds(),
+			"effect": effect, "credit": y.Value, "lateShare": y.Late, "windowNs": y.KeyWindow.Nanoseconds()})
+		floors = append(floors, y.RequiredShare)
 	}
 	realms := []map[string]any{}
 	for i, n := range s.Tenants {
@@ -74,6 +74,6 @@
 		"permissions": map[string]any{"cancel": m.CancelAllowed, "connIdleNs": t.Idle.Nanoseconds(), "connectTimeoutNs": t.Dial.Nanoseconds(),
 			"maxAttempts": m.MaxAttempts, "maxOpen": m.MaxInFlight, "maxRetryAfterNs": m.MaxRetryAfter.Nanoseconds(), "multiplex": t.Streams,
 			"retryAfter": true, "secondCopies": m.HedgingAllowed},
-		"safety": map[string]any{"askWithinNs": t.AskEvery.Nanoseconds(), "coldFrom": m.InitialCapacity, "drainGraceNs": s.Fleet.Grace.Nanoseconds(),
+		"safety": map[string]any{"askWithinNs": t.AskEvery.Nanoseconds(), "coldFrom": m.InitialCapacity, "drainGraceNs": s.Fleet.DrainGrace.Nanoseconds(),
 			"fallNs": m.OverloadAfter.Nanoseconds(), "tipMultiple": m.OverloadMultiple, "warmAfterNs": m.WarmUpTime.Nanoseconds()}})
 }
--- a/internal/lab/script/troubles.go
+++ b/internal/lab/script/troubles.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-func (s *Script) checkTrouble(t *Trouble) (field string, err error) {
-	if Kinds[t.What] == "" {
+func (s *Script) checkFault(t *Fault) (field string, err error) {
+	if FaultKinds[t.Kind] == "" {
 		kinds := []string{}
-		for k := range Kinds {
+		for k := range FaultKinds {
 			kinds = append(kinds, k)
 		}
 		slices.Sort(kinds)
-		return "what", fmt.Errorf("%q is none of %v", t.What, kinds)
+		return "what", fmt.Errorf("%q is none of %v", t.Kind, kinds)
 	}
-	if t.At >= s.For {
-		return "at", fmt.Errorf("%v, when the clients have stopped after %v", t.At, s.For)
+	if t.At >= s.Length {
+		return "at", fmt.Errorf("%v, when the clients have stopped after %v", t.At, s.Length)
 	}
-	if 2*t.Ramp > t.For {
-		return "ramp", fmt.Errorf("%v up and down do not fit in %v", t.Ramp, t.For)
+	if 2*t.Ramp > t.Length {
+		return "ramp", fmt.Errorf("%v up and down do not fit in %v", t.Ramp, t.Length)
 	}
 	if t.Zone != "" && s.zone(t.Zone) < 0 {
 		return "zone", fmt.Errorf("%q is none of the %d zones from a on", t.Zone, s.Fleet.Zones)
@@ -30,7 +30,7 @@
 			return "nodes", fmt.Errorf("%d: there are %d, from 0", n, s.Fleet.Nodes)
 		}
 	}
-	switch t.What {
+	switch t.Kind {
 	case "cut":
 		if t.Zone == "" || s.Fleet.Zones < 2 {
 			return "zone", fmt.Errorf("it takes the name of one zone of several to cut it off")
@@ -54,28 +54,28 @@
 	return "", nil
 }
 
-// clash tells whether two troubles can't both be so: a node can't die while it is dead, nor hang while it has vanished.
-func (s *Script) clash(i, j int) (field string, err error) {
-	a, b := &s.Troubles[i], &s.Troubles[j]
-	if a.At >= b.At+b.For || b.At >= a.At+a.For {
+// checkOverlap tells whether two troubles can't both be so: a node can't die while it is dead, nor hang while it has vanished.
+func (s *Script) checkOverlap(i, j int) (field string, err error) {
+	a, b := &s.Faults[i], &s.Faults[j]
+	if a.At >= b.At+b.Length || b.At >= a.At+a.Length {
 		return "", nil
 	}
-	gone := func(t *Trouble) bool { return t.What == "die" || t.What == "vanish" || t.What == "drain" }
+	gone := func(t *Fault) bool { return t.Kind == "die" || t.Kind == "vanish" || t.Kind == "drain" }
 	switch {
-	case a.What == b.What && (a.What == "discovery_down" || a.What == "discovery_hang"):
-		return "at", fmt.Errorf("the same as troubles.%d, which lasts from %v for %v", i, a.At, a.For)
+	case a.Kind == b.Kind && (a.Kind == "discovery_down" || a.Kind == "discovery_hang"):
+		return "at", fmt.Errorf("the same as troubles.%d, which lasts from %v for %v", i, a.At, a.Length)
 	case gone(a) && b.onNodes() && len(b.Nodes) > 0 || gone(b) && a.onNodes() && len(a.Nodes) > 0:
 		for _, n := range s.nodesOf(b) {
 			if slices.Contains(s.nodesOf(a), n) {
-				return "nodes", fmt.Errorf("node %d can't %s while it is to %s by troubles.%d", n, b.What, a.What, i)
+				return "nodes", fmt.Errorf("node %d can't %s while it is to %s by troubles.%d", n, b.Kind, a.Kind, i)
 			}
 		}
 	}
 	return "", nil
 }
 
-func (t *Trouble) onNodes() bool {
-	switch t.What {
+func (t *Fault) onNodes() bool {
+	switch t.Kind {
 	case "die", "vanish", "hang", "stall", "slow", "errors", "drain", "lag", "rollback":
 		return true
 	}
--- a/internal/lab/sharing.go
+++ b/internal/lab/sharing.go
@@ -9,44 +9,44 @@
 	"flaxfront/internal/decision/admission"
 )
 
-// sharing is one way: it rules on arrivals, and tells who may enter when something ends.
-type sharing interface {
+// queuingPolicy is one way: it rules on arrivals, and tells who may enter when something ends.
+type queuingPolicy interface {
 	arrive(s admission.Query, now time.Duration) admission.Decision
 	done(work float64, took time.Duration, now time.Duration)
 	next(now time.Duration) (enter, turned []uint64)
 }
 
-// fixed is what the ways with a fixed limit share: queues by flow, of 64 searches that wait half a second at most.
-type fixed struct {
-	flow   func(tenant int) int
-	queues [][]waiter
-	inHand float64
-	choose func(f *fixed) int // which queue goes next; nil: nobody waits at all
-	tags   []float64
-	credit []float64
-	at     int
-	bucket []float64 // tokens, where there are any
-	filled time.Duration
+// fixedLimit is what the ways with a fixed limit share: queues by flow, of 64 searches that wait half a second at most.
+type fixedLimit struct {
+	flow       func(tenant int) int
+	queues     [][]waiter
+	inFlight   float64
+	choose     func(f *fixedLimit) int // which queue goes next; nil: nobody waits at all
+	tags       []float64
+	credit     []float64
+	nextFlow   int
+	tokens     []float64 // tokens, where there are any
+	refilledAt time.Duration
 }
 
 type waiter struct {
 	admission.Query
-	until time.Duration
+	expiresAt time.Duration
 }
 
-func (f *fixed) arrive(s admission.Query, now time.Duration) admission.Decision {
-	if f.bucket != nil {
+func (f *fixedLimit) arrive(s admission.Query, now time.Duration) admission.Decision {
+	if f.tokens != nil {
 		for i, w := range queueWeights {
-			f.bucket[i] = min(400*w, f.bucket[i]+400*w*(now-f.filled).Seconds())
+			f.tokens[i] = min(400*w, f.tokens[i]+400*w*(now-f.refilledAt).Seconds())
 		}
-		if f.filled = now; f.bucket[s.Tenant] < s.Work {
+		if f.refilledAt = now; f.tokens[s.Tenant] < s.Work {
 			return admission.Reject
 		}
-		f.bucket[s.Tenant] -= s.Work
+		f.tokens[s.Tenant] -= s.Work
 	}
 	flow := f.flow(s.Tenant)
-	if f.inHand+s.Work <= queuePlaces && (f.choose == nil || len(f.queues[flow]) == 0) {
-		f.inHand += s.Work
+	if f.inFlight+s.Work <= fixedInFlightLimit && (f.choose == nil || len(f.queues[flow]) == 0) {
+		f.inFlight += s.Work
 		f.tags[flow] += s.Work / queueWeights[s.Tenant]
 		return admission.Admit
 	}
@@ -57,50 +57,50 @@
 	return admission.Enqueue
 }
 
-func (f *fixed) done(work float64, _, _ time.Duration) { f.inHand -= work }
+func (f *fixedLimit) done(work float64, _, _ time.Duration) { f.inFlight -= work }
 
-func (f *fixed) next(now time.Duration) (enter, turned []uint64) {
+func (f *fixedLimit) next(now time.Duration) (enter, turned []uint64) {
 	for i := range f.queues {
 		f.queues[i] = slices.DeleteFunc(f.queues[i], func(w waiter) bool {
-			if w.until <= now {
+			if w.expiresAt <= now {
 				turned = append(turned, w.ID)
 			}
-			return w.until <= now
+			return w.expiresAt <= now
 		})
 	}
 	for f.choose != nil {
 		i := f.choose(f)
-		if i < 0 || f.inHand+f.queues[i][0].Work > queuePlaces {
+		if i < 0 || f.inFlight+f.queues[i][0].Work > fixedInFlightLimit {
 			return enter, turned
 		}
 		w := f.queues[i][0]
 		f.queues[i] = f.queues[i][1:]
-		f.inHand += w.Work
+		f.inFlight += w.Work
 		f.tags[i] += w.Work / queueWeights[w.Tenant]
 		enter = append(enter, w.ID)
 	}
 	return enter, turned
 }
 
-// deficit is deficit round robin (Shreedhar and Varghese, 1995).
-func deficit(f *fixed) int {
+// deficitRoundRobin is deficit round robin (Shreedhar and Varghese, 1995).
+func deficitRoundRobin(f *fixedLimit) int {
 	for range 4 * len(f.queues) {
-		if q := f.queues[f.at]; len(q) > 0 {
-			if f.credit[f.at] >= q[0].Work {
-				f.credit[f.at] -= q[0].Work
-				return f.at
+		if q := f.queues[f.nextFlow]; len(q) > 0 {
+			if f.credit[f.nextFlow] >= q[0].Work {
+				f.credit[f.nextFlow] -= q[0].Work
+				return f.nextFlow
 			}
-			f.credit[f.at] += 20 * queueWeights[q[0].Tenant]
+			f.credit[f.nextFlow] += 20 * queueWeights[q[0].Tenant]
 		} else {
-			f.credit[f.at] = 0
+			f.credit[f.nextFlow] = 0
 		}
-		f.at = (f.at + 1) % len(f.queues)
+		f.nextFlow = (f.nextFlow + 1) % len(f.queues)
 	}
 	return -1
 }
 
-// startTags is start-time fair queuing; tags of idle flows catch up with the least of those that wait.
-func startTags(f *fixed) int {
+// startTimeFair is start-time fair queuing; tags of idle flows catch up with the least of those that wait.
+func startTimeFair(f *fixedLimit) int {
 	best := -1
 	for i := range f.queues {
 		if len(f.queues[i]) > 0 && (best < 0 || f.tags[i] < f.tags[best]) {
@@ -115,21 +115,21 @@
 	return best
 }
 
-func newFixed(flows int, flow func(int) int, choose func(*fixed) int) *fixed {
-	return &fixed{flow: flow, queues: make([][]waiter, flows), choose: choose, tags: make([]float64, flows), credit: make([]float64, flows)}
+func newFixedLimit(flows int, flow func(int) int, choose func(*fixedLimit) int) *fixedLimit {
+	return &fixedLimit{flow: flow, queues: make([][]waiter, flows), choose: choose, tags: make([]float64, flows), credit: make([]float64, flows)}
 }
 
-// door is the one that serves.
-type door struct{ *admission.Controller }
+// adaptiveLimit is the one that serves.
+type adaptiveLimit struct{ *admission.Controller }
 
-func (d door) arrive(s admission.Query, now time.Duration) admission.Decision {
+func (d adaptiveLimit) arrive(s admission.Query, now time.Duration) admission.Decision {
 	r, _ := d.Arrive(s, now)
 	return r
 }
-func (d door) done(work float64, took, now time.Duration) {
+func (d adaptiveLimit) done(work float64, took, now time.Duration) {
 	d.Complete(admission.Completion{Work: work, Elapsed: took, Answered: took < 2*time.Second}, now)
 }
-func (d door) next(now time.Duration) (enter, turned []uint64) {
+func (d adaptiveLimit) next(now time.Duration) (enter, turned []uint64) {
 	lets, _ := d.Tick(now, nil)
 	for _, l := range lets {
 		if l.Admitted {
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -21,23 +21,23 @@
 	"flaxfront/internal/lab/script"
 )
 
-// Stage is the nodes, the discovery and the clients of a script on sockets.
-type Stage struct {
+// Rehearsal is the nodes, the discovery and the clients of a script on sockets.
+type Rehearsal struct {
 	*Fleet
-	s     *script.Script
-	plan  *script.Schedule
-	began time.Time
-	mu    sync.Mutex
-	boxes []*Box
+	s         *script.Script
+	schedule  *script.Schedule
+	startedAt time.Time
+	mu        sync.Mutex
+	models    []*NodeModel
 }
 
-// NewStage starts nodes and discovery. Brokers' configurations come by Write.
-func NewStage(dir string, s *script.Script) (*Stage, error) {
-	for i, t := range s.Troubles {
-		switch t.What {
+// NewRehearsal starts nodes and discovery. Brokers' configurations come by Write.
+func NewRehearsal(dir string, s *script.Script) (*Rehearsal, error) {
+	for i, t := range s.Faults {
+		switch t.Kind {
 		case "die", "hang", "slow", "jump", "discovery_down":
 		default:
-			return nil, fmt.Errorf("troubles.%d: %s can't be played on sockets here: die, hang, slow, jump and discovery_down can", i, t.What)
+			return nil, fmt.Errorf("troubles.%d: %s can't be played on sockets here: die, hang, slow, jump and discovery_down can", i, t.Kind)
 		}
 	}
 	for i, y := range s.Types {
@@ -45,29 +45,29 @@
 			return nil, fmt.Errorf("types.%d.work: %v: on sockets all types do the same work", i, y.Work)
 		}
 	}
-	st := &Stage{Fleet: &Fleet{Discovery: NewDiscovery(40), Cells: s.Fleet.Cells, Dir: dir}, s: s, plan: s.Schedule(), began: time.Now()}
-	warm := Warmth{From: s.Fleet.ColdFrom, Over: s.Fleet.WarmAfter, Multiple: s.Fleet.FallsAt, For: s.Fleet.FallsAfter}
+	st := &Rehearsal{Fleet: &Fleet{Discovery: NewDiscovery(40), Cells: s.Fleet.Cells, Dir: dir}, s: s, schedule: s.Schedule(), startedAt: time.Now()}
+	warm := WarmUpParams{InitialCapacity: s.Fleet.ColdCapacity, RampTime: s.Fleet.WarmUpAfter, OverloadMultiple: s.Fleet.CrashMultiple, For: s.Fleet.CrashAfter}
 	for i := range s.Fleet.Nodes {
 		name := fmt.Sprintf("n%05d.0", i)
-		box := NewBox(name, i%s.Fleet.Cells, s.Fleet.Cores, st.work(i, 0), warm, uint64(s.Seed+i))
-		box.Queue = time.Duration(s.Fleet.Queue) * st.work(i, 0) / time.Duration(s.Fleet.Cores)
-		n, err := StartNode("127.0.0.1:0", box, s.Fleet.Cells, st.began)
+		box := NewNodeModel(name, i%s.Fleet.Cells, s.Fleet.Cores, st.meanWork(i, 0), warm, uint64(s.Seed+i))
+		box.Queue = time.Duration(s.Fleet.Queue) * st.meanWork(i, 0) / time.Duration(s.Fleet.Cores)
+		n, err := StartNode("127.0.0.1:0", box, s.Fleet.Cells, st.startedAt)
 		if err != nil {
 			return nil, err
 		}
-		st.Nodes, st.boxes = append(st.Nodes, n), append(st.boxes, box)
+		st.Nodes, st.models = append(st.Nodes, n), append(st.models, box)
 		st.List = append(st.List, Instance{name, n.Addr(), string(rune('a' + s.ZoneOf(i))), i % s.Fleet.Cells, "in_service", 1, 0})
 	}
-	st.Discovery.Set(st.List)
+	st.Discovery.SetList(st.List)
 	return st, st.Discovery.Up("127.0.0.1:0")
 }
 
-func (st *Stage) work(node int, at time.Duration) time.Duration {
-	return time.Duration(float64(st.s.Types[0].Work+st.s.Fleet.CallWork) * st.plan.Slow(node, at))
+func (st *Rehearsal) meanWork(node int, at time.Duration) time.Duration {
+	return time.Duration(float64(st.s.Types[0].Work+st.s.Fleet.CallWork) * st.schedule.Slow(node, at))
 }
 
-// Write writes the configuration of a broker and tells where it is to listen.
-func (st *Stage) Write(name string) (path, listen string, err error) {
+// WriteBrokerConfig writes the configuration of a broker and tells where it is to listen.
+func (st *Rehearsal) WriteBrokerConfig(name string) (path, listen string, err error) {
 	if listen, err = FreeAddr(); err != nil {
 		return "", "", err
 	}
@@ -85,8 +85,8 @@
 	return path, listen, os.WriteFile(path, b, 0o600)
 }
 
-// Staged is what clients saw.
-type Staged struct {
+// RehearsalResult is what clients saw.
+type RehearsalResult struct {
 	Asked, InTarget, Late, Shed, Failed, Tries int
 	Service                                    float64
 	Latency                                    *hdrhistogram.Histogram // microseconds
@@ -94,11 +94,11 @@
 }
 
 // Run plays the load and the troubles against brokers that listen.
-func (st *Stage) Run(brokers []string) *Staged {
-	out := &Staged{Latency: hdrhistogram.New(1, 60_000_000, 3)}
-	st.began = time.Now()
+func (st *Rehearsal) Run(brokers []string) *RehearsalResult {
+	out := &RehearsalResult{Latency: hdrhistogram.New(1, 60_000_000, 3)}
+	st.startedAt = time.Now()
 	stop := make(chan struct{})
-	go st.troubles(stop)
+	go st.applyFaults(stop)
 	var all sync.WaitGroup
 	worth, got := 0.0, 0.0
 	for b, at := range brokers {
@@ -106,19 +106,19 @@
 		defer client.CloseIdleConnections()
 		all.Go(func() {
 			r := rand.New(rand.NewPCG(uint64(st.s.Seed), uint64(b)))
-			most := st.s.Load.Rate / float64(len(brokers)) * st.plan.Most()
-			for due := time.Duration(0); due < st.s.For; due += time.Duration(r.ExpFloat64() / most * float64(time.Second)) {
-				factor, _ := st.plan.Load(0, due)
-				if r.Float64()*st.plan.Most() >= factor {
+			most := st.s.Load.Rate / float64(len(brokers)) * st.schedule.Max()
+			for due := time.Duration(0); due < st.s.Length; due += time.Duration(r.ExpFloat64() / most * float64(time.Second)) {
+				factor, _ := st.schedule.Load(0, due)
+				if r.Float64()*st.schedule.Max() >= factor {
 					continue
 				}
-				y := &st.s.Types[st.typ(r)]
-				n, first := y.Least+r.IntN(y.Most-y.Least+1), r.IntN(st.s.Shards())
+				y := &st.s.Types[st.drawQueryType(r)]
+				n, first := y.Min+r.IntN(y.Max-y.Min+1), r.IntN(st.s.Shards())
 				seed := r.Uint64()
-				time.Sleep(time.Until(st.began.Add(due)))
+				time.Sleep(time.Until(st.startedAt.Add(due)))
 				all.Go(func() {
-					v, tries, took, broken := st.ask(client, at, y, first, n, seed, st.began.Add(due))
-					out.add(st, y, v, tries, took, broken, &worth, &got)
+					v, tries, took, broken := st.runQuery(client, at, y, first, n, seed, st.startedAt.Add(due))
+					out.record(st, y, v, tries, took, broken, &worth, &got)
 				})
 			}
 		})
@@ -129,7 +129,7 @@
 	return out
 }
 
-func (st *Stage) typ(r *rand.Rand) int {
+func (st *Rehearsal) drawQueryType(r *rand.Rand) int {
 	sum := 0.0
 	for i := range st.s.Types {
 		sum += st.s.Types[i].Share
@@ -143,7 +143,7 @@
 	return 0
 }
 
-func (out *Staged) add(st *Stage, y *script.Type, share float64, tries int, took time.Duration, broken string, worth, got *float64) {
+func (out *RehearsalResult) record(st *Rehearsal, y *script.Type, share float64, tries int, took time.Duration, broken string, worth, got *float64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	out.Asked, out.Tries, *worth = out.Asked+1, out.Tries+tries, *worth+y.Value
@@ -161,7 +161,7 @@
 		if share < 1 {
 			value *= 0.9 * share
 		}
-		if out.InTarget++; took > y.Target {
+		if out.InTarget++; took > y.Objective {
 			out.InTarget--
 			out.Late++
 			value *= y.Late
@@ -170,8 +170,8 @@
 	}
 }
 
-// ask is a client's search with its repeats: the share that came, 0 for failed, -1 for shed.
-func (st *Stage) ask(client *http.Client, at string, y *script.Type, first, n int, seed uint64, due time.Time) (share float64, tries int, took time.Duration, broken string) {
+// submit is a client's search with its repeats: the share that came, 0 for failed, -1 for shed.
+func (st *Rehearsal) runQuery(client *http.Client, at string, y *script.Type, first, n int, seed uint64, due time.Time) (share float64, tries int, took time.Duration, broken string) {
 	var body strings.Builder
 	body.WriteString(`{"tablets":[`)
 	for i := range n {
@@ -216,7 +216,7 @@
 				}
 			}
 			share := float64(len(doc.Pieces)) / float64(n)
-			if doc.Full != (len(doc.Pieces) == n) || share < y.Floor-1e-4 {
+			if doc.Full != (len(doc.Pieces) == n) || share < y.RequiredShare-1e-4 {
 				broken = fmt.Sprintf("rule 5: search %s has %.2f of it, full %v", id, share, doc.Full)
 			}
 			return share, tries, time.Since(due), broken
--- a/internal/lab/stagetroubles.go
+++ b/internal/lab/stagetroubles.go
@@ -8,30 +8,30 @@
 	"flaxfront/internal/lab/script"
 )
 
-// troubles does to nodes and discovery what the script says, when it says so.
-func (st *Stage) troubles(stop <-chan struct{}) {
+// applyFaults does to nodes and discovery what the script says, when it says so.
+func (st *Rehearsal) applyFaults(stop <-chan struct{}) {
 	type step struct {
 		at time.Duration
 		do func()
 	}
 	var steps []step
-	for _, e := range st.plan.Events {
+	for _, e := range st.schedule.Events {
 		n := st.Nodes[e.Node]
-		switch e.Does {
+		switch e.Action {
 		case script.Dies:
-			steps = append(steps, step{e.At, func() { n.Turn(Dead) }}, step{e.At + st.s.List.Delay, func() { st.line(e.Node, "terminated") }})
+			steps = append(steps, step{e.At, func() { n.SetMode(Dead) }}, step{e.At + st.s.List.Delay, func() { st.setLifecycle(e.Node, "terminated") }})
 		case script.Returns:
 			steps = append(steps, step{e.At, func() {
-				st.born(e.Node)
-				n.Turn(Serving)
-			}}, step{e.At + st.s.List.Delay, func() { st.line(e.Node, "in_service") }})
+				st.restartNode(e.Node)
+				n.SetMode(Serving)
+			}}, step{e.At + st.s.List.Delay, func() { st.setLifecycle(e.Node, "in_service") }})
 		case script.Hangs:
-			steps = append(steps, step{e.At, func() { n.Turn(Hanging) }})
+			steps = append(steps, step{e.At, func() { n.SetMode(Hanging) }})
 		case script.Resumes:
-			steps = append(steps, step{e.At, func() { n.Turn(Serving) }})
+			steps = append(steps, step{e.At, func() { n.SetMode(Serving) }})
 		}
 	}
-	for _, d := range st.plan.Down {
+	for _, d := range st.schedule.Down {
 		steps = append(steps, step{d.From, st.Discovery.Down}, step{d.To, func() { st.Discovery.Up("") }})
 	}
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -42,7 +42,7 @@
 			return
 		case <-tick.C:
 		}
-		now := time.Since(st.began)
+		now := time.Since(st.startedAt)
 		for i := 0; i < len(steps); i++ {
 			if steps[i].at <= now {
 				steps[i].do()
@@ -52,26 +52,26 @@
 		}
 		for i, n := range st.Nodes {
 			n.mu.Lock()
-			n.box.Mean = st.work(i, now)
+			n.model.MeanWork = st.meanWork(i, now)
 			n.mu.Unlock()
 		}
 	}
 }
 
-// born has a node be a new process, cold.
-func (st *Stage) born(node int) {
+// restartNode has a node be a new process, cold.
+func (st *Rehearsal) restartNode(node int) {
 	n := st.Nodes[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.box.Began = time.Since(n.began)
-	n.box.cores = make([]time.Duration, st.s.Fleet.Cores)
+	n.model.LastStart = time.Since(n.epoch)
+	n.model.cores = make([]time.Duration, st.s.Fleet.Cores)
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.List[node].StartedAt = time.Now().UnixMilli()
 }
 
-// line changes a node's line of the list; what has ended is left out.
-func (st *Stage) line(node int, state string) {
+// setLifecycle changes a node's line of the list; what has ended is left out.
+func (st *Rehearsal) setLifecycle(node int, state string) {
 	st.mu.Lock()
 	st.List[node].Lifecycle = state
 	var list []Instance
@@ -81,5 +81,5 @@
 		}
 	}
 	st.mu.Unlock()
-	st.Discovery.Set(list)
+	st.Discovery.SetList(list)
 }
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -18,126 +18,126 @@
 type Policy uint8
 
 const (
-	BelieveAll Policy = iota
-	BelieveNone
-	Weigh
+	TrustAll Policy = iota
+	TrustNone
+	TrustByProbability
 )
 
 func (p Policy) String() string { return [...]string{"believe all", "believe nothing", "weigh"}[p] }
 
 // Start describes one start.
 type Start struct {
-	Seed    uint64
-	Policy  Policy
-	Age     time.Duration
-	Wrong   float64 // share of the entries
-	Cold    bool    // every box has just started
-	Nodes   int
-	Brokers int
-	Rate    float64       // searches a second over all brokers
-	For     time.Duration // discovery comes back then
+	Seed      uint64
+	Policy    Policy
+	ListAge   time.Duration
+	Wrong     float64 // share of the entries
+	ColdNodes bool    // every box has just started
+	Nodes     int
+	Brokers   int
+	Rate      float64       // searches a second over all brokers
+	For       time.Duration // discovery comes back then
 }
 
-var startTerms = decision.Settings{ClockStep: 5 * time.Millisecond, Cells: 4, CellsPerShard: 1, MaxBatch: 4, OverQuotaWeight: 1,
+var startSettings = decision.Settings{ClockStep: 5 * time.Millisecond, Cells: 4, CellsPerShard: 1, MaxBatch: 4, OverQuotaWeight: 1,
 	QueryTypes: []decision.QueryType{{LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1, MinCompleteness: 1, FullCompleteness: 1},
 		{LatencyObjective: 2 * time.Second, Timeout: 4 * time.Second, PriorityWeight: 1, MinCompleteness: 0.5, FullCompleteness: 1}},
 	CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: time.Second, MaxAttempts: 4, MaxInFlight: 4096,
 	InitialCapacity: 0.3, WarmUpTime: 12 * time.Second, OverloadMultiple: 2, OverloadAfter: 2 * time.Second}
 
-// RunStart plays one start in virtual time; the world stands as at discovery's return.
-func RunStart(s Start) *World {
-	w := &World{boxes: map[decision.NodeID]*Box{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), terms: startTerms}
-	w.terms.BrokerCount = s.Brokers
-	warm := Warmth{From: 0.3, Over: 12 * time.Second, Multiple: 2, For: 2 * time.Second}
+// SimulateStart plays one start in virtual time; the world stands as at discovery's return.
+func SimulateStart(s Start) *Simulation {
+	w := &Simulation{nodes: map[decision.NodeID]*NodeModel{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), settings: startSettings}
+	w.settings.BrokerCount = s.Brokers
+	warm := WarmUpParams{InitialCapacity: 0.3, RampTime: 12 * time.Second, OverloadMultiple: 2, For: 2 * time.Second}
 	now := cachedlist.Timestamp(1_700_000_000_000)
 	var entries []cachedlist.Entry
-	wrong := w.wrong(s.Nodes, int(s.Wrong*float64(s.Nodes)))
+	wrongEntries := w.wrongEntries(s.Nodes, int(s.Wrong*float64(s.Nodes)))
 	for i := range s.Nodes {
 		name := fmt.Sprintf("node-%08x", i)
-		box := NewBox(name, i%w.terms.Cells, 2, 10*time.Millisecond, warm, s.Seed+uint64(i)*7919)
-		if s.Cold {
-			box.Began = 0
+		box := NewNodeModel(name, i%w.settings.Cells, 2, 10*time.Millisecond, warm, s.Seed+uint64(i)*7919)
+		if s.ColdNodes {
+			box.LastStart = 0
 		}
-		w.boxes[id(name)] = box
-		entries = append(entries, cachedlist.Entry{Name: name, Address: anyAddr, Cell: box.Cell, ConfirmedAt: now - cachedlist.Timestamp(s.Age.Milliseconds())})
+		w.nodes[nodeID(name)] = box
+		entries = append(entries, cachedlist.Entry{Name: name, Address: anyAddr, Cell: box.Cell, ConfirmedAt: now - cachedlist.Timestamp(s.ListAge.Milliseconds())})
 	}
-	for k, i := range wrong { // gone, left behind, drained or changed hands, hanging
-		w.boxes[id(entries[i].Name)].Mode = []Mode{Dead, Vanished, Draining, Hanging}[k%4]
+	for k, i := range wrongEntries { // gone, left behind, drained or changed hands, hanging
+		w.nodes[nodeID(entries[i].Name)].Mode = []Mode{Dead, Unreachable, Draining, Hanging}[k%4]
 	}
 	var brokers []*Broker
 	for range s.Brokers {
-		var judge *cachedlist.Evaluator
+		var evaluator *cachedlist.Evaluator
 		list := decision.Event{Kind: decision.FullListReceived}
-		b := w.broker(w.rnd.Uint64(), nil)
+		b := w.newBroker(w.rnd.Uint64(), nil)
 		switch s.Policy {
-		case Weigh:
-			judge = cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: 7 * 24 * time.Hour, MaxAge: 30 * 24 * time.Hour, EjectionThreshold: 0.95,
+		case TrustByProbability:
+			evaluator = cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: 7 * 24 * time.Hour, MaxAge: 30 * 24 * time.Hour, EjectionThreshold: 0.95,
 				TrialInterval: 30 * time.Second}, cachedlist.NewEntryTable(cachedlist.Head{}, append([]cachedlist.Entry(nil), entries...)), now)
-			b.judge = judge
-			b.facts(judge.Start(id))
-		case BelieveAll:
+			b.evaluator = evaluator
+			b.updates(evaluator.Start(nodeID))
+		case TrustAll:
 			for _, e := range entries {
-				list.Endpoints = append(list.Endpoints, decision.Endpoint{Node: id(e.Name), Cell: e.Cell, State: decision.Ready, StartedAt: decision.StartedLongAgo})
+				list.Endpoints = append(list.Endpoints, decision.Endpoint{Node: nodeID(e.Name), Cell: e.Cell, State: decision.Ready, StartedAt: decision.StartedLongAgo})
 			}
-			b.tell(list)
+			b.deliver(list)
 		default:
-			b.tell(list)
+			b.deliver(list)
 		}
 		brokers = append(brokers, b)
 	}
 	for at := time.Duration(0); at < s.For; at += time.Duration(w.rnd.ExpFloat64() / s.Rate * float64(time.Second)) {
 		b, typ, shards := brokers[w.rnd.IntN(len(brokers))], w.rnd.IntN(2), w.rnd.Perm(8)[:1+w.rnd.IntN(4)]
-		w.at(at, func() { b.ask(typ, shards) })
+		w.at(at, func() { b.submit(typ, shards) })
 	}
 	w.run(s.For + 5*time.Second)
 	return w
 }
 
-// wrong draws which entries are wrong. Each cell keeps a right one, as no policy could serve what nobody holds.
-func (w *World) wrong(nodes, n int) []int {
+// wrongEntries draws which entries are wrong. Each cell keeps a right one, as no policy could serve what nobody holds.
+func (w *Simulation) wrongEntries(nodes, n int) []int {
 	for {
 		drawn, right := w.rnd.Perm(nodes), map[int]bool{}
 		for _, i := range drawn[n:] {
-			right[i%w.terms.Cells] = true
+			right[i%w.settings.Cells] = true
 		}
-		if len(right) == w.terms.Cells {
+		if len(right) == w.settings.Cells {
 			return drawn[:n]
 		}
 	}
 }
 
-// Starts prints the table: for each age, share of wrong entries and policy the mean of some seeds.
-func Starts(out io.Writer, seeds, brokers int, rate float64) (broken int) {
+// CompareStarts prints the table: for each age, share of wrong entries and policy the mean of some seeds.
+func CompareStarts(out io.Writer, seeds, brokers int, rate float64) (broken int) {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "age\twrong\tpolicy\tfirst answer\tin target\tshed\tfailed\tparts on wrong\tstarts with a rule broken\t")
 	for _, age := range []time.Duration{0, time.Hour, 24 * time.Hour, 7 * 24 * time.Hour} {
 		for _, wrong := range []float64{0, 0.1, 0.5} {
-			for _, p := range []Policy{BelieveAll, BelieveNone, Weigh} {
+			for _, p := range []Policy{TrustAll, TrustNone, TrustByProbability} {
 				var sum Tally
 				rules, answering := 0, 0
 				for seed := range seeds {
-					w := RunStart(Start{Seed: uint64(seed), Policy: p, Age: age, Wrong: wrong, Cold: seed%2 == 1, Nodes: 16,
+					w := SimulateStart(Start{Seed: uint64(seed), Policy: p, ListAge: age, Wrong: wrong, ColdNodes: seed%2 == 1, Nodes: 16,
 						Brokers: brokers, Rate: rate, For: 10 * time.Second})
 					sum.Asked, sum.InTarget = sum.Asked+w.Tally.Asked, sum.InTarget+w.Tally.InTarget
 					sum.Shed, sum.Failed = sum.Shed+w.Tally.Shed, sum.Failed+w.Tally.Failed
-					sum.Parts, sum.Wrong = sum.Parts+w.Tally.Parts, sum.Wrong+w.Tally.Wrong
-					if w.Tally.First > 0 {
+					sum.ShardRequests, sum.Wrong = sum.ShardRequests+w.Tally.ShardRequests, sum.Wrong+w.Tally.Wrong
+					if w.Tally.FirstAnswer > 0 {
 						answering++
-						sum.First = max(sum.First, w.Tally.First)
+						sum.FirstAnswer = max(sum.FirstAnswer, w.Tally.FirstAnswer)
 					}
-					if len(w.Broken) > 0 {
+					if len(w.Violations) > 0 {
 						rules++
 					}
 				}
 				first := "none"
 				if answering == seeds {
-					first = "at most " + sum.First.Round(time.Millisecond).String()
+					first = "at most " + sum.FirstAnswer.Round(time.Millisecond).String()
 				}
 				broken += rules
 				share := func(n, of int) float64 { return 100 * float64(n) / float64(max(1, of)) }
 				fmt.Fprintf(t, "%v\t%.0f%%\t%v\t%s\t%.2f%%\t%.2f%%\t%.2f%%\t%.2f%%\t%d of %d\t\n", age, 100*wrong, p, first,
 					share(sum.InTarget, sum.Asked), share(sum.Shed, sum.Asked), share(sum.Failed, sum.Asked),
-					share(sum.Wrong, sum.Parts), rules, seeds)
+					share(sum.Wrong, sum.ShardRequests), rules, seeds)
 			}
 		}
 	}
--- a/internal/lab/wire.go
+++ b/internal/lab/wire.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// Wire relays connections to one address.
-type Wire struct {
+// Relay relays connections to one address.
+type Relay struct {
 	Delay  time.Duration // one way
 	Jitter time.Duration // up to so much more
 	Rate   int           // bytes a second each way; 0: any
 
-	to    string
-	ln    net.Listener
-	mu    sync.Mutex
-	rnd   *rand.Rand
-	cut   [2]bool // to the target, back from it
-	wake  chan struct{}
-	conns map[net.Conn]bool
+	target string
+	ln     net.Listener
+	mu     sync.Mutex
+	rnd    *rand.Rand
+	cut    [2]bool // to the target, back from it
+	wake   chan struct{}
+	conns  map[net.Conn]bool
 }
 
-// NewWire listens on loopback and relays to an address, which may begin to listen later.
-func NewWire(to string, delay, jitter time.Duration, seed uint64) (*Wire, error) {
+// NewRelay listens on loopback and relays to an address, which may begin to listen later.
+func NewRelay(target string, delay, jitter time.Duration, seed uint64) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Wire{Delay: delay, Jitter: jitter, to: to, ln: ln, rnd: rand.New(rand.NewPCG(seed, 0x77697265)),
+	w := &Relay{Delay: delay, Jitter: jitter, target: target, ln: ln, rnd: rand.New(rand.NewPCG(seed, 0x77697265)),
 		wake: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go func() {
 		for {
@@ -40,18 +40,18 @@
 			if err != nil {
 				return
 			}
-			go w.relay(near)
+			go w.serve(near)
 		}
 	}()
 	return w, nil
 }
 
 // Addr is where it listens.
-func (w *Wire) Addr() string { return w.ln.Addr().String() }
+func (w *Relay) Addr() string { return w.ln.Addr().String() }
 
 // Cut holds back what goes to the target, what comes back, or both; false lets it go on. As on a real link bytes are not
 // lost within a connection that survives.
-func (w *Wire) Cut(there, back bool) {
+func (w *Relay) Cut(there, back bool) {
 	w.mu.Lock()
 	w.cut = [2]bool{there, back}
 	close(w.wake)
@@ -59,15 +59,15 @@
 	w.mu.Unlock()
 }
 
-// Lag delays what comes from now on by so much, each way.
-func (w *Wire) Lag(delay time.Duration) {
+// SetDelay delays what comes from now on by so much, each way.
+func (w *Relay) SetDelay(delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Delay = delay
 }
 
 // Reset ends all connections, as a process that dies does.
-func (w *Wire) Reset() {
+func (w *Relay) Reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns {
@@ -78,14 +78,14 @@
 }
 
 // Close ends the wire.
-func (w *Wire) Close() {
+func (w *Relay) Close() {
 	w.ln.Close()
 	w.Cut(false, false)
 	w.Reset()
 }
 
-// open waits while a direction is cut.
-func (w *Wire) open(way int) {
+// awaitOpen waits while a direction is cut.
+func (w *Relay) awaitOpen(way int) {
 	for {
 		w.mu.Lock()
 		cut, wake := w.cut[way], w.wake
@@ -97,10 +97,10 @@
 	}
 }
 
-func (w *Wire) relay(near net.Conn) {
-	w.open(0)
-	w.open(1) // a handshake needs both ways
-	far, err := net.DialTimeout("tcp", w.to, time.Second)
+func (w *Relay) serve(near net.Conn) {
+	w.awaitOpen(0)
+	w.awaitOpen(1) // a handshake needs both ways
+	far, err := net.DialTimeout("tcp", w.target, time.Second)
 	if err != nil {
 		near.Close()
 		return
@@ -109,8 +109,8 @@
 	w.conns[near], w.conns[far] = true, true
 	w.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { w.carry(near, far, 0) })
-	both.Go(func() { w.carry(far, near, 1) })
+	both.Go(func() { w.forward(near, far, 0) })
+	both.Go(func() { w.forward(far, near, 1) })
 	both.Wait()
 	w.mu.Lock()
 	delete(w.conns, near)
@@ -118,14 +118,14 @@
 	w.mu.Unlock()
 }
 
-type parcel struct {
+type chunk struct {
 	due  time.Time
 	data []byte
 }
 
-// carry moves bytes one way, in order, each as late as the wire is long.
-func (w *Wire) carry(from, to net.Conn, way int) {
-	line := make(chan parcel, 256)
+// forward moves bytes one way, in order, each as late as the wire is long.
+func (w *Relay) forward(from, to net.Conn, way int) {
+	line := make(chan chunk, 256)
 	go func() {
 		defer close(line)
 		last := time.Now()
@@ -139,7 +139,7 @@
 				if due := time.Now().Add(late); due.After(last) {
 					last = due
 				}
-				line <- parcel{last, b[:n]}
+				line <- chunk{last, b[:n]}
 			}
 			if err != nil {
 				return
@@ -148,7 +148,7 @@
 	}()
 	for p := range line {
 		time.Sleep(time.Until(p.due))
-		w.open(way)
+		w.awaitOpen(way)
 		for data := p.data; len(data) > 0; {
 			n := len(data)
 			if w.Rate > 0 {
--- a/internal/protocols/back/pairs_test.go
+++ b/internal/protocols/back/pairs_test.go
@@ -28,7 +28,7 @@
 // cellStore is what the nodes of a cell hold, whatever shard they are asked for.
 func cellStore(cell int) (all []string) {
 	for i := range 5 + cell {
-		all = append(all, archive.DC(cell, i))
+		all = append(all, archive.DublinCoreRecord(cell, i))
 	}
 	return all
 }
@@ -36,8 +36,8 @@
 // standIn is a simulated store node of a protocol; end kills it.
 func standIn(t *testing.T, protocol string, cell int) (addr string, end func()) {
 	t.Helper()
-	b := archive.New(archive.DC)
-	b.Store = [][]string{cellStore(cell)}
+	b := archive.New(archive.DublinCoreRecord)
+	b.RecordsByShard = [][]string{cellStore(cell)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	var f interface {
@@ -88,11 +88,11 @@
 	ends := map[int][]func(){}
 	for i, n := range fleet.Nodes {
 		store := cellStore(i % 2)
-		n.Make = func(_ string, _ int, text string) string {
+		n.MakeValue = func(_ string, _ int, text string) string {
 			value, _ := archive.Value(store, text)
 			return value
 		}
-		ends[i%2] = append(ends[i%2], func() { n.Turn(lab.Dead) })
+		ends[i%2] = append(ends[i%2], func() { n.SetMode(lab.Dead) })
 	}
 	if protocol != "frames" {
 		for i := range 8 {
@@ -100,7 +100,7 @@
 			ends[i%2] = append(ends[i%2], end)
 			fleet.List = append(fleet.List, lab.Instance{InstanceID: fmt.Sprintf("node-%d", i), HostPort: at, Zone: "a", Cell: i % 2, Lifecycle: "in_service", Weight: 1})
 		}
-		fleet.Discovery.Set(fleet.List)
+		fleet.Discovery.SetList(fleet.List)
 	}
 	w.killCell = func(cell int) {
 		for _, end := range ends[cell] {
--- a/internal/protocols/front/sru/front_test.go
+++ b/internal/protocols/front/sru/front_test.go
@@ -78,7 +78,7 @@
 // In each version a client searches and goes through the pages; they are of one answer, the last has no next one, and only the
 // first and those that were not fetched yet are searches.
 func TestPages(t *testing.T) {
-	b := archive.New(archive.DC)
+	b := archive.New(archive.DublinCoreRecord)
 	f := started(t, b)
 	for _, v := range []struct{ params, namespace string }{{"version=1.1&operation=searchRetrieve&recordPacking=xml&", "http://www.loc.gov/zing/srw/"},
 		{"version=1.2&operation=searchRetrieve&", "http://www.loc.gov/zing/srw/"}, {"", "http://docs.oasis-open.org/ns/search-ws/sruResponse"}} {
@@ -97,7 +97,7 @@
 			at = a.Next
 		}
 		for i, r := range seen {
-			if r != b.Store[i/10][i%10] {
+			if r != b.RecordsByShard[i/10][i%10] {
 				t.Errorf("record %d is %s", i, r)
 			}
 		}
@@ -105,21 +105,21 @@
 			t.Errorf("%d records", len(seen))
 		}
 	}
-	if n := b.Asked(); n > 3*3 {
+	if n := b.Queries(); n > 3*3 {
 		t.Errorf("%d searches for three times five pages", n)
 	}
 }
 
 // The same query again is a fresh search for its first page, and the page after it is of that one.
 func TestSameQueryAgain(t *testing.T) {
-	b := archive.New(archive.DC)
+	b := archive.New(archive.DublinCoreRecord)
 	f := started(t, b)
 	get(t, f, "query=cat&maximumRecords=2")
-	b.Set(func(b *archive.Broker) { b.Store[0][0] = `<new/>` })
+	b.Update(func(b *archive.Broker) { b.RecordsByShard[0][0] = `<new/>` })
 	if a, _ := get(t, f, "query=cat&maximumRecords=2"); a.Records[0].Data.Inner != "<new/>" {
 		t.Errorf("%+v", a.Records[0])
 	}
-	b.Set(func(b *archive.Broker) { b.Store[0][1] = `<newer/>` })
+	b.Update(func(b *archive.Broker) { b.RecordsByShard[0][1] = `<newer/>` })
 	for range 2 { // page two would be of another answer
 		a, _ := get(t, f, "query=cat&maximumRecords=2&startRecord=3")
 		if len(a.Records) > 0 || len(a.Diagnostics) != 1 || a.Diagnostics[0].URI != "info:srw/diagnostic/1/51" {
@@ -130,9 +130,9 @@
 
 // What the broker makes of a search has its honest form in each version.
 func TestVerdicts(t *testing.T) {
-	b := archive.New(archive.DC)
+	b := archive.New(archive.DublinCoreRecord)
 	f := started(t, b)
-	b.Set(func(b *archive.Broker) { b.Missing = 1 })
+	b.Update(func(b *archive.Broker) { b.Missing = 1 })
 	a, resp := get(t, f, "query=cat")
 	if resp.StatusCode != 200 || a.Count != 20 || len(a.Diagnostics) != 1 || a.Diagnostics[0].URI != "info:srw/diagnostic/1/59" || !strings.HasSuffix(a.Precision, "minimum") {
 		t.Errorf("partial: %+v", a)
@@ -142,7 +142,7 @@
 	}
 	for status, v := range map[int]server.QueryResult{503: {Shed: true, RetryAfter: 1200 * time.Millisecond}, 504: {},
 		502: {Answered: true, Complete: true, Shards: []int{0}, Values: []string{"z1 9 9\n"}}} {
-		b.Set(func(b *archive.Broker) { b.Verdict = &v })
+		b.Update(func(b *archive.Broker) { b.Result = &v })
 		a, resp := get(t, f, "query=dog")
 		if resp.StatusCode != status || len(a.Diagnostics) != 1 || a.Count != 0 || len(a.Records) > 0 {
 			t.Errorf("%d: %+v", resp.StatusCode, a)
@@ -155,7 +155,7 @@
 
 // What is asked wrongly has its diagnostic, in a response of the version that asked.
 func TestDiagnostics(t *testing.T) {
-	f := started(t, archive.New(archive.DC))
+	f := started(t, archive.New(archive.DublinCoreRecord))
 	for params, code := range map[string]int{
 		"operation=scan&version=1.2": 4, "operation=searchRetrieve&version=3.0&query=a": 5, "query=a&startRecord=0": 6, "query=a&maximumRecords=x": 6,
 		"operation=searchRetrieve&version=1.2": 7, "query=a&frobnicate=1": 8, "query=(a": 10, "query=foo.bar%3Da": 16, "query=dc.title+within+a": 19,
--- a/internal/protocols/front/sru/hostile_test.go
+++ b/internal/protocols/front/sru/hostile_test.go
@@ -19,9 +19,9 @@
 
 // A record that would break out of its place is not passed on as elements; as text it is what it was.
 func TestSpoiltRecords(t *testing.T) {
-	b := archive.New(archive.DC)
+	b := archive.New(archive.DublinCoreRecord)
 	bad := []string{`</recordData><evil/>`, `<a>`, `<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>`, `<a/><b/>`, `text`, strings.Repeat("<a>", 100) + strings.Repeat("</a>", 100)}
-	b.Store[0] = bad
+	b.RecordsByShard[0] = bad
 	f := started(t, b)
 	a, _ := get(t, f, "query=cat&maximumRecords=7")
 	for i, r := range a.Records[:len(bad)] {
@@ -42,18 +42,18 @@
 
 // A client that goes away takes its search along; a stop answers what is in hand and takes nothing more.
 func TestLeaveAndDrain(t *testing.T) {
-	b := archive.New(archive.DC)
+	b := archive.New(archive.DublinCoreRecord)
 	f := started(t, b)
 	hold := make(chan struct{})
-	b.Set(func(b *archive.Broker) { b.Hold = hold })
+	b.Update(func(b *archive.Broker) { b.Gate = hold })
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+f.Addr().String()+"/?query=a", nil)
 	go http.DefaultClient.Do(req)
-	for b.Asked() == 0 {
+	for b.Queries() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	if err := <-b.Left; !errors.Is(err, context.Canceled) {
+	if err := <-b.Aborted; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 	got := make(chan answer)
@@ -61,7 +61,7 @@
 		a, _ := get(t, f, "query=a")
 		got <- a
 	}()
-	for b.Asked() == 1 {
+	for b.Queries() == 1 {
 		time.Sleep(time.Millisecond)
 	}
 	f.Drain()
@@ -81,7 +81,7 @@
 
 // Forms may be sent as well.
 func TestPost(t *testing.T) {
-	f := started(t, archive.New(archive.DC))
+	f := started(t, archive.New(archive.DublinCoreRecord))
 	resp, err := http.PostForm("http://"+f.Addr().String()+"/catalogue", url.Values{"query": {"cat"}, "maximumRecords": {"1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 
 // A search with four records over a connection that stands, over a broker that answers at once: the front's own cost.
 func BenchmarkSearch(b *testing.B) {
-	f := started(b, archive.New(archive.DC))
+	f := started(b, archive.New(archive.DublinCoreRecord))
 	b.ReportAllocs()
 	for b.Loop() {
 		resp, err := http.Get("http://" + f.Addr().String() + "/?query=dc.title+%3D+cat+and+dc.creator+%3D+smith&maximumRecords=4")
--- a/internal/protocols/front/z3950/broker_test.go
+++ b/internal/protocols/front/z3950/broker_test.go
@@ -32,10 +32,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	store := archive.New(archive.DC).Store
+	store := archive.New(archive.DublinCoreRecord).RecordsByShard
 	store = append(store, []string{"<last/>"})
 	for _, n := range fleet.Nodes {
-		n.Make = func(_ string, shard int, text string) string {
+		n.MakeValue = func(_ string, shard int, text string) string {
 			value, _ := archive.Value(store[shard], text)
 			return value
 		}
@@ -129,7 +129,7 @@
 	}
 	for i, n := range fleet.Nodes { // all that hold the odd shards
 		if i%2 == 1 {
-			n.Turn(lab.Dead)
+			n.SetMode(lab.Dead)
 		}
 	}
 	if r := say(ask).(*z3950.SearchResponse); r.OK || r.SetStatus != z3950.Subset || r.Count != 20 {
--- a/internal/protocols/front/z3950/clients_test.go
+++ b/internal/protocols/front/z3950/clients_test.go
@@ -20,7 +20,7 @@
 func TestRefusedQueries(t *testing.T) {
 	o := options()
 	o.Databases = []string{"x"}
-	c := dial(t, started(t, archive.New(archive.Plain), o), usual)
+	c := dial(t, started(t, archive.New(archive.TextRecord), o), usual)
 	for pqf, code := range map[string]int{"@attr 1=9999 a": 114, "@attr 2=77 a": 117, "@attr 5=101 a": 120, "@and @set s a": 18, "@attr 1.2.3 1=4 a": 121, `""`: 125} {
 		if r := c.say(search(t, "a", pqf)).(*z3950.SearchResponse); r.OK || r.Records.Fault == nil || r.Records.Fault.Code != code {
 			t.Errorf("%s: %+v", pqf, r.Records.Fault)
@@ -50,7 +50,7 @@
 func TestHostileClients(t *testing.T) {
 	o := options()
 	o.Sessions = 2
-	f := started(t, archive.New(archive.Plain), o)
+	f := started(t, archive.New(archive.TextRecord), o)
 	silent, noisy := dial(t, f, nil), dial(t, f, nil)
 	began := time.Now()
 	if m, is := dial(t, f, nil).hear().(*z3950.Close); !is || m.Reason != 4 {
@@ -81,15 +81,15 @@
 
 // A client that goes away while its search is in hand takes it along; its sets are forgotten.
 func TestClientLeaves(t *testing.T) {
-	b := archive.New(archive.Plain)
+	b := archive.New(archive.TextRecord)
 	f := started(t, b, options())
 	c := dial(t, f, usual)
 	c.say(search(t, "a", "cat"))
-	b.Set(func(b *archive.Broker) { b.Hold = make(chan struct{}) })
+	b.Update(func(b *archive.Broker) { b.Gate = make(chan struct{}) })
 	c.Write(z3950.Encode(search(t, "b", "cat")))
-	until(t, func() bool { return b.Asked() == 2 })
+	until(t, func() bool { return b.Queries() == 2 })
 	c.Close()
-	if err := <-b.Left; !errors.Is(err, context.Canceled) {
+	if err := <-b.Aborted; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 	until(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.sessions) == 0 && f.sets.Counts.Bytes == 0 })
@@ -97,13 +97,13 @@
 
 // A planned stop: what is in hand is answered, then each session is told by a close; new ones find nobody.
 func TestDrain(t *testing.T) {
-	b := archive.New(archive.Plain)
+	b := archive.New(archive.TextRecord)
 	f := started(t, b, options())
 	idle, busy := dial(t, f, usual), dial(t, f, usual)
 	hold := make(chan struct{})
-	b.Set(func(b *archive.Broker) { b.Hold = hold })
+	b.Update(func(b *archive.Broker) { b.Gate = hold })
 	busy.Write(z3950.Encode(search(t, "a", "cat")))
-	until(t, func() bool { return b.Asked() == 1 })
+	until(t, func() bool { return b.Queries() == 1 })
 	f.Drain()
 	if m, is := idle.hear().(*z3950.Close); !is || m.Reason != 1 {
 		t.Errorf("idle: %+v", m)
@@ -125,7 +125,7 @@
 
 // A search and a page of ten records, through a session that stands, over a broker that answers at once: the front's own cost.
 func BenchmarkSearchAndPresent(b *testing.B) {
-	f := started(b, archive.New(archive.DC), options())
+	f := started(b, archive.New(archive.DublinCoreRecord), options())
 	conn, err := net.Dial("tcp", f.Addr().String())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/protocols/front/z3950/cold_test.go
+++ b/internal/protocols/front/z3950/cold_test.go
@@ -30,16 +30,16 @@
 	}
 	t.Cleanup(fleet.Close)
 	for i, n := range fleet.Nodes {
-		n.Make = func(_ string, _ int, text string) string {
+		n.MakeValue = func(_ string, _ int, text string) string {
 			value, _ := archive.Value([]string{"<r/>"}, text)
 			return value
 		}
 		if i < 4 { // two of the four of each set
-			n.Born()
+			n.MarkRestarted()
 			fleet.List[i].StartedAt = time.Now().UnixMilli()
 		}
 	}
-	fleet.Discovery.Set(fleet.List)
+	fleet.Discovery.SetList(fleet.List)
 	if err := fleet.Discovery.Up("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 		t.Errorf("%v", seen)
 	}
 	for _, n := range fleet.Nodes {
-		if n.Fell() {
+		if n.HasCrashed() {
 			t.Error("a cold node was pushed over")
 		}
 	}
--- a/internal/protocols/front/z3950/front_test.go
+++ b/internal/protocols/front/z3950/front_test.go
@@ -108,7 +108,7 @@
 
 // A session searches, presents pages that were fetched and pages that were not, beyond a shard's end too, and deletes.
 func TestSession(t *testing.T) {
-	b := archive.New(archive.Plain)
+	b := archive.New(archive.TextRecord)
 	f := started(t, b, options())
 	c := dial(t, f, usual)
 	r := c.say(search(t, "a", "@attr 1=4 cat")).(*z3950.SearchResponse)
@@ -119,7 +119,7 @@
 		p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: page.start, Want: page.want}).(*z3950.PresentResponse)
 		var want []string
 		for i := page.start - 1; i < page.start-1+page.want; i++ {
-			want = append(want, b.Store[i/10][i%10])
+			want = append(want, b.RecordsByShard[i/10][i%10])
 		}
 		if p.Status != z3950.Success || !reflect.DeepEqual(bodies(p.Records), want) || p.Next != page.start+page.want {
 			t.Errorf("page %+v: status %d, next %d: %v, %v", page, p.Status, p.Next, bodies(p.Records), p.Records.Fault)
@@ -148,9 +148,9 @@
 
 // What the broker makes of a search has its honest form: partial is never whole, shed says when to return, failed is failed.
 func TestVerdicts(t *testing.T) {
-	b := archive.New(archive.Plain)
+	b := archive.New(archive.TextRecord)
 	c := dial(t, started(t, b, options()), usual)
-	b.Set(func(b *archive.Broker) { b.Missing = 1 })
+	b.Update(func(b *archive.Broker) { b.Missing = 1 })
 	r := c.say(search(t, "a", "cat")).(*z3950.SearchResponse)
 	if r.OK || r.SetStatus != z3950.Subset || r.Count != 20 || r.Records.Fault == nil || r.Records.Fault.Text != "2 of 3 parts answered" {
 		t.Errorf("partial: %+v, %+v", r, r.Records.Fault)
@@ -159,14 +159,14 @@
 		t.Errorf("records of a partial answer: %+v", p)
 	}
 	for code, v := range map[int]server.QueryResult{resourcesShort: {Shed: true, RetryAfter: 1500 * time.Millisecond}, systemError: {}} {
-		b.Set(func(b *archive.Broker) { b.Verdict = &v })
+		b.Update(func(b *archive.Broker) { b.Result = &v })
 		r := c.say(search(t, "b", "cat")).(*z3950.SearchResponse)
 		if r.OK || r.Count != 0 || r.Records.Fault == nil || r.Records.Fault.Code != code || r.SetStatus != z3950.NoSet {
 			t.Errorf("%+v: %+v, %+v", v, r, r.Records.Fault)
 		}
 	}
-	b.Set(func(b *archive.Broker) {
-		b.Verdict = &server.QueryResult{Answered: true, Complete: true, Shards: []int{0, 1, 2}, Values: []string{"noise", "", "x"}}
+	b.Update(func(b *archive.Broker) {
+		b.Result = &server.QueryResult{Answered: true, Complete: true, Shards: []int{0, 1, 2}, Values: []string{"noise", "", "x"}}
 	})
 	if r := c.say(search(t, "b", "cat")).(*z3950.SearchResponse); r.OK || r.Records.Fault.Code != systemError {
 		t.Errorf("values that can't be read: %+v", r)
@@ -175,13 +175,13 @@
 
 // The store changes between two pages: no page of another answer is given, and the client is told to search again.
 func TestChangedBetweenPages(t *testing.T) {
-	b := archive.New(archive.Plain)
+	b := archive.New(archive.TextRecord)
 	c := dial(t, started(t, b, options()), usual)
 	c.say(search(t, "a", "cat"))
 	if p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 4}).(*z3950.PresentResponse); len(p.Records.All) != 4 {
 		t.Fatalf("%+v", p)
 	}
-	b.Set(func(b *archive.Broker) { b.Store[0][1] = "another record" })
+	b.Update(func(b *archive.Broker) { b.RecordsByShard[0][1] = "another record" })
 	for range 2 {
 		p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 5, Want: 4}).(*z3950.PresentResponse)
 		if len(p.Records.All) > 0 || p.Records.Fault == nil || p.Records.Fault.Code != setGone {
@@ -191,7 +191,7 @@
 	if r := c.say(search(t, "a", "cat")).(*z3950.SearchResponse); !r.OK {
 		t.Errorf("the search again: %+v", r)
 	}
-	b.Set(func(b *archive.Broker) { b.Missing = 2 }) // a node dies that holds a part of the set
+	b.Update(func(b *archive.Broker) { b.Missing = 2 }) // a node dies that holds a part of the set
 	if p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 5, Want: 4}).(*z3950.PresentResponse); p.Records.Fault == nil || p.Records.Fault.Code != setGone {
 		t.Errorf("%+v", p)
 	}
@@ -199,8 +199,8 @@
 
 // Messages in a row are answered in a row, each with its reference; records that do not fit a message are left for the next.
 func TestManyAtOnceAndLargeRecords(t *testing.T) {
-	b := archive.New(archive.Plain)
-	b.Store[0][0] = string(make([]byte, 3000))
+	b := archive.New(archive.TextRecord)
+	b.RecordsByShard[0][0] = string(make([]byte, 3000))
 	f := started(t, b, options())
 	c := dial(t, f, &z3950.InitRequest{Version3: true, Search: true, Preferred: 2000, Most: 2500})
 	for i := range 5 {
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -19,15 +19,15 @@
 // startAdmissionBroker starts a broker with admission and slow nodes.
 func startAdmissionBroker(t *testing.T) (s *Server, end func() error) {
 	k := newCachedListRig(t, 4)
-	k.Pace(40 * time.Millisecond) // 200 attempts a second
+	k.SetMeanWork(40 * time.Millisecond) // 200 attempts a second
 	path, err := k.Config("n0", "127.0.0.1:0", k.Discovery.Addr(), true)
 	start, file := readLabConfiguration(t, path, err, `{"door": {"on": true, "weights": ["acme=0.2", "quiet=0.8"]}}`)
 	return runConfigured(t, start, file)
 }
 
-func runTenantLoad(s *Server, tenant string, rate float64, last time.Duration, seed uint64) *lab.Outcome {
-	return lab.Load{URL: "http://" + s.listener.Addr().String(), Class: "find", Tenant: tenant, Shards: 4, Widest: 2, Rate: rate,
-		For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: seed}.Run()
+func runTenantLoad(s *Server, tenant string, rate float64, last time.Duration, seed uint64) *lab.LoadResult {
+	return lab.Load{URL: "http://" + s.listener.Addr().String(), QueryType: "find", Tenant: tenant, Shards: 4, MaxShards: 2, Rate: rate,
+		RunTime: last, Timeout: 1500 * time.Millisecond, Objective: time.Second, MinCompleteness: 1, Seed: seed}.Run()
 }
 
 // While one tenant sends far more queries than the nodes can answer, the other tenant is served, each query has one result, the counters
@@ -35,25 +35,25 @@
 func TestFloodOfOneTenant(t *testing.T) {
 	s, end := startAdmissionBroker(t)
 	time.Sleep(200 * time.Millisecond)
-	var flood, quiet *lab.Outcome
+	var flood, quiet *lab.LoadResult
 	var both sync.WaitGroup
 	both.Go(func() { flood = runTenantLoad(s, "acme", 800, 1500*time.Millisecond, 1) })
 	both.Go(func() { quiet = runTenantLoad(s, "quiet", 20, 1500*time.Millisecond, 2) })
 	both.Wait()
-	if quiet.Answered < quiet.Asked*9/10 || len(quiet.Broken)+len(flood.Broken) > 0 || flood.Shed == 0 || flood.Answered == 0 {
-		t.Errorf("load of tenant quiet: %v\nload of tenant acme: %v\nbroken rules: %v", quiet, flood, append(quiet.Broken, flood.Broken...))
+	if quiet.Answered < quiet.Asked*9/10 || len(quiet.Violations)+len(flood.Violations) > 0 || flood.Shed == 0 || flood.Answered == 0 {
+		t.Errorf("load of tenant quiet: %v\nload of tenant acme: %v\nbroken rules: %v", quiet, flood, append(quiet.Violations, flood.Violations...))
 	}
 	c := s.Counters().Queries
 	if c.Received != c.Answered+c.Shed+c.Failed+c.Abandoned+c.InFlight || c.InFlight != 0 || c.RejectedByAdmission == 0 || c.Admission.InFlight > 1e-6 {
 		t.Errorf("unexpected counters: %+v, admission %+v", c, c.Admission)
 	}
-	var last *lab.Outcome
+	var last *lab.LoadResult
 	both.Go(func() { last = runTenantLoad(s, "acme", 400, 300*time.Millisecond, 3) })
 	time.Sleep(310 * time.Millisecond)
 	end()
 	both.Wait()
-	if len(last.Broken) > 0 {
-		t.Errorf("rules broken during shutdown: load %v, %v", last, last.Broken)
+	if len(last.Violations) > 0 {
+		t.Errorf("rules broken during shutdown: load %v, %v", last, last.Violations)
 	}
 }
 
--- a/internal/server/cached_list_test.go
+++ b/internal/server/cached_list_test.go
@@ -45,9 +45,9 @@
 	return runConfigured(k.t, start, file)
 }
 
-func (k *cachedListRig) load(s *Server, last time.Duration) *lab.Outcome {
-	return lab.Load{URL: "http://" + s.listener.Addr().String(), Class: "find", Tenant: "acme", Shards: 4, Widest: 3, Rate: 60,
-		For: last, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 5}.Run()
+func (k *cachedListRig) load(s *Server, last time.Duration) *lab.LoadResult {
+	return lab.Load{URL: "http://" + s.listener.Addr().String(), QueryType: "find", Tenant: "acme", Shards: 4, MaxShards: 3, Rate: 60,
+		RunTime: last, Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: 5}.Run()
 }
 
 // waitFor waits until a state is reached, and fails the test after 1000 checks 10 ms apart.
@@ -67,53 +67,53 @@
 func TestStartWithoutDiscovery(t *testing.T) {
 	k := newCachedListRig(t, 8)
 	k.List[0].Lifecycle = "terminating"
-	k.Discovery.Set(k.List)
+	k.Discovery.SetList(k.List)
 	s, end := k.start(false)
 	k.waitFor("the list is stored", func() bool { return s.Counters().CachedList.Snapshots > 0 && s.Counters().Queries.ListsReceived > 0 })
 	k.Discovery.Down()
 	end()
-	drained := k.Nodes[0].Parts.Load()
+	drained := k.Nodes[0].ShardRequests.Load()
 
-	k.Nodes[1].Turn(lab.Dead)
-	k.Nodes[2].Turn(lab.Hanging)
-	k.Nodes[3].Turn(lab.Draining)
+	k.Nodes[1].SetMode(lab.Dead)
+	k.Nodes[2].SetMode(lab.Hanging)
+	k.Nodes[3].SetMode(lab.Draining)
 	// Another node, of the other cell, has taken over the address of a node.
-	k.Nodes[5].Turn(lab.Dead)
-	other, err := lab.StartNode(k.Nodes[5].Addr(), lab.NewBox("other", 0, 2, 5*time.Millisecond, lab.Warmth{}, 9), 2, time.Now())
+	k.Nodes[5].SetMode(lab.Dead)
+	other, err := lab.StartNode(k.Nodes[5].Addr(), lab.NewNodeModel("other", 0, 2, 5*time.Millisecond, lab.WarmUpParams{}, 9), 2, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Turn(lab.Dead)
+	defer other.SetMode(lab.Dead)
 	s, end = k.start(true) // the configuration still lists the drained node as in service
 	o := k.load(s, 1500*time.Millisecond)
-	if len(o.Broken) > 0 || o.Answered < o.Asked*9/10 {
-		t.Errorf("load without discovery: %v, broken rules %v", o, o.Broken)
+	if len(o.Violations) > 0 || o.Answered < o.Asked*9/10 {
+		t.Errorf("load without discovery: %v, broken rules %v", o, o.Violations)
 	}
-	if n := k.Nodes[0].Parts.Load(); n != drained {
+	if n := k.Nodes[0].ShardRequests.Load(); n != drained {
 		t.Errorf("%d attempts were sent to a node that was draining before the restart", n-drained)
 	}
 	c := s.Counters().Queries.CachedList
-	if other.Wrong.Load() == 0 || other.Wrong.Load() > 10 {
-		t.Errorf("%d attempts were sent to the node that took over the address of another, want 1 to 10", other.Wrong.Load())
+	if other.Misdirected.Load() == 0 || other.Misdirected.Load() > 10 {
+		t.Errorf("%d attempts were sent to the node that took over the address of another, want 1 to 10", other.Misdirected.Load())
 	}
 	if c.Confirmed < 3 || c.Excluded != 1 || c.Confirmed+c.Unconfirmed+c.Ejected+c.Excluded != 8 {
 		t.Errorf("cached list without discovery: %+v", c)
 	}
 	k.List[0].Lifecycle, k.List[4].Lifecycle = "in_service", "terminating"
-	k.Discovery.Set(k.List)
+	k.Discovery.SetList(k.List)
 	if err := k.Discovery.Up(""); err != nil {
 		t.Fatal(err)
 	}
 	k.waitFor("the list of discovery is applied", func() bool { return s.Counters().Queries.ListsReceived > 0 })
-	after := k.Nodes[4].Parts.Load()
-	if o := k.load(s, 700*time.Millisecond); len(o.Broken) > 0 {
-		t.Error(o.Broken)
+	after := k.Nodes[4].ShardRequests.Load()
+	if o := k.load(s, 700*time.Millisecond); len(o.Violations) > 0 {
+		t.Error(o.Violations)
 	}
-	if c := s.Counters().Queries.CachedList; c.Confirmed != 8 || k.Nodes[4].Parts.Load() != after || k.Nodes[0].Parts.Load() == drained {
-		t.Errorf("after discovery is back: cached list %+v; %d attempts at the draining node, %d at the one back in service", c, k.Nodes[4].Parts.Load()-after, k.Nodes[0].Parts.Load()-drained)
+	if c := s.Counters().Queries.CachedList; c.Confirmed != 8 || k.Nodes[4].ShardRequests.Load() != after || k.Nodes[0].ShardRequests.Load() == drained {
+		t.Errorf("after discovery is back: cached list %+v; %d attempts at the draining node, %d at the one back in service", c, k.Nodes[4].ShardRequests.Load()-after, k.Nodes[0].ShardRequests.Load()-drained)
 	}
 	// A list of discovery that lacks most nodes is applied, as the protocol says.
-	k.Discovery.Set(k.List[:1])
+	k.Discovery.SetList(k.List[:1])
 	k.waitFor("the short list is applied", func() bool { return s.Counters().Queries.Nodes <= 4 })
 	end()
 	if c, err := nodelist.Read(filesystem.Local{}, k.dir, ""); err != nil || !c.Found || len(c.Entries) != 8 {
@@ -127,8 +127,8 @@
 	k := newCachedListRig(t, 2)
 	k.Discovery.Down()
 	s, end := k.start(false)
-	if o := k.load(s, 200*time.Millisecond); o.Shed != o.Asked || len(o.Broken) > 0 {
-		t.Errorf("load without any list: %v, broken rules %v", o, o.Broken)
+	if o := k.load(s, 200*time.Millisecond); o.Shed != o.Asked || len(o.Violations) > 0 {
+		t.Errorf("load without any list: %v, broken rules %v", o, o.Violations)
 	}
 	s.Reload(s.start, s.operator, nil)
 	end()
@@ -159,8 +159,8 @@
 		_, fresh := c.Entries["node-new"]
 		return !old && fresh
 	})
-	if o := k.load(s, 300*time.Millisecond); len(o.Broken) > 0 || o.Answered < o.Asked*9/10 {
-		t.Errorf("load after the request: %v, broken rules %v", o, o.Broken)
+	if o := k.load(s, 300*time.Millisecond); len(o.Violations) > 0 || o.Answered < o.Asked*9/10 {
+		t.Errorf("load after the request: %v, broken rules %v", o, o.Violations)
 	}
 	if c := s.Counters().Queries.CachedList; c.Confirmed+c.Unconfirmed != 4 {
 		t.Errorf("cached list after the request: %+v", c)
@@ -184,8 +184,8 @@
 			t.Fatal(err)
 		}
 		s, end := k.start(true)
-		if o := k.load(s, 100*time.Millisecond); o.Answered != o.Asked || len(o.Broken) > 0 {
-			t.Errorf("%s: %v, %v", c.what, o, o.Broken)
+		if o := k.load(s, 100*time.Millisecond); o.Answered != o.Asked || len(o.Violations) > 0 {
+			t.Errorf("%s: %v, %v", c.what, o, o.Violations)
 		}
 		end()
 	}
--- a/internal/server/gateway_test.go
+++ b/internal/server/gateway_test.go
@@ -16,7 +16,7 @@
 	dir         string
 	fleet       [2]*lab.Fleet
 	listenAddrs [2]string // where each site listens for the other's links
-	wire        *lab.Wire
+	wire        *lab.Relay
 	servers     [2]*Server
 	stop        [2]func() error
 	audit       *lab.Audit
@@ -44,7 +44,7 @@
 		t.Cleanup(w.fleet[i].Close)
 	}
 	var err error
-	w.wire, err = lab.NewWire(w.listenAddrs[1], delay/2, 0, 1)
+	w.wire, err = lab.NewRelay(w.listenAddrs[1], delay/2, 0, 1)
 	must(err)
 	t.Cleanup(w.wire.Close)
 	w.audit = &lab.Audit{Fleet: w.fleet[:]}
@@ -77,19 +77,19 @@
 func (w *twoSites) killCell(site, cell int) {
 	for i, n := range w.fleet[site].Nodes {
 		if i%4 == cell {
-			n.Turn(lab.Dead)
+			n.SetMode(lab.Dead)
 		}
 	}
 }
 
-func (w *twoSites) runLoad(rate float64, last time.Duration) *lab.Outcome {
+func (w *twoSites) runLoad(rate float64, last time.Duration) *lab.LoadResult {
 	w.loads++
-	o := lab.Load{URL: "http://" + w.servers[0].listener.Addr().String(), Classes: []string{"find", "sign", "book"}, Tenant: "acme",
-		Shards: 8, Widest: 3, Rate: rate, For: last, Timeout: 1500 * time.Millisecond, Target: time.Second, Floor: 1, Seed: w.loads,
-		Settle: w.audit.Settle}.Run()
+	o := lab.Load{URL: "http://" + w.servers[0].listener.Addr().String(), QueryTypes: []string{"find", "sign", "book"}, Tenant: "acme",
+		Shards: 8, MaxShards: 3, Rate: rate, RunTime: last, Timeout: 1500 * time.Millisecond, Objective: time.Second, MinCompleteness: 1, Seed: w.loads,
+		RecordResult: w.audit.RecordResult}.Run()
 	time.Sleep(100 * time.Millisecond)
 	why, _ := w.audit.Check()
-	for _, s := range append(o.Broken, why...) {
+	for _, s := range append(o.Violations, why...) {
 		w.t.Error(s)
 	}
 	return o
@@ -109,11 +109,11 @@
 	}
 	// The second site drains a node while queries are being forwarded.
 	w.fleet[1].List[0].Lifecycle = "terminating"
-	w.fleet[1].Discovery.Set(w.fleet[1].List)
+	w.fleet[1].Discovery.SetList(w.fleet[1].List)
 	time.Sleep(500 * time.Millisecond)
-	before := w.fleet[1].Nodes[0].Parts.Load()
+	before := w.fleet[1].Nodes[0].ShardRequests.Load()
 	w.runLoad(100, 500*time.Millisecond)
-	if n := w.fleet[1].Nodes[0].Parts.Load() - before; n > 0 {
+	if n := w.fleet[1].Nodes[0].ShardRequests.Load() - before; n > 0 {
 		t.Errorf("%d attempts reached a node later than 500 ms after its broker was told that it drains", n)
 	}
 	// Neither site has replicas: queries must be shed at once, and not be forwarded back and forth.
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -81,14 +81,14 @@
 }
 
 // far listens; near dials it, over a wire if one is given.
-func sides(t testing.TB, nearVersion, farVersion [2]int) (near, far *side, wire *lab.Wire) {
+func sides(t testing.TB, nearVersion, farVersion [2]int) (near, far *side, wire *lab.Relay) {
 	t.Helper()
 	ca := filepath.Join(t.TempDir(), "ca")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wire, err = lab.NewWire(ln.Addr().String(), 0, 0, 1); err != nil {
+	if wire, err = lab.NewRelay(ln.Addr().String(), 0, 0, 1); err != nil {
 		t.Fatal(err)
 	}
 	far = &side{events: make(chan Event, 1000), ln: ln}
