--- a/internal/decision/membership/golden_test.go
+++ b/internal/decision/membership/golden_test.go
@@ -27,44 +27,44 @@
 	packet Packet
 }
 
-// player plays members over links that delay, lose and damage datagrams.
-type player struct {
+// simulation plays members over links that delay, lose and damage datagrams.
+type simulation struct {
 	rnd         *rand.Rand
 	digest      hash.Hash64
 	now         time.Duration
 	policy      Policy
-	loss        int // of 100 datagrams
+	lossPercent int // of 100 datagrams
 	members     []*Detector
 	incarnation uint32
-	mail        []datagram
-	cut         int // this member is not heard by others; -1: none
+	inFlight    []datagram
+	mutedMember int // this member is not heard by others; -1: none
 }
 
 func goldenAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7000)
 }
 
-func (p *player) span(most time.Duration) time.Duration {
-	return time.Duration(p.rnd.Int64N(int64(most)))
+func (p *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(p.rnd.Int64N(int64(limit)))
 }
 
-func (p *player) start(i int) {
+func (p *simulation) start(i int) {
 	p.incarnation++
 	seeds := []netip.AddrPort{goldenAddress(0), goldenAddress(1), goldenAddress(2)}
 	p.members[i] = New(p.policy, fmt.Sprintf("broker-%d", i), goldenAddress(i), uint8(i), p.incarnation, seeds)
 }
 
-func (p *player) writeMember(m Member) {
+func (p *simulation) writeMember(m Member) {
 	fmt.Fprintln(p.digest, uint32(m.ID), m.Name, m.Address, m.Incarnation, m.Weight, uint8(m.State), m.State.String(), int64(m.StateChangedAt))
 }
 
 // drain writes and delivers all that a member gave out.
-func (p *player) drain(i int) {
+func (p *simulation) drain(i int) {
 	m := p.members[i]
 	for _, packet := range m.DrainPackets() {
 		fmt.Fprintln(p.digest, packet.To)
 		p.digest.Write(packet.Data)
-		if i == p.cut || p.rnd.IntN(100) < p.loss {
+		if i == p.mutedMember || p.rnd.IntN(100) < p.lossPercent {
 			continue
 		}
 		if p.rnd.IntN(40) == 0 {
@@ -73,30 +73,30 @@
 		if p.rnd.IntN(80) == 0 {
 			packet.Data = packet.Data[:p.rnd.IntN(len(packet.Data)+1)]
 		}
-		p.mail = append(p.mail, datagram{goldenAddress(i), packet})
+		p.inFlight = append(p.inFlight, datagram{goldenAddress(i), packet})
 	}
 	for _, change := range m.DrainChanges() {
 		p.writeMember(change.Member)
 		fmt.Fprintln(p.digest, uint8(change.PreviousState), change.New)
 	}
-	for _, note := range m.DrainBroadcasts() {
-		fmt.Fprintf(p.digest, "%x\n", note)
+	for _, message := range m.DrainBroadcasts() {
+		fmt.Fprintf(p.digest, "%x\n", message)
 	}
 	p.writeMember(m.Self())
 	c := m.Counts
 	fmt.Fprintln(p.digest, c.Probes, c.FailedProbes, c.Suspicions, c.DeclaredDead, c.Refutations, c.DatagramsSent,
 		c.DatagramsReceived, c.MalformedDatagrams, c.LocalHealthMultiplier)
-	fmt.Fprintln(p.digest, m.LivingCount(), int64(m.LastContact()), len(p.mail))
+	fmt.Fprintln(p.digest, m.LivingCount(), int64(m.LastContact()), len(p.inFlight))
 }
 
-func (p *player) deliver() {
-	if len(p.mail) == 0 {
+func (p *simulation) deliver() {
+	if len(p.inFlight) == 0 {
 		return
 	}
-	at := p.rnd.IntN(min(len(p.mail), 6))
-	d := p.mail[at]
+	position := p.rnd.IntN(min(len(p.inFlight), 6))
+	d := p.inFlight[position]
 	if p.rnd.IntN(20) > 0 { // else it comes twice
-		p.mail = append(p.mail[:at], p.mail[at+1:]...)
+		p.inFlight = append(p.inFlight[:position], p.inFlight[position+1:]...)
 	}
 	for i := range p.members {
 		if goldenAddress(i) == d.packet.To {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (p *player) event(i int) {
+func (p *simulation) event(i int) {
 	switch p.rnd.IntN(8) {
 	case 0:
 		p.members[i].Broadcast(uint64(p.rnd.IntN(4)), make([]byte, p.rnd.IntN(p.policy.MaxDatagramBytes)))
@@ -126,22 +126,22 @@
 			p.start(i)
 		}
 	case 4:
-		p.cut = p.rnd.IntN(len(p.members))
+		p.mutedMember = p.rnd.IntN(len(p.members))
 	case 5, 6:
-		p.cut = -1
+		p.mutedMember = -1
 	case 7:
-		p.now += p.span(6 * p.policy.ProbeInterval)
+		p.now += p.randomDuration(6 * p.policy.ProbeInterval)
 	}
 	p.drain(i)
 }
 
-func (p *player) step() {
+func (p *simulation) step() {
 	i := p.rnd.IntN(len(p.members))
 	switch p.rnd.IntN(50) {
 	case 0:
 		p.event(i)
 	case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12:
-		p.now += p.span(p.policy.ProbeInterval / 10)
+		p.now += p.randomDuration(p.policy.ProbeInterval / 10)
 		next := p.members[i].Tick(p.now)
 		fmt.Fprintln(p.digest, int64(next))
 		p.drain(i)
@@ -171,9 +171,9 @@
 	}
 }
 
-func playSequence(seed uint64) uint64 {
+func runSequence(seed uint64) uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 22))
-	p := &player{rnd: rnd, digest: fnv.New64a(), now: time.Minute, policy: goldenPolicy(rnd, seed), loss: rnd.IntN(4) * 10, cut: -1}
+	p := &simulation{rnd: rnd, digest: fnv.New64a(), now: time.Minute, policy: goldenPolicy(rnd, seed), lossPercent: rnd.IntN(4) * 10, mutedMember: -1}
 	p.members = make([]*Detector, 2+rnd.IntN(9))
 	for i := range p.members {
 		p.start(i)
@@ -188,7 +188,7 @@
 func TestSequencesAreAsRecorded(t *testing.T) {
 	var lines []string
 	for seed := range uint64(goldenSequences) {
-		lines = append(lines, fmt.Sprintf("%d %016x", seed, playSequence(seed)))
+		lines = append(lines, fmt.Sprintf("%d %016x", seed, runSequence(seed)))
 	}
 	text := strings.Join(lines, "\n") + "\n"
 	if *record {
--- a/internal/decision/resultset/resultset.go
+++ b/internal/decision/resultset/resultset.go
@@ -13,96 +13,96 @@
 
 // Limits bound what is kept.
 type Limits struct {
-	Bytes      int           // of records, over all sessions
-	PerSession int           // sets of one session
-	Sessions   int           // that hold any
-	Age        time.Duration // without use
+	Bytes          int           // of records, over all sessions
+	SetsPerSession int           // sets of one session
+	Sessions       int           // that hold any
+	IdleTimeout    time.Duration // without use
 }
 
-// Why a set is not there.
-type Why uint8
+// Status a set is not there.
+type Status uint8
 
 // A set that is asked for is there, or it is one of these.
 const (
-	There   Why = iota
-	Unknown     // there never was one of that name
-	Aged        // nobody used it for too long
-	Crowded     // others needed the room
-	Changed     // the answer could not be had again
+	Found   Status = iota
+	Unknown        // there never was one of that name
+	Expired        // nobody used it for too long
+	Evicted        // others needed the room
+	Changed        // the answer could not be had again
 )
 
-type session struct {
-	sets map[string]*Set
-	lost map[string]Why // names of sets that went, for a true diagnostic
+type sessionSets struct {
+	sets    map[string]*Set
+	removed map[string]Status // names of sets that went, for a true diagnostic
 }
 
 // Sets are the result sets of all sessions.
 type Sets struct {
-	limits   Limits
-	sessions map[uint64]*session
-	bytes    int
-	Counts   Counts
+	limits     Limits
+	sessions   map[uint64]*sessionSets
+	totalBytes int
+	Counts     Counts
 }
 
 // Counts are what operators see.
 type Counts struct {
-	Kept, Bytes                      int
-	Made, Aged, Crowded, Changed, Ok uint64
+	Sets, Bytes                                  int
+	Created, Expired, Evicted, Changed, Extended uint64
 }
 
-const mostLost = 64 // names remembered of a session's lost sets
+const maxRemovedNames = 64 // names remembered of a session's lost sets
 
 // New makes room for result sets; none is kept.
-func New(l Limits) *Sets { return &Sets{limits: l, sessions: map[uint64]*session{}} }
+func New(limits Limits) *Sets { return &Sets{limits: limits, sessions: map[uint64]*sessionSets{}} }
 
 // Put keeps an answer as a session's set of a name, in place of one that was there. False: it is too large to be kept at all.
-func (s *Sets) Put(id uint64, name, query string, a Answer, now time.Duration) bool {
-	s.age(now)
-	size := a.bytes()
+func (s *Sets) Put(sessionID uint64, name, query string, answer Answer, now time.Duration) bool {
+	s.removeExpired(now)
+	size := answer.size()
 	if size > s.limits.Bytes {
 		return false
 	}
-	ses := s.sessions[id]
-	if ses == nil {
+	session := s.sessions[sessionID]
+	if session == nil {
 		for len(s.sessions) >= s.limits.Sessions {
-			s.End(s.idlest())
+			s.EndSession(s.leastRecentlyUsedSession())
 		}
-		ses = &session{sets: map[string]*Set{}, lost: map[string]Why{}}
-		s.sessions[id] = ses
+		session = &sessionSets{sets: map[string]*Set{}, removed: map[string]Status{}}
+		s.sessions[sessionID] = session
 	}
-	s.remove(ses, name, There)
-	for len(ses.sets) >= s.limits.PerSession {
-		s.remove(ses, oldest(ses), Crowded)
+	s.remove(session, name, Found)
+	for len(session.sets) >= s.limits.SetsPerSession {
+		s.remove(session, leastRecentlyUsedSet(session), Evicted)
 	}
-	for s.bytes+size > s.limits.Bytes { // whoever used theirs least lately gives way, wherever it is
-		victim := s.sessions[s.idlest()]
-		if name := oldest(victim); name != "" || len(victim.sets) > 0 {
-			s.remove(victim, name, Crowded)
+	for s.totalBytes+size > s.limits.Bytes { // whoever used theirs least lately gives way, wherever it is
+		victim := s.sessions[s.leastRecentlyUsedSession()]
+		if name := leastRecentlyUsedSet(victim); name != "" || len(victim.sets) > 0 {
+			s.remove(victim, name, Evicted)
 		} else {
 			break
 		}
 	}
-	ses.sets[name] = &Set{Query: query, answer: a, used: now, size: size}
-	delete(ses.lost, name)
-	s.bytes += size
-	s.Counts.Made++
-	s.count()
+	session.sets[name] = &Set{Query: query, answer: answer, lastUsed: now, size: size}
+	delete(session.removed, name)
+	s.totalBytes += size
+	s.Counts.Created++
+	s.updateCounts()
 	return true
 }
 
 // Get finds a set, and why it is not there.
-func (s *Sets) Get(id uint64, name string, now time.Duration) (*Set, Why) {
-	s.age(now)
-	ses := s.sessions[id]
-	if ses == nil {
+func (s *Sets) Get(sessionID uint64, name string, now time.Duration) (*Set, Status) {
+	s.removeExpired(now)
+	session := s.sessions[sessionID]
+	if session == nil {
 		return nil, Unknown
 	}
-	if set := ses.sets[name]; set != nil {
-		set.used = now
-		return set, There
+	if set := session.sets[name]; set != nil {
+		set.lastUsed = now
+		return set, Found
 	}
-	if why, lost := ses.lost[name]; lost {
-		return nil, why
+	if status, isRemoved := session.removed[name]; isRemoved {
+		return nil, status
 	}
 	return nil, Unknown
 }
@@ -110,41 +110,41 @@
 // Extend takes over an answer that was fetched again and deeper. Danger: the store has changed meanwhile, a shard is missing now or
 // one is there that was not, and the next page would repeat or skip records. Then the set is gone, and whoever presents from it is
 // told so. It may hurt where the store changes all the time; a fresh search is what helps then.
-func (s *Sets) Extend(id uint64, name string, a Answer, now time.Duration) (*Set, Why) {
-	set, why := s.Get(id, name, now)
-	if why != There {
-		return nil, why
+func (s *Sets) Extend(sessionID uint64, name string, answer Answer, now time.Duration) (*Set, Status) {
+	set, status := s.Get(sessionID, name, now)
+	if status != Found {
+		return nil, status
 	}
-	if a.Whole != set.answer.Whole || a.print(set.answer.Depth) != set.answer.print(set.answer.Depth) {
+	if answer.Complete != set.answer.Complete || answer.fingerprint(set.answer.Depth) != set.answer.fingerprint(set.answer.Depth) {
 		s.Counts.Changed++
-		s.remove(s.sessions[id], name, Changed)
-		s.count()
+		s.remove(s.sessions[sessionID], name, Changed)
+		s.updateCounts()
 		return nil, Changed
 	}
 	query := set.Query
-	if !s.Put(id, name, query, a, now) {
-		s.remove(s.sessions[id], name, Crowded)
-		return nil, Crowded
+	if !s.Put(sessionID, name, query, answer, now) {
+		s.remove(s.sessions[sessionID], name, Evicted)
+		return nil, Evicted
 	}
-	s.Counts.Ok++
-	return s.sessions[id].sets[name], There
+	s.Counts.Extended++
+	return s.sessions[sessionID].sets[name], Found
 }
 
 // Delete drops a set; false: there was none.
-func (s *Sets) Delete(id uint64, name string) bool {
-	ses := s.sessions[id]
-	if ses == nil || ses.sets[name] == nil {
+func (s *Sets) Delete(sessionID uint64, name string) bool {
+	session := s.sessions[sessionID]
+	if session == nil || session.sets[name] == nil {
 		return false
 	}
-	s.remove(ses, name, There)
-	s.count()
+	s.remove(session, name, Found)
+	s.updateCounts()
 	return true
 }
 
 // Names are a session's sets.
-func (s *Sets) Names(id uint64) (names []string) {
-	if ses := s.sessions[id]; ses != nil {
-		for name := range ses.sets {
+func (s *Sets) Names(sessionID uint64) (names []string) {
+	if session := s.sessions[sessionID]; session != nil {
+		for name := range session.sets {
 			names = append(names, name)
 		}
 	}
@@ -152,79 +152,79 @@
 	return names
 }
 
-// End forgets a session with all its sets.
-func (s *Sets) End(id uint64) {
-	if ses := s.sessions[id]; ses != nil {
-		for name := range ses.sets {
-			s.remove(ses, name, There)
+// EndSession forgets a session with all its sets.
+func (s *Sets) EndSession(sessionID uint64) {
+	if session := s.sessions[sessionID]; session != nil {
+		for name := range session.sets {
+			s.remove(session, name, Found)
 		}
-		delete(s.sessions, id)
-		s.count()
+		delete(s.sessions, sessionID)
+		s.updateCounts()
 	}
 }
 
 // remove takes a set away; why is remembered under its name, but for There.
-func (s *Sets) remove(ses *session, name string, why Why) {
-	set := ses.sets[name]
+func (s *Sets) remove(session *sessionSets, name string, status Status) {
+	set := session.sets[name]
 	if set == nil {
 		return
 	}
-	s.bytes -= set.size
-	delete(ses.sets, name)
-	switch why {
-	case There:
+	s.totalBytes -= set.size
+	delete(session.sets, name)
+	switch status {
+	case Found:
 		return
-	case Crowded:
-		s.Counts.Crowded++
-	case Aged:
-		s.Counts.Aged++
+	case Evicted:
+		s.Counts.Evicted++
+	case Expired:
+		s.Counts.Expired++
 	}
-	if len(ses.lost) < mostLost {
-		ses.lost[name] = why
+	if len(session.removed) < maxRemovedNames {
+		session.removed[name] = status
 	}
 }
 
-// age drops what nobody used for too long.
-func (s *Sets) age(now time.Duration) {
-	for _, ses := range s.sessions {
-		for name, set := range ses.sets {
-			if now-set.used > s.limits.Age {
-				s.remove(ses, name, Aged)
+// removeExpired drops what nobody used for too long.
+func (s *Sets) removeExpired(now time.Duration) {
+	for _, session := range s.sessions {
+		for name, set := range session.sets {
+			if now-set.lastUsed > s.limits.IdleTimeout {
+				s.remove(session, name, Expired)
 			}
 		}
 	}
-	s.count()
+	s.updateCounts()
 }
 
-func (s *Sets) count() {
-	s.Counts.Kept, s.Counts.Bytes = 0, s.bytes
-	for _, ses := range s.sessions {
-		s.Counts.Kept += len(ses.sets)
+func (s *Sets) updateCounts() {
+	s.Counts.Sets, s.Counts.Bytes = 0, s.totalBytes
+	for _, session := range s.sessions {
+		s.Counts.Sets += len(session.sets)
 	}
 }
 
-// oldest is the name of the set that a session used least lately.
-func oldest(ses *session) (name string) {
+// leastRecentlyUsedSet is the name of the set that a session used least lately.
+func leastRecentlyUsedSet(session *sessionSets) (name string) {
 	var best *Set
-	for n, set := range ses.sets {
-		if best == nil || set.used < best.used || set.used == best.used && n < name {
-			name, best = n, set
+	for candidate, set := range session.sets {
+		if best == nil || set.lastUsed < best.lastUsed || set.lastUsed == best.lastUsed && candidate < name {
+			name, best = candidate, set
 		}
 	}
 	return name
 }
 
-// idlest is the session whose oldest set was used least lately; one without sets before all others.
-func (s *Sets) idlest() (id uint64) {
-	best, found := time.Duration(0), false
-	for i, ses := range s.sessions {
-		used := time.Duration(-1)
-		if set := ses.sets[oldest(ses)]; set != nil {
-			used = set.used
+// leastRecentlyUsedSession is the session whose oldest set was used least lately; one without sets before all others.
+func (s *Sets) leastRecentlyUsedSession() (sessionID uint64) {
+	earliest, found := time.Duration(0), false
+	for candidate, session := range s.sessions {
+		lastUsed := time.Duration(-1)
+		if set := session.sets[leastRecentlyUsedSet(session)]; set != nil {
+			lastUsed = set.lastUsed
 		}
-		if !found || used < best || used == best && i < id {
-			id, best, found = i, used, true
+		if !found || lastUsed < earliest || lastUsed == earliest && candidate < sessionID {
+			sessionID, earliest, found = candidate, lastUsed, true
 		}
 	}
-	return id
+	return sessionID
 }
--- a/internal/decision/resultset/resultset_test.go
+++ b/internal/decision/resultset/resultset_test.go
@@ -12,7 +12,7 @@
 type store [][]string
 
 func (st store) answer(depth int, missing ...int) Answer {
-	a := Answer{Whole: len(missing) == 0, Hits: map[int]int{}, First: map[int][][]byte{}, Depth: depth}
+	a := Answer{Complete: len(missing) == 0, Hits: map[int]int{}, FirstRecords: map[int][][]byte{}, Depth: depth}
 	for s := range st {
 		a.Shards = append(a.Shards, s)
 		if slices.Contains(missing, s) {
@@ -20,13 +20,15 @@
 		}
 		a.Hits[s] = len(st[s])
 		for _, r := range st[s][:min(depth, len(st[s]))] {
-			a.First[s] = append(a.First[s], []byte(r))
+			a.FirstRecords[s] = append(a.FirstRecords[s], []byte(r))
 		}
 	}
 	return a
 }
 
-func limits() Limits { return Limits{Bytes: 10_000, PerSession: 3, Sessions: 4, Age: time.Minute} }
+func limits() Limits {
+	return Limits{Bytes: 10_000, SetsPerSession: 3, Sessions: 4, IdleTimeout: time.Minute}
+}
 
 // Whatever pages are asked for in whatever order, they are those of the whole list, or the page says how deep to fetch; after that
 // it is there.
@@ -45,21 +47,21 @@
 		sets := New(limits())
 		sets.Put(1, "a", "q", st.answer(1+rnd.IntN(4)), 0)
 		for range 20 {
-			set, why := sets.Get(1, "a", 0)
-			if why != There || set.Count() != len(all) {
-				t.Fatalf("round %d: %v, %d records of %d", round, why, set.Count(), len(all))
+			set, status := sets.Get(1, "a", 0)
+			if status != Found || set.Count() != len(all) {
+				t.Fatalf("round %d: %v, %d records of %d", round, status, set.Count(), len(all))
 			}
 			start, count := rnd.IntN(len(all)+3), rnd.IntN(8)
-			page, need, ok := set.Page(start, count)
+			page, neededDepth, ok := set.Page(start, count)
 			if inside := start >= 1 && (start <= len(all) || count == 0 && start == len(all)+1); ok != inside {
 				t.Fatalf("round %d: page %d+%d of %d: %v", round, start, count, len(all), ok)
 			}
-			if need > 0 {
-				if set, why = sets.Extend(1, "a", st.answer(need), 0); why != There {
-					t.Fatalf("round %d: %v", round, why)
+			if neededDepth > 0 {
+				if set, status = sets.Extend(1, "a", st.answer(neededDepth), 0); status != Found {
+					t.Fatalf("round %d: %v", round, status)
 				}
-				if page, need, ok = set.Page(start, count); need > 0 || !ok {
-					t.Fatalf("round %d: after %d were fetched %d are wanted", round, need, need)
+				if page, neededDepth, ok = set.Page(start, count); neededDepth > 0 || !ok {
+					t.Fatalf("round %d: after %d were fetched %d are wanted", round, neededDepth, neededDepth)
 				}
 			}
 			if !ok {
@@ -90,22 +92,22 @@
 	} {
 		sets := New(limits())
 		sets.Put(1, "a", "q", st.answer(2), 0)
-		if _, why := sets.Extend(1, "a", other, 0); why != Changed {
-			t.Errorf("%s changed: %v", name, why)
+		if _, status := sets.Extend(1, "a", other, 0); status != Changed {
+			t.Errorf("%s changed: %v", name, status)
 		}
-		if _, why := sets.Get(1, "a", 0); why != Changed {
-			t.Errorf("%s changed, and afterwards: %v", name, why)
+		if _, status := sets.Get(1, "a", 0); status != Changed {
+			t.Errorf("%s changed, and afterwards: %v", name, status)
 		}
 	}
 	sets := New(limits())
 	sets.Put(1, "a", "q", st.answer(1, 0), 0) // partial from the start
-	if _, why := sets.Extend(1, "a", st.answer(3), 0); why != Changed {
-		t.Errorf("a missing shard came back, and the second page is of another answer: %v", why)
+	if _, status := sets.Extend(1, "a", st.answer(3), 0); status != Changed {
+		t.Errorf("a missing shard came back, and the second page is of another answer: %v", status)
 	}
 }
 
 // What is kept is bounded by bytes, sessions, sets and age; whoever used theirs least lately gives way, and is told why.
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	big := store{{string(make([]byte, 3000))}}.answer(1)
 	sets := New(limits())
 	for i := range 5 {
@@ -113,20 +115,20 @@
 			t.Fatal(i)
 		}
 	}
-	if sets.bytes > 10_000 || sets.Counts.Kept != 3 {
-		t.Errorf("%d bytes in %d sets", sets.bytes, sets.Counts.Kept)
+	if sets.totalBytes > 10_000 || sets.Counts.Sets != 3 {
+		t.Errorf("%d bytes in %d sets", sets.totalBytes, sets.Counts.Sets)
 	}
-	if _, why := sets.Get(0, "0", 5*time.Second); why != Crowded {
-		t.Errorf("the oldest: %v", why)
+	if _, status := sets.Get(0, "0", 5*time.Second); status != Evicted {
+		t.Errorf("the oldest: %v", status)
 	}
-	if _, why := sets.Get(0, "4", 5*time.Second); why != There {
-		t.Errorf("the newest: %v", why)
+	if _, status := sets.Get(0, "4", 5*time.Second); status != Found {
+		t.Errorf("the newest: %v", status)
 	}
 	if sets.Put(9, "x", "q", store{{string(make([]byte, 11_000))}}.answer(1), 0) {
 		t.Error("more than there is room for was kept")
 	}
-	if _, why := sets.Get(0, "4", 2*time.Minute); why != Aged {
-		t.Errorf("after two minutes: %v", why)
+	if _, status := sets.Get(0, "4", 2*time.Minute); status != Expired {
+		t.Errorf("after two minutes: %v", status)
 	}
 	small := store{{"r"}}.answer(1)
 	for i := range 100 {
@@ -139,18 +141,18 @@
 		t.Errorf("%d sessions, %d sets of one", len(sets.sessions), len(sets.sessions[99].sets))
 	}
 	for id := range uint64(100) {
-		sets.End(id)
+		sets.EndSession(id)
 	}
-	if sets.bytes != 0 || len(sets.sessions) != 0 {
-		t.Errorf("%d bytes, %d sessions after all have ended", sets.bytes, len(sets.sessions))
+	if sets.totalBytes != 0 || len(sets.sessions) != 0 {
+		t.Errorf("%d bytes, %d sessions after all have ended", sets.totalBytes, len(sets.sessions))
 	}
-	if _, why := sets.Get(99, "s", 0); why != Unknown {
-		t.Error(why)
+	if _, status := sets.Get(99, "s", 0); status != Unknown {
+		t.Error(status)
 	}
 }
 
 // Random use keeps the books: bytes are those of what is kept, whatever is put, got, extended, deleted and ended.
-func TestBooks(t *testing.T) {
+func TestByteTotalMatchesSets(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	sets := New(limits())
 	for i := range 20_000 {
@@ -165,20 +167,20 @@
 			sets.Delete(id, name)
 		default:
 			if rnd.IntN(10) == 0 {
-				sets.End(id)
+				sets.EndSession(id)
 			}
 		}
 		sum := 0
-		for _, ses := range sets.sessions {
-			if len(ses.sets) > sets.limits.PerSession || len(ses.lost) > mostLost {
-				t.Fatalf("step %d: %d sets, %d lost", i, len(ses.sets), len(ses.lost))
+		for _, session := range sets.sessions {
+			if len(session.sets) > sets.limits.SetsPerSession || len(session.removed) > maxRemovedNames {
+				t.Fatalf("step %d: %d sets, %d lost", i, len(session.sets), len(session.removed))
 			}
-			for _, set := range ses.sets {
-				sum += set.answer.bytes()
+			for _, set := range session.sets {
+				sum += set.answer.size()
 			}
 		}
-		if sum != sets.bytes || sum > sets.limits.Bytes || len(sets.sessions) > sets.limits.Sessions {
-			t.Fatalf("step %d: %d bytes by the books, %d kept", i, sets.bytes, sum)
+		if sum != sets.totalBytes || sum > sets.limits.Bytes || len(sets.sessions) > sets.limits.Sessions {
+			t.Fatalf("step %d: %d bytes by the books, %d kept", i, sets.totalBytes, sum)
 		}
 	}
 }
--- a/internal/protocols/catalogue/catalogue.go
+++ b/internal/protocols/catalogue/catalogue.go
@@ -90,13 +90,13 @@
 // Merge makes one answer of the parts that are in. Whole is what the broker said of it. A value that can't be read fails all: what it
 // stands for is not known.
 func Merge(asked []int, depth int, whole bool, shards []int, values []string) (resultset.Answer, error) {
-	a := resultset.Answer{Whole: whole, Hits: map[int]int{}, First: map[int][][]byte{}, Depth: depth, Shards: asked}
+	a := resultset.Answer{Complete: whole, Hits: map[int]int{}, FirstRecords: map[int][][]byte{}, Depth: depth, Shards: asked}
 	for i, s := range shards {
 		hits, records, err := ParseValue(values[i])
 		if err != nil {
 			return a, fmt.Errorf("shard %d: %w", s, err)
 		}
-		a.Hits[s], a.First[s] = hits, records
+		a.Hits[s], a.FirstRecords[s] = hits, records
 	}
 	return a, nil
 }
--- a/internal/protocols/front/sru/searching.go
+++ b/internal/protocols/front/sru/searching.go
@@ -37,7 +37,7 @@
 	f.mu.Lock()
 	set, why := f.sets.Get(client, name, f.broker.Uptime())
 	f.mu.Unlock()
-	fresh := q.Start == 1 || why != resultset.There && why != resultset.Changed
+	fresh := q.Start == 1 || why != resultset.Found && why != resultset.Changed
 	if !fresh && why == resultset.Changed {
 		return http.StatusOK, sru.Diagnose(51, "the records have changed since the first page; ask for that again")
 	}
@@ -54,7 +54,7 @@
 			return http.StatusOK, sru.Diagnose(1, "the answer is too large to be kept; ask for fewer records")
 		}
 	}
-	out.Count, out.Partial = set.Count(), !set.Whole()
+	out.Count, out.Partial = set.Count(), !set.Complete()
 	if out.Partial {
 		out.Diagnostics = append(out.Diagnostics, sru.Diagnose(59, "not all parts of the catalogue answered; there may be more records"))
 	}
@@ -74,7 +74,7 @@
 		f.mu.Lock()
 		set, why = f.sets.Extend(client, name, a, f.broker.Uptime())
 		f.mu.Unlock()
-		if why != resultset.There {
+		if why != resultset.Found {
 			return http.StatusOK, sru.Diagnose(51, "the records have changed since the first page; ask for that again")
 		}
 		if page, need, ok = set.Page(q.Start, min(most, out.Count)); need > 0 {
--- a/internal/protocols/front/z3950/front.go
+++ b/internal/protocols/front/z3950/front.go
@@ -71,8 +71,8 @@
 
 // Listen opens a front; an unknown type or tenant is an error.
 func Listen(b front.Broker, o operator.Z3950) (*Front, error) {
-	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, sets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: o.Sets,
-		Sessions: o.Sessions, Age: o.Age})}
+	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, sets: resultset.New(resultset.Limits{Bytes: o.Bytes, SetsPerSession: o.Sets,
+		Sessions: o.Sessions, IdleTimeout: o.Age})}
 	var err error
 	if f.ask, err = front.NewAsker(b, "z3950", o.Type, o.Tenant); err == nil {
 		f.ln, err = net.Listen("tcp", o.Listen)
@@ -123,7 +123,7 @@
 			conn.Close()
 			f.mu.Lock()
 			delete(f.sessions, s.id)
-			f.sets.End(s.id)
+			f.sets.EndSession(s.id)
 			f.mu.Unlock()
 			slog.Info("z39.50 session ended", "from", conn.RemoteAddr(), "reason", reason, "operations", s.ops)
 		}()
--- a/internal/protocols/front/z3950/present.go
+++ b/internal/protocols/front/z3950/present.go
@@ -40,7 +40,7 @@
 	f.mu.Lock()
 	set, why := f.sets.Get(s.id, name, f.broker.Uptime())
 	f.mu.Unlock()
-	if why != resultset.There {
+	if why != resultset.Found {
 		return fault(lost(why, name))
 	}
 	want, err := catalogue.ParseStatement(set.Query)
@@ -75,7 +75,7 @@
 		f.mu.Lock()
 		set, why = f.sets.Extend(s.id, name, answer, f.broker.Uptime())
 		f.mu.Unlock()
-		if why != resultset.There {
+		if why != resultset.Found {
 			return fault(lost(why, name))
 		}
 		if page, need, _ = set.Page(start, count); need > 0 {
@@ -86,11 +86,11 @@
 }
 
 // lost is the diagnostic on a set that is not there.
-func lost(why resultset.Why, name string) (int, string, any) {
+func lost(why resultset.Status, name string) (int, string, any) {
 	switch why {
-	case resultset.Aged:
+	case resultset.Expired:
 		return setGone, "%s was not used for too long", name
-	case resultset.Crowded:
+	case resultset.Evicted:
 		return setGone, "%s gave way to others", name
 	case resultset.Changed:
 		return setGone, "the records of %s have changed; search again", name
--- a/internal/protocols/front/z3950/search.go
+++ b/internal/protocols/front/z3950/search.go
@@ -43,7 +43,7 @@
 	s.f.mu.Lock()
 	_, why := s.f.sets.Get(s.id, m.ResultSet, s.f.broker.Uptime())
 	s.f.mu.Unlock()
-	if why == resultset.There && !m.Replace {
+	if why == resultset.Found && !m.Replace {
 		return fail(21, "%s", m.ResultSet) // result set exists and replace indicator off
 	}
 	if m.Set != "" && m.Set != query.Bib1 {
@@ -78,7 +78,7 @@
 		out.OK, out.Count = false, 0
 		return fail(resourcesShort, "the result set is too large to be kept")
 	}
-	if !answer.Whole {
+	if !answer.Complete {
 		// Never presented as whole: the set is told to be a subset, with what it lacks.
 		out.OK, out.SetStatus = false, z3950.Subset
 		out.Records.Fault = &z3950.Fault{Code: systemError, Text: fmt.Sprintf("%d of %d parts answered", len(answer.Hits), len(answer.Shards))}
