--- a/internal/decision/resultset/answers.go
+++ b/internal/decision/resultset/answers.go
@@ -30,8 +30,8 @@
 	return n
 }
 
-// totalBytes is what an answer takes.
-func (a *Answer) size() (n int) {
+// bytes is what an answer takes.
+func (a *Answer) bytes() (n int) {
 	for _, list := range a.FirstRecords {
 		for _, r := range list {
 			n += len(r) + 48
@@ -40,8 +40,8 @@
 	return n + 64*len(a.Hits)
 }
 
-// fingerprint names an answer: which shards are in, what each counts, and what its first records are.
-func (a *Answer) fingerprint(depth int) uint64 {
+// print names an answer: which shards are in, what each counts, and what its first records are.
+func (a *Answer) print(depth int) uint64 {
 	h := fnv.New64a()
 	for _, shard := range a.Shards {
 		hits, answered := a.Hits[shard]
--- a/internal/decision/resultset/resultset.go
+++ b/internal/decision/resultset/resultset.go
@@ -16,7 +16,7 @@
 	Bytes          int           // of records, over all sessions
 	SetsPerSession int           // sets of one session
 	Sessions       int           // that hold any
-	IdleTimeout    time.Duration // without use
+	Age            time.Duration // without use
 }
 
 // Status a set is not there.
@@ -36,29 +36,29 @@
 	removed map[string]Status // names of sets that went, for a true diagnostic
 }
 
-// Sets are the result sets of all sessions.
+// Kept are the result sets of all sessions.
 type Sets struct {
-	limits     Limits
-	sessions   map[uint64]*sessionSets
-	totalBytes int
-	Counts     Counts
+	limits   Limits
+	sessions map[uint64]*sessionSets
+	bytes    int
+	Counts   Counts
 }
 
 // Counts are what operators see.
 type Counts struct {
-	Sets, Bytes                                  int
+	Kept, Bytes                                  int
 	Created, Expired, Evicted, Changed, Extended uint64
 }
 
 const maxRemovedNames = 64 // names remembered of a session's lost sets
 
 // New makes room for result sets; none is kept.
-func New(limits Limits) *Sets { return &Sets{limits: limits, sessions: map[uint64]*sessionSets{}} }
+func New(l Limits) *Sets { return &Sets{limits: l, sessions: map[uint64]*sessionSets{}} }
 
 // Put keeps an answer as a session's set of a name, in place of one that was there. False: it is too large to be kept at all.
-func (s *Sets) Put(sessionID uint64, name, query string, answer Answer, now time.Duration) bool {
+func (s *Sets) Put(sessionID uint64, name, query string, fetched Answer, now time.Duration) bool {
 	s.removeExpired(now)
-	size := answer.size()
+	size := fetched.bytes()
 	if size > s.limits.Bytes {
 		return false
 	}
@@ -74,7 +74,7 @@
 	for len(session.sets) >= s.limits.SetsPerSession {
 		s.remove(session, leastRecentlyUsedSet(session), Evicted)
 	}
-	for s.totalBytes+size > s.limits.Bytes { // whoever used theirs least lately gives way, wherever it is
+	for s.bytes+size > s.limits.Bytes { // whoever used theirs least lately gives way, wherever it is
 		victim := s.sessions[s.leastRecentlyUsedSession()]
 		if name := leastRecentlyUsedSet(victim); name != "" || len(victim.sets) > 0 {
 			s.remove(victim, name, Evicted)
@@ -82,9 +82,9 @@
 			break
 		}
 	}
-	session.sets[name] = &Set{Query: query, answer: answer, lastUsed: now, size: size}
+	session.sets[name] = &Set{Query: query, answer: fetched, lastUsed: now, size: size}
 	delete(session.removed, name)
-	s.totalBytes += size
+	s.bytes += size
 	s.Counts.Created++
 	s.updateCounts()
 	return true
@@ -101,7 +101,7 @@
 		set.lastUsed = now
 		return set, Found
 	}
-	if status, isRemoved := session.removed[name]; isRemoved {
+	if status, removed := session.removed[name]; removed {
 		return nil, status
 	}
 	return nil, Unknown
@@ -110,19 +110,19 @@
 // Extend takes over an answer that was fetched again and deeper. Danger: the store has changed meanwhile, a shard is missing now or
 // one is there that was not, and the next page would repeat or skip records. Then the set is gone, and whoever presents from it is
 // told so. It may hurt where the store changes all the time; a fresh search is what helps then.
-func (s *Sets) Extend(sessionID uint64, name string, answer Answer, now time.Duration) (*Set, Status) {
+func (s *Sets) Extend(sessionID uint64, name string, fetched Answer, now time.Duration) (*Set, Status) {
 	set, status := s.Get(sessionID, name, now)
 	if status != Found {
 		return nil, status
 	}
-	if answer.Complete != set.answer.Complete || answer.fingerprint(set.answer.Depth) != set.answer.fingerprint(set.answer.Depth) {
+	if fetched.Complete != set.answer.Complete || fetched.print(set.answer.Depth) != set.answer.print(set.answer.Depth) {
 		s.Counts.Changed++
 		s.remove(s.sessions[sessionID], name, Changed)
 		s.updateCounts()
 		return nil, Changed
 	}
 	query := set.Query
-	if !s.Put(sessionID, name, query, answer, now) {
+	if !s.Put(sessionID, name, query, fetched, now) {
 		s.remove(s.sessions[sessionID], name, Evicted)
 		return nil, Evicted
 	}
@@ -169,7 +169,7 @@
 	if set == nil {
 		return
 	}
-	s.totalBytes -= set.size
+	s.bytes -= set.size
 	delete(session.sets, name)
 	switch status {
 	case Found:
@@ -188,7 +188,7 @@
 func (s *Sets) removeExpired(now time.Duration) {
 	for _, session := range s.sessions {
 		for name, set := range session.sets {
-			if now-set.lastUsed > s.limits.IdleTimeout {
+			if now-set.lastUsed > s.limits.Age {
 				s.remove(session, name, Expired)
 			}
 		}
@@ -197,9 +197,9 @@
 }
 
 func (s *Sets) updateCounts() {
-	s.Counts.Sets, s.Counts.Bytes = 0, s.totalBytes
+	s.Counts.Kept, s.Counts.Bytes = 0, s.bytes
 	for _, session := range s.sessions {
-		s.Counts.Sets += len(session.sets)
+		s.Counts.Kept += len(session.sets)
 	}
 }
 
--- a/internal/decision/resultset/resultset_test.go
+++ b/internal/decision/resultset/resultset_test.go
@@ -27,7 +27,7 @@
 }
 
 func limits() Limits {
-	return Limits{Bytes: 10_000, SetsPerSession: 3, Sessions: 4, IdleTimeout: time.Minute}
+	return Limits{Bytes: 10_000, SetsPerSession: 3, Sessions: 4, Age: time.Minute}
 }
 
 // Whatever pages are asked for in whatever order, they are those of the whole list, or the page says how deep to fetch; after that
@@ -115,8 +115,8 @@
 			t.Fatal(i)
 		}
 	}
-	if sets.totalBytes > 10_000 || sets.Counts.Sets != 3 {
-		t.Errorf("%d bytes in %d sets", sets.totalBytes, sets.Counts.Sets)
+	if sets.bytes > 10_000 || sets.Counts.Kept != 3 {
+		t.Errorf("%d bytes in %d sets", sets.bytes, sets.Counts.Kept)
 	}
 	if _, status := sets.Get(0, "0", 5*time.Second); status != Evicted {
 		t.Errorf("the oldest: %v", status)
@@ -143,8 +143,8 @@
 	for id := range uint64(100) {
 		sets.EndSession(id)
 	}
-	if sets.totalBytes != 0 || len(sets.sessions) != 0 {
-		t.Errorf("%d bytes, %d sessions after all have ended", sets.totalBytes, len(sets.sessions))
+	if sets.bytes != 0 || len(sets.sessions) != 0 {
+		t.Errorf("%d bytes, %d sessions after all have ended", sets.bytes, len(sets.sessions))
 	}
 	if _, status := sets.Get(99, "s", 0); status != Unknown {
 		t.Error(status)
@@ -176,11 +176,11 @@
 				t.Fatalf("step %d: %d sets, %d lost", i, len(session.sets), len(session.removed))
 			}
 			for _, set := range session.sets {
-				sum += set.answer.size()
+				sum += set.answer.bytes()
 			}
 		}
-		if sum != sets.totalBytes || sum > sets.limits.Bytes || len(sets.sessions) > sets.limits.Sessions {
-			t.Fatalf("step %d: %d bytes by the books, %d kept", i, sets.totalBytes, sum)
+		if sum != sets.bytes || sum > sets.limits.Bytes || len(sets.sessions) > sets.limits.Sessions {
+			t.Fatalf("step %d: %d bytes by the books, %d kept", i, sets.bytes, sum)
 		}
 	}
 }
--- a/internal/protocols/front/sru/front.go
+++ b/internal/protocols/front/sru/front.go
@@ -54,7 +54,7 @@
 
 // Listen opens a front; an unknown type or tenant is an error.
 func Listen(b front.Broker, o operator.SRU) (*Front, error) {
-	f := &Front{broker: b, o: o, places: make(chan struct{}, o.Clients), sets: resultset.New(resultset.Limits{Bytes: o.Bytes, SetsPerSession: 8, Sessions: clients, IdleTimeout: o.Age})}
+	f := &Front{broker: b, o: o, places: make(chan struct{}, o.Clients), sets: resultset.New(resultset.Limits{Bytes: o.Bytes, SetsPerSession: 8, Sessions: clients, Age: o.Age})}
 	var err error
 	if f.ask, err = front.NewAsker(b, "sru", o.Type, o.Tenant); err != nil {
 		return nil, err
--- a/internal/protocols/front/z3950/front.go
+++ b/internal/protocols/front/z3950/front.go
@@ -72,7 +72,7 @@
 // Listen opens a front; an unknown type or tenant is an error.
 func Listen(b front.Broker, o operator.Z3950) (*Front, error) {
 	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, sets: resultset.New(resultset.Limits{Bytes: o.Bytes, SetsPerSession: o.Sets,
-		Sessions: o.Sessions, IdleTimeout: o.Age})}
+		Sessions: o.Sessions, Age: o.Age})}
 	var err error
 	if f.ask, err = front.NewAsker(b, "z3950", o.Type, o.Tenant); err == nil {
 		f.ln, err = net.Listen("tcp", o.Listen)
