--- a/internal/decision/resultset/answers.go
+++ b/internal/decision/resultset/answers.go
@@ -1,28 +1,28 @@
 package resultset
 
-// This file owns one answer and the pages of one set.
+// This file has the answer to a search, and the pages of a result set.
 
 import (
 	"hash/fnv"
 	"time"
 )
 
-// Record is one of an answer, as a node gave it.
+// Record is one record of an answer, as a node returned it.
 type Record struct {
 	Shard int
 	Body  []byte
 }
 
-// Answer is what a search brought: of each shard that answered how many records it has, and the first of them.
+// Answer is the result of a search: for each shard that answered, how many records match and the first of these records.
 type Answer struct {
 	Complete     bool
 	Hits         map[int]int
 	FirstRecords map[int][][]byte
-	Depth        int   // so many of each shard were asked for
-	Shards       []int // that were asked, in their order
+	Depth        int   // how many records were asked for from each shard
+	Shards       []int // all that were asked, in the order of their records
 }
 
-// Count is how many records the answer has in all, of the shards that are in.
+// Count returns how many records match on all shards that answered.
 func (a *Answer) Count() (n int) {
 	for _, hits := range a.Hits {
 		n += hits
@@ -30,7 +30,7 @@
 	return n
 }
 
-// bytes is what an answer takes.
+// bytes returns an estimate of the memory that an answer takes.
 func (a *Answer) bytes() (n int) {
 	for _, list := range a.FirstRecords {
 		for _, r := range list {
@@ -40,7 +40,8 @@
 	return n + 64*len(a.Hits)
 }
 
-// print names an answer: which shards are in, what each counts, and what its first records are.
+// print returns a fingerprint of an answer: a hash of which shards answered, how many records match on each, and the first records of each,
+// up to depth.
 func (a *Answer) print(depth int) uint64 {
 	h := fnv.New64a()
 	for _, shard := range a.Shards {
@@ -56,22 +57,23 @@
 	return h.Sum64()
 }
 
-// Set is a result set. Records are in the order of shards, and within one in the order that its node gave them.
+// Set is a result set. Its records are ordered by shard, and within a shard as the node returned them.
 type Set struct {
-	Query    string // whatever it takes to fetch more
+	Query    string // the search, as the caller needs it to fetch more records
 	answer   Answer
 	lastUsed time.Duration
-	size     int
+	size     int // in bytes, estimated
 }
 
-// Complete tells whether every part of the answer is in.
+// Complete reports whether the answer is complete: no shard is missing.
 func (s *Set) Complete() bool { return s.answer.Complete }
 
-// Count is how many records there are in all.
+// Count returns how many records the set has in all, fetched or not.
 func (s *Set) Count() int { return s.answer.Count() }
 
-// Page returns some records from a place on, counted from 1. Where not all of them were fetched, need is how many of each shard
-// have to be; ok false: the place lies beyond the end.
+// Page returns up to count records from the position start on, which counts from 1. If some of them were not fetched yet, it returns none,
+// and neededDepth is how many records have to be fetched from each shard. ok is false if count is negative or start is not a position in the
+// set; an empty page may begin just behind the last record.
 func (s *Set) Page(start, count int) (page []Record, neededDepth int, ok bool) {
 	total := s.Count()
 	if start < 1 || count < 0 || start > total+1 || count > 0 && start > total {
--- a/internal/decision/resultset/resultset.go
+++ b/internal/decision/resultset/resultset.go
@@ -1,9 +1,9 @@
-// Package resultset decides what becomes of result sets: how many are kept and for how long, which pages they hold, when more has to be
-// fetched, and whether what was fetched later is of the same answer. A page never comes from another answer than the one before it.
-// Nothing here does I/O, reads a clock or starts a goroutine.
+// Package resultset keeps the result sets of client sessions. It limits how many are kept and for how long, returns their pages, reports
+// when more records have to be fetched, and checks that records fetched later belong to the same answer: all pages of a set come from one
+// answer.
 //
-// Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
-// used by one goroutine at a time.
+// The package does no I/O, reads no clock and starts no goroutine. It depends on no other package of this module. It takes no locks: a
+// Sets with its result sets is for one goroutine at a time.
 package resultset
 
 import (
@@ -11,51 +11,52 @@
 	"time"
 )
 
-// Limits bound what is kept.
+// Limits bounds the result sets that are kept.
 type Limits struct {
-	Bytes          int           // of records, over all sessions
-	SetsPerSession int           // sets of one session
-	Sessions       int           // that hold any
-	Age            time.Duration // without use
+	Bytes          int           // of all sets of all sessions, estimated
+	SetsPerSession int           // result sets of one session
+	Sessions       int           // that had a result set and have not ended
+	Age            time.Duration // since the last use, after which a set is dropped
 }
 
-// Status a set is not there.
+// Status is the result of looking up a result set.
 type Status uint8
 
-// A set that is asked for is there, or it is one of these.
+// The results of a lookup. All but Found say why there is no set.
 const (
 	Found   Status = iota
-	Unknown        // there never was one of that name
-	Expired        // nobody used it for too long
-	Evicted        // others needed the room
-	Changed        // the answer could not be had again
+	Unknown        // no set of this name is known in the session
+	Expired        // not used for longer than Limits.Age
+	Evicted        // dropped to make room for another set
+	Changed        // fetching the answer again gave another answer
 )
 
 type sessionSets struct {
 	sets    map[string]*Set
-	removed map[string]Status // names of sets that went, for a true diagnostic
+	removed map[string]Status // by name: why a set is gone, for the diagnostic to the client
 }
 
-// Kept are the result sets of all sessions.
+// Sets holds the result sets of all sessions.
 type Sets struct {
 	limits   Limits
 	sessions map[uint64]*sessionSets
-	bytes    int
+	bytes    int // of all sets
 	Counts   Counts
 }
 
-// Counts are what operators see.
+// Counts describes the result sets kept now, and counts events since the start.
 type Counts struct {
-	Kept, Bytes                                  int
-	Created, Expired, Evicted, Changed, Extended uint64
+	Kept, Bytes                                  int    // now
+	Created, Expired, Evicted, Changed, Extended uint64 // Created includes Extended
 }
 
-const maxRemovedNames = 64 // names remembered of a session's lost sets
+const maxRemovedNames = 64 // of one session; lookups of further removed sets return Unknown
 
-// New makes room for result sets; none is kept.
+// New returns a Sets without any result set.
 func New(l Limits) *Sets { return &Sets{limits: l, sessions: map[uint64]*sessionSets{}} }
 
-// Put keeps an answer as a session's set of a name, in place of one that was there. False: it is too large to be kept at all.
+// Put stores an answer as the session's result set of this name and replaces an earlier set of the name. Result sets that were used
+// least recently make room for it. Put returns false and does not store the answer if it alone exceeds Limits.Bytes.
 func (s *Sets) Put(sessionID uint64, name, query string, fetched Answer, now time.Duration) bool {
 	s.removeExpired(now)
 	size := fetched.bytes()
@@ -74,7 +75,7 @@
 	for len(session.sets) >= s.limits.SetsPerSession {
 		s.remove(session, leastRecentlyUsedSet(session), Evicted)
 	}
-	for s.bytes+size > s.limits.Bytes { // whoever used theirs least lately gives way, wherever it is
+	for s.bytes+size > s.limits.Bytes { // evict the least recently used set of any session
 		victim := s.sessions[s.leastRecentlyUsedSession()]
 		if name := leastRecentlyUsedSet(victim); name != "" || len(victim.sets) > 0 {
 			s.remove(victim, name, Evicted)
@@ -90,7 +91,7 @@
 	return true
 }
 
-// Get finds a set, and why it is not there.
+// Get returns a result set and marks it as used, or returns nil and why there is none.
 func (s *Sets) Get(sessionID uint64, name string, now time.Duration) (*Set, Status) {
 	s.removeExpired(now)
 	session := s.sessions[sessionID]
@@ -107,9 +108,9 @@
 	return nil, Unknown
 }
 
-// Extend takes over an answer that was fetched again and deeper. Danger: the store has changed meanwhile, a shard is missing now or
-// one is there that was not, and the next page would repeat or skip records. Then the set is gone, and whoever presents from it is
-// told so. It may hurt where the store changes all the time; a fresh search is what helps then.
+// Extend replaces a set's answer by one that was fetched again with a larger depth. If the store has changed meanwhile, or other shards
+// answered than before, the next page could repeat or skip records: then Extend drops the set, and lookups return Changed. With a store
+// that changes all the time this happens often, and the client has to search again.
 func (s *Sets) Extend(sessionID uint64, name string, fetched Answer, now time.Duration) (*Set, Status) {
 	set, status := s.Get(sessionID, name, now)
 	if status != Found {
@@ -130,7 +131,7 @@
 	return s.sessions[sessionID].sets[name], Found
 }
 
-// Delete drops a set; false: there was none.
+// Delete drops a result set and reports whether there was one.
 func (s *Sets) Delete(sessionID uint64, name string) bool {
 	session := s.sessions[sessionID]
 	if session == nil || session.sets[name] == nil {
@@ -141,7 +142,7 @@
 	return true
 }
 
-// Names are a session's sets.
+// Names returns the sorted names of a session's result sets.
 func (s *Sets) Names(sessionID uint64) (names []string) {
 	if session := s.sessions[sessionID]; session != nil {
 		for name := range session.sets {
@@ -152,7 +153,7 @@
 	return names
 }
 
-// EndSession forgets a session with all its sets.
+// EndSession drops a session with all its result sets.
 func (s *Sets) EndSession(sessionID uint64) {
 	if session := s.sessions[sessionID]; session != nil {
 		for name := range session.sets {
@@ -163,7 +164,7 @@
 	}
 }
 
-// remove takes a set away; why is remembered under its name, but for There.
+// remove drops a set if it exists. The status is remembered under its name for later lookups, unless it is Found.
 func (s *Sets) remove(session *sessionSets, name string, status Status) {
 	set := session.sets[name]
 	if set == nil {
@@ -184,7 +185,7 @@
 	}
 }
 
-// removeExpired drops what nobody used for too long.
+// removeExpired drops the sets that were not used for longer than Limits.Age.
 func (s *Sets) removeExpired(now time.Duration) {
 	for _, session := range s.sessions {
 		for name, set := range session.sets {
@@ -196,6 +197,7 @@
 	s.updateCounts()
 }
 
+// updateCounts updates the counts of the sets that are kept now.
 func (s *Sets) updateCounts() {
 	s.Counts.Kept, s.Counts.Bytes = 0, s.bytes
 	for _, session := range s.sessions {
@@ -203,7 +205,7 @@
 	}
 }
 
-// leastRecentlyUsedSet is the name of the set that a session used least lately.
+// leastRecentlyUsedSet returns the name of the session's least recently used set, or "" if it has none.
 func leastRecentlyUsedSet(session *sessionSets) (name string) {
 	var best *Set
 	for candidate, set := range session.sets {
@@ -214,7 +216,8 @@
 	return name
 }
 
-// leastRecentlyUsedSession is the session whose oldest set was used least lately; one without sets before all others.
+// leastRecentlyUsedSession returns the session that has the least recently used set of all; a session without sets comes before all
+// others.
 func (s *Sets) leastRecentlyUsedSession() (sessionID uint64) {
 	earliest, found := time.Duration(0), false
 	for candidate, session := range s.sessions {
--- a/internal/decision/resultset/resultset_test.go
+++ b/internal/decision/resultset/resultset_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// store is shards with records, of which an answer takes the first few.
+// store holds the records of each shard; an answer has the first ones of each.
 type store [][]string
 
 func (st store) answer(depth int, missing ...int) Answer {
@@ -30,8 +30,8 @@
 	return Limits{Bytes: 10_000, SetsPerSession: 3, Sessions: 4, Age: time.Minute}
 }
 
-// Whatever pages are asked for in whatever order, they are those of the whole list, or the page says how deep to fetch; after that
-// it is there.
+// Random pages, requested in random order, have the records of the whole list, or Page returns the depth to fetch and has the records
+// after that.
 func TestPagesAreOfOneAnswer(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for round := range 300 {
@@ -49,19 +49,19 @@
 		for range 20 {
 			set, status := sets.Get(1, "a", 0)
 			if status != Found || set.Count() != len(all) {
-				t.Fatalf("round %d: %v, %d records of %d", round, status, set.Count(), len(all))
+				t.Fatalf("round %d: lookup status %v, %d records, want %d", round, status, set.Count(), len(all))
 			}
 			start, count := rnd.IntN(len(all)+3), rnd.IntN(8)
 			page, neededDepth, ok := set.Page(start, count)
 			if inside := start >= 1 && (start <= len(all) || count == 0 && start == len(all)+1); ok != inside {
-				t.Fatalf("round %d: page %d+%d of %d: %v", round, start, count, len(all), ok)
+				t.Fatalf("round %d: page of records from %d on, count %d, of %d: ok is %v", round, start, count, len(all), ok)
 			}
 			if neededDepth > 0 {
 				if set, status = sets.Extend(1, "a", st.answer(neededDepth), 0); status != Found {
-					t.Fatalf("round %d: %v", round, status)
+					t.Fatalf("round %d: Extend returned status %v", round, status)
 				}
 				if page, neededDepth, ok = set.Page(start, count); neededDepth > 0 || !ok {
-					t.Fatalf("round %d: after %d were fetched %d are wanted", round, neededDepth, neededDepth)
+					t.Fatalf("round %d: after Extend, Page returned ok false or still needs depth %d (%d)", round, neededDepth, neededDepth)
 				}
 			}
 			if !ok {
@@ -69,18 +69,18 @@
 			}
 			want := all[min(len(all), max(0, start-1)):min(len(all), start-1+count)]
 			if len(page) != len(want) {
-				t.Fatalf("round %d: page %d+%d has %d records, want %d", round, start, count, len(page), len(want))
+				t.Fatalf("round %d: page of records from %d on, count %d, has %d records, want %d", round, start, count, len(page), len(want))
 			}
 			for i := range want {
 				if string(page[i].Body) != want[i] {
-					t.Fatalf("round %d: page %d+%d: %q, want %q", round, start, count, page[i].Body, want[i])
+					t.Fatalf("round %d: page of records from %d on, count %d: got %q, want %q", round, start, count, page[i].Body, want[i])
 				}
 			}
 		}
 	}
 }
 
-// A page is never of another answer: a record that changed, a shard that is gone or has come, or a count that differs ends the set.
+// All pages of a set come from one answer: Extend drops the set if a record, a count or the shards that answered have changed.
 func TestChangedAnswer(t *testing.T) {
 	st := store{{"a", "b", "c"}, {"d", "e"}}
 	for name, other := range map[string]Answer{
@@ -93,20 +93,20 @@
 		sets := New(limits())
 		sets.Put(1, "a", "q", st.answer(2), 0)
 		if _, status := sets.Extend(1, "a", other, 0); status != Changed {
-			t.Errorf("%s changed: %v", name, status)
+			t.Errorf("%s: Extend returned status %v, want Changed", name, status)
 		}
 		if _, status := sets.Get(1, "a", 0); status != Changed {
-			t.Errorf("%s changed, and afterwards: %v", name, status)
+			t.Errorf("%s: a later Get returned status %v, want Changed", name, status)
 		}
 	}
 	sets := New(limits())
 	sets.Put(1, "a", "q", st.answer(1, 0), 0) // partial from the start
 	if _, status := sets.Extend(1, "a", st.answer(3), 0); status != Changed {
-		t.Errorf("a missing shard came back, and the second page is of another answer: %v", status)
+		t.Errorf("a missing shard answered again: Extend returned status %v, want Changed", status)
 	}
 }
 
-// What is kept is bounded by bytes, sessions, sets and age; whoever used theirs least lately gives way, and is told why.
+// All limits hold: on bytes, sessions, sets of a session and age. The least recently used sets are evicted, and lookups return why.
 func TestLimits(t *testing.T) {
 	big := store{{string(make([]byte, 3000))}}.answer(1)
 	sets := New(limits())
@@ -116,19 +116,19 @@
 		}
 	}
 	if sets.bytes > 10_000 || sets.Counts.Kept != 3 {
-		t.Errorf("%d bytes in %d sets", sets.bytes, sets.Counts.Kept)
+		t.Errorf("%d bytes in %d sets are kept, want at most 10,000 bytes in 3 sets", sets.bytes, sets.Counts.Kept)
 	}
 	if _, status := sets.Get(0, "0", 5*time.Second); status != Evicted {
-		t.Errorf("the oldest: %v", status)
+		t.Errorf("least recently used set: status %v, want Evicted", status)
 	}
 	if _, status := sets.Get(0, "4", 5*time.Second); status != Found {
-		t.Errorf("the newest: %v", status)
+		t.Errorf("last set put: status %v, want Found", status)
 	}
 	if sets.Put(9, "x", "q", store{{string(make([]byte, 11_000))}}.answer(1), 0) {
-		t.Error("more than there is room for was kept")
+		t.Error("Put stored a set larger than Limits.Bytes")
 	}
 	if _, status := sets.Get(0, "4", 2*time.Minute); status != Expired {
-		t.Errorf("after two minutes: %v", status)
+		t.Errorf("set unused for two minutes: status %v, want Expired", status)
 	}
 	small := store{{"r"}}.answer(1)
 	for i := range 100 {
@@ -138,20 +138,20 @@
 		sets.Put(99, fmt.Sprint(i), "q", small, 3*time.Minute)
 	}
 	if len(sets.sessions) > 4 || len(sets.sessions[99].sets) > 3 {
-		t.Errorf("%d sessions, %d sets of one", len(sets.sessions), len(sets.sessions[99].sets))
+		t.Errorf("%d sessions are kept, %d sets of session 99, want at most 4 and 3", len(sets.sessions), len(sets.sessions[99].sets))
 	}
 	for id := range uint64(100) {
 		sets.EndSession(id)
 	}
 	if sets.bytes != 0 || len(sets.sessions) != 0 {
-		t.Errorf("%d bytes, %d sessions after all have ended", sets.bytes, len(sets.sessions))
+		t.Errorf("%d bytes and %d sessions are kept after all sessions ended", sets.bytes, len(sets.sessions))
 	}
 	if _, status := sets.Get(99, "s", 0); status != Unknown {
 		t.Error(status)
 	}
 }
 
-// Random use keeps the books: bytes are those of what is kept, whatever is put, got, extended, deleted and ended.
+// After random calls of Put, Extend, Delete and EndSession the byte total is that of the sets kept, and all limits hold.
 func TestByteTotalMatchesSets(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	sets := New(limits())
@@ -173,14 +173,14 @@
 		sum := 0
 		for _, session := range sets.sessions {
 			if len(session.sets) > sets.limits.SetsPerSession || len(session.removed) > maxRemovedNames {
-				t.Fatalf("step %d: %d sets, %d lost", i, len(session.sets), len(session.removed))
+				t.Fatalf("step %d: a session has %d sets and %d names of removed sets", i, len(session.sets), len(session.removed))
 			}
 			for _, set := range session.sets {
 				sum += set.answer.bytes()
 			}
 		}
 		if sum != sets.bytes || sum > sets.limits.Bytes || len(sets.sessions) > sets.limits.Sessions {
-			t.Fatalf("step %d: %d bytes by the books, %d kept", i, sets.bytes, sum)
+			t.Fatalf("step %d: the byte total is %d, the sets kept have %d bytes; or a limit does not hold", i, sets.bytes, sum)
 		}
 	}
 }
