--- a/internal/decision/membership/codec.go
+++ b/internal/decision/membership/codec.go
@@ -5,15 +5,16 @@
 	"net/netip"
 )
 
-// A datagram is a header and items. Each item has a tag, its length and a body, so that items of later versions can be skipped.
+// A datagram consists of a header and items. Each item has a tag, its length and a body, so that unknown items of later versions can be
+// skipped.
 
 type messageKind uint8
 
 const (
 	kindProbe         messageKind = iota + 1
-	kindAck                       // sequence: of the probe
-	kindIndirectProbe             // target: to be probed for the sender
-	kindNack                      // sequence: of the indirect probe, which got no ack in time
+	kindAck                       // with the sequence number of the probe
+	kindIndirectProbe             // asks the receiver to probe the target
+	kindNack                      // with the sequence number of the indirect probe, which got no ack in time
 	kindUpdates                   // items only
 )
 
@@ -36,7 +37,7 @@
 	memberRequestSize   = itemHeaderSize + idSize
 	stateUpdateBodySize = 12
 	stateUpdateSize     = itemHeaderSize + stateUpdateBodySize
-	aliveFixedSize      = 10 // of the body, up to the address
+	aliveFixedSize      = 10 // of an alive item's body, up to the address
 	portSize            = 2
 	maxNameSize         = 32
 )
@@ -53,7 +54,7 @@
 	sequence    uint32
 	sender      ID
 	incarnation uint32
-	target      ID // 0 in a probe: whoever is there
+	target      ID // 0 in a seed probe, which is for any member at the address
 }
 
 func (h *header) appendTo(data []byte) []byte {
@@ -80,7 +81,7 @@
 	return h, data[headerSize:], isKnownKind && h.sender != 0
 }
 
-// appendAlive encodes all that there is to know of a member.
+// appendAlive encodes a member's complete entry.
 func appendAlive(data []byte, member *Member) []byte {
 	start := len(data)
 	data = append(data, byte(itemAlive), 0)
@@ -117,7 +118,7 @@
 	return member, ok && member.Address.Port() != 0 && isValidName
 }
 
-// stateUpdate is the body of an item that says that a member is suspect, dead or has left.
+// stateUpdate is the body of an item which states that a member is suspect, dead or has left.
 type stateUpdate struct {
 	id          ID
 	incarnation uint32
@@ -138,7 +139,7 @@
 	return ID(binary.BigEndian.Uint32(body)), true
 }
 
-// decodeStateUpdate ignores what a later version adds at the end.
+// decodeStateUpdate decodes a state update and ignores bytes that a later version may add at its end.
 func decodeStateUpdate(body []byte) (update stateUpdate, ok bool) {
 	if len(body) < stateUpdateBodySize {
 		return update, false
@@ -151,7 +152,7 @@
 	return update, true
 }
 
-// forEachItem visits the items up to the first incomplete one, and tells whether there was none.
+// forEachItem visits the items up to the first incomplete one, and reports whether all were complete.
 func forEachItem(items []byte, visit func(tag itemTag, body []byte)) (complete bool) {
 	for len(items) >= itemHeaderSize {
 		end := itemHeaderSize + int(items[1])
--- a/internal/decision/membership/datagram.go
+++ b/internal/decision/membership/datagram.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	maxBroadcasts       = 512 // received and not yet drained
+	maxBroadcasts       = 512 // received and not yet returned by DrainBroadcasts
 	maxRequestedMembers = 32
 )
 
-// HandleDatagram processes a datagram received at the time now. A malformed one is counted and dropped; of one that is cut short the
-// complete items count.
+// HandleDatagram processes a datagram received at the time now. It counts malformed datagrams and drops them; of a truncated datagram it
+// applies the complete items.
 func (d *Detector) HandleDatagram(from netip.AddrPort, data []byte, now time.Duration) {
 	h, items, ok := decodeHeader(data)
 	if !ok || d.left || h.sender == d.self.ID {
@@ -22,7 +22,7 @@
 	d.Counts.DatagramsReceived++
 	d.lastContact = now
 	sender := d.entries[h.sender]
-	if sender != nil && !sender.State.isLiving() { // it is alive after all: it learns of its state here and raises its incarnation
+	if sender != nil && !sender.State.isLiving() { // it is alive after all: told of its state here, it raises its incarnation
 		d.send(from, header{kind: kindUpdates}, d.appendStateUpdate(nil, itemDead, sender))
 	}
 	requested := d.applyItems(items, now)
@@ -49,8 +49,8 @@
 	}
 }
 
-// answerProbe sends the ack, and the member list to a broker that probes its seeds. A probe meant for an earlier member at this address
-// gets no answer.
+// answerProbe sends the ack, and the member list if the probe is a seed probe. A probe for an earlier member at this address gets no
+// answer.
 func (d *Detector) answerProbe(from netip.AddrPort, h header, reply []byte) {
 	isSeedProbe := h.target == 0
 	if !isSeedProbe && h.target != d.self.ID {
@@ -99,8 +99,8 @@
 	d.applyAlive(member, now)
 }
 
-// handleMemberItem handles an item that begins with a member's ID, and tells whether the sender should be sent that member's entry. Items
-// of unknown tags, which later versions may send, are skipped.
+// handleMemberItem handles an item that begins with a member's ID, and reports whether that member's entry should be sent to the sender.
+// It skips items of unknown tags, which later versions may send.
 func (d *Detector) handleMemberItem(tag itemTag, body []byte, now time.Duration) (id ID, isRequested bool) {
 	id, ok := decodeID(body)
 	if !ok {
@@ -133,7 +133,8 @@
 	case itemSuspect:
 		d.applySuspect(update.id, update.incarnation, update.reporter, now)
 	case itemDead:
-		// After a partition each side declares members of the other dead: who did not know of a suspicion suspects first.
+		// After a partition each side has declared members of the other dead. A broker to which the member is still alive suspects it
+		// first, so that the member can refute that.
 		if d.entries[update.id].State == Alive {
 			d.applySuspect(update.id, update.incarnation, update.reporter, now)
 			return
@@ -144,14 +145,14 @@
 	}
 }
 
-// requestMember has others asked for a member that is unknown here.
+// requestMember has the next datagrams ask other members for the entry of a member that is unknown here.
 func (d *Detector) requestMember(id ID) {
 	if len(d.requestedMembers) < maxRequestedMembers && !slices.Contains(d.requestedMembers, id) {
 		d.requestedMembers = append(d.requestedMembers, id)
 	}
 }
 
-// appendRequested encodes what is known of the members that a sender requests.
+// appendRequested encodes the entries of the members that a sender requests, where they are known here.
 func (d *Detector) appendRequested(data []byte, requested []ID) []byte {
 	for _, id := range requested {
 		entry := d.entries[id]
--- a/internal/decision/membership/detector.go
+++ b/internal/decision/membership/detector.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// neverContacted leaves room for a difference to any other time.
+// neverContacted is earlier than any other time. It is half the minimum so that differences from other times do not overflow.
 const neverContacted time.Duration = math.MinInt64 / 2
 
 // memberEntry is another member and the suspicion against it, if it is suspect.
@@ -24,7 +24,7 @@
 	left   bool
 
 	entries      map[ID]*memberEntry
-	ids          []ID // of entries, sorted: draws must not depend on the order of a map
+	ids          []ID // of entries, sorted: random choices must not depend on the order of a map
 	livingCount  int  // of entries
 	suspectCount int  // of entries
 
@@ -34,8 +34,8 @@
 	relayedProbes []relayedProbe
 	lastSequence  uint32
 
-	updates          []piggybackedUpdate // the least sent first
-	requestedMembers []ID                // unknown here; others are asked for them
+	updates          []piggybackedUpdate // those sent least often first
+	requestedMembers []ID                // unknown here, to be requested from others
 	syncPosition     int                 // in ids, where the next state transfer begins
 	seeds            []netip.AddrPort
 
@@ -57,8 +57,8 @@
 	Counts Counts
 }
 
-// New makes the detector of a broker that knows no other member yet; it probes the seeds until one answers. The incarnation must be higher
-// than that of an earlier process of this name.
+// New returns the detector of a broker that knows no other member yet; it probes the seeds until one answers. The incarnation must be
+// higher than that of any earlier process of this name.
 func New(policy Policy, name string, address netip.AddrPort, weight uint8, incarnation uint32, seeds []netip.AddrPort) *Detector {
 	d := &Detector{
 		policy:         policy,
@@ -75,7 +75,7 @@
 // Self returns this broker's own entry.
 func (d *Detector) Self() Member { return d.self }
 
-// Members returns all members that are remembered, this broker included, by name.
+// Members returns all members that are remembered, this broker included, sorted by name.
 func (d *Detector) Members() []Member {
 	members := []Member{d.self}
 	for _, entry := range d.entries {
@@ -88,17 +88,17 @@
 // LivingCount returns how many members are alive or suspect, this broker included.
 func (d *Detector) LivingCount() int { return 1 + d.livingCount }
 
-// LastContact returns when the last datagram of another member arrived; far in the past if none has.
+// LastContact returns when the last datagram of another member arrived, or a time far in the past if none has.
 func (d *Detector) LastContact() time.Duration { return d.lastContact }
 
-// DrainPackets returns the datagrams to be sent since the last call.
+// DrainPackets returns the datagrams that were queued for sending since the last call.
 func (d *Detector) DrainPackets() []Packet {
 	packets := d.packets
 	d.packets = nil
 	return packets
 }
 
-// DrainChanges returns the changes of state since the last call.
+// DrainChanges returns the members' changes of state since the last call.
 func (d *Detector) DrainChanges() []Change {
 	changes := d.changes
 	d.changes = nil
--- a/internal/decision/membership/golden_test.go
+++ b/internal/decision/membership/golden_test.go
@@ -21,13 +21,13 @@
 	goldenSteps     = 1200
 )
 
-// datagram is a packet on its way.
+// datagram is a packet in flight.
 type datagram struct {
 	from   netip.AddrPort
 	packet Packet
 }
 
-// simulation plays members over links that delay, lose and damage datagrams.
+// simulation runs members over links that delay, reorder, lose, duplicate and damage datagrams.
 type simulation struct {
 	rnd         *rand.Rand
 	digest      hash.Hash64
@@ -58,7 +58,7 @@
 	fmt.Fprintln(p.digest, uint32(m.ID), m.Name, m.Address, m.Incarnation, m.Weight, uint8(m.State), m.State.String(), int64(m.StateChangedAt))
 }
 
-// drain writes and delivers all that a member gave out.
+// drain writes all output of a member to the digest, and puts its datagrams in flight or loses them.
 func (p *simulation) drain(i int) {
 	m := p.members[i]
 	for _, packet := range m.DrainPackets() {
@@ -95,7 +95,7 @@
 	}
 	position := p.rnd.IntN(min(len(p.inFlight), 6))
 	d := p.inFlight[position]
-	if p.rnd.IntN(20) > 0 { // else it comes twice
+	if p.rnd.IntN(20) > 0 { // else it stays in flight and is delivered again
 		p.inFlight = append(p.inFlight[:position], p.inFlight[position+1:]...)
 	}
 	for i := range p.members {
@@ -184,7 +184,7 @@
 	return p.digest.Sum64()
 }
 
-// The file holds one digest for each sequence, as commit 1a4b6be gave them.
+// The golden file holds one digest for each sequence, as recorded with commit 1a4b6be.
 func TestSequencesAreAsRecorded(t *testing.T) {
 	var lines []string
 	for seed := range uint64(goldenSequences) {
@@ -202,10 +202,10 @@
 	}
 	for i, line := range strings.Split(string(want), "\n") {
 		if i < len(lines) && lines[i] != line {
-			t.Fatalf("sequence %s was recorded as %s", lines[i], line)
+			t.Fatalf("the digest of a sequence differs: got %s, recorded %s", lines[i], line)
 		}
 	}
 	if string(want) != text {
-		t.Error("the file has another number of sequences")
+		t.Error("the golden file has a different number of sequences")
 	}
 }
--- a/internal/decision/membership/membership.go
+++ b/internal/decision/membership/membership.go
@@ -1,7 +1,7 @@
-// Package membership tells which brokers of a tier are alive, suspected, dead, or have left as planned. It is SWIM (Das, Gupta and
+// Package membership determines which brokers of a tier are alive, suspected, dead, or have left as planned. It is SWIM (Das, Gupta and
 // Motivala, 2002) with the extensions of Lifeguard (Dadgar, Phillips and Currey, 2018): one probe at a time, indirect probes before a
-// member is suspected, updates piggybacked on probes, a suspicion timeout that shortens as other members confirm it, and a local health
-// multiplier that slows an observer down which is itself slow.
+// member is suspected, updates piggybacked on probes, a suspicion timeout that shortens as other members confirm the suspicion, and a local
+// health multiplier, by which a member that is itself slow lengthens its probe intervals and timeouts.
 //
 // The states of a member, as another member sees it:
 //
@@ -18,8 +18,8 @@
 //	      |    |              higher incarnation                |
 //	      +----+------------------------------------------------+
 //
-// A dead update about a member that is alive here makes it suspect first, so that it can refute it. Members that are dead or
-// have left return to Alive by a higher incarnation, and are forgotten after Policy.ForgetAfter.
+// A dead update about a member that is alive here makes it suspect first, so that the member can refute the update. Members that are dead
+// or have left become alive again by a higher incarnation, and are forgotten after Policy.ForgetAfter.
 //
 // The package does no I/O, reads no clock and starts no goroutine: the caller passes datagrams and the time, and sends what DrainPackets
 // returns. Times are durations since any fixed start. A Detector is for one goroutine at a time.
@@ -47,7 +47,7 @@
 // The states of a member. Those up to Suspect count as living.
 const (
 	Alive   State = iota
-	Suspect       // it did not answer; it has time to refute this
+	Suspect       // it did not answer, and has time to refute the suspicion
 	Dead
 	Left // shut down as planned
 )
@@ -64,7 +64,7 @@
 	ID             ID             `json:"ID"`
 	Name           string         `json:"Name"`
 	Address        netip.AddrPort `json:"Addr"`
-	Incarnation    uint32         `json:"Inc"`    // raised by the member itself alone
+	Incarnation    uint32         `json:"Inc"`    // raised only by the member itself
 	Weight         uint8          `json:"Weight"` // spare capacity, as the member states it
 	State          State          `json:"State"`
 	StateChangedAt time.Duration  `json:"Since"`
@@ -80,9 +80,9 @@
 	ForgetAfter        time.Duration // how long dead members and those that left are remembered
 	SyncInterval       time.Duration // between two syncs
 	MaxDatagramBytes   int
-	MaxMembers         int  // other members remembered
-	WithoutLifeguard   bool // SWIM alone, for comparison
-	Seed               uint64
+	MaxMembers         int    // other members remembered
+	WithoutLifeguard   bool   // SWIM alone, for comparison
+	Seed               uint64 // of the random choices
 }
 
 // Packet is a datagram to be sent.
@@ -91,7 +91,7 @@
 	Data []byte
 }
 
-// Change is a member's new state.
+// Change is a change of a member's state.
 type Change struct {
 	Member        Member
 	PreviousState State
--- a/internal/decision/membership/membership_test.go
+++ b/internal/decision/membership/membership_test.go
@@ -31,7 +31,7 @@
 	return n
 }
 
-// Brokers that know three seeds find one another, also with a third of all datagrams lost, within the limit on datagrams.
+// Brokers that know three seeds find one another although a third of all datagrams is lost, and no datagram exceeds the size limit.
 func TestMembersFindEachOther(t *testing.T) {
 	for _, n := range []int{2, 5, 40} {
 		c := tier(uint64(n), n, 0.3)
@@ -40,12 +40,12 @@
 			c.Run(c.Now() + 100*time.Millisecond)
 		}
 		if !c.Agreed() || c.Longest > crew.Default.MaxDatagramBytes {
-			t.Errorf("%d brokers agree %v after %v; the longest datagram had %d bytes", n, c.Agreed(), c.Now(), c.Longest)
+			t.Errorf("%d brokers: agreed is %v after %v; the longest datagram had %d bytes", n, c.Agreed(), c.Now(), c.Longest)
 		}
 	}
 }
 
-// Two hundred brokers know one another, and all learn that one was killed.
+// Two hundred brokers find one another, and all learn that one was killed.
 func TestTwoHundredMembers(t *testing.T) {
 	c := tier(1, 200, 0)
 	c.Run(300 * time.Millisecond)
@@ -62,12 +62,12 @@
 	}
 	t.Logf("known to all after %v", c.Now()-killed)
 	if !c.Agreed() {
-		t.Error("a kill is not known to all of 200 after 40 s")
+		t.Error("not all of 200 brokers know of a killed one after 40 s")
 	}
 }
 
-// Datagrams are lost one way: broker 0 receives all and nothing of it arrives. The others declare it dead, and it is alive again within
-// seconds after its datagrams arrive.
+// Datagrams are lost one way: broker 0 receives all, but none of its own arrive. The others declare it dead, and see it alive again within
+// ten seconds of its datagrams arriving.
 func TestOneWayLoss(t *testing.T) {
 	c := tier(3, 5, 0.05)
 	c.Run(15 * time.Second)
@@ -76,18 +76,18 @@
 	for _, b := range c.Brokers[1:] {
 		for _, m := range b.Members.Members() {
 			if m.Name == crew.Name(0) && m.State != membership.Dead {
-				t.Errorf("%v is %v at a broker that receives nothing of it", m.Name, m.State)
+				t.Errorf("%v is %v at a broker that receives nothing from it, want dead", m.Name, m.State)
 			}
 		}
 	}
 	c.Cut = nil
 	c.Run(50 * time.Second)
 	if !c.Agreed() {
-		t.Error("brokers do not agree ten seconds after")
+		t.Error("brokers do not agree ten seconds after the link has recovered")
 	}
 }
 
-// A bad path between two brokers has neither declared dead: the others reach both.
+// A bad path between two brokers does not get either of them declared dead, as the others reach both.
 func TestBadPathBetweenTwoMembers(t *testing.T) {
 	c := tier(4, 5, 0)
 	c.Run(15 * time.Second)
@@ -98,7 +98,7 @@
 	}
 }
 
-// A broker that gets its processor late declares nobody dead.
+// A broker that gets processor time too late declares no other broker dead by mistake.
 func TestStarvedBrokerDeclaresNobodyDead(t *testing.T) {
 	c := crew.New(crew.Options{Brokers: 5, Seed: 5, Loss: 0.05, Delay: 2 * time.Millisecond, Policy: crew.Default, Lease: crew.Lease,
 		Starved: 1, Starve: 400 * time.Millisecond})
@@ -110,7 +110,7 @@
 	}
 }
 
-// A planned stop is known as such, and a restart under the same name, at the same or another address, is one member.
+// The other brokers know of a planned stop as such, and a broker restarted under its name is the same member, not a second one.
 func TestLeaveAndRestart(t *testing.T) {
 	c := tier(6, 5, 0.1)
 	c.Run(15 * time.Second)
@@ -131,7 +131,7 @@
 		}
 	}
 	if left != 4 || !c.Agreed() {
-		t.Errorf("%d of 4 know that it left as planned; agreed after its return %v", left, c.Agreed())
+		t.Errorf("%d of 4 brokers know that one left as planned; agreed after its restart: %v", left, c.Agreed())
 	}
 	if n := len(c.Brokers[0].Members.Members()); n != 5 {
 		t.Errorf("%d members are known, want 5", n)
@@ -140,7 +140,7 @@
 
 func addr(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7) }
 
-// Two brokers of one name at two addresses: the first counts, and the two do not raise their incarnations for ever.
+// Two brokers have the same name at different addresses. They do not raise their incarnations in turn without end.
 func TestTwoMembersOfOneName(t *testing.T) {
 	p := crew.Default
 	a := membership.New(p, "a", addr(1), 1, 1, nil)
@@ -162,11 +162,11 @@
 		}
 	}
 	if sent > 2000 || a.Self().Incarnation > 200 {
-		t.Errorf("%d messages and incarnation %d in 30 s", sent, a.Self().Incarnation)
+		t.Errorf("%d datagrams and incarnation %d in 30 s, want at most 2000 and 200", sent, a.Self().Incarnation)
 	}
 }
 
-// Whatever arrives, a detector sends no datagram above its limit and remembers no more members than it may.
+// Whatever arrives, a detector sends no datagram longer than MaxDatagramBytes and remembers at most MaxMembers other members.
 func FuzzHandleDatagram(f *testing.F) {
 	c := tier(1, 4, 0)
 	c.Run(5 * time.Second)
@@ -191,17 +191,17 @@
 			m.DrainChanges()
 			for _, packet := range m.DrainPackets() {
 				if len(packet.Data) > p.MaxDatagramBytes {
-					t.Fatalf("%d bytes", len(packet.Data))
+					t.Fatalf("a datagram of %d bytes exceeds the limit", len(packet.Data))
 				}
 			}
 		}
 		if n := len(m.Members()); n > p.MaxMembers+1 {
-			t.Fatalf("%d members remembered", n)
+			t.Fatalf("%d members are remembered, more than MaxMembers and the broker itself", n)
 		}
 	})
 }
 
-// A peer of a later version is understood as far as this one knows it.
+// A datagram of a later version is applied as far as this version knows its items.
 func TestLaterVersion(t *testing.T) {
 	m := membership.New(crew.Default, "me", addr(1), 1, 1, nil)
 	name := "you"
@@ -215,9 +215,9 @@
 	b = append(b, name...)
 	m.HandleDatagram(addr(2), b, time.Second)
 	if all := m.Members(); len(all) != 2 || all[1].Name != name {
-		t.Errorf("%v", all)
+		t.Errorf("members are %v, want this broker and the sender", all)
 	}
 	if out := m.DrainPackets(); len(out) == 0 || out[0].To != addr(2) {
-		t.Errorf("%v", fmt.Sprint(out))
+		t.Errorf("the first datagram does not go to the sender: %v", fmt.Sprint(out))
 	}
 }
--- a/internal/decision/membership/probe.go
+++ b/internal/decision/membership/probe.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	maxLocalHealth    = 3   // a higher one would make detection slower than ownership can wait
-	maxRelayedProbes  = 64  // indirect probes at a time for other members
+	maxLocalHealth    = 3   // a higher one would make detection too slow for ownership, which waits for it
+	maxRelayedProbes  = 64  // indirect probes made for other members at a time
 	nackTimeoutFactor = 0.8 // of the probe timeout
 )
 
-// activeProbe is the probe that waits for an ack; sequence is 0 if there is none.
+// activeProbe is this broker's probe that waits for an ack. Its sequence is 0 if there is none.
 type activeProbe struct {
 	sequence          uint32
 	target            ID
-	indirectAt        time.Duration // without an ack by then, others are asked to probe
+	indirectAt        time.Duration // without an ack by then, other members are asked to probe
 	endsAt            time.Duration
 	indirectRequested bool
 	indirectCount     int
@@ -40,8 +40,8 @@
 	nackAt            time.Duration
 }
 
-// slowedByHealth stretches a time while this broker finds itself slow: one that gets no processor, or whose own link is bad, would
-// otherwise declare all others dead.
+// slowedByHealth lengthens a time while this broker finds itself slow: a broker that gets no processor time, or whose own link is bad,
+// would otherwise declare all others dead.
 func (d *Detector) slowedByHealth(t time.Duration) time.Duration {
 	if d.policy.WithoutLifeguard {
 		return t
@@ -59,7 +59,8 @@
 	return d.lastSequence
 }
 
-// startProbe probes the next member of the round. The probe before has ended: its end is when this one is due.
+// startProbe probes the next member of the round. The previous probe has ended by then, as a probe lasts as long as the interval between
+// two probes.
 func (d *Detector) startProbe(now time.Duration) {
 	target := d.nextProbeTarget()
 	if target == nil {
@@ -73,13 +74,13 @@
 		endsAt:     now + d.slowedByHealth(d.policy.ProbeInterval),
 	}
 	var items []byte
-	if target.State == Suspect { // it learns of the suspicion at once and can refute it
+	if target.State == Suspect { // so that it learns of the suspicion at once and can refute it
 		items = d.appendStateUpdate(nil, itemSuspect, target)
 	}
 	d.send(target.Address, header{kind: kindProbe, sequence: d.probe.sequence, target: target.ID}, items)
 }
 
-// advanceProbe asks for indirect probes when the direct one has timed out, and suspects the target when all have.
+// advanceProbe asks for indirect probes after the direct probe has timed out, and suspects the target when the time for all is over.
 func (d *Detector) advanceProbe(now time.Duration) {
 	if !d.probe.isActive() {
 		return
@@ -111,7 +112,8 @@
 	}
 }
 
-// failProbe suspects the target. A helper that could not reach it sends a nack: those missing say that this broker itself is cut off.
+// failProbe suspects the target. A helper that could not reach it sends a nack, so missing nacks indicate that this broker itself is cut
+// off. Their number, at least 1, is added to its local health multiplier.
 func (d *Detector) failProbe(target *memberEntry, now time.Duration) {
 	d.Counts.FailedProbes++
 	missingNacks := max(1, d.probe.indirectCount-d.probe.nackCount)
@@ -142,7 +144,7 @@
 	}
 }
 
-// probeForRequester probes a member for another one.
+// probeForRequester probes a member on behalf of another broker.
 func (d *Detector) probeForRequester(requester netip.AddrPort, request header, now time.Duration) {
 	target := d.entries[request.target]
 	if target == nil || len(d.relayedProbes) >= maxRelayedProbes {
--- a/internal/decision/membership/random.go
+++ b/internal/decision/membership/random.go
@@ -1,6 +1,6 @@
 package membership
 
-// random returns the next number of a xorshift generator, from 0 to below 1.
+// random returns the next number of a xorshift generator, at least 0 and below 1.
 func (d *Detector) random() float64 {
 	d.generatorState ^= d.generatorState << 13
 	d.generatorState ^= d.generatorState >> 7
@@ -8,12 +8,12 @@
 	return float64(d.generatorState>>11) / (1 << 53)
 }
 
-// randomIndex returns a number from 0 to below n.
+// randomIndex returns a random number from 0 to n-1.
 func (d *Detector) randomIndex(n int) int {
 	return int(d.random() * float64(n))
 }
 
-// randomMember returns the first member that matches from a random place in the sorted list on; nil if none does.
+// randomMember searches the sorted member list from a random position on and returns the first member that matches, or nil if none does.
 func (d *Detector) randomMember(matches func(*memberEntry) bool) *memberEntry {
 	if len(d.ids) == 0 {
 		return nil
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// nextProbeTarget returns the next living member of the round, and begins another round after the last; nil if none is living.
+// nextProbeTarget returns the next living member of the round, and begins another round after the last member. It returns nil if no member
+// is living.
 func (d *Detector) nextProbeTarget() *memberEntry {
 	if entry := d.nextInRound(); entry != nil {
 		return entry
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// startRound shuffles the living members.
+// startRound begins a round of all living members in random order.
 func (d *Detector) startRound() {
 	d.probeOrder = d.probeOrder[:0]
 	d.probePosition = 0
--- a/internal/decision/membership/suspicion.go
+++ b/internal/decision/membership/suspicion.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	maxConfirmations = 3           // further members whose confirmation makes a suspicion timeout the shortest
-	expiryInterval   = time.Second // between two searches for members to forget while none is suspect
+	maxConfirmations = 3           // confirmations by further members that shorten the suspicion timeout to its minimum
+	expiryInterval   = time.Second // between two searches for members to forget, while no member is suspect
 )
 
-// suspicion is the case against a suspect member.
+// suspicion says since when a member is suspect, and who reported it.
 type suspicion struct {
 	startedAt time.Duration
 	reporters []ID // this broker or others
 }
 
-// suspicionTimeout returns how long a member stays suspect before it is declared dead: the shorter the more members confirm it.
+// suspicionTimeout returns how long a member stays suspect before it is declared dead: the shorter, the more members confirm the
+// suspicion.
 func (d *Detector) suspicionTimeout(entry *memberEntry) time.Duration {
 	logMembers := math.Max(1, math.Log10(float64(d.LivingCount())))
 	shortest := d.policy.SuspicionFactor * logMembers * float64(d.policy.ProbeInterval)
@@ -33,7 +34,8 @@
 	return entry.suspicion.startedAt + d.suspicionTimeout(entry)
 }
 
-// expireSuspicions declares suspects dead whose timeout is over, and forgets members that have long been dead or left.
+// expireSuspicions declares suspect members dead when their timeout is over, and forgets members that died or left longer than
+// Policy.ForgetAfter ago.
 func (d *Detector) expireSuspicions(now time.Duration) {
 	if d.suspectCount == 0 && now-d.lastExpiry < expiryInterval {
 		return
--- a/internal/decision/membership/sync.go
+++ b/internal/decision/membership/sync.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	maxJoinDatagrams       = 128 // with the member list, for a member that joins
-	membersPerSyncDatagram = 64  // a sync has one datagram, and one more for each so many members
+	maxJoinDatagrams       = 128 // with the member list, to a broker that joins
+	membersPerSyncDatagram = 64  // members per additional datagram of a sync
 )
 
-// sync sends a part of the member list to a random member, which makes up for updates that were lost.
+// sync sends a part of the member list to a random member, in case updates were lost.
 func (d *Detector) sync() {
 	target := d.randomMember(func(e *memberEntry) bool { return e.State == Alive })
 	if target != nil {
@@ -18,7 +18,7 @@
 	}
 }
 
-// sendMembers sends the member list from where the last call ended, in so many datagrams at most.
+// sendMembers sends the member list from where the last call ended, in at most maxDatagrams datagrams.
 func (d *Detector) sendMembers(to netip.AddrPort, maxDatagrams int) {
 	items := appendAlive(nil, &d.self)
 	remaining := len(d.ids)
@@ -40,7 +40,7 @@
 	}
 }
 
-// appendEntry encodes what is known of a member.
+// appendEntry encodes a member's entry, by its state.
 func (d *Detector) appendEntry(data []byte, entry *memberEntry) []byte {
 	switch entry.State {
 	case Suspect:
@@ -77,7 +77,7 @@
 	})
 }
 
-// probeDeadMember probes a random dead member and tells it that it is taken for dead: a partition may have healed.
+// probeDeadMember probes a random dead member and tells it that it was declared dead, so that it can refute this if a partition has healed.
 func (d *Detector) probeDeadMember() {
 	target := d.randomMember(func(e *memberEntry) bool { return e.State == Dead })
 	if target == nil {
--- a/internal/decision/membership/tick.go
+++ b/internal/decision/membership/tick.go
@@ -5,13 +5,13 @@
 const (
 	tickIntervalAfterLeave = time.Hour
 	minTickInterval        = time.Millisecond
-	pauseProbeIntervals    = 3  // without a tick: the process was paused
+	pauseProbeIntervals    = 3  // without a tick, after which the process counts as paused
 	seedProbeIntervals     = 10 // between two seed probes while other members are known
 	gossipsPerInterval     = 2
 	pauseHealthPenalty     = 2
 )
 
-// Tick does what is due and returns when to call it again at the latest.
+// Tick does what is due at the time now, and returns when to call it again at the latest.
 func (d *Detector) Tick(now time.Duration) time.Duration {
 	if d.left {
 		return now + tickIntervalAfterLeave
@@ -57,7 +57,7 @@
 	return now >= d.nextSeedProbe+seedProbeIntervals*d.policy.ProbeInterval
 }
 
-// nextDue returns when the next thing is due, at most a probe interval from now.
+// nextDue returns when the next action is due, at most a probe interval from now.
 func (d *Detector) nextDue(now time.Duration) time.Duration {
 	due := min(d.nextProbe, now+d.policy.ProbeInterval)
 	if len(d.updates) > 0 {
@@ -87,8 +87,8 @@
 	return now-d.lastTick > pauseProbeIntervals*d.policy.ProbeInterval
 }
 
-// resumeAfterPause drops what was pending during a pause of this process, which proves nothing about other members. They may have
-// declared this broker dead meanwhile, so it raises its incarnation.
+// resumeAfterPause ends probes that were pending during a pause of this process, and extends suspicions by the pause: missing acks prove
+// nothing about other members then. They may have declared this broker dead meanwhile, so it raises its incarnation.
 func (d *Detector) resumeAfterPause(now time.Duration) {
 	pause := now - d.lastTick
 	d.probe = activeProbe{}
--- a/internal/decision/membership/transitions.go
+++ b/internal/decision/membership/transitions.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	leaveNotifications   = 8 // members that are told of a planned stop
+	leaveNotifications   = 8 // members that are told when this broker stops as planned
 	refutalHealthPenalty = 1
 )
 
-// addMember adds a member that was not known, as alive, unless the member list is full.
+// addMember adds an unknown member as alive, unless the member list is full.
 func (d *Detector) addMember(member Member, now time.Duration) {
 	if len(d.entries) >= d.policy.MaxMembers {
 		return
@@ -62,7 +62,7 @@
 		return
 	}
 	isNewer := update.Incarnation > entry.Incarnation
-	// Of two members of one name the first counts, until one of them raises its incarnation.
+	// Of two members with the same name, the one known first is kept until one of them raises its incarnation.
 	if !isNewer && (entry.State != Alive || update.Address != entry.Address) {
 		return
 	}
@@ -76,7 +76,8 @@
 	}
 }
 
-// applyAliveSelf raises the incarnation if another process has this broker's name, or an earlier life of it is still announced.
+// applyAliveSelf raises the incarnation if another process has this broker's name, or updates of an earlier process of this broker still
+// circulate.
 func (d *Detector) applyAliveSelf(update Member) {
 	if update.Incarnation < d.self.Incarnation {
 		return
@@ -98,7 +99,7 @@
 	d.transition(entry, Alive, now)
 }
 
-// applySuspect applies that a reporter, this broker or another, suspects a member.
+// applySuspect applies a suspicion, which this broker or another reports.
 func (d *Detector) applySuspect(id ID, incarnation uint32, reporter ID, now time.Duration) {
 	entry := d.entries[id]
 	if entry == nil || incarnation < entry.Incarnation || !entry.State.isLiving() {
@@ -123,17 +124,17 @@
 	d.queueUpdate(uint64(entry.ID), appendStateUpdate(nil, itemSuspect, stateUpdate{entry.ID, entry.Incarnation, reporter}))
 }
 
-// applyDead applies that a member is dead.
+// applyDead applies an update that a member is dead.
 func (d *Detector) applyDead(id ID, incarnation uint32, now time.Duration) {
 	d.endMember(id, incarnation, Dead, now)
 }
 
-// applyLeft applies that a member has left as planned.
+// applyLeft applies an update that a member has left as planned.
 func (d *Detector) applyLeft(id ID, incarnation uint32, now time.Duration) {
 	d.endMember(id, incarnation, Left, now)
 }
 
-// endMember applies that a living member is dead or has left.
+// endMember sets a living member to Dead or Left.
 func (d *Detector) endMember(id ID, incarnation uint32, state State, now time.Duration) {
 	entry := d.entries[id]
 	if entry == nil || incarnation < entry.Incarnation || !entry.State.isLiving() {
@@ -144,7 +145,7 @@
 	d.queueUpdate(uint64(id), d.appendEntry(nil, entry))
 }
 
-// refute answers an update that this broker is suspect, dead or has left, by a higher incarnation.
+// refute raises the incarnation above that of an update that this broker is suspect, dead or has left, and announces it.
 func (d *Detector) refute(incarnation uint32) {
 	if incarnation < d.self.Incarnation || d.left {
 		return
@@ -155,7 +156,7 @@
 	d.announceSelf()
 }
 
-// SetWeight states this broker's spare capacity.
+// SetWeight sets and announces this broker's spare capacity.
 func (d *Detector) SetWeight(weight uint8) {
 	if weight == d.self.Weight {
 		return
--- a/internal/decision/membership/updates.go
+++ b/internal/decision/membership/updates.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	sendsPerLogMember = 3.0 // an update is sent so many times the binary logarithm of the living members plus 1
+	sendsPerLogMember = 3.0 // an update is sent this many times log2(living members + 1)
 	maxUpdates        = 512 // waiting to be sent
 	gossipTargets     = 2
-	broadcastKeyFlag  = 1 << 40 // sets the keys of broadcasts apart from IDs
+	broadcastKeyFlag  = 1 << 40 // distinguishes the keys of broadcasts from member IDs
 )
 
 // piggybackedUpdate is an item that is carried by datagrams sent for another purpose.
@@ -21,7 +21,8 @@
 	sendCount int
 }
 
-// gossip sends updates beside the probes: a broker that finds itself slow probes less often, and its refutation must not wait for that.
+// gossip sends updates independently of probes: a broker that finds itself slow probes less often, but its refutation must not wait for
+// its next probe.
 func (d *Detector) gossip() {
 	if d.policy.WithoutLifeguard {
 		return
@@ -34,8 +35,8 @@
 	}
 }
 
-// queueUpdate puts an item before the other updates, in place of an earlier one of the same key. Where there are too many, the one sent
-// most often goes.
+// queueUpdate puts an item before the other updates and removes an earlier one of the same key. If the queue is full, the update sent most
+// often is dropped.
 func (d *Detector) queueUpdate(key uint64, item []byte) {
 	earlier := slices.IndexFunc(d.updates, func(u piggybackedUpdate) bool { return u.key == key })
 	if earlier >= 0 {
@@ -76,7 +77,7 @@
 	d.queueUpdate(uint64(entry.ID), appendAlive(nil, &entry.Member))
 }
 
-// send queues a datagram: the header, the items that it is for, then requests for unknown members and updates, as many as fit.
+// send queues a datagram: the header, the given items, then as many requests for unknown members and updates as fit.
 func (d *Detector) send(to netip.AddrPort, h header, items []byte) {
 	h.sender = d.self.ID
 	h.incarnation = d.self.Incarnation
@@ -98,7 +99,7 @@
 	return data
 }
 
-// appendUpdates appends the updates sent least. Those sent go behind the others, or are dropped when they were sent often enough.
+// appendUpdates appends the updates sent least often. They then go to the end of the queue, or are dropped if they were sent often enough.
 func (d *Detector) appendUpdates(data []byte) []byte {
 	maxSends := int(math.Ceil(sendsPerLogMember * math.Log2(float64(d.LivingCount()+1))))
 	var requeued []piggybackedUpdate
--- a/internal/decision/resultset/resultset.go
+++ b/internal/decision/resultset/resultset.go
@@ -27,7 +27,7 @@
 	Found   Status = iota
 	Unknown        // no set of this name is known in the session
 	Expired        // not used for longer than Limits.Age
-	Evicted        // dropped to make room for another set
+	Evicted        // dropped to make room for another set, or too large when extended
 	Changed        // fetching the answer again gave another answer
 )
 
