--- a/internal/decision/membership/golden_test.go
+++ b/internal/decision/membership/golden_test.go
@@ -33,7 +33,7 @@
 	digest      hash.Hash64
 	now         time.Duration
 	policy      Policy
-	lossPercent int // of 100 datagrams
+	lossPercent int // of the datagrams
 	members     []*Detector
 	incarnation uint32
 	inFlight    []datagram
--- a/internal/decision/membership/membership_test.go
+++ b/internal/decision/membership/membership_test.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// The other brokers know of a planned stop as such, and a broker restarted under its name is the same member, not a second one.
+// The other brokers know of a planned stop as such. A broker restarted under its name, at the same or another address, is the same member,
+// not a second one.
 func TestLeaveAndRestart(t *testing.T) {
 	c := tier(6, 5, 0.1)
 	c.Run(15 * time.Second)
@@ -140,7 +141,8 @@
 
 func addr(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7) }
 
-// Two brokers have the same name at different addresses. They do not raise their incarnations in turn without end.
+// Two brokers have the same name at different addresses: the one known first is kept, and they do not raise their incarnations in turn
+// without end.
 func TestTwoMembersOfOneName(t *testing.T) {
 	p := crew.Default
 	a := membership.New(p, "a", addr(1), 1, 1, nil)
