--- a/cmd/flaxfront/keys.go
+++ b/cmd/flaxfront/keys.go
@@ -98,7 +98,7 @@
 		RunE: func(cmd *cobra.Command, numbers []string) error {
 			err := keys.Revoke(authority, numbers, time.Now())
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "copy %s to every broker's directory, then send SIGHUP\n", filepath.Join(authority, keys.Revoked))
+				fmt.Fprintf(cmd.OutOrStdout(), "copy %s to every broker's directory, then send SIGHUP\n", filepath.Join(authority, keys.RevocationFile))
 			}
 			return err
 		},
@@ -124,7 +124,7 @@
 			if err != nil {
 				return err
 			}
-			left := time.Until(ring.Ends())
+			left := time.Until(ring.Expiry())
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good for %s, expires in %d days\n", dir, ring.ID(), int(left/day))
 			if left < 30*day {
 				return fmt.Errorf("%s expires in %d days", dir, int(left/day))
--- a/internal/lab/play/cores.go
+++ b/internal/lab/play/cores.go
@@ -52,9 +52,9 @@
 	n.cores[core] = nil
 	if j.id != "" {
 		k := &n.by.tally.work
-		a := store.Answer{ID: j.id, End: store.Served, Value: value(j.id) + j.version, Report: j.report}
+		a := store.Answer{ID: j.id, Result: store.Served, Value: value(j.id) + j.version, Report: j.report}
 		if errs := n.w.plan.Errs(n.n, n.now); errs > 0 && n.rnd.Float64() < errs {
-			a.End, a.Value = store.Broke, ""
+			a.Result, a.Value = store.Broke, ""
 			k.Broke++
 		} else {
 			k.Served++
--- a/internal/lab/play/offer.go
+++ b/internal/lab/play/offer.go
@@ -60,7 +60,7 @@
 	}
 	if len(n.queue) >= n.w.script.Fleet.Queue+len(n.cores) {
 		k.Skipped++
-		n.answer(l, store.Answer{ID: id, End: store.Skipped})
+		n.answer(l, store.Answer{ID: id, Result: store.Skipped})
 		return
 	}
 	n.take(&job{conn: l, id: id, work: work, effect: n.w.terms.Module.QueryTypes[typ].Idempotency, sent: written})
--- a/internal/protocols/back/back.go
+++ b/internal/protocols/back/back.go
@@ -181,12 +181,12 @@
 		if err != nil {
 			return err
 		}
-		c.o.Post(c.h.Answered(c.o.Now(), store.Answer{ID: p.id, End: end, Value: value}))
+		c.o.Post(c.h.Answered(c.o.Now(), store.Answer{ID: p.id, Result: end, Value: value}))
 	}
 }
 
 // do has the node search, and tells how the part ended. An error ends the connection: what it meant can't be told.
-func (c *conn) do(p *part) (end store.End, value string, err error) {
+func (c *conn) do(p *part) (end store.Result, value string, err error) {
 	w, err := catalogue.ParseStatement(p.text)
 	if err != nil {
 		return store.Broke, "", nil // no catalogue search: these nodes know no other
--- a/internal/protocols/back/back_test.go
+++ b/internal/protocols/back/back_test.go
@@ -61,16 +61,16 @@
 	now := func() time.Duration { return time.Since(start) }
 	ended := make(chan struct{}, 1)
 	p := store.NewPool(ctx, store.Limits{Streams: 1, Idle: time.Minute, Dial: 200 * time.Millisecond, Silent: time.Second, Conns: 4}, nil, now,
-		func(f func() error) { go f() }, func(e store.Event) { events <- e }, func(_ *store.Part, o decision.Outcome, _ time.Duration, v string) {
+		func(f func() error) { go f() }, func(e store.Event) { events <- e }, func(_ *store.Subrequest, o decision.Outcome, _ time.Duration, v string) {
 			how, value = o, v
 			ended <- struct{}{}
 		})
-	p.Carry(Carrier(ctx, Options{Protocol: "z3950", Database: "d", Dial: 200 * time.Millisecond, Now: now, Post: func(e store.Event) { events <- e }}))
+	p.SetCarrier(Carrier(ctx, Options{Protocol: "z3950", Database: "d", Dial: 200 * time.Millisecond, Now: now, Post: func(e store.Event) { events <- e }}))
 	id := decision.NodeID{Port: 1}
-	p.Point(id, "n", addr, decision.StartedLongAgo)
+	p.SetNode(id, "n", addr, decision.StartedLongAgo)
 	_, rpn, _ := query.ParsePQF("cat")
-	part := &store.Part{ID: "s.0", Text: (&catalogue.Want{Depth: 3, Syntax: "marcxml", Query: rpn}).Statement(), Deadline: 600 * time.Millisecond, Node: id}
-	p.Send(id, []*store.Part{part})
+	part := &store.Subrequest{ID: "s.0", Text: (&catalogue.Want{Depth: 3, Syntax: "marcxml", Query: rpn}).Statement(), Deadline: 600 * time.Millisecond, Node: id}
+	p.Send(id, []*store.Subrequest{part})
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -78,7 +78,7 @@
 		case <-ended:
 			return how, value
 		case e := <-events:
-			p.Handle(e)
+			p.HandleEvent(e)
 		case <-tick.C:
 			if p.Sweep(now()); cancelAfter > 0 && now() > cancelAfter {
 				p.Cancel(part)
--- a/internal/protocols/back/sru.go
+++ b/internal/protocols/back/sru.go
@@ -19,7 +19,7 @@
 // names of schemas that SRU servers are asked for.
 var schemas = map[string]string{"dc": "dc", "marcxml": "marcxml", "mods": "mods", "marc21": "marcxml", "text": "dc"}
 
-func (c *conn) sru(w *catalogue.Want, database string) (store.End, string, error) {
+func (c *conn) sru(w *catalogue.Want, database string) (store.Result, string, error) {
 	q, err := w.Query.Query()
 	if err != nil {
 		return store.Broke, "", nil // it can't be said in CQL
--- a/internal/protocols/back/z3950.go
+++ b/internal/protocols/back/z3950.go
@@ -18,7 +18,7 @@
 // busy are diagnostics of Bib-1 that say to come back: it was turned away.
 var busy = map[int]bool{2: true, 31: true, 1: false}
 
-func (c *conn) z3950(p *part, w *catalogue.Want, database string) (store.End, string, error) {
+func (c *conn) z3950(p *part, w *catalogue.Want, database string) (store.Result, string, error) {
 	syntax := oids[w.Syntax]
 	c.n++
 	ref := []byte(strconv.Itoa(c.n))
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -127,7 +127,7 @@
 	now = 1300 * time.Millisecond
 	l.advance()
 	now = 1640 * time.Millisecond
-	l.attemptEnded(&store.Part{Part: q.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
+	l.attemptEnded(&store.Subrequest{Subrequest: q.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
 	l.advance()
 	now = 4 * time.Second
 	l.advance()
--- a/internal/server/agreed_drains.go
+++ b/internal/server/agreed_drains.go
@@ -74,7 +74,7 @@
 		if d.acked && d.enforced || d.ackProposed {
 			continue
 		}
-		if v.loop.stats().Steps < d.routerStep || pool.OutTo(id) > 0 {
+		if v.loop.stats().Steps < d.routerStep || pool.InFlightTo(id) > 0 {
 			next = min(next, now+drainRetryInterval)
 			continue
 		}
@@ -91,14 +91,14 @@
 }
 
 // refuse ends the attempts and returns true if the node's drain is enforced; otherwise they may be sent.
-func (v *controlPlaneView) refuse(node decision.NodeID, attempts []*store.Part) bool {
+func (v *controlPlaneView) refuse(node decision.NodeID, attempts []*store.Subrequest) bool {
 	if v == nil {
 		return false
 	}
 	if d := v.drains[node]; d == nil || !d.enforced {
 		return false
 	}
-	v.loop.connections().Refuse(attempts)
+	v.loop.connections().EndUnsent(attempts)
 	return true
 }
 
--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -12,7 +12,7 @@
 // batch collects attempts to one node that are sent together at the end of a step.
 type batch struct {
 	node     decision.NodeID
-	attempts []*store.Part
+	attempts []*store.Subrequest
 }
 
 // sendAttempt creates an attempt and adds it to its node's batch.
@@ -23,17 +23,17 @@
 		return
 	}
 	r := &q.Request.Shards[i]
-	attempt := &store.Part{
-		ID:       r.Name,
-		Shard:    r.Shard,
-		Text:     q.Text,
-		Deadline: q.deadline,
-		Sent:     now,
-		Part:     a.ID,
-		Attempt:  uint16(len(q.requests[i].attempts)),
-		Node:     a.Node,
-		Alone:    a.ExclusiveConnection,
-		Tenant:   q.Tenant,
+	attempt := &store.Subrequest{
+		ID:         r.Name,
+		Shard:      r.Shard,
+		Text:       q.Text,
+		Deadline:   q.deadline,
+		Sent:       now,
+		Subrequest: a.ID,
+		Attempt:    uint16(len(q.requests[i].attempts)),
+		Node:       a.Node,
+		Exclusive:  a.ExclusiveConnection,
+		Tenant:     q.Tenant,
 	}
 	q.requests[i].attempts = append(q.requests[i].attempts, attempt)
 	l.counters.Attempts++
@@ -45,7 +45,7 @@
 			return
 		}
 	}
-	l.batches = append(l.batches, batch{a.Node, []*store.Part{attempt}})
+	l.batches = append(l.batches, batch{a.Node, []*store.Subrequest{attempt}})
 }
 
 func (l *loop) cancelAttempt(a *decision.Action) {
@@ -57,9 +57,9 @@
 
 // sendBatch sends a batch without the attempts that were cancelled, or whose query ended, in the same step; forgetQuery cancels the latter.
 func (l *loop) sendBatch(b *batch) {
-	attempts := slices.DeleteFunc(b.attempts, func(attempt *store.Part) bool {
-		q := l.queryOfShardRequest[attempt.Part]
-		return attempt.Over() || q.done || q.forwarding.forwarded
+	attempts := slices.DeleteFunc(b.attempts, func(attempt *store.Subrequest) bool {
+		q := l.queryOfShardRequest[attempt.Subrequest]
+		return attempt.Ended() || q.done || q.forwarding.forwarded
 	})
 	if l.controlPlane.refuse(b.node, attempts) {
 		return
@@ -71,16 +71,16 @@
 }
 
 // attemptEnded is called by the pool when an attempt has ended. An answer is part of the result from now on: the router's next step has it too.
-func (l *loop) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration, value string) {
+func (l *loop) attemptEnded(attempt *store.Subrequest, outcome decision.Outcome, at time.Duration, value string) {
 	outcome = l.readPins.attemptEnded(attempt, outcome, at)
-	if q, i := l.findShardRequest(attempt.Part); q != nil && outcome == decision.OK && !q.requests[i].answered {
+	if q, i := l.findShardRequest(attempt.Subrequest); q != nil && outcome == decision.OK && !q.requests[i].answered {
 		q.requests[i].answered = true
 		q.requests[i].value = value
 		q.admission.lastAnswerAt = at
 		q.admission.lastAnswerStep = l.counters.Steps + 1
 	}
 	took := max(0, at-attempt.Sent)
-	l.post(decision.Event{Kind: decision.AttemptEnded, ID: attempt.Part, Attempt: attempt.Attempt, Outcome: outcome, Elapsed: took,
+	l.post(decision.Event{Kind: decision.AttemptEnded, ID: attempt.Subrequest, Attempt: attempt.Attempt, Outcome: outcome, Elapsed: took,
 		Node: attempt.Node})
 	l.cachedList.attemptEnded(attempt.Node, outcome, took)
 }
--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -96,20 +96,20 @@
 }
 
 // Open tells the pool whether it may open a connection to a node for a tenant, and whether as a leased or as a reserved one.
-func (b *connectionLeases) Open(node decision.NodeID, tenant int) store.Leave {
+func (b *connectionLeases) Open(node decision.NodeID, tenant int) store.OpenDecision {
 	if b.stopped {
-		return store.No
+		return store.Denied
 	}
 	k, now := connlease.LeaseKey{Node: node, Tenant: tenant}, b.loop.since()
 	switch b.holder.Open(k, now) {
 	case connlease.OpenDenied:
 		b.demand.Observe(k, float64(b.holder.OpenConnections(k)+1))
 		b.countAttempts(tenant, 0, 1)
-		return store.No
+		return store.Denied
 	case connlease.OpenLeased:
-		return store.Own
+		return store.OpenForTenant
 	}
-	return store.Floor
+	return store.OpenShared
 }
 
 // Closed records that a connection of the pool has ended; byNode tells that the node closed it.
--- a/internal/server/connection_leases_test.go
+++ b/internal/server/connection_leases_test.go
@@ -29,7 +29,7 @@
 func TestConnectionLeasesHeld(t *testing.T) {
 	l, now := leaseLoop(t)
 	b, one, two := l.connLeases, decision.NodeID{Port: 1}, decision.NodeID{Port: 2}
-	expectOpens := func(what string, node decision.NodeID, leaves ...store.Leave) {
+	expectOpens := func(what string, node decision.NodeID, leaves ...store.OpenDecision) {
 		t.Helper()
 		for i, expectOpens := range leaves {
 			if got := b.Open(node, 0); got != expectOpens {
@@ -37,18 +37,18 @@
 			}
 		}
 	}
-	expectOpens("no view received", one, store.Floor, store.No)
+	expectOpens("no view received", one, store.OpenShared, store.Denied)
 	view := &controlplane.View{Index: 5, LeaseEnd: *now + time.Minute, Self: statemachine.Broker{Incarnation: 3}}
 	b.handleView(view)
-	expectOpens("no policy, and the session's lease valid", one, store.Floor, store.Floor, store.Floor)
+	expectOpens("no policy, and the session's lease valid", one, store.OpenShared, store.OpenShared, store.OpenShared)
 	policy := &statemachine.ConnectionPolicy{Version: 1, Text: policyText, MaxBrokers: 2,
 		Budgets: []statemachine.NodeBudget{{Node: one, Connections: 20, ReservedPerBroker: 2}, {Node: two, Connections: 20, ReservedPerBroker: 2}}}
 	grant := statemachine.ConnectionLease{Incarnation: 3, Number: 1,
 		Granted: []statemachine.LeaseRow{{Node: two, Tenant: "acme", Connections: 2}, {Node: two, Tenant: "else", Connections: 9}}}
 	view = &controlplane.View{Index: 6, LeaseEnd: *now + time.Minute, Self: view.Self, Policy: policy, Lease: grant}
 	b.handleView(view)
-	expectOpens("more open than reserved", one, store.No)
-	expectOpens("leased connections, then reserved ones", two, store.Own, store.Own, store.Floor, store.Floor, store.No)
+	expectOpens("more open than reserved", one, store.Denied)
+	expectOpens("leased connections, then reserved ones", two, store.OpenForTenant, store.OpenForTenant, store.OpenShared, store.OpenShared, store.Denied)
 	if x := b.holder.ExcessConnections(*now); len(x.Counts) != 1 || x.Counts[0].Connections != 2 || x.Immediate {
 		t.Errorf("excess connections: %+v", x)
 	}
@@ -66,7 +66,7 @@
 		t.Errorf("reserved connections once the lower policy is in force: %v", b.reserved)
 	}
 	b.release()
-	expectOpens("after the release", two, store.No)
+	expectOpens("after the release", two, store.Denied)
 }
 
 // A broker that was forgotten and comes back has its grants numbered from 1 again, and must accept them.
@@ -80,11 +80,11 @@
 	}
 	receiveGrant(3, 7, 0)
 	receiveGrant(3, 6, 1)
-	if l.connLeases.Open(one, 0) != store.Floor {
+	if l.connLeases.Open(one, 0) != store.OpenShared {
 		t.Error("an older grant was accepted")
 	}
 	receiveGrant(9, 1, 5)
-	if l.connLeases.Open(one, 0) != store.Own || l.connLeases.holder.PendingAck(*now) != 1 {
+	if l.connLeases.Open(one, 0) != store.OpenForTenant || l.connLeases.holder.PendingAck(*now) != 1 {
 		t.Error("the first grant of a new incarnation was not accepted")
 	}
 }
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -80,8 +80,8 @@
 		Conns:   max(1, (e.Sockets-spareSockets)/nodeSocketsDivisor),
 	}
 	l.pool = store.NewPool(context.Background(), limits, nil, e.Now, nil, nil, l.attemptEnded)
-	l.pool.Probed = l.healthCheckEnded
-	l.pool.Carry(e.Carrier)
+	l.pool.ProbeEnded = l.healthCheckEnded
+	l.pool.SetCarrier(e.Carrier)
 	if file.Fleet.Pins {
 		l.useReadPins(newReadPinTracker(&file.Fleet, t))
 		l.pool.KeepReports()
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -87,7 +87,7 @@
 	c.Clients.BadRequests = clients.BadRequests.Load()
 	c.Clients.Unwritten = clients.Unwritten.Load()
 	if s.siteLinks != nil {
-		c.RejectedLinks = s.siteLinks.Refused.Load()
+		c.RejectedLinks = s.siteLinks.RejectedHandshakes.Load()
 	}
 	if s.listStore != nil {
 		c.CachedList = s.cachedListCounters()
@@ -113,11 +113,11 @@
 	n := &s.gossip.Counts
 	return GossipCounters{
 		Sent:            n.Sent.Load(),
-		Received:        n.Heard.Load(),
-		UnknownSender:   n.Strangers.Load(),
+		Received:        n.Delivered.Load(),
+		UnknownSender:   n.UnknownSenders.Load(),
 		TooLong:         n.TooLong.Load(),
 		Dropped:         n.Dropped.Load(),
-		Unauthenticated: n.Unsealed.Load(),
+		Unauthenticated: n.AuthFailed.Load(),
 	}
 }
 
--- a/internal/server/drains_test.go
+++ b/internal/server/drains_test.go
@@ -76,7 +76,7 @@
 			return s
 		}
 		admit("x")
-		if l.pool.OutTo(a) != 1 {
+		if l.pool.InFlightTo(a) != 1 {
 			t.Fatal("no attempt in flight")
 		}
 		self := statemachine.Broker{Incarnation: 1}
@@ -96,7 +96,7 @@
 			t.Fatalf("drains acknowledged: %v", acks)
 		}
 		admit("y")
-		if l.pool.OutTo(a) != 0 {
+		if l.pool.InFlightTo(a) != 0 {
 			t.Error("an attempt was sent to a node whose drain was acknowledged")
 		}
 		l.handle(drainAckFailed{a, 5}) // the proposal was lost
--- a/internal/server/endpoint_list.go
+++ b/internal/server/endpoint_list.go
@@ -68,13 +68,13 @@
 	id := n.Endpoint.Node
 	if n.Endpoint.State == decision.Removed {
 		delete(l.nodes, id)
-		l.pool.Drop(id)
+		l.pool.RemoveNode(id)
 		return
 	}
 	l.nodes[id] = *n
-	l.pool.Point(id, n.Name, n.Address, n.Endpoint.StartedAt)
+	l.pool.SetNode(id, n.Name, n.Address, n.Endpoint.StartedAt)
 	if state != decision.Ready {
-		l.pool.Withhold(id)
+		l.pool.EndQueued(id)
 	}
 }
 
@@ -90,7 +90,7 @@
 	for _, n := range unlisted {
 		slog.Info("node unlisted", "component", "discovery", "node", n.Name, "id", n.Endpoint.Node)
 		delete(l.nodes, n.Endpoint.Node)
-		l.pool.Drop(n.Endpoint.Node)
+		l.pool.RemoveNode(n.Endpoint.Node)
 	}
 }
 
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -123,7 +123,7 @@
 		for _, k := range g.incoming.ForgetExpired(now) {
 			delete(g.remote, k)
 		}
-		g.links.Say(g.status(now), false)
+		g.links.SetStatus(g.status(now), false)
 	}
 	return min(next, g.nextStatus)
 }
@@ -183,7 +183,7 @@
 func (g *siteGateway) executeOne(q *activeQuery, a forwarding.Action) {
 	switch a.Kind {
 	case forwarding.Forward:
-		if q == nil || g.conns[a.Link] == nil || !g.conns[a.Link].Ask(g.encode(q, a)) {
+		if q == nil || g.conns[a.Link] == nil || !g.conns[a.Link].Query(g.encode(q, a)) {
 			g.outgoing.HandleResult(a.Link, a.ID, forwarding.Rejected, g.loop.since()) // it was not sent
 		}
 	case forwarding.Cancel:
--- a/internal/server/gateway_state.go
+++ b/internal/server/gateway_state.go
@@ -23,9 +23,9 @@
 func (g *siteGateway) status(now time.Duration) link.Status {
 	_, limit := g.loop.capacity()
 	return link.Status{
-		Room:     g.incoming.FreeShare(limit),
-		Refusing: g.incoming.Shedding(now),
-		Stopping: g.stopping(),
-		Lacking:  slices.Clone(g.unhealthyShards),
+		FreeCapacity:  g.incoming.FreeShare(limit),
+		IsShedding:    g.incoming.Shedding(now),
+		IsDraining:    g.stopping(),
+		MissingShards: slices.Clone(g.unhealthyShards),
 	}
 }
--- a/internal/server/ingress/connection.go
+++ b/internal/server/ingress/connection.go
@@ -64,8 +64,8 @@
 // hasUnread reports whether bytes have arrived that were not read yet. Ending an idle connection just as its next request arrives would
 // lose that query.
 func (c *connection) hasUnread() bool {
-	c.ahead.Look()
-	return c.in.Buffered()+c.ahead.Ahead() > 0
+	c.ahead.ReadAvailable()
+	return c.in.Buffered()+c.ahead.Unread() > 0
 }
 
 // end makes the broker end the connection, and wakes its reader. The caller holds connectionSet.mu.
--- a/internal/server/ingress/request_error.go
+++ b/internal/server/ingress/request_error.go
@@ -24,8 +24,8 @@
 	if bad, ok := errors.AsType[*RequestError](err); ok {
 		return bad
 	}
-	if fault, ok := errors.AsType[*httpwire.Fault](err); ok {
-		return &RequestError{Status: fault.Status, Detail: fault.Why, Err: err}
+	if fault, ok := errors.AsType[*httpwire.MessageError](err); ok {
+		return &RequestError{Status: fault.Status, Detail: fault.Reason, Err: err}
 	}
 	return &RequestError{Status: statusBadRequest, Detail: err.Error(), Err: err}
 }
--- a/internal/server/ingress/request_error_test.go
+++ b/internal/server/ingress/request_error_test.go
@@ -14,7 +14,7 @@
 // Every error of a request has a status and a detail, and its cause can be found by type.
 func TestRequestErrors(t *testing.T) {
 	plain := errors.New("plain")
-	fault := &httpwire.Fault{Status: 413, Why: "too long"}
+	fault := &httpwire.MessageError{Status: 413, Reason: "too long"}
 	for _, c := range []struct {
 		err    error
 		status int
--- a/internal/server/ingress/serve.go
+++ b/internal/server/ingress/serve.go
@@ -54,11 +54,11 @@
 		if reason != stillOpen {
 			return reason
 		}
-		r := request{Message: m, arrival: c.ahead.Came(c.in.Buffered())}
+		r := request{Message: m, arrival: c.ahead.ArrivalTime(c.in.Buffered())}
 		endReason := in.connections.startAnswering(c)
 		r.last = endReason != stillOpen || m.Close || c.overLimit
 		// The client may already have left if its request arrived during the previous answer or before the connection was accepted.
-		if c.ahead.Look() {
+		if c.ahead.ReadAvailable() {
 			return ClientDeparted
 		}
 		c.requests++
@@ -106,7 +106,7 @@
 
 // readFailed returns why a connection ends whose request could not be read. If the client is at fault, it gets an error answer.
 func (in *Ingress) readFailed(c *connection, err error) Reason {
-	var fault *httpwire.Fault
+	var fault *httpwire.MessageError
 	switch {
 	case errors.As(err, &fault):
 		return in.rejectRequest(c, err)
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -43,7 +43,7 @@
 	b := newConnectionLeases(streams, t.Tenants)
 	b.proposeEntry = s.proposeInBackground
 	s.loop.useConnectionLeases(b)
-	s.loop.pool.Keep(b)
+	s.loop.pool.SetBudget(b)
 	g := &leaseGranting{
 		leases:        b,
 		leaseDuration: o.Lease + time.Duration(float64(o.Lease)*o.Drift),
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -25,7 +25,7 @@
 // release closes all connections to nodes for good and returns the lease that this broker still holds.
 func (b *connectionLeases) release() leaseToRelease {
 	b.stopped = true
-	b.loop.connections().End("stopping")
+	b.loop.connections().CloseAll("stopping")
 	noDemand := connlease.EncodeDemand(b.version, nil)
 	b.demandReport.Store(&noDemand) // else this broker could be granted more connections
 	if b.view == nil || b.view.Lease.Ended || b.view.Lease.Incarnation != b.view.Self.Incarnation {
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -24,7 +24,7 @@
 	}
 	excess := b.holder.ExcessConnections(now)
 	for _, r := range excess.Counts {
-		b.loop.connections().Shed(r.Node, r.Tenant, r.Connections, excess.Immediate)
+		b.loop.connections().ReleaseConnections(r.Node, r.Tenant, r.Connections, excess.Immediate)
 	}
 	for i := range b.attempts {
 		b.attempts[i].sent *= attemptDecay
@@ -56,7 +56,7 @@
 func (b *connectionLeases) measureDemand(now time.Duration) {
 	b.demand.Decay(now)
 	attemptsByKey := map[connlease.LeaseKey]int{}
-	b.loop.connections().Wants(func(node decision.NodeID, tenant, attempts int) {
+	b.loop.connections().VisitInFlight(func(node decision.NodeID, tenant, attempts int) {
 		attemptsByKey[connlease.LeaseKey{Node: node, Tenant: tenant}] += attempts
 	})
 	for key, attempts := range attemptsByKey {
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -161,7 +161,7 @@
 func (l *loop) handle(m message) {
 	switch m := m.(type) {
 	case connectionEvent:
-		l.pool.Handle(m.Event)
+		l.pool.HandleEvent(m.Event)
 	case queryReceived:
 		l.receive(m.query)
 	case queryAbandoned:
@@ -194,8 +194,8 @@
 	c := l.counters
 	c.Store = l.pool.Counts
 	c.Nodes = l.pool.Nodes()
-	c.NodeConnections = l.pool.Open()
-	c.AttemptsInFlight = l.pool.Out()
+	c.NodeConnections = l.pool.OpenConnections()
+	c.AttemptsInFlight = l.pool.InFlight()
 	if r, ok := l.router.(inspectable); ok {
 		c.AttemptsByRouter, c.EjectedNodes = r.Snapshot()
 	}
@@ -224,7 +224,7 @@
 	l.router.(reconfigurable).Reconfigure(m.terms.Module, m.deploymentChanged)
 	l.settings = m.terms
 	l.applyLimits(&m.terms.Module)
-	l.pool.Retune(m.terms.Streams, m.terms.Idle, m.terms.Dial, m.terms.LongestTimeout())
+	l.pool.UpdateLimits(m.terms.Streams, m.terms.Idle, m.terms.Dial, m.terms.LongestTimeout())
 	if m.list != nil {
 		l.applyList(m.list)
 	}
--- a/internal/server/membership_open.go
+++ b/internal/server/membership_open.go
@@ -49,7 +49,7 @@
 	}
 	addresses := s.seedAddresses(o)
 	s.loop.useMembership(newTierMembership(o, &s.start.Terms, tierIdentity{name: s.start.Name, address: s.start.PeerListen,
-		service: s.start.Discovery, start: s.loop.start}, addresses, s.loop.since(), s.gossip.Meet))
+		service: s.start.Discovery, start: s.loop.start}, addresses, s.loop.since(), s.gossip.SendTo))
 	if s.seedStore != nil {
 		s.loop.membership.storeSeeds = s.seedStore.Enqueue
 	}
@@ -101,7 +101,7 @@
 		MaxSuspicionFactor: o.Longest,
 		ForgetAfter:        o.Forget,
 		SyncInterval:       syncIntervals * o.Interval,
-		MaxDatagramBytes:   min(maxDatagram, peers.MaxSealed),
+		MaxDatagramBytes:   min(maxDatagram, peers.MaxPayload),
 		MaxMembers:         maxMembers,
 		Seed:               t.Module.Seed,
 	}
--- a/internal/server/query.go
+++ b/internal/server/query.go
@@ -32,7 +32,7 @@
 type shardRequest struct {
 	answered bool
 	value    string
-	attempts []*store.Part
+	attempts []*store.Subrequest
 }
 
 // slots returns the number of slots that a query takes: one for itself and one for each shard request.
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -139,22 +139,22 @@
 }
 
 // attemptSent counts an attempt, and tags it with its query's pin.
-func (p *readPinTracker) attemptSent(q *activeQuery, attempt *store.Part, now time.Duration) {
+func (p *readPinTracker) attemptSent(q *activeQuery, attempt *store.Subrequest, now time.Duration) {
 	if p == nil {
 		return
 	}
 	if q.pin != nil {
-		attempt.Tag = q.pin.requirement.Pin
+		attempt.ReadPin = q.pin.requirement.Pin
 	}
-	p.positions.AttemptSent(now, attempt.Tag, attempt.Node)
+	p.positions.AttemptSent(now, attempt.ReadPin, attempt.Node)
 }
 
 // attemptEnded records the position that an answer reports, and returns the attempt's outcome: Stale if the answer does not meet the hint.
-func (p *readPinTracker) attemptEnded(attempt *store.Part, outcome decision.Outcome, at time.Duration) decision.Outcome {
+func (p *readPinTracker) attemptEnded(attempt *store.Subrequest, outcome decision.Outcome, at time.Duration) decision.Outcome {
 	if p == nil {
 		return outcome
 	}
-	p.positions.AttemptEnded(attempt.Tag, attempt.Node)
+	p.positions.AttemptEnded(attempt.ReadPin, attempt.Node)
 	if outcome != decision.OK {
 		return outcome
 	}
@@ -162,7 +162,7 @@
 	if reported {
 		p.positions.Observe(at, attempt.Node, attempt.Shard, attempt.Sent, report)
 	}
-	q, i := p.loop.findShardRequest(attempt.Part)
+	q, i := p.loop.findShardRequest(attempt.Subrequest)
 	if q == nil || q.pin == nil || q.requests[i].answered {
 		return outcome
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -96,7 +96,7 @@
 		if err := s.siteKeys.Reload(); err != nil {
 			slog.Error("certificate reload rejected", "component", "gateway", "error", err, "remedy", remedy.Of(err))
 		} else {
-			slog.Info("certificates reloaded", "component", "gateway", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Ends())
+			slog.Info("certificates reloaded", "component", "gateway", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Expiry())
 		}
 	}
 	if s.controlPlane != nil {
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -15,19 +15,19 @@
 type remoteQuery struct {
 	query  *activeQuery
 	conn   *link.Conn // the link over which it came last; nil: down
-	result *link.Verdict
+	result *link.Reply
 }
 
 // handleAcceptedLink handles an event of a link that another site has dialled.
 func (g *siteGateway) handleAcceptedLink(e link.Event) {
 	c := e.Conn
-	origin := forwarding.Origin{Name: c.Theirs.Site + "/" + c.Theirs.Broker, Epoch: c.Theirs.Epoch}
+	origin := forwarding.Origin{Name: c.RemoteHello.Site + "/" + c.RemoteHello.Broker, Epoch: c.RemoteHello.Epoch}
 	switch {
 	case e.Up != nil:
 		g.incoming.LinkOpened(origin, c.Serial)
-		c.Say()
-	case e.Ask != nil:
-		g.receive(c, forwarding.Key{Origin: origin, ID: e.Ask.ID}, e.Ask)
+		c.WakeWriter()
+	case e.Query != nil:
+		g.receive(c, forwarding.Key{Origin: origin, ID: e.Query.ID}, e.Query)
 	case e.Cancel != nil:
 		k := forwarding.Key{Origin: origin, ID: *e.Cancel}
 		if r := g.remote[k]; r != nil && g.incoming.Cancel(k) {
@@ -63,16 +63,16 @@
 	case e.Down != nil:
 		g.conns[c.Peer] = nil
 		g.outgoing.LinkDown(peer, e.Down.Unsent, now)
-	case e.Heard != nil:
-		status := forwarding.Status{FreeShare: e.Heard.Room, Shedding: e.Heard.Refusing, Draining: e.Heard.Stopping, UnavailableShards: e.Heard.Lacking}
+	case e.Heartbeat != nil:
+		status := forwarding.Status{FreeShare: e.Heartbeat.FreeCapacity, Shedding: e.Heartbeat.IsShedding, Draining: e.Heartbeat.IsDraining, UnavailableShards: e.Heartbeat.MissingShards}
 		g.outgoing.HandleStatus(peer, status, c.RTT(), now)
-	case e.Verdict != nil:
-		g.handleRemoteResult(peer, e.Verdict)
+	case e.Reply != nil:
+		g.handleRemoteResult(peer, e.Reply)
 	}
 }
 
 // handleRemoteResult handles the other site's result of a forwarded query. The result is verified, like all input from outside.
-func (g *siteGateway) handleRemoteResult(peer forwarding.LinkIndex, v *link.Verdict) {
+func (g *siteGateway) handleRemoteResult(peer forwarding.LinkIndex, v *link.Reply) {
 	q := g.forwarded[v.ID]
 	if q == nil {
 		return // it has been abandoned
@@ -81,7 +81,7 @@
 	switch v.Kind {
 	case link.Refused:
 		outcome = forwarding.Rejected
-		q.forwarding.retryAfter = time.Duration(v.After) * time.Microsecond
+		q.forwarding.retryAfter = time.Duration(v.RetryAfterMicros) * time.Microsecond
 	case link.Answered:
 		result = q.verifiedAnswer(v, g.loop.typeOf(q.Request))
 		if result.Outcome == query.Answered {
@@ -97,10 +97,10 @@
 
 // verifiedAnswer returns the result that another site's answers make. It is failed if they are for other shards than requested, or not as
 // complete as they must be.
-func (q *activeQuery) verifiedAnswer(v *link.Verdict, t *decision.QueryType) query.Result {
+func (q *activeQuery) verifiedAnswer(v *link.Reply, t *decision.QueryType) query.Result {
 	invalid := query.Result{Outcome: query.Failed}
-	completeness, r := 0.0, query.Result{Outcome: query.Answered, Complete: v.Whole}
-	for _, p := range v.Pieces {
+	completeness, r := 0.0, query.Result{Outcome: query.Answered, Complete: v.IsComplete}
+	for _, p := range v.ShardAnswers {
 		at := slices.IndexFunc(q.Request.Shards, func(s query.ShardRequest) bool { return s.Shard == p.Shard })
 		twice := slices.ContainsFunc(r.Answers, func(a query.ShardAnswer) bool { return a.Shard == p.Shard })
 		if at < 0 || twice {
@@ -109,36 +109,36 @@
 		completeness += q.Request.Shards[at].Weight
 		r.Answers = append(r.Answers, query.ShardAnswer{Shard: p.Shard, Value: p.Value})
 	}
-	if completeness < t.MinCompleteness-weightTolerance || v.Whole && completeness < t.FullCompleteness-weightTolerance {
+	if completeness < t.MinCompleteness-weightTolerance || v.IsComplete && completeness < t.FullCompleteness-weightTolerance {
 		return invalid
 	}
 	return r
 }
 
 // receive handles a query of another site. If admitted, the loop runs it like any other, and its result is sent over the link.
-func (g *siteGateway) receive(c *link.Conn, k forwarding.Key, in *link.Ask) {
+func (g *siteGateway) receive(c *link.Conn, k forwarding.Key, in *link.Query) {
 	now := g.loop.since()
 	request, known := g.decode(in)
 	if !known {
-		slog.Warn("malformed query of another site rejected", "component", "gateway", "site", c.Theirs.Site, "query_type", in.Type,
+		slog.Warn("malformed query of another site rejected", "component", "gateway", "site", c.RemoteHello.Site, "query_type", in.Type,
 			"tenant", in.Tenant)
-		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused})
+		c.Reply(link.Reply{ID: in.ID, Kind: link.Refused})
 		return
 	}
 	used, limit := g.loop.capacity()
 	lacking := slices.ContainsFunc(request.Shards, func(s query.ShardRequest) bool { return slices.Contains(g.unhealthyShards, s.Shard) })
 	load := forwarding.Load{Capacity: limit, Used: used, Draining: g.stopping(), ShardUnavailable: lacking}
-	left := time.Duration(in.Left) * time.Microsecond
+	left := time.Duration(in.RemainingMicros) * time.Microsecond
 	offered := forwarding.RemoteQuery{Key: k, Link: c.Serial, Idempotency: g.loop.typeOf(request).Idempotency,
 		ShardRequests: len(request.Shards), RemainingTime: left}
 	switch g.incoming.HandleQuery(offered, load, now) {
 	case forwarding.Reject:
-		c.Verdict(link.Verdict{ID: in.ID, Kind: link.Refused, After: g.loop.retryAfterLimit().Microseconds()})
+		c.Reply(link.Reply{ID: in.ID, Kind: link.Refused, RetryAfterMicros: g.loop.retryAfterLimit().Microseconds()})
 	case forwarding.AlreadyRunning:
 		g.remote[k].conn = c
 	case forwarding.AlreadyEnded:
 		if r := g.remote[k]; r != nil && r.result != nil {
-			c.Verdict(*r.result)
+			c.Reply(*r.result)
 		}
 	case forwarding.Admit:
 		r := &remoteQuery{conn: c, query: &activeQuery{Request: request, deadline: now + left}}
@@ -151,18 +151,18 @@
 
 // sendResult sends another site the result of its query, and keeps it if it may be requested again.
 func (g *siteGateway) sendResult(k forwarding.Key, r *remoteQuery, result query.Result) {
-	out := link.Verdict{ID: k.ID, Whole: result.Complete, After: result.RetryAfter.Microseconds(), Kind: link.Failed}
+	out := link.Reply{ID: k.ID, IsComplete: result.Complete, RetryAfterMicros: result.RetryAfter.Microseconds(), Kind: link.Failed}
 	switch result.Outcome {
 	case query.Answered:
 		out.Kind = link.Answered
 		for _, a := range result.Answers {
-			out.Pieces = append(out.Pieces, link.Piece{Shard: a.Shard, Value: a.Value})
+			out.ShardAnswers = append(out.ShardAnswers, link.ShardAnswer{Shard: a.Shard, Value: a.Value})
 		}
 	case query.Shed:
 		out.Kind = link.Refused // nothing of it has run, or it is safe to run again
 	}
 	if r.conn != nil {
-		r.conn.Verdict(out)
+		r.conn.Reply(out)
 	}
 	if g.incoming.QueryEnded(k) {
 		r.result = &out
@@ -182,28 +182,28 @@
 }
 
 // encode returns the message that forwards a query.
-func (g *siteGateway) encode(q *activeQuery, a forwarding.Action) link.Ask {
-	out := link.Ask{ID: a.ID, Again: a.Retry, Left: a.RemainingTime.Microseconds(), Type: g.settings.Types[q.Type], Repeat: q.Retry,
+func (g *siteGateway) encode(q *activeQuery, a forwarding.Action) link.Query {
+	out := link.Query{ID: a.ID, Resent: a.Retry, RemainingMicros: a.RemainingTime.Microseconds(), Type: g.settings.Types[q.Type], ClientRetry: q.Retry,
 		Request: q.Request.ID, Text: q.Text}
 	if len(g.settings.Tenants) > 0 {
 		out.Tenant = g.settings.Tenants[q.Tenant]
 	}
 	for i := range q.Request.Shards {
-		out.Parts = append(out.Parts, link.Part{Shard: q.Request.Shards[i].Shard, Weight: q.Request.Shards[i].Weight})
+		out.ShardRequests = append(out.ShardRequests, link.ShardRequest{Shard: q.Request.Shards[i].Shard, Weight: q.Request.Shards[i].Weight})
 	}
 	return out
 }
 
 // decode returns the query in a message of another site. It returns false if this site does not know its type, tenant or shards, or if its
 // id or its weights are invalid.
-func (g *siteGateway) decode(in *link.Ask) (*query.Request, bool) {
+func (g *siteGateway) decode(in *link.Query) (*query.Request, bool) {
 	t := g.settings
 	r := &query.Request{
 		ID:      in.Request,
 		Type:    slices.Index(t.Types, in.Type),
-		Retry:   in.Repeat,
+		Retry:   in.ClientRetry,
 		Text:    in.Text,
-		Timeout: time.Duration(in.Left) * time.Microsecond,
+		Timeout: time.Duration(in.RemainingMicros) * time.Microsecond,
 	}
 	if len(t.Tenants) > 0 {
 		r.Tenant = slices.Index(t.Tenants, in.Tenant)
@@ -212,7 +212,7 @@
 		return nil, false
 	}
 	seen, sum := map[int]bool{}, 0.0
-	for _, p := range in.Parts {
+	for _, p := range in.ShardRequests {
 		if p.Shard >= t.Shards || seen[p.Shard] {
 			return nil, false
 		}
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -53,7 +53,7 @@
 	}
 	post := func(e store.Event) { s.deliver(connectionEvent{e}) }
 	s.loop.pool = store.NewPool(s.ctx, limits, store.DialTCP, s.loop.since, s.group.Go, post, s.loop.attemptEnded)
-	s.loop.pool.Probed = s.loop.healthCheckEnded
+	s.loop.pool.ProbeEnded = s.loop.healthCheckEnded
 	if s.controlPlane != nil && s.operator.Fleet.Budgets {
 		s.openConnLeases(limits.Streams)
 	}
@@ -61,7 +61,7 @@
 		s.loop.pool.KeepReports()
 	}
 	if o.Protocol != "" {
-		s.loop.pool.Carry(back.Carrier(s.ctx, back.Options{Protocol: o.Protocol, Database: o.Database, Dial: t.Dial, Now: s.loop.since, Post: post}))
+		s.loop.pool.SetCarrier(back.Carrier(s.ctx, back.Options{Protocol: o.Protocol, Database: o.Database, Dial: t.Dial, Now: s.loop.since, Post: post}))
 	}
 }
 
@@ -87,7 +87,7 @@
 func (s *Server) startGossip() {
 	if s.gossip != nil {
 		s.startGoroutine(s.gossip.Send)
-		s.startGoroutine(s.gossip.Hear)
+		s.startGoroutine(s.gossip.Receive)
 	}
 	if s.seedStore != nil {
 		s.startGoroutine(s.seedStore.Run)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -70,7 +70,7 @@
 	servingFronts sync.WaitGroup // fronts whose Serve has not returned
 
 	// other brokers
-	gossip       *peers.Link       // nil: the settings do not allow gossip
+	gossip       *peers.Socket     // nil: the settings do not allow gossip
 	seedStore    *seeds.Writer     // nil: members' addresses are not stored
 	controlPlane *tierControlPlane // nil: there is no control plane
 	siteKeys     *keys.Keyring     // nil: there is no gateway
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	s.loop.sendGossip = s.gossip.Tell
+	s.loop.sendGossip = s.gossip.Broadcast
 	if s.operator.Crew.On {
 		s.openMembership()
 	}
--- a/internal/server/site_links.go
+++ b/internal/server/site_links.go
@@ -27,12 +27,12 @@
 		return err
 	}
 	options := link.Options{
-		Keys:   s.siteKeys,
-		Epoch:  rand.Uint64(),
-		Credit: o.Credit,
-		Sites:  o.Allow,
-		MostIn: o.MostLinks,
-		Post:   func(e link.Event) { s.deliver(linkEvent{e}) },
+		Keys:        s.siteKeys,
+		Epoch:       rand.Uint64(),
+		Credit:      o.Credit,
+		Sites:       o.Allow,
+		MaxAccepted: o.MostLinks,
+		Post:        func(e link.Event) { s.deliver(linkEvent{e}) },
 	}
 	var names []string
 	for _, t := range o.Dialled() {
@@ -65,7 +65,7 @@
 func (s *Server) runSiteLinks() {
 	for peer := range s.operator.Sites.Targets {
 		s.startGoroutine(func(ctx context.Context) error {
-			s.siteLinks.Keep(ctx, peer)
+			s.siteLinks.Maintain(ctx, peer)
 			return nil
 		})
 	}
@@ -82,8 +82,8 @@
 // watchCertificate logs warnings while the certificate for site links expires soon, until ctx ends.
 func (s *Server) watchCertificate(ctx context.Context) error {
 	for {
-		if left := time.Until(s.siteKeys.Ends()); left < certificateExpiryWarning {
-			slog.Warn("certificate expires soon", "component", "certificates", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Ends(),
+		if left := time.Until(s.siteKeys.Expiry()); left < certificateExpiryWarning {
+			slog.Warn("certificate expires soon", "component", "certificates", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Expiry(),
 				"left", left.Round(time.Hour))
 		}
 		select {
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -64,7 +64,7 @@
 		s.controlPlane.SetLeaving()
 	}
 	if s.siteLinks != nil {
-		s.siteLinks.Say(link.Status{Stopping: true}, true) // other sites forward nothing new; queries in flight are finished
+		s.siteLinks.SetStatus(link.Status{IsDraining: true}, true) // other sites forward nothing new; queries in flight are finished
 	}
 }
 
--- a/internal/transport/httpwire/fields.go
+++ b/internal/transport/httpwire/fields.go
@@ -20,29 +20,29 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
-			return nil, fault(400, "header line %.60q", line)
+			return nil, messageErrorf(400, "header line %.60q", line)
 		}
 		if fields == nil {
-			fields = make([]Field, 0, usualFields)
+			fields = make([]Field, 0, initialFields)
 		}
 		if size += len(line); len(fields) == maxFields || size > maxHead {
-			return nil, fault(431, "more than %d header fields, or %d bytes of them", maxFields, maxHead)
+			return nil, messageErrorf(431, "more than %d header fields, or %d bytes of them", maxFields, maxHead)
 		}
 		value = strings.Trim(value, " \t")
 		if strings.ContainsAny(value, "\x00\r") {
-			return nil, fault(400, "control character in %s", name)
+			return nil, messageErrorf(400, "control character in %s", name)
 		}
-		fields = append(fields, Field{lower(name), value})
+		fields = append(fields, Field{lowerName(name), value})
 	}
 }
 
-// known are names that come with most messages, as they are kept.
-var known = [...]string{"host", "x-request-id", "x-tenant-id", "x-timeout-ms", "content-length", "cookie", "connection",
+// commonNames are names that come with most messages, as they are kept.
+var commonNames = [...]string{"host", "x-request-id", "x-tenant-id", "x-timeout-ms", "content-length", "cookie", "connection",
 	"content-type", "x-retried", "transfer-encoding", "user-agent", "accept"}
 
-// lower gives a name in lower case, the usual ones without making it anew.
-func lower(name string) string {
-	for _, k := range known {
+// lowerName gives a name in lower case, the usual ones without making it anew.
+func lowerName(name string) string {
+	for _, k := range commonNames {
 		if len(k) == len(name) && strings.EqualFold(k, name) {
 			return k
 		}
@@ -60,14 +60,14 @@
 		digits, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 31)
 		if err != nil || strings.HasPrefix(digits, "+") {
-			return nil, fault(400, "chunk size %.40q", line)
+			return nil, messageErrorf(400, "chunk size %.40q", line)
 		}
 		if n == 0 {
 			_, err := readFields(r)
 			return body.Bytes(), err
 		}
 		if body.Len()+int(n) > MaxBody {
-			return nil, fault(413, "chunks beyond %d bytes", MaxBody)
+			return nil, messageErrorf(413, "chunks beyond %d bytes", MaxBody)
 		}
 		if _, err := io.CopyN(body, r, int64(n)); err != nil {
 			return nil, err
@@ -75,7 +75,7 @@
 		if line, err := readLine(r); err != nil {
 			return nil, err
 		} else if line != "" {
-			return nil, fault(400, "chunk longer than it says")
+			return nil, messageErrorf(400, "chunk longer than it says")
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	}
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		return "", fault(431, "line beyond %d bytes", maxLine)
+		return "", messageErrorf(431, "line beyond %d bytes", maxLine)
 	case errors.Is(err, io.EOF) && len(line) > 0:
 		return "", io.ErrUnexpectedEOF
 	}
--- a/internal/transport/httpwire/httpwire.go
+++ b/internal/transport/httpwire/httpwire.go
@@ -23,19 +23,19 @@
 	maxFields = 64
 	maxHead   = 16 << 10
 
-	usualFields = 8
+	initialFields = 8
 )
 
-// Fault is a message that can't be used. The connection it came on can't be trusted any more.
-type Fault struct {
+// MessageError is a message that can't be used. The connection it came on can't be trusted any more.
+type MessageError struct {
 	Status int // what a client is told
-	Why    string
+	Reason string
 }
 
-func (f *Fault) Error() string { return f.Why }
+func (f *MessageError) Error() string { return f.Reason }
 
-func fault(status int, format string, args ...any) error {
-	return &Fault{status, fmt.Sprintf(format, args...)}
+func messageErrorf(status int, format string, args ...any) error {
+	return &MessageError{status, fmt.Sprintf(format, args...)}
 }
 
 // Field is one header field; its name is in lower case.
@@ -73,18 +73,18 @@
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	if !ok || !isToken(method) || !strings.HasPrefix(target, "/") {
-		return nil, fault(400, "request line %.60q", line)
+		return nil, messageErrorf(400, "request line %.60q", line)
 	}
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, fault(505, "version %.20q", version)
+		return nil, messageErrorf(505, "version %.20q", version)
 	}
 	m := &Message{Method: method}
 	m.Path, m.Query, _ = strings.Cut(target, "?")
-	if err := m.readRest(r, version == "HTTP/1.0", false); err != nil {
-		return nil, midway(err)
+	if err := m.readFieldsAndBody(r, version == "HTTP/1.0", false); err != nil {
+		return nil, insideMessage(err)
 	}
 	if _, hosts := m.Get("host"); hosts > 1 || hosts == 0 && version == "HTTP/1.1" {
-		return nil, fault(400, "%d Host fields", hosts)
+		return nil, messageErrorf(400, "%d Host fields", hosts)
 	}
 	return m, nil
 }
@@ -99,25 +99,25 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, fault(502, "status line %.60q", line)
+		return nil, messageErrorf(502, "status line %.60q", line)
 	}
 	m := &Message{Status: status}
-	if err := m.readRest(r, version == "HTTP/1.0", true); err != nil {
-		return nil, midway(err)
+	if err := m.readFieldsAndBody(r, version == "HTTP/1.0", true); err != nil {
+		return nil, insideMessage(err)
 	}
 	return m, nil
 }
 
-// midway tells an end inside a message from one between two.
-func midway(err error) error {
+// insideMessage tells an end inside a message from one between two.
+func insideMessage(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func (m *Message) readRest(r *bufio.Reader, old, response bool) (err error) {
-	m.Close = old
+func (m *Message) readFieldsAndBody(r *bufio.Reader, http10, response bool) (err error) {
+	m.Close = http10
 	if m.Fields, err = readFields(r); err != nil {
 		return err
 	}
@@ -128,32 +128,32 @@
 			for option := range strings.SplitSeq(f.Value, ",") {
 				if option = strings.TrimSpace(option); strings.EqualFold(option, "close") {
 					m.Close = true
-				} else if old && strings.EqualFold(option, "keep-alive") {
+				} else if http10 && strings.EqualFold(option, "keep-alive") {
 					m.Close = false
 				}
 			}
 		case "content-length":
 			n, err := strconv.ParseUint(f.Value, 10, 31)
 			if err != nil || strings.HasPrefix(f.Value, "+") || length >= 0 && length != int(n) {
-				return fault(400, "content-length %.40q", f.Value)
+				return messageErrorf(400, "content-length %.40q", f.Value)
 			}
 			length = int(n)
 		case "transfer-encoding":
 			if chunked || !strings.EqualFold(f.Value, "chunked") {
-				return fault(501, "transfer-encoding %.40q", f.Value)
+				return messageErrorf(501, "transfer-encoding %.40q", f.Value)
 			}
 			chunked = true
 		case "expect":
-			return fault(417, "expect %.40q", f.Value)
+			return messageErrorf(417, "expect %.40q", f.Value)
 		}
 	}
 	switch {
-	case chunked && (length >= 0 || old):
-		return fault(400, "a length and chunks, or chunks in HTTP/1.0")
+	case chunked && (length >= 0 || http10):
+		return messageErrorf(400, "a length and chunks, or chunks in HTTP/1.0")
 	case chunked:
 		m.Body, err = readChunks(r)
 	case length > MaxBody:
-		return fault(413, "body of %d bytes", length)
+		return messageErrorf(413, "body of %d bytes", length)
 	case length > 0 && r.Buffered() >= length: // it is all there
 		m.Body = make([]byte, length)
 		_, err = io.ReadFull(r, m.Body)
@@ -164,7 +164,7 @@
 	case length < 0 && response && m.Status != 204 && m.Status != 304: // it ends with the connection
 		m.Close = true
 		if m.Body, err = io.ReadAll(io.LimitReader(r, MaxBody+1)); len(m.Body) > MaxBody {
-			return fault(502, "body beyond %d bytes", MaxBody)
+			return messageErrorf(502, "body beyond %d bytes", MaxBody)
 		}
 	}
 	return err
--- a/internal/transport/httpwire/httpwire_test.go
+++ b/internal/transport/httpwire/httpwire_test.go
@@ -11,17 +11,19 @@
 	"testing/iotest"
 )
 
-const post = "POST /find/x?y=1 HTTP/1.1\r\nHost: b\r\nX-Tenant-Id:  acme \r\n"
+const postHead = "POST /find/x?y=1 HTTP/1.1\r\nHost: b\r\nX-Tenant-Id:  acme \r\n"
 
-func read(text string) (*Message, error) { return ReadRequest(NewReader(strings.NewReader(text))) }
+func readRequest(text string) (*Message, error) {
+	return ReadRequest(NewReader(strings.NewReader(text)))
+}
 
 func TestRequests(t *testing.T) {
 	for _, framing := range []string{
 		"Content-Length: 5\r\n\r\nhello",
 		"Transfer-Encoding: chunked\r\n\r\n2;x=1\r\nhe\r\n3\r\nllo\r\n0\r\nTrailer: 1\r\n\r\n",
 	} {
-		two := post + framing + post + "Connection: x, Close\r\n" + framing // pipelined
-		for _, r := range []io.Reader{strings.NewReader(two), iotest.OneByteReader(strings.NewReader(two))} {
+		pipelined := postHead + framing + postHead + "Connection: x, Close\r\n" + framing // pipelined
+		for _, r := range []io.Reader{strings.NewReader(pipelined), iotest.OneByteReader(strings.NewReader(pipelined))} {
 			in := NewReader(r)
 			first, err := ReadRequest(in)
 			if err != nil || first.Method != "POST" || first.Path != "/find/x" || first.Query != "y=1" ||
@@ -39,7 +41,7 @@
 			}
 		}
 	}
-	if m, err := read("\r\nGET /up HTTP/1.0\r\n\r\n"); err != nil || !m.Close {
+	if m, err := readRequest("\r\nGET /up HTTP/1.0\r\n\r\n"); err != nil || !m.Close {
 		t.Errorf("%v, %+v", err, m)
 	}
 }
@@ -47,37 +49,37 @@
 // A message whose end is unclear is refused: what follows it could be taken for another search.
 func TestBadRequests(t *testing.T) {
 	for text, status := range map[string]int{
-		"GET\r\n\r\n":                                                    400,
-		"GET up HTTP/1.1\r\nHost: b\r\n\r\n":                             400,
-		"GET /up HTTP/2.0\r\n\r\n":                                       505,
-		"GET /up HTTP/1.1\r\n\r\n":                                       400,
-		post + "Host: c\r\n\r\n":                                         400,
-		post + "Bad Name: 1\r\n\r\n":                                     400,
-		post + " folded\r\n\r\n":                                         400,
-		post + "Content-Length: -1\r\n\r\n":                              400,
-		post + "Content-Length: +1\r\n\r\n1":                             400,
-		post + "Content-Length: 1, 1\r\n\r\n1":                           400,
-		post + "Content-Length: 65537\r\n\r\n":                           413,
-		post + "Transfer-Encoding: gzip\r\n\r\n":                         501,
-		post + "Expect: 100-continue\r\n\r\n":                            417,
-		post + strings.Repeat("A: b\r\n", 70):                            431,
-		post + "A: " + strings.Repeat("b", 5000):                         431,
-		post + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n12":        400,
-		post + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n": 400,
-		post + "Transfer-Encoding: chunked\r\n\r\nx\r\n":                 400,
-		post + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n":           400,
-		post + "Transfer-Encoding: chunked\r\n\r\n10001\r\n":             413,
-		post + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n":  400,
-		"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": 400,
+		"GET\r\n\r\n":                                                        400,
+		"GET up HTTP/1.1\r\nHost: b\r\n\r\n":                                 400,
+		"GET /up HTTP/2.0\r\n\r\n":                                           505,
+		"GET /up HTTP/1.1\r\n\r\n":                                           400,
+		postHead + "Host: c\r\n\r\n":                                         400,
+		postHead + "Bad Name: 1\r\n\r\n":                                     400,
+		postHead + " folded\r\n\r\n":                                         400,
+		postHead + "Content-Length: -1\r\n\r\n":                              400,
+		postHead + "Content-Length: +1\r\n\r\n1":                             400,
+		postHead + "Content-Length: 1, 1\r\n\r\n1":                           400,
+		postHead + "Content-Length: 65537\r\n\r\n":                           413,
+		postHead + "Transfer-Encoding: gzip\r\n\r\n":                         501,
+		postHead + "Expect: 100-continue\r\n\r\n":                            417,
+		postHead + strings.Repeat("A: b\r\n", 70):                            431,
+		postHead + "A: " + strings.Repeat("b", 5000):                         431,
+		postHead + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n12":        400,
+		postHead + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n": 400,
+		postHead + "Transfer-Encoding: chunked\r\n\r\nx\r\n":                 400,
+		postHead + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n":           400,
+		postHead + "Transfer-Encoding: chunked\r\n\r\n10001\r\n":             413,
+		postHead + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n":  400,
+		"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":     400,
 	} {
-		var f *Fault
-		if _, err := read(text); !errors.As(err, &f) || f.Status != status {
+		var f *MessageError
+		if _, err := readRequest(text); !errors.As(err, &f) || f.Status != status {
 			t.Errorf("%.80q: got %v, want %d", text, err, status)
 		}
 	}
-	for _, text := range []string{"GE", post, post + "Content-Length: 5\r\n\r\nhell",
-		post + "Transfer-Encoding: chunked\r\n\r\n5\r\nhell"} {
-		if _, err := read(text); err != io.ErrUnexpectedEOF {
+	for _, text := range []string{"GE", postHead, postHead + "Content-Length: 5\r\n\r\nhell",
+		postHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhell"} {
+		if _, err := readRequest(text); err != io.ErrUnexpectedEOF {
 			t.Errorf("%.80q cut short: got %v", text, err)
 		}
 	}
@@ -100,7 +102,7 @@
 			t.Errorf("%.40q was read", bad)
 		}
 	}
-	req, err := read(string(AppendRequest(nil, "GET", "/list?index=1", "b")))
+	req, err := readRequest(string(AppendRequest(nil, "GET", "/list?index=1", "b")))
 	if err != nil || req.Path != "/list" || req.Query != "index=1" {
 		t.Errorf("%v, %+v", err, req)
 	}
@@ -108,8 +110,8 @@
 
 // However a request is cut into packets, it is read the same.
 func FuzzRequest(f *testing.F) {
-	f.Add([]byte(post + "Content-Length: 5\r\n\r\nhello"))
-	f.Add([]byte(post + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"))
+	f.Add([]byte(postHead + "Content-Length: 5\r\n\r\nhello"))
+	f.Add([]byte(postHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		whole, err := ReadRequest(NewReader(bytes.NewReader(data)))
 		split, err2 := ReadRequest(NewReader(iotest.OneByteReader(bytes.NewReader(data))))
--- a/internal/transport/httpwire/write.go
+++ b/internal/transport/httpwire/write.go
@@ -13,20 +13,20 @@
 }
 
 // AppendResponse encodes a response with its length; fields are whole header lines without their end.
-func AppendResponse(b []byte, status int, last bool, body []byte, fields ...string) []byte {
+func AppendResponse(b []byte, status int, closeConn bool, body []byte, fields ...string) []byte {
 	b = append(strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10), ' ')
-	b = append(append(b, reason(status)...), "\r\nContent-Length: "...)
+	b = append(append(b, reasonPhrase(status)...), "\r\nContent-Length: "...)
 	b = append(strconv.AppendInt(b, int64(len(body)), 10), "\r\n"...)
 	for _, f := range fields {
 		b = append(append(b, f...), '\r', '\n')
 	}
-	if last {
+	if closeConn {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return append(append(b, '\r', '\n'), body...)
 }
 
-func reason(status int) string {
+func reasonPhrase(status int) string {
 	switch status {
 	case 200:
 		return "OK"
--- a/internal/transport/keys/error.go
+++ b/internal/transport/keys/error.go
@@ -7,62 +7,64 @@
 	"io/fs"
 )
 
-// BadName is an identity that could be read in two ways.
-type BadName struct{ ID ID }
+// NameError is an identity that could be read in two ways.
+type NameError struct{ ID ID }
 
-func (e *BadName) Error() string {
+func (e *NameError) Error() string {
 	return fmt.Sprintf("site %q, broker %q: each is 1 to 63 of a-z, 0-9, dots and hyphens", e.ID.Site, e.ID.Broker)
 }
 
 // Remedy is what an operator can do.
-func (e *BadName) Remedy() string { return "name site and broker with a-z, 0-9, dots and hyphens only" }
+func (e *NameError) Remedy() string {
+	return "name site and broker with a-z, 0-9, dots and hyphens only"
+}
 
-// Exposed is a private key that others may read.
-type Exposed struct {
+// ExposedKeyError is a private key that others may read.
+type ExposedKeyError struct {
 	Path string
 	Mode fs.FileMode
 }
 
-func (e *Exposed) Error() string {
+func (e *ExposedKeyError) Error() string {
 	return fmt.Sprintf("%s may be read by others (mode %o); 600 is wanted", e.Path, e.Mode)
 }
 
 // Remedy is what an operator can do.
-func (e *Exposed) Remedy() string {
+func (e *ExposedKeyError) Remedy() string {
 	return "chmod 600 " + e.Path + "; if anybody else could have read it, issue a new one and revoke the old"
 }
 
-// Unusable is a file that does not hold what it should.
-type Unusable struct {
+// FileError is a file that does not hold what it should.
+type FileError struct {
 	Path string
 	Err  error
 }
 
-func (e *Unusable) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Err) }
+func (e *FileError) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Err) }
 
-func (e *Unusable) Unwrap() error { return e.Err }
+func (e *FileError) Unwrap() error { return e.Err }
 
 // Remedy is what an operator can do.
-func (e *Unusable) Remedy() string {
+func (e *FileError) Remedy() string {
 	return "copy or issue " + e.Path + " anew (flaxfront keys), then try `flaxfront keys check`"
 }
 
-// Refused is a certificate that does not count.
-type Refused struct {
+// CertificateError is a certificate that does not count.
+type CertificateError struct {
 	Serial string // "": none was shown
 	Err    error
 }
 
-func (e *Refused) Error() string {
+func (e *CertificateError) Error() string {
 	if e.Serial == "" {
 		return fmt.Sprintf("certificate: %v", e.Err)
 	}
 	return fmt.Sprintf("certificate %s: %v", e.Serial, e.Err)
 }
 
-func (e *Refused) Unwrap() error { return e.Err }
+func (e *CertificateError) Unwrap() error { return e.Err }
 
 // Remedy is what an operator can do.
-func (e *Refused) Remedy() string {
-	return "issue a certificate with `flaxfront keys issue`, or bring " + AuthorityCert + " and " + Revoked + " up to date, then send SIGHUP"
+func (e *CertificateError) Remedy() string {
+	return "issue a certificate with `flaxfront keys issue`, or bring " + AuthorityCert + " and " + RevocationFile + " up to date, then send SIGHUP"
 }
--- a/internal/transport/keys/files.go
+++ b/internal/transport/keys/files.go
@@ -32,14 +32,14 @@
 	return errors.Join(err, f.Close())
 }
 
-// private refuses a key that others may read.
-func private(path string) error {
+// checkPrivate refuses a key that others may read.
+func checkPrivate(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return &Exposed{path, info.Mode().Perm()}
+		return &ExposedKeyError{path, info.Mode().Perm()}
 	}
 	return nil
 }
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if info.Size() > maxFile {
-		return nil, &Unusable{path, fmt.Errorf("%d bytes, %d at most", info.Size(), maxFile)}
+		return nil, &FileError{path, fmt.Errorf("%d bytes, %d at most", info.Size(), maxFile)}
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -66,7 +66,7 @@
 		}
 	}
 	if len(blocks) == 0 {
-		return nil, &Unusable{path, fmt.Errorf("holds no %s", strings.ToLower(kind))}
+		return nil, &FileError{path, fmt.Errorf("holds no %s", strings.ToLower(kind))}
 	}
 	return blocks, nil
 }
@@ -80,7 +80,7 @@
 	for _, b := range blocks {
 		c, err := x509.ParseCertificate(b)
 		if err != nil {
-			return nil, &Unusable{path, err}
+			return nil, &FileError{path, err}
 		}
 		all = append(all, c)
 	}
@@ -88,7 +88,7 @@
 }
 
 // readRevoked reads a list of revoked certificates, which one of the authorities must have signed; none is nil.
-func readRevoked(path string, by []*x509.Certificate) (*x509.RevocationList, error) {
+func readRevoked(path string, authorities []*x509.Certificate) (*x509.RevocationList, error) {
 	blocks, err := readPEM(path, "X509 CRL")
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -97,10 +97,10 @@
 	}
 	list, err := x509.ParseRevocationList(blocks[0])
 	if err != nil {
-		return nil, &Unusable{path, err}
+		return nil, &FileError{path, err}
 	}
-	if !slices.ContainsFunc(by, func(c *x509.Certificate) bool { return list.CheckSignatureFrom(c) == nil }) {
-		return nil, &Unusable{path, errors.New("signed by none of the authorities")}
+	if !slices.ContainsFunc(authorities, func(c *x509.Certificate) bool { return list.CheckSignatureFrom(c) == nil }) {
+		return nil, &FileError{path, errors.New("signed by none of the authorities")}
 	}
 	return list, nil
 }
--- a/internal/transport/keys/issue.go
+++ b/internal/transport/keys/issue.go
@@ -18,10 +18,12 @@
 	"time"
 )
 
-func serial() (*big.Int, error) { return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127)) }
+func newSerial() (*big.Int, error) {
+	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
+}
 
 // NewAuthority makes an authority in a directory. It refuses to replace one.
-func NewAuthority(dir, name string, last time.Duration, now time.Time) error {
+func NewAuthority(dir, name string, lifetime time.Duration, now time.Time) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -29,12 +31,12 @@
 	if err != nil {
 		return err
 	}
-	number, err := serial()
+	number, err := newSerial()
 	if err != nil {
 		return err
 	}
 	t := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-time.Minute),
-		NotAfter: now.Add(last), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+		NotAfter: now.Add(lifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
 	if err == nil {
@@ -48,30 +50,30 @@
 
 // Issue makes a certificate with its key for a broker, in a directory of its own, by an authority. What stands there is
 // replaced: a broker that runs takes it over at SIGHUP.
-func Issue(authority, dir string, id ID, last time.Duration, now time.Time) (*x509.Certificate, error) {
+func Issue(authority, dir string, id ID, lifetime time.Duration, now time.Time) (*x509.Certificate, error) {
 	if err := id.Check(); err != nil {
 		return nil, err
 	}
-	ca, key, err := signer(authority, now)
+	ca, key, err := loadAuthority(authority, now)
 	if err != nil {
 		return nil, err
 	}
-	number, err := serial()
+	number, err := newSerial()
 	if err != nil {
 		return nil, err
 	}
-	own, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	brokerKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	end := now.Add(last)
+	end := now.Add(lifetime)
 	if end.After(ca.NotAfter) {
 		end = ca.NotAfter
 	}
 	t := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{CommonName: id.String()}, URIs: []*url.URL{id.url()},
 		NotBefore: now.Add(-time.Minute), NotAfter: end, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
-	der, err := x509.CreateCertificate(rand.Reader, t, ca, own.Public(), key)
+	der, err := x509.CreateCertificate(rand.Reader, t, ca, brokerKey.Public(), key)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +90,7 @@
 			return nil, err
 		}
 	}
-	if err = writeKey(filepath.Join(dir, BrokerKey), own); err == nil {
+	if err = writeKey(filepath.Join(dir, BrokerKey), brokerKey); err == nil {
 		err = writeNew(filepath.Join(dir, BrokerCert), "CERTIFICATE", der, 0o644)
 	}
 	if err == nil && filepath.Clean(dir) != filepath.Clean(authority) {
@@ -102,11 +104,11 @@
 
 // Revoke adds certificates, by number, to an authority's list of those revoked.
 func Revoke(authority string, serials []string, now time.Time) error {
-	ca, key, err := signer(authority, now)
+	ca, key, err := loadAuthority(authority, now)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(authority, Revoked)
+	path := filepath.Join(authority, RevocationFile)
 	list, err := readRevoked(path, []*x509.Certificate{ca})
 	if err != nil {
 		return err
@@ -135,14 +137,14 @@
 	return os.Rename(temp, path)
 }
 
-// signer reads an authority's certificate and key.
-func signer(dir string, now time.Time) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+// loadAuthority reads an authority's certificate and key.
+func loadAuthority(dir string, now time.Time) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	all, err := ReadCertificates(filepath.Join(dir, AuthorityCert))
 	if err != nil {
 		return nil, nil, err
 	}
 	path := filepath.Join(dir, AuthorityKey)
-	if err := private(path); err != nil {
+	if err := checkPrivate(path); err != nil {
 		return nil, nil, err
 	}
 	block, err := readPEM(path, "PRIVATE KEY")
@@ -151,19 +153,19 @@
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block[0])
 	if err != nil {
-		return nil, nil, &Unusable{path, err}
+		return nil, nil, &FileError{path, err}
 	}
 	key, ok := parsed.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, &Unusable{path, errors.New("not an ECDSA key")}
+		return nil, nil, &FileError{path, errors.New("not an ECDSA key")}
 	}
 	for _, c := range all {
 		if pub, ok := c.PublicKey.(*ecdsa.PublicKey); ok && pub.Equal(key.Public()) {
 			if now.After(c.NotAfter) {
-				return nil, nil, &Refused{Serial(c), fmt.Errorf("the authority in %s expired on %s", dir, c.NotAfter.Format(time.DateOnly))}
+				return nil, nil, &CertificateError{Serial(c), fmt.Errorf("the authority in %s expired on %s", dir, c.NotAfter.Format(time.DateOnly))}
 			}
 			return c, key, nil
 		}
 	}
-	return nil, nil, &Unusable{path, errors.New("belongs to no certificate in " + AuthorityCert)}
+	return nil, nil, &FileError{path, errors.New("belongs to no certificate in " + AuthorityCert)}
 }
--- a/internal/transport/keys/keys.go
+++ b/internal/transport/keys/keys.go
@@ -18,11 +18,11 @@
 
 // The files of a directory of keys.
 const (
-	AuthorityCert = "authority.crt" // may hold several, while one follows another
-	AuthorityKey  = "authority.key" // only where certificates are issued
-	BrokerCert    = "broker.crt"
-	BrokerKey     = "broker.key"
-	Revoked       = "revoked.crl" // may be absent
+	AuthorityCert  = "authority.crt" // may hold several, while one follows another
+	AuthorityKey   = "authority.key" // only where certificates are issued
+	BrokerCert     = "broker.crt"
+	BrokerKey      = "broker.key"
+	RevocationFile = "revoked.crl" // may be absent
 
 	scheme  = "flaxfront"
 	maxFile = 1 << 20
@@ -40,7 +40,7 @@
 // Check refuses names that could be read in two ways.
 func (id ID) Check() error {
 	if !plainName.MatchString(id.Site) || !plainName.MatchString(id.Broker) {
-		return &BadName{id}
+		return &NameError{id}
 	}
 	return nil
 }
@@ -48,7 +48,7 @@
 // Identity reads a certificate's name.
 func Identity(c *x509.Certificate) (id ID, err error) {
 	if len(c.URIs) != 1 || c.URIs[0].Scheme != scheme {
-		return id, &Refused{Serial(c), errors.New("names no broker")}
+		return id, &CertificateError{Serial(c), errors.New("names no broker")}
 	}
 	id = ID{c.URIs[0].Host, strings.TrimPrefix(c.URIs[0].Path, "/")}
 	return id, id.Check()
--- a/internal/transport/keys/keys_test.go
+++ b/internal/transport/keys/keys_test.go
@@ -14,24 +14,24 @@
 
 var now = time.Now()
 
-// hall is an authority with some brokers' directories.
-func hall(t *testing.T, ids ...ID) (dir string, of map[ID]string) {
+// newAuthorityAndBrokers is an authority with some brokers' directories.
+func newAuthorityAndBrokers(t *testing.T, ids ...ID) (dir string, dirs map[ID]string) {
 	t.Helper()
-	dir, of = t.TempDir(), map[ID]string{}
+	dir, dirs = t.TempDir(), map[ID]string{}
 	if err := NewAuthority(filepath.Join(dir, "ca"), "test", 48*time.Hour, now); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range ids {
-		of[id] = filepath.Join(dir, id.Site+"-"+id.Broker)
-		if _, err := Issue(filepath.Join(dir, "ca"), of[id], id, time.Hour, now); err != nil {
+		dirs[id] = filepath.Join(dir, id.Site+"-"+id.Broker)
+		if _, err := Issue(filepath.Join(dir, "ca"), dirs[id], id, time.Hour, now); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return dir, of
+	return dir, dirs
 }
 
-// shake makes a handshake and returns what each side says of it.
-func shake(server, client *Keyring, atServer, atClient func(ID) error) (serverErr, clientErr error) {
+// handshake makes a handshake and returns what each side says of it.
+func handshake(server, client *Keyring, atServer, atClient func(ID) error) (serverErr, clientErr error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err, err
@@ -63,7 +63,7 @@
 
 func any(ID) error { return nil }
 
-func open(t *testing.T, dir string) *Keyring {
+func mustOpen(t *testing.T, dir string) *Keyring {
 	t.Helper()
 	k, err := Open(dir)
 	if err != nil {
@@ -74,15 +74,15 @@
 
 // Two brokers of one authority meet; a stranger, another site's, an expired or a revoked one gets no further than the
 // handshake.
-func TestWhoGetsIn(t *testing.T) {
+func TestHandshakeChecksCertificates(t *testing.T) {
 	a, b := ID{"site-a", "n0"}, ID{"site-b", "n1"}
-	dir, of := hall(t, a, b)
-	_, others := hall(t, b)
-	ka, kb := open(t, of[a]), open(t, of[b])
-	if s, c := shake(ka, kb, any, any); s != nil || c != nil || ka.ID() != a {
+	dir, dirs := newAuthorityAndBrokers(t, a, b)
+	_, otherAuthority := newAuthorityAndBrokers(t, b)
+	ka, kb := mustOpen(t, dirs[a]), mustOpen(t, dirs[b])
+	if s, c := handshake(ka, kb, any, any); s != nil || c != nil || ka.ID() != a {
 		t.Fatal(s, c)
 	}
-	if s, c := shake(ka, open(t, others[b]), any, any); s == nil || c == nil {
+	if s, c := handshake(ka, mustOpen(t, otherAuthority[b]), any, any); s == nil || c == nil {
 		t.Errorf("a stranger: %v, %v", s, c)
 	}
 	onlyC := func(id ID) error {
@@ -91,30 +91,30 @@
 		}
 		return nil
 	}
-	if s, c := shake(ka, kb, onlyC, any); s == nil || c == nil || !strings.Contains(s.Error(), "site-b/n1 came") {
+	if s, c := handshake(ka, kb, onlyC, any); s == nil || c == nil || !strings.Contains(s.Error(), "site-b/n1 came") {
 		t.Errorf("another site's: %v, %v", s, c)
 	}
-	if s, c := shake(ka, kb, any, onlyC); s == nil || c == nil {
+	if s, c := handshake(ka, kb, any, onlyC); s == nil || c == nil {
 		t.Errorf("another site's, seen by the client: %v, %v", s, c)
 	}
 	later := &Keyring{dir: ka.dir, now: func() time.Time { return now.Add(2 * time.Hour) }}
-	later.at.Store(ka.at.Load())
-	if s, _ := shake(later, kb, any, any); s == nil || !strings.Contains(s.Error(), "expired") {
+	later.current.Store(ka.current.Load())
+	if s, _ := handshake(later, kb, any, any); s == nil || !strings.Contains(s.Error(), "expired") {
 		t.Errorf("an expired one: %v", s)
 	}
 	if err := later.Reload(); err == nil || !strings.Contains(err.Error(), "expired") {
 		t.Errorf("an expired one of its own: %v", err)
 	}
 	ca := filepath.Join(dir, "ca")
-	if err := Revoke(ca, []string{Serial(kb.at.Load().own.Leaf)}, now); err != nil {
+	if err := Revoke(ca, []string{Serial(kb.current.Load().ownCert.Leaf)}, now); err != nil {
 		t.Fatal(err)
 	}
-	list, _ := os.ReadFile(filepath.Join(ca, Revoked))
-	os.WriteFile(filepath.Join(of[a], Revoked), list, 0o644)
+	list, _ := os.ReadFile(filepath.Join(ca, RevocationFile))
+	os.WriteFile(filepath.Join(dirs[a], RevocationFile), list, 0o644)
 	if err := ka.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	if s, c := shake(ka, kb, any, any); s == nil || c == nil || !strings.Contains(s.Error(), "revoked") {
+	if s, c := handshake(ka, kb, any, any); s == nil || c == nil || !strings.Contains(s.Error(), "revoked") {
 		t.Errorf("a revoked one: %v, %v", s, c)
 	}
 	if err := Revoke(ca, []string{"zz"}, now); err == nil {
@@ -126,23 +126,23 @@
 // and while one authority follows another both are trusted.
 func TestRotation(t *testing.T) {
 	a, b := ID{"site-a", "n0"}, ID{"site-b", "n1"}
-	dir, of := hall(t, a, b)
-	ka, kb := open(t, of[a]), open(t, of[b])
-	before := ka.Ends()
-	if _, err := Issue(filepath.Join(dir, "ca"), of[a], a, 3*time.Hour, now); err != nil {
+	dir, dirs := newAuthorityAndBrokers(t, a, b)
+	ka, kb := mustOpen(t, dirs[a]), mustOpen(t, dirs[b])
+	before := ka.Expiry()
+	if _, err := Issue(filepath.Join(dir, "ca"), dirs[a], a, 3*time.Hour, now); err != nil {
 		t.Fatal(err)
 	}
-	if err := ka.Reload(); err != nil || !ka.Ends().After(before) {
-		t.Fatal(err, ka.Ends())
+	if err := ka.Reload(); err != nil || !ka.Expiry().After(before) {
+		t.Fatal(err, ka.Expiry())
 	}
-	if s, c := shake(ka, kb, any, any); s != nil || c != nil {
+	if s, c := handshake(ka, kb, any, any); s != nil || c != nil {
 		t.Fatal(s, c)
 	}
-	os.WriteFile(filepath.Join(of[a], BrokerCert), []byte("-----BEGIN"), 0o644)
+	os.WriteFile(filepath.Join(dirs[a], BrokerCert), []byte("-----BEGIN"), 0o644)
 	if err := ka.Reload(); err == nil {
 		t.Error("took half a certificate")
 	}
-	if s, c := shake(ka, kb, any, any); s != nil || c != nil {
+	if s, c := handshake(ka, kb, any, any); s != nil || c != nil {
 		t.Errorf("after a wrong one: %v, %v", s, c)
 	}
 	// b moves to a second authority; a trusts both meanwhile.
@@ -150,33 +150,33 @@
 	if err := NewAuthority(next, "next", 48*time.Hour, now); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Issue(next, of[b], b, time.Hour, now); err != nil {
+	if _, err := Issue(next, dirs[b], b, time.Hour, now); err != nil {
 		t.Fatal(err)
 	}
 	one, _ := os.ReadFile(filepath.Join(dir, "ca", AuthorityCert))
 	two, _ := os.ReadFile(filepath.Join(next, AuthorityCert))
-	for _, d := range []string{of[a], of[b]} {
+	for _, d := range []string{dirs[a], dirs[b]} {
 		os.WriteFile(filepath.Join(d, AuthorityCert), append(one, two...), 0o644)
 	}
-	if _, err := Issue(filepath.Join(dir, "ca"), of[a], a, time.Hour, now); err != nil {
+	if _, err := Issue(filepath.Join(dir, "ca"), dirs[a], a, time.Hour, now); err != nil {
 		t.Fatal(err)
 	}
-	os.WriteFile(filepath.Join(of[a], AuthorityCert), append(one, two...), 0o644)
+	os.WriteFile(filepath.Join(dirs[a], AuthorityCert), append(one, two...), 0o644)
 	if err := errors.Join(ka.Reload(), kb.Reload()); err != nil {
 		t.Fatal(err)
 	}
-	if s, c := shake(ka, kb, any, any); s != nil || c != nil {
+	if s, c := handshake(ka, kb, any, any); s != nil || c != nil {
 		t.Errorf("between two authorities: %v, %v", s, c)
 	}
 }
 
 // Keys that others may read, names that could be read in two ways, an authority in the way: each is refused.
-func TestRefusals(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	a := ID{"site-a", "n0"}
-	dir, of := hall(t, a)
+	dir, dirs := newAuthorityAndBrokers(t, a)
 	ca := filepath.Join(dir, "ca")
-	os.Chmod(filepath.Join(of[a], BrokerKey), 0o644)
-	if _, err := Open(of[a]); err == nil || !strings.Contains(err.Error(), "read by others") {
+	os.Chmod(filepath.Join(dirs[a], BrokerKey), 0o644)
+	if _, err := Open(dirs[a]); err == nil || !strings.Contains(err.Error(), "read by others") {
 		t.Error(err)
 	}
 	for _, path := range []string{filepath.Join(ca, AuthorityKey)} {
--- a/internal/transport/keys/recorded_test.go
+++ b/internal/transport/keys/recorded_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestRecordedBrokerKeysAreRead(t *testing.T) {
-	revoked := filepath.Join("testdata", "recorded", "authority", Revoked)
+	revoked := filepath.Join("testdata", "recorded", "authority", RevocationFile)
 	list, err := os.ReadFile(revoked)
 	if err != nil {
 		t.Fatal(err)
@@ -50,16 +50,16 @@
 			if err := k.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			leaf := k.at.Load().own.Leaf
-			if k.ID() != c.id || Serial(leaf) != c.serial || !k.Ends().Equal(recordedAt.Add(24*time.Hour)) ||
+			leaf := k.current.Load().ownCert.Leaf
+			if k.ID() != c.id || Serial(leaf) != c.serial || !k.Expiry().Equal(recordedAt.Add(24*time.Hour)) ||
 				!leaf.NotBefore.Equal(recordedAt.Add(-time.Minute)) {
-				t.Errorf("%v, serial %s, from %v to %v", k.ID(), Serial(leaf), leaf.NotBefore, k.Ends())
+				t.Errorf("%v, serial %s, from %v to %v", k.ID(), Serial(leaf), leaf.NotBefore, k.Expiry())
 			}
-			if err := os.WriteFile(filepath.Join(dir, Revoked), list, 0o644); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, RevocationFile), list, 0o644); err != nil {
 				t.Fatal(err)
 			}
 			err := k.Reload()
-			var refused *Refused
+			var refused *CertificateError
 			if errors.As(err, &refused) != c.revoked || c.revoked && (refused.Serial != c.serial || !strings.Contains(err.Error(), "revoked")) {
 				t.Errorf("with the list of revoked certificates: %v", err)
 			}
@@ -69,7 +69,7 @@
 
 func TestRecordedAuthorityIsRead(t *testing.T) {
 	dir := copyRecorded(t, "authority")
-	ca, _, err := signer(dir, recordedAt)
+	ca, _, err := loadAuthority(dir, recordedAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := readRevoked(filepath.Join(dir, Revoked), all)
+	list, err := readRevoked(filepath.Join(dir, RevocationFile), all)
 	if err != nil || len(list.RevokedCertificateEntries) != 2 ||
 		list.RevokedCertificateEntries[0].SerialNumber.Text(16) != "295c47c3aa67ec094ce667a9982f5946" ||
 		!list.RevokedCertificateEntries[0].RevocationTime.Equal(recordedAt.Add(time.Hour)) {
@@ -98,7 +98,7 @@
 // The same content leads to the same bytes. Signatures are drawn anew each time, so that only the form round them is compared.
 func TestRecordedFilesAreWritten(t *testing.T) {
 	dir := copyRecorded(t, "authority")
-	_, key, err := signer(dir, recordedAt)
+	_, key, err := loadAuthority(dir, recordedAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 	}{
 		{AuthorityKey, func() error { return writeKey(written, key) }},
 		{AuthorityCert, write(AuthorityCert, "CERTIFICATE")},
-		{Revoked, write(Revoked, "X509 CRL")},
+		{RevocationFile, write(RevocationFile, "X509 CRL")},
 	} {
 		if err := c.write(); err != nil {
 			t.Fatal(err)
--- a/internal/transport/keys/ring.go
+++ b/internal/transport/keys/ring.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// ring is one reading of a directory.
-type ring struct {
-	own     tls.Certificate
+// keySet is one reading of a directory.
+type keySet struct {
+	ownCert tls.Certificate
 	id      ID
 	roots   *x509.CertPool
 	revoked map[string]bool
-	ends    time.Time
+	expiry  time.Time
 }
 
 // Keyring is what a broker shows and whom it trusts. It may be used from any goroutine.
 type Keyring struct {
-	dir string
-	now func() time.Time
-	at  atomic.Pointer[ring]
+	dir     string
+	now     func() time.Time
+	current atomic.Pointer[keySet]
 }
 
 // Open reads a directory.
@@ -37,19 +37,19 @@
 // Reload reads the directory anew. What is wrong with it changes nothing; what is right counts for handshakes from here on.
 func (k *Keyring) Reload() error {
 	cert, key := filepath.Join(k.dir, BrokerCert), filepath.Join(k.dir, BrokerKey)
-	if err := private(key); err != nil {
+	if err := checkPrivate(key); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	own, err := tls.LoadX509KeyPair(cert, key)
+	ownCert, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
 		return fmt.Errorf("keys: %s: %w", cert, err)
 	}
-	leaf, err := x509.ParseCertificate(own.Certificate[0])
+	leaf, err := x509.ParseCertificate(ownCert.Certificate[0])
 	if err != nil {
 		return fmt.Errorf("keys: %s: %w", cert, err)
 	}
-	own.Leaf = leaf
-	r := &ring{own: own, roots: x509.NewCertPool(), revoked: map[string]bool{}, ends: leaf.NotAfter}
+	ownCert.Leaf = leaf
+	r := &keySet{ownCert: ownCert, roots: x509.NewCertPool(), revoked: map[string]bool{}, expiry: leaf.NotAfter}
 	if r.id, err = Identity(leaf); err != nil {
 		return fmt.Errorf("keys: %s: %w", cert, err)
 	}
@@ -60,7 +60,7 @@
 	for _, c := range authorities {
 		r.roots.AddCert(c)
 	}
-	list, err := readRevoked(filepath.Join(k.dir, Revoked), authorities)
+	list, err := readRevoked(filepath.Join(k.dir, RevocationFile), authorities)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
@@ -72,37 +72,37 @@
 	if err := r.verify(leaf, nil, k.now()); err != nil {
 		return fmt.Errorf("keys: %s: %w", cert, err)
 	}
-	k.at.Store(r)
+	k.current.Store(r)
 	return nil
 }
 
 // ID is who this broker is.
-func (k *Keyring) ID() ID { return k.at.Load().id }
+func (k *Keyring) ID() ID { return k.current.Load().id }
 
-// Ends is when the broker's own certificate does.
-func (k *Keyring) Ends() time.Time { return k.at.Load().ends }
+// Expiry is when the broker's own certificate does.
+func (k *Keyring) Expiry() time.Time { return k.current.Load().expiry }
 
 // verify refuses a certificate that no authority vouches for now, or that is revoked.
-func (r *ring) verify(c *x509.Certificate, chain []*x509.Certificate, now time.Time) error {
-	between := x509.NewCertPool()
+func (r *keySet) verify(c *x509.Certificate, chain []*x509.Certificate, now time.Time) error {
+	intermediates := x509.NewCertPool()
 	for _, c := range chain {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	if r.revoked[Serial(c)] {
-		return &Refused{Serial(c), errors.New("is revoked")}
+		return &CertificateError{Serial(c), errors.New("is revoked")}
 	}
-	if _, err := c.Verify(x509.VerifyOptions{Roots: r.roots, Intermediates: between, CurrentTime: now,
+	if _, err := c.Verify(x509.VerifyOptions{Roots: r.roots, Intermediates: intermediates, CurrentTime: now,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}); err != nil {
-		return &Refused{Serial(c), err}
+		return &CertificateError{Serial(c), err}
 	}
 	return nil
 }
 
-// peer checks who is at the other end of a handshake.
-func (k *Keyring) peer(s tls.ConnectionState, allowed func(ID) error) error {
-	r := k.at.Load()
+// verifyPeer checks who is at the other end of a handshake.
+func (k *Keyring) verifyPeer(s tls.ConnectionState, allowed func(ID) error) error {
+	r := k.current.Load()
 	if len(s.PeerCertificates) == 0 {
-		return &Refused{"", errors.New("none was shown")}
+		return &CertificateError{"", errors.New("none was shown")}
 	}
 	if err := r.verify(s.PeerCertificates[0], s.PeerCertificates[1:], k.now()); err != nil {
 		return err
@@ -117,7 +117,7 @@
 // PeerID is who is at the other end of a connection whose handshake is over.
 func PeerID(s tls.ConnectionState) (ID, error) {
 	if len(s.PeerCertificates) == 0 {
-		return ID{}, &Refused{"", errors.New("none was shown")}
+		return ID{}, &CertificateError{"", errors.New("none was shown")}
 	}
 	return Identity(s.PeerCertificates[0])
 }
@@ -126,14 +126,14 @@
 // pass by what was revoked since.
 func (k *Keyring) Server(allowed func(ID) error) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true, ClientAuth: tls.RequireAnyClientCert,
-		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.at.Load().own, nil },
-		VerifyConnection: func(s tls.ConnectionState) error { return k.peer(s, allowed) }}
+		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.current.Load().ownCert, nil },
+		VerifyConnection: func(s tls.ConnectionState) error { return k.verifyPeer(s, allowed) }}
 }
 
 // Client is the configuration of the side that dials. The name of a host means nothing here; the identity does, which
 // VerifyConnection checks together with the chain.
 func (k *Keyring) Client(allowed func(ID) error) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, InsecureSkipVerify: true, ServerName: scheme,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.at.Load().own, nil },
-		VerifyConnection:     func(s tls.ConnectionState) error { return k.peer(s, allowed) }}
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.current.Load().ownCert, nil },
+		VerifyConnection:     func(s tls.ConnectionState) error { return k.verifyPeer(s, allowed) }}
 }
--- a/internal/transport/link/bench_test.go
+++ b/internal/transport/link/bench_test.go
@@ -22,36 +22,36 @@
 
 // What a forwarded search and its verdict cost in three encodings: time both ways, and bytes.
 func BenchmarkEncoding(b *testing.B) {
-	a := ask(7)
-	v := Verdict{ID: 7, Whole: true, Pieces: []Piece{{Shard: 1, Value: strings.Repeat("v", 200)}, {Shard: 3, Value: strings.Repeat("w", 200)}}}
-	for name, way := range map[string]struct {
+	a := query(7)
+	v := Reply{ID: 7, IsComplete: true, ShardAnswers: []ShardAnswer{{Shard: 1, Value: strings.Repeat("v", 200)}, {Shard: 3, Value: strings.Repeat("w", 200)}}}
+	for name, codec := range map[string]struct {
 		out func(v any) []byte
 		in  func(b []byte, v any) error
 	}{
-		"cbor": {func(v any) []byte { b, _ := encoding.Marshal(v); return b }, decoding.Unmarshal},
+		"cbor": {func(v any) []byte { b, _ := encMode.Marshal(v); return b }, decMode.Unmarshal},
 		"json": {func(v any) []byte { b, _ := json.Marshal(v); return b }, json.Unmarshal},
 		"protobuf": {func(v any) []byte {
-			if a, ok := v.(Ask); ok {
-				return protoAsk(a)
+			if a, ok := v.(Query); ok {
+				return appendProtoQuery(a)
 			}
-			return protoVerdict(v.(Verdict))
+			return appendProtoReply(v.(Reply))
 		}, func(b []byte, v any) error {
-			if a, ok := v.(*Ask); ok {
-				return unprotoAsk(b, a)
+			if a, ok := v.(*Query); ok {
+				return parseProtoQuery(b, a)
 			}
-			return unprotoVerdict(b, v.(*Verdict))
+			return parseProtoReply(b, v.(*Reply))
 		}},
 	} {
 		b.Run(name, func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				one, two := way.out(a), way.out(v)
-				var ga Ask
-				var gv Verdict
-				if way.in(one, &ga) != nil || way.in(two, &gv) != nil || ga.Parts[1].Shard != 3 || gv.Pieces[1].Shard != 3 {
+				queryBytes, replyBytes := codec.out(a), codec.out(v)
+				var ga Query
+				var gv Reply
+				if codec.in(queryBytes, &ga) != nil || codec.in(replyBytes, &gv) != nil || ga.ShardRequests[1].Shard != 3 || gv.ShardAnswers[1].Shard != 3 {
 					b.Fatal("not the same")
 				}
-				size = len(one) + len(two)
+				size = len(queryBytes) + len(replyBytes)
 			}
 			b.ReportMetric(float64(size), "bytes")
 		})
@@ -62,31 +62,31 @@
 // package's link, HTTP/2 of the standard library, QUIC of the registry with a stream for each search.
 func BenchmarkExchange(b *testing.B) {
 	ca := filepath.Join(b.TempDir(), "ca")
-	here, there := ring(b, ca, "site-a"), ring(b, ca, "site-b")
+	here, there := newKeyring(b, ca, "site-a"), newKeyring(b, ca, "site-b")
 	any := func(keys.ID) error { return nil }
-	answer := Verdict{ID: 7, Whole: true, Pieces: []Piece{{Shard: 1, Value: strings.Repeat("v", 200)}, {Shard: 3, Value: strings.Repeat("w", 200)}}}
-	answered, _ := encoding.Marshal(answer)
-	asked, _ := encoding.Marshal(ask(7))
+	answer := Reply{ID: 7, IsComplete: true, ShardAnswers: []ShardAnswer{{Shard: 1, Value: strings.Repeat("v", 200)}, {Shard: 3, Value: strings.Repeat("w", 200)}}}
+	answered, _ := encMode.Marshal(answer)
+	asked, _ := encMode.Marshal(query(7))
 
 	b.Run("link", func(b *testing.B) {
-		near, far, _ := sides(b, both, both)
-		c := near.until(b, "up", isUp).Conn
+		near, far, _ := connectedSides(b, allVersions, allVersions)
+		c := near.waitFor(b, "up", isUp).Conn
 		go func() {
 			for e := range far.events {
-				if e.Ask != nil {
+				if e.Query != nil {
 					v := answer
-					v.ID = e.Ask.ID
-					e.Conn.Verdict(v)
+					v.ID = e.Query.ID
+					e.Conn.Reply(v)
 				}
 			}
 		}()
 		waiting, mu, next := map[uint64]chan struct{}{}, sync.Mutex{}, uint64(0)
 		go func() {
 			for e := range near.events {
-				if e.Verdict != nil {
+				if e.Reply != nil {
 					mu.Lock()
-					close(waiting[e.Verdict.ID])
-					delete(waiting, e.Verdict.ID)
+					close(waiting[e.Reply.ID])
+					delete(waiting, e.Reply.ID)
 					mu.Unlock()
 				}
 			}
@@ -97,10 +97,10 @@
 				done := make(chan struct{})
 				mu.Lock()
 				next++
-				a := ask(next)
+				a := query(next)
 				waiting[next] = done
 				mu.Unlock()
-				if !c.Ask(a) {
+				if !c.Query(a) {
 					b.Error("no room")
 					return
 				}
--- a/internal/transport/link/benchproto_test.go
+++ b/internal/transport/link/benchproto_test.go
@@ -8,13 +8,13 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-func protoAsk(a Ask) (b []byte) {
-	b = protowire.AppendVarint(protowire.AppendTag(b, 1, protowire.VarintType), a.ID)
-	b = protowire.AppendVarint(protowire.AppendTag(b, 2, protowire.VarintType), uint64(a.Left))
-	for i, s := range []string{a.Type, a.Tenant, a.Request, a.Text} {
+func appendProtoQuery(q Query) (b []byte) {
+	b = protowire.AppendVarint(protowire.AppendTag(b, 1, protowire.VarintType), q.ID)
+	b = protowire.AppendVarint(protowire.AppendTag(b, 2, protowire.VarintType), uint64(q.RemainingMicros))
+	for i, s := range []string{q.Type, q.Tenant, q.Request, q.Text} {
 		b = protowire.AppendString(protowire.AppendTag(b, protowire.Number(3+i), protowire.BytesType), s)
 	}
-	for _, p := range a.Parts {
+	for _, p := range q.ShardRequests {
 		var in []byte
 		in = protowire.AppendVarint(protowire.AppendTag(in, 1, protowire.VarintType), uint64(p.Shard))
 		in = protowire.AppendFixed64(protowire.AppendTag(in, 2, protowire.Fixed64Type), math.Float64bits(p.Weight))
@@ -23,10 +23,10 @@
 	return b
 }
 
-func protoVerdict(v Verdict) (b []byte) {
-	b = protowire.AppendVarint(protowire.AppendTag(b, 1, protowire.VarintType), v.ID)
-	b = protowire.AppendVarint(protowire.AppendTag(b, 2, protowire.VarintType), protowire.EncodeBool(v.Whole))
-	for _, p := range v.Pieces {
+func appendProtoReply(r Reply) (b []byte) {
+	b = protowire.AppendVarint(protowire.AppendTag(b, 1, protowire.VarintType), r.ID)
+	b = protowire.AppendVarint(protowire.AppendTag(b, 2, protowire.VarintType), protowire.EncodeBool(r.IsComplete))
+	for _, p := range r.ShardAnswers {
 		var in []byte
 		in = protowire.AppendVarint(protowire.AppendTag(in, 1, protowire.VarintType), uint64(p.Shard))
 		in = protowire.AppendString(protowire.AppendTag(in, 2, protowire.BytesType), p.Value)
@@ -35,8 +35,8 @@
 	return b
 }
 
-// fields calls for each field of a message.
-func fields(b []byte, field func(n protowire.Number, number uint64, text []byte)) error {
+// eachField calls for each field of a message.
+func eachField(b []byte, field func(n protowire.Number, number uint64, text []byte)) error {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
 		if size < 0 {
@@ -62,52 +62,52 @@
 	return nil
 }
 
-func unprotoAsk(b []byte, a *Ask) error {
-	return fields(b, func(n protowire.Number, number uint64, text []byte) {
+func parseProtoQuery(b []byte, q *Query) error {
+	return eachField(b, func(n protowire.Number, number uint64, text []byte) {
 		switch n {
 		case 1:
-			a.ID = number
+			q.ID = number
 		case 2:
-			a.Left = int64(number)
+			q.RemainingMicros = int64(number)
 		case 3:
-			a.Type = string(text)
+			q.Type = string(text)
 		case 4:
-			a.Tenant = string(text)
+			q.Tenant = string(text)
 		case 5:
-			a.Request = string(text)
+			q.Request = string(text)
 		case 6:
-			a.Text = string(text)
+			q.Text = string(text)
 		case 7:
-			var p Part
-			fields(text, func(n protowire.Number, number uint64, _ []byte) {
+			var p ShardRequest
+			eachField(text, func(n protowire.Number, number uint64, _ []byte) {
 				if n == 1 {
 					p.Shard = int(number)
 				} else {
 					p.Weight = math.Float64frombits(number)
 				}
 			})
-			a.Parts = append(a.Parts, p)
+			q.ShardRequests = append(q.ShardRequests, p)
 		}
 	})
 }
 
-func unprotoVerdict(b []byte, v *Verdict) error {
-	return fields(b, func(n protowire.Number, number uint64, text []byte) {
+func parseProtoReply(b []byte, r *Reply) error {
+	return eachField(b, func(n protowire.Number, number uint64, text []byte) {
 		switch n {
 		case 1:
-			v.ID = number
+			r.ID = number
 		case 2:
-			v.Whole = number == 1
+			r.IsComplete = number == 1
 		case 3:
-			var p Piece
-			fields(text, func(n protowire.Number, number uint64, text []byte) {
+			var p ShardAnswer
+			eachField(text, func(n protowire.Number, number uint64, text []byte) {
 				if n == 1 {
 					p.Shard = int(number)
 				} else {
 					p.Value = string(text)
 				}
 			})
-			v.Pieces = append(v.Pieces, p)
+			r.ShardAnswers = append(r.ShardAnswers, p)
 		}
 	})
 }
--- a/internal/transport/link/frame.go
+++ b/internal/transport/link/frame.go
@@ -32,9 +32,9 @@
 
 // maxFrame bounds a frame: a search holds 64 KiB at most, its verdict some values of as much.
 const (
-	maxFrame = 1 << 20
-	maxParts = 4096
-	maxHello = 4 << 10 // until a frame more is known of the other side
+	maxFrame      = 1 << 20
+	maxShards     = 4096
+	maxHelloFrame = 4 << 10 // until a frame more is known of the other side
 )
 
 var (
@@ -44,37 +44,37 @@
 
 // Hello is the first frame each way.
 type Hello struct {
-	_            struct{} `cbor:",toarray"`
-	Min, Max     int
-	Site, Broker string // as in the certificate
-	Epoch        uint64 // drawn at the start of the process
-	Credit       int    // searches that the other side may have out here
-	Window       int    // bytes of verdicts that this side has room for
+	_                      struct{} `cbor:",toarray"`
+	MinVersion, MaxVersion int
+	Site, Broker           string // as in the certificate
+	Epoch                  uint64 // drawn at the start of the process
+	Credit                 int    // searches that the other side may have out here
+	Window                 int    // bytes of verdicts that this side has room for
 }
 
-// Part is one part of a search.
-type Part struct {
+// ShardRequest is one part of a search.
+type ShardRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Shard  int
 	Weight float64
 }
 
-// Ask forwards a search.
-type Ask struct {
-	_       struct{} `cbor:",toarray"`
-	ID      uint64   // unique in the process that asks
-	Again   bool     // it may have come before, over another link
-	Left    int64    // microseconds until the asking side must have the verdict
-	Type    string
-	Tenant  string
-	Repeat  bool   // its client asks again
-	Request string // the client's id of it
-	Text    string
-	Parts   []Part
+// Query forwards a search.
+type Query struct {
+	_               struct{} `cbor:",toarray"`
+	ID              uint64   // unique in the process that asks
+	Resent          bool     // it may have come before, over another link
+	RemainingMicros int64    // microseconds until the asking side must have the verdict
+	Type            string
+	Tenant          string
+	ClientRetry     bool   // its client asks again
+	Request         string // the client's id of it
+	Text            string
+	ShardRequests   []ShardRequest
 }
 
-// Piece is one part's value.
-type Piece struct {
+// ShardAnswer is one part's value.
+type ShardAnswer struct {
 	_     struct{} `cbor:",toarray"`
 	Shard int
 	Value string
@@ -87,14 +87,14 @@
 	Failed
 )
 
-// Verdict answers an ask.
-type Verdict struct {
-	_      struct{} `cbor:",toarray"`
-	ID     uint64
-	Kind   int
-	Whole  bool
-	After  int64 // microseconds; refused: when to come back
-	Pieces []Piece
+// Reply answers an ask.
+type Reply struct {
+	_                struct{} `cbor:",toarray"`
+	ID               uint64
+	Kind             int
+	IsComplete       bool
+	RetryAfterMicros int64 // microseconds; refused: when to come back
+	ShardAnswers     []ShardAnswer
 }
 
 type cancel struct {
@@ -102,49 +102,49 @@
 	ID uint64
 }
 
-// Status is what a side says of itself, with each heartbeat.
+// Heartbeat is what a side says of itself, with each heartbeat.
 type Status struct {
-	_        struct{} `cbor:",toarray"`
-	Room     float64
-	Refusing bool
-	Stopping bool
-	Lacking  []int
+	_             struct{} `cbor:",toarray"`
+	FreeCapacity  float64
+	IsShedding    bool
+	IsDraining    bool
+	MissingShards []int
 }
 
-type beat struct {
-	_      struct{} `cbor:",toarray"`
-	Seq    uint64
-	Heard  uint64 // the last of the other side's
-	Held   int64  // microseconds since that came
-	Status *Status
+type heartbeat struct {
+	_              struct{} `cbor:",toarray"`
+	Seq            uint64
+	Heartbeat      uint64 // the last of the other side's
+	AckDelayMicros int64  // microseconds since that came
+	Status         *Status
 }
 
-type grant struct {
+type windowUpdate struct {
 	_     struct{} `cbor:",toarray"`
 	Bytes int
 }
 
 // letters of the frames.
 const (
-	letterHello   = 'h'
-	letterAsk     = 'a'
-	letterVerdict = 'v'
-	letterCancel  = 'c'
-	letterBeat    = 'b'
-	letterGrant   = 'g'
+	frameHello        = 'h'
+	frameQuery        = 'a'
+	frameReply        = 'v'
+	frameCancel       = 'c'
+	frameHeartbeat    = 'b'
+	frameWindowUpdate = 'g'
 )
 
 var (
-	decoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 16, MaxNestedLevels: 8}.DecMode()
-	encoding, _ = cbor.EncOptions{}.EncMode()
+	decMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 16, MaxNestedLevels: 8}.DecMode()
+	encMode, _ = cbor.EncOptions{}.EncMode()
 )
 
 // appendFrame encodes one frame.
-func appendFrame(b []byte, letter byte, body any) ([]byte, error) {
+func appendFrame(b []byte, frameType byte, body any) ([]byte, error) {
 	at := len(b)
-	b = append(b, 0, 0, 0, 0, letter)
+	b = append(b, 0, 0, 0, 0, frameType)
 	w := bytes.NewBuffer(b)
-	if err := encoding.NewEncoder(w).Encode(body); err != nil {
+	if err := encMode.NewEncoder(w).Encode(body); err != nil {
 		return b[:at], err
 	}
 	b = w.Bytes()
@@ -156,13 +156,13 @@
 }
 
 // readFrame reads one frame, giving room only as its bytes come.
-func readFrame(r *bufio.Reader, body *bytes.Buffer, most int) (letter byte, err error) {
+func readFrame(r *bufio.Reader, body *bytes.Buffer, limit int) (frameType byte, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, err
 	}
 	n := int64(binary.LittleEndian.Uint32(head[:]))
-	if n < 2 || n > int64(most) {
+	if n < 2 || n > int64(limit) {
 		return 0, fmt.Errorf("%w: length %d", errFrame, n)
 	}
 	body.Reset()
@@ -171,50 +171,50 @@
 	} else if err != nil {
 		return 0, err
 	}
-	letter, _ = body.ReadByte()
-	return letter, nil
+	frameType, _ = body.ReadByte()
+	return frameType, nil
 }
 
 func decode[T any](b []byte) (v T, err error) {
-	if err = decoding.Unmarshal(b, &v); err != nil {
+	if err = decMode.Unmarshal(b, &v); err != nil {
 		err = fmt.Errorf("%w: %v", errFrame, err)
 	}
 	return v, err
 }
 
-// longestLeft bounds the time that a search may claim to have.
-const longestLeft = time.Hour
+// maxRemainingTime bounds the time that a search may claim to have.
+const maxRemainingTime = time.Hour
 
-// decodeAsk reads an ask, and refuses what no broker sends.
-func decodeAsk(b []byte) (Ask, error) {
-	a, err := decode[Ask](b)
+// decodeQuery reads an ask, and refuses what no broker sends.
+func decodeQuery(b []byte) (Query, error) {
+	q, err := decode[Query](b)
 	switch {
 	case err != nil:
-	case a.Left <= 0 || a.Left > longestLeft.Microseconds() || len(a.Parts) == 0 || len(a.Parts) > maxParts || a.Request == "" ||
-		len(a.Request) > 64:
-		err = fmt.Errorf("%w: ask %d", errFrame, a.ID)
+	case q.RemainingMicros <= 0 || q.RemainingMicros > maxRemainingTime.Microseconds() || len(q.ShardRequests) == 0 || len(q.ShardRequests) > maxShards || q.Request == "" ||
+		len(q.Request) > 64:
+		err = fmt.Errorf("%w: ask %d", errFrame, q.ID)
 	}
-	for _, p := range a.Parts {
+	for _, p := range q.ShardRequests {
 		if err == nil && (p.Shard < 0 || !(p.Weight >= 0 && p.Weight <= 1)) {
-			err = fmt.Errorf("%w: ask %d: shard %d weighs %v", errFrame, a.ID, p.Shard, p.Weight)
+			err = fmt.Errorf("%w: ask %d: shard %d weighs %v", errFrame, q.ID, p.Shard, p.Weight)
 		}
 	}
-	return a, err
+	return q, err
 }
 
-func decodeVerdict(b []byte) (Verdict, error) {
-	v, err := decode[Verdict](b)
-	if err == nil && (v.Kind < Answered || v.Kind > Failed || v.After < 0 || len(v.Pieces) > maxParts) {
-		err = fmt.Errorf("%w: verdict on %d", errFrame, v.ID)
+func decodeReply(b []byte) (Reply, error) {
+	r, err := decode[Reply](b)
+	if err == nil && (r.Kind < Answered || r.Kind > Failed || r.RetryAfterMicros < 0 || len(r.ShardAnswers) > maxShards) {
+		err = fmt.Errorf("%w: verdict on %d", errFrame, r.ID)
 	}
-	return v, err
+	return r, err
 }
 
-// agree picks the version that two sides speak.
-func agree(mine, theirs Hello) (int, error) {
-	v := min(mine.Max, theirs.Max)
-	if v < max(mine.Min, theirs.Min, 1) {
-		return 0, fmt.Errorf("%w: %d to %d here, %d to %d there", errVersion, mine.Min, mine.Max, theirs.Min, theirs.Max)
+// negotiateVersion picks the version that two sides speak.
+func negotiateVersion(local, remote Hello) (int, error) {
+	v := min(local.MaxVersion, remote.MaxVersion)
+	if v < max(local.MinVersion, remote.MinVersion, 1) {
+		return 0, fmt.Errorf("%w: %d to %d here, %d to %d there", errVersion, local.MinVersion, local.MaxVersion, remote.MinVersion, remote.MaxVersion)
 	}
 	return v, nil
 }
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	pauseFirst = 100 * time.Millisecond
-	pauseMost  = 5 * time.Second
-	standsFor  = 2 * time.Second // a link that stood so long is dialled again at once when it ends
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 5 * time.Second
+	stableDuration = 2 * time.Second // a link that stood so long is dialled again at once when it ends
 )
 
 // Target is one broker of another site.
@@ -31,29 +31,29 @@
 
 // Options say who this side is and what it offers.
 type Options struct {
-	Keys    *keys.Keyring
-	Epoch   uint64
-	Credit  int      // searches that another broker may have out here
-	Sites   []string // whose brokers may open links here
-	MostIn  int      // links from other brokers at once
-	Targets []Target
-	Post    func(Event)                                              // delivers to the loop; may wait
-	Dial    func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
-	version [2]int                                                   // tests speak older ones
+	Keys        *keys.Keyring
+	Epoch       uint64
+	Credit      int      // searches that another broker may have out here
+	Sites       []string // whose brokers may open links here
+	MaxAccepted int      // links from other brokers at once
+	Targets     []Target
+	Post        func(Event)                                              // delivers to the loop; may wait
+	Dial        func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
+	versions    [2]int                                                   // tests speak older ones
 }
 
 // Links are all links of a broker.
 type Links struct {
-	opts   Options
-	status atomic.Pointer[Status]
-	serial atomic.Uint64
-	mu     sync.Mutex
-	conns  map[*Conn]bool
-	in     int
-	lines  int // refused handshakes logged in this second
-	second int64
-
-	Refused atomic.Uint64 // handshakes
+	opts      Options
+	status    atomic.Pointer[Status]
+	serial    atomic.Uint64
+	mu        sync.Mutex
+	conns     map[*Conn]bool
+	accepted  int
+	logLines  int // refused handshakes logged in this second
+	logSecond int64
+
+	RejectedHandshakes atomic.Uint64 // handshakes
 }
 
 // New makes links; nothing is dialled yet.
@@ -63,56 +63,56 @@
 			return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 		}
 	}
-	if o.version[1] == 0 {
-		o.version = [2]int{MinVersion, MaxVersion}
+	if o.versions[1] == 0 {
+		o.versions = [2]int{MinVersion, MaxVersion}
 	}
 	l := &Links{opts: o, conns: map[*Conn]bool{}}
 	l.status.Store(&Status{})
 	return l
 }
 
-// Say is what heartbeats tell of this side from now on; urgent has it told at once.
-func (l *Links) Say(s Status, urgent bool) {
+// SetStatus is what heartbeats tell of this side from now on; urgent has it told at once.
+func (l *Links) SetStatus(s Status, immediately bool) {
 	l.status.Store(&s)
-	if !urgent {
+	if !immediately {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		c.put(queued{frame: c.frame(letterBeat, beat{Seq: c.urgentBeat(), Heard: c.lastHeard(), Status: &s})}, true)
+		c.enqueue(queued{frame: c.frame(frameHeartbeat, heartbeat{Seq: c.nextHeartbeatSeq(), Heartbeat: c.lastReceivedSeq(), Status: &s})}, true)
 	}
 }
 
-// urgentBeat numbers a heartbeat out of turn.
-func (c *Conn) urgentBeat() uint64 {
+// nextHeartbeatSeq numbers a heartbeat out of turn.
+func (c *Conn) nextHeartbeatSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.beats++
-	if c.sent != nil {
-		c.sent[c.beats] = time.Now()
+	c.heartbeatSeq++
+	if c.unacked != nil {
+		c.unacked[c.heartbeatSeq] = time.Now()
 	}
-	return c.beats
+	return c.heartbeatSeq
 }
 
-func (c *Conn) lastHeard() uint64 {
+func (c *Conn) lastReceivedSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heard
+	return c.receivedSeq
 }
 
-func (l *Links) conn(nc net.Conn, peer int) *Conn {
+func (l *Links) newConn(nc net.Conn, peer int) *Conn {
 	id := l.opts.Keys.ID()
 	return &Conn{Peer: peer, net: nc, in: bufio.NewReaderSize(nc, 16<<10), status: &l.status, post: l.opts.Post,
-		wake: make(chan struct{}, 1), begun: time.Now(), sent: map[uint64]time.Time{},
-		mine: Hello{Min: l.opts.version[0], Max: l.opts.version[1], Site: id.Site, Broker: id.Broker, Epoch: l.opts.Epoch,
-			Credit: l.opts.Credit, Window: window}}
+		wake: make(chan struct{}, 1), startedAt: time.Now(), unacked: map[uint64]time.Time{},
+		localHello: Hello{MinVersion: l.opts.versions[0], MaxVersion: l.opts.versions[1], Site: id.Site, Broker: id.Broker, Epoch: l.opts.Epoch,
+			Credit: l.opts.Credit, Window: replyWindowBytes}}
 }
 
-// shake makes a connection of a socket: TLS, then the hello, all within one time limit. The other side must say the same of
+// establish makes a connection of a socket: TLS, then the hello, all within one time limit. The other side must say the same of
 // itself in both.
-func (l *Links) shake(ctx context.Context, nc *tls.Conn, peer int) (*Conn, error) {
-	nc.SetDeadline(time.Now().Add(handshake))
+func (l *Links) establish(ctx context.Context, nc *tls.Conn, peer int) (*Conn, error) {
+	nc.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := nc.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
@@ -120,34 +120,34 @@
 	if err != nil {
 		return nil, err
 	}
-	c := l.conn(nc, peer)
-	if err := c.greet(); err != nil {
+	c := l.newConn(nc, peer)
+	if err := c.exchangeHellos(); err != nil {
 		return nil, err
 	}
-	if c.Theirs.Site != id.Site || c.Theirs.Broker != id.Broker {
-		return nil, fmt.Errorf("it calls itself %s/%s, its certificate %s", c.Theirs.Site, c.Theirs.Broker, id)
+	if c.RemoteHello.Site != id.Site || c.RemoteHello.Broker != id.Broker {
+		return nil, fmt.Errorf("it calls itself %s/%s, its certificate %s", c.RemoteHello.Site, c.RemoteHello.Broker, id)
 	}
 	nc.SetDeadline(time.Time{})
 	c.Serial = l.serial.Add(1)
 	return c, nil
 }
 
-// carry runs a connection that stands.
-func (l *Links) carry(ctx context.Context, c *Conn) {
+// runConn runs a connection that stands.
+func (l *Links) runConn(ctx context.Context, c *Conn) {
 	l.mu.Lock()
 	l.conns[c] = true
 	l.mu.Unlock()
-	slog.Info("link stands", "site", c.Theirs.Site, "broker", c.Theirs.Broker, "dialled", c.Peer >= 0, "version", c.version,
-		"credit", c.Theirs.Credit)
-	c.post(Event{Conn: c, Up: &c.Theirs})
+	slog.Info("link stands", "site", c.RemoteHello.Site, "broker", c.RemoteHello.Broker, "dialled", c.Peer >= 0, "version", c.version,
+		"credit", c.RemoteHello.Credit)
+	c.post(Event{Conn: c, Up: &c.RemoteHello})
 	c.run(ctx)
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 }
 
-// Keep keeps the link to one target until ctx ends.
-func (l *Links) Keep(ctx context.Context, peer int) {
+// Maintain keeps the link to one target until ctx ends.
+func (l *Links) Maintain(ctx context.Context, peer int) {
 	target := l.opts.Targets[peer]
 	config := l.opts.Keys.Client(func(id keys.ID) error {
 		if id.Site != target.Site {
@@ -155,36 +155,36 @@
 		}
 		return nil
 	})
-	pause, said := pauseFirst, ""
+	delay, lastError := minRedialDelay, ""
 	for ctx.Err() == nil {
-		begun := time.Now()
+		started := time.Now()
 		c, err := l.dial(ctx, config, target.Addr, peer)
 		if err == nil {
-			said = ""
-			l.carry(ctx, c)
-		} else if text := err.Error(); text != said && ctx.Err() == nil {
+			lastError = ""
+			l.runConn(ctx, c)
+		} else if text := err.Error(); text != lastError && ctx.Err() == nil {
 			slog.Warn("link does not stand", "site", target.Site, "addr", target.Addr, "error", err)
-			said = text
+			lastError = text
 		}
-		if err == nil && time.Since(begun) > standsFor {
-			pause = pauseFirst
+		if err == nil && time.Since(started) > stableDuration {
+			delay = minRedialDelay
 		}
 		select { // Danger: all links of a site that comes back dial it in the same moment
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(delay/2 + rand.N(delay)):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, pauseMost)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
 func (l *Links) dial(ctx context.Context, config *tls.Config, addr string, peer int) (*Conn, error) {
-	limit, cancel := context.WithTimeout(ctx, handshake)
+	dialCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	nc, err := l.opts.Dial(limit, addr)
+	nc, err := l.opts.Dial(dialCtx, addr)
 	if err != nil {
 		return nil, err
 	}
-	c, err := l.shake(limit, tls.Client(nc, config), peer)
+	c, err := l.establish(dialCtx, tls.Client(nc, config), peer)
 	if err != nil {
 		nc.Close()
 	}
--- a/internal/transport/link/nonsense_test.go
+++ b/internal/transport/link/nonsense_test.go
@@ -16,35 +16,35 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// raw is a connection to the far side that speaks for itself once the hello is over.
-func raw(t *testing.T, far *side, near *side) (*tls.Conn, *bufio.Reader) {
+// dialRaw is a connection to the far side that speaks for itself once the hello is over.
+func dialRaw(t *testing.T, far *side, near *side) (*tls.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := tls.Dial("tcp", far.ln.Addr().String(), near.opts.Keys.Client(func(keys.ID) error { return nil }))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	b, _ := appendFrame(nil, letterHello, Hello{Min: 1, Max: 2, Site: "site-a", Broker: "n0", Epoch: 5, Window: 1000})
+	b, _ := appendFrame(nil, frameHello, Hello{MinVersion: 1, MaxVersion: 2, Site: "site-a", Broker: "n0", Epoch: 5, Window: 1000})
 	c.Write(b)
 	in := bufio.NewReader(c)
-	if _, err := readFrame(in, new(bytes.Buffer), maxHello); err != nil {
+	if _, err := readFrame(in, new(bytes.Buffer), maxHelloFrame); err != nil {
 		t.Fatal(err)
 	}
-	far.until(t, "up", isUp)
+	far.waitFor(t, "up", isUp)
 	return c, in
 }
 
 // Whatever nonsense comes ends that link with a reason, and nothing of it reaches the loop.
-func TestNonsense(t *testing.T) {
-	near, far, _ := sides(t, both, both)
-	near.until(t, "near up", isUp)
+func TestInvalidFrames(t *testing.T) {
+	near, far, _ := connectedSides(t, allVersions, allVersions)
+	near.waitFor(t, "near up", isUp)
 	near.stop()
-	far.until(t, "the other up", isUp)
-	far.until(t, "the other down", isDown)
-	bad, _ := appendFrame(nil, letterAsk, Ask{ID: 1})
-	verdict, _ := appendFrame(nil, letterVerdict, Verdict{ID: 1})
-	grants, _ := appendFrame(nil, letterGrant, grant{Bytes: -5})
-	status, _ := appendFrame(nil, letterBeat, beat{Seq: 1, Status: &Status{Room: 7}})
+	far.waitFor(t, "the other up", isUp)
+	far.waitFor(t, "the other down", isDown)
+	bad, _ := appendFrame(nil, frameQuery, Query{ID: 1})
+	verdict, _ := appendFrame(nil, frameReply, Reply{ID: 1})
+	grants, _ := appendFrame(nil, frameWindowUpdate, windowUpdate{Bytes: -5})
+	status, _ := appendFrame(nil, frameHeartbeat, heartbeat{Seq: 1, Status: &Status{FreeCapacity: 7}})
 	for what, c := range map[string]struct {
 		bytes  []byte
 		reason string
@@ -57,98 +57,98 @@
 		"a status out of range":    {status, "bad_frame"},
 		"silence":                  {nil, "silent"},
 	} {
-		conn, _ := raw(t, far, near)
+		conn, _ := dialRaw(t, far, near)
 		conn.Write(c.bytes)
-		if e := far.until(t, what, isDown); e.Down.Reason != c.reason {
+		if e := far.waitFor(t, what, isDown); e.Down.Reason != c.reason {
 			t.Errorf("%s: ended as %s", what, e.Down.Reason)
 		}
 		conn.Close()
 	}
-	for _, e := range far.held {
-		if e.Ask != nil || e.Verdict != nil || e.Heard != nil {
+	for _, e := range far.pending {
+		if e.Query != nil || e.Reply != nil || e.Heartbeat != nil {
 			t.Errorf("%+v reached the loop", e)
 		}
 	}
 }
 
 // A side that asks and does not read takes a stated memory, and then the link ends.
-func TestDoesNotRead(t *testing.T) {
-	near, far, _ := sides(t, both, both)
-	near.until(t, "near up", isUp)
+func TestSideThatDoesNotRead(t *testing.T) {
+	near, far, _ := connectedSides(t, allVersions, allVersions)
+	near.waitFor(t, "near up", isUp)
 	near.stop()
-	far.until(t, "the other up", isUp)
-	far.until(t, "the other down", isDown)
-	conn, _ := raw(t, far, near)
-	a, _ := appendFrame(nil, letterAsk, ask(1))
+	far.waitFor(t, "the other up", isUp)
+	far.waitFor(t, "the other down", isDown)
+	conn, _ := dialRaw(t, far, near)
+	a, _ := appendFrame(nil, frameQuery, query(1))
 	conn.Write(a)
-	in := far.until(t, "the ask", func(e Event) bool { return e.Ask != nil })
-	most := 0
+	in := far.waitFor(t, "the ask", func(e Event) bool { return e.Query != nil })
+	maxQueued := 0
 	for range 200 {
-		in.Conn.Verdict(Verdict{ID: 1, Pieces: []Piece{{Shard: 1, Value: strings.Repeat("v", 20_000)}}})
+		in.Conn.Reply(Reply{ID: 1, ShardAnswers: []ShardAnswer{{Shard: 1, Value: strings.Repeat("v", 20_000)}}})
 		in.Conn.mu.Lock()
-		most = max(most, in.Conn.bytes)
+		maxQueued = max(maxQueued, in.Conn.queuedBytes)
 		in.Conn.mu.Unlock()
 	}
-	if e := far.until(t, "down", isDown); e.Down.Reason != "does_not_read" && e.Down.Reason != "stuck" {
+	if e := far.waitFor(t, "down", isDown); e.Down.Reason != "does_not_read" && e.Down.Reason != "stuck" {
 		t.Errorf("ended as %s", e.Down.Reason)
 	}
-	if most > queueBytes {
-		t.Errorf("%d bytes were held", most)
+	if maxQueued > maxQueuedBytes {
+		t.Errorf("%d bytes were held", maxQueued)
 	}
 }
 
 // Asks that have not left when the link ends are told apart: they never ran.
-func TestUnsent(t *testing.T) {
-	c := &Conn{Peer: 0, wake: make(chan struct{}, 1), sent: map[uint64]time.Time{}, post: func(Event) {}}
+func TestUnsentQueries(t *testing.T) {
+	c := &Conn{Peer: 0, wake: make(chan struct{}, 1), unacked: map[uint64]time.Time{}, post: func(Event) {}}
 	a, b := net.Pipe()
 	defer b.Close()
 	c.net = a
 	for id := range uint64(3) {
-		if !c.Ask(ask(id)) {
+		if !c.Query(query(id)) {
 			t.Fatal("no room")
 		}
 	}
 	c.Cancel(1)
-	if _, isAsk, _ := c.next(); !isAsk {
+	if _, isQuery, _ := c.dequeue(); !isQuery {
 		t.Fatal("nothing to write")
 	}
 	var unsent []uint64
 	for _, q := range c.queue {
-		unsent = append(unsent, q.ask)
+		unsent = append(unsent, q.query)
 	}
 	if fmt.Sprint(unsent) != "[2]" {
 		t.Errorf("unsent %v", unsent)
 	}
 	c.Close("test")
-	if c.Ask(ask(9)) {
+	if c.Query(query(9)) {
 		t.Error("sent over a link that has ended")
 	}
 }
 
 func FuzzFrames(f *testing.F) {
 	for _, v := range []struct {
-		letter byte
-		body   any
-	}{{letterAsk, ask(3)}, {letterVerdict, Verdict{ID: 3, Pieces: []Piece{{Shard: 1, Value: "v"}}}}, {letterBeat, beat{Seq: 1}},
-		{letterHello, Hello{Min: 1, Max: 2}}, {letterGrant, grant{Bytes: 7}}} {
-		b, _ := appendFrame(nil, v.letter, v.body)
+		frameType byte
+		body      any
+	}{{frameQuery, query(3)}, {frameReply, Reply{ID: 3, ShardAnswers: []ShardAnswer{{Shard: 1, Value: "v"}}}}, {frameHeartbeat, heartbeat{Seq: 1}},
+		{frameHello, Hello{MinVersion: 1, MaxVersion: 2}}, {frameWindowUpdate, windowUpdate{Bytes: 7}}} {
+		b, _ := appendFrame(nil, v.frameType, v.body)
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var body bytes.Buffer
-		letter, err := readFrame(bufio.NewReader(bytes.NewReader(raw)), &body, maxFrame)
+		frameType, err := readFrame(bufio.NewReader(bytes.NewReader(raw)), &body, maxFrame)
 		if err != nil {
 			return
 		}
 		for _, peer := range []int{0, -1} {
-			c := &Conn{Peer: peer, version: 2, wake: make(chan struct{}, 1), sent: map[uint64]time.Time{}}
+			c := &Conn{Peer: peer, version: 2, wake: make(chan struct{}, 1), unacked: map[uint64]time.Time{}}
 			c.net, _ = net.Pipe()
 			c.post = func(e Event) {
-				if e.Ask != nil && (len(e.Ask.Parts) == 0 || e.Ask.Left <= 0) || e.Verdict != nil && e.Verdict.Kind > Failed {
+				if e.Query != nil && (len(e.Query.ShardRequests) == 0 || e.Query.RemainingMicros <= 0) || e.Reply != nil && e.Reply.Kind > Failed {
 					t.Errorf("let through %+v", e)
 				}
 			}
-			c.take(letter, bytes.Clone(body.Bytes()))
+			c.handleFrame(frameType, bytes.Clone(body.Bytes()))
 		}
 	})
 }
--- a/internal/transport/link/sending.go
+++ b/internal/transport/link/sending.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// put leaves a frame for the writer, without waiting; false: there is no room, or the connection has ended.
-func (c *Conn) put(q queued, urgent bool) bool {
+// enqueue leaves a frame for the writer, without waiting; false: there is no room, or the connection has ended.
+func (c *Conn) enqueue(q queued, urgent bool) bool {
 	c.mu.Lock()
-	full := c.bytes+len(q.frame) > queueBytes
+	full := c.queuedBytes+len(q.frame) > maxQueuedBytes
 	if c.closed || full {
 		c.mu.Unlock()
 		if full { // Danger: a side that does not read takes memory here
@@ -20,61 +20,61 @@
 		}
 		return false
 	}
-	c.bytes += len(q.frame)
+	c.queuedBytes += len(q.frame)
 	if urgent {
 		c.urgent = append(c.urgent, q.frame)
 	} else {
 		c.queue = append(c.queue, q)
 	}
 	c.mu.Unlock()
-	c.poke()
+	c.signalWriter()
 	return true
 }
 
-func (c *Conn) frame(letter byte, body any) []byte {
-	b, err := appendFrame(nil, letter, body)
+func (c *Conn) frame(frameType byte, body any) []byte {
+	b, err := appendFrame(nil, frameType, body)
 	if err != nil {
-		slog.Error("a frame could not be made", "letter", string(letter), "error", err)
+		slog.Error("a frame could not be made", "letter", string(frameType), "error", err)
 		return nil
 	}
 	return b
 }
 
-// Ask forwards a search; false: it was never sent.
-func (c *Conn) Ask(a Ask) bool {
-	b := c.frame(letterAsk, a)
-	return b != nil && c.put(queued{frame: b, ask: a.ID, isAsk: true}, false)
+// Query forwards a search; false: it was never sent.
+func (c *Conn) Query(q Query) bool {
+	b := c.frame(frameQuery, q)
+	return b != nil && c.enqueue(queued{frame: b, query: q.ID, isQuery: true}, false)
 }
 
 // Cancel tells the other side that a search is given up. One that has not left yet never does.
 func (c *Conn) Cancel(id uint64) {
 	c.mu.Lock()
 	for i, q := range c.queue {
-		if q.isAsk && q.ask == id {
-			c.bytes -= len(q.frame)
+		if q.isQuery && q.query == id {
+			c.queuedBytes -= len(q.frame)
 			c.queue = append(c.queue[:i:i], c.queue[i+1:]...)
 			c.mu.Unlock()
 			return
 		}
 	}
 	c.mu.Unlock()
-	c.put(queued{frame: c.frame(letterCancel, cancel{ID: id})}, true)
+	c.enqueue(queued{frame: c.frame(frameCancel, cancel{ID: id})}, true)
 }
 
-// Verdict answers an ask.
-func (c *Conn) Verdict(v Verdict) {
-	b := c.frame(letterVerdict, v)
+// Result answers an ask.
+func (c *Conn) Reply(r Reply) {
+	b := c.frame(frameReply, r)
 	if b == nil { // too large to be told
-		b = c.frame(letterVerdict, Verdict{ID: v.ID, Kind: Failed})
+		b = c.frame(frameReply, Reply{ID: r.ID, Kind: Failed})
 	}
-	c.put(queued{frame: b, verdict: true}, false)
+	c.enqueue(queued{frame: b, isReply: true}, false)
 }
 
-// Say has the other side told at once what the status is.
-func (c *Conn) Say() { c.poke() }
+// SetStatus has the other side told at once what the status is.
+func (c *Conn) WakeWriter() { c.signalWriter() }
 
-// next takes what is to be written now. Verdicts wait for room at the other side; nothing overtakes within the queue.
-func (c *Conn) next() (b []byte, isAsk, closed bool) {
+// dequeue takes what is to be written now. Verdicts wait for room at the other side; nothing overtakes within the queue.
+func (c *Conn) dequeue() (b []byte, isQuery, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -84,33 +84,33 @@
 		b, c.urgent = c.urgent[0], c.urgent[1:]
 	case len(c.queue) > 0:
 		q := c.queue[0]
-		if q.verdict && c.version >= 2 {
-			if c.credit < len(q.frame) && c.credit < c.Theirs.Window {
+		if q.isReply && c.version >= 2 {
+			if c.replyWindow < len(q.frame) && c.replyWindow < c.RemoteHello.Window {
 				return nil, false, false
 			}
-			c.credit -= len(q.frame)
+			c.replyWindow -= len(q.frame)
 		}
-		b, isAsk, c.queue = q.frame, q.isAsk, c.queue[1:]
+		b, isQuery, c.queue = q.frame, q.isQuery, c.queue[1:]
 	}
-	c.bytes -= len(b)
-	return b, isAsk, false
+	c.queuedBytes -= len(b)
+	return b, isQuery, false
 }
 
-// write is the writer's goroutine: what is queued, and a heartbeat now and then.
-func (c *Conn) write() {
-	ticker := time.NewTicker(beatEvery)
+// writeLoop is the writer's goroutine: what is queued, and a heartbeat now and then.
+func (c *Conn) writeLoop() {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	c.beat()
+	c.heartbeat()
 	for {
-		b, isAsk, closed := c.next()
+		b, isQuery, closed := c.dequeue()
 		if closed {
 			return
 		}
 		if b != nil {
-			if isAsk {
-				c.asks.Add(1)
+			if isQuery {
+				c.queryCount.Add(1)
 			}
-			c.net.SetWriteDeadline(time.Now().Add(writeIn))
+			c.net.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.net.Write(b); err != nil {
 				reason := "write_failed"
 				if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -124,32 +124,32 @@
 		select {
 		case <-c.wake:
 		case <-ticker.C:
-			c.beat()
+			c.heartbeat()
 		}
 	}
 }
 
-// beat sends a heartbeat; one that the other side has not acknowledged for too long tells that this side is not heard,
+// heartbeat sends a heartbeat; one that the other side has not acknowledged for too long tells that this side is not heard,
 // though it may still hear: a cut one way.
-func (c *Conn) beat() {
+func (c *Conn) heartbeat() {
 	now := time.Now()
 	c.mu.Lock()
-	heard, heardAt, acked := c.heard, c.heardAt, c.acked
-	for seq, at := range c.sent {
-		if seq <= acked {
-			delete(c.sent, seq)
-		} else if now.Sub(at) > silentFor+beatEvery {
+	receivedSeq, receivedAt, ackedSeq := c.receivedSeq, c.receivedAt, c.ackedSeq
+	for seq, at := range c.unacked {
+		if seq <= ackedSeq {
+			delete(c.unacked, seq)
+		} else if now.Sub(at) > silenceTimeout+heartbeatInterval {
 			c.mu.Unlock()
 			c.Close("not_heard")
 			return
 		}
 	}
-	c.beats++
-	c.sent[c.beats] = now
+	c.heartbeatSeq++
+	c.unacked[c.heartbeatSeq] = now
 	c.mu.Unlock()
-	b := beat{Seq: c.beats, Heard: heard, Status: c.status.Load()}
-	if heard > 0 {
-		b.Held = now.Sub(heardAt).Microseconds()
+	b := heartbeat{Seq: c.heartbeatSeq, Heartbeat: receivedSeq, Status: c.status.Load()}
+	if receivedSeq > 0 {
+		b.AckDelayMicros = now.Sub(receivedAt).Microseconds()
 	}
-	c.put(queued{frame: c.frame(letterBeat, b)}, true)
+	c.enqueue(queued{frame: c.frame(frameHeartbeat, b)}, true)
 }
--- a/internal/transport/link/serve.go
+++ b/internal/transport/link/serve.go
@@ -25,8 +25,8 @@
 		}
 		return fmt.Errorf("%s is of no site that may open links here", id)
 	})
-	var all sync.WaitGroup
-	defer all.Wait()
+	var handlers sync.WaitGroup
+	defer handlers.Wait()
 	for {
 		nc, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
@@ -41,43 +41,43 @@
 			continue
 		}
 		l.mu.Lock()
-		full := l.in >= l.opts.MostIn
+		full := l.accepted >= l.opts.MaxAccepted
 		if !full {
-			l.in++
+			l.accepted++
 		}
 		l.mu.Unlock()
 		if full { // Danger: whoever opens many connections here would take descriptors from clients
-			l.refuse(nc, errors.New("too many links"))
+			l.reject(nc, errors.New("too many links"))
 			continue
 		}
-		all.Go(func() {
+		handlers.Go(func() {
 			defer func() {
 				l.mu.Lock()
-				l.in--
+				l.accepted--
 				l.mu.Unlock()
 			}()
-			c, err := l.shake(ctx, tls.Server(nc, config), -1)
+			c, err := l.establish(ctx, tls.Server(nc, config), -1)
 			if err != nil {
-				l.refuse(nc, err)
+				l.reject(nc, err)
 				return
 			}
-			l.carry(ctx, c)
+			l.runConn(ctx, c)
 		})
 	}
 }
 
-// refuse ends a connection that got no further than the handshake, with a log line, of which there are a few a second.
-func (l *Links) refuse(nc net.Conn, err error) {
+// reject ends a connection that got no further than the handshake, with a log line, of which there are a few a second.
+func (l *Links) reject(nc net.Conn, err error) {
 	nc.Close()
-	l.Refused.Add(1)
+	l.RejectedHandshakes.Add(1)
 	l.mu.Lock()
-	if s := time.Now().Unix(); s != l.second {
-		l.second, l.lines = s, 0
+	if s := time.Now().Unix(); s != l.logSecond {
+		l.logSecond, l.logLines = s, 0
 	}
-	l.lines++
-	logged := l.lines <= 5
+	l.logLines++
+	logged := l.logLines <= 5
 	l.mu.Unlock()
 	if logged {
-		slog.Warn("link refused", "from", nc.RemoteAddr(), "reason", "handshake", "error", err, "refused", l.Refused.Load())
+		slog.Warn("link refused", "from", nc.RemoteAddr(), "reason", "handshake", "error", err, "refused", l.RejectedHandshakes.Load())
 	}
 }
--- a/internal/transport/lookahead/lookahead.go
+++ b/internal/transport/lookahead/lookahead.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	chunk      = 512                   // bytes read ahead at once
-	parserMost = 8 << 10               // bytes that a parser may have been given and not used
-	sameTime   = 10 * time.Millisecond // bytes that come within it count as come together
-	fullPause  = 50 * time.Millisecond // between looks for the end of a connection of which no more is read
+	readSize           = 512                   // bytes read ahead at once
+	maxParserBuffer    = 8 << 10               // bytes that a parser may have been given and not used
+	coalesceInterval   = 10 * time.Millisecond // bytes that come within it count as come together
+	hangUpPollInterval = 50 * time.Millisecond // between looks for the end of a connection of which no more is read
 )
 
 // Reader reads a connection.
 type Reader struct {
-	conn  net.Conn
-	raw   syscall.RawConn // nil: what has come can't be asked without waiting
-	now   func() time.Duration
-	bound int // bytes kept ahead
-
-	ahead []byte // come, and not given out
-	given uint64 // bytes given out so far
-	marks []mark // when bytes came that may still be asked about
-	err   error  // the end, once it was seen
-
-	scratch [chunk]byte
-	take    func(fd uintptr) // reads into scratch without waiting; made once, as it is called with each request
-	room    int              // of scratch, for take
-	took    int
-	failed  error
+	conn     net.Conn
+	raw      syscall.RawConn // nil: what has come can't be asked without waiting
+	now      func() time.Duration
+	maxAhead int // bytes kept ahead
+
+	ahead    []byte    // come, and not given out
+	consumed uint64    // bytes given out so far
+	arrivals []arrival // when bytes came that may still be asked about
+	err      error     // the end, once it was seen
+
+	scratch     [readSize]byte
+	receive     func(fd uintptr) // reads into scratch without waiting; made once, as it is called with each request
+	receiveSize int              // of scratch, for take
+	received    int
+	receiveErr  error
 }
 
-// mark tells when the bytes before an offset had come. Danger: a time before a client sent its request would have it count as asked
+// arrival tells when the bytes before an offset had come. Danger: a time before a client sent its request would have it count as asked
 // earlier than it was, so that bytes that come together have the time of the last.
-type mark struct {
-	until     uint64
+type arrival struct {
+	endOffset uint64
 	first, at time.Duration // of those that count as come together
 }
 
 // New makes a reader of a connection that keeps bound bytes ahead at the most.
-func New(conn net.Conn, now func() time.Duration, bound int) *Reader {
-	r := &Reader{conn: conn, now: now, bound: bound}
+func New(conn net.Conn, now func() time.Duration, maxAhead int) *Reader {
+	r := &Reader{conn: conn, now: now, maxAhead: maxAhead}
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
 			r.raw = raw
 		}
 	}
-	r.take = func(fd uintptr) {
-		r.took, _, r.failed = syscall.Recvfrom(int(fd), r.scratch[:r.room], syscall.MSG_DONTWAIT)
+	r.receive = func(fd uintptr) {
+		r.received, _, r.receiveErr = syscall.Recvfrom(int(fd), r.scratch[:r.receiveSize], syscall.MSG_DONTWAIT)
 	}
 	return r
 }
@@ -67,7 +67,7 @@
 	if len(r.ahead) > 0 {
 		n := copy(p, r.ahead)
 		r.ahead = r.ahead[n:]
-		r.given += uint64(n)
+		r.consumed += uint64(n)
 		if len(r.ahead) == 0 {
 			r.ahead = nil
 		}
@@ -78,8 +78,8 @@
 	}
 	n, err := r.conn.Read(p)
 	if n > 0 {
-		r.given += uint64(n)
-		r.came(r.given)
+		r.consumed += uint64(n)
+		r.recordArrival(r.consumed)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		r.err = err
@@ -91,7 +91,7 @@
 // without end would fill the memory. Beyond the bound its bytes stay in the kernel, and only the end is looked for.
 func (r *Reader) Watch(stop <-chan struct{}) error {
 	for r.err == nil {
-		room := min(chunk, r.bound-len(r.ahead))
+		room := min(readSize, r.maxAhead-len(r.ahead))
 		if room <= 0 {
 			if r.hungUp() {
 				r.err = io.EOF
@@ -100,12 +100,12 @@
 			select {
 			case <-stop:
 				return nil
-			case <-time.After(fullPause):
+			case <-time.After(hangUpPollInterval):
 			}
 			continue
 		}
 		n, err := r.conn.Read(r.scratch[:room])
-		r.keep(r.scratch[:n])
+		r.buffer(r.scratch[:n])
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil
 		}
@@ -120,69 +120,69 @@
 		return false
 	}
 	r.raw.Control(func(fd uintptr) {
-		ask := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(ask, 0)
-		gone = err == nil && n > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
+		gone = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
 	return gone
 }
 
-// Look takes what has come without waiting, and tells whether the connection has ended.
-func (r *Reader) Look() (ended bool) {
-	for r.err == nil && r.raw != nil && len(r.ahead) < r.bound {
-		r.room = min(chunk, r.bound-len(r.ahead))
-		if err := r.raw.Control(r.take); err != nil {
+// ReadAvailable takes what has come without waiting, and tells whether the connection has ended.
+func (r *Reader) ReadAvailable() (ended bool) {
+	for r.err == nil && r.raw != nil && len(r.ahead) < r.maxAhead {
+		r.receiveSize = min(readSize, r.maxAhead-len(r.ahead))
+		if err := r.raw.Control(r.receive); err != nil {
 			r.err = err
 			break
 		}
 		switch {
-		case errors.Is(r.failed, syscall.EINTR):
-		case errors.Is(r.failed, syscall.EAGAIN):
+		case errors.Is(r.receiveErr, syscall.EINTR):
+		case errors.Is(r.receiveErr, syscall.EAGAIN):
 			return false
-		case r.failed != nil:
-			r.err = r.failed
-		case r.took == 0:
+		case r.receiveErr != nil:
+			r.err = r.receiveErr
+		case r.received == 0:
 			r.err = io.EOF
 		default:
-			r.keep(r.scratch[:r.took])
+			r.buffer(r.scratch[:r.received])
 		}
 	}
 	return r.err != nil
 }
 
-// keep adds bytes to those that have come.
-func (r *Reader) keep(b []byte) {
+// buffer adds bytes to those that have come.
+func (r *Reader) buffer(b []byte) {
 	if len(b) > 0 {
 		r.ahead = append(r.ahead, b...)
-		r.came(r.given + uint64(len(r.ahead)))
+		r.recordArrival(r.consumed + uint64(len(r.ahead)))
 	}
 }
 
-// came notes that the bytes before an offset have come by now.
-func (r *Reader) came(until uint64) {
+// recordArrival notes that the bytes before an offset have come by now.
+func (r *Reader) recordArrival(endOffset uint64) {
 	at := r.now()
-	if last := len(r.marks) - 1; last >= 0 && at-r.marks[last].first < sameTime {
-		r.marks[last].until, r.marks[last].at = until, at
+	if last := len(r.arrivals) - 1; last >= 0 && at-r.arrivals[last].first < coalesceInterval {
+		r.arrivals[last].endOffset, r.arrivals[last].at = endOffset, at
 		return
 	}
-	old := 0
-	for old < len(r.marks) && r.marks[old].until+parserMost < r.given {
-		old++
+	expired := 0
+	for expired < len(r.arrivals) && r.arrivals[expired].endOffset+maxParserBuffer < r.consumed {
+		expired++
 	}
-	r.marks = append(r.marks[:copy(r.marks, r.marks[old:])], mark{until, at, at})
+	r.arrivals = append(r.arrivals[:copy(r.arrivals, r.arrivals[expired:])], arrival{endOffset, at, at})
 }
 
-// Ahead tells how many bytes have come that were not given out.
-func (r *Reader) Ahead() int { return len(r.ahead) }
+// Unread tells how many bytes have come that were not given out.
+func (r *Reader) Unread() int { return len(r.ahead) }
 
 // Ended tells whether the connection's end was seen, whatever came before it.
 func (r *Reader) Ended() bool { return r.err != nil }
 
-// Came tells when the last byte had come of those given out, but for the last held ones, which a parser has not used yet.
-func (r *Reader) Came(held int) time.Duration {
-	end := r.given - uint64(held)
-	for _, m := range r.marks {
-		if m.until >= end {
+// ArrivalTime tells when the last byte had come of those given out, but for the last held ones, which a parser has not used yet.
+func (r *Reader) ArrivalTime(unused int) time.Duration {
+	end := r.consumed - uint64(unused)
+	for _, m := range r.arrivals {
+		if m.endOffset >= end {
 			return m.at
 		}
 	}
--- a/internal/transport/lookahead/lookahead_test.go
+++ b/internal/transport/lookahead/lookahead_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// clock is a time that the test sets.
-type clock struct{ at time.Duration }
+// fakeClock is a time that the test sets.
+type fakeClock struct{ at time.Duration }
 
-func (c *clock) now() time.Duration { return c.at }
+func (c *fakeClock) now() time.Duration { return c.at }
 
-func pair(t *testing.T) (near *net.TCPConn, far *net.TCPConn) {
+func connPair(t *testing.T) (near *net.TCPConn, far *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,20 +35,20 @@
 	return there.(*net.TCPConn), conn.(*net.TCPConn)
 }
 
-// come waits until so many bytes lie ahead.
-func come(r *Reader, n int) {
-	for r.Ahead() < n {
-		r.Look()
+// readUntilBuffered waits until so many bytes lie ahead.
+func readUntilBuffered(r *Reader, n int) {
+	for r.Unread() < n {
+		r.ReadAvailable()
 	}
 }
 
 // The end of a connection is seen behind bytes that nobody has read, within the bound and beyond it, by a close and by a reset; what
 // came before it is still there.
 func TestEndIsSeenBehindBytes(t *testing.T) {
-	for _, size := range []int{0, 1, chunk, 5000, 100000} {
+	for _, size := range []int{0, 1, readSize, 5000, 100000} {
 		for _, reset := range []bool{false, true} {
-			near, far := pair(t)
-			r := New(near, new(clock).now, 4096)
+			near, far := connPair(t)
+			r := New(near, new(fakeClock).now, 4096)
 			text := strings.Repeat("x", size)
 			go func() {
 				io.WriteString(far, text)
@@ -60,7 +60,7 @@
 			if err := r.Watch(make(chan struct{})); err == nil || !r.Ended() {
 				t.Errorf("%d bytes, reset %v: the end was not seen: %v", size, reset, err)
 			}
-			if ahead := r.Ahead(); ahead > 4096 || !reset && ahead != min(size, 4096) {
+			if ahead := r.Unread(); ahead > 4096 || !reset && ahead != min(size, 4096) {
 				t.Errorf("%d bytes, reset %v: %d ahead", size, reset, ahead)
 			}
 			if reset {
@@ -76,8 +76,8 @@
 // A watch that is stopped loses nothing, whether it waits for bytes or has as many as it keeps.
 func TestWatchStops(t *testing.T) {
 	for _, size := range []int{10, 100000} {
-		near, far := pair(t)
-		r := New(near, new(clock).now, 4096)
+		near, far := connPair(t)
+		r := New(near, new(fakeClock).now, 4096)
 		text := bytes.Repeat([]byte("0123456789"), size/10)
 		go far.Write(text)
 		stop, watched := make(chan struct{}), make(chan error, 1)
@@ -99,66 +99,66 @@
 
 // Bytes that came ahead have the time at which they came, not that at which they are read.
 func TestWhenBytesCame(t *testing.T) {
-	near, far := pair(t)
-	c := &clock{}
+	near, far := connPair(t)
+	c := &fakeClock{}
 	r := New(near, c.now, 4096)
 	for i := range 3 {
 		c.at = time.Duration(1+i) * time.Second
 		io.WriteString(far, "12345")
-		come(r, 5*(i+1))
+		readUntilBuffered(r, 5*(i+1))
 	}
 	c.at = time.Minute
 	got := make([]byte, 15)
 	io.ReadFull(r, got)
 	for held, want := range map[int]time.Duration{0: 3, 4: 3, 5: 2, 9: 2, 10: 1, 14: 1} {
-		if at := r.Came(held); at != want*time.Second {
+		if at := r.ArrivalTime(held); at != want*time.Second {
 			t.Errorf("with %d bytes held: %v", held, at)
 		}
 	}
 	io.WriteString(far, "later")
-	if _, err := io.ReadFull(r, got[:5]); err != nil || r.Came(0) != time.Minute {
-		t.Errorf("%v at %v", err, r.Came(0))
+	if _, err := io.ReadFull(r, got[:5]); err != nil || r.ArrivalTime(0) != time.Minute {
+		t.Errorf("%v at %v", err, r.ArrivalTime(0))
 	}
 }
 
 // Bytes that come within a moment count as come together, with the last of them, and a trickle never joins what came long before.
 func TestBytesThatCameTogether(t *testing.T) {
-	near, far := pair(t)
-	c := &clock{at: time.Second}
+	near, far := connPair(t)
+	c := &fakeClock{at: time.Second}
 	r := New(near, c.now, 4096)
 	for i := range 30 {
 		io.WriteString(far, "x")
-		come(r, i+1)
-		c.at += sameTime / 4
+		readUntilBuffered(r, i+1)
+		c.at += coalesceInterval / 4
 	}
 	got := make([]byte, 30)
 	io.ReadFull(r, got)
 	for i := range 30 {
-		came := time.Second + time.Duration(i)*sameTime/4
-		if at := r.Came(29 - i); at < came || at > came+sameTime {
+		came := time.Second + time.Duration(i)*coalesceInterval/4
+		if at := r.ArrivalTime(29 - i); at < came || at > came+coalesceInterval {
 			t.Errorf("byte %d came at %v, not %v", i, came, at)
 		}
 	}
 }
 
 // A look takes what is there and never waits, whatever the deadline.
-func TestLookNeverWaits(t *testing.T) {
-	near, far := pair(t)
-	r := New(near, new(clock).now, 4096)
+func TestReadAvailableNeverWaits(t *testing.T) {
+	near, far := connPair(t)
+	r := New(near, new(fakeClock).now, 4096)
 	near.SetReadDeadline(time.Unix(1, 0))
-	if r.Look() || r.Ahead() != 0 {
+	if r.ReadAvailable() || r.Unread() != 0 {
 		t.Error("something came of nothing")
 	}
 	io.WriteString(far, "abc")
-	come(r, 3)
+	readUntilBuffered(r, 3)
 	far.Close()
-	for !r.Look() {
+	for !r.ReadAvailable() {
 	}
 	if got, err := io.ReadAll(r); string(got) != "abc" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 	piped, _ := net.Pipe()
-	if New(piped, new(clock).now, 10).Look() {
+	if New(piped, new(fakeClock).now, 10).ReadAvailable() {
 		t.Error("a pipe can't be asked")
 	}
 	if _, err := r.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
@@ -167,15 +167,15 @@
 }
 
 // A request by request use of the reader makes nothing new.
-func TestLookAllocatesNothing(t *testing.T) {
-	near, far := pair(t)
-	r := New(near, new(clock).now, 4096)
+func TestReadAvailableAllocatesNothing(t *testing.T) {
+	near, far := connPair(t)
+	r := New(near, new(fakeClock).now, 4096)
 	buf, text := make([]byte, 8), []byte("12345678")
 	n := testing.AllocsPerRun(100, func() {
 		far.Write(text)
 		io.ReadFull(r, buf)
-		r.Came(0)
-		r.Look()
+		r.ArrivalTime(0)
+		r.ReadAvailable()
 	})
 	if n > 0 {
 		t.Errorf("%v allocations", n)
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	mostBytes = 256
-	mostQueue = 64 // messages that wait to be sent; more are dropped, as the network may drop any
+	maxDatagram = 256
+	maxQueued   = 64 // messages that wait to be sent; more are dropped, as the network may drop any
 )
 
 // Counts tell what went in and out; they may be read from any goroutine.
-type Counts struct{ Sent, Heard, Strangers, TooLong, Dropped, Unsealed atomic.Uint64 }
-
-// Link is the socket between brokers.
-type Link struct {
-	Counts Counts
-	conn   *net.UDPConn
-	peers  []netip.AddrPort
-	all    netip.AddrPort
-	queue  chan datagram
-	hear   func(from int, text []byte)
-	meet   func(from netip.AddrPort, data []byte) // nil: there is no crew
-	seal   *seal                                  // nil: nothing is sealed
+type Counts struct{ Sent, Delivered, UnknownSenders, TooLong, Dropped, AuthFailed atomic.Uint64 }
+
+// Socket is the socket between brokers.
+type Socket struct {
+	Counts          Counts
+	conn            *net.UDPConn
+	peers           []netip.AddrPort
+	broadcastAddr   netip.AddrPort
+	queue           chan datagram
+	handleBroadcast func(from int, text []byte)
+	handleMember    func(from netip.AddrPort, data []byte) // nil: there is no crew
+	authenticator   *authenticator                         // nil: nothing is sealed
 }
 
 type datagram struct {
@@ -42,36 +42,40 @@
 }
 
 // Listen opens the socket.
-func Listen(at netip.AddrPort, peers []netip.AddrPort, all netip.AddrPort, hear func(int, []byte)) (*Link, error) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+func Listen(addr netip.AddrPort, peers []netip.AddrPort, broadcastAddr netip.AddrPort, handleBroadcast func(int, []byte)) (*Socket, error) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
-	return &Link{conn: conn, peers: peers, all: all, hear: hear, queue: make(chan datagram, mostQueue)}, nil
+	return &Socket{conn: conn, peers: peers, broadcastAddr: broadcastAddr, handleBroadcast: handleBroadcast, queue: make(chan datagram, maxQueued)}, nil
 }
 
 // Crew has what members say handed on, and everything sealed where there are keys. It comes before Send and Hear.
-func (l *Link) Crew(meet func(from netip.AddrPort, data []byte), keys [][]byte) {
-	l.meet = meet
+func (l *Socket) Crew(handleMember func(from netip.AddrPort, data []byte), keys [][]byte) {
+	l.handleMember = handleMember
 	if len(keys) > 0 {
-		l.seal = newSeal(keys, time.Now())
+		l.authenticator = newAuthenticator(keys, time.Now())
 	}
 }
 
-// Tell sends a message to all other brokers; it may be lost.
-func (l *Link) Tell(text string) { l.put(datagram{l.all, OfModule, []byte(text)}) }
+// Broadcast sends a message to all other brokers; it may be lost.
+func (l *Socket) Broadcast(text string) {
+	l.enqueue(datagram{l.broadcastAddr, KindBroadcast, []byte(text)})
+}
 
-// Meet sends what members say to one broker; it may be lost.
-func (l *Link) Meet(to netip.AddrPort, data []byte) { l.put(datagram{to, OfCrew, data}) }
+// SendTo sends what members say to one broker; it may be lost.
+func (l *Socket) SendTo(to netip.AddrPort, data []byte) {
+	l.enqueue(datagram{to, KindMembership, data})
+}
 
-func (l *Link) put(d datagram) {
-	most := mostBytes
-	if l.seal != nil {
-		most = MaxSealed
-	} else if d.kind == OfCrew {
-		most = mostBytes - 1
+func (l *Socket) enqueue(d datagram) {
+	limit := maxDatagram
+	if l.authenticator != nil {
+		limit = MaxPayload
+	} else if d.kind == KindMembership {
+		limit = maxDatagram - 1
 	}
-	if len(d.data) > most {
+	if len(d.data) > limit {
 		l.Counts.TooLong.Add(1)
 		return
 	}
@@ -83,7 +87,7 @@
 }
 
 // Send writes what is told until ctx ends, then closes the socket.
-func (l *Link) Send(ctx context.Context) error {
+func (l *Socket) Send(ctx context.Context) error {
 	defer l.conn.Close()
 	for {
 		select {
@@ -96,7 +100,7 @@
 }
 
 // Flush writes what waits, as the broker stops.
-func (l *Link) Flush() {
+func (l *Socket) Flush() {
 	for {
 		select {
 		case d := <-l.queue:
@@ -107,12 +111,12 @@
 	}
 }
 
-func (l *Link) write(d datagram) {
+func (l *Socket) write(d datagram) {
 	b := d.data
-	if l.seal != nil {
-		b = l.seal.close(d.kind, b)
-	} else if d.kind == OfCrew {
-		b = append([]byte{sealMagic}, b...)
+	if l.authenticator != nil {
+		b = l.authenticator.close(d.kind, b)
+	} else if d.kind == KindMembership {
+		b = append([]byte{magic}, b...)
 	}
 	if _, err := l.conn.WriteToUDPAddrPort(b, d.to); err != nil {
 		l.Counts.Dropped.Add(1)
@@ -121,9 +125,9 @@
 	}
 }
 
-// Hear hands on what peers say until the socket is closed.
-func (l *Link) Hear(context.Context) error {
-	buf := make([]byte, mostBytes+1)
+// Receive hands on what peers say until the socket is closed.
+func (l *Socket) Receive(context.Context) error {
+	buf := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -133,36 +137,36 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		l.take(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
+		l.dispatch(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
 	}
 }
 
-// take hands on one datagram. Whom a seal vouches for need not be among the peers of the configuration.
-func (l *Link) take(from netip.AddrPort, b []byte) {
-	i, kind := slices.Index(l.peers, from), OfModule
+// dispatch hands on one datagram. Whom a seal vouches for need not be among the peers of the configuration.
+func (l *Socket) dispatch(from netip.AddrPort, b []byte) {
+	i, kind := slices.Index(l.peers, from), KindBroadcast
 	switch {
-	case len(b) > mostBytes:
+	case len(b) > maxDatagram:
 		l.Counts.TooLong.Add(1)
 		return
-	case l.seal != nil:
+	case l.authenticator != nil:
 		var ok bool
-		if kind, b, ok = l.seal.open(from, b); !ok {
-			l.Counts.Unsealed.Add(1)
+		if kind, b, ok = l.authenticator.open(from, b); !ok {
+			l.Counts.AuthFailed.Add(1)
 			return
 		}
 	case i < 0:
-		l.Counts.Strangers.Add(1)
+		l.Counts.UnknownSenders.Add(1)
 		return
-	case l.meet != nil && len(b) > 0 && b[0] == sealMagic:
-		kind, b = OfCrew, b[1:]
+	case l.handleMember != nil && len(b) > 0 && b[0] == magic:
+		kind, b = KindMembership, b[1:]
 	}
-	l.Counts.Heard.Add(1)
-	if kind == OfCrew && l.meet != nil {
-		l.meet(from, slices.Clone(b))
-	} else if kind == OfModule && i >= 0 {
-		l.hear(i, slices.Clone(b))
+	l.Counts.Delivered.Add(1)
+	if kind == KindMembership && l.handleMember != nil {
+		l.handleMember(from, slices.Clone(b))
+	} else if kind == KindBroadcast && i >= 0 {
+		l.handleBroadcast(i, slices.Clone(b))
 	}
 }
 
 // Addr is where the socket listens.
-func (l *Link) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (l *Socket) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -9,7 +9,7 @@
 )
 
 // Only peers are heard, and only what fits a datagram; a stranger's or a cut message would be false news.
-func TestLink(t *testing.T) {
+func TestSocket(t *testing.T) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	other, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
@@ -17,13 +17,13 @@
 	}
 	defer other.Close()
 	at := other.LocalAddr().(*net.UDPAddr).AddrPort()
-	type news struct {
+	type message struct {
 		from int
 		text string
 	}
-	heard := make(chan news, 9)
+	received := make(chan message, 9)
 	l, err := Listen(local, []netip.AddrPort{local, at}, at, func(from int, text []byte) {
-		heard <- news{from, string(text)}
+		received <- message{from, string(text)}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 2)
 	go func() { done <- l.Send(ctx) }()
-	go func() { done <- l.Hear(ctx) }()
-	l.Tell(strings.Repeat("x", 257))
-	l.Tell("hello")
+	go func() { done <- l.Receive(ctx) }()
+	l.Broadcast(strings.Repeat("x", 257))
+	l.Broadcast("hello")
 	buf := make([]byte, 300)
 	if n, err := other.Read(buf); err != nil || string(buf[:n]) != "hello" {
 		t.Fatalf("%q, %v", buf[:n], err)
@@ -47,13 +47,13 @@
 	other.WriteToUDPAddrPort([]byte(strings.Repeat("y", 257)), l.Addr())
 	other.WriteToUDPAddrPort([]byte("first"), l.Addr())
 	other.WriteToUDPAddrPort([]byte("second"), l.Addr())
-	if a, b := <-heard, <-heard; a != (news{1, "first"}) || b != (news{1, "second"}) {
+	if a, b := <-received, <-received; a != (message{1, "first"}) || b != (message{1, "second"}) {
 		t.Errorf("heard %v and %v", a, b)
 	}
 	cancel()
 	<-done
 	<-done
-	if c := &l.Counts; c.TooLong.Load() != 2 || c.Strangers.Load() != 1 || c.Heard.Load() != 2 {
-		t.Errorf("%d too long, %d from strangers, %d heard", c.TooLong.Load(), c.Strangers.Load(), c.Heard.Load())
+	if c := &l.Counts; c.TooLong.Load() != 2 || c.UnknownSenders.Load() != 1 || c.Delivered.Load() != 2 {
+		t.Errorf("%d too long, %d from strangers, %d heard", c.TooLong.Load(), c.UnknownSenders.Load(), c.Delivered.Load())
 	}
 }
--- a/internal/transport/peers/seal.go
+++ b/internal/transport/peers/seal.go
@@ -13,98 +13,98 @@
 )
 
 const (
-	sealMagic = 0xf5 // no message of the module begins so
-	sealHead  = 3 + 8
-	sealSize  = sealHead + macSize
-	macSize   = 12
+	magic      = 0xf5 // no message of the module begins so
+	headerSize = 3 + 8
+	overhead   = headerSize + macSize
+	macSize    = 12
 
-	mostSenders = 4096
-	replayBits  = 64
+	maxSenders = 4096
+	replayBits = 64
 )
 
-// MaxSealed is what a datagram holds beside its seal.
-const MaxSealed = mostBytes - sealSize
+// MaxPayload is what a datagram holds beside its seal.
+const MaxPayload = maxDatagram - overhead
 
 // Kinds of what is sealed.
 const (
-	OfModule byte = iota // what the decision module tells
-	OfCrew               // members and duties
+	KindBroadcast  byte = iota // what the decision module tells
+	KindMembership             // members and duties
 )
 
-// seal signs with the first key and accepts all of them, so that keys can be changed one broker after the other.
-type seal struct {
+// authenticator signs with the first key and accepts all of them, so that keys can be changed one broker after the other.
+type authenticator struct {
 	keys    [][]byte
 	counter uint64
-	seen    map[netip.AddrPort]*window
+	senders map[netip.AddrPort]*replayWindow
 }
 
-// window tells which of a sender's counters have come.
-type window struct {
+// replayWindow tells which of a sender's counters have come.
+type replayWindow struct {
 	highest uint64
-	bits    uint64
+	seen    uint64
 }
 
-func newSeal(keys [][]byte, now time.Time) *seal {
-	return &seal{keys: keys, counter: uint64(now.UnixNano()), seen: map[netip.AddrPort]*window{}}
+func newAuthenticator(keys [][]byte, now time.Time) *authenticator {
+	return &authenticator{keys: keys, counter: uint64(now.UnixNano()), senders: map[netip.AddrPort]*replayWindow{}}
 }
 
 // close seals a payload. Counters grow over restarts, as they begin at the time of the start.
-func (s *seal) close(kind byte, payload []byte) []byte {
+func (s *authenticator) close(kind byte, payload []byte) []byte {
 	s.counter++
-	b := append(make([]byte, 0, sealSize+len(payload)), sealMagic, kind, s.keys[0][0])
+	b := append(make([]byte, 0, overhead+len(payload)), magic, kind, s.keys[0][0])
 	b = binary.BigEndian.AppendUint64(b, s.counter)
 	b = append(b, mac(s.keys[0], b, payload)...)
 	return append(b, payload...)
 }
 
-func mac(key, head, payload []byte) []byte {
+func mac(key, header, payload []byte) []byte {
 	h := hmac.New(sha256.New, key)
-	h.Write(head)
+	h.Write(header)
 	h.Write(payload)
 	return h.Sum(nil)[:macSize]
 }
 
 // open checks a datagram and returns what it holds. Danger: what somebody recorded comes again; it is known by its counter, up
 // to 64 late, per sender. Who sends under more addresses than are remembered makes room by whoever was heard least far.
-func (s *seal) open(from netip.AddrPort, b []byte) (kind byte, payload []byte, ok bool) {
-	if len(b) < sealSize || b[0] != sealMagic {
+func (s *authenticator) open(from netip.AddrPort, b []byte) (kind byte, payload []byte, ok bool) {
+	if len(b) < overhead || b[0] != magic {
 		return 0, nil, false
 	}
-	head, sum, payload := b[:sealHead], b[sealHead:sealSize], b[sealSize:]
+	header, sum, payload := b[:headerSize], b[headerSize:overhead], b[overhead:]
 	for _, key := range s.keys {
-		if key[0] == b[2] && subtle.ConstantTimeCompare(sum, mac(key, head, payload)) == 1 {
-			return b[1], payload, s.fresh(from, binary.BigEndian.Uint64(b[3:]))
+		if key[0] == b[2] && subtle.ConstantTimeCompare(sum, mac(key, header, payload)) == 1 {
+			return b[1], payload, s.accept(from, binary.BigEndian.Uint64(b[3:]))
 		}
 	}
 	return 0, nil, false
 }
 
-func (s *seal) fresh(from netip.AddrPort, counter uint64) bool {
-	w := s.seen[from]
+func (s *authenticator) accept(from netip.AddrPort, counter uint64) bool {
+	w := s.senders[from]
 	switch {
 	case w == nil:
-		if len(s.seen) >= mostSenders {
-			least := from
-			for a, o := range s.seen {
-				if least == from || o.highest < s.seen[least].highest {
-					least = a
+		if len(s.senders) >= maxSenders {
+			lowest := from
+			for a, o := range s.senders {
+				if lowest == from || o.highest < s.senders[lowest].highest {
+					lowest = a
 				}
 			}
-			delete(s.seen, least)
+			delete(s.senders, lowest)
 		}
-		s.seen[from] = &window{counter, 1}
+		s.senders[from] = &replayWindow{counter, 1}
 		return true
 	case counter > w.highest:
-		if by := counter - w.highest; by < replayBits {
-			w.bits = w.bits<<by | 1
+		if shift := counter - w.highest; shift < replayBits {
+			w.seen = w.seen<<shift | 1
 		} else {
-			w.bits = 1
+			w.seen = 1
 		}
 		w.highest = counter
 		return true
-	case w.highest-counter >= replayBits || w.bits>>(w.highest-counter)&1 == 1:
+	case w.highest-counter >= replayBits || w.seen>>(w.highest-counter)&1 == 1:
 		return false
 	}
-	w.bits |= 1 << (w.highest - counter)
+	w.seen |= 1 << (w.highest - counter)
 	return true
 }
--- a/internal/transport/store/bench_test.go
+++ b/internal/transport/store/bench_test.go
@@ -15,36 +15,36 @@
 
 // This file owns the connections that tests hold in their hands, and the pool round them.
 
-// pipe is a connection to a stand-in node: what is written gathers, what the node says comes by a channel.
-type pipe struct {
-	wrote  []string
-	say    chan []byte
-	rest   []byte
-	ended  chan struct{}
-	reset  error // what a read tells once the node has ended the connection
-	refuse error // what a write tells
-	takes  int   // bytes that a write takes; 0: all
-	closed bool
-	until  time.Time // a read waits no longer
+// fakeConn is a connection to a stand-in node: what is written gathers, what the node says comes by a channel.
+type fakeConn struct {
+	wrote        []string
+	incoming     chan []byte
+	rest         []byte
+	ended        chan struct{}
+	readErr      error // what a read tells once the node has ended the connection
+	writeErr     error // what a write tells
+	writeLimit   int   // bytes that a write takes; 0: all
+	closed       bool
+	readDeadline time.Time // a read waits no longer
 }
 
-func (p *pipe) SetReadDeadline(t time.Time) error {
-	p.until = t
+func (p *fakeConn) SetReadDeadline(t time.Time) error {
+	p.readDeadline = t
 	return nil
 }
 
-func (p *pipe) Read(b []byte) (int, error) {
+func (p *fakeConn) Read(b []byte) (int, error) {
 	for len(p.rest) == 0 {
 		var over <-chan time.Time
-		if !p.until.IsZero() {
-			over = time.After(time.Until(p.until))
+		if !p.readDeadline.IsZero() {
+			over = time.After(time.Until(p.readDeadline))
 		}
 		select {
 		case <-over:
 			return 0, os.ErrDeadlineExceeded
-		case p.rest = <-p.say:
+		case p.rest = <-p.incoming:
 		case <-p.ended:
-			return 0, p.reset
+			return 0, p.readErr
 		}
 	}
 	n := copy(b, p.rest)
@@ -52,18 +52,18 @@
 	return n, nil
 }
 
-func (p *pipe) TryWrite(b []byte) (int, error) {
-	if p.refuse != nil {
-		return 0, p.refuse
+func (p *fakeConn) TryWrite(b []byte) (int, error) {
+	if p.writeErr != nil {
+		return 0, p.writeErr
 	}
-	if p.takes > 0 && p.takes < len(b) {
-		return p.takes, nil
+	if p.writeLimit > 0 && p.writeLimit < len(b) {
+		return p.writeLimit, nil
 	}
 	p.wrote = append(p.wrote, string(b[4:]))
 	return len(b), nil
 }
 
-func (p *pipe) Close() error {
+func (p *fakeConn) Close() error {
 	if !p.closed {
 		p.closed = true
 		p.end(io.ErrClosedPipe)
@@ -71,89 +71,89 @@
 	return nil
 }
 
-func (p *pipe) end(err error) {
-	if p.reset == nil {
-		p.reset = err
+func (p *fakeConn) end(err error) {
+	if p.readErr == nil {
+		p.readErr = err
 		close(p.ended)
 	}
 }
 
-// bench is a pool with its loop played by the test.
-type bench struct {
+// poolTest is a pool with its loop played by the test.
+type poolTest struct {
 	*Pool
-	t      *testing.T
-	events chan Event
-	pipes  []*pipe
-	ends   []string
-	fail   error         // of the next dials
-	hold   time.Duration // how long a dial takes
+	t         *testing.T
+	events    chan Event
+	fakeConns []*fakeConn
+	outcomes  []string
+	dialErr   error         // of the next dials
+	dialDelay time.Duration // how long a dial takes
 }
 
-var at = decision.NodeID{Port: 7}
+var testNode = decision.NodeID{Port: 7}
 
-func run(t *testing.T, limits Limits, test func(b *bench)) {
+func runPoolTest(t *testing.T, limits Limits, test func(b *poolTest)) {
 	synctest.Test(t, func(t *testing.T) {
-		begin := time.Now()
-		b := &bench{t: t, events: make(chan Event, 100)}
+		start := time.Now()
+		b := &poolTest{t: t, events: make(chan Event, 100)}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		open := func(ctx context.Context, _ string, within time.Duration) (Conn, error) {
-			fail := b.fail
+			dialErr := b.dialErr
 			select {
-			case <-time.After(min(b.hold, within)):
+			case <-time.After(min(b.dialDelay, within)):
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
-			if b.hold > within {
+			if b.dialDelay > within {
 				return nil, context.DeadlineExceeded
 			}
-			if fail != nil {
-				return nil, fail
+			if dialErr != nil {
+				return nil, dialErr
 			}
-			p := &pipe{say: make(chan []byte, 9), ended: make(chan struct{})}
-			b.pipes = append(b.pipes, p)
+			p := &fakeConn{incoming: make(chan []byte, 9), ended: make(chan struct{})}
+			b.fakeConns = append(b.fakeConns, p)
 			return p, nil
 		}
-		b.Pool = NewPool(ctx, limits, open, func() time.Duration { return time.Since(begin) },
+		b.Pool = NewPool(ctx, limits, open, func() time.Duration { return time.Since(start) },
 			func(f func() error) { go f() }, func(e Event) { b.events <- e },
-			func(p *Part, how decision.Outcome, _ time.Duration, value string) {
-				b.ends = append(b.ends, fmt.Sprintf("%s %d%s", p.ID, how, value))
+			func(p *Subrequest, outcome decision.Outcome, _ time.Duration, value string) {
+				b.outcomes = append(b.outcomes, fmt.Sprintf("%s %d%s", p.ID, outcome, value))
 			})
-		b.Probed = func(id decision.NodeID, how decision.Outcome, took time.Duration) {
-			b.ends = append(b.ends, fmt.Sprintf("probe %d %d %v", id.Port, how, took))
+		b.ProbeEnded = func(id decision.NodeID, outcome decision.Outcome, took time.Duration) {
+			b.outcomes = append(b.outcomes, fmt.Sprintf("probe %d %d %v", id.Port, outcome, took))
 		}
-		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:7"), decision.StartedLongAgo)
+		b.SetNode(testNode, "s-7", netip.MustParseAddrPort("127.0.0.1:7"), decision.StartedLongAgo)
 		test(b)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-func (b *bench) settle() {
+func (b *poolTest) handleEvents() {
 	synctest.Wait()
 	for len(b.events) > 0 {
-		b.Handle(<-b.events)
+		b.HandleEvent(<-b.events)
 		synctest.Wait()
 	}
 }
 
-func (b *bench) send(ids ...string) (parts []*Part) {
+func (b *poolTest) send(ids ...string) (attempts []*Subrequest) {
 	for _, id := range ids {
-		parts = append(parts, &Part{ID: id, Text: "x", Deadline: time.Hour, Node: at})
+		attempts = append(attempts, &Subrequest{ID: id, Text: "x", Deadline: time.Hour, Node: testNode})
 	}
-	b.Send(at, slices.Clone(parts))
-	b.settle()
-	return parts
+	b.Send(testNode, slices.Clone(attempts))
+	b.handleEvents()
+	return attempts
 }
 
 // expect compares how parts ended since the last call.
-func (b *bench) expect(want ...string) {
+func (b *poolTest) expect(want ...string) {
 	b.t.Helper()
-	slices.Sort(b.ends)
-	if !slices.Equal(b.ends, want) {
-		b.t.Errorf("ended %q, want %q", b.ends, want)
+	slices.Sort(b.outcomes)
+	if !slices.Equal(b.outcomes, want) {
+		b.t.Errorf("ended %q, want %q", b.outcomes, want)
 	}
-	b.ends = nil
+	b.outcomes = nil
 }
 
-var usual = Limits{Streams: 2, Idle: 30 * time.Second, Dial: 250 * time.Millisecond, Silent: 5 * time.Second, Conns: 4}
+var testLimits = Limits{Streams: 2, Idle: 30 * time.Second, Dial: 250 * time.Millisecond, Silent: 5 * time.Second, Conns: 4}
--- a/internal/transport/store/budget.go
+++ b/internal/transport/store/budget.go
@@ -5,39 +5,39 @@
 
 import "flaxfront/internal/decision"
 
-// Leave is an answer to whether a connection may be opened.
-type Leave uint8
+// OpenDecision is an answer to whether a connection may be opened.
+type OpenDecision uint8
 
 const (
-	No    Leave = iota
-	Own         // it is the tenant's: no other's parts go over it
-	Floor       // it is the broker's: parts of all tenants go over it
+	Denied        OpenDecision = iota
+	OpenForTenant              // it is the tenant's: no other's parts go over it
+	OpenShared                 // it is the broker's: parts of all tenants go over it
 )
 
 // Budget says what may be opened. It is asked in the loop, before each connection, and told of the end of each.
 type Budget interface {
-	Open(node decision.NodeID, tenant int) Leave
+	Open(node decision.NodeID, tenant int) OpenDecision
 	Closed(node decision.NodeID, tenant int, byNode bool)
 }
 
-// Keep has the pool keep to a budget. It is called before anything is sent; without it Limits alone bound.
-func (p *Pool) Keep(b Budget) { p.budget = b }
+// SetBudget has the pool keep to a budget. It is called before anything is sent; without it Limits alone bound.
+func (p *Pool) SetBudget(b Budget) { p.budget = b }
 
-// mine tells whether a tenant's parts may go over a connection.
-func (p *Pool) mine(c *conn, tenant int) bool {
-	return p.budget == nil || c.floor || c.tenant == tenant
+// mayUse tells whether a tenant's parts may go over a connection.
+func (p *Pool) mayUse(c *conn, tenant int) bool {
+	return p.budget == nil || c.shared || c.tenant == tenant
 }
 
-// leave asks for a connection, and gives what the connection then is.
-func (p *Pool) leave(n *node, tenant int) Leave {
+// openDecision asks for a connection, and gives what the connection then is.
+func (p *Pool) openDecision(n *node, tenant int) OpenDecision {
 	if p.budget == nil {
-		return Floor
+		return OpenShared
 	}
 	return p.budget.Open(n.id, tenant)
 }
 
-// returned tells the budget of a connection's end.
-func (p *Pool) returned(c *conn, byNode bool) {
+// reportClosed tells the budget of a connection's end.
+func (p *Pool) reportClosed(c *conn, byNode bool) {
 	if p.budget != nil {
 		p.budget.Closed(c.node.id, c.tenant, byNode)
 	}
@@ -49,58 +49,58 @@
 	return reason == "closed_by_node" || reason == "reset" || reason == "refused"
 }
 
-// Shed closes so many of a tenant's connections to a node: those that carry nothing at once, of the others those with the least,
+// ReleaseConnections closes so many of a tenant's connections to a node: those that carry nothing at once, of the others those with the least,
 // which get nothing more; where hard is true all of them at once. Danger: a lease ends while parts are out, and another broker
 // fills the node's place; those parts end as reset, which costs them a resend. It tells how many still carry something.
-func (p *Pool) Shed(id decision.NodeID, tenant, units int, hard bool) (left int) {
+func (p *Pool) ReleaseConnections(id decision.NodeID, tenant, count int, immediate bool) (remaining int) {
 	n := p.nodes[id]
 	if n == nil {
 		return 0
 	}
-	for units > 0 {
+	for count > 0 {
 		var least *conn
 		for _, c := range n.conns {
-			if c.tenant == tenant && !c.shed && (least == nil || c.before(least)) {
+			if c.tenant == tenant && !c.selected && (least == nil || c.releasedBefore(least)) {
 				least = c
 			}
 		}
 		if least == nil {
 			break
 		}
-		if units--; hard || least.out.len() == 0 {
+		if count--; immediate || least.inFlight.len() == 0 {
 			p.close(least, "budget")
 			continue
 		}
-		least.retired, least.shed, p.due = true, true, 0
-		left++
+		least.retired, least.selected, p.nextSweep = true, true, 0
+		remaining++
 	}
 	for _, c := range n.conns {
-		c.shed = false // which ones are chosen anew each time: the same, as they get nothing more
+		c.selected = false // which ones are chosen anew each time: the same, as they get nothing more
 	}
-	return left
+	return remaining
 }
 
-// End closes all connections.
-func (p *Pool) End(reason string) {
-	for _, n := range p.order {
+// Status closes all connections.
+func (p *Pool) CloseAll(reason string) {
+	for _, n := range p.nodeOrder {
 		p.closeWhere(n, reason, func(*conn) bool { return true })
 	}
 }
 
-// before orders connections for Shed: those that get nothing more already, then those with the least.
-func (c *conn) before(o *conn) bool {
+// releasedBefore orders connections for Shed: those that get nothing more already, then those with the least.
+func (c *conn) releasedBefore(o *conn) bool {
 	if c.retired != o.retired {
 		return c.retired
 	}
-	return c.out.len() < o.out.len()
+	return c.inFlight.len() < o.inFlight.len()
 }
 
-// Wants tells how many parts of each tenant are out at each node, or wait for a connection to it.
-func (p *Pool) Wants(each func(node decision.NodeID, tenant, parts int)) {
-	for _, n := range p.order {
+// VisitInFlight tells how many parts of each tenant are out at each node, or wait for a connection to it.
+func (p *Pool) VisitInFlight(visit func(node decision.NodeID, tenant, attempts int)) {
+	for _, n := range p.nodeOrder {
 		for _, c := range n.conns {
-			for _, part := range c.out.parts {
-				each(n.id, part.Tenant, 1)
+			for _, attempt := range c.inFlight.attempts {
+				visit(n.id, attempt.Tenant, 1)
 			}
 		}
 	}
--- a/internal/transport/store/budget_test.go
+++ b/internal/transport/store/budget_test.go
@@ -8,84 +8,84 @@
 	"flaxfront/internal/decision"
 )
 
-// purse is a budget of so many connections: one is the broker's, the others belong to tenant 1.
-type purse struct {
-	floor, own int
-	has        map[int]int
-	byNode     int
+// fakeBudget is a budget of so many connections: one is the broker's, the others belong to tenant 1.
+type fakeBudget struct {
+	shared, perTenant int
+	open              map[int]int
+	byNode            int
 }
 
-func (p *purse) Open(_ decision.NodeID, tenant int) Leave {
+func (p *fakeBudget) Open(_ decision.NodeID, tenant int) OpenDecision {
 	switch {
-	case tenant == 1 && p.has[1] < p.own:
-		p.has[1]++
-		return Own
-	case p.floor > 0:
-		p.floor--
-		p.has[tenant]++
-		return Floor
+	case tenant == 1 && p.open[1] < p.perTenant:
+		p.open[1]++
+		return OpenForTenant
+	case p.shared > 0:
+		p.shared--
+		p.open[tenant]++
+		return OpenShared
 	}
-	return No
+	return Denied
 }
 
-func (p *purse) Closed(_ decision.NodeID, tenant int, byNode bool) {
-	if p.has[tenant]--; byNode {
+func (p *fakeBudget) Closed(_ decision.NodeID, tenant int, byNode bool) {
+	if p.open[tenant]--; byNode {
 		p.byNode++
 	}
 }
 
-func (b *bench) part(id string, tenant int) {
-	b.Send(at, []*Part{{ID: id, Tenant: tenant, Text: "x", Deadline: time.Hour, Node: at}})
-	b.settle()
+func (b *poolTest) sendFor(id string, tenant int) {
+	b.Send(testNode, []*Subrequest{{ID: id, Tenant: tenant, Text: "x", Deadline: time.Hour, Node: testNode}})
+	b.handleEvents()
 }
 
 // TestBudget has connections opened as far as the budget gives leave, parts keep to their tenants' and to the broker's, and what
 // is not held any more closed: idle ones first, those in use once they have done, or at once.
 func TestBudget(t *testing.T) {
-	run(t, Limits{Streams: 1, Idle: time.Hour, Dial: time.Second, Silent: time.Hour, Conns: 9}, func(b *bench) {
-		p := &purse{floor: 1, own: 2, has: map[int]int{}}
-		b.Keep(p)
-		b.part("a.1", 1)
-		b.part("a.2", 1)
-		b.part("b.1", 2) // over the broker's
-		b.part("b.2", 2) // waits unread at the node over the same
-		b.part("a.3", 1) // over the least laden
-		if len(b.pipes) != 3 || p.has[1] != 2 || p.has[2] != 1 {
-			t.Fatalf("%d connections, %v", len(b.pipes), p.has)
+	runPoolTest(t, Limits{Streams: 1, Idle: time.Hour, Dial: time.Second, Silent: time.Hour, Conns: 9}, func(b *poolTest) {
+		p := &fakeBudget{shared: 1, perTenant: 2, open: map[int]int{}}
+		b.SetBudget(p)
+		b.sendFor("a.1", 1)
+		b.sendFor("a.2", 1)
+		b.sendFor("b.1", 2) // over the broker's
+		b.sendFor("b.2", 2) // waits unread at the node over the same
+		b.sendFor("a.3", 1) // over the least laden
+		if len(b.fakeConns) != 3 || p.open[1] != 2 || p.open[2] != 1 {
+			t.Fatalf("%d connections, %v", len(b.fakeConns), p.open)
 		}
-		b.pipes[1].say <- frame('a', "a.2 served 1 -\nv")
-		b.settle()
+		b.fakeConns[1].incoming <- frame('a', "a.2 served 1 -\nv")
+		b.handleEvents()
 		b.expect("a.2 1v")
-		left := b.Shed(at, 1, 1, false)
-		if b.settle(); left != 0 || !b.pipes[1].closed || p.has[1] != 1 {
-			t.Errorf("an idle one: %d left, %v", left, p.has)
+		left := b.ReleaseConnections(testNode, 1, 1, false)
+		if b.handleEvents(); left != 0 || !b.fakeConns[1].closed || p.open[1] != 1 {
+			t.Errorf("an idle one: %d left, %v", left, p.open)
 		}
 		for range 2 { // what is asked for again is the same
-			if left := b.Shed(at, 1, 1, false); left != 1 || b.pipes[0].closed {
-				t.Errorf("one in use: %d left, closed %t", left, b.pipes[0].closed)
+			if left := b.ReleaseConnections(testNode, 1, 1, false); left != 1 || b.fakeConns[0].closed {
+				t.Errorf("one in use: %d left, closed %t", left, b.fakeConns[0].closed)
 			}
 		}
-		p.own = 0
-		b.part("a.4", 1) // not over the one that is to go
-		b.pipes[0].say <- frame('a', "a.3 served 1 -\nv")
-		b.pipes[0].say <- frame('a', "a.1 served 1 -\nv")
-		b.settle()
+		p.perTenant = 0
+		b.sendFor("a.4", 1) // not over the one that is to go
+		b.fakeConns[0].incoming <- frame('a', "a.3 served 1 -\nv")
+		b.fakeConns[0].incoming <- frame('a', "a.1 served 1 -\nv")
+		b.handleEvents()
 		b.expect("a.1 1v", "a.3 1v")
 		b.Sweep(b.since())
-		if b.settle(); !b.pipes[0].closed || p.has[1] != 0 {
-			t.Errorf("a drained one stays: %v", p.has)
+		if b.handleEvents(); !b.fakeConns[0].closed || p.open[1] != 0 {
+			t.Errorf("a drained one stays: %v", p.open)
 		}
-		b.Shed(at, 2, 1, true)
-		b.settle()
+		b.ReleaseConnections(testNode, 2, 1, true)
+		b.handleEvents()
 		b.expect("a.4 5", "b.1 5", "b.2 5") // reset
-		b.part("b.3", 2)
+		b.sendFor("b.3", 2)
 		b.expect("b.3 7") // the purse is empty: never sent, and the node is not to blame
-		p.floor = 1
-		b.part("b.4", 2)
-		b.pipes[3].end(io.EOF)
-		b.settle()
-		if p.byNode != 1 || p.has[2] != 0 {
-			t.Errorf("an end by the node was told %d times, %v", p.byNode, p.has)
+		p.shared = 1
+		b.sendFor("b.4", 2)
+		b.fakeConns[3].end(io.EOF)
+		b.handleEvents()
+		if p.byNode != 1 || p.open[2] != 0 {
+			t.Errorf("an end by the node was told %d times, %v", p.byNode, p.open)
 		}
 	})
 }
--- a/internal/transport/store/carry.go
+++ b/internal/transport/store/carry.go
@@ -12,7 +12,7 @@
 // of the handle, which go to Pool.Handle: once up or down, then answers, then down, also after a close.
 type Carrier func(node string, addr netip.AddrPort, h Handle) (closing func())
 
-// Handle makes the events of one connection.
+// HandleEvent makes the events of one connection.
 type Handle struct{ conn *conn }
 
 // Up tells that the connection stands.
@@ -30,5 +30,5 @@
 	return Event{conn: h.conn, kind: down, at: at, err: err}
 }
 
-// Carry has connections opened by a carrier instead of the dialer.
-func (p *Pool) Carry(c Carrier) { p.carry = c }
+// SetCarrier has connections opened by a carrier instead of the dialer.
+func (p *Pool) SetCarrier(c Carrier) { p.carrier = c }
--- a/internal/transport/store/conn.go
+++ b/internal/transport/store/conn.go
@@ -14,70 +14,70 @@
 )
 
 type conn struct {
-	node   *node
-	addr   netip.AddrPort
-	up     Conn // nil until it is up
-	cancel context.CancelFunc
-	dialed time.Duration
-	last   time.Duration // when something last passed
-	owes   time.Duration // since when it was sent calls and said nothing; 0: it owes none
-	out    outs
-	off    []string // ids of parts given up, that may still be answered; the last offMost of them
-	offs   int
-	queue  [][]*Part // calls that wait for the connection to come up; no more parts than streams
-	served int
-	reason string // why the loop closed it
-	closed bool
-
-	retired bool // it gets nothing more
-	probed  bool // a probe waits for it to come up
-	shed    bool // within one call of Shed: chosen
-	floor   bool // it is the broker's, not one tenant's
-	tenant  int
+	node            *node
+	addr            netip.AddrPort
+	up              Conn // nil until it is up
+	cancel          context.CancelFunc
+	dialed          time.Duration
+	lastActive      time.Duration // when something last passed
+	unansweredSince time.Duration // since when it was sent calls and said nothing; 0: it owes none
+	inFlight        attemptSet
+	abandonedIDs    []string // ids of parts given up, that may still be answered; the last maxAbandonedIDs of them
+	abandonedCount  int
+	queue           [][]*Subrequest // calls that wait for the connection to come up; no more parts than streams
+	answers         int
+	reason          string // why the loop closed it
+	closed          bool
+
+	retired      bool // it gets nothing more
+	probePending bool // a probe waits for it to come up
+	selected     bool // within one call of Shed: chosen
+	shared       bool // it is the broker's, not one tenant's
+	tenant       int
 }
 
-// offMost bounds the ids of parts given up that a connection remembers. Of older ones the node has heard long ago.
-const offMost = 256
+// maxAbandonedIDs bounds the ids of parts given up that a connection remembers. Of older ones the node has heard long ago.
+const maxAbandonedIDs = 256
 
-// giveUp keeps the id of a part that the node may still answer.
-func (c *conn) giveUp(id string) {
-	if len(c.off) < offMost {
-		c.off = append(c.off, id)
+// rememberAbandoned keeps the id of a part that the node may still answer.
+func (c *conn) rememberAbandoned(id string) {
+	if len(c.abandonedIDs) < maxAbandonedIDs {
+		c.abandonedIDs = append(c.abandonedIDs, id)
 	} else {
-		c.off[c.offs%offMost] = id
+		c.abandonedIDs[c.abandonedCount%maxAbandonedIDs] = id
 	}
-	c.offs++
+	c.abandonedCount++
 }
 
-// gaveUp tells whether a part of that id was given up; it is answered once at the most.
-func (c *conn) gaveUp(id string) bool {
-	at := slices.Index(c.off, id)
+// takeAbandoned tells whether a part of that id was given up; it is answered once at the most.
+func (c *conn) takeAbandoned(id string) bool {
+	at := slices.Index(c.abandonedIDs, id)
 	if at >= 0 {
-		c.off[at] = ""
+		c.abandonedIDs[at] = ""
 	}
 	return at >= 0
 }
 
-// call writes one frame at once, or ends the connection.
-func (p *Pool) call(c *conn, parts []*Part) error {
+// writeCall writes one frame at once, or ends the connection.
+func (p *Pool) writeCall(c *conn, attempts []*Subrequest) error {
 	now := p.since()
-	p.buf = appendCall(p.buf[:0], parts, now)
+	p.buf = appendCall(p.buf[:0], attempts, now)
 	err := c.write(p.buf)
 	if err == nil {
-		c.last = now
-		if c.owes == 0 {
-			c.owes = now
+		c.lastActive = now
+		if c.unansweredSince == 0 {
+			c.unansweredSince = now
 		}
 		p.Counts.Calls++
-		p.Counts.Parts += uint64(len(parts))
-		for _, part := range parts {
-			part.written = true
+		p.Counts.Parts += uint64(len(attempts))
+		for _, attempt := range attempts {
+			attempt.written = true
 		}
 		return nil
 	}
-	if !errors.Is(err, errStuck) {
-		for _, part := range parts {
-			c.out.remove(part)
+	if !errors.Is(err, errWriteBlocked) {
+		for _, attempt := range attempts {
+			c.inFlight.remove(attempt)
 		}
 		p.close(c, "write_failed")
 		return err
@@ -90,7 +90,7 @@
 func (c *conn) write(frame []byte) error {
 	n, err := c.up.TryWrite(frame)
 	if err == nil && n < len(frame) {
-		return errStuck
+		return errWriteBlocked
 	}
 	return err
 }
@@ -101,7 +101,7 @@
 		for _, c := range n.conns {
 			c.retired = true
 		}
-		p.due = 0
+		p.nextSweep = 0
 		p.CloseIdle(id, "unused")
 	}
 }
@@ -109,49 +109,49 @@
 // CloseIdle ends the connections to a node that carry nothing.
 func (p *Pool) CloseIdle(id decision.NodeID, reason string) {
 	if n := p.nodes[id]; n != nil {
-		p.closeWhere(n, reason, func(c *conn) bool { return c.out.len() == 0 })
+		p.closeWhere(n, reason, func(c *conn) bool { return c.inFlight.len() == 0 })
 	}
 }
 
 // Sweep ends what is due: parts nobody waits for any more and connections that idled. It tells when to come again.
 // Connections are looked at only when something can be due, not with each turn.
 func (p *Pool) Sweep(now time.Duration) (next time.Duration) {
-	if now < p.due {
-		return p.due
+	if now < p.nextSweep {
+		return p.nextSweep
 	}
 	next = now + p.limits.Idle
-	for _, n := range p.order {
+	for _, n := range p.nodeOrder {
 		for i := len(n.conns) - 1; i >= 0; i-- { // from the end, as some are taken out
 			c := n.conns[i]
-			for j := c.out.len() - 1; j >= 0; j-- {
-				if part := c.out.parts[j]; part.Deadline <= now {
-					p.finish(part, decision.TimedOut, now, "")
+			for j := c.inFlight.len() - 1; j >= 0; j-- {
+				if attempt := c.inFlight.attempts[j]; attempt.Deadline <= now {
+					p.finish(attempt, decision.TimedOut, now, "")
 				} else {
-					next = min(next, part.Deadline)
+					next = min(next, attempt.Deadline)
 				}
 			}
 			// Before the node does it: a part that crosses the node's close would be lost.
-			if end := c.last + p.limits.Idle - p.limits.Dial; c.out.len() > 0 {
+			if idleEnd := c.lastActive + p.limits.Idle - p.limits.Dial; c.inFlight.len() > 0 {
 				continue
-			} else if n.gone {
+			} else if n.unlisted {
 				p.close(c, "gone")
 			} else if c.retired {
 				p.close(c, "unused")
-			} else if end <= now {
+			} else if idleEnd <= now {
 				p.close(c, "idle")
 			} else {
-				next = min(next, end)
+				next = min(next, idleEnd)
 			}
 		}
 	}
-	p.order = slices.DeleteFunc(p.order, func(n *node) bool {
-		forget := n.gone && len(n.conns) == 0
+	p.nodeOrder = slices.DeleteFunc(p.nodeOrder, func(n *node) bool {
+		forget := n.unlisted && len(n.conns) == 0
 		if forget {
 			delete(p.nodes, n.id)
 		}
 		return forget
 	})
-	p.due = next
+	p.nextSweep = next
 	return next
 }
 
@@ -167,24 +167,24 @@
 func (p *Pool) close(c *conn, reason string) {
 	if !c.closed {
 		c.reason = reason
-		p.drop(c, p.since(), false)
+		p.removeConn(c, p.since(), false)
 		c.cancel()
 	}
 }
 
-// drop takes a connection off the books; its parts end as the protocol says.
-func (p *Pool) drop(c *conn, at time.Duration, byNode bool) {
+// removeConn takes a connection off the books; its parts end as the protocol says.
+func (p *Pool) removeConn(c *conn, at time.Duration, byNode bool) {
 	c.closed = true
-	p.shown(c, decision.ConnectFailed, at)
+	p.endProbe(c, decision.ConnectFailed, at)
 	p.conns--
-	p.returned(c, byNode)
+	p.reportClosed(c, byNode)
 	c.node.conns = slices.DeleteFunc(c.node.conns, func(o *conn) bool { return o == c })
-	for c.out.len() > 0 {
-		part := c.out.last()
-		if part.written {
-			p.finish(part, decision.ConnectionReset, at, "")
+	for c.inFlight.len() > 0 {
+		attempt := c.inFlight.last()
+		if attempt.written {
+			p.finish(attempt, decision.ConnectionReset, at, "")
 		} else {
-			p.finish(part, decision.ConnectFailed, at, "")
+			p.finish(attempt, decision.ConnectFailed, at, "")
 		}
 	}
 }
--- a/internal/transport/store/dial.go
+++ b/internal/transport/store/dial.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	errFrame = errors.New("bad frame")
-	errStuck = errors.New("takes no more bytes")
+	errFrame        = errors.New("bad frame")
+	errWriteBlocked = errors.New("takes no more bytes")
 )
 
 // Conn is a connection to a node. TryWrite hands over what it takes at once and returns how much that is.
@@ -29,24 +29,24 @@
 // Dialer opens a connection.
 type Dialer func(ctx context.Context, addr string, within time.Duration) (Conn, error)
 
-// choose finds a connection with room, one that is up if possible, or opens one. Danger: a machine that vanished
+// selectConn finds a connection with room, one that is up if possible, or opens one. Danger: a machine that vanished
 // and came back may leave an old connection silent for ever, and each trial over it would tell nothing. One that
 // said nothing for as long as any client waits gives way to a new one; a node that only hangs costs handshakes so.
-func (p *Pool) choose(n *node, parts []*Part) *conn {
+func (p *Pool) selectConn(n *node, attempts []*Subrequest) *conn {
 	var best *conn
 	now := p.since()
 	p.closeWhere(n, "silent", func(c *conn) bool {
-		return c.out.len() == 0 && c.owes > 0 && now-c.owes > p.limits.Silent
+		return c.inFlight.len() == 0 && c.unansweredSince > 0 && now-c.unansweredSince > p.limits.Silent
 	})
-	room := p.limits.Streams - len(parts)
-	if parts[0].Alone {
+	room := p.limits.Streams - len(attempts)
+	if attempts[0].Exclusive {
 		room = 0
 	}
 	for _, c := range n.conns {
-		if !p.mine(c, parts[0].Tenant) {
+		if !p.mayUse(c, attempts[0].Tenant) {
 			continue
 		}
-		if c.addr == n.addr && !c.retired && c.out.len() <= room && (best == nil || best.up == nil && c.up != nil) {
+		if c.addr == n.addr && !c.retired && c.inFlight.len() <= room && (best == nil || best.up == nil && c.up != nil) {
 			best = c
 		}
 	}
@@ -54,30 +54,30 @@
 		return best
 	}
 	if p.conns >= p.limits.Conns {
-		p.spare()
+		p.closeLongestIdle()
 	}
 	if p.conns < p.limits.Conns {
-		if leave := p.leave(n, parts[0].Tenant); leave != No {
-			return p.dial(n, parts[0].Tenant, leave == Floor)
+		if openDecision := p.openDecision(n, attempts[0].Tenant); openDecision != Denied {
+			return p.dial(n, attempts[0].Tenant, openDecision == OpenShared)
 		}
 	}
 	for _, c := range n.conns { // its further parts wait unread at the node
-		if p.budget != nil && (c.retired || !p.mine(c, parts[0].Tenant)) {
+		if p.budget != nil && (c.retired || !p.mayUse(c, attempts[0].Tenant)) {
 			continue
 		}
-		if c.up != nil && c.addr == n.addr && (best == nil || c.out.len() < best.out.len()) {
+		if c.up != nil && c.addr == n.addr && (best == nil || c.inFlight.len() < best.inFlight.len()) {
 			best = c
 		}
 	}
 	return best
 }
 
-// spare closes the connection that has idled longest.
-func (p *Pool) spare() {
+// closeLongestIdle closes the connection that has idled longest.
+func (p *Pool) closeLongestIdle() {
 	var oldest *conn
-	for _, n := range p.order {
+	for _, n := range p.nodeOrder {
 		for _, c := range n.conns {
-			if c.out.len() == 0 && (oldest == nil || c.last < oldest.last) {
+			if c.inFlight.len() == 0 && (oldest == nil || c.lastActive < oldest.lastActive) {
 				oldest = c
 			}
 		}
@@ -87,29 +87,29 @@
 	}
 }
 
-func (p *Pool) dial(n *node, tenant int, floor bool) *conn {
+func (p *Pool) dial(n *node, tenant int, shared bool) *conn {
 	ctx, cancel := context.WithCancel(p.ctx)
-	c := &conn{node: n, addr: n.addr, cancel: cancel, dialed: p.since(), tenant: tenant, floor: floor}
-	c.last = c.dialed
+	c := &conn{node: n, addr: n.addr, cancel: cancel, dialed: p.since(), tenant: tenant, shared: shared}
+	c.lastActive = c.dialed
 	n.conns = append(n.conns, c)
 	p.conns++
 	p.Counts.Dials++
-	if p.carry != nil {
-		c.cancel = p.carry(n.name, n.addr, Handle{c})
+	if p.carrier != nil {
+		c.cancel = p.carrier(n.name, n.addr, Handle{c})
 		return c
 	}
-	within := p.limits.Dial
-	p.start(func() error {
+	timeout := p.limits.Dial
+	p.startGoroutine(func() error {
 		defer cancel()
-		p.read(ctx, c, within)
+		p.runConn(ctx, c, timeout)
 		return nil
 	})
 	return c
 }
 
-// read is a connection's goroutine: it dials, then delivers every answer and at last the end.
-func (p *Pool) read(ctx context.Context, c *conn, within time.Duration) {
-	nc, err := p.open(ctx, c.addr.String(), within)
+// runConn is a connection's goroutine: it dials, then delivers every answer and at last the end.
+func (p *Pool) runConn(ctx context.Context, c *conn, timeout time.Duration) {
+	nc, err := p.dialer(ctx, c.addr.String(), timeout)
 	if err != nil {
 		p.post(Event{conn: c, kind: down, at: p.since(), err: err})
 		return
@@ -120,23 +120,23 @@
 	p.post(Event{conn: c, kind: up, at: p.since(), up: nc})
 	r := bufio.NewReaderSize(nc, 4<<10)
 	for {
-		var letter byte
-		var rest []byte
+		var frameType byte
+		var body []byte
 		if _, err = r.Peek(1); err == nil {
 			// Danger: a length that never fills swallows what else comes, and all that is out waits in vain.
-			nc.SetReadDeadline(time.Now().Add(within))
-			letter, rest, err = readFrame(r)
+			nc.SetReadDeadline(time.Now().Add(timeout))
+			frameType, body, err = readFrame(r)
 			nc.SetReadDeadline(time.Time{})
 		}
 		at := p.since()
-		if err == nil && letter == 'a' {
+		if err == nil && frameType == 'a' {
 			var a Answer
-			if a, err = parseAnswer(rest, p.reports); err == nil {
+			if a, err = parseAnswer(body, p.keepReports); err == nil {
 				p.post(Event{conn: c, kind: answered, at: at, answer: a})
 				continue
 			}
-		} else if err == nil && letter == 'e' {
-			err = &refusal{string(rest[:min(len(rest), 120)])}
+		} else if err == nil && frameType == 'e' {
+			err = &nodeError{string(body[:min(len(body), 120)])}
 		} else if err == nil {
 			err = errFrame
 		}
@@ -145,14 +145,14 @@
 	}
 }
 
-// refusal is a node's word that it could not use a frame.
-type refusal struct{ words string }
+// nodeError is a node's word that it could not use a frame.
+type nodeError struct{ text string }
 
-func (r *refusal) Error() string { return "node: " + r.words }
+func (r *nodeError) Error() string { return "node: " + r.text }
 
-// why gives the reason code of an end that the loop did not ask for.
-func why(err error, wasUp bool) string {
-	var refused *refusal
+// endReason gives the reason code of an end that the loop did not ask for.
+func endReason(err error, wasConnected bool) string {
+	var refused *nodeError
 	var timeout net.Error
 	switch {
 	case errors.Is(err, errFrame):
@@ -161,9 +161,9 @@
 		return "node_error"
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return "refused"
-	case !wasUp && errors.As(err, &timeout) && timeout.Timeout():
+	case !wasConnected && errors.As(err, &timeout) && timeout.Timeout():
 		return "dial_timeout"
-	case !wasUp:
+	case !wasConnected:
 		return "dial_failed"
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "slow_frame"
--- a/internal/transport/store/end.go
+++ b/internal/transport/store/end.go
@@ -28,86 +28,86 @@
 	down
 )
 
-// shown ends a probe that waits for the connection.
-func (p *Pool) shown(c *conn, how decision.Outcome, at time.Duration) {
-	if c.probed {
-		c.probed = false
-		p.Probed(c.node.id, how, at-c.dialed)
+// endProbe ends a probe that waits for the connection.
+func (p *Pool) endProbe(c *conn, outcome decision.Outcome, at time.Duration) {
+	if c.probePending {
+		c.probePending = false
+		p.ProbeEnded(c.node.id, outcome, at-c.dialed)
 	}
 }
 
-// Handle takes what a connection's goroutine delivered.
-func (p *Pool) Handle(e Event) {
+// HandleEvent takes what a connection's goroutine delivered.
+func (p *Pool) HandleEvent(e Event) {
 	c := e.conn
 	switch e.kind {
 	case up:
 		if c.closed {
 			return
 		}
-		c.up, c.last = e.up, e.at
-		p.shown(c, decision.OK, e.at)
+		c.up, c.lastActive = e.up, e.at
+		p.endProbe(c, decision.OK, e.at)
 		queue := c.queue
 		c.queue = nil
-		for _, parts := range queue {
-			parts = slices.DeleteFunc(parts, func(part *Part) bool { return part.over })
-			if len(parts) > 0 && !c.closed {
-				p.call(c, parts)
+		for _, attempts := range queue {
+			attempts = slices.DeleteFunc(attempts, func(attempt *Subrequest) bool { return attempt.ended })
+			if len(attempts) > 0 && !c.closed {
+				p.writeCall(c, attempts)
 			}
 		}
 	case answered:
-		c.owes = 0
-		part := c.out.find(e.answer.ID)
-		if part == nil && (c.closed || c.gaveUp(e.answer.ID)) {
+		c.unansweredSince = 0
+		attempt := c.inFlight.find(e.answer.ID)
+		if attempt == nil && (c.closed || c.takeAbandoned(e.answer.ID)) {
 			p.Counts.Late++
 			return
 		}
-		if part == nil {
+		if attempt == nil {
 			// Danger: an answer to nothing that was asked. Whose it was can't be told, and nothing that follows
 			// it can be trusted either; the parts that are out would wait for their time.
 			p.Counts.Bad++
 			p.close(c, "unknown_answer")
 			return
 		}
-		c.last = e.at
-		c.served++
-		part.Report = e.answer.Report
-		how := decision.OK
-		switch e.answer.End {
+		c.lastActive = e.at
+		c.answers++
+		attempt.Report = e.answer.Report
+		outcome := decision.OK
+		switch e.answer.Result {
 		case Served:
 			p.Counts.Served++
 		case Broke:
 			p.Counts.Broke++
-			how = decision.Errored
+			outcome = decision.Errored
 		case Skipped:
 			p.Counts.Skipped++
-			how = decision.Rejected
+			outcome = decision.Rejected
 		}
-		p.finish(part, how, e.at, e.answer.Value)
+		p.finish(attempt, outcome, e.at, e.answer.Value)
 	case down:
 		reason := c.reason
 		if !c.closed {
-			reason = why(e.err, c.up != nil)
+			reason = endReason(e.err, c.up != nil)
 			if reason == "bad_frame" || reason == "slow_frame" {
 				p.Counts.Bad++
 			}
-			p.drop(c, e.at, endedByNode(reason))
+			p.removeConn(c, e.at, endedByNode(reason))
 		}
 		p.Counts.Ended++
-		slog.Info("node connection ended", "node", c.node.name, "reason", reason, "answers", c.served,
+		slog.Info("node connection ended", "node", c.node.name, "reason", reason, "answers", c.answers,
 			"lasted", (e.at - c.dialed).Round(time.Millisecond))
 	}
 }
 
 // Cancel gives a part up and tells its node; nothing of it is written from then on.
-func (p *Pool) Cancel(part *Part) {
-	if part.over {
+func (p *Pool) Cancel(attempt *Subrequest) {
+	if attempt.ended {
 		return
 	}
-	c, told := part.conn, part.written
-	p.finish(part, decision.Cancelled, p.since(), "")
-	if told && !c.closed {
+	c, wasWritten := attempt.conn, attempt.written
+	p.finish(attempt, decision.Cancelled, p.since(), "")
+	if wasWritten && !c.closed {
 		p.Counts.Cancels++
-		p.buf = appendCancel(p.buf[:0], part.ID)
+		p.buf = appendCancel(p.buf[:0], attempt.ID)
 		if err := c.write(p.buf); err != nil {
 			p.close(c, "write_failed")
 		}
@@ -115,48 +115,48 @@
 }
 
 // end gives parts back that were never on a connection.
-func (p *Pool) end(parts []*Part, how decision.Outcome) {
-	for _, part := range parts {
-		p.finish(part, how, p.since(), "")
+func (p *Pool) end(attempts []*Subrequest, outcome decision.Outcome) {
+	for _, attempt := range attempts {
+		p.finish(attempt, outcome, p.since(), "")
 	}
 }
 
-func (p *Pool) finish(part *Part, how decision.Outcome, at time.Duration, value string) {
-	part.over = true
-	if part.conn != nil && part.conn.out.remove(part) {
-		c := part.conn
-		if part.written && (how == decision.Cancelled || how == decision.TimedOut) {
-			c.giveUp(part.ID)
+func (p *Pool) finish(attempt *Subrequest, outcome decision.Outcome, at time.Duration, value string) {
+	attempt.ended = true
+	if attempt.conn != nil && attempt.conn.inFlight.remove(attempt) {
+		c := attempt.conn
+		if attempt.written && (outcome == decision.Cancelled || outcome == decision.TimedOut) {
+			c.rememberAbandoned(attempt.ID)
 		}
-		if c.out.len() == 0 { // from now on it idles, or was only waited for
-			if p.due = min(p.due, c.last+p.limits.Idle-p.limits.Dial); c.retired || c.node.gone {
-				p.due = 0
+		if c.inFlight.len() == 0 { // from now on it idles, or was only waited for
+			if p.nextSweep = min(p.nextSweep, c.lastActive+p.limits.Idle-p.limits.Dial); c.retired || c.node.unlisted {
+				p.nextSweep = 0
 			}
 		}
 	}
-	p.ended(part, how, at, value)
+	p.attemptEnded(attempt, outcome, at, value)
 }
 
-// Over tells whether a part has ended.
-func (part *Part) Over() bool { return part.over }
+// Ended tells whether a part has ended.
+func (a *Subrequest) Ended() bool { return a.ended }
 
 // Written tells whether a part's last byte has left for its node.
-func (part *Part) Written() bool { return part.written }
+func (a *Subrequest) Written() bool { return a.written }
 
-// Withhold ends what waits for connections to a node to come up, as never sent. Danger: a connection may come up long after the call
+// EndQueued ends what waits for connections to a node to come up, as never sent. Danger: a connection may come up long after the call
 // was meant for it; by then the list may have ended or drained the node, or it has started anew and is cold.
-func (p *Pool) Withhold(id decision.NodeID) {
+func (p *Pool) EndQueued(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
-		p.withhold(n)
+		p.endQueued(n)
 	}
 }
 
-func (p *Pool) withhold(n *node) {
+func (p *Pool) endQueued(n *node) {
 	for _, c := range n.conns {
 		queue := c.queue
 		c.queue = nil
-		for _, parts := range queue {
-			p.end(slices.DeleteFunc(parts, (*Part).Over), decision.NeverSent)
+		for _, attempts := range queue {
+			p.end(slices.DeleteFunc(attempts, (*Subrequest).Ended), decision.NeverSent)
 		}
 	}
 }
--- a/internal/transport/store/frame.go
+++ b/internal/transport/store/frame.go
@@ -18,11 +18,11 @@
 // maxFrame bounds what a node may send in one frame.
 const maxFrame = 64 << 10
 
-// End tells how a node says that a part ended.
-type End uint8
+// Result tells how a node says that a part ended.
+type Result uint8
 
 const (
-	Served End = iota
+	Served Result = iota
 	Broke
 	Skipped
 )
@@ -30,22 +30,22 @@
 // Answer is a node's answer to one part.
 type Answer struct {
 	ID     string
-	End    End
+	Result Result
 	Value  string
 	Report string // where the pool keeps reports
 }
 
 // appendCall encodes one call of some parts, each with the time that is still waited for it.
-func appendCall(b []byte, parts []*Part, now time.Duration) []byte {
+func appendCall(b []byte, attempts []*Subrequest, now time.Duration) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0, 'q')
-	for _, p := range parts {
-		wait := max(1, (p.Deadline - now).Milliseconds())
-		b = append(append(b, p.ID...), ' ')
-		b = append(strconv.AppendInt(b, int64(p.Shard), 10), " d="...)
+	for _, a := range attempts {
+		wait := max(1, (a.Deadline - now).Milliseconds())
+		b = append(append(b, a.ID...), ' ')
+		b = append(strconv.AppendInt(b, int64(a.Shard), 10), " d="...)
 		b = append(strconv.AppendInt(b, wait, 10), ' ')
-		b = append(strconv.AppendInt(b, int64(len(p.Text)), 10), '\n')
-		b = append(b, p.Text...)
+		b = append(strconv.AppendInt(b, int64(len(a.Text)), 10), '\n')
+		b = append(b, a.Text...)
 	}
 	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-4))
 	return b
@@ -57,7 +57,7 @@
 }
 
 // readFrame reads one frame. What it claims to hold is given room only as it comes.
-func readFrame(r *bufio.Reader) (letter byte, rest []byte, err error) {
+func readFrame(r *bufio.Reader) (frameType byte, body []byte, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
@@ -82,10 +82,10 @@
 
 // parseAnswer reads what follows the letter of an answer. The report that ends its line is kept only where somebody reads it, and
 // nothing in it spoils the answer.
-func parseAnswer(rest []byte, reports bool) (a Answer, err error) {
-	line, value, ok := bytes.Cut(rest, []byte{'\n'})
+func parseAnswer(body []byte, keepReport bool) (a Answer, err error) {
+	line, value, ok := bytes.Cut(body, []byte{'\n'})
 	id, more, ok1 := bytes.Cut(line, []byte{' '})
-	end, more, ok2 := bytes.Cut(more, []byte{' '})
+	status, more, ok2 := bytes.Cut(more, []byte{' '})
 	score, report, ok3 := bytes.Cut(more, []byte{' '})
 	if !ok || !ok1 || !ok2 || !ok3 || len(id) == 0 {
 		return a, fmt.Errorf("%w: answer line %.60q", errFrame, line)
@@ -93,21 +93,21 @@
 	if !utf8.Valid(value) { // it could not be told to the client as the node gave it
 		return a, fmt.Errorf("%w: value %.60q", errFrame, value)
 	}
-	switch string(end) {
+	switch string(status) {
 	case "served":
-		a.End = Served
+		a.Result = Served
 	case "broke":
-		a.End = Broke
+		a.Result = Broke
 	case "skipped":
-		a.End = Skipped
+		a.Result = Skipped
 	default:
-		return a, fmt.Errorf("%w: end %.20q", errFrame, end)
+		return a, fmt.Errorf("%w: end %.20q", errFrame, status)
 	}
 	if _, err := strconv.ParseFloat(string(score), 64); err != nil && string(score) != "-" {
 		return a, fmt.Errorf("%w: score %.20q", errFrame, score)
 	}
 	a.ID, a.Value = string(id), string(value)
-	if reports && string(report) != "-" {
+	if keepReport && string(report) != "-" {
 		a.Report = string(report)
 	}
 	return a, nil
