--- a/internal/transport/store/limits_test.go
+++ b/internal/transport/store/limits_test.go
@@ -15,10 +15,10 @@
 // This file owns the tests of limits, times and changes of place.
 
 // A node that stopped reading fills its socket; the loop must not wait for it.
-func TestNodeTakesNoMore(t *testing.T) {
-	run(t, usual, func(b *bench) {
+func TestNodeStopsReading(t *testing.T) {
+	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.send("a.1")
-		b.pipes[0].takes = 5
+		b.fakeConns[0].writeLimit = 5
 		b.send("a.2")
 		b.expect("a.1 5", "a.2 4")
 	})
@@ -26,14 +26,14 @@
 
 // A connection that the node has ended meanwhile costs no sub-request: nothing of it was written.
 func TestStaleConnection(t *testing.T) {
-	run(t, usual, func(b *bench) {
+	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.send("a.1")
-		b.pipes[0].say <- frame('a', "a.1 served 1 -\nv")
-		b.settle()
-		b.pipes[0].refuse = syscall.EPIPE
+		b.fakeConns[0].incoming <- frame('a', "a.1 served 1 -\nv")
+		b.handleEvents()
+		b.fakeConns[0].writeErr = syscall.EPIPE
 		b.send("a.2")
 		b.expect("a.1 1v")
-		if len(b.pipes) != 2 || len(b.pipes[1].wrote) != 1 {
+		if len(b.fakeConns) != 2 || len(b.fakeConns[1].wrote) != 1 {
 			t.Error("the part did not go over a new connection")
 		}
 	})
@@ -41,38 +41,38 @@
 
 // What is called off while its connection comes up is never sent (rule 1); what was sent is told to the node once.
 func TestCancel(t *testing.T) {
-	run(t, usual, func(b *bench) {
-		b.hold = 100 * time.Millisecond
-		parts := b.send("a.1", "a.2")
-		b.Cancel(parts[0])
-		time.Sleep(b.hold)
-		b.settle()
-		b.Cancel(parts[1])
-		b.Cancel(parts[1])
+	runPoolTest(t, testLimits, func(b *poolTest) {
+		b.dialDelay = 100 * time.Millisecond
+		attempts := b.send("a.1", "a.2")
+		b.Cancel(attempts[0])
+		time.Sleep(b.dialDelay)
+		b.handleEvents()
+		b.Cancel(attempts[1])
+		b.Cancel(attempts[1])
 		b.expect("a.1 6", "a.2 6")
-		if w := b.pipes[0].wrote; len(w) != 2 || w[0][:5] != "qa.2 " || w[1] != "ca.2" {
+		if w := b.fakeConns[0].wrote; len(w) != 2 || w[0][:5] != "qa.2 " || w[1] != "ca.2" {
 			t.Errorf("wrote %q", w)
 		}
 	})
 }
 
 func TestSweep(t *testing.T) {
-	run(t, usual, func(b *bench) {
-		parts := b.send("a.1")
-		parts[0].Deadline = time.Second
+	runPoolTest(t, testLimits, func(b *poolTest) {
+		attempts := b.send("a.1")
+		attempts[0].Deadline = time.Second
 		if next := b.Sweep(b.since()); next != time.Second {
 			t.Errorf("next at %v", next)
 		}
 		time.Sleep(time.Second)
 		next := b.Sweep(b.since())
 		b.expect("a.1 3")
-		if next >= usual.Idle { // the node would end it first
+		if next >= testLimits.Idle { // the node would end it first
 			t.Errorf("idle end at %v", next)
 		}
 		time.Sleep(next - b.since())
 		b.Sweep(b.since())
-		b.settle()
-		if b.Open() != 0 || !b.pipes[0].closed {
+		b.handleEvents()
+		if b.OpenConnections() != 0 || !b.fakeConns[0].closed {
 			t.Error("an idle connection stays open")
 		}
 	})
@@ -80,27 +80,27 @@
 
 // A machine that vanished leaves connections that stay silent for ever; its next start proves them dead.
 func TestRestartedOrMovedNode(t *testing.T) {
-	run(t, usual, func(b *bench) {
+	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.send("a.1")
 		time.Sleep(time.Second)
 		addr := netip.MustParseAddrPort("127.0.0.1:7")
-		b.Point(at, "s-7", addr, b.since())
+		b.SetNode(testNode, "s-7", addr, b.since())
 		b.expect("a.1 5")
 		b.send("a.2")
-		b.Point(at, "s-7", addr, b.since()) // told again
+		b.SetNode(testNode, "s-7", addr, b.since()) // told again
 		b.expect()
 		moved := netip.MustParseAddrPort("127.0.0.1:8")
-		b.Point(at, "s-7", moved, b.since())
+		b.SetNode(testNode, "s-7", moved, b.since())
 		b.send("a.3")
-		if len(b.pipes) != 3 || len(b.pipes[2].wrote) != 1 {
+		if len(b.fakeConns) != 3 || len(b.fakeConns[2].wrote) != 1 {
 			t.Error("a part went to the old address")
 		}
-		b.pipes[1].say <- frame('a', "a.2 served 1 -\nv")
-		b.settle()
+		b.fakeConns[1].incoming <- frame('a', "a.2 served 1 -\nv")
+		b.handleEvents()
 		b.expect("a.2 1v")
-		b.Point(at, "s-7", moved, b.since())
-		b.settle()
-		if b.Open() != 1 || !b.pipes[1].closed {
+		b.SetNode(testNode, "s-7", moved, b.since())
+		b.handleEvents()
+		if b.OpenConnections() != 1 || !b.fakeConns[1].closed {
 			t.Error("a connection to the old address stays")
 		}
 	})
@@ -108,72 +108,72 @@
 
 // A machine that vanished and came back may never say that an old connection is dead.
 func TestSilentConnection(t *testing.T) {
-	run(t, usual, func(b *bench) {
+	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.Cancel(b.send("a.1")[0])
-		time.Sleep(usual.Silent)
+		time.Sleep(testLimits.Silent)
 		b.Cancel(b.send("a.2")[0])
-		if len(b.pipes) != 1 {
-			t.Fatalf("%d connections", len(b.pipes))
+		if len(b.fakeConns) != 1 {
+			t.Fatalf("%d connections", len(b.fakeConns))
 		}
-		b.pipes[0].say <- frame('a', "a.1 served 1 -\nv") // late, but it lives
-		b.settle()
-		time.Sleep(2 * usual.Silent)
+		b.fakeConns[0].incoming <- frame('a', "a.1 served 1 -\nv") // late, but it lives
+		b.handleEvents()
+		time.Sleep(2 * testLimits.Silent)
 		b.Cancel(b.send("a.3")[0])
-		time.Sleep(usual.Silent + 1)
+		time.Sleep(testLimits.Silent + 1)
 		b.send("a.4")
-		if len(b.pipes) != 2 || !b.pipes[0].closed {
-			t.Errorf("%d connections, the silent one closed: %v", len(b.pipes), b.pipes[0].closed)
+		if len(b.fakeConns) != 2 || !b.fakeConns[0].closed {
+			t.Errorf("%d connections, the silent one closed: %v", len(b.fakeConns), b.fakeConns[0].closed)
 		}
 	})
 }
 
 // At the limit an idle connection gives way, never one that carries something.
 func TestConnectionLimit(t *testing.T) {
-	run(t, Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 2}, func(b *bench) {
+	runPoolTest(t, Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 2}, func(b *poolTest) {
 		other := decision.NodeID{Port: 8}
-		b.Point(other, "s-8", netip.MustParseAddrPort("127.0.0.1:8"), decision.StartedLongAgo)
+		b.SetNode(other, "s-8", netip.MustParseAddrPort("127.0.0.1:8"), decision.StartedLongAgo)
 		b.send("a.1")
 		b.send("a.2")
-		b.Send(other, []*Part{{ID: "a.3", Deadline: time.Hour}})
+		b.Send(other, []*Subrequest{{ID: "a.3", Deadline: time.Hour}})
 		b.expect("a.3 4")
 		b.send("a.4") // waits unread at the node
-		if len(b.pipes) != 2 {
-			t.Errorf("%d connections", len(b.pipes))
+		if len(b.fakeConns) != 2 {
+			t.Errorf("%d connections", len(b.fakeConns))
 		}
-		b.pipes[1].say <- frame('a', "a.2 served 1 -\nv")
-		b.settle()
+		b.fakeConns[1].incoming <- frame('a', "a.2 served 1 -\nv")
+		b.handleEvents()
 		b.expect("a.2 1v")
-		b.Send(other, []*Part{{ID: "a.5", Deadline: time.Hour}})
-		b.settle()
-		if len(b.pipes) != 3 || !b.pipes[1].closed || b.Open() != 2 {
-			t.Errorf("%d connections, %d open", len(b.pipes), b.Open())
+		b.Send(other, []*Subrequest{{ID: "a.5", Deadline: time.Hour}})
+		b.handleEvents()
+		if len(b.fakeConns) != 3 || !b.fakeConns[1].closed || b.OpenConnections() != 2 {
+			t.Errorf("%d connections, %d open", len(b.fakeConns), b.OpenConnections())
 		}
-		b.Send(decision.NodeID{Port: 9}, []*Part{{ID: "a.6"}}) // never listed
+		b.Send(decision.NodeID{Port: 9}, []*Subrequest{{ID: "a.6"}}) // never listed
 		b.expect("a.6 7")
 	})
 }
 
 // A probe is answered once, by a connection that is up, that comes up or that fails to.
 func TestProbe(t *testing.T) {
-	run(t, Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 2}, func(b *bench) {
-		b.hold = 20 * time.Millisecond
-		b.Probe(at)
-		b.settle()
+	runPoolTest(t, Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 2}, func(b *poolTest) {
+		b.dialDelay = 20 * time.Millisecond
+		b.Probe(testNode)
+		b.handleEvents()
 		b.expect()
-		time.Sleep(b.hold)
-		b.settle()
+		time.Sleep(b.dialDelay)
+		b.handleEvents()
 		b.expect("probe 7 1 20ms")
-		b.Probe(at)
+		b.Probe(testNode)
 		b.expect("probe 7 1 0s")
-		b.Point(at, "s-7", netip.MustParseAddrPort("127.0.0.1:17"), decision.StartedLongAgo)
-		b.hold = 2 * time.Second
-		b.Probe(at)
+		b.SetNode(testNode, "s-7", netip.MustParseAddrPort("127.0.0.1:17"), decision.StartedLongAgo)
+		b.dialDelay = 2 * time.Second
+		b.Probe(testNode)
 		time.Sleep(time.Second)
-		b.settle()
+		b.handleEvents()
 		b.expect("probe 7 4 1s")
-		b.Probe(at)
+		b.Probe(testNode)
 		b.Probe(decision.NodeID{Port: 9}) // never listed
-		b.Drop(at)
+		b.RemoveNode(testNode)
 		b.Sweep(time.Hour)
 		b.expect("probe 7 4 0s", "probe 9 4 0s")
 	})
@@ -211,10 +211,10 @@
 	f.Add(frame('a', "9b.3 served 1 queue of 3\nv"))
 	f.Add([]byte("\x00\x00\x00\xc0ab.1 served 1 -\nv"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		letter, rest, err := readFrame(bufio.NewReader(bytes.NewReader(data)))
-		if err == nil && letter == 'a' {
-			if a, err := parseAnswer(rest, false); err == nil && a.ID == "" {
-				t.Errorf("%q has no id", rest)
+		frameType, body, err := readFrame(bufio.NewReader(bytes.NewReader(data)))
+		if err == nil && frameType == 'a' {
+			if a, err := parseAnswer(body, false); err == nil && a.ID == "" {
+				t.Errorf("%q has no id", body)
 			}
 		}
 	})
--- a/internal/transport/store/out.go
+++ b/internal/transport/store/out.go
@@ -3,56 +3,56 @@
 // This file owns the parts that are out on one connection, in no order that matters but the same in every run. It must never
 // hold one twice.
 
-// indexFrom is the number of parts from which an index by id is worth its upkeep (BenchmarkOuts).
-const indexFrom = 64
+// indexThreshold is the number of parts from which an index by id is worth its upkeep (BenchmarkAttemptSet).
+const indexThreshold = 64
 
-// outs are the parts out on a connection: few as a rule, thousands where no other connection may be opened.
-type outs struct {
-	parts []*Part
-	index map[string]*Part // nil while there are few
+// attemptSet are the parts out on a connection: few as a rule, thousands where no other connection may be opened.
+type attemptSet struct {
+	attempts []*Subrequest
+	index    map[string]*Subrequest // nil while there are few
 }
 
-func (o *outs) len() int { return len(o.parts) }
+func (o *attemptSet) len() int { return len(o.attempts) }
 
-func (o *outs) last() *Part { return o.parts[len(o.parts)-1] }
+func (o *attemptSet) last() *Subrequest { return o.attempts[len(o.attempts)-1] }
 
-func (o *outs) add(p *Part) {
-	p.at = len(o.parts)
-	o.parts = append(o.parts, p)
+func (o *attemptSet) add(a *Subrequest) {
+	a.position = len(o.attempts)
+	o.attempts = append(o.attempts, a)
 	if o.index != nil {
-		o.index[p.ID] = p
-	} else if len(o.parts) == indexFrom {
-		o.index = make(map[string]*Part, 2*indexFrom)
-		for _, p := range o.parts {
-			o.index[p.ID] = p
+		o.index[a.ID] = a
+	} else if len(o.attempts) == indexThreshold {
+		o.index = make(map[string]*Subrequest, 2*indexThreshold)
+		for _, a := range o.attempts {
+			o.index[a.ID] = a
 		}
 	}
 }
 
 // find looks for the part that an answer names.
-func (o *outs) find(id string) *Part {
+func (o *attemptSet) find(id string) *Subrequest {
 	if o.index != nil {
 		return o.index[id]
 	}
-	for _, p := range o.parts {
-		if p.ID == id {
-			return p
+	for _, a := range o.attempts {
+		if a.ID == id {
+			return a
 		}
 	}
 	return nil
 }
 
 // remove takes a part out; false: it was not there.
-func (o *outs) remove(p *Part) bool {
-	if p.at >= len(o.parts) || o.parts[p.at] != p {
+func (o *attemptSet) remove(a *Subrequest) bool {
+	if a.position >= len(o.attempts) || o.attempts[a.position] != a {
 		return false
 	}
 	last := o.last()
-	o.parts[p.at], last.at = last, p.at
-	o.parts[len(o.parts)-1] = nil
-	o.parts = o.parts[:len(o.parts)-1]
+	o.attempts[a.position], last.position = last, a.position
+	o.attempts[len(o.attempts)-1] = nil
+	o.attempts = o.attempts[:len(o.attempts)-1]
 	if o.index != nil {
-		if delete(o.index, p.ID); len(o.parts) == 0 {
+		if delete(o.index, a.ID); len(o.attempts) == 0 {
 			o.index = nil
 		}
 	}
--- a/internal/transport/store/outto.go
+++ b/internal/transport/store/outto.go
@@ -4,15 +4,15 @@
 
 import "flaxfront/internal/decision"
 
-// OutTo tells how many parts are out at a node, or wait for a connection to it.
-func (p *Pool) OutTo(id decision.NodeID) (n int) {
+// InFlightTo tells how many parts are out at a node, or wait for a connection to it.
+func (p *Pool) InFlightTo(id decision.NodeID) (n int) {
 	if node := p.nodes[id]; node != nil {
 		for _, c := range node.conns {
-			n += c.out.len()
+			n += c.inFlight.len()
 		}
 	}
 	return n
 }
 
-// Refuse ends parts that may not be sent.
-func (p *Pool) Refuse(parts []*Part) { p.end(parts, decision.NeverSent) }
+// EndUnsent ends parts that may not be sent.
+func (p *Pool) EndUnsent(attempts []*Subrequest) { p.end(attempts, decision.NeverSent) }
--- a/internal/transport/store/store.go
+++ b/internal/transport/store/store.go
@@ -15,26 +15,26 @@
 	"flaxfront/internal/decision"
 )
 
-// Part is one sub-request. The loop hands it over and gets it back, ended, exactly once.
-type Part struct {
+// Subrequest is one sub-request. The loop hands it over and gets it back, ended, exactly once.
+type Subrequest struct {
 	ID       string // as the node is told it
 	Shard    int
 	Text     string
 	Deadline time.Duration // nobody waits beyond this
 	Sent     time.Duration // when it was handed over
 
-	Part    uint64 // what the module calls it
-	Attempt uint16
-	Node    decision.NodeID
-	Alone   bool   // its call shares a connection with no other while there are descriptors
-	Tenant  int    // whose connections it may use, where they are divided
-	Tag     uint64 // the loop's own
-	Report  string // what the node said beside the answer, where reports are kept
-
-	conn    *conn
-	at      int // its place among those that are out there
-	written bool
-	over    bool
+	Subrequest uint64 // what the module calls it
+	Attempt    uint16
+	Node       decision.NodeID
+	Exclusive  bool   // its call shares a connection with no other while there are descriptors
+	Tenant     int    // whose connections it may use, where they are divided
+	ReadPin    uint64 // the loop's own
+	Report     string // what the node said beside the answer, where reports are kept
+
+	conn     *conn
+	position int // its place among those that are out there
+	written  bool
+	ended    bool
 }
 
 // Limits bound the connections.
@@ -56,67 +56,67 @@
 
 // Pool holds the connections to all nodes.
 type Pool struct {
-	Counts Counts
-	Probed func(id decision.NodeID, how decision.Outcome, took time.Duration) // takes the end of each probe
-	ctx    context.Context
-	limits Limits
-	open   Dialer
-	since  func() time.Duration
-	start  func(func() error)
-	post   func(Event)
-	ended  func(p *Part, how decision.Outcome, at time.Duration, value string)
-	nodes  map[decision.NodeID]*node
-	order  []*node // as first listed
-	conns  int
-	buf    []byte
-	carry  Carrier       // nil: sockets
-	due    time.Duration // nothing is due before
-
-	reports bool   // of answers are kept
-	budget  Budget // nil: Limits alone bound
+	Counts         Counts
+	ProbeEnded     func(id decision.NodeID, how decision.Outcome, took time.Duration) // takes the end of each probe
+	ctx            context.Context
+	limits         Limits
+	dialer         Dialer
+	since          func() time.Duration
+	startGoroutine func(func() error)
+	post           func(Event)
+	attemptEnded   func(p *Subrequest, how decision.Outcome, at time.Duration, value string)
+	nodes          map[decision.NodeID]*node
+	nodeOrder      []*node // as first listed
+	conns          int
+	buf            []byte
+	carrier        Carrier       // nil: sockets
+	nextSweep      time.Duration // nothing is due before
+
+	keepReports bool   // of answers are kept
+	budget      Budget // nil: Limits alone bound
 }
 
 type node struct {
-	id    decision.NodeID
-	name  string
-	gone  bool // the list ended it; forgotten with its last connection
-	addr  netip.AddrPort
-	boot  time.Duration
-	conns []*conn
+	id        decision.NodeID
+	name      string
+	unlisted  bool // the list ended it; forgotten with its last connection
+	addr      netip.AddrPort
+	startedAt time.Duration
+	conns     []*conn
 }
 
 // NewPool makes a pool. Goroutines run under start and end with ctx; post delivers to the loop, ended tells it.
-func NewPool(ctx context.Context, limits Limits, open Dialer, since func() time.Duration, start func(func() error),
-	post func(Event), ended func(*Part, decision.Outcome, time.Duration, string)) *Pool {
-	return &Pool{ctx: ctx, limits: limits, open: open, since: since, start: start, post: post, ended: ended,
+func NewPool(ctx context.Context, limits Limits, dialer Dialer, since func() time.Duration, startGoroutine func(func() error),
+	post func(Event), attemptEnded func(*Subrequest, decision.Outcome, time.Duration, string)) *Pool {
+	return &Pool{ctx: ctx, limits: limits, dialer: dialer, since: since, startGoroutine: startGoroutine, post: post, attemptEnded: attemptEnded,
 		nodes: map[decision.NodeID]*node{}}
 }
 
 // KeepReports has parts come back with what nodes report beside the answer. It is called before anything is sent.
-func (p *Pool) KeepReports() { p.reports = true }
+func (p *Pool) KeepReports() { p.keepReports = true }
 
-// Point tells where a node listens and when it started. What was opened to an older start or elsewhere is closed.
-func (p *Pool) Point(id decision.NodeID, name string, addr netip.AddrPort, boot time.Duration) {
+// SetNode tells where a node listens and when it started. What was opened to an older start or elsewhere is closed.
+func (p *Pool) SetNode(id decision.NodeID, name string, addr netip.AddrPort, startedAt time.Duration) {
 	n := p.nodes[id]
 	if n == nil {
-		n = &node{id: id, name: name, addr: addr, boot: boot}
+		n = &node{id: id, name: name, addr: addr, startedAt: startedAt}
 		p.nodes[id] = n
-		p.order = append(p.order, n)
+		p.nodeOrder = append(p.nodeOrder, n)
 	}
-	n.gone = false
+	n.unlisted = false
 	n.addr = addr // what goes to an older one carries on with what it has, and gets nothing new
-	p.closeWhere(n, "moved", func(c *conn) bool { return c.addr != addr && c.out.len() == 0 })
-	if boot > n.boot {
-		n.boot = boot
-		p.closeWhere(n, "restarted", func(c *conn) bool { return c.up != nil && c.dialed < boot })
-		p.withhold(n)
+	p.closeWhere(n, "moved", func(c *conn) bool { return c.addr != addr && c.inFlight.len() == 0 })
+	if startedAt > n.startedAt {
+		n.startedAt = startedAt
+		p.closeWhere(n, "restarted", func(c *conn) bool { return c.up != nil && c.dialed < startedAt })
+		p.endQueued(n)
 	}
 }
 
-// Retune has the pool go on under other times and streams; how many connections it may hold stays.
-func (p *Pool) Retune(streams int, idle, dial, silent time.Duration) {
+// UpdateLimits has the pool go on under other times and streams; how many connections it may hold stays.
+func (p *Pool) UpdateLimits(streams int, idle, dial, silent time.Duration) {
 	p.limits.Streams, p.limits.Idle, p.limits.Dial, p.limits.Silent = streams, idle, dial, silent
-	p.due = 0
+	p.nextSweep = 0
 }
 
 // Probe asks a node for a sign of life, and Probed tells what came. The protocol has no word for it: a connection that is up,
@@ -124,71 +124,71 @@
 func (p *Pool) Probe(id decision.NodeID) {
 	n := p.nodes[id]
 	if n == nil {
-		p.Probed(id, decision.ConnectFailed, 0)
+		p.ProbeEnded(id, decision.ConnectFailed, 0)
 		return
 	}
-	var rising *conn
+	var connecting *conn
 	for _, c := range n.conns {
 		switch {
 		case c.addr != n.addr || c.retired:
 		case c.up != nil:
-			p.Probed(id, decision.OK, 0)
+			p.ProbeEnded(id, decision.OK, 0)
 			return
 		default:
-			rising = c
+			connecting = c
 		}
 	}
-	if rising == nil && p.conns >= p.limits.Conns {
-		p.Probed(id, decision.OK, 0)
+	if connecting == nil && p.conns >= p.limits.Conns {
+		p.ProbeEnded(id, decision.OK, 0)
 		return
 	}
-	if rising == nil {
-		leave := p.leave(n, 0)
-		if leave == No {
-			p.Probed(id, decision.OK, 0)
+	if connecting == nil {
+		openDecision := p.openDecision(n, 0)
+		if openDecision == Denied {
+			p.ProbeEnded(id, decision.OK, 0)
 			return
 		}
-		rising = p.dial(n, 0, leave == Floor)
+		connecting = p.dial(n, 0, openDecision == OpenShared)
 	}
-	rising.probed = true
+	connecting.probePending = true
 }
 
-// Drop takes a node out that the list ended. What is out carries on; then it is forgotten.
-func (p *Pool) Drop(id decision.NodeID) {
+// RemoveNode takes a node out that the list ended. What is out carries on; then it is forgotten.
+func (p *Pool) RemoveNode(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
-		n.gone, p.due = true, 0
-		p.withhold(n)
+		n.unlisted, p.nextSweep = true, 0
+		p.endQueued(n)
 		p.CloseIdle(id, "gone")
 	}
 }
 
 // Send writes the parts to a node as one call. The slice is the pool's from here on.
-func (p *Pool) Send(id decision.NodeID, parts []*Part) {
+func (p *Pool) Send(id decision.NodeID, attempts []*Subrequest) {
 	n := p.nodes[id]
 	if n == nil {
-		p.end(parts, decision.NeverSent)
+		p.end(attempts, decision.NeverSent)
 		return
 	}
 	for {
-		c := p.choose(n, parts)
+		c := p.selectConn(n, attempts)
 		if c == nil && p.budget != nil {
-			p.end(parts, decision.NeverSent) // the node is not to blame
+			p.end(attempts, decision.NeverSent) // the node is not to blame
 			return
 		}
 		if c == nil {
-			p.end(parts, decision.ConnectFailed)
+			p.end(attempts, decision.ConnectFailed)
 			return
 		}
-		for _, part := range parts {
-			part.conn = c
-			c.out.add(part)
-			p.due = min(p.due, part.Deadline)
+		for _, attempt := range attempts {
+			attempt.conn = c
+			c.inFlight.add(attempt)
+			p.nextSweep = min(p.nextSweep, attempt.Deadline)
 		}
 		if c.up == nil {
-			c.queue = append(c.queue, parts)
+			c.queue = append(c.queue, attempts)
 			return
 		}
-		if err := p.call(c, parts); err == nil || errors.Is(err, errStuck) {
+		if err := p.writeCall(c, attempts); err == nil || errors.Is(err, errWriteBlocked) {
 			return
 		}
 		// The node had ended the connection before a byte was written: the parts go over another.
@@ -198,15 +198,15 @@
 // Nodes tells how many nodes are known, those included that only their last parts keep.
 func (p *Pool) Nodes() int { return len(p.nodes) }
 
-// Out tells how many parts are out.
-func (p *Pool) Out() (n int) {
-	for _, node := range p.order {
+// InFlight tells how many parts are out.
+func (p *Pool) InFlight() (n int) {
+	for _, node := range p.nodeOrder {
 		for _, c := range node.conns {
-			n += c.out.len()
+			n += c.inFlight.len()
 		}
 	}
 	return n
 }
 
-// Open tells how many connections there are.
-func (p *Pool) Open() int { return p.conns }
+// OpenConnections tells how many connections there are.
+func (p *Pool) OpenConnections() int { return p.conns }
--- a/internal/transport/store/store_test.go
+++ b/internal/transport/store/store_test.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-func frame(letter byte, rest string) []byte {
-	b := binary.LittleEndian.AppendUint32(nil, uint32(1+len(rest)))
-	return append(append(b, letter), rest...)
+func frame(frameType byte, body string) []byte {
+	b := binary.LittleEndian.AppendUint32(nil, uint32(1+len(body)))
+	return append(append(b, frameType), body...)
 }
 
 func TestFrames(t *testing.T) {
-	parts := []*Part{{ID: "9b.3", Shard: 3, Text: "c41e77d0", Deadline: 240 * time.Millisecond},
+	attempts := []*Subrequest{{ID: "9b.3", Shard: 3, Text: "c41e77d0", Deadline: 240 * time.Millisecond},
 		{ID: "9b.4", Shard: 4, Text: "a\nb", Deadline: 0}}
 	want := frame('q', "9b.3 3 d=239 8\nc41e77d0"+"9b.4 4 d=1 3\na\nb")
-	if got := appendCall(nil, parts, time.Millisecond); !bytes.Equal(got, want) {
+	if got := appendCall(nil, attempts, time.Millisecond); !bytes.Equal(got, want) {
 		t.Errorf("call %q", got)
 	}
 	if got := appendCancel(nil, "9b.3"); !bytes.Equal(got, frame('c', "9b.3")) {
 		t.Errorf("cancel %q", got)
 	}
 	a, err := parseAnswer([]byte("9b.3 served 1840277719 -\n5be2\na"), true)
-	if err != nil || a != (Answer{ID: "9b.3", End: Served, Value: "5be2\na"}) {
+	if err != nil || a != (Answer{ID: "9b.3", Result: Served, Value: "5be2\na"}) {
 		t.Errorf("%+v, %v", a, err)
 	}
 	for _, keep := range []bool{true, false} {
