--- a/cmd/flaxfront/search_test.go
+++ b/cmd/flaxfront/search_test.go
@@ -19,11 +19,11 @@
 	defer cancel()
 	operators := operator.Default()
 	operators.SRU.Listen, operators.Z3950.Listen = "127.0.0.1:0", "127.0.0.1:0"
-	s, err := sru.Listen(archive.New(archive.DC), operators.SRU)
+	s, err := sru.Listen(archive.New(archive.DublinCoreRecord), operators.SRU)
 	if err != nil {
 		t.Fatal(err)
 	}
-	z, err := z3950.Listen(archive.New(archive.DC), operators.Z3950)
+	z, err := z3950.Listen(archive.New(archive.DublinCoreRecord), operators.Z3950)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/flaxlab/capacity.go
+++ b/cmd/flaxlab/capacity.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer s.Close()
-	s.Pace(0)
+	s.SetMeanWork(0)
 	broker := exec.CommandContext(cmd.Context(), path, "serve", "--config", s.config)
 	if err := broker.Start(); err != nil {
 		return err
@@ -76,12 +76,12 @@
 		err = errors.Join(err, broker.Wait())
 	}()
 	time.Sleep(500 * time.Millisecond)
-	load := lab.Press{Addr: s.at, Class: "find", Parts: parts, Cells: s.Cells, Conns: conns, For: 500 * time.Millisecond, Rate: rate}
+	load := lab.CostLoad{Addr: s.at, QueryType: "find", ShardsPerQuery: parts, Cells: s.Cells, Connections: conns, RunTime: 500 * time.Millisecond, Rate: rate}
 	if _, err := load.Run(); err != nil { // warm
 		return err
 	}
 	before, began := cpuTime(broker.Process.Pid), time.Now()
-	load.For = duration
+	load.RunTime = duration
 	p, err := load.Run()
 	if err != nil {
 		return err
--- a/cmd/flaxlab/flood.go
+++ b/cmd/flaxlab/flood.go
@@ -49,7 +49,7 @@
 		Use:   "queues",
 		Short: "Six ways to share a store between tenants under one flood, in virtual time",
 		Args:  cobra.NoArgs,
-		Run:   func(cmd *cobra.Command, _ []string) { lab.Queues(cmd.OutOrStdout()) },
+		Run:   func(cmd *cobra.Command, _ []string) { lab.CompareQueuing(cmd.OutOrStdout()) },
 	}
 }
 
@@ -68,7 +68,7 @@
 		return err
 	}
 	defer s.Close()
-	s.Pace(40 * time.Millisecond) // 16 cores: room for 200 searches of two parts a second
+	s.SetMeanWork(40 * time.Millisecond) // 16 cores: room for 200 searches of two parts a second
 	broker, err := startBroker(s.config, s.file)
 	if err != nil {
 		return err
@@ -109,14 +109,14 @@
 			}
 		})
 	}
-	outcome := lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "quiet", Shards: 4, Widest: 3, Rate: 20, For: duration,
-		Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 5}.Run()
+	outcome := lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "quiet", Shards: 4, MaxShards: 3, Rate: 20, RunTime: duration,
+		Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: 5}.Run()
 	close(stop)
 	flooders.Wait()
 	client.CloseIdleConnections()
 	percentileMs := func(p float64) float64 { return float64(outcome.Latency.ValueAtQuantile(p)) / 1000 }
 	fmt.Fprintf(out, "%-22s  %-9d  %4d, %5.1f%%, %6.1f ms, %7.1f ms    %6.1f, %d; rules broken %d\n", queueing, conns, outcome.Asked,
-		100*float64(outcome.Answered)/float64(outcome.Asked), percentileMs(50), percentileMs(99), float64(served)/duration.Seconds(), rejected, len(outcome.Broken))
+		100*float64(outcome.Answered)/float64(outcome.Asked), percentileMs(50), percentileMs(99), float64(served)/duration.Seconds(), rejected, len(outcome.Violations))
 	if d := broker.Counters().Queries.Admission; d != nil {
 		fmt.Fprintf(out, "  limit %.0f parts, %.0f a second, baseline %v\n", d.Limit, d.Rate, d.Baseline.Round(time.Millisecond))
 	}
--- a/cmd/flaxlab/live.go
+++ b/cmd/flaxlab/live.go
@@ -133,10 +133,10 @@
 	}
 	fmt.Fprintf(out, "a broker at %s before %d simulated nodes; try\n  curl -d '{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c4\"}' "+
 		"-H 'X-Request-ID: my-first' -H 'X-Tenant-Id: acme' -H 'X-Timeout-Ms: 900' http://%s/find\n", s.at, nodes, s.at)
-	load := lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "acme", Shards: 2 * s.Cells, Widest: 4, Rate: rate,
-		For: duration, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: 1, Every: time.Second, Say: out}
+	load := lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "acme", Shards: 2 * s.Cells, MaxShards: 4, Rate: rate,
+		RunTime: duration, Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: 1, ReportEvery: time.Second, ReportTo: out}
 	if outage > 0 {
-		load.For = 5 * time.Second
+		load.RunTime = 5 * time.Second
 		fmt.Fprintln(out, load.Run())
 		s.Discovery.Down()
 		if err := broker.shutDown(); err != nil {
@@ -146,10 +146,10 @@
 			return err
 		}
 		time.AfterFunc(outage, func() { s.Discovery.Up("") })
-		load.For = outage + 5*time.Second
+		load.RunTime = outage + 5*time.Second
 		fmt.Fprintf(out, "the broker has restarted; discovery is down for %v\n", outage)
 	}
-	done := make(chan *lab.Outcome, 1)
+	done := make(chan *lab.LoadResult, 1)
 	go func() { done <- load.Run() }()
 	select {
 	case o := <-done:
@@ -168,7 +168,7 @@
 		Use:   "herd",
 		Short: "Discovery's return in virtual time: four ways of asking, 1, 20 and 300 brokers",
 		Args:  cobra.NoArgs,
-		Run:   func(cmd *cobra.Command, _ []string) { lab.Herd(cmd.OutOrStdout(), calls, seeds) },
+		Run:   func(cmd *cobra.Command, _ []string) { lab.CompareRecovery(cmd.OutOrStdout(), calls, seeds) },
 	}
 	herd.Flags().Float64Var(&calls, "calls", 500, "calls that discovery answers in a second")
 	herd.Flags().IntVar(&seeds, "seeds", 20, "returns for each line")
@@ -190,7 +190,7 @@
 				if err != nil {
 					return err
 				}
-				all, broken = append(all, staleUse), broken+len(o.Broken)
+				all, broken = append(all, staleUse), broken+len(o.Violations)
 			}
 			slices.Sort(all)
 			quantile := func(q float64) time.Duration { return all[int(q*float64(len(all)-1))].Round(time.Millisecond) }
@@ -205,7 +205,7 @@
 
 // measureReturn lets a broker learn the list, restarts it with discovery down, drains a node meanwhile, brings discovery back
 // and tells how long after that the node still got a part.
-func measureReturn(seed uint64) (staleUse time.Duration, outcome *lab.Outcome, err error) {
+func measureReturn(seed uint64) (staleUse time.Duration, outcome *lab.LoadResult, err error) {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
 		return 0, nil, err
@@ -226,7 +226,7 @@
 		return 0, nil, err
 	}
 	s.List[0].Lifecycle = "terminating" // it goes on answering, so that only discovery's word can end its use
-	s.Discovery.Set(s.List)
+	s.Discovery.SetList(s.List)
 	if broker, err = startBroker(s.config, s.file); err != nil {
 		return 0, nil, err
 	}
@@ -239,11 +239,11 @@
 		}
 		returns <- at
 	})
-	outcome = lab.Load{URL: "http://" + s.at, Class: "find", Tenant: "acme", Shards: 2 * s.Cells, Widest: 4, Rate: 200,
-		For: down + 2*time.Second, Timeout: 2 * time.Second, Target: time.Second, Floor: 1, Seed: seed}.Run()
+	outcome = lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "acme", Shards: 2 * s.Cells, MaxShards: 4, Rate: 200,
+		RunTime: down + 2*time.Second, Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: seed}.Run()
 	returned := <-returns
 	if returned.IsZero() {
 		return 0, outcome, fmt.Errorf("discovery could not come back at its address")
 	}
-	return max(0, time.Unix(0, s.Nodes[0].Last.Load()).Sub(returned)), outcome, broker.shutDown()
+	return max(0, time.Unix(0, s.Nodes[0].LastRequestAt.Load()).Sub(returned)), outcome, broker.shutDown()
 }
--- a/cmd/flaxlab/stage.go
+++ b/cmd/flaxlab/stage.go
@@ -23,14 +23,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	stage, err := lab.NewStage(dir, s)
+	stage, err := lab.NewRehearsal(dir, s)
 	if err != nil {
 		return err
 	}
 	defer stage.Close()
 	var addresses []string
 	for i := range s.Brokers.Count {
-		config, listen, err := stage.Write(fmt.Sprintf("n%d", i))
+		config, listen, err := stage.WriteBrokerConfig(fmt.Sprintf("n%d", i))
 		if err != nil {
 			return err
 		}
