--- a/cmd/flaxlab/capacity.go
+++ b/cmd/flaxlab/capacity.go
@@ -1,6 +1,7 @@
 package main
 
-// This file owns the experiment on a broker's own cost: a broker process on one core before nodes that answer at once.
+// This file implements the command capacity, which measures the cost of a query in a broker process on one core, with nodes that answer
+// at once.
 
 import (
 	"errors"
@@ -26,7 +27,7 @@
 	var rates []float64
 	c := &cobra.Command{
 		Use:   "capacity",
-		Short: "On sockets: how many searches a second a broker on one core answers, and what CPU each takes",
+		Short: "Measure on sockets how many queries per second a broker on one core answers, and the CPU time of each",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -38,7 +39,7 @@
 				path = filepath.Join(filepath.Dir(self), "flaxfront")
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%-12s  %10s  %10s  %8s  %8s  %8s\n", "asked/s", "answered/s", "us/search", "p50 us", "p99 us", "p99.9 us")
+			fmt.Fprintf(out, "%-12s  %10s  %10s  %8s  %8s  %8s\n", "asked/s", "answered/s", "us/query", "p50 us", "p99 us", "p99.9 us")
 			for _, rate := range append(rates, 0) {
 				if err := measureCapacity(cmd, path, parts, conns, duration, rate); err != nil {
 					return err
@@ -47,14 +48,15 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&path, "broker", "", "the broker's program (default: flaxfront beside this one)")
-	c.Flags().IntVar(&parts, "parts", 4, "of a search")
-	c.Flags().IntVar(&conns, "conns", 64, "client connections")
-	c.Flags().DurationVar(&duration, "for", 4*time.Second, "how long each rate")
-	c.Flags().Float64SliceVar(&rates, "rates", []float64{2000, 8000}, "searches a second, before as many as are answered")
+	c.Flags().StringVar(&path, "broker", "", "path of the broker (default: flaxfront in the directory of this program)")
+	c.Flags().IntVar(&parts, "parts", 4, "shard requests per query")
+	c.Flags().IntVar(&conns, "conns", 64, "number of client connections")
+	c.Flags().DurationVar(&duration, "for", 4*time.Second, "duration of each rate")
+	c.Flags().Float64SliceVar(&rates, "rates", []float64{2000, 8000}, "queries per second; a run at the maximum rate follows")
 	return c
 }
 
+// measureCapacity measures one rate, or the maximum rate if rate is 0, and prints a line.
 func measureCapacity(cmd *cobra.Command, path string, parts, conns int, duration time.Duration, rate float64) (err error) {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
@@ -77,7 +79,7 @@
 	}()
 	time.Sleep(500 * time.Millisecond)
 	load := lab.CostLoad{Addr: s.at, QueryType: "find", ShardsPerQuery: parts, Cells: s.Cells, Connections: conns, RunTime: 500 * time.Millisecond, Rate: rate}
-	if _, err := load.Run(); err != nil { // warm
+	if _, err := load.Run(); err != nil { // warm up
 		return err
 	}
 	before, began := cpuTime(broker.Process.Pid), time.Now()
@@ -87,7 +89,7 @@
 		return err
 	}
 	cpu, took := cpuTime(broker.Process.Pid)-before, time.Since(began)
-	rateText := "all it can"
+	rateText := "maximum"
 	if rate > 0 {
 		rateText = fmt.Sprintf("%.0f", rate)
 	}
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// cpuTime is what a process has used, user and system, in ticks of 10 ms.
+// cpuTime returns the user and system CPU time of a process, in steps of 10 ms.
 func cpuTime(pid int) time.Duration {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(raw), ") ")
--- a/cmd/flaxlab/crew.go
+++ b/cmd/flaxlab/crew.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the experiment on brokers that keep one another's company.
+// This file implements the command crew, which simulates membership and ownership.
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	var seeds, kills int
 	c := &cobra.Command{
 		Use:   "crew",
-		Short: "Members and duties in virtual time: three ways to know who is there, and owners that are killed",
+		Short: "Simulate membership and ownership: three ways to detect members, and owners that are killed",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
@@ -25,13 +25,13 @@
 			}
 			crew.CompareDetectors(out, sizes, seeds)
 			if broken > 0 {
-				return fmt.Errorf("%d tiers kept a duty waiting, or did it too often", broken)
+				return fmt.Errorf("in %d tiers a job ran too late or too often", broken)
 			}
 			return nil
 		},
 	}
-	c.Flags().IntSliceVar(&sizes, "brokers", []int{5, 50}, "sizes of tiers")
-	c.Flags().IntVar(&seeds, "seeds", 4, "tiers of each size and loss")
-	c.Flags().IntVar(&kills, "kills", 1000, "tiers of five whose owner is killed, for each loss")
+	c.Flags().IntSliceVar(&sizes, "brokers", []int{5, 50}, "numbers of brokers in a tier")
+	c.Flags().IntVar(&seeds, "seeds", 4, "number of tiers of each size and packet loss")
+	c.Flags().IntVar(&kills, "kills", 1000, "number of tiers of five brokers whose owner is killed, for each packet loss")
 	return c
 }
--- a/cmd/flaxlab/flood.go
+++ b/cmd/flaxlab/flood.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the experiment on fair queues: one tenant floods, another asks as ever.
+// This file implements the commands flood and queues, which measure fair queues: one tenant floods while another keeps its usual load.
 
 import (
 	"fmt"
@@ -23,12 +23,12 @@
 	var duration time.Duration
 	c := &cobra.Command{
 		Use:   "flood",
-		Short: "On sockets: a quiet tenant beside one that floods and comes back at once, with and without fair queues",
+		Short: "Measure on sockets a tenant with little load beside one that floods and retries at once, with and without fair queues",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%-22s  %-9s  %-34s  %-30s\n", "door", "flood", "quiet: asked, served, p50, p99", "flooder: served a second, turned away")
+			fmt.Fprintf(out, "%-22s  %-9s  %-34s  %-30s\n", "queueing", "flood", "quiet: asked, served, p50, p99", "flooder: served/s, rejected")
 			for _, queueing := range []string{"first come first served", "fair queues"} {
 				for _, flood := range []int{0, conns} {
 					if err := runFlood(out, queueing, flood, duration); err != nil {
@@ -39,20 +39,21 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&conns, "conns", 150, "connections of the flooder")
-	c.Flags().DurationVar(&duration, "for", 8*time.Second, "how long each")
+	c.Flags().IntVar(&conns, "conns", 150, "number of connections of the flooding tenant")
+	c.Flags().DurationVar(&duration, "for", 8*time.Second, "duration of each run")
 	return c
 }
 
 func queuesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "queues",
-		Short: "Six ways to share a store between tenants under one flood, in virtual time",
+		Short: "Simulate six ways to share a store between tenants while one floods",
 		Args:  cobra.NoArgs,
 		Run:   func(cmd *cobra.Command, _ []string) { lab.CompareQueuing(cmd.OutOrStdout()) },
 	}
 }
 
+// runFlood runs one broker with a flood of conns connections, and prints the results of both tenants.
 func runFlood(out io.Writer, queueing string, conns int, duration time.Duration) error {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
@@ -68,7 +69,7 @@
 		return err
 	}
 	defer s.Close()
-	s.SetMeanWork(40 * time.Millisecond) // 16 cores: room for 200 searches of two parts a second
+	s.SetMeanWork(40 * time.Millisecond) // 16 cores: enough for 200 queries of two shard requests per second
 	broker, err := startBroker(s.config, s.file)
 	if err != nil {
 		return err
@@ -118,7 +119,7 @@
 	fmt.Fprintf(out, "%-22s  %-9d  %4d, %5.1f%%, %6.1f ms, %7.1f ms    %6.1f, %d; rules broken %d\n", queueing, conns, outcome.Asked,
 		100*float64(outcome.Answered)/float64(outcome.Asked), percentileMs(50), percentileMs(99), float64(served)/duration.Seconds(), rejected, len(outcome.Violations))
 	if d := broker.Counters().Queries.Admission; d != nil {
-		fmt.Fprintf(out, "  limit %.0f parts, %.0f a second, baseline %v\n", d.Limit, d.Rate, d.Baseline.Round(time.Millisecond))
+		fmt.Fprintf(out, "  limit %.0f shard requests in flight, %.0f per second, baseline delay %v\n", d.Limit, d.Rate, d.Baseline.Round(time.Millisecond))
 	}
 	return broker.shutDown()
 }
--- a/cmd/flaxlab/live.go
+++ b/cmd/flaxlab/live.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the experiments on real sockets: a broker in this process before simulated nodes and a simulated
+// This file implements the commands up, herd and returns. Those on sockets run a broker in this process, with simulated nodes and a simulated
 // discovery, all on loopback.
 
 import (
@@ -32,7 +32,7 @@
 	done chan error
 }
 
-// startBroker runs a broker of a configuration and an operators' file ("" for none).
+// startBroker starts a broker with a configuration and an operators' file ("" for none).
 func startBroker(config, file string) (*liveBroker, error) {
 	start, err := terms.ReadConfig(config)
 	if err != nil {
@@ -54,12 +54,13 @@
 	return l, nil
 }
 
+// shutDown stops the broker and waits until it has ended.
 func (l *liveBroker) shutDown() error {
 	close(l.stop)
 	return <-l.done
 }
 
-// site is a fleet with the files of one broker before it.
+// site is a set of simulated nodes with the address, configuration and operators' file of one broker.
 type site struct {
 	*lab.Fleet
 	at, config, file string
@@ -86,6 +87,7 @@
 	return s, err
 }
 
+// nodeListSettings returns an operators' file that caches the endpoint list under dir.
 func nodeListSettings(dir string) string {
 	return fmt.Sprintf(`{"start": {"node_list": {"directory": %q, "save_every": "50ms"}}}`, filepath.Join(dir, "list"))
 }
@@ -97,7 +99,7 @@
 	var logs bool
 	up := &cobra.Command{
 		Use:   "up",
-		Short: "Start simulated nodes, a discovery and a broker, and play load until stopped",
+		Short: "Start simulated nodes, a discovery and a broker, and generate load until stopped",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if !logs {
@@ -113,11 +115,11 @@
 			return runUp(ctx, cmd.OutOrStdout(), dir, nodes, rate, duration, outage)
 		},
 	}
-	up.Flags().IntVar(&nodes, "nodes", 8, "simulated nodes, over two cells")
-	up.Flags().Float64Var(&rate, "rate", 50, "searches a second")
-	up.Flags().DurationVar(&duration, "for", 10*time.Minute, "how long, at most")
-	up.Flags().DurationVar(&outage, "outage", 0, "after 5 s the broker restarts with discovery down for so long (0: never)")
-	up.Flags().BoolVar(&logs, "logs", false, "the broker's log on standard error")
+	up.Flags().IntVar(&nodes, "nodes", 8, "number of simulated nodes, in two cells")
+	up.Flags().Float64Var(&rate, "rate", 50, "queries per second")
+	up.Flags().DurationVar(&duration, "for", 10*time.Minute, "maximum duration")
+	up.Flags().DurationVar(&outage, "outage", 0, "after 5 s the broker restarts while discovery is down for this long (0: no restart)")
+	up.Flags().BoolVar(&logs, "logs", false, "write the broker's log to standard error")
 	return up
 }
 
@@ -131,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "a broker at %s before %d simulated nodes; try\n  curl -d '{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c4\"}' "+
+	fmt.Fprintf(out, "broker at %s with %d simulated nodes; try\n  curl -d '{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c4\"}' "+
 		"-H 'X-Request-ID: my-first' -H 'X-Tenant-Id: acme' -H 'X-Timeout-Ms: 900' http://%s/find\n", s.at, nodes, s.at)
 	load := lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "acme", Shards: 2 * s.Cells, MaxShards: 4, Rate: rate,
 		RunTime: duration, Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: 1, ReportEvery: time.Second, ReportTo: out}
@@ -147,7 +149,7 @@
 		}
 		time.AfterFunc(outage, func() { s.Discovery.Up("") })
 		load.RunTime = outage + 5*time.Second
-		fmt.Fprintf(out, "the broker has restarted; discovery is down for %v\n", outage)
+		fmt.Fprintf(out, "broker restarted; discovery is down for %v\n", outage)
 	}
 	done := make(chan *lab.LoadResult, 1)
 	go func() { done <- load.Run() }()
@@ -166,12 +168,12 @@
 	var seeds int
 	herd := &cobra.Command{
 		Use:   "herd",
-		Short: "Discovery's return in virtual time: four ways of asking, 1, 20 and 300 brokers",
+		Short: "Simulate the return of discovery: four ways of polling, with 1, 20 and 300 brokers",
 		Args:  cobra.NoArgs,
 		Run:   func(cmd *cobra.Command, _ []string) { lab.CompareRecovery(cmd.OutOrStdout(), calls, seeds) },
 	}
-	herd.Flags().Float64Var(&calls, "calls", 500, "calls that discovery answers in a second")
-	herd.Flags().IntVar(&seeds, "seeds", 20, "returns for each line")
+	herd.Flags().Float64Var(&calls, "calls", 500, "polls that discovery answers per second")
+	herd.Flags().IntVar(&seeds, "seeds", 20, "number of returns for each line")
 	return herd
 }
 
@@ -179,7 +181,7 @@
 	var trials int
 	returns := &cobra.Command{
 		Use:   "returns",
-		Short: "On sockets: how long a drained node is still used after discovery's return",
+		Short: "Measure on sockets how long a drained node is still used after the return of discovery",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -194,17 +196,17 @@
 			}
 			slices.Sort(all)
 			quantile := func(q float64) time.Duration { return all[int(q*float64(len(all)-1))].Round(time.Millisecond) }
-			fmt.Fprintf(cmd.OutOrStdout(), "stale entry last used after discovery's return, %d trials: p50 %v, p90 %v, p99 %v, most %v; rules broken %d\n",
+			fmt.Fprintf(cmd.OutOrStdout(), "last use of a stale entry after the return of discovery, %d trials: p50 %v, p90 %v, p99 %v, max %v; rules broken %d\n",
 				trials, quantile(0.5), quantile(0.9), quantile(0.99), quantile(1), broken)
 			return nil
 		},
 	}
-	returns.Flags().IntVar(&trials, "trials", 100, "returns")
+	returns.Flags().IntVar(&trials, "trials", 100, "number of trials")
 	return returns
 }
 
-// measureReturn lets a broker learn the list, restarts it with discovery down, drains a node meanwhile, brings discovery back
-// and tells how long after that the node still got a part.
+// measureReturn lets a broker cache the list, restarts it while discovery is down, drains a node meanwhile, and starts discovery again. It
+// returns for how long after that the node still got shard requests.
 func measureReturn(seed uint64) (staleUse time.Duration, outcome *lab.LoadResult, err error) {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
@@ -225,7 +227,7 @@
 	if err := broker.shutDown(); err != nil {
 		return 0, nil, err
 	}
-	s.List[0].Lifecycle = "terminating" // it goes on answering, so that only discovery's word can end its use
+	s.List[0].Lifecycle = "terminating" // it still answers, so that only discovery can end its use
 	s.Discovery.SetList(s.List)
 	if broker, err = startBroker(s.config, s.file); err != nil {
 		return 0, nil, err
@@ -243,7 +245,7 @@
 		RunTime: down + 2*time.Second, Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: seed}.Run()
 	returned := <-returns
 	if returned.IsZero() {
-		return 0, outcome, fmt.Errorf("discovery could not come back at its address")
+		return 0, outcome, fmt.Errorf("discovery could not listen at its address again")
 	}
 	return max(0, time.Unix(0, s.Nodes[0].LastRequestAt.Load()).Sub(returned)), outcome, broker.shutDown()
 }
--- a/cmd/flaxlab/play.go
+++ b/cmd/flaxlab/play.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands on rehearsals: check, play, compare.
+// This file implements the commands check and play, which work on scripts.
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check SCRIPT...",
-		Short: "Read rehearsals and tell what is wrong with them",
+		Short: "Check scripts",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			bad := 0
@@ -37,18 +37,18 @@
 					fmt.Fprintln(cmd.OutOrStdout(), err)
 					continue
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s: %d nodes, %d brokers, %v, %d troubles\n", path, s.Name, s.Fleet.Nodes,
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: valid: %s: %d nodes, %d brokers, %v, %d troubles\n", path, s.Name, s.Fleet.Nodes,
 					s.Brokers.Count, s.Length, len(s.Faults))
 			}
 			if bad > 0 {
-				return fmt.Errorf("%d of %d scripts can't be played", bad, len(args))
+				return fmt.Errorf("%d of %d scripts are invalid", bad, len(args))
 			}
 			return nil
 		},
 	}
 }
 
-// stopOnSignal is a stop that SIGINT sets.
+// stopOnSignal returns a flag that SIGINT and SIGTERM set, and a function that releases its resources.
 func stopOnSignal(ctx context.Context) (*atomic.Bool, func()) {
 	stop := &atomic.Bool{}
 	ctx, end := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
@@ -65,7 +65,7 @@
 	var live bool
 	c := &cobra.Command{
 		Use:   "play SCRIPT",
-		Short: "Play a rehearsal in virtual time and print what became of it",
+		Short: "Run a script in virtual time and print the results",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -100,7 +100,7 @@
 				runtime.ReadMemStats(&mem)
 				printResult(out, r)
 				took := time.Since(began)
-				fmt.Fprintf(out, "%d events in %v (%.1f times as fast as it would be, %d MB from the system)\n", r.Events,
+				fmt.Fprintf(out, "%d events in %v (%.1f times as fast as real time, %d MB from the system)\n", r.Events,
 					took.Round(time.Millisecond), r.Played.Seconds()/took.Seconds(), mem.Sys>>20)
 				all, broken = append(all, r), broken+r.Broken
 				s.Seed++
@@ -111,17 +111,17 @@
 				}
 			}
 			if broken > 0 {
-				return fmt.Errorf("%d times a rule was broken", broken)
+				return fmt.Errorf("rules were broken %d times", broken)
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&policy, "policy", string(play.Module), "what decides: module, random or seer")
-	c.Flags().BoolVar(&live, "live", false, "on loopback sockets, beside virtual time: what fits one machine")
-	c.Flags().IntVar(&cores, "cores", 0, "that play it (0: as many as pay); the course is the same")
-	c.Flags().IntVar(&seeds, "seeds", 1, "how often, each time with the next seed")
-	c.Flags().StringVar(&file, "json", "", "file for the results, as compare and report read them")
-	c.Flags().StringVar(&trace, "trace", "", "file for a line of JSON for the end of each search; plays on one core")
+	c.Flags().StringVar(&policy, "policy", string(play.Module), "routing policy: module, random or seer")
+	c.Flags().BoolVar(&live, "live", false, "run on loopback sockets as well; only for scripts that one machine can run")
+	c.Flags().IntVar(&cores, "cores", 0, "number of cores (0: as many as are useful); the results do not depend on it")
+	c.Flags().IntVar(&seeds, "seeds", 1, "number of runs, each with the next seed")
+	c.Flags().StringVar(&file, "json", "", "file for the results, for compare and report")
+	c.Flags().StringVar(&trace, "trace", "", "file for one line of JSON per query; runs on one core")
 	return c
 }
 
@@ -133,9 +133,9 @@
 	return errors.Join(json.NewEncoder(f).Encode(v), f.Close())
 }
 
-// printResult prints a result.
+// printResult prints the result of a run, with up to five of the rules broken.
 func printResult(out io.Writer, r *play.Result) {
-	fmt.Fprintf(out, "%s, seed %d, %s: %v played, course %s\n", r.Name, r.Seed, r.Policy, r.Played.Round(time.Millisecond), r.Hash)
+	fmt.Fprintf(out, "%s, seed %d, %s: %v simulated, trace hash %s\n", r.Name, r.Seed, r.Policy, r.Played.Round(time.Millisecond), r.Hash)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "tenant\ttype\tasked\tservice\tin target\tlate\tpartial\tshed\tfailed\tp50\tp99\tp99.9\t")
 	row := func(tenant, typ string, reads *play.Counts, l *play.Latency) {
@@ -150,12 +150,12 @@
 	row("all", "all", &r.Counts, &r.Latency)
 	w.Flush()
 	work := &r.Work
-	fmt.Fprintf(out, "worst ten seconds %.4f; %d tries; %d calls of %d parts (%.1f%% further), %d served, %d broke, %d turned away, %d swallowed; %d connections opened, %d reset\n",
+	fmt.Fprintf(out, "worst ten seconds %.4f; %d tries; %d calls with %d shard requests (%.1f%% extra attempts), %d served, %d failed, %d skipped, %d unanswered; %d connections opened, %d reset\n",
 		r.Worst, r.Counts.Tries, work.Calls, work.Parts, 100*float64(work.Further)/float64(max(1, work.Parts)), work.Served, work.Broke, work.Skipped, work.Swallowed, work.Dials, work.Resets)
 	if reads := r.Reads; reads != nil {
-		fmt.Fprintf(out, "hints: %d tries, %d answered, %d refused; %d parts held against the writers: %d stale, %d backward, %d older than stated, %d behind and said so; ",
+		fmt.Fprintf(out, "read hints: %d tries, %d answered, %d rejected; %d results checked against the writes: %d stale, %d backward, %d older than stated, %d behind as stated; ",
 			reads.Hinted, reads.Answered, reads.Refused, reads.Checked, reads.Stale, reads.Backward, reads.Understated, reads.Behind)
-		fmt.Fprintf(out, "%d old answers kept out, %d parts beyond a hot pin's first, %d KB of facts\n", reads.Pins.Stale, reads.Pins.Spilled, reads.Facts>>10)
+		fmt.Fprintf(out, "%d stale answers rejected, %d shard requests spilled from a hot pin, %d KB of position reports\n", reads.Pins.Stale, reads.Pins.Spilled, reads.Facts>>10)
 	}
 	fmt.Fprintf(out, "rules broken %d times\n", r.Broken)
 	for i, b := range r.Breaches {
--- a/cmd/flaxlab/sites.go
+++ b/cmd/flaxlab/sites.go
@@ -1,6 +1,7 @@
 package main
 
-// This file owns the experiment on two sites: a broker each before its own nodes, a wire between them, and what goes wrong.
+// This file implements the command sites, an experiment with two sites: a broker with its own nodes at each, and a simulated wire between
+// them that can delay, cut and reset connections.
 
 import (
 	"fmt"
@@ -19,14 +20,15 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// sitePair is two sites and the wire between them; the first asks, the second is asked.
+// sitePair is two sites and the wires between them. Clients query the first site, which forwards queries to the second.
 type sitePair struct {
 	sites      [2]*site
 	wires      [2]*lab.Relay // to the second site, and to the first
 	liveBroker [2]*liveBroker
-	linkAddrs  [2]string // where each listens for the other
+	linkAddrs  [2]string // the address at which each site accepts links of the other
 }
 
+// newSitePair starts two sites, with or without the gateway between them.
 func newSitePair(dir string, seed uint64, delay, jitter time.Duration, gateway bool) (*sitePair, error) {
 	p := &sitePair{}
 	now := time.Now()
@@ -72,7 +74,7 @@
 	}
 }
 
-// stopCells turns the nodes of some cells of the first site off.
+// stopCells stops the nodes of some cells of the first site.
 func (p *sitePair) stopCells(cells ...int) {
 	for i, n := range p.sites[0].Nodes {
 		if slices.Contains(cells, i%p.sites[0].Cells) {
@@ -81,6 +83,7 @@
 	}
 }
 
+// runLoad runs a load on one of the sites.
 func (p *sitePair) runLoad(at int, rate float64, last time.Duration, seed uint64, audit *lab.Audit) *lab.LoadResult {
 	return lab.Load{URL: "http://" + p.sites[at].at, QueryTypes: []string{"find", "sign", "book"}, Tenant: "acme", Shards: 2 * p.sites[at].Cells,
 		MaxShards: 3, Rate: rate, RunTime: last, Timeout: 1500 * time.Millisecond, Objective: time.Second, MinCompleteness: 1, Seed: seed, RecordResult: audit.RecordResult}.Run()
@@ -93,7 +96,7 @@
 	var searches, seed int
 	c := &cobra.Command{
 		Use:   "sites",
-		Short: "Two simulated sites on sockets with a wire between: calm, losses and overload; or the wire cut under load",
+		Short: "Run two simulated sites on sockets: with normal load, lost shards and overload, or with the wire between them cut under load",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if !logs {
@@ -105,15 +108,15 @@
 			return compareGateway(cmd.OutOrStdout(), delay)
 		},
 	}
-	c.Flags().DurationVar(&delay, "delay", 80*time.Millisecond, "added to a round trip")
-	c.Flags().BoolVar(&cuts, "cuts", false, "cut the wire in six ways at random instants under load")
-	c.Flags().IntVar(&searches, "searches", 20000, "with --cuts: how many, at least")
+	c.Flags().DurationVar(&delay, "delay", 80*time.Millisecond, "delay added to a round trip")
+	c.Flags().BoolVar(&cuts, "cuts", false, "cut the wire under load, in six ways at random times")
+	c.Flags().IntVar(&searches, "searches", 20000, "with --cuts: minimum number of queries")
 	c.Flags().IntVar(&seed, "seed", 0, "with --cuts: number of the first round")
-	c.Flags().BoolVar(&logs, "logs", false, "the brokers' logs on standard error")
+	c.Flags().BoolVar(&logs, "logs", false, "write the brokers' logs to standard error")
 	return c
 }
 
-// compareGateway compares the days with and without the gateway.
+// compareGateway runs each scenario without and with the gateway, and prints a line for each.
 func compareGateway(out io.Writer, delay time.Duration) error {
 	fmt.Fprintf(out, "%-34s  %-9s  %7s  %7s  %7s  %9s  %s\n", "first site", "gateway", "asked", "target", "shed", "forwarded", "rules broken")
 	for _, day := range []struct {
@@ -121,10 +124,10 @@
 		lost []int
 		rate float64
 	}{
-		{"calm", nil, 100},
+		{"normal load", nil, 100},
 		{"a quarter of its shards lost", []int{0}, 100},
 		{"half of its shards lost", []int{0, 1}, 100},
-		{"asked for 1.5 times what it can do", nil, 600},
+		{"load of 1.5 times its capacity", nil, 600},
 	} {
 		for _, gateway := range []bool{false, true} {
 			dir, err := os.MkdirTemp("", "flaxlab")
@@ -138,7 +141,7 @@
 			time.Sleep(time.Second)
 			p.stopCells(day.lost...)
 			for _, s := range p.sites {
-				s.SetMeanWork(20 * time.Millisecond) // 800 parts a second
+				s.SetMeanWork(20 * time.Millisecond) // 800 shard requests per second
 			}
 			audit := &lab.Audit{Fleet: []*lab.Fleet{p.sites[0].Fleet, p.sites[1].Fleet}}
 			o := p.runLoad(0, day.rate, 6*time.Second, 7, audit)
@@ -157,8 +160,8 @@
 	return nil
 }
 
-// cutWires forwards a good part of all searches and cuts the wire, one way, the other, both, for short and for long, at
-// random instants; then it holds what clients were told against what the nodes of both sites ran.
+// cutWires forwards many of the queries and cuts the wire at random times, in one direction, the other, or both, for short and long times.
+// Then it checks the answers that clients got against what the nodes of both sites ran.
 func cutWires(out io.Writer, delay time.Duration, searches, seed int) error {
 	var sum lab.LoadResult
 	var audited int
@@ -220,7 +223,7 @@
 		o := p.runLoad(0, 400, 20*time.Second, uint64(round), audit)
 		close(stop)
 		<-done
-		time.Sleep(2500 * time.Millisecond) // what was forwarded late comes to rest
+		time.Sleep(2500 * time.Millisecond) // until the last forwarded queries have ended
 		violations, n := audit.Check()
 		broken, audited = append(append(broken, violations...), o.Violations...), audited+n
 		sum.Asked, sum.Answered, sum.Shed = sum.Asked+o.Asked, sum.Answered+o.Answered, sum.Shed+o.Shed
@@ -233,11 +236,11 @@
 		p.close()
 		os.RemoveAll(dir)
 	}
-	fmt.Fprintf(out, "%d rounds, %v added: asked %d, answered %d, shed %d, failed %d, without answer %d\n", round-seed, delay, sum.Asked,
+	fmt.Fprintf(out, "%d rounds, delay %v: asked %d, answered %d, shed %d, failed %d, unanswered %d\n", round-seed, delay, sum.Asked,
 		sum.Answered, sum.Shed, sum.Failed, sum.Unanswered)
-	fmt.Fprintf(out, "forwarded %d, answered there %d, lost with the link %d, resumed %d, brought home %d, given up %d; there: joined or repeated %d, called off %d\n",
+	fmt.Fprintf(out, "forwarded %d, answered there %d, link lost %d, resumed %d, returned %d, timed out %d; there: joined or repeated %d, cancelled %d\n",
 		forwarding[0], forwarding[1], forwarding[2], forwarding[3], forwarding[4], forwarding[5], forwarding[6], forwarding[7])
-	fmt.Fprintf(out, "searches with an effect held against the nodes: %d; rules broken: %d\n", audited, len(broken))
+	fmt.Fprintf(out, "queries with an effect checked against the nodes: %d; rules broken: %d\n", audited, len(broken))
 	if len(broken) > 0 {
 		fmt.Fprintln(out, strings.Join(broken[:min(len(broken), 10)], "\n"))
 		return fmt.Errorf("%d rules broken", len(broken))
--- a/cmd/flaxlab/stage.go
+++ b/cmd/flaxlab/stage.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns rehearsals on real sockets, beside the same script in virtual time.
+// This file runs a script on sockets, for comparison with the same script in virtual time.
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	"flaxfront/internal/lab/script"
 )
 
-// playOnSockets plays a script on sockets and in virtual time, and prints both.
+// playOnSockets runs a script on sockets and in virtual time, and prints both results.
 func playOnSockets(out io.Writer, s *script.Script) error {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	dir, err := os.MkdirTemp("", "flaxlab")
@@ -65,7 +65,7 @@
 		}
 	}
 	if len(outcome.Broken) > 0 {
-		return fmt.Errorf("%d times a rule was broken on sockets", len(outcome.Broken))
+		return fmt.Errorf("rules were broken %d times on sockets", len(outcome.Broken))
 	}
 	return nil
 }
--- a/cmd/flaxlab/study.go
+++ b/cmd/flaxlab/study.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands that play many rehearsals: compare, sweep, hunt, report.
+// This file implements the commands compare, report and hunt.
 
 import (
 	"encoding/json"
@@ -21,18 +21,19 @@
 	"flaxfront/internal/lab/script"
 )
 
+// readResults reads the results that play --json wrote.
 func readResults(path string) (all []*play.Result, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	if err = json.Unmarshal(raw, &all); err != nil || len(all) == 0 {
-		return nil, fmt.Errorf("%s: %d results: %v", path, len(all), err)
+		return nil, fmt.Errorf("%s: no results, or invalid ones: %d read, error %v", path, len(all), err)
 	}
 	return all, nil
 }
 
-// playSeeds plays a script with some seeds, as many at once as there are cores, each on one.
+// playSeeds runs a script with consecutive seeds, each run on one core, and as many at once as there are cores.
 func playSeeds(s *script.Script, policy play.Policy, seeds int) ([]*play.Result, error) {
 	all, errs := make([]*play.Result, seeds), make([]error, seeds)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -61,9 +62,9 @@
 	var html string
 	c := &cobra.Command{
 		Use:   "compare A.json B.json | compare SCRIPT",
-		Short: "Tell whether two builds differ, by the results of play --json, or two policies on one script",
-		Long: "Results of the same script and seed are paired. In virtual time they do not depend on the machine, so that files\n" +
-			"of two machines may be compared.",
+		Short: "Compare two builds by the results of play --json, or two policies on one script",
+		Long: "Results of the same script and seed are paired. Results in virtual time do not depend on the machine, so files from\n" +
+			"two machines can be compared.",
 		Args: cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) (err error) {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -79,7 +80,7 @@
 					return err
 				}
 				if len(policies) != 2 {
-					return fmt.Errorf("--policies names two of module, random, seer")
+					return fmt.Errorf("--policies must name two of module, random, seer")
 				}
 				if a, err = playSeeds(s, play.Policy(policies[0]), seeds); err == nil {
 					b, err = playSeeds(s, play.Policy(policies[1]), seeds)
@@ -96,7 +97,7 @@
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "figure\tfirst\tsecond\tdifference\t95% interval\t\t")
 			for _, x := range d {
-				word := "no difference shown"
+				word := "no significant difference"
 				switch {
 				case x.Equal:
 					word = "the same"
@@ -115,9 +116,9 @@
 				Results: []*play.Result{a[0], b[0]}})
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 16, "pairs, of a script")
-	c.Flags().StringSliceVar(&policies, "policies", []string{"random", "module"}, "the two that play a script")
-	c.Flags().StringVar(&html, "html", "", "file for a page")
+	c.Flags().IntVar(&seeds, "seeds", 16, "number of pairs, with a script")
+	c.Flags().StringSliceVar(&policies, "policies", []string{"random", "module"}, "the two policies that run a script")
+	c.Flags().StringVar(&html, "html", "", "file for an HTML report")
 	return c
 }
 
@@ -137,7 +138,7 @@
 	var html string
 	c := &cobra.Command{
 		Use:   "report SCRIPT | report RESULTS.json",
-		Short: "Write a page on a rehearsal: what happened, what brokers thought, what became of searches",
+		Short: "Write an HTML report on a run: events, the brokers' view of them, and the results of queries",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -165,7 +166,7 @@
 			return writeReport(html, p)
 		},
 	}
-	c.Flags().StringVar(&html, "html", "report.html", "file for the page")
+	c.Flags().StringVar(&html, "html", "report.html", "file for the report")
 	return c
 }
 
@@ -174,7 +175,7 @@
 	o := hunt.Options{Policy: play.Module}
 	c := &cobra.Command{
 		Use:   "hunt SCRIPT",
-		Short: "Search for the day on which a rule breaks or most is lost, and cut it down to what matters",
+		Short: "Search random variants of a script for one that breaks a rule or loses most service, and reduce it to what matters",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -201,9 +202,9 @@
 			return os.WriteFile(file, []byte(f.Script.Text()), 0o644)
 		},
 	}
-	c.Flags().IntVar(&o.Scripts, "days", 200, "days that are played before the worst is cut down")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of the hunt")
-	c.Flags().BoolVar(&o.OnlyRules, "rules", false, "only broken rules count; twice as fast")
-	c.Flags().StringVar(&file, "out", "", "file for the smallest script (default: printed)")
+	c.Flags().IntVar(&o.Scripts, "days", 200, "number of variants that are run before the worst is reduced")
+	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the search")
+	c.Flags().BoolVar(&o.OnlyRules, "rules", false, "look only for broken rules, not for lost service; twice as fast")
+	c.Flags().StringVar(&file, "out", "", "file for the reduced script (default: standard output)")
 	return c
 }
--- a/cmd/flaxlab/sweep.go
+++ b/cmd/flaxlab/sweep.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command that plays a rehearsal at many values of one figure.
+// This file implements the command sweep, which runs a script at several values of one parameter.
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 	var policies []string
 	c := &cobra.Command{
 		Use:   "sweep SCRIPT",
-		Short: "Play a rehearsal at several loads, fleet sizes or sizes of its troubles, and print curves",
+		Short: "Run a script at several loads, numbers of nodes or brokers, or sizes of its troubles, and print curves",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -36,7 +36,7 @@
 			for text := range strings.SplitSeq(at, ",") {
 				x, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 				if err != nil || x <= 0 {
-					return fmt.Errorf("--at: %q is no number above 0", text)
+					return fmt.Errorf("--at: %q is not a number above 0", text)
 				}
 				steps = append(steps, x)
 			}
@@ -63,15 +63,15 @@
 			return writeReport(html, page)
 		},
 	}
-	c.Flags().StringVar(&vary, "vary", "load", "what: load (times the script's), nodes (with load and brokers in step), brokers, or trouble (times its share, or what its factor adds)")
-	c.Flags().StringVar(&at, "at", "0.25,0.5,0.75,1,1.25,1.5,2,3", "the steps")
-	c.Flags().IntVar(&seeds, "seeds", 4, "plays of each step")
-	c.Flags().StringSliceVar(&policies, "policies", []string{"module"}, "what decides, a curve each")
-	c.Flags().StringVar(&html, "html", "", "file for a page")
+	c.Flags().StringVar(&vary, "vary", "load", "parameter that is multiplied: load, nodes (with load and brokers in proportion), brokers, or trouble (its share, and the excess of its factor over 1)")
+	c.Flags().StringVar(&at, "at", "0.25,0.5,0.75,1,1.25,1.5,2,3", "multiples of the script's value")
+	c.Flags().IntVar(&seeds, "seeds", 4, "number of runs at each value")
+	c.Flags().StringSliceVar(&policies, "policies", []string{"module"}, "routing policies, with a curve each")
+	c.Flags().StringVar(&html, "html", "", "file for an HTML report")
 	return c
 }
 
-// varyScript is a script with one thing changed.
+// varyScript returns a copy of a script with one parameter multiplied by x.
 func varyScript(base *script.Script, vary string, x float64) (*script.Script, error) {
 	s := *base
 	s.Faults = append([]script.Fault(nil), base.Faults...)
@@ -97,6 +97,7 @@
 	return &s, nil
 }
 
+// curvePoint returns the point of a curve from the results of all runs at one value.
 func curvePoint(x float64, last time.Duration, all []*play.Result) report.Point {
 	p := report.Point{X: x}
 	var c play.Counts
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost runs the decision module on the simulator's wire, over standard input and output.
+// Command simhost runs the decision module for the simulator, which sends it events over standard input and reads its decisions from
+// standard output.
 package main
 
 import (
