--- a/cmd/flaxfront/main.go
+++ b/cmd/flaxfront/main.go
@@ -123,23 +123,23 @@
 	log := newLogWriter(os.Stderr)
 	defer log.Close()
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
-	start, s, configErr := load(config, file)
-	if configErr == nil {
-		configErr = s.Open()
+	start, s, err := load(config, file)
+	if err == nil {
+		err = s.Open()
 	}
-	if configErr == nil {
-		configErr = addFronts(s, file)
+	if err == nil {
+		err = addFronts(s, file)
 	}
-	if configErr != nil {
-		return configErr
+	if err != nil {
+		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(start.Limits.Cores)))
 	debug.SetMemoryLimit(int64(start.Limits.MemoryMB) << 20 / 4 * 3) // the collector works harder above this limit
 	go func() {
 		for range reloads {
-			next, configErr := terms.ReadConfig(config)
+			next, err := terms.ReadConfig(config)
 			operators, operatorErr := operator.Read(file)
-			s.Reload(next, operators, cmp.Or(configErr, operatorErr))
+			s.Reload(next, operators, cmp.Or(err, operatorErr))
 		}
 	}()
 	stop := make(chan struct{})
--- a/cmd/flaxlab/play.go
+++ b/cmd/flaxlab/play.go
@@ -138,11 +138,11 @@
 	fmt.Fprintf(out, "%s, seed %d, %s: %v simulated, trace hash %s\n", r.Name, r.Seed, r.Policy, r.Played.Round(time.Millisecond), r.Hash)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "tenant\ttype\tasked\tservice\tin target\tlate\tpartial\tshed\tfailed\tp50\tp99\tp99.9\t")
-	row := func(tenant, typ string, reads *play.Counts, l *play.Latency) {
-		share := func(n int64) string { return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(max(1, reads.Asked))) }
+	row := func(tenant, typ string, c *play.Counts, l *play.Latency) {
+		share := func(n int64) string { return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(max(1, c.Asked))) }
 		q := func(p float64) time.Duration { return l.Quantile(p).Round(100 * time.Microsecond) }
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%s\t%s\t%s\t%s\t%s\t%v\t%v\t%v\t\n", tenant, typ, reads.Asked, reads.Service(), share(reads.InTarget),
-			share(reads.Late), share(reads.Partial), share(reads.Shed), share(reads.Failed), q(0.5), q(0.99), q(0.999))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%s\t%s\t%s\t%s\t%s\t%v\t%v\t%v\t\n", tenant, typ, c.Asked, c.Service(), share(c.InTarget),
+			share(c.Late), share(c.Partial), share(c.Shed), share(c.Failed), q(0.5), q(0.99), q(0.999))
 	}
 	for i := range r.Rows {
 		row(r.Rows[i].Tenant, r.Rows[i].Type, &r.Rows[i].Counts, &r.Rows[i].Latency)
@@ -150,12 +150,12 @@
 	row("all", "all", &r.Counts, &r.Latency)
 	w.Flush()
 	work := &r.Work
-	fmt.Fprintf(out, "worst ten seconds %.4f; %d tries; %d calls with %d shard requests (%.1f%% extra attempts), %d served, %d failed, %d skipped, %d unanswered; %d connections opened, %d reset\n",
+	fmt.Fprintf(out, "worst ten seconds %.4f; %d tries; %d calls with %d shard requests (%.1f%% extra attempts), %d served, %d failed, %d rejected, %d unanswered; %d connections opened, %d reset\n",
 		r.Worst, r.Counts.Tries, work.Calls, work.Parts, 100*float64(work.Further)/float64(max(1, work.Parts)), work.Served, work.Broke, work.Skipped, work.Swallowed, work.Dials, work.Resets)
-	if reads := r.Reads; reads != nil {
+	if c := r.Reads; c != nil {
 		fmt.Fprintf(out, "read hints: %d tries, %d answered, %d rejected; %d results checked against the writes: %d stale, %d backward, %d older than stated, %d behind as stated; ",
-			reads.Hinted, reads.Answered, reads.Refused, reads.Checked, reads.Stale, reads.Backward, reads.Understated, reads.Behind)
-		fmt.Fprintf(out, "%d stale answers rejected, %d shard requests spilled from a hot pin, %d KB of position reports\n", reads.Pins.Stale, reads.Pins.Spilled, reads.Facts>>10)
+			c.Hinted, c.Answered, c.Refused, c.Checked, c.Stale, c.Backward, c.Understated, c.Behind)
+		fmt.Fprintf(out, "%d stale answers rejected, %d shard requests spilled from a hot pin, %d KB of position reports\n", c.Pins.Stale, c.Pins.Spilled, c.Facts>>10)
 	}
 	fmt.Fprintf(out, "rules broken %d times\n", r.Broken)
 	for i, b := range r.Breaches {
--- a/cmd/flaxlab/sites.go
+++ b/cmd/flaxlab/sites.go
@@ -119,7 +119,7 @@
 // compareGateway runs each scenario without and with the gateway, and prints a line for each.
 func compareGateway(out io.Writer, delay time.Duration) error {
 	fmt.Fprintf(out, "%-34s  %-9s  %7s  %7s  %7s  %9s  %s\n", "first site", "gateway", "asked", "target", "shed", "forwarded", "rules broken")
-	for _, day := range []struct {
+	for _, scenario := range []struct {
 		name string
 		lost []int
 		rate float64
@@ -139,19 +139,19 @@
 				return err
 			}
 			time.Sleep(time.Second)
-			p.stopCells(day.lost...)
+			p.stopCells(scenario.lost...)
 			for _, s := range p.sites {
 				s.SetMeanWork(20 * time.Millisecond) // 800 shard requests per second
 			}
 			audit := &lab.Audit{Fleet: []*lab.Fleet{p.sites[0].Fleet, p.sites[1].Fleet}}
-			o := p.runLoad(0, day.rate, 6*time.Second, 7, audit)
+			o := p.runLoad(0, scenario.rate, 6*time.Second, 7, audit)
 			forwarded := uint64(0)
 			if g := p.liveBroker[0].Counters().Queries.Gateway; g != nil {
 				forwarded = g.Outgoing.Forwarded
 			}
 			time.Sleep(300 * time.Millisecond)
 			broken, _ := audit.Check()
-			fmt.Fprintf(out, "%-34s  %-9v  %7d  %6.1f%%  %6.1f%%  %9d  %d\n", day.name, gateway, o.Asked,
+			fmt.Fprintf(out, "%-34s  %-9v  %7d  %6.1f%%  %6.1f%%  %9d  %d\n", scenario.name, gateway, o.Asked,
 				100*float64(o.InTarget)/float64(o.Asked), 100*float64(o.Shed)/float64(o.Asked), forwarded, len(o.Violations)+len(broken))
 			p.close()
 			os.RemoveAll(dir)
@@ -175,7 +175,7 @@
 		}
 		jitter := delay / 8
 		if round%4 == 2 {
-			jitter = delay / 2 // as much as the delay itself
+			jitter = delay / 2 // as much as the delay in one direction
 		}
 		p, err := newSitePair(dir, uint64(round), delay/2, jitter, true)
 		if err != nil {
@@ -195,7 +195,7 @@
 				case <-time.After(time.Duration(200+rnd.IntN(1200)) * time.Millisecond):
 				}
 				w := p.wires[0]
-				if round%4 == 3 { // flaps
+				if round%4 == 3 { // the wire flaps: four short cuts first
 					for range 4 {
 						w.Cut(true, true)
 						time.Sleep(300 * time.Millisecond)
