--- a/cmd/flaxfront/search.go
+++ b/cmd/flaxfront/search.go
@@ -119,13 +119,13 @@
 		}
 		return r, err
 	}
-	if m, err := say(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, Preferred: 1 << 20, Most: 1 << 20}); err != nil {
+	if m, err := say(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, PreferredMessageSize: 1 << 20, ExceptionalRecordSize: 1 << 20}); err != nil {
 		return err
 	} else if r, is := m.(*z3950.InitResponse); !is || !r.Accepted {
 		return errors.New("the session was not accepted")
 	}
 	syntax := map[string]string{"marc21": z3950.MARC21, "marcxml": z3950.XML, "dc": z3950.XML}[a.schema]
-	m, err := say(&z3950.SearchRequest{Large: 1, Replace: true, ResultSet: "1", Databases: []string{a.path}, Set: set, Query: rpn, Syntax: syntax})
+	m, err := say(&z3950.SearchRequest{LargeSetLowerBound: 1, Replace: true, ResultSet: "1", Databases: []string{a.path}, AttributeSet: set, Query: rpn, Syntax: syntax})
 	if err != nil {
 		return err
 	}
--- a/internal/protocols/back/back.go
+++ b/internal/protocols/back/back.go
@@ -38,49 +38,49 @@
 	Post     func(store.Event)
 }
 
-// queued bounds what one connection holds before its turn; the pool sends one part at a time over each as a rule.
-const queued = 64
+// maxQueuedAttempts bounds what one connection holds before its turn; the pool sends one part at a time over each as a rule.
+const maxQueuedAttempts = 64
 
 var (
-	errRefused  = errors.New("the node turned the session away")
-	errProtocol = errors.New("the node broke its protocol")
+	errSessionRejected = errors.New("the node turned the session away")
+	errProtocol        = errors.New("the node broke its protocol")
 )
 
 // Carrier opens connections of the node's protocol.
-func Carrier(ctx context.Context, o Options) store.Carrier {
-	return func(_ string, addr netip.AddrPort, h store.Handle) func() {
+func Carrier(ctx context.Context, options Options) store.Carrier {
+	return func(_ string, addr netip.AddrPort, handle store.Handle) func() {
 		ctx, cancel := context.WithCancel(ctx)
-		c := &conn{o: o, addr: addr, h: h, ctx: ctx, parts: make(chan part, queued), off: map[string]bool{}}
+		c := &conn{options: options, addr: addr, handle: handle, ctx: ctx, attempts: make(chan attempt, maxQueuedAttempts), cancelled: map[string]bool{}}
 		go func() {
 			defer cancel()
 			err := c.run()
-			o.Post(h.Down(o.Now(), err))
+			options.Post(handle.Down(options.Now(), err))
 		}()
 		return cancel
 	}
 }
 
-// part is one sub-request as a frame states it.
-type part struct {
-	id    string
-	shard int
-	wait  time.Duration
-	text  string
+// attempt is one sub-request as a frame states it.
+type attempt struct {
+	id        string
+	shard     int
+	timeout   time.Duration
+	statement string
 }
 
 // conn is one connection to a node.
 type conn struct {
-	o    Options
-	addr netip.AddrPort
-	h    store.Handle
-	ctx  context.Context
-
-	parts chan part
-	mu    sync.Mutex
-	off   map[string]bool // given up before their turn
-	nc    net.Conn
-	in    *bufio.Reader
-	n     int
+	options Options
+	addr    netip.AddrPort
+	handle  store.Handle
+	ctx     context.Context
+
+	attempts      chan attempt
+	mu            sync.Mutex
+	cancelled     map[string]bool // given up before their turn
+	netConn       net.Conn
+	reader        *bufio.Reader
+	lastReference int
 }
 
 // TryWrite takes a frame of the pool and never waits.
@@ -91,33 +91,33 @@
 	rest := b[5:]
 	if b[4] == 'c' {
 		c.mu.Lock()
-		if len(c.off) < queued {
-			c.off[string(rest)] = true
+		if len(c.cancelled) < maxQueuedAttempts {
+			c.cancelled[string(rest)] = true
 		}
 		c.mu.Unlock()
 		return len(b), nil
 	}
-	var all []part
+	var parsed []attempt
 	for len(rest) > 0 {
-		line, after, _ := bytes.Cut(rest, []byte{'\n'})
-		f := strings.Fields(string(line))
-		if len(f) != 4 {
+		line, body, _ := bytes.Cut(rest, []byte{'\n'})
+		fields := strings.Fields(string(line))
+		if len(fields) != 4 {
 			return 0, errProtocol
 		}
-		shard, err1 := strconv.Atoi(f[1])
-		ms, err2 := strconv.Atoi(strings.TrimPrefix(f[2], "d="))
-		length, err3 := strconv.Atoi(f[3])
-		if errors.Join(err1, err2, err3) != nil || length < 0 || length > len(after) {
+		shard, err1 := strconv.Atoi(fields[1])
+		ms, err2 := strconv.Atoi(strings.TrimPrefix(fields[2], "d="))
+		length, err3 := strconv.Atoi(fields[3])
+		if errors.Join(err1, err2, err3) != nil || length < 0 || length > len(body) {
 			return 0, errProtocol
 		}
-		all = append(all, part{f[0], shard, time.Duration(ms) * time.Millisecond, string(after[:length])})
-		rest = after[length:]
+		parsed = append(parsed, attempt{fields[0], shard, time.Duration(ms) * time.Millisecond, string(body[:length])})
+		rest = body[length:]
 	}
-	if len(c.parts)+len(all) > cap(c.parts) {
+	if len(c.attempts)+len(parsed) > cap(c.attempts) {
 		return 0, nil // it takes no more: the pool ends the connection, as it would a full socket
 	}
-	for _, p := range all {
-		c.parts <- p
+	for _, p := range parsed {
+		c.attempts <- p
 	}
 	return len(b), nil
 }
@@ -131,97 +131,97 @@
 
 // run is a connection's life: it comes up, then does one part after the other, each within the time that is waited for it.
 func (c *conn) run() error {
-	d := net.Dialer{Timeout: c.o.Dial, KeepAlive: -1}
-	nc, err := d.DialContext(c.ctx, "tcp", c.addr.String())
+	d := net.Dialer{Timeout: c.options.Dial, KeepAlive: -1}
+	netConn, err := d.DialContext(c.ctx, "tcp", c.addr.String())
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	stop := context.AfterFunc(c.ctx, func() { nc.Close() })
+	defer netConn.Close()
+	stop := context.AfterFunc(c.ctx, func() { netConn.Close() })
 	defer stop()
-	c.nc, c.in = nc, bufio.NewReaderSize(nc, 8<<10)
-	if c.o.Protocol == "z3950" {
-		if err := c.open(); err != nil {
+	c.netConn, c.reader = netConn, bufio.NewReaderSize(netConn, 8<<10)
+	if c.options.Protocol == "z3950" {
+		if err := c.initSession(); err != nil {
 			return err
 		}
 	}
-	c.o.Post(c.h.Up(c.o.Now(), c))
-	gone := make(chan error, 1)
+	c.options.Post(c.handle.Up(c.options.Now(), c))
+	readDone := make(chan error, 1)
 	for {
 		// While nothing is asked the node may end the connection.
-		nc.SetReadDeadline(time.Time{})
+		netConn.SetReadDeadline(time.Time{})
 		go func() {
-			_, err := c.in.Peek(1)
-			gone <- err
+			_, err := c.reader.Peek(1)
+			readDone <- err
 		}()
-		var p part
+		var p attempt
 		select {
-		case p = <-c.parts:
-			nc.SetReadDeadline(time.Unix(1, 0))
-			if err := <-gone; err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		case p = <-c.attempts:
+			netConn.SetReadDeadline(time.Unix(1, 0))
+			if err := <-readDone; err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
 			} else if err == nil {
 				return fmt.Errorf("%w: it speaks unasked", errProtocol)
 			}
-		case err := <-gone:
+		case err := <-readDone:
 			if err == nil {
 				err = fmt.Errorf("%w: it speaks unasked", errProtocol)
 			}
 			return err
 		}
 		c.mu.Lock()
-		off := c.off[p.id]
-		delete(c.off, p.id)
+		cancelled := c.cancelled[p.id]
+		delete(c.cancelled, p.id)
 		c.mu.Unlock()
-		if off {
+		if cancelled {
 			continue
 		}
-		nc.SetDeadline(time.Now().Add(p.wait + c.o.Dial))
-		end, value, err := c.do(&p)
+		netConn.SetDeadline(time.Now().Add(p.timeout + c.options.Dial))
+		end, value, err := c.execute(&p)
 		if err != nil {
 			return err
 		}
-		c.o.Post(c.h.Answered(c.o.Now(), store.Answer{ID: p.id, End: end, Value: value}))
+		c.options.Post(c.handle.Answered(c.options.Now(), store.Answer{ID: p.id, End: end, Value: value}))
 	}
 }
 
-// do has the node search, and tells how the part ended. An error ends the connection: what it meant can't be told.
-func (c *conn) do(p *part) (end store.End, value string, err error) {
-	w, err := catalogue.ParseStatement(p.text)
+// execute has the node search, and tells how the part ended. An error ends the connection: what it meant can't be told.
+func (c *conn) execute(p *attempt) (end store.End, value string, err error) {
+	search, err := catalogue.ParseStatement(p.statement)
 	if err != nil {
 		return store.Broke, "", nil // no catalogue search: these nodes know no other
 	}
-	database := strings.ReplaceAll(c.o.Database, "%d", strconv.Itoa(p.shard))
-	if c.o.Protocol == "z3950" {
-		return c.z3950(p, &w, database)
+	database := strings.ReplaceAll(c.options.Database, "%d", strconv.Itoa(p.shard))
+	if c.options.Protocol == "z3950" {
+		return c.z3950(p, &search, database)
 	}
-	return c.sru(&w, database)
+	return c.sru(&search, database)
 }
 
 const (
-	mostMessage = 1 << 20
-	resultSet   = "f"
+	maxMessageBytes = 1 << 20
+	resultSetName   = "f"
 )
 
-// open begins a session.
-func (c *conn) open() error {
-	c.nc.SetDeadline(time.Now().Add(c.o.Dial))
-	m, err := c.say(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, Preferred: mostMessage, Most: mostMessage,
-		ID: "flaxfront", Name: "flaxfront"})
+// initSession begins a session.
+func (c *conn) initSession() error {
+	c.netConn.SetDeadline(time.Now().Add(c.options.Dial))
+	m, err := c.exchange(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, PreferredMessageSize: maxMessageBytes, ExceptionalRecordSize: maxMessageBytes,
+		ImplementationID: "flaxfront", ImplementationName: "flaxfront"})
 	if err != nil {
 		return err
 	}
 	if r, is := m.(*z3950.InitResponse); !is || !r.Accepted || !r.Search || !r.Present {
-		return errRefused
+		return errSessionRejected
 	}
 	return nil
 }
 
-func (c *conn) say(m z3950.Message) (z3950.Message, error) {
-	if _, err := c.nc.Write(z3950.Encode(m)); err != nil {
+func (c *conn) exchange(m z3950.Message) (z3950.Message, error) {
+	if _, err := c.netConn.Write(z3950.Encode(m)); err != nil {
 		return nil, err
 	}
-	answer, err := z3950.Read(c.in)
+	answer, err := z3950.Read(c.reader)
 	if _, closes := answer.(*z3950.Close); closes && err == nil {
 		err = io.EOF
 	}
--- a/internal/protocols/back/back_test.go
+++ b/internal/protocols/back/back_test.go
@@ -17,8 +17,8 @@
 	"flaxfront/internal/transport/store"
 )
 
-// scripted is a simulated node that answers each message as a test says; nil ends the connection.
-func scripted(t *testing.T, answer func(n int, m z3950.Message) []byte) netip.AddrPort {
+// startScriptedNode is a simulated node that answers each message as a test says; nil ends the connection.
+func startScriptedNode(t *testing.T, answer func(n int, m z3950.Message) []byte) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,8 +51,8 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// outcome sends one part to a node and tells how it ended, and of what value.
-func outcome(t *testing.T, addr netip.AddrPort, cancelAfter time.Duration) (how decision.Outcome, value string) {
+// runAttempt sends one part to a node and tells how it ended, and of what value.
+func runAttempt(t *testing.T, addr netip.AddrPort, cancelAfter time.Duration) (how decision.Outcome, value string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -87,14 +87,14 @@
 	}
 }
 
-func init_(m z3950.Message) []byte {
+func acceptInit(m z3950.Message) []byte {
 	if _, is := m.(*z3950.InitRequest); is {
 		return z3950.Encode(&z3950.InitResponse{InitRequest: z3950.InitRequest{Search: true, Present: true}, Accepted: true})
 	}
 	return nil
 }
 
-func reference(m z3950.Message) z3950.Common {
+func commonOf(m z3950.Message) z3950.Common {
 	switch m := m.(type) {
 	case *z3950.SearchRequest:
 		return m.Common
@@ -105,11 +105,11 @@
 }
 
 // How a part ends in each way a node can fail it, as the table of architecture has it: never ran, may have run, turned away.
-func TestHowPartsEnd(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	record := z3950.Record{Syntax: z3950.XML, Body: []byte("<r/>")}
 	good := func(m z3950.Message) []byte {
 		if _, is := m.(*z3950.SearchRequest); is {
-			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Count: 5, OK: true})
+			return z3950.Encode(&z3950.SearchResponse{Common: commonOf(m), Count: 5, OK: true})
 		}
 		p := m.(*z3950.PresentRequest)
 		return z3950.Encode(&z3950.PresentResponse{Common: p.Common, Returned: 2, Records: z3950.Records{All: []z3950.Record{record, record}[:min(2, p.Want)]}})
@@ -120,16 +120,16 @@
 	}{
 		"served": {decision.OK, func(n int, m z3950.Message) []byte { return good(m) }},
 		"busy": {decision.Rejected, func(n int, m z3950.Message) []byte {
-			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Records: z3950.Records{Fault: &z3950.Fault{Code: 2}}})
+			return z3950.Encode(&z3950.SearchResponse{Common: commonOf(m), Records: z3950.Records{Fault: &z3950.Fault{Code: 2}}})
 		}},
 		"a diagnostic": {decision.Errored, func(n int, m z3950.Message) []byte {
-			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Records: z3950.Records{Fault: &z3950.Fault{Code: 114}}})
+			return z3950.Encode(&z3950.SearchResponse{Common: commonOf(m), Records: z3950.Records{Fault: &z3950.Fault{Code: 114}}})
 		}},
 		"a subset": {decision.Errored, func(n int, m z3950.Message) []byte {
-			return z3950.Encode(&z3950.SearchResponse{Common: reference(m), Count: 3, SetStatus: z3950.Subset, Records: z3950.Records{Fault: &z3950.Fault{Code: 2}}})
+			return z3950.Encode(&z3950.SearchResponse{Common: commonOf(m), Count: 3, ResultSetStatus: z3950.Subset, Records: z3950.Records{Fault: &z3950.Fault{Code: 2}}})
 		}},
 		"another reference": {decision.ConnectionReset, func(n int, m z3950.Message) []byte {
-			return z3950.Encode(&z3950.SearchResponse{Common: z3950.Common{Reference: []byte("99")}, Count: 3, OK: true})
+			return z3950.Encode(&z3950.SearchResponse{Common: z3950.Common{ReferenceID: []byte("99")}, Count: 3, OK: true})
 		}},
 		"another message": {decision.ConnectionReset, func(n int, m z3950.Message) []byte { return z3950.Encode(&z3950.DeleteResponse{}) }},
 		"noise":           {decision.ConnectionReset, func(n int, m z3950.Message) []byte { return []byte("noise noise noise") }},
@@ -144,13 +144,13 @@
 			if n == 1 {
 				return good(m)
 			}
-			return z3950.Encode(&z3950.PresentResponse{Common: reference(m), Records: z3950.Records{All: []z3950.Record{record, record, record, record}}})
+			return z3950.Encode(&z3950.PresentResponse{Common: commonOf(m), Records: z3950.Records{All: []z3950.Record{record, record, record, record}}})
 		}},
 		"an empty page": {decision.Errored, func(n int, m z3950.Message) []byte {
 			if n == 1 {
 				return good(m)
 			}
-			return z3950.Encode(&z3950.PresentResponse{Common: reference(m)})
+			return z3950.Encode(&z3950.PresentResponse{Common: commonOf(m)})
 		}},
 		"silence": {decision.TimedOut, func(n int, m z3950.Message) []byte {
 			time.Sleep(2 * time.Second)
@@ -160,16 +160,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr := scripted(t, func(n int, m z3950.Message) []byte {
+			addr := startScriptedNode(t, func(n int, m z3950.Message) []byte {
 				if n == 0 && c.answer == nil {
 					return z3950.Encode(&z3950.InitResponse{})
 				}
 				if n == 0 {
-					return init_(m)
+					return acceptInit(m)
 				}
 				return c.answer(n, m)
 			})
-			how, value := outcome(t, addr, 0)
+			how, value := runAttempt(t, addr, 0)
 			if how != c.want {
 				t.Errorf("ended as %v, want %v", how, c.want)
 			}
@@ -179,37 +179,37 @@
 		})
 	}
 	t.Run("nobody there", func(t *testing.T) {
-		if how, _ := outcome(t, netip.MustParseAddrPort("127.0.0.1:1"), 0); how != decision.ConnectFailed {
+		if how, _ := runAttempt(t, netip.MustParseAddrPort("127.0.0.1:1"), 0); how != decision.ConnectFailed {
 			t.Errorf("%v", how)
 		}
 	})
 	t.Run("called off", func(t *testing.T) {
-		addr := scripted(t, func(n int, m z3950.Message) []byte {
+		addr := startScriptedNode(t, func(n int, m z3950.Message) []byte {
 			if n == 0 {
-				return init_(m)
+				return acceptInit(m)
 			}
 			time.Sleep(time.Second)
 			return nil
 		})
-		if how, _ := outcome(t, addr, 50*time.Millisecond); how != decision.Cancelled {
+		if how, _ := runAttempt(t, addr, 50*time.Millisecond); how != decision.Cancelled {
 			t.Errorf("%v", how)
 		}
 	})
 }
 
 // A frame is taken apart as the pool wrote it, a full queue takes no more, and what is no frame is an error.
-func TestFrames(t *testing.T) {
-	c := &conn{parts: make(chan part, 2), off: map[string]bool{}}
+func TestTryWrite(t *testing.T) {
+	c := &conn{attempts: make(chan attempt, 2), cancelled: map[string]bool{}}
 	frame := func(text string) []byte {
 		return append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
 	if n, err := c.TryWrite(frame("qa.1 1 d=50 3\nabca.2 2 d=60 0\n")); n == 0 || err != nil {
 		t.Fatal(n, err)
 	}
-	if p := <-c.parts; p != (part{"a.1", 1, 50 * time.Millisecond, "abc"}) {
+	if p := <-c.attempts; p != (attempt{"a.1", 1, 50 * time.Millisecond, "abc"}) {
 		t.Errorf("%+v", p)
 	}
-	if p := <-c.parts; p != (part{"a.2", 2, 60 * time.Millisecond, ""}) {
+	if p := <-c.attempts; p != (attempt{"a.2", 2, 60 * time.Millisecond, ""}) {
 		t.Errorf("%+v", p)
 	}
 	c.TryWrite(frame("qa.1 1 d=50 0\na.2 1 d=50 0\n"))
@@ -217,7 +217,7 @@
 		t.Errorf("a full queue took %d bytes, %v", n, err)
 	}
 	c.TryWrite(frame("ca.1"))
-	if !c.off["a.1"] {
+	if !c.cancelled["a.1"] {
 		t.Error("a part that was given up is not known as such")
 	}
 	for _, bad := range [][]byte{nil, {1, 2, 3}, frame("qx\n"), frame("qa 1 d=5 99\nx"), frame("qa b d=5 0\n")} {
--- a/internal/protocols/back/pairs_test.go
+++ b/internal/protocols/back/pairs_test.go
@@ -25,19 +25,19 @@
 	os.Exit(m.Run())
 }
 
-// cellStore is what the nodes of a cell hold, whatever shard they are asked for.
-func cellStore(cell int) (all []string) {
+// cellRecords is what the nodes of a cell hold, whatever shard they are asked for.
+func cellRecords(cell int) (all []string) {
 	for i := range 5 + cell {
 		all = append(all, archive.DC(cell, i))
 	}
 	return all
 }
 
-// standIn is a simulated store node of a protocol; end kills it.
-func standIn(t *testing.T, protocol string, cell int) (addr string, end func()) {
+// startNode is a simulated store node of a protocol; end kills it.
+func startNode(t *testing.T, protocol string, cell int) (addr string, end func()) {
 	t.Helper()
 	b := archive.New(archive.DC)
-	b.Store = [][]string{cellStore(cell)}
+	b.Store = [][]string{cellRecords(cell)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	var f interface {
@@ -68,18 +68,18 @@
 	return f.Addr().String(), end
 }
 
-// world is a broker with all fronts before eight nodes of one protocol.
-type world struct {
-	s        *server.Server
+// testBroker is a broker with all fronts before eight nodes of one protocol.
+type testBroker struct {
+	broker   *server.Server
 	sru      *sru.Front
 	z3950    *z3950.Front
 	http     string
 	killCell func(cell int)
 }
 
-func begin(t *testing.T, protocol string) *world {
+func startBroker(t *testing.T, protocol string) *testBroker {
 	t.Helper()
-	w := &world{}
+	w := &testBroker{}
 	fleet, err := lab.NewFleet(t.TempDir(), map[bool]int{true: 8}[protocol == "frames"], 2, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 	t.Cleanup(fleet.Close)
 	ends := map[int][]func(){}
 	for i, n := range fleet.Nodes {
-		store := cellStore(i % 2)
+		store := cellRecords(i % 2)
 		n.Make = func(_ string, _ int, text string) string {
 			value, _ := archive.Value(store, text)
 			return value
@@ -96,7 +96,7 @@
 	}
 	if protocol != "frames" {
 		for i := range 8 {
-			at, end := standIn(t, protocol, i%2)
+			at, end := startNode(t, protocol, i%2)
 			ends[i%2] = append(ends[i%2], end)
 			fleet.List = append(fleet.List, lab.Instance{InstanceID: fmt.Sprintf("node-%d", i), HostPort: at, Zone: "a", Cell: i % 2, Lifecycle: "in_service", Weight: 1})
 		}
@@ -126,22 +126,22 @@
 	if protocol != "frames" {
 		own.Back.Protocol, own.Back.Database = protocol, "x"
 	}
-	if w.s, err = server.New(start, own, func(t decision.Settings) decision.Router { return routing.New(t) }); err == nil {
-		err = w.s.Open()
+	if w.broker, err = server.New(start, own, func(t decision.Settings) decision.Router { return routing.New(t) }); err == nil {
+		err = w.broker.Open()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.z3950, err = z3950.Listen(w.s, own.Z3950); err != nil {
+	if w.z3950, err = z3950.Listen(w.broker, own.Z3950); err != nil {
 		t.Fatal(err)
 	}
-	if w.sru, err = sru.Listen(w.s, own.SRU); err != nil {
+	if w.sru, err = sru.Listen(w.broker, own.SRU); err != nil {
 		t.Fatal(err)
 	}
-	w.s.AddFront(w.z3950)
-	w.s.AddFront(w.sru)
+	w.broker.AddFront(w.z3950)
+	w.broker.AddFront(w.sru)
 	stop, done := make(chan struct{}), make(chan error, 1)
-	go func() { done <- w.s.Run(stop) }()
+	go func() { done <- w.broker.Run(stop) }()
 	t.Cleanup(func() {
 		close(stop)
 		if err := <-done; err != nil {
@@ -153,30 +153,30 @@
 
 // In all nine pairs of a front and a back the same search gives the same records in the same order, whole; with one of two sets
 // dead it gives what there is, and says that it is not whole; and each search has had one answer by the broker's books.
-func TestNinePairs(t *testing.T) {
+func TestEveryFrontWithEveryNodeProtocol(t *testing.T) {
 	for _, protocol := range []string{"frames", "sru", "z3950"} {
 		t.Run(protocol, func(t *testing.T) {
-			w := begin(t, protocol)
-			fronts := map[string]func(*testing.T) found{"HTTP": w.byHTTP, "SRU": w.bySRU, "Z39.50": w.byZ3950}
+			w := startBroker(t, protocol)
+			fronts := map[string]func(*testing.T) searchResult{"HTTP": w.searchHTTP, "SRU": w.searchSRU, "Z39.50": w.searchZ3950}
 			var want, half []string
 			for shard := range 4 {
-				want = append(want, cellStore(shard%2)...)
+				want = append(want, cellRecords(shard%2)...)
 				if shard%2 == 0 {
-					half = append(half, cellStore(0)...)
+					half = append(half, cellRecords(0)...)
 				}
 			}
 			for name, ask := range fronts {
-				if f := ask(t); !f.whole || f.count != len(want) || strings.Join(f.records, "|") != strings.Join(want, "|") {
+				if f := ask(t); !f.complete || f.count != len(want) || strings.Join(f.records, "|") != strings.Join(want, "|") {
 					t.Errorf("%s before %s: %+v", name, protocol, f)
 				}
 			}
 			w.killCell(1)
 			for name, ask := range fronts {
-				if f := ask(t); f.whole || f.count != len(half) || strings.Join(f.records, "|") != strings.Join(half, "|") {
-					t.Errorf("%s before %s, half dead: whole %v, %d records, %d of them there", name, protocol, f.whole, f.count, len(f.records))
+				if f := ask(t); f.complete || f.count != len(half) || strings.Join(f.records, "|") != strings.Join(half, "|") {
+					t.Errorf("%s before %s, half dead: whole %v, %d records, %d of them there", name, protocol, f.complete, f.count, len(f.records))
 				}
 			}
-			if c := w.s.Counters().Queries; c.Received != 6 || c.Answered != 6 || c.Partial != 3 || c.InFlight != 0 {
+			if c := w.broker.Counters().Queries; c.Received != 6 || c.Answered != 6 || c.Partial != 3 || c.InFlight != 0 {
 				t.Errorf("%+v", c)
 			}
 		})
--- a/internal/protocols/back/pairsfronts_test.go
+++ b/internal/protocols/back/pairsfronts_test.go
@@ -19,14 +19,14 @@
 	"flaxfront/internal/server"
 )
 
-// found is what a client of any front sees.
-type found struct {
-	whole   bool
-	count   int
-	records []string
+// searchResult is what a client of any front sees.
+type searchResult struct {
+	complete bool
+	count    int
+	records  []string
 }
 
-func (w *world) bySRU(t *testing.T) (f found) {
+func (w *testBroker) searchSRU(t *testing.T) (f searchResult) {
 	resp, err := http.Get("http://" + w.sru.Addr().String() + "/?query=dc.title+%3D+cat&maximumRecords=30")
 	if err != nil {
 		t.Fatal(err)
@@ -43,14 +43,14 @@
 	if err := xml.Unmarshal(body, &a); err != nil {
 		t.Fatal(err)
 	}
-	f.whole, f.count = len(a.Diagnostics) == 0, a.Count
+	f.complete, f.count = len(a.Diagnostics) == 0, a.Count
 	for _, r := range a.Records {
 		f.records = append(f.records, r.Inner)
 	}
 	return f
 }
 
-func (w *world) byZ3950(t *testing.T) (f found) {
+func (w *testBroker) searchZ3950(t *testing.T) (f searchResult) {
 	conn, err := net.Dial("tcp", w.z3950.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -66,10 +66,10 @@
 		}
 		return r
 	}
-	say(&wire.InitRequest{Version3: true, Search: true, Present: true, Preferred: 1 << 20, Most: 1 << 20})
+	say(&wire.InitRequest{Version3: true, Search: true, Present: true, PreferredMessageSize: 1 << 20, ExceptionalRecordSize: 1 << 20})
 	_, rpn, _ := query.ParsePQF("@attr 1=4 cat")
-	r := say(&wire.SearchRequest{Large: 1, Replace: true, ResultSet: "a", Databases: []string{"x"}, Syntax: wire.XML, Query: rpn}).(*wire.SearchResponse)
-	f.whole, f.count = r.OK, r.Count
+	r := say(&wire.SearchRequest{LargeSetLowerBound: 1, Replace: true, ResultSet: "a", Databases: []string{"x"}, Syntax: wire.XML, Query: rpn}).(*wire.SearchResponse)
+	f.complete, f.count = r.OK, r.Count
 	if r.Count > 0 {
 		for _, x := range say(&wire.PresentRequest{ResultSet: "a", Start: 1, Want: r.Count, Syntax: wire.XML}).(*wire.PresentResponse).Records.All {
 			f.records = append(f.records, string(x.Body))
@@ -78,7 +78,7 @@
 	return f
 }
 
-func (w *world) byHTTP(t *testing.T) (f found) {
+func (w *testBroker) searchHTTP(t *testing.T) (f searchResult) {
 	_, rpn, _ := query.ParsePQF("@attr 1=4 cat")
 	want := catalogue.Want{Depth: 20, Syntax: "marcxml", Query: rpn}
 	statement, _ := json.Marshal(want.Statement())
@@ -102,7 +102,7 @@
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		t.Fatal(resp.Status, err)
 	}
-	f.whole = a.Full
+	f.complete = a.Full
 	for shard := range 4 {
 		for _, p := range a.Pieces {
 			if p.Tablet == shard {
--- a/internal/protocols/back/z3950.go
+++ b/internal/protocols/back/z3950.go
@@ -12,27 +12,27 @@
 	"flaxfront/internal/transport/store"
 )
 
-// oids of syntaxes by the short names of statements.
-var oids = map[string]string{"marc21": z3950.MARC21, "marcxml": z3950.XML, "dc": z3950.XML, "mods": z3950.XML, "text": z3950.SUTRS}
+// syntaxOIDs of syntaxes by the short names of statements.
+var syntaxOIDs = map[string]string{"marc21": z3950.MARC21, "marcxml": z3950.XML, "dc": z3950.XML, "mods": z3950.XML, "text": z3950.SUTRS}
 
-// busy are diagnostics of Bib-1 that say to come back: it was turned away.
-var busy = map[int]bool{2: true, 31: true, 1: false}
+// busyDiagnostics are diagnostics of Bib-1 that say to come back: it was turned away.
+var busyDiagnostics = map[int]bool{2: true, 31: true, 1: false}
 
-func (c *conn) z3950(p *part, w *catalogue.Want, database string) (store.End, string, error) {
-	syntax := oids[w.Syntax]
-	c.n++
-	ref := []byte(strconv.Itoa(c.n))
-	m, err := c.say(&z3950.SearchRequest{Common: z3950.Common{Reference: ref}, Large: 1, Replace: true, ResultSet: resultSet,
-		Databases: []string{database}, Syntax: syntax, Query: w.Query})
+func (c *conn) z3950(p *attempt, search *catalogue.Want, database string) (store.End, string, error) {
+	syntax := syntaxOIDs[search.Syntax]
+	c.lastReference++
+	ref := []byte(strconv.Itoa(c.lastReference))
+	m, err := c.exchange(&z3950.SearchRequest{Common: z3950.Common{ReferenceID: ref}, LargeSetLowerBound: 1, Replace: true, ResultSet: resultSetName,
+		Databases: []string{database}, Syntax: syntax, Query: search.Query})
 	if err != nil {
 		return 0, "", err
 	}
 	r, is := m.(*z3950.SearchResponse)
-	if !is || !bytes.Equal(r.Reference, ref) {
+	if !is || !bytes.Equal(r.ReferenceID, ref) {
 		return 0, "", fmt.Errorf("%w: an answer to nothing that was asked", errProtocol)
 	}
 	if !r.OK {
-		if r.Records.Fault != nil && busy[r.Records.Fault.Code] && r.SetStatus != z3950.Subset {
+		if r.Records.Fault != nil && busyDiagnostics[r.Records.Fault.Code] && r.ResultSetStatus != z3950.Subset {
 			return store.Skipped, "", nil
 		}
 		return store.Broke, "", nil // a subset is no answer of a node: its part would pass for whole
@@ -42,30 +42,30 @@
 	}
 	var records [][]byte
 	size := 0
-	for want := min(w.Depth, r.Count); len(records) < want; {
-		c.n++
-		ref := []byte(strconv.Itoa(c.n))
-		m, err := c.say(&z3950.PresentRequest{Common: z3950.Common{Reference: ref}, ResultSet: resultSet, Start: len(records) + 1,
-			Want: want - len(records), Elements: "F", Syntax: syntax})
+	for want := min(search.Depth, r.Count); len(records) < want; {
+		c.lastReference++
+		ref := []byte(strconv.Itoa(c.lastReference))
+		m, err := c.exchange(&z3950.PresentRequest{Common: z3950.Common{ReferenceID: ref}, ResultSet: resultSetName, Start: len(records) + 1,
+			Want: want - len(records), ElementSetName: "F", Syntax: syntax})
 		if err != nil {
 			return 0, "", err
 		}
 		page, is := m.(*z3950.PresentResponse)
-		if !is || !bytes.Equal(page.Reference, ref) || len(page.Records.All) > want-len(records) {
+		if !is || !bytes.Equal(page.ReferenceID, ref) || len(page.Records.All) > want-len(records) {
 			return 0, "", fmt.Errorf("%w: a page of nothing that was asked", errProtocol)
 		}
 		if page.Records.Fault != nil || len(page.Records.All) == 0 {
 			return store.Broke, "", nil
 		}
 		for i := range page.Records.All {
-			one := &page.Records.All[i]
-			if one.Fault != nil {
+			record := &page.Records.All[i]
+			if record.Fault != nil {
 				return store.Broke, "", nil
 			}
-			if size += len(one.Body) + 16; size > mostValue {
+			if size += len(record.Body) + 16; size > maxValueBytes {
 				return store.Served, catalogue.Value(r.Count, records), nil // as far as an answer holds
 			}
-			records = append(records, one.Body)
+			records = append(records, record.Body)
 		}
 	}
 	return store.Served, catalogue.Value(r.Count, records), nil
--- a/internal/protocols/ber/ber.go
+++ b/internal/protocols/ber/ber.go
@@ -22,27 +22,27 @@
 
 // Universal tags.
 const (
-	TagBool        = 1
-	TagInteger     = 2
-	TagBits        = 3
-	TagOctets      = 4
-	TagNull        = 5
-	TagOID         = 6
-	TagExternal    = 8
-	TagSequence    = 16
-	TagVisible     = 26
-	TagGeneral     = 27
-	TagGeneralTime = 24
+	TagBool            = 1
+	TagInteger         = 2
+	TagBitString       = 3
+	TagOctetString     = 4
+	TagNull            = 5
+	TagOID             = 6
+	TagExternal        = 8
+	TagSequence        = 16
+	TagVisibleString   = 26
+	TagGeneralString   = 27
+	TagGeneralizedTime = 24
 )
 
 // MaxDepth bounds nesting. Danger: a few kilobytes can open thousands of levels, and a reader that follows them runs out of stack.
 const MaxDepth = 64
 
 var (
-	// ErrShort tells that the bytes end before the element does.
-	ErrShort = errors.New("ber: an element is cut short")
-	// ErrForm tells that the bytes are no element.
-	ErrForm = errors.New("ber: malformed element")
+	// ErrTruncated tells that the bytes end before the element does.
+	ErrTruncated = errors.New("ber: an element is cut short")
+	// ErrMalformed tells that the bytes are no element.
+	ErrMalformed = errors.New("ber: malformed element")
 )
 
 // Element is one tagged value.
@@ -53,16 +53,16 @@
 	Body        []byte // without the end mark of an indefinite length
 }
 
-// Is tells whether an element has a tag of the context class.
-func (e *Element) Is(tag uint32) bool { return e.Class == Context && e.Tag == tag }
+// IsContext tells whether an element has a tag of the context class.
+func (e *Element) IsContext(tag uint32) bool { return e.Class == Context && e.Tag == tag }
 
 // IsUniversal tells whether an element has a universal tag.
 func (e *Element) IsUniversal(tag uint32) bool { return e.Class == Universal && e.Tag == tag }
 
-// head reads a tag and a length; length -1 is an indefinite one.
-func head(b []byte) (e Element, length, size int, err error) {
+// readHeader reads a tag and a length; length -1 is an indefinite one.
+func readHeader(b []byte) (e Element, length, size int, err error) {
 	if len(b) < 2 {
-		return e, 0, 0, ErrShort
+		return e, 0, 0, ErrTruncated
 	}
 	e.Class, e.Constructed, e.Tag = Class(b[0]>>6), b[0]&0x20 != 0, uint32(b[0]&0x1f)
 	size = 1
@@ -70,12 +70,12 @@
 		e.Tag = 0
 		for {
 			if size >= len(b) {
-				return e, 0, 0, ErrShort
+				return e, 0, 0, ErrTruncated
 			}
 			c := b[size]
 			size++
 			if e.Tag > 1<<21 {
-				return e, 0, 0, fmt.Errorf("%w: a tag without end", ErrForm)
+				return e, 0, 0, fmt.Errorf("%w: a tag without end", ErrMalformed)
 			}
 			if e.Tag = e.Tag<<7 | uint32(c&0x7f); c&0x80 == 0 {
 				break
@@ -83,7 +83,7 @@
 		}
 	}
 	if size >= len(b) {
-		return e, 0, 0, ErrShort
+		return e, 0, 0, ErrTruncated
 	}
 	first := b[size]
 	size++
@@ -92,15 +92,15 @@
 		return e, int(first), size, nil
 	case first == 0x80:
 		if !e.Constructed {
-			return e, 0, 0, fmt.Errorf("%w: a primitive of indefinite length", ErrForm)
+			return e, 0, 0, fmt.Errorf("%w: a primitive of indefinite length", ErrMalformed)
 		}
 		return e, -1, size, nil
 	case first > 0x84:
-		return e, 0, 0, fmt.Errorf("%w: a length of %d bytes", ErrForm, first&0x7f)
+		return e, 0, 0, fmt.Errorf("%w: a length of %d bytes", ErrMalformed, first&0x7f)
 	}
 	for range int(first & 0x7f) {
 		if size >= len(b) {
-			return e, 0, 0, ErrShort
+			return e, 0, 0, ErrTruncated
 		}
 		length = length<<8 | int(b[size])
 		size++
@@ -113,27 +113,27 @@
 
 func next(b []byte, depth int) (e Element, rest []byte, err error) {
 	if depth > MaxDepth {
-		return e, nil, fmt.Errorf("%w: nested more than %d deep", ErrForm, MaxDepth)
+		return e, nil, fmt.Errorf("%w: nested more than %d deep", ErrMalformed, MaxDepth)
 	}
-	e, length, size, err := head(b)
+	e, length, size, err := readHeader(b)
 	if err != nil {
 		return e, nil, err
 	}
 	b = b[size:]
 	if length >= 0 {
 		if length > len(b) {
-			return e, nil, ErrShort
+			return e, nil, ErrTruncated
 		}
 		e.Body = b[:length]
 		return e, b[length:], nil
 	}
-	at := b // up to two zero bytes, element by element
+	remaining := b // up to two zero bytes, element by element
 	for {
-		if len(at) >= 2 && at[0] == 0 && at[1] == 0 {
-			e.Body = b[:len(b)-len(at)]
-			return e, at[2:], nil
+		if len(remaining) >= 2 && remaining[0] == 0 && remaining[1] == 0 {
+			e.Body = b[:len(b)-len(remaining)]
+			return e, remaining[2:], nil
 		}
-		if _, at, err = next(at, depth+1); err != nil {
+		if _, remaining, err = next(remaining, depth+1); err != nil {
 			return e, nil, err
 		}
 	}
@@ -141,23 +141,23 @@
 
 // Length tells how long the first element of some bytes is, as far as that can be told by now: 0 means that more must come. Most
 // bounds it.
-func Length(b []byte, most int) (int, error) {
-	_, length, size, err := head(b)
+func Length(b []byte, limit int) (int, error) {
+	_, length, size, err := readHeader(b)
 	switch {
-	case errors.Is(err, ErrShort):
+	case errors.Is(err, ErrTruncated):
 		return 0, nil
 	case err != nil:
 		return 0, err
-	case length >= 0 && size+length > most:
-		return 0, fmt.Errorf("%w: %d bytes, %d at most", ErrForm, size+length, most)
+	case length >= 0 && size+length > limit:
+		return 0, fmt.Errorf("%w: %d bytes, %d at most", ErrMalformed, size+length, limit)
 	case length >= 0:
 		return size + length, nil
 	}
 	_, rest, err := next(b, 0)
 	switch {
-	case errors.Is(err, ErrShort) && len(b) >= most:
-		return 0, fmt.Errorf("%w: more than %d bytes", ErrForm, most)
-	case errors.Is(err, ErrShort):
+	case errors.Is(err, ErrTruncated) && len(b) >= limit:
+		return 0, fmt.Errorf("%w: more than %d bytes", ErrMalformed, limit)
+	case errors.Is(err, ErrTruncated):
 		return 0, nil
 	case err != nil:
 		return 0, err
--- a/internal/protocols/ber/ber_test.go
+++ b/internal/protocols/ber/ber_test.go
@@ -21,15 +21,15 @@
 		bit := rapid.IntRange(0, 40).Draw(t, "bit")
 		oid := "1.2.840.10003.3." + strings.Repeat("9", rapid.IntRange(1, 8).Draw(t, "digits"))
 		var w Writer
-		w.Within(Context, tag, func(w *Writer) {
+		w.Constructed(Context, tag, func(w *Writer) {
 			w.Int(tag, n)
 			w.Text(5, text)
 			w.OID(-1, oid)
-			w.Bits(3, bit)
+			w.BitString(3, bit)
 			w.Bool(4, n > 0)
 		})
 		e, rest, err := Next(w.Bytes())
-		if err != nil || len(rest) > 0 || !e.Is(tag) {
+		if err != nil || len(rest) > 0 || !e.IsContext(tag) {
 			t.Fatalf("%+v, %v", e, err)
 		}
 		var got []Element
@@ -54,7 +54,7 @@
 func TestIndefinite(t *testing.T) {
 	b := []byte{0xa1, 0x80, 0xa2, 0x80, 0x83, 1, 7, 0, 0, 0x84, 2, 'h', 'i', 0, 0, 'x'}
 	e, rest, err := Next(b)
-	if err != nil || string(rest) != "x" || !e.Is(1) {
+	if err != nil || string(rest) != "x" || !e.IsContext(1) {
 		t.Fatalf("%+v, %q, %v", e, rest, err)
 	}
 	n := 0
@@ -84,7 +84,7 @@
 			t.Errorf("%s: %d, %v", name, size, err)
 		}
 	}
-	if _, _, err := Next([]byte{0xa1, 5, 1}); !errors.Is(err, ErrShort) {
+	if _, _, err := Next([]byte{0xa1, 5, 1}); !errors.Is(err, ErrTruncated) {
 		t.Error(err)
 	}
 	if size, err := Length(append([]byte{0xa1, 0x80}, bytes.Repeat([]byte{0x81, 0}, 1000)...), 100); size != 0 || err == nil {
--- a/internal/protocols/ber/element.go
+++ b/internal/protocols/ber/element.go
@@ -10,15 +10,15 @@
 // Each visits the elements of a constructed one, until one fails.
 func (e *Element) Each(visit func(*Element) error) error {
 	if !e.Constructed {
-		return fmt.Errorf("%w: tag %d should hold others", ErrForm, e.Tag)
+		return fmt.Errorf("%w: tag %d should hold others", ErrMalformed, e.Tag)
 	}
 	for rest := e.Body; len(rest) > 0; {
-		var one Element
+		var child Element
 		var err error
-		if one, rest, err = Next(rest); err != nil {
+		if child, rest, err = Next(rest); err != nil {
 			return err
 		}
-		if err = visit(&one); err != nil {
+		if err = visit(&child); err != nil {
 			return err
 		}
 	}
@@ -28,7 +28,7 @@
 // Int is the value of an integer.
 func (e *Element) Int() (n int, err error) {
 	if e.Constructed || len(e.Body) == 0 || len(e.Body) > 8 {
-		return 0, fmt.Errorf("%w: an integer of %d bytes", ErrForm, len(e.Body))
+		return 0, fmt.Errorf("%w: an integer of %d bytes", ErrMalformed, len(e.Body))
 	}
 	n = int(int8(e.Body[0]))
 	for _, c := range e.Body[1:] {
@@ -40,7 +40,7 @@
 // Bool is the value of a boolean.
 func (e *Element) Bool() (bool, error) {
 	if e.Constructed || len(e.Body) != 1 {
-		return false, fmt.Errorf("%w: a boolean of %d bytes", ErrForm, len(e.Body))
+		return false, fmt.Errorf("%w: a boolean of %d bytes", ErrMalformed, len(e.Body))
 	}
 	return e.Body[0] != 0, nil
 }
@@ -53,7 +53,7 @@
 		return e.Body, nil
 	}
 	if depth > MaxDepth {
-		return nil, fmt.Errorf("%w: a string in too many pieces", ErrForm)
+		return nil, fmt.Errorf("%w: a string in too many pieces", ErrMalformed)
 	}
 	err = e.Each(func(piece *Element) error {
 		b, err := piece.bytes(depth + 1)
@@ -71,17 +71,17 @@
 // OID is the value of an object identifier, with dots.
 func (e *Element) OID() (string, error) {
 	if e.Constructed || len(e.Body) == 0 || len(e.Body) > 64 {
-		return "", fmt.Errorf("%w: an object identifier of %d bytes", ErrForm, len(e.Body))
+		return "", fmt.Errorf("%w: an object identifier of %d bytes", ErrMalformed, len(e.Body))
 	}
 	var b strings.Builder
 	n, first := uint64(0), true
 	for i, c := range e.Body {
 		if n > 1<<50 || n == 0 && c == 0x80 {
-			return "", fmt.Errorf("%w: object identifier", ErrForm)
+			return "", fmt.Errorf("%w: object identifier", ErrMalformed)
 		}
 		if n = n<<7 | uint64(c&0x7f); c&0x80 != 0 {
 			if i == len(e.Body)-1 {
-				return "", fmt.Errorf("%w: object identifier", ErrForm)
+				return "", fmt.Errorf("%w: object identifier", ErrMalformed)
 			}
 			continue
 		}
--- a/internal/protocols/ber/write.go
+++ b/internal/protocols/ber/write.go
@@ -17,10 +17,10 @@
 		b = append(b, first|byte(tag))
 	} else {
 		b = append(b, first|0x1f)
-		started := false
+		significant := false
 		for shift := 28; shift >= 0; shift -= 7 {
 			c := byte(tag>>shift) & 0x7f
-			if started = started || c != 0 || shift == 0; !started {
+			if significant = significant || c != 0 || shift == 0; !significant {
 				continue
 			}
 			if shift > 0 {
@@ -57,29 +57,29 @@
 func (w *Writer) Raw(b []byte) { w.b = append(w.b, b...) }
 
 // Int adds an integer under a tag of the context class.
-func (w *Writer) Int(tag uint32, n int) { w.b = AppendElement(w.b, Context, tag, false, intBody(n)) }
+func (w *Writer) Int(tag uint32, n int) { w.b = AppendElement(w.b, Context, tag, false, encodeInt(n)) }
 
 // UniversalInt adds an integer under its own tag.
 func (w *Writer) UniversalInt(n int) {
-	w.b = AppendElement(w.b, Universal, TagInteger, false, intBody(n))
+	w.b = AppendElement(w.b, Universal, TagInteger, false, encodeInt(n))
 }
 
-func intBody(n int) []byte {
+func encodeInt(n int) []byte {
 	var b [8]byte
 	for i := range b {
 		b[i] = byte(n >> (56 - 8*i))
 	}
-	at := 0
-	for at < 7 && (b[at] == 0 && b[at+1] < 0x80 || b[at] == 0xff && b[at+1] >= 0x80) {
-		at++
+	start := 0
+	for start < 7 && (b[start] == 0 && b[start+1] < 0x80 || b[start] == 0xff && b[start+1] >= 0x80) {
+		start++
 	}
-	return b[at:]
+	return b[start:]
 }
 
 // Bool adds a boolean.
-func (w *Writer) Bool(tag uint32, yes bool) {
+func (w *Writer) Bool(tag uint32, value bool) {
 	body := []byte{0}
-	if yes {
+	if value {
 		body[0] = 0xff
 	}
 	w.b = AppendElement(w.b, Context, tag, false, body)
@@ -95,8 +95,8 @@
 	w.b = AppendElement(w.b, Universal, tag, false, body)
 }
 
-// Bits adds a bit string in which some bits are set.
-func (w *Writer) Bits(tag uint32, set ...int) {
+// BitString adds a bit string in which some bits are set.
+func (w *Writer) BitString(tag uint32, set ...int) {
 	body := []byte{0}
 	for _, n := range set {
 		for len(body) < 2+n/8 {
@@ -107,16 +107,16 @@
 	w.b = AppendElement(w.b, Context, tag, false, body)
 }
 
-// Within adds a constructed element.
-func (w *Writer) Within(class Class, tag uint32, fill func(*Writer)) {
+// Constructed adds a constructed element.
+func (w *Writer) Constructed(class Class, tag uint32, fill func(*Writer)) {
 	var inner Writer
 	fill(&inner)
 	w.b = AppendElement(w.b, class, tag, true, inner.b)
 }
 
-// OIDBody encodes an object identifier; false: it is none.
-func OIDBody(dots string) (b []byte, ok bool) {
-	parts := strings.Split(dots, ".")
+// EncodeOID encodes an object identifier; false: it is none.
+func EncodeOID(dotted string) (b []byte, ok bool) {
+	parts := strings.Split(dotted, ".")
 	if len(parts) < 2 || len(parts) > 32 {
 		return nil, false
 	}
@@ -133,21 +133,21 @@
 	}
 	n[1] += 40 * n[0]
 	for _, v := range n[1:] {
-		var piece [10]byte
-		at := len(piece) - 1
-		piece[at] = byte(v & 0x7f)
+		var encoded [10]byte
+		start := len(encoded) - 1
+		encoded[start] = byte(v & 0x7f)
 		for v >>= 7; v > 0; v >>= 7 {
-			at--
-			piece[at] = byte(v&0x7f) | 0x80
+			start--
+			encoded[start] = byte(v&0x7f) | 0x80
 		}
-		b = append(b, piece[at:]...)
+		b = append(b, encoded[start:]...)
 	}
 	return b, true
 }
 
 // OID adds an object identifier under a tag of the context class, or its own where the tag is negative.
-func (w *Writer) OID(tag int, dots string) {
-	body, _ := OIDBody(dots)
+func (w *Writer) OID(tag int, dotted string) {
+	body, _ := EncodeOID(dotted)
 	if tag < 0 {
 		w.Universal(TagOID, body)
 		return
--- a/internal/protocols/catalogue/catalogue.go
+++ b/internal/protocols/catalogue/catalogue.go
@@ -16,8 +16,8 @@
 	"flaxfront/internal/protocols/query"
 )
 
-// mark opens a statement. A later form would have another.
-const mark = "z1"
+// formatVersion opens a statement. A later form would have another.
+const formatVersion = "z1"
 
 // MaxDepth bounds the records that a part is asked for.
 const MaxDepth = 1000
@@ -30,27 +30,27 @@
 }
 
 // Statement encodes it.
-func (w *Want) Statement() string {
-	return mark + " " + strconv.Itoa(w.Depth) + " " + w.Syntax + " " + w.Query.PQF()
+func (s *Want) Statement() string {
+	return formatVersion + " " + strconv.Itoa(s.Depth) + " " + s.Syntax + " " + s.Query.PQF()
 }
 
 // ParseStatement decodes one.
 func ParseStatement(text string) (w Want, err error) {
-	f := strings.SplitN(text, " ", 4)
-	if len(f) != 4 || f[0] != mark || f[2] == "" {
+	fields := strings.SplitN(text, " ", 4)
+	if len(fields) != 4 || fields[0] != formatVersion || fields[2] == "" {
 		return w, fmt.Errorf("catalogue: statement %.60q", text)
 	}
-	if w.Depth, err = strconv.Atoi(f[1]); err != nil || w.Depth < 0 || w.Depth > MaxDepth {
-		return w, fmt.Errorf("catalogue: depth %.20q", f[1])
+	if w.Depth, err = strconv.Atoi(fields[1]); err != nil || w.Depth < 0 || w.Depth > MaxDepth {
+		return w, fmt.Errorf("catalogue: depth %.20q", fields[1])
 	}
-	w.Syntax = f[2]
-	_, w.Query, err = query.ParsePQF(f[3])
+	w.Syntax = fields[2]
+	_, w.Query, err = query.ParsePQF(fields[3])
 	return w, err
 }
 
 // Value encodes what a node found: how many records there are, and the first of them. Records are UTF-8, as values are.
 func Value(hits int, records [][]byte) string {
-	b := []byte(mark + " " + strconv.Itoa(hits) + " " + strconv.Itoa(len(records)) + "\n")
+	b := []byte(formatVersion + " " + strconv.Itoa(hits) + " " + strconv.Itoa(len(records)) + "\n")
 	for _, r := range records {
 		b = append(strconv.AppendInt(b, int64(len(r)), 10), '\n')
 		b = append(append(b, r...), '\n')
@@ -58,39 +58,39 @@
 	return string(b)
 }
 
-var errValue = errors.New("catalogue: a node's value can't be read")
+var errMalformedValue = errors.New("catalogue: a node's value can't be read")
 
 // ParseValue decodes one. What does not add up is an error, never fewer records.
 func ParseValue(text string) (hits int, records [][]byte, err error) {
 	line, rest, ok := bytes.Cut([]byte(text), []byte{'\n'})
-	f := strings.Fields(string(line))
-	if !ok || len(f) != 3 || f[0] != mark {
-		return 0, nil, errValue
+	fields := strings.Fields(string(line))
+	if !ok || len(fields) != 3 || fields[0] != formatVersion {
+		return 0, nil, errMalformedValue
 	}
-	hits, err1 := strconv.Atoi(f[1])
-	n, err2 := strconv.Atoi(f[2])
+	hits, err1 := strconv.Atoi(fields[1])
+	n, err2 := strconv.Atoi(fields[2])
 	if errors.Join(err1, err2) != nil || hits < 0 || n < 0 || n > MaxDepth || n > hits {
-		return 0, nil, errValue
+		return 0, nil, errMalformedValue
 	}
 	for range n {
-		head, after, ok := bytes.Cut(rest, []byte{'\n'})
+		head, body, ok := bytes.Cut(rest, []byte{'\n'})
 		size, err := strconv.Atoi(string(head))
-		if !ok || err != nil || size < 0 || size+1 > len(after) || after[size] != '\n' {
-			return 0, nil, errValue
+		if !ok || err != nil || size < 0 || size+1 > len(body) || body[size] != '\n' {
+			return 0, nil, errMalformedValue
 		}
-		records = append(records, after[:size])
-		rest = after[size+1:]
+		records = append(records, body[:size])
+		rest = body[size+1:]
 	}
 	if len(rest) > 0 {
-		return 0, nil, errValue
+		return 0, nil, errMalformedValue
 	}
 	return hits, records, nil
 }
 
 // Merge makes one answer of the parts that are in. Whole is what the broker said of it. A value that can't be read fails all: what it
 // stands for is not known.
-func Merge(asked []int, depth int, whole bool, shards []int, values []string) (resultset.Answer, error) {
-	a := resultset.Answer{Whole: whole, Hits: map[int]int{}, First: map[int][][]byte{}, Depth: depth, Shards: asked}
+func Merge(requested []int, depth int, complete bool, shards []int, values []string) (resultset.Answer, error) {
+	a := resultset.Answer{Whole: complete, Hits: map[int]int{}, First: map[int][][]byte{}, Depth: depth, Shards: requested}
 	for i, s := range shards {
 		hits, records, err := ParseValue(values[i])
 		if err != nil {
--- a/internal/protocols/front/front.go
+++ b/internal/protocols/front/front.go
@@ -29,68 +29,68 @@
 }
 
 // Counts are what operators see of a front's searches; they may be read from any goroutine.
-type Counts struct{ Searches, Refetched, Partial, Shed, Failed, Faults atomic.Uint64 }
+type Counts struct{ Searches, Refetched, Partial, Shed, Failed, DiagnosticsSent atomic.Uint64 }
 
-// Asker puts searches of one query type and tenant to a broker, one part for each shard, all of the same weight.
-type Asker struct {
-	Counts  Counts
-	Timeout time.Duration
-	broker  Broker
-	typ     int
-	tenant  int
+// Searcher puts searches of one query type and tenant to a broker, one part for each shard, all of the same weight.
+type Searcher struct {
+	Counts    Counts
+	Timeout   time.Duration
+	broker    Broker
+	queryType int
+	tenant    int
 }
 
-// NewAsker finds a query type and a tenant by their names, the first where there is none. Field names the front in errors.
-func NewAsker(b Broker, field, typ, tenant string) (*Asker, error) {
+// NewSearcher finds a query type and a tenant by their names, the first where there is none. Field names the front in errors.
+func NewSearcher(b Broker, field, queryType, tenant string) (*Searcher, error) {
 	t := b.Settings()
-	a := &Asker{broker: b}
-	if a.typ = slices.Index(t.Types, cmp.Or(typ, t.Types[0])); a.typ < 0 {
-		return nil, fmt.Errorf("operators' file: %s.type: no query type %.40q", field, typ)
+	a := &Searcher{broker: b}
+	if a.queryType = slices.Index(t.Types, cmp.Or(queryType, t.Types[0])); a.queryType < 0 {
+		return nil, fmt.Errorf("operators' file: %s.type: no query type %.40q", field, queryType)
 	}
 	if len(t.Tenants) > 0 {
 		if a.tenant = slices.Index(t.Tenants, cmp.Or(tenant, t.Tenants[0])); a.tenant < 0 {
 			return nil, fmt.Errorf("operators' file: %s.tenant: no tenant %.40q", field, tenant)
 		}
 	}
-	y := &t.Module.QueryTypes[a.typ]
-	if a.Timeout = y.Timeout; y.Idempotency != decision.Idempotent { // pages beyond the first are fetched by searching again
-		return nil, fmt.Errorf("operators' file: %s.type: %s may not run again", field, t.Types[a.typ])
+	settings := &t.Module.QueryTypes[a.queryType]
+	if a.Timeout = settings.Timeout; settings.Idempotency != decision.Idempotent { // pages beyond the first are fetched by searching again
+		return nil, fmt.Errorf("operators' file: %s.type: %s may not run again", field, t.Types[a.queryType])
 	}
 	return a, nil
 }
 
-// Log says what was counted, as the front ends.
-func (a *Asker) Log(front string) {
+// LogCounts says what was counted, as the front ends.
+func (a *Searcher) LogCounts(front string) {
 	c := &a.Counts
 	slog.Info("front ended", "front", front, "searches", c.Searches.Load(), "refetched", c.Refetched.Load(), "partial", c.Partial.Load(),
-		"shed", c.Shed.Load(), "failed", c.Failed.Load(), "diagnostics", c.Faults.Load())
+		"shed", c.Shed.Load(), "failed", c.Failed.Load(), "diagnostics", c.DiagnosticsSent.Load())
 }
 
-// Ask is one search. Again tells that it fetches more of an answer that was had before. An error beside an answered verdict is a
+// Search is one search. Again tells that it fetches more of an answer that was had before. An error beside an answered verdict is a
 // value that can't be read; without one, the client has gone or the broker stops.
-func (a *Asker) Ask(ctx context.Context, want *catalogue.Want, client uint64, again bool) (resultset.Answer, server.QueryResult, error) {
+func (a *Searcher) Search(ctx context.Context, want *catalogue.Want, client uint64, refetch bool) (resultset.Answer, server.QueryResult, error) {
 	shards := a.broker.Settings().Shards
-	ask := &server.Query{ID: server.NewRequestID(), Type: a.typ, Tenant: a.tenant, Client: client, Retry: again, Timeout: a.Timeout, Text: want.Statement()}
+	request := &server.Query{ID: server.NewRequestID(), Type: a.queryType, Tenant: a.tenant, Client: client, Retry: refetch, Timeout: a.Timeout, Text: want.Statement()}
 	for i := range shards {
-		ask.Shards, ask.Weights = append(ask.Shards, i), append(ask.Weights, 1/float64(shards))
+		request.Shards, request.Weights = append(request.Shards, i), append(request.Weights, 1/float64(shards))
 	}
-	v, err := a.broker.RunQuery(ctx, ask)
+	result, err := a.broker.RunQuery(ctx, request)
 	a.Counts.Searches.Add(1)
-	if again {
+	if refetch {
 		a.Counts.Refetched.Add(1)
 	}
 	switch {
 	case err != nil:
-		return resultset.Answer{}, v, err
-	case v.Shed:
+		return resultset.Answer{}, result, err
+	case result.Shed:
 		a.Counts.Shed.Add(1)
-		return resultset.Answer{}, v, nil
-	case !v.Answered:
+		return resultset.Answer{}, result, nil
+	case !result.Answered:
 		a.Counts.Failed.Add(1)
-		return resultset.Answer{}, v, nil
-	case !v.Complete:
+		return resultset.Answer{}, result, nil
+	case !result.Complete:
 		a.Counts.Partial.Add(1)
 	}
-	answer, err := catalogue.Merge(ask.Shards, want.Depth, v.Complete, v.Shards, v.Values)
-	return answer, v, err
+	answer, err := catalogue.Merge(request.Shards, want.Depth, result.Complete, result.Shards, result.Values)
+	return answer, result, err
 }
--- a/internal/protocols/front/sru/front.go
+++ b/internal/protocols/front/sru/front.go
@@ -28,12 +28,12 @@
 )
 
 const (
-	headWithin  = 2500 * time.Millisecond
-	wholeWithin = 5 * time.Second
-	idleWithin  = 30 * time.Second
-	maxHead     = 80 << 10 // a query of 64 KiB in the target
-	usualMost   = 10
-	clients     = 1000 // that sets are kept for
+	headerTimeout         = 2500 * time.Millisecond
+	requestTimeout        = 5 * time.Second
+	idleTimeout           = 30 * time.Second
+	maxHeaderBytes        = 80 << 10 // a query of 64 KiB in the target
+	defaultMaximumRecords = 10
+	maxClients            = 1000 // that sets are kept for
 )
 
 // schemas by short name and identifier.
@@ -41,129 +41,129 @@
 
 // Front is a listener.
 type Front struct {
-	broker front.Broker
-	ask    *front.Asker
-	o      operator.SRU
-	ln     net.Listener
-	srv    *http.Server
-	places chan struct{} // connections
+	broker     front.Broker
+	searcher   *front.Searcher
+	options    operator.SRU
+	listener   net.Listener
+	httpServer *http.Server
+	slots      chan struct{} // connections
 
 	mu   sync.Mutex
 	sets *resultset.Sets
 }
 
 // Listen opens a front; an unknown type or tenant is an error.
-func Listen(b front.Broker, o operator.SRU) (*Front, error) {
-	f := &Front{broker: b, o: o, places: make(chan struct{}, o.Clients), sets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: 8, Sessions: clients, Age: o.Age})}
+func Listen(b front.Broker, options operator.SRU) (*Front, error) {
+	f := &Front{broker: b, options: options, slots: make(chan struct{}, options.Clients), sets: resultset.New(resultset.Limits{Bytes: options.Bytes, PerSession: 8, Sessions: maxClients, Age: options.Age})}
 	var err error
-	if f.ask, err = front.NewAsker(b, "sru", o.Type, o.Tenant); err != nil {
+	if f.searcher, err = front.NewSearcher(b, "sru", options.Type, options.Tenant); err != nil {
 		return nil, err
 	}
-	f.srv = &http.Server{Handler: f, ReadHeaderTimeout: headWithin, ReadTimeout: wholeWithin, WriteTimeout: f.ask.Timeout + wholeWithin,
-		IdleTimeout: idleWithin, MaxHeaderBytes: maxHead, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelInfo)}
-	f.ln, err = net.Listen("tcp", o.Listen)
+	f.httpServer = &http.Server{Handler: f, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, WriteTimeout: f.searcher.Timeout + requestTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelInfo)}
+	f.listener, err = net.Listen("tcp", options.Listen)
 	return f, err
 }
 
 // Addr is where it listens.
-func (f *Front) Addr() net.Addr { return f.ln.Addr() }
+func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// bounded lets in so many connections; others wait in the kernel.
-type bounded struct {
+// limitedListener lets in so many connections; others wait in the kernel.
+type limitedListener struct {
 	net.Listener
-	places chan struct{}
+	slots chan struct{}
 }
 
-type counted struct {
+type limitedConn struct {
 	net.Conn
 	once  sync.Once
 	close func()
 }
 
-func (b bounded) Accept() (net.Conn, error) {
-	b.places <- struct{}{}
+func (b limitedListener) Accept() (net.Conn, error) {
+	b.slots <- struct{}{}
 	c, err := b.Listener.Accept()
 	if err != nil {
-		<-b.places
+		<-b.slots
 		return nil, err
 	}
-	return &counted{Conn: c, close: func() { <-b.places }}, nil
+	return &limitedConn{Conn: c, close: func() { <-b.slots }}, nil
 }
 
-func (c *counted) Close() error {
+func (c *limitedConn) Close() error {
 	c.once.Do(c.close)
 	return c.Conn.Close()
 }
 
 // Serve takes clients until ctx ends or Drain is called.
 func (f *Front) Serve(ctx context.Context) error {
-	defer f.ask.Log("sru")
-	stop := context.AfterFunc(ctx, func() { f.srv.Close() })
+	defer f.searcher.LogCounts("sru")
+	stop := context.AfterFunc(ctx, func() { f.httpServer.Close() })
 	defer stop()
-	if err := f.srv.Serve(bounded{f.ln, f.places}); !errors.Is(err, http.ErrServerClosed) {
+	if err := f.httpServer.Serve(limitedListener{f.listener, f.slots}); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("sru: %w", err)
 	}
-	wait, cancel := context.WithTimeout(ctx, f.ask.Timeout+wholeWithin) // Drain waits for what is in hand, and so does this
+	wait, cancel := context.WithTimeout(ctx, f.searcher.Timeout+requestTimeout) // Drain waits for what is in hand, and so does this
 	defer cancel()
-	f.srv.Shutdown(wait)
+	f.httpServer.Shutdown(wait)
 	return nil
 }
 
 // Drain takes no more connections and answers what was asked.
-func (f *Front) Drain() { go f.srv.Shutdown(context.Background()) }
+func (f *Front) Drain() { go f.httpServer.Shutdown(context.Background()) }
 
 // ServeHTTP is the life of one request.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if name := strings.Trim(r.URL.Path, "/"); name != "" && name != f.o.Database {
+	if name := strings.Trim(r.URL.Path, "/"); name != "" && name != f.options.Database {
 		http.Error(w, fmt.Sprintf("no database %.60q", name), http.StatusNotFound)
 		return
 	}
-	values, err := parameters(r)
+	values, err := readParameters(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	q, fault := sru.Parse(values)
+	q, diagnostic := sru.Parse(values)
 	w.Header().Set("Content-Type", "text/xml; charset=utf-8")
-	if q.Explain && fault == nil {
-		at := f.ln.Addr().(*net.TCPAddr)
+	if q.Explain && diagnostic == nil {
+		addr := f.listener.Addr().(*net.TCPAddr)
 		host, _, err := net.SplitHostPort(r.Host)
-		w.Write(sru.Explain(q.Version, cmp.Or(host, map[bool]string{true: r.Host}[err != nil]), at.Port, f.o.Database, "Catalogue behind flaxfront", sru.Indexes(), schemas, f.o.Most))
+		w.Write(sru.Explain(q.Version, cmp.Or(host, map[bool]string{true: r.Host}[err != nil]), addr.Port, f.options.Database, "Catalogue behind flaxfront", sru.Indexes(), schemas, f.options.Most))
 		return
 	}
-	out := &sru.Response{Version: q.Version, Query: q.Text, Escaped: q.Escaped}
+	response := &sru.Response{Version: q.Version, Query: q.QueryText, Escaped: q.Escaped}
 	status := http.StatusOK
-	if fault == nil {
-		status, fault = f.search(w, r, &q, out)
+	if diagnostic == nil {
+		status, diagnostic = f.search(w, r, &q, response)
 	}
 	if status == 0 {
 		return // its client has gone
 	}
-	if fault != nil {
-		f.ask.Counts.Faults.Add(1)
-		out.Diagnostics = append(out.Diagnostics, fault)
+	if diagnostic != nil {
+		f.searcher.Counts.DiagnosticsSent.Add(1)
+		response.Diagnostics = append(response.Diagnostics, diagnostic)
 	}
 	w.WriteHeader(status)
-	w.Write(out.Append(nil))
+	w.Write(response.Append(nil))
 }
 
-// parameters are those of the target, or of a form that was sent.
-func parameters(r *http.Request) (url.Values, error) {
+// readParameters are those of the target, or of a form that was sent.
+func readParameters(r *http.Request) (url.Values, error) {
 	switch r.Method {
 	case http.MethodGet:
 		return url.ParseQuery(r.URL.RawQuery)
 	case http.MethodPost:
-		b, err := io.ReadAll(io.LimitReader(r.Body, maxHead+1))
-		if err != nil || len(b) > maxHead {
-			return nil, fmt.Errorf("a form of more than %d bytes", maxHead)
+		b, err := io.ReadAll(io.LimitReader(r.Body, maxHeaderBytes+1))
+		if err != nil || len(b) > maxHeaderBytes {
+			return nil, fmt.Errorf("a form of more than %d bytes", maxHeaderBytes)
 		}
 		return url.ParseQuery(string(b))
 	}
 	return nil, fmt.Errorf("method %.20q", r.Method)
 }
 
-// clientOf names whoever asks: by a cookie, or where it comes from.
-func clientOf(r *http.Request) uint64 {
+// clientID names whoever asks: by a cookie, or where it comes from.
+func clientID(r *http.Request) uint64 {
 	h := fnv.New64a()
 	if c, err := r.Cookie("user"); err == nil && c.Value != "" {
 		io.WriteString(h, c.Value)
--- a/internal/protocols/front/sru/front_test.go
+++ b/internal/protocols/front/sru/front_test.go
@@ -39,7 +39,7 @@
 	Precision string `xml:"resultCountPrecision"`
 }
 
-func started(t testing.TB, b front.Broker) *Front {
+func startFront(t testing.TB, b front.Broker) *Front {
 	t.Helper()
 	o := operator.Default().SRU
 	o.Listen = "127.0.0.1:0"
@@ -79,7 +79,7 @@
 // first and those that were not fetched yet are searches.
 func TestPages(t *testing.T) {
 	b := archive.New(archive.DC)
-	f := started(t, b)
+	f := startFront(t, b)
 	for _, v := range []struct{ params, namespace string }{{"version=1.1&operation=searchRetrieve&recordPacking=xml&", "http://www.loc.gov/zing/srw/"},
 		{"version=1.2&operation=searchRetrieve&", "http://www.loc.gov/zing/srw/"}, {"", "http://docs.oasis-open.org/ns/search-ws/sruResponse"}} {
 		var seen []string
@@ -113,7 +113,7 @@
 // The same query again is a fresh search for its first page, and the page after it is of that one.
 func TestSameQueryAgain(t *testing.T) {
 	b := archive.New(archive.DC)
-	f := started(t, b)
+	f := startFront(t, b)
 	get(t, f, "query=cat&maximumRecords=2")
 	b.Set(func(b *archive.Broker) { b.Store[0][0] = `<new/>` })
 	if a, _ := get(t, f, "query=cat&maximumRecords=2"); a.Records[0].Data.Inner != "<new/>" {
@@ -129,9 +129,9 @@
 }
 
 // What the broker makes of a search has its honest form in each version.
-func TestVerdicts(t *testing.T) {
+func TestQueryResults(t *testing.T) {
 	b := archive.New(archive.DC)
-	f := started(t, b)
+	f := startFront(t, b)
 	b.Set(func(b *archive.Broker) { b.Missing = 1 })
 	a, resp := get(t, f, "query=cat")
 	if resp.StatusCode != 200 || a.Count != 20 || len(a.Diagnostics) != 1 || a.Diagnostics[0].URI != "info:srw/diagnostic/1/59" || !strings.HasSuffix(a.Precision, "minimum") {
@@ -155,7 +155,7 @@
 
 // What is asked wrongly has its diagnostic, in a response of the version that asked.
 func TestDiagnostics(t *testing.T) {
-	f := started(t, archive.New(archive.DC))
+	f := startFront(t, archive.New(archive.DC))
 	for params, code := range map[string]int{
 		"operation=scan&version=1.2": 4, "operation=searchRetrieve&version=3.0&query=a": 5, "query=a&startRecord=0": 6, "query=a&maximumRecords=x": 6,
 		"operation=searchRetrieve&version=1.2": 7, "query=a&frobnicate=1": 8, "query=(a": 10, "query=foo.bar%3Da": 16, "query=dc.title+within+a": 19,
--- a/internal/protocols/front/sru/hostile_test.go
+++ b/internal/protocols/front/sru/hostile_test.go
@@ -18,11 +18,11 @@
 )
 
 // A record that would break out of its place is not passed on as elements; as text it is what it was.
-func TestSpoiltRecords(t *testing.T) {
+func TestMalformedRecords(t *testing.T) {
 	b := archive.New(archive.DC)
 	bad := []string{`</recordData><evil/>`, `<a>`, `<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>`, `<a/><b/>`, `text`, strings.Repeat("<a>", 100) + strings.Repeat("</a>", 100)}
 	b.Store[0] = bad
-	f := started(t, b)
+	f := startFront(t, b)
 	a, _ := get(t, f, "query=cat&maximumRecords=7")
 	for i, r := range a.Records[:len(bad)] {
 		if r.Schema != "info:srw/schema/1/diagnostics-v1.1" || !strings.Contains(r.Data.Inner, "info:srw/diagnostic/1/67") {
@@ -41,9 +41,9 @@
 }
 
 // A client that goes away takes its search along; a stop answers what is in hand and takes nothing more.
-func TestLeaveAndDrain(t *testing.T) {
+func TestDisconnectAndDrain(t *testing.T) {
 	b := archive.New(archive.DC)
-	f := started(t, b)
+	f := startFront(t, b)
 	hold := make(chan struct{})
 	b.Set(func(b *archive.Broker) { b.Hold = hold })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -81,7 +81,7 @@
 
 // Forms may be sent as well.
 func TestPost(t *testing.T) {
-	f := started(t, archive.New(archive.DC))
+	f := startFront(t, archive.New(archive.DC))
 	resp, err := http.PostForm("http://"+f.Addr().String()+"/catalogue", url.Values{"query": {"cat"}, "maximumRecords": {"1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 
 // A search with four records over a connection that stands, over a broker that answers at once: the front's own cost.
 func BenchmarkSearch(b *testing.B) {
-	f := started(b, archive.New(archive.DC))
+	f := startFront(b, archive.New(archive.DC))
 	b.ReportAllocs()
 	for b.Loop() {
 		resp, err := http.Get("http://" + f.Addr().String() + "/?query=dc.title+%3D+cat+and+dc.creator+%3D+smith&maximumRecords=4")
--- a/internal/protocols/front/sru/searching.go
+++ b/internal/protocols/front/sru/searching.go
@@ -19,103 +19,103 @@
 )
 
 // search fills a response; status 0 means that its client has gone.
-func (f *Front) search(w http.ResponseWriter, r *http.Request, q *sru.Request, out *sru.Response) (status int, fault *sru.Diagnostic) {
+func (f *Front) search(w http.ResponseWriter, r *http.Request, q *sru.Request, out *sru.Response) (status int, diagnostic *sru.Diagnostic) {
 	schema := slices.IndexFunc(schemas, func(s [2]string) bool { return q.Schema == s[0] || q.Schema == s[1] || q.Schema == "" && s[0] == "dc" })
 	if schema < 0 {
-		return http.StatusOK, sru.Diagnose(66, "%.60s", q.Schema)
+		return http.StatusOK, sru.NewDiagnostic(66, "%.60s", q.Schema)
 	}
 	rpn, err := q.Query.RPN()
 	if err != nil {
 		return http.StatusOK, sru.Fault(err)
 	}
 	if strings.Contains(rpn.PQF(), "@set ") {
-		return http.StatusOK, sru.Diagnose(50, "cql.resultSetId")
+		return http.StatusOK, sru.NewDiagnostic(50, "cql.resultSetId")
 	}
-	most := min(cmp.Or(max(0, q.Most), map[bool]int{true: usualMost}[q.Most < 0]), f.o.Most)
-	want := catalogue.Want{Depth: min(catalogue.MaxDepth, max(most, 1)), Syntax: schemas[schema][0], Query: rpn}
-	client, name := clientOf(r), schemas[schema][0]+" "+rpn.PQF()
+	limit := min(cmp.Or(max(0, q.Most), map[bool]int{true: defaultMaximumRecords}[q.Most < 0]), f.options.Most)
+	want := catalogue.Want{Depth: min(catalogue.MaxDepth, max(limit, 1)), Syntax: schemas[schema][0], Query: rpn}
+	client, name := clientID(r), schemas[schema][0]+" "+rpn.PQF()
 	f.mu.Lock()
 	set, why := f.sets.Get(client, name, f.broker.Uptime())
 	f.mu.Unlock()
-	fresh := q.Start == 1 || why != resultset.There && why != resultset.Changed
+	fresh := q.StartRecord == 1 || why != resultset.There && why != resultset.Changed
 	if !fresh && why == resultset.Changed {
-		return http.StatusOK, sru.Diagnose(51, "the records have changed since the first page; ask for that again")
+		return http.StatusOK, sru.NewDiagnostic(51, "the records have changed since the first page; ask for that again")
 	}
 	if fresh {
-		a, status, fault := f.put(w, r, client, &want, false)
-		if status != http.StatusOK || fault != nil {
-			return status, fault
+		a, status, diagnostic := f.runSearch(w, r, client, &want, false)
+		if status != http.StatusOK || diagnostic != nil {
+			return status, diagnostic
 		}
 		f.mu.Lock()
 		kept := f.sets.Put(client, name, want.Statement(), a, f.broker.Uptime())
 		set, _ = f.sets.Get(client, name, f.broker.Uptime())
 		f.mu.Unlock()
 		if !kept {
-			return http.StatusOK, sru.Diagnose(1, "the answer is too large to be kept; ask for fewer records")
+			return http.StatusOK, sru.NewDiagnostic(1, "the answer is too large to be kept; ask for fewer records")
 		}
 	}
 	out.Count, out.Partial = set.Count(), !set.Whole()
 	if out.Partial {
-		out.Diagnostics = append(out.Diagnostics, sru.Diagnose(59, "not all parts of the catalogue answered; there may be more records"))
+		out.Diagnostics = append(out.Diagnostics, sru.NewDiagnostic(59, "not all parts of the catalogue answered; there may be more records"))
 	}
-	if q.Start > max(1, out.Count) {
-		return http.StatusOK, sru.Diagnose(61, "%d of %d", q.Start, out.Count)
+	if q.StartRecord > max(1, out.Count) {
+		return http.StatusOK, sru.NewDiagnostic(61, "%d of %d", q.StartRecord, out.Count)
 	}
-	page, need, ok := set.Page(q.Start, min(most, out.Count))
-	if ok && need > 0 {
-		if need > catalogue.MaxDepth {
-			return http.StatusOK, sru.Diagnose(1, "records beyond the first %d of a part are not fetched", catalogue.MaxDepth)
+	page, missing, ok := set.Page(q.StartRecord, min(limit, out.Count))
+	if ok && missing > 0 {
+		if missing > catalogue.MaxDepth {
+			return http.StatusOK, sru.NewDiagnostic(1, "records beyond the first %d of a part are not fetched", catalogue.MaxDepth)
 		}
-		want.Depth = min(catalogue.MaxDepth, need+most)
-		a, status, fault := f.put(w, r, client, &want, true)
-		if status != http.StatusOK || fault != nil {
-			return status, fault
+		want.Depth = min(catalogue.MaxDepth, missing+limit)
+		a, status, diagnostic := f.runSearch(w, r, client, &want, true)
+		if status != http.StatusOK || diagnostic != nil {
+			return status, diagnostic
 		}
 		f.mu.Lock()
 		set, why = f.sets.Extend(client, name, a, f.broker.Uptime())
 		f.mu.Unlock()
 		if why != resultset.There {
-			return http.StatusOK, sru.Diagnose(51, "the records have changed since the first page; ask for that again")
+			return http.StatusOK, sru.NewDiagnostic(51, "the records have changed since the first page; ask for that again")
 		}
-		if page, need, ok = set.Page(q.Start, min(most, out.Count)); need > 0 {
-			return http.StatusOK, sru.Diagnose(1, "the nodes gave fewer records than they have")
+		if page, missing, ok = set.Page(q.StartRecord, min(limit, out.Count)); missing > 0 {
+			return http.StatusOK, sru.NewDiagnostic(1, "the nodes gave fewer records than they have")
 		}
 	}
 	if !ok {
 		return http.StatusOK, nil // an empty answer has an empty page
 	}
 	for i, rec := range page {
-		one := sru.Record{Schema: schemas[schema][1], Body: rec.Body, Position: q.Start + i}
+		record := sru.Record{Schema: schemas[schema][1], Body: rec.Body, Position: q.StartRecord + i}
 		if !q.Escaped {
-			if err := sru.WellFormed(rec.Body); err != nil {
-				one.Fault = sru.Diagnose(67, "%.100s", err)
+			if err := sru.CheckWellFormed(rec.Body); err != nil {
+				record.Fault = sru.NewDiagnostic(67, "%.100s", err)
 			}
 		}
-		out.Records = append(out.Records, one)
+		out.Records = append(out.Records, record)
 	}
-	if next := q.Start + len(page); len(page) > 0 && next <= out.Count {
-		out.Next = next
+	if next := q.StartRecord + len(page); len(page) > 0 && next <= out.Count {
+		out.NextRecordPosition = next
 	}
 	return http.StatusOK, nil
 }
 
-// put puts a search to the broker, and tells what its client is told if that is not its answer.
-func (f *Front) put(w http.ResponseWriter, r *http.Request, client uint64, want *catalogue.Want, again bool) (a resultset.Answer, status int, fault *sru.Diagnostic) {
-	a, v, err := f.ask.Ask(r.Context(), want, client, again)
+// runSearch puts a search to the broker, and tells what its client is told if that is not its answer.
+func (f *Front) runSearch(w http.ResponseWriter, r *http.Request, client uint64, want *catalogue.Want, refetch bool) (a resultset.Answer, status int, diagnostic *sru.Diagnostic) {
+	a, result, err := f.searcher.Search(r.Context(), want, client, refetch)
 	switch {
 	case errors.Is(err, server.ErrStopping):
-		return a, http.StatusServiceUnavailable, sru.Diagnose(2, "stopping")
-	case err != nil && v.Answered:
-		return a, http.StatusBadGateway, sru.Diagnose(1, "%.200s", err)
+		return a, http.StatusServiceUnavailable, sru.NewDiagnostic(2, "stopping")
+	case err != nil && result.Answered:
+		return a, http.StatusBadGateway, sru.NewDiagnostic(1, "%.200s", err)
 	case err != nil:
 		return a, 0, nil
-	case v.Shed:
-		if v.RetryAfter > 0 {
-			w.Header().Set("Retry-After", fmt.Sprint(int((v.RetryAfter+time.Second-1)/time.Second)))
+	case result.Shed:
+		if result.RetryAfter > 0 {
+			w.Header().Set("Retry-After", fmt.Sprint(int((result.RetryAfter+time.Second-1)/time.Second)))
 		}
-		return a, http.StatusServiceUnavailable, sru.Diagnose(2, "try again in %.1f seconds", max(v.RetryAfter, 100*time.Millisecond).Seconds())
-	case !v.Answered:
-		return a, http.StatusGatewayTimeout, sru.Diagnose(1, "no answer in time")
+		return a, http.StatusServiceUnavailable, sru.NewDiagnostic(2, "try again in %.1f seconds", max(result.RetryAfter, 100*time.Millisecond).Seconds())
+	case !result.Answered:
+		return a, http.StatusGatewayTimeout, sru.NewDiagnostic(1, "no answer in time")
 	}
 	return a, http.StatusOK, nil
 }
--- a/internal/protocols/front/z3950/broker_test.go
+++ b/internal/protocols/front/z3950/broker_test.go
@@ -26,7 +26,7 @@
 
 // Both fronts before a real broker before simulated store nodes that make catalogue values: one search in each gives the same
 // records in the same order, a dead set of nodes makes both say so, and a planned stop answers what is in hand and closes sessions.
-func TestFrontsBeforeABroker(t *testing.T) {
+func TestFrontsWithBroker(t *testing.T) {
 	fleet, err := lab.NewFleet(t.TempDir(), 8, 2, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -88,9 +88,9 @@
 		}
 		return r
 	}
-	say(&z3950.InitRequest{Version3: true, Search: true, Present: true, Preferred: 1 << 20, Most: 1 << 20})
+	say(&z3950.InitRequest{Version3: true, Search: true, Present: true, PreferredMessageSize: 1 << 20, ExceptionalRecordSize: 1 << 20})
 	_, rpn, _ := query.ParsePQF("@attr 1=4 cat")
-	ask := &z3950.SearchRequest{Large: 1, Replace: true, ResultSet: "a", Databases: []string{"x"}, Syntax: z3950.XML, Query: rpn}
+	ask := &z3950.SearchRequest{LargeSetLowerBound: 1, Replace: true, ResultSet: "a", Databases: []string{"x"}, Syntax: z3950.XML, Query: rpn}
 	r := say(ask).(*z3950.SearchResponse)
 	if !r.OK || r.Count != 31 {
 		t.Fatalf("%+v, %+v", r, r.Records.Fault)
@@ -132,7 +132,7 @@
 			n.Turn(lab.Dead)
 		}
 	}
-	if r := say(ask).(*z3950.SearchResponse); r.OK || r.SetStatus != z3950.Subset || r.Count != 20 {
+	if r := say(ask).(*z3950.SearchResponse); r.OK || r.ResultSetStatus != z3950.Subset || r.Count != 20 {
 		t.Errorf("half of the store is gone: %+v, %+v", r, r.Records.Fault)
 	}
 	if count, _, diagnostics := get("query=dc.title+%3D+cat"); count != 20 || diagnostics != 1 {
--- a/internal/protocols/front/z3950/clients_test.go
+++ b/internal/protocols/front/z3950/clients_test.go
@@ -17,62 +17,62 @@
 )
 
 // Queries that nobody here could be asked have their diagnostics; the session goes on.
-func TestRefusedQueries(t *testing.T) {
-	o := options()
+func TestUnsupportedQueries(t *testing.T) {
+	o := testOptions()
 	o.Databases = []string{"x"}
-	c := dial(t, started(t, archive.New(archive.Plain), o), usual)
+	c := dial(t, startFront(t, archive.New(archive.Plain), o), defaultInit)
 	for pqf, code := range map[string]int{"@attr 1=9999 a": 114, "@attr 2=77 a": 117, "@attr 5=101 a": 120, "@and @set s a": 18, "@attr 1.2.3 1=4 a": 121, `""`: 125} {
-		if r := c.say(search(t, "a", pqf)).(*z3950.SearchResponse); r.OK || r.Records.Fault == nil || r.Records.Fault.Code != code {
+		if r := c.exchange(searchRequest(t, "a", pqf)).(*z3950.SearchResponse); r.OK || r.Records.Fault == nil || r.Records.Fault.Code != code {
 			t.Errorf("%s: %+v", pqf, r.Records.Fault)
 		}
 	}
-	m := search(t, "a", "cat")
+	m := searchRequest(t, "a", "cat")
 	m.Databases = []string{"other"}
-	if r := c.say(m).(*z3950.SearchResponse); r.Records.Fault == nil || r.Records.Fault.Code != noDatabase {
+	if r := c.exchange(m).(*z3950.SearchResponse); r.Records.Fault == nil || r.Records.Fault.Code != databaseUnavailable {
 		t.Errorf("%+v", r)
 	}
-	m = search(t, "a", "cat")
+	m = searchRequest(t, "a", "cat")
 	m.Syntax = "1.2.840.10003.5.100"
-	if r := c.say(m).(*z3950.SearchResponse); r.Records.Fault == nil || r.Records.Fault.Code != badSyntax {
+	if r := c.exchange(m).(*z3950.SearchResponse); r.Records.Fault == nil || r.Records.Fault.Code != unsupportedSyntax {
 		t.Errorf("%+v", r)
 	}
-	if r := c.say(search(t, "a", "cat")).(*z3950.SearchResponse); !r.OK {
+	if r := c.exchange(searchRequest(t, "a", "cat")).(*z3950.SearchResponse); !r.OK {
 		t.Errorf("%+v", r)
 	}
-	m = search(t, "a", "cat")
+	m = searchRequest(t, "a", "cat")
 	m.Replace = false
-	if r := c.say(m).(*z3950.SearchResponse); r.Records.Fault == nil || r.Records.Fault.Code != 21 {
+	if r := c.exchange(m).(*z3950.SearchResponse); r.Records.Fault == nil || r.Records.Fault.Code != 21 {
 		t.Errorf("%+v", r)
 	}
 }
 
 // Whoever says nothing, begins with anything but init, or sends noise, is closed in time with a reason; one client too many is told.
 func TestHostileClients(t *testing.T) {
-	o := options()
+	o := testOptions()
 	o.Sessions = 2
-	f := started(t, archive.New(archive.Plain), o)
+	f := startFront(t, archive.New(archive.Plain), o)
 	silent, noisy := dial(t, f, nil), dial(t, f, nil)
 	began := time.Now()
-	if m, is := dial(t, f, nil).hear().(*z3950.Close); !is || m.Reason != 4 {
+	if m, is := dial(t, f, nil).receive().(*z3950.Close); !is || m.Reason != 4 {
 		t.Errorf("one too many: %+v", m)
 	}
 	noisy.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	if m, is := noisy.hear().(*z3950.Close); !is || m.Reason != 6 {
+	if m, is := noisy.receive().(*z3950.Close); !is || m.Reason != 6 {
 		t.Errorf("noise: %+v", m)
 	}
-	if m, is := silent.hear().(*z3950.Close); !is || m.Reason != 7 || time.Since(began) > 3*time.Second {
+	if m, is := silent.receive().(*z3950.Close); !is || m.Reason != 7 || time.Since(began) > 3*time.Second {
 		t.Errorf("silence: %+v after %v", m, time.Since(began))
 	}
-	until(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.sessions) == 0 })
+	waitUntil(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.sessions) == 0 })
 	early := dial(t, f, nil)
-	if m, is := early.say(search(t, "a", "cat")).(*z3950.Close); !is || m.Reason != 6 {
+	if m, is := early.exchange(searchRequest(t, "a", "cat")).(*z3950.Close); !is || m.Reason != 6 {
 		t.Errorf("a search before init: %+v", m)
 	}
 }
 
-func until(t *testing.T, what func() bool) {
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !what(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it did not come to that")
 		}
@@ -80,42 +80,46 @@
 }
 
 // A client that goes away while its search is in hand takes it along; its sets are forgotten.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	b := archive.New(archive.Plain)
-	f := started(t, b, options())
-	c := dial(t, f, usual)
-	c.say(search(t, "a", "cat"))
+	f := startFront(t, b, testOptions())
+	c := dial(t, f, defaultInit)
+	c.exchange(searchRequest(t, "a", "cat"))
 	b.Set(func(b *archive.Broker) { b.Hold = make(chan struct{}) })
-	c.Write(z3950.Encode(search(t, "b", "cat")))
-	until(t, func() bool { return b.Asked() == 2 })
+	c.Write(z3950.Encode(searchRequest(t, "b", "cat")))
+	waitUntil(t, func() bool { return b.Asked() == 2 })
 	c.Close()
 	if err := <-b.Left; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
-	until(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.sessions) == 0 && f.sets.Counts.Bytes == 0 })
+	waitUntil(t, func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return len(f.sessions) == 0 && f.resultSets.Counts.Bytes == 0
+	})
 }
 
 // A planned stop: what is in hand is answered, then each session is told by a close; new ones find nobody.
 func TestDrain(t *testing.T) {
 	b := archive.New(archive.Plain)
-	f := started(t, b, options())
-	idle, busy := dial(t, f, usual), dial(t, f, usual)
+	f := startFront(t, b, testOptions())
+	idle, busy := dial(t, f, defaultInit), dial(t, f, defaultInit)
 	hold := make(chan struct{})
 	b.Set(func(b *archive.Broker) { b.Hold = hold })
-	busy.Write(z3950.Encode(search(t, "a", "cat")))
-	until(t, func() bool { return b.Asked() == 1 })
+	busy.Write(z3950.Encode(searchRequest(t, "a", "cat")))
+	waitUntil(t, func() bool { return b.Asked() == 1 })
 	f.Drain()
-	if m, is := idle.hear().(*z3950.Close); !is || m.Reason != 1 {
+	if m, is := idle.receive().(*z3950.Close); !is || m.Reason != 1 {
 		t.Errorf("idle: %+v", m)
 	}
 	close(hold)
-	if r, is := busy.hear().(*z3950.SearchResponse); !is || !r.OK {
+	if r, is := busy.receive().(*z3950.SearchResponse); !is || !r.OK {
 		t.Errorf("busy: %+v", r)
 	}
-	if m, is := busy.hear().(*z3950.Close); !is || m.Reason != 1 {
+	if m, is := busy.receive().(*z3950.Close); !is || m.Reason != 1 {
 		t.Errorf("busy, afterwards: %+v", m)
 	}
-	if _, err := z3950.Read(busy.in); !errors.Is(err, io.EOF) {
+	if _, err := z3950.Read(busy.reader); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", f.Addr().String()); err == nil {
@@ -125,7 +129,7 @@
 
 // A search and a page of ten records, through a session that stands, over a broker that answers at once: the front's own cost.
 func BenchmarkSearchAndPresent(b *testing.B) {
-	f := started(b, archive.New(archive.DC), options())
+	f := startFront(b, archive.New(archive.DC), testOptions())
 	conn, err := net.Dial("tcp", f.Addr().String())
 	if err != nil {
 		b.Fatal(err)
@@ -139,10 +143,10 @@
 			b.Fatal(err)
 		}
 	}
-	say(usual)
+	say(defaultInit)
 	b.ReportAllocs()
 	for b.Loop() {
-		say(&z3950.SearchRequest{Large: 1, Replace: true, ResultSet: "a", Databases: []string{"x"}, Query: rpn})
+		say(&z3950.SearchRequest{LargeSetLowerBound: 1, Replace: true, ResultSet: "a", Databases: []string{"x"}, Query: rpn})
 		say(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 4})
 	}
 }
--- a/internal/protocols/front/z3950/cold_test.go
+++ b/internal/protocols/front/z3950/cold_test.go
@@ -23,7 +23,7 @@
 
 // Five hundred sessions come at once, when half of the nodes of each set have just started: each search has one answer, none of the cold nodes is
 // pushed over, and the broker holds nothing afterwards.
-func TestManySessionsBeforeColdNodes(t *testing.T) {
+func TestManySessionsWithNodesWarmingUp(t *testing.T) {
 	fleet, err := lab.NewFleet(t.TempDir(), 8, 2, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -80,17 +80,17 @@
 				defer conn.Close()
 				conn.SetDeadline(time.Now().Add(20 * time.Second))
 				in := bufio.NewReader(conn)
-				conn.Write(z3950.Encode(&z3950.InitRequest{Version3: true, Search: true, Present: true, Preferred: 1 << 20, Most: 1 << 20}))
+				conn.Write(z3950.Encode(&z3950.InitRequest{Version3: true, Search: true, Present: true, PreferredMessageSize: 1 << 20, ExceptionalRecordSize: 1 << 20}))
 				if m, err := z3950.Read(in); err != nil {
 					return fmt.Sprint(m, err)
 				}
-				conn.Write(z3950.Encode(&z3950.SearchRequest{Large: 1, Replace: true, ResultSet: "a", Databases: []string{"x"}, Query: rpn}))
+				conn.Write(z3950.Encode(&z3950.SearchRequest{LargeSetLowerBound: 1, Replace: true, ResultSet: "a", Databases: []string{"x"}, Query: rpn}))
 				m, err := z3950.Read(in)
 				r, is := m.(*z3950.SearchResponse)
 				switch {
 				case err != nil || !is:
 					return fmt.Sprint(m, err)
-				case r.OK && r.Count == 4, !r.OK && r.SetStatus == z3950.Subset && r.Count >= 2:
+				case r.OK && r.Count == 4, !r.OK && r.ResultSetStatus == z3950.Subset && r.Count >= 2:
 					return "answered"
 				case r.Records.Fault != nil && (r.Records.Fault.Code == 31 || r.Records.Fault.Code == 2):
 					return "turned away"
--- a/internal/protocols/front/z3950/front.go
+++ b/internal/protocols/front/z3950/front.go
@@ -24,74 +24,74 @@
 )
 
 const (
-	initWithin  = 2500 * time.Millisecond // a connection's first message is whole by then
-	wholeWithin = 10 * time.Second        // any other, from its first byte
-	writeWithin = 10 * time.Second
-	leastBytes  = 1 << 10 // of a message, whatever a client prefers
+	initTimeout     = 2500 * time.Millisecond // a connection's first message is whole by then
+	messageTimeout  = 10 * time.Second        // any other, from its first byte
+	writeTimeout    = 10 * time.Second
+	minMessageBytes = 1 << 10 // of a message, whatever a client prefers
 )
 
 // Diagnostics of Bib-1 that the front itself gives.
 const (
-	systemError    = 2   // temporary system error
-	outOfRange     = 13  // present request out of range
-	tooLarge       = 17  // record exceeds the exceptional record size
-	resourcesShort = 31  // resources exhausted: no records available
-	noSuchSet      = 30  // specified result set does not exist
-	setGone        = 27  // result set no longer exists - unilaterally deleted by target
-	noDatabase     = 109 // database unavailable
-	badSyntax      = 239 // record syntax not supported
-	badName        = 128 // illegal result set name
+	systemError          = 2   // temporary system error
+	presentOutOfRange    = 13  // present request out of range
+	recordTooLarge       = 17  // record exceeds the exceptional record size
+	resourcesExhausted   = 31  // resources exhausted: no records available
+	noSuchResultSet      = 30  // specified result set does not exist
+	resultSetDeleted     = 27  // result set no longer exists - unilaterally deleted by target
+	databaseUnavailable  = 109 // database unavailable
+	unsupportedSyntax    = 239 // record syntax not supported
+	illegalResultSetName = 128 // illegal result set name
 )
 
 // Front is a listener.
 type Front struct {
-	broker front.Broker
-	ask    *front.Asker
-	o      operator.Z3950
-	ln     net.Listener
+	broker   front.Broker
+	ask      *front.Searcher
+	o        operator.Z3950
+	listener net.Listener
 
-	mu       sync.Mutex
-	sets     *resultset.Sets
-	sessions map[uint64]*session
-	last     uint64
-	draining bool
-	all      sync.WaitGroup
+	mu         sync.Mutex
+	resultSets *resultset.Sets
+	sessions   map[uint64]*session
+	lastID     uint64
+	draining   bool
+	running    sync.WaitGroup
 }
 
 type session struct {
 	net.Conn
-	f      *Front
-	id     uint64
-	in     *bufio.Reader
-	most   int  // bytes of a message
-	record int  // bytes of a record
-	busy   bool // under the front's mu
-	ops    int
+	f           *Front
+	id          uint64
+	reader      *bufio.Reader
+	messageSize int  // bytes of a message
+	recordSize  int  // bytes of a record
+	busy        bool // under the front's mu
+	operations  int
 }
 
 // Listen opens a front; an unknown type or tenant is an error.
 func Listen(b front.Broker, o operator.Z3950) (*Front, error) {
-	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, sets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: o.Sets,
+	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, resultSets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: o.Sets,
 		Sessions: o.Sessions, Age: o.Age})}
 	var err error
-	if f.ask, err = front.NewAsker(b, "z3950", o.Type, o.Tenant); err == nil {
-		f.ln, err = net.Listen("tcp", o.Listen)
+	if f.ask, err = front.NewSearcher(b, "z3950", o.Type, o.Tenant); err == nil {
+		f.listener, err = net.Listen("tcp", o.Listen)
 	}
 	return f, err
 }
 
 // Addr is where it listens.
-func (f *Front) Addr() net.Addr { return f.ln.Addr() }
+func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
 // Serve takes sessions until ctx ends or Drain is called.
 func (f *Front) Serve(ctx context.Context) error {
-	defer f.ask.Log("z3950")
-	stop := context.AfterFunc(ctx, func() { f.end(func(*session) bool { return true }) })
+	defer f.ask.LogCounts("z3950")
+	stop := context.AfterFunc(ctx, func() { f.interruptSessions(func(*session) bool { return true }) })
 	defer stop()
 	for {
-		conn, err := f.ln.Accept()
+		conn, err := f.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			f.all.Wait()
+			f.running.Wait()
 			return nil
 		}
 		if err != nil { // such as no descriptor left
@@ -102,13 +102,13 @@
 			}
 			continue
 		}
-		s := &session{Conn: conn, f: f, in: bufio.NewReaderSize(conn, 4<<10), most: 1 << 20, record: 1 << 20}
+		s := &session{Conn: conn, f: f, reader: bufio.NewReaderSize(conn, 4<<10), messageSize: 1 << 20, recordSize: 1 << 20}
 		f.mu.Lock()
 		full := len(f.sessions) >= f.o.Sessions || f.draining
-		if f.last++; !full {
-			s.id = f.last
+		if f.lastID++; !full {
+			s.id = f.lastID
 			f.sessions[s.id] = s
-			f.all.Add(1)
+			f.running.Add(1)
 		}
 		f.mu.Unlock()
 		if full { // said in the protocol, so that a client knows
@@ -118,14 +118,14 @@
 			continue
 		}
 		go func() {
-			defer f.all.Done()
-			reason := s.converse(ctx)
+			defer f.running.Done()
+			reason := s.serve(ctx)
 			conn.Close()
 			f.mu.Lock()
 			delete(f.sessions, s.id)
-			f.sets.End(s.id)
+			f.resultSets.End(s.id)
 			f.mu.Unlock()
-			slog.Info("z39.50 session ended", "from", conn.RemoteAddr(), "reason", reason, "operations", s.ops)
+			slog.Info("z39.50 session ended", "from", conn.RemoteAddr(), "reason", reason, "operations", s.operations)
 		}()
 	}
 }
@@ -135,15 +135,15 @@
 	f.mu.Lock()
 	f.draining = true
 	f.mu.Unlock()
-	f.ln.Close()
-	f.end(func(s *session) bool { return !s.busy })
+	f.listener.Close()
+	f.interruptSessions(func(s *session) bool { return !s.busy })
 }
 
-// end wakes the readers of some sessions, which then close.
-func (f *Front) end(which func(*session) bool) {
+// interruptSessions wakes the readers of some sessions, which then close.
+func (f *Front) interruptSessions(which func(*session) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ln.Close()
+	f.listener.Close()
 	for _, s := range f.sessions {
 		if which(s) {
 			s.SetReadDeadline(time.Unix(1, 0))
@@ -151,8 +151,8 @@
 	}
 }
 
-// turn notes whether a session has an operation in hand; true: it is to end.
-func (s *session) turn(busy bool) (ending bool) {
+// setBusy notes whether a session has an operation in hand; true: it is to end.
+func (s *session) setBusy(busy bool) (ending bool) {
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
 	s.busy = busy
--- a/internal/protocols/front/z3950/front_test.go
+++ b/internal/protocols/front/z3950/front_test.go
@@ -24,13 +24,13 @@
 	os.Exit(m.Run())
 }
 
-func options() operator.Z3950 {
+func testOptions() operator.Z3950 {
 	o := operator.Default().Z3950
 	o.Listen, o.Depth, o.Sessions, o.Sets = "127.0.0.1:0", 4, 8, 3
 	return o
 }
 
-func started(t testing.TB, b front.Broker, o operator.Z3950) *Front {
+func startFront(t testing.TB, b front.Broker, o operator.Z3950) *Front {
 	t.Helper()
 	f, err := Listen(b, o)
 	if err != nil {
@@ -50,8 +50,8 @@
 
 type client struct {
 	net.Conn
-	t  *testing.T
-	in *bufio.Reader
+	t      *testing.T
+	reader *bufio.Reader
 }
 
 // dial opens a session.
@@ -65,38 +65,38 @@
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	c := &client{conn, t, bufio.NewReader(conn)}
 	if init != nil {
-		if r, is := c.say(init).(*z3950.InitResponse); !is || !r.Accepted || !r.Search || r.Concurrent {
+		if r, is := c.exchange(init).(*z3950.InitResponse); !is || !r.Accepted || !r.Search || r.Concurrent {
 			t.Fatalf("init was answered with %+v", r)
 		}
 	}
 	return c
 }
 
-var usual = &z3950.InitRequest{Version3: true, Search: true, Present: true, Delete: true, NamedResultSets: true, Concurrent: true,
-	Preferred: 1 << 20, Most: 1 << 20}
+var defaultInit = &z3950.InitRequest{Version3: true, Search: true, Present: true, Delete: true, NamedResultSets: true, Concurrent: true,
+	PreferredMessageSize: 1 << 20, ExceptionalRecordSize: 1 << 20}
 
-func (c *client) say(m z3950.Message) z3950.Message {
+func (c *client) exchange(m z3950.Message) z3950.Message {
 	c.t.Helper()
 	c.Write(z3950.Encode(m))
-	return c.hear()
+	return c.receive()
 }
 
-func (c *client) hear() z3950.Message {
+func (c *client) receive() z3950.Message {
 	c.t.Helper()
-	m, err := z3950.Read(c.in)
+	m, err := z3950.Read(c.reader)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	return m
 }
 
-func search(t *testing.T, set, pqf string) *z3950.SearchRequest {
+func searchRequest(t *testing.T, set, pqf string) *z3950.SearchRequest {
 	t.Helper()
 	_, r, err := query.ParsePQF(pqf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &z3950.SearchRequest{Common: z3950.Common{Reference: []byte(set)}, Large: 1, Replace: true, ResultSet: set, Databases: []string{"x"}, Query: r}
+	return &z3950.SearchRequest{Common: z3950.Common{ReferenceID: []byte(set)}, LargeSetLowerBound: 1, Replace: true, ResultSet: set, Databases: []string{"x"}, Query: r}
 }
 
 func bodies(r z3950.Records) (all []string) {
@@ -109,66 +109,66 @@
 // A session searches, presents pages that were fetched and pages that were not, beyond a shard's end too, and deletes.
 func TestSession(t *testing.T) {
 	b := archive.New(archive.Plain)
-	f := started(t, b, options())
-	c := dial(t, f, usual)
-	r := c.say(search(t, "a", "@attr 1=4 cat")).(*z3950.SearchResponse)
-	if !r.OK || r.Count != 30 || string(r.Reference) != "a" || r.Records.Fault != nil {
+	f := startFront(t, b, testOptions())
+	c := dial(t, f, defaultInit)
+	r := c.exchange(searchRequest(t, "a", "@attr 1=4 cat")).(*z3950.SearchResponse)
+	if !r.OK || r.Count != 30 || string(r.ReferenceID) != "a" || r.Records.Fault != nil {
 		t.Fatalf("%+v", r)
 	}
 	for _, page := range []struct{ start, want int }{{1, 3}, {3, 1}, {8, 7}, {25, 6}, {1, 30}} {
-		p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: page.start, Want: page.want}).(*z3950.PresentResponse)
+		p := c.exchange(&z3950.PresentRequest{ResultSet: "a", Start: page.start, Want: page.want}).(*z3950.PresentResponse)
 		var want []string
 		for i := page.start - 1; i < page.start-1+page.want; i++ {
 			want = append(want, b.Store[i/10][i%10])
 		}
-		if p.Status != z3950.Success || !reflect.DeepEqual(bodies(p.Records), want) || p.Next != page.start+page.want {
-			t.Errorf("page %+v: status %d, next %d: %v, %v", page, p.Status, p.Next, bodies(p.Records), p.Records.Fault)
+		if p.Status != z3950.Success || !reflect.DeepEqual(bodies(p.Records), want) || p.NextPosition != page.start+page.want {
+			t.Errorf("page %+v: status %d, next %d: %v, %v", page, p.Status, p.NextPosition, bodies(p.Records), p.Records.Fault)
 		}
 	}
 	for name, m := range map[string]*z3950.PresentRequest{"beyond the end": {ResultSet: "a", Start: 29, Want: 0}, "from 31": {ResultSet: "a", Start: 31, Want: 1},
 		"from 0": {ResultSet: "a", Start: 0, Want: 1}, "less than none": {ResultSet: "a", Start: 1, Want: -1}} {
-		p := c.say(m).(*z3950.PresentResponse)
-		if ok := name == "beyond the end"; ok != (p.Status == z3950.Success) || !ok && (p.Records.Fault == nil || p.Records.Fault.Code != outOfRange) {
+		p := c.exchange(m).(*z3950.PresentResponse)
+		if ok := name == "beyond the end"; ok != (p.Status == z3950.Success) || !ok && (p.Records.Fault == nil || p.Records.Fault.Code != presentOutOfRange) {
 			t.Errorf("%s: %+v", name, p)
 		}
 	}
-	if p := c.say(&z3950.PresentRequest{ResultSet: "b", Start: 1, Want: 1}).(*z3950.PresentResponse); p.Records.Fault == nil || p.Records.Fault.Code != noSuchSet {
+	if p := c.exchange(&z3950.PresentRequest{ResultSet: "b", Start: 1, Want: 1}).(*z3950.PresentResponse); p.Records.Fault == nil || p.Records.Fault.Code != noSuchResultSet {
 		t.Errorf("%+v", p)
 	}
-	if d := c.say(&z3950.DeleteRequest{Sets: []string{"a"}}).(*z3950.DeleteResponse); d.Status != 0 {
+	if d := c.exchange(&z3950.DeleteRequest{ResultSets: []string{"a"}}).(*z3950.DeleteResponse); d.Status != 0 {
 		t.Errorf("%+v", d)
 	}
-	if p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 1}).(*z3950.PresentResponse); p.Records.Fault == nil {
+	if p := c.exchange(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 1}).(*z3950.PresentResponse); p.Records.Fault == nil {
 		t.Error("a deleted set presents")
 	}
-	if _, is := c.say(&z3950.Close{}).(*z3950.Close); !is {
+	if _, is := c.exchange(&z3950.Close{}).(*z3950.Close); !is {
 		t.Error("a close has no answer")
 	}
 }
 
 // What the broker makes of a search has its honest form: partial is never whole, shed says when to return, failed is failed.
-func TestVerdicts(t *testing.T) {
+func TestQueryResults(t *testing.T) {
 	b := archive.New(archive.Plain)
-	c := dial(t, started(t, b, options()), usual)
+	c := dial(t, startFront(t, b, testOptions()), defaultInit)
 	b.Set(func(b *archive.Broker) { b.Missing = 1 })
-	r := c.say(search(t, "a", "cat")).(*z3950.SearchResponse)
-	if r.OK || r.SetStatus != z3950.Subset || r.Count != 20 || r.Records.Fault == nil || r.Records.Fault.Text != "2 of 3 parts answered" {
+	r := c.exchange(searchRequest(t, "a", "cat")).(*z3950.SearchResponse)
+	if r.OK || r.ResultSetStatus != z3950.Subset || r.Count != 20 || r.Records.Fault == nil || r.Records.Fault.Text != "2 of 3 parts answered" {
 		t.Errorf("partial: %+v, %+v", r, r.Records.Fault)
 	}
-	if p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 2}).(*z3950.PresentResponse); p.Status != z3950.Success || len(p.Records.All) != 2 {
+	if p := c.exchange(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 2}).(*z3950.PresentResponse); p.Status != z3950.Success || len(p.Records.All) != 2 {
 		t.Errorf("records of a partial answer: %+v", p)
 	}
-	for code, v := range map[int]server.QueryResult{resourcesShort: {Shed: true, RetryAfter: 1500 * time.Millisecond}, systemError: {}} {
+	for code, v := range map[int]server.QueryResult{resourcesExhausted: {Shed: true, RetryAfter: 1500 * time.Millisecond}, systemError: {}} {
 		b.Set(func(b *archive.Broker) { b.Verdict = &v })
-		r := c.say(search(t, "b", "cat")).(*z3950.SearchResponse)
-		if r.OK || r.Count != 0 || r.Records.Fault == nil || r.Records.Fault.Code != code || r.SetStatus != z3950.NoSet {
+		r := c.exchange(searchRequest(t, "b", "cat")).(*z3950.SearchResponse)
+		if r.OK || r.Count != 0 || r.Records.Fault == nil || r.Records.Fault.Code != code || r.ResultSetStatus != z3950.NoResultSet {
 			t.Errorf("%+v: %+v, %+v", v, r, r.Records.Fault)
 		}
 	}
 	b.Set(func(b *archive.Broker) {
 		b.Verdict = &server.QueryResult{Answered: true, Complete: true, Shards: []int{0, 1, 2}, Values: []string{"noise", "", "x"}}
 	})
-	if r := c.say(search(t, "b", "cat")).(*z3950.SearchResponse); r.OK || r.Records.Fault.Code != systemError {
+	if r := c.exchange(searchRequest(t, "b", "cat")).(*z3950.SearchResponse); r.OK || r.Records.Fault.Code != systemError {
 		t.Errorf("values that can't be read: %+v", r)
 	}
 }
@@ -176,43 +176,43 @@
 // The store changes between two pages: no page of another answer is given, and the client is told to search again.
 func TestChangedBetweenPages(t *testing.T) {
 	b := archive.New(archive.Plain)
-	c := dial(t, started(t, b, options()), usual)
-	c.say(search(t, "a", "cat"))
-	if p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 4}).(*z3950.PresentResponse); len(p.Records.All) != 4 {
+	c := dial(t, startFront(t, b, testOptions()), defaultInit)
+	c.exchange(searchRequest(t, "a", "cat"))
+	if p := c.exchange(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 4}).(*z3950.PresentResponse); len(p.Records.All) != 4 {
 		t.Fatalf("%+v", p)
 	}
 	b.Set(func(b *archive.Broker) { b.Store[0][1] = "another record" })
 	for range 2 {
-		p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 5, Want: 4}).(*z3950.PresentResponse)
-		if len(p.Records.All) > 0 || p.Records.Fault == nil || p.Records.Fault.Code != setGone {
+		p := c.exchange(&z3950.PresentRequest{ResultSet: "a", Start: 5, Want: 4}).(*z3950.PresentResponse)
+		if len(p.Records.All) > 0 || p.Records.Fault == nil || p.Records.Fault.Code != resultSetDeleted {
 			t.Errorf("%+v, %+v", p, p.Records.Fault)
 		}
 	}
-	if r := c.say(search(t, "a", "cat")).(*z3950.SearchResponse); !r.OK {
+	if r := c.exchange(searchRequest(t, "a", "cat")).(*z3950.SearchResponse); !r.OK {
 		t.Errorf("the search again: %+v", r)
 	}
 	b.Set(func(b *archive.Broker) { b.Missing = 2 }) // a node dies that holds a part of the set
-	if p := c.say(&z3950.PresentRequest{ResultSet: "a", Start: 5, Want: 4}).(*z3950.PresentResponse); p.Records.Fault == nil || p.Records.Fault.Code != setGone {
+	if p := c.exchange(&z3950.PresentRequest{ResultSet: "a", Start: 5, Want: 4}).(*z3950.PresentResponse); p.Records.Fault == nil || p.Records.Fault.Code != resultSetDeleted {
 		t.Errorf("%+v", p)
 	}
 }
 
 // Messages in a row are answered in a row, each with its reference; records that do not fit a message are left for the next.
-func TestManyAtOnceAndLargeRecords(t *testing.T) {
+func TestPipelinedRequestsAndLargeRecords(t *testing.T) {
 	b := archive.New(archive.Plain)
 	b.Store[0][0] = string(make([]byte, 3000))
-	f := started(t, b, options())
-	c := dial(t, f, &z3950.InitRequest{Version3: true, Search: true, Preferred: 2000, Most: 2500})
+	f := startFront(t, b, testOptions())
+	c := dial(t, f, &z3950.InitRequest{Version3: true, Search: true, PreferredMessageSize: 2000, ExceptionalRecordSize: 2500})
 	for i := range 5 {
-		c.Write(z3950.Encode(search(t, fmt.Sprint("s", i%3), "cat")))
+		c.Write(z3950.Encode(searchRequest(t, fmt.Sprint("s", i%3), "cat")))
 	}
 	for i := range 5 {
-		if r, is := c.hear().(*z3950.SearchResponse); !is || string(r.Reference) != fmt.Sprint("s", i%3) || r.Count != 30 {
+		if r, is := c.receive().(*z3950.SearchResponse); !is || string(r.ReferenceID) != fmt.Sprint("s", i%3) || r.Count != 30 {
 			t.Errorf("answer %d: %+v", i, r)
 		}
 	}
-	p := c.say(&z3950.PresentRequest{ResultSet: "s0", Start: 1, Want: 30}).(*z3950.PresentResponse)
-	if p.Status != z3950.Partial2 || p.Returned < 2 || p.Returned == 30 || p.Records.All[0].Fault == nil || p.Records.All[0].Fault.Code != tooLarge || p.Next != p.Returned+1 {
+	p := c.exchange(&z3950.PresentRequest{ResultSet: "s0", Start: 1, Want: 30}).(*z3950.PresentResponse)
+	if p.Status != z3950.Partial2 || p.Returned < 2 || p.Returned == 30 || p.Records.All[0].Fault == nil || p.Records.All[0].Fault.Code != recordTooLarge || p.NextPosition != p.Returned+1 {
 		t.Errorf("%+v", p)
 	}
 	size := len(z3950.Encode(p))
--- a/internal/protocols/front/z3950/session.go
+++ b/internal/protocols/front/z3950/session.go
@@ -13,28 +13,28 @@
 	"flaxfront/internal/protocols/z3950"
 )
 
-// converse is a session's life: init, then one operation after the other. Clients that send several at once get their answers in
+// serve is a session's life: init, then one operation after the other. Clients that send several at once get their answers in
 // order, each with its own reference.
-func (s *session) converse(ctx context.Context) (reason string) {
+func (s *session) serve(ctx context.Context) (reason string) {
 	for {
-		within := s.f.o.Idle
-		if s.ops == 0 {
-			within = initWithin
+		timeout := s.f.o.Idle
+		if s.operations == 0 {
+			timeout = initTimeout
 		}
-		s.SetReadDeadline(time.Now().Add(within))
-		if s.turn(false) {
+		s.SetReadDeadline(time.Now().Add(timeout))
+		if s.setBusy(false) {
 			s.write(&z3950.Close{Reason: 1, Text: "the broker stops"})
 			return "drained"
 		}
-		_, err := s.in.Peek(1)
-		if err == nil && s.ops > 0 {
-			s.SetReadDeadline(time.Now().Add(wholeWithin))
+		_, err := s.reader.Peek(1)
+		if err == nil && s.operations > 0 {
+			s.SetReadDeadline(time.Now().Add(messageTimeout))
 		}
 		var m z3950.Message
 		if err == nil {
-			m, err = z3950.Read(s.in)
+			m, err = z3950.Read(s.reader)
 		}
-		ending := s.turn(true)
+		ending := s.setBusy(true)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && ending:
 			s.write(&z3950.Close{Reason: 1, Text: "the broker stops"})
@@ -45,23 +45,23 @@
 		case errors.Is(err, io.EOF):
 			return "client_closed"
 		case errors.Is(err, z3950.ErrProtocol):
-			s.write(&z3950.Close{Reason: 6, Text: text(err)})
+			s.write(&z3950.Close{Reason: 6, Text: errorText(err)})
 			return "bad_message"
 		case err != nil:
 			return "client_reset"
 		}
 		var answer z3950.Message
-		_, opens := m.(*z3950.InitRequest)
+		_, isInit := m.(*z3950.InitRequest)
 		switch {
-		case opens != (s.ops == 0):
+		case isInit != (s.operations == 0):
 			s.write(&z3950.Close{Reason: 6, Text: "init comes first, and once"})
 			return "bad_message"
 		default:
-			if answer, err = s.operate(ctx, m); err != nil {
+			if answer, err = s.handle(ctx, m); err != nil {
 				return "client_left"
 			}
 		}
-		s.ops++
+		s.operations++
 		if answer == nil {
 			return "closed"
 		}
@@ -77,31 +77,31 @@
 	}
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	t := err.Error()
 	return t[:min(len(t), 200)]
 }
 
 func (s *session) write(m z3950.Message) error {
-	s.SetWriteDeadline(time.Now().Add(writeWithin))
+	s.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := s.Write(z3950.Encode(m))
 	return err
 }
 
-// operate answers one message; nil: the session is over.
-func (s *session) operate(ctx context.Context, m z3950.Message) (z3950.Message, error) {
+// handle answers one message; nil: the session is over.
+func (s *session) handle(ctx context.Context, m z3950.Message) (z3950.Message, error) {
 	switch m := m.(type) {
 	case *z3950.InitRequest:
-		s.most, s.record = clamp(m.Preferred), clamp(m.Most)
+		s.messageSize, s.recordSize = clampMessageSize(m.PreferredMessageSize), clampMessageSize(m.ExceptionalRecordSize)
 		return &z3950.InitResponse{InitRequest: z3950.InitRequest{Common: m.Common, Version3: m.Version3, Search: true, Present: true,
-			Delete: m.Delete, NamedResultSets: m.NamedResultSets, Preferred: s.most, Most: s.record, ID: "flaxfront", Name: "flaxfront"},
+			Delete: m.Delete, NamedResultSets: m.NamedResultSets, PreferredMessageSize: s.messageSize, ExceptionalRecordSize: s.recordSize, ImplementationID: "flaxfront", ImplementationName: "flaxfront"},
 			Accepted: true}, nil
 	case *z3950.SearchRequest:
 		return s.search(ctx, m)
 	case *z3950.PresentRequest:
 		return s.present(ctx, m)
 	case *z3950.DeleteRequest:
-		return s.remove(m), nil
+		return s.deleteSets(m), nil
 	case *z3950.Close:
 		s.write(&z3950.Close{Common: m.Common})
 		return nil, nil
@@ -109,4 +109,4 @@
 	return &z3950.Close{Reason: 6, Text: "a client asks, it does not answer"}, nil
 }
 
-func clamp(n int) int { return max(leastBytes, min(n, z3950.MaxPDU)) }
+func clampMessageSize(n int) int { return max(minMessageBytes, min(n, z3950.MaxPDU)) }
--- a/internal/protocols/query/cql.go
+++ b/internal/protocols/query/cql.go
@@ -7,9 +7,9 @@
 	"unicode/utf8"
 )
 
-type cql struct {
+type cqlParser struct {
 	text  string
-	at    int
+	pos   int
 	tok   token
 	nodes int
 	depth int
@@ -19,27 +19,27 @@
 // ParseCQL reads a query of CQL.
 func ParseCQL(text string) (*Query, error) {
 	if len(text) > MaxText {
-		return nil, tooMany.with(-1, "%d bytes, %d at most", len(text), MaxText)
+		return nil, tooComplex.withDetails(-1, "%d bytes, %d at most", len(text), MaxText)
 	}
 	if !utf8.ValidString(text) {
-		return nil, syntax.with(-1, "not UTF-8")
+		return nil, syntaxError.withDetails(-1, "not UTF-8")
 	}
-	p := &cql{text: text}
+	p := &cqlParser{text: text}
 	p.next()
 	q := &Query{}
-	for p.err == nil && p.is(">") {
-		q.Prefixes = append(q.Prefixes, p.prefix())
+	for p.err == nil && p.isSymbol(">") {
+		q.Prefixes = append(q.Prefixes, p.parsePrefix())
 		if len(q.Prefixes) > MaxDepth {
-			p.fail(tooMany, "more than %d prefixes", MaxDepth)
+			p.fail(tooComplex, "more than %d prefixes", MaxDepth)
 		}
 	}
-	q.Root = p.clauses()
-	if p.err == nil && p.keyword("sortby") {
+	q.Root = p.parseExpression()
+	if p.err == nil && p.isKeyword("sortby") {
 		p.next()
-		q.Sort = p.keys()
+		q.Sort = p.parseSortKeys()
 	}
-	if p.err == nil && p.tok.kind != end {
-		p.fail(syntax, "%.40q is not expected here", p.tok.text)
+	if p.err == nil && p.tok.kind != tokenEnd {
+		p.fail(syntaxError, "%.40q is not expected here", p.tok.text)
 	}
 	if p.err != nil {
 		return nil, p.err
@@ -47,45 +47,47 @@
 	return q, nil
 }
 
-func (p *cql) fail(f Fault, format string, args ...any) {
+func (p *cqlParser) fail(f Fault, format string, args ...any) {
 	if p.err == nil {
-		p.err = f.with(p.tok.at, format, args...)
+		p.err = f.withDetails(p.tok.pos, format, args...)
 	}
-	p.tok = token{kind: end, at: p.at}
-	p.at = len(p.text)
+	p.tok = token{kind: tokenEnd, pos: p.pos}
+	p.pos = len(p.text)
 }
 
-func (p *cql) is(sym string) bool { return p.tok.kind == symbol && p.tok.text == sym }
+func (p *cqlParser) isSymbol(sym string) bool { return p.tok.kind == tokenSymbol && p.tok.text == sym }
 
-func (p *cql) keyword(name string) bool { return p.tok.kind == word && equalFold(p.tok.text, name) }
+func (p *cqlParser) isKeyword(name string) bool {
+	return p.tok.kind == tokenWord && equalFold(p.tok.text, name)
+}
 
-func (p *cql) boolean() (Op, bool) {
+func (p *cqlParser) booleanOperator() (Op, bool) {
 	for op := And; op <= Prox; op++ {
-		if p.keyword(op.String()) {
+		if p.isKeyword(op.String()) {
 			return op, true
 		}
 	}
 	return 0, false
 }
 
-// reserved tells whether a word can't stand for a term or a name without quotes.
-func (p *cql) reserved() bool {
-	_, boolean := p.boolean()
-	return boolean || p.keyword("sortby")
+// isReserved tells whether a word can't stand for a term or a name without quotes.
+func (p *cqlParser) isReserved() bool {
+	_, booleanOperator := p.booleanOperator()
+	return booleanOperator || p.isKeyword("sortby")
 }
 
-// prefix reads > [name =] uri.
-func (p *cql) prefix() (x Prefix) {
+// parsePrefix reads > [name =] uri.
+func (p *cqlParser) parsePrefix() (x Prefix) {
 	p.next()
-	if p.tok.kind != word && p.tok.kind != quoted {
-		p.fail(syntax, "a prefix needs a name")
+	if p.tok.kind != tokenWord && p.tok.kind != tokenQuoted {
+		p.fail(syntaxError, "a prefix needs a name")
 		return x
 	}
 	x.URI = p.tok.text
-	if p.next(); p.is("=") {
+	if p.next(); p.isSymbol("=") {
 		p.next()
-		if p.tok.kind != word && p.tok.kind != quoted {
-			p.fail(syntax, "a prefix needs what it stands for")
+		if p.tok.kind != tokenWord && p.tok.kind != tokenQuoted {
+			p.fail(syntaxError, "a prefix needs what it stands for")
 			return x
 		}
 		x.Name, x.URI = x.URI, p.tok.text
@@ -94,64 +96,64 @@
 	return x
 }
 
-// clauses reads clauses joined by booleans, which bind to the left and all alike.
-func (p *cql) clauses() *Node {
+// parseExpression reads clauses joined by booleans, which bind to the left and all alike.
+func (p *cqlParser) parseExpression() *Node {
 	if p.depth++; p.depth > MaxDepth {
-		p.fail(tooMany, "nested more than %d deep", MaxDepth)
+		p.fail(tooComplex, "nested more than %d deep", MaxDepth)
 		return nil
 	}
 	defer func() { p.depth-- }()
-	left := p.clause()
+	left := p.parseClause()
 	for p.err == nil {
-		op, ok := p.boolean()
+		op, ok := p.booleanOperator()
 		if !ok {
 			break
 		}
 		p.next()
-		n := &Node{Op: op, Left: left, Modifiers: p.modifiers()}
-		n.Right = p.clause()
-		left = p.count(n)
+		n := &Node{Op: op, Left: left, Modifiers: p.parseModifiers()}
+		n.Right = p.parseClause()
+		left = p.countNode(n)
 	}
 	return left
 }
 
-func (p *cql) count(n *Node) *Node {
+func (p *cqlParser) countNode(n *Node) *Node {
 	if p.nodes++; p.nodes > MaxNodes {
-		p.fail(tooMany, "more than %d clauses and booleans", MaxNodes)
+		p.fail(tooComplex, "more than %d clauses and booleans", MaxNodes)
 	}
 	return n
 }
 
-func (p *cql) clause() *Node {
-	if p.is("(") {
+func (p *cqlParser) parseClause() *Node {
+	if p.isSymbol("(") {
 		p.next()
-		n := p.clauses()
-		if p.err == nil && !p.is(")") {
-			p.fail(syntax, "a bracket is not closed")
+		n := p.parseExpression()
+		if p.err == nil && !p.isSymbol(")") {
+			p.fail(syntaxError, "a bracket is not closed")
 			return nil
 		}
 		p.next()
 		return n
 	}
-	if p.err != nil || p.tok.kind != quoted && (p.tok.kind != word || p.reserved()) {
-		p.fail(syntax, "a term is wanted, not %.40q", p.tok.text)
+	if p.err != nil || p.tok.kind != tokenQuoted && (p.tok.kind != tokenWord || p.isReserved()) {
+		p.fail(syntaxError, "a term is wanted, not %.40q", p.tok.text)
 		return nil
 	}
 	first := p.tok
 	p.next()
-	comparison := p.tok.kind == symbol && strings.ContainsAny(p.tok.text, "=<>")
-	named := p.tok.kind == word && !p.reserved() // a second word can only be a relation
-	if !comparison && !named {
-		return p.count(&Node{Term: first.text})
+	comparison := p.tok.kind == tokenSymbol && strings.ContainsAny(p.tok.text, "=<>")
+	namedRelation := p.tok.kind == tokenWord && !p.isReserved() // a second word can only be a relation
+	if !comparison && !namedRelation {
+		return p.countNode(&Node{Term: first.text})
 	}
 	n := &Node{Index: first.text, Relation: p.tok.text}
-	if named {
+	if namedRelation {
 		n.Relation = strings.ToLower(n.Relation)
 	}
 	p.next()
-	n.Modifiers = p.modifiers()
-	if p.tok.kind != word && p.tok.kind != quoted || p.reserved() {
-		p.fail(syntax, "%.40q %s what?", n.Index, n.Relation)
+	n.Modifiers = p.parseModifiers()
+	if p.tok.kind != tokenWord && p.tok.kind != tokenQuoted || p.isReserved() {
+		p.fail(syntaxError, "%.40q %s what?", n.Index, n.Relation)
 		return nil
 	}
 	n.Term = p.tok.text
@@ -159,46 +161,46 @@
 		n.ResultSet, n.Index, n.Relation, n.Term = n.Term, "", "", ""
 	}
 	p.next()
-	return p.count(n)
+	return p.countNode(n)
 }
 
-// modifiers reads /name and /name comparison value, as many as there are.
-func (p *cql) modifiers() (all []Modifier) {
-	for p.err == nil && p.is("/") {
+// parseModifiers reads /name and /name comparison value, as many as there are.
+func (p *cqlParser) parseModifiers() (all []Modifier) {
+	for p.err == nil && p.isSymbol("/") {
 		p.next()
-		if p.tok.kind != word && p.tok.kind != quoted {
-			p.fail(syntax, "a modifier needs a name")
+		if p.tok.kind != tokenWord && p.tok.kind != tokenQuoted {
+			p.fail(syntaxError, "a modifier needs a name")
 			return nil
 		}
 		m := Modifier{Name: p.tok.text}
-		if p.next(); p.tok.kind == symbol && strings.ContainsAny(p.tok.text, "=<>") {
+		if p.next(); p.tok.kind == tokenSymbol && strings.ContainsAny(p.tok.text, "=<>") {
 			m.Comparison = p.tok.text
 			p.next()
-			if p.tok.kind != word && p.tok.kind != quoted {
-				p.fail(syntax, "modifier %.40q needs a value", m.Name)
+			if p.tok.kind != tokenWord && p.tok.kind != tokenQuoted {
+				p.fail(syntaxError, "modifier %.40q needs a value", m.Name)
 				return nil
 			}
 			m.Value = p.tok.text
 			p.next()
 		}
 		if all = append(all, m); len(all) > MaxDepth {
-			p.fail(tooMany, "more than %d modifiers", MaxDepth)
+			p.fail(tooComplex, "more than %d modifiers", MaxDepth)
 		}
 	}
 	return all
 }
 
-func (p *cql) keys() (all []Key) {
-	for p.err == nil && (p.tok.kind == word || p.tok.kind == quoted) {
-		k := Key{Index: p.tok.text}
+func (p *cqlParser) parseSortKeys() (all []SortKey) {
+	for p.err == nil && (p.tok.kind == tokenWord || p.tok.kind == tokenQuoted) {
+		k := SortKey{Index: p.tok.text}
 		p.next()
-		k.Modifiers = p.modifiers()
+		k.Modifiers = p.parseModifiers()
 		if all = append(all, k); len(all) > MaxDepth {
-			p.fail(tooMany, "more than %d keys to sort by", MaxDepth)
+			p.fail(tooComplex, "more than %d keys to sort by", MaxDepth)
 		}
 	}
 	if len(all) == 0 {
-		p.fail(syntax, "sortby what?")
+		p.fail(syntaxError, "sortby what?")
 	}
 	return all
 }
--- a/internal/protocols/query/cqlprint.go
+++ b/internal/protocols/query/cqlprint.go
@@ -12,29 +12,29 @@
 	for _, x := range q.Prefixes {
 		b.WriteString("> ")
 		if x.Name != "" {
-			quote(&b, x.Name)
+			writeWord(&b, x.Name)
 			b.WriteString(" = ")
 		}
-		quote(&b, x.URI)
+		writeWord(&b, x.URI)
 		b.WriteByte(' ')
 	}
-	q.Root.cql(&b, false)
+	q.Root.writeCQL(&b, false)
 	if len(q.Sort) > 0 {
 		b.WriteString(" sortby")
 		for _, k := range q.Sort {
 			b.WriteByte(' ')
-			quote(&b, k.Index)
-			modify(&b, k.Modifiers)
+			writeWord(&b, k.Index)
+			writeModifiers(&b, k.Modifiers)
 		}
 	}
 	return b.String()
 }
 
-func (n *Node) cql(b *strings.Builder, right bool) {
+func (n *Node) writeCQL(b *strings.Builder, right bool) {
 	switch {
 	case n.IsClause() && n.ResultSet != "":
 		b.WriteString("cql.resultSetId = ")
-		quote(b, n.ResultSet)
+		writeWord(b, n.ResultSet)
 	case n.IsClause():
 		if n.Index != "" || n.Relation != "" {
 			index, relation := n.Index, n.Relation
@@ -44,48 +44,48 @@
 			if relation == "" {
 				relation = "="
 			}
-			quote(b, index)
+			writeWord(b, index)
 			b.WriteString(" " + relation)
-			modify(b, n.Modifiers)
+			writeModifiers(b, n.Modifiers)
 			b.WriteByte(' ')
 		}
-		quote(b, n.Term)
+		writeWord(b, n.Term)
 	default:
 		if right {
 			b.WriteByte('(')
 		}
-		n.Left.cql(b, false)
+		n.Left.writeCQL(b, false)
 		b.WriteString(" " + n.Op.String())
-		modify(b, n.Modifiers)
+		writeModifiers(b, n.Modifiers)
 		b.WriteByte(' ')
-		n.Right.cql(b, true)
+		n.Right.writeCQL(b, true)
 		if right {
 			b.WriteByte(')')
 		}
 	}
 }
 
-func modify(b *strings.Builder, all []Modifier) {
+func writeModifiers(b *strings.Builder, all []Modifier) {
 	for _, m := range all {
 		b.WriteString(" /")
-		quote(b, m.Name)
+		writeWord(b, m.Name)
 		if m.Comparison != "" {
 			b.WriteString(" " + m.Comparison + " ")
-			quote(b, m.Value)
+			writeWord(b, m.Value)
 		}
 	}
 }
 
-// quote writes a word, in quotes where it needs them.
-func quote(b *strings.Builder, text string) {
-	bare := text != ""
+// writeWord writes a word, in quotes where it needs them.
+func writeWord(b *strings.Builder, text string) {
+	unquoted := text != ""
 	for i := range len(text) {
-		bare = bare && plain(text[i])
+		unquoted = unquoted && isUnquotedByte(text[i])
 	}
 	for _, k := range []string{"and", "or", "not", "prox", "sortby"} {
-		bare = bare && !equalFold(text, k)
+		unquoted = unquoted && !equalFold(text, k)
 	}
-	if bare {
+	if unquoted {
 		b.WriteString(text)
 		return
 	}
--- a/internal/protocols/query/cqltokens.go
+++ b/internal/protocols/query/cqltokens.go
@@ -10,67 +10,67 @@
 type tokenKind uint8
 
 const (
-	end    tokenKind = iota
-	word             // letters that need no quotes
-	quoted           // what stood between quotes, escapes kept but for \"
-	symbol           // ( ) / or a comparison
+	tokenEnd    tokenKind = iota
+	tokenWord             // letters that need no quotes
+	tokenQuoted           // what stood between quotes, escapes kept but for \"
+	tokenSymbol           // ( ) / or a comparison
 )
 
 type token struct {
 	kind tokenKind
 	text string
-	at   int
+	pos  int
 }
 
-func plain(c byte) bool {
+func isUnquotedByte(c byte) bool {
 	return !strings.ContainsRune(" \t\r\n()=<>\"/", rune(c))
 }
 
 // next reads a token.
-func (p *cql) next() {
-	for p.at < len(p.text) && strings.IndexByte(" \t\r\n", p.text[p.at]) >= 0 {
-		p.at++
+func (p *cqlParser) next() {
+	for p.pos < len(p.text) && strings.IndexByte(" \t\r\n", p.text[p.pos]) >= 0 {
+		p.pos++
 	}
-	p.tok = token{at: p.at}
-	if p.at == len(p.text) {
+	p.tok = token{pos: p.pos}
+	if p.pos == len(p.text) {
 		return
 	}
-	from := p.at
-	switch c := p.text[p.at]; {
+	start := p.pos
+	switch c := p.text[p.pos]; {
 	case c == '"':
 		var b strings.Builder
-		for p.at++; ; p.at++ {
-			if p.at >= len(p.text) {
-				p.tok.at = from
-				p.fail(syntax, "a quote is not closed")
+		for p.pos++; ; p.pos++ {
+			if p.pos >= len(p.text) {
+				p.tok.pos = start
+				p.fail(syntaxError, "a quote is not closed")
 				return
 			}
-			if p.text[p.at] == '"' {
-				p.at++
-				p.tok = token{quoted, b.String(), from}
+			if p.text[p.pos] == '"' {
+				p.pos++
+				p.tok = token{tokenQuoted, b.String(), start}
 				return
 			}
-			if p.text[p.at] == '\\' && p.at+1 < len(p.text) {
-				if p.text[p.at+1] != '"' { // others mean something to the term: \* is no mask
+			if p.text[p.pos] == '\\' && p.pos+1 < len(p.text) {
+				if p.text[p.pos+1] != '"' { // others mean something to the term: \* is no mask
 					b.WriteByte('\\')
 				}
-				p.at++
+				p.pos++
 			}
-			b.WriteByte(p.text[p.at])
+			b.WriteByte(p.text[p.pos])
 		}
 	case strings.IndexByte("()/", c) >= 0:
-		p.at++
-		p.tok = token{symbol, string(c), from}
+		p.pos++
+		p.tok = token{tokenSymbol, string(c), start}
 	case strings.IndexByte("=<>", c) >= 0:
-		p.at++
-		if p.at < len(p.text) && slices.Contains([]string{"==", "<=", ">=", "<>"}, p.text[from:p.at+1]) {
-			p.at++
+		p.pos++
+		if p.pos < len(p.text) && slices.Contains([]string{"==", "<=", ">=", "<>"}, p.text[start:p.pos+1]) {
+			p.pos++
 		}
-		p.tok = token{symbol, p.text[from:p.at], from}
+		p.tok = token{tokenSymbol, p.text[start:p.pos], start}
 	default:
-		for p.at < len(p.text) && plain(p.text[p.at]) {
-			p.at++
+		for p.pos < len(p.text) && isUnquotedByte(p.text[p.pos]) {
+			p.pos++
 		}
-		p.tok = token{word, p.text[from:p.at], from}
+		p.tok = token{tokenWord, p.text[start:p.pos], start}
 	}
 }
--- a/internal/protocols/query/fromrpn.go
+++ b/internal/protocols/query/fromrpn.go
@@ -10,32 +10,32 @@
 
 // Query translates a Type-1 query to CQL.
 func (r *RPN) Query() (*Query, error) {
-	root, err := r.node()
+	root, err := r.toNode()
 	return &Query{Root: root}, err
 }
 
-func (r *RPN) node() (*Node, error) {
+func (r *RPN) toNode() (*Node, error) {
 	if !r.IsOperand() {
 		n := &Node{Op: r.Op}
 		if r.Op == Prox {
 			if len(r.Proximity) != 6 || r.Proximity[0] != 0 || r.Proximity[4] != 1 || r.Proximity[5] < 1 || r.Proximity[5] > 8 {
-				return nil, badProximity.with(-1, "%v", r.Proximity)
+				return nil, badProximity.withDetails(-1, "%v", r.Proximity)
 			}
 			names := []string{"<", "<=", "=", ">=", ">", "<>"}
-			at := r.Proximity[3] - 1
-			if at < 0 || at >= len(names) {
-				return nil, badProximity.with(-1, "relation %d", r.Proximity[3])
+			row := r.Proximity[3] - 1
+			if row < 0 || row >= len(names) {
+				return nil, badProximity.withDetails(-1, "relation %d", r.Proximity[3])
 			}
 			order := "unordered"
 			if r.Proximity[2] == 1 {
 				order = "ordered"
 			}
-			n.Modifiers = []Modifier{{"distance", names[at], strconv.Itoa(r.Proximity[1])}, {order, "", ""},
+			n.Modifiers = []Modifier{{"distance", names[row], strconv.Itoa(r.Proximity[1])}, {order, "", ""},
 				{"unit", "=", []string{"", "character", "word", "sentence", "paragraph", "section", "chapter", "document", "element"}[r.Proximity[5]]}}
 		}
 		var err error
-		if n.Left, err = r.Left.node(); err == nil {
-			n.Right, err = r.Right.node()
+		if n.Left, err = r.Left.toNode(); err == nil {
+			n.Right, err = r.Right.toNode()
 		}
 		return n, err
 	}
@@ -45,37 +45,37 @@
 	n := &Node{Relation: "="}
 	for _, a := range r.Attributes {
 		if a.Set != "" && a.Set != Bib1 {
-			return nil, badSet.with(-1, "%.60s", a.Set)
+			return nil, badAttributeSet.withDetails(-1, "%.60s", a.Set)
 		}
 		if a.Text != "" || a.Type < Use || a.Type > Completeness {
-			return nil, badAttribute.with(-1, "%d=%d%.40s", a.Type, a.Value, a.Text)
+			return nil, badAttribute.withDetails(-1, "%d=%d%.40s", a.Type, a.Value, a.Text)
 		}
 	}
-	use := r.of(Use)
-	if r.of(Relation) == 103 || use == 1036 {
+	use := r.attributeValue(Use)
+	if r.attributeValue(Relation) == 103 || use == 1036 {
 		return &Node{Index: "cql.allRecords", Relation: "=", Term: "1"}, nil
 	}
-	at := slices.IndexFunc(uses, func(u struct {
+	row := slices.IndexFunc(useAttributes, func(u struct {
 		index string
 		use   int
 	}) bool {
 		return u.use == use || use == 0 && u.use == 1016
 	})
-	if at < 0 {
-		return nil, badIndex.with(-1, "use attribute %d", use)
+	if row < 0 {
+		return nil, badIndex.withDetails(-1, "use attribute %d", use)
 	}
-	n.Index = uses[at].index
-	switch relation := r.of(Relation); relation {
+	n.Index = useAttributes[row].index
+	switch relation := r.attributeValue(Relation); relation {
 	case 0, 3:
 	case 1, 2, 4, 5, 6:
 		n.Relation = []string{"", "<", "<=", "=", ">=", ">", "<>"}[relation]
 	case 100, 101, 102:
 		n.Modifiers = append(n.Modifiers, Modifier{Name: []string{"fuzzy", "stem", "relevant"}[relation-100]})
 	default:
-		return nil, badRelation.with(-1, "relation attribute %d", relation)
+		return nil, badRelation.withDetails(-1, "relation attribute %d", relation)
 	}
-	whole := r.of(Completeness) == 3 || r.of(Completeness) == 2
-	switch structure := r.of(Structure); {
+	whole := r.attributeValue(Completeness) == 3 || r.attributeValue(Completeness) == 2
+	switch structure := r.attributeValue(Structure); {
 	case structure == 0 || structure == 6:
 	case structure == 1 && whole:
 		n.Relation = "=="
@@ -88,13 +88,13 @@
 	case structure == 5 || structure == 4 || structure == 100:
 		n.Modifiers = append(n.Modifiers, Modifier{Name: "isoDate"})
 	default:
-		return nil, badModifier.with(-1, "structure attribute %d", structure)
+		return nil, badModifier.withDetails(-1, "structure attribute %d", structure)
 	}
-	if position := r.of(Position); position > 1 && position != 3 || position == 1 && !whole {
-		return nil, Fault{10, 119, "", -1}.with(-1, "position attribute %d", position)
+	if position := r.attributeValue(Position); position > 1 && position != 3 || position == 1 && !whole {
+		return nil, Fault{10, 119, "", -1}.withDetails(-1, "position attribute %d", position)
 	}
-	n.Term = mask(r.Term)
-	switch truncation := r.of(Truncation); truncation {
+	n.Term = escapeTerm(r.Term)
+	switch truncation := r.attributeValue(Truncation); truncation {
 	case 0, 100:
 	case 1:
 		n.Term += "*"
@@ -103,16 +103,16 @@
 	case 3:
 		n.Term = "*" + n.Term + "*"
 	default:
-		return nil, badMask.with(-1, "truncation attribute %d", truncation)
+		return nil, badMaskingCharacter.withDetails(-1, "truncation attribute %d", truncation)
 	}
 	if r.Term == "" {
-		return nil, emptyTerm.with(-1, "%s", n.Index)
+		return nil, emptyTerm.withDetails(-1, "%s", n.Index)
 	}
 	return n, nil
 }
 
-// mask has the characters that mean something in a term of CQL mean themselves.
-func mask(term string) string {
+// escapeTerm has the characters that mean something in a term of CQL mean themselves.
+func escapeTerm(term string) string {
 	var b strings.Builder
 	for i := range len(term) {
 		if strings.IndexByte(`\*?^`, term[i]) >= 0 {
@@ -125,7 +125,7 @@
 
 // Indexes are the ones that have a use attribute.
 func Indexes() (all []string) {
-	for _, u := range uses {
+	for _, u := range useAttributes {
 		all = append(all, u.index)
 	}
 	return all
--- a/internal/protocols/query/query.go
+++ b/internal/protocols/query/query.go
@@ -54,8 +54,8 @@
 // IsClause tells clauses from booleans.
 func (n *Node) IsClause() bool { return n.Left == nil }
 
-// Key is one key to sort by.
-type Key struct {
+// SortKey is one key to sort by.
+type SortKey struct {
 	Index     string
 	Modifiers []Modifier
 }
@@ -64,7 +64,7 @@
 type Query struct {
 	Prefixes []Prefix
 	Root     *Node
-	Sort     []Key
+	Sort     []SortKey
 }
 
 // Prefix names a context set.
@@ -74,34 +74,34 @@
 type Fault struct {
 	SRU, Bib1 int
 	Details   string // what of the query is at fault
-	At        int    // its place in the text; -1: none
+	Pos       int    // its place in the text; -1: none
 }
 
 // Diagnostics that queries can earn.
 var (
-	syntax       = Fault{10, 108, "", -1} // query syntax error; malformed query
-	tooMany      = Fault{38, 0, "", -1}   // too many boolean operators
-	badIndex     = Fault{16, 114, "", -1} // unsupported index; unsupported use attribute
-	badRelation  = Fault{19, 117, "", -1} // unsupported relation; unsupported relation attribute
-	badModifier  = Fault{20, 118, "", -1} // unsupported relation modifier; unsupported structure attribute
-	badBoolean   = Fault{37, 110, "", -1} // unsupported boolean operator; operator unsupported
-	badProximity = Fault{39, 129, "", -1} // proximity not supported; unsupported proximity
-	badMask      = Fault{28, 120, "", -1} // masking character not supported; unsupported truncation attribute
-	emptyTerm    = Fault{27, 125, "", -1} // empty term unsupported; malformed search term
-	badSort      = Fault{80, 207, "", -1} // sort not supported; cannot sort according to sequence
-	noSet        = Fault{50, 128, "", -1} // result sets not supported; illegal result set name
-	badAttribute = Fault{10, 113, "", -1} // unsupported attribute type
-	badSet       = Fault{10, 121, "", -1} // unsupported attribute set
+	syntaxError         = Fault{10, 108, "", -1} // query syntax error; malformed query
+	tooComplex          = Fault{38, 0, "", -1}   // too many boolean operators
+	badIndex            = Fault{16, 114, "", -1} // unsupported index; unsupported use attribute
+	badRelation         = Fault{19, 117, "", -1} // unsupported relation; unsupported relation attribute
+	badModifier         = Fault{20, 118, "", -1} // unsupported relation modifier; unsupported structure attribute
+	badBoolean          = Fault{37, 110, "", -1} // unsupported boolean operator; operator unsupported
+	badProximity        = Fault{39, 129, "", -1} // proximity not supported; unsupported proximity
+	badMaskingCharacter = Fault{28, 120, "", -1} // masking character not supported; unsupported truncation attribute
+	emptyTerm           = Fault{27, 125, "", -1} // empty term unsupported; malformed search term
+	badSort             = Fault{80, 207, "", -1} // sort not supported; cannot sort according to sequence
+	badResultSet        = Fault{50, 128, "", -1} // result sets not supported; illegal result set name
+	badAttribute        = Fault{10, 113, "", -1} // unsupported attribute type
+	badAttributeSet     = Fault{10, 121, "", -1} // unsupported attribute set
 )
 
-func (f Fault) with(at int, format string, args ...any) *Fault {
-	f.At, f.Details = at, fmt.Sprintf(format, args...)
+func (f Fault) withDetails(at int, format string, args ...any) *Fault {
+	f.Pos, f.Details = at, fmt.Sprintf(format, args...)
 	return &f
 }
 
 func (f *Fault) Error() string {
-	if f.At >= 0 {
-		return fmt.Sprintf("query, at byte %d: %s (diagnostic %d)", f.At, f.Details, f.SRU)
+	if f.Pos >= 0 {
+		return fmt.Sprintf("query, at byte %d: %s (diagnostic %d)", f.Pos, f.Details, f.SRU)
 	}
 	return fmt.Sprintf("query: %s (diagnostic %d)", f.Details, f.SRU)
 }
--- a/internal/protocols/query/query_test.go
+++ b/internal/protocols/query/query_test.go
@@ -93,7 +93,7 @@
 }
 
 // What can't be carried over has its diagnostic in both protocols, and names what it is about.
-func TestNotCarriedOver(t *testing.T) {
+func TestUntranslatable(t *testing.T) {
 	for text, code := range map[string]int{"foo.bar = x": 114, "dc.title within x": 117, "dc.title =/odd x": 118, "a and/rel.x b": 110,
 		"dc.title = a?b": 120, "dc.title = a*b": 120, `dc.title = ""`: 125, "a sortby dc.title": 207, "a prox/unit=mile b": 129} {
 		q, err := ParseCQL(text)
@@ -124,14 +124,14 @@
 	}
 }
 
-// drawn makes a query of any shape.
-func drawn(t *rapid.T, depth int) *Node {
+// drawNode makes a query of any shape.
+func drawNode(t *rapid.T, depth int) *Node {
 	if depth > 0 && rapid.Bool().Draw(t, "boolean") {
-		return &Node{Op: Op(rapid.IntRange(0, 2).Draw(t, "op")), Left: drawn(t, depth-1), Right: drawn(t, depth-1)}
+		return &Node{Op: Op(rapid.IntRange(0, 2).Draw(t, "op")), Left: drawNode(t, depth-1), Right: drawNode(t, depth-1)}
 	}
 	n := &Node{Term: rapid.StringMatching(`[a-zA-Z0-9 "()=<>/é.*-]{0,12}`).Draw(t, "term")}
 	if rapid.Bool().Draw(t, "indexed") {
-		n.Index, n.Relation = uses[rapid.IntRange(0, len(uses)-1).Draw(t, "index")].index, rapid.SampledFrom([]string{"=", "==", "<", "any", "all", "adj"}).Draw(t, "relation")
+		n.Index, n.Relation = useAttributes[rapid.IntRange(0, len(useAttributes)-1).Draw(t, "index")].index, rapid.SampledFrom([]string{"=", "==", "<", "any", "all", "adj"}).Draw(t, "relation")
 		if rapid.Bool().Draw(t, "modified") {
 			n.Modifiers = []Modifier{{Name: "stem"}, {Name: "x", Comparison: "<=", Value: "a b"}}
 		}
@@ -140,9 +140,9 @@
 }
 
 // Whatever query there is, what is printed reads as the same one.
-func TestPrintedReadsBack(t *testing.T) {
+func TestPrintedQueryParsesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := &Query{Root: drawn(t, 4)}
+		q := &Query{Root: drawNode(t, 4)}
 		text := q.CQL()
 		again, err := ParseCQL(text)
 		if err != nil || again.CQL() != text {
--- a/internal/protocols/query/rpn.go
+++ b/internal/protocols/query/rpn.go
@@ -38,28 +38,28 @@
 // IsOperand tells operands from operators.
 func (r *RPN) IsOperand() bool { return r.Left == nil }
 
-// inherit gives an attribute to all operands below that have none of its type.
-func (r *RPN) inherit(a Attribute) error {
+// addAttribute gives an attribute to all operands below that have none of its type.
+func (r *RPN) addAttribute(a Attribute) error {
 	if !r.IsOperand() {
-		if err := r.Left.inherit(a); err != nil {
+		if err := r.Left.addAttribute(a); err != nil {
 			return err
 		}
-		return r.Right.inherit(a)
+		return r.Right.addAttribute(a)
 	}
-	for _, has := range r.Attributes {
-		if has.Type == a.Type && has.Set == a.Set {
+	for _, present := range r.Attributes {
+		if present.Type == a.Type && present.Set == a.Set {
 			return nil
 		}
 	}
 	if len(r.Attributes) >= MaxDepth {
-		return badAttribute.with(-1, "more than %d attributes of one term", MaxDepth)
+		return badAttribute.withDetails(-1, "more than %d attributes of one term", MaxDepth)
 	}
 	r.Attributes = append([]Attribute{a}, r.Attributes...)
 	return nil
 }
 
-// of is the value of an attribute of Bib-1; 0: it has none.
-func (r *RPN) of(kind int) int {
+// attributeValue is the value of an attribute of Bib-1; 0: it has none.
+func (r *RPN) attributeValue(kind int) int {
 	for _, a := range r.Attributes {
 		if a.Type == kind && (a.Set == "" || a.Set == Bib1) {
 			return a.Value
--- a/internal/protocols/query/translate.go
+++ b/internal/protocols/query/translate.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// uses maps indexes to use attributes; of several indexes of one attribute the first is printed.
-var uses = []struct {
+// useAttributes maps indexes to use attributes; of several indexes of one attribute the first is printed.
+var useAttributes = []struct {
 	index string
 	use   int
 }{
@@ -20,11 +20,11 @@
 	{"bath.conferenceName", 3}, {"bath.uniformTitle", 6}, {"bath.keyTitle", 33}, {"bath.name", 1002}, {"bath.notes", 63},
 }
 
-func useOf(index string) int {
+func useAttribute(index string) int {
 	if index == "" {
 		index = "cql.serverChoice"
 	}
-	for _, u := range uses {
+	for _, u := range useAttributes {
 		if equalFold(u.index, index) || !strings.Contains(index, ".") && equalFold(u.index, "dc."+index) {
 			return u.use
 		}
@@ -32,29 +32,29 @@
 	return 0
 }
 
-var comparisons = map[string]int{"<": 1, "<=": 2, "=": 3, ">=": 4, ">": 5, "<>": 6}
+var relationAttributes = map[string]int{"<": 1, "<=": 2, "=": 3, ">=": 4, ">": 5, "<>": 6}
 
 // RPN translates a query to Type-1.
 func (q *Query) RPN() (*RPN, error) {
 	if len(q.Sort) > 0 {
-		return nil, badSort.with(-1, "sortby %.40q: Type-1 has no order; Z39.50 sorts result sets", q.Sort[0].Index)
+		return nil, badSort.withDetails(-1, "sortby %.40q: Type-1 has no order; Z39.50 sorts result sets", q.Sort[0].Index)
 	}
-	return q.Root.rpn()
+	return q.Root.toRPN()
 }
 
-func (n *Node) rpn() (*RPN, error) {
+func (n *Node) toRPN() (*RPN, error) {
 	if !n.IsClause() {
 		if n.Op == Prox {
-			return n.prox()
+			return n.proxToRPN()
 		}
 		if len(n.Modifiers) > 0 {
-			return nil, badBoolean.with(-1, "%s/%.40s", n.Op, n.Modifiers[0].Name)
+			return nil, badBoolean.withDetails(-1, "%s/%.40s", n.Op, n.Modifiers[0].Name)
 		}
-		left, err := n.Left.rpn()
+		left, err := n.Left.toRPN()
 		if err != nil {
 			return nil, err
 		}
-		right, err := n.Right.rpn()
+		right, err := n.Right.toRPN()
 		return &RPN{Op: n.Op, Left: left, Right: right}, err
 	}
 	if n.ResultSet != "" {
@@ -63,9 +63,9 @@
 	if equalFold(n.Index, "cql.allRecords") {
 		return &RPN{Attributes: []Attribute{{Type: Use, Value: 1036}, {Type: Relation, Value: 103}}, Term: "1"}, nil
 	}
-	use := useOf(n.Index)
+	use := useAttribute(n.Index)
 	if use == 0 {
-		return nil, badIndex.with(-1, "%.60s", n.Index)
+		return nil, badIndex.withDetails(-1, "%.60s", n.Index)
 	}
 	r := &RPN{Attributes: []Attribute{{Type: Use, Value: use}}}
 	add := func(kind, value int) { r.Attributes = append(r.Attributes, Attribute{Type: kind, Value: value}) }
@@ -86,35 +86,35 @@
 		add(Structure, 1)
 	case "any", "all":
 		if len(words) > 1 {
-			return n.spread(words, map[string]Op{"any": Or, "all": And}[relation])
+			return n.expandWords(words, map[string]Op{"any": Or, "all": And}[relation])
 		}
 		add(Relation, 3)
 	default:
-		value := comparisons[relation]
+		value := relationAttributes[relation]
 		if value == 0 {
-			return nil, badRelation.with(-1, "%.40s", relation)
+			return nil, badRelation.withDetails(-1, "%.40s", relation)
 		}
 		add(Relation, value)
 	}
 	for _, m := range n.Modifiers {
 		switch strings.ToLower(m.Name) {
 		case "relevant", "rel.relevant":
-			r.set(Relation, 102)
+			r.setAttribute(Relation, 102)
 		case "stem", "cql.stem":
-			r.set(Relation, 101)
+			r.setAttribute(Relation, 101)
 		case "phonetic", "fuzzy", "cql.fuzzy":
-			r.set(Relation, 100)
+			r.setAttribute(Relation, 100)
 		case "word", "cql.word":
-			r.set(Structure, 2)
+			r.setAttribute(Structure, 2)
 		case "string", "cql.string":
-			r.set(Structure, 108)
+			r.setAttribute(Structure, 108)
 		case "isodate", "cql.isodate":
-			r.set(Structure, 5)
+			r.setAttribute(Structure, 5)
 		default:
-			return nil, badModifier.with(-1, "%.40s", m.Name)
+			return nil, badModifier.withDetails(-1, "%.40s", m.Name)
 		}
 	}
-	term, truncation, err := unmask(n.Term)
+	term, truncation, err := parseMasks(n.Term)
 	if err != nil {
 		return nil, err
 	}
@@ -122,12 +122,12 @@
 		add(Truncation, truncation)
 	}
 	if term == "" {
-		return nil, emptyTerm.with(-1, "%.40s", n.Index)
+		return nil, emptyTerm.withDetails(-1, "%.40s", n.Index)
 	}
 	return r, nil
 }
 
-func (r *RPN) set(kind, value int) {
+func (r *RPN) setAttribute(kind, value int) {
 	for i := range r.Attributes {
 		if r.Attributes[i].Type == kind {
 			r.Attributes[i].Value = value
@@ -137,25 +137,25 @@
 	r.Attributes = append(r.Attributes, Attribute{Type: kind, Value: value})
 }
 
-// spread makes one clause of each word: any and all have no attribute.
-func (n *Node) spread(words []string, op Op) (*RPN, error) {
+// expandWords makes one clause of each word: any and all have no attribute.
+func (n *Node) expandWords(words []string, op Op) (*RPN, error) {
 	var all *RPN
 	for _, w := range words {
-		one, err := (&Node{Index: n.Index, Relation: "=", Term: w, Modifiers: n.Modifiers}).rpn()
+		clause, err := (&Node{Index: n.Index, Relation: "=", Term: w, Modifiers: n.Modifiers}).toRPN()
 		if err != nil {
 			return nil, err
 		}
 		if all == nil {
-			all = one
+			all = clause
 		} else {
-			all = &RPN{Op: op, Left: all, Right: one}
+			all = &RPN{Op: op, Left: all, Right: clause}
 		}
 	}
 	return all, nil
 }
 
-// unmask turns masks into truncation: * at an end, nowhere else, and no ? at all.
-func unmask(term string) (plain string, truncation int, err error) {
+// parseMasks turns masks into truncation: * at an end, nowhere else, and no ? at all.
+func parseMasks(term string) (plain string, truncation int, err error) {
 	var b strings.Builder
 	for i := 0; i < len(term); i++ {
 		switch c := term[i]; {
@@ -167,7 +167,7 @@
 		case c == '*' && i == len(term)-1:
 			truncation |= 1
 		case c == '*' || c == '?' || c == '^':
-			return "", 0, badMask.with(-1, "%c in %.40q", c, term)
+			return "", 0, badMaskingCharacter.withDetails(-1, "%c in %.40q", c, term)
 		default:
 			b.WriteByte(c)
 		}
@@ -175,41 +175,41 @@
 	return b.String(), truncation, nil
 }
 
-func (n *Node) prox() (*RPN, error) {
-	p := []int{0, 1, 0, 2, 1, 2} // within one word, in any order
+func (n *Node) proxToRPN() (*RPN, error) {
+	proximity := []int{0, 1, 0, 2, 1, 2} // within one word, in any order
 	for _, m := range n.Modifiers {
 		switch strings.ToLower(m.Name) {
 		case "distance":
 			d := 0
 			for _, c := range m.Value {
 				if c < '0' || c > '9' || d > 1000 {
-					return nil, badProximity.with(-1, "distance %.20q", m.Value)
+					return nil, badProximity.withDetails(-1, "distance %.20q", m.Value)
 				}
 				d = 10*d + int(c-'0')
 			}
-			relation := comparisons[m.Comparison]
+			relation := relationAttributes[m.Comparison]
 			if relation == 0 || m.Value == "" {
-				return nil, badProximity.with(-1, "distance %s %.20q", m.Comparison, m.Value)
+				return nil, badProximity.withDetails(-1, "distance %s %.20q", m.Comparison, m.Value)
 			}
-			p[1], p[3] = d, relation
+			proximity[1], proximity[3] = d, relation
 		case "ordered":
-			p[2] = 1
+			proximity[2] = 1
 		case "unordered":
-			p[2] = 0
+			proximity[2] = 0
 		case "unit":
 			unit := slices.Index([]string{"", "character", "word", "sentence", "paragraph", "section", "chapter", "document", "element"}, m.Value)
 			if unit < 1 {
-				return nil, badProximity.with(-1, "unit %.40q", m.Value)
+				return nil, badProximity.withDetails(-1, "unit %.40q", m.Value)
 			}
-			p[5] = unit
+			proximity[5] = unit
 		default:
-			return nil, badProximity.with(-1, "modifier %.40q", m.Name)
+			return nil, badProximity.withDetails(-1, "modifier %.40q", m.Name)
 		}
 	}
-	left, err := n.Left.rpn()
+	left, err := n.Left.toRPN()
 	if err != nil {
 		return nil, err
 	}
-	right, err := n.Right.rpn()
-	return &RPN{Op: Prox, Proximity: p, Left: left, Right: right}, err
+	right, err := n.Right.toRPN()
+	return &RPN{Op: Prox, Proximity: proximity, Left: left, Right: right}, err
 }
--- a/internal/protocols/simwire/decode.go
+++ b/internal/protocols/simwire/decode.go
@@ -10,40 +10,40 @@
 	"flaxfront/internal/decision"
 )
 
-// slice finds a field's bytes in the tail; its length counts items of the given size.
-func slice(tail, field []byte, item uint64) ([]byte, error) {
-	from, size := uint64(be.Uint32(field)), uint64(be.Uint32(field[4:]))*item
-	if from > uint64(len(tail)) || size > uint64(len(tail))-from {
-		return nil, fmt.Errorf("offset %d with %d bytes lies outside the tail of %d", from, size, len(tail))
+// tailBytes finds a field's bytes in the tail; its length counts items of the given size.
+func tailBytes(tail, field []byte, itemSize uint64) ([]byte, error) {
+	offset, size := uint64(be.Uint32(field)), uint64(be.Uint32(field[4:]))*itemSize
+	if offset > uint64(len(tail)) || size > uint64(len(tail))-offset {
+		return nil, fmt.Errorf("offset %d with %d bytes lies outside the tail of %d", offset, size, len(tail))
 	}
-	return tail[from : from+size], nil
+	return tail[offset : offset+size], nil
 }
 
-func (h *Host) manifest(r, tail []byte) error {
+func (h *Host) storeManifest(r, tail []byte) error {
 	sheet := r[1]
 	if int(sheet) >= len(h.sheets) {
 		return fmt.Errorf("message Manifest: sheet %d out of range", sheet)
 	}
-	entries, err := slice(tail, r[2:], entrySize)
+	entries, err := tailBytes(tail, r[2:], entrySize)
 	if err != nil {
 		return fmt.Errorf("message Manifest: %w", err)
 	}
-	h.sheets[sheet], h.held[sheet] = append(h.sheets[sheet][:0], entries...), true
+	h.sheets[sheet], h.received[sheet] = append(h.sheets[sheet][:0], entries...), true
 	return nil
 }
 
-func node(b []byte) decision.NodeID {
+func decodeNode(b []byte) decision.NodeID {
 	return decision.NodeID{Addr: [4]byte(b), Port: be.Uint16(b[4:])}
 }
 
-func span(v uint64) time.Duration { return time.Duration(min(v, math.MaxInt64/4)) }
+func decodeDuration(v uint64) time.Duration { return time.Duration(min(v, math.MaxInt64/4)) }
 
-func float(b []byte) float32 { return math.Float32frombits(be.Uint32(b)) }
+func decodeFloat(b []byte) float32 { return math.Float32frombits(be.Uint32(b)) }
 
 func decodeEntries(raw []byte, start uint64) ([]decision.Endpoint, error) {
 	out := make([]decision.Endpoint, 0, len(raw)/entrySize)
 	for ; len(raw) > 0; raw = raw[entrySize:] {
-		e := decision.Endpoint{Node: node(raw), Cell: int(be.Uint16(raw[9:])), Zone: int(be.Uint16(raw[6:])),
+		e := decision.Endpoint{Node: decodeNode(raw), Cell: int(be.Uint16(raw[9:])), Zone: int(be.Uint16(raw[6:])),
 			StartedAt: decision.StartedLongAgo}
 		switch raw[11] {
 		case 0:
--- a/internal/protocols/simwire/host.go
+++ b/internal/protocols/simwire/host.go
@@ -21,7 +21,7 @@
 	eventSize  = 56
 	actionSize = 24
 	entrySize  = 24
-	headSize   = 12
+	headerSize = 12
 	maxFrame   = 1 << 30
 	flagRepeat = 2
 
@@ -38,43 +38,43 @@
 
 var be = binary.BigEndian
 
-type instance struct {
+type broker struct {
 	number  uint16
 	start   uint64 // the clock at its start
-	module  decision.Router
+	router  decision.Router
 	events  []decision.Event
-	touched bool
+	pending bool
 }
 
 // Host decodes batches, gives each broker its events and writes their actions.
 type Host struct {
-	newModule func(decision.Settings) decision.Router
-	brokers   map[uint16]*instance
-	touched   []*instance
+	newRouter func(decision.Settings) decision.Router
+	brokers   map[uint16]*broker
+	pending   []*broker
 	sheets    [16][]byte
-	held      [16]bool
+	received  [16]bool
 	frame     bytes.Buffer
 	actions   []decision.Action
 	records   []byte
 	tail      []byte
 }
 
-// NewHost makes a host whose brokers come from newModule.
-func NewHost(newModule func(decision.Settings) decision.Router) *Host {
-	return &Host{newModule: newModule, brokers: map[uint16]*instance{}}
+// NewHost makes a host whose brokers come from newRouter.
+func NewHost(newRouter func(decision.Settings) decision.Router) *Host {
+	return &Host{newRouter: newRouter, brokers: map[uint16]*broker{}}
 }
 
 // Serve answers batches until input ends between two frames.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	var head [headSize]byte
+	var header [headerSize]byte
 	for n := 0; ; n++ {
-		if _, err := io.ReadFull(r, head[:]); errors.Is(err, io.EOF) {
+		if _, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("batch %d: header cut short: %w", n, err)
 		}
-		clock, size := be.Uint64(head[0:]), be.Uint32(head[8:])
+		clock, size := be.Uint64(header[0:]), be.Uint32(header[8:])
 		if size < 4 || size > maxFrame {
 			return fmt.Errorf("batch %d: length %d out of range", n, size)
 		}
@@ -82,22 +82,22 @@
 		if got, err := io.CopyN(&h.frame, r, int64(size)); err != nil {
 			return fmt.Errorf("batch %d: %d of %d bytes came: %w", n, got, size, err)
 		}
-		if err := h.batch(clock, h.frame.Bytes()); err != nil {
+		if err := h.handleBatch(clock, h.frame.Bytes()); err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
-		if err := h.reply(clock, w); err != nil {
+		if err := h.writeReply(clock, w); err != nil {
 			return fmt.Errorf("batch %d: reply: %w", n, err)
 		}
 	}
 }
 
-func (h *Host) batch(clock uint64, body []byte) error {
+func (h *Host) handleBatch(clock uint64, body []byte) error {
 	count := uint64(be.Uint32(body))
 	if count*eventSize > uint64(len(body)-4) {
 		return fmt.Errorf("%d records do not fit in %d bytes", count, len(body))
 	}
 	records, tail := body[4:4+count*eventSize], body[4+count*eventSize:]
-	var cur *instance
+	var current *broker
 	var number uint16
 	selected := false
 	for i := 0; len(records) > 0; i++ {
@@ -107,27 +107,27 @@
 		switch code := r[0]; {
 		case code == evSelect:
 			number, selected = be.Uint16(r[1:]), true
-			cur = h.brokers[number]
+			current = h.brokers[number]
 		case code == evManifest:
-			err = h.manifest(r, tail)
+			err = h.storeManifest(r, tail)
 		case code < evNew || code > evSelect:
 			err = fmt.Errorf("unknown event code %d", code)
 		case !selected:
 			err = fmt.Errorf("event code %d before any Select", code)
 		case code == evNew:
-			cur, err = h.start(clock, number, r, tail)
-		case cur == nil:
+			current, err = h.start(clock, number, r, tail)
+		case current == nil:
 			err = fmt.Errorf("event code %d for broker %d, which is not running", code, number)
 		case code == evKill:
-			cur.module, cur.events = nil, nil
+			current.router, current.events = nil, nil
 			delete(h.brokers, number)
-			cur = nil
+			current = nil
 		default:
-			if !cur.touched {
-				cur.touched = true
-				h.touched = append(h.touched, cur)
+			if !current.pending {
+				current.pending = true
+				h.pending = append(h.pending, current)
 			}
-			err = h.event(cur, r, tail)
+			err = h.decodeEvent(current, r, tail)
 		}
 		if err != nil {
 			return fmt.Errorf("record %d: %w", i, err)
@@ -136,8 +136,8 @@
 	return nil
 }
 
-func (h *Host) start(clock uint64, number uint16, r, tail []byte) (*instance, error) {
-	text, err := slice(tail, r[9:], 1)
+func (h *Host) start(clock uint64, number uint16, r, tail []byte) (*broker, error) {
+	text, err := tailBytes(tail, r[9:], 1)
 	if err != nil {
 		return nil, fmt.Errorf("NewInstance: setup: %w", err)
 	}
@@ -146,15 +146,15 @@
 		return nil, fmt.Errorf("NewInstance: %w", err)
 	}
 	if old := h.brokers[number]; old != nil {
-		old.module = nil
+		old.router = nil
 	}
-	b := &instance{number: number, start: clock, module: h.newModule(t.Module), touched: true}
+	b := &broker{number: number, start: clock, router: h.newRouter(t.Module), pending: true}
 	h.brokers[number] = b
-	h.touched = append(h.touched, b)
+	h.pending = append(h.pending, b)
 	return b, nil
 }
 
-func (h *Host) event(b *instance, r, tail []byte) error {
+func (h *Host) decodeEvent(b *broker, r, tail []byte) error {
 	var e decision.Event
 	switch r[0] {
 	case evEndpoints:
@@ -170,7 +170,7 @@
 		default:
 			return fmt.Errorf("message Endpoints: unknown mode %d", r[10])
 		}
-		if int(r[9]) >= len(h.sheets) || !h.held[r[9]] {
+		if int(r[9]) >= len(h.sheets) || !h.received[r[9]] {
 			return fmt.Errorf("message Endpoints: sheet %d was never given", r[9])
 		}
 		var err error
@@ -178,10 +178,10 @@
 			return err
 		}
 	case evWorkItem:
-		e.Kind, e.ID, e.RemainingTime = decision.QueryReceived, be.Uint64(r[1:]), span(be.Uint64(r[9:]))
-		e.Weight, e.Type = float64(float(r[17:])), int(r[21])
-		e.Tenant, e.Serial, e.Retry = int(be.Uint16(r[30:])), float(r[45:]), r[36]&flagRepeat != 0
-		if shard := float(r[32:]); shard >= 0 && shard < 1<<24 {
+		e.Kind, e.ID, e.RemainingTime = decision.QueryReceived, be.Uint64(r[1:]), decodeDuration(be.Uint64(r[9:]))
+		e.Weight, e.Type = float64(decodeFloat(r[17:])), int(r[21])
+		e.Tenant, e.Serial, e.Retry = int(be.Uint16(r[30:])), decodeFloat(r[45:]), r[36]&flagRepeat != 0
+		if shard := decodeFloat(r[32:]); shard >= 0 && shard < 1<<24 {
 			e.Kind, e.Shard = decision.ShardRequestReceived, int(shard)
 		} else if !(shard < 0) {
 			return fmt.Errorf("WorkItem: shard %v", shard)
@@ -191,7 +191,7 @@
 		}
 	case evResolved:
 		e.Kind, e.ID, e.Attempt = decision.AttemptEnded, be.Uint64(r[1:]), be.Uint16(r[10:])
-		e.Elapsed, e.Node = span(be.Uint64(r[12:])), node(r[22:])
+		e.Elapsed, e.Node = decodeDuration(be.Uint64(r[12:])), decodeNode(r[22:])
 		status := be.Uint16(r[20:])
 		if status > uint16(decision.NeverSent) {
 			return fmt.Errorf("message Resolved: unknown outcome %d", status)
@@ -202,13 +202,13 @@
 	case evElapsed:
 		e.Kind = decision.TimerFired
 	case evDatagram:
-		text, err := slice(tail, r[5:], 1)
+		text, err := tailBytes(tail, r[5:], 1)
 		if err != nil {
 			return fmt.Errorf("message Datagram: %w", err)
 		}
 		e.Kind, e.From, e.Payload = decision.GossipReceived, be.Uint32(r[1:]), bytes.Clone(text)
 	case evProbeDone:
-		e.Kind, e.Node, e.Elapsed = decision.HealthCheckEnded, node(r[1:]), span(be.Uint64(r[7:]))
+		e.Kind, e.Node, e.Elapsed = decision.HealthCheckEnded, decodeNode(r[1:]), decodeDuration(be.Uint64(r[7:]))
 		status := be.Uint16(r[15:])
 		if status > uint16(decision.NeverSent) {
 			return fmt.Errorf("ProbeDone: unknown outcome %d", status)
--- a/internal/protocols/sru/explain.go
+++ b/internal/protocols/sru/explain.go
@@ -15,7 +15,7 @@
 )
 
 // Explain writes the record that tells what there is.
-func Explain(v Version, host string, port int, database, title string, indexes []string, schemas [][2]string, most int) []byte {
+func Explain(v Version, host string, port int, database, title string, indexes []string, schemas [][2]string, maximumRecords int) []byte {
 	w := writer{}
 	w.raw(xml.Header)
 	w.raw(`<explainResponse xmlns="` + v.namespace() + `">`)
@@ -45,7 +45,7 @@
 		w.raw(`"/>`)
 	}
 	w.raw("</schemaInfo><configInfo>")
-	w.raw(`<setting type="maximumRecords">` + strconv.Itoa(most) + `</setting>`)
+	w.raw(`<setting type="maximumRecords">` + strconv.Itoa(maximumRecords) + `</setting>`)
 	w.raw("</configInfo></explain></recordData></record></explainResponse>\n")
 	return w.b
 }
@@ -73,7 +73,7 @@
 			Message string `xml:"message"`
 		} `xml:"diagnostics>diagnostic"`
 	}
-	if err := bounded(b); err != nil {
+	if err := checkBounds(b); err != nil {
 		return nil, fmt.Errorf("sru: response: %w", err)
 	}
 	if err := xml.Unmarshal(b, &doc); err != nil {
@@ -84,14 +84,14 @@
 	}
 	r := &Response{Count: *doc.Count}
 	for _, x := range doc.Records {
-		one := Record{Schema: x.Schema, Body: bytes.TrimSpace(x.Data.Inner)}
+		record := Record{Schema: x.Schema, Body: bytes.TrimSpace(x.Data.Inner)}
 		if x.Packing == "string" || x.Escaping == "string" {
-			one.Body = []byte(x.Data.Text)
+			record.Body = []byte(x.Data.Text)
 		}
 		if strings.HasPrefix(x.Schema, "info:srw/schema/1/diagnostics") {
-			one.Fault = Diagnose(65, "%.100s", x.Data.Text)
+			record.Fault = NewDiagnostic(65, "%.100s", x.Data.Text)
 		}
-		r.Records = append(r.Records, one)
+		r.Records = append(r.Records, record)
 	}
 	for _, d := range doc.Diagnostics {
 		code, _ := strconv.Atoi(d.URI[strings.LastIndexByte(d.URI, '/')+1:])
@@ -100,8 +100,8 @@
 	return r, nil
 }
 
-// bounded goes through a document before it is taken apart: depth, and neither document type nor entities of its own.
-func bounded(b []byte) error {
+// checkBounds goes through a document before it is taken apart: depth, and neither document type nor entities of its own.
+func checkBounds(b []byte) error {
 	d := xml.NewDecoder(bytes.NewReader(b))
 	for depth := 0; ; {
 		tok, err := d.RawToken()
--- a/internal/protocols/sru/response.go
+++ b/internal/protocols/sru/response.go
@@ -21,20 +21,20 @@
 
 // Response is one response.
 type Response struct {
-	Version     Version
-	Count       int
-	Partial     bool // not all parts are in: the count is the least there is
-	ResultSet   string
-	Records     []Record
-	Escaped     bool
-	Next        int // 0: there is none
-	Diagnostics []*Diagnostic
-	Query       string // echoed
+	Version            Version
+	Count              int
+	Partial            bool // not all parts are in: the count is the least there is
+	ResultSet          string
+	Records            []Record
+	Escaped            bool
+	NextRecordPosition int // 0: there is none
+	Diagnostics        []*Diagnostic
+	Query              string // echoed
 }
 
-// WellFormed tells whether a record can stand among a response's elements: one element, nested no more than MaxDepth deep, no
+// CheckWellFormed tells whether a record can stand among a response's elements: one element, nested no more than MaxDepth deep, no
 // document type and no entities of its own. Danger: a record that opens another's elements, or one that expands without end.
-func WellFormed(record []byte) error {
+func CheckWellFormed(record []byte) error {
 	if len(record) > MaxRecord {
 		return fmt.Errorf("%d bytes", len(record))
 	}
@@ -89,8 +89,8 @@
 		}
 		w.raw("</records>")
 	}
-	if r.Next > 0 {
-		w.element("nextRecordPosition", strconv.Itoa(r.Next))
+	if r.NextRecordPosition > 0 {
+		w.element("nextRecordPosition", strconv.Itoa(r.NextRecordPosition))
 	}
 	if r.Query != "" {
 		w.raw("<echoedSearchRetrieveRequest>")
@@ -157,11 +157,11 @@
 }
 
 func (w *writer) diagnostic(v Version, d *Diagnostic) {
-	space := "http://www.loc.gov/zing/srw/diagnostic/"
+	namespace := "http://www.loc.gov/zing/srw/diagnostic/"
 	if v == V20 {
-		space = "http://docs.oasis-open.org/ns/search-ws/diagnostic"
+		namespace = "http://docs.oasis-open.org/ns/search-ws/diagnostic"
 	}
-	w.raw(`<diagnostic xmlns="` + space + `">`)
+	w.raw(`<diagnostic xmlns="` + namespace + `">`)
 	w.element("uri", fmt.Sprintf("info:srw/diagnostic/1/%d", d.Code))
 	if d.Details != "" {
 		w.element("details", d.Details)
--- a/internal/protocols/sru/sru.go
+++ b/internal/protocols/sru/sru.go
@@ -37,7 +37,7 @@
 	return "http://www.loc.gov/zing/srw/"
 }
 
-// Diagnostic is one of info:srw/diagnostic/1.
+// Fault is one of info:srw/diagnostic/1.
 type Diagnostic struct {
 	Code    int
 	Details string
@@ -57,21 +57,21 @@
 	59: "Result set created with valid partial results available", 61: "First record position out of range",
 	66: "Unknown schema for retrieval", 67: "Record not available in this schema", 71: "Unsupported record packing", 80: "Sort not supported"}
 
-// Diagnose makes a diagnostic.
-func Diagnose(code int, format string, args ...any) *Diagnostic {
+// NewDiagnostic makes a diagnostic.
+func NewDiagnostic(code int, format string, args ...any) *Diagnostic {
 	return &Diagnostic{code, fmt.Sprintf(format, args...), messages[code]}
 }
 
 // Request is one request.
 type Request struct {
-	Version Version
-	Explain bool
-	Text    string // the query as it came
-	Query   *query.Query
-	Start   int // counted from 1
-	Most    int // -1: the server's choice
-	Schema  string
-	Escaped bool // records as text, not as elements
+	Version     Version
+	Explain     bool
+	QueryText   string // the query as it came
+	Query       *query.Query
+	StartRecord int // counted from 1
+	Most        int // -1: the server's choice
+	Schema      string
+	Escaped     bool // records as text, not as elements
 }
 
 // parameters of searchRetrieve by version; x- ones are anybody's own.
@@ -86,12 +86,12 @@
 
 // Parse reads the parameters of a request. The version of the answer is told in any case.
 func Parse(values url.Values) (r Request, d *Diagnostic) {
-	r = Request{Version: V20, Start: 1, Most: -1}
+	r = Request{Version: V20, StartRecord: 1, Most: -1}
 	get := func(name string) (value string) {
 		for key, all := range values {
 			if strings.EqualFold(key, name) && len(all) > 0 {
 				if len(all) > 1 || value != "" {
-					d = Diagnose(6, "%s is given twice", name)
+					d = NewDiagnostic(6, "%s is given twice", name)
 				}
 				value = all[0]
 			}
@@ -108,7 +108,7 @@
 	case version == "2.0":
 	default:
 		r.Version = V12
-		return r, Diagnose(5, "1.2") // the highest that has this form of request
+		return r, NewDiagnostic(5, "1.2") // the highest that has this form of request
 	}
 	text := get("query")
 	switch operation {
@@ -117,31 +117,31 @@
 	case "searchRetrieve", "":
 		r.Explain = operation == "" && text == ""
 	default: // scan among them
-		return r, Diagnose(4, "%.40s", operation)
+		return r, NewDiagnostic(4, "%.40s", operation)
 	}
 	if d != nil || r.Explain {
 		return r, d
 	}
 	for key := range values {
 		if name := strings.ToLower(key); !strings.HasPrefix(name, "x-") && !slices.Contains(parameters[r.Version], name) {
-			return r, Diagnose(8, "%.40s", key)
+			return r, NewDiagnostic(8, "%.40s", key)
 		}
 	}
 	if text == "" {
-		return r, Diagnose(7, "query")
+		return r, NewDiagnostic(7, "query")
 	}
 	if kind := get("queryType"); kind != "" && !strings.EqualFold(kind, "cql") {
-		return r, Diagnose(6, "queryType %.40s", kind)
+		return r, NewDiagnostic(6, "queryType %.40s", kind)
 	}
 	for _, n := range []struct {
 		name  string
 		to    *int
 		least int
-	}{{"startRecord", &r.Start, 1}, {"maximumRecords", &r.Most, 0}} {
+	}{{"startRecord", &r.StartRecord, 1}, {"maximumRecords", &r.Most, 0}} {
 		if value := get(n.name); value != "" {
 			x, err := strconv.Atoi(value)
 			if err != nil || x < n.least || x > 1<<30 {
-				return r, Diagnose(6, "%s %.40s", n.name, value)
+				return r, NewDiagnostic(6, "%s %.40s", n.name, value)
 			}
 			*n.to = x
 		}
@@ -156,12 +156,12 @@
 	case "string":
 		r.Escaped = true
 	default:
-		return r, Diagnose(71, "%.40s", packing)
+		return r, NewDiagnostic(71, "%.40s", packing)
 	}
 	if get("sortKeys") != "" {
-		return r, Diagnose(80, "sortKeys")
+		return r, NewDiagnostic(80, "sortKeys")
 	}
-	r.Schema, r.Text = get("recordSchema"), text
+	r.Schema, r.QueryText = get("recordSchema"), text
 	if d != nil {
 		return r, d
 	}
@@ -170,18 +170,18 @@
 		return r, Fault(err)
 	}
 	if len(r.Query.Sort) > 0 {
-		return r, Diagnose(80, "sortby %.40s", r.Query.Sort[0].Index)
+		return r, NewDiagnostic(80, "sortby %.40s", r.Query.Sort[0].Index)
 	}
 	return r, nil
 }
 
-// Fault makes a diagnostic of what is wrong with a query.
+// Diagnostic makes a diagnostic of what is wrong with a query.
 func Fault(err error) *Diagnostic {
 	var f *query.Fault
 	if errors.As(err, &f) {
-		return Diagnose(f.SRU, "%s", f.Details)
+		return NewDiagnostic(f.SRU, "%s", f.Details)
 	}
-	return Diagnose(10, "%.200s", err)
+	return NewDiagnostic(10, "%.200s", err)
 }
 
 // MaxDepth and MaxRecord bound what is taken for the XML of a record.
--- a/internal/protocols/z3950/codec.go
+++ b/internal/protocols/z3950/codec.go
@@ -19,22 +19,22 @@
 		if len(b) > 0 {
 			n, err := ber.Length(b, MaxPDU)
 			if err != nil {
-				return nil, bad("%v", err)
+				return nil, protocolError("%v", err)
 			}
 			if n > 0 && n <= len(b) {
 				return Decode(b[:n])
 			}
 			if n > len(b) { // the rest is known: no byte of what follows is read
-				at := len(b)
-				for at < n {
-					piece := min(n-at, 16<<10)
-					b = append(b, make([]byte, piece)...)
-					if _, err := io.ReadFull(r, b[at:]); errors.Is(err, io.EOF) {
+				read := len(b)
+				for read < n {
+					chunk := min(n-read, 16<<10)
+					b = append(b, make([]byte, chunk)...)
+					if _, err := io.ReadFull(r, b[read:]); errors.Is(err, io.EOF) {
 						return nil, io.ErrUnexpectedEOF
 					} else if err != nil {
 						return nil, err
 					}
-					at += piece
+					read += chunk
 				}
 				continue
 			}
@@ -47,11 +47,11 @@
 			return nil, err
 		}
 		if len(b) == 0 && c>>5 != 5 { // no message begins so: whoever speaks another protocol hears it at once
-			return nil, bad("first byte %#x", c)
+			return nil, protocolError("first byte %#x", c)
 		}
 		// Byte by byte only while the length is unknown; of an indefinite one that costs what reading it again takes, so it is bounded.
 		if b = append(b, c); len(b) > maxIndefinite {
-			return nil, bad("an element of indefinite length beyond %d bytes", maxIndefinite)
+			return nil, protocolError("an element of indefinite length beyond %d bytes", maxIndefinite)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 func Decode(b []byte) (Message, error) {
 	e, rest, err := ber.Next(b)
 	if err != nil || len(rest) > 0 || e.Class != ber.Context || !e.Constructed {
-		return nil, bad("%d bytes are no message: %v", len(b), err)
+		return nil, protocolError("%d bytes are no message: %v", len(b), err)
 	}
 	var m Message
 	switch e.Tag {
@@ -102,7 +102,7 @@
 		x := &Close{}
 		m, err = x, x.read(&e)
 	default:
-		return nil, bad("message %d", e.Tag)
+		return nil, protocolError("message %d", e.Tag)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: message %d: %w", ErrProtocol, e.Tag, err)
@@ -110,54 +110,54 @@
 	return m, nil
 }
 
-// reading gathers the first fault, so that decoding reads as a list of fields.
-type reading struct{ err error }
+// fieldReader gathers the first fault, so that decoding reads as a list of fields.
+type fieldReader struct{ err error }
 
-func (r *reading) int(e *ber.Element, to *int) {
+func (r *fieldReader) int(e *ber.Element, to *int) {
 	n, err := e.Int()
 	if *to = n; err == nil && (n < -1<<31 || n > 1<<31) {
 		err = fmt.Errorf("number %d", n)
 	}
-	r.keep(err)
+	r.keepError(err)
 }
 
-func (r *reading) bool(e *ber.Element, to *bool) {
-	yes, err := e.Bool()
-	*to = yes
-	r.keep(err)
+func (r *fieldReader) bool(e *ber.Element, to *bool) {
+	value, err := e.Bool()
+	*to = value
+	r.keepError(err)
 }
 
-func (r *reading) text(e *ber.Element, to *string) {
+func (r *fieldReader) text(e *ber.Element, to *string) {
 	b, err := e.Bytes()
 	if *to = string(b); len(b) > query.MaxText {
 		err = fmt.Errorf("a text of %d bytes", len(b))
 	}
-	r.keep(err)
+	r.keepError(err)
 }
 
-func (r *reading) oid(e *ber.Element, to *string) {
-	dots, err := e.OID()
-	*to = dots
-	r.keep(err)
+func (r *fieldReader) oid(e *ber.Element, to *string) {
+	dotted, err := e.OID()
+	*to = dotted
+	r.keepError(err)
 }
 
-func (r *reading) keep(err error) {
+func (r *fieldReader) keepError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-func (c *Common) reference(r *reading, e *ber.Element) {
+func (c *Common) readReferenceID(r *fieldReader, e *ber.Element) {
 	b, err := e.Bytes()
 	if len(b) > 1024 {
 		err = fmt.Errorf("a reference of %d bytes", len(b))
 	}
-	c.Reference = append([]byte(nil), b...)
-	r.keep(err)
+	c.ReferenceID = append([]byte(nil), b...)
+	r.keepError(err)
 }
 
 func (c *Common) write(w *ber.Writer) {
-	if len(c.Reference) > 0 {
-		w.Text(2, string(c.Reference))
+	if len(c.ReferenceID) > 0 {
+		w.Text(2, string(c.ReferenceID))
 	}
 }
--- a/internal/protocols/z3950/ending.go
+++ b/internal/protocols/z3950/ending.go
@@ -11,12 +11,12 @@
 )
 
 func (m *DeleteRequest) read(e *ber.Element) error {
-	var r reading
-	r.keep(e.Each(func(x *ber.Element) error {
+	var r fieldReader
+	r.keepError(e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(2):
-			m.reference(&r, x)
-		case x.Is(32):
+		case x.IsContext(2):
+			m.readReferenceID(&r, x)
+		case x.IsContext(32):
 			all := 0
 			r.int(x, &all)
 			m.All = all == 1
@@ -24,7 +24,7 @@
 			return x.Each(func(y *ber.Element) error {
 				var name string
 				r.text(y, &name)
-				if m.Sets = append(m.Sets, name); len(m.Sets) > 1000 {
+				if m.ResultSets = append(m.ResultSets, name); len(m.ResultSets) > 1000 {
 					return errors.New("more than 1000 result sets")
 				}
 				return r.err
@@ -36,16 +36,16 @@
 }
 
 func (m *DeleteRequest) append(w *ber.Writer) {
-	w.Within(ber.Context, tagDeleteRequest, func(w *ber.Writer) {
+	w.Constructed(ber.Context, tagDeleteRequest, func(w *ber.Writer) {
 		m.write(w)
 		all := 0
 		if m.All {
 			all = 1
 		}
 		w.Int(32, all)
-		if len(m.Sets) > 0 {
-			w.Within(ber.Universal, ber.TagSequence, func(w *ber.Writer) {
-				for _, s := range m.Sets {
+		if len(m.ResultSets) > 0 {
+			w.Constructed(ber.Universal, ber.TagSequence, func(w *ber.Writer) {
+				for _, s := range m.ResultSets {
 					w.Text(31, s)
 				}
 			})
@@ -54,12 +54,12 @@
 }
 
 func (m *DeleteResponse) read(e *ber.Element) error {
-	var r reading
-	r.keep(e.Each(func(x *ber.Element) error {
+	var r fieldReader
+	r.keepError(e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(2):
-			m.reference(&r, x)
-		case x.Is(0):
+		case x.IsContext(2):
+			m.readReferenceID(&r, x)
+		case x.IsContext(0):
 			r.int(x, &m.Status)
 		}
 		return r.err
@@ -68,21 +68,21 @@
 }
 
 func (m *DeleteResponse) append(w *ber.Writer) {
-	w.Within(ber.Context, tagDeleteResponse, func(w *ber.Writer) {
+	w.Constructed(ber.Context, tagDeleteResponse, func(w *ber.Writer) {
 		m.write(w)
 		w.Int(0, m.Status)
 	})
 }
 
 func (m *Close) read(e *ber.Element) error {
-	var r reading
-	r.keep(e.Each(func(x *ber.Element) error {
+	var r fieldReader
+	r.keepError(e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(2):
-			m.reference(&r, x)
-		case x.Is(211):
+		case x.IsContext(2):
+			m.readReferenceID(&r, x)
+		case x.IsContext(211):
 			r.int(x, &m.Reason)
-		case x.Is(3):
+		case x.IsContext(3):
 			r.text(x, &m.Text)
 		}
 		return r.err
@@ -91,7 +91,7 @@
 }
 
 func (m *Close) append(w *ber.Writer) {
-	w.Within(ber.Context, tagClose, func(w *ber.Writer) {
+	w.Constructed(ber.Context, tagClose, func(w *ber.Writer) {
 		m.write(w)
 		w.Int(211, m.Reason)
 		if m.Text != "" {
--- a/internal/protocols/z3950/parts.go
+++ b/internal/protocols/z3950/parts.go
@@ -13,13 +13,13 @@
 // readQuery reads a query: [1] is Type-1, as [101] (Type-101) it has the same form; others are not supported.
 func (m *SearchRequest) readQuery(e *ber.Element) error {
 	return e.Each(func(x *ber.Element) error {
-		if !x.Is(1) && !x.Is(101) {
+		if !x.IsContext(1) && !x.IsContext(101) {
 			return fmt.Errorf("query of type %d", x.Tag)
 		}
 		nodes := 0
 		return x.Each(func(y *ber.Element) (err error) {
 			if y.IsUniversal(ber.TagOID) {
-				m.Set, err = y.OID()
+				m.AttributeSet, err = y.OID()
 				return err
 			}
 			if m.Query != nil {
@@ -37,22 +37,22 @@
 	}
 	r := &query.RPN{}
 	switch {
-	case e.Is(0): // op
+	case e.IsContext(0): // op
 		return r, e.Each(func(x *ber.Element) error {
 			switch {
-			case x.Is(102): // attributes plus term
+			case x.IsContext(102): // attributes plus term
 				return readOperand(x, r)
-			case x.Is(31):
+			case x.IsContext(31):
 				b, err := x.Bytes()
 				r.ResultSet = string(b)
 				return err
 			}
 			return fmt.Errorf("operand %d", x.Tag)
 		})
-	case e.Is(1): // rpn, rpn, operator
+	case e.IsContext(1): // rpn, rpn, operator
 		return r, e.Each(func(x *ber.Element) (err error) {
 			switch {
-			case x.Is(46):
+			case x.IsContext(46):
 				return readOperator(x, r)
 			case r.Left == nil:
 				r.Left, err = readRPN(x, depth+1, nodes)
@@ -70,18 +70,18 @@
 func readOperand(e *ber.Element, r *query.RPN) error {
 	return e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(44): // attributes
+		case x.IsContext(44): // attributes
 			return x.Each(func(y *ber.Element) error {
 				a := query.Attribute{}
 				err := y.Each(func(z *ber.Element) (err error) {
 					switch {
-					case z.Is(1):
+					case z.IsContext(1):
 						a.Set, err = z.OID()
-					case z.Is(120):
+					case z.IsContext(120):
 						a.Type, err = z.Int()
-					case z.Is(121):
+					case z.IsContext(121):
 						a.Value, err = z.Int()
-					case z.Is(224): // complex: a list of numbers or texts
+					case z.IsContext(224): // complex: a list of numbers or texts
 						a.Text = "complex"
 					}
 					return err
@@ -91,11 +91,11 @@
 				}
 				return err
 			})
-		case x.Is(45), x.Is(216): // general, character string
+		case x.IsContext(45), x.IsContext(216): // general, character string
 			b, err := x.Bytes()
 			r.Term = validText(b)
 			return err
-		case x.Is(215): // numeric
+		case x.IsContext(215): // numeric
 			n, err := x.Int()
 			r.Term = fmt.Sprint(n)
 			return err
@@ -107,27 +107,27 @@
 func readOperator(e *ber.Element, r *query.RPN) error {
 	return e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(0):
+		case x.IsContext(0):
 			r.Op = query.And
-		case x.Is(1):
+		case x.IsContext(1):
 			r.Op = query.Or
-		case x.Is(2):
+		case x.IsContext(2):
 			r.Op = query.Not
-		case x.Is(3):
+		case x.IsContext(3):
 			r.Op = query.Prox
 			p := make([]int, 6)
 			err := x.Each(func(y *ber.Element) (err error) {
 				switch {
-				case y.Is(1), y.Is(3):
+				case y.IsContext(1), y.IsContext(3):
 					var yes bool
 					if yes, err = y.Bool(); yes {
-						p[map[bool]int{true: 0, false: 2}[y.Is(1)]] = 1
+						p[map[bool]int{true: 0, false: 2}[y.IsContext(1)]] = 1
 					}
-				case y.Is(2):
+				case y.IsContext(2):
 					p[1], err = y.Int()
-				case y.Is(4):
+				case y.IsContext(4):
 					p[3], err = y.Int()
-				case y.Is(5):
+				case y.IsContext(5):
 					err = y.Each(func(z *ber.Element) (err error) {
 						p[4] = int(z.Tag)
 						p[5], err = z.Int()
@@ -146,7 +146,7 @@
 }
 
 func writeQuery(w *ber.Writer, set string, r *query.RPN) {
-	w.Within(ber.Context, 1, func(w *ber.Writer) {
+	w.Constructed(ber.Context, 1, func(w *ber.Writer) {
 		if set == "" {
 			set = query.Bib1
 		}
@@ -157,15 +157,15 @@
 
 func writeRPN(w *ber.Writer, r *query.RPN) {
 	if r.IsOperand() {
-		w.Within(ber.Context, 0, func(w *ber.Writer) {
+		w.Constructed(ber.Context, 0, func(w *ber.Writer) {
 			if r.ResultSet != "" {
 				w.Text(31, r.ResultSet)
 				return
 			}
-			w.Within(ber.Context, 102, func(w *ber.Writer) {
-				w.Within(ber.Context, 44, func(w *ber.Writer) {
+			w.Constructed(ber.Context, 102, func(w *ber.Writer) {
+				w.Constructed(ber.Context, 44, func(w *ber.Writer) {
 					for _, a := range r.Attributes {
-						w.Within(ber.Universal, ber.TagSequence, func(w *ber.Writer) {
+						w.Constructed(ber.Universal, ber.TagSequence, func(w *ber.Writer) {
 							if a.Set != "" {
 								w.OID(1, a.Set)
 							}
@@ -179,21 +179,21 @@
 		})
 		return
 	}
-	w.Within(ber.Context, 1, func(w *ber.Writer) {
+	w.Constructed(ber.Context, 1, func(w *ber.Writer) {
 		writeRPN(w, r.Left)
 		writeRPN(w, r.Right)
-		w.Within(ber.Context, 46, func(w *ber.Writer) {
+		w.Constructed(ber.Context, 46, func(w *ber.Writer) {
 			if r.Op != query.Prox || len(r.Proximity) != 6 {
 				w.Text(uint32(r.Op), "")
 				return
 			}
 			p := r.Proximity
-			w.Within(ber.Context, 3, func(w *ber.Writer) {
+			w.Constructed(ber.Context, 3, func(w *ber.Writer) {
 				w.Bool(1, p[0] == 1)
 				w.Int(2, p[1])
 				w.Bool(3, p[2] == 1)
 				w.Int(4, p[3])
-				w.Within(ber.Context, 5, func(w *ber.Writer) { w.Int(uint32(max(1, p[4])), p[5]) })
+				w.Constructed(ber.Context, 5, func(w *ber.Writer) { w.Int(uint32(max(1, p[4])), p[5]) })
 			})
 		})
 	})
--- a/internal/protocols/z3950/pdu.go
+++ b/internal/protocols/z3950/pdu.go
@@ -16,10 +16,10 @@
 
 // Object identifiers of record syntaxes and diagnostics.
 const (
-	MARC21     = "1.2.840.10003.5.10"
-	SUTRS      = "1.2.840.10003.5.101"
-	XML        = "1.2.840.10003.5.109.10"
-	Diagnostic = "1.2.840.10003.4.1" // Bib-1's set of diagnostics
+	MARC21          = "1.2.840.10003.5.10"
+	SUTRS           = "1.2.840.10003.5.101"
+	XML             = "1.2.840.10003.5.109.10"
+	Bib1Diagnostics = "1.2.840.10003.4.1" // Bib-1's set of diagnostics
 )
 
 // MaxPDU bounds a message. Danger: a length that claims gigabytes, or an indefinite one that never ends.
@@ -40,21 +40,21 @@
 
 // Common is what any message may carry.
 type Common struct {
-	Reference []byte // what the other side wants back with the answer
+	ReferenceID []byte // what the other side wants back with the answer
 }
 
 // InitRequest opens a session.
 type InitRequest struct {
 	Common
-	Version3         bool
-	Search, Present  bool
-	Delete           bool
-	NamedResultSets  bool
-	Concurrent       bool
-	Preferred, Most  int // bytes of a message, of a record
-	User, Group, Key string
-	ID, Name         string
-	Release          string
+	Version3                                    bool
+	Search, Present                             bool
+	Delete                                      bool
+	NamedResultSets                             bool
+	Concurrent                                  bool
+	PreferredMessageSize, ExceptionalRecordSize int // bytes of a message, of a record
+	User, Group, Password                       string
+	ImplementationID, ImplementationName        string
+	ImplementationVersion                       string
 }
 
 // InitResponse answers it.
@@ -66,39 +66,39 @@
 // SearchRequest asks for a result set.
 type SearchRequest struct {
 	Common
-	Small, Large, Medium int // upper bound of small sets, lower of large ones, records of those between
-	Replace              bool
-	ResultSet            string
-	Databases            []string
-	Syntax               string // preferred, an object identifier
-	Set                  string // of attributes
-	Query                *query.RPN
+	SmallSetUpperBound, LargeSetLowerBound, MediumSetPresentNumber int // upper bound of small sets, lower of large ones, records of those between
+	Replace                                                        bool
+	ResultSet                                                      string
+	Databases                                                      []string
+	Syntax                                                         string // preferred, an object identifier
+	AttributeSet                                                   string // of attributes
+	Query                                                          *query.RPN
 }
 
 // Statuses of a result set after a search that failed.
 const (
-	Subset  = 1
-	Interim = 2
-	NoSet   = 3
+	Subset      = 1
+	Interim     = 2
+	NoResultSet = 3
 )
 
 // SearchResponse answers it.
 type SearchResponse struct {
 	Common
-	Count, Returned, Next int
-	OK                    bool
-	SetStatus             int // 0: none is told
-	PresentStatus         int // 0: none is told
-	Records               Records
+	Count, Returned, NextPosition int
+	OK                            bool
+	ResultSetStatus               int // 0: none is told
+	PresentStatus                 int // 0: none is told
+	Records                       Records
 }
 
 // PresentRequest asks for records of a result set.
 type PresentRequest struct {
 	Common
-	ResultSet   string
-	Start, Want int
-	Elements    string // such as F or B
-	Syntax      string
+	ResultSet      string
+	Start, Want    int
+	ElementSetName string // such as F or B
+	Syntax         string
 }
 
 // Statuses of presenting.
@@ -114,15 +114,15 @@
 // PresentResponse answers it.
 type PresentResponse struct {
 	Common
-	Returned, Next, Status int
-	Records                Records
+	Returned, NextPosition, Status int
+	Records                        Records
 }
 
 // DeleteRequest drops result sets: those named, or all.
 type DeleteRequest struct {
 	Common
-	All  bool
-	Sets []string
+	All        bool
+	ResultSets []string
 }
 
 // DeleteResponse answers it: 0 success, 1 there was none such.
@@ -164,15 +164,15 @@
 // ErrProtocol is a message that can't be used. The connection can't be trusted any more.
 var ErrProtocol = errors.New("z39.50: protocol error")
 
-func bad(format string, args ...any) error {
+func protocolError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrProtocol, fmt.Sprintf(format, args...))
 }
 
 // Options of init, by their bits.
 const (
-	optSearch     = 0
-	optPresent    = 1
-	optDelete     = 2
-	optConcurrent = 13
-	optNamed      = 14
+	optSearch          = 0
+	optPresent         = 1
+	optDelete          = 2
+	optConcurrent      = 13
+	optNamedResultSets = 14
 )
--- a/internal/protocols/z3950/pdu_test.go
+++ b/internal/protocols/z3950/pdu_test.go
@@ -14,7 +14,7 @@
 	"flaxfront/internal/protocols/query"
 )
 
-func rpn(t testing.TB, text string) *query.RPN {
+func parsePQF(t testing.TB, text string) *query.RPN {
 	_, r, err := query.ParsePQF(text)
 	if err != nil {
 		t.Fatal(err)
@@ -22,28 +22,28 @@
 	return r
 }
 
-func messages(t testing.TB) []Message {
+func testMessages(t testing.TB) []Message {
 	return []Message{
 		&InitRequest{Common: Common{[]byte("ref")}, Version3: true, Search: true, Present: true, Delete: true, NamedResultSets: true,
-			Concurrent: true, Preferred: 1 << 20, Most: 1 << 20, User: "u", Group: "g", Key: "k", ID: "81", Name: "flaxfront", Release: "1"},
-		&InitResponse{InitRequest{Search: true, Preferred: 100, Most: 200, Name: "x"}, true},
-		&SearchRequest{Small: 0, Large: 1, Medium: 0, Replace: true, ResultSet: "default", Databases: []string{"a", "b"}, Syntax: MARC21,
-			Set: query.Bib1, Query: rpn(t, `@and @attr 1=4 "a cat" @or @set s1 @prox 0 3 1 2 1 2 @attr 1=1003 b @attr 2=3 "c d"`)},
-		&SearchResponse{Common: Common{[]byte{0, 255}}, Count: 1 << 20, Returned: 1, Next: 2, OK: true, Records: Records{All: []Record{
+			Concurrent: true, PreferredMessageSize: 1 << 20, ExceptionalRecordSize: 1 << 20, User: "u", Group: "g", Password: "k", ImplementationID: "81", ImplementationName: "flaxfront", ImplementationVersion: "1"},
+		&InitResponse{InitRequest{Search: true, PreferredMessageSize: 100, ExceptionalRecordSize: 200, ImplementationName: "x"}, true},
+		&SearchRequest{SmallSetUpperBound: 0, LargeSetLowerBound: 1, MediumSetPresentNumber: 0, Replace: true, ResultSet: "default", Databases: []string{"a", "b"}, Syntax: MARC21,
+			AttributeSet: query.Bib1, Query: parsePQF(t, `@and @attr 1=4 "a cat" @or @set s1 @prox 0 3 1 2 1 2 @attr 1=1003 b @attr 2=3 "c d"`)},
+		&SearchResponse{Common: Common{[]byte{0, 255}}, Count: 1 << 20, Returned: 1, NextPosition: 2, OK: true, Records: Records{All: []Record{
 			{Database: "a", Syntax: XML, Body: []byte("<r/>")}}}},
-		&SearchResponse{Count: 7, SetStatus: Subset, Records: Records{Fault: &Fault{Code: 31, Text: "resources exhausted"}}},
-		&PresentRequest{ResultSet: "s", Start: 11, Want: 10, Elements: "F", Syntax: SUTRS},
-		&PresentResponse{Returned: 2, Next: 13, Status: Partial2, Records: Records{All: []Record{{Database: "d", Syntax: SUTRS, Body: []byte("text")},
+		&SearchResponse{Count: 7, ResultSetStatus: Subset, Records: Records{Fault: &Fault{Code: 31, Text: "resources exhausted"}}},
+		&PresentRequest{ResultSet: "s", Start: 11, Want: 10, ElementSetName: "F", Syntax: SUTRS},
+		&PresentResponse{Returned: 2, NextPosition: 13, Status: Partial2, Records: Records{All: []Record{{Database: "d", Syntax: SUTRS, Body: []byte("text")},
 			{Fault: &Fault{Code: 14, Text: "system error"}}}}},
-		&DeleteRequest{Sets: []string{"a", "b"}}, &DeleteRequest{All: true}, &DeleteResponse{Status: 1},
+		&DeleteRequest{ResultSets: []string{"a", "b"}}, &DeleteRequest{All: true}, &DeleteResponse{Status: 1},
 		&Close{Reason: 1, Text: "the broker stops"},
 	}
 }
 
 // Every message reads back as it was written, also byte by byte, with others behind it on the same connection.
-func TestMessages(t *testing.T) {
+func TestMessageRoundTrips(t *testing.T) {
 	var all []byte
-	for _, m := range messages(t) {
+	for _, m := range testMessages(t) {
 		b := Encode(m)
 		got, err := Decode(b)
 		if err != nil || !reflect.DeepEqual(got, m) {
@@ -52,7 +52,7 @@
 		all = append(all, b...)
 	}
 	r := bufio.NewReader(iotest.OneByteReader(bytes.NewReader(all)))
-	for _, m := range messages(t) {
+	for _, m := range testMessages(t) {
 		if got, err := Read(r); err != nil || !reflect.DeepEqual(got, m) {
 			t.Errorf("%+v\nread as %+v, %v", m, got, err)
 		}
@@ -64,13 +64,13 @@
 
 // A message that ends early, claims too much, nests without end, or is none, is an error at once and never a wait for more.
 func TestHostileMessages(t *testing.T) {
-	search := Encode(messages(t)[2])
+	search := Encode(testMessages(t)[2])
 	for cut := 1; cut < len(search); cut++ {
 		if _, err := Read(bufio.NewReader(bytes.NewReader(search[:cut]))); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatalf("%d of %d bytes: %v", cut, len(search), err)
 		}
 	}
-	deep := rpn(t, strings.Repeat("@and a ", 60)+"a")
+	deep := parsePQF(t, strings.Repeat("@and a ", 60)+"a")
 	for range 10 {
 		deep = &query.RPN{Op: query.And, Left: deep, Right: deep}
 	}
@@ -89,7 +89,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, m := range messages(f) {
+	for _, m := range testMessages(f) {
 		f.Add(Encode(m))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -108,9 +108,9 @@
 }
 
 // Bytes that were changed anywhere are read or refused, and nothing else.
-func TestChangedBytes(t *testing.T) {
+func TestCorruptedMessages(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
-	for _, m := range messages(t) {
+	for _, m := range testMessages(t) {
 		b := Encode(m)
 		for range 500 {
 			c := bytes.Clone(b)
@@ -123,7 +123,7 @@
 }
 
 func BenchmarkSearchRequest(b *testing.B) {
-	raw := Encode(messages(b)[2])
+	raw := Encode(testMessages(b)[2])
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Decode(raw); err != nil {
--- a/internal/protocols/z3950/records.go
+++ b/internal/protocols/z3950/records.go
@@ -8,27 +8,27 @@
 	"flaxfront/internal/protocols/ber"
 )
 
-const mostRecords = 10_000
+const maxRecords = 10_000
 
 // read takes what may stand for records in a response; anything else is passed over.
 func (r *Records) read(e *ber.Element) error {
 	switch {
-	case e.Is(28): // records
+	case e.IsContext(28): // records
 		return e.Each(func(x *ber.Element) error {
-			one := Record{}
-			if err := one.read(x); err != nil {
+			record := Record{}
+			if err := record.read(x); err != nil {
 				return err
 			}
-			if r.All = append(r.All, one); len(r.All) > mostRecords {
-				return fmt.Errorf("more than %d records", mostRecords)
+			if r.All = append(r.All, record); len(r.All) > maxRecords {
+				return fmt.Errorf("more than %d records", maxRecords)
 			}
 			return nil
 		})
-	case e.Is(130): // a non-surrogate diagnostic
+	case e.IsContext(130): // a non-surrogate diagnostic
 		f, err := readFault(e)
 		r.Fault = f
 		return err
-	case e.Is(205): // several
+	case e.IsContext(205): // several
 		return e.Each(func(x *ber.Element) error {
 			f, err := readFault(x)
 			if r.Fault == nil {
@@ -43,11 +43,11 @@
 func (r *Record) read(e *ber.Element) error {
 	return e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(0):
+		case x.IsContext(0):
 			b, err := x.Bytes()
 			r.Database = validText(b)
 			return err
-		case x.Is(1):
+		case x.IsContext(1):
 			return x.Each(func(y *ber.Element) error { return r.readBody(y) })
 		}
 		return nil
@@ -56,9 +56,9 @@
 
 func (r *Record) readBody(e *ber.Element) error {
 	switch {
-	case e.Is(1): // retrieval record: an external
+	case e.IsContext(1): // retrieval record: an external
 		return e.Each(func(x *ber.Element) error { return r.readExternal(x) })
-	case e.Is(2): // surrogate diagnostic
+	case e.IsContext(2): // surrogate diagnostic
 		return e.Each(func(x *ber.Element) (err error) {
 			r.Fault, err = readFault(x)
 			return err
@@ -72,11 +72,11 @@
 		switch {
 		case x.IsUniversal(ber.TagOID):
 			r.Syntax, err = x.OID()
-		case x.Is(1): // octets
+		case x.IsContext(1): // octets
 			var b []byte
 			b, err = x.Bytes()
 			r.Body = append([]byte(nil), b...)
-		case x.Is(0): // one ASN.1 type: SUTRS is a string
+		case x.IsContext(0): // one ASN.1 type: SUTRS is a string
 			err = x.Each(func(y *ber.Element) error {
 				b, err := y.Bytes()
 				r.Body = append([]byte(nil), b...)
@@ -94,7 +94,7 @@
 		switch {
 		case x.IsUniversal(ber.TagInteger):
 			f.Code, err = x.Int()
-		case x.IsUniversal(ber.TagVisible), x.IsUniversal(ber.TagGeneral):
+		case x.IsUniversal(ber.TagVisibleString), x.IsUniversal(ber.TagGeneralString):
 			var b []byte
 			b, err = x.Bytes()
 			f.Text = validText(b)
@@ -106,13 +106,13 @@
 
 func (r *Records) write(w *ber.Writer) {
 	if r.Fault != nil {
-		w.Within(ber.Context, 130, func(w *ber.Writer) { r.Fault.write(w) })
+		w.Constructed(ber.Context, 130, func(w *ber.Writer) { r.Fault.write(w) })
 		return
 	}
 	if len(r.All) == 0 {
 		return
 	}
-	w.Within(ber.Context, 28, func(w *ber.Writer) {
+	w.Constructed(ber.Context, 28, func(w *ber.Writer) {
 		for i := range r.All {
 			r.All[i].write(w)
 		}
@@ -120,22 +120,22 @@
 }
 
 func (r *Record) write(w *ber.Writer) {
-	w.Within(ber.Universal, ber.TagSequence, func(w *ber.Writer) {
+	w.Constructed(ber.Universal, ber.TagSequence, func(w *ber.Writer) {
 		if r.Database != "" {
 			w.Text(0, r.Database)
 		}
-		w.Within(ber.Context, 1, func(w *ber.Writer) {
+		w.Constructed(ber.Context, 1, func(w *ber.Writer) {
 			if r.Fault != nil {
-				w.Within(ber.Context, 2, func(w *ber.Writer) {
-					w.Within(ber.Universal, ber.TagSequence, func(w *ber.Writer) { r.Fault.write(w) })
+				w.Constructed(ber.Context, 2, func(w *ber.Writer) {
+					w.Constructed(ber.Universal, ber.TagSequence, func(w *ber.Writer) { r.Fault.write(w) })
 				})
 				return
 			}
-			w.Within(ber.Context, 1, func(w *ber.Writer) {
-				w.Within(ber.Universal, ber.TagExternal, func(w *ber.Writer) {
+			w.Constructed(ber.Context, 1, func(w *ber.Writer) {
+				w.Constructed(ber.Universal, ber.TagExternal, func(w *ber.Writer) {
 					w.OID(-1, r.Syntax)
 					if r.Syntax == SUTRS {
-						w.Within(ber.Context, 0, func(w *ber.Writer) { w.Universal(ber.TagGeneral, r.Body) })
+						w.Constructed(ber.Context, 0, func(w *ber.Writer) { w.Universal(ber.TagGeneralString, r.Body) })
 						return
 					}
 					w.Text(1, string(r.Body))
@@ -146,7 +146,7 @@
 }
 
 func (f *Fault) write(w *ber.Writer) {
-	w.OID(-1, Diagnostic)
+	w.OID(-1, Bib1Diagnostics)
 	w.UniversalInt(f.Code)
-	w.Universal(ber.TagGeneral, []byte(f.Text))
+	w.Universal(ber.TagGeneralString, []byte(f.Text))
 }
--- a/internal/protocols/z3950/searching.go
+++ b/internal/protocols/z3950/searching.go
@@ -9,22 +9,22 @@
 )
 
 func (m *SearchRequest) read(e *ber.Element) error {
-	var r reading
-	r.keep(e.Each(func(x *ber.Element) error {
+	var r fieldReader
+	r.keepError(e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(2):
-			m.reference(&r, x)
-		case x.Is(13):
-			r.int(x, &m.Small)
-		case x.Is(14):
-			r.int(x, &m.Large)
-		case x.Is(15):
-			r.int(x, &m.Medium)
-		case x.Is(16):
+		case x.IsContext(2):
+			m.readReferenceID(&r, x)
+		case x.IsContext(13):
+			r.int(x, &m.SmallSetUpperBound)
+		case x.IsContext(14):
+			r.int(x, &m.LargeSetLowerBound)
+		case x.IsContext(15):
+			r.int(x, &m.MediumSetPresentNumber)
+		case x.IsContext(16):
 			r.bool(x, &m.Replace)
-		case x.Is(17):
+		case x.IsContext(17):
 			r.text(x, &m.ResultSet)
-		case x.Is(18):
+		case x.IsContext(18):
 			return x.Each(func(y *ber.Element) error {
 				var name string
 				r.text(y, &name)
@@ -33,10 +33,10 @@
 				}
 				return r.err
 			})
-		case x.Is(104):
+		case x.IsContext(104):
 			r.oid(x, &m.Syntax)
-		case x.Is(21):
-			r.keep(m.readQuery(x))
+		case x.IsContext(21):
+			r.keepError(m.readQuery(x))
 		}
 		return r.err
 	}))
@@ -47,14 +47,14 @@
 }
 
 func (m *SearchRequest) append(w *ber.Writer) {
-	w.Within(ber.Context, tagSearchRequest, func(w *ber.Writer) {
+	w.Constructed(ber.Context, tagSearchRequest, func(w *ber.Writer) {
 		m.write(w)
-		w.Int(13, m.Small)
-		w.Int(14, m.Large)
-		w.Int(15, m.Medium)
+		w.Int(13, m.SmallSetUpperBound)
+		w.Int(14, m.LargeSetLowerBound)
+		w.Int(15, m.MediumSetPresentNumber)
 		w.Bool(16, m.Replace)
 		w.Text(17, m.ResultSet)
-		w.Within(ber.Context, 18, func(w *ber.Writer) {
+		w.Constructed(ber.Context, 18, func(w *ber.Writer) {
 			for _, d := range m.Databases {
 				w.Text(105, d)
 			}
@@ -62,30 +62,30 @@
 		if m.Syntax != "" {
 			w.OID(104, m.Syntax)
 		}
-		w.Within(ber.Context, 21, func(w *ber.Writer) { writeQuery(w, m.Set, m.Query) })
+		w.Constructed(ber.Context, 21, func(w *ber.Writer) { writeQuery(w, m.AttributeSet, m.Query) })
 	})
 }
 
 func (m *SearchResponse) read(e *ber.Element) error {
-	var r reading
-	r.keep(e.Each(func(x *ber.Element) error {
+	var r fieldReader
+	r.keepError(e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(2):
-			m.reference(&r, x)
-		case x.Is(23):
+		case x.IsContext(2):
+			m.readReferenceID(&r, x)
+		case x.IsContext(23):
 			r.int(x, &m.Count)
-		case x.Is(24):
+		case x.IsContext(24):
 			r.int(x, &m.Returned)
-		case x.Is(25):
-			r.int(x, &m.Next)
-		case x.Is(22):
+		case x.IsContext(25):
+			r.int(x, &m.NextPosition)
+		case x.IsContext(22):
 			r.bool(x, &m.OK)
-		case x.Is(26):
-			r.int(x, &m.SetStatus)
-		case x.Is(27):
+		case x.IsContext(26):
+			r.int(x, &m.ResultSetStatus)
+		case x.IsContext(27):
 			r.int(x, &m.PresentStatus)
 		default:
-			r.keep(m.Records.read(x))
+			r.keepError(m.Records.read(x))
 		}
 		return r.err
 	}))
@@ -93,14 +93,14 @@
 }
 
 func (m *SearchResponse) append(w *ber.Writer) {
-	w.Within(ber.Context, tagSearchResponse, func(w *ber.Writer) {
+	w.Constructed(ber.Context, tagSearchResponse, func(w *ber.Writer) {
 		m.write(w)
 		w.Int(23, m.Count)
 		w.Int(24, m.Returned)
-		w.Int(25, m.Next)
+		w.Int(25, m.NextPosition)
 		w.Bool(22, m.OK)
-		if m.SetStatus != 0 {
-			w.Int(26, m.SetStatus)
+		if m.ResultSetStatus != 0 {
+			w.Int(26, m.ResultSetStatus)
 		}
 		if m.PresentStatus != 0 || len(m.Records.All) > 0 {
 			w.Int(27, m.PresentStatus)
@@ -110,25 +110,25 @@
 }
 
 func (m *PresentRequest) read(e *ber.Element) error {
-	var r reading
-	r.keep(e.Each(func(x *ber.Element) error {
+	var r fieldReader
+	r.keepError(e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(2):
-			m.reference(&r, x)
-		case x.Is(31):
+		case x.IsContext(2):
+			m.readReferenceID(&r, x)
+		case x.IsContext(31):
 			r.text(x, &m.ResultSet)
-		case x.Is(30):
+		case x.IsContext(30):
 			r.int(x, &m.Start)
-		case x.Is(29):
+		case x.IsContext(29):
 			r.int(x, &m.Want)
-		case x.Is(19):
+		case x.IsContext(19):
 			return x.Each(func(y *ber.Element) error {
-				if y.Is(0) {
-					r.text(y, &m.Elements)
+				if y.IsContext(0) {
+					r.text(y, &m.ElementSetName)
 				}
 				return r.err
 			})
-		case x.Is(104):
+		case x.IsContext(104):
 			r.oid(x, &m.Syntax)
 		}
 		return r.err
@@ -137,13 +137,13 @@
 }
 
 func (m *PresentRequest) append(w *ber.Writer) {
-	w.Within(ber.Context, tagPresentRequest, func(w *ber.Writer) {
+	w.Constructed(ber.Context, tagPresentRequest, func(w *ber.Writer) {
 		m.write(w)
 		w.Text(31, m.ResultSet)
 		w.Int(30, m.Start)
 		w.Int(29, m.Want)
-		if m.Elements != "" {
-			w.Within(ber.Context, 19, func(w *ber.Writer) { w.Text(0, m.Elements) })
+		if m.ElementSetName != "" {
+			w.Constructed(ber.Context, 19, func(w *ber.Writer) { w.Text(0, m.ElementSetName) })
 		}
 		if m.Syntax != "" {
 			w.OID(104, m.Syntax)
@@ -152,19 +152,19 @@
 }
 
 func (m *PresentResponse) read(e *ber.Element) error {
-	var r reading
-	r.keep(e.Each(func(x *ber.Element) error {
+	var r fieldReader
+	r.keepError(e.Each(func(x *ber.Element) error {
 		switch {
-		case x.Is(2):
-			m.reference(&r, x)
-		case x.Is(24):
+		case x.IsContext(2):
+			m.readReferenceID(&r, x)
+		case x.IsContext(24):
 			r.int(x, &m.Returned)
-		case x.Is(25):
-			r.int(x, &m.Next)
-		case x.Is(27):
+		case x.IsContext(25):
+			r.int(x, &m.NextPosition)
+		case x.IsContext(27):
 			r.int(x, &m.Status)
 		default:
-			r.keep(m.Records.read(x))
+			r.keepError(m.Records.read(x))
 		}
 		return r.err
 	}))
@@ -172,10 +172,10 @@
 }
 
 func (m *PresentResponse) append(w *ber.Writer) {
-	w.Within(ber.Context, tagPresentResponse, func(w *ber.Writer) {
+	w.Constructed(ber.Context, tagPresentResponse, func(w *ber.Writer) {
 		m.write(w)
 		w.Int(24, m.Returned)
-		w.Int(25, m.Next)
+		w.Int(25, m.NextPosition)
 		w.Int(27, m.Status)
 		m.Records.write(w)
 	})
