--- a/internal/protocols/front/z3950/clients_test.go
+++ b/internal/protocols/front/z3950/clients_test.go
@@ -20,7 +20,7 @@
 func TestUnsupportedQueries(t *testing.T) {
 	o := testOptions()
 	o.Databases = []string{"x"}
-	c := dial(t, startFront(t, archive.New(archive.Plain), o), defaultInit)
+	c := dial(t, startFront(t, archive.New(archive.TextRecord), o), defaultInit)
 	for pqf, code := range map[string]int{"@attr 1=9999 a": 114, "@attr 2=77 a": 117, "@attr 5=101 a": 120, "@and @set s a": 18, "@attr 1.2.3 1=4 a": 121, `""`: 125} {
 		if r := c.exchange(searchRequest(t, "a", pqf)).(*z3950.SearchResponse); r.OK || r.Records.Fault == nil || r.Records.Fault.Code != code {
 			t.Errorf("%s: %+v", pqf, r.Records.Fault)
@@ -50,7 +50,7 @@
 func TestHostileClients(t *testing.T) {
 	o := testOptions()
 	o.Sessions = 2
-	f := startFront(t, archive.New(archive.Plain), o)
+	f := startFront(t, archive.New(archive.TextRecord), o)
 	silent, noisy := dial(t, f, nil), dial(t, f, nil)
 	began := time.Now()
 	if m, is := dial(t, f, nil).receive().(*z3950.Close); !is || m.Reason != 4 {
@@ -81,15 +81,15 @@
 
 // A client that goes away while its search is in hand takes it along; its sets are forgotten.
 func TestClientDisconnects(t *testing.T) {
-	b := archive.New(archive.Plain)
+	b := archive.New(archive.TextRecord)
 	f := startFront(t, b, testOptions())
 	c := dial(t, f, defaultInit)
 	c.exchange(searchRequest(t, "a", "cat"))
-	b.Set(func(b *archive.Broker) { b.Hold = make(chan struct{}) })
+	b.Update(func(b *archive.Broker) { b.Gate = make(chan struct{}) })
 	c.Write(z3950.Encode(searchRequest(t, "b", "cat")))
-	waitUntil(t, func() bool { return b.Asked() == 2 })
+	waitUntil(t, func() bool { return b.Queries() == 2 })
 	c.Close()
-	if err := <-b.Left; !errors.Is(err, context.Canceled) {
+	if err := <-b.Aborted; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 	waitUntil(t, func() bool {
@@ -101,13 +101,13 @@
 
 // A planned stop: what is in hand is answered, then each session is told by a close; new ones find nobody.
 func TestDrain(t *testing.T) {
-	b := archive.New(archive.Plain)
+	b := archive.New(archive.TextRecord)
 	f := startFront(t, b, testOptions())
 	idle, busy := dial(t, f, defaultInit), dial(t, f, defaultInit)
 	hold := make(chan struct{})
-	b.Set(func(b *archive.Broker) { b.Hold = hold })
+	b.Update(func(b *archive.Broker) { b.Gate = hold })
 	busy.Write(z3950.Encode(searchRequest(t, "a", "cat")))
-	waitUntil(t, func() bool { return b.Asked() == 1 })
+	waitUntil(t, func() bool { return b.Queries() == 1 })
 	f.Drain()
 	if m, is := idle.receive().(*z3950.Close); !is || m.Reason != 1 {
 		t.Errorf("idle: %+v", m)
@@ -129,7 +129,7 @@
 
 // A search and a page of ten records, through a session that stands, over a broker that answers at once: the front's own cost.
 func BenchmarkSearchAndPresent(b *testing.B) {
-	f := startFront(b, archive.New(archive.DC), testOptions())
+	f := startFront(b, archive.New(archive.DublinCoreRecord), testOptions())
 	conn, err := net.Dial("tcp", f.Addr().String())
 	if err != nil {
 		b.Fatal(err)
