--- a/cmd/flaxfront/search.go
+++ b/cmd/flaxfront/search.go
@@ -37,9 +37,9 @@
 	c := &cobra.Command{
 		Use:   "search QUERY",
 		Short: "Ask a broker, or any server of the protocol, one search: CQL for sru and http, PQF (@attr 1=4 cat) for z3950",
-		Example: "  flaxfront search --protocol sru --at 127.0.0.1:8088 'dc.title = cat'\n" +
-			"  flaxfront search --protocol z3950 --at 127.0.0.1:210 '@attr 1=4 cat'\n" +
-			"  flaxfront search --protocol http --at 127.0.0.1:8080 --type find --tenant acme --shards 4 'dc.title = cat'",
+		Example: " flaxfront search --protocol sru --at 127.0.0.1:8088 'dc.title = cat'\n" +
+			" flaxfront search --protocol z3950 --at 127.0.0.1:210 '@attr 1=4 cat'\n" +
+			" flaxfront search --protocol http --at 127.0.0.1:8080 --type find --tenant acme --shards 4 'dc.title = cat'",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
@@ -119,13 +119,13 @@
 		}
 		return r, err
 	}
-	if m, err := exchange(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, Preferred: 1 << 20, Most: 1 << 20}); err != nil {
+	if m, err := exchange(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, PreferredMessageSize: 1 << 20, ExceptionalRecordSize: 1 << 20}); err != nil {
 		return err
 	} else if r, ok := m.(*z3950.InitResponse); !ok || !r.Accepted {
 		return errors.New("the session was not accepted")
 	}
 	syntax := map[string]string{"marc21": z3950.MARC21, "marcxml": z3950.XML, "dc": z3950.XML}[a.schema]
-	m, err := exchange(&z3950.SearchRequest{Large: 1, Replace: true, ResultSet: "1", Databases: []string{a.database}, Set: set, Query: rpn, Syntax: syntax})
+	m, err := exchange(&z3950.SearchRequest{LargeSetLowerBound: 1, Replace: true, ResultSet: "1", Databases: []string{a.database}, AttributeSet: set, Query: rpn, Syntax: syntax})
 	if err != nil {
 		return err
 	}
@@ -219,7 +219,7 @@
 		}
 		fmt.Fprintf(out, "shard %d: %d records\n", p.Tablet, hits)
 		for _, r := range records {
-			fmt.Fprintf(out, "  %s\n", r)
+			fmt.Fprintf(out, " %s\n", r)
 		}
 	}
 	return nil
