--- a/cmd/flaxfront/search.go
+++ b/cmd/flaxfront/search.go
@@ -37,9 +37,9 @@
 	c := &cobra.Command{
 		Use:   "search QUERY",
 		Short: "Send one search to a broker, or to any server of the protocol: CQL for sru and http, PQF (@attr 1=4 cat) for z3950",
-		Example: " flaxfront search --protocol sru --at 127.0.0.1:8088 'dc.title = cat'\n" +
-			" flaxfront search --protocol z3950 --at 127.0.0.1:210 '@attr 1=4 cat'\n" +
-			" flaxfront search --protocol http --at 127.0.0.1:8080 --type find --tenant acme --shards 4 'dc.title = cat'",
+		Example: "  flaxfront search --protocol sru --at 127.0.0.1:8088 'dc.title = cat'\n" +
+			"  flaxfront search --protocol z3950 --at 127.0.0.1:210 '@attr 1=4 cat'\n" +
+			"  flaxfront search --protocol http --at 127.0.0.1:8080 --type find --tenant acme --shards 4 'dc.title = cat'",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
@@ -219,7 +219,7 @@
 		}
 		fmt.Fprintf(out, "shard %d: %d records\n", p.Tablet, hits)
 		for _, r := range records {
-			fmt.Fprintf(out, " %s\n", r)
+			fmt.Fprintf(out, "  %s\n", r)
 		}
 	}
 	return nil
--- a/cmd/flaxlab/capacity.go
+++ b/cmd/flaxlab/capacity.go
@@ -39,7 +39,7 @@
 				path = filepath.Join(filepath.Dir(self), "flaxfront")
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%-12s %10s %10s %8s %8s %8s\n", "asked/s", "answered/s", "us/query", "p50 us", "p99 us", "p99.9 us")
+			fmt.Fprintf(out, "%-12s  %10s  %10s  %8s  %8s  %8s\n", "asked/s", "answered/s", "us/query", "p50 us", "p99 us", "p99.9 us")
 			for _, rate := range append(rates, 0) {
 				if err := measureCapacity(cmd, path, parts, conns, duration, rate); err != nil {
 					return err
@@ -94,7 +94,7 @@
 		rateText = fmt.Sprintf("%.0f", rate)
 	}
 	percentile := func(x float64) int64 { return p.Latency.ValueAtQuantile(x) }
-	fmt.Fprintf(cmd.OutOrStdout(), "%-12s %10.0f %10.1f %8d %8d %8d\n", rateText, float64(p.Answered)/took.Seconds(),
+	fmt.Fprintf(cmd.OutOrStdout(), "%-12s  %10.0f  %10.1f  %8d  %8d  %8d\n", rateText, float64(p.Answered)/took.Seconds(),
 		float64(cpu.Microseconds())/float64(max(1, p.Asked)), percentile(50), percentile(99), percentile(99.9))
 	return nil
 }
--- a/cmd/flaxlab/live.go
+++ b/cmd/flaxlab/live.go
@@ -1,7 +1,6 @@
 package main
 
-// This file implements the commands up, herd and returns. Those on sockets run a broker in this process, with simulated nodes and a simulated
-// discovery, all on loopback.
+// This file implements the commands up, herd and returns. On sockets, a broker runs in this process, with simulated nodes on loopback.
 
 import (
 	"context"
--- a/internal/config/terms/terms_test.go
+++ b/internal/config/terms/terms_test.go
@@ -108,7 +108,7 @@
 		}
 		if _, err := FromJSON([]byte(strings.Replace(settings, c.old, c.new, 1)), 1); err == nil ||
 			!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("error %v, want one line that names %s", err, c.want)
+			t.Errorf("want one line that names %s, got error %v", c.want, err)
 		}
 	}
 }
@@ -119,7 +119,7 @@
  "peers_all":"127.0.0.3:79","settings":` + settings + `}`
 	s, err := DecodeConfig([]byte(file))
 	if err != nil || s.Terms.Module.Seed != 0x92094eb940cf389a || s.Peers[0].Port() != 79 || s.Limits.Sockets != 1024 {
-		t.Fatalf("decoded as %+v, error %v", s, err)
+		t.Fatalf("error %v, decoded as %+v", err, s)
 	}
 	for field, bad := range map[string][2]string{
 		"seed": {"92094eb940cf389a", "x"}, "listen": {"127.0.0.1:80", "here"}, "discovery": {"127.0.0.1:85", ""},
@@ -128,7 +128,7 @@
 	} {
 		if _, err := DecodeConfig([]byte(strings.Replace(file, bad[0], bad[1], 1))); err == nil ||
 			!strings.Contains(err.Error(), field) {
-			t.Errorf("error %v, want one that names %s", err, field)
+			t.Errorf("want an error that names %s, got %v", field, err)
 		}
 	}
 	if _, err := ReadConfig(t.TempDir() + "/none"); err == nil {
