--- a/internal/config/terms/pairs.go
+++ b/internal/config/terms/pairs.go
@@ -65,6 +65,7 @@
 	return int(f)
 }
 
+// duration returns a time that is given in nanoseconds, or 0 if the key is absent.
 func (p *settingsReader) duration(key string, need bool) time.Duration {
 	return time.Duration(p.number(key, need, 0))
 }
