--- a/internal/protocols/back/back.go
+++ b/internal/protocols/back/back.go
@@ -1,11 +1,11 @@
-// Package back carries sub-requests to store nodes that are catalogue servers speaking SRU or Z39.50, in the place of frames. The pool
-// goes on deciding which connection a call takes, and the module which node; here a call's parts become searches of the node's
-// protocol, and what comes back becomes the answers that frames would have brought. It owns the node's protocol and its time limits.
-// It must never choose a node, send a part twice, or make an answer of what it could not read whole.
+// Package back connects the pool to store nodes that are catalogue servers speaking SRU or Z39.50 instead of the frame protocol. It
+// translates each attempt of a shard request into a search of the node's protocol, and the response into the answer that a frame
+// would carry. The router still selects the node and the pool the connection. An attempt is sent once, and a response that cannot
+// be decoded completely is never an answer.
 //
 // Depends on protocols/catalogue, protocols/sru, protocols/z3950, transport/httpwire, transport/store.
-// Concurrency: goroutines of its own, which the caller's context ends; what they share with callers is
-// behind a lock or an atomic value.
+// Concurrency: each connection has goroutines, which end with the caller's context; state shared with the pool is
+// guarded by a mutex or passed over channels.
 package back
 
 import (
@@ -29,24 +29,24 @@
 	"flaxfront/internal/transport/store"
 )
 
-// Options say what the nodes are.
+// Options configure the connections to nodes.
 type Options struct {
 	Protocol string // sru or z3950
-	Database string // of a shard; %d stands for its number
+	Database string // name of a shard's database; %d is replaced by the shard's number
 	Dial     time.Duration
 	Now      func() time.Duration
 	Post     func(store.Event)
 }
 
-// maxQueuedAttempts bounds what one connection holds before its turn; the pool sends one part at a time over each as a rule.
+// maxQueuedAttempts bounds the attempts that wait on one connection. As a rule the pool has only one attempt in flight on each.
 const maxQueuedAttempts = 64
 
 var (
-	errSessionRejected = errors.New("the node turned the session away")
-	errProtocol        = errors.New("the node broke its protocol")
+	errSessionRejected = errors.New("node rejected the session")
+	errProtocol        = errors.New("protocol error by the node")
 )
 
-// Carrier opens connections of the node's protocol.
+// Carrier returns the function with which the pool opens connections of the node's protocol. They close when ctx ends.
 func Carrier(ctx context.Context, options Options) store.Carrier {
 	return func(_ string, addr netip.AddrPort, handle store.Handle) func() {
 		ctx, cancel := context.WithCancel(ctx)
@@ -60,7 +60,7 @@
 	}
 }
 
-// attempt is one sub-request as a frame states it.
+// attempt is one attempt of a shard request, decoded from a frame.
 type attempt struct {
 	id        string
 	shard     int
@@ -77,13 +77,14 @@
 
 	attempts      chan attempt
 	mu            sync.Mutex
-	cancelled     map[string]bool // given up before their turn
+	cancelled     map[string]bool // IDs of attempts cancelled by the pool
 	netConn       net.Conn
 	reader        *bufio.Reader
 	lastReference int
 }
 
-// TryWrite takes a frame of the pool and never waits.
+// TryWrite accepts a frame from the pool: a call of attempts, which it queues, or a cancellation. It never blocks, and returns 0 if
+// the queue is full.
 func (c *conn) TryWrite(b []byte) (int, error) {
 	if len(b) < 5 || int(binary.LittleEndian.Uint32(b)) != len(b)-4 {
 		return 0, errProtocol
@@ -114,7 +115,7 @@
 		rest = body[length:]
 	}
 	if len(c.attempts)+len(parsed) > cap(c.attempts) {
-		return 0, nil // it takes no more: the pool ends the connection, as it would a full socket
+		return 0, nil // the queue is full: the pool closes the connection, as it does when a socket's buffer is full
 	}
 	for _, p := range parsed {
 		c.attempts <- p
@@ -122,14 +123,15 @@
 	return len(b), nil
 }
 
-// The pool never reads here: answers come by handle.
+// Read always returns io.EOF. The pool does not read from the connection; answers are posted as events of the handle.
 func (c *conn) Read([]byte) (int, error) { return 0, io.EOF }
 
 func (c *conn) Close() error { return nil }
 
 func (c *conn) SetReadDeadline(time.Time) error { return nil }
 
-// run is a connection's life: it comes up, then does one part after the other, each within the time that is waited for it.
+// run opens the connection and executes one attempt after the other, each within its timeout plus the dial timeout, until the
+// connection ends.
 func (c *conn) run() error {
 	d := net.Dialer{Timeout: c.options.Dial, KeepAlive: -1}
 	netConn, err := d.DialContext(c.ctx, "tcp", c.addr.String())
@@ -148,7 +150,7 @@
 	c.options.Post(c.handle.Up(c.options.Now(), c))
 	readDone := make(chan error, 1)
 	for {
-		// While nothing is asked the node may end the connection.
+		// Without an attempt in flight the node may close the connection, which a pending read notices.
 		netConn.SetReadDeadline(time.Time{})
 		go func() {
 			_, err := c.reader.Peek(1)
@@ -161,11 +163,11 @@
 			if err := <-readDone; err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
 			} else if err == nil {
-				return fmt.Errorf("%w: it speaks unasked", errProtocol)
+				return fmt.Errorf("%w: data without a request", errProtocol)
 			}
 		case err := <-readDone:
 			if err == nil {
-				err = fmt.Errorf("%w: it speaks unasked", errProtocol)
+				err = fmt.Errorf("%w: data without a request", errProtocol)
 			}
 			return err
 		}
@@ -185,11 +187,12 @@
 	}
 }
 
-// execute has the node search, and tells how the part ended. An error ends the connection: what it meant can't be told.
+// execute runs an attempt's search on the node and returns the status and value of its answer. After an error the connection must
+// be closed, as it is not known where the next response begins.
 func (c *conn) execute(p *attempt) (end store.End, value string, err error) {
 	search, err := catalogue.ParseStatement(p.statement)
 	if err != nil {
-		return store.Broke, "", nil // no catalogue search: these nodes know no other
+		return store.Broke, "", nil // not a catalogue search; these nodes support no other
 	}
 	database := strings.ReplaceAll(c.options.Database, "%d", strconv.Itoa(p.shard))
 	if c.options.Protocol == "z3950" {
@@ -203,7 +206,7 @@
 	resultSetName   = "f"
 )
 
-// initSession begins a session.
+// initSession opens a Z39.50 session.
 func (c *conn) initSession() error {
 	c.netConn.SetDeadline(time.Now().Add(c.options.Dial))
 	m, err := c.exchange(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, PreferredMessageSize: maxMessageBytes, ExceptionalRecordSize: maxMessageBytes,
--- a/internal/protocols/back/back_test.go
+++ b/internal/protocols/back/back_test.go
@@ -17,7 +17,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// startScriptedNode is a simulated node that answers each message as a test says; nil ends the connection.
+// startScriptedNode starts a simulated node that answers the n-th message with the bytes that answer returns; nil closes the connection.
 func startScriptedNode(t *testing.T, answer func(n int, m z3950.Message) []byte) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,8 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// runAttempt sends one part to a node and tells how it ended, and of what value.
+// runAttempt sends one attempt to a node through a pool and returns its outcome and value. It cancels the attempt after cancelAfter,
+// unless that is 0.
 func runAttempt(t *testing.T, addr netip.AddrPort, cancelAfter time.Duration) (how decision.Outcome, value string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -104,7 +105,8 @@
 	return z3950.Common{}
 }
 
-// How a part ends in each way a node can fail it, as the table of architecture has it: never ran, may have run, turned away.
+// The outcome of an attempt for each way in which a node can fail: it did not run, it may have run, or the node rejected it. The
+// architecture page has the same table.
 func TestAttemptOutcomes(t *testing.T) {
 	record := z3950.Record{Syntax: z3950.XML, Body: []byte("<r/>")}
 	good := func(m z3950.Message) []byte {
@@ -171,7 +173,7 @@
 			})
 			how, value := runAttempt(t, addr, 0)
 			if how != c.want {
-				t.Errorf("ended as %v, want %v", how, c.want)
+				t.Errorf("outcome %v, want %v", how, c.want)
 			}
 			if hits, records, err := catalogue.ParseValue(value); c.want == decision.OK && (err != nil || hits != 5 || len(records) != 3) {
 				t.Errorf("%q", value)
@@ -197,7 +199,7 @@
 	})
 }
 
-// A frame is taken apart as the pool wrote it, a full queue takes no more, and what is no frame is an error.
+// TryWrite decodes the frames that the pool writes, returns 0 when the queue is full, and fails on bytes that are not a frame.
 func TestTryWrite(t *testing.T) {
 	c := &conn{attempts: make(chan attempt, 2), cancelled: map[string]bool{}}
 	frame := func(text string) []byte {
@@ -214,11 +216,11 @@
 	}
 	c.TryWrite(frame("qa.1 1 d=50 0\na.2 1 d=50 0\n"))
 	if n, err := c.TryWrite(frame("qa.3 1 d=50 0\n")); n != 0 || err != nil {
-		t.Errorf("a full queue took %d bytes, %v", n, err)
+		t.Errorf("a full queue accepted %d bytes, error %v", n, err)
 	}
 	c.TryWrite(frame("ca.1"))
 	if !c.cancelled["a.1"] {
-		t.Error("a part that was given up is not known as such")
+		t.Error("a cancelled attempt is not recorded as cancelled")
 	}
 	for _, bad := range [][]byte{nil, {1, 2, 3}, frame("qx\n"), frame("qa 1 d=5 99\nx"), frame("qa b d=5 0\n")} {
 		if _, err := c.TryWrite(bad); !errors.Is(err, errProtocol) {
--- a/internal/protocols/back/pairs_test.go
+++ b/internal/protocols/back/pairs_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// cellRecords is what the nodes of a cell hold, whatever shard they are asked for.
+// cellRecords returns the records that the nodes of a cell hold for each shard.
 func cellRecords(cell int) (all []string) {
 	for i := range 5 + cell {
 		all = append(all, archive.DublinCoreRecord(cell, i))
@@ -33,7 +33,7 @@
 	return all
 }
 
-// startNode is a simulated store node of a protocol; end kills it.
+// startNode starts a simulated store node that speaks a protocol; end stops it.
 func startNode(t *testing.T, protocol string, cell int) (addr string, end func()) {
 	t.Helper()
 	b := archive.New(archive.DublinCoreRecord)
@@ -68,7 +68,7 @@
 	return f.Addr().String(), end
 }
 
-// testBroker is a broker with all fronts before eight nodes of one protocol.
+// testBroker is a broker with every front and eight nodes of one protocol.
 type testBroker struct {
 	broker   *server.Server
 	sru      *sru.Front
@@ -151,8 +151,9 @@
 	return w
 }
 
-// In all nine pairs of a front and a back the same search gives the same records in the same order, whole; with one of two sets
-// dead it gives what there is, and says that it is not whole; and each search has had one answer by the broker's books.
+// For each pair of a front and a node protocol, the same search returns the same records in the same order as a complete result.
+// With the nodes of one of two cells dead, it returns the other cell's records as a partial result. The broker counts one answer
+// for each search.
 func TestEveryFrontWithEveryNodeProtocol(t *testing.T) {
 	for _, protocol := range []string{"frames", "sru", "z3950"} {
 		t.Run(protocol, func(t *testing.T) {
@@ -167,13 +168,13 @@
 			}
 			for name, ask := range fronts {
 				if f := ask(t); !f.complete || f.count != len(want) || strings.Join(f.records, "|") != strings.Join(want, "|") {
-					t.Errorf("%s before %s: %+v", name, protocol, f)
+					t.Errorf("front %s, nodes %s: %+v", name, protocol, f)
 				}
 			}
 			w.killCell(1)
 			for name, ask := range fronts {
 				if f := ask(t); f.complete || f.count != len(half) || strings.Join(f.records, "|") != strings.Join(half, "|") {
-					t.Errorf("%s before %s, half dead: whole %v, %d records, %d of them there", name, protocol, f.complete, f.count, len(f.records))
+					t.Errorf("front %s, nodes %s, half of them dead: complete %v, count %d, %d records", name, protocol, f.complete, f.count, len(f.records))
 				}
 			}
 			if c := w.broker.Counters().Queries; c.Received != 6 || c.Answered != 6 || c.Partial != 3 || c.InFlight != 0 {
--- a/internal/protocols/back/pairsfronts_test.go
+++ b/internal/protocols/back/pairsfronts_test.go
@@ -1,6 +1,6 @@
 package back_test
 
-// This file asks one search by each front.
+// This file runs the same search through each front.
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 	"flaxfront/internal/server"
 )
 
-// searchResult is what a client of any front sees.
+// searchResult is the result of a search as a client of any front sees it.
 type searchResult struct {
 	complete bool
 	count    int
--- a/internal/protocols/back/sru.go
+++ b/internal/protocols/back/sru.go
@@ -1,6 +1,6 @@
 package back
 
-// This file owns a part that is asked of a node by SRU.
+// This file runs an attempt's search by SRU.
 
 import (
 	"fmt"
@@ -13,16 +13,16 @@
 	"flaxfront/internal/transport/store"
 )
 
-// maxValueBytes bounds the records of one part's answer.
+// maxValueBytes bounds the records in one answer; later records are left out.
 const maxValueBytes = 48 << 10
 
-// names of schemas that SRU servers are asked for.
+// schemaNames maps the syntax of a statement to the record schema that the node is asked for.
 var schemaNames = map[string]string{"dc": "dc", "marcxml": "marcxml", "mods": "mods", "marc21": "marcxml", "text": "dc"}
 
 func (c *conn) sru(search *catalogue.Want, database string) (store.End, string, error) {
 	q, err := search.Query.Query()
 	if err != nil {
-		return store.Broke, "", nil // it can't be said in CQL
+		return store.Broke, "", nil // the query has no translation to CQL
 	}
 	target := "/" + url.PathEscape(database) + "?" + url.Values{"operation": {"searchRetrieve"}, "version": {"1.2"}, "query": {q.CQL()}, "startRecord": {"1"},
 		"maximumRecords": {strconv.Itoa(search.Depth)}, "recordSchema": {schemaNames[search.Syntax]}, "recordPacking": {"xml"}}.Encode()
@@ -43,14 +43,14 @@
 	if err != nil {
 		return 0, "", fmt.Errorf("%w: %w", errProtocol, err)
 	}
-	if len(parsed.Diagnostics) > 0 { // of a partial answer as well: its part would pass for whole
+	if len(parsed.Diagnostics) > 0 { // also those of a partial result, which would count as a complete answer of the shard
 		if parsed.Diagnostics[0].Code == 2 {
 			return store.Skipped, "", nil
 		}
 		return store.Broke, "", nil
 	}
 	if len(parsed.Records) > search.Depth || len(parsed.Records) > parsed.Count {
-		return 0, "", fmt.Errorf("%w: %d records of %d, %d were asked for", errProtocol, len(parsed.Records), parsed.Count, search.Depth)
+		return 0, "", fmt.Errorf("%w: %d records in the response, %d in the result set, %d requested", errProtocol, len(parsed.Records), parsed.Count, search.Depth)
 	}
 	var records [][]byte
 	size := 0
--- a/internal/protocols/back/z3950.go
+++ b/internal/protocols/back/z3950.go
@@ -1,6 +1,6 @@
 package back
 
-// This file owns a part that is asked of a node by Z39.50.
+// This file runs an attempt's search by Z39.50.
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"flaxfront/internal/transport/store"
 )
 
-// syntaxOIDs of syntaxes by the short names of statements.
+// syntaxOIDs maps the syntax of a statement to the object identifier of the record syntax.
 var syntaxOIDs = map[string]string{"marc21": z3950.MARC21, "marcxml": z3950.XML, "dc": z3950.XML, "mods": z3950.XML, "text": z3950.SUTRS}
 
-// busyDiagnostics are diagnostics of Bib-1 that say to come back: it was turned away.
+// busyDiagnostics are the Bib-1 diagnostics of a busy node: temporary system error and resources exhausted. They count as a rejection.
 var busyDiagnostics = map[int]bool{2: true, 31: true, 1: false}
 
 func (c *conn) z3950(p *attempt, search *catalogue.Want, database string) (store.End, string, error) {
@@ -29,16 +29,16 @@
 	}
 	r, is := m.(*z3950.SearchResponse)
 	if !is || !bytes.Equal(r.ReferenceID, ref) {
-		return 0, "", fmt.Errorf("%w: an answer to nothing that was asked", errProtocol)
+		return 0, "", fmt.Errorf("%w: not a search response to the search request", errProtocol)
 	}
 	if !r.OK {
 		if r.Records.Fault != nil && busyDiagnostics[r.Records.Fault.Code] && r.ResultSetStatus != z3950.Subset {
 			return store.Skipped, "", nil
 		}
-		return store.Broke, "", nil // a subset is no answer of a node: its part would pass for whole
+		return store.Broke, "", nil // a subset too, which would count as a complete answer of the shard
 	}
 	if r.Count < 0 {
-		return 0, "", fmt.Errorf("%w: %d records", errProtocol, r.Count)
+		return 0, "", fmt.Errorf("%w: result count %d", errProtocol, r.Count)
 	}
 	var records [][]byte
 	size := 0
@@ -52,7 +52,7 @@
 		}
 		page, is := m.(*z3950.PresentResponse)
 		if !is || !bytes.Equal(page.ReferenceID, ref) || len(page.Records.All) > want-len(records) {
-			return 0, "", fmt.Errorf("%w: a page of nothing that was asked", errProtocol)
+			return 0, "", fmt.Errorf("%w: not a present response to the present request, or more records than requested", errProtocol)
 		}
 		if page.Records.Fault != nil || len(page.Records.All) == 0 {
 			return store.Broke, "", nil
@@ -63,7 +63,7 @@
 				return store.Broke, "", nil
 			}
 			if size += len(record.Body) + 16; size > maxValueBytes {
-				return store.Served, catalogue.Value(r.Count, records), nil // as far as an answer holds
+				return store.Served, catalogue.Value(r.Count, records), nil // the answer is full
 			}
 			records = append(records, record.Body)
 		}
--- a/internal/protocols/query/cql.go
+++ b/internal/protocols/query/cql.go
@@ -1,6 +1,6 @@
 package query
 
-// This file owns CQL: reading and printing. It must never let through what the grammar does not allow.
+// This file parses CQL. A query that the grammar does not allow is an error.
 
 import (
 	"strings"
@@ -16,7 +16,7 @@
 	err   *Fault
 }
 
-// ParseCQL reads a query of CQL.
+// ParseCQL parses a CQL query. Its errors are of type *Fault.
 func ParseCQL(text string) (*Query, error) {
 	if len(text) > MaxText {
 		return nil, tooComplex.withDetails(-1, "%d bytes, %d at most", len(text), MaxText)
@@ -70,13 +70,13 @@
 	return 0, false
 }
 
-// isReserved tells whether a word can't stand for a term or a name without quotes.
+// isReserved reports whether the current token is a reserved word, which can be a term or a name only in quotes.
 func (p *cqlParser) isReserved() bool {
 	_, booleanOperator := p.booleanOperator()
 	return booleanOperator || p.isKeyword("sortby")
 }
 
-// parsePrefix reads > [name =] uri.
+// parsePrefix parses a prefix assignment: > [name =] uri.
 func (p *cqlParser) parsePrefix() (x Prefix) {
 	p.next()
 	if p.tok.kind != tokenWord && p.tok.kind != tokenQuoted {
@@ -96,7 +96,7 @@
 	return x
 }
 
-// parseExpression reads clauses joined by booleans, which bind to the left and all alike.
+// parseExpression parses clauses joined by booleans, which are left-associative and have the same precedence.
 func (p *cqlParser) parseExpression() *Node {
 	if p.depth++; p.depth > MaxDepth {
 		p.fail(tooComplex, "nested more than %d deep", MaxDepth)
@@ -142,7 +142,7 @@
 	first := p.tok
 	p.next()
 	comparison := p.tok.kind == tokenSymbol && strings.ContainsAny(p.tok.text, "=<>")
-	namedRelation := p.tok.kind == tokenWord && !p.isReserved() // a second word can only be a relation
+	namedRelation := p.tok.kind == tokenWord && !p.isReserved() // a word after the first can only be a relation
 	if !comparison && !namedRelation {
 		return p.countNode(&Node{Term: first.text})
 	}
@@ -164,7 +164,7 @@
 	return p.countNode(n)
 }
 
-// parseModifiers reads /name and /name comparison value, as many as there are.
+// parseModifiers parses a list of modifiers, each of the form /name or /name comparison value.
 func (p *cqlParser) parseModifiers() (all []Modifier) {
 	for p.err == nil && p.isSymbol("/") {
 		p.next()
--- a/internal/protocols/query/cqlprint.go
+++ b/internal/protocols/query/cqlprint.go
@@ -1,12 +1,12 @@
 package query
 
-// This file owns the printing of queries as CQL.
+// This file prints queries as CQL.
 
 import (
 	"strings"
 )
 
-// CQL prints a query so that ParseCQL reads the same one.
+// CQL returns the query's text, which ParseCQL parses back into the same query.
 func (q *Query) CQL() string {
 	var b strings.Builder
 	for _, x := range q.Prefixes {
@@ -76,7 +76,7 @@
 	}
 }
 
-// writeWord writes a word, in quotes where it needs them.
+// writeWord writes a word, quoted if it is empty, reserved or has a byte that ends an unquoted word.
 func writeWord(b *strings.Builder, text string) {
 	unquoted := text != ""
 	for i := range len(text) {
@@ -95,7 +95,7 @@
 			b.WriteByte('\\')
 		}
 		b.WriteByte(text[i])
-		if text[i] == '\\' && i+1 < len(text) { // an escape goes as a pair
+		if text[i] == '\\' && i+1 < len(text) { // the escaped byte is copied as it is
 			i++
 			b.WriteByte(text[i])
 		}
--- a/internal/protocols/query/cqltokens.go
+++ b/internal/protocols/query/cqltokens.go
@@ -1,6 +1,6 @@
 package query
 
-// This file owns the tokens of CQL.
+// This file splits CQL into tokens.
 
 import (
 	"slices"
@@ -11,9 +11,9 @@
 
 const (
 	tokenEnd    tokenKind = iota
-	tokenWord             // letters that need no quotes
-	tokenQuoted           // what stood between quotes, escapes kept but for \"
-	tokenSymbol           // ( ) / or a comparison
+	tokenWord             // unquoted characters
+	tokenQuoted           // the text between quotes, with escapes kept except \"
+	tokenSymbol           // ( ) / or a comparison symbol
 )
 
 type token struct {
@@ -26,7 +26,7 @@
 	return !strings.ContainsRune(" \t\r\n()=<>\"/", rune(c))
 }
 
-// next reads a token.
+// next reads the next token into p.tok; its kind is tokenEnd at the end of the text.
 func (p *cqlParser) next() {
 	for p.pos < len(p.text) && strings.IndexByte(" \t\r\n", p.text[p.pos]) >= 0 {
 		p.pos++
@@ -51,7 +51,7 @@
 				return
 			}
 			if p.text[p.pos] == '\\' && p.pos+1 < len(p.text) {
-				if p.text[p.pos+1] != '"' { // others mean something to the term: \* is no mask
+				if p.text[p.pos+1] != '"' { // other escapes are kept, as they change the term's meaning: \* is not a masking character
 					b.WriteByte('\\')
 				}
 				p.pos++
--- a/internal/protocols/query/fromrpn.go
+++ b/internal/protocols/query/fromrpn.go
@@ -1,6 +1,6 @@
 package query
 
-// This file owns the translation of Type-1 queries into the common tree.
+// This file translates Type-1 queries into the tree of CQL queries.
 
 import (
 	"slices"
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Query translates a Type-1 query to CQL.
+// Query translates a Type-1 query to CQL. Its errors are of type *Fault.
 func (r *RPN) Query() (*Query, error) {
 	root, err := r.toNode()
 	return &Query{Root: root}, err
@@ -111,7 +111,7 @@
 	return n, nil
 }
 
-// escapeTerm has the characters that mean something in a term of CQL mean themselves.
+// escapeTerm escapes the characters that have a meaning of their own in a CQL term.
 func escapeTerm(term string) string {
 	var b strings.Builder
 	for i := range len(term) {
@@ -123,7 +123,7 @@
 	return b.String()
 }
 
-// Indexes are the ones that have a use attribute.
+// Indexes returns the names of the indexes that have a use attribute.
 func Indexes() (all []string) {
 	for _, u := range useAttributes {
 		all = append(all, u.index)
--- a/internal/protocols/query/pqf.go
+++ b/internal/protocols/query/pqf.go
@@ -1,6 +1,6 @@
 package query
 
-// This file owns the reading and printing of Type-1 queries in prefix form.
+// This file parses and prints Type-1 queries in PQF.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	attributeSet string
 }
 
-// ParsePQF reads a query such as @and @attr 1=4 cats @attr 1=1003 "smith, j".
+// ParsePQF parses a query such as @and @attr 1=4 cats @attr 1=1003 "smith, j" and returns its attribute set as an object identifier.
 func ParsePQF(text string) (attributeSet string, r *RPN, err error) {
 	if len(text) > MaxText {
 		return "", nil, tooComplex.withDetails(-1, "%d bytes, %d at most", len(text), MaxText)
@@ -44,7 +44,7 @@
 	return p.attributeSet, r, nil
 }
 
-// splitWords cuts a text into words. One that was quoted is marked by a first byte 0, so that it is no command.
+// splitWords splits a text into words. A quoted word starts with a zero byte, so that it is not taken for a command such as @and.
 func splitWords(text string) (words []string, err error) {
 	for i := 0; i < len(text); {
 		switch c := text[i]; {
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// attributeSetOID is the object identifier of a named attribute set.
+// attributeSetOID returns the object identifier of an attribute set that is given by name or as an object identifier.
 func attributeSetOID(name string) (string, error) {
 	if equalFold(name, "bib-1") || equalFold(name, "bib1") {
 		return Bib1, nil
@@ -140,7 +140,7 @@
 		a := Attribute{}
 		text := p.currentWord()
 		p.pos++
-		if !strings.Contains(text, "=") { // the set of this attribute
+		if !strings.Contains(text, "=") { // this attribute names its own attribute set
 			var err error
 			if a.Set, err = attributeSetOID(text); err != nil {
 				return nil, err
@@ -162,7 +162,7 @@
 		}
 		return r, err
 	case "@term":
-		p.pos++ // its type: all are sent as general ones
+		p.pos++ // skips the term's type: every term is sent as a general one
 		return p.parseNode(depth + 1)
 	}
 	if strings.HasPrefix(w, "@") {
@@ -171,7 +171,7 @@
 	return &RPN{Term: strings.TrimPrefix(w, "\x00")}, nil
 }
 
-// PQF prints a query so that ParsePQF reads the same one.
+// PQF returns the query's text, which ParsePQF parses back into the same query.
 func (r *RPN) PQF() string {
 	var b strings.Builder
 	r.writePQF(&b)
@@ -207,7 +207,7 @@
 	}
 }
 
-// writePQFTerm writes a term, always in quotes: there it can't be taken for anything else.
+// writePQFTerm writes a term, always in quotes, so that it is not taken for a command.
 func writePQFTerm(b *strings.Builder, text string) {
 	b.WriteByte('"')
 	for i := range len(text) {
--- a/internal/protocols/query/query.go
+++ b/internal/protocols/query/query.go
@@ -1,12 +1,12 @@
-// Package query holds searches as catalogue protocols state them: one small typed tree, which both CQL (SRU) and Type-1 queries
-// (Z39.50) can be read into and printed from. It owns the two languages, the translation between them, and what can't be carried
-// over. It must never search, and never hold more of a query than its bounds.
+// Package query parses, prints and translates the queries of catalogue protocols: CQL of SRU and Type-1 of Z39.50, which is written
+// as PQF. What one language cannot express of the other is an error that names it. The package runs no searches, and the size of
+// a query is bounded.
 //
-// CQL is version 1.2 as the Library of Congress publishes it with SRU 1.2 (and 2.0 as OASIS searchRetrieve part 5 does); Type-1 is
-// ANSI/NISO Z39.50-2003, appendix OID 3 and the attribute set Bib-1.
+// CQL is version 1.2 as published by the Library of Congress with SRU 1.2, and 2.0 of OASIS searchRetrieve part 5; Type-1 is that of
+// ANSI/NISO Z39.50-2003, appendix OID 3, with the attribute set Bib-1.
 //
-// Depends on no package of this module. Concurrency: it keeps no state and starts no goroutine, so that its
-// functions may be called from any goroutine; what they return is the caller's.
+// Depends on no package of this module. Concurrency: the package keeps no state and starts no goroutines; its
+// functions may be called from any goroutine, and the caller owns what they return.
 package query
 
 import (
@@ -14,21 +14,22 @@
 	"strings"
 )
 
-// Bounds on what is read. Danger: a query that nests without end takes the stack, one of a million clauses the core.
+// Bounds on a query's text in bytes, its nesting depth and the number of its nodes. Without them a deeply nested query would
+// exhaust the stack, and one of a million clauses would occupy a CPU core.
 const (
 	MaxText  = 64 << 10
 	MaxDepth = 64
 	MaxNodes = 1000
 )
 
-// Op joins two parts of a query.
+// Op is a boolean operator, which joins two parts of a query.
 type Op uint8
 
-// The booleans of both languages.
+// The boolean operators of both languages.
 const (
 	And Op = iota
 	Or
-	Not // and not
+	Not // AND NOT
 	Prox
 )
 
@@ -37,47 +38,48 @@
 // Modifier qualifies a relation, a boolean or a sort key: /name or /name comparison value.
 type Modifier struct{ Name, Comparison, Value string }
 
-// Node is a part of a query: a clause if Term is what it is about, else two parts and what joins them.
+// Node is a part of a CQL query: a search clause if Left is nil, else a boolean operator with its two operands.
 type Node struct {
-	// of a clause
-	Index     string // as it was written, such as dc.title; empty: the server's choice
+	// fields of a search clause
+	Index     string // as written in the query, such as dc.title; empty: cql.serverChoice
 	Relation  string // =, ==, <>, <, <=, >, >=, any, all, adj, within, encloses or another name; empty: the server's choice
 	Term      string
-	ResultSet string // a named result set instead of a term
+	ResultSet string // name of a result set; if not empty, there is no term
 	Modifiers []Modifier
 
-	// of a boolean
+	// fields of a boolean operator
 	Op          Op
 	Left, Right *Node
 }
 
-// IsClause tells clauses from booleans.
+// IsClause reports whether the node is a search clause, not a boolean operator.
 func (n *Node) IsClause() bool { return n.Left == nil }
 
-// SortKey is one key to sort by.
+// SortKey is one key of a sortby clause.
 type SortKey struct {
 	Index     string
 	Modifiers []Modifier
 }
 
-// Query is a whole query.
+// Query is a complete CQL query.
 type Query struct {
 	Prefixes []Prefix
 	Root     *Node
 	Sort     []SortKey
 }
 
-// Prefix names a context set.
+// Prefix assigns a name to the URI of a context set.
 type Prefix struct{ Name, URI string }
 
-// Fault is why a query can't be used, in the terms of both protocols: a diagnostic of info:srw/diagnostic/1 and one of Bib-1.
+// Fault is the error of a query that cannot be used. It has the diagnostics of both protocols: the code of info:srw/diagnostic/1
+// (SRU) and that of the Bib-1 diagnostic set (Z39.50).
 type Fault struct {
 	SRU, Bib1 int
-	Details   string // what of the query is at fault
-	Pos       int    // its place in the text; -1: none
+	Details   string // the part of the query that the diagnostic is about
+	Pos       int    // byte offset in the query's text; -1: unknown
 }
 
-// Diagnostics that queries can earn.
+// Diagnostics of queries, with the message of the SRU diagnostic and of the Bib-1 diagnostic.
 var (
 	syntaxError         = Fault{10, 108, "", -1} // query syntax error; malformed query
 	tooComplex          = Fault{38, 0, "", -1}   // too many boolean operators
@@ -106,7 +108,7 @@
 	return fmt.Sprintf("query: %s (diagnostic %d)", f.Details, f.SRU)
 }
 
-// Walk visits the clauses from left to right.
+// Walk calls visit for each search clause, from left to right.
 func (n *Node) Walk(visit func(*Node)) {
 	if n == nil {
 		return
@@ -119,5 +121,5 @@
 	n.Right.Walk(visit)
 }
 
-// equalFold compares names of the languages, whose case does not matter.
+// equalFold compares names of CQL and PQF, which are case-insensitive.
 func equalFold(a, b string) bool { return strings.EqualFold(a, b) }
--- a/internal/protocols/query/query_test.go
+++ b/internal/protocols/query/query_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// The queries that are drawn are the same in each run; -rapid.seed given on the command line draws others.
+// A fixed seed makes rapid generate the same queries in each run; -rapid.seed on the command line overrides it.
 func init() { flag.Set("rapid.seed", "1") }
 
-// What the published grammar allows is read as it is meant.
+// Queries that the published grammar allows are parsed, printed in a canonical form, and parsed again to the same query.
 func TestCQL(t *testing.T) {
 	for text, want := range map[string]string{
 		`cat`:                                       `cat`,
@@ -36,12 +36,12 @@
 			continue
 		}
 		if again, err := ParseCQL(q.CQL()); err != nil || again.CQL() != want {
-			t.Errorf("%s printed as %s reads as %v, %v", text, q.CQL(), again, err)
+			t.Errorf("%s printed as %s parses as %v, %v", text, q.CQL(), again, err)
 		}
 	}
 }
 
-// What it does not allow, and what nests or runs on without end, is a fault with a diagnostic and a place.
+// A query that the grammar does not allow, or that exceeds a bound, is a *Fault with its SRU diagnostic.
 func TestBadCQL(t *testing.T) {
 	deep := strings.Repeat("(", 100) + "a" + strings.Repeat(")", 100)
 	for text, code := range map[string]int{"": 10, "(a": 10, "a)": 10, "a and": 10, "and": 10, `"a`: 10, "a =": 10, "a = and": 10, "a / b": 10,
@@ -79,7 +79,7 @@
 		}
 		_, again, err := ParsePQF(want)
 		if err != nil || again.PQF() != want {
-			t.Errorf("%s reads as %v, %v", want, again, err)
+			t.Errorf("%s parses as %v, %v", want, again, err)
 		}
 		back, err := r.Query()
 		if err != nil {
@@ -87,12 +87,12 @@
 			continue
 		}
 		if round, err := back.RPN(); err != nil || round.PQF() != want {
-			t.Errorf("%s went to %s and came back as %v, %v", want, back.CQL(), round, err)
+			t.Errorf("%s translated to CQL as %s and back to %v, %v", want, back.CQL(), round, err)
 		}
 	}
 }
 
-// What can't be carried over has its diagnostic in both protocols, and names what it is about.
+// A query that the other language cannot express is a *Fault with a diagnostic of both protocols and details.
 func TestUntranslatable(t *testing.T) {
 	for text, code := range map[string]int{"foo.bar = x": 114, "dc.title within x": 117, "dc.title =/odd x": 118, "a and/rel.x b": 110,
 		"dc.title = a?b": 120, "dc.title = a*b": 120, `dc.title = ""`: 125, "a sortby dc.title": 207, "a prox/unit=mile b": 129} {
@@ -119,12 +119,12 @@
 	}
 	for _, text := range []string{"", "@and a", "@foo a", "a b", `"a`, "@attr x=1 a", "@attr 1= a", "@set", strings.Repeat("@and a ", 100) + "a"} {
 		if _, r, err := ParsePQF(text); err == nil {
-			t.Errorf("%q was read as %s", text, r.PQF())
+			t.Errorf("%q parsed as %s, want an error", text, r.PQF())
 		}
 	}
 }
 
-// drawNode makes a query of any shape.
+// drawNode generates a query tree of at most the given depth.
 func drawNode(t *rapid.T, depth int) *Node {
 	if depth > 0 && rapid.Bool().Draw(t, "boolean") {
 		return &Node{Op: Op(rapid.IntRange(0, 2).Draw(t, "op")), Left: drawNode(t, depth-1), Right: drawNode(t, depth-1)}
@@ -139,7 +139,7 @@
 	return n
 }
 
-// Whatever query there is, what is printed reads as the same one.
+// Any generated query prints as CQL that parses and prints as the same text.
 func TestPrintedQueryParsesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := &Query{Root: drawNode(t, 4)}
@@ -165,7 +165,7 @@
 		}
 		if r, err := q.RPN(); err == nil {
 			if _, back, err := ParsePQF(r.PQF()); err != nil || back.PQF() != r.PQF() {
-				t.Fatalf("%q went to %q: %v", text, r.PQF(), err)
+				t.Fatalf("%q translated to %q, which parses with error %v", text, r.PQF(), err)
 			}
 		}
 	})
--- a/internal/protocols/query/rpn.go
+++ b/internal/protocols/query/rpn.go
@@ -1,12 +1,12 @@
 package query
 
-// This file owns Type-1 queries: the tree of Z39.50's RPN, and the text in which people write it (PQF, prefix query format). It
-// must never know how one is encoded.
+// This file defines the tree of Z39.50's Type-1 queries (RPN), whose text form is PQF (prefix query format). Package z3950 encodes
+// the tree in BER.
 
-// Bib1 is the attribute set that queries here are in, as an object identifier.
+// Bib1 is the object identifier of the attribute set Bib-1, the only one that is translated.
 const Bib1 = "1.2.840.10003.3.1"
 
-// Types of attributes of Bib-1.
+// Attribute types of Bib-1.
 const (
 	Use          = 1
 	Relation     = 2
@@ -16,29 +16,29 @@
 	Completeness = 6
 )
 
-// Attribute is one property of a term.
+// Attribute qualifies a term by one attribute type and its value.
 type Attribute struct {
-	Set   string // an object identifier; empty: the query's
+	Set   string // object identifier of the attribute set; empty: the query's
 	Type  int
 	Value int
-	Text  string // instead of Value, where it is complex
+	Text  string // replaces Value if the value is not a number
 }
 
-// RPN is a part of a Type-1 query: an operand if Left is nil.
+// RPN is a part of a Type-1 query: an operand if Left is nil, else an operator with its two operands.
 type RPN struct {
 	Attributes []Attribute
 	Term       string
 	ResultSet  string
 
 	Op          Op
-	Proximity   []int // of prox: exclusion, distance, ordered, relation, known or private unit, unit
+	Proximity   []int // parameters of Prox: exclusion, distance, ordered, relation, known or private unit, unit
 	Left, Right *RPN
 }
 
-// IsOperand tells operands from operators.
+// IsOperand reports whether r is an operand, not an operator.
 func (r *RPN) IsOperand() bool { return r.Left == nil }
 
-// addAttribute gives an attribute to all operands below that have none of its type.
+// addAttribute adds an attribute to every operand below r that has none of the same type and set.
 func (r *RPN) addAttribute(a Attribute) error {
 	if !r.IsOperand() {
 		if err := r.Left.addAttribute(a); err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// attributeValue is the value of an attribute of Bib-1; 0: it has none.
+// attributeValue returns the value of the Bib-1 attribute of a type, or 0 if there is none.
 func (r *RPN) attributeValue(kind int) int {
 	for _, a := range r.Attributes {
 		if a.Type == kind && (a.Set == "" || a.Set == Bib1) {
--- a/internal/protocols/query/translate.go
+++ b/internal/protocols/query/translate.go
@@ -1,14 +1,14 @@
 package query
 
-// This file owns the translation between CQL and Type-1, by the Bib-1 mappings that the Library of Congress publishes for the
-// context sets cql, dc, rec and bath. What can't be carried over is a fault that names it, never something left out.
+// This file translates CQL to Type-1, by the Bib-1 mappings that the Library of Congress publishes for the context sets cql, dc, rec
+// and bath. A part of a query that has no translation is an error that names it; nothing is dropped.
 
 import (
 	"slices"
 	"strings"
 )
 
-// useAttributes maps indexes to use attributes; of several indexes of one attribute the first is printed.
+// useAttributes maps CQL indexes to Bib-1 use attributes. The first index of an attribute is the one that the attribute translates to.
 var useAttributes = []struct {
 	index string
 	use   int
@@ -34,7 +34,7 @@
 
 var relationAttributes = map[string]int{"<": 1, "<=": 2, "=": 3, ">=": 4, ">": 5, "<>": 6}
 
-// RPN translates a query to Type-1.
+// RPN translates a query to Type-1. Its errors are of type *Fault.
 func (q *Query) RPN() (*RPN, error) {
 	if len(q.Sort) > 0 {
 		return nil, badSort.withDetails(-1, "sortby %.40q: Type-1 has no order; Z39.50 sorts result sets", q.Sort[0].Index)
@@ -74,7 +74,7 @@
 	case "", "=", "scr":
 		add(Relation, 3)
 		if len(words) > 1 {
-			add(Structure, 6) // a list of words
+			add(Structure, 6) // word list
 		}
 	case "==", "exact":
 		add(Relation, 3)
@@ -137,7 +137,7 @@
 	r.Attributes = append(r.Attributes, Attribute{Type: kind, Value: value})
 }
 
-// expandWords makes one clause of each word: any and all have no attribute.
+// expandWords joins one clause for each word by op, as Bib-1 has no attribute for the relations any and all.
 func (n *Node) expandWords(words []string, op Op) (*RPN, error) {
 	var all *RPN
 	for _, w := range words {
@@ -154,7 +154,8 @@
 	return all, nil
 }
 
-// parseMasks turns masks into truncation: * at an end, nowhere else, and no ? at all.
+// parseMasks removes masking characters and escapes from a term and returns the truncation attribute: 1 for a trailing *, 2 for a
+// leading one, 3 for both, 0 for none. Any other masking character is an error.
 func parseMasks(term string) (plain string, truncation int, err error) {
 	var b strings.Builder
 	for i := 0; i < len(term); i++ {
@@ -176,7 +177,7 @@
 }
 
 func (n *Node) proxToRPN() (*RPN, error) {
-	proximity := []int{0, 1, 0, 2, 1, 2} // within one word, in any order
+	proximity := []int{0, 1, 0, 2, 1, 2} // by default, adjacent words in any order
 	for _, m := range n.Modifiers {
 		switch strings.ToLower(m.Name) {
 		case "distance":
--- a/internal/protocols/simwire/decode.go
+++ b/internal/protocols/simwire/decode.go
@@ -1,6 +1,6 @@
 package simwire
 
-// This file owns the reading of what records hold. It must never let through what it could not read.
+// This file decodes the contents of event records. A field that is out of range is an error.
 
 import (
 	"fmt"
@@ -10,11 +10,11 @@
 	"flaxfront/internal/decision"
 )
 
-// tailBytes finds a field's bytes in the tail; its length counts items of the given size.
+// tailBytes returns the bytes of the tail that a field refers to: a 4-byte offset in bytes and a 4-byte count of items of itemSize bytes.
 func tailBytes(tail, field []byte, itemSize uint64) ([]byte, error) {
 	offset, size := uint64(be.Uint32(field)), uint64(be.Uint32(field[4:]))*itemSize
 	if offset > uint64(len(tail)) || size > uint64(len(tail))-offset {
-		return nil, fmt.Errorf("offset %d with %d bytes lies outside the tail of %d", offset, size, len(tail))
+		return nil, fmt.Errorf("offset %d with %d bytes lies outside the tail of %d bytes", offset, size, len(tail))
 	}
 	return tail[offset : offset+size], nil
 }
@@ -56,7 +56,7 @@
 			return nil, fmt.Errorf("message Endpoints: entry %d: unknown mode %d", len(out), raw[11])
 		}
 		if boot := be.Uint64(raw[16:]); boot != 0 {
-			e.StartedAt = time.Duration(boot - start) // wraps to a negative span for an earlier boot
+			e.StartedAt = time.Duration(boot - start) // wraps to a negative duration if the node started before the broker
 		}
 		out = append(out, e)
 	}
--- a/internal/protocols/simwire/encode.go
+++ b/internal/protocols/simwire/encode.go
@@ -1,6 +1,6 @@
 package simwire
 
-// This file owns the writing of records to the simulator.
+// This file encodes the brokers' actions as records for the simulator.
 
 import (
 	"bufio"
@@ -84,12 +84,12 @@
 		h.appendTail(h.appendRecord(acEmit)[1:], a.Text)
 	case decision.SendGossip:
 		r := h.appendRecord(acTell)
-		be.PutUint32(r[1:], math.MaxUint32) // every peer
+		be.PutUint32(r[1:], math.MaxUint32) // addressed to every peer
 		h.appendTail(r[5:], a.Text)
 	}
 }
 
-// appendTail puts a field's bytes in the tail.
+// appendTail appends s to the tail and writes its offset and length in bytes, 4 bytes each, to the field.
 func (h *Host) appendTail(field []byte, s string) {
 	be.PutUint32(field, uint32(len(h.tail)))
 	be.PutUint32(field[4:], uint32(len(s)))
--- a/internal/protocols/simwire/host.go
+++ b/internal/protocols/simwire/host.go
@@ -1,6 +1,6 @@
-// Package simwire speaks the simulator's binary wire and hosts many brokers that share nothing.
+// Package simwire implements the simulator's binary protocol and runs many brokers in one process, which share no state.
 //
-// Depends on config/terms, decision. Concurrency: nothing here locks or starts a goroutine; a value
+// Depends on config/terms, decision. Concurrency: the package takes no locks and starts no goroutines; a value
 // is used by one goroutine at a time.
 package simwire
 
@@ -16,7 +16,7 @@
 	"flaxfront/internal/decision"
 )
 
-// Layout of frames and records.
+// Sizes in bytes of frames and records, and their codes in the simulator's protocol.
 const (
 	eventSize  = 56
 	actionSize = 24
@@ -40,13 +40,13 @@
 
 type broker struct {
 	number  uint16
-	start   uint64 // the clock at its start
+	start   uint64 // the simulator's clock when the broker started, in nanoseconds
 	router  decision.Router
 	events  []decision.Event
 	pending bool
 }
 
-// Host decodes batches, gives each broker its events and writes their actions.
+// Host decodes batches of events, steps each broker that a batch has events for, and writes the brokers' actions.
 type Host struct {
 	newRouter func(decision.Settings) decision.Router
 	brokers   map[uint16]*broker
@@ -59,12 +59,12 @@
 	tail      []byte
 }
 
-// NewHost makes a host whose brokers come from newRouter.
+// NewHost returns a host that makes each broker's router with newRouter.
 func NewHost(newRouter func(decision.Settings) decision.Router) *Host {
 	return &Host{newRouter: newRouter, brokers: map[uint16]*broker{}}
 }
 
-// Serve answers batches until input ends between two frames.
+// Serve answers batches until the input ends. An input that ends within a frame is an error.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	var header [headerSize]byte
@@ -80,7 +80,7 @@
 		}
 		h.frame.Reset()
 		if got, err := io.CopyN(&h.frame, r, int64(size)); err != nil {
-			return fmt.Errorf("batch %d: %d of %d bytes came: %w", n, got, size, err)
+			return fmt.Errorf("batch %d: got %d of %d bytes: %w", n, got, size, err)
 		}
 		if err := h.handleBatch(clock, h.frame.Bytes()); err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
@@ -171,7 +171,7 @@
 			return fmt.Errorf("message Endpoints: unknown mode %d", r[10])
 		}
 		if int(r[9]) >= len(h.sheets) || !h.received[r[9]] {
-			return fmt.Errorf("message Endpoints: sheet %d was never given", r[9])
+			return fmt.Errorf("message Endpoints: no Manifest received for sheet %d", r[9])
 		}
 		var err error
 		if e.Endpoints, err = decodeEntries(h.sheets[r[9]], b.start); err != nil {
@@ -215,7 +215,7 @@
 		}
 		e.Outcome = decision.Outcome(status)
 	case evOpened:
-		return nil // streams are not used
+		return nil // the router does not use streams
 	}
 	b.events = append(b.events, e)
 	return nil
--- a/internal/protocols/simwire/simwire_test.go
+++ b/internal/protocols/simwire/simwire_test.go
@@ -16,7 +16,7 @@
 const setup = "classes.count=1\nclasses.0.aimNs=1000000000\nclasses.0.deadlineNs=2000000000\n" +
 	"classes.0.effect=read_like\ndomain.cells=2\ndomain.width=1\npermissions.maxAttempts=3\nnot.known=1\n"
 
-// sheddingRouter answers every search at once and keeps what it was told.
+// sheddingRouter sheds every query at once and records the events that it received.
 type sheddingRouter struct{ received []decision.Event }
 
 func (e *sheddingRouter) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
@@ -76,12 +76,12 @@
 	}
 	e := routers[0].received[0].Endpoints[0]
 	if e.Node.Port != 0x2bc3 || e.Cell != 1 || e.State != decision.Ready || e.StartedAt != -10 {
-		t.Errorf("entry read as %+v", e)
+		t.Errorf("endpoint list entry decoded as %+v", e)
 	}
 	if s := routers[0].received[1]; s.ID != 77 || s.RemainingTime != 500*time.Millisecond || !s.Retry {
-		t.Errorf("search read as %+v", s)
+		t.Errorf("query decoded as %+v", s)
 	}
-	reply := out[8:] // the first batch brings no action
+	reply := out[8:] // the reply to the first batch has a header only, without actions
 	sizes := be.Uint32(reply) == 4 && int(be.Uint32(reply[4:])) == len(reply)-8
 	if !sizes || !bytes.HasSuffix(reply, []byte("shed")) {
 		t.Errorf("reply %x", reply)
@@ -91,7 +91,7 @@
 	}
 }
 
-// A broker killed and started in one batch knows nothing of what came before.
+// A broker that is killed and started again in one batch receives none of the events that precede the kill.
 func TestKillAndStartInOneBatch(t *testing.T) {
 	_, routers, err := serveInput(startFrame(), batchFrame(70, setup, eventRecord(evSelect, uint16(3)), queryRecord(1), eventRecord(evKill),
 		eventRecord(evNew, uint64(9), uint32(0), uint32(len(setup))), queryRecord(2)))
@@ -105,17 +105,17 @@
 	noSheet := eventRecord(evEndpoints, uint64(1), uint16(0x503))
 	badOutcome := eventRecord(evResolved, uint64(1), uint8(0), uint16(0), uint64(1), uint16(300))
 	for want, input := range map[string][]byte{
-		"header cut short": startFrame()[:7], "bytes came": startFrame()[:60],
+		"header cut short": startFrame()[:7], "got 48 of 286 bytes": startFrame()[:60],
 		"out of range":       {0, 0, 0, 0, 0, 0, 0, 1, 0xff, 0xff, 0xff, 0xff},
 		"do not fit":         {0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff},
 		"unknown event code": batchFrame(1, "", sel, eventRecord(99)), "before any Select": batchFrame(1, "", queryRecord(1)),
-		"not running":         batchFrame(1, "", sel, queryRecord(1)),
-		"outside the tail":    batchFrame(1, "x", sel, eventRecord(evNew, uint64(1), uint32(1), uint32(9))),
-		"has no '='":          batchFrame(1, "x", sel, eventRecord(evNew, uint64(1), uint32(0), uint32(1))),
-		"missing":             batchFrame(1, "a=b", sel, eventRecord(evNew, uint64(1), uint32(0), uint32(3))),
-		"sheet 5 was never":   append(startFrame(), batchFrame(60, "", sel, noSheet)...),
-		"unknown outcome 300": append(startFrame(), batchFrame(60, "", sel, badOutcome)...),
-		"ProbeDone":           append(startFrame(), batchFrame(60, "", sel, eventRecord(evProbeDone, uint32(1), uint16(0), uint64(1), uint16(300)))...),
+		"not running":          batchFrame(1, "", sel, queryRecord(1)),
+		"outside the tail":     batchFrame(1, "x", sel, eventRecord(evNew, uint64(1), uint32(1), uint32(9))),
+		"has no '='":           batchFrame(1, "x", sel, eventRecord(evNew, uint64(1), uint32(0), uint32(1))),
+		"missing":              batchFrame(1, "a=b", sel, eventRecord(evNew, uint64(1), uint32(0), uint32(3))),
+		"received for sheet 5": append(startFrame(), batchFrame(60, "", sel, noSheet)...),
+		"unknown outcome 300":  append(startFrame(), batchFrame(60, "", sel, badOutcome)...),
+		"ProbeDone":            append(startFrame(), batchFrame(60, "", sel, eventRecord(evProbeDone, uint32(1), uint16(0), uint64(1), uint16(300)))...),
 	} {
 		if _, _, err := serveInput(input); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
