--- a/internal/protocols/front/front.go
+++ b/internal/protocols/front/front.go
@@ -1,8 +1,8 @@
-// Package front is what the fronts for catalogue clients share: how a catalogue search is put to a broker, and what came of it is
-// counted. It must never hold a connection or anything of a protocol.
+// Package front is shared by the fronts for catalogue clients, SRU and Z39.50: it runs catalogue searches as queries on a broker and
+// counts their results. It holds no connections and nothing specific to a protocol.
 //
-// Depends on config/terms, decision, decision/resultset, protocols/catalogue, server. Concurrency: it
-// starts no goroutine; what several goroutines may use is behind a lock or an atomic value.
+// Depends on config/terms, decision, decision/resultset, protocols/catalogue, server. Concurrency: the package
+// starts no goroutines; its counters are atomic.
 package front
 
 import (
@@ -21,17 +21,17 @@
 	"flaxfront/internal/server"
 )
 
-// Broker is what a front needs of one.
+// Broker is the part of a broker that a front uses.
 type Broker interface {
 	RunQuery(ctx context.Context, a *server.Query) (server.QueryResult, error)
 	Settings() *terms.Terms
 	Uptime() time.Duration
 }
 
-// Counts are what operators see of a front's searches; they may be read from any goroutine.
+// Counts counts a front's searches and their results. It may be read from any goroutine.
 type Counts struct{ Searches, Refetched, Partial, Shed, Failed, DiagnosticsSent atomic.Uint64 }
 
-// Searcher puts searches of one query type and tenant to a broker, one part for each shard, all of the same weight.
+// Searcher runs searches as queries of one query type and tenant, each with one shard request for every shard, all of equal weight.
 type Searcher struct {
 	Counts    Counts
 	Timeout   time.Duration
@@ -40,7 +40,8 @@
 	tenant    int
 }
 
-// NewSearcher finds a query type and a tenant by their names, the first where there is none. Field names the front in errors.
+// NewSearcher returns a searcher for a query type and a tenant, which are given by name; an empty name stands for the first one.
+// Errors name the front's section of the operators' file by field.
 func NewSearcher(b Broker, field, queryType, tenant string) (*Searcher, error) {
 	t := b.Settings()
 	a := &Searcher{broker: b}
@@ -53,21 +54,21 @@
 		}
 	}
 	settings := &t.Module.QueryTypes[a.queryType]
-	if a.Timeout = settings.Timeout; settings.Idempotency != decision.Idempotent { // pages beyond the first are fetched by searching again
-		return nil, fmt.Errorf("operators' file: %s.type: %s may not run again", field, t.Types[a.queryType])
+	if a.Timeout = settings.Timeout; settings.Idempotency != decision.Idempotent { // later pages may repeat the search
+		return nil, fmt.Errorf("operators' file: %s.type: query type %s is not idempotent, but later pages repeat the search", field, t.Types[a.queryType])
 	}
 	return a, nil
 }
 
-// LogCounts says what was counted, as the front ends.
+// LogCounts logs the counts when the front ends.
 func (a *Searcher) LogCounts(front string) {
 	c := &a.Counts
 	slog.Info("front ended", "front", front, "searches", c.Searches.Load(), "refetched", c.Refetched.Load(), "partial", c.Partial.Load(),
 		"shed", c.Shed.Load(), "failed", c.Failed.Load(), "diagnostics", c.DiagnosticsSent.Load())
 }
 
-// Search is one search. Again tells that it fetches more of an answer that was had before. An error beside an answered verdict is a
-// value that can't be read; without one, the client has gone or the broker stops.
+// Search runs one search. Refetch says that it repeats a search to fetch more of its records. An error with an answered result means
+// that a node's value cannot be decoded; any other error means that the client has gone or that the broker is stopping.
 func (a *Searcher) Search(ctx context.Context, want *catalogue.Want, client uint64, refetch bool) (resultset.Answer, server.QueryResult, error) {
 	shards := a.broker.Settings().Shards
 	request := &server.Query{ID: server.NewRequestID(), Type: a.queryType, Tenant: a.tenant, Client: client, Retry: refetch, Timeout: a.Timeout, Text: want.Statement()}
--- a/internal/protocols/front/sru/front.go
+++ b/internal/protocols/front/sru/front.go
@@ -1,9 +1,9 @@
-// Package sru is the front for clients that speak SRU 1.1, 1.2 and 2.0: explain and searchRetrieve. Page one is always a fresh search;
-// further pages come from the answer of the same client's page one, as long as it is kept. It owns the listener and what is kept.
-// It must never give a page of another answer under the same result set, or call a partial answer whole.
+// Package sru is the front for clients that speak SRU 1.1, 1.2 and 2.0: explain and searchRetrieve. The first page always runs a new
+// search; later pages come from the result set of the same client's first page, as long as that is kept. All pages of a result set
+// are of the same records, and a partial result is never presented as complete.
 //
 // Depends on config/operator, decision/resultset, protocols/catalogue, protocols/front, protocols/sru, server.
-// Concurrency: it starts no goroutine; what several goroutines may use is behind a lock or an atomic value.
+// Concurrency: net/http calls ServeHTTP from many goroutines; a mutex guards the result sets.
 package sru
 
 import (
@@ -31,28 +31,28 @@
 	headerTimeout         = 2500 * time.Millisecond
 	requestTimeout        = 5 * time.Second
 	idleTimeout           = 30 * time.Second
-	maxHeaderBytes        = 80 << 10 // a query of 64 KiB in the target
+	maxHeaderBytes        = 80 << 10 // bytes; room for a query of 64 KiB in the request target
 	defaultMaximumRecords = 10
-	maxClients            = 1000 // that sets are kept for
+	maxClients            = 1000 // number of clients whose result sets are kept
 )
 
-// schemas by short name and identifier.
+// schemas lists the record schemas by short name and identifier.
 var schemas = [][2]string{{"dc", "info:srw/schema/1/dc-v1.1"}, {"marcxml", "info:srw/schema/1/marcxml-v1.1"}, {"mods", "info:srw/schema/1/mods-v3.3"}}
 
-// Front is a listener.
+// Front serves SRU clients on one listener.
 type Front struct {
 	broker     front.Broker
 	searcher   *front.Searcher
 	options    operator.SRU
 	listener   net.Listener
 	httpServer *http.Server
-	slots      chan struct{} // connections
+	slots      chan struct{} // one for each open connection
 
 	mu   sync.Mutex
 	sets *resultset.Sets
 }
 
-// Listen opens a front; an unknown type or tenant is an error.
+// Listen opens a front's listener. An unknown query type or tenant is an error.
 func Listen(b front.Broker, options operator.SRU) (*Front, error) {
 	f := &Front{broker: b, options: options, slots: make(chan struct{}, options.Clients), sets: resultset.New(resultset.Limits{Bytes: options.Bytes, PerSession: 8, Sessions: maxClients, Age: options.Age})}
 	var err error
@@ -65,10 +65,10 @@
 	return f, err
 }
 
-// Addr is where it listens.
+// Addr returns the listener's address.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// limitedListener lets in so many connections; others wait in the kernel.
+// limitedListener accepts as many connections as it has slots; further ones wait in the kernel's backlog.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{}
@@ -95,7 +95,7 @@
 	return c.Conn.Close()
 }
 
-// Serve takes clients until ctx ends or Drain is called.
+// Serve accepts clients until ctx ends or Drain is called, then waits for the requests in flight.
 func (f *Front) Serve(ctx context.Context) error {
 	defer f.searcher.LogCounts("sru")
 	stop := context.AfterFunc(ctx, func() { f.httpServer.Close() })
@@ -103,16 +103,16 @@
 	if err := f.httpServer.Serve(limitedListener{f.listener, f.slots}); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("sru: %w", err)
 	}
-	wait, cancel := context.WithTimeout(ctx, f.searcher.Timeout+requestTimeout) // Drain waits for what is in hand, and so does this
+	wait, cancel := context.WithTimeout(ctx, f.searcher.Timeout+requestTimeout) // after Drain, waits for the requests in flight
 	defer cancel()
 	f.httpServer.Shutdown(wait)
 	return nil
 }
 
-// Drain takes no more connections and answers what was asked.
+// Drain stops accepting connections. Requests in flight are still answered.
 func (f *Front) Drain() { go f.httpServer.Shutdown(context.Background()) }
 
-// ServeHTTP is the life of one request.
+// ServeHTTP answers one explain or searchRetrieve request.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if name := strings.Trim(r.URL.Path, "/"); name != "" && name != f.options.Database {
 		http.Error(w, fmt.Sprintf("no database %.60q", name), http.StatusNotFound)
@@ -137,7 +137,7 @@
 		status, diagnostic = f.search(w, r, &q, response)
 	}
 	if status == 0 {
-		return // its client has gone
+		return // the client has gone
 	}
 	if diagnostic != nil {
 		f.searcher.Counts.DiagnosticsSent.Add(1)
@@ -147,7 +147,7 @@
 	w.Write(response.Append(nil))
 }
 
-// readParameters are those of the target, or of a form that was sent.
+// readParameters returns the parameters of the request target, or of the form in a POST request's body.
 func readParameters(r *http.Request) (url.Values, error) {
 	switch r.Method {
 	case http.MethodGet:
@@ -162,7 +162,7 @@
 	return nil, fmt.Errorf("method %.20q", r.Method)
 }
 
-// clientID names whoever asks: by a cookie, or where it comes from.
+// clientID identifies a client by a hash of its user cookie, or else of its address. It is never 0.
 func clientID(r *http.Request) uint64 {
 	h := fnv.New64a()
 	if c, err := r.Cookie("user"); err == nil && c.Value != "" {
--- a/internal/protocols/front/sru/front_test.go
+++ b/internal/protocols/front/sru/front_test.go
@@ -75,8 +75,8 @@
 	return a, resp
 }
 
-// In each version a client searches and goes through the pages; they are of one answer, the last has no next one, and only the
-// first and those that were not fetched yet are searches.
+// In each version a client pages through one result set. The last page has no next record position, and only pages whose records are
+// not fetched yet run searches.
 func TestPages(t *testing.T) {
 	b := archive.New(archive.DublinCoreRecord)
 	f := startFront(t, b)
@@ -106,11 +106,11 @@
 		}
 	}
 	if n := b.Queries(); n > 3*3 {
-		t.Errorf("%d searches for three times five pages", n)
+		t.Errorf("%d searches for three versions of five pages each, want at most 9", n)
 	}
 }
 
-// The same query again is a fresh search for its first page, and the page after it is of that one.
+// A repeated query runs a new search for its first page, and the page after it is of the new result set.
 func TestSameQueryAgain(t *testing.T) {
 	b := archive.New(archive.DublinCoreRecord)
 	f := startFront(t, b)
@@ -120,7 +120,7 @@
 		t.Errorf("%+v", a.Records[0])
 	}
 	b.Update(func(b *archive.Broker) { b.RecordsByShard[0][1] = `<newer/>` })
-	for range 2 { // page two would be of another answer
+	for range 2 { // the second page would be of other records
 		a, _ := get(t, f, "query=cat&maximumRecords=2&startRecord=3")
 		if len(a.Records) > 0 || len(a.Diagnostics) != 1 || a.Diagnostics[0].URI != "info:srw/diagnostic/1/51" {
 			t.Errorf("%+v", a)
@@ -128,7 +128,7 @@
 	}
 }
 
-// What the broker makes of a search has its honest form in each version.
+// Partial, shed, failed and undecodable results have their HTTP status and diagnostic in each version.
 func TestQueryResults(t *testing.T) {
 	b := archive.New(archive.DublinCoreRecord)
 	f := startFront(t, b)
@@ -148,12 +148,12 @@
 			t.Errorf("%d: %+v", resp.StatusCode, a)
 		}
 		if status == 503 && resp.Header.Get("Retry-After") != "2" {
-			t.Errorf("come back after %q", resp.Header.Get("Retry-After"))
+			t.Errorf("Retry-After is %q, want 2", resp.Header.Get("Retry-After"))
 		}
 	}
 }
 
-// What is asked wrongly has its diagnostic, in a response of the version that asked.
+// An invalid request is answered with its diagnostic, in a response of the request's version.
 func TestDiagnostics(t *testing.T) {
 	f := startFront(t, archive.New(archive.DublinCoreRecord))
 	for params, code := range map[string]int{
--- a/internal/protocols/front/sru/hostile_test.go
+++ b/internal/protocols/front/sru/hostile_test.go
@@ -1,6 +1,6 @@
 package sru
 
-// This file tests what clients and nodes do wrong, departures and drains.
+// This file tests malformed records, clients that disconnect, drains and forms.
 
 import (
 	"context"
@@ -17,7 +17,8 @@
 	"flaxfront/internal/lab/archive"
 )
 
-// A record that would break out of its place is not passed on as elements; as text it is what it was.
+// A record that is not well-formed XML, and could so change the response around it, is replaced by a diagnostic. With string escaping
+// it is passed on unchanged.
 func TestMalformedRecords(t *testing.T) {
 	b := archive.New(archive.DublinCoreRecord)
 	bad := []string{`</recordData><evil/>`, `<a>`, `<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>`, `<a/><b/>`, `text`, strings.Repeat("<a>", 100) + strings.Repeat("</a>", 100)}
@@ -26,7 +27,7 @@
 	a, _ := get(t, f, "query=cat&maximumRecords=7")
 	for i, r := range a.Records[:len(bad)] {
 		if r.Schema != "info:srw/schema/1/diagnostics-v1.1" || !strings.Contains(r.Data.Inner, "info:srw/diagnostic/1/67") {
-			t.Errorf("%.40s went out as %+v", bad[i], r)
+			t.Errorf("malformed record %.40s was sent as %+v", bad[i], r)
 		}
 	}
 	if r := a.Records[len(bad)]; !strings.Contains(r.Data.Inner, "record 0 of shard 1") {
@@ -35,12 +36,12 @@
 	a, _ = get(t, f, "query=cat&recordXMLEscaping=string&maximumRecords=6")
 	for i, r := range a.Records {
 		if r.Data.Text != bad[i] {
-			t.Errorf("%q became %q", bad[i], r.Data.Text)
+			t.Errorf("record %q was sent as %q", bad[i], r.Data.Text)
 		}
 	}
 }
 
-// A client that goes away takes its search along; a stop answers what is in hand and takes nothing more.
+// A client's disconnect cancels its search. After a drain, requests in flight are answered and new connections are not.
 func TestDisconnectAndDrain(t *testing.T) {
 	b := archive.New(archive.DublinCoreRecord)
 	f := startFront(t, b)
@@ -73,13 +74,13 @@
 	if c, err := net.Dial("tcp", f.Addr().String()); err == nil {
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("a client was taken after the drain")
+			t.Error("a client was served after the drain")
 		}
 		c.Close()
 	}
 }
 
-// Forms may be sent as well.
+// Parameters may also be sent as a form by POST.
 func TestPost(t *testing.T) {
 	f := startFront(t, archive.New(archive.DublinCoreRecord))
 	resp, err := http.PostForm("http://"+f.Addr().String()+"/catalogue", url.Values{"query": {"cat"}, "maximumRecords": {"1"}})
@@ -93,7 +94,7 @@
 	}
 }
 
-// A search with four records over a connection that stands, over a broker that answers at once: the front's own cost.
+// BenchmarkSearch measures the front's own cost: a search with four records on an open connection, with a broker that answers at once.
 func BenchmarkSearch(b *testing.B) {
 	f := startFront(b, archive.New(archive.DublinCoreRecord))
 	b.ReportAllocs()
--- a/internal/protocols/front/sru/searching.go
+++ b/internal/protocols/front/sru/searching.go
@@ -1,7 +1,6 @@
 package sru
 
-// This file owns searchRetrieve: page one is a fresh search, further pages come from what is kept. It must never call a
-// partial answer whole.
+// This file answers searchRetrieve: the first page runs a new search, later pages come from the kept result set.
 
 import (
 	"cmp"
@@ -18,7 +17,7 @@
 	"flaxfront/internal/server"
 )
 
-// search fills a response; status 0 means that its client has gone.
+// search runs a request's search and fills the response. It returns the HTTP status, which is 0 if the client has gone.
 func (f *Front) search(w http.ResponseWriter, r *http.Request, q *sru.Request, out *sru.Response) (status int, diagnostic *sru.Diagnostic) {
 	schema := slices.IndexFunc(schemas, func(s [2]string) bool { return q.Schema == s[0] || q.Schema == s[1] || q.Schema == "" && s[0] == "dc" })
 	if schema < 0 {
@@ -82,7 +81,7 @@
 		}
 	}
 	if !ok {
-		return http.StatusOK, nil // an empty answer has an empty page
+		return http.StatusOK, nil // an empty result set has an empty page
 	}
 	for i, rec := range page {
 		record := sru.Record{Schema: schemas[schema][1], Body: rec.Body, Position: q.StartRecord + i}
@@ -99,7 +98,8 @@
 	return http.StatusOK, nil
 }
 
-// runSearch puts a search to the broker, and tells what its client is told if that is not its answer.
+// runSearch runs a search on the broker. If there is no answer, it returns the HTTP status and the diagnostic for the client; status 0
+// means that the client has gone.
 func (f *Front) runSearch(w http.ResponseWriter, r *http.Request, client uint64, want *catalogue.Want, refetch bool) (a resultset.Answer, status int, diagnostic *sru.Diagnostic) {
 	a, result, err := f.searcher.Search(r.Context(), want, client, refetch)
 	switch {
--- a/internal/protocols/front/z3950/broker_test.go
+++ b/internal/protocols/front/z3950/broker_test.go
@@ -24,8 +24,8 @@
 	"flaxfront/internal/server"
 )
 
-// Both fronts before a real broker before simulated store nodes that make catalogue values: one search in each gives the same
-// records in the same order, a dead set of nodes makes both say so, and a planned stop answers what is in hand and closes sessions.
+// Both fronts with a real broker and simulated store nodes: the same search returns the same records in the same order, both report a
+// partial result when half of the shards have no node, and a planned stop closes sessions with a Close message.
 func TestFrontsWithBroker(t *testing.T) {
 	fleet, err := lab.NewFleet(t.TempDir(), 8, 2, 1)
 	if err != nil {
@@ -127,16 +127,16 @@
 			t.Errorf("record %d: %s and %s, want %s", i, p.Records.All[i].Body, records[i], want)
 		}
 	}
-	for i, n := range fleet.Nodes { // all that hold the odd shards
+	for i, n := range fleet.Nodes { // all nodes of the odd shards
 		if i%2 == 1 {
 			n.SetMode(lab.Dead)
 		}
 	}
 	if r := say(ask).(*z3950.SearchResponse); r.OK || r.ResultSetStatus != z3950.Subset || r.Count != 20 {
-		t.Errorf("half of the store is gone: %+v, %+v", r, r.Records.Fault)
+		t.Errorf("half of the nodes dead: %+v, %+v", r, r.Records.Fault)
 	}
 	if count, _, diagnostics := get("query=dc.title+%3D+cat"); count != 20 || diagnostics != 1 {
-		t.Errorf("half of the store is gone: %d records, %d diagnostics", count, diagnostics)
+		t.Errorf("half of the nodes dead: %d records, %d diagnostics", count, diagnostics)
 	}
 	if c := s.Counters().Queries; c.Partial != 2 || c.Received != c.Answered {
 		t.Errorf("%+v", c)
--- a/internal/protocols/front/z3950/clients_test.go
+++ b/internal/protocols/front/z3950/clients_test.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file tests hostile and departing clients, drains and cost.
+// This file tests invalid requests, clients that misbehave or disconnect, drains, and the front's cost.
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"flaxfront/internal/protocols/z3950"
 )
 
-// Queries that nobody here could be asked have their diagnostics; the session goes on.
+// A search with an unsupported query, database or syntax is answered with its diagnostic, and the session goes on.
 func TestUnsupportedQueries(t *testing.T) {
 	o := testOptions()
 	o.Databases = []string{"x"}
@@ -46,7 +46,8 @@
 	}
 }
 
-// Whoever says nothing, begins with anything but init, or sends noise, is closed in time with a reason; one client too many is told.
+// A client that is silent, does not begin with init, or sends bytes of another protocol is closed in time with a reason. So is one
+// beyond the limit on sessions.
 func TestHostileClients(t *testing.T) {
 	o := testOptions()
 	o.Sessions = 2
@@ -74,12 +75,12 @@
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it did not come to that")
+			t.Fatal("condition not met within 5 s")
 		}
 	}
 }
 
-// A client that goes away while its search is in hand takes it along; its sets are forgotten.
+// A client's disconnect cancels its search in flight and removes its result sets.
 func TestClientDisconnects(t *testing.T) {
 	b := archive.New(archive.TextRecord)
 	f := startFront(t, b, testOptions())
@@ -99,7 +100,7 @@
 	})
 }
 
-// A planned stop: what is in hand is answered, then each session is told by a close; new ones find nobody.
+// After a drain, operations in flight are answered, then each session is closed with a Close message; new connections fail.
 func TestDrain(t *testing.T) {
 	b := archive.New(archive.TextRecord)
 	f := startFront(t, b, testOptions())
@@ -127,7 +128,8 @@
 	}
 }
 
-// A search and a page of ten records, through a session that stands, over a broker that answers at once: the front's own cost.
+// BenchmarkSearchAndPresent measures the front's own cost: a search and a page of four records in an open session, with a broker that
+// answers at once.
 func BenchmarkSearchAndPresent(b *testing.B) {
 	f := startFront(b, archive.New(archive.DublinCoreRecord), testOptions())
 	conn, err := net.Dial("tcp", f.Addr().String())
--- a/internal/protocols/front/z3950/cold_test.go
+++ b/internal/protocols/front/z3950/cold_test.go
@@ -1,6 +1,6 @@
 package z3950_test
 
-// This file tests sessions before nodes that have just started.
+// This file tests many sessions while nodes warm up.
 
 import (
 	"bufio"
@@ -21,8 +21,8 @@
 	"flaxfront/internal/server"
 )
 
-// Five hundred sessions come at once, when half of the nodes of each set have just started: each search has one answer, none of the cold nodes is
-// pushed over, and the broker holds nothing afterwards.
+// 500 sessions open at once while half of the nodes of each cell are warming up: each search has one answer or is rejected, no node is
+// overloaded, and the broker has no query in flight afterwards.
 func TestManySessionsWithNodesWarmingUp(t *testing.T) {
 	fleet, err := lab.NewFleet(t.TempDir(), 8, 2, 1)
 	if err != nil {
@@ -34,7 +34,7 @@
 			value, _ := archive.Value([]string{"<r/>"}, text)
 			return value
 		}
-		if i < 4 { // two of the four of each set
+		if i < 4 { // two of the four nodes of each cell
 			n.MarkRestarted()
 			fleet.List[i].StartedAt = time.Now().UnixMilli()
 		}
@@ -93,7 +93,7 @@
 				case r.OK && r.Count == 4, !r.OK && r.ResultSetStatus == z3950.Subset && r.Count >= 2:
 					return "answered"
 				case r.Records.Fault != nil && (r.Records.Fault.Code == 31 || r.Records.Fault.Code == 2):
-					return "turned away"
+					return "rejected"
 				}
 				return fmt.Sprintf("%+v", r)
 			}()
@@ -103,12 +103,12 @@
 	for range sessions {
 		seen[<-ends]++
 	}
-	if seen["answered"]+seen["turned away"] != sessions || seen["answered"] < 50 {
+	if seen["answered"]+seen["rejected"] != sessions || seen["answered"] < 50 {
 		t.Errorf("%v", seen)
 	}
 	for _, n := range fleet.Nodes {
 		if n.HasCrashed() {
-			t.Error("a cold node was pushed over")
+			t.Error("a node that was warming up failed from overload")
 		}
 	}
 	if c := s.Counters().Queries; c.Received != sessions || c.InFlight != 0 || c.Received != c.Answered+c.Shed+c.Failed+c.Abandoned {
--- a/internal/protocols/front/z3950/front.go
+++ b/internal/protocols/front/z3950/front.go
@@ -1,11 +1,10 @@
-// Package z3950 is the front for clients that speak Z39.50 version 3: init, search, present, delete, close. Each search goes through
-// the broker's loop like any other and has one answer; what a client presents from is kept here, within bounds. It owns the
-// listener, the sessions and their time limits. It must never present a page of another answer than the search's, call a partial
-// answer whole, or hold more of a session than stated.
+// Package z3950 is the front for clients that speak Z39.50 version 3: init, search, present, delete, close. Each search runs as one
+// query of the broker; its result set is kept for present requests, within the bounds of the settings. All pages of a result set are
+// of the same records, and a partial result is never presented as complete.
 //
 // Depends on config/operator, decision/resultset, protocols/catalogue, protocols/front, protocols/query,
-// protocols/z3950, server. Concurrency: goroutines of its own, which the caller's context ends; what they
-// share with callers is behind a lock or an atomic value.
+// protocols/z3950, server. Concurrency: each session has a goroutine, which ends with the caller's context; a mutex
+// guards the sessions and the result sets.
 package z3950
 
 import (
@@ -24,13 +23,13 @@
 )
 
 const (
-	initTimeout     = 2500 * time.Millisecond // a connection's first message is whole by then
-	messageTimeout  = 10 * time.Second        // any other, from its first byte
+	initTimeout     = 2500 * time.Millisecond // for a connection's first message
+	messageTimeout  = 10 * time.Second        // for any other message, from its first byte
 	writeTimeout    = 10 * time.Second
-	minMessageBytes = 1 << 10 // of a message, whatever a client prefers
+	minMessageBytes = 1 << 10 // least message and record size, whatever the client prefers
 )
 
-// Diagnostics of Bib-1 that the front itself gives.
+// Bib-1 diagnostics that the front itself sends.
 const (
 	systemError          = 2   // temporary system error
 	presentOutOfRange    = 13  // present request out of range
@@ -43,7 +42,7 @@
 	illegalResultSetName = 128 // illegal result set name
 )
 
-// Front is a listener.
+// Front serves Z39.50 clients on one listener.
 type Front struct {
 	broker   front.Broker
 	ask      *front.Searcher
@@ -63,13 +62,13 @@
 	f           *Front
 	id          uint64
 	reader      *bufio.Reader
-	messageSize int  // bytes of a message
-	recordSize  int  // bytes of a record
-	busy        bool // under the front's mu
+	messageSize int  // preferred message size in bytes
+	recordSize  int  // greatest record size in bytes
+	busy        bool // an operation is in flight; guarded by the front's mu
 	operations  int
 }
 
-// Listen opens a front; an unknown type or tenant is an error.
+// Listen opens a front's listener. An unknown query type or tenant is an error.
 func Listen(b front.Broker, o operator.Z3950) (*Front, error) {
 	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, resultSets: resultset.New(resultset.Limits{Bytes: o.Bytes, PerSession: o.Sets,
 		Sessions: o.Sessions, Age: o.Age})}
@@ -80,10 +79,10 @@
 	return f, err
 }
 
-// Addr is where it listens.
+// Addr returns the listener's address.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// Serve takes sessions until ctx ends or Drain is called.
+// Serve accepts sessions until ctx ends or Drain is called, then waits for the open ones.
 func (f *Front) Serve(ctx context.Context) error {
 	defer f.ask.LogCounts("z3950")
 	stop := context.AfterFunc(ctx, func() { f.interruptSessions(func(*session) bool { return true }) })
@@ -94,7 +93,7 @@
 			f.running.Wait()
 			return nil
 		}
-		if err != nil { // such as no descriptor left
+		if err != nil { // such as no free file descriptor
 			slog.Warn("z39.50: accept failed", "error", err)
 			select {
 			case <-time.After(100 * time.Millisecond):
@@ -111,7 +110,7 @@
 			f.running.Add(1)
 		}
 		f.mu.Unlock()
-		if full { // said in the protocol, so that a client knows
+		if full { // a Close message tells the client the reason
 			conn.SetWriteDeadline(time.Now().Add(time.Second))
 			conn.Write(z3950.Encode(&z3950.Close{Reason: 4, Text: "no session is free"}))
 			conn.Close()
@@ -130,7 +129,7 @@
 	}
 }
 
-// Drain takes no more sessions; those that wait for nothing are told that this side closes, the others once they are answered.
+// Drain accepts no more sessions. Idle sessions are closed with a Close message, the others once their operation is answered.
 func (f *Front) Drain() {
 	f.mu.Lock()
 	f.draining = true
@@ -139,7 +138,7 @@
 	f.interruptSessions(func(s *session) bool { return !s.busy })
 }
 
-// interruptSessions wakes the readers of some sessions, which then close.
+// interruptSessions closes the listener and interrupts the reads of the selected sessions, which then end.
 func (f *Front) interruptSessions(which func(*session) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +150,7 @@
 	}
 }
 
-// setBusy notes whether a session has an operation in hand; true: it is to end.
+// setBusy records whether the session has an operation in flight, and reports whether the session must end because the front drains.
 func (s *session) setBusy(busy bool) (ending bool) {
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
--- a/internal/protocols/front/z3950/front_test.go
+++ b/internal/protocols/front/z3950/front_test.go
@@ -54,7 +54,7 @@
 	reader *bufio.Reader
 }
 
-// dial opens a session.
+// dial connects to the front and, unless init is nil, opens a session.
 func dial(t *testing.T, f *Front, init *z3950.InitRequest) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", f.Addr().String())
@@ -106,7 +106,8 @@
 	return all
 }
 
-// A session searches, presents pages that were fetched and pages that were not, beyond a shard's end too, and deletes.
+// A session searches, presents pages whose records are fetched already and pages that span shards or need another search, and deletes
+// its result set.
 func TestSession(t *testing.T) {
 	b := archive.New(archive.TextRecord)
 	f := startFront(t, b, testOptions())
@@ -139,14 +140,14 @@
 		t.Errorf("%+v", d)
 	}
 	if p := c.exchange(&z3950.PresentRequest{ResultSet: "a", Start: 1, Want: 1}).(*z3950.PresentResponse); p.Records.Fault == nil {
-		t.Error("a deleted set presents")
+		t.Error("present succeeded on a deleted result set")
 	}
 	if _, is := c.exchange(&z3950.Close{}).(*z3950.Close); !is {
-		t.Error("a close has no answer")
+		t.Error("Close was not answered with Close")
 	}
 }
 
-// What the broker makes of a search has its honest form: partial is never whole, shed says when to return, failed is failed.
+// A partial result is presented as a subset; a shed, failed or undecodable one is answered with its diagnostic.
 func TestQueryResults(t *testing.T) {
 	b := archive.New(archive.TextRecord)
 	c := dial(t, startFront(t, b, testOptions()), defaultInit)
@@ -173,7 +174,7 @@
 	}
 }
 
-// The store changes between two pages: no page of another answer is given, and the client is told to search again.
+// If the store's records change between two pages, no page of the new records is presented, and the diagnostic says to search again.
 func TestChangedBetweenPages(t *testing.T) {
 	b := archive.New(archive.TextRecord)
 	c := dial(t, startFront(t, b, testOptions()), defaultInit)
@@ -189,15 +190,16 @@
 		}
 	}
 	if r := c.exchange(searchRequest(t, "a", "cat")).(*z3950.SearchResponse); !r.OK {
-		t.Errorf("the search again: %+v", r)
+		t.Errorf("repeated search: %+v", r)
 	}
-	b.Update(func(b *archive.Broker) { b.Missing = 2 }) // a node dies that holds a part of the set
+	b.Update(func(b *archive.Broker) { b.Missing = 2 }) // a shard of the result set no longer answers
 	if p := c.exchange(&z3950.PresentRequest{ResultSet: "a", Start: 5, Want: 4}).(*z3950.PresentResponse); p.Records.Fault == nil || p.Records.Fault.Code != resultSetDeleted {
 		t.Errorf("%+v", p)
 	}
 }
 
-// Messages in a row are answered in a row, each with its reference; records that do not fit a message are left for the next.
+// Pipelined requests are answered in order, each with its reference ID. Records that do not fit into a message are left for the next
+// present request.
 func TestPipelinedRequestsAndLargeRecords(t *testing.T) {
 	b := archive.New(archive.TextRecord)
 	b.RecordsByShard[0][0] = string(make([]byte, 3000))
@@ -217,6 +219,6 @@
 	}
 	size := len(z3950.Encode(p))
 	if size > 2000 {
-		t.Errorf("a message of %d bytes for a client that wants 2000", size)
+		t.Errorf("a message of %d bytes, but the client prefers at most 2000", size)
 	}
 }
--- a/internal/protocols/front/z3950/present.go
+++ b/internal/protocols/front/z3950/present.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns what a session presents from its result sets. It must never present a page of another answer.
+// This file answers present and delete requests. All pages of a result set are of the same records.
 
 import (
 	"cmp"
@@ -26,7 +26,8 @@
 	return out, nil
 }
 
-// page takes records of a set; what was not fetched yet is fetched by the same search, deeper, if that gives the same answer.
+// page returns count records of a result set, from start on. If some are not fetched yet, it repeats the search for more records, and
+// uses them only if the records fetched before are still the same.
 func (s *session) page(ctx context.Context, name string, start, count int, syntax string) (z3950.Records, int, error) {
 	fail := func(code int, format string, args ...any) (z3950.Records, int, error) {
 		s.f.ask.Counts.DiagnosticsSent.Add(1)
@@ -85,7 +86,7 @@
 	return s.packRecords(page, syntax)
 }
 
-// missingSetDiagnostic is the diagnostic on a set that is not there.
+// missingSetDiagnostic returns the diagnostic code and the text for a result set that is not kept.
 func missingSetDiagnostic(why resultset.Why, name string) (int, string, any) {
 	switch why {
 	case resultset.Aged:
@@ -98,7 +99,8 @@
 	return noSuchResultSet, "%s", name
 }
 
-// packRecords makes records of a page, as many as the client wants in a message.
+// packRecords returns as many records of a page as fit into the client's message size. A record beyond the record size is replaced by
+// a diagnostic.
 func (s *session) packRecords(page []resultset.Record, syntax string) (out z3950.Records, status int, err error) {
 	size := 0
 	for i, r := range page {
--- a/internal/protocols/front/z3950/search.go
+++ b/internal/protocols/front/z3950/search.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns the searches of a session. It must never call a partial answer whole.
+// This file answers search requests. A partial result is never presented as complete.
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"flaxfront/internal/server"
 )
 
-// syntaxes are the short names under which nodes are asked for records.
+// syntaxes maps record syntaxes to the short names by which nodes are asked for records.
 var syntaxes = map[string]string{"": "marc21", z3950.MARC21: "marc21", z3950.XML: "marcxml", z3950.SUTRS: "text"}
 
 func (s *session) search(ctx context.Context, m *z3950.SearchRequest) (z3950.Message, error) {
@@ -50,7 +50,7 @@
 		return fail(121, "%.60s", m.AttributeSet)
 	}
 	var diagnostic *query.Fault
-	if _, err := m.Query.Query(); errors.As(err, &diagnostic) { // what nodes of no kind could be asked
+	if _, err := m.Query.Query(); errors.As(err, &diagnostic) { // a query that no kind of node could answer
 		return fail(diagnostic.Bib1, "%s", diagnostic.Details)
 	}
 	operand := false
@@ -79,7 +79,7 @@
 		return fail(resourcesExhausted, "the result set is too large to be kept")
 	}
 	if !answer.Whole {
-		// Never presented as whole: the set is told to be a subset, with what it lacks.
+		// A partial result is presented as a subset, with the number of parts that answered.
 		out.OK, out.ResultSetStatus = false, z3950.Subset
 		out.Records.Fault = &z3950.Fault{Code: systemError, Text: fmt.Sprintf("%d of %d parts answered", len(answer.Hits), len(answer.Shards))}
 		return out, nil
@@ -102,7 +102,7 @@
 	return out, nil
 }
 
-// resultSets tells whether a query speaks of a result set.
+// resultSets sets found if a query has a result set as an operand.
 func (s *session) resultSets(r *query.RPN, found *bool) {
 	if r.IsOperand() {
 		*found = *found || r.ResultSet != ""
@@ -112,7 +112,7 @@
 	s.resultSets(r.Right, found)
 }
 
-// searcher puts a search to the broker. While it is in hand the client may go away.
+// ask runs a search on the broker. It is cancelled if the client disconnects meanwhile.
 func (s *session) ask(ctx context.Context, want *catalogue.Want, refetch bool) (resultset.Answer, server.QueryResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -121,7 +121,7 @@
 	return s.f.ask.Search(ctx, want, s.id, refetch)
 }
 
-// cancelOnDisconnect calls off a search whose client goes away; the returned function ends the watching.
+// cancelOnDisconnect calls cancel if the client disconnects. The returned function ends this and must be called.
 func (s *session) cancelOnDisconnect(cancel func()) (stop func()) {
 	s.SetReadDeadline(time.Time{})
 	readDone := make(chan struct{})
--- a/internal/protocols/front/z3950/session.go
+++ b/internal/protocols/front/z3950/session.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns the course of one session: reading, answering, its end. It must never outlive its connection.
+// This file runs one session, from its first message to the end of its connection.
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"flaxfront/internal/protocols/z3950"
 )
 
-// serve is a session's life: init, then one operation after the other. Clients that send several at once get their answers in
-// order, each with its own reference.
+// serve runs a session: init, then one operation after the other. It returns the reason of its end for the log. Requests that a client
+// sends without waiting are answered in order, each with its reference ID.
 func (s *session) serve(ctx context.Context) (reason string) {
 	for {
 		timeout := s.f.o.Idle
@@ -88,7 +88,7 @@
 	return err
 }
 
-// handle answers one message; nil: the session is over.
+// handle returns the answer to a message, or nil if the session is over.
 func (s *session) handle(ctx context.Context, m z3950.Message) (z3950.Message, error) {
 	switch m := m.(type) {
 	case *z3950.InitRequest:
