--- a/internal/protocols/ber/ber.go
+++ b/internal/protocols/ber/ber.go
@@ -1,8 +1,8 @@
-// Package ber reads and writes the Basic Encoding Rules (ITU-T X.690) as far as Z39.50 needs them: tags of any class, definite and
-// indefinite lengths, integers, object identifiers, bit and octet strings. It owns the form alone. It must never read beyond what a
-// length claims, follow nesting without end, or give room for bytes that have not come.
+// Package ber implements the Basic Encoding Rules (ITU-T X.690) as far as Z39.50 needs them: tags of any class, definite and indefinite
+// lengths, integers, object identifiers, bit and octet strings. It never reads beyond an element's length, bounds the nesting, and
+// allocates no memory for bytes that have not arrived.
 //
-// Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
+// Depends on no package of this module. Concurrency: the package takes no locks and starts no goroutines; a value is
 // used by one goroutine at a time.
 package ber
 
@@ -11,10 +11,10 @@
 	"fmt"
 )
 
-// Class of a tag.
+// Class is the class of a tag.
 type Class uint8
 
-// The classes that are used here.
+// The classes that Z39.50 uses.
 const (
 	Universal Class = 0
 	Context   Class = 2
@@ -35,31 +35,31 @@
 	TagGeneralizedTime = 24
 )
 
-// MaxDepth bounds nesting. Danger: a few kilobytes can open thousands of levels, and a reader that follows them runs out of stack.
+// MaxDepth bounds nesting. A few kilobytes can open thousands of levels, which would exhaust the stack of a recursive reader.
 const MaxDepth = 64
 
 var (
-	// ErrTruncated tells that the bytes end before the element does.
+	// ErrTruncated means that the bytes end before the element does.
 	ErrTruncated = errors.New("ber: an element is cut short")
-	// ErrMalformed tells that the bytes are no element.
+	// ErrMalformed means that the bytes are not a valid element.
 	ErrMalformed = errors.New("ber: malformed element")
 )
 
-// Element is one tagged value.
+// Element is one decoded tag with its contents.
 type Element struct {
 	Class       Class
 	Tag         uint32
 	Constructed bool
-	Body        []byte // without the end mark of an indefinite length
+	Body        []byte // without the end-of-contents octets of an indefinite length
 }
 
-// IsContext tells whether an element has a tag of the context class.
+// IsContext reports whether the element has the given tag of the context-specific class.
 func (e *Element) IsContext(tag uint32) bool { return e.Class == Context && e.Tag == tag }
 
-// IsUniversal tells whether an element has a universal tag.
+// IsUniversal reports whether the element has the given universal tag.
 func (e *Element) IsUniversal(tag uint32) bool { return e.Class == Universal && e.Tag == tag }
 
-// readHeader reads a tag and a length; length -1 is an indefinite one.
+// readHeader decodes an element's tag and the length of its contents, which is -1 if it is indefinite. Size is the length of the header.
 func readHeader(b []byte) (e Element, length, size int, err error) {
 	if len(b) < 2 {
 		return e, 0, 0, ErrTruncated
@@ -108,7 +108,7 @@
 	return e, length, size, nil
 }
 
-// Next reads the first element of some bytes and returns the rest.
+// Next decodes the first element of b and returns the bytes behind it.
 func Next(b []byte) (e Element, rest []byte, err error) { return next(b, 0) }
 
 func next(b []byte, depth int) (e Element, rest []byte, err error) {
@@ -127,7 +127,7 @@
 		e.Body = b[:length]
 		return e, b[length:], nil
 	}
-	remaining := b // up to two zero bytes, element by element
+	remaining := b // the contents end with the end-of-contents octets, two zero bytes
 	for {
 		if len(remaining) >= 2 && remaining[0] == 0 && remaining[1] == 0 {
 			e.Body = b[:len(b)-len(remaining)]
@@ -139,8 +139,8 @@
 	}
 }
 
-// Length tells how long the first element of some bytes is, as far as that can be told by now: 0 means that more must come. Most
-// bounds it.
+// Length returns the length in bytes of the first element of b, with its header, or 0 if more bytes are needed to know it. A length
+// above limit is an error.
 func Length(b []byte, limit int) (int, error) {
 	_, length, size, err := readHeader(b)
 	switch {
--- a/internal/protocols/ber/ber_test.go
+++ b/internal/protocols/ber/ber_test.go
@@ -12,7 +12,7 @@
 
 func init() { flag.Set("rapid.seed", "1") }
 
-// What is written reads back: numbers of every size, tags beyond 30, texts, identifiers, bits, nesting.
+// Encoded elements decode to the same values: integers of every size, tags above 30, strings, object identifiers, bit strings, nesting.
 func TestRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tag := rapid.Uint32Range(0, 1<<20).Draw(t, "tag")
@@ -50,7 +50,7 @@
 	})
 }
 
-// Indefinite lengths, in one another too, read like definite ones.
+// Elements of indefinite length, also nested ones, decode like those of definite length.
 func TestIndefinite(t *testing.T) {
 	b := []byte{0xa1, 0x80, 0xa2, 0x80, 0x83, 1, 7, 0, 0, 0x84, 2, 'h', 'i', 0, 0, 'x'}
 	e, rest, err := Next(b)
@@ -71,7 +71,7 @@
 	}
 }
 
-// Lengths that lie, tags without end, primitives of indefinite length and bombs of nesting are refused, quickly.
+// Excessive lengths, endless tags, primitives of indefinite length and excessive nesting are errors.
 func TestHostile(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"nesting":           bytes.Repeat([]byte{0xa1, 0x80}, 100_000),
@@ -88,7 +88,7 @@
 		t.Error(err)
 	}
 	if size, err := Length(append([]byte{0xa1, 0x80}, bytes.Repeat([]byte{0x81, 0}, 1000)...), 100); size != 0 || err == nil {
-		t.Errorf("an element without end: %d, %v", size, err)
+		t.Errorf("endless element: length %d, error %v", size, err)
 	}
 }
 
@@ -98,7 +98,7 @@
 		size, err := Length(b, 1<<16)
 		if err == nil && size > 0 && size <= len(b) {
 			if _, rest, err := Next(b); err == nil && len(b)-len(rest) != size {
-				t.Fatalf("%d bytes by one count, %d by the other", size, len(b)-len(rest))
+				t.Fatalf("%d bytes according to Length, %d according to Next", size, len(b)-len(rest))
 			}
 		}
 		var walk func(e *Element, depth int)
--- a/internal/protocols/ber/element.go
+++ b/internal/protocols/ber/element.go
@@ -1,13 +1,13 @@
 package ber
 
-// This file owns what one element holds: further elements, numbers, strings, identifiers.
+// This file decodes an element's contents: child elements, integers, strings, object identifiers.
 
 import (
 	"fmt"
 	"strings"
 )
 
-// Each visits the elements of a constructed one, until one fails.
+// Each calls visit for each child of a constructed element, until a call returns an error.
 func (e *Element) Each(visit func(*Element) error) error {
 	if !e.Constructed {
 		return fmt.Errorf("%w: tag %d should hold others", ErrMalformed, e.Tag)
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// Int is the value of an integer.
+// Int returns the value of an integer.
 func (e *Element) Int() (n int, err error) {
 	if e.Constructed || len(e.Body) == 0 || len(e.Body) > 8 {
 		return 0, fmt.Errorf("%w: an integer of %d bytes", ErrMalformed, len(e.Body))
@@ -37,7 +37,7 @@
 	return n, nil
 }
 
-// Bool is the value of a boolean.
+// Bool returns the value of a boolean.
 func (e *Element) Bool() (bool, error) {
 	if e.Constructed || len(e.Body) != 1 {
 		return false, fmt.Errorf("%w: a boolean of %d bytes", ErrMalformed, len(e.Body))
@@ -45,7 +45,7 @@
 	return e.Body[0] != 0, nil
 }
 
-// Bytes is the value of a string, whole or in pieces.
+// Bytes returns the value of a string, whose encoding may be primitive or constructed of segments.
 func (e *Element) Bytes() ([]byte, error) { return e.bytes(0) }
 
 func (e *Element) bytes(depth int) (all []byte, err error) {
@@ -63,12 +63,12 @@
 	return all, err
 }
 
-// Bit tells whether a bit of a bit string is set, counted from the left.
+// Bit reports whether the n-th bit of a bit string is set, counted from 0 at the left.
 func (e *Element) Bit(n int) bool {
 	return !e.Constructed && len(e.Body) > 1+n/8 && e.Body[1+n/8]&(0x80>>(n%8)) != 0
 }
 
-// OID is the value of an object identifier, with dots.
+// OID returns the value of an object identifier in dotted form.
 func (e *Element) OID() (string, error) {
 	if e.Constructed || len(e.Body) == 0 || len(e.Body) > 64 {
 		return "", fmt.Errorf("%w: an object identifier of %d bytes", ErrMalformed, len(e.Body))
--- a/internal/protocols/ber/write.go
+++ b/internal/protocols/ber/write.go
@@ -1,13 +1,13 @@
 package ber
 
-// This file owns the writing of elements.
+// This file encodes elements.
 
 import (
 	"strconv"
 	"strings"
 )
 
-// AppendElement writes an element with a body that is there already.
+// AppendElement appends an element to b, whose contents are encoded already.
 func AppendElement(b []byte, class Class, tag uint32, constructed bool, body []byte) []byte {
 	first := byte(class) << 6
 	if constructed {
@@ -47,19 +47,19 @@
 	}
 }
 
-// Writer builds one constructed element.
+// Writer encodes a sequence of elements.
 type Writer struct{ b []byte }
 
-// Bytes are what was written.
+// Bytes returns the encoded elements.
 func (w *Writer) Bytes() []byte { return w.b }
 
-// Raw adds elements that are encoded already.
+// Raw appends elements that are encoded already.
 func (w *Writer) Raw(b []byte) { w.b = append(w.b, b...) }
 
-// Int adds an integer under a tag of the context class.
+// Int appends an integer with a context-specific tag.
 func (w *Writer) Int(tag uint32, n int) { w.b = AppendElement(w.b, Context, tag, false, encodeInt(n)) }
 
-// UniversalInt adds an integer under its own tag.
+// UniversalInt appends an integer with the universal tag.
 func (w *Writer) UniversalInt(n int) {
 	w.b = AppendElement(w.b, Universal, TagInteger, false, encodeInt(n))
 }
@@ -76,7 +76,7 @@
 	return b[start:]
 }
 
-// Bool adds a boolean.
+// Bool appends a boolean with a context-specific tag.
 func (w *Writer) Bool(tag uint32, value bool) {
 	body := []byte{0}
 	if value {
@@ -85,17 +85,17 @@
 	w.b = AppendElement(w.b, Context, tag, false, body)
 }
 
-// Text adds a string of bytes.
+// Text appends a string with a context-specific tag.
 func (w *Writer) Text(tag uint32, text string) {
 	w.b = AppendElement(w.b, Context, tag, false, []byte(text))
 }
 
-// Universal adds a primitive under a universal tag.
+// Universal appends a primitive element with a universal tag.
 func (w *Writer) Universal(tag uint32, body []byte) {
 	w.b = AppendElement(w.b, Universal, tag, false, body)
 }
 
-// BitString adds a bit string in which some bits are set.
+// BitString appends a bit string with a context-specific tag, in which the given bits are set, counted from 0 at the left.
 func (w *Writer) BitString(tag uint32, set ...int) {
 	body := []byte{0}
 	for _, n := range set {
@@ -107,14 +107,14 @@
 	w.b = AppendElement(w.b, Context, tag, false, body)
 }
 
-// Constructed adds a constructed element.
+// Constructed appends a constructed element, whose contents fill writes.
 func (w *Writer) Constructed(class Class, tag uint32, fill func(*Writer)) {
 	var inner Writer
 	fill(&inner)
 	w.b = AppendElement(w.b, class, tag, true, inner.b)
 }
 
-// EncodeOID encodes an object identifier; false: it is none.
+// EncodeOID returns the contents of an object identifier that is given in dotted form. It reports false if the form is invalid.
 func EncodeOID(dotted string) (b []byte, ok bool) {
 	parts := strings.Split(dotted, ".")
 	if len(parts) < 2 || len(parts) > 32 {
@@ -145,7 +145,7 @@
 	return b, true
 }
 
-// OID adds an object identifier under a tag of the context class, or its own where the tag is negative.
+// OID appends an object identifier with a context-specific tag, or with the universal tag if tag is negative.
 func (w *Writer) OID(tag int, dotted string) {
 	body, _ := EncodeOID(dotted)
 	if tag < 0 {
--- a/internal/protocols/catalogue/catalogue.go
+++ b/internal/protocols/catalogue/catalogue.go
@@ -1,8 +1,8 @@
-// Package catalogue is the form in which catalogue searches travel inside a search's statement, and their answers inside the values
-// that nodes make of its parts. It owns that form and the merging of parts into one answer. It must never search or keep anything.
+// Package catalogue encodes catalogue searches as the statement of a query, and their results as the values with which nodes answer
+// its shard requests. It also merges the values of the shards into one answer. It runs no searches.
 //
-// Depends on decision/resultset, protocols/query. Concurrency: it keeps no state and starts no goroutine, so
-// that its functions may be called from any goroutine; what they return is the caller's.
+// Depends on decision/resultset, protocols/query. Concurrency: the package keeps no state and starts no goroutines;
+// its functions may be called from any goroutine, and the caller owns what they return.
 package catalogue
 
 import (
@@ -16,25 +16,25 @@
 	"flaxfront/internal/protocols/query"
 )
 
-// formatVersion opens a statement. A later form would have another.
+// formatVersion is the first word of statements and values, which identifies their format.
 const formatVersion = "z1"
 
-// MaxDepth bounds the records that a part is asked for.
+// MaxDepth bounds the number of records that a shard is asked for.
 const MaxDepth = 1000
 
-// Want is what a part is asked for: how many of its first records, in which syntax, and of which query.
+// Want is what a shard is asked for: up to Depth of the first records that match a query, in a syntax.
 type Want struct {
 	Depth  int
-	Syntax string // a short name: marc21, dc, marcxml or another
+	Syntax string // short name, such as marc21, dc or marcxml
 	Query  *query.RPN
 }
 
-// Statement encodes it.
+// Statement returns the encoded statement.
 func (s *Want) Statement() string {
 	return formatVersion + " " + strconv.Itoa(s.Depth) + " " + s.Syntax + " " + s.Query.PQF()
 }
 
-// ParseStatement decodes one.
+// ParseStatement decodes a statement.
 func ParseStatement(text string) (w Want, err error) {
 	fields := strings.SplitN(text, " ", 4)
 	if len(fields) != 4 || fields[0] != formatVersion || fields[2] == "" {
@@ -48,7 +48,7 @@
 	return w, err
 }
 
-// Value encodes what a node found: how many records there are, and the first of them. Records are UTF-8, as values are.
+// Value encodes a node's result: the number of matching records, and the first of the records. Records must be UTF-8, as values are.
 func Value(hits int, records [][]byte) string {
 	b := []byte(formatVersion + " " + strconv.Itoa(hits) + " " + strconv.Itoa(len(records)) + "\n")
 	for _, r := range records {
@@ -60,7 +60,7 @@
 
 var errMalformedValue = errors.New("catalogue: a node's value can't be read")
 
-// ParseValue decodes one. What does not add up is an error, never fewer records.
+// ParseValue decodes a value. An inconsistent value is an error; no records are dropped.
 func ParseValue(text string) (hits int, records [][]byte, err error) {
 	line, rest, ok := bytes.Cut([]byte(text), []byte{'\n'})
 	fields := strings.Fields(string(line))
@@ -87,8 +87,8 @@
 	return hits, records, nil
 }
 
-// Merge makes one answer of the parts that are in. Whole is what the broker said of it. A value that can't be read fails all: what it
-// stands for is not known.
+// Merge returns the answer that the values of the shards form. Complete is whether the broker's result is complete. A value that cannot
+// be decoded fails the whole answer, as the number of its records is not known.
 func Merge(requested []int, depth int, complete bool, shards []int, values []string) (resultset.Answer, error) {
 	a := resultset.Answer{Whole: complete, Hits: map[int]int{}, First: map[int][][]byte{}, Depth: depth, Shards: requested}
 	for i, s := range shards {
--- a/internal/protocols/sru/explain.go
+++ b/internal/protocols/sru/explain.go
@@ -1,6 +1,6 @@
 package sru
 
-// This file owns the explain record, and the reading of responses of other servers, within bounds.
+// This file encodes the explain response and decodes the search responses of other servers, within bounds.
 
 import (
 	"bytes"
@@ -14,7 +14,8 @@
 	"flaxfront/internal/protocols/query"
 )
 
-// Explain writes the record that tells what there is.
+// Explain returns an explain response: the server's address and database, its indexes and record schemas, and the most records that
+// one response has.
 func Explain(v Version, host string, port int, database, title string, indexes []string, schemas [][2]string, maximumRecords int) []byte {
 	w := writer{}
 	w.raw(xml.Header)
@@ -50,10 +51,11 @@
 	return w.b
 }
 
-// Indexes are the ones that can be searched, by the names of their context sets.
+// Indexes returns the names of the supported indexes, each with its context set.
 func Indexes() []string { return query.Indexes() }
 
-// ParseResponse reads a response of any of the versions. Records are taken as they stand, between the tags round them.
+// ParseResponse decodes a searchRetrieve response of any version. A record's body is the content of recordData, unescaped if the
+// record is sent as a string.
 func ParseResponse(b []byte) (*Response, error) {
 	var doc struct {
 		XMLName xml.Name
@@ -80,7 +82,7 @@
 		return nil, fmt.Errorf("sru: response: %w", err)
 	}
 	if doc.XMLName.Local != "searchRetrieveResponse" || doc.Count == nil || *doc.Count < 0 {
-		return nil, fmt.Errorf("sru: %.40q is no response to a search", doc.XMLName.Local)
+		return nil, fmt.Errorf("sru: response: %.40q is not a searchRetrieveResponse with numberOfRecords", doc.XMLName.Local)
 	}
 	r := &Response{Count: *doc.Count}
 	for _, x := range doc.Records {
@@ -100,7 +102,7 @@
 	return r, nil
 }
 
-// checkBounds goes through a document before it is taken apart: depth, and neither document type nor entities of its own.
+// checkBounds checks a document before it is decoded: its nesting is bounded, and it declares neither a document type nor entities.
 func checkBounds(b []byte) error {
 	d := xml.NewDecoder(bytes.NewReader(b))
 	for depth := 0; ; {
@@ -114,12 +116,12 @@
 		switch tok.(type) {
 		case xml.StartElement:
 			if depth++; depth > 2*MaxDepth {
-				return errors.New("nested too deep")
+				return errors.New("elements nested too deep")
 			}
 		case xml.EndElement:
 			depth--
 		case xml.Directive:
-			return errors.New("a directive")
+			return errors.New("XML directives are not allowed")
 		}
 	}
 }
--- a/internal/protocols/sru/response.go
+++ b/internal/protocols/sru/response.go
@@ -1,6 +1,6 @@
 package sru
 
-// This file owns the writing of responses. It must never pass on a record that is not well formed.
+// This file encodes search responses and checks that records are well-formed XML.
 
 import (
 	"bytes"
@@ -11,29 +11,29 @@
 	"strconv"
 )
 
-// Record is one of a response.
+// Record is one record of a response.
 type Record struct {
 	Schema   string
 	Body     []byte
 	Position int
-	Fault    *Diagnostic // instead
+	Fault    *Diagnostic // sent instead of Body, if not nil
 }
 
-// Response is one response.
+// Response is a searchRetrieve response.
 type Response struct {
 	Version            Version
 	Count              int
-	Partial            bool // not all parts are in: the count is the least there is
+	Partial            bool // the result is partial, and Count the least number of records
 	ResultSet          string
 	Records            []Record
 	Escaped            bool
-	NextRecordPosition int // 0: there is none
+	NextRecordPosition int // 0: no further records
 	Diagnostics        []*Diagnostic
-	Query              string // echoed
+	Query              string // the request's query, which the response echoes
 }
 
-// CheckWellFormed tells whether a record can stand among a response's elements: one element, nested no more than MaxDepth deep, no
-// document type and no entities of its own. Danger: a record that opens another's elements, or one that expands without end.
+// CheckWellFormed returns an error unless a record can be embedded in a response: it must be one element, nested at most MaxDepth deep,
+// without document type and entities. Otherwise a record could close or add elements of the response, or expand without bound.
 func CheckWellFormed(record []byte) error {
 	if len(record) > MaxRecord {
 		return fmt.Errorf("%d bytes", len(record))
@@ -68,7 +68,7 @@
 	}
 }
 
-// Append writes a response.
+// Append appends the encoded response to b.
 func (r *Response) Append(b []byte) []byte {
 	w := writer{b}
 	w.raw(xml.Header)
@@ -118,7 +118,7 @@
 
 func (w *writer) escaped(text []byte) {
 	var b bytes.Buffer
-	xml.EscapeText(&b, text) // a buffer takes everything
+	xml.EscapeText(&b, text) // a bytes.Buffer returns no error
 	w.b = append(w.b, b.Bytes()...)
 }
 
--- a/internal/protocols/sru/sru.go
+++ b/internal/protocols/sru/sru.go
@@ -1,9 +1,9 @@
-// Package sru reads requests and writes responses of SRU: versions 1.1 and 1.2 as the Library of Congress publishes them, and 2.0 as
-// OASIS searchRetrieve part 3 does. It owns their form. It must never search, or let a request through that its version does not
-// know.
+// Package sru decodes requests and encodes responses of SRU: versions 1.1 and 1.2 as published by the Library of Congress, and 2.0 of
+// OASIS searchRetrieve part 3. It also decodes the responses of other servers. It runs no searches. A request with a parameter that
+// its version does not define is an error.
 //
-// Depends on protocols/query. Concurrency: it keeps no state and starts no goroutine, so that its functions
-// may be called from any goroutine; what they return is the caller's.
+// Depends on protocols/query. Concurrency: the package keeps no state and starts no goroutines; its functions
+// may be called from any goroutine, and the caller owns what they return.
 package sru
 
 import (
@@ -17,10 +17,10 @@
 	"flaxfront/internal/protocols/query"
 )
 
-// Version of the protocol.
+// Version is a version of the protocol.
 type Version uint8
 
-// The versions that are spoken.
+// The supported versions.
 const (
 	V11 Version = iota
 	V12
@@ -29,7 +29,7 @@
 
 func (v Version) String() string { return [...]string{"1.1", "1.2", "2.0"}[v] }
 
-// namespace of responses.
+// namespace returns the XML namespace of responses.
 func (v Version) namespace() string {
 	if v == V20 {
 		return "http://docs.oasis-open.org/ns/search-ws/sruResponse"
@@ -37,7 +37,7 @@
 	return "http://www.loc.gov/zing/srw/"
 }
 
-// Fault is one of info:srw/diagnostic/1.
+// Diagnostic is a diagnostic of info:srw/diagnostic/1.
 type Diagnostic struct {
 	Code    int
 	Details string
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("sru: diagnostic %d: %s: %s", d.Code, d.Message, d.Details)
 }
 
-// Messages of the diagnostics that are given here.
+// messages has the standard's message for each diagnostic that is sent.
 var messages = map[int]string{1: "General system error", 2: "System temporarily unavailable", 4: "Unsupported operation", 5: "Unsupported version",
 	6: "Unsupported parameter value", 7: "Mandatory parameter not supplied", 8: "Unsupported parameter", 10: "Query syntax error",
 	16: "Unsupported index", 19: "Unsupported relation", 20: "Unsupported relation modifier", 27: "Empty term unsupported",
@@ -57,24 +57,25 @@
 	59: "Result set created with valid partial results available", 61: "First record position out of range",
 	66: "Unknown schema for retrieval", 67: "Record not available in this schema", 71: "Unsupported record packing", 80: "Sort not supported"}
 
-// NewDiagnostic makes a diagnostic.
+// NewDiagnostic returns the diagnostic of a code, with formatted details.
 func NewDiagnostic(code int, format string, args ...any) *Diagnostic {
 	return &Diagnostic{code, fmt.Sprintf(format, args...), messages[code]}
 }
 
-// Request is one request.
+// Request is a decoded request.
 type Request struct {
 	Version     Version
 	Explain     bool
-	QueryText   string // the query as it came
+	QueryText   string // the query as received
 	Query       *query.Query
-	StartRecord int // counted from 1
-	Most        int // -1: the server's choice
+	StartRecord int // position of the first record, counted from 1
+	Most        int // maximumRecords; -1: not given
 	Schema      string
-	Escaped     bool // records as text, not as elements
+	Escaped     bool // records are sent as escaped text, not as XML elements
 }
 
-// parameters of searchRetrieve by version; x- ones are anybody's own.
+// parameters lists the parameters of searchRetrieve by version, in lower case. Those with the prefix x- are extensions, which every
+// version allows.
 var parameters = map[Version][]string{
 	V11: {"operation", "version", "query", "startrecord", "maximumrecords", "recordpacking", "recordschema", "recordxpath", "resultsetttl",
 		"sortkeys", "stylesheet", "extrarequestdata"},
@@ -84,7 +85,7 @@
 		"resultsetttl", "stylesheet", "sortkeys", "rendering", "httpaccept", "responsetype", "facetlimit", "facetstart", "facetsort", "facetcount"},
 }
 
-// Parse reads the parameters of a request. The version of the answer is told in any case.
+// Parse decodes the parameters of a request. Also with a diagnostic, the request has the version for the response.
 func Parse(values url.Values) (r Request, d *Diagnostic) {
 	r = Request{Version: V20, StartRecord: 1, Most: -1}
 	get := func(name string) (value string) {
@@ -108,7 +109,7 @@
 	case version == "2.0":
 	default:
 		r.Version = V12
-		return r, NewDiagnostic(5, "1.2") // the highest that has this form of request
+		return r, NewDiagnostic(5, "1.2") // the highest version with this form of request
 	}
 	text := get("query")
 	switch operation {
@@ -116,7 +117,7 @@
 		r.Explain = true
 	case "searchRetrieve", "":
 		r.Explain = operation == "" && text == ""
-	default: // scan among them
+	default: // includes scan, which is not supported
 		return r, NewDiagnostic(4, "%.40s", operation)
 	}
 	if d != nil || r.Explain {
@@ -152,7 +153,7 @@
 	}
 	switch packing {
 	case "", "xml":
-		r.Escaped = packing == "" && r.Version == V11 // 1.1 has string for its default
+		r.Escaped = packing == "" && r.Version == V11 // the default of version 1.1 is string
 	case "string":
 		r.Escaped = true
 	default:
@@ -175,7 +176,7 @@
 	return r, nil
 }
 
-// Diagnostic makes a diagnostic of what is wrong with a query.
+// Fault returns the diagnostic for an error of package query.
 func Fault(err error) *Diagnostic {
 	var f *query.Fault
 	if errors.As(err, &f) {
@@ -184,7 +185,7 @@
 	return NewDiagnostic(10, "%.200s", err)
 }
 
-// MaxDepth and MaxRecord bound what is taken for the XML of a record.
+// MaxDepth bounds the nesting of a record's XML elements, MaxRecord a record's size in bytes.
 const (
 	MaxDepth  = 64
 	MaxRecord = 1 << 20
--- a/internal/protocols/z3950/codec.go
+++ b/internal/protocols/z3950/codec.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns the reading and writing of whole messages. It must never read beyond what a length claims.
+// This file reads, encodes and decodes messages. It never reads beyond the end of a message.
 
 import (
 	"bufio"
@@ -12,7 +12,8 @@
 	"flaxfront/internal/protocols/query"
 )
 
-// Read reads one message. What it claims to hold is given room only as it comes. io.EOF means that none had begun.
+// Read reads one message. Memory is allocated only as bytes arrive, whatever length the message claims. The error io.EOF means that the
+// connection ended between two messages.
 func Read(r *bufio.Reader) (Message, error) {
 	var b []byte
 	for {
@@ -24,7 +25,7 @@
 			if n > 0 && n <= len(b) {
 				return Decode(b[:n])
 			}
-			if n > len(b) { // the rest is known: no byte of what follows is read
+			if n > len(b) { // the length is known, so that no byte of the next message is read
 				read := len(b)
 				for read < n {
 					chunk := min(n-read, 16<<10)
@@ -46,27 +47,28 @@
 			}
 			return nil, err
 		}
-		if len(b) == 0 && c>>5 != 5 { // no message begins so: whoever speaks another protocol hears it at once
+		if len(b) == 0 && c>>5 != 5 { // no message begins with this byte, so a client of another protocol gets an error at once
 			return nil, protocolError("first byte %#x", c)
 		}
-		// Byte by byte only while the length is unknown; of an indefinite one that costs what reading it again takes, so it is bounded.
+		// Only while the length is unknown is the message read byte by byte. With an indefinite length it is decoded again at each byte, so
+		// its size is bounded.
 		if b = append(b, c); len(b) > maxIndefinite {
 			return nil, protocolError("an element of indefinite length beyond %d bytes", maxIndefinite)
 		}
 	}
 }
 
-// maxIndefinite bounds messages of indefinite length, which are looked at anew with each byte.
+// maxIndefinite bounds the bytes of a message of indefinite length, which Read decodes again at each byte.
 const maxIndefinite = 4 << 10
 
-// Encode writes a message.
+// Encode returns a message's encoding.
 func Encode(m Message) []byte {
 	var w ber.Writer
 	m.append(&w)
 	return w.Bytes()
 }
 
-// Decode reads a message that is there whole.
+// Decode decodes one complete message.
 func Decode(b []byte) (Message, error) {
 	e, rest, err := ber.Next(b)
 	if err != nil || len(rest) > 0 || e.Class != ber.Context || !e.Constructed {
@@ -110,7 +112,7 @@
 	return m, nil
 }
 
-// fieldReader gathers the first fault, so that decoding reads as a list of fields.
+// fieldReader decodes fields and keeps the first error, so that callers need not check each field.
 type fieldReader struct{ err error }
 
 func (r *fieldReader) int(e *ber.Element, to *int) {
--- a/internal/protocols/z3950/ending.go
+++ b/internal/protocols/z3950/ending.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns the form of the messages that delete result sets and close a session.
+// This file encodes and decodes the messages that delete result sets and close a session.
 
 import (
 	"errors"
@@ -100,7 +100,7 @@
 	})
 }
 
-// validText is a text as records and diagnostics may carry it.
+// validText returns b as a string, quoted with escapes if it is not valid UTF-8.
 func validText(b []byte) string {
 	if utf8.Valid(b) {
 		return string(b)
--- a/internal/protocols/z3950/init.go
+++ b/internal/protocols/z3950/init.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns the form of the messages that open a session.
+// This file encodes and decodes the messages that open a session.
 
 import (
 	"flaxfront/internal/protocols/ber"
@@ -37,7 +37,7 @@
 	return r.err
 }
 
-// authentication reads an open form, user/key, or the one of user, group and password.
+// authentication decodes idAuthentication: either the open form, one string that is kept as the user, or user, group and password.
 func (m *InitRequest) authentication(r *fieldReader, e *ber.Element) {
 	r.keepError(e.Each(func(x *ber.Element) error {
 		if x.IsUniversal(ber.TagVisibleString) || x.IsUniversal(ber.TagGeneralString) {
--- a/internal/protocols/z3950/parts.go
+++ b/internal/protocols/z3950/parts.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns what messages carry: Type-1 queries, records and diagnostics.
+// This file encodes and decodes Type-1 queries.
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"flaxfront/internal/protocols/query"
 )
 
-// readQuery reads a query: [1] is Type-1, as [101] (Type-101) it has the same form; others are not supported.
+// readQuery decodes a query of Type-1, tag [1], or Type-101, tag [101], which has the same form. Other types are an error.
 func (m *SearchRequest) readQuery(e *ber.Element) error {
 	return e.Each(func(x *ber.Element) error {
 		if !x.IsContext(1) && !x.IsContext(101) {
@@ -40,7 +40,7 @@
 	case e.IsContext(0): // op
 		return r, e.Each(func(x *ber.Element) error {
 			switch {
-			case x.IsContext(102): // attributes plus term
+			case x.IsContext(102): // AttributesPlusTerm
 				return readOperand(x, r)
 			case x.IsContext(31):
 				b, err := x.Bytes()
@@ -49,7 +49,7 @@
 			}
 			return fmt.Errorf("operand %d", x.Tag)
 		})
-	case e.IsContext(1): // rpn, rpn, operator
+	case e.IsContext(1): // two operands and an operator
 		return r, e.Each(func(x *ber.Element) (err error) {
 			switch {
 			case x.IsContext(46):
@@ -81,7 +81,7 @@
 						a.Type, err = z.Int()
 					case z.IsContext(121):
 						a.Value, err = z.Int()
-					case z.IsContext(224): // complex: a list of numbers or texts
+					case z.IsContext(224): // complex value: a list of numbers or strings, which is not decoded
 						a.Text = "complex"
 					}
 					return err
@@ -91,7 +91,7 @@
 				}
 				return err
 			})
-		case x.IsContext(45), x.IsContext(216): // general, character string
+		case x.IsContext(45), x.IsContext(216): // general, characterString
 			b, err := x.Bytes()
 			r.Term = validText(b)
 			return err
--- a/internal/protocols/z3950/pdu.go
+++ b/internal/protocols/z3950/pdu.go
@@ -1,9 +1,9 @@
-// Package z3950 reads and writes the messages of Z39.50 version 3 (ANSI/NISO Z39.50-2003, appendix A) that a catalogue's front
-// and back need: init, search, present, delete, close. It owns their form. It must never open a connection, keep a session, or read
-// a message beyond its bounds.
+// Package z3950 encodes and decodes the messages of Z39.50 version 3 (ANSI/NISO Z39.50-2003, appendix A) that the front for clients and
+// the connections to nodes need: init, search, present, delete, close. It opens no connections and keeps no sessions. The size of a
+// message is bounded.
 //
-// Depends on protocols/ber, protocols/query. Concurrency: it keeps no state and starts no goroutine, so
-// that its functions may be called from any goroutine; what they return is the caller's.
+// Depends on protocols/ber, protocols/query. Concurrency: the package keeps no state and starts no goroutines;
+// its functions may be called from any goroutine, and the caller owns what they return.
 package z3950
 
 import (
@@ -14,18 +14,18 @@
 	"flaxfront/internal/protocols/query"
 )
 
-// Object identifiers of record syntaxes and diagnostics.
+// Object identifiers of record syntaxes and of the diagnostic set.
 const (
 	MARC21          = "1.2.840.10003.5.10"
 	SUTRS           = "1.2.840.10003.5.101"
 	XML             = "1.2.840.10003.5.109.10"
-	Bib1Diagnostics = "1.2.840.10003.4.1" // Bib-1's set of diagnostics
+	Bib1Diagnostics = "1.2.840.10003.4.1" // diagnostic set Bib-1
 )
 
-// MaxPDU bounds a message. Danger: a length that claims gigabytes, or an indefinite one that never ends.
+// MaxPDU bounds the bytes of a message, against lengths that claim gigabytes and indefinite lengths that never end.
 const MaxPDU = 1 << 20
 
-// Tags of messages.
+// Tags of the messages (PDUs).
 const (
 	tagInitRequest     = 20
 	tagInitResponse    = 21
@@ -38,9 +38,9 @@
 	tagClose           = 48
 )
 
-// Common is what any message may carry.
+// Common has the field that every message may have.
 type Common struct {
-	ReferenceID []byte // what the other side wants back with the answer
+	ReferenceID []byte // the client's reference, which the answer repeats
 }
 
 // InitRequest opens a session.
@@ -51,81 +51,81 @@
 	Delete                                      bool
 	NamedResultSets                             bool
 	Concurrent                                  bool
-	PreferredMessageSize, ExceptionalRecordSize int // bytes of a message, of a record
+	PreferredMessageSize, ExceptionalRecordSize int // in bytes
 	User, Group, Password                       string
 	ImplementationID, ImplementationName        string
 	ImplementationVersion                       string
 }
 
-// InitResponse answers it.
+// InitResponse answers an InitRequest.
 type InitResponse struct {
 	InitRequest
 	Accepted bool
 }
 
-// SearchRequest asks for a result set.
+// SearchRequest asks the server to run a query and to create a result set.
 type SearchRequest struct {
 	Common
-	SmallSetUpperBound, LargeSetLowerBound, MediumSetPresentNumber int // upper bound of small sets, lower of large ones, records of those between
+	SmallSetUpperBound, LargeSetLowerBound, MediumSetPresentNumber int // decide how many records come with the response
 	Replace                                                        bool
 	ResultSet                                                      string
 	Databases                                                      []string
-	Syntax                                                         string // preferred, an object identifier
-	AttributeSet                                                   string // of attributes
+	Syntax                                                         string // preferred record syntax, an object identifier
+	AttributeSet                                                   string // object identifier of the query's attribute set
 	Query                                                          *query.RPN
 }
 
-// Statuses of a result set after a search that failed.
+// Result set statuses of a search that failed.
 const (
 	Subset      = 1
 	Interim     = 2
 	NoResultSet = 3
 )
 
-// SearchResponse answers it.
+// SearchResponse answers a SearchRequest.
 type SearchResponse struct {
 	Common
 	Count, Returned, NextPosition int
 	OK                            bool
-	ResultSetStatus               int // 0: none is told
-	PresentStatus                 int // 0: none is told
+	ResultSetStatus               int // 0: not given
+	PresentStatus                 int // 0: not given
 	Records                       Records
 }
 
-// PresentRequest asks for records of a result set.
+// PresentRequest asks for records of a result set, by the position of the first, counted from 1, and their number (Want).
 type PresentRequest struct {
 	Common
 	ResultSet      string
 	Start, Want    int
-	ElementSetName string // such as F or B
+	ElementSetName string // such as F (full) or B (brief)
 	Syntax         string
 }
 
-// Statuses of presenting.
+// Present statuses.
 const (
 	Success  = 0
-	Partial1 = 1 // not all, as asked by access control
-	Partial2 = 2 // not all fit into a message
+	Partial1 = 1 // not all records, because of access control
+	Partial2 = 2 // not all records fit into a message
 	Partial3 = 3
 	Partial4 = 4
 	Failure  = 5
 )
 
-// PresentResponse answers it.
+// PresentResponse answers a PresentRequest.
 type PresentResponse struct {
 	Common
 	Returned, NextPosition, Status int
 	Records                        Records
 }
 
-// DeleteRequest drops result sets: those named, or all.
+// DeleteRequest asks the server to delete the named result sets, or all.
 type DeleteRequest struct {
 	Common
 	All        bool
 	ResultSets []string
 }
 
-// DeleteResponse answers it: 0 success, 1 there was none such.
+// DeleteResponse answers a DeleteRequest. Status 0 is success, 1 means that a result set did not exist.
 type DeleteResponse struct {
 	Common
 	Status int
@@ -138,7 +138,7 @@
 	Text   string
 }
 
-// Record is one of a response: a record, or a diagnostic in its place.
+// Record is one record of a response, or a surrogate diagnostic in its place.
 type Record struct {
 	Database string
 	Syntax   string
@@ -146,29 +146,29 @@
 	Fault    *Fault
 }
 
-// Records are those of a response, or why there are none.
+// Records has the records of a response, or a diagnostic that says why there are none.
 type Records struct {
 	All   []Record
 	Fault *Fault // a non-surrogate diagnostic
 }
 
-// Fault is a diagnostic of Bib-1.
+// Fault is a Bib-1 diagnostic.
 type Fault struct {
 	Code int
 	Text string
 }
 
-// Message is any of the above.
+// Message is any of the messages above.
 type Message interface{ append(w *ber.Writer) }
 
-// ErrProtocol is a message that can't be used. The connection can't be trusted any more.
+// ErrProtocol is the error of a malformed message. The connection must be closed, as it is not known where the next message begins.
 var ErrProtocol = errors.New("z39.50: protocol error")
 
 func protocolError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrProtocol, fmt.Sprintf(format, args...))
 }
 
-// Options of init, by their bits.
+// Bits of the options in init.
 const (
 	optSearch          = 0
 	optPresent         = 1
--- a/internal/protocols/z3950/pdu_test.go
+++ b/internal/protocols/z3950/pdu_test.go
@@ -40,21 +40,21 @@
 	}
 }
 
-// Every message reads back as it was written, also byte by byte, with others behind it on the same connection.
+// Every message decodes to what was encoded, also if it arrives byte by byte with other messages behind it on the same connection.
 func TestMessageRoundTrips(t *testing.T) {
 	var all []byte
 	for _, m := range testMessages(t) {
 		b := Encode(m)
 		got, err := Decode(b)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%+v\nread as %+v, %v", m, got, err)
+			t.Errorf("%+v\ndecoded as %+v, %v", m, got, err)
 		}
 		all = append(all, b...)
 	}
 	r := bufio.NewReader(iotest.OneByteReader(bytes.NewReader(all)))
 	for _, m := range testMessages(t) {
 		if got, err := Read(r); err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%+v\nread as %+v, %v", m, got, err)
+			t.Errorf("%+v\ndecoded as %+v, %v", m, got, err)
 		}
 	}
 	if _, err := Read(r); !errors.Is(err, io.EOF) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// A message that ends early, claims too much, nests without end, or is none, is an error at once and never a wait for more.
+// A message that is truncated, claims too great a length, nests too deep, or is of another protocol is an error.
 func TestHostileMessages(t *testing.T) {
 	search := Encode(testMessages(t)[2])
 	for cut := 1; cut < len(search); cut++ {
@@ -99,15 +99,15 @@
 		}
 		again, err := Decode(Encode(m))
 		if err != nil {
-			t.Fatalf("%+v was written and is %v", m, err)
+			t.Fatalf("%+v does not decode after encoding: %v", m, err)
 		}
 		if !reflect.DeepEqual(Encode(m), Encode(again)) {
-			t.Fatalf("%+v reads back as %+v", m, again)
+			t.Fatalf("%+v decodes after encoding as %+v", m, again)
 		}
 	})
 }
 
-// Bytes that were changed anywhere are read or refused, and nothing else.
+// A message with corrupted bytes is decoded or is an error; Read does not panic.
 func TestCorruptedMessages(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
 	for _, m := range testMessages(t) {
--- a/internal/protocols/z3950/records.go
+++ b/internal/protocols/z3950/records.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns the form of records and diagnostics.
+// This file encodes and decodes records and diagnostics.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 const maxRecords = 10_000
 
-// read takes what may stand for records in a response; anything else is passed over.
+// read decodes a response's field if it has the records or the diagnostics, and ignores any other.
 func (r *Records) read(e *ber.Element) error {
 	switch {
 	case e.IsContext(28): // records
@@ -28,7 +28,7 @@
 		f, err := readFault(e)
 		r.Fault = f
 		return err
-	case e.IsContext(205): // several
+	case e.IsContext(205): // several non-surrogate diagnostics, of which the first is kept
 		return e.Each(func(x *ber.Element) error {
 			f, err := readFault(x)
 			if r.Fault == nil {
@@ -56,7 +56,7 @@
 
 func (r *Record) readBody(e *ber.Element) error {
 	switch {
-	case e.IsContext(1): // retrieval record: an external
+	case e.IsContext(1): // retrieval record, an EXTERNAL
 		return e.Each(func(x *ber.Element) error { return r.readExternal(x) })
 	case e.IsContext(2): // surrogate diagnostic
 		return e.Each(func(x *ber.Element) (err error) {
@@ -72,11 +72,11 @@
 		switch {
 		case x.IsUniversal(ber.TagOID):
 			r.Syntax, err = x.OID()
-		case x.IsContext(1): // octets
+		case x.IsContext(1): // octet-aligned
 			var b []byte
 			b, err = x.Bytes()
 			r.Body = append([]byte(nil), b...)
-		case x.IsContext(0): // one ASN.1 type: SUTRS is a string
+		case x.IsContext(0): // single-ASN1-type: SUTRS is a string
 			err = x.Each(func(y *ber.Element) error {
 				b, err := y.Bytes()
 				r.Body = append([]byte(nil), b...)
@@ -87,7 +87,7 @@
 	})
 }
 
-// readFault reads a diagnostic: the set it is of, a number, some words.
+// readFault decodes a diagnostic's condition code and its additional information.
 func readFault(e *ber.Element) (*Fault, error) {
 	f := &Fault{}
 	err := e.Each(func(x *ber.Element) (err error) {
--- a/internal/protocols/z3950/searching.go
+++ b/internal/protocols/z3950/searching.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file owns the form of the messages that search and present.
+// This file encodes and decodes the messages that search and present.
 
 import (
 	"errors"
