--- a/internal/decision/resultset/resultset.go
+++ b/internal/decision/resultset/resultset.go
@@ -1,9 +1,9 @@
-// Package resultset decides what becomes of result sets: how many are kept and for how long, which pages they hold, when more has to be
-// fetched, and whether what was fetched later is of the same answer. A page never comes from another answer than the one before it.
-// Nothing here does I/O, reads a clock or starts a goroutine.
+// Package resultset keeps the result sets of client sessions. It limits how many are kept and for how long, returns their pages, reports
+// when more records have to be fetched, and checks that records fetched later belong to the same answer: all pages of a set come from one
+// answer.
 //
-// Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
-// used by one goroutine at a time.
+// The package does no I/O, reads no clock and starts no goroutine. It depends on no other package of this module. It takes no locks: a
+// Sets with its result sets is for one goroutine at a time.
 package resultset
 
 import (
@@ -11,140 +11,141 @@
 	"time"
 )
 
-// Limits bound what is kept.
+// Limits bounds the result sets that are kept.
 type Limits struct {
-	Bytes      int           // of records, over all sessions
-	PerSession int           // sets of one session
-	Sessions   int           // that hold any
-	Age        time.Duration // without use
+	Bytes          int           // of all sets of all sessions, estimated
+	SetsPerSession int           // result sets of one session
+	Sessions       int           // that had a result set and have not ended
+	Age            time.Duration // since the last use, after which a set is dropped
 }
 
-// Why a set is not there.
-type Why uint8
+// Status is the result of looking up a result set.
+type Status uint8
 
-// A set that is asked for is there, or it is one of these.
+// The results of a lookup. All but Found say why there is no set.
 const (
-	There   Why = iota
-	Unknown     // there never was one of that name
-	Aged        // nobody used it for too long
-	Crowded     // others needed the room
-	Changed     // the answer could not be had again
+	Found   Status = iota
+	Unknown        // no set of this name is known in the session
+	Expired        // not used for longer than Limits.Age
+	Evicted        // dropped to make room for another set, or too large when extended
+	Changed        // fetching the answer again gave another answer
 )
 
-type session struct {
-	sets map[string]*Set
-	lost map[string]Why // names of sets that went, for a true diagnostic
+type sessionSets struct {
+	sets    map[string]*Set
+	removed map[string]Status // by name: why a set is gone, for the diagnostic to the client
 }
 
-// Sets are the result sets of all sessions.
+// Sets holds the result sets of all sessions.
 type Sets struct {
 	limits   Limits
-	sessions map[uint64]*session
-	bytes    int
+	sessions map[uint64]*sessionSets
+	bytes    int // of all sets
 	Counts   Counts
 }
 
-// Counts are what operators see.
+// Counts describes the result sets kept now, and counts events since the start.
 type Counts struct {
-	Kept, Bytes                      int
-	Made, Aged, Crowded, Changed, Ok uint64
+	Kept, Bytes                                  int    // now
+	Created, Expired, Evicted, Changed, Extended uint64 // Created includes Extended
 }
 
-const mostLost = 64 // names remembered of a session's lost sets
+const maxRemovedNames = 64 // of one session; lookups of further removed sets return Unknown
 
-// New makes room for result sets; none is kept.
-func New(l Limits) *Sets { return &Sets{limits: l, sessions: map[uint64]*session{}} }
+// New returns a Sets without any result set.
+func New(l Limits) *Sets { return &Sets{limits: l, sessions: map[uint64]*sessionSets{}} }
 
-// Put keeps an answer as a session's set of a name, in place of one that was there. False: it is too large to be kept at all.
-func (s *Sets) Put(id uint64, name, query string, a Answer, now time.Duration) bool {
-	s.age(now)
-	size := a.bytes()
+// Put stores an answer as the session's result set of this name and replaces an earlier set of the name. Result sets that were used
+// least recently make room for it. Put returns false and does not store the answer if it alone exceeds Limits.Bytes.
+func (s *Sets) Put(sessionID uint64, name, query string, fetched Answer, now time.Duration) bool {
+	s.removeExpired(now)
+	size := fetched.bytes()
 	if size > s.limits.Bytes {
 		return false
 	}
-	ses := s.sessions[id]
-	if ses == nil {
+	session := s.sessions[sessionID]
+	if session == nil {
 		for len(s.sessions) >= s.limits.Sessions {
-			s.End(s.idlest())
+			s.EndSession(s.leastRecentlyUsedSession())
 		}
-		ses = &session{sets: map[string]*Set{}, lost: map[string]Why{}}
-		s.sessions[id] = ses
+		session = &sessionSets{sets: map[string]*Set{}, removed: map[string]Status{}}
+		s.sessions[sessionID] = session
 	}
-	s.remove(ses, name, There)
-	for len(ses.sets) >= s.limits.PerSession {
-		s.remove(ses, oldest(ses), Crowded)
+	s.remove(session, name, Found)
+	for len(session.sets) >= s.limits.SetsPerSession {
+		s.remove(session, leastRecentlyUsedSet(session), Evicted)
 	}
-	for s.bytes+size > s.limits.Bytes { // whoever used theirs least lately gives way, wherever it is
-		victim := s.sessions[s.idlest()]
-		if name := oldest(victim); name != "" || len(victim.sets) > 0 {
-			s.remove(victim, name, Crowded)
+	for s.bytes+size > s.limits.Bytes { // evict the least recently used set of any session
+		victim := s.sessions[s.leastRecentlyUsedSession()]
+		if name := leastRecentlyUsedSet(victim); name != "" || len(victim.sets) > 0 {
+			s.remove(victim, name, Evicted)
 		} else {
 			break
 		}
 	}
-	ses.sets[name] = &Set{Query: query, answer: a, used: now, size: size}
-	delete(ses.lost, name)
+	session.sets[name] = &Set{Query: query, answer: fetched, lastUsed: now, size: size}
+	delete(session.removed, name)
 	s.bytes += size
-	s.Counts.Made++
-	s.count()
+	s.Counts.Created++
+	s.updateCounts()
 	return true
 }
 
-// Get finds a set, and why it is not there.
-func (s *Sets) Get(id uint64, name string, now time.Duration) (*Set, Why) {
-	s.age(now)
-	ses := s.sessions[id]
-	if ses == nil {
+// Get returns a result set and marks it as used, or returns nil and why there is none.
+func (s *Sets) Get(sessionID uint64, name string, now time.Duration) (*Set, Status) {
+	s.removeExpired(now)
+	session := s.sessions[sessionID]
+	if session == nil {
 		return nil, Unknown
 	}
-	if set := ses.sets[name]; set != nil {
-		set.used = now
-		return set, There
+	if set := session.sets[name]; set != nil {
+		set.lastUsed = now
+		return set, Found
 	}
-	if why, lost := ses.lost[name]; lost {
-		return nil, why
+	if status, removed := session.removed[name]; removed {
+		return nil, status
 	}
 	return nil, Unknown
 }
 
-// Extend takes over an answer that was fetched again and deeper. Danger: the store has changed meanwhile, a shard is missing now or
-// one is there that was not, and the next page would repeat or skip records. Then the set is gone, and whoever presents from it is
-// told so. It may hurt where the store changes all the time; a fresh search is what helps then.
-func (s *Sets) Extend(id uint64, name string, a Answer, now time.Duration) (*Set, Why) {
-	set, why := s.Get(id, name, now)
-	if why != There {
-		return nil, why
+// Extend replaces a set's answer by one that was fetched again with a larger depth. If the store has changed meanwhile, or other shards
+// answered than before, the next page could repeat or skip records: then Extend drops the set, and lookups return Changed. With a store
+// that changes all the time this happens often, and the client has to search again.
+func (s *Sets) Extend(sessionID uint64, name string, fetched Answer, now time.Duration) (*Set, Status) {
+	set, status := s.Get(sessionID, name, now)
+	if status != Found {
+		return nil, status
 	}
-	if a.Whole != set.answer.Whole || a.print(set.answer.Depth) != set.answer.print(set.answer.Depth) {
+	if fetched.Complete != set.answer.Complete || fetched.print(set.answer.Depth) != set.answer.print(set.answer.Depth) {
 		s.Counts.Changed++
-		s.remove(s.sessions[id], name, Changed)
-		s.count()
+		s.remove(s.sessions[sessionID], name, Changed)
+		s.updateCounts()
 		return nil, Changed
 	}
 	query := set.Query
-	if !s.Put(id, name, query, a, now) {
-		s.remove(s.sessions[id], name, Crowded)
-		return nil, Crowded
+	if !s.Put(sessionID, name, query, fetched, now) {
+		s.remove(s.sessions[sessionID], name, Evicted)
+		return nil, Evicted
 	}
-	s.Counts.Ok++
-	return s.sessions[id].sets[name], There
+	s.Counts.Extended++
+	return s.sessions[sessionID].sets[name], Found
 }
 
-// Delete drops a set; false: there was none.
-func (s *Sets) Delete(id uint64, name string) bool {
-	ses := s.sessions[id]
-	if ses == nil || ses.sets[name] == nil {
+// Delete drops a result set and reports whether there was one.
+func (s *Sets) Delete(sessionID uint64, name string) bool {
+	session := s.sessions[sessionID]
+	if session == nil || session.sets[name] == nil {
 		return false
 	}
-	s.remove(ses, name, There)
-	s.count()
+	s.remove(session, name, Found)
+	s.updateCounts()
 	return true
 }
 
-// Names are a session's sets.
-func (s *Sets) Names(id uint64) (names []string) {
-	if ses := s.sessions[id]; ses != nil {
-		for name := range ses.sets {
+// Names returns the sorted names of a session's result sets.
+func (s *Sets) Names(sessionID uint64) (names []string) {
+	if session := s.sessions[sessionID]; session != nil {
+		for name := range session.sets {
 			names = append(names, name)
 		}
 	}
@@ -152,79 +153,81 @@
 	return names
 }
 
-// End forgets a session with all its sets.
-func (s *Sets) End(id uint64) {
-	if ses := s.sessions[id]; ses != nil {
-		for name := range ses.sets {
-			s.remove(ses, name, There)
+// EndSession drops a session with all its result sets.
+func (s *Sets) EndSession(sessionID uint64) {
+	if session := s.sessions[sessionID]; session != nil {
+		for name := range session.sets {
+			s.remove(session, name, Found)
 		}
-		delete(s.sessions, id)
-		s.count()
+		delete(s.sessions, sessionID)
+		s.updateCounts()
 	}
 }
 
-// remove takes a set away; why is remembered under its name, but for There.
-func (s *Sets) remove(ses *session, name string, why Why) {
-	set := ses.sets[name]
+// remove drops a set if it exists. The status is remembered under its name for later lookups, unless it is Found.
+func (s *Sets) remove(session *sessionSets, name string, status Status) {
+	set := session.sets[name]
 	if set == nil {
 		return
 	}
 	s.bytes -= set.size
-	delete(ses.sets, name)
-	switch why {
-	case There:
+	delete(session.sets, name)
+	switch status {
+	case Found:
 		return
-	case Crowded:
-		s.Counts.Crowded++
-	case Aged:
-		s.Counts.Aged++
+	case Evicted:
+		s.Counts.Evicted++
+	case Expired:
+		s.Counts.Expired++
 	}
-	if len(ses.lost) < mostLost {
-		ses.lost[name] = why
+	if len(session.removed) < maxRemovedNames {
+		session.removed[name] = status
 	}
 }
 
-// age drops what nobody used for too long.
-func (s *Sets) age(now time.Duration) {
-	for _, ses := range s.sessions {
-		for name, set := range ses.sets {
-			if now-set.used > s.limits.Age {
-				s.remove(ses, name, Aged)
+// removeExpired drops the sets that were not used for longer than Limits.Age.
+func (s *Sets) removeExpired(now time.Duration) {
+	for _, session := range s.sessions {
+		for name, set := range session.sets {
+			if now-set.lastUsed > s.limits.Age {
+				s.remove(session, name, Expired)
 			}
 		}
 	}
-	s.count()
+	s.updateCounts()
 }
 
-func (s *Sets) count() {
+// updateCounts updates the counts of the sets that are kept now.
+func (s *Sets) updateCounts() {
 	s.Counts.Kept, s.Counts.Bytes = 0, s.bytes
-	for _, ses := range s.sessions {
-		s.Counts.Kept += len(ses.sets)
+	for _, session := range s.sessions {
+		s.Counts.Kept += len(session.sets)
 	}
 }
 
-// oldest is the name of the set that a session used least lately.
-func oldest(ses *session) (name string) {
+// leastRecentlyUsedSet returns the name of the session's least recently used set, or "" if it has none.
+func leastRecentlyUsedSet(session *sessionSets) (name string) {
 	var best *Set
-	for n, set := range ses.sets {
-		if best == nil || set.used < best.used || set.used == best.used && n < name {
-			name, best = n, set
+	for candidate, set := range session.sets {
+		if best == nil || set.lastUsed < best.lastUsed || set.lastUsed == best.lastUsed && candidate < name {
+			name, best = candidate, set
 		}
 	}
 	return name
 }
 
-// idlest is the session whose oldest set was used least lately; one without sets before all others.
-func (s *Sets) idlest() (id uint64) {
-	best, found := time.Duration(0), false
-	for i, ses := range s.sessions {
-		used := time.Duration(-1)
-		if set := ses.sets[oldest(ses)]; set != nil {
-			used = set.used
+// leastRecentlyUsedSession returns the session that has the least recently used set of all; a session without sets comes before all
+// others.
+func (s *Sets) leastRecentlyUsedSession() (sessionID uint64) {
+	earliest, found := time.Duration(0), false
+	for candidate, session := range s.sessions {
+		lastUsed := time.Duration(-1)
+		if set := session.sets[leastRecentlyUsedSet(session)]; set != nil {
+			lastUsed = set.lastUsed
 		}
-		if !found || used < best || used == best && i < id {
-			id, best, found = i, used, true
+		if !found || lastUsed < earliest || lastUsed == earliest && candidate < sessionID {
+			sessionID, earliest, found = candidate, lastUsed, true
 		}
 	}
-	return id
+	return sessionID
 }
--- a/internal/protocols/back/back.go
+++ b/internal/protocols/back/back.go
@@ -183,13 +183,13 @@
 		if err != nil {
 			return err
 		}
-		c.options.Post(c.handle.Answered(c.options.Now(), store.Answer{ID: p.id, End: end, Value: value}))
+		c.options.Post(c.handle.Answered(c.options.Now(), store.Answer{ID: p.id, Result: end, Value: value}))
 	}
 }
 
 // execute runs an attempt's search on the node and returns the status and value of its answer. After an error the connection must
 // be closed, as it is not known where the next response begins.
-func (c *conn) execute(p *attempt) (end store.End, value string, err error) {
+func (c *conn) execute(p *attempt) (end store.Result, value string, err error) {
 	search, err := catalogue.ParseStatement(p.statement)
 	if err != nil {
 		return store.Broke, "", nil // not a catalogue search; these nodes support no other
--- a/internal/protocols/back/sru.go
+++ b/internal/protocols/back/sru.go
@@ -19,7 +19,7 @@
 // schemaNames maps the syntax of a statement to the record schema that the node is asked for.
 var schemaNames = map[string]string{"dc": "dc", "marcxml": "marcxml", "mods": "mods", "marc21": "marcxml", "text": "dc"}
 
-func (c *conn) sru(search *catalogue.Want, database string) (store.End, string, error) {
+func (c *conn) sru(search *catalogue.Want, database string) (store.Result, string, error) {
 	q, err := search.Query.Query()
 	if err != nil {
 		return store.Broke, "", nil // the query has no translation to CQL
--- a/internal/protocols/back/z3950.go
+++ b/internal/protocols/back/z3950.go
@@ -18,7 +18,7 @@
 // busyDiagnostics are the Bib-1 diagnostics of a busy node: temporary system error and resources exhausted. They count as a rejection.
 var busyDiagnostics = map[int]bool{2: true, 31: true, 1: false}
 
-func (c *conn) z3950(p *attempt, search *catalogue.Want, database string) (store.End, string, error) {
+func (c *conn) z3950(p *attempt, search *catalogue.Want, database string) (store.Result, string, error) {
 	syntax := syntaxOIDs[search.Syntax]
 	c.lastReference++
 	ref := []byte(strconv.Itoa(c.lastReference))
--- a/internal/protocols/catalogue/catalogue.go
+++ b/internal/protocols/catalogue/catalogue.go
@@ -90,13 +90,13 @@
 // Merge returns the answer that the values of the shards form. Complete is whether the broker's result is complete. A value that cannot
 // be decoded fails the whole answer, as the number of its records is not known.
 func Merge(requested []int, depth int, complete bool, shards []int, values []string) (resultset.Answer, error) {
-	a := resultset.Answer{Whole: complete, Hits: map[int]int{}, First: map[int][][]byte{}, Depth: depth, Shards: requested}
+	a := resultset.Answer{Complete: complete, Hits: map[int]int{}, FirstRecords: map[int][][]byte{}, Depth: depth, Shards: requested}
 	for i, s := range shards {
 		hits, records, err := ParseValue(values[i])
 		if err != nil {
 			return a, fmt.Errorf("shard %d: %w", s, err)
 		}
-		a.Hits[s], a.First[s] = hits, records
+		a.Hits[s], a.FirstRecords[s] = hits, records
 	}
 	return a, nil
 }
--- a/internal/protocols/front/sru/front.go
+++ b/internal/protocols/front/sru/front.go
@@ -54,7 +54,7 @@
 
 // Listen opens a front's listener. An unknown query type or tenant is an error.
 func Listen(b front.Broker, options operator.SRU) (*Front, error) {
-	f := &Front{broker: b, options: options, slots: make(chan struct{}, options.Clients), sets: resultset.New(resultset.Limits{Bytes: options.Bytes, PerSession: 8, Sessions: maxClients, Age: options.Age})}
+	f := &Front{broker: b, options: options, slots: make(chan struct{}, options.Clients), sets: resultset.New(resultset.Limits{Bytes: options.Bytes, SetsPerSession: 8, Sessions: maxClients, Age: options.Age})}
 	var err error
 	if f.searcher, err = front.NewSearcher(b, "sru", options.Type, options.Tenant); err != nil {
 		return nil, err
--- a/internal/protocols/front/sru/searching.go
+++ b/internal/protocols/front/sru/searching.go
@@ -36,7 +36,7 @@
 	f.mu.Lock()
 	set, why := f.sets.Get(client, name, f.broker.Uptime())
 	f.mu.Unlock()
-	fresh := q.StartRecord == 1 || why != resultset.There && why != resultset.Changed
+	fresh := q.StartRecord == 1 || why != resultset.Found && why != resultset.Changed
 	if !fresh && why == resultset.Changed {
 		return http.StatusOK, sru.NewDiagnostic(51, "the records have changed since the first page; ask for that again")
 	}
@@ -53,7 +53,7 @@
 			return http.StatusOK, sru.NewDiagnostic(1, "the answer is too large to be kept; ask for fewer records")
 		}
 	}
-	out.Count, out.Partial = set.Count(), !set.Whole()
+	out.Count, out.Partial = set.Count(), !set.Complete()
 	if out.Partial {
 		out.Diagnostics = append(out.Diagnostics, sru.NewDiagnostic(59, "not all parts of the catalogue answered; there may be more records"))
 	}
@@ -73,7 +73,7 @@
 		f.mu.Lock()
 		set, why = f.sets.Extend(client, name, a, f.broker.Uptime())
 		f.mu.Unlock()
-		if why != resultset.There {
+		if why != resultset.Found {
 			return http.StatusOK, sru.NewDiagnostic(51, "the records have changed since the first page; ask for that again")
 		}
 		if page, missing, ok = set.Page(q.StartRecord, min(limit, out.Count)); missing > 0 {
--- a/internal/protocols/front/z3950/present.go
+++ b/internal/protocols/front/z3950/present.go
@@ -41,7 +41,7 @@
 	f.mu.Lock()
 	set, why := f.resultSets.Get(s.id, name, f.broker.Uptime())
 	f.mu.Unlock()
-	if why != resultset.There {
+	if why != resultset.Found {
 		return fail(missingSetDiagnostic(why, name))
 	}
 	want, err := catalogue.ParseStatement(set.Query)
@@ -76,7 +76,7 @@
 		f.mu.Lock()
 		set, why = f.resultSets.Extend(s.id, name, answer, f.broker.Uptime())
 		f.mu.Unlock()
-		if why != resultset.There {
+		if why != resultset.Found {
 			return fail(missingSetDiagnostic(why, name))
 		}
 		if page, missing, _ = set.Page(start, count); missing > 0 {
@@ -87,11 +87,11 @@
 }
 
 // missingSetDiagnostic returns the diagnostic code and the text for a result set that is not kept.
-func missingSetDiagnostic(why resultset.Why, name string) (int, string, any) {
+func missingSetDiagnostic(why resultset.Status, name string) (int, string, any) {
 	switch why {
-	case resultset.Aged:
+	case resultset.Expired:
 		return resultSetDeleted, "%s was not used for too long", name
-	case resultset.Crowded:
+	case resultset.Evicted:
 		return resultSetDeleted, "%s gave way to others", name
 	case resultset.Changed:
 		return resultSetDeleted, "the records of %s have changed; search again", name
