--- a/internal/protocols/back/back.go
+++ b/internal/protocols/back/back.go
@@ -31,9 +31,9 @@
 
 // Options configure the connections to nodes.
 type Options struct {
-	Protocol string // sru or z3950
-	Database string // name of a shard's database; %d is replaced by the shard's number
-	Dial     time.Duration
+	Protocol string        // sru or z3950
+	Database string        // name of a shard's database; %d is replaced by the shard's number
+	Dial     time.Duration // timeout of connecting and of opening a session
 	Now      func() time.Duration
 	Post     func(store.Event)
 }
@@ -179,17 +179,17 @@
 			continue
 		}
 		netConn.SetDeadline(time.Now().Add(p.timeout + c.options.Dial))
-		end, value, err := c.execute(&p)
+		result, value, err := c.execute(&p)
 		if err != nil {
 			return err
 		}
-		c.options.Post(c.handle.Answered(c.options.Now(), store.Answer{ID: p.id, Result: end, Value: value}))
+		c.options.Post(c.handle.Answered(c.options.Now(), store.Answer{ID: p.id, Result: result, Value: value}))
 	}
 }
 
-// execute runs an attempt's search on the node and returns the status and value of its answer. After an error the connection must
+// execute runs an attempt's search on the node and returns the result and value of its answer. After an error the connection must
 // be closed, as it is not known where the next response begins.
-func (c *conn) execute(p *attempt) (end store.Result, value string, err error) {
+func (c *conn) execute(p *attempt) (result store.Result, value string, err error) {
 	search, err := catalogue.ParseStatement(p.statement)
 	if err != nil {
 		return store.Broke, "", nil // not a catalogue search; these nodes support no other
--- a/internal/protocols/back/back_test.go
+++ b/internal/protocols/back/back_test.go
@@ -180,12 +180,12 @@
 			}
 		})
 	}
-	t.Run("nobody there", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		if how, _ := runAttempt(t, netip.MustParseAddrPort("127.0.0.1:1"), 0); how != decision.ConnectFailed {
 			t.Errorf("%v", how)
 		}
 	})
-	t.Run("called off", func(t *testing.T) {
+	t.Run("cancelled", func(t *testing.T) {
 		addr := startScriptedNode(t, func(n int, m z3950.Message) []byte {
 			if n == 0 {
 				return acceptInit(m)
--- a/internal/protocols/front/z3950/clients_test.go
+++ b/internal/protocols/front/z3950/clients_test.go
@@ -55,14 +55,14 @@
 	silent, noisy := dial(t, f, nil), dial(t, f, nil)
 	began := time.Now()
 	if m, is := dial(t, f, nil).receive().(*z3950.Close); !is || m.Reason != 4 {
-		t.Errorf("one too many: %+v", m)
+		t.Errorf("session beyond the limit: %+v", m)
 	}
 	noisy.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	if m, is := noisy.receive().(*z3950.Close); !is || m.Reason != 6 {
-		t.Errorf("noise: %+v", m)
+		t.Errorf("bytes of another protocol: %+v", m)
 	}
 	if m, is := silent.receive().(*z3950.Close); !is || m.Reason != 7 || time.Since(began) > 3*time.Second {
-		t.Errorf("silence: %+v after %v", m, time.Since(began))
+		t.Errorf("silent client: %+v after %v", m, time.Since(began))
 	}
 	waitUntil(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.sessions) == 0 })
 	early := dial(t, f, nil)
@@ -111,14 +111,14 @@
 	waitUntil(t, func() bool { return b.Queries() == 1 })
 	f.Drain()
 	if m, is := idle.receive().(*z3950.Close); !is || m.Reason != 1 {
-		t.Errorf("idle: %+v", m)
+		t.Errorf("idle session: %+v", m)
 	}
 	close(hold)
 	if r, is := busy.receive().(*z3950.SearchResponse); !is || !r.OK {
-		t.Errorf("busy: %+v", r)
+		t.Errorf("busy session: %+v", r)
 	}
 	if m, is := busy.receive().(*z3950.Close); !is || m.Reason != 1 {
-		t.Errorf("busy, afterwards: %+v", m)
+		t.Errorf("busy session, after its answer: %+v", m)
 	}
 	if _, err := z3950.Read(busy.reader); !errors.Is(err, io.EOF) {
 		t.Error(err)
--- a/internal/protocols/front/z3950/front.go
+++ b/internal/protocols/front/z3950/front.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	initTimeout     = 2500 * time.Millisecond // for a connection's first message
+	initTimeout     = 2500 * time.Millisecond // for a connection's first message to arrive completely
 	messageTimeout  = 10 * time.Second        // for any other message, from its first byte
 	writeTimeout    = 10 * time.Second
-	minMessageBytes = 1 << 10 // least message and record size, whatever the client prefers
+	minMessageBytes = 1 << 10 // least message and record size, even if the client asks for less
 )
 
 // Bib-1 diagnostics that the front itself sends.
--- a/internal/protocols/front/z3950/front_test.go
+++ b/internal/protocols/front/z3950/front_test.go
@@ -170,7 +170,7 @@
 		b.Result = &server.QueryResult{Answered: true, Complete: true, Shards: []int{0, 1, 2}, Values: []string{"noise", "", "x"}}
 	})
 	if r := c.exchange(searchRequest(t, "b", "cat")).(*z3950.SearchResponse); r.OK || r.Records.Fault.Code != systemError {
-		t.Errorf("values that can't be read: %+v", r)
+		t.Errorf("undecodable values: %+v", r)
 	}
 }
 
--- a/internal/protocols/query/query.go
+++ b/internal/protocols/query/query.go
@@ -44,7 +44,7 @@
 	Index     string // as written in the query, such as dc.title; empty: cql.serverChoice
 	Relation  string // =, ==, <>, <, <=, >, >=, any, all, adj, within, encloses or another name; empty: the server's choice
 	Term      string
-	ResultSet string // name of a result set; if not empty, there is no term
+	ResultSet string // name of a result set, which replaces the term
 	Modifiers []Modifier
 
 	// fields of a boolean operator
--- a/internal/protocols/simwire/host.go
+++ b/internal/protocols/simwire/host.go
@@ -43,16 +43,16 @@
 	start   uint64 // the simulator's clock when the broker started, in nanoseconds
 	router  decision.Router
 	events  []decision.Event
-	pending bool
+	pending bool // is in Host.pending
 }
 
 // Host decodes batches of events, steps each broker that a batch has events for, and writes the brokers' actions.
 type Host struct {
 	newRouter func(decision.Settings) decision.Router
 	brokers   map[uint16]*broker
-	pending   []*broker
+	pending   []*broker // have events in this batch
 	sheets    [16][]byte
-	received  [16]bool
+	received  [16]bool // whether a Manifest has filled the sheet
 	frame     bytes.Buffer
 	actions   []decision.Action
 	records   []byte
--- a/internal/protocols/z3950/pdu.go
+++ b/internal/protocols/z3950/pdu.go
@@ -63,10 +63,11 @@
 	Accepted bool
 }
 
-// SearchRequest asks the server to run a query and to create a result set.
+// SearchRequest asks the server to run a query and to create a result set. The response includes all records of a set of at most
+// SmallSetUpperBound, none of a set of at least LargeSetLowerBound, and MediumSetPresentNumber records of one in between.
 type SearchRequest struct {
 	Common
-	SmallSetUpperBound, LargeSetLowerBound, MediumSetPresentNumber int // decide how many records come with the response
+	SmallSetUpperBound, LargeSetLowerBound, MediumSetPresentNumber int
 	Replace                                                        bool
 	ResultSet                                                      string
 	Databases                                                      []string
