--- a/internal/protocols/front/z3950/front.go
+++ b/internal/protocols/front/z3950/front.go
@@ -70,7 +70,7 @@
 
 // Listen opens a front's listener. An unknown query type or tenant is an error.
 func Listen(b front.Broker, o operator.Z3950) (*Front, error) {
-	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, resultSets: resultset.New(resultset.Limits{Bytes: o.Bytes, SetsPerSession: o.Sets,
+	f := &Front{broker: b, o: o, sessions: map[uint64]*session{}, resultSets: resultset.New(resultset.Limits{Bytes: o.Bytes, SetsPerSession: o.MaxResultSets,
 		Sessions: o.Sessions, Age: o.Age})}
 	var err error
 	if f.ask, err = front.NewSearcher(b, "z3950", o.Type, o.Tenant); err == nil {
