--- a/internal/protocols/ber/ber_test.go
+++ b/internal/protocols/ber/ber_test.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// Excessive lengths, endless tags, primitives of indefinite length and excessive nesting are errors.
+// Excessive lengths, endless tags, primitives of indefinite length and excessive nesting are errors, which are
+// found quickly.
 func TestHostile(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"nesting":           bytes.Repeat([]byte{0xa1, 0x80}, 100_000),
--- a/internal/protocols/simwire/simwire_test.go
+++ b/internal/protocols/simwire/simwire_test.go
@@ -109,13 +109,13 @@
 		"out of range":       {0, 0, 0, 0, 0, 0, 0, 1, 0xff, 0xff, 0xff, 0xff},
 		"do not fit":         {0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff},
 		"unknown event code": batchFrame(1, "", sel, eventRecord(99)), "before any Select": batchFrame(1, "", queryRecord(1)),
-		"not running":          batchFrame(1, "", sel, queryRecord(1)),
-		"outside the tail":     batchFrame(1, "x", sel, eventRecord(evNew, uint64(1), uint32(1), uint32(9))),
-		"has no '='":           batchFrame(1, "x", sel, eventRecord(evNew, uint64(1), uint32(0), uint32(1))),
-		"missing":              batchFrame(1, "a=b", sel, eventRecord(evNew, uint64(1), uint32(0), uint32(3))),
-		"received for sheet 5": append(startFrame(), batchFrame(60, "", sel, noSheet)...),
-		"unknown outcome 300":  append(startFrame(), batchFrame(60, "", sel, badOutcome)...),
-		"ProbeDone":            append(startFrame(), batchFrame(60, "", sel, eventRecord(evProbeDone, uint32(1), uint16(0), uint64(1), uint16(300)))...),
+		"not running":                      batchFrame(1, "", sel, queryRecord(1)),
+		"outside the tail":                 batchFrame(1, "x", sel, eventRecord(evNew, uint64(1), uint32(1), uint32(9))),
+		"has no '='":                       batchFrame(1, "x", sel, eventRecord(evNew, uint64(1), uint32(0), uint32(1))),
+		"missing":                          batchFrame(1, "a=b", sel, eventRecord(evNew, uint64(1), uint32(0), uint32(3))),
+		"no Manifest received for sheet 5": append(startFrame(), batchFrame(60, "", sel, noSheet)...),
+		"unknown outcome 300":              append(startFrame(), batchFrame(60, "", sel, badOutcome)...),
+		"ProbeDone":                        append(startFrame(), batchFrame(60, "", sel, eventRecord(evProbeDone, uint32(1), uint16(0), uint64(1), uint16(300)))...),
 	} {
 		if _, _, err := serveInput(input); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
--- a/internal/protocols/z3950/pdu_test.go
+++ b/internal/protocols/z3950/pdu_test.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// A message that is truncated, claims too great a length, nests too deep, or is of another protocol is an error.
+// A message that is truncated, claims too great a length, nests too deep, or is of another protocol is an error at
+// once: Read does not wait for more bytes.
 func TestHostileMessages(t *testing.T) {
 	search := Encode(testMessages(t)[2])
 	for cut := 1; cut < len(search); cut++ {
