--- a/internal/lab/play/bench_test.go
+++ b/internal/lab/play/bench_test.go
@@ -8,8 +8,8 @@
 	"flaxfront/internal/lab/script"
 )
 
-// fleet is a script of so many nodes and brokers in ordinary times, at a load that keeps two in five cores busy.
-func fleet(t testing.TB, nodes, brokers int, last time.Duration) *script.Script {
+// benchScript is a script of so many nodes and brokers in ordinary times, at a load that keeps two in five cores busy.
+func benchScript(t testing.TB, nodes, brokers int, last time.Duration) *script.Script {
 	t.Helper()
 	s, err := script.Decode("bench", []byte(`{"fleet": {"call_work": "0s"}, "brokers": {"sockets": 8192},
 		"types": [{"name": "find", "least_parts": 4, "most_parts": 4, "work": "10ms"}]}`))
@@ -32,7 +32,7 @@
 	}{{"10 nodes", 10, 1}, {"100 nodes", 100, 10}, {"1000 nodes", 1000, 100}} {
 		b.Run(of.name, func(b *testing.B) {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
-			s := fleet(b, of.nodes, of.brokers, time.Duration(float64(time.Second)*max(2, 100/float64(of.nodes))))
+			s := benchScript(b, of.nodes, of.brokers, time.Duration(float64(time.Second)*max(2, 100/float64(of.nodes))))
 			asked := int64(0)
 			for b.Loop() {
 				r, err := Play(s, Options{Cores: 1, Policy: Module})
--- a/internal/lab/play/clients.go
+++ b/internal/lab/play/clients.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	partialWorth = 0.9                   // of the share that is in
-	atOnce       = 10 * time.Millisecond // for a client to ask again, where it comes back at once
-	mostAtOnce   = 50
+	partialValueFactor  = 0.9                   // of the share that is in
+	immediateRetryDelay = 10 * time.Millisecond // for a client to ask again, where it comes back at once
+	maxImmediateTries   = 50
 )
 
-// next draws when the next client asks.
-func (f *front) next() {
-	most := f.rate * f.w.plan.Max()
-	at := f.now + time.Duration(f.rnd.ExpFloat64()/most*float64(time.Second))
-	if at < f.w.script.Length {
-		f.send(f.id, at, kArrive, 0, 0, nil)
+// scheduleArrival draws when the next client asks.
+func (b *broker) scheduleArrival() {
+	maxRate := b.rate * b.w.schedule.Max()
+	at := b.now + time.Duration(b.rnd.ExpFloat64()/maxRate*float64(time.Second))
+	if at < b.w.script.Length {
+		b.send(b.id, at, kArrive, 0, 0, nil)
 	}
 }
 
-// arrive has a client ask, if the load of the moment wants it.
-func (f *front) arrive() {
-	defer f.next()
-	s := f.w.script
+// generateQuery has a client ask, if the load of the moment wants it.
+func (b *broker) generateQuery() {
+	defer b.scheduleArrival()
+	s := b.w.script
 	tenants, sum, all := s.Tenants, 0.0, 0.0
 	var weights [64]float64
 	for i := range tenants {
-		factor, _ := f.w.plan.Load(i, f.now)
+		factor, _ := b.w.schedule.Load(i, b.now)
 		all += tenants[i].Share
 		if i < len(weights) {
 			weights[i] = tenants[i].Share * factor
 			sum += weights[i]
 		}
 	}
-	if f.rnd.Float64()*f.w.plan.Max()*all >= sum {
+	if b.rnd.Float64()*b.w.schedule.Max()*all >= sum {
 		return
 	}
-	q := &asked{tenant: pick(weights[:min(len(tenants), len(weights))], sum*f.rnd.Float64()), born: f.now}
-	_, q.repeats = f.w.plan.Load(q.tenant, f.now)
+	q := &clientQuery{tenant: weightedIndex(weights[:min(len(tenants), len(weights))], sum*b.rnd.Float64()), askedAt: b.now}
+	_, q.retriesAtOnce = b.w.schedule.Load(q.tenant, b.now)
 	shares := weights[:0]
 	sum = 0
 	for i := range s.Types {
@@ -53,31 +53,31 @@
 			sum += s.Types[i].Share
 		}
 	}
-	q.typ = pick(shares, sum*f.rnd.Float64())
-	y := &s.Types[q.typ]
-	q.row, q.due, q.text = q.tenant*len(s.Types)+q.typ, f.now+y.Timeout, texts[q.typ%10]
-	q.client = f.rnd.Uint64N(3000) + 1
-	n := y.Min + f.rnd.IntN(y.Max-y.Min+1)
-	first := f.rnd.IntN(s.Shards())
-	q.shards, q.weights, q.sent = make([]int, n), make([]float64, n), make([]uint8, n)
+	q.typ = weightedIndex(shares, sum*b.rnd.Float64())
+	queryType := &s.Types[q.typ]
+	q.row, q.deadline, q.text = q.tenant*len(s.Types)+q.typ, b.now+queryType.Timeout, typeTexts[q.typ%10]
+	q.client = b.rnd.Uint64N(3000) + 1
+	n := queryType.Min + b.rnd.IntN(queryType.Max-queryType.Min+1)
+	first := b.rnd.IntN(s.Shards())
+	q.shards, q.weights, q.attemptsByShard = make([]int, n), make([]float64, n), make([]uint8, n)
 	total := 0.0
 	for i := range n {
-		q.shards[i], q.weights[i] = (first+i)%s.Shards(), 0.5+f.rnd.Float64()
+		q.shards[i], q.weights[i] = (first+i)%s.Shards(), 0.5+b.rnd.Float64()
 		total += q.weights[i]
 	}
 	for i := range q.weights {
 		q.weights[i] /= total
 	}
-	c := f.count(q)
+	c := b.countsOf(q)
 	c.Asked++
-	c.Worth += micro(y.Value)
-	f.wish(q)
-	f.try(q)
+	c.Worth += millionths(queryType.Value)
+	b.assignHint(q)
+	b.submit(q)
 }
 
-var texts = [...]string{"0", "1", "2", "3", "4", "5", "6", "7", "8", "9"}
+var typeTexts = [...]string{"0", "1", "2", "3", "4", "5", "6", "7", "8", "9"}
 
-func pick(weights []float64, at float64) int {
+func weightedIndex(weights []float64, at float64) int {
 	for i, w := range weights {
 		if at -= w; at < 0 {
 			return i
@@ -86,93 +86,95 @@
 	return len(weights) - 1
 }
 
-func micro(v float64) int64 { return int64(math.Round(v * 1e6)) }
+func millionths(v float64) int64 { return int64(math.Round(v * 1e6)) }
 
-// count is where a search counts: at the second in which it was first asked.
-func (f *front) count(q *asked) *Counts { return f.by.tally.second(q.born, q.row, f.w) }
+// countsOf is where a search counts: at the second in which it was first asked.
+func (b *broker) countsOf(q *clientQuery) *Counts {
+	return b.worker.tally.countsAt(q.askedAt, q.row, b.w)
+}
 
-// try puts a search to the broker, for the first time or again, as a new request.
-func (f *front) try(q *asked) {
+// submit puts a search to the broker, for the first time or again, as a new request.
+func (b *broker) submit(q *clientQuery) {
 	q.tries++
-	q.coming = false
-	f.count(q).Tries++
-	if f.core == nil {
-		q.over = true
-		if !f.again(q, 0) {
-			f.count(q).Failed++
+	q.retryScheduled = false
+	b.countsOf(q).Tries++
+	if b.core == nil {
+		q.ended = true
+		if !b.scheduleRetry(q, 0) {
+			b.countsOf(q).Failed++
 		}
 		return
 	}
-	f.asks++
-	q.tried = f.now
-	q.id, q.over = fmt.Sprintf("%08x%08x", uint32(f.id)*2654435761, uint32(f.asks)), false
-	clear(q.sent)
-	f.open[q.id] = q
-	if f.w.terms.Module.ExtraAttemptsWindow > 0 {
+	b.queryCount++
+	q.submittedAt = b.now
+	q.id, q.ended = fmt.Sprintf("%08x%08x", uint32(b.id)*2654435761, uint32(b.queryCount)), false
+	clear(q.attemptsByShard)
+	b.openQueries[q.id] = q
+	if b.w.terms.Module.ExtraAttemptsWindow > 0 {
 		for range 1 + len(q.shards) {
-			f.counts = append(f.counts, f.now)
+			b.creditedRequests = append(b.creditedRequests, b.now)
 		}
 	}
 	id := q.id
-	q.held = f.core.Submit(&server.Query{ID: id, Type: q.typ, Tenant: q.tenant, Client: q.client, Retry: q.tries > 1,
-		Timeout: q.due - f.now, Text: q.text, Shards: q.shards, Weights: q.weights, Hint: q.hint}, func(v server.QueryResult) { f.verdict(q, id, v) })
-	if !q.over {
-		f.send(f.id, q.due, kOverdue, q.tries, 0, q)
+	q.pending = b.core.Submit(&server.Query{ID: id, Type: q.typ, Tenant: q.tenant, Client: q.client, Retry: q.tries > 1,
+		Timeout: q.deadline - b.now, Text: q.text, Shards: q.shards, Weights: q.weights, Hint: q.hint}, func(v server.QueryResult) { b.handleResult(q, id, v) })
+	if !q.ended {
+		b.send(b.id, q.deadline, kQueryTimeout, q.tries, 0, q)
 	}
-	f.kick()
+	b.scheduleStep()
 }
 
-// verdict is the broker's answer to a try.
-func (f *front) verdict(q *asked, id string, v server.QueryResult) {
-	if q.over || q.id != id {
-		f.breach(1, "broker %d gave a second answer to search %s", f.n, id)
+// handleResult is the broker's answer to a try.
+func (b *broker) handleResult(q *clientQuery, id string, v server.QueryResult) {
+	if q.ended || q.id != id {
+		b.reportBreach(1, "broker %d gave a second answer to search %s", b.number, id)
 		return
 	}
-	q.over = true
-	delete(f.open, id)
-	y, c, took := &f.w.script.Types[q.typ], f.count(q), f.now-q.born
+	q.ended = true
+	delete(b.openQueries, id)
+	queryType, c, took := &b.w.script.Types[q.typ], b.countsOf(q), b.now-q.askedAt
 	kind := uint64(1)
-	f.checkReads(q, &v)
+	b.checkReads(q, &v)
 	switch {
 	case v.Answered:
-		share := f.honest(q, id, &v)
-		worth := micro(y.Value)
+		share := b.checkAnswer(q, id, &v)
+		worth := millionths(queryType.Value)
 		if !v.Complete {
 			c.Partial++
-			worth = int64(math.Round(float64(worth) * share * partialWorth))
+			worth = int64(math.Round(float64(worth) * share * partialValueFactor))
 		}
-		if took <= y.Objective {
+		if took <= queryType.Objective {
 			c.InTarget++
 		} else {
 			c.Late++
-			worth = int64(math.Round(float64(worth) * y.Late))
+			worth = int64(math.Round(float64(worth) * queryType.Late))
 		}
 		c.Got += worth
-		f.by.tally.latency[int(q.born/time.Second)].record(took)
-		f.by.tally.types[q.row].record(took)
+		b.worker.tally.latency[int(q.askedAt/time.Second)].record(took)
+		b.worker.tally.latencyByRow[q.row].record(took)
 	case v.Shed:
 		kind = 2
-		if f.w.terms.Module.QueryTypes[q.typ].Idempotency == decision.NonIdempotent {
-			f.send(idAuditor, f.now, kShedOf, 0, hashOf(id), id)
+		if b.w.terms.Module.QueryTypes[q.typ].Idempotency == decision.NonIdempotent {
+			b.send(idAuditor, b.now, kQueryShed, 0, hashOf(id), id)
 		}
-		if !f.again(q, v.RetryAfter) {
+		if !b.scheduleRetry(q, v.RetryAfter) {
 			c.Shed++
 		}
 	default:
 		kind = 3
-		if f.w.terms.Module.QueryTypes[q.typ].Idempotency != decision.Idempotent || !f.again(q, 0) {
+		if b.w.terms.Module.QueryTypes[q.typ].Idempotency != decision.Idempotent || !b.scheduleRetry(q, 0) {
 			c.Failed++
 		}
 	}
-	if !q.coming {
-		f.rest(q)
+	if !q.retryScheduled {
+		b.releaseSession(q)
 	}
-	f.mark(hashOf(id) ^ kind<<60 ^ uint64(len(v.Shards)))
-	if f.now > q.due+graceSlip {
-		f.breach(1, "search %s was answered %v after its time", id, f.now-q.due)
+	b.mixHash(hashOf(id) ^ kind<<60 ^ uint64(len(v.Shards)))
+	if b.now > q.deadline+timingTolerance {
+		b.reportBreach(1, "search %s was answered %v after its time", id, b.now-q.deadline)
 	}
-	if f.w.trace != nil {
-		f.w.trace.Encode(struct {
+	if b.w.trace != nil {
+		b.w.trace.Encode(struct {
 			At      float64 `json:"at"`
 			Broker  int     `json:"broker"`
 			ID      string  `json:"id"`
@@ -182,50 +184,50 @@
 			Verdict string  `json:"verdict"`
 			Whole   bool    `json:"whole,omitempty"`
 			Took    float64 `json:"took"`
-		}{f.now.Seconds(), f.n, id, f.w.script.Tenants[q.tenant].Name, y.Name, q.tries,
+		}{b.now.Seconds(), b.number, id, b.w.script.Tenants[q.tenant].Name, queryType.Name, q.tries,
 			[]string{"", "answered", "shed", "failed"}[kind], v.Complete, took.Seconds()})
 	}
 }
 
-// honest checks an answer against what nodes make of its parts, and tells which share of it there is.
-func (f *front) honest(q *asked, id string, v *server.QueryResult) (share float64) {
-	y := &f.w.script.Types[q.typ]
+// checkAnswer checks an answer against what nodes make of its parts, and tells which share of it there is.
+func (b *broker) checkAnswer(q *clientQuery, id string, v *server.QueryResult) (share float64) {
+	queryType := &b.w.script.Types[q.typ]
 	seen := map[int]bool{}
 	for i, shard := range v.Shards {
 		at := -1
-		made, _, _ := versionOf(v.Values[i])
+		content, _, _ := splitValue(v.Values[i])
 		for j, s := range q.shards {
 			if s == shard {
 				at = j
 			}
 		}
-		if at < 0 || seen[shard] || made != value(fmt.Sprintf("%s.%d", id, shard)) {
-			f.breach(5, "search %s was answered with %.40q for shard %d", id, v.Values[i], shard)
+		if at < 0 || seen[shard] || content != expectedValue(fmt.Sprintf("%s.%d", id, shard)) {
+			b.reportBreach(5, "search %s was answered with %.40q for shard %d", id, v.Values[i], shard)
 			continue
 		}
 		seen[shard] = true
 		share += q.weights[at]
 	}
-	if v.Complete && len(seen) < len(q.shards) || share < y.RequiredShare-1e-4 {
-		f.breach(5, "search %s was answered with %.3f of it, whole %v", id, share, v.Complete)
+	if v.Complete && len(seen) < len(q.shards) || share < queryType.RequiredShare-1e-4 {
+		b.reportBreach(5, "search %s was answered with %.3f of it, whole %v", id, share, v.Complete)
 	}
 	return share
 }
 
-// again has a client ask once more, if it will; it is told when.
-func (f *front) again(q *asked, hint time.Duration) bool {
-	l := &f.w.script.Load
-	wait := l.After
+// scheduleRetry has a client ask once more, if it will; it is told when.
+func (b *broker) scheduleRetry(q *clientQuery, hint time.Duration) bool {
+	load := &b.w.script.Load
+	wait := load.After
 	switch {
-	case q.repeats:
-		wait = atOnce
-	case hint > 0 && f.rnd.Float64() < l.ObeysRetryAfter:
+	case q.retriesAtOnce:
+		wait = immediateRetryDelay
+	case hint > 0 && b.rnd.Float64() < load.ObeysRetryAfter:
 		wait = hint
 	}
-	if int(q.tries) > l.Retries && !(q.repeats && q.tries < mostAtOnce) || f.now+wait >= q.due-5*time.Millisecond {
+	if int(q.tries) > load.Retries && !(q.retriesAtOnce && q.tries < maxImmediateTries) || b.now+wait >= q.deadline-5*time.Millisecond {
 		return false
 	}
-	q.coming = true
-	f.send(f.id, f.now+wait, kTry, 0, 0, q)
+	q.retryScheduled = true
+	b.send(b.id, b.now+wait, kRetry, 0, 0, q)
 	return true
 }
--- a/internal/lab/play/conns.go
+++ b/internal/lab/play/conns.go
@@ -15,66 +15,66 @@
 
 // conn is a connection as the broker sees it.
 type conn struct {
-	f     *front
-	id    uint64
-	node  int
-	start int
-	name  string
-	h     store.Handle
-	up    bool
-	shut  bool
-	last  time.Duration
+	broker      *broker
+	id          uint64
+	node        int
+	start       int
+	name        string
+	handle      store.Handle
+	established bool
+	closed      bool
+	lastArrival time.Duration
 }
 
-func (f *front) happened(e store.Event) {
-	if f.core != nil {
-		f.core.HandleConnection(e)
-		f.kick()
+func (b *broker) handleConnEvent(e store.Event) {
+	if b.core != nil {
+		b.core.HandleConnection(e)
+		b.scheduleStep()
 	}
 }
 
-type dialTimeout struct{}
+type dialTimeoutError struct{}
 
-func (*dialTimeout) Error() string   { return "dial: no answer" }
-func (*dialTimeout) Timeout() bool   { return true }
-func (*dialTimeout) Temporary() bool { return true }
+func (*dialTimeoutError) Error() string   { return "dial: no answer" }
+func (*dialTimeoutError) Timeout() bool   { return true }
+func (*dialTimeoutError) Temporary() bool { return true }
 
-// ended takes a connection off the books, and tells the pool.
-func (f *front) ended(c *conn, err error) {
-	delete(f.conns, c.id)
-	c.shut = true
-	f.happened(c.h.Down(f.since(), err))
+// connectionLost takes a connection off the books, and tells the pool.
+func (b *broker) connectionLost(c *conn, err error) {
+	delete(b.conns, c.id)
+	c.closed = true
+	b.handleConnEvent(c.handle.Down(b.sinceStart(), err))
 }
 
-// dial opens a connection, as the pool asks.
-func (f *front) dial(name string, _ netip.AddrPort, h store.Handle) func() {
-	f.opened++
-	c := &conn{f: f, id: uint64(f.id)<<40 | f.opened, name: name, h: h}
+// acceptDial opens a connection, as the pool asks.
+func (b *broker) dial(name string, _ netip.AddrPort, h store.Handle) func() {
+	b.dialCount++
+	c := &conn{broker: b, id: uint64(b.id)<<40 | b.dialCount, name: name, handle: h}
 	number, start, _ := strings.Cut(name[1:], ".")
 	c.node, _ = strconv.Atoi(number)
 	c.start, _ = strconv.Atoi(start)
-	f.conns[c.id] = c
-	f.by.tally.work.Dials++
-	zone := f.w.script.ZoneOf(c.node)
-	if took, lost, held := f.way(f.zone, zone); !lost && held == 0 {
-		f.send(f.w.idNode(c.node), f.now+took, kDial, int32(c.start), c.id, nil)
+	b.conns[c.id] = c
+	b.worker.tally.work.Dials++
+	zone := b.w.script.ZoneOf(c.node)
+	if delay, lost, held := b.samplePath(b.zone, zone); !lost && held == 0 {
+		b.send(b.w.nodeActorID(c.node), b.now+delay, kDial, int32(c.start), c.id, nil)
 	}
-	f.send(f.id, f.now+f.w.terms.Dial, kLate, 0, c.id, nil)
+	b.send(b.id, b.now+b.w.terms.Dial, kDialTimeout, 0, c.id, nil)
 	return func() {
-		if !c.shut {
-			c.shut = true
-			f.send(f.w.idNode(c.node), f.stream(f.zone, zone, &c.last), kClose, 0, c.id, nil)
-			f.send(f.id, f.now, kDown, downReset, c.id, nil)
+		if !c.closed {
+			c.closed = true
+			b.send(b.w.nodeActorID(c.node), b.deliveryTime(b.zone, zone, &c.lastArrival), kClose, 0, c.id, nil)
+			b.send(b.id, b.now, kConnDown, downReset, c.id, nil)
 		}
 	}
 }
 
 // TryWrite takes a frame; the network holds whatever it is given.
-func (c *conn) TryWrite(b []byte) (int, error) {
-	f := c.f
-	f.audit(c, b)
-	f.send(f.w.idNode(c.node), f.stream(f.zone, f.w.script.ZoneOf(c.node), &c.last), kFrame, int32(f.now/time.Millisecond), c.id, bytes.Clone(b))
-	return len(b), nil
+func (c *conn) TryWrite(frame []byte) (int, error) {
+	b := c.broker
+	b.auditFrame(c, frame)
+	b.send(b.w.nodeActorID(c.node), b.deliveryTime(b.zone, b.w.script.ZoneOf(c.node), &c.lastArrival), kFrame, int32(b.now/time.Millisecond), c.id, bytes.Clone(frame))
+	return len(frame), nil
 }
 
 // The other methods of a connection are of no use here: its events come by handle, and the pool never reads itself.
--- a/internal/lab/play/cores.go
+++ b/internal/lab/play/cores.go
@@ -9,14 +9,14 @@
 	"flaxfront/internal/transport/store"
 )
 
-func (n *node) take(j *job) {
+func (n *node) enqueue(j *job) {
 	n.queue = append(n.queue, j)
-	n.fill()
+	n.startJobs()
 }
 
-// fill gives idle cores what waits.
-func (n *node) fill() {
-	if n.dead || n.fallen || n.hung > 0 || n.now < n.still {
+// startJobs gives idle cores what waits.
+func (n *node) startJobs() {
+	if n.processDown || n.crashed || n.hangCount > 0 || n.now < n.stalledUntil {
 		return
 	}
 	for c := range n.cores {
@@ -24,60 +24,60 @@
 			j := n.queue[0]
 			n.queue[0] = nil
 			n.queue = n.queue[1:]
-			if j.off || j.conn.shut && j.id == "" {
+			if j.cancelled || j.conn.closed && j.id == "" {
 				continue
 			}
-			n.jobs++
-			j.n = n.jobs
+			n.jobCount++
+			j.number = n.jobCount
 			n.cores[c] = j
 			if j.id != "" {
-				j.version, j.report = n.read(j.id)
+				j.version, j.report = n.readReplica(j.id)
 			}
-			took := time.Duration(float64(j.work) / n.capacity() * n.w.plan.Slow(n.n, n.now))
-			n.send(n.id, n.now+took, kDone, int32(c), j.n, nil)
+			took := time.Duration(float64(j.work) / n.capacity() * n.w.schedule.Slow(n.number, n.now))
+			n.send(n.id, n.now+took, kJobDone, int32(c), j.number, nil)
 		}
 	}
 }
 
-// done ends the work on a part, or puts its end off while the node stands still.
-func (n *node) done(core int, number uint64) {
+// finishJob ends the work on a part, or puts its end off while the node stands still.
+func (n *node) finishJob(core int, number uint64) {
 	j := n.cores[core]
 	switch {
-	case j == nil || j.n != number:
+	case j == nil || j.number != number:
 		return
-	case n.now < n.still:
-		n.send(n.id, n.still, kDone, int32(core), number, nil)
+	case n.now < n.stalledUntil:
+		n.send(n.id, n.stalledUntil, kJobDone, int32(core), number, nil)
 		return
 	}
 	n.cores[core] = nil
 	if j.id != "" {
-		k := &n.by.tally.work
-		a := store.Answer{ID: j.id, End: store.Served, Value: value(j.id) + j.version, Report: j.report}
-		if errs := n.w.plan.ErrorShare(n.n, n.now); errs > 0 && n.rnd.Float64() < errs {
+		counts := &n.worker.tally.work
+		a := store.Answer{ID: j.id, End: store.Served, Value: expectedValue(j.id) + j.version, Report: j.report}
+		if errorShare := n.w.schedule.ErrorShare(n.number, n.now); errorShare > 0 && n.rnd.Float64() < errorShare {
 			a.End, a.Value = store.Broke, ""
-			k.Broke++
+			counts.Broke++
 		} else {
-			k.Served++
+			counts.Served++
 			n.served++
 		}
-		n.effect(j)
-		n.answer(j.conn, a)
+		n.reportExecution(j)
+		n.sendAnswer(j.conn, a)
 	}
-	n.fill()
+	n.startJobs()
 }
 
-// effect tells the auditor of what must not run twice.
-func (n *node) effect(j *job) {
-	if j.effect != decision.Idempotent {
-		n.send(idAuditor, n.now, kRan, int32(j.effect), hashOf(j.id), ran{j.id, j.sent})
+// idempotency tells the auditor of what must not run twice.
+func (n *node) reportExecution(j *job) {
+	if j.idempotency != decision.Idempotent {
+		n.send(idAuditor, n.now, kExecuted, int32(j.idempotency), hashOf(j.id), executionReport{j.id, j.sentAt})
 	}
 }
 
-func (n *node) answer(l *link, a store.Answer) {
-	if l.shut || n.gone > 0 {
+func (n *node) sendAnswer(c *nodeConn, a store.Answer) {
+	if c.closed || n.vanishCount > 0 {
 		return
 	}
-	n.send(l.from, n.stream(n.zone, l.zone, &l.last), kAnswer, 0, l.id, &a)
+	n.send(c.broker, n.deliveryTime(n.zone, c.zone, &c.lastArrival), kAnswer, 0, c.id, &a)
 }
 
 // cancel gives a part up that waits, where nodes do that.
@@ -85,7 +85,7 @@
 	if n.w.script.Fleet.DropsCancelled {
 		for _, j := range n.queue {
 			if j.id == id {
-				j.off = true
+				j.cancelled = true
 			}
 		}
 	}
--- a/internal/lab/play/digest_test.go
+++ b/internal/lab/play/digest_test.go
@@ -11,8 +11,8 @@
 	"flaxfront/internal/decision/routing"
 )
 
-// figures are values for each verb of a format, by its order.
-func figures(format string) []any {
+// sampleArguments are values for each verb of a format, by its order.
+func sampleArguments(format string) []any {
 	var values []any
 	for i, verb := range formatVerb.FindAllString(format, -1) {
 		switch {
@@ -32,12 +32,12 @@
 // Every line is digested with its own figures in the wording of its row, and by no other row.
 func TestDigestedLines(t *testing.T) {
 	for _, w := range digestWordings {
-		if got, want := len(figures(w.digested)), len(figures(w.format)); got != want {
+		if got, want := len(sampleArguments(w.digested)), len(sampleArguments(w.format)); got != want {
 			t.Errorf("%q has %d figures, its digested wording %d", w.format, want, got)
 			continue
 		}
-		line := fmt.Sprintf(w.format, figures(w.format)...)
-		want := fmt.Sprintf(w.digested, figures(w.format)...)
+		line := fmt.Sprintf(w.format, sampleArguments(w.format)...)
+		want := fmt.Sprintf(w.digested, sampleArguments(w.format)...)
 		if got := digestedLine(line); got != want {
 			t.Errorf("%q is digested as %q, want %q", line, got, want)
 		}
--- a/internal/lab/play/engine.go
+++ b/internal/lab/play/engine.go
@@ -20,100 +20,100 @@
 
 // event is what one actor is told, by another or by itself.
 type event struct {
-	dst  uint32
-	kind kind
-	n    int32
-	a    uint64
-	p    any
+	target  uint32
+	kind    eventKind
+	arg32   int32
+	arg64   uint64
+	payload any
 }
 
-type kind uint8
+type eventKind uint8
 
 // actor is one process or machine. What it is told is all that it knows of the others.
 type actor interface {
 	handle(e *event)
 }
 
-// self is what every actor has: its place, its time, its chance, and the hash of all that it was told.
-type self struct {
-	w    *world
-	by   *worker
-	id   uint32
-	seq  uint32
-	now  time.Duration
-	rnd  *rand.Rand
-	hash uint64
+// actorState is what every actor has: its place, its time, its chance, and the hash of all that it was told.
+type actorState struct {
+	w      *world
+	worker *worker
+	id     uint32
+	seq    uint32
+	now    time.Duration
+	rnd    *rand.Rand
+	hash   uint64
 }
 
-func (s *self) join(w *world, id uint32) {
+func (s *actorState) attach(w *world, id uint32) {
 	s.w, s.id, s.hash = w, id, 14695981039346656037
-	s.by = w.workers[int(id)%len(w.workers)]
+	s.worker = w.workers[int(id)%len(w.workers)]
 	s.rnd = rand.New(rand.NewPCG(uint64(w.script.Seed), uint64(id)))
 }
 
 // send tells an actor something at a moment. Another one can't be told before the shortest way to it has passed.
-func (s *self) send(dst uint32, at time.Duration, k kind, n int32, a uint64, p any) {
+func (s *actorState) send(dst uint32, at time.Duration, kind eventKind, n int32, a uint64, p any) {
 	if dst == s.id {
 		at = max(at, s.now)
 	} else {
-		at = max(at, s.now+s.w.ahead)
+		at = max(at, s.now+s.w.lookahead)
 	}
 	s.seq++
-	i := queue.Item[event]{Key: queue.Key{At: at, Source: s.id, Seq: s.seq}, Value: event{dst, k, n, a, p}}
-	if to := int(dst) % len(s.w.workers); to == s.by.at {
-		s.by.q.Push(i)
+	item := queue.Item[event]{Key: queue.Key{At: at, Source: s.id, Seq: s.seq}, Value: event{dst, kind, n, a, p}}
+	if to := int(dst) % len(s.w.workers); to == s.worker.index {
+		s.worker.queue.Push(item)
 	} else {
-		s.by.out[to] = append(s.by.out[to], i)
+		s.worker.outbox[to] = append(s.worker.outbox[to], item)
 	}
 }
 
-func (s *self) mark(v uint64) { s.hash = (s.hash ^ v) * 1099511628211 }
+func (s *actorState) mixHash(v uint64) { s.hash = (s.hash ^ v) * 1099511628211 }
 
 // worker plays a share of the actors on one core.
 type worker struct {
-	at    int
-	q     queue.Queue[event]
-	out   [][]queue.Item[event] // for the actors of each other worker
-	next  time.Duration
-	n     uint64 // events played
-	tally tally
+	index       int
+	queue       queue.Queue[event]
+	outbox      [][]queue.Item[event] // for the actors of each other worker
+	nextEventAt time.Duration
+	eventCount  uint64 // events played
+	tally       tally
 }
 
 const never = time.Duration(1<<63 - 1)
 
-// run plays until a moment. All workers play the same short span of time, no longer than the shortest way between two
+// execution plays until a moment. All workers play the same short span of time, no longer than the shortest way between two
 // actors, so that nothing they tell each other can lie within it; then they hand over what they told, and go on.
 func (w *world) run(until time.Duration, stop *atomic.Bool) {
 	var all sync.WaitGroup
 	b := &barrier{n: int32(len(w.workers))}
 	for _, k := range w.workers {
-		k.look()
+		k.updateNext()
 	}
 	for _, k := range w.workers {
 		all.Go(func() {
 			for {
 				from := never
 				for _, o := range w.workers {
-					from = min(from, o.next)
+					from = min(from, o.nextEventAt)
 				}
-				if from > until || w.halted {
+				if from > until || w.stopped {
 					return
 				}
-				to := min(from+w.ahead, until+1)
-				k.play(w, to)
+				to := min(from+w.lookahead, until+1)
+				k.playUntil(w, to)
 				b.wait()
 				for _, o := range w.workers {
 					if o != k {
-						for i := range o.out[k.at] {
-							k.q.Push(o.out[k.at][i])
+						for i := range o.outbox[k.index] {
+							k.queue.Push(o.outbox[k.index][i])
 						}
-						clear(o.out[k.at])
-						o.out[k.at] = o.out[k.at][:0]
+						clear(o.outbox[k.index])
+						o.outbox[k.index] = o.outbox[k.index][:0]
 					}
 				}
-				k.look()
-				if k.at == 0 {
-					w.now, w.halted = to, stop.Load()
+				k.updateNext()
+				if k.index == 0 {
+					w.now, w.stopped = to, stop.Load()
 				}
 				b.wait()
 			}
@@ -122,57 +122,57 @@
 	all.Wait()
 }
 
-func (k *worker) look() {
-	k.next = never
-	if at, any := k.q.Peek(); any {
-		k.next = at
+func (k *worker) updateNext() {
+	k.nextEventAt = never
+	if at, any := k.queue.Peek(); any {
+		k.nextEventAt = at
 	}
 }
 
-func (k *worker) play(w *world, to time.Duration) {
+func (k *worker) playUntil(w *world, to time.Duration) {
 	for {
-		at, any := k.q.Peek()
+		at, any := k.queue.Peek()
 		if !any || at >= to {
 			return
 		}
-		i := k.q.Pop()
-		k.n++
-		w.actors[i.Value.dst].told(&i)
+		i := k.queue.Pop()
+		k.eventCount++
+		w.actors[i.Value.target].deliver(&i)
 	}
 }
 
-// told hashes an event into its actor's course and has it handled.
-func (p place) told(i *queue.Item[event]) {
-	p.self.now = i.At
-	p.mark(uint64(i.At))
-	p.mark(uint64(i.Source)<<40 ^ uint64(i.Value.kind)<<32 ^ uint64(uint32(i.Value.n)))
-	p.mark(i.Value.a)
+// leavingSince hashes an event into its actor's course and has it handled.
+func (p registeredActor) deliver(i *queue.Item[event]) {
+	p.actorState.now = i.At
+	p.mixHash(uint64(i.At))
+	p.mixHash(uint64(i.Source)<<40 ^ uint64(i.Value.kind)<<32 ^ uint64(uint32(i.Value.arg32)))
+	p.mixHash(i.Value.arg64)
 	p.actor.handle(&i.Value)
 }
 
-type place struct {
-	*self
+type registeredActor struct {
+	*actorState
 	actor
 }
 
 // barrier holds workers until all have come. They spin, as the spans are some microseconds long.
 type barrier struct {
-	n    int32
-	in   atomic.Int32
-	turn atomic.Uint32
+	n          int32
+	arrived    atomic.Int32
+	generation atomic.Uint32
 }
 
 func (b *barrier) wait() {
 	if b.n == 1 {
 		return
 	}
-	turn := b.turn.Load()
-	if b.in.Add(1) == b.n {
-		b.in.Store(0)
-		b.turn.Add(1)
+	turn := b.generation.Load()
+	if b.arrived.Add(1) == b.n {
+		b.arrived.Store(0)
+		b.generation.Add(1)
 		return
 	}
-	for spins := 0; b.turn.Load() == turn; spins++ {
+	for spins := 0; b.generation.Load() == turn; spins++ {
 		if spins%50_000 == 49_999 { // a core may be wanted for something else
 			runtime.Gosched()
 		}
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -16,20 +16,20 @@
 
 // What brokers and their clients are told.
 const (
-	kUp      kind = iota + 40 // a: the connection
-	kAnswer                   // a: the connection, p: *store.Answer
-	kDown                     // a: the connection, n: why
-	kListed                   // p: *discovery.List or error
-	kSaid                     // p: []byte, n: from
-	kTurn                     // the loop takes a turn
-	kWake                     // it asked for this
-	kArrive                   // a client asks
-	kTry                      // p: *asked; it asks again
-	kOverdue                  // p: *asked, n: which try
-	kLate                     // a: a dial's connection
+	kConnUp       eventKind = iota + 40 // a: the connection
+	kAnswer                             // a: the connection, p: *store.Answer
+	kConnDown                           // a: the connection, n: why
+	kList                               // p: *discovery.List or error
+	kGossip                             // p: []byte, n: from
+	kStep                               // the loop takes a turn
+	kWake                               // it asked for this
+	kArrive                             // a client asks
+	kRetry                              // p: *asked; it asks again
+	kQueryTimeout                       // p: *asked, n: which try
+	kDialTimeout                        // a: a dial's connection
 	kKill
-	kBack
-	kPicture
+	kRestart
+	kSampleBroker
 )
 
 // Why a connection went down.
@@ -38,213 +38,213 @@
 	downReset
 )
 
-const graceSlip = 50 * time.Millisecond // as on sockets
-
-// front is one broker with its clients.
-type front struct {
-	self
-	n      int
-	zone   int
-	policy Policy
-	starts uint64
-	began  time.Duration // its last start
-	core   *server.Core  // nil: it is down
-	book   *cachedlist.EntryTable
-	rate   float64 // searches a second that its clients ask in ordinary times
-
-	conns   map[uint64]*conn
-	opened  uint64
-	told    map[string]time.Duration // nodes that it was told are leaving or gone
-	busy    time.Duration
-	turning bool
-	wake    time.Duration
-	events  int // since the last turn
-	lines   int
-
-	asks uint64
-	open map[string]*asked
-	ids  []decision.NodeID // of nodes as last listed, for pictures
-
-	sends  []time.Duration // rule 6: what was sent and asked lately
-	counts []time.Duration
-
-	sessions []*session // that ask nothing now
-	begun    int
+const timingTolerance = 50 * time.Millisecond // as on sockets
+
+// broker is one broker with its clients.
+type broker struct {
+	actorState
+	number     int
+	zone       int
+	policy     Policy
+	starts     uint64
+	startedAt  time.Duration // its last start
+	core       *server.Core  // nil: it is down
+	cachedList *cachedlist.EntryTable
+	rate       float64 // searches a second that its clients ask in ordinary times
+
+	conns         map[uint64]*conn
+	dialCount     uint64
+	leavingSince  map[string]time.Duration // nodes that it was told are leaving or gone
+	busyUntil     time.Duration
+	stepScheduled bool
+	wakeAt        time.Duration
+	pendingEvents int // since the last turn
+	lineCount     int
+
+	queryCount  uint64
+	openQueries map[string]*clientQuery
+	nodeIDs     []decision.NodeID // of nodes as last listed, for pictures
+
+	extraSends       []time.Duration // rule 6: what was sent and asked lately
+	creditedRequests []time.Duration
+
+	idleSessions []*session // that ask nothing now
+	sessionCount int
 }
 
-// asked is a client's search with its repeats.
-type asked struct {
-	row, typ, tenant int
-	born, due        time.Duration
-	shards           []int
-	weights          []float64
-	text             string
-	client           uint64
-	tries            int32
-	repeats          bool // it comes back at once
-	id               string
-	sent             []uint8 // by shard
-	held             server.PendingQuery
-	over             bool // the try has its verdict
-	coming           bool // its client asks again
-
-	hint    *readhint.Hint
-	session *session
-	tried   time.Duration // when it was last put to the broker
+// clientQuery is a client's search with its repeats.
+type clientQuery struct {
+	row, typ, tenant  int
+	askedAt, deadline time.Duration
+	shards            []int
+	weights           []float64
+	text              string
+	client            uint64
+	tries             int32
+	retriesAtOnce     bool // it comes back at once
+	id                string
+	attemptsByShard   []uint8 // by shard
+	pending           server.PendingQuery
+	ended             bool // the try has its verdict
+	retryScheduled    bool // its client asks again
+
+	hint        *readhint.Hint
+	session     *session
+	submittedAt time.Duration // when it was last put to the broker
 }
 
-func newFront(w *world, n int, p Policy) *front {
-	f := &front{n: n, zone: n % w.script.Fleet.Zones, policy: p, conns: map[uint64]*conn{}, told: map[string]time.Duration{},
-		open: map[string]*asked{}, wake: never}
+func newBroker(w *world, n int, p Policy) *broker {
+	b := &broker{number: n, zone: n % w.script.Fleet.Zones, policy: p, conns: map[uint64]*conn{}, leavingSince: map[string]time.Duration{},
+		openQueries: map[string]*clientQuery{}, wakeAt: never}
 	l, count := &w.script.Load, w.script.Brokers.Count
-	f.rate = l.Rate / float64(count)
+	b.rate = l.Rate / float64(count)
 	if top := max(1, count/10); l.Skew > 0 && count > top {
-		if f.rate = l.Rate * (1 - l.Skew) / float64(count-top); n < top {
-			f.rate = l.Rate * l.Skew / float64(top)
+		if b.rate = l.Rate * (1 - l.Skew) / float64(count-top); n < top {
+			b.rate = l.Rate * l.Skew / float64(top)
 		}
 	}
-	return f
+	return b
 }
 
-func (f *front) start() error {
-	f.sends, f.counts = nil, nil // a broker is counted from its start
-	for _, r := range f.w.plan.Restarts {
-		if r.Broker == f.n {
-			f.send(f.id, r.From, kKill, 0, 0, nil)
-			f.send(f.id, r.To, kBack, 0, 0, nil)
+func (b *broker) start() error {
+	b.extraSends, b.creditedRequests = nil, nil // a broker is counted from its start
+	for _, r := range b.w.schedule.Restarts {
+		if r.Broker == b.number {
+			b.send(b.id, r.From, kKill, 0, 0, nil)
+			b.send(b.id, r.To, kRestart, 0, 0, nil)
 		}
 	}
-	if f.w.script.Brokers.KeepList {
-		f.book = cachedlist.NewEntryTable(cachedlist.Head{}, nil)
+	if b.w.script.Brokers.KeepList {
+		b.cachedList = cachedlist.NewEntryTable(cachedlist.Head{}, nil)
 	}
-	f.next()
-	f.share()
-	f.send(f.id, time.Second-2, kPicture, 0, 0, nil)
-	return f.boot()
+	b.scheduleArrival()
+	b.pullPositions()
+	b.send(b.id, time.Second-2, kSampleBroker, 0, 0, nil)
+	return b.boot()
 }
 
-// boot starts the broker with nothing but what it keeps.
-func (f *front) boot() (err error) {
-	f.starts++
-	f.began = f.now
-	t := *f.w.terms
-	t.Module.Seed = f.rnd.Uint64()
-	f.core, err = server.NewCore(&t, f.w.operators(), f.w.decider(f.policy, f), server.Environment{
-		Now: f.since, Start: f.w.epoch.Add(f.began), Sockets: f.w.script.Brokers.Sockets, Carrier: f.dial,
+// startedAt starts the broker with nothing but what it keeps.
+func (b *broker) boot() (err error) {
+	b.starts++
+	b.startedAt = b.now
+	t := *b.w.terms
+	t.Module.Seed = b.rnd.Uint64()
+	b.core, err = server.NewCore(&t, b.w.operatorFile(), b.w.newRouterFunc(b.policy, b), server.Environment{
+		Now: b.sinceStart, Start: b.w.epoch.Add(b.startedAt), Sockets: b.w.script.Brokers.Sockets, Carrier: b.dial,
 		PollDiscovery: func() {
-			f.send(idDiscovery, f.now+f.w.script.Network.ZoneDelay, kAskList, 0, uint64(f.id), nil)
+			b.send(idDiscovery, b.now+b.w.script.Network.ZoneDelay, kPollList, 0, uint64(b.id), nil)
 		},
-		SendGossip: f.tell, Log: f.log, CachedList: f.book})
-	f.kick()
+		SendGossip: b.sendGossip, Log: b.log, CachedList: b.cachedList})
+	b.scheduleStep()
 	return err
 }
 
-// since is the time as the broker counts it: from its start.
-func (f *front) since() time.Duration { return f.now - f.began }
+// sinceStart is the time as the broker counts it: from its start.
+func (b *broker) sinceStart() time.Duration { return b.now - b.startedAt }
 
-func (f *front) log(text string) {
-	f.by.tally.said++
-	if f.lines++; f.lines <= mostLines/f.w.script.Brokers.Count {
-		f.by.tally.lines = append(f.by.tally.lines, Line{f.now, f.n, text})
+func (b *broker) log(text string) {
+	b.worker.tally.lineCount++
+	if b.lineCount++; b.lineCount <= maxLines/b.w.script.Brokers.Count {
+		b.worker.tally.lines = append(b.worker.tally.lines, Line{b.now, b.number, text})
 	}
-	f.mark(hashOf(digestedLine(text)))
+	b.mixHash(hashOf(digestedLine(text)))
 }
 
-func (f *front) tell(text string) {
-	for i := range f.w.script.Brokers.Count {
-		if i != f.n {
-			if took, lost, held := f.way(f.zone, i%f.w.script.Fleet.Zones); !lost && held == 0 {
-				f.send(uint32(idBrokers+i), f.now+took, kSaid, int32(f.n), 0, []byte(text))
+func (b *broker) sendGossip(text string) {
+	for i := range b.w.script.Brokers.Count {
+		if i != b.number {
+			if took, lost, held := b.samplePath(b.zone, i%b.w.script.Fleet.Zones); !lost && held == 0 {
+				b.send(uint32(idBrokers+i), b.now+took, kGossip, int32(b.number), 0, []byte(text))
 			}
 		}
 	}
 }
 
-// kick has the loop take a turn as soon as the core is free.
-func (f *front) kick() {
-	f.events++
-	if !f.turning {
-		f.turning = true
-		f.send(f.id, max(f.now, f.busy), kTurn, 0, 0, nil)
+// scheduleStep has the loop take a turn as soon as the core is free.
+func (b *broker) scheduleStep() {
+	b.pendingEvents++
+	if !b.stepScheduled {
+		b.stepScheduled = true
+		b.send(b.id, max(b.now, b.busyUntil), kStep, 0, 0, nil)
 	}
 }
 
-func (f *front) turn() {
-	f.turning = false
-	if f.core == nil {
+func (b *broker) runStep() {
+	b.stepScheduled = false
+	if b.core == nil {
 		return
 	}
-	cost := f.w.script.Brokers.StepCost
-	f.busy = f.now + cost + time.Duration(f.events)*cost/8
-	f.events = 0
-	next := f.core.Step()
-	for i := 0; next <= f.since() && i < 64; i++ {
-		next = f.core.Step()
+	cost := b.w.script.Brokers.StepCost
+	b.busyUntil = b.now + cost + time.Duration(b.pendingEvents)*cost/8
+	b.pendingEvents = 0
+	next := b.core.Step()
+	for i := 0; next <= b.sinceStart() && i < 64; i++ {
+		next = b.core.Step()
 	}
-	if next <= f.since() {
-		f.kick()
-	} else if next < f.wake-f.began || f.wake <= f.now {
-		f.wake = min(next, time.Hour) + f.began
-		f.send(f.id, f.wake, kWake, 0, 0, nil)
+	if next <= b.sinceStart() {
+		b.scheduleStep()
+	} else if next < b.wakeAt-b.startedAt || b.wakeAt <= b.now {
+		b.wakeAt = min(next, time.Hour) + b.startedAt
+		b.send(b.id, b.wakeAt, kWake, 0, 0, nil)
 	}
 }
 
-func (f *front) handle(e *event) {
+func (b *broker) handle(e *event) {
 	switch e.kind {
-	case kTurn:
-		f.turn()
+	case kStep:
+		b.runStep()
 	case kWake:
-		if f.wake <= f.now {
-			f.wake = never
-			f.kick()
+		if b.wakeAt <= b.now {
+			b.wakeAt = never
+			b.scheduleStep()
 		}
-	case kUp:
-		if c := f.conns[e.a]; c != nil && !c.shut {
-			c.up = true
-			f.happened(c.h.Up(f.since(), c))
+	case kConnUp:
+		if c := b.conns[e.arg64]; c != nil && !c.closed {
+			c.established = true
+			b.handleConnEvent(c.handle.Up(b.sinceStart(), c))
 		}
 	case kAnswer:
-		if c := f.conns[e.a]; c != nil && !c.shut {
-			f.happened(c.h.Answered(f.since(), *e.p.(*store.Answer)))
+		if c := b.conns[e.arg64]; c != nil && !c.closed {
+			b.handleConnEvent(c.handle.Answered(b.sinceStart(), *e.payload.(*store.Answer)))
 		}
-	case kDown:
-		if c := f.conns[e.a]; c != nil {
+	case kConnDown:
+		if c := b.conns[e.arg64]; c != nil {
 			err := error(syscall.ECONNREFUSED)
-			if e.n == downReset {
+			if e.arg32 == downReset {
 				err = syscall.ECONNRESET
 			}
-			f.ended(c, err)
+			b.connectionLost(c, err)
 		}
-	case kLate:
-		if c := f.conns[e.a]; c != nil && !c.up {
-			f.ended(c, &dialTimeout{})
+	case kDialTimeout:
+		if c := b.conns[e.arg64]; c != nil && !c.established {
+			b.connectionLost(c, &dialTimeoutError{})
 		}
-	case kListed:
-		f.listed(e.p)
-	case kSaid:
-		if f.core != nil {
-			f.core.HandleGossip(int(e.n), e.p.([]byte))
-			f.kick()
+	case kList:
+		b.handleList(e.payload)
+	case kGossip:
+		if b.core != nil {
+			b.core.HandleGossip(int(e.arg32), e.payload.([]byte))
+			b.scheduleStep()
 		}
 	case kArrive:
-		f.arrive()
-	case kTry:
-		f.try(e.p.(*asked))
-	case kOverdue:
-		if q := e.p.(*asked); q.tries == e.n && !q.over && f.core != nil {
-			f.core.Abandon(q.held, true)
-			f.kick()
+		b.generateQuery()
+	case kRetry:
+		b.submit(e.payload.(*clientQuery))
+	case kQueryTimeout:
+		if q := e.payload.(*clientQuery); q.tries == e.arg32 && !q.ended && b.core != nil {
+			b.core.Abandon(q.pending, true)
+			b.scheduleStep()
 		}
 	case kKill:
-		f.kill()
-	case kBack:
-		if err := f.boot(); err != nil {
-			f.breach(0, "broker %d did not start again: %v", f.n, err)
+		b.kill()
+	case kRestart:
+		if err := b.boot(); err != nil {
+			b.reportBreach(0, "broker %d did not start again: %v", b.number, err)
 		}
-	case kShare, kPull, kFacts, kMove:
-		f.shared(e)
-	case kPicture:
-		f.picture()
-		f.send(f.id, f.now+time.Second, kPicture, 0, 0, nil)
+	case kPullTimer, kPullRequest, kPullReply, kSessionMoved:
+		b.handleSharing(e)
+	case kSampleBroker:
+		b.sampleAvailability()
+		b.send(b.id, b.now+time.Second, kSampleBroker, 0, 0, nil)
 	}
 }
--- a/internal/lab/play/offer.go
+++ b/internal/lab/play/offer.go
@@ -11,57 +11,57 @@
 	"flaxfront/internal/transport/store"
 )
 
-// frame reads what a broker wrote, and takes the parts.
-func (n *node) frame(l *link, b []byte, written time.Duration) {
-	for len(b) >= 5 {
-		size := int(binary.LittleEndian.Uint32(b))
-		if size < 1 || size > len(b)-4 {
-			n.breach(0, "node %d was sent a frame of %d bytes in %d", n.n, size, len(b))
+// handleFrame reads what a broker wrote, and takes the parts.
+func (n *node) handleFrame(l *nodeConn, data []byte, written time.Duration) {
+	for len(data) >= 5 {
+		size := int(binary.LittleEndian.Uint32(data))
+		if size < 1 || size > len(data)-4 {
+			n.reportBreach(0, "node %d was sent a frame of %d bytes in %d", n.number, size, len(data))
 			return
 		}
-		letter, rest := b[4], b[5:4+size]
-		b = b[4+size:]
+		letter, rest := data[4], data[5:4+size]
+		data = data[4+size:]
 		if letter == 'c' {
 			n.cancel(string(rest))
 			continue
 		}
-		call := n.w.script.Fleet.CallWork
+		callWork := n.w.script.Fleet.CallWork
 		for len(rest) > 0 {
 			line, after, _ := bytes.Cut(rest, []byte{'\n'})
 			f := bytes.Fields(line)
 			if len(f) != 4 {
-				n.breach(0, "node %d was sent the line %.60q", n.n, line)
+				n.reportBreach(0, "node %d was sent the line %.60q", n.number, line)
 				return
 			}
 			length, _ := strconv.Atoi(string(f[3]))
 			if length < 1 || length > len(after) {
-				n.breach(0, "node %d was sent a text of %d bytes in %d", n.n, length, len(after))
+				n.reportBreach(0, "node %d was sent a text of %d bytes in %d", n.number, length, len(after))
 				return
 			}
 			shard, _ := strconv.Atoi(string(f[1]))
-			n.part(l, string(f[0]), shard, int(after[0]-'0'), call, written)
-			call, rest = 0, after[length:]
+			n.handleShardRequest(l, string(f[0]), shard, int(after[0]-'0'), callWork, written)
+			callWork, rest = 0, after[length:]
 		}
 	}
 }
 
-// part is offered to the node.
-func (n *node) part(l *link, id string, shard, typ int, call, written time.Duration) {
+// handleShardRequest is offered to the node.
+func (n *node) handleShardRequest(l *nodeConn, id string, shard, typ int, callWork, written time.Duration) {
 	if shard%n.w.script.Fleet.Cells != n.cell {
-		n.breach(0, "node %d was sent part %s, which it does not hold", n.n, id)
+		n.reportBreach(0, "node %d was sent part %s, which it does not hold", n.number, id)
 	}
-	y := &n.w.script.Types[typ]
-	work := call + time.Duration((0.5+0.5*n.rnd.ExpFloat64())*float64(y.Work))
-	n.press(work)
-	k := &n.by.tally.work
-	if n.hung > 0 || n.fallen {
-		k.Swallowed++
+	queryType := &n.w.script.Types[typ]
+	work := callWork + time.Duration((0.5+0.5*n.rnd.ExpFloat64())*float64(queryType.Work))
+	n.recordOfferedWork(work)
+	counts := &n.worker.tally.work
+	if n.hangCount > 0 || n.crashed {
+		counts.Swallowed++
 		return
 	}
 	if len(n.queue) >= n.w.script.Fleet.Queue+len(n.cores) {
-		k.Skipped++
-		n.answer(l, store.Answer{ID: id, End: store.Skipped})
+		counts.Skipped++
+		n.sendAnswer(l, store.Answer{ID: id, End: store.Skipped})
 		return
 	}
-	n.take(&job{conn: l, id: id, work: work, effect: n.w.terms.Module.QueryTypes[typ].Idempotency, sent: written})
+	n.enqueue(&job{conn: l, id: id, work: work, idempotency: n.w.terms.Module.QueryTypes[typ].Idempotency, sentAt: written})
 }
--- a/internal/lab/play/play_test.go
+++ b/internal/lab/play/play_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-func read(t *testing.T, text string) *script.Script {
+func decodeScript(t *testing.T, text string) *script.Script {
 	t.Helper()
 	s, err := script.Decode("test", []byte(text))
 	if err != nil {
@@ -28,7 +28,7 @@
 	return s
 }
 
-func played(t *testing.T, s *script.Script, o Options) *Result {
+func mustPlay(t *testing.T, s *script.Script, o Options) *Result {
 	t.Helper()
 	r, err := Play(s, o)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return r
 }
 
-const troubled = `{"for": "12s", "fleet": {"nodes": 12, "cells": 3, "drops_cancelled": true}, "load": {"rate": 90},
+const faultyScript = `{"for": "12s", "fleet": {"nodes": 12, "cells": 3, "drops_cancelled": true}, "load": {"rate": 90},
 	"brokers": {"count": 3, "peers": true, "keep_list": true, "door": true},
 	"types": [{"name": "find"}, {"name": "sign", "effect": "non_idempotent"}, {"name": "book", "effect": "tokened"},
 		{"name": "report", "floor": 0.5, "least_parts": 3, "most_parts": 6}],
@@ -48,11 +48,11 @@
 		{"what": "restart", "at": "5s", "for": "1s", "share": 0.3}, {"what": "errors", "at": "9s", "for": "2s", "factor": 20}]}`
 
 // The same script gives the same course to the last event, twice and on any number of cores, and the same result to the byte.
-func TestSameCourse(t *testing.T) {
-	s := read(t, troubled)
+func TestRunIsDeterministic(t *testing.T) {
+	s := decodeScript(t, faultyScript)
 	var first []byte
 	for _, cores := range []int{1, 1, 2, 5} {
-		r := played(t, s, Options{Cores: cores, Policy: Module})
+		r := mustPlay(t, s, Options{Cores: cores, Policy: Module})
 		text, _ := json.Marshal(r)
 		if first == nil {
 			first = text
@@ -65,7 +65,7 @@
 		}
 	}
 	s.Seed++
-	if r := played(t, s, Options{Policy: Module}); strings.Contains(string(first), r.Hash) {
+	if r := mustPlay(t, s, Options{Policy: Module}); strings.Contains(string(first), r.Hash) {
 		t.Error("another seed gives the same course")
 	}
 }
@@ -73,9 +73,9 @@
 // Every search counts once and ends once, whatever goes wrong; what is counted by second, by row and in all agrees.
 func TestCountsAddUp(t *testing.T) {
 	for seed := range 6 {
-		s := read(t, troubled)
+		s := decodeScript(t, faultyScript)
 		s.Seed = 100 + seed
-		r := played(t, s, Options{Cores: 1, Policy: Module})
+		r := mustPlay(t, s, Options{Cores: 1, Policy: Module})
 		c := &r.Counts
 		if c.Asked == 0 || c.Asked != c.InTarget+c.Late+c.Shed+c.Failed || r.Broken > 0 {
 			t.Errorf("seed %d: %+v, %v", s.Seed, *c, r.Breaches)
@@ -94,11 +94,11 @@
 }
 
 // A run that is stopped half way tells of what was played, and of nothing else as broken.
-func TestStopped(t *testing.T) {
-	s := read(t, `{"for": "60s", "load": {"rate": 200}}`)
+func TestStoppedRunReportsWhatItPlayed(t *testing.T) {
+	s := decodeScript(t, `{"for": "60s", "load": {"rate": 200}}`)
 	stop := &atomic.Bool{}
 	o := Options{Cores: 1, Policy: Module, Stop: stop, Trace: stopAfter{stop, new(int)}}
-	r := played(t, s, o)
+	r := mustPlay(t, s, o)
 	if r.Played <= 0 || r.Played >= 60*time.Second || r.Broken > 0 || r.Counts.Asked == 0 || len(r.Seconds) > 1+int(r.Played/time.Second) {
 		t.Errorf("%v played, %d asked, %d seconds, %v", r.Played, r.Counts.Asked, len(r.Seconds), r.Breaches)
 	}
@@ -117,19 +117,19 @@
 	return len(b), nil
 }
 
-// spoiler breaks a rule on purpose, behind a policy that keeps them.
-type spoiler struct {
+// ruleBreaker breaks a rule on purpose, behind a policy that keeps them.
+type ruleBreaker struct {
 	decision.Router
-	spoil func(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action
+	breakRule func(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action
 }
 
-func (s spoiler) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
-	return s.spoil(now, events, s.Router.Step(now, events, out))
+func (s ruleBreaker) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+	return s.breakRule(now, events, s.Router.Step(now, events, out))
 }
 
 // Each audit finds what it is for: the module is made to break each rule, and the breach is named.
-func TestAuditsFind(t *testing.T) {
-	cold := `{"for": "12s", "load": {"rate": 150}, "fleet": {"falls_at": 1.05, "falls_after": "200ms", "cold_from": 0.05}, "types": [{"name": "find", "work": "30ms"}], "troubles": [{"what": "die", "share": 0.4, "at": "3s", "for": "1s"}]}`
+func TestAuditsDetectBreaches(t *testing.T) {
+	coldNodesScript := `{"for": "12s", "load": {"rate": 150}, "fleet": {"falls_at": 1.05, "falls_after": "200ms", "cold_from": 0.05}, "types": [{"name": "find", "work": "30ms"}], "troubles": [{"what": "die", "share": 0.4, "at": "3s", "for": "1s"}]}`
 	for _, c := range []struct {
 		rule   int
 		script string
@@ -144,10 +144,10 @@
 			return out
 		}},
 		{3, `{"for": "8s", "fleet": {"nodes": 1, "cells": 1, "zones": 1}, "load": {"rate": 20}, "types": [{"name": "find", "most_parts": 3}], "troubles": [{"what": "drain", "nodes": [0], "at": "2s", "for": "5s"}]}`, nil},
-		{4, cold, nil},
+		{4, coldNodesScript, nil},
 	} {
-		s := read(t, c.script)
-		r := playSpoilt(t, s, c.spoil, c.rule)
+		s := decodeScript(t, c.script)
+		r := playBreakingRules(t, s, c.spoil, c.rule)
 		found := false
 		for _, b := range r.Breaches {
 			found = found || b.Rule == c.rule
@@ -158,50 +158,50 @@
 	}
 }
 
-// playSpoilt plays a script with a decider that breaks rules: its own spoil, or one that knows no list but the first.
-func playSpoilt(t *testing.T, s *script.Script, spoil func(time.Duration, []decision.Event, []decision.Action) []decision.Action, rule int) *Result {
+// playBreakingRules plays a script with a decider that breaks rules: its own spoil, or one that knows no list but the first.
+func playBreakingRules(t *testing.T, s *script.Script, spoil func(time.Duration, []decision.Event, []decision.Action) []decision.Action, rule int) *Result {
 	t.Helper()
-	was := decideInstead
-	defer func() { decideInstead = was }()
-	decideInstead = func(t decision.Settings, f *front) decision.Router {
-		p := newPlain(t, f.rnd, nil)
+	previous := routerForTest
+	defer func() { routerForTest = previous }()
+	routerForTest = func(t decision.Settings, f *broker) decision.Router {
+		p := newBaselineRouter(t, f.rnd, nil)
 		switch {
 		case spoil != nil:
-			return spoiler{p, spoil}
+			return ruleBreaker{p, spoil}
 		case rule == 3:
-			return deaf{p, false}
+			return ignoresListUpdates{p, false}
 		}
 		return p // random choice knows no rations
 	}
-	return played(t, s, Options{Cores: 1, Policy: Random})
+	return mustPlay(t, s, Options{Cores: 1, Policy: Random})
 }
 
-// deaf hears the first list only.
-type deaf struct {
-	*plain
+// ignoresListUpdates hears the first list only.
+type ignoresListUpdates struct {
+	*baselineRouter
 	heard bool
 }
 
-func (d deaf) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
+func (d ignoresListUpdates) Step(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action {
 	var kept []decision.Event
 	for _, e := range events {
 		if e.Kind != decision.ListUpdateReceived {
 			kept = append(kept, e)
 		}
 	}
-	return d.plain.Step(now, kept, out)
+	return d.baselineRouter.Step(now, kept, out)
 }
 
 // Effects: runs of one part count twice only where sent outside of what drops repeats, and a shed search that ran is named.
-func TestAuditorOfEffects(t *testing.T) {
-	s := read(t, `{"types": [{"name": "book", "effect": "tokened", "window": "1s"}]}`)
-	w := &world{script: s, plan: s.Schedule(), terms: s.Terms()}
+func TestAuditorDetectsRepeatedExecutions(t *testing.T) {
+	s := decodeScript(t, `{"types": [{"name": "book", "effect": "tokened", "window": "1s"}]}`)
+	w := &world{script: s, schedule: s.Schedule(), terms: s.Terms()}
 	w.workers = []*worker{{}}
-	a := &auditor{ran: map[uint64]run{}, shed: map[uint64]time.Duration{}}
-	a.join(w, idAuditor)
-	tell := func(k kind, effect decision.Idempotency, id string, sent time.Duration) int64 {
-		a.handle(&event{kind: k, n: int32(effect), a: hashOf(id), p: ran{id, sent}})
-		return w.workers[0].tally.broken
+	a := &auditor{executions: map[uint64]execution{}, shed: map[uint64]time.Duration{}}
+	a.attach(w, idAuditor)
+	report := func(k eventKind, effect decision.Idempotency, id string, sent time.Duration) int64 {
+		a.handle(&event{kind: k, arg32: int32(effect), arg64: hashOf(id), payload: executionReport{id, sent}})
+		return w.workers[0].tally.breachCount
 	}
 	steps := []struct {
 		effect decision.Idempotency
@@ -211,33 +211,33 @@
 	}{{decision.IdempotencyKeyed, "a.1", 0, 0}, {decision.IdempotencyKeyed, "a.1", time.Second, 0}, {decision.IdempotencyKeyed, "a.1", 1001 * time.Millisecond, 1},
 		{decision.NonIdempotent, "b.1", 0, 1}, {decision.NonIdempotent, "b.2", 0, 1}, {decision.NonIdempotent, "b.1", 1, 2}}
 	for _, x := range steps {
-		if got := tell(kRan, x.effect, x.id, x.sent); got != x.broken {
+		if got := report(kExecuted, x.effect, x.id, x.sent); got != x.broken {
 			t.Errorf("%s: %d broken, want %d", fmt.Sprint(x), got, x.broken)
 		}
 	}
-	a.handle(&event{kind: kShedOf, a: hashOf("b"), p: "b"})
-	if w.workers[0].tally.broken != 3 {
+	a.handle(&event{kind: kQueryShed, arg64: hashOf("b"), payload: "b"})
+	if w.workers[0].tally.breachCount != 3 {
 		t.Error("a search that ran was shed, and nobody says so")
 	}
 }
 
 // A million events at most, however long clients ask: what is kept does not grow with the searches. Measured by what the
 // actors hold at the end.
-func TestNothingGrows(t *testing.T) {
-	s := read(t, `{"for": "20s", "load": {"rate": 400}, "types": [{"name": "sign", "effect": "non_idempotent", "work": "2ms"}]}`)
-	w, fronts, err := build(s, Options{Cores: 1, Policy: Module})
+func TestStateDoesNotGrowWithQueries(t *testing.T) {
+	s := decodeScript(t, `{"for": "20s", "load": {"rate": 400}, "types": [{"name": "sign", "effect": "non_idempotent", "work": "2ms"}]}`)
+	w, brokers, err := buildWorld(s, Options{Cores: 1, Policy: Module})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.run(w.end+2*remembered, &atomic.Bool{})
-	for _, f := range fronts {
-		if len(f.open) > 0 || len(f.conns) > 200 {
-			t.Errorf("%d searches, %d connections held", len(f.open), len(f.conns))
+	w.run(w.end+2*auditRetention, &atomic.Bool{})
+	for _, f := range brokers {
+		if len(f.openQueries) > 0 || len(f.conns) > 200 {
+			t.Errorf("%d searches, %d connections held", len(f.openQueries), len(f.conns))
 		}
 	}
 	for _, n := range w.nodes {
-		if len(n.queue) > 0 || len(n.recent) > 0 {
-			t.Errorf("node %d holds %d and %d", n.n, len(n.queue), len(n.recent))
+		if len(n.queue) > 0 || len(n.recentWork) > 0 {
+			t.Errorf("node %d holds %d and %d", n.number, len(n.queue), len(n.recentWork))
 		}
 	}
 }
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -15,10 +15,10 @@
 
 // What brokers tell each other beside messages of the module, and clients that move.
 const (
-	kShare kind = iota + 60 // a broker asks another
-	kPull                   // a: when it asked, n: who
-	kFacts                  // a: when it was asked, p: []byte
-	kMove                   // p: *session
+	kPullTimer    eventKind = iota + 60 // a broker asks another
+	kPullRequest                        // a: when it asked, n: who
+	kPullReply                          // a: when it was asked, p: []byte
+	kSessionMoved                       // p: *session
 )
 
 // ReadCounts tell what became of searches with hints.
@@ -44,52 +44,52 @@
 
 // session is a client that remembers. It asks one search at a time, at one broker, and moves.
 type session struct {
-	key  string
-	seen map[int]uint64 // by shard
-	node map[int]int    // where it was last read
+	key         string
+	seenOffsets map[int]uint64 // by shard
+	lastNode    map[int]int    // where it was last read
 }
 
-// wish gives a search its hint.
-func (f *front) wish(q *asked) {
-	r := &f.w.script.Reads
-	if !r.On || f.policy != Module || f.rnd.Float64() >= r.Hinted {
+// assignHint gives a search its hint.
+func (b *broker) assignHint(q *clientQuery) {
+	r := &b.w.script.Reads
+	if !r.On || b.policy != Module || b.rnd.Float64() >= r.Hinted {
 		return
 	}
-	if n := len(f.sessions); n >= r.Sessions {
-		i := f.rnd.IntN(n)
-		q.session, f.sessions[i] = f.sessions[i], f.sessions[n-1]
-		f.sessions = f.sessions[:n-1]
+	if n := len(b.idleSessions); n >= r.Sessions {
+		i := b.rnd.IntN(n)
+		q.session, b.idleSessions[i] = b.idleSessions[i], b.idleSessions[n-1]
+		b.idleSessions = b.idleSessions[:n-1]
 	} else {
-		f.begun++
-		q.session = &session{fmt.Sprintf("%d.%d", f.n, f.begun), map[int]uint64{}, map[int]int{}}
+		b.sessionCount++
+		q.session = &session{fmt.Sprintf("%d.%d", b.number, b.sessionCount), map[int]uint64{}, map[int]int{}}
 	}
 	h := &readhint.Hint{}
-	switch draw := f.rnd.Float64(); {
-	case draw < r.HotKey:
+	switch chance := b.rnd.Float64(); {
+	case chance < r.HotKey:
 		h.Scope, h.Key = readhint.ScopeKey, "hot"
-	case draw < r.HotKey+r.Pinned:
+	case chance < r.HotKey+r.Pinned:
 		h.Scope, h.Key = readhint.ScopeSession, q.session.key
 	}
-	if f.rnd.Float64() < r.Fresh {
-		h.MaxStaleness = (r.StalenessMin + time.Duration(f.rnd.Float64()*float64(r.StalenessMax-r.StalenessMin))).Round(time.Millisecond)
+	if b.rnd.Float64() < r.Fresh {
+		h.MaxStaleness = (r.StalenessMin + time.Duration(b.rnd.Float64()*float64(r.StalenessMax-r.StalenessMin))).Round(time.Millisecond)
 	}
-	if f.rnd.Float64() < r.Tokens {
+	if b.rnd.Float64() < r.Tokens {
 		for _, shard := range slices.Sorted(slices.Values(q.shards)) {
-			h.NotBefore = append(h.NotBefore, readhint.Position{Shard: shard, Offset: q.session.seen[shard]})
+			h.NotBefore = append(h.NotBefore, readhint.Position{Shard: shard, Offset: q.session.seenOffsets[shard]})
 		}
-		if f.rnd.Float64() < r.OwnWrites { // it has just written there
-			h.NotBefore = []readhint.Position{{Shard: q.shards[0], Offset: writesBy(r, q.shards[0], f.now)}}
+		if b.rnd.Float64() < r.OwnWrites { // it has just written there
+			h.NotBefore = []readhint.Position{{Shard: q.shards[0], Offset: positionAt(r, q.shards[0], b.now)}}
 		}
 	}
-	h.AllowStale = !h.IsZero() && f.rnd.Float64() < r.OrStale
+	h.AllowStale = !h.IsZero() && b.rnd.Float64() < r.OrStale
 	if !h.IsZero() {
 		q.hint = h
 	}
 }
 
 // checkReads holds an answer to a try against the writers' history.
-func (f *front) checkReads(q *asked, v *server.QueryResult) {
-	c, r := &f.by.tally.reads, &f.w.script.Reads
+func (b *broker) checkReads(q *clientQuery, v *server.QueryResult) {
+	c, r := &b.worker.tally.reads, &b.w.script.Reads
 	if q.hint == nil {
 		return
 	}
@@ -104,101 +104,101 @@
 	}
 	c.Answered++
 	if !v.Hinted {
-		f.breach(7, "search %s was answered without a word on its reads", q.id)
+		b.reportBreach(7, "search %s was answered without a word on its reads", q.id)
 		return
 	}
 	if v.Staleness >= 0 {
 		c.Stated += v.Staleness.Microseconds()
 	}
 	for i, shard := range v.Shards {
-		_, pos, node := versionOf(v.Values[i])
+		_, pos, node := splitValue(v.Values[i])
 		c.Checked++
-		stale := q.hint.MaxStaleness > 0 && pos < writesBy(r, shard, q.tried-q.hint.MaxStaleness)
+		stale := q.hint.MaxStaleness > 0 && pos < positionAt(r, shard, q.submittedAt-q.hint.MaxStaleness)
 		backward := pos < q.hint.MinOffset(shard)
-		said := q.hint.AllowStale && slices.Contains(v.Behind, shard)
+		declared := q.hint.AllowStale && slices.Contains(v.Behind, shard)
 		switch {
-		case (stale || backward) && said:
+		case (stale || backward) && declared:
 			c.Behind++
 		case stale:
 			c.Stale++
-			f.breach(7, "search %s, bound %v: shard %d is at %d, %d was due", q.id, q.hint.MaxStaleness, shard, pos, writesBy(r, shard, q.tried-q.hint.MaxStaleness))
+			b.reportBreach(7, "search %s, bound %v: shard %d is at %d, %d was due", q.id, q.hint.MaxStaleness, shard, pos, positionAt(r, shard, q.submittedAt-q.hint.MaxStaleness))
 		case backward:
 			c.Backward++
-			f.breach(7, "search %s goes backward: shard %d is at %d, %d was seen", q.id, shard, pos, q.hint.MinOffset(shard))
+			b.reportBreach(7, "search %s goes backward: shard %d is at %d, %d was seen", q.id, shard, pos, q.hint.MinOffset(shard))
 		}
-		if v.Staleness >= 0 && pos < writesBy(r, shard, f.now-v.Staleness) {
+		if v.Staleness >= 0 && pos < positionAt(r, shard, b.now-v.Staleness) {
 			c.Understated++
-			f.breach(7, "search %s states %v: shard %d is at %d, behind %d", q.id, v.Staleness, shard, pos, writesBy(r, shard, f.now-v.Staleness))
+			b.reportBreach(7, "search %s states %v: shard %d is at %d, behind %d", q.id, v.Staleness, shard, pos, positionAt(r, shard, b.now-v.Staleness))
 		}
 		if at := slices.IndexFunc(v.Positions, func(p readhint.Position) bool { return p.Shard == shard }); at < 0 || v.Positions[at].Offset != pos {
-			f.breach(7, "search %s: the position of shard %d is told as %v, and is %d", q.id, shard, v.Positions, pos)
+			b.reportBreach(7, "search %s: the position of shard %d is told as %v, and is %d", q.id, shard, v.Positions, pos)
 		}
 		if s := q.session; q.hint.Scope == readhint.ScopeSession {
-			if last, known := s.node[shard]; known && last == node {
+			if last, known := s.lastNode[shard]; known && last == node {
 				c.Same++
 			} else if known {
 				c.Elsewhere++
 			}
-			s.node[shard] = node
+			s.lastNode[shard] = node
 		}
-		q.session.seen[shard] = max(q.session.seen[shard], pos)
+		q.session.seenOffsets[shard] = max(q.session.seenOffsets[shard], pos)
 	}
 }
 
-// rest gives a session back once its search is over; now and then it goes to another broker.
-func (f *front) rest(q *asked) {
+// releaseSession gives a session back once its search is over; now and then it goes to another broker.
+func (b *broker) releaseSession(q *clientQuery) {
 	s := q.session
 	if s == nil {
 		return
 	}
 	q.session, q.hint = nil, nil
-	if n := f.w.script.Brokers.Count; n > 1 && f.rnd.Float64() < f.w.script.Reads.MoveChance {
-		to := (f.n + 1 + f.rnd.IntN(n-1)) % n
-		f.send(uint32(idBrokers+to), f.now+f.w.script.Network.CrossZoneDelay, kMove, 0, 0, s)
+	if n := b.w.script.Brokers.Count; n > 1 && b.rnd.Float64() < b.w.script.Reads.MoveChance {
+		to := (b.number + 1 + b.rnd.IntN(n-1)) % n
+		b.send(uint32(idBrokers+to), b.now+b.w.script.Network.CrossZoneDelay, kSessionMoved, 0, 0, s)
 		return
 	}
-	f.sessions = append(f.sessions, s)
+	b.idleSessions = append(b.idleSessions, s)
 }
 
-// share has a broker ask another what it knows of replicas, where there is a way.
-func (f *front) share() {
-	r, n := &f.w.script.Reads, f.w.script.Brokers.Count
-	if !r.On || n < 2 || f.policy != Module {
+// pullPositions has a broker ask another what it knows of replicas, where there is a way.
+func (b *broker) pullPositions() {
+	r, n := &b.w.script.Reads, b.w.script.Brokers.Count
+	if !r.On || n < 2 || b.policy != Module {
 		return
 	}
-	f.send(f.id, f.now+r.ShareInterval/2+time.Duration(f.rnd.Float64()*float64(r.ShareInterval)), kShare, 0, 0, nil)
-	to := (f.n + 1 + f.rnd.IntN(n-1)) % n
-	if took, lost, held := f.way(f.zone, to%f.w.script.Fleet.Zones); f.core != nil && !lost && held == 0 {
-		f.send(uint32(idBrokers+to), f.now+took, kPull, int32(f.n), uint64(f.now), nil)
+	b.send(b.id, b.now+r.ShareInterval/2+time.Duration(b.rnd.Float64()*float64(r.ShareInterval)), kPullTimer, 0, 0, nil)
+	to := (b.number + 1 + b.rnd.IntN(n-1)) % n
+	if took, lost, held := b.samplePath(b.zone, to%b.w.script.Fleet.Zones); b.core != nil && !lost && held == 0 {
+		b.send(uint32(idBrokers+to), b.now+took, kPullRequest, int32(b.number), uint64(b.now), nil)
 	}
 }
 
-// shared takes what concerns facts and sessions.
-func (f *front) shared(e *event) {
+// handleSharing takes what concerns facts and sessions.
+func (b *broker) handleSharing(e *event) {
 	switch e.kind {
-	case kShare:
-		f.share()
-	case kMove:
-		f.sessions = append(f.sessions, e.p.(*session))
-	case kPull:
-		if took, lost, held := f.way(f.zone, int(e.n)%f.w.script.Fleet.Zones); f.core != nil && !lost && held == 0 {
-			data := f.core.CollectPositions()
-			f.by.tally.reads.Facts += int64(len(data))
-			f.send(uint32(idBrokers)+uint32(e.n), f.now+took, kFacts, 0, e.a, data)
+	case kPullTimer:
+		b.pullPositions()
+	case kSessionMoved:
+		b.idleSessions = append(b.idleSessions, e.payload.(*session))
+	case kPullRequest:
+		if took, lost, held := b.samplePath(b.zone, int(e.arg32)%b.w.script.Fleet.Zones); b.core != nil && !lost && held == 0 {
+			data := b.core.CollectPositions()
+			b.worker.tally.reads.Facts += int64(len(data))
+			b.send(uint32(idBrokers)+uint32(e.arg32), b.now+took, kPullReply, 0, e.arg64, data)
 		}
-	case kFacts:
-		if asked := time.Duration(e.a); f.core != nil && asked >= f.began {
-			f.core.MergePositions(e.p.([]byte), f.now-asked)
-			f.kick()
+	case kPullReply:
+		if asked := time.Duration(e.arg64); b.core != nil && asked >= b.startedAt {
+			b.core.MergePositions(e.payload.([]byte), b.now-asked)
+			b.scheduleStep()
 		}
 	}
 }
 
-// sumPins counts what a broker counted of hints in its life.
-func (f *front) sumPins() {
-	if f.core != nil && f.w.script.Reads.On {
-		if p := f.core.Counters().ReadPins; p != nil {
-			f.by.tally.reads.Add(&ReadCounts{Pins: p.Counts})
+// addPinCounts counts what a broker counted of hints in its life.
+func (b *broker) addPinCounts() {
+	if b.core != nil && b.w.script.Reads.On {
+		if p := b.core.Counters().ReadPins; p != nil {
+			b.worker.tally.reads.Add(&ReadCounts{Pins: p.Counts})
 		}
 	}
 }
--- a/internal/lab/play/reads_test.go
+++ b/internal/lab/play/reads_test.go
@@ -12,8 +12,8 @@
 
 var readSeeds = flag.Int("reads.seeds", 1, "how many days of lagging replicas are played; a million checked reads take about 40")
 
-// lagging is a day on which replicas fall behind, die, come back, and are set back, brokers restart and a zone is cut off.
-const lagging = `{"for": "20s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 400}, "brokers": {"count": 5},
+// laggingScript is a day on which replicas fall behind, die, come back, and are set back, brokers restart and a zone is cut off.
+const laggingScript = `{"for": "20s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 400}, "brokers": {"count": 5},
 	"types": [{"name": "find", "work": "4ms", "least_parts": 1, "most_parts": 6}, {"name": "part", "work": "4ms", "floor": 0.5, "most_parts": 6}],
 	"reads": {"on": true, "hot": 0.05},
 	"troubles": [{"what": "lag", "at": "2s", "for": "3s", "share": 0.4}, {"what": "rollback", "at": "4s", "factor": 3, "share": 0.3},
@@ -26,9 +26,9 @@
 func TestReadsKeepTheirHints(t *testing.T) {
 	var all ReadCounts
 	for seed := range *readSeeds {
-		s := read(t, lagging)
+		s := decodeScript(t, laggingScript)
 		s.Seed = seed + 1
-		r := played(t, s, Options{Policy: Module})
+		r := mustPlay(t, s, Options{Policy: Module})
 		for _, b := range r.Breaches {
 			t.Errorf("seed %d, %v: rule %d: %s", s.Seed, b.At, b.Rule, b.Text)
 		}
@@ -43,14 +43,14 @@
 }
 
 // The audit finds brokers that are optimistic: with ages too low by a little, and with none of the clocks' error counted in.
-func TestAuditFindsOptimism(t *testing.T) {
-	defer func() { operatorsInstead = nil }()
+func TestAuditDetectsUnderstatedAges(t *testing.T) {
+	defer func() { changeOperatorFileForTest = nil }()
 	for name, change := range map[string]func(*operator.File){
 		"ages 60 ms too low": func(f *operator.File) { f.Fleet.ClockError = -60 * time.Millisecond },
 		"clocks trusted":     func(f *operator.File) { f.Fleet.ClockError = -time.Millisecond },
 	} {
-		operatorsInstead = change
-		r := played(t, read(t, lagging), Options{Policy: Module})
+		changeOperatorFileForTest = change
+		r := mustPlay(t, decodeScript(t, laggingScript), Options{Policy: Module})
 		if r.Reads.Stale == 0 || r.Reads.Understated == 0 {
 			t.Errorf("%s: not found in %d checked", name, r.Reads.Checked)
 		}
@@ -58,20 +58,20 @@
 }
 
 // The same course on one core and on two.
-func TestReadsSameCourse(t *testing.T) {
-	s := read(t, lagging)
+func TestReadsAreDeterministic(t *testing.T) {
+	s := decodeScript(t, laggingScript)
 	s.Length, s.Load.Rate, s.Faults = 3*time.Second, 100, s.Faults[:1]
-	one := played(t, s, Options{Cores: 1, Policy: Module})
-	if r := played(t, s, Options{Cores: 2, Policy: Module}); r.Hash != one.Hash || *r.Reads != *one.Reads {
+	one := mustPlay(t, s, Options{Cores: 1, Policy: Module})
+	if r := mustPlay(t, s, Options{Cores: 2, Policy: Module}); r.Hash != one.Hash || *r.Reads != *one.Reads {
 		t.Errorf("%s, %s", r.Hash, one.Hash)
 	}
 }
 
 // One key that most ask for is spread over holders beyond its limit, and none of it goes backward.
 func TestHotKey(t *testing.T) {
-	s := read(t, `{"for": "10s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 500}, "brokers": {"count": 2},
+	s := decodeScript(t, `{"for": "10s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 500}, "brokers": {"count": 2},
 		"types": [{"name": "find", "work": "4ms", "least_parts": 1, "most_parts": 6}], "reads": {"on": true, "hot": 0.8}}`)
-	r := played(t, s, Options{Policy: Module})
+	r := mustPlay(t, s, Options{Policy: Module})
 	if r.Broken > 0 || r.Reads.Pins.Spilled < 1000 || r.Counts.Service() < 0.98 {
 		t.Errorf("spilled %d, served %.3f, %v", r.Reads.Pins.Spilled, r.Counts.Service(), r.Breaches)
 	}
@@ -80,26 +80,26 @@
 
 // What hints cost where all is well: the same day with hints and without.
 func TestCostOfPinnedReads(t *testing.T) {
-	day := func(change func(*script.Reads)) *Result {
-		s := read(t, `{"for": "20s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 400}, "brokers": {"count": 5},
+	playDay := func(change func(*script.Reads)) *Result {
+		s := decodeScript(t, `{"for": "20s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 400}, "brokers": {"count": 5},
 			"types": [{"name": "find", "work": "4ms", "least_parts": 1, "most_parts": 6}], "reads": {"on": true}}`)
 		change(&s.Reads)
-		return played(t, s, Options{Policy: Module})
+		return mustPlay(t, s, Options{Policy: Module})
 	}
-	plain := day(func(r *script.Reads) { r.Hinted = 0 })
+	withoutHints := playDay(func(r *script.Reads) { r.Hinted = 0 })
 	for name, change := range map[string]func(*script.Reads){
 		"pinned":                      func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens = 1, 0, 0 },
 		"bounded":                     func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens = 0, 1, 0 },
 		"not before":                  func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens, r.OwnWrites = 0, 0, 1, 0 },
 		"pinned, bounded, not before": func(r *script.Reads) { r.Pinned, r.Fresh, r.Tokens, r.OwnWrites = 1, 1, 1, 0 },
 	} {
-		r := day(change)
+		r := playDay(change)
 		mean := func(r *Result) float64 { return float64(r.Latency.Mean()) / 1e6 }
 		parts := func(r *Result) float64 { return float64(r.Work.Parts) / float64(r.Counts.Tries) }
 		t.Logf("%-28s mean %.2f ms (plain %.2f, %.3f times), p99 %v (%v), parts a search %.3f (%.3f), served %.4f (%.4f), same node %.3f, old %d of %d",
-			name, mean(r), mean(plain), mean(r)/mean(plain), r.Latency.Quantile(0.99), plain.Latency.Quantile(0.99), parts(r), parts(plain), r.Counts.Service(), plain.Counts.Service(),
+			name, mean(r), mean(withoutHints), mean(r)/mean(withoutHints), r.Latency.Quantile(0.99), withoutHints.Latency.Quantile(0.99), parts(r), parts(withoutHints), r.Counts.Service(), withoutHints.Counts.Service(),
 			float64(r.Reads.Same)/float64(max(1, r.Reads.Same+r.Reads.Elsewhere)), r.Reads.Pins.Stale, r.Reads.Pins.Stale+r.Reads.Pins.Fresh)
-		if mean(r) > 1.1*mean(plain) || parts(r) > 1.1*parts(plain) {
+		if mean(r) > 1.1*mean(withoutHints) || parts(r) > 1.1*parts(withoutHints) {
 			t.Errorf("%s: over 1.1 times", name)
 		}
 	}
--- a/internal/lab/play/replica.go
+++ b/internal/lab/play/replica.go
@@ -14,53 +14,53 @@
 
 // replica is the state of a node: all that was acknowledged by a moment.
 type replica struct {
-	of    time.Duration // that moment
-	at    time.Duration // when it was last looked at
-	base  time.Duration // how far it is behind in ordinary times
-	until time.Duration // it takes no writes over before
-	slow  float64       // its clock
-	low   time.Duration // its measure says so much too little
+	stateAt      time.Duration // that moment
+	updatedAt    time.Duration // when it was last looked at
+	baseLag      time.Duration // how far it is behind in ordinary times
+	stalledUntil time.Duration // it takes no writes over before
+	clockDrift   float64       // its clock
+	clockError   time.Duration // its measure says so much too little
 }
 
-// writesBy is the position of a shard's last write that was acknowledged by a moment. Each shard has a pace of its own.
-func writesBy(r *script.Reads, shard int, at time.Duration) uint64 {
+// positionAt is the position of a shard's last write that was acknowledged by a moment. Each shard has a pace of its own.
+func positionAt(r *script.Reads, shard int, at time.Duration) uint64 {
 	every := r.Writes + r.Writes*time.Duration(shard%5)/7
 	return uint64(max(0, at+time.Hour) / every)
 }
 
 func (n *node) startReplica() {
 	r := &n.w.script.Reads
-	n.rep = replica{base: time.Duration(n.rnd.Float64() * float64(r.Lag)), slow: n.rnd.Float64() * r.Drift,
-		low: time.Duration(n.rnd.Float64() * float64(r.ClockError))}
-	n.rep.of = -n.rep.base
+	n.replica = replica{baseLag: time.Duration(n.rnd.Float64() * float64(r.Lag)), clockDrift: n.rnd.Float64() * r.Drift,
+		clockError: time.Duration(n.rnd.Float64() * float64(r.ClockError))}
+	n.replica.stateAt = -n.replica.baseLag
 }
 
 // advance takes over what has come since it was last looked at.
 func (r *replica) advance(now time.Duration, catch float64) {
-	if from := max(r.at, r.until); now > from {
-		r.of = max(r.of, min(now-r.base, r.of+time.Duration((1+catch)*float64(now-from))))
+	if from := max(r.updatedAt, r.stalledUntil); now > from {
+		r.stateAt = max(r.stateAt, min(now-r.baseLag, r.stateAt+time.Duration((1+catch)*float64(now-from))))
 	}
-	r.at = now
+	r.updatedAt = now
 }
 
-// read is what a part finds at a replica: which state that is, beside the value, and what the node reports.
-func (n *node) read(part string) (version, report string) {
+// decodeScript is what a part finds at a replica: which state that is, beside the value, and what the node reports.
+func (n *node) readReplica(requestID string) (version, report string) {
 	s := &n.w.script.Reads
 	if !s.On {
 		return "", ""
 	}
-	r := &n.rep
+	r := &n.replica
 	r.advance(n.now, s.CatchUp)
-	_, text, _ := strings.Cut(part, ".")
+	_, text, _ := strings.Cut(requestID, ".")
 	shard, _ := strconv.Atoi(text)
-	pos := writesBy(s, shard, r.of)
-	head := time.Duration(float64(n.now-r.of)*(1-r.slow)) - r.low
-	return "@" + strconv.FormatUint(pos, 10) + "@" + strconv.Itoa(n.n),
+	pos := positionAt(s, shard, r.stateAt)
+	head := time.Duration(float64(n.now-r.stateAt)*(1-r.clockDrift)) - r.clockError
+	return "@" + strconv.FormatUint(pos, 10) + "@" + strconv.Itoa(n.number),
 		string(readpin.AppendReport(nil, readpin.Report{Offset: pos, HeadAge: max(0, head)}))
 }
 
-// versionOf takes the version off a value.
-func versionOf(value string) (bare string, pos uint64, node int) {
+// splitValue takes the version off a value.
+func splitValue(value string) (bare string, pos uint64, node int) {
 	bare, rest, versioned := strings.Cut(value, "@")
 	if !versioned {
 		return value, 0, 0
--- a/internal/lab/play/result.go
+++ b/internal/lab/play/result.go
@@ -47,8 +47,8 @@
 	P99     time.Duration
 }
 
-// result adds up what the workers counted.
-func (w *world) result(policy string) *Result {
+// collectResult adds up what the workers counted.
+func (w *world) collectResult(policy string) *Result {
 	s := w.script
 	r := &Result{Name: s.Name, Policy: policy, Seed: s.Seed, Played: min(w.now, w.end)}
 	for _, t := range s.Tenants {
@@ -58,12 +58,12 @@
 	}
 	hash := uint64(14695981039346656037)
 	for _, p := range w.actors {
-		hash = (hash ^ p.self.hash) * 1099511628211
+		hash = (hash ^ p.actorState.hash) * 1099511628211
 	}
 	r.Hash = fmt.Sprintf("%016x", hash)
 	for _, k := range w.workers {
 		t := &k.tally
-		r.Events += k.n
+		r.Events += k.eventCount
 		r.Work.add(&t.work)
 		if s.Reads.On {
 			if r.Reads == nil {
@@ -71,10 +71,10 @@
 			}
 			r.Reads.Add(&t.reads)
 		}
-		r.Broken += t.broken
+		r.Broken += t.breachCount
 		r.Breaches = append(r.Breaches, t.breaches...)
 		r.Lines = append(r.Lines, t.lines...)
-		r.LinesCut += t.said
+		r.LinesCut += t.lineCount
 		for i := range t.seconds {
 			for len(r.Seconds) <= i {
 				r.Seconds = append(r.Seconds, Second{})
@@ -87,8 +87,8 @@
 			r.Seconds[i].Latency.Add(&t.latency[i])
 			r.Latency.Add(&t.latency[i])
 		}
-		for row := range t.types {
-			r.Rows[row].Latency.Add(&t.types[row])
+		for row := range t.latencyByRow {
+			r.Rows[row].Latency.Add(&t.latencyByRow[row])
 		}
 		for i := range t.samples {
 			for len(r.Samples) <= i {
@@ -116,13 +116,13 @@
 	slices.SortFunc(r.Breaches, func(a, b Breach) int { return cmp.Or(cmp.Compare(a.At, b.At), strings.Compare(a.Text, b.Text)) })
 	slices.SortStableFunc(r.Lines, func(a, b Line) int { return cmp.Or(cmp.Compare(a.At, b.At), a.Broker-b.Broker) })
 	r.LinesCut -= int64(len(r.Lines))
-	r.Breaches = r.Breaches[:min(len(r.Breaches), mostBreaches)]
-	r.Worst = worst(r.Seconds)
+	r.Breaches = r.Breaches[:min(len(r.Breaches), maxBreaches)]
+	r.Worst = worstTenSeconds(r.Seconds)
 	return r
 }
 
-// worst is the least service of any ten seconds in a row.
-func worst(s []Second) float64 {
+// worstTenSeconds is the least service of any ten seconds in a row.
+func worstTenSeconds(s []Second) float64 {
 	least := 1.0
 	for i := 0; i+10 <= len(s); i++ {
 		var c Counts
--- a/internal/lab/play/tally.go
+++ b/internal/lab/play/tally.go
@@ -90,13 +90,13 @@
 
 // The states that a sample tells apart.
 const (
-	Fit State = iota
-	Cold
-	Leaving
-	Silent // it hangs
-	Still  // it stands still
-	Lost   // it vanished, or its machine is off
-	Over   // it fell over
+	StateHealthy State = iota
+	StateWarmingUp
+	StateDraining
+	StateHanging // it hangs
+	StateStalled // it stands still
+	StateGone    // it vanished, or its machine is off
+	StateCrashed // it fell over
 )
 
 var stateNames = []string{"fit", "cold", "leaving", "hanging", "standing still", "gone", "fell over"}
@@ -127,26 +127,26 @@
 }
 
 const (
-	mostBreaches = 50
-	mostLines    = 4000
+	maxBreaches = 50
+	maxLines    = 4000
 )
 
 // tally is one worker's share of the counts.
 type tally struct {
-	seconds  [][]Counts // by second, then by tenant and type
-	latency  []Latency  // by second
-	types    []Latency
-	work     Work
-	samples  [][]Sample // by second, then by node
-	breaches []Breach
-	broken   int64
-	lines    []Line
-	said     int64
-	distrust [][]uint16
-	reads    ReadCounts
-}
-
-func (t *tally) second(at time.Duration, row int, w *world) *Counts {
+	seconds      [][]Counts // by second, then by tenant and type
+	latency      []Latency  // by second
+	latencyByRow []Latency
+	work         Work
+	samples      [][]Sample // by second, then by node
+	breaches     []Breach
+	breachCount  int64
+	lines        []Line
+	lineCount    int64
+	distrust     [][]uint16
+	reads        ReadCounts
+}
+
+func (t *tally) countsAt(at time.Duration, row int, w *world) *Counts {
 	s := int(at / time.Second)
 	for len(t.seconds) <= s {
 		t.seconds = append(t.seconds, make([]Counts, w.rows))
@@ -155,7 +155,7 @@
 	return &t.seconds[s][row]
 }
 
-func (t *tally) sample(at time.Duration, nodes int) []Sample {
+func (t *tally) samplesAt(at time.Duration, nodes int) []Sample {
 	s := int(at / time.Second)
 	for len(t.samples) <= s {
 		t.samples = append(t.samples, make([]Sample, nodes))
@@ -163,7 +163,7 @@
 	return t.samples[s]
 }
 
-func (t *tally) doubt(at time.Duration, nodes int) []uint16 {
+func (t *tally) distrustAt(at time.Duration, nodes int) []uint16 {
 	s := int(at / time.Second)
 	for len(t.distrust) <= s {
 		t.distrust = append(t.distrust, make([]uint16, nodes))
@@ -171,11 +171,11 @@
 	return t.distrust[s]
 }
 
-// breach notes a broken rule.
-func (s *self) breach(rule int, format string, args ...any) {
-	t := &s.by.tally
-	t.broken++
-	if len(t.breaches) < mostBreaches {
+// reportBreach notes a broken rule.
+func (s *actorState) reportBreach(rule int, format string, args ...any) {
+	t := &s.worker.tally
+	t.breachCount++
+	if len(t.breaches) < maxBreaches {
 		t.breaches = append(t.breaches, Breach{s.now, rule, fmt.Sprintf(format, args...)})
 	}
 }
--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -12,84 +12,84 @@
 	"flaxfront/internal/discovery"
 )
 
-// listed hands on what discovery told.
-func (f *front) listed(p any) {
-	if f.core == nil {
+// handleList hands on what discovery told.
+func (b *broker) handleList(p any) {
+	if b.core == nil {
 		return
 	}
 	if err, failed := p.(error); failed {
-		f.core.HandleList(nil, err)
-		f.kick()
+		b.core.HandleList(nil, err)
+		b.scheduleStep()
 		return
 	}
 	list := *p.(*discovery.List)
 	list.Nodes = slices.Clone(list.Nodes) // others are told the same one
-	if f.ids == nil {
-		f.ids = make([]decision.NodeID, f.w.script.Fleet.Nodes)
+	if b.nodeIDs == nil {
+		b.nodeIDs = make([]decision.NodeID, b.w.script.Fleet.Nodes)
 	}
 	for i := range list.Nodes {
 		n := &list.Nodes[i]
 		number, _ := strconv.Atoi(n.Name[1:6])
 		if n.Endpoint.StartedAt != decision.StartedLongAgo {
-			n.Endpoint.StartedAt -= f.began
+			n.Endpoint.StartedAt -= b.startedAt
 		}
 		if n.Endpoint.State == decision.Ready {
-			delete(f.told, n.Name)
-			f.ids[number] = n.Endpoint.Node
-		} else if _, told := f.told[n.Name]; !told {
-			f.told[n.Name] = f.now
+			delete(b.leavingSince, n.Name)
+			b.nodeIDs[number] = n.Endpoint.Node
+		} else if _, told := b.leavingSince[n.Name]; !told {
+			b.leavingSince[n.Name] = b.now
 		}
 	}
-	f.core.HandleList(&list, nil)
-	f.kick()
+	b.core.HandleList(&list, nil)
+	b.scheduleStep()
 }
 
 // kill ends the process: what it had taken is lost, as its clients see at once.
-func (f *front) kill() {
-	f.sumPins()
-	f.core, f.wake = nil, never
-	var in []*conn
-	for id := uint64(f.id)<<40 | 1; id <= uint64(f.id)<<40|f.opened; id++ {
-		if c := f.conns[id]; c != nil {
-			in = append(in, c)
+func (b *broker) kill() {
+	b.addPinCounts()
+	b.core, b.wakeAt = nil, never
+	var open []*conn
+	for id := uint64(b.id)<<40 | 1; id <= uint64(b.id)<<40|b.dialCount; id++ {
+		if c := b.conns[id]; c != nil {
+			open = append(open, c)
 		}
 	}
-	for _, c := range in {
-		c.shut = true
-		f.send(f.w.idNode(c.node), f.stream(f.zone, f.w.script.ZoneOf(c.node), &c.last), kClose, 0, c.id, nil)
+	for _, c := range open {
+		c.closed = true
+		b.send(b.w.nodeActorID(c.node), b.deliveryTime(b.zone, b.w.script.ZoneOf(c.node), &c.lastArrival), kClose, 0, c.id, nil)
 	}
-	clear(f.conns)
-	clear(f.told)
-	for _, id := range slices.Sorted(maps.Keys(f.open)) {
-		q := f.open[id]
-		delete(f.open, id)
-		q.over = true
-		if !f.again(q, 0) {
-			f.count(q).Failed++
+	clear(b.conns)
+	clear(b.leavingSince)
+	for _, id := range slices.Sorted(maps.Keys(b.openQueries)) {
+		q := b.openQueries[id]
+		delete(b.openQueries, id)
+		q.ended = true
+		if !b.scheduleRetry(q, 0) {
+			b.countsOf(q).Failed++
 		}
 	}
 }
 
-// picture notes which nodes the broker gives no work as a matter of course.
-func (f *front) picture() {
-	if f.core == nil || f.ids == nil || f.now > f.w.script.Length+settle || f.w.script.Fleet.Nodes > 200 && int(f.now/time.Second)%10 != 0 {
+// sampleAvailability notes which nodes the broker gives no work as a matter of course.
+func (b *broker) sampleAvailability() {
+	if b.core == nil || b.nodeIDs == nil || b.now > b.w.script.Length+settleTime || b.w.script.Fleet.Nodes > 200 && int(b.now/time.Second)%10 != 0 {
 		return
 	}
-	d := f.by.tally.doubt(f.now, f.w.script.Fleet.Nodes)
-	for n, id := range f.ids {
-		if !f.core.IsNodeAvailable(id) {
-			d[n]++
+	unavailable := b.worker.tally.distrustAt(b.now, b.w.script.Fleet.Nodes)
+	for n, id := range b.nodeIDs {
+		if !b.core.IsNodeAvailable(id) {
+			unavailable[n]++
 		}
 	}
 }
 
-// finish looks for what was never answered.
-func (f *front) finish() {
-	f.sumPins()
-	if f.w.halted {
+// auditUnanswered looks for what was never answered.
+func (b *broker) auditUnanswered() {
+	b.addPinCounts()
+	if b.w.stopped {
 		return
 	}
-	for _, q := range f.open {
-		f.breach(1, "search %s of broker %d has no answer", q.id, f.n)
+	for _, q := range b.openQueries {
+		b.reportBreach(1, "search %s of broker %d has no answer", q.id, b.number)
 	}
 }
--- a/internal/lab/play/trouble.go
+++ b/internal/lab/play/trouble.go
@@ -7,26 +7,26 @@
 	"flaxfront/internal/lab/script"
 )
 
-// trouble is what the script does to the node.
-func (n *node) trouble(e *script.Event) {
-	if !n.dead && n.gone == 0 { // else it took nothing over
-		n.rep.advance(n.now, n.w.script.Reads.CatchUp)
+// applyFault is what the script does to the node.
+func (n *node) applyFault(e *script.Event) {
+	if !n.processDown && n.vanishCount == 0 { // else it took nothing over
+		n.replica.advance(n.now, n.w.script.Reads.CatchUp)
 	}
 	switch e.Action {
 	case script.Lags:
-		n.rep.until = max(n.rep.until, n.now+e.Span)
+		n.replica.stalledUntil = max(n.replica.stalledUntil, n.now+e.Span)
 	case script.RollsBack:
-		n.rep.of -= e.Span
+		n.replica.stateAt -= e.Span
 	case script.Dies, script.Leaves:
-		n.dead = true
-		n.lose()
+		n.processDown = true
+		n.loseState()
 	case script.Vanishes:
-		n.gone++
+		n.vanishCount++
 	case script.Returns:
-		if n.gone > 0 { // its machine is back; what it had open is not
-			if n.gone--; n.gone == 0 {
-				n.rep.at = n.now
-				n.reset()
+		if n.vanishCount > 0 { // its machine is back; what it had open is not
+			if n.vanishCount--; n.vanishCount == 0 {
+				n.replica.updatedAt = n.now
+				n.resetConns()
 			}
 			return
 		}
@@ -37,40 +37,40 @@
 	case script.Drains:
 		n.drained = true
 	case script.Hangs:
-		n.hung++
+		n.hangCount++
 		n.queue = nil
 		clear(n.cores)
 	case script.Resumes:
-		n.hung = max(0, n.hung-1)
+		n.hangCount = max(0, n.hangCount-1)
 	case script.Stalls:
-		n.still = max(n.still, n.now+e.Span)
-		n.send(n.id, n.still, kResume, 0, 0, nil)
+		n.stalledUntil = max(n.stalledUntil, n.now+e.Span)
+		n.send(n.id, n.stalledUntil, kStallEnd, 0, 0, nil)
 	}
 }
 
-// reset breaks all connections.
-func (n *node) reset() {
-	for len(n.links) > 0 {
-		l := n.links[len(n.links)-1]
-		n.drop(l)
-		n.by.tally.work.Resets++
-		n.send(l.from, n.stream(n.zone, l.zone, &l.last), kDown, downReset, l.id, nil)
+// resetConns breaks all connections.
+func (n *node) resetConns() {
+	for len(n.conns) > 0 {
+		l := n.conns[len(n.conns)-1]
+		n.dropConn(l)
+		n.worker.tally.work.Resets++
+		n.send(l.broker, n.deliveryTime(n.zone, l.zone, &l.lastArrival), kConnDown, downReset, l.id, nil)
 	}
 }
 
-// lose drops all that the process had.
-func (n *node) lose() {
-	n.reset()
+// loseState drops all that the process had.
+func (n *node) loseState() {
+	n.resetConns()
 	n.queue = nil
 	clear(n.cores)
 }
 
 func (n *node) restart() {
-	n.start0++
-	n.dead, n.fallen, n.hung, n.still, n.cold, n.boot = false, false, 0, 0, true, n.now
-	n.recent, n.sum = nil, 0
-	n.rep.at = n.now           // it took nothing over meanwhile
-	if len(n.w.workers) == 1 { // else nobody may look in
-		n.w.byID[discovery.IDOfName(nodeName(n.n, n.start0))] = n
+	n.startCount++
+	n.processDown, n.crashed, n.hangCount, n.stalledUntil, n.cold, n.startedAt = false, false, 0, 0, true, n.now
+	n.recentWork, n.recentWorkSum = nil, 0
+	n.replica.updatedAt = n.now // it took nothing over meanwhile
+	if len(n.w.workers) == 1 {  // else nobody may look in
+		n.w.byID[discovery.IDOfName(nodeName(n.number, n.startCount))] = n
 	}
 }
--- a/internal/lab/play/world.go
+++ b/internal/lab/play/world.go
@@ -38,33 +38,33 @@
 
 // world is all actors of one run.
 type world struct {
-	script   *script.Script
-	plan     *script.Schedule
-	terms    *terms.Terms
-	actors   []place // discovery, the auditor, then brokers, then nodes
-	workers  []*worker
-	ahead    time.Duration // no actor learns of another's deed sooner
-	now, end time.Duration
-	halted   bool
-	rows     int // tenants times types
-	nodes    []*node
-	byID     map[decision.NodeID]*node // the process of each name that there ever was, for the seer
-	epoch    time.Time
-	trace    *json.Encoder
+	script    *script.Script
+	schedule  *script.Schedule
+	terms     *terms.Terms
+	actors    []registeredActor // discovery, the auditor, then brokers, then nodes
+	workers   []*worker
+	lookahead time.Duration // no actor learns of another's deed sooner
+	now, end  time.Duration
+	stopped   bool
+	rows      int // tenants times types
+	nodes     []*node
+	byID      map[decision.NodeID]*node // the process of each name that there ever was, for the seer
+	epoch     time.Time
+	trace     *json.Encoder
 }
 
 const (
 	idDiscovery = 0
 	idAuditor   = 1
 	idBrokers   = 2
-	settle      = 5 * time.Second // after the last search
+	settleTime  = 5 * time.Second // after the last search
 )
 
-func (w *world) idNode(n int) uint32 { return uint32(idBrokers + w.script.Brokers.Count + n) }
+func (w *world) nodeActorID(n int) uint32 { return uint32(idBrokers + w.script.Brokers.Count + n) }
 
 // Play plays a checked script to its end.
 func Play(s *script.Script, o Options) (*Result, error) {
-	w, fronts, err := build(s, o)
+	w, brokers, err := buildWorld(s, o)
 	if err != nil {
 		return nil, err
 	}
@@ -72,19 +72,19 @@
 		o.Stop = &atomic.Bool{}
 	}
 	w.run(w.end, o.Stop)
-	if !w.halted {
+	if !w.stopped {
 		w.now = w.end
 	}
-	for _, f := range fronts {
-		f.finish()
+	for _, f := range brokers {
+		f.auditUnanswered()
 	}
-	return w.result(string(o.Policy)), nil
+	return w.collectResult(string(o.Policy)), nil
 }
 
-// build puts a world together; nothing has happened in it.
-func build(s *script.Script, o Options) (*world, []*front, error) {
-	w := &world{script: s, plan: s.Schedule(), terms: s.Terms(), rows: len(s.Tenants) * len(s.Types), byID: map[decision.NodeID]*node{},
-		ahead: min(s.Network.ZoneDelay, s.Network.CrossZoneDelay), epoch: time.UnixMilli(1_700_000_000_000)}
+// buildWorld puts a world together; nothing has happened in it.
+func buildWorld(s *script.Script, o Options) (*world, []*broker, error) {
+	w := &world{script: s, schedule: s.Schedule(), terms: s.Terms(), rows: len(s.Tenants) * len(s.Types), byID: map[decision.NodeID]*node{},
+		lookahead: min(s.Network.ZoneDelay, s.Network.CrossZoneDelay), epoch: time.UnixMilli(1_700_000_000_000)}
 	cores := o.Cores
 	if cores == 0 {
 		cores = min(runtime.GOMAXPROCS(0), 1+(s.Brokers.Count+s.Fleet.Nodes)/24)
@@ -96,26 +96,26 @@
 		w.trace = json.NewEncoder(o.Trace)
 	}
 	for i := range cores {
-		w.workers = append(w.workers, &worker{at: i, out: make([][]itemOf, cores),
-			tally: tally{types: make([]Latency, w.rows)}})
-	}
-	join := func(a actor, me *self) {
-		me.join(w, uint32(len(w.actors)))
-		w.actors = append(w.actors, place{me, a})
-	}
-	d := newDirectory(w)
-	join(d, &d.self)
-	a := &auditor{ran: map[uint64]run{}, shed: map[uint64]time.Duration{}}
-	join(a, &a.self)
-	var brokers []*front
+		w.workers = append(w.workers, &worker{index: i, outbox: make([][]queueItem, cores),
+			tally: tally{latencyByRow: make([]Latency, w.rows)}})
+	}
+	join := func(a actor, state *actorState) {
+		state.attach(w, uint32(len(w.actors)))
+		w.actors = append(w.actors, registeredActor{state, a})
+	}
+	d := newSimDiscovery(w)
+	join(d, &d.actorState)
+	a := &auditor{executions: map[uint64]execution{}, shed: map[uint64]time.Duration{}}
+	join(a, &a.actorState)
+	var brokers []*broker
 	for i := range s.Brokers.Count {
-		b := newFront(w, i, o.Policy)
-		join(b, &b.self)
+		b := newBroker(w, i, o.Policy)
+		join(b, &b.actorState)
 		brokers = append(brokers, b)
 	}
 	for i := range s.Fleet.Nodes {
 		n := newNode(w, i)
-		join(n, &n.self)
+		join(n, &n.actorState)
 		w.nodes = append(w.nodes, n)
 		w.byID[discovery.IDOfName(nodeName(i, 0))] = n
 	}
@@ -132,42 +132,42 @@
 	for _, y := range s.Types {
 		longest = max(longest, y.Timeout)
 	}
-	w.end = s.Length + longest + settle
+	w.end = s.Length + longest + settleTime
 	return w, brokers, nil
 }
 
-// decideInstead lets tests put a decider of their own in random choice's place.
-var decideInstead func(decision.Settings, *front) decision.Router
+// routerForTest lets tests put a decider of their own in random choice's place.
+var routerForTest func(decision.Settings, *broker) decision.Router
 
-// operatorsInstead lets tests give brokers another file.
-var operatorsInstead func(*operator.File)
+// changeOperatorFileForTest lets tests give brokers another file.
+var changeOperatorFileForTest func(*operator.File)
 
-func (w *world) operators() *operator.File {
+func (w *world) operatorFile() *operator.File {
 	f := w.script.OperatorFile()
-	if operatorsInstead != nil {
-		operatorsInstead(f)
+	if changeOperatorFileForTest != nil {
+		changeOperatorFileForTest(f)
 	}
 	return f
 }
 
-// decider makes what decides in a broker.
-func (w *world) decider(p Policy, f *front) func(decision.Settings) decision.Router {
-	switch p {
+// newRouterFunc makes what decides in a broker.
+func (w *world) newRouterFunc(policy Policy, b *broker) func(decision.Settings) decision.Router {
+	switch policy {
 	case Random:
-		if decideInstead != nil {
-			return func(t decision.Settings) decision.Router { return decideInstead(t, f) }
+		if routerForTest != nil {
+			return func(t decision.Settings) decision.Router { return routerForTest(t, b) }
 		}
-		return func(t decision.Settings) decision.Router { return newPlain(t, f.rnd, nil) }
+		return func(t decision.Settings) decision.Router { return newBaselineRouter(t, b.rnd, nil) }
 	case Oracle:
-		return func(t decision.Settings) decision.Router { return newPlain(t, f.rnd, w.foresee) }
+		return func(t decision.Settings) decision.Router { return newBaselineRouter(t, b.rnd, w.predictAnswer) }
 	default:
 		return func(t decision.Settings) decision.Router { return routing.New(t) }
 	}
 }
 
-// way is how long something takes between two zones; lost tells that a packet is lost on it, held that there is no way
+// samplePath is how long something takes between two zones; lost tells that a packet is lost on it, held that there is no way
 // before a moment.
-func (s *self) way(from, to int) (took time.Duration, lost bool, held time.Duration) {
+func (s *actorState) samplePath(from, to int) (took time.Duration, lost bool, held time.Duration) {
 	n := &s.w.script.Network
 	took = n.ZoneDelay
 	if from != to {
@@ -176,15 +176,15 @@
 	if n.Jitter > 0 {
 		took += time.Duration(n.Jitter * s.rnd.ExpFloat64() * float64(took))
 	}
-	loss := s.w.plan.Loss(s.now)
-	return took, loss > 0 && s.rnd.Float64() < loss, s.w.plan.Cut(from, to, s.now)
+	loss := s.w.schedule.Loss(s.now)
+	return took, loss > 0 && s.rnd.Float64() < loss, s.w.schedule.Cut(from, to, s.now)
 }
 
 const resendAfter = 200 * time.Millisecond // a lost packet within a connection
 
-// stream is when what is written to a connection arrives: in order, and late where packets are lost or there is no way.
-func (s *self) stream(from, to int, last *time.Duration) time.Duration {
-	took, lost, held := s.way(from, to)
+// deliveryTime is when what is written to a connection arrives: in order, and late where packets are lost or there is no way.
+func (s *actorState) deliveryTime(from, to int, last *time.Duration) time.Duration {
+	took, lost, held := s.samplePath(from, to)
 	at := s.now + took
 	if lost {
 		at += resendAfter
@@ -196,9 +196,9 @@
 	return *last
 }
 
-// value is what a node makes of a part: whoever knows the part can tell whether a value is honest.
-func value(part string) string {
-	h := hashOf(part)
+// expectedValue is what a node makes of a part: whoever knows the part can tell whether a value is honest.
+func expectedValue(requestID string) string {
+	h := hashOf(requestID)
 	b := make([]byte, 0, 16)
 	for range 16 {
 		b = append(b, "0123456789abcdef"[h&15])
--- a/internal/lab/proof/back_test.go
+++ b/internal/lab/proof/back_test.go
@@ -10,10 +10,10 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// calm waits until nobody is out or about to go, in the ledger and seen from outside, and tells how many steps there were.
-func (c *tier) calm() int {
+// waitUntilNoneOut waits until nobody is out or about to go, in the ledger and seen from outside, and tells how many steps there were.
+func (c *tier) waitUntilNoneOut() int {
 	c.t.Helper()
-	c.agreed("nobody is out or may go", func(s *controlplane.Status) bool {
+	c.waitForStatus("nobody is out or may go", func(s *controlplane.Status) bool {
 		for _, b := range s.Brokers {
 			if b.Status != statemachine.BrokerServing || b.Permit > 0 {
 				return false
@@ -25,75 +25,75 @@
 }
 
 // The word of an operator halts a release, lets it go on, and takes it back: whoever went out returns with the version before.
-func TestHaltResumeBack(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 5, Voters: 3})
+func TestHaltResumeRollback(t *testing.T) {
+	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3})
 	clients := c.Clients(40, 3)
-	installed := c.install("v2")
-	c.release()
-	c.steps(1)
-	c.do("halt", "trial")
-	n := c.calm()
-	if n >= 4 {
-		t.Fatalf("%d steps; nothing is left to halt", n)
+	installed := c.restartWithVersion("v2")
+	c.startRelease()
+	c.waitForSteps(1)
+	c.mustRun("halt", "trial")
+	atHalt := c.waitUntilNoneOut()
+	if atHalt >= 4 {
+		t.Fatalf("%d steps; nothing is left to halt", atHalt)
 	}
-	time.Sleep(still)
-	if now := len(c.Monitor.PlannedStops()); now != n {
-		t.Errorf("%d went out after the halt", now-n)
+	time.Sleep(quietSpan)
+	if now := len(c.Monitor.PlannedStops()); now != atHalt {
+		t.Errorf("%d went out after the halt", now-atHalt)
 	}
-	c.do("resume")
-	c.steps(n + 1)
+	c.mustRun("resume")
+	c.waitForSteps(atHalt + 1)
 	before := "v1"
 	installed.Store(&before)
-	c.do("back", "trial")
-	c.done()
+	c.mustRun("back", "trial")
+	c.waitReleaseDone()
 	out := clients.Stop()
-	c.audit(1, out)
+	c.checkRelease(1, out)
 	back := 0
 	for _, b := range c.Brokers {
-		n := planned(b)
-		if b.Version != "v1" || n > 2 {
-			t.Errorf("%s runs %s after the way back, stopped %d times", b.Name, b.Version, n)
+		atHalt := plannedStops(b)
+		if b.Version != "v1" || atHalt > 2 {
+			t.Errorf("%s runs %s after the way back, stopped %d times", b.Name, b.Version, atHalt)
 		}
-		if n == 2 {
+		if atHalt == 2 {
 			back++
 		}
 	}
-	if back < n {
-		t.Errorf("%d of at least %d that had gone were taken back", back, n)
+	if back < atHalt {
+		t.Errorf("%d of at least %d that had gone were taken back", back, atHalt)
 	}
 }
 
 // A version that sheds searches is halted by the gate once one broker has it, and the way back is complete.
 func TestBadVersionIsHalted(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 7, Voters: 3})
+	c := startTier(t, chaos.Options{Brokers: 7, Voters: 3})
 	clients := c.Clients(90, 4)
 	c.Supervise(func(b *chaos.Broker) error {
-		if b.Version = "v2"; planned(b) > 1 {
+		if b.Version = "v2"; plannedStops(b) > 1 {
 			b.Version = "v1"
 			return b.SetMaxOpen("4096")
 		}
 		return b.SetMaxOpen("2")
 	})
-	c.do("release", "--from", "v1", "--to", "v2", "--most", "1", "--batch", "1,7", "--pause", "10s")
-	c.steps(1)
-	s := c.agreed("the gate halts", func(s *controlplane.Status) bool {
+	c.mustRun("release", "--from", "v1", "--to", "v2", "--most", "1", "--batch", "1,7", "--pause", "10s")
+	c.waitForSteps(1)
+	s := c.waitForStatus("the gate halts", func(s *controlplane.Status) bool {
 		return s.Release != nil && s.Release.State == statemachine.ReleaseHalted
 	})
-	n := c.calm()
+	n := c.waitUntilNoneOut()
 	if !strings.HasPrefix(s.Release.Reason, "gate: ") || n != 1 {
 		t.Errorf("halted after %d of 7 went out: %s", n, s.Release.Reason)
 	}
 	t.Logf("halted for: %s", s.Release.Reason)
-	c.do("back", "bad")
-	c.done()
+	c.mustRun("back", "bad")
+	c.waitReleaseDone()
 	out := clients.Stop()
-	for i, broken := range append(c.Monitor.Check(1, known), out.Violations...) {
+	for i, broken := range append(c.Monitor.Check(1, crashKnownAfter), out.Violations...) {
 		if i < 5 {
 			t.Error(broken)
 		}
 	}
 	for _, b := range c.Brokers {
-		if n := planned(b); b.Version != "v1" || n != 0 && n != 2 {
+		if n := plannedStops(b); b.Version != "v1" || n != 0 && n != 2 {
 			t.Errorf("%s runs %s after the way back, stopped %d times", b.Name, b.Version, n)
 		}
 	}
--- a/internal/lab/proof/budgets_test.go
+++ b/internal/lab/proof/budgets_test.go
@@ -12,25 +12,25 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-const budgetOfNode = 7
+const nodeBudget = 7
 
-// connections is a policy for five brokers: floors of 1 leave 2 units of a node to be divided.
-const connections = `{
+// connectionPolicy is a policy for five brokers: floors of 1 leave 2 units of a node to be divided.
+const connectionPolicy = `{
   "brokers": 5, "nodes": 8, "lease": "1500ms", "closing": "200ms",
   "classes": [{"name": "all", "budget": "7", "floor": "1"}],
   "tenants": [{"name": "acme", "guarantee": "shared / 3", "weight": "2"}, {"name": "quiet", "guarantee": "0"}],
 }`
 
-// TestBudgets has five brokers keep to a node's budget while load moves between them, one is stopped over its lease, one is killed
+// TestNodeConnectionBudgets has five brokers keep to a node's budget while load moves between them, one is stopped over its lease, one is killed
 // and the policy changes and goes back. The nodes count their connections themselves.
-func TestBudgets(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 5, Voters: 3, Fleet: map[string]any{"budgets": true}})
+func TestNodeConnectionBudgets(t *testing.T) {
+	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3, Fleet: map[string]any{"budgets": true}})
 	file := filepath.Join(t.TempDir(), "policy.json5")
-	set := func(text string) {
+	setPolicy := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c.do("policy", "set", file)
+		c.mustRun("policy", "set", file)
 	}
 	if out, err := c.Command("policy", "set", c.CommandFile); err == nil {
 		t.Errorf("a file that is no policy was agreed: %s", out)
@@ -44,7 +44,7 @@
 						t.Fatal(err)
 					}
 				}
-				time.Sleep(still / 2)
+				time.Sleep(quietSpan / 2)
 			}
 		}
 	}
@@ -57,44 +57,44 @@
 		return most
 	}
 	all := c.Clients(600, 2)
-	free := 0
-	c.until("a node holds more than the budget, without a policy", func() bool {
+	peakWithoutPolicy := 0
+	c.waitFor("a node holds more than the budget, without a policy", func() bool {
 		stall(1)
-		free = max(free, peak())
-		return free > budgetOfNode
+		peakWithoutPolicy = max(peakWithoutPolicy, peak())
+		return peakWithoutPolicy > nodeBudget
 	})
 	all.Stop()
 	first := c.Clients(400, 3, c.Brokers[0], c.Brokers[1])
-	set(connections)
-	c.agreed("the policy is in force", func(s *controlplane.Status) bool { return s.Policy != nil && s.Policy.Version == 1 })
-	time.Sleep(lease + still) // what was open before any policy was agreed is closed by then
+	setPolicy(connectionPolicy)
+	c.waitForStatus("the policy is in force", func(s *controlplane.Status) bool { return s.Policy != nil && s.Policy.Version == 1 })
+	time.Sleep(lease + quietSpan) // what was open before any policy was agreed is closed by then
 	peak()
-	c.until("all brokers keep to the policy", func() bool { stall(1); return peak() <= budgetOfNode })
+	c.waitFor("all brokers keep to the policy", func() bool { stall(1); return peak() <= nodeBudget })
 	second := c.Clients(400, 4, c.Brokers[2], c.Brokers[3])
 	first.Stop()
 	stall(2)
 	c.Brokers[2].Pause()
 	c.Brokers[4].Kill()
 	stall(3)
-	set(strings.Replace(connections, "shared / 3", "shared", 1))
+	setPolicy(strings.Replace(connectionPolicy, "shared / 3", "shared", 1))
 	c.Brokers[2].Resume()
 	stall(1)
-	c.do("policy", "back")
+	c.mustRun("policy", "back")
 	stall(1)
-	c.until("a broker holds units", func() bool { stall(1); return holds(c.Brokers[3]) })
-	out, held := second.Stop(), peak()
-	if c.Brokers[3].Terminate(); !c.Brokers[3].WaitForEnd(patient) || len(c.Brokers[3].LogLines(0, "connection leases released")) == 0 {
+	c.waitFor("a broker holds units", func() bool { stall(1); return holdsUnits(c.Brokers[3]) })
+	out, peakUnderPolicy := second.Stop(), peak()
+	if c.Brokers[3].Terminate(); !c.Brokers[3].WaitForEnd(waitLimit) || len(c.Brokers[3].LogLines(0, "connection leases released")) == 0 {
 		t.Error("a broker that stopped in good order gave nothing up")
 	}
-	t.Logf("%d connections to a node at most under the policy, budget %d; %d before it; %d of %d searches answered", held, budgetOfNode,
-		free, out.Answered, out.Asked)
-	if held > budgetOfNode {
-		t.Errorf("a node held %d connections, its budget is %d", held, budgetOfNode)
+	t.Logf("%d connections to a node at most under the policy, budget %d; %d before it; %d of %d searches answered", peakUnderPolicy, nodeBudget,
+		peakWithoutPolicy, out.Answered, out.Asked)
+	if peakUnderPolicy > nodeBudget {
+		t.Errorf("a node held %d connections, its budget is %d", peakUnderPolicy, nodeBudget)
 	}
 }
 
-// holds tells whether a broker holds units under its present session: one that was lost meanwhile begins with nothing.
-func holds(b *chaos.Broker) (now bool) {
+// permitWhileCutOff tells whether a broker holds units under its present session: one that was lost meanwhile begins with nothing.
+func holdsUnits(b *chaos.Broker) (now bool) {
 	session := ""
 	for _, line := range b.LogLines(0, "") {
 		if _, inc, ok := strings.Cut(line, " incarnation="); ok && strings.Contains(line, connected) && inc != session {
--- a/internal/lab/proof/drain_test.go
+++ b/internal/lab/proof/drain_test.go
@@ -12,22 +12,22 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// listed waits until the tier has agreed on the list of nodes.
-func (c *tier) listed() {
+// waitNodesListed waits until the tier has agreed on the list of nodes.
+func (c *tier) waitNodesListed() {
 	c.t.Helper()
-	c.agreed("the nodes are listed", func(s *controlplane.Status) bool { return len(s.Nodes) == len(c.Nodes) })
+	c.waitForStatus("the nodes are listed", func(s *controlplane.Status) bool { return len(s.Nodes) == len(c.Nodes) })
 }
 
-// drained waits until a node's drain is done, and returns what was known at that moment.
-func (c *tier) drained(node string) controlplane.Status {
+// waitDrained waits until a node's drain is done, and returns what was known at that moment.
+func (c *tier) waitDrained(node string) controlplane.Status {
 	c.t.Helper()
-	return c.agreed(node+" is drained", func(s *controlplane.Status) bool {
+	return c.waitForStatus(node+" is drained", func(s *controlplane.Status) bool {
 		return slices.ContainsFunc(s.Drains, func(d controlplane.DrainStatus) bool { return d.Node == node && d.Done })
 	})
 }
 
-// arrived counts the parts that come to a node in a span. What was on its way before had time to arrive.
-func arrived(n *lab.Node, span time.Duration) int64 {
+// countArrivals counts the parts that come to a node in a span. What was on its way before had time to arrive.
+func countArrivals(n *lab.Node, span time.Duration) int64 {
 	time.Sleep(250 * time.Millisecond)
 	before := n.ShardRequests.Load()
 	time.Sleep(span)
@@ -37,54 +37,54 @@
 // An agreed drain reaches every broker: once the tier calls the node drained, no part comes to it from any of them, and after the
 // end of the drain they come again. Where discovery has ended a node meanwhile, the end of a drain does not bring it back.
 func TestDrainReachesAll(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 5, Voters: 3})
+	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3})
 	clients := c.Clients(120, 7)
-	c.listed()
+	c.waitNodesListed()
 	x, y, nameX, nameY := c.Nodes[0], c.Nodes[1], c.List[0].InstanceID, c.List[1].InstanceID
-	c.until("parts come to both", func() bool { return x.ShardRequests.Load() > 20 && y.ShardRequests.Load() > 20 })
-	c.do("drain", nameX)
-	c.drained(nameX)
-	if n := arrived(x, still); n > 0 {
+	c.waitFor("parts come to both", func() bool { return x.ShardRequests.Load() > 20 && y.ShardRequests.Load() > 20 })
+	c.mustRun("drain", nameX)
+	c.waitDrained(nameX)
+	if n := countArrivals(x, quietSpan); n > 0 {
 		t.Errorf("%d parts came to a drained node", n)
 	}
-	c.do("undrain", nameX)
+	c.mustRun("undrain", nameX)
 	had := x.ShardRequests.Load()
-	c.until("parts come again", func() bool { return x.ShardRequests.Load() > had+20 })
+	c.waitFor("parts come again", func() bool { return x.ShardRequests.Load() > had+20 })
 
-	c.do("drain", nameY)
-	c.drained(nameY)
+	c.mustRun("drain", nameY)
+	c.waitDrained(nameY)
 	list := slices.Clone(c.List)
 	list[1].Lifecycle = "terminating"
 	c.Discovery.SetList(list)
-	time.Sleep(still) // each broker's watch brings the news by itself
-	c.do("undrain", nameY)
-	if n := arrived(y, still); n > 0 {
+	time.Sleep(quietSpan) // each broker's watch brings the news by itself
+	c.mustRun("undrain", nameY)
+	if n := countArrivals(y, quietSpan); n > 0 {
 		t.Errorf("%d parts came to a node that discovery drains", n)
 	}
 	out := clients.Stop()
-	if len(out.Violations) > 0 || share(out) < 0.95 {
-		t.Errorf("share served %.3f; %v", share(out), out.Violations)
+	if len(out.Violations) > 0 || answeredShare(out) < 0.95 {
+		t.Errorf("share served %.3f; %v", answeredShare(out), out.Violations)
 	}
 	t.Log(out)
 }
 
 // A broker that is cut off has heard nothing of a drain: the node is not called drained before that broker's lease has run out, of
 // which it says so itself.
-func TestDrainAwaitsTheCutOff(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 5, Voters: 3})
+func TestDrainWaitsForIsolatedBroker(t *testing.T) {
+	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3})
 	clients := c.Clients(60, 8)
-	c.listed()
+	c.waitNodesListed()
 	x, name, b := c.Nodes[2], c.List[2].InstanceID, c.Brokers[4]
 	from := b.LogSize()
 	c.Mesh.Isolate(b.Index, false)
-	c.do("drain", name)
-	s := c.drained(name)
+	c.mustRun("drain", name)
+	s := c.waitDrained(name)
 	at := time.Now()
-	if me, _ := standing(&s, b.Name); me.Status != statemachine.BrokerLost {
+	if me, _ := brokerStatus(&s, b.Name); me.Status != statemachine.BrokerLost {
 		t.Errorf("drained while a broker that cannot have heard of it is %v", me.Status)
 	}
 	var lines []string
-	c.until("the broker that is cut off says so", func() bool {
+	c.waitFor("the broker that is cut off says so", func() bool {
 		lines = b.LogLines(from, cutOff)
 		return len(lines) > 0
 	})
@@ -93,16 +93,16 @@
 	}
 	clients.Stop()
 	had := x.ShardRequests.Load() // with no load but that through the ones that were told
-	told := c.Clients(60, 9, c.Brokers[:4]...)
-	time.Sleep(still)
-	if out := told.Stop(); x.ShardRequests.Load() != had || len(out.Violations) > 0 {
+	informedClients := c.Clients(60, 9, c.Brokers[:4]...)
+	time.Sleep(quietSpan)
+	if out := informedClients.Stop(); x.ShardRequests.Load() != had || len(out.Violations) > 0 {
 		t.Errorf("%d parts came to a drained node; %v", x.ShardRequests.Load()-had, out.Violations)
 	}
 	c.Mesh.Heal(true)
-	c.all(statemachine.BrokerServing)
-	c.drained(name) // now by its own word
+	c.waitAllBrokers(statemachine.BrokerServing)
+	c.waitDrained(name) // now by its own word
 	again := c.Clients(60, 10)
-	if n := arrived(x, still); n > 0 {
+	if n := countArrivals(x, quietSpan); n > 0 {
 		t.Errorf("%d parts came to a drained node after the one that was cut off is back", n)
 	}
 	again.Stop()
--- a/internal/lab/proof/frozen_test.go
+++ b/internal/lab/proof/frozen_test.go
@@ -9,19 +9,19 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// holds cuts what a broker says off and has a release permit it to go, so that it holds a permit that it cannot use. It tells
+// permitWhileCutOff cuts what a broker says off and has a release permit it to go, so that it holds a permit that it cannot use. It tells
 // whether that was seen; where the lease ran out first nothing is permitted, and it is to be tried anew.
-func (c *tier) holds(b *chaos.Broker) bool {
+func (c *tier) permitWhileCutOff(b *chaos.Broker) bool {
 	c.t.Helper()
 	for other := range c.Brokers {
 		if other != b.Index {
 			c.Mesh.Cut(b.Index, other)
 		}
 	}
-	c.release(b)
+	c.startRelease(b)
 	for end := time.Now().Add(2 * lease); time.Now().Before(end); {
 		s, err := c.Status(time.Second)
-		if me, _ := standing(&s, b.Name); err == nil && me.Permit > 0 {
+		if me, _ := brokerStatus(&s, b.Name); err == nil && me.Permit > 0 {
 			return true
 		} else if me.Status == statemachine.BrokerLost {
 			break
@@ -31,23 +31,23 @@
 }
 
 // A broker that was stopped with a permit in its hands, and wakes up when that is void, does nothing by it.
-func TestFrozenHolderLooksFirst(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 4, Voters: 3})
-	c.install("v2")
+func TestPausedHolderIgnoresVoidPermit(t *testing.T) {
+	c := startTier(t, chaos.Options{Brokers: 4, Voters: 3})
+	c.restartWithVersion("v2")
 	b := c.Brokers[3]
 	provoked := false
 	for try := 0; try < 5 && !provoked; try++ {
-		if provoked = c.holds(b); provoked {
+		if provoked = c.permitWhileCutOff(b); provoked {
 			b.Pause()
 		}
-		c.agreed("its loss is known", func(s *controlplane.Status) bool {
-			me, _ := standing(s, b.Name)
+		c.waitForStatus("its loss is known", func(s *controlplane.Status) bool {
+			me, _ := brokerStatus(s, b.Name)
 			return me.Status == statemachine.BrokerLost && me.Permit == 0
 		})
-		c.do("halt", "trial") // else it would get another permit, and go by that
-		c.Mesh.Heal(false)    // what it said meanwhile arrives now
+		c.mustRun("halt", "trial") // else it would get another permit, and go by that
+		c.Mesh.Heal(false)         // what it said meanwhile arrives now
 		if !provoked {
-			c.all(statemachine.BrokerServing)
+			c.waitAllBrokers(statemachine.BrokerServing)
 		}
 	}
 	if !provoked {
@@ -57,14 +57,14 @@
 		t.Fatal("it has gone before it was stopped")
 	}
 	b.Resume()
-	c.all(statemachine.BrokerServing)
-	time.Sleep(still)
+	c.waitAllBrokers(statemachine.BrokerServing)
+	time.Sleep(quietSpan)
 	if n := len(c.Monitor.PlannedStops()); n != 0 || !b.Running() {
 		t.Fatalf("%d went out by a permit that was void", n)
 	}
-	c.do("resume")
-	c.done()
-	if n := planned(b); n != 1 {
+	c.mustRun("resume")
+	c.waitReleaseDone()
+	if n := plannedStops(b); n != 1 {
 		t.Errorf("%s was stopped %d times by the release", b.Name, n)
 	}
 }
--- a/internal/lab/proof/hunt_test.go
+++ b/internal/lab/proof/hunt_test.go
@@ -13,8 +13,8 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// trouble puts a fault of chance into the tier, for a while shorter than what the audit gives a crash to be known.
-func (c *tier) trouble(rnd *rand.Rand) {
+// injectFault puts a fault of chance into the tier, for a while shorter than what the audit gives a crash to be known.
+func (c *tier) injectFault(rnd *rand.Rand) {
 	b := c.Brokers[rnd.IntN(len(c.Brokers))]
 	span := time.Duration(100+rnd.IntN(1100)) * time.Millisecond
 	switch rnd.IntN(7) {
@@ -24,7 +24,7 @@
 		}
 		c.Monitor.ExpectKill(b.Name)
 		b.Kill()
-		b.WaitForEnd(patient)
+		b.WaitForEnd(waitLimit)
 		time.Sleep(span)
 		b.Version = "v2" // what is installed
 		c.Start(b)
@@ -50,32 +50,32 @@
 }
 
 // Whatever breaks during a release, the limit holds, nobody is stopped twice for it, and it is done once nothing breaks any more.
-func TestReleaseThroughTroubles(t *testing.T) {
-	for seed := range uint64(1 + *hunt) {
+func TestReleaseUnderFaults(t *testing.T) {
+	for seed := range uint64(1 + *extraSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			c := begin(t, chaos.Options{Brokers: 7, Voters: 3})
+			c := startTier(t, chaos.Options{Brokers: 7, Voters: 3})
 			clients := c.Clients(50, seed)
-			c.install("v2")
+			c.restartWithVersion("v2")
 			most := 1 + int(seed%2)
-			c.do("release", "--from", "v1", "--to", "v2", "--most", fmt.Sprint(most), "--gates", "off", "--pause", "0s", "--batch", "2,7")
+			c.mustRun("release", "--from", "v1", "--to", "v2", "--most", fmt.Sprint(most), "--gates", "off", "--pause", "0s", "--batch", "2,7")
 			ctx, cancel := context.WithTimeout(t.Context(), 8*time.Second)
 			defer cancel()
 			rnd := rand.New(rand.NewPCG(seed, 3))
 			var all sync.WaitGroup
 			all.Go(func() {
 				for ctx.Err() == nil {
-					c.trouble(rnd)
+					c.injectFault(rnd)
 					time.Sleep(time.Duration(rnd.IntN(500)) * time.Millisecond)
 				}
 			})
 			all.Wait()
-			c.agreed("the release is done, or halted as one that was out came back as it was", func(s *controlplane.Status) bool {
+			c.waitForStatus("the release is done, or halted as one that was out came back as it was", func(s *controlplane.Status) bool {
 				return s.Release != nil && s.Release.State != statemachine.ReleaseRunning
 			})
-			c.all(statemachine.BrokerServing)
-			c.audit(most, clients.Stop())
+			c.waitAllBrokers(statemachine.BrokerServing)
+			c.checkRelease(most, clients.Stop())
 			for _, b := range c.Brokers {
-				if n := planned(b); n > 1 || b.Version != "v2" {
+				if n := plannedStops(b); n > 1 || b.Version != "v2" {
 					t.Errorf("%s was stopped %d times by the release, and runs %s", b.Name, n, b.Version)
 				}
 			}
--- a/internal/lab/proof/main_test.go
+++ b/internal/lab/proof/main_test.go
@@ -17,19 +17,19 @@
 )
 
 var (
-	program string
-	hunt    = flag.Int("hunt", 0, "play so many further seeds of the histories, outside CI")
-	wordy   = flag.Bool("wordy", false, "print what brokers logged also where a test passes")
-	atOnce  = make(chan struct{}, 3) // tiers side by side
+	program         string
+	extraSeeds      = flag.Int("hunt", 0, "play so many further seeds of the histories, outside CI")
+	alwaysPrintLogs = flag.Bool("wordy", false, "print what brokers logged also where a test passes")
+	tierSlots       = make(chan struct{}, 3) // tiers side by side
 )
 
 const (
-	lease   = 1500 * time.Millisecond
-	patient = 40 * time.Second // for a state that comes in a second or two on a machine with nothing else to do
-	// known is when the fleet has surely heard of a crash: leases run out, at a leader that was elected after it.
-	known = 3*lease + 2*time.Second
-	// still is how long a test watches for what must not happen. What it watches for would come within a tenth of it.
-	still = 1500 * time.Millisecond
+	lease     = 1500 * time.Millisecond
+	waitLimit = 40 * time.Second // for a state that comes in a second or two on a machine with nothing else to do
+	// crashKnownAfter is when the fleet has surely heard of a crash: leases run out, at a leader that was elected after it.
+	crashKnownAfter = 3*lease + 2*time.Second
+	// quietSpan is how long a test watches for what must not happen. What it watches for would come within a tenth of it.
+	quietSpan = 1500 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
@@ -66,41 +66,41 @@
 	t *testing.T
 }
 
-// begin starts a tier and waits until all of its brokers are in.
-func begin(t *testing.T, o chaos.Options) *tier {
+// startTier starts a tier and waits until all of its brokers are in.
+func startTier(t *testing.T, o chaos.Options) *tier {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	t.Parallel()
-	atOnce <- struct{}{}
-	t.Cleanup(func() { <-atOnce })
+	tierSlots <- struct{}{}
+	t.Cleanup(func() { <-tierSlots })
 	o.Program, o.Lease, o.Cells, o.Seed = program, lease, 4, 1
 	if o.Nodes == 0 {
 		o.Nodes = 8
 	}
-	own := map[string]any{"exit_on_permit": true, "report": "250ms",
+	settings := map[string]any{"exit_on_permit": true, "report": "250ms",
 		"gates": map[string]any{"observe": "500ms", "warm": "500ms", "least": 100}}
 	for k, v := range o.Fleet {
-		own[k] = v
+		settings[k] = v
 	}
-	o.Fleet = own
+	o.Fleet = settings
 	began := time.Now()
-	inner, err := chaos.NewTier(t.TempDir(), o)
+	chaosTier, err := chaos.NewTier(t.TempDir(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &tier{inner, t}
+	c := &tier{chaosTier, t}
 	t.Cleanup(func() {
 		c.Close()
-		if t.Failed() || *wordy {
-			c.tell()
+		if t.Failed() || *alwaysPrintLogs {
+			c.printLogs()
 		}
 	})
-	if err := c.StartAll(patient); err != nil {
+	if err := c.StartAll(waitLimit); err != nil {
 		t.Fatal(err)
 	}
-	c.all(statemachine.BrokerServing)
-	c.until("the outside view has all serve", func() bool {
+	c.waitAllBrokers(statemachine.BrokerServing)
+	c.waitFor("the outside view has all serve", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Monitor.Serves(b.Name) {
 				return false
@@ -112,8 +112,8 @@
 	return c
 }
 
-// tell prints what the brokers logged last.
-func (c *tier) tell() {
+// printLogs prints what the brokers logged last.
+func (c *tier) printLogs() {
 	for _, s := range c.Monitor.PlannedStops() {
 		c.t.Logf("step of %s at %s, beside %v", s.Broker, s.At.Format("15:04:05.000"), s.Out)
 	}
@@ -125,21 +125,21 @@
 	}
 }
 
-// until waits for a state.
-func (c *tier) until(what string, ok func() bool) {
+// waitFor waits for a state.
+func (c *tier) waitFor(what string, ok func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(patient); !ok(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			s, err := c.Status(2 * time.Second)
-			c.t.Fatalf("not within %v: %s\n%+v %v", patient, what, s, err)
+			c.t.Fatalf("not within %v: %s\n%+v %v", waitLimit, what, s, err)
 		}
 	}
 }
 
-// agreed waits until what a majority knows satisfies ok.
-func (c *tier) agreed(what string, ok func(*controlplane.Status) bool) (s controlplane.Status) {
+// waitForStatus waits until what a majority knows satisfies ok.
+func (c *tier) waitForStatus(what string, ok func(*controlplane.Status) bool) (s controlplane.Status) {
 	c.t.Helper()
-	c.until(what, func() (good bool) {
+	c.waitFor(what, func() (good bool) {
 		var err error
 		s, err = c.Status(3 * time.Second)
 		return err == nil && ok(&s)
@@ -147,10 +147,10 @@
 	return s
 }
 
-// all waits until all brokers stand as given.
-func (c *tier) all(as statemachine.BrokerStatus) {
+// waitAllBrokers waits until all brokers stand as given.
+func (c *tier) waitAllBrokers(as statemachine.BrokerStatus) {
 	c.t.Helper()
-	c.agreed(fmt.Sprint("all are ", as), func(s *controlplane.Status) bool {
+	c.waitForStatus(fmt.Sprint("all are ", as), func(s *controlplane.Status) bool {
 		n := 0
 		for _, b := range s.Brokers {
 			if b.Status == as {
@@ -161,8 +161,8 @@
 	})
 }
 
-// standing is how a broker stands; false: it is not known.
-func standing(s *controlplane.Status, name string) (controlplane.BrokerStatus, bool) {
+// brokerStatus is how a broker stands; false: it is not known.
+func brokerStatus(s *controlplane.Status, name string) (controlplane.BrokerStatus, bool) {
 	for _, b := range s.Brokers {
 		if b.Name == name {
 			return b, true
@@ -171,8 +171,8 @@
 	return controlplane.BrokerStatus{}, false
 }
 
-// do runs a command of the program, which must be done.
-func (c *tier) do(args ...string) string {
+// mustRun runs a command of the program, which must be done.
+func (c *tier) mustRun(args ...string) string {
 	c.t.Helper()
 	out, err := c.Command(args...)
 	if err != nil {
--- a/internal/lab/proof/pins_test.go
+++ b/internal/lab/proof/pins_test.go
@@ -19,34 +19,34 @@
 
 const shards = 8
 
-// reader is one session. It goes from broker to broker, and carries what it has seen.
-type reader struct {
-	c      *tier
-	w      *lab.Writer
-	rnd    *rand.Rand
-	client *http.Client
-	name   string
-	seen   map[int]uint64
-	sums   *readSums
+// sessionReader is one session. It goes from broker to broker, and carries what it has seen.
+type sessionReader struct {
+	c             *tier
+	w             *lab.Writer
+	rnd           *rand.Rand
+	client        *http.Client
+	name          string
+	seenPositions map[int]uint64
+	totals        *readTotals
 }
 
-// readSums are figures of all sessions.
-type readSums struct {
+// readTotals are figures of all sessions.
+type readTotals struct {
 	sync.Mutex
 	asked, answered, refused, behind, parts int
-	broken                                  []string
+	violations                              []string
 }
 
 // read puts one search with a hint to a broker, and holds what came against the writer's log. Times are of one clock: the broker took
 // the search after it was sent, so that what was acknowledged D before that moment is the least that a bound of D promises.
-func (r *reader) read(url string, crashed func() bool) {
+func (r *sessionReader) read(url string, crashed func() bool) {
 	n, first := 1+r.rnd.IntN(3), r.rnd.IntN(shards)
 	var tablets, needs []string
 	asked := map[int]uint64{}
 	for i := range n {
 		s := (first + i) % shards
 		tablets = append(tablets, fmt.Sprintf(`{"tablet":%d,"fraction":%.6f}`, s, 1/float64(n)))
-		asked[s] = r.seen[s]
+		asked[s] = r.seenPositions[s]
 	}
 	for s := range shards {
 		if at, ok := asked[s]; ok {
@@ -68,22 +68,22 @@
 		"X-Read-Hint": {hint}}
 	sent := time.Now()
 	resp, err := r.client.Do(req)
-	r.sums.Lock()
-	defer r.sums.Unlock()
-	r.sums.asked++
+	r.totals.Lock()
+	defer r.totals.Unlock()
+	r.totals.asked++
 	if err != nil {
 		if !crashed() {
-			r.sums.broken = append(r.sums.broken, fmt.Sprint("no answer: ", err))
+			r.totals.violations = append(r.totals.violations, fmt.Sprint("no answer: ", err))
 		}
 		return
 	}
 	text, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		r.sums.refused++
+		r.totals.refused++
 		return
 	}
-	r.sums.answered++
+	r.totals.answered++
 	var a struct {
 		Pieces []struct {
 			Tablet int
@@ -91,48 +91,48 @@
 		}
 	}
 	if err := json.Unmarshal(text, &a); err != nil {
-		r.sums.broken = append(r.sums.broken, err.Error())
+		r.totals.violations = append(r.totals.violations, err.Error())
 		return
 	}
 	for _, p := range a.Pieces {
 		has, _ := strconv.ParseUint(p.Cell, 10, 64)
-		r.hold(p.Tablet, has, asked[p.Tablet], sent, bound, mayBehind, resp.Header, hint)
+		r.checkShardRead(p.Tablet, has, asked[p.Tablet], sent, bound, mayBehind, resp.Header, hint)
 	}
 }
 
-// hold checks one part against what was asked for and what the answer says.
-func (r *reader) hold(shard int, has, needed uint64, sent time.Time, bound time.Duration, mayBehind bool, h http.Header, hint string) {
-	broke := func(format string, args ...any) {
-		r.sums.broken = append(r.sums.broken, fmt.Sprintf("shard %d of %q: ", shard, hint)+fmt.Sprintf(format, args...))
+// checkShardRead checks one part against what was asked for and what the answer says.
+func (r *sessionReader) checkShardRead(shard int, has, needed uint64, sent time.Time, bound time.Duration, mayBehind bool, h http.Header, hint string) {
+	violation := func(format string, args ...any) {
+		r.totals.violations = append(r.totals.violations, fmt.Sprintf("shard %d of %q: ", shard, hint)+fmt.Sprintf(format, args...))
 	}
-	r.sums.parts++
+	r.totals.parts++
 	in := func(list, item string) bool { return strings.Contains(","+list+",", ","+item+",") }
 	behind := in(h.Get("X-Read-Behind"), strconv.Itoa(shard))
 	if behind {
-		if r.sums.behind++; !mayBehind {
-			broke("behind, and the hint does not allow that")
+		if r.totals.behind++; !mayBehind {
+			violation("behind, and the hint does not allow that")
 		}
 	} else {
 		if has < needed {
-			broke("read at %d, %d us before what was seen", has, needed-has)
+			violation("read at %d, %d us before what was seen", has, needed-has)
 		}
 		if least := r.w.PositionAt(sent.Add(-bound)); bound > 0 && has < least {
-			broke("read at %d, %d us older than the bound of %v", has, least-has, bound)
+			violation("read at %d, %d us older than the bound of %v", has, least-has, bound)
 		}
 	}
 	if !in(h.Get("X-Read-Position"), fmt.Sprintf("%d:%d", shard, has)) {
-		broke("read at %d, and the answer says %q", has, h.Get("X-Read-Position"))
+		violation("read at %d, and the answer says %q", has, h.Get("X-Read-Position"))
 	}
 	if stated, err := time.ParseDuration(h.Get("X-Read-Staleness")); err == nil && has < r.w.PositionAt(sent.Add(-stated)) {
-		broke("read at %d, older than the %v that the answer states", has, stated)
+		violation("read at %d, older than the %v that the answer states", has, stated)
 	}
-	if !behind || has > r.seen[shard] {
-		r.seen[shard] = max(r.seen[shard], has)
+	if !behind || has > r.seenPositions[shard] {
+		r.seenPositions[shard] = max(r.seenPositions[shard], has)
 	}
 }
 
 // The audit of reads finds each kind of answer that it is for.
-func TestReadAuditFinds(t *testing.T) {
+func TestReadAuditDetectsViolations(t *testing.T) {
 	w, sent := lab.NewWriter(), time.Now()
 	at := w.PositionAt(sent)
 	heads := func(position, staleness, behind string) http.Header {
@@ -151,10 +151,10 @@
 		"older than stated":                  {at - 90_000, at - 100_000, false, heads(fmt.Sprintf("3:%d", at-90_000), "80ms", "")},
 		"a position that it was not read at": {at - 90_000, at - 100_000, false, heads(fmt.Sprintf("3:%d", at-80_000), "91ms", "")},
 	} {
-		r := &reader{w: w, seen: map[int]uint64{}, sums: &readSums{}}
-		r.hold(3, one.has, one.needed, sent, 100*time.Millisecond, one.mayBehind, one.h, "")
-		if found, none := len(r.sums.broken), name == "" || strings.HasSuffix(name, "said and allowed"); (found == 0) != none {
-			t.Errorf("%q: %v", name, r.sums.broken)
+		r := &sessionReader{w: w, seenPositions: map[int]uint64{}, totals: &readTotals{}}
+		r.checkShardRead(3, one.has, one.needed, sent, 100*time.Millisecond, one.mayBehind, one.h, "")
+		if found, none := len(r.totals.violations), name == "" || strings.HasSuffix(name, "said and allowed"); (found == 0) != none {
+			t.Errorf("%q: %v", name, r.totals.violations)
 		}
 	}
 }
@@ -162,9 +162,9 @@
 // Sessions that go from broker to broker never read what is older than they allow, or before what they have seen or written, and no
 // answer calls itself fresher than it is, while replicas lag, stick and restart from older states, and brokers are cut off or stopped.
 func TestPinnedReads(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 5, Voters: 3, Fleet: map[string]any{"pins": true, "clock_error": "0s"}}) // one clock: no margin hides a fault
-	c.listed()
-	w, sums := lab.NewWriter(), &readSums{}
+	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3, Fleet: map[string]any{"pins": true, "clock_error": "0s"}}) // one clock: no margin hides a fault
+	c.waitNodesListed()
+	w, sums := lab.NewWriter(), &readTotals{}
 	var replicas []*lab.Replica
 	for i, n := range c.Nodes {
 		replicas = append(replicas, n.MakeReplica(w, time.Duration(1+i*16)*time.Millisecond))
@@ -175,7 +175,7 @@
 	defer client.CloseIdleConnections()
 	var all sync.WaitGroup
 	for i := range 12 {
-		r := &reader{c, w, rand.New(rand.NewPCG(uint64(i), 11)), client, fmt.Sprint("s", i), map[int]uint64{}, sums}
+		r := &sessionReader{c, w, rand.New(rand.NewPCG(uint64(i), 11)), client, fmt.Sprint("s", i), map[int]uint64{}, sums}
 		all.Go(func() {
 			for ctx.Err() == nil {
 				b := c.Brokers[r.rnd.IntN(len(c.Brokers))]
@@ -183,7 +183,7 @@
 					r.read(b.URL, func() bool { now, _ := b.Faults(); return now != hits })
 				}
 				if r.rnd.IntN(4) == 0 { // it writes, and wants to read that
-					r.seen[r.rnd.IntN(shards)] = w.PositionAt(time.Now())
+					r.seenPositions[r.rnd.IntN(shards)] = w.PositionAt(time.Now())
 				}
 				time.Sleep(time.Duration(r.rnd.IntN(20)) * time.Millisecond)
 			}
@@ -212,13 +212,13 @@
 		}
 	})
 	all.Wait()
-	for i, broken := range sums.broken {
+	for i, broken := range sums.violations {
 		if i < 5 {
 			t.Error(broken)
 		}
 	}
 	t.Logf("%d asked, %d answered, %d refused; %d parts held against the log, %d said that they are behind; %d wrong", sums.asked, sums.answered,
-		sums.refused, sums.parts, sums.behind, len(sums.broken))
+		sums.refused, sums.parts, sums.behind, len(sums.violations))
 	if sums.answered*2 < sums.asked || sums.parts < 300 || sums.behind == 0 || sums.refused == 0 {
 		t.Error("too little was served, or nothing was ever behind: the test says little")
 	}
--- a/internal/lab/proof/release_test.go
+++ b/internal/lab/proof/release_test.go
@@ -12,8 +12,8 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// install has whatever goes out as planned come back with the version that is installed by then.
-func (c *tier) install(version string) *atomic.Pointer[string] {
+// restartWithVersion has whatever goes out as planned come back with the version that is installed by then.
+func (c *tier) restartWithVersion(version string) *atomic.Pointer[string] {
 	var installed atomic.Pointer[string]
 	installed.Store(&version)
 	c.Supervise(func(b *chaos.Broker) error {
@@ -23,8 +23,8 @@
 	return &installed
 }
 
-// release begins one over some brokers, or all: one out at once, in a single batch that nothing but a fault or a word holds up.
-func (c *tier) release(over ...*chaos.Broker) {
+// startRelease begins one over some brokers, or all: one out at once, in a single batch that nothing but a fault or a word holds up.
+func (c *tier) startRelease(over ...*chaos.Broker) {
 	c.t.Helper()
 	args := []string{"release", "--from", "v1", "--to", "v2", "--most", "1", "--gates", "off", "--pause", "0s"}
 	for _, b := range over {
@@ -33,17 +33,17 @@
 	if len(over) == 0 {
 		over = c.Brokers
 	}
-	c.do(append(args, "--batch", strconv.Itoa(len(over)))...)
+	c.mustRun(append(args, "--batch", strconv.Itoa(len(over)))...)
 }
 
-// done waits until the present release is over, and every broker is in again.
-func (c *tier) done() {
+// waitReleaseDone waits until the present release is over, and every broker is in again.
+func (c *tier) waitReleaseDone() {
 	c.t.Helper()
-	c.agreed("the release is done", func(s *controlplane.Status) bool {
+	c.waitForStatus("the release is done", func(s *controlplane.Status) bool {
 		return s.Release != nil && s.Release.State == statemachine.ReleaseDone
 	})
-	c.all(statemachine.BrokerServing)
-	c.until("the outside view has all serve again", func() bool {
+	c.waitAllBrokers(statemachine.BrokerServing)
+	c.waitFor("the outside view has all serve again", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Monitor.Serves(b.Name) {
 				return false
@@ -53,14 +53,14 @@
 	})
 }
 
-// steps waits until at least so many planned stops were seen.
-func (c *tier) steps(n int) {
+// waitForSteps waits until at least so many planned stops were seen.
+func (c *tier) waitForSteps(n int) {
 	c.t.Helper()
-	c.until("further steps", func() bool { return len(c.Monitor.PlannedStops()) >= n })
+	c.waitFor("further steps", func() bool { return len(c.Monitor.PlannedStops()) >= n })
 }
 
-// planned counts a broker's lives that ended as planned.
-func planned(b *chaos.Broker) (n int) {
+// plannedStops counts a broker's lives that ended as planned.
+func plannedStops(b *chaos.Broker) (n int) {
 	for _, l := range b.Runs() {
 		if !l.EndedAt.IsZero() && l.Status == 0 {
 			n++
@@ -69,10 +69,10 @@
 	return n
 }
 
-// audit gives the verdict that every test of releases has in common.
-func (c *tier) audit(most int, out *lab.LoadResult) {
+// checkRelease gives the verdict that every test of releases has in common.
+func (c *tier) checkRelease(most int, out *lab.LoadResult) {
 	c.t.Helper()
-	for _, broken := range c.Monitor.Check(most, known) {
+	for _, broken := range c.Monitor.Check(most, crashKnownAfter) {
 		c.t.Error("over the limit: ", broken)
 	}
 	for i, broken := range out.Violations {
@@ -91,48 +91,48 @@
 
 // A release over seven brokers, one out at once, in the middle of which its leader is killed: another leads on, nobody is stopped
 // twice, and no search goes without an answer.
-func TestReleaseOutlivesItsLeader(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 7, Voters: 3})
+func TestReleaseSurvivesLeaderKill(t *testing.T) {
+	c := startTier(t, chaos.Options{Brokers: 7, Voters: 3})
 	clients := c.Clients(60, 1)
-	c.install("v2")
-	c.release()
-	c.steps(2)
-	s := c.agreed("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
+	c.restartWithVersion("v2")
+	c.startRelease()
+	c.waitForSteps(2)
+	s := c.waitForStatus("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
 	leader := c.BrokerNamed(s.Leader)
 	c.Monitor.ExpectKill(leader.Name)
 	leader.Kill()
 	at := time.Now()
-	if !leader.WaitForEnd(patient) {
+	if !leader.WaitForEnd(waitLimit) {
 		t.Fatal("a killed process does not end")
 	}
-	c.agreed("another leads", func(s *controlplane.Status) bool { return s.Leader != leader.Name })
+	c.waitForStatus("another leads", func(s *controlplane.Status) bool { return s.Leader != leader.Name })
 	t.Logf("another leader answers %v after the kill", time.Since(at).Round(10*time.Millisecond))
 	if err := c.Start(leader); err != nil { // with the version that it had
 		t.Fatal(err)
 	}
-	c.done()
-	c.audit(1, clients.Stop())
+	c.waitReleaseDone()
+	c.checkRelease(1, clients.Stop())
 	for _, b := range c.Brokers {
-		if n := planned(b); n != 1 || b.Version != "v2" {
+		if n := plannedStops(b); n != 1 || b.Version != "v2" {
 			t.Errorf("%s was stopped %d times by the release, and runs %s", b.Name, n, b.Version)
 		}
 	}
 }
 
 // A broker that crashes takes the place of one that may be out: with a limit of one nobody goes until it is back.
-func TestCrashTakesThePlace(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 5, Voters: 3})
+func TestCrashCountsTowardsReleaseLimit(t *testing.T) {
+	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3})
 	clients := c.Clients(40, 2)
-	c.install("v2")
-	c.release()
-	c.steps(1)
+	c.restartWithVersion("v2")
+	c.startRelease()
+	c.waitForSteps(1)
 	victim := c.Brokers[1] // a voter, late in the plan
-	if s, _ := c.Status(patient); s.Leader == victim.Name {
+	if s, _ := c.Status(waitLimit); s.Leader == victim.Name {
 		victim = c.Brokers[0]
 	}
 	c.Monitor.ExpectKill(victim.Name)
 	victim.Kill()
-	c.agreed("the crash is known, and all others are in", func(s *controlplane.Status) bool {
+	c.waitForStatus("the crash is known, and all others are in", func(s *controlplane.Status) bool {
 		for _, b := range s.Brokers {
 			if b.Name != victim.Name && (b.Status != statemachine.BrokerServing || b.Permit > 0) || b.Name == victim.Name && b.Status != statemachine.BrokerLost {
 				return false
@@ -144,17 +144,17 @@
 	if n >= 4 {
 		t.Fatalf("%d steps; nothing is left to hold back", n)
 	}
-	time.Sleep(still)
+	time.Sleep(quietSpan)
 	if now := len(c.Monitor.PlannedStops()); now != n {
 		t.Errorf("%d went out while one was lost", now-n)
 	}
 	if err := c.Start(victim); err != nil {
 		t.Fatal(err)
 	}
-	c.done()
-	c.audit(1, clients.Stop())
+	c.waitReleaseDone()
+	c.checkRelease(1, clients.Stop())
 	for _, b := range c.Brokers {
-		if n := planned(b); n != 1 {
+		if n := plannedStops(b); n != 1 {
 			t.Errorf("%s was stopped %d times by the release", b.Name, n)
 		}
 	}
--- a/internal/lab/proof/restart_test.go
+++ b/internal/lab/proof/restart_test.go
@@ -9,24 +9,24 @@
 
 // A broker that starts while a node is drained by agreement knows nothing of it at first; it takes no searches before it does, so
 // that none goes to that node.
-func TestDrainOverRestarts(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 4, Voters: 3})
-	c.listed()
+func TestDrainHoldsOverRestarts(t *testing.T) {
+	c := startTier(t, chaos.Options{Brokers: 4, Voters: 3})
+	c.waitNodesListed()
 	x, name := c.Nodes[0], c.List[0].InstanceID
-	c.do("drain", name)
-	c.drained(name)
+	c.mustRun("drain", name)
+	c.waitDrained(name)
 	time.Sleep(250 * time.Millisecond)
 	had := x.ShardRequests.Load()
 	for i, b := range []*chaos.Broker{c.Brokers[3], c.Brokers[1]} { // one that follows, and a voter
-		c.stop(b)
+		c.stopBroker(b)
 		c.Mesh.SetDelay(b.Index, 40*time.Millisecond)
 		clients := c.Clients(200, uint64(11+i), b)
 		if err := c.Start(b); err != nil {
 			t.Fatal(err)
 		}
-		c.until("it serves", func() bool { up, said := b.Serving(); return up && said })
-		time.Sleep(still / 2)
-		c.drained(name)
+		c.waitFor("it serves", func() bool { up, said := b.Serving(); return up && said })
+		time.Sleep(quietSpan / 2)
+		c.waitDrained(name)
 		clients.Stop()
 		c.Mesh.SetDelay(b.Index, 0)
 	}
--- a/internal/lab/proof/word_test.go
+++ b/internal/lab/proof/word_test.go
@@ -11,14 +11,14 @@
 
 // A holder hears only long after it stopped waiting that its word was taken: it goes by that word once. It must never count as gone
 // while it serves on.
-func TestWordTakenUnheard(t *testing.T) {
-	c := begin(t, chaos.Options{Brokers: 4, Voters: 3, Fleet: map[string]any{"lease": "15s"}})
-	c.install("v2")
+func TestPermitUseAcceptedWithoutReply(t *testing.T) {
+	c := startTier(t, chaos.Options{Brokers: 4, Voters: 3, Fleet: map[string]any{"lease": "15s"}})
+	c.restartWithVersion("v2")
 	b := c.Brokers[3]
 	c.Mesh.SetDelay(b.Index, 400*time.Millisecond)
-	c.release(b)
-	c.agreed("its word is taken", func(s *controlplane.Status) bool {
-		me, _ := standing(s, b.Name)
+	c.startRelease(b)
+	c.waitForStatus("its word is taken", func(s *controlplane.Status) bool {
+		me, _ := brokerStatus(s, b.Name)
 		return me.Status == statemachine.BrokerOut
 	})
 	c.Mesh.Isolate(b.Index, true)
@@ -28,8 +28,8 @@
 	time.Sleep(6 * time.Second) // longer than the broker waits for its word
 	c.Mesh.SetDelay(b.Index, 0)
 	c.Mesh.Heal(true)
-	c.done()
-	if n := planned(b); n != 1 {
+	c.waitReleaseDone()
+	if n := plannedStops(b); n != 1 {
 		t.Errorf("%s was stopped %d times by the release", b.Name, n)
 	}
 }
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -90,7 +90,7 @@
 	if len(r.Samples) > 0 {
 		add(heatMap("What nodes did (a row a node; white fit, blue cold, grey leaving, orange hanging, yellow standing still, black gone, red fallen, green slow)",
 			r, func(s play.Sample) color.Color {
-				if s.State == play.Fit && s.Slow {
+				if s.State == play.StateHealthy && s.Slow {
 					return color.RGBA{0x8f, 0xd1, 0x9e, 255}
 				}
 				return stateColours[s.State]
@@ -114,9 +114,9 @@
 	return all, err
 }
 
-var stateColours = [...]color.Color{play.Fit: color.White, play.Cold: color.RGBA{0x6f, 0xb1, 0xe8, 255},
-	play.Leaving: color.RGBA{0xbb, 0xbb, 0xbb, 255}, play.Silent: color.RGBA{0xf0, 0x8a, 0x24, 255},
-	play.Still: color.RGBA{0xf6, 0xe0, 0x6a, 255}, play.Lost: color.Black, play.Over: color.RGBA{0xd0, 0x00, 0x20, 255}}
+var stateColours = [...]color.Color{play.StateHealthy: color.White, play.StateWarmingUp: color.RGBA{0x6f, 0xb1, 0xe8, 255},
+	play.StateDraining: color.RGBA{0xbb, 0xbb, 0xbb, 255}, play.StateHanging: color.RGBA{0xf0, 0x8a, 0x24, 255},
+	play.StateStalled: color.RGBA{0xf6, 0xe0, 0x6a, 255}, play.StateGone: color.Black, play.StateCrashed: color.RGBA{0xd0, 0x00, 0x20, 255}}
 
 // heatMap draws a row a node and a column a second.
 func heatMap(title string, r *play.Result, of func(play.Sample) color.Color) (template.HTML, error) {
