--- a/internal/lab/play/audit.go
+++ b/internal/lab/play/audit.go
@@ -14,8 +14,8 @@
 
 // What discovery and the auditor are told.
 const (
-	kPollList   eventKind = iota + 20
-	kNodeChange           // p: script.Event
+	kPollList   kind = iota + 20
+	kNodeChange      // p: script.Event
 	kDiscoveryOutage
 	kExecuted  // a: the part, n: its effect, p: ran
 	kQueryShed // a: the search, p: its id
@@ -70,7 +70,7 @@
 func (d *simDiscovery) handle(e *event) {
 	switch e.kind {
 	case kPollList:
-		from := uint32(e.arg64)
+		from := uint32(e.a)
 		coversNow := func(s script.Span) bool { return s.Includes(d.now) }
 		switch {
 		case slices.ContainsFunc(d.w.schedule.Down, coversNow):
@@ -130,14 +130,14 @@
 // old for any sub-request to be out still.
 type auditor struct {
 	actorState
-	executions map[uint64]execution // by part
-	shed       map[uint64]time.Duration
-	order      []uint64
-	times      []time.Duration
+	executed map[uint64]execution // by part
+	shed     map[uint64]time.Duration
+	order    []uint64
+	times    []time.Duration
 }
 
-// executionReport is what a node tells of a run.
-type executionReport struct {
+// executed is what a node tells of a run.
+type executed struct {
 	requestID string
 	sentAt    time.Duration // when it was written to the node
 }
@@ -148,16 +148,16 @@
 
 func (a *auditor) handle(e *event) {
 	for len(a.times) > 0 && a.now-a.times[0] > auditRetention {
-		delete(a.executions, a.order[0])
+		delete(a.executed, a.order[0])
 		delete(a.shed, a.order[0])
 		a.order, a.times = a.order[1:], a.times[1:]
 	}
-	a.order, a.times = append(a.order, e.arg64), append(a.times, a.now)
+	a.order, a.times = append(a.order, e.a), append(a.times, a.now)
 	switch e.kind {
 	case kExecuted:
-		first, known := a.executions[e.arg64]
-		report, window := e.payload.(executionReport), time.Duration(0)
-		if decision.Idempotency(e.arg32) == decision.IdempotencyKeyed { // repeats are dropped for so long
+		first, known := a.executed[e.a]
+		report, window := e.payload.(executed), time.Duration(0)
+		if decision.Idempotency(e.n) == decision.IdempotencyKeyed { // repeats are dropped for so long
 			for i := range a.w.terms.Module.QueryTypes {
 				window = max(window, a.w.terms.Module.QueryTypes[i].IdempotencyWindow)
 			}
@@ -166,16 +166,16 @@
 			a.reportBreach(2, "part %s ran again, sent %v after the first time", report.requestID, report.sentAt-first.sentAt)
 		}
 		if !known {
-			a.executions[e.arg64] = execution{report.sentAt}
+			a.executed[e.a] = execution{report.sentAt}
 		}
 		queryHash := hashOf(queryIDOf(report.requestID))
-		if _, was := a.shed[queryHash]; was && decision.Idempotency(e.arg32) == decision.NonIdempotent {
+		if _, was := a.shed[queryHash]; was && decision.Idempotency(e.n) == decision.NonIdempotent {
 			a.reportBreach(2, "part %s ran, and its search was shed", report.requestID)
 		}
-		a.executions[queryHash] = execution{report.sentAt}
+		a.executed[queryHash] = execution{report.sentAt}
 	case kQueryShed:
-		a.shed[e.arg64] = a.now
-		if _, ran := a.executions[e.arg64]; ran {
+		a.shed[e.a] = a.now
+		if _, executed := a.executed[e.a]; executed {
 			a.reportBreach(2, "search %s was shed, and a part of it had run", e.payload)
 		}
 	}
--- a/internal/lab/play/clients.go
+++ b/internal/lab/play/clients.go
@@ -90,7 +90,7 @@
 
 // countsOf is where a search counts: at the second in which it was first asked.
 func (b *broker) countsOf(q *clientQuery) *Counts {
-	return b.worker.tally.countsAt(q.askedAt, q.row, b.w)
+	return b.runner.tally.countsAt(q.askedAt, q.row, b.w)
 }
 
 // submit puts a search to the broker, for the first time or again, as a new request.
@@ -127,7 +127,7 @@
 // handleResult is the broker's answer to a try.
 func (b *broker) handleResult(q *clientQuery, id string, v server.QueryResult) {
 	if q.ended || q.id != id {
-		b.reportBreach(1, "broker %d gave a second answer to search %s", b.number, id)
+		b.reportBreach(1, "broker %d gave a second answer to search %s", b.n, id)
 		return
 	}
 	q.ended = true
@@ -150,8 +150,8 @@
 			worth = int64(math.Round(float64(worth) * queryType.Late))
 		}
 		c.Got += worth
-		b.worker.tally.latency[int(q.askedAt/time.Second)].record(took)
-		b.worker.tally.latencyByRow[q.row].record(took)
+		b.runner.tally.latency[int(q.askedAt/time.Second)].record(took)
+		b.runner.tally.latencyByRow[q.row].record(took)
 	case v.Shed:
 		kind = 2
 		if b.w.terms.Module.QueryTypes[q.typ].Idempotency == decision.NonIdempotent {
@@ -184,7 +184,7 @@
 			Verdict string  `json:"verdict"`
 			Whole   bool    `json:"whole,omitempty"`
 			Took    float64 `json:"took"`
-		}{b.now.Seconds(), b.number, id, b.w.script.Tenants[q.tenant].Name, queryType.Name, q.tries,
+		}{b.now.Seconds(), b.n, id, b.w.script.Tenants[q.tenant].Name, queryType.Name, q.tries,
 			[]string{"", "answered", "shed", "failed"}[kind], v.Complete, took.Seconds()})
 	}
 }
--- a/internal/lab/play/conns.go
+++ b/internal/lab/play/conns.go
@@ -15,12 +15,12 @@
 
 // conn is a connection as the broker sees it.
 type conn struct {
-	broker      *broker
+	b           *broker
 	id          uint64
 	node        int
 	start       int
 	name        string
-	handle      store.Handle
+	poolHandle  store.Handle
 	established bool
 	closed      bool
 	lastArrival time.Duration
@@ -43,18 +43,18 @@
 func (b *broker) connectionLost(c *conn, err error) {
 	delete(b.conns, c.id)
 	c.closed = true
-	b.handleConnEvent(c.handle.Down(b.sinceStart(), err))
+	b.handleConnEvent(c.poolHandle.Down(b.sinceStart(), err))
 }
 
 // acceptDial opens a connection, as the pool asks.
-func (b *broker) dial(name string, _ netip.AddrPort, h store.Handle) func() {
+func (b *broker) dial(name string, _ netip.AddrPort, poolHandle store.Handle) func() {
 	b.dialCount++
-	c := &conn{broker: b, id: uint64(b.id)<<40 | b.dialCount, name: name, handle: h}
+	c := &conn{b: b, id: uint64(b.id)<<40 | b.dialCount, name: name, poolHandle: poolHandle}
 	number, start, _ := strings.Cut(name[1:], ".")
 	c.node, _ = strconv.Atoi(number)
 	c.start, _ = strconv.Atoi(start)
 	b.conns[c.id] = c
-	b.worker.tally.work.Dials++
+	b.runner.tally.work.Dials++
 	zone := b.w.script.ZoneOf(c.node)
 	if delay, lost, held := b.samplePath(b.zone, zone); !lost && held == 0 {
 		b.send(b.w.nodeActorID(c.node), b.now+delay, kDial, int32(c.start), c.id, nil)
@@ -71,7 +71,7 @@
 
 // TryWrite takes a frame; the network holds whatever it is given.
 func (c *conn) TryWrite(frame []byte) (int, error) {
-	b := c.broker
+	b := c.b
 	b.auditFrame(c, frame)
 	b.send(b.w.nodeActorID(c.node), b.deliveryTime(b.zone, b.w.script.ZoneOf(c.node), &c.lastArrival), kFrame, int32(b.now/time.Millisecond), c.id, bytes.Clone(frame))
 	return len(frame), nil
--- a/internal/lab/play/cores.go
+++ b/internal/lab/play/cores.go
@@ -28,13 +28,13 @@
 				continue
 			}
 			n.jobCount++
-			j.number = n.jobCount
+			j.n = n.jobCount
 			n.cores[c] = j
 			if j.id != "" {
 				j.version, j.report = n.readReplica(j.id)
 			}
-			took := time.Duration(float64(j.work) / n.capacity() * n.w.schedule.Slow(n.number, n.now))
-			n.send(n.id, n.now+took, kJobDone, int32(c), j.number, nil)
+			took := time.Duration(float64(j.work) / n.capacity() * n.w.schedule.Slow(n.n, n.now))
+			n.send(n.id, n.now+took, kJobDone, int32(c), j.n, nil)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 func (n *node) finishJob(core int, number uint64) {
 	j := n.cores[core]
 	switch {
-	case j == nil || j.number != number:
+	case j == nil || j.n != number:
 		return
 	case n.now < n.stalledUntil:
 		n.send(n.id, n.stalledUntil, kJobDone, int32(core), number, nil)
@@ -51,25 +51,25 @@
 	}
 	n.cores[core] = nil
 	if j.id != "" {
-		counts := &n.worker.tally.work
+		counts := &n.runner.tally.work
 		a := store.Answer{ID: j.id, End: store.Served, Value: expectedValue(j.id) + j.version, Report: j.report}
-		if errorShare := n.w.schedule.ErrorShare(n.number, n.now); errorShare > 0 && n.rnd.Float64() < errorShare {
+		if errorShare := n.w.schedule.ErrorShare(n.n, n.now); errorShare > 0 && n.rnd.Float64() < errorShare {
 			a.End, a.Value = store.Broke, ""
 			counts.Broke++
 		} else {
 			counts.Served++
 			n.served++
 		}
-		n.reportExecution(j)
+		n.effect(j)
 		n.sendAnswer(j.conn, a)
 	}
 	n.startJobs()
 }
 
 // idempotency tells the auditor of what must not run twice.
-func (n *node) reportExecution(j *job) {
-	if j.idempotency != decision.Idempotent {
-		n.send(idAuditor, n.now, kExecuted, int32(j.idempotency), hashOf(j.id), executionReport{j.id, j.sentAt})
+func (n *node) effect(j *job) {
+	if j.effect != decision.Idempotent {
+		n.send(idAuditor, n.now, kExecuted, int32(j.effect), hashOf(j.id), executed{j.id, j.sentAt})
 	}
 }
 
@@ -77,7 +77,7 @@
 	if c.closed || n.vanishCount > 0 {
 		return
 	}
-	n.send(c.broker, n.deliveryTime(n.zone, c.zone, &c.lastArrival), kAnswer, 0, c.id, &a)
+	n.send(c.brokerID, n.deliveryTime(n.zone, c.zone, &c.lastArrival), kAnswer, 0, c.id, &a)
 }
 
 // cancel gives a part up that waits, where nodes do that.
--- a/internal/lab/play/engine.go
+++ b/internal/lab/play/engine.go
@@ -21,13 +21,13 @@
 // event is what one actor is told, by another or by itself.
 type event struct {
 	target  uint32
-	kind    eventKind
-	arg32   int32
-	arg64   uint64
+	kind    kind
+	n       int32
+	a       uint64
 	payload any
 }
 
-type eventKind uint8
+type kind uint8
 
 // actor is one process or machine. What it is told is all that it knows of the others.
 type actor interface {
@@ -37,7 +37,7 @@
 // actorState is what every actor has: its place, its time, its chance, and the hash of all that it was told.
 type actorState struct {
 	w      *world
-	worker *worker
+	runner *worker
 	id     uint32
 	seq    uint32
 	now    time.Duration
@@ -47,35 +47,35 @@
 
 func (s *actorState) attach(w *world, id uint32) {
 	s.w, s.id, s.hash = w, id, 14695981039346656037
-	s.worker = w.workers[int(id)%len(w.workers)]
+	s.runner = w.workers[int(id)%len(w.workers)]
 	s.rnd = rand.New(rand.NewPCG(uint64(w.script.Seed), uint64(id)))
 }
 
 // send tells an actor something at a moment. Another one can't be told before the shortest way to it has passed.
-func (s *actorState) send(dst uint32, at time.Duration, kind eventKind, n int32, a uint64, p any) {
+func (s *actorState) send(dst uint32, at time.Duration, k kind, n int32, a uint64, p any) {
 	if dst == s.id {
 		at = max(at, s.now)
 	} else {
 		at = max(at, s.now+s.w.lookahead)
 	}
 	s.seq++
-	item := queue.Item[event]{Key: queue.Key{At: at, Source: s.id, Seq: s.seq}, Value: event{dst, kind, n, a, p}}
-	if to := int(dst) % len(s.w.workers); to == s.worker.index {
-		s.worker.queue.Push(item)
+	item := queue.Item[event]{Key: queue.Key{At: at, Source: s.id, Seq: s.seq}, Value: event{dst, k, n, a, p}}
+	if to := int(dst) % len(s.w.workers); to == s.runner.at {
+		s.runner.events.Push(item)
 	} else {
-		s.worker.outbox[to] = append(s.worker.outbox[to], item)
+		s.runner.outbox[to] = append(s.runner.outbox[to], item)
 	}
 }
 
 func (s *actorState) mixHash(v uint64) { s.hash = (s.hash ^ v) * 1099511628211 }
 
-// worker plays a share of the actors on one core.
+// runner plays a share of the actors on one core.
 type worker struct {
-	index       int
-	queue       queue.Queue[event]
+	at          int
+	events      queue.Queue[event]
 	outbox      [][]queue.Item[event] // for the actors of each other worker
 	nextEventAt time.Duration
-	eventCount  uint64 // events played
+	n           uint64 // events played
 	tally       tally
 }
 
@@ -104,15 +104,15 @@
 				b.wait()
 				for _, o := range w.workers {
 					if o != k {
-						for i := range o.outbox[k.index] {
-							k.queue.Push(o.outbox[k.index][i])
+						for i := range o.outbox[k.at] {
+							k.events.Push(o.outbox[k.at][i])
 						}
-						clear(o.outbox[k.index])
-						o.outbox[k.index] = o.outbox[k.index][:0]
+						clear(o.outbox[k.at])
+						o.outbox[k.at] = o.outbox[k.at][:0]
 					}
 				}
 				k.updateNext()
-				if k.index == 0 {
+				if k.at == 0 {
 					w.now, w.stopped = to, stop.Load()
 				}
 				b.wait()
@@ -124,29 +124,29 @@
 
 func (k *worker) updateNext() {
 	k.nextEventAt = never
-	if at, any := k.queue.Peek(); any {
+	if at, any := k.events.Peek(); any {
 		k.nextEventAt = at
 	}
 }
 
 func (k *worker) playUntil(w *world, to time.Duration) {
 	for {
-		at, any := k.queue.Peek()
+		at, any := k.events.Peek()
 		if !any || at >= to {
 			return
 		}
-		i := k.queue.Pop()
-		k.eventCount++
+		i := k.events.Pop()
+		k.n++
 		w.actors[i.Value.target].deliver(&i)
 	}
 }
 
-// leavingSince hashes an event into its actor's course and has it handled.
+// leaving hashes an event into its actor's course and has it handled.
 func (p registeredActor) deliver(i *queue.Item[event]) {
 	p.actorState.now = i.At
 	p.mixHash(uint64(i.At))
-	p.mixHash(uint64(i.Source)<<40 ^ uint64(i.Value.kind)<<32 ^ uint64(uint32(i.Value.arg32)))
-	p.mixHash(i.Value.arg64)
+	p.mixHash(uint64(i.Source)<<40 ^ uint64(i.Value.kind)<<32 ^ uint64(uint32(i.Value.n)))
+	p.mixHash(i.Value.a)
 	p.actor.handle(&i.Value)
 }
 
@@ -166,13 +166,13 @@
 	if b.n == 1 {
 		return
 	}
-	turn := b.generation.Load()
+	generation := b.generation.Load()
 	if b.arrived.Add(1) == b.n {
 		b.arrived.Store(0)
 		b.generation.Add(1)
 		return
 	}
-	for spins := 0; b.generation.Load() == turn; spins++ {
+	for spins := 0; b.generation.Load() == generation; spins++ {
 		if spins%50_000 == 49_999 { // a core may be wanted for something else
 			runtime.Gosched()
 		}
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -16,17 +16,17 @@
 
 // What brokers and their clients are told.
 const (
-	kConnUp       eventKind = iota + 40 // a: the connection
-	kAnswer                             // a: the connection, p: *store.Answer
-	kConnDown                           // a: the connection, n: why
-	kList                               // p: *discovery.List or error
-	kGossip                             // p: []byte, n: from
-	kStep                               // the loop takes a turn
-	kWake                               // it asked for this
-	kArrive                             // a client asks
-	kRetry                              // p: *asked; it asks again
-	kQueryTimeout                       // p: *asked, n: which try
-	kDialTimeout                        // a: a dial's connection
+	kConnUp       kind = iota + 40 // a: the connection
+	kAnswer                        // a: the connection, p: *store.Answer
+	kConnDown                      // a: the connection, n: why
+	kList                          // p: *discovery.List or error
+	kGossip                        // p: []byte, n: from
+	kStep                          // the loop takes a turn
+	kWake                          // it asked for this
+	kArrive                        // a client asks
+	kRetry                         // p: *asked; it asks again
+	kQueryTimeout                  // p: *asked, n: which try
+	kDialTimeout                   // a: a dial's connection
 	kKill
 	kRestart
 	kSampleBroker
@@ -40,10 +40,10 @@
 
 const timingTolerance = 50 * time.Millisecond // as on sockets
 
-// broker is one broker with its clients.
+// brokerID is one broker with its clients.
 type broker struct {
 	actorState
-	number     int
+	n          int
 	zone       int
 	policy     Policy
 	starts     uint64
@@ -54,12 +54,12 @@
 
 	conns         map[uint64]*conn
 	dialCount     uint64
-	leavingSince  map[string]time.Duration // nodes that it was told are leaving or gone
+	leaving       map[string]time.Duration // nodes that it was told are leaving or gone
 	busyUntil     time.Duration
 	stepScheduled bool
 	wakeAt        time.Duration
 	pendingEvents int // since the last turn
-	lineCount     int
+	lines         int
 
 	queryCount  uint64
 	openQueries map[string]*clientQuery
@@ -94,7 +94,7 @@
 }
 
 func newBroker(w *world, n int, p Policy) *broker {
-	b := &broker{number: n, zone: n % w.script.Fleet.Zones, policy: p, conns: map[uint64]*conn{}, leavingSince: map[string]time.Duration{},
+	b := &broker{n: n, zone: n % w.script.Fleet.Zones, policy: p, conns: map[uint64]*conn{}, leaving: map[string]time.Duration{},
 		openQueries: map[string]*clientQuery{}, wakeAt: never}
 	l, count := &w.script.Load, w.script.Brokers.Count
 	b.rate = l.Rate / float64(count)
@@ -109,7 +109,7 @@
 func (b *broker) start() error {
 	b.extraSends, b.creditedRequests = nil, nil // a broker is counted from its start
 	for _, r := range b.w.schedule.Restarts {
-		if r.Broker == b.number {
+		if r.Broker == b.n {
 			b.send(b.id, r.From, kKill, 0, 0, nil)
 			b.send(b.id, r.To, kRestart, 0, 0, nil)
 		}
@@ -143,18 +143,18 @@
 func (b *broker) sinceStart() time.Duration { return b.now - b.startedAt }
 
 func (b *broker) log(text string) {
-	b.worker.tally.lineCount++
-	if b.lineCount++; b.lineCount <= maxLines/b.w.script.Brokers.Count {
-		b.worker.tally.lines = append(b.worker.tally.lines, Line{b.now, b.number, text})
+	b.runner.tally.lineCount++
+	if b.lines++; b.lines <= maxLines/b.w.script.Brokers.Count {
+		b.runner.tally.lines = append(b.runner.tally.lines, Line{b.now, b.n, text})
 	}
 	b.mixHash(hashOf(digestedLine(text)))
 }
 
 func (b *broker) sendGossip(text string) {
 	for i := range b.w.script.Brokers.Count {
-		if i != b.number {
+		if i != b.n {
 			if took, lost, held := b.samplePath(b.zone, i%b.w.script.Fleet.Zones); !lost && held == 0 {
-				b.send(uint32(idBrokers+i), b.now+took, kGossip, int32(b.number), 0, []byte(text))
+				b.send(uint32(idBrokers+i), b.now+took, kGossip, int32(b.n), 0, []byte(text))
 			}
 		}
 	}
@@ -199,31 +199,31 @@
 			b.scheduleStep()
 		}
 	case kConnUp:
-		if c := b.conns[e.arg64]; c != nil && !c.closed {
+		if c := b.conns[e.a]; c != nil && !c.closed {
 			c.established = true
-			b.handleConnEvent(c.handle.Up(b.sinceStart(), c))
+			b.handleConnEvent(c.poolHandle.Up(b.sinceStart(), c))
 		}
 	case kAnswer:
-		if c := b.conns[e.arg64]; c != nil && !c.closed {
-			b.handleConnEvent(c.handle.Answered(b.sinceStart(), *e.payload.(*store.Answer)))
+		if c := b.conns[e.a]; c != nil && !c.closed {
+			b.handleConnEvent(c.poolHandle.Answered(b.sinceStart(), *e.payload.(*store.Answer)))
 		}
 	case kConnDown:
-		if c := b.conns[e.arg64]; c != nil {
+		if c := b.conns[e.a]; c != nil {
 			err := error(syscall.ECONNREFUSED)
-			if e.arg32 == downReset {
+			if e.n == downReset {
 				err = syscall.ECONNRESET
 			}
 			b.connectionLost(c, err)
 		}
 	case kDialTimeout:
-		if c := b.conns[e.arg64]; c != nil && !c.established {
+		if c := b.conns[e.a]; c != nil && !c.established {
 			b.connectionLost(c, &dialTimeoutError{})
 		}
 	case kList:
 		b.handleList(e.payload)
 	case kGossip:
 		if b.core != nil {
-			b.core.HandleGossip(int(e.arg32), e.payload.([]byte))
+			b.core.HandleGossip(int(e.n), e.payload.([]byte))
 			b.scheduleStep()
 		}
 	case kArrive:
@@ -231,7 +231,7 @@
 	case kRetry:
 		b.submit(e.payload.(*clientQuery))
 	case kQueryTimeout:
-		if q := e.payload.(*clientQuery); q.tries == e.arg32 && !q.ended && b.core != nil {
+		if q := e.payload.(*clientQuery); q.tries == e.n && !q.ended && b.core != nil {
 			b.core.Abandon(q.pending, true)
 			b.scheduleStep()
 		}
@@ -239,7 +239,7 @@
 		b.kill()
 	case kRestart:
 		if err := b.boot(); err != nil {
-			b.reportBreach(0, "broker %d did not start again: %v", b.number, err)
+			b.reportBreach(0, "broker %d did not start again: %v", b.n, err)
 		}
 	case kPullTimer, kPullRequest, kPullReply, kSessionMoved:
 		b.handleSharing(e)
--- a/internal/lab/play/node.go
+++ b/internal/lab/play/node.go
@@ -16,31 +16,31 @@
 
 // What nodes are told.
 const (
-	kDial     eventKind = iota + 1 // a: the connection, n: the node's start that it is meant for
-	kFrame                         // a: the connection, p: bytes, n: when they were written, in milliseconds
-	kClose                         // a: the connection
-	kJobDone                       // n: the core, a: the job's number
-	kStallEnd                      // a pause is over
-	kFault                         // p: script.Event
+	kDial     kind = iota + 1 // a: the connection, n: the node's start that it is meant for
+	kFrame                    // a: the connection, p: bytes, n: when they were written, in milliseconds
+	kClose                    // a: the connection
+	kJobDone                  // n: the core, a: the job's number
+	kStallEnd                 // a pause is over
+	kFault                    // p: script.Event
 	kSampleNode
 )
 
 // job is a part in hand, or the work of a handshake.
 type job struct {
-	conn        *nodeConn
-	id          string // empty: a handshake
-	work        time.Duration
-	idempotency decision.Idempotency
-	cancelled   bool
-	sentAt      time.Duration
-	number      uint64
+	conn      *nodeConn
+	id        string // empty: a handshake
+	work      time.Duration
+	effect    decision.Idempotency
+	cancelled bool
+	sentAt    time.Duration
+	n         uint64
 
 	version, report string // of the state that it found
 }
 
 // nodeConn is a connection as the node sees it.
 type nodeConn struct {
-	broker      uint32
+	brokerID    uint32
 	id          uint64
 	zone        int
 	lastArrival time.Duration // when what was last written arrives
@@ -50,7 +50,7 @@
 
 type node struct {
 	actorState
-	number       int
+	n            int
 	zone         int
 	cell         int
 	startCount   int           // how many processes have been this node
@@ -71,13 +71,13 @@
 	recentWork    []offeredWork
 	recentWorkSum time.Duration
 	served        uint16
-	replica       replica
+	replicaState  replica
 }
 
 type offeredWork struct{ at, work time.Duration }
 
 func newNode(w *world, n int) *node {
-	return &node{number: n, zone: w.script.ZoneOf(n), cell: n % w.script.Fleet.Cells, cores: make([]*job, w.script.Fleet.Cores),
+	return &node{n: n, zone: w.script.ZoneOf(n), cell: n % w.script.Fleet.Cells, cores: make([]*job, w.script.Fleet.Cores),
 		connByID: map[[2]uint64]*nodeConn{}}
 }
 
@@ -86,7 +86,7 @@
 
 func (n *node) start() {
 	for i := range n.w.schedule.Events {
-		if e := &n.w.schedule.Events[i]; e.Node == n.number {
+		if e := &n.w.schedule.Events[i]; e.Node == n.n {
 			n.send(n.id, e.At, kFault, 0, uint64(e.Action), e)
 		}
 	}
@@ -99,17 +99,17 @@
 func (n *node) handle(e *event) {
 	switch e.kind {
 	case kDial:
-		n.acceptDial(uint32(e.arg64>>40), e.arg64, int(e.arg32))
+		n.acceptDial(uint32(e.a>>40), e.a, int(e.n))
 	case kFrame:
-		if l := n.connByID[[2]uint64{e.arg64}]; l != nil && !l.closed && n.vanishCount == 0 {
-			n.handleFrame(l, e.payload.([]byte), time.Duration(e.arg32)*time.Millisecond)
+		if l := n.connByID[[2]uint64{e.a}]; l != nil && !l.closed && n.vanishCount == 0 {
+			n.handleFrame(l, e.payload.([]byte), time.Duration(e.n)*time.Millisecond)
 		}
 	case kClose:
-		if l := n.connByID[[2]uint64{e.arg64}]; l != nil {
+		if l := n.connByID[[2]uint64{e.a}]; l != nil {
 			n.dropConn(l)
 		}
 	case kJobDone:
-		n.finishJob(int(e.arg32), e.arg64)
+		n.finishJob(int(e.n), e.a)
 	case kStallEnd:
 		n.startJobs()
 	case kFault:
@@ -123,18 +123,18 @@
 func (n *node) brokerZone(id uint32) int { return (int(id) - idBrokers) % n.w.script.Fleet.Zones }
 
 // acceptDial answers a connection, as the kernel does: also while the process hangs or stands still.
-func (n *node) acceptDial(from uint32, id uint64, start int) {
-	zone := n.brokerZone(from)
+func (n *node) acceptDial(brokerID uint32, id uint64, start int) {
+	zone := n.brokerZone(brokerID)
 	took, lost, held := n.samplePath(n.zone, zone)
 	switch {
 	case n.vanishCount > 0 || lost || held > 0:
 	case n.processDown || n.crashed || start != n.startCount || len(n.conns) >= n.w.script.Fleet.Connections:
-		n.send(from, n.now+took, kConnDown, downRefused, id, nil)
+		n.send(brokerID, n.now+took, kConnDown, downRefused, id, nil)
 	default:
-		l := &nodeConn{broker: from, id: id, zone: zone, lastArrival: n.now + took, index: len(n.conns)}
+		l := &nodeConn{brokerID: brokerID, id: id, zone: zone, lastArrival: n.now + took, index: len(n.conns)}
 		n.conns = append(n.conns, l)
 		n.connByID[[2]uint64{id}] = l
-		n.send(from, l.lastArrival, kConnUp, 0, id, nil)
+		n.send(brokerID, l.lastArrival, kConnUp, 0, id, nil)
 		if work := n.w.script.Fleet.Handshake; work > 0 && n.hangCount == 0 {
 			n.recordOfferedWork(work)
 			n.enqueue(&job{conn: l, work: work})
@@ -168,7 +168,7 @@
 	}
 	possible := n.capacity() * float64(len(n.cores)) * float64(fleet.CrashAfter)
 	if float64(n.recentWorkSum) > fleet.CrashMultiple*possible {
-		n.reportBreach(4, "node %d fell over %v after its start: offered %.2f times what it can do", n.number, age, float64(n.recentWorkSum)/possible)
+		n.reportBreach(4, "node %d fell over %v after its start: offered %.2f times what it can do", n.n, age, float64(n.recentWorkSum)/possible)
 		n.crashed = true
 		n.queue = nil
 		clear(n.cores)
@@ -186,7 +186,7 @@
 
 // advance samples the node once a second.
 func (n *node) sample() {
-	s := &n.worker.tally.samplesAt(n.now, n.w.script.Fleet.Nodes)[n.number]
+	s := &n.runner.tally.samplesAt(n.now, n.w.script.Fleet.Nodes)[n.n]
 	switch {
 	case n.crashed:
 		s.State = StateCrashed
@@ -201,7 +201,7 @@
 	case n.cold && n.now-n.startedAt < n.w.script.Fleet.WarmUpAfter:
 		s.State = StateWarmingUp
 	}
-	s.Slow = n.w.schedule.Slow(n.number, n.now) > 1.05
+	s.Slow = n.w.schedule.Slow(n.n, n.now) > 1.05
 	s.Queue, s.Served = uint16(min(len(n.queue), 65535)), n.served
 	n.served = 0
 }
--- a/internal/lab/play/offer.go
+++ b/internal/lab/play/offer.go
@@ -16,7 +16,7 @@
 	for len(data) >= 5 {
 		size := int(binary.LittleEndian.Uint32(data))
 		if size < 1 || size > len(data)-4 {
-			n.reportBreach(0, "node %d was sent a frame of %d bytes in %d", n.number, size, len(data))
+			n.reportBreach(0, "node %d was sent a frame of %d bytes in %d", n.n, size, len(data))
 			return
 		}
 		letter, rest := data[4], data[5:4+size]
@@ -30,12 +30,12 @@
 			line, after, _ := bytes.Cut(rest, []byte{'\n'})
 			f := bytes.Fields(line)
 			if len(f) != 4 {
-				n.reportBreach(0, "node %d was sent the line %.60q", n.number, line)
+				n.reportBreach(0, "node %d was sent the line %.60q", n.n, line)
 				return
 			}
 			length, _ := strconv.Atoi(string(f[3]))
 			if length < 1 || length > len(after) {
-				n.reportBreach(0, "node %d was sent a text of %d bytes in %d", n.number, length, len(after))
+				n.reportBreach(0, "node %d was sent a text of %d bytes in %d", n.n, length, len(after))
 				return
 			}
 			shard, _ := strconv.Atoi(string(f[1]))
@@ -48,12 +48,12 @@
 // handleShardRequest is offered to the node.
 func (n *node) handleShardRequest(l *nodeConn, id string, shard, typ int, callWork, written time.Duration) {
 	if shard%n.w.script.Fleet.Cells != n.cell {
-		n.reportBreach(0, "node %d was sent part %s, which it does not hold", n.number, id)
+		n.reportBreach(0, "node %d was sent part %s, which it does not hold", n.n, id)
 	}
 	queryType := &n.w.script.Types[typ]
 	work := callWork + time.Duration((0.5+0.5*n.rnd.ExpFloat64())*float64(queryType.Work))
 	n.recordOfferedWork(work)
-	counts := &n.worker.tally.work
+	counts := &n.runner.tally.work
 	if n.hangCount > 0 || n.crashed {
 		counts.Swallowed++
 		return
@@ -63,5 +63,5 @@
 		n.sendAnswer(l, store.Answer{ID: id, End: store.Skipped})
 		return
 	}
-	n.enqueue(&job{conn: l, id: id, work: work, idempotency: n.w.terms.Module.QueryTypes[typ].Idempotency, sentAt: written})
+	n.enqueue(&job{conn: l, id: id, work: work, effect: n.w.terms.Module.QueryTypes[typ].Idempotency, sentAt: written})
 }
--- a/internal/lab/play/plain.go
+++ b/internal/lab/play/plain.go
@@ -42,13 +42,13 @@
 	shard    int
 	weight   float64
 	attempts uint16
-	inFlight int
+	out      int
 	answered bool
 	failed   bool
 }
 
-func newBaselineRouter(t decision.Settings, rnd *rand.Rand, see predictFunc) *baselineRouter {
-	return &baselineRouter{settings: &t, rnd: rnd, predict: see, endpoints: map[decision.NodeID]decision.Endpoint{}, nodesByCell: make([][]decision.NodeID, t.Cells),
+func newBaselineRouter(settings decision.Settings, rnd *rand.Rand, predict predictFunc) *baselineRouter {
+	return &baselineRouter{settings: &settings, rnd: rnd, predict: predict, endpoints: map[decision.NodeID]decision.Endpoint{}, nodesByCell: make([][]decision.NodeID, settings.Cells),
 		byID: map[uint64]*baselineQuery{}, byRequest: map[uint64]*baselineQuery{}}
 }
 
@@ -75,7 +75,7 @@
 		case decision.AttemptEnded:
 			if s := p.byRequest[e.ID]; s != nil {
 				k := &s.requests[slices.IndexFunc(s.requests, func(k baselineRequest) bool { return k.id == e.ID })]
-				if k.inFlight--; e.Outcome == decision.OK && !k.answered {
+				if k.out--; e.Outcome == decision.OK && !k.answered {
 					k.answered, s.received = true, s.received+k.weight
 				} else if e.Outcome != decision.Cancelled {
 					never := e.Outcome == decision.Rejected || e.Outcome == decision.ConnectFailed || e.Outcome == decision.NeverSent
@@ -144,11 +144,11 @@
 	reachable, anySent := s.received, false
 	for i := range s.requests {
 		k := &s.requests[i]
-		if k.answered || k.failed || k.inFlight > 0 {
+		if k.answered || k.failed || k.out > 0 {
 			if !k.failed && !k.answered {
 				reachable += k.weight
 			}
-			anySent = anySent || k.answered || k.inFlight > 0
+			anySent = anySent || k.answered || k.out > 0
 			continue
 		}
 		node, ok := p.chooseNode(s, k, now)
@@ -164,14 +164,14 @@
 			continue
 		}
 		reachable += k.weight
-		k.inFlight, k.attempts, anySent = k.inFlight+1, k.attempts+1, true
+		k.out, k.attempts, anySent = k.out+1, k.attempts+1, true
 		out = append(out, decision.Action{Kind: decision.SendAttempt, ID: k.id, Node: node})
 	}
 	finish := func(kind decision.ActionKind, complete bool) []decision.Action {
 		s.ended = true
 		out = append(out, decision.Action{Kind: kind, ID: s.id, Complete: complete, RetryAfter: 200 * time.Millisecond})
 		for i := range s.requests {
-			if k := &s.requests[i]; k.inFlight > 0 {
+			if k := &s.requests[i]; k.out > 0 {
 				out = append(out, decision.Action{Kind: decision.CancelAttempt, ID: k.id, Attempt: k.attempts - 1})
 			}
 		}
@@ -237,5 +237,5 @@
 	}
 	own := w.script.Types[0].Work + w.script.Fleet.CallWork
 	took := float64(work)/float64(len(n.cores)) + float64(own)
-	return max(now, n.stalledUntil) + time.Duration(took/n.capacity()*w.schedule.Slow(n.number, now)) + 2*w.script.Network.CrossZoneDelay, true
+	return max(now, n.stalledUntil) + time.Duration(took/n.capacity()*w.schedule.Slow(n.n, now)) + 2*w.script.Network.CrossZoneDelay, true
 }
--- a/internal/lab/play/play_test.go
+++ b/internal/lab/play/play_test.go
@@ -197,25 +197,25 @@
 	s := decodeScript(t, `{"types": [{"name": "book", "effect": "tokened", "window": "1s"}]}`)
 	w := &world{script: s, schedule: s.Schedule(), terms: s.Terms()}
 	w.workers = []*worker{{}}
-	a := &auditor{executions: map[uint64]execution{}, shed: map[uint64]time.Duration{}}
+	a := &auditor{executed: map[uint64]execution{}, shed: map[uint64]time.Duration{}}
 	a.attach(w, idAuditor)
-	report := func(k eventKind, effect decision.Idempotency, id string, sent time.Duration) int64 {
-		a.handle(&event{kind: k, arg32: int32(effect), arg64: hashOf(id), payload: executionReport{id, sent}})
+	report := func(k kind, effect decision.Idempotency, id string, sent time.Duration) int64 {
+		a.handle(&event{kind: k, n: int32(effect), a: hashOf(id), payload: executed{id, sent}})
 		return w.workers[0].tally.breachCount
 	}
 	steps := []struct {
-		effect decision.Idempotency
-		id     string
-		sent   time.Duration
-		broken int64
+		effect      decision.Idempotency
+		id          string
+		sent        time.Duration
+		breachCount int64
 	}{{decision.IdempotencyKeyed, "a.1", 0, 0}, {decision.IdempotencyKeyed, "a.1", time.Second, 0}, {decision.IdempotencyKeyed, "a.1", 1001 * time.Millisecond, 1},
 		{decision.NonIdempotent, "b.1", 0, 1}, {decision.NonIdempotent, "b.2", 0, 1}, {decision.NonIdempotent, "b.1", 1, 2}}
 	for _, x := range steps {
-		if got := report(kExecuted, x.effect, x.id, x.sent); got != x.broken {
-			t.Errorf("%s: %d broken, want %d", fmt.Sprint(x), got, x.broken)
+		if got := report(kExecuted, x.effect, x.id, x.sent); got != x.breachCount {
+			t.Errorf("%s: %d broken, want %d", fmt.Sprint(x), got, x.breachCount)
 		}
 	}
-	a.handle(&event{kind: kQueryShed, arg64: hashOf("b"), payload: "b"})
+	a.handle(&event{kind: kQueryShed, a: hashOf("b"), payload: "b"})
 	if w.workers[0].tally.breachCount != 3 {
 		t.Error("a search that ran was shed, and nobody says so")
 	}
@@ -237,7 +237,7 @@
 	}
 	for _, n := range w.nodes {
 		if len(n.queue) > 0 || len(n.recentWork) > 0 {
-			t.Errorf("node %d holds %d and %d", n.number, len(n.queue), len(n.recentWork))
+			t.Errorf("node %d holds %d and %d", n.n, len(n.queue), len(n.recentWork))
 		}
 	}
 }
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -15,10 +15,10 @@
 
 // What brokers tell each other beside messages of the module, and clients that move.
 const (
-	kPullTimer    eventKind = iota + 60 // a broker asks another
-	kPullRequest                        // a: when it asked, n: who
-	kPullReply                          // a: when it was asked, p: []byte
-	kSessionMoved                       // p: *session
+	kPullTimer    kind = iota + 60 // a broker asks another
+	kPullRequest                   // a: when it asked, n: who
+	kPullReply                     // a: when it was asked, p: []byte
+	kSessionMoved                  // p: *session
 )
 
 // ReadCounts tell what became of searches with hints.
@@ -46,7 +46,7 @@
 type session struct {
 	key         string
 	seenOffsets map[int]uint64 // by shard
-	lastNode    map[int]int    // where it was last read
+	node        map[int]int    // where it was last read
 }
 
 // assignHint gives a search its hint.
@@ -61,7 +61,7 @@
 		b.idleSessions = b.idleSessions[:n-1]
 	} else {
 		b.sessionCount++
-		q.session = &session{fmt.Sprintf("%d.%d", b.number, b.sessionCount), map[int]uint64{}, map[int]int{}}
+		q.session = &session{fmt.Sprintf("%d.%d", b.n, b.sessionCount), map[int]uint64{}, map[int]int{}}
 	}
 	h := &readhint.Hint{}
 	switch chance := b.rnd.Float64(); {
@@ -89,7 +89,7 @@
 
 // checkReads holds an answer to a try against the writers' history.
 func (b *broker) checkReads(q *clientQuery, v *server.QueryResult) {
-	c, r := &b.worker.tally.reads, &b.w.script.Reads
+	c, r := &b.runner.tally.reads, &b.w.script.Reads
 	if q.hint == nil {
 		return
 	}
@@ -134,12 +134,12 @@
 			b.reportBreach(7, "search %s: the position of shard %d is told as %v, and is %d", q.id, shard, v.Positions, pos)
 		}
 		if s := q.session; q.hint.Scope == readhint.ScopeSession {
-			if last, known := s.lastNode[shard]; known && last == node {
+			if last, known := s.node[shard]; known && last == node {
 				c.Same++
 			} else if known {
 				c.Elsewhere++
 			}
-			s.lastNode[shard] = node
+			s.node[shard] = node
 		}
 		q.session.seenOffsets[shard] = max(q.session.seenOffsets[shard], pos)
 	}
@@ -153,7 +153,7 @@
 	}
 	q.session, q.hint = nil, nil
 	if n := b.w.script.Brokers.Count; n > 1 && b.rnd.Float64() < b.w.script.Reads.MoveChance {
-		to := (b.number + 1 + b.rnd.IntN(n-1)) % n
+		to := (b.n + 1 + b.rnd.IntN(n-1)) % n
 		b.send(uint32(idBrokers+to), b.now+b.w.script.Network.CrossZoneDelay, kSessionMoved, 0, 0, s)
 		return
 	}
@@ -167,9 +167,9 @@
 		return
 	}
 	b.send(b.id, b.now+r.ShareInterval/2+time.Duration(b.rnd.Float64()*float64(r.ShareInterval)), kPullTimer, 0, 0, nil)
-	to := (b.number + 1 + b.rnd.IntN(n-1)) % n
+	to := (b.n + 1 + b.rnd.IntN(n-1)) % n
 	if took, lost, held := b.samplePath(b.zone, to%b.w.script.Fleet.Zones); b.core != nil && !lost && held == 0 {
-		b.send(uint32(idBrokers+to), b.now+took, kPullRequest, int32(b.number), uint64(b.now), nil)
+		b.send(uint32(idBrokers+to), b.now+took, kPullRequest, int32(b.n), uint64(b.now), nil)
 	}
 }
 
@@ -181,13 +181,13 @@
 	case kSessionMoved:
 		b.idleSessions = append(b.idleSessions, e.payload.(*session))
 	case kPullRequest:
-		if took, lost, held := b.samplePath(b.zone, int(e.arg32)%b.w.script.Fleet.Zones); b.core != nil && !lost && held == 0 {
+		if took, lost, held := b.samplePath(b.zone, int(e.n)%b.w.script.Fleet.Zones); b.core != nil && !lost && held == 0 {
 			data := b.core.CollectPositions()
-			b.worker.tally.reads.Facts += int64(len(data))
-			b.send(uint32(idBrokers)+uint32(e.arg32), b.now+took, kPullReply, 0, e.arg64, data)
+			b.runner.tally.reads.Facts += int64(len(data))
+			b.send(uint32(idBrokers)+uint32(e.n), b.now+took, kPullReply, 0, e.a, data)
 		}
 	case kPullReply:
-		if asked := time.Duration(e.arg64); b.core != nil && asked >= b.startedAt {
+		if asked := time.Duration(e.a); b.core != nil && asked >= b.startedAt {
 			b.core.MergePositions(e.payload.([]byte), b.now-asked)
 			b.scheduleStep()
 		}
@@ -198,7 +198,7 @@
 func (b *broker) addPinCounts() {
 	if b.core != nil && b.w.script.Reads.On {
 		if p := b.core.Counters().ReadPins; p != nil {
-			b.worker.tally.reads.Add(&ReadCounts{Pins: p.Counts})
+			b.runner.tally.reads.Add(&ReadCounts{Pins: p.Counts})
 		}
 	}
 }
--- a/internal/lab/play/replica.go
+++ b/internal/lab/play/replica.go
@@ -12,14 +12,14 @@
 	"flaxfront/internal/lab/script"
 )
 
-// replica is the state of a node: all that was acknowledged by a moment.
+// replicaState is the state of a node: all that was acknowledged by a moment.
 type replica struct {
-	stateAt      time.Duration // that moment
-	updatedAt    time.Duration // when it was last looked at
-	baseLag      time.Duration // how far it is behind in ordinary times
-	stalledUntil time.Duration // it takes no writes over before
-	clockDrift   float64       // its clock
-	clockError   time.Duration // its measure says so much too little
+	stateAt    time.Duration // that moment
+	updatedAt  time.Duration // when it was last looked at
+	baseLag    time.Duration // how far it is behind in ordinary times
+	lagsUntil  time.Duration // it takes no writes over before
+	clockDrift float64       // its clock
+	clockError time.Duration // its measure says so much too little
 }
 
 // positionAt is the position of a shard's last write that was acknowledged by a moment. Each shard has a pace of its own.
@@ -30,14 +30,14 @@
 
 func (n *node) startReplica() {
 	r := &n.w.script.Reads
-	n.replica = replica{baseLag: time.Duration(n.rnd.Float64() * float64(r.Lag)), clockDrift: n.rnd.Float64() * r.Drift,
+	n.replicaState = replica{baseLag: time.Duration(n.rnd.Float64() * float64(r.Lag)), clockDrift: n.rnd.Float64() * r.Drift,
 		clockError: time.Duration(n.rnd.Float64() * float64(r.ClockError))}
-	n.replica.stateAt = -n.replica.baseLag
+	n.replicaState.stateAt = -n.replicaState.baseLag
 }
 
 // advance takes over what has come since it was last looked at.
 func (r *replica) advance(now time.Duration, catch float64) {
-	if from := max(r.updatedAt, r.stalledUntil); now > from {
+	if from := max(r.updatedAt, r.lagsUntil); now > from {
 		r.stateAt = max(r.stateAt, min(now-r.baseLag, r.stateAt+time.Duration((1+catch)*float64(now-from))))
 	}
 	r.updatedAt = now
@@ -49,13 +49,13 @@
 	if !s.On {
 		return "", ""
 	}
-	r := &n.replica
+	r := &n.replicaState
 	r.advance(n.now, s.CatchUp)
 	_, text, _ := strings.Cut(requestID, ".")
 	shard, _ := strconv.Atoi(text)
 	pos := positionAt(s, shard, r.stateAt)
 	head := time.Duration(float64(n.now-r.stateAt)*(1-r.clockDrift)) - r.clockError
-	return "@" + strconv.FormatUint(pos, 10) + "@" + strconv.Itoa(n.number),
+	return "@" + strconv.FormatUint(pos, 10) + "@" + strconv.Itoa(n.n),
 		string(readpin.AppendReport(nil, readpin.Report{Offset: pos, HeadAge: max(0, head)}))
 }
 
--- a/internal/lab/play/result.go
+++ b/internal/lab/play/result.go
@@ -63,7 +63,7 @@
 	r.Hash = fmt.Sprintf("%016x", hash)
 	for _, k := range w.workers {
 		t := &k.tally
-		r.Events += k.eventCount
+		r.Events += k.n
 		r.Work.add(&t.work)
 		if s.Reads.On {
 			if r.Reads == nil {
--- a/internal/lab/play/sends.go
+++ b/internal/lab/play/sends.go
@@ -15,11 +15,11 @@
 	if len(frame) < 5 || frame[4] != 'q' {
 		return
 	}
-	if at, told := b.leavingSince[c.name]; told && b.now > at+b.w.script.Fleet.DrainGrace+timingTolerance {
-		b.reportBreach(3, "broker %d sent to %s %v after it was told that it leaves", b.number, c.name, b.now-at)
+	if at, leaving := b.leaving[c.name]; leaving && b.now > at+b.w.script.Fleet.DrainGrace+timingTolerance {
+		b.reportBreach(3, "broker %d sent to %s %v after it was told that it leaves", b.n, c.name, b.now-at)
 	}
-	work := &b.worker.tally.work
-	work.Calls++
+	counts := &b.runner.tally.work
+	counts.Calls++
 	for rest := frame[5 : 4+binary.LittleEndian.Uint32(frame)]; len(rest) > 0; {
 		line, after, _ := bytes.Cut(rest, []byte{'\n'})
 		id, shard, length := "", 0, 0
@@ -29,24 +29,24 @@
 			length, _ = strconv.Atoi(string(words[3]))
 		}
 		if id == "" || length > len(after) {
-			b.reportBreach(0, "broker %d wrote the line %.60q", b.number, line)
+			b.reportBreach(0, "broker %d wrote the line %.60q", b.n, line)
 			return
 		}
 		rest = after[length:]
 		q := b.openQueries[queryIDOf(id)]
 		if q == nil || q.ended {
-			b.reportBreach(1, "broker %d sent part %s after its search's answer", b.number, id)
+			b.reportBreach(1, "broker %d sent part %s after its search's answer", b.n, id)
 			continue
 		}
-		work.Parts++
+		counts.Parts++
 		for i, s := range q.shards {
 			if s == shard {
 				if q.attemptsByShard[i]++; q.attemptsByShard[i] > 1 {
-					work.Further++
+					counts.Further++
 					b.auditExtraAttempts()
 				}
 				if int(q.attemptsByShard[i]) > b.w.script.Brokers.Attempts {
-					b.reportBreach(6, "broker %d sent part %s %d times", b.number, id, q.attemptsByShard[i])
+					b.reportBreach(6, "broker %d sent part %s %d times", b.n, id, q.attemptsByShard[i])
 				}
 			}
 		}
@@ -68,7 +68,7 @@
 	}
 	b.extraSends, b.creditedRequests = append(dropExpired(b.extraSends), b.now), dropExpired(b.creditedRequests)
 	if limit := t.ExtraAttemptsMin + t.ExtraAttemptsShare*float64(len(b.creditedRequests)); float64(len(b.extraSends)) > limit {
-		b.reportBreach(6, "broker %d sent %d further sub-requests in %v, %.1f allowed", b.number, len(b.extraSends), t.ExtraAttemptsWindow, limit)
+		b.reportBreach(6, "broker %d sent %d further sub-requests in %v, %.1f allowed", b.n, len(b.extraSends), t.ExtraAttemptsWindow, limit)
 	}
 }
 
--- a/internal/lab/play/tally.go
+++ b/internal/lab/play/tally.go
@@ -173,7 +173,7 @@
 
 // reportBreach notes a broken rule.
 func (s *actorState) reportBreach(rule int, format string, args ...any) {
-	t := &s.worker.tally
+	t := &s.runner.tally
 	t.breachCount++
 	if len(t.breaches) < maxBreaches {
 		t.breaches = append(t.breaches, Breach{s.now, rule, fmt.Sprintf(format, args...)})
--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -34,10 +34,10 @@
 			n.Endpoint.StartedAt -= b.startedAt
 		}
 		if n.Endpoint.State == decision.Ready {
-			delete(b.leavingSince, n.Name)
+			delete(b.leaving, n.Name)
 			b.nodeIDs[number] = n.Endpoint.Node
-		} else if _, told := b.leavingSince[n.Name]; !told {
-			b.leavingSince[n.Name] = b.now
+		} else if _, leaving := b.leaving[n.Name]; !leaving {
+			b.leaving[n.Name] = b.now
 		}
 	}
 	b.core.HandleList(&list, nil)
@@ -59,7 +59,7 @@
 		b.send(b.w.nodeActorID(c.node), b.deliveryTime(b.zone, b.w.script.ZoneOf(c.node), &c.lastArrival), kClose, 0, c.id, nil)
 	}
 	clear(b.conns)
-	clear(b.leavingSince)
+	clear(b.leaving)
 	for _, id := range slices.Sorted(maps.Keys(b.openQueries)) {
 		q := b.openQueries[id]
 		delete(b.openQueries, id)
@@ -75,7 +75,7 @@
 	if b.core == nil || b.nodeIDs == nil || b.now > b.w.script.Length+settleTime || b.w.script.Fleet.Nodes > 200 && int(b.now/time.Second)%10 != 0 {
 		return
 	}
-	unavailable := b.worker.tally.distrustAt(b.now, b.w.script.Fleet.Nodes)
+	unavailable := b.runner.tally.distrustAt(b.now, b.w.script.Fleet.Nodes)
 	for n, id := range b.nodeIDs {
 		if !b.core.IsNodeAvailable(id) {
 			unavailable[n]++
@@ -90,6 +90,6 @@
 		return
 	}
 	for _, q := range b.openQueries {
-		b.reportBreach(1, "search %s of broker %d has no answer", q.id, b.number)
+		b.reportBreach(1, "search %s of broker %d has no answer", q.id, b.n)
 	}
 }
--- a/internal/lab/play/trouble.go
+++ b/internal/lab/play/trouble.go
@@ -10,13 +10,13 @@
 // applyFault is what the script does to the node.
 func (n *node) applyFault(e *script.Event) {
 	if !n.processDown && n.vanishCount == 0 { // else it took nothing over
-		n.replica.advance(n.now, n.w.script.Reads.CatchUp)
+		n.replicaState.advance(n.now, n.w.script.Reads.CatchUp)
 	}
 	switch e.Action {
 	case script.Lags:
-		n.replica.stalledUntil = max(n.replica.stalledUntil, n.now+e.Span)
+		n.replicaState.lagsUntil = max(n.replicaState.lagsUntil, n.now+e.Span)
 	case script.RollsBack:
-		n.replica.stateAt -= e.Span
+		n.replicaState.stateAt -= e.Span
 	case script.Dies, script.Leaves:
 		n.processDown = true
 		n.loseState()
@@ -25,7 +25,7 @@
 	case script.Returns:
 		if n.vanishCount > 0 { // its machine is back; what it had open is not
 			if n.vanishCount--; n.vanishCount == 0 {
-				n.replica.updatedAt = n.now
+				n.replicaState.updatedAt = n.now
 				n.resetConns()
 			}
 			return
@@ -53,8 +53,8 @@
 	for len(n.conns) > 0 {
 		l := n.conns[len(n.conns)-1]
 		n.dropConn(l)
-		n.worker.tally.work.Resets++
-		n.send(l.broker, n.deliveryTime(n.zone, l.zone, &l.lastArrival), kConnDown, downReset, l.id, nil)
+		n.runner.tally.work.Resets++
+		n.send(l.brokerID, n.deliveryTime(n.zone, l.zone, &l.lastArrival), kConnDown, downReset, l.id, nil)
 	}
 }
 
@@ -69,8 +69,8 @@
 	n.startCount++
 	n.processDown, n.crashed, n.hangCount, n.stalledUntil, n.cold, n.startedAt = false, false, 0, 0, true, n.now
 	n.recentWork, n.recentWorkSum = nil, 0
-	n.replica.updatedAt = n.now // it took nothing over meanwhile
-	if len(n.w.workers) == 1 {  // else nobody may look in
-		n.w.byID[discovery.IDOfName(nodeName(n.number, n.startCount))] = n
+	n.replicaState.updatedAt = n.now // it took nothing over meanwhile
+	if len(n.w.workers) == 1 {       // else nobody may look in
+		n.w.byID[discovery.IDOfName(nodeName(n.n, n.startCount))] = n
 	}
 }
--- a/internal/lab/play/world.go
+++ b/internal/lab/play/world.go
@@ -96,26 +96,26 @@
 		w.trace = json.NewEncoder(o.Trace)
 	}
 	for i := range cores {
-		w.workers = append(w.workers, &worker{index: i, outbox: make([][]queueItem, cores),
+		w.workers = append(w.workers, &worker{at: i, outbox: make([][]queueItem, cores),
 			tally: tally{latencyByRow: make([]Latency, w.rows)}})
 	}
-	join := func(a actor, state *actorState) {
+	attach := func(a actor, state *actorState) {
 		state.attach(w, uint32(len(w.actors)))
 		w.actors = append(w.actors, registeredActor{state, a})
 	}
 	d := newSimDiscovery(w)
-	join(d, &d.actorState)
-	a := &auditor{executions: map[uint64]execution{}, shed: map[uint64]time.Duration{}}
-	join(a, &a.actorState)
+	attach(d, &d.actorState)
+	a := &auditor{executed: map[uint64]execution{}, shed: map[uint64]time.Duration{}}
+	attach(a, &a.actorState)
 	var brokers []*broker
 	for i := range s.Brokers.Count {
 		b := newBroker(w, i, o.Policy)
-		join(b, &b.actorState)
+		attach(b, &b.actorState)
 		brokers = append(brokers, b)
 	}
 	for i := range s.Fleet.Nodes {
 		n := newNode(w, i)
-		join(n, &n.actorState)
+		attach(n, &n.actorState)
 		w.nodes = append(w.nodes, n)
 		w.byID[discovery.IDOfName(nodeName(i, 0))] = n
 	}
--- a/internal/lab/proof/disk_test.go
+++ b/internal/lab/proof/disk_test.go
@@ -76,7 +76,7 @@
 		}
 	}
 	c.waitForStatus("another leads", func(s *controlplane.Status) bool { return s.Leader != full.Name })
-	c.waitAllBrokers(statemachine.BrokerServing) // it follows the others from now on: it takes no place in any limit, and hears of drains
+	c.all(statemachine.BrokerServing) // it follows the others from now on: it takes no place in any limit, and hears of drains
 	if up, said := full.Serving(); !up || !said {
 		t.Error("a broker whose disk is full does not serve")
 	}
@@ -88,7 +88,7 @@
 	if err := c.Start(full); err != nil {
 		t.Fatal(err)
 	}
-	c.waitAllBrokers(statemachine.BrokerServing)
+	c.all(statemachine.BrokerServing)
 
 	other := c.BrokerNamed(c.waitForStatus("a leader", func(s *controlplane.Status) bool { return s.Leader != "" }).Leader)
 	wrong := c.Brokers[(other.Index+1)%3]
@@ -122,7 +122,7 @@
 	if err := c.Start(wrong); err != nil {
 		t.Fatal(err)
 	}
-	c.waitAllBrokers(statemachine.BrokerServing)
+	c.all(statemachine.BrokerServing)
 }
 
 // corruptLog changes a byte in the first half of the largest file.
--- a/internal/lab/proof/drain_test.go
+++ b/internal/lab/proof/drain_test.go
@@ -99,7 +99,7 @@
 		t.Errorf("%d parts came to a drained node; %v", x.ShardRequests.Load()-had, out.Violations)
 	}
 	c.Mesh.Heal(true)
-	c.waitAllBrokers(statemachine.BrokerServing)
+	c.all(statemachine.BrokerServing)
 	c.waitDrained(name) // now by its own word
 	again := c.Clients(60, 10)
 	if n := countArrivals(x, quietSpan); n > 0 {
--- a/internal/lab/proof/frozen_test.go
+++ b/internal/lab/proof/frozen_test.go
@@ -47,7 +47,7 @@
 		c.mustRun("halt", "trial") // else it would get another permit, and go by that
 		c.Mesh.Heal(false)         // what it said meanwhile arrives now
 		if !provoked {
-			c.waitAllBrokers(statemachine.BrokerServing)
+			c.all(statemachine.BrokerServing)
 		}
 	}
 	if !provoked {
@@ -57,7 +57,7 @@
 		t.Fatal("it has gone before it was stopped")
 	}
 	b.Resume()
-	c.waitAllBrokers(statemachine.BrokerServing)
+	c.all(statemachine.BrokerServing)
 	time.Sleep(quietSpan)
 	if n := len(c.Monitor.PlannedStops()); n != 0 || !b.Running() {
 		t.Fatalf("%d went out by a permit that was void", n)
--- a/internal/lab/proof/history_test.go
+++ b/internal/lab/proof/history_test.go
@@ -33,8 +33,8 @@
 // drainModel is one node: the number of its drain, 0 for none. A drain's number is the index of its entry, so that it only grows. Whether
 // one whose fate is unknown took effect is for the checker to find; its number is known only to whoever reads it.
 type drainModel struct {
-	number        uint64
-	numberUnknown bool // drained under a number that nobody was told yet
+	number uint64
+	any    bool // drained under a number that nobody was told yet
 }
 
 var historyModel = porcupine.Model{
@@ -53,9 +53,9 @@
 	Init: func() any { return drainModel{} },
 	Step: func(state, input, output any) (bool, any) {
 		s, in, out := state.(drainModel), input.(operation), output.(outcome)
-		drained := s.numberUnknown || s.number > 0
+		drained := s.any || s.number > 0
 		switch {
-		case in.verb == controlplane.VerbStatus && s.numberUnknown:
+		case in.verb == controlplane.VerbStatus && s.any:
 			return out.number > 0, drainModel{number: out.number}
 		case in.verb == controlplane.VerbStatus:
 			return out.number == s.number, s
@@ -66,7 +66,7 @@
 		case out.kind == 'r':
 			return drained == (in.verb == controlplane.VerbDrain), s
 		case in.verb == controlplane.VerbDrain && !drained: // unknown, and it took effect
-			return true, drainModel{numberUnknown: true}
+			return true, drainModel{any: true}
 		case in.verb == controlplane.VerbUndrain: // unknown
 			return true, drainModel{}
 		default:
@@ -80,7 +80,7 @@
 type recorder struct {
 	mu          sync.Mutex
 	began       time.Time
-	operations  []porcupine.Operation
+	all         []porcupine.Operation
 	countByKind map[byte]int
 }
 
@@ -93,7 +93,7 @@
 		op.Return = math.MaxInt64
 	}
 	r.countByKind[out.kind]++
-	r.operations = append(r.operations, op)
+	r.all = append(r.all, op)
 }
 
 // runOperations puts operations through one voter, one after another, until ctx ends.
@@ -184,14 +184,14 @@
 			}
 			all.Go(func() { c.injectLinkFaults(ctx, rand.New(rand.NewPCG(seed, 7))) })
 			all.Wait()
-			if v := checkHistory(r.operations); v != porcupine.Ok {
-				t.Fatalf("the history of %d operations is not linearizable: %s", len(r.operations), v)
+			if v := checkHistory(r.all); v != porcupine.Ok {
+				t.Fatalf("the history of %d operations is not linearizable: %s", len(r.all), v)
 			}
-			t.Logf("%d operations, done %d, refused %d, unknown %d", len(r.operations), r.countByKind['d'], r.countByKind['r'], r.countByKind['u'])
+			t.Logf("%d operations, done %d, refused %d, unknown %d", len(r.all), r.countByKind['d'], r.countByKind['r'], r.countByKind['u'])
 			if r.countByKind['d'] < 10 || r.countByKind['r'] < 1 {
 				t.Error("too little was done")
 			}
-			c.waitAllBrokers(statemachine.BrokerServing)
+			c.all(statemachine.BrokerServing)
 		})
 	}
 }
--- a/internal/lab/proof/hunt_test.go
+++ b/internal/lab/proof/hunt_test.go
@@ -72,7 +72,7 @@
 			c.waitForStatus("the release is done, or halted as one that was out came back as it was", func(s *controlplane.Status) bool {
 				return s.Release != nil && s.Release.State != statemachine.ReleaseRunning
 			})
-			c.waitAllBrokers(statemachine.BrokerServing)
+			c.all(statemachine.BrokerServing)
 			c.checkRelease(most, clients.Stop())
 			for _, b := range c.Brokers {
 				if n := plannedStops(b); n > 1 || b.Version != "v2" {
--- a/internal/lab/proof/main_test.go
+++ b/internal/lab/proof/main_test.go
@@ -99,7 +99,7 @@
 	if err := c.StartAll(waitLimit); err != nil {
 		t.Fatal(err)
 	}
-	c.waitAllBrokers(statemachine.BrokerServing)
+	c.all(statemachine.BrokerServing)
 	c.waitFor("the outside view has all serve", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Monitor.Serves(b.Name) {
@@ -147,8 +147,8 @@
 	return s
 }
 
-// waitAllBrokers waits until all brokers stand as given.
-func (c *tier) waitAllBrokers(as statemachine.BrokerStatus) {
+// all waits until all brokers stand as given.
+func (c *tier) all(as statemachine.BrokerStatus) {
 	c.t.Helper()
 	c.waitForStatus(fmt.Sprint("all are ", as), func(s *controlplane.Status) bool {
 		n := 0
--- a/internal/lab/proof/majority_test.go
+++ b/internal/lab/proof/majority_test.go
@@ -112,5 +112,5 @@
 		t.Error("a broker that hears no other does not serve")
 	}
 	c.Mesh.Heal(false)
-	c.waitAllBrokers(statemachine.BrokerServing)
+	c.all(statemachine.BrokerServing)
 }
--- a/internal/lab/proof/pins_test.go
+++ b/internal/lab/proof/pins_test.go
@@ -34,7 +34,7 @@
 type readTotals struct {
 	sync.Mutex
 	asked, answered, refused, behind, parts int
-	violations                              []string
+	broken                                  []string
 }
 
 // read puts one search with a hint to a broker, and holds what came against the writer's log. Times are of one clock: the broker took
@@ -73,7 +73,7 @@
 	r.totals.asked++
 	if err != nil {
 		if !crashed() {
-			r.totals.violations = append(r.totals.violations, fmt.Sprint("no answer: ", err))
+			r.totals.broken = append(r.totals.broken, fmt.Sprint("no answer: ", err))
 		}
 		return
 	}
@@ -91,7 +91,7 @@
 		}
 	}
 	if err := json.Unmarshal(text, &a); err != nil {
-		r.totals.violations = append(r.totals.violations, err.Error())
+		r.totals.broken = append(r.totals.broken, err.Error())
 		return
 	}
 	for _, p := range a.Pieces {
@@ -103,7 +103,7 @@
 // checkShardRead checks one part against what was asked for and what the answer says.
 func (r *sessionReader) checkShardRead(shard int, has, needed uint64, sent time.Time, bound time.Duration, mayBehind bool, h http.Header, hint string) {
 	violation := func(format string, args ...any) {
-		r.totals.violations = append(r.totals.violations, fmt.Sprintf("shard %d of %q: ", shard, hint)+fmt.Sprintf(format, args...))
+		r.totals.broken = append(r.totals.broken, fmt.Sprintf("shard %d of %q: ", shard, hint)+fmt.Sprintf(format, args...))
 	}
 	r.totals.parts++
 	in := func(list, item string) bool { return strings.Contains(","+list+",", ","+item+",") }
@@ -153,8 +153,8 @@
 	} {
 		r := &sessionReader{w: w, seenPositions: map[int]uint64{}, totals: &readTotals{}}
 		r.checkShardRead(3, one.has, one.needed, sent, 100*time.Millisecond, one.mayBehind, one.h, "")
-		if found, none := len(r.totals.violations), name == "" || strings.HasSuffix(name, "said and allowed"); (found == 0) != none {
-			t.Errorf("%q: %v", name, r.totals.violations)
+		if found, none := len(r.totals.broken), name == "" || strings.HasSuffix(name, "said and allowed"); (found == 0) != none {
+			t.Errorf("%q: %v", name, r.totals.broken)
 		}
 	}
 }
@@ -212,13 +212,13 @@
 		}
 	})
 	all.Wait()
-	for i, broken := range sums.violations {
+	for i, broken := range sums.broken {
 		if i < 5 {
 			t.Error(broken)
 		}
 	}
 	t.Logf("%d asked, %d answered, %d refused; %d parts held against the log, %d said that they are behind; %d wrong", sums.asked, sums.answered,
-		sums.refused, sums.parts, sums.behind, len(sums.violations))
+		sums.refused, sums.parts, sums.behind, len(sums.broken))
 	if sums.answered*2 < sums.asked || sums.parts < 300 || sums.behind == 0 || sums.refused == 0 {
 		t.Error("too little was served, or nothing was ever behind: the test says little")
 	}
--- a/internal/lab/proof/release_test.go
+++ b/internal/lab/proof/release_test.go
@@ -42,7 +42,7 @@
 	c.waitForStatus("the release is done", func(s *controlplane.Status) bool {
 		return s.Release != nil && s.Release.State == statemachine.ReleaseDone
 	})
-	c.waitAllBrokers(statemachine.BrokerServing)
+	c.all(statemachine.BrokerServing)
 	c.waitFor("the outside view has all serve again", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Monitor.Serves(b.Name) {
