--- a/internal/lab/play/cores.go
+++ b/internal/lab/play/cores.go
@@ -52,9 +52,9 @@
 	n.cores[core] = nil
 	if j.id != "" {
 		counts := &n.runner.tally.work
-		a := store.Answer{ID: j.id, End: store.Served, Value: expectedValue(j.id) + j.version, Report: j.report}
+		a := store.Answer{ID: j.id, Result: store.Served, Value: expectedValue(j.id) + j.version, Report: j.report}
 		if errorShare := n.w.schedule.ErrorShare(n.n, n.now); errorShare > 0 && n.rnd.Float64() < errorShare {
-			a.End, a.Value = store.Broke, ""
+			a.Result, a.Value = store.Broke, ""
 			counts.Broke++
 		} else {
 			counts.Served++
--- a/internal/lab/play/offer.go
+++ b/internal/lab/play/offer.go
@@ -60,7 +60,7 @@
 	}
 	if len(n.queue) >= n.w.script.Fleet.Queue+len(n.cores) {
 		counts.Skipped++
-		n.sendAnswer(l, store.Answer{ID: id, End: store.Skipped})
+		n.sendAnswer(l, store.Answer{ID: id, Result: store.Skipped})
 		return
 	}
 	n.enqueue(&job{conn: l, id: id, work: work, effect: n.w.terms.Module.QueryTypes[typ].Idempotency, sentAt: written})
--- a/internal/lab/play/reads_test.go
+++ b/internal/lab/play/reads_test.go
@@ -46,8 +46,8 @@
 func TestAuditDetectsUnderstatedAges(t *testing.T) {
 	defer func() { changeOperatorFileForTest = nil }()
 	for name, change := range map[string]func(*operator.File){
-		"ages 60 ms too low": func(f *operator.File) { f.Fleet.ClockError = -60 * time.Millisecond },
-		"clocks trusted":     func(f *operator.File) { f.Fleet.ClockError = -time.Millisecond },
+		"ages 60 ms too low": func(f *operator.File) { f.ControlPlaneSettings.ClockError = -60 * time.Millisecond },
+		"clocks trusted":     func(f *operator.File) { f.ControlPlaneSettings.ClockError = -time.Millisecond },
 	} {
 		changeOperatorFileForTest = change
 		r := mustPlay(t, decodeScript(t, laggingScript), Options{Policy: Module})
--- a/internal/lab/script/shapes.go
+++ b/internal/lab/script/shapes.go
@@ -40,7 +40,7 @@
 	Attempts      int           `json:"attempts" default:"4" min:"1" max:"16" doc:"sub-requests for a part at most"`
 	ExtraAttempts float64       `json:"budget" default:"0" min:"0" max:"1" doc:"further sub-requests as a share of searches and parts in 10s; 0: none is set"`
 	StepCost      time.Duration `json:"turn_cost" default:"40us" min:"0s" max:"10ms" doc:"of the core that a broker's turn takes"`
-	Door          bool          `json:"door" doc:"fair queues at the door, as the operators' file switches them on"`
+	Admission     bool          `json:"door" doc:"fair queues at the door, as the operators' file switches them on"`
 	KeepList      bool          `json:"keep_list" doc:"the node list is kept over restarts"`
 }
 
--- a/internal/server/admission_test.go
+++ b/internal/server/admission_test.go
@@ -116,7 +116,7 @@
 	now := time.Duration(0)
 	l.clock = func() time.Duration { return now }
 	l.pool = store.NewPool(t.Context(), store.Limits{}, nil, l.since, nil, nil, l.attemptEnded)
-	admission, err := newAdmissionControl(&operator.Default().Door, &terms.Terms{})
+	admission, err := newAdmissionControl(&operator.Default().Admission, &terms.Terms{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 	now = 1300 * time.Millisecond
 	l.advance()
 	now = 1640 * time.Millisecond
-	l.attemptEnded(&store.Part{Part: q.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
+	l.attemptEnded(&store.Subrequest{Subrequest: q.id + 1, Sent: 1300 * time.Millisecond}, decision.OK, 1340*time.Millisecond, "v")
 	l.advance()
 	now = 4 * time.Second
 	l.advance()
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -46,22 +46,22 @@
 
 // openPool creates the pool of connections to nodes.
 func (s *Server) openPool(connections int) {
-	t, o := &s.start.Terms, &s.operator.Back
+	t, o := &s.start.Terms, &s.operator.StoreProtocol
 	limits := store.Limits{Streams: t.Streams, Idle: t.Idle, Dial: t.Dial, Silent: t.LongestTimeout(), Conns: connections}
 	if o.Protocol != "" {
 		limits.Streams = 1 // a session carries one attempt at a time
 	}
 	post := func(e store.Event) { s.deliver(connectionEvent{e}) }
 	s.loop.pool = store.NewPool(s.ctx, limits, store.DialTCP, s.loop.since, s.group.Go, post, s.loop.attemptEnded)
-	s.loop.pool.Probed = s.loop.healthCheckEnded
-	if s.controlPlane != nil && s.operator.Fleet.Budgets {
+	s.loop.pool.ProbeEnded = s.loop.healthCheckEnded
+	if s.controlPlane != nil && s.operator.ControlPlaneSettings.Budgets {
 		s.openConnLeases(limits.Streams)
 	}
 	if s.loop.readPins != nil {
 		s.loop.pool.KeepReports()
 	}
 	if o.Protocol != "" {
-		s.loop.pool.Carry(back.Carrier(s.ctx, back.Options{Protocol: o.Protocol, Database: o.Database, Dial: t.Dial, Now: s.loop.since, Post: post}))
+		s.loop.pool.SetCarrier(back.Carrier(s.ctx, back.Options{Protocol: o.Protocol, Database: o.Database, Dial: t.Dial, Now: s.loop.since, Post: post}))
 	}
 }
 
@@ -87,7 +87,7 @@
 func (s *Server) startGossip() {
 	if s.gossip != nil {
 		s.startGoroutine(s.gossip.Send)
-		s.startGoroutine(s.gossip.Hear)
+		s.startGoroutine(s.gossip.Receive)
 	}
 	if s.seedStore != nil {
 		s.startGoroutine(s.seedStore.Run)
