--- a/internal/transport/store/budget.go
+++ b/internal/transport/store/budget.go
@@ -1,34 +1,35 @@
 package store
 
-// This file owns how the pool keeps to a budget that is divided between brokers and tenants: none is opened without leave, and
-// what is not held any more is closed, idle connections first. It must never know how budgets are divided.
+// This file makes the pool respect a connection budget that is divided between brokers and tenants: it asks the budget before it opens a
+// connection, and closes those that the budget no longer covers, idle ones first. How the budget is divided is not known here.
 
 import "flaxfront/internal/decision"
 
-// OpenDecision is an answer to whether a connection may be opened.
+// OpenDecision states whether a connection may be opened, and who may use it.
 type OpenDecision uint8
 
 const (
 	Denied        OpenDecision = iota
-	OpenForTenant              // it is the tenant's: no other's parts go over it
-	OpenShared                 // it is the broker's: parts of all tenants go over it
+	OpenForTenant              // only this tenant's attempts may use it
+	OpenShared                 // attempts of all tenants may use it
 )
 
-// Budget says what may be opened. It is asked in the loop, before each connection, and told of the end of each.
+// Budget decides which connections may be opened. The loop calls Open before it opens a connection, and Closed after each end of one;
+// byNode reports whether the node closed it.
 type Budget interface {
 	Open(node decision.NodeID, tenant int) OpenDecision
 	Closed(node decision.NodeID, tenant int, byNode bool)
 }
 
-// SetBudget has the pool keep to a budget. It is called before anything is sent; without it Limits alone bound.
+// SetBudget sets the budget that the pool respects. It must be called before anything is sent. Without a budget, only Limits apply.
 func (p *Pool) SetBudget(b Budget) { p.budget = b }
 
-// mayUse tells whether a tenant's parts may go over a connection.
+// mayUse reports whether a tenant's attempts may use a connection.
 func (p *Pool) mayUse(c *conn, tenant int) bool {
 	return p.budget == nil || c.shared || c.tenant == tenant
 }
 
-// openDecision asks for a connection, and gives what the connection then is.
+// openDecision asks the budget, if there is one, whether a connection for a tenant may be opened.
 func (p *Pool) openDecision(n *node, tenant int) OpenDecision {
 	if p.budget == nil {
 		return OpenShared
@@ -36,22 +37,22 @@
 	return p.budget.Open(n.id, tenant)
 }
 
-// reportClosed tells the budget of a connection's end.
+// reportClosed tells the budget that a connection has ended.
 func (p *Pool) reportClosed(c *conn, byNode bool) {
 	if p.budget != nil {
 		p.budget.Closed(c.node.id, c.tenant, byNode)
 	}
 }
 
-// endedByNode tells of which ends the node knows already. A dial that ran out of time is not among them: the
-// node may have taken it.
+// endedByNode reports whether the reason code implies that the node knows of the connection's end. A dial that timed out does not: the
+// node may have accepted it.
 func endedByNode(reason string) bool {
 	return reason == "closed_by_node" || reason == "reset" || reason == "refused"
 }
 
-// ReleaseConnections closes so many of a tenant's connections to a node: those that carry nothing at once, of the others those with the least,
-// which get nothing more; where hard is true all of them at once. Danger: a lease ends while parts are out, and another broker
-// fills the node's place; those parts end as reset, which costs them a resend. It tells how many still carry something.
+// ReleaseConnections releases count of a tenant's connections to a node: idle ones are closed at once, and then those with the fewest
+// attempts in flight are retired, so that they close when idle. It returns how many were retired. With immediate, all are closed at once:
+// the lease has ended, and another broker may use the node's capacity. Their attempts end as connection reset and must be sent again.
 func (p *Pool) ReleaseConnections(id decision.NodeID, tenant, count int, immediate bool) (remaining int) {
 	n := p.nodes[id]
 	if n == nil {
@@ -75,19 +76,19 @@
 		remaining++
 	}
 	for _, c := range n.conns {
-		c.selected = false // which ones are chosen anew each time: the same, as they get nothing more
+		c.selected = false // the next call selects the same ones again, as they are retired
 	}
 	return remaining
 }
 
-// Status closes all connections.
+// CloseAll closes all connections with a reason code.
 func (p *Pool) CloseAll(reason string) {
 	for _, n := range p.nodeOrder {
 		p.closeWhere(n, reason, func(*conn) bool { return true })
 	}
 }
 
-// releasedBefore orders connections for Shed: those that get nothing more already, then those with the least.
+// releasedBefore orders connections for ReleaseConnections: retired ones first, then by the number of attempts in flight.
 func (c *conn) releasedBefore(o *conn) bool {
 	if c.retired != o.retired {
 		return c.retired
@@ -95,7 +96,7 @@
 	return c.inFlight.len() < o.inFlight.len()
 }
 
-// VisitInFlight tells how many parts of each tenant are out at each node, or wait for a connection to it.
+// VisitInFlight calls visit, with a count of 1, for each attempt that is in flight at a node or waits for a connection to it.
 func (p *Pool) VisitInFlight(visit func(node decision.NodeID, tenant, attempts int)) {
 	for _, n := range p.nodeOrder {
 		for _, c := range n.conns {
--- a/internal/transport/store/conn.go
+++ b/internal/transport/store/conn.go
@@ -1,7 +1,7 @@
 package store
 
-// This file owns one connection's state: what is out on it, what was given up, how a call is written and how it closes. It must
-// never end a part twice.
+// This file holds the state of a connection: attempts in flight and abandoned ones, and how calls are written and connections are closed. It
+// must never end an attempt twice.
 
 import (
 	"context"
@@ -16,30 +16,30 @@
 type conn struct {
 	node            *node
 	addr            netip.AddrPort
-	up              Conn // nil until it is up
+	up              Conn // nil until established
 	cancel          context.CancelFunc
 	dialed          time.Duration
-	lastActive      time.Duration // when something last passed
-	unansweredSince time.Duration // since when it was sent calls and said nothing; 0: it owes none
+	lastActive      time.Duration // when a call was last written or an answer received
+	unansweredSince time.Duration // when the first call after the last answer was written; 0: none was
 	inFlight        attemptSet
-	abandonedIDs    []string // ids of parts given up, that may still be answered; the last maxAbandonedIDs of them
+	abandonedIDs    []string // ids of abandoned attempts that may still be answered: the last maxAbandonedIDs
 	abandonedCount  int
-	queue           [][]*Subrequest // calls that wait for the connection to come up; no more parts than streams
+	queue           [][]*Subrequest // calls that wait for the connection to be established
 	answers         int
-	reason          string // why the loop closed it
+	reason          string // reason code with which the loop closed it
 	closed          bool
 
-	retired      bool // it gets nothing more
-	probePending bool // a probe waits for it to come up
-	selected     bool // within one call of Shed: chosen
-	shared       bool // it is the broker's, not one tenant's
+	retired      bool // it gets no new attempts, and closes when idle
+	probePending bool // a probe waits until it is established
+	selected     bool // by the current call of ReleaseConnections
+	shared       bool // all tenants may use it
 	tenant       int
 }
 
-// maxAbandonedIDs bounds the ids of parts given up that a connection remembers. Of older ones the node has heard long ago.
+// maxAbandonedIDs is the number of abandoned attempts whose ids a connection remembers. The node got the cancels of older ones long ago.
 const maxAbandonedIDs = 256
 
-// rememberAbandoned keeps the id of a part that the node may still answer.
+// rememberAbandoned keeps the id of an abandoned attempt, which the node may still answer.
 func (c *conn) rememberAbandoned(id string) {
 	if len(c.abandonedIDs) < maxAbandonedIDs {
 		c.abandonedIDs = append(c.abandonedIDs, id)
@@ -49,7 +49,7 @@
 	c.abandonedCount++
 }
 
-// takeAbandoned tells whether a part of that id was given up; it is answered once at the most.
+// takeAbandoned reports whether the attempt with an id was abandoned, and forgets the id, as an attempt is answered at most once.
 func (c *conn) takeAbandoned(id string) bool {
 	at := slices.Index(c.abandonedIDs, id)
 	if at >= 0 {
@@ -58,7 +58,8 @@
 	return at >= 0
 }
 
-// writeCall writes one frame at once, or ends the connection.
+// writeCall writes a call as one frame. If the connection does not take all of it at once, it is closed. After errWriteBlocked the attempts
+// have ended; after any other error nothing was written, and the caller still has them.
 func (p *Pool) writeCall(c *conn, attempts []*Subrequest) error {
 	now := p.since()
 	p.buf = appendCall(p.buf[:0], attempts, now)
@@ -86,7 +87,7 @@
 	return err
 }
 
-// write hands a frame to the socket without waiting; a part of it is as good as none.
+// write writes a frame without blocking. It returns errWriteBlocked if only a part of it could be written.
 func (c *conn) write(frame []byte) error {
 	n, err := c.up.TryWrite(frame)
 	if err == nil && n < len(frame) {
@@ -95,7 +96,7 @@
 	return err
 }
 
-// Retire ends the connections to a node as soon as they carry nothing, and sends nothing more over them.
+// Retire sends no new attempts over the present connections to a node, and closes each as soon as it is idle.
 func (p *Pool) Retire(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
 		for _, c := range n.conns {
@@ -106,22 +107,22 @@
 	}
 }
 
-// CloseIdle ends the connections to a node that carry nothing.
+// CloseIdle closes the connections to a node that have no attempt in flight.
 func (p *Pool) CloseIdle(id decision.NodeID, reason string) {
 	if n := p.nodes[id]; n != nil {
 		p.closeWhere(n, reason, func(c *conn) bool { return c.inFlight.len() == 0 })
 	}
 }
 
-// Sweep ends what is due: parts nobody waits for any more and connections that idled. It tells when to come again.
-// Connections are looked at only when something can be due, not with each turn.
+// Sweep ends attempts whose deadline has passed and closes connections that are idle for too long. It returns when it must be called again.
+// It inspects the connections only when something can be due, not in each step of the loop.
 func (p *Pool) Sweep(now time.Duration) (next time.Duration) {
 	if now < p.nextSweep {
 		return p.nextSweep
 	}
 	next = now + p.limits.Idle
 	for _, n := range p.nodeOrder {
-		for i := len(n.conns) - 1; i >= 0; i-- { // from the end, as some are taken out
+		for i := len(n.conns) - 1; i >= 0; i-- { // backwards, as close removes elements
 			c := n.conns[i]
 			for j := c.inFlight.len() - 1; j >= 0; j-- {
 				if attempt := c.inFlight.attempts[j]; attempt.Deadline <= now {
@@ -130,7 +131,7 @@
 					next = min(next, attempt.Deadline)
 				}
 			}
-			// Before the node does it: a part that crosses the node's close would be lost.
+			// Close it before the node does: an attempt sent while the node closes would be lost.
 			if idleEnd := c.lastActive + p.limits.Idle - p.limits.Dial; c.inFlight.len() > 0 {
 				continue
 			} else if n.unlisted {
@@ -163,7 +164,7 @@
 	}
 }
 
-// close ends a connection for the loop's own reasons.
+// close closes a connection from this side, with a reason code.
 func (p *Pool) close(c *conn, reason string) {
 	if !c.closed {
 		c.reason = reason
@@ -172,7 +173,7 @@
 	}
 }
 
-// removeConn takes a connection off the books; its parts end as the protocol says.
+// removeConn removes a connection and ends its attempts: as reset if they were written, else as failed to connect.
 func (p *Pool) removeConn(c *conn, at time.Duration, byNode bool) {
 	c.closed = true
 	p.endProbe(c, decision.ConnectFailed, at)
--- a/internal/transport/store/dial.go
+++ b/internal/transport/store/dial.go
@@ -1,7 +1,6 @@
 package store
 
-// This file owns how a connection comes up: which one a call takes, when another is dialled, and who reads it. It must never wait
-// for one in the loop.
+// This file selects the connection for a call, dials new connections, and reads from them. It must never block the loop.
 
 import (
 	"bufio"
@@ -16,22 +15,22 @@
 
 var (
 	errFrame        = errors.New("bad frame")
-	errWriteBlocked = errors.New("takes no more bytes")
+	errWriteBlocked = errors.New("connection does not take the whole frame at once")
 )
 
-// Conn is a connection to a node. TryWrite hands over what it takes at once and returns how much that is.
+// Conn is a connection to a node. TryWrite writes as much as is possible without blocking, and returns the number of bytes written.
 type Conn interface {
 	io.ReadCloser
 	SetReadDeadline(t time.Time) error
 	TryWrite(b []byte) (int, error)
 }
 
-// Dialer opens a connection.
+// Dialer opens a connection, or fails after the time within.
 type Dialer func(ctx context.Context, addr string, within time.Duration) (Conn, error)
 
-// selectConn finds a connection with room, one that is up if possible, or opens one. Danger: a machine that vanished
-// and came back may leave an old connection silent for ever, and each trial over it would tell nothing. One that
-// said nothing for as long as any client waits gives way to a new one; a node that only hangs costs handshakes so.
+// selectConn returns a connection with free streams, preferably an established one, or opens a new one. nil: there is none.
+// After a machine has crashed and come back, an old connection may stay silent for ever, and trial attempts over it would prove nothing. So
+// an idle one that answered nothing for as long as any client waits is closed. A node that only hangs costs additional handshakes this way.
 func (p *Pool) selectConn(n *node, attempts []*Subrequest) *conn {
 	var best *conn
 	now := p.since()
@@ -61,7 +60,7 @@
 			return p.dial(n, attempts[0].Tenant, openDecision == OpenShared)
 		}
 	}
-	for _, c := range n.conns { // its further parts wait unread at the node
+	for _, c := range n.conns { // no free stream and no new connection: further attempts wait in the node's receive buffer
 		if p.budget != nil && (c.retired || !p.mayUse(c, attempts[0].Tenant)) {
 			continue
 		}
@@ -72,7 +71,7 @@
 	return best
 }
 
-// closeLongestIdle closes the connection that has idled longest.
+// closeLongestIdle closes the connection that has been idle for longest, if one is idle.
 func (p *Pool) closeLongestIdle() {
 	var oldest *conn
 	for _, n := range p.nodeOrder {
@@ -107,7 +106,7 @@
 	return c
 }
 
-// runConn is a connection's goroutine: it dials, then delivers every answer and at last the end.
+// runConn is a connection's goroutine: it dials, then posts every answer, and finally the end.
 func (p *Pool) runConn(ctx context.Context, c *conn, timeout time.Duration) {
 	nc, err := p.dialer(ctx, c.addr.String(), timeout)
 	if err != nil {
@@ -123,7 +122,7 @@
 		var frameType byte
 		var body []byte
 		if _, err = r.Peek(1); err == nil {
-			// Danger: a length that never fills swallows what else comes, and all that is out waits in vain.
+			// A frame that never becomes complete would swallow all later ones, and the attempts in flight would time out.
 			nc.SetReadDeadline(time.Now().Add(timeout))
 			frameType, body, err = readFrame(r)
 			nc.SetReadDeadline(time.Time{})
@@ -145,12 +144,12 @@
 	}
 }
 
-// nodeError is a node's word that it could not use a frame.
+// nodeError is an error frame: the node could not use a frame of this side.
 type nodeError struct{ text string }
 
 func (r *nodeError) Error() string { return "node: " + r.text }
 
-// endReason gives the reason code of an end that the loop did not ask for.
+// endReason returns the reason code of an end that was not requested by the loop.
 func endReason(err error, wasConnected bool) string {
 	var refused *nodeError
 	var timeout net.Error
--- a/internal/transport/store/end.go
+++ b/internal/transport/store/end.go
@@ -1,6 +1,6 @@
 package store
 
-// This file owns how what a connection delivers ends parts and probes. It must never end a part twice.
+// This file handles the events of connections, which end attempts and probes. It must never end an attempt twice.
 
 import (
 	"log/slog"
@@ -10,7 +10,7 @@
 	"flaxfront/internal/decision"
 )
 
-// Event is what a connection's goroutine delivers to the loop.
+// Event is an event of a connection, which its goroutine posts to the loop.
 type Event struct {
 	conn   *conn
 	kind   eventKind
@@ -28,7 +28,7 @@
 	down
 )
 
-// endProbe ends a probe that waits for the connection.
+// endProbe ends the probe that waits for the connection, if any.
 func (p *Pool) endProbe(c *conn, outcome decision.Outcome, at time.Duration) {
 	if c.probePending {
 		c.probePending = false
@@ -36,7 +36,7 @@
 	}
 }
 
-// HandleEvent takes what a connection's goroutine delivered.
+// HandleEvent handles an event that a connection's goroutine has posted.
 func (p *Pool) HandleEvent(e Event) {
 	c := e.conn
 	switch e.kind {
@@ -62,8 +62,8 @@
 			return
 		}
 		if attempt == nil {
-			// Danger: an answer to nothing that was asked. Whose it was can't be told, and nothing that follows
-			// it can be trusted either; the parts that are out would wait for their time.
+			// The answer is to an attempt that was never sent here, so that no later answer can be trusted either. Closing
+			// the connection ends its attempts now rather than at their deadlines.
 			p.Counts.Bad++
 			p.close(c, "unknown_answer")
 			return
@@ -98,7 +98,7 @@
 	}
 }
 
-// Cancel gives a part up and tells its node; nothing of it is written from then on.
+// Cancel cancels an attempt. If it was written, the node is sent a cancel; if it still waits for a connection, it is never written.
 func (p *Pool) Cancel(attempt *Subrequest) {
 	if attempt.ended {
 		return
@@ -114,7 +114,7 @@
 	}
 }
 
-// end gives parts back that were never on a connection.
+// end ends attempts that have not been written.
 func (p *Pool) end(attempts []*Subrequest, outcome decision.Outcome) {
 	for _, attempt := range attempts {
 		p.finish(attempt, outcome, p.since(), "")
@@ -128,7 +128,7 @@
 		if attempt.written && (outcome == decision.Cancelled || outcome == decision.TimedOut) {
 			c.rememberAbandoned(attempt.ID)
 		}
-		if c.inFlight.len() == 0 { // from now on it idles, or was only waited for
+		if c.inFlight.len() == 0 { // the connection is idle now, or was still being established
 			if p.nextSweep = min(p.nextSweep, c.lastActive+p.limits.Idle-p.limits.Dial); c.retired || c.node.unlisted {
 				p.nextSweep = 0
 			}
@@ -137,14 +137,14 @@
 	p.attemptEnded(attempt, outcome, at, value)
 }
 
-// Ended tells whether a part has ended.
+// Ended reports whether the attempt has ended.
 func (a *Subrequest) Ended() bool { return a.ended }
 
-// Written tells whether a part's last byte has left for its node.
+// Written reports whether the attempt was written completely.
 func (a *Subrequest) Written() bool { return a.written }
 
-// EndQueued ends what waits for connections to a node to come up, as never sent. Danger: a connection may come up long after the call
-// was meant for it; by then the list may have ended or drained the node, or it has started anew and is cold.
+// EndQueued ends the attempts that wait for a connection to a node to be established, as never sent. A connection may be established long
+// after the node was chosen, when it may be unlisted or draining, or may have restarted and be cold.
 func (p *Pool) EndQueued(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
 		p.endQueued(n)
--- a/internal/transport/store/frame.go
+++ b/internal/transport/store/frame.go
@@ -1,7 +1,7 @@
 package store
 
-// This file owns the form of frames, both ways. It must never let through an answer that it could not read whole, or
-// know which parts are out.
+// This file encodes calls and cancels, and decodes the frames of nodes: four bytes of length (least significant first), a byte with the frame's
+// type, and the body. It must never accept an answer that it could not decode completely. Which attempts are in flight is not known here.
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 	"unicode/utf8"
 )
 
-// maxFrame bounds what a node may send in one frame.
+// maxFrame is the largest length, in bytes, of a frame from a node.
 const maxFrame = 64 << 10
 
-// Result tells how a node says that a part ended.
+// Result is a node's result of an attempt: served, broke (it failed), or skipped (the node rejected it).
 type Result uint8
 
 const (
@@ -27,15 +27,15 @@
 	Skipped
 )
 
-// Answer is a node's answer to one part.
+// Answer is a node's answer to one attempt.
 type Answer struct {
 	ID     string
 	Result Result
 	Value  string
-	Report string // where the pool keeps reports
+	Report string // load report; empty unless the pool keeps reports
 }
 
-// appendCall encodes one call of some parts, each with the time that is still waited for it.
+// appendCall encodes a call with attempts, each with its remaining time in ms, at least 1.
 func appendCall(b []byte, attempts []*Subrequest, now time.Duration) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0, 'q')
@@ -56,7 +56,7 @@
 	return append(append(b, 'c'), id...)
 }
 
-// readFrame reads one frame. What it claims to hold is given room only as it comes.
+// readFrame reads one frame. Memory is allocated as bytes arrive, not by the length that the frame states.
 func readFrame(r *bufio.Reader) (frameType byte, body []byte, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -66,7 +66,7 @@
 	if n < 1 || n > maxFrame {
 		return 0, nil, fmt.Errorf("%w: length %d", errFrame, n)
 	}
-	if r.Buffered() >= int(n) { // it is all there
+	if r.Buffered() >= int(n) { // it is buffered completely
 		frame := make([]byte, n)
 		io.ReadFull(r, frame)
 		return frame[0], frame[1:], nil
@@ -80,8 +80,7 @@
 	return frame.Bytes()[0], frame.Bytes()[1:], nil
 }
 
-// parseAnswer reads what follows the letter of an answer. The report that ends its line is kept only where somebody reads it, and
-// nothing in it spoils the answer.
+// parseAnswer decodes the body of an answer frame. The load report at the end of its line is kept only with keepReport, and is not validated.
 func parseAnswer(body []byte, keepReport bool) (a Answer, err error) {
 	line, value, ok := bytes.Cut(body, []byte{'\n'})
 	id, more, ok1 := bytes.Cut(line, []byte{' '})
@@ -90,7 +89,7 @@
 	if !ok || !ok1 || !ok2 || !ok3 || len(id) == 0 {
 		return a, fmt.Errorf("%w: answer line %.60q", errFrame, line)
 	}
-	if !utf8.Valid(value) { // it could not be told to the client as the node gave it
+	if !utf8.Valid(value) { // it could not be passed to the client unchanged
 		return a, fmt.Errorf("%w: value %.60q", errFrame, value)
 	}
 	switch string(status) {
@@ -101,7 +100,7 @@
 	case "skipped":
 		a.Result = Skipped
 	default:
-		return a, fmt.Errorf("%w: end %.20q", errFrame, status)
+		return a, fmt.Errorf("%w: result %.20q", errFrame, status)
 	}
 	if _, err := strconv.ParseFloat(string(score), 64); err != nil && string(score) != "-" {
 		return a, fmt.Errorf("%w: score %.20q", errFrame, score)
--- a/internal/transport/store/out.go
+++ b/internal/transport/store/out.go
@@ -1,15 +1,15 @@
 package store
 
-// This file owns the parts that are out on one connection, in no order that matters but the same in every run. It must never
-// hold one twice.
+// This file holds the set of attempts in flight on one connection. Their order has no meaning, but is the same in every run. The set must
+// never contain an attempt twice.
 
-// indexThreshold is the number of parts from which an index by id is worth its upkeep (BenchmarkAttemptSet).
+// indexThreshold is the number of attempts from which an index by id is worth its cost (BenchmarkAttemptSet).
 const indexThreshold = 64
 
-// attemptSet are the parts out on a connection: few as a rule, thousands where no other connection may be opened.
+// attemptSet holds the attempts in flight on a connection: usually few, but thousands when no other connection may be opened.
 type attemptSet struct {
 	attempts []*Subrequest
-	index    map[string]*Subrequest // nil while there are few
+	index    map[string]*Subrequest // by id; nil until there are indexThreshold attempts
 }
 
 func (o *attemptSet) len() int { return len(o.attempts) }
@@ -29,7 +29,7 @@
 	}
 }
 
-// find looks for the part that an answer names.
+// find returns the attempt with an id, or nil.
 func (o *attemptSet) find(id string) *Subrequest {
 	if o.index != nil {
 		return o.index[id]
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// remove takes a part out; false: it was not there.
+// remove removes an attempt, and reports whether it was in the set.
 func (o *attemptSet) remove(a *Subrequest) bool {
 	if a.position >= len(o.attempts) || o.attempts[a.position] != a {
 		return false
--- a/internal/transport/store/outto.go
+++ b/internal/transport/store/outto.go
@@ -1,10 +1,10 @@
 package store
 
-// This file owns what fleets ask of a pool: whether a node has anything in hand, and that it gets nothing.
+// This file has what draining a node needs: whether attempts are in flight at it, and ending attempts that it must not get.
 
 import "flaxfront/internal/decision"
 
-// InFlightTo tells how many parts are out at a node, or wait for a connection to it.
+// InFlightTo returns the number of attempts that are in flight at a node or wait for a connection to it.
 func (p *Pool) InFlightTo(id decision.NodeID) (n int) {
 	if node := p.nodes[id]; node != nil {
 		for _, c := range node.conns {
@@ -14,5 +14,5 @@
 	return n
 }
 
-// EndUnsent ends parts that may not be sent.
+// EndUnsent ends attempts that must not be sent, as never sent.
 func (p *Pool) EndUnsent(attempts []*Subrequest) { p.end(attempts, decision.NeverSent) }
--- a/internal/transport/store/store.go
+++ b/internal/transport/store/store.go
@@ -1,7 +1,7 @@
-// Package store carries sub-requests to the nodes. It owns the connections: dialling, which parts are out on which
-// one, the end of those that idle, and how each part ended. One goroutine, the loop's, calls every method of Pool;
-// a goroutine a connection dials and reads, and only delivers. It must never choose a node, hold a part back or send
-// one twice, and it never waits for a socket: a node that does not take a frame at once loses the connection.
+// Package store sends attempts of shard requests to the nodes. It manages the connections: it dials, assigns attempts to connections,
+// closes idle ones, and reports how each attempt ended. The event loop's goroutine calls every method of Pool; one goroutine per connection
+// dials and reads, and only posts events. The package must never choose a node, delay an attempt or send one twice, and it never blocks on a
+// socket: a connection whose node does not take a frame at once is closed.
 //
 // Depends on decision.
 package store
@@ -15,49 +15,49 @@
 	"flaxfront/internal/decision"
 )
 
-// Subrequest is one sub-request. The loop hands it over and gets it back, ended, exactly once.
+// Subrequest is one attempt of a shard request. The loop passes it to the pool, which reports its end exactly once.
 type Subrequest struct {
-	ID       string // as the node is told it
+	ID       string // of the shard request, as sent to the node
 	Shard    int
 	Text     string
-	Deadline time.Duration // nobody waits beyond this
-	Sent     time.Duration // when it was handed over
+	Deadline time.Duration // when it times out
+	Sent     time.Duration // when the loop sent it
 
-	Subrequest uint64 // what the module calls it
+	Subrequest uint64 // the router's id of the shard request
 	Attempt    uint16
 	Node       decision.NodeID
-	Exclusive  bool   // its call shares a connection with no other while there are descriptors
-	Tenant     int    // whose connections it may use, where they are divided
-	ReadPin    uint64 // the loop's own
-	Report     string // what the node said beside the answer, where reports are kept
+	Exclusive  bool   // its call shares a connection with no other while the limit allows a new one
+	Tenant     int    // index; with a Budget, it uses only this tenant's and shared connections
+	ReadPin    uint64 // used by the loop only
+	Report     string // the load report that came with the answer, after KeepReports
 
 	conn     *conn
-	position int // its place among those that are out there
+	position int // its index in conn.inFlight.attempts
 	written  bool
 	ended    bool
 }
 
-// Limits bound the connections.
+// Limits are the limits and timeouts of connections.
 type Limits struct {
-	Streams int           // parts a connection carries at once
-	Idle    time.Duration // nodes close a connection that idled so long
-	Dial    time.Duration // a connection that is not up by then has failed, and so has a frame that is not whole
-	Silent  time.Duration // a connection that owed answers so long and said nothing is taken for dead
-	Conns   int           // over all nodes
+	Streams int           // attempts in flight on one connection
+	Idle    time.Duration // idle time after which nodes close a connection
+	Dial    time.Duration // within which a connection must be established, and a frame that has begun must be complete
+	Silent  time.Duration // time without any answer to what was sent, after which an idle connection counts as dead
+	Conns   int           // open connections to all nodes together
 }
 
-// Counts tell what went over the connections.
+// Counts count what was sent and received over the connections. Operators read its fields as JSON under these names.
 type Counts struct {
 	Dials, Ended, Calls, Parts, Cancels uint64
 	Served, Broke, Skipped              uint64
-	Late                                uint64 // answers to parts that were called off
-	Bad                                 uint64 // frames that made no sense or were never whole
+	Late                                uint64 // answers to attempts that were cancelled or timed out
+	Bad                                 uint64 // malformed and incomplete frames, and answers to attempts that are not in flight
 }
 
-// Pool holds the connections to all nodes.
+// Pool manages the connections to all nodes.
 type Pool struct {
 	Counts         Counts
-	ProbeEnded     func(id decision.NodeID, how decision.Outcome, took time.Duration) // takes the end of each probe
+	ProbeEnded     func(id decision.NodeID, how decision.Outcome, took time.Duration) // called with the outcome of each probe
 	ctx            context.Context
 	limits         Limits
 	dialer         Dialer
@@ -66,36 +66,38 @@
 	post           func(Event)
 	attemptEnded   func(p *Subrequest, how decision.Outcome, at time.Duration, value string)
 	nodes          map[decision.NodeID]*node
-	nodeOrder      []*node // as first listed
+	nodeOrder      []*node // in the order in which they were first set
 	conns          int
 	buf            []byte
-	carrier        Carrier       // nil: sockets
-	nextSweep      time.Duration // nothing is due before
+	carrier        Carrier       // nil: the dialer is used
+	nextSweep      time.Duration // Sweep has nothing to do earlier
 
-	keepReports bool   // of answers are kept
-	budget      Budget // nil: Limits alone bound
+	keepReports bool   // load reports of answers are kept
+	budget      Budget // nil: only limits apply
 }
 
 type node struct {
 	id        decision.NodeID
 	name      string
-	unlisted  bool // the list ended it; forgotten with its last connection
+	unlisted  bool // removed from the endpoint list; it is deleted with its last connection
 	addr      netip.AddrPort
 	startedAt time.Duration
 	conns     []*conn
 }
 
-// NewPool makes a pool. Goroutines run under start and end with ctx; post delivers to the loop, ended tells it.
+// NewPool returns a pool. startGoroutine starts its goroutines, which end with ctx. post posts an event to the loop, which passes it to
+// HandleEvent. attemptEnded is called in the loop when an attempt has ended.
 func NewPool(ctx context.Context, limits Limits, dialer Dialer, since func() time.Duration, startGoroutine func(func() error),
 	post func(Event), attemptEnded func(*Subrequest, decision.Outcome, time.Duration, string)) *Pool {
 	return &Pool{ctx: ctx, limits: limits, dialer: dialer, since: since, startGoroutine: startGoroutine, post: post, attemptEnded: attemptEnded,
 		nodes: map[decision.NodeID]*node{}}
 }
 
-// KeepReports has parts come back with what nodes report beside the answer. It is called before anything is sent.
+// KeepReports makes the pool keep nodes' load reports in Subrequest.Report. It must be called before anything is sent.
 func (p *Pool) KeepReports() { p.keepReports = true }
 
-// SetNode tells where a node listens and when it started. What was opened to an older start or elsewhere is closed.
+// SetNode sets a node's address and start time. Connections to an earlier start are closed, and so are idle ones to another address.
+// Attempts that wait for a connection to an earlier start end as never sent.
 func (p *Pool) SetNode(id decision.NodeID, name string, addr netip.AddrPort, startedAt time.Duration) {
 	n := p.nodes[id]
 	if n == nil {
@@ -104,7 +106,7 @@
 		p.nodeOrder = append(p.nodeOrder, n)
 	}
 	n.unlisted = false
-	n.addr = addr // what goes to an older one carries on with what it has, and gets nothing new
+	n.addr = addr // connections to the old one keep their attempts in flight, and get no new ones
 	p.closeWhere(n, "moved", func(c *conn) bool { return c.addr != addr && c.inFlight.len() == 0 })
 	if startedAt > n.startedAt {
 		n.startedAt = startedAt
@@ -113,14 +115,14 @@
 	}
 }
 
-// UpdateLimits has the pool go on under other times and streams; how many connections it may hold stays.
+// UpdateLimits replaces the limits, except that on the number of connections.
 func (p *Pool) UpdateLimits(streams int, idle, dial, silent time.Duration) {
 	p.limits.Streams, p.limits.Idle, p.limits.Dial, p.limits.Silent = streams, idle, dial, silent
 	p.nextSweep = 0
 }
 
-// Probe asks a node for a sign of life, and Probed tells what came. The protocol has no word for it: a connection that is up,
-// or that comes up, is the sign. Where none may be opened the answer comes at once and tells nothing.
+// Probe checks whether a node is reachable, and calls ProbeEnded with the outcome. The protocol has no frame for it, so the check succeeds
+// if a connection is up or can be established. If none may be opened, ProbeEnded is called at once with decision.OK, which proves nothing.
 func (p *Pool) Probe(id decision.NodeID) {
 	n := p.nodes[id]
 	if n == nil {
@@ -153,7 +155,7 @@
 	connecting.probePending = true
 }
 
-// RemoveNode takes a node out that the list ended. What is out carries on; then it is forgotten.
+// RemoveNode removes a node that is no longer listed. Attempts in flight continue; after the last one the node is deleted.
 func (p *Pool) RemoveNode(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
 		n.unlisted, p.nextSweep = true, 0
@@ -162,7 +164,7 @@
 	}
 }
 
-// Send writes the parts to a node as one call. The slice is the pool's from here on.
+// Send sends attempts to a node as one call, which is one frame. The pool keeps the slice.
 func (p *Pool) Send(id decision.NodeID, attempts []*Subrequest) {
 	n := p.nodes[id]
 	if n == nil {
@@ -172,7 +174,7 @@
 	for {
 		c := p.selectConn(n, attempts)
 		if c == nil && p.budget != nil {
-			p.end(attempts, decision.NeverSent) // the node is not to blame
+			p.end(attempts, decision.NeverSent) // not the node's fault: the budget allows no connection
 			return
 		}
 		if c == nil {
@@ -191,14 +193,14 @@
 		if err := p.writeCall(c, attempts); err == nil || errors.Is(err, errWriteBlocked) {
 			return
 		}
-		// The node had ended the connection before a byte was written: the parts go over another.
+		// The node had closed the connection before a byte was written: the attempts are sent over another one.
 	}
 }
 
-// Nodes tells how many nodes are known, those included that only their last parts keep.
+// Nodes returns the number of nodes, including removed ones that still have a connection.
 func (p *Pool) Nodes() int { return len(p.nodes) }
 
-// InFlight tells how many parts are out.
+// InFlight returns the number of attempts in flight, including those that wait for a connection.
 func (p *Pool) InFlight() (n int) {
 	for _, node := range p.nodeOrder {
 		for _, c := range node.conns {
@@ -208,5 +210,5 @@
 	return n
 }
 
-// OpenConnections tells how many connections there are.
+// OpenConnections returns the number of connections, including those being established.
 func (p *Pool) OpenConnections() int { return p.conns }
--- a/internal/transport/store/tcp.go
+++ b/internal/transport/store/tcp.go
@@ -1,6 +1,6 @@
 package store
 
-// This file owns the one kind of connection used in service. It must never wait in a write.
+// This file implements Conn over TCP. It must never block in a write.
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	raw syscall.RawConn
 }
 
-// DialTCP opens a TCP connection.
+// DialTCP opens a TCP connection, or fails after the time within.
 func DialTCP(ctx context.Context, addr string, within time.Duration) (Conn, error) {
 	d := net.Dialer{Timeout: within, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -27,7 +27,7 @@
 	return &tcpConn{tcp, raw}, err
 }
 
-// TryWrite writes what the kernel takes at once.
+// TryWrite writes as much as the kernel accepts without blocking, which may be nothing.
 func (c *tcpConn) TryWrite(b []byte) (n int, err error) {
 	closed := c.raw.Write(func(fd uintptr) bool {
 		for {
