--- a/internal/transport/httpwire/fields.go
+++ b/internal/transport/httpwire/fields.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file owns lines, header fields and chunks. It must never hold more of one than its limits.
+// This file reads lines, header fields and chunks. It must never keep more of them than the limits allow.
 
 import (
 	"bufio"
@@ -20,27 +20,27 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
-			return nil, messageErrorf(400, "header line %.60q", line)
+			return nil, messageErrorf(400, "invalid header line %.60q", line)
 		}
 		if fields == nil {
 			fields = make([]Field, 0, initialFields)
 		}
 		if size += len(line); len(fields) == maxFields || size > maxHead {
-			return nil, messageErrorf(431, "more than %d header fields, or %d bytes of them", maxFields, maxHead)
+			return nil, messageErrorf(431, "more than %d header fields, or more than %d bytes of them", maxFields, maxHead)
 		}
 		value = strings.Trim(value, " \t")
 		if strings.ContainsAny(value, "\x00\r") {
-			return nil, messageErrorf(400, "control character in %s", name)
+			return nil, messageErrorf(400, "control character in header field %s", name)
 		}
 		fields = append(fields, Field{lowerName(name), value})
 	}
 }
 
-// commonNames are names that come with most messages, as they are kept.
+// commonNames are names of common header fields, in lower case.
 var commonNames = [...]string{"host", "x-request-id", "x-tenant-id", "x-timeout-ms", "content-length", "cookie", "connection",
 	"content-type", "x-retried", "transfer-encoding", "user-agent", "accept"}
 
-// lowerName gives a name in lower case, the usual ones without making it anew.
+// lowerName returns a name in lower case, without an allocation if it is a common one.
 func lowerName(name string) string {
 	for _, k := range commonNames {
 		if len(k) == len(name) && strings.EqualFold(k, name) {
@@ -60,14 +60,14 @@
 		digits, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 31)
 		if err != nil || strings.HasPrefix(digits, "+") {
-			return nil, messageErrorf(400, "chunk size %.40q", line)
+			return nil, messageErrorf(400, "invalid chunk size %.40q", line)
 		}
 		if n == 0 {
 			_, err := readFields(r)
 			return body.Bytes(), err
 		}
 		if body.Len()+int(n) > MaxBody {
-			return nil, messageErrorf(413, "chunks beyond %d bytes", MaxBody)
+			return nil, messageErrorf(413, "chunked body longer than %d bytes", MaxBody)
 		}
 		if _, err := io.CopyN(body, r, int64(n)); err != nil {
 			return nil, err
@@ -75,12 +75,12 @@
 		if line, err := readLine(r); err != nil {
 			return nil, err
 		} else if line != "" {
-			return nil, messageErrorf(400, "chunk longer than it says")
+			return nil, messageErrorf(400, "chunk longer than its stated size")
 		}
 	}
 }
 
-// readLine reads up to LF and drops the line's end; io.EOF means that not one byte came.
+// readLine reads a line and returns it without its end (CRLF or LF). It returns io.EOF if the connection ended before the first byte.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	if err == nil {
@@ -91,7 +91,7 @@
 	}
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		return "", messageErrorf(431, "line beyond %d bytes", maxLine)
+		return "", messageErrorf(431, "line longer than %d bytes", maxLine)
 	case errors.Is(err, io.EOF) && len(line) > 0:
 		return "", io.ErrUnexpectedEOF
 	}
--- a/internal/transport/httpwire/httpwire.go
+++ b/internal/transport/httpwire/httpwire.go
@@ -1,6 +1,5 @@
-// Package httpwire reads and writes HTTP/1.1 messages, for clients and for discovery alike. It owns the framing:
-// heads, bodies with a length or in chunks, and what makes either untrustworthy. It must never know what a message
-// means, hold more of one than its limits, or guess where an unclear message ends.
+// Package httpwire reads and writes HTTP/1.1 messages, for both clients and discovery. It handles framing: heads, and bodies with a length or
+// in chunks. It does not interpret messages. It must never keep more of one than its limits allow, or guess where an ambiguous message ends.
 //
 // Depends on no package of this module. Concurrency: it keeps no state and starts no goroutine, so that its
 // functions may be called from any goroutine; what they return is the caller's.
@@ -16,19 +15,19 @@
 	"strings"
 )
 
-// MaxBody bounds a body, maxLine a line, maxFields the header fields of a head and maxHead their bytes together.
+// Limits in bytes: of a body (MaxBody), a line (maxLine) and all header fields together (maxHead). maxFields limits the number of header fields.
 const (
 	MaxBody   = 64 << 10
 	maxLine   = 4 << 10
 	maxFields = 64
 	maxHead   = 16 << 10
 
-	initialFields = 8
+	initialFields = 8 // header fields for which memory is allocated at first
 )
 
-// MessageError is a message that can't be used. The connection it came on can't be trusted any more.
+// MessageError is returned for an invalid message. The connection can't be used any longer, as the end of the message is not known.
 type MessageError struct {
-	Status int // what a client is told
+	Status int // HTTP status for the client
 	Reason string
 }
 
@@ -38,7 +37,7 @@
 	return &MessageError{status, fmt.Sprintf(format, args...)}
 }
 
-// Field is one header field; its name is in lower case.
+// Field is a header field; its name is in lower case.
 type Field struct{ Name, Value string }
 
 // Message is a request or a response.
@@ -47,10 +46,10 @@
 	Status              int    // of a response
 	Fields              []Field
 	Body                []byte
-	Close               bool // the sender ends the connection after this
+	Close               bool // the sender closes the connection after this message
 }
 
-// Get returns the value of a header field and how often it stands there.
+// Get returns the value of a header field, the last one if it is repeated, and the number of times it occurs.
 func (m *Message) Get(name string) (value string, times int) {
 	for i := range m.Fields {
 		if m.Fields[i].Name == name {
@@ -61,10 +60,10 @@
 	return value, times
 }
 
-// ReadRequest reads one request whole. io.EOF means that none had begun.
+// ReadRequest reads one complete request. It returns io.EOF if the connection ended before it began.
 func ReadRequest(r *bufio.Reader) (*Message, error) {
 	line, err := readLine(r)
-	if err == nil && line == "" { // one empty line before a request is forgiven
+	if err == nil && line == "" { // one empty line before a request is ignored
 		line, err = readLine(r)
 	}
 	if err != nil {
@@ -73,10 +72,10 @@
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	if !ok || !isToken(method) || !strings.HasPrefix(target, "/") {
-		return nil, messageErrorf(400, "request line %.60q", line)
+		return nil, messageErrorf(400, "invalid request line %.60q", line)
 	}
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, messageErrorf(505, "version %.20q", version)
+		return nil, messageErrorf(505, "unsupported HTTP version %.20q", version)
 	}
 	m := &Message{Method: method}
 	m.Path, m.Query, _ = strings.Cut(target, "?")
@@ -84,12 +83,12 @@
 		return nil, insideMessage(err)
 	}
 	if _, hosts := m.Get("host"); hosts > 1 || hosts == 0 && version == "HTTP/1.1" {
-		return nil, messageErrorf(400, "%d Host fields", hosts)
+		return nil, messageErrorf(400, "request with %d Host fields", hosts)
 	}
 	return m, nil
 }
 
-// ReadResponse reads one response whole. io.EOF means that none had begun.
+// ReadResponse reads one complete response. It returns io.EOF if the connection ended before it began.
 func ReadResponse(r *bufio.Reader) (*Message, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -99,7 +98,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, messageErrorf(502, "status line %.60q", line)
+		return nil, messageErrorf(502, "invalid status line %.60q", line)
 	}
 	m := &Message{Status: status}
 	if err := m.readFieldsAndBody(r, version == "HTTP/1.0", true); err != nil {
@@ -108,7 +107,7 @@
 	return m, nil
 }
 
-// insideMessage tells an end inside a message from one between two.
+// insideMessage returns an error that occurred inside a message: io.EOF becomes io.ErrUnexpectedEOF.
 func insideMessage(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -135,40 +134,40 @@
 		case "content-length":
 			n, err := strconv.ParseUint(f.Value, 10, 31)
 			if err != nil || strings.HasPrefix(f.Value, "+") || length >= 0 && length != int(n) {
-				return messageErrorf(400, "content-length %.40q", f.Value)
+				return messageErrorf(400, "invalid or conflicting content-length %.40q", f.Value)
 			}
 			length = int(n)
 		case "transfer-encoding":
 			if chunked || !strings.EqualFold(f.Value, "chunked") {
-				return messageErrorf(501, "transfer-encoding %.40q", f.Value)
+				return messageErrorf(501, "unsupported transfer-encoding %.40q", f.Value)
 			}
 			chunked = true
 		case "expect":
-			return messageErrorf(417, "expect %.40q", f.Value)
+			return messageErrorf(417, "unsupported expect %.40q", f.Value)
 		}
 	}
 	switch {
 	case chunked && (length >= 0 || http10):
-		return messageErrorf(400, "a length and chunks, or chunks in HTTP/1.0")
+		return messageErrorf(400, "chunked body with a content-length, or in HTTP/1.0")
 	case chunked:
 		m.Body, err = readChunks(r)
 	case length > MaxBody:
-		return messageErrorf(413, "body of %d bytes", length)
-	case length > 0 && r.Buffered() >= length: // it is all there
+		return messageErrorf(413, "body of %d bytes is too large", length)
+	case length > 0 && r.Buffered() >= length: // it is buffered completely
 		m.Body = make([]byte, length)
 		_, err = io.ReadFull(r, m.Body)
 	case length > 0:
 		var body bytes.Buffer
-		_, err = io.CopyN(&body, r, int64(length)) // what is claimed is given room only as it comes
+		_, err = io.CopyN(&body, r, int64(length)) // memory is allocated as bytes arrive, not by the stated length
 		m.Body = body.Bytes()
-	case length < 0 && response && m.Status != 204 && m.Status != 304: // it ends with the connection
+	case length < 0 && response && m.Status != 204 && m.Status != 304: // the body ends with the connection
 		m.Close = true
 		if m.Body, err = io.ReadAll(io.LimitReader(r, MaxBody+1)); len(m.Body) > MaxBody {
-			return messageErrorf(502, "body beyond %d bytes", MaxBody)
+			return messageErrorf(502, "body longer than %d bytes", MaxBody)
 		}
 	}
 	return err
 }
 
-// NewReader makes a reader whose buffer holds the longest line.
+// NewReader returns a reader whose buffer has room for the longest line.
 func NewReader(r io.Reader) *bufio.Reader { return bufio.NewReaderSize(r, maxLine+2) }
--- a/internal/transport/httpwire/httpwire_test.go
+++ b/internal/transport/httpwire/httpwire_test.go
@@ -37,7 +37,7 @@
 				t.Errorf("%v, %+v", err, second)
 			}
 			if _, err := ReadRequest(in); err != io.EOF {
-				t.Errorf("after the last: %v", err)
+				t.Errorf("after the last request: %v, want EOF", err)
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-// A message whose end is unclear is refused: what follows it could be taken for another search.
+// A message with an ambiguous end is rejected: what follows it could be read as another query.
 func TestBadRequests(t *testing.T) {
 	for text, status := range map[string]int{
 		"GET\r\n\r\n":                                                        400,
@@ -99,7 +99,7 @@
 	for _, bad := range []string{"HTTP/1.1 20 OK\r\n\r\n", "200 OK\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", MaxBody+1)} {
 		if _, err := ReadResponse(NewReader(strings.NewReader(bad))); err == nil {
-			t.Errorf("%.40q was read", bad)
+			t.Errorf("%.40q was accepted", bad)
 		}
 	}
 	req, err := readRequest(string(AppendRequest(nil, "GET", "/list?index=1", "b")))
@@ -108,7 +108,7 @@
 	}
 }
 
-// However a request is cut into packets, it is read the same.
+// FuzzRequest: a request is read the same, however it is split into packets.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(postHead + "Content-Length: 5\r\n\r\nhello"))
 	f.Add([]byte(postHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"))
--- a/internal/transport/httpwire/write.go
+++ b/internal/transport/httpwire/write.go
@@ -1,18 +1,19 @@
 package httpwire
 
-// This file owns the writing of messages.
+// This file encodes messages.
 
 import (
 	"fmt"
 	"strconv"
 )
 
-// AppendRequest encodes a request without a body.
+// AppendRequest appends an encoded request without a body.
 func AppendRequest(b []byte, method, target, host string) []byte {
 	return fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n\r\n", method, target, host)
 }
 
-// AppendResponse encodes a response with its length; fields are whole header lines without their end.
+// AppendResponse appends an encoded response with its content-length. fields are complete header lines without CRLF. closeConn states that
+// the connection is closed after the response.
 func AppendResponse(b []byte, status int, closeConn bool, body []byte, fields ...string) []byte {
 	b = append(strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10), ' ')
 	b = append(append(b, reasonPhrase(status)...), "\r\nContent-Length: "...)
--- a/internal/transport/keys/files.go
+++ b/internal/transport/keys/files.go
@@ -1,6 +1,6 @@
 package keys
 
-// This file owns the reading and writing of keys, certificates and lists of revoked ones.
+// This file reads and writes keys, certificates and revocation lists.
 
 import (
 	"crypto/ecdsa"
@@ -22,7 +22,7 @@
 	return writeNew(path, "PRIVATE KEY", der, 0o600)
 }
 
-// writeNew writes a file that must not be there yet, whatever the umask says.
+// writeNew writes a file that must not exist yet, with this mode whatever the umask is.
 func writeNew(path, kind string, der []byte, mode fs.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// checkPrivate refuses a key that others may read.
+// checkPrivate returns an error if others may read a key file.
 func checkPrivate(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if info.Size() > maxFile {
-		return nil, &FileError{path, fmt.Errorf("%d bytes, %d at most", info.Size(), maxFile)}
+		return nil, &FileError{path, fmt.Errorf("file has %d bytes, more than the maximum %d", info.Size(), maxFile)}
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -66,12 +66,12 @@
 		}
 	}
 	if len(blocks) == 0 {
-		return nil, &FileError{path, fmt.Errorf("holds no %s", strings.ToLower(kind))}
+		return nil, &FileError{path, fmt.Errorf("contains no %s", strings.ToLower(kind))}
 	}
 	return blocks, nil
 }
 
-// ReadCertificates reads all certificates of a file.
+// ReadCertificates returns all certificates in a file.
 func ReadCertificates(path string) (all []*x509.Certificate, err error) {
 	blocks, err := readPEM(path, "CERTIFICATE")
 	if err != nil {
@@ -87,7 +87,7 @@
 	return all, nil
 }
 
-// readRevoked reads a list of revoked certificates, which one of the authorities must have signed; none is nil.
+// readRevoked reads a revocation list, which one of the authorities must have signed. It returns nil if the file does not exist.
 func readRevoked(path string, authorities []*x509.Certificate) (*x509.RevocationList, error) {
 	blocks, err := readPEM(path, "X509 CRL")
 	if errors.Is(err, fs.ErrNotExist) {
@@ -100,7 +100,7 @@
 		return nil, &FileError{path, err}
 	}
 	if !slices.ContainsFunc(authorities, func(c *x509.Certificate) bool { return list.CheckSignatureFrom(c) == nil }) {
-		return nil, &FileError{path, errors.New("signed by none of the authorities")}
+		return nil, &FileError{path, errors.New("revocation list is not signed by any of the authorities")}
 	}
 	return list, nil
 }
--- a/internal/transport/keys/issue.go
+++ b/internal/transport/keys/issue.go
@@ -1,6 +1,6 @@
 package keys
 
-// This file owns what an authority does: it is made, issues certificates and revokes them.
+// This file creates authorities, and issues and revokes certificates.
 
 import (
 	"crypto/ecdsa"
@@ -22,7 +22,7 @@
 	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
 }
 
-// NewAuthority makes an authority in a directory. It refuses to replace one.
+// NewAuthority creates an authority in a directory. It does not replace an existing one.
 func NewAuthority(dir, name string, lifetime time.Duration, now time.Time) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -48,8 +48,8 @@
 	return err
 }
 
-// Issue makes a certificate with its key for a broker, in a directory of its own, by an authority. What stands there is
-// replaced: a broker that runs takes it over at SIGHUP.
+// Issue issues a certificate for a broker by an authority, and writes it with its key to the broker's directory. Existing files there are
+// replaced; a running broker uses the new ones after SIGHUP. The certificate expires no later than the authority's.
 func Issue(authority, dir string, id ID, lifetime time.Duration, now time.Time) (*x509.Certificate, error) {
 	if err := id.Check(); err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The key first: a broker that reads between the two finds a pair that does not fit, and keeps the one it has.
+	// The key is written first: a broker that reloads in between finds a key and certificate that do not match, and keeps its present ones.
 	for _, name := range []string{BrokerKey, BrokerCert} {
 		if err := os.Remove(filepath.Join(dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return nil, err
@@ -102,7 +102,7 @@
 	return x509.ParseCertificate(der)
 }
 
-// Revoke adds certificates, by number, to an authority's list of those revoked.
+// Revoke adds certificates, by serial number, to an authority's revocation list.
 func Revoke(authority string, serials []string, now time.Time) error {
 	ca, key, err := loadAuthority(authority, now)
 	if err != nil {
@@ -120,7 +120,7 @@
 	for _, s := range serials {
 		number, ok := new(big.Int).SetString(s, 16)
 		if !ok {
-			return fmt.Errorf("%q is no number of a certificate, which `keys show` tells", s)
+			return fmt.Errorf("%q is not a certificate's serial number, which `keys show` prints", s)
 		}
 		t.RevokedCertificateEntries = append(t.RevokedCertificateEntries,
 			x509.RevocationListEntry{SerialNumber: number, RevocationTime: now})
@@ -137,7 +137,7 @@
 	return os.Rename(temp, path)
 }
 
-// loadAuthority reads an authority's certificate and key.
+// loadAuthority returns an authority's certificate and key.
 func loadAuthority(dir string, now time.Time) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	all, err := ReadCertificates(filepath.Join(dir, AuthorityCert))
 	if err != nil {
--- a/internal/transport/keys/keys.go
+++ b/internal/transport/keys/keys.go
@@ -1,11 +1,11 @@
-// Package keys owns what brokers of two sites know one another by: a private authority, certificates that name a site and a
-// broker, and a list of those revoked. Links use TLS 1.3 (RFC 8446) with certificates on both sides. It must never let a
-// stranger past the handshake, write a private key that others can read, or end what is in hand when certificates change.
+// Package keys authenticates brokers of different sites to one another: by a private authority, certificates that name a site and a broker,
+// and a list of revoked certificates. Links use TLS 1.3 (RFC 8446) with certificates on both sides. The package must never let an
+// unauthenticated peer past the handshake, write a private key that others can read, or end connections when certificates change.
 //
 // An identity is the URI flaxfront://SITE/BROKER in the certificate's subject alternative names (RFC 5280, 4.2.1.6).
 //
 // Depends on no package of this module. Concurrency: it starts no goroutine; what several goroutines may
-// use is behind a lock or an atomic value.
+// use is protected by a lock or an atomic value.
 package keys
 
 import (
@@ -16,13 +16,13 @@
 	"strings"
 )
 
-// The files of a directory of keys.
+// The files in a directory of keys.
 const (
-	AuthorityCert  = "authority.crt" // may hold several, while one follows another
-	AuthorityKey   = "authority.key" // only where certificates are issued
+	AuthorityCert  = "authority.crt" // may contain several certificates, while one authority replaces another
+	AuthorityKey   = "authority.key" // only in an authority's directory
 	BrokerCert     = "broker.crt"
 	BrokerKey      = "broker.key"
-	RevocationFile = "revoked.crl" // may be absent
+	RevocationFile = "revoked.crl" // optional
 
 	scheme  = "flaxfront"
 	maxFile = 1 << 20
@@ -30,14 +30,14 @@
 
 var plainName = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
-// ID names a broker of a site.
+// ID identifies a broker of a site.
 type ID struct{ Site, Broker string }
 
 func (id ID) String() string { return id.Site + "/" + id.Broker }
 
 func (id ID) url() *url.URL { return &url.URL{Scheme: scheme, Host: id.Site, Path: "/" + id.Broker} }
 
-// Check refuses names that could be read in two ways.
+// Check returns an error if a name is invalid, and so possibly ambiguous in the URI.
 func (id ID) Check() error {
 	if !plainName.MatchString(id.Site) || !plainName.MatchString(id.Broker) {
 		return &NameError{id}
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// Identity reads a certificate's name.
+// Identity returns the broker that a certificate names.
 func Identity(c *x509.Certificate) (id ID, err error) {
 	if len(c.URIs) != 1 || c.URIs[0].Scheme != scheme {
-		return id, &CertificateError{Serial(c), errors.New("names no broker")}
+		return id, &CertificateError{Serial(c), errors.New("does not name a broker")}
 	}
 	id = ID{c.URIs[0].Host, strings.TrimPrefix(c.URIs[0].Path, "/")}
 	return id, id.Check()
 }
 
-// Serial is a certificate's number as it is told and revoked by.
+// Serial returns a certificate's serial number in hexadecimal, as it is printed and as Revoke takes it.
 func Serial(c *x509.Certificate) string { return c.SerialNumber.Text(16) }
--- a/internal/transport/keys/keys_test.go
+++ b/internal/transport/keys/keys_test.go
@@ -14,7 +14,7 @@
 
 var now = time.Now()
 
-// newAuthorityAndBrokers is an authority with some brokers' directories.
+// newAuthorityAndBrokers creates an authority, and directories of keys for some brokers.
 func newAuthorityAndBrokers(t *testing.T, ids ...ID) (dir string, dirs map[ID]string) {
 	t.Helper()
 	dir, dirs = t.TempDir(), map[ID]string{}
@@ -30,7 +30,7 @@
 	return dir, dirs
 }
 
-// handshake makes a handshake and returns what each side says of it.
+// handshake performs a handshake and returns the error of each side.
 func handshake(server, client *Keyring, atServer, atClient func(ID) error) (serverErr, clientErr error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,7 +56,7 @@
 		return err, err
 	}
 	c := tls.Client(b, client.Client(atClient))
-	_, clientErr = c.Read(make([]byte, 1)) // in TLS 1.3 the server's refusal comes after the client's handshake
+	_, clientErr = c.Read(make([]byte, 1)) // in TLS 1.3 the server's rejection arrives after the client's handshake
 	b.Close()
 	return <-done, clientErr
 }
@@ -72,8 +72,8 @@
 	return k
 }
 
-// Two brokers of one authority meet; a stranger, another site's, an expired or a revoked one gets no further than the
-// handshake.
+// Two brokers of one authority complete a handshake. It fails with a certificate of another authority, of a site that is not allowed, or that
+// is expired or revoked.
 func TestHandshakeChecksCertificates(t *testing.T) {
 	a, b := ID{"site-a", "n0"}, ID{"site-b", "n1"}
 	dir, dirs := newAuthorityAndBrokers(t, a, b)
@@ -83,7 +83,7 @@
 		t.Fatal(s, c)
 	}
 	if s, c := handshake(ka, mustOpen(t, otherAuthority[b]), any, any); s == nil || c == nil {
-		t.Errorf("a stranger: %v, %v", s, c)
+		t.Errorf("certificate of another authority: %v, %v", s, c)
 	}
 	onlyC := func(id ID) error {
 		if id.Site != "site-c" {
@@ -92,18 +92,18 @@
 		return nil
 	}
 	if s, c := handshake(ka, kb, onlyC, any); s == nil || c == nil || !strings.Contains(s.Error(), "site-b/n1 came") {
-		t.Errorf("another site's: %v, %v", s, c)
+		t.Errorf("site that the server does not allow: %v, %v", s, c)
 	}
 	if s, c := handshake(ka, kb, any, onlyC); s == nil || c == nil {
-		t.Errorf("another site's, seen by the client: %v, %v", s, c)
+		t.Errorf("site that the client does not allow: %v, %v", s, c)
 	}
 	later := &Keyring{dir: ka.dir, now: func() time.Time { return now.Add(2 * time.Hour) }}
 	later.current.Store(ka.current.Load())
 	if s, _ := handshake(later, kb, any, any); s == nil || !strings.Contains(s.Error(), "expired") {
-		t.Errorf("an expired one: %v", s)
+		t.Errorf("expired certificate: %v", s)
 	}
 	if err := later.Reload(); err == nil || !strings.Contains(err.Error(), "expired") {
-		t.Errorf("an expired one of its own: %v", err)
+		t.Errorf("own certificate expired: %v", err)
 	}
 	ca := filepath.Join(dir, "ca")
 	if err := Revoke(ca, []string{Serial(kb.current.Load().ownCert.Leaf)}, now); err != nil {
@@ -115,15 +115,15 @@
 		t.Fatal(err)
 	}
 	if s, c := handshake(ka, kb, any, any); s == nil || c == nil || !strings.Contains(s.Error(), "revoked") {
-		t.Errorf("a revoked one: %v, %v", s, c)
+		t.Errorf("revoked certificate: %v, %v", s, c)
 	}
 	if err := Revoke(ca, []string{"zz"}, now); err == nil {
-		t.Error("revoked what is no number")
+		t.Error("Revoke accepted an invalid serial number")
 	}
 }
 
-// Certificates change under a broker that runs: a new one counts from the next handshake on, a wrong one changes nothing,
-// and while one authority follows another both are trusted.
+// Certificates of a running broker are replaced: a new one is used from the next handshake on, an invalid one changes nothing,
+// and while one authority replaces another both are trusted.
 func TestRotation(t *testing.T) {
 	a, b := ID{"site-a", "n0"}, ID{"site-b", "n1"}
 	dir, dirs := newAuthorityAndBrokers(t, a, b)
@@ -140,10 +140,10 @@
 	}
 	os.WriteFile(filepath.Join(dirs[a], BrokerCert), []byte("-----BEGIN"), 0o644)
 	if err := ka.Reload(); err == nil {
-		t.Error("took half a certificate")
+		t.Error("Reload accepted a truncated certificate")
 	}
 	if s, c := handshake(ka, kb, any, any); s != nil || c != nil {
-		t.Errorf("after a wrong one: %v, %v", s, c)
+		t.Errorf("handshake after an invalid certificate: %v, %v", s, c)
 	}
 	// b moves to a second authority; a trusts both meanwhile.
 	next := filepath.Join(dir, "next")
@@ -166,11 +166,11 @@
 		t.Fatal(err)
 	}
 	if s, c := handshake(ka, kb, any, any); s != nil || c != nil {
-		t.Errorf("between two authorities: %v, %v", s, c)
+		t.Errorf("handshake between brokers of two authorities: %v, %v", s, c)
 	}
 }
 
-// Keys that others may read, names that could be read in two ways, an authority in the way: each is refused.
+// Keys that others may read, ambiguous names, and a directory that already has an authority are rejected.
 func TestInvalidInput(t *testing.T) {
 	a := ID{"site-a", "n0"}
 	dir, dirs := newAuthorityAndBrokers(t, a)
@@ -185,18 +185,18 @@
 		}
 	}
 	if err := NewAuthority(ca, "again", time.Hour, now); err == nil {
-		t.Error("replaced an authority")
+		t.Error("NewAuthority replaced an authority")
 	}
 	for _, id := range []ID{{"", "n"}, {"a", ""}, {"A", "n"}, {"a/b", "n"}, {"a", "n/x"}, {"-a", "n"}, {"a", strings.Repeat("n", 64)}} {
 		if _, err := Issue(ca, filepath.Join(dir, "x"), id, time.Hour, now); err == nil {
-			t.Errorf("issued to %q", id)
+			t.Errorf("issued a certificate to the invalid name %q", id)
 		}
 	}
 	if _, err := Issue(ca, filepath.Join(dir, "x"), a, time.Hour, now.Add(72*time.Hour)); err == nil || !strings.Contains(err.Error(), "expired") {
-		t.Errorf("an expired authority issued: %v", err)
+		t.Errorf("certificate issued by an expired authority: %v", err)
 	}
 	if c, err := Issue(ca, filepath.Join(dir, "x"), a, 1000*time.Hour, now); err != nil || c.NotAfter.After(now.Add(49*time.Hour)) {
-		t.Errorf("outlives its authority: %v, %v", c.NotAfter, err)
+		t.Errorf("certificate expires at %v, after its authority, or error %v", c.NotAfter, err)
 	}
 }
 
@@ -209,7 +209,7 @@
 			return
 		}
 		if u := id.url(); u.Host != site || u.Path != "/"+name || u.String() != scheme+"://"+site+"/"+name {
-			t.Errorf("%q is written %q", id, u)
+			t.Errorf("%q has the URI %q", id, u)
 		}
 	})
 }
--- a/internal/transport/keys/recorded_test.go
+++ b/internal/transport/keys/recorded_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// testdata/recorded holds an authority and the directories of two brokers as commit 1a4b6be wrote them at recordedAt; the
-// certificate of n1 is revoked. The keys are for this test alone.
+// testdata/recorded contains an authority and the directories of two brokers as commit 1a4b6be wrote them at recordedAt; the
+// certificate of n1 is revoked. The keys are used by this test only.
 var recordedAt = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// copyRecorded copies a recorded directory, with the mode that a private key has to have.
+// copyRecorded copies a recorded directory, and gives private keys the mode that they must have.
 func copyRecorded(t *testing.T, name string) (dir string) {
 	t.Helper()
 	dir = filepath.Join(t.TempDir(), name)
@@ -95,7 +95,7 @@
 	}
 }
 
-// The same content leads to the same bytes. Signatures are drawn anew each time, so that only the form round them is compared.
+// The same content is written as the same bytes. As signatures are random, only the encoding of the recorded content is compared.
 func TestRecordedFilesAreWritten(t *testing.T) {
 	dir := copyRecorded(t, "authority")
 	_, key, err := loadAuthority(dir, recordedAt)
--- a/internal/transport/keys/ring.go
+++ b/internal/transport/keys/ring.go
@@ -1,6 +1,6 @@
 package keys
 
-// This file owns what a broker shows in a handshake and whom it trusts.
+// This file holds the certificate that a broker presents in handshakes, and decides which peers it trusts.
 
 import (
 	"crypto/tls"
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// keySet is one reading of a directory.
+// keySet is the content of a directory of keys, as read at one time.
 type keySet struct {
 	ownCert tls.Certificate
 	id      ID
@@ -21,20 +21,20 @@
 	expiry  time.Time
 }
 
-// Keyring is what a broker shows and whom it trusts. It may be used from any goroutine.
+// Keyring holds the present keySet of a directory. It may be used from any goroutine.
 type Keyring struct {
 	dir     string
 	now     func() time.Time
 	current atomic.Pointer[keySet]
 }
 
-// Open reads a directory.
+// Open reads a directory of keys.
 func Open(dir string) (*Keyring, error) {
 	k := &Keyring{dir: dir, now: time.Now}
 	return k, k.Reload()
 }
 
-// Reload reads the directory anew. What is wrong with it changes nothing; what is right counts for handshakes from here on.
+// Reload reads the directory again. If all of it is valid, later handshakes use it; else nothing changes.
 func (k *Keyring) Reload() error {
 	cert, key := filepath.Join(k.dir, BrokerCert), filepath.Join(k.dir, BrokerKey)
 	if err := checkPrivate(key); err != nil {
@@ -76,20 +76,20 @@
 	return nil
 }
 
-// ID is who this broker is.
+// ID returns the identity of this broker.
 func (k *Keyring) ID() ID { return k.current.Load().id }
 
-// Expiry is when the broker's own certificate does.
+// Expiry returns when the broker's own certificate expires.
 func (k *Keyring) Expiry() time.Time { return k.current.Load().expiry }
 
-// verify refuses a certificate that no authority vouches for now, or that is revoked.
+// verify returns an error if a certificate is revoked, or not valid now under any of the authorities.
 func (r *keySet) verify(c *x509.Certificate, chain []*x509.Certificate, now time.Time) error {
 	intermediates := x509.NewCertPool()
 	for _, c := range chain {
 		intermediates.AddCert(c)
 	}
 	if r.revoked[Serial(c)] {
-		return &CertificateError{Serial(c), errors.New("is revoked")}
+		return &CertificateError{Serial(c), errors.New("has been revoked")}
 	}
 	if _, err := c.Verify(x509.VerifyOptions{Roots: r.roots, Intermediates: intermediates, CurrentTime: now,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}); err != nil {
@@ -98,11 +98,11 @@
 	return nil
 }
 
-// verifyPeer checks who is at the other end of a handshake.
+// verifyPeer checks the certificate of the other side of a handshake, and whether its identity is allowed.
 func (k *Keyring) verifyPeer(s tls.ConnectionState, allowed func(ID) error) error {
 	r := k.current.Load()
 	if len(s.PeerCertificates) == 0 {
-		return &CertificateError{"", errors.New("none was shown")}
+		return &CertificateError{"", errors.New("none was presented")}
 	}
 	if err := r.verify(s.PeerCertificates[0], s.PeerCertificates[1:], k.now()); err != nil {
 		return err
@@ -114,24 +114,24 @@
 	return err
 }
 
-// PeerID is who is at the other end of a connection whose handshake is over.
+// PeerID returns the identity of the other side of a connection after the handshake.
 func PeerID(s tls.ConnectionState) (ID, error) {
 	if len(s.PeerCertificates) == 0 {
-		return ID{}, &CertificateError{"", errors.New("none was shown")}
+		return ID{}, &CertificateError{"", errors.New("none was presented")}
 	}
 	return Identity(s.PeerCertificates[0])
 }
 
-// Server is the configuration of the side that is dialled. allowed tells who may come. No session is resumed, as that would
-// pass by what was revoked since.
+// Server returns the TLS configuration of the side that accepts connections. allowed returns an error for an identity that may not connect.
+// No session is resumed, as that would bypass later revocations.
 func (k *Keyring) Server(allowed func(ID) error) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true, ClientAuth: tls.RequireAnyClientCert,
 		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.current.Load().ownCert, nil },
 		VerifyConnection: func(s tls.ConnectionState) error { return k.verifyPeer(s, allowed) }}
 }
 
-// Client is the configuration of the side that dials. The name of a host means nothing here; the identity does, which
-// VerifyConnection checks together with the chain.
+// Client returns the TLS configuration of the side that dials. Host names are not verified; VerifyConnection verifies the identity and the
+// certificate chain instead.
 func (k *Keyring) Client(allowed func(ID) error) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, InsecureSkipVerify: true, ServerName: scheme,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.current.Load().ownCert, nil },
--- a/internal/transport/link/bench_test.go
+++ b/internal/transport/link/bench_test.go
@@ -20,7 +20,7 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// What a forwarded search and its verdict cost in three encodings: time both ways, and bytes.
+// BenchmarkEncoding measures a forwarded query and its reply in three encodings: the time to encode and decode them, and their bytes.
 func BenchmarkEncoding(b *testing.B) {
 	a := query(7)
 	v := Reply{ID: 7, IsComplete: true, ShardAnswers: []ShardAnswer{{Shard: 1, Value: strings.Repeat("v", 200)}, {Shard: 3, Value: strings.Repeat("w", 200)}}}
@@ -49,7 +49,7 @@
 				var ga Query
 				var gv Reply
 				if codec.in(queryBytes, &ga) != nil || codec.in(replyBytes, &gv) != nil || ga.ShardRequests[1].Shard != 3 || gv.ShardAnswers[1].Shard != 3 {
-					b.Fatal("not the same")
+					b.Fatal("decoded messages differ from the encoded ones")
 				}
 				size = len(queryBytes) + len(replyBytes)
 			}
@@ -58,8 +58,8 @@
 	}
 }
 
-// One search there and back over loopback, 64 at once over one connection, with the same certificates and encoding: this
-// package's link, HTTP/2 of the standard library, QUIC of the registry with a stream for each search.
+// BenchmarkExchange measures the exchange of one query and its reply over loopback, with many at once over one connection, and the same
+// certificates and encoding: over this package's link, HTTP/2 of the standard library, and QUIC with one stream for each query.
 func BenchmarkExchange(b *testing.B) {
 	ca := filepath.Join(b.TempDir(), "ca")
 	here, there := newKeyring(b, ca, "site-a"), newKeyring(b, ca, "site-b")
@@ -101,7 +101,7 @@
 				waiting[next] = done
 				mu.Unlock()
 				if !c.Query(a) {
-					b.Error("no room")
+					b.Error("query not queued")
 					return
 				}
 				<-done
--- a/internal/transport/link/benchproto_test.go
+++ b/internal/transport/link/benchproto_test.go
@@ -1,6 +1,6 @@
 package link
 
-// This file holds the form that frames were compared with.
+// This file encodes queries and replies as protocol buffers, for the comparison in BenchmarkEncoding.
 
 import (
 	"math"
@@ -35,7 +35,7 @@
 	return b
 }
 
-// eachField calls for each field of a message.
+// eachField calls field for each field of a message.
 func eachField(b []byte, field func(n protowire.Number, number uint64, text []byte)) error {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
--- a/internal/transport/link/conn.go
+++ b/internal/transport/link/conn.go
@@ -1,6 +1,6 @@
 package link
 
-// This file owns one connection between two brokers. The side that dials asks, the other one answers.
+// This file holds a connection between two brokers. The side that has dialled forwards queries, and the other one replies.
 
 import (
 	"bufio"
@@ -16,35 +16,35 @@
 
 const (
 	heartbeatInterval = 250 * time.Millisecond
-	silenceTimeout    = time.Second     // nothing was heard: the link is cut, or half open
-	handshakeTimeout  = 3 * time.Second // for TLS and the hello together
-	frameTimeout      = 2 * time.Second // a frame that has begun must be whole
-	writeTimeout      = 2 * time.Second // the other side takes what is written
-	maxQueuedBytes    = 1 << 20         // that wait to be written; more end the connection
-	replyWindowBytes  = 1 << 20         // bytes of verdicts that may be on their way to the asking side
+	silenceTimeout    = time.Second     // nothing has been received for so long: the network is cut, or the connection half open
+	handshakeTimeout  = 3 * time.Second // for TLS and the hellos together
+	frameTimeout      = 2 * time.Second // within which a frame that has begun must be complete
+	writeTimeout      = 2 * time.Second // within which a write must be completed
+	maxQueuedBytes    = 1 << 20         // bytes that wait to be written; more end the connection
+	replyWindowBytes  = 1 << 20         // bytes of replies that the dialling side has room for
 )
 
-// Event is what happens on a link. Exactly one of the pointers is set.
+// Event is an event of a link. Exactly one of the pointers besides Conn is set.
 type Event struct {
 	Conn      *Conn
-	Up        *Hello  // asking side: it may ask from now on; the other one: a link has been opened
-	Query     *Query  // the other side forwards a search
-	Reply     *Reply  // on one that this side forwarded
-	Cancel    *uint64 // the other side has given one up
-	Heartbeat *Status // what the other side says of itself
+	Up        *Hello  // the other side's hello: the link is established
+	Query     *Query  // a query that the other side forwards
+	Reply     *Reply  // the reply to a query that this side forwarded
+	Cancel    *uint64 // id of a query that the other side has abandoned
+	Heartbeat *Status // the other side's status, from a heartbeat
 	Down      *End    // the last event of a connection
 }
 
-// End tells how a connection ended.
+// End describes the end of a connection.
 type End struct {
 	Reason string
-	Unsent []uint64 // asks that were never handed to the network
+	Unsent []uint64 // ids of queries that were never written to the network
 }
 
-// Conn is one connection.
+// Conn is a connection to another broker.
 type Conn struct {
-	Peer        int    // asking side: which of the configured links; else -1
-	Serial      uint64 // connections in the order in which they came
+	Peer        int    // index of the target that this side dialled; -1: the other side dialled
+	Serial      uint64 // number of the connection, in the order in which they were established
 	RemoteHello Hello
 
 	localHello Hello
@@ -56,10 +56,10 @@
 	startedAt  time.Time
 
 	mu          sync.Mutex
-	urgent      [][]byte // beats, grants, cancels: they go first
+	urgent      [][]byte // frames of heartbeats, window updates and cancels: they are sent first
 	queue       []queued
-	queuedBytes int // in both
-	replyWindow int // bytes of verdicts that the other side still has room for
+	queuedBytes int // in urgent and queue
+	replyWindow int // bytes of replies that the other side still has room for
 	closed      bool
 	reason      string
 	wake        chan struct{}
@@ -69,25 +69,25 @@
 	ackedSeq    uint64
 	rtt         atomic.Int64
 
-	unacked      map[uint64]time.Time // beats not acknowledged yet
+	unacked      map[uint64]time.Time // heartbeats not acknowledged yet, and when they were sent
 	heartbeatSeq uint64
 	queryCount   atomic.Uint64
 }
 
 type queued struct {
 	frame   []byte
-	query   uint64 // its id, where it is one
+	query   uint64 // id, if it is a query
 	isQuery bool
 	isReply bool
 }
 
-// RTT is the round trip as last measured; 0: not yet.
+// RTT returns the smoothed round-trip time; 0: not measured yet.
 func (c *Conn) RTT() time.Duration { return time.Duration(c.rtt.Load()) }
 
-// Version is what the two sides speak.
+// Version returns the protocol version that the two sides agreed on.
 func (c *Conn) Version() int { return c.version }
 
-// exchangeHellos exchanges hellos; what follows is known to come from one that speaks a version in common.
+// exchangeHellos sends and receives the hello, and agrees on the protocol version.
 func (c *Conn) exchangeHellos() error {
 	b, err := appendFrame(nil, frameHello, c.localHello)
 	if err != nil {
@@ -102,20 +102,20 @@
 		return err
 	}
 	if frameType != frameHello {
-		return fmt.Errorf("%w: %q comes first", errFrame, frameType)
+		return fmt.Errorf("%w: the first has type %q, not that of a hello", errFrame, frameType)
 	}
 	if c.RemoteHello, err = decode[Hello](body.Bytes()); err != nil {
 		return err
 	}
 	if c.RemoteHello.Credit < 0 || c.RemoteHello.Window < 0 || len(c.RemoteHello.Site) > 64 || len(c.RemoteHello.Broker) > 64 {
-		return fmt.Errorf("%w: hello", errFrame)
+		return fmt.Errorf("%w: invalid hello", errFrame)
 	}
 	c.version, err = negotiateVersion(c.localHello, c.RemoteHello)
 	c.replyWindow = c.RemoteHello.Window
 	return err
 }
 
-// run carries a connection until it ends, and then posts its end.
+// run reads and writes until the connection ends, and then posts its end.
 func (c *Conn) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { c.Close("shutdown") })
 	defer stop()
@@ -141,7 +141,7 @@
 	c.post(Event{Conn: c, Down: end})
 }
 
-// Close ends a connection, with the first reason that is given.
+// Close closes a connection with a reason code. Only the first call's reason counts.
 func (c *Conn) Close(reason string) {
 	c.mu.Lock()
 	if !c.closed {
--- a/internal/transport/link/frame.go
+++ b/internal/transport/link/frame.go
@@ -1,13 +1,13 @@
-// Package link carries searches and their verdicts between brokers of two sites. It owns the connections: handshake, version,
-// frames, flow control, heartbeats, and the end of each with a reason code. It must never decide where a search goes, keep one
-// after its connection, hold more memory for a slow or hostile other side than is stated here, or make the loop wait.
+// Package link carries forwarded queries and their replies between brokers of two sites. It manages the connections: handshake, version,
+// frames, flow control, heartbeats, and the reason code of each end. It must never decide where a query goes, keep one after its
+// connection has ended, use more memory for a slow or hostile other side than its limits allow, or block the loop.
 //
-// Depends on transport/keys. Concurrency: goroutines of its own, which the caller's context ends; what they
-// share with callers is behind a lock or an atomic value.
+// Depends on transport/keys. Concurrency: it starts goroutines, which end with the caller's context; what they share with callers is
+// protected by a lock or an atomic value.
 package link
 
-// This file owns the frames: four bytes of length (least significant first), a letter, and a body in CBOR (RFC 8949) whose
-// fields stand in a fixed order. The length covers the letter and the body.
+// This file defines the frames: four bytes of length (least significant first), a byte with the type, and a body in CBOR (RFC 8949). Bodies
+// are arrays, so that the order of a struct's fields is part of the protocol, and their names are not. The length covers type and body.
 
 import (
 	"bufio"
@@ -21,79 +21,79 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The versions of the protocol that this side speaks. The hello is the same in all of them.
+// The lowest and highest version of the protocol that this side supports. The hello is the same in all of them.
 //
-//	1  hello, ask, verdict, cancel, beat; a planned stop is told in the status of a beat
-//	2  grant: verdicts take no more than the bytes that the asking side has room for
+//	1  hello, query, reply, cancel, heartbeat; a graceful shutdown is announced in the status of a heartbeat
+//	2  window update: replies use no more bytes than the dialling side has room for
 const (
 	MinVersion = 1
 	MaxVersion = 2
 )
 
-// maxFrame bounds a frame: a search holds 64 KiB at most, its verdict some values of as much.
+// maxFrame is the largest length of a frame in bytes: a query has 64 KiB at most, and its reply a few values of that size.
 const (
 	maxFrame      = 1 << 20
 	maxShards     = 4096
-	maxHelloFrame = 4 << 10 // until a frame more is known of the other side
+	maxHelloFrame = 4 << 10 // for the hello, before which nothing is known of the other side
 )
 
 var (
 	errFrame   = errors.New("bad frame")
-	errVersion = errors.New("no version in common")
+	errVersion = errors.New("no common protocol version")
 )
 
-// Hello is the first frame each way.
+// Hello is the first frame in each direction.
 type Hello struct {
 	_                      struct{} `cbor:",toarray"`
 	MinVersion, MaxVersion int
 	Site, Broker           string // as in the certificate
 	Epoch                  uint64 // drawn at the start of the process
-	Credit                 int    // searches that the other side may have out here
-	Window                 int    // bytes of verdicts that this side has room for
+	Credit                 int    // queries that the other side may have in flight here
+	Window                 int    // bytes of replies that this side has room for
 }
 
-// ShardRequest is one part of a search.
+// ShardRequest is the request to one shard of a query.
 type ShardRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Shard  int
 	Weight float64
 }
 
-// Query forwards a search.
+// Query forwards a query.
 type Query struct {
 	_               struct{} `cbor:",toarray"`
-	ID              uint64   // unique in the process that asks
-	Resent          bool     // it may have come before, over another link
-	RemainingMicros int64    // microseconds until the asking side must have the verdict
+	ID              uint64   // unique in the process that forwards it
+	Resent          bool     // it may have been sent before, over another link
+	RemainingMicros int64    // microseconds until the forwarding side must have the reply
 	Type            string
 	Tenant          string
-	ClientRetry     bool   // its client asks again
-	Request         string // the client's id of it
+	ClientRetry     bool   // the client has sent the query before
+	Request         string // the client's id of the query
 	Text            string
 	ShardRequests   []ShardRequest
 }
 
-// ShardAnswer is one part's value.
+// ShardAnswer is the answer of one shard.
 type ShardAnswer struct {
 	_     struct{} `cbor:",toarray"`
 	Shard int
 	Value string
 }
 
-// The kinds of a verdict.
+// The kinds of a reply.
 const (
 	Answered = iota
 	Refused
 	Failed
 )
 
-// Reply answers an ask.
+// Reply is the reply to a forwarded query.
 type Reply struct {
 	_                struct{} `cbor:",toarray"`
 	ID               uint64
 	Kind             int
 	IsComplete       bool
-	RetryAfterMicros int64 // microseconds; refused: when to come back
+	RetryAfterMicros int64 // microseconds; for Refused: when the query may be sent again
 	ShardAnswers     []ShardAnswer
 }
 
@@ -102,20 +102,20 @@
 	ID uint64
 }
 
-// Heartbeat is what a side says of itself, with each heartbeat.
+// Status is the status that a side sends with each heartbeat.
 type Status struct {
 	_             struct{} `cbor:",toarray"`
-	FreeCapacity  float64
-	IsShedding    bool
-	IsDraining    bool
-	MissingShards []int
+	FreeCapacity  float64  // share of the capacity for queries of other sites, 0 to 1
+	IsShedding    bool     // it sheds queries of its own clients
+	IsDraining    bool     // a graceful shutdown is under way
+	MissingShards []int    // those without an available replica
 }
 
 type heartbeat struct {
 	_              struct{} `cbor:",toarray"`
 	Seq            uint64
-	Heartbeat      uint64 // the last of the other side's
-	AckDelayMicros int64  // microseconds since that came
+	Heartbeat      uint64 // number of the last heartbeat received from the other side; 0: none
+	AckDelayMicros int64  // microseconds since it was received
 	Status         *Status
 }
 
@@ -124,7 +124,7 @@
 	Bytes int
 }
 
-// letters of the frames.
+// The types of frames.
 const (
 	frameHello        = 'h'
 	frameQuery        = 'a'
@@ -139,7 +139,7 @@
 	encMode, _ = cbor.EncOptions{}.EncMode()
 )
 
-// appendFrame encodes one frame.
+// appendFrame appends an encoded frame.
 func appendFrame(b []byte, frameType byte, body any) ([]byte, error) {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0, frameType)
@@ -149,13 +149,13 @@
 	}
 	b = w.Bytes()
 	if len(b)-at-4 > maxFrame {
-		return b[:at], fmt.Errorf("%w: %d bytes to be sent", errFrame, len(b)-at-4)
+		return b[:at], fmt.Errorf("%w: %d bytes to send, more than the maximum", errFrame, len(b)-at-4)
 	}
 	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-4))
 	return b, nil
 }
 
-// readFrame reads one frame, giving room only as its bytes come.
+// readFrame reads one frame of at most limit bytes. Memory is allocated as bytes arrive, not by the length that the frame states.
 func readFrame(r *bufio.Reader, body *bytes.Buffer, limit int) (frameType byte, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -182,21 +182,21 @@
 	return v, err
 }
 
-// maxRemainingTime bounds the time that a search may claim to have.
+// maxRemainingTime is the longest remaining time that a query may state.
 const maxRemainingTime = time.Hour
 
-// decodeQuery reads an ask, and refuses what no broker sends.
+// decodeQuery decodes a query, and rejects values that no broker sends.
 func decodeQuery(b []byte) (Query, error) {
 	q, err := decode[Query](b)
 	switch {
 	case err != nil:
 	case q.RemainingMicros <= 0 || q.RemainingMicros > maxRemainingTime.Microseconds() || len(q.ShardRequests) == 0 || len(q.ShardRequests) > maxShards || q.Request == "" ||
 		len(q.Request) > 64:
-		err = fmt.Errorf("%w: ask %d", errFrame, q.ID)
+		err = fmt.Errorf("%w: query %d: invalid remaining time, shard requests or request id", errFrame, q.ID)
 	}
 	for _, p := range q.ShardRequests {
 		if err == nil && (p.Shard < 0 || !(p.Weight >= 0 && p.Weight <= 1)) {
-			err = fmt.Errorf("%w: ask %d: shard %d weighs %v", errFrame, q.ID, p.Shard, p.Weight)
+			err = fmt.Errorf("%w: query %d: shard %d has weight %v", errFrame, q.ID, p.Shard, p.Weight)
 		}
 	}
 	return q, err
@@ -205,16 +205,16 @@
 func decodeReply(b []byte) (Reply, error) {
 	r, err := decode[Reply](b)
 	if err == nil && (r.Kind < Answered || r.Kind > Failed || r.RetryAfterMicros < 0 || len(r.ShardAnswers) > maxShards) {
-		err = fmt.Errorf("%w: verdict on %d", errFrame, r.ID)
+		err = fmt.Errorf("%w: invalid reply to query %d", errFrame, r.ID)
 	}
 	return r, err
 }
 
-// negotiateVersion picks the version that two sides speak.
+// negotiateVersion returns the highest version that both sides support.
 func negotiateVersion(local, remote Hello) (int, error) {
 	v := min(local.MaxVersion, remote.MaxVersion)
 	if v < max(local.MinVersion, remote.MinVersion, 1) {
-		return 0, fmt.Errorf("%w: %d to %d here, %d to %d there", errVersion, local.MinVersion, local.MaxVersion, remote.MinVersion, remote.MaxVersion)
+		return 0, fmt.Errorf("%w: this side supports %d to %d, the other side %d to %d", errVersion, local.MinVersion, local.MaxVersion, remote.MinVersion, remote.MaxVersion)
 	}
 	return v, nil
 }
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -1,6 +1,6 @@
 package link
 
-// This file owns the coming and going of connections: dialling with a growing, uneven pause, and listening within bounds.
+// This file establishes connections: it performs the handshake, and dials targets again with a growing, randomized delay.
 
 import (
 	"bufio"
@@ -20,29 +20,29 @@
 const (
 	minRedialDelay = 100 * time.Millisecond
 	maxRedialDelay = 5 * time.Second
-	stableDuration = 2 * time.Second // a link that stood so long is dialled again at once when it ends
+	stableDuration = 2 * time.Second // a link that lasted longer resets the delay to the minimum
 )
 
-// Target is one broker of another site.
+// Target is a broker of another site that this side dials.
 type Target struct {
 	Site string
 	Addr string
 }
 
-// Options say who this side is and what it offers.
+// Options configure the links of a broker.
 type Options struct {
 	Keys        *keys.Keyring
-	Epoch       uint64
-	Credit      int      // searches that another broker may have out here
-	Sites       []string // whose brokers may open links here
-	MaxAccepted int      // links from other brokers at once
+	Epoch       uint64   // drawn at the start of the process
+	Credit      int      // queries that another broker may have in flight here
+	Sites       []string // sites whose brokers may open links to this one
+	MaxAccepted int      // links opened by other brokers, at once
 	Targets     []Target
-	Post        func(Event)                                              // delivers to the loop; may wait
+	Post        func(Event)                                              // posts to the loop; may block
 	Dial        func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
-	versions    [2]int                                                   // tests speak older ones
+	versions    [2]int                                                   // lowest and highest protocol version; tests set older ones
 }
 
-// Links are all links of a broker.
+// Links manages all links of a broker.
 type Links struct {
 	opts      Options
 	status    atomic.Pointer[Status]
@@ -50,13 +50,13 @@
 	mu        sync.Mutex
 	conns     map[*Conn]bool
 	accepted  int
-	logLines  int // refused handshakes logged in this second
+	logLines  int // rejected handshakes logged in the second logSecond
 	logSecond int64
 
-	RejectedHandshakes atomic.Uint64 // handshakes
+	RejectedHandshakes atomic.Uint64 // failed handshakes, and connections beyond MaxAccepted
 }
 
-// New makes links; nothing is dialled yet.
+// New returns the links of a broker. Nothing is dialled before Maintain.
 func New(o Options) *Links {
 	if o.Dial == nil {
 		o.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
@@ -71,7 +71,7 @@
 	return l
 }
 
-// SetStatus is what heartbeats tell of this side from now on; urgent has it told at once.
+// SetStatus sets the status that heartbeats carry from now on. With immediately, it is sent over all links at once.
 func (l *Links) SetStatus(s Status, immediately bool) {
 	l.status.Store(&s)
 	if !immediately {
@@ -84,7 +84,7 @@
 	}
 }
 
-// nextHeartbeatSeq numbers a heartbeat out of turn.
+// nextHeartbeatSeq returns the number of a heartbeat that is sent between the regular ones.
 func (c *Conn) nextHeartbeatSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +109,8 @@
 			Credit: l.opts.Credit, Window: replyWindowBytes}}
 }
 
-// establish makes a connection of a socket: TLS, then the hello, all within one time limit. The other side must say the same of
-// itself in both.
+// establish performs the handshake on a socket: TLS, then the hellos, within handshakeTimeout together. The other side's hello must name
+// the same site and broker as its certificate.
 func (l *Links) establish(ctx context.Context, nc *tls.Conn, peer int) (*Conn, error) {
 	nc.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := nc.HandshakeContext(ctx); err != nil {
@@ -125,19 +125,19 @@
 		return nil, err
 	}
 	if c.RemoteHello.Site != id.Site || c.RemoteHello.Broker != id.Broker {
-		return nil, fmt.Errorf("it calls itself %s/%s, its certificate %s", c.RemoteHello.Site, c.RemoteHello.Broker, id)
+		return nil, fmt.Errorf("hello names %s/%s, but the certificate %s", c.RemoteHello.Site, c.RemoteHello.Broker, id)
 	}
 	nc.SetDeadline(time.Time{})
 	c.Serial = l.serial.Add(1)
 	return c, nil
 }
 
-// runConn runs a connection that stands.
+// runConn runs an established connection until it ends.
 func (l *Links) runConn(ctx context.Context, c *Conn) {
 	l.mu.Lock()
 	l.conns[c] = true
 	l.mu.Unlock()
-	slog.Info("link stands", "site", c.RemoteHello.Site, "broker", c.RemoteHello.Broker, "dialled", c.Peer >= 0, "version", c.version,
+	slog.Info("link established", "site", c.RemoteHello.Site, "broker", c.RemoteHello.Broker, "dialled", c.Peer >= 0, "version", c.version,
 		"credit", c.RemoteHello.Credit)
 	c.post(Event{Conn: c, Up: &c.RemoteHello})
 	c.run(ctx)
@@ -146,12 +146,12 @@
 	l.mu.Unlock()
 }
 
-// Maintain keeps the link to one target until ctx ends.
+// Maintain keeps up the link to one target until ctx ends.
 func (l *Links) Maintain(ctx context.Context, peer int) {
 	target := l.opts.Targets[peer]
 	config := l.opts.Keys.Client(func(id keys.ID) error {
 		if id.Site != target.Site {
-			return fmt.Errorf("%s answers where a broker of %s was dialled", id, target.Site)
+			return fmt.Errorf("dialled a broker of %[2]s, but %[1]s answered", id, target.Site)
 		}
 		return nil
 	})
@@ -163,13 +163,13 @@
 			lastError = ""
 			l.runConn(ctx, c)
 		} else if text := err.Error(); text != lastError && ctx.Err() == nil {
-			slog.Warn("link does not stand", "site", target.Site, "addr", target.Addr, "error", err)
+			slog.Warn("link not established", "site", target.Site, "addr", target.Addr, "error", err)
 			lastError = text
 		}
 		if err == nil && time.Since(started) > stableDuration {
 			delay = minRedialDelay
 		}
-		select { // Danger: all links of a site that comes back dial it in the same moment
+		select { // randomized: else all brokers would dial a site that comes back at the same moment
 		case <-time.After(delay/2 + rand.N(delay)):
 		case <-ctx.Done():
 		}
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// side is one broker's links with what happened on them.
+// side is one broker's links and their events.
 type side struct {
 	*Links
 	events  chan Event
@@ -32,7 +32,7 @@
 
 func (s *side) post(e Event) { s.events <- e }
 
-// waitFor reads events up to one that fits.
+// waitFor returns the first event that matches. Earlier ones, except for heartbeats, stay pending for later calls.
 func (s *side) waitFor(t testing.TB, what string, matches func(Event) bool) Event {
 	t.Helper()
 	for i, e := range s.pending {
@@ -52,7 +52,7 @@
 				s.pending = append(s.pending, e)
 			}
 		case <-timeout:
-			t.Fatalf("never: %s; held %+v", what, s.pending)
+			t.Fatalf("no event within 15 s: %s; pending %+v", what, s.pending)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 
 func isDown(e Event) bool { return e.Down != nil }
 
-// newKeyring makes the keys of a broker.
+// newKeyring issues the keys of a broker.
 func newKeyring(t testing.TB, ca, site string) *keys.Keyring {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), site)
@@ -80,7 +80,7 @@
 	return k
 }
 
-// far listens; near dials it, over a wire if one is given.
+// connectedSides starts two sides: far listens, and near dials it through a relay that can cut the network.
 func connectedSides(t testing.TB, nearVersion, farVersion [2]int) (near, far *side, wire *lab.Relay) {
 	t.Helper()
 	ca := filepath.Join(t.TempDir(), "ca")
@@ -111,7 +111,7 @@
 			select {
 			case <-done:
 			case <-time.After(10 * time.Second):
-				t.Error("links did not end")
+				t.Error("links did not end within 10 s")
 			}
 		}
 	})
@@ -125,27 +125,27 @@
 		ShardRequests: []ShardRequest{{Shard: 1, Weight: 0.5}, {Shard: 3, Weight: 0.5}}}
 }
 
-// A search goes there and its verdict comes back, between versions that have one in common.
+// TestExchange forwards a query and returns its reply, between sides that have a protocol version in common.
 func TestExchange(t *testing.T) {
 	for _, versions := range [][2][2]int{{allVersions, allVersions}, {allVersions, {1, 1}}, {{1, 1}, allVersions}, {{1, 2}, {2, 7}}} {
 		near, far, _ := connectedSides(t, versions[0], versions[1])
 		up := near.waitFor(t, "near up", isUp)
 		far.waitFor(t, "far up", isUp)
 		if want := min(versions[0][1], versions[1][1]); up.Conn.Version() != want || up.Up.Epoch != 2 || up.Up.Credit != 9 {
-			t.Errorf("version %d, not %d; %+v", up.Conn.Version(), want, up.Up)
+			t.Errorf("version %d, want %d; hello %+v", up.Conn.Version(), want, up.Up)
 		}
 		near.SetStatus(Status{FreeCapacity: 0.5, MissingShards: []int{4}}, false)
 		if !up.Conn.Query(query(7)) {
-			t.Fatal("not sent")
+			t.Fatal("query not queued")
 		}
 		in := far.waitFor(t, "the ask", func(e Event) bool { return e.Query != nil })
 		if fmt.Sprint(*in.Query) != fmt.Sprint(query(7)) {
-			t.Errorf("came as %+v", in.Query)
+			t.Errorf("received query %+v", in.Query)
 		}
 		in.Conn.Reply(Reply{ID: 7, IsComplete: true, ShardAnswers: []ShardAnswer{{Shard: 1, Value: "v"}}})
 		out := near.waitFor(t, "the verdict", func(e Event) bool { return e.Reply != nil })
 		if out.Reply.ID != 7 || out.Reply.ShardAnswers[0].Value != "v" {
-			t.Errorf("came back as %+v", out.Reply)
+			t.Errorf("received reply %+v", out.Reply)
 		}
 		up.Conn.Cancel(7)
 		far.waitFor(t, "the cancel", func(e Event) bool { return e.Cancel != nil && *e.Cancel == 7 })
@@ -156,7 +156,7 @@
 	}
 }
 
-// Without a version in common, or without a place among those that may come, a link does not stand, and that is counted.
+// Without a common protocol version, or without a certificate, no link is established; rejected handshakes are counted.
 func TestRejectedHandshakes(t *testing.T) {
 	near, far, _ := connectedSides(t, [2]int{1, 1}, [2]int{2, 2})
 	for far.RejectedHandshakes.Load() == 0 {
@@ -169,16 +169,16 @@
 		anonymous.Close()
 	}
 	if err == nil {
-		t.Error("one without a certificate got in")
+		t.Error("a client without a certificate was accepted")
 	}
 	select {
 	case e := <-near.events:
-		t.Errorf("%+v", e)
+		t.Errorf("unexpected event %+v", e)
 	default:
 	}
 }
 
-// A cut, one way or both, is noticed by both sides; the link stands again once it is mended.
+// Both sides notice when the network is cut in one or both directions. The link is established again once the network works.
 func TestNetworkCuts(t *testing.T) {
 	for what, cut := range map[string][2]bool{"both ways": {true, true}, "there": {true, false}, "back": {false, true}} {
 		near, far, wire := connectedSides(t, allVersions, allVersions)
@@ -189,7 +189,7 @@
 		n := near.waitFor(t, what+": near down", isDown)
 		nearTook := time.Since(at)
 		far.waitFor(t, what+": far down", isDown)
-		t.Logf("cut %s: near side after %v (%s), both after %v", what, nearTook.Round(time.Millisecond), n.Down.Reason,
+		t.Logf("cut %s: near side noticed after %v (%s), both after %v", what, nearTook.Round(time.Millisecond), n.Down.Reason,
 			time.Since(at).Round(time.Millisecond))
 		wire.Cut(false, false)
 		wire.Reset()
--- a/internal/transport/link/nonsense_test.go
+++ b/internal/transport/link/nonsense_test.go
@@ -1,6 +1,6 @@
 package link
 
-// This file tests sides that speak nonsense, do not read, or are cut off.
+// This file tests sides that send invalid frames, or do not read, and queries that are not sent before a link ends.
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// dialRaw is a connection to the far side that speaks for itself once the hello is over.
+// dialRaw returns a connection to the far side over which the test writes bytes itself once the hellos are exchanged.
 func dialRaw(t *testing.T, far *side, near *side) (*tls.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := tls.Dial("tcp", far.ln.Addr().String(), near.opts.Keys.Client(func(keys.ID) error { return nil }))
@@ -34,7 +34,7 @@
 	return c, in
 }
 
-// Whatever nonsense comes ends that link with a reason, and nothing of it reaches the loop.
+// TestInvalidFrames: an invalid frame ends the link with a reason code, and no event of it reaches the loop.
 func TestInvalidFrames(t *testing.T) {
 	near, far, _ := connectedSides(t, allVersions, allVersions)
 	near.waitFor(t, "near up", isUp)
@@ -60,7 +60,7 @@
 		conn, _ := dialRaw(t, far, near)
 		conn.Write(c.bytes)
 		if e := far.waitFor(t, what, isDown); e.Down.Reason != c.reason {
-			t.Errorf("%s: ended as %s", what, e.Down.Reason)
+			t.Errorf("%s: ended with reason %s", what, e.Down.Reason)
 		}
 		conn.Close()
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// A side that asks and does not read takes a stated memory, and then the link ends.
+// A side that sends a query and does not read the replies may use only maxQueuedBytes; then the link ends.
 func TestSideThatDoesNotRead(t *testing.T) {
 	near, far, _ := connectedSides(t, allVersions, allVersions)
 	near.waitFor(t, "near up", isUp)
@@ -90,14 +90,14 @@
 		in.Conn.mu.Unlock()
 	}
 	if e := far.waitFor(t, "down", isDown); e.Down.Reason != "does_not_read" && e.Down.Reason != "stuck" {
-		t.Errorf("ended as %s", e.Down.Reason)
+		t.Errorf("ended with reason %s", e.Down.Reason)
 	}
 	if maxQueued > maxQueuedBytes {
-		t.Errorf("%d bytes were held", maxQueued)
+		t.Errorf("%d bytes were queued, more than the limit", maxQueued)
 	}
 }
 
-// Asks that have not left when the link ends are told apart: they never ran.
+// Queries that were not written before the link ended are reported as unsent: they never ran.
 func TestUnsentQueries(t *testing.T) {
 	c := &Conn{Peer: 0, wake: make(chan struct{}, 1), unacked: map[uint64]time.Time{}, post: func(Event) {}}
 	a, b := net.Pipe()
@@ -105,12 +105,12 @@
 	c.net = a
 	for id := range uint64(3) {
 		if !c.Query(query(id)) {
-			t.Fatal("no room")
+			t.Fatal("query not queued")
 		}
 	}
 	c.Cancel(1)
 	if _, isQuery, _ := c.dequeue(); !isQuery {
-		t.Fatal("nothing to write")
+		t.Fatal("no query to write")
 	}
 	var unsent []uint64
 	for _, q := range c.queue {
@@ -121,7 +121,7 @@
 	}
 	c.Close("test")
 	if c.Query(query(9)) {
-		t.Error("sent over a link that has ended")
+		t.Error("a query was queued on a link that has ended")
 	}
 }
 
@@ -145,7 +145,7 @@
 			c.net, _ = net.Pipe()
 			c.post = func(e Event) {
 				if e.Query != nil && (len(e.Query.ShardRequests) == 0 || e.Query.RemainingMicros <= 0) || e.Reply != nil && e.Reply.Kind > Failed {
-					t.Errorf("let through %+v", e)
+					t.Errorf("invalid event posted: %+v", e)
 				}
 			}
 			c.handleFrame(frameType, bytes.Clone(body.Bytes()))
--- a/internal/transport/link/receiving.go
+++ b/internal/transport/link/receiving.go
@@ -1,6 +1,6 @@
 package link
 
-// This file owns what a connection receives. It must never let a frame through that breaks the protocol.
+// This file handles the frames that a connection receives. It must never post an event for a frame that violates the protocol.
 
 import (
 	"bytes"
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// readLoop is the reader: frames until the connection ends, and why it did.
+// readLoop reads frames until the connection ends, and returns the reason code.
 func (c *Conn) readLoop() string {
 	var body bytes.Buffer
 	for {
-		// Whatever comes renews the time; a frame that has begun must be whole soon, however slowly its bytes go on coming.
+		// Any byte restarts silenceTimeout. A frame that has begun must be complete within frameTimeout, even if bytes keep arriving slowly.
 		c.net.SetReadDeadline(time.Now().Add(silenceTimeout))
 		if _, err := c.in.Peek(1); err != nil {
 			return c.endReason(err, "silent")
@@ -35,7 +35,7 @@
 func (c *Conn) endReason(err error, timeoutReason string) string {
 	switch {
 	case errors.Is(err, errFrame):
-		slog.Warn("link: what came makes no sense", "site", c.RemoteHello.Site, "broker", c.RemoteHello.Broker, "error", err)
+		slog.Warn("malformed frame received over a link", "site", c.RemoteHello.Site, "broker", c.RemoteHello.Broker, "error", err)
 		return "bad_frame"
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return timeoutReason
@@ -46,7 +46,7 @@
 	}
 }
 
-// handleFrame makes an event of a frame. A side that sends what is not its part to send is not trusted further.
+// handleFrame posts the event of a frame. A frame of a type that only the other role may send is an error, which ends the connection.
 func (c *Conn) handleFrame(frameType byte, b []byte) error {
 	dialled := c.Peer >= 0
 	switch {
@@ -68,7 +68,7 @@
 	case frameType == frameWindowUpdate && !dialled && c.version >= 2:
 		g, err := decode[windowUpdate](b)
 		if err != nil || g.Bytes < 0 || g.Bytes > maxFrame+4 {
-			return fmt.Errorf("%w: grant of %d, %v", errFrame, g.Bytes, err)
+			return fmt.Errorf("%w: window update of %d bytes, %v", errFrame, g.Bytes, err)
 		}
 		c.mu.Lock()
 		c.replyWindow = min(c.RemoteHello.Window, c.replyWindow+g.Bytes)
@@ -79,12 +79,12 @@
 		if err != nil {
 			return err
 		}
-		c.post(Event{Conn: c, Reply: &v}) // waits while the loop is behind: then no room is granted either
+		c.post(Event{Conn: c, Reply: &v}) // blocks while the loop is behind, which also delays the window update
 		if c.version >= 2 {
 			c.enqueue(queued{frame: c.frame(frameWindowUpdate, windowUpdate{Bytes: len(b) + 5})}, true)
 		}
 	default:
-		return fmt.Errorf("%w: letter %q", errFrame, frameType)
+		return fmt.Errorf("%w: unexpected type %q", errFrame, frameType)
 	}
 	return nil
 }
@@ -98,12 +98,12 @@
 	c.mu.Lock()
 	invalid := v.Heartbeat > c.heartbeatSeq || v.AckDelayMicros < 0
 	sentAt, known := c.unacked[v.Heartbeat]
-	if c.ackedSeq = max(c.ackedSeq, v.Heartbeat); v.Seq > c.receivedSeq { // one out of turn may overtake another
+	if c.ackedSeq = max(c.ackedSeq, v.Heartbeat); v.Seq > c.receivedSeq { // an immediate one may overtake a regular one
 		c.receivedSeq, c.receivedAt = v.Seq, now
 	}
 	c.mu.Unlock()
 	if invalid {
-		return fmt.Errorf("%w: beat %d after %d", errFrame, v.Seq, v.Heartbeat)
+		return fmt.Errorf("%w: heartbeat %d acknowledges %d, which was not sent, or has a negative delay", errFrame, v.Seq, v.Heartbeat)
 	}
 	if roundTrip := now.Sub(sentAt) - time.Duration(v.AckDelayMicros)*time.Microsecond; known && roundTrip > 0 {
 		if old := c.RTT(); old > 0 {
@@ -113,7 +113,7 @@
 	}
 	if s := v.Status; s != nil {
 		if !(s.FreeCapacity >= 0 && s.FreeCapacity <= 1) || len(s.MissingShards) > maxShards {
-			return fmt.Errorf("%w: status", errFrame)
+			return fmt.Errorf("%w: invalid status", errFrame)
 		}
 		c.post(Event{Conn: c, Heartbeat: s})
 	}
--- a/internal/transport/link/sending.go
+++ b/internal/transport/link/sending.go
@@ -1,6 +1,6 @@
 package link
 
-// This file owns what a connection sends: frames in their order, credit, heartbeats.
+// This file queues and writes the frames that a connection sends, with flow control for replies, and heartbeats.
 
 import (
 	"errors"
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// enqueue leaves a frame for the writer, without waiting; false: there is no room, or the connection has ended.
+// enqueue queues a frame for the writer without blocking. It returns false if the connection has ended or its queue is full, which ends it.
 func (c *Conn) enqueue(q queued, urgent bool) bool {
 	c.mu.Lock()
 	full := c.queuedBytes+len(q.frame) > maxQueuedBytes
 	if c.closed || full {
 		c.mu.Unlock()
-		if full { // Danger: a side that does not read takes memory here
+		if full { // a side that does not read would use ever more memory
 			c.Close("does_not_read")
 		}
 		return false
@@ -34,19 +34,19 @@
 func (c *Conn) frame(frameType byte, body any) []byte {
 	b, err := appendFrame(nil, frameType, body)
 	if err != nil {
-		slog.Error("a frame could not be made", "letter", string(frameType), "error", err)
+		slog.Error("frame not encoded", "letter", string(frameType), "error", err)
 		return nil
 	}
 	return b
 }
 
-// Query forwards a search; false: it was never sent.
+// Query queues a query to be forwarded. false: it will never be sent.
 func (c *Conn) Query(q Query) bool {
 	b := c.frame(frameQuery, q)
 	return b != nil && c.enqueue(queued{frame: b, query: q.ID, isQuery: true}, false)
 }
 
-// Cancel tells the other side that a search is given up. One that has not left yet never does.
+// Cancel tells the other side that a query is abandoned. A query that is still queued is removed instead.
 func (c *Conn) Cancel(id uint64) {
 	c.mu.Lock()
 	for i, q := range c.queue {
@@ -61,19 +61,19 @@
 	c.enqueue(queued{frame: c.frame(frameCancel, cancel{ID: id})}, true)
 }
 
-// Result answers an ask.
+// Reply queues the reply to a query.
 func (c *Conn) Reply(r Reply) {
 	b := c.frame(frameReply, r)
-	if b == nil { // too large to be told
+	if b == nil { // too large for a frame
 		b = c.frame(frameReply, Reply{ID: r.ID, Kind: Failed})
 	}
 	c.enqueue(queued{frame: b, isReply: true}, false)
 }
 
-// SetStatus has the other side told at once what the status is.
+// WakeWriter wakes the writer, which writes the queued frames.
 func (c *Conn) WakeWriter() { c.signalWriter() }
 
-// dequeue takes what is to be written now. Verdicts wait for room at the other side; nothing overtakes within the queue.
+// dequeue returns the next frame to write; nil: none. A reply waits until the other side has room, and so does all that is queued behind it.
 func (c *Conn) dequeue() (b []byte, isQuery, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +96,7 @@
 	return b, isQuery, false
 }
 
-// writeLoop is the writer's goroutine: what is queued, and a heartbeat now and then.
+// writeLoop is the writer's goroutine: it writes queued frames, and a heartbeat every heartbeatInterval.
 func (c *Conn) writeLoop() {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -129,8 +129,8 @@
 	}
 }
 
-// heartbeat sends a heartbeat; one that the other side has not acknowledged for too long tells that this side is not heard,
-// though it may still hear: a cut one way.
+// heartbeat queues a heartbeat. If the other side has not acknowledged an earlier one in time, the connection is closed: the network may
+// be cut in one direction only, so that this side still receives frames.
 func (c *Conn) heartbeat() {
 	now := time.Now()
 	c.mu.Lock()
--- a/internal/transport/link/serve.go
+++ b/internal/transport/link/serve.go
@@ -1,6 +1,6 @@
 package link
 
-// This file owns the links that are opened from elsewhere.
+// This file accepts the links that other brokers open.
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// Serve takes links from other brokers until the listener is closed. Handshakes are bounded in number and time.
+// Serve accepts links from other brokers until the listener is closed. Their number is limited, and so is the time of a handshake.
 func (l *Links) Serve(ctx context.Context, ln net.Listener) error {
 	config := l.opts.Keys.Server(func(id keys.ID) error {
 		for _, site := range l.opts.Sites {
@@ -23,7 +23,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("%s is of no site that may open links here", id)
+		return fmt.Errorf("site of %s may not open links to this broker", id)
 	})
 	var handlers sync.WaitGroup
 	defer handlers.Wait()
@@ -46,7 +46,7 @@
 			l.accepted++
 		}
 		l.mu.Unlock()
-		if full { // Danger: whoever opens many connections here would take descriptors from clients
+		if full { // else many connections here would use up the file descriptors that clients need
 			l.reject(nc, errors.New("too many links"))
 			continue
 		}
@@ -66,7 +66,7 @@
 	}
 }
 
-// reject ends a connection that got no further than the handshake, with a log line, of which there are a few a second.
+// reject closes a connection whose handshake failed, and logs at most five of these per second.
 func (l *Links) reject(nc net.Conn, err error) {
 	nc.Close()
 	l.RejectedHandshakes.Add(1)
@@ -78,6 +78,6 @@
 	logged := l.logLines <= 5
 	l.mu.Unlock()
 	if logged {
-		slog.Warn("link refused", "from", nc.RemoteAddr(), "reason", "handshake", "error", err, "refused", l.RejectedHandshakes.Load())
+		slog.Warn("link rejected", "from", nc.RemoteAddr(), "reason", "handshake", "error", err, "refused", l.RejectedHandshakes.Load())
 	}
 }
--- a/internal/transport/lookahead/lookahead.go
+++ b/internal/transport/lookahead/lookahead.go
@@ -1,7 +1,7 @@
-// Package lookahead reads a client's connection ahead of whoever parses it, so that the connection's end is noticed behind bytes that
-// nobody has asked for yet, and the time at which those bytes came is known. It depends on the standard library and poll(2) alone. A
-// Reader is used by one goroutine; Watch alone may run in another, while the first one reads nothing. It must never make a byte up,
-// drop one of a connection that stands, or hold more than its bound.
+// Package lookahead reads a client's connection ahead of its parser, so that the end of the connection is noticed even behind bytes that the
+// parser has not read yet, and the time at which those bytes arrived is known. It depends only on the standard library and poll(2). A Reader
+// is used by one goroutine; only Watch may run in another one, while the first does not read. The package must never add a byte, lose one of
+// an open connection, or keep more bytes than its limit.
 package lookahead
 
 import (
@@ -16,39 +16,39 @@
 )
 
 const (
-	readSize           = 512                   // bytes read ahead at once
-	maxParserBuffer    = 8 << 10               // bytes that a parser may have been given and not used
-	coalesceInterval   = 10 * time.Millisecond // bytes that come within it count as come together
-	hangUpPollInterval = 50 * time.Millisecond // between looks for the end of a connection of which no more is read
+	readSize           = 512                   // bytes read ahead by one call
+	maxParserBuffer    = 8 << 10               // bytes that a parser may have read and not used yet
+	coalesceInterval   = 10 * time.Millisecond // bytes that arrive within it count as having arrived together
+	hangUpPollInterval = 50 * time.Millisecond // between checks for the end of a connection while the limit of bytes read ahead is reached
 )
 
-// Reader reads a connection.
+// Reader reads a connection and can read ahead of its caller.
 type Reader struct {
 	conn     net.Conn
-	raw      syscall.RawConn // nil: what has come can't be asked without waiting
+	raw      syscall.RawConn // nil: the connection can't be read without blocking
 	now      func() time.Duration
-	maxAhead int // bytes kept ahead
+	maxAhead int // limit of the bytes read ahead
 
-	ahead    []byte    // come, and not given out
-	consumed uint64    // bytes given out so far
-	arrivals []arrival // when bytes came that may still be asked about
-	err      error     // the end, once it was seen
+	ahead    []byte    // read ahead, and not returned by Read yet
+	consumed uint64    // bytes that Read has returned so far
+	arrivals []arrival // when the bytes arrived that ArrivalTime may be asked about
+	err      error     // the end of the connection, once noticed
 
 	scratch     [readSize]byte
-	receive     func(fd uintptr) // reads into scratch without waiting; made once, as it is called with each request
-	receiveSize int              // of scratch, for take
+	receive     func(fd uintptr) // reads into scratch without blocking; created once, as it is called for each request
+	receiveSize int              // bytes of scratch that receive may use
 	received    int
 	receiveErr  error
 }
 
-// arrival tells when the bytes before an offset had come. Danger: a time before a client sent its request would have it count as asked
-// earlier than it was, so that bytes that come together have the time of the last.
+// arrival is the time by which the bytes before an offset had arrived. A time before a client sent its request would make the request count
+// as older than it is, so bytes that arrived together have the time of the last one.
 type arrival struct {
 	endOffset uint64
-	first, at time.Duration // of those that count as come together
+	first, at time.Duration // of the first and the last of the bytes that arrived together
 }
 
-// New makes a reader of a connection that keeps bound bytes ahead at the most.
+// New returns a reader of a connection that reads at most maxAhead bytes ahead.
 func New(conn net.Conn, now func() time.Duration, maxAhead int) *Reader {
 	r := &Reader{conn: conn, now: now, maxAhead: maxAhead}
 	if c, ok := conn.(syscall.Conn); ok {
@@ -62,7 +62,7 @@
 	return r
 }
 
-// Read gives out what has come, and then waits for more.
+// Read returns bytes that were read ahead, if any; otherwise it reads from the connection.
 func (r *Reader) Read(p []byte) (int, error) {
 	if len(r.ahead) > 0 {
 		n := copy(p, r.ahead)
@@ -87,8 +87,9 @@
 	return n, err
 }
 
-// Watch reads ahead until the connection ends, and returns its end, or until a read deadline or stop: nil. Danger: a client that sends
-// without end would fill the memory. Beyond the bound its bytes stay in the kernel, and only the end is looked for.
+// Watch reads ahead until the connection ends, and returns the error of its end. It returns nil at a read deadline, or at stop while the
+// limit is reached. Since a client that keeps sending would use up memory, bytes beyond the limit stay in the kernel, and Watch only checks
+// for the end of the connection.
 func (r *Reader) Watch(stop <-chan struct{}) error {
 	for r.err == nil {
 		room := min(readSize, r.maxAhead-len(r.ahead))
@@ -114,7 +115,7 @@
 	return r.err
 }
 
-// hungUp tells whether the other side has closed or reset the connection, behind whatever lies unread.
+// hungUp reports whether the other side has closed or reset the connection, even if bytes are still unread.
 func (r *Reader) hungUp() (gone bool) {
 	if r.raw == nil {
 		return false
@@ -127,7 +128,7 @@
 	return gone
 }
 
-// ReadAvailable takes what has come without waiting, and tells whether the connection has ended.
+// ReadAvailable reads ahead what can be read without blocking, and reports whether the connection has ended.
 func (r *Reader) ReadAvailable() (ended bool) {
 	for r.err == nil && r.raw != nil && len(r.ahead) < r.maxAhead {
 		r.receiveSize = min(readSize, r.maxAhead-len(r.ahead))
@@ -150,7 +151,7 @@
 	return r.err != nil
 }
 
-// buffer adds bytes to those that have come.
+// buffer appends bytes to those read ahead.
 func (r *Reader) buffer(b []byte) {
 	if len(b) > 0 {
 		r.ahead = append(r.ahead, b...)
@@ -158,7 +159,7 @@
 	}
 }
 
-// recordArrival notes that the bytes before an offset have come by now.
+// recordArrival records that the bytes before an offset have arrived by now.
 func (r *Reader) recordArrival(endOffset uint64) {
 	at := r.now()
 	if last := len(r.arrivals) - 1; last >= 0 && at-r.arrivals[last].first < coalesceInterval {
@@ -172,13 +173,14 @@
 	r.arrivals = append(r.arrivals[:copy(r.arrivals, r.arrivals[expired:])], arrival{endOffset, at, at})
 }
 
-// Unread tells how many bytes have come that were not given out.
+// Unread returns the number of bytes read ahead that Read has not returned yet.
 func (r *Reader) Unread() int { return len(r.ahead) }
 
-// Ended tells whether the connection's end was seen, whatever came before it.
+// Ended reports whether the end of the connection has been noticed, even if bytes before it are unread.
 func (r *Reader) Ended() bool { return r.err != nil }
 
-// ArrivalTime tells when the last byte had come of those given out, but for the last held ones, which a parser has not used yet.
+// ArrivalTime returns when the last byte that the parser has used had arrived: the last one that Read has returned, without the unused ones
+// that the parser still holds.
 func (r *Reader) ArrivalTime(unused int) time.Duration {
 	end := r.consumed - uint64(unused)
 	for _, m := range r.arrivals {
--- a/internal/transport/lookahead/lookahead_test.go
+++ b/internal/transport/lookahead/lookahead_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fakeClock is a time that the test sets.
+// fakeClock is a clock that the test sets.
 type fakeClock struct{ at time.Duration }
 
 func (c *fakeClock) now() time.Duration { return c.at }
@@ -35,15 +35,15 @@
 	return there.(*net.TCPConn), conn.(*net.TCPConn)
 }
 
-// readUntilBuffered waits until so many bytes lie ahead.
+// readUntilBuffered reads ahead until n bytes are unread.
 func readUntilBuffered(r *Reader, n int) {
 	for r.Unread() < n {
 		r.ReadAvailable()
 	}
 }
 
-// The end of a connection is seen behind bytes that nobody has read, within the bound and beyond it, by a close and by a reset; what
-// came before it is still there.
+// The end of a connection, by a close or a reset, is noticed behind unread bytes, both within the limit and beyond it. After a close, the
+// bytes read ahead can still be read.
 func TestEndIsSeenBehindBytes(t *testing.T) {
 	for _, size := range []int{0, 1, readSize, 5000, 100000} {
 		for _, reset := range []bool{false, true} {
@@ -58,10 +58,10 @@
 				far.Close()
 			}()
 			if err := r.Watch(make(chan struct{})); err == nil || !r.Ended() {
-				t.Errorf("%d bytes, reset %v: the end was not seen: %v", size, reset, err)
+				t.Errorf("%d bytes, reset %v: the end was not noticed: %v", size, reset, err)
 			}
 			if ahead := r.Unread(); ahead > 4096 || !reset && ahead != min(size, 4096) {
-				t.Errorf("%d bytes, reset %v: %d ahead", size, reset, ahead)
+				t.Errorf("%d bytes, reset %v: %d bytes read ahead", size, reset, ahead)
 			}
 			if reset {
 				continue
@@ -73,7 +73,7 @@
 	}
 }
 
-// A watch that is stopped loses nothing, whether it waits for bytes or has as many as it keeps.
+// Stopping Watch loses no bytes, whether it waits for bytes or has reached its limit.
 func TestWatchStops(t *testing.T) {
 	for _, size := range []int{10, 100000} {
 		near, far := connPair(t)
@@ -97,7 +97,7 @@
 	}
 }
 
-// Bytes that came ahead have the time at which they came, not that at which they are read.
+// Bytes read ahead have the time at which they arrived, not that at which they are returned.
 func TestWhenBytesCame(t *testing.T) {
 	near, far := connPair(t)
 	c := &fakeClock{}
@@ -112,16 +112,16 @@
 	io.ReadFull(r, got)
 	for held, want := range map[int]time.Duration{0: 3, 4: 3, 5: 2, 9: 2, 10: 1, 14: 1} {
 		if at := r.ArrivalTime(held); at != want*time.Second {
-			t.Errorf("with %d bytes held: %v", held, at)
+			t.Errorf("arrival time with %d unused bytes: %v", held, at)
 		}
 	}
 	io.WriteString(far, "later")
 	if _, err := io.ReadFull(r, got[:5]); err != nil || r.ArrivalTime(0) != time.Minute {
-		t.Errorf("%v at %v", err, r.ArrivalTime(0))
+		t.Errorf("error %v, arrival time %v", err, r.ArrivalTime(0))
 	}
 }
 
-// Bytes that come within a moment count as come together, with the last of them, and a trickle never joins what came long before.
+// Bytes that arrive within coalesceInterval have the time of the last of them. A slow stream of bytes never has the time of much earlier ones.
 func TestBytesThatCameTogether(t *testing.T) {
 	near, far := connPair(t)
 	c := &fakeClock{at: time.Second}
@@ -136,18 +136,18 @@
 	for i := range 30 {
 		came := time.Second + time.Duration(i)*coalesceInterval/4
 		if at := r.ArrivalTime(29 - i); at < came || at > came+coalesceInterval {
-			t.Errorf("byte %d came at %v, not %v", i, came, at)
+			t.Errorf("byte %d has arrival time %[3]v, arrived at %[2]v", i, came, at)
 		}
 	}
 }
 
-// A look takes what is there and never waits, whatever the deadline.
+// ReadAvailable reads what is there and never blocks, even after the read deadline.
 func TestReadAvailableNeverWaits(t *testing.T) {
 	near, far := connPair(t)
 	r := New(near, new(fakeClock).now, 4096)
 	near.SetReadDeadline(time.Unix(1, 0))
 	if r.ReadAvailable() || r.Unread() != 0 {
-		t.Error("something came of nothing")
+		t.Error("bytes or an end read from an idle connection")
 	}
 	io.WriteString(far, "abc")
 	readUntilBuffered(r, 3)
@@ -159,14 +159,14 @@
 	}
 	piped, _ := net.Pipe()
 	if New(piped, new(fakeClock).now, 10).ReadAvailable() {
-		t.Error("a pipe can't be asked")
+		t.Error("the end of a pipe was reported, which can't be read without blocking")
 	}
 	if _, err := r.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 }
 
-// A request by request use of the reader makes nothing new.
+// Reading request after request allocates nothing.
 func TestReadAvailableAllocatesNothing(t *testing.T) {
 	near, far := connPair(t)
 	r := New(near, new(fakeClock).now, 4096)
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -1,8 +1,8 @@
-// Package peers carries the module's messages between brokers, as UDP datagrams. It owns the one socket and knows
-// which address is which broker. It must never read a message, keep one, or hand on what came from a stranger.
+// Package peers carries gossip and membership messages between brokers, as UDP datagrams. It holds the socket and the brokers' addresses. It
+// must never interpret or keep a message, or deliver one from an unknown sender.
 //
-// Depends on no package of this module. Concurrency: it starts no goroutine; what several goroutines may
-// use is behind a lock or an atomic value.
+// Depends on no package of this module. Concurrency: it starts no goroutine; what several goroutines use is a channel, an atomic value, or
+// safe for concurrent use itself.
 package peers
 
 import (
@@ -16,14 +16,14 @@
 )
 
 const (
-	maxDatagram = 256
-	maxQueued   = 64 // messages that wait to be sent; more are dropped, as the network may drop any
+	maxDatagram = 256 // bytes, with the authentication header
+	maxQueued   = 64  // messages that wait to be sent; more are dropped, as the network may drop any message
 )
 
-// Counts tell what went in and out; they may be read from any goroutine.
+// Counts count datagrams; they may be read from any goroutine.
 type Counts struct{ Sent, Delivered, UnknownSenders, TooLong, Dropped, AuthFailed atomic.Uint64 }
 
-// Socket is the socket between brokers.
+// Socket is the UDP socket between brokers.
 type Socket struct {
 	Counts          Counts
 	conn            *net.UDPConn
@@ -31,8 +31,8 @@
 	broadcastAddr   netip.AddrPort
 	queue           chan datagram
 	handleBroadcast func(from int, text []byte)
-	handleMember    func(from netip.AddrPort, data []byte) // nil: there is no crew
-	authenticator   *authenticator                         // nil: nothing is sealed
+	handleMember    func(from netip.AddrPort, data []byte) // nil: no membership
+	authenticator   *authenticator                         // nil: datagrams are not authenticated
 }
 
 type datagram struct {
@@ -41,7 +41,7 @@
 	data []byte
 }
 
-// Listen opens the socket.
+// Listen opens the socket. A broadcast is sent to broadcastAddr; handleBroadcast is called with each one received, and its sender's index in peers.
 func Listen(addr netip.AddrPort, peers []netip.AddrPort, broadcastAddr netip.AddrPort, handleBroadcast func(int, []byte)) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -50,7 +50,8 @@
 	return &Socket{conn: conn, peers: peers, broadcastAddr: broadcastAddr, handleBroadcast: handleBroadcast, queue: make(chan datagram, maxQueued)}, nil
 }
 
-// Crew has what members say handed on, and everything sealed where there are keys. It comes before Send and Hear.
+// Crew enables membership messages, which handleMember is called with, and authentication if there are keys. It must be called before Send
+// and Receive.
 func (l *Socket) Crew(handleMember func(from netip.AddrPort, data []byte), keys [][]byte) {
 	l.handleMember = handleMember
 	if len(keys) > 0 {
@@ -58,12 +59,12 @@
 	}
 }
 
-// Broadcast sends a message to all other brokers; it may be lost.
+// Broadcast queues a message to all other brokers. It may be lost.
 func (l *Socket) Broadcast(text string) {
 	l.enqueue(datagram{l.broadcastAddr, KindBroadcast, []byte(text)})
 }
 
-// SendTo sends what members say to one broker; it may be lost.
+// SendTo queues a membership message to one broker. It may be lost.
 func (l *Socket) SendTo(to netip.AddrPort, data []byte) {
 	l.enqueue(datagram{to, KindMembership, data})
 }
@@ -86,7 +87,7 @@
 	}
 }
 
-// Send writes what is told until ctx ends, then closes the socket.
+// Send writes the queued messages until ctx ends, and then closes the socket.
 func (l *Socket) Send(ctx context.Context) error {
 	defer l.conn.Close()
 	for {
@@ -99,7 +100,7 @@
 	}
 }
 
-// Flush writes what waits, as the broker stops.
+// Flush writes the messages still queued, when the broker stops.
 func (l *Socket) Flush() {
 	for {
 		select {
@@ -125,7 +126,7 @@
 	}
 }
 
-// Receive hands on what peers say until the socket is closed.
+// Receive delivers the messages of other brokers until the socket is closed.
 func (l *Socket) Receive(context.Context) error {
 	buf := make([]byte, maxDatagram+1)
 	for {
@@ -133,7 +134,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // such as a peer's port that is closed; one that stays must not take the core
+		if err != nil { // such as a closed port of a peer; an error that persists must not use up a core
 			time.Sleep(time.Millisecond)
 			continue
 		}
@@ -141,7 +142,7 @@
 	}
 }
 
-// dispatch hands on one datagram. Whom a seal vouches for need not be among the peers of the configuration.
+// dispatch delivers a datagram. An authenticated sender of membership messages need not be among the configured peers.
 func (l *Socket) dispatch(from netip.AddrPort, b []byte) {
 	i, kind := slices.Index(l.peers, from), KindBroadcast
 	switch {
@@ -168,5 +169,5 @@
 	}
 }
 
-// Addr is where the socket listens.
+// Addr returns the address on which the socket listens.
 func (l *Socket) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Only peers are heard, and only what fits a datagram; a stranger's or a cut message would be false news.
+// Only datagrams of peers are delivered, and only those that fit: a forged or truncated message could carry wrong information.
 func TestSocket(t *testing.T) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	other, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
@@ -48,12 +48,12 @@
 	other.WriteToUDPAddrPort([]byte("first"), l.Addr())
 	other.WriteToUDPAddrPort([]byte("second"), l.Addr())
 	if a, b := <-received, <-received; a != (message{1, "first"}) || b != (message{1, "second"}) {
-		t.Errorf("heard %v and %v", a, b)
+		t.Errorf("received %v and %v", a, b)
 	}
 	cancel()
 	<-done
 	<-done
 	if c := &l.Counts; c.TooLong.Load() != 2 || c.UnknownSenders.Load() != 1 || c.Delivered.Load() != 2 {
-		t.Errorf("%d too long, %d from strangers, %d heard", c.TooLong.Load(), c.UnknownSenders.Load(), c.Delivered.Load())
+		t.Errorf("%d too long, %d from unknown senders, %d delivered", c.TooLong.Load(), c.UnknownSenders.Load(), c.Delivered.Load())
 	}
 }
--- a/internal/transport/peers/seal.go
+++ b/internal/transport/peers/seal.go
@@ -1,7 +1,7 @@
 package peers
 
-// This file owns the seal on datagrams: who sent them, and that they are not sent a second time. It must never let one through
-// whose seal does not hold, or tell why it does not.
+// This file authenticates datagrams: a header proves that a broker sent the datagram, and that it is not a replay. A datagram with an invalid
+// header must never be delivered, and the sender must not learn why.
 
 import (
 	"crypto/hmac"
@@ -13,7 +13,7 @@
 )
 
 const (
-	magic      = 0xf5 // no message of the module begins so
+	magic      = 0xf5 // first byte of authenticated and of membership datagrams; no broadcast begins with it
 	headerSize = 3 + 8
 	overhead   = headerSize + macSize
 	macSize    = 12
@@ -22,23 +22,23 @@
 	replayBits = 64
 )
 
-// MaxPayload is what a datagram holds beside its seal.
+// MaxPayload is the largest payload, in bytes, of an authenticated datagram.
 const MaxPayload = maxDatagram - overhead
 
-// Kinds of what is sealed.
+// Kinds of messages.
 const (
-	KindBroadcast  byte = iota // what the decision module tells
-	KindMembership             // members and duties
+	KindBroadcast  byte = iota // to all brokers: endpoint changes and ownership claims
+	KindMembership             // to one broker
 )
 
-// authenticator signs with the first key and accepts all of them, so that keys can be changed one broker after the other.
+// authenticator signs with the first key and accepts all keys, so that keys can be replaced on one broker after another.
 type authenticator struct {
 	keys    [][]byte
 	counter uint64
 	senders map[netip.AddrPort]*replayWindow
 }
 
-// replayWindow tells which of a sender's counters have come.
+// replayWindow holds which of a sender's latest counters have been received.
 type replayWindow struct {
 	highest uint64
 	seen    uint64
@@ -48,7 +48,8 @@
 	return &authenticator{keys: keys, counter: uint64(now.UnixNano()), senders: map[netip.AddrPort]*replayWindow{}}
 }
 
-// close seals a payload. Counters grow over restarts, as they begin at the time of the start.
+// close returns the datagram with the authentication header and a payload. Counters start at the time of the process's start, so that they
+// also increase over restarts.
 func (s *authenticator) close(kind byte, payload []byte) []byte {
 	s.counter++
 	b := append(make([]byte, 0, overhead+len(payload)), magic, kind, s.keys[0][0])
@@ -64,8 +65,8 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// open checks a datagram and returns what it holds. Danger: what somebody recorded comes again; it is known by its counter, up
-// to 64 late, per sender. Who sends under more addresses than are remembered makes room by whoever was heard least far.
+// open verifies a datagram and returns its kind and payload. It rejects a replay of a recorded datagram by the counter, which may be up to
+// 63 behind the sender's highest. Beyond maxSenders, the sender with the lowest counter is forgotten.
 func (s *authenticator) open(from netip.AddrPort, b []byte) (kind byte, payload []byte, ok bool) {
 	if len(b) < overhead || b[0] != magic {
 		return 0, nil, false
--- a/internal/transport/peers/seal_test.go
+++ b/internal/transport/peers/seal_test.go
@@ -9,7 +9,7 @@
 
 var testSender = netip.MustParseAddrPort("127.0.0.1:9")
 
-// What is sealed opens once, under either key while they change; what was changed, is old, or comes again does not.
+// A datagram is accepted once, under either key while keys are replaced. A modified, too old or repeated one is rejected.
 func TestAuthenticator(t *testing.T) {
 	old, fresh := bytes.Repeat([]byte{1}, 16), bytes.Repeat([]byte{2}, 16)
 	start := time.Unix(1_700_000_000, 0)
@@ -23,32 +23,32 @@
 	for _, i := range order {
 		kind, payload, ok := b.open(testSender, sent[i])
 		if !ok || kind != KindMembership || payload[0] != byte(i) || len(sent[i]) > maxDatagram {
-			t.Errorf("datagram %d: %v", i, ok)
+			t.Errorf("datagram %d: accepted: %v, or with wrong content", i, ok)
 		}
 		if _, _, again := b.open(testSender, sent[i]); again {
-			t.Errorf("datagram %d was taken twice", i)
+			t.Errorf("datagram %d was accepted twice", i)
 		}
 	}
 	if _, _, ok := b.open(testSender, sent[3]); ok {
-		t.Error("one that is 67 late was taken")
+		t.Error("a datagram 67 behind the highest counter was accepted")
 	}
 	if _, _, ok := a.open(testSender, b.close(KindMembership, nil)); ok {
-		t.Error("a key that is not known was accepted")
+		t.Error("a datagram signed with an unknown key was accepted")
 	}
 	for at := range sent[150] {
 		bad := bytes.Clone(sent[150])
 		bad[at] ^= 4
 		if _, _, ok := b.open(testSender, bad); ok {
-			t.Errorf("byte %d was changed and nobody saw it", at)
+			t.Errorf("a datagram whose byte %d was modified was accepted", at)
 		}
 	}
 	later := newAuthenticator([][]byte{old}, start.Add(time.Minute)) // the broker has restarted
 	if _, _, ok := b.open(testSender, later.close(KindBroadcast, []byte("s"))); !ok {
-		t.Error("a broker that restarted is not heard")
+		t.Error("a datagram of a restarted broker was rejected")
 	}
 }
 
-// What is remembered of senders is bounded.
+// TestRememberedSendersAreBounded: at most maxSenders are remembered.
 func TestRememberedSendersAreBounded(t *testing.T) {
 	s := newAuthenticator([][]byte{bytes.Repeat([]byte{1}, 16)}, time.Unix(1, 0))
 	for i := range maxSenders + 100 {
@@ -66,7 +66,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		o := newAuthenticator([][]byte{bytes.Repeat([]byte{1}, 16)}, time.Unix(1, 0))
 		if _, payload, ok := o.open(testSender, b); ok && len(payload) > len(b)-overhead {
-			t.Errorf("%d bytes out of %d", len(payload), len(b))
+			t.Errorf("payload of %d bytes from a datagram of %d", len(payload), len(b))
 		}
 	})
 }
--- a/internal/transport/store/bench_test.go
+++ b/internal/transport/store/bench_test.go
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// This file owns the connections that tests hold in their hands, and the pool round them.
+// This file has fake connections, and a pool whose events the test handles.
 
-// fakeConn is a connection to a stand-in node: what is written gathers, what the node says comes by a channel.
+// fakeConn is a connection to a fake node: it records what is written, and reads what the test sends to incoming.
 type fakeConn struct {
 	wrote        []string
 	incoming     chan []byte
 	rest         []byte
 	ended        chan struct{}
-	readErr      error // what a read tells once the node has ended the connection
-	writeErr     error // what a write tells
-	writeLimit   int   // bytes that a write takes; 0: all
+	readErr      error // error of reads once the node has ended the connection
+	writeErr     error // error of writes
+	writeLimit   int   // bytes that a write accepts; 0: all
 	closed       bool
-	readDeadline time.Time // a read waits no longer
+	readDeadline time.Time // zero: none
 }
 
 func (p *fakeConn) SetReadDeadline(t time.Time) error {
@@ -78,7 +78,7 @@
 	}
 }
 
-// poolTest is a pool with its loop played by the test.
+// poolTest is a pool for which the test acts as the loop.
 type poolTest struct {
 	*Pool
 	t         *testing.T
@@ -146,12 +146,12 @@
 	return attempts
 }
 
-// expect compares how parts ended since the last call.
+// expect compares the outcomes of attempts and probes since the last call.
 func (b *poolTest) expect(want ...string) {
 	b.t.Helper()
 	slices.Sort(b.outcomes)
 	if !slices.Equal(b.outcomes, want) {
-		b.t.Errorf("ended %q, want %q", b.outcomes, want)
+		b.t.Errorf("outcomes %q, want %q", b.outcomes, want)
 	}
 	b.outcomes = nil
 }
--- a/internal/transport/store/ends_test.go
+++ b/internal/transport/store/ends_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// This file owns the tests of how parts and connections end.
+// This file tests how attempts and connections end.
 
 func TestAnswers(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.send("a.1", "a.2")
-		b.send("a.3") // no room for it on the first connection
+		b.send("a.3") // the first connection has no free stream
 		if len(b.fakeConns) != 2 || len(b.fakeConns[0].wrote) != 1 {
 			t.Fatalf("%d connections", len(b.fakeConns))
 		}
@@ -23,7 +23,7 @@
 		b.handleEvents()
 		b.expect("a.1 0", "a.2 1v2", "a.3 2")
 		b.Cancel(b.send("a.4")[0])
-		b.fakeConns[0].incoming <- frame('a', "a.4 served 1 -\nv4") // it crossed the cancel
+		b.fakeConns[0].incoming <- frame('a', "a.4 served 1 -\nv4") // sent before the cancel arrived
 		b.handleEvents()
 		b.expect("a.4 6")
 		if b.Counts.Late != 1 || b.Counts.Served != 1 || b.OpenConnections() != 2 {
@@ -32,7 +32,7 @@
 	})
 }
 
-// Whether a frame's last byte was written tells a part that may have run from one that never did (rule 2).
+// An attempt whose frame was written completely may have run and ends as reset; any other never ran and ends as failed to connect.
 func TestOutcomesByWrittenState(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.dialErr = syscall.ECONNREFUSED
@@ -51,8 +51,8 @@
 	})
 }
 
-// A spoilt answer ends the connection and all that is out on it, at once, or where it never becomes whole after the
-// time of a dial; what was good before it, or brings only a report that can't be read, is kept.
+// A malformed frame ends the connection and its attempts at once, and a frame that never becomes complete after Limits.Dial. Valid answers
+// before it are kept, and so are answers whose load report can't be parsed.
 func TestBadFrames(t *testing.T) {
 	good := frame('a', "b.1 served 1 -\nv")
 	for _, c := range []struct {
@@ -66,7 +66,7 @@
 		{string(frame('e', "no such shard")), []string{"b.1 5", "b.2 5"}, 0},
 		{"\x00\x00\x00\x00", []string{"b.1 5", "b.2 5"}, 1},
 		{"\x00\x00\x00\xc0ab.1 served 1 -\nv", []string{"b.1 5", "b.2 5"}, 1},     // 3 GB
-		{"\x00\x40\x00\x00ab.1 served 1 -\nvvvvv", []string{"b.1 5", "b.2 5"}, 1}, // never whole
+		{"\x00\x40\x00\x00ab.1 served 1 -\nvvvvv", []string{"b.1 5", "b.2 5"}, 1}, // never complete
 		{string(frame('a', "b.9 served 1 -\nv")), []string{"b.1 5", "b.2 5"}, 1},
 		{string(good) + "noise that is long", []string{"b.1 1v", "b.2 5"}, 1},
 		{string(good) + string(good), []string{"b.1 1v", "b.2 5"}, 1},
@@ -86,8 +86,8 @@
 	}
 }
 
-// Where the module wants it, a call shares a connection with no other while there are descriptors; retired ones carry on
-// with what they have and get no more.
+// An exclusive call gets a connection of its own while the limit allows one. Retired connections keep their attempts in flight and get no new
+// ones.
 func TestExclusiveAndRetiredConnections(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		for _, id := range []string{"a.1", "a.2", "a.3", "a.4", "a.5"} {
@@ -116,8 +116,7 @@
 	})
 }
 
-// What a connection remembers of parts given up is bounded, and a node that the list ended is forgotten with its last
-// connection.
+// A connection remembers a limited number of abandoned attempts, and a node that is no longer listed is deleted with its last connection.
 func TestNodesAndIDsAreForgotten(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		for i := range 3 * maxAbandonedIDs {
@@ -126,7 +125,7 @@
 		b.fakeConns[0].incoming <- frame('a', fmt.Sprintf("a.%d served 1 -\nv", 3*maxAbandonedIDs-1))
 		b.handleEvents()
 		if c := b.nodes[testNode].conns[0]; len(c.abandonedIDs) > maxAbandonedIDs || b.Counts.Late != 1 || b.OpenConnections() != 1 {
-			t.Errorf("%d ids kept, %+v", len(c.abandonedIDs), b.Counts)
+			t.Errorf("%d ids of abandoned attempts kept, %+v", len(c.abandonedIDs), b.Counts)
 		}
 		b.outcomes = nil
 		b.send("b.1")
@@ -138,7 +137,7 @@
 			b.Sweep(b.since())
 		}
 		if len(b.nodes) != 1 || len(b.nodeOrder) != 1 {
-			t.Errorf("%d nodes kept while one has a part out", len(b.nodes))
+			t.Errorf("%d nodes kept, want only the one with an attempt in flight", len(b.nodes))
 		}
 		b.fakeConns[0].incoming <- frame('a', "b.1 served 1 -\nv")
 		b.handleEvents()
--- a/internal/transport/store/limits_test.go
+++ b/internal/transport/store/limits_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// This file owns the tests of limits, times and changes of place.
+// This file tests limits, timeouts and changes of a node's address.
 
-// A node that stopped reading fills its socket; the loop must not wait for it.
+// When a node stops reading, its socket buffer becomes full. The loop must not wait for it.
 func TestNodeStopsReading(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.send("a.1")
@@ -24,7 +24,7 @@
 	})
 }
 
-// A connection that the node has ended meanwhile costs no sub-request: nothing of it was written.
+// If the node has closed an idle connection, the attempt is sent over a new one, as nothing of it was written.
 func TestStaleConnection(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.send("a.1")
@@ -34,12 +34,12 @@
 		b.send("a.2")
 		b.expect("a.1 1v")
 		if len(b.fakeConns) != 2 || len(b.fakeConns[1].wrote) != 1 {
-			t.Error("the part did not go over a new connection")
+			t.Error("the attempt was not sent over a new connection")
 		}
 	})
 }
 
-// What is called off while its connection comes up is never sent (rule 1); what was sent is told to the node once.
+// An attempt that is cancelled before its connection is established is never sent. For one that was sent, the node gets one cancel.
 func TestCancel(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.dialDelay = 100 * time.Millisecond
@@ -61,24 +61,24 @@
 		attempts := b.send("a.1")
 		attempts[0].Deadline = time.Second
 		if next := b.Sweep(b.since()); next != time.Second {
-			t.Errorf("next at %v", next)
+			t.Errorf("next sweep at %v, want 1s", next)
 		}
 		time.Sleep(time.Second)
 		next := b.Sweep(b.since())
 		b.expect("a.1 3")
-		if next >= testLimits.Idle { // the node would end it first
-			t.Errorf("idle end at %v", next)
+		if next >= testLimits.Idle { // the node would close it first
+			t.Errorf("sweep of the idle connection at %v, not before the node closes it", next)
 		}
 		time.Sleep(next - b.since())
 		b.Sweep(b.since())
 		b.handleEvents()
 		if b.OpenConnections() != 0 || !b.fakeConns[0].closed {
-			t.Error("an idle connection stays open")
+			t.Error("an idle connection was not closed")
 		}
 	})
 }
 
-// A machine that vanished leaves connections that stay silent for ever; its next start proves them dead.
+// After a machine has crashed, its connections stay silent for ever; the node's next start proves that they are dead.
 func TestRestartedOrMovedNode(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.send("a.1")
@@ -87,13 +87,13 @@
 		b.SetNode(testNode, "s-7", addr, b.since())
 		b.expect("a.1 5")
 		b.send("a.2")
-		b.SetNode(testNode, "s-7", addr, b.since()) // told again
+		b.SetNode(testNode, "s-7", addr, b.since()) // the same again
 		b.expect()
 		moved := netip.MustParseAddrPort("127.0.0.1:8")
 		b.SetNode(testNode, "s-7", moved, b.since())
 		b.send("a.3")
 		if len(b.fakeConns) != 3 || len(b.fakeConns[2].wrote) != 1 {
-			t.Error("a part went to the old address")
+			t.Error("an attempt was sent to the old address")
 		}
 		b.fakeConns[1].incoming <- frame('a', "a.2 served 1 -\nv")
 		b.handleEvents()
@@ -101,12 +101,12 @@
 		b.SetNode(testNode, "s-7", moved, b.since())
 		b.handleEvents()
 		if b.OpenConnections() != 1 || !b.fakeConns[1].closed {
-			t.Error("a connection to the old address stays")
+			t.Error("a connection to the old address was not closed")
 		}
 	})
 }
 
-// A machine that vanished and came back may never say that an old connection is dead.
+// A machine that crashed and came back may never reset an old connection, so one that stays silent for too long is closed.
 func TestSilentConnection(t *testing.T) {
 	runPoolTest(t, testLimits, func(b *poolTest) {
 		b.Cancel(b.send("a.1")[0])
@@ -115,7 +115,7 @@
 		if len(b.fakeConns) != 1 {
 			t.Fatalf("%d connections", len(b.fakeConns))
 		}
-		b.fakeConns[0].incoming <- frame('a', "a.1 served 1 -\nv") // late, but it lives
+		b.fakeConns[0].incoming <- frame('a', "a.1 served 1 -\nv") // late, but proves that the connection is alive
 		b.handleEvents()
 		time.Sleep(2 * testLimits.Silent)
 		b.Cancel(b.send("a.3")[0])
@@ -127,7 +127,7 @@
 	})
 }
 
-// At the limit an idle connection gives way, never one that carries something.
+// At the limit of connections an idle one is closed for a new one, never one with attempts in flight.
 func TestConnectionLimit(t *testing.T) {
 	runPoolTest(t, Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 2}, func(b *poolTest) {
 		other := decision.NodeID{Port: 8}
@@ -136,7 +136,7 @@
 		b.send("a.2")
 		b.Send(other, []*Subrequest{{ID: "a.3", Deadline: time.Hour}})
 		b.expect("a.3 4")
-		b.send("a.4") // waits unread at the node
+		b.send("a.4") // waits in the node's receive buffer
 		if len(b.fakeConns) != 2 {
 			t.Errorf("%d connections", len(b.fakeConns))
 		}
@@ -153,7 +153,7 @@
 	})
 }
 
-// A probe is answered once, by a connection that is up, that comes up or that fails to.
+// A probe ends once: by a connection that is up, that becomes established, or that fails.
 func TestProbe(t *testing.T) {
 	runPoolTest(t, Limits{Streams: 1, Idle: time.Minute, Dial: time.Second, Silent: time.Minute, Conns: 2}, func(b *poolTest) {
 		b.dialDelay = 20 * time.Millisecond
@@ -179,7 +179,7 @@
 	})
 }
 
-// A write to a node that reads nothing comes back at once, with what the kernel took.
+// A write to a node that does not read returns at once, with the number of bytes that the kernel accepted.
 func TestTCPWriteNeverWaits(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -198,11 +198,11 @@
 	}
 	conn.Close()
 	if _, err := conn.TryWrite(block); err == nil {
-		t.Error("a closed connection took bytes")
+		t.Error("write to a closed connection succeeded")
 	}
 	ln.Close()
 	if _, err := DialTCP(t.Context(), ln.Addr().String(), time.Minute); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("dial without a listener: %v, want connection refused", err)
 	}
 }
 
@@ -214,7 +214,7 @@
 		frameType, body, err := readFrame(bufio.NewReader(bytes.NewReader(data)))
 		if err == nil && frameType == 'a' {
 			if a, err := parseAnswer(body, false); err == nil && a.ID == "" {
-				t.Errorf("%q has no id", body)
+				t.Errorf("%q parsed as an answer without an id", body)
 			}
 		}
 	})
--- a/internal/transport/store/out_test.go
+++ b/internal/transport/store/out_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Whatever is added and taken out, what is there is found by its id, and nothing else, below and above the size of an index.
+// After any additions and removals, exactly the attempts in the set are found by id, with and without the index.
 func TestAttemptSet(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var set attemptSet
@@ -19,18 +19,18 @@
 		} else {
 			p := set.attempts[rnd.IntN(set.len())]
 			if !set.remove(p) || set.remove(p) {
-				t.Fatalf("part %s is there twice or not at all", p.ID)
+				t.Fatalf("attempt %s is in the set twice or not at all", p.ID)
 			}
 			delete(want, p.ID)
 		}
 		id := fmt.Sprint(rnd.IntN(i + 1))
 		if set.find(id) != want[id] || set.len() != len(want) {
-			t.Fatalf("step %d: %s found %v, want %v; %d there, want %d", i, id, set.find(id), want[id], set.len(), len(want))
+			t.Fatalf("step %d: %s found %v, want %v; %d in the set, want %d", i, id, set.find(id), want[id], set.len(), len(want))
 		}
 	}
 }
 
-// One part added, found and taken out, beside so many.
+// BenchmarkAttemptSet measures adding, finding and removing one attempt beside n others.
 func BenchmarkAttemptSet(b *testing.B) {
 	for _, n := range []int{4, 32, 63, 1000} {
 		ids := make([]string, n+1)
--- a/internal/transport/store/store_test.go
+++ b/internal/transport/store/store_test.go
@@ -37,12 +37,12 @@
 	for _, bad := range []string{"", "9b.3 served 1 -", "9b.3 served 1\nv", " served 1 -\nv", "9b.3 done 1 -\nv",
 		"9b.3 served many -\nv", "9b.3 served 1 -\n\xff"} {
 		if a, err := parseAnswer([]byte(bad), true); !errors.Is(err, errFrame) {
-			t.Errorf("%q read as %+v, %v", bad, a, err)
+			t.Errorf("%q parsed as %+v, %v", bad, a, err)
 		}
 	}
 	for _, bad := range [][]byte{{0, 0, 0, 0}, {0xff, 0xff, 0xff, 0xff}, frame('a', "cut")[:6]} {
 		if _, _, err := readFrame(bufio.NewReader(bytes.NewReader(bad))); err == nil || err == io.EOF {
-			t.Errorf("%v: got %v", bad, err)
+			t.Errorf("%v: got %v, want an error other than EOF", bad, err)
 		}
 	}
 }
--- a/internal/transport/store/withhold_test.go
+++ b/internal/transport/store/withhold_test.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision"
 )
 
-// What waits for a connection is not written once the list has ended or drained its node, or tells a newer start of it, however late
-// the connection comes up; what was written before stays out.
+// An attempt that waits for a connection is never written once its node is unlisted, draining or restarted, however late the connection is
+// established. One that was written before stays in flight, unless the node has restarted.
 func TestQueuedAttemptsEndUnsent(t *testing.T) {
 	for what, change := range map[string]func(b *poolTest){
 		"drained":   func(b *poolTest) { b.EndQueued(testNode) },
@@ -17,7 +17,7 @@
 	} {
 		runPoolTest(t, testLimits, func(b *poolTest) {
 			b.dialDelay = 100 * time.Millisecond
-			time.Sleep(time.Millisecond) // a start has to be after the beginning
+			time.Sleep(time.Millisecond) // so that the node's new start is later than StartedLongAgo
 			attempts := b.send("a.1", "a.2")
 			b.Cancel(attempts[0])
 			change(b)
@@ -30,7 +30,7 @@
 				}
 			}
 			if b.InFlight() != 0 {
-				t.Errorf("%s: %d out", what, b.InFlight())
+				t.Errorf("%s: %d in flight", what, b.InFlight())
 			}
 		})
 		runPoolTest(t, testLimits, func(b *poolTest) {
