--- a/internal/transport/link/frame.go
+++ b/internal/transport/link/frame.go
@@ -105,8 +105,8 @@
 // Status is the status that a side sends with each heartbeat.
 type Status struct {
 	_             struct{} `cbor:",toarray"`
-	FreeCapacity  float64  // share of the capacity for queries of other sites, 0 to 1
-	IsShedding    bool     // it sheds queries of its own clients
+	FreeCapacity  float64  // free share of the capacity for queries of other sites, 0 to 1
+	IsShedding    bool     // it sheds queries
 	IsDraining    bool     // a graceful shutdown is under way
 	MissingShards []int    // those without an available replica
 }
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -138,12 +138,12 @@
 		if !up.Conn.Query(query(7)) {
 			t.Fatal("query not queued")
 		}
-		in := far.waitFor(t, "the ask", func(e Event) bool { return e.Query != nil })
+		in := far.waitFor(t, "the query", func(e Event) bool { return e.Query != nil })
 		if fmt.Sprint(*in.Query) != fmt.Sprint(query(7)) {
 			t.Errorf("received query %+v", in.Query)
 		}
 		in.Conn.Reply(Reply{ID: 7, IsComplete: true, ShardAnswers: []ShardAnswer{{Shard: 1, Value: "v"}}})
-		out := near.waitFor(t, "the verdict", func(e Event) bool { return e.Reply != nil })
+		out := near.waitFor(t, "the reply", func(e Event) bool { return e.Reply != nil })
 		if out.Reply.ID != 7 || out.Reply.ShardAnswers[0].Value != "v" {
 			t.Errorf("received reply %+v", out.Reply)
 		}
--- a/internal/transport/link/nonsense_test.go
+++ b/internal/transport/link/nonsense_test.go
@@ -41,21 +41,21 @@
 	near.stop()
 	far.waitFor(t, "the other up", isUp)
 	far.waitFor(t, "the other down", isDown)
-	bad, _ := appendFrame(nil, frameQuery, Query{ID: 1})
-	verdict, _ := appendFrame(nil, frameReply, Reply{ID: 1})
-	grants, _ := appendFrame(nil, frameWindowUpdate, windowUpdate{Bytes: -5})
+	empty, _ := appendFrame(nil, frameQuery, Query{ID: 1})
+	reply, _ := appendFrame(nil, frameReply, Reply{ID: 1})
+	update, _ := appendFrame(nil, frameWindowUpdate, windowUpdate{Bytes: -5})
 	status, _ := appendFrame(nil, frameHeartbeat, heartbeat{Seq: 1, Status: &Status{FreeCapacity: 7}})
 	for what, c := range map[string]struct {
 		bytes  []byte
 		reason string
 	}{
-		"noise":                    {[]byte("GET / HTTP/1.1\r\n\r\n"), "bad_frame"},
-		"an endless frame":         {append(binary.LittleEndian.AppendUint32(nil, maxFrame), 'a'), "not_heard"},
-		"an ask of nothing":        {bad, "bad_frame"},
-		"a verdict from the asker": {verdict, "bad_frame"},
-		"a grant below nothing":    {grants, "bad_frame"},
-		"a status out of range":    {status, "bad_frame"},
-		"silence":                  {nil, "silent"},
+		"an HTTP request":                {[]byte("GET / HTTP/1.1\r\n\r\n"), "bad_frame"},
+		"an incomplete frame":            {append(binary.LittleEndian.AppendUint32(nil, maxFrame), 'a'), "not_heard"},
+		"a query without shards":         {empty, "bad_frame"},
+		"a reply from the dialling side": {reply, "bad_frame"},
+		"a negative window update":       {update, "bad_frame"},
+		"a status out of range":          {status, "bad_frame"},
+		"silence":                        {nil, "silent"},
 	} {
 		conn, _ := dialRaw(t, far, near)
 		conn.Write(c.bytes)
@@ -81,7 +81,7 @@
 	conn, _ := dialRaw(t, far, near)
 	a, _ := appendFrame(nil, frameQuery, query(1))
 	conn.Write(a)
-	in := far.waitFor(t, "the ask", func(e Event) bool { return e.Query != nil })
+	in := far.waitFor(t, "the query", func(e Event) bool { return e.Query != nil })
 	maxQueued := 0
 	for range 200 {
 		in.Conn.Reply(Reply{ID: 1, ShardAnswers: []ShardAnswer{{Shard: 1, Value: strings.Repeat("v", 20_000)}}})
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -25,14 +25,14 @@
 
 // Socket is the UDP socket between brokers.
 type Socket struct {
-	Counts          Counts
-	conn            *net.UDPConn
-	peers           []netip.AddrPort
-	broadcastAddr   netip.AddrPort
-	queue           chan datagram
-	handleBroadcast func(from int, text []byte)
-	handleMember    func(from netip.AddrPort, data []byte) // nil: no membership
-	authenticator   *authenticator                         // nil: datagrams are not authenticated
+	Counts        Counts
+	conn          *net.UDPConn
+	peers         []netip.AddrPort
+	broadcastAddr netip.AddrPort
+	queue         chan datagram
+	handleGossip  func(from int, text []byte)
+	handleMember  func(from netip.AddrPort, data []byte) // nil: no membership
+	authenticator *authenticator                         // nil: datagrams are not authenticated
 }
 
 type datagram struct {
@@ -41,13 +41,13 @@
 	data []byte
 }
 
-// Listen opens the socket. A broadcast is sent to broadcastAddr; handleBroadcast is called with each one received, and its sender's index in peers.
-func Listen(addr netip.AddrPort, peers []netip.AddrPort, broadcastAddr netip.AddrPort, handleBroadcast func(int, []byte)) (*Socket, error) {
+// Listen opens the socket. Gossip is sent to broadcastAddr. handleGossip is called with each gossip message of a peer and its index in peers.
+func Listen(addr netip.AddrPort, peers []netip.AddrPort, broadcastAddr netip.AddrPort, handleGossip func(int, []byte)) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
-	return &Socket{conn: conn, peers: peers, broadcastAddr: broadcastAddr, handleBroadcast: handleBroadcast, queue: make(chan datagram, maxQueued)}, nil
+	return &Socket{conn: conn, peers: peers, broadcastAddr: broadcastAddr, handleGossip: handleGossip, queue: make(chan datagram, maxQueued)}, nil
 }
 
 // Crew enables membership messages, which handleMember is called with, and authentication if there are keys. It must be called before Send
@@ -59,9 +59,9 @@
 	}
 }
 
-// Broadcast queues a message to all other brokers. It may be lost.
+// Broadcast queues a gossip message to all other brokers. It may be lost.
 func (l *Socket) Broadcast(text string) {
-	l.enqueue(datagram{l.broadcastAddr, KindBroadcast, []byte(text)})
+	l.enqueue(datagram{l.broadcastAddr, KindGossip, []byte(text)})
 }
 
 // SendTo queues a membership message to one broker. It may be lost.
@@ -144,7 +144,7 @@
 
 // dispatch delivers a datagram. An authenticated sender of membership messages need not be among the configured peers.
 func (l *Socket) dispatch(from netip.AddrPort, b []byte) {
-	i, kind := slices.Index(l.peers, from), KindBroadcast
+	i, kind := slices.Index(l.peers, from), KindGossip
 	switch {
 	case len(b) > maxDatagram:
 		l.Counts.TooLong.Add(1)
@@ -164,8 +164,8 @@
 	l.Counts.Delivered.Add(1)
 	if kind == KindMembership && l.handleMember != nil {
 		l.handleMember(from, slices.Clone(b))
-	} else if kind == KindBroadcast && i >= 0 {
-		l.handleBroadcast(i, slices.Clone(b))
+	} else if kind == KindGossip && i >= 0 {
+		l.handleGossip(i, slices.Clone(b))
 	}
 }
 
--- a/internal/transport/peers/seal.go
+++ b/internal/transport/peers/seal.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	magic      = 0xf5 // first byte of authenticated and of membership datagrams; no broadcast begins with it
-	headerSize = 3 + 8
+	magic      = 0xf5  // first byte of authenticated and of membership datagrams; no gossip message begins with it
+	headerSize = 3 + 8 // magic, kind, first byte of the key, counter
 	overhead   = headerSize + macSize
 	macSize    = 12
 
-	maxSenders = 4096
-	replayBits = 64
+	maxSenders = 4096 // whose counters are remembered
+	replayBits = 64   // counters per sender that are remembered, up to the highest
 )
 
 // MaxPayload is the largest payload, in bytes, of an authenticated datagram.
@@ -27,8 +27,8 @@
 
 // Kinds of messages.
 const (
-	KindBroadcast  byte = iota // to all brokers: endpoint changes and ownership claims
-	KindMembership             // to one broker
+	KindGossip     byte = iota // of the routers, to all other brokers
+	KindMembership             // of the members, to one broker
 )
 
 // authenticator signs with the first key and accepts all keys, so that keys can be replaced on one broker after another.
@@ -41,7 +41,7 @@
 // replayWindow holds which of a sender's latest counters have been received.
 type replayWindow struct {
 	highest uint64
-	seen    uint64
+	seen    uint64 // bit i: highest-i has been received
 }
 
 func newAuthenticator(keys [][]byte, now time.Time) *authenticator {
--- a/internal/transport/peers/seal_test.go
+++ b/internal/transport/peers/seal_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	later := newAuthenticator([][]byte{old}, start.Add(time.Minute)) // the broker has restarted
-	if _, _, ok := b.open(testSender, later.close(KindBroadcast, []byte("s"))); !ok {
+	if _, _, ok := b.open(testSender, later.close(KindGossip, []byte("s"))); !ok {
 		t.Error("a datagram of a restarted broker was rejected")
 	}
 }
