--- a/cmd/flaxfront/main_test.go
+++ b/cmd/flaxfront/main_test.go
@@ -17,7 +17,7 @@
  "domain":{"cells":1,"classFloor":[0.5],"slices":1,"width":1},"safety":{"askWithinNs":10000000000},
  "permissions":{"connIdleNs":30000000000,"connectTimeoutNs":250000000,"maxAttempts":4,"multiplex":32}}}`
 
-// SIGHUP never ends the process, whatever the file holds by then; SIGTERM ends it well, with a reload under way too.
+// SIGHUP never ends the process, whatever the file contains; SIGTERM ends it without error, even during a reload.
 func TestSignals(t *testing.T) {
 	file, port := filepath.Join(t.TempDir(), "config.json"), 20000+os.Getpid()%10000
 	write := func(text string) {
@@ -28,7 +28,7 @@
 	write(fmt.Sprintf(configText, port))
 	done := make(chan error, 1)
 	go func() { done <- serve(file, "") }()
-	up := func() {
+	waitUntilUp := func() {
 		t.Helper()
 		for range 500 {
 			if r, err := http.Get(fmt.Sprintf("http://127.0.0.1:%d/up", port)); err == nil {
@@ -37,13 +37,13 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Fatal("not up")
+		t.Fatal("the broker did not answer /up within 5 s")
 	}
-	up()
+	waitUntilUp()
 	for _, text := range []string{"{", "", fmt.Sprintf(configText, port+1)} {
 		write(text)
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
-		up()
+		waitUntilUp()
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
@@ -52,8 +52,8 @@
 	}
 }
 
-// An error that knows what an operator can do is printed with it, on a line of its own.
-func TestComplaint(t *testing.T) {
+// An error with a remedy is printed with it on a second line; one without is printed alone.
+func TestErrorText(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.json5")
 	if err := os.WriteFile(file, []byte("{\n\"dor\": {}}"), 0o600); err != nil {
 		t.Fatal(err)
@@ -63,11 +63,11 @@
 		t.Fatal(err)
 	}
 	_, _, err := load(config, file)
-	want := "flaxfront: operators' file: " + file + ":2: dor: unknown\nwhat to do: correct line 2 of " + file
-	if err == nil || !strings.HasPrefix(complaint(err), want) || strings.Count(complaint(err), "\n") != 2 {
-		t.Errorf("printed %q", complaint(err))
+	want := "flaxfront: operators' file: " + file + ":2: dor: unknown key\nwhat to do: correct line 2 of " + file
+	if err == nil || !strings.HasPrefix(errorText(err), want) || strings.Count(errorText(err), "\n") != 2 {
+		t.Errorf("printed %q", errorText(err))
 	}
-	if got := complaint(errNoConfig); strings.Count(got, "\n") != 1 {
+	if got := errorText(errNoConfig); strings.Count(got, "\n") != 1 {
 		t.Errorf("printed %q", got)
 	}
 }
--- a/cmd/flaxfront/nodes.go
+++ b/cmd/flaxfront/nodes.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands on what operators keep: `config`, which shows what is in force, and `nodes`, which works on
-// the saved node list, also while a broker runs. It must never write beside a broker that holds the directory.
+// This file defines the commands `config`, which prints the settings in force, and `nodes`, which reads and changes the cached endpoint list,
+// also while a broker runs. A directory that a running broker holds is changed only by that broker, on request.
 
 import (
 	"errors"
@@ -20,15 +20,15 @@
 func configCommand(file *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "config",
-		Short: "Print the operators' settings that are in force; what the file does not name is marked as default",
+		Short: "Print the operators' settings in force, with the file or \"default\" as the origin of each",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			own, err := operator.Read(*file)
+			operators, err := operator.Read(*file)
 			if err != nil {
 				return err
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			for _, s := range own.Settings() {
+			for _, s := range operators.Settings() {
 				origin := *file
 				if s.Default {
 					origin = "default"
@@ -40,83 +40,83 @@
 	}
 }
 
-// listPlace is where the list is and what it must belong to; no configuration: to any deployment.
-type listPlace struct {
+// listLocation is the directory of the list and the deployment to which it must belong, "" for any.
+type listLocation struct {
 	dir, deployment string
-	own             *operator.File
+	operators       *operator.File
 }
 
 func nodesCommand(config, file *string) *cobra.Command {
 	var dir string
-	place := func() (p listPlace, err error) {
-		if p.own, err = operator.Read(*file); err != nil {
-			return p, err
+	locate := func() (location listLocation, err error) {
+		if location.operators, err = operator.Read(*file); err != nil {
+			return location, err
 		}
-		if p.dir = dir; dir == "" {
-			p.dir = p.own.Start.NodeList.Directory
+		if location.dir = dir; dir == "" {
+			location.dir = location.operators.Start.NodeList.Directory
 		}
-		if p.dir == "" {
-			return p, errors.New("no node list: give --dir, or an operators' file that names start.node_list.directory")
+		if location.dir == "" {
+			return location, errors.New("no directory: set --dir, or start.node_list.directory in the operators' file")
 		}
 		if *config != "" {
-			start, err := terms.ReadStart(*config)
+			start, err := terms.ReadConfig(*config)
 			if err != nil {
-				return p, err
+				return location, err
 			}
-			p.deployment = start.Terms.Fingerprint()
+			location.deployment = start.Terms.Fingerprint()
 		}
-		return p, nil
+		return location, nil
 	}
 	nodes := &cobra.Command{
 		Use:   "nodes",
-		Short: "Show and change the saved node list, also while a broker runs",
+		Short: "Print and change the cached endpoint list, also while a broker runs",
 	}
-	nodes.PersistentFlags().StringVar(&dir, "dir", "", "directory of the list (default: the operators' file's)")
+	nodes.PersistentFlags().StringVar(&dir, "dir", "", "directory of the list (default: start.node_list.directory of the operators' file)")
 
-	var asJSON, ended bool
+	var asJSON, includeEnded bool
 	show := &cobra.Command{
 		Use:   "show [NAME]...",
-		Short: "Print the entries, with how doubtful their age makes them",
+		Short: "Print the entries, with the error probability by their age",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
-			c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
+			c, err := nodelist.Read(filesystem.Local{}, location.dir, location.deployment)
 			if err != nil {
 				return err
 			}
-			return showNodes(cmd.OutOrStdout(), p, c, names, ended, asJSON)
+			return showNodes(cmd.OutOrStdout(), location, c, names, includeEnded, asJSON)
 		},
 	}
-	show.Flags().BoolVar(&asJSON, "json", false, "as export writes it")
-	show.Flags().BoolVar(&ended, "ended", false, "ended nodes too")
+	show.Flags().BoolVar(&asJSON, "json", false, "print JSON, as export does")
+	show.Flags().BoolVar(&includeEnded, "ended", false, "include ended nodes")
 
-	var reach time.Duration
+	var connectTimeout time.Duration
 	verify := &cobra.Command{
 		Use:   "verify",
-		Short: "Check the files whole; with --connect also try each node in service",
+		Short: "Check the files; with --connect also try to connect to each node in service",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
-			return verifyNodes(cmd.OutOrStdout(), p, reach)
+			return verifyNodes(cmd.OutOrStdout(), location, connectTimeout)
 		},
 	}
-	verify.Flags().DurationVar(&reach, "connect", 0, "try to connect to each node in service, so long each (0: don't)")
+	verify.Flags().DurationVar(&connectTimeout, "connect", 0, "timeout for connecting to each node in service (0: do not connect)")
 
 	export := &cobra.Command{
 		Use:   "export",
-		Short: "Write all entries as JSON, for import elsewhere",
+		Short: "Write all entries as JSON, for import",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
-			c, err := nodelist.Read(filesystem.Local{}, p.dir, p.deployment)
+			c, err := nodelist.Read(filesystem.Local{}, location.dir, location.deployment)
 			if err == nil {
 				err = writeJSON(cmd.OutOrStdout(), c.SortedByName())
 			}
@@ -126,10 +126,10 @@
 
 	imports := &cobra.Command{
 		Use:   "import FILE",
-		Short: "Take entries from a file that export wrote (-: standard input), where they are later than what is known",
+		Short: "Import entries that export wrote, from a file or standard input (-), where they are newer than those in the list",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
@@ -137,20 +137,20 @@
 			if err != nil {
 				return err
 			}
-			return change(cmd.OutOrStdout(), p, nodelist.OperatorRequest{Import: entries})
+			return applyChange(cmd.OutOrStdout(), location, nodelist.OperatorRequest{Import: entries})
 		},
 	}
 
 	forget := &cobra.Command{
 		Use:   "forget NAME...",
-		Short: "Drop entries; a broker that runs without discovery stops using these nodes at once",
+		Short: "Delete entries; a broker that runs without discovery stops using these nodes at once",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, names []string) error {
-			p, err := place()
+			location, err := locate()
 			if err != nil {
 				return err
 			}
-			return change(cmd.OutOrStdout(), p, nodelist.OperatorRequest{Forget: names})
+			return applyChange(cmd.OutOrStdout(), location, nodelist.OperatorRequest{Forget: names})
 		},
 	}
 	nodes.AddCommand(show, verify, export, imports, forget)
--- a/cmd/flaxlab/flood.go
+++ b/cmd/flaxlab/flood.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the experiment on fair queues: one tenant floods, another asks as ever.
+// This file implements the commands flood and queues, which measure fair queues: one tenant floods while another keeps its usual load.
 
 import (
 	"fmt"
@@ -20,18 +20,18 @@
 
 func floodCommand() *cobra.Command {
 	var conns int
-	var last time.Duration
+	var duration time.Duration
 	c := &cobra.Command{
 		Use:   "flood",
-		Short: "On sockets: a quiet tenant beside one that floods and comes back at once, with and without fair queues",
+		Short: "Measure on sockets a tenant with little load beside one that floods and retries at once, with and without fair queues",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%-22s  %-9s  %-34s  %-30s\n", "door", "flood", "quiet: asked, served, p50, p99", "flooder: served a second, turned away")
-			for _, door := range []string{"first come first served", "fair queues"} {
+			fmt.Fprintf(out, "%-22s  %-9s  %-34s  %-30s\n", "queueing", "flood", "quiet: asked, served, p50, p99", "flooder: served/s, rejected")
+			for _, queueing := range []string{"first come first served", "fair queues"} {
 				for _, flood := range []int{0, conns} {
-					if err := playFlood(out, door, flood, last); err != nil {
+					if err := runFlood(out, queueing, flood, duration); err != nil {
 						return err
 					}
 				}
@@ -39,28 +39,29 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&conns, "conns", 150, "connections of the flooder")
-	c.Flags().DurationVar(&last, "for", 8*time.Second, "how long each")
+	c.Flags().IntVar(&conns, "conns", 150, "number of connections of the flooding tenant")
+	c.Flags().DurationVar(&duration, "for", 8*time.Second, "duration of each run")
 	return c
 }
 
 func queuesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "queues",
-		Short: "Six ways to share a store between tenants under one flood, in virtual time",
+		Short: "Simulate six ways to share a store between tenants while one floods",
 		Args:  cobra.NoArgs,
 		Run:   func(cmd *cobra.Command, _ []string) { lab.CompareQueuing(cmd.OutOrStdout()) },
 	}
 }
 
-func playFlood(out io.Writer, door string, conns int, last time.Duration) error {
+// runFlood runs one broker with a flood of conns connections, and prints the results of both tenants.
+func runFlood(out io.Writer, queueing string, conns int, duration time.Duration) error {
 	dir, err := os.MkdirTemp("", "flaxlab")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	file := "{}"
-	if door != "first come first served" {
+	if queueing != "first come first served" {
 		file = `{"door": {"on": true}}`
 	}
 	s, err := newSite(dir, 8, 2, 1, file)
@@ -68,8 +69,8 @@
 		return err
 	}
 	defer s.Close()
-	s.SetMeanWork(40 * time.Millisecond) // 16 cores: room for 200 searches of two parts a second
-	l, err := startBroker(s.config, s.file)
+	s.SetMeanWork(40 * time.Millisecond) // 16 cores: enough for 200 queries of two shard requests per second
+	broker, err := startBroker(s.config, s.file)
 	if err != nil {
 		return err
 	}
@@ -77,7 +78,7 @@
 	stop := make(chan struct{})
 	var flooders sync.WaitGroup
 	var mu sync.Mutex
-	served, turned := 0, 0
+	served, rejected := 0, 0
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: conns + 1}, Timeout: 5 * time.Second}
 	for i := range conns {
 		flooders.Go(func() {
@@ -103,22 +104,22 @@
 				if resp.StatusCode == 200 {
 					served++
 				} else {
-					turned++
+					rejected++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	o := lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "quiet", Shards: 4, MaxShards: 3, Rate: 20, RunTime: last,
+	outcome := lab.Load{URL: "http://" + s.at, QueryType: "find", Tenant: "quiet", Shards: 4, MaxShards: 3, Rate: 20, RunTime: duration,
 		Timeout: 2 * time.Second, Objective: time.Second, MinCompleteness: 1, Seed: 5}.Run()
 	close(stop)
 	flooders.Wait()
 	client.CloseIdleConnections()
-	q := func(p float64) float64 { return float64(o.Latency.ValueAtQuantile(p)) / 1000 }
-	fmt.Fprintf(out, "%-22s  %-9d  %4d, %5.1f%%, %6.1f ms, %7.1f ms    %6.1f, %d; rules broken %d\n", door, conns, o.Asked,
-		100*float64(o.Answered)/float64(o.Asked), q(50), q(99), float64(served)/last.Seconds(), turned, len(o.Violations))
-	if d := l.Counters().Queries.Admission; d != nil {
-		fmt.Fprintf(out, "  limit %.0f parts, %.0f a second, baseline %v\n", d.Limit, d.Rate, d.Baseline.Round(time.Millisecond))
+	percentileMs := func(p float64) float64 { return float64(outcome.Latency.ValueAtQuantile(p)) / 1000 }
+	fmt.Fprintf(out, "%-22s  %-9d  %4d, %5.1f%%, %6.1f ms, %7.1f ms    %6.1f, %d; rules broken %d\n", queueing, conns, outcome.Asked,
+		100*float64(outcome.Answered)/float64(outcome.Asked), percentileMs(50), percentileMs(99), float64(served)/duration.Seconds(), rejected, len(outcome.Violations))
+	if d := broker.Counters().Queries.Admission; d != nil {
+		fmt.Fprintf(out, "  limit %.0f shard requests in flight, %.0f per second, baseline delay %v\n", d.Limit, d.Rate, d.Baseline.Round(time.Millisecond))
 	}
-	return l.end()
+	return broker.shutDown()
 }
--- a/internal/config/form/text.go
+++ b/internal/config/form/text.go
@@ -1,6 +1,6 @@
 package form
 
-// This file owns what is in force as text: a list of settings, and a file that says the same.
+// This file prints a decoded struct: as a list of settings, and as the text of a file that decodes to the same struct.
 
 import (
 	"encoding/json"
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Setting is one field with what is in force.
+// Setting is one field with its value in force and its description.
 type Setting struct {
 	Field, Value, Doc string
-	Default           bool // the file does not name it
+	Default           bool // the file does not contain it
 }
 
-// Settings are all fields of a struct, in their order; said tells which ones a file names.
-func Settings(of any, said func(field string) bool) (all []Setting) {
+// Settings returns all fields of a struct, in their order; named reports whether the file contains a field.
+func Settings(of any, named func(field string) bool) (all []Setting) {
 	var walk func(field string, v reflect.Value)
 	walk = func(field string, v reflect.Value) {
 		for i := range v.NumField() {
@@ -38,27 +38,27 @@
 			if kind := v.Field(i).Kind(); kind == reflect.String || v.Field(i).Type() == reflect.TypeFor[time.Duration]() {
 				value = strconv.Quote(value)
 			}
-			all = append(all, Setting{path, value, t.Tag.Get("doc"), !said(path)})
+			all = append(all, Setting{path, value, t.Tag.Get("doc"), !named(path)})
 		}
 	}
 	walk("", reflect.ValueOf(of).Elem())
 	return all
 }
 
-// Text writes a struct as Decode reads it, with a line for each field that differs from its default.
+// Text returns a text that Decode decodes to the same struct, with one line for each field that differs from its default.
 func Text(of any) string {
 	var b strings.Builder
-	write(&b, "", reflect.ValueOf(of).Elem())
+	writeStruct(&b, "", reflect.ValueOf(of).Elem())
 	return b.String() + "\n"
 }
 
-func write(b *strings.Builder, indent string, v reflect.Value) {
-	plain := reflect.New(v.Type()).Elem()
-	fill(plain) // the defaults were checked when the file was read
+func writeStruct(b *strings.Builder, indent string, v reflect.Value) {
+	defaults := reflect.New(v.Type()).Elem()
+	setDefaults(defaults) // Decode has checked the defaults
 	b.WriteString("{\n")
 	for i := range v.NumField() {
 		t, at := v.Type().Field(i), v.Field(i)
-		if !t.IsExported() || reflect.DeepEqual(at.Interface(), plain.Field(i).Interface()) || at.Kind() == reflect.Slice && at.Len() == 0 {
+		if !t.IsExported() || reflect.DeepEqual(at.Interface(), defaults.Field(i).Interface()) || at.Kind() == reflect.Slice && at.Len() == 0 {
 			continue
 		}
 		fmt.Fprintf(b, "%s  %q: ", indent, t.Tag.Get("json"))
@@ -71,9 +71,9 @@
 func writeValue(b *strings.Builder, indent string, at reflect.Value) {
 	switch {
 	case at.Kind() == reflect.Struct:
-		write(b, indent, at)
+		writeStruct(b, indent, at)
 	case at.Type() == reflect.TypeFor[time.Duration]() || at.Kind() == reflect.String:
-		text, _ := json.Marshal(fmt.Sprint(at.Interface())) // a text always encodes
+		text, _ := json.Marshal(fmt.Sprint(at.Interface())) // encoding a string cannot fail
 		b.Write(text)
 	case at.Kind() == reflect.Slice:
 		b.WriteString("[")
--- a/internal/protocols/back/back.go
+++ b/internal/protocols/back/back.go
@@ -1,11 +1,11 @@
-// Package back carries sub-requests to store nodes that are catalogue servers speaking SRU or Z39.50, in the place of frames. The pool
-// goes on deciding which connection a call takes, and the module which node; here a call's parts become searches of the node's
-// protocol, and what comes back becomes the answers that frames would have brought. It owns the node's protocol and its time limits.
-// It must never choose a node, send a part twice, or make an answer of what it could not read whole.
+// Package back connects the pool to store nodes that are catalogue servers speaking SRU or Z39.50 instead of the frame protocol. It
+// translates each attempt of a shard request into a search of the node's protocol, and the response into the answer that a frame
+// would carry. The router still selects the node and the pool the connection. An attempt is sent once, and a response that cannot
+// be decoded completely is never an answer.
 //
 // Depends on protocols/catalogue, protocols/sru, protocols/z3950, transport/httpwire, transport/store.
-// Concurrency: goroutines of its own, which the caller's context ends; what they share with callers is
-// behind a lock or an atomic value.
+// Concurrency: each connection has goroutines, which end with the caller's context; state shared with the pool is
+// guarded by a mutex or passed over channels.
 package back
 
 import (
@@ -29,61 +29,62 @@
 	"flaxfront/internal/transport/store"
 )
 
-// Options say what the nodes are.
+// Options configure the connections to nodes.
 type Options struct {
-	Protocol string // sru or z3950
-	Database string // of a shard; %d stands for its number
-	Dial     time.Duration
+	Protocol string        // sru or z3950
+	Database string        // name of a shard's database; %d is replaced by the shard's number
+	Dial     time.Duration // timeout of connecting and of opening a session
 	Now      func() time.Duration
 	Post     func(store.Event)
 }
 
-// queued bounds what one connection holds before its turn; the pool sends one part at a time over each as a rule.
-const queued = 64
+// maxQueuedAttempts bounds the attempts that wait on one connection. As a rule the pool has only one attempt in flight on each.
+const maxQueuedAttempts = 64
 
 var (
-	errRefused  = errors.New("the node turned the session away")
-	errProtocol = errors.New("the node broke its protocol")
+	errSessionRejected = errors.New("node rejected the session")
+	errProtocol        = errors.New("protocol error by the node")
 )
 
-// Carrier opens connections of the node's protocol.
-func Carrier(ctx context.Context, o Options) store.Carrier {
-	return func(_ string, addr netip.AddrPort, h store.Handle) func() {
+// Carrier returns the function with which the pool opens connections of the node's protocol. They close when ctx ends.
+func Carrier(ctx context.Context, options Options) store.Carrier {
+	return func(_ string, addr netip.AddrPort, handle store.Handle) func() {
 		ctx, cancel := context.WithCancel(ctx)
-		c := &conn{o: o, addr: addr, h: h, ctx: ctx, parts: make(chan part, queued), off: map[string]bool{}}
+		c := &conn{options: options, addr: addr, handle: handle, ctx: ctx, attempts: make(chan attempt, maxQueuedAttempts), cancelled: map[string]bool{}}
 		go func() {
 			defer cancel()
 			err := c.run()
-			o.Post(h.Down(o.Now(), err))
+			options.Post(handle.Down(options.Now(), err))
 		}()
 		return cancel
 	}
 }
 
-// part is one sub-request as a frame states it.
-type part struct {
-	id    string
-	shard int
-	wait  time.Duration
-	text  string
+// attempt is one attempt of a shard request, decoded from a frame.
+type attempt struct {
+	id        string
+	shard     int
+	timeout   time.Duration
+	statement string
 }
 
 // conn is one connection to a node.
 type conn struct {
-	o    Options
-	addr netip.AddrPort
-	h    store.Handle
-	ctx  context.Context
-
-	parts chan part
-	mu    sync.Mutex
-	off   map[string]bool // given up before their turn
-	nc    net.Conn
-	in    *bufio.Reader
-	n     int
+	options Options
+	addr    netip.AddrPort
+	handle  store.Handle
+	ctx     context.Context
+
+	attempts      chan attempt
+	mu            sync.Mutex
+	cancelled     map[string]bool // IDs of attempts cancelled by the pool
+	netConn       net.Conn
+	reader        *bufio.Reader
+	lastReference int
 }
 
-// TryWrite takes a frame of the pool and never waits.
+// TryWrite accepts a frame from the pool: a call of attempts, which it queues, or a cancellation. It never blocks, and returns 0 if
+// the queue is full.
 func (c *conn) TryWrite(b []byte) (int, error) {
 	if len(b) < 5 || int(binary.LittleEndian.Uint32(b)) != len(b)-4 {
 		return 0, errProtocol
@@ -91,137 +92,139 @@
 	rest := b[5:]
 	if b[4] == 'c' {
 		c.mu.Lock()
-		if len(c.off) < queued {
-			c.off[string(rest)] = true
+		if len(c.cancelled) < maxQueuedAttempts {
+			c.cancelled[string(rest)] = true
 		}
 		c.mu.Unlock()
 		return len(b), nil
 	}
-	var all []part
+	var parsed []attempt
 	for len(rest) > 0 {
-		line, after, _ := bytes.Cut(rest, []byte{'\n'})
-		f := strings.Fields(string(line))
-		if len(f) != 4 {
+		line, body, _ := bytes.Cut(rest, []byte{'\n'})
+		fields := strings.Fields(string(line))
+		if len(fields) != 4 {
 			return 0, errProtocol
 		}
-		shard, err1 := strconv.Atoi(f[1])
-		ms, err2 := strconv.Atoi(strings.TrimPrefix(f[2], "d="))
-		length, err3 := strconv.Atoi(f[3])
-		if errors.Join(err1, err2, err3) != nil || length < 0 || length > len(after) {
+		shard, err1 := strconv.Atoi(fields[1])
+		ms, err2 := strconv.Atoi(strings.TrimPrefix(fields[2], "d="))
+		length, err3 := strconv.Atoi(fields[3])
+		if errors.Join(err1, err2, err3) != nil || length < 0 || length > len(body) {
 			return 0, errProtocol
 		}
-		all = append(all, part{f[0], shard, time.Duration(ms) * time.Millisecond, string(after[:length])})
-		rest = after[length:]
+		parsed = append(parsed, attempt{fields[0], shard, time.Duration(ms) * time.Millisecond, string(body[:length])})
+		rest = body[length:]
 	}
-	if len(c.parts)+len(all) > cap(c.parts) {
-		return 0, nil // it takes no more: the pool ends the connection, as it would a full socket
+	if len(c.attempts)+len(parsed) > cap(c.attempts) {
+		return 0, nil // the queue is full: the pool closes the connection, as it does when a socket's buffer is full
 	}
-	for _, p := range all {
-		c.parts <- p
+	for _, p := range parsed {
+		c.attempts <- p
 	}
 	return len(b), nil
 }
 
-// The pool never reads here: answers come by handle.
+// Read always returns io.EOF. The pool does not read from the connection; answers are posted as events of the handle.
 func (c *conn) Read([]byte) (int, error) { return 0, io.EOF }
 
 func (c *conn) Close() error { return nil }
 
 func (c *conn) SetReadDeadline(time.Time) error { return nil }
 
-// run is a connection's life: it comes up, then does one part after the other, each within the time that is waited for it.
+// run opens the connection and executes one attempt after the other, each within its timeout plus the dial timeout, until the
+// connection ends.
 func (c *conn) run() error {
-	d := net.Dialer{Timeout: c.o.Dial, KeepAlive: -1}
-	nc, err := d.DialContext(c.ctx, "tcp", c.addr.String())
+	d := net.Dialer{Timeout: c.options.Dial, KeepAlive: -1}
+	netConn, err := d.DialContext(c.ctx, "tcp", c.addr.String())
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	stop := context.AfterFunc(c.ctx, func() { nc.Close() })
+	defer netConn.Close()
+	stop := context.AfterFunc(c.ctx, func() { netConn.Close() })
 	defer stop()
-	c.nc, c.in = nc, bufio.NewReaderSize(nc, 8<<10)
-	if c.o.Protocol == "z3950" {
-		if err := c.open(); err != nil {
+	c.netConn, c.reader = netConn, bufio.NewReaderSize(netConn, 8<<10)
+	if c.options.Protocol == "z3950" {
+		if err := c.initSession(); err != nil {
 			return err
 		}
 	}
-	c.o.Post(c.h.Up(c.o.Now(), c))
-	gone := make(chan error, 1)
+	c.options.Post(c.handle.Up(c.options.Now(), c))
+	readDone := make(chan error, 1)
 	for {
-		// While nothing is asked the node may end the connection.
-		nc.SetReadDeadline(time.Time{})
+		// Without an attempt in flight the node may close the connection, which a pending read notices.
+		netConn.SetReadDeadline(time.Time{})
 		go func() {
-			_, err := c.in.Peek(1)
-			gone <- err
+			_, err := c.reader.Peek(1)
+			readDone <- err
 		}()
-		var p part
+		var p attempt
 		select {
-		case p = <-c.parts:
-			nc.SetReadDeadline(time.Unix(1, 0))
-			if err := <-gone; err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		case p = <-c.attempts:
+			netConn.SetReadDeadline(time.Unix(1, 0))
+			if err := <-readDone; err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				return err
 			} else if err == nil {
-				return fmt.Errorf("%w: it speaks unasked", errProtocol)
+				return fmt.Errorf("%w: data without a request", errProtocol)
 			}
-		case err := <-gone:
+		case err := <-readDone:
 			if err == nil {
-				err = fmt.Errorf("%w: it speaks unasked", errProtocol)
+				err = fmt.Errorf("%w: data without a request", errProtocol)
 			}
 			return err
 		}
 		c.mu.Lock()
-		off := c.off[p.id]
-		delete(c.off, p.id)
+		cancelled := c.cancelled[p.id]
+		delete(c.cancelled, p.id)
 		c.mu.Unlock()
-		if off {
+		if cancelled {
 			continue
 		}
-		nc.SetDeadline(time.Now().Add(p.wait + c.o.Dial))
-		end, value, err := c.do(&p)
+		netConn.SetDeadline(time.Now().Add(p.timeout + c.options.Dial))
+		result, value, err := c.execute(&p)
 		if err != nil {
 			return err
 		}
-		c.o.Post(c.h.Answered(c.o.Now(), store.Answer{ID: p.id, Result: end, Value: value}))
+		c.options.Post(c.handle.Answered(c.options.Now(), store.Answer{ID: p.id, Result: result, Value: value}))
 	}
 }
 
-// do has the node search, and tells how the part ended. An error ends the connection: what it meant can't be told.
-func (c *conn) do(p *part) (end store.Result, value string, err error) {
-	w, err := catalogue.ParseStatement(p.text)
+// execute runs an attempt's search on the node and returns the result and value of its answer. After an error the connection must
+// be closed, as it is not known where the next response begins.
+func (c *conn) execute(p *attempt) (result store.Result, value string, err error) {
+	search, err := catalogue.ParseStatement(p.statement)
 	if err != nil {
-		return store.Broke, "", nil // no catalogue search: these nodes know no other
+		return store.Broke, "", nil // not a catalogue search; these nodes support no other
 	}
-	database := strings.ReplaceAll(c.o.Database, "%d", strconv.Itoa(p.shard))
-	if c.o.Protocol == "z3950" {
-		return c.z3950(p, &w, database)
+	database := strings.ReplaceAll(c.options.Database, "%d", strconv.Itoa(p.shard))
+	if c.options.Protocol == "z3950" {
+		return c.z3950(p, &search, database)
 	}
-	return c.sru(&w, database)
+	return c.sru(&search, database)
 }
 
 const (
-	mostMessage = 1 << 20
-	resultSet   = "f"
+	maxMessageBytes = 1 << 20
+	resultSetName   = "f"
 )
 
-// open begins a session.
-func (c *conn) open() error {
-	c.nc.SetDeadline(time.Now().Add(c.o.Dial))
-	m, err := c.say(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, Preferred: mostMessage, Most: mostMessage,
-		ID: "flaxfront", Name: "flaxfront"})
+// initSession opens a Z39.50 session.
+func (c *conn) initSession() error {
+	c.netConn.SetDeadline(time.Now().Add(c.options.Dial))
+	m, err := c.exchange(&z3950.InitRequest{Version3: true, Search: true, Present: true, NamedResultSets: true, PreferredMessageSize: maxMessageBytes, ExceptionalRecordSize: maxMessageBytes,
+		ImplementationID: "flaxfront", ImplementationName: "flaxfront"})
 	if err != nil {
 		return err
 	}
 	if r, is := m.(*z3950.InitResponse); !is || !r.Accepted || !r.Search || !r.Present {
-		return errRefused
+		return errSessionRejected
 	}
 	return nil
 }
 
-func (c *conn) say(m z3950.Message) (z3950.Message, error) {
-	if _, err := c.nc.Write(z3950.Encode(m)); err != nil {
+func (c *conn) exchange(m z3950.Message) (z3950.Message, error) {
+	if _, err := c.netConn.Write(z3950.Encode(m)); err != nil {
 		return nil, err
 	}
-	answer, err := z3950.Read(c.in)
+	answer, err := z3950.Read(c.reader)
 	if _, closes := answer.(*z3950.Close); closes && err == nil {
 		err = io.EOF
 	}
