--- a/internal/transport/keys/error.go
+++ b/internal/transport/keys/error.go
@@ -11,7 +11,8 @@
 type NameError struct{ ID ID }
 
 func (e *NameError) Error() string {
-	return fmt.Sprintf("invalid site %q or broker %q: each must be 1 to 63 of a-z, 0-9, dots and hyphens, and not begin with a dot or hyphen", e.ID.Site, e.ID.Broker)
+	return fmt.Sprintf("invalid site %q or broker %q: each must be 1 to 63 of a-z, 0-9, dots and hyphens, and not begin with a dot or hyphen",
+		e.ID.Site, e.ID.Broker)
 }
 
 // Remedy returns what an operator can do.
--- a/internal/transport/link/frame.go
+++ b/internal/transport/link/frame.go
@@ -190,8 +190,8 @@
 	q, err := decode[Query](b)
 	switch {
 	case err != nil:
-	case q.RemainingMicros <= 0 || q.RemainingMicros > maxRemainingTime.Microseconds() || len(q.ShardRequests) == 0 || len(q.ShardRequests) > maxShards || q.Request == "" ||
-		len(q.Request) > 64:
+	case q.RemainingMicros <= 0 || q.RemainingMicros > maxRemainingTime.Microseconds() || len(q.ShardRequests) == 0 ||
+		len(q.ShardRequests) > maxShards || q.Request == "" || len(q.Request) > 64:
 		err = fmt.Errorf("%w: query %d: invalid remaining time, shard requests or request id", errFrame, q.ID)
 	}
 	for _, p := range q.ShardRequests {
@@ -214,7 +214,8 @@
 func negotiateVersion(local, remote Hello) (int, error) {
 	v := min(local.MaxVersion, remote.MaxVersion)
 	if v < max(local.MinVersion, remote.MinVersion, 1) {
-		return 0, fmt.Errorf("%w: this side supports %d to %d, the other side %d to %d", errVersion, local.MinVersion, local.MaxVersion, remote.MinVersion, remote.MaxVersion)
+		return 0, fmt.Errorf("%w: this side supports %d to %d, the other side %d to %d", errVersion,
+			local.MinVersion, local.MaxVersion, remote.MinVersion, remote.MaxVersion)
 	}
 	return v, nil
 }
--- a/internal/transport/link/sending.go
+++ b/internal/transport/link/sending.go
@@ -46,7 +46,7 @@
 	return b != nil && c.enqueue(queued{frame: b, query: q.ID, isQuery: true}, false)
 }
 
-// Cancel tells the other side that a query is abandoned. A query that is still queued is removed instead.
+// Cancel informs the other side that a query is abandoned. A query that is still queued is removed instead.
 func (c *Conn) Cancel(id uint64) {
 	c.mu.Lock()
 	for i, q := range c.queue {
@@ -73,7 +73,7 @@
 // WakeWriter wakes the writer, which writes the queued frames.
 func (c *Conn) WakeWriter() { c.signalWriter() }
 
-// dequeue returns the next frame to write; nil: none. A reply waits until the other side has room, and so does all that is queued behind it.
+// dequeue returns the next frame to write; nil: none. A reply waits until the other side has room, and so do the frames queued after it.
 func (c *Conn) dequeue() (b []byte, isQuery, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/store/budget.go
+++ b/internal/transport/store/budget.go
@@ -37,7 +37,7 @@
 	return p.budget.Open(n.id, tenant)
 }
 
-// reportClosed tells the budget that a connection has ended.
+// reportClosed informs the budget that a connection has ended.
 func (p *Pool) reportClosed(c *conn, byNode bool) {
 	if p.budget != nil {
 		p.budget.Closed(c.node.id, c.tenant, byNode)
