--- a/internal/transport/link/nonsense_test.go
+++ b/internal/transport/link/nonsense_test.go
@@ -1,6 +1,6 @@
 package link
 
-// This file tests sides that speak nonsense, do not read, or are cut off.
+// This file tests sides that send invalid frames, or do not read, and queries that are not sent before a link ends.
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"flaxfront/internal/transport/keys"
 )
 
-// dialRaw is a connection to the far side that speaks for itself once the hello is over.
+// dialRaw returns a connection to the far side over which the test writes bytes itself once the hellos are exchanged.
 func dialRaw(t *testing.T, far *side, near *side) (*tls.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := tls.Dial("tcp", far.ln.Addr().String(), near.opts.Keys.Client(func(keys.ID) error { return nil }))
@@ -34,33 +34,33 @@
 	return c, in
 }
 
-// Whatever nonsense comes ends that link with a reason, and nothing of it reaches the loop.
+// TestInvalidFrames: an invalid frame ends the link with a reason code, and no event of it reaches the loop.
 func TestInvalidFrames(t *testing.T) {
 	near, far, _ := connectedSides(t, allVersions, allVersions)
 	near.waitFor(t, "near up", isUp)
 	near.stop()
 	far.waitFor(t, "the other up", isUp)
 	far.waitFor(t, "the other down", isDown)
-	bad, _ := appendFrame(nil, frameQuery, Query{ID: 1})
-	verdict, _ := appendFrame(nil, frameReply, Reply{ID: 1})
-	grants, _ := appendFrame(nil, frameWindowUpdate, windowUpdate{Bytes: -5})
+	empty, _ := appendFrame(nil, frameQuery, Query{ID: 1})
+	reply, _ := appendFrame(nil, frameReply, Reply{ID: 1})
+	update, _ := appendFrame(nil, frameWindowUpdate, windowUpdate{Bytes: -5})
 	status, _ := appendFrame(nil, frameHeartbeat, heartbeat{Seq: 1, Status: &Status{FreeCapacity: 7}})
 	for what, c := range map[string]struct {
 		bytes  []byte
 		reason string
 	}{
-		"noise":                    {[]byte("GET / HTTP/1.1\r\n\r\n"), "bad_frame"},
-		"an endless frame":         {append(binary.LittleEndian.AppendUint32(nil, maxFrame), 'a'), "not_heard"},
-		"an ask of nothing":        {bad, "bad_frame"},
-		"a verdict from the asker": {verdict, "bad_frame"},
-		"a grant below nothing":    {grants, "bad_frame"},
-		"a status out of range":    {status, "bad_frame"},
-		"silence":                  {nil, "silent"},
+		"an HTTP request":                {[]byte("GET / HTTP/1.1\r\n\r\n"), "bad_frame"},
+		"an incomplete frame":            {append(binary.LittleEndian.AppendUint32(nil, maxFrame), 'a'), "not_heard"},
+		"a query without shards":         {empty, "bad_frame"},
+		"a reply from the dialling side": {reply, "bad_frame"},
+		"a negative window update":       {update, "bad_frame"},
+		"a status out of range":          {status, "bad_frame"},
+		"silence":                        {nil, "silent"},
 	} {
 		conn, _ := dialRaw(t, far, near)
 		conn.Write(c.bytes)
 		if e := far.waitFor(t, what, isDown); e.Down.Reason != c.reason {
-			t.Errorf("%s: ended as %s", what, e.Down.Reason)
+			t.Errorf("%s: ended with reason %s", what, e.Down.Reason)
 		}
 		conn.Close()
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// A side that asks and does not read takes a stated memory, and then the link ends.
+// A side that sends a query and does not read the replies may use only maxQueuedBytes; then the link ends.
 func TestSideThatDoesNotRead(t *testing.T) {
 	near, far, _ := connectedSides(t, allVersions, allVersions)
 	near.waitFor(t, "near up", isUp)
@@ -81,7 +81,7 @@
 	conn, _ := dialRaw(t, far, near)
 	a, _ := appendFrame(nil, frameQuery, query(1))
 	conn.Write(a)
-	in := far.waitFor(t, "the ask", func(e Event) bool { return e.Query != nil })
+	in := far.waitFor(t, "the query", func(e Event) bool { return e.Query != nil })
 	maxQueued := 0
 	for range 200 {
 		in.Conn.Reply(Reply{ID: 1, ShardAnswers: []ShardAnswer{{Shard: 1, Value: strings.Repeat("v", 20_000)}}})
@@ -90,14 +90,14 @@
 		in.Conn.mu.Unlock()
 	}
 	if e := far.waitFor(t, "down", isDown); e.Down.Reason != "does_not_read" && e.Down.Reason != "stuck" {
-		t.Errorf("ended as %s", e.Down.Reason)
+		t.Errorf("ended with reason %s", e.Down.Reason)
 	}
 	if maxQueued > maxQueuedBytes {
-		t.Errorf("%d bytes were held", maxQueued)
+		t.Errorf("%d bytes were queued, more than the limit", maxQueued)
 	}
 }
 
-// Asks that have not left when the link ends are told apart: they never ran.
+// Queries that were not written before the link ended are reported as unsent: they never ran.
 func TestUnsentQueries(t *testing.T) {
 	c := &Conn{Peer: 0, wake: make(chan struct{}, 1), unacked: map[uint64]time.Time{}, post: func(Event) {}}
 	a, b := net.Pipe()
@@ -105,12 +105,12 @@
 	c.net = a
 	for id := range uint64(3) {
 		if !c.Query(query(id)) {
-			t.Fatal("no room")
+			t.Fatal("query not queued")
 		}
 	}
 	c.Cancel(1)
 	if _, isQuery, _ := c.dequeue(); !isQuery {
-		t.Fatal("nothing to write")
+		t.Fatal("no query to write")
 	}
 	var unsent []uint64
 	for _, q := range c.queue {
@@ -121,7 +121,7 @@
 	}
 	c.Close("test")
 	if c.Query(query(9)) {
-		t.Error("sent over a link that has ended")
+		t.Error("a query was queued on a link that has ended")
 	}
 }
 
@@ -145,7 +145,7 @@
 			c.net, _ = net.Pipe()
 			c.post = func(e Event) {
 				if e.Query != nil && (len(e.Query.ShardRequests) == 0 || e.Query.RemainingMicros <= 0) || e.Reply != nil && e.Reply.Kind > Failed {
-					t.Errorf("let through %+v", e)
+					t.Errorf("invalid event posted: %+v", e)
 				}
 			}
 			c.handleFrame(frameType, bytes.Clone(body.Bytes()))
