--- a/internal/lab/conns.go
+++ b/internal/lab/conns.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the count of a node's connections, as the audit of budgets needs it. It must never count one that its peer has
-// closed already, however late the node itself gets to see that.
+// This file counts a node's open connections for the audit of connection budgets. A connection that the peer has already closed
+// must not be counted, however late the node itself sees the close.
 
 import (
 	"net"
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// established asks the kernel whether both ends of a connection are open. Danger: a connection that a broker closed before another
-// one opened its own would be counted beside it, while the close waits to be read here.
+// established asks the kernel whether both ends of a connection are open. Without it, a connection that a broker closed before it
+// opened the next would be counted beside that one while the close waits to be read here.
 func established(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -24,7 +24,7 @@
 	return open
 }
 
-// addConn takes a connection in. The caller holds the lock.
+// addConn adds an accepted connection and updates the peak. The caller holds the lock.
 func (n *Node) addConn(c net.Conn) {
 	n.conns[c] = true
 	if len(n.conns) <= n.peakConns {
@@ -39,7 +39,7 @@
 	n.peakConns = max(n.peakConns, open)
 }
 
-// Connections tells how many connections are open, and the most that were at once since Calm.
+// Conns returns how many connections are open, and the most that were open at once since the last ResetPeak.
 func (n *Node) Conns() (open, peakConns int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,7 +51,7 @@
 	return open, n.peakConns
 }
 
-// ResetPeak begins the count of the most anew.
+// ResetPeak restarts the count of the most connections open at once.
 func (n *Node) ResetPeak() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/conns_test.go
+++ b/internal/lab/conns_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Connections that were open together are found, also once they are closed; those that followed one another are not.
+// Connections that were open at the same time are counted together, and still are in the peak once closed; consecutive ones are
+// not.
 func TestConnsCounted(t *testing.T) {
 	n, err := StartNode("127.0.0.1:0", NewNodeModel("n", 0, 1, time.Millisecond, WarmUpParams{}, 1), 1, time.Now())
 	if err != nil {
@@ -27,7 +28,7 @@
 			if now, _ := n.Conns(); now == want {
 				return
 			} else if time.Now().After(end) {
-				t.Fatalf("%d are open; want %d", now, want)
+				t.Fatalf("%d connections are open; want %d", now, want)
 			}
 		}
 	}
@@ -38,13 +39,13 @@
 		c.Close()
 	}
 	if counted(0); n.peakConns != 1 {
-		t.Errorf("%d at once; each was closed before the next", n.peakConns)
+		t.Errorf("peak of %d connections; want 1, as each was closed before the next opened", n.peakConns)
 	}
 	a, _ := open(), open()
 	counted(2)
 	a.Close()
 	counted(1)
 	if _, peakConns := n.Conns(); peakConns != 2 {
-		t.Errorf("%d at once; two were", peakConns)
+		t.Errorf("peak of %d connections; want 2", peakConns)
 	}
 }
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// This file owns the discovery on a loopback socket, which can be down, silent, slow, stale or moved.
+// This file simulates discovery on a loopback socket. It can be down, silent, slow, out of date or at another address.
 
-// Instance is a line of discovery's list.
+// Instance is an entry of discovery's endpoint list.
 type Instance struct {
 	InstanceID string  `json:"instanceId"`
 	HostPort   string  `json:"hostPort"`
@@ -24,7 +24,7 @@
 	StartedAt  int64   `json:"startedAtMs"`
 }
 
-// Discovery is a stand-in for the list service.
+// Discovery simulates the service that provides the endpoint list.
 type Discovery struct {
 	Calls          atomic.Int64
 	mu             sync.Mutex
@@ -37,12 +37,12 @@
 	delay          time.Duration
 }
 
-// NewDiscovery makes one that is not up yet.
+// NewDiscovery returns a Discovery that does not listen yet.
 func NewDiscovery(generation uint64) *Discovery {
 	return &Discovery{listGeneration: generation, changed: make(chan struct{})}
 }
 
-// Up listens, at the address it had before if it had one.
+// Up starts listening, at the previous address if there was one.
 func (d *Discovery) Up(addr string) error {
 	if d.addr != "" {
 		addr = d.addr
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Down refuses connections from now on and ends those there are.
+// Down closes the listener and all connections.
 func (d *Discovery) Down() {
 	if d.srv != nil {
 		d.srv.Close()
@@ -65,17 +65,17 @@
 	}
 }
 
-// Addr is where it listens, or did.
+// Addr returns the current or last listen address.
 func (d *Discovery) Addr() string { return d.addr }
 
-// SetFault has it accept and say nothing, or answer late.
+// SetFault makes discovery accept calls without answering, or answer them after a delay.
 func (d *Discovery) SetFault(silent bool, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent, d.delay = silent, delay
 }
 
-// SetList replaces the list and tells those who watch.
+// SetList replaces the endpoint list and wakes the watches.
 func (d *Discovery) SetList(list []Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +84,7 @@
 	d.changed = make(chan struct{})
 }
 
-// handle is one call. Every change is told as the whole list, as the protocol lets it.
+// handle answers one call. Every change is sent as the whole list, which the protocol allows.
 func (d *Discovery) handle(w http.ResponseWriter, r *http.Request) {
 	d.Calls.Add(1)
 	d.mu.Lock()
--- a/internal/lab/emu.go
+++ b/internal/lab/emu.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns virtual time: brokers' real decisions (the module and the judge) against boxes, without sockets. The same
-// seed gives the same course. It must never read a clock.
+// This file runs the brokers' real decisions (router and list evaluator) against simulated nodes in virtual time, without
+// sockets. The same seed gives the same run. It must never read a clock.
 
 import (
 	"container/heap"
@@ -16,7 +16,7 @@
 	"flaxfront/internal/discovery"
 )
 
-// Simulation is boxes and brokers in virtual time.
+// Simulation holds simulated nodes and brokers in virtual time.
 type Simulation struct {
 	now        time.Duration
 	queue      eventHeap
@@ -25,13 +25,13 @@
 	rnd        *rand.Rand
 	settings   decision.Settings
 	Tally      Tally
-	Violations []string // rules, as seen from outside the brokers
+	Violations []string // broken rules, as observed from outside the brokers
 }
 
-// Tally is what the clients and the boxes saw.
+// Tally counts what the clients and the nodes observed.
 type Tally struct {
 	Asked, Answered, Partial, InTarget, Shed, Failed int
-	ShardRequests, Wrong                             int // that reached, or were sent to, a box; of these one that was no longer right
+	ShardRequests, Wrong                             int // shard requests sent to a node; of these, to one that was not serving
 	FirstAnswer                                      time.Duration
 }
 
@@ -58,7 +58,7 @@
 	w.Violations = append(w.Violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// Broker is one emulated broker: the real module, and the real judge where it has one.
+// Broker is one simulated broker with the real router and, where the policy uses one, the real list evaluator.
 type Broker struct {
 	sim           *Simulation
 	router        *routing.Router
@@ -80,7 +80,7 @@
 	shares          map[uint64]float64
 	attempts        map[uint64]uint16
 	finished        bool
-	cancels         map[[2]uint64]func() // cancels, by part and attempt
+	cancels         map[[2]uint64]func() // cancel functions by shard request and attempt
 }
 
 func (sim *Simulation) newBroker(seed uint64, evaluator *cachedlist.Evaluator) *Broker {
@@ -89,7 +89,7 @@
 	return &Broker{sim: sim, router: routing.New(t), evaluator: evaluator, nextID: 1, queries: map[uint64]*queryState{}, shardRequests: map[uint64]*queryState{}}
 }
 
-// deliver hands the module an event, in a turn with all that happens at the same moment.
+// deliver queues an event for the router; all events of one moment are handled in the same step.
 func (b *Broker) deliver(e decision.Event) {
 	b.events = append(b.events, e)
 	if !b.stepPending {
@@ -143,7 +143,7 @@
 	}
 }
 
-// Ask puts a search to the broker, with one part for each shard.
+// submit sends a query to the broker, with one shard request for each shard.
 func (b *Broker) submit(typ int, shards []int) {
 	sim, t := b.sim, &b.sim.settings.QueryTypes[typ]
 	sim.Tally.Asked++
@@ -160,7 +160,7 @@
 	}
 	sim.at(s.deadline+50*time.Millisecond, func() {
 		if !s.finished {
-			sim.recordViolation("rule 1: search %d has no answer", s.id)
+			sim.recordViolation("rule 1: query %d has no answer", s.id)
 		}
 		delete(b.queries, s.id)
 		for id := range s.shares {
@@ -172,7 +172,7 @@
 func (b *Broker) finish(a decision.Action) {
 	s, t := b.queries[a.ID], &b.sim.Tally
 	if s == nil || s.finished {
-		b.sim.recordViolation("rule 1: a second answer to search %d", a.ID)
+		b.sim.recordViolation("rule 1: a second answer to query %d", a.ID)
 		return
 	}
 	s.finished = true
@@ -183,7 +183,7 @@
 		t.Failed++
 	default:
 		if s.completeness < s.minCompleteness-1e-4 || a.Complete && s.completeness < 1-1e-4 {
-			b.sim.recordViolation("rule 5: search %d answered with %.2f, whole %v", s.id, s.completeness, a.Complete)
+			b.sim.recordViolation("rule 5: query %d answered with completeness %.2f, complete %v", s.id, s.completeness, a.Complete)
 		}
 		t.Answered++
 		if !a.Complete {
@@ -198,7 +198,7 @@
 	}
 }
 
-// nodeID makes a box's id as brokers make it.
+// nodeID returns the node id that brokers derive from a name.
 func nodeID(name string) decision.NodeID { return discovery.IDOfName(name) }
 
 var anyAddr = netip.MustParseAddrPort("127.0.0.1:1")
--- a/internal/lab/emuqueue.go
+++ b/internal/lab/emuqueue.go
@@ -1,12 +1,12 @@
 package lab
 
-// This file owns the queue of what will happen in a small world.
+// This file implements the event queue of a small simulation, ordered by time and then by insertion.
 
 import (
 	"time"
 )
 
-// timedEvent is something that will happen.
+// timedEvent is a function to run at a time.
 type timedEvent struct {
 	at  time.Duration
 	seq int
--- a/internal/lab/emusend.go
+++ b/internal/lab/emusend.go
@@ -1,16 +1,16 @@
 package lab
 
-// This file owns what a simulated node makes of a sub-request.
+// This file simulates how a node treats an attempt.
 
 import (
 	"flaxfront/internal/decision"
 )
 
-// send carries one part to a box and back. Each attempt ends once.
+// send carries one attempt to a node and back. Each attempt ends exactly once.
 func (b *Broker) send(a decision.Action) {
 	sim, s, box := b.sim, b.shardRequests[a.ID], b.sim.nodes[a.Node]
 	if s == nil || s.finished {
-		sim.recordViolation("rule 1: part %d sent after its search's answer", a.ID)
+		sim.recordViolation("rule 1: shard request %d sent after its query's answer", a.ID)
 		return
 	}
 	begun, attempt, ended := sim.now, s.attempts[a.ID], false
@@ -46,7 +46,7 @@
 			done, taken := box.Offer(sim.now)
 			switch {
 			case box.Crashed:
-				sim.recordViolation("rule 4: %s fell over", box.Name)
+				sim.recordViolation("rule 4: %s crashed by overload while cold", box.Name)
 				box.Mode, box.Crashed = Hanging, false
 			case box.Mode == Hanging:
 			case !taken:
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns a small site on loopback: nodes, discovery and the configuration of a broker before them.
+// This file sets up a small site on loopback: nodes, discovery and the configuration of the brokers before them.
 
 import (
 	"encoding/json"
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Fleets is nodes and their discovery.
+// Fleet is a set of nodes and the discovery that lists them.
 type Fleet struct {
 	Nodes     []*Node
 	Discovery *Discovery
 	List      []Instance
 	Cells     int
-	Dir       string // of the configurations
+	Dir       string // directory of the brokers' configuration files
 }
 
-// NewFleet starts nodes over some cells and a discovery that knows them and is down until it is told Up.
+// NewFleet starts nodes spread over the cells, and a discovery that lists them but does not listen until Up.
 func NewFleet(dir string, nodes, cells int, seed uint64) (*Fleet, error) {
 	f := &Fleet{Discovery: NewDiscovery(40), Cells: cells, Dir: dir}
 	warm := WarmUpParams{InitialCapacity: 0.3, RampTime: 12 * time.Second, OverloadMultiple: 2, For: 2 * time.Second}
@@ -39,7 +39,7 @@
 	return f, nil
 }
 
-// Settings are the terms of the fleet's deployment.
+// Settings returns the deployment settings for brokers of this fleet, as JSON.
 func (f *Fleet) Settings() string {
 	return fmt.Sprintf(`{"azs":["a","b"],"balancers":1,
  "classes":[{"aimNs":1000000000,"deadlineNs":2000000000,"effect":"read_like","name":"find"},
@@ -56,8 +56,8 @@
 
 var freeAddrCount atomic.Uint32
 
-// FreeAddr finds a loopback address that nobody listens at, on an IP of its own, so that no other listener of this machine
-// comes to it meanwhile.
+// FreeAddr returns a free loopback address on an IP of its own, so that no other listener on this machine takes it in the
+// meantime.
 func FreeAddr() (string, error) {
 	n := freeAddrCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%128, n>>8&0xff, 1+n&0x7f))
@@ -68,7 +68,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Config writes a broker's configuration file and returns its path; known says whether it holds the list.
+// Config writes a broker's configuration file and returns its path; known says whether the file contains the endpoint list.
 func (f *Fleet) Config(name, listen, discovery string, known bool) (string, error) {
 	c := map[string]any{"name": name, "listen": listen, "discovery": discovery, "seed": "1f",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
@@ -84,7 +84,7 @@
 	return path, os.WriteFile(path, b, 0o600)
 }
 
-// Close ends all stand-ins.
+// Close stops discovery and all nodes.
 func (f *Fleet) Close() {
 	f.Discovery.Down()
 	for _, n := range f.Nodes {
@@ -92,7 +92,7 @@
 	}
 }
 
-// SetMeanWork sets how long the nodes' parts take on average.
+// SetMeanWork sets the mean service time of the nodes' shard requests.
 func (f *Fleet) SetMeanWork(mean time.Duration) {
 	for _, n := range f.Nodes {
 		n.mu.Lock()
--- a/internal/lab/herd.go
+++ b/internal/lab/herd.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the emulation of a discovery that comes back while many brokers wait for it, in virtual time.
+// This file simulates, in virtual time, discovery coming back while many brokers wait for it.
 
 import (
 	"container/heap"
@@ -14,19 +14,19 @@
 	"flaxfront/internal/decision/polling"
 )
 
-// recoveryRun is one return of discovery under one way of asking.
+// recoveryRun is one return of discovery with one poll strategy.
 type recoveryRun struct {
 	brokers        int
-	callsPerSecond float64 // a second that discovery can answer
+	callsPerSecond float64 // calls per second that discovery can answer
 	downFor        time.Duration
-	callTimeout    time.Duration // a call that waited longer fails
+	callTimeout    time.Duration // a call that would wait longer fails
 
 	queue         eventHeap
 	seq           int
 	now           time.Duration
-	busyUntil     time.Duration // when discovery has worked through what it took
+	busyUntil     time.Duration // when discovery has finished the calls that it accepted
 	recoveryTimes []time.Duration
-	callTimes     []time.Duration // when calls came
+	callTimes     []time.Duration // when calls arrived
 }
 
 func (h *recoveryRun) at(when time.Duration, do func()) {
@@ -34,7 +34,7 @@
 	heap.Push(&h.queue, timedEvent{when, h.seq, do})
 }
 
-// call has discovery work on a call; late tells that it waited too long.
+// call queues a call at discovery; late reports that it timed out.
 func (h *recoveryRun) call(answer func(late bool)) {
 	h.callTimes = append(h.callTimes, h.now)
 	begin := max(h.now, h.busyUntil)
@@ -46,20 +46,20 @@
 	h.at(h.busyUntil, func() { answer(false) })
 }
 
-// Pacings are the ways of asking that are compared.
+// pollStrategies are the compared strategies.
 var pollStrategies = []struct {
 	name string
 	next func(h *recoveryRun, i int, rnd *rand.Rand)
 }{
-	{"back-off 0.5 to 4 s", func(h *recoveryRun, i int, rnd *rand.Rand) { h.backoff(500*time.Millisecond, 4*time.Second, rnd) }},
-	{"a call each 0.2 s", func(h *recoveryRun, i int, rnd *rand.Rand) {
+	{"backoff 0.5 to 4 s", func(h *recoveryRun, i int, rnd *rand.Rand) { h.backoff(500*time.Millisecond, 4*time.Second, rnd) }},
+	{"a poll each 0.2 s", func(h *recoveryRun, i int, rnd *rand.Rand) {
 		h.backoff(200*time.Millisecond, 200*time.Millisecond, rnd)
 	}},
-	{"knock, then call at once", func(h *recoveryRun, i int, rnd *rand.Rand) { h.connect(0, uint64(i)) }},
-	{"knock, then call spread", func(h *recoveryRun, i int, rnd *rand.Rand) { h.connect(2*time.Millisecond, uint64(i)) }},
+	{"connect, then poll at once", func(h *recoveryRun, i int, rnd *rand.Rand) { h.connect(0, uint64(i)) }},
+	{"connect, then poll spread", func(h *recoveryRun, i int, rnd *rand.Rand) { h.connect(2*time.Millisecond, uint64(i)) }},
 }
 
-// backoff is a broker that makes a call each time.
+// backoff simulates a broker that makes a whole call at each try.
 func (h *recoveryRun) backoff(first, most time.Duration, rnd *rand.Rand) {
 	wait := first
 	var again func()
@@ -83,7 +83,7 @@
 	h.at(time.Duration(rnd.Float64()*float64(most)), again)
 }
 
-// connect is a broker with the pacer of package trust.
+// connect simulates a broker that uses polling.Backoff: it connects until discovery accepts, and then polls.
 func (h *recoveryRun) connect(perCall time.Duration, seed uint64) {
 	p := polling.NewBackoff(polling.BackoffSettings{ConnectInterval: 200 * time.Millisecond, PollCost: perCall, MaxPollDelay: 500 * time.Millisecond,
 		BrokerCount: h.brokers}, seed)
@@ -107,10 +107,10 @@
 	h.at(p.ConnectDelay(), connect)
 }
 
-// CompareRecovery prints, for each pacing and number of brokers, how soon all have the list and what discovery sees.
+// CompareRecovery prints, for each strategy and number of brokers, how soon all have the list and how many calls discovery gets.
 func CompareRecovery(out io.Writer, callsPerSecond float64, seeds int) {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "pacing\tbrokers\tmedian\tp99\tlast\tcalls in all\tmost in a second\t")
+	fmt.Fprintln(t, "strategy\tbrokers\tmedian\tp99\tlast\tcalls in total\tmost in a second\t")
 	for _, p := range pollStrategies {
 		for _, n := range []int{1, 20, 300} {
 			var recoveryTimes []time.Duration
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The same seed gives the same course; in sixty starts onto lists of which half is wrong, every second one onto cold boxes,
-// no rule is broken and few parts are wasted.
+// The same seed gives the same run. In sixty starts with a list of which half the entries are wrong, every second one with cold
+// nodes, no rule is broken and few shard requests go to wrong nodes.
 func TestStarts(t *testing.T) {
 	parts, wrong := 0, 0
 	for seed := range uint64(60) {
@@ -24,12 +24,12 @@
 		}
 	}
 	if wrong*8 > parts {
-		t.Errorf("%d of %d parts went to wrong nodes", wrong, parts)
+		t.Errorf("%d of %d shard requests went to wrong nodes", wrong, parts)
 	}
 }
 
-// What the audits are for is found: a box that is offered too much while cold falls over, and an effect that came twice, or
-// was shed and came, is named.
+// The audits find violations: a cold node that is offered too much crashes, and an effect that ran twice, or ran although the
+// query was shed, is reported.
 func TestAuditsFind(t *testing.T) {
 	box := NewNodeModel("b", 0, 2, 10*time.Millisecond, WarmUpParams{InitialCapacity: 0.3, RampTime: 10 * time.Second, OverloadMultiple: 2, For: time.Second}, 1)
 	box.LastStart = 0
@@ -37,7 +37,7 @@
 		box.Offer(time.Duration(i) * time.Millisecond)
 	}
 	if !box.Crashed {
-		t.Error("a cold box took anything")
+		t.Error("a cold node never crashed, whatever it was offered")
 	}
 	node := &Node{runs: map[string]int{"s.1": 2, "r.1": 1}}
 	a := Audit{Fleet: []*Fleet{{Nodes: []*Node{node}}}}
@@ -46,6 +46,6 @@
 	a.RecordResult("ok", "sign", []int{2}, 503)
 	broken, n := a.Check()
 	if text := fmt.Sprint(broken); n != 3 || len(broken) != 2 || !strings.Contains(text, "s.1 ran 2 times") || !strings.Contains(text, "r was shed") {
-		t.Errorf("%d searches: %v", n, broken)
+		t.Errorf("%d queries: %v", n, broken)
 	}
 }
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the store nodes on loopback sockets, which speak the frames of the broker's protocol.
+// This file runs store nodes on loopback sockets that speak the brokers' frame protocol.
 
 import (
 	"bufio"
@@ -17,32 +17,32 @@
 	"time"
 )
 
-// Value is what a node makes for a part: whoever knows the part can tell whether a value is honest.
+// Value returns a node's value for a shard request. It depends on id and shard only, so that clients can verify it.
 func Value(part string, shard int) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %d", part, shard)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Node is a store node on a socket round a box.
+// Node is a store node on a socket, around a NodeModel.
 type Node struct {
-	Cells         int // shards modulo cells are what it holds
+	Cells         int // the node holds the shards that are equal to its cell modulo Cells
 	ShardRequests atomic.Int64
-	Misdirected   atomic.Int64                                     // parts that it does not hold, or got while it was not serving
-	LastRequestAt atomic.Int64                                     // when the last part came, in Unix nanoseconds
-	MakeValue     func(part string, shard int, text string) string // what it makes of a part; nil: Value
+	Misdirected   atomic.Int64                                     // shard requests for shards that it does not hold, or received while not serving
+	LastRequestAt atomic.Int64                                     // arrival of the last shard request, in Unix nanoseconds
+	MakeValue     func(part string, shard int, text string) string // value for a shard request; nil: Value
 	mu            sync.Mutex
 	model         *NodeModel
 	epoch         time.Time
 	ln            net.Listener
 	conns         map[net.Conn]bool
-	peakConns     int      // of connections open at once
-	replica       *Replica // nil: it is none
+	peakConns     int      // most connections open at once
+	replica       *Replica // nil if the node is no replica
 	runs          map[string]int
 	closed        bool
 }
 
-// StartNode listens at an address ("127.0.0.1:0" for any).
+// StartNode starts a node that listens at an address ("127.0.0.1:0" for any port).
 func StartNode(addr string, model *NodeModel, cells int, epoch time.Time) (*Node, error) {
 	n := &Node{Cells: cells, model: model, epoch: epoch, conns: map[net.Conn]bool{}, runs: map[string]int{}}
 	return n, n.listen(addr)
@@ -78,10 +78,10 @@
 	return nil
 }
 
-// Addr is where it listens, or did.
+// Addr returns the current or last listen address.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
-// SetMode changes what the node does; Dead closes its sockets, and any other mode opens them again.
+// SetMode changes the node's mode; Dead closes its sockets, and any other mode opens them again.
 func (n *Node) SetMode(m Mode) error {
 	n.mu.Lock()
 	was := n.model.Mode
@@ -102,21 +102,21 @@
 	return nil
 }
 
-// MarkRestarted has the node be a process that has just started: cold.
+// MarkRestarted makes the node behave like a process that has just started: cold.
 func (n *Node) MarkRestarted() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.model.LastStart = time.Since(n.epoch)
 }
 
-// HasCrashed tells whether the node was pushed over while it was cold.
+// HasCrashed reports whether overload crashed the node while it was cold.
 func (n *Node) HasCrashed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.model.Crashed
 }
 
-// RunCount tells how often a part ran here.
+// RunCount returns how often a shard request ran on this node.
 func (n *Node) RunCount(part string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -162,7 +162,7 @@
 	}
 }
 
-// handleShardRequest lets the box work on a part and answers when it is done.
+// handleShardRequest runs a shard request on the model and sends the answer when it is due.
 func (n *Node) handleShardRequest(conn net.Conn, out *sync.Mutex, id string, shard int, text string) {
 	n.mu.Lock()
 	now := time.Since(n.epoch)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the clients: an open loop of searches on a schedule drawn ahead, each timed from when it was due, and
-// each answer checked against the rules.
+// This file simulates clients: an open loop of queries on a schedule drawn in advance. Each latency counts from the time when the
+// query was due, and each answer is checked against the rules.
 
 import (
 	"bytes"
@@ -19,41 +19,41 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Load is a course of searches.
+// Load describes an open-loop load of queries.
 type Load struct {
 	URL             string                                              // of the broker, without a path
-	PickBroker      func() (url string, crashed func() bool)            // instead: one for each search, and whether a fault hit it since
-	QueryType       string                                              // of search
-	QueryTypes      []string                                            // instead: one of these at random
-	RecordResult    func(search, class string, parts []int, status int) // told of each search's end, under a lock; nil: nobody
+	PickBroker      func() (url string, crashed func() bool)            // if set, picks a broker for each query instead of URL; crashed reports whether a fault hit it since
+	QueryType       string                                              // query type of all queries
+	QueryTypes      []string                                            // if set, one of these at random instead
+	RecordResult    func(search, class string, parts []int, status int) // called at the end of each query, under a lock; nil: none
 	Tenant          string
 	Shards          int
-	MaxShards       int // parts of a search at most
+	MaxShards       int // most shards of a query
 	Rate            float64
 	RunTime         time.Duration
-	Stop            <-chan struct{} // ends it earlier; nil: nothing does
+	Stop            <-chan struct{} // ends the load early; nil: nothing does
 	Timeout         time.Duration
 	Objective       time.Duration
 	MinCompleteness float64
 	Seed            uint64
-	ReportEvery     time.Duration // between two lines of a report; 0: none
+	ReportEvery     time.Duration // interval of report lines; 0: none
 	ReportTo        io.Writer
 }
 
-// LoadResult is what became of a load.
+// LoadResult counts the outcomes of a load.
 type LoadResult struct {
 	mu                                                           sync.Mutex
 	Asked, Answered, Partial, InTarget                           int
 	Shed, Failed, Unanswered                                     int
-	LostInCrash                                                  int           // had no answer from a broker that was made to crash
-	FirstAnswer                                                  time.Duration // of the first answer, from the load's start
+	LostInCrash                                                  int           // got no answer from a broker that was made to crash
+	FirstAnswer                                                  time.Duration // time of the first answer, from the start of the load
 	Violations                                                   []string
-	Latency                                                      *hdrhistogram.Histogram // microseconds, from when a search was due
+	Latency                                                      *hdrhistogram.Histogram // microseconds, from when a query was due
 	interval                                                     *hdrhistogram.Histogram
 	intervalAsked, intervalAnswered, intervalShed, intervalOther int
 }
 
-// Run plays the load; every search has come to its end when it returns.
+// Run runs the load and returns after every query has ended.
 func (l Load) Run() *LoadResult {
 	o := &LoadResult{Latency: hdrhistogram.New(1, 60_000_000, 3), interval: hdrhistogram.New(1, 60_000_000, 3)}
 	rnd := rand.New(rand.NewPCG(l.Seed, 0x6c6f6164))
@@ -111,7 +111,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.Asked, o.intervalAsked = o.Asked+1, o.intervalAsked+1
-	if l.RecordResult != nil && !crashed() { // across a crash the client may have sent it once more
+	if l.RecordResult != nil && !crashed() { // after a crash the client may have sent the query again
 		l.RecordResult(search, class, shards, status)
 	}
 	switch {
@@ -119,7 +119,7 @@
 		o.LostInCrash++
 	case err != nil:
 		o.Unanswered, o.intervalOther = o.Unanswered+1, o.intervalOther+1
-		o.Violations = append(o.Violations, fmt.Sprintf("rule 1: search %s has no answer: %v", search, err))
+		o.Violations = append(o.Violations, fmt.Sprintf("rule 1: query %s has no answer: %v", search, err))
 	case status == 429 || status == 503:
 		o.Shed, o.intervalShed = o.Shed+1, o.intervalShed+1
 	case status != 200:
@@ -135,12 +135,13 @@
 			o.InTarget++
 		}
 		if why := l.checkAnswer(text, search, shards, o); why != "" {
-			o.Violations = append(o.Violations, fmt.Sprintf("rule 5: search %s: %s", search, why))
+			o.Violations = append(o.Violations, fmt.Sprintf("rule 5: query %s: %s", search, why))
 		}
 	}
 }
 
-// send puts a search to a broker. One that refuses the connection has taken nothing, and another is asked, as balancers do.
+// send sends a query to a broker. A broker that refuses the connection has accepted nothing, so another one is tried, as load
+// balancers do.
 func (l Load) send(client *http.Client, search, class string, body []byte) (resp *http.Response, crashed func() bool, err error) {
 	for try := 0; ; try++ {
 		url := l.URL
@@ -150,7 +151,7 @@
 		req, _ := http.NewRequest("POST", url+"/"+class, bytes.NewReader(body))
 		req.Header.Set("X-Request-ID", search)
 		req.Header.Set("X-Timeout-Ms", strconv.FormatInt(l.Timeout.Milliseconds(), 10))
-		req.Header["Idempotency-Key"] = nil // a close that crosses it has it sent once more, as the protocol says
+		req.Header["Idempotency-Key"] = nil // lets the HTTP client resend a query whose connection was closed meanwhile, as the protocol allows
 		if l.Tenant != "" {
 			req.Header.Set("X-Tenant-Id", l.Tenant)
 		}
@@ -162,7 +163,7 @@
 	}
 }
 
-// checkAnswer checks an answer against what nodes make for its parts. The caller holds the lock.
+// checkAnswer checks an answer against the values that nodes return and returns what is wrong, or "". The caller holds the lock.
 func (l Load) checkAnswer(text []byte, search string, shards []int, o *LoadResult) string {
 	var a struct {
 		Full   bool `json:"full"`
@@ -177,7 +178,7 @@
 	in := map[int]bool{}
 	for _, p := range a.Pieces {
 		if in[p.Tablet] || p.Cell != Value(fmt.Sprintf("%s.%d", search, p.Tablet), p.Tablet) {
-			return fmt.Sprintf("shard %d has %q", p.Tablet, p.Cell)
+			return fmt.Sprintf("shard %d has the wrong value %q", p.Tablet, p.Cell)
 		}
 		in[p.Tablet] = true
 	}
@@ -186,12 +187,12 @@
 		o.Partial++
 	}
 	if a.Full && share < 1 || share < l.MinCompleteness-1e-4 {
-		return fmt.Sprintf("%.2f of it, full %v", share, a.Full)
+		return fmt.Sprintf("%.2f of its shards, full %v", share, a.Full)
 	}
 	return ""
 }
 
-// reportPeriodically writes a line now and then.
+// reportPeriodically writes a line with the counts of each interval.
 func (l Load) reportPeriodically(o *LoadResult, begun time.Time, end <-chan struct{}) {
 	t := time.NewTicker(l.ReportEvery)
 	defer t.Stop()
@@ -211,7 +212,7 @@
 	}
 }
 
-// String is the outcome in two lines.
+// String returns the result in two lines.
 func (o *LoadResult) String() string {
 	q := func(p float64) float64 { return float64(o.Latency.ValueAtQuantile(p)) / 1000 }
 	return fmt.Sprintf("asked %d: answered %d (in target %d, partial %d), shed %d, failed %d, without answer %d; rules broken %d\n"+
--- a/internal/lab/press.go
+++ b/internal/lab/press.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the load that finds a broker's own cost: clients that ask again as soon as they are answered, with as little
-// work of their own as there can be.
+// This file generates the load that measures a broker's own cost: clients that send the next query as soon as they are answered,
+// with as little work of their own as possible.
 
 import (
 	"bufio"
@@ -16,24 +16,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// CostLoad is a closed loop of so many connections, or an open one where there is a rate.
+// CostLoad is a closed loop over some connections, or an open loop if Rate is set.
 type CostLoad struct {
 	Addr           string
 	QueryType      string
 	ShardsPerQuery int
 	Cells          int
 	Connections    int
-	Rate           float64 // searches a second over all connections; 0: as many as are answered
+	Rate           float64 // queries per second over all connections; 0: closed loop
 	RunTime        time.Duration
 }
 
-// CostResult is what came of it.
+// CostResult counts the outcomes of a CostLoad.
 type CostResult struct {
 	Asked, Answered, Other int
-	Latency                *hdrhistogram.Histogram // microseconds; of an open loop from when a search was due
+	Latency                *hdrhistogram.Histogram // microseconds; in an open loop from when a query was due
 }
 
-// Run plays it.
+// Run runs the load over all connections and returns the sum of their results.
 func (p CostLoad) Run() (*CostResult, error) {
 	total := &CostResult{Latency: hdrhistogram.New(1, 10_000_000, 3)}
 	var mu sync.Mutex
@@ -89,7 +89,7 @@
 		}
 		status, err := readAnswer(in)
 		if err != nil {
-			return nil, fmt.Errorf("after %d searches: %w", n, err)
+			return nil, fmt.Errorf("after %d queries: %w", n, err)
 		}
 		out.Asked++
 		if status != 200 {
@@ -102,7 +102,7 @@
 	return out, nil
 }
 
-// readAnswer reads one response of a broker that keeps its connections.
+// readAnswer reads one response from a connection that stays open and returns its status.
 func readAnswer(in *bufio.Reader) (status int, err error) {
 	line, err := in.ReadSlice('\n')
 	if err != nil || len(line) < 12 {
--- a/internal/lab/queues.go
+++ b/internal/lab/queues.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the comparison of ways to share a store between tenants, in virtual time, under one course of load.
+// This file compares, in virtual time and under the same load, policies that share a store between tenants.
 
 import (
 	"container/heap"
@@ -16,17 +16,17 @@
 
 const (
 	queueCores         = 16
-	queueMeanWork      = 40 * time.Millisecond // 400 parts a second
-	fixedInFlightLimit = 128                   // parts in hand, where the limit is fixed
+	queueMeanWork      = 40 * time.Millisecond // 16 cores: 400 shard requests per second
+	fixedInFlightLimit = 128                   // shard requests in flight, for policies with a fixed limit
 )
 
 var queueWeights = []float64{0.5, 0.2, 0.1, 0.1, 0.1}
 
-// CompareQueuing prints what each way does under a flood of twenty times one tenant's share, from 5 s to 25 s.
+// CompareQueuing prints the result of each policy when one tenant sends twenty times its share, from 5 s to 25 s.
 func CompareQueuing(out io.Writer) {
 	self := func(t int) int { return t }
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "way\tquiet served\tp50\tp99\tflooder's parts a second\tstore used\tfair after\t")
+	fmt.Fprintln(t, "policy\tother tenants served\tp50\tp99\tflooding tenant's shard requests per second\tstore used\tfair after\t")
 	for _, way := range []struct {
 		name string
 		make func() queuingPolicy
@@ -36,7 +36,7 @@
 		{"deficit round robin", func() queuingPolicy { return newFixedLimit(5, self, deficitRoundRobin) }},
 		{"start-time fair queuing", func() queuingPolicy { return newFixedLimit(5, self, startTimeFair) }},
 		{"stochastic, 4 buckets", func() queuingPolicy { return newFixedLimit(4, func(t int) int { return t * 7 % 4 }, startTimeFair) }},
-		{"start-time and a found limit", func() queuingPolicy {
+		{"start-time and an adaptive limit", func() queuingPolicy {
 			return adaptiveLimit{admission.NewController(admission.Policy{Weights: queueWeights, MaxWaitShare: 0.25, MaxQueued: 64, MinWork: 8,
 				MaxRetryAfter: 2 * time.Second, RetryShare: 0.2, Seed: 7})}
 		}},
@@ -61,7 +61,7 @@
 	cores, hand := make([]time.Duration, queueCores), map[uint64]held{}
 	asked, served, worked := make([]int, 5), make([]int, 5), make([]float64, 5)
 	var took []time.Duration
-	late := time.Duration(0) // the last time a quiet search was not served in the flood's first seconds
+	late := time.Duration(0) // last time, from the start of the flood, at which a query of another tenant was not served
 	miss := func(h held) {
 		if h.Tenant > 0 && h.came > 5*time.Second && h.came < 25*time.Second {
 			late = max(late, h.came-5*time.Second)
@@ -103,7 +103,7 @@
 			look()
 		})
 	}
-	for tenant, rate := range []float64{2000, 30, 15, 15, 15} { // of two parts each; the first has room for 100
+	for tenant, rate := range []float64{2000, 30, 15, 15, 15} { // queries per second, of two shard requests each; the first tenant's share is 100
 		from := time.Duration(0)
 		if tenant == 0 {
 			from = 5 * time.Second
--- a/internal/lab/replica.go
+++ b/internal/lab/replica.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns nodes as replicas of one writer's log, on sockets. It must never report more than the replica had applied at the
-// moment at which it read.
+// This file simulates replicas of one writer's log, on sockets. A replica must never report more than it had applied when it
+// read.
 
 import (
 	"fmt"
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// Writer is a log to which something is written, and acknowledged, at every microsecond: its position is the time.
+// Writer is a log that gets an acknowledged write every microsecond: its position is the time.
 type Writer struct{ startedAt time.Time }
 
-// NewWriter begins a log. It is a minute old from the start, so that replicas may be behind.
+// NewWriter returns a log that is already a minute old, so that replicas can lag behind it.
 func NewWriter() *Writer { return &Writer{time.Now().Add(-time.Minute)} }
 
-// PositionAt is the position up to which all was acknowledged at a moment.
+// PositionAt returns the position up to which writes were acknowledged at a time.
 func (w *Writer) PositionAt(t time.Time) uint64 {
 	return uint64(max(0, t.Sub(w.startedAt).Microseconds()))
 }
 
-// Replica applies a writer's log, somewhat later.
+// Replica applies a writer's log with a lag.
 type Replica struct {
 	writer    *Writer
 	mu        sync.Mutex
 	lag       time.Duration
-	stalledAt time.Time // it has applied nothing since; zero: it applies
+	stalledAt time.Time // since when it has applied nothing; zero: it is not stalled
 }
 
-// MakeReplica has a node be a replica. What it makes of a part is the position that it had.
+// MakeReplica makes the node a replica. Its value for a shard request is its position.
 func (n *Node) MakeReplica(writer *Writer, lag time.Duration) *Replica {
 	r := &Replica{writer: writer, lag: lag}
 	n.mu.Lock()
@@ -38,21 +38,22 @@
 	return r
 }
 
-// SetLag sets how far behind the replica is; what it had applied beyond that is lost, as after a restart from an older state.
+// SetLag sets the replica's lag and ends a stall. Positions that it had applied beyond the lag are lost, as after a restart from
+// an older state.
 func (r *Replica) SetLag(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lag, r.stalledAt = lag, time.Time{}
 }
 
-// Stall has the replica apply nothing more until Behind.
+// Stall stops the replica from applying writes until SetLag.
 func (r *Replica) Stall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stalledAt = time.Now()
 }
 
-// read is what the replica has at this moment, with its report.
+// read returns the replica's position at this moment, with its load report.
 func (r *Replica) read() (report, value string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/sharing.go
+++ b/internal/lab/sharing.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the ways to share a store between tenants that are compared.
+// This file implements the compared policies that share a store between tenants.
 
 import (
 	"slices"
@@ -9,23 +9,24 @@
 	"flaxfront/internal/decision/admission"
 )
 
-// queuingPolicy is one way: it rules on arrivals, and tells who may enter when something ends.
+// queuingPolicy is one policy: it decides on arrivals, and on queued queries whenever something ends.
 type queuingPolicy interface {
 	arrive(s admission.Query, now time.Duration) admission.Decision
 	done(work float64, took time.Duration, now time.Duration)
 	next(now time.Duration) (enter, turned []uint64)
 }
 
-// fixedLimit is what the ways with a fixed limit share: queues by flow, of 64 searches that wait half a second at most.
+// fixedLimit implements the policies with a fixed limit: one queue per flow, of 64 queries that wait at most a quarter of their
+// time left.
 type fixedLimit struct {
 	flow       func(tenant int) int
 	queues     [][]waiter
 	inFlight   float64
-	choose     func(f *fixedLimit) int // which queue goes next; nil: nobody waits at all
+	choose     func(f *fixedLimit) int // which queue goes next; nil: queries are never queued
 	tags       []float64
 	credit     []float64
 	nextFlow   int
-	tokens     []float64 // tokens, where there are any
+	tokens     []float64 // per tenant; nil: no token buckets
 	refilledAt time.Duration
 }
 
@@ -82,7 +83,7 @@
 	return enter, turned
 }
 
-// deficitRoundRobin is deficit round robin (Shreedhar and Varghese, 1995).
+// deficitRoundRobin chooses by deficit round robin (Shreedhar and Varghese, 1995).
 func deficitRoundRobin(f *fixedLimit) int {
 	for range 4 * len(f.queues) {
 		if q := f.queues[f.nextFlow]; len(q) > 0 {
@@ -99,7 +100,7 @@
 	return -1
 }
 
-// startTimeFair is start-time fair queuing; tags of idle flows catch up with the least of those that wait.
+// startTimeFair chooses by start-time fair queuing; the tags of idle flows catch up with the smallest tag of the waiting ones.
 func startTimeFair(f *fixedLimit) int {
 	best := -1
 	for i := range f.queues {
@@ -119,7 +120,7 @@
 	return &fixedLimit{flow: flow, queues: make([][]waiter, flows), choose: choose, tags: make([]float64, flows), credit: make([]float64, flows)}
 }
 
-// adaptiveLimit is the one that serves.
+// adaptiveLimit is the policy that brokers use.
 type adaptiveLimit struct{ *admission.Controller }
 
 func (d adaptiveLimit) arrive(s admission.Query, now time.Duration) admission.Decision {
--- a/internal/lab/sites.go
+++ b/internal/lab/sites.go
@@ -1,13 +1,13 @@
 package lab
 
-// This file owns the audit over two sites: what ran where, held against what clients were told.
+// This file audits two sites: it compares which shard requests ran where with what clients were told.
 
 import (
 	"fmt"
 	"sync"
 )
 
-// Audit holds the verdicts of searches whose effect must not come twice against what nodes of all sites ran.
+// Audit compares the results of queries that must not take effect twice with what the nodes of all sites ran.
 type Audit struct {
 	mu       sync.Mutex
 	outcomes map[string]queryOutcome
@@ -20,7 +20,7 @@
 	shards    []int
 }
 
-// RecordResult is for Load.
+// RecordResult records the end of a query; it is made for Load.RecordResult.
 func (a *Audit) RecordResult(search, class string, parts []int, status int) {
 	if class != "sign" && class != "book" {
 		return
@@ -33,8 +33,8 @@
 	a.outcomes[search] = queryOutcome{class, status, parts}
 }
 
-// Check lists what breaks rule 2: a part of a search that must run once ran twice, or a search was shed of which a part ran.
-// It is made once everything has come to rest.
+// Check returns the violations of rule 2: a shard request that must run once ran twice, or a query was shed although one of its
+// shard requests ran. Call it when no query is in flight any more.
 func (a *Audit) Check() (broken []string, searches int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,7 +52,7 @@
 			}
 		}
 		if ran > 0 && (s.status == 429 || s.status == 503) {
-			broken = append(broken, fmt.Sprintf("rule 2: %s %s was shed, and %d of its parts ran", s.queryType, search, ran))
+			broken = append(broken, fmt.Sprintf("rule 2: %s %s was shed, and %d of its shard requests ran", s.queryType, search, ran))
 		}
 	}
 	return broken, len(a.outcomes)
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns a rehearsal on loopback sockets: the same script as in virtual time, as far as one machine can play it. It must
-// never pass over a trouble that it can't do.
+// This file runs a rehearsal on loopback sockets: the same script as in virtual time, as far as one machine can run it. It must
+// reject a fault that it cannot simulate, not skip it.
 
 import (
 	"encoding/json"
@@ -21,7 +21,7 @@
 	"flaxfront/internal/lab/script"
 )
 
-// Rehearsal is the nodes, the discovery and the clients of a script on sockets.
+// Rehearsal holds the nodes, the discovery and the clients of a script on sockets.
 type Rehearsal struct {
 	*Fleet
 	s         *script.Script
@@ -31,18 +31,18 @@
 	models    []*NodeModel
 }
 
-// NewRehearsal starts nodes and discovery. Brokers' configurations come by Write.
+// NewRehearsal starts nodes and discovery. WriteBrokerConfig then configures the brokers.
 func NewRehearsal(dir string, s *script.Script) (*Rehearsal, error) {
 	for i, t := range s.Faults {
 		switch t.Kind {
 		case "die", "hang", "slow", "jump", "discovery_down":
 		default:
-			return nil, fmt.Errorf("troubles.%d: %s can't be played on sockets here: die, hang, slow, jump and discovery_down can", i, t.Kind)
+			return nil, fmt.Errorf("troubles.%d: fault %q cannot be simulated on sockets; supported are die, hang, slow, jump and discovery_down", i, t.Kind)
 		}
 	}
 	for i, y := range s.Types {
 		if y.Work != s.Types[0].Work {
-			return nil, fmt.Errorf("types.%d.work: %v: on sockets all types do the same work", i, y.Work)
+			return nil, fmt.Errorf("types.%d.work: %v: on sockets all types must have the same work", i, y.Work)
 		}
 	}
 	st := &Rehearsal{Fleet: &Fleet{Discovery: NewDiscovery(40), Cells: s.Fleet.Cells, Dir: dir}, s: s, schedule: s.Schedule(), startedAt: time.Now()}
@@ -66,7 +66,7 @@
 	return time.Duration(float64(st.s.Types[0].Work+st.s.Fleet.CallWork) * st.schedule.Slow(node, at))
 }
 
-// WriteBrokerConfig writes the configuration of a broker and tells where it is to listen.
+// WriteBrokerConfig writes the configuration file of a broker and returns its path and the address where the broker is to listen.
 func (st *Rehearsal) WriteBrokerConfig(name string) (path, listen string, err error) {
 	if listen, err = FreeAddr(); err != nil {
 		return "", "", err
@@ -85,7 +85,7 @@
 	return path, listen, os.WriteFile(path, b, 0o600)
 }
 
-// RehearsalResult is what clients saw.
+// RehearsalResult counts what clients observed.
 type RehearsalResult struct {
 	Asked, InTarget, Late, Shed, Failed, Tries int
 	Service                                    float64
@@ -93,7 +93,7 @@
 	Broken                                     []string
 }
 
-// Run plays the load and the troubles against brokers that listen.
+// Run runs the load and the faults against brokers that listen at the given addresses.
 func (st *Rehearsal) Run(brokers []string) *RehearsalResult {
 	out := &RehearsalResult{Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	st.startedAt = time.Now()
@@ -170,7 +170,7 @@
 	}
 }
 
-// submit is a client's search with its repeats: the share that came, 0 for failed, -1 for shed.
+// runQuery sends a client's query with its retries and returns the share that came back: 0 if it failed, -1 if it was shed.
 func (st *Rehearsal) runQuery(client *http.Client, at string, y *script.Type, first, n int, seed uint64, due time.Time) (share float64, tries int, took time.Duration, broken string) {
 	var body strings.Builder
 	body.WriteString(`{"tablets":[`)
@@ -195,7 +195,7 @@
 		}
 		resp, err := client.Do(req)
 		if err != nil {
-			return 0, tries, 0, fmt.Sprintf("rule 1: search %s has no answer: %v", id, err)
+			return 0, tries, 0, fmt.Sprintf("rule 1: query %s has no answer: %v", id, err)
 		}
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
@@ -208,16 +208,16 @@
 				} `json:"pieces"`
 			}
 			if err := json.Unmarshal(text, &doc); err != nil {
-				return 0, tries, 0, fmt.Sprintf("rule 5: search %s: %v", id, err)
+				return 0, tries, 0, fmt.Sprintf("rule 5: query %s: %v", id, err)
 			}
 			for _, p := range doc.Pieces {
 				if p.Cell != Value(fmt.Sprintf("%s.%d", id, p.Tablet), p.Tablet) {
-					broken = fmt.Sprintf("rule 5: search %s has %q for shard %d", id, p.Cell, p.Tablet)
+					broken = fmt.Sprintf("rule 5: query %s has the wrong value %q for shard %d", id, p.Cell, p.Tablet)
 				}
 			}
 			share := float64(len(doc.Pieces)) / float64(n)
 			if doc.Full != (len(doc.Pieces) == n) || share < y.RequiredShare-1e-4 {
-				broken = fmt.Sprintf("rule 5: search %s has %.2f of it, full %v", id, share, doc.Full)
+				broken = fmt.Sprintf("rule 5: query %s has %.2f of its shards, full %v", id, share, doc.Full)
 			}
 			return share, tries, time.Since(due), broken
 		}
--- a/internal/lab/stagetroubles.go
+++ b/internal/lab/stagetroubles.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns what goes wrong on a stage, and the lines of its node list.
+// This file applies a script's faults to nodes and discovery on sockets, and updates the endpoint list.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"flaxfront/internal/lab/script"
 )
 
-// applyFaults does to nodes and discovery what the script says, when it says so.
+// applyFaults applies each fault of the schedule at its time, until stop is closed.
 func (st *Rehearsal) applyFaults(stop <-chan struct{}) {
 	type step struct {
 		at time.Duration
@@ -58,7 +58,7 @@
 	}
 }
 
-// restartNode has a node be a new process, cold.
+// restartNode makes a node behave like a new, cold process.
 func (st *Rehearsal) restartNode(node int) {
 	n := st.Nodes[node]
 	n.mu.Lock()
@@ -70,7 +70,7 @@
 	st.List[node].StartedAt = time.Now().UnixMilli()
 }
 
-// setLifecycle changes a node's line of the list; what has ended is left out.
+// setLifecycle changes the lifecycle of a node's entry; terminated nodes are left out of the list.
 func (st *Rehearsal) setLifecycle(node int, state string) {
 	st.mu.Lock()
 	st.List[node].Lifecycle = state
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the experiment on starts without discovery: brokers begin together with a list of some age of which some
+// This file simulates broker starts without discovery: brokers start together with a cached list of some age, of which some
 // entries are wrong, under three policies.
 
 import (
@@ -14,7 +14,7 @@
 	"flaxfront/internal/decision/cachedlist"
 )
 
-// Policy is what brokers do with the list that they start with.
+// Policy is how brokers use the list that they start with.
 type Policy uint8
 
 const (
@@ -23,19 +23,19 @@
 	TrustByProbability
 )
 
-func (p Policy) String() string { return [...]string{"believe all", "believe nothing", "weigh"}[p] }
+func (p Policy) String() string { return [...]string{"trust all", "trust none", "weigh"}[p] }
 
 // Start describes one start.
 type Start struct {
 	Seed      uint64
 	Policy    Policy
 	ListAge   time.Duration
-	Wrong     float64 // share of the entries
-	ColdNodes bool    // every box has just started
+	Wrong     float64 // share of wrong entries
+	ColdNodes bool    // every node has just started
 	Nodes     int
 	Brokers   int
-	Rate      float64       // searches a second over all brokers
-	For       time.Duration // discovery comes back then
+	Rate      float64       // queries per second over all brokers
+	For       time.Duration // how long discovery stays down
 }
 
 var startSettings = decision.Settings{ClockStep: 5 * time.Millisecond, Cells: 4, CellsPerShard: 1, MaxBatch: 4, OverQuotaWeight: 1,
@@ -44,7 +44,7 @@
 	CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: time.Second, MaxAttempts: 4, MaxInFlight: 4096,
 	InitialCapacity: 0.3, WarmUpTime: 12 * time.Second, OverloadMultiple: 2, OverloadAfter: 2 * time.Second}
 
-// SimulateStart plays one start in virtual time; the world stands as at discovery's return.
+// SimulateStart simulates one start in virtual time and returns the simulation as it is when discovery comes back.
 func SimulateStart(s Start) *Simulation {
 	w := &Simulation{nodes: map[decision.NodeID]*NodeModel{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), settings: startSettings}
 	w.settings.BrokerCount = s.Brokers
@@ -61,7 +61,7 @@
 		w.nodes[nodeID(name)] = box
 		entries = append(entries, cachedlist.Entry{Name: name, Address: anyAddr, Cell: box.Cell, ConfirmedAt: now - cachedlist.Timestamp(s.ListAge.Milliseconds())})
 	}
-	for k, i := range wrongEntries { // gone, left behind, drained or changed hands, hanging
+	for k, i := range wrongEntries { // terminated, unreachable, drained or reassigned, unresponsive
 		w.nodes[nodeID(entries[i].Name)].Mode = []Mode{Dead, Unreachable, Draining, Hanging}[k%4]
 	}
 	var brokers []*Broker
@@ -93,7 +93,7 @@
 	return w
 }
 
-// wrongEntries draws which entries are wrong. Each cell keeps a right one, as no policy could serve what nobody holds.
+// wrongEntries draws which entries are wrong. Each cell keeps a right one: no policy could serve a shard that no node holds.
 func (w *Simulation) wrongEntries(nodes, n int) []int {
 	for {
 		drawn, right := w.rnd.Perm(nodes), map[int]bool{}
@@ -106,10 +106,11 @@
 	}
 }
 
-// CompareStarts prints the table: for each age, share of wrong entries and policy the mean of some seeds.
+// CompareStarts prints a table of the means over some seeds for each age, share of wrong entries and policy, and returns the
+// number of starts with a violation.
 func CompareStarts(out io.Writer, seeds, brokers int, rate float64) (broken int) {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "age\twrong\tpolicy\tfirst answer\tin target\tshed\tfailed\tparts on wrong\tstarts with a rule broken\t")
+	fmt.Fprintln(t, "age\twrong\tpolicy\tfirst answer\tin target\tshed\tfailed\tshard requests to wrong nodes\tstarts with violations\t")
 	for _, age := range []time.Duration{0, time.Hour, 24 * time.Hour, 7 * 24 * time.Hour} {
 		for _, wrong := range []float64{0, 0.1, 0.5} {
 			for _, p := range []Policy{TrustAll, TrustNone, TrustByProbability} {
--- a/internal/lab/wire.go
+++ b/internal/lab/wire.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the wire between two sites: a relay with delay, jitter and bandwidth, whose directions can be cut, for a
-// while or for good. It must never change what it carries.
+// This file simulates the link between two sites: a relay with delay, jitter and bandwidth whose directions can be cut, for a
+// while or for good. It must never change the bytes that it relays.
 
 import (
 	"io"
@@ -14,8 +14,8 @@
 // Relay relays connections to one address.
 type Relay struct {
 	Delay  time.Duration // one way
-	Jitter time.Duration // up to so much more
-	Rate   int           // bytes a second each way; 0: any
+	Jitter time.Duration // added to Delay, uniform between 0 and this
+	Rate   int           // bytes per second each way; 0: unlimited
 
 	target string
 	ln     net.Listener
@@ -26,7 +26,7 @@
 	conns  map[net.Conn]bool
 }
 
-// NewRelay listens on loopback and relays to an address, which may begin to listen later.
+// NewRelay returns a relay that listens on loopback and relays to an address, which may begin to listen later.
 func NewRelay(target string, delay, jitter time.Duration, seed uint64) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,11 +46,11 @@
 	return w, nil
 }
 
-// Addr is where it listens.
+// Addr returns the relay's listen address.
 func (w *Relay) Addr() string { return w.ln.Addr().String() }
 
-// Cut holds back what goes to the target, what comes back, or both; false lets it go on. As on a real link bytes are not
-// lost within a connection that survives.
+// Cut sets whether bytes to the target, and bytes back from it, are held back. As on a real link, bytes within a connection that
+// survives are not lost.
 func (w *Relay) Cut(there, back bool) {
 	w.mu.Lock()
 	w.cut = [2]bool{there, back}
@@ -59,14 +59,14 @@
 	w.mu.Unlock()
 }
 
-// SetDelay delays what comes from now on by so much, each way.
+// SetDelay sets the one-way delay of what arrives from now on.
 func (w *Relay) SetDelay(delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Delay = delay
 }
 
-// Reset ends all connections, as a process that dies does.
+// Reset resets all connections, as a process that dies does.
 func (w *Relay) Reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,14 +77,14 @@
 	clear(w.conns)
 }
 
-// Close ends the wire.
+// Close closes the listener and all connections.
 func (w *Relay) Close() {
 	w.ln.Close()
 	w.Cut(false, false)
 	w.Reset()
 }
 
-// awaitOpen waits while a direction is cut.
+// awaitOpen blocks while a direction is cut.
 func (w *Relay) awaitOpen(way int) {
 	for {
 		w.mu.Lock()
@@ -99,7 +99,7 @@
 
 func (w *Relay) serve(near net.Conn) {
 	w.awaitOpen(0)
-	w.awaitOpen(1) // a handshake needs both ways
+	w.awaitOpen(1) // a handshake needs both directions
 	far, err := net.DialTimeout("tcp", w.target, time.Second)
 	if err != nil {
 		near.Close()
@@ -123,7 +123,7 @@
 	data []byte
 }
 
-// forward moves bytes one way, in order, each as late as the wire is long.
+// forward copies bytes one way, in order, each after the delay of the relay.
 func (w *Relay) forward(from, to net.Conn, way int) {
 	line := make(chan chunk, 256)
 	go func() {
