--- a/internal/lab/archive/archive.go
+++ b/internal/lab/archive/archive.go
@@ -1,8 +1,8 @@
-// Package archive is a simulated catalogue: records by shard, what a store node would make of a part of a catalogue search, and a
-// broker over them for the tests of fronts, whose answers can be held back, cut short or spoilt. It owns no socket.
+// Package archive simulates a catalogue for tests of protocol front ends: records by shard, the values that store nodes return
+// for a catalogue query, and a broker over them whose answers can be held back, left incomplete or replaced. It opens no socket.
 //
-// Depends on config/terms, decision, protocols/catalogue, server. Concurrency: it starts no
-// goroutine; what several goroutines may use is behind a lock or an atomic value.
+// Depends on config/terms, decision, protocols/catalogue, server. Concurrency: it starts no goroutine; what several goroutines
+// may use is behind a lock or an atomic value.
 package archive
 
 import (
@@ -17,19 +17,19 @@
 	"flaxfront/internal/server"
 )
 
-// Broker answers searches out of its records.
+// Broker answers queries from its records.
 type Broker struct {
 	mu             sync.Mutex
 	RecordsByShard [][]string
-	Missing        int                 // this shard does not answer; -1: all do
-	Result         *server.QueryResult // instead of an answer
-	Gate           chan struct{}       // searches wait for it
-	Aborted        chan error          // told how a search that was held ended, if its client went
+	Missing        int                 // the shard that does not answer; -1: all do
+	Result         *server.QueryResult // if set, returned instead of an answer
+	Gate           chan struct{}       // if set, queries wait until it is closed
+	Aborted        chan error          // receives the error of each waiting query whose context ended
 	QueryCount     int
 	start          time.Time
 }
 
-// New makes one of three shards with ten records each, in the form that make gives them.
+// New returns a broker with three shards of ten records each, made by makeRecord.
 func New(makeRecord func(shard, record int) string) *Broker {
 	b := &Broker{Missing: -1, start: time.Now(), Aborted: make(chan error, 10)}
 	for s := range 3 {
@@ -41,38 +41,38 @@
 	return b
 }
 
-// TextRecord is a record of a line of text.
+// TextRecord returns a record of one line of text.
 func TextRecord(shard, record int) string { return fmt.Sprintf("record %d of shard %d", record, shard) }
 
-// DublinCoreRecord is a record of Dublin Core.
+// DublinCoreRecord returns a Dublin Core record.
 func DublinCoreRecord(shard, record int) string {
 	return fmt.Sprintf(`<dc xmlns="http://purl.org/dc/elements/1.1/"><title>%s</title></dc>`, TextRecord(shard, record))
 }
 
-// Settings are those of a deployment with one query type.
+// Settings returns the settings of a deployment with one query type.
 func (b *Broker) Settings() *terms.Terms {
 	return &terms.Terms{Types: []string{"find"}, Tenants: []string{"acme"}, Shards: len(b.RecordsByShard),
 		Module: decision.Settings{QueryTypes: []decision.QueryType{{Timeout: 2 * time.Second, LatencyObjective: time.Second}}}}
 }
 
-// Uptime is the time since it was made.
+// Uptime returns the time since the broker was made.
 func (b *Broker) Uptime() time.Duration { return time.Since(b.start) }
 
-// Update changes it between two searches.
+// Update changes the broker under its lock.
 func (b *Broker) Update(do func(*Broker)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	do(b)
 }
 
-// Queries tells how many searches there were.
+// Queries returns the number of queries so far.
 func (b *Broker) Queries() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.QueryCount
 }
 
-// RunQuery answers as a broker would.
+// RunQuery answers a query from the records.
 func (b *Broker) RunQuery(ctx context.Context, a *server.Query) (server.QueryResult, error) {
 	b.mu.Lock()
 	hold, verdict := b.Gate, b.Result
@@ -100,7 +100,7 @@
 	return v, nil
 }
 
-// Value is what a node makes of its part of a catalogue search; false: the statement is of none.
+// Value returns the value of a node for a catalogue query; false if the statement is not one.
 func Value(records []string, statement string) (string, bool) {
 	w, err := catalogue.ParseStatement(statement)
 	if err != nil {
--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// echo answers each line at a listener of its own.
+// echo starts a listener that echoes each line, and returns its address.
 func echo(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 	return ln.Addr().String()
 }
 
-// said tells whether a line sent over a connection comes back; silence is what a cut gives, and it is waited for briefly.
+// said reports whether a line sent over a connection comes back in time; over a cut link it does not.
 func said(c net.Conn, text string, within time.Duration) bool {
 	c.SetDeadline(time.Now().Add(within))
 	fmt.Fprintln(c, text)
@@ -41,7 +41,7 @@
 	return err == nil && got == text+"\n"
 }
 
-// A cut one way stops what travels that way on the connections of both sides, and nothing between others.
+// A cut in one direction stops what travels that way on connections opened from either side, and nothing between other brokers.
 func TestCutOneWay(t *testing.T) {
 	m, err := NewMesh([]string{echo(t), echo(t), echo(t)}, 1)
 	if err != nil {
@@ -59,28 +59,29 @@
 	c01, c10, c02 := dial(0, 1), dial(1, 0), dial(0, 2)
 	for _, c := range []net.Conn{c01, c10, c02} {
 		if !said(c, "before", 5*time.Second) {
-			t.Fatal("nothing came back before the cut")
+			t.Fatal("no echo before the cut")
 		}
 	}
 	m.Cut(0, 1)
 	if said(c01, "a", 100*time.Millisecond) || said(c10, "b", 100*time.Millisecond) {
-		t.Error("something came through the cut")
+		t.Error("a line passed the cut")
 	}
 	if !said(c02, "c", 5*time.Second) {
-		t.Error("the cut took another link with it")
+		t.Error("the cut also stopped another link")
 	}
 	m.Heal(false)
 	c01.SetDeadline(time.Now().Add(5 * time.Second))
 	if got, err := bufio.NewReader(c01).ReadString('\n'); err != nil || got != "a\n" {
-		t.Errorf("what was held did not come after healing: %q, %v", got, err)
+		t.Errorf("the line held by the cut did not arrive after healing: %q, %v", got, err)
 	}
 	m.Partition([]int{0, 1}, []int{2})
 	if said(c02, "d", 100*time.Millisecond) {
-		t.Error("something came through the partition")
+		t.Error("a line passed the partition")
 	}
 }
 
-// Lives are told with their ends: asked for, killed, or by itself; a process that is stopped still counts as running.
+// Each run of a process is recorded with how it ended: on request, killed, or by itself. A paused process still counts as
+// running.
 func TestLives(t *testing.T) {
 	ended := make(chan ProcessRun, 4)
 	p := NewProcess("p", filepath.Join(t.TempDir(), "log"), "/bin/sleep", []string{"60"}, nil, func(l ProcessRun) { ended <- l })
@@ -89,25 +90,25 @@
 			t.Fatal(err)
 		}
 		if p.Start() == nil {
-			t.Error("started twice")
+			t.Error("a second start of a running process succeeded")
 		}
 		if !p.Pause() || !p.Running() || !p.Resume() {
-			t.Error("a life that was stopped and continued has ended")
+			t.Error("pausing and resuming ended the process")
 		}
 		end()
 		if !p.WaitForEnd(5 * time.Second) {
-			t.Fatal("it does not end")
+			t.Fatal("the process did not end within 5 s")
 		}
 		<-ended
 	}
 	lives := p.Runs()
 	if len(lives) != 2 || !lives[0].StopRequestedAt.IsZero() || lives[1].StopRequestedAt.IsZero() || p.Kill() {
-		t.Errorf("%+v", lives)
+		t.Errorf("wrong record of the runs: %+v", lives)
 	}
 }
 
-// The outside audit finds a step beyond the limit, lets pass one beside a crash that nobody can have heard of, and one that came
-// after the last look that found the other out.
+// The monitor reports a planned stop beyond the limit. It does not report one beside a crash that brokers cannot know of yet, nor
+// one that came after the last poll which still found the other broker out.
 func TestWatchFinds(t *testing.T) {
 	w := &Monitor{current: map[string]*Absence{}, serves: map[string]bool{}, servedBefore: map[string]bool{}, killedAt: map[string]time.Time{}}
 	at := time.Now()
@@ -116,7 +117,7 @@
 		w.record(b, at.Add(-time.Millisecond), at, up)
 	}
 	for _, b := range []string{"b0", "b1", "b2", "b3"} {
-		look(b, false) // not begun: no step
+		look(b, false) // never served before: no planned stop
 		look(b, true)
 	}
 	w.killedAt["b0"] = at
@@ -124,19 +125,19 @@
 	look("b1", false)
 	look("b0", false)
 	if broken := w.Check(1, time.Minute); len(w.PlannedStops()) != 1 || len(broken) != 0 {
-		t.Errorf("%v; a crash just made counts", broken)
+		t.Errorf("%v; a crash that brokers cannot know of yet was counted", broken)
 	}
 	if broken := w.Check(1, 0); len(broken) != 1 {
-		t.Errorf("%v; a crash that was known does not count", broken)
+		t.Errorf("%v; a crash that brokers knew of was not counted", broken)
 	}
 	look("b0", true)
-	look("b2", false) // b1 was not looked at since, and may be back
+	look("b2", false) // b1 was not polled since, and may be back
 	if broken := w.Check(1, time.Minute); len(broken) != 0 {
-		t.Errorf("%v; what was not seen counts", broken)
+		t.Errorf("%v; a broker not polled since was counted as out", broken)
 	}
 	look("b3", false)
 	look("b2", false)
 	if broken := w.Check(1, time.Minute); len(broken) != 1 || w.MaxOut() != 2 {
-		t.Errorf("%v; two at once, limit one", broken)
+		t.Errorf("%v; want one violation, as two were out at once with a limit of one", broken)
 	}
 }
--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -1,7 +1,7 @@
 package chaos
 
-// This file owns the clients of a tier: searches over the brokers that serve, as a balancer spreads them, with an audit of every
-// answer. It must never excuse a missing answer but from a broker that a fault hit while the search was there.
+// This file simulates the clients of a tier: they send queries to the brokers that serve, as a load balancer does, and audit
+// every answer. A missing answer must not be excused, unless a fault hit the broker while the query was there.
 
 import (
 	"math/rand/v2"
@@ -12,10 +12,10 @@
 	"flaxfront/internal/lab"
 )
 
-// Clients put searches to a tier until they are told to end.
+// Clients send queries to a tier until Stop.
 type Clients struct {
 	Audit           lab.Audit
-	QueriesByBroker map[string]int // by broker
+	QueriesByBroker map[string]int
 
 	mu     sync.Mutex
 	result *lab.LoadResult
@@ -23,10 +23,10 @@
 	over   chan struct{}
 }
 
-// queryTypes are the searches that must be answered whole.
+// queryTypes are the query types that need a complete answer.
 var queryTypes = []string{"find", "sign", "book"}
 
-// Clients begins a load of so many searches a second over some brokers; none: over all.
+// Clients starts a load of rate queries per second over the given brokers; none: over all of the tier.
 func (t *Tier) Clients(rate float64, seed uint64, over ...*Broker) *Clients {
 	c := &Clients{Audit: lab.Audit{Fleet: []*lab.Fleet{t.Fleet}}, QueriesByBroker: map[string]int{}, stop: make(chan struct{}), over: make(chan struct{})}
 	if len(over) == 0 {
@@ -60,11 +60,11 @@
 	return c
 }
 
-// Stop ends them and tells what came of all searches, with the rules that were broken.
+// Stop ends the load and returns its result with all violations of the rules.
 func (c *Clients) Stop() *lab.LoadResult {
 	close(c.stop)
 	<-c.over
-	time.Sleep(50 * time.Millisecond) // what a node has in hand comes to rest
+	time.Sleep(50 * time.Millisecond) // lets requests in flight at the nodes finish
 	broken, _ := c.Audit.Check()
 	c.result.Violations = slices.Concat(c.result.Violations, broken)
 	return c.result
--- a/internal/lab/chaos/mesh.go
+++ b/internal/lab/chaos/mesh.go
@@ -1,9 +1,9 @@
-// Package chaos puts faults between real processes of the program: a relay on loopback for each way from one broker to
-// another, and processes that are killed, stopped, continued and supervised. It owns the faults and the times at which they
-// were put in. It must never look into what it carries, take a broker's word for anything, or touch a process that it did not start.
+// Package chaos injects faults between real broker processes: it runs a loopback relay for each direction between two brokers,
+// and kills, pauses, resumes and supervises the processes. It records when each fault was injected. It must never look into the
+// relayed bytes, rely on what a broker says of itself, or touch a process that it did not start.
 //
-// Depends on cluster/controlplane, lab, transport/keys. Concurrency: goroutines of its own, which the caller's
-// context ends; what they share with callers is behind a lock or an atomic value.
+// Depends on cluster/controlplane, lab, transport/keys. Concurrency: it starts goroutines that end with the caller's context;
+// what they share with callers is behind a lock or an atomic value.
 package chaos
 
 import (
@@ -14,15 +14,15 @@
 	"flaxfront/internal/lab"
 )
 
-// Mesh is the relays between some brokers: one for each ordered pair, so that every link can fail alone and in one direction.
+// Mesh holds the relays between brokers: one for each ordered pair, so that each link can fail alone and in one direction.
 type Mesh struct {
 	mu     sync.Mutex
 	n      int
 	relays map[[2]int]*lab.Relay
-	cut    map[[2]int]bool // from a broker to another: nothing goes that way
+	cut    map[[2]int]bool // by sender and receiver: nothing passes from one to the other
 }
 
-// NewMesh makes the relays to the given listeners, which may begin to listen later.
+// NewMesh starts the relays to the given listeners, which may begin to listen later.
 func NewMesh(listeners []string, seed uint64) (*Mesh, error) {
 	m := &Mesh{n: len(listeners), relays: map[[2]int]*lab.Relay{}, cut: map[[2]int]bool{}}
 	for from := range listeners {
@@ -41,11 +41,11 @@
 	return m, nil
 }
 
-// Addr is where one broker dials another.
+// Addr returns the address at which one broker dials another.
 func (m *Mesh) Addr(from, to int) string { return m.relays[[2]int{from, to}].Addr() }
 
-// Cut has nothing go from one broker to another, over whichever connection; what was on its way is held, as a link holds what is
-// sent again and again.
+// Cut stops all bytes from one broker to another, on connections opened by either. Bytes under way are held back, not lost, as on
+// a link whose sender retransmits.
 func (m *Mesh) Cut(from, to int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,14 +53,15 @@
 	m.apply(from, to)
 }
 
-// apply sets both relays between two brokers: what goes from a to b travels on connections that a opened and on those that b did.
+// apply updates both relays between two brokers: bytes from a to b travel on connections that a opened and on those that b
+// opened.
 func (m *Mesh) apply(a, b int) {
 	for _, p := range [][2]int{{a, b}, {b, a}} {
 		m.relays[p].Cut(m.cut[p], m.cut[[2]int{p[1], p[0]}])
 	}
 }
 
-// Partition cuts brokers of different groups off from one another, both ways. A broker in no group hears nobody.
+// Partition cuts brokers of different groups off from one another, in both directions. A broker in no group is cut off from all.
 func (m *Mesh) Partition(groups ...[]int) {
 	side := map[int]int{}
 	for g, members := range groups {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Isolate has a broker hear nobody and nobody hear it; deaf alone: it speaks and hears nothing.
+// Isolate cuts a broker off from all others, in both directions or, with deafOnly, only from what they send to it.
 func (m *Mesh) Isolate(b int, deafOnly bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// Heal lets everything through again; reset ends the connections that stood meanwhile, as a router that forgot them does.
+// Heal removes all cuts. With reset it also resets the connections, as a router that has lost its state does.
 func (m *Mesh) Heal(reset bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -105,13 +106,13 @@
 	}
 }
 
-// Reset ends all connections between two brokers, as a crash of a middlebox does.
+// Reset resets all connections between two brokers, as a crash of a middlebox does.
 func (m *Mesh) Reset(a, b int) {
 	m.relays[[2]int{a, b}].Reset()
 	m.relays[[2]int{b, a}].Reset()
 }
 
-// SetDelay delays all that travels between a broker and the others, each way. It holds for what is sent from then on.
+// SetDelay sets the one-way delay between a broker and all others. It applies to bytes sent from then on.
 func (m *Mesh) SetDelay(b int, delay time.Duration) {
 	for p, w := range m.relays {
 		if p[0] == b || p[1] == b {
@@ -120,7 +121,7 @@
 	}
 }
 
-// Close ends the relays.
+// Close closes all relays.
 func (m *Mesh) Close() {
 	for _, w := range m.relays {
 		w.Close()
--- a/internal/lab/chaos/operate.go
+++ b/internal/lab/chaos/operate.go
@@ -1,6 +1,7 @@
 package chaos
 
-// This file owns an operator's side: the commands of the program, requests put through a chosen broker, and brokers' logs.
+// This file acts as an operator: it runs commands of the program, sends requests to voters, reads brokers' logs and edits their
+// settings.
 
 import (
 	"context"
@@ -14,7 +15,7 @@
 	"flaxfront/internal/cluster/controlplane"
 )
 
-// Command runs `flaxfront fleet ...` as an operator and returns what it prints.
+// Command runs `flaxfront fleet ...` as an operator and returns its output.
 func (t *Tier) Command(args ...string) (string, error) {
 	cmd := exec.Command(t.options.Program, append([]string{"fleet", "--operator", t.CommandFile}, args...)...)
 	out, err := cmd.CombinedOutput()
@@ -24,7 +25,7 @@
 	return string(out), err
 }
 
-// SendToVoters puts a request to the voters in turn, first to one of them.
+// SendToVoters sends a request to the voters in turn, beginning with the given one.
 func (t *Tier) SendToVoters(ctx context.Context, first int, verb string, r *controlplane.Request, into any) error {
 	var voters []controlplane.Voter
 	for i := range t.options.Voters {
@@ -34,7 +35,7 @@
 	return controlplane.SendRequest(ctx, t.operatorKeys, voters, verb, r, into)
 }
 
-// Status is what a majority knows, or an error after so long.
+// Status returns the status that a majority of the voters has agreed on, or an error after within.
 func (t *Tier) Status(within time.Duration) (s controlplane.Status, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -42,7 +43,7 @@
 	return s, err
 }
 
-// BrokerNamed finds a broker by its name.
+// BrokerNamed returns the broker of a name, or nil.
 func (t *Tier) BrokerNamed(name string) *Broker {
 	for _, b := range t.Brokers {
 		if b.Name == name {
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// LogLines lists the lines of a broker's log, from a place on, that hold a text.
+// LogLines returns the lines of a broker's log that contain text, from a byte offset on.
 func (b *Broker) LogLines(from int, text string) (lines []string) {
 	all, _ := os.ReadFile(b.Log)
 	for line := range strings.Lines(string(all[min(from, len(all)):])) {
@@ -63,7 +64,7 @@
 	return lines
 }
 
-// LogSize is the place at which a broker's log ends by now.
+// LogSize returns the size of a broker's log in bytes.
 func (b *Broker) LogSize() int {
 	all, _ := os.ReadFile(b.Log)
 	return len(all)
@@ -71,7 +72,8 @@
 
 var maxOpenSetting = regexp.MustCompile(`"maxOpen": \d+`)
 
-// SetMaxOpen changes how many searches a broker's next life may hold, as a bad release does.
+// SetMaxOpen sets maxOpen, the number of queries and shard requests that a broker may hold, from its next run on. A low value
+// acts as a bad release.
 func (b *Broker) SetMaxOpen(most string) error {
 	text, err := os.ReadFile(b.Config)
 	if err != nil {
--- a/internal/lab/chaos/process.go
+++ b/internal/lab/chaos/process.go
@@ -1,7 +1,7 @@
 package chaos
 
-// This file owns processes: started, watched, told to end, killed, stopped and continued. It must never signal a process that has
-// been waited for, as its number may be another's by then.
+// This file starts, watches, terminates, kills, pauses and resumes processes. It must never signal a process that has been waited
+// for: its process id may belong to another process by then.
 
 import (
 	"fmt"
@@ -15,42 +15,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// ProcessRun is one process of a broker, from its start to its end.
+// ProcessRun is one run of a broker's process, from start to exit.
 type ProcessRun struct {
-	StartedAt, EndedAt time.Time // Ended is zero while it lives
-	StopRequestedAt    time.Time // when it was asked to end, or ended by itself with status 0
-	Status             int       // its exit status; -1: a signal ended it
+	StartedAt, EndedAt time.Time // EndedAt is zero while the process runs
+	StopRequestedAt    time.Time // when it was asked to stop, or exited by itself with status 0
+	Status             int       // exit status; -1: ended by a signal
 }
 
-// Process is one broker's program, started anew as often as its supervisor is told to.
+// Process is a broker's program, which its supervisor may start again any number of times.
 type Process struct {
 	Name string
-	Log  string // file of its output, all lives one after another
+	Log  string // file with the output of all runs
 
 	path       string
 	args       []string
 	env        []string
 	mu         sync.Mutex
 	cmd        *exec.Cmd
-	endOfRun   chan struct{} // closed at the end of the present life
-	stopped    bool          // stopped by SIGSTOP
-	killed     bool          // killed
-	faultCount int           // faults so far
+	endOfRun   chan struct{} // closed when the current run ends
+	stopped    bool          // by SIGSTOP
+	killed     bool
+	faultCount int // faults injected so far
 	history    []ProcessRun
 	onEnd      func(ProcessRun)
 }
 
-// NewProcess names a program; nothing is started. ends hears of the end of each life, in a goroutine of its own; nil: nobody.
+// NewProcess describes a process without starting it. onEnd is called at the end of each run, in a goroutine of its own; nil: not
+// called.
 func NewProcess(name, log, path string, args, env []string, onEnd func(ProcessRun)) *Process {
 	return &Process{Name: name, Log: log, path: path, args: args, env: env, onEnd: onEnd}
 }
 
-// Start starts a life. env adds to the environment of the process.
+// Start starts a run. env adds to the environment of the process.
 func (p *Process) Start(env ...string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("%s is running", p.Name)
+		return fmt.Errorf("start %s: it is already running", p.Name)
 	}
 	out, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -58,8 +59,8 @@
 	}
 	cmd := exec.Command(p.path, p.args...)
 	cmd.Env = append(append(os.Environ(), p.env...), env...)
-	cmd.Stderr = plainWriter{out}                                      // not the file itself, which a limit on files would take from it
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it never outlives the test
+	cmd.Stderr = plainWriter{out}                                      // not the file itself: RLIMIT_FSIZE would apply to it
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // so that it never outlives the test
 	if err := cmd.Start(); err != nil {
 		out.Close()
 		return err
@@ -70,11 +71,11 @@
 	return nil
 }
 
-// plainWriter hides that a writer is a file.
+// plainWriter hides that a writer is a file, so that the process gets a pipe.
 type plainWriter struct{ io.Writer }
 
 func (p *Process) wait(cmd *exec.Cmd, over chan struct{}, out io.Closer) {
-	err := cmd.Wait() // from here on os.Process refuses signals, so that none can reach another process by this one's number
+	err := cmd.Wait() // from here on os.Process refuses signals, so that none can hit another process with the same id
 	out.Close()
 	p.mu.Lock()
 	life := &p.history[len(p.history)-1]
@@ -98,7 +99,7 @@
 	return p.cmd.Process.Signal(s) == nil
 }
 
-// Terminate asks for a planned stop.
+// Terminate asks the process for a planned stop (SIGTERM).
 func (p *Process) Terminate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +109,7 @@
 	return p.signal(syscall.SIGTERM)
 }
 
-// Kill ends the process at once.
+// Kill ends the process at once (SIGKILL).
 func (p *Process) Kill() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,7 +117,7 @@
 	return p.signal(syscall.SIGKILL)
 }
 
-// Pause stops the process, as a machine that swaps or a hypervisor that moves it does; Thaw lets it go on as if nothing had been.
+// Pause stops the process (SIGSTOP), as a machine that swaps or a migrating hypervisor does, until Resume.
 func (p *Process) Pause() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +126,7 @@
 	return p.stopped
 }
 
-// Resume continues a process that was stopped.
+// Resume continues a paused process.
 func (p *Process) Resume() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,38 +134,38 @@
 	return p.signal(syscall.SIGCONT)
 }
 
-// Paused tells whether the process is stopped by Freeze.
+// Paused reports whether the process is stopped by Pause.
 func (p *Process) Paused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stopped
 }
 
-// Faults tells how often a fault was put into the process, and whether it goes on as if there had been none.
+// Faults returns how many faults were injected into the process, and whether it runs, neither paused nor killed.
 func (p *Process) Faults() (times int, well bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faultCount, p.cmd != nil && !p.stopped && !p.killed
 }
 
-// LimitFileSize bounds what the process may write into any file, counted from its start: beyond it writes fail, as on a full disk.
+// LimitFileSize limits the size of any file that the process writes (RLIMIT_FSIZE): writes beyond it fail, as on a full disk.
 func (p *Process) LimitFileSize(bytes uint64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return fmt.Errorf("%s does not run", p.Name)
+		return fmt.Errorf("limit file size of %s: it is not running", p.Name)
 	}
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}, nil)
 }
 
-// Running tells whether a life is going on, stopped or not.
+// Running reports whether a run is going on, paused or not.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// WaitForEnd waits for the end of the present life; false: it has not come in time.
+// WaitForEnd waits for the end of the current run and reports whether it came in time.
 func (p *Process) WaitForEnd(within time.Duration) bool {
 	p.mu.Lock()
 	endOfRun := p.endOfRun
@@ -180,14 +181,14 @@
 	}
 }
 
-// Runs are all lives so far.
+// Runs returns all runs so far.
 func (p *Process) Runs() []ProcessRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]ProcessRun(nil), p.history...)
 }
 
-// Close ends the process for good.
+// Close kills the process and waits for its end.
 func (p *Process) Close() {
 	p.Resume()
 	p.Kill()
--- a/internal/lab/chaos/tier.go
+++ b/internal/lab/chaos/tier.go
@@ -1,7 +1,7 @@
 package chaos
 
-// This file owns a tier of real processes before simulated nodes: its files, its links through the mesh, and the supervisor that
-// starts a broker anew when it has ended as planned. It must never end a broker by itself.
+// This file runs a tier of real broker processes before simulated nodes: it writes their files, connects them through the mesh,
+// and restarts a broker after a planned stop. It must never stop a broker by itself.
 
 import (
 	"encoding/json"
@@ -22,46 +22,46 @@
 
 // Options describe a tier.
 type Options struct {
-	Program string // path of the program
+	Program string // path of the broker's executable
 	Brokers int
-	Voters  int // the first of them
+	Voters  int // the first brokers are the voters
 	Nodes   int
 	Cells   int
 	Seed    uint64
 	Lease   time.Duration
 	Fleet   map[string]any // further keys of the operators' file, under "fleet"
-	Zones   []string       // of the brokers, in turn; empty: one
+	Zones   []string       // of the brokers, in turn; empty: one zone
 }
 
-// Broker is one process of a tier.
+// Broker is one broker process of a tier.
 type Broker struct {
 	*Process
 	Index          int
 	URL            string
 	PeerAddr       string // where it listens for other brokers
-	Version        string // release that its next life runs
+	Version        string // release version of its next run
 	Config         string
-	OperatorFile   string         // operators' file
-	FleetOverrides map[string]any // further keys of its own, under "fleet"
+	OperatorFile   string         // path of its operators' file
+	FleetOverrides map[string]any // keys of its own under "fleet", which override Options.Fleet
 }
 
-// Tier is brokers, nodes and discovery. All but the brokers are simulated.
+// Tier is a set of brokers with nodes and discovery. All but the brokers are simulated.
 type Tier struct {
 	*lab.Fleet
 	Brokers     []*Broker
 	Mesh        *Mesh
-	CommandFile string // operators' file of whoever gives commands
+	CommandFile string // operators' file for commands
 	Monitor     *Monitor
 
 	options        Options
 	dir            string
-	operatorKeys   *keys.Keyring // of the operator
+	operatorKeys   *keys.Keyring // for requests to the voters
 	mu             sync.Mutex
-	prepareRestart func(b *Broker) error // prepares the life after a planned stop; nil: the same again
+	prepareRestart func(b *Broker) error // prepares the run after a planned stop; nil: no restarts
 	closed         bool
 }
 
-// NewTier writes all files and starts nodes and discovery; no broker is started.
+// NewTier writes all files and starts nodes and discovery, but no broker.
 func NewTier(dir string, options Options) (*Tier, error) {
 	f, err := lab.NewFleet(dir, options.Nodes, options.Cells, options.Seed)
 	if err != nil {
@@ -111,7 +111,8 @@
 	return t, err
 }
 
-// writeOperatorFile writes the operators' file of a broker. It dials the others through its own relays.
+// writeOperatorFile writes the operators' file of a broker, which dials the others through its own relays; self -1 is for an
+// operator.
 func (t *Tier) writeOperatorFile(name string, self int, version string) (string, error) {
 	var voters []string
 	for i := range t.options.Voters {
@@ -141,7 +142,7 @@
 	return path, os.WriteFile(path, b, 0o600)
 }
 
-// Start starts a life of a broker as the release that it is to run.
+// Start starts a run of a broker with its current release version.
 func (t *Tier) Start(b *Broker) error {
 	if _, err := t.writeOperatorFile(b.Name, b.Index, b.Version); err != nil {
 		return err
@@ -149,19 +150,19 @@
 	return b.Process.Start()
 }
 
-// InitLog begins a voter's log, as an operator does once in its life.
+// InitLog initializes a voter's replicated log, as an operator does once.
 func (t *Tier) InitLog(b *Broker) error {
 	file, err := t.writeOperatorFile(b.Name, b.Index, b.Version)
 	if err != nil {
 		return err
 	}
 	if out, err := exec.Command(t.options.Program, "fleet", "begin", "--operator", file).CombinedOutput(); err != nil {
-		return fmt.Errorf("log of %s: %w: %s", b.Name, err, out)
+		return fmt.Errorf("initialize log of %s: %w: %s", b.Name, err, out)
 	}
 	return nil
 }
 
-// StartAll begins the voters' logs, starts all brokers and waits until they serve.
+// StartAll initializes the voters' logs, starts all brokers and waits until they serve.
 func (t *Tier) StartAll(within time.Duration) error {
 	for _, b := range t.Brokers[:t.options.Voters] {
 		if err := t.InitLog(b); err != nil {
@@ -189,7 +190,7 @@
 	}
 }
 
-// Supervise has whatever ended as planned started again, after prepare has changed what its next life is to run.
+// Supervise restarts each broker after a planned stop; prepare is called before, and may change what the next run is.
 func (t *Tier) Supervise(prepare func(b *Broker) error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -210,7 +211,7 @@
 
 var probeClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Serving tells whether a broker says that it serves. said is false where it says nothing in time, which tells nothing.
+// Serving reports whether a broker says that it serves. said is false if it did not answer in time: then nothing is known.
 func (b *Broker) Serving() (up, said bool) {
 	resp, err := probeClient.Get(b.URL + "/up")
 	if err != nil {
@@ -220,7 +221,7 @@
 	return resp.StatusCode == http.StatusOK, true
 }
 
-// Close ends everything.
+// Close stops the monitor and ends all processes, relays and nodes.
 func (t *Tier) Close() {
 	t.mu.Lock()
 	t.closed = true
--- a/internal/lab/chaos/watch.go
+++ b/internal/lab/chaos/watch.go
@@ -1,8 +1,8 @@
 package chaos
 
-// This file owns the outside view of who is out: it asks each broker's /up and sees processes end, and takes no broker's word for
-// who may go. It must never call a broker out for a moment at which it may have served: a look that came late on a busy machine
-// finds nothing, rather than something that was not so.
+// This file observes from outside which brokers are out of service: it polls each broker's /up and sees processes end, and does
+// not rely on what brokers say of each other. It must never report a broker as out at a moment at which it may have served: a
+// poll that is late on a busy machine must miss an absence rather than invent one.
 
 import (
 	"fmt"
@@ -10,40 +10,40 @@
 	"time"
 )
 
-// pollInterval is how often each broker is looked at. A planned stop says 503 for half a second before the process ends, so that none
-// is missed; a crash is seen by the end of the process.
+// pollInterval is the interval of polls of each broker. Before a planned stop a broker answers 503 for half a second, so that
+// none is missed; a crash is seen by the end of the process.
 const pollInterval = 15 * time.Millisecond
 
-// Absence is a span in which a broker was surely out: from the first sign of it to the last look that still found it so.
+// Absence is a period in which a broker was certainly out: from the first poll that found it so to the last.
 type Absence struct {
 	Broker            string
 	From, LastSeenOut time.Time
-	Killed            bool // by a fault of the test
+	Killed            bool // killed by the test
 	Ended             bool
 }
 
-// PlannedStop is one planned stop, with who else was surely out at that moment.
+// PlannedStop is a planned stop, with the brokers that were certainly out at that moment.
 type PlannedStop struct {
 	Broker string
 	At     time.Time
 	Out    []OutBroker
 }
 
-// OutBroker is a broker that was out when another one went.
+// OutBroker is a broker that was out when another one stopped.
 type OutBroker struct {
 	Broker string
 	OutFor time.Duration
-	Killed bool // by a fault of the test
+	Killed bool // killed by the test
 }
 
-// Monitor follows a tier.
+// Monitor polls the brokers of a tier.
 type Monitor struct {
 	mu           sync.Mutex
 	all          []*Absence
-	current      map[string]*Absence  // of those that are out
-	serves       map[string]bool      // at the last look
-	servedBefore map[string]bool      // served before
-	killedAt     map[string]time.Time // a fault of the test is about to end it
+	current      map[string]*Absence  // of the brokers that are out now
+	serves       map[string]bool      // at the last poll
+	servedBefore map[string]bool      // has served at some time
+	killedAt     map[string]time.Time // when the test was about to kill it
 	stop         chan struct{}
 	pollers      sync.WaitGroup
 }
@@ -68,7 +68,7 @@
 		}
 		asked := time.Now()
 		if b.Paused() {
-			continue // a process that is stopped says nothing, and has not gone
+			continue // a paused process does not answer, but has not ended
 		}
 		if !b.Running() {
 			w.record(b.Name, asked, asked, false)
@@ -80,7 +80,7 @@
 	}
 }
 
-// record takes a look: at some moment from asked to told it was so.
+// record records the result of a poll, which held at some moment between asked and told.
 func (w *Monitor) record(name string, asked, told time.Time, up bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,21 +104,21 @@
 	w.servedBefore[name] = w.servedBefore[name] || up
 }
 
-// ExpectKill tells that a broker is about to be killed by the test: its end is no step.
+// ExpectKill announces that the test is about to kill a broker, so that its end does not count as a planned stop.
 func (w *Monitor) ExpectKill(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killedAt[name] = time.Now()
 }
 
-// Serves tells whether a broker served when it was looked at last.
+// Serves reports whether a broker served at the last poll.
 func (w *Monitor) Serves(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.serves[name]
 }
 
-// MaxOut is how many were surely out at once.
+// MaxOut returns the most brokers that were certainly out at once.
 func (w *Monitor) MaxOut() (most int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,7 +134,7 @@
 	return most
 }
 
-// PlannedStops are the planned stops so far.
+// PlannedStops returns the planned stops so far.
 func (w *Monitor) PlannedStops() (all []PlannedStop) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,8 +153,8 @@
 	return all
 }
 
-// Check lists what breaks the limit: a planned stop while as many others as may be out at once were out. A crash that the fleet
-// can't have heard of yet is no broker's fault; it is one once it is older than known.
+// Check returns the violations of the limit: planned stops while at least most other brokers were out. A killed broker counts only
+// once it has been out for known, as brokers cannot know of a crash at once.
 func (w *Monitor) Check(most int, known time.Duration) (broken []string) {
 	for _, s := range w.PlannedStops() {
 		n := 0
@@ -164,13 +164,13 @@
 			}
 		}
 		if n >= most {
-			broken = append(broken, fmt.Sprintf("%s went out at %s while %v were out", s.Broker, s.At.Format("15:04:05.000"), s.Out))
+			broken = append(broken, fmt.Sprintf("%s stopped at %s while %v were out", s.Broker, s.At.Format("15:04:05.000"), s.Out))
 		}
 	}
 	return broken
 }
 
-// Close ends the watch.
+// Close stops the polls.
 func (w *Monitor) Close() {
 	close(w.stop)
 	w.pollers.Wait()
--- a/internal/lab/crew/broker.go
+++ b/internal/lab/crew/broker.go
@@ -1,6 +1,6 @@
 package crew
 
-// This file owns one emulated broker: its clock, its turns, what it sends and takes.
+// This file implements a simulated broker: its clock, its steps, and the datagrams that it sends and receives.
 
 import (
 	"net/netip"
@@ -33,7 +33,7 @@
 	b.tick()
 }
 
-// tick is a turn of a broker's loop.
+// tick runs a step of the broker's event loop if it is up and not paused.
 func (b *Broker) tick() {
 	if !b.Up || b.Paused {
 		return
@@ -78,7 +78,7 @@
 	b.broadcastClaims()
 	b.flush()
 	due := b.cluster.now + min(next, at) - now
-	if b.index < b.cluster.o.StarvedBrokers { // it gets its core when others let it
+	if b.index < b.cluster.o.StarvedBrokers { // a starved broker gets its core late
 		due += time.Duration(b.cluster.rnd.ExpFloat64() * float64(b.cluster.o.StarveDelay))
 	}
 	if due < b.wakeAt || b.wakeAt <= b.cluster.now {
@@ -91,7 +91,7 @@
 	}
 }
 
-// finishRun is when a run takes effect: the others take it, unless they know of a later owner.
+// finishRun is called when a run takes effect: the other brokers accept it unless they know of a later owner.
 func (b *Broker) finishRun(r ownership.Run) {
 	if !b.Up {
 		return
@@ -152,7 +152,7 @@
 		return
 	}
 	if b.Paused {
-		if len(b.deferred) < 200 { // the socket's buffer
+		if len(b.deferred) < 200 { // size of the socket's buffer
 			b.deferred = append(b.deferred, func() { b.receive(from, data) })
 		}
 		return
@@ -173,7 +173,7 @@
 	}
 	b.Members.HandleDatagram(from, data, b.clock())
 	b.flush()
-	if b.wakeAt > b.cluster.now+time.Millisecond { // what came may be due at once
+	if b.wakeAt > b.cluster.now+time.Millisecond { // a datagram may have made something due at once
 		b.wakeAt = b.cluster.now + time.Millisecond
 		b.cluster.at(b.wakeAt, func() {
 			if b.wakeAt <= b.cluster.now {
@@ -183,7 +183,8 @@
 	}
 }
 
-// heartbeat is the plain way: a heartbeat of each to each, and dead is whoever was not heard for some beats.
+// heartbeat implements the method for comparison: every broker sends to every other, and a broker that was not heard for
+// SuspicionFactor intervals counts as dead.
 func (b *Broker) heartbeat() {
 	if !b.Up || b.Paused {
 		return
--- a/internal/lab/crew/crew.go
+++ b/internal/lab/crew/crew.go
@@ -1,9 +1,9 @@
-// Package crew emulates a tier of brokers that keep one another's company, in virtual time: the real decisions on members and duties
-// over a simulated network that loses, delays, doubles and reorders datagrams, with brokers that are killed, paused, cut off, slow
-// to get their core, or whose clock jumps. It audits what came of the duties from outside. The same seed gives the same course.
+// Package crew simulates the membership and the ownership of jobs in a tier of brokers, in virtual time: the real decisions over
+// a simulated network that loses, delays, duplicates and reorders datagrams, with brokers that are killed, paused, cut off,
+// starved of their core, or whose clock jumps. It audits the runs of the jobs from outside. The same seed gives the same run.
 //
-// Depends on decision/ownership, decision/membership, lab/queue. Concurrency: it spreads work over goroutines
-// that end with each call; a value is used by one goroutine at a time.
+// Depends on decision/ownership, decision/membership, lab/queue. Concurrency: it spreads work over goroutines that end with each
+// call; a value is used by one goroutine at a time.
 package crew
 
 import (
@@ -23,23 +23,23 @@
 	Seed           uint64
 	Loss           float64
 	Delay          time.Duration // one way, on average
-	Duplicates     float64       // share of datagrams that come twice
+	Duplicates     float64       // share of datagrams that arrive twice
 	Policy         membership.Policy
 	Jobs           []ownership.Job
 	Lease          ownership.Policy
-	AllToAll       bool          // heartbeats of each to each instead, for comparison
-	StarveDelay    time.Duration // a starved broker gets its core so late, at times
-	StarvedBrokers int           // brokers that are
+	AllToAll       bool          // for comparison: heartbeats from each broker to each other
+	StarveDelay    time.Duration // mean delay until a starved broker gets its core
+	StarvedBrokers int           // how many brokers are starved
 }
 
-// DefaultPolicy is what brokers use, with as many bytes as the platform leaves after a seal.
+// DefaultPolicy is what brokers use, with the bytes that the platform leaves of a datagram after encryption.
 var DefaultPolicy = membership.Policy{ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, IndirectProbes: 3, SuspicionFactor: 5, MaxSuspicionFactor: 2,
 	ForgetAfter: 10 * time.Minute, SyncInterval: 3 * time.Second, MaxDatagramBytes: 220, MaxMembers: 1000}
 
-// Lease is the default of duties.
+// Lease is the default ownership policy.
 var Lease = ownership.Policy{Lease: 3 * time.Second, SettleTime: 400 * time.Millisecond, RenewInterval: time.Second}
 
-// Cluster is a tier of brokers.
+// Cluster is a simulated tier of brokers.
 type Cluster struct {
 	o               Options
 	now             time.Duration
@@ -47,28 +47,28 @@
 	seq             uint32
 	rnd             *rand.Rand
 	Brokers         []*Broker
-	Blocked         func(from, to int) bool // datagrams that do not arrive; nil: all do
+	Blocked         func(from, to int) bool // reports datagrams that do not arrive; nil: none
 	Runs            []Run
 	Bytes           int64
-	LongestDatagram int // datagram
+	LongestDatagram int // bytes of the longest datagram
 	Deaths          []DeathReport
 }
 
-// Run is a duty that was done, as it took effect.
+// Run is a run of a job that took effect.
 type Run struct {
 	Job, Broker int
 	At          time.Duration
 	Fence       uint32
 }
 
-// DeathReport is a broker that another took for dead.
+// DeathReport records that a broker took another for dead.
 type DeathReport struct {
 	At               time.Duration
 	Broker, Reporter int
 	FalsePositive    bool
 }
 
-// Broker is one of them.
+// Broker is one broker of a cluster.
 type Broker struct {
 	cluster    *Cluster
 	index      int
@@ -78,15 +78,15 @@
 	Up         bool
 	Paused     bool
 	startCount int
-	clockSkew  time.Duration // of its clock
-	deferred   []func()      // what came while it was paused
-	wakeAt     time.Duration // when it is to tick
+	clockSkew  time.Duration // added to the simulated time
+	deferred   []func()      // what arrived while it was paused
+	wakeAt     time.Duration // time of the next tick
 	heardAt    map[int]time.Duration
 	dead       map[int]bool
 	view       []ownership.Member
 }
 
-// Name is a broker's name.
+// Name returns the name of broker n.
 func Name(n int) string { return fmt.Sprintf("broker-%03d", n) }
 
 // New starts all brokers of a tier, each with the first three as seeds.
@@ -105,7 +105,7 @@
 	c.events.Push(queue.Item[func()]{Key: queue.Key{At: max(when, c.now), Seq: c.seq}, Value: do})
 }
 
-// Run plays until a moment.
+// Run runs the simulation until a time.
 func (c *Cluster) Run(until time.Duration) {
 	for {
 		at, any := c.events.Peek()
@@ -118,16 +118,16 @@
 	}
 }
 
-// Now is the moment played up to.
+// Now returns the current simulated time.
 func (c *Cluster) Now() time.Duration { return c.now }
 
-// Kill ends a broker without a word.
+// Kill ends a broker without notice.
 func (c *Cluster) Kill(n int) { c.Brokers[n].Up = false }
 
-// Restart starts it again with nothing.
+// Restart starts a broker again without its former state.
 func (c *Cluster) Restart(n int) { c.Brokers[n].start() }
 
-// Stop ends a broker as planned.
+// Stop stops a broker as planned: it releases its jobs and leaves.
 func (c *Cluster) Stop(n int) {
 	b := c.Brokers[n]
 	b.Jobs.ReleaseAll(b.clock())
@@ -137,7 +137,7 @@
 	b.Up = false
 }
 
-// Pause stops a broker's process; Resume lets it go on. What came meanwhile comes then.
+// Pause pauses a broker's process. What arrives meanwhile is handled at Resume.
 func (c *Cluster) Pause(n int) { c.Brokers[n].Paused = true }
 
 // Resume lets a paused broker go on.
@@ -154,7 +154,7 @@
 // SkewClock moves a broker's clock.
 func (c *Cluster) SkewClock(n int, by time.Duration) { c.Brokers[n].clockSkew += by }
 
-// ViewsAgree tells whether all that are up hold the same ones for living, and exactly those that are up.
+// ViewsAgree reports whether every running broker takes exactly the running brokers for alive.
 func (c *Cluster) ViewsAgree() bool {
 	for _, b := range c.Brokers {
 		if !b.Up || b.Paused {
@@ -175,8 +175,8 @@
 	return true
 }
 
-// MaxRuns is how often a duty took effect in any period, and the longest time between two effects, or from a moment to the first
-// after it and from the last to the end.
+// MaxRuns returns the most runs of a job that took effect within one of its periods, and the longest gap between two runs,
+// counting from the time from to the first run and from the last run to the end.
 func (c *Cluster) MaxRuns(duty int, from time.Duration) (times int, gap time.Duration) {
 	var at []time.Duration
 	for _, r := range c.Runs {
@@ -189,7 +189,7 @@
 		gap, last = max(gap, t-last), t
 		n := 0
 		for _, u := range at[i:] {
-			if u < t+c.o.Jobs[duty].Period*98/100 { // a run begins when its period has passed, and takes effect a moment later
+			if u < t+c.o.Jobs[duty].Period*98/100 { // a run begins when its period has passed, and takes effect slightly later
 				n++
 			}
 		}
--- a/internal/lab/crew/table.go
+++ b/internal/lab/crew/table.go
@@ -1,6 +1,6 @@
 package crew
 
-// This file owns the comparisons: ways to know who is there, and what becomes of duties when an owner is killed.
+// This file compares ways to detect failed brokers, and measures what happens to jobs when their owner is killed.
 
 import (
 	"fmt"
@@ -15,24 +15,24 @@
 	"flaxfront/internal/decision/ownership"
 )
 
-// detectionMethod is one way to know who is there.
+// detectionMethod is one way to detect failed brokers.
 type detectionMethod struct {
 	name      string
 	configure func(*Options)
 }
 
 var detectionMethods = []detectionMethod{
-	{"heartbeats of each to each", func(o *Options) { o.AllToAll = true }},
+	{"heartbeats from each to each", func(o *Options) { o.AllToAll = true }},
 	{"SWIM", func(o *Options) { o.Policy.WithoutLifeguard, o.Policy.MaxSuspicionFactor = true, 1 }},
 	{"SWIM with Lifeguard", func(*Options) {}},
 }
 
-// Detect is what one tier showed.
+// detectionResult is the result of one simulated tier.
 type detectionResult struct {
-	first, all     time.Duration // from a kill until one, and all, know of it
+	first, all     time.Duration // from a kill until the first broker, and until all, know of it
 	falsePositives int
-	brokerHours    float64 // of brokers
-	bytes          float64 // a second a broker
+	brokerHours    float64
+	bytes          float64 // per second and broker
 }
 
 func (w detectionMethod) simulate(n int, loss float64, seed uint64, quiet time.Duration, starved int) (d detectionResult) {
@@ -44,7 +44,7 @@
 	c.Run(c.now + quiet)
 	d.bytes = float64(c.Bytes-bytes) / (c.now - began).Seconds() / float64(n)
 	d.brokerHours = (c.now - began).Hours() * float64(n)
-	falsePositives := map[[2]int64]bool{} // one burial of one broker counts once, however many hear of it
+	falsePositives := map[[2]int64]bool{} // one false report of one broker within 20 s counts once, however many brokers hear of it
 	for _, b := range c.Deaths {
 		if b.FalsePositive && b.At >= began && b.Broker >= starved {
 			falsePositives[[2]int64{int64(b.Broker), int64(b.At / (20 * time.Second))}] = true
@@ -67,16 +67,16 @@
 	return d
 }
 
-// CompareDetectors compares the ways at sizes and losses.
+// CompareDetectors prints a comparison of the methods for each size and packet loss.
 func CompareDetectors(out io.Writer, sizes []int, seeds int) {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "way\tbrokers\tlost\tfirst knows, mean\tmost\tlast knows, most\tmistaken burials a broker a day\tof others where one is starved\tbytes a second a broker\t")
+	fmt.Fprintln(t, "method\tbrokers\tlost\tfirst knows, mean\tmost\tlast knows, most\tfalse positives per broker and day\tof others where one is starved\tbytes per second and broker\t")
 	for _, w := range detectionMethods {
 		for _, n := range sizes {
 			for _, loss := range []float64{0, 0.1, 0.3} {
 				quiet := time.Duration(3600/max(1, n/5)) * time.Second
 				if w.name == detectionMethods[0].name && n > 100 {
-					quiet = 10 * time.Second // half a million datagrams a second
+					quiet = 10 * time.Second // it sends half a million datagrams per second
 				}
 				all, starved := make([]detectionResult, seeds), make([]detectionResult, seeds)
 				parallel(2*seeds, func(i int) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// parallel does n things on all cores.
+// parallel calls do n times, on all cores.
 func parallel(n int, do func(int)) {
 	places := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var all sync.WaitGroup
@@ -115,10 +115,11 @@
 	all.Wait()
 }
 
-// SampleJobs are the duties that the experiments share out.
+// SampleJobs are the jobs that the experiments distribute.
 var SampleJobs = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
-// KillOwners kills the owner of a duty in many tiers of five and prints what became of all duties.
+// KillOwners kills the owner of a job in many tiers of five brokers, prints the delays of all jobs, and returns how many tiers
+// broke the limits.
 func KillOwners(out io.Writer, seeds int, loss float64) (broken int) {
 	late, most := make([]time.Duration, seeds), make([]int, seeds)
 	parallel(seeds, func(seed int) {
@@ -146,7 +147,7 @@
 	}
 	slices.Sort(late)
 	q := func(p float64) time.Duration { return late[int(p*float64(seeds-1))].Round(100 * time.Millisecond) }
-	fmt.Fprintf(out, "%d tiers of five, %.0f%% lost, the owner killed: a duty is late by p50 %v, p99 %v, most %v; over 10 s in %d; more than twice in its period in %d\n",
+	fmt.Fprintf(out, "%d tiers of five, %.0f%% lost, the owner killed: a job is late by p50 %v, p99 %v, most %v; over 10 s in %d; run more than twice in its period in %d\n",
 		seeds, 100*loss, q(0.5), q(0.99), q(1), tardy, thrice)
 	return thrice + tardy
 }
