--- a/internal/lab/hunt/draw.go
+++ b/internal/lab/hunt/draw.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file owns the drawing and changing of scripts.
+// This file draws scripts at random and changes them.
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 var faultKinds = []string{"die", "vanish", "hang", "stall", "slow", "errors", "drain", "cut", "jump", "flood", "discovery_down",
 	"discovery_hang", "restart", "loss"}
 
-// DrawScript draws a day: a seed, a load, and one to five troubles.
+// DrawScript draws a script: a seed, a load, and one to five faults.
 func DrawScript(base *script.Script, rnd *rand.Rand) *script.Script {
 	for {
 		s := copyOf(base)
@@ -61,7 +61,7 @@
 	return t
 }
 
-// mutate changes a day a little.
+// mutate returns a script with one small change.
 func mutate(of *script.Script, rnd *rand.Rand) *script.Script {
 	for range 100 {
 		s := copyOf(of)
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -1,9 +1,9 @@
-// Package hunt searches for the day on which a rule breaks or most is lost against a policy that sees all, and cuts the day down
-// to what matters. It owns the drawing, the search and the shrinking of scripts; the same seed hunts the same way. It must never
-// change a fleet, only what goes wrong with it and how much is asked.
+// Package hunt searches for the script under which a rule breaks, or which loses the most service against a policy that knows
+// everything, and reduces it to what matters. The same seed gives the same search. It must never change the fleet, only the
+// faults and the load.
 //
-// Depends on lab/play, lab/script. Concurrency: it spreads work over goroutines that end with each call; a
-// value is used by one goroutine at a time.
+// Depends on lab/play, lab/script. Concurrency: it spreads work over goroutines that end with each call; a value is used by one
+// goroutine at a time.
 package hunt
 
 import (
@@ -17,16 +17,16 @@
 	"flaxfront/internal/lab/script"
 )
 
-// Finding is a day with what it costs.
+// Finding is a script with its result.
 type Finding struct {
 	Script  *script.Script
 	Broken  int64
 	Service float64
 	Oracle  float64
-	Loss    float64 // Seer less Service
+	Loss    float64 // Oracle less Service
 }
 
-// badness orders finds: a broken rule before any loss.
+// badness orders findings: any broken rule comes before any loss.
 func (f *Finding) badness() float64 {
 	if f.Broken > 0 {
 		return 100 + min(float64(f.Broken), 100)
@@ -34,17 +34,17 @@
 	return f.Loss
 }
 
-// Options bound a hunt.
+// Options limit a search.
 type Options struct {
-	Scripts   int // played in all
+	Scripts   int // scripts played in all
 	Seed      uint64
-	OnlyRules bool // only broken rules count
+	OnlyRules bool // search for broken rules only
 	Cores     int
 	Log       func(format string, args ...any)
 	Policy    play.Policy
 }
 
-// Evaluate plays a day under the policy and, unless only rules count, under the one that sees all.
+// Evaluate plays a script under the policy and, unless OnlyRules is set, under the one that knows everything.
 func Evaluate(s *script.Script, o Options) (*Finding, error) {
 	r, err := play.Play(s, play.Options{Cores: 1, Policy: o.Policy})
 	if err != nil {
@@ -62,7 +62,7 @@
 	return f, nil
 }
 
-// Hunt searches from a base script: days drawn at random, then changes of the worst ones.
+// Hunt searches from a base script: it draws scripts at random, and then changes the worst ones.
 func Hunt(base *script.Script, o Options) (*Finding, error) {
 	rnd := rand.New(rand.NewPCG(o.Seed, 0x68756e74))
 	var best []*Finding
@@ -88,7 +88,7 @@
 				return nil, errs[i]
 			}
 			if len(best) == 0 || f.badness() > best[0].badness() {
-				o.Log("day %d: service %.4f, seer %.4f, rules broken %d: %s", played+i, f.Service, f.Oracle, f.Broken, Describe(f.Script))
+				o.Log("script %d: service %.4f, oracle %.4f, rules broken %d: %s", played+i, f.Service, f.Oracle, f.Broken, Describe(f.Script))
 			}
 			best = append(best, f)
 		}
@@ -109,9 +109,9 @@
 	return 0
 }
 
-// Describe names the troubles of a script in a line.
+// Describe returns the load and the faults of a script in one line.
 func Describe(s *script.Script) string {
-	text := fmt.Sprintf("%.0f a second", s.Load.Rate)
+	text := fmt.Sprintf("%.0f queries per second", s.Load.Rate)
 	for _, t := range s.Faults {
 		text += fmt.Sprintf("; %s at %v for %v", t.Kind, t.At.Round(100*time.Millisecond), t.Length.Round(100*time.Millisecond))
 	}
@@ -124,7 +124,7 @@
 	return &c
 }
 
-// Shrink cuts a find down as long as what is bad of it stays: a broken rule stays broken, or four fifths of the loss stay lost.
+// Shrink reduces a finding as long as it stays bad: a broken rule stays broken, or at least four fifths of the loss remain.
 func Shrink(f *Finding, o Options) (*Finding, error) {
 	bar := 0.8 * f.badness()
 	if f.Broken > 0 {
@@ -141,7 +141,7 @@
 				return nil, err
 			}
 			if g.badness() >= bar {
-				o.Log("cut down: service %.4f, seer %.4f, rules broken %d: %s", g.Service, g.Oracle, g.Broken, Describe(smaller))
+				o.Log("reduced: service %.4f, oracle %.4f, rules broken %d: %s", g.Service, g.Oracle, g.Broken, Describe(smaller))
 				f, better = g, true
 				break
 			}
@@ -150,7 +150,7 @@
 	return f, nil
 }
 
-// reductions are the scripts that are smaller by one step, the boldest first.
+// reductions returns the scripts that are one step smaller, largest steps first.
 func reductions(s *script.Script) (all []*script.Script) {
 	cut := func(do func(*script.Script)) {
 		c := copyOf(s)
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/hunt/hunt_test.go
@@ -27,7 +27,7 @@
 
 func quiet(string, ...any) {}
 
-// A hunt finds the same day each time, its days are good scripts, and what it cuts down is smaller and as bad.
+// A search finds the same script each time, finds are valid scripts, and shrinking makes them smaller but keeps them as bad.
 func TestHuntAndShrink(t *testing.T) {
 	var texts []string
 	for range 2 {
@@ -49,16 +49,16 @@
 		}
 		replayed, err := Evaluate(again, o)
 		if err != nil || replayed.Service != small.Service || replayed.Broken != small.Broken {
-			t.Errorf("written and read: %v, %v; it was %v", replayed, err, small)
+			t.Errorf("replay of the written script: %v, %v; want %v", replayed, err, small)
 		}
 		texts = append(texts, small.Script.Text())
 	}
 	if texts[0] != texts[1] {
-		t.Errorf("two hunts of one seed differ:\n%s\n%s", texts[0], texts[1])
+		t.Errorf("two searches with one seed differ:\n%s\n%s", texts[0], texts[1])
 	}
 }
 
-// No rule breaks on drawn days. go test -fuzz FuzzDays ./lab/hunt goes on looking.
+// No rule breaks under drawn scripts. To search further: go test -fuzz FuzzDays ./internal/lab/hunt
 func FuzzDays(f *testing.F) {
 	for seed := range uint64(12) {
 		f.Add(seed)
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -1,8 +1,7 @@
-// Package judge says what played rehearsals show: how two builds or policies differ, seed by seed. It owns the statistics and the sentences, and reads results only. It must never
-// call a difference one that the seeds do not bear out.
+// Package judge compares played rehearsals of two builds or policies, seed by seed, from their results alone. It must never
+// report a difference that the seeds do not support.
 //
-// Depends on lab/play. Concurrency: nothing here locks or starts a goroutine; a value is used by one
-// goroutine at a time.
+// Depends on lab/play. Concurrency: nothing here locks or starts a goroutine; a value is used by one goroutine at a time.
 package judge
 
 import (
@@ -16,7 +15,7 @@
 	"flaxfront/internal/lab/play"
 )
 
-// Metric is one thing that is compared; more is better where Up says so.
+// Metric is a compared quantity.
 type Metric struct {
 	Name           string
 	HigherIsBetter bool
@@ -24,7 +23,7 @@
 	Value          func(r *play.Result) float64
 }
 
-// Metrics are what is compared.
+// Metrics are the compared quantities.
 var Metrics = []Metric{
 	{"service", true, "", func(r *play.Result) float64 { return r.Counts.Service() }},
 	{"worst ten seconds", true, "", func(r *play.Result) float64 { return r.Worst }},
@@ -33,7 +32,7 @@
 	{"shed", false, "%", func(r *play.Result) float64 { return share(r.Counts.Shed, r) }},
 	{"failed", false, "%", func(r *play.Result) float64 { return share(r.Counts.Failed, r) }},
 	{"p99", false, "ms", func(r *play.Result) float64 { return r.Latency.Quantile(0.99).Seconds() * 1000 }},
-	{"further sub-requests", false, "%", func(r *play.Result) float64 {
+	{"extra attempts", false, "%", func(r *play.Result) float64 {
 		return 100 * float64(r.Work.Further) / float64(max(1, r.Work.Parts))
 	}},
 }
@@ -60,20 +59,20 @@
 	return least
 }
 
-// Difference is how one figure differs over paired seeds, B less A.
+// Difference is the difference of a metric over paired seeds, B less A.
 type Difference struct {
 	Metric      Metric
 	A, B        float64 // means
 	Mean        float64
-	Low, High   float64 // 95% confidence interval of the mean difference, by Student's t over pairs
-	Significant bool    // the interval leaves nothing out
-	Better      bool    // B is
+	Low, High   float64 // 95% confidence interval of the mean difference, by Student's t over the pairs
+	Significant bool    // the interval does not contain 0
+	Better      bool    // B is better
 	Pairs       int
-	Equal       bool // in every pair
-	NeedsPairs  bool // one pair tells of itself only
+	Equal       bool // A and B are equal in each pair
+	NeedsPairs  bool // there are fewer than two pairs, too few for an interval
 }
 
-// Compare pairs results of the same script and seed.
+// Compare compares results in pairs of the same script and seed.
 func Compare(a, b []*play.Result) ([]Difference, error) {
 	bySeed := map[string]*play.Result{}
 	key := func(r *play.Result) string { return fmt.Sprintf("%s/%d", r.Name, r.Seed) }
@@ -87,7 +86,7 @@
 		}
 	}
 	if len(pairs) == 0 {
-		return nil, errors.New("no script and seed was played whole by both")
+		return nil, errors.New("compare: no script and seed was played in full in both sets of results")
 	}
 	var all []Difference
 	for _, f := range Metrics {
@@ -107,7 +106,7 @@
 	return all, nil
 }
 
-// Interval is a mean and its 95% confidence interval.
+// Interval returns the mean of some values and its 95% confidence interval.
 func Interval(of []float64) (mean, low, high float64) {
 	mean = stat.Mean(of, nil)
 	if len(of) < 2 {
@@ -118,7 +117,7 @@
 	return mean, mean - half, mean + half
 }
 
-// Summary says in one sentence whether B differs from A.
+// Summary returns a sentence on whether B differs from A.
 func Summary(all []Difference) string {
 	d := all[0]
 	switch {
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -15,15 +15,15 @@
 	return all
 }
 
-// The interval is Student's: for four pairs 3.182 standard errors.
+// The interval is Student's t: for four pairs 3.182 standard errors.
 func TestInterval(t *testing.T) {
 	mean, low, high := Interval([]float64{1, 2, 3, 4})
 	if half := 3.182446 * math.Sqrt(5.0/3) / 2; math.Abs(mean-2.5) > 1e-12 || math.Abs(high-mean-half) > 1e-4 || math.Abs(mean-low-half) > 1e-4 {
-		t.Errorf("%v, %v to %v", mean, low, high)
+		t.Errorf("mean %v, interval %v to %v", mean, low, high)
 	}
 }
 
-// A difference that the seeds do not bear out is not called one; nor is one pair, nor two runs that nobody paired.
+// A difference that the seeds do not support is not reported as one; neither is that of a single pair, nor of runs without pairs.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		a, b []*play.Result
@@ -41,6 +41,6 @@
 		}
 	}
 	if _, err := Compare(results("x", 1), results("y", 1)); err == nil {
-		t.Error("two scripts were compared")
+		t.Error("results of different scripts were compared")
 	}
 }
--- a/internal/lab/queue/queue.go
+++ b/internal/lab/queue/queue.go
@@ -1,12 +1,11 @@
-// Package queue is the emulator's event queue: what will happen, in the order of its time, who caused it, and which of theirs it
-// is. That order is total, so that the course of a run does not depend on how events are spread over queues. It owns the order
-// and nothing else.
+// Package queue implements the event queue of the simulations. Events come out by time, then by source, then by the source's
+// sequence number. That order is total, so that a run does not depend on how events are spread over queues.
 //
-// It is a calendar queue (Brown, 1988) with buckets of one width: most of what is pushed lies within a fraction of a second and
-// goes to its bucket unsorted; a bucket is sorted when its time comes. What lies further ahead waits in a heap.
+// It is a calendar queue (Brown, 1988) with buckets of one width. Most events lie within a fraction of a second and are appended
+// unsorted to their bucket, which is sorted when its time comes. Events further ahead wait in a heap.
 //
-// Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is
-// used by one goroutine at a time.
+// Depends on no package of this module. Concurrency: nothing here locks or starts a goroutine; a value is used by one goroutine
+// at a time.
 package queue
 
 import (
@@ -17,12 +16,12 @@
 
 // Key orders events.
 type Key struct {
-	At     time.Duration // not before the start
-	Source uint32        // who caused it
-	Seq    uint32        // which of theirs
+	At     time.Duration // from the start of the simulation; not negative
+	Source uint32        // number of whoever caused the event
+	Seq    uint32        // sequence number among the events of Source
 }
 
-// Compare tells which comes first.
+// Compare returns -1, 0 or 1, as k comes before, is equal to, or comes after o.
 func (k Key) Compare(o Key) int {
 	switch {
 	case k.At != o.At:
@@ -50,27 +49,27 @@
 }
 
 const (
-	widthBits   = 15      // of the width, 32.8 microseconds
-	ringSize    = 1 << 13 // ahead of the bucket in hand: 268 milliseconds
+	widthBits   = 15      // of the bucket width in nanoseconds: 32.8 microseconds
+	ringSize    = 1 << 13 // buckets ahead of the current one: 268 milliseconds
 	bitmapWords = ringSize / 64
 )
 
-// Queue holds events. The zero value is empty.
+// Queue is a queue of events. The zero value is empty.
 type Queue[T any] struct {
-	current   []Item[T] // the bucket in hand, sorted; pos is the next
+	current   []Item[T] // the current bucket, sorted; pos is the next event
 	pos       int
-	late      heap4[T] // what came for it, or for before it, since it was sorted
-	slot      int64    // its number
+	late      heap4[T] // events pushed for the current bucket, or for an earlier one, since it was sorted
+	slot      int64    // number of the current bucket
 	ring      [][]Item[T]
-	used      [bitmapWords]uint64 // which buckets of the ring hold anything
+	used      [bitmapWords]uint64 // bitmap of the buckets of the ring that are not empty
 	ringCount int                 // events in the ring
 	far       heap4[T]
 }
 
-// Len tells how many events wait.
+// Len returns the number of events in the queue.
 func (q *Queue[T]) Len() int { return len(q.current) - q.pos + len(q.late) + q.ringCount + len(q.far) }
 
-// Push adds an event. It may lie in the past of what was popped last; then it comes next.
+// Push adds an event. If its time is before that of the last popped event, it comes out next.
 func (q *Queue[T]) Push(i Item[T]) {
 	if q.ring == nil {
 		q.ring = make([][]Item[T], ringSize)
@@ -92,7 +91,7 @@
 	q.ringCount++
 }
 
-// Peek tells when the next event comes; false: there is none.
+// Peek returns the time of the next event; false if there is none.
 func (q *Queue[T]) Peek() (time.Duration, bool) {
 	if q.pos == len(q.current) && len(q.late) == 0 && !q.advance() {
 		return 0, false
@@ -103,12 +102,12 @@
 	return q.current[q.pos].At, true
 }
 
-// isLate tells whether the next event came after its bucket was sorted.
+// isLate reports whether the next event was pushed after its bucket was sorted.
 func (q *Queue[T]) isLate() bool {
 	return len(q.late) > 0 && (q.pos == len(q.current) || q.late[0].Compare(q.current[q.pos].Key) < 0)
 }
 
-// Pop takes the next event; there must be one.
+// Pop removes and returns the next event; there must be one.
 func (q *Queue[T]) Pop() Item[T] {
 	if q.pos == len(q.current) && len(q.late) == 0 {
 		q.advance()
@@ -122,7 +121,7 @@
 	return i
 }
 
-// advance takes the next bucket in hand that holds anything.
+// advance makes the next bucket that is not empty the current one, and reports whether there was one.
 func (q *Queue[T]) advance() bool {
 	next := int64(-1)
 	if q.ringCount > 0 {
@@ -157,7 +156,7 @@
 	return true
 }
 
-// nextUsed finds the next bucket of the ring after the one in hand that holds anything; there must be one.
+// nextUsed returns the number of the next bucket of the ring that is not empty; there must be one.
 func (q *Queue[T]) nextUsed() int64 {
 	from := (q.slot + 1) & (ringSize - 1)
 	word := q.used[from>>6] >> (from & 63)
@@ -172,7 +171,7 @@
 	return -1
 }
 
-// heap4 is a heap of four children a node.
+// heap4 is a heap with four children per node.
 type heap4[T any] []Item[T]
 
 func (h *heap4[T]) push(i Item[T]) {
--- a/internal/lab/queue/queue_test.go
+++ b/internal/lab/queue/queue_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// plain is the queue to be measured against.
+// plain is a queue from container/heap, for comparison.
 type plain []Item[[4]uint64]
 
 func (p plain) Len() int           { return len(p) }
@@ -22,7 +22,7 @@
 	return last
 }
 
-// after draws how far ahead something is put: mostly a hop or a service time, at times a client's timeout, at times now.
+// after draws how far ahead an event lies: mostly a network delay or a service time, sometimes a client's timeout, sometimes 0.
 func after(r *rand.Rand) time.Duration {
 	switch n := r.IntN(100); {
 	case n < 5:
@@ -36,7 +36,7 @@
 	}
 }
 
-// Whatever is pushed comes out in the order of its key, the same as from a heap, also what is pushed for a moment that has come.
+// Events come out in the order of their keys, as from a heap, also those that are pushed for a time that has passed.
 func TestOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -76,7 +76,7 @@
 	}
 }
 
-// Hold: one event popped and one pushed, with so many waiting.
+// BenchmarkHold pops one event and pushes one, with n events waiting.
 func BenchmarkHold(b *testing.B) {
 	for _, n := range []int{1_000, 30_000, 1_000_000} {
 		name := strconv.Itoa(n)
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -1,6 +1,6 @@
 package report
 
-// This file owns the plots of the page.
+// This file draws the plots of the page.
 
 import (
 	"bytes"
@@ -27,7 +27,7 @@
 	at   plotter.XYs
 }
 
-// draws some lines as an SVG.
+// chart draws lines as an SVG image.
 func chart(title, x, y string, log bool, lines ...series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -62,7 +62,7 @@
 		return "", err
 	}
 	_, svg, _ := bytes.Cut(b.Bytes(), []byte("<svg"))
-	return template.HTML("<svg" + string(svg)), nil // made here, of names that the plot has escaped
+	return template.HTML("<svg" + string(svg)), nil // generated here; the plot package has escaped the names
 }
 
 func resultPlots(r *play.Result) (all []template.HTML, err error) {
@@ -84,11 +84,11 @@
 			err = e
 		}
 	}
-	add(chart("What became of searches, by the second in which they were first asked", "s", "searches", false,
+	add(chart("Outcomes of queries, by the second in which they were first sent", "s", "queries", false,
 		series{"asked", asked}, series{"late", late}, series{"in target", target}, series{"failed", failed}, series{"shed", shed}))
 	add(chart("Latency of answers", "s", "ms", true, series{"p50", p50}, series{"p99", p99}))
 	if len(r.Samples) > 0 {
-		add(heatMap("What nodes did (a row a node; white fit, blue cold, grey leaving, orange hanging, yellow standing still, black gone, red fallen, green slow)",
+		add(heatMap("State of the nodes (a row per node; white serving, blue cold, grey draining, orange unresponsive, yellow paused, black down, red crashed by overload, green slow)",
 			r, func(s play.Sample) color.Color {
 				if s.State == play.Fit && s.Slow {
 					return color.RGBA{0x8f, 0xd1, 0x9e, 255}
@@ -101,12 +101,12 @@
 				most = max(most, s.Distrust)
 			}
 		}
-		add(heatMap(fmt.Sprintf("What brokers thought: white gets work as a matter of course, red shut out by up to %d brokers", most), r,
+		add(heatMap(fmt.Sprintf("Distrust of brokers: white used by all, red distrusted by up to %d brokers", most), r,
 			func(s play.Sample) color.Color {
 				left := uint8(255 - 255*int(s.Distrust)/int(most))
 				return color.RGBA{255, left, left, 255}
 			}))
-		add(heatMap("Parts that wait at nodes: the darker the more", r, func(s play.Sample) color.Color {
+		add(heatMap("Shard requests waiting at nodes: the darker the more", r, func(s play.Sample) color.Color {
 			left := uint8(255 - min(255, 6*int(s.Queue)))
 			return color.RGBA{left, left, 255, 255}
 		}))
@@ -118,7 +118,7 @@
 	play.Leaving: color.RGBA{0xbb, 0xbb, 0xbb, 255}, play.Silent: color.RGBA{0xf0, 0x8a, 0x24, 255},
 	play.Still: color.RGBA{0xf6, 0xe0, 0x6a, 255}, play.Lost: color.Black, play.Over: color.RGBA{0xd0, 0x00, 0x20, 255}}
 
-// heatMap draws a row a node and a column a second.
+// heatMap draws a row per node and a column per second.
 func heatMap(title string, r *play.Result, of func(play.Sample) color.Color) (template.HTML, error) {
 	nodes, seconds := len(r.Samples[0]), len(r.Samples)
 	step := (nodes + maxRows - 1) / maxRows
@@ -138,14 +138,14 @@
 		base64.StdEncoding.EncodeToString(b.Bytes()) + `">`), nil
 }
 
-// heatMapPlotter fills a plot with one rectangle for each run of like seconds of a node.
+// heatMapPlotter fills a plot with one rectangle for each run of equal seconds of a node.
 type heatMapPlotter struct {
 	r    *play.Result
 	step int
 	of   func(play.Sample) color.Color
 }
 
-// Plot draws them.
+// Plot implements plot.Plotter.
 func (g heatMapPlotter) Plot(c draw.Canvas, p *plot.Plot) {
 	x, y := p.Transforms(&c)
 	for n := 0; n < len(g.r.Samples[0]); n += g.step {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,9 +1,8 @@
-// Package report turns results into one HTML page that needs nothing else: tables, plots over time, what each node did beside
-// what brokers thought of it, broken rules and the module's words. It owns the page and the plots. It must never count anew what
-// a result says.
+// Package report writes results as one self-contained HTML page: tables, plots over time, the state of each node beside what
+// brokers took it for, broken rules and log lines. It must not compute anew what a result contains.
 //
-// Depends on lab/judge, lab/play. Concurrency: nothing here locks or starts a goroutine; a value is used by
-// one goroutine at a time.
+// Depends on lab/judge, lab/play. Concurrency: nothing here locks or starts a goroutine; a value is used by one goroutine at a
+// time.
 package report
 
 import (
@@ -16,7 +15,7 @@
 	"flaxfront/internal/lab/play"
 )
 
-// Page is what a page shows.
+// Page is the content of a page.
 type Page struct {
 	Title       string
 	Purpose     string
@@ -24,7 +23,7 @@
 	Differences []judge.Difference // nil: nothing was compared
 	Summary     string
 	Curves      []Curve // of a sweep
-	Varied      string  // what was varied there
+	Varied      string  // the setting that the sweep varied
 }
 
 // Curve is one line of a sweep.
@@ -64,29 +63,29 @@
 td:first-child,th:first-child{text-align:left}.bad{color:#b00020;font-weight:600}.note{color:#556}
 svg,img{max-width:100%;height:auto}pre{font-size:12px;max-height:22em;overflow:auto;background:#f5f6fa;padding:.6em}
 </style></head><body><h1>{{.Title}}</h1>
-<p class="note">All nodes, clients, networks and lists are simulated; the brokers' loop and decisions are those that serve.</p>
-{{with .Purpose}}<p>To learn: {{.}}.</p>{{end}}
-{{if .Differences}}<h2>Compared</h2><p><b>{{.Summary}}</b></p><table><tr><th>figure</th><th>first</th><th>second</th><th>difference</th><th>95% interval</th><th></th></tr>
+<p class="note">All nodes, clients, networks and lists are simulated; the brokers' event loop and decisions are the real ones.</p>
+{{with .Purpose}}<p>Purpose: {{.}}.</p>{{end}}
+{{if .Differences}}<h2>Compared</h2><p><b>{{.Summary}}</b></p><table><tr><th>metric</th><th>first</th><th>second</th><th>difference</th><th>95% interval</th><th></th></tr>
 {{range .Differences}}<tr><td>{{.Metric.Name}}{{with .Metric.Unit}}, {{.}}{{end}}</td><td>{{f .A}}</td><td>{{f .B}}</td><td>{{delta .Mean}}</td>
 <td>{{if .NeedsPairs}}one pair{{else}}{{delta .Low}} to {{delta .High}}{{end}}</td><td>{{if .Equal}}the same{{else if not .Significant}}no difference shown{{else if .Better}}better{{else}}worse{{end}}</td></tr>{{end}}</table>{{end}}
 {{range .Sweep}}{{.}}{{end}}
 {{range .Curves}}<h3>{{.Name}}</h3><table><tr><th>{{$.Varied}}</th><th>asked a second</th><th>answered in target a second</th><th>service</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th><th>shed %</th><th>failed %</th><th>rules broken</th></tr>
 {{range .Points}}<tr><td>{{f .X}}</td><td>{{f .Offered}}</td><td>{{f .Goodput}}</td><td>{{four .Service}}</td><td>{{f .P50}}</td><td>{{f .P99}}</td><td>{{f .P999}}</td><td>{{f .Shed}}</td><td>{{f .Failed}}</td><td{{if .Broken}} class="bad"{{end}}>{{.Broken}}</td></tr>{{end}}</table>{{end}}
 {{range .Sections}}<h2>{{.Name}}: {{.Policy}}, seed {{.Seed}}</h2>
-<p>{{when .Played}} played, course {{.Hash}}. Service <b>{{four .Counts.Service}}</b>, in its worst ten seconds {{four .Worst}}.
+<p>{{when .Played}} played, hash {{.Hash}}. Service <b>{{four .Counts.Service}}</b>, in its worst ten seconds {{four .Worst}}.
 {{if .Broken}}<span class="bad">Rules broken {{.Broken}} times.</span>{{else}}No rule broken.{{end}}
-{{.Work.Parts}} parts in {{.Work.Calls}} calls, {{.Work.Further}} of them further ones; {{.Work.Skipped}} turned away by nodes, {{.Work.Swallowed}} swallowed, {{.Work.Broke}} failed; {{.Work.Dials}} connections opened, {{.Work.Resets}} reset.</p>
+{{.Work.Parts}} shard requests in {{.Work.Calls}} calls, {{.Work.Further}} of them extra attempts; {{.Work.Skipped}} rejected by nodes, {{.Work.Swallowed}} never answered, {{.Work.Broke}} failed; {{.Work.Dials}} connections opened, {{.Work.Resets}} reset.</p>
 <table><tr><th>tenant</th><th>type</th><th>asked</th><th>service</th><th>in target</th><th>late</th><th>partial</th><th>shed</th><th>failed</th></tr>
 {{range .Rows}}<tr><td>{{.Tenant}}</td><td>{{.Type}}</td><td>{{.Counts.Asked}}</td><td>{{four .Counts.Service}}</td><td>{{share .Counts.InTarget .Counts}}</td><td>{{share .Counts.Late .Counts}}</td><td>{{share .Counts.Partial .Counts}}</td><td>{{share .Counts.Shed .Counts}}</td><td>{{share .Counts.Failed .Counts}}</td></tr>{{end}}</table>
 {{range .Plots}}{{.}}{{end}}
 {{if .Breaches}}<h3>Broken rules</h3><pre>{{range .Breaches}}{{when .At}} rule {{.Rule}}: {{.Text}}
 {{end}}</pre>{{end}}
-{{if .Lines}}<h3>What the module said{{with .LinesCut}} ({{.}} lines left out){{end}}</h3><pre>{{range .Lines}}{{when .At}} broker {{.Broker}}: {{.Text}}
+{{if .Lines}}<h3>Log of the router{{with .LinesCut}} ({{.}} lines left out){{end}}</h3><pre>{{range .Lines}}{{when .At}} broker {{.Broker}}: {{.Text}}
 {{end}}</pre>{{end}}{{end}}
 </body></html>
 `))
 
-// Write writes a page.
+// Write writes the page as HTML.
 func Write(w io.Writer, p *Page) error {
 	data := struct {
 		*Page
@@ -110,6 +109,6 @@
 }
 
 const (
-	maxRows   = 200 // of a picture; of larger fleets each so many nodes one is shown
+	maxRows   = 200 // of a heat map; of larger fleets one node in several is shown
 	rowHeight = 5.0
 )
--- a/internal/lab/script/reads.go
+++ b/internal/lab/script/reads.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Reads describe replicas that lag behind their writers, and clients that say in hints what their reads need.
+// Reads describes replicas that lag behind their writers, and clients whose read hints say what their reads need.
 type Reads struct {
 	On            bool          `json:"on" doc:"nodes report positions, and brokers obey hints"`
 	Writes        time.Duration `json:"writes" default:"7ms" min:"100us" max:"10s" doc:"between two acknowledged writes to a shard"`
--- a/internal/lab/script/schedule.go
+++ b/internal/lab/script/schedule.go
@@ -1,7 +1,7 @@
 package script
 
-// This file owns what a script says of a moment: the state of each node, the network and the load as functions of time alone, so
-// that whoever plays it, in whatever order, sees the same.
+// This file turns a script into a schedule: the state of each node, the network and the load as functions of time alone, so that
+// every simulation sees the same, in whatever order it asks.
 
 import (
 	"cmp"
@@ -16,19 +16,19 @@
 const (
 	Dies Action = iota + 1
 	Vanishes
-	Returns // from either; what died is cold
+	Returns // from Dies or Vanishes; after Dies the node is cold
 	Hangs
-	Resumes // from hanging
-	Stalls  // for the event's span
+	Resumes // after Hangs
+	Stalls  // for the event's Span
 	Drains
 	Leaves    // a drained node ends
-	Arrives   // a new node in its place, cold
-	Slows     // its factor may have changed
-	Lags      // for the event's span it takes no writes over
-	RollsBack // back, by the event's span
+	Arrives   // a new, cold node takes its place
+	Slows     // its slowdown may have changed
+	Lags      // for the event's Span it applies no writes
+	RollsBack // by the event's Span
 )
 
-// Event is one moment of one node's life.
+// Event is an action on a node at a time.
 type Event struct {
 	At     time.Duration
 	Node   int
@@ -36,33 +36,33 @@
 	Span   time.Duration
 }
 
-// Schedule is what a script says, worked out.
+// Schedule is the schedule of a script: its faults by time.
 type Schedule struct {
 	s           *Script
 	Events      []Event // by time
 	Restarts    []Restart
-	Down        []Span // discovery refuses
-	Hangs       []Span // discovery says nothing
+	Down        []Span // discovery refuses calls
+	Hangs       []Span // discovery accepts calls without answering
 	nodeFactors [][]timedFactor
 	cuts        []cut
-	loadFactors []timedFactor // on everybody
+	loadFactors []timedFactor // for all tenants
 	floods      []flood
 	losses      []timedFactor
 }
 
-// Restart is a broker that is killed and comes back.
+// Restart is a broker that is killed at From and started again at To.
 type Restart struct {
 	Broker int
 	Span
 }
 
-// Span is from a moment up to another.
+// Span is a period from From up to, but not including, To.
 type Span struct{ From, To time.Duration }
 
-// Includes tells whether a moment lies in it.
+// Includes reports whether a time lies in the span.
 func (s Span) Includes(at time.Duration) bool { return at >= s.From && at < s.To }
 
-// timedFactor is a factor that comes, stays and goes.
+// timedFactor is a factor that applies for a span, with a ramp at either end.
 type timedFactor struct {
 	Span
 	ramp   time.Duration
@@ -81,7 +81,7 @@
 	repeats bool
 }
 
-// valueAt is the factor at a moment; one means that nothing is touched.
+// valueAt returns the factor at a time; 1 outside the span.
 func (t *timedFactor) valueAt(at time.Duration) float64 {
 	if !t.Includes(at) {
 		return 1
@@ -93,7 +93,7 @@
 	return 1 + in*(t.factor-1)
 }
 
-// Schedule works a checked script out.
+// Schedule returns the schedule of a checked script.
 func (s *Script) Schedule() *Schedule {
 	c := &Schedule{s: s, nodeFactors: make([][]timedFactor, s.Fleet.Nodes)}
 	for i := range s.Faults {
@@ -165,7 +165,7 @@
 	}
 }
 
-// Slow is how many times longer a node takes.
+// Slow returns by how many times a node's service times are longer at a time.
 func (c *Schedule) Slow(node int, at time.Duration) float64 {
 	f := 1.0
 	for i := range c.nodeFactors[node] {
@@ -176,7 +176,7 @@
 	return f
 }
 
-// ErrorShare is the share of its parts that a node fails.
+// ErrorShare returns the share of its shard requests that a node fails at a time.
 func (c *Schedule) ErrorShare(node int, at time.Duration) (share float64) {
 	for i := range c.nodeFactors[node] {
 		if t := &c.nodeFactors[node][i]; t.errors && t.Includes(at) {
@@ -186,7 +186,7 @@
 	return share
 }
 
-// Cut tells until when two zones can't reach each other; 0: they can.
+// Cut returns until when two zones are cut off from each other; 0: they are not.
 func (c *Schedule) Cut(a, b int, at time.Duration) (until time.Duration) {
 	for _, k := range c.cuts {
 		if a != b && k.Includes(at) && (k.zone == a || k.zone == b) {
@@ -196,7 +196,7 @@
 	return until
 }
 
-// Loss is the share of packets that are lost.
+// Loss returns the share of packets that are lost at a time.
 func (c *Schedule) Loss(at time.Duration) float64 {
 	loss := c.s.Network.Loss
 	for i := range c.losses {
@@ -207,7 +207,7 @@
 	return loss
 }
 
-// Load is how many times the usual is asked by a tenant, and whether it comes back at once.
+// Load returns the factor on a tenant's load at a time, and whether its clients retry at once when they are refused.
 func (c *Schedule) Load(tenant int, at time.Duration) (factor float64, repeats bool) {
 	factor = 1
 	for i := range c.loadFactors {
@@ -222,7 +222,7 @@
 	return factor, repeats
 }
 
-// Max bounds Load over all tenants and moments.
+// Max returns an upper bound of Load over all tenants and times.
 func (c *Schedule) Max() float64 {
 	most := 1.0
 	for i := range c.loadFactors {
@@ -234,7 +234,7 @@
 	return most
 }
 
-// End is the time after which nothing of the schedule happens.
+// End returns the time after which the schedule holds no more events.
 func (c *Schedule) End() time.Duration {
 	end := c.s.Length
 	for _, t := range c.s.Faults {
--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -1,9 +1,9 @@
-// Package script reads rehearsals: what fleet there is, who asks how much, and what goes wrong when. It owns the form, its
-// ranges and the contradictions a script may hold, and turns a script into terms for brokers and into a schedule of faults that
-// depends on nothing but the script and its seed. It must never play one.
+// Package script reads rehearsal scripts: the fleet, the load and the faults. It defines their format, checks ranges and
+// contradictions, and turns a script into settings for brokers and into a schedule of faults that depends on nothing but the
+// script and its seed. It does not run scripts.
 //
-// Depends on config/form, config/operator, config/terms, decision. Concurrency: nothing here locks
-// or starts a goroutine; a value is used by one goroutine at a time.
+// Depends on config/form, config/operator, config/terms, decision. Concurrency: nothing here locks or starts a goroutine; a value
+// is used by one goroutine at a time.
 package script
 
 import (
@@ -17,7 +17,7 @@
 	"flaxfront/internal/config/form"
 )
 
-// Script is one rehearsal.
+// Script describes one rehearsal.
 type Script struct {
 	Name    string        `json:"name" doc:"a few words"`
 	Purpose string        `json:"teaches" doc:"what whoever plays it should learn"`
@@ -40,12 +40,12 @@
 func Read(path string) (*Script, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("script: %w", err)
+		return nil, fmt.Errorf("read script: %w", err)
 	}
 	return Decode(path, raw)
 }
 
-// Decode reads the text of a script. An error names line and field.
+// Decode decodes the text of a script. Its errors name line and field.
 func Decode(path string, raw []byte) (*Script, error) {
 	s := &Script{}
 	var err error
@@ -70,27 +70,27 @@
 	}
 }
 
-// Check fills in what a script may leave out and tells what in it contradicts itself.
+// Check fills in defaults, and returns the first field that contradicts the rest of the script, with an error.
 func (s *Script) Check() (field string, err error) {
 	s.fillDefaults()
 	if s.Fleet.Cells > s.Fleet.Nodes {
-		return "fleet.cells", fmt.Errorf("%d sets of %d nodes leave some without a holder", s.Fleet.Cells, s.Fleet.Nodes)
+		return "fleet.cells", fmt.Errorf("%d cells for %d nodes: each cell needs a node", s.Fleet.Cells, s.Fleet.Nodes)
 	}
 	if s.Fleet.Zones > s.Fleet.Nodes {
-		return "fleet.zones", fmt.Errorf("%d zones for %d nodes", s.Fleet.Zones, s.Fleet.Nodes)
+		return "fleet.zones", fmt.Errorf("%d zones for %d nodes: each zone needs a node", s.Fleet.Zones, s.Fleet.Nodes)
 	}
 	names := map[string]bool{}
 	for i, t := range s.Types {
 		at := fmt.Sprintf("types.%d", i)
 		switch {
 		case t.Name == "" || names[t.Name]:
-			return at + ".name", fmt.Errorf("%q is empty or there already", t.Name)
+			return at + ".name", fmt.Errorf("%q is empty or used twice", t.Name)
 		case t.Timeout < t.Objective:
-			return at + ".timeout", fmt.Errorf("%v, before the target of %v", t.Timeout, t.Objective)
+			return at + ".timeout", fmt.Errorf("%v is shorter than the target of %v", t.Timeout, t.Objective)
 		case t.Max < t.Min || t.Max > s.Shards():
-			return at + ".most_parts", fmt.Errorf("%d: from %d up to the %d shards there are", t.Max, t.Min, s.Shards())
+			return at + ".most_parts", fmt.Errorf("%d is out of range: from least_parts, %d, up to the %d shards", t.Max, t.Min, s.Shards())
 		case t.Effect != "idempotent" && t.Effect != "tokened" && t.Effect != "non_idempotent":
-			return at + ".effect", fmt.Errorf("%q is none of idempotent, tokened, non_idempotent", t.Effect)
+			return at + ".effect", fmt.Errorf("%q is not one of idempotent, tokened, non_idempotent", t.Effect)
 		}
 		names[t.Name] = true
 	}
@@ -98,13 +98,13 @@
 	sum := 0.0
 	for i, t := range s.Tenants {
 		if t.Name == "" || names[t.Name] {
-			return fmt.Sprintf("tenants.%d.name", i), fmt.Errorf("%q is empty or there already", t.Name)
+			return fmt.Sprintf("tenants.%d.name", i), fmt.Errorf("%q is empty or used twice", t.Name)
 		}
 		names[t.Name] = true
 		sum += t.Share
 	}
 	if sum <= 0 {
-		return "tenants", fmt.Errorf("their shares add up to nothing")
+		return "tenants", fmt.Errorf("the shares of all tenants add up to 0")
 	}
 	for i := range s.Faults {
 		if field, err := s.checkFault(&s.Faults[i]); err != nil {
@@ -119,10 +119,10 @@
 	return "", nil
 }
 
-// Shards tells how many there are; shard s is held by the set s modulo the sets.
+// Shards returns the number of shards; shard s is held by cell s modulo the number of cells.
 func (s *Script) Shards() int { return s.Fleet.Cells * s.Fleet.Shards }
 
-// ZoneOf tells the zone of a node: the holders of a set lie in different zones as far as these go.
+// ZoneOf returns the zone of a node: the nodes of a cell lie in different zones as far as there are enough.
 func (s *Script) ZoneOf(node int) int { return (node/s.Fleet.Cells + node) % s.Fleet.Zones }
 
 func (s *Script) zone(name string) int {
@@ -136,7 +136,7 @@
 	return slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// nodesOf draws the nodes that a trouble is about, the same whenever it is asked.
+// nodesOf returns the nodes that a fault affects, the same ones at each call.
 func (s *Script) nodesOf(t *Fault) []int {
 	if len(t.Nodes) > 0 {
 		return t.Nodes
@@ -153,7 +153,7 @@
 	return all
 }
 
-// draw takes a share of some, one at least where the share is above nothing.
+// draw draws a share of the given numbers, at least one if the share is above 0.
 func draw(all []int, share float64, seed int, t *Fault) []int {
 	r := rand.New(rand.NewPCG(uint64(seed), uint64(t.At)<<8+uint64(len(t.Kind))))
 	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -166,5 +166,5 @@
 	return all
 }
 
-// Text writes a script as Read reads it: what differs from the defaults, and no more.
+// Text returns the script in the form that Read reads, with only the fields that differ from their defaults.
 func (s *Script) Text() string { return form.Text(s) }
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// What is wrong, or contradicts itself, is told in one line with line and field.
+// A wrong or contradictory script is rejected with an error of one line that names line and field.
 func TestBadScripts(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                                   "f: line 1",
 		"{\n\"flet\": {}}":                    "f:2: flet: unknown",
 		`{"fleet": {"nodes": 0}}`:             "fleet.nodes: 0 is out of range",
-		`{"fleet": {"nodes": 2, "cells": 4}}`: "fleet.cells: 4 sets of 2 nodes",
+		`{"fleet": {"nodes": 2, "cells": 4}}`: "fleet.cells: 4 cells for 2 nodes",
 		`{"types": [{"name": "a"}, {"name": "a"}]}`:                                          "types.1.name",
 		`{"types": [{"name": "a", "timeout": "1s", "target": "2s"}]}`:                        "types.0.timeout",
 		`{"types": [{"name": "a", "effect": "magic"}]}`:                                      "types.0.effect",
 		`{"types": [{"name": "a", "most_parts": 90}]}`:                                       "up to the 12 shards",
-		"{\"troubles\": [\n{\"what\": \"die\"},\n{\"what\": \"sulk\"}]}":                     "f:3: troubles.1.what: \"sulk\" is none of",
-		`{"troubles": [{"what": "die", "at": "40s"}]}`:                                       "when the clients have stopped",
+		"{\"troubles\": [\n{\"what\": \"die\"},\n{\"what\": \"sulk\"}]}":                     "f:3: troubles.1.what: \"sulk\" is not one of",
+		`{"troubles": [{"what": "die", "at": "40s"}]}`:                                       "too late: the clients stop after 30s",
 		`{"troubles": [{"what": "slow", "for": "4s", "ramp": "3s"}]}`:                        "do not fit",
-		`{"troubles": [{"what": "cut"}]}`:                                                    "name of one zone",
-		`{"troubles": [{"what": "cut", "zone": "q"}]}`:                                       "none of the 2 zones",
-		`{"troubles": [{"what": "flood", "tenant": "who"}]}`:                                 "none of the tenants",
+		`{"troubles": [{"what": "cut"}]}`:                                                    "needs the name of one zone",
+		`{"troubles": [{"what": "cut", "zone": "q"}]}`:                                       "not one of the 2 zones",
+		`{"troubles": [{"what": "flood", "tenant": "who"}]}`:                                 "not one of the tenants",
 		`{"troubles": [{"what": "die", "nodes": [99]}]}`:                                     "troubles.0.nodes: 99",
-		`{"troubles": [{"what": "die", "share": 0}]}`:                                        "is none",
-		`{"troubles": [{"what": "stall", "every": "1s", "pause": "1s"}]}`:                    "is no pause but the end",
-		`{"troubles": [{"what": "errors", "factor": 101}]}`:                                  "101 in a hundred",
-		`{"troubles": [{"what": "die", "nodes": [3]}, {"what": "hang", "nodes": [3]}]}`:      "node 3 can't hang while it is to die",
-		`{"troubles": [{"what": "discovery_down"}, {"what": "discovery_down", "at": "8s"}]}`: "the same as troubles.0",
+		`{"troubles": [{"what": "die", "share": 0}]}`:                                        "is no node",
+		`{"troubles": [{"what": "stall", "every": "1s", "pause": "1s"}]}`:                    "leaves no time between pauses",
+		`{"troubles": [{"what": "errors", "factor": 101}]}`:                                  "101 is more than 100 percent",
+		`{"troubles": [{"what": "die", "nodes": [3]}, {"what": "hang", "nodes": [3]}]}`:      "node 3 cannot hang during its die in troubles.0",
+		`{"troubles": [{"what": "discovery_down"}, {"what": "discovery_down", "at": "8s"}]}`: "overlaps with troubles.0 of the same kind",
 		`{"troubles": [{"what": "die"}, {"what": "die", "nodes": ["x"]}]}`:                   "a whole number is wanted",
-		`{"tenants": [{"name": "a", "share": 0}]}`:                                           "add up to nothing",
+		`{"tenants": [{"name": "a", "share": 0}]}`:                                           "add up to 0",
 	} {
 		if s, err := Decode("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, %+v", text, err, s)
@@ -38,7 +38,7 @@
 	}
 }
 
-// A script that is written reads as the same one.
+// A script that is written as text and read back is the same.
 func TestTextReadsBack(t *testing.T) {
 	s, err := Decode("f", []byte(`{"name": "a \"b\"", "fleet": {"nodes": 9, "cells": 3}, "load": {"rate": 12.5}, "troubles": [
 		{"what": "die", "nodes": [1, 4], "for": "2s"}, {"what": "flood", "tenant": "quiet", "factor": 4, "repeats": true, "ramp": "1s"}]}`))
@@ -51,7 +51,7 @@
 	}
 }
 
-// A factor comes and goes over its ramp, and troubles of one moment add up.
+// A factor rises and falls over its ramp, and faults that overlap combine.
 func TestScheduleOverTime(t *testing.T) {
 	s, err := Decode("f", []byte(`{"troubles": [{"what": "slow", "nodes": [2], "at": "10s", "for": "10s", "ramp": "4s", "factor": 5},
 		{"what": "slow", "nodes": [2], "at": "15s", "for": "1s", "factor": 2}, {"what": "cut", "zone": "b", "at": "3s", "for": "2s"}]}`))
@@ -62,11 +62,11 @@
 	for at, want := range map[time.Duration]float64{9 * time.Second: 1, 12 * time.Second: 3, 14 * time.Second: 5, 15 * time.Second: 10,
 		18 * time.Second: 3, 20 * time.Second: 1} {
 		if got := c.Slow(2, at); got != want {
-			t.Errorf("%v times as slow at %v, want %v", got, at, want)
+			t.Errorf("slowdown %v at %v, want %v", got, at, want)
 		}
 	}
 	if c.Cut(0, 1, 4*time.Second) != 5*time.Second || c.Cut(0, 0, 4*time.Second) != 0 || c.Cut(0, 1, 5*time.Second) != 0 {
-		t.Error("the cut is elsewhere")
+		t.Error("the zones are not cut off from each other from 3 s to 5 s exactly")
 	}
 }
 
--- a/internal/lab/script/settings.go
+++ b/internal/lab/script/settings.go
@@ -1,6 +1,6 @@
 package script
 
-// This file owns what the brokers of a script are given: settings and an operators' file.
+// This file makes the settings and the operators' file for the brokers of a script.
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"flaxfront/internal/decision"
 )
 
-// Terms are the settings that the script's brokers are given.
+// Terms returns the settings of the script's brokers.
 func (s *Script) Terms() *terms.Terms {
 	f, b := &s.Fleet, &s.Brokers
 	t := &terms.Terms{Shards: s.Shards(), Streams: 32, Idle: 30 * time.Second, Dial: 250 * time.Millisecond,
@@ -44,7 +44,7 @@
 	return t
 }
 
-// OperatorFile is the operators' file that the script's brokers are given.
+// OperatorFile returns the operators' file of the script's brokers.
 func (s *Script) OperatorFile() *operator.File {
 	f := operator.Default()
 	f.Door.On = s.Brokers.Door
@@ -52,7 +52,7 @@
 	return f
 }
 
-// Settings are the script's terms in the form of a broker's configuration.
+// Settings returns the same settings in the format of a broker's configuration.
 func (s *Script) Settings() ([]byte, error) {
 	t := s.Terms()
 	m := &t.Module
--- a/internal/lab/script/shapes.go
+++ b/internal/lab/script/shapes.go
@@ -1,10 +1,10 @@
 package script
 
-// This file owns the form of what a script says, part by part, and what each trouble does.
+// This file defines the sections of a script and the kinds of faults.
 
 import "time"
 
-// Fleet describes the nodes.
+// Fleet describes the store nodes.
 type Fleet struct {
 	Nodes          int           `json:"nodes" default:"16" min:"1" max:"20000" doc:"simulated store nodes"`
 	Cells          int           `json:"cells" default:"4" min:"1" max:"5000" doc:"sets of nodes that hold the same shards; nodes are dealt out in turn"`
@@ -23,7 +23,7 @@
 	Connections    int           `json:"connections" default:"1000" min:"1" max:"100000" doc:"that a node accepts"`
 }
 
-// Network describes what lies between.
+// Network describes the network between clients, brokers and nodes.
 type Network struct {
 	ZoneDelay      time.Duration `json:"hop" default:"300us" min:"50us" max:"1s" doc:"one way, within a zone"`
 	CrossZoneDelay time.Duration `json:"cross" default:"700us" min:"50us" max:"1s" doc:"one way, between zones"`
@@ -44,12 +44,12 @@
 	KeepList      bool          `json:"keep_list" doc:"the node list is kept over restarts"`
 }
 
-// List describes the list service.
+// List describes the service that provides the endpoint list.
 type List struct {
 	Delay time.Duration `json:"delay" default:"2s" min:"0s" max:"5m" doc:"from a change of a node to the list's"`
 }
 
-// Type is one query type.
+// Type describes a query type.
 type Type struct {
 	Name          string        `json:"name"`
 	Share         float64       `json:"share" default:"1" min:"0" max:"1000000" doc:"of searches, beside the others'"`
@@ -65,13 +65,13 @@
 	KeyWindow     time.Duration `json:"window" default:"1500ms" min:"0s" max:"10m" doc:"tokened: how long repeats are dropped"`
 }
 
-// Tenant is one customer.
+// Tenant describes a tenant.
 type Tenant struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share" default:"1" min:"0" max:"1000000" doc:"of the load, beside the others', and its portion"`
 }
 
-// Load is what clients ask.
+// Load describes the clients' load.
 type Load struct {
 	Rate            float64       `json:"rate" default:"60" min:"0.01" max:"10000000" doc:"searches a second over all brokers"`
 	Retries         int           `json:"retries" default:"2" min:"0" max:"10" doc:"of a client after a search was refused or failed"`
@@ -80,7 +80,7 @@
 	Skew            float64       `json:"skew" default:"0" min:"0" max:"1" doc:"of searches that go to the tenth of the brokers that are asked most"`
 }
 
-// Fault is one thing that goes wrong. Which nodes: those named, or those of a zone, or a share drawn at random.
+// Fault is one fault. It affects the nodes in Nodes, or those of a zone, or a share drawn at random.
 type Fault struct {
 	Kind    string        `json:"what" doc:"one of Kinds"`
 	At      time.Duration `json:"at" default:"5s" min:"0s" max:"2h"`
@@ -96,22 +96,22 @@
 	Repeats bool          `json:"repeats" doc:"flood: its clients come back at once when they are refused"`
 }
 
-// FaultKinds are the troubles, with what each does.
+// FaultKinds describes what each kind of fault does.
 var FaultKinds = map[string]string{
-	"die":            "nodes end, their connections break; they come back cold",
-	"vanish":         "nodes say nothing any more, not even that they are gone; then their connections break",
-	"hang":           "nodes take parts and answer none",
-	"stall":          "nodes stand still for a pause again and again",
+	"die":            "nodes end and their connections are reset; they come back cold",
+	"vanish":         "nodes become unreachable, without a reset of connections; then their connections break",
+	"hang":           "nodes accept shard requests and answer none",
+	"stall":          "nodes pause for a time, again and again",
 	"slow":           "nodes take factor times as long",
-	"errors":         "nodes fail a share of their parts, factor in a hundred",
-	"drain":          "nodes leave as planned; a new one takes each one's place when that is over, cold",
+	"errors":         "nodes fail factor percent of their shard requests",
+	"drain":          "nodes drain; when they have left, new, cold nodes take their places",
 	"cut":            "a zone is cut off from the others",
-	"jump":           "everybody asks factor times as much",
-	"flood":          "one tenant asks factor times as much",
+	"jump":           "the load of all tenants is factor times as high",
+	"flood":          "the load of one tenant is factor times as high",
 	"discovery_down": "the list service refuses calls",
-	"discovery_hang": "the list service takes calls and says nothing",
-	"restart":        "brokers are killed; they come back with nothing but what they keep",
-	"loss":           "of packets, factor in a hundred are lost",
-	"lag":            "nodes take no writes over; then they catch up",
-	"rollback":       "nodes are at a state older by factor seconds, and nobody is told; then they catch up",
+	"discovery_hang": "the list service accepts calls and does not answer",
+	"restart":        "brokers are killed; they come back with only the state that they store",
+	"loss":           "factor percent of the packets are lost",
+	"lag":            "nodes apply no writes; then they catch up",
+	"rollback":       "nodes fall back, unannounced, to a state older by factor seconds; then they catch up",
 }
