--- a/internal/lab/chaos/clients.go
+++ b/internal/lab/chaos/clients.go
@@ -51,7 +51,7 @@
 				}
 			}
 		}
-		return "http://127.0.0.1:1", func() bool { return false } // nobody serves: the search has no answer
+		return "http://127.0.0.1:1", func() bool { return false } // nobody serves: the query gets no answer
 	}
 	go func() {
 		c.result = load.Run()
--- a/internal/lab/emu.go
+++ b/internal/lab/emu.go
@@ -40,22 +40,22 @@
 	connectTimeout = 250 * time.Millisecond
 )
 
-func (w *Simulation) at(when time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, timedEvent{max(when, w.now), w.seq, do})
+func (sim *Simulation) at(when time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, timedEvent{max(when, sim.now), sim.seq, do})
 }
 
-func (w *Simulation) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		m := heap.Pop(&w.queue).(timedEvent)
-		w.now = m.at
+func (sim *Simulation) run(until time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		m := heap.Pop(&sim.queue).(timedEvent)
+		sim.now = m.at
 		m.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (w *Simulation) recordViolation(format string, args ...any) {
-	w.Violations = append(w.Violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+func (sim *Simulation) recordViolation(format string, args ...any) {
+	sim.Violations = append(sim.Violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 }
 
 // Broker is one simulated broker with the real router and, where the policy uses one, the real list evaluator.
--- a/internal/lab/emusend.go
+++ b/internal/lab/emusend.go
@@ -8,7 +8,7 @@
 
 // send carries one attempt to a node and back. Each attempt ends exactly once.
 func (b *Broker) send(a decision.Action) {
-	sim, s, box := b.sim, b.shardRequests[a.ID], b.sim.nodes[a.Node]
+	sim, s, node := b.sim, b.shardRequests[a.ID], b.sim.nodes[a.Node]
 	if s == nil || s.finished {
 		sim.recordViolation("rule 1: shard request %d sent after its query's answer", a.ID)
 		return
@@ -33,22 +33,22 @@
 	}
 	s.cancels[key] = func() { end(decision.Cancelled) }
 	sim.Tally.ShardRequests++
-	if box.Mode != Serving {
+	if node.Mode != Serving {
 		sim.Tally.Wrong++
 	}
-	switch box.Mode {
+	switch node.Mode {
 	case Dead:
 		sim.at(sim.now+2*oneWayDelay, func() { end(decision.ConnectFailed) })
 	case Unreachable:
 		sim.at(sim.now+connectTimeout, func() { end(decision.ConnectFailed) })
 	default:
 		sim.at(sim.now+oneWayDelay, func() {
-			done, taken := box.Offer(sim.now)
+			done, taken := node.Offer(sim.now)
 			switch {
-			case box.Crashed:
-				sim.recordViolation("rule 4: %s crashed by overload while cold", box.Name)
-				box.Mode, box.Crashed = Hanging, false
-			case box.Mode == Hanging:
+			case node.Crashed:
+				sim.recordViolation("rule 4: %s crashed by overload while cold", node.Name)
+				node.Mode, node.Crashed = Hanging, false
+			case node.Mode == Hanging:
 			case !taken:
 				sim.at(sim.now+oneWayDelay, func() { end(decision.Rejected) })
 			default:
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -52,11 +52,11 @@
 	}
 	f := &Finding{Script: s, Broken: r.Broken, Service: r.Counts.Service(), Oracle: 1}
 	if !o.OnlyRules {
-		seer, err := play.Play(s, play.Options{Policy: play.Oracle})
+		oracle, err := play.Play(s, play.Options{Policy: play.Oracle})
 		if err != nil {
 			return nil, err
 		}
-		f.Oracle = seer.Counts.Service()
+		f.Oracle = oracle.Counts.Service()
 	}
 	f.Loss = f.Oracle - f.Service
 	return f, nil
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -10,7 +10,7 @@
 // The same seed gives the same run. In sixty starts with a list of which half the entries are wrong, every second one with cold
 // nodes, no rule is broken and few shard requests go to wrong nodes.
 func TestStarts(t *testing.T) {
-	parts, wrong := 0, 0
+	requests, wrong := 0, 0
 	for seed := range uint64(60) {
 		s := Start{Seed: seed, Policy: TrustByProbability, ListAge: time.Duration(seed%8) * 24 * time.Hour, Wrong: 0.5, ColdNodes: seed%2 == 1, Nodes: 16,
 			Brokers: 3, Rate: 120, For: 3 * time.Second}
@@ -18,25 +18,25 @@
 		if len(w.Violations) > 0 {
 			t.Errorf("seed %d: %v", seed, w.Violations[0])
 		}
-		parts, wrong = parts+w.Tally.ShardRequests, wrong+w.Tally.Wrong
+		requests, wrong = requests+w.Tally.ShardRequests, wrong+w.Tally.Wrong
 		if again := SimulateStart(s); seed < 5 && again.Tally != w.Tally {
 			t.Errorf("seed %d: %+v, then %+v", seed, w.Tally, again.Tally)
 		}
 	}
-	if wrong*8 > parts {
-		t.Errorf("%d of %d shard requests went to wrong nodes", wrong, parts)
+	if wrong*8 > requests {
+		t.Errorf("%d of %d shard requests went to wrong nodes", wrong, requests)
 	}
 }
 
 // The audits find violations: a cold node that is offered too much crashes, and an effect that ran twice, or ran although the
 // query was shed, is reported.
 func TestAuditsFind(t *testing.T) {
-	box := NewNodeModel("b", 0, 2, 10*time.Millisecond, WarmUpParams{InitialCapacity: 0.3, RampTime: 10 * time.Second, OverloadMultiple: 2, For: time.Second}, 1)
-	box.LastStart = 0
-	for i := 0; i < 1000 && !box.Crashed; i++ {
-		box.Offer(time.Duration(i) * time.Millisecond)
+	model := NewNodeModel("b", 0, 2, 10*time.Millisecond, WarmUpParams{InitialCapacity: 0.3, RampTime: 10 * time.Second, OverloadMultiple: 2, For: time.Second}, 1)
+	model.LastStart = 0
+	for i := 0; i < 1000 && !model.Crashed; i++ {
+		model.Offer(time.Duration(i) * time.Millisecond)
 	}
-	if !box.Crashed {
+	if !model.Crashed {
 		t.Error("a cold node never crashed, whatever it was offered")
 	}
 	node := &Node{runs: map[string]int{"s.1": 2, "r.1": 1}}
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -18,9 +18,9 @@
 )
 
 // Value returns a node's value for a shard request. It depends on id and shard only, so that clients can verify it.
-func Value(part string, shard int) string {
+func Value(request string, shard int) string {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%s %d", part, shard)
+	fmt.Fprintf(h, "%s %d", request, shard)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
@@ -28,9 +28,9 @@
 type Node struct {
 	Cells         int // the node holds the shards that are equal to its cell modulo Cells
 	ShardRequests atomic.Int64
-	Misdirected   atomic.Int64                                     // shard requests for shards that it does not hold, or received while not serving
-	LastRequestAt atomic.Int64                                     // arrival of the last shard request, in Unix nanoseconds
-	MakeValue     func(part string, shard int, text string) string // value for a shard request; nil: Value
+	Misdirected   atomic.Int64                                        // shard requests for shards that it does not hold, or received while not serving
+	LastRequestAt atomic.Int64                                        // arrival of the last shard request, in Unix nanoseconds
+	MakeValue     func(request string, shard int, text string) string // value for a shard request; nil: Value
 	mu            sync.Mutex
 	model         *NodeModel
 	epoch         time.Time
@@ -117,10 +117,10 @@
 }
 
 // RunCount returns how often a shard request ran on this node.
-func (n *Node) RunCount(part string) int {
+func (n *Node) RunCount(request string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.runs[part]
+	return n.runs[request]
 }
 
 func (n *Node) serve(conn net.Conn) {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -21,11 +21,11 @@
 
 // Load describes an open-loop load of queries.
 type Load struct {
-	URL             string                                              // of the broker, without a path
-	PickBroker      func() (url string, crashed func() bool)            // if set, picks a broker for each query instead of URL; crashed reports whether a fault hit it since
-	QueryType       string                                              // query type of all queries
-	QueryTypes      []string                                            // if set, one of these at random instead
-	RecordResult    func(search, class string, parts []int, status int) // called at the end of each query, under a lock; nil: none
+	URL             string                                                  // of the broker, without a path
+	PickBroker      func() (url string, crashed func() bool)                // if set, picks a broker for each query instead of URL; crashed reports whether a fault hit it since
+	QueryType       string                                                  // query type of all queries
+	QueryTypes      []string                                                // if set, one of these at random instead
+	RecordResult    func(query, queryType string, shards []int, status int) // called at the end of each query, under a lock; nil: none
 	Tenant          string
 	Shards          int
 	MaxShards       int // most shards of a query
@@ -66,9 +66,9 @@
 	}
 	for due := time.Duration(0); due < l.RunTime; due += time.Duration(rnd.ExpFloat64() / l.Rate * float64(time.Second)) {
 		shards := rnd.Perm(l.Shards)[:1+rnd.IntN(l.MaxShards)]
-		search, class := fmt.Sprintf("%016x", rnd.Uint64()), l.QueryType
+		query, queryType := fmt.Sprintf("%016x", rnd.Uint64()), l.QueryType
 		if len(l.QueryTypes) > 0 {
-			class = l.QueryTypes[rnd.IntN(len(l.QueryTypes))]
+			queryType = l.QueryTypes[rnd.IntN(len(l.QueryTypes))]
 		}
 		select {
 		case <-time.After(time.Until(begun.Add(due))):
@@ -79,7 +79,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			l.runQuery(client, o, begun, begun.Add(due), search, class, shards)
+			l.runQuery(client, o, begun, begun.Add(due), query, queryType, shards)
 		}()
 	}
 	all.Wait()
@@ -87,7 +87,7 @@
 	return o
 }
 
-func (l Load) runQuery(client *http.Client, o *LoadResult, begun, due time.Time, search, class string, shards []int) {
+func (l Load) runQuery(client *http.Client, o *LoadResult, begun, due time.Time, query, queryType string, shards []int) {
 	type tablet struct {
 		Tablet   int     `json:"tablet"`
 		Fraction float64 `json:"fraction"`
@@ -95,12 +95,12 @@
 	ask := struct {
 		Tablets   []tablet `json:"tablets"`
 		Statement string   `json:"statement"`
-	}{Statement: search[:8]}
+	}{Statement: query[:8]}
 	for _, s := range shards {
 		ask.Tablets = append(ask.Tablets, tablet{s, 1 / float64(len(shards))})
 	}
 	body, _ := json.Marshal(ask)
-	resp, crashed, err := l.send(client, search, class, body)
+	resp, crashed, err := l.send(client, query, queryType, body)
 	status, text := 0, []byte(nil)
 	if err == nil {
 		status = resp.StatusCode
@@ -112,14 +112,14 @@
 	defer o.mu.Unlock()
 	o.Asked, o.intervalAsked = o.Asked+1, o.intervalAsked+1
 	if l.RecordResult != nil && !crashed() { // after a crash the client may have sent the query again
-		l.RecordResult(search, class, shards, status)
+		l.RecordResult(query, queryType, shards, status)
 	}
 	switch {
 	case err != nil && crashed():
 		o.LostInCrash++
 	case err != nil:
 		o.Unanswered, o.intervalOther = o.Unanswered+1, o.intervalOther+1
-		o.Violations = append(o.Violations, fmt.Sprintf("rule 1: query %s has no answer: %v", search, err))
+		o.Violations = append(o.Violations, fmt.Sprintf("rule 1: query %s has no answer: %v", query, err))
 	case status == 429 || status == 503:
 		o.Shed, o.intervalShed = o.Shed+1, o.intervalShed+1
 	case status != 200:
@@ -134,22 +134,22 @@
 		if took <= l.Objective {
 			o.InTarget++
 		}
-		if why := l.checkAnswer(text, search, shards, o); why != "" {
-			o.Violations = append(o.Violations, fmt.Sprintf("rule 5: query %s: %s", search, why))
+		if why := l.checkAnswer(text, query, shards, o); why != "" {
+			o.Violations = append(o.Violations, fmt.Sprintf("rule 5: query %s: %s", query, why))
 		}
 	}
 }
 
 // send sends a query to a broker. A broker that refuses the connection has accepted nothing, so another one is tried, as load
 // balancers do.
-func (l Load) send(client *http.Client, search, class string, body []byte) (resp *http.Response, crashed func() bool, err error) {
+func (l Load) send(client *http.Client, query, queryType string, body []byte) (resp *http.Response, crashed func() bool, err error) {
 	for try := 0; ; try++ {
 		url := l.URL
 		if crashed = func() bool { return false }; l.PickBroker != nil {
 			url, crashed = l.PickBroker()
 		}
-		req, _ := http.NewRequest("POST", url+"/"+class, bytes.NewReader(body))
-		req.Header.Set("X-Request-ID", search)
+		req, _ := http.NewRequest("POST", url+"/"+queryType, bytes.NewReader(body))
+		req.Header.Set("X-Request-ID", query)
 		req.Header.Set("X-Timeout-Ms", strconv.FormatInt(l.Timeout.Milliseconds(), 10))
 		req.Header["Idempotency-Key"] = nil // lets the HTTP client resend a query whose connection was closed meanwhile, as the protocol allows
 		if l.Tenant != "" {
@@ -164,7 +164,7 @@
 }
 
 // checkAnswer checks an answer against the values that nodes return and returns what is wrong, or "". The caller holds the lock.
-func (l Load) checkAnswer(text []byte, search string, shards []int, o *LoadResult) string {
+func (l Load) checkAnswer(text []byte, query string, shards []int, o *LoadResult) string {
 	var a struct {
 		Full   bool `json:"full"`
 		Pieces []struct {
@@ -177,7 +177,7 @@
 	}
 	in := map[int]bool{}
 	for _, p := range a.Pieces {
-		if in[p.Tablet] || p.Cell != Value(fmt.Sprintf("%s.%d", search, p.Tablet), p.Tablet) {
+		if in[p.Tablet] || p.Cell != Value(fmt.Sprintf("%s.%d", query, p.Tablet), p.Tablet) {
 			return fmt.Sprintf("shard %d has the wrong value %q", p.Tablet, p.Cell)
 		}
 		in[p.Tablet] = true
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -49,13 +49,13 @@
 	warm := WarmUpParams{InitialCapacity: s.Fleet.ColdCapacity, RampTime: s.Fleet.WarmUpAfter, OverloadMultiple: s.Fleet.CrashMultiple, For: s.Fleet.CrashAfter}
 	for i := range s.Fleet.Nodes {
 		name := fmt.Sprintf("n%05d.0", i)
-		box := NewNodeModel(name, i%s.Fleet.Cells, s.Fleet.Cores, st.meanWork(i, 0), warm, uint64(s.Seed+i))
-		box.Queue = time.Duration(s.Fleet.Queue) * st.meanWork(i, 0) / time.Duration(s.Fleet.Cores)
-		n, err := StartNode("127.0.0.1:0", box, s.Fleet.Cells, st.startedAt)
+		model := NewNodeModel(name, i%s.Fleet.Cells, s.Fleet.Cores, st.meanWork(i, 0), warm, uint64(s.Seed+i))
+		model.Queue = time.Duration(s.Fleet.Queue) * st.meanWork(i, 0) / time.Duration(s.Fleet.Cores)
+		n, err := StartNode("127.0.0.1:0", model, s.Fleet.Cells, st.startedAt)
 		if err != nil {
 			return nil, err
 		}
-		st.Nodes, st.models = append(st.Nodes, n), append(st.models, box)
+		st.Nodes, st.models = append(st.Nodes, n), append(st.models, model)
 		st.List = append(st.List, Instance{name, n.Addr(), string(rune('a' + s.ZoneOf(i))), i % s.Fleet.Cells, "in_service", 1, 0})
 	}
 	st.Discovery.SetList(st.List)
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -46,29 +46,29 @@
 
 // SimulateStart simulates one start in virtual time and returns the simulation as it is when discovery comes back.
 func SimulateStart(s Start) *Simulation {
-	w := &Simulation{nodes: map[decision.NodeID]*NodeModel{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), settings: startSettings}
-	w.settings.BrokerCount = s.Brokers
+	sim := &Simulation{nodes: map[decision.NodeID]*NodeModel{}, rnd: rand.New(rand.NewPCG(s.Seed, 0x737461727473)), settings: startSettings}
+	sim.settings.BrokerCount = s.Brokers
 	warm := WarmUpParams{InitialCapacity: 0.3, RampTime: 12 * time.Second, OverloadMultiple: 2, For: 2 * time.Second}
 	now := cachedlist.Timestamp(1_700_000_000_000)
 	var entries []cachedlist.Entry
-	wrongEntries := w.wrongEntries(s.Nodes, int(s.Wrong*float64(s.Nodes)))
+	wrongEntries := sim.wrongEntries(s.Nodes, int(s.Wrong*float64(s.Nodes)))
 	for i := range s.Nodes {
 		name := fmt.Sprintf("node-%08x", i)
-		box := NewNodeModel(name, i%w.settings.Cells, 2, 10*time.Millisecond, warm, s.Seed+uint64(i)*7919)
+		model := NewNodeModel(name, i%sim.settings.Cells, 2, 10*time.Millisecond, warm, s.Seed+uint64(i)*7919)
 		if s.ColdNodes {
-			box.LastStart = 0
+			model.LastStart = 0
 		}
-		w.nodes[nodeID(name)] = box
-		entries = append(entries, cachedlist.Entry{Name: name, Address: anyAddr, Cell: box.Cell, ConfirmedAt: now - cachedlist.Timestamp(s.ListAge.Milliseconds())})
+		sim.nodes[nodeID(name)] = model
+		entries = append(entries, cachedlist.Entry{Name: name, Address: anyAddr, Cell: model.Cell, ConfirmedAt: now - cachedlist.Timestamp(s.ListAge.Milliseconds())})
 	}
 	for k, i := range wrongEntries { // terminated, unreachable, drained or reassigned, unresponsive
-		w.nodes[nodeID(entries[i].Name)].Mode = []Mode{Dead, Unreachable, Draining, Hanging}[k%4]
+		sim.nodes[nodeID(entries[i].Name)].Mode = []Mode{Dead, Unreachable, Draining, Hanging}[k%4]
 	}
 	var brokers []*Broker
 	for range s.Brokers {
 		var evaluator *cachedlist.Evaluator
 		list := decision.Event{Kind: decision.FullListReceived}
-		b := w.newBroker(w.rnd.Uint64(), nil)
+		b := sim.newBroker(sim.rnd.Uint64(), nil)
 		switch s.Policy {
 		case TrustByProbability:
 			evaluator = cachedlist.NewEvaluator(cachedlist.Policy{HalfLife: 7 * 24 * time.Hour, MaxAge: 30 * 24 * time.Hour, EjectionThreshold: 0.95,
@@ -85,22 +85,22 @@
 		}
 		brokers = append(brokers, b)
 	}
-	for at := time.Duration(0); at < s.For; at += time.Duration(w.rnd.ExpFloat64() / s.Rate * float64(time.Second)) {
-		b, typ, shards := brokers[w.rnd.IntN(len(brokers))], w.rnd.IntN(2), w.rnd.Perm(8)[:1+w.rnd.IntN(4)]
-		w.at(at, func() { b.submit(typ, shards) })
+	for at := time.Duration(0); at < s.For; at += time.Duration(sim.rnd.ExpFloat64() / s.Rate * float64(time.Second)) {
+		b, typ, shards := brokers[sim.rnd.IntN(len(brokers))], sim.rnd.IntN(2), sim.rnd.Perm(8)[:1+sim.rnd.IntN(4)]
+		sim.at(at, func() { b.submit(typ, shards) })
 	}
-	w.run(s.For + 5*time.Second)
-	return w
+	sim.run(s.For + 5*time.Second)
+	return sim
 }
 
 // wrongEntries draws which entries are wrong. Each cell keeps a right one: no policy could serve a shard that no node holds.
-func (w *Simulation) wrongEntries(nodes, n int) []int {
+func (sim *Simulation) wrongEntries(nodes, n int) []int {
 	for {
-		drawn, right := w.rnd.Perm(nodes), map[int]bool{}
+		drawn, right := sim.rnd.Perm(nodes), map[int]bool{}
 		for _, i := range drawn[n:] {
-			right[i%w.settings.Cells] = true
+			right[i%sim.settings.Cells] = true
 		}
-		if len(right) == w.settings.Cells {
+		if len(right) == sim.settings.Cells {
 			return drawn[:n]
 		}
 	}
