--- a/cmd/flaxlab/sweep.go
+++ b/cmd/flaxlab/sweep.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command that plays a rehearsal at many values of one figure.
+// This file implements the command sweep, which runs a script at several values of one parameter.
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 	var policies []string
 	c := &cobra.Command{
 		Use:   "sweep SCRIPT",
-		Short: "Play a rehearsal at several loads, fleet sizes or sizes of its troubles, and print curves",
+		Short: "Run a script at several loads, numbers of nodes or brokers, or sizes of its troubles, and print curves",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -36,7 +36,7 @@
 			for text := range strings.SplitSeq(at, ",") {
 				x, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 				if err != nil || x <= 0 {
-					return fmt.Errorf("--at: %q is no number above 0", text)
+					return fmt.Errorf("--at: %q is not a number above 0", text)
 				}
 				steps = append(steps, x)
 			}
@@ -44,15 +44,15 @@
 			for _, policy := range policies {
 				curve := report.Curve{Name: policy}
 				for _, x := range steps {
-					s, err := varied(base, vary, x)
+					s, err := varyScript(base, vary, x)
 					if err != nil {
 						return err
 					}
-					all, err := many(s, play.Policy(policy), seeds)
+					all, err := playSeeds(s, play.Policy(policy), seeds)
 					if err != nil {
 						return err
 					}
-					curve.Points = append(curve.Points, point(x, s.Length, all))
+					curve.Points = append(curve.Points, curvePoint(x, s.Length, all))
 				}
 				page.Curves = append(page.Curves, curve)
 			}
@@ -60,19 +60,19 @@
 			if html == "" {
 				return nil
 			}
-			return writePage(html, page)
+			return writeReport(html, page)
 		},
 	}
-	c.Flags().StringVar(&vary, "vary", "load", "what: load (times the script's), nodes (with load and brokers in step), brokers, or trouble (times its share, or what its factor adds)")
-	c.Flags().StringVar(&at, "at", "0.25,0.5,0.75,1,1.25,1.5,2,3", "the steps")
-	c.Flags().IntVar(&seeds, "seeds", 4, "plays of each step")
-	c.Flags().StringSliceVar(&policies, "policies", []string{"module"}, "what decides, a curve each")
-	c.Flags().StringVar(&html, "html", "", "file for a page")
+	c.Flags().StringVar(&vary, "vary", "load", "parameter that is multiplied: load, nodes (with load and brokers in proportion), brokers, or trouble (its share, and the excess of its factor over 1)")
+	c.Flags().StringVar(&at, "at", "0.25,0.5,0.75,1,1.25,1.5,2,3", "multiples of the script's value")
+	c.Flags().IntVar(&seeds, "seeds", 4, "number of runs at each value")
+	c.Flags().StringSliceVar(&policies, "policies", []string{"module"}, "routing policies, with a curve each")
+	c.Flags().StringVar(&html, "html", "", "file for an HTML report")
 	return c
 }
 
-// varied is a script with one thing changed.
-func varied(base *script.Script, vary string, x float64) (*script.Script, error) {
+// varyScript returns a copy of a script with one parameter multiplied by x.
+func varyScript(base *script.Script, vary string, x float64) (*script.Script, error) {
 	s := *base
 	s.Faults = append([]script.Fault(nil), base.Faults...)
 	switch vary {
@@ -97,7 +97,8 @@
 	return &s, nil
 }
 
-func point(x float64, last time.Duration, all []*play.Result) report.Point {
+// curvePoint returns the point of a curve from the results of all runs at one value.
+func curvePoint(x float64, last time.Duration, all []*play.Result) report.Point {
 	p := report.Point{X: x}
 	var c play.Counts
 	var l play.Latency
--- a/internal/config/terms/pairs.go
+++ b/internal/config/terms/pairs.go
@@ -1,6 +1,6 @@
 package terms
 
-// This file owns the reading of single settings by their path. It must never fill in a figure of its own.
+// This file reads single settings by their path. It has no defaults of its own: the caller states each one.
 
 import (
 	"fmt"
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// pairs holds each path with its value or values; the first fault is kept and names its key.
-type pairs struct {
-	m       map[string][]string
-	sockets bool // what only sockets need must be there too
-	err     error
+// settingsReader holds the values of each path. It keeps the first error, which names its key.
+type settingsReader struct {
+	values     map[string][]string
+	forSockets bool // settings that only a broker on sockets needs are required too
+	err        error
 }
 
-func (p *pairs) fail(key, format string, args ...any) {
+func (p *settingsReader) fail(key, format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf("settings: %s: %s", key, fmt.Sprintf(format, args...))
 	}
 }
 
-func (p *pairs) text(key string, need bool) string {
-	v, ok := p.m[key]
+func (p *settingsReader) text(key string, need bool) string {
+	v, ok := p.values[key]
 	switch {
 	case !ok && need:
 		p.fail(key, "missing")
 	case ok && len(v) != 1:
-		p.fail(key, "%d values for one", len(v))
+		p.fail(key, "%d values, want one", len(v))
 	case ok:
 		return v[0]
 	}
 	return ""
 }
 
-func (p *pairs) num(key string, need bool, fallback float64) float64 {
+func (p *settingsReader) number(key string, need bool, fallback float64) float64 {
 	v := p.text(key, need)
 	if v == "" {
-		if _, there := p.m[key]; there {
+		if _, present := p.values[key]; present {
 			p.fail(key, "empty")
 		}
 		return fallback
@@ -47,29 +47,30 @@
 	return p.parse(key, v)
 }
 
-func (p *pairs) parse(key, v string) float64 {
+func (p *settingsReader) parse(key, v string) float64 {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) || f < 0 || f > 1<<60 {
-		p.fail(key, "%q is no number in range", v)
+		p.fail(key, "%q is not a number from 0 to 2^60", v)
 		return 0
 	}
 	return f
 }
 
-func (p *pairs) count(key string, need bool, fallback int) int {
-	f := p.num(key, need, float64(fallback))
+func (p *settingsReader) count(key string, need bool, fallback int) int {
+	f := p.number(key, need, float64(fallback))
 	if f != math.Trunc(f) || f > 1<<31 {
-		p.fail(key, "%v is no whole number in range", f)
+		p.fail(key, "%v is not a whole number up to 2^31", f)
 		return 0
 	}
 	return int(f)
 }
 
-func (p *pairs) span(key string, need bool) time.Duration {
-	return time.Duration(p.num(key, need, 0))
+// duration returns a time that is given in nanoseconds, or 0 if the key is absent.
+func (p *settingsReader) duration(key string, need bool) time.Duration {
+	return time.Duration(p.number(key, need, 0))
 }
 
-func (p *pairs) flag(key string) bool {
+func (p *settingsReader) flag(key string) bool {
 	switch v := p.text(key, false); v {
 	case "true":
 		return true
@@ -81,18 +82,18 @@
 	}
 }
 
-// list reads n comma-joined numbers; an absent key gives the fallback n times.
-func (p *pairs) list(key string, n int, fallback float64) []float64 {
+// numbers returns the n values of a list of numbers, or the fallback n times if the key is absent.
+func (p *settingsReader) numbers(key string, n int, fallback float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = fallback
 	}
-	items, ok := p.m[key]
+	items, ok := p.values[key]
 	if !ok {
 		return out
 	}
 	if len(items) != n {
-		p.fail(key, "%d values for %d classes", len(items), n)
+		p.fail(key, "%d values for %d query types", len(items), n)
 		return out
 	}
 	for i, s := range items {
@@ -101,37 +102,38 @@
 	return out
 }
 
-// size bounds a count by the text that has to spell its items out.
-func (p *pairs) size(key string, need bool) int {
+// listLength returns the length of a list. Since the settings have at least one entry per item, a length above the number of entries is rejected,
+// before anything of that size is allocated.
+func (p *settingsReader) listLength(key string, need bool) int {
 	n := p.count(key, need, 0)
-	if n > len(p.m) {
-		p.fail(key, "%d items, but the settings hold %d entries", n, len(p.m))
+	if n > len(p.values) {
+		p.fail(key, "a list of %d items, but all settings together have only %d entries", n, len(p.values))
 		return 0
 	}
 	return n
 }
 
-// positive is a number that must be there and above nothing where sockets need it.
-func (p *pairs) positive(key string) float64 {
-	f := p.num(key, p.sockets, 1)
+// positive returns a number above 0, which is required for a broker on sockets and else defaults to 1.
+func (p *settingsReader) positive(key string) float64 {
+	f := p.number(key, p.forSockets, 1)
 	if f <= 0 {
-		p.fail(key, "%v is not above 0", f)
+		p.fail(key, "%v must be above 0", f)
 	}
 	return f
 }
 
-// flatten lays a tree out as the simulator does: a list of objects has its length under .count.
-func (p *pairs) flatten(path string, v any) {
+// flatten stores a JSON tree under the simulator's paths: a list has its length under .count, and objects in it their index in the path.
+func (p *settingsReader) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
-		for key, below := range v {
-			if strings.Contains(key, ".") { // it could pass for something deeper
+		for key, child := range v {
+			if strings.Contains(key, ".") { // could be mistaken for the path of a nested key
 				continue
 			}
 			if path != "" {
 				key = path + "." + key
 			}
-			p.flatten(key, below)
+			p.flatten(key, child)
 		}
 	case []any:
 		plain := []string{}
@@ -142,9 +144,9 @@
 				plain = append(plain, fmt.Sprint(item))
 			}
 		}
-		p.m[path], p.m[path+".count"] = plain, []string{strconv.Itoa(len(v))}
+		p.values[path], p.values[path+".count"] = plain, []string{strconv.Itoa(len(v))}
 	case nil:
 	default:
-		p.m[path] = []string{fmt.Sprint(v)}
+		p.values[path] = []string{fmt.Sprint(v)}
 	}
 }
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -29,7 +29,7 @@
 		`{"troubles": [{"what": "errors", "factor": 101}]}`:                                  "101 is more than 100 percent",
 		`{"troubles": [{"what": "die", "nodes": [3]}, {"what": "hang", "nodes": [3]}]}`:      "node 3 cannot hang during its die in troubles.0",
 		`{"troubles": [{"what": "discovery_down"}, {"what": "discovery_down", "at": "8s"}]}`: "overlaps with troubles.0 of the same kind",
-		`{"troubles": [{"what": "die"}, {"what": "die", "nodes": ["x"]}]}`:                   "a whole number is wanted",
+		`{"troubles": [{"what": "die"}, {"what": "die", "nodes": ["x"]}]}`:                   "expected a whole number",
 		`{"tenants": [{"name": "a", "share": 0}]}`:                                           "add up to 0",
 	} {
 		if s, err := Decode("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
--- a/internal/protocols/front/sru/hostile_test.go
+++ b/internal/protocols/front/sru/hostile_test.go
@@ -1,6 +1,6 @@
 package sru
 
-// This file tests what clients and nodes do wrong, departures and drains.
+// This file tests malformed records, clients that disconnect, drains and forms.
 
 import (
 	"context"
@@ -17,16 +17,17 @@
 	"flaxfront/internal/lab/archive"
 )
 
-// A record that would break out of its place is not passed on as elements; as text it is what it was.
-func TestSpoiltRecords(t *testing.T) {
+// A record that is not well-formed XML, and could so change the response around it, is replaced by a diagnostic. With string escaping
+// it is passed on unchanged.
+func TestMalformedRecords(t *testing.T) {
 	b := archive.New(archive.DublinCoreRecord)
 	bad := []string{`</recordData><evil/>`, `<a>`, `<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>`, `<a/><b/>`, `text`, strings.Repeat("<a>", 100) + strings.Repeat("</a>", 100)}
 	b.RecordsByShard[0] = bad
-	f := started(t, b)
+	f := startFront(t, b)
 	a, _ := get(t, f, "query=cat&maximumRecords=7")
 	for i, r := range a.Records[:len(bad)] {
 		if r.Schema != "info:srw/schema/1/diagnostics-v1.1" || !strings.Contains(r.Data.Inner, "info:srw/diagnostic/1/67") {
-			t.Errorf("%.40s went out as %+v", bad[i], r)
+			t.Errorf("malformed record %.40s was sent as %+v", bad[i], r)
 		}
 	}
 	if r := a.Records[len(bad)]; !strings.Contains(r.Data.Inner, "record 0 of shard 1") {
@@ -35,15 +36,15 @@
 	a, _ = get(t, f, "query=cat&recordXMLEscaping=string&maximumRecords=6")
 	for i, r := range a.Records {
 		if r.Data.Text != bad[i] {
-			t.Errorf("%q became %q", bad[i], r.Data.Text)
+			t.Errorf("record %q was sent as %q", bad[i], r.Data.Text)
 		}
 	}
 }
 
-// A client that goes away takes its search along; a stop answers what is in hand and takes nothing more.
-func TestLeaveAndDrain(t *testing.T) {
+// A client's disconnect cancels its search. After a drain, requests in flight are answered and new connections are not.
+func TestDisconnectAndDrain(t *testing.T) {
 	b := archive.New(archive.DublinCoreRecord)
-	f := started(t, b)
+	f := startFront(t, b)
 	hold := make(chan struct{})
 	b.Update(func(b *archive.Broker) { b.Gate = hold })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -73,15 +74,15 @@
 	if c, err := net.Dial("tcp", f.Addr().String()); err == nil {
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("a client was taken after the drain")
+			t.Error("a client was served after the drain")
 		}
 		c.Close()
 	}
 }
 
-// Forms may be sent as well.
+// Parameters may also be sent as a form by POST.
 func TestPost(t *testing.T) {
-	f := started(t, archive.New(archive.DublinCoreRecord))
+	f := startFront(t, archive.New(archive.DublinCoreRecord))
 	resp, err := http.PostForm("http://"+f.Addr().String()+"/catalogue", url.Values{"query": {"cat"}, "maximumRecords": {"1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -93,9 +94,9 @@
 	}
 }
 
-// A search with four records over a connection that stands, over a broker that answers at once: the front's own cost.
+// BenchmarkSearch measures the front's own cost: a search with four records on an open connection, with a broker that answers at once.
 func BenchmarkSearch(b *testing.B) {
-	f := started(b, archive.New(archive.DublinCoreRecord))
+	f := startFront(b, archive.New(archive.DublinCoreRecord))
 	b.ReportAllocs()
 	for b.Loop() {
 		resp, err := http.Get("http://" + f.Addr().String() + "/?query=dc.title+%3D+cat+and+dc.creator+%3D+smith&maximumRecords=4")
--- a/internal/protocols/sru/explain.go
+++ b/internal/protocols/sru/explain.go
@@ -1,6 +1,6 @@
 package sru
 
-// This file owns the explain record, and the reading of responses of other servers, within bounds.
+// This file encodes the explain response and decodes the search responses of other servers, within bounds.
 
 import (
 	"bytes"
@@ -14,8 +14,9 @@
 	"flaxfront/internal/protocols/query"
 )
 
-// Explain writes the record that tells what there is.
-func Explain(v Version, host string, port int, database, title string, indexes []string, schemas [][2]string, most int) []byte {
+// Explain returns an explain response: the server's address and database, its indexes and record schemas, and the most records that
+// one response has.
+func Explain(v Version, host string, port int, database, title string, indexes []string, schemas [][2]string, maximumRecords int) []byte {
 	w := writer{}
 	w.raw(xml.Header)
 	w.raw(`<explainResponse xmlns="` + v.namespace() + `">`)
@@ -45,15 +46,16 @@
 		w.raw(`"/>`)
 	}
 	w.raw("</schemaInfo><configInfo>")
-	w.raw(`<setting type="maximumRecords">` + strconv.Itoa(most) + `</setting>`)
+	w.raw(`<setting type="maximumRecords">` + strconv.Itoa(maximumRecords) + `</setting>`)
 	w.raw("</configInfo></explain></recordData></record></explainResponse>\n")
 	return w.b
 }
 
-// Indexes are the ones that can be searched, by the names of their context sets.
+// Indexes returns the names of the supported indexes, each with its context set.
 func Indexes() []string { return query.Indexes() }
 
-// ParseResponse reads a response of any of the versions. Records are taken as they stand, between the tags round them.
+// ParseResponse decodes a searchRetrieve response of any version. A record's body is the content of recordData, unescaped if the
+// record is sent as a string.
 func ParseResponse(b []byte) (*Response, error) {
 	var doc struct {
 		XMLName xml.Name
@@ -73,25 +75,25 @@
 			Message string `xml:"message"`
 		} `xml:"diagnostics>diagnostic"`
 	}
-	if err := bounded(b); err != nil {
+	if err := checkBounds(b); err != nil {
 		return nil, fmt.Errorf("sru: response: %w", err)
 	}
 	if err := xml.Unmarshal(b, &doc); err != nil {
 		return nil, fmt.Errorf("sru: response: %w", err)
 	}
 	if doc.XMLName.Local != "searchRetrieveResponse" || doc.Count == nil || *doc.Count < 0 {
-		return nil, fmt.Errorf("sru: %.40q is no response to a search", doc.XMLName.Local)
+		return nil, fmt.Errorf("sru: response: %.40q is not a searchRetrieveResponse with numberOfRecords", doc.XMLName.Local)
 	}
 	r := &Response{Count: *doc.Count}
 	for _, x := range doc.Records {
-		one := Record{Schema: x.Schema, Body: bytes.TrimSpace(x.Data.Inner)}
+		record := Record{Schema: x.Schema, Body: bytes.TrimSpace(x.Data.Inner)}
 		if x.Packing == "string" || x.Escaping == "string" {
-			one.Body = []byte(x.Data.Text)
+			record.Body = []byte(x.Data.Text)
 		}
 		if strings.HasPrefix(x.Schema, "info:srw/schema/1/diagnostics") {
-			one.Fault = Diagnose(65, "%.100s", x.Data.Text)
+			record.Fault = NewDiagnostic(65, "%.100s", x.Data.Text)
 		}
-		r.Records = append(r.Records, one)
+		r.Records = append(r.Records, record)
 	}
 	for _, d := range doc.Diagnostics {
 		code, _ := strconv.Atoi(d.URI[strings.LastIndexByte(d.URI, '/')+1:])
@@ -100,8 +102,8 @@
 	return r, nil
 }
 
-// bounded goes through a document before it is taken apart: depth, and neither document type nor entities of its own.
-func bounded(b []byte) error {
+// checkBounds checks a document before it is decoded: its nesting is bounded, and it declares neither a document type nor entities.
+func checkBounds(b []byte) error {
 	d := xml.NewDecoder(bytes.NewReader(b))
 	for depth := 0; ; {
 		tok, err := d.RawToken()
@@ -114,12 +116,12 @@
 		switch tok.(type) {
 		case xml.StartElement:
 			if depth++; depth > 2*MaxDepth {
-				return errors.New("nested too deep")
+				return errors.New("elements nested too deep")
 			}
 		case xml.EndElement:
 			depth--
 		case xml.Directive:
-			return errors.New("a directive")
+			return errors.New("XML directives are not allowed")
 		}
 	}
 }
--- a/internal/server/lease_granting.go
+++ b/internal/server/lease_granting.go
@@ -39,11 +39,11 @@
 
 // openConnLeases makes the pool keep to connection leases, and lets this broker grant them while it is the leader.
 func (s *Server) openConnLeases(streams int) {
-	t, o := &s.start.Terms, &s.operator.Fleet
+	t, o := &s.start.Terms, &s.operator.ControlPlaneSettings
 	b := newConnectionLeases(streams, t.Tenants)
 	b.proposeEntry = s.proposeInBackground
 	s.loop.useConnectionLeases(b)
-	s.loop.pool.Keep(b)
+	s.loop.pool.SetBudget(b)
 	g := &leaseGranting{
 		leases:        b,
 		leaseDuration: o.Lease + time.Duration(float64(o.Lease)*o.Drift),
--- a/internal/server/site_links.go
+++ b/internal/server/site_links.go
@@ -27,28 +27,28 @@
 		return err
 	}
 	options := link.Options{
-		Keys:   s.siteKeys,
-		Epoch:  rand.Uint64(),
-		Credit: o.Credit,
-		Sites:  o.Allow,
-		MostIn: o.MostLinks,
-		Post:   func(e link.Event) { s.deliver(linkEvent{e}) },
+		Keys:        s.siteKeys,
+		Epoch:       rand.Uint64(),
+		Credit:      o.Credit,
+		Sites:       o.AllowedSites,
+		MaxAccepted: o.MaxLinks,
+		Post:        func(e link.Event) { s.deliver(linkEvent{e}) },
 	}
 	var names []string
-	for _, t := range o.Dialled() {
+	for _, t := range o.ParsedTargets() {
 		options.Targets = append(options.Targets, link.Target{Site: t.Site, Addr: t.Addr.String()})
 		names = append(names, fmt.Sprintf("%s at %s", t.Site, t.Addr))
 	}
 	s.siteLinks = link.New(options)
 	policy := forwarding.Policy{
-		ForwardShare:     o.Share,
+		ForwardShare:     o.ForwardedShare,
 		Burst:            o.Burst,
-		MaxForwarded:     o.MostAbroad,
-		MinRemainingTime: o.LeastLeft,
-		AnswerReserve:    o.Speak,
-		ResumeTimeout:    o.Resume,
-		RemoteShare:      o.Accept,
-		MaxRemembered:    o.Remember,
+		MaxForwarded:     o.MaxInFlight,
+		MinRemainingTime: o.MinTimeLeft,
+		AnswerReserve:    o.AnswerMargin,
+		ResumeTimeout:    o.ResumeWait,
+		RemoteShare:      o.AcceptShare,
+		MaxRemembered:    o.RememberLimit,
 	}
 	s.loop.useGateway(newGateway(policy, names, s.siteLinks, &s.start.Terms, s.draining.Load))
 	if o.Listen != "" {
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		slog.Info("site links accepted", "component", "gateway", "address", s.siteListener.Addr(), "broker", s.siteKeys.ID(), "sites", o.Allow)
+		slog.Info("site links accepted", "component", "gateway", "address", s.siteListener.Addr(), "broker", s.siteKeys.ID(), "sites", o.AllowedSites)
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 func (s *Server) runSiteLinks() {
 	for peer := range s.operator.Sites.Targets {
 		s.startGoroutine(func(ctx context.Context) error {
-			s.siteLinks.Keep(ctx, peer)
+			s.siteLinks.Maintain(ctx, peer)
 			return nil
 		})
 	}
@@ -82,8 +82,8 @@
 // watchCertificate logs warnings while the certificate for site links expires soon, until ctx ends.
 func (s *Server) watchCertificate(ctx context.Context) error {
 	for {
-		if left := time.Until(s.siteKeys.Ends()); left < certificateExpiryWarning {
-			slog.Warn("certificate expires soon", "component", "certificates", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Ends(),
+		if left := time.Until(s.siteKeys.Expiry()); left < certificateExpiryWarning {
+			slog.Warn("certificate expires soon", "component", "certificates", "broker", s.siteKeys.ID(), "expires", s.siteKeys.Expiry(),
 				"left", left.Round(time.Hour))
 		}
 		select {
