--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -82,7 +82,7 @@
 
 // Each run of a process is recorded with how it ended: on request, killed, or by itself. A paused process still counts as
 // running.
-func TestLives(t *testing.T) {
+func TestProcessRuns(t *testing.T) {
 	ended := make(chan ProcessRun, 4)
 	p := NewProcess("p", filepath.Join(t.TempDir(), "log"), "/bin/sleep", []string{"60"}, nil, func(l ProcessRun) { ended <- l })
 	for _, end := range []func() bool{p.Kill, p.Terminate} {
@@ -109,7 +109,7 @@
 
 // The monitor reports a planned stop beyond the limit. It does not report one beside a crash that brokers cannot know of yet, nor
 // one that came after the last poll which still found the other broker out.
-func TestWatchFinds(t *testing.T) {
+func TestMonitorFindsViolations(t *testing.T) {
 	w := &Monitor{current: map[string]*Absence{}, serves: map[string]bool{}, servedBefore: map[string]bool{}, killedAt: map[string]time.Time{}}
 	at := time.Now()
 	look := func(b string, up bool) {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -30,7 +30,7 @@
 
 // The audits find violations: a cold node that is offered too much crashes, and an effect that ran twice, or ran although the
 // query was shed, is reported.
-func TestAuditsFind(t *testing.T) {
+func TestAuditsFindViolations(t *testing.T) {
 	model := NewNodeModel("b", 0, 2, 10*time.Millisecond, WarmUpParams{InitialCapacity: 0.3, RampTime: 10 * time.Second, OverloadMultiple: 2, For: time.Second}, 1)
 	model.LastStart = 0
 	for i := 0; i < 1000 && !model.Crashed; i++ {
