--- a/internal/lab/play/audit.go
+++ b/internal/lab/play/audit.go
@@ -1,6 +1,6 @@
 package play
 
-// This file owns discovery and the auditor of effects.
+// This file simulates the discovery service and audits how often non-idempotent shard requests are executed (rule 2).
 
 import (
 	"errors"
@@ -12,25 +12,25 @@
 	"flaxfront/internal/lab/script"
 )
 
-// What discovery and the auditor are told.
+// Events for discovery and the auditor.
 const (
 	kPollList   kind = iota + 20
-	kNodeChange      // p: script.Event
+	kNodeChange      // payload: *script.Event
 	kDiscoveryOutage
-	kExecuted  // a: the part, n: its effect, p: ran
-	kQueryShed // a: the search, p: its id
+	kExecuted  // a: hash of the shard request, n: its idempotency, payload: executed
+	kQueryShed // a: hash of the query, payload: its ID
 )
 
-// simDiscovery is discovery: it learns of changes late, and tells those who watch.
+// simDiscovery is the discovery service. It learns of node changes with a delay and notifies the brokers that watch the list.
 type simDiscovery struct {
 	actorState
 	nodes       []discovery.Node
 	startCounts []int
 	version     uint64
-	watchers    []uint32 // in the order of their asking
+	watchers    []uint32 // actor IDs of brokers, in the order in which they subscribed
 }
 
-var errDiscoveryDown = errors.New("discovery does not answer")
+var errDiscoveryDown = errors.New("discovery did not answer")
 
 func newSimDiscovery(w *world) *simDiscovery {
 	d := &simDiscovery{version: 1}
@@ -58,7 +58,7 @@
 		switch e.Action {
 		case script.Dies, script.Returns, script.Leaves, script.Arrives:
 			d.send(d.id, e.At+delay, kNodeChange, int32(e.Node), uint64(e.Action), e)
-		case script.Drains: // it is planned here
+		case script.Drains: // planned through discovery itself, so without the delay
 			d.send(d.id, e.At, kNodeChange, int32(e.Node), uint64(e.Action), e)
 		}
 	}
@@ -112,7 +112,7 @@
 		d.nodes[e.Node] = d.nodeEntry(d.w, e.Node, decision.Draining, at.StartedAt)
 		add(d.nodes[e.Node])
 	case script.Returns, script.Arrives:
-		if at.State != decision.Removed { // it had vanished, which discovery does not see
+		if at.State != decision.Removed { // it was unreachable for a while, which discovery does not notice
 			return
 		}
 		d.startCounts[e.Node]++
@@ -126,20 +126,20 @@
 	}
 }
 
-// auditor hears of each run of what must not run twice, and of each search of that sort that was shed. It forgets what is too
-// old for any sub-request to be out still.
+// auditor receives each execution of a shard request that is not idempotent, and each non-idempotent query that was shed. It drops
+// records once they are too old for any attempt to be in flight.
 type auditor struct {
 	actorState
-	executed map[uint64]execution // by part
+	executed map[uint64]execution // by hash of the shard request or of its query
 	shed     map[uint64]time.Duration
 	order    []uint64
 	times    []time.Duration
 }
 
-// executed is what a node tells of a run.
+// executed is a node's report of one execution.
 type executed struct {
 	requestID string
-	sentAt    time.Duration // when it was written to the node
+	sentAt    time.Duration // when the broker wrote the attempt
 }
 
 type execution struct{ sentAt time.Duration }
@@ -157,26 +157,26 @@
 	case kExecuted:
 		first, known := a.executed[e.a]
 		report, window := e.payload.(executed), time.Duration(0)
-		if decision.Idempotency(e.n) == decision.IdempotencyKeyed { // repeats are dropped for so long
+		if decision.Idempotency(e.n) == decision.IdempotencyKeyed { // the store drops repeats for this long
 			for i := range a.w.terms.Module.QueryTypes {
 				window = max(window, a.w.terms.Module.QueryTypes[i].IdempotencyWindow)
 			}
 		}
 		if known && (report.sentAt-first.sentAt).Abs() > window || known && window == 0 {
-			a.reportBreach(2, "part %s ran again, sent %v after the first time", report.requestID, report.sentAt-first.sentAt)
+			a.reportBreach(2, "shard request %s was executed again; the repeat was sent %v after the first attempt", report.requestID, report.sentAt-first.sentAt)
 		}
 		if !known {
 			a.executed[e.a] = execution{report.sentAt}
 		}
 		queryHash := hashOf(queryIDOf(report.requestID))
 		if _, was := a.shed[queryHash]; was && decision.Idempotency(e.n) == decision.NonIdempotent {
-			a.reportBreach(2, "part %s ran, and its search was shed", report.requestID)
+			a.reportBreach(2, "shard request %s was executed although its query was shed", report.requestID)
 		}
 		a.executed[queryHash] = execution{report.sentAt}
 	case kQueryShed:
 		a.shed[e.a] = a.now
 		if _, executed := a.executed[e.a]; executed {
-			a.reportBreach(2, "search %s was shed, and a part of it had run", e.payload)
+			a.reportBreach(2, "query %s was shed although one of its shard requests had been executed", e.payload)
 		}
 	}
 }
--- a/internal/lab/play/bench_test.go
+++ b/internal/lab/play/bench_test.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/lab/script"
 )
 
-// benchScript is a script of so many nodes and brokers in ordinary times, at a load that keeps two in five cores busy.
+// benchScript returns a script without faults, with a load that keeps two in five cores busy.
 func benchScript(t testing.TB, nodes, brokers int, last time.Duration) *script.Script {
 	t.Helper()
 	s, err := script.Decode("bench", []byte(`{"fleet": {"call_work": "0s"}, "brokers": {"sockets": 8192},
@@ -24,7 +24,7 @@
 	return s
 }
 
-// One core, searches of four parts: what an emulated search costs, nodes, clients and audits included.
+// BenchmarkSearch measures the cost of a simulated query of four shard requests on one core, with its nodes, clients and audits.
 func BenchmarkSearch(b *testing.B) {
 	for _, of := range []struct {
 		name           string
--- a/internal/lab/play/clients.go
+++ b/internal/lab/play/clients.go
@@ -1,6 +1,6 @@
 package play
 
-// This file owns the clients of a broker: an open loop of searches, what they do with an answer, and what it is worth.
+// This file simulates the clients of a broker: an open loop of queries, their retries, and the value that each answer counts for.
 
 import (
 	"fmt"
@@ -12,12 +12,12 @@
 )
 
 const (
-	partialValueFactor  = 0.9                   // of the share that is in
-	immediateRetryDelay = 10 * time.Millisecond // for a client to ask again, where it comes back at once
+	partialValueFactor  = 0.9                   // applied to the answered share of a partial result
+	immediateRetryDelay = 10 * time.Millisecond // of clients that retry at once
 	maxImmediateTries   = 50
 )
 
-// scheduleArrival draws when the next client asks.
+// scheduleArrival draws the time of the next possible query.
 func (b *broker) scheduleArrival() {
 	maxRate := b.rate * b.w.schedule.Max()
 	at := b.now + time.Duration(b.rnd.ExpFloat64()/maxRate*float64(time.Second))
@@ -26,7 +26,7 @@
 	}
 }
 
-// generateQuery has a client ask, if the load of the moment wants it.
+// generateQuery submits a new query with a probability that follows the present load of the schedule.
 func (b *broker) generateQuery() {
 	defer b.scheduleArrival()
 	s := b.w.script
@@ -88,12 +88,12 @@
 
 func millionths(v float64) int64 { return int64(math.Round(v * 1e6)) }
 
-// countsOf is where a search counts: at the second in which it was first asked.
+// countsOf returns the counters of a query: those of the second in which the client first asked it.
 func (b *broker) countsOf(q *clientQuery) *Counts {
 	return b.runner.tally.countsAt(q.askedAt, q.row, b.w)
 }
 
-// submit puts a search to the broker, for the first time or again, as a new request.
+// submit sends a query to the broker. A retry is sent as a new request with an ID of its own.
 func (b *broker) submit(q *clientQuery) {
 	q.tries++
 	q.retryScheduled = false
@@ -124,10 +124,10 @@
 	b.scheduleStep()
 }
 
-// handleResult is the broker's answer to a try.
+// handleResult takes the broker's result for one submission of a query.
 func (b *broker) handleResult(q *clientQuery, id string, v server.QueryResult) {
 	if q.ended || q.id != id {
-		b.reportBreach(1, "broker %d gave a second answer to search %s", b.n, id)
+		b.reportBreach(1, "broker %d gave a second result for query %s", b.n, id)
 		return
 	}
 	q.ended = true
@@ -171,7 +171,7 @@
 	}
 	b.mixHash(hashOf(id) ^ kind<<60 ^ uint64(len(v.Shards)))
 	if b.now > q.deadline+timingTolerance {
-		b.reportBreach(1, "search %s was answered %v after its time", id, b.now-q.deadline)
+		b.reportBreach(1, "query %s got its result %v after its deadline", id, b.now-q.deadline)
 	}
 	if b.w.trace != nil {
 		b.w.trace.Encode(struct {
@@ -189,7 +189,7 @@
 	}
 }
 
-// checkAnswer checks an answer against what nodes make of its parts, and tells which share of it there is.
+// checkAnswer compares an answer with the values that nodes return for its shard requests, and returns the answered share.
 func (b *broker) checkAnswer(q *clientQuery, id string, v *server.QueryResult) (share float64) {
 	queryType := &b.w.script.Types[q.typ]
 	seen := map[int]bool{}
@@ -202,19 +202,19 @@
 			}
 		}
 		if at < 0 || seen[shard] || content != expectedValue(fmt.Sprintf("%s.%d", id, shard)) {
-			b.reportBreach(5, "search %s was answered with %.40q for shard %d", id, v.Values[i], shard)
+			b.reportBreach(5, "query %s was answered with the wrong value %.40q for shard %d", id, v.Values[i], shard)
 			continue
 		}
 		seen[shard] = true
 		share += q.weights[at]
 	}
 	if v.Complete && len(seen) < len(q.shards) || share < queryType.RequiredShare-1e-4 {
-		b.reportBreach(5, "search %s was answered with %.3f of it, whole %v", id, share, v.Complete)
+		b.reportBreach(5, "query %s was answered with the share %.3f, complete %v", id, share, v.Complete)
 	}
 	return share
 }
 
-// scheduleRetry has a client ask once more, if it will; it is told when.
+// scheduleRetry schedules a retry of the client and reports whether there is one. hint is the broker's retry-after, 0 for none.
 func (b *broker) scheduleRetry(q *clientQuery, hint time.Duration) bool {
 	load := &b.w.script.Load
 	wait := load.After
--- a/internal/lab/play/conns.go
+++ b/internal/lab/play/conns.go
@@ -1,6 +1,6 @@
 package play
 
-// This file owns a broker's connections as its pool sees them.
+// This file simulates the broker's side of its connections to nodes.
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"flaxfront/internal/transport/store"
 )
 
-// conn is a connection as the broker sees it.
+// conn is a connection to a node, on the broker's side.
 type conn struct {
 	b           *broker
 	id          uint64
@@ -35,18 +35,18 @@
 
 type dialTimeoutError struct{}
 
-func (*dialTimeoutError) Error() string   { return "dial: no answer" }
+func (*dialTimeoutError) Error() string   { return "dial: connection timed out" }
 func (*dialTimeoutError) Timeout() bool   { return true }
 func (*dialTimeoutError) Temporary() bool { return true }
 
-// connectionLost takes a connection off the books, and tells the pool.
+// connectionLost removes a connection and reports its end to the pool.
 func (b *broker) connectionLost(c *conn, err error) {
 	delete(b.conns, c.id)
 	c.closed = true
 	b.handleConnEvent(c.poolHandle.Down(b.sinceStart(), err))
 }
 
-// acceptDial opens a connection, as the pool asks.
+// dial opens a connection for the pool. The function that it returns closes the connection.
 func (b *broker) dial(name string, _ netip.AddrPort, poolHandle store.Handle) func() {
 	b.dialCount++
 	c := &conn{b: b, id: uint64(b.id)<<40 | b.dialCount, name: name, poolHandle: poolHandle}
@@ -69,7 +69,7 @@
 	}
 }
 
-// TryWrite takes a frame; the network holds whatever it is given.
+// TryWrite sends a frame. It never blocks or writes less, as the simulated network has no buffer limit.
 func (c *conn) TryWrite(frame []byte) (int, error) {
 	b := c.b
 	b.auditFrame(c, frame)
@@ -77,7 +77,7 @@
 	return len(frame), nil
 }
 
-// The other methods of a connection are of no use here: its events come by handle, and the pool never reads itself.
+// The other methods are required by the interface but not used: broker.handle delivers what is received, and the pool does not read.
 func (c *conn) Read([]byte) (int, error)        { return 0, io.EOF }
 func (c *conn) Close() error                    { return nil }
 func (c *conn) SetReadDeadline(time.Time) error { return nil }
--- a/internal/lab/play/cores.go
+++ b/internal/lab/play/cores.go
@@ -1,6 +1,6 @@
 package play
 
-// This file owns a node's cores: what waits for them, what they work on, and the answers.
+// This file simulates the cores of a node: the queue before them, the jobs in progress, and the answers.
 
 import (
 	"time"
@@ -14,7 +14,7 @@
 	n.startJobs()
 }
 
-// startJobs gives idle cores what waits.
+// startJobs hands queued jobs to idle cores.
 func (n *node) startJobs() {
 	if n.processDown || n.crashed || n.hangCount > 0 || n.now < n.stalledUntil {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// finishJob ends the work on a part, or puts its end off while the node stands still.
+// finishJob ends a core's job and answers it. While the node is stalled, it is put off to the end of the stall.
 func (n *node) finishJob(core int, number uint64) {
 	j := n.cores[core]
 	switch {
@@ -66,7 +66,7 @@
 	n.startJobs()
 }
 
-// idempotency tells the auditor of what must not run twice.
+// effect reports the execution of a shard request that is not idempotent to the auditor.
 func (n *node) effect(j *job) {
 	if j.effect != decision.Idempotent {
 		n.send(idAuditor, n.now, kExecuted, int32(j.effect), hashOf(j.id), executed{j.id, j.sentAt})
@@ -80,7 +80,7 @@
 	n.send(c.brokerID, n.deliveryTime(n.zone, c.zone, &c.lastArrival), kAnswer, 0, c.id, &a)
 }
 
-// cancel gives a part up that waits, where nodes do that.
+// cancel drops a queued shard request, if the script has nodes that act on cancellations.
 func (n *node) cancel(id string) {
 	if n.w.script.Fleet.DropsCancelled {
 		for _, j := range n.queue {
--- a/internal/lab/play/digest.go
+++ b/internal/lab/play/digest.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// digestWordings hold, for each format of the router's log lines, the format that digests of a course are taken of: the one of the
-// version with which digests are compared. So digests stay comparable when a line is reworded. Whoever rewords a line changes its row
-// here; the figures and their order have to stay.
+// digestWordings maps each format of the router's log lines to the wording that the digest of a run hashes, which is that of the
+// version whose digests are compared with. Digests so stay the same when a log line is reworded: change its format in this table,
+// and keep the values and their order.
 var digestWordings = []struct{ format, digested string }{
 	{"%v ejected: unresponsive (no answer for %.2f s)", "%v shut: silent (%.2f)"},
 	{"%v ejected: errors (error rate %.2f)", "%v shut: errors (%.2f)"},
@@ -27,10 +27,10 @@
 	{"query of unknown type %d failed", "search of unknown type %d failed"},
 }
 
-// formatVerb is a verb of the formats above.
+// formatVerb matches a verb of the formats above.
 var formatVerb = regexp.MustCompile(`%(\.2f|v|d)`)
 
-// rewording finds the lines of a format, with their figures as groups, and what is put in their place.
+// rewording matches the log lines of one format, with their values as groups, and holds the replacement that is hashed.
 type rewording struct {
 	lines       *regexp.Regexp
 	replacement string
@@ -56,7 +56,7 @@
 	return all
 }
 
-// digestedLine is a log line in the wording that digests are taken of; a line of no known format is returned as it is.
+// digestedLine returns a log line in the wording that is hashed. A line of no known format is returned unchanged.
 func digestedLine(line string) string {
 	for _, r := range digestRewordings {
 		if r.lines.MatchString(line) {
--- a/internal/lab/play/digest_test.go
+++ b/internal/lab/play/digest_test.go
@@ -11,7 +11,7 @@
 	"flaxfront/internal/decision/routing"
 )
 
-// sampleArguments are values for each verb of a format, by its order.
+// sampleArguments returns a value for each verb of a format.
 func sampleArguments(format string) []any {
 	var values []any
 	for i, verb := range formatVerb.FindAllString(format, -1) {
@@ -29,11 +29,11 @@
 	return values
 }
 
-// Every line is digested with its own figures in the wording of its row, and by no other row.
+// A log line is digested in the wording of its row, with its own values, and matches no other row.
 func TestDigestedLines(t *testing.T) {
 	for _, w := range digestWordings {
 		if got, want := len(sampleArguments(w.digested)), len(sampleArguments(w.format)); got != want {
-			t.Errorf("%q has %d figures, its digested wording %d", w.format, want, got)
+			t.Errorf("%q has %d values, its digested wording has %d", w.format, want, got)
 			continue
 		}
 		line := fmt.Sprintf(w.format, sampleArguments(w.format)...)
@@ -59,7 +59,7 @@
 	}
 }
 
-// The table has a row for each format of the router, and none beside.
+// The table has exactly one row for each log format of the router.
 func TestEveryLogFormatHasADigestedWording(t *testing.T) {
 	formats := routing.LogFormats()
 	var rows []string
--- a/internal/lab/play/engine.go
+++ b/internal/lab/play/engine.go
@@ -1,11 +1,11 @@
-// Package play plays a script in virtual time: the real loop, module, door, pool and judge of each broker, driven by simulated
-// nodes, clients, a simulated discovery and network. The same script gives the same course to the last event, however many cores
-// play it. It owns what happens outside the brokers and audits the six rules from there, never from a broker's own books. It must
-// never read a clock or let the order of a map matter.
+// Package play runs a script in virtual time: the real event loop, router, admission and connection pool of each broker, with
+// simulated nodes, clients, discovery and network. The same script gives the same sequence of events on any number of cores.
+// The package audits the rules from outside the brokers, never by a broker's own counters. It must never read a clock or depend on
+// the iteration order of a map.
 //
 // Depends on cluster/readhint, config/operator, config/terms, decision, decision/routing, decision/readpin,
-// decision/cachedlist, discovery, lab/queue, lab/script, server, transport/store. Concurrency: goroutines of its
-// own, which the caller's context ends; what they share with callers is behind a lock or an atomic value.
+// decision/cachedlist, discovery, lab/queue, lab/script, server, transport/store. Concurrency: Play starts one goroutine for each
+// worker and returns when all have ended; they share with the caller Options.Stop, which is atomic, and Options.Trace.
 package play
 
 import (
@@ -18,7 +18,7 @@
 	"flaxfront/internal/lab/queue"
 )
 
-// event is what one actor is told, by another or by itself.
+// event is a message to an actor, from another actor or from itself. What n, a and payload hold depends on the kind.
 type event struct {
 	target  uint32
 	kind    kind
@@ -29,12 +29,12 @@
 
 type kind uint8
 
-// actor is one process or machine. What it is told is all that it knows of the others.
+// actor is a simulated process or machine. It learns of other actors only through events.
 type actor interface {
 	handle(e *event)
 }
 
-// actorState is what every actor has: its place, its time, its chance, and the hash of all that it was told.
+// actorState is common to all actors: ID, virtual time, random source, and a hash of all events that the actor received.
 type actorState struct {
 	w      *world
 	runner *worker
@@ -51,7 +51,7 @@
 	s.rnd = rand.New(rand.NewPCG(uint64(w.script.Seed), uint64(id)))
 }
 
-// send tells an actor something at a moment. Another one can't be told before the shortest way to it has passed.
+// send schedules an event. For another actor it is no earlier than the lookahead, the shortest network delay between two actors.
 func (s *actorState) send(dst uint32, at time.Duration, k kind, n int32, a uint64, p any) {
 	if dst == s.id {
 		at = max(at, s.now)
@@ -69,20 +69,20 @@
 
 func (s *actorState) mixHash(v uint64) { s.hash = (s.hash ^ v) * 1099511628211 }
 
-// runner plays a share of the actors on one core.
+// worker runs a share of the actors on one core.
 type worker struct {
 	at          int
 	events      queue.Queue[event]
-	outbox      [][]queue.Item[event] // for the actors of each other worker
+	outbox      [][]queue.Item[event] // events for actors of other workers, by worker
 	nextEventAt time.Duration
-	n           uint64 // events played
+	n           uint64 // events processed
 	tally       tally
 }
 
 const never = time.Duration(1<<63 - 1)
 
-// execution plays until a moment. All workers play the same short span of time, no longer than the shortest way between two
-// actors, so that nothing they tell each other can lie within it; then they hand over what they told, and go on.
+// run processes events up to a time. All workers process the same short time window. It is no longer than the lookahead, so that no
+// event that one worker sends another can fall within it. Then they exchange these events and go on with the next window.
 func (w *world) run(until time.Duration, stop *atomic.Bool) {
 	var all sync.WaitGroup
 	b := &barrier{n: int32(len(w.workers))}
@@ -141,7 +141,7 @@
 	}
 }
 
-// leaving hashes an event into its actor's course and has it handled.
+// deliver adds an event to its actor's hash and has the actor handle it.
 func (p registeredActor) deliver(i *queue.Item[event]) {
 	p.actorState.now = i.At
 	p.mixHash(uint64(i.At))
@@ -155,7 +155,7 @@
 	actor
 }
 
-// barrier holds workers until all have come. They spin, as the spans are some microseconds long.
+// barrier holds workers until all have arrived. They spin, as the work between two barriers takes only microseconds.
 type barrier struct {
 	n          int32
 	arrived    atomic.Int32
@@ -173,7 +173,7 @@
 		return
 	}
 	for spins := 0; b.generation.Load() == generation; spins++ {
-		if spins%50_000 == 49_999 { // a core may be wanted for something else
+		if spins%50_000 == 49_999 { // another goroutine may need the core
 			runtime.Gosched()
 		}
 	}
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -1,7 +1,7 @@
 package play
 
-// This file owns a broker as the world sees it: the real loop behind its clients, its connections and its core. What it sends is
-// audited here, as it leaves.
+// This file simulates a broker: it drives the real server.Core by events of clients, connections and timers, and models the CPU time
+// of its event loop.
 
 import (
 	"syscall"
@@ -14,65 +14,65 @@
 	"flaxfront/internal/transport/store"
 )
 
-// What brokers and their clients are told.
+// Events for brokers and their clients.
 const (
 	kConnUp       kind = iota + 40 // a: the connection
-	kAnswer                        // a: the connection, p: *store.Answer
-	kConnDown                      // a: the connection, n: why
-	kList                          // p: *discovery.List or error
-	kGossip                        // p: []byte, n: from
-	kStep                          // the loop takes a turn
-	kWake                          // it asked for this
-	kArrive                        // a client asks
-	kRetry                         // p: *asked; it asks again
-	kQueryTimeout                  // p: *asked, n: which try
-	kDialTimeout                   // a: a dial's connection
+	kAnswer                        // a: the connection, payload: *store.Answer
+	kConnDown                      // a: the connection, n: downRefused or downReset
+	kList                          // payload: *discovery.List or error
+	kGossip                        // payload: []byte, n: the broker that sent it
+	kStep                          // the event loop takes a step
+	kWake                          // a timer of the event loop
+	kArrive                        // a client may ask a new query
+	kRetry                         // payload: *clientQuery, which the client retries
+	kQueryTimeout                  // payload: *clientQuery, n: its count of tries when this was set
+	kDialTimeout                   // a: the connection
 	kKill
 	kRestart
 	kSampleBroker
 )
 
-// Why a connection went down.
+// Reasons for the end of a connection.
 const (
 	downRefused int32 = iota
 	downReset
 )
 
-const timingTolerance = 50 * time.Millisecond // as on sockets
+const timingTolerance = 50 * time.Millisecond // the same as where brokers are tested over sockets
 
-// brokerID is one broker with its clients.
+// broker is a broker and its clients.
 type broker struct {
 	actorState
 	n          int
 	zone       int
 	policy     Policy
 	starts     uint64
-	startedAt  time.Duration // its last start
-	core       *server.Core  // nil: it is down
+	startedAt  time.Duration // of the present process
+	core       *server.Core  // nil while the process is down
 	cachedList *cachedlist.EntryTable
-	rate       float64 // searches a second that its clients ask in ordinary times
+	rate       float64 // queries per second of its clients without faults in the load
 
 	conns         map[uint64]*conn
 	dialCount     uint64
-	leaving       map[string]time.Duration // nodes that it was told are leaving or gone
+	leaving       map[string]time.Duration // by name: nodes that discovery lists as draining or removed
 	busyUntil     time.Duration
 	stepScheduled bool
 	wakeAt        time.Duration
-	pendingEvents int // since the last turn
+	pendingEvents int // since the last step
 	lines         int
 
 	queryCount  uint64
 	openQueries map[string]*clientQuery
-	nodeIDs     []decision.NodeID // of nodes as last listed, for pictures
+	nodeIDs     []decision.NodeID // by node, as last listed; for sampleAvailability
 
-	extraSends       []time.Duration // rule 6: what was sent and asked lately
+	extraSends       []time.Duration // rule 6: times of extra attempts within the window
 	creditedRequests []time.Duration
 
-	idleSessions []*session // that ask nothing now
+	idleSessions []*session // without a query in progress
 	sessionCount int
 }
 
-// clientQuery is a client's search with its repeats.
+// clientQuery is a query of a client, with its retries.
 type clientQuery struct {
 	row, typ, tenant  int
 	askedAt, deadline time.Duration
@@ -81,16 +81,16 @@
 	text              string
 	client            uint64
 	tries             int32
-	retriesAtOnce     bool // it comes back at once
+	retriesAtOnce     bool // the client retries without backoff
 	id                string
-	attemptsByShard   []uint8 // by shard
+	attemptsByShard   []uint8 // parallel to shards
 	pending           server.PendingQuery
-	ended             bool // the try has its verdict
-	retryScheduled    bool // its client asks again
+	ended             bool // this try has its result
+	retryScheduled    bool // the client will retry
 
 	hint        *readhint.Hint
 	session     *session
-	submittedAt time.Duration // when it was last put to the broker
+	submittedAt time.Duration // time of the last try
 }
 
 func newBroker(w *world, n int, p Policy) *broker {
@@ -107,7 +107,7 @@
 }
 
 func (b *broker) start() error {
-	b.extraSends, b.creditedRequests = nil, nil // a broker is counted from its start
+	b.extraSends, b.creditedRequests = nil, nil // rule 6 counts from the start of the broker
 	for _, r := range b.w.schedule.Restarts {
 		if r.Broker == b.n {
 			b.send(b.id, r.From, kKill, 0, 0, nil)
@@ -123,7 +123,7 @@
 	return b.boot()
 }
 
-// startedAt starts the broker with nothing but what it keeps.
+// boot starts the broker's process, with no state but its cached list.
 func (b *broker) boot() (err error) {
 	b.starts++
 	b.startedAt = b.now
@@ -139,7 +139,7 @@
 	return err
 }
 
-// sinceStart is the time as the broker counts it: from its start.
+// sinceStart returns the broker's own time, which counts from its start.
 func (b *broker) sinceStart() time.Duration { return b.now - b.startedAt }
 
 func (b *broker) log(text string) {
@@ -160,7 +160,7 @@
 	}
 }
 
-// scheduleStep has the loop take a turn as soon as the core is free.
+// scheduleStep counts an event for the loop and schedules a step for when its core is free.
 func (b *broker) scheduleStep() {
 	b.pendingEvents++
 	if !b.stepScheduled {
@@ -239,7 +239,7 @@
 		b.kill()
 	case kRestart:
 		if err := b.boot(); err != nil {
-			b.reportBreach(0, "broker %d did not start again: %v", b.n, err)
+			b.reportBreach(0, "broker %d did not restart: %v", b.n, err)
 		}
 	case kPullTimer, kPullRequest, kPullReply, kSessionMoved:
 		b.handleSharing(e)
--- a/internal/lab/play/node.go
+++ b/internal/lab/play/node.go
@@ -1,7 +1,7 @@
 package play
 
-// This file owns the simulated store nodes: cores, a queue, connections, warming up, falling over, and all that a script does to
-// them. What a node does with a part depends on nothing but what it was told.
+// This file simulates store nodes: connections, warming up, and crashes by overload. The outcome of a shard request depends only on
+// the events that the node received.
 
 import (
 	"fmt"
@@ -14,36 +14,36 @@
 
 type queueItem = queue.Item[event]
 
-// What nodes are told.
+// Events for nodes.
 const (
-	kDial     kind = iota + 1 // a: the connection, n: the node's start that it is meant for
-	kFrame                    // a: the connection, p: bytes, n: when they were written, in milliseconds
+	kDial     kind = iota + 1 // a: the connection, n: which process of the node it is meant for (startCount)
+	kFrame                    // a: the connection, payload: []byte, n: when they were written, in milliseconds
 	kClose                    // a: the connection
-	kJobDone                  // n: the core, a: the job's number
-	kStallEnd                 // a pause is over
-	kFault                    // p: script.Event
+	kJobDone                  // n: the core, a: the job's n
+	kStallEnd                 // a stall may be over
+	kFault                    // payload: *script.Event
 	kSampleNode
 )
 
-// job is a part in hand, or the work of a handshake.
+// job is a shard request, or the work of a handshake.
 type job struct {
 	conn      *nodeConn
-	id        string // empty: a handshake
+	id        string // of the shard request; empty for a handshake
 	work      time.Duration
 	effect    decision.Idempotency
 	cancelled bool
 	sentAt    time.Duration
 	n         uint64
 
-	version, report string // of the state that it found
+	version, report string // of the replica's state when the job started
 }
 
-// nodeConn is a connection as the node sees it.
+// nodeConn is a connection on the node's side.
 type nodeConn struct {
 	brokerID    uint32
 	id          uint64
 	zone        int
-	lastArrival time.Duration // when what was last written arrives
+	lastArrival time.Duration // arrival time of the last write
 	index       int
 	closed      bool
 }
@@ -53,13 +53,13 @@
 	n            int
 	zone         int
 	cell         int
-	startCount   int           // how many processes have been this node
-	startedAt    time.Duration // of this one
-	cold         bool          // it has started within the run
+	startCount   int           // number of earlier processes of this node
+	startedAt    time.Duration // of the present process
+	cold         bool          // started during the run, and not warm yet
 	processDown  bool
-	vanishCount  int // vanished so many times over
+	vanishCount  int // faults that keep the node unreachable at present
 	hangCount    int
-	stalledUntil time.Duration // it stands still until then
+	stalledUntil time.Duration // no job starts or ends before
 	crashed      bool
 	drained      bool
 
@@ -81,7 +81,7 @@
 		connByID: map[[2]uint64]*nodeConn{}}
 }
 
-// nodeName names a process: the node's number and how many were there before it.
+// nodeName returns the name of a process: the node's number and the count of its earlier processes.
 func nodeName(n, start int) string { return fmt.Sprintf("n%05d.%d", n, start) }
 
 func (n *node) start() {
@@ -122,7 +122,7 @@
 
 func (n *node) brokerZone(id uint32) int { return (int(id) - idBrokers) % n.w.script.Fleet.Zones }
 
-// acceptDial answers a connection, as the kernel does: also while the process hangs or stands still.
+// acceptDial answers a connection attempt as the kernel does: also while the process hangs or is stalled.
 func (n *node) acceptDial(brokerID uint32, id uint64, start int) {
 	zone := n.brokerZone(brokerID)
 	took, lost, held := n.samplePath(n.zone, zone)
@@ -150,7 +150,7 @@
 	delete(n.connByID, [2]uint64{c.id})
 }
 
-// recordOfferedWork counts what is offered against the rule on cold nodes.
+// recordOfferedWork adds work offered to a node that is warming up, and crashes the node if it is too much (rule 4).
 func (n *node) recordOfferedWork(work time.Duration) {
 	fleet := &n.w.script.Fleet
 	age := n.now - n.startedAt
@@ -168,14 +168,14 @@
 	}
 	possible := n.capacity() * float64(len(n.cores)) * float64(fleet.CrashAfter)
 	if float64(n.recentWorkSum) > fleet.CrashMultiple*possible {
-		n.reportBreach(4, "node %d fell over %v after its start: offered %.2f times what it can do", n.n, age, float64(n.recentWorkSum)/possible)
+		n.reportBreach(4, "node %d crashed %v after its start: it was offered %.2f times its capacity", n.n, age, float64(n.recentWorkSum)/possible)
 		n.crashed = true
 		n.queue = nil
 		clear(n.cores)
 	}
 }
 
-// capacity is the share of its speed that a node has.
+// capacity returns the node's speed as a share of that of a warm node.
 func (n *node) capacity() float64 {
 	fleet := &n.w.script.Fleet
 	if age := n.now - n.startedAt; n.cold && age < fleet.WarmUpAfter {
@@ -184,7 +184,7 @@
 	return 1
 }
 
-// advance samples the node once a second.
+// sample records the node's state once a second.
 func (n *node) sample() {
 	s := &n.runner.tally.samplesAt(n.now, n.w.script.Fleet.Nodes)[n.n]
 	switch {
--- a/internal/lab/play/offer.go
+++ b/internal/lab/play/offer.go
@@ -1,6 +1,6 @@
 package play
 
-// This file owns what a node reads of brokers: frames and their parts.
+// This file parses the frames that a node receives from brokers.
 
 import (
 	"bytes"
@@ -11,12 +11,12 @@
 	"flaxfront/internal/transport/store"
 )
 
-// handleFrame reads what a broker wrote, and takes the parts.
+// handleFrame parses the frames of one write and queues their shard requests. written is the time of the write.
 func (n *node) handleFrame(l *nodeConn, data []byte, written time.Duration) {
 	for len(data) >= 5 {
 		size := int(binary.LittleEndian.Uint32(data))
 		if size < 1 || size > len(data)-4 {
-			n.reportBreach(0, "node %d was sent a frame of %d bytes in %d", n.n, size, len(data))
+			n.reportBreach(0, "node %d received a frame of %d bytes in a write with %d bytes left", n.n, size, len(data))
 			return
 		}
 		letter, rest := data[4], data[5:4+size]
@@ -30,12 +30,12 @@
 			line, after, _ := bytes.Cut(rest, []byte{'\n'})
 			f := bytes.Fields(line)
 			if len(f) != 4 {
-				n.reportBreach(0, "node %d was sent the line %.60q", n.n, line)
+				n.reportBreach(0, "node %d received the malformed line %.60q", n.n, line)
 				return
 			}
 			length, _ := strconv.Atoi(string(f[3]))
 			if length < 1 || length > len(after) {
-				n.reportBreach(0, "node %d was sent a text of %d bytes in %d", n.n, length, len(after))
+				n.reportBreach(0, "node %d received a text of %d bytes in a frame with %d bytes left", n.n, length, len(after))
 				return
 			}
 			shard, _ := strconv.Atoi(string(f[1]))
@@ -45,10 +45,10 @@
 	}
 }
 
-// handleShardRequest is offered to the node.
+// handleShardRequest queues a shard request, or rejects it when the queue is full. A node that hangs or has crashed never answers.
 func (n *node) handleShardRequest(l *nodeConn, id string, shard, typ int, callWork, written time.Duration) {
 	if shard%n.w.script.Fleet.Cells != n.cell {
-		n.reportBreach(0, "node %d was sent part %s, which it does not hold", n.n, id)
+		n.reportBreach(0, "node %d received shard request %s for a shard that it does not hold", n.n, id)
 	}
 	queryType := &n.w.script.Types[typ]
 	work := callWork + time.Duration((0.5+0.5*n.rnd.ExpFloat64())*float64(queryType.Work))
--- a/internal/lab/play/plain.go
+++ b/internal/lab/play/plain.go
@@ -1,7 +1,7 @@
 package play
 
-// This file owns the policies that the module is held against: random choice, which any broker could do, and a seer, which looks
-// into the nodes and so can't exist. Both keep the rules on effects and answers; neither copies slow parts.
+// This file has the two policies that the router is compared with: random choice, and an oracle that reads the state of the simulated
+// nodes, which no real broker can. Both respect idempotency and required completeness; neither hedges.
 
 import (
 	"math/rand/v2"
@@ -11,10 +11,10 @@
 	"flaxfront/internal/decision"
 )
 
-// predictAnswer tells when a node would have answered a part that it is sent now; false: it would not.
+// predictFunc returns when a node would answer a shard request that is sent now; false: never.
 type predictFunc func(id decision.NodeID, now time.Duration) (time.Duration, bool)
 
-// baselineRouter is a policy without memory of nodes.
+// baselineRouter is a router that keeps no state of nodes but the endpoint list.
 type baselineRouter struct {
 	settings    *decision.Settings
 	rnd         *rand.Rand
@@ -139,7 +139,7 @@
 	}
 }
 
-// advance sends what can be sent of a search and ends it if it can be ended.
+// advance sends the attempts of a query that can be sent, and ends the query if its result is decided.
 func (p *baselineRouter) advance(s *baselineQuery, now time.Duration, out []decision.Action) []decision.Action {
 	reachable, anySent := s.received, false
 	for i := range s.requests {
@@ -153,7 +153,7 @@
 		}
 		node, ok := p.chooseNode(s, k, now)
 		if !ok {
-			if p.predict != nil { // it sees that nobody can
+			if p.predict != nil { // no node will answer in time at present
 				k.failed = now+20*time.Millisecond > s.deadline || k.attempts > 0
 			} else {
 				k.failed = true
@@ -196,7 +196,7 @@
 	return !slices.ContainsFunc(s.requests, func(k baselineRequest) bool { return k.attempts > 0 })
 }
 
-// chooseNode takes any holder, or the one that the seer sees answer first, if that is in time.
+// chooseNode picks a random node that holds the shard. The oracle picks the node that answers first, if that is before the deadline.
 func (p *baselineRouter) chooseNode(s *baselineQuery, k *baselineRequest, now time.Duration) (decision.NodeID, bool) {
 	holders := p.nodesByCell[k.shard%p.settings.Cells]
 	if len(holders) == 0 {
@@ -214,13 +214,13 @@
 	return best, at <= s.deadline
 }
 
-// predictAnswer looks into a node.
+// predictAnswer is the oracle's predictFunc: it reads the simulated node itself.
 func (w *world) predictAnswer(id decision.NodeID, now time.Duration) (time.Duration, bool) {
 	n := w.byID[id]
 	if n == nil || n.processDown || n.crashed || n.vanishCount > 0 || n.hangCount > 0 || len(n.queue) >= w.script.Fleet.Queue {
 		return 0, false
 	}
-	if n.cold && n.now-n.startedAt < w.script.Fleet.WarmUpAfter { // its ration: what it can do, not what it would take
+	if n.cold && n.now-n.startedAt < w.script.Fleet.WarmUpAfter { // stay below the load that crashes a node that is warming up, though its queue would take more
 		possible := n.capacity() * float64(len(n.cores)) * float64(w.script.Fleet.CrashAfter)
 		if float64(n.recentWorkSum) > 0.6*w.script.Fleet.CrashMultiple*possible {
 			return 0, false
--- a/internal/lab/play/play_test.go
+++ b/internal/lab/play/play_test.go
@@ -47,7 +47,7 @@
 		{"what": "drain", "at": "7s", "for": "2s", "share": 0.1}, {"what": "loss", "at": "9s", "for": "2s", "factor": 2},
 		{"what": "restart", "at": "5s", "for": "1s", "share": 0.3}, {"what": "errors", "at": "9s", "for": "2s", "factor": 20}]}`
 
-// The same script gives the same course to the last event, twice and on any number of cores, and the same result to the byte.
+// A script gives the same events and byte for byte the same result when it is run again and on any number of cores.
 func TestRunIsDeterministic(t *testing.T) {
 	s := decodeScript(t, faultyScript)
 	var first []byte
@@ -58,7 +58,7 @@
 			first = text
 		}
 		if string(text) != string(first) {
-			t.Errorf("on %d cores the course is %s", cores, r.Hash)
+			t.Errorf("the run on %d cores differs from the first: hash %s", cores, r.Hash)
 		}
 		if r.Broken > 0 {
 			t.Errorf("%v", r.Breaches[0])
@@ -66,11 +66,11 @@
 	}
 	s.Seed++
 	if r := mustPlay(t, s, Options{Policy: Module}); strings.Contains(string(first), r.Hash) {
-		t.Error("another seed gives the same course")
+		t.Error("another seed gives the same hash")
 	}
 }
 
-// Every search counts once and ends once, whatever goes wrong; what is counted by second, by row and in all agrees.
+// Under faults too, every query is counted once and has one outcome, and the counts by second and by row add up to the totals.
 func TestCountsAddUp(t *testing.T) {
 	for seed := range 6 {
 		s := decodeScript(t, faultyScript)
@@ -93,18 +93,18 @@
 	}
 }
 
-// A run that is stopped half way tells of what was played, and of nothing else as broken.
+// A run that is stopped early reports what was run until then, and no breach for queries left open.
 func TestStoppedRunReportsWhatItPlayed(t *testing.T) {
 	s := decodeScript(t, `{"for": "60s", "load": {"rate": 200}}`)
 	stop := &atomic.Bool{}
 	o := Options{Cores: 1, Policy: Module, Stop: stop, Trace: stopAfter{stop, new(int)}}
 	r := mustPlay(t, s, o)
 	if r.Played <= 0 || r.Played >= 60*time.Second || r.Broken > 0 || r.Counts.Asked == 0 || len(r.Seconds) > 1+int(r.Played/time.Second) {
-		t.Errorf("%v played, %d asked, %d seconds, %v", r.Played, r.Counts.Asked, len(r.Seconds), r.Breaches)
+		t.Errorf("run of %v: %d queries asked, %d seconds reported, breaches %v", r.Played, r.Counts.Asked, len(r.Seconds), r.Breaches)
 	}
 }
 
-// stopAfter stops a run after some searches have ended.
+// stopAfter stops a run after 500 results of queries.
 type stopAfter struct {
 	stop *atomic.Bool
 	n    *int
@@ -117,7 +117,7 @@
 	return len(b), nil
 }
 
-// ruleBreaker breaks a rule on purpose, behind a policy that keeps them.
+// ruleBreaker changes the actions of a router that keeps the rules so that they break one.
 type ruleBreaker struct {
 	decision.Router
 	breakRule func(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action
@@ -127,17 +127,17 @@
 	return s.breakRule(now, events, s.Router.Step(now, events, out))
 }
 
-// Each audit finds what it is for: the module is made to break each rule, and the breach is named.
+// Each audit detects its breach: brokers are made to break rules 3, 4 and 5, and the rule must be reported.
 func TestAuditsDetectBreaches(t *testing.T) {
 	coldNodesScript := `{"for": "12s", "load": {"rate": 150}, "fleet": {"falls_at": 1.05, "falls_after": "200ms", "cold_from": 0.05}, "types": [{"name": "find", "work": "30ms"}], "troubles": [{"what": "die", "share": 0.4, "at": "3s", "for": "1s"}]}`
 	for _, c := range []struct {
-		rule   int
-		script string
-		spoil  func(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action
+		rule      int
+		script    string
+		breakRule func(now time.Duration, events []decision.Event, out []decision.Action) []decision.Action
 	}{
 		{5, `{"for": "3s", "types": [{"name": "find", "least_parts": 3}]}`, func(now time.Duration, _ []decision.Event, out []decision.Action) []decision.Action {
 			for i := range out {
-				if out[i].Kind == decision.SendAttempt { // answered before anything is in
+				if out[i].Kind == decision.SendAttempt { // answers before any shard answer is in
 					return append(out, decision.Action{Kind: decision.AnswerQuery, ID: out[i].ID - 1, Complete: true})
 				}
 			}
@@ -147,36 +147,36 @@
 		{4, coldNodesScript, nil},
 	} {
 		s := decodeScript(t, c.script)
-		r := playBreakingRules(t, s, c.spoil, c.rule)
+		r := playBreakingRules(t, s, c.breakRule, c.rule)
 		found := false
 		for _, b := range r.Breaches {
 			found = found || b.Rule == c.rule
 		}
 		if !found {
-			t.Errorf("rule %d: %v", c.rule, r.Breaches)
+			t.Errorf("rule %d: breach not reported; reported: %v", c.rule, r.Breaches)
 		}
 	}
 }
 
-// playBreakingRules plays a script with a decider that breaks rules: its own spoil, or one that knows no list but the first.
-func playBreakingRules(t *testing.T, s *script.Script, spoil func(time.Duration, []decision.Event, []decision.Action) []decision.Action, rule int) *Result {
+// playBreakingRules runs a script with a router that breaks a rule: by breakRule, or, for rule 3, by ignoring updates of the list.
+func playBreakingRules(t *testing.T, s *script.Script, breakRule func(time.Duration, []decision.Event, []decision.Action) []decision.Action, rule int) *Result {
 	t.Helper()
 	previous := routerForTest
 	defer func() { routerForTest = previous }()
 	routerForTest = func(t decision.Settings, f *broker) decision.Router {
 		p := newBaselineRouter(t, f.rnd, nil)
 		switch {
-		case spoil != nil:
-			return ruleBreaker{p, spoil}
+		case breakRule != nil:
+			return ruleBreaker{p, breakRule}
 		case rule == 3:
 			return ignoresListUpdates{p, false}
 		}
-		return p // random choice knows no rations
+		return p // random choice does not limit the load of nodes that are warming up
 	}
 	return mustPlay(t, s, Options{Cores: 1, Policy: Random})
 }
 
-// ignoresListUpdates hears the first list only.
+// ignoresListUpdates is a router that knows only the first list.
 type ignoresListUpdates struct {
 	*baselineRouter
 	heard bool
@@ -192,7 +192,8 @@
 	return d.baselineRouter.Step(now, kept, out)
 }
 
-// Effects: runs of one part count twice only where sent outside of what drops repeats, and a shed search that ran is named.
+// A repeated execution is a breach only outside the window in which the store drops repeats. Shedding a query that was executed is
+// a breach too.
 func TestAuditorDetectsRepeatedExecutions(t *testing.T) {
 	s := decodeScript(t, `{"types": [{"name": "book", "effect": "tokened", "window": "1s"}]}`)
 	w := &world{script: s, schedule: s.Schedule(), terms: s.Terms()}
@@ -212,17 +213,17 @@
 		{decision.NonIdempotent, "b.1", 0, 1}, {decision.NonIdempotent, "b.2", 0, 1}, {decision.NonIdempotent, "b.1", 1, 2}}
 	for _, x := range steps {
 		if got := report(kExecuted, x.effect, x.id, x.sent); got != x.breachCount {
-			t.Errorf("%s: %d broken, want %d", fmt.Sprint(x), got, x.breachCount)
+			t.Errorf("%s: %d breaches, want %d", fmt.Sprint(x), got, x.breachCount)
 		}
 	}
 	a.handle(&event{kind: kQueryShed, a: hashOf("b"), payload: "b"})
 	if w.workers[0].tally.breachCount != 3 {
-		t.Error("a search that ran was shed, and nobody says so")
+		t.Error("shedding a query that was executed is not reported")
 	}
 }
 
-// A million events at most, however long clients ask: what is kept does not grow with the searches. Measured by what the
-// actors hold at the end.
+// The state of the actors does not grow with the number of queries: after the run, brokers and nodes hold no queries or jobs, and
+// few connections.
 func TestStateDoesNotGrowWithQueries(t *testing.T) {
 	s := decodeScript(t, `{"for": "20s", "load": {"rate": 400}, "types": [{"name": "sign", "effect": "non_idempotent", "work": "2ms"}]}`)
 	w, brokers, err := buildWorld(s, Options{Cores: 1, Policy: Module})
@@ -232,12 +233,12 @@
 	w.run(w.end+2*auditRetention, &atomic.Bool{})
 	for _, f := range brokers {
 		if len(f.openQueries) > 0 || len(f.conns) > 200 {
-			t.Errorf("%d searches, %d connections held", len(f.openQueries), len(f.conns))
+			t.Errorf("broker holds %d queries and %d connections", len(f.openQueries), len(f.conns))
 		}
 	}
 	for _, n := range w.nodes {
 		if len(n.queue) > 0 || len(n.recentWork) > 0 {
-			t.Errorf("node %d holds %d and %d", n.n, len(n.queue), len(n.recentWork))
+			t.Errorf("node %d holds %d jobs and %d records of offered work", n.n, len(n.queue), len(n.recentWork))
 		}
 	}
 }
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -1,7 +1,7 @@
 package play
 
-// This file owns clients that say what their reads need, the audit of what they get, and how brokers ask each other what they know
-// of replicas. The audit goes by the writers' history and by the version that each value carries, never by a broker's word.
+// This file simulates clients that send read hints, audits the answers (rule 7), and lets brokers exchange known replica positions.
+// The audit relies on the writers' history and on the position that each value carries, never on what a broker states.
 
 import (
 	"fmt"
@@ -13,27 +13,27 @@
 	"flaxfront/internal/server"
 )
 
-// What brokers tell each other beside messages of the module, and clients that move.
+// Events of the exchange of positions between brokers, and of clients that move to another broker.
 const (
-	kPullTimer    kind = iota + 60 // a broker asks another
-	kPullRequest                   // a: when it asked, n: who
-	kPullReply                     // a: when it was asked, p: []byte
-	kSessionMoved                  // p: *session
+	kPullTimer    kind = iota + 60 // the broker asks another for positions
+	kPullRequest                   // a: time of the request, n: the broker that asks
+	kPullReply                     // a: time of the request, payload: []byte
+	kSessionMoved                  // payload: *session
 )
 
-// ReadCounts tell what became of searches with hints.
+// ReadCounts counts what became of queries with read hints.
 type ReadCounts struct {
-	Hinted, Answered, Refused, Other int64 // searches' tries: with a hint, and how they ended
-	Checked                          int64 // parts held against the writers' history
-	Stale, Backward, Understated     int64 // of those: beyond the bound, before what was seen, older than stated
-	Behind                           int64 // of those: behind, and said to be so, as the hint allowed
-	Stated                           int64 // sum of the ages stated, in microseconds
-	Same, Elsewhere                  int64 // parts of pinned sessions: at the node where that shard was last read, or at another
-	Facts                            int64 // bytes of facts between brokers
+	Hinted, Answered, Refused, Other int64 // tries with a hint, and how they ended: answered, shed, failed
+	Checked                          int64 // shard answers compared with the writers' history
+	Stale, Backward, Understated     int64 // of Checked, violations: staler than the bound, before a position seen, staler than stated
+	Behind                           int64 // of Checked: behind, stated as behind, and allowed by the hint
+	Stated                           int64 // sum of the staleness stated, in microseconds
+	Same, Elsewhere                  int64 // shard answers of pinned sessions: from the node that last answered that shard, or from another
+	Facts                            int64 // bytes of positions sent between brokers
 	Pins                             readpin.Counts
 }
 
-// Add adds another's.
+// Add adds the counts of o.
 func (c *ReadCounts) Add(o *ReadCounts) {
 	c.Hinted, c.Answered, c.Refused, c.Other = c.Hinted+o.Hinted, c.Answered+o.Answered, c.Refused+o.Refused, c.Other+o.Other
 	c.Checked, c.Stale, c.Backward = c.Checked+o.Checked, c.Stale+o.Stale, c.Backward+o.Backward
@@ -42,14 +42,14 @@
 	c.Pins.Add(&o.Pins)
 }
 
-// session is a client that remembers. It asks one search at a time, at one broker, and moves.
+// session is a client that remembers the positions it has read. It has one query in progress at a time, and moves between brokers.
 type session struct {
 	key         string
-	seenOffsets map[int]uint64 // by shard
-	node        map[int]int    // where it was last read
+	seenOffsets map[int]uint64 // highest position read, by shard
+	node        map[int]int    // node that last answered, by shard
 }
 
-// assignHint gives a search its hint.
+// assignHint draws a session and a read hint for a query.
 func (b *broker) assignHint(q *clientQuery) {
 	r := &b.w.script.Reads
 	if !r.On || b.policy != Module || b.rnd.Float64() >= r.Hinted {
@@ -77,7 +77,7 @@
 		for _, shard := range slices.Sorted(slices.Values(q.shards)) {
 			h.NotBefore = append(h.NotBefore, readhint.Position{Shard: shard, Offset: q.session.seenOffsets[shard]})
 		}
-		if b.rnd.Float64() < r.OwnWrites { // it has just written there
+		if b.rnd.Float64() < r.OwnWrites { // the client has just written there
 			h.NotBefore = []readhint.Position{{Shard: q.shards[0], Offset: positionAt(r, q.shards[0], b.now)}}
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// checkReads holds an answer to a try against the writers' history.
+// checkReads compares an answer with the writers' history.
 func (b *broker) checkReads(q *clientQuery, v *server.QueryResult) {
 	c, r := &b.runner.tally.reads, &b.w.script.Reads
 	if q.hint == nil {
@@ -104,7 +104,7 @@
 	}
 	c.Answered++
 	if !v.Hinted {
-		b.reportBreach(7, "search %s was answered without a word on its reads", q.id)
+		b.reportBreach(7, "query %s had a read hint and was answered without positions", q.id)
 		return
 	}
 	if v.Staleness >= 0 {
@@ -121,17 +121,17 @@
 			c.Behind++
 		case stale:
 			c.Stale++
-			b.reportBreach(7, "search %s, bound %v: shard %d is at %d, %d was due", q.id, q.hint.MaxStaleness, shard, pos, positionAt(r, shard, q.submittedAt-q.hint.MaxStaleness))
+			b.reportBreach(7, "query %s, staleness bound %v: shard %d was read at position %d, %d required", q.id, q.hint.MaxStaleness, shard, pos, positionAt(r, shard, q.submittedAt-q.hint.MaxStaleness))
 		case backward:
 			c.Backward++
-			b.reportBreach(7, "search %s goes backward: shard %d is at %d, %d was seen", q.id, shard, pos, q.hint.MinOffset(shard))
+			b.reportBreach(7, "query %s went backward: shard %d was read at position %d after %d", q.id, shard, pos, q.hint.MinOffset(shard))
 		}
 		if v.Staleness >= 0 && pos < positionAt(r, shard, b.now-v.Staleness) {
 			c.Understated++
-			b.reportBreach(7, "search %s states %v: shard %d is at %d, behind %d", q.id, v.Staleness, shard, pos, positionAt(r, shard, b.now-v.Staleness))
+			b.reportBreach(7, "query %s states staleness %v: shard %d was read at position %d, behind %d", q.id, v.Staleness, shard, pos, positionAt(r, shard, b.now-v.Staleness))
 		}
 		if at := slices.IndexFunc(v.Positions, func(p readhint.Position) bool { return p.Shard == shard }); at < 0 || v.Positions[at].Offset != pos {
-			b.reportBreach(7, "search %s: the position of shard %d is told as %v, and is %d", q.id, shard, v.Positions, pos)
+			b.reportBreach(7, "query %s: the position of shard %d is stated as %v, but is %d", q.id, shard, v.Positions, pos)
 		}
 		if s := q.session; q.hint.Scope == readhint.ScopeSession {
 			if last, known := s.node[shard]; known && last == node {
@@ -145,7 +145,7 @@
 	}
 }
 
-// releaseSession gives a session back once its search is over; now and then it goes to another broker.
+// releaseSession frees the session of a query that has ended. By chance the session moves to another broker.
 func (b *broker) releaseSession(q *clientQuery) {
 	s := q.session
 	if s == nil {
@@ -160,7 +160,7 @@
 	b.idleSessions = append(b.idleSessions, s)
 }
 
-// pullPositions has a broker ask another what it knows of replicas, where there is a way.
+// pullPositions asks another broker for the replica positions that it knows, unless the network between them is cut.
 func (b *broker) pullPositions() {
 	r, n := &b.w.script.Reads, b.w.script.Brokers.Count
 	if !r.On || n < 2 || b.policy != Module {
@@ -173,7 +173,7 @@
 	}
 }
 
-// handleSharing takes what concerns facts and sessions.
+// handleSharing handles the events of positions and sessions.
 func (b *broker) handleSharing(e *event) {
 	switch e.kind {
 	case kPullTimer:
@@ -194,7 +194,7 @@
 	}
 }
 
-// addPinCounts counts what a broker counted of hints in its life.
+// addPinCounts adds the read pin counters of the broker's process, which ends.
 func (b *broker) addPinCounts() {
 	if b.core != nil && b.w.script.Reads.On {
 		if p := b.core.Counters().ReadPins; p != nil {
--- a/internal/lab/play/reads_test.go
+++ b/internal/lab/play/reads_test.go
@@ -10,9 +10,9 @@
 	"flaxfront/internal/lab/script"
 )
 
-var readSeeds = flag.Int("reads.seeds", 1, "how many days of lagging replicas are played; a million checked reads take about 40")
+var readSeeds = flag.Int("reads.seeds", 1, "number of seeds to run with lagging replicas; a million checked reads take about 40")
 
-// laggingScript is a day on which replicas fall behind, die, come back, and are set back, brokers restart and a zone is cut off.
+// laggingScript is a script in which replicas lag, die, return and roll back, brokers restart and a zone is cut off.
 const laggingScript = `{"for": "20s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 400}, "brokers": {"count": 5},
 	"types": [{"name": "find", "work": "4ms", "least_parts": 1, "most_parts": 6}, {"name": "part", "work": "4ms", "floor": 0.5, "most_parts": 6}],
 	"reads": {"on": true, "hot": 0.05},
@@ -22,7 +22,7 @@
 		{"what": "drain", "at": "14s", "for": "2s", "share": 0.1}, {"what": "rollback", "at": "16s", "factor": 1, "share": 1},
 		{"what": "loss", "at": "17s", "for": "2s", "factor": 2}, {"what": "slow", "at": "1s", "for": "4s", "factor": 4}]}`
 
-// No read is older than its bound, before what its session has seen, or older than its answer states.
+// No read is staler than its bound, before a position that its session has read, or staler than its answer states.
 func TestReadsKeepTheirHints(t *testing.T) {
 	var all ReadCounts
 	for seed := range *readSeeds {
@@ -38,11 +38,11 @@
 	t.Logf("%s", text)
 	if n := int64(*readSeeds); all.Checked < 12_000*n || min(all.Refused, all.Behind, int64(all.Pins.Stale)) < 20*n ||
 		int64(all.Pins.Regressed) < n {
-		t.Errorf("too little was provoked: %s", text)
+		t.Errorf("too few cases were provoked: %s", text)
 	}
 }
 
-// The audit finds brokers that are optimistic: with ages too low by a little, and with none of the clocks' error counted in.
+// The audit detects brokers that understate staleness: by 60 ms, or by leaving out the clock error.
 func TestAuditDetectsUnderstatedAges(t *testing.T) {
 	defer func() { changeOperatorFileForTest = nil }()
 	for name, change := range map[string]func(*operator.File){
@@ -52,33 +52,33 @@
 		changeOperatorFileForTest = change
 		r := mustPlay(t, decodeScript(t, laggingScript), Options{Policy: Module})
 		if r.Reads.Stale == 0 || r.Reads.Understated == 0 {
-			t.Errorf("%s: not found in %d checked", name, r.Reads.Checked)
+			t.Errorf("%s: stale or understated reads not found in %d checked", name, r.Reads.Checked)
 		}
 	}
 }
 
-// The same course on one core and on two.
+// A script with reads gives the same run on one core and on two.
 func TestReadsAreDeterministic(t *testing.T) {
 	s := decodeScript(t, laggingScript)
 	s.Length, s.Load.Rate, s.Faults = 3*time.Second, 100, s.Faults[:1]
 	one := mustPlay(t, s, Options{Cores: 1, Policy: Module})
 	if r := mustPlay(t, s, Options{Cores: 2, Policy: Module}); r.Hash != one.Hash || *r.Reads != *one.Reads {
-		t.Errorf("%s, %s", r.Hash, one.Hash)
+		t.Errorf("hash %s on two cores, %s on one, or other read counts", r.Hash, one.Hash)
 	}
 }
 
-// One key that most ask for is spread over holders beyond its limit, and none of it goes backward.
+// Reads of a hot key spill over to further replicas once its pinned one is at its limit, and none goes backward.
 func TestHotKey(t *testing.T) {
 	s := decodeScript(t, `{"for": "10s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 500}, "brokers": {"count": 2},
 		"types": [{"name": "find", "work": "4ms", "least_parts": 1, "most_parts": 6}], "reads": {"on": true, "hot": 0.8}}`)
 	r := mustPlay(t, s, Options{Policy: Module})
 	if r.Broken > 0 || r.Reads.Pins.Spilled < 1000 || r.Counts.Service() < 0.98 {
-		t.Errorf("spilled %d, served %.3f, %v", r.Reads.Pins.Spilled, r.Counts.Service(), r.Breaches)
+		t.Errorf("spilled %d, service %.3f, breaches %v", r.Reads.Pins.Spilled, r.Counts.Service(), r.Breaches)
 	}
-	t.Logf("spilled %d of %d parts, served %.4f, p99 %v", r.Reads.Pins.Spilled, r.Reads.Pins.Chosen, r.Counts.Service(), r.Latency.Quantile(0.99))
+	t.Logf("spilled %d of %d shard requests, service %.4f, p99 %v", r.Reads.Pins.Spilled, r.Reads.Pins.Chosen, r.Counts.Service(), r.Latency.Quantile(0.99))
 }
 
-// What hints cost where all is well: the same day with hints and without.
+// Without faults, read hints cost at most 10% more mean latency and shard requests than the same script without hints.
 func TestCostOfPinnedReads(t *testing.T) {
 	playDay := func(change func(*script.Reads)) *Result {
 		s := decodeScript(t, `{"for": "20s", "fleet": {"nodes": 12, "cells": 3}, "load": {"rate": 400}, "brokers": {"count": 5},
@@ -96,11 +96,11 @@
 		r := playDay(change)
 		mean := func(r *Result) float64 { return float64(r.Latency.Mean()) / 1e6 }
 		parts := func(r *Result) float64 { return float64(r.Work.Parts) / float64(r.Counts.Tries) }
-		t.Logf("%-28s mean %.2f ms (plain %.2f, %.3f times), p99 %v (%v), parts a search %.3f (%.3f), served %.4f (%.4f), same node %.3f, old %d of %d",
+		t.Logf("%-28s mean %.2f ms (without hints %.2f, %.3f times), p99 %v (%v), shard requests per try %.3f (%.3f), service %.4f (%.4f), same node %.3f, stale %d of %d",
 			name, mean(r), mean(withoutHints), mean(r)/mean(withoutHints), r.Latency.Quantile(0.99), withoutHints.Latency.Quantile(0.99), parts(r), parts(withoutHints), r.Counts.Service(), withoutHints.Counts.Service(),
 			float64(r.Reads.Same)/float64(max(1, r.Reads.Same+r.Reads.Elsewhere)), r.Reads.Pins.Stale, r.Reads.Pins.Stale+r.Reads.Pins.Fresh)
 		if mean(r) > 1.1*mean(withoutHints) || parts(r) > 1.1*parts(withoutHints) {
-			t.Errorf("%s: over 1.1 times", name)
+			t.Errorf("%s: mean latency or shard requests over 1.1 times those without hints", name)
 		}
 	}
 }
--- a/internal/lab/play/replica.go
+++ b/internal/lab/play/replica.go
@@ -1,7 +1,7 @@
 package play
 
-// This file owns how far the simulated nodes' replicas have come, and what they report of it. A shard's writers are a function of
-// time alone: whoever knows a moment knows what was acknowledged by then, and no broker is asked.
+// This file simulates the replication lag of nodes and the positions that they report. The writes of a shard depend on time alone, so
+// that the audit can compute what was acknowledged by any time without asking a broker.
 
 import (
 	"strconv"
@@ -12,17 +12,17 @@
 	"flaxfront/internal/lab/script"
 )
 
-// replicaState is the state of a node: all that was acknowledged by a moment.
+// replica is the state of a node's replica: all writes that were acknowledged by stateAt.
 type replica struct {
-	stateAt    time.Duration // that moment
-	updatedAt  time.Duration // when it was last looked at
-	baseLag    time.Duration // how far it is behind in ordinary times
-	lagsUntil  time.Duration // it takes no writes over before
-	clockDrift float64       // its clock
-	clockError time.Duration // its measure says so much too little
+	stateAt    time.Duration
+	updatedAt  time.Duration // time of the last update of stateAt
+	baseLag    time.Duration // lag without faults
+	lagsUntil  time.Duration // no writes are applied before
+	clockDrift float64       // the node's clock runs slow by this share
+	clockError time.Duration // the measured age of the state is too low by this
 }
 
-// positionAt is the position of a shard's last write that was acknowledged by a moment. Each shard has a pace of its own.
+// positionAt returns the position of a shard's last write that was acknowledged by a time. The write rate varies by shard.
 func positionAt(r *script.Reads, shard int, at time.Duration) uint64 {
 	every := r.Writes + r.Writes*time.Duration(shard%5)/7
 	return uint64(max(0, at+time.Hour) / every)
@@ -35,7 +35,7 @@
 	n.replicaState.stateAt = -n.replicaState.baseLag
 }
 
-// advance takes over what has come since it was last looked at.
+// advance applies the writes since the last update.
 func (r *replica) advance(now time.Duration, catch float64) {
 	if from := max(r.updatedAt, r.lagsUntil); now > from {
 		r.stateAt = max(r.stateAt, min(now-r.baseLag, r.stateAt+time.Duration((1+catch)*float64(now-from))))
@@ -43,7 +43,7 @@
 	r.updatedAt = now
 }
 
-// decodeScript is what a part finds at a replica: which state that is, beside the value, and what the node reports.
+// readReplica returns the suffix with position and node that a shard request's value gets, and the node's report on its replica.
 func (n *node) readReplica(requestID string) (version, report string) {
 	s := &n.w.script.Reads
 	if !s.On {
@@ -59,7 +59,7 @@
 		string(readpin.AppendReport(nil, readpin.Report{Offset: pos, HeadAge: max(0, head)}))
 }
 
-// splitValue takes the version off a value.
+// splitValue splits a value into its content, position and node.
 func splitValue(value string) (bare string, pos uint64, node int) {
 	bare, rest, versioned := strings.Cut(value, "@")
 	if !versioned {
--- a/internal/lab/play/result.go
+++ b/internal/lab/play/result.go
@@ -1,6 +1,6 @@
 package play
 
-// This file owns what is told of a script that was played: the workers' counts added up.
+// This file adds up the workers' counts to the result of a run.
 
 import (
 	"cmp"
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// Result is what became of a script.
+// Result is the result of a run.
 type Result struct {
 	Name     string
 	Policy   string
 	Seed     int
-	Played   time.Duration // less than all if it was stopped
-	Hash     string        // of the whole course
+	Played   time.Duration // virtual time; less than the whole if the run was stopped
+	Hash     string        // of all events
 	Counts   Counts
 	Rows     []Row // by tenant and type
 	Seconds  []Second
 	Latency  Latency
 	Work     Work
-	Reads    *ReadCounts `json:",omitempty"` // where brokers obey hints
+	Reads    *ReadCounts `json:",omitempty"` // if the script has read hints
 	Samples  [][]Sample  `json:",omitempty"`
 	Broken   int64
 	Breaches []Breach
 	Lines    []Line
 	LinesCut int64
 	Events   uint64
-	Worst    float64 // service of the worst ten seconds
+	Worst    float64 // lowest service of any ten seconds
 }
 
-// Row is one tenant's searches of one type.
+// Row holds the counts of one tenant's queries of one type.
 type Row struct {
 	Tenant, Type string
 	Counts       Counts
 	Latency      Latency `json:"-"`
 }
 
-// Second is one second of all.
+// Second holds the counts of all queries first asked in one second.
 type Second struct {
 	Counts  Counts
 	Latency Latency `json:"-"`
@@ -121,7 +121,7 @@
 	return r
 }
 
-// worstTenSeconds is the least service of any ten seconds in a row.
+// worstTenSeconds returns the lowest service of any ten successive seconds.
 func worstTenSeconds(s []Second) float64 {
 	least := 1.0
 	for i := 0; i+10 <= len(s); i++ {
--- a/internal/lab/play/sends.go
+++ b/internal/lab/play/sends.go
@@ -1,6 +1,6 @@
 package play
 
-// This file audits what leaves a broker for a node, as it leaves.
+// This file audits the frames that a broker sends to nodes.
 
 import (
 	"bytes"
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// auditFrame checks what leaves for a node: rules 1, 3 and 6.
+// auditFrame checks a frame to a node against rules 1, 3 and 6.
 func (b *broker) auditFrame(c *conn, frame []byte) {
 	if len(frame) < 5 || frame[4] != 'q' {
 		return
 	}
 	if at, leaving := b.leaving[c.name]; leaving && b.now > at+b.w.script.Fleet.DrainGrace+timingTolerance {
-		b.reportBreach(3, "broker %d sent to %s %v after it was told that it leaves", b.n, c.name, b.now-at)
+		b.reportBreach(3, "broker %d sent to %s %v after discovery listed it as draining or removed", b.n, c.name, b.now-at)
 	}
 	counts := &b.runner.tally.work
 	counts.Calls++
@@ -29,13 +29,13 @@
 			length, _ = strconv.Atoi(string(words[3]))
 		}
 		if id == "" || length > len(after) {
-			b.reportBreach(0, "broker %d wrote the line %.60q", b.n, line)
+			b.reportBreach(0, "broker %d wrote the malformed line %.60q", b.n, line)
 			return
 		}
 		rest = after[length:]
 		q := b.openQueries[queryIDOf(id)]
 		if q == nil || q.ended {
-			b.reportBreach(1, "broker %d sent part %s after its search's answer", b.n, id)
+			b.reportBreach(1, "broker %d sent shard request %s after its query had ended", b.n, id)
 			continue
 		}
 		counts.Parts++
@@ -46,14 +46,14 @@
 					b.auditExtraAttempts()
 				}
 				if int(q.attemptsByShard[i]) > b.w.script.Brokers.Attempts {
-					b.reportBreach(6, "broker %d sent part %s %d times", b.n, id, q.attemptsByShard[i])
+					b.reportBreach(6, "broker %d sent shard request %s %d times", b.n, id, q.attemptsByShard[i])
 				}
 			}
 		}
 	}
 }
 
-// auditExtraAttempts checks rule 6 at a further sub-request.
+// auditExtraAttempts counts an extra attempt and checks the limit of rule 6.
 func (b *broker) auditExtraAttempts() {
 	t := &b.w.terms.Module
 	if t.ExtraAttemptsWindow == 0 {
@@ -68,11 +68,11 @@
 	}
 	b.extraSends, b.creditedRequests = append(dropExpired(b.extraSends), b.now), dropExpired(b.creditedRequests)
 	if limit := t.ExtraAttemptsMin + t.ExtraAttemptsShare*float64(len(b.creditedRequests)); float64(len(b.extraSends)) > limit {
-		b.reportBreach(6, "broker %d sent %d further sub-requests in %v, %.1f allowed", b.n, len(b.extraSends), t.ExtraAttemptsWindow, limit)
+		b.reportBreach(6, "broker %d sent %d extra attempts in %v, %.1f allowed", b.n, len(b.extraSends), t.ExtraAttemptsWindow, limit)
 	}
 }
 
-// queryIDOf is the search that a part belongs to.
+// queryIDOf returns the ID of the query that a shard request belongs to.
 func queryIDOf(requestID string) string {
 	queryID, _, _ := strings.Cut(requestID, ".")
 	return queryID
--- a/internal/lab/play/tally.go
+++ b/internal/lab/play/tally.go
@@ -1,7 +1,7 @@
 package play
 
-// This file owns what is counted while a script is played. Everything is whole numbers, so that it adds up to the same in any
-// order. It must never hold what grows with the number of searches.
+// This file holds the counts of a run. All are integers, so that they add up to the same in any order. Memory must not grow with the
+// number of queries.
 
 import (
 	"fmt"
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Counts are the ends of searches. Each search counts once, with its client's repeats, at the second in which it was first asked.
+// Counts counts the outcomes of queries. A query and its retries count once, in the second in which it was first asked.
 type Counts struct {
 	Asked, InTarget, Late, Shed, Failed, Unanswered int64
-	Partial                                         int64 // of those answered
+	Partial                                         int64 // of those answered (InTarget and Late)
 	Tries                                           int64
-	Worth, Got                                      int64 // value asked for and answered, in millionths
+	Worth, Got                                      int64 // value of the queries asked, and value of their answers, in millionths
 }
 
 // Add adds another's.
@@ -24,10 +24,10 @@
 	c.Worth, c.Got = c.Worth+o.Worth, c.Got+o.Got
 }
 
-// Service is the value answered over the value asked for.
+// Service returns the value of the answers as a share of the value of all queries.
 func (c *Counts) Service() float64 { return float64(c.Got) / float64(max(1, c.Worth)) }
 
-// Work is what went to nodes.
+// Work counts calls, shard requests (Parts), extra attempts (Further), their outcomes at nodes, and connections.
 type Work struct {
 	Calls, Parts, Further, Served, Broke, Skipped, Swallowed, Dials, Resets int64
 }
@@ -38,20 +38,20 @@
 	k.Dials, k.Resets = k.Dials+o.Dials, k.Resets+o.Resets
 }
 
-// Latency is a histogram of answers' times from when they were first asked for, in steps of 4%.
+// Latency is a histogram of the times from first asking to the answer, with buckets 4% wide.
 type Latency [360]int64
 
 const latencyBase = 1.04
 
 func (l *Latency) record(took time.Duration) {
 	at := 0
-	if us := float64(took) / 1e5; us > 1 { // from 100 microseconds
+	if us := float64(took) / 1e5; us > 1 { // the first bucket ends at 104 microseconds
 		at = min(len(l)-1, int(math.Log(us)/math.Log(latencyBase)))
 	}
 	l[at]++
 }
 
-// Quantile is the upper end of the step that holds it; 0: nothing was answered.
+// Quantile returns the upper end of the bucket that holds the quantile, 0 if nothing was answered.
 func (l *Latency) Quantile(q float64) time.Duration {
 	total := int64(0)
 	for _, n := range l {
@@ -69,7 +69,7 @@
 	return 0
 }
 
-// Mean is by the middles of the steps.
+// Mean returns the mean, with each answer counted at the middle of its bucket.
 func (l *Latency) Mean() time.Duration {
 	sum, total := 0.0, 0.0
 	for i, n := range l {
@@ -85,41 +85,41 @@
 	}
 }
 
-// State is a node's, as it was.
+// State is the state of a node in a sample.
 type State uint8
 
-// The states that a sample tells apart.
+// The states of a node, the same in number and order as stateNames.
 const (
 	StateHealthy State = iota
 	StateWarmingUp
 	StateDraining
-	StateHanging // it hangs
-	StateStalled // it stands still
-	StateGone    // it vanished, or its machine is off
-	StateCrashed // it fell over
+	StateHanging // accepts connections and never answers
+	StateStalled // paused for a while
+	StateGone    // unreachable, or its process is down
+	StateCrashed // crashed by overload while it was warming up
 )
 
 var stateNames = []string{"fit", "cold", "leaving", "hanging", "standing still", "gone", "fell over"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Sample is one second of one node.
+// Sample is the state of one node in one second.
 type Sample struct {
 	State    State
 	Slow     bool
-	Queue    uint16 // parts that wait there, at the end of the second
+	Queue    uint16 // shard requests queued at the end of the second
 	Served   uint16
-	Distrust uint16 // brokers that give it no work as a matter of course
+	Distrust uint16 // brokers whose router does not regard the node as available
 }
 
-// Breach is one broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	At   time.Duration
 	Rule int
 	Text string
 }
 
-// Line is a module's word on a change of its mode.
+// Line is a log line of a broker's router.
 type Line struct {
 	At     time.Duration
 	Broker int
@@ -131,7 +131,7 @@
 	maxLines    = 4000
 )
 
-// tally is one worker's share of the counts.
+// tally holds the counts of one worker.
 type tally struct {
 	seconds      [][]Counts // by second, then by tenant and type
 	latency      []Latency  // by second
@@ -171,7 +171,7 @@
 	return t.distrust[s]
 }
 
-// reportBreach notes a broken rule.
+// reportBreach records a violation of a rule. Rule 0 stands for failures outside the rules, such as malformed frames.
 func (s *actorState) reportBreach(rule int, format string, args ...any) {
 	t := &s.runner.tally
 	t.breachCount++
--- a/internal/lab/play/told.go
+++ b/internal/lab/play/told.go
@@ -1,6 +1,6 @@
 package play
 
-// This file owns what a broker is told by discovery, its end by a kill, and what is asked of it for pictures.
+// This file handles endpoint lists for a broker, its kill, and the samples and checks of its state.
 
 import (
 	"maps"
@@ -12,7 +12,7 @@
 	"flaxfront/internal/discovery"
 )
 
-// handleList hands on what discovery told.
+// handleList passes a list or an error from discovery to the broker.
 func (b *broker) handleList(p any) {
 	if b.core == nil {
 		return
@@ -23,7 +23,7 @@
 		return
 	}
 	list := *p.(*discovery.List)
-	list.Nodes = slices.Clone(list.Nodes) // others are told the same one
+	list.Nodes = slices.Clone(list.Nodes) // other brokers receive the same list
 	if b.nodeIDs == nil {
 		b.nodeIDs = make([]decision.NodeID, b.w.script.Fleet.Nodes)
 	}
@@ -44,7 +44,7 @@
 	b.scheduleStep()
 }
 
-// kill ends the process: what it had taken is lost, as its clients see at once.
+// kill ends the broker's process. Its queries are lost, which their clients see at once.
 func (b *broker) kill() {
 	b.addPinCounts()
 	b.core, b.wakeAt = nil, never
@@ -70,7 +70,7 @@
 	}
 }
 
-// sampleAvailability notes which nodes the broker gives no work as a matter of course.
+// sampleAvailability records the nodes that the broker's router does not regard as available.
 func (b *broker) sampleAvailability() {
 	if b.core == nil || b.nodeIDs == nil || b.now > b.w.script.Length+settleTime || b.w.script.Fleet.Nodes > 200 && int(b.now/time.Second)%10 != 0 {
 		return
@@ -83,13 +83,13 @@
 	}
 }
 
-// auditUnanswered looks for what was never answered.
+// auditUnanswered reports the queries that never got a result.
 func (b *broker) auditUnanswered() {
 	b.addPinCounts()
 	if b.w.stopped {
 		return
 	}
 	for _, q := range b.openQueries {
-		b.reportBreach(1, "search %s of broker %d has no answer", q.id, b.n)
+		b.reportBreach(1, "query %s of broker %d never got a result", q.id, b.n)
 	}
 }
--- a/internal/lab/play/trouble.go
+++ b/internal/lab/play/trouble.go
@@ -1,15 +1,15 @@
 package play
 
-// This file owns all that a script does to a node.
+// This file applies the faults of a script to a node.
 
 import (
 	"flaxfront/internal/discovery"
 	"flaxfront/internal/lab/script"
 )
 
-// applyFault is what the script does to the node.
+// applyFault applies a fault event of the script.
 func (n *node) applyFault(e *script.Event) {
-	if !n.processDown && n.vanishCount == 0 { // else it took nothing over
+	if !n.processDown && n.vanishCount == 0 { // otherwise the replica applied no writes meanwhile
 		n.replicaState.advance(n.now, n.w.script.Reads.CatchUp)
 	}
 	switch e.Action {
@@ -23,7 +23,7 @@
 	case script.Vanishes:
 		n.vanishCount++
 	case script.Returns:
-		if n.vanishCount > 0 { // its machine is back; what it had open is not
+		if n.vanishCount > 0 { // the node is reachable again, but its connections are gone
 			if n.vanishCount--; n.vanishCount == 0 {
 				n.replicaState.updatedAt = n.now
 				n.resetConns()
@@ -48,7 +48,7 @@
 	}
 }
 
-// resetConns breaks all connections.
+// resetConns resets all connections.
 func (n *node) resetConns() {
 	for len(n.conns) > 0 {
 		l := n.conns[len(n.conns)-1]
@@ -58,7 +58,7 @@
 	}
 }
 
-// loseState drops all that the process had.
+// loseState drops the connections and jobs of a process that ended.
 func (n *node) loseState() {
 	n.resetConns()
 	n.queue = nil
@@ -69,8 +69,8 @@
 	n.startCount++
 	n.processDown, n.crashed, n.hangCount, n.stalledUntil, n.cold, n.startedAt = false, false, 0, 0, true, n.now
 	n.recentWork, n.recentWorkSum = nil, 0
-	n.replicaState.updatedAt = n.now // it took nothing over meanwhile
-	if len(n.w.workers) == 1 {       // else nobody may look in
+	n.replicaState.updatedAt = n.now // no writes were applied while the process was down
+	if len(n.w.workers) == 1 {       // only the oracle reads byID, and it runs on one worker
 		n.w.byID[discovery.IDOfName(nodeName(n.n, n.startCount))] = n
 	}
 }
--- a/internal/lab/play/world.go
+++ b/internal/lab/play/world.go
@@ -1,6 +1,6 @@
 package play
 
-// This file owns the putting together of a world: who there is, how long ways are, and the end of a run.
+// This file sets up the actors of a run, runs it to its end, and models network delay, loss and cuts.
 
 import (
 	"encoding/json"
@@ -18,37 +18,37 @@
 	"flaxfront/internal/lab/script"
 )
 
-// Options say how a script is played.
+// Options configure a run.
 type Options struct {
-	Cores  int          // 0: all
-	Policy Policy       // what decides
-	Stop   *atomic.Bool // set it to end the run early; nil: nobody will
-	Trace  io.Writer    // a line of JSON for the end of each search, on one core only; nil: none
+	Cores  int          // number of workers; 0: by GOMAXPROCS and the size of the script
+	Policy Policy       // the router of the brokers
+	Stop   *atomic.Bool // the run ends early once it is true; may be nil
+	Trace  io.Writer    // gets a line of JSON for each result of a query and forces one core; nil: no trace
 }
 
-// Policy is what decides in the brokers.
+// Policy names the router of the brokers.
 type Policy string
 
-// The module is compared with random choice and with one that sees the state of every node.
+// Module is the real router. It is compared with random choice and with an oracle that sees the state of every node.
 const (
 	Module Policy = "module"
 	Random Policy = "random"
 	Oracle Policy = "seer"
 )
 
-// world is all actors of one run.
+// world holds the actors of one run and what they share.
 type world struct {
 	script    *script.Script
 	schedule  *script.Schedule
 	terms     *terms.Terms
 	actors    []registeredActor // discovery, the auditor, then brokers, then nodes
 	workers   []*worker
-	lookahead time.Duration // no actor learns of another's deed sooner
+	lookahead time.Duration // shortest delay of an event between two actors
 	now, end  time.Duration
 	stopped   bool
 	rows      int // tenants times types
 	nodes     []*node
-	byID      map[decision.NodeID]*node // the process of each name that there ever was, for the seer
+	byID      map[decision.NodeID]*node // by the ID of each process that the node has had; for the oracle
 	epoch     time.Time
 	trace     *json.Encoder
 }
@@ -57,12 +57,12 @@
 	idDiscovery = 0
 	idAuditor   = 1
 	idBrokers   = 2
-	settleTime  = 5 * time.Second // after the last search
+	settleTime  = 5 * time.Second // from the last possible deadline to the end of the run
 )
 
 func (w *world) nodeActorID(n int) uint32 { return uint32(idBrokers + w.script.Brokers.Count + n) }
 
-// Play plays a checked script to its end.
+// Play runs a script that has passed Check to its end.
 func Play(s *script.Script, o Options) (*Result, error) {
 	w, brokers, err := buildWorld(s, o)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return w.collectResult(string(o.Policy)), nil
 }
 
-// buildWorld puts a world together; nothing has happened in it.
+// buildWorld sets up a world at time 0, with the first events of all actors.
 func buildWorld(s *script.Script, o Options) (*world, []*broker, error) {
 	w := &world{script: s, schedule: s.Schedule(), terms: s.Terms(), rows: len(s.Tenants) * len(s.Types), byID: map[decision.NodeID]*node{},
 		lookahead: min(s.Network.ZoneDelay, s.Network.CrossZoneDelay), epoch: time.UnixMilli(1_700_000_000_000)}
@@ -89,7 +89,7 @@
 	if cores == 0 {
 		cores = min(runtime.GOMAXPROCS(0), 1+(s.Brokers.Count+s.Fleet.Nodes)/24)
 	}
-	if o.Policy == Oracle || o.Trace != nil { // one looks into the nodes, the other writes in order
+	if o.Policy == Oracle || o.Trace != nil { // the oracle reads other actors' state, and the trace is written in order
 		cores = 1
 	}
 	if o.Trace != nil {
@@ -136,10 +136,10 @@
 	return w, brokers, nil
 }
 
-// routerForTest lets tests put a decider of their own in random choice's place.
+// routerForTest, if set by a test, makes the router that takes the place of random choice.
 var routerForTest func(decision.Settings, *broker) decision.Router
 
-// changeOperatorFileForTest lets tests give brokers another file.
+// changeOperatorFileForTest, if set by a test, changes the operators' file of the brokers.
 var changeOperatorFileForTest func(*operator.File)
 
 func (w *world) operatorFile() *operator.File {
@@ -150,7 +150,7 @@
 	return f
 }
 
-// newRouterFunc makes what decides in a broker.
+// newRouterFunc returns the constructor of a broker's router.
 func (w *world) newRouterFunc(policy Policy, b *broker) func(decision.Settings) decision.Router {
 	switch policy {
 	case Random:
@@ -165,8 +165,8 @@
 	}
 }
 
-// samplePath is how long something takes between two zones; lost tells that a packet is lost on it, held that there is no way
-// before a moment.
+// samplePath draws the network delay between two zones. lost reports that the packet is lost; held, if not 0, is the time until which
+// the zones are cut off from each other.
 func (s *actorState) samplePath(from, to int) (took time.Duration, lost bool, held time.Duration) {
 	n := &s.w.script.Network
 	took = n.ZoneDelay
@@ -180,9 +180,9 @@
 	return took, loss > 0 && s.rnd.Float64() < loss, s.w.schedule.Cut(from, to, s.now)
 }
 
-const resendAfter = 200 * time.Millisecond // a lost packet within a connection
+const resendAfter = 200 * time.Millisecond // delay until a lost packet of a connection is sent again
 
-// deliveryTime is when what is written to a connection arrives: in order, and late where packets are lost or there is no way.
+// deliveryTime returns when a write to a connection arrives: in order, and later if a packet is lost or the zones are cut off.
 func (s *actorState) deliveryTime(from, to int, last *time.Duration) time.Duration {
 	took, lost, held := s.samplePath(from, to)
 	at := s.now + took
@@ -196,7 +196,7 @@
 	return *last
 }
 
-// expectedValue is what a node makes of a part: whoever knows the part can tell whether a value is honest.
+// expectedValue returns the value of a shard request, a hash of its ID, so that the audit can check an answer.
 func expectedValue(requestID string) string {
 	h := hashOf(requestID)
 	b := make([]byte, 0, 16)
