--- a/internal/protocols/front/z3950/clients_test.go
+++ b/internal/protocols/front/z3950/clients_test.go
@@ -1,6 +1,6 @@
 package z3950
 
-// This file tests hostile and departing clients, drains and cost.
+// This file tests invalid requests, clients that misbehave or disconnect, drains, and the front's cost.
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"flaxfront/internal/protocols/z3950"
 )
 
-// Queries that nobody here could be asked have their diagnostics; the session goes on.
+// A search with an unsupported query, database or syntax is answered with its diagnostic, and the session goes on.
 func TestUnsupportedQueries(t *testing.T) {
 	o := testOptions()
 	o.Databases = []string{"x"}
@@ -46,7 +46,8 @@
 	}
 }
 
-// Whoever says nothing, begins with anything but init, or sends noise, is closed in time with a reason; one client too many is told.
+// A client that is silent, does not begin with init, or sends bytes of another protocol is closed in time with a reason. So is one
+// beyond the limit on sessions.
 func TestHostileClients(t *testing.T) {
 	o := testOptions()
 	o.Sessions = 2
@@ -54,14 +55,14 @@
 	silent, noisy := dial(t, f, nil), dial(t, f, nil)
 	began := time.Now()
 	if m, is := dial(t, f, nil).receive().(*z3950.Close); !is || m.Reason != 4 {
-		t.Errorf("one too many: %+v", m)
+		t.Errorf("session beyond the limit: %+v", m)
 	}
 	noisy.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	if m, is := noisy.receive().(*z3950.Close); !is || m.Reason != 6 {
-		t.Errorf("noise: %+v", m)
+		t.Errorf("bytes of another protocol: %+v", m)
 	}
 	if m, is := silent.receive().(*z3950.Close); !is || m.Reason != 7 || time.Since(began) > 3*time.Second {
-		t.Errorf("silence: %+v after %v", m, time.Since(began))
+		t.Errorf("silent client: %+v after %v", m, time.Since(began))
 	}
 	waitUntil(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.sessions) == 0 })
 	early := dial(t, f, nil)
@@ -74,12 +75,12 @@
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it did not come to that")
+			t.Fatal("condition not met within 5 s")
 		}
 	}
 }
 
-// A client that goes away while its search is in hand takes it along; its sets are forgotten.
+// A client's disconnect cancels its search in flight and removes its result sets.
 func TestClientDisconnects(t *testing.T) {
 	b := archive.New(archive.TextRecord)
 	f := startFront(t, b, testOptions())
@@ -99,7 +100,7 @@
 	})
 }
 
-// A planned stop: what is in hand is answered, then each session is told by a close; new ones find nobody.
+// After a drain, operations in flight are answered, then each session is closed with a Close message; new connections fail.
 func TestDrain(t *testing.T) {
 	b := archive.New(archive.TextRecord)
 	f := startFront(t, b, testOptions())
@@ -110,14 +111,14 @@
 	waitUntil(t, func() bool { return b.Queries() == 1 })
 	f.Drain()
 	if m, is := idle.receive().(*z3950.Close); !is || m.Reason != 1 {
-		t.Errorf("idle: %+v", m)
+		t.Errorf("idle session: %+v", m)
 	}
 	close(hold)
 	if r, is := busy.receive().(*z3950.SearchResponse); !is || !r.OK {
-		t.Errorf("busy: %+v", r)
+		t.Errorf("busy session: %+v", r)
 	}
 	if m, is := busy.receive().(*z3950.Close); !is || m.Reason != 1 {
-		t.Errorf("busy, afterwards: %+v", m)
+		t.Errorf("busy session, after its answer: %+v", m)
 	}
 	if _, err := z3950.Read(busy.reader); !errors.Is(err, io.EOF) {
 		t.Error(err)
@@ -127,7 +128,8 @@
 	}
 }
 
-// A search and a page of ten records, through a session that stands, over a broker that answers at once: the front's own cost.
+// BenchmarkSearchAndPresent measures the front's own cost: a search and a page of four records in an open session, with a broker that
+// answers at once.
 func BenchmarkSearchAndPresent(b *testing.B) {
 	f := startFront(b, archive.New(archive.DublinCoreRecord), testOptions())
 	conn, err := net.Dial("tcp", f.Addr().String())
