--- a/internal/lab/proof/back_test.go
+++ b/internal/lab/proof/back_test.go
@@ -10,10 +10,10 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// waitUntilNoneOut waits until nobody is out or about to go, in the ledger and seen from outside, and tells how many steps there were.
+// waitUntilNoneOut waits until all brokers serve and none holds a permit, and returns the number of planned stops so far.
 func (c *tier) waitUntilNoneOut() int {
 	c.t.Helper()
-	c.waitForStatus("nobody is out or may go", func(s *controlplane.Status) bool {
+	c.waitForStatus("all brokers serve and none holds a permit", func(s *controlplane.Status) bool {
 		for _, b := range s.Brokers {
 			if b.Status != statemachine.BrokerServing || b.Permit > 0 {
 				return false
@@ -24,7 +24,7 @@
 	return len(c.Monitor.PlannedStops())
 }
 
-// The word of an operator halts a release, lets it go on, and takes it back: whoever went out returns with the version before.
+// An operator halts a release, resumes it and rolls it back: brokers that were stopped for it return to the previous version.
 func TestHaltResumeRollback(t *testing.T) {
 	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3})
 	clients := c.Clients(40, 3)
@@ -32,16 +32,16 @@
 	c.startRelease()
 	c.waitForSteps(1)
 	c.mustRun("halt", "trial")
-	atHalt := c.waitUntilNoneOut()
-	if atHalt >= 4 {
-		t.Fatalf("%d steps; nothing is left to halt", atHalt)
+	stops := c.waitUntilNoneOut()
+	if stops >= 4 {
+		t.Fatalf("%d release steps before the halt took effect: too few brokers are left", stops)
 	}
 	time.Sleep(quietSpan)
-	if now := len(c.Monitor.PlannedStops()); now != atHalt {
-		t.Errorf("%d went out after the halt", now-atHalt)
+	if now := len(c.Monitor.PlannedStops()); now != stops {
+		t.Errorf("%d brokers were stopped after the halt", now-stops)
 	}
 	c.mustRun("resume")
-	c.waitForSteps(atHalt + 1)
+	c.waitForSteps(stops + 1)
 	before := "v1"
 	installed.Store(&before)
 	c.mustRun("back", "trial")
@@ -50,20 +50,20 @@
 	c.checkRelease(1, out)
 	back := 0
 	for _, b := range c.Brokers {
-		atHalt := plannedStops(b)
-		if b.Version != "v1" || atHalt > 2 {
-			t.Errorf("%s runs %s after the way back, stopped %d times", b.Name, b.Version, atHalt)
+		stops := plannedStops(b)
+		if b.Version != "v1" || stops > 2 {
+			t.Errorf("%s runs version %s after the rollback and was stopped %d times", b.Name, b.Version, stops)
 		}
-		if atHalt == 2 {
+		if stops == 2 {
 			back++
 		}
 	}
-	if back < atHalt {
-		t.Errorf("%d of at least %d that had gone were taken back", back, atHalt)
+	if back < stops {
+		t.Errorf("%d brokers were rolled back, at least %d had been upgraded", back, stops)
 	}
 }
 
-// A version that sheds searches is halted by the gate once one broker has it, and the way back is complete.
+// The gate halts the release of a version that sheds queries after the first broker, and the rollback is complete.
 func TestBadVersionIsHalted(t *testing.T) {
 	c := startTier(t, chaos.Options{Brokers: 7, Voters: 3})
 	clients := c.Clients(90, 4)
@@ -76,14 +76,14 @@
 	})
 	c.mustRun("release", "--from", "v1", "--to", "v2", "--most", "1", "--batch", "1,7", "--pause", "10s")
 	c.waitForSteps(1)
-	s := c.waitForStatus("the gate halts", func(s *controlplane.Status) bool {
+	s := c.waitForStatus("the gate halts the release", func(s *controlplane.Status) bool {
 		return s.Release != nil && s.Release.State == statemachine.ReleaseHalted
 	})
 	n := c.waitUntilNoneOut()
 	if !strings.HasPrefix(s.Release.Reason, "gate: ") || n != 1 {
-		t.Errorf("halted after %d of 7 went out: %s", n, s.Release.Reason)
+		t.Errorf("halted after %d steps of 7, want 1 and the gate as reason: %s", n, s.Release.Reason)
 	}
-	t.Logf("halted for: %s", s.Release.Reason)
+	t.Logf("reason of the halt: %s", s.Release.Reason)
 	c.mustRun("back", "bad")
 	c.waitReleaseDone()
 	out := clients.Stop()
@@ -94,11 +94,11 @@
 	}
 	for _, b := range c.Brokers {
 		if n := plannedStops(b); b.Version != "v1" || n != 0 && n != 2 {
-			t.Errorf("%s runs %s after the way back, stopped %d times", b.Name, b.Version, n)
+			t.Errorf("%s runs version %s after the rollback and was stopped %d times", b.Name, b.Version, n)
 		}
 	}
 	if out.Shed == 0 {
-		t.Error("nothing was shed: the bad version was not bad")
+		t.Error("the bad version shed no queries")
 	}
 	t.Log(out)
 }
--- a/internal/lab/proof/budgets_test.go
+++ b/internal/lab/proof/budgets_test.go
@@ -14,15 +14,15 @@
 
 const nodeBudget = 7
 
-// connectionPolicy is a policy for five brokers: floors of 1 leave 2 units of a node to be divided.
+// connectionPolicy is a policy for five brokers with a budget of 7 connections to a node: the floors of 1 leave 2 to be divided.
 const connectionPolicy = `{
   "brokers": 5, "nodes": 8, "lease": "1500ms", "closing": "200ms",
   "classes": [{"name": "all", "budget": "7", "floor": "1"}],
   "tenants": [{"name": "acme", "guarantee": "shared / 3", "weight": "2"}, {"name": "quiet", "guarantee": "0"}],
 }`
 
-// TestNodeConnectionBudgets has five brokers keep to a node's budget while load moves between them, one is stopped over its lease, one is killed
-// and the policy changes and goes back. The nodes count their connections themselves.
+// Five brokers keep to each node's connection budget while load moves between them, one is paused beyond its lease, one is killed, and
+// the policy changes and is rolled back. The nodes count their connections themselves.
 func TestNodeConnectionBudgets(t *testing.T) {
 	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3, Fleet: map[string]any{"budgets": true}})
 	file := filepath.Join(t.TempDir(), "policy.json5")
@@ -33,9 +33,9 @@
 		c.mustRun("policy", "set", file)
 	}
 	if out, err := c.Command("policy", "set", c.CommandFile); err == nil {
-		t.Errorf("a file that is no policy was agreed: %s", out)
+		t.Errorf("a file that is not a policy was accepted: %s", out)
 	}
-	// stall has the nodes take parts and say nothing for a moment, again and again, so that parts pile up and connections with them.
+	// stall has the nodes repeatedly accept shard requests without answering for a moment, so that brokers open more connections.
 	stall := func(times int) {
 		for range times {
 			for _, mode := range []lab.Mode{lab.Hanging, lab.Serving} {
@@ -58,7 +58,7 @@
 	}
 	all := c.Clients(600, 2)
 	peakWithoutPolicy := 0
-	c.waitFor("a node holds more than the budget, without a policy", func() bool {
+	c.waitFor("a node has more connections than the budget, without a policy", func() bool {
 		stall(1)
 		peakWithoutPolicy = max(peakWithoutPolicy, peak())
 		return peakWithoutPolicy > nodeBudget
@@ -67,7 +67,7 @@
 	first := c.Clients(400, 3, c.Brokers[0], c.Brokers[1])
 	setPolicy(connectionPolicy)
 	c.waitForStatus("the policy is in force", func(s *controlplane.Status) bool { return s.Policy != nil && s.Policy.Version == 1 })
-	time.Sleep(lease + quietSpan) // what was open before any policy was agreed is closed by then
+	time.Sleep(lease + quietSpan) // connections that were open before the policy are closed by then
 	peak()
 	c.waitFor("all brokers keep to the policy", func() bool { stall(1); return peak() <= nodeBudget })
 	second := c.Clients(400, 4, c.Brokers[2], c.Brokers[3])
@@ -81,19 +81,19 @@
 	stall(1)
 	c.mustRun("policy", "back")
 	stall(1)
-	c.waitFor("a broker holds units", func() bool { stall(1); return holdsUnits(c.Brokers[3]) })
+	c.waitFor("the broker holds connection leases", func() bool { stall(1); return holdsUnits(c.Brokers[3]) })
 	out, peakUnderPolicy := second.Stop(), peak()
 	if c.Brokers[3].Terminate(); !c.Brokers[3].WaitForEnd(waitLimit) || len(c.Brokers[3].LogLines(0, "connection leases released")) == 0 {
-		t.Error("a broker that stopped in good order gave nothing up")
+		t.Error("a broker that shut down in an orderly way released no connection leases")
 	}
-	t.Logf("%d connections to a node at most under the policy, budget %d; %d before it; %d of %d searches answered", peakUnderPolicy, nodeBudget,
+	t.Logf("at most %d connections to a node under the policy, budget %d; %d without it; %d of %d queries answered", peakUnderPolicy, nodeBudget,
 		peakWithoutPolicy, out.Answered, out.Asked)
 	if peakUnderPolicy > nodeBudget {
-		t.Errorf("a node held %d connections, its budget is %d", peakUnderPolicy, nodeBudget)
+		t.Errorf("a node had %d connections, its budget is %d", peakUnderPolicy, nodeBudget)
 	}
 }
 
-// permitWhileCutOff tells whether a broker holds units under its present session: one that was lost meanwhile begins with nothing.
+// holdsUnits reports whether a broker holds connection leases under its present session: after a lost session it starts with none.
 func holdsUnits(b *chaos.Broker) (now bool) {
 	session := ""
 	for _, line := range b.LogLines(0, "") {
--- a/internal/lab/proof/disk_test.go
+++ b/internal/lab/proof/disk_test.go
@@ -12,12 +12,12 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// logDirectory is where a voter keeps its log.
+// logDirectory returns the directory of a voter's log.
 func logDirectory(b *chaos.Broker) string {
 	return filepath.Join(filepath.Dir(b.OperatorFile), "agreed", b.Name)
 }
 
-// largestFileSize is the size of the largest file in a directory.
+// largestFileSize returns the size of the largest file in a directory.
 func largestFileSize(t *testing.T, dir string) (most int64) {
 	all, err := os.ReadDir(dir)
 	if err != nil {
@@ -31,16 +31,16 @@
 	return most
 }
 
-// stopBroker ends a broker's life by SIGTERM, as an operator does.
+// stopBroker ends a broker's process by SIGTERM, as an operator does.
 func (c *tier) stopBroker(b *chaos.Broker) {
 	c.t.Helper()
 	c.Supervise(nil)
 	if b.Terminate(); !b.WaitForEnd(waitLimit) {
-		c.t.Fatalf("%s does not end", b.Name)
+		c.t.Fatalf("%s does not exit after SIGTERM", b.Name)
 	}
 }
 
-// mustNotStart starts a broker that must not start, and returns what it says.
+// mustNotStart starts a broker that must exit with an error, and returns what it logs.
 func (c *tier) mustNotStart(b *chaos.Broker) string {
 	c.t.Helper()
 	logStart := b.LogSize()
@@ -48,26 +48,26 @@
 		c.t.Fatal(err)
 	}
 	if !b.WaitForEnd(waitLimit) {
-		c.t.Errorf("%s runs", b.Name)
+		c.t.Errorf("%s runs, want an exit with an error", b.Name)
 	}
 	if last := b.Runs()[len(b.Runs())-1]; last.Status == 0 {
-		c.t.Errorf("%s ended with status 0", b.Name)
+		c.t.Errorf("%s exited with status 0", b.Name)
 	}
 	return strings.Join(b.LogLines(logStart, ""), "\n")
 }
 
-// A voter whose disk fills votes no more and says so, and serves on; the others agree without it. With room it is a voter again,
-// from the log that it had. A log of another voter, a damaged one and none at all are refused.
+// A voter whose disk is full logs that once, stops voting and keeps serving queries; the others reach agreement without it. Restarted
+// with free space it votes again, from the log that it had. With another voter's log, a damaged one or none it must not start.
 func TestVoterDiskFaults(t *testing.T) {
 	c := startTier(t, chaos.Options{Brokers: 4, Voters: 3})
 	c.restartWithVersion("v2")
-	s := c.waitForStatus("a leader", func(s *controlplane.Status) bool { return s.Leader != "" })
+	s := c.waitForStatus("a leader is elected", func(s *controlplane.Status) bool { return s.Leader != "" })
 	full := c.BrokerNamed(s.Leader)
 	if err := full.LimitFileSize(uint64(largestFileSize(t, logDirectory(full)) + 100)); err != nil {
 		t.Fatal(err)
 	}
-	c.waitFor("it says that its disk is full", func() bool {
-		c.Command("forget", "b3", "--within", "1s") // something to write; it is refused, as that one lives
+	c.waitFor("the voter logs that its disk is full", func() bool {
+		c.Command("forget", "b3", "--within", "1s") // appends a log entry; it is rejected, as b3 runs
 		return len(full.LogLines(0, "voter stopped")) > 0
 	})
 	for _, line := range full.LogLines(0, "voter stopped") {
@@ -75,14 +75,14 @@
 			t.Error(line)
 		}
 	}
-	c.waitForStatus("another leads", func(s *controlplane.Status) bool { return s.Leader != full.Name })
-	c.all(statemachine.BrokerServing) // it follows the others from now on: it takes no place in any limit, and hears of drains
+	c.waitForStatus("another voter leads", func(s *controlplane.Status) bool { return s.Leader != full.Name })
+	c.all(statemachine.BrokerServing) // as a follower it does not count as lost, and learns of drains
 	if up, said := full.Serving(); !up || !said {
 		t.Error("a broker whose disk is full does not serve")
 	}
 	time.Sleep(quietSpan)
 	if n := len(full.LogLines(0, "voter stopped")); n != 1 {
-		t.Errorf("said %d times", n)
+		t.Errorf("the full disk was logged %d times, want 1", n)
 	}
 	c.stopBroker(full)
 	if err := c.Start(full); err != nil {
@@ -90,7 +90,7 @@
 	}
 	c.all(statemachine.BrokerServing)
 
-	other := c.BrokerNamed(c.waitForStatus("a leader", func(s *controlplane.Status) bool { return s.Leader != "" }).Leader)
+	other := c.BrokerNamed(c.waitForStatus("a leader is elected", func(s *controlplane.Status) bool { return s.Leader != "" }).Leader)
 	wrong := c.Brokers[(other.Index+1)%3]
 	c.stopBroker(wrong)
 	kept := filepath.Join(t.TempDir(), "kept")
@@ -98,14 +98,14 @@
 		t.Fatal(err)
 	}
 	if said := c.mustNotStart(wrong); !strings.Contains(said, "no voter's log") {
-		t.Errorf("without a log: %s", said)
+		t.Errorf("without a log the broker logged: %s", said)
 	}
 	os.RemoveAll(logDirectory(wrong))
 	if err := os.CopyFS(logDirectory(wrong), os.DirFS(logDirectory(other))); err != nil {
 		t.Fatal(err)
 	}
 	if said := c.mustNotStart(wrong); !strings.Contains(said, ", not of ") {
-		t.Errorf("with another's log: %s", said)
+		t.Errorf("with another voter's log the broker logged: %s", said)
 	}
 	os.RemoveAll(logDirectory(wrong))
 	if err := os.CopyFS(logDirectory(wrong), os.DirFS(kept)); err != nil {
@@ -113,7 +113,7 @@
 	}
 	corruptLog(t, logDirectory(wrong))
 	if said := c.mustNotStart(wrong); !strings.Contains(said, "is damaged at byte") {
-		t.Errorf("with a damaged log: %s", said)
+		t.Errorf("with a damaged log the broker logged: %s", said)
 	}
 	os.RemoveAll(logDirectory(wrong))
 	if err := os.CopyFS(logDirectory(wrong), os.DirFS(kept)); err != nil {
@@ -125,7 +125,7 @@
 	c.all(statemachine.BrokerServing)
 }
 
-// corruptLog changes a byte in the first half of the largest file.
+// corruptLog flips a bit a third of the way into the largest file.
 func corruptLog(t *testing.T, dir string) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*"))
 	for _, path := range files {
@@ -138,5 +138,5 @@
 			return
 		}
 	}
-	t.Fatal("no log")
+	t.Fatal("no log file to corrupt")
 }
--- a/internal/lab/proof/doc.go
+++ b/internal/lab/proof/doc.go
@@ -1,7 +1,7 @@
-// Package proof is tests alone: real processes of the program, with faults put between them, and audits that see all from outside.
-// It owns the properties that several processes must keep together. A verdict must never hang on how fast the machine is: tests
-// wait for a state with a wide bound, and watch spans in which something must not happen.
+// Package proof contains only tests. They run several real broker processes, inject faults, and audit from outside the properties that
+// the processes must keep together. No result may depend on the speed of the machine: a test waits for a state with a generous limit,
+// and watches for a fixed span that something does not happen.
 //
-// Depends on no package of this module. Concurrency: tests run beside one another, a few tiers of processes
+// Depends on no package of this module. Concurrency: tests run in parallel, with at most three tiers of processes
 // at a time.
 package proof
--- a/internal/lab/proof/frozen_test.go
+++ b/internal/lab/proof/frozen_test.go
@@ -9,8 +9,8 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// permitWhileCutOff cuts what a broker says off and has a release permit it to go, so that it holds a permit that it cannot use. It tells
-// whether that was seen; where the lease ran out first nothing is permitted, and it is to be tried anew.
+// permitWhileCutOff cuts all messages from a broker and starts a release for it, so that it gets a permit that it cannot use. It reports
+// whether the permit was seen. If the broker's lease expires first, none is granted, and the caller has to try again.
 func (c *tier) permitWhileCutOff(b *chaos.Broker) bool {
 	c.t.Helper()
 	for other := range c.Brokers {
@@ -30,7 +30,7 @@
 	return false
 }
 
-// A broker that was stopped with a permit in its hands, and wakes up when that is void, does nothing by it.
+// A broker that is paused while it holds a permit, and continues when the permit is void, does not use it.
 func TestPausedHolderIgnoresVoidPermit(t *testing.T) {
 	c := startTier(t, chaos.Options{Brokers: 4, Voters: 3})
 	c.restartWithVersion("v2")
@@ -40,31 +40,31 @@
 		if provoked = c.permitWhileCutOff(b); provoked {
 			b.Pause()
 		}
-		c.waitForStatus("its loss is known", func(s *controlplane.Status) bool {
+		c.waitForStatus("the broker is lost and has no permit", func(s *controlplane.Status) bool {
 			me, _ := brokerStatus(s, b.Name)
 			return me.Status == statemachine.BrokerLost && me.Permit == 0
 		})
-		c.mustRun("halt", "trial") // else it would get another permit, and go by that
-		c.Mesh.Heal(false)         // what it said meanwhile arrives now
+		c.mustRun("halt", "trial") // otherwise it would get another permit and use that
+		c.Mesh.Heal(false)         // the messages that were held back arrive now
 		if !provoked {
 			c.all(statemachine.BrokerServing)
 		}
 	}
 	if !provoked {
-		t.Fatal("no permit was given before the lease ran out, five times")
+		t.Fatal("no permit was granted before the lease expired, in five tries")
 	}
 	if !b.Paused() || !b.Running() {
-		t.Fatal("it has gone before it was stopped")
+		t.Fatal("the broker exited before it was paused")
 	}
 	b.Resume()
 	c.all(statemachine.BrokerServing)
 	time.Sleep(quietSpan)
 	if n := len(c.Monitor.PlannedStops()); n != 0 || !b.Running() {
-		t.Fatalf("%d went out by a permit that was void", n)
+		t.Fatalf("%d planned stops, want none: the permit was void", n)
 	}
 	c.mustRun("resume")
 	c.waitReleaseDone()
 	if n := plannedStops(b); n != 1 {
-		t.Errorf("%s was stopped %d times by the release", b.Name, n)
+		t.Errorf("%s was stopped %d times by the release, want 1", b.Name, n)
 	}
 }
--- a/internal/lab/proof/history_test.go
+++ b/internal/lab/proof/history_test.go
@@ -18,23 +18,24 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// An operation of the history: a node is drained or undrained, or what is known of it is read.
+// operation is one operation of the history: drain or undrain a node, or read its drain.
 type operation struct {
 	verb string
 	node string
 }
 
-// outcome is what an operator was told: done (with the number of the drain), refused, unknown, or on a read, the drain there is.
+// outcome is the answer that the operator got: done (d), with the drain's number or, for a read, that of the present drain; rejected (r)
+// or unknown (u).
 type outcome struct {
 	kind   byte // 'd', 'r', 'u'
 	number uint64
 }
 
-// drainModel is one node: the number of its drain, 0 for none. A drain's number is the index of its entry, so that it only grows. Whether
-// one whose fate is unknown took effect is for the checker to find; its number is known only to whoever reads it.
+// drainModel is the state of one node: the number of its drain, 0 for none. The number is the index of the drain's log entry, so that it
+// only grows. Whether a drain of unknown outcome took effect is left to the checker, and its number is known only by a later read.
 type drainModel struct {
 	number uint64
-	any    bool // drained under a number that nobody was told yet
+	any    bool // drained, with a number that no answer has given yet
 }
 
 var historyModel = porcupine.Model{
@@ -65,9 +66,9 @@
 			return drained, drainModel{}
 		case out.kind == 'r':
 			return drained == (in.verb == controlplane.VerbDrain), s
-		case in.verb == controlplane.VerbDrain && !drained: // unknown, and it took effect
+		case in.verb == controlplane.VerbDrain && !drained: // unknown outcome, and it took effect
 			return true, drainModel{any: true}
-		case in.verb == controlplane.VerbUndrain: // unknown
+		case in.verb == controlplane.VerbUndrain: // unknown outcome
 			return true, drainModel{}
 		default:
 			return true, s
@@ -76,7 +77,7 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%v %v", input, output) },
 }
 
-// recorder gathers a history.
+// recorder collects a history.
 type recorder struct {
 	mu          sync.Mutex
 	began       time.Time
@@ -84,7 +85,7 @@
 	countByKind map[byte]int
 }
 
-// record takes an operation that has ended. One whose fate is unknown may take effect at any later time.
+// record adds an operation that has returned. One of unknown outcome may take effect at any later time.
 func (r *recorder) record(client int, in operation, call time.Time, out outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +97,7 @@
 	r.all = append(r.all, op)
 }
 
-// runOperations puts operations through one voter, one after another, until ctx ends.
+// runOperations sends operations to one voter, one after another, until ctx ends.
 func (c *tier) runOperations(ctx context.Context, r *recorder, client int, nodes []string, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, uint64(client)))
 	for ctx.Err() == nil {
@@ -106,7 +107,7 @@
 		if in.verb == controlplane.VerbStatus {
 			var s controlplane.Status
 			if err := c.SendToVoters(within, client, in.verb, &controlplane.Request{}, &s); err == nil {
-				for _, node := range nodes { // one read of each
+				for _, node := range nodes { // one read of each node
 					out := outcome{kind: 'd'}
 					for _, d := range s.Drains {
 						if d.Node == node {
@@ -115,7 +116,7 @@
 					}
 					r.record(client, operation{in.verb, node}, call, out)
 				}
-			} // a read without an answer says nothing
+			} // a read without an answer is left out
 		} else {
 			var number uint64
 			err := c.SendToVoters(within, client, in.verb, &controlplane.Request{Node: in.node}, &number)
@@ -126,7 +127,7 @@
 			case errors.As(err, &rejected) && strings.Contains(err.Error(), "rejected"):
 				out = outcome{kind: 'r'}
 			case errors.As(err, new(*controlplane.NotLeaderError)):
-				out.kind = 0 // it was never sent on
+				out.kind = 0 // it was not forwarded, so it had no effect
 			default:
 				out = outcome{kind: 'u'}
 			}
@@ -139,7 +140,7 @@
 	}
 }
 
-// injectLinkFaults cuts voters off from one another by chance, ends connections, and stops and continues processes.
+// injectLinkFaults isolates voters, cuts links, resets connections and pauses processes at random.
 func (c *tier) injectLinkFaults(ctx context.Context, rnd *rand.Rand) {
 	for ctx.Err() == nil {
 		v := rnd.IntN(3)
@@ -162,13 +163,13 @@
 	}
 }
 
-// checkHistory checks a history.
+// checkHistory checks that a history is linearizable.
 func checkHistory(all []porcupine.Operation) porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(historyModel, all, 30*time.Second)
 }
 
-// What operators do through different voters while links break and processes stand still is as if it had been done one after
-// another, each between its request and its answer.
+// Operations through different voters are linearizable while links fail and processes are paused: they have the same results as if
+// they were executed one after another, each between its request and its answer.
 func TestOperatorHistoryIsLinearizable(t *testing.T) {
 	for seed := range uint64(1 + *extraSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -187,16 +188,16 @@
 			if v := checkHistory(r.all); v != porcupine.Ok {
 				t.Fatalf("the history of %d operations is not linearizable: %s", len(r.all), v)
 			}
-			t.Logf("%d operations, done %d, refused %d, unknown %d", len(r.all), r.countByKind['d'], r.countByKind['r'], r.countByKind['u'])
+			t.Logf("%d operations: %d done, %d rejected, %d of unknown outcome", len(r.all), r.countByKind['d'], r.countByKind['r'], r.countByKind['u'])
 			if r.countByKind['d'] < 10 || r.countByKind['r'] < 1 {
-				t.Error("too little was done")
+				t.Error("too few operations were done or rejected")
 			}
 			c.all(statemachine.BrokerServing)
 		})
 	}
 }
 
-// The checker finds faults put into a history: a read of what is past, a drain that takes effect twice, an answer that was never so.
+// The checker finds faults put into a history: a stale read, a drain that takes effect twice, a rejection without a cause.
 func TestHistoryCheckerFindsFaults(t *testing.T) {
 	op := func(from, to int64, verb string, out outcome) porcupine.Operation {
 		return porcupine.Operation{Input: operation{verb, "n"}, Call: from, Return: to, Output: out}
--- a/internal/lab/proof/hunt_test.go
+++ b/internal/lab/proof/hunt_test.go
@@ -13,7 +13,7 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// injectFault puts a fault of chance into the tier, for a while shorter than what the audit gives a crash to be known.
+// injectFault injects a random fault into the tier, for less time than the audit allows until a crash is known.
 func (c *tier) injectFault(rnd *rand.Rand) {
 	b := c.Brokers[rnd.IntN(len(c.Brokers))]
 	span := time.Duration(100+rnd.IntN(1100)) * time.Millisecond
@@ -26,7 +26,7 @@
 		b.Kill()
 		b.WaitForEnd(waitLimit)
 		time.Sleep(span)
-		b.Version = "v2" // what is installed
+		b.Version = "v2" // the installed version
 		c.Start(b)
 	case 2:
 		b.Pause()
@@ -49,7 +49,7 @@
 	}
 }
 
-// Whatever breaks during a release, the limit holds, nobody is stopped twice for it, and it is done once nothing breaks any more.
+// Under random faults a release keeps its limit and stops no broker twice, and it ends once there are no more faults.
 func TestReleaseUnderFaults(t *testing.T) {
 	for seed := range uint64(1 + *extraSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -69,14 +69,14 @@
 				}
 			})
 			all.Wait()
-			c.waitForStatus("the release is done, or halted as one that was out came back as it was", func(s *controlplane.Status) bool {
+			c.waitForStatus("the release is done, or halted because a stopped broker came back with its old version", func(s *controlplane.Status) bool {
 				return s.Release != nil && s.Release.State != statemachine.ReleaseRunning
 			})
 			c.all(statemachine.BrokerServing)
 			c.checkRelease(most, clients.Stop())
 			for _, b := range c.Brokers {
 				if n := plannedStops(b); n > 1 || b.Version != "v2" {
-					t.Errorf("%s was stopped %d times by the release, and runs %s", b.Name, n, b.Version)
+					t.Errorf("%s was stopped %d times by the release and runs version %s", b.Name, n, b.Version)
 				}
 			}
 		})
--- a/internal/lab/proof/main_test.go
+++ b/internal/lab/proof/main_test.go
@@ -18,17 +18,17 @@
 
 var (
 	program         string
-	extraSeeds      = flag.Int("hunt", 0, "play so many further seeds of the histories, outside CI")
-	alwaysPrintLogs = flag.Bool("wordy", false, "print what brokers logged also where a test passes")
-	tierSlots       = make(chan struct{}, 3) // tiers side by side
+	extraSeeds      = flag.Int("hunt", 0, "number of further seeds of the tests with random faults, for runs outside CI")
+	alwaysPrintLogs = flag.Bool("wordy", false, "print the brokers' logs also if a test passes")
+	tierSlots       = make(chan struct{}, 3) // limits the tiers that run at the same time
 )
 
 const (
 	lease     = 1500 * time.Millisecond
-	waitLimit = 40 * time.Second // for a state that comes in a second or two on a machine with nothing else to do
-	// crashKnownAfter is when the fleet has surely heard of a crash: leases run out, at a leader that was elected after it.
+	waitLimit = 40 * time.Second // for a state that is reached within a second or two on an idle machine
+	// crashKnownAfter bounds the time until a crash is known: the lease expires, at a leader that may have been elected after the crash.
 	crashKnownAfter = 3*lease + 2*time.Second
-	// quietSpan is how long a test watches for what must not happen. What it watches for would come within a tenth of it.
+	// quietSpan is how long a test watches that something does not happen. If it did, it would within a tenth of that.
 	quietSpan = 1500 * time.Millisecond
 )
 
@@ -36,7 +36,7 @@
 	flag.Parse()
 	code := func() int {
 		if testing.Short() {
-			return m.Run() // each test skips itself
+			return m.Run() // each test that starts processes skips itself
 		}
 		dir, err := os.MkdirTemp("", "proof")
 		if err != nil {
@@ -66,10 +66,10 @@
 	t *testing.T
 }
 
-// startTier starts a tier and waits until all of its brokers are in.
+// startTier starts a tier and waits until all of its brokers serve.
 func startTier(t *testing.T, o chaos.Options) *tier {
 	if testing.Short() {
-		t.Skip("starts processes")
+		t.Skip("starts processes; skipped with -short")
 	}
 	t.Parallel()
 	tierSlots <- struct{}{}
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	c.all(statemachine.BrokerServing)
-	c.waitFor("the outside view has all serve", func() bool {
+	c.waitFor("the monitor sees all brokers serve", func() bool {
 		for _, b := range c.Brokers {
 			if !c.Monitor.Serves(b.Name) {
 				return false
@@ -108,14 +108,14 @@
 		}
 		return true
 	})
-	t.Logf("%d brokers are in after %v", len(c.Brokers), time.Since(began).Round(10*time.Millisecond))
+	t.Logf("%d brokers serve after %v", len(c.Brokers), time.Since(began).Round(10*time.Millisecond))
 	return c
 }
 
-// printLogs prints what the brokers logged last.
+// printLogs prints the release steps and the end of each broker's control plane log.
 func (c *tier) printLogs() {
 	for _, s := range c.Monitor.PlannedStops() {
-		c.t.Logf("step of %s at %s, beside %v", s.Broker, s.At.Format("15:04:05.000"), s.Out)
+		c.t.Logf("step of %s at %s, while out: %v", s.Broker, s.At.Format("15:04:05.000"), s.Out)
 	}
 	for _, b := range c.Brokers {
 		lines := b.LogLines(0, "component=control-plane")
@@ -125,18 +125,18 @@
 	}
 }
 
-// waitFor waits for a state.
+// waitFor waits until ok returns true, and fails the test after waitLimit.
 func (c *tier) waitFor(what string, ok func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			s, err := c.Status(2 * time.Second)
-			c.t.Fatalf("not within %v: %s\n%+v %v", waitLimit, what, s, err)
+			c.t.Fatalf("not reached within %v: %s\nstatus: %+v, error: %v", waitLimit, what, s, err)
 		}
 	}
 }
 
-// waitForStatus waits until what a majority knows satisfies ok.
+// waitForStatus waits until the status that a majority agrees on satisfies ok, and returns it.
 func (c *tier) waitForStatus(what string, ok func(*controlplane.Status) bool) (s controlplane.Status) {
 	c.t.Helper()
 	c.waitFor(what, func() (good bool) {
@@ -147,7 +147,7 @@
 	return s
 }
 
-// all waits until all brokers stand as given.
+// all waits until all brokers have a status.
 func (c *tier) all(as statemachine.BrokerStatus) {
 	c.t.Helper()
 	c.waitForStatus(fmt.Sprint("all are ", as), func(s *controlplane.Status) bool {
@@ -161,7 +161,7 @@
 	})
 }
 
-// brokerStatus is how a broker stands; false: it is not known.
+// brokerStatus returns a broker's entry in the status; false: there is none.
 func brokerStatus(s *controlplane.Status, name string) (controlplane.BrokerStatus, bool) {
 	for _, b := range s.Brokers {
 		if b.Name == name {
@@ -171,7 +171,7 @@
 	return controlplane.BrokerStatus{}, false
 }
 
-// mustRun runs a command of the program, which must be done.
+// mustRun runs a fleet command of the program, which must succeed.
 func (c *tier) mustRun(args ...string) string {
 	c.t.Helper()
 	out, err := c.Command(args...)
--- a/internal/lab/proof/pins_test.go
+++ b/internal/lab/proof/pins_test.go
@@ -19,7 +19,7 @@
 
 const shards = 8
 
-// sessionReader is one session. It goes from broker to broker, and carries what it has seen.
+// sessionReader is a client session. It moves between brokers and remembers the positions that it has read.
 type sessionReader struct {
 	c             *tier
 	w             *lab.Writer
@@ -30,15 +30,15 @@
 	totals        *readTotals
 }
 
-// readTotals are figures of all sessions.
+// readTotals are the counts of all sessions.
 type readTotals struct {
 	sync.Mutex
 	asked, answered, refused, behind, parts int
 	broken                                  []string
 }
 
-// read puts one search with a hint to a broker, and holds what came against the writer's log. Times are of one clock: the broker took
-// the search after it was sent, so that what was acknowledged D before that moment is the least that a bound of D promises.
+// read sends one query with a read hint to a broker and compares the answer with the writer's log. All times are of one clock: the
+// broker takes the query after sent, so that a staleness bound of D promises at least what was acknowledged by D before sent.
 func (r *sessionReader) read(url string, crashed func() bool) {
 	n, first := 1+r.rnd.IntN(3), r.rnd.IntN(shards)
 	var tablets, needs []string
@@ -100,7 +100,7 @@
 	}
 }
 
-// checkShardRead checks one part against what was asked for and what the answer says.
+// checkShardRead checks one shard's answer against the hint and against what the answer states.
 func (r *sessionReader) checkShardRead(shard int, has, needed uint64, sent time.Time, bound time.Duration, mayBehind bool, h http.Header, hint string) {
 	violation := func(format string, args ...any) {
 		r.totals.broken = append(r.totals.broken, fmt.Sprintf("shard %d of %q: ", shard, hint)+fmt.Sprintf(format, args...))
@@ -110,28 +110,28 @@
 	behind := in(h.Get("X-Read-Behind"), strconv.Itoa(shard))
 	if behind {
 		if r.totals.behind++; !mayBehind {
-			violation("behind, and the hint does not allow that")
+			violation("read is behind, which the hint does not allow")
 		}
 	} else {
 		if has < needed {
-			violation("read at %d, %d us before what was seen", has, needed-has)
+			violation("read at position %d, %d us before the one seen", has, needed-has)
 		}
 		if least := r.w.PositionAt(sent.Add(-bound)); bound > 0 && has < least {
-			violation("read at %d, %d us older than the bound of %v", has, least-has, bound)
+			violation("read at position %d, %d us older than the bound of %v", has, least-has, bound)
 		}
 	}
 	if !in(h.Get("X-Read-Position"), fmt.Sprintf("%d:%d", shard, has)) {
-		violation("read at %d, and the answer says %q", has, h.Get("X-Read-Position"))
+		violation("read at position %d, but the answer states %q", has, h.Get("X-Read-Position"))
 	}
 	if stated, err := time.ParseDuration(h.Get("X-Read-Staleness")); err == nil && has < r.w.PositionAt(sent.Add(-stated)) {
-		violation("read at %d, older than the %v that the answer states", has, stated)
+		violation("read at position %d, older than the staleness of %v that the answer states", has, stated)
 	}
 	if !behind || has > r.seenPositions[shard] {
 		r.seenPositions[shard] = max(r.seenPositions[shard], has)
 	}
 }
 
-// The audit of reads finds each kind of answer that it is for.
+// The audit of reads detects each kind of violation, and reports none for allowed answers.
 func TestReadAuditDetectsViolations(t *testing.T) {
 	w, sent := lab.NewWriter(), time.Now()
 	at := w.PositionAt(sent)
@@ -159,10 +159,10 @@
 	}
 }
 
-// Sessions that go from broker to broker never read what is older than they allow, or before what they have seen or written, and no
-// answer calls itself fresher than it is, while replicas lag, stick and restart from older states, and brokers are cut off or stopped.
+// Sessions that move between brokers never read data staler than their bound or before a position that they have read or written, and
+// no answer understates its staleness, while replicas lag, stall and fall back to older states, and brokers are isolated or paused.
 func TestPinnedReads(t *testing.T) {
-	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3, Fleet: map[string]any{"pins": true, "clock_error": "0s"}}) // one clock: no margin hides a fault
+	c := startTier(t, chaos.Options{Brokers: 5, Voters: 3, Fleet: map[string]any{"pins": true, "clock_error": "0s"}}) // there is only one clock, so a margin for its error would hide faults
 	c.waitNodesListed()
 	w, sums := lab.NewWriter(), &readTotals{}
 	var replicas []*lab.Replica
@@ -182,7 +182,7 @@
 				if hits, well := b.Faults(); well {
 					r.read(b.URL, func() bool { now, _ := b.Faults(); return now != hits })
 				}
-				if r.rnd.IntN(4) == 0 { // it writes, and wants to read that
+				if r.rnd.IntN(4) == 0 { // the session writes, and wants to read its write
 					r.seenPositions[r.rnd.IntN(shards)] = w.PositionAt(time.Now())
 				}
 				time.Sleep(time.Duration(r.rnd.IntN(20)) * time.Millisecond)
@@ -217,9 +217,9 @@
 			t.Error(broken)
 		}
 	}
-	t.Logf("%d asked, %d answered, %d refused; %d parts held against the log, %d said that they are behind; %d wrong", sums.asked, sums.answered,
+	t.Logf("%d queries asked, %d answered, %d rejected; %d shard answers compared with the log, %d stated as behind, %d violations", sums.asked, sums.answered,
 		sums.refused, sums.parts, sums.behind, len(sums.broken))
 	if sums.answered*2 < sums.asked || sums.parts < 300 || sums.behind == 0 || sums.refused == 0 {
-		t.Error("too little was served, or nothing was ever behind: the test says little")
+		t.Error("too few queries were answered, or none was behind or rejected: the test is not conclusive")
 	}
 }
--- a/internal/lab/proof/restart_test.go
+++ b/internal/lab/proof/restart_test.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/lab/chaos"
 )
 
-// A broker that starts while a node is drained by agreement knows nothing of it at first; it takes no searches before it does, so
-// that none goes to that node.
+// A broker that starts does not know of an agreed drain at first. It must take no queries before it does, so that none of their shard
+// requests goes to the drained node.
 func TestDrainHoldsOverRestarts(t *testing.T) {
 	c := startTier(t, chaos.Options{Brokers: 4, Voters: 3})
 	c.waitNodesListed()
@@ -17,20 +17,20 @@
 	c.waitDrained(name)
 	time.Sleep(250 * time.Millisecond)
 	had := x.ShardRequests.Load()
-	for i, b := range []*chaos.Broker{c.Brokers[3], c.Brokers[1]} { // one that follows, and a voter
+	for i, b := range []*chaos.Broker{c.Brokers[3], c.Brokers[1]} { // a broker that is no voter, and a voter
 		c.stopBroker(b)
 		c.Mesh.SetDelay(b.Index, 40*time.Millisecond)
 		clients := c.Clients(200, uint64(11+i), b)
 		if err := c.Start(b); err != nil {
 			t.Fatal(err)
 		}
-		c.waitFor("it serves", func() bool { up, said := b.Serving(); return up && said })
+		c.waitFor("the broker serves", func() bool { up, said := b.Serving(); return up && said })
 		time.Sleep(quietSpan / 2)
 		c.waitDrained(name)
 		clients.Stop()
 		c.Mesh.SetDelay(b.Index, 0)
 	}
 	if n := x.ShardRequests.Load() - had; n > 0 {
-		t.Errorf("%d parts came to a drained node from brokers that started", n)
+		t.Errorf("a drained node got %d shard requests from brokers that had just started", n)
 	}
 }
