--- a/internal/lab/play/audit.go
+++ b/internal/lab/play/audit.go
@@ -132,8 +132,8 @@
 	actorState
 	executed map[uint64]execution // by hash of the shard request or of its query
 	shed     map[uint64]time.Duration
-	order    []uint64
-	times    []time.Duration
+	order    []uint64        // keys of both maps, oldest first
+	times    []time.Duration // parallel to order: when the key was recorded
 }
 
 // executed is a node's report of one execution.
--- a/internal/lab/play/conns.go
+++ b/internal/lab/play/conns.go
@@ -15,10 +15,10 @@
 
 // conn is a connection to a node, on the broker's side.
 type conn struct {
-	b           *broker
+	b           *broker // the broker that opened it
 	id          uint64
 	node        int
-	start       int
+	start       int // which process of the node it is for
 	name        string
 	poolHandle  store.Handle
 	established bool
--- a/internal/lab/play/engine.go
+++ b/internal/lab/play/engine.go
@@ -37,7 +37,7 @@
 // actorState is common to all actors: ID, virtual time, random source, and a hash of all events that the actor received.
 type actorState struct {
 	w      *world
-	runner *worker
+	runner *worker // runs this actor
 	id     uint32
 	seq    uint32
 	now    time.Duration
@@ -71,7 +71,7 @@
 
 // worker runs a share of the actors on one core.
 type worker struct {
-	at          int
+	at          int // index in world.workers
 	events      queue.Queue[event]
 	outbox      [][]queue.Item[event] // events for actors of other workers, by worker
 	nextEventAt time.Duration
@@ -157,7 +157,7 @@
 
 // barrier holds workers until all have arrived. They spin, as the work between two barriers takes only microseconds.
 type barrier struct {
-	n          int32
+	n          int32 // workers
 	arrived    atomic.Int32
 	generation atomic.Uint32
 }
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -43,7 +43,7 @@
 // broker is a broker and its clients.
 type broker struct {
 	actorState
-	n          int
+	n          int // index of the broker
 	zone       int
 	policy     Policy
 	starts     uint64
@@ -66,7 +66,7 @@
 	nodeIDs     []decision.NodeID // by node, as last listed; for sampleAvailability
 
 	extraSends       []time.Duration // rule 6: times of extra attempts within the window
-	creditedRequests []time.Duration
+	creditedRequests []time.Duration // and of the queries and shard requests that allow for them
 
 	idleSessions []*session // without a query in progress
 	sessionCount int
@@ -74,7 +74,7 @@
 
 // clientQuery is a query of a client, with its retries.
 type clientQuery struct {
-	row, typ, tenant  int
+	row, typ, tenant  int // row is the index in Result.Rows
 	askedAt, deadline time.Duration
 	shards            []int
 	weights           []float64
--- a/internal/lab/play/node.go
+++ b/internal/lab/play/node.go
@@ -33,7 +33,7 @@
 	effect    decision.Idempotency
 	cancelled bool
 	sentAt    time.Duration
-	n         uint64
+	n         uint64 // counts the node's jobs
 
 	version, report string // of the replica's state when the job started
 }
@@ -44,13 +44,13 @@
 	id          uint64
 	zone        int
 	lastArrival time.Duration // arrival time of the last write
-	index       int
+	index       int           // in node.conns
 	closed      bool
 }
 
 type node struct {
 	actorState
-	n            int
+	n            int // index of the node
 	zone         int
 	cell         int
 	startCount   int           // number of earlier processes of this node
--- a/internal/lab/play/plain.go
+++ b/internal/lab/play/plain.go
@@ -42,7 +42,7 @@
 	shard    int
 	weight   float64
 	attempts uint16
-	out      int
+	out      int // attempts in flight
 	answered bool
 	failed   bool
 }
@@ -78,8 +78,8 @@
 				if k.out--; e.Outcome == decision.OK && !k.answered {
 					k.answered, s.received = true, s.received+k.weight
 				} else if e.Outcome != decision.Cancelled {
-					never := e.Outcome == decision.Rejected || e.Outcome == decision.ConnectFailed || e.Outcome == decision.NeverSent
-					k.failed = k.attempts >= 3 || !never && s.typ.Idempotency != decision.Idempotent
+					notExecuted := e.Outcome == decision.Rejected || e.Outcome == decision.ConnectFailed || e.Outcome == decision.NeverSent
+					k.failed = k.attempts >= 3 || !notExecuted && s.typ.Idempotency != decision.Idempotent
 				}
 			}
 		case decision.ClientDeparted:
--- a/internal/lab/play/play_test.go
+++ b/internal/lab/play/play_test.go
@@ -231,9 +231,9 @@
 		t.Fatal(err)
 	}
 	w.run(w.end+2*auditRetention, &atomic.Bool{})
-	for _, f := range brokers {
-		if len(f.openQueries) > 0 || len(f.conns) > 200 {
-			t.Errorf("broker holds %d queries and %d connections", len(f.openQueries), len(f.conns))
+	for _, b := range brokers {
+		if len(b.openQueries) > 0 || len(b.conns) > 200 {
+			t.Errorf("broker holds %d queries and %d connections", len(b.openQueries), len(b.conns))
 		}
 	}
 	for _, n := range w.nodes {
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -160,7 +160,7 @@
 	b.idleSessions = append(b.idleSessions, s)
 }
 
-// pullPositions asks another broker for the replica positions that it knows, unless the network between them is cut.
+// pullPositions asks another broker for the replica positions that it knows, unless the request is lost, and schedules the next pull.
 func (b *broker) pullPositions() {
 	r, n := &b.w.script.Reads, b.w.script.Brokers.Count
 	if !r.On || n < 2 || b.policy != Module {
--- a/internal/lab/play/tally.go
+++ b/internal/lab/play/tally.go
@@ -17,7 +17,7 @@
 	Worth, Got                                      int64 // value of the queries asked, and value of their answers, in millionths
 }
 
-// Add adds another's.
+// Add adds the counts of o.
 func (c *Counts) Add(o *Counts) {
 	c.Asked, c.InTarget, c.Late, c.Shed = c.Asked+o.Asked, c.InTarget+o.InTarget, c.Late+o.Late, c.Shed+o.Shed
 	c.Failed, c.Unanswered, c.Partial, c.Tries = c.Failed+o.Failed, c.Unanswered+o.Unanswered, c.Partial+o.Partial, c.Tries+o.Tries
@@ -78,7 +78,7 @@
 	return time.Duration(sum / max(1, total))
 }
 
-// Add adds another's.
+// Add adds the counts of o.
 func (l *Latency) Add(o *Latency) {
 	for i, n := range o {
 		l[i] += n
