--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -1,8 +1,8 @@
-// Package peers carries the module's messages between brokers, as UDP datagrams. It owns the one socket and knows
-// which address is which broker. It must never read a message, keep one, or hand on what came from a stranger.
+// Package peers carries gossip and membership messages between brokers, as UDP datagrams. It holds the socket and the brokers' addresses. It
+// must never interpret or keep a message, or deliver one from an unknown sender.
 //
-// Depends on no package of this module. Concurrency: it starts no goroutine; what several goroutines may
-// use is behind a lock or an atomic value.
+// Depends on no package of this module. Concurrency: it starts no goroutine; what several goroutines use is a channel, an atomic value, or
+// safe for concurrent use itself.
 package peers
 
 import (
@@ -16,23 +16,23 @@
 )
 
 const (
-	maxDatagram = 256
-	maxQueued   = 64 // messages that wait to be sent; more are dropped, as the network may drop any
+	maxDatagram = 256 // bytes, with the authentication header
+	maxQueued   = 64  // messages that wait to be sent; more are dropped, as the network may drop any message
 )
 
-// Counts tell what went in and out; they may be read from any goroutine.
+// Counts count datagrams; they may be read from any goroutine.
 type Counts struct{ Sent, Delivered, UnknownSenders, TooLong, Dropped, AuthFailed atomic.Uint64 }
 
-// Socket is the socket between brokers.
+// Socket is the UDP socket between brokers.
 type Socket struct {
-	Counts          Counts
-	conn            *net.UDPConn
-	peers           []netip.AddrPort
-	broadcastAddr   netip.AddrPort
-	queue           chan datagram
-	handleBroadcast func(from int, text []byte)
-	handleMember    func(from netip.AddrPort, data []byte) // nil: there is no crew
-	authenticator   *authenticator                         // nil: nothing is sealed
+	Counts        Counts
+	conn          *net.UDPConn
+	peers         []netip.AddrPort
+	broadcastAddr netip.AddrPort
+	queue         chan datagram
+	handleGossip  func(from int, text []byte)
+	handleMember  func(from netip.AddrPort, data []byte) // nil: no membership
+	authenticator *authenticator                         // nil: datagrams are not authenticated
 }
 
 type datagram struct {
@@ -41,16 +41,17 @@
 	data []byte
 }
 
-// Listen opens the socket.
-func Listen(addr netip.AddrPort, peers []netip.AddrPort, broadcastAddr netip.AddrPort, handleBroadcast func(int, []byte)) (*Socket, error) {
+// Listen opens the socket. Gossip is sent to broadcastAddr. handleGossip is called with each gossip message of a peer and its index in peers.
+func Listen(addr netip.AddrPort, peers []netip.AddrPort, broadcastAddr netip.AddrPort, handleGossip func(int, []byte)) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
-	return &Socket{conn: conn, peers: peers, broadcastAddr: broadcastAddr, handleBroadcast: handleBroadcast, queue: make(chan datagram, maxQueued)}, nil
+	return &Socket{conn: conn, peers: peers, broadcastAddr: broadcastAddr, handleGossip: handleGossip, queue: make(chan datagram, maxQueued)}, nil
 }
 
-// Crew has what members say handed on, and everything sealed where there are keys. It comes before Send and Hear.
+// Crew enables membership messages, which handleMember is called with, and authentication if there are keys. It must be called before Send
+// and Receive.
 func (l *Socket) Crew(handleMember func(from netip.AddrPort, data []byte), keys [][]byte) {
 	l.handleMember = handleMember
 	if len(keys) > 0 {
@@ -58,12 +59,12 @@
 	}
 }
 
-// Broadcast sends a message to all other brokers; it may be lost.
+// Broadcast queues a gossip message to all other brokers. It may be lost.
 func (l *Socket) Broadcast(text string) {
-	l.enqueue(datagram{l.broadcastAddr, KindBroadcast, []byte(text)})
+	l.enqueue(datagram{l.broadcastAddr, KindGossip, []byte(text)})
 }
 
-// SendTo sends what members say to one broker; it may be lost.
+// SendTo queues a membership message to one broker. It may be lost.
 func (l *Socket) SendTo(to netip.AddrPort, data []byte) {
 	l.enqueue(datagram{to, KindMembership, data})
 }
@@ -86,7 +87,7 @@
 	}
 }
 
-// Send writes what is told until ctx ends, then closes the socket.
+// Send writes the queued messages until ctx ends, and then closes the socket.
 func (l *Socket) Send(ctx context.Context) error {
 	defer l.conn.Close()
 	for {
@@ -99,7 +100,7 @@
 	}
 }
 
-// Flush writes what waits, as the broker stops.
+// Flush writes the messages still queued, when the broker stops.
 func (l *Socket) Flush() {
 	for {
 		select {
@@ -125,7 +126,7 @@
 	}
 }
 
-// Receive hands on what peers say until the socket is closed.
+// Receive delivers the messages of other brokers until the socket is closed.
 func (l *Socket) Receive(context.Context) error {
 	buf := make([]byte, maxDatagram+1)
 	for {
@@ -133,7 +134,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // such as a peer's port that is closed; one that stays must not take the core
+		if err != nil { // such as a closed port of a peer; an error that persists must not use up a core
 			time.Sleep(time.Millisecond)
 			continue
 		}
@@ -141,9 +142,9 @@
 	}
 }
 
-// dispatch hands on one datagram. Whom a seal vouches for need not be among the peers of the configuration.
+// dispatch delivers a datagram. An authenticated sender of membership messages need not be among the configured peers.
 func (l *Socket) dispatch(from netip.AddrPort, b []byte) {
-	i, kind := slices.Index(l.peers, from), KindBroadcast
+	i, kind := slices.Index(l.peers, from), KindGossip
 	switch {
 	case len(b) > maxDatagram:
 		l.Counts.TooLong.Add(1)
@@ -163,10 +164,10 @@
 	l.Counts.Delivered.Add(1)
 	if kind == KindMembership && l.handleMember != nil {
 		l.handleMember(from, slices.Clone(b))
-	} else if kind == KindBroadcast && i >= 0 {
-		l.handleBroadcast(i, slices.Clone(b))
+	} else if kind == KindGossip && i >= 0 {
+		l.handleGossip(i, slices.Clone(b))
 	}
 }
 
-// Addr is where the socket listens.
+// Addr returns the address on which the socket listens.
 func (l *Socket) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
