--- a/internal/lab/play/tally.go
+++ b/internal/lab/play/tally.go
@@ -27,7 +27,8 @@
 // Service returns the value of the answers as a share of the value of all queries.
 func (c *Counts) Service() float64 { return float64(c.Got) / float64(max(1, c.Worth)) }
 
-// Work counts calls, shard requests (Parts), extra attempts (Further), their outcomes at nodes, and connections.
+// Work counts what brokers sent to nodes: calls, attempts (Parts), those of them that were extra attempts (Further), their outcomes
+// (Served, Broke: failed, Skipped: rejected, Swallowed: never answered), and connections dialed and reset.
 type Work struct {
 	Calls, Parts, Further, Served, Broke, Skipped, Swallowed, Dials, Resets int64
 }
