--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -64,7 +64,12 @@
 		g.conns[c.Peer] = nil
 		g.outgoing.LinkDown(peer, e.Down.Unsent, now)
 	case e.Heartbeat != nil:
-		status := forwarding.Status{FreeShare: e.Heartbeat.FreeCapacity, Shedding: e.Heartbeat.IsShedding, Draining: e.Heartbeat.IsDraining, UnavailableShards: e.Heartbeat.MissingShards}
+		status := forwarding.Status{
+			FreeShare:         e.Heartbeat.FreeCapacity,
+			Shedding:          e.Heartbeat.IsShedding,
+			Draining:          e.Heartbeat.IsDraining,
+			UnavailableShards: e.Heartbeat.MissingShards,
+		}
 		g.outgoing.HandleStatus(peer, status, c.RTT(), now)
 	case e.Reply != nil:
 		g.handleRemoteResult(peer, e.Reply)
