--- a/cmd/flaxfront/main_test.go
+++ b/cmd/flaxfront/main_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// An error with a remedy is printed with it on a second line; one without is printed alone.
+// An error with a remedy is printed with the remedy on a second line; an error without one is printed alone.
 func TestErrorText(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.json5")
 	if err := os.WriteFile(file, []byte("{\n\"dor\": {}}"), 0o600); err != nil {
--- a/cmd/flaxlab/live.go
+++ b/cmd/flaxlab/live.go
@@ -1,6 +1,6 @@
 package main
 
-// This file implements the commands up, herd and returns. On sockets, a broker runs in this process, with simulated nodes on loopback.
+// This file implements the commands up, herd and returns. up and returns run a broker in this process, with simulated nodes on loopback.
 
 import (
 	"context"
--- a/internal/cluster/connpolicy/compile.go
+++ b/internal/cluster/connpolicy/compile.go
@@ -16,7 +16,7 @@
 	document  *document
 	policy    *Policy
 	nodeEnv   *environment     // of conditions on nodes
-	amountEnv *environment     // of amounts, and of conditions on a tenant's class
+	amountEnv *environment     // of amounts, and of tenants' conditions on the class
 	tenants   []compiledTenant // in the document's order
 }
 
--- a/internal/cluster/connpolicy/expression.go
+++ b/internal/cluster/connpolicy/expression.go
@@ -48,7 +48,7 @@
 
 type environments struct {
 	node   *environment // of conditions on nodes
-	amount *environment // of amounts, and of conditions on a tenant's class
+	amount *environment // of amounts, and of tenants' conditions on the class
 }
 
 var declareEnvironments = sync.OnceValues(func() (environments, error) {
--- a/internal/cluster/connpolicy/tenants.go
+++ b/internal/cluster/connpolicy/tenants.go
@@ -9,7 +9,8 @@
 	"flaxfront/internal/decision/fairshare"
 )
 
-// compileTenants compiles the conditions and amounts of all entries. Each tenant's last entry must have no condition, and no other may.
+// compileTenants compiles the conditions and amounts of all entries. The last entry of each tenant must have no
+// condition, and all its other entries must have one.
 func (c *compiler) compileTenants() error {
 	unconditional := map[string]bool{}
 	for i, entry := range c.document.Tenants {
--- a/internal/cluster/consensus/chunks.go
+++ b/internal/cluster/consensus/chunks.go
@@ -15,7 +15,7 @@
 	packetMessage    = 'm'
 	packetChunk      = 'p'
 	chunkHeaderBytes = 1 + 8 + 4 + 4
-	maxChunkedBytes  = 256<<20 - 64<<10 // size of a message sent in chunks
+	maxChunkedBytes  = 256<<20 - 64<<10 // maximum size of a message sent in chunks
 )
 
 var (
--- a/internal/cluster/consensus/clock.go
+++ b/internal/cluster/consensus/clock.go
@@ -11,15 +11,15 @@
 // starts an election here: a voter that doesn't lead gets no ticks, and the library's count of elapsed ticks stays 0. Instead, this
 // package measures on the caller's clock how long no message of the leader has arrived:
 //
-//   - After ElectionTimeout the voter forgets the leader (ForgetLeader) and may vote for another. Until then it refuses to, as it
-//     would by the library's own count: this is the lease that check-quorum and pre-vote rely on.
+//   - After ElectionTimeout the voter forgets the leader (ForgetLeader) and may vote for another. Until then it refuses to vote for
+//     another, as it would by the library's own count: this is the lease that check-quorum and pre-vote rely on.
 //   - After ElectionTimeout plus a seeded random delay of up to another ElectionTimeout the voter campaigns, with a pre-vote first.
 //
 // A leader gets a tick each HeartbeatInterval, since its ticks send heartbeats and check the quorum: if it has not heard from a
 // majority for ElectionTimeout, it resigns within another ElectionTimeout. Neither reads (ReadIndex asks a majority) nor votes depend
 // on these times: wrong clocks can cost leader changes, but never consistency.
 
-// checkQuorumRounds is the number of election timeouts, in ticks without an answer, after which a leader has certainly resigned.
+// checkQuorumRounds is the number of election timeouts after which a leader that gets ticks, but no answers, has certainly resigned.
 const checkQuorumRounds = 2
 
 // randomElectionTimeout returns the time without a message of the leader after which this voter campaigns.
@@ -113,7 +113,7 @@
 	}
 }
 
-// updateRole takes over from raft whether leadership was gained or lost.
+// updateRole changes the node's role if raft has gained or lost leadership.
 func (n *Node) updateRole() {
 	leads := n.raft.BasicStatus().RaftState == raft.StateLeader
 	switch {
--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -35,7 +35,7 @@
 type Config struct {
 	ID                uint64
 	Voters            []uint64
-	ElectionTimeout   time.Duration // time without a message of the leader that ends its lease; at least 3 HeartbeatInterval
+	ElectionTimeout   time.Duration // time without a message of the leader that ends its lease; at least 3 times HeartbeatInterval
 	HeartbeatInterval time.Duration
 	Seed              uint64 // must differ at each start: it distinguishes reads of this start from those of earlier ones
 	Storage           Storage
@@ -49,8 +49,8 @@
 	MaxEntryBytes         int    // size of an entry: 256 KiB
 	MaxPendingReads       int    // reads not answered: 1024
 	MaxOutboxBytes        int    // packets that wait for ProcessReady: 64 MiB
-	// SnapshotChunkBytes limits the part of a snapshot sent to a voter at one heartbeat: 512 KiB. No packet is larger than
-	// SnapshotChunkBytes and MaxEntryBytes.
+	// SnapshotChunkBytes limits the part of a snapshot sent to a voter at one heartbeat: 512 KiB. Besides headers, a packet has at most
+	// the largest of SnapshotChunkBytes, MaxEntryBytes and maxAppendMessageBytes; only a snapshot above maxChunkedBytes is sent whole.
 	SnapshotChunkBytes int
 }
 
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -30,7 +30,7 @@
 
 // Node is one voter.
 type Node struct {
-	RejectedMessages uint64 // messages that Step dropped as invalid
+	RejectedMessages uint64 // messages that Step dropped as invalid before they reached raft
 
 	config    Config
 	raft      *raft.RawNode
@@ -94,7 +94,7 @@
 	return n, nil
 }
 
-// newRaft returns raft's panic over an inconsistent log as an error.
+// newRaft returns a new node of the raft library. It turns the library's panic over an inconsistent log into an error.
 func newRaft(c *raft.Config) (r *raft.RawNode, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -150,8 +150,8 @@
 }
 
 // Propose requests that an entry be committed. A nil error does not mean that it will be: it is committed once StateMachine has applied
-// it. It may also be applied without the proposer learning of it, so entries must contain an identifier by which a repeated one is
-// recognized. Propose returns *StoppedError, *NotLeaderError, *EntrySizeError or *BusyError.
+// it. It may also be applied without the proposer learning of it, so entries must contain an identifier by which a repeated entry
+// is recognized. Propose returns *StoppedError, *NotLeaderError, *EntrySizeError or *BusyError.
 func (n *Node) Propose(data []byte, now time.Duration) error {
 	n.advance(now)
 	commit := n.raft.BasicStatus().GetCommit()
--- a/internal/cluster/consensus/step.go
+++ b/internal/cluster/consensus/step.go
@@ -36,7 +36,7 @@
 }
 
 // Step processes a packet of another voter; from is the sender as the link identified it. It returns *InvalidMessageError for a
-// message that was dropped, and *StoppedError.
+// message that was dropped, and *StoppedError if this voter has stopped.
 func (n *Node) Step(from uint64, packet []byte, now time.Duration) error {
 	n.advance(now)
 	if n.state != running {
--- a/internal/cluster/controlplane/cluster_test.go
+++ b/internal/cluster/controlplane/cluster_test.go
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// propose proposes an entry through a broker. Its timeout is longer than any fault that the tests provoke holds up a proposal.
+// propose proposes an entry through a broker. Its timeout is longer than any fault in the tests delays a proposal.
 func (c *tier) propose(name string, e statemachine.Entry) (statemachine.Result, error) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 20*time.Second)
 	defer cancel()
--- a/internal/cluster/controlplane/conn.go
+++ b/internal/cluster/controlplane/conn.go
@@ -48,8 +48,8 @@
 	operatorProposals []uint64 // sequence numbers of proposals made for the operator
 }
 
-// enqueue queues a frame. It drops the frame if the connection is closed. A full queue drops a raft packet, and closes the connection for
-// any other frame.
+// enqueue queues a frame. It drops the frame if the connection is closed. If the queue is full, it drops a raft packet, but closes the
+// connection if the frame is of another kind.
 func (c *conn) enqueue(frame []byte) {
 	isPacket := frame[lengthBytes] == framePacket
 	c.mu.Lock()
@@ -88,6 +88,7 @@
 	c.signalWriter()
 }
 
+// signalWriter wakes writeLoop. It never blocks.
 func (c *conn) signalWriter() {
 	select {
 	case c.writerSignal <- struct{}{}:
@@ -131,8 +132,8 @@
 	}
 }
 
-// readLoop passes frames to handle until the connection ends or handle returns false. Any frame renews the read deadline: a silent peer is
-// cut off, or its connection is half open.
+// readLoop passes frames to handle until the connection ends or handle returns false. Any frame renews the read deadline. A peer that
+// sends nothing until the deadline is cut off, or its connection is half open.
 func (c *conn) readLoop(handle func(kind byte, body []byte) bool) error {
 	timeout := silenceTimeout
 	if c.peer.Role == roleOperator {
--- a/internal/cluster/controlplane/controlplane_test.go
+++ b/internal/cluster/controlplane/controlplane_test.go
@@ -57,7 +57,7 @@
 	})
 }
 
-// findLostLeaseHolder describes a broker whose session is valid to itself although the state machine has marked it as lost. It returns an
+// findLostLeaseHolder describes a broker that takes its session for valid although the state machine has marked it as lost. It returns an
 // empty string if there is none.
 func (c *tier) findLostLeaseHolder() string {
 	for _, p := range c.participants {
--- a/internal/cluster/controlplane/evidence.go
+++ b/internal/cluster/controlplane/evidence.go
@@ -14,7 +14,7 @@
 	}
 	for i, class := range r.Classes {
 		counts := class.counts()
-		if i == 0 {
+		if i == 0 { // WarmingUp is not counted by class: it is attributed to the first one
 			counts.Bad[release.MetricSentToWarmingUp] = min(r.WarmingUp, counts.Queries)
 		}
 		evidence.Classes = append(evidence.Classes, counts)
--- a/internal/cluster/controlplane/frames.go
+++ b/internal/cluster/controlplane/frames.go
@@ -10,7 +10,7 @@
 	snapshotPieceBytes = 256 << 10 // of a snapshot in one frame
 	maxSnapshotBytes   = 256 << 20
 	maxNameBytes       = 64
-	maxPathLength      = 6
+	maxPathLength      = 6    // brokers from a voter down to the sender, both included
 	maxBatch           = 4096 // items of one kind in one frame
 	maxRedirects       = 64   // addresses in one frame
 	maxReportClasses   = 64
@@ -53,7 +53,7 @@
 	Index uint64 `cbor:"1,keyasint"`
 }
 
-// redirectFrame says that the sender cannot be followed, and names the addresses of brokers that may be.
+// redirectFrame says that the sender cannot be followed, and names the addresses of brokers that may be followed instead.
 type redirectFrame struct {
 	Addrs []string `cbor:"1,keyasint,omitempty"`
 }
--- a/internal/cluster/controlplane/handle_frame.go
+++ b/internal/cluster/controlplane/handle_frame.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// addConn registers a connection after its handshake. If it is one to a source, this broker asks to be fed from its applied index.
+// addConn registers a connection after its handshake. Over a connection to a source, this broker then requests the entries after its
+// applied index.
 func (p *Participant) addConn(c *conn) {
 	p.connections[c] = true
 	if !c.dialled {
--- a/internal/cluster/controlplane/heartbeat.go
+++ b/internal/cluster/controlplane/heartbeat.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// noteSourcePath records the path of the source. It returns false if the path leads through this broker or is too long. Otherwise two
-// brokers that are cut off could follow each other.
+// noteSourcePath records the path of the source. It returns false if the path is too long, or leads through this broker: two brokers
+// that are cut off must not follow each other.
 func (p *Participant) noteSourcePath(path []string, now time.Duration) bool {
 	if len(path) > maxPathLength || slices.Contains(path, p.name) {
 		return false
--- a/internal/cluster/controlplane/leader_tasks.go
+++ b/internal/cluster/controlplane/leader_tasks.go
@@ -37,7 +37,7 @@
 // AddLeaderTask adds a task. It must be called before Run.
 func (p *Participant) AddLeaderTask(t LeaderTask) { p.leaderTasks = append(p.leaderTasks, t) }
 
-// runLeaderTasks runs the release planner and the tasks that are due. One whose last proposals are still in flight waits.
+// runLeaderTasks runs the release planner and the tasks that are due. A task whose last proposals are still in flight waits.
 func (p *Participant) runLeaderTasks(now time.Duration) {
 	if p.leadership.planProposals == 0 && now >= p.leadership.planAt {
 		p.advanceRelease(now)
--- a/internal/cluster/controlplane/leadership.go
+++ b/internal/cluster/controlplane/leadership.go
@@ -20,7 +20,7 @@
 	established   bool // the LeaderElected entry of this term is applied
 	establishedAt time.Duration
 	dueAt         time.Duration
-	transferAfter time.Duration // no transfer to another voter is attempted before
+	transferAfter time.Duration // no transfer to another voter is attempted before this time
 
 	sessions       map[statemachine.Slot]grantedLease
 	proposedLosses map[statemachine.Slot]uint64 // incarnations whose loss is proposed: they get no more leases
--- a/internal/cluster/controlplane/lease_granting.go
+++ b/internal/cluster/controlplane/lease_granting.go
@@ -28,7 +28,8 @@
 	return max(l.establishedAt, s.grantedAt)
 }
 
-// queueRenewals queues lease renewals at the leader. It drops them if maxBatch already wait; their brokers ask again.
+// queueRenewals queues lease renewals at the leader. It drops them if the leadership is not established, or if maxBatch already wait; their
+// brokers ask again.
 func (p *Participant) queueRenewals(renewals []leaseRenewal) {
 	if p.leadership.established && len(p.leadership.renewals) < maxBatch {
 		p.leadership.renewals = append(p.leadership.renewals, renewals...)
@@ -56,7 +57,7 @@
 	})
 }
 
-// grant grants leases and sends them to their holders. The leader counts a lease from now, its holder from before it asked.
+// grant grants leases and sends them to their holders. The leader counts a lease from now, its holder from when it asked.
 func (p *Participant) grant(renewals []leaseRenewal) {
 	now := p.options.Now()
 	grants := grantsFrame{LeaseNS: int64(p.options.LeaseDuration), Leader: p.name}
--- a/internal/cluster/controlplane/operator_request.go
+++ b/internal/cluster/controlplane/operator_request.go
@@ -41,8 +41,8 @@
 	id          uint64
 }
 
-// handleRequest responds to an operator's request, possibly after it has returned. Only the leader carries requests out: a status contains
-// what a majority has committed, and a change is answered once its entry is applied.
+// handleRequest handles an operator's request; the response may be sent after handleRequest has returned. Only the leader carries requests
+// out: a status contains what a majority has committed, and a change is answered once its entry is applied.
 func (p *Participant) handleRequest(c *conn, frame requestFrame) {
 	if c.peer.Role != roleOperator {
 		return
--- a/internal/cluster/controlplane/proposals.go
+++ b/internal/cluster/controlplane/proposals.go
@@ -10,7 +10,7 @@
 
 const (
 	retryInterval = 300 * time.Millisecond
-	maxInFlight   = 32 // sequence numbers of one broker's proposals from the oldest on: the state machine keeps that many results
+	maxInFlight   = 32 // sequence numbers sent, from the oldest pending one on: the state machine keeps that many results of a broker
 	maxEntryBytes = 256 << 10
 )
 
@@ -48,7 +48,8 @@
 	}
 }
 
-// propose starts a proposal and returns its sequence number. done is called in the loop, at most once: not if the proposal is abandoned.
+// propose starts a proposal and returns its sequence number. done is called in the loop, once, or never if the proposal is
+// abandoned.
 func (p *Participant) propose(entry statemachine.Entry, done func(statemachine.Result, error)) uint64 {
 	p.lastSequence++
 	id := statemachine.ProposalID{Slot: p.options.Slot, Incarnation: p.incarnation, Sequence: p.lastSequence}
--- a/internal/cluster/controlplane/release_test.go
+++ b/internal/cluster/controlplane/release_test.go
@@ -44,8 +44,8 @@
 }
 
 // TestReleaseUnderCuts runs a release over all brokers while links are cut at random. It checks from outside the state machine that no more
-// brokers are out at the same time than allowed, that none stops twice, and that the release ends. The case "fault" allows more, and checks
-// that the observer sees them.
+// brokers are out at the same time than allowed, that none stops twice, and that the release ends. The case "fault" allows more brokers to
+// be out, and checks that the observer counts them.
 func TestReleaseUnderCuts(t *testing.T) {
 	for seed := range *rounds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/cluster/controlplane/session.go
+++ b/internal/cluster/controlplane/session.go
@@ -24,7 +24,7 @@
 }
 
 // runsAt reports whether the lease is valid at a time. What a process knew before it was suspended may no longer be true when it resumes, so
-// callers that act on the lease must read the clock just before.
+// callers that act on the lease must read the clock just before they do.
 func (l *sessionLease) runsAt(now time.Duration) bool { return now < l.expiresAt }
 
 // maintainSession registers this broker and renews its lease when due, and returns when it must be called again.
@@ -92,7 +92,7 @@
 	return known && broker.Name == p.name && broker.Incarnation == p.incarnation && broker.Status != statemachine.BrokerLost
 }
 
-// mustExit reports whether this process has used its permit to leave service. It may not have received the result of that proposal itself.
+// mustExit reports whether this process has used its permit to leave service. This process may not have received the result of that proposal.
 func (p *Participant) mustExit() bool {
 	broker, known := p.state.Broker(p.options.Slot)
 	permit, holds := p.state.BrokerPermit(p.options.Slot)
@@ -100,7 +100,7 @@
 	return isOwn && holds && permit.Used && permit.Incarnation == p.incarnation
 }
 
-// registerIfNeeded proposes to register this broker, or to return it to service, if the state machine does not have it so.
+// registerIfNeeded proposes the entry that registers this broker or returns it to service, if one is needed and none is in flight.
 func (p *Participant) registerIfNeeded(now time.Duration) {
 	if p.registering || p.haltedBy != nil || p.leaving.Load() {
 		return
--- a/internal/cluster/controlplane/topology.go
+++ b/internal/cluster/controlplane/topology.go
@@ -10,7 +10,8 @@
 const maxNamedSources = 8 // addresses that this broker names in a redirect
 
 // pathFromVoter returns the names of the brokers from a voter down to this one. It is empty if this broker is cut off or has halted at an
-// entry that it cannot read. A halted broker must lose its followers: they would receive heartbeats from it for ever, but no entries.
+// entry that it cannot read. A halted broker must lose its followers: otherwise they would receive heartbeats from it for ever, but no
+// entries.
 func (p *Participant) pathFromVoter() []string {
 	isCutOff := len(p.sourcePath) == 0
 	if p.isVoting() {
@@ -34,8 +35,8 @@
 	return count
 }
 
-// handleFollow starts to feed a broker with the entries after an index. If this broker is full or cannot feed it, it sends a redirect, and
-// the other side closes the connection.
+// handleFollow starts to feed a broker with the entries after an index. If this broker is full or cannot feed the other, it sends a
+// redirect, and the other closes the connection.
 func (p *Participant) handleFollow(c *conn, index uint64) {
 	path := p.pathFromVoter()
 	isFull := p.followerCount() >= p.options.MaxFollowers
--- a/internal/cluster/readhint/readhint.go
+++ b/internal/cluster/readhint/readhint.go
@@ -79,7 +79,7 @@
 	return h.Scope == ScopeNone && h.MaxStaleness == 0 && len(h.NotBefore) == 0
 }
 
-// MinOffset returns the offset that a replica of the shard must have reached, 0 if any will do.
+// MinOffset returns the offset that a replica of the shard must have reached, or 0 if the hint sets no bound for the shard.
 func (h *Hint) MinOffset(shard int) uint64 {
 	for _, p := range h.NotBefore {
 		if p.Shard == shard {
--- a/internal/config/form/form.go
+++ b/internal/config/form/form.go
@@ -3,8 +3,9 @@
 // reports errors with line and field; what a value means is for the caller to check.
 //
 // hujson parses comments and commas and gives the position of each field. The rest is written by hand, because libraries save little:
-// A version on github.com/go-json-experiment/json, which rejects unknown and duplicate names with their position, passed the same
-// tests in 333 non-blank lines instead of 336: null, durations, types in words, and ranges with their line need own code there too.
+// a version on github.com/go-json-experiment/json, which rejects unknown and duplicate names with their position, passed the same
+// tests in 333 non-blank lines instead of 336: null, durations, names of types in errors, and ranges with their line need own code there
+// too.
 // github.com/creasty/defaults would replace the 18 lines of setDefaults, but does not check defaults against the ranges.
 // github.com/go-playground/validator and github.com/go-viper/mapstructure were not tried: both work on decoded values, which no longer
 // have the position of a field in the text.
@@ -26,7 +27,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxFileBytes bounds the text. A wrong path, such as that of a log or a device, could lead to one of any size.
+// maxFileBytes bounds the text. A wrong path, such as that of a log or a device, could lead to a file of any size.
 const maxFileBytes = 1 << 20
 
 // fieldError is an invalid field with its position in the text.
@@ -43,8 +44,8 @@
 	tree       hujson.Value
 }
 
-// Decode fills the struct into with its defaults, then with the values of the text. Kind, the kind of file in words, and path are used
-// only in errors.
+// Decode fills the struct that into points to, first with its defaults, then with the values of the text. Kind, the kind of file in words,
+// and path are used only in errors.
 func Decode(kind, path string, raw []byte, into any) (*Document, error) {
 	d := &Document{kind: kind, path: path, raw: raw}
 	if len(raw) > maxFileBytes {
--- a/internal/config/operator/fleet.go
+++ b/internal/config/operator/fleet.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// ControlPlaneSettings holds the settings of the control plane. Without Voters all of it is off.
+// ControlPlaneSettings holds the settings of the control plane. Without Voters the control plane is off.
 type ControlPlaneSettings struct {
 	Voters        []string      `json:"voters" doc:"1, 3 or 5 brokers that vote, each NAME=ADDRESS:PORT, the same on every broker; empty: the control plane is off"`
 	Keys          string        `json:"keys" doc:"directory of this broker's certificate, its key and the authorities; empty: as sites.keys"`
--- a/internal/config/terms/pairs.go
+++ b/internal/config/terms/pairs.go
@@ -17,12 +17,14 @@
 	err        error
 }
 
+// fail records an error about a key, unless there is an earlier one.
 func (p *settingsReader) fail(key, format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf("settings: %s: %s", key, fmt.Sprintf(format, args...))
 	}
 }
 
+// text returns the single value of a key, or "" if the key is absent, which is an error if the key is needed.
 func (p *settingsReader) text(key string, need bool) string {
 	v, ok := p.values[key]
 	switch {
@@ -36,6 +38,7 @@
 	return ""
 }
 
+// number returns the value of a key as a number from 0 to 2^60, or the fallback if the key is absent.
 func (p *settingsReader) number(key string, need bool, fallback float64) float64 {
 	v := p.text(key, need)
 	if v == "" {
@@ -56,6 +59,7 @@
 	return f
 }
 
+// count returns the value of a key as a whole number from 0 to 2^31, or the fallback if the key is absent.
 func (p *settingsReader) count(key string, need bool, fallback int) int {
 	f := p.number(key, need, float64(fallback))
 	if f != math.Trunc(f) || f > 1<<31 {
@@ -122,7 +126,8 @@
 	return f
 }
 
-// flatten stores a JSON tree under the simulator's paths: a list has its length under .count, and objects in it their index in the path.
+// flatten stores a JSON tree under the simulator's paths. The length of a list is stored under its path and .count, and an object in a list
+// under the list's path and the object's index.
 func (p *settingsReader) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/config/terms/start.go
+++ b/internal/config/terms/start.go
@@ -1,6 +1,7 @@
 package terms
 
-// This file reads the configuration file. It does not open the files and addresses that it names, and rejects the whole file if a field is invalid.
+// This file reads the configuration file. It opens none of the files and addresses that are named there, and rejects the whole
+// configuration if a field is invalid.
 
 import (
 	"encoding/json"
@@ -26,7 +27,7 @@
 	Discovery  netip.AddrPort
 	PeerListen netip.AddrPort // not valid: brokers may not talk to each other
 	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort
+	PeersAll   netip.AddrPort // gossip is sent to this address
 	Limits     Limits
 	Known      json.RawMessage // the endpoint list as known at deployment, in discovery's JSON format
 	Terms      Terms
