--- a/internal/decision/cachedlist/credibility.go
+++ b/internal/decision/cachedlist/credibility.go
@@ -18,7 +18,7 @@
 
 // hazard returns the estimated rate at which entries become wrong, per nanosecond. Lifetimes are assumed to be exponential. The prior is
 // the configured half-life, which counts as priorWeight entries; entries tested since the start, right or wrong, update it (the conjugate
-// gamma prior of a censored exponential). A list that proves worse than its age so makes its other entries less credible.
+// gamma prior of a censored exponential). Thus, if a list proves worse than its age suggests, its other entries become less credible.
 func (v *Evaluator) hazard() float64 {
 	return (priorWeight + v.wrongEntries) / (priorWeight*float64(v.policy.HalfLife)/math.Ln2 + v.exposure)
 }
--- a/internal/decision/cachedlist/evaluator.go
+++ b/internal/decision/cachedlist/evaluator.go
@@ -23,7 +23,7 @@
 
 // Statuses. Those up to Unconfirmed are in use.
 const (
-	Confirmed   Status = iota // confirmed by discovery since it last failed, or by the endpoint itself since the start
+	Confirmed   Status = iota // confirmed since the start, by discovery or by an answer of the endpoint itself
 	Unconfirmed               // known only from the cached list
 	Ejected                   // used only for trial attempts
 	Excluded                  // not used: draining, ended or too old
--- a/internal/decision/cachedlist/evaluator_test.go
+++ b/internal/decision/cachedlist/evaluator_test.go
@@ -44,7 +44,7 @@
 	return evaluator, table
 }
 
-// failuresToEject returns how many failures of a kind, one a second, it takes until an entry of the given age is ejected; 100: not so few.
+// failuresToEject returns how many failures of a kind, one a second, it takes until an entry of the given age is ejected; 100: 99 do not suffice.
 func failuresToEject(age time.Duration, outcome decision.Outcome) int {
 	evaluator, _ := newTestEvaluator(8, age)
 	for n := 1; n < 100; n++ {
--- a/internal/decision/cachedlist/evidence.go
+++ b/internal/decision/cachedlist/evidence.go
@@ -25,7 +25,7 @@
 
 // If nearly all endpoints fail alike, the fault is assumed to be in the broker's own network.
 const (
-	alikeShare    = 0.9             // of the endpoints tried within the window that failed
+	alikeShare    = 0.9             // smallest share of failed ones among the endpoints tried within the window
 	minAlikeTried = 3               // endpoints tried within the window; fewer prove nothing
 	alikeWindow   = 3 * time.Second // evidence older than this is disregarded
 )
@@ -112,7 +112,7 @@
 
 // failAlike reports whether nearly all recently tried endpoints failed. The broker's own network may be down, and without this check all
 // entries would be ejected for it. Answers within the window end the condition. If nearly the whole list is wrong, the condition persists;
-// its entries then still cost an attempt now and then, as only the router ejects their endpoints.
+// attempts are then still sent to its endpoints now and then, as only the router ejects them.
 func (v *Evaluator) failAlike(now time.Duration) bool {
 	failed := 0
 	for ep := range v.recentlyTried {
--- a/internal/decision/cachedlist/table.go
+++ b/internal/decision/cachedlist/table.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// confirmationInterval is the minimum time between two writes of an entry or the head to disk only for a newer confirmation time.
+// confirmationInterval is the minimum time between two writes to disk, of the head or of an entry that its endpoint confirms, if nothing but
+// the confirmation time has changed.
 const confirmationInterval = 10 * time.Second
 
 // EntryTable holds the entries and records which of them have changed since changes were last collected.
--- a/internal/decision/connlease/connlease.go
+++ b/internal/decision/connlease/connlease.go
@@ -38,12 +38,12 @@
 // measure a lease differently, so the holder subtracts this margin and the granter adds it. With more drift a budget may be exceeded.
 const clockDriftDivisor = 100
 
-// HolderExpiry returns when a lease ends for its holder, whose clock may be slow: it counts from before the request was sent.
+// HolderExpiry returns when a lease ends for its holder, whose clock may be slow. The lease counts from before the request was sent.
 func HolderExpiry(requestedAt, lease time.Duration) time.Duration {
 	return requestedAt + lease - lease/clockDriftDivisor
 }
 
-// GranterExpiry returns when a lease has certainly ended for its granter, whose clock may be fast: it counts from after the grant.
+// GranterExpiry returns when a lease has certainly ended for its granter, whose clock may be fast. The lease counts from after the grant.
 func GranterExpiry(grantedAt, lease time.Duration) time.Duration {
 	return grantedAt + lease + lease/clockDriftDivisor
 }
--- a/internal/decision/connlease/demand.go
+++ b/internal/decision/connlease/demand.go
@@ -31,7 +31,7 @@
 	return &DemandTracker{halfLife: halfLife, demands: map[LeaseKey]*demand{}}
 }
 
-// Decay reduces the recorded demand for the time that has passed since the last call.
+// Decay lets the recorded demand decay over the time since the last call, and drops demand below minDemand.
 func (t *DemandTracker) Decay(now time.Duration) {
 	factor := math.Exp2(-float64(now-t.decayedAt) / float64(t.halfLife))
 	t.decayedAt = now
@@ -44,7 +44,7 @@
 }
 
 // Observe records how many connections a tenant could use at a node now. Demand rises at once and falls slowly: a grant takes only a
-// fraction of a lease, and connections that were given up have to be granted again.
+// fraction of the lease time, but connections that were given up would have to be granted again.
 func (t *DemandTracker) Observe(k LeaseKey, connections float64) {
 	d := t.demands[k]
 	if d == nil {
--- a/internal/decision/connlease/holder.go
+++ b/internal/decision/connlease/holder.go
@@ -94,11 +94,11 @@
 
 const (
 	leaseUsable      leasePhase = iota // connections may be opened under the lease
-	leaseWindingDown                   // none is opened above the reserve; those above it are closed as they become idle
+	leaseWindingDown                   // no connection is opened above the reserve; those above it are closed as they become idle
 	leaseEnding                        // connections above the reserve are closed at once; also once the lease has ended
 )
 
-// phase returns the phase of the lease. Every decision on a connection checks it with the current time first, since a process that was
+// phase returns the phase of the lease. Every decision on a connection first checks the phase at the current time, since a process that was
 // suspended beyond its lease resumes with its connections and its grant. The last two close delays before expiry are for closing.
 func (h *Holder) phase(now time.Duration) leasePhase {
 	switch {
--- a/internal/decision/fairshare/divider.go
+++ b/internal/decision/fairshare/divider.go
@@ -19,8 +19,8 @@
 	previous   []int // units in the previous division
 	share      []int
 	guaranteed []int
-	greatest   []int // greatest demand of any broker
-	counts     []int32
+	greatest   []int   // greatest demand of any broker
+	counts     []int32 // buffer of evenLevel
 	solver     maxMinSolver
 }
 
@@ -90,8 +90,8 @@
 	d.greatest[index] = int(greatest)
 }
 
-// divideNode divides a node's units among tenants: first the guarantees, then by weight up to Max, then what no tenant needs by weight up
-// to Burst more. first is the index of the node's first tenant.
+// divideNode divides a node's units among tenants: first the guarantees, then by weight up to Max, then the units that are left, by weight
+// up to Burst more. first is the index of the node's first tenant.
 func (d *Divider) divideNode(budget *Budget, first, tenants int) {
 	s := &d.solver
 	s.resize(tenants)
--- a/internal/decision/forwarding/forwarder.go
+++ b/internal/decision/forwarding/forwarder.go
@@ -97,7 +97,7 @@
 	Failed    uint64 `json:"FailedThere"`
 	LinkLost  uint64 `json:"Lost"`        // in flight when their link went down
 	Retried   uint64 `json:"Resumed"`     // sent again to the same process over a new link
-	Returned  uint64 `json:"BroughtHome"` // submitted to the own router again
+	Returned  uint64 `json:"BroughtHome"` // submitted to this site's router again
 	TimedOut  uint64 `json:"GivenUp"`
 	NoBudget  uint64 `json:"NoBudget"` // not forwarded: budget used up or MaxForwarded reached
 	NoLink    uint64 `json:"NoPeer"`   // not forwarded: no usable link
@@ -123,7 +123,7 @@
 	return actions
 }
 
-// QueryAccepted adds ForwardShare to the budget for a query accepted from an own client.
+// QueryAccepted adds ForwardShare to the budget for a query accepted from a client of this site.
 func (f *Forwarder) QueryAccepted() { f.budget = min(f.policy.Burst, f.budget+f.policy.ForwardShare) }
 
 // forget removes a query and releases its credit on the link.
--- a/internal/decision/forwarding/forwarding.go
+++ b/internal/decision/forwarding/forwarding.go
@@ -9,7 +9,7 @@
 //	                 │   ▲  └──HandleResult: rejected──────────► shed
 //	         LinkDown│   │LinkUp, same process
 //	                 ▼   │
-//	              linkLost ──other process, timeout──► returned to the own router, shed or failed
+//	              linkLost ──other process, timeout──► returned to this site's router, shed or failed
 //
 // An idempotent query, and one that was never written to the network, does not wait in linkLost: it is returned at once. In either state a
 // query ends at its deadline less the time reserved for the answer.
@@ -64,7 +64,7 @@
 	Deadline          time.Duration // when its client times out
 	Shards            []int
 	Remote            bool // received from another site
-	Returned          bool // forwarded before, and returned to the own router
+	Returned          bool // forwarded before, and returned to this site's router
 }
 
 // ActionKind is the kind of an Action.
@@ -74,7 +74,7 @@
 const (
 	Forward  ActionKind = iota + 1 // ID, Link, RemainingTime, Retry: send the query over the link
 	Cancel                         // ID, Link: tell the other site that the result is no longer needed
-	Resubmit                       // ID, RemainingTime, MayHaveRun: submit the query to the own router again
+	Resubmit                       // ID, RemainingTime, MayHaveRun: submit the query to this site's router again
 	Shed                           // ID: end the query as shed
 	Fail                           // ID: end the query as failed
 	Log                            // Text: log that a site has begun or ceased to accept forwarded queries
--- a/internal/decision/forwarding/model_test.go
+++ b/internal/decision/forwarding/model_test.go
@@ -13,7 +13,7 @@
 // The model checks the protocol of one forwarded query with the real Forwarder and Receiver. It tries every interleaving of events at the
 // link, the two processes, the nodes, the client and the clock up to a given depth, and explores each state once.
 //
-// The rules: 1. a query gets exactly one result, in time, unless its client left. 2. A non-idempotent query runs at most once, no query
+// The rules: 1. A query gets exactly one result, in time, unless its client left. 2. A non-idempotent query runs at most once, no query
 // is admitted again while it runs, and a query that has run is not shed unless it is idempotent. 5. An answered query has run.
 
 // model is one state. It is built by replaying the choices that lead to it, as the real code can't be copied.
@@ -33,7 +33,7 @@
 	lastEndedLink  uint64 // links up to this one ended with the receiving process
 	remoteInFlight bool   // the remote router has the query
 	keptResult     *msg   // kept by the receiving side
-	returned       bool   // the own router has the query
+	returned       bool   // the forwarding site's router has the query
 	offered        bool
 	clientLeft     bool
 	result         string
@@ -41,7 +41,7 @@
 	runCount       int
 	violation      string
 	mayHaveRun     bool // the forwarding side returned it as one that may have run and must not be shed
-	ranLocally     bool // the own router sends a non-idempotent shard request only once
+	ranLocally     bool // the forwarding site's router sends a non-idempotent shard request only once
 	ranRemotely    bool
 	cuts           int
 	kills          int
--- a/internal/decision/forwarding/offer.go
+++ b/internal/decision/forwarding/offer.go
@@ -68,8 +68,9 @@
 
 func (l *linkState) unusedCredit() int { return l.credit - l.inFlight }
 
-// usable reports whether a link can take another query. The fate of earlier queries overrides the other site's status: after a rejection
-// the link is unusable until the backoff ends, and a recent answer after the last status makes it usable. A draining site never is.
+// usable reports whether a link can take another query. The results of earlier queries override the other site's status: after a rejection
+// the link is unusable until the backoff ends, and a recent answer after the last status makes it usable. A link to a draining site is never
+// usable.
 func (l *linkState) usable(now time.Duration) bool {
 	if !l.up || l.status.Draining || l.inFlight >= l.credit || now < l.backoffUntil {
 		return false
--- a/internal/decision/forwarding/receiver.go
+++ b/internal/decision/forwarding/receiver.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	sheddingPeriod    = 500 * time.Millisecond // how long own queries count as shed after the last one
+	sheddingPeriod    = 500 * time.Millisecond // how long the broker counts as shedding after it has shed a query of its own clients
 	lateMessagePeriod = 2 * time.Second        // how long a query is remembered past its deadline, for late messages
 )
 
@@ -51,7 +51,7 @@
 	Admit Admission = iota
 	// Reject means that the query is not run and nothing of it has run here.
 	Reject
-	// AlreadyRunning means that the query runs, and its result goes to the link over which it arrived last.
+	// AlreadyRunning means that the query is running, and that its result goes to the link over which it arrived last.
 	AlreadyRunning
 	// AlreadyEnded means that the kept result is to be sent again.
 	AlreadyEnded
@@ -75,7 +75,7 @@
 	linkEndedAt  map[Origin]time.Duration // when the newest link ended
 	slotsUsed    int                      // by remote queries
 	runningCount int
-	lastShedAt   time.Duration // when an own query was last shed; 0: never
+	lastShedAt   time.Duration // when a query of this site's clients (an own query) was last shed; 0: never
 	Counters     ReceiverCounters
 }
 
@@ -102,8 +102,8 @@
 }
 
 // LinkOpened is called when a process has opened a link; serial numbers increase. From then on queries of older links are ignored. Such a
-// query may still be in a buffer while it was sent again over the new link and rejected there; it must not run after its client was told
-// that a retry is harmless.
+// query may still be in a buffer after it was sent again over the new link and rejected there; it must not run once its client has been
+// told that a retry is harmless.
 func (r *Receiver) LinkOpened(o Origin, serial uint64) {
 	r.newestLinks[o] = max(r.newestLinks[o], serial)
 	delete(r.linkEndedAt, o)
@@ -116,7 +116,7 @@
 	}
 }
 
-// QueryShed is called when a query of an own client was shed although its shards are available.
+// QueryShed is called when a query of a client of this site was shed although its shards are available.
 func (r *Receiver) QueryShed(now time.Duration) { r.lastShedAt = max(1, now) }
 
 // Shedding reports whether an own query was shed within sheddingPeriod.
@@ -188,8 +188,8 @@
 	return entry.keepResult
 }
 
-// CancelledByLinkLoss reports whether a query is to be cancelled because its link has ended. An idempotent query is, as the other site
-// runs it itself at once. The result of any other query may be requested over the next link.
+// CancelledByLinkLoss reports whether a query is to be cancelled because its link has ended. An idempotent query is cancelled, as the other
+// site runs it itself at once. The result of any other query may be requested over the next link.
 func (r *Receiver) CancelledByLinkLoss(k Key) bool {
 	entry := r.remembered[k]
 	return entry != nil && entry.running && !entry.keepResult
--- a/internal/decision/forwarding/results.go
+++ b/internal/decision/forwarding/results.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// returnQuery returns a query to the own router if there is time; otherwise it is shed if a client's retry is harmless, or fails.
+// returnQuery returns a query to this site's router if there is time. Otherwise the query is shed if a client's retry is harmless, or fails.
 func (f *Forwarder) returnQuery(q *forwardedQuery, risk repeatRisk, now time.Duration) {
 	timeLeft := q.Deadline - now
 	if risk == windowedRisk { // no attempt may be sent after the idempotency window
@@ -86,7 +86,7 @@
 }
 
 // HandleResult is called with the other site's result. It reports whether that result is final for the client: an answer or a failure
-// is, while a rejection becomes a Shed action. The result of a query that is not in flight over this link is ignored.
+// is final, while a rejection becomes a Shed action. The result of a query that is not in flight over this link is ignored.
 func (f *Forwarder) HandleResult(index LinkIndex, id uint64, outcome Outcome, now time.Duration) (final bool) {
 	q := f.queries[id]
 	if q == nil || q.link != index || q.state != inFlight {
--- a/internal/decision/membership/detector.go
+++ b/internal/decision/membership/detector.go
@@ -57,8 +57,8 @@
 	Counts Counts
 }
 
-// New returns the detector of a broker that knows no other member yet; it probes the seeds until one answers. The incarnation must be
-// higher than that of any earlier process of this name.
+// New returns the detector of a broker that knows no other member yet. The detector probes a seed in each probe interval until it knows
+// another member, and less often after that. The incarnation must be higher than that of any earlier process of this name.
 func New(policy Policy, name string, address netip.AddrPort, weight uint8, incarnation uint32, seeds []netip.AddrPort) *Detector {
 	d := &Detector{
 		policy:         policy,
--- a/internal/decision/membership/probe.go
+++ b/internal/decision/membership/probe.go
@@ -80,7 +80,7 @@
 	d.send(target.Address, header{kind: kindProbe, sequence: d.probe.sequence, target: target.ID}, items)
 }
 
-// advanceProbe asks for indirect probes after the direct probe has timed out, and suspects the target when the time for all is over.
+// advanceProbe asks for indirect probes after the direct probe has timed out, and suspects the target when the time of the probe is over.
 func (d *Detector) advanceProbe(now time.Duration) {
 	if !d.probe.isActive() {
 		return
--- a/internal/decision/membership/updates.go
+++ b/internal/decision/membership/updates.go
@@ -59,8 +59,8 @@
 	return maxIndex
 }
 
-// Broadcast sends a message to all members on datagrams sent for other purposes; a later one of the same key, below 1<<40, replaces it. A
-// member that receives a new one calls Broadcast in turn. A message that doesn't fit into a datagram is dropped.
+// Broadcast sends a message to all members on datagrams sent for other purposes. A later message of the same key replaces it; keys are below
+// 1<<40. A member that receives a new message calls Broadcast in turn. A message that doesn't fit into a datagram is dropped.
 func (d *Detector) Broadcast(key uint64, message []byte) {
 	if len(message) > d.maxItemsBytes()-itemHeaderSize {
 		return
--- a/internal/decision/readpin/eligible.go
+++ b/internal/decision/readpin/eligible.go
@@ -73,7 +73,7 @@
 }
 
 // appendFresh appends the ready replicas of t.order that are not known to be behind. It omits those at which the pin is at its limit,
-// unless there is no other. retryAfter is the delay after which the first replica that is behind may be tried; 0: none is behind.
+// unless there is no other. retryAfter is the shortest delay after which a replica that is behind may be tried; 0: none is behind.
 func (t *Tracker) appendFresh(now time.Duration, shard int, r *Requirement, promise *Promise, dst []decision.NodeID) (
 	_ []decision.NodeID, retryAfter time.Duration) {
 	before := len(dst)
@@ -117,8 +117,8 @@
 	return dst
 }
 
-// recordTried records which replicas are tried although they were behind when last observed. With a pin that is only the first, as the
-// others are for hedges and retries.
+// recordTried records which replicas are tried although they were behind when last observed. With a pin it considers only the first, as
+// the others are for hedges and retries.
 func (t *Tracker) recordTried(now time.Duration, shard int, r *Requirement, promise *Promise, replicas []decision.NodeID) {
 	if r.Pin != 0 {
 		replicas = replicas[:1]
--- a/internal/decision/readpin/nodes.go
+++ b/internal/decision/readpin/nodes.go
@@ -103,7 +103,7 @@
 	t.freeNodes = append(t.freeNodes, index)
 }
 
-// SetEpoch applies an agreed list: its nodes come first in every pin's order. A number that is not newer is ignored.
+// SetEpoch applies an agreed list: its nodes come first in every pin's order. A list is ignored if its number is not above that in force.
 func (t *Tracker) SetEpoch(number uint64, nodes []decision.NodeID) {
 	if number <= t.epoch {
 		return
--- a/internal/decision/readpin/readpin.go
+++ b/internal/decision/readpin/readpin.go
@@ -1,5 +1,6 @@
 // Package readpin decides which replicas of a shard may answer a shard request if its query has a read pin, bounds the staleness of its
-// reads, or has already seen a position of the shard's log. It then checks whether an answer keeps the resulting promise.
+// reads, or names a position of the shard's log that the client has already seen. The package then checks whether an answer keeps the
+// resulting promise.
 //
 //	Observe, MergePositions --> position of each shard at each replica --> EligibleReplicas --> Promise
 //	                                                                  answer's Report --> Assess --> Assessment
@@ -22,7 +23,7 @@
 	Shards          int
 	Cells           int
 	CellsPerShard   int           // shard s is on cells s, s+1, ... modulo Cells
-	ClockError      time.Duration // how much too low a replica may measure its age, in addition to drift
+	ClockError      time.Duration // by how much the age that a replica measures may be too low, in addition to drift
 	MaxDrift        float64       // greatest relative difference between the rates of two clocks
 	RecheckInterval time.Duration // after which a replica known to be behind is tried again
 	MaxInFlight     int           // greatest number of this broker's shard requests in flight of one pin at one replica
--- a/internal/decision/readpin/truth_test.go
+++ b/internal/decision/readpin/truth_test.go
@@ -98,8 +98,8 @@
 	return checked, wrong
 }
 
-// No staleness bound and no assessment is more optimistic than the history of writes allows. The check does find the wrong ones that arise if
-// the clocks' errors are ignored.
+// No staleness bound and no assessment is more optimistic than the history of writes allows. If the clocks' errors are ignored, the check
+// does find wrong ones.
 func TestNeverOptimistic(t *testing.T) {
 	total := 0
 	for seed := range uint64(12) {
--- a/internal/decision/release/batches.go
+++ b/internal/decision/release/batches.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/decision/statemachine"
 )
 
-// InterleaveZones returns the slots of brokers with the zones taken in turn, so that no batch falls on a single zone.
+// InterleaveZones returns the slots of brokers with the zones taken in turn, so that each batch is spread over the zones.
 func InterleaveZones(brokers []statemachine.Broker) (slots []statemachine.Slot) {
 	type place struct {
 		round  int // the broker's index among those of its zone
--- a/internal/decision/release/gate.go
+++ b/internal/decision/release/gate.go
@@ -9,8 +9,8 @@
 type releaseSide uint8
 
 const (
-	sideExcluded releaseSide = iota
-	sideControl              // not released yet
+	sideExcluded releaseSide = iota // had the target version before the release
+	sideControl                     // not released yet
 	sideReleased
 )
 
@@ -126,7 +126,7 @@
 // GateResult is the result of a check of one gate.
 type GateResult struct {
 	Group          string
-	Metric         Metric  // check does not set this: MetricUnserved in every result
+	Metric         Metric  // not set by group.check, so MetricUnserved in every result
 	Queries        float64 // of the released targets
 	Bad            float64
 	Expected       float64 // bad queries, by the rate of the controls in the same windows
--- a/internal/decision/release/node_list.go
+++ b/internal/decision/release/node_list.go
@@ -32,9 +32,9 @@
 	return a.Node == b.Node && a.Zone == b.Zone && slices.Equal(a.Shards, b.Shards)
 }
 
-// NextEntries returns the entries to propose: the list if it differs from the agreed one, else the nodes that discovery drains or has
-// returned to service. With no list, a cached one or one that has just changed, it returns none, as that could remove live nodes for all
-// brokers.
+// NextEntries returns the entries to propose: the list if it differs from the agreed one, else an entry for each node that discovery drains
+// or has returned to service. With no list, a cached one or one that has just changed, it returns none, as that could remove live nodes
+// for all brokers.
 func (l *NodeList) NextEntries(s *statemachine.State, now time.Duration) (entries []statemachine.Entry) {
 	if !l.Confirmed || len(l.Nodes) == 0 || now-l.StableSince < listSettleTime {
 		return nil
--- a/internal/decision/release/permits.go
+++ b/internal/decision/release/permits.go
@@ -16,7 +16,7 @@
 	return !slices.ContainsFunc(openSteps(r), func(x statemachine.ReleaseStep) bool { return x.State != statemachine.StepFinished })
 }
 
-// proposePermits returns permits to propose in the plan's order, as many as the plan's limit leaves.
+// proposePermits returns the permits to propose, in the plan's order, as many as the plan's limit on targets out at once still allows.
 func (p *Planner) proposePermits(s *statemachine.State, r *statemachine.Release, now time.Duration) (entries []statemachine.Entry) {
 	left := int(r.MaxOut)
 	for _, step := range openSteps(r) {
--- a/internal/decision/release/planner.go
+++ b/internal/decision/release/planner.go
@@ -26,8 +26,8 @@
 	comparedWindows int
 	stateSince      map[Target]time.Duration // when a target was first seen in its current state
 	stepStates      map[Target]statemachine.StepState
-	proposedAt      map[string]time.Duration
-	batchFinishedAt time.Duration // when the open batch was first seen finished
+	proposedAt      map[string]time.Duration // when an entry was last proposed, by its printed form
+	batchFinishedAt time.Duration            // when the open batch was first seen finished
 	openBatch       uint32
 	failedGate      *GateResult
 }
@@ -170,8 +170,8 @@
 	return step.Affected && !r.ForNodes && r.To != "" && step.Version != "" && step.Version != r.To
 }
 
-// hasEnoughReports reports whether this leader has counts of at least nine tenths of the serving targets: it must not decide on the counts
-// of a small part of the tier.
+// hasEnoughReports reports whether this leader has compared a window and has counts of at least nine tenths of the serving targets: it must
+// not decide on the counts of a small part of the tier. Without gates no reports are needed.
 func (p *Planner) hasEnoughReports(s *statemachine.State, r *statemachine.Release) bool {
 	if r.Gates == gatesOff {
 		return true
@@ -186,8 +186,8 @@
 	return p.comparedWindows > 0 && known*10 >= len(serving)*9
 }
 
-// hasEnoughEvidence reports whether the released targets have served enough queries. With too few controls nothing can be compared, and only
-// the pause delays the next batch.
+// hasEnoughEvidence reports whether the released targets have served enough queries. Without gates, in a rollback, and with too few controls
+// to compare, no evidence is needed, and only the pause delays the next batch.
 func (p *Planner) hasEnoughEvidence(s *statemachine.State, r *statemachine.Release) bool {
 	controls := 0
 	released := 0
--- a/internal/decision/release/release.go
+++ b/internal/decision/release/release.go
@@ -1,7 +1,7 @@
 // Package release decides what a leader proposes next for the current release of the state machine: permits, the next batch, a halt with
 // its evidence, or the rollback. It also proposes the agreed node list.
 //
-//	reports of brokers ──► growth in a window ──► groups (all, each class, each zone) ──► gates, one a metric
+//	reports of brokers ──► growth in a window ──► groups (all, each class, each zone) ──► gates, one per metric
 //	                                                                                       │
 //	state machine ──► trackSteps (overdue, wrong version) ──► NextEntries ◄────────────────┘
 //
--- a/internal/decision/statemachine/connection_entry.go
+++ b/internal/decision/statemachine/connection_entry.go
@@ -39,7 +39,7 @@
 	Rows        []LeaseRow
 }
 
-// AcknowledgeLease reports that a broker holds no connections beyond this grant: none of older grants.
+// AcknowledgeLease reports that a broker holds no connections beyond this grant, so none that only an older grant allowed.
 type AcknowledgeLease struct {
 	Slot        Slot
 	Incarnation uint64
--- a/internal/decision/statemachine/connection_lease.go
+++ b/internal/decision/statemachine/connection_lease.go
@@ -96,7 +96,7 @@
 	return nil, reject(ReasonStale, "grant %d of broker %s: the last is %d, ended %t", number, b.Name, lease.Number, lease.Ended)
 }
 
-// ownLease is currentLease for an entry of the broker itself, whose incarnation must be that of the grant.
+// ownLease is like currentLease, for an entry that the broker itself proposes: its incarnation must be that of the grant.
 func (s *State) ownLease(slot Slot, incarnation, number uint64) (*ConnectionLease, error) {
 	lease, err := s.currentLease(slot, number)
 	if err != nil {
--- a/internal/decision/statemachine/errors.go
+++ b/internal/decision/statemachine/errors.go
@@ -81,7 +81,8 @@
 	return reasonTexts[e.Reason].remedy
 }
 
-// reject returns a *RejectedError. Its formats must not change, so some have older words: units are connections, floors are reserved ones.
+// reject returns a *RejectedError. The formats in its calls must not change, so some have older words: units are connections, floors are
+// reserved connections.
 func reject(r Reason, format string, args ...any) error {
 	return &RejectedError{Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/decision/statemachine/lease_rows.go
+++ b/internal/decision/statemachine/lease_rows.go
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// maxOfLeaseRows merges two sorted lists of rows; of a row that both have, it takes the greater number of connections.
+// maxOfLeaseRows merges two sorted lists of rows. For a node and tenant that are in both, it takes the greater number of connections.
 func maxOfLeaseRows(a, b []LeaseRow) (all []LeaseRow) {
 	if len(a) == 0 || len(b) == 0 {
 		return slices.Concat(a, b)
@@ -48,7 +48,7 @@
 	return append(all, b...)
 }
 
-// nodeChange is how many connections to a node two lists of rows have, one before and one after a change.
+// nodeChange holds the number of connections to a node in two lists of rows: before and after a change.
 type nodeChange struct {
 	node   NodeID
 	before uint64
--- a/internal/decision/statemachine/node_entry.go
+++ b/internal/decision/statemachine/node_entry.go
@@ -17,7 +17,7 @@
 // UndrainNode ends an operator's drain.
 type UndrainNode struct{ Node NodeID }
 
-// MarkNodeDown reports that a node without a permit is not ready. ReturnToService ends it.
+// MarkNodeDown reports that a node without a permit is not ready. ReturnToService ends this state.
 type MarkNodeDown struct {
 	Node   NodeID
 	Reason string
--- a/internal/decision/statemachine/node_list.go
+++ b/internal/decision/statemachine/node_list.go
@@ -66,8 +66,9 @@
 	return n.listed && n.downIndex == 0 && n.drain.Number == 0 && n.releasePermit.Number == 0
 }
 
-// checkReadyReplicas rejects taking a node out if one of its shards would be left with too few ready replicas. A node that is not ready
-// passes, as it does not count as a replica.
+// checkReadyReplicas rejects taking a node out if one of its shards would be left with too few ready replicas: fewer than planned, the
+// minimum of the release plan (0: none), or fewer than the minimum of the node list. A node that is not ready passes, as it does not count
+// as a replica.
 func (s *State) checkReadyReplicas(n *nodeRecord, planned uint32) error {
 	if !n.isReady() {
 		return nil
--- a/internal/decision/statemachine/node_permit.go
+++ b/internal/decision/statemachine/node_permit.go
@@ -13,7 +13,7 @@
 	n.drain = NodeDrain{}
 }
 
-// nodesOut counts the listed nodes that are not ready for any reason, in the tier and in a zone.
+// nodesOut counts the listed nodes that are not ready, whatever the reason, in the tier and in a zone.
 func (s *State) nodesOut(zone string) (out outCount) {
 	for _, n := range s.nodes {
 		if n.listed && !n.isReady() {
--- a/internal/decision/statemachine/release_entry.go
+++ b/internal/decision/statemachine/release_entry.go
@@ -16,7 +16,7 @@
 	Gates            string // "off" disables the gates of the release planner
 }
 
-// IssuePermit issues a permit to one target to go out. The permit's number is the index of the entry.
+// IssuePermit issues the permit with which one target may go out. The permit's number is the index of the entry.
 type IssuePermit struct {
 	Release     uint64
 	Term        uint64
@@ -26,7 +26,7 @@
 	Node        NodeID
 }
 
-// UsePermit announces that the permit's holder goes out. It may go only after it has seen this entry applied without an error.
+// UsePermit announces that the permit's holder goes out. The holder may go only after it has seen this entry applied without an error.
 type UsePermit struct {
 	Permit      uint64
 	Slot        Slot
--- a/internal/decision/statemachine/statemachine.go
+++ b/internal/decision/statemachine/statemachine.go
@@ -12,10 +12,12 @@
 //
 // Invariants that Apply keeps, whoever proposes:
 //
-//   - At most as many brokers (or nodes) are out or hold an unused permit as the running release allows, over the tier and in a zone.
+//   - A permit is issued only while fewer other brokers (or nodes) are out or hold a permit than the running release allows, over the tier
+//     and in the zone.
 //   - A permit is used at most once, and never after its release was halted or rolled back.
 //   - A broker that went out or was lost counts as out until it returns under a new incarnation.
-//   - A node leaves only when each shard keeps its minimum of ready replicas and each live broker has acknowledged the drain.
+//   - A node's drain begins only if each of its shards keeps its minimum of ready replicas. The node's permit can be used only once each
+//     live broker has acknowledged the drain.
 //   - At each node, connections that may be held by leases and those reserved for all brokers stay within the budget.
 //   - Entries that only a leader may propose have no effect under another term than that of the last LeaderElected.
 //
@@ -60,7 +62,7 @@
 
 // Result is the outcome of applying an entry.
 type Result struct {
-	Number    uint64 // of the release, permit, drain or grant; else 0
+	Number    uint64 // of what the entry sets or names, such as a release, permit, drain, grant, epoch or term; 0: none
 	Duplicate bool   // the proposal was applied before, and this is its earlier result
 	Err       error
 }
--- a/internal/decision/statemachine/status.go
+++ b/internal/decision/statemachine/status.go
@@ -78,8 +78,8 @@
 	Slot          Slot
 	Node          NodeID
 	State         StepState `json:"Stage"`
-	Affected      bool      `json:"Touched"` // it went out in this release, or returned with its version
-	OutAtRollback bool      `json:"Carried"` // it was out when the rollback began, and may return with either version
+	Affected      bool      `json:"Touched"` // the target went out in this release, or returned with the version that it releases
+	OutAtRollback bool      `json:"Carried"` // the target was out when the rollback began, and may return with either version
 	Version       string    // with which it returned
 }
 
@@ -116,7 +116,7 @@
 	Incarnation  uint64
 	Number       uint64 // of the latest grant; 0: none
 	Granted      []LeaseRow
-	Outstanding  []LeaseRow // what it may still hold by older grants: the maximum of each row
+	Outstanding  []LeaseRow // what the broker may still hold by older grants: for each node and tenant their maximum
 	Acknowledged bool
 	Ended        bool // it was relinquished or has expired, so the broker holds none
 }
