--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -38,7 +38,8 @@
 	return got, cancel
 }
 
-// serveAnswers returns a connection to a fake discovery that answers each request with the next of bodies, and the one after them never.
+// serveAnswers returns a connection to a fake discovery that answers one request with each of bodies, in order, and never answers the request
+// after them.
 func serveAnswers(bodies ...string) net.Conn {
 	near, far := net.Pipe()
 	go func() {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// UseLocalAgent says that the address is an agent of this broker's own. The client then polls again soon after any failure, so that the
-// list is known soon after an outage ends. It must be called before Run.
+// UseLocalAgent tells the client that the address is an agent of this broker's own. The client then polls again soon after any failure, so that
+// the list is known soon after an outage ends. It must be called before Run.
 func (c *Client) UseLocalAgent() { c.localAgent = true }
 
 // UseBackoff makes the client poll again by itself during an outage, and notify only of the first failure of an outage. If versionKnown,
@@ -81,7 +81,7 @@
 }
 
 // ChangeAddress makes the client poll discovery at another address from now on, ending a watch that is held; it counts as a Poll. The
-// current list stays in use until the new service answers. The versions of the new service are unrelated to those of the old one, so that
+// current list stays in use until the new service answers. The versions of the new service are unrelated to those of the old one, so
 // the full list is requested first. settings, if not nil, apply from then on.
 func (c *Client) ChangeAddress(address string, settings *Settings) {
 	c.mu.Lock()
--- a/internal/discovery/nodelist/frame.go
+++ b/internal/discovery/nodelist/frame.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// readRequiredFrame is readFrame where every whole file has a frame: the end of the file is errTorn.
+// readRequiredFrame reads a frame that every whole file has: it is readFrame, but returns errTorn at the end of the file.
 func (r *reader) readRequiredFrame(v any) error {
 	err := r.readFrame(v)
 	if errors.Is(err, io.EOF) {
--- a/internal/discovery/nodelist/store.go
+++ b/internal/discovery/nodelist/store.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// logFault logs a fault, once until it changes or ends.
+// logFault logs a fault, unless it is the one logged last and has not ended since.
 func (s *Store) logFault(message string, err error) {
 	fault := message + err.Error()
 	if fault != s.loggedFault {
--- a/internal/discovery/nodelist/write.go
+++ b/internal/discovery/nodelist/write.go
@@ -85,7 +85,7 @@
 }
 
 // beginGeneration writes a snapshot and opens an empty journal. Until the snapshot's name is durable, a start reads the previous
-// generation. That one is kept until the next generation, as it is read if this snapshot turns out damaged.
+// generation. The previous generation is kept until the next one begins, as a start also reads it if this snapshot is damaged.
 func (s *Store) beginGeneration() error {
 	s.closeJournal()
 	snapshot, err := s.encodeSnapshot()
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -69,8 +69,9 @@
 	return fmt.Sprintf("%s?index=%d&wait=%d", listPath, c.currentVersion, watchTime.Milliseconds())
 }
 
-// sendHedged makes an attempt, and sends hedges for as long as the service is silent. It returns the first answer with status 200, or how
-// the last attempt ended. A service that rejects a request is not silent: then the attempts in flight are awaited, and no more are sent.
+// sendHedged makes an attempt and, without a backoff, sends hedges for as long as the service is silent. It returns the first answer with
+// status 200, or how the last attempt ended. A service that rejects a request is not silent: then the attempts in flight are awaited, and no
+// more are sent.
 func (c *Client) sendHedged(ctx context.Context, first attempt) (*httpwire.Message, error) {
 	r := newRace(ctx, c.address, c.dial)
 	defer r.end()
--- a/internal/discovery/run.go
+++ b/internal/discovery/run.go
@@ -40,7 +40,7 @@
 	case <-c.pollRequested: // requested during this request, and answered by its error
 	default:
 	}
-	if c.addressChanged() { // checked last, as ChangeAddress calls Poll: a later change wakes Run's next round
+	if c.addressChanged() { // checked after pollRequested is drained: ChangeAddress calls Poll, so a later change wakes Run again
 		return true // the change canceled the request, or the request went to the old address
 	}
 	c.closeIdleConnection("call_failed")
@@ -59,8 +59,8 @@
 	}
 }
 
-// retry notifies of a failure, and pauses if the request is retried without a call of Poll. It does not notify of the first lost
-// connection, and notifies only once of an outage of a local agent.
+// retry notifies of a failure, and pauses if the request is retried without a call of Poll. It does not notify of a lost connection unless
+// the previous request failed too, and notifies only once of an outage of a local agent.
 func (c *Client) retry(ctx context.Context, err error, duration time.Duration) (again bool) {
 	connectionLost := !c.lastFailed && isConnectionLost(err)
 	knownOutage := c.localAgent && c.lastFailed
@@ -103,7 +103,7 @@
 	return ctx.Err() == nil
 }
 
-// reconnect tries to connect until that succeeds, ChangeAddress is called or ctx ends.
+// reconnect tries to connect until that succeeds, ChangeAddress is called or ctx ends. Once connected, it waits for the backoff's first delay.
 func (c *Client) reconnect(ctx context.Context) {
 	ctx, end := c.begin(ctx)
 	defer end()
--- a/internal/server/admission_open.go
+++ b/internal/server/admission_open.go
@@ -53,7 +53,8 @@
 	return "name each tenant of the settings once in door.weights, as NAME=WEIGHT, so that the weights add up to 1; or leave it empty"
 }
 
-// parseWeights parses TENANT=WEIGHT texts into weights, which must name each tenant once and add up to 1. Its error is an InvalidWeightsError.
+// parseWeights parses TENANT=WEIGHT texts into weights, in the order of tenants. The texts must name each tenant once, and the weights add up
+// to 1. Its error is an InvalidWeightsError.
 func parseWeights(weights []float64, tenants, texts []string) error {
 	sum := 0.0
 	named := map[string]bool{}
--- a/internal/server/agreed_drains.go
+++ b/internal/server/agreed_drains.go
@@ -11,7 +11,7 @@
 
 const (
 	drainInterval      = time.Second           // between checks when no drain waits for attempts
-	drainRetryInterval = 20 * time.Millisecond // between checks while a drain waits for attempts to end
+	drainRetryInterval = 20 * time.Millisecond // between checks while a drain waits for the router or for attempts to end
 )
 
 // agreedDrain is this broker's progress with a node drain that the tier agreed on.
@@ -57,7 +57,8 @@
 	}
 }
 
-// withAgreedDrain returns a listed endpoint, as draining if its node's drain is agreed. One that discovery drains or removes stays so.
+// withAgreedDrain returns a listed endpoint, marked as draining if its node's drain is agreed. An endpoint that discovery reports as draining
+// or removed is returned unchanged.
 func (v *controlPlaneView) withAgreedDrain(e decision.Endpoint) decision.Endpoint {
 	if v != nil && e.State == decision.Ready && v.drains[e.Node] != nil {
 		e.State = decision.Draining
@@ -90,7 +91,7 @@
 	return next
 }
 
-// refuse ends the attempts and returns true if the node's drain is enforced; otherwise they may be sent.
+// refuse ends the attempts and returns true if the node's drain is enforced; otherwise it returns false and the attempts may be sent.
 func (v *controlPlaneView) refuse(node decision.NodeID, attempts []*store.Subrequest) bool {
 	if v == nil {
 		return false
@@ -102,7 +103,7 @@
 	return true
 }
 
-// retryAck has the next tick propose an acknowledgement again after its proposal failed.
+// retryAck lets the next tick propose an acknowledgement again, unless a view shows by then that it is agreed.
 func (v *controlPlaneView) retryAck(m drainAckFailed) {
 	if d := v.drains[m.node]; d != nil && d.number == m.number {
 		d.ackProposed = false
--- a/internal/server/attempts.go
+++ b/internal/server/attempts.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// sendBatch sends a batch without the attempts that were cancelled, or whose query ended, in the same step; forgetQuery cancels the latter.
+// sendBatch sends a batch, except the attempts that were cancelled in the same step, or whose query ended or was forwarded in it. forgetQuery
+// cancels the attempts of those queries.
 func (l *loop) sendBatch(b *batch) {
 	attempts := slices.DeleteFunc(b.attempts, func(attempt *store.Subrequest) bool {
 		q := l.queryOfShardRequest[attempt.Subrequest]
@@ -70,7 +71,8 @@
 	}
 }
 
-// attemptEnded is called by the pool when an attempt has ended. An answer is part of the result from now on: the router's next step has it too.
+// attemptEnded is called by the pool when an attempt has ended. An answer is part of the query's result from now on; the router learns of it in
+// its next step.
 func (l *loop) attemptEnded(attempt *store.Subrequest, outcome decision.Outcome, at time.Duration, value string) {
 	outcome = l.readPins.attemptEnded(attempt, outcome, at)
 	if q, i := l.findShardRequest(attempt.Subrequest); q != nil && outcome == decision.OK && !q.requests[i].answered {
--- a/internal/server/cached_list.go
+++ b/internal/server/cached_list.go
@@ -12,7 +12,7 @@
 
 const (
 	storeInterval      = time.Second
-	endedWarningFactor = 2 // a warning is logged for a full list that ends more than one in this many nodes
+	endedWarningFactor = 2 // a warning is logged if a full list ends more than 1/endedWarningFactor of the nodes
 )
 
 // cachedEndpointList is the extension that caches the endpoint list on disk, and evaluates its entries while discovery can't be polled.
@@ -95,7 +95,7 @@
 	return n
 }
 
-// confirmList enters a list from discovery into the table. The router has the list already.
+// confirmList applies a list from discovery to the table. The router already has the list.
 func (c *cachedEndpointList) confirmList(list *discovery.List) {
 	if c == nil {
 		return
--- a/internal/server/connection_leases.go
+++ b/internal/server/connection_leases.go
@@ -14,7 +14,7 @@
 
 const (
 	leaseInterval     = 100 * time.Millisecond
-	demandDecayTime   = 2 * time.Second // half-life of demand that is gone
+	demandDecayTime   = 2 * time.Second // half-life with which measured demand decays once it is gone
 	defaultCloseDelay = time.Second     // closeDelay where no policy sets it
 )
 
@@ -53,7 +53,7 @@
 		attempts:    make([]attemptCounts, len(tenants)),
 		closeDelay:  defaultCloseDelay,
 	}
-	b.holder.SetReserved(nil, 1) // until a view tells the agreed policy
+	b.holder.SetReserved(nil, 1) // until a view brings the agreed policy
 	b.mapTenants(nil)
 	return b
 }
@@ -112,7 +112,7 @@
 	return store.OpenShared
 }
 
-// Closed records that a connection of the pool has ended; byNode tells that the node closed it.
+// Closed records that a connection of the pool has ended. byNode is true if the node closed it.
 func (b *connectionLeases) Closed(node decision.NodeID, tenant int, byNode bool) {
 	b.holder.RecordClosed(connlease.LeaseKey{Node: node, Tenant: tenant}, byNode, b.loop.since())
 }
--- a/internal/server/connection_orders_test.go
+++ b/internal/server/connection_orders_test.go
@@ -1,7 +1,7 @@
 package server
 
 // Tests every order in which a client's bytes, its departure, a shutdown and the need for a file descriptor can come to one
-// connection, each after the one before has been handled: docs/acceptance.md.
+// connection, each event after the one before has been handled: docs/acceptance.md.
 
 import (
 	"fmt"
--- a/internal/server/control_plane.go
+++ b/internal/server/control_plane.go
@@ -22,7 +22,7 @@
 
 const (
 	proposalTimeout    = 5 * time.Second
-	joinTimeout        = time.Second // for which a starting broker waits for the agreed state
+	joinTimeout        = time.Second // longest wait of a starting broker for the agreed state
 	drainAckRetryDelay = 200 * time.Millisecond
 )
 
--- a/internal/server/control_plane_run.go
+++ b/internal/server/control_plane_run.go
@@ -11,7 +11,8 @@
 )
 
 // runControlPlane takes part in the control plane until the broker ends. It returns once this process knows the agreed state, or after
-// joinTimeout: a broker that served earlier could send queries to nodes that the tier has drained and that have been stopped since.
+// joinTimeout: a broker that serves before it knows that state could send queries to nodes that the tier has drained and that have been
+// stopped since.
 func (s *Server) runControlPlane() {
 	p := s.controlPlane
 	s.group.Go(func() error {
@@ -91,7 +92,8 @@
 	})
 }
 
-// acknowledgeDrain proposes the acknowledgement that this broker sends a node nothing more. If the next view lacks it, the loop tries again.
+// acknowledgeDrain proposes the acknowledgement that this broker sends a node nothing more. It then notifies the loop, whatever the outcome:
+// the loop proposes the acknowledgement again if no view shows it.
 func (s *Server) acknowledgeDrain(node decision.NodeID, number uint64) {
 	ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
 	defer cancel()
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -53,7 +53,7 @@
 	RetryAfter time.Duration
 	Shards     []int // the shards that answered, in the order of Values
 	Values     []string
-	Hinted     bool                // the query had a read hint; the next three fields hold
+	Hinted     bool                // the query had a read hint; the next three fields are set
 	Positions  []readhint.Position // by shard
 	Behind     []int               // shards that have not reached what the hint asks for
 	Staleness  time.Duration       // upper bound on the age of the writes that the answer may lack; negative: no bound is known
@@ -116,7 +116,7 @@
 	return PendingQuery{active}
 }
 
-// Abandon ends a query early: its client has left or, if overdue, its deadline has passed and it still gets a result.
+// Abandon ends a query early. If overdue, its deadline has passed and it still gets a result; else its client has left and it gets none.
 func (c *Core) Abandon(p PendingQuery, overdue bool) {
 	cause := query.ClientDeparted
 	if overdue {
@@ -136,7 +136,7 @@
 	return c.loop.readPins.positions.EncodePositions(c.loop.since())
 }
 
-// MergePositions merges positions that another broker collected; older is an upper bound on their age.
+// MergePositions merges positions that another broker collected. older is an upper bound on the time since they were collected.
 func (c *Core) MergePositions(data []byte, older time.Duration) {
 	c.loop.handle(positionsReceived{data, c.loop.since() - older})
 }
@@ -154,7 +154,7 @@
 	return <-r.reply
 }
 
-// IsNodeAvailable reports whether the router sends a node ordinary attempts. It is used by reports only.
+// IsNodeAvailable reports whether the router sends a node ordinary attempts; true if the router can't tell. It is used by reports only.
 func (c *Core) IsNodeAvailable(id decision.NodeID) bool {
 	r, ok := c.loop.router.(interface{ IsAvailable(decision.NodeID) bool })
 	return !ok || r.IsAvailable(id)
--- a/internal/server/departed_test.go
+++ b/internal/server/departed_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// The departure of a client that has sent more bytes while its query is in flight is noticed at once, however many they are: the query is
-// abandoned, requests that follow it are not started, and a node connection established later carries none of its attempts.
+// The departure of a client that has sent more bytes while its query is in flight is noticed at once, however many bytes they are: the query
+// is abandoned, requests that follow it are not started, and a node connection established later carries none of its attempts.
 func TestDepartureBehindUnreadBytesIsNoticed(t *testing.T) {
 	s, _ := runServer(t, 1024)
 	n := uint64(0)
--- a/internal/server/endpoint_list.go
+++ b/internal/server/endpoint_list.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if list.CellCount != 0 && list.CellCount != l.cells {
-		return // decoded for the old number of cells; a full list is polled for the new number
+		return // decoded for the old number of cells; a full list decoded for the new number follows
 	}
 	l.counters.ListsReceived++
 	l.applyList(list)
@@ -63,7 +63,8 @@
 	l.publishEndpoints()
 }
 
-// applyEndpoint enters a node into the pool, or drops it there. state is the endpoint's state, overridden by an agreed drain.
+// applyEndpoint adds a node to the pool, or removes it if its state is Removed. state is the endpoint's state, overridden by an agreed drain:
+// attempts that are queued for a node that is not ready are ended.
 func (l *loop) applyEndpoint(n *discovery.Node, state decision.EndpointState) {
 	id := n.Endpoint.Node
 	if n.Endpoint.State == decision.Removed {
--- a/internal/server/endpoint_snapshot.go
+++ b/internal/server/endpoint_snapshot.go
@@ -51,7 +51,7 @@
 	l.controlPlane.publishEndpoints(s)
 }
 
-// epochProposals returns the leader's job that proposes the log entries which the latest endpoint snapshot requires.
+// epochProposals returns the leader's task that proposes the log entries which the latest endpoint snapshot requires.
 func epochProposals(from *atomic.Pointer[endpointSnapshot]) func(controlplane.LeaderContext) []statemachine.Entry {
 	return func(leader controlplane.LeaderContext) []statemachine.Entry {
 		if snapshot := from.Load(); snapshot != nil {
--- a/internal/server/extension.go
+++ b/internal/server/extension.go
@@ -11,7 +11,7 @@
 
 // extension is an optional part of the broker that the loop calls besides the router. All calls come from the loop's goroutine.
 type extension interface {
-	// handle handles a message if it is for this extension, and reports whether it was; no other extension gets it then.
+	// handle handles a message if it is for this extension. It returns true if no other extension is to get the message.
 	handle(m message) bool
 	// tick does what is due at now and returns the time at which it must be called again.
 	tick(now time.Duration) time.Duration
@@ -19,7 +19,7 @@
 	report(c *QueryCounters)
 }
 
-// notDue is returned by tick where nothing is due at any time.
+// notDue is returned by tick if nothing becomes due by the passing of time.
 const notDue time.Duration = math.MaxInt64
 
 // Extensions tick, and are offered messages, in this order. Leases come first, so that surplus connections are closed before attempts are sent.
--- a/internal/server/gateway.go
+++ b/internal/server/gateway.go
@@ -44,7 +44,7 @@
 	links           *link.Links
 	settings        *terms.Terms
 	conns           []*link.Conn            // established links by peer
-	forwarded       map[uint64]*activeQuery // by their ids at forwarding
+	forwarded       map[uint64]*activeQuery // by the ids that they had when they were forwarded
 	remote          map[forwarding.Key]*remoteQuery
 	nextStatus      time.Duration
 	stopping        func() bool // a graceful shutdown is under way
@@ -135,8 +135,8 @@
 	}
 }
 
-// offer reports whether a query that the router sheds is forwarded. If so, the loop keeps only its client and its id. A query with read
-// pins is not forwarded, as only this site knows the positions that its reads need.
+// offer forwards a query that the router sheds, if possible, and reports whether it did. The loop then keeps only the waiting client and the
+// request id. A query with read pins is not forwarded, as only this site knows the positions that its reads need.
 func (g *siteGateway) offer(q *activeQuery) bool {
 	if g == nil || q.pin != nil {
 		return false
--- a/internal/server/ingress/answer_query.go
+++ b/internal/server/ingress/answer_query.go
@@ -38,7 +38,8 @@
 	return reason
 }
 
-// awaitResult waits for a query's result. Meanwhile it watches for the end of the connection, also behind bytes that the client has sent.
+// awaitResult waits for a query's result, and returns it or why the connection ends. Meanwhile it watches for the end of the connection, even
+// if the client has sent further bytes before it.
 func (in *Ingress) awaitResult(ctx context.Context, c *connection, pending query.Pending) (query.Result, Reason) {
 	done := make(chan struct{})
 	watchEnded := make(chan error, 1)
--- a/internal/server/ingress/body.go
+++ b/internal/server/ingress/body.go
@@ -88,7 +88,7 @@
 	if math.Abs(sum-1) > query.WeightTolerance {
 		return requestError(statusBadRequest, "body: fractions add up to %.3f", sum)
 	}
-	for i := range q.Shards { // the sum of rounded weights might never reach that of a complete answer
+	for i := range q.Shards { // else the sum of rounded weights might never reach that of a complete answer
 		q.Shards[i].Weight /= sum
 	}
 	return nil
--- a/internal/server/ingress/log_limit.go
+++ b/internal/server/ingress/log_limit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// logLimit limits the log lines about connections that brought no query, as a client that opens thousands a second would fill the log and
-// keep a core busy. Lines beyond the limit are counted, and the next line states their number.
+// logLimit limits the log lines about connections that brought no query, as a client that opens thousands of them a second would fill the log
+// and keep a core busy. Lines beyond the limit are counted, and the next line states their number.
 type logLimit struct {
 	second     int64 // Unix time
 	written    int   // lines requested in that second, written or not
--- a/internal/server/ingress/read_hint.go
+++ b/internal/server/ingress/read_hint.go
@@ -16,7 +16,7 @@
 const (
 	headerPosition    = "X-Read-Position: "     // positions that the answer reflects; clients send them back as not-before
 	headerStaleness   = "X-Read-Staleness: "    // the answer lacks no write older than this; or "unknown"
-	headerBehind      = "X-Read-Behind: "       // shards that have not reached the position that the hint asks for, where it allows that
+	headerBehind      = "X-Read-Behind: "       // shards that have not reached the position that the hint asks for, if it allows stale answers
 	headerHintIgnored = "X-Read-Hint-Ignored: " // why the hint is ignored
 )
 
--- a/internal/server/ingress/serve.go
+++ b/internal/server/ingress/serve.go
@@ -80,7 +80,7 @@
 		_, err = c.in.Peek(1)
 	}
 	endReason := in.connections.startReading(c)
-	c.SetReadDeadline(in.requestDeadline(c)) // after startReading: an end as idle just before must not cut the request short
+	c.SetReadDeadline(in.requestDeadline(c)) // after startReading: if the connection was ended as idle just before, the request is still read
 	switch {
 	case err == nil:
 		return stillOpen
--- a/internal/server/lease_policy.go
+++ b/internal/server/lease_policy.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// previousVersion returns the version of the policy in force while another waits, if both name the same tenants; else 0. Demand that was
-// reported under it counts too.
+// previousVersion returns the version of the policy in force while another waits, if both name the same tenants; else 0. Demand that brokers
+// reported under that version counts too.
 func (g *leaseGranting) previousVersion(inForce *statemachine.ConnectionPolicy) uint64 {
 	if p, err := connpolicy.Compile("agreed", inForce.Text); err == nil && slices.Equal(p.Tenants, g.plan.Tenants) {
 		return inForce.Version
--- a/internal/server/lease_release.go
+++ b/internal/server/lease_release.go
@@ -35,8 +35,8 @@
 }
 
 // releaseLeases gives up this broker's lease once nodes have noticed that its connections are closed. Otherwise no broker could use these
-// connections for the lease's duration and the nodes' idle time, with each restart of a rollout. A shutdown takes longer by the close delay,
-// and by releaseTimeout if the release of the lease is not agreed.
+// connections for the lease's duration and the nodes' idle time, at each restart of a rollout. A shutdown takes longer by the close delay, and
+// by up to releaseTimeout more while the release of the lease is not agreed.
 func (s *Server) releaseLeases() {
 	request := leaseReleaseRequested{make(chan leaseToRelease, 1)}
 	if !s.deliver(request) {
--- a/internal/server/lease_tick.go
+++ b/internal/server/lease_tick.go
@@ -91,7 +91,7 @@
 
 const (
 	attemptDecay   = 0.8  // factor of the counts at each tick
-	maxDeniedShare = 0.25 // of the attempts sent: from it on queries are shed
+	maxDeniedShare = 0.25 // share of the attempts sent; queries are shed from this share on
 	minDenied      = 5    // attempts; with fewer no query is shed
 )
 
@@ -103,9 +103,9 @@
 	}
 }
 
-// overloaded reports whether so many of a tenant's recent attempts were denied a connection that its next query is shed before it takes
-// slots, and after what time a query is admitted again. An attempt without a connection is retried at one node after another until the
-// query's deadline passes, and takes connections from queries that would have had them.
+// overloaded reports whether a tenant's next query is shed, before it takes slots, as too many of the tenant's recent attempts were denied a
+// connection. It also returns after how long a query is admitted again. An attempt without a connection is retried at one node after another
+// until the query's deadline passes, and takes connections from queries that would have had them.
 func (b *connectionLeases) overloaded(tenant int) (retryAfter time.Duration, overloaded bool) {
 	if b == nil || tenant < 0 || tenant >= len(b.attempts) || b.view == nil || b.view.Policy == nil {
 		return 0, false
--- a/internal/server/lease_view.go
+++ b/internal/server/lease_view.go
@@ -45,7 +45,8 @@
 	b.holder.SetCloseDelay(b.closeDelay)
 }
 
-// acceptGrant holds the grant of a view. A broker that was forgotten and comes back, as a new incarnation, is granted from number 1 on again.
+// acceptGrant passes the grant of a view to the holder. Grants are numbered from 1 again for a broker that was forgotten and comes back as a
+// new incarnation.
 func (b *connectionLeases) acceptGrant(v *controlplane.View) {
 	grant := v.Lease
 	if grant.Incarnation != b.grantIncarnation {
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -28,7 +28,7 @@
 	logDecision func(text string, at time.Duration) // takes the router's log lines
 
 	// settings in force
-	settings      *terms.Terms // set where they can change
+	settings      *terms.Terms // nil in a Core, whose settings don't change
 	queryTypes    []decision.QueryType
 	cells         int
 	maxInFlight   int           // queries and shard requests
@@ -184,7 +184,7 @@
 	}
 }
 
-// inspectable is a router that reports its number of attempts in flight, to be compared with the pool's, and of ejected nodes.
+// inspectable is a router that reports its number of ejected nodes and of attempts in flight; operators compare the latter with the pool's.
 type inspectable interface {
 	Snapshot() (inFlight, ejected int)
 }
@@ -213,7 +213,8 @@
 }
 
 // applySettings changes the loop, the router and the pool to other settings. Events that came before are passed to the router under the old
-// settings, under which queries in flight also end. If the shards or the nodes are others now, the nodes known so far get no more attempts.
+// settings, under which queries in flight also end. If the new settings are for other shards or nodes, the nodes known so far get no more
+// attempts.
 func (l *loop) applySettings(m settingsChanged) {
 	if m.deploymentChanged {
 		l.applyList(&discovery.List{Full: true})
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -188,7 +188,8 @@
 	synctest.Wait()
 }
 
-// A query whose id is in flight is rejected, as its attempts would be mixed up with the other's. One that finds no slot is shed before the router.
+// A query whose id is in flight is rejected, as its attempts would be mixed up with the other's. A query that finds no slot is
+// shed and does not reach the router.
 func TestQueriesTheLoopRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFaultyCluster(t, 1)
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// updateView rebuilds the lists of living members and stores their addresses. While a broker is alone, the last stored ones stay.
+// updateView rebuilds the lists of living members and stores the addresses of the others. While there are no others, the addresses stored last
+// stay.
 func (m *tierMembership) updateView() {
 	m.ownershipView = m.ownershipView[:0]
 	m.seeds = m.seeds[:0]
@@ -182,8 +183,8 @@
 	})
 }
 
-// handleSharedEndpoint applies an endpoint change that another broker had from discovery, if the node is known here. It then counts as if
-// this broker had it from discovery.
+// handleSharedEndpoint applies an endpoint change that another broker received from discovery, if the node is known here. The change then
+// counts as if this broker had received it from discovery.
 func (m *tierMembership) handleSharedEndpoint(update gossip.EndpointUpdate) {
 	n, known := m.loop.endpoints()[update.Node]
 	if !m.updateFilter.Accept(update, known, n.Endpoint.State, n.StartedAtMS) {
--- a/internal/server/messages.go
+++ b/internal/server/messages.go
@@ -36,7 +36,7 @@
 	countersRequested struct{ reply chan QueryCounters }
 	settingsChanged   struct {
 		terms             *terms.Terms
-		deploymentChanged bool            // the shards or the nodes are others
+		deploymentChanged bool            // the settings are for other shards or nodes
 		list              *discovery.List // the known nodes of the new deployment; nil: none are known
 		done              chan struct{}
 	}
@@ -54,7 +54,7 @@
 // Messages for the control plane and connection leases.
 type (
 	viewReceived   struct{ view *controlplane.View }
-	drainAckFailed struct { // the drain acknowledgement has to be proposed again
+	drainAckFailed struct { // the proposal of a drain acknowledgement has ended, with whatever outcome
 		node   decision.NodeID
 		number uint64
 	}
@@ -67,7 +67,7 @@
 	positionsRequested struct{ reply chan []byte }
 	positionsReceived  struct {
 		data        []byte
-		collectedAt time.Duration // by the loop's clock; the positions are at least as new
+		collectedAt time.Duration // at the earliest, by the loop's clock
 	}
 	epochAgreed struct {
 		number uint64
--- a/internal/server/position_exchange.go
+++ b/internal/server/position_exchange.go
@@ -26,8 +26,8 @@
 	collectedAt time.Duration // at the earliest, by this broker's clock
 }
 
-// sharePositions exchanges replicas' positions over the control plane. Neither its goroutine nor the loop waits for the other: positions
-// are collected in advance and kept with the time of their collection.
+// sharePositions exchanges replicas' positions over the control plane. Neither the control plane's goroutine nor the loop waits for the other:
+// positions are collected in advance and kept with the time of their collection.
 func (s *Server) sharePositions(p *tierControlPlane) {
 	var latest atomic.Pointer[localPositions]
 	received := make(chan remotePositions, positionsQueue)
--- a/internal/server/query/result.go
+++ b/internal/server/query/result.go
@@ -9,7 +9,7 @@
 // Result is the final answer to a query; each query gets exactly one.
 type Result struct {
 	Outcome    Outcome
-	Complete   bool          // every shard has answered
+	Complete   bool          // the answers reach what the query type requires of a complete result
 	RetryAfter time.Duration // of a shed query: how long the client should wait before a retry; 0: no advice
 	Answers    []ShardAnswer
 
--- a/internal/server/read_pins.go
+++ b/internal/server/read_pins.go
@@ -39,7 +39,7 @@
 type pinnedQuery struct {
 	requirement   readpin.Requirement
 	requests      []pinnedRequest
-	eligibleAfter time.Duration // least time until a retry can find a replica where none is eligible; 0: each shard has one
+	eligibleAfter time.Duration // least time until each shard can have an eligible replica; 0: each has one
 }
 
 // pinnedRequest is the state of one shard request: the replicas that it may go to, what an answer must prove, and how the answer received
@@ -149,7 +149,8 @@
 	p.positions.AttemptSent(now, attempt.ReadPin, attempt.Node)
 }
 
-// attemptEnded records the position that an answer reports, and returns the attempt's outcome: Stale if the answer does not meet the hint.
+// attemptEnded records the position that an answer reports, and returns the attempt's outcome: Stale if the answer does not meet the hint and
+// the hint does not allow stale answers.
 func (p *readPinTracker) attemptEnded(attempt *store.Subrequest, outcome decision.Outcome, at time.Duration) decision.Outcome {
 	if p == nil {
 		return outcome
--- a/internal/server/read_pins_test.go
+++ b/internal/server/read_pins_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	start.Known = []byte(known[:len(known)-1] + "]}")
-	start.Terms.Module.HedgingAllowed = false // a hedge goes to any replica, and here only comes of a stall of the machine
+	start.Terms.Module.HedgingAllowed = false // a hedge goes to any replica, and is sent here only if the machine stalls
 	file := operator.Default()
 	file.ControlPlaneSettings.Pins, file.ControlPlaneSettings.ClockError = true, 0
 	s, _ := runConfigured(t, start, file)
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -38,8 +38,8 @@
 }
 
 // Reload applies a new configuration while serving, and logs one line about it. The caller has read and checked the files; err is the error
-// it found, with which the old configuration stays in force. The address of discovery and the settings change; what needs a restart is
-// logged and stays as it was. Calls must not overlap.
+// that the caller found. After an error the old configuration stays in force. The address of discovery and the settings change; what needs a
+// restart is logged and stays as it was. Calls must not overlap.
 func (s *Server) Reload(start *terms.Config, file *operator.File, err error) {
 	var reader discovery.Reader
 	var list *discovery.List
@@ -75,7 +75,7 @@
 }
 
 // switchSettings changes the loop to other settings, and returns the new settings for polling discovery, or nil if they are unchanged. list
-// is the endpoint list of the configuration.
+// is the endpoint list of the configuration; nil: it contains none.
 func (s *Server) switchSettings(current *terms.Terms, start *terms.Config, reader discovery.Reader, list *discovery.List) *discovery.Settings {
 	next := &start.Terms
 	otherDiscoveryAndTypes := s.discoveryAddress != start.Discovery && !slices.Equal(current.Types, next.Types)
@@ -116,7 +116,7 @@
 	return t.PeerNumber == current.PeerNumber && t.Module.GossipAllowed == current.Module.GossipAllowed
 }
 
-// boundToSettings reports whether a feature is on that can't change to other settings.
+// boundToSettings reports whether a feature that can't change to other settings is on.
 func (s *Server) boundToSettings() bool {
 	o := s.operator
 	switch {
--- a/internal/server/remote_query.go
+++ b/internal/server/remote_query.go
@@ -14,7 +14,7 @@
 // remoteQuery is a query that another site has forwarded to this one.
 type remoteQuery struct {
 	query  *activeQuery
-	conn   *link.Conn // the link over which it came last; nil: down
+	conn   *link.Conn // the link over which it came last; nil: that link is down
 	result *link.Reply
 }
 
@@ -100,8 +100,8 @@
 	}
 }
 
-// verifiedAnswer returns the result that another site's answers make. It is failed if they are for other shards than requested, or not as
-// complete as they must be.
+// verifiedAnswer returns the result that another site's answers make. The result is Failed if an answer is for a shard that was not requested
+// or that already has one, or if the answers are less complete than they must be.
 func (q *activeQuery) verifiedAnswer(v *link.Reply, t *decision.QueryType) query.Result {
 	invalid := query.Result{Outcome: query.Failed}
 	completeness, r := 0.0, query.Result{Outcome: query.Answered, Complete: v.IsComplete}
--- a/internal/server/site_links.go
+++ b/internal/server/site_links.go
@@ -79,7 +79,7 @@
 	s.startGoroutine(s.watchCertificate)
 }
 
-// watchCertificate logs warnings while the certificate for site links expires soon, until ctx ends.
+// watchCertificate logs a warning every certificateCheckInterval while the certificate for site links is about to expire, until ctx ends.
 func (s *Server) watchCertificate(ctx context.Context) error {
 	for {
 		if left := time.Until(s.siteKeys.Expiry()); left < certificateExpiryWarning {
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -16,7 +16,8 @@
 )
 
 // The process is killed answerWithin after the longest client timeout has passed since the shutdown was requested, but at the latest
-// maxKillWait plus answerWithin after that request. Answers have to be sent killMargin before.
+// maxKillWait plus answerWithin after that request. Answers have to be sent killMargin before the kill; a
+// query that arrives too late for that still has minAnswerTime.
 const (
 	maxKillWait   = 3 * time.Second
 	killMargin    = 150 * time.Millisecond
@@ -68,8 +69,9 @@
 	}
 }
 
-// answerDeadline returns when a query that arrived at arrival has to be answered. A query that arrives after the shutdown was requested and
-// is not answered when the process is killed is lost.
+// answerDeadline returns when a query that arrived at arrival has to be answered, as the time since the broker's start. For a query that
+// arrives after a shutdown was requested, the deadline is killMargin before the kill at the latest, but minAnswerTime after the arrival at the
+// earliest: a query that is not answered when the process is killed is lost.
 func (s *Server) answerDeadline(arrival, timeout time.Duration) time.Duration {
 	deadline := arrival + timeout
 	if s.draining.Load() {
--- a/internal/server/warming_up_test.go
+++ b/internal/server/warming_up_test.go
@@ -8,7 +8,7 @@
 	"flaxfront/internal/discovery"
 )
 
-// Attempts are counted as sent to a node that is warming up only while it does, not at nodes that started long ago or are unknown.
+// Attempts are counted as sent to a node that is warming up only during its warm-up, and not if the node started long ago or is unknown.
 func TestWarmingUpAttemptsAreCounted(t *testing.T) {
 	l := newLoop(time.Now(), nil, &decision.Settings{})
 	var now time.Duration
