--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -7,7 +7,7 @@
 //
 //	Arrive ──► Admit ────────────────────────────────────────► router ──► Complete
 //	   ├─────► Enqueue ──► Tick: capacity is free ──► admitted ──┘
-//	   │                   Tick: its wait has expired, or it was evicted for a lighter client ──► rejected
+//	   │                   Tick: its wait has expired, or a client with less recent work evicted it ──► rejected
 //	   └─────► Reject, with a Retry-After
 //
 // Times are durations since the broker's start. A Controller does no I/O, allocates nothing for a query that is admitted at once, and is
@@ -22,7 +22,7 @@
 
 // Policy holds the settings of a Controller.
 type Policy struct {
-	Weights       []float64 // of tenants, by number; 0: its queued queries come after all others
+	Weights       []float64 // of tenants, by number; a tenant with weight 0 has its queued queries admitted after all others
 	MaxWaitShare  float64   // share of its remaining time that a query may wait in the queue
 	MaxQueued     int       // queries of one tenant
 	MinWork       float64   // work in flight below which queries are always admitted
@@ -53,8 +53,8 @@
 type Query struct {
 	ID       uint64
 	Tenant   int
-	Client   uint64 // hash of the client's name; 0: unknown
-	Work     float64
+	Client   uint64        // hash of the client's name; 0: unknown
+	Work     float64       // number of shards
 	TimeLeft time.Duration // until the client's timeout
 	Retry    bool          // the client sends the query again
 }
--- a/internal/decision/admission/arrival.go
+++ b/internal/decision/admission/arrival.go
@@ -64,15 +64,16 @@
 	t.Counts.Queued = len(t.queue)
 }
 
-// evict rejects a queued query to make room for one of a client with less recent work.
+// evict rejects a queued query to make room for one of a client that had less work admitted recently.
 func (c *Controller) evict(t *tenant, index int, now time.Duration) {
 	q := t.queue[index].Query
 	c.evicted = append(c.evicted, Dequeued{ID: q.ID, RetryAfter: c.reject(t, q, now)})
 	t.removeAt(index)
 }
 
-// workAhead returns the work queued ahead of a query in its tenant's queue: that of clients with no more recent work than the query's own
-// client. heaviest is the index of a queued query whose client has the most recent work, if that exceeds the own client's; otherwise -1.
+// workAhead returns the work queued ahead of a query in its tenant's queue: that of clients that had no more work admitted recently than
+// the query's own client. heaviest is the index of a queued query of the client that had most, if that is more than the own client;
+// otherwise -1. A query of an unknown client waits behind the whole queue and evicts none.
 func (c *Controller) workAhead(t *tenant, q Query, now time.Duration) (work float64, heaviest int) {
 	if q.Client == 0 {
 		return t.queuedWork, -1
@@ -115,8 +116,8 @@
 	return time.Duration(work / (c.rate(now) * c.share(t)) * float64(time.Second))
 }
 
-// reject counts a rejection and returns the time until there is capacity for the query: when half of the tenant's queue has drained
-// and the clients rejected before have returned. So queries that are rejected together do not return together.
+// reject counts a rejection and returns the Retry-After, with some jitter: the time in which half of the tenant's queue drains and the
+// clients rejected before return, at most Policy.MaxRetryAfter. So queries that are rejected together do not return together.
 func (c *Controller) reject(t *tenant, q Query, now time.Duration) (retryAfter time.Duration) {
 	t.Counts.Rejected++
 	if c.policy.MaxRetryAfter == 0 {
@@ -146,7 +147,7 @@
 	}
 }
 
-// share returns a tenant's share of the store's capacity, which it divides with all tenants that have queued queries.
+// share returns a tenant's share, by weight, of the capacity that it divides with all tenants that have queued queries.
 func (c *Controller) share(t *tenant) float64 {
 	sum := 0.0
 	for i := range c.tenants {
--- a/internal/decision/admission/limiter.go
+++ b/internal/decision/admission/limiter.go
@@ -14,7 +14,7 @@
 	limitIncrease    = 0.05                  // share of the limit
 	probeInterval    = 10 * time.Second      // between probes, which admit less for a moment to measure the baseline anew
 	probeLimitShare  = 0.5
-	probeWindows     = 3 // length of a probe; the last window sets the baseline
+	probeWindows     = 3 // length of a probe in windows; the last window sets the baseline
 	rateTimeConstant = time.Second
 	maxDelayFactor   = 16.0
 	lateDelayFactor  = 2.0  // at or above it, the broker itself causes half of the time in flight or more
@@ -92,7 +92,7 @@
 // SetLateness sets the broker's present scheduling delay, which no single answer can tell apart from the store's delay.
 func (l *limiter) SetLateness(lateness time.Duration) { l.lateness = lateness }
 
-// rate returns the work per second that the store recently completed, and the limit if that is more.
+// rate returns the work per second that the store recently completed, or the limit if that is higher.
 func (l *limiter) rate(now time.Duration) float64 {
 	l.recentWork *= math.Exp(-float64(now-l.recentWorkAt) / float64(rateTimeConstant))
 	l.recentWorkAt = now
@@ -111,7 +111,8 @@
 	return l.limit * l.delayFactor
 }
 
-// windowLength returns the length of a window: no shorter than the fastest answer took, and maxWindow while nothing is answered.
+// windowLength returns the length of a window: the time that the fastest answer took, but at least minWindow and at most maxWindow. While
+// work is in flight and nothing has been answered in the window, it is maxWindow.
 func (l *limiter) windowLength() time.Duration {
 	if l.minDelay == 0 && l.inFlight > 0 {
 		return maxWindow
@@ -152,8 +153,8 @@
 }
 
 // updateLimit lowers the limit if even the fastest answer of the window was delayed well beyond the baseline and the broker's lateness:
-// then the store has a queue. It also lowers the limit if nothing was answered and the router sheds; sheds beside answers as fast as
-// before have other causes. If queries waited and the store has no queue, the limit rises.
+// then the store has a queue. It also lowers the limit if nothing was answered and the router shed a query; if answers came as fast as
+// before, the router shed for another reason. If queries waited and the store has no queue, the limit rises.
 func (l *limiter) updateLimit() {
 	if l.probeWindowsLeft > 0 {
 		return
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -16,8 +16,8 @@
 // notDue is the time of the next Tick if no query is queued.
 const notDue time.Duration = math.MaxInt64
 
-// Tick appends to out the queries that leave the queues: those that the store has capacity for, in the order of their start tags, and
-// those whose wait has expired. next is when to call Tick again.
+// Tick appends to out the queries that leave the queues: those evicted since the last call, those that the store has capacity for, in the
+// order of their start tags, and those whose wait has expired. next is when to call Tick again.
 func (c *Controller) Tick(now time.Duration, out []Dequeued) (dequeued []Dequeued, next time.Duration) {
 	if c.endWindowIfDue(now) {
 		c.queriesWaited = slices.ContainsFunc(c.tenants, func(t tenant) bool { return len(t.queue) > 0 })
@@ -81,7 +81,8 @@
 	return next
 }
 
-// startsBefore orders tenants by start tag; those without weight come after all others.
+// startsBefore reports whether the next query of tenant a has a lower start tag than that of b. Tenants without weight come after all
+// others.
 func (c *Controller) startsBefore(a, b *tenant) bool {
 	aHasWeight := a.weight > 0
 	bHasWeight := b.weight > 0
@@ -91,7 +92,8 @@
 	return max(a.nextStart, c.virtualTime) < max(b.nextStart, c.virtualTime)
 }
 
-// nextInQueue returns the index of the query whose client has the least recent work; among equals, of the one that arrived first.
+// nextInQueue returns the index of the query whose client had the least work admitted recently; among equals, of the one that arrived
+// first.
 func (c *Controller) nextInQueue(t *tenant, now time.Duration) (index int) {
 	minClientWork := math.Inf(1)
 	for i := range t.queue {
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -31,7 +31,7 @@
 	ConnectFailed // the connection could not be opened, so the attempt was not sent
 	ConnectionReset
 	Cancelled
-	NeverSent // the attempt did not leave this broker for another reason
+	NeverSent // the attempt did not leave this broker, for a reason other than ConnectFailed
 	Stale     // the node is healthy, but answered from data that is too old for the query
 )
 
--- a/internal/decision/gossip/gossip.go
+++ b/internal/decision/gossip/gossip.go
@@ -84,7 +84,7 @@
 }
 
 // RecordLocal records an update from this broker's own discovery. It reports whether the update is to be sent to the other brokers. Updates
-// from full lists are not, as every broker receives those lists itself.
+// from full lists are not sent, as every broker receives those lists itself, nor are those no newer than the node's last update.
 func (f *UpdateFilter) RecordLocal(u EndpointUpdate, fullList bool) (send bool) {
 	send = !fullList && u.ListVersion > f.versions[u.Node]
 	if send {
@@ -95,8 +95,9 @@
 	return send
 }
 
-// Accept reports whether another broker's update is accepted here, where the node has the given state and start time. An update that is
-// late, or comes from another discovery or an earlier process of the node, could make a draining node ready; only a new start may do so.
+// Accept reports whether another broker's update is accepted. known tells whether the node is in this broker's list, and state and
+// startedAtMS are its values there. An update that is late, or comes from another discovery or an earlier process of the node, could make a
+// draining node ready; only a new start may do so.
 func (f *UpdateFilter) Accept(u EndpointUpdate, known bool, state decision.EndpointState, startedAtMS int64) bool {
 	bringsBack := state == decision.Draining && u.State == decision.Ready && u.StartedAtMS <= startedAtMS
 	outdated := u.ListVersion <= f.versions[u.Node]
@@ -121,8 +122,9 @@
 	f.removed = append(f.removed, u)
 }
 
-// RecentlyRemoved returns updates of up to maxRemoved nodes that began to drain or were removed last. They are sent to brokers that have
-// just started: one that starts while discovery is down uses its cached list, and would otherwise use these nodes.
+// RecentlyRemoved returns the last update of each of the maxRemoved nodes that most recently began to drain or were removed. These updates
+// are sent to brokers that have just started: one that starts while discovery is down uses its cached list, and would otherwise send
+// attempts to these nodes.
 func (f *UpdateFilter) RecentlyRemoved() []EndpointUpdate { return f.removed }
 
 // Forget drops the list versions of nodes that are no longer known, if they are older than the given version.
--- a/internal/decision/gossip/gossip_test.go
+++ b/internal/decision/gossip/gossip_test.go
@@ -8,7 +8,7 @@
 
 func node(n uint16) decision.NodeID { return decision.NodeID{Port: n} }
 
-// Which updates of other brokers are accepted.
+// Accept accepts newer updates of known nodes from the same discovery, unless they make a draining node ready without a new start.
 func TestAccept(t *testing.T) {
 	for name, c := range map[string]struct {
 		update  EndpointUpdate
--- a/internal/decision/ownership/claims.go
+++ b/internal/decision/ownership/claims.go
@@ -57,7 +57,7 @@
 	return c, c.Owner != 0
 }
 
-// HandleClaim handles another broker's claim. It reports whether the claim was news, which the caller passes on.
+// HandleClaim handles another broker's claim. It reports whether the claim was news, in which case the caller passes it on.
 func (c *Coordinator) HandleClaim(claim Claim, now time.Duration) (news bool) {
 	if int(claim.Job) >= len(c.jobs) {
 		return false // from a broker of a version that has more jobs
@@ -92,7 +92,7 @@
 	return true
 }
 
-// supersedes reports whether the known claim supersedes another: by its fence, or under the same fence by its owner's lower ID.
+// supersedes reports whether the known claim supersedes another: by a higher fence, or under the same fence by a lower owner ID.
 func (s *jobState) supersedes(claim *Claim) bool {
 	return claim.Fence < s.fence || claim.Fence == s.fence && claim.Owner > s.owner && s.owner != 0
 }
@@ -108,9 +108,9 @@
 	c.claims = append(c.claims, s.claim(job, s.owner, now))
 }
 
-// AcceptFence reports whether work on a job under a fencing number is accepted. It rejects the work of an owner that resumes after a pause,
-// unaware that it was replaced. An accepted number becomes the known one: otherwise an owner could accept its successor's work and still
-// continue its own.
+// AcceptFence reports whether work on a job under a fencing number is accepted. The work of an owner that resumes after a pause, unaware
+// that it was replaced, is rejected. An accepted number becomes the known one: otherwise an owner could accept its successor's work and
+// still continue its own.
 func (c *Coordinator) AcceptFence(job int, fence uint32) bool {
 	s := &c.jobs[job]
 	if fence < s.fence {
--- a/internal/decision/ownership/model_test.go
+++ b/internal/decision/ownership/model_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A model of three brokers and one job, with the real code. Time passes in steps of a second. In between events happen in any order: a
-// claim arrives or is lost; a broker considers another dead or alive, is paused, resumes or is restarted.
+// A model of three brokers and one job, which runs the real Coordinator. Time passes in steps of a second. In between events happen in any
+// order: a claim arrives or is lost; a broker considers another dead or alive, is paused, resumes or is restarted.
 
 type modelBroker struct {
 	coordinator *Coordinator
--- a/internal/decision/ownership/ownership.go
+++ b/internal/decision/ownership/ownership.go
@@ -51,10 +51,10 @@
 type jobState struct {
 	Job
 	fence         uint32
-	owner         uint32 // member with the current claim; 0: none
-	ownerSeenAt   time.Duration
-	released      bool   // by its owner
-	runCount      uint32 // known runs, of all members
+	owner         uint32        // member with the current claim; 0: none
+	ownerSeenAt   time.Duration // when the current claim last arrived
+	released      bool          // by its owner
+	runCount      uint32        // known runs, of all members
 	lastRunAt     time.Duration
 	claimedAt     time.Duration // when this broker claimed it
 	renewedAt     time.Duration // when this broker last repeated its claim
@@ -160,7 +160,7 @@
 	isClaimed := s.owner == c.self
 	switch {
 	case belongsHere && !isClaimed:
-		// The former owner is dead, has left, or now ranks lower; in that case it receives this claim and stops.
+		// The former owner is dead, has left, or now ranks lower. If it ranks lower, it receives this claim and stops.
 		s.fence++
 		s.owner = c.self
 		s.released = false
@@ -177,7 +177,8 @@
 }
 
 // dueAt returns when the owner runs a job next: one period after the last run, but not before the settle time after a take-over ends. Runs
-// missed in an outage are made up by a single one.
+// missed in an outage are made up by a single one. The first runs of jobs are spread over a quarter of their period or of the lease,
+// whichever is shorter.
 func (s *jobState) dueAt(policy *Policy) time.Duration {
 	settledAt := s.claimedAt + policy.SettleTime
 	if s.runCount == 0 {
@@ -187,7 +188,7 @@
 	return max(s.lastRunAt+s.Period, settledAt)
 }
 
-// RunEnded is called when a run ends. A failed run is repeated a tenth of the period after its start.
+// RunEnded records the end of a run. A failed run is repeated a tenth of the period after its start.
 func (c *Coordinator) RunEnded(r Run, succeeded bool, now time.Duration) {
 	s := &c.jobs[r.Job]
 	if s.fence != r.Fence || s.owner != c.self {
--- a/internal/decision/ownership/ownership_test.go
+++ b/internal/decision/ownership/ownership_test.go
@@ -17,8 +17,8 @@
 		Jobs: testJobs, Lease: crew.Lease})
 }
 
-// checkRuns checks the jobs from the given time on: none runs more than twice in its period, and no gap between runs is longer than the
-// period and slack. It returns the longest gap beyond a period.
+// checkRuns checks the jobs from the given time on: none runs more than twice in its period, and no gap between runs is longer than the sum
+// of period and slack. It returns the longest gap beyond a period.
 func checkRuns(t *testing.T, c *crew.Cluster, name string, from, slack time.Duration) (worst time.Duration) {
 	t.Helper()
 	for i, d := range testJobs {
--- a/internal/decision/resultset/resultset.go
+++ b/internal/decision/resultset/resultset.go
@@ -55,8 +55,9 @@
 // New returns a Sets without any result set.
 func New(l Limits) *Sets { return &Sets{limits: l, sessions: map[uint64]*sessionSets{}} }
 
-// Put stores an answer as the session's result set of this name and replaces an earlier set of the name. Result sets that were used
-// least recently make room for it. Put returns false and does not store the answer if it alone exceeds Limits.Bytes.
+// Put stores an answer as the session's result set of this name and replaces an earlier set of the name. If a limit would be exceeded, it
+// drops the least recently used sets or, for Limits.Sessions, the session of the least recently used set. Put returns false and does not
+// store the answer if it alone exceeds Limits.Bytes.
 func (s *Sets) Put(sessionID uint64, name, query string, fetched Answer, now time.Duration) bool {
 	s.removeExpired(now)
 	size := fetched.bytes()
@@ -164,7 +165,7 @@
 	}
 }
 
-// remove drops a set if it exists. The status is remembered under its name for later lookups, unless it is Found.
+// remove drops a set if it exists. For later lookups it records the status under the set's name, unless the status is Found.
 func (s *Sets) remove(session *sessionSets, name string, status Status) {
 	set := session.sets[name]
 	if set == nil {
--- a/internal/decision/routing/completion.go
+++ b/internal/decision/routing/completion.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	deadlineMargin            = 50 * time.Millisecond // from a query's deadline to its latency objective
-	guardClockSteps           = 3                     // clock steps from the last moment for a result to the client's timeout
+	deadlineMargin            = 50 * time.Millisecond // from a query's deadline to its latency objective or its client's timeout, whichever is earlier
+	guardClockSteps           = 3                     // clock steps between the latest time for a result and the client's timeout
 	weightTolerance           = 5e-5                  // rounding error of sums of weights
 	crowdedTableShare         = 0.7                   // of MaxInFlight; above it queries past their deadline are abandoned
 	secondPhaseReserveDivisor = 4                     // at most the latency objective divided by this is reserved for the second phase
@@ -27,9 +27,9 @@
 	q.hardDeadline = r.now + e.RemainingTime - guardClockSteps*r.settings.ClockStep
 }
 
-// setTimeSpent estimates how much of its timeout the client of a query has spent on earlier tries. If a query that may be a retry leaves
-// less time than is usual for its type, the client counts its timeout from its first try; the part of the timeout that is no longer left
-// has been spent.
+// setTimeSpent estimates how much of its timeout the client of a query has spent on earlier tries. If a query may be a retry and has less
+// time left than is usual for its type, it is taken for a retry of a client whose timeout began with the first try; that client has spent
+// the part of the timeout that is no longer left.
 func (d *dispatcher) setTimeSpent(q *query, e *decision.Event) {
 	usual := d.usualRemainingTime[e.Type].vote(e.RemainingTime)
 	mayBeRetry := e.Retry || !d.router.settings.ClientsMarkRetries
@@ -101,8 +101,8 @@
 	q.deadline = q.overallDeadline
 }
 
-// abandon ends a query that cannot be answered. It is shed, so that the client may retry after the given time, if running it again does
-// no harm and its time is not up; otherwise it fails.
+// abandon ends a query that cannot be answered. If the query may be run again and its time is not up, it is shed with a Retry-After;
+// otherwise it fails.
 func (d *dispatcher) abandon(slot int32) {
 	r := d.router
 	q := &d.queries.slots[slot]
--- a/internal/decision/routing/dispatcher.go
+++ b/internal/decision/routing/dispatcher.go
@@ -14,7 +14,7 @@
 	endpoints          endpointTable
 	queries            queryTable
 	tableCrowded       bool       // the queries in flight are close to Settings.MaxInFlight
-	usualRemainingTime []majority // for a query when it arrives, by query type
+	usualRemainingTime []majority // of a query on its arrival, by query type
 	latency            fleetLatency
 	shardLatencies     []shardLatency // by cell
 	flows              nodeFlows
@@ -70,7 +70,7 @@
 	}
 }
 
-// scheduleStep requests a step at a time, or earlier.
+// scheduleStep requests a step at the given time or earlier.
 func (d *dispatcher) scheduleStep(at time.Duration) { d.nextDueAt = min(d.nextDueAt, at) }
 
 func (d *dispatcher) handle(m *message) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// advance takes the steps that are due for one query.
+// advance does what is due now for one query.
 func (d *dispatcher) advance(slot int32) {
 	q := &d.queries.slots[slot]
 	if q.dispatched {
--- a/internal/decision/routing/ejection.go
+++ b/internal/decision/routing/ejection.go
@@ -9,14 +9,14 @@
 	maxReinstateErrorRate = 0.25 // below it an ejected node is reinstated
 	failureShareWeight    = 0.05 // of one attempt in the moving average of the failure share
 	commonFailureFactor   = 2.0  // this times the median failure share of all nodes is added to maxErrorRate
-	maxErrorRateBound     = 0.95 // for the sum
+	maxErrorRateBound     = 0.95 // upper limit of that sum
 )
 
 // Trial attempts to an ejected node.
 const (
 	initialTrialBackoff = 200 * time.Millisecond
 	maxTrialBackoff     = 3 * time.Second
-	repeatEjectionTime  = 2 * time.Second // a node ejected again within this time of its reinstatement keeps its backoff, doubled
+	repeatEjectionTime  = 2 * time.Second // a node ejected again within this time of its reinstatement starts with twice its last backoff
 )
 
 // Unresponsive nodes.
@@ -84,9 +84,9 @@
 	}
 }
 
-// noteFailure records a failed attempt at the node. Attempts that fail at the same time, with one connection, count once. If attempts
-// fail at all nodes alike, each node looks faulty in turn, and ejecting some would crowd the others; so the error rate above which a
-// node is ejected rises with the median failure share.
+// noteFailure records a failed attempt at the node. Attempts that fail at the same time count once, as one broken connection may have
+// carried them all. If attempts fail at all nodes alike, each node looks faulty in turn, and ejecting some would crowd the others; so the
+// error rate above which a node is ejected rises with the median failure share.
 func (n *nodeHealth) noteFailure() {
 	now := n.router.now
 	n.noteResponse()
@@ -113,7 +113,7 @@
 	}
 }
 
-// noteUnreachable records a failed attempt to connect to the node, and ejects the node.
+// noteUnreachable records that a connection to the node could not be opened, and ejects the node.
 func (n *nodeHealth) noteUnreachable() {
 	n.unreachable = true
 	n.eject(logEjectedUnreachable, n.errorRate)
@@ -125,8 +125,9 @@
 	n.unansweredTime = 0
 }
 
-// checkUnresponsive ejects the node if its calls have together waited several times the usual latency without any answer. Before that
-// it has the connections to the node replaced, once until the next answer, as a connection may be broken while the node is healthy.
+// checkUnresponsive ejects the node if its calls have together waited several times the usual latency without any response. It also has the
+// connections to the node replaced once that sum is several times the p95, as a connection may be broken while the node is healthy; after
+// that, not again until the node has responded.
 func (n *nodeHealth) checkUnresponsive(m *message) {
 	r := n.router
 	now := r.now
--- a/internal/decision/routing/endpoint_list.go
+++ b/internal/decision/routing/endpoint_list.go
@@ -11,7 +11,7 @@
 	router     *Router
 	inbox      inbox
 	subscribed bool          // a poll or watch is in progress
-	pollAt     time.Duration // the next poll is not sent before
+	pollAt     time.Duration // earliest time of the next poll
 	nextDueAt  time.Duration // time of the next step that is needed; never: none
 	backoff    time.Duration
 }
@@ -28,7 +28,7 @@
 	}
 }
 
-// merge applies a full list or an update, adds the nodes that are new and sends each listed node its line.
+// merge applies a full list or an update: it adds the nodes that are new and sends each node its entry.
 func (w *listWatcher) merge(e *decision.Event) {
 	r := w.router
 	w.forgetUnlisted()
@@ -105,7 +105,7 @@
 	}
 }
 
-// isKnown reports whether a node's index still belongs to it, as it has not been forgotten.
+// isKnown reports whether a node's index still belongs to it, that is, whether the node has not been forgotten.
 func (w *listWatcher) isKnown(n *nodeHealth) bool {
 	index, known := w.router.indexes[n.id]
 	return known && index == n.index
--- a/internal/decision/routing/endpoint_table.go
+++ b/internal/decision/routing/endpoint_table.go
@@ -35,7 +35,7 @@
 	health             healthCheckState
 	lastSentAt         time.Duration
 	lastUsedAt         time.Duration // when an attempt was last sent to the node or ended there
-	lastAnsweredSentAt time.Duration // when the most recently sent of the answered calls was sent
+	lastAnsweredSentAt time.Duration // latest send time of a call that was answered
 	calls              []call        // in flight, oldest first
 }
 
@@ -56,7 +56,7 @@
 	return &e.calls[n-1]
 }
 
-// endAttempt removes one attempt from the call that was sent at a time, or from the call sent nearest to it.
+// endAttempt removes one attempt from the call that was sent at the given time, or from the one sent nearest to that time.
 func (e *endpoint) endAttempt(sentAt time.Duration) {
 	nearest := -1
 	for i := range e.calls {
@@ -145,8 +145,8 @@
 	return t.scratch
 }
 
-// sharingShards returns the nodes that hold at least one shard in common with the nodes of a cell. The result is valid as long as that
-// of replicas.
+// sharingShards returns the nodes that hold at least one shard in common with the nodes of a cell. The result is valid until the next call
+// of replicas or sharingShards.
 func (t *endpointTable) sharingShards(cell int) []nodeIndex {
 	t.scratch = t.scratch[:0]
 	cells := len(t.byCell)
--- a/internal/decision/routing/extra_budget.go
+++ b/internal/decision/routing/extra_budget.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// remaining returns how many extra attempts the window will allow at the time at, if nothing is received or sent between now and then.
+// remaining returns how many extra attempts the window allows at the time at, which may be before or after now. For a later time it
+// assumes that no extra attempts are sent meanwhile, and that as many queries and shard requests are received as leave the window.
 func (b *extraBudget) remaining(s *decision.Settings, now, at time.Duration) float64 {
 	b.receivedAt = dropUntil(b.receivedAt, now-s.ExtraAttemptsWindow)
 	b.extraSentAt = dropUntil(b.extraSentAt, now-s.ClockStep-s.ExtraAttemptsWindow)
@@ -63,8 +64,8 @@
 	return s.ExtraAttemptsMin + s.ExtraAttemptsShare*float64(len(b.receivedAt)) - float64(spent)
 }
 
-// extendWindow prepares for a longer window. The attempts sent before the shorter window are not known, so the budget counts the
-// minimum as spent now.
+// extendWindow prepares for a longer window. The extra attempts sent before the shorter window began are not known, so the budget counts
+// the minimum as spent now.
 func (b *extraBudget) extendWindow(now time.Duration, minimum int) {
 	b.extraSentAt = append(b.extraSentAt, slices.Repeat([]time.Duration{now}, minimum)...)
 }
--- a/internal/decision/routing/health_check.go
+++ b/internal/decision/routing/health_check.go
@@ -8,7 +8,7 @@
 
 // An answer to an attempt or health check shows that a node is alive.
 const (
-	livenessValidity   = 500 * time.Millisecond // after the answered attempt or health check was sent
+	livenessValidity   = 500 * time.Millisecond // how long an answer shows this, from when its attempt or health check was sent
 	maxHealthCheckWait = 200 * time.Millisecond // the longest that a first attempt waits for the result of a health check
 	lossWeight         = 0.5                    // of one health check in the moving average of the loss rate
 )
@@ -31,8 +31,8 @@
 	return now < q.replicasCheckedAt+maxHealthCheckWait && now+d.latency.p50 <= q.deadline
 }
 
-// checkReplicas sends health checks to those replicas of a query's shard requests that need one. On a broker with little traffic, what is
-// known of a node is older than most faults last, and a query with many shard requests would run into every one of these faults.
+// checkReplicas sends health checks to those replicas of a query's shard requests that need one. On a broker with little traffic, the last
+// answer of a node is often older than the node's present fault, and a query with many shard requests would meet all faults present.
 func (d *dispatcher) checkReplicas(q *query) {
 	if !d.router.settings.HealthChecksAllowed {
 		return
--- a/internal/decision/routing/hedging.go
+++ b/internal/decision/routing/hedging.go
@@ -13,8 +13,9 @@
 	assumedHedgeDivisor = 2
 )
 
-// sendHedgesAndRetries sends the first attempts of a query that had to wait, and then the hedges and retries that are due and that the
-// budget allows.
+// sendHedgesAndRetries sends those first attempts of a query that had to wait, and then the hedges and retries that are due and that the
+// budget allows. It abandons the unanswered shard requests if the budget is insufficient for the query, and those without an attempt in
+// flight if the query's shards have moved.
 func (d *dispatcher) sendHedgesAndRetries(q *query) {
 	if q.waiting {
 		q.waiting = false
--- a/internal/decision/routing/idle_connections.go
+++ b/internal/decision/routing/idle_connections.go
@@ -12,7 +12,7 @@
 	minIdleErrorRatio = 4.0                    // of the error rate over idle connections to that over fresh ones
 	minIdleTime       = 200 * time.Millisecond // from which a connection counts as idle
 	closeIdleFor      = 20 * time.Second
-	quickResetDivisor = 16 // a reset within the p50 divided by this means that the connection had been cut before
+	quickResetDivisor = 16 // a reset within the p50 divided by this means that the connection had been cut before the attempt was sent
 )
 
 // attemptError is the contribution of an attempt to an error rate.
@@ -29,7 +29,7 @@
 	errorRate          float64       // of attempts over connections that had been idle
 	freshErrorRate     float64       // of attempts over other connections
 	shortestFailedIdle time.Duration // shortest idle time after which an attempt failed; never: none did
-	closeUntil         time.Duration // until then, connections that have been idle for shortestFailedIdle are closed before use
+	closeUntil         time.Duration // until then, connections that have been idle for shortestFailedIdle or longer are closed before use
 }
 
 // observe records the outcome of an attempt and how long its connection had been idle before. It reports whether idle connections are
@@ -60,7 +60,7 @@
 	return idle >= c.shortestFailedIdle && now < c.closeUntil
 }
 
-// observeConnection records how an attempt fared over its connection, and logs if idle connections are closed from now on.
+// observeConnection records the outcome of an attempt over its connection, and logs if idle connections are closed from now on.
 func (d *dispatcher) observeConnection(a *attempt, failed attemptError) {
 	c := &d.idleConnections
 	if c.observe(a.idleTime, failed, d.router.now) {
--- a/internal/decision/routing/latency.go
+++ b/internal/decision/routing/latency.go
@@ -11,7 +11,7 @@
 	samplesPerUpdate       = 16 // latencies recorded between two computations of the quantiles
 	minSamples             = 24 // below this number the quantiles are not computed
 	hedgeQuantile          = 0.95
-	lowPointGrowth         = 1.005 // the most that the low point may rise by at each computation, so that it follows lasting changes only
+	lowPointGrowth         = 1.005 // largest factor by which the low point rises at each computation, so that it follows only lasting rises
 	assumedP50Divisor      = 8     // until latencies are known, the p50 is taken to be the shortest latency objective divided by this
 	assumedP95Divisor      = 2
 	assumedLowPointDivisor = 12
@@ -73,7 +73,7 @@
 	}
 }
 
-// decayedMean returns a mean latency, last updated at learnedAt, that decays towards the p50 of the fleet.
+// decayedMean returns a mean latency that was last updated at learnedAt, decayed towards the p50 of the fleet by the time since.
 func (f *fleetLatency) decayedMean(mean float64, learnedAt, now time.Duration) float64 {
 	usual := float64(f.p50)
 	return usual + (mean-usual)*decayFactor(now-learnedAt, latencyTimeConstant)
@@ -129,7 +129,8 @@
 }
 
 // expectedWait returns the latency expected of an attempt to a node, in nanoseconds. It is derived from the latency of the shard's
-// replicas, and is at least what the second oldest of the node's pending calls has waited; the oldest may be an exception.
+// replicas. It is at least what the node's only pending call has waited, or the second oldest if there are several, as the oldest may be an
+// exception.
 func (d *dispatcher) expectedWait(sr *shardRequest, index nodeIndex) float64 {
 	now := d.router.now
 	e := &d.endpoints.all[index]
--- a/internal/decision/routing/list_polling.go
+++ b/internal/decision/routing/list_polling.go
@@ -10,10 +10,11 @@
 const (
 	initialPollBackoff = 500 * time.Millisecond
 	maxPollBackoff     = time.Second
-	minBackoffShare    = 0.5 // the wait is random: from this share of the backoff to one backoff more
+	minBackoffShare    = 0.5 // least wait, as a share of the backoff; up to one backoff is added at random
 )
 
-// subscribeIfDue asks the front end to poll or watch the endpoint list, unless a poll or watch is active or the backoff is not over.
+// subscribeIfDue asks the front end to poll or watch the endpoint list, unless a poll or watch is in progress, the backoff is not over, or
+// discovery sends the list without a request.
 func (w *listWatcher) subscribeIfDue() {
 	r := w.router
 	w.nextDueAt = never
--- a/internal/decision/routing/list_polling_test.go
+++ b/internal/decision/routing/list_polling_test.go
@@ -7,8 +7,8 @@
 	"flaxfront/internal/decision"
 )
 
-// However many polls have failed, the list is polled again within maxDelay. A change must be known 6 s after discovery has it and is
-// reachable. One backoff and one call that waits in discovery's queue must fit into that twice, as the first call may be rejected.
+// However many polls have failed, the list is polled again within maxDelay. A broker must know of a change 6 s after discovery has the
+// change and is reachable. Two backoffs and two calls that wait in discovery's queue must fit into that, as the first call may be rejected.
 func TestListIsPolledAgainInTime(t *testing.T) {
 	const maxDelay = 1500 * ms
 	for seed := range uint64(100) {
--- a/internal/decision/routing/low_weight_test.go
+++ b/internal/decision/routing/low_weight_test.go
@@ -19,7 +19,7 @@
 	return len(actionsOf(r.step(5*ms), decision.SendAttempt))
 }
 
-// answerQueriesAfter sends 60 queries of the first type, each answered after the time took, so that the router learns this latency.
+// answerQueriesAfter sends 60 queries of the first type, each answered after the duration took, so that the router learns this latency.
 func answerQueriesAfter(r *rig, took time.Duration) {
 	for range 60 {
 		r.query(0, r.settings.QueryTypes[0].Timeout, 0, 1)
--- a/internal/decision/routing/module.go
+++ b/internal/decision/routing/module.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// tickNodes sends a tick to each node whose state may change with time alone. A node needs no more ticks once nothing is in flight to
-// it and it is unlisted, or warmed up and not degraded.
+// tickNodes sends a tick to each node whose state may change with time alone. A node needs no more ticks once no call to it is in flight
+// and it is either unlisted, or warmed up and not degraded.
 func (r *Router) tickNodes() {
 	d := &r.dispatcher
 	sendInterval := time.Duration(float64(time.Second) / max(1e-3, d.flows.fleet.usual(r.now)))
--- a/internal/decision/routing/node_health.go
+++ b/internal/decision/routing/node_health.go
@@ -15,7 +15,7 @@
 	cell             int
 	listed           bool            // the endpoint list names the node as ready
 	startedAt        time.Duration   // the latest start time that a list has given
-	unlistedAt       time.Duration   // when the node left the list; never: it is listed
+	unlistedAt       time.Duration   // when the node was removed from the list; never: it is in the list, perhaps draining
 	listedIn         *decision.Event // the list or update being merged, if it names the node
 	reported         endpointStatus  // the last status that was sent to the dispatcher
 	warmingUp        bool
@@ -39,7 +39,7 @@
 	connectionsRenewedAt time.Duration // when fresh connections to the node were last requested
 
 	latency        time.Duration // the last latency; one above the usual latency decays towards it
-	updatedAt      time.Duration // when latency was last set or decayed, at an answer or a tick
+	updatedAt      time.Duration // when latency was last set or decayed
 	costFactor     float64       // how many calls one call to the node counts as
 	ejectedBy      float64       // how many other brokers had ejected the node, as of lastGossipedAt; decays with time
 	lastGossipedAt time.Duration
@@ -63,7 +63,7 @@
 	n.report()
 }
 
-// handleListed applies the node's line of the endpoint list.
+// handleListed applies the node's entry in the endpoint list.
 func (n *nodeHealth) handleListed(line *decision.Endpoint) {
 	n.cell = line.Cell
 	n.listed = line.State == decision.Ready
--- a/internal/decision/routing/query_table.go
+++ b/internal/decision/routing/query_table.go
@@ -27,7 +27,7 @@
 	answered     bool
 	abandoned    bool // no further attempt is sent
 	hedged       bool
-	retried      bool
+	retried      bool          // a retry was sent; allowAnotherRetry clears this
 	mayHaveRun   bool          // an attempt that has ended may have been executed
 	mayHaveRunAt time.Duration // when the earliest such attempt was sent
 	allowed      *decision.AllowedReplicas
--- a/internal/decision/routing/replicas_test.go
+++ b/internal/decision/routing/replicas_test.go
@@ -7,7 +7,7 @@
 	"flaxfront/internal/decision"
 )
 
-// Where health checks are allowed, a first attempt waits for a replica that answers one, and is sent without an answer after
+// Where health checks are allowed, a first attempt waits for a replica that answers one, and without such an answer is sent after
 // maxHealthCheckWait (scenarios memphis-main, sillon-casa).
 func TestReplicasAreHealthChecked(t *testing.T) {
 	settings := smallSettings()
--- a/internal/decision/routing/retry.go
+++ b/internal/decision/routing/retry.go
@@ -2,7 +2,8 @@
 
 import "flaxfront/internal/decision"
 
-// retry sends another attempt of a shard request whose attempts have all ended without an answer, or abandons the shard request.
+// retry sends another attempt of a shard request whose attempts have all ended without an answer. It abandons the shard request if no
+// further attempt is possible, and schedules a step after recheckInterval if one may be possible then.
 func (d *dispatcher) retry(q *query, sr *shardRequest) {
 	if sr.retried || !d.extraAttemptPossible(q, sr) || !d.mayRunTwice(q, sr) {
 		sr.abandoned = true
@@ -24,8 +25,9 @@
 	d.scheduleStep(d.router.now + recheckInterval)
 }
 
-// allowAnotherRetry refunds the credit of one extra attempt after an attempt has failed, unless replicas are crowded. More attempts may
-// fail than the credit covers, and a retry only replaces the work that a failed attempt has lost. At a crowded store it would add work.
+// allowAnotherRetry lets a shard request be retried again after an attempt has failed, and refunds the credit of one extra attempt, unless
+// replicas are crowded. The refund is needed because more attempts may fail than the credit covers, and a retry only replaces the work that
+// a failed attempt has lost. At a crowded store, however, a retry would add work.
 func (d *dispatcher) allowAnotherRetry(sr *shardRequest) {
 	if d.isCrowded(sr) {
 		return
--- a/internal/decision/routing/selection.go
+++ b/internal/decision/routing/selection.go
@@ -11,7 +11,7 @@
 // Selection costs, in calls in flight.
 const (
 	newConnectionCost = 0.01 // if a connection must be opened; so small that it only decides between replicas of equal cost
-	stickyOrderCost   = 1e6  // for each place down the order of a sticky shard request; so large that it outweighs all other costs
+	stickyOrderCost   = 1e6  // for each position after the first in a sticky shard request's list; so large that it outweighs all other costs
 )
 
 // While every replica of a shard is ejected, a replica with allEjectedMaxCalls calls in flight gets its next attempt only
@@ -143,7 +143,8 @@
 	return e.mode != modeUnlisted && (e.slowStart.share >= 1 || d.slowStartAdmits(e))
 }
 
-// mayUseEjected reports whether an ejected node may get an attempt when all replicas of the shard are ejected.
+// mayUseEjected reports whether an ejected node may get an attempt when all replicas of the shard are ejected: its last connection did not
+// fail, and it has fewer than allEjectedMaxCalls calls in flight or got its last attempt at least allEjectedInterval ago.
 func (d *dispatcher) mayUseEjected(e *endpoint) bool {
 	underLimit := len(e.calls) < allEjectedMaxCalls || d.router.now-e.lastSentAt >= allEjectedInterval
 	return underLimit && !e.unreachable
--- a/internal/decision/routing/shedding.go
+++ b/internal/decision/routing/shedding.go
@@ -16,24 +16,24 @@
 
 // Adjustments of the expected wait before it is compared with the bounds.
 const (
-	uncrowdedWaitFactor    = 0.3  // on a wait above the bound while replicas are not crowded
-	valueExponent          = 0.2  // of the mean value over the query's value: queries of less value are shed sooner
-	minValueShare          = 0.01 // of the mean value: the least value that a query is given here
-	meanValueWeight        = 0.02 // of one query in the moving averages
-	lateTimeDivisor        = 4    // on the remaining time of a query past its deadline
-	lowWeightExponent      = 2.0  // of the mean weight over a shard request's weight: low-weight shard requests are abandoned sooner
+	uncrowdedWaitFactor    = 0.3  // factor on a wait above the bound, while replicas are not crowded
+	valueExponent          = 0.2  // of the ratio of the mean value to the query's value: queries of less value are shed sooner
+	minValueShare          = 0.01 // of the mean value; a query of less value counts as having this much
+	meanValueWeight        = 0.02 // weight of one query in the moving averages of value and number of shard requests
+	lateTimeDivisor        = 4    // a query past its deadline gets the time until its client's timeout divided by this
+	lowWeightExponent      = 2.0  // of the ratio of the mean weight to a shard request's weight: low-weight shard requests are abandoned sooner
 	lowWeightFullWaitRatio = 0.25 // mean wait ratio from which lowWeightExponent applies in full
 )
 
 // Rejections by nodes.
 const (
-	rejectionWeight       = 0.03 // of one attempt in the moving average; so a single rejection raises the rate to this value
+	rejectionWeight       = 0.03 // weight of one attempt in the moving average; so a single rejection raises the rate from 0 to this value
 	rejectionPenalty      = 50.0 // factor on the expected wait is 1 plus this times the excess rejection rate
 	rejectionTimeConstant = 4 * time.Second
 )
 
-// Tenants over quota.
-const maxTenantRateFactor = 1.3 // on the tenant's share of the usual traffic
+// Tenants beyond their quota.
+const maxTenantRateFactor = 1.3 // a tenant beyond its quota may send this times its share of the usual traffic
 
 // loadShedding holds the averages and rates by which queries are shed.
 type loadShedding struct {
@@ -59,7 +59,8 @@
 	s.rejectionRateUpdatedAt = now
 }
 
-// excessRejectionRate returns the rejection rate above what a single rejection causes, as a single node that rejects may be draining.
+// excessRejectionRate returns by how much the rejection rate exceeds what a single rejection causes, which may come from a node that is
+// draining.
 func (s *loadShedding) excessRejectionRate(now time.Duration) float64 {
 	return max(0, s.currentRejectionRate(now)-rejectionWeight)
 }
--- a/internal/decision/routing/slow_start.go
+++ b/internal/decision/routing/slow_start.go
@@ -131,9 +131,9 @@
 	startOffset  float64 // from 0 to 1: this broker's random place in the period over which brokers spread their first calls
 }
 
-// admits reports whether another call may be sent. All brokers together may send the node one call each per interval. If the interval is
-// longer than overloadAfter, a call from every broker at once would overload a cold node, so the first calls are spread over the
-// difference.
+// admits reports whether another call may be sent. The interval is the time between calls of one broker at which all brokers together do
+// not overload a cold node. If it is longer than overloadAfter, a first call from every broker at once would overload such a node, so the
+// first calls are spread over the difference.
 func (c *confirmation) admits(e *endpoint, now, interval, overloadAfter time.Duration) bool {
 	wait := c.startOffset * float64(interval-overloadAfter)
 	started := e.lastSentAt > c.since || float64(now-c.since) >= wait
--- a/internal/decision/routing/zone_health.go
+++ b/internal/decision/routing/zone_health.go
@@ -10,7 +10,7 @@
 	zoneErrorWeight       = 0.1 // of one attempt in the moving average of a zone's error rate
 	maxZoneErrorRate      = 0.5 // above it a zone is avoided, unless all zones fail (zoneErrorDivisor)
 	zoneErrorTimeConstant = 20 * time.Second
-	zoneErrorDivisor      = 2 // the lowest error rate of any zone has to be below the zone's rate divided by this
+	zoneErrorDivisor      = 2 // a zone is avoided only if the lowest error rate of any zone is below this zone's rate divided by this
 )
 
 // zoneHealth holds the error rate of the attempts to a zone.
@@ -42,7 +42,7 @@
 }
 
 // observeZone updates the error rate of a node's zone with the end of an attempt. Only answers count, and those failures that an
-// unreachable zone would cause. With the rate, an unreachable zone is detected as a whole and not node by node.
+// unreachable zone would cause. The rate detects an unreachable zone as a whole rather than node by node.
 func (d *dispatcher) observeZone(e *endpoint, outcome decision.Outcome, elapsed time.Duration) {
 	z := &d.zones[e.zone]
 	now := d.router.now
