--- a/internal/lab/box.go
+++ b/internal/lab/box.go
@@ -1,6 +1,7 @@
 // Package lab simulates store nodes, discovery and clients, on loopback sockets or in virtual time, and holds the experiments
-// that need them. Everything in it is simulated and is labelled so. It checks the six rules from what reached the simulated nodes
-// and clients, never from a broker's own counters. No serving package imports it.
+// that need them. Everything in it is simulated and is labelled so. It checks the brokers' rules, which the tests of
+// decision/routing list by number (at checkSend), from what reached the simulated nodes and clients, never from a broker's own
+// counters. No serving package imports it.
 //
 // Depends on decision/admission, decision, decision/routing, decision/cachedlist, decision/polling, discovery, lab/script.
 // Concurrency: it starts goroutines that end with the caller's context; what they share with callers is behind a lock or an
--- a/internal/lab/chaos/operate.go
+++ b/internal/lab/chaos/operate.go
@@ -43,7 +43,7 @@
 	return s, err
 }
 
-// BrokerNamed returns the broker of a name, or nil.
+// BrokerNamed returns the broker with a name, or nil.
 func (t *Tier) BrokerNamed(name string) *Broker {
 	for _, b := range t.Brokers {
 		if b.Name == name {
--- a/internal/lab/chaos/tier.go
+++ b/internal/lab/chaos/tier.go
@@ -190,7 +190,8 @@
 	}
 }
 
-// Supervise restarts each broker after a planned stop; prepare is called before, and may change what the next run is.
+// Supervise restarts each broker after a planned stop. prepare is called before each restart and may change the broker's version and
+// files for the next run. If it returns an error, the broker is not restarted.
 func (t *Tier) Supervise(prepare func(b *Broker) error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,7 +212,8 @@
 
 var probeClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Serving reports whether a broker says that it serves. said is false if it did not answer in time: then nothing is known.
+// Serving reports whether a broker says that it serves. said is false if the broker neither answered nor refused the connection:
+// then nothing is known.
 func (b *Broker) Serving() (up, said bool) {
 	resp, err := probeClient.Get(b.URL + "/up")
 	if err != nil {
--- a/internal/lab/chaos/watch.go
+++ b/internal/lab/chaos/watch.go
@@ -11,15 +11,15 @@
 )
 
 // pollInterval is the interval of polls of each broker. Before a planned stop a broker answers 503 for half a second, so that
-// none is missed; a crash is seen by the end of the process.
+// no stop is missed; a crash is seen by the end of the process.
 const pollInterval = 15 * time.Millisecond
 
-// Absence is a period in which a broker was certainly out: from the first poll that found it so to the last.
+// Absence is a period in which a broker was certainly out: from the first poll that found it out to the last one that did.
 type Absence struct {
 	Broker            string
 	From, LastSeenOut time.Time
 	Killed            bool // killed by the test
-	Ended             bool
+	Ended             bool // the broker has served again since
 }
 
 // PlannedStop is a planned stop, with the brokers that were certainly out at that moment.
--- a/internal/lab/conns.go
+++ b/internal/lab/conns.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// established asks the kernel whether both ends of a connection are open. Without it, a connection that a broker closed before it
-// opened the next would be counted beside that one while the close waits to be read here.
+// established asks the kernel whether both ends of a connection are open. Without this check, a connection that a broker has
+// closed would still be counted beside the next one that it opens, until the node reads the close.
 func established(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/lab/crew/crew.go
+++ b/internal/lab/crew/crew.go
@@ -32,7 +32,7 @@
 	StarvedBrokers int           // how many brokers are starved
 }
 
-// DefaultPolicy is what brokers use, with the bytes that the platform leaves of a datagram after encryption.
+// DefaultPolicy is what brokers use. A message of MaxDatagramBytes fits into an authenticated datagram.
 var DefaultPolicy = membership.Policy{ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, IndirectProbes: 3, SuspicionFactor: 5, MaxSuspicionFactor: 2,
 	ForgetAfter: 10 * time.Minute, SyncInterval: 3 * time.Second, MaxDatagramBytes: 220, MaxMembers: 1000}
 
@@ -61,7 +61,7 @@
 	Fence       uint32
 }
 
-// DeathReport records that a broker took another for dead.
+// DeathReport records that Reporter took Broker for dead, and whether Broker was running, which makes it a false positive.
 type DeathReport struct {
 	At               time.Duration
 	Broker, Reporter int
@@ -151,7 +151,7 @@
 	b.deferred = nil
 }
 
-// SkewClock moves a broker's clock.
+// SkewClock moves a broker's clock forward by a duration, or back by a negative one.
 func (c *Cluster) SkewClock(n int, by time.Duration) { c.Brokers[n].clockSkew += by }
 
 // ViewsAgree reports whether every running broker takes exactly the running brokers for alive.
--- a/internal/lab/crew/table.go
+++ b/internal/lab/crew/table.go
@@ -118,8 +118,9 @@
 // SampleJobs are the jobs that the experiments distribute.
 var SampleJobs = []ownership.Job{{Name: "list", Period: 2 * time.Second}, {Name: "records", Period: 5 * time.Second}, {Name: "probes", Period: 10 * time.Second}}
 
-// KillOwners kills the owner of a job in many tiers of five brokers, prints the delays of all jobs, and returns how many tiers
-// broke the limits.
+// KillOwners kills the owner of a job in many tiers of five brokers, prints the delays of all jobs, and returns the number
+// of violations: one for each tier in which a job ran more than twice in its period, and one for each in which a job was over 10 s
+// late.
 func KillOwners(out io.Writer, seeds int, loss float64) (broken int) {
 	late, most := make([]time.Duration, seeds), make([]int, seeds)
 	parallel(seeds, func(seed int) {
--- a/internal/lab/emu.go
+++ b/internal/lab/emu.go
@@ -36,7 +36,7 @@
 }
 
 const (
-	oneWayDelay    = 300 * time.Microsecond // one way
+	oneWayDelay    = 300 * time.Microsecond // between a broker and a node
 	connectTimeout = 250 * time.Millisecond
 )
 
--- a/internal/lab/herd.go
+++ b/internal/lab/herd.go
@@ -14,7 +14,7 @@
 	"flaxfront/internal/decision/polling"
 )
 
-// recoveryRun is one return of discovery with one poll strategy.
+// recoveryRun simulates one recovery of discovery with one poll strategy.
 type recoveryRun struct {
 	brokers        int
 	callsPerSecond float64 // calls per second that discovery can answer
@@ -34,7 +34,7 @@
 	heap.Push(&h.queue, timedEvent{when, h.seq, do})
 }
 
-// call queues a call at discovery; late reports that it timed out.
+// call queues a call at discovery, and calls answer when it ends; late means that it timed out.
 func (h *recoveryRun) call(answer func(late bool)) {
 	h.callTimes = append(h.callTimes, h.now)
 	begin := max(h.now, h.busyUntil)
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/hunt/hunt_test.go
@@ -27,7 +27,8 @@
 
 func quiet(string, ...any) {}
 
-// A search finds the same script each time, finds are valid scripts, and shrinking makes them smaller but keeps them as bad.
+// A search finds the same script each time. Shrinking a finding makes it no larger, keeps at least four fifths of its badness, and
+// gives a valid script.
 func TestHuntAndShrink(t *testing.T) {
 	var texts []string
 	for range 2 {
--- a/internal/lab/play/cores.go
+++ b/internal/lab/play/cores.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// finishJob ends a core's job and answers it. While the node is stalled, it is put off to the end of the stall.
+// finishJob ends a core's job and answers it. If the node is stalled, the job ends at the end of the stall.
 func (n *node) finishJob(core int, number uint64) {
 	j := n.cores[core]
 	switch {
--- a/internal/lab/play/digest.go
+++ b/internal/lab/play/digest.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// digestWordings maps each format of the router's log lines to the wording that the digest of a run hashes, which is that of the
-// version whose digests are compared with. Digests so stay the same when a log line is reworded: change its format in this table,
+// digestWordings maps each format of the router's log lines to the wording that the digest of a run hashes: the one that was in use
+// when the expected digests were recorded. So digests stay the same when a log line is reworded: change its format in this table,
 // and keep the values and their order.
 var digestWordings = []struct{ format, digested string }{
 	{"%v ejected: unresponsive (no answer for %.2f s)", "%v shut: silent (%.2f)"},
--- a/internal/lab/play/engine.go
+++ b/internal/lab/play/engine.go
@@ -51,7 +51,8 @@
 	s.rnd = rand.New(rand.NewPCG(uint64(w.script.Seed), uint64(id)))
 }
 
-// send schedules an event. For another actor it is no earlier than the lookahead, the shortest network delay between two actors.
+// send schedules an event. An event for another actor comes no earlier than after the lookahead, the shortest network delay between
+// two actors.
 func (s *actorState) send(dst uint32, at time.Duration, k kind, n int32, a uint64, p any) {
 	if dst == s.id {
 		at = max(at, s.now)
--- a/internal/lab/play/front.go
+++ b/internal/lab/play/front.go
@@ -38,7 +38,7 @@
 	downReset
 )
 
-const timingTolerance = 50 * time.Millisecond // the same as where brokers are tested over sockets
+const timingTolerance = 50 * time.Millisecond // the same as in the tests of brokers over sockets
 
 // broker is a broker and its clients.
 type broker struct {
@@ -66,7 +66,7 @@
 	nodeIDs     []decision.NodeID // by node, as last listed; for sampleAvailability
 
 	extraSends       []time.Duration // rule 6: times of extra attempts within the window
-	creditedRequests []time.Duration // and of the queries and shard requests that allow for them
+	creditedRequests []time.Duration // rule 6: times of the queries and shard requests that allow for extra attempts
 
 	idleSessions []*session // without a query in progress
 	sessionCount int
--- a/internal/lab/play/plain.go
+++ b/internal/lab/play/plain.go
@@ -31,7 +31,7 @@
 type baselineQuery struct {
 	id                 uint64
 	typ                *decision.QueryType
-	deadline, giveUpAt time.Duration
+	deadline, giveUpAt time.Duration // from deadline on, a partial result is the answer; at giveUpAt, the query ends
 	requests           []baselineRequest
 	ended              bool
 	received           float64
--- a/internal/lab/play/reads.go
+++ b/internal/lab/play/reads.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// addPinCounts adds the read pin counters of the broker's process, which ends.
+// addPinCounts adds the read pin counters of the broker's process to the tally. It is called when the process ends.
 func (b *broker) addPinCounts() {
 	if b.core != nil && b.w.script.Reads.On {
 		if p := b.core.Counters().ReadPins; p != nil {
--- a/internal/lab/play/replica.go
+++ b/internal/lab/play/replica.go
@@ -35,7 +35,8 @@
 	n.replicaState.stateAt = -n.replicaState.baseLag
 }
 
-// advance applies the writes since the last update.
+// advance applies the writes since the last update. catch is how many seconds of writes beyond the new ones a replica that is behind
+// applies per second.
 func (r *replica) advance(now time.Duration, catch float64) {
 	if from := max(r.updatedAt, r.lagsUntil); now > from {
 		r.stateAt = max(r.stateAt, min(now-r.baseLag, r.stateAt+time.Duration((1+catch)*float64(now-from))))
--- a/internal/lab/script/schedule.go
+++ b/internal/lab/script/schedule.go
@@ -67,7 +67,7 @@
 	Span
 	ramp   time.Duration
 	factor float64
-	errors bool
+	errors bool // factor is the share of shard requests that fail, not a slowdown
 }
 
 type cut struct {
--- a/internal/lab/script/settings.go
+++ b/internal/lab/script/settings.go
@@ -52,7 +52,7 @@
 	return f
 }
 
-// Settings returns the same settings in the format of a broker's configuration.
+// Settings returns the settings of Terms in the format of a broker's configuration file.
 func (s *Script) Settings() ([]byte, error) {
 	t := s.Terms()
 	m := &t.Module
--- a/internal/lab/sharing.go
+++ b/internal/lab/sharing.go
@@ -9,7 +9,8 @@
 	"flaxfront/internal/decision/admission"
 )
 
-// queuingPolicy is one policy: it decides on arrivals, and on queued queries whenever something ends.
+// queuingPolicy is one policy. arrive decides on a new query, and done is told of the end of an admitted one. next returns the IDs of
+// the queued queries that are admitted now (enter) and of those that are rejected (turned).
 type queuingPolicy interface {
 	arrive(s admission.Query, now time.Duration) admission.Decision
 	done(work float64, took time.Duration, now time.Duration)
@@ -23,8 +24,8 @@
 	queues     [][]waiter
 	inFlight   float64
 	choose     func(f *fixedLimit) int // which queue goes next; nil: queries are never queued
-	tags       []float64
-	credit     []float64
+	tags       []float64               // start tag of each flow, for start-time fair queuing
+	credit     []float64               // deficit of each flow, for deficit round robin
 	nextFlow   int
 	tokens     []float64 // per tenant; nil: no token buckets
 	refilledAt time.Duration
--- a/internal/protocols/back/back.go
+++ b/internal/protocols/back/back.go
@@ -126,6 +126,7 @@
 // Read always returns io.EOF. The pool does not read from the connection; answers are posted as events of the handle.
 func (c *conn) Read([]byte) (int, error) { return 0, io.EOF }
 
+// Close does nothing. The pool closes the connection with the function that the carrier returned.
 func (c *conn) Close() error { return nil }
 
 func (c *conn) SetReadDeadline(time.Time) error { return nil }
--- a/internal/protocols/back/z3950.go
+++ b/internal/protocols/back/z3950.go
@@ -15,7 +15,8 @@
 // syntaxOIDs maps the syntax of a statement to the object identifier of the record syntax.
 var syntaxOIDs = map[string]string{"marc21": z3950.MARC21, "marcxml": z3950.XML, "dc": z3950.XML, "mods": z3950.XML, "text": z3950.SUTRS}
 
-// busyDiagnostics are the Bib-1 diagnostics of a busy node: temporary system error and resources exhausted. They count as a rejection.
+// busyDiagnostics are the Bib-1 diagnostics of a busy node: temporary system error (2) and resources exhausted (31). They count as
+// a rejection; a permanent system error (1) does not.
 var busyDiagnostics = map[int]bool{2: true, 31: true, 1: false}
 
 func (c *conn) z3950(p *attempt, search *catalogue.Want, database string) (store.Result, string, error) {
--- a/internal/protocols/ber/ber.go
+++ b/internal/protocols/ber/ber.go
@@ -59,7 +59,8 @@
 // IsUniversal reports whether the element has the given universal tag.
 func (e *Element) IsUniversal(tag uint32) bool { return e.Class == Universal && e.Tag == tag }
 
-// readHeader decodes an element's tag and the length of its contents, which is -1 if it is indefinite. Size is the length of the header.
+// readHeader decodes an element's tag and the length of its contents, which is -1 if it is indefinite. size is that of the header
+// in bytes.
 func readHeader(b []byte) (e Element, length, size int, err error) {
 	if len(b) < 2 {
 		return e, 0, 0, ErrTruncated
--- a/internal/protocols/ber/write.go
+++ b/internal/protocols/ber/write.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// AppendElement appends an element to b, whose contents are encoded already.
+// AppendElement appends an element to b. body holds its encoded contents.
 func AppendElement(b []byte, class Class, tag uint32, constructed bool, body []byte) []byte {
 	first := byte(class) << 6
 	if constructed {
@@ -107,7 +107,7 @@
 	w.b = AppendElement(w.b, Context, tag, false, body)
 }
 
-// Constructed appends a constructed element, whose contents fill writes.
+// Constructed appends a constructed element. fill writes its contents.
 func (w *Writer) Constructed(class Class, tag uint32, fill func(*Writer)) {
 	var inner Writer
 	fill(&inner)
--- a/internal/protocols/catalogue/catalogue.go
+++ b/internal/protocols/catalogue/catalogue.go
@@ -87,8 +87,8 @@
 	return hits, records, nil
 }
 
-// Merge returns the answer that the values of the shards form. Complete is whether the broker's result is complete. A value that cannot
-// be decoded fails the whole answer, as the number of its records is not known.
+// Merge returns the answer that the values of the shards form. complete states whether the broker's result is complete. A value that
+// cannot be decoded fails the whole answer, as the number of its records is not known.
 func Merge(requested []int, depth int, complete bool, shards []int, values []string) (resultset.Answer, error) {
 	a := resultset.Answer{Complete: complete, Hits: map[int]int{}, FirstRecords: map[int][][]byte{}, Depth: depth, Shards: requested}
 	for i, s := range shards {
--- a/internal/protocols/front/front.go
+++ b/internal/protocols/front/front.go
@@ -67,7 +67,7 @@
 		"shed", c.Shed.Load(), "failed", c.Failed.Load(), "diagnostics", c.DiagnosticsSent.Load())
 }
 
-// Search runs one search. Refetch says that it repeats a search to fetch more of its records. An error with an answered result means
+// Search runs one search. refetch states that it repeats a search to fetch more of its records. An error with an answered result means
 // that a node's value cannot be decoded; any other error means that the client has gone or that the broker is stopping.
 func (a *Searcher) Search(ctx context.Context, want *catalogue.Want, client uint64, refetch bool) (resultset.Answer, server.QueryResult, error) {
 	shards := a.broker.Settings().Shards
--- a/internal/protocols/simwire/host.go
+++ b/internal/protocols/simwire/host.go
@@ -1,4 +1,4 @@
-// Package simwire implements the simulator's binary protocol and runs many brokers in one process, which share no state.
+// Package simwire implements the simulator's binary protocol and runs many brokers, which share no state, in one process.
 //
 // Depends on config/terms, decision. Concurrency: the package takes no locks and starts no goroutines; a value
 // is used by one goroutine at a time.
@@ -50,9 +50,9 @@
 type Host struct {
 	newRouter func(decision.Settings) decision.Router
 	brokers   map[uint16]*broker
-	pending   []*broker // have events in this batch
-	sheets    [16][]byte
-	received  [16]bool // whether a Manifest has filled the sheet
+	pending   []*broker  // have events in this batch
+	sheets    [16][]byte // encoded endpoint lists: Manifest records fill them, and Endpoints records refer to them
+	received  [16]bool   // whether a Manifest has filled the sheet
 	frame     bytes.Buffer
 	actions   []decision.Action
 	records   []byte
--- a/internal/protocols/sru/sru.go
+++ b/internal/protocols/sru/sru.go
@@ -85,7 +85,7 @@
 		"resultsetttl", "stylesheet", "sortkeys", "rendering", "httpaccept", "responsetype", "facetlimit", "facetstart", "facetsort", "facetcount"},
 }
 
-// Parse decodes the parameters of a request. Also with a diagnostic, the request has the version for the response.
+// Parse decodes the parameters of a request. The request has the version for the response even if there is a diagnostic.
 func Parse(values url.Values) (r Request, d *Diagnostic) {
 	r = Request{Version: V20, StartRecord: 1, Most: -1}
 	get := func(name string) (value string) {
--- a/internal/protocols/z3950/pdu.go
+++ b/internal/protocols/z3950/pdu.go
@@ -76,7 +76,7 @@
 	Query                                                          *query.RPN
 }
 
-// Result set statuses of a search that failed.
+// Result set statuses of a search that failed or has a partial result (Subset, Interim).
 const (
 	Subset      = 1
 	Interim     = 2
@@ -107,8 +107,8 @@
 	Success  = 0
 	Partial1 = 1 // not all records, because of access control
 	Partial2 = 2 // not all records fit into a message
-	Partial3 = 3
-	Partial4 = 4
+	Partial3 = 3 // not all records, because of resource control, at the client's request
+	Partial4 = 4 // not all records, because of resource control, by the server
 	Failure  = 5
 )
 
--- a/internal/transport/httpwire/fields.go
+++ b/internal/transport/httpwire/fields.go
@@ -11,6 +11,7 @@
 	"strings"
 )
 
+// readFields reads header fields up to and including the empty line behind them.
 func readFields(r *bufio.Reader) (fields []Field, err error) {
 	size := 0
 	for {
@@ -50,6 +51,7 @@
 	return strings.ToLower(name)
 }
 
+// readChunks reads a chunked body with its trailer fields, which it discards.
 func readChunks(r *bufio.Reader) ([]byte, error) {
 	body := bytes.NewBuffer([]byte{})
 	for {
--- a/internal/transport/httpwire/httpwire.go
+++ b/internal/transport/httpwire/httpwire.go
@@ -1,5 +1,6 @@
-// Package httpwire reads and writes HTTP/1.1 messages, for both clients and discovery. It handles framing: heads, and bodies with a length or
-// in chunks. It does not interpret messages. It must never keep more of one than its limits allow, or guess where an ambiguous message ends.
+// Package httpwire reads and writes HTTP/1.1 messages on connections from clients, and to discovery and nodes that speak SRU. It handles
+// framing: heads, and bodies with a length or in chunks. It does not interpret messages. It must never keep more of a message than its limits
+// allow, or guess where an ambiguous message ends.
 //
 // Depends on no package of this module. Concurrency: it keeps no state and starts no goroutine, so that its
 // functions may be called from any goroutine; what they return is the caller's.
@@ -60,7 +61,7 @@
 	return value, times
 }
 
-// ReadRequest reads one complete request. It returns io.EOF if the connection ended before it began.
+// ReadRequest reads one complete request. It returns io.EOF if the connection ended before the request began.
 func ReadRequest(r *bufio.Reader) (*Message, error) {
 	line, err := readLine(r)
 	if err == nil && line == "" { // one empty line before a request is ignored
@@ -88,7 +89,7 @@
 	return m, nil
 }
 
-// ReadResponse reads one complete response. It returns io.EOF if the connection ended before it began.
+// ReadResponse reads one complete response. It returns io.EOF if the connection ended before the response began.
 func ReadResponse(r *bufio.Reader) (*Message, error) {
 	line, err := readLine(r)
 	if err != nil {
--- a/internal/transport/httpwire/httpwire_test.go
+++ b/internal/transport/httpwire/httpwire_test.go
@@ -22,7 +22,7 @@
 		"Content-Length: 5\r\n\r\nhello",
 		"Transfer-Encoding: chunked\r\n\r\n2;x=1\r\nhe\r\n3\r\nllo\r\n0\r\nTrailer: 1\r\n\r\n",
 	} {
-		pipelined := postHead + framing + postHead + "Connection: x, Close\r\n" + framing // pipelined
+		pipelined := postHead + framing + postHead + "Connection: x, Close\r\n" + framing
 		for _, r := range []io.Reader{strings.NewReader(pipelined), iotest.OneByteReader(strings.NewReader(pipelined))} {
 			in := NewReader(r)
 			first, err := ReadRequest(in)
--- a/internal/transport/link/conn.go
+++ b/internal/transport/link/conn.go
@@ -16,7 +16,7 @@
 
 const (
 	heartbeatInterval = 250 * time.Millisecond
-	silenceTimeout    = time.Second     // nothing has been received for so long: the network is cut, or the connection half open
+	silenceTimeout    = time.Second     // after which a connection that receives nothing ends: the network is cut, or the connection is half open
 	handshakeTimeout  = 3 * time.Second // for TLS and the hellos together
 	frameTimeout      = 2 * time.Second // within which a frame that has begun must be complete
 	writeTimeout      = 2 * time.Second // within which a write must be completed
@@ -64,14 +64,14 @@
 	reason      string
 	wake        chan struct{}
 
-	receivedSeq uint64
+	receivedSeq uint64 // number of the last heartbeat received; 0: none
 	receivedAt  time.Time
-	ackedSeq    uint64
-	rtt         atomic.Int64
+	ackedSeq    uint64       // number of the last heartbeat of this side that the other side has acknowledged
+	rtt         atomic.Int64 // nanoseconds, smoothed; 0: not measured yet
 
 	unacked      map[uint64]time.Time // heartbeats not acknowledged yet, and when they were sent
-	heartbeatSeq uint64
-	queryCount   atomic.Uint64
+	heartbeatSeq uint64               // number of the last heartbeat sent
+	queryCount   atomic.Uint64        // queries sent and received
 }
 
 type queued struct {
--- a/internal/transport/link/frame.go
+++ b/internal/transport/link/frame.go
@@ -115,10 +115,11 @@
 	_              struct{} `cbor:",toarray"`
 	Seq            uint64
 	Heartbeat      uint64 // number of the last heartbeat received from the other side; 0: none
-	AckDelayMicros int64  // microseconds since it was received
+	AckDelayMicros int64  // microseconds from receiving that heartbeat to sending this one; SetStatus leaves it 0
 	Status         *Status
 }
 
+// windowUpdate states how many bytes of replies the dialling side has handled, for which it has room again.
 type windowUpdate struct {
 	_     struct{} `cbor:",toarray"`
 	Bytes int
--- a/internal/transport/link/receiving.go
+++ b/internal/transport/link/receiving.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// handleFrame posts the event of a frame. A frame of a type that only the other role may send is an error, which ends the connection.
+// handleFrame posts the event of a frame. A frame whose type the other side may not send in its role is an error, which ends the
+// connection: only the dialling side sends queries, cancels and window updates, and only the accepting side replies.
 func (c *Conn) handleFrame(frameType byte, b []byte) error {
 	dialled := c.Peer >= 0
 	switch {
@@ -98,7 +99,7 @@
 	c.mu.Lock()
 	invalid := v.Heartbeat > c.heartbeatSeq || v.AckDelayMicros < 0
 	sentAt, known := c.unacked[v.Heartbeat]
-	if c.ackedSeq = max(c.ackedSeq, v.Heartbeat); v.Seq > c.receivedSeq { // an immediate one may overtake a regular one
+	if c.ackedSeq = max(c.ackedSeq, v.Heartbeat); v.Seq > c.receivedSeq { // a heartbeat of SetStatus may overtake a regular one
 		c.receivedSeq, c.receivedAt = v.Seq, now
 	}
 	c.mu.Unlock()
--- a/internal/transport/link/sending.go
+++ b/internal/transport/link/sending.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// enqueue queues a frame for the writer without blocking. It returns false if the connection has ended or its queue is full, which ends it.
+// enqueue queues a frame for the writer without blocking. It returns false if the connection has ended, or
+// if the queue is full, which ends the connection.
 func (c *Conn) enqueue(q queued, urgent bool) bool {
 	c.mu.Lock()
 	full := c.queuedBytes+len(q.frame) > maxQueuedBytes
@@ -40,7 +41,7 @@
 	return b
 }
 
-// Query queues a query to be forwarded. false: it will never be sent.
+// Query queues a query to be forwarded. It returns false if the query will never be sent.
 func (c *Conn) Query(q Query) bool {
 	b := c.frame(frameQuery, q)
 	return b != nil && c.enqueue(queued{frame: b, query: q.ID, isQuery: true}, false)
@@ -74,6 +75,7 @@
 func (c *Conn) WakeWriter() { c.signalWriter() }
 
 // dequeue returns the next frame to write; nil: none. A reply waits until the other side has room, and so do the frames queued after it.
+// A reply larger than the whole window is sent once the window is unused.
 func (c *Conn) dequeue() (b []byte, isQuery, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/lookahead/lookahead.go
+++ b/internal/transport/lookahead/lookahead.go
@@ -41,8 +41,8 @@
 	receiveErr  error
 }
 
-// arrival is the time by which the bytes before an offset had arrived. A time before a client sent its request would make the request count
-// as older than it is, so bytes that arrived together have the time of the last one.
+// arrival is the time by which the bytes before an offset had arrived. Too early a time would make a request count as older
+// than it is, so bytes that arrived together all have the time of the last of them.
 type arrival struct {
 	endOffset uint64
 	first, at time.Duration // of the first and the last of the bytes that arrived together
@@ -87,9 +87,9 @@
 	return n, err
 }
 
-// Watch reads ahead until the connection ends, and returns the error of its end. It returns nil at a read deadline, or at stop while the
-// limit is reached. Since a client that keeps sending would use up memory, bytes beyond the limit stay in the kernel, and Watch only checks
-// for the end of the connection.
+// Watch reads ahead until the connection ends, and returns the error of its end. It returns nil at a read deadline, or when stop is
+// closed while the limit is reached. Since a client that keeps sending would use up memory, bytes beyond the limit stay in the kernel, and
+// Watch only checks for the end of the connection.
 func (r *Reader) Watch(stop <-chan struct{}) error {
 	for r.err == nil {
 		room := min(readSize, r.maxAhead-len(r.ahead))
@@ -179,8 +179,8 @@
 // Ended reports whether the end of the connection has been noticed, even if bytes before it are unread.
 func (r *Reader) Ended() bool { return r.err != nil }
 
-// ArrivalTime returns when the last byte that the parser has used had arrived: the last one that Read has returned, without the unused ones
-// that the parser still holds.
+// ArrivalTime returns the time by which the last byte that the parser has used had arrived. unused is the number of bytes that Read has
+// returned and that the parser still holds.
 func (r *Reader) ArrivalTime(unused int) time.Duration {
 	end := r.consumed - uint64(unused)
 	for _, m := range r.arrivals {
--- a/internal/transport/store/conn.go
+++ b/internal/transport/store/conn.go
@@ -131,7 +131,7 @@
 					next = min(next, attempt.Deadline)
 				}
 			}
-			// Close it before the node does: an attempt sent while the node closes would be lost.
+			// An idle connection is closed before the node closes it: an attempt sent while the node closes it would be lost.
 			if idleEnd := c.lastActive + p.limits.Idle - p.limits.Dial; c.inFlight.len() > 0 {
 				continue
 			} else if n.unlisted {
--- a/internal/transport/store/dial.go
+++ b/internal/transport/store/dial.go
@@ -25,12 +25,13 @@
 	TryWrite(b []byte) (int, error)
 }
 
-// Dialer opens a connection, or fails after the time within.
+// Dialer opens a connection, or fails if that takes longer than within.
 type Dialer func(ctx context.Context, addr string, within time.Duration) (Conn, error)
 
 // selectConn returns a connection with free streams, preferably an established one, or opens a new one. nil: there is none.
 // After a machine has crashed and come back, an old connection may stay silent for ever, and trial attempts over it would prove nothing. So
-// an idle one that answered nothing for as long as any client waits is closed. A node that only hangs costs additional handshakes this way.
+// an idle connection over which nothing was answered for Limits.Silent, which is as long as any client waits, is closed. A node that only
+// hangs costs additional handshakes this way.
 func (p *Pool) selectConn(n *node, attempts []*Subrequest) *conn {
 	var best *conn
 	now := p.since()
--- a/internal/transport/store/end.go
+++ b/internal/transport/store/end.go
@@ -144,7 +144,7 @@
 func (a *Subrequest) Written() bool { return a.written }
 
 // EndQueued ends the attempts that wait for a connection to a node to be established, as never sent. A connection may be established long
-// after the node was chosen, when it may be unlisted or draining, or may have restarted and be cold.
+// after the node was chosen, and by then the node may be unlisted or draining, or have restarted and be cold.
 func (p *Pool) EndQueued(id decision.NodeID) {
 	if n := p.nodes[id]; n != nil {
 		p.endQueued(n)
--- a/internal/transport/store/outto.go
+++ b/internal/transport/store/outto.go
@@ -14,5 +14,5 @@
 	return n
 }
 
-// EndUnsent ends attempts that must not be sent, as never sent.
+// EndUnsent ends attempts that must not be sent, with the outcome decision.NeverSent.
 func (p *Pool) EndUnsent(attempts []*Subrequest) { p.end(attempts, decision.NeverSent) }
--- a/internal/transport/store/store.go
+++ b/internal/transport/store/store.go
@@ -46,7 +46,8 @@
 	Conns   int           // open connections to all nodes together
 }
 
-// Counts count what was sent and received over the connections. Operators read its fields as JSON under these names.
+// Counts count what was sent and received over the connections: Calls are the frames that carried attempts, Parts the attempts in them.
+// Operators read its fields as JSON under these names.
 type Counts struct {
 	Dials, Ended, Calls, Parts, Cancels uint64
 	Served, Broke, Skipped              uint64
--- a/internal/transport/store/tcp.go
+++ b/internal/transport/store/tcp.go
@@ -15,7 +15,7 @@
 	raw syscall.RawConn
 }
 
-// DialTCP opens a TCP connection, or fails after the time within.
+// DialTCP opens a TCP connection, or fails if that takes longer than within.
 func DialTCP(ctx context.Context, addr string, within time.Duration) (Conn, error) {
 	d := net.Dialer{Timeout: within, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", addr)
