--- a/cmd/flaxfront/fleet.go
+++ b/cmd/flaxfront/fleet.go
@@ -101,7 +101,7 @@
 		}}
 	forget := &cobra.Command{Use: "forget BROKER", Short: "Remove a broker that will never return, so that it no longer counts as out", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return a.askAndPrint(cmd, controlplane.VerbRemoveBroker, &controlplane.Request{Broker: args[0]}, "removed")
+			return a.askAndPrint(cmd, controlplane.VerbRemoveBroker, &controlplane.Request{Broker: args[0]}, "forgotten")
 		}}
 	root.AddCommand(drain, undrain, out, returned, forget)
 	return root
